--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -48,12 +48,17 @@
     zone, cores = rng.choices(range(ZONES), k=racks), rng.choices(CORES, k=racks)
     rack = tuple(index // RACK_MACHINES for index in range(machines))
     stamp = rng.randrange(10**6)
-    return Fleet(tuple(f"node-{stamp}-{index:05}" for index in range(machines)), rack,
-                 tuple(zone[each] for each in rack), tuple(cores[each] for each in rack))
+    return Fleet(
+        tuple(f"node-{stamp}-{index:05}" for index in range(machines)),
+        rack,
+        tuple(zone[each] for each in rack),
+        tuple(cores[each] for each in rack),
+    )
 
 
 # -- the three ways: all machines' holders, and one placer's own subset
 
+
 class Rendezvous:
     def __init__(self, roster: Sequence[str], replicas: int) -> None:
         self._subsets = Subsets(SubsetRules(tuple(roster), replicas))
@@ -83,7 +88,7 @@
         turn, part = divmod(sorted(living).index(placer), count)
         shuffled = list(machines)
         random.Random(turn).shuffle(shuffled)
-        return shuffled[part * len(shuffled) // count:(part + 1) * len(shuffled) // count]
+        return shuffled[part * len(shuffled) // count : (part + 1) * len(shuffled) // count]
 
 
 class RandomAperture:
@@ -106,11 +111,15 @@
 
 Way = Rendezvous | Deterministic | RandomAperture
 WAYS: dict[str, Callable[[Sequence[str], int], Way]] = {
-    "rendezvous": Rendezvous, "deterministic": Deterministic, "random aperture": RandomAperture}
+    "rendezvous": Rendezvous,
+    "deterministic": Deterministic,
+    "random aperture": RandomAperture,
+}
 
 
 # -- what is measured
 
+
 @dataclass(frozen=True, slots=True)
 class Measured:
     """One way, one seed. Parts are of 1; `cv` is the coefficient of variation over placers."""
@@ -140,7 +149,10 @@
 
 def measure(way: str, machines: int, placers: int, replicas: int, seed: int) -> Measured:
     rng = random.Random(f"{machines}-{placers}-{replicas}-{seed}")
-    fleet, roster = fleet_of(machines, rng), [f"placer-{seed}-{index:03}" for index in range(placers)]
+    fleet, roster = (
+        fleet_of(machines, rng),
+        [f"placer-{seed}-{index:03}" for index in range(placers)],
+    )
     one, leaver = rng.sample(roster, 2)
     rest = [placer for placer in roster if placer != leaver]
     made = WAYS[way](roster, replicas)
@@ -151,12 +163,25 @@
     sizes = Counter(placer for holders in old for placer in holders)
     bound = subset_most_expected(machines, placers, replicas)
     return Measured(
-        way, machines, placers, replicas, seed, entries / placers, min(sizes[each] for each in roster),
-        max(sizes.values()), sum(size > bound for size in sizes.values()), spread([sizes[each] for each in roster]),
-        **seen(fleet, roster, old), unheld=sum(not holders for holders in old) / machines,
-        left=ended(old, new) / entries, left_needless=needless(old, new, leaver) / entries,
-        joined=ended(new, old) / sum(map(len, new)), machine_joined=ended(old, more) / entries,
-        first_us=first_us, again_us=again_us)
+        way,
+        machines,
+        placers,
+        replicas,
+        seed,
+        entries / placers,
+        min(sizes[each] for each in roster),
+        max(sizes.values()),
+        sum(size > bound for size in sizes.values()),
+        spread([sizes[each] for each in roster]),
+        **seen(fleet, roster, old),
+        unheld=sum(not holders for holders in old) / machines,
+        left=ended(old, new) / entries,
+        left_needless=needless(old, new, leaver) / entries,
+        joined=ended(new, old) / sum(map(len, new)),
+        machine_joined=ended(old, more) / entries,
+        first_us=first_us,
+        again_us=again_us,
+    )
 
 
 def timed(way: Way, machines: Sequence[str], living: Sequence[str], placer: str) -> float:
@@ -170,7 +195,9 @@
 
 
 def needless(old: Holders, new: Holders, leaver: str) -> int:
-    return sum(len(before - after) for before, after in zip(old, new, strict=True) if leaver not in before)
+    return sum(
+        len(before - after) for before, after in zip(old, new, strict=True) if leaver not in before
+    )
 
 
 def spread(figures: Sequence[float]) -> float:
@@ -187,11 +214,14 @@
     racks = len(set(fleet.rack))
     rare = [size == max(CORES) for size in fleet.cores]
     zones = [[zone == each for zone in fleet.zone] for each in sorted(set(fleet.zone))]
-    return {"cores_cv": spread(cores),
-            "zone_off": max(off(zone, mine) for zone in zones for mine in held.values()),
-            "rare_off": max(off(rare, mine) for mine in held.values()),
-            "racks_seen": statistics.fmean(len({fleet.rack[index] for index in mine}) / racks
-                                           for mine in held.values())}
+    return {
+        "cores_cv": spread(cores),
+        "zone_off": max(off(zone, mine) for zone in zones for mine in held.values()),
+        "rare_off": max(off(rare, mine) for mine in held.values()),
+        "racks_seen": statistics.fmean(
+            len({fleet.rack[index] for index in mine}) / racks for mine in held.values()
+        ),
+    }
 
 
 def off(marked: Sequence[bool], mine: Sequence[int]) -> float:
@@ -203,8 +233,10 @@
 
 # -- the table
 
-HEAD = ("machines, placers, r | way | size mean | least | most (bound) | CV | cores CV | zone off | rare kind off "
-        "| racks seen | no holder | leaves (needless) | joins | machine joins | first ms | again ms")
+HEAD = (
+    "machines, placers, r | way | size mean | least | most (bound) | CV | cores CV | zone off | rare kind off "
+    "| racks seen | no holder | leaves (needless) | joins | machine joins | first ms | again ms"
+)
 
 
 def row(found: Sequence[Measured]) -> str:
@@ -221,16 +253,32 @@
     def ms(name: str) -> str:
         return f"{statistics.median(getattr(each, name) for each in found) / 1000:.1f}"
 
-    return " | ".join((
-        f"{one.machines:,}, {one.placers}, {one.replicas}", one.way, f"{statistics.fmean(e.mean for e in found):.1f}",
-        str(min(each.least for each in found)), f"{max(each.most for each in found)} ({bound})", part("size_cv"),
-        part("cores_cv"), worst("zone_off"), worst("rare_off"), part("racks_seen"), part("unheld"),
-        f"{part('left')} ({part('left_needless')})", part("joined"), part("machine_joined"), ms("first_us"),
-        ms("again_us")))
+    return " | ".join(
+        (
+            f"{one.machines:,}, {one.placers}, {one.replicas}",
+            one.way,
+            f"{statistics.fmean(e.mean for e in found):.1f}",
+            str(min(each.least for each in found)),
+            f"{max(each.most for each in found)} ({bound})",
+            part("size_cv"),
+            part("cores_cv"),
+            worst("zone_off"),
+            worst("rare_off"),
+            part("racks_seen"),
+            part("unheld"),
+            f"{part('left')} ({part('left_needless')})",
+            part("joined"),
+            part("machine_joined"),
+            ms("first_us"),
+            ms("again_us"),
+        )
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--machines", type=int, nargs="+", default=[1000, 4333, 13000])
     parser.add_argument("--placers", type=int, nargs="+", default=[16, 24, 48])
     parser.add_argument("--replicas", type=int, nargs="+", default=[3, 4])
@@ -246,7 +294,9 @@
     for machines, placers in zip(chosen.machines, chosen.placers, strict=True):
         for replicas in chosen.replicas:
             for way in WAYS:
-                found = [measure(way, machines, placers, replicas, seed) for seed in range(chosen.seeds)]
+                found = [
+                    measure(way, machines, placers, replicas, seed) for seed in range(chosen.seeds)
+                ]
                 print(f"| {row(found)} |", flush=True)
                 kept += found
     if chosen.out:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -20,7 +20,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("sizes", nargs="+", type=int)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--jobs", type=int, default=4)
@@ -28,9 +30,23 @@
     with multiprocessing.Pool(asked.jobs) as pool:
         for count in asked.sizes:
             for agree in (False, True):
-                rows = pool.map(one, [(count, agree, seed) for seed in range(1, asked.seeds + 1)], 1)
-                print(json.dumps({"placers": count, "verdicts": agree, "failed_starts": {
-                    "least": min(rows), "median": statistics.median(rows), "most": max(rows)}}), flush=True)
+                rows = pool.map(
+                    one, [(count, agree, seed) for seed in range(1, asked.seeds + 1)], 1
+                )
+                print(
+                    json.dumps(
+                        {
+                            "placers": count,
+                            "verdicts": agree,
+                            "failed_starts": {
+                                "least": min(rows),
+                                "median": statistics.median(rows),
+                                "most": max(rows),
+                            },
+                        }
+                    ),
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -42,7 +42,10 @@
     try:
         laid = lay(root, target)
     except OSError as error:
-        print(f"lay: {error.filename}: {error.strerror}; the kit has to lie beside the repository", file=sys.stderr)
+        print(
+            f"lay: {error.filename}: {error.strerror}; the kit has to lie beside the repository",
+            file=sys.stderr,
+        )
         return 2
     print("\n".join(laid) if laid else "all files lie there already")
     return 0
--- a/tests/capacity/recompute.py
+++ b/tests/capacity/recompute.py
@@ -28,13 +28,17 @@
 WORKED = re.compile(r'^\| <a id="([\w-]+)"></a>([^|]*)\| ([^|`]*) \| ([\d.,e-]+) [^|]*\|$', re.M)
 LINKED = re.compile(r"\[[^\]]*\]\(#(m-[\w-]+)\), (each more|today \(400 machines\)|1/10|1/3|all)")
 BREAKS = re.compile(r"(?:breaks at|up to) ([\d.,e-]+) of the target \(([\d,]+) machines, (.*)\): ")
-ALONE = re.compile(r"([\d.,+*/() -]+) \(measured: ([\w ]+): ([^;()]+(?:\([\w ]+\)[^;()]*)?), by (\w+), alone\)")
+ALONE = re.compile(
+    r"([\d.,+*/() -]+) \(measured: ([\w ]+): ([^;()]+(?:\([\w ]+\)[^;()]*)?), by (\w+), alone\)"
+)
 BY_LINE = re.compile(r"by the \[line\]\(#(m-[\w-]+)\)$")
 
 
 def ident_of(point: Point) -> str:
     """The anchor that the page gives a measure."""
-    return "m-" + "-".join(re.findall("[a-z0-9]+", f"{point.role} {point.varies} {point.measure}".lower()))
+    return "m-" + "-".join(
+        re.findall("[a-z0-9]+", f"{point.role} {point.varies} {point.measure}".lower())
+    )
 
 
 def measured(results: Results) -> dict[str, list[Point]]:
@@ -50,8 +54,11 @@
 
     def __init__(self, results: Results, points: list[Point]) -> None:
         first = points[0]
-        slope = next(each for each in results.slopes if (each.role, each.varies, each.measure) == (
-            first.role, first.varies, first.measure))
+        slope = next(
+            each
+            for each in results.slopes
+            if (each.role, each.varies, each.measure) == (first.role, first.varies, first.measure)
+        )
         sizes = np.array([point.size for point in points], dtype=float)
         values = np.array([point.value for point in points])
         self.model, self.exponent = slope.model, 1.0
@@ -63,7 +70,11 @@
             self.intercept, self.slope = float(start), float(factor)
         else:
             exponent, factor = np.polyfit(np.log(sizes), np.log(values - slope.intercept), 1)
-            self.intercept, self.slope, self.exponent = slope.intercept, float(np.exp(factor)), float(exponent)
+            self.intercept, self.slope, self.exponent = (
+                slope.intercept,
+                float(np.exp(factor)),
+                float(exponent),
+            )
 
     def at(self, size: float) -> float:
         return float(self.intercept + self.slope * size**self.exponent)
@@ -97,7 +108,9 @@
 def wrong_rows(page: str, results: Results) -> list[str]:
     """Rows of the roles' tables that do not come to what the points say, or name a measure that is not there."""
     known, out = measured(results), []
-    with_line = {ident_of(Point(each.role, each.varies, 0, each.measure, "", 0.0)) for each in results.slopes}
+    with_line = {
+        ident_of(Point(each.role, each.varies, 0, each.measure, "", 0.0)) for each in results.slopes
+    }
     for match in ROW.finditer(page):
         ident, cells = match[1], [cell.strip() for cell in match[2].split(" | ")][1:5]
         if cells[0] == "not measured" and cells[1:] == ["-", "-", "-"]:
@@ -137,9 +150,15 @@
             points = known[source]
             size = SIZES[points[0].varies][SCALES.index(TITLES.get(scale, "third"))]
             line = Line(results, points)
-            wanted = (line.at(size) - line.at(0)) / size if scale == "each more" else value_at(results, points, size)[0]
+            wanted = (
+                (line.at(size) - line.at(0)) / size
+                if scale == "each more"
+                else value_at(results, points, size)[0]
+            )
             if not any(near(wanted, each) for each in stated):
-                out.append(f"{ident}: {source} at {scale} is {wanted}, which is not in {expression}")
+                out.append(
+                    f"{ident}: {source} at {scale} is {wanted}, which is not in {expression}"
+                )
     return out
 
 
@@ -147,8 +166,13 @@
     """Expressions that take the one point of a measure, and do not have its value."""
     out = []
     for expression, role, measure, varies in ALONE.findall(page):
-        values = list({point.value for point in results.points if (point.role, point.measure, point.varies) == (
-            role, measure, varies)})
+        values = list(
+            {
+                point.value
+                for point in results.points
+                if (point.role, point.measure, point.varies) == (role, measure, varies)
+            }
+        )
         stated = [number(each) for each in re.findall(r"\d[\d,]*(?:\.\d+)?", expression)]
         if len(values) != 1 or not any(near(values[0], each) for each in stated):
             out.append(f"{measure}: {values}, which is not in {expression}")
@@ -158,7 +182,10 @@
 def wrong_breaks(page: str, results: Results) -> list[str]:
     """What is missing, and said to break at a size at which it does not."""
     known, out = measured(results), []
-    budgets = {match[1]: [cell.strip() for cell in match[2].split(" | ")][5] for match in ROW.finditer(page)}
+    budgets = {
+        match[1]: [cell.strip() for cell in match[2].split(" | ")][5]
+        for match in ROW.finditer(page)
+    }
     for share, machines, by in BREAKS.findall(page):
         line = BY_LINE.match(by)
         if line:
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -13,11 +13,24 @@
 SIZES = (5, 16, 64, 170, 256)
 
 
-def points(curve: Callable[[int], float], noise: float = 0.0, sizes: tuple[int, ...] = SIZES,
-           measure: str = "bytes sent") -> list[Point]:
+def points(
+    curve: Callable[[int], float],
+    noise: float = 0.0,
+    sizes: tuple[int, ...] = SIZES,
+    measure: str = "bytes sent",
+) -> list[Point]:
     rng = random.Random(20261202)
-    return [Point("leader", "placers", size, measure, "B/s", curve(size) * (1 + rng.uniform(-noise, noise)))
-            for size in sizes]
+    return [
+        Point(
+            "leader",
+            "placers",
+            size,
+            measure,
+            "B/s",
+            curve(size) * (1 + rng.uniform(-noise, noise)),
+        )
+        for size in sizes
+    ]
 
 
 def test_flat_data_is_flat() -> None:
@@ -57,7 +70,11 @@
 
 def test_what_falls_with_the_size_is_a_power_below_zero() -> None:
     slope = fit(points(lambda size: 1000 / size))
-    assert slope.model == "power" and slope.exponent == pytest.approx(-1.0, abs=0.05) and not superlinear(slope)
+    assert (
+        slope.model == "power"
+        and slope.exponent == pytest.approx(-1.0, abs=0.05)
+        and not superlinear(slope)
+    )
 
 
 def test_three_points_never_make_a_power_law() -> None:
@@ -83,7 +100,9 @@
 
 
 def test_slopes_leave_out_what_has_too_few_sizes() -> None:
-    found = slopes([*points(lambda size: 1.0), *points(lambda size: 1.0, sizes=(5, 16), measure="other")])
+    found = slopes(
+        [*points(lambda size: 1.0), *points(lambda size: 1.0, sizes=(5, 16), measure="other")]
+    )
     assert [each.measure for each in found] == ["bytes sent"]
 
 
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -21,13 +21,19 @@
 
 # -- placers
 
+
 def test_a_small_swarm_is_measured() -> None:
     found = values(list(placers.membership(4, 1)))
-    assert found["member", "messages sent, membership"] == pytest.approx(2.4, rel=0.1), "2 a period, 2 a sync"
+    assert found["member", "messages sent, membership"] == pytest.approx(2.4, rel=0.1), (
+        "2 a period, 2 a sync"
+    )
     assert found["member", "bytes sent, membership"] > 200
     assert found["member", "members not known"] == 0
-    assert 0 < found["member", "time until a death is known, first"] <= found["member",
-                                                                             "time until a death is known, all"]
+    assert (
+        0
+        < found["member", "time until a death is known, first"]
+        <= found["member", "time until a death is known, all"]
+    )
 
 
 def test_more_placers_than_a_table_holds_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -43,7 +49,10 @@
     found = values(list(placers.agreement(4, 1)))
     for measure in ("messages sent, agreement", "bytes sent, agreement"):
         assert found["leader", measure] > found["voter", measure] > found["member", measure] > 0
-    assert found["leader", "messages sent, agreement, limits short"] > found["leader", "messages sent, agreement"]
+    assert (
+        found["leader", "messages sent, agreement, limits short"]
+        > found["leader", "messages sent, agreement"]
+    )
     assert found["leader", "processor: limits, agreement"] > 0
     assert found["member", "time until in force, one step most"] < 2
     assert 2 < found["member", "time until in force, two steps most"] < 11
@@ -55,8 +64,12 @@
     with swarm.meter.metering():
         swarm.run(30 * SECOND)
     accounts = swarm.meter.accounts.values()
-    assert sum(each.sent for each in accounts) == sum(each.received for each in accounts) > 5 * 10 * 2
-    assert sum(each.sent_bytes for each in accounts) == sum(each.received_bytes for each in accounts)
+    assert (
+        sum(each.sent for each in accounts) == sum(each.received for each in accounts) > 5 * 10 * 2
+    )
+    assert sum(each.sent_bytes for each in accounts) == sum(
+        each.received_bytes for each in accounts
+    )
     assert not swarm.meter.refused, "the real forms of mail take all of it"
 
 
@@ -67,6 +80,7 @@
         until = time.process_time_ns() + 5_000_000
         while time.process_time_ns() < until:
             pass
+
     inner = meter.timed("a", "inner", burn)
     outer = meter.timed("a", "outer", lambda: (burn(), inner()))
     outer()
@@ -88,18 +102,32 @@
 
 
 def test_short_runs_are_repeated_with_other_seeds() -> None:
-    point, = repeated("placers", 5, lambda seed: [Figure("leader", "messages sent", "messages/s", float(seed))])
+    (point,) = repeated(
+        "placers", 5, lambda seed: [Figure("leader", "messages sent", "messages/s", float(seed))]
+    )
     assert (point.value, point.runs, point.least, point.most) == (2.0, 3, 1.0, 3.0)
 
 
 # -- teams
 
-def test_limits_over_the_bound_are_not_in_force_and_measured_as_lifted(monkeypatch: pytest.MonkeyPatch) -> None:
+
+def test_limits_over_the_bound_are_not_in_force_and_measured_as_lifted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(limits, "LIMITS_MOST", 2)
     within, over = (values(list(teams.fleet(count, 3, 1))) for count in (2, 3))
-    assert within["leader", "limits in force, 3 placers"] == 2 and over["leader", "limits in force, 3 placers"] == 0
-    assert within["leader", "blocks, 3 placers"] == within["leader", "blocks, 3 placers, bounds lifted"] == 6
-    assert ("leader", "blocks, 3 placers") not in over and over["leader", "blocks, 3 placers, bounds lifted"] == 9
+    assert (
+        within["leader", "limits in force, 3 placers"] == 2
+        and over["leader", "limits in force, 3 placers"] == 0
+    )
+    assert (
+        within["leader", "blocks, 3 placers"]
+        == within["leader", "blocks, 3 placers, bounds lifted"]
+        == 6
+    )
+    assert ("leader", "blocks, 3 placers") not in over and over[
+        "leader", "blocks, 3 placers, bounds lifted"
+    ] == 9
     assert over["leader", "letters refused, 3 placers, bounds lifted"] == 0
     assert limits.LIMITS_MOST == 2, "the bounds are back"
 
@@ -114,6 +142,7 @@
 
 # -- changes
 
+
 def test_changes_at_a_days_peak_come_into_force(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(changes, "SPAN_LEAST_S", 10)
     found = values(list(changes.play(14_000, 3, 1)))
@@ -128,16 +157,24 @@
     for _ in range(200):
         before, wanted = wanted, wanted.altered(rng)
         assert wanted != before
-        assert all(least <= getattr(wanted, name) <= most for name, (least, most) in changes.BETWEEN.items())
+        assert all(
+            least <= getattr(wanted, name) <= most
+            for name, (least, most) in changes.BETWEEN.items()
+        )
         assert not teams.refusal(wanted.rules(3))
 
 
 def test_three_limits_are_of_one_kind_each() -> None:
-    assert [each.key for each in three_limits(["p000"])] == ["namespace/default/standing", "class/web/rate", "cold"]
+    assert [each.key for each in three_limits(["p000"])] == [
+        "namespace/default/standing",
+        "class/web/rate",
+        "cold",
+    ]
 
 
 # -- gangs
 
+
 def test_with_room_for_one_less_all_others_run_and_one_is_refused() -> None:
     found = values(list(gangs.short(4, 1)))
     assert found["placer", "tasks running, room for one less"] == 3
--- a/tests/capacity/test_subset_measure.py
+++ b/tests/capacity/test_subset_measure.py
@@ -11,8 +11,12 @@
 from wingbarrow.config import load_text
 
 
-@pytest.mark.parametrize("size, placers, held", [(10, 4, 8), (1_000, 4, 750), (3_000, 11, 818), (13_000, 48, 812)])
-def test_the_roster_grows_with_the_machines_and_the_subset_does_not(size: int, placers: int, held: int) -> None:
+@pytest.mark.parametrize(
+    "size, placers, held", [(10, 4, 8), (1_000, 4, 750), (3_000, 11, 818), (13_000, 48, 812)]
+)
+def test_the_roster_grows_with_the_machines_and_the_subset_does_not(
+    size: int, placers: int, held: int
+) -> None:
     assert len(subsets.roster(size)) == placers
     assert subsets.held(size) == held
 
--- a/tests/coldfleet.py
+++ b/tests/coldfleet.py
@@ -16,7 +16,11 @@
 from wingbarrow import Scheduler
 from wingbarrow import interface as api
 
-CLASSES = (task_class("web"), task_class("key", api.Effect.KEYED), task_class("once", api.Effect.UNSAFE))
+CLASSES = (
+    task_class("web"),
+    task_class("key", api.Effect.KEYED),
+    task_class("once", api.Effect.UNSAFE),
+)
 MS = 1000
 START_US = 100 * S
 
@@ -47,8 +51,15 @@
         return self.fall_us // 8
 
     def config(self, index: int) -> api.Settings:
-        return settings(*CLASSES, placers=self.placers, index=index, fresh_offers=self.fresh_offers,
-                        cold_us=self.cold_us, fall_us=self.fall_us, arrivals_told=self.arrivals_told)
+        return settings(
+            *CLASSES,
+            placers=self.placers,
+            index=index,
+            fresh_offers=self.fresh_offers,
+            cold_us=self.cold_us,
+            fall_us=self.fall_us,
+            arrivals_told=self.arrivals_told,
+        )
 
 
 @dataclass
@@ -143,14 +154,27 @@
             elif isinstance(action, api.Probe):
                 fleet.at(fleet.now + MS, lambda ident=action.machine: fleet.probed(self, ident))
             elif isinstance(action, api.Move):
-                moved = next((each for each in self.out.values() if each.request == action.request), None)
+                moved = next(
+                    (each for each in self.out.values() if each.request == action.request), None
+                )
                 if moved is not None:
-                    fleet.at(fleet.now + MS, lambda each=moved: self.end(each, api.Outcome.CANCELLED, True))
+                    fleet.at(
+                        fleet.now + MS,
+                        lambda each=moved: self.end(each, api.Outcome.CANCELLED, True),
+                    )
 
     def _offer(self, bind: api.Bind) -> None:
         fleet, number = self.fleet, self.binds[bind.request]
         self.binds[bind.request] += 1
-        offer = Offer(self, bind.request, number, bind.machine, fleet.now, self.told[bind.machine].launched_us, Fate())
+        offer = Offer(
+            self,
+            bind.request,
+            number,
+            bind.machine,
+            fleet.now,
+            self.told[bind.machine].launched_us,
+            Fate(),
+        )
         offer.fate = fleet.fate(offer)
         self.out[bind.request, number] = offer
         fleet.decided.append(offer)
@@ -159,22 +183,45 @@
 
     def _give_up(self, offer: Offer) -> None:
         if not offer.placed:
-            self.end(offer, api.Outcome.NOT_SENT if offer.process is None else api.Outcome.TIMED_OUT, True)
+            self.end(
+                offer,
+                api.Outcome.NOT_SENT if offer.process is None else api.Outcome.TIMED_OUT,
+                True,
+            )
 
     def end(self, offer: Offer, outcome: api.Outcome, closed: bool = False) -> None:
         if self.out.pop((offer.request, offer.attempt), None) is not None:
             waited = self.fleet.now - offer.decided_us
-            self.feed(api.AttemptEnded(offer.request, offer.attempt, offer.machine, outcome, api.Reason.UNTOLD, closed,
-                                       waited, None))
+            self.feed(
+                api.AttemptEnded(
+                    offer.request,
+                    offer.attempt,
+                    offer.machine,
+                    outcome,
+                    api.Reason.UNTOLD,
+                    closed,
+                    waited,
+                    None,
+                )
+            )
 
 
 class ColdFleet:
     """Placers, machines and the wire between them; `held_on_restart`: the gate asks for the start on choosing."""
 
-    def __init__(self, rule: Rule, fate: Callable[[Offer], Fate] = lambda _: Fate(), delays: tuple[int, ...] = (0,),
-                 held_on_restart: bool = True) -> None:
+    def __init__(
+        self,
+        rule: Rule,
+        fate: Callable[[Offer], Fate] = lambda _: Fate(),
+        delays: tuple[int, ...] = (0,),
+        held_on_restart: bool = True,
+    ) -> None:
         self.rule, self.fate, self.held_on_restart = rule, fate, held_on_restart
-        self.now, self._queue, self._order = START_US, list[tuple[int, int, Callable[[], None]]](), 0
+        self.now, self._queue, self._order = (
+            START_US,
+            list[tuple[int, int, Callable[[], None]]](),
+            0,
+        )
         self._list: dict[int, api.ListedMachine] = {}
         self.address: dict[int, str] = {}
         self.process: dict[str, Process] = {}
@@ -184,7 +231,9 @@
         self.told_us: dict[int, int] = {}  # per process: when the last placer was told of it
         self.quiet_us = MS  # until a placer hears that a connection's other end has died
         self._requests = 0
-        self.placers = [self._life(index, delays[index % len(delays)], ()) for index in range(rule.placers)]
+        self.placers = [
+            self._life(index, delays[index % len(delays)], ()) for index in range(rule.placers)
+        ]
 
     def at(self, at_us: int, do: Callable[[], None]) -> None:
         self._order += 1
@@ -199,7 +248,9 @@
     # -- what happens to placers
 
     def _life(self, index: int, delay_us: int, saved: tuple[api.ListedMachine, ...]) -> Placer:
-        placer = Placer(self, index, delay_us, Scheduler(self.rule.config(index), 7 * index + self.now % 1013))
+        placer = Placer(
+            self, index, delay_us, Scheduler(self.rule.config(index), 7 * index + self.now % 1013)
+        )
         placer.hear(api.ListForm.SAVED, saved)
         return placer
 
@@ -212,18 +263,38 @@
         self.at(self.now + fresh.delay_us, lambda: fresh.hear(api.ListForm.FULL, whole))
         for process in self.process.values():
             if not old.knows(process):
-                self.told_us[id(process)] = max(self.told_us[id(process)], self.now + fresh.delay_us)
-
-    def arrive(self, index: int, count: int = 1, cores: float = 0.01, wait_us: int = 5 * S, name: str = "web") -> None:
+                self.told_us[id(process)] = max(
+                    self.told_us[id(process)], self.now + fresh.delay_us
+                )
+
+    def arrive(
+        self,
+        index: int,
+        count: int = 1,
+        cores: float = 0.01,
+        wait_us: int = 5 * S,
+        name: str = "web",
+    ) -> None:
         for _ in range(count):
             self._requests += 1
-            self.placers[index].feed(api.TaskArrived(
-                self._requests, name, f"s{self._requests % 7}", f"t{self._requests}", cores, 0.01, self.now + wait_us,
-                60 * S))
+            self.placers[index].feed(
+                api.TaskArrived(
+                    self._requests,
+                    name,
+                    f"s{self._requests % 7}",
+                    f"t{self._requests}",
+                    cores,
+                    0.01,
+                    self.now + wait_us,
+                    60 * S,
+                )
+            )
 
     # -- what happens to machines
 
-    def start(self, machine: int, address: str = "", launched_us: int | None = None, skew_us: int = 0) -> Process:
+    def start(
+        self, machine: int, address: str = "", launched_us: int | None = None, skew_us: int = 0
+    ) -> Process:
         """A process comes up at an address (its machine's own), in place of the one there; the list tells of it."""
         address = address or self.address.get(machine, f"a{machine}")
         former = self.process.get(address)
@@ -239,8 +310,16 @@
 
     def kill(self, process: Process) -> None:
         process.alive = False
-        for offer in [each for placer in self.placers for each in placer.out.values() if each.process is process]:
-            self.at(self.now + self.quiet_us, lambda each=offer: each.placer.end(each, api.Outcome.BROKEN))
+        for offer in [
+            each
+            for placer in self.placers
+            for each in placer.out.values()
+            if each.process is process
+        ]:
+            self.at(
+                self.now + self.quiet_us,
+                lambda each=offer: each.placer.end(each, api.Outcome.BROKEN),
+            )
 
     def leave(self, machine: int, whole: bool = False) -> None:
         """Off the list; its process goes on."""
@@ -275,7 +354,11 @@
         placer, entry = offer.placer, offer.placer.told.get(offer.machine)
         if (offer.request, offer.attempt) not in placer.out:
             return
-        cold = entry is not None and entry.launched_us > 0 and self.now < entry.launched_us + self.rule.cold_us
+        cold = (
+            entry is not None
+            and entry.launched_us > 0
+            and self.now < entry.launched_us + self.rule.cold_us
+        )
         process = self.process.get(self.address.get(offer.machine, ""))
         if entry is None or entry.phase is not api.Phase.RUNNING:
             held = "draining"
@@ -295,7 +378,10 @@
         else:
             offer.process, offer.told, offer.sent_us = process, placer.knows(process), self.now
             self.at(process.still_until_us, lambda: self._reach(offer, process))
-            if offer.fate.outcome in (api.Outcome.TIMED_OUT, api.Outcome.BROKEN):  # not the process's word
+            if offer.fate.outcome in (
+                api.Outcome.TIMED_OUT,
+                api.Outcome.BROKEN,
+            ):  # not the process's word
                 self.at(self.now + offer.fate.answer_us, lambda: self._cut(offer))
 
     def _cut(self, offer: Offer) -> None:
@@ -309,10 +395,14 @@
             self.at(process.still_until_us, lambda: self._reach(offer, process))
             return
         if process.launched_us and self.now < process.launched_us + self.rule.cold_us:
-            self.reached.append(Reached(self.now, process, offer.placer.index, offer.told, offer.sent_us))
+            self.reached.append(
+                Reached(self.now, process, offer.placer.index, offer.told, offer.sent_us)
+            )
         self.at(self.now + offer.fate.answer_us, lambda: self._answer(offer, process))
         if self.rule.arrivals_told:
-            note = api.TaskNote(offer.request, offer.attempt, offer.machine, api.NoteKind.ARRIVED, 0.0)
+            note = api.TaskNote(
+                offer.request, offer.attempt, offer.machine, api.NoteKind.ARRIVED, 0.0
+            )
             self.at(self.now + offer.fate.answer_us // 2, lambda: offer.placer.feed(note))
 
     def _answer(self, offer: Offer, process: Process) -> None:
@@ -335,18 +425,28 @@
 
     def told_within(self, process: Process) -> int:
         """The most offers within a span that reached this start from placers that knew of it."""
-        return most_within((each.at_us for each in self.reached if each.process is process and each.told),
-                           self.rule.fall_us)
+        return most_within(
+            (each.at_us for each in self.reached if each.process is process and each.told),
+            self.rule.fall_us,
+        )
 
     def told_within_machine(self, machine: int) -> int:
         """The same over all starts of a machine."""
-        return most_within((each.at_us for each in self.reached if each.process.machine == machine and each.told),
-                           self.rule.fall_us)
+        return most_within(
+            (each.at_us for each in self.reached if each.process.machine == machine and each.told),
+            self.rule.fall_us,
+        )
 
     def all_within(self, process: Process) -> int:
         """The same, from anyone, of those sent once all had been told."""
-        return most_within((each.at_us for each in self.reached if each.process is process
-                            and each.sent_us >= self.told_us[id(process)]), self.rule.fall_us)
+        return most_within(
+            (
+                each.at_us
+                for each in self.reached
+                if each.process is process and each.sent_us >= self.told_us[id(process)]
+            ),
+            self.rule.fall_us,
+        )
 
     def starts(self) -> list[Process]:
         return list({id(each.process): each.process for each in self.reached}.values())
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -23,7 +23,9 @@
     wanted = re.findall(r"^// (\d+): (.+)$", path.read_text(), re.M)
     with pytest.raises(SettingsError) as caught:
         load_file(path)
-    assert [line for line, _ in caught.value.problems] == [int(line) for line, _ in wanted], caught.value
+    assert [line for line, _ in caught.value.problems] == [int(line) for line, _ in wanted], (
+        caught.value
+    )
     for (_, told), (_, words) in zip(caught.value.problems, wanted, strict=True):
         assert words in told
 
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -25,13 +25,18 @@
 def test_a_good_file_is_read_whole() -> None:
     read = load_text(GOOD)
     web, settlement = read.scheduler.classes
-    assert (read.name, read.scheduler.index, read.scheduler.placers, read.port) == ("placer-1", 1, 3, 8080)
+    assert (read.name, read.scheduler.index, read.scheduler.placers, read.port) == (
+        "placer-1",
+        1,
+        3,
+        8080,
+    )
     assert web.spread is Place.CELL and web.spread_most == 3 and settlement.effect is Effect.UNSAFE
     assert read.classes["web"].patience_us == 5_000_000 and read.scheduler.kinds[0].memory == 48.0
 
 
 def test_all_errors_come_at_once_with_their_lines() -> None:
-    text = '''/* two
+    text = """/* two
 lines */
 placer "p" index=3 of=2
 /-class "off" { nonsense 1 }
@@ -43,7 +48,7 @@
 list-source "a"
 kind "k" cores=-1 memory="4Q"
 limits { tasks-opn 5 }
-'''
+"""
     found = problems(text)
     words = {line: [text for at, text in found if at == line] for line, _ in found}
     assert "did you mean 'class'" in words[5][0]
@@ -55,18 +60,26 @@
 
 
 def test_figures_that_contradict_each_other_are_found() -> None:
-    text = '''placer "p" index=3 of=2
+    text = """placer "p" index=3 of=2
 list-source "a" port=1
 class "s" effect="keyed" patience="1s" kind="smal"
 class "s" effect="safe" patience="2h"
 kind "small" cores=1 memory="1Gi"
-'''
+"""
     lines = [line for line, _ in problems(text)]
     assert lines == [1, 3, 3, 4, 4]
 
 
-@pytest.mark.parametrize(("text", "line"), [
-    ('placer "p\n', 1), (GOOD + "\nkind {{\n", GOOD.count("\n") + 2), ("a b=\n", 1), ("", 1), ("}", 1)])
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        ('placer "p\n', 1),
+        (GOOD + "\nkind {{\n", GOOD.count("\n") + 2),
+        ("a b=\n", 1),
+        ("", 1),
+        ("}", 1),
+    ],
+)
 def test_what_is_no_kdl_names_a_line(text: str, line: int) -> None:
     assert problems(text)[0][0] == line
 
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -37,14 +37,21 @@
 
 
 def test_a_whole_node_is_read() -> None:
-    settings = load_text(text(f"subset replicas=3 spare=0.5 machines=100 {{ roster {NAMED}; leave-after \"7s\"; "
-                              "settle \"300ms\" }"))
+    settings = load_text(
+        text(
+            f'subset replicas=3 spare=0.5 machines=100 {{ roster {NAMED}; leave-after "7s"; '
+            'settle "300ms" }'
+        )
+    )
     assert settings.subset is not None
     assert settings.subset.rules.roster == ROSTER and settings.subset.rules.replicas == 3
     assert settings.subset.rules.spare_part == 0.5
     assert (settings.subset.leave_after_us, settings.subset.settle_us) == (7 * S, 300_000)
     plain = load_text(text(f"subset replicas=3 {{ roster {NAMED} }}")).subset
-    assert plain is not None and (plain.leave_after_us, plain.settle_us) == (LEAVE_AFTER_US, SETTLE_US)
+    assert plain is not None and (plain.leave_after_us, plain.settle_us) == (
+        LEAVE_AFTER_US,
+        SETTLE_US,
+    )
     assert plain.widen == 0
 
 
@@ -55,27 +62,60 @@
     assert (told.placers, told.fresh_offers) == (3, 15.0), "cold offers are dealt as without"
 
 
-@pytest.mark.parametrize(("subset", "words"), [
-    (f"subset replicas=6 {{ roster {NAMED} }}", "6 replicas, but 5 placer(s) in the roster"),
-    ('subset replicas=1 { roster "placer-1" "placer-2" }', "'placer-0' is not in the roster"),
-    (f'subset replicas=2 {{ roster {NAMED} "placer-3" }}', "'placer-3' is named twice in the roster"),
-    ("subset replicas=2 { roster " + " ".join(f'"placer-{n}"' for n in range(257)) + " }", "more than 256 placers"),
-    ("subset replicas=1", "a roster is wanted"),
-    (f"subset replicas=3 widen=3 {{ roster {NAMED} }}", "3 replicas and 3 to widen by, but 5 placer(s) in the roster"),
-    (f"subset replicas=1 widen=9 {{ roster {NAMED} }}", "widen: between 0 and 8 is wanted, not 9"),
-    (f"subset replicas=1 widen=-1 {{ roster {NAMED} }}", "widen: between 0 and 8 is wanted, not -1"),
-    (f"subset replicas=1 widen=1.5 {{ roster {NAMED} }}", "widen: a whole number is wanted"),
-    (f"subset replicas=0 {{ roster {NAMED} }}", "replicas: between 1 and 256 is wanted, not 0"),
-    (f"subset {{ roster {NAMED} }}", "replicas= is missing"),
-    (f"subset replicas=2 spare=1.5 {{ roster {NAMED} }}", "spare: between 0 and 1 is wanted"),
-    (f'subset replicas=2 {{ roster {NAMED}; leave-after "500ms" }}', "leave-after: 1 s to 600 s, not 0.5 s"),
-    (f'subset replicas=2 {{ roster {NAMED}; settle "2m" }}', "settle: 0.1 s to 60 s, not 120 s"),
-    (f"subset replicas=2 machines=19 {{ roster {NAMED} }}", "about 7.6 machines for each placer, fewer than 8"),
-    (f"subset replicas=2 cells=4 {{ roster {NAMED} }}", "cells= without machines="),
-    (f"subset replicas=2 machines=30 cells=31 {{ roster {NAMED} }}", "31 cells, but 30 machines"),
-    (f"subset replicas=2 {{ roster {NAMED} }}\nsubset replicas=2 {{ roster {NAMED} }}", "was given before"),
-    (f"subset replicas=2 {{ rooster {NAMED} }}", "did you mean 'roster'?"),
-])
+@pytest.mark.parametrize(
+    ("subset", "words"),
+    [
+        (f"subset replicas=6 {{ roster {NAMED} }}", "6 replicas, but 5 placer(s) in the roster"),
+        ('subset replicas=1 { roster "placer-1" "placer-2" }', "'placer-0' is not in the roster"),
+        (
+            f'subset replicas=2 {{ roster {NAMED} "placer-3" }}',
+            "'placer-3' is named twice in the roster",
+        ),
+        (
+            "subset replicas=2 { roster " + " ".join(f'"placer-{n}"' for n in range(257)) + " }",
+            "more than 256 placers",
+        ),
+        ("subset replicas=1", "a roster is wanted"),
+        (
+            f"subset replicas=3 widen=3 {{ roster {NAMED} }}",
+            "3 replicas and 3 to widen by, but 5 placer(s) in the roster",
+        ),
+        (
+            f"subset replicas=1 widen=9 {{ roster {NAMED} }}",
+            "widen: between 0 and 8 is wanted, not 9",
+        ),
+        (
+            f"subset replicas=1 widen=-1 {{ roster {NAMED} }}",
+            "widen: between 0 and 8 is wanted, not -1",
+        ),
+        (f"subset replicas=1 widen=1.5 {{ roster {NAMED} }}", "widen: a whole number is wanted"),
+        (f"subset replicas=0 {{ roster {NAMED} }}", "replicas: between 1 and 256 is wanted, not 0"),
+        (f"subset {{ roster {NAMED} }}", "replicas= is missing"),
+        (f"subset replicas=2 spare=1.5 {{ roster {NAMED} }}", "spare: between 0 and 1 is wanted"),
+        (
+            f'subset replicas=2 {{ roster {NAMED}; leave-after "500ms" }}',
+            "leave-after: 1 s to 600 s, not 0.5 s",
+        ),
+        (
+            f'subset replicas=2 {{ roster {NAMED}; settle "2m" }}',
+            "settle: 0.1 s to 60 s, not 120 s",
+        ),
+        (
+            f"subset replicas=2 machines=19 {{ roster {NAMED} }}",
+            "about 7.6 machines for each placer, fewer than 8",
+        ),
+        (f"subset replicas=2 cells=4 {{ roster {NAMED} }}", "cells= without machines="),
+        (
+            f"subset replicas=2 machines=30 cells=31 {{ roster {NAMED} }}",
+            "31 cells, but 30 machines",
+        ),
+        (
+            f"subset replicas=2 {{ roster {NAMED} }}\nsubset replicas=2 {{ roster {NAMED} }}",
+            "was given before",
+        ),
+        (f"subset replicas=2 {{ rooster {NAMED} }}", "did you mean 'roster'?"),
+    ],
+)
 def test_what_is_wrong_is_told_with_its_line(subset: str, words: str) -> None:
     whole = text(subset)
     line = next(at for at, each in enumerate(whole.splitlines(), 1) if each.startswith("subset"))
@@ -111,7 +151,10 @@
     subset = f"subset replicas=2 machines=40 cells=20 {{ roster {NAMED} }}"
     load_text(text(subset, ALLOWED + "limits { tasks-per-job 36; }\n"))
     [(_, told)] = refused(text(subset, ALLOWED + "limits { tasks-per-job 40; }\n"))
-    assert "class 'web' allows 3 of a service on each of about 12 cells, and a Job may have 40 tasks" in told
+    assert (
+        "class 'web' allows 3 of a service on each of about 12 cells, and a Job may have 40 tasks"
+        in told
+    )
     load_text(text(subset))  # no largest Job is stated
 
 
@@ -133,11 +176,21 @@
 
 
 def test_without_a_roster_the_agreeing_members_of_the_own_region_are_it() -> None:
-    whole = text("subset replicas=2", ALLOWED + AGREE.replace('    voter "placer-0" region="north"\n', "").replace(
-        "agree {\n", 'agree {\n    voter "placer-0" region="north"\n    voter "placer-4" region="south"\n'
-                     '    voter "placer-5" region="east" machines=false\n'))
+    whole = text(
+        "subset replicas=2",
+        ALLOWED
+        + AGREE.replace('    voter "placer-0" region="north"\n', "").replace(
+            "agree {\n",
+            'agree {\n    voter "placer-0" region="north"\n    voter "placer-4" region="south"\n'
+            '    voter "placer-5" region="east" machines=false\n',
+        ),
+    )
     settings = load_text(whole.replace(" index=", ' region="north" index=', 1))
-    assert settings.subset is not None and settings.subset.rules.roster == ("placer-0", "placer-1", "placer-3")
+    assert settings.subset is not None and settings.subset.rules.roster == (
+        "placer-0",
+        "placer-1",
+        "placer-3",
+    )
 
 
 def test_the_module_deals_what_the_first_ranks_have_among_the_replicas() -> None:
@@ -147,16 +200,22 @@
         told = module_settings(settings)
         assert settings.name == name and settings.subset is not None
         assert (told.placers, told.index, told.fresh_offers) == (3, index % 3, 15.0)
-        assert settings.scheduler.placers == 5, "what placers share beside that, such as moves, they share as before"
+        assert settings.scheduler.placers == 5, (
+            "what placers share beside that, such as moves, they share as before"
+        )
         subsets = Subsets(settings.subset.rules)
         assert [subsets.cold_most(each, "m", 20) for each in subsets.order("m")] == [5, 5, 5, 3, 2]
 
 
 def test_under_agreed_rules_the_budget_of_all_members_is_dealt_by_rank() -> None:
     members = AGREE.replace('region="north"', "").replace('region="south"', "")
-    settings = load_text(text(f"subset replicas=3 {{ roster {' '.join(NAMED.split()[:4])} }}", ALLOWED + members))
+    settings = load_text(
+        text(f"subset replicas=3 {{ roster {' '.join(NAMED.split()[:4])} }}", ALLOWED + members)
+    )
     rules = rules_of(settings)
     told = scheduler_under(settings, rules.text())
     assert (told.placers, told.fresh_offers) == (3, 15.0)
     held = scheduler_under(settings, rules.text(), 2)
-    assert (held.placers, held.fresh_offers) == (3, 6.0), "a part that is held: two offers at this placer"
+    assert (held.placers, held.fresh_offers) == (3, 6.0), (
+        "a part that is held: two offers at this placer"
+    )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -53,7 +53,9 @@
     return replace(base, **more)
 
 
-def listed(machine: int, free: float = 20.0, memory: float = 40.0, **more: Any) -> api.ListedMachine:
+def listed(
+    machine: int, free: float = 20.0, memory: float = 40.0, **more: Any
+) -> api.ListedMachine:
     base = api.ListedMachine(machine, "std", machine // 3, "a", api.Phase.RUNNING, 0, free, memory)
     return replace(base, **more)
 
@@ -99,7 +101,9 @@
         reason: api.Reason = api.Reason.UNTOLD,
         closed: bool = False,
     ) -> list[api.Action]:
-        return self.give(api.AttemptEnded(request, attempt, machine, outcome, reason, closed, 1000, None))
+        return self.give(
+            api.AttemptEnded(request, attempt, machine, outcome, reason, closed, 1000, None)
+        )
 
     def placed(self, request: int, machine: int, attempt: int = 0) -> list[api.Action]:
         return self.give(api.TaskPlaced(request, attempt, machine, 1000))
@@ -113,7 +117,9 @@
         cores: float = 1.0,
         memory: float = 1.0,
     ) -> list[api.Action]:
-        arrival = api.TaskArrived(request, name, service, f"task-{request}", cores, memory, self.now, 60 * S)
+        arrival = api.TaskArrived(
+            request, name, service, f"task-{request}", cores, memory, self.now, 60 * S
+        )
         return self.give(api.TaskFound(arrival, machine))
 
 
--- a/tests/core/subsetstage.py
+++ b/tests/core/subsetstage.py
@@ -21,8 +21,17 @@
 class SubsetStage(Stage):
     """`cuts`: what placers say to each other goes through proxies, by (from, to)."""
 
-    def __init__(self, machines: int, placers: int, replicas: int, seed: int = 3, build: Build | None = None,
-                 cuts: bool = False, extra: str = "", widen: int = 0) -> None:
+    def __init__(
+        self,
+        machines: int,
+        placers: int,
+        replicas: int,
+        seed: int = 3,
+        build: Build | None = None,
+        cuts: bool = False,
+        extra: str = "",
+        widen: int = 0,
+    ) -> None:
         super().__init__(machines, placers, seed, build)
         self.replicas, self.widen = replicas, widen
         self.proxies: dict[tuple[str, str], Proxy] = {}
@@ -33,15 +42,28 @@
     def begin(self) -> None:
         """Machines, list source and placers, once each placer knows the others."""
         if self._cuts:
-            self.proxies = {(slot.name, other.name): Proxy(self.hub, other.port) for slot in self.cluster.placers
-                            for other in self.cluster.placers if other is not slot}
+            self.proxies = {
+                (slot.name, other.name): Proxy(self.hub, other.port)
+                for slot in self.cluster.placers
+                for other in self.cluster.placers
+                if other is not slot
+            }
         self.cluster.hold_subsets(
-            self.replicas, f"{LEAVE_S:g}s", f"{int(SETTLE_S * 1000)}ms",
-            lambda slot, other: self.proxies[slot.name, other.name].port if self._cuts else other.port,
-            self.widen)
+            self.replicas,
+            f"{LEAVE_S:g}s",
+            f"{int(SETTLE_S * 1000)}ms",
+            lambda slot, other: self.proxies[slot.name, other.name].port
+            if self._cuts
+            else other.port,
+            self.widen,
+        )
         self.cluster.start()
-        assert self.wait(lambda: all(len(each.peering.membership.table.living()) == len(self.live()) - 1
-                                     for each in self.live())), "they do not know each other"
+        assert self.wait(
+            lambda: all(
+                len(each.peering.membership.table.living()) == len(self.live()) - 1
+                for each in self.live()
+            )
+        ), "they do not know each other"
         assert self.wait(self.settled_subsets)
 
     def wait(self, done: Callable[[], Any], seconds: float = 60) -> bool:
@@ -70,27 +92,58 @@
 
     def wanted(self, living: list[str]) -> dict[str, set[str]]:
         """Each living placer's machines by the pure function."""
-        subsets = self.placer(next(i for i, slot in enumerate(self.cluster.placers) if slot.service)).subset
+        subsets = self.placer(
+            next(i for i, slot in enumerate(self.cluster.placers) if slot.service)
+        ).subset
         assert subsets is not None
-        return {name: {machine for machine in self.names()
-                       if subsets.subsets.holds(name, machine, frozenset(living))} for name in living}
+        return {
+            name: {
+                machine
+                for machine in self.names()
+                if subsets.subsets.holds(name, machine, frozenset(living))
+            }
+            for name in living
+        }
 
     def settled_subsets(self) -> bool:
         """Whether each placer that runs reaches just what it is to hold while these live, and all of it."""
         wanted = self.wanted([each.base.settings.name for each in self.live()])
-        return all(set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
-                   and all(link.reachable for link in each.machines.links.values()) for each in self.live())
-
-    def submit_to(self, slot: PlacerSlot, name: str, task_class: str = "web", runs_s: float = 5, patience_s: float = 5,
-                  service: str = "") -> str:
+        return all(
+            set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
+            and all(link.reachable for link in each.machines.links.values())
+            for each in self.live()
+        )
+
+    def submit_to(
+        self,
+        slot: PlacerSlot,
+        name: str,
+        task_class: str = "web",
+        runs_s: float = 5,
+        patience_s: float = 5,
+        service: str = "",
+    ) -> str:
         """Submit to one placer; recorded as its owner would."""
         want = Want(0, name, task_class, service or name, 1.0, 1.0, int(runs_s * S))
         sent = self.hub.now_us()
-        made = call(self.pool(slot.port), "POST", JOBS,
-                    names.encode(job_value(want, name, int(patience_s * S))))
+        made = call(
+            self.pool(slot.port),
+            "POST",
+            JOBS,
+            names.encode(job_value(want, name, int(patience_s * S))),
+        )
         uid = str(made["metadata"]["uid"])
-        self.cluster.record("owner", "accepted", placer=slot.name, job=name, uid=uid, task=name,
-                            task_class=task_class, patience_us=int(patience_s * S), sent_us=sent)
+        self.cluster.record(
+            "owner",
+            "accepted",
+            placer=slot.name,
+            job=name,
+            uid=uid,
+            task=name,
+            task_class=task_class,
+            patience_us=int(patience_s * S),
+            sent_us=sent,
+        )
         return uid
 
     def answer_of(self, slot: PlacerSlot, name: str, within_s: float = 12) -> str:
@@ -99,11 +152,21 @@
         while True:
             value = call(self.pool(slot.port), "GET", f"{JOBS}/{name}")
             found = {each["type"]: each["reason"] for each in value["status"].get("conditions", [])}
-            answer = "placed" if "Placed" in found else {"Refused": "refused", "Failed": "failed"}.get(
-                found.get("Failed", ""))
+            answer = (
+                "placed"
+                if "Placed" in found
+                else {"Refused": "refused", "Failed": "failed"}.get(found.get("Failed", ""))
+            )
             if answer:
-                self.cluster.record("owner", "answer", placer=slot.name, job=name, uid=value["metadata"]["uid"],
-                                    answer=answer, failed="")
+                self.cluster.record(
+                    "owner",
+                    "answer",
+                    placer=slot.name,
+                    job=name,
+                    uid=value["metadata"]["uid"],
+                    answer=answer,
+                    failed="",
+                )
                 return answer
             assert self.hub.now_us() < until, f"no answer: {found}"
             self.hub.sleep(20_000)
--- a/tests/core/test_book.py
+++ b/tests/core/test_book.py
@@ -37,7 +37,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from(Step)), max_size=60))
-def test_whatever_happens_each_task_has_one_answer_and_counts_agree(steps: list[tuple[int, Step]]) -> None:
+def test_whatever_happens_each_task_has_one_answer_and_counts_agree(
+    steps: list[tuple[int, Step]],
+) -> None:
     book, job = made(5)
     answers: dict[int, list[State]] = {index: [] for index in range(5)}
     for index, step in steps:
@@ -84,35 +86,50 @@
     assert not book.surplus()
 
 
-@pytest.mark.parametrize(("path", "bad", "field"), [
-    (("spec", "parallelism"), "x", "spec.parallelism"),
-    (("spec", "parallelism"), 0, "spec.parallelism"),
-    (("spec", "parallelism"), 100_000, "spec.parallelism"),
-    (("spec", "completions"), 7, "spec.completions"),
-    (("spec", "backoffLimit"), -1, "spec.backoffLimit"),
-    (("spec", "suspend"), True, "spec.suspend"),
-    (("spec", "template"), {}, "spec.template"),
-    (("spec", "template", "spec", "containers"), [], "spec.template.spec.containers"),
-    (("spec", "template", "spec", "containers", 0, "resources"), {}, "requests.cpu"),
-    (("spec", "template", "spec", "containers", 0, "resources", "requests", "cpu"), "1x", "requests.cpu"),
-    (("spec", "template", "spec", "containers", 0, "resources", "requests", "memory"), "-5", "requests.memory"),
-    (("spec", "template", "spec", "containers", 0, "resources", "requests", "cpu"), [1], "requests"),
-    (("spec", "template", "spec", "restartPolicy"), "Always", "restartPolicy"),
-    (("metadata", "name"), "Not_A_Name", "metadata.name"),
-    (("metadata", "name"), None, "metadata.name"),
-    (("metadata", "namespace"), "other", "metadata.namespace"),
-    (("metadata", "labels"), {"a b": "c"}, "metadata.labels"),
-    (("metadata", "labels"), {"a": "x" * 64}, "metadata.labels[a]"),
-    (("metadata", "labels"), {"a": 5}, "metadata.labels"),
-    (("metadata", "labels"), {"wingbarrow.io/class": "nope"}, "wingbarrow.io/class"),
-    (("metadata", "annotations"), {"wingbarrow.io/patience": "5"}, "wingbarrow.io/patience"),
-    (("metadata", "annotations"), {"wingbarrow.io/patience": "1ms"}, "wingbarrow.io/patience"),
-    (("metadata", "annotations"), {"x": "y" * 300_000}, "metadata.annotations"),
-    (("apiVersion",), "batch/v2", "apiVersion"),
-    (("kind",), "Pod", "kind"),
-    (("metadata",), [], "metadata"),
-    (("spec",), None, "spec"),
-])
+@pytest.mark.parametrize(
+    ("path", "bad", "field"),
+    [
+        (("spec", "parallelism"), "x", "spec.parallelism"),
+        (("spec", "parallelism"), 0, "spec.parallelism"),
+        (("spec", "parallelism"), 100_000, "spec.parallelism"),
+        (("spec", "completions"), 7, "spec.completions"),
+        (("spec", "backoffLimit"), -1, "spec.backoffLimit"),
+        (("spec", "suspend"), True, "spec.suspend"),
+        (("spec", "template"), {}, "spec.template"),
+        (("spec", "template", "spec", "containers"), [], "spec.template.spec.containers"),
+        (("spec", "template", "spec", "containers", 0, "resources"), {}, "requests.cpu"),
+        (
+            ("spec", "template", "spec", "containers", 0, "resources", "requests", "cpu"),
+            "1x",
+            "requests.cpu",
+        ),
+        (
+            ("spec", "template", "spec", "containers", 0, "resources", "requests", "memory"),
+            "-5",
+            "requests.memory",
+        ),
+        (
+            ("spec", "template", "spec", "containers", 0, "resources", "requests", "cpu"),
+            [1],
+            "requests",
+        ),
+        (("spec", "template", "spec", "restartPolicy"), "Always", "restartPolicy"),
+        (("metadata", "name"), "Not_A_Name", "metadata.name"),
+        (("metadata", "name"), None, "metadata.name"),
+        (("metadata", "namespace"), "other", "metadata.namespace"),
+        (("metadata", "labels"), {"a b": "c"}, "metadata.labels"),
+        (("metadata", "labels"), {"a": "x" * 64}, "metadata.labels[a]"),
+        (("metadata", "labels"), {"a": 5}, "metadata.labels"),
+        (("metadata", "labels"), {"wingbarrow.io/class": "nope"}, "wingbarrow.io/class"),
+        (("metadata", "annotations"), {"wingbarrow.io/patience": "5"}, "wingbarrow.io/patience"),
+        (("metadata", "annotations"), {"wingbarrow.io/patience": "1ms"}, "wingbarrow.io/patience"),
+        (("metadata", "annotations"), {"x": "y" * 300_000}, "metadata.annotations"),
+        (("apiVersion",), "batch/v2", "apiVersion"),
+        (("kind",), "Pod", "kind"),
+        (("metadata",), [], "metadata"),
+        (("spec",), None, "spec"),
+    ],
+)
 def test_a_fault_names_its_field(path: tuple[Any, ...], bad: Any, field: str) -> None:
     value = copy.deepcopy(VALUE)
     part: Any = value
@@ -140,15 +157,23 @@
     del value["metadata"]["name"]
     value["metadata"]["generateName"] = "label-"
     asked = read(value)
-    assert asked.name == "label-abcde" and asked.count == 1 and asked.memory == 2.0 and asked.cores == 1.0
+    assert (
+        asked.name == "label-abcde"
+        and asked.count == 1
+        and asked.memory == 2.0
+        and asked.cores == 1.0
+    )
     assert asked.service == "default/shop" and asked.patience_us == 5_000_000
     value["metadata"]["labels"]["wingbarrow.io/class"] = "settlement"
     assert read(value).restarts == 0, "what must not start twice has no restarts"
 
 
-JSON = st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
-                    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner, max_size=3),
-                    max_leaves=8)
+JSON = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
+    lambda inner: st.lists(inner, max_size=3)
+    | st.dictionaries(st.text(max_size=8), inner, max_size=3),
+    max_leaves=8,
+)
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -17,13 +17,22 @@
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
 
-def calendar(stage: Stage, folder: Path, starts_s: float, lasts: str = "20s", machines: str = 'name="node-0"',
-             more: str = "", unsafe: str = "wait") -> str:
+def calendar(
+    stage: Stage,
+    folder: Path,
+    starts_s: float,
+    lasts: str = "20s",
+    machines: str = 'name="node-0"',
+    more: str = "",
+    unsafe: str = "wait",
+) -> str:
     """A calendar file with one window that starts so many seconds after the virtual clock's present; its node."""
     start = datetime.fromtimestamp(stage.hub.clock.wall_us() / S, UTC) + timedelta(seconds=starts_s)
     path = folder / "windows.kdl"
-    path.write_text(f'window "patch" start="{start.isoformat()}" lasts="{lasts}" unsafe="{unsafe}" {{ '
-                    f'machines {machines}; }}\nlead "4s"\npace moves=4 every="1s"\n{more}\n')
+    path.write_text(
+        f'window "patch" start="{start.isoformat()}" lasts="{lasts}" unsafe="{unsafe}" {{ '
+        f'machines {machines}; }}\nlead "4s"\npace moves=4 every="1s"\n{more}\n'
+    )
     return f'\ncalendar "{path}"\n'
 
 
@@ -41,7 +50,9 @@
     return sum(record.where == machine and record.at_us > at_us for record in stage.seen("offer"))
 
 
-def test_long_work_stops_early_short_work_later_and_nothing_comes_once_it_is_closed(tmp_path: Path) -> None:
+def test_long_work_stops_early_short_work_later_and_nothing_comes_once_it_is_closed(
+    tmp_path: Path,
+) -> None:
     stage = Stage(machines=3)
 
     def script() -> None:
@@ -50,12 +61,16 @@
         window = begun + 29 * S
         for turn in range(100):
             runs = (40, 3)[turn % 2]
-            stage.submit(f"t{turn}", runs_s=runs, service=f"s{turn % 7}-{runs}", cores=0.2, memory=0.2)
+            stage.submit(
+                f"t{turn}", runs_s=runs, service=f"s{turn % 7}-{runs}", cores=0.2, memory=0.2
+            )
             stage.hub.sleep(S * 35 // 100)
         sent = [record for record in stage.seen("offer") if record.where == "node-0"]
         longs = [record for record in sent if record.data["service"].endswith("-40")]
         shorts = [record for record in sent if record.data["service"].endswith("-3")]
-        assert not longs and shorts, "a task that would outlive the window is kept off, others are not"
+        assert not longs and shorts, (
+            "a task that would outlive the window is kept off, others are not"
+        )
         closed = window - 4 * S
         assert max(record.at_us for record in shorts) <= closed + S // 2 + 250_000
         assert max(record.at_us for record in shorts) > closed - 3 * S
@@ -63,19 +78,32 @@
         stage.hub.sleep(20 * S)
         node = placer.board.nodes.objects["node-0"].value
         assert "unschedulable" not in node["spec"]
-        drain = next(each for each in node["status"]["conditions"] if each["type"] == "wingbarrow.io/Drain")
+        drain = next(
+            each for each in node["status"]["conditions"] if each["type"] == "wingbarrow.io/Drain"
+        )
         assert (drain["status"], drain["reason"]) == ("False", "DrainDone")
-        events = json.loads(stage.pool().request("GET", "/api/v1/events?fieldSelector=involvedObject.kind%3DNode").body)
-        assert [each["reason"] for each in events["items"]] == ["DrainClosed", "DrainOut", "DrainDone"]
+        events = json.loads(
+            stage.pool()
+            .request("GET", "/api/v1/events?fieldSelector=involvedObject.kind%3DNode")
+            .body
+        )
+        assert [each["reason"] for each in events["items"]] == [
+            "DrainClosed",
+            "DrainOut",
+            "DrainDone",
+        ]
         last = stage.hub.now_us() - 1
         for turn in range(20):
             stage.submit(f"again{turn}", service=f"n{turn}", runs_s=1)
         stage.hub.sleep(3 * S)
         assert offers_after(stage, "node-0", last), "it is used again"
+
     stage.play(script)
 
 
-def test_running_tasks_find_a_home_in_time_and_what_must_not_start_twice_is_left(tmp_path: Path) -> None:
+def test_running_tasks_find_a_home_in_time_and_what_must_not_start_twice_is_left(
+    tmp_path: Path,
+) -> None:
     stage = Stage(machines=3, build=Build(cores=48.0, memory=96.0))
 
     def script() -> None:
@@ -95,19 +123,27 @@
         stage.hub.sleep(30 * S)
         moved = [record for record in stage.seen("end", why="Terminated")]
         assert len(moved) == 10 and len(stage.seen("start", task_class="settlement")) == 1
-        assert placer.drainer.describe()[0]["phase"] == "closed" and placer.drainer.describe()[0]["late"]
+        assert (
+            placer.drainer.describe()[0]["phase"] == "closed"
+            and placer.drainer.describe()[0]["late"]
+        )
         stage.hub.sleep(15 * S)
         assert placer.drainer.describe()[0]["phase"] == "out", "the window waited for the batch run"
         assert stage.conditions("pay")["Complete"]
-        running = {machine.name: sum(pod.phase == "Running" for pod in machine.pods.values())
-                   for machine in stage.cluster.machines}
+        running = {
+            machine.name: sum(pod.phase == "Running" for pod in machine.pods.values())
+            for machine in stage.cluster.machines
+        }
         assert running["node-0"] == 0 and sum(running.values()) == 10
+
     stage.play(script)
     assert stage.audit().double_effects == 0
 
 
 @pytest.mark.parametrize("back_s", [0, 3600])
-def test_a_restart_in_the_middle_goes_on_even_with_the_clock_set_back(tmp_path: Path, back_s: int) -> None:
+def test_a_restart_in_the_middle_goes_on_even_with_the_clock_set_back(
+    tmp_path: Path, back_s: int
+) -> None:
     stage = Stage(machines=2)
 
     def script() -> None:
@@ -122,6 +158,7 @@
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(3 * S)
         assert offers_after(stage, "node-0", begun) == 0 and len(stage.seen("start")) == 12
+
     stage.play(script)
 
 
@@ -129,8 +166,17 @@
     stage = Stage(machines=6)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 20, machines='zone="hall-a"', lasts="30s",
-                                           more='budget by="cell" max-unavailable=1'))
+        placer = restarted(
+            stage,
+            calendar(
+                stage,
+                tmp_path,
+                20,
+                machines='zone="hall-a"',
+                lasts="30s",
+                more='budget by="cell" max-unavailable=1',
+            ),
+        )
         stage.hub.sleep(3 * S)
         for machine in stage.cluster.machines[3:]:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, None))
@@ -140,6 +186,7 @@
         for turn in range(6):
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
             assert "Placed" in stage.settled(f"t{turn}")
+
     stage.play(script)
 
 
@@ -152,6 +199,7 @@
             stage.hub.spawn(lambda machine=machine: stage.cluster.replace(machine))
         stage.hub.sleep(42 * S)
         assert placer.drainer.describe()[0]["phase"] == "out"
+
     stage.play(script)
 
 
@@ -164,9 +212,24 @@
         for index in range(2):
             pool = stage.pool(stage.cluster.placers[index].port)
             for turn in range(8):
-                value = {"metadata": {"name": f"p{index}-{turn}", "annotations": {names.RUNS_FOR: "300s"}},
-                         "spec": {"template": {"spec": {"containers": [{"name": "c", "resources": {"requests": {
-                             "cpu": "1", "memory": "1Gi"}}}]}}}}
+                value = {
+                    "metadata": {
+                        "name": f"p{index}-{turn}",
+                        "annotations": {names.RUNS_FOR: "300s"},
+                    },
+                    "spec": {
+                        "template": {
+                            "spec": {
+                                "containers": [
+                                    {
+                                        "name": "c",
+                                        "resources": {"requests": {"cpu": "1", "memory": "1Gi"}},
+                                    }
+                                ]
+                            }
+                        }
+                    },
+                }
                 assert pool.request("POST", JOBS, names.encode(value)).status == 201
         stage.hub.sleep(4 * S)
         assert {record.where for record in stage.seen("start")} == {"node-0"}
@@ -179,7 +242,10 @@
         ends = sorted(record.at_us for record in stage.seen("end", why="Terminated"))
         assert len(ends) == 16
         for begin in ends:
-            assert sum(begin <= at < begin + S for at in ends) <= 4 + 2, "four a second, both together"
+            assert sum(begin <= at < begin + S for at in ends) <= 4 + 2, (
+                "four a second, both together"
+            )
+
     stage.play(script)
 
 
@@ -193,19 +259,30 @@
         def items() -> list[dict[str, Any]]:
             found: list[dict[str, Any]] = json.loads(pool.request("GET", DRAINS).body)["items"]
             return found
+
         assert [(each["machine"], each["phase"]) for each in items()] == [("node-0", "planned")]
         stage.hub.sleep(8 * S)
         assert items()[0]["phase"] == "out"
         assert pool.request("DELETE", f"{DRAINS}/{items()[0]['key']}").status == 200
-        assert items()[0]["phase"] == "given up" and placer.machines.links["node-0"].phase.value == "running"
+        assert (
+            items()[0]["phase"] == "given up"
+            and placer.machines.links["node-0"].phase.value == "running"
+        )
         assert pool.request("DELETE", f"{DRAINS}/none").status == 404
         made = pool.request("POST", DRAINS, b'{"machine": "node-3", "lasts": "30s"}')
         assert made.status == 201
         stage.hub.sleep(S)
         assert placer.machines.links["node-3"].phase.value == "draining"
         assert pool.request("POST", DRAINS, b'{"machine": "none", "lasts": "30s"}').status == 409
-        for bad in (b"{}", b'{"machine": "node-1"}', b'{"machine": "node-1", "lasts": "x"}', b"[]", b"{"):
+        for bad in (
+            b"{}",
+            b'{"machine": "node-1"}',
+            b'{"machine": "node-1", "lasts": "x"}',
+            b"[]",
+            b"{",
+        ):
             assert pool.request("POST", DRAINS, bad).status in (400, 422)
+
     stage.play(script)
 
 
@@ -225,6 +302,7 @@
         assert stage.pool().request("POST", f"{path}/none/eviction", b"{}").status == 404
         stage.hub.sleep(3 * S)
         assert stage.job("web")["status"]["ready"] == 1
+
     stage.play(script)
     assert len(stage.seen("start", task_class="web")) == 2
     assert len(stage.seen("start", task_class="settlement")) == 1
@@ -239,10 +317,13 @@
         assert placer.drainer.reload() is False
         stage.hub.sleep(2 * S)
         assert [each["machine"] for each in placer.drainer.describe()] == ["node-0"]
+
     stage.play(script)
 
 
-def test_a_machine_that_goes_early_loses_its_tasks_to_others_and_stays_closed_when_it_returns(tmp_path: Path) -> None:
+def test_a_machine_that_goes_early_loses_its_tasks_to_others_and_stays_closed_when_it_returns(
+    tmp_path: Path,
+) -> None:
     stage = Stage(machines=3)
 
     def script() -> None:
@@ -260,7 +341,11 @@
         for turn in range(12):
             stage.submit(f"u{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(4 * S)
-        assert placer.drainer.describe()[0]["phase"] == "out" and offers_after(stage, "node-0", returned) == 0
+        assert (
+            placer.drainer.describe()[0]["phase"] == "out"
+            and offers_after(stage, "node-0", returned) == 0
+        )
+
     stage.play(script)
     found = stage.audit()
     assert not (found.sends_to_draining or found.double_effects or found.cold_overruns)
@@ -283,11 +368,14 @@
             stage.submit(f"u{turn}", service=f"v{turn}", runs_s=1)
         stage.hub.sleep(2 * S)
         assert offers_after(stage, "node-0", after) > 0
+
     stage.play(script)
 
 
 @pytest.mark.parametrize("runs_s", [1, 60])
-def test_a_task_whose_answer_comes_after_closing_ends_by_itself_or_is_moved(tmp_path: Path, runs_s: int) -> None:
+def test_a_task_whose_answer_comes_after_closing_ends_by_itself_or_is_moved(
+    tmp_path: Path, runs_s: int
+) -> None:
     stage = Stage(machines=2, build=Build(start_us=3_000_000, setup=1.0))
 
     def script() -> None:
@@ -297,7 +385,9 @@
         stage.submit("edge", service="edge", runs_s=runs_s, patience_s=9)
         stage.hub.sleep(S)
         assert stage.seen("offer")[-1].where == "node-0"
-        calendar(stage, tmp_path, 4.2)  # the window is put forward: the machine closes at once, the offer is out
+        calendar(
+            stage, tmp_path, 4.2
+        )  # the window is put forward: the machine closes at once, the offer is out
         assert placer.drainer.reload()
         stage.hub.sleep(S * 3 // 2)
         assert placer.machines.links["node-0"].phase.value == "draining" and not stage.seen("start")
@@ -307,6 +397,7 @@
         where = [record.where for record in stage.seen("start")]
         assert where == (["node-0"] if runs_s == 1 else ["node-0", "node-1"])
         assert offers_after(stage, "node-0", begun + 2 * S) == 0
+
     stage.play(script)
     assert stage.audit().clean
 
@@ -315,7 +406,9 @@
     stage = Stage(machines=6)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 12, machines='name="node-0"', lasts="40s"))
+        placer = restarted(
+            stage, calendar(stage, tmp_path, 12, machines='name="node-0"', lasts="40s")
+        )
         for machine in stage.cluster.machines[3:]:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, None))
         stage.hub.sleep(14 * S)
@@ -329,5 +422,6 @@
         for turn in range(40):  # a rush while that hall is cold
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(8 * S)
+
     stage.play(script)
     assert stage.audit().cold_overruns == 0 and not stage.seen("fell")
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -27,9 +27,13 @@
             if not version:
                 relists += 1
                 items, version = list_all(pool, JOBS, "", 100, stage.hub.now_us() + 5 * S)
-                seen += [("LIST", item["metadata"]["name"], int(item["metadata"]["resourceVersion"]))
-                         for item in items]
-            for kind, value in watch(pool, f"{JOBS}?watch=true&resourceVersion={version}&timeoutSeconds=5"):
+                seen += [
+                    ("LIST", item["metadata"]["name"], int(item["metadata"]["resourceVersion"]))
+                    for item in items
+                ]
+            for kind, value in watch(
+                pool, f"{JOBS}?watch=true&resourceVersion={version}&timeoutSeconds=5"
+            ):
                 version = value["metadata"]["resourceVersion"]
                 seen.append((kind, value["metadata"]["name"], int(version)))
                 if stage.hub.now_us() >= until_us:
@@ -65,6 +69,7 @@
         assert versions == sorted(set(versions)), "an event came twice or out of order"
         window = stage.cluster.placers[0].service.placer.board.jobs.window  # type: ignore[union-attr]
         assert [change.version for change in window] == versions, "an event was missed"
+
     stage.play(script)
     assert len(stage.seen("start", task_class="settlement")) == 1
 
@@ -89,7 +94,11 @@
         seen, relists = results[0]
         assert relists == 2
         last = {name: version for _, name, version in seen}
-        assert last == {key.partition("/")[2]: stored.version for key, stored in placer.board.jobs.objects.items()}
+        assert last == {
+            key.partition("/")[2]: stored.version
+            for key, stored in placer.board.jobs.objects.items()
+        }
+
     stage.play(script)
 
 
@@ -109,6 +118,7 @@
         for machine in stage.cluster.machines:
             stage.cluster.source.show(machine.name, node_value(machine))
         assert "Placed" in stage.settled("pay") and "Placed" in stage.settled("early")
+
     stage.play(script, start=False)
     assert stage.audit().clean and stage.audit().placed == 2
 
@@ -129,13 +139,25 @@
         for machine in stage.cluster.machines:
             stage.cluster.source.show(machine.name, node_value(machine))
         assert "Placed" in stage.settled("late", 30)
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
 
-@pytest.mark.parametrize("fault", [Fault.RESET_BEFORE, Fault.RESET_AFTER, Fault.SILENT_BEFORE, Fault.SILENT_AFTER,
-                                   Fault.HALF, Fault.GARBAGE])
-def test_a_settlement_whose_answer_is_lost_starts_once_and_is_not_called_refused(fault: Fault) -> None:
+@pytest.mark.parametrize(
+    "fault",
+    [
+        Fault.RESET_BEFORE,
+        Fault.RESET_AFTER,
+        Fault.SILENT_BEFORE,
+        Fault.SILENT_AFTER,
+        Fault.HALF,
+        Fault.GARBAGE,
+    ],
+)
+def test_a_settlement_whose_answer_is_lost_starts_once_and_is_not_called_refused(
+    fault: Fault,
+) -> None:
     stage = Stage(machines=4)
 
     def script() -> dict[str, str]:
@@ -145,6 +167,7 @@
         first = stage.settled("pay")
         stage.hub.sleep(10 * S)
         return {**first, **stage.conditions("pay")}
+
     found = stage.play(script)
     starts = len(stage.seen("start"))
     assert len(stage.seen("offer")) == 1 and starts == (0 if fault.name.endswith("BEFORE") else 1)
@@ -163,7 +186,10 @@
             machine.faults.rules.append(FaultRule(Fault.REFUSE, 1.0, classes=("settlement",)))
         for turn in range(4):
             stage.submit(f"pay-{turn}", "settlement", runs_s=15, patience_s=9)
-        return {f"pay-{turn}": next(iter(stage.settled(f"pay-{turn}").values())) for turn in range(4)}
+        return {
+            f"pay-{turn}": next(iter(stage.settled(f"pay-{turn}").values())) for turn in range(4)
+        }
+
     stage.play(script)
     assert len(stage.seen("start")) >= 1 and stage.audit().clean
 
@@ -188,14 +214,19 @@
         assert "Placed" in stage.settled("first") and "Failed" in stage.settled("second")
         counts = slot.service.placer.base.counts  # type: ignore[union-attr]
         assert counts["held:draining"] == 1
+
     stage.play(script)
     assert len(stage.seen("offer")) == 1 and stage.audit().clean
 
 
-@pytest.mark.parametrize("answers_after_us", [2_900_000, 2_979_000, 2_980_000, 2_981_000, 2_999_000, 3_000_000,
-                                              3_001_000, 3_500_000])
+@pytest.mark.parametrize(
+    "answers_after_us",
+    [2_900_000, 2_979_000, 2_980_000, 2_981_000, 2_999_000, 3_000_000, 3_001_000, 3_500_000],
+)
 @pytest.mark.parametrize("task_class", ["web", "settlement"])
-def test_patience_ends_around_the_turn_of_the_answer(answers_after_us: int, task_class: str) -> None:
+def test_patience_ends_around_the_turn_of_the_answer(
+    answers_after_us: int, task_class: str
+) -> None:
     build = Build(admit_us=0, start_us=answers_after_us, setup=1.0)
     stage = Stage(machines=1, build=build)
 
@@ -205,6 +236,7 @@
         stage.settled("edge")
         stage.hub.sleep(5 * S)
         return stage.conditions("edge")
+
     found = stage.play(script)
     audited = stage.audit()
     assert audited.clean and audited.accepted == 1
@@ -229,6 +261,7 @@
         stage.hub.sleep(S)
         for turn in range(8):
             stage.settled(f"t-{turn}")
+
     stage.play(script)
     audited = stage.audit()
     assert audited.late_answers == 0 and audited.unanswered == 0 and audited.late_by_stall <= 1
@@ -247,10 +280,15 @@
             assert pool.request("DELETE", f"{JOBS}/{name}").status == 200
             assert pool.request("GET", f"{JOBS}/{name}").status == 404
         stage.hub.sleep(8 * S)
-        assert all(pod.phase != "Running" for machine in stage.cluster.machines for pod in machine.pods.values())
+        assert all(
+            pod.phase != "Running"
+            for machine in stage.cluster.machines
+            for pod in machine.pods.values()
+        )
         assert stage.cluster.placers[0].service.placer.book.admission.open == 0  # type: ignore[union-attr]
         stage.submit("running", runs_s=1)  # the name is free again
         stage.settled("running")
+
     stage.play(script)
     assert len(stage.seen("start", task_class="settlement")) <= 1
     assert len(stage.seen("start")) == len(stage.seen("end")) + 1
@@ -271,6 +309,7 @@
         assert stage.job("pay")["status"]["ready"] == 1
         stage.hub.sleep(20 * S)
         assert stage.conditions("pay")["Complete"]
+
     stage.play(script)
     assert len(stage.seen("start")) == 7 and stage.audit().double_effects == 0
 
@@ -284,6 +323,7 @@
         status = stage.job("many")["status"]
         stage.hub.sleep(12 * S)
         return {"first": status["ready"], **stage.job("many")["status"]}
+
     status = stage.play(script)
     assert status["first"] == 9 and status["succeeded"] == 9 and status["active"] == 0
     assert stage.audit().spread_overruns == 0
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -22,8 +22,10 @@
 def request(name: str, patience_s: float, cores: float = 1.0) -> bytes:
     value = job_value(Want(0, name, "web", name, cores, 1.0, 5 * S), name, int(patience_s * S))
     body = names.encode(value)
-    return b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
-        JOBS.encode(), len(body), body)
+    return (
+        b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
+        % (JOBS.encode(), len(body), body)
+    )
 
 
 def answer(stream: Stream, kept: bytearray) -> tuple[int, dict[str, Any]]:
@@ -31,8 +33,13 @@
     while True:
         head, mark, rest = bytes(kept).partition(b"\r\n\r\n")
         if mark:
-            length = int(next(line.split(b":")[1] for line in head.split(b"\r\n")
-                              if line.lower().startswith(b"content-length")))
+            length = int(
+                next(
+                    line.split(b":")[1]
+                    for line in head.split(b"\r\n")
+                    if line.lower().startswith(b"content-length")
+                )
+            )
             if len(rest) >= length:
                 kept[:] = rest[length:]
                 return int(head.split()[1]), json.loads(rest[:length])
@@ -42,8 +49,17 @@
 
 
 def told(stage: Stage, name: str, sent_us: int, patience_s: float, uid: str) -> None:
-    stage.cluster.record("owner", "accepted", placer="placer-0", job=name, uid=uid, task=name, task_class="web",
-                         patience_us=int(patience_s * S), sent_us=sent_us)
+    stage.cluster.record(
+        "owner",
+        "accepted",
+        placer="placer-0",
+        job=name,
+        uid=uid,
+        task=name,
+        task_class="web",
+        patience_us=int(patience_s * S),
+        sent_us=sent_us,
+    )
 
 
 def held(stage: Stage, for_s: float) -> Any:
@@ -54,11 +70,15 @@
 
 def nothing_fits(stage: Stage) -> None:
     for machine in stage.cluster.machines:
-        stage.cluster.source.show(machine.name, {**node_value(machine), "spec": {"unschedulable": True}})
+        stage.cluster.source.show(
+            machine.name, {**node_value(machine), "spec": {"unschedulable": True}}
+        )
 
 
 @pytest.mark.parametrize("stall_s", [0.2, 1.0, 4.0])
-@pytest.mark.parametrize("how", ["open connection", "new connection", "half before, half after", "pipelined"])
+@pytest.mark.parametrize(
+    "how", ["open connection", "new connection", "half before, half after", "pipelined"]
+)
 def test_an_owners_patience_runs_while_its_placer_stands_still(stall_s: float, how: str) -> None:
     """No machine takes anything, so the answer comes by the placer's own timer: it is in time for when it was sent."""
     stage = Stage()
@@ -101,6 +121,7 @@
             stage.settled("second")
         assert stage.settled("late")["Failed"] == "Refused"
         assert stage.hub.now_us() <= sent + 5 * S
+
     stage.play(script)
     found = stage.audit()
     assert found.clean and found.refused == found.accepted, found.notes
@@ -116,12 +137,17 @@
         stream.send(request("short", 2.0) + request("long", 30.0))
         stage.hub.sleep(4 * S + 50_000)
         status, value = answer(stream, kept)
-        assert status == 429 and value["details"]["retryAfterSeconds"] >= 1 and "patience" in value["message"]
+        assert (
+            status == 429
+            and value["details"]["retryAfterSeconds"] >= 1
+            and "patience" in value["message"]
+        )
         status, value = answer(stream, kept)
         assert status == 201
         stage.hub.sleep(2 * S)
         assert placer.base.counts["turned_away:out_of_patience"] == 1
         assert [each["metadata"]["name"] for each in stage.jobs()] == ["long"]
+
     stage.play(script)
     assert len(stage.seen("offer")) == 1
 
@@ -134,14 +160,20 @@
         stage.hub.sleep(S)
         for machine in stage.cluster.machines[:3]:
             stage.cluster.set_drain(machine, True)
-        streams = [connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port) for _ in range(30)]
+        streams = [
+            connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port) for _ in range(30)
+        ]
         for turn, stream in enumerate(streams):
             stream.send(request(f"j{turn}", 5.0, 0.5))
         stage.hub.sleep(3 * S)
+
     stage.play(script)
     grace = stage.cluster.placers[0].settings.drain_grace_us
-    after = [record for record in stage.seen("offer") if record.where != "node-3"
-             and record.at_us > 1_003_000_000 + grace]
+    after = [
+        record
+        for record in stage.seen("offer")
+        if record.where != "node-3" and record.at_us > 1_003_000_000 + grace
+    ]
     assert stage.audit().clean and not after
 
 
@@ -159,6 +191,7 @@
             for name in ("a", "b"):
                 assert stage.settled(name)
             stage.hub.sleep(5 * S)
+
         stage.play(script)
         found = stage.audit()
         assert found.clean and found.placed + found.failed + found.refused == 2, found.notes
@@ -176,8 +209,11 @@
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
         hub, answered = stage.hub, list[int]()
         for _ in range(50):
-            hub._at(hub.now_us() + S, lambda: answered.append(sum(placer.book.answers.values())),
-                    stage.cluster.placers[0].domain)
+            hub._at(
+                hub.now_us() + S,
+                lambda: answered.append(sum(placer.book.answers.values())),
+                stage.cluster.placers[0].domain,
+            )
         before = placer.book.answers.copy()
         assert not before
         stage.hub.sleep(S // 2)
@@ -186,6 +222,7 @@
         assert answered == [2000] * 50, "whatever else was due ran before an answer that was owed"
         for turn in range(20):
             assert stage.settled(f"many{turn}")["Failed"] == "Refused"
+
     stage.play(script)
 
 
@@ -206,6 +243,7 @@
         for turn in range(12):
             assert stage.settled(f"j{turn}")
         stage.hub.sleep(3 * S)
+
     stage.play(script)
     assert stage.audit().clean, stage.audit().notes
 
@@ -232,8 +270,11 @@
         running: dict[str, int] = {}
         for machine in stage.cluster.machines:
             for pod in machine.pods.values():
-                running[machine.build.cell] = running.get(machine.build.cell, 0) + (pod.phase == "Running")
+                running[machine.build.cell] = running.get(machine.build.cell, 0) + (
+                    pod.phase == "Running"
+                )
         assert all(count <= 3 for count in running.values()), running
+
     stage.play(script)
     found = stage.audit()
     assert found.clean, found.notes
@@ -252,6 +293,7 @@
             stage.delete(f"j{turn}")
         stage.hub.sleep(S)
         assert placer.base.counts["stops_owed"] == 0 and placer.stops.owed == 0
+
     stage.play(script)
     assert not stage.seen("offer")
 
@@ -268,9 +310,14 @@
         stage.hub.sleep(10 * S)
         assert not stage.jobs() and placer.stops.owed == 0
         assert placer.base.counts["stops_sent"] <= 40 and placer.base.counts["jobs_adopted"] == 0
-        assert not any(pod.phase == "Running" for machine in stage.cluster.machines for pod in machine.pods.values())
+        assert not any(
+            pod.phase == "Running"
+            for machine in stage.cluster.machines
+            for pod in machine.pods.values()
+        )
         stage.submit("next")
         assert "Placed" in stage.settled("next"), "no machine is rested for what owners withdrew"
+
     stage.play(script)
     assert stage.audit().clean
 
@@ -288,6 +335,7 @@
         assert placer.stops.owed == 1
         stage.hub.sleep(20 * S)
         assert placer.stops.owed == 0 and stage.seen("end", why="Terminated")
+
     stage.play(script)
 
 
@@ -302,6 +350,7 @@
         stage.delete("a")
         stage.hub.sleep(8 * S)
         assert not placer.oddities() and placer.stops.owed == 0
+
     stage.play(script)
 
 
@@ -322,6 +371,7 @@
         stage.hub.sleep(8 * S)
         stage.submit("more")
         assert "Placed" in stage.settled("more")
+
     stage.play(script)
 
 
@@ -334,15 +384,21 @@
         stage.settled("a")
         machine = stage.cluster.machines[0]
         pod = next(iter(machine.pods.values()))
-        value = {**pod.value, "metadata": {**pod.value["metadata"], "name": pod.name.rpartition("-")[0] + "-77"}}
+        value = {
+            **pod.value,
+            "metadata": {**pod.value["metadata"], "name": pod.name.rpartition("-")[0] + "-77"},
+        }
         stage.delete("a")
         stage.hub.sleep(S)
         assert not machine.pods
         # An offer that had lain in the machine's socket: its Job is unknown, its name is of this life.
-        call(stage.pool(machine.port), "POST", "/api/v1/namespaces/default/pods", names.encode(value))
+        call(
+            stage.pool(machine.port), "POST", "/api/v1/namespaces/default/pods", names.encode(value)
+        )
         assert machine.pods
         stage.hub.sleep(3 * S)
         assert not machine.pods and not stage.jobs()
+
     stage.play(script)
 
 
@@ -364,6 +420,7 @@
             assert (len(stage.seen("offer")) > before) is again
             conditions = stage.conditions("a")
             assert again or conditions["Failed"] == "Lost"
+
         stage.play(script)
 
 
@@ -382,5 +439,6 @@
             stage.hub.sleep(50_000)
         stage.hub.sleep(8 * S)
         assert not any(machine.fallen for machine in stage.cluster.machines)
+
     stage.play(script)
     assert stage.audit().clean, stage.audit().notes
--- a/tests/core/test_reflector.py
+++ b/tests/core/test_reflector.py
@@ -13,10 +13,18 @@
 from wingbarrow.transport import Hub, VirtualClock
 
 NODE: dict[str, Any] = {
-    "metadata": {"name": "n1", "resourceVersion": "1", "labels": {},
-                 "annotations": {"wingbarrow.io/launched": "2026-06-01T00:00:00.000000Z"}},
-    "spec": {}, "status": {"addresses": [{"type": "InternalIP", "address": "127.0.0.1"}],
-                           "daemonEndpoints": {"kubeletEndpoint": {"Port": 10250}}}}
+    "metadata": {
+        "name": "n1",
+        "resourceVersion": "1",
+        "labels": {},
+        "annotations": {"wingbarrow.io/launched": "2026-06-01T00:00:00.000000Z"},
+    },
+    "spec": {},
+    "status": {
+        "addresses": [{"type": "InternalIP", "address": "127.0.0.1"}],
+        "daemonEndpoints": {"kubeletEndpoint": {"Port": 10250}},
+    },
+}
 
 
 class Jittering(VirtualClock):
@@ -35,7 +43,20 @@
     """A later one would be another start: the module forgets what it knew, offers without an answer among it."""
     hub = Hub(Jittering())
     base = Base(hub, load_text(settings_text(0, 1, 1, 1)), silent)
-    reflector = Reflector(hub, "127.0.0.1", 1, "wingbarrow/p0", random.Random(1), 10, base.shift_us,
-                          lambda form, entries, gone: None, silent)
-    starts = {entry.listed.launched_us for entry in (reflector._read(NODE) for _ in range(500)) if entry is not None}
+    reflector = Reflector(
+        hub,
+        "127.0.0.1",
+        1,
+        "wingbarrow/p0",
+        random.Random(1),
+        10,
+        base.shift_us,
+        lambda form, entries, gone: None,
+        silent,
+    )
+    starts = {
+        entry.listed.launched_us
+        for entry in (reflector._read(NODE) for _ in range(500))
+        if entry is not None
+    }
     assert len(starts) == 1
--- a/tests/core/test_rulebook.py
+++ b/tests/core/test_rulebook.py
@@ -15,7 +15,9 @@
 
 def test_a_floor_leaves_the_specs_that_were_known() -> None:
     settings = load_text(settings_text(0, 1, 1, 8001, 8080, "/tmp/x"))
-    base: Any = SimpleNamespace(settings=settings, hub=SimpleNamespace(), log=lambda *words, **more: None)
+    base: Any = SimpleNamespace(
+        settings=settings, hub=SimpleNamespace(), log=lambda *words, **more: None
+    )
     book = Rulebook(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
     federation = Federation((Spec("orders", ("north",)),), (), (("web", "orders"),))
     rules = rules_of(settings)
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -28,10 +28,15 @@
             assert each.fleet.reflector.passed_over > 0 and not each.oddities()
         told = stage.pool().request("GET", "/metrics").body.decode()
         placer = stage.placer(0)
-        for name, value in (("machines", len(placer.machines.links)), ("lingering", 0), ("relists", 0),
-                            ("left_out", placer.fleet.reflector.left_out),
-                            ("passed_over", placer.fleet.reflector.passed_over)):
+        for name, value in (
+            ("machines", len(placer.machines.links)),
+            ("lingering", 0),
+            ("relists", 0),
+            ("left_out", placer.fleet.reflector.left_out),
+            ("passed_over", placer.fleet.reflector.passed_over),
+        ):
             assert f"\nwingbarrow_subset_{name} {float(value)}\n" in told, name
+
     stage.play(script, start=False)
     assert stage.audit().clean and stage.audit().placed == 30
 
@@ -47,8 +52,13 @@
         for slot in slots[:2]:
             slot.kill()
         rules = stage.placer(2).peering.membership.rules
-        stated_us = (rules.detect_us(6) + int((LEAVE_S + SETTLE_S) * S) + 2 * LOOK_US
-                     + stage.subset(2)._spread_us + S)
+        stated_us = (
+            rules.detect_us(6)
+            + int((LEAVE_S + SETTLE_S) * S)
+            + 2 * LOOK_US
+            + stage.subset(2)._spread_us
+            + S
+        )
         assert stage.wait(stage.settled_subsets, stated_us / S), "later than is stated"
         print("machines are all held again after", (stage.hub.now_us() - killed_us) / S, "s")
         after = stage.wanted([slot.name for slot in slots[2:]])
@@ -64,6 +74,7 @@
         assert stage.wanted([slot.name for slot in slots]) == before
         assert all(not each.subset.lingering for each in stage.live() if each.subset)
         assert sum(each.base.counts["subset:released"] for each in stage.live()) > 0
+
     stage.play(script, start=False)
     assert stage.audit().clean and stage.audit().placed == 4
 
@@ -78,8 +89,12 @@
         stage.cut(slots[:2], slots[2:], True)
 
         def apart() -> bool:
-            return all(len(stage.subset(index).living) == 2 and len(stage.placer(index).machines.links) == 4
-                       for index in range(4))
+            return all(
+                len(stage.subset(index).living) == 2
+                and len(stage.placer(index).machines.links) == 4
+                for index in range(4)
+            )
+
         assert stage.wait(apart, 60), "each side holds all machines"
         for machine in stage.cluster.machines[:2]:
             stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, 2.0))
@@ -91,6 +106,7 @@
             stage.answer_of(slots[turn % 4], f"c{turn}")
         stage.cut(slots[:2], slots[2:], False)
         assert stage.wait(stage.settled_subsets, 120), "not healed"
+
     stage.play(script, start=False)
     audited = stage.audit()
     cold = {machine.name for machine in stage.cluster.machines[:2]}
@@ -114,7 +130,14 @@
             stage.hub.sleep(3 * S)
         assert suspected, "membership has seen nothing of it"
         assert [set(each.machines.links) for each in stage.live()] == before
-        assert sum(each.base.counts["subset:changes"] + each.fleet.reflector.refills for each in stage.live()) == 0
+        assert (
+            sum(
+                each.base.counts["subset:changes"] + each.fleet.reflector.refills
+                for each in stage.live()
+            )
+            == 0
+        )
+
     stage.play(script, start=False)
 
 
@@ -129,7 +152,11 @@
         assert stage.answer_of(slots[0], "before") == "placed"
         woken_us = stage.hub.now_us() + 25 * S
         slots[0].hold(25 * S)
-        assert stage.wait(lambda: mine <= set(stage.placer(1).machines.links) | set(stage.placer(2).machines.links), 24)
+        assert stage.wait(
+            lambda: mine
+            <= set(stage.placer(1).machines.links) | set(stage.placer(2).machines.links),
+            24,
+        )
         victim = next(machine for machine in stage.cluster.machines if machine.name in mine)
         stage.cluster.set_drain(victim, True)
         for turn in range(12):
@@ -144,6 +171,7 @@
         for turn in range(6):
             stage.answer_of(slots[0], f"after{turn}")
         assert stage.wait(stage.settled_subsets, 120)
+
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
@@ -159,12 +187,15 @@
         stage.cluster.source.start()
         stage.cluster.placers[0].start()
         stage.hub.sleep(S)
-        assert set(stage.placer(0).machines.links) < set(stage.names()), "at first it does not know that it is alone"
+        assert set(stage.placer(0).machines.links) < set(stage.names()), (
+            "at first it does not know that it is alone"
+        )
         limit_s = ALONE_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
         assert stage.wait(stage.settled_subsets, limit_s)
         assert set(stage.placer(0).machines.links) == set(stage.names())
         stage.submit_to(stage.cluster.placers[0], "t", runs_s=3)
         assert stage.answer_of(stage.cluster.placers[0], "t") == "placed"
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
@@ -181,6 +212,7 @@
             stage.submit_to(slot, slot.name, runs_s=3, patience_s=2)
         answers = [stage.answer_of(slot, slot.name) for slot in slots]
         assert answers == ["placed" if wanted[slot.name] else "refused" for slot in slots]
+
     stage.play(script, start=False)
     assert stage.audit().clean and stage.audit().refused == 3
 
@@ -188,5 +220,9 @@
 
     def all_held() -> None:
         whole.begin()
-        assert all(len(each.machines.links) == 3 and not each.fleet.reflector.left_out for each in whole.live())
+        assert all(
+            len(each.machines.links) == 3 and not each.fleet.reflector.left_out
+            for each in whole.live()
+        )
+
     whole.play(all_held, start=False)
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -35,15 +35,26 @@
         for name in list(placer.fleet.held)[:9]:
             placer.fleet.reflector.drop(name)
         part = OwnRegion(placer.base, placer.book, placer.fleet)._sum(0)
-        assert (placer.fleet.part, part.machines, part.cores, part.memory) == (0.25, 12, whole.cores, whole.memory)
+        assert (placer.fleet.part, part.machines, part.cores, part.memory) == (
+            0.25,
+            12,
+            whole.cores,
+            whole.memory,
+        )
         for name in list(placer.fleet.held):
             placer.fleet.reflector.drop(name)
-        assert placer.fleet.part == 0.0 and OwnRegion(placer.base, placer.book, placer.fleet).say(0) is None
+        assert (
+            placer.fleet.part == 0.0
+            and OwnRegion(placer.base, placer.book, placer.fleet).say(0) is None
+        )
+
     stage.play(script)
 
 
 @pytest.mark.parametrize("limit", ["", '    limit "cold"\n'])
-def test_members_hold_subsets_and_cold_machines_get_no_more_than_the_rules_in_force_allow(limit: str) -> None:
+def test_members_hold_subsets_and_cold_machines_get_no_more_than_the_rules_in_force_allow(
+    limit: str,
+) -> None:
     stage = AgreeingSubsets(machines=6, placers=5)
     stage.limits = limit
 
@@ -51,7 +62,9 @@
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         live = [slot.service.placer for slot in stage.cluster.placers if slot.service is not None]
-        assert all(each.subset is not None and len(each.subset.subsets.rules.roster) == 5 for each in live)
+        assert all(
+            each.subset is not None and len(each.subset.subsets.rules.roster) == 5 for each in live
+        )
         assert stage.wait(lambda: sum(len(each.machines.links) for each in live) == 12, 20)
         for machine in stage.cluster.machines[:3]:
             stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, 2.0))
@@ -65,8 +78,11 @@
         assert placed >= 50
         fewer = stage.changed(cold_shares=[["placer-0", 5]])
         status, _ = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": fewer})
-        assert status == 201 and stage.wait(lambda: stage.all_on("e3"), 20), "by way of what both allow"
+        assert status == 201 and stage.wait(lambda: stage.all_on("e3"), 20), (
+            "by way of what both allow"
+        )
         for each in live:
             assert isinstance(each.offers.cold, ColdShares) and each.offers.cold._offers() == 5.0
+
     stage.play(script)
     assert stage.audit().cold_overruns == 0 and stage.audit().sends_to_draining == 0
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -33,13 +33,16 @@
     return fallen
 
 
-def burst(stage: SubsetStage, placers: list[int], tasks: int, name: str = "b", pace_s: float = 0.0) -> dict[str, int]:
+def burst(
+    stage: SubsetStage, placers: list[int], tasks: int, name: str = "b", pace_s: float = 0.0
+) -> dict[str, int]:
     """Many tasks at placers in turn; the number of each answer."""
     answers: dict[str, int] = defaultdict(int)
 
     def one(slot: PlacerSlot, job: str, service: str) -> None:
         stage.submit_to(slot, job, runs_s=1.0, service=service)
         answers[stage.answer_of(slot, job)] += 1
+
     with Nursery(stage.hub) as nursery:
         for turn in range(tasks):
             slot = stage.cluster.placers[placers[turn % len(placers)]]
@@ -50,15 +53,20 @@
 
 def most_within(stage: SubsetStage, machines: list[Machine]) -> dict[tuple[str, str], int]:
     """By placer and machine: the most offers that came within a window while the machine was cold."""
-    cold_from = {record.where: record.at_us for record in stage.cluster.record.records
-                 if record.what == "launch" and record.data["cold"]}
+    cold_from = {
+        record.where: record.at_us
+        for record in stage.cluster.record.records
+        if record.what == "launch" and record.data["cold"]
+    }
     at: dict[tuple[str, str], list[int]] = defaultdict(list)
     for record in stage.seen("offer"):
         begun = cold_from.get(record.where)
         if begun is not None and begun <= record.at_us < begun + 18 * S:
             at[record.data["placer"], record.where].append(record.at_us)
-    return {key: max(sum(each <= other < each + FALL for other in times) for each in times)
-            for key, times in at.items()}
+    return {
+        key: max(sum(each <= other < each + FALL for other in times) for each in times)
+        for key, times in at.items()
+    }
 
 
 def test_a_zone_that_comes_back_cold_under_all_placers_is_not_pushed_over() -> None:
@@ -71,14 +79,19 @@
         print("answers", dict(answers))
         subsets = stage.subset(0).subsets
         found = most_within(stage, fallen)
-        assert found and all(most <= subsets.cold_most(placer, machine, OFFERS)
-                             for (placer, machine), most in found.items()), found
+        assert found and all(
+            most <= subsets.cold_most(placer, machine, OFFERS)
+            for (placer, machine), most in found.items()
+        ), found
         assert answers["placed"] == 160
+
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
 
-def test_more_placers_than_usual_on_a_cold_machine_stay_within_its_offers_and_nothing_spins() -> None:
+def test_more_placers_than_usual_on_a_cold_machine_stay_within_its_offers_and_nothing_spins() -> (
+    None
+):
     """Three of four are killed one after the other: whoever is left has its share by rank, and no more."""
     stage = SubsetStage(machines=3, placers=4, replicas=1)
 
@@ -92,14 +105,24 @@
         before = placer.base.counts["binds"]
         answers = burst(stage, [0], 60, pace_s=0.05)
         found = most_within(stage, fallen)
-        shares = {machine.name: subsets.cold_most("placer-0", machine.name, OFFERS) for machine in fallen}
-        print("shares", shares, "answers", dict(answers), "held", placer.base.counts["held:cold_share"])
+        shares = {
+            machine.name: subsets.cold_most("placer-0", machine.name, OFFERS) for machine in fallen
+        }
+        print(
+            "shares",
+            shares,
+            "answers",
+            dict(answers),
+            "held",
+            placer.base.counts["held:cold_share"],
+        )
         assert min(shares.values()) < OFFERS // 2
         assert all(most <= shares[machine] for (_, machine), most in found.items())
         assert placer.base.counts["binds"] - before <= 60 * 2, "offers are chosen again and again"
         stage.hub.sleep(18 * S)
         assert not cold_shares(placer)._closed
         assert burst(stage, [0], 12, "warm")["placed"] == 12
+
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
@@ -126,14 +149,23 @@
         zone_falls(stage)
         assert set(cold._closed) == {machine.name}
         sights, _ = placer.hearsay.know()
-        assert {sight.machine: sight.phase for sight in sights}[machine.name] is Phase.RUNNING, "peers hear of no drain"
+        assert {sight.machine: sight.phase for sight in sights}[machine.name] is Phase.RUNNING, (
+            "peers hear of no drain"
+        )
         burst(stage, [index], 20)
         assert stage.wait(lambda: not cold._closed, 30)
-        launched = next(record.at_us for record in stage.cluster.record.records
-                        if record.what == "launch" and record.at_us > begun_us)
+        launched = next(
+            record.at_us
+            for record in stage.cluster.record.records
+            if record.what == "launch" and record.at_us > begun_us
+        )
         assert stage.hub.now_us() >= launched + 18 * S
-        assert not [record for record in stage.seen("offer") if record.where == machine.name
-                    and launched <= record.at_us < launched + 18 * S]
+        assert not [
+            record
+            for record in stage.seen("offer")
+            if record.where == machine.name and launched <= record.at_us < launched + 18 * S
+        ]
+
     stage.play(script, start=False)
 
 
@@ -152,9 +184,12 @@
         burst(stage, [0, 1, 2], 60)
         subsets = stage.subset(0).subsets
         found = most_within(stage, fallen)
-        assert found and all(most <= subsets.cold_most(placer, machine, OFFERS)
-                             for (placer, machine), most in found.items()), found
+        assert found and all(
+            most <= subsets.cold_most(placer, machine, OFFERS)
+            for (placer, machine), most in found.items()
+        ), found
         assert sum(each.base.counts["held:cold_share"] for each in stage.live()) > 0
+
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -24,9 +24,14 @@
 
 
 def node(name: str, drains: bool = False) -> dict[str, Any]:
-    return {"metadata": {"name": name}, "spec": {"unschedulable": True} if drains else {},
-            "status": {"addresses": [{"type": "InternalIP", "address": "127.0.0.1"}],
-                       "daemonEndpoints": {"kubeletEndpoint": {"Port": 10250}}}}
+    return {
+        "metadata": {"name": name},
+        "spec": {"unschedulable": True} if drains else {},
+        "status": {
+            "addresses": [{"type": "InternalIP", "address": "127.0.0.1"}],
+            "daemonEndpoints": {"kubeletEndpoint": {"Port": 10250}},
+        },
+    }
 
 
 class Listing:
@@ -40,8 +45,17 @@
         self.living = frozenset(PLACERS)
         self.delivered: list[tuple[ListForm, int, int]] = []
         self.logged: list[str] = []
-        self.reflector = Reflector(self.hub, "127.0.0.1", self.source.port, "wingbarrow/p0", random.Random(1),
-                                   machines_most, 0, self._take, self._log)
+        self.reflector = Reflector(
+            self.hub,
+            "127.0.0.1",
+            self.source.port,
+            "wingbarrow/p0",
+            random.Random(1),
+            machines_most,
+            0,
+            self._take,
+            self._log,
+        )
         self.reflector.wanted = self.wanted
 
     def wanted(self, name: str) -> bool:
@@ -60,6 +74,7 @@
             self.hub.spawn(self.reflector.run, "reflector")
             script()
             self.source.domain.kill()
+
         self.hub.run(main)
         self.source.hold.close()
 
@@ -70,7 +85,9 @@
         return done()
 
 
-def test_five_hundred_machines_that_join_within_a_second_are_held_only_where_they_are_wanted() -> None:
+def test_five_hundred_machines_that_join_within_a_second_are_held_only_where_they_are_wanted() -> (
+    None
+):
     listing = Listing()
 
     def script() -> None:
@@ -82,12 +99,17 @@
         assert listing.wait(lambda: len(listing.reflector.held) == len(want))
         reflector = listing.reflector
         assert set(reflector.held) == want and 100 <= len(want) <= 200
-        assert listing.wait(lambda: reflector.left_out == 500 - len(want)) and reflector.relists == 1
+        assert (
+            listing.wait(lambda: reflector.left_out == 500 - len(want)) and reflector.relists == 1
+        )
         assert reflector.passed_over == 500 - len(want)
-        assert sum(entries for _, entries, _ in listing.delivered) == len(want), "each is delivered once"
+        assert sum(entries for _, entries, _ in listing.delivered) == len(want), (
+            "each is delivered once"
+        )
         for number in range(500):
             listing.source.show(f"m{number}", None)
         assert listing.wait(lambda: not reflector.held and not reflector.left_out)
+
     listing.play(script)
 
 
@@ -106,10 +128,15 @@
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0)
         assert listing.reflector.watches == 1 and listing.reflector.left_out == 50 - len(want)
         listing.reflector.refill()
-        assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0), "a second one brings nothing"
+        assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0), (
+            "a second one brings nothing"
+        )
         late = sorted(want - before)[0]
         listing.source.show(late, node(late, drains=True))
-        assert listing.wait(lambda: listing.reflector.held[late].listed.phase is Phase.DRAINING), "the watch goes on"
+        assert listing.wait(lambda: listing.reflector.held[late].listed.phase is Phase.DRAINING), (
+            "the watch goes on"
+        )
+
     listing.play(script)
 
 
@@ -123,7 +150,9 @@
         assert listing.wait(lambda: listing.reflector.watches == 1)
         out = [f"m{number}" for number in range(20) if not listing.wanted(f"m{number}")]
         other = out[0]
-        for name in out[1:5]:  # the picture is later than the list that was read, by news that was passed over too
+        for name in out[
+            1:5
+        ]:  # the picture is later than the list that was read, by news that was passed over too
             listing.source.show(name, node(name, drains=True))
         serve_old = listing.source.keep_old()
         passed = listing.reflector.passed_over + len(out[1:5])
@@ -141,6 +170,7 @@
         assert listing.wait(lambda: listing.reflector.watches > watches, 20)
         listing.reflector.refill()
         assert listing.reflector.held[other].listed.phase is Phase.DRAINING
+
     listing.play(script)
 
 
@@ -155,10 +185,15 @@
         listing.living = frozenset({"p0"})
         entry = listing.source._nodes.objects[other].value
         listing.source.show(other, None)
-        assert listing.wait(lambda: (ListForm.CHANGES, 0, 1) in listing.delivered), "its end was read"
-        assert not listing.reflector._judge.judge_entry(other, int(entry["metadata"]["resourceVersion"]))
+        assert listing.wait(lambda: (ListForm.CHANGES, 0, 1) in listing.delivered), (
+            "its end was read"
+        )
+        assert not listing.reflector._judge.judge_entry(
+            other, int(entry["metadata"]["resourceVersion"])
+        )
         listing.reflector.refill()
         assert other not in listing.reflector.held and len(listing.reflector.held) == 19
+
     listing.play(script)
 
 
@@ -173,6 +208,7 @@
         listing.living = frozenset({"p0"})
         listing.reflector.refill()
         assert len(listing.reflector.held) == 8 and listing.logged.count("list-too-long") == 1
+
     listing.play(script)
 
 
@@ -202,8 +238,12 @@
             stage.cluster.set_drain(machine, True)
         stage.hub.sleep(S)
         stage.cluster.placers[2].kill()
-        assert stage.wait(lambda: any(each.subset is not None and each.subset._refills.going
-                                      for each in stage.live()), 40)
+        assert stage.wait(
+            lambda: any(
+                each.subset is not None and each.subset._refills.going for each in stage.live()
+            ),
+            40,
+        )
         if restored:
             replaced(stage.cluster.source)
         else:
@@ -219,6 +259,7 @@
             serve_old(False)
         assert stage.wait(stage.settled_subsets, 20)
         assert all(not each.subset._refills.going for each in stage.live() if each.subset)
+
     stage.play(script, start=False)
     audited = stage.audit()
     assert audited.clean and audited.accepted == 6
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -29,8 +29,11 @@
     for slot in slots:
         for other in slots:
             for machine in stage.names():
-                if (other is not slot and subsets.holds(slot.name, machine, everybody - {other.name})
-                        and not subsets.holds(slot.name, machine, everybody)):
+                if (
+                    other is not slot
+                    and subsets.holds(slot.name, machine, everybody - {other.name})
+                    and not subsets.holds(slot.name, machine, everybody)
+                ):
                     return slot, machine, other
     raise AssertionError("no machine moves")
 
@@ -39,7 +42,9 @@
     """Have a placer's module see that machine alone."""
     placer = slot.service.placer if slot.service else None
     assert placer is not None
-    placer.fleet.guards.append(lambda entry, listed: listed if entry.name == machine else _drained(listed))
+    placer.fleet.guards.append(
+        lambda entry, listed: listed if entry.name == machine else _drained(listed)
+    )
     placer.fleet.take_again(list(placer.fleet.held.values()))
 
 
@@ -64,13 +69,17 @@
     other.kill()
     assert slot.service is not None
     placer = slot.service.placer
-    assert stage.wait(lambda: machine in placer.machines.links and placer.machines.links[machine].reachable, 60)
+    assert stage.wait(
+        lambda: machine in placer.machines.links and placer.machines.links[machine].reachable, 60
+    )
     alone_there(stage, slot, machine)
     return slot, machine, other, placer.machines.links[machine]
 
 
 @pytest.mark.parametrize("drains", [False, True])
-def test_a_machine_that_leaves_with_an_attempt_out_is_followed_until_its_task_has_ended(drains: bool) -> None:
+def test_a_machine_that_leaves_with_an_attempt_out_is_followed_until_its_task_has_ended(
+    drains: bool,
+) -> None:
     """With a drain told in the same turn, too."""
     stage = SubsetStage(machines=6, placers=3, replicas=1, build=SLOW)
 
@@ -92,20 +101,29 @@
         assert stage.answer_of(slot, "later") == "refused", "nothing new goes there"
         other.start()
         stage.hub.sleep(LINGER_US + 2 * S)
-        assert placer.machines.links[machine] is link and link.reachable and machine in placer.fleet.held
+        assert (
+            placer.machines.links[machine] is link
+            and link.reachable
+            and machine in placer.fleet.held
+        )
         if drains:
             assert placer.fleet.held[machine].listed.phase is Phase.DRAINING
             stage.cluster.set_drain(standin, False)
-        assert stage.wait(lambda: stage.settled_subsets(), 60), "it is let go once its task has ended"
+        assert stage.wait(lambda: stage.settled_subsets(), 60), (
+            "it is let go once its task has ended"
+        )
         assert link.retired and not link.reachable and machine not in placer.fleet.held
         assert placer.board.nodes.objects.get(machine) is None
         stage.hub.sleep(S)
         assert not link._pool._open and not link._stop_pool._open, "its connections are closed"
+
     stage.play(script, start=False)
     assert len(stage.seen("offer")) == 1 and len(stage.seen("start")) == 1 and stage.audit().clean
 
 
-def test_a_machine_that_comes_back_in_while_it_lingers_is_sent_to_again_by_the_same_connections() -> None:
+def test_a_machine_that_comes_back_in_while_it_lingers_is_sent_to_again_by_the_same_connections() -> (
+    None
+):
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
@@ -124,11 +142,14 @@
         assert phase_of(link) is Phase.RUNNING and placer.machines.links[machine] is link
         stage.submit_to(slot, "second", runs_s=2)
         assert stage.answer_of(slot, "second") == "placed"
+
     stage.play(script, start=False)
     assert len(stage.seen("offer")) == 2 and stage.audit().clean
 
 
-def test_a_machine_is_not_let_go_while_a_stop_is_owed_to_it_or_a_task_of_this_placers_runs_there() -> None:
+def test_a_machine_is_not_let_go_while_a_stop_is_owed_to_it_or_a_task_of_this_placers_runs_there() -> (
+    None
+):
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
@@ -147,9 +168,14 @@
         stage.hub.sleep(S // 10)
         placer.desk.delete_job("default/t")
         stage.hub.sleep(15 * S)
-        assert placer.stops.owed_on(link) == 1 and subset.lingering == [machine], "the others are let go"
+        assert placer.stops.owed_on(link) == 1 and subset.lingering == [machine], (
+            "the others are let go"
+        )
         assert stage.wait(lambda: not subset.lingering, 90)
-        assert attempt.key not in {pod.name for pod in standin.pods.values() if pod.phase == "Running"}
+        assert attempt.key not in {
+            pod.name for pod in standin.pods.values() if pod.phase == "Running"
+        }
+
     stage.play(script, start=False)
     assert len(stage.seen("end")) == 1
 
@@ -163,17 +189,22 @@
         slot, machine, other, link = brought_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
         assert stage.answer_of(slot, "t") == "placed"
-        stage.hub.sleep(S + S // 10)  # the list is saved within a second where it names more machines
+        stage.hub.sleep(
+            S + S // 10
+        )  # the list is saved within a second where it names more machines
         slot.kill()
         other.start()
         stage.hub.sleep(S)
         slot.start()
         placer = slot.service.placer  # type: ignore[union-attr]
         assert placer.subset is not None and not placer.subset.holds(machine)
-        assert stage.wait(lambda: "default/t" in placer.book.jobs, 10), "its Job is made anew from what runs"
+        assert stage.wait(lambda: "default/t" in placer.book.jobs, 10), (
+            "its Job is made anew from what runs"
+        )
         assert machine in placer.subset.lingering
         assert placer.machines.links[machine].phase is Phase.DRAINING
         assert stage.wait(stage.settled_subsets, 120)
+
     stage.play(script, start=False)
     assert len(stage.seen("start")) == 1 and len(stage.seen("end")) == 1
 
@@ -192,6 +223,7 @@
             assert stage.wait(lambda name=f"more-{number}": name in placer.fleet.held, 5)
             stage.hub.sleep(S + S // 5)
             assert f"more-{number}" in {each["metadata"]["name"] for each in saved.load(folder)}
+
     stage.play(script, start=False)
 
 
@@ -210,8 +242,11 @@
         placer = slot.service.placer  # type: ignore[union-attr]
         assert stage.wait(lambda: "default/t" in placer.book.jobs, 10)
         assert placer.subset is not None and len(placer.machines.links) == 6
-        assert stage.wait(lambda: placer.subset is not None and placer.subset.lingering == [machine], 20)
+        assert stage.wait(
+            lambda: placer.subset is not None and placer.subset.lingering == [machine], 20
+        )
         assert stage.wait(stage.settled_subsets, 120)
+
     stage.play(script, start=False)
 
 
@@ -231,16 +266,21 @@
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.offered_us
-        assert offered_us is not None and not subset._may_go(link, offered_us + LINGER_US - 1), "its offer is just over"
+        assert offered_us is not None and not subset._may_go(link, offered_us + LINGER_US - 1), (
+            "its offer is just over"
+        )
         assert subset._may_go(link, offered_us + LINGER_US)
         placer.stops.owe(link, "default", "ghost", settled=lambda: False)
         assert not subset._may_go(link, offered_us + LINGER_US), "a stop is owed"
         link.reachable = False
         assert not subset._may_go(link, offered_us + 9 * LINGER_US), "it cannot tell"
+
     stage.play(script, start=False)
 
 
-def test_a_machine_is_asked_before_it_is_let_go_and_kept_while_it_holds_a_task_or_gives_no_answer() -> None:
+def test_a_machine_is_asked_before_it_is_let_go_and_kept_while_it_holds_a_task_or_gives_no_answer() -> (
+    None
+):
     """A start that was given up may be on its way there still: as long as it has not begun, no watch tells of it."""
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
@@ -257,6 +297,7 @@
             assert placer.machines.links.get(machine) is link, answers
             stage.hub.sleep(S // 10)
         assert stage.wait(lambda: machine not in placer.machines.links, 5)
+
     stage.play(script, start=False)
 
 
@@ -283,7 +324,10 @@
             assert each.hearsay.take_sights(others * 4, 0, True), "taken for a stranger"
             assert all(each.fleet.reflector.wanted(name) for name in each.hearsay._heard)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
-        assert machine not in {sight.machine for sight in placer.hearsay.know()[0]}, "it is not told to be gone"
+        assert machine not in {sight.machine for sight in placer.hearsay.know()[0]}, (
+            "it is not told to be gone"
+        )
+
     stage.play(script, start=False)
 
 
@@ -298,6 +342,7 @@
             assert out and not any(each.fleet.must_tell(name) for name in out)
             gone = next(iter(each.fleet.held))
             assert each.fleet.must_tell(gone)
+
     stage.play(script, start=False)
 
 
@@ -309,4 +354,5 @@
         rules = stage.subset(0).subsets.rules
         assert all(stage.subset(index).subsets.rules == rules for index in range(3))
         assert Subsets(rules).order("node-1") == stage.subset(1).subsets.order("node-1")
+
     stage.play(script, start=False)
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -38,13 +38,17 @@
     return placer.book.jobs[f"default/{job}"].tasks[0].machine
 
 
-def test_a_job_that_fits_nowhere_in_the_subset_is_placed_outside_it_well_within_its_patience() -> None:
+def test_a_job_that_fits_nowhere_in_the_subset_is_placed_outside_it_well_within_its_patience() -> (
+    None
+):
     stage = SubsetStage(machines=8, placers=4, replicas=1, build=TWO_TASKS, widen=2)
 
     def script() -> None:
         slot, placer, held = begun(stage)
         subset = stage.subset(INDEX)
-        subset._refills._spread_us = 10 * S  # as with a hundred placers: a list for itself must not wait so long
+        subset._refills._spread_us = (
+            10 * S
+        )  # as with a hundred placers: a list for itself must not wait so long
         subset._refills.ask()
         fill(stage, slot, len(held))
         assert subset.extra == 0, "nothing waited so long"
@@ -61,6 +65,7 @@
         assert placer.fleet.reflector.refills == refills + 1
         told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
         assert "\nwingbarrow_subset_extra_ranks 1.0\n" in told and 'subset:widened"} 1.0' in told
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
@@ -75,6 +80,7 @@
         assert stage.answer_of(slot, "more") == "refused"
         assert set(placer.fleet.held) == held and placer.fleet.reflector.refills == 0
         assert not placer.base.counts["subset:widened"]
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
@@ -102,6 +108,7 @@
         assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
         out = [name for name in stage.names() if slot.name not in subset.subsets.order(name)[:3]]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
@@ -127,12 +134,17 @@
         assert placer.fleet.reflector.refills == refills, "a step down reads no list"
         # It waits long again: the machine that is followed still is open at once.
         stage.submit_to(slot, "again", runs_s=1)
-        assert stage.answer_of(slot, "again") == "placed" and machine_of(placer, "again") not in held
+        assert (
+            stage.answer_of(slot, "again") == "placed" and machine_of(placer, "again") not in held
+        )
         assert placer.machines.links[machine] is link
         job = placer.book.jobs["default/more"]
-        assert stage.wait(lambda: not job.open, 90) and job.tasks[0].state.value == "done", "it was followed"
+        assert stage.wait(lambda: not job.open, 90) and job.tasks[0].state.value == "done", (
+            "it was followed"
+        )
         assert stage.wait(stage.settled_subsets, 60), "all are let go in the end"
         assert placer.base.counts["subset:narrowed"] == 2
+
     stage.play(script, start=False)
     assert stage.audit().clean
 
@@ -153,11 +165,17 @@
         stage.hub.sleep(S + S // 5)
         answers = burst(stage, [INDEX], 30, pace_s=0.05)
         assert subset.extra >= 1 and answers["placed"] > 0, answers
-        shares = {machine.name: subset.subsets.cold_most(slot.name, machine.name, OFFERS) for machine in others}
+        shares = {
+            machine.name: subset.subsets.cold_most(slot.name, machine.name, OFFERS)
+            for machine in others
+        }
         assert max(shares.values()) <= 2, "the ranks after the first share a quarter"
         found = most_within(stage, others)
         print("shares", shares, "found", found, "answers", dict(answers))
         assert found and all(most <= shares[machine] for (_, machine), most in found.items()), found
-        assert any(most == shares[machine] for (_, machine), most in found.items()), "no share was used up"
+        assert any(most == shares[machine] for (_, machine), most in found.items()), (
+            "no share was used up"
+        )
+
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -54,7 +54,9 @@
     assert not asked.waits.any_long(3 * S)
 
 
-def test_among_many_whose_attempts_are_out_or_who_are_more_patient_one_that_waits_long_is_found() -> None:
+def test_among_many_whose_attempts_are_out_or_who_are_more_patient_one_that_waits_long_is_found() -> (
+    None
+):
     asked = Asked()
     for _ in range(LOOKED_AT - 1):
         asked.out.add(asked.ask(0, 5 * S).request)
--- a/tests/decide/federation/made.py
+++ b/tests/decide/federation/made.py
@@ -7,30 +7,74 @@
 from wingbarrow.decide.federation import form
 from wingbarrow.decide.federation import spec as s
 
-REGIONS, SETS, NAMES, CLASSES = ("north", "south", "east"), ("d1", "d2"), ("orders", "mail"), ("web", "pay")
+REGIONS, SETS, NAMES, CLASSES = (
+    ("north", "south", "east"),
+    ("d1", "d2"),
+    ("orders", "mail"),
+    ("web", "pay"),
+)
 _SOME = st.lists(st.sampled_from(REGIONS), unique=True, max_size=3).map(tuple)
-_NEEDS = st.lists(st.builds(s.Need, st.sampled_from(SETS), st.sampled_from(s.NEAR), st.integers(0, 1),
-                            st.integers(0, 2)), unique_by=lambda each: each.dataset, max_size=2).map(tuple)
-_FAILOVERS = st.builds(s.Failover, st.lists(st.sampled_from(s.ON), unique=True, max_size=3).map(tuple),
-                       st.integers(10, 11), _SOME, st.sampled_from([50, 100]), st.integers(0, 2), st.integers(1, 2),
-                       st.integers(0, 1), st.integers(0, 1))
+_NEEDS = st.lists(
+    st.builds(
+        s.Need, st.sampled_from(SETS), st.sampled_from(s.NEAR), st.integers(0, 1), st.integers(0, 2)
+    ),
+    unique_by=lambda each: each.dataset,
+    max_size=2,
+).map(tuple)
+_FAILOVERS = st.builds(
+    s.Failover,
+    st.lists(st.sampled_from(s.ON), unique=True, max_size=3).map(tuple),
+    st.integers(10, 11),
+    _SOME,
+    st.sampled_from([50, 100]),
+    st.integers(0, 2),
+    st.integers(1, 2),
+    st.integers(0, 1),
+    st.integers(0, 1),
+)
 _BACKS = st.builds(s.Back, st.sampled_from(s.RETURNS), st.integers(0, 2), st.integers(1, 2))
-_SPECS = st.builds(s.Spec, st.just(""), _SOME, _SOME, _NEEDS, st.none() | _FAILOVERS, _BACKS, st.sampled_from(s.CUTS),
-                   st.sampled_from([50, 60]), st.sampled_from([80, 90]), st.booleans())
+_SPECS = st.builds(
+    s.Spec,
+    st.just(""),
+    _SOME,
+    _SOME,
+    _NEEDS,
+    st.none() | _FAILOVERS,
+    _BACKS,
+    st.sampled_from(s.CUTS),
+    st.sampled_from([50, 60]),
+    st.sampled_from([80, 90]),
+    st.booleans(),
+)
 
 
 def _named(parts: tuple[dict[str, s.Spec], dict[str, s.DataSet], dict[str, str]]) -> s.Federation:
     specs, sets, uses = parts
-    return form.normal(s.Federation(
-        tuple(s.Spec(name, *(getattr(each, part) for part in s.Spec.__slots__[1:])) for name, each in specs.items()),
-        tuple(s.DataSet(name, each.copies, each.stays) for name, each in sets.items()), tuple(uses.items())))
+    return form.normal(
+        s.Federation(
+            tuple(
+                s.Spec(name, *(getattr(each, part) for part in s.Spec.__slots__[1:]))
+                for name, each in specs.items()
+            ),
+            tuple(s.DataSet(name, each.copies, each.stays) for name, each in sets.items()),
+            tuple(uses.items()),
+        )
+    )
 
 
-_DATASETS = st.builds(s.DataSet, st.just(""), st.dictionaries(st.sampled_from(REGIONS), st.integers(0, 2)).map(
-    lambda found: tuple(found.items())), _SOME)
-FEDERATIONS = st.tuples(st.dictionaries(st.sampled_from(NAMES), _SPECS),
-                        st.dictionaries(st.sampled_from(SETS), _DATASETS),
-                        st.dictionaries(st.sampled_from(CLASSES), st.sampled_from(NAMES))).map(_named)
+_DATASETS = st.builds(
+    s.DataSet,
+    st.just(""),
+    st.dictionaries(st.sampled_from(REGIONS), st.integers(0, 2)).map(
+        lambda found: tuple(found.items())
+    ),
+    _SOME,
+)
+FEDERATIONS = st.tuples(
+    st.dictionaries(st.sampled_from(NAMES), _SPECS),
+    st.dictionaries(st.sampled_from(SETS), _DATASETS),
+    st.dictionaries(st.sampled_from(CLASSES), st.sampled_from(NAMES)),
+).map(_named)
 
 
 # A leased run does nothing that one without a lease may not do; the other way round it may not go on for ever.
@@ -62,12 +106,18 @@
                 for on in over.on:
                     for after in range(over.after_us, 13):
                         for home in REGIONS:
-                            out |= {(*who, "goes over on", on, "after", after, home, region)
-                                    for region in spec.targets(home) if region in can}
+                            out |= {
+                                (*who, "goes over on", on, "after", after, home, region)
+                                for region in spec.targets(home)
+                                if region in can
+                            }
             if spec.back.when != "never":
-                for when in s.RETURNS[1:s.RETURNS.index(spec.back.when) + 1]:
-                    out |= {(*who, "returns", when, stable, pace) for stable in range(spec.back.stable_us, 4)
-                            for pace in range(1, spec.back.pace + 1)}
+                for when in s.RETURNS[1 : s.RETURNS.index(spec.back.when) + 1]:
+                    out |= {
+                        (*who, "returns", when, stable, pace)
+                        for stable in range(spec.back.stable_us, 4)
+                        for pace in range(1, spec.back.pace + 1)
+                    }
     return out
 
 
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -19,7 +19,9 @@
 
 
 @given(FEDERATIONS, FEDERATIONS)
-def test_the_meet_allows_no_run_and_no_move_that_either_forbids(a: s.Federation, b: s.Federation) -> None:
+def test_the_meet_allows_no_run_and_no_move_that_either_forbids(
+    a: s.Federation, b: s.Federation
+) -> None:
     met = compare.meet(a, b)
     assert allowed_acts(met) <= allowed_acts(a) & allowed_acts(b)
     assert compare.within(met, a) and compare.within(met, b)
@@ -28,8 +30,9 @@
 
 
 @given(FEDERATIONS, FEDERATIONS, FEDERATIONS)
-def test_it_is_an_order_and_the_meet_is_the_most_that_both_allow(a: s.Federation, b: s.Federation,
-                                                                 c: s.Federation) -> None:
+def test_it_is_an_order_and_the_meet_is_the_most_that_both_allow(
+    a: s.Federation, b: s.Federation, c: s.Federation
+) -> None:
     assert compare.within(a, a)
     met = compare.meet(a, b)
     if compare.within(a, b):
@@ -53,13 +56,24 @@
 
 
 def _rules(federation: s.Federation, effect: str = "safe") -> r.RuleSet:
-    return r.normal(r.RuleSet((r.ClassRules("web", "safe", "none", 0), r.ClassRules("pay", effect, "none", 0)), 4, 18,
-                              2, (), 250, (), federation=federation))
+    return r.normal(
+        r.RuleSet(
+            (r.ClassRules("web", "safe", "none", 0), r.ClassRules("pay", effect, "none", 0)),
+            4,
+            18,
+            2,
+            (),
+            250,
+            (),
+            federation=federation,
+        )
+    )
 
 
 @given(FEDERATIONS, FEDERATIONS, st.sampled_from(r.EFFECTS), st.sampled_from(r.EFFECTS))
-def test_between_two_that_keep_never_twice_work_so_does_the_meet(a: s.Federation, b: s.Federation, one: str,
-                                                                 other: str) -> None:
+def test_between_two_that_keep_never_twice_work_so_does_the_meet(
+    a: s.Federation, b: s.Federation, one: str, other: str
+) -> None:
     both = [_rules(_slow(a), one), _rules(_slow(b), other)]
     if not any(r.check(each) for each in both):
         assert not r.check(r.meet(*both))
@@ -67,15 +81,28 @@
 
 def _slow(federation: s.Federation) -> s.Federation:
     """With times after which a lease is proved to be over."""
-    return replace(federation, specs=tuple(replace(each, failover=each.failover and replace(
-        each.failover, after_us=each.failover.after_us * 1_000_000)) for each in federation.specs))
+    return replace(
+        federation,
+        specs=tuple(
+            replace(
+                each,
+                failover=each.failover
+                and replace(each.failover, after_us=each.failover.after_us * 1_000_000),
+            )
+            for each in federation.specs
+        ),
+    )
 
 
 def test_a_proposal_by_which_never_twice_work_goes_over_on_a_suspicion_is_refused() -> None:
     over = s.Failover(("refusing",), 30_000_000, refusing_us=20_000_000)
-    federation = s.Federation((s.Spec("orders", ("north", "south"), failover=over),), (), (("pay", "orders"),))
+    federation = s.Federation(
+        (s.Spec("orders", ("north", "south"), failover=over),), (), (("pay", "orders"),)
+    )
     assert r.read(_rules(federation, "keyed").text())
-    with pytest.raises(r.BadRules, match="pay: federation orders fails over on \"refusing\", a suspicion"):
+    with pytest.raises(
+        r.BadRules, match='pay: federation orders fails over on "refusing", a suspicion'
+    ):
         r.read(_rules(federation, "unsafe").text())
 
 
@@ -101,7 +128,9 @@
     between = step.spec_for("web")
     assert between is not None and between.name == s.BOTH + "web" and between.regions == ()
     named = step.spec_for("pay", s.BOTH + "web")
-    assert named is not None and named.regions == (), "a Job that names what stands between versions is refused"
+    assert named is not None and named.regions == (), (
+        "a Job that names what stands between versions is refused"
+    )
     unnamed = met.spec_for("web", "nobody")
     assert unnamed is not None and unnamed.regions == ()
 
@@ -116,16 +145,20 @@
 def test_a_meet_that_leaves_out_a_part_is_found(part: str, monkeypatch: pytest.MonkeyPatch) -> None:
     found = _sample()
     monkeypatch.setattr(compare, "spec_meet", _keeps(part))
-    assert any(not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
-               for a, b in zip(found, found[1:], strict=False))
+    assert any(
+        not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
+        for a, b in zip(found, found[1:], strict=False)
+    )
 
 
 def test_a_residency_that_is_lost_in_the_meet_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     right = compare.dataset_meet
     monkeypatch.setattr(compare, "dataset_meet", lambda a, b: replace(right(a, b) or a, stays=()))
     found = _sample()
-    assert any(not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
-               for a, b in zip(found, found[1:], strict=False))
+    assert any(
+        not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
+        for a, b in zip(found, found[1:], strict=False)
+    )
 
 
 def _sample() -> list[s.Federation]:
@@ -135,22 +168,49 @@
     out = []
     for _ in range(400):
         regions = tuple(rng.sample(("north", "south", "east"), rng.randint(1, 3)))
-        needs = tuple(s.Need(name, rng.choice(s.NEAR)) for name in ("d1", "d2") if rng.random() < 0.3)
-        spec = s.Spec("orders", regions, (), needs, rng.choice([None, over, replace(over, on=("lost",), after_us=11)]),
-                      s.Back(rng.choice(s.RETURNS)), rng.choice(s.CUTS))
-        sets = tuple(s.DataSet(name, tuple((region, 0) for region in ("north", "south", "east")),
-                               tuple(rng.sample(("east", "north"), rng.randint(0, 2)))) for name in ("d1", "d2"))
+        needs = tuple(
+            s.Need(name, rng.choice(s.NEAR)) for name in ("d1", "d2") if rng.random() < 0.3
+        )
+        spec = s.Spec(
+            "orders",
+            regions,
+            (),
+            needs,
+            rng.choice([None, over, replace(over, on=("lost",), after_us=11)]),
+            s.Back(rng.choice(s.RETURNS)),
+            rng.choice(s.CUTS),
+        )
+        sets = tuple(
+            s.DataSet(
+                name,
+                tuple((region, 0) for region in ("north", "south", "east")),
+                tuple(rng.sample(("east", "north"), rng.randint(0, 2))),
+            )
+            for name in ("d1", "d2")
+        )
         out.append(form.normal(s.Federation((spec,), sets, (("web", "orders"),))))
     return out
 
 
-@pytest.mark.parametrize(("text", "words"), [
-    ("S orders 0 - - - n/0/1 c 60 90 r;", "no federation"), ("X;", "kind X"), ("R north", "cut off"),
-    ("R north;S a 0 - - - n/0/1 c 90 60 r;", "spec a"), ("R north;S a 0 - - - z/0/1 c 60 90 r;", "none of never"),
-    ("R north;D a 0=2x -;", "no time"), ("R no\"rth;D a 0=0 -;", "is wanted"), ("D a 0=0 -;", "no federation"),
-    ("R north;D a 0=0 -;D a 0=0 -;", "twice"),
-    ("U web a;U web b;", "two specs"), ("R north;S a 0,0 - - - n/0/1 c 60 90 r;", "spec a"), ("D a;", "no federation"),
-    ("R north;S a 0 - - l/1s/-/0/0/1/0/0 n/0/1 c 60 90 r;", "spec a"), ("x" * (form.FEDERATION_MOST + 1), "the most")])
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        ("S orders 0 - - - n/0/1 c 60 90 r;", "no federation"),
+        ("X;", "kind X"),
+        ("R north", "cut off"),
+        ("R north;S a 0 - - - n/0/1 c 90 60 r;", "spec a"),
+        ("R north;S a 0 - - - z/0/1 c 60 90 r;", "none of never"),
+        ("R north;D a 0=2x -;", "no time"),
+        ('R no"rth;D a 0=0 -;', "is wanted"),
+        ("D a 0=0 -;", "no federation"),
+        ("R north;D a 0=0 -;D a 0=0 -;", "twice"),
+        ("U web a;U web b;", "two specs"),
+        ("R north;S a 0,0 - - - n/0/1 c 60 90 r;", "spec a"),
+        ("D a;", "no federation"),
+        ("R north;S a 0 - - l/1s/-/0/0/1/0/0 n/0/1 c 60 90 r;", "spec a"),
+        ("x" * (form.FEDERATION_MOST + 1), "the most"),
+    ],
+)
 def test_texts_that_are_none_are_refused_with_words(text: str, words: str) -> None:
     with pytest.raises(form.BadFederation, match=words):
         form.read(text)
--- a/tests/decide/federation/test_room.py
+++ b/tests/decide/federation/test_room.py
@@ -15,10 +15,23 @@
 MAIL = s.Spec("mail", ("north", "south", "east"), failover=OVER)
 
 
-@given(st.lists(st.tuples(st.integers(0, 12), st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 8)), max_size=3,
-                                                       unique_by=lambda each: each[0])), max_size=3),
-       st.dictionaries(st.sampled_from("abc"), st.integers(0, 9)))
-def test_as_much_as_can_be_had_finds_room(needs: list[tuple[int, list[tuple[str, int]]]], free: dict[str, int]) -> None:
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 12),
+            st.lists(
+                st.tuples(st.sampled_from("abc"), st.integers(0, 8)),
+                max_size=3,
+                unique_by=lambda each: each[0],
+            ),
+        ),
+        max_size=3,
+    ),
+    st.dictionaries(st.sampled_from("abc"), st.integers(0, 9)),
+)
+def test_as_much_as_can_be_had_finds_room(
+    needs: list[tuple[int, list[tuple[str, int]]]], free: dict[str, int]
+) -> None:
     loads = [room.Load(str(at), need, tuple(most)) for at, (need, most) in enumerate(needs)]
     dealt = room.deal(loads, free)
     for load in loads:
@@ -28,32 +41,58 @@
         assert sum(amount for (_, where), amount in dealt.items() if where == place) <= has
     # The most that can be had is the least over all ways to part loads and places (max-flow, min-cut).
     names = [load.name for load in loads]
-    least = min(sum(load.need for load in loads if load.name not in cut)
-                + sum(free[place] for place in free if place in places)
-                + sum(min(most, free.get(place, 0)) for load in loads if load.name in cut
-                      for place, most in load.most if place not in places)
-                for size in range(len(names) + 1) for cut in itertools.combinations(names, size)
-                for many in range(len(free) + 1) for places in itertools.combinations(sorted(free), many))
+    least = min(
+        sum(load.need for load in loads if load.name not in cut)
+        + sum(free[place] for place in free if place in places)
+        + sum(
+            min(most, free.get(place, 0))
+            for load in loads
+            if load.name in cut
+            for place, most in load.most
+            if place not in places
+        )
+        for size in range(len(names) + 1)
+        for cut in itertools.combinations(names, size)
+        for many in range(len(free) + 1)
+        for places in itertools.combinations(sorted(free), many)
+    )
     assert sum(dealt.values()) == least
 
 
 def test_each_region_holds_back_for_the_worst_single_loss() -> None:
     rooms = {"north": (50.0, 200.0), "south": (40.0, 200.0), "east": (40.0, 40.0)}
-    held = room.held_back(s.Federation((MAIL, ORDERS)), rooms, {
-        ("orders", "north"): (30.0, 60.0), ("mail", "north"): (30.0, 30.0), ("mail", "south"): (20.0, 20.0)})
-    assert held.room == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)} and not held.short
+    held = room.held_back(
+        s.Federation((MAIL, ORDERS)),
+        rooms,
+        {
+            ("orders", "north"): (30.0, 60.0),
+            ("mail", "north"): (30.0, 30.0),
+            ("mail", "south"): (20.0, 20.0),
+        },
+    )
+    assert (
+        held.room == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)}
+        and not held.short
+    )
 
 
 def test_what_has_no_room_is_told() -> None:
-    held = room.held_back(s.Federation((ORDERS,)), {"north": (50.0, 200.0), "south": (20.0, 200.0)},
-                          {("orders", "north"): (30.0, 60.0)})
+    held = room.held_back(
+        s.Federation((ORDERS,)),
+        {"north": (50.0, 200.0), "south": (20.0, 200.0)},
+        {("orders", "north"): (30.0, 60.0)},
+    )
     assert held.room["south"] == (20.0, 60.0)
     assert held.short == (room.Short("orders", "north", 10.0, 0.0),)
 
 
 def test_a_share_of_room_and_what_a_spec_says_of_itself() -> None:
-    spec = s.Spec("orders", ("north", "south"), failover=s.Failover(("lost",), 1, room=50, cores=30, mib=2048))
-    held = room.held_back(s.Federation((spec,)), {"north": (50.0, 200.0), "south": (40.0, 200.0)}, {})
+    spec = s.Spec(
+        "orders", ("north", "south"), failover=s.Failover(("lost",), 1, room=50, cores=30, mib=2048)
+    )
+    held = room.held_back(
+        s.Federation((spec,)), {"north": (50.0, 200.0), "south": (40.0, 200.0)}, {}
+    )
     assert held.room == {"north": (0.0, 0.0), "south": (20.0, 2.0)}
     assert held.short == (room.Short("orders", "north", 10.0, 0.0),)
 
@@ -61,7 +100,11 @@
 def test_nothing_is_held_for_what_does_not_fail_over_or_may_not_be_there() -> None:
     stays = s.Spec("orders", ("north", "south"))
     near = s.Spec("mail", ("north", "south"), data=(s.Need("stock", "required"),), failover=OVER)
-    held = room.held_back(s.Federation((near, stays), (s.DataSet("stock", (("north", 0),)),)),
-                          {"north": (50.0, 200.0), "south": (40.0, 200.0)},
-                          {("orders", "north"): (30.0, 60.0), ("mail", "north"): (5.0, 5.0)})
-    assert held.room["south"] == (0.0, 0.0) and held.short == (room.Short("mail", "north", 5.0, 5.0),)
+    held = room.held_back(
+        s.Federation((near, stays), (s.DataSet("stock", (("north", 0),)),)),
+        {"north": (50.0, 200.0), "south": (40.0, 200.0)},
+        {("orders", "north"): (30.0, 60.0), ("mail", "north"): (5.0, 5.0)},
+    )
+    assert held.room["south"] == (0.0, 0.0) and held.short == (
+        room.Short("mail", "north", 5.0, 5.0),
+    )
--- a/tests/decide/federation/test_route.py
+++ b/tests/decide/federation/test_route.py
@@ -13,23 +13,32 @@
 from wingbarrow.decide.federation import route as ro
 from wingbarrow.decide.federation import spec as s
 
-SPEC = s.Spec("orders", ("north", "south", "east"), failover=s.Failover(("lost", "refusing"), 30_000_000,
-                                                                        refusing_us=20_000_000))
+SPEC = s.Spec(
+    "orders",
+    ("north", "south", "east"),
+    failover=s.Failover(("lost", "refusing"), 30_000_000, refusing_us=20_000_000),
+)
 ALONE = s.Federation((SPEC,))
 NEW = ro.Wanted(2.0, 4.0, "safe", "north")
 
 
 def news(**more: float) -> dict[str, ro.RegionNews]:
     """Each region at a load, well and young."""
-    return {region: ro.RegionNews(region, 700_000, more.get(region, 0.1), 100.0, 400.0, stable_us=1 << 40)
-            for region in REGIONS}
+    return {
+        region: ro.RegionNews(
+            region, 700_000, more.get(region, 0.1), 100.0, 400.0, stable_us=1 << 40
+        )
+        for region in REGIONS
+    }
 
 
 def told(region: str, known: dict[str, ro.RegionNews], **more: object) -> dict[str, ro.RegionNews]:
     return {**known, region: replace(known[region], **more)}  # type: ignore[arg-type]
 
 
-def share(known: dict[str, ro.RegionNews], spec: s.Spec = SPEC, wanted: ro.Wanted = NEW) -> dict[str, float]:
+def share(
+    known: dict[str, ro.RegionNews], spec: s.Spec = SPEC, wanted: ro.Wanted = NEW
+) -> dict[str, float]:
     """How often each region is chosen, over a thousand draws."""
     out: dict[str, float] = {}
     for step in range(1000):
@@ -41,9 +50,13 @@
 def test_the_nearer_region_is_kept_and_work_goes_over_with_a_chance_that_rises_linearly() -> None:
     assert share(news(north=0.59)) == {"north": 1.0}, "below the lower threshold nothing goes over"
     assert share(news(north=0.69)) == {"north": 0.7, "south": 0.3}
-    assert share(news(north=0.75, south=0.7)) == {"north": 0.5, "east": 0.5}, "only to one that is below its lower"
+    assert share(news(north=0.75, south=0.7)) == {"north": 0.5, "east": 0.5}, (
+        "only to one that is below its lower"
+    )
     assert share(news(north=0.95)) == {"south": 1.0}
-    assert share(news(north=0.95, south=0.6, east=0.61)) == {"north": 1.0}, "nobody has room to spare"
+    assert share(news(north=0.95, south=0.6, east=0.61)) == {"north": 1.0}, (
+        "nobody has room to spare"
+    )
 
 
 def test_where_it_does_not_fit_it_goes_where_it_does() -> None:
@@ -53,50 +66,76 @@
     assert share(full) == {"north": 1.0}, "its own door says the rest"
     choice = ro.choose(SPEC, ALONE, replace(NEW, here="west"), full, 0.5)
     assert choice.region == "" and choice.reason == (
-        "of north, south, east none will do (north: no room; south: no room; east: no room)")
+        "of north, south, east none will do (north: no room; south: no room; east: no room)"
+    )
     held = told("north", news(), held_cores=99.0)
     assert share(held) == {"south": 1.0}, "room that is held back is none for new work"
 
 
 def test_regions_that_are_lost_closed_refusing_or_unknown() -> None:
     for more in ({"lost": True}, {"closed": True}, {"refusing_us": 1}, {"age_us": ro.KNOWN_US + 1}):
-        assert ro.choose(SPEC, ALONE, replace(NEW, here="west"), told("north", news(), **more), 0.0).region == "south"
+        assert (
+            ro.choose(
+                SPEC, ALONE, replace(NEW, here="west"), told("north", news(), **more), 0.0
+            ).region
+            == "south"
+        )
     assert ro.choose(SPEC, ALONE, NEW, {}, 0.0).region == "north", "who stands in it knows it"
     only = replace(SPEC, regions=("south",))
     refused = ro.choose(only, s.Federation((only,)), NEW, told("south", news(), closed=True), 0.0)
     assert refused == ro.Choice("", "of south none will do (south: closed for work)")
     nowhere = replace(SPEC, regions=())
-    assert ro.choose(nowhere, s.Federation((nowhere,)), NEW, news(), 0.0).reason == "spec 'orders' allows no region"
+    assert (
+        ro.choose(nowhere, s.Federation((nowhere,)), NEW, news(), 0.0).reason
+        == "spec 'orders' allows no region"
+    )
 
 
 def test_data_that_is_required_and_a_copy_that_falls_behind() -> None:
     spec = replace(SPEC, data=(s.Need("stock", "required", 10, 5_000_000),))
-    federation = s.Federation((spec,), (s.DataSet("stock", (("south", 0), ("east", 4_000_000)), ()),))
+    federation = s.Federation(
+        (spec,), (s.DataSet("stock", (("south", 0), ("east", 4_000_000)), ()),)
+    )
     assert ro.choose(spec, federation, NEW, news(north=0.0), 0.99).region == "south"
     behind = told("south", news(), behind=(("stock", 5_000_001),))
     assert ro.choose(spec, federation, NEW, behind, 0.99).region == "east"
     both = told("east", behind, behind=(("stock", 6_000_000),))
     assert ro.choose(spec, federation, NEW, both, 0.99).reason == (
         "of south, east none will do (south: its copy of 'stock' is 5 s behind; "
-        "east: its copy of 'stock' is 6 s behind)")
+        "east: its copy of 'stock' is 6 s behind)"
+    )
     lost = ro.Wanted(2.0, 4.0, "safe", "south", "failover")
     assert ro.choose(spec, federation, lost, told("south", news(), lost=True), 0.0).region == "east"
-    assert ro.choose(spec, federation, lost, told("east", news(), behind=(("stock", 6_000_000),)), 0.0).region == ""
+    assert (
+        ro.choose(
+            spec, federation, lost, told("east", news(), behind=(("stock", 6_000_000),)), 0.0
+        ).region
+        == ""
+    )
     resident = replace(federation, datasets=(replace(federation.datasets[0], stays=("south",)),))
-    assert ro.choose(spec, resident, lost, news(), 0.0).region == "", "residency holds under failover too"
+    assert ro.choose(spec, resident, lost, news(), 0.0).region == "", (
+        "residency holds under failover too"
+    )
 
 
 def test_wanted_data_are_nearer_than_a_preferred_region() -> None:
     spec = replace(SPEC, data=(s.Need("stock", "wanted", 10), s.Need("logs", "wanted", 1)))
-    federation = s.Federation((spec,), (s.DataSet("stock", (("east", 0),)), s.DataSet("logs", (("south", 0),))))
+    federation = s.Federation(
+        (spec,), (s.DataSet("stock", (("east", 0),)), s.DataSet("logs", (("south", 0),)))
+    )
     assert ro.choose(spec, federation, NEW, news(), 0.99).region == "east"
-    assert ro.choose(spec, federation, NEW, told("east", news(), closed=True), 0.99).region == "south"
+    assert (
+        ro.choose(spec, federation, NEW, told("east", news(), closed=True), 0.99).region == "south"
+    )
 
 
 def test_where_all_are_equal_it_stays_where_it_is_asked_for() -> None:
     spec = replace(SPEC, ranked=False)
     for here in REGIONS:
-        assert ro.choose(spec, s.Federation((spec,)), replace(NEW, here=here), news(), 0.5).region == here
+        assert (
+            ro.choose(spec, s.Federation((spec,)), replace(NEW, here=here), news(), 0.5).region
+            == here
+        )
 
 
 def test_failover_goes_to_its_targets_within_its_share_of_their_room() -> None:
@@ -105,23 +144,36 @@
     federation = s.Federation((spec,))
     lost = ro.Wanted(10.0, 1.0, "safe", "north", "failover")
     known = told("north", news(east=0.95), lost=True)
-    assert ro.choose(spec, federation, lost, known, 0.0).region == "east", "thresholds are for new work"
+    assert ro.choose(spec, federation, lost, known, 0.0).region == "east", (
+        "thresholds are for new work"
+    )
     held = told("east", known, held_cores=100.0)
-    assert ro.choose(spec, federation, lost, held, 0.0).region == "east", "what is held back is for this"
+    assert ro.choose(spec, federation, lost, held, 0.0).region == "east", (
+        "what is held back is for this"
+    )
     took = replace(lost, taken=(("east", 41.0, 1.0),))
     after = told("east", known, cores=59.0)
-    assert ro.choose(spec, federation, took, after, 0.0).region == "south", "41 of 100 and 10 more are above its share"
+    assert ro.choose(spec, federation, took, after, 0.0).region == "south", (
+        "41 of 100 and 10 more are above its share"
+    )
     none = ro.choose(spec, federation, took, told("south", after, closed=True), 0.0)
-    assert none.reason == ("of north, south, east none will do (south: closed for work; "
-                           "east: no room within 50% of what it has free)")
+    assert none.reason == (
+        "of north, south, east none will do (south: closed for work; "
+        "east: no room within 50% of what it has free)"
+    )
     unled = replace(spec, failover=None)
-    assert ro.choose(unled, s.Federation((unled,)), lost, known, 0.0).reason == "spec 'orders' has no failover"
+    assert (
+        ro.choose(unled, s.Federation((unled,)), lost, known, 0.0).reason
+        == "spec 'orders' has no failover"
+    )
 
 
 def test_when_a_failover_is_due() -> None:
     assert ro.due(SPEC, "lost", 30_000_000) and not ro.due(SPEC, "lost", 29_999_999)
     assert ro.due(SPEC, "refusing", 50_000_000) and not ro.due(SPEC, "refusing", 49_999_999)
-    assert not ro.due(SPEC, "closed", 1 << 40) and not ro.due(replace(SPEC, failover=None), "lost", 1 << 40)
+    assert not ro.due(SPEC, "closed", 1 << 40) and not ro.due(
+        replace(SPEC, failover=None), "lost", 1 << 40
+    )
 
 
 def test_return_to_a_region_that_is_well_for_long_enough_and_has_room() -> None:
@@ -132,23 +184,49 @@
     young = told("north", news(), stable_us=599_999_999)
     assert ro.choose(spec, federation, away, young, 0.0).region == "south"
     busy = told("south", young, load=0.6)
-    assert ro.choose(spec, federation, away, busy, 0.0) == ro.Choice("east", (
-        "of north, south, east none will do (north: well for 600 s only; south: at 60 of 100)"))
+    assert ro.choose(spec, federation, away, busy, 0.0) == ro.Choice(
+        "east",
+        ("of north, south, east none will do (north: well for 600 s only; south: at 60 of 100)"),
+    )
     assert ro.choose(spec, federation, replace(away, effect="unsafe"), news(), 0.0).region == "east"
     assert ro.choose(SPEC, ALONE, away, news(), 0.0) == ro.Choice("east", "it never returns")
     assert ro.choose(spec, federation, replace(away, here="north"), news(), 0.0).region == "north"
 
 
 LOADS = st.sampled_from([0.0, 0.55, 0.7, 0.85, 1.2])
-NEWS = st.dictionaries(st.sampled_from(REGIONS), st.builds(
-    ro.RegionNews, st.just(""), st.sampled_from([0, ro.KNOWN_US + 1]), LOADS, st.sampled_from([0.0, 2.0, 50.0]),
-    st.just(50.0), st.booleans(), st.booleans(), st.sampled_from([0, 5]), st.sampled_from([0, 5])))
-
-
-@given(FEDERATIONS, NEWS, st.sampled_from(REGIONS), st.sampled_from(["new", "failover", "back"]),
-       st.floats(0, 1, exclude_max=True), st.sampled_from(["safe", "keyed", "unsafe"]))
-def test_nothing_is_chosen_that_is_not_allowed(federation: s.Federation, known: dict[str, ro.RegionNews], here: str,
-                                               why: str, draw: float, effect: str) -> None:
+NEWS = st.dictionaries(
+    st.sampled_from(REGIONS),
+    st.builds(
+        ro.RegionNews,
+        st.just(""),
+        st.sampled_from([0, ro.KNOWN_US + 1]),
+        LOADS,
+        st.sampled_from([0.0, 2.0, 50.0]),
+        st.just(50.0),
+        st.booleans(),
+        st.booleans(),
+        st.sampled_from([0, 5]),
+        st.sampled_from([0, 5]),
+    ),
+)
+
+
+@given(
+    FEDERATIONS,
+    NEWS,
+    st.sampled_from(REGIONS),
+    st.sampled_from(["new", "failover", "back"]),
+    st.floats(0, 1, exclude_max=True),
+    st.sampled_from(["safe", "keyed", "unsafe"]),
+)
+def test_nothing_is_chosen_that_is_not_allowed(
+    federation: s.Federation,
+    known: dict[str, ro.RegionNews],
+    here: str,
+    why: str,
+    draw: float,
+    effect: str,
+) -> None:
     known = {region: replace(each, region=region) for region, each in known.items()}
     for spec in federation.specs:
         choice = ro.choose(spec, federation, ro.Wanted(2.0, 2.0, effect, here, why), known, draw)
@@ -165,8 +243,13 @@
 def test_a_thousand_choices_are_the_same_for_the_same_draws() -> None:
     def play() -> list[str]:
         rng = random.Random(41)
-        return [ro.choose(SPEC, ALONE, NEW, news(north=rng.random(), south=rng.random()), rng.random()).region
-                for _ in range(1000)]
+        return [
+            ro.choose(
+                SPEC, ALONE, NEW, news(north=rng.random(), south=rng.random()), rng.random()
+            ).region
+            for _ in range(1000)
+        ]
+
     first = play()
     assert first == play() and set(first) == set(REGIONS)
 
@@ -174,5 +257,8 @@
 @pytest.mark.parametrize("lower", [0, 50])
 def test_thresholds_are_the_specs(lower: int) -> None:
     found = share(news(north=0.75, south=0.0, east=0.0), replace(SPEC, lower=lower, upper=100))
-    assert found.get("north", 0.0) == pytest.approx((100 - 75) / (100 - lower), abs=0.002) or lower == 0
+    assert (
+        found.get("north", 0.0) == pytest.approx((100 - 75) / (100 - lower), abs=0.002)
+        or lower == 0
+    )
     assert lower or found == {"north": 1.0}, "no load is below nothing"
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -20,38 +20,68 @@
 
 def whole_file(after_s: int = 30) -> str:
     """256 specs and 1,024 data sets of plausible size, as a file says them."""
-    out = ['placer "a" region="eu-north-1"', 'list-source "10.0.0.5" port=8001', 'state "state"', "agree {"]
-    out += [f'    {"voter" if at < 3 else "member"} "{chr(97 + at)}" region="{name}"' for at, name in enumerate(PLACES)]
+    out = [
+        'placer "a" region="eu-north-1"',
+        'list-source "10.0.0.5" port=8001',
+        'state "state"',
+        "agree {",
+    ]
+    out += [
+        f'    {"voter" if at < 3 else "member"} "{chr(97 + at)}" region="{name}"'
+        for at, name in enumerate(PLACES)
+    ]
     out += ["}", 'kind "s" cores=24 memory="48Gi"', 'class "web" effect="safe" patience="5s"']
     for at in range(s.DATASETS_MOST):
         three = [PLACES[(at + step) % 6] for step in range(3)]
-        out += [f'dataset "team-{at % 40:02}-table-{at:04}" {{',
-                *(f'    copy "{name}" behind="{step * (30 + at % 7)}s"' for step, name in enumerate(three)),
-                *(["    stays " + " ".join(f'"{name}"' for name in three)] if at % 4 == 0 else []), "}"]
+        out += [
+            f'dataset "team-{at % 40:02}-table-{at:04}" {{',
+            *(
+                f'    copy "{name}" behind="{step * (30 + at % 7)}s"'
+                for step, name in enumerate(three)
+            ),
+            *(["    stays " + " ".join(f'"{name}"' for name in three)] if at % 4 == 0 else []),
+            "}",
+        ]
     for at in range(s.SPECS_MOST):
         data = at * 4 + 1
-        out += [f'federation "team-{at % 40:02}-service-{at:03}" {{',
-                "    prefer " + " ".join(f'"{PLACES[(data + step) % 6]}"' for step in range(3)),
-                f'    forbid "{PLACES[(data + 3) % 6]}"',
-                f'    reads "team-{data % 40:02}-table-{data:04}" near="required" much="40Gi" behind="5m"',
-                f'    reads "team-{(data + 1) % 40:02}-table-{data + 1:04}" much="4Gi" behind="5m"',
-                f'    failover "lost" "closed" after="{after_s + at % 3}s" room=50 cores=100 memory="400Gi"',
-                '    back "stable" after="10m" pace=2', "    over lower=50 upper=80", "}"]
+        out += [
+            f'federation "team-{at % 40:02}-service-{at:03}" {{',
+            "    prefer " + " ".join(f'"{PLACES[(data + step) % 6]}"' for step in range(3)),
+            f'    forbid "{PLACES[(data + 3) % 6]}"',
+            f'    reads "team-{data % 40:02}-table-{data:04}" near="required" much="40Gi" behind="5m"',
+            f'    reads "team-{(data + 1) % 40:02}-table-{data + 1:04}" much="4Gi" behind="5m"',
+            f'    failover "lost" "closed" after="{after_s + at % 3}s" room=50 cores=100 memory="400Gi"',
+            '    back "stable" after="10m" pace=2',
+            "    over lower=50 upper=80",
+            "}",
+        ]
     out += [f'room "{name}" cores=40000 memory="400Ti"' for name in PLACES]
     return "\n".join(out)
 
 
 def test_the_most_specs_and_data_sets_are_checked_and_agreed_on() -> None:
     rules = rules_of(load_text(whole_file()))
-    assert (len(rules.federation.specs), len(rules.federation.datasets)) == (s.SPECS_MOST, s.DATASETS_MOST)
+    assert (len(rules.federation.specs), len(rules.federation.datasets)) == (
+        s.SPECS_MOST,
+        s.DATASETS_MOST,
+    )
     text = rules.text()
-    assert r.read(text) == rules and len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
+    assert (
+        r.read(text) == rules and len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
+    )
 
 
 def test_a_text_too_long_is_refused() -> None:
-    federation = form.normal(s.Federation((), tuple(s.DataSet(f"{'d' * 110}-{at}", (("north", 0),))
-                                                    for at in range(1024))))
-    rules = r.normal(r.RuleSet((r.ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (), federation=federation))
+    federation = form.normal(
+        s.Federation(
+            (), tuple(s.DataSet(f"{'d' * 110}-{at}", (("north", 0),)) for at in range(1024))
+        )
+    )
+    rules = r.normal(
+        r.RuleSet(
+            (r.ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (), federation=federation
+        )
+    )
     with pytest.raises(r.BadRules, match="characters of specs and data sets"):
         r.read(rules.text())
 
@@ -59,12 +89,32 @@
 def _large(turn: int, names: int = 4000) -> r.RuleSet:
     """As long a rule set as there may be; two of them contradict each other."""
     over = s.Failover(("lost",), 30_000_000 + turn, copies=1 + turn % 2)
-    sets = tuple(s.DataSet(f"data-{'x' * 38}-{at:04}", (("north", 0), ("south", turn))) for at in range(1024))
-    specs = tuple(s.Spec(f"spec-{'x' * 200}"[:100] + f"-{at:03}", ("north", "south"), ("east",),
-                         failover=over, on_cut=s.CUTS[turn % 2]) for at in range(256))
+    sets = tuple(
+        s.DataSet(f"data-{'x' * 38}-{at:04}", (("north", 0), ("south", turn))) for at in range(1024)
+    )
+    specs = tuple(
+        s.Spec(
+            f"spec-{'x' * 200}"[:100] + f"-{at:03}",
+            ("north", "south"),
+            ("east",),
+            failover=over,
+            on_cut=s.CUTS[turn % 2],
+        )
+        for at in range(256)
+    )
     barred = tuple(f"n{at:04}" for at in range(names))
-    return r.normal(r.RuleSet((r.ClassRules("web", "safe", "none", 0),), 1 + turn % 9, 18, 2, (), 250, barred,
-                              federation=form.normal(s.Federation(specs, sets))))
+    return r.normal(
+        r.RuleSet(
+            (r.ClassRules("web", "safe", "none", 0),),
+            1 + turn % 9,
+            18,
+            2,
+            (),
+            250,
+            barred,
+            federation=form.normal(s.Federation(specs, sets)),
+        )
+    )
 
 
 def test_a_snapshot_with_all_that_is_kept_fits_one_mail() -> None:
@@ -72,17 +122,44 @@
     for turn in range(6):
         rules = _large(turn)
         rest, federation = r.apart(rules)
-        assert len(json.dumps(rest)) > r.MAILED_MOST * 0.8 and len(federation) > form.FEDERATION_MOST * 0.85
-        agreed.apply("propose", json.dumps({"ident": f"{turn}" * 100, "base": turn, "rules": rules.text(),
-                                            "by": "é" * 253, "why": "\\" * 500}))
+        assert (
+            len(json.dumps(rest)) > r.MAILED_MOST * 0.8
+            and len(federation) > form.FEDERATION_MOST * 0.85
+        )
+        agreed.apply(
+            "propose",
+            json.dumps(
+                {
+                    "ident": f"{turn}" * 100,
+                    "base": turn,
+                    "rules": rules.text(),
+                    "by": "é" * 253,
+                    "why": "\\" * 500,
+                }
+            ),
+        )
         assert agreed.outcomes[f"{turn}" * 100] == "", agreed.outcomes
     assert len(agreed.steps) == 2, "they contradict each other"
     for number in range(4):
-        agreed.apply("floor", json.dumps({"ident": f"f{number}", "rules": _large(0).text(), "lasts_us": 1}))
-    assert len(agreed.floors) == 2 and "floors that may still be out" in agreed.outcomes["f3"], agreed.outcomes["f1"]
+        agreed.apply(
+            "floor", json.dumps({"ident": f"f{number}", "rules": _large(0).text(), "lasts_us": 1})
+        )
+    assert len(agreed.floors) == 2 and "floors that may still be out" in agreed.outcomes["f3"], (
+        agreed.outcomes["f1"]
+    )
     for number in range(ag.IDENTS_MOST):
-        agreed.apply("propose", json.dumps({"ident": f"{number}-" + "i" * 96, "base": 0, "rules": agreed.rules,
-                                            "by": "", "why": ""}))
+        agreed.apply(
+            "propose",
+            json.dumps(
+                {
+                    "ident": f"{number}-" + "i" * 96,
+                    "base": 0,
+                    "rules": agreed.rules,
+                    "by": "",
+                    "why": "",
+                }
+            ),
+        )
     state = agreed.text()
     letter = write_letter(log.Install(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40))
     assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < ag.SNAPSHOT_MOST
@@ -94,43 +171,99 @@
 def test_versions_keep_their_federation_while_there_is_room() -> None:
     agreed = ag.Agreed()
     for turn in range(7):
-        agreed.apply("propose", json.dumps({"ident": f"p{turn}", "base": turn, "by": "", "why": "",
-                                            "rules": _small(turn).text()}))
+        agreed.apply(
+            "propose",
+            json.dumps(
+                {
+                    "ident": f"p{turn}",
+                    "base": turn,
+                    "by": "",
+                    "why": "",
+                    "rules": _small(turn).text(),
+                }
+            ),
+        )
     whole = [agreed.whole(each) for each in agreed.versions]
     assert whole == [_small(turn).text() for turn in range(7)] and len(agreed.federations) == 2
     for turn in range(7, 12):
-        agreed.apply("propose", json.dumps({"ident": f"p{turn}", "base": turn, "by": "", "why": "",
-                                            "rules": _large(turn, 0).text()}))
+        agreed.apply(
+            "propose",
+            json.dumps(
+                {
+                    "ident": f"p{turn}",
+                    "base": turn,
+                    "by": "",
+                    "why": "",
+                    "rules": _large(turn, 0).text(),
+                }
+            ),
+        )
     assert agreed.whole(agreed.versions[-1]) == agreed.latest == _large(11, 0).text()
     assert agreed.whole(agreed.versions[0]) is None, "the oldest give way first"
 
 
 def _small(turn: int) -> r.RuleSet:
     spec = s.Spec("orders", ("north", "south"), on_cut=s.CUTS[turn % 2])
-    return r.normal(r.RuleSet((r.ClassRules("web", "safe", "none", 0),), 1 + turn, 18, 2, (), 250, (),
-                              federation=s.Federation((spec,))))
+    return r.normal(
+        r.RuleSet(
+            (r.ClassRules("web", "safe", "none", 0),),
+            1 + turn,
+            18,
+            2,
+            (),
+            250,
+            (),
+            federation=s.Federation((spec,)),
+        )
+    )
 
 
 def test_a_step_that_cannot_be_said_is_refused() -> None:
     def rules(part: str) -> r.RuleSet:
         needs = tuple(s.Need(f"{part}{at}") for at in range(20))
         spec = s.Spec("orders", ("north", "south"), data=needs)
-        return r.normal(r.RuleSet((r.ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (),
-                                  federation=s.Federation((spec,))))
+        return r.normal(
+            r.RuleSet(
+                (r.ClassRules("web", "safe", "none", 0),),
+                4,
+                18,
+                2,
+                (),
+                250,
+                (),
+                federation=s.Federation((spec,)),
+            )
+        )
+
     agreed = ag.Agreed()
     for turn, part in enumerate("ab"):
-        agreed.apply("propose", json.dumps({"ident": part, "base": turn, "by": "", "why": "",
-                                            "rules": rules(part).text()}))
-    assert agreed.outcomes["a"] == "" and agreed.outcomes["b"].startswith("what both allow cannot be said")
+        agreed.apply(
+            "propose",
+            json.dumps(
+                {"ident": part, "base": turn, "by": "", "why": "", "rules": rules(part).text()}
+            ),
+        )
+    assert agreed.outcomes["a"] == "" and agreed.outcomes["b"].startswith(
+        "what both allow cannot be said"
+    )
     assert agreed.version == 1
 
 
 def test_a_snapshot_of_before_there_were_federations_is_read() -> None:
     rules = _small(0)
     text = r.apart(rules)[0]
-    old = {"edition": 1, "rules": text, "version": 1, "steps": [text], "outcomes": {"x": ""}, "chapters": {},
-           "versions": [{"number": 1, "rules": text, "base": 0, "by": "a", "why": "b", "digest": rules.digest}],
-           "floors": [{"number": 1, "rules": text, "lasts_us": 5}]}
+    old = {
+        "edition": 1,
+        "rules": text,
+        "version": 1,
+        "steps": [text],
+        "outcomes": {"x": ""},
+        "chapters": {},
+        "versions": [
+            {"number": 1, "rules": text, "base": 0, "by": "a", "why": "b", "digest": rules.digest}
+        ],
+        "floors": [{"number": 1, "rules": text, "lasts_us": 5}],
+    }
     agreed = ag.from_text(json.dumps(old))
     assert (agreed.rules, agreed.steps, agreed.whole(agreed.versions[0])) == (text, [text], text)
     assert ag.from_text(agreed.text()) == agreed
--- a/tests/decide/peers/rightsfleet.py
+++ b/tests/decide/peers/rightsfleet.py
@@ -28,7 +28,9 @@
 
 
 def limited(most: int) -> RuleSet:
-    return normal(replace(rules(3), limits=(replace(STANDING, most=most), replace(RATE, most=most))))
+    return normal(
+        replace(rules(3), limits=(replace(STANDING, most=most), replace(RATE, most=most)))
+    )
 
 
 @dataclass
@@ -64,12 +66,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now_us, self.lives, self.edition, self.most, self.reign, self.leader = 100 * S, 0, 1, MOST, 0, 0
+        self.now_us, self.lives, self.edition, self.most, self.reign, self.leader = (
+            100 * S,
+            0,
+            1,
+            MOST,
+            0,
+            0,
+        )
         self.voters = [self.blocks(GRANT), self.blocks(GRANT)]
         self.proposed: list[Proposal] = []
         self.placers: dict[str, Placer] = {}
         self.mail: list[Letter] = []
-        self.orphans: list[tuple[int, int]] = []  # tasks of placers that were killed: until when they run, how many
+        self.orphans: list[
+            tuple[int, int]
+        ] = []  # tasks of placers that were killed: until when they run, how many
         self.starts: list[int] = []
         for name in NAMES:
             self.rise(name)
@@ -117,8 +128,18 @@
         asker = Asker(letter.name, ask.life, ask.up_us, ask.number, ask.reign)
         wanted = limited(self.most)
         rights = self.bank.answers(self.now_us, [(asker, ask.stated)], wanted.limits)[0]
-        grant = Grant(ask.number, self.edition, "" if ask.edition == self.edition else wanted.text(), GRANT, 1, 0, "",
-                      0, rights, reign=self.reign)
+        grant = Grant(
+            ask.number,
+            self.edition,
+            "" if ask.edition == self.edition else wanted.text(),
+            GRANT,
+            1,
+            0,
+            "",
+            0,
+            rights,
+            reign=self.reign,
+        )
         self.mail.append(replace(letter, grant=grant))
 
     def take_back(self, letter: Letter) -> None:
@@ -219,12 +240,22 @@
     @invariant()
     def nobody_passes_the_whole(self) -> None:
         # One that is out of touch keeps what it runs, which counts for `stranded` alone.
-        lost = [each for each in self.placers.values() if self.now_us >= each.until_us + STRANDED and each.standing]
-        running = sum(each.standing for each in self.placers.values()) + sum(count for _, count in self.orphans)
+        lost = [
+            each
+            for each in self.placers.values()
+            if self.now_us >= each.until_us + STRANDED and each.standing
+        ]
+        running = sum(each.standing for each in self.placers.values()) + sum(
+            count for _, count in self.orphans
+        )
         assert running - sum(each.standing for each in lost) <= MOST, f"{running} stand"
-        assert sum(at > self.now_us - WINDOW for at in self.starts) <= MOST, f"{len(self.starts)} within the window"
+        assert sum(at > self.now_us - WINDOW for at in self.starts) <= MOST, (
+            f"{len(self.starts)} within the window"
+        )
         for block in self.bank.blocks.values():
-            assert sum(size for size, _ in block.parts.values()) <= MOST, "blocks make more than the whole"
+            assert sum(size for size, _ in block.parts.values()) <= MOST, (
+                "blocks make more than the whole"
+            )
 
 
 def has_share(fleet: Fleet) -> None:
--- a/tests/decide/peers/test_agreement.py
+++ b/tests/decide/peers/test_agreement.py
@@ -14,19 +14,33 @@
 from wingbarrow.decide.peers.limits import DRIFT
 from wingbarrow.decide.peers.rules import ClassRules, allows, contradict, meet, normal, read
 from wingbarrow.lab.fleet.assembly import Use, judge
-from wingbarrow.lab.fleet.schedules import FLOOR, fine, founded, generated, rules, shrink, steps, trial
+from wingbarrow.lab.fleet.schedules import (
+    FLOOR,
+    fine,
+    founded,
+    generated,
+    rules,
+    shrink,
+    steps,
+    trial,
+)
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
 @pytest.mark.parametrize("count, voters", [(1, 1), (3, 3), (5, 3), (16, 5), (64, 7)])
-def test_all_act_on_what_was_proposed_also_where_it_contradicts_and_nobody_pauses(count: int, voters: int) -> None:
+def test_all_act_on_what_was_proposed_also_where_it_contradicts_and_nobody_pauses(
+    count: int, voters: int
+) -> None:
     assembly = founded(count, voters)
     assembly.refused = 0
     assert contradict(rules(3), rules(4))
     assembly.propose(rules(4))
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
     assert [assembly.uses[number].rules for number in (1, 2, 3)] == [
-        rules(3).text(), meet(rules(3), rules(4)).text(), rules(4).text()]
+        rules(3).text(),
+        meet(rules(3), rules(4)).text(),
+        rules(4).text(),
+    ]
     assert assembly.refused == 0, "no gap in service"
     fine(assembly)
 
@@ -45,7 +59,9 @@
     assembly.run(assembly.now_us + 10 * SECOND)
     assembly.propose(rules(4, most=2))
     assembly.run(assembly.now_us + 60 * SECOND)
-    assert member.acting(assembly.clock_us("p004")) is None, "the floor's own grant is over: it refuses"
+    assert member.acting(assembly.clock_us("p004")) is None, (
+        "the floor's own grant is over: it refuses"
+    )
     assembly.cut = lambda a, b: False
     assert assembly.run_until(lambda: assembly.all_on(rules(4, most=2)), 10 * SECOND)
     fine(assembly)
@@ -70,7 +86,9 @@
     assembly.run(assembly.now_us + 20 * SECOND)
     second = assembly.propose(barring)
     assembly.run(assembly.now_us + SECOND)
-    assert second is not None and "lower the floor" in (assembly.outcome(second) or ""), "the first may still be out"
+    assert second is not None and "lower the floor" in (assembly.outcome(second) or ""), (
+        "the first may still be out"
+    )
     assembly.run(assembly.now_us + 20 * SECOND)
     assembly.propose(barring)
     assert assembly.run_until(lambda: assembly.all_on(barring), 10 * SECOND)
@@ -81,7 +99,9 @@
     assembly.propose(rules(most=2), base=1, ident="one")
     assembly.propose(rules(most=1), base=1, ident="other")
     assembly.run(assembly.now_us + SECOND)
-    assert assembly.outcome("one") == "" and "version 2 has been accepted since" in (assembly.outcome("other") or "")
+    assert assembly.outcome("one") == "" and "version 2 has been accepted since" in (
+        assembly.outcome("other") or ""
+    )
     assembly.propose(rules(most=2), base=1, ident="one")
     assembly.run(assembly.now_us + 5 * SECOND)
     leader = assembly.leader()
@@ -117,7 +137,9 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 3, 10])
-def test_a_placer_stopped_for_longer_than_its_grant_acts_on_nothing_when_it_wakes(seconds: int) -> None:
+def test_a_placer_stopped_for_longer_than_its_grant_acts_on_nothing_when_it_wakes(
+    seconds: int,
+) -> None:
     assembly = founded(5, 3, seed=2)
     assembly.stop("p004", seconds * SECOND)
     assembly.propose(rules(4))
@@ -130,7 +152,9 @@
 
 @pytest.mark.parametrize("count, voters", [(3, 3), (5, 3), (16, 5)])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_generated_schedules_never_have_rules_in_use_whose_time_has_passed(count: int, voters: int, seed: int) -> None:
+def test_generated_schedules_never_have_rules_in_use_whose_time_has_passed(
+    count: int, voters: int, seed: int
+) -> None:
     for assembly in generated(count, voters, seed):
         fine(assembly)
     assert len(assembly.uses) >= 2
@@ -150,7 +174,11 @@
 def test_a_late_grant_brings_no_rules_back() -> None:
     holder = Holder()
     assert holder.take(10, 2, "new", 100) and not holder.take(50, 1, "old", 100)
-    assert holder.acting(60) is not None and holder.acting(60).rules == "new" and holder.acting(110) is None  # type: ignore[union-attr]
+    assert (
+        holder.acting(60) is not None
+        and holder.acting(60).rules == "new"  # type: ignore[union-attr]
+        and holder.acting(110) is None
+    )
 
 
 def test_answers_to_asks_that_were_given_up_count_for_nothing() -> None:
@@ -158,7 +186,10 @@
     member = assembly.members["p004"]
     before = member.holder.until_us
     for number in (0, 10_000_000):
-        assert member.on_message(1, "p000", "", Grant(number, 9, rules(2).text(), 10**12, 9, 0, "", 0)) == []
+        assert (
+            member.on_message(1, "p000", "", Grant(number, 9, rules(2).text(), 10**12, 9, 0, "", 0))
+            == []
+        )
         assert member.on_message(1, "p000", "", NotLeader(number, "p001")) == []
     assert (member.holder.edition, member.holder.until_us) == (1, before)
 
@@ -173,10 +204,20 @@
 
 def test_the_state_is_read_back_and_what_cannot_be_read_changes_nothing() -> None:
     state = Agreed()
-    state.apply("propose", json.dumps({"ident": "a", "base": 0, "rules": rules().text(), "by": "x", "why": ""}))
+    state.apply(
+        "propose",
+        json.dumps({"ident": "a", "base": 0, "rules": rules().text(), "by": "x", "why": ""}),
+    )
     before = state.text()
-    for kind, body in (("propose", "{"), ("propose", "{}"), ("step", '{"from": 9}'), ("step", ""), ("nonsense", "{}"),
-                       ("floor", '{"ident": "f", "rules": "", "lasts_us": "x"}'), ("floor-lapsed", "[]")):
+    for kind, body in (
+        ("propose", "{"),
+        ("propose", "{}"),
+        ("step", '{"from": 9}'),
+        ("step", ""),
+        ("nonsense", "{}"),
+        ("floor", '{"ident": "f", "rules": "", "lasts_us": "x"}'),
+        ("floor-lapsed", "[]"),
+    ):
         state.apply(kind, body)
         assert state.text() == before
     assert from_text(before) == state and state.edition == 1
@@ -192,9 +233,15 @@
     tight, loose = rules(most=1).text(), rules(most=3).text()
     assert allows(read(tight), read(loose))
     assert judge({1: Use(0, 100, loose), 2: Use(60, 200, tight)}, 9).longest_us == 40
-    assert judge({1: Use(0, 100, tight), 2: Use(60, 200, loose)}, 9).longest_us == 0, "the new one allows it all"
-    assert judge({1: Use(0, 100, loose), 2: Use(50, 300, tight), 3: Use(100, 300, loose)}, 9).past == 1
-    assert judge({1: Use(0, 100, loose), 2: Use(50, 300, tight), 3: Use(101, 300, loose)}, 9).past == 0
+    assert judge({1: Use(0, 100, tight), 2: Use(60, 200, loose)}, 9).longest_us == 0, (
+        "the new one allows it all"
+    )
+    assert (
+        judge({1: Use(0, 100, loose), 2: Use(50, 300, tight), 3: Use(100, 300, loose)}, 9).past == 1
+    )
+    assert (
+        judge({1: Use(0, 100, loose), 2: Use(50, 300, tight), 3: Use(101, 300, loose)}, 9).past == 0
+    )
 
 
 def test_a_planted_error_is_found_by_a_schedule_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/decide/peers/test_blocks.py
+++ b/tests/decide/peers/test_blocks.py
@@ -8,7 +8,18 @@
 
 import pytest
 
-from tests.decide.peers.rightsfleet import GRANT, MOST, NAMES, RATE, STANDING, STRANDED, Fleet, S, has_all, limited
+from tests.decide.peers.rightsfleet import (
+    GRANT,
+    MOST,
+    NAMES,
+    RATE,
+    STANDING,
+    STRANDED,
+    Fleet,
+    S,
+    has_all,
+    limited,
+)
 from wingbarrow.decide.peers import blocks
 from wingbarrow.decide.peers.asking import Times
 from wingbarrow.decide.peers.blocks import Block, Blocks
@@ -64,7 +75,9 @@
     fleet = Fleet()
     fleet.get("a", 2, moves=False)
     bank = fleet.voters[1]
-    first, second = (fleet.bank.due(fleet.now_us + later, limited(MOST))[0][0] for later in (S, 2 * S))
+    first, second = (
+        fleet.bank.due(fleet.now_us + later, limited(MOST))[0][0] for later in (S, 2 * S)
+    )
     bank.apply(first.kind, json.loads(json.dumps(first.value)))
     held = bank.text()
     for each in (first, second):
@@ -72,10 +85,22 @@
         assert bank.text() == held
 
 
-@pytest.mark.parametrize("kind, value", [
-    ("other", {}), ("move", {}), ("move", {"base": 0, "lives": [], "set": {}, "drop": [], "fresh": False}),
-    ("move", {"base": 0, "lives": {}, "set": {"k": [{"a": [3, 2]}, []]}, "drop": [], "fresh": False}),
-    ("move", {"base": 0, "lives": {}, "set": {"k": [{"a": 3}, []]}, "drop": [], "fresh": False})])
+@pytest.mark.parametrize(
+    "kind, value",
+    [
+        ("other", {}),
+        ("move", {}),
+        ("move", {"base": 0, "lives": [], "set": {}, "drop": [], "fresh": False}),
+        (
+            "move",
+            {"base": 0, "lives": {}, "set": {"k": [{"a": [3, 2]}, []]}, "drop": [], "fresh": False},
+        ),
+        (
+            "move",
+            {"base": 0, "lives": {}, "set": {"k": [{"a": 3}, []]}, "drop": [], "fresh": False},
+        ),
+    ],
+)
 def test_what_cannot_be_read_changes_nothing(kind: str, value: Any) -> None:
     bank = Blocks(GRANT)
     held = bank.text()
@@ -100,7 +125,9 @@
     assert share(fleet, "b") == 1, "one is left of three"
 
 
-def test_a_limit_that_the_rules_lack_keeps_its_blocks_for_as_long_as_any_of_it_can_be_in_use() -> None:
+def test_a_limit_that_the_rules_lack_keeps_its_blocks_for_as_long_as_any_of_it_can_be_in_use() -> (
+    None
+):
     fleet = Fleet()
     has_all(fleet)
     bare, held = normal(rules(3)), fleet.bank.blocks[STANDING.key].total
@@ -132,7 +159,7 @@
     fleet = Fleet()
     has_all(fleet)
     bank, at = fleet.bank, fleet.now_us
-    asker = Asker("a", 0, 10 ** 9, 1)
+    asker = Asker("a", 0, 10**9, 1)
     assert bank.answers(at, [(asker, ())], [STANDING]) == [()]
     at += GRANT + STRANDED + S // 10
     bank.answers(at, [(asker, ())], [STANDING])
@@ -146,7 +173,11 @@
     bank = Blocks(GRANT)
     bank.elected(S, True, 1)
     for at in (2 * S, 3 * S, 4 * S):
-        bank.answers(at, [(Asker(name, 1, S, at), (Stated(STANDING.key, 0, 0, 1),)) for name in names], wanted.limits)
+        bank.answers(
+            at,
+            [(Asker(name, 1, S, at), (Stated(STANDING.key, 0, 0, 1),)) for name in names],
+            wanted.limits,
+        )
         for each in bank.due(at, wanted)[0]:
             bank.apply(each.kind, each.value)
     assert len(bank.blocks[STANDING.key].parts) == 4 and bank.refused > 0
@@ -186,7 +217,9 @@
     assembly = founded(5, 3, seed=3)
     leader = assembly.leader()
     member = "p004"
-    assembly.cut = lambda a, b: (a, b) == (leader, member) or not one_way and (a, b) == (member, leader)
+    assembly.cut = (
+        lambda a, b: (a, b) == (leader, member) or not one_way and (a, b) == (member, leader)
+    )
     assembly.run(assembly.now_us + 2 * SECOND)
     assembly.refused = 0
     assembly.run(assembly.now_us + 20 * SECOND)
@@ -205,8 +238,14 @@
     for number in range(1, 6):
         at += S
         parts = bank.blocks[limit.key].parts
-        bank.answers(at, [(Asker(name, 1, at, number, 1), (Stated(limit.key, parts[name][0], 3, 3),))
-                          for name in names], [limit])
+        bank.answers(
+            at,
+            [
+                (Asker(name, 1, at, number, 1), (Stated(limit.key, parts[name][0], 3, 3),))
+                for name in names
+            ],
+            [limit],
+        )
         for each in bank.due(at, normal(replace(rules(3), limits=(limit,))))[0]:
             bank.apply(each.kind, each.value)
     assert min(size for size, _ in bank.blocks[limit.key].parts.values()) >= 13
