--- a/tests/decide/peers/test_custody.py
+++ b/tests/decide/peers/test_custody.py
@@ -15,7 +15,16 @@
 from wingbarrow.decide.peers.effects import Effect, Send, Tell
 from wingbarrow.decide.peers.held import Job, Tokens
 from wingbarrow.decide.peers.keeping import Keeping, unclaimed
-from wingbarrow.decide.peers.leasing import Ended, Keep, KeepAnswer, Kept, Known, Record, Session, Settle
+from wingbarrow.decide.peers.leasing import (
+    Ended,
+    Keep,
+    KeepAnswer,
+    Kept,
+    Known,
+    Record,
+    Session,
+    Settle,
+)
 from wingbarrow.decide.peers.records import Bounds, choose, phase_of
 
 S = 1_000_000
@@ -24,23 +33,50 @@
 ME = Session("a", 1, 0)
 
 
-def record(uid: str, effect: str = "safe", version: int = 1, manifest: str = "{}", session: Session = ME) -> Record:
-    return Record(1, uid, f"shop/{uid}", session, 0, version, "north", "spread", effect, "all", 3 * S, 5 * S, 0, 1.0,
-                  1.0, 1, manifest, (), "", 0)
-
-
-def holder(bounds: Bounds = Bounds(), names: str = "bcde") -> Custody:  # noqa: B008 - frozen
+def record(
+    uid: str, effect: str = "safe", version: int = 1, manifest: str = "{}", session: Session = ME
+) -> Record:
+    return Record(
+        1,
+        uid,
+        f"shop/{uid}",
+        session,
+        0,
+        version,
+        "north",
+        "spread",
+        effect,
+        "all",
+        3 * S,
+        5 * S,
+        0,
+        1.0,
+        1.0,
+        1,
+        manifest,
+        (),
+        "",
+        0,
+    )
+
+
+def holder(bounds: Bounds = Bounds(), names: str = "bcde") -> Custody:
     made = Custody("a", 1, "north", 1, bounds)
     made.members(0, {"a": ("north", 1)} | {name: (WHERE[name], 1) for name in names})
     return made
 
 
 def kept(effects: list[Effect]) -> dict[int, tuple[bool, str]]:
-    return {each.fields["token"]: (each.fields["good"], each.fields["why"])
-            for each in effects if isinstance(each, Tell) and each.what == "kept"}
+    return {
+        each.fields["token"]: (each.fields["good"], each.fields["why"])
+        for each in effects
+        if isinstance(each, Tell) and each.what == "kept"
+    }
 
 
-def exchange(made: Custody, keepers: dict[str, Keeping], now_us: int, deaf: str = "") -> list[Effect]:
+def exchange(
+    made: Custody, keepers: dict[str, Keeping], now_us: int, deaf: str = ""
+) -> list[Effect]:
     """All mail goes to and fro at once, but to and from the deaf."""
     told: list[Effect] = []
     todo = made.on_timer(now_us)
@@ -56,7 +92,9 @@
 
 
 @given(st.text("abcdef0123456789", min_size=1), st.integers(1, 3), st.sampled_from("bcde"))
-def test_keepers_stand_in_other_allowed_regions_and_change_only_for_who_goes(uid: str, copies: int, gone: str) -> None:
+def test_keepers_stand_in_other_allowed_regions_and_change_only_for_who_goes(
+    uid: str, copies: int, gone: str
+) -> None:
     regions = {"north": ("a", "n"), "south": ("b", "d"), "west": ("c", "e"), "east": ("f",)}
     chosen = choose(uid, "north", ALLOWED, regions, copies)
     assert len(chosen) == len(set(chosen)) == copies and set(chosen) <= set("bcde")
@@ -69,12 +107,17 @@
     assert not choose(uid, "north", ("north", "moon"), regions, copies)
 
 
-@pytest.mark.parametrize(("made", "job", "why"), [
-    (holder(names=""), record("u"), "no keeper"),
-    (holder(Bounds(bytes=3000)), record("u", manifest="x" * 4000), "no room at any keeper"),
-    (holder(), record("u", manifest="x" * 16384), "record of 17582 bytes, at most 16384"),
-])
-def test_what_cannot_be_kept_is_refused_at_once_with_its_reason(made: Custody, job: Record, why: str) -> None:
+@pytest.mark.parametrize(
+    ("made", "job", "why"),
+    [
+        (holder(names=""), record("u"), "no keeper"),
+        (holder(Bounds(bytes=3000)), record("u", manifest="x" * 4000), "no room at any keeper"),
+        (holder(), record("u", manifest="x" * 16384), "record of 17582 bytes, at most 16384"),
+    ],
+)
+def test_what_cannot_be_kept_is_refused_at_once_with_its_reason(
+    made: Custody, job: Record, why: str
+) -> None:
     token, effects = made.hold(0, job, ALLOWED, 1, S)
     assert kept(effects) == {token: (False, why)} and not made.jobs
 
@@ -92,7 +135,9 @@
     assert kept(effects) == {third: (False, "not held")}
 
 
-def test_a_holder_hears_once_that_its_session_is_over_and_holds_nothing_until_it_has_another() -> None:
+def test_a_holder_hears_once_that_its_session_is_over_and_holds_nothing_until_it_has_another() -> (
+    None
+):
     made, keepers = holder(), {name: Keeping(name, 1) for name in WHERE}
     made.hold(0, record("u"), ALLOWED, 1, S)
     exchange(made, keepers, 2_000)
@@ -103,7 +148,11 @@
     assert kept(told) == {token: (False, "session over")}
     assert [each.what for each in told if isinstance(each, Tell)] == ["kept", "session-over"]
     late, effects = made.hold(2 * S, record("v"), ALLOWED, 1, 3 * S)
-    assert kept(effects) == {late: (False, "session over")} and not made.jobs and set(made.former) == {"u"}
+    assert (
+        kept(effects) == {late: (False, "session over")}
+        and not made.jobs
+        and set(made.former) == {"u"}
+    )
     assert not made.buried(2 * S, ME, 1)
     made.begin(3 * S, Session("a", 1, 1))
     token, _ = made.hold(3 * S, record("w"), ALLOWED, 1, 4 * S)
@@ -121,7 +170,11 @@
     tokens = {uid: made.answered(60_000, uid, "placed", 10 * S)[0] for uid in made.jobs}
     good: dict[int, int] = {}
     for now in range(60_000, 3 * S, 5_000):
-        good |= {token: now for token, (well, _) in kept(exchange(made, keepers, now, "b")).items() if well}
+        good |= {
+            token: now
+            for token, (well, _) in kept(exchange(made, keepers, now, "b")).items()
+            if well
+        }
     assert len(mine) > 50
     assert all(good[tokens[uid]] < 60_000 + 20_000 for uid in made.jobs if uid not in mine)
     assert all(good[tokens[uid]] < 60_000 + bounds.replaced_us(len(mine)) + 50_000 for uid in mine)
@@ -133,7 +186,7 @@
     made, keepers = holder(), {name: Keeping(name, 1) for name in WHERE}
     made.hold(0, record("u", "unsafe"), ALLOWED, 1, S)
     exchange(made, keepers, 2_000)
-    first, = made.jobs["u"].chosen
+    (first,) = made.jobs["u"].chosen
     made.answered(3_000, "u", "", 3 * S)
     for now in range(3_000, 2 * S, 5_000):
         exchange(made, keepers, now, first)
@@ -147,24 +200,33 @@
         assert kept(made.buried(8 * S, Session(first, 1, 0), 1)) == {token: (True, "")}
     else:
         exchange(made, keepers, 8 * S, first)
-        assert kept(exchange(made, keepers, 9 * S, first)) == {token: (False, f"no word in time from {first}")}
+        assert kept(exchange(made, keepers, 9 * S, first)) == {
+            token: (False, f"no word in time from {first}")
+        }
 
 
 def test_a_keeper_takes_a_mail_whole_or_refuses_it_whole() -> None:
     keeper = Keeping("b", 1, Bounds(records=3))
 
-    def say(number: int, *uids: str, session: Session = ME, sender: str = "a", **more: Any) -> KeepAnswer:
+    def say(
+        number: int, *uids: str, session: Session = ME, sender: str = "a", **more: Any
+    ) -> KeepAnswer:
         records = tuple(record(uid, session=session) for uid in uids)
-        answer, = keeper.on_keep(0, sender, Keep(number, session, records, life=1, **more))
+        (answer,) = keeper.on_keep(0, sender, Keep(number, session, records, life=1, **more))
         assert isinstance(answer, Send) and isinstance(answer.message, KeepAnswer)
         return answer.message
+
     assert say(1, "u", "v").good and keeper.kept() == (Kept(ME, 2, 5 * S),)
     refused = say(2, "w", "x")
     assert not refused.good and "no room" in refused.why and set(keeper.entries) == {"u", "v"}
     assert say(3, "w", gone=("u",)).good and set(keeper.entries) == {"v", "w"}
-    assert not keeper.on_keep(0, "a", Keep(2, ME, (record("u"),), life=1)), "late mail is not answered, nor taken"
+    assert not keeper.on_keep(0, "a", Keep(2, ME, (record("u"),), life=1)), (
+        "late mail is not answered, nor taken"
+    )
     assert not say(4, "w", sender="b").good and not say(4, "w", serial=1).good
-    assert say(5, "w", session=Session("a", 2, 0)).taken == (("w", 0, "a"),) or "w" in keeper.entries
+    assert (
+        say(5, "w", session=Session("a", 2, 0)).taken == (("w", 0, "a"),) or "w" in keeper.entries
+    )
     assert say(6, "v").over, "a life before"
 
 
@@ -176,19 +238,26 @@
     assert unclaimed(3, keepers["b"].kept()) == 2
     end = Ended(1, ME, "north", (("c",),))
     assert not keepers["b"].ended(0, end)
-    taking, = keepers["c"].ended(S, end)
-    assert taking.must == ("b",) and taking.record.born_age_us == S and not keepers["c"].ended(S, end)
+    (taking,) = keepers["c"].ended(S, end)
+    assert (
+        taking.must == ("b",) and taking.record.born_age_us == S and not keepers["c"].ended(S, end)
+    )
     assert keepers["b"].others() == {"c": ["u"]}
     keepers["b"].own_end(Session("b", 1, 1), ())
     gone = Ended(1, ME, "north", (("c",), ("b",)), ("c",))
     assert not keepers["b"].ended(S, gone) and "u" in keepers["b"].others()[""]
     late = keepers["b"].take(S, "u")
     assert late is not None and phase_of(late.record, 0).phase == "doubt"
-    answer, = keepers["c"].settle("b", Settle(1, ME, ("u", "x")), {"x": (4, "run")})
-    assert isinstance(answer, Send) and answer.message.fates == (("u", 1, "waiting"), ("x", 4, "run"))
+    (answer,) = keepers["c"].settle("b", Settle(1, ME, ("u", "x")), {"x": (4, "run")})
+    assert isinstance(answer, Send) and answer.message.fates == (
+        ("u", 1, "waiting"),
+        ("x", 4, "run"),
+    )
 
 
-def test_of_two_that_took_over_at_one_epoch_the_lesser_name_stands_unless_the_other_started() -> None:
+def test_of_two_that_took_over_at_one_epoch_the_lesser_name_stands_unless_the_other_started() -> (
+    None
+):
     for started, stands in ((False, True), (True, False)):
         keeper = Keeping("c", 1)
         keeper.on_keep(0, "a", Keep(1, ME, (replace(record("u"), keepers=("c",)),), life=1))
@@ -198,7 +267,9 @@
         claim = Keep(1, rival, (replace(record("u", session=rival), epoch=2, version=2),), life=1)
         *told, answer = keeper.on_keep(0, "b", claim)
         assert isinstance(answer, Send) and (not answer.message.taken) is stands
-        assert [each.what for each in told if isinstance(each, Tell)] == (["superseded"] if stands else [])
+        assert [each.what for each in told if isinstance(each, Tell)] == (
+            ["superseded"] if stands else []
+        )
 
 
 class World(RuleBasedStateMachine):
@@ -217,7 +288,9 @@
         self.mail: list[tuple[str, str, Any]] = []
         self.open: dict[int, tuple[str, int, bool]] = {}
         self.promised: dict[str, int] = {}  # versions that were acknowledged, of each Job
-        self.lost: dict[str, int] = {}  # the latest version that died with the only keeper that had it
+        self.lost: dict[
+            str, int
+        ] = {}  # the latest version that died with the only keeper that had it
         self.ends = 0
         self.born = 0
 
@@ -226,13 +299,18 @@
             if isinstance(effect, Send):
                 self.mail.append(("a", effect.ident, effect.message))
             elif isinstance(effect, Tell) and effect.what == "kept":
-                uid, version, every = self.open.pop(effect.fields["token"])  # KeyError: settled twice
+                uid, version, every = self.open.pop(
+                    effect.fields["token"]
+                )  # KeyError: settled twice
                 if effect.fields["good"]:
                     self.settled(uid, version, every)
 
     def having(self, uid: str, version: int) -> set[str]:
-        return {name for name, each in self.keepers.items()
-                if uid in each.entries and each.entries[uid].record.version >= version}
+        return {
+            name
+            for name, each in self.keepers.items()
+            if uid in each.entries and each.entries[uid].record.version >= version
+        }
 
     def settled(self, uid: str, version: int, every: bool) -> None:
         if uid not in self.made.jobs:
@@ -240,8 +318,13 @@
         if not self.having(uid, version) and self.lost.get(uid, 0) < version:
             self.found["nobody has it"] += 1
         if every:
-            older = [name for name, each in self.keepers.items() if uid in each.entries
-                     and not each.entries[uid].doubt and each.entries[uid].record.version < version]
+            older = [
+                name
+                for name, each in self.keepers.items()
+                if uid in each.entries
+                and not each.entries[uid].doubt
+                and each.entries[uid].record.version < version
+            ]
             self.found["one believes that nothing left"] += bool(older)
         self.promised[uid] = max(version, self.promised.get(uid, 0))
 
@@ -251,15 +334,27 @@
         self.open[token] = uid, job.record.version if job is not None else 0, every
         self.carry(effects)
 
-    @rule(effect=st.sampled_from(("safe", "unsafe")), copies=st.integers(1, 2), wait=st.integers(1, 40))
+    @rule(
+        effect=st.sampled_from(("safe", "unsafe")),
+        copies=st.integers(1, 2),
+        wait=st.integers(1, 40),
+    )
     def hold(self, effect: str, copies: int, wait: int) -> None:
         self.born += 1
         uid = f"{effect}{self.born}"
-        self.ask(self.made.hold(self.now_us, record(uid, effect), ALLOWED, copies, self.now_us + wait * S // 10), uid)
+        self.ask(
+            self.made.hold(
+                self.now_us, record(uid, effect), ALLOWED, copies, self.now_us + wait * S // 10
+            ),
+            uid,
+        )
 
     @precondition(lambda self: self.made.jobs)
-    @rule(which=st.integers(0, 9), what=st.sampled_from(("about", "placed", "answered", "drop")),
-          wait=st.integers(1, 40))
+    @rule(
+        which=st.integers(0, 9),
+        what=st.sampled_from(("about", "placed", "answered", "drop")),
+        wait=st.integers(1, 40),
+    )
     def change(self, which: int, what: str, wait: int) -> None:
         uid = sorted(self.made.jobs)[which % len(self.made.jobs)]
         until, known = self.now_us + wait * S // 10, Known(0, what, "m", "p")
@@ -330,12 +425,20 @@
         self.keepers[name].own_end(replace(session, serial=session.serial + 1), ())
 
     def members(self) -> None:
-        self.carry(self.made.members(self.now_us, {name: (WHERE[name], self.lives[name]) for name in self.keepers}))
+        self.carry(
+            self.made.members(
+                self.now_us, {name: (WHERE[name], self.lives[name]) for name in self.keepers}
+            )
+        )
 
     @invariant()
     def what_was_acknowledged_is_kept(self) -> None:
         for uid, version in self.promised.items():
-            if uid in self.made.jobs and not self.having(uid, version) and self.lost.get(uid, 0) < version:
+            if (
+                uid in self.made.jobs
+                and not self.having(uid, version)
+                and self.lost.get(uid, 0) < version
+            ):
                 self.found["acknowledged and nowhere"] += 1
 
     @invariant()
@@ -343,10 +446,18 @@
         assert not self.found, self.found
 
 
-QUIET = settings(max_examples=60, stateful_step_count=60, deadline=None, derandomize=True, database=None,
-                 suppress_health_check=list(HealthCheck))
+QUIET = settings(
+    max_examples=60,
+    stateful_step_count=60,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
 
-BLUNT = settings(QUIET, max_examples=400, phases=[Phase.generate])  # what is planted need not be shrunk
+BLUNT = settings(
+    QUIET, max_examples=400, phases=[Phase.generate]
+)  # what is planted need not be shrunk
 
 
 def test_what_is_acknowledged_is_kept_and_known() -> None:
--- a/tests/decide/peers/test_handing.py
+++ b/tests/decide/peers/test_handing.py
@@ -12,8 +12,22 @@
 from wingbarrow.decide.peers import handing
 from wingbarrow.decide.peers.effects import Effect, Send, Tell
 from wingbarrow.decide.peers.handing import (
-    AGAIN_US, DONE, FAILED, FINAL, PLACED, RAN, REFUSED, TAKEN, Budget, Giving, Hand, HandSays, HandStop, Taking,
-    Target)
+    AGAIN_US,
+    DONE,
+    FAILED,
+    FINAL,
+    PLACED,
+    RAN,
+    REFUSED,
+    TAKEN,
+    Budget,
+    Giving,
+    Hand,
+    HandSays,
+    HandStop,
+    Taking,
+    Target,
+)
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
 
@@ -44,8 +58,12 @@
         self.outcomes: dict[str, list[str]] = {}
         self.harmless: dict[str, bool] = {}
         self.refused: set[str] = set()
-        super().__init__([f"g{index}" for index in range(3)] + [f"t{index}" for index in range(3)], seed, loss,
-                         lambda rng: rng.choice((1, 50, 400, 2000)) * 1000)
+        super().__init__(
+            [f"g{index}" for index in range(3)] + [f"t{index}" for index in range(3)],
+            seed,
+            loss,
+            lambda rng: rng.choice((1, 50, 400, 2000)) * 1000,
+        )
         self.twice = 0.2
         for name in self.names:
             self.start(name)
@@ -73,15 +91,20 @@
             return
         self.starts[ident] += 1
         self.act(name, taking.came_to(self.now_us, ident, PLACED, "node-1"))
-        self.at(self.now_us + 2 * SECOND, lambda: self.act(name, taking.came_to(self.now_us, ident, DONE))
-                if name in self.members and self.lives[name] == life else None)
+        self.at(
+            self.now_us + 2 * SECOND,
+            lambda: self.act(name, taking.came_to(self.now_us, ident, DONE))
+            if name in self.members and self.lives[name] == life
+            else None,
+        )
 
     def hand(self, giver: str) -> None:
         targets = [Target(name, self.lives[name]) for name in self.names if name.startswith("t")]
         self.random.shuffle(targets)
         harmless = self.random.random() < 0.5
-        ident, effects = self.members[giver].giving.begin(self.now_us, "{}", "spec", harmless,
-                                                          self.now_us + 5 * SECOND, targets)
+        ident, effects = self.members[giver].giving.begin(
+            self.now_us, "{}", "spec", harmless, self.now_us + 5 * SECOND, targets
+        )
         self.outcomes[ident], self.harmless[ident] = [], harmless
         self.act(giver, effects)
 
@@ -102,12 +125,19 @@
 
 
 def breaches(play: Play) -> list[str]:
-    out = [f"{ident} started {count} times" for ident, count in play.starts.items()
-           if count > 1 and not play.harmless[ident]]
+    out = [
+        f"{ident} started {count} times"
+        for ident, count in play.starts.items()
+        if count > 1 and not play.harmless[ident]
+    ]
     for ident, told in play.outcomes.items():
         firsts = [each for each in told if each != TAKEN]
-        if not firsts or firsts[0] in RAN or firsts.count(PLACED) > 1 or sum(
-                each in FINAL for each in firsts) > 1:
+        if (
+            not firsts
+            or firsts[0] in RAN
+            or firsts.count(PLACED) > 1
+            or sum(each in FINAL for each in firsts) > 1
+        ):
             out.append(f"{ident} was told {told}")
         if told[-1:] == [REFUSED] and play.starts[ident]:
             out.append(f"{ident} was told refused, and ran")
@@ -134,25 +164,42 @@
     assert any(breaches(played(seed)) for seed in range(12))
     monkeypatch.undo()
     keeps = Giving._strange
-    monkeypatch.setattr(Giving, "_strange", lambda self, now, ident, out: (
-        setattr(out, "harmless", True), keeps(self, now, ident, out))[1])
-    assert any(breaches(played(seed, 0.4)) for seed in range(40)), "a stranger's word is taken for a refusal"
+    monkeypatch.setattr(
+        Giving,
+        "_strange",
+        lambda self, now, ident, out: (
+            setattr(out, "harmless", True),
+            keeps(self, now, ident, out),
+        )[1],
+    )
+    assert any(breaches(played(seed, 0.4)) for seed in range(40)), (
+        "a stranger's word is taken for a refusal"
+    )
 
 
 def test_a_stop_that_overtakes_its_hand_over_is_kept() -> None:
     taking = Taking(7)
-    assert [each.message.state for each in taking.on_message(0, "g", "", HandStop("g/1/1", 7))
-            if isinstance(each, Send)] == [REFUSED]
+    assert [
+        each.message.state
+        for each in taking.on_message(0, "g", "", HandStop("g/1/1", 7))
+        if isinstance(each, Send)
+    ] == [REFUSED]
     answer = taking.on_message(1, "g", "", Hand("g/1/1", 7, 1, "s", SECOND, "{}"))
-    assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED] and len(answer) == 1
+    assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED] and len(
+        answer
+    ) == 1
 
 
 def test_what_cannot_be_taken_is_refused_with_its_reason() -> None:
     taking = Taking(7)
-    for hand, words in ((Hand("g/1/1", 7, 2, "s", SECOND, "{}"), "hops"),
-                        (Hand("g/1/2", 7, 1, "s", 0, "{}"), "patience")):
+    for hand, words in (
+        (Hand("g/1/1", 7, 2, "s", SECOND, "{}"), "hops"),
+        (Hand("g/1/2", 7, 1, "s", 0, "{}"), "patience"),
+    ):
         [says] = taking.on_message(0, "g", "", hand)
-        assert isinstance(says, Send) and says.message.state == REFUSED and words in says.message.words
+        assert (
+            isinstance(says, Send) and says.message.state == REFUSED and words in says.message.words
+        )
     [says] = taking.on_message(0, "g", "", Hand("g/1/3", 6, 1, "s", SECOND, "{}"))
     assert isinstance(says, Send) and says.message.stranger
     assert not taking.on_message(0, "another", "", Hand("g/1/3", 7, 1, "s", SECOND, "{}"))
@@ -163,7 +210,9 @@
     assert [budget.take() for _ in range(5)] == [True, True, True, False, False]
     for _ in range(100):
         budget.tried()
-    assert [budget.take() for _ in range(4)] == [True, True, True, False], "what is not used does not pile up"
+    assert [budget.take() for _ in range(4)] == [True, True, True, False], (
+        "what is not used does not pile up"
+    )
 
 
 def test_a_hand_over_that_is_silent_fails_in_time_and_is_stopped() -> None:
--- a/tests/decide/peers/test_membership.py
+++ b/tests/decide/peers/test_membership.py
@@ -23,11 +23,15 @@
 
 @pytest.mark.parametrize("count", [3, 5, 16])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_one_that_is_killed_is_dead_to_all_within_the_stated_time_and_nobody_else_is(count: int, seed: int) -> None:
+def test_one_that_is_killed_is_dead_to_all_within_the_stated_time_and_nobody_else_is(
+    count: int, seed: int
+) -> None:
     swarm = settled(count, seed)
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
-    assert swarm.run_until(lambda: swarm.all_think(gone, Standing.DEAD), swarm.rules.detect_us(count))
+    assert swarm.run_until(
+        lambda: swarm.all_think(gone, Standing.DEAD), swarm.rules.detect_us(count)
+    )
     assert {each.fields["member"] for each in swarm.deaths(begun)} == {gone}
 
 
@@ -35,12 +39,17 @@
     swarm = settled(5)
     for life in (3600 * SECOND, 5):
         swarm.kill("p003")
-        assert swarm.run_until(lambda: swarm.all_think("p003", Standing.DEAD), swarm.rules.detect_us(5))
+        assert swarm.run_until(
+            lambda: swarm.all_think("p003", Standing.DEAD), swarm.rules.detect_us(5)
+        )
         swarm.life = life
         swarm.start("p003")
         assert swarm.run_until(swarm.whole, swarm.rules.heal_us(5))
     assert swarm.members["p003"].incarnation > 3600 * SECOND and not swarm.members["p003"].twins
-    assert [swarm.members[each].table.members["p003"].restarts for each in ("p000", "p001")] == [2, 2]
+    assert [swarm.members[each].table.members["p003"].restarts for each in ("p000", "p001")] == [
+        2,
+        2,
+    ]
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -49,7 +58,9 @@
     side = set(swarm.names[:3])
     swarm.cut = lambda a, b: (a in side) != (b in side)
     swarm.run(swarm.now_us + 90 * SECOND)
-    assert all(swarm.standing(a, b) is Standing.DEAD for a in side for b in swarm.names if b not in side)
+    assert all(
+        swarm.standing(a, b) is Standing.DEAD for a in side for b in swarm.names if b not in side
+    )
     assert all(swarm.standing(a, b) is Standing.ALIVE for a in side for b in side if a != b)
     swarm.cut = lambda a, b: False
     healed = swarm.now_us
@@ -61,7 +72,11 @@
 def test_one_way_cuts_to_one_other_are_bridged_by_helpers(hears: bool) -> None:
     swarm = settled(5)
     begun = swarm.now_us
-    swarm.cut = (lambda a, b: (a, b) == ("p001", "p002")) if hears else (lambda a, b: (a, b) == ("p002", "p001"))
+    swarm.cut = (
+        (lambda a, b: (a, b) == ("p001", "p002"))
+        if hears
+        else (lambda a, b: (a, b) == ("p002", "p001"))
+    )
     swarm.run(begun + 120 * SECOND)
     assert not swarm.deaths(begun) and swarm.whole()
 
@@ -79,7 +94,9 @@
     swarm.cut = lambda a, b: b == "p004"
     swarm.run(swarm.now_us + 60 * SECOND)
     assert swarm.members["p004"].health.score >= 4, "none of its probes is answered: it slows down"
-    assert all(swarm.standing(a, "p004") is Standing.DEAD for a in swarm.names[:4]), "it answers nobody"
+    assert all(swarm.standing(a, "p004") is Standing.DEAD for a in swarm.names[:4]), (
+        "it answers nobody"
+    )
     swarm.cut = lambda a, b: False
     assert swarm.run_until(swarm.whole, swarm.rules.heal_us(5))
 
@@ -121,9 +138,17 @@
     for name in swarm.names[1:]:
         held = member.table.members[name].word
         member.table.hear(held.as_standing(Standing.SUSPECTED, "p001"), swarm.now_us)
-    sends = [each for each in member.on_message(swarm.now_us, "p001", "at p001", Probe(7)) if isinstance(each, Send)]
+    sends = [
+        each
+        for each in member.on_message(swarm.now_us, "p001", "at p001", Probe(7))
+        if isinstance(each, Send)
+    ]
     assert len(sends[0].message.news) <= NEWS_MOST and isinstance(sends[0].message, Ack)
-    sends = [each for each in member.on_message(swarm.now_us, "p001", "at p001", Sync(True)) if isinstance(each, Send)]
+    sends = [
+        each
+        for each in member.on_message(swarm.now_us, "p001", "at p001", Sync(True))
+        if isinstance(each, Send)
+    ]
     assert len(sends[0].message.news) <= SYNC_MOST
 
 
@@ -133,12 +158,17 @@
     told = []
     for round_ in range(20):
         word = Word("a", member.incarnation, Standing.ALIVE, "there", "", 99)
-        told += [each.what for each in member.on_message(round_, "b", "at b", Sync(False, (word,)))
-                 if hasattr(each, "what")]
+        told += [
+            each.what
+            for each in member.on_message(round_, "b", "at b", Sync(False, (word,)))
+            if hasattr(each, "what")
+        ]
     assert told[0] == "former-life" and told[-1] == "twin" and member.twins
 
 
 def test_the_stated_times_are_formulas_that_grow_with_the_logarithm() -> None:
     rules = Rules()
     assert rules.detect_us(5) == 2 * (7 + 1 + 6) * SECOND + 12 * SECOND + 3 * 700_000
-    assert rules.detect_us(170) < 2.5 * rules.detect_us(5) and rules.heal_us(64) < 2 * rules.heal_us(5)
+    assert rules.detect_us(170) < 2.5 * rules.detect_us(5) and rules.heal_us(
+        64
+    ) < 2 * rules.heal_us(5)
--- a/tests/decide/peers/test_model.py
+++ b/tests/decide/peers/test_model.py
@@ -20,8 +20,15 @@
     assert found.way == () and found.states > 1_000
 
 
-@pytest.mark.parametrize("plan", [Plan(2, from_answer=True), Plan(2, no_wait=True), Plan(2, forgetful=True),
-                                  Plan(2, hasty=True)])
+@pytest.mark.parametrize(
+    "plan",
+    [
+        Plan(2, from_answer=True),
+        Plan(2, no_wait=True),
+        Plan(2, forgetful=True),
+        Plan(2, hasty=True),
+    ],
+)
 def test_planted_errors_of_grants_and_steps_are_found(plan: Plan) -> None:
     assert explore(plan).way
 
--- a/tests/decide/peers/test_raft.py
+++ b/tests/decide/peers/test_raft.py
@@ -41,8 +41,9 @@
 
     def start(self, name: str, empty: bool = False) -> None:
         self.lives[name] += 1
-        raft = self.live[name] = Raft(name, None if empty else copy.deepcopy(self.disks[name]),
-                                      self.random.randrange(1 << 30))
+        raft = self.live[name] = Raft(
+            name, None if empty else copy.deepcopy(self.disks[name]), self.random.randrange(1 << 30)
+        )
         self.act(name, raft.start(self.now_us))
 
     def kill(self, name: str) -> None:
@@ -65,6 +66,7 @@
         def while_alive(call: Callable[[], list[Any]]) -> None:
             if name in self.live and self.lives[name] == life:
                 self.act(name, call())
+
         for effect in effects:
             if isinstance(effect, Persist):
                 self.disks[name].keep(effect)
@@ -75,6 +77,7 @@
                 def due(key: str = key, at_us: int = effect.at_us) -> None:
                     if self.timers.get((name, key)) == at_us:
                         while_alive(lambda: self.live[name].on_timer(self.now_us, key))
+
                 self.at(effect.at_us, due)
             elif isinstance(effect, Send):
                 self.send(name, effect)
@@ -85,7 +88,9 @@
                 for offset, entry in enumerate(effect.entries):
                     index = effect.first + offset
                     assert index == self.applied[name] + 1
-                    assert self.decided.setdefault(index, entry) == entry, f"{name}: another decision at {index}"
+                    assert self.decided.setdefault(index, entry) == entry, (
+                        f"{name}: another decision at {index}"
+                    )
                     self.applied[name] = index
                     if entry.kind == "x":
                         self.states[name].append(entry.body)
@@ -96,16 +101,30 @@
                 self.confirmed.append((name, effect.number))
         disk, live = self.disks[name], self.live[name].disk
         if not self.live[name].empty:
-            assert (disk.term, disk.vote, disk.base, disk.log) == (live.term, live.vote, live.base, live.log)
+            assert (disk.term, disk.vote, disk.base, disk.log) == (
+                live.term,
+                live.vote,
+                live.base,
+                live.log,
+            )
 
     def send(self, name: str, send: Send) -> None:
         if self.cut(name, send.ident) or self.random.random() < self.loss:
             return
         for _ in range(1 + (self.random.random() < 0.05)):
+
             def arrive() -> None:
                 if send.ident in self.live:
-                    self.act(send.ident, self.live[send.ident].on_message(self.now_us, name, send.message))
-            delay = self.random.randrange(200, 20_000) if self.random.random() < 0.95 else self.random.randrange(2 * S)
+                    self.act(
+                        send.ident,
+                        self.live[send.ident].on_message(self.now_us, name, send.message),
+                    )
+
+            delay = (
+                self.random.randrange(200, 20_000)
+                if self.random.random() < 0.95
+                else self.random.randrange(2 * S)
+            )
             self.at(self.now_us + delay, arrive)
 
     def leader(self) -> Raft | None:
@@ -131,7 +150,10 @@
             self.propose(f"last-{self.now_us}")
         self.run(2 * S)
         voters = [name for name in self.names if name in self.live and not self.live[name].empty]
-        assert len({self.applied[name] for name in voters}) == 1 and len({tuple(self.states[v]) for v in voters}) == 1
+        assert (
+            len({self.applied[name] for name in voters}) == 1
+            and len({tuple(self.states[v]) for v in voters}) == 1
+        )
 
 
 def test_one_is_elected_and_what_it_proposes_is_decided_by_all() -> None:
@@ -146,7 +168,9 @@
 
 @pytest.mark.parametrize("count", [3, 5])
 @pytest.mark.parametrize("seed", range(1, 31))
-def test_generated_schedules_of_cuts_kills_loss_and_proposals_decide_one_thing(count: int, seed: int) -> None:
+def test_generated_schedules_of_cuts_kills_loss_and_proposals_decide_one_thing(
+    count: int, seed: int
+) -> None:
     rng, cluster = random.Random(seed), Cluster(count, seed)
     proposed = 0
     for _ in range(60):
@@ -156,7 +180,8 @@
             side = set(rng.sample(cluster.names, rng.randrange(1, count)))
             one_way = rng.random() < 0.3
             cluster.cut = lambda a, b, side=side, one=one_way: (
-                (a in side and b not in side) or (not one and b in side and a not in side))
+                (a in side and b not in side) or (not one and b in side and a not in side)
+            )
         elif what < 0.3:
             cluster.cut = lambda a, b: False
         elif what < 0.4:
@@ -232,10 +257,14 @@
     assert leader is not None and leader.change_voters(cluster.now_us, ("v0", "v3", "v9"))[0] == -1
     index, effects = leader.change_voters(cluster.now_us, tuple(cluster.names))
     cluster.act(leader.me, effects)
-    assert index > 0 and leader.change_voters(cluster.now_us, tuple(cluster.names[:3]))[0] == -1, "not yet decided"
+    assert index > 0 and leader.change_voters(cluster.now_us, tuple(cluster.names[:3]))[0] == -1, (
+        "not yet decided"
+    )
     cluster.run(2 * S)
     assert all(cluster.live[name].voters == tuple(cluster.names) for name in cluster.names)
-    index, effects = leader.change_voters(cluster.now_us, tuple(n for n in cluster.names if n != leader.me))
+    index, effects = leader.change_voters(
+        cluster.now_us, tuple(n for n in cluster.names if n != leader.me)
+    )
     cluster.act(leader.me, effects)
     cluster.run(6 * S)
     new = cluster.leader()
--- a/tests/decide/peers/test_raft_machine.py
+++ b/tests/decide/peers/test_raft_machine.py
@@ -20,8 +20,13 @@
 
 NAMES = ("v0", "v1", "v2", "v3")
 PICK = st.integers(0, 1 << 16)
-PLAY = settings(max_examples=120, stateful_step_count=50, deadline=None, derandomize=True,
-                suppress_health_check=list(HealthCheck))
+PLAY = settings(
+    max_examples=120,
+    stateful_step_count=50,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
+)
 
 
 class Voters(RuleBasedStateMachine):
@@ -61,7 +66,9 @@
             elif isinstance(effect, log.Elected) and effect.on:
                 self.elected(name)
             elif isinstance(effect, log.Restored):
-                assert effect.index <= len(self.decided), "a snapshot of what nobody was told is decided"
+                assert effect.index <= len(self.decided), (
+                    "a snapshot of what nobody was told is decided"
+                )
                 self.applied[name] = effect.index
             elif isinstance(effect, log.Committed):
                 self.committed(name, effect)
@@ -72,7 +79,9 @@
         assert self.leaders.setdefault(disk.term, name) == name, f"two leaders in term {disk.term}"
         for index, entry in enumerate(self.decided, 1):
             if index > disk.base:
-                assert disk.last >= index and disk.log[index - disk.base - 1] == entry, "a leader that lacks a decision"
+                assert disk.last >= index and disk.log[index - disk.base - 1] == entry, (
+                    "a leader that lacks a decision"
+                )
 
     def committed(self, name: str, effect: log.Committed) -> None:
         assert effect.first == self.applied[name] + 1, "in order, and once"
@@ -113,7 +122,9 @@
     def pass_time(self, pick: int) -> None:
         due = sorted((at, *key) for key, at in self.timers.items() if key[0] in self.live)
         if due:
-            at, name, key = due[pick % min(3, len(due))]  # one that stands still lets others go first
+            at, name, key = due[
+                pick % min(3, len(due))
+            ]  # one that stands still lets others go first
             del self.timers[name, key]
             self.now_us = max(self.now_us, at)
             self.act(name, self.live[name].on_timer(self.now_us, key))
@@ -149,8 +160,11 @@
         leading = [raft for raft in self.live.values() if raft.leads]
         if leading:
             raft, name = leading[pick % len(leading)], NAMES[pick % 4]
-            voters = tuple(each for each in raft.voters if each != name) if name in raft.voters else (
-                *raft.voters, name)
+            voters = (
+                tuple(each for each in raft.voters if each != name)
+                if name in raft.voters
+                else (*raft.voters, name)
+            )
             if voters:
                 self.act(raft.me, raft.change_voters(self.now_us, voters)[1])
 
@@ -163,7 +177,12 @@
     def what_is_on_disk_is_what_is_said(self) -> None:
         for name, raft in self.live.items():
             disk, said = self.disks[name], raft.disk
-            assert (disk.term, disk.vote, disk.base, disk.log) == (said.term, said.vote, said.base, said.log)
+            assert (disk.term, disk.vote, disk.base, disk.log) == (
+                said.term,
+                said.vote,
+                said.base,
+                said.log,
+            )
 
 
 run: Callable[..., None] = stateful.run_state_machine_as_test
@@ -172,7 +191,9 @@
 def test_whatever_comes_in_whatever_order_one_thing_is_decided() -> None:
     Voters.found = Counter()
     run(Voters, settings=PLAY)
-    assert min(Voters.found[each] for each in ("elected", "x")) >= 20 and Voters.found[log.VOTERS] >= 3, Voters.found
+    assert (
+        min(Voters.found[each] for each in ("elected", "x")) >= 20 and Voters.found[log.VOTERS] >= 3
+    ), Voters.found
 
 
 class VotesForAnybody(Raft):
--- a/tests/decide/peers/test_regionnews.py
+++ b/tests/decide/peers/test_regionnews.py
@@ -32,7 +32,9 @@
     assert north.stable_us == 2 * S and not north.lost
 
 
-def test_a_region_is_lost_once_nobody_of_it_was_heard_for_long_and_not_by_a_new_leader_at_once() -> None:
+def test_a_region_is_lost_once_nobody_of_it_was_heard_for_long_and_not_by_a_new_leader_at_once() -> (
+    None
+):
     regions = leader(10 * S)
     assert not any(each.lost for each in regions.told(11 * S, Asker("p", 1, 1, 1)))
     hear(regions, 11 * S, "a", said())
--- a/tests/decide/peers/test_reissue.py
+++ b/tests/decide/peers/test_reissue.py
@@ -18,7 +18,18 @@
 from wingbarrow.decide.peers.keeping import Taking
 from wingbarrow.decide.peers.leasing import PHASES, AskMachine, Known, MachineSays, Record, Session
 from wingbarrow.decide.peers.pace import Pace
-from wingbarrow.decide.peers.reissue import EVERY, SAYS, TABLE, TIMES, Copy, Row, Verdict, decide, said_of, settle
+from wingbarrow.decide.peers.reissue import (
+    EVERY,
+    SAYS,
+    TABLE,
+    TIMES,
+    Copy,
+    Row,
+    Verdict,
+    decide,
+    said_of,
+    settle,
+)
 from wingbarrow.decide.peers.takeover import CLAIM_US, Takeover
 from wingbarrow.lab.fleet.custodians import Custodians, stated_us
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
@@ -35,7 +46,11 @@
     if effect == "safe":
         return "run"
     if effect == "keyed":
-        return "run" if says == "operator" else {"window": "waiting", "past": "run", "open": "unknown"}[time]
+        return (
+            "run"
+            if says == "operator"
+            else {"window": "waiting", "past": "run", "open": "unknown"}[time]
+        )
     if says == "operator":
         return "run"
     if says == "holds" or knows in ("doubt", "placed"):
@@ -53,32 +68,41 @@
     assert not astray(TABLE)
     assert {id(decide(*each)) for each in ALL} == {id(row) for row in TABLE}
     docs = (Path(__file__).parents[3] / "docs" / "reissue.md").read_text()
-    assert all(row.why for row in TABLE) and all(table in docs for table in reissue.markdown().strip().split("\n\n"))
+    assert all(row.why for row in TABLE) and all(
+        table in docs for table in reissue.markdown().strip().split("\n\n")
+    )
 
 
 def test_each_row_is_needed_and_each_wrong_verdict_is_found() -> None:
     for index, row in enumerate(TABLE):
         for verdict in Verdict:
             if verdict is not row.verdict:
-                assert astray((*TABLE[:index], replace(row, verdict=verdict), *TABLE[index + 1:]))
+                assert astray((*TABLE[:index], replace(row, verdict=verdict), *TABLE[index + 1 :]))
 
 
-@given(st.integers(0, 10 ** 9), st.integers(0, 10 ** 9), st.integers(0, 10 ** 8), st.booleans())
-def test_clear_is_said_only_of_a_machine_that_remembers_all_of_the_time(boot_us: int, left_us: int, late_us: int,
-                                                                        holds: bool) -> None:
+@given(st.integers(0, 10**9), st.integers(0, 10**9), st.integers(0, 10**8), st.booleans())
+def test_clear_is_said_only_of_a_machine_that_remembers_all_of_the_time(
+    boot_us: int, left_us: int, late_us: int, holds: bool
+) -> None:
     told_us = max(boot_us, left_us)
     says = MachineSays(1, "m", "u", True, holds, told_us - boot_us)
     word = said_of(says, told_us + late_us - left_us)
     if word == "clear":
         assert boot_us < left_us and not holds
     assert (word == "holds") is holds
-    assert said_of(replace(says, reached=False), 0) == "unreachable" and said_of(None, 0) == "unasked"
+    assert (
+        said_of(replace(says, reached=False), 0) == "unreachable" and said_of(None, 0) == "unasked"
+    )
 
 
-@given(st.sampled_from(EVERY), st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()),
-       st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()))
+@given(
+    st.sampled_from(EVERY),
+    st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()),
+    st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()),
+)
 def test_healing_is_the_same_from_both_sides_and_never_stops_what_must_not_start_twice(
-        effect: str, one: tuple[int, str, bool], other: tuple[int, str, bool]) -> None:
+    effect: str, one: tuple[int, str, bool], other: tuple[int, str, bool]
+) -> None:
     a, b = Copy(*one), Copy(*other)
     mine, theirs, _ = settle(effect, a, b)
     if (a.epoch, a.holder) != (b.epoch, b.holder):
@@ -86,13 +110,42 @@
         assert (mine, theirs).count(Verdict.RUN) <= 1 + (effect == "unsafe" and a.runs and b.runs)
     if effect == "unsafe":
         assert Verdict.STOP not in (mine, theirs)
-        assert not (a.runs and mine is not Verdict.RUN) and not (b.runs and not a.runs and theirs is Verdict.WAIT)
-
-
-def job(uid: str, effect: str = "unsafe", known: Known | None = None, priority: int = 0, born_us: int = 0,
-        count: int = 1) -> Record:
-    return Record(1, uid, f"shop/{uid}", GONE, 0, 3, "north", "spread", effect, "all", 3 * S, 5 * S, priority, 1.0, 1.0,
-                  count, "{}", ("b",), "", born_us, (known,) if known is not None else ())
+        assert not (a.runs and mine is not Verdict.RUN) and not (
+            b.runs and not a.runs and theirs is Verdict.WAIT
+        )
+
+
+def job(
+    uid: str,
+    effect: str = "unsafe",
+    known: Known | None = None,
+    priority: int = 0,
+    born_us: int = 0,
+    count: int = 1,
+) -> Record:
+    return Record(
+        1,
+        uid,
+        f"shop/{uid}",
+        GONE,
+        0,
+        3,
+        "north",
+        "spread",
+        effect,
+        "all",
+        3 * S,
+        5 * S,
+        priority,
+        1.0,
+        1.0,
+        count,
+        "{}",
+        ("b",),
+        "",
+        born_us,
+        (known,) if known is not None else (),
+    )
 
 
 def taking(record: Record) -> Taking:
@@ -104,7 +157,11 @@
 
 
 def verdicts(effects: list[Effect]) -> list[str]:
-    return [each.fields["verdict"] for each in effects if isinstance(each, Tell) and each.what == "reissue"]
+    return [
+        each.fields["verdict"]
+        for each in effects
+        if isinstance(each, Tell) and each.what == "reissue"
+    ]
 
 
 ABOUT = Known(0, "about", "m", "p", 10 * S)
@@ -134,11 +191,17 @@
     assert not verdicts(made.on_message(22 * S, replace(late, holds=True)))
 
 
-@pytest.mark.parametrize(("says", "verdict"), [
-    (MachineSays(0, "m", "u", True, True, 3600 * S), "unknown"),
-    (MachineSays(0, "m", "u", True, False, 5 * S), "unknown"),
-    (MachineSays(0, "m", "u", True, False, 3600 * S), "run")])
-def test_only_a_machine_that_never_had_it_clears_an_attempt(says: MachineSays, verdict: str) -> None:
+@pytest.mark.parametrize(
+    ("says", "verdict"),
+    [
+        (MachineSays(0, "m", "u", True, True, 3600 * S), "unknown"),
+        (MachineSays(0, "m", "u", True, False, 5 * S), "unknown"),
+        (MachineSays(0, "m", "u", True, False, 3600 * S), "run"),
+    ],
+)
+def test_only_a_machine_that_never_had_it_clears_an_attempt(
+    says: MachineSays, verdict: str
+) -> None:
     made, first = begun()
     number = asks(first)[0].number
     assert not made.on_message(2 * S, replace(says, number=number, machine="other"))
@@ -204,7 +267,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_was_accepted_in_a_lost_region_runs_elsewhere_within_the_stated_time(seed: int) -> None:
+def test_what_was_accepted_in_a_lost_region_runs_elsewhere_within_the_stated_time(
+    seed: int,
+) -> None:
     world = loss_of_a_region(seed, loss=0.02 * (seed % 2), copies=1 + seed % 2)
     verdict = judged(world)
     assert not verdict.breaches and not lost_runs(world) and not forgotten(world)
@@ -226,20 +291,35 @@
 
 
 def wrong(index: int) -> tuple[Row, ...]:
-    return (*TABLE[:index], replace(TABLE[index], verdict=Verdict.RUN), *TABLE[index + 1:])
+    return (*TABLE[:index], replace(TABLE[index], verdict=Verdict.RUN), *TABLE[index + 1 :])
 
 
 def test_planted_an_attempt_that_leaves_without_a_word_is_found() -> None:
-    assert any("never twice" in breach for seed in range(12)
-               for breach in judged(trouble(seed, world=Careless(seed))).breaches)
-
-
-@pytest.mark.parametrize(("row", "kind", "seeds"), [(3, "key twice", range(12)), (4, "key twice", (45, 48)),
-                                                    (8, "never twice", range(12)), (10, "never twice", range(12))])
-def test_planted_rows_are_found_by_the_plays(row: int, kind: str, seeds: list[int],
-                                             monkeypatch: pytest.MonkeyPatch) -> None:
+    assert any(
+        "never twice" in breach
+        for seed in range(12)
+        for breach in judged(trouble(seed, world=Careless(seed))).breaches
+    )
+
+
+@pytest.mark.parametrize(
+    ("row", "kind", "seeds"),
+    [
+        (3, "key twice", range(12)),
+        (4, "key twice", (45, 48)),
+        (8, "never twice", range(12)),
+        (10, "never twice", range(12)),
+    ],
+)
+def test_planted_rows_are_found_by_the_plays(
+    row: int, kind: str, seeds: list[int], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Takeover, "table", wrong(row))
-    assert any(kind in breach for seed in seeds for breach in judged(trouble(seed, copies=1 + seed % 2)).breaches)
+    assert any(
+        kind in breach
+        for seed in seeds
+        for breach in judged(trouble(seed, copies=1 + seed % 2)).breaches
+    )
 
 
 def test_the_same_play_says_the_same() -> None:
@@ -247,7 +327,7 @@
 
 
 @settings(max_examples=30, deadline=None, derandomize=True, database=None)
-@given(st.integers(1000, 10 ** 6), st.integers(1, 2))
+@given(st.integers(1000, 10**6), st.integers(1, 2))
 def test_generated_trouble(seed: int, copies: int) -> None:
     world = trouble(seed, moments=12, copies=copies)
     assert not judged(world).breaches and not lost_runs(world) and not forgotten(world)
--- a/tests/decide/peers/test_rights.py
+++ b/tests/decide/peers/test_rights.py
@@ -12,13 +12,23 @@
 from hypothesis import strategies as st
 
 from tests.decide.peers.rightsfleet import (
-    NAMES, STANDING, STRANDED, Fleet, Story, has_all, has_share, then_b_takes_what_it_gets)
+    NAMES,
+    STANDING,
+    STRANDED,
+    Fleet,
+    Story,
+    has_all,
+    has_share,
+    then_b_takes_what_it_gets,
+)
 from wingbarrow.decide.peers.blocks import Block, Blocks
 from wingbarrow.decide.peers.holding import Holding
 from wingbarrow.decide.peers.rights import fair
 
 
-@given(st.integers(0, 50), st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 60), min_size=1))
+@given(
+    st.integers(0, 50), st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 60), min_size=1)
+)
 def test_parts_are_fair_and_make_the_whole(total: int, wants: dict[str, int]) -> None:
     parts = fair(total, wants)
     assert sum(parts.values()) <= total and min(parts.values()) >= 0
@@ -29,20 +39,30 @@
 
 
 def test_one_that_asks_for_all_leaves_to_others_what_they_want() -> None:
-    assert fair(100, {"liar": 10 ** 6, "x": 20, "y": 30}) == {"liar": 50, "x": 20, "y": 30}
-    assert fair(100, {"liar": 10 ** 6, "x": 80, "y": 90}) == {"liar": 34, "x": 33, "y": 33}
+    assert fair(100, {"liar": 10**6, "x": 20, "y": 30}) == {"liar": 50, "x": 20, "y": 30}
+    assert fair(100, {"liar": 10**6, "x": 80, "y": 90}) == {"liar": 34, "x": 33, "y": 33}
 
 
 run: Callable[..., None] = stateful.run_state_machine_as_test
-PLAY = settings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True,
-                suppress_health_check=list(HealthCheck))
+PLAY = settings(
+    max_examples=150,
+    stateful_step_count=50,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
+)
 
 
 def test_whatever_happens_nobody_passes_the_whole() -> None:
     Fleet.found = Counter()
     run(Fleet, settings=PLAY)
-    assert min(Fleet.found[each] for each in ("given", "standing", "starts", "deaths", "leaders", "moves")) >= 20, (
-        Fleet.found)
+    assert (
+        min(
+            Fleet.found[each]
+            for each in ("given", "standing", "starts", "deaths", "leaders", "moves")
+        )
+        >= 20
+    ), Fleet.found
 
 
 # -- errors, each with the story that shows it
@@ -66,15 +86,23 @@
     """Planted: a new life is taken for the one before."""
 
     def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
-        return super().answers(now_us, [(replace(asker, life=1, number=asker.life * 10 ** 6 + asker.number), said)
-                                        for asker, said in asks], limits)
+        return super().answers(
+            now_us,
+            [
+                (replace(asker, life=1, number=asker.life * 10**6 + asker.number), said)
+                for asker, said in asks
+            ],
+            limits,
+        )
 
 
 class AnyWord(Blocks):
     """Planted: an ask that was sent to an earlier leader proves what its sender holds."""
 
     def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
-        return super().answers(now_us, [(replace(asker, reign=self.reign), said) for asker, said in asks], limits)
+        return super().answers(
+            now_us, [(replace(asker, reign=self.reign), said) for asker, said in asks], limits
+        )
 
 
 class AtOnce(Blocks):
@@ -201,13 +229,24 @@
     fleet.start("a", 6)
 
 
-@pytest.mark.parametrize("planted, story", [
-    (NoLag, silent), (NoDebt, reborn), (OneLife, reborn_and_works), (AnyWord, late_word), (AtOnce, wanted_elsewhere),
-    (Forgetful, deposed), (AnyAnswer, late_answer), (Stale, lapsed)])
+@pytest.mark.parametrize(
+    "planted, story",
+    [
+        (NoLag, silent),
+        (NoDebt, reborn),
+        (OneLife, reborn_and_works),
+        (AnyWord, late_word),
+        (AtOnce, wanted_elsewhere),
+        (Forgetful, deposed),
+        (AnyAnswer, late_answer),
+        (Stale, lapsed),
+    ],
+)
 def test_a_planted_error_is_found(planted: Any, story: Story) -> None:
     def play(fleet: Fleet) -> None:
         story(fleet)
         then_b_takes_what_it_gets(fleet)
+
     play(Fleet())
     where = "blocks" if issubclass(planted, Blocks) else "holding"
     with pytest.raises(AssertionError, match="stand"):
--- a/tests/decide/peers/test_rules.py
+++ b/tests/decide/peers/test_rules.py
@@ -15,26 +15,68 @@
 
 CLASSES = st.dictionaries(
     st.sampled_from(["web", "settlement", "batch"]),
-    st.tuples(st.sampled_from(r.EFFECTS), st.sampled_from(["none", "machine", "cell"]), st.integers(1, 4)),
-    min_size=1).map(lambda found: tuple(r.ClassRules(name, *each) for name, each in found.items()))
-WINDOWS = st.lists(st.builds(
-    p.WindowRules, st.sampled_from(["nightly", "patch"]), st.just("2026-12-06T02:00:00"), st.just("Europe/Helsinki"),
-    st.sampled_from([60 * p.SECOND, 90 * p.SECOND]), st.just(30 * p.SECOND), st.sampled_from(["", "FREQ=DAILY"]),
-    st.just(("2026-12-08",)), st.just(()), st.just((("", "", "hall-a", ""),)), st.just(0), st.just("wait")),
-    max_size=2, unique_by=lambda each: each.name).map(tuple)
+    st.tuples(
+        st.sampled_from(r.EFFECTS), st.sampled_from(["none", "machine", "cell"]), st.integers(1, 4)
+    ),
+    min_size=1,
+).map(lambda found: tuple(r.ClassRules(name, *each) for name, each in found.items()))
+WINDOWS = st.lists(
+    st.builds(
+        p.WindowRules,
+        st.sampled_from(["nightly", "patch"]),
+        st.just("2026-12-06T02:00:00"),
+        st.just("Europe/Helsinki"),
+        st.sampled_from([60 * p.SECOND, 90 * p.SECOND]),
+        st.just(30 * p.SECOND),
+        st.sampled_from(["", "FREQ=DAILY"]),
+        st.just(("2026-12-08",)),
+        st.just(()),
+        st.just((("", "", "hall-a", ""),)),
+        st.just(0),
+        st.just("wait"),
+    ),
+    max_size=2,
+    unique_by=lambda each: each.name,
+).map(tuple)
 PLANS = st.builds(
-    p.DrainPlan, st.sets(st.sampled_from([("cell", "max", 1.0), ("zone", "min-share", 0.5)]), min_size=1).map(
-        lambda found: tuple(sorted(found))),
-    st.sets(st.just(("feast", 1, 2))).map(tuple), st.sampled_from([0.5, 0.9]), st.just(60 * p.SECOND),
-    st.integers(1, 2), st.just(p.SECOND), st.just(0.5), st.booleans())
+    p.DrainPlan,
+    st.sets(st.sampled_from([("cell", "max", 1.0), ("zone", "min-share", 0.5)]), min_size=1).map(
+        lambda found: tuple(sorted(found))
+    ),
+    st.sets(st.just(("feast", 1, 2))).map(tuple),
+    st.sampled_from([0.5, 0.9]),
+    st.just(60 * p.SECOND),
+    st.integers(1, 2),
+    st.just(p.SECOND),
+    st.just(0.5),
+    st.booleans(),
+)
 SETS = st.builds(
-    r.RuleSet, CLASSES, st.integers(1, 4), st.integers(0, 3), st.integers(1, 3),
-    st.dictionaries(st.sampled_from("abcd"), st.integers(0, 8)).map(lambda found: tuple(found.items())),
-    st.integers(0, 3), st.sets(st.sampled_from(["n1", "n2"])).map(tuple), WINDOWS,
-    st.sets(st.builds(p.AskedDrain, st.sampled_from(["n1", "n2"]), st.just(1_800_000_000 * p.SECOND),
-                      st.sampled_from([1, 2]))).map(tuple),
-    st.sets(st.sampled_from(["nightly@1800000000/n1", "nightly@1800000000/n2"])).map(tuple), PLANS).map(r.normal)
-ONE = r.normal(r.RuleSet((r.ClassRules("web", "safe", "cell", 3),), 4, 18, 2, (("a", 10), ("b", 10)), 250, ()))
+    r.RuleSet,
+    CLASSES,
+    st.integers(1, 4),
+    st.integers(0, 3),
+    st.integers(1, 3),
+    st.dictionaries(st.sampled_from("abcd"), st.integers(0, 8)).map(
+        lambda found: tuple(found.items())
+    ),
+    st.integers(0, 3),
+    st.sets(st.sampled_from(["n1", "n2"])).map(tuple),
+    WINDOWS,
+    st.sets(
+        st.builds(
+            p.AskedDrain,
+            st.sampled_from(["n1", "n2"]),
+            st.just(1_800_000_000 * p.SECOND),
+            st.sampled_from([1, 2]),
+        )
+    ).map(tuple),
+    st.sets(st.sampled_from(["nightly@1800000000/n1", "nightly@1800000000/n2"])).map(tuple),
+    PLANS,
+).map(r.normal)
+ONE = r.normal(
+    r.RuleSet((r.ClassRules("web", "safe", "cell", 3),), 4, 18, 2, (("a", 10), ("b", 10)), 250, ())
+)
 
 
 @given(SETS, SETS, SETS)
@@ -54,12 +96,15 @@
     assert r.allows(met, a) and r.allows(met, b)
     assert r.meet(b, a) == met
     if r.allows(a, b):
-        assert r.allows(met, a) and r.allows(a, met), "nothing is lost where one is within the other"
+        assert r.allows(met, a) and r.allows(a, met), (
+            "nothing is lost where one is within the other"
+        )
 
 
 @given(SETS, SETS, SETS)
 def test_what_is_within_both_is_within_the_meet_but_where_spreads_differ_by_kind(
-        a: r.RuleSet, b: r.RuleSet, c: r.RuleSet) -> None:
+    a: r.RuleSet, b: r.RuleSet, c: r.RuleSet
+) -> None:
     if r.allows(c, a) and r.allows(c, b):
         lost = {each.name for each in c.classes} - {each.name for each in r.meet(a, b).classes}
         kinds = [{each.name: each.spread_by for each in side.classes} for side in (a, b)]
@@ -88,16 +133,29 @@
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
 def test_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
     cut = dict(r.shares(offers, tuple(names)))
-    assert sum(cut.values()) == offers and max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
-
-
-@pytest.mark.parametrize("change, words", [
-    ({"classes": []}, "classes"), ({"classes": [{"name": "x"}]}, "no rule set"), ({"attempts_most": 0}, "attempts"),
-    ({"attempts_most": True}, "attempts"), ({"cold_window_us": 0}, "window"), ({"cold_shares": [["a", -1]]}, "share"),
-    ({"cold_shares": [["a", 1], ["a", 2]]}, "two shares"), ({"barred": [""]}, "without a name"),
-    ({"more": 1}, "fields"),
-    ({"drain_grace_us": "soon"}, "grace"), ({"cold_shares": 5}, "no rule set"), ({"barred": [3]}, "without a name"),
-])
+    assert (
+        sum(cut.values()) == offers
+        and max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
+    )
+
+
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        ({"classes": []}, "classes"),
+        ({"classes": [{"name": "x"}]}, "no rule set"),
+        ({"attempts_most": 0}, "attempts"),
+        ({"attempts_most": True}, "attempts"),
+        ({"cold_window_us": 0}, "window"),
+        ({"cold_shares": [["a", -1]]}, "share"),
+        ({"cold_shares": [["a", 1], ["a", 2]]}, "two shares"),
+        ({"barred": [""]}, "without a name"),
+        ({"more": 1}, "fields"),
+        ({"drain_grace_us": "soon"}, "grace"),
+        ({"cold_shares": 5}, "no rule set"),
+        ({"barred": [3]}, "without a name"),
+    ],
+)
 def test_what_is_wrong_with_one_is_said(change: dict[str, object], words: str) -> None:
     with pytest.raises(r.BadRules, match=words):
         r.read(json.dumps({**json.loads(ONE.text()), **change}))
--- a/tests/decide/peers/test_sessions.py
+++ b/tests/decide/peers/test_sessions.py
@@ -10,11 +10,30 @@
 from wingbarrow.decide.peers.chapters import Proposal
 from wingbarrow.decide.peers.effects import Effect, Tell
 from wingbarrow.decide.peers.leasing import (
-    ENDED_MOST, Kept, Session, reckoned_us, right_us, successor)
+    ENDED_MOST,
+    Kept,
+    Session,
+    reckoned_us,
+    right_us,
+    successor,
+)
 from wingbarrow.decide.peers.rights import Asker
 from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.sessionlog import ENDED_CHARS, ENDED_KEPT, LIVES_MOST, SessionLog, from_text
-from wingbarrow.decide.peers.sessions import TURN_US, Lease, Sessions, deaf_us, ended_within_us, lone_us
+from wingbarrow.decide.peers.sessionlog import (
+    ENDED_CHARS,
+    ENDED_KEPT,
+    LIVES_MOST,
+    SessionLog,
+    from_text,
+)
+from wingbarrow.decide.peers.sessions import (
+    TURN_US,
+    Lease,
+    Sessions,
+    deaf_us,
+    ended_within_us,
+    lone_us,
+)
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -45,7 +64,9 @@
         assert session is not None
         self.leases[keeper].keeping = lambda: (Kept(session, 3, after_us),)
 
-    def ask(self, name: str, lose: bool = False, lease: Lease | None = None, life: int | None = None) -> None:
+    def ask(
+        self, name: str, lose: bool = False, lease: Lease | None = None, life: int | None = None
+    ) -> None:
         lease = lease or self.leases[name]
         asker = Asker(name, self.lives[name] if life is None else life, 1, self.now)
         self.sessions.hear(self.now, asker, lease.say(self.now))
@@ -65,7 +86,9 @@
         for each in self.sessions.due(self.now, RULES)[0]:
             self.sessions.apply(each.kind, each.value)
 
-    def wait(self, for_us: int, *names: str, step_us: int = SECOND // 2, lose: tuple[str, ...] = ()) -> None:
+    def wait(
+        self, for_us: int, *names: str, step_us: int = SECOND // 2, lose: tuple[str, ...] = ()
+    ) -> None:
         end = self.now + for_us
         while self.now < end:
             self.now = min(end, self.now + step_us)
@@ -82,7 +105,11 @@
     desk = Desk()
     lost, _ = desk.join("a"), desk.join("b")
     desk.keep("b", lost.session)
-    assert lost.session == Session("a", 1, 1) and lost.may_send(desk.now) and lost.runs_until_us == LEASE
+    assert (
+        lost.session == Session("a", 1, 1)
+        and lost.may_send(desk.now)
+        and lost.runs_until_us == LEASE
+    )
     session, last = lost.session, desk.now
     desk.wait(right_us(LEASE), "b")
     assert not lost.may_send(desk.now) and lost.may_send(desk.now - 1)
@@ -91,7 +118,9 @@
     desk.wait(last + ended_within_us(LEASE, AFTER) - desk.now, "b")
     ended = desk.sessions.log.ended[session]
     assert (ended.epoch, ended.batches, ended.region) == (1, (("b",),), "of a")
-    assert desk.leases["b"].ended[session].batches[0] == ("b",) and successor(ended, ("c", "b")) == "b"
+    assert (
+        desk.leases["b"].ended[session].batches[0] == ("b",) and successor(ended, ("c", "b")) == "b"
+    )
 
 
 def test_after_shorter_than_the_lease_does_not_shorten_the_reckoning() -> None:
@@ -118,7 +147,9 @@
     assert late.ended[session].batches == (("b",),) and late.ended[session].changed == 2
 
 
-def test_who_comes_back_before_the_end_goes_on_and_after_it_begins_anew_with_all_ends_heard() -> None:
+def test_who_comes_back_before_the_end_goes_on_and_after_it_begins_anew_with_all_ends_heard() -> (
+    None
+):
     desk = Desk()
     lost, _ = desk.join("a"), desk.join("b")
     desk.keep("b", lost.session)
@@ -135,7 +166,10 @@
     assert lost.session == Session("a", 1, 2) and lost.may_send(desk.now)
     # Its first session lapsed in silence, so that the last that was told of it was that it is open.
     assert [(each.what, each.fields.get("open")) for name, each in desk.told if name == "a"] == [
-        ("session", False), ("session-ended", None), ("session", True)]
+        ("session", False),
+        ("session-ended", None),
+        ("session", True),
+    ]
 
 
 def test_an_end_that_is_proposed_is_not_overtaken_by_a_renewal() -> None:
@@ -152,7 +186,9 @@
     assert lost.session is None
 
 
-def test_a_later_process_ends_the_session_of_the_one_before_without_after_and_that_one_renews_nothing() -> None:
+def test_a_later_process_ends_the_session_of_the_one_before_without_after_and_that_one_renews_nothing() -> (
+    None
+):
     desk = Desk()
     old = desk.join("a")
     desk.wait(5 * SECOND, "a")
@@ -173,7 +209,9 @@
     assert old.session is None and list(desk.sessions.log.open) == [Session("a", 2, 1)]
 
 
-def test_a_wall_clock_set_back_between_two_lives_costs_a_session_until_the_former_one_is_silent_and_no_longer() -> None:
+def test_a_wall_clock_set_back_between_two_lives_costs_a_session_until_the_former_one_is_silent_and_no_longer() -> (
+    None
+):
     desk = Desk()
     desk.join("a", life=9_000)
     desk.lives["a"], later = 5_000, Lease("a", "of a")
@@ -191,7 +229,9 @@
     session, last = deaf.session, desk.now
     desk.wait(deaf_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
     assert not desk.over(session)
-    desk.wait(last + deaf_us(LEASE) + ended_within_us(LEASE, AFTER) - desk.now, "a", "b", lose=("a",))
+    desk.wait(
+        last + deaf_us(LEASE) + ended_within_us(LEASE, AFTER) - desk.now, "a", "b", lose=("a",)
+    )
     assert desk.over(session)
     desk = Desk()
     deaf = desk.join("a")
@@ -224,7 +264,9 @@
     assert not desk.sessions.log.ended and desk.leases["a"].session == Session("a", 1, 1)
 
 
-def test_successors_that_are_lost_themselves_are_gone_and_may_join_again_behind_the_others() -> None:
+def test_successors_that_are_lost_themselves_are_gone_and_may_join_again_behind_the_others() -> (
+    None
+):
     desk = Desk()
     for name in "abcd":
         desk.join(name)
@@ -237,10 +279,14 @@
     desk.wait(lone_us(LEASE) + 2 * SECOND, "c", "d")
     ended = desk.sessions.log.ended[session]
     assert (ended.gone, successor(ended, ("b", "c")), successor(ended, ("b",))) == (("b",), "c", "")
-    assert ended.changed > ended.epoch and desk.leases["c"].ended[session] == ended, "who takes over acts under more"
+    assert ended.changed > ended.epoch and desk.leases["c"].ended[session] == ended, (
+        "who takes over acts under more"
+    )
     desk.wait(2 * SECOND, "b", "c", "d")  # back, under a new session, and still a keeper
     again = desk.sessions.log.ended[session]
-    assert again.batches == (("c",), ("b",)) and not again.gone and successor(again, ("b", "c")) == "c"
+    assert (
+        again.batches == (("c",), ("b",)) and not again.gone and successor(again, ("b", "c")) == "c"
+    )
     desk.wait(lone_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
     assert successor(desk.sessions.log.ended[session], ("b", "c")) == "b"
 
@@ -269,7 +315,9 @@
     for _ in range(8):
         desk.ask("a")
     assert lost.session == Session("a", 1, 2) and lost.may_send(desk.now)
-    assert [each.fields["session"] for _, each in desk.told if each.what == "session-ended"].count(session.text()) == 1
+    assert [each.fields["session"] for _, each in desk.told if each.what == "session-ended"].count(
+        session.text()
+    ) == 1
 
 
 def _over(log: SessionLog, session: Session) -> None:
@@ -284,16 +332,28 @@
     rng = random.Random(5)
     log, seen = SessionLog(), set[Session]()
     for _ in range(3_000):
-        one, other = (Session(rng.choice("abcde"), rng.randrange(1, 9), rng.randrange(1, 9)) for _ in range(2))
+        one, other = (
+            Session(rng.choice("abcde"), rng.randrange(1, 9), rng.randrange(1, 9)) for _ in range(2)
+        )
         before, kind = log.epoch, rng.choice(("opened", "ended", "succeed"))
-        log.apply(kind, {"session": one.text(), "process": one.life, "region": "r", "lease_us": LEASE,
-                         "successors": [other.text()]})
+        log.apply(
+            kind,
+            {
+                "session": one.text(),
+                "process": one.life,
+                "region": "r",
+                "lease_us": LEASE,
+                "successors": [other.text()],
+            },
+        )
         assert not log.open.keys() & seen and log.epoch >= before
         seen |= log.ended.keys()
         assert max(log.lives(name) for name in "abcde") <= LIVES_MOST
         for ended in log.ended.values():
             joined = [name for batch in ended.batches for name in batch]
-            assert len(joined) == len(set(joined)) and set(ended.gone) <= set(joined) == set(log.by[ended.session])
+            assert len(joined) == len(set(joined)) and set(ended.gone) <= set(joined) == set(
+                log.by[ended.session]
+            )
     assert log.ended and from_text(log.text()) == log and from_text("") == SessionLog()
 
 
@@ -301,19 +361,35 @@
     log = SessionLog()
     keepers = [Session("k" * 240 + f"{number:03d}", 1, 1) for number in range(64)]
     for keeper in keepers:
-        log.apply("opened", {"session": keeper.text(), "process": 1, "region": "r", "lease_us": LEASE})
+        log.apply(
+            "opened", {"session": keeper.text(), "process": 1, "region": "r", "lease_us": LEASE}
+        )
     for number in range(20):
         lost = Session(f"x{number}", 1, 1)
-        log.apply("opened", {"session": lost.text(), "process": 1, "region": "r", "lease_us": LEASE})
-        log.apply("ended", {"session": lost.text(), "successors": [each.text() for each in keepers]})
-    assert 1 < len(log.ended) < 20 and len(log.text()) < 2 * ENDED_CHARS and Session("x19", 1, 1) in log.ended
-
-
-@pytest.mark.parametrize("kind, value", [
-    ("opened", {}), ("opened", {"session": "x", "process": 1, "region": "", "lease_us": 1}),
-    ("opened", {"session": "a/1/1", "process": 1, "region": "", "lease_us": 0}),
-    ("ended", {"session": "a/1/1"}), ("ended", {"session": "a/1/1", "successors": [3]}),
-    ("nonsense", {"session": "a/1/1"})])
+        log.apply(
+            "opened", {"session": lost.text(), "process": 1, "region": "r", "lease_us": LEASE}
+        )
+        log.apply(
+            "ended", {"session": lost.text(), "successors": [each.text() for each in keepers]}
+        )
+    assert (
+        1 < len(log.ended) < 20
+        and len(log.text()) < 2 * ENDED_CHARS
+        and Session("x19", 1, 1) in log.ended
+    )
+
+
+@pytest.mark.parametrize(
+    "kind, value",
+    [
+        ("opened", {}),
+        ("opened", {"session": "x", "process": 1, "region": "", "lease_us": 1}),
+        ("opened", {"session": "a/1/1", "process": 1, "region": "", "lease_us": 0}),
+        ("ended", {"session": "a/1/1"}),
+        ("ended", {"session": "a/1/1", "successors": [3]}),
+        ("nonsense", {"session": "a/1/1"}),
+    ],
+)
 def test_what_cannot_be_read_changes_nothing(kind: str, value: dict[str, Any]) -> None:
     log = SessionLog()
     before = log.text()
@@ -328,7 +404,10 @@
     desk = Desk()
     for life in range(1, 4 * LIVES_MOST):
         desk.join("a", life)
-    assert desk.sessions.log.lives("a") == LIVES_MOST and desk.sessions.counts["sessions: no room for another"]
+    assert (
+        desk.sessions.log.lives("a") == LIVES_MOST
+        and desk.sessions.counts["sessions: no room for another"]
+    )
     desk.wait(RECKONED + 3 * SECOND, "a")
     assert desk.leases["a"].may_send(desk.now) and desk.sessions.log.lives("a") == 1
 
--- a/tests/decide/peers/test_turns.py
+++ b/tests/decide/peers/test_turns.py
@@ -24,15 +24,28 @@
 
 
 def request(machine: str, region: str = "r", cell: str = "c", **more: Any) -> dict[str, Any]:
-    return {"ident": f"of-{machine}", "machine": machine, "region": region, "zone": "z", "cell": cell,
-            "why": "operator", "urgency": 5, "latest_us": 0, "lasts_us": 60 * SECOND, "worker": "w",
-            "at_us": WALL_US, **more}
+    return {
+        "ident": f"of-{machine}",
+        "machine": machine,
+        "region": region,
+        "zone": "z",
+        "cell": cell,
+        "why": "operator",
+        "urgency": 5,
+        "latest_us": 0,
+        "lasts_us": 60 * SECOND,
+        "worker": "w",
+        "at_us": WALL_US,
+        **more,
+    }
 
 
 class Led:
     """A leader by itself: one placer for each region speaks, and what it proposes is decided at once."""
 
-    def __init__(self, cells: dict[str, int], budgets: tuple[tuple[str, str, float], ...], *regions: str) -> None:
+    def __init__(
+        self, cells: dict[str, int], budgets: tuple[tuple[str, str, float], ...], *regions: str
+    ) -> None:
         self.now_us, self.number, self.cells = 100 * SECOND, 0, cells
         self.turns = Turns("of-r", lambda now: WALL_US + now)
         self.rules = replace(rules(), plan=DrainPlan(budgets=budgets))
@@ -50,12 +63,30 @@
             for region, said in self.speak.items():
                 asker = Asker(f"of-{region}", 1, 0, self.number)
                 told = self.turns.told(self.now_us, asker)
-                numbers = tuple(number for number, _, state, _ in told.turns if state in ("closing", "empty", "out"))
-                self.turns.hear(self.now_us, asker, replace(
-                    said, clear=numbers, empty=() if self.deaf else numbers, at_us=self.now_us,
-                    tasks=tuple((number, 0) for number, _, state, _ in told.turns if state == "asked"),
-                    view=self.view or View(tuple(("z", cell, count) for cell, count in self.cells.items()),
-                              self.lost.get(region, ()), self.used)))
+                numbers = tuple(
+                    number
+                    for number, _, state, _ in told.turns
+                    if state in ("closing", "empty", "out")
+                )
+                self.turns.hear(
+                    self.now_us,
+                    asker,
+                    replace(
+                        said,
+                        clear=numbers,
+                        empty=() if self.deaf else numbers,
+                        at_us=self.now_us,
+                        tasks=tuple(
+                            (number, 0) for number, _, state, _ in told.turns if state == "asked"
+                        ),
+                        view=self.view
+                        or View(
+                            tuple(("z", cell, count) for cell, count in self.cells.items()),
+                            self.lost.get(region, ()),
+                            self.used,
+                        ),
+                    ),
+                )
             for each in self.turns.due(self.now_us, self.rules)[0]:
                 self.turns.apply(each.kind, each.value)
 
@@ -80,7 +111,9 @@
     assert "1 may be" in led.turns.blocked[1]
     led.turns.apply("back", {"number": 2, "at_us": WALL_US})
     led.run(5)
-    assert led.states() == {"a-1": "queued", "a-2": "back"}, "one that is not tried yet counts as out"
+    assert led.states() == {"a-1": "queued", "a-2": "back"}, (
+        "one that is not tried yet counts as out"
+    )
     led.speak["r"] = TurnsSaid(region="r", tried=(2,))
     led.run(5)
     assert led.states() == {"a-1": "out", "a-2": "done"}
@@ -137,9 +170,23 @@
 
 def test_while_a_hall_has_failed_nothing_closes_elsewhere_and_windows_are_taken_back() -> None:
     led = Led({"a": 4, "b": 4}, (("all", "max", 9.0),))
-    window = WindowRules("patch", "2027-01-01T02:00:00+00:00", "", 3600 * SECOND, 3600 * SECOND, "", (), (),
-                         (("*", "", "", ""),), 0, "wait")
-    led.rules, led.view = replace(led.rules, windows=(window,)), View((("y", "x", 2), ("z", "a", 4), ("z", "b", 4)))
+    window = WindowRules(
+        "patch",
+        "2027-01-01T02:00:00+00:00",
+        "",
+        3600 * SECOND,
+        3600 * SECOND,
+        "",
+        (),
+        (),
+        (("*", "", "", ""),),
+        0,
+        "wait",
+    )
+    led.rules, led.view = (
+        replace(led.rules, windows=(window,)),
+        View((("y", "x", 2), ("z", "a", 4), ("z", "b", 4))),
+    )
     led.ask("a-1", why="calendar", ident="patch@0/a-1", worker="")
     led.deaf = True
     led.run(4)
@@ -147,7 +194,10 @@
     led.view = replace(led.view, lost=(("x-1", "y", "x"),))
     led.ask("b-1")
     led.run(4)
-    assert led.states() == {"a-1": "back", "b-1": "queued"} and "r/y has failed" in led.turns.blocked[2]
+    assert (
+        led.states() == {"a-1": "back", "b-1": "queued"}
+        and "r/y has failed" in led.turns.blocked[2]
+    )
     assert led.turns.queue.turns[1].note == "r/y has failed"
 
 
@@ -181,15 +231,28 @@
     long = Queue()
     for index in range(TURNS_MOST):
         names = {"region": "r" * 63, "zone": "z" * 63, "cell": "c" * 63, "worker": "w" * 63}
-        long.apply("ask", request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names))
+        long.apply(
+            "ask", request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names)
+        )
     assert len(long.live()) == TURNS_MOST and len(long.text()) < TURNS_MOST * 1400 + 256 * 400
     again = Queue()
     again.restore(long.text())
     assert again.text() == long.text()
 
 
-@pytest.mark.parametrize("wrong", [{"urgency": 10}, {"machine": ""}, {"why": "x"}, {"lasts_us": -1}, {"unsafe": "x"},
-                                   {"latest_us": True}, {"worker": None}, {"ident": "i" * 321}])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"urgency": 10},
+        {"machine": ""},
+        {"why": "x"},
+        {"lasts_us": -1},
+        {"unsafe": "x"},
+        {"latest_us": True},
+        {"worker": None},
+        {"ident": "i" * 321},
+    ],
+)
 def test_a_request_that_cannot_be_is_refused(wrong: dict[str, Any]) -> None:
     queue = Queue()
     queue.apply("ask", request("m") | wrong)
@@ -200,8 +263,13 @@
     queue = Queue()
     queue.apply("ask", request("m"))
     text = queue.text()
-    for kind, value in (("close", {"number": "x", "at_us": 1}), ("close", {"number": 1}), ("nothing", {"at_us": 1}),
-                        ("queue", {"turns": [1], "at_us": 1}), ("out", {"number": 1, "at_us": -1})):
+    for kind, value in (
+        ("close", {"number": "x", "at_us": 1}),
+        ("close", {"number": 1}),
+        ("nothing", {"at_us": 1}),
+        ("queue", {"turns": [1], "at_us": 1}),
+        ("out", {"number": 1, "at_us": -1}),
+    ):
         with pytest.raises((ValueError, KeyError, TypeError)):
             queue.apply(kind, value)
     queue.apply("out", {"number": 1, "at_us": 1})
@@ -214,13 +282,17 @@
     led.run(5)
     asked = led.now_us
     led.turns.renew(asked, 1)
-    assert led.turns.renewed_us(1) < asked, "a deposed leader would hear no confirmed ask of its own"
+    assert led.turns.renewed_us(1) < asked, (
+        "a deposed leader would hear no confirmed ask of its own"
+    )
     led.run(0.5)
     assert led.turns.renewed_us(1) == asked
     led.run(TIMES.lease_us / SECOND - 2)
     assert not [*led.turns.silent(led.now_us)]
     led.run(4)
-    assert [*led.turns.silent(led.now_us)] == [1] and led.states() == {"a-1": "out"}, "it stays shut, and is told"
+    assert [*led.turns.silent(led.now_us)] == [1] and led.states() == {"a-1": "out"}, (
+        "it stays shut, and is told"
+    )
     led.turns.apply("give-back", {"number": 1, "at_us": WALL_US})
     led.turns.renew(led.now_us, 1)
     led.run(1)
@@ -246,7 +318,9 @@
     assert 2 not in side.say(0).clear and side.closes("m")
     side.take(0, 0, turns.told(0, Asker("p", 1, 0, 2)))
     assert side.say(0).clear == (2,)
-    assert not side.take(0, 0, first) and side.say(0).clear == (2,), "a grant that was late changes nothing"
+    assert not side.take(0, 0, first) and side.say(0).clear == (2,), (
+        "a grant that was late changes nothing"
+    )
 
 
 # -- windows
@@ -257,32 +331,74 @@
 
 
 def test_windows_ask_for_turns_as_they_begin_and_not_for_what_was_taken_back() -> None:
-    window = WindowRules("patch", "2027-01-01T02:00:00+00:00", "", 3600 * SECOND, 1200 * SECOND, "", (), (),
-                         (("", "", "", "os=old"),), 150, "shorten")
-    machines = [MachineState(f"m{index}", "c", "z", "k", {"os": "old" if index < 3 else "new"}, (1, 1), (0, 0),
-                             index != 2) for index in range(5)]
+    window = WindowRules(
+        "patch",
+        "2027-01-01T02:00:00+00:00",
+        "",
+        3600 * SECOND,
+        1200 * SECOND,
+        "",
+        (),
+        (),
+        (("", "", "", "os=old"),),
+        150,
+        "shorten",
+    )
+    machines = [
+        MachineState(
+            f"m{index}",
+            "c",
+            "z",
+            "k",
+            {"os": "old" if index < 3 else "new"},
+            (1, 1),
+            (0, 0),
+            index != 2,
+        )
+        for index in range(5)
+    ]
     of = replace(rules(), windows=(window,))
 
     def machines_at(text: str, of: RuleSet = of) -> list[str]:
         return [each.machine for each in wanted(of, machines, at(text))]
+
     assert machines_at("2027-01-01T01:58:59") == []
     assert machines_at("2027-01-01T01:59:30") == ["m0", "m1"], "m2 does not run, m3 is not meant"
-    assert machines_at("2027-01-01T02:39:00") == ["m0", "m1"] and machines_at("2027-01-01T02:40:00") == []
+    assert (
+        machines_at("2027-01-01T02:39:00") == ["m0", "m1"]
+        and machines_at("2027-01-01T02:40:00") == []
+    )
     one = wanted(of, machines, at("2027-01-01T02:00:00"))[0]
     assert (one.urgency, one.unsafe, one.ends_us) == (6, "shorten", at("2027-01-01T03:00:00"))
     assert one.from_us == at("2027-01-01T02:00:00") and one.latest_us == at("2027-01-01T02:40:00")
     assert machines_at("2027-01-01T02:00:00", replace(of, cancelled=(one.ident,))) == ["m1"]
-    black = replace(of, plan=DrainPlan(blackouts=(("no", at("2027-01-01T01:00:00"), at("2027-01-01T02:00:01")),)))
+    black = replace(
+        of,
+        plan=DrainPlan(blackouts=(("no", at("2027-01-01T01:00:00"), at("2027-01-01T02:00:01")),)),
+    )
     assert machines_at("2027-01-01T02:00:00", black) == []
 
 
 def test_a_calendars_turn_ends_by_its_time_and_with_its_window() -> None:
     led = Led({"a": 4}, (("all", "max", 9.0),))
-    window = WindowRules("patch", "2027-01-01T02:00:00+00:00", "", 3600 * SECOND, 3600 * SECOND, "", (), (),
-                         (("*", "", "", ""),), 0, "wait")
+    window = WindowRules(
+        "patch",
+        "2027-01-01T02:00:00+00:00",
+        "",
+        3600 * SECOND,
+        3600 * SECOND,
+        "",
+        (),
+        (),
+        (("*", "", "", ""),),
+        0,
+        "wait",
+    )
     led.rules = replace(led.rules, windows=(window,))
     for index in (1, 2, 3):
-        led.ask(f"a-{index}", why="calendar", ident=f"patch@0/a-{index}", worker="", lasts_us=8 * SECOND)
+        led.ask(
+            f"a-{index}", why="calendar", ident=f"patch@0/a-{index}", worker="", lasts_us=8 * SECOND
+        )
     led.ask("a-4", why="calendar", ident="gone@0/a-4", worker="")
     led.run(5)
     assert led.states() == {"a-1": "out", "a-2": "out", "a-3": "out", "a-4": "given-back"}
--- a/tests/decide/peers/test_turns_machine.py
+++ b/tests/decide/peers/test_turns_machine.py
@@ -35,20 +35,50 @@
         self.clock = max(self.clock, at)
         return self.clock
 
-    @rule(machine=st.sampled_from(MACHINES), urgency=st.integers(0, 9), latest=st.sampled_from([0, 5, 7]),
-          at=st.integers(0, 20), again=st.booleans())
+    @rule(
+        machine=st.sampled_from(MACHINES),
+        urgency=st.integers(0, 9),
+        latest=st.sampled_from([0, 5, 7]),
+        at=st.integers(0, 20),
+        again=st.booleans(),
+    )
     def ask(self, machine: str, urgency: int, latest: int, at: int, again: bool) -> None:
         self.asked += not (again and self.asked)
         ident = f"i{self.asked}"
         known = ident in self.queue.outcomes
-        self.apply("ask", at * AGE_US // 2, ident=ident, machine=machine, region="r", zone="z", cell=machine[0],
-                   why="operator", urgency=urgency, latest_us=latest, lasts_us=1, worker="")
+        self.apply(
+            "ask",
+            at * AGE_US // 2,
+            ident=ident,
+            machine=machine,
+            region="r",
+            zone="z",
+            cell=machine[0],
+            why="operator",
+            urgency=urgency,
+            latest_us=latest,
+            lasts_us=1,
+            worker="",
+        )
         if known:
             return
         now = self.moved(at * AGE_US // 2)
-        if not any(each["machine"] == machine and each["state"] not in ("done", "given-back") for each in self.plain):
-            self.plain.append({"number": len(self.plain) + 1, "machine": machine, "urgency": urgency, "tasks": 0,
-                               "latest": latest, "asked": now, "state": "asked", "given": False})
+        if not any(
+            each["machine"] == machine and each["state"] not in ("done", "given-back")
+            for each in self.plain
+        ):
+            self.plain.append(
+                {
+                    "number": len(self.plain) + 1,
+                    "machine": machine,
+                    "urgency": urgency,
+                    "tasks": 0,
+                    "latest": latest,
+                    "asked": now,
+                    "state": "asked",
+                    "given": False,
+                }
+            )
 
     @precondition(lambda self: self.plain)
     @rule(data=st.data(), tasks=st.integers(0, 3), at=st.integers(0, 20))
@@ -64,7 +94,13 @@
     def step(self, data: st.DataObject, kind: str, at: int) -> None:
         chosen = data.draw(st.sampled_from(self.plain))
         self.apply(kind, at * SECOND, number=chosen["number"])
-        if kind == "give-back" and chosen["state"] in ("asked", "queued", "closing", "empty", "out"):
+        if kind == "give-back" and chosen["state"] in (
+            "asked",
+            "queued",
+            "closing",
+            "empty",
+            "out",
+        ):
             chosen["given"] = True
             chosen["state"] = "given-back" if chosen["state"] in ("asked", "queued") else "back"
         elif STEPS.get(kind) == chosen["state"]:
@@ -83,7 +119,8 @@
     @invariant()
     def same_states(self) -> None:
         assert {each.number: (each.machine, each.state) for each in self.queue.turns.values()} == {
-            each["number"]: (each["machine"], each["state"]) for each in self.plain}
+            each["number"]: (each["machine"], each["state"]) for each in self.plain
+        }
 
     @invariant()
     def same_order(self) -> None:
@@ -99,8 +136,16 @@
     def same_room(self) -> None:
         """Whoever has room by the queue's account has it by a plain count, and the other way round."""
         view = View(tuple(("z", cell, count) for cell, count in CELLS.items()), (("a0", "z", "a"),))
-        room = Room([Budget(Scope.CELL, 1), Budget(Scope.ALL, 0.5, None, True)], {"r": view}, self.queue.active())
-        out = {each["machine"] for each in self.plain if each["state"] in ("closing", "empty", "out", "back")} | {"a0"}
+        room = Room(
+            [Budget(Scope.CELL, 1), Budget(Scope.ALL, 0.5, None, True)],
+            {"r": view},
+            self.queue.active(),
+        )
+        out = {
+            each["machine"]
+            for each in self.plain
+            if each["state"] in ("closing", "empty", "out", "back")
+        } | {"a0"}
         for turn in self.queue.queued():
             after = out | {turn.machine}
             fits = sum(each[0] == turn.cell for each in after) <= 1 and len(after) <= 3
@@ -108,4 +153,6 @@
 
 
 TestQueue = QueueMachine.TestCase
-TestQueue.settings = settings(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
+TestQueue.settings = settings(
+    max_examples=150, stateful_step_count=30, deadline=None, derandomize=True
+)
--- a/tests/decide/peers/test_turns_play.py
+++ b/tests/decide/peers/test_turns_play.py
@@ -19,8 +19,11 @@
 
 
 def wait(shop: Workshop, number: int, *states: str, seconds: int = 30) -> Turn:
-    assert shop.run_until(lambda: (turn := shop.turn(number)) is not None and turn.state in states, seconds * SECOND,
-                          SECOND // 20), shop.turn(number)
+    assert shop.run_until(
+        lambda: (turn := shop.turn(number)) is not None and turn.state in states,
+        seconds * SECOND,
+        SECOND // 20,
+    ), shop.turn(number)
     turn = shop.turn(number)
     assert turn is not None
     return turn
@@ -64,7 +67,9 @@
     wait(shop, 1, "closing")
     shop.run(shop.now_us + 5 * SECOND)
     turn = shop.turn(1)
-    assert turn is not None and turn.state == "closing", "all in reach are clear; the machine is not empty"
+    assert turn is not None and turn.state == "closing", (
+        "all in reach are clear; the machine is not empty"
+    )
     wait(shop, 1, "out")
     assert not bench.tasks and not shop.sides["p004"].closes("r0-m2")
     shop.work(1, 3 * SECOND)
@@ -77,7 +82,9 @@
     ask(shop, "r0-m1")
     wait(shop, 1, "out")
     shop.work(1, 3 * SECOND, silent=True)
-    assert shop.run_until(lambda: any(each.fields["state"] == "silent" for each in shop.tells("turn")), 20 * SECOND)
+    assert shop.run_until(
+        lambda: any(each.fields["state"] == "silent" for each in shop.tells("turn")), 20 * SECOND
+    )
     assert shop.benches["r0-m1"].guard.refuses()
     ask(shop, "r0-m5")
     wait(shop, 2, "out")
@@ -100,7 +107,9 @@
     open_to = [name for name, side in shop.sides.items() if not side.closes("r0-m3")]
     assert len(open_to) <= 1
     wait(shop, 1, "done")
-    assert shop.run_until(lambda: not any(each.closes("r0-m3") for each in shop.sides.values()), 5 * SECOND)
+    assert shop.run_until(
+        lambda: not any(each.closes("r0-m3") for each in shop.sides.values()), 5 * SECOND
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -108,24 +117,32 @@
 def test_generated_trouble_breaks_nothing(size: Size, seed: int) -> None:
     shop, verdict = play(seed, size)
     assert verdict.clean and verdict.done > 3 and verdict.works > 10, verdict
-    assert shop.run_until(lambda: not shop.chapters[shop.leader() or ""].queue.live(), 120 * SECOND), "all end"
+    assert shop.run_until(
+        lambda: not shop.chapters[shop.leader() or ""].queue.live(), 120 * SECOND
+    ), "all end"
     assert judged(shop).clean
 
 
 def no_word(self: Turns, now_us: int, turn: Turn) -> bool:
     return now_us >= self._began_us + self.times.lapse_us() and all(
         (held := self._placers.get(name)) is not None and turn.number in held.said.clear
-        for name in self.may_act(now_us))
+        for name in self.may_act(now_us)
+    )
 
 
 def no_losses(real: Callable[..., None]) -> Callable[..., None]:
     def made(self: Room, budgets: Any, views: dict[str, View], *rest: Any) -> None:
-        real(self, budgets, {region: replace(view, lost=()) for region, view in views.items()}, *rest)
+        real(
+            self, budgets, {region: replace(view, lost=()) for region, view in views.items()}, *rest
+        )
+
     return made
 
 
 @pytest.mark.parametrize("planted, seed", [("busy", 4), ("over", 1), ("disorder", 2)])
-def test_the_judge_finds_what_is_planted(planted: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_judge_finds_what_is_planted(
+    planted: str, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if planted == "busy":
         monkeypatch.setattr(Turns, "proved", no_word)
     elif planted == "over":
--- a/tests/decide/peers/test_verdicts.py
+++ b/tests/decide/peers/test_verdicts.py
@@ -11,10 +11,18 @@
 ZONES = {f"m{index}": "east" if index < 10 else "west" for index in range(20)}
 
 
-def heard(bench: Bench, now_us: int, *machines: str, witnesses: int = 2, failed: int = 3, region: str = "") -> None:
+def heard(
+    bench: Bench, now_us: int, *machines: str, witnesses: int = 2, failed: int = 3, region: str = ""
+) -> None:
     for number in range(witnesses):
-        bench.hear(now_us, f"p{number}", region or f"r{number}", [Evidence(each, failed, 3) for each in machines],
-                   len(machines), 10 + len(machines))
+        bench.hear(
+            now_us,
+            f"p{number}",
+            region or f"r{number}",
+            [Evidence(each, failed, 3) for each in machines],
+            len(machines),
+            10 + len(machines),
+        )
 
 
 def closed(bench: Bench, now_us: int) -> set[str]:
@@ -116,9 +124,21 @@
     assert last == ((), 0, 0)
 
 
-@given(st.lists(st.tuples(st.sampled_from("abcdef"), st.lists(st.tuples(
-    st.sampled_from(sorted(ZONES)), st.integers(0, 5), st.integers(0, 5)), max_size=20)), max_size=20))
-def test_whatever_is_said_the_shares_and_witnesses_hold(words: list[tuple[str, list[tuple[str, int, int]]]]) -> None:
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from("abcdef"),
+            st.lists(
+                st.tuples(st.sampled_from(sorted(ZONES)), st.integers(0, 5), st.integers(0, 5)),
+                max_size=20,
+            ),
+        ),
+        max_size=20,
+    )
+)
+def test_whatever_is_said_the_shares_and_witnesses_hold(
+    words: list[tuple[str, list[tuple[str, int, int]]]],
+) -> None:
     bench, terms = Bench(), Terms()
     for turn, (name, said) in enumerate(words):
         now = S + turn * S // 2
--- a/tests/decide/test_coldshare.py
+++ b/tests/decide/test_coldshare.py
@@ -37,10 +37,15 @@
     account.ended(9 * S, "m", "d", Came.ALONE)
     assert account.left(9 * S + SPAN, "m", 1, 3) == 0, "a broken connection says nothing of others"
     account.ended(9 * S, "m", "", Came.SPOKE)
-    assert account.left(9 * S + SPAN - 1, "m", 1, 3) == 0 and account.left(9 * S + SPAN, "m", 1, 3) == 3
+    assert (
+        account.left(9 * S + SPAN - 1, "m", 1, 3) == 0
+        and account.left(9 * S + SPAN, "m", 1, 3) == 3
+    )
     account.sent("m", 1, 18 * S, "e")
     account.ended(12 * S, "m", "e", Came.UNKNOWN)
-    assert account.left(13 * S, "m", 2, 3) == 2, "to its former process: it counts as come at the new start"
+    assert account.left(13 * S, "m", 2, 3) == 2, (
+        "to its former process: it counts as come at the new start"
+    )
     assert account.left(13 * S + SPAN, "m", 2, 3) == 3
 
 
@@ -48,7 +53,11 @@
     account = ColdShare(SPAN)
     account.sent("m", 1, 18 * S, "a")
     account.ended(0, "m", "a", Came.SPOKE)
-    assert account.left(0, "m", 1, 1) == 0 and account.left(0, "m", 1, 0) == 0 and account.left(0, "n", 1, 0) == 0
+    assert (
+        account.left(0, "m", 1, 1) == 0
+        and account.left(0, "m", 1, 0) == 0
+        and account.left(0, "n", 1, 0) == 0
+    )
 
 
 def test_a_full_table_lets_nothing_out_until_a_machine_is_no_longer_cold() -> None:
@@ -69,21 +78,27 @@
     gate = SendGate(18 * S, FALL)
 
     def held(cold_share_left: bool, launched_us: int) -> Held | None:
-        return gate.check(20 * S, Offer(20 * S, 30 * S, True, True, True, launched_us,
-                                        cold_share_left=cold_share_left))
+        return gate.check(
+            20 * S,
+            Offer(20 * S, 30 * S, True, True, True, launched_us, cold_share_left=cold_share_left),
+        )
+
     assert held(False, 10 * S) is Held.COLD_SHARE
     assert held(True, 10 * S) is None
     assert held(False, 1 * S) is None, "it is not cold any more"
     assert held(False, 0) is None
 
 
-_EVENTS = st.lists(st.tuples(st.integers(0, 6), st.integers(0, 700_000), st.booleans()), max_size=150)
+_EVENTS = st.lists(
+    st.tuples(st.integers(0, 6), st.integers(0, 700_000), st.booleans()), max_size=150
+)
 
 
 @settings(max_examples=150, deadline=None)
 @given(events=_EVENTS, replicas=st.integers(1, 7), offers=st.integers(0, 30))
 def test_all_placers_together_stay_within_the_offers_whoever_holds_the_machine(
-        events: list[tuple[int, int, bool]], replicas: int, offers: int) -> None:
+    events: list[tuple[int, int, bool]], replicas: int, offers: int
+) -> None:
     """Every placer of the roster sends as much as its own account lets it, as in a cut where each is alone.
 
     What the machine reads may lie unread until a later event; then all that was sent is read at that moment.
--- a/tests/decide/test_decide.py
+++ b/tests/decide/test_decide.py
@@ -21,48 +21,65 @@
 from wingbarrow.interface import Effect, ListedMachine, Phase, Place, TaskClass
 
 S = 1_000_000
-OFFER = Offer(decided_us=10 * S, deadline_us=20 * S, request_open=True, attempt_out=True, machine_runs=True,
-              launched_us=0)
+OFFER = Offer(
+    decided_us=10 * S,
+    deadline_us=20 * S,
+    request_open=True,
+    attempt_out=True,
+    machine_runs=True,
+    launched_us=0,
+)
 GATE = SendGate(cold_us=18 * S, fall_us=2 * S)
 
 
-@pytest.mark.parametrize(("change", "now", "held"), [
-    ({}, 11 * S, None),
-    ({"request_open": False}, 11 * S, Held.ENDED),
-    ({}, 20 * S, Held.LATE),
-    ({}, 20 * S - 1, None),
-    ({"attempt_out": False}, 11 * S, Held.NOT_OUT),
-    ({"machine_runs": False}, 10 * S, Held.DRAINING),
-    ({"leased": False}, 11 * S, Held.NO_LEASE),
-    ({"launched_us": 5 * S}, 10 * S + S // 4, None),
-    ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, Held.STALE_COLD),
-    ({"launched_us": 5 * S, "deadline_us": 90 * S}, 23 * S, None),
-    ({"may_repeat": False}, 11 * S, Held.REPEAT),
-    ({"launched_us": 5 * S, "chosen_launched_us": 5 * S}, 10 * S, None),
-    ({"launched_us": 5 * S, "chosen_launched_us": 0}, 10 * S, Held.RESTARTED),
-    ({"launched_us": 5 * S, "chosen_launched_us": 0, "deadline_us": 90 * S}, 23 * S, None),
-])
-def test_the_gate_holds_what_a_rule_forbids(change: dict[str, object], now: int, held: Held | None) -> None:
+@pytest.mark.parametrize(
+    ("change", "now", "held"),
+    [
+        ({}, 11 * S, None),
+        ({"request_open": False}, 11 * S, Held.ENDED),
+        ({}, 20 * S, Held.LATE),
+        ({}, 20 * S - 1, None),
+        ({"attempt_out": False}, 11 * S, Held.NOT_OUT),
+        ({"machine_runs": False}, 10 * S, Held.DRAINING),
+        ({"leased": False}, 11 * S, Held.NO_LEASE),
+        ({"launched_us": 5 * S}, 10 * S + S // 4, None),
+        ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, Held.STALE_COLD),
+        ({"launched_us": 5 * S, "deadline_us": 90 * S}, 23 * S, None),
+        ({"may_repeat": False}, 11 * S, Held.REPEAT),
+        ({"launched_us": 5 * S, "chosen_launched_us": 5 * S}, 10 * S, None),
+        ({"launched_us": 5 * S, "chosen_launched_us": 0}, 10 * S, Held.RESTARTED),
+        ({"launched_us": 5 * S, "chosen_launched_us": 0, "deadline_us": 90 * S}, 23 * S, None),
+    ],
+)
+def test_the_gate_holds_what_a_rule_forbids(
+    change: dict[str, object], now: int, held: Held | None
+) -> None:
     assert GATE.check(now, replace(OFFER, **change)) is held  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize(("effect", "group", "cell", "zone", "now", "allowed"), [
-    (Effect.SAFE, Place.NONE, 9, "z", 99 * S, True),
-    (Effect.UNSAFE, Place.ALL, 1, "a", 1 * S, False),
-    (Effect.KEYED, Place.ALL, 9, "z", 2 * S - 1001, True),
-    (Effect.KEYED, Place.ALL, 1, "a", 2 * S - 1000, False),
-    (Effect.KEYED, Place.CELL, 1, "z", 1 * S, True),
-    (Effect.KEYED, Place.CELL, 9, "a", 1 * S, False),
-    (Effect.KEYED, Place.ZONE, 9, "a", 1 * S, True),
-    (Effect.KEYED, Place.ZONE, 1, "z", 1 * S, False),
-    (Effect.KEYED, Place.MACHINE, 1, "a", 1 * S, False),
-])
+@pytest.mark.parametrize(
+    ("effect", "group", "cell", "zone", "now", "allowed"),
+    [
+        (Effect.SAFE, Place.NONE, 9, "z", 99 * S, True),
+        (Effect.UNSAFE, Place.ALL, 1, "a", 1 * S, False),
+        (Effect.KEYED, Place.ALL, 9, "z", 2 * S - 1001, True),
+        (Effect.KEYED, Place.ALL, 1, "a", 2 * S - 1000, False),
+        (Effect.KEYED, Place.CELL, 1, "z", 1 * S, True),
+        (Effect.KEYED, Place.CELL, 9, "a", 1 * S, False),
+        (Effect.KEYED, Place.ZONE, 9, "a", 1 * S, True),
+        (Effect.KEYED, Place.ZONE, 1, "z", 1 * S, False),
+        (Effect.KEYED, Place.MACHINE, 1, "a", 1 * S, False),
+    ],
+)
 def test_what_may_have_run_is_sent_again_within_its_window_and_group_alone(
-        effect: Effect, group: Place, cell: int, zone: str, now: int, allowed: bool) -> None:
+    effect: Effect, group: Place, cell: int, zone: str, now: int, allowed: bool
+) -> None:
     """One window of 1.5 s, from a decision at 0.5 s, with 1 ms kept back."""
     cls = TaskClass("k", effect, group, 1_500_000, 1.0, Place.NONE, 0, None, 1.0, 1.0)
-    first, second = (ListedMachine(i, "std", c, z, Phase.RUNNING, 0, 1.0, 1.0)
-                     for i, c, z in ((1, 1, "a"), (2, cell, zone)))
+    first, second = (
+        ListedMachine(i, "std", c, z, Phase.RUNNING, 0, 1.0, 1.0)
+        for i, c, z in ((1, 1, "a"), (2, cell, zone))
+    )
     assert may_repeat(now, cls, Earlier(S // 2, first), second, 1000) is allowed
     assert may_repeat(now, cls, None, second, 1000)
 
@@ -110,11 +127,17 @@
 
 
 @given(st.sampled_from(End), st.integers(0, 9), st.integers(0, 50), st.integers())
-def test_what_must_not_start_twice_is_never_asked_again(end: End, left: int, losses: int, seed: int) -> None:
+def test_what_must_not_start_twice_is_never_asked_again(
+    end: End, left: int, losses: int, seed: int
+) -> None:
     assert again.judge(end, Effect.UNSAFE, left, losses, random.Random(seed)).after_us is None
 
 
-@given(st.sampled_from([End.EVICTED, End.LOST, End.SENT_AWAY, End.PUSHED_OUT]), st.integers(0, 50), st.integers())
+@given(
+    st.sampled_from([End.EVICTED, End.LOST, End.SENT_AWAY, End.PUSHED_OUT]),
+    st.integers(0, 50),
+    st.integers(),
+)
 def test_waits_grow_with_losses_and_stay_bounded(end: End, losses: int, seed: int) -> None:
     verdict = again.judge(end, Effect.SAFE, 1, losses, random.Random(seed))
     assert verdict.counts and verdict.after_us is not None
--- a/tests/decide/test_descriptors.py
+++ b/tests/decide/test_descriptors.py
@@ -27,7 +27,13 @@
 
 
 def test_the_cheapest_end_goes_first_and_of_alike_ones_the_least_lately_used() -> None:
-    held = [Held(Rank.BUSY, 1), Held(Rank.NEWS, 2), Held(Rank.NEWS, 9), Held(Rank.IDLE, 8), Held(Rank.SPARE, 7)]
+    held = [
+        Held(Rank.BUSY, 1),
+        Held(Rank.NEWS, 2),
+        Held(Rank.NEWS, 9),
+        Held(Rank.IDLE, 8),
+        Held(Rank.SPARE, 7),
+    ]
     table, order = Table(256), []
     while (gone := table.whom_to_close(held, Rank.NEWS)) is not None:
         order.append((gone.rank, gone.used_us))
@@ -38,11 +44,16 @@
 
 def test_a_second_connection_to_a_machine_takes_none_of_the_last_eighth() -> None:
     table = Table(784)
-    assert table.may_add_extra(100, table.extras_most - 101) and not table.may_add_extra(100, table.extras_most - 100)
+    assert table.may_add_extra(100, table.extras_most - 101) and not table.may_add_extra(
+        100, table.extras_most - 100
+    )
     assert table.extras_most < table.most
 
 
-@given(st.lists(st.tuples(st.sampled_from(list(Rank)), st.integers(0, 50))), st.sampled_from(list(Rank)))
+@given(
+    st.lists(st.tuples(st.sampled_from(list(Rank)), st.integers(0, 50))),
+    st.sampled_from(list(Rank)),
+)
 def test_nothing_goes_that_costs_more_than_asked(held: list[tuple[Rank, int]], worst: Rank) -> None:
     gone = Table(256).whom_to_close([Held(*each) for each in held], worst)
     if gone is None:
--- a/tests/decide/test_door.py
+++ b/tests/decide/test_door.py
@@ -17,7 +17,9 @@
     assert door.due_us(10 * S, 9 * S, 5 * S, 0) == 14 * S
     away = door.due_us(10 * S, 5 * S, 5 * S, 0)
     assert isinstance(away, TurnedAway) and away.why is Why.OUT_OF_PATIENCE
-    assert isinstance(door.due_us(10 * S, 10 * S - 100_000, 130_000, 0), TurnedAway), "too little is left"
+    assert isinstance(door.due_us(10 * S, 10 * S - 100_000, 130_000, 0), TurnedAway), (
+        "too little is left"
+    )
 
 
 def test_a_placer_that_runs_late_keeps_back_so_much_but_never_more_than_an_eighth() -> None:
@@ -28,7 +30,9 @@
 
 def test_a_stall_is_worked_off_a_standing_queue_is_cut() -> None:
     door, now = Door(20_000), 100 * S
-    for turn in range(40):  # what a stall of a second left: read one after the other, newer ones waited less
+    for turn in range(
+        40
+    ):  # what a stall of a second left: read one after the other, newer ones waited less
         assert door.on_wait(now + turn * 10_000, now - S + turn * 25_000, 0, 0) is None
     for turn in range(100):  # waits that stay long
         came = now + 2 * S + turn * 10_000
@@ -55,8 +59,12 @@
     away = door.due_us(now, now, 4 * S, 100_000, 210, answered)
     assert isinstance(away, TurnedAway) and away.why is Why.OVERLOADED
     assert isinstance(door.due_us(now, now, 20 * S, 100_000, 210, answered), int), "it has the time"
-    assert isinstance(door.due_us(now, now, 4 * S, 0, 210, answered), int), "waiting for room is no overload"
-    assert isinstance(door.due_us(now, now, S, 100_000, 60, answered), int), "a few are always taken in"
+    assert isinstance(door.due_us(now, now, 4 * S, 0, 210, answered), int), (
+        "waiting for room is no overload"
+    )
+    assert isinstance(door.due_us(now, now, S, 100_000, 60, answered), int), (
+        "a few are always taken in"
+    )
 
 
 def test_the_lag_is_a_peak_that_fades() -> None:
@@ -65,7 +73,11 @@
     assert lag.recent_us(0) == 0
     lag.note(S, 400_000)
     lag.note(S, 10_000)
-    assert lag.recent_us(S) == 400_000 and lag.recent_us(2 * S) == 200_000 and lag.recent_us(3 * S) == 100_000
+    assert (
+        lag.recent_us(S) == 400_000
+        and lag.recent_us(2 * S) == 200_000
+        and lag.recent_us(3 * S) == 100_000
+    )
     lag.note(4 * S, 60_000)
     assert lag.recent_us(4 * S) == 60_000
     assert lag.recent_us(100 * S) == 0 and lag.worst_us == 400_000 and lag.times == 2
@@ -98,8 +110,12 @@
 
 
 def test_the_widest_spread_decides_what_counts_together() -> None:
-    zone = Rebirth((task_class("x", spread=Place.MACHINE, spread_most=1),
-                    task_class("y", spread=Place.ZONE, spread_most=2)))
+    zone = Rebirth(
+        (
+            task_class("x", spread=Place.MACHINE, spread_most=1),
+            task_class("y", spread=Place.ZONE, spread_most=2),
+        )
+    )
     zone.saw("a", machine(1, 1), 0)
     zone.saw("b", machine(2, 2), 0)
     assert not zone.told("a") and zone.closed(machine(1, 1))
--- a/tests/decide/test_drains.py
+++ b/tests/decide/test_drains.py
@@ -10,17 +10,41 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.draining import OVER, Drains, Held, Phase, Policy, Running, Turn, failed_zones
+from wingbarrow.decide.draining import (
+    OVER,
+    Drains,
+    Held,
+    Phase,
+    Policy,
+    Running,
+    Turn,
+    failed_zones,
+)
 from wingbarrow.decide.drains import Budget, Drain, Fate, MachineState, Rules, Scope, plan
-from wingbarrow.decide.windows import SECOND, Blackout, Occurrence, Selector, Series, UnsafePolicy, zone
+from wingbarrow.decide.windows import (
+    SECOND,
+    Blackout,
+    Occurrence,
+    Selector,
+    Series,
+    UnsafePolicy,
+    zone,
+)
 
 S, H = SECOND, 3600 * SECOND
 START = 100 * H
 
 
 def machine(number: int, **more: object) -> MachineState:
-    base = MachineState(f"n{number:03}", f"r{number // 3}", "a" if number < 6 else "b", "small", {}, (10.0, 10.0),
-                        (4.0, 4.0))
+    base = MachineState(
+        f"n{number:03}",
+        f"r{number // 3}",
+        "a" if number < 6 else "b",
+        "small",
+        {},
+        (10.0, 10.0),
+        (4.0, 4.0),
+    )
     return replace(base, **more)  # type: ignore[arg-type]
 
 
@@ -28,10 +52,22 @@
 ONE_PER_RACK = Rules((Budget(Scope.CELL, 1),))
 
 
-def window(title: str, start: int = START, lasts: int = 2 * H, each: int = 0, precedence: int = 0,
-           **selector: str) -> Occurrence:
-    series = Series(title, datetime(2026, 1, 1, tzinfo=zone("UTC")), lasts, each or lasts,
-                    selectors=(Selector(**(selector or {"name": "*"})),), precedence=precedence)  # type: ignore[arg-type]
+def window(
+    title: str,
+    start: int = START,
+    lasts: int = 2 * H,
+    each: int = 0,
+    precedence: int = 0,
+    **selector: str,
+) -> Occurrence:
+    series = Series(
+        title,
+        datetime(2026, 1, 1, tzinfo=zone("UTC")),
+        lasts,
+        each or lasts,
+        selectors=(Selector(**(selector or {"name": "*"})),),  # type: ignore[arg-type]
+        precedence=precedence,
+    )
     return Occurrence(series, start, start + lasts)
 
 
@@ -42,7 +78,10 @@
 def test_a_rack_is_taken_one_after_another() -> None:
     found = plan([window("w", each=H // 2, cell="r0")], FLEET, ONE_PER_RACK)
     assert [(drain.machine, drain.start_us - START) for drain in found] == [
-        ("n000", 0), ("n001", H // 2), ("n002", H)]
+        ("n000", 0),
+        ("n001", H // 2),
+        ("n002", H),
+    ]
 
 
 def test_two_windows_that_would_empty_a_rack_are_told_apart_by_precedence() -> None:
@@ -53,12 +92,17 @@
     assert fates["high", "n000"].fate is Fate.PLANNED
     assert "high" in fates["low", "n000"].reason
     assert fates["low", "n001"].fate is Fate.PLANNED
-    assert fates["low", "n002"].fate is Fate.REFUSED and "2 machine(s)" in fates["low", "n002"].reason
+    assert (
+        fates["low", "n002"].fate is Fate.REFUSED and "2 machine(s)" in fates["low", "n002"].reason
+    )
 
 
 def test_three_that_each_look_harmless_are_not_together() -> None:
-    found = plan([window("a", name="n000"), window("b", name="n001"), window("c", name="n002")], FLEET,
-                 Rules((Budget(Scope.CELL, None, 1),)))
+    found = plan(
+        [window("a", name="n000"), window("b", name="n001"), window("c", name="n002")],
+        FLEET,
+        Rules((Budget(Scope.CELL, None, 1),)),
+    )
     assert [drain.fate for drain in found] == [Fate.PLANNED, Fate.PLANNED, Fate.REFUSED]
 
 
@@ -72,8 +116,10 @@
 
 
 def test_the_last_machine_of_a_kind_that_a_class_needs_stays() -> None:
-    fleet = [replace(each, asked=(0.1, 0.1)) for each in [*FLEET[:4], machine(4, kind="large"),
-                                                          machine(5, kind="large")]]
+    fleet = [
+        replace(each, asked=(0.1, 0.1))
+        for each in [*FLEET[:4], machine(4, kind="large"), machine(5, kind="large")]
+    ]
     found = plan([window("all")], fleet, Rules((), kinds_needed=("large",), fill=1.0))
     large = [drain for drain in found if drain.machine in ("n004", "n005")]
     assert sorted(drain.fate.value for drain in large) == ["planned", "refused"]
@@ -81,7 +127,9 @@
 
 def test_nothing_starts_in_a_blackout() -> None:
     rules = Rules((), blackouts=(Blackout("christmas", START - H, START + H),))
-    found = plan([window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules)
+    found = plan(
+        [window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules
+    )
     assert "christmas" in found[0].reason and found[1].fate is Fate.PLANNED
 
 
@@ -91,22 +139,55 @@
     assert Budget(Scope.ALL, None, 5).most_out(3) == 0
 
 
-OCCURRENCES = st.lists(st.tuples(
-    st.integers(0, 40), st.integers(1, 8), st.integers(1, 8), st.sampled_from([
-        {"name": "*"}, {"cell": "r0"}, {"cell": "r2"}, {"zone": "a"}, {"zone": "b"}, {"name": "n001"}])), max_size=8)
+OCCURRENCES = st.lists(
+    st.tuples(
+        st.integers(0, 40),
+        st.integers(1, 8),
+        st.integers(1, 8),
+        st.sampled_from(
+            [
+                {"name": "*"},
+                {"cell": "r0"},
+                {"cell": "r2"},
+                {"zone": "a"},
+                {"zone": "b"},
+                {"name": "n001"},
+            ]
+        ),
+    ),
+    max_size=8,
+)
 
 
 @settings(max_examples=150, deadline=None)
-@given(OCCURRENCES, st.integers(0, 3), st.integers(0, 5), st.sampled_from([0.5, 2.0, 5.0, 8.0]),
-       st.sets(st.integers(0, 11), max_size=4))
+@given(
+    OCCURRENCES,
+    st.integers(0, 3),
+    st.integers(0, 5),
+    st.sampled_from([0.5, 2.0, 5.0, 8.0]),
+    st.sets(st.integers(0, 11), max_size=4),
+)
 def test_no_plan_passes_its_budgets_and_the_same_input_gives_the_same_plan(
-        spec: list[tuple[int, int, int, dict[str, str]]], cell: int, whole: int, asked: float,
-        lost: set[int]) -> None:
-    fleet = [replace(each, asked=(asked, asked), running=number not in lost) for number, each in enumerate(FLEET)]
+    spec: list[tuple[int, int, int, dict[str, str]]],
+    cell: int,
+    whole: int,
+    asked: float,
+    lost: set[int],
+) -> None:
+    fleet = [
+        replace(each, asked=(asked, asked), running=number not in lost)
+        for number, each in enumerate(FLEET)
+    ]
     rules = Rules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
-    occurrences = sorted((window(f"w{i}", START + at * H // 4, lasts * H // 4, min(each, lasts) * H // 4, 0, **where)
-                          for i, (at, lasts, each, where) in enumerate(spec)),
-                         key=lambda each: (each.start_us, each.series.name))
+    occurrences = sorted(
+        (
+            window(
+                f"w{i}", START + at * H // 4, lasts * H // 4, min(each, lasts) * H // 4, 0, **where
+            )
+            for i, (at, lasts, each, where) in enumerate(spec)
+        ),
+        key=lambda each: (each.start_us, each.series.name),
+    )
     found = plan(occurrences, fleet, rules)
     assert found == plan(occurrences, list(reversed(fleet)), rules)
     going = planned(found)
@@ -119,8 +200,11 @@
         assert not out or sum(each.asked[0] for each in running.values()) <= 0.9 * left + 1e-6
     for drain in going:
         assert drain.machine in running
-        occurrence = next(each for each in occurrences if each.ident == drain.occurrence
-                          and each.series.name == drain.window)
+        occurrence = next(
+            each
+            for each in occurrences
+            if each.ident == drain.occurrence and each.series.name == drain.window
+        )
         assert occurrence.start_us <= drain.start_us < drain.end_us <= occurrence.end_us
     assert all(drain.reason for drain in found if drain.fate is Fate.REFUSED)
 
@@ -143,8 +227,13 @@
     return held.held[DRAIN.key].phase
 
 
-def step(held: Drains, now: int, tasks: list[Running] | None = None, failed: frozenset[str] = NONE,
-         room: bool = True) -> Turn:
+def step(
+    held: Drains,
+    now: int,
+    tasks: list[Running] | None = None,
+    failed: frozenset[str] = NONE,
+    room: bool = True,
+) -> Turn:
     return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": room})
 
 
@@ -163,8 +252,13 @@
 
 def test_only_movable_tasks_that_would_outlive_the_start_are_moved_at_the_pace() -> None:
     held = drains(moves=2, every_us=S)
-    tasks = [Running(1, True, START + H), Running(2, False, None), Running(3, True, START - 30 * S),
-             Running(4, True, None), Running(5, True, START + 2 * H)]
+    tasks = [
+        Running(1, True, START + H),
+        Running(2, False, None),
+        Running(3, True, START - 30 * S),
+        Running(4, True, None),
+        Running(5, True, START + 2 * H),
+    ]
     step(held, START - 61 * S, tasks)
     moved: list[int] = []
     for second in range(-60, -50):
@@ -187,10 +281,17 @@
     assert moved <= 4 * 10 + 4
 
 
-@pytest.mark.parametrize(("policy", "outcome"), [
-    (UnsafePolicy.GIVE_UP, Phase.GIVEN_UP), (UnsafePolicy.SHORTEN, Phase.OUT), (UnsafePolicy.WAIT, Phase.OUT)])
+@pytest.mark.parametrize(
+    ("policy", "outcome"),
+    [
+        (UnsafePolicy.GIVE_UP, Phase.GIVEN_UP),
+        (UnsafePolicy.SHORTEN, Phase.OUT),
+        (UnsafePolicy.WAIT, Phase.OUT),
+    ],
+)
 def test_what_must_not_start_twice_runs_out_and_the_window_does_as_its_file_says(
-        policy: UnsafePolicy, outcome: Phase) -> None:
+    policy: UnsafePolicy, outcome: Phase
+) -> None:
     held = drains(policy)
     batch = [Running(9, False, START + H // 2)]
     for second in range(-60, 600, 10):
@@ -210,13 +311,18 @@
     back = drains(take_back=True)
     task = [Running(1, True, None)]
     step(back, START - 60 * S, task)
-    assert not step(back, START - 50 * S, task, frozenset("b")).closed and phase(back) is Phase.GIVEN_UP
+    assert (
+        not step(back, START - 50 * S, task, frozenset("b")).closed
+        and phase(back) is Phase.GIVEN_UP
+    )
     kept = drains(take_back=False)
     step(kept, START - 60 * S, task)
     assert step(kept, START - 50 * S, task, frozenset("b")).closed
     own = drains()
     step(own, START - 60 * S, task)
-    assert step(own, START - 50 * S, task, frozenset("a")).closed, "its own hall's failure takes nothing back"
+    assert step(own, START - 50 * S, task, frozenset("a")).closed, (
+        "its own hall's failure takes nothing back"
+    )
 
 
 def test_without_room_a_drain_waits_and_moves_nothing() -> None:
@@ -243,7 +349,11 @@
 def test_cancelled_is_cancelled_and_a_new_plan_does_not_bring_it_back() -> None:
     held = drains()
     step(held, START - 60 * S, [Running(1, True, None)])
-    assert held.cancel(DRAIN.key, START) and not held.cancel(DRAIN.key, START) and not held.cancel("none", START)
+    assert (
+        held.cancel(DRAIN.key, START)
+        and not held.cancel(DRAIN.key, START)
+        and not held.cancel("none", START)
+    )
     held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START)
     assert phase(held) is Phase.GIVEN_UP and not step(held, START).closed
 
@@ -251,10 +361,15 @@
 def test_an_offer_that_is_out_keeps_a_machine_from_counting_as_empty() -> None:
     held = drains()
     step(held, START - 60 * S, [Running(1, True, None, True)])
-    assert not step(held, START - 50 * S, [Running(1, True, None, True)]).moves and phase(held) is Phase.CLOSED
+    assert (
+        not step(held, START - 50 * S, [Running(1, True, None, True)]).moves
+        and phase(held) is Phase.CLOSED
+    )
     step(held, START - 40 * S, [])
     assert phase(held) is Phase.OUT
-    assert step(held, START - 30 * S, [Running(1, True, None)]).moves == (1,), "a late answer's task is moved too"
+    assert step(held, START - 30 * S, [Running(1, True, None)]).moves == (1,), (
+        "a late answer's task is moved too"
+    )
 
 
 def test_a_window_in_the_past_never_begins() -> None:
@@ -267,14 +382,26 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(st.tuples(st.integers(-200, 4000), st.integers(0, 2), st.booleans(), st.booleans()), max_size=30))
-def test_phases_only_go_forward_whatever_the_clock_does(moments: list[tuple[int, int, bool, bool]]) -> None:
+@given(
+    st.lists(
+        st.tuples(st.integers(-200, 4000), st.integers(0, 2), st.booleans(), st.booleans()),
+        max_size=30,
+    )
+)
+def test_phases_only_go_forward_whatever_the_clock_does(
+    moments: list[tuple[int, int, bool, bool]],
+) -> None:
     held = drains()
     order = [Phase.PLANNED, Phase.CLOSED, Phase.OUT, Phase.DONE]
     last = Phase.PLANNED
     for second, tasks, failed, room in moments:
-        turn = step(held, START + second * S, [Running(n, n == 0, None) for n in range(tasks)],
-                    frozenset("b") if failed else NONE, room)
+        turn = step(
+            held,
+            START + second * S,
+            [Running(n, n == 0, None) for n in range(tasks)],
+            frozenset("b") if failed else NONE,
+            room,
+        )
         assert all(request == 0 for request in turn.moves), "only what may start twice is moved"
         now = phase(held)
         assert last not in OVER or now is last
@@ -283,6 +410,11 @@
 
 
 def test_a_hall_has_failed_when_a_share_of_it_is_gone_undrained() -> None:
-    here = [("a", True, False)] * 3 + [("a", False, True)] * 3 + [("b", True, False)] * 2 + [("b", False, False)] * 2
+    here = (
+        [("a", True, False)] * 3
+        + [("a", False, True)] * 3
+        + [("b", True, False)] * 2
+        + [("b", False, False)] * 2
+    )
     assert failed_zones(here, 0.5) == {"b"} and failed_zones(here, 0.6) == NONE
     assert isinstance(Held(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), Held)
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -24,17 +24,23 @@
 from wingbarrow.interface import Phase
 
 S = 1_000_000
-SIGHT = Sight("m", 10, Phase.RUNNING, None, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)})
+SIGHT = Sight(
+    "m", 10, Phase.RUNNING, None, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
+)
 SIZES, VERSIONS, IDENTS = {"m": (20.0, 40.0)}, {"m": 10}, {"m": 7}
 
 
-def weigh(sight: Sight, more: int = 0, good: bool = True, version: int = 10) -> list[api.LearnedMachine]:
+def weigh(
+    sight: Sight, more: int = 0, good: bool = True, version: int = 10
+) -> list[api.LearnedMachine]:
     return learning.weigh([sight], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5))
 
 
 def test_a_fresh_sight_is_taken_as_it_is() -> None:
     (found,) = weigh(SIGHT)
-    assert found == api.LearnedMachine(7, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)})
+    assert found == api.LearnedMachine(
+        7, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
+    )
 
 
 def test_a_figure_fades_to_the_average_of_the_fleet() -> None:
@@ -50,7 +56,14 @@
 
 
 def test_what_is_too_old_says_nothing() -> None:
-    assert weigh(replace(SIGHT, asked_age_us=USELESS_US, measured_age_us=USELESS_US, warm_us={}, rests_us={})) == []
+    assert (
+        weigh(
+            replace(
+                SIGHT, asked_age_us=USELESS_US, measured_age_us=USELESS_US, warm_us={}, rests_us={}
+            )
+        )
+        == []
+    )
 
 
 @pytest.mark.parametrize("age", [-1, -3600 * S, AGE_MOST_US + 1, 1 << 62])
@@ -81,7 +94,9 @@
 
 def test_clocks_may_differ_but_not_jump() -> None:
     check = ClockCheck()
-    assert check.page(0, 3600 * S) and check.page(S, 3601 * S) and check.page(2 * S, 3602 * S + S // 2)
+    assert (
+        check.page(0, 3600 * S) and check.page(S, 3601 * S) and check.page(2 * S, 3602 * S + S // 2)
+    )
     assert not check.page(3 * S, 7200 * S)
     assert not check.page(4 * S, 3604 * S), "once it jumped it is not believed again"
     back = ClockCheck()
@@ -94,10 +109,23 @@
 
 def test_peers_are_asked_by_freshness_then_distance_and_the_ignorant_not_at_all() -> None:
     order = learning.order_peers(
-        [told("far", region="south"), told("near"), told("slow", rtt_us=9000), told("old", list_age_us=20 * S),
-         told("older", list_age_us=300 * S), told("new", uptime_us=S), told("empty", machines=0),
-         told("blind", list_age_us=None), told("strange", cluster="other"), told("me"),
-         told("broken", list_age_us=-5)], "north", "main", "me")
+        [
+            told("far", region="south"),
+            told("near"),
+            told("slow", rtt_us=9000),
+            told("old", list_age_us=20 * S),
+            told("older", list_age_us=300 * S),
+            told("new", uptime_us=S),
+            told("empty", machines=0),
+            told("blind", list_age_us=None),
+            told("strange", cluster="other"),
+            told("me"),
+            told("broken", list_age_us=-5),
+        ],
+        "north",
+        "main",
+        "me",
+    )
     assert [each.peer for each in order] == ["near", "slow", "far", "old", "older"]
 
 
@@ -149,8 +177,17 @@
     assert not learning.strangers(others, {}), "without a list nothing is strange"
 
 
-@pytest.mark.parametrize(("ratio", "notes", "age"), [
-    (math.nan, 5.0, 0), (0.0, 5.0, 0), (99.0, 5.0, 0), (0.7, -1.0, 0), (0.7, 5.0, -1), (0.7, 5.0, None)])
+@pytest.mark.parametrize(
+    ("ratio", "notes", "age"),
+    [
+        (math.nan, 5.0, 0),
+        (0.0, 5.0, 0),
+        (99.0, 5.0, 0),
+        (0.7, -1.0, 0),
+        (0.7, 5.0, -1),
+        (0.7, 5.0, None),
+    ],
+)
 def test_shares_that_cannot_be_weigh_nothing(ratio: float, notes: float, age: int | None) -> None:
     assert learning.weigh_ratio(ratio, notes, age, True) == (0.0, 0.0)
 
@@ -192,11 +229,15 @@
     driver.listing(listed(1, free=15.0))
     driver.give(api.Probed(1, api.Outcome.DONE, api.Report(14.0, 30.0)))
     before = driver.scheduler.knowledge(driver.now)
-    driver.give(learned(asked=(19.0, 39.0), asked_age_us=9 * S, beyond=(9.0, 9.0), measured_age_us=S))
+    driver.give(
+        learned(asked=(19.0, 39.0), asked_age_us=9 * S, beyond=(9.0, 9.0), measured_age_us=S)
+    )
     assert driver.scheduler.knowledge(driver.now) == before
     driver.found(5, 1)
     driver.give(learned(rests_us={"": (3, 60 * S)}))
-    assert binds(driver.arrive(6)), "a peer's quarrel does not keep one from a machine that serves it"
+    assert binds(driver.arrive(6)), (
+        "a peer's quarrel does not keep one from a machine that serves it"
+    )
 
 
 def test_a_machine_the_list_calls_gone_is_not_brought_back_by_hearsay() -> None:
@@ -225,6 +266,9 @@
     for _ in range(100):
         driver.now += 1
         driver.give(learned(beyond=(0.1, 0.1), measured_age_us=0))
-    probes = sum(isinstance(action, api.Probe) for number in range(30)
-                 for action in driver.arrive(number, service=f"s{number}", cores=0.1, memory=0.1))
+    probes = sum(
+        isinstance(action, api.Probe)
+        for number in range(30)
+        for action in driver.arrive(number, service=f"s{number}", cores=0.1, memory=0.1)
+    )
     assert 15 <= probes <= 20
--- a/tests/decide/test_liveness.py
+++ b/tests/decide/test_liveness.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 from wingbarrow.decide.crowd import IDLE_US, SILENT_US, Crowd, Guest
-from wingbarrow.decide.liveness import AGAIN_US, LOOK_OFFER_US, LOOK_US, LOST_US, RETRY_US, Liveness, Verdict
+from wingbarrow.decide.liveness import (
+    AGAIN_US,
+    LOOK_OFFER_US,
+    LOOK_US,
+    LOST_US,
+    RETRY_US,
+    Liveness,
+    Verdict,
+)
 
 
 def test_a_machine_that_speaks_is_not_looked_at() -> None:
@@ -48,7 +56,12 @@
         elif verdict is Verdict.LOST:
             lost = now
             break
-    assert cut is not None and cut <= LOOK_OFFER_US + 4 * RETRY_US and lost is not None and lost >= LOST_US
+    assert (
+        cut is not None
+        and cut <= LOOK_OFFER_US + 4 * RETRY_US
+        and lost is not None
+        and lost >= LOST_US
+    )
     assert lost <= LOST_US + LOOK_US
 
 
--- a/tests/decide/test_subset_cold.py
+++ b/tests/decide/test_subset_cold.py
@@ -23,9 +23,17 @@
 COLD = ("node-1", "node-2", "node-3")
 OFFERS = 20.0
 
-rosters = st.lists(st.text("abcxyz-09", min_size=1, max_size=4), min_size=1, max_size=20, unique=True)
-offers_any = st.one_of(st.just(0.0), st.floats(0, 3), st.floats(0, 100), st.integers(0, 50).map(float),
-                       st.floats(0, 1e308), st.just(math.nextafter(8.0, 0)))
+rosters = st.lists(
+    st.text("abcxyz-09", min_size=1, max_size=4), min_size=1, max_size=20, unique=True
+)
+offers_any = st.one_of(
+    st.just(0.0),
+    st.floats(0, 3),
+    st.floats(0, 100),
+    st.integers(0, 50).map(float),
+    st.floats(0, 1e308),
+    st.just(math.nextafter(8.0, 0)),
+)
 
 
 def shares(subsets: Subsets, machine: str, offers: float) -> list[int]:
@@ -35,6 +43,7 @@
 
 # -- the deal
 
+
 @given(rosters, st.data())
 def test_shares_add_up_to_no_more_than_the_offers(roster: list[str], data: st.DataObject) -> None:
     replicas = data.draw(st.integers(1, len(roster)))
@@ -43,22 +52,29 @@
     dealt = shares(subsets, machine, offers)
     assert sum(dealt) == floor(offers), "and nothing of them is lost"
     assert min(dealt) >= 0
-    assert dealt == sorted(dealt, reverse=True), "the first ranks get at least as much as later ones"
+    assert dealt == sorted(dealt, reverse=True), (
+        "the first ranks get at least as much as later ones"
+    )
     more = shares(subsets, machine, min(offers + 1, 1e308))
-    assert all(after >= before for before, after in zip(dealt, more, strict=True)), "more offers take from nobody"
-
-
-@pytest.mark.parametrize("offers, spare_part, dealt", [
-    (20.0, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
-    (20.9, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
-    (9.0, 0.25, [3, 2, 2, 1, 1, 0, 0, 0, 0, 0, 0, 0]),
-    (8.0, 0.25, [2, 2, 2, 1, 1, 0, 0, 0, 0, 0, 0, 0]),
-    (3.0, 0.25, [1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
-    (2.0, 0.25, [1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
-    (0.9, 0.25, [0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
-    (20.0, 0.0, [7, 7, 6, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
-    (20.0, 1.0, [2, 2, 2, 2, 2, 2, 2, 2, 1, 1, 1, 1]),
-])
+    assert all(after >= before for before, after in zip(dealt, more, strict=True)), (
+        "more offers take from nobody"
+    )
+
+
+@pytest.mark.parametrize(
+    "offers, spare_part, dealt",
+    [
+        (20.0, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
+        (20.9, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
+        (9.0, 0.25, [3, 2, 2, 1, 1, 0, 0, 0, 0, 0, 0, 0]),
+        (8.0, 0.25, [2, 2, 2, 1, 1, 0, 0, 0, 0, 0, 0, 0]),
+        (3.0, 0.25, [1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
+        (2.0, 0.25, [1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
+        (0.9, 0.25, [0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
+        (20.0, 0.0, [7, 7, 6, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
+        (20.0, 1.0, [2, 2, 2, 2, 2, 2, 2, 2, 1, 1, 1, 1]),
+    ],
+)
 def test_what_each_rank_gets(offers: float, spare_part: float, dealt: list[int]) -> None:
     assert shares(Subsets(SubsetRules(ROSTER, 3, spare_part)), "node-1", offers) == dealt
 
@@ -91,9 +107,11 @@
 
 def by_living(subsets: Subsets) -> Deal:
     """A wrong deal: by the rank among those that the placer believes to live."""
+
     def share(placer: str, machine: str, view: frozenset[str]) -> int:
         alive = Subsets(SubsetRules(tuple(view), min(3, len(view))))
         return alive.cold_most(placer, machine, OFFERS)
+
     return share
 
 
@@ -107,7 +125,9 @@
 
     def __init__(self, subsets: Subsets, deal: Deal) -> None:
         self.subsets, self.deal = subsets, deal
-        self.sent_us: dict[tuple[str, str], list[int]] = {(name, machine): [] for name in ROSTER for machine in COLD}
+        self.sent_us: dict[tuple[str, str], list[int]] = {
+            (name, machine): [] for name in ROSTER for machine in COLD
+        }
         self.held = set[tuple[str, str]]()
         self.asleep = frozenset[str]()
 
@@ -127,8 +147,15 @@
 
     def most(self, now_us: int) -> int:
         """The most that any cold machine was sent within the span that ends now."""
-        return max(sum(now_us - at_us < SPAN_US for (_, to), sent in self.sent_us.items() if to == machine
-                       for at_us in sent) for machine in COLD)
+        return max(
+            sum(
+                now_us - at_us < SPAN_US
+                for (_, to), sent in self.sent_us.items()
+                if to == machine
+                for at_us in sent
+            )
+            for machine in COLD
+        )
 
     def total(self) -> int:
         return sum(map(len, self.sent_us.values()))
@@ -187,7 +214,9 @@
     believed: Views = {}
     successors = set[str]()
     for now_us in range(0, 40 * S, TICK_US):
-        asleep = 5 * S <= now_us < 15 * S  # told of as dead a second later, and as there a second after it woke
+        asleep = (
+            5 * S <= now_us < 15 * S
+        )  # told of as dead a second later, and as there a second after it woke
         senders.asleep = frozenset({sleeper}) if asleep else frozenset()
         told = frozenset(ROSTER) - ({sleeper} if 6 * S <= now_us < 16 * S else frozenset())
         for name, view in views.items():
@@ -203,6 +232,7 @@
 
 # -- rule 5
 
+
 def test_spread_is_kept_by_each_placer_over_what_it_placed_itself() -> None:
     # Two placers with other halves of a rack: each keeps to the bound, and together they come to two times it, as two
     # that see the whole rack do. Subsets change nothing here.
--- a/tests/decide/test_subset_view.py
+++ b/tests/decide/test_subset_view.py
@@ -28,6 +28,7 @@
 
 # -- one view
 
+
 def test_at_the_start_everybody_lives() -> None:
     view = view_of()
     assert view.living(0) == ALL and view.next_us() is None
@@ -134,8 +135,10 @@
     assert len(view._missing_us) <= len(ROSTER) and set(view._missing_us) <= ALL
 
 
-@pytest.mark.parametrize("me, leave_us, span_us, key", [
-    ("stranger", 0, 0, "roster"), (ME, -1, 0, "leave-after"), (ME, 0, -1, "settle")])
+@pytest.mark.parametrize(
+    "me, leave_us, span_us, key",
+    [("stranger", 0, 0, "roster"), (ME, -1, 0, "leave-after"), (ME, 0, -1, "settle")],
+)
 def test_what_cannot_be_is_refused(me: str, leave_us: int, span_us: int, key: str) -> None:
     with pytest.raises(ValueError, match=key):
         LivingView(me, ROSTER, leave_us, span_us)
@@ -147,8 +150,13 @@
     assert view.next_us() == LEAVE_AFTER_US == 10 * S and SETTLE_US == 2 * S
 
 
-News = list[tuple[int, frozenset[str]]]  # how long after the one before, in ticks, and who is told of
-news = st.lists(st.tuples(st.integers(0, 60), st.frozensets(st.sampled_from(ROSTER[:6] + ("stranger",)))), max_size=25)
+News = list[
+    tuple[int, frozenset[str]]
+]  # how long after the one before, in ticks, and who is told of
+news = st.lists(
+    st.tuples(st.integers(0, 60), st.frozensets(st.sampled_from(ROSTER[:6] + ("stranger",)))),
+    max_size=25,
+)
 
 
 @hypothesis_settings(max_examples=200)
@@ -174,7 +182,11 @@
                 wait_us = SPAN_US + (0 if name in told else LEAVE_US)
                 assert now_us - told_us[name] <= wait_us or (name in held) == (name in told)
             now_us += TICK_US
-        present = (members & frozenset(roster) | {ME}) if members & frozenset(roster) else frozenset(roster)
+        present = (
+            (members & frozenset(roster) | {ME})
+            if members & frozenset(roster)
+            else frozenset(roster)
+        )
         told_us.update(dict.fromkeys(present ^ told, now_us))
         told = present
         view.on_members(now_us, members)
@@ -183,6 +195,7 @@
 
 # -- many views: who holds what
 
+
 class Region:
     """Placers with a view each. `sees`: whom each would be told of as living, as soon as it is detected."""
 
@@ -195,7 +208,12 @@
         self.changes = dict.fromkeys(ROSTER, 0)
         self.held = dict.fromkeys(ROSTER, ALL)
 
-    def play(self, lasts_us: int, sees: dict[str, frozenset[str]], check: Callable[[], None] | None = None) -> None:
+    def play(
+        self,
+        lasts_us: int,
+        sees: dict[str, frozenset[str]],
+        check: Callable[[], None] | None = None,
+    ) -> None:
         """Placers that `sees` does not name are dead. News comes to each a little apart. `check`: at each tick."""
         for at_us in range(0, lasts_us, TICK_US):
             for index, name in enumerate(sees):
@@ -220,9 +238,13 @@
     region, rest = Region(), ALL - set(ROSTER[8:16])
     before = {machine: region.holders(machine, ALL) for machine in MACHINES}
     region.play(5 * S, all_see(rest))  # declared dead, and still in the set
-    assert all(region.holders(machine, rest) == before[machine] - set(ROSTER[8:16]) for machine in MACHINES)
+    assert all(
+        region.holders(machine, rest) == before[machine] - set(ROSTER[8:16]) for machine in MACHINES
+    )
     region.play(Region.DETECTED_US + S + LEAVE_US + SPAN_US - 5 * S, all_see(rest))
-    assert all(len(region.holders(machine, rest)) == 3 for machine in MACHINES), "r again in the stated time"
+    assert all(len(region.holders(machine, rest)) == 3 for machine in MACHINES), (
+        "r again in the stated time"
+    )
     assert set(region.changes[name] for name in rest) == {1}, "one change for eight deaths"
     region.play(30 * S, all_see(ALL))
     assert all(region.holders(machine, ALL) == before[machine] for machine in MACHINES)
@@ -248,7 +270,9 @@
     for machine in MACHINES:
         assert len(region.holders(machine, one)) == min(3, size)
         assert len(region.holders(machine, other)) == 3
-        assert before[machine] <= region.holders(machine, ALL), "the first ranks hold on either side"
+        assert before[machine] <= region.holders(machine, ALL), (
+            "the first ranks hold on either side"
+        )
 
     def first_ranks_hold() -> None:
         for machine in MACHINES[::10]:
@@ -262,6 +286,12 @@
     region, rng = Region(), random.Random(11)
     for _ in range(40):
         up = frozenset(rng.sample(ROSTER, rng.randrange(1, 25)))
-        region.play(5 * S, {name: frozenset(rng.sample(ROSTER, rng.randrange(24))) | {name} for name in sorted(up)})
+        region.play(
+            5 * S,
+            {
+                name: frozenset(rng.sample(ROSTER, rng.randrange(24))) | {name}
+                for name in sorted(up)
+            },
+        )
         for machine in MACHINES[:40]:
             assert set(region.subsets.order(machine)[:3]) & up <= region.holders(machine, up)
--- a/tests/decide/test_subsets.py
+++ b/tests/decide/test_subsets.py
@@ -58,6 +58,7 @@
 
 # -- the order
 
+
 @pytest.mark.parametrize("machine", ORDERS)
 def test_the_order_is_pinned(machine: str) -> None:
     assert Subsets(SubsetRules(TREES, 3)).order(machine) == ORDERS[machine]
@@ -69,11 +70,20 @@
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "4711"])
 def test_a_fresh_process_ranks_alike_whatever_its_hash_seed(hash_seed: str) -> None:
-    text = ("from tests.decide.test_subsets import *\n"
-            "print(digest_of_orders(Subsets(SubsetRules(ROSTER, 3))))")
+    text = (
+        "from tests.decide.test_subsets import *\n"
+        "print(digest_of_orders(Subsets(SubsetRules(ROSTER, 3))))"
+    )
     env = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
-    done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                          check=True, env=env)
+    done = subprocess.run(
+        [sys.executable, "-c", text],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=True,
+        env=env,
+    )
     assert done.stdout.strip() == ORDERS_OF_48
 
 
@@ -86,11 +96,15 @@
         assert other.order(machine) == subsets.order(machine)
         assert other.holders(machine, living) == subsets.holders(machine, living)
         for placer in ROSTER[:6]:
-            assert other.cold_most(placer, machine, 20.0) == subsets.cold_most(placer, machine, 20.0)
+            assert other.cold_most(placer, machine, 20.0) == subsets.cold_most(
+                placer, machine, 20.0
+            )
 
 
 def test_nor_does_it_where_scores_are_equal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SCORE_BYTES", 1)  # 48 scores of 256: most machines have two that are equal
+    monkeypatch.setattr(
+        module, "SCORE_BYTES", 1
+    )  # 48 scores of 256: most machines have two that are equal
     one, other = Subsets(SubsetRules(ROSTER, 3)), Subsets(SubsetRules(ROSTER[::-1], 3))
     assert all(one.order(machine) == other.order(machine) for machine in MACHINES[:100])
 
@@ -101,7 +115,9 @@
         asked.holds(ROSTER[1], machine, frozenset(ROSTER[:2]))
         asked.cold_most(ROSTER[1], machine, 3.0)
     fresh = Subsets(SubsetRules(ROSTER, 3))
-    assert [asked.order(machine) for machine in MACHINES[:60]] == [fresh.order(machine) for machine in MACHINES[:60]]
+    assert [asked.order(machine) for machine in MACHINES[:60]] == [
+        fresh.order(machine) for machine in MACHINES[:60]
+    ]
 
 
 def test_ranks_are_kept_for_so_many_machines_only(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -137,8 +153,11 @@
 
 # -- who holds
 
+
 @given(names, st.data())
-def test_each_machine_is_at_as_many_as_there_should_be(roster: list[str], data: st.DataObject) -> None:
+def test_each_machine_is_at_as_many_as_there_should_be(
+    roster: list[str], data: st.DataObject
+) -> None:
     replicas = data.draw(st.integers(1, len(roster)))
     living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
@@ -147,7 +166,9 @@
         assert sorted(order) == sorted(roster)
         assert holders == tuple(name for name in order if name in living)[:replicas]
         assert len(holders) == min(replicas, len(living))
-        assert {name for name in roster if subsets.holds(name, machine, living | {"stranger"})} == set(holders)
+        assert {
+            name for name in roster if subsets.holds(name, machine, living | {"stranger"})
+        } == set(holders)
         assert not subsets.holds("stranger", machine, living | {"stranger"})
 
 
@@ -158,7 +179,9 @@
         moved = [machine for machine in MACHINES if before[machine] != after[machine]]
         assert all(leaver in before[machine] for machine in moved)
         assert all(before[machine] - after[machine] == {leaver} for machine in moved)
-        assert all(leaver not in after[machine] and len(after[machine]) == 3 for machine in MACHINES)
+        assert all(
+            leaver not in after[machine] and len(after[machine]) == 3 for machine in MACHINES
+        )
         part = len(moved) / (3 * len(MACHINES))
         assert 0.6 / 48 < part < 1.4 / 48, part
         assert held(subsets, ALL) == before, "and its return puts all back"
@@ -171,7 +194,9 @@
     assert all(after[machine] - before[machine] == {ROSTER[-1]} for machine in gained)
     assert 0.6 / 48 < len(gained) / (3 * len(MACHINES)) < 1.4 / 48
     for machine in MACHINES[:200]:
-        assert tuple(name for name in large.order(machine) if name != ROSTER[-1]) == small.order(machine)
+        assert tuple(name for name in large.order(machine) if name != ROSTER[-1]) == small.order(
+            machine
+        )
 
 
 def test_a_placer_of_the_first_ranks_holds_whatever_it_believes(subsets: Subsets) -> None:
@@ -185,7 +210,9 @@
 def test_no_placer_goes_by_many_more_than_the_mean() -> None:
     for roster, replicas in ((ROSTER, 3), (ROSTER[:16], 4), (ROSTER[:5], 3)):
         subsets = Subsets(SubsetRules(roster, replicas))
-        sizes = [sum(subsets.holds(placer, machine, ALL) for machine in MACHINES) for placer in roster]
+        sizes = [
+            sum(subsets.holds(placer, machine, ALL) for machine in MACHINES) for placer in roster
+        ]
         mean = subset_size(len(MACHINES), len(roster), replicas)
         most = subset_most_expected(len(MACHINES), len(roster), replicas)
         assert sum(sizes) == replicas * len(MACHINES)
@@ -194,19 +221,30 @@
 
 def test_two_placers_share_no_more_machines_than_chance_has_it(subsets: Subsets) -> None:
     # For a pair, chance is 3/48 * 2/47 of 2,000 machines: 5.3, with a standard deviation of 2.3.
-    both = [sum({one, other} <= set(subsets.holders(machine, ALL)) for machine in MACHINES)
-            for one, other in zip(ROSTER, ROSTER[1:], strict=False)]
+    both = [
+        sum({one, other} <= set(subsets.holders(machine, ALL)) for machine in MACHINES)
+        for one, other in zip(ROSTER, ROSTER[1:], strict=False)
+    ]
     assert max(both) <= 17 and 3.5 <= sum(both) / len(both) <= 7.1
 
 
 # -- bad rules
 
-@pytest.mark.parametrize("more, key", [
-    ({"roster": ()}, "roster"), ({"roster": ("a", "")}, "roster"), ({"roster": ("a", "b", "a")}, "roster"),
-    ({"roster": tuple(map(str, range(ROSTER_MOST + 1)))}, "roster"), ({"replicas": 0}, "replicas"),
-    ({"replicas": 6}, "replicas"), ({"spare_part": -0.01}, "spare"), ({"spare_part": 1.01}, "spare"),
-    ({"spare_part": float("nan")}, "spare"),
-])
+
+@pytest.mark.parametrize(
+    "more, key",
+    [
+        ({"roster": ()}, "roster"),
+        ({"roster": ("a", "")}, "roster"),
+        ({"roster": ("a", "b", "a")}, "roster"),
+        ({"roster": tuple(map(str, range(ROSTER_MOST + 1)))}, "roster"),
+        ({"replicas": 0}, "replicas"),
+        ({"replicas": 6}, "replicas"),
+        ({"spare_part": -0.01}, "spare"),
+        ({"spare_part": 1.01}, "spare"),
+        ({"spare_part": float("nan")}, "spare"),
+    ],
+)
 def test_rules_that_cannot_be_are_refused(more: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         replace(SubsetRules(TREES, 3), **more)  # type: ignore[arg-type]
@@ -220,10 +258,13 @@
 
 # -- sizes
 
+
 def test_sizes_of_the_stated_fleets() -> None:
     assert subset_size(13_000, 48, 3) == 812.5
     assert subset_most_expected(13_000, 48, 3) == 951  # 812.5 + 5 * sqrt(812.5 * 45 / 48)
-    assert subset_size(10, 2, 3) == 10 and subset_most_expected(10, 2, 3) == 10, "few placers hold all"
+    assert subset_size(10, 2, 3) == 10 and subset_most_expected(10, 2, 3) == 10, (
+        "few placers hold all"
+    )
     assert subset_most_expected(0, 4, 3) == 0
 
 
@@ -252,13 +293,18 @@
 
 # -- further ranks
 
+
 @given(names, st.data())
-def test_with_further_ranks_the_first_living_of_so_many_hold_a_machine(roster: list[str], data: st.DataObject) -> None:
+def test_with_further_ranks_the_first_living_of_so_many_hold_a_machine(
+    roster: list[str], data: st.DataObject
+) -> None:
     replicas = data.draw(st.integers(1, len(roster)))
     extra = data.draw(st.integers(0, 8))
     living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
     for machine in MACHINES[:5]:
-        wanted = [name for name in subsets.order(machine) if name in living][:replicas + extra]
-        assert {name for name in roster if subsets.holds(name, machine, living, extra)} == set(wanted)
+        wanted = [name for name in subsets.order(machine) if name in living][: replicas + extra]
+        assert {name for name in roster if subsets.holds(name, machine, living, extra)} == set(
+            wanted
+        )
         assert tuple(wanted[:replicas]) == subsets.holders(machine, living)
--- a/tests/decide/test_widening.py
+++ b/tests/decide/test_widening.py
@@ -9,12 +9,15 @@
 from wingbarrow.decide.widening import CALM_US, STEP_US, Widening, is_long
 
 S = 1_000_000
-looks = st.lists(st.tuples(st.integers(0, 40 * S), st.booleans(), st.integers(-2, 10)), max_size=120)
+looks = st.lists(
+    st.tuples(st.integers(0, 40 * S), st.booleans(), st.integers(-2, 10)), max_size=120
+)
 
 
 @given(st.integers(0, 8), looks)
 def test_whatever_waits_the_number_stays_within_its_bounds_and_goes_by_one_step_in_a_span(
-        most: int, times: list[tuple[int, bool, int]]) -> None:
+    most: int, times: list[tuple[int, bool, int]]
+) -> None:
     widening, now_us = Widening(most), 0
     stepped_us = long_us = fell_us = -CALM_US
     for later_us, waits, useful in times:
@@ -35,14 +38,17 @@
 
 @given(st.integers(1, 8), st.integers(1, 250_000))
 def test_long_waits_that_go_on_widen_to_the_most_by_a_step_a_second_and_calm_takes_all_back(
-        most: int, every_us: int) -> None:
+    most: int, every_us: int
+) -> None:
     widening, now_us, up_us = Widening(most), 0, []
     while widening.extra < most and now_us < 20 * S:
         before = widening.extra
         if widening.look(now_us, True, most) > before:
             up_us.append(now_us)
         now_us += every_us if now_us % S >= S - 2 * every_us or not up_us else S // 4
-    assert len(up_us) == most and all(S <= b - a < 2 * S for a, b in zip(up_us, up_us[1:], strict=False))
+    assert len(up_us) == most and all(
+        S <= b - a < 2 * S for a, b in zip(up_us, up_us[1:], strict=False)
+    )
     last_us, downs = now_us, 0
     for look in range(1, 4 * 31 * most):
         before = widening.extra
@@ -62,11 +68,22 @@
     assert widening.look(91 * S, True, 2) == 1
 
 
-@pytest.mark.parametrize(("waited_us", "patience_us", "long"), [
-    (1_249_999, 5 * S, False), (1_250_000, 5 * S, True), (199_999, 100_000, False), (200_000, 100_000, True),
-    (200_000, 800_000, True), (200_000, 800_004, False), (0, 0, False), (-1, 5 * S, False)])
+@pytest.mark.parametrize(
+    ("waited_us", "patience_us", "long"),
+    [
+        (1_249_999, 5 * S, False),
+        (1_250_000, 5 * S, True),
+        (199_999, 100_000, False),
+        (200_000, 100_000, True),
+        (200_000, 800_000, True),
+        (200_000, 800_004, False),
+        (0, 0, False),
+        (-1, 5 * S, False),
+    ],
+)
 def test_a_wait_is_long_from_a_quarter_of_the_patience_on_and_never_below_a_fifth_of_a_second(
-        waited_us: int, patience_us: int, long: bool) -> None:
+    waited_us: int, patience_us: int, long: bool
+) -> None:
     assert is_long(waited_us, patience_us) is long
 
 
--- a/tests/decide/test_windows.py
+++ b/tests/decide/test_windows.py
@@ -37,12 +37,18 @@
 def test_a_weekly_window_keeps_its_local_hour_over_both_changes() -> None:
     weekly = series(datetime(2026, 3, 15, 5, 0, tzinfo=HELSINKI), "FREQ=WEEKLY")
     found = expand(weekly, us(2026, 3, 1), us(2026, 11, 10))
-    assert [each.start_us for each in found[:3]] == [us(2026, 3, 15, 3), us(2026, 3, 22, 3), us(2026, 3, 29, 2)]
+    assert [each.start_us for each in found[:3]] == [
+        us(2026, 3, 15, 3),
+        us(2026, 3, 22, 3),
+        us(2026, 3, 29, 2),
+    ]
     assert found[-1].start_us == us(2026, 11, 8, 3)
     assert {each.end_us - each.start_us for each in found} == {2 * H}
 
 
-def test_a_start_that_the_change_skips_moves_forward_and_one_that_comes_twice_is_the_first() -> None:
+def test_a_start_that_the_change_skips_moves_forward_and_one_that_comes_twice_is_the_first() -> (
+    None
+):
     skipped = series(datetime(2026, 3, 29, 3, 30, tzinfo=HELSINKI))  # 03:00 to 04:00 is not there
     assert expand(skipped, us(2026, 3, 28), us(2026, 3, 30))[0].start_us == us(2026, 3, 29, 1, 30)
     twice = series(datetime(2026, 10, 25, 3, 30, tzinfo=HELSINKI))
@@ -56,27 +62,43 @@
 
 
 def test_exceptions_by_day_and_by_time_and_extra_dates() -> None:
-    daily = series(datetime(2026, 5, 1, 1, 0, tzinfo=HELSINKI), "FREQ=DAILY;COUNT=5",
-                   exceptions=(date(2026, 5, 2), datetime(2026, 5, 3, 1, 0, tzinfo=HELSINKI)),
-                   extra=(datetime(2026, 5, 20, 9, 0, tzinfo=HELSINKI),))
-    days = [datetime.fromtimestamp(each.start_us / SECOND, HELSINKI).day
-            for each in expand(daily, us(2026, 4, 1), us(2026, 6, 1))]
+    daily = series(
+        datetime(2026, 5, 1, 1, 0, tzinfo=HELSINKI),
+        "FREQ=DAILY;COUNT=5",
+        exceptions=(date(2026, 5, 2), datetime(2026, 5, 3, 1, 0, tzinfo=HELSINKI)),
+        extra=(datetime(2026, 5, 20, 9, 0, tzinfo=HELSINKI),),
+    )
+    days = [
+        datetime.fromtimestamp(each.start_us / SECOND, HELSINKI).day
+        for each in expand(daily, us(2026, 4, 1), us(2026, 6, 1))
+    ]
     assert days == [1, 4, 5, 20]
 
 
 def test_a_series_for_ever_is_bounded_and_one_without_length_never_comes() -> None:
     hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", lasts=H)
-    assert OCCURRENCES_MOST - 4 <= len(expand(hourly, us(2026, 1, 1), us(2030, 1, 1))) <= OCCURRENCES_MOST
-    assert expand(series(datetime(2026, 1, 1, tzinfo=HELSINKI), lasts=0), us(2025, 1, 1), us(2027, 1, 1)) == []
-
-
-@pytest.mark.parametrize("rule", ["FREQ=NEVER", "nonsense", "FREQ=SECONDLY", "FREQ=MINUTELY", "BYDAY=MO"])
+    assert (
+        OCCURRENCES_MOST - 4
+        <= len(expand(hourly, us(2026, 1, 1), us(2030, 1, 1)))
+        <= OCCURRENCES_MOST
+    )
+    assert (
+        expand(
+            series(datetime(2026, 1, 1, tzinfo=HELSINKI), lasts=0), us(2025, 1, 1), us(2027, 1, 1)
+        )
+        == []
+    )
+
+
+@pytest.mark.parametrize(
+    "rule", ["FREQ=NEVER", "nonsense", "FREQ=SECONDLY", "FREQ=MINUTELY", "BYDAY=MO"]
+)
 def test_bad_rules_are_refused(rule: str) -> None:
     with pytest.raises(ValueError):
         check_rule(rule, datetime(2026, 1, 1))
 
 
-CALENDAR = '''calendar zone="Europe/Helsinki"
+CALENDAR = """calendar zone="Europe/Helsinki"
 window "kernel" start="2026-12-06T02:00" lasts="2h" each="30m" repeats="FREQ=WEEKLY;BYDAY=SU" unsafe="give-up" {
     machines zone="hall-a"
     machines name="node-9"
@@ -87,20 +109,24 @@
 budget by="zone" min-available="75%"
 pace moves=6 every="2s"
 hall-failure share=0.4 take-back=#false
-'''
+"""
 
 
 def test_a_calendar_is_read_whole() -> None:
     read = read_kdl(CALENDAR, "c.kdl", Calendar())
     (kernel,) = read.series
-    assert kernel.each_us == H // 2 and kernel.unsafe is UnsafePolicy.GIVE_UP and len(kernel.selectors) == 2
+    assert (
+        kernel.each_us == H // 2
+        and kernel.unsafe is UnsafePolicy.GIVE_UP
+        and len(kernel.selectors) == 2
+    )
     assert [budget.most_out(20) for budget in read.rules.budgets] == [1, 5]
     assert read.policy.moves == 6 and read.policy.failed_share == 0.4 and not read.policy.take_back
     assert read.rules.blackouts[0].start_us == us(2026, 12, 23, 22)
 
 
 def test_every_problem_of_a_calendar_comes_at_once_with_its_line() -> None:
-    bad = '''calendar zone="Europe/Helsinki"
+    bad = """calendar zone="Europe/Helsinki"
 window "a" start="2026-13-06" lasts="2h" { machines zone="x"; }
 window "b" start="2026-12-06" lasts="0s" { machines zone="x"; }
 window "c" start="2026-12-06" lasts="1h" zone="Mars/Base" { machines zone="x"; }
@@ -109,7 +135,7 @@
 window "f" start="2026-12-06" lasts="1h" repeats="FREQ=SOMETIMES" { machines zone="x"; }
 blackout "g" start="2026-12-06" end="2026-12-05"
 budget by="cell"
-'''
+"""
     with pytest.raises(SettingsError) as caught:
         read_kdl(bad, "c.kdl", Calendar())
     assert [line for line, _ in caught.value.problems] == [2, 3, 4, 5, 6, 7, 8, 9]
@@ -146,9 +172,16 @@
     assert [each.start_us for each in found] == [us(2026, 10, 17, 23), us(2026, 11, 1, 0)]
 
 
-@pytest.mark.parametrize(("old", "new"), [
-    ("zone=hall-a", "floor=3"), ("FREQ=WEEKLY", "FREQ=OFTEN"), ("20261018T040000\nRRULE", "20261018T010000\nRRULE"),
-    ("UID:patch-1", "X-NO:1"), ("X-WINGBARROW-EACH:30m", "X-WINGBARROW-EACH:soon")])
+@pytest.mark.parametrize(
+    ("old", "new"),
+    [
+        ("zone=hall-a", "floor=3"),
+        ("FREQ=WEEKLY", "FREQ=OFTEN"),
+        ("20261018T040000\nRRULE", "20261018T010000\nRRULE"),
+        ("UID:patch-1", "X-NO:1"),
+        ("X-WINGBARROW-EACH:30m", "X-WINGBARROW-EACH:soon"),
+    ],
+)
 def test_a_bad_event_refuses_the_file_and_names_it(old: str, new: str) -> None:
     assert old in ICS
     with pytest.raises(SettingsError):
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -21,7 +21,9 @@
 
 
 def echo(request: Request) -> Answer:
-    return Answer(200, request.method.encode() + b" " + request.target.encode() + b" " + request.body)
+    return Answer(
+        200, request.method.encode() + b" " + request.target.encode() + b" " + request.body
+    )
 
 
 def started(hub: Hub, handler: Callable[[Request], Answer] = echo, **limits: Any) -> Server:
@@ -40,25 +42,36 @@
 def test_pipelined_requests_are_answered_in_order() -> None:
     def script(hub: Hub) -> bytes:
         stream = connect(hub, "127.0.0.1", started(hub).port)
-        stream.send(b"".join(b"GET /%d HTTP/1.1\r\nHost: a\r\n%b\r\n" % (i, b"Connection: close\r\n" * (i == 9))
-                             for i in range(10)))
+        stream.send(
+            b"".join(
+                b"GET /%d HTTP/1.1\r\nHost: a\r\n%b\r\n" % (i, b"Connection: close\r\n" * (i == 9))
+                for i in range(10)
+            )
+        )
         return read_all(stream)
+
     answers = play(script)
-    assert [answers.index(b"GET /%d " % i) for i in range(10)] == sorted(answers.index(b"GET /%d " % i)
-                                                                       for i in range(10))
+    assert [answers.index(b"GET /%d " % i) for i in range(10)] == sorted(
+        answers.index(b"GET /%d " % i) for i in range(10)
+    )
 
 
 def test_continue_is_said_only_to_who_waits_for_it() -> None:
     def script(hub: Hub) -> bytes:
         stream = connect(hub, "127.0.0.1", started(hub).port)
-        stream.send(b"PUT /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        stream.send(
+            b"PUT /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+        )
         first = stream.receive()
         assert first == b"HTTP/1.1 100 Continue\r\n\r\n"
         stream.send(b"ok")
         assert stream.receive().endswith(b"PUT /a ok")
-        stream.send(b"PUT /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n"
-                    b"Connection: close\r\n\r\nok")
+        stream.send(
+            b"PUT /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n"
+            b"Connection: close\r\n\r\nok"
+        )
         return read_all(stream)
+
     assert b"100 Continue" not in play(script)
 
 
@@ -69,6 +82,7 @@
             response = pool.request("HEAD", "/abc")
             assert response.body == b"" and response.get("content-length") == "10"
         assert pool.request("GET", "/abc").body == b"GET /abc "
+
     play(script)
 
 
@@ -77,6 +91,7 @@
         stream = connect(hub, "127.0.0.1", started(hub).port)
         stream.send(b"GET / HTTP/1.1\r\nHost: a\r\nX : b\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n")
         return read_all(stream)
+
     answer = play(script)
     assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1") == 1
 
@@ -94,6 +109,7 @@
                 answers.append(stream.receive())
             except PeerGone:
                 answers.append(b"gone")
+
         answers: list[bytes] = []
         pool = Pool(hub, "127.0.0.1", server.port)
         with Nursery(hub) as nursery:
@@ -102,6 +118,7 @@
                 assert pool.request("GET", "/").status == 200
                 hub.sleep(S)
         assert answers[0].startswith(b"HTTP/1.1 408 ") or answers[0] == b"gone"
+
     play(script)
 
 
@@ -110,12 +127,14 @@
         def flood(writer: ChunkWriter) -> None:
             while True:
                 writer.write(b"x" * 65536)
+
         server = started(hub, lambda _: Answer(200, stream=flood), write_us=2 * S)
         stream = connect(hub, "127.0.0.1", server.port)
         stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         hub.sleep(5 * S)
         assert server.slow_readers == 1 and server.connections == 0
         stream.close()
+
     play(script)
 
 
@@ -129,6 +148,7 @@
         assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1" in answer
         held[0].send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         assert held[0].receive().startswith(b"HTTP/1.1 200 ")
+
     play(script)
 
 
@@ -143,17 +163,23 @@
         hub.spawn(server.serve)
         pool = Pool(hub, "127.0.0.1", server.port)
         assert [pool.request("GET", "/").status for _ in range(3)] == [500] * 3
+
     play(script)
     assert len(told) == 1 and "RuntimeError" in told[0]
 
 
-def failing(behave: Callable[[Hub, Stream], None], limits: PoolLimits = PoolLimits()) -> tuple[type, Why]:  # noqa: B008
+def failing(
+    behave: Callable[[Hub, Stream], None], limits: PoolLimits = PoolLimits()
+) -> tuple[type, Why]:
     def script(hub: Hub) -> tuple[type, Why]:
         listener = listen(hub, "127.0.0.1", 0, print)
         hub.spawn(lambda: listener.serve(lambda stream: behave(hub, stream)))
         with pytest.raises((NotSent, MaybeDone)) as caught:
-            Pool(hub, "127.0.0.1", listener.port, limits).request("POST", "/", b"x", until_us=hub.now_us() + 5 * S)
+            Pool(hub, "127.0.0.1", listener.port, limits).request(
+                "POST", "/", b"x", until_us=hub.now_us() + 5 * S
+            )
         return caught.type, caught.value.why
+
     found: tuple[type, Why] = play(script)
     return found
 
@@ -193,10 +219,21 @@
     stream.send(b"\x00\x01 nonsense\r\n\r\n")
 
 
-@pytest.mark.parametrize(("behave", "why"), [
-    (reset_at_once, Why.RESET_BEFORE), (end_at_once, Why.RESET_BEFORE), (half, Why.RESET_AFTER),
-    (half_body, Why.RESET_AFTER), (silent, Why.SILENT), (silent_body, Why.SILENT), (garbage, Why.GARBAGE)])
-def test_what_may_have_run_is_never_called_unsent(behave: Callable[[Hub, Stream], None], why: Why) -> None:
+@pytest.mark.parametrize(
+    ("behave", "why"),
+    [
+        (reset_at_once, Why.RESET_BEFORE),
+        (end_at_once, Why.RESET_BEFORE),
+        (half, Why.RESET_AFTER),
+        (half_body, Why.RESET_AFTER),
+        (silent, Why.SILENT),
+        (silent_body, Why.SILENT),
+        (garbage, Why.GARBAGE),
+    ],
+)
+def test_what_may_have_run_is_never_called_unsent(
+    behave: Callable[[Hub, Stream], None], why: Why
+) -> None:
     assert failing(behave) == (MaybeDone, why)
 
 
@@ -216,6 +253,7 @@
         assert caught.value.why is Why.WITHDRAWN
         hub.sleep(S)
         assert not served
+
     play(script)
 
 
@@ -227,6 +265,7 @@
             seen.append(request.target)
             hub.sleep(2 * S)
             return Answer(200)
+
         pool = Pool(hub, "127.0.0.1", started(hub, slow).port, PoolLimits(connections=2, waiting=1))
         failed: list[Why] = []
 
@@ -235,10 +274,17 @@
                 pool.request("GET", target, until_us=hub.now_us() + S * 3 // 2)
             except (NotSent, MaybeDone) as error:
                 failed.append(error.why)
+
         with Nursery(hub) as nursery:
             for name in "abcd":
                 nursery.spawn(lambda name=name: ask("/" + name))
-        assert len(seen) == 2 and sorted(why.name for why in failed) == ["NO_TURN", "NO_TURN", "SILENT", "SILENT"]
+        assert len(seen) == 2 and sorted(why.name for why in failed) == [
+            "NO_TURN",
+            "NO_TURN",
+            "SILENT",
+            "SILENT",
+        ]
+
     play(script)
 
 
@@ -249,6 +295,7 @@
         for _ in range(3):
             assert pool.request("POST", "/", b"x").status == 200
             hub.sleep(3 * S)
+
     play(script)
 
 
@@ -258,4 +305,5 @@
         pool = Pool(hub, "127.0.0.1", server.port)
         assert pool.request("POST", "/", b"x" * 1000).status == 200
         assert pool.request("POST", "/", b"x" * 1001).status == 413
+
     play(script)
--- a/tests/http/test_wire.py
+++ b/tests/http/test_wire.py
@@ -15,7 +15,7 @@
 HEAD = b"POST /x HTTP/1.1\r\nHost: a\r\n"
 
 
-def events(parts: list[bytes], requests: bool = True, limits: Limits = Limits()) -> list[object]:  # noqa: B008
+def events(parts: list[bytes], requests: bool = True, limits: Limits = Limits()) -> list[object]:
     """All events of some parts, neighbouring data joined; a refusal as (status, words)."""
     parser = Parser(requests, limits)
     out: list[object] = []
@@ -62,48 +62,55 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.sampled_from(PIECES), min_size=1, max_size=4), st.randoms(use_true_random=False))
-def test_the_same_bytes_cut_anywhere_give_the_same_events(pieces: list[bytes], rng: random.Random) -> None:
+def test_the_same_bytes_cut_anywhere_give_the_same_events(
+    pieces: list[bytes], rng: random.Random
+) -> None:
     data = b"".join(pieces)
     assert events(cut(data, rng)) == events([data])
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.randoms(use_true_random=False))
-def test_any_bytes_at_all_are_refused_or_read_but_never_crash(noise: bytes, rng: random.Random) -> None:
+def test_any_bytes_at_all_are_refused_or_read_but_never_crash(
+    noise: bytes, rng: random.Random
+) -> None:
     data = HEAD + noise
     assert events(cut(data, rng)) == events([data])
     events([data], requests=False)
 
 
-@pytest.mark.parametrize(("message", "status"), [
-    (HEAD + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (HEAD + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
-    (HEAD + b"Content-Length: -5\r\n\r\n", 400),
-    (HEAD + b"Content-Length: 5_0\r\n\r\n", 400),
-    (HEAD + b"Content-Length: \r\n\r\n", 400),
-    (HEAD + b"X: a\r\n folded\r\n\r\n", 400),
-    (HEAD + b"X : a\r\n\r\n", 400),
-    (HEAD + b"X\r\n\r\n", 400),
-    (HEAD + b"X: a\rb\r\n\r\n", 400),
-    (HEAD + b"X: a\x00b\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 16 + b"\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501),
-    (b"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\n\r\n", 400),
-    (HEAD + b"Host: b\r\n\r\n", 400),
-    (b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505),
-    (b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", 400),
-    (b"G\xc3T / HTTP/1.1\r\nHost: a\r\n\r\n", 400),
-    (HEAD + b"Expect: something\r\n\r\n", 417),
-    (b"GET /" + b"a" * 9000, 414),
-    (HEAD + b"X: " + b"a" * 40000, 431),
-    (HEAD + b"".join(b"X%d: y\r\n" % i for i in range(120)) + b"\r\n", 431),
-    (HEAD + b"Content-Length: 9999999\r\n\r\n", 413),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\nfffff0\r\n", 413),
-])
+@pytest.mark.parametrize(
+    ("message", "status"),
+    [
+        (HEAD + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (HEAD + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
+        (HEAD + b"Content-Length: -5\r\n\r\n", 400),
+        (HEAD + b"Content-Length: 5_0\r\n\r\n", 400),
+        (HEAD + b"Content-Length: \r\n\r\n", 400),
+        (HEAD + b"X: a\r\n folded\r\n\r\n", 400),
+        (HEAD + b"X : a\r\n\r\n", 400),
+        (HEAD + b"X\r\n\r\n", 400),
+        (HEAD + b"X: a\rb\r\n\r\n", 400),
+        (HEAD + b"X: a\x00b\r\n\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 16 + b"\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501),
+        (b"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (HEAD + b"Host: b\r\n\r\n", 400),
+        (b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505),
+        (b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (b"G\xc3T / HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (HEAD + b"Expect: something\r\n\r\n", 417),
+        (b"GET /" + b"a" * 9000, 414),
+        (HEAD + b"X: " + b"a" * 40000, 431),
+        (HEAD + b"".join(b"X%d: y\r\n" % i for i in range(120)) + b"\r\n", 431),
+        (HEAD + b"Content-Length: 9999999\r\n\r\n", 413),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\nfffff0\r\n", 413),
+    ],
+)
 def test_what_breaks_the_protocol_is_refused_with_its_status(message: bytes, status: int) -> None:
     last = events([message])[-1]
     assert isinstance(last, tuple) and last[0] == status
@@ -130,11 +137,18 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.binary(max_size=200), st.lists(st.tuples(
-    st.from_regex(r"\AX-[A-Za-z]{1,8}\Z"), st.from_regex(r"\A[!-~]{0,20}\Z")), max_size=5))
+@given(
+    st.binary(max_size=200),
+    st.lists(
+        st.tuples(st.from_regex(r"\AX-[A-Za-z]{1,8}\Z"), st.from_regex(r"\A[!-~]{0,20}\Z")),
+        max_size=5,
+    ),
+)
 def test_what_is_written_is_read_back(body: bytes, fields: list[tuple[str, str]]) -> None:
     read: list[Event | object] = events([write_request("PUT", "/a?b=c", "h", fields, body)])
     head = read[0]
     assert isinstance(head, Request) and (head.method, head.target) == ("PUT", "/a?b=c")
-    assert [value for name, value in head.fields if name.startswith("x-")] == [value for _, value in fields]
+    assert [value for name, value in head.fields if name.startswith("x-")] == [
+        value for _, value in fields
+    ]
     assert (read[1] if body else b"") == body
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -39,9 +39,13 @@
         line = raw.strip()
         if not line or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.rsplit(BETWEEN, 2)]  # a node id may hold such a bar, in brackets
+        parts = [
+            part.strip() for part in line.rsplit(BETWEEN, 2)
+        ]  # a node id may hold such a bar, in brackets
         if len(parts) != 3 or not all(parts) or not all(parts[0].partition(".py::")):
-            raise ValueError(f"line {number}: not of the form `test node id | cause | issue`: {line[:100]}")
+            raise ValueError(
+                f"line {number}: not of the form `test node id | cause | issue`: {line[:100]}"
+            )
         if any(parts[0] == known.node for known in lines):
             raise ValueError(f"line {number}: a second one of {parts[0]}")
         lines.append(Line(*parts))
@@ -79,12 +83,16 @@
             self._collected.add(report.nodeid)
 
     @pytest.hookimpl(tryfirst=True)
-    def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
+    def pytest_collection_modifyitems(
+        self, config: pytest.Config, items: list[pytest.Item]
+    ) -> None:
         """Mark the tests, before any are deselected; UsageError where a line names none."""
         found = {item.nodeid: item for item in items}
         for line in self.lines:
             if line.node in found:
-                found[line.node].add_marker(pytest.mark.xfail(strict=True, reason=f"{line.cause} ({line.issue})"))
+                found[line.node].add_marker(
+                    pytest.mark.xfail(strict=True, reason=f"{line.cause} ({line.issue})")
+                )
             elif line.file in self._collected and _asked_in_whole(config, line.file):
                 raise pytest.UsageError(f"{NAME}: no such test: {line.node}")
 
@@ -93,8 +101,12 @@
         if not self.lines:
             return
         states: dict[str, str] = {}
-        for outcome, state in (("xfailed", "fails as known"), ("failed", "FAILED"), ("error", "ERROR"),
-                               ("skipped", "skipped")):
+        for outcome, state in (
+            ("xfailed", "fails as known"),
+            ("failed", "FAILED"),
+            ("error", "ERROR"),
+            ("skipped", "skipped"),
+        ):
             states |= {report.nodeid: state for report in terminalreporter.getreports(outcome)}
         terminalreporter.section("known red")
         for line in self.lines:
--- a/tests/kube/test_store.py
+++ b/tests/kube/test_store.py
@@ -27,11 +27,17 @@
     first = things.put("d/a", thing("a"))
     things.put("d/b", thing("b"))
     things.delete("d/a")
-    assert [change.version for change in things.changes(things.position(first.version), 9)] == [102, 103]
+    assert [change.version for change in things.changes(things.position(first.version), 9)] == [
+        102,
+        103,
+    ]
     assert things.position(103) == things.end
     lines = [decode(line) for line in watch_lines(things.changes(things.first, 9), "d/", ANY)]
     assert [(line["type"], line["object"]["metadata"]["name"]) for line in lines] == [
-        ("ADDED", "a"), ("ADDED", "b"), ("DELETED", "a")]
+        ("ADDED", "a"),
+        ("ADDED", "b"),
+        ("DELETED", "a"),
+    ]
     assert lines[-1]["object"]["metadata"]["resourceVersion"] == "103"
 
 
@@ -101,18 +107,32 @@
         assert caught.value.code == code
 
 
-@pytest.mark.parametrize(("text", "held", "wanted"), [
-    ("a=b", {"a": "b"}, True), ("a==b", {"a": "c"}, False), ("a!=b", {}, True), ("a!=b", {"a": "b"}, False),
-    ("a in (b, c)", {"a": "c"}, True), ("a notin (b,c)", {"a": "c"}, False), ("a notin (b)", {}, True),
-    ("a", {"a": ""}, True), ("!a", {"a": "x"}, False), ("!a", {}, True), ("x/y=z,!q", {"x/y": "z"}, True),
-    ("a in (b),c!=d", {"a": "b", "c": "d"}, False), ("a=", {"a": ""}, True),
-])
+@pytest.mark.parametrize(
+    ("text", "held", "wanted"),
+    [
+        ("a=b", {"a": "b"}, True),
+        ("a==b", {"a": "c"}, False),
+        ("a!=b", {}, True),
+        ("a!=b", {"a": "b"}, False),
+        ("a in (b, c)", {"a": "c"}, True),
+        ("a notin (b,c)", {"a": "c"}, False),
+        ("a notin (b)", {}, True),
+        ("a", {"a": ""}, True),
+        ("!a", {"a": "x"}, False),
+        ("!a", {}, True),
+        ("x/y=z,!q", {"x/y": "z"}, True),
+        ("a in (b),c!=d", {"a": "b", "c": "d"}, False),
+        ("a=", {"a": ""}, True),
+    ],
+)
 def test_label_selectors(text: str, held: dict[str, str], wanted: bool) -> None:
     test = selectors.labels(text)
     assert test is not None and test(held) is wanted
 
 
-@pytest.mark.parametrize("text", ["a=b=c", "=b", "a in b", "a in (b", "!a=b", "a=b c", "a,,b", "-a=b", "a=" + "x" * 99])
+@pytest.mark.parametrize(
+    "text", ["a=b=c", "=b", "a in b", "a in (b", "!a=b", "a=b c", "a,,b", "-a=b", "a=" + "x" * 99]
+)
 def test_bad_label_selectors_are_400(text: str) -> None:
     with pytest.raises(ApiError) as caught:
         selectors.labels(text)
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -26,24 +26,67 @@
     def add(self, at: float, where: str, what: str, **data: Any) -> None:
         self.records.append(Record(int(at * S), where, what, data))
 
-    def accept(self, at: float, uid: str, task_class: str = "web", placer: str = "p0", patience: float = 5) -> None:
-        self.add(at, "owner", "accepted", uid=uid, job=uid, placer=placer, task=uid, task_class=task_class,
-                 patience_us=int(patience * S), sent_us=int(at * S))
+    def accept(
+        self, at: float, uid: str, task_class: str = "web", placer: str = "p0", patience: float = 5
+    ) -> None:
+        self.add(
+            at,
+            "owner",
+            "accepted",
+            uid=uid,
+            job=uid,
+            placer=placer,
+            task=uid,
+            task_class=task_class,
+            patience_us=int(patience * S),
+            sent_us=int(at * S),
+        )
 
     def answer(self, at: float, uid: str, answer: str) -> None:
         self.add(at, "owner", "answer", uid=uid, job=uid, answer=answer, failed="")
 
-    def offer(self, at: float, pod: str, machine: str = "n0", uid: str = "u", task_class: str = "web",
-              service: str = "s", placer: str = "p0", late: bool = False) -> None:
-        self.add(at, machine, "offer", placer=placer, pod=pod, uid=uid, task=uid, task_class=task_class,
-                 service=service, late=late)
-
-    def runs(self, at: float, pod: str, machine: str = "n0", uid: str = "u", task_class: str = "web") -> None:
+    def offer(
+        self,
+        at: float,
+        pod: str,
+        machine: str = "n0",
+        uid: str = "u",
+        task_class: str = "web",
+        service: str = "s",
+        placer: str = "p0",
+        late: bool = False,
+    ) -> None:
+        self.add(
+            at,
+            machine,
+            "offer",
+            placer=placer,
+            pod=pod,
+            uid=uid,
+            task=uid,
+            task_class=task_class,
+            service=service,
+            late=late,
+        )
+
+    def runs(
+        self, at: float, pod: str, machine: str = "n0", uid: str = "u", task_class: str = "web"
+    ) -> None:
         self.add(at, machine, "start", pod=pod, task=uid, task_class=task_class)
         self.add(at, machine, "answer", pod=pod, status=201, reason="")
 
-    def told(self, at: float, machine: str, phase: str, placer: str = "p0", launched: str = "") -> None:
-        self.add(at, "list-source", "told", placer=placer, machine=machine, phase=phase, launched=launched)
+    def told(
+        self, at: float, machine: str, phase: str, placer: str = "p0", launched: str = ""
+    ) -> None:
+        self.add(
+            at,
+            "list-source",
+            "told",
+            placer=placer,
+            machine=machine,
+            phase=phase,
+            launched=launched,
+        )
 
     def audit(self) -> Audit:
         return audit(sorted(self.records, key=lambda record: record.at_us), SETTINGS)
@@ -63,7 +106,12 @@
 
 def test_a_clean_recording_is_clean() -> None:
     found = clean().audit()
-    assert found.clean and (found.accepted, found.placed, found.offers, found.starts) == (1, 1, 2, 1)
+    assert found.clean and (found.accepted, found.placed, found.offers, found.starts) == (
+        1,
+        1,
+        2,
+        1,
+    )
 
 
 def unanswered(tape: Tape) -> None:
@@ -113,7 +161,14 @@
         tape.told(2.1, "n2", "running", placer, "now")
     for turn in range(21):
         placer = f"p{turn % 2}"
-        tape.offer(3 + turn * 0.09, f"{placer}-{turn}-0", "n2", f"w{turn}", service=f"t{turn}", placer=placer)
+        tape.offer(
+            3 + turn * 0.09,
+            f"{placer}-{turn}-0",
+            "n2",
+            f"w{turn}",
+            service=f"t{turn}",
+            placer=placer,
+        )
         tape.runs(3.01 + turn * 0.09, f"{placer}-{turn}-0", "n2", f"w{turn}")
 
 
@@ -168,14 +223,26 @@
     tape.offer(15, "y-1-0", "n1", "w9", service="t")
 
 
-@pytest.mark.parametrize(("plant", "breach"), [
-    (deleted_runs_on, "runs_deleted"), (sent_though_deleted, "sends_after_end"),
-    (crowd_over_a_restart, "spread_overruns"),
-    (crowd_of_an_offer_that_its_killed_placer_never_heard_of, "spread_overruns"),
-    (unanswered, "unanswered"), (late_answer, "late_answers"), (two_answers, "double_answers"),
-    (second_start, "double_effects"), (two_out, "double_effects"), (draining, "sends_to_draining"),
-    (gone, "sends_to_draining"), (cold, "cold_overruns"), (crowd, "spread_overruns"),
-    (after_end, "sends_after_end"), (past_patience, "sends_after_end")])
+@pytest.mark.parametrize(
+    ("plant", "breach"),
+    [
+        (deleted_runs_on, "runs_deleted"),
+        (sent_though_deleted, "sends_after_end"),
+        (crowd_over_a_restart, "spread_overruns"),
+        (crowd_of_an_offer_that_its_killed_placer_never_heard_of, "spread_overruns"),
+        (unanswered, "unanswered"),
+        (late_answer, "late_answers"),
+        (two_answers, "double_answers"),
+        (second_start, "double_effects"),
+        (two_out, "double_effects"),
+        (draining, "sends_to_draining"),
+        (gone, "sends_to_draining"),
+        (cold, "cold_overruns"),
+        (crowd, "spread_overruns"),
+        (after_end, "sends_after_end"),
+        (past_patience, "sends_after_end"),
+    ],
+)
 def test_each_planted_breach_is_found_and_no_other(plant: Any, breach: str) -> None:
     tape = clean()
     plant(tape)
@@ -249,13 +316,39 @@
 
 def test_an_answer_or_a_kill_read_just_before_the_acceptance_counts_for_its_job() -> None:
     def accepted(at: int, uid: str) -> Record:
-        return Record(at, "owner", "accepted", {"placer": "p", "job": uid, "uid": uid, "task": uid, "task_class": "web",
-                                                "patience_us": 5_000_000, "sent_us": 1_000})
-    early = Record(2_000, "owner", "answer", {"placer": "p", "job": "a", "uid": "a", "answer": "refused", "failed": ""})
-    records = [early, accepted(2_100, "a"), Record(2_200, "p", "killed", {}), accepted(2_300, "b"),
-               accepted(9_000_000, "c"), Record(30_000_000, "p", "end", {"pod": "x", "why": "done"})]
+        return Record(
+            at,
+            "owner",
+            "accepted",
+            {
+                "placer": "p",
+                "job": uid,
+                "uid": uid,
+                "task": uid,
+                "task_class": "web",
+                "patience_us": 5_000_000,
+                "sent_us": 1_000,
+            },
+        )
+
+    early = Record(
+        2_000,
+        "owner",
+        "answer",
+        {"placer": "p", "job": "a", "uid": "a", "answer": "refused", "failed": ""},
+    )
+    records = [
+        early,
+        accepted(2_100, "a"),
+        Record(2_200, "p", "killed", {}),
+        accepted(2_300, "b"),
+        accepted(9_000_000, "c"),
+        Record(30_000_000, "p", "end", {"pod": "x", "why": "done"}),
+    ]
     settings = load_text(settings_text(0, 1, 1, 1))
     found = audit([*records[:4], *records[5:]], settings)
     assert (found.refused, found.left_to_owners, found.unanswered) == (1, 1, 0)
     late = Record(9_000_000, "owner", "accepted", {**accepted(0, "c").data, "sent_us": 8_999_000})
-    assert audit([*records[:4], late, records[5]], settings).unanswered == 1, "one that was sent after the kill is owed"
+    assert audit([*records[:4], late, records[5]], settings).unanswered == 1, (
+        "one that was sent after the kill is owed"
+    )
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -23,8 +23,11 @@
 def _played(name: str) -> tuple[str, Audit, bool]:
     """A day's audit, and whether a state table met a step that it lacks."""
     outcome = run_day(name, SEED)
-    odd = any(slot.service.placer.book.odd + slot.service.placer.attempts.odd for slot in outcome.cluster.placers
-              if slot.service)
+    odd = any(
+        slot.service.placer.book.odd + slot.service.placer.attempts.odd
+        for slot in outcome.cluster.placers
+        if slot.service
+    )
     return name, outcome.audit, odd
 
 
@@ -53,7 +56,9 @@
 def test_generated_days_keep_the_rules() -> None:
     print("seeds", GENERATED)
     with multiprocessing.get_context("fork").Pool(4) as pool:
-        for seed, found in zip(GENERATED, pool.map(_generated, GENERATED, chunksize=1), strict=True):
+        for seed, found in zip(
+            GENERATED, pool.map(_generated, GENERATED, chunksize=1), strict=True
+        ):
             assert found.clean, (seed, found.notes)
             assert found.accepted >= 200
 
@@ -65,11 +70,14 @@
     assert outcome.troubles == [troubles[1], troubles[3]] and outcome.audit.clean
     assert len(outcome.cluster.placers) == 2
     assert Play("generated", 37, 3, 2, 6, (1, 3)).command == (
-        "wingbarrow lab day generated --seed 37 --scale 3 --placers 2 --seconds 6 --only 1,3")
+        "wingbarrow lab day generated --seed 37 --scale 3 --placers 2 --seconds 6 --only 1,3"
+    )
 
 
 def test_a_day_with_a_killed_placer_is_recorded_the_same_twice() -> None:
-    first, second = (play(Play("balancer_roll", SEED, 0.5, seconds=25)).cluster.record.records for _ in range(2))
+    first, second = (
+        play(Play("balancer_roll", SEED, 0.5, seconds=25)).cluster.record.records for _ in range(2)
+    )
     assert first == second
 
 
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -24,16 +24,21 @@
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Path]:
     """What one short play with five processes left: rules change while links and processes fail."""
     folder = tmp_path_factory.mktemp("fleet") / "run"
-    faults = [Fault("propose", S // 2, "placer-1", amount=11.0), Fault("isolate", 1 * S, "placer-2", "", 3 * S),
-              Fault("propose", 2 * S, "placer-0", amount=12.0), Fault("stop", 2 * S, "placer-4", "", 4 * S),
-              Fault("twice", 1 * S, "placer-0", "placer-1", 4 * S, amount=1.0),
-              Fault("propose", 3 * S, "placer-3", amount=13.0),
-              Fault("cut", 4 * S, "placer-1", "placer-3", 3 * S, both=False),
-              Fault("kill", 5 * S, "placer-0", "", 1 * S, state=False),
-              Fault("propose", 6 * S, "placer-2", amount=14.0), Fault("drain", 7 * S, "placer-3", amount=2.0),
-              Fault("faulty", S // 2, "placer-0", "", 6 * S, amount=3.0),
-              Fault("lossy", 6 * S, "placer-2", "placer-1", 3 * S, amount=0.3),
-              Fault("propose", 10 * S, "placer-4", amount=16.0)]
+    faults = [
+        Fault("propose", S // 2, "placer-1", amount=11.0),
+        Fault("isolate", 1 * S, "placer-2", "", 3 * S),
+        Fault("propose", 2 * S, "placer-0", amount=12.0),
+        Fault("stop", 2 * S, "placer-4", "", 4 * S),
+        Fault("twice", 1 * S, "placer-0", "placer-1", 4 * S, amount=1.0),
+        Fault("propose", 3 * S, "placer-3", amount=13.0),
+        Fault("cut", 4 * S, "placer-1", "placer-3", 3 * S, both=False),
+        Fault("kill", 5 * S, "placer-0", "", 1 * S, state=False),
+        Fault("propose", 6 * S, "placer-2", amount=14.0),
+        Fault("drain", 7 * S, "placer-3", amount=2.0),
+        Fault("faulty", S // 2, "placer-0", "", 6 * S, amount=3.0),
+        Fault("lossy", 6 * S, "placer-2", "placer-1", 3 * S, amount=0.3),
+        Fault("propose", 10 * S, "placer-4", amount=16.0),
+    ]
     hub = Hub()
     hub.run(Rig(hub, Size(5, 6, 11.0, 7, 6.0), faults, folder, silent).run)
     yield folder
@@ -43,20 +48,41 @@
     verdict = judge(fleet)
     assert verdict.clean, verdict.notes
     assert (verdict.placers, verdict.faults, verdict.kills) == (5, 13, 1)
-    assert verdict.versions >= 5 and verdict.editions >= 3 and verdict.longest_contradiction_ms <= verdict.stated_ms
+    assert (
+        verdict.versions >= 5
+        and verdict.editions >= 3
+        and verdict.longest_contradiction_ms <= verdict.stated_ms
+    )
     # With a leader killed and limits held in parts few are taken; enough to be judged by.
     assert verdict.sends == verdict.audit.offers >= 10 and verdict.audit.placed >= 10
-    assert verdict.audit.accepted == sum((verdict.audit.placed, verdict.audit.refused, verdict.audit.failed,
-                                          verdict.audit.left_to_owners))
+    assert verdict.audit.accepted == sum(
+        (
+            verdict.audit.placed,
+            verdict.audit.refused,
+            verdict.audit.failed,
+            verdict.audit.left_to_owners,
+        )
+    )
     assert judge(fleet).line() == verdict.line(), "it can be judged again"
-    kinds = {each["what"] for each in map(json.loads, (fleet / "placer-1.history.jsonl").read_text().splitlines())}
+    kinds = {
+        each["what"]
+        for each in map(json.loads, (fleet / "placer-1.history.jsonl").read_text().splitlines())
+    }
     assert {"start", "member-joined", "member-restarted", "rules"} <= kinds
     assert verdict.closures >= 1, "a machine failed every start for six seconds"
     drained = [each for each in lines(fleet / "events.jsonl") if each["what"] == "drain"]
     assert len(drained) == 1 and drained[0]["told"]["kind"] == "Drain"
-    closed = [name for name in FLEET if any(drained[0]["machine"] in each.get("machines", [])
-                                            for each in lines(fleet / f"{name}.history.jsonl"))]
-    assert len(closed) >= 4, "asked of one, known to all that were in touch before the rules changed again"
+    closed = [
+        name
+        for name in FLEET
+        if any(
+            drained[0]["machine"] in each.get("machines", [])
+            for each in lines(fleet / f"{name}.history.jsonl")
+        )
+    ]
+    assert len(closed) >= 4, (
+        "asked of one, known to all that were in touch before the rules changed again"
+    )
 
 
 @pytest.fixture
@@ -69,21 +95,42 @@
 
 
 def write(path: Path, found: list[dict[str, Any]]) -> None:
-    path.write_text("".join(json.dumps(each) + "\n" for each in sorted(found, key=lambda each: int(each["at_us"]))))
+    path.write_text(
+        "".join(
+            json.dumps(each) + "\n" for each in sorted(found, key=lambda each: int(each["at_us"]))
+        )
+    )
 
 
 def told(at_us: int, what: str, member: str) -> dict[str, Any]:
-    return {"at_us": at_us, "what": f"member-{what}", "member": member, "incarnation": 1, "life": 1, "by": ""}
+    return {
+        "at_us": at_us,
+        "what": f"member-{what}",
+        "member": member,
+        "incarnation": 1,
+        "life": 1,
+        "by": "",
+    }
 
 
 def test_a_planted_burial_without_cause_is_found(copy: Path) -> None:
     events, history = lines(copy / "events.jsonl"), copy / "placer-1.history.jsonl"
     over = next(each["at_us"] for each in events if each["what"] == "over")
     later = over + judge(copy).detect_stated_ms * 1000
-    write(history, [*lines(history), told(later, "dead", "placer-2"), told(later + 1, "alive", "placer-2")])
+    write(
+        history,
+        [*lines(history), told(later, "dead", "placer-2"), told(later + 1, "alive", "placer-2")],
+    )
     found = judge(copy)
     assert (found.unfounded_burials, found.burials) == (1, judge(copy).burials) and not found.clean
-    write(history, [*lines(history), told(over - S, "dead", "placer-2"), told(over - S + 1, "alive", "placer-2")])
+    write(
+        history,
+        [
+            *lines(history),
+            told(over - S, "dead", "placer-2"),
+            told(over - S + 1, "alive", "placer-2"),
+        ],
+    )
     assert judge(copy).unfounded_burials == 1, "one that has its cause in a cut of late is none"
 
 
@@ -97,10 +144,18 @@
     write(events, [each for each in found if each["what"] not in ("ending", "ended")] + [killed])
     verdict = judge(copy)
     assert verdict.late_burials == 4 and not verdict.clean
-    for name, at_us in (("placer-0", killed["at_us"] + window // 2), ("placer-1", killed["at_us"] + window + 1)):
+    for name, at_us in (
+        ("placer-0", killed["at_us"] + window // 2),
+        ("placer-1", killed["at_us"] + window + 1),
+    ):
         history = copy / f"{name}.history.jsonl"
-        write(history, [*[each for each in lines(history) if each["what"] != "member-left"],
-                        told(at_us, "dead", "placer-2")])
+        write(
+            history,
+            [
+                *[each for each in lines(history) if each["what"] != "member-left"],
+                told(at_us, "dead", "placer-2"),
+            ],
+        )
     verdict = judge(copy)
     assert verdict.late_burials == 3 and verdict.detect_longest_ms == window // 2000
 
@@ -129,7 +184,9 @@
     path = copy / "recording.jsonl"
     found = lines(path)
     start = next(each for each in found if each["what"] == "start")
-    write(path, [*found, {**start, "task_class": "settlement"}, {**start, "task_class": "settlement"}])
+    write(
+        path, [*found, {**start, "task_class": "settlement"}, {**start, "task_class": "settlement"}]
+    )
     assert judge(copy).audit.double_effects and not judge(copy).clean
     write(path, [each for each in found if each["what"] != "answer" or each["where"] != "owner"])
     assert judge(copy).audit.unanswered
@@ -164,23 +221,40 @@
 
 
 def test_a_planted_send_past_the_stated_time_is_found_and_one_within_it_is_none(copy: Path) -> None:
-    texts = {each["label"]: each["rules"] for name in FLEET for each in lines(copy / f"{name}.history.jsonl")
-             if each["what"] == "rules"}
+    texts = {
+        each["label"]: each["rules"]
+        for name in FLEET
+        for each in lines(copy / f"{name}.history.jsonl")
+        if each["what"] == "rules"
+    }
     number = max(int(label[1:]) for label in texts if label.startswith("e"))
     tight, loose = json.loads(texts["e1"]), json.loads(texts["e1"])
     tight["attempts_most"] = 1
     history = copy / "placer-1.history.jsonl"
     over = next(each["at_us"] for each in lines(copy / "events.jsonl") if each["what"] == "over")
     for label, rules in ((f"e{number + 1}", loose), (f"e{number + 2}", tight)):
-        write(history, [*lines(history), {"at_us": over + 1, "what": "rules", "label": label, "edition": 0,
-                                          "rules": json.dumps(rules)}])
+        write(
+            history,
+            [
+                *lines(history),
+                {
+                    "at_us": over + 1,
+                    "what": "rules",
+                    "label": label,
+                    "edition": 0,
+                    "rules": json.dumps(rules),
+                },
+            ],
+        )
     first, stated_us = over + S, judge(copy).stated_ms * 1000
     like = offers(copy)[-1]
     plant(copy, like, rules=f"e{number + 1}", at_us=over + 2)
     plant(copy, like, rules=f"e{number + 2}", at_us=first)
     plant(copy, like, rules=f"e{number + 1}", at_us=first + stated_us - S // 10)
     verdict = judge(copy)
-    assert verdict.contradictions == 0 and verdict.longest_contradiction_ms == stated_us // 1000 - 100
+    assert (
+        verdict.contradictions == 0 and verdict.longest_contradiction_ms == stated_us // 1000 - 100
+    )
     plant(copy, like, rules=f"e{number + 1}", at_us=first + stated_us + S // 10)
     assert judge(copy).contradictions == 1
 
@@ -199,9 +273,15 @@
     drained = [{"machine": like["where"], "start_us": S, "lasts_us": 600 * S}]
     for more in ({"barred": [like["where"]]}, {"asked": drained}):
         for name in FLEET:
-            write(copy / f"{name}.history.jsonl", [
-                {**each, "rules": json.dumps({**json.loads(each["rules"]), **more})}
-                if each["what"] == "rules" and each["label"] == like["rules"] else each for each in kept[name]])
+            write(
+                copy / f"{name}.history.jsonl",
+                [
+                    {**each, "rules": json.dumps({**json.loads(each["rules"]), **more})}
+                    if each["what"] == "rules" and each["label"] == like["rules"]
+                    else each
+                    for each in kept[name]
+                ],
+            )
         assert judge(copy).forbidden_sends >= 2
 
 
@@ -214,7 +294,9 @@
 
 
 def test_a_planted_drain_that_a_placer_forgot_is_found(copy: Path) -> None:
-    drained = next(each["machine"] for each in lines(copy / "events.jsonl") if each["what"] == "drain")
+    drained = next(
+        each["machine"] for each in lines(copy / "events.jsonl") if each["what"] == "drain"
+    )
     history = copy / "placer-3.history.jsonl"
     found = lines(history)
     last = [each for each in found if each["what"] == "rules"][-1]
@@ -222,9 +304,15 @@
     assert [each["machine"] for each in rules["asked"]] == [drained]
     last["rules"] = json.dumps({key: value for key, value in rules.items() if key != "asked"})
     for name in FLEET:  # by all, under that label: not a matter of who knows what
-        write(copy / f"{name}.history.jsonl", [
-            {**each, "rules": last["rules"]} if each["what"] == "rules" and each["label"] == last["label"] else each
-            for each in lines(copy / f"{name}.history.jsonl")])
+        write(
+            copy / f"{name}.history.jsonl",
+            [
+                {**each, "rules": last["rules"]}
+                if each["what"] == "rules" and each["label"] == last["label"]
+                else each
+                for each in lines(copy / f"{name}.history.jsonl")
+            ],
+        )
     assert judge(copy).not_on_last == 5
 
 
@@ -238,18 +326,28 @@
 def test_planted_tasks_beyond_a_limit_of_the_fleet_are_found(copy: Path) -> None:
     records = lines(copy / "recording.jsonl")
     begun = next(each for each in records if each["what"] == "start")
-    more = [{**begun, "at_us": records[-1]["at_us"], "pod": f"planted-{number}"} for number in range(55)]
+    more = [
+        {**begun, "at_us": records[-1]["at_us"], "pod": f"planted-{number}"} for number in range(55)
+    ]
     write(copy / "recording.jsonl", [*records, *more])
     assert judge(copy).limit_overs == 1
     taken = [each for each in records if each["what"] == "accepted"][-1]
-    many = [{**taken, "job": f"planted-{number}", "uid": f"planted-{number}"} for number in range(61)]
+    many = [
+        {**taken, "job": f"planted-{number}", "uid": f"planted-{number}"} for number in range(61)
+    ]
     write(copy / "recording.jsonl", [*records, *many])
     assert judge(copy).limit_overs == 1
     write(copy / "recording.jsonl", records)
     for name in FLEET[:2]:
         history = copy / f"{name}.history.jsonl"
         last = [each for each in lines(history) if each["what"] == "rights"][-1]
-        write(history, [*lines(history), {**last, "shares": {**last["shares"], "namespace/default/standing": 30}}])
+        write(
+            history,
+            [
+                *lines(history),
+                {**last, "shares": {**last["shares"], "namespace/default/standing": 30}},
+            ],
+        )
     assert judge(copy).limit_overs == 1
 
 
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -24,7 +24,9 @@
 
 
 @pytest.mark.parametrize("count, seed", [(3, 1), (3, 2), (5, 3), (5, 4), (5, 5)])
-def test_nobody_passes_the_whole_under_generated_trouble_and_most_of_it_is_used_after(count: int, seed: int) -> None:
+def test_nobody_passes_the_whole_under_generated_trouble_and_most_of_it_is_used_after(
+    count: int, seed: int
+) -> None:
     holders = played(count, seed)
     assert holders.over == 0 and holders.started > 100, f"seed {seed}"
     holders.clear()
@@ -36,5 +38,6 @@
     class Forgetful(Blocks):
         def _lapses_us(self, name: str) -> int:
             return super()._lapses_us(name) - STRANDED_US
+
     monkeypatch.setattr(agreement, "Blocks", Forgetful)
     assert any(played(3, seed).over for seed in range(1, 20))
