--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -6,7 +6,17 @@
 from typing import Any
 
 from wingbarrow.config.settings import Agree, ClassSettings
-from wingbarrow.config.shapes import NEEDED, Node, Shape, flag, number, read_duration, read_size, text, word
+from wingbarrow.config.shapes import (
+    NEEDED,
+    Node,
+    Shape,
+    flag,
+    number,
+    read_duration,
+    read_size,
+    text,
+    word,
+)
 from wingbarrow.decide.federation.check import Known, Path, check
 from wingbarrow.decide.federation.form import normal
 from wingbarrow.decide.federation.spec import (
@@ -29,20 +39,51 @@
 _CORES = number(0, 1e7)
 _REGIONS = Shape(rest=text)
 SHAPES = {
-    "federation": Shape((text,), {}, {
-        "prefer": _REGIONS, "allow": _REGIONS, "forbid": _REGIONS,
-        "reads": Shape((text,), {"near": (word(*NEAR), "wanted"), "much": (read_size, 0.0),
-                                 "behind": (read_duration, 0)}, many=True),
-        "failover": Shape((), {
-            "after": (read_duration, NEEDED), "refusing": (read_duration, 0), "room": (number(1, 100, True), 100),
-            "copies": (number(1, COPIES_MOST, True), 1), "cores": (_CORES, 0), "memory": (read_size, 0.0),
-        }, {"to": _REGIONS}, rest=word(*ON)),
-        "back": Shape((word(*RETURNS),), {"after": (read_duration, 0), "pace": (number(1, 1000, True), 1)}),
-        "cut": Shape((word(*CUTS),)),
-        "over": Shape((), {"lower": (number(0, 100, True), 60), "upper": (number(1, 100, True), 90)}),
-    }, many=True),
-    "dataset": Shape((text,), {}, {
-        "copy": Shape((text,), {"behind": (read_duration, 0)}, many=True), "stays": _REGIONS}, many=True),
+    "federation": Shape(
+        (text,),
+        {},
+        {
+            "prefer": _REGIONS,
+            "allow": _REGIONS,
+            "forbid": _REGIONS,
+            "reads": Shape(
+                (text,),
+                {
+                    "near": (word(*NEAR), "wanted"),
+                    "much": (read_size, 0.0),
+                    "behind": (read_duration, 0),
+                },
+                many=True,
+            ),
+            "failover": Shape(
+                (),
+                {
+                    "after": (read_duration, NEEDED),
+                    "refusing": (read_duration, 0),
+                    "room": (number(1, 100, True), 100),
+                    "copies": (number(1, COPIES_MOST, True), 1),
+                    "cores": (_CORES, 0),
+                    "memory": (read_size, 0.0),
+                },
+                {"to": _REGIONS},
+                rest=word(*ON),
+            ),
+            "back": Shape(
+                (word(*RETURNS),), {"after": (read_duration, 0), "pace": (number(1, 1000, True), 1)}
+            ),
+            "cut": Shape((word(*CUTS),)),
+            "over": Shape(
+                (), {"lower": (number(0, 100, True), 60), "upper": (number(1, 100, True), 90)}
+            ),
+        },
+        many=True,
+    ),
+    "dataset": Shape(
+        (text,),
+        {},
+        {"copy": Shape((text,), {"behind": (read_duration, 0)}, many=True), "stays": _REGIONS},
+        many=True,
+    ),
     "room": Shape((text,), {"cores": (_CORES, NEEDED), "memory": (read_size, NEEDED)}, many=True),
 }
 CLASS_PROPS: dict[str, tuple[Any, Any]] = {"federation": (text, ""), "failover": (flag, False)}
@@ -52,21 +93,41 @@
     """The name of the spec that a class goes by; "" where it names none."""
     named, failover = node.props["federation"], node.props["failover"]
     if named and failover:
-        problems.append((node.line, "class: federation= and failover= at once; a spec says its own failover"))
+        problems.append(
+            (node.line, "class: federation= and failover= at once; a spec says its own failover")
+        )
     return str(named) or (CLASS + str(node.args[0]) if failover else "")
 
 
-def read_federation(top: Node, classes: Mapping[str, ClassSettings], agree: Agree | None,
-                    problems: list[tuple[int, str]]) -> Federation:
+def read_federation(
+    top: Node,
+    classes: Mapping[str, ClassSettings],
+    agree: Agree | None,
+    problems: list[tuple[int, str]],
+) -> Federation:
     """All specs and data sets of a document, checked whole; what is wrong goes to `problems`."""
-    places = {who: region for who, region in agree.regions if who not in agree.bare} if agree is not None else {}
+    places = (
+        {who: region for who, region in agree.regions if who not in agree.bare}
+        if agree is not None
+        else {}
+    )
     regions = tuple(dict.fromkeys(places.values()))
     lines: dict[Path, int] = {}
     nodes = top.children.get("federation", [])
     specs = [_spec(node, regions, ("federation", at), lines) for at, node in enumerate(nodes)]
-    problems += [(node.line, f"federation: {node.args[0]!r}: {CLASS!r} begins the names of specs that classes have by "
-                  "failover=#true") for node in nodes if node.args[0].startswith(CLASS)]
-    datasets = tuple(_dataset(node, ("dataset", at), lines) for at, node in enumerate(top.children.get("dataset", [])))
+    problems += [
+        (
+            node.line,
+            f"federation: {node.args[0]!r}: {CLASS!r} begins the names of specs that classes have by "
+            "failover=#true",
+        )
+        for node in nodes
+        if node.args[0].startswith(CLASS)
+    ]
+    datasets = tuple(
+        _dataset(node, ("dataset", at), lines)
+        for at, node in enumerate(top.children.get("dataset", []))
+    )
     for at, node in enumerate(top.children.get("room", [])):
         lines["room", at] = node.line
     lease_us = agree.lease_us if agree is not None else 0
@@ -76,18 +137,36 @@
         lines["class", node.args[0]] = node.line
         if node.props["failover"]:
             lines["federation", len(specs)] = node.line
-            specs.append(Spec(CLASS + node.args[0], regions, ranked=False,
-                              failover=Failover(("lost",), _LEASES_AFTER * lease_us)))
+            specs.append(
+                Spec(
+                    CLASS + node.args[0],
+                    regions,
+                    ranked=False,
+                    failover=Failover(("lost",), _LEASES_AFTER * lease_us),
+                )
+            )
     uses = tuple((name, each.federation) for name, each in classes.items() if each.federation)
     federation = Federation(tuple(specs), datasets, uses)
-    known = Known(regions, places, lease_us, {name: each.task_class.effect.name.lower()
-                                              for name, each in classes.items()},
-                  tuple((node.args[0], float(node.props["cores"]), int(node.props["memory"] / _MIB))
-                        for node in top.children.get("room", [])),
-                  tuple(sorted({region for _, region in agree.regions} - set(regions))) if agree is not None else ())
+    known = Known(
+        regions,
+        places,
+        lease_us,
+        {name: each.task_class.effect.name.lower() for name, each in classes.items()},
+        tuple(
+            (node.args[0], float(node.props["cores"]), int(node.props["memory"] / _MIB))
+            for node in top.children.get("room", [])
+        ),
+        tuple(sorted({region for _, region in agree.regions} - set(regions)))
+        if agree is not None
+        else (),
+    )
     for fault in check(federation, known):
-        problems.append((_line(fault.path, lines), fault.words + (
-            f" (see line {_line(fault.other, lines)})" if fault.other else "")))
+        problems.append(
+            (
+                _line(fault.path, lines),
+                fault.words + (f" (see line {_line(fault.other, lines)})" if fault.other else ""),
+            )
+        )
     return normal(federation)
 
 
@@ -102,6 +181,7 @@
     def names(what: str) -> tuple[str, ...]:
         child = node.one(what)
         return tuple(child.args) if child is not None else ()
+
     lines[path] = node.line
     for what, children in node.children.items():
         lines[*path, what] = children[0].line
@@ -114,13 +194,25 @@
         allow = tuple(each for each in regions if each not in forbidden)
     back, cut = node.one("back"), node.one("cut")
     return Spec(
-        node.args[0], prefer + allow, forbidden,
-        tuple(Need(each.args[0], each.props["near"], int(each.props["much"] / _MIB), each.props["behind"])
-              for each in needs),
+        node.args[0],
+        prefer + allow,
+        forbidden,
+        tuple(
+            Need(
+                each.args[0],
+                each.props["near"],
+                int(each.props["much"] / _MIB),
+                each.props["behind"],
+            )
+            for each in needs
+        ),
         _failover(node.one("failover"), path, lines),
         Back(back.args[0], back.props["after"], back.props["pace"]) if back else Back(),
-        cut.args[0] if cut else "carry-on", node.get("over", "lower", 60), node.get("over", "upper", 90),
-        ranked=bool(prefer))
+        cut.args[0] if cut else "carry-on",
+        node.get("over", "lower", 60),
+        node.get("over", "upper", 90),
+        ranked=bool(prefer),
+    )
 
 
 def _failover(node: Node | None, path: Path, lines: dict[Path, int]) -> Failover | None:
@@ -129,8 +221,16 @@
     to, props = node.one("to"), node.props
     if to is not None:
         lines[*path, "failover", "to"] = to.line
-    return Failover(tuple(node.args), props["after"], tuple(to.args) if to else (), props["room"], props["refusing"],
-                    props["copies"], int(props["cores"]), int(props["memory"] / _MIB))
+    return Failover(
+        tuple(node.args),
+        props["after"],
+        tuple(to.args) if to else (),
+        props["room"],
+        props["refusing"],
+        props["copies"],
+        int(props["cores"]),
+        int(props["memory"] / _MIB),
+    )
 
 
 def _dataset(node: Node, path: Path, lines: dict[Path, int]) -> DataSet:
@@ -141,5 +241,8 @@
     stays = node.one("stays")
     if stays is not None:
         lines[*path, "stays"] = stays.line
-    return DataSet(node.args[0], tuple((each.args[0], each.props["behind"]) for each in copies),
-                   tuple(stays.args) if stays else ())
+    return DataSet(
+        node.args[0],
+        tuple((each.args[0], each.props["behind"]) for each in copies),
+        tuple(stays.args) if stays else (),
+    )
--- a/wingbarrow/config/lines.py
+++ b/wingbarrow/config/lines.py
@@ -23,7 +23,9 @@
         self._at = 0
         self._ends = [match.start() for match in re.finditer("\n", text)]
         self.lines: list[int] = []
-        self.tops: list[tuple[int, int, int]] = []  # line, start and end of each top-level node's text
+        self.tops: list[
+            tuple[int, int, int]
+        ] = []  # line, start and end of each top-level node's text
         try:
             self._nodes(True, True)
         except IndexError:
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -16,8 +16,18 @@
 _DURATION = re.compile(r"(?:(\d+(?:\.\d+)?)(us|ms|s|m|h))")
 _UNITS_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 _SIZE = re.compile(r"(\d+(?:\.\d+)?)(|Ki|Mi|Gi|Ti|k|M|G|T|m)")
-_SIZES = {"": 1, "m": 1e-3, "Ki": 2**10, "Mi": 2**20, "Gi": 2**30, "Ti": 2**40, "k": 1e3, "M": 1e6, "G": 1e9,
-          "T": 1e12}
+_SIZES = {
+    "": 1,
+    "m": 1e-3,
+    "Ki": 2**10,
+    "Mi": 2**20,
+    "Gi": 2**30,
+    "Ti": 2**40,
+    "k": 1e3,
+    "M": 1e6,
+    "G": 1e9,
+    "T": 1e12,
+}
 
 
 def parse_duration(text: str) -> int:
@@ -73,7 +83,9 @@
 
     host: str
     port: int
-    name: str = ""  # where told, this is how that instance is reached, whatever address it gives itself
+    name: str = (
+        ""  # where told, this is how that instance is reached, whatever address it gives itself
+    )
     seed: bool = True  # asked at a start; otherwise only a way to an instance that others tell of
 
     def __str__(self) -> str:
@@ -122,10 +134,14 @@
     cluster: str = "main"
     peers: tuple[PeerAddress, ...] = ()
     calendars: tuple[str, ...] = ()  # files of maintenance windows
-    peers_allowed: IPSet = field(default_factory=IPSet)  # who may ask, and be asked, besides the peers
+    peers_allowed: IPSet = field(
+        default_factory=IPSet
+    )  # who may ask, and be asked, besides the peers
     agree: Agree | None = None
     barred: tuple[str, ...] = ()  # machines that get nothing
     history: str | None = None  # file of what this placer did, for judges
-    machines: bool = True  # whether it has any; without, it votes and no more, and asks no list source
+    machines: bool = (
+        True  # whether it has any; without, it votes and no more, and asks no list source
+    )
     federation: Federation = Federation()
     subset: SubsetSettings | None = None  # None: every placer holds every machine
--- a/wingbarrow/config/shapes.py
+++ b/wingbarrow/config/shapes.py
@@ -30,12 +30,14 @@
 
 def number(low: float, high: float, whole: bool = False) -> Callable[[Any], Any]:
     """A number within bounds."""
+
     def read(value: Any) -> Any:
         if isinstance(value, bool) or not isinstance(value, int if whole else (int, float)):
             raise ValueError(f"a {'whole ' if whole else ''}number is wanted, not {value!r}")
         if not low <= value <= high:
             raise ValueError(f"between {low:g} and {high:g} is wanted, not {value:g}")
         return value
+
     return read
 
 
@@ -49,7 +51,7 @@
 def read_duration(value: Any) -> int:
     """Microseconds from a duration in words."""
     if not isinstance(value, str):
-        raise ValueError(f"a duration such as \"5s\" is wanted, not {value!r}")
+        raise ValueError(f'a duration such as "5s" is wanted, not {value!r}')
     return parse_duration(value)
 
 
@@ -57,7 +59,7 @@
     """Bytes from a size in words."""
     if isinstance(value, str):
         return parse_size(value)
-    raise ValueError(f"a size such as \"48Gi\" is wanted, not {value!r}")
+    raise ValueError(f'a size such as "48Gi" is wanted, not {value!r}')
 
 
 def address(value: Any) -> str:
@@ -73,15 +75,19 @@
     try:
         return IPNetwork(value if isinstance(value, str) else "")
     except (AddrFormatError, ValueError):
-        raise ValueError(f"a network such as \"10.0.0.0/8\" is wanted, not {value!r}") from None
+        raise ValueError(f'a network such as "10.0.0.0/8" is wanted, not {value!r}') from None
 
 
 def word(*words: str) -> Callable[[Any], str]:
     """One of some words."""
+
     def read(value: Any) -> str:
         if value not in words:
-            raise ValueError(f"one of {', '.join(words)} is wanted, not {value!r}{near(str(value), words)}")
+            raise ValueError(
+                f"one of {', '.join(words)} is wanted, not {value!r}{near(str(value), words)}"
+            )
         return str(value)
+
     return read
 
 
@@ -136,7 +142,9 @@
         for node in nodes:
             line = next(self._lines, 1)
             if node.name not in known:
-                self.problems.append((line, f"unknown node {node.name!r}{where}{near(node.name, known)}"))
+                self.problems.append(
+                    (line, f"unknown node {node.name!r}{where}{near(node.name, known)}")
+                )
                 self._pass_over(node)
                 continue
             entry = self._node(node, known[node.name], line)
@@ -154,12 +162,15 @@
     def _node(self, node: Any, shape: Shape, line: int) -> Node:
         def bad(text: str) -> None:
             self.problems.append((line, f"{node.name}: {text}"))
+
         args: list[Any] = []
         readers = list(shape.args)
         if shape.rest is not None:
             readers += [shape.rest] * max(1, len(node.args) - len(readers))
         if len(node.args) != len(readers):
-            bad(f"{len(readers)} value(s) {'or more ' if shape.rest else ''}are wanted, not {len(node.args)}")
+            bad(
+                f"{len(readers)} value(s) {'or more ' if shape.rest else ''}are wanted, not {len(node.args)}"
+            )
         for value, read in zip(node.args, readers, strict=False):
             try:
                 args.append(read(value))
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -15,7 +15,9 @@
     """One offer of one request to one machine; its key is the pod's name."""
 
     use: tuple[float, ...] = ()
-    confirming: bool = False  # a machine runs it, and a keeper is to know that before its owner does
+    confirming: bool = (
+        False  # a machine runs it, and a keeper is to know that before its owner does
+    )
     session: str = ""  # by whose lease it runs, where its Job is leased
     found: bool = False  # it was found running, and the module knows nothing of it
     left_us: int | None = None  # of its run, where it was found
--- a/wingbarrow/core/board.py
+++ b/wingbarrow/core/board.py
@@ -63,16 +63,27 @@
 
     def show_node(self, entry: NodeEntry, drained: bool) -> None:
         """A Node as the list has it, closed where the calendar closed it."""
-        value = {"kind": "Node", "apiVersion": "v1", **entry.value, "metadata": dict(entry.value["metadata"])}
+        value = {
+            "kind": "Node",
+            "apiVersion": "v1",
+            **entry.value,
+            "metadata": dict(entry.value["metadata"]),
+        }
         condition = self._conditions.get(entry.name)
         if condition is not None:
             status = value["status"]
-            others = [each for each in status.get("conditions") or [] if each.get("type") != condition["type"]]
+            others = [
+                each
+                for each in status.get("conditions") or []
+                if each.get("type") != condition["type"]
+            ]
             value["status"] = {**status, "conditions": [*others, condition]}
         if drained:
             value["spec"] = {**(value.get("spec") or {}), "unschedulable": True}
-            value["metadata"]["annotations"] = {**(value["metadata"].get("annotations") or {}),
-                                                names.PREFIX + "drained-by": "calendar"}
+            value["metadata"]["annotations"] = {
+                **(value["metadata"].get("annotations") or {}),
+                names.PREFIX + "drained-by": "calendar",
+            }
         self.nodes.put(entry.name, value)
 
     def show_news(self, entry: NodeEntry, drained: bool) -> None:
@@ -93,5 +104,7 @@
 
 
 def _node_fields(value: dict[str, Any]) -> dict[str, str]:
-    return {"metadata.name": value["metadata"]["name"],
-            "spec.unschedulable": "true" if value.get("spec", {}).get("unschedulable") else "false"}
+    return {
+        "metadata.name": value["metadata"]["name"],
+        "spec.unschedulable": "true" if value.get("spec", {}).get("unschedulable") else "false",
+    }
--- a/wingbarrow/core/book.py
+++ b/wingbarrow/core/book.py
@@ -24,7 +24,9 @@
     ASKED = "asked"  # a final answer is owed
     PLACED = "placed"
     AGAIN = "again"  # lost or moved; it will be asked for again
-    FOUND = "found"  # runs under this placer's care, though its answer was another, or another life's
+    FOUND = (
+        "found"  # runs under this placer's care, though its answer was another, or another life's
+    )
     REFUSED = "refused"
     FAILED = "failed"
     DONE = "done"
@@ -123,9 +125,15 @@
     adopted: bool = False
     deleted: bool = False
     leased: Leased | None = None
-    lease_lost: bool = False  # a task was placed, and no keeper said so in time: its owner was told that it failed
-    causes: dict[State, str] = field(default_factory=dict)  # the first task's cause by its end state
-    notes: dict[str, tuple[str, str]] = field(default_factory=dict)  # more conditions: reason and words by type
+    lease_lost: bool = (
+        False  # a task was placed, and no keeper said so in time: its owner was told that it failed
+    )
+    causes: dict[State, str] = field(
+        default_factory=dict
+    )  # the first task's cause by its end state
+    notes: dict[str, tuple[str, str]] = field(
+        default_factory=dict
+    )  # more conditions: reason and words by type
 
     @property
     def open(self) -> int:
@@ -148,19 +156,25 @@
         self.answers: Counter[State] = Counter()
         self.owed = 0  # tasks that wait for a final answer
         self.on_delete: list[Callable[[JobRecord], None]] = []
-        self.on_step: list[Callable[[TaskRecord, State], None]] = []  # called with the state before, after each step
+        self.on_step: list[
+            Callable[[TaskRecord, State], None]
+        ] = []  # called with the state before, after each step
 
     def take_limits(self, jobs_kept: int, tasks_open: int, per_namespace: int) -> None:
         """New bounds for what comes; nothing accepted is dropped."""
         self._jobs_kept = jobs_kept
         self.admission.take_limits(tasks_open, per_namespace)
 
-    def add(self, key: str, uid: str, asked: JobRequest, value: dict[str, Any], adopted: bool = False) -> JobRecord:
+    def add(
+        self, key: str, uid: str, asked: JobRequest, value: dict[str, Any], adopted: bool = False
+    ) -> JobRecord:
         """Take a Job in; the caller has asked `admission`."""
         job = JobRecord(key, uid, asked, value, adopted=adopted)
         start = State.STOPPED if adopted else State.ASKED
-        job.tasks = [TaskRecord(job, index, start, restarts_left=asked.restarts, answered=adopted)
-                     for index in range(asked.count)]
+        job.tasks = [
+            TaskRecord(job, index, start, restarts_left=asked.restarts, answered=adopted)
+            for index in range(asked.count)
+        ]
         job.counts[start] = asked.count
         job.unanswered = 0 if adopted else asked.count
         self.owed += job.unanswered
--- a/wingbarrow/core/closing.py
+++ b/wingbarrow/core/closing.py
@@ -21,10 +21,14 @@
 class Closing:
     """Owns which machines are closed, or close for long tasks."""
 
-    def __init__(self, base: Base, host: Host, fleet: Fleet, attempts: Attempts, runs: Runs, board: Board) -> None:
+    def __init__(
+        self, base: Base, host: Host, fleet: Fleet, attempts: Attempts, runs: Runs, board: Board
+    ) -> None:
         self._base, self._host, self._fleet, self._attempts = base, host, fleet, attempts
         self._runs, self._board = runs, board
-        self._closing: dict[str, int] = {}  # machines that close for long tasks: when, on the module's clock
+        self._closing: dict[
+            str, int
+        ] = {}  # machines that close for long tasks: when, on the module's clock
         self._closed: frozenset[str] = frozenset()
         self.turned: Callable[[str], bool] = lambda name: False  # closed by a turn
         fleet.guards.append(self._guard)
@@ -45,9 +49,18 @@
         out = []
         for name, entry in self._fleet.held.items():
             labels = entry.value["metadata"].get("labels") or {}
-            out.append(MachineState(name, str(labels.get(names.CELL, name)), entry.listed.zone, entry.listed.kind,
-                                    labels, self._fleet.size_of(entry), asked.get(entry.listed.machine) or (0.0, 0.0),
-                                    entry.listed.phase is api.Phase.RUNNING))
+            out.append(
+                MachineState(
+                    name,
+                    str(labels.get(names.CELL, name)),
+                    entry.listed.zone,
+                    entry.listed.kind,
+                    labels,
+                    self._fleet.size_of(entry),
+                    asked.get(entry.listed.machine) or (0.0, 0.0),
+                    entry.listed.phase is api.Phase.RUNNING,
+                )
+            )
         return out
 
     def own_running(self) -> dict[str, list[Running]]:
@@ -60,18 +73,24 @@
                 offered = attempt.stage is not Stage.PLACED
                 began = attempt.decided_us if offered else attempt.placed_us
                 ends = None if asked.expected_us is None else wall + began + asked.expected_us
-                movable = (asked.task_class.task_class.effect is not api.Effect.UNSAFE
-                           and not attempt.task.doubtful)
+                movable = (
+                    asked.task_class.task_class.effect is not api.Effect.UNSAFE
+                    and not attempt.task.doubtful
+                )
                 out.setdefault(attempt.link.name, []).append(
-                    Running(attempt.request, movable, ends, offered))
+                    Running(attempt.request, movable, ends, offered)
+                )
         return out
 
     def take_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
         """Narrow the module: long tasks off machines that close, everything off those that are closed."""
         shift = self._base.hub.now_us() - self._base.hub.clock.wall_us()
         fresh = {name: at + shift for name, at in closing.items()}
-        changes: dict[int, int | None] = {names.ident(name): at for name, at in fresh.items()
-                                          if abs(self._closing.get(name, 0) - at) > 1_000}
+        changes: dict[int, int | None] = {
+            names.ident(name): at
+            for name, at in fresh.items()
+            if abs(self._closing.get(name, 0) - at) > 1_000
+        }
         changes |= {names.ident(name): None for name in self._closing if name not in fresh}
         self._closing = fresh
         if changes:
@@ -97,7 +116,10 @@
     def move_task(self, request: int, why: str) -> None:
         """Stop a placed task and ask for it again; never one that must not start twice."""
         attempt = self._attempts.of(request)
-        if attempt is None or attempt.task.job.asked.task_class.task_class.effect is api.Effect.UNSAFE:
+        if (
+            attempt is None
+            or attempt.task.job.asked.task_class.task_class.effect is api.Effect.UNSAFE
+        ):
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["drain_moves"] += 1
@@ -109,15 +131,32 @@
         self._base.counts["drains:" + held.phase.value] += 1
         name, wall = held.drain.machine, self._base.hub.clock.wall_us()
         reason = "Drain" + held.phase.value.title().replace(" ", "")
-        self._board.tell_node(name, "Warning" if held.reason else "Normal", reason,
-                              f"window {held.drain.window}: {held.reason or held.phase.value}, "
-                              f"{held.moved} task(s) moved")
-        self._board.set_condition(name, {
-            "type": "wingbarrow.io/Drain", "status": str(held.phase.value in ("closed", "out")), "reason": reason,
-            "message": held.reason or f"window {held.drain.window}", "lastTransitionTime": names.short_time(wall),
-            "lastHeartbeatTime": names.short_time(wall)})
+        self._board.tell_node(
+            name,
+            "Warning" if held.reason else "Normal",
+            reason,
+            f"window {held.drain.window}: {held.reason or held.phase.value}, "
+            f"{held.moved} task(s) moved",
+        )
+        self._board.set_condition(
+            name,
+            {
+                "type": "wingbarrow.io/Drain",
+                "status": str(held.phase.value in ("closed", "out")),
+                "reason": reason,
+                "message": held.reason or f"window {held.drain.window}",
+                "lastTransitionTime": names.short_time(wall),
+                "lastHeartbeatTime": names.short_time(wall),
+            },
+        )
         entry = self._fleet.held.get(name)
         if entry is not None:
             self._board.show_node(entry, self._is_closed(name))
-        self._base.log("drain", window=held.drain.window, machine=held.drain.machine, phase=held.phase.value,
-                       why=held.reason, moved=held.moved)
+        self._base.log(
+            "drain",
+            window=held.drain.window,
+            machine=held.drain.machine,
+            phase=held.phase.value,
+            why=held.reason,
+            moved=held.moved,
+        )
--- a/wingbarrow/core/coldshares.py
+++ b/wingbarrow/core/coldshares.py
@@ -20,28 +20,46 @@
 from wingbarrow.decide.subsets import Subsets
 
 LOOK_US = 50_000
-CAME = {api.Outcome.NOT_SENT: Came.NEVER, api.Outcome.UNREACHABLE: Came.NEVER, api.Outcome.TIMED_OUT: Came.UNKNOWN,
-        api.Outcome.CANCELLED: Came.UNKNOWN, api.Outcome.BROKEN: Came.ALONE}
+CAME = {
+    api.Outcome.NOT_SENT: Came.NEVER,
+    api.Outcome.UNREACHABLE: Came.NEVER,
+    api.Outcome.TIMED_OUT: Came.UNKNOWN,
+    api.Outcome.CANCELLED: Came.UNKNOWN,
+    api.Outcome.BROKEN: Came.ALONE,
+}
 
 
 class ColdShares:
     """`offers`: what all placers together may send to one cold machine within the window, by the rules in force."""
 
-    def __init__(self, base: Base, fleet: Fleet, attempts: Attempts, subsets: Subsets,
-                 offers: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        base: Base,
+        fleet: Fleet,
+        attempts: Attempts,
+        subsets: Subsets,
+        offers: Callable[[], float],
+    ) -> None:
         self._base, self._fleet, self._attempts = base, fleet, attempts
         self._subsets, self._offers = subsets, offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
-        self._account = ColdShare(rules.fall_us * 5 // 4)  # a quarter longer, as in the module: offers travel
-        self._closed: dict[str, None] = {}  # machines that are shown as draining for want of a share
+        self._account = ColdShare(
+            rules.fall_us * 5 // 4
+        )  # a quarter longer, as in the module: offers travel
+        self._closed: dict[
+            str, None
+        ] = {}  # machines that are shown as draining for want of a share
         self._looking = False
         fleet.rationed = self._ration
 
     def left(self, link: MachineLink) -> bool:
         """Whether one more offer may go to a machine now; True for any that is not cold."""
         now = self._base.hub.now_us()
-        return not self._cold(link.launched_us, now) or self._left(now, link.name, link.launched_us) > 0
+        return (
+            not self._cold(link.launched_us, now)
+            or self._left(now, link.name, link.launched_us) > 0
+        )
 
     def _left(self, now_us: int, name: str, launched_us: int) -> int:
         share = self._subsets.cold_most(self._base.settings.name, name, self._offers())
@@ -50,7 +68,11 @@
     def chosen(self, link: MachineLink) -> None:
         """The module has chosen a machine for an offer that is under way from now on."""
         entry = self._fleet.held.get(link.name)
-        if entry is not None and link.name not in self._closed and self._used_up(link.name, link.launched_us):
+        if (
+            entry is not None
+            and link.name not in self._closed
+            and self._used_up(link.name, link.launched_us)
+        ):
             self._fleet.take_again([entry])
 
     def _used_up(self, name: str, launched_us: int) -> bool:
@@ -65,7 +87,9 @@
         """The first byte of an offer goes out, which the gate allowed."""
         link, now = attempt.link, self._base.hub.now_us()
         if self._cold(link.launched_us, now):
-            self._account.sent(link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key)
+            self._account.sent(
+                link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key
+            )
 
     def ended(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
         """How an offer ended; None: its task runs."""
@@ -80,7 +104,9 @@
         return launched_us > 0 and now_us < launched_us + self._cold_us
 
     def _ration(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        if listed.phase is not api.Phase.RUNNING or not self._used_up(entry.name, listed.launched_us):
+        if listed.phase is not api.Phase.RUNNING or not self._used_up(
+            entry.name, listed.launched_us
+        ):
             self._closed.pop(entry.name, None)
             return listed
         self._closed[entry.name] = None
@@ -97,7 +123,11 @@
                 held = self._fleet.held
                 for name in [name for name in self._closed if name not in held]:
                     del self._closed[name]
-                again = [held[name] for name in self._closed if not self._used_up(name, held[name].listed.launched_us)]
+                again = [
+                    held[name]
+                    for name in self._closed
+                    if not self._used_up(name, held[name].listed.launched_us)
+                ]
                 if again:
                     self._fleet.take_again(again)
         finally:
--- a/wingbarrow/core/desk.py
+++ b/wingbarrow/core/desk.py
@@ -31,9 +31,20 @@
 class Desk:
     """Owns the door; every limit on what comes in is asked here."""
 
-    def __init__(self, base: Base, book: Book, attempts: Attempts, board: Board, requests: Requests, runs: Runs,
-                 stops: Stops, closing: Closing, rulebook: Rulebook, leaseholder: Leaseholder | None = None,
-                 elsewhere: Elsewhere | None = None) -> None:
+    def __init__(
+        self,
+        base: Base,
+        book: Book,
+        attempts: Attempts,
+        board: Board,
+        requests: Requests,
+        runs: Runs,
+        stops: Stops,
+        closing: Closing,
+        rulebook: Rulebook,
+        leaseholder: Leaseholder | None = None,
+        elsewhere: Elsewhere | None = None,
+    ) -> None:
         self._rulebook, self._leaseholder, self._elsewhere = rulebook, leaseholder, elsewhere
         self._base, self._book, self._attempts, self._board = base, book, attempts, board
         self._requests, self._runs, self._stops, self._closing = requests, runs, stops, closing
@@ -41,7 +52,9 @@
 
     def look_at_door(self, came_us: int) -> None:
         """Asked of each Job before its body is read: ApiError 429 where the placer is behind."""
-        away = self._door.on_wait(self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._book.owed)
+        away = self._door.on_wait(
+            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._book.owed
+        )
         if away is not None:
             raise self._turned_away(away)
 
@@ -49,11 +62,22 @@
         what = "turned_away:" + away.why.name.lower()
         self._base.counts[what] += 1
         if self._base.counts[what] % 1000 == 1:
-            self._base.log("job-turned-away", level="warning", why=away.why.value, so_far=self._base.counts[what])
+            self._base.log(
+                "job-turned-away",
+                level="warning",
+                why=away.why.value,
+                so_far=self._base.counts[what],
+            )
         return ApiError(429, away.why.value, retry_after_s=away.retry_after_s)
 
-    def submit(self, value: dict[str, Any], namespace: str, dry_run: bool, came_us: int | None = None,
-               handed: bool = False) -> dict[str, Any]:
+    def submit(
+        self,
+        value: dict[str, Any],
+        namespace: str,
+        dry_run: bool,
+        came_us: int | None = None,
+        handed: bool = False,
+    ) -> dict[str, Any]:
         """Accept a Job; ApiError says why not, and then nothing of it is kept.
 
         Its owner's patience runs from `came_us`, when it had not come yet; without that from now. `handed`: by another
@@ -61,38 +85,66 @@
         """
         base = self._base
         self._rulebook.look()
-        fresh = f"{base.random.randrange(36 ** 5):05x}"[-5:]
+        fresh = f"{base.random.randrange(36**5):05x}"[-5:]
         asked = read_job(value, namespace, base.settings.classes, base.settings.limits, fresh)
         key = f"{namespace}/{asked.name}"
         self._look_at_name(key, asked.name)
         now = base.hub.now_us()
-        due = self._door.due_us(now, now if came_us is None else came_us, asked.patience_us, base.hub.lag_us(),
-                                self._book.owed, self._book.answers.total())
+        due = self._door.due_us(
+            now,
+            now if came_us is None else came_us,
+            asked.patience_us,
+            base.hub.lag_us(),
+            self._book.owed,
+            self._book.answers.total(),
+        )
         if isinstance(due, TurnedAway):
             raise self._turned_away(due)
         self._look_at_room(namespace, asked.count)
-        beyond = None if dry_run else self._rulebook.beyond_after(
-            namespace, asked.task_class.task_class.name, asked.count, now + max(0, due - now) // 3)
+        beyond = (
+            None
+            if dry_run
+            else self._rulebook.beyond_after(
+                namespace,
+                asked.task_class.task_class.name,
+                asked.count,
+                now + max(0, due - now) // 3,
+            )
+        )
         if beyond is not None:
             base.counts["turned_away:limit"] += 1
             # Spread, so that those turned away together do not come back together.
-            raise ApiError(429, f"limit {beyond.key} of the whole fleet: {beyond.most}"
-                           + (f" in {beyond.window_us / 1e6:g} s" if beyond.window_us else " at once"),
-                           retry_after_s=base.random.randrange(1, 5))
+            raise ApiError(
+                429,
+                f"limit {beyond.key} of the whole fleet: {beyond.most}"
+                + (f" in {beyond.window_us / 1e6:g} s" if beyond.window_us else " at once"),
+                retry_after_s=base.random.randrange(1, 5),
+            )
         if base.hub.now_us() > now:  # it has waited for rights: others may have come meanwhile
             self._look_at_name(key, asked.name)
             self._look_at_room(namespace, asked.count)
-        spec = self._leaseholder.spec(asked, _named(value)) if self._leaseholder is not None else None
+        spec = (
+            self._leaseholder.spec(asked, _named(value)) if self._leaseholder is not None else None
+        )
         here = region = base.settings.region
         if spec is not None and self._elsewhere is not None and not dry_run:
             region = self._elsewhere.route(asked, spec, handed)
-        uid = names.uid(base.settings.name, base.life, key, self._board.store.version, base.random.random())
+        uid = names.uid(
+            base.settings.name, base.life, key, self._board.store.version, base.random.random()
+        )
         shown = job_value(value, asked, uid, base.hub.clock.wall_us())
         if dry_run:
             return shown
         leased = None
-        if spec is not None and spec.failover is not None and region == here and self._leaseholder is not None:
-            manifest = names.encode({key: part for key, part in shown.items() if key != "status"}).decode()
+        if (
+            spec is not None
+            and spec.failover is not None
+            and region == here
+            and self._leaseholder is not None
+        ):
+            manifest = names.encode(
+                {key: part for key, part in shown.items() if key != "status"}
+            ).decode()
             leased = self._leaseholder.take_in(key, uid, asked, spec, manifest, due)
         job = self._book.add(key, uid, asked, shown)
         if leased is not None and self._leaseholder is not None:
@@ -106,15 +158,25 @@
         return shown
 
     def _look_at_name(self, key: str, name: str) -> None:
-        if key in self._book.jobs or (self._leaseholder is not None and key in self._leaseholder.coming):
-            raise ApiError(409, f'jobs.batch "{name}" already exists', "AlreadyExists", name=name, kind="jobs")
+        if key in self._book.jobs or (
+            self._leaseholder is not None and key in self._leaseholder.coming
+        ):
+            raise ApiError(
+                409, f'jobs.batch "{name}" already exists', "AlreadyExists", name=name, kind="jobs"
+            )
 
     def _look_at_room(self, namespace: str, count: int) -> None:
         too_many = self._book.admission.check(namespace, count, self._stops.owed)
         if too_many is not None:
             self._base.counts["turned_away"] += 1
-            self._base.log("job-turned-away", level="warning", what=too_many.what, most=too_many.most)
-            raise ApiError(429, f"more than {too_many.most} {too_many.what}", retry_after_s=too_many.retry_after_s)
+            self._base.log(
+                "job-turned-away", level="warning", what=too_many.what, most=too_many.most
+            )
+            raise ApiError(
+                429,
+                f"more than {too_many.most} {too_many.what}",
+                retry_after_s=too_many.retry_after_s,
+            )
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job and stop what of it runs or is on its way; the Job as it last was."""
@@ -149,8 +211,12 @@
                 # Danger: the offer is on its way; what it starts must not run on without an owner. One stop ends it
                 # on the machine, and the offer is answered by that.
                 attempt.stopping = again.End.STOPPED
-                self._stops.owe(attempt.link, task.job.asked.namespace, attempt.key,
-                                settled=lambda: attempt.stage is Stage.ENDED)
+                self._stops.owe(
+                    attempt.link,
+                    task.job.asked.namespace,
+                    attempt.key,
+                    settled=lambda: attempt.stage is Stage.ENDED,
+                )
             elif attempt.scope is not None:
                 attempt.scope.cancel()  # nothing went out: no call is owed
         elif attempt is not None:
@@ -162,7 +228,11 @@
         if attempt is None or attempt.stage is not Stage.PLACED:
             raise not_found("pods", pod)
         if attempt.task.job.asked.task_class.task_class.effect is api.Effect.UNSAFE:
-            raise ApiError(429, f"{pod} is of a class that must not start twice; it is never moved", retry_after_s=60)
+            raise ApiError(
+                429,
+                f"{pod} is of a class that must not start twice; it is never moved",
+                retry_after_s=60,
+            )
         self._closing.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -30,7 +30,9 @@
 EARLIER_US = 86_400 * SECOND
 FORM = 1
 ASKED_MOST = 64
-LOST_KEPT_US = 600 * SECOND  # a machine that vanished without a drain speaks for its hall's failure so long
+LOST_KEPT_US = (
+    600 * SECOND
+)  # a machine that vanished without a drain speaks for its hall's failure so long
 
 
 class _Kept(msgspec.Struct):
@@ -76,15 +78,26 @@
 class Drainer:
     """Runs the calendar of one placer."""
 
-    def __init__(self, hub: Hub, paths: tuple[str, ...], kinds_needed: tuple[str, ...], placers: int,
-                 state: str | None, host: Host, log: Callable[..., None], agreed: bool = False) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        paths: tuple[str, ...],
+        kinds_needed: tuple[str, ...],
+        placers: int,
+        state: str | None,
+        host: Host,
+        log: Callable[..., None],
+        agreed: bool = False,
+    ) -> None:
         self._hub = hub
         self._paths = paths
         self._kinds_needed = kinds_needed
         self._host = host
         self._log = log
         self._file = Path(state) / "drains.json" if state else None
-        self.agreed = agreed  # windows and drains are what placers agree on, and nothing of this one's own
+        self.agreed = (
+            agreed  # windows and drains are what placers agree on, and nothing of this one's own
+        )
         self.may_move: Callable[[], bool] = lambda: True
         self.on_closed: Callable[[frozenset[str]], None] = lambda machines: None
         self._closed = frozenset[str]()
@@ -101,7 +114,10 @@
     def reload(self) -> bool:
         """Read the calendar again, whole or not at all; False, and told, where it cannot be used."""
         if self.agreed:
-            self._log("calendar-agreed", what="a calendar read again changes nothing: `wingbarrow rules propose`")
+            self._log(
+                "calendar-agreed",
+                what="a calendar read again changes nothing: `wingbarrow rules propose`",
+            )
             return True
         try:
             fresh = load_calendar(self._paths, self._kinds_needed)
@@ -114,7 +130,9 @@
         self._planned_us = None
         return True
 
-    def take(self, calendar: Calendar, asked: tuple[AskedDrain, ...], cancelled: tuple[str, ...]) -> None:
+    def take(
+        self, calendar: Calendar, asked: tuple[AskedDrain, ...], cancelled: tuple[str, ...]
+    ) -> None:
         """What placers agree on, in place of what was there; acted on when this returns."""
         now = self._hub.clock.wall_us()
         self.calendar, self._asked = calendar, [each.series() for each in asked]
@@ -130,7 +148,10 @@
     def closes(self, machine: str) -> bool:
         """Whether a drain that placers agree on closes a machine, also before it is planned here."""
         asked = self._agreed.get(machine)
-        if asked is None or not asked.start_us <= self._hub.clock.wall_us() < asked.start_us + asked.lasts_us:
+        if (
+            asked is None
+            or not asked.start_us <= self._hub.clock.wall_us() < asked.start_us + asked.lasts_us
+        ):
             return False
         held = self.drains.held.get(asked.key)
         return held is None or held.phase not in OVER
@@ -151,11 +172,15 @@
         self._look(now, machines)
         self._plan(now, machines)
         running = self._host.own_running()
-        held = [each for each in self.drains.held.values() if each.phase in (Phase.CLOSED, Phase.OUT)]
+        held = [
+            each for each in self.drains.held.values() if each.phase in (Phase.CLOSED, Phase.OUT)
+        ]
         drained = {each.drain.machine for each in held}
         here = {machine.name for machine in machines if machine.running}
-        failed = failed_zones(((zone, name in here, name in drained) for name, (zone, _) in self._seen.items()),
-                              self.calendar.policy.failed_share)
+        failed = failed_zones(
+            ((zone, name in here, name in drained) for name, (zone, _) in self._seen.items()),
+            self.calendar.policy.failed_share,
+        )
         zones = {name: zone for name, (zone, _) in self._seen.items()}
         turn = self.drains.step(now, running, zones, failed, self._room(machines, drained))
         self._host.take_planned(turn.closing, turn.closed)
@@ -177,7 +202,9 @@
                 self._seen[machine.name] = machine.zone, now
             else:
                 self._seen.pop(machine.name, None)
-        for name in [name for name, (_, at) in self._seen.items() if not 0 <= now - at <= LOST_KEPT_US]:
+        for name in [
+            name for name, (_, at) in self._seen.items() if not 0 <= now - at <= LOST_KEPT_US
+        ]:
             del self._seen[name]
 
     def _plan(self, now: int, machines: list[MachineState]) -> None:
@@ -187,24 +214,41 @@
             return
         self._planned_us, self._planned_for = now, names
         self._asked = [each for each in self._asked if to_us(each.start) + each.lasts_us > now]
-        occurrences = expand_all([*self._asked, *self.calendar.series], now - EARLIER_US, now + HORIZON_US)
+        occurrences = expand_all(
+            [*self._asked, *self.calendar.series], now - EARLIER_US, now + HORIZON_US
+        )
         unsafe = {occurrence.ident: occurrence.series.unsafe for occurrence in occurrences}
         found = plan(occurrences, machines, self.calendar.rules)
         if self.agreed:
             # Weighed when it was asked for: who sees the fleet otherwise now must not leave it out.
             windows = {each.name for each in self._asked}
-            found = [replace(each, fate=Fate.PLANNED, reason="") if each.window in windows else each for each in found]
-        self.drains.take_plan([(drain, unsafe[drain.occurrence]) for drain in found if drain.fate is Fate.PLANNED], now)
-        self.refused = [drain for drain in found if drain.fate is Fate.REFUSED and drain.end_us > now]
+            found = [
+                replace(each, fate=Fate.PLANNED, reason="") if each.window in windows else each
+                for each in found
+            ]
+        self.drains.take_plan(
+            [(drain, unsafe[drain.occurrence]) for drain in found if drain.fate is Fate.PLANNED],
+            now,
+        )
+        self.refused = [
+            drain for drain in found if drain.fate is Fate.REFUSED and drain.end_us > now
+        ]
 
     def _room(self, machines: list[MachineState], drained: set[str]) -> dict[str, bool]:
         """Whether what is asked on a machine would fit on those that stay, by what is asked now."""
         fill = self.calendar.rules.fill
-        staying = [machine for machine in machines if machine.running and machine.name not in drained]
-        free = [sum(fill * machine.size[i] - machine.asked[i] for machine in staying) for i in (0, 1)]
+        staying = [
+            machine for machine in machines if machine.running and machine.name not in drained
+        ]
+        free = [
+            sum(fill * machine.size[i] - machine.asked[i] for machine in staying) for i in (0, 1)
+        ]
         out: dict[str, bool] = {}
         for machine in machines:
-            own = [fill * machine.size[i] - machine.asked[i] if machine.name not in drained else 0.0 for i in (0, 1)]
+            own = [
+                fill * machine.size[i] - machine.asked[i] if machine.name not in drained else 0.0
+                for i in (0, 1)
+            ]
             out[machine.name] = all(free[i] - own[i] >= machine.asked[i] - 1e-9 for i in (0, 1))
         return out
 
@@ -213,11 +257,26 @@
     def _save(self) -> None:
         if self._file is None:
             return
-        raw = msgspec.json.encode([
-            _Kept(each.drain.key, each.drain.window, each.drain.occurrence, each.drain.machine, each.drain.start_us,
-                  each.drain.end_us, each.phase.value, each.unsafe.value, each.since_us, each.moved, each.late,
-                  each.reason)
-            for each in self.drains.held.values() if each.phase is not Phase.PLANNED])
+        raw = msgspec.json.encode(
+            [
+                _Kept(
+                    each.drain.key,
+                    each.drain.window,
+                    each.drain.occurrence,
+                    each.drain.machine,
+                    each.drain.start_us,
+                    each.drain.end_us,
+                    each.phase.value,
+                    each.unsafe.value,
+                    each.since_us,
+                    each.moved,
+                    each.late,
+                    each.reason,
+                )
+                for each in self.drains.held.values()
+                if each.phase is not Phase.PLANNED
+            ]
+        )
         data = msgspec.json.encode(_File(FORM, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw)))
         try:
             write_whole(self._file, data)
@@ -233,11 +292,28 @@
                 raise ValueError("its digest or form is wrong")
             kept: list[_Kept] = msgspec.json.decode(file.drains, type=list[_Kept])
             self.drains.restore(
-                Held(Drain(each.window, each.occurrence, each.machine, Fate.PLANNED, each.start_us, each.end_us),
-                     Phase(each.phase), UnsafePolicy(each.unsafe), each.since_us, each.moved, each.late, each.reason)
-                for each in kept)
+                Held(
+                    Drain(
+                        each.window,
+                        each.occurrence,
+                        each.machine,
+                        Fate.PLANNED,
+                        each.start_us,
+                        each.end_us,
+                    ),
+                    Phase(each.phase),
+                    UnsafePolicy(each.unsafe),
+                    each.since_us,
+                    each.moved,
+                    each.late,
+                    each.reason,
+                )
+                for each in kept
+            )
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            self._log("saved-drains-unusable", level="error", file=str(self._file), why=str(error)[:200])
+            self._log(
+                "saved-drains-unusable", level="error", file=str(self._file), why=str(error)[:200]
+            )
 
     # -- for operators
 
@@ -265,20 +341,46 @@
         now = self._hub.clock.wall_us()
         asked = AskedDrain(machine, now // SECOND * SECOND, lasts_us)
         every = [asked.series(), *self._asked, *self.calendar.series]
-        found = plan(expand_all(every, now - EARLIER_US, now + HORIZON_US), self._host.machine_states(),
-                     self.calendar.rules)
+        found = plan(
+            expand_all(every, now - EARLIER_US, now + HORIZON_US),
+            self._host.machine_states(),
+            self.calendar.rules,
+        )
         mine = [each for each in found if each.window == asked.window]
         if not mine:
-            return asked, Drain(asked.window, "", machine, Fate.REFUSED, now, now, "no such machine runs")
+            return asked, Drain(
+                asked.window, "", machine, Fate.REFUSED, now, now, "no such machine runs"
+            )
         return asked, mine[0]
 
     def describe(self) -> list[dict[str, Any]]:
         """All drains that are known, by their start, refused ones with their reason."""
-        out = [{"key": each.drain.key, "window": each.drain.window, "machine": each.drain.machine,
-                "phase": each.phase.value, "startUs": each.drain.start_us, "endUs": each.drain.end_us,
-                "moved": each.moved, "late": each.late, "reason": each.reason}
-               for each in self.drains.held.values()]
-        out += [{"key": each.key, "window": each.window, "machine": each.machine, "phase": "refused",
-                 "startUs": each.start_us, "endUs": each.end_us, "moved": 0, "late": False, "reason": each.reason}
-                for each in self.refused]
+        out = [
+            {
+                "key": each.drain.key,
+                "window": each.drain.window,
+                "machine": each.drain.machine,
+                "phase": each.phase.value,
+                "startUs": each.drain.start_us,
+                "endUs": each.drain.end_us,
+                "moved": each.moved,
+                "late": each.late,
+                "reason": each.reason,
+            }
+            for each in self.drains.held.values()
+        ]
+        out += [
+            {
+                "key": each.key,
+                "window": each.window,
+                "machine": each.machine,
+                "phase": "refused",
+                "startUs": each.start_us,
+                "endUs": each.end_us,
+                "moved": 0,
+                "late": False,
+                "reason": each.reason,
+            }
+            for each in self.refused
+        ]
         return sorted(out, key=lambda each: (each["startUs"], each["key"]))
--- a/wingbarrow/core/elsewhere.py
+++ b/wingbarrow/core/elsewhere.py
@@ -34,7 +34,9 @@
         self.giving, self.taking = handing.Giving(base.settings.name, life), handing.Taking(life)
         self.budget = handing.Budget()
         self.news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
-        self.targets: Callable[[tuple[str, ...]], list[handing.Target]] = lambda names: []  # those that live
+        self.targets: Callable[[tuple[str, ...]], list[handing.Target]] = (
+            lambda names: []
+        )  # those that live
         self.federation: Callable[[], Federation] = Federation
         self.act: Callable[[list[Effect]], None] = lambda effects: None
         self.submit: Callable[[dict[str, Any], str], object] = lambda value, namespace: None
@@ -57,22 +59,38 @@
         here = base.settings.region
         if handed:
             if here not in allowed(spec, federation):
-                raise ApiError(503, f"federation {spec.name!r} does not allow region {here}", "ServiceUnavailable")
+                raise ApiError(
+                    503,
+                    f"federation {spec.name!r} does not allow region {here}",
+                    "ServiceUnavailable",
+                )
             return here
         self.budget.tried()
-        choice: Choice = choose(spec, federation, Wanted(
-            asked.cores, asked.memory, asked.task_class.task_class.effect.value, here), self.news(base.hub.now_us()),
-            base.random.random())
+        choice: Choice = choose(
+            spec,
+            federation,
+            Wanted(asked.cores, asked.memory, asked.task_class.task_class.effect.value, here),
+            self.news(base.hub.now_us()),
+            base.random.random(),
+        )
         if not choice.region:
             base.counts["turned_away:no region"] += 1
-            raise ApiError(503, f"federation {spec.name!r} leaves no region now: {choice.reason}",
-                           "ServiceUnavailable", retry_after_s=base.random.randrange(1, 5))
+            raise ApiError(
+                503,
+                f"federation {spec.name!r} leaves no region now: {choice.reason}",
+                "ServiceUnavailable",
+                retry_after_s=base.random.randrange(1, 5),
+            )
         if choice.region != here and not self.budget.take():
             base.counts["handing:over the budget"] += 1
             if here in allowed(spec, federation):
                 return here
-            raise ApiError(503, "too many Jobs are handed over to other regions now", "ServiceUnavailable",
-                           retry_after_s=base.random.randrange(1, 5))
+            raise ApiError(
+                503,
+                "too many Jobs are handed over to other regions now",
+                "ServiceUnavailable",
+                retry_after_s=base.random.randrange(1, 5),
+            )
         return choice.region
 
     def give(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
@@ -88,8 +106,9 @@
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
         harmless = job.asked.task_class.task_class.effect.value == "safe"
-        ident, effects = self.giving.begin(self._base.hub.now_us(), _manifest(job), spec, harmless,
-                                           due_us - ANSWER_US, targets)
+        ident, effects = self.giving.begin(
+            self._base.hub.now_us(), _manifest(job), spec, harmless, due_us - ANSWER_US, targets
+        )
         if not ident:
             return False
         self._book.open_request(task, due_us)
@@ -133,7 +152,9 @@
             self._requests.ask(task, self._base.hub.now_us() + task.job.asked.patience_us)
             return
         elif state in (handing.REFUSED, handing.FAILED):
-            self._requests.answer(task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL)
+            self._requests.answer(
+                task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL
+            )
         elif state in handing.RAN:
             self._book.step(task, Step.DONE if state == handing.DONE else Step.LOSE)
         if state in handing.FINAL:
@@ -186,9 +207,15 @@
         ident = self._taken.get(task.job.key)
         if ident is None or task.state is before:
             return
-        state = {State.PLACED: handing.PLACED, State.FOUND: handing.PLACED, State.REFUSED: handing.REFUSED,
-                 State.FAILED: handing.FAILED, State.DONE: handing.DONE, State.LOST: handing.LOST,
-                 State.STOPPED: handing.LOST}.get(task.state)
+        state = {
+            State.PLACED: handing.PLACED,
+            State.FOUND: handing.PLACED,
+            State.REFUSED: handing.REFUSED,
+            State.FAILED: handing.FAILED,
+            State.DONE: handing.DONE,
+            State.LOST: handing.LOST,
+            State.STOPPED: handing.LOST,
+        }.get(task.state)
         if state is None or state == handing.PLACED and before is State.AGAIN:
             return
         if state in handing.FINAL:
@@ -217,9 +244,15 @@
             elif each.what == "handed":
                 self._handed(**each.fields)
             elif each.what == "take":
-                ident, manifest, left = (each.fields[name] for name in ("ident", "manifest", "left_us"))
-                self._base.spawn(lambda ident=ident, manifest=manifest, left=left: self._take(  # type: ignore[misc]
-                    ident, manifest, left), "takes a Job that was handed over")
+                ident, manifest, left = (
+                    each.fields[name] for name in ("ident", "manifest", "left_us")
+                )
+                self._base.spawn(
+                    lambda ident=ident, manifest=manifest, left=left: self._take(  # type: ignore[misc]
+                        ident, manifest, left
+                    ),
+                    "takes a Job that was handed over",
+                )
             else:
                 self._stop(each.fields["ident"])
         return out
@@ -229,7 +262,16 @@
     """A Job of one task as its receiver makes its own of it."""
     meta = job.value["metadata"]
     kept = {key: meta[key] for key in ("labels", "annotations") if key in meta}
-    spec = {key: part for key, part in job.value["spec"].items()
-            if key not in ("parallelism", "completions", "completionMode")}
-    return names.encode({"apiVersion": "batch/v1", "kind": "Job", "metadata": {
-        "namespace": job.asked.namespace, **kept}, "spec": spec}).decode()
+    spec = {
+        key: part
+        for key, part in job.value["spec"].items()
+        if key not in ("parallelism", "completions", "completionMode")
+    }
+    return names.encode(
+        {
+            "apiVersion": "batch/v1",
+            "kind": "Job",
+            "metadata": {"namespace": job.asked.namespace, **kept},
+            "spec": spec,
+        }
+    ).decode()
--- a/wingbarrow/core/events.py
+++ b/wingbarrow/core/events.py
@@ -22,29 +22,69 @@
 
     def tell(self, job: JobRecord, kind: str, reason: str, message: str, wall_us: int) -> None:
         """One Event about a Job; `kind` is Normal or Warning."""
-        self._tell({"kind": "Job", "apiVersion": "batch/v1", "namespace": job.asked.namespace,
-                    "name": job.asked.name, "uid": job.uid}, job.asked.namespace, kind, reason, message, wall_us)
+        self._tell(
+            {
+                "kind": "Job",
+                "apiVersion": "batch/v1",
+                "namespace": job.asked.namespace,
+                "name": job.asked.name,
+                "uid": job.uid,
+            },
+            job.asked.namespace,
+            kind,
+            reason,
+            message,
+            wall_us,
+        )
 
     def tell_node(self, node: str, kind: str, reason: str, message: str, wall_us: int) -> None:
         """One Event about a Node, in the namespace `default` as is usual for them."""
-        self._tell({"kind": "Node", "apiVersion": "v1", "name": node, "uid": names.uid("node", node)}, "default", kind,
-                   reason, message, wall_us)
+        self._tell(
+            {"kind": "Node", "apiVersion": "v1", "name": node, "uid": names.uid("node", node)},
+            "default",
+            kind,
+            reason,
+            message,
+            wall_us,
+        )
 
-    def _tell(self, about: dict[str, str], namespace: str, kind: str, reason: str, message: str,
-              wall_us: int) -> None:
+    def _tell(
+        self,
+        about: dict[str, str],
+        namespace: str,
+        kind: str,
+        reason: str,
+        message: str,
+        wall_us: int,
+    ) -> None:
         self._count += 1
         name = f"{about['name']}.{wall_us:x}{self._count:x}"
         stamp = names.short_time(wall_us)
         key = f"{namespace}/{name}"
-        self._collection.put(key, {
-            "kind": "Event", "apiVersion": "v1",
-            "metadata": {"name": name, "namespace": namespace, "uid": names.uid(self._source, name),
-                         "creationTimestamp": stamp},
-            "involvedObject": about,
-            "reason": reason, "message": message[:1024], "type": kind, "count": 1,
-            "source": {"component": "wingbarrow", "host": self._source},
-            "firstTimestamp": stamp, "lastTimestamp": stamp, "eventTime": None,
-            "reportingComponent": "wingbarrow", "reportingInstance": self._source})
+        self._collection.put(
+            key,
+            {
+                "kind": "Event",
+                "apiVersion": "v1",
+                "metadata": {
+                    "name": name,
+                    "namespace": namespace,
+                    "uid": names.uid(self._source, name),
+                    "creationTimestamp": stamp,
+                },
+                "involvedObject": about,
+                "reason": reason,
+                "message": message[:1024],
+                "type": kind,
+                "count": 1,
+                "source": {"component": "wingbarrow", "host": self._source},
+                "firstTimestamp": stamp,
+                "lastTimestamp": stamp,
+                "eventTime": None,
+                "reportingComponent": "wingbarrow",
+                "reportingInstance": self._source,
+            },
+        )
         self._keys.append(key)
         if len(self._keys) > KEPT:
             self._collection.delete(self._keys.popleft())
@@ -54,6 +94,11 @@
     """What Events can be selected by."""
     meta, about = value["metadata"], value["involvedObject"]
     assert isinstance(meta, dict) and isinstance(about, dict)
-    return {"metadata.name": meta["name"], "metadata.namespace": meta["namespace"],
-            "involvedObject.name": about["name"], "involvedObject.kind": about["kind"],
-            "reason": str(value["reason"]), "type": str(value["type"])}
+    return {
+        "metadata.name": meta["name"],
+        "metadata.namespace": meta["namespace"],
+        "involvedObject.name": about["name"],
+        "involvedObject.kind": about["kind"],
+        "reason": str(value["reason"]),
+        "type": str(value["type"]),
+    }
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -33,8 +33,16 @@
     of machines that left, of those that are on the list (again), and of each delivery that is taken in.
     """
 
-    def __init__(self, base: Base, host: Host, board: Board, machines: Machines, attempts: Attempts, runs: Runs,
-                 sightings: Sightings) -> None:
+    def __init__(
+        self,
+        base: Base,
+        host: Host,
+        board: Board,
+        machines: Machines,
+        attempts: Attempts,
+        runs: Runs,
+        sightings: Sightings,
+    ) -> None:
         self._base, self._host, self._board, self._machines = base, host, board, machines
         self._attempts, self._runs, self._sightings = attempts, runs, sightings
         self._rebirth = Rebirth(base.settings.scheduler.classes)
@@ -42,18 +50,30 @@
         self._probes_out = 0
         settings = base.settings
         self.reflector = Reflector(
-            base.hub, settings.source_host, settings.source_port, f"wingbarrow/{settings.name}",
-            random.Random(base.random.random()), settings.limits.machines, base.shift_us, self.take, base.log)
+            base.hub,
+            settings.source_host,
+            settings.source_port,
+            f"wingbarrow/{settings.name}",
+            random.Random(base.random.random()),
+            settings.limits.machines,
+            base.shift_us,
+            self.take,
+            base.log,
+        )
         self.ready = False  # a list of machines has come
         self.guards: list[Guard] = []
-        self.rationed: Guard = lambda entry, listed: listed  # narrows what the module alone sees, last of all
+        self.rationed: Guard = (
+            lambda entry, listed: listed
+        )  # narrows what the module alone sees, last of all
         self.gone: Callable[[str], None] = lambda name: None
         self.listed: Callable[[str], None] = lambda name: None
         self.spoke: Callable[[str], None] = lambda name: None  # a machine answered a probe
         self.taken_in: Callable[[], None] = lambda: None
         self.drained: Callable[[str], bool] = lambda name: False  # closed by the calendar
         self.forgotten: Callable[[], None] = lambda: None  # what a former life held cannot be read
-        self.apart: list[Callable[[str], bool]] = []  # which machines are closed to this placer alone
+        self.apart: list[
+            Callable[[str], bool]
+        ] = []  # which machines are closed to this placer alone
         sightings.told = self._told
 
     @property
@@ -89,7 +109,10 @@
         fresh: list[MachineLink] = []
         for entry in entries:
             link = self._link(entry, fresh)
-            link.phase, link.launched_us = narrowed[entry.name].phase, narrowed[entry.name].launched_us
+            link.phase, link.launched_us = (
+                narrowed[entry.name].phase,
+                narrowed[entry.name].launched_us,
+            )
             self.listed(entry.name)
             self._board.show_news(entry, self.drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
@@ -125,7 +148,9 @@
             return None
         link.phase = api.Phase.GONE
         if stored is None:
-            return api.ListedMachine(link.ident, "", 0, "", api.Phase.GONE, link.launched_us, 0.0, 0.0)
+            return api.ListedMachine(
+                link.ident, "", 0, "", api.Phase.GONE, link.launched_us, 0.0, 0.0
+            )
         entry = read_node(stored.value, self._base.shift_us).listed
         return replace(entry, phase=api.Phase.GONE, launched_us=link.launched_us)
 
@@ -184,15 +209,25 @@
         def due() -> None:
             self._reopening = False
             links = self._machines.links
-            self.take_again([entry for name, entry in self.held.items()
-                             if name in links and links[name].phase is api.Phase.DRAINING
-                             and entry.listed.phase is api.Phase.RUNNING])
+            self.take_again(
+                [
+                    entry
+                    for name, entry in self.held.items()
+                    if name in links
+                    and links[name].phase is api.Phase.DRAINING
+                    and entry.listed.phase is api.Phase.RUNNING
+                ]
+            )
+
         self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, due)
 
     def sees(self, machines: int) -> bool:
         """Whether the list names at least so many machines and each of them has told what it runs."""
-        return len(self.held) + self.reflector.left_out >= machines and self._rebirth.waiting == 0 and all(
-            link.reachable for link in self._machines.links.values())
+        return (
+            len(self.held) + self.reflector.left_out >= machines
+            and self._rebirth.waiting == 0
+            and all(link.reachable for link in self._machines.links.values())
+        )
 
     # -- connections
 
@@ -205,8 +240,15 @@
             offered_us, link = link.offered_us, None
         if link is None:
             settings = self._base.settings
-            link = MachineLink(self._base.hub, entry.name, entry.host, entry.port, settings.name,
-                               settings.limits.per_machine, random.Random(self._base.random.random()))
+            link = MachineLink(
+                self._base.hub,
+                entry.name,
+                entry.host,
+                entry.port,
+                settings.name,
+                settings.limits.per_machine,
+                random.Random(self._base.random.random()),
+            )
             link.offered_us = offered_us
             self._machines.add(link)
             fresh.append(link)
@@ -234,6 +276,7 @@
                 link.retired = True
                 link.close()
                 self._machines.remove(link)
+
         self._base.spawn(wait, "retire")
 
     def size_of(self, entry: NodeEntry | None) -> tuple[float, float]:
@@ -259,6 +302,7 @@
                 self.spoke(link.name)
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
             self._host.feed(api.Probed(machine, outcome, report))
+
         self._base.spawn(probe, "probe")
 
 
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -92,7 +92,9 @@
             case api.Probe(machine):
                 hands.probe(machine)
             case api.WatchList():
-                self._life.counts["watch_list"] += 1  # the list is followed for as long as the placer lives
+                self._life.counts["watch_list"] += (
+                    1  # the list is followed for as long as the placer lives
+                )
             case api.Log(text):
                 self._life.log("module", text=text)
 
@@ -100,6 +102,7 @@
         def due() -> None:
             self._timers.pop(name, None)
             self.feed(api.TimerDue(name))
+
         # A request's own timer gives the final answer that is owed: it runs before all else that is due.
         timer = self._life.hub.call_at(at_us, due, owed=name.isdecimal())
         if name.isdecimal():
--- a/wingbarrow/core/intake.py
+++ b/wingbarrow/core/intake.py
@@ -83,15 +83,22 @@
     restarts: int
 
 
-def read_job(value: dict[str, Any], namespace: str, classes: Mapping[str, ClassSettings], limits: Limits,
-             fresh_name: str) -> JobRequest:
+def read_job(
+    value: dict[str, Any],
+    namespace: str,
+    classes: Mapping[str, ClassSettings],
+    limits: Limits,
+    fresh_name: str,
+) -> JobRequest:
     """Check a Job; ApiError 422 names all faults that were found. `fresh_name` ends a generated name."""
     try:
         job = msgspec.convert(value, _Job)
     except msgspec.ValidationError as error:
         words, _, path = str(error).partition(" - at `$.")
         field = path.rstrip("`") if path else _missing_field(words)
-        raise invalid("Job", _shown_name(value), [Cause(field, "FieldValueInvalid", words)]) from None
+        raise invalid(
+            "Job", _shown_name(value), [Cause(field, "FieldValueInvalid", words)]
+        ) from None
     faults = _Faults()
     meta, spec = job.metadata, job.spec
     if job.api_version not in (None, "batch/v1"):
@@ -104,23 +111,37 @@
     elif len(name) > 63 or not _NAME.fullmatch(name):
         faults.add("metadata.name", "not a lower-case DNS name of at most 63 characters")
     if meta.namespace not in (None, "", namespace):
-        faults.add("metadata.namespace", f"does not match the namespace of the request: {namespace}")
+        faults.add(
+            "metadata.namespace", f"does not match the namespace of the request: {namespace}"
+        )
     if len(namespace) > 63 or not _NAME.fullmatch(namespace):
         faults.add("metadata.namespace", "not a lower-case DNS label of at most 63 characters")
     _check_maps(meta, "metadata", faults)
     if spec.template.metadata is not None:
         _check_maps(spec.template.metadata, "spec.template.metadata", faults)
-    labels = {**((spec.template.metadata.labels if spec.template.metadata else None) or {}), **(meta.labels or {})}
-    notes = {**((spec.template.metadata.annotations if spec.template.metadata else None) or {}),
-             **(meta.annotations or {})}
+    labels = {
+        **((spec.template.metadata.labels if spec.template.metadata else None) or {}),
+        **(meta.labels or {}),
+    }
+    notes = {
+        **((spec.template.metadata.annotations if spec.template.metadata else None) or {}),
+        **(meta.annotations or {}),
+    }
     settings = classes.get(labels.get(names.CLASS, next(iter(classes))))
     if settings is None:
-        faults.add(f"metadata.labels[{names.CLASS}]", f"no such class; the classes are {', '.join(classes)}",
-                   "FieldValueNotSupported")
+        faults.add(
+            f"metadata.labels[{names.CLASS}]",
+            f"no such class; the classes are {', '.join(classes)}",
+            "FieldValueNotSupported",
+        )
     count = _count(spec, limits, faults)
     cores, memory = _asked(spec.template.spec, faults)
     if spec.template.spec.restart_policy not in (None, "Never", "OnFailure"):
-        faults.add("spec.template.spec.restartPolicy", 'must be "OnFailure" or "Never"', "FieldValueNotSupported")
+        faults.add(
+            "spec.template.spec.restartPolicy",
+            'must be "OnFailure" or "Never"',
+            "FieldValueNotSupported",
+        )
     restarts = settings.restarts if settings else 0
     if spec.backoff_limit is not None:
         if 0 <= spec.backoff_limit <= 1000:
@@ -130,33 +151,69 @@
     if spec.suspend:
         faults.add("spec.suspend", "suspended Jobs are not supported", "FieldValueNotSupported")
     if spec.active_deadline_seconds is not None:
-        faults.add("spec.activeDeadlineSeconds", "not supported; a machine ends a task by itself",
-                   "FieldValueNotSupported")
+        faults.add(
+            "spec.activeDeadlineSeconds",
+            "not supported; a machine ends a task by itself",
+            "FieldValueNotSupported",
+        )
     patience = _duration(notes, names.PATIENCE, faults)
     if patience is not None and not 100_000 <= patience <= limits.patience_us:
-        faults.add(f"metadata.annotations[{names.PATIENCE}]",
-                   f"between 100ms and {limits.patience_us // 1_000_000}s is wanted")
+        faults.add(
+            f"metadata.annotations[{names.PATIENCE}]",
+            f"between 100ms and {limits.patience_us // 1_000_000}s is wanted",
+        )
     expected = _duration(notes, names.EXPECTED, faults)
     service = labels.get(names.SERVICE) or name
     if faults.causes or settings is None:
         raise invalid("Job", _shown_name(value), faults.causes)
     if settings.task_class.effect.value == "unsafe":
-        restarts = 0  # rule 2: what must not start twice is never asked for again on the owner's behalf
-    return JobRequest(namespace, name, settings, f"{namespace}/{service}", count, cores, memory,
-                      patience or settings.patience_us, expected, restarts)
+        restarts = (
+            0  # rule 2: what must not start twice is never asked for again on the owner's behalf
+        )
+    return JobRequest(
+        namespace,
+        name,
+        settings,
+        f"{namespace}/{service}",
+        count,
+        cores,
+        memory,
+        patience or settings.patience_us,
+        expected,
+        restarts,
+    )
 
 
 def job_value(value: dict[str, Any], asked: JobRequest, uid: str, wall_us: int) -> dict[str, Any]:
     """The Job as it is shown: what was submitted, with what a server fills in."""
-    meta = {key: part for key, part in value["metadata"].items()
-            if key in ("labels", "annotations", "generateName")}
+    meta = {
+        key: part
+        for key, part in value["metadata"].items()
+        if key in ("labels", "annotations", "generateName")
+    }
     stamp = names.short_time(wall_us)
-    spec = {"parallelism": asked.count, "completions": asked.count, "backoffLimit": asked.restarts,
-            "completionMode": "NonIndexed", "suspend": False, **value["spec"]}
-    return {"kind": "Job", "apiVersion": "batch/v1",
-            "metadata": {"name": asked.name, "namespace": asked.namespace, "uid": uid, "generation": 1,
-                         "creationTimestamp": stamp, **meta},
-            "spec": spec, "status": {"startTime": stamp}}
+    spec = {
+        "parallelism": asked.count,
+        "completions": asked.count,
+        "backoffLimit": asked.restarts,
+        "completionMode": "NonIndexed",
+        "suspend": False,
+        **value["spec"],
+    }
+    return {
+        "kind": "Job",
+        "apiVersion": "batch/v1",
+        "metadata": {
+            "name": asked.name,
+            "namespace": asked.namespace,
+            "uid": uid,
+            "generation": 1,
+            "creationTimestamp": stamp,
+            **meta,
+        },
+        "spec": spec,
+        "status": {"startTime": stamp},
+    }
 
 
 class _Faults:
@@ -183,8 +240,13 @@
             faults.add(f"{path}.labels", f"not a label's key: {key[:80]!r}")
         elif not is_label_value(value):
             faults.add(f"{path}.labels[{key}]", "not a label's value of at most 63 characters")
-    if sum(len(key) + len(value) for key, value in (meta.annotations or {}).items()) > _ANNOTATIONS_MOST:
-        faults.add(f"{path}.annotations", f"more than {_ANNOTATIONS_MOST} bytes", "FieldValueTooLong")
+    if (
+        sum(len(key) + len(value) for key, value in (meta.annotations or {}).items())
+        > _ANNOTATIONS_MOST
+    ):
+        faults.add(
+            f"{path}.annotations", f"more than {_ANNOTATIONS_MOST} bytes", "FieldValueTooLong"
+        )
 
 
 def _count(spec: _Spec, limits: Limits, faults: _Faults) -> int:
@@ -218,8 +280,11 @@
                 total[key] += amount
     for key, amount in total.items():
         if amount <= 0 and not faults.causes:
-            faults.add(f"{path}[0].resources.requests.{key}", "a positive quantity is required",
-                       "FieldValueRequired")
+            faults.add(
+                f"{path}[0].resources.requests.{key}",
+                "a positive quantity is required",
+                "FieldValueRequired",
+            )
     return total["cpu"], total["memory"] / 2**30
 
 
--- a/wingbarrow/core/jobstatus.py
+++ b/wingbarrow/core/jobstatus.py
@@ -28,17 +28,36 @@
     if job.unanswered:
         return
     if job.adopted and not job.notes:
-        _add(status, "wingbarrow.io/Adopted", "FoundRunning", "found running after a restart of the placer", wall_us)
+        _add(
+            status,
+            "wingbarrow.io/Adopted",
+            "FoundRunning",
+            "found running after a restart of the placer",
+            wall_us,
+        )
     if counts[State.FOUND] and not job.adopted:
-        _add(status, "wingbarrow.io/FoundRunning", "FoundRunning",
-             "a task whose start was in doubt was found running", wall_us)
+        _add(
+            status,
+            "wingbarrow.io/FoundRunning",
+            "FoundRunning",
+            "a task whose start was in doubt was found running",
+            wall_us,
+        )
     failed = next((state for state in (State.FAILED, State.REFUSED) if state in job.causes), None)
     # An adopted Job had its answer in a former life: what becomes of it later is a loss, never another answer.
     if failed is not None and not job.adopted and not _has(status, "Placed"):
-        reason = ("LeaseLost" if job.lease_lost else "Failed") if failed is State.FAILED else "Refused"
+        reason = (
+            ("LeaseLost" if job.lease_lost else "Failed") if failed is State.FAILED else "Refused"
+        )
         _add(status, "Failed", reason, _words(job, failed), wall_us)
     elif not job.adopted:
-        _add(status, "Placed", "AllPlaced", f"{job.asked.count} of {job.asked.count} tasks were placed", wall_us)
+        _add(
+            status,
+            "Placed",
+            "AllPlaced",
+            f"{job.asked.count} of {job.asked.count} tasks were placed",
+            wall_us,
+        )
     if job.open or _has(status, "Failed") or (job.leased is not None and not job.leased.session):
         return  # of a Job whose lease was ended, its notes tell what became of it
     if counts[State.DONE] == job.asked.count:
@@ -46,14 +65,24 @@
         _add(status, "Complete", "CompletionsReached", "all tasks ended well", wall_us)
         status["completionTime"] = short_time(wall_us)
     elif failed is not None or State.LOST in job.causes:
-        _add(status, "Failed", "Lost", _words(job, State.LOST if State.LOST in job.causes else failed), wall_us)
+        _add(
+            status,
+            "Failed",
+            "Lost",
+            _words(job, State.LOST if State.LOST in job.causes else failed),
+            wall_us,
+        )
 
 
 def _words(job: JobRecord, state: State | None) -> str:
     if state is None:
         return ""
     total = job.asked.count
-    told = f"{job.counts[state]} of {total} tasks {state.value}" if total > 1 else f"the task was {state.value}"
+    told = (
+        f"{job.counts[state]} of {total} tasks {state.value}"
+        if total > 1
+        else f"the task was {state.value}"
+    )
     cause = job.causes.get(state, "")
     return f"{told}: {cause}" if cause else told
 
@@ -65,6 +94,13 @@
 def _add(status: dict[str, Any], kind: str, reason: str, message: str, wall_us: int) -> None:
     if not _has(status, kind):
         now = short_time(wall_us)
-        status.setdefault("conditions", []).append({
-            "type": kind, "status": "True", "reason": reason, "message": message, "lastProbeTime": now,
-            "lastTransitionTime": now})
+        status.setdefault("conditions", []).append(
+            {
+                "type": kind,
+                "status": "True",
+                "reason": reason,
+                "message": message,
+                "lastProbeTime": now,
+                "lastTransitionTime": now,
+            }
+        )
--- a/wingbarrow/core/keeper.py
+++ b/wingbarrow/core/keeper.py
@@ -24,7 +24,9 @@
         entries = []
         if self._base.settings.state:
             try:
-                entries = saved_entries(saved.load(Path(self._base.settings.state)), self._base.shift_us)
+                entries = saved_entries(
+                    saved.load(Path(self._base.settings.state)), self._base.shift_us
+                )
             except ValueError as error:
                 self._base.log("saved-list-unusable", level="error", why=str(error))
                 self._fleet.forgotten()
@@ -38,7 +40,10 @@
             self._stamp(folder)
             self._base.hub.sleep(ALIVE_EVERY_US)
             # Danger (rule 5): a machine that a next life holds no longer is known to it by this list alone.
-            fresh = self._base.settings.subset is not None and not self._fleet.held.keys() <= held.keys()
+            fresh = (
+                self._base.settings.subset is not None
+                and not self._fleet.held.keys() <= held.keys()
+            )
             if self._base.hub.now_us() - saved_us < SAVE_EVERY_US and not fresh:
                 continue
             saved_us = self._base.hub.now_us()
--- a/wingbarrow/core/leaseholder.py
+++ b/wingbarrow/core/leaseholder.py
@@ -30,7 +30,9 @@
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.custody import RecordReplication
 
-KEEPER_US = 2_500_000  # a new Job waits so long for its keeper, and no longer than half of its patience
+KEEPER_US = (
+    2_500_000  # a new Job waits so long for its keeper, and no longer than half of its patience
+)
 COMING_MOST = 1024  # Jobs that wait for their keeper
 ANSWER_US = 20_000  # of the owner's patience, kept for the answer itself
 
@@ -38,16 +40,32 @@
 class Leaseholder:
     """`federation` tells the specs in force."""
 
-    def __init__(self, base: Base, host: Host, book: Book, attempts: Attempts, requests: Requests, runs: Runs,
-                 stops: Stops, leases: Leases, records: RecordReplication,
-                 federation: Callable[[], Federation]) -> None:
+    def __init__(
+        self,
+        base: Base,
+        host: Host,
+        book: Book,
+        attempts: Attempts,
+        requests: Requests,
+        runs: Runs,
+        stops: Stops,
+        leases: Leases,
+        records: RecordReplication,
+        federation: Callable[[], Federation],
+    ) -> None:
         self._base, self._host, self._book, self._attempts = base, host, book, attempts
         self._requests, self._runs, self._stops, self._leases = requests, runs, stops, leases
         self.records, self.federation = records, federation
         self.coming: set[str] = set()  # keys of Jobs that wait for their keeper
-        self.jobs: dict[str, JobRecord] = {}  # by uid: leased Jobs under this placer's present session, not over
-        self.goes_on: Callable[[TaskRecord], bool] = lambda task: False  # a run that was taken over goes on
-        self._told: set[str] = set()  # pods of which a keeper was told that they are about to be sent
+        self.jobs: dict[
+            str, JobRecord
+        ] = {}  # by uid: leased Jobs under this placer's present session, not over
+        self.goes_on: Callable[[TaskRecord], bool] = (
+            lambda task: False
+        )  # a run that was taken over goes on
+        self._told: set[str] = (
+            set()
+        )  # pods of which a keeper was told that they are about to be sent
         book.on_step.append(self._stepped)
         book.on_delete.append(self._deleted)
         requests.confirm, requests.failing = self._confirm, self._failing
@@ -77,10 +95,19 @@
                 found = sums.setdefault(job.leased.spec, [0.0, 0.0])
                 found[0] += job.asked.cores * job.open
                 found[1] += job.asked.memory * job.open
-        return tuple(sorted(((name, round(cores, 3), round(memory, 3)) for name, (cores, memory) in sums.items()),
-                            key=lambda each: (-each[1], each[0]))[:LEASED_MOST])
-
-    def take_in(self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str, due_us: int) -> Leased:
+        return tuple(
+            sorted(
+                (
+                    (name, round(cores, 3), round(memory, 3))
+                    for name, (cores, memory) in sums.items()
+                ),
+                key=lambda each: (-each[1], each[0]),
+            )[:LEASED_MOST]
+        )
+
+    def take_in(
+        self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str, due_us: int
+    ) -> Leased:
         """Have a Job with a keeper; waits. ApiError 503 where that cannot be, and then no keeper keeps it."""
         base, session = self._base, self._leases.session
         if session is None or not self._leases.may_send(session.text()):
@@ -96,11 +123,15 @@
         self._book.admission.add(asked.namespace, asked.count, asked.task_class.task_class.name)
         good = False
         try:
-            why = self.records.wait(lambda then: self.records.hold(record, where, copies, until, then), until)
+            why = self.records.wait(
+                lambda then: self.records.hold(record, where, copies, until, then), until
+            )
             good = not why and self._leases.may_send(session.text())
         finally:
             self.coming.discard(key)
-            self._book.admission.remove(asked.namespace, asked.count, asked.task_class.task_class.name)
+            self._book.admission.remove(
+                asked.namespace, asked.count, asked.task_class.task_class.name
+            )
             if not good:
                 self.records.drop(uid)
         if not good:
@@ -127,14 +158,37 @@
         """A Job as its keeper is to have it."""
         told, session = asked.task_class.task_class, self._leases.session
         assert session is not None and spec.failover is not None
-        return Record(FORM, uid, key, session, 0, 0, self._base.settings.region, spec.name, told.effect.value,
-                      told.group.value, told.window_us, spec.failover.after_us, asked.task_class.priority, asked.cores,
-                      asked.memory, asked.count, manifest, (), OFFERED, 0)
+        return Record(
+            FORM,
+            uid,
+            key,
+            session,
+            0,
+            0,
+            self._base.settings.region,
+            spec.name,
+            told.effect.value,
+            told.group.value,
+            told.window_us,
+            spec.failover.after_us,
+            asked.task_class.priority,
+            asked.cores,
+            asked.memory,
+            asked.count,
+            manifest,
+            (),
+            OFFERED,
+            0,
+        )
 
     def _away(self, what: str, why: str) -> ApiError:
         self._base.counts["turned_away:" + what] += 1
-        return ApiError(503, f"a Job whose federation spec has a failover is accepted once a keeper has it: {why}",
-                        "ServiceUnavailable", retry_after_s=self._base.random.randrange(1, 4))
+        return ApiError(
+            503,
+            f"a Job whose federation spec has a failover is accepted once a keeper has it: {why}",
+            "ServiceUnavailable",
+            retry_after_s=self._base.random.randrange(1, 4),
+        )
 
     # -- before an attempt leaves
 
@@ -152,10 +206,15 @@
             return self._unsent("the lease has lapsed")
         if not self._leases.knows(link) and not self._leases.ask(link):
             # Danger: without its clock no lease can be told to it, and it would never stop by itself.
-            return Ended(api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock")
+            return Ended(
+                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
+            )
         if job.asked.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
-        known, until = Known(attempt.task.index, "about", link.name, attempt.key), attempt.deadline_us
+        known, until = (
+            Known(attempt.task.index, "about", link.name, attempt.key),
+            attempt.deadline_us,
+        )
         self._told.add(attempt.key)
         why = self.records.wait(lambda then: self.records.about(job.uid, known, until, then), until)
         return self._unsent(f"its keeper does not know of it: {why}") if why else None
@@ -207,6 +266,7 @@
         def then(why: str) -> None:
             # Called by the host of what placers say: its own task, which must not be held up by what follows.
             self._base.spawn(lambda: self._confirmed(attempt, why), "answers a leased Job")
+
         self.records.placed(task.job.uid, known, until, then)
         return False
 
@@ -255,12 +315,18 @@
             self._runs.stop(attempt, again.End.STOPPED)
         elif attempt.stage is Stage.SENT:
             attempt.stopping = again.End.STOPPED
-            self._stops.owe(attempt.link, attempt.task.job.asked.namespace, attempt.key,
-                            settled=lambda: attempt.stage is Stage.ENDED)
+            self._stops.owe(
+                attempt.link,
+                attempt.task.job.asked.namespace,
+                attempt.key,
+                settled=lambda: attempt.stage is Stage.ENDED,
+            )
         elif attempt.scope is not None:
             attempt.scope.cancel()  # nothing went out: no call is owed
 
-    def place_late(self, link: MachineLink, pod: str, task: TaskRecord, left_us: int | None) -> bool:
+    def place_late(
+        self, link: MachineLink, pod: str, task: TaskRecord, left_us: int | None
+    ) -> bool:
         """A copy was found that an open request can have as its own; False where its Job needs no keeper's word."""
         if task.job.leased is None:
             return False
@@ -272,7 +338,9 @@
             self._book.step(task, Step.ASK)
             deadline = now + task.job.asked.patience_us
         request = self._book.open_request(task, deadline)
-        attempt = Attempt(request, 0, task, link, pod, now, deadline, Stage.SENT, found=True, left_us=left_us)
+        attempt = Attempt(
+            request, 0, task, link, pod, now, deadline, Stage.SENT, found=True, left_us=left_us
+        )
         task.binds = 1
         self._attempts.add(attempt)
         self._attempt_began(attempt)
@@ -307,5 +375,8 @@
 
 
 def _unfit(asked: JobRequest, words: str) -> ApiError:
-    return invalid("Job", asked.name, [Cause(f"metadata.annotations[{names.FEDERATION}]", "FieldValueNotSupported",
-                                             words)])
+    return invalid(
+        "Job",
+        asked.name,
+        [Cause(f"metadata.annotations[{names.FEDERATION}]", "FieldValueNotSupported", words)],
+    )
--- a/wingbarrow/core/leases.py
+++ b/wingbarrow/core/leases.py
@@ -17,7 +17,10 @@
 from wingbarrow.decide.peers.leasing import Session
 from wingbarrow.decide.peers.sessions import Lease
 
-PARTS, LOOKS = 3, 4  # renewed once in a third of the lease; one that failed is tried again four times within that
+PARTS, LOOKS = (
+    3,
+    4,
+)  # renewed once in a third of the lease; one that failed is tried again four times within that
 OUT_MOST = 64  # renewals on their way at once
 UNKNOWN = "unknown:0"  # a time of no machine's clock: refused by every one
 
@@ -42,7 +45,9 @@
         self._base, self._machines, self.lease, self.lease_us = base, machines, lease, lease_us
         self._clocks: dict[MachineLink, Clock] = {}
         self._held: dict[str, Counter[str]] = {}  # by session: leased attempts on each machine
-        self._renewed: dict[str, tuple[int, int]] = {}  # by machine: the lease's end it was told last, and when
+        self._renewed: dict[
+            str, tuple[int, int]
+        ] = {}  # by machine: the lease's end it was told last, and when
         self._out: set[str] = set()
 
     @property
@@ -53,7 +58,11 @@
     def may_send(self, session: str) -> bool:
         """Whether a Job that was taken under a session may have its next first byte sent at this moment."""
         now = self.lease.session
-        return now is not None and now.text() == session and self.lease.may_send(self._base.hub.now_us())
+        return (
+            now is not None
+            and now.text() == session
+            and self.lease.may_send(self._base.hub.now_us())
+        )
 
     # -- clocks
 
@@ -108,8 +117,11 @@
 
     def _look(self) -> None:
         now, session = self._base.hub.now_us(), self.lease.session
-        self._clocks = {link: clock for link, clock in self._clocks.items()
-                        if self._machines.links.get(link.name) is link}
+        self._clocks = {
+            link: clock
+            for link, clock in self._clocks.items()
+            if self._machines.links.get(link.name) is link
+        }
         held = self._held.get(session.text(), Counter()) if session is not None else Counter[str]()
         self._renewed = {name: told for name, told in self._renewed.items() if name in held}
         if session is None:
@@ -120,8 +132,10 @@
                 continue
             if until < self.lease.runs_until_us and now >= when + self.lease_us // PARTS:
                 self._out.add(name)
-                self._base.spawn(lambda link=link: self._renew(link, session.text()),  # type: ignore[misc]
-                                 f"renews on {name}")
+                self._base.spawn(
+                    lambda link=link: self._renew(link, session.text()),  # type: ignore[misc]
+                    f"renews on {name}",
+                )
 
     def _renew(self, link: MachineLink, session: str) -> None:
         try:
--- a/wingbarrow/core/lines.py
+++ b/wingbarrow/core/lines.py
@@ -36,7 +36,9 @@
 class LineLog:
     """`log("offer-refused", machine=...)` writes a JSON line, as `core.logs.Log` does, at a fraction of the memory."""
 
-    def __init__(self, now_us: Callable[[], int], sink: TextIO | None = None, least: str = "info") -> None:
+    def __init__(
+        self, now_us: Callable[[], int], sink: TextIO | None = None, least: str = "info"
+    ) -> None:
         self._ration = Ration(now_us)
         self._sink = sink or sys.stderr
         self._quiet = ("debug",) if least == "info" else ()
@@ -53,8 +55,12 @@
     def write(self, event: str, level: str, fields: dict[str, Any]) -> None:
         """Write a line whatever the ration says; the caller bounds how many."""
         now = time.time()
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1000):03d}Z"
-        line = json.dumps({"event": event, "level": level, "timestamp": stamp, **fields}, default=str)
+        stamp = (
+            time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1000):03d}Z"
+        )
+        line = json.dumps(
+            {"event": event, "level": level, "timestamp": stamp, **fields}, default=str
+        )
         try:
             self._sink.write(line + "\n")
             self._sink.flush()
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/link.py
@@ -46,8 +46,16 @@
 class MachineLink:
     """Connections to one machine; `phase` and `launched_us` follow the list."""
 
-    def __init__(self, hub: Hub, name: str, host: str, port: int, placer: str, connections: int,
-                 seed: random.Random) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        host: str,
+        port: int,
+        placer: str,
+        connections: int,
+        seed: random.Random,
+    ) -> None:
         self.hub = hub
         self.name = name
         self.ident = names.ident(name)
@@ -59,20 +67,28 @@
         limits = PoolLimits(connections=connections, waiting=1024, first_byte_us=3600 * SECOND)
         self._pool = Pool(hub, host, port, limits, f"wingbarrow/{placer}")
         # Stops have a way of their own: they never take a connection that an offer waits for.
-        self._stop_pool = Pool(hub, host, port, PoolLimits(connections=STOP_CONNECTIONS), f"wingbarrow/{placer}")
+        self._stop_pool = Pool(
+            hub, host, port, PoolLimits(connections=STOP_CONNECTIONS), f"wingbarrow/{placer}"
+        )
         self._lease_pool = Pool(hub, host, port, PoolLimits(connections=1), f"wingbarrow/{placer}")
         self._pause = Backoff(seed, 200_000, 5 * SECOND)
         self._following: CancelScope | None = None
         self.reachable = False  # the watch on its tasks runs
         self.offered_us: int | None = None  # when the first byte of an offer last went out
 
-    def offer(self, namespace: str, body: Callable[[], bytes], until_us: int,
-              may_send: Callable[[], bool]) -> Ended | None:
+    def offer(
+        self, namespace: str, body: Callable[[], bytes], until_us: int, may_send: Callable[[], bool]
+    ) -> Ended | None:
         """Offer a task; None where it runs. Every way to fail says whether the task can have started."""
         try:
             response = self._pool.request(
-                "POST", f"/api/v1/namespaces/{quote(namespace)}/pods", body,
-                [("Content-Type", "application/json"), ("Accept", "application/json")], until_us, may_send)
+                "POST",
+                f"/api/v1/namespaces/{quote(namespace)}/pods",
+                body,
+                [("Content-Type", "application/json"), ("Accept", "application/json")],
+                until_us,
+                may_send,
+            )
         except (NotSent, MaybeDone) as error:
             return read_failure(error)
         return read_offer(response)
@@ -80,8 +96,12 @@
     def delete(self, namespace: str, pod: str) -> Gone | None:
         """Ask once that a task be stopped; None without an answer that says it is gone."""
         try:
-            call(self._stop_pool, "DELETE", f"/api/v1/namespaces/{quote(namespace)}/pods/{quote(pod)}",
-                 until_us=self.hub.now_us() + CALL_US)
+            call(
+                self._stop_pool,
+                "DELETE",
+                f"/api/v1/namespaces/{quote(namespace)}/pods/{quote(pod)}",
+                until_us=self.hub.now_us() + CALL_US,
+            )
             return Gone.STOPPED
         except ApiError as error:
             return Gone.WAS_NOT_THERE if error.code == 404 else None
@@ -93,8 +113,10 @@
         try:
             value = call(self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_US)
             node = value["node"]
-            return Report(size[0] - float(node["cpu"]["usageNanoCores"]) / 1e9,
-                          float(node["memory"]["availableBytes"]) / 2**30)
+            return Report(
+                size[0] - float(node["cpu"]["usageNanoCores"]) / 1e9,
+                float(node["memory"]["availableBytes"]) / 2**30,
+            )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
@@ -113,8 +135,13 @@
 
     def _lease(self, method: str, path: str, said: dict[str, Any] | None = None) -> str | None:
         try:
-            value = call(self._lease_pool, method, path, names.encode(said) if said is not None else None,
-                         self.hub.now_us() + CALL_US)
+            value = call(
+                self._lease_pool,
+                method,
+                path,
+                names.encode(said) if said is not None else None,
+                self.hub.now_us() + CALL_US,
+            )
             return str(value.get("clock", ""))
         except ApiError as error:
             return None if error.code == 409 else ""
@@ -124,10 +151,17 @@
     def fence(self, uid: str, epoch: int) -> Fenced | None:
         """Have it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
         try:
-            value = call(self._lease_pool, "POST", "/fence", names.encode({"uid": uid, "epoch": epoch}),
-                         self.hub.now_us() + CALL_US)
+            value = call(
+                self._lease_pool,
+                "POST",
+                "/fence",
+                names.encode({"uid": uid, "epoch": epoch}),
+                self.hub.now_us() + CALL_US,
+            )
             boot, _, up_us = str(value["clock"]).rpartition(":")
-            return Fenced([str(each) for each in value["holds"]], bool(value.get("sure", False)), int(up_us))
+            return Fenced(
+                [str(each) for each in value["holds"]], bool(value.get("sure", False)), int(up_us)
+            )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
@@ -137,16 +171,27 @@
         "" without a readable answer, and where it goes by a later number.
         """
         try:
-            value = call(self._lease_pool, "POST", "/turn", names.encode({"number": number, "shut": shut}),
-                         self.hub.now_us() + CALL_US)
+            value = call(
+                self._lease_pool,
+                "POST",
+                "/turn",
+                names.encode({"number": number, "shut": shut}),
+                self.hub.now_us() + CALL_US,
+            )
             if value["number"] != number:
                 return ""
-            return "open" if value["shut"] is False else "empty" if value["empty"] is True else "shut"
+            return (
+                "open" if value["shut"] is False else "empty" if value["empty"] is True else "shut"
+            )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return ""
 
-    def follow(self, listed: Callable[[list[dict[str, Any]], int], None],
-               event: Callable[[str, dict[str, Any]], None], log: Callable[..., None]) -> None:
+    def follow(
+        self,
+        listed: Callable[[list[dict[str, Any]], int], None],
+        event: Callable[[str, dict[str, Any]], None],
+        log: Callable[..., None],
+    ) -> None:
         """List this placer's tasks on the machine, then watch them; again and again until retired.
 
         `listed` gets the pods and the time at which the list was asked for.
@@ -165,7 +210,9 @@
     def holds_any(self) -> bool | None:
         """Whether tasks of this placer wait or run there; None without a readable answer."""
         try:
-            pods, _ = list_all(self._pool, "/api/v1/pods", self._selector(), 500, self.hub.now_us() + CALL_US)
+            pods, _ = list_all(
+                self._pool, "/api/v1/pods", self._selector(), 500, self.hub.now_us() + CALL_US
+            )
             return any(pod["status"]["phase"] in ("Pending", "Running") for pod in pods)
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
@@ -173,15 +220,20 @@
     def _selector(self) -> str:
         return f"labelSelector={quote(f'{names.PLACER}={self._placer}')}"
 
-    def _follow(self, listed: Callable[[list[dict[str, Any]], int], None],
-                event: Callable[[str, dict[str, Any]], None], log: Callable[..., None]) -> None:
+    def _follow(
+        self,
+        listed: Callable[[list[dict[str, Any]], int], None],
+        event: Callable[[str, dict[str, Any]], None],
+        log: Callable[..., None],
+    ) -> None:
         version = ""
         while not self.retired:
             try:
                 if not version:
                     asked_us = self.hub.now_us()
-                    pods, version = list_all(self._pool, "/api/v1/pods", self._selector(), 500,
-                                             asked_us + CALL_US)
+                    pods, version = list_all(
+                        self._pool, "/api/v1/pods", self._selector(), 500, asked_us + CALL_US
+                    )
                     listed(pods, asked_us)
                     self.reachable = True
                 for kind, value in self._events(version):
@@ -198,8 +250,10 @@
                 self.hub.sleep(self._pause.next_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
-        target = (f"/api/v1/pods?watch=true&{self._selector()}&resourceVersion={version}"
-                  f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_S}")
+        target = (
+            f"/api/v1/pods?watch=true&{self._selector()}&resourceVersion={version}"
+            f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_S}"
+        )
         return watch(self._pool, target, self.hub.now_us() + CALL_US, SILENCE_US)
 
     def close(self) -> None:
--- a/wingbarrow/core/logs.py
+++ b/wingbarrow/core/logs.py
@@ -18,8 +18,13 @@
         self._ration = Ration(now_us)
         self._out = structlog.wrap_logger(
             structlog.PrintLogger(sink or sys.stderr),
-            processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                        structlog.processors.JSONRenderer()], **bound)
+            processors=[
+                structlog.processors.add_log_level,
+                structlog.processors.TimeStamper(fmt="iso", utc=True),
+                structlog.processors.JSONRenderer(),
+            ],
+            **bound,
+        )
 
     def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
         """Write one line."""
--- a/wingbarrow/core/mover.py
+++ b/wingbarrow/core/mover.py
@@ -21,11 +21,21 @@
 class Mover:
     """Owns which tasks are on their way, by name."""
 
-    def __init__(self, base: Base, book: Book, attempts: Attempts, requests: Requests, runs: Runs,
-                 holder: Leaseholder, elsewhere: Elsewhere) -> None:
+    def __init__(
+        self,
+        base: Base,
+        book: Book,
+        attempts: Attempts,
+        requests: Requests,
+        runs: Runs,
+        holder: Leaseholder,
+        elsewhere: Elsewhere,
+    ) -> None:
         self._base, self._attempts, self._requests, self._runs = base, attempts, requests, runs
         self._holder, self._elsewhere = holder, elsewhere
-        self._bound: dict[str, tuple[TaskRecord, str, str, int]] = {}  # task, spec, region, since when
+        self._bound: dict[
+            str, tuple[TaskRecord, str, str, int]
+        ] = {}  # task, spec, region, since when
         self._from = 0  # where the next look at all runs begins
         requests.elsewhere = self._asked
         book.on_step.append(self._stepped)
@@ -39,10 +49,15 @@
     def look(self) -> None:
         """Have go what is to go now."""
         now, federation = self._base.hub.now_us(), self._holder.federation()
-        self._bound = {name: each for name, each in self._bound.items() if now - each[3] < GIVEN_UP_US}
+        self._bound = {
+            name: each for name, each in self._bound.items() if now - each[3] < GIVEN_UP_US
+        }
         jobs = list(self._holder.jobs.values())
-        if not jobs or not any(each.back.when != "never" or (each.failover is not None and (
-                {"closed", "refusing"} & set(each.failover.on))) for each in federation.specs):
+        if not jobs or not any(
+            each.back.when != "never"
+            or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
+            for each in federation.specs
+        ):
             return
         begin = self._from % len(jobs)
         some = (jobs[begin:] + jobs[:begin])[:LOOKED_MOST]
@@ -53,20 +68,47 @@
                 continue
             afar = self._elsewhere.came_from_afar(job.key)
             for task in job.tasks:
-                if task.state in (State.PLACED, State.FOUND) and task.name not in self._bound and not task.doubtful:
-                    standing.append((task, Run(task.request, job.leased.spec, job.asked.cores, job.asked.memory,
-                                               job.asked.task_class.task_class.effect.value, afar)))
+                if (
+                    task.state in (State.PLACED, State.FOUND)
+                    and task.name not in self._bound
+                    and not task.doubtful
+                ):
+                    standing.append(
+                        (
+                            task,
+                            Run(
+                                task.request,
+                                job.leased.spec,
+                                job.asked.cores,
+                                job.asked.memory,
+                                job.asked.task_class.task_class.effect.value,
+                                afar,
+                            ),
+                        )
+                    )
         by_number = {run.number: task for task, run in standing}
         under_way = Counter(spec for _, spec, _, _ in self._bound.values())
-        for move in moves((run for _, run in standing), federation, self._base.settings.region,
-                          self._elsewhere.news(now), under_way):
+        for move in moves(
+            (run for _, run in standing),
+            federation,
+            self._base.settings.region,
+            self._elsewhere.news(now),
+            under_way,
+        ):
             task, attempt = by_number[move.number], self._attempts.of(move.number)
             if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
                 continue
             leased = task.job.leased
-            self._bound[task.name] = task, leased.spec if leased is not None else "", move.region, now
+            self._bound[task.name] = (
+                task,
+                leased.spec if leased is not None else "",
+                move.region,
+                now,
+            )
             self._base.counts[f"moved to another region: {move.why}"] += 1
-            self._base.log("moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why)
+            self._base.log(
+                "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
+            )
             self._runs.move(move.number)
 
     def _asked(self, task: TaskRecord) -> bool:
@@ -79,9 +121,15 @@
         return self._elsewhere.give_task(task, due, region, spec)
 
     def _stepped(self, task: TaskRecord, before: State) -> None:
-        if task.name in self._bound and (task.state not in OPEN or (
-                task.state is State.PLACED and before is State.ASKED)):
+        if task.name in self._bound and (
+            task.state not in OPEN or (task.state is State.PLACED and before is State.ASKED)
+        ):
             del self._bound[task.name]
-            if task.state is State.PLACED and self._elsewhere.has(task) and all(
-                    self._elsewhere.has(each) or each.state not in OPEN for each in task.job.tasks):
+            if (
+                task.state is State.PLACED
+                and self._elsewhere.has(task)
+                and all(
+                    self._elsewhere.has(each) or each.state not in OPEN for each in task.job.tasks
+                )
+            ):
                 self._holder.release(task.job)  # who took it leases it by itself
--- a/wingbarrow/core/nodes.py
+++ b/wingbarrow/core/nodes.py
@@ -37,14 +37,20 @@
     version = meta.get("resourceVersion", "0")
     if not isinstance(version, str) or not version.isascii() or not version.isdigit():
         raise ValueError("metadata.resourceVersion")
-    draining = bool(spec.get("unschedulable")) or bool(meta.get("deletionTimestamp")) or _tainted(spec)
+    draining = (
+        bool(spec.get("unschedulable")) or bool(meta.get("deletionTimestamp")) or _tainted(spec)
+    )
     launched = _launched(notes, wall_to_mono_us)
     listed = ListedMachine(
-        machine=names.ident(name), kind=str(labels.get(names.KIND, "")), cell=names.ident(
-            f"{labels.get(names.ZONE, '')}/{labels.get(names.CELL, name)}"),
-        zone=str(labels.get(names.ZONE, "")), phase=Phase.DRAINING if draining else Phase.RUNNING,
-        launched_us=launched, free_cores=_number(notes, names.FREE_CORES),
-        free_memory=_number(notes, names.FREE_MEMORY))
+        machine=names.ident(name),
+        kind=str(labels.get(names.KIND, "")),
+        cell=names.ident(f"{labels.get(names.ZONE, '')}/{labels.get(names.CELL, name)}"),
+        zone=str(labels.get(names.ZONE, "")),
+        phase=Phase.DRAINING if draining else Phase.RUNNING,
+        launched_us=launched,
+        free_cores=_number(notes, names.FREE_CORES),
+        free_memory=_number(notes, names.FREE_MEMORY),
+    )
     host, port = _address(status)
     return NodeEntry(name, int(version), host, port, listed, value)
 
@@ -61,7 +67,9 @@
 def _tainted(spec: dict[str, Any]) -> bool:
     taints = spec.get("taints") or []
     return isinstance(taints, list) and any(
-        isinstance(taint, dict) and taint.get("effect") in ("NoSchedule", "NoExecute") for taint in taints)
+        isinstance(taint, dict) and taint.get("effect") in ("NoSchedule", "NoExecute")
+        for taint in taints
+    )
 
 
 def _launched(notes: dict[str, Any], wall_to_mono_us: int) -> int:
@@ -87,8 +95,18 @@
 
 def _address(status: dict[str, Any]) -> tuple[str, int]:
     addresses = status.get("addresses")
-    host = next((each.get("address") for each in addresses if isinstance(each, dict)
-                 and each.get("type") == "InternalIP"), None) if isinstance(addresses, list) else None
+    host = (
+        next(
+            (
+                each.get("address")
+                for each in addresses
+                if isinstance(each, dict) and each.get("type") == "InternalIP"
+            ),
+            None,
+        )
+        if isinstance(addresses, list)
+        else None
+    )
     endpoints = status.get("daemonEndpoints")
     kubelet = endpoints.get("kubeletEndpoint") if isinstance(endpoints, dict) else None
     port = kubelet.get("Port") if isinstance(kubelet, dict) else None
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -36,13 +36,30 @@
     def sent(self, attempt: Attempt) -> None:
         """The first byte of an offer goes out."""
 
+
 class Offers:
     """Owns the gate that every offer passes right before its first byte."""
 
-    def __init__(self, base: Base, host: Host, book: Book, attempts: Attempts, machines: Machines, requests: Requests,
-                 strays: Strays, rulebook: Rulebook, leaseholder: Leaseholder | None = None) -> None:
+    def __init__(
+        self,
+        base: Base,
+        host: Host,
+        book: Book,
+        attempts: Attempts,
+        machines: Machines,
+        requests: Requests,
+        strays: Strays,
+        rulebook: Rulebook,
+        leaseholder: Leaseholder | None = None,
+    ) -> None:
         self._rulebook, self._leaseholder = rulebook, leaseholder
-        self._base, self._host, self._book, self._attempts, self._machines = base, host, book, attempts, machines
+        self._base, self._host, self._book, self._attempts, self._machines = (
+            base,
+            host,
+            book,
+            attempts,
+            machines,
+        )
         self._requests, self._strays = requests, strays
         rules = base.settings.scheduler
         self._gate = SendGate(rules.cold_us, rules.fall_us)
@@ -54,14 +71,26 @@
         if task is None or link is None:
             # The module binds open requests to listed machines alone; should it not, the offer counts as unsent.
             self._base.counts["binds_dropped"] += 1
-            self._host.feed(api.AttemptEnded(bind.request, task.binds if task else 0, bind.machine,
-                                             api.Outcome.NOT_SENT, api.Reason.UNTOLD, task is None, 0, None))
+            self._host.feed(
+                api.AttemptEnded(
+                    bind.request,
+                    task.binds if task else 0,
+                    bind.machine,
+                    api.Outcome.NOT_SENT,
+                    api.Reason.UNTOLD,
+                    task is None,
+                    0,
+                    None,
+                )
+            )
             if task is not None:
                 task.binds += 1
             return
         number, task.binds = task.binds, task.binds + 1
         pod = f"t{self._base.life}-{bind.request}-{number}"
-        attempt = Attempt(bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us)
+        attempt = Attempt(
+            bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us
+        )
         attempt.rules, attempt.launched_us = self._rulebook.label, link.launched_us
         self._attempts.add(attempt)
         self._base.counts["binds"] += 1
@@ -72,14 +101,31 @@
     def _may_send(self, attempt: Attempt) -> bool:
         """Every offer passes here right before its first byte; see decide.gate."""
         task, link, now = attempt.task, attempt.link, self._base.hub.now_us()
-        held: Held | None = self._gate.check(now, Offer(
-            attempt.decided_us, attempt.deadline_us, task.state is State.ASKED and task.request == attempt.request,
-            attempt.stage is Stage.WAITING and not attempt.abandoned and self._attempts.of(attempt.request) is attempt,
-            link.phase is api.Phase.RUNNING, link.launched_us,
-            self._rulebook.against(now, attempt.rules, task.job.asked.task_class.task_class.name, link.name,
-                                   attempt.decided_us), task.job.leased is None or self._leaseholder is not None
-            and self._leaseholder.may_send(task.job), chosen_launched_us=attempt.launched_us,
-            cold_share_left=self.cold is None or self.cold.left(link)))
+        held: Held | None = self._gate.check(
+            now,
+            Offer(
+                attempt.decided_us,
+                attempt.deadline_us,
+                task.state is State.ASKED and task.request == attempt.request,
+                attempt.stage is Stage.WAITING
+                and not attempt.abandoned
+                and self._attempts.of(attempt.request) is attempt,
+                link.phase is api.Phase.RUNNING,
+                link.launched_us,
+                self._rulebook.against(
+                    now,
+                    attempt.rules,
+                    task.job.asked.task_class.task_class.name,
+                    link.name,
+                    attempt.decided_us,
+                ),
+                task.job.leased is None
+                or self._leaseholder is not None
+                and self._leaseholder.may_send(task.job),
+                chosen_launched_us=attempt.launched_us,
+                cold_share_left=self.cold is None or self.cold.left(link),
+            ),
+        )
         if held is not None:
             self._base.counts["held:" + held.name.lower()] += 1
             attempt.held = held
@@ -95,19 +141,37 @@
         task, link = attempt.task, attempt.link
 
         def body() -> bytes:
-            return pod_text(task, attempt.key, self._base.settings.name, link.name,
-                            attempt.deadline_us - self._base.hub.now_us(), attempt.rules,
-                            self._leaseholder.until(attempt) if self._leaseholder is not None else "")
-        ended: Ended | None = Ended(api.Outcome.CANCELLED, api.Reason.UNTOLD, "withdrawn by its owner")
+            return pod_text(
+                task,
+                attempt.key,
+                self._base.settings.name,
+                link.name,
+                attempt.deadline_us - self._base.hub.now_us(),
+                attempt.rules,
+                self._leaseholder.until(attempt) if self._leaseholder is not None else "",
+            )
+
+        ended: Ended | None = Ended(
+            api.Outcome.CANCELLED, api.Reason.UNTOLD, "withdrawn by its owner"
+        )
         with CancelScope(self._base.hub) as scope:
             attempt.scope = scope
             ended = self._leaseholder.before(attempt) if self._leaseholder is not None else None
             if ended is None:
-                ended = link.offer(task.job.asked.namespace, body, attempt.deadline_us, lambda: self._may_send(attempt))
+                ended = link.offer(
+                    task.job.asked.namespace,
+                    body,
+                    attempt.deadline_us,
+                    lambda: self._may_send(attempt),
+                )
         attempt.scope = None
         if attempt.stage is Stage.PLACED or attempt.stage is Stage.ENDED:
             return  # the machine's news was faster than its answer
-        if ended is not None and attempt.stage is Stage.WAITING and ended.outcome is api.Outcome.CANCELLED:
+        if (
+            ended is not None
+            and attempt.stage is Stage.WAITING
+            and ended.outcome is api.Outcome.CANCELLED
+        ):
             ended = Ended(api.Outcome.NOT_SENT, ended.reason, ended.words)
         elif ended is not None and attempt.stopping is again.End.STOPPED:
             # Danger: the machine's answer to a stopped offer is not its judgement; it would be rested for that.
@@ -126,16 +190,25 @@
         Danger: a few of those would use up all attempts of a task for which no machine was ever asked.
         """
         task = attempt.task
-        return (attempt.held is Held.COLD_SHARE and attempt.stage is Stage.WAITING and not task.left
-                and task.job.leased is None and task.anew < ANEW_MOST and task.state is State.ASKED
-                and task.request == attempt.request and self._base.hub.now_us() < task.deadline_us)
+        return (
+            attempt.held is Held.COLD_SHARE
+            and attempt.stage is Stage.WAITING
+            and not task.left
+            and task.job.leased is None
+            and task.anew < ANEW_MOST
+            and task.state is State.ASKED
+            and task.request == attempt.request
+            and self._base.hub.now_us() < task.deadline_us
+        )
 
     def runs(self, attempt: Attempt) -> None:
         """The machine says that the task runs."""
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
             # The request was answered otherwise while the offer was out: what runs now is a stray.
-            self._requests.attempt_over(attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us)
+            self._requests.attempt_over(
+                attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
+            )
             self._base.counts["answers_late"] += 1
             self._strays.judge(attempt.link, attempt.key, task.job.asked.namespace, task, None)
             return
@@ -146,7 +219,19 @@
     def _failed(self, attempt: Attempt, ended: Ended) -> None:
         attempt.task.last = f"{attempt.link.name}: {ended.words}"[:300]
         self._base.counts[f"offer:{ended.outcome.value}"] += 1
-        self._base.log("offer-ended", level="debug", request=attempt.request, attempt=attempt.number,
-                       machine=attempt.link.name, outcome=ended.outcome.value, why=ended.words)
-        self._requests.attempt_over(attempt, ended.outcome, ended.reason,
-                                    self._base.hub.now_us() - attempt.decided_us, ended.words)
+        self._base.log(
+            "offer-ended",
+            level="debug",
+            request=attempt.request,
+            attempt=attempt.number,
+            machine=attempt.link.name,
+            outcome=ended.outcome.value,
+            why=ended.words,
+        )
+        self._requests.attempt_over(
+            attempt,
+            ended.outcome,
+            ended.reason,
+            self._base.hub.now_us() - attempt.decided_us,
+            ended.words,
+        )
--- a/wingbarrow/core/ownregion.py
+++ b/wingbarrow/core/ownregion.py
@@ -21,7 +21,9 @@
 
     def __init__(self, base: Base, book: Book, fleet: Fleet) -> None:
         self._base, self._book, self._fleet = base, book, fleet
-        self._seen: deque[tuple[int, int, int]] = deque()  # when, what came in all, what of it was refused
+        self._seen: deque[tuple[int, int, int]] = (
+            deque()
+        )  # when, what came in all, what of it was refused
         self._said: RegionsSaid | None = None
         self._at_us = -EVERY_US
         self.leased: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
@@ -29,7 +31,12 @@
     def say(self, now_us: int) -> RegionsSaid | None:
         """With an ask; None without a region, machines, or a list of them."""
         settings = self._base.settings
-        if not settings.region or not settings.machines or not self._fleet.ready or not self._fleet.part:
+        if (
+            not settings.region
+            or not settings.machines
+            or not self._fleet.ready
+            or not self._fleet.part
+        ):
             return None
         if now_us - self._at_us >= EVERY_US:
             self._at_us, self._said = now_us, self._sum(now_us)
@@ -53,11 +60,23 @@
         whole, free = [each / part for each in whole], [each / part for each in free]
         machines = round(machines / part)
         came, refused = self._lately(now_us)
-        return RegionsSaid(self._base.settings.region, round(whole[0], 3), round(whole[1], 3), round(free[0], 3),
-                           round(free[1], 3), whole[0] <= 0, came, refused, machines, self.leased())
+        return RegionsSaid(
+            self._base.settings.region,
+            round(whole[0], 3),
+            round(whole[1], 3),
+            round(free[0], 3),
+            round(free[1], 3),
+            whole[0] <= 0,
+            came,
+            refused,
+            machines,
+            self.leased(),
+        )
 
     def _lately(self, now_us: int) -> tuple[int, int]:
-        away = sum(count for what, count in self._base.counts.items() if what.startswith(TURNED_AWAY))
+        away = sum(
+            count for what, count in self._base.counts.items() if what.startswith(TURNED_AWAY)
+        )
         answers = self._book.answers
         came, refused = answers.total() + away, answers[State.REFUSED] + away
         self._seen.append((now_us, came, refused))
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -50,8 +50,16 @@
 class _Hands:
     """Who carries out what the module decides."""
 
-    def __init__(self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: Board) -> None:
-        self._offers, self._requests, self._runs, self._fleet, self._board = offers, requests, runs, fleet, board
+    def __init__(
+        self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: Board
+    ) -> None:
+        self._offers, self._requests, self._runs, self._fleet, self._board = (
+            offers,
+            requests,
+            runs,
+            fleet,
+            board,
+        )
 
     def bind(self, bind: api.Bind) -> None:
         self._offers.bind(bind)
@@ -78,14 +86,18 @@
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
         base = self.base = Base(hub, settings, log)
         limits = settings.limits
-        book = self.book = Book(Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept)
+        book = self.book = Book(
+            Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
+        )
         attempts = self.attempts = Attempts()
         machines = self.machines = Machines()
         host = self.host = Host(base, module_settings(settings))
         board = self.board = Board(base, book)
         requests = Requests(base, host, book, attempts, board)
         self.waits = requests.waits
-        stops = self.stops = Stops(hub, random.Random(base.random.random()), base.spawn, base.counts)
+        stops = self.stops = Stops(
+            hub, random.Random(base.random.random()), base.spawn, base.counts
+        )
         runs = Runs(base, book, attempts, board, requests, stops)
         strays = Strays(base, host, book, attempts, board, requests, runs, stops)
         rulebook = self.rulebook = Rulebook(base, host)
@@ -94,36 +106,75 @@
         self.turns: MaintenanceSlots | None = None
         self.leaseholder: Leaseholder | None = None
         if settings.agree is not None and settings.region:
-            leases = self.leases = Leases(base, machines, self.peering.lease, settings.agree.lease_us)
+            leases = self.leases = Leases(
+                base, machines, self.peering.lease, settings.agree.lease_us
+            )
             records = RecordReplication(hub, settings, base.born_us, self.peering)
-            self.leaseholder = Leaseholder(base, host, book, attempts, requests, runs, stops, leases, records,
-                                           rulebook.federation)
+            self.leaseholder = Leaseholder(
+                base,
+                host,
+                book,
+                attempts,
+                requests,
+                runs,
+                stops,
+                leases,
+                records,
+                rulebook.federation,
+            )
             strays.leased = self.leaseholder.place_late
-        offers = self.offers = Offers(base, host, book, attempts, machines, requests, strays, rulebook,
-                                      self.leaseholder)
+        offers = self.offers = Offers(
+            base, host, book, attempts, machines, requests, strays, rulebook, self.leaseholder
+        )
         sightings = Sightings(base, host, attempts, offers, runs, strays)
         fleet = self.fleet = Fleet(base, host, board, machines, attempts, runs, sightings)
         self.hearsay = Hearsay(base, host, fleet, machines, sightings)
         self.successor: Successor | None = None
         if self.leaseholder is not None:
-            self.successor = Successor(base, book, attempts, board, machines, fleet, requests, runs, stops,
-                                       self.leaseholder)
+            self.successor = Successor(
+                base,
+                book,
+                attempts,
+                board,
+                machines,
+                fleet,
+                requests,
+                runs,
+                stops,
+                self.leaseholder,
+            )
             strays.foreign = self.successor.stray
         closing = Closing(base, host, fleet, attempts, runs, board)
         self.mover: Mover | None = None
         elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
-        desk = self.desk = Desk(base, book, attempts, board, requests, runs, stops, closing, rulebook,
-                                self.leaseholder, elsewhere)
+        desk = self.desk = Desk(
+            base,
+            book,
+            attempts,
+            board,
+            requests,
+            runs,
+            stops,
+            closing,
+            rulebook,
+            self.leaseholder,
+            elsewhere,
+        )
         if elsewhere is not None:
-            elsewhere.submit = lambda value, namespace: desk.submit(value, namespace, False, handed=True)
+            elsewhere.submit = lambda value, namespace: desk.submit(
+                value, namespace, False, handed=True
+            )
             elsewhere.delete = desk.delete_job
             if self.leaseholder is not None:
-                self.mover = Mover(base, book, attempts, requests, runs, self.leaseholder, elsewhere)
+                self.mover = Mover(
+                    base, book, attempts, requests, runs, self.leaseholder, elsewhere
+                )
         host.hands = _Hands(offers, requests, runs, fleet, board)
         self._keeper = Keeper(base, fleet)
         if settings.agree is not None:
             rulebook.pass_again = lambda names: fleet.take_again(
-                [entry for name, entry in fleet.held.items() if name in names])
+                [entry for name, entry in fleet.held.items() if name in names]
+            )
             fleet.guards.append(rulebook.guard)
             rulebook.acting = self._acting
             self.peering.on_rules = rulebook.take
@@ -133,29 +184,64 @@
             # Of the cold budget a placer wants as much as waits; how much of that is for cold machines nobody knows.
             self.peering.demand = lambda key: book.owed if key == "cold" else 0
             verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
-            turns = self.turns = MaintenanceSlots(base, fleet, machines, attempts, stops, closing,
-                                                  self.peering.turn_side, lambda: self.peering.agreement,
-                                                  rulebook.in_force)
+            turns = self.turns = MaintenanceSlots(
+                base,
+                fleet,
+                machines,
+                attempts,
+                stops,
+                closing,
+                self.peering.turn_side,
+                lambda: self.peering.agreement,
+                rulebook.in_force,
+            )
             self.peering.on_turns = turns.changed
             requests.came_to = turns.noting(verdicts.note)
             self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
-            rulebook.purse = lambda: self.peering.agreement.purse if self.peering.agreement is not None else None
+            rulebook.purse = (
+                lambda: self.peering.agreement.purse if self.peering.agreement is not None else None
+            )
         self.subset: Subset | None = None
         if settings.subset is not None:
-            subset = self.subset = Subset(base, settings.subset, fleet, machines, attempts, stops, self._members,
-                                          self.waits.any_long)
-            cold = offers.cold = ColdShares(base, fleet, attempts, subset.subsets, rulebook.cold_offers)
+            subset = self.subset = Subset(
+                base,
+                settings.subset,
+                fleet,
+                machines,
+                attempts,
+                stops,
+                self._members,
+                self.waits.any_long,
+            )
+            cold = offers.cold = ColdShares(
+                base, fleet, attempts, subset.subsets, rulebook.cold_offers
+            )
             requests.answered, fleet.spoke = cold.ended, cold.spoke
         self.learner = Learner(hub, settings, self.hearsay, base.born_us, log)
-        needed = tuple(each.task_class.kind for each in settings.classes.values() if each.task_class.kind)
-        self.drainer = Drainer(hub, settings.calendars, needed, settings.scheduler.placers, settings.state, closing,
-                               log, settings.agree is not None)
+        needed = tuple(
+            each.task_class.kind for each in settings.classes.values() if each.task_class.kind
+        )
+        self.drainer = Drainer(
+            hub,
+            settings.calendars,
+            needed,
+            settings.scheduler.placers,
+            settings.state,
+            closing,
+            log,
+            settings.agree is not None,
+        )
         if settings.agree is not None:
-            rulebook.on_drains = lambda rules: self.drainer.take(calendar_under(rules, needed), rules.asked,
-                                                                 rules.cancelled)
-            rulebook.drained = lambda machine: self.drainer.closes(machine) or self.peering.turn_side.closes(machine)
+            rulebook.on_drains = lambda rules: self.drainer.take(
+                calendar_under(rules, needed), rules.asked, rules.cancelled
+            )
+            rulebook.drained = lambda machine: self.drainer.closes(
+                machine
+            ) or self.peering.turn_side.closes(machine)
             self.drainer.may_move = lambda: self._acting(hub.now_us()) is not None
-            self.drainer.on_closed = lambda machines: self.peering.history("closed", machines=sorted(machines))
+            self.drainer.on_closed = lambda machines: self.peering.history(
+                "closed", machines=sorted(machines)
+            )
 
     def run(self) -> None:
         """Work until cancelled; a failure of the core itself ends it."""
@@ -229,5 +315,7 @@
         """Use a file's settings that was read again: patience, priorities, restarts and limits of what comes."""
         self.base.settings = fresh
         self.drainer.reload()
-        self.book.take_limits(fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace)
+        self.book.take_limits(
+            fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
+        )
         self.board.store.window_most = fresh.limits.window
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -14,12 +14,23 @@
 from wingbarrow.http.message import Response
 from wingbarrow.kube import names
 
-_NO_ROOM = {"OutOfcpu": api.Reason.NO_CORES, "OutOfmemory": api.Reason.NO_MEMORY,
-            "TooManyRequests": api.Reason.OFFERS_WAIT, "NodeShutdown": api.Reason.NOT_HERE,
-            "NodeAffinity": api.Reason.NOT_HERE, "DeadlineExceeded": api.Reason.NOT_HERE,
-            "AlreadyHeld": api.Reason.NOT_HERE, "LeaseLapsed": api.Reason.NOT_HERE, "Fenced": api.Reason.NOT_HERE}
-_GIVEN_UP = {"Evicted": api.Reason.EVICTED, "Preempting": api.Reason.PUSHED_OUT,
-             "NodeShutdown": api.Reason.SENT_AWAY, "Terminated": api.Reason.SENT_AWAY}
+_NO_ROOM = {
+    "OutOfcpu": api.Reason.NO_CORES,
+    "OutOfmemory": api.Reason.NO_MEMORY,
+    "TooManyRequests": api.Reason.OFFERS_WAIT,
+    "NodeShutdown": api.Reason.NOT_HERE,
+    "NodeAffinity": api.Reason.NOT_HERE,
+    "DeadlineExceeded": api.Reason.NOT_HERE,
+    "AlreadyHeld": api.Reason.NOT_HERE,
+    "LeaseLapsed": api.Reason.NOT_HERE,
+    "Fenced": api.Reason.NOT_HERE,
+}
+_GIVEN_UP = {
+    "Evicted": api.Reason.EVICTED,
+    "Preempting": api.Reason.PUSHED_OUT,
+    "NodeShutdown": api.Reason.SENT_AWAY,
+    "Terminated": api.Reason.SENT_AWAY,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +51,15 @@
     FAILED = "Failed"
 
 
-def pod_text(task: TaskRecord, pod: str, placer: str, machine: str, within_us: int, rules: str = "",
-             until: str = "") -> bytes:
+def pod_text(
+    task: TaskRecord,
+    pod: str,
+    placer: str,
+    machine: str,
+    within_us: int,
+    rules: str = "",
+    until: str = "",
+) -> bytes:
     """The Pod of one attempt; `within_us` tells the machine after how long nobody waits for its start.
 
     `until`: of a leased Job, until when it may run by the machine's clock.
@@ -49,24 +67,51 @@
     job, asked = task.job, task.job.asked
     template = job.value["spec"]["template"]
     meta = template.get("metadata") or {}
-    notes = {**(meta.get("annotations") or {}), names.JOB: job.key, names.PREFIX + "job-uid": job.uid,
-             names.PREFIX + "job-size": str(asked.count), names.PREFIX + "index": str(task.index),
-             names.TASK: task.name, names.SERVICE: asked.service,
-             names.START_WITHIN: f"{max(0, within_us)}us"}
+    notes = {
+        **(meta.get("annotations") or {}),
+        names.JOB: job.key,
+        names.PREFIX + "job-uid": job.uid,
+        names.PREFIX + "job-size": str(asked.count),
+        names.PREFIX + "index": str(task.index),
+        names.TASK: task.name,
+        names.SERVICE: asked.service,
+        names.START_WITHIN: f"{max(0, within_us)}us",
+    }
     for key in (names.RUNS_FOR, names.EXPECTED):
         told = (job.value["metadata"].get("annotations") or {}).get(key)
         if told:
             notes[key] = told
     if job.leased is not None:
-        notes |= {names.LEASE_UNTIL: until, names.SESSION: job.leased.session, names.EPOCH: str(job.leased.epoch)}
-    labels = {**(meta.get("labels") or {}), names.PLACER: placer,
-              names.CLASS: asked.task_class.task_class.name, names.JOB_NAME: asked.name}
+        notes |= {
+            names.LEASE_UNTIL: until,
+            names.SESSION: job.leased.session,
+            names.EPOCH: str(job.leased.epoch),
+        }
+    labels = {
+        **(meta.get("labels") or {}),
+        names.PLACER: placer,
+        names.CLASS: asked.task_class.task_class.name,
+        names.JOB_NAME: asked.name,
+    }
     if rules:
         labels[names.RULES] = rules
-    return names.encode({
-        "apiVersion": "v1", "kind": "Pod",
-        "metadata": {"name": pod, "namespace": asked.namespace, "labels": labels, "annotations": notes},
-        "spec": {**template["spec"], "nodeName": machine, "priority": asked.task_class.priority}})
+    return names.encode(
+        {
+            "apiVersion": "v1",
+            "kind": "Pod",
+            "metadata": {
+                "name": pod,
+                "namespace": asked.namespace,
+                "labels": labels,
+                "annotations": notes,
+            },
+            "spec": {
+                **template["spec"],
+                "nodeName": machine,
+                "priority": asked.task_class.priority,
+            },
+        }
+    )
 
 
 def read_offer(response: Response) -> Ended | None:
@@ -90,8 +135,11 @@
 def read_failure(error: NotSent | MaybeDone) -> Ended:
     """What a call without an answer means for rule 2: unrun only where no byte went out."""
     if isinstance(error, NotSent):
-        outcome = (api.Outcome.UNREACHABLE if error.why in (Why.REFUSED, Why.NO_CONNECT)
-                   else api.Outcome.NOT_SENT)
+        outcome = (
+            api.Outcome.UNREACHABLE
+            if error.why in (Why.REFUSED, Why.NO_CONNECT)
+            else api.Outcome.NOT_SENT
+        )
     elif error.why is Why.SILENT:
         outcome = api.Outcome.TIMED_OUT
     else:
@@ -142,9 +190,21 @@
         raise ValueError("metadata.annotations") from None
     if not 0 <= index < size <= 100_000 or "/" not in key:
         raise ValueError("metadata.annotations")
-    return PodSight(str(meta.get("name", "")), str(meta.get("namespace", "")), key, uid, size, index, phase,
-                    str(status.get("reason", "")), _use(notes.get(names.USE)), value, _time(status.get("startTime")),
-                    str(notes.get(names.SESSION, "")), _epoch(notes.get(names.EPOCH)))
+    return PodSight(
+        str(meta.get("name", "")),
+        str(meta.get("namespace", "")),
+        key,
+        uid,
+        size,
+        index,
+        phase,
+        str(status.get("reason", "")),
+        _use(notes.get(names.USE)),
+        value,
+        _time(status.get("startTime")),
+        str(notes.get(names.SESSION, "")),
+        _epoch(notes.get(names.EPOCH)),
+    )
 
 
 def _epoch(text: object) -> int:
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -31,11 +31,22 @@
 class Reflector:
     """Tells `deliver(form, entries, gone names)` what the source says; `run` goes on until cancelled."""
 
-    def __init__(self, hub: Hub, host: str, port: int, agent: str, seed: random.Random, machines_most: int,
-                 shift_us: int, deliver: Callable[[ListForm, list[NodeEntry], list[str]], None],
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        host: str,
+        port: int,
+        agent: str,
+        seed: random.Random,
+        machines_most: int,
+        shift_us: int,
+        deliver: Callable[[ListForm, list[NodeEntry], list[str]], None],
+        log: Callable[..., None],
+    ) -> None:
         self._hub, self._shift_us = hub, shift_us
-        self._pool = Pool(hub, host, port, PoolLimits(connections=4, message=Limits(body=256 << 20)), agent)
+        self._pool = Pool(
+            hub, host, port, PoolLimits(connections=4, message=Limits(body=256 << 20)), agent
+        )
         self._deliver = deliver
         self._log = log
         self._judge = ListJudge()
@@ -43,7 +54,9 @@
         self._most = machines_most
         self._version = ""
         self._told_failed = False
-        self.wanted: Callable[[str], bool] = _every  # by name: other entries are passed over, not held
+        self.wanted: Callable[[str], bool] = (
+            _every  # by name: other entries are passed over, not held
+        )
         self.passed_over = 0  # entries so far that were not wanted
         self.left_out = 0  # machines on the list that are not held
         self.refills = 0
@@ -70,13 +83,20 @@
 
     def _failed(self, error: Exception) -> None:
         self.failures += 1
-        self._log("list-source-failed", level="warning", why=str(error)[:200], failures=self._pause.failures)
+        self._log(
+            "list-source-failed",
+            level="warning",
+            why=str(error)[:200],
+            failures=self._pause.failures,
+        )
         if not self._told_failed:
             self._told_failed = True
             self._deliver(ListForm.FAILED, [], [])
 
     def _list(self) -> None:
-        items, version = list_all(self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US)
+        items, version = list_all(
+            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US
+        )
         self._ask_ahead(items)
         self.relists += 1
         if not version.isascii() or not version.isdigit():
@@ -90,7 +110,7 @@
         entries: dict[str, NodeEntry] = {}
         wanted = [value for value in items if self._wants(value)]
         self.left_out = len(items) - len(wanted)
-        for value in wanted[:self._most]:
+        for value in wanted[: self._most]:
             entry = self._read(value)
             if entry is None:
                 name = str(value.get("metadata", {}).get("name", ""))
@@ -114,7 +134,9 @@
 
         Raises CallFailed, ApiError or ValueError where the source gives none, or one older than what was read.
         """
-        items, version = list_all(self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US)
+        items, version = list_all(
+            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US
+        )
         self._ask_ahead(items)
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
@@ -153,7 +175,7 @@
         if self.wanted is _every:
             return
         for at in range(0, len(items), ASKED_AT_ONCE):
-            for value in items[at:at + ASKED_AT_ONCE]:
+            for value in items[at : at + ASKED_AT_ONCE]:
                 self.wanted(_name(value))
             self._hub.checkpoint()
 
@@ -175,15 +197,22 @@
             return read_node(value, self._shift_us)
         except ValueError as error:
             self.bad_entries += 1
-            self._log("bad-list-entry", level="warning", field=str(error),
-                      machine=str(value.get("metadata", {}).get("name", ""))[:100]
-                      if isinstance(value.get("metadata"), dict) else "")
+            self._log(
+                "bad-list-entry",
+                level="warning",
+                field=str(error),
+                machine=str(value.get("metadata", {}).get("name", ""))[:100]
+                if isinstance(value.get("metadata"), dict)
+                else "",
+            )
             return None
 
     def _watch(self) -> None:
         self.watches += 1
-        target = (f"/api/v1/nodes?watch=true&resourceVersion={self._version}&allowWatchBookmarks=true"
-                  f"&timeoutSeconds={WATCH_S}")
+        target = (
+            f"/api/v1/nodes?watch=true&resourceVersion={self._version}&allowWatchBookmarks=true"
+            f"&timeoutSeconds={WATCH_S}"
+        )
         until = self._hub.now_us() + LIST_US
         batches = watch_batches(self._pool, target, until, SILENCE_US)
         try:
@@ -208,8 +237,9 @@
         if changed or gone:
             self._deliver(ListForm.CHANGES, list(changed.values()), list(gone))
 
-    def _event(self, kind: str, value: dict[str, Any], changed: dict[str, NodeEntry],
-               gone: dict[str, None]) -> None:
+    def _event(
+        self, kind: str, value: dict[str, Any], changed: dict[str, NodeEntry], gone: dict[str, None]
+    ) -> None:
         if not self._wants(value):
             self._judge.passed(int(value["metadata"]["resourceVersion"]))
             self.left_out = max(0, self.left_out + {"ADDED": 1, "DELETED": -1}.get(kind, 0))
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -16,18 +16,34 @@
 class Requests:
     """The way from a task to the module, and of the module's answers back."""
 
-    def __init__(self, base: Base, host: Host, book: Book, attempts: Attempts, board: Board) -> None:
-        self._base, self._host, self._book, self._attempts, self._board = base, host, book, attempts, board
+    def __init__(
+        self, base: Base, host: Host, book: Book, attempts: Attempts, board: Board
+    ) -> None:
+        self._base, self._host, self._book, self._attempts, self._board = (
+            base,
+            host,
+            book,
+            attempts,
+            board,
+        )
         self.waits = Waits(lambda request: attempts.of(request) is not None)
-        self.came_to: Callable[[str, api.Outcome | None], None] = lambda machine, outcome: None  # None: it runs
-        self.answered: Callable[[Attempt, api.Outcome | None], None] = lambda attempt, outcome: None  # None: it runs
+        self.came_to: Callable[[str, api.Outcome | None], None] = (
+            lambda machine, outcome: None
+        )  # None: it runs
+        self.answered: Callable[[Attempt, api.Outcome | None], None] = (
+            lambda attempt, outcome: None
+        )  # None: it runs
         # Of leased Jobs: whether `placed` may be answered at once, what an attempt came to, whether the failure of a
         # request with an attempt out is answered by who keeps the lease.
         self.confirm: Callable[[Attempt], bool] = lambda attempt: True
         self.attempt_began: Callable[[Attempt], None] = lambda attempt: None
-        self.attempt_ended: Callable[[Attempt, api.Outcome, str], None] = lambda attempt, outcome, words: None
+        self.attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
+            lambda attempt, outcome, words: None
+        )
         self.failing: Callable[[Attempt], bool] = lambda attempt: False
-        self.elsewhere: Callable[[TaskRecord], bool] = lambda task: False  # whether another region is asked instead
+        self.elsewhere: Callable[[TaskRecord], bool] = (
+            lambda task: False
+        )  # whether another region is asked instead
 
     def ask(self, task: TaskRecord, due_us: int | None = None) -> None:
         """Ask for a task; its final answer is due then, without a time after its Job's patience."""
@@ -54,8 +70,16 @@
     def arrival(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
         """A task as the module hears of it."""
         asked = task.job.asked
-        return api.TaskArrived(request, asked.task_class.task_class.name, asked.service, task.name, asked.cores,
-                               asked.memory, task.deadline_us, left_us)
+        return api.TaskArrived(
+            request,
+            asked.task_class.task_class.name,
+            asked.service,
+            task.name,
+            asked.cores,
+            asked.memory,
+            task.deadline_us,
+            left_us,
+        )
 
     def close(self, task: TaskRecord) -> None:
         """Its request has ended."""
@@ -89,8 +113,11 @@
     def _answer(self, task: TaskRecord, step: Step, attempt: Attempt | None) -> None:
         request = task.request
         if not task.last:
-            task.last = ("an offer was out when the owner's patience ended" if attempt
-                         else "no machine had room, or none was known, before the owner's patience ended")
+            task.last = (
+                "an offer was out when the owner's patience ended"
+                if attempt
+                else "no machine had room, or none was known, before the owner's patience ended"
+            )
         self.close(task)
         if attempt is not None:
             attempt.abandoned = True
@@ -98,7 +125,13 @@
         self._board.mark(task.job)
         reason = "Refused" if step is Step.REFUSE else "Failed"
         self._board.tell(task.job, "Warning", reason, f"task {task.index}: {task.last}")
-        self._base.log("task-" + reason.lower(), request=request, job=task.job.key, task=task.index, why=task.last)
+        self._base.log(
+            "task-" + reason.lower(),
+            request=request,
+            job=task.job.key,
+            task=task.index,
+            why=task.last,
+        )
 
     def placed(self, attempt: Attempt) -> None:
         """A machine runs it: its request ends as placed, with its attempt."""
@@ -111,8 +144,13 @@
         self._book.step(task, Step.PLACE)
         self._base.counts["placed"] += 1
         self._board.mark(task.job)
-        self._base.log("task-placed", level="debug", request=attempt.request, attempt=attempt.number,
-                       machine=attempt.link.name)
+        self._base.log(
+            "task-placed",
+            level="debug",
+            request=attempt.request,
+            attempt=attempt.number,
+            machine=attempt.link.name,
+        )
         waited = attempt.placed_us - attempt.decided_us
         self._host.feed(api.TaskPlaced(attempt.request, attempt.number, attempt.link.ident, waited))
 
@@ -123,10 +161,18 @@
         self._book.step(task, Step.PLACE)
         self._base.counts["placed"] += 1
         self._board.mark(task.job)
-        self._host.feed(api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident))
-
-    def attempt_over(self, attempt: Attempt, outcome: api.Outcome, reason: api.Reason, waited_us: int,
-                     words: str = "") -> None:
+        self._host.feed(
+            api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
+        )
+
+    def attempt_over(
+        self,
+        attempt: Attempt,
+        outcome: api.Outcome,
+        reason: api.Reason,
+        waited_us: int,
+        words: str = "",
+    ) -> None:
         """Tell the module that an attempt is over; the request too, unless its answer is still owed."""
         placed = attempt.stage is Stage.PLACED
         if not self._attempts.advance(attempt, Stage.ENDED):
@@ -135,6 +181,20 @@
         if not placed:
             self.came_to(attempt.link.name, outcome)
             self.answered(attempt, outcome)
-        closed = placed or attempt.task.request != attempt.request or attempt.task.state is not State.ASKED
-        self._host.feed(api.AttemptEnded(attempt.request, attempt.number, attempt.link.ident, outcome, reason, closed,
-                                         waited_us, None))
+        closed = (
+            placed
+            or attempt.task.request != attempt.request
+            or attempt.task.state is not State.ASKED
+        )
+        self._host.feed(
+            api.AttemptEnded(
+                attempt.request,
+                attempt.number,
+                attempt.link.ident,
+                outcome,
+                reason,
+                closed,
+                waited_us,
+                None,
+            )
+        )
--- a/wingbarrow/core/rulebook.py
+++ b/wingbarrow/core/rulebook.py
@@ -31,11 +31,17 @@
         self._base, self._host = base, host
         self.acting: Callable[[int], Acting | None] | None = None
         self.purse: Callable[[], Purse | None] = lambda: None
-        self._cold: int | None = None  # this placer's part of the cold budget, where it is held in parts
+        self._cold: int | None = (
+            None  # this placer's part of the cold budget, where it is held in parts
+        )
         self._cold_less_us = 0  # when that became less last
-        self.pass_again: Callable[[set[str]], None] = lambda names: None  # has machines pass the fleet's guards anew
+        self.pass_again: Callable[[set[str]], None] = (
+            lambda names: None
+        )  # has machines pass the fleet's guards anew
         self.on_drains: Callable[[RuleSet], None] = lambda rules: None
-        self.drained: Callable[[str], bool] = lambda machine: False  # by a drain that placers agree on
+        self.drained: Callable[[str], bool] = (
+            lambda machine: False
+        )  # by a drain that placers agree on
         self.label = ""  # of the rules that the module goes by
         self._rules: RuleSet | None = None
         self._classes: frozenset[str] = frozenset()
@@ -58,7 +64,9 @@
         if not text:
             return
         self._rules, self._text = read(text), text
-        self._by_rights = label.startswith("e") and any(each.about == "cold" for each in self._rules.limits)
+        self._by_rights = label.startswith("e") and any(
+            each.about == "cold" for each in self._rules.limits
+        )
         self._cold = None
         if self._by_rights:
             self.take_rights()
@@ -86,7 +94,9 @@
             self._cold = share
             self._host.feed(scheduler_under(self._base.settings, self._text, share))
 
-    def beyond_after(self, namespace: str, task_class: str, count: int, until_us: int) -> FleetLimit | None:
+    def beyond_after(
+        self, namespace: str, task_class: str, count: int, until_us: int
+    ) -> FleetLimit | None:
         """As `beyond`, but rights that others may spare are waited for, until then at the latest.
 
         Danger: a part that is short here for a moment, while most of the limit lies idle elsewhere, would have a fleet
@@ -108,7 +118,9 @@
             self._waiting -= 1
         return found
 
-    def beyond(self, namespace: str, task_class: str, count: int, again: bool = False) -> FleetLimit | None:
+    def beyond(
+        self, namespace: str, task_class: str, count: int, again: bool = False
+    ) -> FleetLimit | None:
         """The limit of the whole fleet that so many more tasks would pass, by what is held here; else they count."""
         purse = self.purse()
         if self.acting is None or purse is None or self._rules is None:
@@ -131,15 +143,24 @@
 
     def cold_offers(self) -> float:
         """Offers that one cold machine may get within the window, of all placers together."""
-        return self._base.settings.scheduler.fresh_offers if self._rules is None else float(cold_total(self._rules))
+        return (
+            self._base.settings.scheduler.fresh_offers
+            if self._rules is None
+            else float(cold_total(self._rules))
+        )
 
     def guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
         """A barred machine, or one that is to be drained, gets nothing."""
-        if not (entry.name in self._barred or self.drained(entry.name)) or listed.phase is not api.Phase.RUNNING:
+        if (
+            not (entry.name in self._barred or self.drained(entry.name))
+            or listed.phase is not api.Phase.RUNNING
+        ):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def against(self, now_us: int, label: str, task_class: str, machine: str, decided_us: int) -> Held | None:
+    def against(
+        self, now_us: int, label: str, task_class: str, machine: str, decided_us: int
+    ) -> Held | None:
         """What speaks against an offer that was decided under rules of a label, right before its first byte."""
         if self.acting is None:
             return None
@@ -156,5 +177,9 @@
         """Asked of each Job: ApiError 503 where this placer may act on nothing."""
         if self.acting is not None and self.acting(self._base.hub.now_us()) is None:
             self._base.counts["turned_away:no grant"] += 1
-            raise ApiError(503, "this placer is out of touch with the others and may act on no rules now",
-                           "ServiceUnavailable", retry_after_s=1)
+            raise ApiError(
+                503,
+                "this placer is out of touch with the others and may act on no rules now",
+                "ServiceUnavailable",
+                retry_after_s=1,
+            )
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -16,8 +16,15 @@
 class Runs:
     """Owns the timers of tasks that will be asked for again."""
 
-    def __init__(self, base: Base, book: Book, attempts: Attempts, board: Board, requests: Requests,
-                 stops: Stops) -> None:
+    def __init__(
+        self,
+        base: Base,
+        book: Book,
+        attempts: Attempts,
+        board: Board,
+        requests: Requests,
+        stops: Stops,
+    ) -> None:
         self._base, self._book, self._attempts, self._board = base, book, attempts, board
         self._requests, self._stops = requests, stops
         self._again: dict[str, Timer] = {}
@@ -28,9 +35,16 @@
         if attempt.stage is not Stage.PLACED:
             return
         if attempt.stopping is again.End.STOPPED:
-            end = again.End.STOPPED  # its owner deleted it: how it ended before the stop came changes nothing
-        outcome = (api.Outcome.DONE if end is again.End.DONE else api.Outcome.CANCELLED
-                   if end in (again.End.MOVED, again.End.STOPPED) else api.Outcome.BROKEN)
+            end = (
+                again.End.STOPPED
+            )  # its owner deleted it: how it ended before the stop came changes nothing
+        outcome = (
+            api.Outcome.DONE
+            if end is again.End.DONE
+            else api.Outcome.CANCELLED
+            if end in (again.End.MOVED, again.End.STOPPED)
+            else api.Outcome.BROKEN
+        )
         task.last = words
         if task.request == attempt.request:
             self._requests.close(task)
@@ -39,7 +53,9 @@
             self._book.step(task, Step.DONE)
         elif end is not again.End.STOPPED:
             self._after_loss(task, end, words)
-        self._requests.attempt_over(attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us)
+        self._requests.attempt_over(
+            attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
+        )
 
     def lost(self, attempt: Attempt, words: str) -> None:
         """Its machine holds it no longer, or is gone."""
@@ -55,23 +71,31 @@
         answered_otherwise = task.state is State.FOUND and (not task.job.adopted or task.doubtful)
         if verdict.after_us is None or answered_otherwise:
             self._book.step(task, Step.LOSE)
-            self._board.tell(task.job, "Warning", "Lost", f"task {task.index}: {words}; not asked for again")
+            self._board.tell(
+                task.job, "Warning", "Lost", f"task {task.index}: {words}; not asked for again"
+            )
             return
         if verdict.counts:
             task.restarts_left -= 1
             task.losses += 1
         self._book.step(task, Step.WAIT)
-        self._board.tell(task.job, "Normal", "Moved" if end is again.End.MOVED else "Lost",
-                         f"task {task.index}: {words}; asked for again")
+        self._board.tell(
+            task.job,
+            "Normal",
+            "Moved" if end is again.End.MOVED else "Lost",
+            f"task {task.index}: {words}; asked for again",
+        )
         self.wait(task, verdict.after_us)
 
     def wait(self, task: TaskRecord, after_us: int) -> None:
         """Ask for a task that waits, after a while."""
+
         def due() -> None:
             self._again.pop(task.name, None)
             if self._book.step(task, Step.ASK):
                 self._board.mark(task.job)
                 self._requests.ask(task)
+
         self._again[task.name] = self._base.hub.call_at(self._base.hub.now_us() + after_us, due)
 
     def cancel_again(self, task: TaskRecord) -> None:
@@ -84,8 +108,12 @@
         """Stop a placed task, which is then asked for again."""
         attempt = self._attempts.of(request)
         # Danger: a move of what is not asked for again would only stop it.
-        if (attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None
-                or attempt.task.doubtful):
+        if (
+            attempt is None
+            or attempt.stage is not Stage.PLACED
+            or attempt.stopping is not None
+            or attempt.task.doubtful
+        ):
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["moves"] += 1
@@ -97,7 +125,17 @@
 
         def stopped() -> None:
             if attempt.stopping is not None:
-                self.ended(attempt, attempt.stopping, api.Reason.UNTOLD,
-                           f"{attempt.stopping.value}, stopped on {attempt.link.name}")
-        self._stops.owe(attempt.link, attempt.task.job.asked.namespace, attempt.key,
-                        wanted=lambda: attempt.stage is Stage.PLACED, done=stopped)
+                self.ended(
+                    attempt,
+                    attempt.stopping,
+                    api.Reason.UNTOLD,
+                    f"{attempt.stopping.value}, stopped on {attempt.link.name}",
+                )
+
+        self._stops.owe(
+            attempt.link,
+            attempt.task.job.asked.namespace,
+            attempt.key,
+            wanted=lambda: attempt.stage is Stage.PLACED,
+            done=stopped,
+        )
--- a/wingbarrow/core/saved.py
+++ b/wingbarrow/core/saved.py
@@ -21,8 +21,10 @@
 def save(folder: Path, nodes: list[dict[str, Any]]) -> None:
     """Write the Node objects; OSError where the disk does not take them."""
     raw = msgspec.json.encode(nodes)
-    write_whole(folder / "machines.json", msgspec.json.encode(
-        _File(1, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))))
+    write_whole(
+        folder / "machines.json",
+        msgspec.json.encode(_File(1, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))),
+    )
 
 
 def stamp_alive(folder: Path, wall_us: int) -> None:
--- a/wingbarrow/core/sightings.py
+++ b/wingbarrow/core/sightings.py
@@ -16,14 +16,20 @@
 from wingbarrow.core.strays import Strays
 from wingbarrow.decide import again
 
-_USES = {"cores": api.NoteKind.CORES_USED, "memory": api.NoteKind.MEMORY_USED, "served": api.NoteKind.SERVED,
-         "machine": api.NoteKind.MACHINE_MEMORY}
+_USES = {
+    "cores": api.NoteKind.CORES_USED,
+    "memory": api.NoteKind.MEMORY_USED,
+    "served": api.NoteKind.SERVED,
+    "machine": api.NoteKind.MACHINE_MEMORY,
+}
 
 
 class Sightings:
     """`told` is called with a machine's name once it has listed what it runs."""
 
-    def __init__(self, base: Base, host: Host, attempts: Attempts, offers: Offers, runs: Runs, strays: Strays) -> None:
+    def __init__(
+        self, base: Base, host: Host, attempts: Attempts, offers: Offers, runs: Runs, strays: Strays
+    ) -> None:
         self._base, self._host, self._attempts = base, host, attempts
         self._offers, self._runs, self._strays = offers, runs, strays
         self.told: Callable[[str], None] = lambda name: None
@@ -31,6 +37,7 @@
 
     def follow(self, link: MachineLink) -> None:
         """List and watch one machine for as long as it is reached."""
+
         def listed(pods: list[dict[str, Any]], asked_us: int) -> None:
             seen = set()
             for value in pods:
@@ -39,7 +46,11 @@
                     seen.add(sight.name)
                     self._seen(link, sight)
             for attempt in self._attempts.on(link):
-                if attempt.stage is Stage.PLACED and attempt.key not in seen and attempt.placed_us < asked_us:
+                if (
+                    attempt.stage is Stage.PLACED
+                    and attempt.key not in seen
+                    and attempt.placed_us < asked_us
+                ):
                     self._runs.lost(attempt, "the machine no longer holds it")
             self.told(link.name)
 
@@ -53,6 +64,7 @@
                     self._runs.lost(attempt, f"deleted on {link.name}")
             else:
                 self._seen(link, sight)
+
         self._base.spawn(lambda: link.follow(listed, event, self._base.log), f"follow {link.name}")
 
     def _read(self, link: MachineLink, value: dict[str, Any]) -> PodSight | None:
@@ -69,7 +81,9 @@
             self._strays.seen(link, sight)
             return
         if sight.phase is Phase.PENDING and attempt.stage is Stage.SENT:
-            self._host.feed(api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0))
+            self._host.feed(
+                api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0)
+            )
         if sight.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
             self._base.counts["placed_by_news"] += 1
             self._offers.runs(attempt)
@@ -82,7 +96,9 @@
         elif sight.phase is Phase.FAILED:
             reason = sight.gave_up
             # A machine that stopped it for want of renewal says nothing against another start, by whoever may then.
-            end = attempt.stopping or (again.End.MOVED if sight.reason == "LeaseLapsed" else again.end_of(reason))
+            end = attempt.stopping or (
+                again.End.MOVED if sight.reason == "LeaseLapsed" else again.end_of(reason)
+            )
             self._runs.ended(attempt, end, reason, f"{link.name}: {sight.reason or 'failed'}")
         elif sight.use:
             self._use(attempt, link, sight)
@@ -94,5 +110,7 @@
         attempt.use = use
         for kind, level in zip(_USES.values(), use, strict=True):
             if level >= 0:
-                self._host.feed(api.TaskNote(attempt.request, attempt.number, link.ident, kind, level))
+                self._host.feed(
+                    api.TaskNote(attempt.request, attempt.number, link.ident, kind, level)
+                )
         self.use_us = self._base.hub.now_us()
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -38,7 +38,9 @@
     pod: str
     namespace: str
     wanted: Callable[[], bool]  # False: it has ended by itself
-    settled: Callable[[], bool]  # False: its offer is still under way, so "not found" may be too early
+    settled: Callable[
+        [], bool
+    ]  # False: its offer is still under way, so "not found" may be too early
     done: Callable[[], None]
     pause: Backoff
 
@@ -57,8 +59,13 @@
 class Stops:
     """All stops one placer owes; `spawn` starts a task that lives as long as the placer."""
 
-    def __init__(self, hub: Hub, seed: random.Random, spawn: Callable[[Callable[[], Any], str], None],
-                 counts: Counter[str]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        seed: random.Random,
+        spawn: Callable[[Callable[[], Any], str], None],
+        counts: Counter[str],
+    ) -> None:
         self._hub = hub
         self._seed = seed
         self._spawn = spawn
@@ -67,8 +74,15 @@
         self._confirmed: dict[str, None] = {}
         self.owed = 0
 
-    def owe(self, link: MachineLink, namespace: str, pod: str, wanted: Callable[[], bool] = _always,
-            settled: Callable[[], bool] = _always, done: Callable[[], None] = _nothing) -> None:
+    def owe(
+        self,
+        link: MachineLink,
+        namespace: str,
+        pod: str,
+        wanted: Callable[[], bool] = _always,
+        settled: Callable[[], bool] = _always,
+        done: Callable[[], None] = _nothing,
+    ) -> None:
         """Have a pod stopped; `done` is called once the machine says that it is not there any longer."""
         if pod in self._confirmed:
             return
@@ -78,7 +92,9 @@
         if pod in machine.pods:
             return
         machine.pods.add(pod)
-        machine.fresh.append(_Owed(pod, namespace, wanted, settled, done, Backoff(self._seed, 100_000, 5_000_000)))
+        machine.fresh.append(
+            _Owed(pod, namespace, wanted, settled, done, Backoff(self._seed, 100_000, 5_000_000))
+        )
         machine.came.notify()
         self.owed += 1
         self._counts["stops_owed"] += 1
@@ -111,7 +127,9 @@
                 self.owed -= 1
                 machine.pods.discard(owed.pod)
             else:
-                heapq.heappush(machine.later, (self._hub.now_us() + owed.pause.next_us(), owed.pod, owed))
+                heapq.heappush(
+                    machine.later, (self._hub.now_us() + owed.pause.next_us(), owed.pod, owed)
+                )
         machine.workers -= 1
         if not machine.pods and not machine.workers and self._machines.get(link) is machine:
             del self._machines[link]
@@ -130,7 +148,9 @@
             return False
         self._counts["stops_done"] += 1
         if gone is Gone.STOPPED:
-            self._remember(owed.pod)  # one that was not there may yet come: its offer waits in a socket
+            self._remember(
+                owed.pod
+            )  # one that was not there may yet come: its offer waits in a socket
         owed.done()
         return True
 
--- a/wingbarrow/core/strays.py
+++ b/wingbarrow/core/strays.py
@@ -26,13 +26,32 @@
 class Strays:
     """Owns what is known of this placer's former life."""
 
-    def __init__(self, base: Base, host: Host, book: Book, attempts: Attempts, board: Board, requests: Requests,
-                 runs: Runs, stops: Stops) -> None:
-        self._base, self._host, self._book, self._attempts, self._board = base, host, book, attempts, board
+    def __init__(
+        self,
+        base: Base,
+        host: Host,
+        book: Book,
+        attempts: Attempts,
+        board: Board,
+        requests: Requests,
+        runs: Runs,
+        stops: Stops,
+    ) -> None:
+        self._base, self._host, self._book, self._attempts, self._board = (
+            base,
+            host,
+            book,
+            attempts,
+            board,
+        )
         self._requests, self._runs, self._stops = requests, runs, stops
-        self.foreign: Callable[[MachineLink, PodSight], bool] = lambda link, sight: False  # not by a present lease
+        self.foreign: Callable[[MachineLink, PodSight], bool] = (
+            lambda link, sight: False
+        )  # not by a present lease
         # A leased Job's: whether a keeper's word comes first, and then its answer.
-        self.leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = lambda link, pod, task, left: False
+        self.leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = (
+            lambda link, pod, task, left: False
+        )
         state = base.settings.state
         self._former_us = saved.last_alive(Path(state)) if state else None
 
@@ -50,17 +69,33 @@
         else:
             self._adopt_job(link, sight)
 
-    def judge(self, link: MachineLink, pod: str, namespace: str, task: TaskRecord, sight: PodSight | None) -> None:
+    def judge(
+        self, link: MachineLink, pod: str, namespace: str, task: TaskRecord, sight: PodSight | None
+    ) -> None:
         """Do with a known task's stray what `decide.strays` says."""
         job, state = task.job, task.state
         if job.leased is not None and not job.leased.session:
             return  # Danger: this placer has no say over it any more; its machine stops it, or a stop is under way
-        verdict = strays.judge(strays.Sight(
-            job.asked.task_class.task_class.effect, True, not job.deleted, state in (State.ASKED, State.AGAIN),
-            state is State.ASKED and self._attempts.of(task.request) is not None,
-            state in (State.PLACED, State.FOUND), state in (State.DONE, State.STOPPED) and not job.adopted))
+        verdict = strays.judge(
+            strays.Sight(
+                job.asked.task_class.task_class.effect,
+                True,
+                not job.deleted,
+                state in (State.ASKED, State.AGAIN),
+                state is State.ASKED and self._attempts.of(task.request) is not None,
+                state in (State.PLACED, State.FOUND),
+                state in (State.DONE, State.STOPPED) and not job.adopted,
+            )
+        )
         self._base.counts["stray:" + verdict.value] += 1
-        self._base.log("stray", level="warning", job=job.key, task=task.index, machine=link.name, verdict=verdict.value)
+        self._base.log(
+            "stray",
+            level="warning",
+            job=job.key,
+            task=task.index,
+            machine=link.name,
+            verdict=verdict.value,
+        )
         if verdict is strays.Stray.STOP:
             self._stop(link, namespace, pod)
         elif verdict is strays.Stray.ADOPT:
@@ -73,7 +108,9 @@
             self._base.counts["strays_stopped"] += 1
             self._stops.owe(link, namespace, pod)
 
-    def _place_late(self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None) -> None:
+    def _place_late(
+        self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None
+    ) -> None:
         """A copy runs that the open request can have as its own: it ends as placed."""
         left = expected_left_us(sight.value) if sight else task.job.asked.expected_us
         if self.leased(link, pod, task, left):
@@ -88,10 +125,14 @@
 
     def _adopt(self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None) -> None:
         if self._book.step(task, Step.ADOPT):
-            self._board.tell(task.job, "Normal", "FoundRunning", f"task {task.index} runs on {link.name}")
+            self._board.tell(
+                task.job, "Normal", "FoundRunning", f"task {task.index} runs on {link.name}"
+            )
             self._hand_over(link, pod, task, sight)
 
-    def _hand_over(self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None) -> None:
+    def _hand_over(
+        self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None
+    ) -> None:
         """Give a running task to the module as found; attempt 0 is deemed made."""
         now = self._base.hub.now_us()
         request = self._book.open_request(task, now)
@@ -110,10 +151,14 @@
             self._base.counts["not_adopted"] += 1
             self._base.log("not-adopted", level="error", machine=link.name, job=sight.job_key)
             return
-        job = self._book.add(sight.job_key, sight.job_uid, asked, self._former_value(sight, asked), adopted=True)
+        job = self._book.add(
+            sight.job_key, sight.job_uid, asked, self._former_value(sight, asked), adopted=True
+        )
         self._base.counts["jobs_adopted"] += 1
         task = job.tasks[sight.index]
-        task.doubtful = not again.was_answered(sight.started_us, self._former_us, self._base.born_us)
+        task.doubtful = not again.was_answered(
+            sight.started_us, self._former_us, self._base.born_us
+        )
         self._base.counts["adopted_in_doubt"] += task.doubtful
         self._adopt(link, sight.name, task, sight)
 
@@ -130,13 +175,36 @@
         if settings is None:
             return None
         safe = settings.task_class.effect is not api.Effect.UNSAFE
-        return JobRequest(namespace, name, settings, notes.get(names.SERVICE, sight.job_key), sight.job_size, cores,
-                          memory, settings.patience_us, expected_left_us(value), settings.restarts if safe else 0)
+        return JobRequest(
+            namespace,
+            name,
+            settings,
+            notes.get(names.SERVICE, sight.job_key),
+            sight.job_size,
+            cores,
+            memory,
+            settings.patience_us,
+            expected_left_us(value),
+            settings.restarts if safe else 0,
+        )
 
     def _former_value(self, sight: PodSight, asked: JobRequest) -> dict[str, Any]:
         value, notes = sight.value, sight.value["metadata"]["annotations"]
-        spec = {key: part for key, part in value["spec"].items() if key not in ("nodeName", "priority")}
-        kept = {key: text for key, text in notes.items() if key in (names.RUNS_FOR, names.EXPECTED, names.PATIENCE)}
+        spec = {
+            key: part for key, part in value["spec"].items() if key not in ("nodeName", "priority")
+        }
+        kept = {
+            key: text
+            for key, text in notes.items()
+            if key in (names.RUNS_FOR, names.EXPECTED, names.PATIENCE)
+        }
         labels = {names.CLASS: asked.task_class.task_class.name}
-        return job_value({"metadata": {"labels": labels, "annotations": kept}, "spec": {"template": {"spec": spec}}},
-                         asked, sight.job_uid, self._base.hub.clock.wall_us())
+        return job_value(
+            {
+                "metadata": {"labels": labels, "annotations": kept},
+                "spec": {"template": {"spec": spec}},
+            },
+            asked,
+            sight.job_uid,
+            self._base.hub.clock.wall_us(),
+        )
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -34,7 +34,9 @@
 RELEASE_AGAIN_US = 2_000_000  # a machine that could not be released is looked at again
 LAST_LOOK_US = 1_000_000  # a machine that stood still until just now may take in offers a little after its answer
 RELEASES_OUT = 16  # machines that are asked at a time
-REFILL_EACH_US = 100_000  # lists of all placers are spread over so long for each placer of the roster ...
+REFILL_EACH_US = (
+    100_000  # lists of all placers are spread over so long for each placer of the roster ...
+)
 REFILL_SPREAD_US = 10_000_000  # ... and at most over this
 WIDEN_SPREAD_US = 200_000  # of a list that this placer reads for itself: others may be short of room at the same time
 
@@ -45,26 +47,42 @@
     `waits_long(now_us)` says whether a task waits long for a machine.
     """
 
-    def __init__(self, base: Base, settings: SubsetSettings, fleet: Fleet, machines: Machines, attempts: Attempts,
-                 stops: Stops, members: Callable[[], tuple[frozenset[str], int]],
-                 waits_long: Callable[[int], bool]) -> None:
+    def __init__(
+        self,
+        base: Base,
+        settings: SubsetSettings,
+        fleet: Fleet,
+        machines: Machines,
+        attempts: Attempts,
+        stops: Stops,
+        members: Callable[[], tuple[frozenset[str], int]],
+        waits_long: Callable[[int], bool],
+    ) -> None:
         self._base, self._fleet, self._machines = base, fleet, machines
         self._attempts, self._stops, self._members = attempts, stops, members
         self._waits_long = waits_long
         self._me = base.settings.name
         self.subsets = Subsets(settings.rules)
         self._spread_us = min(REFILL_SPREAD_US, REFILL_EACH_US * len(settings.rules.roster))
-        self._view = LivingView(self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us)
+        self._view = LivingView(
+            self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
+        )
         self._widen_most, self._widening = settings.widen, Widening(settings.widen)
-        self.extra = 0  # further ranks that this placer holds machines of, as tasks of its own wait long
+        self.extra = (
+            0  # further ranks that this placer holds machines of, as tasks of its own wait long
+        )
         self._begun_us = base.hub.now_us()
         self.living = self._view.living(self._begun_us)
-        self._everything = False  # take in every machine of the first list: what a former life held is not known
+        self._everything = (
+            False  # take in every machine of the first list: what a former life held is not known
+        )
         self._refills = Refills(base, fleet.reflector, self._spread_us)
         # Apart from those: what waits for its time among all placers must not hold this up.
         self._widens = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
         self._releasing = 0
-        self._again_us: dict[str, int] = {}  # lingering machines that could not be released: when to look again
+        self._again_us: dict[
+            str, int
+        ] = {}  # lingering machines that could not be released: when to look again
         fleet.reflector.wanted = self.wants
         fleet.guards.append(self._guard)
         fleet.apart.append(lambda name: not self.holds(name))
@@ -121,8 +139,13 @@
         before = self.living
         moved = self._change(living, self.extra)
         self._base.counts["subset:changes"] += 1
-        self._base.log("subset", living=len(living), moved=moved, joined=sorted(living - before)[:20],
-                       left=sorted(before - living)[:20])
+        self._base.log(
+            "subset",
+            living=len(living),
+            moved=moved,
+            joined=sorted(living - before)[:20],
+            left=sorted(before - living)[:20],
+        )
         if before - living:
             self._refills.ask()
 
@@ -151,7 +174,9 @@
     def _release_some(self, now_us: int) -> None:
         lingering = self.lingering
         if self._again_us:
-            self._again_us = {name: self._again_us[name] for name in lingering if name in self._again_us}
+            self._again_us = {
+                name: self._again_us[name] for name in lingering if name in self._again_us
+            }
         for name in lingering:
             link = self._machines.links[name]
             if self._releasing >= RELEASES_OUT:
@@ -165,14 +190,23 @@
 
     def _is_lost(self, link: MachineLink) -> bool:
         """Of a machine that the saved list alone has: whether it is off the source's list and out of reach."""
-        return (self._fleet.reflector.relists > 0 and not link.reachable and link.phase is not api.Phase.GONE
-                and not self._attempts.on(link) and not self._stops.owed_on(link))
+        return (
+            self._fleet.reflector.relists > 0
+            and not link.reachable
+            and link.phase is not api.Phase.GONE
+            and not self._attempts.on(link)
+            and not self._stops.owed_on(link)
+        )
 
     def _may_go(self, link: MachineLink, now_us: int) -> bool:
         """Whether nothing of this placer's is known to be there, or on its way."""
-        return (link.phase is not api.Phase.GONE and link.reachable and not self._attempts.on(link)
-                and not self._stops.owed_on(link)
-                and (link.offered_us is None or now_us - link.offered_us >= LINGER_US))
+        return (
+            link.phase is not api.Phase.GONE
+            and link.reachable
+            and not self._attempts.on(link)
+            and not self._stops.owed_on(link)
+            and (link.offered_us is None or now_us - link.offered_us >= LINGER_US)
+        )
 
     def _release(self, link: MachineLink) -> None:
         try:
@@ -183,7 +217,11 @@
         finally:
             self._releasing -= 1
         name = link.name
-        if (holds_any is False and not self.holds(name) and self._machines.links.get(name) is link
-                and self._may_go(link, self._base.hub.now_us())):
+        if (
+            holds_any is False
+            and not self.holds(name)
+            and self._machines.links.get(name) is link
+            and self._may_go(link, self._base.hub.now_us())
+        ):
             self._base.counts["subset:released"] += 1
             self._fleet.release(name)
