--- a/wingbarrow/core/successor.py
+++ b/wingbarrow/core/successor.py
@@ -36,7 +36,10 @@
 PENDING_MOST = 64  # runs that were taken over and are not placed yet
 ASKS_MOST = 64  # machines that are asked about a Job at a time
 ENDED_MOST = 8  # sessions of its own that a placer remembers the Jobs of
-AGAIN_US, AGAIN_MOST_US = 500_000, 30_000_000  # a run that found no room is asked for again: doubles, spread by half
+AGAIN_US, AGAIN_MOST_US = (
+    500_000,
+    30_000_000,
+)  # a run that found no room is asked for again: doubles, spread by half
 SHOWN_US = 20_000  # what became of Jobs is shown for all that are told of in that time
 TAKEN, ENDED, UNKNOWN = (names.PREFIX + each for each in ("TakenOver", "LeaseEnded", "Unknown"))
 FROM = names.PREFIX + "taken-over-from"
@@ -46,20 +49,45 @@
 class Successor:
     """Hears what the replication of records tells, and carries it out in the book, at machines and with the module."""
 
-    def __init__(self, base: Base, book: Book, attempts: Attempts, board: Board, machines: Machines, fleet: Fleet,
-                 requests: Requests, runs: Runs, stops: Stops, holder: Leaseholder) -> None:
+    def __init__(
+        self,
+        base: Base,
+        book: Book,
+        attempts: Attempts,
+        board: Board,
+        machines: Machines,
+        fleet: Fleet,
+        requests: Requests,
+        runs: Runs,
+        stops: Stops,
+        holder: Leaseholder,
+    ) -> None:
         self._base, self._book, self._attempts, self._board = base, book, attempts, board
-        self._machines, self._fleet, self._requests, self._runs, self._stops = machines, fleet, requests, runs, stops
+        self._machines, self._fleet, self._requests, self._runs, self._stops = (
+            machines,
+            fleet,
+            requests,
+            runs,
+            stops,
+        )
         self._holder, self._records = holder, holder.records
         self._asking = 0
         self._showing = False
-        self._given_up: dict[str, dict[str, tuple[Own, JobRecord]]] = {}  # by session: what it had when that ended
+        self._given_up: dict[
+            str, dict[str, tuple[Own, JobRecord]]
+        ] = {}  # by session: what it had when that ended
         self._pending: dict[str, TaskRecord] = {}  # runs that were taken over and do not stand yet
         self._told: set[tuple[str, str]] = set()  # strays that were told of
         holder.goes_on = self.goes_on
         records = self._records
-        records.on = {"startable": self._startable, "reissue": self._decided, "ask-machine": self._ask_machine,
-                   "stop": self._lost, "settled": self._settled, "session-over": self._over}
+        records.on = {
+            "startable": self._startable,
+            "reissue": self._decided,
+            "ask-machine": self._ask_machine,
+            "stop": self._lost,
+            "settled": self._settled,
+            "session-over": self._over,
+        }
         records.own, records.custodian.terms = self._own, self._terms
         book.on_step.append(self._stepped)
 
@@ -72,7 +100,9 @@
             try:
                 meta = names.decode(record.manifest)["metadata"]
                 named = str((meta.get("annotations") or {}).get(names.FEDERATION, ""))
-                found = federation.spec_for(str((meta.get("labels") or {}).get(names.CLASS, "")), named)
+                found = federation.spec_for(
+                    str((meta.get("labels") or {}).get(names.CLASS, "")), named
+                )
             except (ValueError, KeyError, TypeError, AttributeError):
                 return None
         return found
@@ -93,16 +123,24 @@
         if here not in spec.targets(record.region) or here not in allowed(spec, federation):
             return False
         part = spec.failover.room / 100
-        return (record.cores * record.count <= free[0] * part and record.memory * record.count <= free[1] * part
-                and self._book.admission.check(record.key.partition("/")[0], record.count) is None)
+        return (
+            record.cores * record.count <= free[0] * part
+            and record.memory * record.count <= free[1] * part
+            and self._book.admission.check(record.key.partition("/")[0], record.count) is None
+        )
 
     def _room_here(self) -> tuple[float, float]:
         """Cores and memory that nobody has asked for, by what this region's list says."""
         cores = memory = 0.0
         for entry in self._fleet.held.values():
             listed = entry.listed
-            if listed.phase is api.Phase.RUNNING and math.isfinite(listed.free_cores + listed.free_memory):
-                cores, memory = cores + max(0.0, listed.free_cores), memory + max(0.0, listed.free_memory)
+            if listed.phase is api.Phase.RUNNING and math.isfinite(
+                listed.free_cores + listed.free_memory
+            ):
+                cores, memory = (
+                    cores + max(0.0, listed.free_cores),
+                    memory + max(0.0, listed.free_memory),
+                )
         return cores, memory
 
     def _startable(self, told: Fields) -> None:
@@ -130,7 +168,10 @@
         job.leased = Leased(record.spec, session.text(), start.epoch, record.session.text())
         if UNKNOWN in job.notes:
             job.notes[UNKNOWN] = "Released", "an operator said that it never ran"
-        job.notes[TAKEN] = "Run", f"run here at epoch {start.epoch}; {record.session.text()} held it"
+        job.notes[TAKEN] = (
+            "Run",
+            f"run here at epoch {start.epoch}; {record.session.text()} held it",
+        )
         self._holder.jobs[record.uid] = job
         self._base.counts["taken over"] += 1
         for index in start.indexes:
@@ -154,7 +195,13 @@
             asked = read_job(value, namespace, settings.classes, settings.limits, "")
         except (ApiError, ValueError, KeyError, TypeError) as error:
             self._base.counts["taken over:unreadable"] += 1
-            self._base.log("taken-over-unreadable", level="error", job=record.key, uid=record.uid, why=str(error)[:300])
+            self._base.log(
+                "taken-over-unreadable",
+                level="error",
+                job=record.key,
+                uid=record.uid,
+                why=str(error)[:300],
+            )
             return None
         meta = value["metadata"]
         meta["annotations"] = {**(meta.get("annotations") or {}), FROM: record.session.text()}
@@ -166,12 +213,17 @@
     def goes_on(self, task: TaskRecord) -> bool:
         """Whether a run is asked for again: one that was taken over, or was stopped as its lease lapsed."""
         leased = task.job.leased
-        if leased is None or not (leased.former or (task.placed and not self._holder.may_send(task.job))):
+        if leased is None or not (
+            leased.former or (task.placed and not self._holder.may_send(task.job))
+        ):
             return False
         effect = task.job.asked.task_class.task_class.effect
         if task.state is State.FAILED and effect is api.Effect.UNSAFE and task.left:
             # Danger: it may have started.
-            task.job.notes[UNKNOWN] = "InDoubt", f"it may have started, and is not tried again: {task.last}"
+            task.job.notes[UNKNOWN] = (
+                "InDoubt",
+                f"it may have started, and is not tried again: {task.last}",
+            )
             return False
         after = min(AGAIN_MOST_US, AGAIN_US << min(task.losses, 10))
         task.losses += 1
@@ -186,14 +238,26 @@
     def _decided(self, told: Fields) -> None:
         """A verdict on tasks of a Job: those that are run come by `startable`."""
         uid, verdict = str(told["uid"]), told["verdict"]
-        self._base.log("reissue", job=told["key"], uid=uid, verdict=verdict, epoch=told["epoch"], why=told["why"])
+        self._base.log(
+            "reissue",
+            job=told["key"],
+            uid=uid,
+            verdict=verdict,
+            epoch=told["epoch"],
+            why=told["why"],
+        )
         self._base.counts["reissue:" + verdict] += 1
         if verdict == "unknown":
             record = self._records.custodian.record(uid)
             job = self._shown(record) if record is not None else None
             if job is not None and record is not None:
-                job.notes[UNKNOWN] = "Unknown", (f"{told['why']}; {record.session.text()} held it; neither started nor "
-                                                 "given up until an operator says that it never ran, or did")
+                job.notes[UNKNOWN] = (
+                    "Unknown",
+                    (
+                        f"{told['why']}; {record.session.text()} held it; neither started nor "
+                        "given up until an operator says that it never ran, or did"
+                    ),
+                )
                 self._board.mark(job)
                 self._board.flush()
         elif verdict == "nothing" and self._records.custodian.fate(uid) == verdict:
@@ -203,10 +267,26 @@
 
     def unknown(self) -> list[dict[str, Any]]:
         """Jobs that must not start twice, and of which nobody knows whether they did."""
-        return [{"job": each.key, "uid": each.uid, "heldBy": each.session.text(), "region": each.region,
-                 "class": each.effect, "acceptedSecondsAgo": each.born_age_us // 1_000_000,
-                 "tasks": [{"index": task.index, "phase": task.phase, "machine": task.machine, "pod": task.attempt}
-                           for task in each.tasks]} for each in self._records.custodian.unknown()]
+        return [
+            {
+                "job": each.key,
+                "uid": each.uid,
+                "heldBy": each.session.text(),
+                "region": each.region,
+                "class": each.effect,
+                "acceptedSecondsAgo": each.born_age_us // 1_000_000,
+                "tasks": [
+                    {
+                        "index": task.index,
+                        "phase": task.phase,
+                        "machine": task.machine,
+                        "pod": task.attempt,
+                    }
+                    for task in each.tasks
+                ],
+            }
+            for each in self._records.custodian.unknown()
+        ]
 
     def release(self, key: str, ran: bool) -> None:
         """An operator's word: it never ran, and is started; or it did, and is kept no longer. ApiError 404."""
@@ -234,14 +314,25 @@
 
         def ask() -> None:
             try:
-                fenced = link.fence(str(told["uid"]), int(told["epoch"])) if link is not None else None
+                fenced = (
+                    link.fence(str(told["uid"]), int(told["epoch"])) if link is not None else None
+                )
             finally:
                 self._asking -= 1
             # Danger: a machine that does not remember all of its time says nothing about what it does not hold.
             up_us = fenced.up_us if fenced is not None and fenced.sure else 0
-            self._records.say(str(told["to"]), MachineSays(
-                int(told["number"]), str(told["machine"]), str(told["uid"]), fenced is not None,
-                bool(fenced.holds) if fenced is not None else False, up_us))
+            self._records.say(
+                str(told["to"]),
+                MachineSays(
+                    int(told["number"]),
+                    str(told["machine"]),
+                    str(told["uid"]),
+                    fenced is not None,
+                    bool(fenced.holds) if fenced is not None else False,
+                    up_us,
+                ),
+            )
+
         self._base.spawn(ask, "asks a machine")
 
     # -- this placer's own Jobs, once it has no say over them
@@ -255,7 +346,10 @@
         for job in self._holder.jobs.values():
             held = custody.jobs.get(job.uid) or custody.former.get(job.uid)
             if job.leased is not None and job.leased.session == text and held is not None:
-                had[job.uid] = Own(held.record, any(task.state in RUNNING for task in job.tasks)), job
+                had[job.uid] = (
+                    Own(held.record, any(task.state in RUNNING for task in job.tasks)),
+                    job,
+                )
         while len(self._given_up) > ENDED_MOST:
             del self._given_up[next(iter(self._given_up))]
         return {uid: own for uid, (own, _) in had.items()}
@@ -264,7 +358,12 @@
         """This session has ended: all that was held under it is a successor's to decide."""
         self._own(read_session(str(told["session"])))
         for job in list(self._holder.jobs.values()):
-            self.give_up(job, ENDED, "SessionEnded", f"the lease {told['session']} was ended, others may run it by now")
+            self.give_up(
+                job,
+                ENDED,
+                "SessionEnded",
+                f"the lease {told['session']} was ended, others may run it by now",
+            )
         self._board.flush()
 
     def _lost(self, told: Fields) -> None:
@@ -313,9 +412,16 @@
         self._base.counts["healed:" + str(told["fate"])] += 1
         for had in self._given_up.values():
             if uid in had and not had[uid][1].deleted:
-                by = f"{told['by']} has it at epoch {told['epoch']}" if told["by"] else "nobody has it"
+                by = (
+                    f"{told['by']} has it at epoch {told['epoch']}"
+                    if told["by"]
+                    else "nobody has it"
+                )
                 job = had[uid][1]
-                job.notes[TAKEN] = str(told["fate"]).title().replace(" ", ""), f"{by}; {told['why']}"
+                job.notes[TAKEN] = (
+                    str(told["fate"]).title().replace(" ", ""),
+                    f"{by}; {told['why']}",
+                )
                 self._board.mark(job)
         self._show_soon()
 
@@ -327,6 +433,7 @@
             def due() -> None:
                 self._showing = False
                 self._board.flush()
+
             self._base.hub.call_at(self._base.hub.now_us() + SHOWN_US, due)
 
     # -- what is found running
@@ -352,6 +459,13 @@
             self._base.counts["leases:strays stopped"] += 1
         elif (leased, sight.name) not in self._told and len(self._told) < 4096:
             self._told.add((leased, sight.name))
-            self._base.log("leased-stray", level="warning", machine=link.name, job=sight.job_key, pod=sight.name,
-                           session=leased, left="running" if unsafe else "until its lease passes")
+            self._base.log(
+                "leased-stray",
+                level="warning",
+                machine=link.name,
+                job=sight.job_key,
+                pod=sight.name,
+                session=leased,
+                left="running" if unsafe else "until its lease passes",
+            )
         return True
--- a/wingbarrow/core/turns.py
+++ b/wingbarrow/core/turns.py
@@ -27,7 +27,10 @@
 
 SECOND = 1_000_000
 LOOK_US = SECOND // 4
-ASK_US, SELDOM_US = SECOND, 5 * SECOND  # between words with a machine: by the one that is to, by the others
+ASK_US, SELDOM_US = (
+    SECOND,
+    5 * SECOND,
+)  # between words with a machine: by the one that is to, by the others
 WORD_US = 10 * SECOND  # a machine's word counts for so long
 LOST_US = 600 * SECOND  # a machine that vanished without a drain counts as lost for so long
 DEAF_US = 10 * SECOND  # one that is listed, and not reached for so long, counts as lost
@@ -60,9 +63,18 @@
 class MaintenanceSlots:
     """`rules`: those in force; `agreement` gives the state machine that placers agree by, once there is one."""
 
-    def __init__(self, base: Base, fleet: Fleet, machines: Machines, attempts: Attempts, stops: Stops,
-                 closing: Closing, side: TurnSide, agreement: Callable[[], Agreement | None],
-                 rules: Callable[[], RuleSet | None]) -> None:
+    def __init__(
+        self,
+        base: Base,
+        fleet: Fleet,
+        machines: Machines,
+        attempts: Attempts,
+        stops: Stops,
+        closing: Closing,
+        side: TurnSide,
+        agreement: Callable[[], Agreement | None],
+        rules: Callable[[], RuleSet | None],
+    ) -> None:
         self._base, self._fleet, self._machines, self._attempts = base, fleet, machines, attempts
         self._stops, self._closing, self.side = stops, closing, side
         self._agreement, self._rules = agreement, rules
@@ -99,7 +111,9 @@
     def word(self, number: int) -> str:
         """What the machine said last, as long as that counts."""
         talk = self._talks.get(number)
-        return talk.word if talk is not None and self._base.hub.now_us() - talk.at_us < WORD_US else ""
+        return (
+            talk.word if talk is not None and self._base.hub.now_us() - talk.at_us < WORD_US else ""
+        )
 
     def came_to(self, number: int) -> str:
         """What starts at a machine that this placer tries came to."""
@@ -114,10 +128,16 @@
         cells = Counter((each.zone, each.cell) for each in self._seen.values())
         now, agreement = self._base.hub.now_us(), self._agreement()
         bad = agreement.closures.now(now) if agreement is not None else frozenset()
-        lost = [(name, each.zone, each.cell) for name, each in self._seen.items() if name in bad or self._is_lost(
-            now, each, states.get(name))]
-        return View(tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())), tuple(sorted(lost)),
-                    self._used(list(states.values())))
+        lost = [
+            (name, each.zone, each.cell)
+            for name, each in self._seen.items()
+            if name in bad or self._is_lost(now, each, states.get(name))
+        ]
+        return View(
+            tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
+            tuple(sorted(lost)),
+            self._used(list(states.values())),
+        )
 
     def _is_lost(self, now: int, seen: _Seen, state: MachineState | None) -> bool:
         deaf = seen.deaf_us is not None and now - seen.deaf_us >= DEAF_US
@@ -130,8 +150,12 @@
         shares = []
         for which in (0, 1):
             size = sum(each.size[which] for each in states)
-            shares.append(sum(each.asked[which] for each in states) / (fill * size) if size else 0.0)
-        return max(0.0, *shares) * len(states)  # by estimate: a list may tell of more room than there is
+            shares.append(
+                sum(each.asked[which] for each in states) / (fill * size) if size else 0.0
+            )
+        return max(0.0, *shares) * len(
+            states
+        )  # by estimate: a list may tell of more room than there is
 
     def wants(self) -> Sequence[Wanted]:
         """What windows want by now, and machines that verdicts closed again and again."""
@@ -149,11 +173,15 @@
         self._wants = now, found
         return found
 
-    def noting(self, then: Callable[[str, api.Outcome | None], None]) -> Callable[[str, api.Outcome | None], None]:
+    def noting(
+        self, then: Callable[[str, api.Outcome | None], None]
+    ) -> Callable[[str, api.Outcome | None], None]:
         """Who is told what attempts came to, and tells somebody else."""
+
         def note(machine: str, outcome: api.Outcome | None) -> None:
             self.note(machine, outcome)
             then(machine, outcome)
+
         return note
 
     def note(self, machine: str, outcome: api.Outcome | None) -> None:
@@ -170,7 +198,9 @@
         """A grant told of other turns: close and open machines at once."""
         before, self._shut = self._shut, self.side.shut
         self._closing.pass_again(before ^ self._shut)
-        self._talks = {number: talk for number, talk in self._talks.items() if number in self.side.turns}
+        self._talks = {
+            number: talk for number, talk in self._talks.items() if number in self.side.turns
+        }
 
     def run(self) -> None:
         """Look at turns until cancelled."""
@@ -206,9 +236,16 @@
         """Tell the machine the turn's number, and hear what it says; all may, one is to."""
         link = self._machines.links.get(turn.machine)
         mine, talk = turn.hand == self.side.me, self._talks.setdefault(turn.number, _Talk())
-        if link is None or talk.out or self._calls >= CALLS_MOST or (turn.state == "back" and not mine):
+        if (
+            link is None
+            or talk.out
+            or self._calls >= CALLS_MOST
+            or (turn.state == "back" and not mine)
+        ):
             return
-        urgent = mine and (turn.state in ("closing", "empty") or (turn.state == "back" and talk.word != "open"))
+        urgent = mine and (
+            turn.state in ("closing", "empty") or (turn.state == "back" and talk.word != "open")
+        )
         if now - talk.asked_us < (ASK_US if urgent else SELDOM_US):
             return
         talk.asked_us, talk.out = now, True
@@ -224,6 +261,7 @@
                 talk.word, talk.at_us = word, self._base.hub.now_us()
             else:
                 self._base.counts["turns:no word"] += 1
+
         self._base.spawn(ask, f"turn {turn.number}")
 
     def _move(self, now: int) -> None:
@@ -233,7 +271,9 @@
             return  # Danger: what is stopped here while this placer may act on no rules could not be started elsewhere
         share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
         passed, self._earned_us = max(0, now - self._earned_us), now
-        self._allowance = min(max(1.0, share), self._allowance + share * passed / rules.plan.every_us)
+        self._allowance = min(
+            max(1.0, share), self._allowance + share * passed / rules.plan.every_us
+        )
         if self._allowance < 1 or not self._shut:
             return
         running = self._closing.own_running()
@@ -241,4 +281,6 @@
             for task in running.get(turn.machine, []) if turn.machine in self._shut else ():
                 if task.movable and not task.offered and self._allowance >= 1:
                     self._allowance -= 1
-                    self._closing.move_task(task.request, f"turn {turn.number} takes its machine out")
+                    self._closing.move_task(
+                        task.request, f"turn {turn.number} takes its machine out"
+                    )
--- a/wingbarrow/core/verdicts.py
+++ b/wingbarrow/core/verdicts.py
@@ -40,13 +40,20 @@
 
     def zones(self) -> Mapping[str, str]:
         """The hall of each machine that the list has running."""
-        return {name: entry.listed.zone for name, entry in self._fleet.held.items()
-                if entry.listed.phase is api.Phase.RUNNING}
+        return {
+            name: entry.listed.zone
+            for name, entry in self._fleet.held.items()
+            if entry.listed.phase is api.Phase.RUNNING
+        }
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
         """Verdicts can only take from what the list says; one on a machine's former life says nothing of this one."""
         agreement = self._agreement()
-        if entry.name not in self._closed or listed.phase is not api.Phase.RUNNING or agreement is None:
+        if (
+            entry.name not in self._closed
+            or listed.phase is not api.Phase.RUNNING
+            or agreement is None
+        ):
             return listed
         now = self._base.hub.now_us()
         if listed.launched_us > now - agreement.closures.age_us(now, entry.name):
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -20,7 +20,9 @@
 
     def __init__(self, is_out: Callable[[int], bool]) -> None:
         self._is_out = is_out
-        self._groups: dict[int, dict[int, TaskRecord]] = {}  # by bits of the patience: tasks by request, oldest first
+        self._groups: dict[
+            int, dict[int, TaskRecord]
+        ] = {}  # by bits of the patience: tasks by request, oldest first
 
     def add(self, task: TaskRecord) -> None:
         """Its present request was asked of the module."""
@@ -35,8 +37,11 @@
 
     def any_long(self, now_us: int) -> bool:
         """Whether a task without an attempt out has waited long, since its owner or its own loss asked for it."""
-        return any(self._waits_long(now_us, request, task) for group in self._groups.values()
-                   for request, task in islice(group.items(), LOOKED_AT))
+        return any(
+            self._waits_long(now_us, request, task)
+            for group in self._groups.values()
+            for request, task in islice(group.items(), LOOKED_AT)
+        )
 
     def _waits_long(self, now_us: int, request: int, task: TaskRecord) -> bool:
         if task.request != request or task.state is not State.ASKED or self._is_out(request):
--- a/wingbarrow/decide/again.py
+++ b/wingbarrow/decide/again.py
@@ -14,7 +14,9 @@
 
 MOVED_US = 50_000  # a moved task has been stopped: it may come again at once
 LOST_US = 200_000
-EVICTED_US = 1_000_000  # its machine ran out of memory: a short wait keeps it from coming straight back
+EVICTED_US = (
+    1_000_000  # its machine ran out of memory: a short wait keeps it from coming straight back
+)
 DOUBLINGS = 5
 KNOWN_US = 3_000_000  # a start this long before a life's last sign was answered in that life
 
@@ -42,11 +44,16 @@
 
 def end_of(reason: Reason) -> End:
     """The run's end by the machine's reason for giving it up."""
-    return {Reason.EVICTED: End.EVICTED, Reason.PUSHED_OUT: End.PUSHED_OUT,
-            Reason.SENT_AWAY: End.SENT_AWAY}.get(reason, End.LOST)
+    return {
+        Reason.EVICTED: End.EVICTED,
+        Reason.PUSHED_OUT: End.PUSHED_OUT,
+        Reason.SENT_AWAY: End.SENT_AWAY,
+    }.get(reason, End.LOST)
 
 
-def judge(end: End, effect: Effect, restarts_left: int, losses: int, seed: random.Random) -> Verdict:
+def judge(
+    end: End, effect: Effect, restarts_left: int, losses: int, seed: random.Random
+) -> Verdict:
     """`losses`: how often this task was lost or evicted already; waits double with them and are spread by half."""
     if end in (End.DONE, End.STOPPED):
         return Verdict(None, False)
--- a/wingbarrow/decide/backoff.py
+++ b/wingbarrow/decide/backoff.py
@@ -8,7 +8,9 @@
 class Backoff:
     """Pauses from `first_us` doubling to `most_us`, each spread over its upper half."""
 
-    def __init__(self, seed: random.Random, first_us: int = 100_000, most_us: int = 10_000_000) -> None:
+    def __init__(
+        self, seed: random.Random, first_us: int = 100_000, most_us: int = 10_000_000
+    ) -> None:
         self._seed = seed
         self._first, self._most = first_us, most_us
         self.failures = 0
--- a/wingbarrow/decide/coldshare.py
+++ b/wingbarrow/decide/coldshare.py
@@ -14,7 +14,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MACHINES_MOST = 16_384  # machines that are cold and were offered to at one time; beyond it nothing cold is sent
+MACHINES_MOST = (
+    16_384  # machines that are cold and were offered to at one time; beyond it nothing cold is sent
+)
 
 
 class Came(Enum):
@@ -33,7 +35,9 @@
     launched_us: int
     cold_until_us: int = 0
     came_us: deque[int] = field(default_factory=deque)
-    out: dict[str, bool] = field(default_factory=dict)  # offers not known to have come; True: given up
+    out: dict[str, bool] = field(
+        default_factory=dict
+    )  # offers not known to have come; True: given up
 
     def forget(self, before_us: int) -> None:
         while self.came_us and self.came_us[0] <= before_us:
@@ -85,8 +89,11 @@
             if offer in held.out:
                 held.out[offer] = True
         else:
-            known = [each for each, given_up in held.out.items()
-                     if each == offer or (given_up and came is Came.SPOKE)]
+            known = [
+                each
+                for each, given_up in held.out.items()
+                if each == offer or (given_up and came is Came.SPOKE)
+            ]
             for each in known:
                 del held.out[each]
             held.came_us.extend([now_us] * len(known))
--- a/wingbarrow/decide/crowd.py
+++ b/wingbarrow/decide/crowd.py
@@ -55,8 +55,14 @@
 
     def whom_to_close(self, guests: list[tuple[Guest, int]]) -> Guest | None:
         """Which of too many goes: never heard of, then unproven, then idle; of alike ones the oldest news."""
+
         def order(each: tuple[Guest, int]) -> tuple[bool, bool, bool, float]:
             guest, open_set_ups = each
-            return (open_set_ups > 0, guest.proven, guest.heard_us is not None,
-                    guest.born_us if guest.heard_us is None else guest.heard_us)
+            return (
+                open_set_ups > 0,
+                guest.proven,
+                guest.heard_us is not None,
+                guest.born_us if guest.heard_us is None else guest.heard_us,
+            )
+
         return min(guests, key=order, default=(None, inf))[0]
--- a/wingbarrow/decide/door.py
+++ b/wingbarrow/decide/door.py
@@ -11,9 +11,14 @@
 from enum import Enum
 
 TARGET_US = 200_000  # waits up to this are no sign of anything
-LAG_MOST_US, OWED_FREE = 150_000, 64  # later than this, with more answers owed than these: it takes in no more
+LAG_MOST_US, OWED_FREE = (
+    150_000,
+    64,
+)  # later than this, with more answers owed than these: it takes in no more
 LAG_US, COUNT_US = 40_000, 250_000  # a lag that shows; the pace of answers is counted so often
-INTERVAL_US = 500_000  # waits that were all longer for this time show a load that is too much, not a stall
+INTERVAL_US = (
+    500_000  # waits that were all longer for this time show a load that is too much, not a stall
+)
 RESERVE_PART = 8  # of the patience, at most, is kept back for a placer that runs late
 
 
@@ -53,7 +58,9 @@
         # more of it would make every answer late.
         if lag_us > LAG_MOST_US and owed > OWED_FREE:
             return TurnedAway(Why.OVERLOADED)
-        quiet = now_us - self._asked_us > INTERVAL_US  # nothing came for a while: no queue can have stood
+        quiet = (
+            now_us - self._asked_us > INTERVAL_US
+        )  # nothing came for a while: no queue can have stood
         self._asked_us = now_us
         if now_us - came_us <= TARGET_US:
             self._long_since_us = None
@@ -66,8 +73,15 @@
         # Danger (rule 1): taking in more than can be decided makes every answer late, not only the newest.
         return TurnedAway(Why.OVERLOADED) if now_us - self._long_since_us >= INTERVAL_US else None
 
-    def due_us(self, now_us: int, came_us: int, patience_us: int, lag_us: int, owed: int = 0,
-               answered: int = 0) -> int | TurnedAway:
+    def due_us(
+        self,
+        now_us: int,
+        came_us: int,
+        patience_us: int,
+        lag_us: int,
+        owed: int = 0,
+        answered: int = 0,
+    ) -> int | TurnedAway:
         """When the final answer is due, or why the Job is turned away; `answered`: final answers given so far.
 
         A placer that has lately run `lag_us` late keeps back that much, up to an eighth of the patience.
@@ -89,5 +103,7 @@
         if passed >= COUNT_US:
             fresh = (answered - self._counted) * 1e6 / passed
             # After a quiet while the pace is not known, and nothing is judged by it.
-            self._rate = 0.0 if passed > 8 * COUNT_US else (self._rate + fresh) / 2 if self._rate else fresh
+            self._rate = (
+                0.0 if passed > 8 * COUNT_US else (self._rate + fresh) / 2 if self._rate else fresh
+            )
             self._counted_us, self._counted = now_us, answered
--- a/wingbarrow/decide/draining.py
+++ b/wingbarrow/decide/draining.py
@@ -16,7 +16,9 @@
 SECOND = 1_000_000
 CANCELLED, WITHDRAWN = "cancelled by the operator", "its window was taken back"
 KEPT = 4_096  # ended drains that are remembered
-LOOK_AHEAD_US = 24 * 3600 * SECOND  # a machine closes for tasks that would outlive a start so far ahead
+LOOK_AHEAD_US = (
+    24 * 3600 * SECOND
+)  # a machine closes for tasks that would outlive a start so far ahead
 
 
 class Phase(Enum):
@@ -90,7 +92,9 @@
     for zone, running, drained in machines:
         total[zone] = total.get(zone, 0) + 1
         lost[zone] = lost.get(zone, 0) + (not running and not drained)
-    return frozenset(zone for zone, count in total.items() if lost[zone] and lost[zone] >= share * count)
+    return frozenset(
+        zone for zone, count in total.items() if lost[zone] and lost[zone] >= share * count
+    )
 
 
 class Drains:
@@ -103,7 +107,9 @@
         self._allowance = 0.0
         self._last_us: int | None = None
         self._calls = frozenset[str]()  # drains cancelled by an operator
-        self.by_turns = frozenset[str]()  # windows whose machines are closed in turns: here they are but foreseen
+        self.by_turns = frozenset[
+            str
+        ]()  # windows whose machines are closed in turns: here they are but foreseen
         self._barred = frozenset[str]()  # keys that placers agree to have taken back
 
     def take_policy(self, policy: Policy) -> None:
@@ -127,7 +133,7 @@
 
     def _forget(self) -> None:
         ended = [key for key, held in self.held.items() if held.phase in OVER]
-        for key in ended[:max(0, len(ended) - KEPT)]:
+        for key in ended[: max(0, len(ended) - KEPT)]:
             del self.held[key]
         self._calls &= frozenset(self.held)
 
@@ -156,8 +162,12 @@
             out = key in cancelled
             gone = held.drain.window not in windows
             if held.phase not in OVER and (out or gone):
-                self.held[key] = replace(held, phase=Phase.GIVEN_UP, since_us=now_us,
-                                         reason=CANCELLED if out else WITHDRAWN)
+                self.held[key] = replace(
+                    held,
+                    phase=Phase.GIVEN_UP,
+                    since_us=now_us,
+                    reason=CANCELLED if out else WITHDRAWN,
+                )
                 self._calls |= {key}
                 changed.append(self.held[key])
             elif key in self._calls and not out and not gone:
@@ -165,8 +175,14 @@
                 del self.held[key]
         return changed
 
-    def step(self, now_us: int, running: Mapping[str, list[Running]], zones: Mapping[str, str],
-             failed: frozenset[str], room: Mapping[str, bool]) -> Turn:
+    def step(
+        self,
+        now_us: int,
+        running: Mapping[str, list[Running]],
+        zones: Mapping[str, str],
+        failed: frozenset[str],
+        room: Mapping[str, bool],
+    ) -> Turn:
         """One turn at a wall time. `running`: own tasks by machine; `zones`: each machine's hall; `failed`: halls
         that have failed; `room`: whether what runs on a machine would find a home elsewhere now."""
         changed: list[Held] = []
@@ -181,8 +197,14 @@
                     del self.held[key]
                 continue
             machine = held.drain.machine
-            after = self._judge(held, now_us, running.get(machine, []), zones.get(machine, ""), failed,
-                                room.get(machine, True))
+            after = self._judge(
+                held,
+                now_us,
+                running.get(machine, []),
+                zones.get(machine, ""),
+                failed,
+                room.get(machine, True),
+            )
             if after.phase in (Phase.CLOSED, Phase.OUT):
                 # Danger: an answer that was on its way brings a task to a machine that counts as empty.
                 mine = self._moves(after, now_us, running.get(machine, []), room.get(machine, True))
@@ -194,7 +216,9 @@
                     changed.append(after)
                 self.held[key] = after
         live = [held for held in self.held.values() if held.phase not in OVER]
-        closed = frozenset(held.drain.machine for held in live if held.phase in (Phase.CLOSED, Phase.OUT))
+        closed = frozenset(
+            held.drain.machine for held in live if held.phase in (Phase.CLOSED, Phase.OUT)
+        )
         closing: dict[str, int] = {}
         for held in live:
             if held.phase is Phase.PLANNED and held.drain.start_us - now_us <= LOOK_AHEAD_US:
@@ -207,14 +231,24 @@
         passed = 0 if self._last_us is None else max(0, now_us - self._last_us)
         self._last_us = now_us
         share = self._policy.moves / self._placers
-        self._allowance = min(max(1.0, share), self._allowance + share * passed / self._policy.every_us)
-
-    def _judge(self, held: Held, now_us: int, tasks: list[Running], zone: str, failed: frozenset[str],
-               room: bool) -> Held:
+        self._allowance = min(
+            max(1.0, share), self._allowance + share * passed / self._policy.every_us
+        )
+
+    def _judge(
+        self,
+        held: Held,
+        now_us: int,
+        tasks: list[Running],
+        zone: str,
+        failed: frozenset[str],
+        room: bool,
+    ) -> Held:
         drain, policy = held.drain, self._policy
 
         def to(phase: Phase, reason: str = "") -> Held:
             return replace(held, phase=phase, since_us=now_us, reason=reason)
+
         elsewhere = failed - {zone}
         if held.phase is Phase.PLANNED:
             if now_us >= drain.end_us:
@@ -236,11 +270,15 @@
         stuck = [task for task in tasks if not task.movable and not task.offered]
         if now_us >= drain.start_us and stuck:
             if held.unsafe is UnsafePolicy.GIVE_UP:
-                return to(Phase.GIVEN_UP, f"{len(stuck)} task(s) that must not start twice still run")
+                return to(
+                    Phase.GIVEN_UP, f"{len(stuck)} task(s) that must not start twice still run"
+                )
             if held.unsafe is UnsafePolicy.WAIT:
                 # The window waits: it ends as much later as it begins.
                 length = drain.end_us - drain.start_us
-                return replace(held, late=True, drain=replace(drain, start_us=now_us, end_us=now_us + length))
+                return replace(
+                    held, late=True, drain=replace(drain, start_us=now_us, end_us=now_us + length)
+                )
             held = replace(held, late=True)
         if now_us >= drain.end_us:
             return to(Phase.GIVEN_UP, f"{len(tasks)} task(s) still run at the window's end")
@@ -251,8 +289,13 @@
         if not room:
             return []
         # What ends by itself before the window begins need not be moved.
-        candidates = [task for task in tasks if task.movable and not task.offered
-                      and (task.ends_us is None or task.ends_us > held.drain.start_us)]
+        candidates = [
+            task
+            for task in tasks
+            if task.movable
+            and not task.offered
+            and (task.ends_us is None or task.ends_us > held.drain.start_us)
+        ]
         candidates.sort(key=lambda task: (-(task.ends_us or 1 << 62), task.request))
         chosen: list[int] = []
         while candidates and self._allowance >= 1:
--- a/wingbarrow/decide/drains.py
+++ b/wingbarrow/decide/drains.py
@@ -37,8 +37,14 @@
     def most_out(self, total: int) -> int:
         """How many of `total` may be out; shares round up, of maxUnavailable and of minAvailable alike, as there."""
         if self.max_unavailable is not None:
-            return math.ceil(self.max_unavailable * total) if self.share else int(self.max_unavailable)
-        least = math.ceil((self.min_available or 0) * total) if self.share else int(self.min_available or 0)
+            return (
+                math.ceil(self.max_unavailable * total) if self.share else int(self.max_unavailable)
+            )
+        least = (
+            math.ceil((self.min_available or 0) * total)
+            if self.share
+            else int(self.min_available or 0)
+        )
         return max(0, total - least)
 
 
@@ -120,7 +126,9 @@
             for slot in range(low, high + 1):
                 self._count(span.machine, slot)
 
-    def _count(self, machine: MachineState, slot: int, keys: tuple[object, ...] | None = None) -> None:
+    def _count(
+        self, machine: MachineState, slot: int, keys: tuple[object, ...] | None = None
+    ) -> None:
         for key in keys or _keys(machine):
             self._out.setdefault(key, [0] * self.slots)[slot] += 1
         self._size[slot][0] += machine.size[0]
@@ -138,7 +146,9 @@
         """Cores and memory of the machines out in the slot."""
         return self._size[slot]
 
-    def take(self, machine: MachineState, slot: int, window: str, keys: tuple[object, ...]) -> _Span:
+    def take(
+        self, machine: MachineState, slot: int, window: str, keys: tuple[object, ...]
+    ) -> _Span:
         """Put a machine into a slot."""
         self._count(machine, slot, keys)
         begin = self.start + slot * self.each
@@ -147,9 +157,13 @@
         return span
 
 
-def plan(occurrences: Sequence[Occurrence], machines: Sequence[MachineState], rules: Rules) -> list[Drain]:
+def plan(
+    occurrences: Sequence[Occurrence], machines: Sequence[MachineState], rules: Rules
+) -> list[Drain]:
     """The drains of all occurrences, in order; each machine planned, or refused with the reason."""
-    fleet = sorted((machine for machine in machines if machine.running), key=lambda machine: machine.name)
+    fleet = sorted(
+        (machine for machine in machines if machine.running), key=lambda machine: machine.name
+    )
     totals = Counter[object]()
     for machine in fleet:
         totals.update(_keys(machine))
@@ -158,8 +172,10 @@
     asked = [sum(machine.asked[i] for machine in fleet) for i in (0, 1)]
     # What may be out in all, by size, before what is asked for no longer fits on the rest.
     spare = (size[0] - asked[0] / rules.fill, size[1] - asked[1] / rules.fill)
-    keyed = [(machine, keys, [(key, limits[key]) for key in keys if key in limits])
-             for machine, keys in ((machine, _keys(machine)) for machine in fleet)]
+    keyed = [
+        (machine, keys, [(key, limits[key]) for key in keys if key in limits])
+        for machine, keys in ((machine, _keys(machine)) for machine in fleet)
+    ]
     meant: dict[int, list[tuple[MachineState, tuple[object, ...], list[tuple[object, int]]]]] = {}
     active: list[_Span] = []
     drains: list[Drain] = []
@@ -170,20 +186,40 @@
         busy = {span.machine.name: span for span in active if span.start < occurrence.end_us}
         series = occurrence.series
         if id(series) not in meant:
-            meant[id(series)] = [each for each in keyed if any(
-                selector.matches(each[0].name, each[0].cell, each[0].zone, each[0].labels)
-                for selector in series.selectors)]
+            meant[id(series)] = [
+                each
+                for each in keyed
+                if any(
+                    selector.matches(each[0].name, each[0].cell, each[0].zone, each[0].labels)
+                    for selector in series.selectors
+                )
+            ]
         ident = occurrence.ident
         for machine, keys, limited in meant[id(series)]:
-            drains.append(_one(occurrence, ident, machine, banned, keys, limited, grid, spare,
-                               busy.get(machine.name)))
+            drains.append(
+                _one(
+                    occurrence,
+                    ident,
+                    machine,
+                    banned,
+                    keys,
+                    limited,
+                    grid,
+                    spare,
+                    busy.get(machine.name),
+                )
+            )
         active += grid.mine
     return drains
 
 
 def _keys(machine: MachineState) -> tuple[object, ...]:
-    return ((Scope.CELL, f"{machine.zone}/{machine.cell}"), (Scope.ZONE, machine.zone), (Scope.ALL, ""),
-            ("kind", machine.kind))
+    return (
+        (Scope.CELL, f"{machine.zone}/{machine.cell}"),
+        (Scope.ZONE, machine.zone),
+        (Scope.ALL, ""),
+        ("kind", machine.kind),
+    )
 
 
 def _limits(rules: Rules, totals: Counter[object]) -> dict[object, int]:
@@ -201,16 +237,35 @@
 
 
 def _blackout(occurrence: Occurrence, blackouts: Iterable[Blackout]) -> Blackout | None:
-    return next((each for each in blackouts if each.start_us <= occurrence.start_us < each.end_us), None)
-
-
-def _one(occurrence: Occurrence, ident: str, machine: MachineState, banned: Blackout | None, keys: tuple[object, ...],
-         limited: Sequence[tuple[object, int]], grid: _Grid, spare: tuple[float, float], busy: _Span | None) -> Drain:
+    return next(
+        (each for each in blackouts if each.start_us <= occurrence.start_us < each.end_us), None
+    )
+
+
+def _one(
+    occurrence: Occurrence,
+    ident: str,
+    machine: MachineState,
+    banned: Blackout | None,
+    keys: tuple[object, ...],
+    limited: Sequence[tuple[object, int]],
+    grid: _Grid,
+    spare: tuple[float, float],
+    busy: _Span | None,
+) -> Drain:
     series = occurrence.series
 
     def refused(reason: str) -> Drain:
-        return Drain(series.name, ident, machine.name, Fate.REFUSED, occurrence.start_us,
-                     occurrence.end_us, reason)
+        return Drain(
+            series.name,
+            ident,
+            machine.name,
+            Fate.REFUSED,
+            occurrence.start_us,
+            occurrence.end_us,
+            reason,
+        )
+
     if banned is not None:
         return refused(f"it would start within the blackout {banned.name!r}")
     if busy is not None:
--- a/wingbarrow/decide/federation/check.py
+++ b/wingbarrow/decide/federation/check.py
@@ -6,9 +6,31 @@
 from __future__ import annotations
 
 from wingbarrow.decide.federation.checkspec import SpecFaults
-from wingbarrow.decide.federation.faults import Fault, Known, Path, name_faults, near, region_faults, seconds, unfit
-from wingbarrow.decide.federation.form import AFTER_MOST_US, FEDERATION_MOST, NAME, NAME_WORDS, USES_MOST, write
-from wingbarrow.decide.federation.spec import DATASETS_MOST, REGIONS_MOST, SPECS_MOST, DataSet, Federation
+from wingbarrow.decide.federation.faults import (
+    Fault,
+    Known,
+    Path,
+    name_faults,
+    near,
+    region_faults,
+    seconds,
+    unfit,
+)
+from wingbarrow.decide.federation.form import (
+    AFTER_MOST_US,
+    FEDERATION_MOST,
+    NAME,
+    NAME_WORDS,
+    USES_MOST,
+    write,
+)
+from wingbarrow.decide.federation.spec import (
+    DATASETS_MOST,
+    REGIONS_MOST,
+    SPECS_MOST,
+    DataSet,
+    Federation,
+)
 from wingbarrow.decide.federation.together import circles, rooms
 
 __all__ = ["Fault", "Known", "Path", "check", "unfit"]
@@ -17,15 +39,19 @@
 def check(federation: Federation, known: Known) -> list[Fault]:
     """Everything that is wrong with a whole federation."""
     out: list[Fault] = []
-    for kind, most, names in (("federation", SPECS_MOST, [each.name for each in federation.specs]),
-                              ("dataset", DATASETS_MOST, [each.name for each in federation.datasets]),
-                              ("room", REGIONS_MOST, [each[0] for each in known.rooms])):
+    for kind, most, names in (
+        ("federation", SPECS_MOST, [each.name for each in federation.specs]),
+        ("dataset", DATASETS_MOST, [each.name for each in federation.datasets]),
+        ("room", REGIONS_MOST, [each[0] for each in known.rooms]),
+    ):
         if len(names) > most:
             out.append(Fault((kind, most), f"{kind}: more than {most}"))
         first: dict[str, int] = {}
         for at, name in enumerate(names):
             if name in first:
-                out.append(Fault((kind, at), f"{kind} {name!r} was given before", (kind, first[name])))
+                out.append(
+                    Fault((kind, at), f"{kind} {name!r} was given before", (kind, first[name]))
+                )
             first.setdefault(name, at)
     if len(known.regions) > REGIONS_MOST:
         out.append(Fault((), f"agree: more than {REGIONS_MOST} regions"))
@@ -44,8 +70,13 @@
     if not out:
         size = len(write(federation))
         if size > FEDERATION_MOST:
-            out.append(Fault((), f"federation: specs and data sets are {size} characters as placers agree on them; "
-                             f"{FEDERATION_MOST} are the most: shorter names, fewer copies told"))
+            out.append(
+                Fault(
+                    (),
+                    f"federation: specs and data sets are {size} characters as placers agree on them; "
+                    f"{FEDERATION_MOST} are the most: shorter names, fewer copies told",
+                )
+            )
     return out
 
 
@@ -62,8 +93,14 @@
         if region in (each for each, _ in dataset.copies[:at]):
             out.append(Fault(place, f"copy: region {region!r} is named twice"))
         if dataset.stays and region not in dataset.stays:
-            out.append(Fault(place, f"copy: {dataset.name!r} stays in {', '.join(dataset.stays)}, and a copy "
-                             f"stands in {region!r}", (*path, "stays")))
+            out.append(
+                Fault(
+                    place,
+                    f"copy: {dataset.name!r} stays in {', '.join(dataset.stays)}, and a copy "
+                    f"stands in {region!r}",
+                    (*path, "stays"),
+                )
+            )
         if behind_us > AFTER_MOST_US:
             out.append(Fault(place, f"copy: behind by more than {seconds(AFTER_MOST_US)}"))
     return out + region_faults((*path, "stays"), "stays", dataset.stays, known)
@@ -86,6 +123,15 @@
             continue
         why_not = unfit(spec, known.effects.get(task_class, ""), known.lease_us)
         if why_not:
-            out.append(Fault(path, f"class: {task_class!r} must not start twice, and federation {name!r} {why_not}",
-                             ("federation", names.index(name), "back" if "returns" in why_not else "failover")))
+            out.append(
+                Fault(
+                    path,
+                    f"class: {task_class!r} must not start twice, and federation {name!r} {why_not}",
+                    (
+                        "federation",
+                        names.index(name),
+                        "back" if "returns" in why_not else "failover",
+                    ),
+                )
+            )
     return out
--- a/wingbarrow/decide/federation/checkspec.py
+++ b/wingbarrow/decide/federation/checkspec.py
@@ -4,7 +4,15 @@
 
 from collections import Counter
 
-from wingbarrow.decide.federation.faults import Fault, Known, Path, name_faults, near, region_faults, seconds
+from wingbarrow.decide.federation.faults import (
+    Fault,
+    Known,
+    Path,
+    name_faults,
+    near,
+    region_faults,
+    seconds,
+)
 from wingbarrow.decide.federation.form import AFTER_MOST_US, CORES_MOST, MIB_MOST
 from wingbarrow.decide.federation.room import homes
 from wingbarrow.decide.federation.spec import NEEDS_MOST, Failover, Federation, Need, Spec, allowed
@@ -30,7 +38,9 @@
         spec = self.spec
         self.out += name_faults(self.path, "federation", spec.name)
         if not self.known.regions:
-            self.bad("", f"{spec.name!r} chooses among regions, and `agree` names none that has machines")
+            self.bad(
+                "", f"{spec.name!r} chooses among regions, and `agree` names none that has machines"
+            )
             return self.out
         self._places()
         if not spec.lower < spec.upper:
@@ -44,11 +54,17 @@
     def _places(self) -> None:
         spec = self.spec
         self._circle("prefer", spec.regions)
-        self.out += region_faults((*self.path, "prefer"), "prefer", tuple(dict.fromkeys(spec.regions)), self.known)
+        self.out += region_faults(
+            (*self.path, "prefer"), "prefer", tuple(dict.fromkeys(spec.regions)), self.known
+        )
         self.out += region_faults((*self.path, "forbid"), "forbid", spec.forbidden, self.known)
         for region in spec.forbidden:
             if region in spec.regions:
-                self.bad("forbid", f"region {region!r} is both allowed and forbidden", other=(*self.path, "prefer"))
+                self.bad(
+                    "forbid",
+                    f"region {region!r} is both allowed and forbidden",
+                    other=(*self.path, "prefer"),
+                )
         if not set(spec.regions) - set(spec.forbidden):
             self.bad("forbid" if spec.forbidden else "", "no region is left")
 
@@ -56,7 +72,7 @@
         """An order that names a region twice has it before itself."""
         for at, name in enumerate(names):
             if name in names[:at]:
-                way = " before ".join(repr(each) for each in names[names.index(name):at + 1])
+                way = " before ".join(repr(each) for each in names[names.index(name) : at + 1])
                 self.bad(part, f"an order in a circle: {way}", *more)
                 return
 
@@ -70,18 +86,35 @@
             if need.dataset in (each.dataset for each in spec.data[:at]):
                 self.bad("reads", f"data set {need.dataset!r} is read twice", at)
             if need.mib > MIB_MOST or need.behind_us > AFTER_MOST_US:
-                self.bad("reads", f"at most {MIB_MOST >> 30} Pi, and {seconds(AFTER_MOST_US)} behind", at)
+                self.bad(
+                    "reads", f"at most {MIB_MOST >> 30} Pi, and {seconds(AFTER_MOST_US)} behind", at
+                )
             if dataset is None:
-                self.bad("reads", f"no such data set: {need.dataset[:60]!r}{near(need.dataset, self.sets)}", at)
+                self.bad(
+                    "reads",
+                    f"no such data set: {need.dataset[:60]!r}{near(need.dataset, self.sets)}",
+                    at,
+                )
                 good = False
                 continue
             out = [each for each in spec.regions if dataset.stays and each not in dataset.stays]
             if out:
-                self.bad("reads", f"{need.dataset!r} stays in {', '.join(dataset.stays)}, and the spec allows "
-                         f"{', '.join(out)}", at, other=(*self.path, "prefer"))
-            elif need.near == "required" and not any(self._lacks(need, region) == "" for region in spec.regions):
+                self.bad(
+                    "reads",
+                    f"{need.dataset!r} stays in {', '.join(dataset.stays)}, and the spec allows "
+                    f"{', '.join(out)}",
+                    at,
+                    other=(*self.path, "prefer"),
+                )
+            elif need.near == "required" and not any(
+                self._lacks(need, region) == "" for region in spec.regions
+            ):
                 why = "; ".join(f"{region}: {self._lacks(need, region)}" for region in spec.regions)
-                self.bad("reads", f"required data {need.dataset!r} is nowhere where the spec allows ({why})", at)
+                self.bad(
+                    "reads",
+                    f"required data {need.dataset!r} is nowhere where the spec allows ({why})",
+                    at,
+                )
         if good and not allowed(spec, self.federation) and not self.out and spec.regions:
             self.bad("reads", "no region has all the data that is required", 0)
         return good
@@ -98,16 +131,19 @@
     def _failover(self, over: Failover, data: bool) -> None:
         spec, known = self.spec, self.known
         if over.after_us < known.lease_us:
-            self.bad("failover", f"after {seconds(over.after_us)} is shorter than the lease of "
-                     f"{seconds(known.lease_us)}: what is lost may still be running by right")
+            self.bad(
+                "failover",
+                f"after {seconds(over.after_us)} is shorter than the lease of "
+                f"{seconds(known.lease_us)}: what is lost may still be running by right",
+            )
         if max(over.after_us, over.refusing_us) > AFTER_MOST_US:
             self.bad("failover", f"{seconds(AFTER_MOST_US)} at most")
         if len(set(over.on)) < len(over.on):
             self.bad("failover", "one thing is named twice")
         if "refusing" in over.on and over.refusing_us < SECOND:
-            self.bad("failover", "on \"refusing\": for how long, refusing=\"1s\" or more?")
+            self.bad("failover", 'on "refusing": for how long, refusing="1s" or more?')
         if over.refusing_us and "refusing" not in over.on:
-            self.bad("failover", "refusing= is said, and it does not follow on \"refusing\"")
+            self.bad("failover", 'refusing= is said, and it does not follow on "refusing"')
         if over.cores > CORES_MOST or over.mib > MIB_MOST:
             self.bad("failover", f"at most {CORES_MOST} cores and {MIB_MOST >> 30} Pi")
         self._circle("failover", over.to, "to")
@@ -118,35 +154,54 @@
         can = allowed(spec, self.federation)
         for home in homes(spec, self.federation):
             if not set(spec.targets(home)) & set(can):
-                self.bad("failover", f"from {home!r} there is nowhere to go: allowed are {', '.join(can)}", "to")
+                self.bad(
+                    "failover",
+                    f"from {home!r} there is nowhere to go: allowed are {', '.join(can)}",
+                    "to",
+                )
                 return
         there = Counter(known.places.values())
         for region in can:
             keepers = sum(there[each] for each in can if each != region)
             if keepers < over.copies:
-                self.bad("failover", f"copies={over.copies}, and outside {region!r} the regions that are allowed have "
-                         f"{keepers} placer(s) that could keep one")
+                self.bad(
+                    "failover",
+                    f"copies={over.copies}, and outside {region!r} the regions that are allowed have "
+                    f"{keepers} placer(s) that could keep one",
+                )
                 return
 
     def _target(self, region: str, over: Failover) -> None:
         spec = self.spec
         if region not in self.known.regions:
-            self.out += region_faults((*self.path, "failover", "to"), "failover", (region,), self.known)
+            self.out += region_faults(
+                (*self.path, "failover", "to"), "failover", (region,), self.known
+            )
             return
         for need in spec.data:
             dataset = self.sets.get(need.dataset)
             if dataset is not None and dataset.stays and region not in dataset.stays:
-                self.bad("failover", f"to {region!r}, and {need.dataset!r}, which it reads, stays in "
-                         f"{', '.join(dataset.stays)}", "to")
+                self.bad(
+                    "failover",
+                    f"to {region!r}, and {need.dataset!r}, which it reads, stays in "
+                    f"{', '.join(dataset.stays)}",
+                    "to",
+                )
                 return
         if region in spec.forbidden or region not in spec.regions:
-            how, part = ("forbidden", "forbid") if region in spec.forbidden else ("not allowed", "prefer")
+            how, part = (
+                ("forbidden", "forbid") if region in spec.forbidden else ("not allowed", "prefer")
+            )
             self.bad("failover", f"to {region!r}, which is {how}", "to", other=(*self.path, part))
             return
         for need in spec.data:
             if need.dataset in self.sets and need.near == "required" and self._lacks(need, region):
-                self.bad("failover", f"to {region!r}, where required data {need.dataset!r} is not: "
-                         f"{self._lacks(need, region)}", "to")
+                self.bad(
+                    "failover",
+                    f"to {region!r}, where required data {need.dataset!r} is not: "
+                    f"{self._lacks(need, region)}",
+                    "to",
+                )
 
     def _back(self) -> None:
         spec, back = self.spec, self.spec.back
@@ -157,16 +212,27 @@
         if not spec.ranked or len(spec.regions) < 2:
             self.bad("back", "nothing to go back to: it prefers no region to another")
         if back.when == "stable" and back.stable_us < max(self.known.lease_us, 1):
-            self.bad("back", f"\"stable\" after {seconds(back.stable_us)} is shorter than the lease of "
-                     f"{seconds(self.known.lease_us)}: a region that flaps would have its work to and fro")
+            self.bad(
+                "back",
+                f'"stable" after {seconds(back.stable_us)} is shorter than the lease of '
+                f"{seconds(self.known.lease_us)}: a region that flaps would have its work to and fro",
+            )
         if back.stable_us > AFTER_MOST_US:
             self.bad("back", f"{seconds(AFTER_MOST_US)} at most")
         to = spec.failover.to if spec.failover is not None else ()
         rank = {region: at for at, region in enumerate(spec.regions)}
         for at, region in enumerate(to):
-            later = [each for each in to[at + 1:] if rank.get(each, at) < rank.get(region, at)
-                     and set(spec.regions) - {each, region}]  # from a third region both are to be had
+            later = [
+                each
+                for each in to[at + 1 :]
+                if rank.get(each, at) < rank.get(region, at) and set(spec.regions) - {each, region}
+            ]  # from a third region both are to be had
             if later:
-                self.bad("failover", f"orders in a circle: it goes over to {region!r} before {later[0]!r}, and back to "
-                         f"{later[0]!r}, which it prefers", "to", other=(*self.path, "prefer"))
+                self.bad(
+                    "failover",
+                    f"orders in a circle: it goes over to {region!r} before {later[0]!r}, and back to "
+                    f"{later[0]!r}, which it prefers",
+                    "to",
+                    other=(*self.path, "prefer"),
+                )
                 return
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -30,7 +30,11 @@
 
 def _targets(spec: Spec) -> frozenset[str]:
     over = spec.failover
-    return named_regions(spec) & frozenset(over.to) if over is not None and over.to else named_regions(spec)
+    return (
+        named_regions(spec) & frozenset(over.to)
+        if over is not None and over.to
+        else named_regions(spec)
+    )
 
 
 def _follows(spec: Spec) -> bool:
@@ -46,10 +50,15 @@
     if not named_regions(a):
         return True
     needs = {each.dataset: each for each in a.data}
-    return (named_regions(a) <= named_regions(b)
-            and all(each.dataset in needs and _need_within(needs[each.dataset], each) for each in b.data)
-            and _failover_within(a, b) and _back_within(a.back, b.back)
-            and CUTS.index(a.on_cut) <= CUTS.index(b.on_cut))
+    return (
+        named_regions(a) <= named_regions(b)
+        and all(
+            each.dataset in needs and _need_within(needs[each.dataset], each) for each in b.data
+        )
+        and _failover_within(a, b)
+        and _back_within(a.back, b.back)
+        and CUTS.index(a.on_cut) <= CUTS.index(b.on_cut)
+    )
 
 
 def _need_within(a: Need, b: Need) -> bool:
@@ -64,13 +73,20 @@
     if one.copies < other.copies:
         return False
     return not _follows(a) or (
-        set(one.on) <= set(other.on) and one.after_us >= other.after_us and one.room <= other.room
-        and _targets(a) <= _targets(b) and ("refusing" not in one.on or one.refusing_us >= other.refusing_us))
+        set(one.on) <= set(other.on)
+        and one.after_us >= other.after_us
+        and one.room <= other.room
+        and _targets(a) <= _targets(b)
+        and ("refusing" not in one.on or one.refusing_us >= other.refusing_us)
+    )
 
 
 def _back_within(a: Back, b: Back) -> bool:
-    return a.when == "never" or (RETURNS.index(a.when) <= RETURNS.index(b.when) and a.stable_us >= b.stable_us
-                                 and a.pace <= b.pace)
+    return a.when == "never" or (
+        RETURNS.index(a.when) <= RETURNS.index(b.when)
+        and a.stable_us >= b.stable_us
+        and a.pace <= b.pace
+    )
 
 
 def spec_meet(a: Spec, b: Spec, name: str) -> Spec:
@@ -81,10 +97,18 @@
         other = needs.get(each.dataset, each)
         needs[each.dataset] = _need_meet(each, other)
     ranked = [each for each in (a, b) if each.ranked]
-    return Spec(name, _between([each.regions for each in ranked], both) if ranked else tuple(sorted(both)),
-                tuple(sorted({*a.forbidden, *b.forbidden})), tuple(needs.values()), _failover_meet(a, b),
-                _back_meet(a.back, b.back), CUTS[min(CUTS.index(a.on_cut), CUTS.index(b.on_cut))],
-                min(a.lower, b.lower), min(a.upper, b.upper), ranked=bool(ranked))
+    return Spec(
+        name,
+        _between([each.regions for each in ranked], both) if ranked else tuple(sorted(both)),
+        tuple(sorted({*a.forbidden, *b.forbidden})),
+        tuple(needs.values()),
+        _failover_meet(a, b),
+        _back_meet(a.back, b.back),
+        CUTS[min(CUTS.index(a.on_cut), CUTS.index(b.on_cut))],
+        min(a.lower, b.lower),
+        min(a.upper, b.upper),
+        ranked=bool(ranked),
+    )
 
 
 def _between(orders: list[tuple[str, ...]], names: frozenset[str]) -> tuple[str, ...]:
@@ -94,8 +118,12 @@
 
 def _need_meet(a: Need, b: Need) -> Need:
     required = [each for each in (a, b) if each.near == "required"]
-    return Need(a.dataset, "required" if required else "wanted", max(a.mib, b.mib),
-                min(each.behind_us for each in required or (a, b)))
+    return Need(
+        a.dataset,
+        "required" if required else "wanted",
+        max(a.mib, b.mib),
+        min(each.behind_us for each in required or (a, b)),
+    )
 
 
 def _failover_meet(a: Spec, b: Spec) -> Failover | None:
@@ -110,14 +138,25 @@
         return Failover((), 0, copies=copies)
     told = [each.to for each in (one, other) if each.to]
     refusing = [each.refusing_us for each in (one, other) if "refusing" in each.on]
-    return Failover(on, max(one.after_us, other.after_us), _between(told, targets) if told else (),
-                    min(one.room, other.room), max(refusing, default=0), copies, max(one.cores, other.cores),
-                    max(one.mib, other.mib))
+    return Failover(
+        on,
+        max(one.after_us, other.after_us),
+        _between(told, targets) if told else (),
+        min(one.room, other.room),
+        max(refusing, default=0),
+        copies,
+        max(one.cores, other.cores),
+        max(one.mib, other.mib),
+    )
 
 
 def _back_meet(a: Back, b: Back) -> Back:
     when = RETURNS[min(RETURNS.index(a.when), RETURNS.index(b.when))]
-    return Back(when, max(a.stable_us, b.stable_us), min(a.pace, b.pace)) if when != "never" else Back()
+    return (
+        Back(when, max(a.stable_us, b.stable_us), min(a.pace, b.pace))
+        if when != "never"
+        else Back()
+    )
 
 
 # -- data sets
@@ -126,18 +165,28 @@
 def dataset_within(a: DataSet, b: DataSet) -> bool:
     """Whether work may be near `a`, and `a` be taken, only where that holds of `b`."""
     held = dict(b.copies)
-    return (all(region in held and behind_us >= held[region] for region, behind_us in a.copies)
-            and (not b.stays or (bool(a.stays) and set(a.stays) <= set(b.stays))))
+    return all(region in held and behind_us >= held[region] for region, behind_us in a.copies) and (
+        not b.stays or (bool(a.stays) and set(a.stays) <= set(b.stays))
+    )
 
 
 def dataset_meet(a: DataSet, b: DataSet) -> DataSet | None:
     """Copies that both know of, as far behind as either says, and where both let it go; None where that is nowhere."""
     held = dict(b.copies)
-    stays = tuple(sorted(set(a.stays) & set(b.stays))) if a.stays and b.stays else a.stays or b.stays
+    stays = (
+        tuple(sorted(set(a.stays) & set(b.stays))) if a.stays and b.stays else a.stays or b.stays
+    )
     if a.stays and b.stays and not stays:
         return None  # what reads it is refused; an empty `stays` would let it go anywhere
-    return DataSet(a.name, tuple((region, max(behind_us, held[region])) for region, behind_us in a.copies
-                                 if region in held), stays)
+    return DataSet(
+        a.name,
+        tuple(
+            (region, max(behind_us, held[region]))
+            for region, behind_us in a.copies
+            if region in held
+        ),
+        stays,
+    )
 
 
 # -- the whole
@@ -171,29 +220,46 @@
 def meet(a: Federation, b: Federation) -> Federation:
     """What both allow. A class whose spec is another in each goes by what both specs allow, under a name of its own."""
     mine, theirs = _nameable(a), _nameable(b)
-    specs = {name: spec_meet(mine[name], theirs[name], name) for name in mine.keys() & theirs.keys()}
+    specs = {
+        name: spec_meet(mine[name], theirs[name], name) for name in mine.keys() & theirs.keys()
+    }
     datasets = (dataset_meet(each, b.sets[each.name]) for each in a.datasets if each.name in b.sets)
     uses: dict[str, str] = {}
     for task_class in a.used.keys() | b.used.keys():
         names = {each.used.get(task_class, "") for each in (a, b)}
         uses[task_class] = next(iter(names)) if len(names) == 1 else BOTH + task_class
         if uses[task_class].startswith(BOTH):
-            specs[uses[task_class]] = _class_meet(a.spec_for(task_class), b.spec_for(task_class), uses[task_class])
-    return normal(Federation(tuple(specs.values()), tuple(each for each in datasets if each is not None),
-                             tuple(uses.items())))
+            specs[uses[task_class]] = _class_meet(
+                a.spec_for(task_class), b.spec_for(task_class), uses[task_class]
+            )
+    return normal(
+        Federation(
+            tuple(specs.values()),
+            tuple(each for each in datasets if each is not None),
+            tuple(uses.items()),
+        )
+    )
 
 
 def _class_meet(a: Spec | None, b: Spec | None, name: str) -> Spec:
     if a is not None and b is not None:
         return spec_meet(a, b, name)
     one = a or b or Spec(name, ())
-    return replace(one, name=name, back=Back(), failover=one.failover and Failover((), 0, copies=one.failover.copies))
+    return replace(
+        one,
+        name=name,
+        back=Back(),
+        failover=one.failover and Failover((), 0, copies=one.failover.copies),
+    )
 
 
 def differences(a: Federation, b: Federation) -> list[str]:
     """What is another in `b`, in words, a line each."""
     out: list[str] = []
-    for what, one, other in (("federation spec", a.specs, b.specs), ("data set", a.datasets, b.datasets)):
+    for what, one, other in (
+        ("federation spec", a.specs, b.specs),
+        ("data set", a.datasets, b.datasets),
+    ):
         old: dict[str, Spec | DataSet] = {each.name: each for each in one}
         new: dict[str, Spec | DataSet] = {each.name: each for each in other}
         for name in sorted(old.keys() | new.keys()):
@@ -201,9 +267,15 @@
             if before is None or after is None:
                 out.append(f"{what} {name}: {'new' if before is None else 'gone'}")
             else:
-                out += [f"{what} {name}, {each.name.removesuffix('_us')}: {getattr(before, each.name)} -> "
-                        f"{getattr(after, each.name)}" for each in fields(before)
-                        if getattr(before, each.name) != getattr(after, each.name)]
+                out += [
+                    f"{what} {name}, {each.name.removesuffix('_us')}: {getattr(before, each.name)} -> "
+                    f"{getattr(after, each.name)}"
+                    for each in fields(before)
+                    if getattr(before, each.name) != getattr(after, each.name)
+                ]
     mine, theirs = a.used, b.used
-    return out + [f"class {each} goes by: {mine.get(each, 'no spec')} -> {theirs.get(each, 'no spec')}"
-                  for each in sorted(mine.keys() | theirs.keys()) if mine.get(each) != theirs.get(each)]
+    return out + [
+        f"class {each} goes by: {mine.get(each, 'no spec')} -> {theirs.get(each, 'no spec')}"
+        for each in sorted(mine.keys() | theirs.keys())
+        if mine.get(each) != theirs.get(each)
+    ]
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -54,10 +54,14 @@
     if effect != "unsafe":
         return ""
     if over is not None and "refusing" in over.on:
-        return "fails over on \"refusing\", a suspicion: what must not start twice moves on proof alone"
+        return (
+            'fails over on "refusing", a suspicion: what must not start twice moves on proof alone'
+        )
     if over is not None and over.on and over.after_us < proof_us(lease_us):
-        return (f"fails over after {seconds(over.after_us)}, before it is proved that the lease is over: "
-                f"{seconds(proof_us(lease_us))} at the least")
+        return (
+            f"fails over after {seconds(over.after_us)}, before it is proved that the lease is over: "
+            f"{seconds(proof_us(lease_us))} at the least"
+        )
     if spec.back.when == "stable":
         return "returns by moving what runs, and what must not start twice is never moved"
     return ""
@@ -76,8 +80,10 @@
 
 def name_faults(path: Path, what: str, name: str) -> list[Fault]:
     """Whether a name can be written as placers agree on it; those with a colon are made here."""
-    good = NAME.fullmatch(name) and (":" not in name or (what == "federation" and name.startswith(CLASS)
-                                                         and ":" not in name[len(CLASS):]))
+    good = NAME.fullmatch(name) and (
+        ":" not in name
+        or (what == "federation" and name.startswith(CLASS) and ":" not in name[len(CLASS) :])
+    )
     return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_WORDS} are wanted")]
 
 
@@ -88,7 +94,12 @@
         if name in known.bare:
             out.append(Fault(path, f"{what}: region {name!r} has no machines"))
         elif name not in known.regions:
-            out.append(Fault(path, f"{what}: no such region in `agree`: {name[:60]!r}{near(name, known.regions)}"))
+            out.append(
+                Fault(
+                    path,
+                    f"{what}: no such region in `agree`: {name[:60]!r}{near(name, known.regions)}",
+                )
+            )
         if name in names[:at]:
             out.append(Fault(path, f"{what}: region {name!r} is named twice"))
     return out
--- a/wingbarrow/decide/federation/form.py
+++ b/wingbarrow/decide/federation/form.py
@@ -39,7 +39,9 @@
 MIB_MOST = 1 << 40
 CORES_MOST = 10_000_000
 _UNITS = (("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1))
-_KEPT = 8  # federations whose text and form are not worked out again: those in force, and those to come
+_KEPT = (
+    8  # federations whose text and form are not worked out again: those in force, and those to come
+)
 Some = Callable[[str], tuple[str, ...]]
 _TIME = re.compile(r"(0|[1-9]\d{0,17})(h|ms|us|m|s)")
 
@@ -51,9 +53,11 @@
 @lru_cache(maxsize=_KEPT)
 def normal(federation: Federation) -> Federation:
     """The one form of the same federation: all in order, figures without a meaning left out."""
-    made = Federation(tuple(sorted(_normal_spec(each) for each in federation.specs)),
-                      tuple(sorted(_normal_dataset(each) for each in federation.datasets)),
-                      tuple(sorted(federation.uses)))
+    made = Federation(
+        tuple(sorted(_normal_spec(each) for each in federation.specs)),
+        tuple(sorted(_normal_dataset(each) for each in federation.datasets)),
+        tuple(sorted(federation.uses)),
+    )
     return federation if made == federation else made
 
 
@@ -63,7 +67,11 @@
 
 def _normal_dataset(dataset: DataSet) -> DataSet:
     copies, stays = tuple(sorted(dataset.copies)), _set(dataset.stays)
-    return dataset if (copies, stays) == (dataset.copies, dataset.stays) else DataSet(dataset.name, copies, stays)
+    return (
+        dataset
+        if (copies, stays) == (dataset.copies, dataset.stays)
+        else DataSet(dataset.name, copies, stays)
+    )
 
 
 def _normal_spec(spec: Spec) -> Spec:
@@ -78,8 +86,18 @@
     if back.when == "never":
         back = Back()
     ranked = spec.ranked or len(spec.regions) < 2
-    return Spec(spec.name, spec.regions if ranked else tuple(sorted(spec.regions)), _set(spec.forbidden),
-                tuple(sorted(spec.data)), failover, back, spec.on_cut, spec.lower, spec.upper, ranked)
+    return Spec(
+        spec.name,
+        spec.regions if ranked else tuple(sorted(spec.regions)),
+        _set(spec.forbidden),
+        tuple(sorted(spec.data)),
+        failover,
+        back,
+        spec.on_cut,
+        spec.lower,
+        spec.upper,
+        ranked,
+    )
 
 
 # -- writing
@@ -95,26 +113,58 @@
 @lru_cache(maxsize=_KEPT)
 def write(federation: Federation) -> str:
     """The text of a federation in its normal form; "" for an empty one."""
-    regions = sorted({region for each in federation.specs for region in (
-        *each.regions, *each.forbidden, *(each.failover.to if each.failover else ()))}
-        | {region for each in federation.datasets for region in (*(name for name, _ in each.copies), *each.stays)})
+    regions = sorted(
+        {
+            region
+            for each in federation.specs
+            for region in (
+                *each.regions,
+                *each.forbidden,
+                *(each.failover.to if each.failover else ()),
+            )
+        }
+        | {
+            region
+            for each in federation.datasets
+            for region in (*(name for name, _ in each.copies), *each.stays)
+        }
+    )
     at = {region: str(number) for number, region in enumerate(regions)}
 
     def some(names: tuple[str, ...]) -> str:
         return ",".join(at[name] for name in names) or "-"
+
     out = ["R " + " ".join(regions)] if regions else []
     for dataset in federation.datasets:
-        copies = ",".join(f"{at[region]}={_time(behind_us)}" for region, behind_us in dataset.copies) or "-"
+        copies = (
+            ",".join(f"{at[region]}={_time(behind_us)}" for region, behind_us in dataset.copies)
+            or "-"
+        )
         out.append(f"D {dataset.name} {copies} {some(dataset.stays)}")
     for spec in federation.specs:
-        data = ",".join(f"{each.dataset}/{each.near[0]}/{each.mib}/{_time(each.behind_us)}" for each in spec.data)
+        data = ",".join(
+            f"{each.dataset}/{each.near[0]}/{each.mib}/{_time(each.behind_us)}"
+            for each in spec.data
+        )
         over, back, way = spec.failover, spec.back, "-"
         if over is not None:
-            way = "/".join(("".join(each[0] for each in over.on) or "-", _time(over.after_us), some(over.to),
-                            str(over.room), _time(over.refusing_us), str(over.copies), str(over.cores), str(over.mib)))
-        out.append(f"S {spec.name} {some(spec.regions)} {some(spec.forbidden)} {data or '-'} {way} "
-                   f"{back.when[0]}/{_time(back.stable_us)}/{back.pace} {spec.on_cut[0]} {spec.lower} {spec.upper} "
-                   f"{'r' if spec.ranked else 'u'}")
+            way = "/".join(
+                (
+                    "".join(each[0] for each in over.on) or "-",
+                    _time(over.after_us),
+                    some(over.to),
+                    str(over.room),
+                    _time(over.refusing_us),
+                    str(over.copies),
+                    str(over.cores),
+                    str(over.mib),
+                )
+            )
+        out.append(
+            f"S {spec.name} {some(spec.regions)} {some(spec.forbidden)} {data or '-'} {way} "
+            f"{back.when[0]}/{_time(back.stable_us)}/{back.pace} {spec.on_cut[0]} {spec.lower} {spec.upper} "
+            f"{'r' if spec.ranked else 'u'}"
+        )
     out += [f"U {task_class} {name}" for task_class, name in federation.uses]
     return "".join(each + ";" for each in out)
 
@@ -148,7 +198,9 @@
 def read(text: str) -> Federation:
     """A federation from its text; BadFederation says what is wrong. What it names need not be there."""
     if len(text) > FEDERATION_MOST:
-        raise BadFederation(f"{len(text)} characters of specs and data sets; {FEDERATION_MOST} are the most")
+        raise BadFederation(
+            f"{len(text)} characters of specs and data sets; {FEDERATION_MOST} are the most"
+        )
     regions: list[str] = []
     specs: list[Spec] = []
     datasets: list[DataSet] = []
@@ -156,6 +208,7 @@
 
     def some(part: str) -> tuple[str, ...]:
         return () if part == "-" else tuple(regions[_read_number(each)] for each in part.split(","))
+
     try:
         if text and not text.endswith(";"):
             raise BadFederation("cut off")
@@ -165,9 +218,18 @@
                 regions += parts
             elif kind == "D":
                 name, copies, stays = parts
-                datasets.append(DataSet(name, () if copies == "-" else tuple(
-                    (regions[_read_number(at)], _read_time(behind)) for at, _, behind in (
-                        each.partition("=") for each in copies.split(","))), some(stays)))
+                datasets.append(
+                    DataSet(
+                        name,
+                        ()
+                        if copies == "-"
+                        else tuple(
+                            (regions[_read_number(at)], _read_time(behind))
+                            for at, _, behind in (each.partition("=") for each in copies.split(","))
+                        ),
+                        some(stays),
+                    )
+                )
             elif kind == "S":
                 specs.append(_read_spec(parts, some))
             elif kind == "U":
@@ -191,17 +253,40 @@
     failover = None
     if way != "-":
         on, after, to, room, refusing, copies, cores, mib = way.split("/")
-        failover = Failover(() if on == "-" else tuple(_letter(each, ON) for each in on), _read_time(after), some(to),
-                            _read_number(room), _read_time(refusing), _read_number(copies), _read_number(cores),
-                            _read_number(mib))
+        failover = Failover(
+            () if on == "-" else tuple(_letter(each, ON) for each in on),
+            _read_time(after),
+            some(to),
+            _read_number(room),
+            _read_time(refusing),
+            _read_number(copies),
+            _read_number(cores),
+            _read_number(mib),
+        )
     needs = []
     for each in data.split(",") if data != "-" else ():
         dataset, near, much, behind = each.split("/")
-        needs.append(Need(dataset, _letter(near, ("wanted", "required")), _read_number(much), _read_time(behind)))
+        needs.append(
+            Need(
+                dataset,
+                _letter(near, ("wanted", "required")),
+                _read_number(much),
+                _read_time(behind),
+            )
+        )
     when, stable, pace = back.split("/")
-    return Spec(name, some(regions), some(forbidden), tuple(needs), failover,
-                Back(_letter(when, RETURNS), _read_time(stable), _read_number(pace)), _letter(cut, CUTS),
-                _read_number(lower), _read_number(upper), _letter(ranked, ("ranked", "unranked")) == "ranked")
+    return Spec(
+        name,
+        some(regions),
+        some(forbidden),
+        tuple(needs),
+        failover,
+        Back(_letter(when, RETURNS), _read_time(stable), _read_number(pace)),
+        _letter(cut, CUTS),
+        _read_number(lower),
+        _read_number(upper),
+        _letter(ranked, ("ranked", "unranked")) == "ranked",
+    )
 
 
 @lru_cache(maxsize=_KEPT)
@@ -212,30 +297,51 @@
     def want(good: bool, words: str) -> None:
         if not good:
             out.append(words)
+
     want(len(federation.specs) <= SPECS_MOST + USES_MOST, f"more than {SPECS_MOST} specs")
     want(len(federation.datasets) <= DATASETS_MOST, f"more than {DATASETS_MOST} data sets")
     want(len(federation.uses) <= USES_MOST, f"more than {USES_MOST} classes with a spec")
-    names = {*(each.name for each in federation.specs), *(each.name for each in federation.datasets),
-             *(name for pair in federation.uses for name in pair)}
+    names = {
+        *(each.name for each in federation.specs),
+        *(each.name for each in federation.datasets),
+        *(name for pair in federation.uses for name in pair),
+    }
     regions = set()
     for spec in federation.specs:
         over = spec.failover
         regions |= {*spec.regions, *spec.forbidden, *(over.to if over else ())}
         names |= {each.dataset for each in spec.data}
-        good = (_once(spec.regions) and _once(tuple(each.dataset for each in spec.data))
-                and len(spec.data) <= 2 * NEEDS_MOST and 0 <= spec.lower < spec.upper <= 100
-                and all(0 <= each.mib <= MIB_MOST and 0 <= each.behind_us <= AFTER_MOST_US for each in spec.data)
-                and 0 <= spec.back.stable_us <= AFTER_MOST_US and 1 <= spec.back.pace <= 1000)
+        good = (
+            _once(spec.regions)
+            and _once(tuple(each.dataset for each in spec.data))
+            and len(spec.data) <= 2 * NEEDS_MOST
+            and 0 <= spec.lower < spec.upper <= 100
+            and all(
+                0 <= each.mib <= MIB_MOST and 0 <= each.behind_us <= AFTER_MOST_US
+                for each in spec.data
+            )
+            and 0 <= spec.back.stable_us <= AFTER_MOST_US
+            and 1 <= spec.back.pace <= 1000
+        )
         if over is not None:
-            good = (good and _once(over.to) and 0 <= over.after_us <= AFTER_MOST_US and 1 <= over.room <= 100
-                    and 0 <= over.refusing_us <= AFTER_MOST_US and 1 <= over.copies <= COPIES_MOST
-                    and 0 <= over.cores <= CORES_MOST and 0 <= over.mib <= MIB_MOST)
+            good = (
+                good
+                and _once(over.to)
+                and 0 <= over.after_us <= AFTER_MOST_US
+                and 1 <= over.room <= 100
+                and 0 <= over.refusing_us <= AFTER_MOST_US
+                and 1 <= over.copies <= COPIES_MOST
+                and 0 <= over.cores <= CORES_MOST
+                and 0 <= over.mib <= MIB_MOST
+            )
         want(good, f"spec {spec.name[:60]}: a name twice, or a figure out of its bounds")
     for dataset in federation.datasets:
         regions |= {*(region for region, _ in dataset.copies), *dataset.stays}
-        want(_once(tuple(region for region, _ in dataset.copies))
-             and all(0 <= behind <= AFTER_MOST_US for _, behind in dataset.copies),
-             f"data set {dataset.name[:60]}: a region twice, or a figure out of its bounds")
+        want(
+            _once(tuple(region for region, _ in dataset.copies))
+            and all(0 <= behind <= AFTER_MOST_US for _, behind in dataset.copies),
+            f"data set {dataset.name[:60]}: a region twice, or a figure out of its bounds",
+        )
     want(len(regions) <= 2 * REGIONS_MOST, f"more than {REGIONS_MOST} regions")
     bad = sorted(name for name in names | regions if not NAME.fullmatch(name))
     want(not bad, f"{bad[0][:60] if bad else ''!r}: a name of {NAME_WORDS} is wanted")
--- a/wingbarrow/decide/federation/moving.py
+++ b/wingbarrow/decide/federation/moving.py
@@ -35,8 +35,13 @@
     why: str
 
 
-def moves(runs: Iterable[Run], federation: Federation, here: str, news: Mapping[str, RegionNews],
-          under_way: Mapping[str, int]) -> list[Move]:
+def moves(
+    runs: Iterable[Run],
+    federation: Federation,
+    here: str,
+    news: Mapping[str, RegionNews],
+    under_way: Mapping[str, int],
+) -> list[Move]:
     """What goes now; `under_way` counts by spec those that were told to go and do not stand elsewhere yet.
 
     Room that a move will take counts as taken for the next one: news is older than that.
@@ -50,13 +55,19 @@
         if spec is None or run.effect != "safe" or on_way[spec.name] >= spec.back.pace:
             continue
         why = "back"
-        if own is not None and own.closed and due(spec, "closed", spec.failover.after_us if spec.failover else 0):
+        if (
+            own is not None
+            and own.closed
+            and due(spec, "closed", spec.failover.after_us if spec.failover else 0)
+        ):
             why = "closed"  # closing is planned: it has been told, and waits for nothing
         elif own is not None and due(spec, "refusing", own.refusing_us):
             why = "refusing"
         elif spec.back.when == "never":
             continue
-        wanted = Wanted(run.cores, run.memory, run.effect, here, "back" if why == "back" else "failover")
+        wanted = Wanted(
+            run.cores, run.memory, run.effect, here, "back" if why == "back" else "failover"
+        )
         region = choose(spec, federation, wanted, left, 1.0).region
         if not region or region == here:
             continue
@@ -65,5 +76,7 @@
         out.append(Move(run.number, region, why))
         on_way[spec.name] += 1
         there = left[region]
-        left[region] = replace(there, cores=there.cores - run.cores, memory=there.memory - run.memory)
+        left[region] = replace(
+            there, cores=there.cores - run.cores, memory=there.memory - run.memory
+        )
     return out
--- a/wingbarrow/decide/federation/room.py
+++ b/wingbarrow/decide/federation/room.py
@@ -49,12 +49,20 @@
     for (_, place), amount in flow.items():
         taken[place] = taken.get(place, 0) + amount
     if all(not load.need or load.most and load.need <= load.most[0][1] for load in loads) and all(
-            taken[place] <= free.get(place, 0) for place in taken):
+        taken[place] <= free.get(place, 0) for place in taken
+    ):
         return flow  # each in its first place, as mostly
     flow, taken = {}, dict.fromkeys(free, 0)
-    most = {(load.name, place): amount for load in loads for place, amount in load.most if free.get(place, 0) > 0}
+    most = {
+        (load.name, place): amount
+        for load in loads
+        for place, amount in load.most
+        if free.get(place, 0) > 0
+    }
     at: dict[str, list[str]] = {place: [] for place in free}  # loads that may be there
-    places = {load.name: [place for place, _ in load.most if (load.name, place) in most] for load in loads}
+    places = {
+        load.name: [place for place, _ in load.most if (load.name, place) in most] for load in loads
+    }
     for load in loads:
         for place in places[load.name]:
             at[place].append(load.name)
@@ -65,11 +73,17 @@
                 break
             amount = min(left, free[path[-1]] - taken[path[-1]])
             for index in range(0, len(path) - 1, 2):
-                amount = min(amount, most[path[index], path[index + 1]] - flow.get((path[index], path[index + 1]), 0))
+                amount = min(
+                    amount,
+                    most[path[index], path[index + 1]]
+                    - flow.get((path[index], path[index + 1]), 0),
+                )
             for index in range(1, len(path) - 1, 2):
                 amount = min(amount, flow[path[index + 1], path[index]])
             for index in range(0, len(path) - 1, 2):
-                flow[path[index], path[index + 1]] = flow.get((path[index], path[index + 1]), 0) + amount
+                flow[path[index], path[index + 1]] = (
+                    flow.get((path[index], path[index + 1]), 0) + amount
+                )
             for index in range(1, len(path) - 1, 2):
                 flow[path[index + 1], path[index]] -= amount
             taken[path[-1]] += amount
@@ -77,8 +91,15 @@
     return {pair: amount for pair, amount in flow.items() if amount}
 
 
-def _path(name: str, places: Mapping[str, list[str]], at: Mapping[str, list[str]], flow: Mapping[tuple[str, str], int],
-          most: Mapping[tuple[str, str], int], free: Mapping[str, int], taken: Mapping[str, int]) -> list[str] | None:
+def _path(
+    name: str,
+    places: Mapping[str, list[str]],
+    at: Mapping[str, list[str]],
+    flow: Mapping[tuple[str, str], int],
+    most: Mapping[tuple[str, str], int],
+    free: Mapping[str, int],
+    taken: Mapping[str, int],
+) -> list[str] | None:
     """The shortest way from a load to a place with room, by way of loads that would move: load, place, load, ..."""
     came: dict[str, str] = {}  # by place, the load before it; by load, the place before it
     queue, seen = deque([name]), {name}
@@ -109,8 +130,11 @@
     return can if not spec.ranked else can[:1]
 
 
-def held_back(federation: Federation, rooms: Mapping[str, tuple[float, float]],
-              leased: Mapping[tuple[str, str], tuple[float, float]]) -> Held:
+def held_back(
+    federation: Federation,
+    rooms: Mapping[str, tuple[float, float]],
+    leased: Mapping[tuple[str, str], tuple[float, float]],
+) -> Held:
     """What each region holds back for the others' loss.
 
     `rooms`: what each region has that its own work does not take, cores and GiB; `leased`: what of each spec stands in
@@ -131,21 +155,39 @@
                 needs.append((spec, cores, memory))
         parts = []
         for kind in (0, 1):
-            free = {region: int(room[kind] * 1024) for region, room in rooms.items() if region != lost}
+            free = {
+                region: int(room[kind] * 1024) for region, room in rooms.items() if region != lost
+            }
             loads = []
             for spec, cores, memory in needs:
                 can, room = allowed(spec, federation), spec.failover.room if spec.failover else 0
-                loads.append(Load(spec.name, int((cores, memory)[kind] * 1024), tuple(
-                    (region, free[region] * room // 100) for region in spec.targets(lost)
-                    if region in can and region in free)))
+                loads.append(
+                    Load(
+                        spec.name,
+                        int((cores, memory)[kind] * 1024),
+                        tuple(
+                            (region, free[region] * room // 100)
+                            for region in spec.targets(lost)
+                            if region in can and region in free
+                        ),
+                    )
+                )
             parts.append((loads, deal(loads, free)))
         for region in held:
-            cores, memory = (sum(amount for (_, place), amount in dealt.items() if place == region) / 1024
-                             for _, dealt in parts)
+            cores, memory = (
+                sum(amount for (_, place), amount in dealt.items() if place == region) / 1024
+                for _, dealt in parts
+            )
             held[region] = max(held[region][0], cores), max(held[region][1], memory)
         for index, (spec, _, _) in enumerate(needs):
-            left = [(loads[index].need - sum(amount for (name, _), amount in dealt.items() if name == spec.name)) / 1024
-                    for loads, dealt in parts]
+            left = [
+                (
+                    loads[index].need
+                    - sum(amount for (name, _), amount in dealt.items() if name == spec.name)
+                )
+                / 1024
+                for loads, dealt in parts
+            ]
             if max(left) > 0:
                 short.append(Short(spec.name, lost, *left))
     return Held(held, tuple(short))
--- a/wingbarrow/decide/federation/route.py
+++ b/wingbarrow/decide/federation/route.py
@@ -32,7 +32,9 @@
     placers: tuple[str, ...] = ()
     held_cores: float = 0.0  # of its room, what it holds back for the loss of others
     held_memory: float = 0.0
-    behind: tuple[tuple[str, int], ...] = ()  # how far its copies of data sets are behind now, where it is told
+    behind: tuple[
+        tuple[str, int], ...
+    ] = ()  # how far its copies of data sets are behind now, where it is told
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +68,9 @@
     return lasted_us >= over.after_us + (over.refusing_us if on == "refusing" else 0)
 
 
-def choose(spec: Spec, federation: Federation, wanted: Wanted, news: Mapping[str, RegionNews], draw: float) -> Choice:
+def choose(
+    spec: Spec, federation: Federation, wanted: Wanted, news: Mapping[str, RegionNews], draw: float
+) -> Choice:
     """Where it goes; `draw` is from 0 to 1, the caller's chance.
 
     A region of which nothing is known, or nothing young enough, is chosen only by who stands in it. What goes back
@@ -78,9 +82,13 @@
 class _Choosing:
     """One choice."""
 
-    def __init__(self, spec: Spec, federation: Federation, wanted: Wanted, news: Mapping[str, RegionNews]) -> None:
+    def __init__(
+        self, spec: Spec, federation: Federation, wanted: Wanted, news: Mapping[str, RegionNews]
+    ) -> None:
         self._spec, self._federation, self._wanted = spec, federation, wanted
-        self._news = {region: each for region, each in news.items() if each.age_us <= KNOWN_US or each.lost}
+        self._news = {
+            region: each for region, each in news.items() if each.age_us <= KNOWN_US or each.lost
+        }
         self._why_not: dict[str, str] = {}
 
     def choice(self, draw: float) -> Choice:
@@ -110,7 +118,9 @@
         for need in self._spec.data:
             behind_us = self._behind_us(region, need.dataset)
             if need.near == "required" and (behind_us is None or behind_us > need.behind_us):
-                self._why_not[region] = f"its copy of {need.dataset!r} is {(behind_us or 0) / 1e6:g} s behind"
+                self._why_not[region] = (
+                    f"its copy of {need.dataset!r} is {(behind_us or 0) / 1e6:g} s behind"
+                )
                 return False
         return True
 
@@ -137,7 +147,10 @@
         news = self._news.get(region)
         if news is None:
             return 0.0  # where the caller stands: its own door knows better
-        if self._wanted.cores > news.cores - news.held_cores or self._wanted.memory > news.memory - news.held_memory:
+        if (
+            self._wanted.cores > news.cores - news.held_cores
+            or self._wanted.memory > news.memory - news.held_memory
+        ):
             self._why_not[region] = "no room"
             return max(100.0, news.load * 100)
         return news.load * 100
@@ -181,9 +194,12 @@
                 continue
             news, (cores, memory) = self._news[region], taken.get(region, (0.0, 0.0))
             # Of what is free its failover takes its share at most, what it has taken already included.
-            if (self._wanted.cores <= news.cores and self._wanted.memory <= news.memory
-                    and (cores + self._wanted.cores) * 100 <= (news.cores + cores) * over.room
-                    and (memory + self._wanted.memory) * 100 <= (news.memory + memory) * over.room):
+            if (
+                self._wanted.cores <= news.cores
+                and self._wanted.memory <= news.memory
+                and (cores + self._wanted.cores) * 100 <= (news.cores + cores) * over.room
+                and (memory + self._wanted.memory) * 100 <= (news.memory + memory) * over.room
+            ):
                 return Choice(region)
             self._why_not[region] = f"no room within {over.room}% of what it has free"
         return Choice("", self._reason())
@@ -191,13 +207,21 @@
     def _back(self, able: list[str]) -> Choice:
         spec, here = self._spec, self._wanted.here
         if spec.back.when == "never" or here not in spec.regions:
-            return Choice(here, "it never returns" if spec.back.when == "never" else "the spec does not know of it")
+            return Choice(
+                here,
+                "it never returns" if spec.back.when == "never" else "the spec does not know of it",
+            )
         if spec.back.when == "stable" and self._wanted.effect == "unsafe":
             return Choice(here, "what must not start twice is not moved")
         now = self._distance(here)
         for region in able:
             news = self._news.get(region)
-            if region == here or news is None or self._distance(region) >= now or self._refuses(region):
+            if (
+                region == here
+                or news is None
+                or self._distance(region) >= now
+                or self._refuses(region)
+            ):
                 continue
             if news.stable_us < spec.back.stable_us:
                 self._why_not[region] = f"well for {news.stable_us / 1e6:g} s only"
@@ -212,7 +236,13 @@
         can = allowed(spec, self._federation)
         if not can:
             return f"spec {spec.name!r} allows no region" + (
-                f" by its data: {', '.join(need.dataset for need in spec.data)}" if spec.regions else "")
-        told = [f"{region}: {self._why_not.get(region, 'not a target')}" for region in can
-                if region != self._wanted.here or self._wanted.why == "new"]
+                f" by its data: {', '.join(need.dataset for need in spec.data)}"
+                if spec.regions
+                else ""
+            )
+        told = [
+            f"{region}: {self._why_not.get(region, 'not a target')}"
+            for region in can
+            if region != self._wanted.here or self._wanted.why == "new"
+        ]
         return f"of {', '.join(can)} none will do ({'; '.join(told)})"[:REASON_MOST]
--- a/wingbarrow/decide/federation/spec.py
+++ b/wingbarrow/decide/federation/spec.py
@@ -63,7 +63,9 @@
     failover: Failover | None = None
     back: Back = Back()
     on_cut: str = "carry-on"
-    lower: int = 60  # of a region's load: below it work stays, above `upper` it goes over where it can
+    lower: int = (
+        60  # of a region's load: below it work stays, above `upper` it goes over where it can
+    )
     upper: int = 90
     ranked: bool = True  # otherwise all regions are equal, and where it is asked for comes first
 
@@ -124,7 +126,9 @@
     def spec(self, name: str) -> Spec | None:
         """One by its name; a name that stood for a class between two versions is what the class has now."""
         found = self.named.get(name)
-        return self.spec_for(name[len(BOTH):]) if found is None and name.startswith(BOTH) else found
+        return (
+            self.spec_for(name[len(BOTH) :]) if found is None and name.startswith(BOTH) else found
+        )
 
     def spec_for(self, task_class: str, named: str = "") -> Spec | None:
         """What a Job goes by: the spec that it names, else that of its class; None where neither names one.
--- a/wingbarrow/decide/federation/together.py
+++ b/wingbarrow/decide/federation/together.py
@@ -15,18 +15,29 @@
     for at, spec in enumerate(federation.specs):
         if spec.ranked and spec.failover is not None and "refusing" in spec.failover.on:
             for home in homes(spec, federation):
-                for region in [each for each in spec.targets(home) if each in allowed(spec, federation)][:1]:
+                for region in [
+                    each for each in spec.targets(home) if each in allowed(spec, federation)
+                ][:1]:
                     ways.setdefault(home, []).append((region, at))
     out = []
     for start in sorted(ways):
         found = _way_back(start, ways)
         if found and start == min(region for region, _ in found):
             names = [federation.specs[at].name for _, at in found]
-            told = " -> ".join([start, *(f"{region} ({name})" for (region, _), name in
-                                         zip(found, names, strict=True))])
+            told = " -> ".join(
+                [
+                    start,
+                    *(f"{region} ({name})" for (region, _), name in zip(found, names, strict=True)),
+                ]
+            )
             last = max(at for _, at in found)
-            out.append(Fault(("federation", last, "failover"), "failover: orders in a circle, on \"refusing\": "
-                             f"{told}: what one moves makes the next one move"))
+            out.append(
+                Fault(
+                    ("federation", last, "failover"),
+                    'failover: orders in a circle, on "refusing": '
+                    f"{told}: what one moves makes the next one move",
+                )
+            )
     return out
 
 
@@ -53,8 +64,13 @@
 def rooms(federation: Federation, known: Known) -> list[Fault]:
     """What must find room when a region is lost, and finds none by what is said of rooms."""
     parts: tuple[tuple[str, Callable[[Failover], int], dict[str, int]], ...] = (
-        ("cores", lambda over: over.cores, {region: int(cores) for region, cores, _ in known.rooms}),
-        ("MiB", lambda over: over.mib, {region: mib for region, _, mib in known.rooms}))
+        (
+            "cores",
+            lambda over: over.cores,
+            {region: int(cores) for region, cores, _ in known.rooms},
+        ),
+        ("MiB", lambda over: over.mib, {region: mib for region, _, mib in known.rooms}),
+    )
     out: dict[int, Fault] = {}
     home = {spec.name: homes(spec, federation) for spec in federation.specs}
     can = {spec.name: frozenset(allowed(spec, federation)) for spec in federation.specs}
@@ -63,9 +79,14 @@
         for spec in federation.specs:
             if spec.failover is not None and spec.ranked and home[spec.name][0] in free:
                 free[home[spec.name][0]] -= need(spec.failover)
-        parts_of = {spec.failover.room: {region: max(0, amount) * spec.failover.room // 100
-                                         for region, amount in free.items()}
-                    for spec in federation.specs if spec.failover is not None}
+        parts_of = {
+            spec.failover.room: {
+                region: max(0, amount) * spec.failover.room // 100
+                for region, amount in free.items()
+            }
+            for spec in federation.specs
+            if spec.failover is not None
+        }
         for lost in known.regions:
             loads, names = [], {}
             for at, spec in enumerate(federation.specs):
@@ -77,14 +98,22 @@
                     continue  # a region of which nothing is said may have all the room there is
                 names[spec.name] = at
                 part = parts_of[over.room]
-                loads.append(Load(spec.name, need(over), tuple((each, part[each]) for each in targets)))
-            dealt = deal(loads, {region: max(0, amount) for region, amount in free.items() if region != lost})
+                loads.append(
+                    Load(spec.name, need(over), tuple((each, part[each]) for each in targets))
+                )
+            dealt = deal(
+                loads, {region: max(0, amount) for region, amount in free.items() if region != lost}
+            )
             for load in loads:
                 found = sum(amount for (name, _), amount in dealt.items() if name == load.name)
                 if found < load.need:
                     where = ", ".join(f"{region} {most}" for region, most in load.most)
-                    out.setdefault(names[load.name], Fault(
-                        ("federation", names[load.name], "failover"),
-                        f"failover: room that does not exist: without {lost!r} {load.need} {unit} must find room, and "
-                        f"{found} {unit} are there (at most {where})"))
+                    out.setdefault(
+                        names[load.name],
+                        Fault(
+                            ("federation", names[load.name], "failover"),
+                            f"failover: room that does not exist: without {lost!r} {load.need} {unit} must find room, "
+                            f"and {found} {unit} are there (at most {where})",
+                        ),
+                    )
     return list(out.values())
--- a/wingbarrow/decide/learning.py
+++ b/wingbarrow/decide/learning.py
@@ -24,14 +24,18 @@
 SECOND = 1_000_000
 HALF_LIFE_US = 8 * SECOND
 USELESS_US = 60 * SECOND  # a figure older than this says nothing that the average does not say
-RATIO_HALF_LIFE_US = 120 * SECOND  # shares of use belong to programs, which change more slowly than tasks
+RATIO_HALF_LIFE_US = (
+    120 * SECOND
+)  # shares of use belong to programs, which change more slowly than tasks
 RATIO_NOTES_MOST = 100.0  # a peer's shares weigh as much as so many own notes at most
 AGE_MOST_US = 24 * 3600 * SECOND  # beyond, an age is a broken clock
 CLOCK_SLACK_US = SECOND  # by which a peer's clock may run otherwise than ours within one exchange
 CLOCK_DRIFT = 0.1
 YOUNG_US = 5 * SECOND  # an instance younger than this knows next to nothing itself
 LIST_OLD_US = 30 * SECOND
-STRANGERS_MOST = 0.5  # share of machines that our list lacks, beyond which a peer is of another cluster
+STRANGERS_MOST = (
+    0.5  # share of machines that our list lacks, beyond which a peer is of another cluster
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,18 +72,32 @@
     rtt_us: int
 
 
-def order_peers(told: Iterable[Announcement], region: str, cluster: str, own_ident: str) -> list[Announcement]:
+def order_peers(
+    told: Iterable[Announcement], region: str, cluster: str, own_ident: str
+) -> list[Announcement]:
     """Whom to ask, best first: who knows something, freshest list first (in steps), then nearest.
 
     Those that know nothing yet are left out: two new instances that ask each other would learn only echoes.
     """
-    fit = [each for each in told if each.cluster == cluster and each.ident != own_ident and each.machines > 0
-           and each.uptime_us >= YOUNG_US and each.list_age_us is not None and 0 <= each.list_age_us <= AGE_MOST_US]
+    fit = [
+        each
+        for each in told
+        if each.cluster == cluster
+        and each.ident != own_ident
+        and each.machines > 0
+        and each.uptime_us >= YOUNG_US
+        and each.list_age_us is not None
+        and 0 <= each.list_age_us <= AGE_MOST_US
+    ]
 
     def step(age_us: int | None) -> int:
         age = age_us or 0
         return 0 if age < 2 * SECOND else 1 if age < 10 * SECOND else 2 if age < LIST_OLD_US else 3
-    return sorted(fit, key=lambda each: (step(each.list_age_us), each.region != region, each.rtt_us, each.ident))
+
+    return sorted(
+        fit,
+        key=lambda each: (step(each.list_age_us), each.region != region, each.rtt_us, each.ident),
+    )
 
 
 class ClockCheck:
@@ -111,7 +129,11 @@
 
 def weight(age_us: int, half_life_us: int = HALF_LIFE_US) -> float:
     """How much of a figure of that age is kept."""
-    return 2.0 ** (-age_us / half_life_us) if age_us < USELESS_US or half_life_us != HALF_LIFE_US else 0.0
+    return (
+        2.0 ** (-age_us / half_life_us)
+        if age_us < USELESS_US or half_life_us != HALF_LIFE_US
+        else 0.0
+    )
 
 
 def _number(pair: tuple[float, float] | None, most: float) -> tuple[float, float] | None:
@@ -120,9 +142,15 @@
     return pair
 
 
-def weigh(sights: Iterable[Sight], more_age_us: int, sizes: Mapping[str, tuple[float, float]],
-          versions: Mapping[str, int], idents: Mapping[str, int], clock_good: bool,
-          average: tuple[float, float]) -> list[LearnedMachine]:
+def weigh(
+    sights: Iterable[Sight],
+    more_age_us: int,
+    sizes: Mapping[str, tuple[float, float]],
+    versions: Mapping[str, int],
+    idents: Mapping[str, int],
+    clock_good: bool,
+    average: tuple[float, float],
+) -> list[LearnedMachine]:
     """A page's sights as the module may take them: faded by age, what is not to be believed left out.
 
     `more_age_us` is added to every age (the snapshot's own age and the exchange). `sizes`, `versions` and `idents`
@@ -136,11 +164,18 @@
             continue  # what a peer saw draining is no help; Distrust keeps it out
         name = sight.machine
         size = sizes[name]
-        older = sight.version < versions.get(name, 0)  # our list has newer word of this machine than the peer's
-        asked, asked_age = _faded(sight.asked, sight.asked_age_us, more_age_us, average, size, clock_good)
+        older = sight.version < versions.get(
+            name, 0
+        )  # our list has newer word of this machine than the peer's
+        asked, asked_age = _faded(
+            sight.asked, sight.asked_age_us, more_age_us, average, size, clock_good
+        )
         if older:
             asked = None
-        beyond, measured_age = _number(sight.beyond, 10 * max(size)), plausible(sight.measured_age_us)
+        beyond, measured_age = (
+            _number(sight.beyond, 10 * max(size)),
+            plausible(sight.measured_age_us),
+        )
         if beyond is not None and measured_age is not None and clock_good:
             measured_age += more_age_us
             kept = weight(measured_age)
@@ -149,31 +184,61 @@
                 beyond = None
         else:
             beyond = None
-        restarted = older and sight.launched_age_us is not None  # its programs may be of a former life
-        warm = {} if restarted or not clock_good else {
-            service: left - more_age_us for service, left in sight.warm_us.items()
-            if isinstance(left, int) and more_age_us < left <= USELESS_US}
-        rests = {} if restarted or not clock_good else {
-            key: (strikes, left - more_age_us) for key, (strikes, left) in sight.rests_us.items()
-            if 0 < strikes < 32 and more_age_us < left <= USELESS_US}
+        restarted = (
+            older and sight.launched_age_us is not None
+        )  # its programs may be of a former life
+        warm = (
+            {}
+            if restarted or not clock_good
+            else {
+                service: left - more_age_us
+                for service, left in sight.warm_us.items()
+                if isinstance(left, int) and more_age_us < left <= USELESS_US
+            }
+        )
+        rests = (
+            {}
+            if restarted or not clock_good
+            else {
+                key: (strikes, left - more_age_us)
+                for key, (strikes, left) in sight.rests_us.items()
+                if 0 < strikes < 32 and more_age_us < left <= USELESS_US
+            }
+        )
         if asked is not None or beyond is not None or warm or rests:
-            out.append(LearnedMachine(idents[name], asked, asked_age, beyond, measured_age or 0, warm, rests))
+            out.append(
+                LearnedMachine(
+                    idents[name], asked, asked_age, beyond, measured_age or 0, warm, rests
+                )
+            )
     return out
 
 
-def fleet_average(sights: Iterable[Sight], sizes: Mapping[str, tuple[float, float]],
-                  held: tuple[float, float]) -> tuple[float, float]:
+def fleet_average(
+    sights: Iterable[Sight], sizes: Mapping[str, tuple[float, float]], held: tuple[float, float]
+) -> tuple[float, float]:
     """The share of their size that machines are asked for, over sights that tell it; `held` where few do."""
-    told = [(each.asked, sizes[each.machine]) for each in sights
-            if each.machine in sizes and _number(each.asked, 1e9) is not None]
+    told = [
+        (each.asked, sizes[each.machine])
+        for each in sights
+        if each.machine in sizes and _number(each.asked, 1e9) is not None
+    ]
     if len(told) < 4:
         return held
-    return (sum(asked[0] for asked, _ in told if asked) / sum(size[0] for _, size in told),
-            sum(asked[1] for asked, _ in told if asked) / sum(size[1] for _, size in told))
-
-
-def _faded(asked: tuple[float, float] | None, age_us: int | None, more_age_us: int, average: tuple[float, float],
-           size: tuple[float, float], clock_good: bool) -> tuple[tuple[float, float] | None, int]:
+    return (
+        sum(asked[0] for asked, _ in told if asked) / sum(size[0] for _, size in told),
+        sum(asked[1] for asked, _ in told if asked) / sum(size[1] for _, size in told),
+    )
+
+
+def _faded(
+    asked: tuple[float, float] | None,
+    age_us: int | None,
+    more_age_us: int,
+    average: tuple[float, float],
+    size: tuple[float, float],
+    clock_good: bool,
+) -> tuple[tuple[float, float] | None, int]:
     asked, age = _number(asked, 100 * max(size)), plausible(age_us)
     if asked is None or age is None or not clock_good:
         return None, 0
@@ -181,11 +246,15 @@
     kept = weight(age)
     if not kept:
         return None, 0
-    return (asked[0] * kept + average[0] * size[0] * (1 - kept),
-            asked[1] * kept + average[1] * size[1] * (1 - kept)), age
+    return (
+        asked[0] * kept + average[0] * size[0] * (1 - kept),
+        asked[1] * kept + average[1] * size[1] * (1 - kept),
+    ), age
 
 
-def weigh_ratio(ratio: float, notes: float, age_us: int | None, clock_good: bool) -> tuple[float, float]:
+def weigh_ratio(
+    ratio: float, notes: float, age_us: int | None, clock_good: bool
+) -> tuple[float, float]:
     """A peer's learned share of use and the own notes that it weighs; (0, 0) where it is not to be believed."""
     age = plausible(age_us)
     if age is None or not clock_good or not (math.isfinite(ratio) and math.isfinite(notes)):
@@ -233,8 +302,12 @@
             self._drains[sight.machine] = max(sight.version, self._drains.get(sight.machine, -1))
             return not known
         age = plausible(sight.launched_age_us)
-        if age is not None and own_version is not None and sight.version > own_version and (
-                len(self._starts) < self._most):
+        if (
+            age is not None
+            and own_version is not None
+            and sight.version > own_version
+            and (len(self._starts) < self._most)
+        ):
             self._starts[sight.machine] = sight.version, now_us - age
             return True
         return False
--- a/wingbarrow/decide/listing.py
+++ b/wingbarrow/decide/listing.py
@@ -4,7 +4,9 @@
 
 from enum import Enum
 
-NEW_SOURCE_US = 30_000_000  # only older lists for so long: the source has begun anew, and its word counts again
+NEW_SOURCE_US = (
+    30_000_000  # only older lists for so long: the source has begun anew, and its word counts again
+)
 
 
 class Take(Enum):
@@ -56,4 +58,6 @@
     def forget(self, keep: set[str]) -> None:
         """Entries that no list names any longer need no memory."""
         if len(self._entries) > 2 * len(keep) + 64:
-            self._entries = {name: version for name, version in self._entries.items() if name in keep}
+            self._entries = {
+                name: version for name, version in self._entries.items() if name in keep
+            }
--- a/wingbarrow/decide/peers/agreed.py
+++ b/wingbarrow/decide/peers/agreed.py
@@ -32,12 +32,21 @@
 # A snapshot goes in one mail of 1 MiB. Counted as mailed: in force and two steps, versions, floors, federations (each
 # once, whoever names it), outcomes; what is left is for `chapters`.
 VERSIONS_MOST, VERSIONS_MAILED = 64, 160 * 1024  # kept; older ones are known by number alone
-FEDERATIONS_MOST = 3 * FEDERATION_MOST + 64 * 1024  # in force, two steps, and those of versions before
+FEDERATIONS_MOST = (
+    3 * FEDERATION_MOST + 64 * 1024
+)  # in force, two steps, and those of versions before
 FLOORS_MAILED = 96 * 1024
-IDENTS_MOST, OUTCOME_MOST = 256, 200  # proposals whose outcome is remembered, for those that are sent again
+IDENTS_MOST, OUTCOME_MOST = (
+    256,
+    200,
+)  # proposals whose outcome is remembered, for those that are sent again
 OUTCOMES_MAILED = IDENTS_MOST * (OUTCOME_MOST + 120)
-SNAPSHOT_MOST = 3 * MAILED_MOST + VERSIONS_MAILED + FEDERATIONS_MOST + FLOORS_MAILED + OUTCOMES_MAILED
-CHAPTERS_MAILED = 128 * 1024  # all chapters' texts together, as mailed: what their own bounds come to must stay below
+SNAPSHOT_MOST = (
+    3 * MAILED_MOST + VERSIONS_MAILED + FEDERATIONS_MOST + FLOORS_MAILED + OUTCOMES_MAILED
+)
+CHAPTERS_MAILED = (
+    128 * 1024
+)  # all chapters' texts together, as mailed: what their own bounds come to must stay below
 RECOVERED = "recovered"  # the kind of the entry by which one voter went on alone
 EDITIONS_LEFT = 1000  # for those that may have been decided by voters that were lost
 FLOORS_MOST = 4  # that may be out at a time
@@ -79,10 +88,18 @@
     version: int = 0  # the latest accepted, which the steps lead to
     steps: list[str] = field(default_factory=list)  # rules of the editions still to come
     versions: list[Version] = field(default_factory=list)
-    floors: list[Floor] = field(default_factory=list)  # the latest last; those before may still be out
-    outcomes: dict[str, str] = field(default_factory=dict)  # by proposal: "" where it was accepted, else why not
-    chapters: dict[str, str] = field(default_factory=dict)  # each one's text as of the last snapshot
-    federations: dict[str, str] = field(default_factory=dict)  # texts of versions' by digest, the latest last
+    floors: list[Floor] = field(
+        default_factory=list
+    )  # the latest last; those before may still be out
+    outcomes: dict[str, str] = field(
+        default_factory=dict
+    )  # by proposal: "" where it was accepted, else why not
+    chapters: dict[str, str] = field(
+        default_factory=dict
+    )  # each one's text as of the last snapshot
+    federations: dict[str, str] = field(
+        default_factory=dict
+    )  # texts of versions' by digest, the latest last
 
     def apply(self, kind: str, body: str) -> None:
         """Take one decided entry; what cannot be read changes nothing (it was checked before it was proposed)."""
@@ -140,7 +157,11 @@
             return ""
         between = meet(now, rules)
         problems = too_long(between) + check(between)
-        return f"what both allow cannot be said, go in smaller steps: {'; '.join(problems)}" if problems else ""
+        return (
+            f"what both allow cannot be said, go in smaller steps: {'; '.join(problems)}"
+            if problems
+            else ""
+        )
 
     def _moved(self, rules: RuleSet) -> list[str]:
         """Classes whose spread would be counted by other places than tasks already are."""
@@ -148,7 +169,11 @@
             return []
         texts = [self.rules, *self.steps]
         held = {each.name: each.spread_by for text in texts for each in read(text).classes}
-        return [each.name for each in rules.classes if held.get(each.name, each.spread_by) != each.spread_by]
+        return [
+            each.name
+            for each in rules.classes
+            if held.get(each.name, each.spread_by) != each.spread_by
+        ]
 
     def _propose(self, value: dict[str, Any]) -> None:
         ident = str(value["ident"])
@@ -162,8 +187,17 @@
         rules = read(text)
         self.version += 1
         rest, federation = apart(rules)
-        self.versions.append(Version(self.version, rest, int(value["base"]), str(value["by"])[:253],
-                                     str(value["why"])[:500], rules.digest, _digest(federation)))
+        self.versions.append(
+            Version(
+                self.version,
+                rest,
+                int(value["base"]),
+                str(value["by"])[:253],
+                str(value["why"])[:500],
+                rules.digest,
+                _digest(federation),
+            )
+        )
         if federation:
             self.federations.pop(_digest(federation), None)
             self.federations[_digest(federation)] = federation
@@ -177,7 +211,9 @@
         # From what is in force, whatever was still to come: a version proposed in the middle of a step to another takes
         # its place, and no more than two neighbouring editions are ever in use.
         now = read(self.rules)
-        self.steps = [meet(now, rules).text(), rules.text()] if contradict(now, rules) else [rules.text()]
+        self.steps = (
+            [meet(now, rules).text(), rules.text()] if contradict(now, rules) else [rules.text()]
+        )
 
     def _drop_old(self) -> None:
         """Versions, and federations that only they have, beyond what fits a snapshot."""
@@ -185,9 +221,14 @@
         while sum(each.mailed() for each in self.versions) > VERSIONS_MAILED:
             del self.versions[0]
         named = {each.federation for each in self.versions}
-        self.federations = {digest: text for digest, text in self.federations.items() if digest in named}
+        self.federations = {
+            digest: text for digest, text in self.federations.items() if digest in named
+        }
         used = [apart(read(text))[1] for text in (self.rules, *self.steps)]
-        while len(self.federations) > 1 and sum(map(len, {*used, *self.federations.values()})) > FEDERATIONS_MOST:
+        while (
+            len(self.federations) > 1
+            and sum(map(len, {*used, *self.federations.values()})) > FEDERATIONS_MOST
+        ):
             del self.federations[next(iter(self.federations))]
 
     def _remember(self, ident: str, outcome: str) -> None:
@@ -225,7 +266,9 @@
         self._remember(ident, why_not)
         if not why_not:
             number = self.floors[-1].number + 1 if self.floors else 1
-            self.floors.append(Floor(number, _of_floor(read(str(value["rules"]))), int(value["lasts_us"])))
+            self.floors.append(
+                Floor(number, _of_floor(read(str(value["rules"]))), int(value["lasts_us"]))
+            )
 
     # -- snapshots
 
@@ -236,9 +279,15 @@
         for _, federation in parts:
             if federation:
                 federations.setdefault(_digest(federation), federation)
-        named = [[json.loads(rest) if rest else "", _digest(federation)] for rest, federation in parts]
-        value = asdict(self) | {"rules": named[0], "steps": named[1:], "federations": federations,
-                                "kept": list(self.federations)}
+        named = [
+            [json.loads(rest) if rest else "", _digest(federation)] for rest, federation in parts
+        ]
+        value = asdict(self) | {
+            "rules": named[0],
+            "steps": named[1:],
+            "federations": federations,
+            "kept": list(self.federations),
+        }
         for each in (*value["versions"], *value["floors"]):
             each["rules"] = json.loads(each["rules"])
         return json.dumps(value, separators=(",", ":"))
@@ -255,7 +304,11 @@
 
 def _text(value: Any) -> str:
     """Rules of a snapshot; those of before 2026-12 are texts already."""
-    return value if isinstance(value, str) else json.dumps(value, sort_keys=True, separators=(",", ":"))
+    return (
+        value
+        if isinstance(value, str)
+        else json.dumps(value, sort_keys=True, separators=(",", ":"))
+    )
 
 
 def from_text(text: str) -> Agreed:
@@ -266,9 +319,20 @@
     federations = dict(value.get("federations", {}))
 
     def whole(named: Any) -> str:
-        return named if isinstance(named, str) else joined(_text(named[0]), federations[named[1]] if named[1] else "")
-    return Agreed(value["edition"], whole(value["rules"]), value["version"], [whole(each) for each in value["steps"]],
-                  [Version(**{**each, "rules": _text(each["rules"])}) for each in value["versions"]],
-                  [Floor(**{**each, "rules": _text(each["rules"])}) for each in value["floors"]],
-                  dict(value["outcomes"]), dict(value.get("chapters", {})),
-                  {digest: federations[digest] for digest in value.get("kept", ())})
+        return (
+            named
+            if isinstance(named, str)
+            else joined(_text(named[0]), federations[named[1]] if named[1] else "")
+        )
+
+    return Agreed(
+        value["edition"],
+        whole(value["rules"]),
+        value["version"],
+        [whole(each) for each in value["steps"]],
+        [Version(**{**each, "rules": _text(each["rules"])}) for each in value["versions"]],
+        [Floor(**{**each, "rules": _text(each["rules"])}) for each in value["floors"]],
+        dict(value["outcomes"]),
+        dict(value.get("chapters", {})),
+        {digest: federations[digest] for digest in value.get("kept", ())},
+    )
--- a/wingbarrow/decide/peers/agreement.py
+++ b/wingbarrow/decide/peers/agreement.py
@@ -30,17 +30,33 @@
     `chapters` and `sides` are what is agreed on beside rules: a voter's part and every placer's.
     """
 
-    def __init__(self, me: str, voters: tuple[str, ...], disk: log.Disk | None, seed: int, times: Times = Times(),  # noqa: B008 - frozen
-                 life: int = 0, chapters: tuple[Chapter, ...] = (), sides: tuple[Side, ...] = ()) -> None:
+    def __init__(
+        self,
+        me: str,
+        voters: tuple[str, ...],
+        disk: log.Disk | None,
+        seed: int,
+        times: Times = Times(),
+        life: int = 0,
+        chapters: tuple[Chapter, ...] = (),
+        sides: tuple[Side, ...] = (),
+    ) -> None:
         self.me, self.times, self.named = me, times, voters
-        self.raft = Raft(me, disk, seed, times.election_us) if me in voters or disk is not None else None
+        self.raft = (
+            Raft(me, disk, seed, times.election_us) if me in voters or disk is not None else None
+        )
         self.agreed = Agreed()
         self.blocks = Blocks(times.grant_us)
         self.chapters: dict[str, Chapter] = {each.name: each for each in (self.blocks, *chapters)}
         self._due: dict[str, int] = {}
         self.holding = Holding(me, voters, seed + 1, times, life, self.timer, sides)
-        self.leading = Leading(self, times, self.blocks, chapters,
-                               lambda now, grant: self.holding.on_grant(now, me, grant))
+        self.leading = Leading(
+            self,
+            times,
+            self.blocks,
+            chapters,
+            lambda now, grant: self.holding.on_grant(now, me, grant),
+        )
 
     # -- driven by the host
 
@@ -200,11 +216,15 @@
                     for each in self.chapters:
                         self._apply(each, RECOVERED, "{}")
         if self.agreed.edition != before[0]:
-            out.append(Tell("edition", {"edition": self.agreed.edition, "version": self.agreed.version}))
+            out.append(
+                Tell("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
+            )
         if self.raft is not None and self.raft.wants_fold:
             self.agreed.chapters |= {name: each.text() for name, each in self.chapters.items()}
             out += self.of_raft(now_us, self.raft.fold(self.agreed.text()))
-        if self.leads and (told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))):
+        if self.leads and (
+            told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))
+        ):
             out.append(self.timer("step", now_us + 1))
         return out
 
@@ -215,7 +235,9 @@
         try:
             chapter.apply(kind, json.loads(body))
         except (ValueError, KeyError, TypeError):
-            return False  # it was checked before it was proposed; what cannot be read changes nothing
+            return (
+                False  # it was checked before it was proposed; what cannot be read changes nothing
+            )
         return True
 
     def timer(self, key: str, at_us: int) -> SetTimer:
--- a/wingbarrow/decide/peers/asking.py
+++ b/wingbarrow/decide/peers/asking.py
@@ -12,6 +12,7 @@
 from wingbarrow.decide.peers.turns import TurnsSaid, TurnsTold
 from wingbarrow.decide.peers.verdicts import Closed, Evidence
 
+
 @dataclass(frozen=True, slots=True)
 class Ask:
     """May I act? `edition`, `floor`: what the asker acts on, so that their rules need not be said again."""
@@ -23,7 +24,9 @@
     up_us: int = 0
     stated: tuple[Stated, ...] = ()  # what it holds, uses and wants of the fleet's limits
     region: str = ""
-    evidence: tuple[Evidence, ...] = ()  # what it saw of machines lately: of `tried` ones it found `bad` bad
+    evidence: tuple[
+        Evidence, ...
+    ] = ()  # what it saw of machines lately: of `tried` ones it found `bad` bad
     bad: int = 0
     tried: int = 0
     sessions: SessionsSaid | None = None
@@ -86,7 +89,9 @@
     """Times in microseconds."""
 
     grant_us: int = 2_000_000
-    election_us: int = 500_000  # short, so that another leader answers before grants of the last one lapse
+    election_us: int = (
+        500_000  # short, so that another leader answers before grants of the last one lapse
+    )
     batch_us: int = 20_000  # asks are answered together, one round of the voters for all
     again_us: int = 200_000  # an ask without an answer is sent again, to another voter
 
--- a/wingbarrow/decide/peers/blocks.py
+++ b/wingbarrow/decide/peers/blocks.py
@@ -59,7 +59,9 @@
     @property
     def total(self) -> int:
         """All that may be in use."""
-        return sum(count for _, count in self.parts.values()) + sum(count for _, _, count in self.debts)
+        return sum(count for _, count in self.parts.values()) + sum(
+            count for _, _, count in self.debts
+        )
 
 
 @dataclass(slots=True)
@@ -112,8 +114,10 @@
         lives = {str(name): int(life) for name, life in value["lives"].items()}
         blocks = {} if value["fresh"] else dict(self.blocks)
         for key, (parts, debts) in value["set"].items():
-            made = Block({str(name): (int(size), int(count)) for name, (size, count) in parts.items()},
-                         [(str(name), int(life), int(count)) for name, life, count in debts])
+            made = Block(
+                {str(name): (int(size), int(count)) for name, (size, count) in parts.items()},
+                [(str(name), int(life), int(count)) for name, life, count in debts],
+            )
             if any(not 0 <= size <= count for size, count in made.parts.values()):
                 raise ValueError("a block that cannot be")
             blocks[str(key)] = made
@@ -128,17 +132,34 @@
 
     def text(self) -> str:
         """All of the replicated state."""
-        return json.dumps({"serial": self.serial, "doubt": self.doubt, "lives": self.lives, "blocks": {
-            key: [each.parts, each.debts] for key, each in self.blocks.items()}}, sort_keys=True, separators=(",", ":"))
+        return json.dumps(
+            {
+                "serial": self.serial,
+                "doubt": self.doubt,
+                "lives": self.lives,
+                "blocks": {key: [each.parts, each.debts] for key, each in self.blocks.items()},
+            },
+            sort_keys=True,
+            separators=(",", ":"),
+        )
 
     def restore(self, text: str) -> None:
         """What `text` gave."""
-        value = json.loads(text) if text else {"serial": 0, "doubt": False, "lives": {}, "blocks": {}}
-        self.serial, self.doubt, self.lives = int(value["serial"]), bool(value["doubt"]), dict(value["lives"])
+        value = (
+            json.loads(text) if text else {"serial": 0, "doubt": False, "lives": {}, "blocks": {}}
+        )
+        self.serial, self.doubt, self.lives = (
+            int(value["serial"]),
+            bool(value["doubt"]),
+            dict(value["lives"]),
+        )
         self.blocks = {
-            key: Block({name: (size, count) for name, (size, count) in parts.items()},
-                       [(name, life, count) for name, life, count in debts])
-            for key, (parts, debts) in value["blocks"].items()}
+            key: Block(
+                {name: (size, count) for name, (size, count) in parts.items()},
+                [(name, life, count) for name, life, count in debts],
+            )
+            for key, (parts, debts) in value["blocks"].items()
+        }
 
     # -- the leader's
 
@@ -147,8 +168,12 @@
         self.reign, self._began_us, self._moved_us = reign if on else 0, now_us, now_us - MOVE_US
         self._heard: dict[str, _Heard] = {}
         self._said: dict[str, dict[str, _Said]] = {}
-        self._debts_us: dict[tuple[str, str, int], int] = {}  # key, holder and life of a debt: known since when
-        self._ended_us: dict[tuple[str, int], int] = {}  # holder and former life: when it, or its grant, was over
+        self._debts_us: dict[
+            tuple[str, str, int], int
+        ] = {}  # key, holder and life of a debt: known since when
+        self._ended_us: dict[
+            tuple[str, int], int
+        ] = {}  # holder and former life: when it, or its grant, was over
         self._lacking_us: dict[str, int] = {}  # limits that the rules lack: since when
         self.refused = 0  # blocks that there was no place for
 
@@ -158,8 +183,12 @@
     def told(self, now_us: int, asker: Asker) -> Any:
         """Nothing: rights ride in a grant's own field."""
 
-    def answers(self, now_us: int, asks: Sequence[tuple[Asker, Iterable[Stated]]],
-                limits: Iterable[FleetLimit]) -> list[tuple[Right, ...]]:
+    def answers(
+        self,
+        now_us: int,
+        asks: Sequence[tuple[Asker, Iterable[Stated]]],
+        limits: Iterable[FleetLimit],
+    ) -> list[tuple[Right, ...]]:
         """What each asker may use from now on; asks that a majority has confirmed since they came."""
         limits, out = tuple(limits), [list[Right]() for _ in asks]
         lag = max((each.lag_us for each in limits), default=0)
@@ -173,8 +202,11 @@
             for index, (asker, _) in enumerate(asks):
                 if counts[index] and (asker.ident in limit.among or asker.ident in block.parts):
                     mine = said[index].get(limit.key, Stated(limit.key, 0, 0, 0))
-                    sayings[asker.ident] = _Said(max(0, mine.share, mine.uses), max(0, mine.uses),
-                                                 min(max(0, mine.wants), limit.most))
+                    sayings[asker.ident] = _Said(
+                        max(0, mine.share, mine.uses),
+                        max(0, mine.uses),
+                        min(max(0, mine.wants), limit.most),
+                    )
             for index, share in self._shares(now_us, asks, counts, limit, block):
                 out[index].append(Right(limit.key, share))
         return [tuple(each) for each in out]
@@ -183,7 +215,9 @@
         """Whether what an ask states counts: it is no late or doubled one."""
         until = given_until_us(now_us, self._grant_us)
         held = self._heard.get(asker.ident)
-        known = max(self.lives.get(asker.ident, asker.life), held.life if held is not None else asker.life)
+        known = max(
+            self.lives.get(asker.ident, asker.life), held.life if held is not None else asker.life
+        )
         if asker.life < known and now_us < self._lapses_us(asker.ident) + lag_us:
             return False  # of a former life, or of one after a wall clock was set back: that waits
         if held is not None and held.life == asker.life:
@@ -195,16 +229,29 @@
         if held is None or held.life != asker.life:
             for each in self._said.values():
                 each.pop(asker.ident, None)
-        self._heard[asker.ident] = _Heard(asker.life, asker.number, asker.up_us, now_us, until,
-                                          asker.reign == self.reign)
+        self._heard[asker.ident] = _Heard(
+            asker.life, asker.number, asker.up_us, now_us, until, asker.reign == self.reign
+        )
         return True
 
-    def _shares(self, now_us: int, asks: Sequence[tuple[Asker, Any]], counts: list[bool], limit: FleetLimit,
-                block: Block) -> Iterator[tuple[int, int]]:
+    def _shares(
+        self,
+        now_us: int,
+        asks: Sequence[tuple[Asker, Any]],
+        counts: list[bool],
+        limit: FleetLimit,
+        block: Block,
+    ) -> Iterator[tuple[int, int]]:
         sayings = self._said[limit.key]
-        beyond = sum(max(0, said.uses - block.parts.get(name, (0, 0))[1]) for name, said in sayings.items())
+        beyond = sum(
+            max(0, said.uses - block.parts.get(name, (0, 0))[1]) for name, said in sayings.items()
+        )
         # What stands beyond the whole, under a limit that was lowered or is new: all are held to the plan at once.
-        plan = self._plan(now_us, limit, block, self._reborn())[0] if block.total + beyond > limit.most else None
+        plan = (
+            self._plan(now_us, limit, block, self._reborn())[0]
+            if block.total + beyond > limit.most
+            else None
+        )
         for index, (asker, _) in enumerate(asks):
             said = sayings.get(asker.ident)
             if not counts[index] or said is None:
@@ -222,14 +269,22 @@
         if now_us < self._moved_us + MOVE_US:
             return [], self._moved_us + MOVE_US
         if self.doubt:
-            at = self._lapses_us("") + max([drifted_us(HOUR_US) if not rules.limits else 0,
-                                            *(each.lag_us for each in rules.limits)])
+            at = self._lapses_us("") + max(
+                [
+                    drifted_us(HOUR_US) if not rules.limits else 0,
+                    *(each.lag_us for each in rules.limits),
+                ]
+            )
             if now_us < at:
                 return [], at
             return [self._proposal(now_us, {}, {}, [], True)], now_us + MOVE_US
         changed: dict[str, Any] = {}
         names = {name for limit in rules.limits for name in limit.among}
-        names |= {name for block in self.blocks.values() for name in (*block.parts, *(each[0] for each in block.debts))}
+        names |= {
+            name
+            for block in self.blocks.values()
+            for name in (*block.parts, *(each[0] for each in block.debts))
+        }
         lives = {name: life for name, life in self.lives.items() if name in names}
         reborn = {name: life for name, life in self._reborn().items() if name in names}
         left = PARTS_MOST - sum(len(each.parts) for each in self.blocks.values())
@@ -237,7 +292,7 @@
             block = self.blocks.get(limit.key, Block())
             parts, debts = self._plan(now_us, limit, block, reborn)
             new = [name for name in parts if name not in block.parts]
-            for name in new[max(0, left):]:
+            for name in new[max(0, left) :]:
                 del parts[name]
                 self.refused += 1
             left -= min(max(0, left), len(new))
@@ -251,36 +306,65 @@
 
     def _reborn(self) -> dict[str, int]:
         """Lives that are heard, and not the decided ones."""
-        return {name: each.life for name, each in self._heard.items() if each.life != self.lives.get(name)}
-
-    def _proposal(self, now_us: int, lives: dict[str, int], changed: dict[str, Any], drop: list[str],
-                  fresh: bool) -> Proposal:
+        return {
+            name: each.life
+            for name, each in self._heard.items()
+            if each.life != self.lives.get(name)
+        }
+
+    def _proposal(
+        self,
+        now_us: int,
+        lives: dict[str, int],
+        changed: dict[str, Any],
+        drop: list[str],
+        fresh: bool,
+    ) -> Proposal:
         self._moved_us = now_us
-        return Proposal("move", {"base": self.serial, "lives": lives, "set": changed, "drop": drop, "fresh": fresh})
-
-    def _lacking(self, now_us: int, rules: RuleSet, reborn: dict[str, int], changed: dict[str, Any]) -> list[str]:
+        return Proposal(
+            "move",
+            {"base": self.serial, "lives": lives, "set": changed, "drop": drop, "fresh": fresh},
+        )
+
+    def _lacking(
+        self, now_us: int, rules: RuleSet, reborn: dict[str, int], changed: dict[str, Any]
+    ) -> list[str]:
         """Limits that the rules lack: forgotten once nothing of them can be in use, whatever their lag was."""
         here = {each.key for each in rules.limits}
-        self._lacking_us = {key: self._lacking_us.get(key, now_us) for key in self.blocks if key not in here}
-        drop = [key for key, at in self._lacking_us.items()
-                if now_us >= given_until_us(at, self._grant_us) + drifted_us(HOUR_US)]
+        self._lacking_us = {
+            key: self._lacking_us.get(key, now_us) for key in self.blocks if key not in here
+        }
+        drop = [
+            key
+            for key, at in self._lacking_us.items()
+            if now_us >= given_until_us(at, self._grant_us) + drifted_us(HOUR_US)
+        ]
         for key in self._lacking_us.keys() - set(drop):
             block = self.blocks[key]
             gone = [name for name in reborn if name in block.parts]
             if gone:
-                changed[key] = [{name: each for name, each in block.parts.items() if name not in gone},
-                                [*block.debts, *((name, self.lives.get(name, 0), block.parts[name][1])
-                                                 for name in gone)][-DEBTS_MOST:]]
+                changed[key] = [
+                    {name: each for name, each in block.parts.items() if name not in gone},
+                    [
+                        *block.debts,
+                        *((name, self.lives.get(name, 0), block.parts[name][1]) for name in gone),
+                    ][-DEBTS_MOST:],
+                ]
         return drop
 
     def _lapses_us(self, name: str) -> int:
         """When no grant that this or an earlier leader gave to the life that is known can last."""
         held = self._heard.get(name)
         known = held is not None and held.life == self.lives.get(name)
-        return held.until_us if held is not None and known else given_until_us(self._began_us, self._grant_us)
-
-    def _plan(self, now_us: int, limit: FleetLimit, block: Block, reborn: dict[str, int]
-              ) -> tuple[dict[str, tuple[int, int]], list[tuple[str, int, int]]]:
+        return (
+            held.until_us
+            if held is not None and known
+            else given_until_us(self._began_us, self._grant_us)
+        )
+
+    def _plan(
+        self, now_us: int, limit: FleetLimit, block: Block, reborn: dict[str, int]
+    ) -> tuple[dict[str, tuple[int, int]], list[tuple[str, int, int]]]:
         """Blocks and debts as they are to be next."""
         debts = [each for each in block.debts if not self._settled(now_us, limit, each)]
         sayings = self._said.get(limit.key, {})
@@ -300,16 +384,28 @@
                 if now_us < heard.until_us:
                     live[name] = said
                     count = max(count, said.uses)
-            if name not in live and name not in reborn and now_us >= self._lapses_us(name) + limit.lag_us:
+            if (
+                name not in live
+                and name not in reborn
+                and now_us >= self._lapses_us(name) + limit.lag_us
+            ):
                 size = count = 0
             held[name] = size, count
         targets = self._targets(limit, sum(each[2] for each in debts), held, live)
-        room = limit.most - sum(each[2] for each in debts) - sum(count for _, count in held.values())
-        near = {name for name, (size, _) in held.items() if name in limit.among
-                and abs(targets.get(name, size) - size) * STEADY <= max(size, targets.get(name, size))}
+        room = (
+            limit.most - sum(each[2] for each in debts) - sum(count for _, count in held.values())
+        )
+        near = {
+            name
+            for name, (size, _) in held.items()
+            if name in limit.among
+            and abs(targets.get(name, size) - size) * STEADY <= max(size, targets.get(name, size))
+        }
         short = {name for name, said in live.items() if said.wants > held[name][0]}
         # Danger: where each of many has a little too much, one could be left with far too little.
-        tight = room < sum(max(0, target - held[name][0]) for name, target in targets.items() if name not in near)
+        tight = room < sum(
+            max(0, target - held[name][0]) for name, target in targets.items() if name not in near
+        )
         out: dict[str, tuple[int, int]] = {}
         for name, (size, count) in sorted(held.items(), key=lambda each: each[1][0]):
             target = targets.get(name, size)
@@ -325,10 +421,14 @@
                 out[name] = size, count
         return dict(sorted(out.items())), debts
 
-    def _targets(self, limit: FleetLimit, owed: int, held: dict[str, tuple[int, int]],
-                 live: dict[str, _Said]) -> dict[str, int]:
+    def _targets(
+        self, limit: FleetLimit, owed: int, held: dict[str, tuple[int, int]], live: dict[str, _Said]
+    ) -> dict[str, int]:
         """Fair parts of what the others cannot hold, for those that are heard."""
-        pool = max(0, limit.most - owed - sum(count for name, (_, count) in held.items() if name not in live))
+        pool = max(
+            0,
+            limit.most - owed - sum(count for name, (_, count) in held.items() if name not in live),
+        )
         wants = {name: said.wants for name, said in live.items() if name in limit.among}
         targets = fair(pool, wants) if wants else {}
         uses = {name: said.uses for name, said in live.items()}
@@ -342,9 +442,15 @@
 
     def _settled(self, now_us: int, limit: FleetLimit, debt: tuple[str, int, int]) -> bool:
         name, life, _ = debt
-        since = self._debts_us.setdefault((limit.key, name, life), self._ended_us.get((name, life), now_us))
+        since = self._debts_us.setdefault(
+            (limit.key, name, life), self._ended_us.get((name, life), now_us)
+        )
         heard = self._heard.get(name)
-        if heard is not None and heard.life > life and heard.up_us + now_us - heard.at_us >= limit.lag_us:
+        if (
+            heard is not None
+            and heard.life > life
+            and heard.up_us + now_us - heard.at_us >= limit.lag_us
+        ):
             return True  # that life has lasted for so long, and the other ended before
         return now_us >= since + limit.lag_us
 
@@ -355,14 +461,30 @@
         out: list[dict[str, object]] = []
         for limit in limits:
             block, sayings = self.blocks.get(limit.key, Block()), self._said.get(limit.key, {})
-            out.append({"limit": limit.key, "most": limit.most, "free": limit.most - block.total,
-                        "owed": sum(each[2] for each in block.debts), "held": [
-                            self._account(now_us, name, part, sayings.get(name))
-                            for name, part in sorted(block.parts.items())]})
+            out.append(
+                {
+                    "limit": limit.key,
+                    "most": limit.most,
+                    "free": limit.most - block.total,
+                    "owed": sum(each[2] for each in block.debts),
+                    "held": [
+                        self._account(now_us, name, part, sayings.get(name))
+                        for name, part in sorted(block.parts.items())
+                    ],
+                }
+            )
         return out
 
-    def _account(self, now_us: int, name: str, part: tuple[int, int], said: _Said | None) -> dict[str, object]:
+    def _account(
+        self, now_us: int, name: str, part: tuple[int, int], said: _Said | None
+    ) -> dict[str, object]:
         heard = self._heard.get(name)
-        return {"placer": name, "share": part[0], "counts": part[1], "uses": said.uses if said else 0,
-                "wants": said.wants if said else 0, "ageUs": now_us - (heard.at_us if heard else self._began_us),
-                "lapsed": heard is None or now_us >= heard.until_us}
+        return {
+            "placer": name,
+            "share": part[0],
+            "counts": part[1],
+            "uses": said.uses if said else 0,
+            "wants": said.wants if said else 0,
+            "ageUs": now_us - (heard.at_us if heard else self._began_us),
+            "lapsed": heard is None or now_us >= heard.until_us,
+        }
--- a/wingbarrow/decide/peers/custodian.py
+++ b/wingbarrow/decide/peers/custodian.py
@@ -46,12 +46,21 @@
 class Custodian:
     """One placer's. `terms`: the regions that a Job's spec allows now, and how many keepers it wants."""
 
-    def __init__(self, me: str, life: int, region: str, seed: int, bounds: Bounds = Bounds(),  # noqa: B008 - frozen
-                 pace: Pace = Pace()) -> None:  # noqa: B008 - frozen
+    def __init__(
+        self,
+        me: str,
+        life: int,
+        region: str,
+        seed: int,
+        bounds: Bounds = Bounds(),
+        pace: Pace = Pace(),
+    ) -> None:
         self.me, self.region, self.pace = me, region, pace
         self.custody = Custody(me, life, region, seed, bounds)
         self.keeping = Keeping(me, life, bounds)
-        self.custody.started = lambda uid: self.keeping.taken.get(uid, (0, ""))[1] == Verdict.RUN.value
+        self.custody.started = (
+            lambda uid: self.keeping.taken.get(uid, (0, ""))[1] == Verdict.RUN.value
+        )
         self.terms: Callable[[Record], tuple[tuple[str, ...], int]] = lambda record: ((), 1)
         self.takeovers: dict[Session, Takeover] = {}
         self.healings: dict[Session, Healing] = {}
@@ -85,10 +94,19 @@
         out = self._go(now_us, self.custody.buried(now_us, ended.session, ended.epoch))
         if ended.session.placer == self.me:
             healing = self.healings.get(ended.session)
-            if healing is None and self.custody.former_session == ended.session and self.custody.former:
-                jobs = {uid: Own(job.said(now_us), uid in runs) for uid, job in self.custody.former.items()}
+            if (
+                healing is None
+                and self.custody.former_session == ended.session
+                and self.custody.former
+            ):
+                jobs = {
+                    uid: Own(job.said(now_us), uid in runs)
+                    for uid, job in self.custody.former.items()
+                }
                 healing = self.healings[ended.session] = Healing(self.me, ended.session, jobs)
-            return out + (self._go(now_us, healing.ended(now_us, ended)) if healing is not None else [])
+            return out + (
+                self._go(now_us, healing.ended(now_us, ended)) if healing is not None else []
+            )
         out += self._succeed(now_us, ended)
         if ended.session in self.keeping.ends:
             self._heard.setdefault(ended.session, now_us)
@@ -125,7 +143,9 @@
 
     def operator(self, now_us: int, uid: str) -> list[Effect]:
         """An operator answers for it that an unknown Job never ran."""
-        return self._go(now_us, self._where[uid].operator(now_us, uid)) if uid in self._where else []
+        return (
+            self._go(now_us, self._where[uid].operator(now_us, uid)) if uid in self._where else []
+        )
 
     def record(self, uid: str) -> Record | None:
         """What is known here of a Job that is being taken over."""
@@ -137,10 +157,18 @@
 
     def unknown(self) -> list[Record]:
         """Jobs that are kept as unknown, for the operator's list; those of a session of before, too, until settled."""
-        healing = [own.record for each in self.healings.values() for own in each.jobs.values()
-                   if own.record.effect != "safe"]
-        return healing + [case.record for takeover in self.takeovers.values() for case in takeover.cases.values()
-                          if case.fate == Verdict.UNKNOWN.value]
+        healing = [
+            own.record
+            for each in self.healings.values()
+            for own in each.jobs.values()
+            if own.record.effect != "safe"
+        ]
+        return healing + [
+            case.record
+            for takeover in self.takeovers.values()
+            for case in takeover.cases.values()
+            if case.fate == Verdict.UNKNOWN.value
+        ]
 
     def on_message(self, now_us: int, ident: str, address: str, message: Message) -> list[Effect]:
         """Mail came."""
@@ -153,10 +181,25 @@
         if isinstance(message, Settled):
             return self._settled(now_us, ident, message)
         if isinstance(message, AskMachine):
-            return [Tell("ask-machine", {"to": ident, "number": message.number, "machine": message.machine,
-                                         "uid": message.uid, "epoch": message.epoch})]
-        takeover = next((each for each in self.takeovers.values() if each.epoch == message.number // NUMBERS), None)
-        return self._go(now_us, takeover.on_message(now_us, message)) if takeover is not None else []
+            return [
+                Tell(
+                    "ask-machine",
+                    {
+                        "to": ident,
+                        "number": message.number,
+                        "machine": message.machine,
+                        "uid": message.uid,
+                        "epoch": message.epoch,
+                    },
+                )
+            ]
+        takeover = next(
+            (each for each in self.takeovers.values() if each.epoch == message.number // NUMBERS),
+            None,
+        )
+        return (
+            self._go(now_us, takeover.on_message(now_us, message)) if takeover is not None else []
+        )
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
         """A timer is due."""
@@ -172,18 +215,31 @@
             return self._watch(now_us, ask=True)
         self.healings = {session: each for session, each in self.healings.items() if not each.done}
         parts: list[Takeover | Healing] = [*self.takeovers.values(), *self.healings.values()]
-        return [effect for each in parts if each.timer == key
-                for effect in self._go(now_us, each.on_timer(now_us))]
+        return [
+            effect
+            for each in parts
+            if each.timer == key
+            for effect in self._go(now_us, each.on_timer(now_us))
+        ]
 
     # -- what the core takes
 
-    def next(self, now_us: int, cores: float, memory: float,
-             may: Callable[[Record], bool] = lambda record: True) -> tuple[list[Start], list[Effect]]:
+    def next(
+        self,
+        now_us: int,
+        cores: float,
+        memory: float,
+        may: Callable[[Record], bool] = lambda record: True,
+    ) -> tuple[list[Start], list[Effect]]:
         """What may be started now, in order, within that room; `may`: whether its spec allows it here, now."""
         out: list[Start] = []
         left: list[tuple[int, int, str, str]] = []
-        while now_us >= self._next_us and self._heap and len(out) < self.pace.starts \
-                and len(left) < 8 * self.pace.starts:
+        while (
+            now_us >= self._next_us
+            and self._heap
+            and len(out) < self.pace.starts
+            and len(left) < 8 * self.pace.starts
+        ):
             entry = heapq.heappop(self._heap)
             takeover = self._where.get(entry[3])
             if takeover is None or entry[3] not in takeover.ready:
@@ -223,10 +279,15 @@
         """Danger: one that is dead by the voters never answers; one that is there, or stands in a batch, has to."""
         end = self.keeping.ends.get(taking.record.session)
         named = {name for batch in end.batches for name in batch} if end is not None else set()
-        return tuple(name for name in taking.must if name in self._alive or name in named
-                     or name not in self.keeping.latest)
-
-    def _take(self, now_us: int, session: Session, epoch: int, takings: list[Taking]) -> list[Effect]:
+        return tuple(
+            name
+            for name in taking.must
+            if name in self._alive or name in named or name not in self.keeping.latest
+        )
+
+    def _take(
+        self, now_us: int, session: Session, epoch: int, takings: list[Taking]
+    ) -> list[Effect]:
         if not takings:
             return []
         takeover = self.takeovers.get(session)
@@ -240,7 +301,9 @@
             allowed, copies = self.terms(record)
             record = replace(record, epoch=taking.epoch, version=record.version + 1)
             must = self._must(taking)
-            token, effects = self.custody.hold(now_us, record, allowed, copies, now_us + CLAIM_US, must, alone=True)
+            token, effects = self.custody.hold(
+                now_us, record, allowed, copies, now_us + CLAIM_US, must, alone=True
+            )
             self._claims[token] = record.uid
             out += self._go(now_us, effects)
         return out
@@ -268,7 +331,10 @@
                 out += self._lost(now_us, uid, said)
             elif effect.what == "settled":
                 self.custody.former.pop(uid, None)
-                out += [effect, *(self._again(now_us, said["own"], said["epoch"]) if not said["by"] else [])]
+                out += [
+                    effect,
+                    *(self._again(now_us, said["own"], said["epoch"]) if not said["by"] else []),
+                ]
             elif effect.what == "reissue":
                 self.keeping.fate(uid, said["verdict"])
                 out.append(effect)
@@ -306,7 +372,9 @@
 
     def _prune(self) -> None:
         self.takeovers = {session: each for session, each in self.takeovers.items() if each.cases}
-        self._heard = {session: at for session, at in self._heard.items() if session in self.keeping.ends}
+        self._heard = {
+            session: at for session, at in self._heard.items() if session in self.keeping.ends
+        }
 
     def _again(self, now_us: int, own: Own, epoch: int) -> list[Effect]:
         """Nobody knows a Job of this placer's former session: it succeeds itself."""
@@ -329,7 +397,9 @@
                 if name:
                     self._number += 1
                     self._settles[self._number] = name
-                    out.append(Send(name, "", Settle(self._number, session, tuple(some[:KEPT_MOST]))))
+                    out.append(
+                        Send(name, "", Settle(self._number, session, tuple(some[:KEPT_MOST])))
+                    )
                 elif now_us >= self._heard.get(session, now_us) + LAST_US:
                     out.append(Tell("orphans", {"session": session.text(), "jobs": len(some)}))
                     out += self._take_each(now_us, some)
--- a/wingbarrow/decide/peers/custody.py
+++ b/wingbarrow/decide/peers/custody.py
@@ -26,22 +26,33 @@
 class Custody:
     """One placer's, as a holder. The host calls it with mail and the timer `TIMER`, and carries out what it returns."""
 
-    def __init__(self, me: str, life: int, region: str, seed: int,
-                 bounds: Bounds = Bounds()) -> None:  # noqa: B008 - frozen
+    def __init__(
+        self, me: str, life: int, region: str, seed: int, bounds: Bounds = Bounds()
+    ) -> None:
         self.session, self.region, self.bounds = Session(me, life, 0), region, bounds
         self.jobs: dict[str, Job] = {}
         self.former: dict[str, Job] = {}  # of the session before, `former_session`
         self.former_session = self.session
         self.over = False  # this session has ended; nothing is held under it any more
-        self.started: Callable[[str], bool] = lambda uid: False  # whether a Job that was taken over runs
+        self.started: Callable[[str], bool] = (
+            lambda uid: False
+        )  # whether a Job that was taken over runs
         self.keepers = Keepers(me, region, seed, bounds)
         self._tokens = Tokens()
         self._timer_us: int | None = None
 
     # -- what the core asks; each returns a token and what is to happen
 
-    def hold(self, now_us: int, record: Record, allowed: Collection[str], copies: int, deadline_us: int,
-             must: Collection[str] = (), alone: bool = False) -> tuple[int, list[Effect]]:
+    def hold(
+        self,
+        now_us: int,
+        record: Record,
+        allowed: Collection[str],
+        copies: int,
+        deadline_us: int,
+        must: Collection[str] = (),
+        alone: bool = False,
+    ) -> tuple[int, list[Effect]]:
         """Have a Job's record at its keepers; where the token is not good, `drop` it.
 
         `must`: others that may have an older one of it (a taken-over Job's). `alone`: hold it where there is no keeper,
@@ -49,8 +60,15 @@
         """
         number = self._tokens.next()
         size = size_of(record)
-        why = ("session over" if self.over else "held already" if record.uid in self.jobs else
-               f"record of {size} bytes, at most {RECORD_MOST}" if size > RECORD_MOST else "")
+        why = (
+            "session over"
+            if self.over
+            else "held already"
+            if record.uid in self.jobs
+            else f"record of {size} bytes, at most {RECORD_MOST}"
+            if size > RECORD_MOST
+            else ""
+        )
         if why:
             return number, [settled(number, why)]
         chosen = self.keepers.choose(now_us, record.uid, allowed, copies, size)
@@ -59,9 +77,18 @@
             return number, [settled(number, "no room at any keeper" if able else "no keeper")]
         others = set(must) - {self.session.placer}
         since = {each.index: now_us - each.age_us for each in record.tasks}
-        job = Job(replace(record, session=self.session, keepers=chosen, others=(), moves=0),
-                  born_us=now_us - record.born_age_us, since_us=since, allowed=tuple(allowed), size=size,
-                  chosen=list(chosen), others=others - set(chosen), heed=others, alone=not chosen, moved=record.version)
+        job = Job(
+            replace(record, session=self.session, keepers=chosen, others=(), moves=0),
+            born_us=now_us - record.born_age_us,
+            since_us=since,
+            allowed=tuple(allowed),
+            size=size,
+            chosen=list(chosen),
+            others=others - set(chosen),
+            heed=others,
+            alone=not chosen,
+            moved=record.version,
+        )
         self.jobs[record.uid] = job
         self._tokens.wait(job, number, deadline_us, bool(must) and record.effect != "safe")
         for name in (*chosen, *sorted(job.others)):
@@ -72,11 +99,15 @@
             self.keepers.lack(now_us, record.uid, "")
         return number, [*self._tokens.met(job), *self._next_effects(now_us)]
 
-    def about(self, now_us: int, uid: str, known: Known, deadline_us: int) -> tuple[int, list[Effect]]:
+    def about(
+        self, now_us: int, uid: str, known: Known, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
         """An attempt is about to be sent: not before the token is good."""
         return self._task(now_us, uid, replace(known, phase="about"), deadline_us)
 
-    def placed(self, now_us: int, uid: str, known: Known, deadline_us: int) -> tuple[int, list[Effect]]:
+    def placed(
+        self, now_us: int, uid: str, known: Known, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
         """A task stands on a machine: the answer `placed` not before the token is good."""
         return self._task(now_us, uid, replace(known, phase="placed"), deadline_us)
 
@@ -84,17 +115,23 @@
         """An attempt is proven not to run: its machine refused it, or never heard of it and never will."""
         return self._task(now_us, uid, Known(index, "none"), deadline_us)
 
-    def ended(self, now_us: int, uid: str, index: int, deadline_us: int) -> tuple[int, list[Effect]]:
+    def ended(
+        self, now_us: int, uid: str, index: int, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
         """A task is over: it is never to be started again."""
         return self._task(now_us, uid, Known(index, "over"), deadline_us)
 
-    def answered(self, now_us: int, uid: str, answer: str, deadline_us: int) -> tuple[int, list[Effect]]:
+    def answered(
+        self, now_us: int, uid: str, answer: str, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
         """What the owner was told."""
         job = self.jobs.get(uid)
         record = replace(job.record, answered=answer) if job is not None else None
         return self._change(now_us, uid, record, deadline_us)
 
-    def again(self, now_us: int, uid: str, deadline_us: int, every: bool) -> tuple[int, list[Effect]]:
+    def again(
+        self, now_us: int, uid: str, deadline_us: int, every: bool
+    ) -> tuple[int, list[Effect]]:
         """Wait once more for what is said of a Job already."""
         number, job = self._tokens.next(), self.jobs.get(uid)
         if job is None:
@@ -178,8 +215,13 @@
     def on_message(self, now_us: int, ident: str, message: KeepAnswer) -> list[Effect]:
         """A keeper answered."""
         line = self.keepers.lines.get(ident)
-        if self.over or message.session != self.session or line is None or line.out is None \
-                or line.out.keep.number != message.number:
+        if (
+            self.over
+            or message.session != self.session
+            or line is None
+            or line.out is None
+            or line.out.keep.number != message.number
+        ):
             return []
         if message.over:
             return self._finish()
@@ -206,7 +248,11 @@
         out: list[Effect] = []
         out += self._tokens.late(now_us, self.jobs)
         for line in self.keepers.lines.values():
-            if line.out is not None and now_us >= line.out.said_us + self.bounds.slow_us and line.rest_us < now_us:
+            if (
+                line.out is not None
+                and now_us >= line.out.said_us + self.bounds.slow_us
+                and line.rest_us < now_us
+            ):
                 self._leave(now_us, line)
         for uid, name in self.keepers.moves(now_us):
             self._move(now_us, uid, name)
@@ -220,7 +266,9 @@
 
     def _finish(self) -> list[Effect]:
         """This session is over."""
-        out: list[Effect] = [tell for job in self.jobs.values() for tell in self._tokens.fail(job, "session over")]
+        out: list[Effect] = [
+            tell for job in self.jobs.values() for tell in self._tokens.fail(job, "session over")
+        ]
         self.over = True
         self.former, self.former_session, self.jobs = self.jobs, self.session, {}
         self._tokens.clear()
@@ -229,7 +277,9 @@
 
     # -- changes
 
-    def _task(self, now_us: int, uid: str, known: Known, deadline_us: int) -> tuple[int, list[Effect]]:
+    def _task(
+        self, now_us: int, uid: str, known: Known, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
         job = self.jobs.get(uid)
         if job is None or not 0 <= known.index < job.record.count:
             number = self._tokens.next()
@@ -239,14 +289,23 @@
         every = known.phase == "about" and record.effect != "safe"
         return self._change(now_us, uid, record, deadline_us, every, known)
 
-    def _change(self, now_us: int, uid: str, record: Record | None, deadline_us: int, every: bool = False,
-                known: Known | None = None) -> tuple[int, list[Effect]]:
+    def _change(
+        self,
+        now_us: int,
+        uid: str,
+        record: Record | None,
+        deadline_us: int,
+        every: bool = False,
+        known: Known | None = None,
+    ) -> tuple[int, list[Effect]]:
         number = self._tokens.next()
         job = self.jobs.get(uid)
         if job is None or record is None:
             return number, [settled(number, "session over" if self.over else "not held")]
         if size_of(record) > RECORD_MOST:
-            return number, [settled(number, f"record of {size_of(record)} bytes, at most {RECORD_MOST}")]
+            return number, [
+                settled(number, f"record of {size_of(record)} bytes, at most {RECORD_MOST}")
+            ]
         if known is not None:
             job.since_us[known.index] = now_us - known.age_us
         job.record = replace(record, version=record.version + 1)
@@ -274,8 +333,14 @@
             if uid not in line.dirty:
                 line.want(now_us, uid, gone=True)
 
-    def _kept(self, now_us: int, line: Line, message: KeepAnswer, records: tuple[Record, ...],
-              gone: tuple[str, ...]) -> list[Effect]:
+    def _kept(
+        self,
+        now_us: int,
+        line: Line,
+        message: KeepAnswer,
+        records: tuple[Record, ...],
+        gone: tuple[str, ...],
+    ) -> list[Effect]:
         out: list[Effect] = [Tell("later", {"record": each}) for each in message.later]
         for uid, epoch, holder in message.taken:
             job = self.jobs.get(uid)
@@ -292,7 +357,11 @@
             out += [Tell("taken", {"uid": uid, "by": holder}), *self.drop(now_us, uid)]
         refused = {uid for uid, _, _ in message.taken}
         for uid in gone:
-            if uid in self.jobs and uid not in line.dirty and line.name not in self.jobs[uid].chosen:
+            if (
+                uid in self.jobs
+                and uid not in line.dirty
+                and line.name not in self.jobs[uid].chosen
+            ):
                 self.jobs[uid].others.discard(line.name)
                 self.jobs[uid].acked.pop(line.name, None)
         for uid in gone:
@@ -326,8 +395,11 @@
             if self._wanted(uid, name):
                 self.keepers.line(name).want(now_us, uid)
             return
-        if job is None or not (job.alone if line is None else name in job.chosen) \
-                or self.keepers.stays(now_us, name, job.allowed):
+        if (
+            job is None
+            or not (job.alone if line is None else name in job.chosen)
+            or self.keepers.stays(now_us, name, job.allowed)
+        ):
             return
         new = self.keepers.choose(now_us, uid, job.allowed, 1, job.size, {*job.chosen, *job.others})
         if not new:
@@ -342,10 +414,17 @@
             if name not in job.heed:
                 line.dirty.pop(uid, None)
         self.keepers.lines[new[0]].charge(uid, job.size)
-        job.record = replace(job.record, keepers=tuple(job.chosen), version=job.record.version + 1,
-                             moves=job.record.moves + 1)
+        job.record = replace(
+            job.record,
+            keepers=tuple(job.chosen),
+            version=job.record.version + 1,
+            moves=job.record.moves + 1,
+        )
         job.moved = job.record.version
-        for each in (*job.chosen, *(name for name in sorted(job.others) if self._wanted(uid, name))):
+        for each in (
+            *job.chosen,
+            *(name for name in sorted(job.others) if self._wanted(uid, name)),
+        ):
             self.keepers.line(each).want(now_us, uid)
 
     def _renewed(self, now_us: int, line: Line, life: int, serial: int) -> None:
--- a/wingbarrow/decide/peers/grants.py
+++ b/wingbarrow/decide/peers/grants.py
@@ -11,6 +11,7 @@
 
 from wingbarrow.decide.peers.limits import drifted_us
 
+
 def given_until_us(now_us: int, lasts_us: int) -> int:
     """Until when the giver reckons with a grant that it gives now: its holder asked before."""
     return now_us + drifted_us(lasts_us)
--- a/wingbarrow/decide/peers/handing.py
+++ b/wingbarrow/decide/peers/handing.py
@@ -119,10 +119,22 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    def begin(self, now_us: int, manifest: str, spec: str, harmless: bool, due_us: int,
-              targets: list[Target]) -> tuple[str, list[Effect]]:
+    def begin(
+        self,
+        now_us: int,
+        manifest: str,
+        spec: str,
+        harmless: bool,
+        due_us: int,
+        targets: list[Target],
+    ) -> tuple[str, list[Effect]]:
         """Hand one over to the first of some placers that takes it: its ident, "" where none can be asked."""
-        if not targets or len(self._open) >= OPEN_MOST or len(manifest) > MANIFEST_MOST or now_us >= due_us:
+        if (
+            not targets
+            or len(self._open) >= OPEN_MOST
+            or len(manifest) > MANIFEST_MOST
+            or now_us >= due_us
+        ):
             self.counts["handing:not begun"] += 1
             return "", []
         self._number += 1
@@ -152,10 +164,15 @@
             return []
         if message.state == REFUSED and out.state in ("", TAKEN):
             return self._next(now_us, message.ident, out, message.words)
-        if message.state == out.state or message.state not in (TAKEN, PLACED, FAILED, *RAN) or (
-                out.state == PLACED and message.state == TAKEN):
+        if (
+            message.state == out.state
+            or message.state not in (TAKEN, PLACED, FAILED, *RAN)
+            or (out.state == PLACED and message.state == TAKEN)
+        ):
             return []
-        missed = message.state in RAN and out.state != PLACED  # it was placed and has ended; that word was lost
+        missed = (
+            message.state in RAN and out.state != PLACED
+        )  # it was placed and has ended; that word was lost
         out.state = message.state
         if message.state in FINAL:
             del self._open[message.ident]
@@ -187,10 +204,17 @@
         out.said_us = now_us
         # What was taken or placed is asked after at a slower pace: each change is told unasked.
         wait = AGAIN_US if out.state == "" or out.stopping_us is not None else 8 * AGAIN_US
-        timer = SetTimer(ident, min(now_us + wait, out.due_us) if now_us < out.due_us and out.state in ("", TAKEN)
-                         else now_us + wait)
-        letter = (HandStop(ident, target.life) if out.stopping_us is not None
-                  else Hand(ident, target.life, 1, out.spec, max(0, out.due_us - now_us), out.manifest))
+        timer = SetTimer(
+            ident,
+            min(now_us + wait, out.due_us)
+            if now_us < out.due_us and out.state in ("", TAKEN)
+            else now_us + wait,
+        )
+        letter = (
+            HandStop(ident, target.life)
+            if out.stopping_us is not None
+            else Hand(ident, target.life, 1, out.spec, max(0, out.due_us - now_us), out.manifest)
+        )
         return [Send(target.name, "", letter), timer]
 
     def _next(self, now_us: int, ident: str, out: _Out, words: str) -> list[Effect]:
@@ -214,7 +238,9 @@
         self.counts["handing:lost with their receiver"] += 1
         if out.state == PLACED:
             return [_told(ident, LOST, "", "the placer that ran it is gone; its session decides")]
-        return [_told(ident, FAILED, "", "the placer that had it is gone, and it may have been started")]
+        return [
+            _told(ident, FAILED, "", "the placer that had it is gone, and it may have been started")
+        ]
 
 
 def _told(ident: str, state: str, where: str, words: str) -> Effect:
@@ -237,10 +263,14 @@
     life: int
     _open: dict[str, _In] = field(default_factory=dict)
     _done: dict[str, HandSays] = field(default_factory=dict)
-    _floor: dict[str, tuple[int, int]] = field(default_factory=dict)  # by giver: all up to it is over, and forgotten
+    _floor: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by giver: all up to it is over, and forgotten
     counts: Counter[str] = field(default_factory=Counter)
 
-    def on_message(self, now_us: int, ident: str, address: str, message: Hand | HandStop) -> list[Effect]:
+    def on_message(
+        self, now_us: int, ident: str, address: str, message: Hand | HandStop
+    ) -> list[Effect]:
         """A hand-over, or its stop."""
         if message.life != self.life:
             return [Send(ident, address, HandSays(message.ident, REFUSED, stranger=True))]
@@ -250,26 +280,56 @@
             return []  # idents carry their giver's name: nobody else speaks for it
         if done is None and held is None and (life, number) <= self._floor.get(giver, (0, 0)):
             # Danger: its end is forgotten; a letter that was held up would start it once more.
-            return [Send(ident, address, HandSays(message.ident, FAILED, words="it was over long ago"))]
+            return [
+                Send(ident, address, HandSays(message.ident, FAILED, words="it was over long ago"))
+            ]
         if done is not None:
             return [Send(ident, address, done)]
         if isinstance(message, HandStop):
             if held is None:
                 # Danger: the hand-over may come after its stop; it is refused then.
-                return [Send(ident, address, self._finish(HandSays(message.ident, REFUSED, words="stopped before")))]
-            return [Tell("stop", {"ident": message.ident}), Send(ident, address, self._says(message.ident, held))]
+                return [
+                    Send(
+                        ident,
+                        address,
+                        self._finish(HandSays(message.ident, REFUSED, words="stopped before")),
+                    )
+                ]
+            return [
+                Tell("stop", {"ident": message.ident}),
+                Send(ident, address, self._says(message.ident, held)),
+            ]
         if held is not None:
             return [Send(ident, address, self._says(message.ident, held))]
-        why = ("too many hops" if message.hops > HOPS_MOST else "no patience is left" if message.left_us <= 0
-               else "too many hand-overs are under way" if len(self._open) >= OPEN_MOST else "")
+        why = (
+            "too many hops"
+            if message.hops > HOPS_MOST
+            else "no patience is left"
+            if message.left_us <= 0
+            else "too many hand-overs are under way"
+            if len(self._open) >= OPEN_MOST
+            else ""
+        )
         if why:
             self.counts["handing:refused, " + why] += 1
             return [Send(ident, address, self._finish(HandSays(message.ident, REFUSED, words=why)))]
         self._open[message.ident] = _In(ident)
-        return [Tell("take", {"ident": message.ident, "spec": message.spec, "manifest": message.manifest,
-                              "left_us": message.left_us}), Send(ident, address, HandSays(message.ident, TAKEN))]
-
-    def came_to(self, now_us: int, ident: str, state: str, where: str = "", words: str = "") -> list[Effect]:
+        return [
+            Tell(
+                "take",
+                {
+                    "ident": message.ident,
+                    "spec": message.spec,
+                    "manifest": message.manifest,
+                    "left_us": message.left_us,
+                },
+            ),
+            Send(ident, address, HandSays(message.ident, TAKEN)),
+        ]
+
+    def came_to(
+        self, now_us: int, ident: str, state: str, where: str = "", words: str = ""
+    ) -> list[Effect]:
         """What this placer made of one: placed, refused (nothing was started, nor will be), failed, done, lost."""
         held = self._open.get(ident)
         if held is None:
@@ -299,4 +359,6 @@
 def _parts(ident: str) -> tuple[str, int, int]:
     """Giver, its life, a number; nobody's where it cannot be read."""
     giver, life, number = (ident.rsplit("/", 2) + ["", ""])[:3]
-    return (giver, int(life), int(number)) if life.isdecimal() and number.isdecimal() else ("", 0, 0)
+    return (
+        (giver, int(life), int(number)) if life.isdecimal() and number.isdecimal() else ("", 0, 0)
+    )
--- a/wingbarrow/decide/peers/healing.py
+++ b/wingbarrow/decide/peers/healing.py
@@ -63,7 +63,13 @@
             if uids:
                 self._number += 1
                 self._numbers[self._number] = name
-                out.append(Send(name, "", Settle(self._number, self.session, tuple(sorted(uids))[:KEPT_MOST])))
+                out.append(
+                    Send(
+                        name,
+                        "",
+                        Settle(self._number, self.session, tuple(sorted(uids))[:KEPT_MOST]),
+                    )
+                )
         while len(self._numbers) > 1024:
             del self._numbers[next(iter(self._numbers))]
         if self._nobody_us is not None and now_us >= self._nobody_us:
@@ -82,10 +88,25 @@
                 continue
             if fate == UNKNOWN_HERE or epoch <= own.record.epoch:
                 continue  # who has it at an earlier epoch, or at this, is no successor of it
-            here, there = Copy(own.record.epoch, self.me, own.runs), Copy(epoch, ident, fate == "run")
+            here, there = (
+                Copy(own.record.epoch, self.me, own.runs),
+                Copy(epoch, ident, fate == "run"),
+            )
             mine, theirs, why = settle(own.record.effect, here, there)
-            out.append(Tell("settled", {"uid": uid, "mine": mine.value, "theirs": theirs.value, "epoch": epoch,
-                                        "by": ident, "fate": fate, "why": why}))
+            out.append(
+                Tell(
+                    "settled",
+                    {
+                        "uid": uid,
+                        "mine": mine.value,
+                        "theirs": theirs.value,
+                        "epoch": epoch,
+                        "by": ident,
+                        "fate": fate,
+                        "why": why,
+                    },
+                )
+            )
             self._close(uid)
         return out
 
@@ -99,8 +120,20 @@
         out: list[Effect] = []
         for uid, own in list(self.jobs.items()):
             mine = Verdict.RUN if own.record.effect == "safe" else Verdict.UNKNOWN
-            out.append(Tell("settled", {"uid": uid, "mine": mine.value, "theirs": Verdict.NOTHING.value, "by": "",
-                                        "epoch": self._epoch, "fate": UNKNOWN_HERE,
-                                        "why": "no successor knows of it", "own": own}))
+            out.append(
+                Tell(
+                    "settled",
+                    {
+                        "uid": uid,
+                        "mine": mine.value,
+                        "theirs": Verdict.NOTHING.value,
+                        "by": "",
+                        "epoch": self._epoch,
+                        "fate": UNKNOWN_HERE,
+                        "why": "no successor knows of it",
+                        "own": own,
+                    },
+                )
+            )
             self._close(uid)
         return out
--- a/wingbarrow/decide/peers/held.py
+++ b/wingbarrow/decide/peers/held.py
@@ -31,10 +31,14 @@
     size: int
     chosen: list[str]
     others: set[str] = field(default_factory=set)
-    heed: set[str] = field(default_factory=set)  # have to hear of this holder before they may forget
+    heed: set[str] = field(
+        default_factory=set
+    )  # have to hear of this holder before they may forget
     acked: dict[str, int] = field(default_factory=dict)
     alone: bool = False  # there is no keeper
-    contested: set[str] = field(default_factory=set)  # keepers that have it from another at the same epoch
+    contested: set[str] = field(
+        default_factory=set
+    )  # keepers that have it from another at the same epoch
     moved: int = 0  # the version at which its keepers changed last
     tokens: list[Token] = field(default_factory=list)
 
@@ -43,12 +47,21 @@
         tasks = [each for each in self.record.tasks if each.index != known.index]
         tasks += [known] if known.phase != "none" else []
         where = region if known.phase in ("about", "placed") else self.record.region
-        return replace(self.record, tasks=tuple(sorted(tasks, key=lambda each: each.index)), region=where)
+        return replace(
+            self.record, tasks=tuple(sorted(tasks, key=lambda each: each.index)), region=where
+        )
 
     def said(self, now_us: int) -> Record:
         """Its record with the ages of now."""
-        tasks = tuple(replace(each, age_us=now_us - self.since_us[each.index]) for each in self.record.tasks)
-        return replace(self.record, born_age_us=now_us - self.born_us, tasks=tasks, others=tuple(sorted(self.others)))
+        tasks = tuple(
+            replace(each, age_us=now_us - self.since_us[each.index]) for each in self.record.tasks
+        )
+        return replace(
+            self.record,
+            born_age_us=now_us - self.born_us,
+            tasks=tasks,
+            others=tuple(sorted(self.others)),
+        )
 
 
 def settled(number: int, why: str = "") -> Tell:
@@ -95,7 +108,9 @@
         while self._deadlines and self._deadlines[0][0] <= now_us:
             _, number, uid = heapq.heappop(self._deadlines)
             job = jobs.get(uid)
-            for token in [each for each in job.tokens if each.number == number] if job is not None else []:
+            for token in (
+                [each for each in job.tokens if each.number == number] if job is not None else []
+            ):
                 assert job is not None
                 job.tokens.remove(token)
                 asked = (*job.chosen, *sorted(job.others))
--- a/wingbarrow/decide/peers/holding.py
+++ b/wingbarrow/decide/peers/holding.py
@@ -17,7 +17,9 @@
 from wingbarrow.decide.peers.verdicts import Closures, Experience
 
 
-HOPS_MOST = 2  # from one who does not lead to the one that it names, before the next ask is due by time
+HOPS_MOST = (
+    2  # from one who does not lead to the one that it names, before the next ask is due by time
+)
 
 RELAYED_MOST = 8  # answers by way of a voter, before the leader itself is asked again
 HURRY_US = 100_000  # between asks for which somebody waits
@@ -27,9 +29,24 @@
     """`timer` sets one of the owner's; `named`: the voters of the settings, who are asked in turn while no leader is
     known."""
 
-    def __init__(self, me: str, named: tuple[str, ...], seed: int, times: Times, life: int,
-                 timer: Callable[[str, int], SetTimer], sides: tuple[Side, ...] = ()) -> None:
-        self.me, self.named, self.times, self.life, self._timer, self.sides = me, named, times, life, timer, sides
+    def __init__(
+        self,
+        me: str,
+        named: tuple[str, ...],
+        seed: int,
+        times: Times,
+        life: int,
+        timer: Callable[[str, int], SetTimer],
+        sides: tuple[Side, ...] = (),
+    ) -> None:
+        self.me, self.named, self.times, self.life, self._timer, self.sides = (
+            me,
+            named,
+            times,
+            life,
+            timer,
+            sides,
+        )
         self.born_us = 0
         self.region = ""
         self.purse = Purse()
@@ -44,10 +61,19 @@
         self._asked: dict[int, int] = {}  # own asks without an answer: when each was sent
         self._tried = 0
         self._acting: Acting | None = None
-        self._last, self._failed = "", ""  # whom the last ask went to, as the leader; who did not answer as such
-        self._by, self._relayed = "", 0  # the voter that passes asks on, while the leader does not answer; how many
+        self._last, self._failed = (
+            "",
+            "",
+        )  # whom the last ask went to, as the leader; who did not answer as such
+        self._by, self._relayed = (
+            "",
+            0,
+        )  # the voter that passes asks on, while the leader does not answer; how many
         self._forwarded: set[int] = set()  # own asks without an answer that were to be passed on
-        self._hint, self._hops = "", 0  # whom the last one asked named, to be asked now; how often one led to another
+        self._hint, self._hops = (
+            "",
+            0,
+        )  # whom the last one asked named, to be asked now; how often one led to another
         self._gave_up = False  # by the last answer: some share became less
         self._sent_us = -times.grant_us  # when the last ask was sent
 
@@ -56,7 +82,9 @@
         done."""
         out: list[Effect] = []
         unanswered = bool(self._asked)
-        self._asked = {number: at for number, at in self._asked.items() if now_us - at < self.times.grant_us}
+        self._asked = {
+            number: at for number, at in self._asked.items() if now_us - at < self.times.grant_us
+        }
         hinted = bool(self._hint)
         self._hops = self._hops if hinted else 0
         self._number += 1
@@ -66,16 +94,39 @@
             self.purse.lapse()
             out.append(Tell("rights", {"shares": {}}))
         receiver, forward = self._whom(known, unanswered)
-        ask = Ask(self._number, self.holder.edition, self.holder.floor, self.life, max(0, now_us - self.born_us),
-                  self.purse.stated(now_us), self.region, evidence, bad, tried,
-                  reign=self.reign, forward=forward, **{side.name: side.say(now_us) for side in self.sides})
+        ask = Ask(
+            self._number,
+            self.holder.edition,
+            self.holder.floor,
+            self.life,
+            max(0, now_us - self.born_us),
+            self.purse.stated(now_us),
+            self.region,
+            evidence,
+            bad,
+            tried,
+            reign=self.reign,
+            forward=forward,
+            **{side.name: side.say(now_us) for side in self.sides},
+        )
         self._last = "" if forward else receiver
-        self._forwarded = {each for each in self._forwarded | ({self._number} if forward else set())
-                           if each in self._asked}
+        self._forwarded = {
+            each
+            for each in self._forwarded | ({self._number} if forward else set())
+            if each in self._asked
+        }
         self._hint = ""
         wait = self.times.again_us + self._random.randrange(self.times.again_us // 2)
-        return ask, receiver, [*out, self._timer("ask", now_us + wait), *self.look_at_grant(now_us),
-                               *self._look_at_closed(now_us)]
+        return (
+            ask,
+            receiver,
+            [
+                *out,
+                self._timer("ask", now_us + wait),
+                *self.look_at_grant(now_us),
+                *self._look_at_closed(now_us),
+            ],
+        )
 
     def hurry(self, now_us: int) -> list[Effect]:
         """Somebody waits for rights: ask soon, unless an answer is on its way; at a bounded pace."""
@@ -88,7 +139,9 @@
         if known == self.me:
             return known, False
         if unanswered:
-            self._failed = self._failed or self._last  # somebody else may know better, or may reach it
+            self._failed = (
+                self._failed or self._last
+            )  # somebody else may know better, or may reach it
             self._by = ""
         elif self._hint:
             return self._hint, False
@@ -134,7 +187,9 @@
             if self.holder.take(asked_us, grant.edition, rules, grant.lasts_us):
                 out += self._take_rights(now_us, asked_us, grant, before, gap)
         if grant.floor and (grant.floor_rules or grant.floor == self.holder.floor):
-            self.holder.take_floor(asked_us, grant.floor, grant.floor_rules or self.holder.floor_rules, grant.floor_us)
+            self.holder.take_floor(
+                asked_us, grant.floor, grant.floor_rules or self.holder.floor_rules, grant.floor_us
+            )
         self.version = max(self.version, grant.version)
         self.closures.take(now_us, self.me, grant.closed)
         out += self._look_at_closed(now_us)
@@ -147,7 +202,9 @@
         wait = self.times.again_us if soon else self.times.grant_us // 3
         return [self._timer("ask", now_us + wait), *self.look_at_grant(now_us), *out]
 
-    def _take_rights(self, now_us: int, asked_us: int, grant: Grant, before: int, gap: bool) -> list[Effect]:
+    def _take_rights(
+        self, now_us: int, asked_us: int, grant: Grant, before: int, gap: bool
+    ) -> list[Effect]:
         shares = dict(self.purse.shares)
         if self.holder.edition != before:
             self.purse.take_limits(read(self.holder.rules).limits)
@@ -158,15 +215,26 @@
         if grant.number == self._number and now_us < asked_us + grant.lasts_us:
             self.purse.take(grant.rights)
         self._gave_up = any(self.purse.shares.get(key, 0) < share for key, share in shares.items())
-        return [Tell("rights", {"shares": dict(self.purse.shares)})] if shares != self.purse.shares else []
+        return (
+            [Tell("rights", {"shares": dict(self.purse.shares)})]
+            if shares != self.purse.shares
+            else []
+        )
 
     def on_not_leader(self, now_us: int, message: NotLeader) -> list[Effect]:
         """Whoever was asked does not lead."""
         if self._asked.pop(message.number, None) is None:
             return []
-        self.leader, self._by = message.leader, ""  # who passed asks on does not know the leader any more
+        self.leader, self._by = (
+            message.leader,
+            "",
+        )  # who passed asks on does not know the leader any more
         # Danger: two that name each other, each behind in its way, would be asked in turn as fast as mail goes.
-        if not message.leader or message.leader in (self.me, self._hint, self._failed) or self._hops >= HOPS_MOST:
+        if (
+            not message.leader
+            or message.leader in (self.me, self._hint, self._failed)
+            or self._hops >= HOPS_MOST
+        ):
             return []
         self._hint, self._hops = message.leader, self._hops + 1
         return [self._timer("ask", now_us + 1)]
@@ -178,7 +246,9 @@
         if acting != self._acting:
             self._acting = acting
             told = acting or Acting("", 0, "")
-            out.append(Tell("rules", {"label": told.label, "edition": told.edition, "rules": told.rules}))
+            out.append(
+                Tell("rules", {"label": told.label, "edition": told.edition, "rules": told.rules})
+            )
         ends = [at for at in (self.holder.until_us, self.holder.floor_until_us) if at > now_us]
         if ends:
             out.append(self._timer("lapse", min(ends)))
