--- a/wingbarrow/decide/peers/inquiry.py
+++ b/wingbarrow/decide/peers/inquiry.py
@@ -95,7 +95,11 @@
     def on_message(self, now_us: int, message: MachineSays) -> str:
         """A machine told, late or twice; the uid that it is about, "" for nothing new."""
         ask = self._numbers.get(message.number)
-        if ask is None or (message.uid, message.machine) != (ask.uid, ask.machine) or ask.word == "forgotten":
+        if (
+            ask is None
+            or (message.uid, message.machine) != (ask.uid, ask.machine)
+            or ask.word == "forgotten"
+        ):
             return ""
         if not message.reached:
             if ask.out and ask.number == message.number:
--- a/wingbarrow/decide/peers/keepers.py
+++ b/wingbarrow/decide/peers/keepers.py
@@ -52,14 +52,22 @@
             self.lines[name] = Line(name, alive[name][1], self._random, self.bounds, self._next)
         return [line for name, line in self.lines.items() if name not in alive]
 
-    def choose(self, now_us: int, uid: str, allowed: Collection[str], copies: int, size: int,
-               without: Collection[str] = ()) -> tuple[str, ...]:
+    def choose(
+        self,
+        now_us: int,
+        uid: str,
+        allowed: Collection[str],
+        copies: int,
+        size: int,
+        without: Collection[str] = (),
+    ) -> tuple[str, ...]:
         """Keepers with room; one that was slow, and answers now, where there is no other."""
         full = {name for name, line in self.lines.items() if not line.room(size)}
         slow = {name for name, line in self.lines.items() if line.rest_us > now_us}
         silent = {name for name in slow if self.lines[name].out is not None}
-        return (choose(uid, self.region, allowed, self._alive, copies, {*full, *slow, *without})
-                or choose(uid, self.region, allowed, self._alive, copies, {*full, *silent, *without}))
+        return choose(
+            uid, self.region, allowed, self._alive, copies, {*full, *slow, *without}
+        ) or choose(uid, self.region, allowed, self._alive, copies, {*full, *silent, *without})
 
     # -- replacing
 
--- a/wingbarrow/decide/peers/keeping.py
+++ b/wingbarrow/decide/peers/keeping.py
@@ -61,11 +61,13 @@
 class Keeping:
     """One placer's, as a keeper."""
 
-    def __init__(self, me: str, life: int, bounds: Bounds = Bounds()) -> None:  # noqa: B008 - frozen
+    def __init__(self, me: str, life: int, bounds: Bounds = Bounds()) -> None:
         self.session, self.bounds = Session(me, life, 0), bounds
         self.entries: dict[str, Entry] = {}
         self.sessions: dict[Session, dict[str, None]] = {}  # uids by holder's session
-        self.taken: dict[str, tuple[int, str]] = {}  # what this placer has taken over: epoch and fate
+        self.taken: dict[
+            str, tuple[int, str]
+        ] = {}  # what this placer has taken over: epoch and fate
         self.ends: dict[Session, Ended] = {}  # of sessions of which something is kept
         self.latest: dict[str, Session] = {}  # of each placer, the last that has ended
         self._sizes: dict[str, int] = {}  # bytes by holder
@@ -81,7 +83,9 @@
         if last is not None and last[0] == keep.session and keep.number <= last[1]:
             return [Send(ident, "", last[2])] if keep.number == last[1] else []
         out: list[Effect] = []
-        answer = KeepAnswer(keep.number, keep.session, False, life=self.session.life, serial=self.session.serial)
+        answer = KeepAnswer(
+            keep.number, keep.session, False, life=self.session.life, serial=self.session.serial
+        )
         why = self._wrong(ident, keep)
         if why:
             return [Send(ident, "", replace(answer, why=why))]
@@ -89,7 +93,9 @@
             return [Send(ident, "", replace(answer, why="this session has ended", over=True))]
         if (keep.life, keep.serial) != (self.session.life, self.session.serial):
             return [Send(ident, "", replace(answer, why="not to this keeper's session"))]
-        taken = tuple((each.uid, *self._holder(each.uid)) for each in keep.records if not self._stands(each))
+        taken = tuple(
+            (each.uid, *self._holder(each.uid)) for each in keep.records if not self._stands(each)
+        )
         refused = {uid for uid, _, _ in taken}
         new = [each for each in keep.records if each.uid not in refused]
         why = self._room(ident, new)
@@ -110,7 +116,11 @@
         if ident not in self._last and len(self._last) >= HOLDERS_MOST:
             return f"more than {HOLDERS_MOST} holders"
         for record in keep.records:
-            if record.form != FORM or record.effect not in EFFECTS or record.session != keep.session:
+            if (
+                record.form != FORM
+                or record.effect not in EFFECTS
+                or record.session != keep.session
+            ):
                 return f"record {record.uid[:64]}: a field that this placer does not read"
             if size_of(record) > RECORD_MOST:
                 return f"record {record.uid[:64]}: {size_of(record)} bytes, at most {RECORD_MOST}"
@@ -121,7 +131,9 @@
         return latest is not None and session <= latest
 
     def _room(self, holder: str, new: Iterable[Record]) -> str:
-        records = sum(len(uids) for session, uids in self.sessions.items() if session.placer == holder)
+        records = sum(
+            len(uids) for session, uids in self.sessions.items() if session.placer == holder
+        )
         size = self._sizes.get(holder, 0)
         for record in new:
             had = self.entries.get(record.uid)
@@ -133,7 +145,11 @@
         if size > self.bounds.bytes:
             return f"no room: {size} bytes of one holder, at most {self.bounds.bytes}"
         total = self._size + size - self._sizes.get(holder, 0)
-        return f"no room: {total} bytes, at most {self.bounds.all_bytes}" if total > self.bounds.all_bytes else ""
+        return (
+            f"no room: {total} bytes, at most {self.bounds.all_bytes}"
+            if total > self.bounds.all_bytes
+            else ""
+        )
 
     # -- which of two records stands
 
@@ -147,7 +163,9 @@
         had = self.entries.get(record.uid)
         if had is None or had.record.session == record.session or record.epoch > had.record.epoch:
             return True
-        return record.epoch == had.record.epoch and record.session.placer < had.record.session.placer
+        return (
+            record.epoch == had.record.epoch and record.session.placer < had.record.session.placer
+        )
 
     def _holder(self, uid: str) -> tuple[int, str]:
         """At which epoch a Job is held, and by whom, as far as this placer knows."""
@@ -162,8 +180,18 @@
         entry = Entry(record, now_us, size_of(record))
         if record.uid in self.taken:
             epoch, fate = self.taken.pop(record.uid)
-            out.append(Tell("superseded", {"uid": record.uid, "epoch": record.epoch, "fate": fate,
-                                           "by": record.session.placer, "record": record}))
+            out.append(
+                Tell(
+                    "superseded",
+                    {
+                        "uid": record.uid,
+                        "epoch": record.epoch,
+                        "fate": fate,
+                        "by": record.session.placer,
+                        "record": record,
+                    },
+                )
+            )
         if had is not None and had.record.session == record.session:
             if order(had.record) > order(record):
                 return out
@@ -224,7 +252,9 @@
         if self._kept is None:
             out = []
             for session, uids in self.sessions.items():
-                afters = [self.entries[uid].record.after_us for uid in uids if uid not in self.taken]
+                afters = [
+                    self.entries[uid].record.after_us for uid in uids if uid not in self.taken
+                ]
                 if afters:
                     out.append(Kept(session, len(afters), min(afters)))
             out.sort(key=lambda each: (-each.jobs, each.session))
@@ -246,7 +276,11 @@
         for uid in self.sessions[ended.session]:
             entry = self.entries[uid]
             # What is in doubt is left to one who knows better, while there may be one.
-            if uid not in self.taken and not entry.doubt and successor(ended, (*entry.record.keepers, me)) == me:
+            if (
+                uid not in self.taken
+                and not entry.doubt
+                and successor(ended, (*entry.record.keepers, me)) == me
+            ):
                 mine.append((-entry.record.priority, entry.said_us - entry.record.born_age_us, uid))
         return [self._take(now_us, uid, ended) for _, _, uid in nsmallest(most, mine)]
 
@@ -266,7 +300,12 @@
         gone = set(ended.gone) - {me}
         # Danger: one that is gone may have started it and asked those whom it knew of, not this placer.
         # Or it was never accepted, for want of this very answer, and its owner asked elsewhere.
-        if entry.doubt or (record.moves > 0 and bool(gone)) or me in ended.gone or record.answered == OFFERED:
+        if (
+            entry.doubt
+            or (record.moves > 0 and bool(gone))
+            or me in ended.gone
+            or record.answered == OFFERED
+        ):
             record = doubted(record)
         self.taken[uid] = ended.epoch, "waiting"
         self._kept = None
@@ -291,7 +330,12 @@
     def known_elsewhere(self, uid: str) -> None:
         """What is in doubt here is known to one that succeeds: it is no matter here."""
         entry = self.entries.get(uid)
-        if entry is not None and entry.doubt and uid not in self.taken and entry.record.session in self.ends:
+        if (
+            entry is not None
+            and entry.doubt
+            and uid not in self.taken
+            and entry.record.session in self.ends
+        ):
             self._forget(uid)
 
     def own_end(self, session: Session, held: Collection[str]) -> None:
@@ -316,8 +360,11 @@
 
     def let_go(self, uid: str) -> None:
         """A Job that was taken over here is over, or is another's: nothing of it is kept."""
-        if self.taken.pop(uid, None) is not None and uid in self.entries \
-                and self.entries[uid].record.session in self.ends:
+        if (
+            self.taken.pop(uid, None) is not None
+            and uid in self.entries
+            and self.entries[uid].record.session in self.ends
+        ):
             self._forget(uid)
 
     def settle(self, ident: str, ask: Settle, held: Mapping[str, tuple[int, str]]) -> list[Effect]:
--- a/wingbarrow/decide/peers/keepline.py
+++ b/wingbarrow/decide/peers/keepline.py
@@ -23,7 +23,9 @@
 class Line:
     """`dirty`: uids whose record is to go there; `gone`: those that it need not keep; `jobs`: whose keeper it is."""
 
-    def __init__(self, name: str, life: int, seed: random.Random, bounds: Bounds, number: Callable[[], int]) -> None:
+    def __init__(
+        self, name: str, life: int, seed: random.Random, bounds: Bounds, number: Callable[[], int]
+    ) -> None:
         self.name, self.life, self.serial = name, life, 0
         self.dirty: dict[str, None] = {}
         self.gone: dict[str, None] = {}
@@ -64,7 +66,7 @@
 
     def mail(self, now_us: int, session: Session, records: list[Record]) -> Keep:
         """The next mail: these records, and as many of `gone` as fit."""
-        gone = tuple(self.gone)[:self._bounds.mail_records]
+        gone = tuple(self.gone)[: self._bounds.mail_records]
         for uid in gone:
             del self.gone[uid]
         keep = Keep(self._number(), session, tuple(records), gone, self.life, self.serial)
@@ -106,5 +108,7 @@
         """When it wants to be called."""
         if self.out is not None:
             slow = self.out.said_us + slow_us
-            return [self.out.again_us, slow] if self.rest_us <= now_us < slow else [self.out.again_us]
+            return (
+                [self.out.again_us, slow] if self.rest_us <= now_us < slow else [self.out.again_us]
+            )
         return [self.due_us] if self.due_us is not None and (self.dirty or self.gone) else []
--- a/wingbarrow/decide/peers/leading.py
+++ b/wingbarrow/decide/peers/leading.py
@@ -68,9 +68,20 @@
 class Leading:
     """`blocks`: the chapter of rights; `take_grant`: what becomes of a grant to this very placer."""
 
-    def __init__(self, owner: Owner, times: Times, blocks: Blocks, chapters: tuple[Chapter, ...],
-                 take_grant: Callable[[int, Grant], list[Effect]]) -> None:
-        self._owner, self.times, self.chapters, self._take_grant = owner, times, chapters, take_grant
+    def __init__(
+        self,
+        owner: Owner,
+        times: Times,
+        blocks: Blocks,
+        chapters: tuple[Chapter, ...],
+        take_grant: Callable[[int, Grant], list[Effect]],
+    ) -> None:
+        self._owner, self.times, self.chapters, self._take_grant = (
+            owner,
+            times,
+            chapters,
+            take_grant,
+        )
         self.zones: Callable[[], Mapping[str, str]] = dict  # of each machine of this placer's list
         self.blocks = blocks
         self.bench, self._judged_us = Bench(), -JUDGE_US
@@ -78,9 +89,15 @@
         self._waiting: list[_Asked] = []
         self._rounds: dict[int, list[_Asked]] = {}
         self._round = 0
-        self.holders: dict[str, tuple[int, int]] = {}  # edition, and until when it may act on it at the latest
-        self._floors_out: dict[int, int] = {}  # floor: until when somebody may go on by it at the latest
-        self._leaving: dict[str, int] = {}  # who was given a later edition, and until when it may act on its last one
+        self.holders: dict[
+            str, tuple[int, int]
+        ] = {}  # edition, and until when it may act on it at the latest
+        self._floors_out: dict[
+            int, int
+        ] = {}  # floor: until when somebody may go on by it at the latest
+        self._leaving: dict[
+            str, int
+        ] = {}  # who was given a later edition, and until when it may act on its last one
 
     def elected(self, now_us: int, on: bool) -> list[Effect]:
         """Begin anew, with nothing known but the log; or end."""
@@ -95,7 +112,9 @@
 
     # -- rounds
 
-    def on_ask(self, now_us: int, ident: str, address: str, ask: Ask, via: str = "") -> list[Effect]:
+    def on_ask(
+        self, now_us: int, ident: str, address: str, ask: Ask, via: str = ""
+    ) -> list[Effect]:
         """Somebody asks, this placer itself too; `via` a voter that passed it on."""
         if not self._owner.leads:
             return [] if via else [Send(ident, address, NotLeader(ask.number, self._owner.leader))]
@@ -129,7 +148,14 @@
             self.bench.judge(now_us, self.zones())
         asks = self._rounds.pop(number, []) if owner.agreed.edition else []
         for asked in asks:
-            self.bench.hear(now_us, asked.ident, asked.ask.region, asked.ask.evidence, asked.ask.bad, asked.ask.tried)
+            self.bench.hear(
+                now_us,
+                asked.ident,
+                asked.ask.region,
+                asked.ask.evidence,
+                asked.ask.bad,
+                asked.ask.tried,
+            )
             for chapter in self.chapters:
                 said = getattr(asked.ask, chapter.name)
                 if said is not None:
@@ -142,7 +168,9 @@
         """What those that asked together may use of the fleet's limits."""
         if not asks:
             return []
-        return self.blocks.answers(now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits)
+        return self.blocks.answers(
+            now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits
+        )
 
     def _give(self, now_us: int, asked: _Asked, rights: tuple[Right, ...]) -> list[Effect]:
         agreed, ask, lasts = self._owner.agreed, asked.ask, self.times.grant_us
@@ -162,16 +190,28 @@
         self.holders[asked.ident] = agreed.edition, until
         if floor is not None:
             self._floors_out[floor.number] = given_until_us(now_us, floor.lasts_us)
-        grant = Grant(ask.number, agreed.edition, "" if ask.edition == agreed.edition else agreed.rules, lasts,
-                      agreed.version, floor.number if floor else 0,
-                      floor.rules if floor and ask.floor != floor.number else "", floor.lasts_us if floor else 0,
-                      rights, self.bench.told(now_us),
-                      **{chapter.name: chapter.told(now_us, asked.asker) for chapter in self.chapters},
-                      reign=self.blocks.reign, leader=self._owner.me)
+        grant = Grant(
+            ask.number,
+            agreed.edition,
+            "" if ask.edition == agreed.edition else agreed.rules,
+            lasts,
+            agreed.version,
+            floor.number if floor else 0,
+            floor.rules if floor and ask.floor != floor.number else "",
+            floor.lasts_us if floor else 0,
+            rights,
+            self.bench.told(now_us),
+            **{chapter.name: chapter.told(now_us, asked.asker) for chapter in self.chapters},
+            reign=self.blocks.reign,
+            leader=self._owner.me,
+        )
         if asked.ident == self._owner.me:
             return self._take_grant(now_us, grant)
-        return [Send(asked.via, "", GrantFor(asked.ident, grant)) if asked.via
-                else Send(asked.ident, asked.address, grant)]
+        return [
+            Send(asked.via, "", GrantFor(asked.ident, grant))
+            if asked.via
+            else Send(asked.ident, asked.address, grant)
+        ]
 
     def _rules(self) -> RuleSet:
         """The rules in force."""
@@ -190,7 +230,8 @@
         if not owner.leads or owner.raft is None:
             return []
         if owner.raft.disk.term_at(owner.raft.commit) != owner.raft.disk.term or (
-                owner.raft.commit != owner.raft.disk.last):
+            owner.raft.commit != owner.raft.disk.last
+        ):
             return [owner.timer("step", now_us + self.times.batch_us)]  # something is being decided
         out: list[Effect] = []
         again: list[int] = []
@@ -201,8 +242,10 @@
             again.append(due)
         if len(agreed.floors) > 1:
             began = owner.raft.began_us
-            ends = [max(self._floors_out.get(each.number, 0), given_until_us(began, each.lasts_us))
-                    for each in agreed.floors[:-1]]
+            ends = [
+                max(self._floors_out.get(each.number, 0), given_until_us(began, each.lasts_us))
+                for each in agreed.floors[:-1]
+            ]
             if now_us >= max(ends):
                 return owner.propose(now_us, "floor-lapsed", {"number": agreed.floors[-1].number})
             again.append(max(ends))
@@ -220,4 +263,6 @@
         assert raft is not None
         old = [until for each, until in self.holders.values() if each < edition]
         # Grants that an earlier leader gave are not known here: each was asked for before this one was elected.
-        return max([given_until_us(raft.began_us, self.times.grant_us), *old, *self._leaving.values()])
+        return max(
+            [given_until_us(raft.began_us, self.times.grant_us), *old, *self._leaving.values()]
+        )
--- a/wingbarrow/decide/peers/leasing.py
+++ b/wingbarrow/decide/peers/leasing.py
@@ -112,8 +112,12 @@
     serial: int  # that the asker's session has from now on
     lease_us: int
     epoch: int  # up to which the asker has heard all with this
-    ended: tuple[Ended, ...] = ()  # those that changed after what was heard, in their order: ENDED_MOST at a time
-    life: int = 0  # of the asker's session: its process's, or a later one where a wall clock was set back
+    ended: tuple[
+        Ended, ...
+    ] = ()  # those that changed after what was heard, in their order: ENDED_MOST at a time
+    life: int = (
+        0  # of the asker's session: its process's, or a later one where a wall clock was set back
+    )
 
 
 ENDED_MOST = 64
@@ -158,7 +162,9 @@
     answered: str  # by its first placer: OFFERED before its 201, then "", placed, refused or failed
     born_age_us: int  # since it was accepted, when this was said
     tasks: tuple[Known, ...] = field(default=())
-    others: tuple[str, ...] = ()  # placers that may have an older one, and have not forgotten it yet
+    others: tuple[
+        str, ...
+    ] = ()  # placers that may have an older one, and have not forgotten it yet
     moves: int = 0  # how often its keepers changed in this epoch; 0: nobody but `keepers` and `others` ever had it
 
 
--- a/wingbarrow/decide/peers/limits.py
+++ b/wingbarrow/decide/peers/limits.py
@@ -53,12 +53,20 @@
     if len({each.key for each in limits}) != len(limits):
         out.append("two limits of the same")
     for each in limits:
-        good = (each.about in ABOUT and each.kind in KINDS and isinstance(each.name, str) and len(each.name) <= 253
-                and bool(each.name) == (each.about != "cold") and (each.about != "cold" or each.kind == "rate")
-                and all(type(figure) is int for figure in (each.most, each.window_us, each.stranded_us))
-                and 0 <= each.most <= 1_000_000 and 0 <= each.stranded_us <= HOUR_US
-                and (0 < each.window_us <= HOUR_US if each.kind == "rate" else each.window_us == 0)
-                and 0 < len(each.among) <= AMONG_MOST and all(isinstance(who, str) and who for who in each.among))
+        good = (
+            each.about in ABOUT
+            and each.kind in KINDS
+            and isinstance(each.name, str)
+            and len(each.name) <= 253
+            and bool(each.name) == (each.about != "cold")
+            and (each.about != "cold" or each.kind == "rate")
+            and all(type(figure) is int for figure in (each.most, each.window_us, each.stranded_us))
+            and 0 <= each.most <= 1_000_000
+            and 0 <= each.stranded_us <= HOUR_US
+            and (0 < each.window_us <= HOUR_US if each.kind == "rate" else each.window_us == 0)
+            and 0 < len(each.among) <= AMONG_MOST
+            and all(isinstance(who, str) and who for who in each.among)
+        )
         if not good:
             out.append(f"limit {each.key[:80]}: a figure or name out of its bounds")
     return out
@@ -76,8 +84,12 @@
 
 
 def _tighter(a: FleetLimit, b: FleetLimit) -> bool:
-    return (a.most <= b.most and a.window_us >= b.window_us and a.stranded_us >= b.stranded_us
-            and set(a.among) <= set(b.among))
+    return (
+        a.most <= b.most
+        and a.window_us >= b.window_us
+        and a.stranded_us >= b.stranded_us
+        and set(a.among) <= set(b.among)
+    )
 
 
 def limits_meet(a: tuple[FleetLimit, ...], b: tuple[FleetLimit, ...]) -> tuple[FleetLimit, ...]:
@@ -90,7 +102,13 @@
             out.append(one or other)
             continue
         among = tuple(sorted(set(one.among) & set(other.among)))
-        out.append(replace(one, most=min(one.most, other.most) if among else 0,
-                           window_us=max(one.window_us, other.window_us),
-                           stranded_us=max(one.stranded_us, other.stranded_us), among=among or one.among))
+        out.append(
+            replace(
+                one,
+                most=min(one.most, other.most) if among else 0,
+                window_us=max(one.window_us, other.window_us),
+                stranded_us=max(one.stranded_us, other.stranded_us),
+                among=among or one.among,
+            )
+        )
     return tuple(each for each in out if each is not None)
--- a/wingbarrow/decide/peers/log.py
+++ b/wingbarrow/decide/peers/log.py
@@ -103,7 +103,7 @@
         """Some entries after an index; few where they are long, so that they fit a mail."""
         size = 0
         out: list[Entry] = []
-        for entry in self.log[index - self.base:index - self.base + most]:
+        for entry in self.log[index - self.base : index - self.base + most]:
             size += len(entry.body)
             if out and size > APPEND_CHARS:
                 break
@@ -117,7 +117,7 @@
             self.base, self.base_term, voters, self.state = what.snapshot
             self.voters, self.log = tuple(voters.split()), []
         if what.first is not None:
-            self.log = self.log[:what.first - self.base - 1] + list(what.entries)
+            self.log = self.log[: what.first - self.base - 1] + list(what.entries)
 
     def voters_now(self) -> tuple[str, ...]:
         """By the latest entry about it, committed or not."""
@@ -134,7 +134,9 @@
     an entry that has the replicated state leave room for what it does not know of.
     """
     term = disk.term + TERMS_LEFT
-    return Persist(term, "", disk.last + 1, (Entry(term, VOTERS, me), Entry(term, kind, "{}")), None)
+    return Persist(
+        term, "", disk.last + 1, (Entry(term, VOTERS, me), Entry(term, kind, "{}")), None
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/peers/membership.py
+++ b/wingbarrow/decide/peers/membership.py
@@ -40,7 +40,9 @@
     def suspicion(self, now_us: int, members: int) -> Suspicion:
         """One that begins now."""
         least = shortest_us(self.alpha, members, self.period_us)
-        return Suspicion(now_us, least, int(self.beta * least), min(self.confirmations, max(0, members - 2)))
+        return Suspicion(
+            now_us, least, int(self.beta * least), min(self.confirmations, max(0, members - 2))
+        )
 
     def detect_us(self, members: int) -> int:
         """Within which a member that ended is dead to all that live, where nothing else is wrong.
@@ -53,7 +55,11 @@
         others = max(1, members - 1)
         periods = min(2 * others - 1, 10) + 1 + 2 * ceil(log2(members + 1))
         asks = ASKS * 2 * self.timeout_us
-        return 2 * periods * self.period_us + int(self.beta * shortest_us(self.alpha, members, self.period_us)) + asks
+        return (
+            2 * periods * self.period_us
+            + int(self.beta * shortest_us(self.alpha, members, self.period_us))
+            + asks
+        )
 
     def heal_us(self, members: int) -> int:
         """Within which all that live are alive to each other after the last cut has healed.
@@ -102,7 +108,7 @@
 class Membership:
     """One placer's; the host calls `start`, `on_message`, `on_timer`, `leave` and carries out what they return."""
 
-    def __init__(self, me: Me, seeds: tuple[Seed, ...], seed: int, rules: Rules = Rules()) -> None:  # noqa: B008 - frozen
+    def __init__(self, me: Me, seeds: tuple[Seed, ...], seed: int, rules: Rules = Rules()) -> None:
         self.me, self.rules = me, rules
         self.incarnation = me.life
         self.health = Health()
@@ -122,14 +128,19 @@
 
     def start(self, now_us: int) -> list[Effect]:
         """Begin: ask the seeds who is there, probe from the first period on."""
-        return [*self._ask_seeds(), self._timer("period", now_us + self._random.randrange(self.rules.period_us)),
-                self._timer("sync", now_us + self.rules.sync_us // 5)]
+        return [
+            *self._ask_seeds(),
+            self._timer("period", now_us + self._random.randrange(self.rules.period_us)),
+            self._timer("sync", now_us + self.rules.sync_us // 5),
+        ]
 
     def leave(self, now_us: int) -> list[Effect]:
         """Say that this placer ends by itself."""
         self._left = True
         word = self.own_word().as_standing(Standing.LEFT, self.me.ident)
-        return [self._send(each, Sync(False, (word,))) for each in self._some(self.table.living(), 3)]
+        return [
+            self._send(each, Sync(False, (word,))) for each in self._some(self.table.living(), 3)
+        ]
 
     def on_message(self, now_us: int, ident: str, address: str, message: Message) -> list[Effect]:
         """A message of another placer; `address` is where it says that it can be reached."""
@@ -171,7 +182,14 @@
 
     def own_word(self) -> Word:
         """What this placer says of itself."""
-        return Word(self.me.ident, self.incarnation, Standing.ALIVE, self.me.address, self.me.region, self.me.life)
+        return Word(
+            self.me.ident,
+            self.incarnation,
+            Standing.ALIVE,
+            self.me.address,
+            self.me.region,
+            self.me.life,
+        )
 
     # -- words
 
@@ -213,7 +231,12 @@
             self.twins += 1  # it answers back: it is no memory of a former life
             return [Tell("twin", {"address": word.address})]
         self.health.blame()
-        return [Tell("refuted", {"standing": word.standing.value, "by": word.by, "incarnation": self.incarnation})]
+        return [
+            Tell(
+                "refuted",
+                {"standing": word.standing.value, "by": word.by, "incarnation": self.incarnation},
+            )
+        ]
 
     def _news(self, receiver: str) -> tuple[Word, ...]:
         """What rides on a message; a member that is thought ill of hears it first, so that it can speak up."""
@@ -265,11 +288,24 @@
         target = self.table.members.get(probe.ident)
         if target is None:
             return []
-        helpers = self._some([each for each in self.table.living()
-                              if each is not target and each.standing is Standing.ALIVE], self.rules.helpers)
+        helpers = self._some(
+            [
+                each
+                for each in self.table.living()
+                if each is not target and each.standing is Standing.ALIVE
+            ],
+            self.rules.helpers,
+        )
         probe.helpers = len(helpers)
-        return [self._send(each, ProbeFor(probe.number, probe.ident, target.word.address, self._news(each.word.ident)))
-                for each in helpers]
+        return [
+            self._send(
+                each,
+                ProbeFor(
+                    probe.number, probe.ident, target.word.address, self._news(each.word.ident)
+                ),
+            )
+            for each in helpers
+        ]
 
     def _acked(self, ident: str, ack: Ack) -> list[Effect]:
         probe = self._probe
@@ -283,7 +319,11 @@
         if relay is None:
             return []
         self._due.pop(f"relay {ack.number}", None)
-        return [Send(relay.sender, relay.address, Ack(relay.number, ack.ident, self._news(relay.sender)))]
+        return [
+            Send(
+                relay.sender, relay.address, Ack(relay.number, ack.ident, self._news(relay.sender))
+            )
+        ]
 
     def _probe_for(self, now_us: int, ident: str, address: str, asked: ProbeFor) -> list[Effect]:
         if len(self._relays) >= RELAYS_MOST:
@@ -291,8 +331,10 @@
         self._number += 1
         due = now_us + self.rules.timeout_us * 4 // 5
         self._relays[self._number] = _Relay(ident, address, asked.number, due)
-        return [Send(asked.ident, asked.address, Probe(self._number, self._news(asked.ident))),
-                self._timer(f"relay {self._number}", due)]
+        return [
+            Send(asked.ident, asked.address, Probe(self._number, self._news(asked.ident))),
+            self._timer(f"relay {self._number}", due),
+        ]
 
     def _end_relay(self, number: int) -> list[Effect]:
         relay = self._relays.pop(number, None)
@@ -309,11 +351,15 @@
     # -- now and then
 
     def _sync(self, now_us: int) -> list[Effect]:
-        out: list[Effect] = [self._send(each, Sync(True, self._sample(each.word.ident)))
-                             for each in self._some(self.table.living(), 1)]
+        out: list[Effect] = [
+            self._send(each, Sync(True, self._sample(each.word.ident)))
+            for each in self._some(self.table.living(), 1)
+        ]
         # Both sides of a cut hold each other for dead and probe no more: without this none would hear that it healed.
-        out += [self._send(each, Sync(True, self._sample(each.word.ident)))
-                for each in self._some(self.table.dead(), 1)]
+        out += [
+            self._send(each, Sync(True, self._sample(each.word.ident)))
+            for each in self._some(self.table.dead(), 1)
+        ]
         out += self._bury(now_us)
         return [*out, *self._ask_seeds(), self._timer("sync", now_us + self.rules.sync_us)]
 
@@ -351,5 +397,13 @@
 
 def _told(change: Change) -> Tell:
     word = change.word
-    return Tell(change.what, {"member": word.ident, "incarnation": word.incarnation, "life": word.life,
-                              "address": word.address, "by": word.by})
+    return Tell(
+        change.what,
+        {
+            "member": word.ident,
+            "incarnation": word.incarnation,
+            "life": word.life,
+            "address": word.address,
+            "by": word.by,
+        },
+    )
--- a/wingbarrow/decide/peers/pace.py
+++ b/wingbarrow/decide/peers/pace.py
@@ -19,11 +19,21 @@
 
     def within_us(self, jobs: int) -> int:
         """How long so many take where there is room."""
-        return self.every_us * (1 + -(-jobs // self.starts)) + self.take_us * (1 + jobs // self.takes)
-
-
-def reissue_within_us(lease_us: int, turn_us: int, after_us: int, ask_us: int, elect_us: int, jobs: int, pace: Pace,
-                      far_us: int) -> int:
+        return self.every_us * (1 + -(-jobs // self.starts)) + self.take_us * (
+            1 + jobs // self.takes
+        )
+
+
+def reissue_within_us(
+    lease_us: int,
+    turn_us: int,
+    after_us: int,
+    ask_us: int,
+    elect_us: int,
+    jobs: int,
+    pace: Pace,
+    far_us: int,
+) -> int:
     """From a region's loss until the last of its safe Jobs is started elsewhere, where there is room for all.
 
     The last grant may have been given at the loss: the voters reckon with it (a new leader, once it is elected, from
--- a/wingbarrow/decide/peers/raft.py
+++ b/wingbarrow/decide/peers/raft.py
@@ -13,8 +13,21 @@
 
 from wingbarrow.decide.peers.effects import Persist, Send, SetTimer, Tell
 from wingbarrow.decide.peers.log import (
-    VOTERS, Append, AppendAnswer, Committed, Confirmed, Disk, Effects, Elected, Entry, Install, Message, Restored,
-    VoteAnswer, VoteAsk)
+    VOTERS,
+    Append,
+    AppendAnswer,
+    Committed,
+    Confirmed,
+    Disk,
+    Effects,
+    Elected,
+    Entry,
+    Install,
+    Message,
+    Restored,
+    VoteAnswer,
+    VoteAsk,
+)
 
 ENTRIES_MOST = 32  # in one Append
 LOG_MOST = 512  # entries kept before they are folded into a snapshot
@@ -87,12 +100,18 @@
         self.disk.log.append(Entry(self.disk.term, kind, body))
         if kind == VOTERS:
             self._know_peers(now_us)
-        return self.disk.last, [self._persist(self.disk.last), *self._send_all(now_us), *self._advance()]
+        return self.disk.last, [
+            self._persist(self.disk.last),
+            *self._send_all(now_us),
+            *self._advance(),
+        ]
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[int, Effects]:
         """Take one in or leave one out; -1 where that is not one step, or the last one is not committed yet."""
         held = self.voters
-        pending = any(entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base:])
+        pending = any(
+            entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base :]
+        )
         own_term = self.disk.term_at(self.commit) == self.disk.term
         if pending or not own_term or len(set(held) ^ set(voters)) != 1 or not voters:
             return -1, []
@@ -111,10 +130,10 @@
         if self._applied <= disk.base:
             return []
         voters, term = disk.voters, disk.term_at(self._applied)
-        for entry in disk.log[:self._applied - disk.base]:
+        for entry in disk.log[: self._applied - disk.base]:
             if entry.kind == VOTERS:
                 voters = tuple(entry.body.split())
-        disk.log = disk.log[self._applied - disk.base:]
+        disk.log = disk.log[self._applied - disk.base :]
         disk.base, disk.base_term, disk.state, disk.voters = self._applied, term or 0, state, voters
         return [self._persist(disk.base)]
 
@@ -153,13 +172,22 @@
         if isinstance(message, AppendAnswer):
             return [*out, *self._on_answer(now_us, ident, message)]
         if message.term < self.disk.term:
-            return [*out, Send(ident, "", AppendAnswer(self.disk.term, False, self.disk.last, message.round))]
+            return [
+                *out,
+                Send(ident, "", AppendAnswer(self.disk.term, False, self.disk.last, message.round)),
+            ]
         if self.role is not Role.FOLLOWER or self.leader != ident:
             out += self._follow(ident)
         self._heard_us = now_us
         out += self._wait_for_leader(now_us)
-        return [*out, *(self._on_append(ident, message) if isinstance(message, Append)
-                        else self._on_install(ident, message))]
+        return [
+            *out,
+            *(
+                self._on_append(ident, message)
+                if isinstance(message, Append)
+                else self._on_install(ident, message)
+            ),
+        ]
 
     # -- elections
 
@@ -175,14 +203,25 @@
         if not pre:
             self.disk.term, self.disk.vote = self.disk.term + 1, self.me
             out.append(self._persist(None))
-        return [*out, *self._ask_votes(now_us), *self._wait_for_leader(now_us), *self._count_votes(now_us)]
+        return [
+            *out,
+            *self._ask_votes(now_us),
+            *self._wait_for_leader(now_us),
+            *self._count_votes(now_us),
+        ]
 
     def _ask_votes(self, now_us: int) -> Effects:
         """Of all that have not granted theirs, again and again: an ask or its answer may be lost."""
         term = self.disk.term + 1 if self._pre else self.disk.term
         last_term = self.disk.term_at(self.disk.last) or 0
-        return [*(Send(each, "", VoteAsk(term, self.disk.last, last_term, self._pre)) for each in self.voters
-                  if each not in self._granted), self._timer("again", now_us + self._beat_us)]
+        return [
+            *(
+                Send(each, "", VoteAsk(term, self.disk.last, last_term, self._pre))
+                for each in self.voters
+                if each not in self._granted
+            ),
+            self._timer("again", now_us + self._beat_us),
+        ]
 
     def _on_vote_ask(self, now_us: int, ident: str, asked: VoteAsk) -> Effects:
         disk = self.disk
@@ -195,12 +234,19 @@
         good = (asked.last_term, asked.last_index) >= mine and not stays and ident in self.voters
         if asked.pre:
             granted = good and asked.term > disk.term
-            if granted and not self._yielded and (self.role is Role.FOLLOWER or self._pre and ident < self.me):
+            if (
+                granted
+                and not self._yielded
+                and (self.role is Role.FOLLOWER or self._pre and ident < self.me)
+            ):
                 # Of two that stand at once one gives way, or both get half of the votes. Once: who stands may be deaf.
                 self._yielded, self.role = True, Role.FOLLOWER
                 wait = 2 * self._beat_us + self._random.randrange(2 * self._beat_us)
                 out.append(self._timer("election", now_us + wait))
-            return [*out, Send(ident, "", VoteAnswer(asked.term if granted else disk.term, granted, True))]
+            return [
+                *out,
+                Send(ident, "", VoteAnswer(asked.term if granted else disk.term, granted, True)),
+            ]
         granted = good and asked.term == disk.term and disk.vote in ("", ident)
         if granted and not disk.vote:
             disk.vote = ident
@@ -210,7 +256,11 @@
         return [*out, Send(ident, "", VoteAnswer(disk.term, granted, False))]
 
     def _on_vote(self, now_us: int, ident: str, answer: VoteAnswer) -> Effects:
-        if self.role is not Role.CANDIDATE or answer.pre is not self._pre or ident not in self.voters:
+        if (
+            self.role is not Role.CANDIDATE
+            or answer.pre is not self._pre
+            or ident not in self.voters
+        ):
             return []
         if answer.granted and answer.term == (self.disk.term + 1 if self._pre else self.disk.term):
             self._granted.add(ident)
@@ -228,9 +278,17 @@
         self.role, self.leader, self.began_us = Role.LEADER, self.me, now_us
         self._peers, self._confirms = {}, []
         self._know_peers(now_us)
-        self.disk.log.append(Entry(self.disk.term, "", ""))  # of its own term: earlier ones are committed with it
-        return [self._persist(self.disk.last), Elected(True), Tell("leads", {"term": self.disk.term}),
-                *self._send_all(now_us), *self._advance(), self._timer("beat", now_us + self._beat_us)]
+        self.disk.log.append(
+            Entry(self.disk.term, "", "")
+        )  # of its own term: earlier ones are committed with it
+        return [
+            self._persist(self.disk.last),
+            Elected(True),
+            Tell("leads", {"term": self.disk.term}),
+            *self._send_all(now_us),
+            *self._advance(),
+            self._timer("beat", now_us + self._beat_us),
+        ]
 
     def _know_peers(self, now_us: int) -> None:
         for name in self.voters:
@@ -255,14 +313,19 @@
         led, self.role = self.leads, Role.FOLLOWER
         self.leader = ident
         self._confirms = []
-        return [*([Elected(False)] if led else []), Tell("follows", {"leader": ident, "term": self.disk.term})]
+        return [
+            *([Elected(False)] if led else []),
+            Tell("follows", {"leader": ident, "term": self.disk.term}),
+        ]
 
     # -- leading
 
     def _beat(self, now_us: int) -> Effects:
         if not self.leads:
             return []
-        heard = 1 + sum(now_us - each.heard_us < 2 * self._election_us for name, each in self._peers.items())
+        heard = 1 + sum(
+            now_us - each.heard_us < 2 * self._election_us for name, each in self._peers.items()
+        )
         counted = heard if self.me in self.voters else heard - 1
         if 2 * counted <= len(self.voters):
             # Check-quorum. Danger: a leader that a majority does not hear any more would go on answering as one.
@@ -277,10 +340,25 @@
         disk, prev = self.disk, peer.next - 1
         prev_term = disk.term_at(prev)
         if prev_term is None:
-            return Send(name, "", Install(disk.term, disk.base, disk.base_term, " ".join(disk.voters), disk.state,
-                                          self._round))
-        return Send(name, "", Append(disk.term, prev, prev_term, disk.after(prev, ENTRIES_MOST), self.commit,
-                                     self._round))
+            return Send(
+                name,
+                "",
+                Install(
+                    disk.term,
+                    disk.base,
+                    disk.base_term,
+                    " ".join(disk.voters),
+                    disk.state,
+                    self._round,
+                ),
+            )
+        return Send(
+            name,
+            "",
+            Append(
+                disk.term, prev, prev_term, disk.after(prev, ENTRIES_MOST), self.commit, self._round
+            ),
+        )
 
     def _on_answer(self, now_us: int, ident: str, answer: AppendAnswer) -> Effects:
         peer = self._peers.get(ident)
@@ -302,22 +380,30 @@
     def _advance(self) -> Effects:
         """Commit what a majority holds of this term."""
         voters = self.voters
-        held = sorted((self.disk.last if name == self.me else self._peers[name].match for name in voters), reverse=True)
+        held = sorted(
+            (self.disk.last if name == self.me else self._peers[name].match for name in voters),
+            reverse=True,
+        )
         index = held[len(voters) // 2]
         if index <= self.commit or self.disk.term_at(index) != self.disk.term:
             return []
         self.commit = index
         out = self._apply()
         if self.me not in self.voters and not any(
-                entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base:]):
-            out += self._step_down(self._now_us, self.disk.term)  # it was left out, and that is decided
+            entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base :]
+        ):
+            out += self._step_down(
+                self._now_us, self.disk.term
+            )  # it was left out, and that is decided
         return out
 
     def _check_confirms(self) -> Effects:
         done: Effects = []
         while self._confirms:
             number, wanted = self._confirms[0]
-            count = sum(peer.round >= wanted for peer in self._peers.values()) + (self.me in self.voters)
+            count = sum(peer.round >= wanted for peer in self._peers.values()) + (
+                self.me in self.voters
+            )
             if 2 * count <= len(self.voters):
                 break
             self._confirms.pop(0)
@@ -343,7 +429,9 @@
             if known == entry.term:
                 continue
             if known is not None:
-                disk.log = disk.log[:index - disk.base - 1]  # an entry that was never committed gives way
+                disk.log = disk.log[
+                    : index - disk.base - 1
+                ]  # an entry that was never committed gives way
             disk.log += message.entries[offset:]
             out.append(self._persist(index))
             index = message.prev_index + len(message.entries)
@@ -357,19 +445,26 @@
         disk = self.disk
         out: Effects = []
         if message.index > self.commit:
-            kept = disk.log[message.index - disk.base:] if disk.term_at(message.index) == message.last_term else []
+            kept = (
+                disk.log[message.index - disk.base :]
+                if disk.term_at(message.index) == message.last_term
+                else []
+            )
             disk.base, disk.base_term, disk.state = message.index, message.last_term, message.state
             disk.voters, disk.log = tuple(message.voters.split()), kept
             self.commit = self._applied = message.index
             out += [self._persist(disk.base), Restored(message.index, message.state)]
-        return [*out, Send(ident, "", AppendAnswer(disk.term, True, max(message.index, 0), message.round))]
+        return [
+            *out,
+            Send(ident, "", AppendAnswer(disk.term, True, max(message.index, 0), message.round)),
+        ]
 
     def _apply(self) -> Effects:
         """Hand over what was decided, once and in order."""
         if self.commit <= self._applied:
             return []
         first, self_base = self._applied + 1, self.disk.base
-        entries = tuple(self.disk.log[self._applied - self_base:self.commit - self_base])
+        entries = tuple(self.disk.log[self._applied - self_base : self.commit - self_base])
         self._applied = self.commit
         return [Committed(first, entries)]
 
@@ -379,9 +474,16 @@
         """Term and vote; and the log from an index on (all of it, and the snapshot, from `base`)."""
         disk = self.disk
         whole = first is not None and first <= disk.base
-        entries = () if first is None else tuple(disk.log if whole else disk.log[first - disk.base - 1:])
-        return Persist(disk.term, disk.vote, disk.base + 1 if whole else first, entries,
-                       (disk.base, disk.base_term, " ".join(disk.voters), disk.state) if whole else None)
+        entries = (
+            () if first is None else tuple(disk.log if whole else disk.log[first - disk.base - 1 :])
+        )
+        return Persist(
+            disk.term,
+            disk.vote,
+            disk.base + 1 if whole else first,
+            entries,
+            (disk.base, disk.base_term, " ".join(disk.voters), disk.state) if whole else None,
+        )
 
     def _timer(self, key: str, at_us: int) -> SetTimer:
         self._due[key] = at_us
--- a/wingbarrow/decide/peers/records.py
+++ b/wingbarrow/decide/peers/records.py
@@ -42,7 +42,9 @@
     """Bytes that a record counts for: what it has, and no less than what its tasks may come to."""
     names = sum(len(each) for each in (record.uid, record.key, record.spec, record.session.placer))
     tasks = sum(96 + len(each.machine) + len(each.attempt) for each in record.tasks)
-    return RECORD_BYTES + names + len(record.manifest.encode()) + max(tasks, record.count * TASK_BYTES)
+    return (
+        RECORD_BYTES + names + len(record.manifest.encode()) + max(tasks, record.count * TASK_BYTES)
+    )
 
 
 def aged(record: Record, by_us: int) -> Record:
@@ -61,8 +63,12 @@
     if record.effect == "safe":
         return record
     tasks = (phase_of(record, index) for index in range(record.count))
-    return replace(record, tasks=tuple(
-        each if each.phase == "over" else replace(each, phase="doubt") for each in tasks))
+    return replace(
+        record,
+        tasks=tuple(
+            each if each.phase == "over" else replace(each, phase="doubt") for each in tasks
+        ),
+    )
 
 
 def order(record: Record) -> tuple[int, int]:
@@ -75,12 +81,23 @@
     return blake2b(f"{uid}/{name}".encode(), digest_size=8).digest()
 
 
-def choose(uid: str, region: str, allowed: Collection[str], by_region: Mapping[str, Sequence[str]], copies: int,
-           without: Collection[str] = ()) -> tuple[str, ...]:
+def choose(
+    uid: str,
+    region: str,
+    allowed: Collection[str],
+    by_region: Mapping[str, Sequence[str]],
+    copies: int,
+    without: Collection[str] = (),
+) -> tuple[str, ...]:
     """Keepers of a Job that runs in `region`: of other regions that its spec allows, each of another while there is
     one; fewer than `copies` where there are no more, none where there is no keeper."""
-    able = sorted((rank(uid, name), where, name) for where, names in by_region.items()
-                  if where != region and where in allowed for name in names if name not in without)
+    able = sorted(
+        (rank(uid, name), where, name)
+        for where, names in by_region.items()
+        if where != region and where in allowed
+        for name in names
+        if name not in without
+    )
     first: list[str] = []
     rest: list[str] = []
     seen: set[str] = set()
--- a/wingbarrow/decide/peers/regionnews.py
+++ b/wingbarrow/decide/peers/regionnews.py
@@ -46,7 +46,9 @@
     came: int = 0  # Jobs lately, and of them turned away
     refused: int = 0
     machines: int = 0
-    leased: tuple[tuple[str, float, float], ...] = ()  # by spec: what of it this placer holds here; at most LEASED_MOST
+    leased: tuple[
+        tuple[str, float, float], ...
+    ] = ()  # by spec: what of it this placer holds here; at most LEASED_MOST
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,12 +109,18 @@
         if len(self._heard) >= PLACERS_MOST and asker.ident not in self._heard:
             return
         region = said.region
-        last = max((each.at_us for each in self._heard.values() if each.said.region == region), default=None)
+        last = max(
+            (each.at_us for each in self._heard.values() if each.said.region == region),
+            default=None,
+        )
         if last is None or now_us - last > self._lost_us:
             self._well[region] = now_us
         self._heard[asker.ident] = _Heard(now_us, said)
-        lately = [each.said for each in self._heard.values()
-                  if each.said.region == region and now_us - each.at_us <= self._lost_us]
+        lately = [
+            each.said
+            for each in self._heard.values()
+            if each.said.region == region and now_us - each.at_us <= self._lost_us
+        ]
         came, refused = sum(each.came for each in lately), sum(each.refused for each in lately)
         if came and refused >= REFUSED_SHARE * came:
             self._refusing.setdefault(region, now_us)
@@ -122,9 +130,14 @@
     def told(self, now_us: int, asker: Asker) -> tuple[RegionTold, ...]:
         """All regions, by name."""
         held = self._held_back(now_us)
-        return tuple(replace(self._one(now_us, region, heard), held_cores=held.get(region, (0.0, 0.0))[0],
-                             held_memory=held.get(region, (0.0, 0.0))[1])
-                     for region, heard in self._by_region().items())
+        return tuple(
+            replace(
+                self._one(now_us, region, heard),
+                held_cores=held.get(region, (0.0, 0.0))[0],
+                held_memory=held.get(region, (0.0, 0.0))[1],
+            )
+            for region, heard in self._by_region().items()
+        )
 
     def _by_region(self) -> dict[str, dict[str, _Heard]]:
         out: dict[str, dict[str, _Heard]] = {name: {} for name in self._named}
@@ -147,14 +160,19 @@
             for spec, cores, memory in (part for each in live for part in each.said.leased):
                 before = leased.get((spec, region), (0.0, 0.0))
                 leased[spec, region] = before[0] + cores, before[1] + memory
-        self._held = held_back(self._federation, rooms, leased).room if self._federation.specs else {}
+        self._held = (
+            held_back(self._federation, rooms, leased).room if self._federation.specs else {}
+        )
         return self._held
 
     def held_machines(self, now_us: int, region: str) -> float:
         """The same in machines' worth, for what counts machines."""
         held = self._held_back(now_us).get(region, (0.0, 0.0))
-        said = max((each for each in self._heard.values() if each.said.region == region),
-                   key=lambda each: each.at_us, default=None)
+        said = max(
+            (each for each in self._heard.values() if each.said.region == region),
+            key=lambda each: each.at_us,
+            default=None,
+        )
         if said is None or said.said.cores <= 0 or said.said.memory <= 0:
             return 0.0
         return max(held[0] / said.said.cores, held[1] / said.said.memory) * said.said.machines
@@ -168,12 +186,26 @@
         # All placers of a region read one list; the one that asked last has read it last.
         newest = max(live.values(), key=lambda each: each.at_us)
         said = newest.said
-        load = max((1 - free / whole for free, whole in ((said.free_cores, said.cores), (said.free_memory, said.memory))
-                    if whole > 0), default=1.0)
-        return RegionTold(region, now_us - newest.at_us, round(load, 4), said.free_cores, said.free_memory, False,
-                          all(each.said.closed for each in live.values()),
-                          now_us - self._refusing.get(region, now_us), now_us - self._well.get(region, now_us),
-                          tuple(sorted(live))[:64])
+        load = max(
+            (
+                1 - free / whole
+                for free, whole in ((said.free_cores, said.cores), (said.free_memory, said.memory))
+                if whole > 0
+            ),
+            default=1.0,
+        )
+        return RegionTold(
+            region,
+            now_us - newest.at_us,
+            round(load, 4),
+            said.free_cores,
+            said.free_memory,
+            False,
+            all(each.said.closed for each in live.values()),
+            now_us - self._refusing.get(region, now_us),
+            now_us - self._well.get(region, now_us),
+            tuple(sorted(live))[:64],
+        )
 
     def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """Nothing is decided; the specs in force are taken in."""
@@ -206,9 +238,22 @@
         since = now_us - self._at_us
         out = {}
         for each in self._told:
-            news = RegionNews(each.region, each.age_us + since, each.load, each.cores, each.memory, each.lost,
-                              each.closed, each.refusing_us, each.stable_us, each.placers, each.held_cores,
-                              each.held_memory)
+            news = RegionNews(
+                each.region,
+                each.age_us + since,
+                each.load,
+                each.cores,
+                each.memory,
+                each.lost,
+                each.closed,
+                each.refusing_us,
+                each.stable_us,
+                each.placers,
+                each.held_cores,
+                each.held_memory,
+            )
             if news.age_us <= OLD_US or each.lost and since <= OLD_US:
-                out[each.region] = replace(news, age_us=min(news.age_us, since) if each.lost else news.age_us)
+                out[each.region] = replace(
+                    news, age_us=min(news.age_us, since) if each.lost else news.age_us
+                )
         return out
--- a/wingbarrow/decide/peers/reissue.py
+++ b/wingbarrow/decide/peers/reissue.py
@@ -15,7 +15,11 @@
 
 EVERY = ("unsafe", "keyed", "safe")
 SAYS = ("unasked", "unreachable", "holds", "clear", "anew", "operator")
-TIMES = ("window", "past", "open")  # of a key: its window runs, has passed, or nobody here knows since when it runs
+TIMES = (
+    "window",
+    "past",
+    "open",
+)  # of a key: its window runs, has passed, or nobody here knows since when it runs
 ANY: tuple[str, ...] = ()
 
 
@@ -43,44 +47,129 @@
 
 
 TABLE = (
-    Row(ANY, ("over",), ANY, ANY, Verdict.NOTHING,
-        "it is over: what has ended would be done again"),
-    Row(("safe",), ANY, ANY, ANY, Verdict.RUN,
-        "it may repeat; a copy that a machine has not stopped yet overlaps until its lease has passed there"),
-    Row(("keyed",), ANY, ("operator",), ANY, Verdict.RUN,
-        "the operator answers for it"),
-    Row(("keyed",), ANY, ANY, ("window",), Verdict.WAIT,
-        "the former holder may have sent the same key just before its right lapsed, within the window and the group"),
-    Row(("keyed",), ANY, ANY, ("open",), Verdict.UNKNOWN,
-        "another may have started it since, or may yet, within the window of a key that holds everywhere"),
-    Row(("keyed",), ANY, ANY, ("past",), Verdict.RUN,
-        "no copy runs any more, and the key's window, where its group reaches here, has passed"),
-    Row(("unsafe",), ("none", "about", "placed", "doubt"), ("operator",), ANY, Verdict.RUN,
-        "the operator answers for it that it never ran"),
-    Row(("unsafe",), ANY, ("holds",), ANY, Verdict.UNKNOWN,
-        "its machine took it: it had its effect, or may have"),
-    Row(("unsafe",), ("doubt",), ANY, ANY, Verdict.UNKNOWN,
-        "its holder, or a successor, may have gone on by other keepers than this one"),
-    Row(("unsafe",), ("none",), ANY, ANY, Verdict.RUN,
-        "nothing of it ever left: every keeper hears of an attempt before its first byte"),
-    Row(("unsafe",), ("placed",), ANY, ANY, Verdict.UNKNOWN,
-        "it was started: whether it ended well nobody here can prove"),
-    Row(("unsafe",), ("about",), ("unasked",), ANY, Verdict.ASK,
-        "the attempt may have left, or may still be on its way: its machine has to refuse it first, and say"),
-    Row(("unsafe",), ("about",), ("clear",), ANY, Verdict.RUN,
-        "its machine never had it since before it could be sent, and refuses it from now on by its epoch"),
-    Row(("unsafe",), ("about",), ("anew",), ANY, Verdict.UNKNOWN,
-        "its machine started anew since: what ran there before its start it does not know"),
-    Row(("unsafe",), ("about",), ("unreachable",), ANY, Verdict.UNKNOWN,
-        "a machine that does not answer may have run it, and is asked again"),
+    Row(
+        ANY, ("over",), ANY, ANY, Verdict.NOTHING, "it is over: what has ended would be done again"
+    ),
+    Row(
+        ("safe",),
+        ANY,
+        ANY,
+        ANY,
+        Verdict.RUN,
+        "it may repeat; a copy that a machine has not stopped yet overlaps until its lease has passed there",
+    ),
+    Row(("keyed",), ANY, ("operator",), ANY, Verdict.RUN, "the operator answers for it"),
+    Row(
+        ("keyed",),
+        ANY,
+        ANY,
+        ("window",),
+        Verdict.WAIT,
+        "the former holder may have sent the same key just before its right lapsed, within the window and the group",
+    ),
+    Row(
+        ("keyed",),
+        ANY,
+        ANY,
+        ("open",),
+        Verdict.UNKNOWN,
+        "another may have started it since, or may yet, within the window of a key that holds everywhere",
+    ),
+    Row(
+        ("keyed",),
+        ANY,
+        ANY,
+        ("past",),
+        Verdict.RUN,
+        "no copy runs any more, and the key's window, where its group reaches here, has passed",
+    ),
+    Row(
+        ("unsafe",),
+        ("none", "about", "placed", "doubt"),
+        ("operator",),
+        ANY,
+        Verdict.RUN,
+        "the operator answers for it that it never ran",
+    ),
+    Row(
+        ("unsafe",),
+        ANY,
+        ("holds",),
+        ANY,
+        Verdict.UNKNOWN,
+        "its machine took it: it had its effect, or may have",
+    ),
+    Row(
+        ("unsafe",),
+        ("doubt",),
+        ANY,
+        ANY,
+        Verdict.UNKNOWN,
+        "its holder, or a successor, may have gone on by other keepers than this one",
+    ),
+    Row(
+        ("unsafe",),
+        ("none",),
+        ANY,
+        ANY,
+        Verdict.RUN,
+        "nothing of it ever left: every keeper hears of an attempt before its first byte",
+    ),
+    Row(
+        ("unsafe",),
+        ("placed",),
+        ANY,
+        ANY,
+        Verdict.UNKNOWN,
+        "it was started: whether it ended well nobody here can prove",
+    ),
+    Row(
+        ("unsafe",),
+        ("about",),
+        ("unasked",),
+        ANY,
+        Verdict.ASK,
+        "the attempt may have left, or may still be on its way: its machine has to refuse it first, and say",
+    ),
+    Row(
+        ("unsafe",),
+        ("about",),
+        ("clear",),
+        ANY,
+        Verdict.RUN,
+        "its machine never had it since before it could be sent, and refuses it from now on by its epoch",
+    ),
+    Row(
+        ("unsafe",),
+        ("about",),
+        ("anew",),
+        ANY,
+        Verdict.UNKNOWN,
+        "its machine started anew since: what ran there before its start it does not know",
+    ),
+    Row(
+        ("unsafe",),
+        ("about",),
+        ("unreachable",),
+        ANY,
+        Verdict.UNKNOWN,
+        "a machine that does not answer may have run it, and is asked again",
+    ),
 )
 
 
 def decide(effect: str, knows: str, says: str, time: str, table: tuple[Row, ...] = TABLE) -> Row:
     """The row that holds."""
     for row in table:
-        if all(not column or figure in column for column, figure in (
-                (row.effects, effect), (row.knows, knows), (row.says, says), (row.times, time))):
+        if all(
+            not column or figure in column
+            for column, figure in (
+                (row.effects, effect),
+                (row.knows, knows),
+                (row.says, says),
+                (row.times, time),
+            )
+        ):
             return row
     raise ValueError(f"no row for {effect}, {knows}, {says}, {time}")
 
@@ -141,18 +230,40 @@
 
 
 HEALING = (
-    Heal(("unsafe",), True, True, Verdict.RUN, Verdict.RUN,
-         "what must not start twice is never stopped to tidy up; told as a breach"),
-    Heal(("unsafe",), True, False, Verdict.RUN, Verdict.NOTHING,
-         "it runs where it ran: a second start, or a stop in its middle, would do harm"),
-    Heal(("keyed", "safe"), True, True, Verdict.STOP, Verdict.RUN,
-         "one copy is enough: the later epoch's"),
-    Heal(("keyed", "safe"), True, False, Verdict.STOP, Verdict.WAIT,
-         "a holder whose session was ended has no more say; its successor starts it"),
-    Heal(EVERY, False, True, Verdict.NOTHING, Verdict.RUN,
-         "the later epoch's goes on"),
-    Heal(EVERY, False, False, Verdict.NOTHING, Verdict.WAIT,
-         "the later epoch's holder decides"),
+    Heal(
+        ("unsafe",),
+        True,
+        True,
+        Verdict.RUN,
+        Verdict.RUN,
+        "what must not start twice is never stopped to tidy up; told as a breach",
+    ),
+    Heal(
+        ("unsafe",),
+        True,
+        False,
+        Verdict.RUN,
+        Verdict.NOTHING,
+        "it runs where it ran: a second start, or a stop in its middle, would do harm",
+    ),
+    Heal(
+        ("keyed", "safe"),
+        True,
+        True,
+        Verdict.STOP,
+        Verdict.RUN,
+        "one copy is enough: the later epoch's",
+    ),
+    Heal(
+        ("keyed", "safe"),
+        True,
+        False,
+        Verdict.STOP,
+        Verdict.WAIT,
+        "a holder whose session was ended has no more say; its successor starts it",
+    ),
+    Heal(EVERY, False, True, Verdict.NOTHING, Verdict.RUN, "the later epoch's goes on"),
+    Heal(EVERY, False, False, Verdict.NOTHING, Verdict.WAIT, "the later epoch's holder decides"),
 )
 
 
@@ -165,14 +276,19 @@
     runs: bool
 
 
-def settle(effect: str, mine: Copy, theirs: Copy, table: tuple[Heal, ...] = HEALING) -> tuple[Verdict, Verdict, str]:
+def settle(
+    effect: str, mine: Copy, theirs: Copy, table: tuple[Heal, ...] = HEALING
+) -> tuple[Verdict, Verdict, str]:
     """What becomes of mine, of theirs, and why. The greater epoch is the later; of one epoch the lesser name is."""
     if (mine.epoch, mine.holder) == (theirs.epoch, theirs.holder):
         return (Verdict.RUN if mine.runs else Verdict.WAIT), Verdict.NOTHING, "they are the same"
     later = (mine.epoch, _falling(mine.holder)) > (theirs.epoch, _falling(theirs.holder))
     first, second = (theirs, mine) if later else (mine, theirs)
     for row in table:
-        if effect in row.effects and (row.earlier_runs, row.later_runs) == (first.runs, second.runs):
+        if effect in row.effects and (row.earlier_runs, row.later_runs) == (
+            first.runs,
+            second.runs,
+        ):
             return (row.later, row.earlier, row.why) if later else (row.earlier, row.later, row.why)
     raise ValueError(f"no row for {effect}")
 
@@ -184,20 +300,46 @@
 
 def rows() -> list[tuple[str, ...]]:
     """The table as text, for docs: effect, what the keeper knows, what machines tell, time, verdict, why."""
-    return [(*(", ".join(column) or "any" for column in (row.effects, row.knows, row.says, row.times)),
-             row.verdict.value, row.why) for row in TABLE]
+    return [
+        (
+            *(
+                ", ".join(column) or "any"
+                for column in (row.effects, row.knows, row.says, row.times)
+            ),
+            row.verdict.value,
+            row.why,
+        )
+        for row in TABLE
+    ]
 
 
 def healing_rows() -> list[tuple[str, ...]]:
     """The table of healing as text: effect, earlier runs, later runs, what becomes of each, why."""
-    return [(", ".join(row.effects), "yes" if row.earlier_runs else "no", "yes" if row.later_runs else "no",
-             row.earlier.value, row.later.value, row.why) for row in HEALING]
+    return [
+        (
+            ", ".join(row.effects),
+            "yes" if row.earlier_runs else "no",
+            "yes" if row.later_runs else "no",
+            row.earlier.value,
+            row.later.value,
+            row.why,
+        )
+        for row in HEALING
+    ]
 
 
 def markdown() -> str:
     """Both tables, as docs show them."""
+
     def table(head: tuple[str, ...], lines: list[tuple[str, ...]]) -> str:
-        return "\n".join("| " + " | ".join(each) + " |" for each in (head, ("---",) * len(head), *lines))
-    first = table(("effect", "the keeper knows", "the machine tells", "time", "verdict", "why"), rows())
-    second = table(("effect", "earlier runs", "later runs", "the earlier", "the later", "why"), healing_rows())
+        return "\n".join(
+            "| " + " | ".join(each) + " |" for each in (head, ("---",) * len(head), *lines)
+        )
+
+    first = table(
+        ("effect", "the keeper knows", "the machine tells", "time", "verdict", "why"), rows()
+    )
+    second = table(
+        ("effect", "earlier runs", "later runs", "the earlier", "the later", "why"), healing_rows()
+    )
     return f"{first}\n\n{second}\n"
--- a/wingbarrow/decide/peers/rights.py
+++ b/wingbarrow/decide/peers/rights.py
@@ -99,13 +99,21 @@
 class Purse:
     """One placer's rights. `uses` counts what stands of a standing limit, by its key."""
 
-    def __init__(self, uses: Callable[[str], int] = lambda key: 0,
-                 demand: Callable[[str], int] = lambda key: 0) -> None:
-        self.uses, self.demand = uses, demand  # what stands of a limit; what would be used beyond what is
+    def __init__(
+        self,
+        uses: Callable[[str], int] = lambda key: 0,
+        demand: Callable[[str], int] = lambda key: 0,
+    ) -> None:
+        self.uses, self.demand = (
+            uses,
+            demand,
+        )  # what stands of a limit; what would be used beyond what is
         self.shares: dict[str, int] = {}
         self.limits: dict[str, FleetLimit] = {}
         self._lately: dict[str, _Lately] = {}  # of a rate: what was used
-        self._turned_away: dict[str, tuple[int, int]] = {}  # how many were not allowed, and when last
+        self._turned_away: dict[
+            str, tuple[int, int]
+        ] = {}  # how many were not allowed, and when last
 
     def take_limits(self, limits: Iterable[FleetLimit]) -> None:
         """The limits of other rules; shares of those that are gone are given back."""
@@ -131,7 +139,9 @@
             # A little more than what is known of, so that more is here before it is short: a move takes two asks.
             waiting = max(self.demand(key), away if now_us - at < 2_000_000 else 0, used // AHEAD)
             out.append(Stated(key, self.shares.get(key, 0), used, used + waiting))
-        self._turned_away = {key: each for key, each in self._turned_away.items() if now_us - each[1] < 2_000_000}
+        self._turned_away = {
+            key: each for key, each in self._turned_away.items() if now_us - each[1] < 2_000_000
+        }
         return tuple(out)
 
     def short(self, now_us: int) -> bool:
@@ -165,4 +175,6 @@
     def use(self, now_us: int, key: str, count: int) -> None:
         """So many are used: told for rates; what stands is counted by `uses`."""
         if self.limits[key].kind == "rate":
-            self._lately.setdefault(key, _Lately()).add(now_us, count, self.limits[key].window_us // GRAINS)
+            self._lately.setdefault(key, _Lately()).add(
+                now_us, count, self.limits[key].window_us // GRAINS
+            )
--- a/wingbarrow/decide/peers/rules.py
+++ b/wingbarrow/decide/peers/rules.py
@@ -16,7 +16,13 @@
 from wingbarrow.decide.federation import compare, form
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.peers.limits import FleetLimit, check_limits, limits_meet, limits_within, normal_limits
+from wingbarrow.decide.peers.limits import (
+    FleetLimit,
+    check_limits,
+    limits_meet,
+    limits_within,
+    normal_limits,
+)
 from wingbarrow.decide.peers.planned import (
     AskedDrain,
     DrainPlan,
@@ -29,11 +35,17 @@
 )
 
 CLASSES_MOST, NAMES_MOST = 256, 4096
-TEXT_MOST = 32 * 1024  # characters without the federation's, so that a snapshot with all that is kept fits one mail
+TEXT_MOST = (
+    32 * 1024
+)  # characters without the federation's, so that a snapshot with all that is kept fits one mail
 MAILED_MOST = TEXT_MOST * 3 // 2  # of the same, with what mail puts before each quotation mark
 EFFECTS = ("unsafe", "keyed", "safe")  # from what forbids most
 DRAINS = ("windows", "asked", "cancelled", "plan")  # fields about drains
-FLOORLESS = (*DRAINS, "limits", "federation")  # no floor speaks of these; rights to a limit are lost with the grant
+FLOORLESS = (
+    *DRAINS,
+    "limits",
+    "federation",
+)  # no floor speaks of these; rights to a limit are lost with the grant
 
 
 class BadRules(ValueError):
@@ -90,37 +102,56 @@
         return dict(self.cold_shares).get(placer, 0)
 
 
-_NOTHING: dict[str, Any] = {each.name: each.default for each in fields(RuleSet) if each.name in FLOORLESS}
+_NOTHING: dict[str, Any] = {
+    each.name: each.default for each in fields(RuleSet) if each.name in FLOORLESS
+}
 
 
 def normal(rules: RuleSet) -> RuleSet:
     """The one form of the same rules: names in order, shares of nothing and figures without a meaning left out."""
-    classes = (each if each.spread_by != "none" else replace(each, spread_most=0) for each in rules.classes)
-    return replace(rules, classes=tuple(sorted(classes, key=lambda each: each.name)),
-                   cold_shares=tuple(sorted((name, share) for name, share in rules.cold_shares if share != 0)),
-                   barred=tuple(sorted(set(rules.barred))), asked=tuple(sorted(set(rules.asked))),
-                   windows=tuple(sorted(rules.windows, key=lambda each: (each.name, repr(each)))),
-                   cancelled=tuple(sorted(set(rules.cancelled))), limits=normal_limits(rules.limits),
-                   federation=form.normal(rules.federation))
+    classes = (
+        each if each.spread_by != "none" else replace(each, spread_most=0) for each in rules.classes
+    )
+    return replace(
+        rules,
+        classes=tuple(sorted(classes, key=lambda each: each.name)),
+        cold_shares=tuple(sorted((name, share) for name, share in rules.cold_shares if share != 0)),
+        barred=tuple(sorted(set(rules.barred))),
+        asked=tuple(sorted(set(rules.asked))),
+        windows=tuple(sorted(rules.windows, key=lambda each: (each.name, repr(each)))),
+        cancelled=tuple(sorted(set(rules.cancelled))),
+        limits=normal_limits(rules.limits),
+        federation=form.normal(rules.federation),
+    )
 
 
 def read(text: str) -> RuleSet:
     """A rule set from its text; BadRules says what is wrong."""
     if len(text) > TEXT_MOST + form.FEDERATION_MOST:
-        raise BadRules(f"{len(text)} characters; {TEXT_MOST}, and {form.FEDERATION_MOST} of a federation, are the most")
+        raise BadRules(
+            f"{len(text)} characters; {TEXT_MOST}, and {form.FEDERATION_MOST} of a federation, are the most"
+        )
     try:
         value = json.loads(text)
-        if not isinstance(value, dict) or set(value) | set(FLOORLESS) != {each.name for each in fields(RuleSet)}:
+        if not isinstance(value, dict) or set(value) | set(FLOORLESS) != {
+            each.name for each in fields(RuleSet)
+        }:
             raise BadRules("not the fields of a rule set")
         value["federation"] = form.read(value.get("federation", ""))
         classes = tuple(ClassRules(**each) for each in value["classes"])
         shares = tuple((name, share) for name, share in value["cold_shares"])
-        value |= {"classes": classes, "cold_shares": shares, "barred": tuple(value["barred"]),
-                  "windows": tuple(read_window(each) for each in value.get("windows", ())),
-                  "asked": tuple(AskedDrain(**each) for each in value.get("asked", ())),
-                  "cancelled": tuple(value.get("cancelled", ())),
-                  "limits": tuple(FleetLimit(**{**each, "among": tuple(each["among"])})
-                                  for each in value.get("limits", ()))}
+        value |= {
+            "classes": classes,
+            "cold_shares": shares,
+            "barred": tuple(value["barred"]),
+            "windows": tuple(read_window(each) for each in value.get("windows", ())),
+            "asked": tuple(AskedDrain(**each) for each in value.get("asked", ())),
+            "cancelled": tuple(value.get("cancelled", ())),
+            "limits": tuple(
+                FleetLimit(**{**each, "among": tuple(each["among"])})
+                for each in value.get("limits", ())
+            ),
+        }
         if "plan" in value:
             value["plan"] = read_plan(value["plan"])
         rules = normal(RuleSet(**value))
@@ -143,7 +174,9 @@
     """The text of both, as canonical as they are."""
     if not federation:
         return rest
-    return json.dumps({**json.loads(rest), "federation": federation}, sort_keys=True, separators=(",", ":"))
+    return json.dumps(
+        {**json.loads(rest), "federation": federation}, sort_keys=True, separators=(",", ":")
+    )
 
 
 def too_long(rules: RuleSet) -> list[str]:
@@ -151,10 +184,14 @@
     rest, federation = apart(rules)
     out = []
     if len(rest) > TEXT_MOST or len(json.dumps(rest)) > MAILED_MOST:
-        out.append(f"{len(rest)} characters without the federation; {TEXT_MOST} are the most, and {MAILED_MOST} with "
-                   "what mail puts before quotation marks")
+        out.append(
+            f"{len(rest)} characters without the federation; {TEXT_MOST} are the most, and {MAILED_MOST} with "
+            "what mail puts before quotation marks"
+        )
     if len(federation) > form.FEDERATION_MOST:
-        out.append(f"{len(federation)} characters of specs and data sets; {form.FEDERATION_MOST} are the most")
+        out.append(
+            f"{len(federation)} characters of specs and data sets; {form.FEDERATION_MOST} are the most"
+        )
     return out
 
 
@@ -171,34 +208,59 @@
 
     def name(value: object) -> bool:
         return isinstance(value, str) and 0 < len(value) <= 253
+
     want(0 < len(rules.classes) <= CLASSES_MOST, f"1 to {CLASSES_MOST} classes are wanted")
     want(len({each.name for each in rules.classes}) == len(rules.classes), "a class is named twice")
     for each in rules.classes:
         want(name(each.name), "a class without a name")
         want(each.effect in EFFECTS, f"{each.name}: effect is one of {', '.join(EFFECTS)}")
         want(each.spread_by in ("none", "machine", "cell", "zone"), f"{each.name}: spread by what?")
-        want(whole(each.spread_most, 0 if each.spread_by == "none" else 1, 1_000_000), f"{each.name}: spread most")
+        want(
+            whole(each.spread_most, 0 if each.spread_by == "none" else 1, 1_000_000),
+            f"{each.name}: spread most",
+        )
     want(whole(rules.attempts_most, 1, 100), "attempts: 1 to 100 are wanted")
     want(whole(rules.cold_us, 0, 86_400_000_000), "cold: lasts at most a day")
-    want(whole(rules.cold_window_us, 1, 3_600_000_000), "cold: a window of at most an hour is wanted")
-    want(len(rules.cold_shares) <= NAMES_MOST and len(rules.barred) <= NAMES_MOST, f"more than {NAMES_MOST} names")
-    want(all(name(who) and whole(share, 0, 1_000_000) for who, share in rules.cold_shares), "cold: a share of whom?")
-    want(len({who for who, _ in rules.cold_shares}) == len(rules.cold_shares), "cold: two shares for one placer")
-    want(whole(rules.drain_grace_us, 0, 3_600_000_000), "drain: a grace of at most an hour is wanted")
+    want(
+        whole(rules.cold_window_us, 1, 3_600_000_000), "cold: a window of at most an hour is wanted"
+    )
+    want(
+        len(rules.cold_shares) <= NAMES_MOST and len(rules.barred) <= NAMES_MOST,
+        f"more than {NAMES_MOST} names",
+    )
+    want(
+        all(name(who) and whole(share, 0, 1_000_000) for who, share in rules.cold_shares),
+        "cold: a share of whom?",
+    )
+    want(
+        len({who for who, _ in rules.cold_shares}) == len(rules.cold_shares),
+        "cold: two shares for one placer",
+    )
+    want(
+        whole(rules.drain_grace_us, 0, 3_600_000_000), "drain: a grace of at most an hour is wanted"
+    )
     want(all(name(machine) for machine in rules.barred), "barred: a machine without a name")
     effects = {each.name: each.effect for each in rules.classes}
     for task_class, named in rules.federation.uses:
         spec = rules.federation.named.get(named)
         why_not = unfit(spec, effects.get(task_class, ""), 0) if spec is not None else ""
         want(not why_not, f"{task_class}: federation {named} {why_not}")
-    return (out + check_planned(rules.windows, rules.asked, rules.cancelled, rules.plan) + check_limits(rules.limits)
-            + list(form.bounds(rules.federation)))
+    return (
+        out
+        + check_planned(rules.windows, rules.asked, rules.cancelled, rules.plan)
+        + check_limits(rules.limits)
+        + list(form.bounds(rules.federation))
+    )
 
 
 def shares(offers: int, placers: tuple[str, ...]) -> tuple[tuple[str, int], ...]:
     """A cold budget cut into whole parts; what is left over goes to the first by name: the sum is the budget."""
     each, over = divmod(offers, max(1, len(placers)))
-    return tuple((name, each + (index < over)) for index, name in enumerate(sorted(placers)) if each + (index < over))
+    return tuple(
+        (name, each + (index < over))
+        for index, name in enumerate(sorted(placers))
+        if each + (index < over)
+    )
 
 
 # -- how two compare: for each field whether what `a` allows is within what `b` allows, and what both allow
@@ -246,7 +308,9 @@
     return all(share <= held.get(name, 0) for name, share in a)
 
 
-def _shares_meet(a: tuple[tuple[str, int], ...], b: tuple[tuple[str, int], ...]) -> tuple[tuple[str, int], ...]:
+def _shares_meet(
+    a: tuple[tuple[str, int], ...], b: tuple[tuple[str, int], ...]
+) -> tuple[tuple[str, int], ...]:
     held = dict(b)
     return tuple((name, min(share, held.get(name, 0))) for name, share in a)
 
@@ -256,7 +320,9 @@
     return {replace(each, name="") for each in windows}
 
 
-def _windows_meet(a: tuple[WindowRules, ...], b: tuple[WindowRules, ...]) -> tuple[WindowRules, ...]:
+def _windows_meet(
+    a: tuple[WindowRules, ...], b: tuple[WindowRules, ...]
+) -> tuple[WindowRules, ...]:
     """All of both, those that close the same once; where two of one name differ, one goes by another for the step."""
     named: dict[WindowRules, str] = {}
     for each in sorted((*a, *b), key=lambda each: each.name):
@@ -269,7 +335,9 @@
     return tuple(met.values())
 
 
-_NAMED = _Order(lambda a, b: set(a) >= set(b), lambda a, b: tuple(set(a) | set(b)))  # more of them allow less
+_NAMED = _Order(
+    lambda a, b: set(a) >= set(b), lambda a, b: tuple(set(a) | set(b))
+)  # more of them allow less
 _LESS = _Order(lambda a, b: a <= b, min)  # a smaller figure allows less
 _MORE = _Order(lambda a, b: a >= b, max)  # a larger figure allows less
 _FIELDS: dict[str, _Order] = {
@@ -296,8 +364,11 @@
 
 def keeps_floor(floor: RuleSet, rules: RuleSet) -> bool:
     """Whether rules allow what a floor does; of drains who is cut off hears later, of limits it holds nothing."""
-    return all(order.within(getattr(floor, name), getattr(rules, name)) for name, order in _FIELDS.items()
-               if name not in FLOORLESS)
+    return all(
+        order.within(getattr(floor, name), getattr(rules, name))
+        for name, order in _FIELDS.items()
+        if name not in FLOORLESS
+    )
 
 
 def contradict(a: RuleSet, b: RuleSet) -> bool:
@@ -307,4 +378,11 @@
 
 def meet(a: RuleSet, b: RuleSet) -> RuleSet:
     """What both allow, and no more."""
-    return normal(RuleSet(**{name: order.meet(getattr(a, name), getattr(b, name)) for name, order in _FIELDS.items()}))
+    return normal(
+        RuleSet(
+            **{
+                name: order.meet(getattr(a, name), getattr(b, name))
+                for name, order in _FIELDS.items()
+            }
+        )
+    )
--- a/wingbarrow/decide/peers/sessionlog.py
+++ b/wingbarrow/decide/peers/sessionlog.py
@@ -17,7 +17,9 @@
 LIVES_MOST = 8  # of them of one placer, the present and those whose reckoning is not over
 LATEST_MOST = 2048  # placers of which it is known how far their sessions have come
 ENDED_KEPT = 256  # ends; those whose last change is the oldest are forgotten first
-ENDED_CHARS = 96 * 1024  # of all their successors' names and sessions: a snapshot goes with one mail
+ENDED_CHARS = (
+    96 * 1024
+)  # of all their successors' names and sessions: a snapshot goes with one mail
 SUCCESSORS_MOST = 64  # in one batch
 BATCHES_MOST = 32  # of one end
 
@@ -52,7 +54,9 @@
         """Take one entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
         session = read_session(str(value["session"]))
         if kind == "opened":
-            self._opened(session, int(value["process"]), Open(str(value["region"]), int(value["lease_us"])))
+            self._opened(
+                session, int(value["process"]), Open(str(value["region"]), int(value["lease_us"]))
+            )
         elif kind in ("ended", "succeed"):
             successors = [read_session(str(each)) for each in value["successors"]]
             if kind == "ended":
@@ -71,7 +75,11 @@
     def _opened(self, session: Session, process: int, terms: Open) -> None:
         held = self.latest.get(session.placer)
         # Danger: an end stands for good. What is not later than the latest is open already, or has ended.
-        if (held is not None and session <= held.session) or session in self.open or not self.may_open(session.placer):
+        if (
+            (held is not None and session <= held.session)
+            or session in self.open
+            or not self.may_open(session.placer)
+        ):
             return
         if terms.lease_us <= 0:
             raise ValueError("a lease of no length")
@@ -94,24 +102,34 @@
             if by.get(session.placer) == session:
                 held = self.ended[other]
                 self.epoch += 1
-                self.ended[other] = replace(held, gone=tuple(sorted({*held.gone, session.placer})), changed=self.epoch)
+                self.ended[other] = replace(
+                    held, gone=tuple(sorted({*held.gone, session.placer})), changed=self.epoch
+                )
         if successors:
             self._join(session, successors)
         self._forget()
 
     def _join(self, session: Session, successors: list[Session]) -> None:
         held, by = self.ended[session], self.by[session]
-        new = {each.placer: each for each in sorted(successors)[:SUCCESSORS_MOST]
-               if each in self.open and each.placer != session.placer and by.get(each.placer) != each
-               and (each.placer not in by or each.placer in held.gone)}
+        new = {
+            each.placer: each
+            for each in sorted(successors)[:SUCCESSORS_MOST]
+            if each in self.open
+            and each.placer != session.placer
+            and by.get(each.placer) != each
+            and (each.placer not in by or each.placer in held.gone)
+        }
         if not new or len(held.batches) >= BATCHES_MOST:
             return
         # One that was gone stands in the new batch alone: what fell to others meanwhile stays theirs.
         batches = [tuple(name for name in batch if name not in new) for batch in held.batches]
         self.epoch += 1
         self.ended[session] = replace(
-            held, batches=(*(each for each in batches if each), tuple(sorted(new))),
-            gone=tuple(name for name in held.gone if name not in new), changed=self.epoch)
+            held,
+            batches=(*(each for each in batches if each), tuple(sorted(new))),
+            gone=tuple(name for name in held.gone if name not in new),
+            changed=self.epoch,
+        )
         by.update(new)
         self._forget()
 
@@ -127,13 +145,29 @@
 
     def text(self) -> str:
         """All of it."""
-        return json.dumps({
-            "epoch": self.epoch,
-            "open": [[session.text(), each.region, each.lease_us] for session, each in self.open.items()],
-            "latest": [[each.process, each.session.text()] for each in self.latest.values()],
-            "ended": [[each.epoch, each.session.text(), each.region, each.batches, each.gone, each.changed,
-                       [by.text() for by in self.by[each.session].values()]] for each in self.ended.values()],
-        }, separators=(",", ":"))
+        return json.dumps(
+            {
+                "epoch": self.epoch,
+                "open": [
+                    [session.text(), each.region, each.lease_us]
+                    for session, each in self.open.items()
+                ],
+                "latest": [[each.process, each.session.text()] for each in self.latest.values()],
+                "ended": [
+                    [
+                        each.epoch,
+                        each.session.text(),
+                        each.region,
+                        each.batches,
+                        each.gone,
+                        each.changed,
+                        [by.text() for by in self.by[each.session].values()],
+                    ]
+                    for each in self.ended.values()
+                ],
+            },
+            separators=(",", ":"),
+        )
 
 
 def from_text(text: str) -> SessionLog:
@@ -149,7 +183,9 @@
         out.latest[session.placer] = Latest(process, session)
     for epoch, name, region, batches, gone, changed, by in value["ended"]:
         session = read_session(name)
-        out.ended[session] = Ended(epoch, session, region, tuple(tuple(each) for each in batches), tuple(gone), changed)
+        out.ended[session] = Ended(
+            epoch, session, region, tuple(tuple(each) for each in batches), tuple(gone), changed
+        )
         joined = [read_session(each) for each in by]
         out.by[session] = {each.placer: each for each in joined}
     return out
--- a/wingbarrow/decide/peers/sessions.py
+++ b/wingbarrow/decide/peers/sessions.py
@@ -24,7 +24,17 @@
 from wingbarrow.decide.peers.chapters import Proposal
 from wingbarrow.decide.peers.effects import Effect, Tell
 from wingbarrow.decide.peers.leasing import (
-    ENDED_MOST, KEPT_MOST, LEASE_US, Ended, Kept, Session, SessionsSaid, SessionsTold, reckoned_us, right_us)
+    ENDED_MOST,
+    KEPT_MOST,
+    LEASE_US,
+    Ended,
+    Kept,
+    Session,
+    SessionsSaid,
+    SessionsTold,
+    reckoned_us,
+    right_us,
+)
 from wingbarrow.decide.peers.limits import drifted_us
 from wingbarrow.decide.peers.rights import Asker
 from wingbarrow.decide.peers.rules import RuleSet
@@ -47,13 +57,19 @@
     return right_us(lease_us) + lease_us // 2
 
 
-def ended_within_us(lease_us: int, after_us: int | None, turn_us: int = TURN_US, round_us: int = 250_000) -> int:
+def ended_within_us(
+    lease_us: int, after_us: int | None, turn_us: int = TURN_US, round_us: int = 250_000
+) -> int:
     """Within which a session's end is decided, from the later of its last renewal and the election of the leader that
     a majority follows since, without a pause of it longer than a look's; `after_us`: the least that living keepers say,
     None where there is none. `round_us`: what a decision among the voters takes. The last renewal may come `deaf_us`
     after the last grant that came, where a cut lets asks through alone.
     """
-    waits = lone_us(lease_us) if after_us is None else max(reckoned_us(lease_us, turn_us), drifted_us(after_us))
+    waits = (
+        lone_us(lease_us)
+        if after_us is None
+        else max(reckoned_us(lease_us, turn_us), drifted_us(after_us))
+    )
     return waits + lease_us // LOOKS + round_us
 
 
@@ -73,10 +89,16 @@
         self.began_us = self._seen_us = self._look_us = now_us
         self.renewed_us: dict[Session, int] = {}
         self._ending: set[Session] = set()
-        self._wanted: dict[str, tuple[Session, int, str]] = {}  # by placer: session, process, region
+        self._wanted: dict[
+            str, tuple[Session, int, str]
+        ] = {}  # by placer: session, process, region
         self._deaf_us: dict[Session, int] = {}  # since when its asks say that no grant comes
-        self.says: dict[str, SessionsSaid] = {}  # by placer whose session is open, what it said last
-        self._round: dict[str, tuple[Asker, SessionsSaid, Session | None]] = {}  # who asked, and what that renewed
+        self.says: dict[
+            str, SessionsSaid
+        ] = {}  # by placer whose session is open, what it said last
+        self._round: dict[
+            str, tuple[Asker, SessionsSaid, Session | None]
+        ] = {}  # who asked, and what that renewed
 
     # -- the log
 
@@ -125,7 +147,9 @@
                 # Danger: an end that is proposed is decided sooner or later; a renewal would run on beyond it.
                 self.renewed_us[held.session] = now_us
                 renewed = held.session
-                if said.keeping != (self.says[asker.ident].keeping if asker.ident in self.says else ()):
+                if said.keeping != (
+                    self.says[asker.ident].keeping if asker.ident in self.says else ()
+                ):
                     self._look_us = 0
                 self.says[asker.ident] = said
         elif held.process < asker.life or (said.serial == 0 and self._lapsed(now_us, held.session)):
@@ -139,7 +163,10 @@
         if not said.deaf:
             self._deaf_us.pop(session, None)
             return True
-        return now_us - self._deaf_us.setdefault(session, now_us) < self.log.open[session].lease_us // 2
+        return (
+            now_us - self._deaf_us.setdefault(session, now_us)
+            < self.log.open[session].lease_us // 2
+        )
 
     def _want(self, asker: Asker, session: Session, said: SessionsSaid) -> None:
         if self.log.may_open(asker.ident):
@@ -160,16 +187,28 @@
         session = held.session
         terms = self.log.open.get(session)
         # Danger: a new session before its holder knows which have ended would go on with what is somebody else's now.
-        good = terms is not None and renewed == session and (said.serial == session.serial or upto >= self.log.epoch)
-        return SessionsTold(good, session.serial, terms.lease_us if terms is not None else self.lease_us, upto, ended,
-                            session.life)
+        good = (
+            terms is not None
+            and renewed == session
+            and (said.serial == session.serial or upto >= self.log.epoch)
+        )
+        return SessionsTold(
+            good,
+            session.serial,
+            terms.lease_us if terms is not None else self.lease_us,
+            upto,
+            ended,
+            session.life,
+        )
 
     def _news(self, heard: int) -> tuple[tuple[Ended, ...], int]:
         """What changed after an epoch, as much as goes with a grant, and up to which epoch that is all."""
         if heard >= self.log.epoch:
             return (), self.log.epoch
-        missed = sorted((each for each in self.log.ended.values() if each.changed > heard),
-                        key=lambda each: each.changed)
+        missed = sorted(
+            (each for each in self.log.ended.values() if each.changed > heard),
+            key=lambda each: each.changed,
+        )
         chars, some = 0, list[Ended]()
         for each in missed[:ENDED_MOST]:
             chars += sum(len(name) + 4 for batch in (*each.batches, each.gone) for name in batch)
@@ -183,7 +222,8 @@
     def until_us(self, session: Session) -> int:
         """Until when this leader reckons with an open session."""
         return max(self.renewed_us.get(session, self.began_us), self.began_us) + reckoned_us(
-            self.log.open[session].lease_us, self.turn_us)
+            self.log.open[session].lease_us, self.turn_us
+        )
 
     def _lapsed(self, now_us: int, session: Session) -> bool:
         return session not in self.log.open or now_us >= self.until_us(session)
@@ -191,15 +231,23 @@
     def lives(self, now_us: int, session: Session) -> bool:
         """Whether an open session was renewed by this leader so lately that its holder may send."""
         renewed = self.renewed_us.get(session)
-        return renewed is not None and session not in self._ending and (
-            now_us < renewed + right_us(self.log.open[session].lease_us))
+        return (
+            renewed is not None
+            and session not in self._ending
+            and (now_us < renewed + right_us(self.log.open[session].lease_us))
+        )
 
     def keepers(self, now_us: int) -> dict[Session, tuple[int, list[Session]]]:
         """For each session that living placers keep for: the least `after`, and the keepers' own sessions."""
         out: dict[Session, tuple[int, list[Session]]] = {}
         for ident, said in self.says.items():
             held = self.log.latest.get(ident)
-            if held is None or said.deaf or held.session not in self.log.open or not self.lives(now_us, held.session):
+            if (
+                held is None
+                or said.deaf
+                or held.session not in self.log.open
+                or not self.lives(now_us, held.session)
+            ):
                 continue
             for each in said.keeping:
                 if each.session.placer != ident and each.jobs > 0:
@@ -227,8 +275,17 @@
             held = self.log.latest.get(session.placer)
             if held is None or session > held.session:
                 self.renewed_us[session] = now_us  # reckoned with from before it can be given
-                out.append(Proposal("opened", {"session": session.text(), "process": process, "region": region,
-                                               "lease_us": self.lease_us}))
+                out.append(
+                    Proposal(
+                        "opened",
+                        {
+                            "session": session.text(),
+                            "process": process,
+                            "region": region,
+                            "lease_us": self.lease_us,
+                        },
+                    )
+                )
         self._wanted = {}
         return out, self._look_us if self.log.open or out else None
 
@@ -248,12 +305,18 @@
             ended = self.log.ended.get(session)
             if ended is not None and len(out) < PROPOSALS_MOST:
                 by = self.log.by[session]
-                late = [each for each in some if by.get(each.placer) != each and (
-                    each.placer not in by or each.placer in ended.gone)]
+                late = [
+                    each
+                    for each in some
+                    if by.get(each.placer) != each
+                    and (each.placer not in by or each.placer in ended.gone)
+                ]
                 if late:
                     out.append(_proposal("succeed", session, late))
         self._look_us = following
-        self.renewed_us = {each: at for each, at in self.renewed_us.items() if each in self.log.open}
+        self.renewed_us = {
+            each: at for each, at in self.renewed_us.items() if each in self.log.open
+        }
         self._deaf_us = {each: at for each, at in self._deaf_us.items() if each in self.log.open}
         present = {each.placer for each in self.log.open}
         self.says = {name: said for name, said in self.says.items() if name in present}
@@ -261,8 +324,13 @@
 
 
 def _proposal(kind: str, session: Session, successors: list[Session]) -> Proposal:
-    return Proposal(kind, {"session": session.text(),
-                           "successors": [each.text() for each in sorted(successors)[:SUCCESSORS_MOST]]})
+    return Proposal(
+        kind,
+        {
+            "session": session.text(),
+            "successors": [each.text() for each in sorted(successors)[:SUCCESSORS_MOST]],
+        },
+    )
 
 
 class Lease:
@@ -297,7 +365,9 @@
         if len(keeping) > KEPT_MOST:
             self.counts["sessions: kept for more than can be said"] += 1
         deaf = self.session is not None and now_us - self._told_us >= right_us(self.lease_us)
-        return SessionsSaid(self.region, self.serial, self.leased(), keeping[:KEPT_MOST], self.heard, deaf)
+        return SessionsSaid(
+            self.region, self.serial, self.leased(), keeping[:KEPT_MOST], self.heard, deaf
+        )
 
     def take(self, now_us: int, asked_us: int, told: SessionsTold | None) -> list[Effect]:
         """What the leader told: ends first, then whether this session goes on, or a new one begins."""
@@ -310,7 +380,11 @@
                 out += self._hear(each)
         self.heard = max(self.heard, told.epoch)
         session = Session(self.me, told.life, told.serial)
-        if told.open and session not in self.ended and (self.session is None or session >= self.session):
+        if (
+            told.open
+            and session not in self.ended
+            and (self.session is None or session >= self.session)
+        ):
             if self.session is not None and session != self.session:
                 # Its end is known to nobody any more: it is over all the same, and nobody is known to succeed.
                 out += self._hear(Ended(told.epoch, self.session, self.region, changed=told.epoch))
@@ -330,9 +404,20 @@
             # Danger: a successor may act from here on, whatever this lease's own time would still allow.
             self.session, self._right_until_us, self.runs_until_us = None, 0, 0
             out += self._told(False, ended.session)
-        return [*out, Tell("session-ended", {
-            "epoch": ended.epoch, "session": ended.session.text(), "region": ended.region,
-            "batches": [list(each) for each in ended.batches], "gone": list(ended.gone), "changed": ended.changed})]
+        return [
+            *out,
+            Tell(
+                "session-ended",
+                {
+                    "epoch": ended.epoch,
+                    "session": ended.session.text(),
+                    "region": ended.region,
+                    "batches": [list(each) for each in ended.batches],
+                    "gone": list(ended.gone),
+                    "changed": ended.changed,
+                },
+            ),
+        ]
 
     def look(self, now_us: int) -> list[Effect]:
         """Tell where this session opened or lapsed since it was looked at last."""
--- a/wingbarrow/decide/peers/suspicion.py
+++ b/wingbarrow/decide/peers/suspicion.py
@@ -63,4 +63,6 @@
         if self.wanted <= 0:
             return self.since_us + self.least_us
         share = min(1.0, log(confirmations + 1) / log(self.wanted + 1))
-        return self.since_us + max(self.least_us, int(self.most_us - (self.most_us - self.least_us) * share))
+        return self.since_us + max(
+            self.least_us, int(self.most_us - (self.most_us - self.least_us) * share)
+        )
--- a/wingbarrow/decide/peers/table.py
+++ b/wingbarrow/decide/peers/table.py
@@ -73,9 +73,16 @@
             self.gossip.add(word)
             return Change("joined", word, None)
         if not overrides(word, held.word):
-            if (word.standing is Standing.SUSPECTED is held.standing and word.incarnation == held.word.incarnation
-                    and held.suspicion is not None and word.by and held.suspicion.confirm(word.by)):
-                self.gossip.add(word)  # an independent confirmation makes others' suspicions shorter too
+            if (
+                word.standing is Standing.SUSPECTED is held.standing
+                and word.incarnation == held.word.incarnation
+                and held.suspicion is not None
+                and word.by
+                and held.suspicion.confirm(word.by)
+            ):
+                self.gossip.add(
+                    word
+                )  # an independent confirmation makes others' suspicions shorter too
             return None
         before, another = held.standing, word.life != held.word.life
         held.word, held.suspicion = word, None
@@ -125,8 +132,14 @@
 
     def next_due_us(self) -> int | None:
         """When the next suspicion ends, or its member is to be asked."""
-        return min((max(each.suspicion.due_us, each.suspicion.again_us) for each in self.members.values()
-                    if each.suspicion is not None), default=None)
+        return min(
+            (
+                max(each.suspicion.due_us, each.suspicion.again_us)
+                for each in self.members.values()
+                if each.suspicion is not None
+            ),
+            default=None,
+        )
 
     def grant_time(self, for_us: int) -> None:
         """This placer stood still for so long: what it would have heard meanwhile may still come."""
--- a/wingbarrow/decide/peers/takeover.py
+++ b/wingbarrow/decide/peers/takeover.py
@@ -19,7 +19,15 @@
 from wingbarrow.decide.peers.keeping import Taking
 from wingbarrow.decide.peers.leasing import MachineSays, Record, Session
 from wingbarrow.decide.peers.records import phase_of
-from wingbarrow.decide.peers.reissue import TABLE, Row, Verdict, decide, merged, time_of, window_until_us
+from wingbarrow.decide.peers.reissue import (
+    TABLE,
+    Row,
+    Verdict,
+    decide,
+    merged,
+    time_of,
+    window_until_us,
+)
 
 CLAIM_US = 2_000_000  # a safe Job waits so long for its keepers' word
 CLAIMING, READY = "claiming", "ready"
@@ -76,7 +84,9 @@
     def _inquire(self, now_us: int, case: Case) -> None:
         for known in case.record.tasks if case.record.effect == "unsafe" else ():
             if known.phase == "about":
-                self.inquiry.want(case.record.uid, known.index, known.machine, now_us - known.age_us)
+                self.inquiry.want(
+                    case.record.uid, known.index, known.machine, now_us - known.age_us
+                )
 
     # -- what it hears
 
@@ -94,11 +104,19 @@
         if case is None or case.claimed or record.epoch >= case.epoch:
             return []
         # It was asked after this case came: what it said is no older than that by its own word.
-        more = {each.index: replace(each, age_us=each.age_us + now_us - case.added_us) for each in record.tasks}
-        tasks = {index: merged(phase_of(case.record, index), known) for index, known in more.items()}
+        more = {
+            each.index: replace(each, age_us=each.age_us + now_us - case.added_us)
+            for each in record.tasks
+        }
+        tasks = {
+            index: merged(phase_of(case.record, index), known) for index, known in more.items()
+        }
         tasks = {each.index: each for each in case.record.tasks} | tasks
-        case.record = replace(case.record, tasks=tuple(tasks[index] for index in sorted(tasks)),
-                              answered=case.record.answered or record.answered)
+        case.record = replace(
+            case.record,
+            tasks=tuple(tasks[index] for index in sorted(tasks)),
+            answered=case.record.answered or record.answered,
+        )
         self.inquiry.forget(record.uid)
         self._inquire(now_us, case)
         return self._go_on(now_us, ())
@@ -161,10 +179,18 @@
                 continue
             found = self._judge(now_us, case)
             sure = {row.verdict for row in found.values()} <= {Verdict.UNKNOWN, Verdict.NOTHING}
-            if sure or case.claimed or (case.record.effect == "safe" and now_us >= case.added_us + CLAIM_US):
+            if (
+                sure
+                or case.claimed
+                or (case.record.effect == "safe" and now_us >= case.added_us + CLAIM_US)
+            ):
                 out += self._settle(case, found)
         out += self.inquiry.mail(now_us)
-        due = [at for at in (self.inquiry.due(), self._due[0][0] if self._due else None) if at is not None]
+        due = [
+            at
+            for at in (self.inquiry.due(), self._due[0][0] if self._due else None)
+            if at is not None
+        ]
         if due and (self._timer_us is None or min(due) < self._timer_us):
             self._timer_us = max(now_us, min(due))
             out.append(SetTimer(self.timer, self._timer_us))
@@ -195,8 +221,19 @@
                 continue
             told.append((each.value, indexes))
             if (each.value, indexes) not in case.told:
-                out.append(Tell("reissue", {"uid": case.record.uid, "key": case.record.key, "verdict": each.value,
-                                            "epoch": case.epoch, "why": found[indexes[0]].why, "tasks": indexes}))
+                out.append(
+                    Tell(
+                        "reissue",
+                        {
+                            "uid": case.record.uid,
+                            "key": case.record.key,
+                            "verdict": each.value,
+                            "epoch": case.epoch,
+                            "why": found[indexes[0]].why,
+                            "tasks": indexes,
+                        },
+                    )
+                )
         case.told = tuple(told)
         return out
 
--- a/wingbarrow/decide/peers/trial.py
+++ b/wingbarrow/decide/peers/trial.py
@@ -10,7 +10,9 @@
 from math import sqrt
 
 ANSWERS_LEAST = 30  # after the change, before it is judged
-CERTAIN = 2.5  # standard errors by which a rise must be above the bound: it is looked at again and again
+CERTAIN = (
+    2.5  # standard errors by which a rise must be above the bound: it is looked at again and again
+)
 
 
 class Advice(Enum):
--- a/wingbarrow/decide/peers/turnbudgets.py
+++ b/wingbarrow/decide/peers/turnbudgets.py
@@ -20,16 +20,25 @@
 
 def places(region: str, zone: str, cell: str) -> tuple[Place, ...]:
     """Where a machine counts, the smallest first."""
-    return ((Scope.CELL, f"{region}/{zone}/{cell}"), (Scope.ZONE, f"{region}/{zone}"), (Scope.REGION, region),
-            (Scope.ALL, ""))
+    return (
+        (Scope.CELL, f"{region}/{zone}/{cell}"),
+        (Scope.ZONE, f"{region}/{zone}"),
+        (Scope.REGION, region),
+        (Scope.ALL, ""),
+    )
 
 
 class Room:
     """Budgets as they stand at one moment. `views`: of the regions in reach; `held_back`: machines' worth that a region
     keeps free for the loss of another."""
 
-    def __init__(self, budgets: Iterable[Budget], views: Mapping[str, View], turns: Iterable[Turn],
-                 held_back: Callable[[str], float] = lambda region: 0.0) -> None:
+    def __init__(
+        self,
+        budgets: Iterable[Budget],
+        views: Mapping[str, View],
+        turns: Iterable[Turn],
+        held_back: Callable[[str], float] = lambda region: 0.0,
+    ) -> None:
         self._views, self._held_back = views, held_back
         self.totals, self.lost, self.by_turns = Counter[Place](), Counter[Place](), Counter[Place]()
         self._failed: list[str] | None = None
@@ -67,23 +76,37 @@
             out = self.lost[place] + (self.by_turns[place] if turns_too else 0)
             if out + more > self.most(place):
                 where = f"{place[0].value} {place[1]!r}" if place[1] else "the fleet"
-                return (f"{where}: {out} machine(s) out, {self.lost[place]} of them lost or closed otherwise; "
-                        f"{self.most(place)} may be")
+                return (
+                    f"{where}: {out} machine(s) out, {self.lost[place]} of them lost or closed otherwise; "
+                    f"{self.most(place)} may be"
+                )
         return self._crowded(turn.region, turns_too, more)
 
     def failed(self, turn: Turn, share: float) -> list[str]:
         """Halls of its region, other than its own, of whose machines at least a share is gone without a turn."""
         if self._failed is None:
-            self._failed = sorted(name for (scope, name), total in self.totals.items() if scope is Scope.ZONE
-                                  and self.lost[scope, name] and self.lost[scope, name] >= share * total)
+            self._failed = sorted(
+                name
+                for (scope, name), total in self.totals.items()
+                if scope is Scope.ZONE
+                and self.lost[scope, name]
+                and self.lost[scope, name] >= share * total
+            )
         own = f"{turn.region}/{turn.zone}"
         return [name for name in self._failed if name != own and name.startswith(f"{turn.region}/")]
 
     def _crowded(self, region: str, turns_too: bool, more: int) -> str:
         place, view = (Scope.REGION, region), self._views[region]
-        stay = self.totals[place] - self.lost[place] - (self.by_turns[place] if turns_too else 0) - more
+        stay = (
+            self.totals[place]
+            - self.lost[place]
+            - (self.by_turns[place] if turns_too else 0)
+            - more
+        )
         wanted = view.used + self._held_back(region)
         if stay + 1e-9 < wanted:
-            return (f"{stay} machine(s) of region {region!r} would stay; {math.ceil(wanted - 1e-9)} are wanted, "
-                    f"{self._held_back(region):g} of them for another region's loss")
+            return (
+                f"{stay} machine(s) of region {region!r} would stay; {math.ceil(wanted - 1e-9)} are wanted, "
+                f"{self._held_back(region):g} of them for another region's loss"
+            )
         return ""
--- a/wingbarrow/decide/peers/turncalendar.py
+++ b/wingbarrow/decide/peers/turncalendar.py
@@ -26,8 +26,9 @@
     return max(0, min(URGENCY_MOST - 1, USUAL + step))
 
 
-def wanted(rules: RuleSet, machines: Sequence[MachineState], wall_us: int,
-           most: int = WANTED_MOST) -> list[Wanted]:
+def wanted(
+    rules: RuleSet, machines: Sequence[MachineState], wall_us: int, most: int = WANTED_MOST
+) -> list[Wanted]:
     """Turns that windows want at a wall time, by window and machine's name; those taken back are left out."""
     lead, cancelled = rules.plan.lead_us, {short_ident(key) for key in rules.cancelled}
     blackouts = rules.plan.rules(()).blackouts
@@ -49,17 +50,33 @@
 
 
 def _meant(series: Series, machine: MachineState) -> bool:
-    return any(each.matches(machine.name, machine.cell, machine.zone, machine.labels) for each in series.selectors)
+    return any(
+        each.matches(machine.name, machine.cell, machine.zone, machine.labels)
+        for each in series.selectors
+    )
 
 
 def _latest(occurrence: Occurrence, lead_us: int) -> int:
     """When a machine's turn has to have begun; one that fills its window is not lost by a moment's wait for proof."""
     series = occurrence.series
-    return max(occurrence.end_us - series.each_us, occurrence.start_us + min(lead_us, series.lasts_us // 2))
+    return max(
+        occurrence.end_us - series.each_us, occurrence.start_us + min(lead_us, series.lasts_us // 2)
+    )
 
 
 def _one(occurrence: Occurrence, machine: MachineState, ident: str, latest_us: int) -> Wanted:
     series = occurrence.series
     ends = occurrence.end_us if series.unsafe is not UnsafePolicy.WAIT else 0
-    return Wanted(ident, machine.name, machine.zone, machine.cell, "calendar", urgency_of(series.precedence), latest_us,
-                  series.each_us, series.unsafe.value, ends, occurrence.start_us)
+    return Wanted(
+        ident,
+        machine.name,
+        machine.zone,
+        machine.cell,
+        "calendar",
+        urgency_of(series.precedence),
+        latest_us,
+        series.each_us,
+        series.unsafe.value,
+        ends,
+        occurrence.start_us,
+    )
--- a/wingbarrow/decide/peers/turning.py
+++ b/wingbarrow/decide/peers/turning.py
@@ -19,7 +19,16 @@
 from wingbarrow.decide.peers.rights import Asker
 from wingbarrow.decide.peers.rules import RuleSet
 from wingbarrow.decide.peers.turnbudgets import Room
-from wingbarrow.decide.peers.turns import AGE_US, OVER, Queue, Turn, TurnsSaid, TurnsTold, View, short_ident
+from wingbarrow.decide.peers.turns import (
+    AGE_US,
+    OVER,
+    Queue,
+    Turn,
+    TurnsSaid,
+    TurnsTold,
+    View,
+    short_ident,
+)
 
 SECOND = 1_000_000
 PLACERS_MOST = 4096
@@ -35,9 +44,13 @@
 
     grant_us: int = 2 * SECOND
     view_us: int = 6 * SECOND  # a region whose teller was not heard of for so long is out of reach
-    count_us: int = 3 * SECOND  # placers that have not counted their tasks by then are not waited for
+    count_us: int = (
+        3 * SECOND
+    )  # placers that have not counted their tasks by then are not waited for
     lease_us: int = 30 * SECOND  # of a worker
-    try_us: int = 30 * SECOND  # a machine that is back and got nothing to start is taken for good then
+    try_us: int = (
+        30 * SECOND
+    )  # a machine that is back and got nothing to start is taken for good then
     gone_us: int = 600 * SECOND  # a machine that no list has: its turn is over then
     patience_us: int = 10 * AGE_US  # who has waited for so long keeps room from later ones
 
@@ -62,7 +75,9 @@
     state: str
     gone_us: int | None = None  # since when its machine was on no list
     renewed_us: int = 0
-    asked: list[tuple[int, int]] = field(default_factory=list)  # renewals not confirmed yet: number, when
+    asked: list[tuple[int, int]] = field(
+        default_factory=list
+    )  # renewals not confirmed yet: number, when
 
 
 class Turns:
@@ -70,11 +85,14 @@
 
     name = "turns"
 
-    def __init__(self, me: str, wall_us: Callable[[int], int],
-                 times: TurnTimes = TurnTimes()) -> None:  # noqa: B008 - frozen
+    def __init__(
+        self, me: str, wall_us: Callable[[int], int], times: TurnTimes = TurnTimes()
+    ) -> None:
         self.me, self._wall_us, self.times = me, wall_us, times
         self.queue = Queue()
-        self.held_back: Callable[[int, str], float] = lambda now_us, region: 0.0  # in machines' worth
+        self.held_back: Callable[[int, str], float] = (
+            lambda now_us, region: 0.0
+        )  # in machines' worth
         self.leads = False
         self._began_us = 0
         self._placers: dict[str, _Placer] = {}
@@ -84,7 +102,9 @@
         self._wants: dict[str, dict[str, object]] = {}  # requests to be proposed, by ident
         self._hands: dict[int, tuple[int, str]] = {}  # as of when, by turn
         self._looked_us = -LOOK_US
-        self.blocked: dict[int, str] = {}  # why a turn that waits is not closing, as of the last look
+        self.blocked: dict[
+            int, str
+        ] = {}  # why a turn that waits is not closing, as of the last look
 
     # -- the voters' side
 
@@ -123,10 +143,20 @@
         for each in said.wants:
             if len(self._wants) < PROPOSED_MOST and not self.queue.knows(each.ident):
                 self._wants[each.ident] = {
-                    "ident": each.ident, "machine": each.machine, "region": said.region, "zone": each.zone,
-                    "cell": each.cell, "why": each.why, "urgency": each.urgency, "latest_us": each.latest_us,
-                    "lasts_us": each.lasts_us, "unsafe": each.unsafe, "ends_us": each.ends_us,
-                    "from_us": each.from_us, "worker": ""}
+                    "ident": each.ident,
+                    "machine": each.machine,
+                    "region": said.region,
+                    "zone": each.zone,
+                    "cell": each.cell,
+                    "why": each.why,
+                    "urgency": each.urgency,
+                    "latest_us": each.latest_us,
+                    "lasts_us": each.lasts_us,
+                    "unsafe": each.unsafe,
+                    "ends_us": each.ends_us,
+                    "from_us": each.from_us,
+                    "worker": "",
+                }
         if asker.ident == self.me:
             self._confirm_renewals(said.at_us)
 
@@ -136,34 +166,66 @@
         placer = self._placers.get(asker.ident)
         region = placer.said.region if placer is not None else ""
         active = sorted(self.queue.active(), key=lambda each: each.number)
-        asked = [each for each in self.queue.turns.values() if each.state == "asked" and each.region in ("", region)]
-        turns = tuple((each.number, each.machine, each.state, self.hand(now_us, each) if each.state != "asked" else "")
-                      for each in (*active, *asked[:TOLD_MOST]))
-        return TurnsTold(self.queue.version, turns, tuple(self.silent(now_us)),
-                         self._teller(now_us, region) == asker.ident)
+        asked = [
+            each
+            for each in self.queue.turns.values()
+            if each.state == "asked" and each.region in ("", region)
+        ]
+        turns = tuple(
+            (
+                each.number,
+                each.machine,
+                each.state,
+                self.hand(now_us, each) if each.state != "asked" else "",
+            )
+            for each in (*active, *asked[:TOLD_MOST])
+        )
+        return TurnsTold(
+            self.queue.version,
+            turns,
+            tuple(self.silent(now_us)),
+            self._teller(now_us, region) == asker.ident,
+        )
 
     # -- who does what
 
     def _live(self, now_us: int, region: str) -> list[str]:
-        return [name for name, each in self._placers.items()
-                if each.said.region == region and now_us - each.heard_us < self.times.view_us]
+        return [
+            name
+            for name, each in self._placers.items()
+            if each.said.region == region and now_us - each.heard_us < self.times.view_us
+        ]
 
     def hand(self, now_us: int, turn: Turn) -> str:
         """Which placer speaks with a turn's machine, and tries it: one of its region; "" where none is in reach."""
         at, held = self._hands.get(turn.number, (now_us - LOOK_US, ""))
         if now_us - at < LOOK_US:
             return held
-        able = [name for name in self._live(now_us, turn.region) if turn.number not in self._placers[name].said.gone]
-        name = max(able, key=lambda name: _weight(f"{turn.number}/{turn.machine}", name), default="")
+        able = [
+            name
+            for name in self._live(now_us, turn.region)
+            if turn.number not in self._placers[name].said.gone
+        ]
+        name = max(
+            able, key=lambda name: _weight(f"{turn.number}/{turn.machine}", name), default=""
+        )
         self._hands[turn.number] = now_us, name
         return name
 
     def _teller(self, now_us: int, region: str) -> str:
         able = self._live(now_us, region)
-        return self.me if self.me in able else max(able, key=lambda name: _weight(region, name), default="")
+        return (
+            self.me
+            if self.me in able
+            else max(able, key=lambda name: _weight(region, name), default="")
+        )
 
     def _in_reach(self, now_us: int) -> dict[str, View]:
-        return {region: view for region, (at, _, view) in self._views.items() if now_us - at < self.times.view_us}
+        return {
+            region: view
+            for region, (at, _, view) in self._views.items()
+            if now_us - at < self.times.view_us
+        }
 
     # -- the worker's lease
 
@@ -190,8 +252,12 @@
         """Turns that are out, whose worker was not heard of for longer than its lease, reckoned anew by each leader."""
         for turn in self.queue.turns.values():
             watch = self._watch(now_us, turn.number) if turn.state == "out" else None
-            if watch is not None and (turn.worker or not turn.lasts_us) and now_us >= max(
-                    watch.since_us, watch.renewed_us) + drifted_us(self.times.lease_us):
+            if (
+                watch is not None
+                and (turn.worker or not turn.lasts_us)
+                and now_us
+                >= max(watch.since_us, watch.renewed_us) + drifted_us(self.times.lease_us)
+            ):
                 yield turn.number
 
     def _watch(self, now_us: int, number: int) -> _Watch | None:
@@ -217,11 +283,18 @@
         for held in (self._watches, self._hands):
             for number in held.keys() - self.queue.turns.keys():
                 del held[number]
-        out = [Proposal("ask", {**value, "at_us": wall}) for ident, value in self._wants.items()
-               if not self.queue.knows(ident) and not self.queue.refusal({**value, "at_us": wall})]
+        out = [
+            Proposal("ask", {**value, "at_us": wall})
+            for ident, value in self._wants.items()
+            if not self.queue.knows(ident) and not self.queue.refusal({**value, "at_us": wall})
+        ]
         self._wants = {}
-        room = Room(rules.plan.rules(()).budgets, self._in_reach(now_us), self.queue.active(),
-                    lambda region: self.held_back(now_us, region))
+        room = Room(
+            rules.plan.rules(()).budgets,
+            self._in_reach(now_us),
+            self.queue.active(),
+            lambda region: self.held_back(now_us, region),
+        )
         counted: list[tuple[object, ...]] = []
         for turn in sorted(self.queue.live(), key=lambda each: each.number):
             watch = self._watch(now_us, turn.number)
@@ -233,18 +306,29 @@
             step = self._step(now_us, wall, turn, watch, rules, room)
             if step is not None:
                 again = turn.ident if step[1] == TAKEN_BACK else ""
-                out.append(Proposal(step[0], {"number": turn.number, "at_us": wall, "note": step[1], "again": again}))
+                out.append(
+                    Proposal(
+                        step[0],
+                        {"number": turn.number, "at_us": wall, "note": step[1], "again": again},
+                    )
+                )
         if counted:
             out.append(Proposal("queue", {"turns": counted, "at_us": wall}))
         if not out:  # what closes is chosen once all else is decided: it goes by states as they are
-            out += [Proposal("close", {"number": each, "at_us": wall})
-                    for each in self._closing(now_us, wall, room, rules.plan.failed_share)]
+            out += [
+                Proposal("close", {"number": each, "at_us": wall})
+                for each in self._closing(now_us, wall, room, rules.plan.failed_share)
+            ]
         return out[:PROPOSED_MOST], now_us + LOOK_US
 
     def _look_gone(self, now_us: int, turn: Turn, watch: _Watch) -> None:
         """Whether its machine is on no list of its region, by its teller's word."""
         told = self._views.get(turn.region)
-        teller = self._placers.get(told[1]) if told is not None and turn.region in self._in_reach(now_us) else None
+        teller = (
+            self._placers.get(told[1])
+            if told is not None and turn.region in self._in_reach(now_us)
+            else None
+        )
         nowhere = not turn.region and turn.state == "asked"
         if not nowhere and (teller is None or turn.number not in teller.said.gone):
             watch.gone_us = None
@@ -257,19 +341,34 @@
         region, place = turn.region, tuple[str, ...]()
         if not region:
             self.blocked[turn.number] = "no list that is heard of has such a machine"
-            told = ((each.said.region, *where) for name, each in self._placers.items()
-                    if now_us - each.heard_us < self.times.view_us for where in each.said.places)
-            place = next(((region, zone, cell) for region, number, zone, cell in told if number == turn.number), ())
+            told = (
+                (each.said.region, *where)
+                for name, each in self._placers.items()
+                if now_us - each.heard_us < self.times.view_us
+                for where in each.said.places
+            )
+            place = next(
+                (
+                    (region, zone, cell)
+                    for region, number, zone, cell in told
+                    if number == turn.number
+                ),
+                (),
+            )
             if not place:
                 return None
             region = place[0]
-        found = [dict(self._placers[name].said.tasks).get(turn.number) for name in self._live(now_us, region)]
+        found = [
+            dict(self._placers[name].said.tasks).get(turn.number)
+            for name in self._live(now_us, region)
+        ]
         if now_us < watch.since_us + self.times.count_us and (not found or None in found):
             return None
         return (turn.number, sum(each for each in found if each is not None), *place)
 
-    def _step(self, now_us: int, wall: int, turn: Turn, watch: _Watch, rules: RuleSet,
-              room: Room) -> tuple[str, str] | None:
+    def _step(
+        self, now_us: int, wall: int, turn: Turn, watch: _Watch, rules: RuleSet, room: Room
+    ) -> tuple[str, str] | None:
         """What becomes of one turn, and why; None: it stays."""
         gone = watch.gone_us is not None and now_us >= watch.gone_us + self.times.gone_us
         if turn.state == "back":
@@ -278,7 +377,9 @@
             return "give-back", "no list has such a machine"
         if turn.why == "calendar":
             window = turn.ident.rpartition("/")[0].rpartition("@")[0]
-            if turn.ident in map(short_ident, rules.cancelled) or window not in {each.name for each in rules.windows}:
+            if turn.ident in map(short_ident, rules.cancelled) or window not in {
+                each.name for each in rules.windows
+            }:
                 return "give-back", TAKEN_BACK
         if turn.why == "calendar" and turn.state != "out":
             late = wall >= turn.latest_us > 0
@@ -294,8 +395,14 @@
                 return "give-back", f"{', '.join(failed)} has failed"
         if turn.state == "closing" and self.proved(now_us, turn):
             return "empty", ""
-        if turn.state == "empty" and self.proved(now_us, turn) and turn.region in self._in_reach(now_us):
-            full = room.full(turn, taken=True) if wall >= turn.from_us else "its time has not come yet"
+        if (
+            turn.state == "empty"
+            and self.proved(now_us, turn)
+            and turn.region in self._in_reach(now_us)
+        ):
+            full = (
+                room.full(turn, taken=True) if wall >= turn.from_us else "its time has not come yet"
+            )
             self.blocked[turn.number] = full
             return ("out", "") if not full else None
         if turn.state == "out" and not turn.worker and turn.lasts_us:
@@ -303,8 +410,14 @@
             return ("back", "its time is over") if wall >= ends else None
         return None
 
-    def _returned(self, now_us: int, turn: Turn, watch: _Watch, gone: bool) -> tuple[str, str] | None:
-        said = [each.said for name, each in self._placers.items() if now_us - each.heard_us < self.times.view_us]
+    def _returned(
+        self, now_us: int, turn: Turn, watch: _Watch, gone: bool
+    ) -> tuple[str, str] | None:
+        said = [
+            each.said
+            for name, each in self._placers.items()
+            if now_us - each.heard_us < self.times.view_us
+        ]
         if gone:
             return "done", "its machine has left the list"
         if any(turn.number in each.tried for each in said):
@@ -312,8 +425,11 @@
         opened = any(turn.number in each.open for each in said)
         if opened and not turn.out_us:
             return "done", ""  # it was closed in vain, and nothing was done to it
-        if opened and not any(turn.number in each.bad for each in said) and (
-                now_us >= watch.since_us + self.times.try_us):
+        if (
+            opened
+            and not any(turn.number in each.bad for each in said)
+            and (now_us >= watch.since_us + self.times.try_us)
+        ):
             return "done", "nothing was there to try it with"
         return None
 
@@ -335,8 +451,11 @@
             if placer is None or turn.number not in placer.said.clear:
                 return f"placer {name} has not confirmed"
         # Danger: a floor knows of no turns. Its holder may send at any time; it is the machine that refuses.
-        heard = any(turn.number in each.said.empty for each in self._placers.values()
-                    if now_us - each.heard_us < self.times.lapse_us())
+        heard = any(
+            turn.number in each.said.empty
+            for each in self._placers.values()
+            if now_us - each.heard_us < self.times.lapse_us()
+        )
         return "" if heard else "the machine has not said that it refuses new work and is empty"
 
     def _closing(self, now_us: int, wall: int, room: Room, failed_share: float) -> Iterator[int]:
@@ -344,13 +463,19 @@
         were out, keeps its room."""
         reach = self._in_reach(now_us)
         left = PROPOSED_MOST
-        self.blocked = {number: why for number, why in self.blocked.items()
-                        if number in self.queue.turns and self.queue.turns[number].state in ("asked", "empty")}
+        self.blocked = {
+            number: why
+            for number, why in self.blocked.items()
+            if number in self.queue.turns and self.queue.turns[number].state in ("asked", "empty")
+        }
         for turn in self.queue.queued():
             watch = self._watch(now_us, turn.number)
             if turn.region not in reach or (watch is not None and watch.gone_us is not None):
-                self.blocked[turn.number] = ("no list has its machine now" if turn.region in reach
-                                             else f"region {turn.region!r} is out of reach")
+                self.blocked[turn.number] = (
+                    "no list has its machine now"
+                    if turn.region in reach
+                    else f"region {turn.region!r} is out of reach"
+                )
                 continue
             failed = room.failed(turn, failed_share)
             why = f"{', '.join(failed)} has failed" if failed else room.full(turn)
@@ -360,7 +485,9 @@
                 yield turn.number
                 continue
             self.blocked[turn.number] = why or "others close first"
-            if wall - turn.asked_us >= self.times.patience_us and not room.full(turn, turns_too=False):
+            if wall - turn.asked_us >= self.times.patience_us and not room.full(
+                turn, turns_too=False
+            ):
                 room.take(turn)
 
     def states(self) -> Mapping[str, int]:
--- a/wingbarrow/decide/peers/turns.py
+++ b/wingbarrow/decide/peers/turns.py
@@ -142,7 +142,7 @@
     if len(key) <= IDENT_MOST:
         return key
     window, _, machine = key.rpartition("/")
-    return f"{window[:IDENT_MOST - 33]}/{hashlib.blake2b(machine.encode(), digest_size=16).hexdigest()}"
+    return f"{window[: IDENT_MOST - 33]}/{hashlib.blake2b(machine.encode(), digest_size=16).hexdigest()}"
 
 
 def rank(turn: Turn) -> tuple[int, int, int, int, str, int]:
@@ -157,11 +157,13 @@
 
 def objection(value: dict[str, Any]) -> str:
     """What is wrong with a request, in words; "" for a good one."""
+
     def name(key: str, most: int, least: int = 1) -> bool:
         return isinstance(value.get(key), str) and least <= len(value[key]) <= most
 
     def whole(key: str, most: int) -> bool:
         return type(value.get(key)) is int and 0 <= value[key] <= most
+
     if not name("machine", NAME_MOST):
         return f"machine: a name of at most {NAME_MOST} characters is wanted"
     if not all(name(key, LABEL_MOST, 0) for key in ("region", "zone", "cell", "worker")):
@@ -187,7 +189,13 @@
     "out": {"empty": "out"},
     "back": {"out": "back"},
     "done": {"back": "done"},
-    "give-back": {"asked": "given-back", "queued": "given-back", "closing": "back", "empty": "back", "out": "back"},
+    "give-back": {
+        "asked": "given-back",
+        "queued": "given-back",
+        "closing": "back",
+        "empty": "back",
+        "out": "back",
+    },
 }
 
 
@@ -200,7 +208,9 @@
         self.version = 0  # entries that changed something
         self.clock_us = 0  # the latest time of any entry
         self.outcomes: dict[str, tuple[int, str]] = {}  # by request: its number, or 0 and why not
-        self.windowed: dict[str, int] = {}  # digests of the calendar's requests that were taken: their latest time
+        self.windowed: dict[
+            str, int
+        ] = {}  # digests of the calendar's requests that were taken: their latest time
 
     # -- questions
 
@@ -218,7 +228,14 @@
 
     def of(self, machine: str) -> Turn | None:
         """A machine's turn that is not over; there is one at most."""
-        return next((each for each in self.turns.values() if each.machine == machine and each.state not in OVER), None)
+        return next(
+            (
+                each
+                for each in self.turns.values()
+                if each.machine == machine and each.state not in OVER
+            ),
+            None,
+        )
 
     def refusal(self, value: dict[str, Any]) -> str:
         """Why a request cannot be taken now; "" where it can."""
@@ -242,18 +259,33 @@
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """Take one; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
-        at = max(self.clock_us, _time(value.get("at_us", 0) if kind == "recovered" else value["at_us"]))
+        at = max(
+            self.clock_us, _time(value.get("at_us", 0) if kind == "recovered" else value["at_us"])
+        )
         if kind == "ask":
             changed = self._ask(value, at)
         elif kind == "queue":
-            changed = self._queue([(int(number), max(0, int(tasks)), *map(str, place))
-                                   for number, tasks, *place in value["turns"]], at)
+            changed = self._queue(
+                [
+                    (int(number), max(0, int(tasks)), *map(str, place))
+                    for number, tasks, *place in value["turns"]
+                ],
+                at,
+            )
         elif kind == "recovered":
             # Danger: of what was decided last, some may be lost, and machines know its numbers.
-            self.last, self.version, changed = self.last + NUMBERS_LEFT, self.version + NUMBERS_LEFT, True
+            self.last, self.version, changed = (
+                self.last + NUMBERS_LEFT,
+                self.version + NUMBERS_LEFT,
+                True,
+            )
         elif kind in _NEXT:
-            changed = self._step(kind, int(value["number"]), str(value.get("note", ""))[:WORDS_MOST], at)
-            if changed and value.get("again"):  # it was taken back, and is not any more: it may be asked for anew
+            changed = self._step(
+                kind, int(value["number"]), str(value.get("note", ""))[:WORDS_MOST], at
+            )
+            if changed and value.get(
+                "again"
+            ):  # it was taken back, and is not any more: it may be asked for anew
                 self.windowed.pop(_digest(str(value["again"])), None)
         else:
             raise ValueError(f"no entry of turns: {kind[:40]}")
@@ -273,9 +305,25 @@
         if not words:
             self.last += 1
             self.turns[self.last] = Turn(
-                self.last, value["machine"], value["region"], value["zone"], value["cell"], value["why"],
-                value["urgency"], value["latest_us"], at, value["lasts_us"], value["worker"], "asked", 0, at, ident,
-                value.get("unsafe", "wait"), value.get("ends_us", 0), from_us=value.get("from_us", 0))
+                self.last,
+                value["machine"],
+                value["region"],
+                value["zone"],
+                value["cell"],
+                value["why"],
+                value["urgency"],
+                value["latest_us"],
+                at,
+                value["lasts_us"],
+                value["worker"],
+                "asked",
+                0,
+                at,
+                ident,
+                value.get("unsafe", "wait"),
+                value.get("ends_us", 0),
+                from_us=value.get("from_us", 0),
+            )
         return True
 
     def _remember(self, ident: str, number: int, words: str) -> None:
@@ -307,24 +355,40 @@
             state = "given-back"
         if kind == "done" and turn.given:
             note = turn.note or note  # why it was taken back, not how it came back
-        self.turns[number] = replace(turn, state=state, since_us=at, given=turn.given or kind == "give-back",
-                                     note=note or turn.note, out_us=at if state == "out" else turn.out_us)
+        self.turns[number] = replace(
+            turn,
+            state=state,
+            since_us=at,
+            given=turn.given or kind == "give-back",
+            note=note or turn.note,
+            out_us=at if state == "out" else turn.out_us,
+        )
         if state in OVER:
             self._forget()
         return True
 
     def _forget(self) -> None:
-        ended = sorted((each.since_us, number) for number, each in self.turns.items() if each.state in OVER)
-        for _, number in ended[:max(0, len(ended) - ENDED_MOST)]:
+        ended = sorted(
+            (each.since_us, number) for number, each in self.turns.items() if each.state in OVER
+        )
+        for _, number in ended[: max(0, len(ended) - ENDED_MOST)]:
             del self.turns[number]
 
     # -- snapshots
 
     def text(self) -> str:
         """All of it; with names as long as they may be under 1.4 KB a turn, so that a snapshot fits one mail."""
-        return json.dumps({
-            "last": self.last, "version": self.version, "clock_us": self.clock_us, "outcomes": self.outcomes,
-            "windowed": self.windowed, "turns": [astuple(each) for each in self.turns.values()]}, separators=(",", ":"))
+        return json.dumps(
+            {
+                "last": self.last,
+                "version": self.version,
+                "clock_us": self.clock_us,
+                "outcomes": self.outcomes,
+                "windowed": self.windowed,
+                "turns": [astuple(each) for each in self.turns.values()],
+            },
+            separators=(",", ":"),
+        )
 
     def restore(self, text: str) -> None:
         """What `text` gave; an empty one is the state at the beginning."""
@@ -333,7 +397,9 @@
         self.last, self.version = value.get("last", 0), value.get("version", 0)
         self.clock_us = value.get("clock_us", 0)
         self.windowed = dict(value.get("windowed", {}))
-        self.outcomes = {ident: (number, words) for ident, (number, words) in value.get("outcomes", {}).items()}
+        self.outcomes = {
+            ident: (number, words) for ident, (number, words) in value.get("outcomes", {}).items()
+        }
 
 
 def _digest(ident: str) -> str:
--- a/wingbarrow/decide/peers/turnside.py
+++ b/wingbarrow/decide/peers/turnside.py
@@ -12,7 +12,15 @@
 from typing import Protocol
 
 from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.turns import CELLS_MOST, LOST_MOST, WANTS_MOST, TurnsSaid, TurnsTold, View, Wanted
+from wingbarrow.decide.peers.turns import (
+    CELLS_MOST,
+    LOST_MOST,
+    WANTS_MOST,
+    TurnsSaid,
+    TurnsTold,
+    View,
+    Wanted,
+)
 
 
 class Eyes(Protocol):
@@ -129,8 +137,20 @@
                 came_to = self.eyes.came_to(number) if turn.hand == self.me else ""
                 tried += [number] if came_to == "well" else []
                 bad += [number] if came_to == "bad" else []
-        return TurnsSaid(tuple(clear), tuple(empty), tuple(tried), tuple(bad), tuple(opened), tuple(gone),
-                         tuple(tasks), tuple(places), self.region, now_us, self._view(), self._wants())
+        return TurnsSaid(
+            tuple(clear),
+            tuple(empty),
+            tuple(tried),
+            tuple(bad),
+            tuple(opened),
+            tuple(gone),
+            tuple(tasks),
+            tuple(places),
+            self.region,
+            now_us,
+            self._view(),
+            self._wants(),
+        )
 
     def _view(self) -> View | None:
         view = self.eyes.view() if self.tells else None
@@ -145,7 +165,7 @@
             return tuple(found)
         begin = self._next_want % len(found)
         self._next_want = begin + WANTS_MOST
-        return tuple((found + found)[begin:begin + WANTS_MOST])
+        return tuple((found + found)[begin : begin + WANTS_MOST])
 
     def take(self, now_us: int, asked_us: int, told: TurnsTold | None) -> list[Effect]:
         """What a grant tells, in place of what was told before."""
@@ -153,17 +173,34 @@
             return []  # Danger: a late grant would open a machine that a turn has closed since
         self._version, self.tells = told.version, told.tell
         before, silent = self.turns, frozenset(told.silent)
-        self.turns = {number: Known(number, machine, state, hand, number in silent)
-                      for number, machine, state, hand in told.turns}
-        self._shut = frozenset(each.machine for each in self.turns.values() if each.state != "asked" and not (
-            each.state == "back" and each.hand == self.me))
+        self.turns = {
+            number: Known(number, machine, state, hand, number in silent)
+            for number, machine, state, hand in told.turns
+        }
+        self._shut = frozenset(
+            each.machine
+            for each in self.turns.values()
+            if each.state != "asked" and not (each.state == "back" and each.hand == self.me)
+        )
         out: list[Effect] = []
         for number, each in self.turns.items():
             held = before.get(number)
-            if each.state != "asked" and (held is None or (held.state, held.silent) != (each.state, each.silent)):
-                out.append(Tell("turn", {"number": number, "machine": each.machine,
-                                         "state": "silent" if each.silent else each.state}))
+            if each.state != "asked" and (
+                held is None or (held.state, held.silent) != (each.state, each.silent)
+            ):
+                out.append(
+                    Tell(
+                        "turn",
+                        {
+                            "number": number,
+                            "machine": each.machine,
+                            "state": "silent" if each.silent else each.state,
+                        },
+                    )
+                )
         for number, held in before.items():
             if number not in self.turns and held.state != "asked":
-                out.append(Tell("turn", {"number": number, "machine": held.machine, "state": "over"}))
+                out.append(
+                    Tell("turn", {"number": number, "machine": held.machine, "state": "over"})
+                )
         return out
--- a/wingbarrow/decide/peers/verdicts.py
+++ b/wingbarrow/decide/peers/verdicts.py
@@ -26,7 +26,9 @@
     failed_together: int = 3  # by all witnesses
     failed_share: float = 0.5  # of its tries
     witnesses: int = 2
-    doubt_share: float = 0.3  # a witness that finds more than this of the machines it tried bad is looked at itself
+    doubt_share: float = (
+        0.3  # a witness that finds more than this of the machines it tried bad is looked at itself
+    )
     fleet_share: float = 0.2  # that verdicts may close at once
     zone_share: float = 0.34  # likewise, of each zone
     lasts_us: int = 10 * SECOND
@@ -57,7 +59,7 @@
 class Experience:
     """One placer's own outcomes by machine; once it stood still, what it saw until then counts for nothing."""
 
-    def __init__(self, terms: Terms = Terms()) -> None:  # noqa: B008 - frozen
+    def __init__(self, terms: Terms = Terms()) -> None:
         self.terms = terms
         self._notes: dict[str, deque[tuple[int, bool]]] = {}
         self._looked_us: int | None = None
@@ -66,7 +68,9 @@
         """A start went well, or failed by the machine's fault."""
         self._notes.setdefault(machine, deque(maxlen=NOTES_MOST)).append((now_us, good))
 
-    def evidence(self, now_us: int, tried_for_all: Container[str] = ()) -> tuple[tuple[Evidence, ...], int, int]:
+    def evidence(
+        self, now_us: int, tried_for_all: Container[str] = ()
+    ) -> tuple[tuple[Evidence, ...], int, int]:
         """What is worth telling, first of machines that this placer tries for all, then the worst; of how many machines
         that were tried how many were bad."""
         if self._looked_us is not None and now_us - self._looked_us > 2 * SECOND:
@@ -119,15 +123,32 @@
     verdicts: dict[str, _Verdict] = field(default_factory=dict)
     spared: dict[str, str] = field(default_factory=dict)  # bad by the witnesses, and left open: why
 
-    def hear(self, now_us: int, ident: str, region: str, evidence: Iterable[Evidence], bad: int, tried: int) -> None:
+    def hear(
+        self,
+        now_us: int,
+        ident: str,
+        region: str,
+        evidence: Iterable[Evidence],
+        bad: int,
+        tried: int,
+    ) -> None:
         """A placer's evidence, in place of what it told before."""
-        self.witnesses[ident] = _Witness(now_us, region, bad, tried, {
-            each.machine: each for each in list(evidence)[:EVIDENCE_MOST]})
+        self.witnesses[ident] = _Witness(
+            now_us,
+            region,
+            bad,
+            tried,
+            {each.machine: each for each in list(evidence)[:EVIDENCE_MOST]},
+        )
 
     def judge(self, now_us: int, zones: Mapping[str, str]) -> None:
         """Come to verdicts, and end those that are over. `zones`: of each machine of the list."""
         terms = self.terms
-        self.witnesses = {name: each for name, each in self.witnesses.items() if now_us - each.at_us <= terms.span_us}
+        self.witnesses = {
+            name: each
+            for name, each in self.witnesses.items()
+            if now_us - each.at_us <= terms.span_us
+        }
         for machine, verdict in list(self.verdicts.items()):
             verdict.prober = "" if verdict.ended else self._prober(now_us, machine, verdict)
             self._end(now_us, machine, verdict, zones)
@@ -164,14 +185,18 @@
         elif seen is not None and seen.tried > seen.failed and not is_bad(seen, self.terms):
             verdict.ended, verdict.until_us = "whoever tried it found it well", now_us
 
-    def _consider(self, now_us: int, machine: str, names: list[str], zones: Mapping[str, str]) -> None:
+    def _consider(
+        self, now_us: int, machine: str, names: list[str], zones: Mapping[str, str]
+    ) -> None:
         terms = self.terms
         if len(names) < terms.witnesses:
             self.spared[machine] = f"{len(names)} witness(es), {terms.witnesses} are wanted"
             return
         failed = sum(self.witnesses[name].evidence[machine].failed for name in names)
         if failed < terms.failed_together:
-            self.spared[machine] = f"{failed} failed start(s) by all witnesses, {terms.failed_together} are wanted"
+            self.spared[machine] = (
+                f"{failed} failed start(s) by all witnesses, {terms.failed_together} are wanted"
+            )
             return
         regions = {each.region for each in self.witnesses.values()}
         if len(regions) > 1 and len({self.witnesses[name].region for name in names}) < 2:
@@ -181,27 +206,37 @@
         zone = zones[machine]
         in_zone = sum(each == zone for each in zones.values())
         if len(closed) + 1 > terms.fleet_share * len(zones):
-            self.spared[machine] = f"{len(closed)} machines are closed, {terms.fleet_share:.0%} of the fleet may be"
+            self.spared[machine] = (
+                f"{len(closed)} machines are closed, {terms.fleet_share:.0%} of the fleet may be"
+            )
             return
         if sum(zones.get(each) == zone for each in closed) + 1 > terms.zone_share * in_zone:
             self.spared[machine] = f"{terms.zone_share:.0%} of zone {zone} may be closed"
             return
         former = self.verdicts.get(machine)
         strikes = min(former.strikes + 1, terms.doublings) if former is not None else 0
-        self.verdicts[machine] = _Verdict(now_us, now_us + (terms.lasts_us << strikes), strikes, tuple(names))
+        self.verdicts[machine] = _Verdict(
+            now_us, now_us + (terms.lasts_us << strikes), strikes, tuple(names)
+        )
 
     def _prober(self, now_us: int, machine: str, verdict: _Verdict) -> str:
         """Who tries a machine for all: the same for all that know the same placers; "" while nobody does yet."""
         if now_us < verdict.since_us + self.terms.try_after_us:
             return ""
         able = [name for name, each in self.witnesses.items() if not self._doubtful(each)]
-        return max(able, key=lambda name: hashlib.blake2b(f"{machine}/{name}".encode(), digest_size=8).digest(),
-                   default="")
+        return max(
+            able,
+            key=lambda name: hashlib.blake2b(f"{machine}/{name}".encode(), digest_size=8).digest(),
+            default="",
+        )
 
     def told(self, now_us: int) -> tuple[Closed, ...]:
         """For a grant."""
-        found = [Closed(machine, each.until_us - now_us, now_us - each.since_us, each.prober)
-                 for machine, each in sorted(self.verdicts.items()) if not each.ended]
+        found = [
+            Closed(machine, each.until_us - now_us, now_us - each.since_us, each.prober)
+            for machine, each in sorted(self.verdicts.items())
+            if not each.ended
+        ]
         return tuple(found[:VERDICTS_MOST])
 
 
@@ -222,13 +257,19 @@
 
     def now(self, now_us: int) -> frozenset[str]:
         """The machines that get nothing from here."""
-        return frozenset(machine for machine, until in self._until_us.items()
-                         if until > now_us and machine not in self.mine)
+        return frozenset(
+            machine
+            for machine, until in self._until_us.items()
+            if until > now_us and machine not in self.mine
+        )
 
-    def again_and_again(self, now_us: int, strikes: int, terms: Terms = Terms()) -> list[str]:  # noqa: B008 - frozen
+    def again_and_again(self, now_us: int, strikes: int, terms: Terms = Terms()) -> list[str]:
         """Machines whose verdict is so long that as many came before it."""
-        return sorted(machine for machine, until in self._until_us.items() if until > now_us
-                      and until - self._since_us[machine] >= terms.lasts_us << strikes)
+        return sorted(
+            machine
+            for machine, until in self._until_us.items()
+            if until > now_us and until - self._since_us[machine] >= terms.lasts_us << strikes
+        )
 
     def age_us(self, now_us: int, machine: str) -> int:
         """How old a verdict is: a machine that was launched since then is another."""
--- a/wingbarrow/decide/rebirth.py
+++ b/wingbarrow/decide/rebirth.py
@@ -18,10 +18,14 @@
 
     def __init__(self, classes: tuple[TaskClass, ...]) -> None:
         self._scope = max((each.spread for each in classes), key=_WIDTH.index, default=Place.NONE)
-        self._unheard: dict[str, tuple[object, int]] = {}  # machine: its group, and how long it is waited for
+        self._unheard: dict[
+            str, tuple[object, int]
+        ] = {}  # machine: its group, and how long it is waited for
         self._waiting: dict[object, int] = {}  # group: machines that have not told
         self._seen: set[str] = set()
-        self.listed = False  # the source's own list is in: later machines cannot hold a former life's tasks
+        self.listed = (
+            False  # the source's own list is in: later machines cannot hold a former life's tasks
+        )
         self._none = self._scope is Place.NONE
 
     def saw(self, name: str, listed: ListedMachine, now_us: int) -> None:
@@ -64,4 +68,8 @@
         return len(self._unheard)
 
     def _group(self, listed: ListedMachine) -> object:
-        return {Place.MACHINE: listed.machine, Place.CELL: listed.cell, Place.ZONE: listed.zone}.get(self._scope)
+        return {
+            Place.MACHINE: listed.machine,
+            Place.CELL: listed.cell,
+            Place.ZONE: listed.zone,
+        }.get(self._scope)
--- a/wingbarrow/decide/repeats.py
+++ b/wingbarrow/decide/repeats.py
@@ -21,10 +21,14 @@
 
 def place(machine: ListedMachine, group: Place) -> object:
     """What machines of one group share; the same for all machines where the group is `ALL` or `NONE`."""
-    return {Place.MACHINE: machine.machine, Place.CELL: machine.cell, Place.ZONE: machine.zone}.get(group)
+    return {Place.MACHINE: machine.machine, Place.CELL: machine.cell, Place.ZONE: machine.zone}.get(
+        group
+    )
 
 
-def may_repeat(now_us: int, cls: TaskClass, earlier: Earlier | None, machine: ListedMachine, slack_us: int) -> bool:
+def may_repeat(
+    now_us: int, cls: TaskClass, earlier: Earlier | None, machine: ListedMachine, slack_us: int
+) -> bool:
     """Whether a send to `machine` at `now_us` is free of a second effect; `slack_us` is kept before a window's end.
 
     A window runs from the earlier attempt's send, which is no earlier than its decision: counted from that, this
@@ -34,5 +38,6 @@
         return True
     if cls.effect is Effect.UNSAFE:
         return False
-    return (now_us < earlier.decided_us + cls.window_us - slack_us
-            and place(earlier.machine, cls.group) == place(machine, cls.group))
+    return now_us < earlier.decided_us + cls.window_us - slack_us and place(
+        earlier.machine, cls.group
+    ) == place(machine, cls.group)
--- a/wingbarrow/decide/subset_view.py
+++ b/wingbarrow/decide/subset_view.py
@@ -31,8 +31,13 @@
     nobody has been missed for long enough.
     """
 
-    def __init__(self, me: str, roster: tuple[str, ...], leave_after_us: int = LEAVE_AFTER_US,
-                 settle_us: int = SETTLE_US) -> None:
+    def __init__(
+        self,
+        me: str,
+        roster: tuple[str, ...],
+        leave_after_us: int = LEAVE_AFTER_US,
+        settle_us: int = SETTLE_US,
+    ) -> None:
         if me not in roster:
             raise ValueError(f"roster: does not name this placer, {me!r}")
         if leave_after_us < 0 or settle_us < 0:
@@ -70,8 +75,11 @@
 
     def next_us(self) -> int | None:
         """When the set is to be asked for again, without further news; None: no change is coming up."""
-        due_us = [since_us + self._leave_after_us for name, since_us in self._missing_us.items()
-                  if name in self._living]
+        due_us = [
+            since_us + self._leave_after_us
+            for name, since_us in self._missing_us.items()
+            if name in self._living
+        ]
         if any(name not in self._missing_us for name in self._roster - self._living):
             due_us.append(0)  # somebody is back: as soon as a change is allowed
         if not due_us:
--- a/wingbarrow/decide/subsets.py
+++ b/wingbarrow/decide/subsets.py
@@ -19,19 +19,27 @@
 from math import ceil, floor, isfinite, sqrt
 
 ROSTER_MOST = 256  # as many as membership knows; a rank fits one byte
-ORDERS_MOST = 32_768  # machines whose ranks are kept, at most 256 bytes each and some 70 around them
+ORDERS_MOST = (
+    32_768  # machines whose ranks are kept, at most 256 bytes each and some 70 around them
+)
 PLACER_KEY_BYTES = 16
 SCORE_BYTES = 8
-MARGIN_DEVIATIONS = 5.0  # of `subset_most_expected`: one subset in 3 million is larger, by the normal approximation
+MARGIN_DEVIATIONS = (
+    5.0  # of `subset_most_expected`: one subset in 3 million is larger, by the normal approximation
+)
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetRules:
     """What all placers of a region are told alike, from the settings. Figures out of range raise ValueError."""
 
-    roster: tuple[str, ...]  # every placer that may ever hold a machine of this region; its order means nothing
+    roster: tuple[
+        str, ...
+    ]  # every placer that may ever hold a machine of this region; its order means nothing
     replicas: int  # placers that hold each machine while all are there
-    spare_part: float = 0.25  # part of a cold machine's offers that is kept for ranks beyond the first `replicas`
+    spare_part: float = (
+        0.25  # part of a cold machine's offers that is kept for ranks beyond the first `replicas`
+    )
 
     def __post_init__(self) -> None:
         if not self.roster or not all(self.roster):
@@ -54,7 +62,9 @@
         self._names = tuple(sorted(rules.roster))
         self._known = frozenset(self._names)
         self._keys = tuple(_placer_key(name) for name in self._names)
-        self._orders: dict[str, bytes] = {}  # by machine: indexes into `_names`, the first rank first
+        self._orders: dict[
+            str, bytes
+        ] = {}  # by machine: indexes into `_names`, the first rank first
 
     def order(self, machine: str) -> tuple[str, ...]:
         """The roster by rank for a machine, whoever lives."""
--- a/wingbarrow/decide/widening.py
+++ b/wingbarrow/decide/widening.py
@@ -12,9 +12,13 @@
 
 from __future__ import annotations
 
-STEP_US = 1_000_000  # a list is read, and offers are made and answered, before one more rank is asked for
+STEP_US = (
+    1_000_000  # a list is read, and offers are made and answered, before one more rank is asked for
+)
 CALM_US = 30_000_000
-LONG_PART = 4  # a wait is long from this part of its patience on: three quarters are left to place the task
+LONG_PART = (
+    4  # a wait is long from this part of its patience on: three quarters are left to place the task
+)
 LONG_LEAST_US = 200_000  # waits shorter than this are usual: a turn of the module, a connection
 
 
--- a/wingbarrow/decide/windows.py
+++ b/wingbarrow/decide/windows.py
@@ -38,9 +38,12 @@
 
     def matches(self, name: str, cell: str, zone: str, labels: Mapping[str, str]) -> bool:
         """Whether a machine is meant."""
-        return ((not self.name or self.name in ("*", name)) and (not self.cell or self.cell == cell)
-                and (not self.zone or self.zone == zone)
-                and (self.label is None or labels.get(self.label[0]) == self.label[1]))
+        return (
+            (not self.name or self.name in ("*", name))
+            and (not self.cell or self.cell == cell)
+            and (not self.zone or self.zone == zone)
+            and (self.label is None or labels.get(self.label[0]) == self.label[1])
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +116,11 @@
         return []
     tz = series.start.tzinfo
     length = timedelta(microseconds=series.lasts_us)
-    first = datetime.fromtimestamp(from_us / SECOND, tz).replace(tzinfo=None) - length - timedelta(hours=2)
+    first = (
+        datetime.fromtimestamp(from_us / SECOND, tz).replace(tzinfo=None)
+        - length
+        - timedelta(hours=2)
+    )
     last = datetime.fromtimestamp(until_us / SECOND, tz).replace(tzinfo=None) + timedelta(hours=2)
     begin = series.start.replace(tzinfo=None)
     starts: list[datetime] = []
@@ -150,4 +157,6 @@
 def expand_all(every: Iterable[Series], from_us: int, until_us: int) -> list[Occurrence]:
     """Occurrences of all series, by start, then precedence, then name."""
     found = [occurrence for series in every for occurrence in expand(series, from_us, until_us)]
-    return sorted(found, key=lambda each: (each.start_us, -each.series.precedence, each.series.name))
+    return sorted(
+        found, key=lambda each: (each.start_us, -each.series.precedence, each.series.name)
+    )
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -32,8 +32,12 @@
     def handle(self, request: Request, parts: list[str]) -> Answer:
         """Answer one request; ApiError for what is refused."""
         if request.method == "GET" and not parts:
-            return Answer(200, names.encode({"kind": "DrainList", "apiVersion": API,
-                                             "items": self._drainer.describe()}))
+            return Answer(
+                200,
+                names.encode(
+                    {"kind": "DrainList", "apiVersion": API, "items": self._drainer.describe()}
+                ),
+            )
         if request.method != ("DELETE" if parts else "POST"):
             raise ApiError(405, "DELETE is allowed here" if parts else "GET, POST are allowed here")
         away = self._rules.away(request) if self._drainer.agreed else None
@@ -50,21 +54,35 @@
             # Danger: the answer to the first ask may be lost, and a second drain would outlast the first one's end.
             held = self._standing(self._rules.latest(), machine)
             if held is not None:
-                return Answer(200, names.encode({"kind": "Drain", "apiVersion": API, "key": held.key}))
+                return Answer(
+                    200, names.encode({"kind": "Drain", "apiVersion": API, "key": held.key})
+                )
             asked, drain = self._drainer.weigh(machine, lasts)
             if drain.fate is Fate.PLANNED:
-                told = self._rules.change(lambda rules: self._with(rules, asked), f"drain {machine}")
+                told = self._rules.change(
+                    lambda rules: self._with(rules, asked), f"drain {machine}"
+                )
         if drain.fate is Fate.REFUSED:
             raise ApiError(409, f"{machine}: {drain.reason}", "Conflict")
-        return Answer(201, names.encode({"kind": "Drain", "apiVersion": API, "key": drain.key, **told}))
+        return Answer(
+            201, names.encode({"kind": "Drain", "apiVersion": API, "key": drain.key, **told})
+        )
 
     def _standing(self, rules: RuleSet | None, machine: str) -> AskedDrain | None:
         """A drain of a machine that is asked for already."""
-        return next((each for each in self._fresh(rules).asked if each.machine == machine), None) if rules else None
+        return (
+            next((each for each in self._fresh(rules).asked if each.machine == machine), None)
+            if rules
+            else None
+        )
 
     def _with(self, rules: RuleSet, asked: AskedDrain) -> RuleSet:
         rules = self._fresh(rules)
-        return rules if self._standing(rules, asked.machine) else replace(rules, asked=(*rules.asked, asked))
+        return (
+            rules
+            if self._standing(rules, asked.machine)
+            else replace(rules, asked=(*rules.asked, asked))
+        )
 
     def _wanted(self, request: Request) -> tuple[str, int]:
         try:
@@ -77,8 +95,17 @@
                 raise ValueError("machine and lasts are wanted")
             return machine, parse_duration(lasts)
         except ValueError as error:
-            raise invalid("Drain", "", [Cause("lasts" if isinstance(machine, str) else "machine",
-                                              "FieldValueInvalid", str(error))]) from None
+            raise invalid(
+                "Drain",
+                "",
+                [
+                    Cause(
+                        "lasts" if isinstance(machine, str) else "machine",
+                        "FieldValueInvalid",
+                        str(error),
+                    )
+                ],
+            ) from None
 
     def _cancel(self, key: str) -> Answer:
         told = {}
@@ -88,9 +115,15 @@
         else:
             if key not in self._drainer.drains.held:
                 raise not_found("drains", key)
-            told = self._rules.change(lambda rules: self._fresh(_without(rules, key)), f"take back {key}")
-        return Answer(200, names.encode({"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success",
-                                         **told}))
+            told = self._rules.change(
+                lambda rules: self._fresh(_without(rules, key)), f"take back {key}"
+            )
+        return Answer(
+            200,
+            names.encode(
+                {"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success", **told}
+            ),
+        )
 
     def _fresh(self, rules: RuleSet) -> RuleSet:
         asked, cancelled = fresh(rules.asked, rules.cancelled, self._hub.clock.wall_us())
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -33,18 +33,40 @@
     def __init__(self, hub: Hub, placer: Placer, log: Callable[..., None]) -> None:
         self._placer = placer
         self._log = log
-        limits, store, seed = placer.base.settings.limits, placer.board.store, placer.base.settings.seed
+        limits, store, seed = (
+            placer.base.settings.limits,
+            placer.board.store,
+            placer.base.settings.seed,
+        )
         self.resources = {
-            "jobs": ListWatch(hub, store, placer.board.jobs, "Job", "batch/v1", limits.watchers, seed),
-            "nodes": ListWatch(hub, store, placer.board.nodes, "Node", "v1", limits.watchers, seed + 1),
-            "events": ListWatch(hub, store, store.collection("events"), "Event", "v1", limits.watchers, seed + 2),
+            "jobs": ListWatch(
+                hub, store, placer.board.jobs, "Job", "batch/v1", limits.watchers, seed
+            ),
+            "nodes": ListWatch(
+                hub, store, placer.board.nodes, "Node", "v1", limits.watchers, seed + 1
+            ),
+            "events": ListWatch(
+                hub, store, store.collection("events"), "Event", "v1", limits.watchers, seed + 2
+            ),
         }
         self.server = Server(
-            hub, placer.base.settings.host, placer.base.settings.port, self.handle, self._say,
-            ServerLimits(connections=limits.connections, message=Limits(body=limits.body)), self._refuse)
+            hub,
+            placer.base.settings.host,
+            placer.base.settings.port,
+            self.handle,
+            self._say,
+            ServerLimits(connections=limits.connections, message=Limits(body=limits.body)),
+            self._refuse,
+        )
         self.port = self.server.port
-        self.instances = InstancesFront(hub, lambda: placer.base.settings, placer.hearsay, placer.peering,
-                                        placer.base.born_us, log)
+        self.instances = InstancesFront(
+            hub,
+            lambda: placer.base.settings,
+            placer.hearsay,
+            placer.peering,
+            placer.base.born_us,
+            log,
+        )
         self.rules = RulesFront(hub, placer.peering)
         self.limits = LimitsFront(hub, placer.peering)
         self.leases = LeasesFront(hub, placer.peering)
@@ -60,7 +82,9 @@
         self._log("front", level="warning", text=text)
 
     def _refuse(self, status: int, why: str) -> Answer:
-        return error_answer(ApiError(status, why, retry_after_s=1 if status in (429, 503) else None))
+        return error_answer(
+            ApiError(status, why, retry_after_s=1 if status in (429, 503) else None)
+        )
 
     def handle(self, request: Request) -> Answer:
         """Answer one request; ApiErrors become Status objects."""
@@ -81,10 +105,15 @@
             return Answer(200, b"ok", content_type="text/plain")
         if path == "/readyz":
             ready = self._placer.ready
-            return Answer(200 if ready else 503, b"ok" if ready else b"no list of machines yet",
-                          content_type="text/plain")
+            return Answer(
+                200 if ready else 503,
+                b"ok" if ready else b"no list of machines yet",
+                content_type="text/plain",
+            )
         if path == "/metrics":
-            return Answer(200, generate_latest(self._registry), content_type="text/plain; version=0.0.4")
+            return Answer(
+                200, generate_latest(self._registry), content_type="text/plain; version=0.0.4"
+            )
         parts = [unquote(part) for part in path.split("/")[1:]]
         if parts[:2] == ["api", "v1"]:
             return self._resource(request, "v1", parts[2:], Query(query_text))
@@ -117,8 +146,12 @@
         if name == "pods" and len(parts) == 3 and parts[2] == "eviction" and namespace:
             self._allow(request, "POST")
             self._placer.desk.evict(parts[1])
-            return Answer(201, names.encode({"kind": "Status", "apiVersion": "v1", "metadata": {},
-                                             "status": "Success"}))
+            return Answer(
+                201,
+                names.encode(
+                    {"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success"}
+                ),
+            )
         if (version, name) not in _COLLECTIONS or len(parts) > 2 or (namespace and name == "nodes"):
             raise ApiError(404, "the server could not find the requested resource", "NotFound")
         resource = self.resources[name]
@@ -140,10 +173,17 @@
         if parts:
             return Answer(200, names.encode(_namespace(parts[0])))
         found = self._placer.desk.namespaces()
-        return Answer(200, names.encode({
-            "kind": "NamespaceList", "apiVersion": "v1",
-            "metadata": {"resourceVersion": str(self._placer.board.store.version)},
-            "items": [_namespace(each) for each in found]}))
+        return Answer(
+            200,
+            names.encode(
+                {
+                    "kind": "NamespaceList",
+                    "apiVersion": "v1",
+                    "metadata": {"resourceVersion": str(self._placer.board.store.version)},
+                    "items": [_namespace(each) for each in found],
+                }
+            ),
+        )
 
     def _allow(self, request: Request, *methods: str) -> None:
         if request.method not in methods:
@@ -169,7 +209,9 @@
     def _create(self, request: Request, namespace: str, query: Query) -> Answer:
         self._placer.desk.look_at_door(request.came_us)
         value = self._body(request)
-        made = self._placer.desk.submit(value, namespace, self._dry_run(query.get("dryRun")), request.came_us)
+        made = self._placer.desk.submit(
+            value, namespace, self._dry_run(query.get("dryRun")), request.came_us
+        )
         return Answer(201, names.encode(made))
 
     def _delete(self, request: Request, key: str, query: Query) -> Answer:
@@ -181,15 +223,30 @@
         if self._dry_run(query.get("dryRun")) or self._dry_run(told):
             return self.resources["jobs"].get(key)
         value = self._placer.desk.delete_job(key)
-        return Answer(200, names.encode({
-            "kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success",
-            "details": {"name": value["metadata"]["name"], "group": "batch", "kind": "jobs",
-                        "uid": value["metadata"]["uid"]}}))
+        return Answer(
+            200,
+            names.encode(
+                {
+                    "kind": "Status",
+                    "apiVersion": "v1",
+                    "metadata": {},
+                    "status": "Success",
+                    "details": {
+                        "name": value["metadata"]["name"],
+                        "group": "batch",
+                        "kind": "jobs",
+                        "uid": value["metadata"]["uid"],
+                    },
+                }
+            ),
+        )
 
     def collect(self):  # type: ignore[no-untyped-def]
         """Figures for Prometheus, read when asked for."""
         placer = self._placer
-        events = CounterMetricFamily("wingbarrow_happenings", "What the placer did and met", labels=["what"])
+        events = CounterMetricFamily(
+            "wingbarrow_happenings", "What the placer did and met", labels=["what"]
+        )
         for what, count in placer.base.counts.items():
             events.add_metric([what], count)
         for what, count in placer.peering.counts.items():
@@ -197,26 +254,42 @@
         for what, count in [*placer.book.odd.items(), *placer.attempts.odd.items()]:
             events.add_metric(["odd: " + what], count)
         yield events
-        answers = CounterMetricFamily("wingbarrow_answers", "First final answers", labels=["answer"])
+        answers = CounterMetricFamily(
+            "wingbarrow_answers", "First final answers", labels=["answer"]
+        )
         for state, count in placer.book.answers.items():
             answers.add_metric([state.value], count)
         yield answers
-        requests = CounterMetricFamily("wingbarrow_http_responses", "Responses by status", labels=["status"])
+        requests = CounterMetricFamily(
+            "wingbarrow_http_responses", "Responses by status", labels=["status"]
+        )
         for status, count in self.statuses.items():
             requests.add_metric([str(status)], count)
         yield requests
         for name, help_text, value in (
-                ("wingbarrow_open_tasks", "Tasks that are not over", placer.book.admission.open),
-                ("wingbarrow_answers_owed", "Tasks that wait for a final answer", placer.book.owed),
-                ("wingbarrow_stops_owed", "Tasks that machines are still to stop", placer.stops.owed),
-                ("wingbarrow_lag_seconds", "How late the process has lately run; fades by half a second by second",
-                 placer.base.hub.lag_us() / 1e6),
-                ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.base.hub.lag.times),
-                ("wingbarrow_lag_worst_seconds", "The longest lag of this process", placer.base.hub.lag.worst_us / 1e6),
-                ("wingbarrow_machines", "Machines on the list", len(placer.fleet.reflector.held)),
-                *_subset_figures(placer),
-                ("wingbarrow_connections", "Client connections", self.server.connections),
-                ("wingbarrow_watchers", "Open watches", sum(each.watchers for each in self.resources.values()))):
+            ("wingbarrow_open_tasks", "Tasks that are not over", placer.book.admission.open),
+            ("wingbarrow_answers_owed", "Tasks that wait for a final answer", placer.book.owed),
+            ("wingbarrow_stops_owed", "Tasks that machines are still to stop", placer.stops.owed),
+            (
+                "wingbarrow_lag_seconds",
+                "How late the process has lately run; fades by half a second by second",
+                placer.base.hub.lag_us() / 1e6,
+            ),
+            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.base.hub.lag.times),
+            (
+                "wingbarrow_lag_worst_seconds",
+                "The longest lag of this process",
+                placer.base.hub.lag.worst_us / 1e6,
+            ),
+            ("wingbarrow_machines", "Machines on the list", len(placer.fleet.reflector.held)),
+            *_subset_figures(placer),
+            ("wingbarrow_connections", "Client connections", self.server.connections),
+            (
+                "wingbarrow_watchers",
+                "Open watches",
+                sum(each.watchers for each in self.resources.values()),
+            ),
+        ):
             yield GaugeMetricFamily(name, help_text, value)
 
 
@@ -225,13 +298,44 @@
     if placer.subset is None:
         return []
     lingering, reflector = len(placer.subset.lingering), placer.fleet.reflector
-    return [("wingbarrow_subset_machines", "Machines of this placer's subset", len(placer.machines.links) - lingering),
-            ("wingbarrow_subset_lingering", "Machines followed though they have left the subset", lingering),
-            ("wingbarrow_subset_extra_ranks", "Ranks held beyond the replicas by now", placer.subset.extra),
-            ("wingbarrow_subset_left_out", "Machines on the list that are not held", reflector.left_out),
-            ("wingbarrow_subset_passed_over", "Entries of the list passed over so far", reflector.passed_over),
-            ("wingbarrow_subset_relists", "Lists read for machines that came in, so far", reflector.refills)]
+    return [
+        (
+            "wingbarrow_subset_machines",
+            "Machines of this placer's subset",
+            len(placer.machines.links) - lingering,
+        ),
+        (
+            "wingbarrow_subset_lingering",
+            "Machines followed though they have left the subset",
+            lingering,
+        ),
+        (
+            "wingbarrow_subset_extra_ranks",
+            "Ranks held beyond the replicas by now",
+            placer.subset.extra,
+        ),
+        (
+            "wingbarrow_subset_left_out",
+            "Machines on the list that are not held",
+            reflector.left_out,
+        ),
+        (
+            "wingbarrow_subset_passed_over",
+            "Entries of the list passed over so far",
+            reflector.passed_over,
+        ),
+        (
+            "wingbarrow_subset_relists",
+            "Lists read for machines that came in, so far",
+            reflector.refills,
+        ),
+    ]
 
 
 def _namespace(name: str) -> dict[str, object]:
-    return {"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": name}, "status": {"phase": "Active"}}
+    return {
+        "kind": "Namespace",
+        "apiVersion": "v1",
+        "metadata": {"name": name},
+        "status": {"phase": "Active"},
+    }
--- a/wingbarrow/fronts/serve.py
+++ b/wingbarrow/fronts/serve.py
@@ -28,7 +28,9 @@
             nursery.cancel()
 
 
-def reload_file(path: Path, running: PlacerSettings, log: Callable[..., None]) -> PlacerSettings | None:
+def reload_file(
+    path: Path, running: PlacerSettings, log: Callable[..., None]
+) -> PlacerSettings | None:
     """The file's settings for a running placer; None, and told, where they cannot be taken."""
     try:
         fresh = load_file(path)
@@ -36,8 +38,22 @@
         for line, text in error.problems[:20]:
             log("settings-refused", level="error", file=str(path), line=line, why=text)
         return None
-    for name in ("name", "host", "port", "source_host", "source_port", "scheduler", "state", "subset"):
+    for name in (
+        "name",
+        "host",
+        "port",
+        "source_host",
+        "source_port",
+        "scheduler",
+        "state",
+        "subset",
+    ):
         if getattr(fresh, name) != getattr(running, name):
-            log("settings-refused", level="error", file=str(path), why=f"{name} changes only with a restart")
+            log(
+                "settings-refused",
+                level="error",
+                file=str(path),
+                why=f"{name} changes only with a restart",
+            )
             return None
     return fresh
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -25,11 +25,18 @@
         """Answer one request; ApiError for what is refused."""
         successor = self._placer.successor
         if successor is None:
-            raise ApiError(404, "no leases are held here: `agree` and a region in its settings", "NotFound")
+            raise ApiError(
+                404, "no leases are held here: `agree` and a region in its settings", "NotFound"
+            )
         if not parts:
             if request.method != "GET":
                 raise ApiError(405, "GET is allowed here")
-            return Answer(200, names.encode({"kind": "UnknownList", "apiVersion": API, "items": successor.unknown()}))
+            return Answer(
+                200,
+                names.encode(
+                    {"kind": "UnknownList", "apiVersion": API, "items": successor.unknown()}
+                ),
+            )
         if request.method != "POST" or len(parts) != 2:
             raise ApiError(405, "POST to NAMESPACE/NAME is allowed here")
         try:
@@ -39,4 +46,6 @@
         if not isinstance(ran, bool):
             raise ApiError(422, 'a word is wanted: {"ran": true} or {"ran": false}', "Invalid")
         successor.release("/".join(parts), ran)
-        return Answer(200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"}))
+        return Answer(
+            200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
+        )
--- a/wingbarrow/http/client.py
+++ b/wingbarrow/http/client.py
@@ -72,8 +72,14 @@
 class Pool:
     """Connections to one address; `request` is a whole exchange, `stream` one whose answer goes on."""
 
-    def __init__(self, hub: Hub, host: str, port: int, limits: PoolLimits = PoolLimits(),  # noqa: B008 - frozen
-                 agent: str = "wingbarrow") -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        host: str,
+        port: int,
+        limits: PoolLimits = PoolLimits(),
+        agent: str = "wingbarrow",
+    ) -> None:
         self.hub = hub
         self.host, self.port = host, port
         self.limits = limits
@@ -84,9 +90,15 @@
         self._asking: dict[_Line, None] = {}  # whose answer is being read whole
         self._freed = Signal(hub)
 
-    def request(self, method: str, target: str, body: bytes | Callable[[], bytes] | None = None,
-                fields: list[tuple[str, str]] | None = None, until_us: int | None = None,
-                may_send: Callable[[], bool] | None = None) -> Response:
+    def request(
+        self,
+        method: str,
+        target: str,
+        body: bytes | Callable[[], bytes] | None = None,
+        fields: list[tuple[str, str]] | None = None,
+        until_us: int | None = None,
+        may_send: Callable[[], bool] | None = None,
+    ) -> Response:
         """Exchange a request for its whole answer by `until_us`.
 
         `may_send` is asked once more when a connection is at hand, right before the first byte goes out; a
@@ -115,10 +127,18 @@
 
     def has_unread(self, now_us: int, most_us: int) -> bool:
         """Whether part of an answer that `request` waits for may lie unread that came more than `most_us` ago."""
-        return any(line.stream.has_unread(now_us, most_us) for line in self._asking if line.stream.open)
-
-    def stream(self, method: str, target: str, fields: list[tuple[str, str]] | None = None,
-               until_us: int | None = None, silence_us: int | None = None) -> tuple[Response, Iterator[bytes]]:
+        return any(
+            line.stream.has_unread(now_us, most_us) for line in self._asking if line.stream.open
+        )
+
+    def stream(
+        self,
+        method: str,
+        target: str,
+        fields: list[tuple[str, str]] | None = None,
+        until_us: int | None = None,
+        silence_us: int | None = None,
+    ) -> tuple[Response, Iterator[bytes]]:
         """Start an exchange whose body is read as it comes; the iterator raises MaybeDone when it breaks.
 
         `silence_us` ends it when no byte has come for so long. Closing the iterator closes the connection.
@@ -136,7 +156,9 @@
             body = self._body(line)
             while True:
                 part = None
-                with self._until(None if silence_us is None else self.hub.now_us() + silence_us) as scope:
+                with self._until(
+                    None if silence_us is None else self.hub.now_us() + silence_us
+                ) as scope:
                     part = next(body, None)
                 if scope.caught:
                     raise MaybeDone(Why.SILENT)
@@ -185,7 +207,10 @@
             while self._idle:
                 line = self._idle.pop()
                 # A peer that closed in the meantime is found here, where nothing has been sent yet.
-                if self.hub.now_us() - line.since_us <= self.limits.idle_us and line.stream.is_quiet():
+                if (
+                    self.hub.now_us() - line.since_us <= self.limits.idle_us
+                    and line.stream.is_quiet()
+                ):
                     return line
                 self._drop(line)
             if self._open < self.limits.connections:
@@ -214,10 +239,22 @@
                 self._open -= 1
                 self._freed.notify()
 
-    def _exchange(self, line: _Line, method: str, target: str, body: bytes | Callable[[], bytes] | None,
-                  fields: list[tuple[str, str]] | None, until_us: int | None) -> Response:
-        data = write_request(method, target, f"{self.host}:{self.port}",
-                             [("User-Agent", self._agent), *(fields or [])], body() if callable(body) else body)
+    def _exchange(
+        self,
+        line: _Line,
+        method: str,
+        target: str,
+        body: bytes | Callable[[], bytes] | None,
+        fields: list[tuple[str, str]] | None,
+        until_us: int | None,
+    ) -> Response:
+        data = write_request(
+            method,
+            target,
+            f"{self.host}:{self.port}",
+            [("User-Agent", self._agent), *(fields or [])],
+            body() if callable(body) else body,
+        )
         answer: Response | None = None
         got_any = False
         limit = self.hub.now_us() + self.limits.first_byte_us
@@ -236,12 +273,16 @@
                         part = line.stream.receive()
                         got_any = got_any or bool(part)
                         if not part:
-                            raise MaybeDone(Why.RESET_AFTER if got_any else Why.RESET_BEFORE, "end of stream")
+                            raise MaybeDone(
+                                Why.RESET_AFTER if got_any else Why.RESET_BEFORE, "end of stream"
+                            )
                         line.parser.feed(part)
                     elif isinstance(event, Response) and event.status >= 200:
                         answer = event
             except PeerGone as error:
-                raise MaybeDone(Why.RESET_AFTER if got_any else Why.RESET_BEFORE, str(error)) from None
+                raise MaybeDone(
+                    Why.RESET_AFTER if got_any else Why.RESET_BEFORE, str(error)
+                ) from None
             except BadMessage as error:
                 raise MaybeDone(Why.GARBAGE, str(error)) from None
         if answer is None or scope.caught:
--- a/wingbarrow/http/listwatch.py
+++ b/wingbarrow/http/listwatch.py
@@ -11,7 +11,16 @@
 from wingbarrow.kube import selectors
 from wingbarrow.kube.names import encode
 from wingbarrow.kube.status import ApiError, Cause, invalid, not_found
-from wingbarrow.kube.store import Collection, Page, Store, Stored, event_line, matcher, parse_version, watch_lines
+from wingbarrow.kube.store import (
+    Collection,
+    Page,
+    Store,
+    Stored,
+    event_line,
+    matcher,
+    parse_version,
+    watch_lines,
+)
 from wingbarrow.transport import Hub, PeerGone, Signal
 
 SECOND = 1_000_000
@@ -52,8 +61,16 @@
 class ListWatch:
     """Serves one collection as a resource; `kind` is the object's kind, `version` its apiVersion."""
 
-    def __init__(self, hub: Hub, store: Store, collection: Collection, kind: str, api_version: str,
-                 watchers_most: int, seed: int = 0) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        store: Store,
+        collection: Collection,
+        kind: str,
+        api_version: str,
+        watchers_most: int,
+        seed: int = 0,
+    ) -> None:
         self._hub = hub
         self._store = store
         self._collection = collection
@@ -64,7 +81,9 @@
         self._random = random.Random(seed)
         self.watchers = 0
         self.fell_behind = 0
-        self.on_line: Callable[[str, bytes], None] | None = None  # a stand-in records what it tells, to whom
+        self.on_line: Callable[[str, bytes], None] | None = (
+            None  # a stand-in records what it tells, to whom
+        )
         # A stand-in's faults: it may write a part itself, wait, or raise PeerGone.
         self.before_write: Callable[[str, ChunkWriter, bytes], None] | None = None
 
@@ -77,8 +96,10 @@
 
     def list_or_watch(self, query: Query, prefix: str, agent: str = "") -> Answer:
         """The list, or with `watch` the stream of changes; `prefix` is `namespace/` or empty."""
-        match = matcher(selectors.labels(query.get("labelSelector") or ""),
-                        selectors.fields(query.get("fieldSelector") or "", self._fields()))
+        match = matcher(
+            selectors.labels(query.get("labelSelector") or ""),
+            selectors.fields(query.get("fieldSelector") or "", self._fields()),
+        )
         if query.get("watch") is not None and query.flag("watch"):
             return self._watch(query, prefix, match, agent)
         limit, token = query.whole("limit", 1 << 31) or 0, query.get("continue")
@@ -94,18 +115,33 @@
         return Answer(200, self._list(page))
 
     def _fields(self) -> frozenset[str]:
-        return frozenset(("metadata.name", "metadata.namespace", "spec.unschedulable", "status.successful",
-                          "involvedObject.name", "involvedObject.kind", "reason", "type"))
+        return frozenset(
+            (
+                "metadata.name",
+                "metadata.namespace",
+                "spec.unschedulable",
+                "status.successful",
+                "involvedObject.name",
+                "involvedObject.kind",
+                "reason",
+                "type",
+            )
+        )
 
     def _list(self, page: Page) -> bytes:
         meta: dict[str, Any] = {"resourceVersion": str(page.version)}
         if page.more:
             meta |= {"continue": page.more, "remainingItemCount": page.remaining}
         head = b'{"kind":"%bList","apiVersion":"%b","metadata":%b,"items":[' % (
-            self._kind.encode(), self._api_version.encode(), encode(meta))
+            self._kind.encode(),
+            self._api_version.encode(),
+            encode(meta),
+        )
         return head + b",".join(stored.raw for stored in page.items) + b"]}"
 
-    def _watch(self, query: Query, prefix: str, match: Callable[[Stored], bool], agent: str) -> Answer:
+    def _watch(
+        self, query: Query, prefix: str, match: Callable[[Stored], bool], agent: str
+    ) -> Answer:
         if self.watchers >= self._most:
             raise ApiError(429, f"more than {self._most} watches", retry_after_s=1)
         version = parse_version(query.get("resourceVersion"))
@@ -113,19 +149,48 @@
         marks = query.flag("allowWatchBookmarks")
         how = query.get("resourceVersionMatch")
         if asked is not None and how != "NotOlderThan":
-            raise invalid("ListOptions", "", [Cause("resourceVersionMatch", "FieldValueForbidden",
-                                                    "sendInitialEvents needs NotOlderThan")])
+            raise invalid(
+                "ListOptions",
+                "",
+                [
+                    Cause(
+                        "resourceVersionMatch",
+                        "FieldValueForbidden",
+                        "sendInitialEvents needs NotOlderThan",
+                    )
+                ],
+            )
         if asked is None and how:
-            raise invalid("ListOptions", "", [Cause("resourceVersionMatch", "FieldValueForbidden",
-                                                    "forbidden for watch without sendInitialEvents")])
+            raise invalid(
+                "ListOptions",
+                "",
+                [
+                    Cause(
+                        "resourceVersionMatch",
+                        "FieldValueForbidden",
+                        "forbidden for watch without sendInitialEvents",
+                    )
+                ],
+            )
         if asked is not None and query.flag("sendInitialEvents") and not marks:
-            raise invalid("ListOptions", "", [Cause("allowWatchBookmarks", "FieldValueInvalid",
-                                                    "sendInitialEvents needs bookmarks")])
+            raise invalid(
+                "ListOptions",
+                "",
+                [
+                    Cause(
+                        "allowWatchBookmarks",
+                        "FieldValueInvalid",
+                        "sendInitialEvents needs bookmarks",
+                    )
+                ],
+            )
         if version is not None and version > self._store.version:
             raise _too_large(version, self._store.version)
         initial = query.flag("sendInitialEvents") if asked is not None else not version
         seconds = query.whole("timeoutSeconds", 86_400) or self._random.randint(1800, 3600)
-        position = self._collection.end if initial or not version else self._collection.position(version)
+        position = (
+            self._collection.end if initial or not version else self._collection.position(version)
+        )
         first: list[bytes] = []
         if initial:
             page = self._collection.page(prefix, match, 0, None, None)
@@ -148,10 +213,19 @@
             finally:
                 self._hub.current().first = False
                 self.watchers -= 1
+
         return Answer(200, stream=stream)
 
-    def _follow(self, writer: ChunkWriter, prefix: str, match: Callable[[Stored], bool], position: int,
-                until_us: int, marks: bool, agent: str) -> None:
+    def _follow(
+        self,
+        writer: ChunkWriter,
+        prefix: str,
+        match: Callable[[Stored], bool],
+        position: int,
+        until_us: int,
+        marks: bool,
+        agent: str,
+    ) -> None:
         marked, mark_us = self._store.version, self._hub.now_us() + 2 * _LOOK_US
         while True:
             changes = self._collection.changes(position, _BATCH)
@@ -184,13 +258,20 @@
         meta: dict[str, Any] = {"resourceVersion": str(version), "creationTimestamp": None}
         if initial_end:
             meta["annotations"] = {"k8s.io/initial-events-end": "true"}
-        return event_line(b"BOOKMARK", encode({"kind": self._kind, "apiVersion": self._api_version,
-                                               "metadata": meta}))
+        return event_line(
+            b"BOOKMARK",
+            encode({"kind": self._kind, "apiVersion": self._api_version, "metadata": meta}),
+        )
 
 
 def _too_large(version: int, current: int) -> ApiError:
-    return ApiError(504, f"Too large resource version: {version}, current: {current}", "Timeout",
-                    [Cause("", "ResourceVersionTooLarge", "Too large resource version")], retry_after_s=1)
+    return ApiError(
+        504,
+        f"Too large resource version: {version}, current: {current}",
+        "Timeout",
+        [Cause("", "ResourceVersionTooLarge", "Too large resource version")],
+        retry_after_s=1,
+    )
 
 
 def error_answer(error: ApiError) -> Answer:
