--- a/wingbarrow/http/parse.py
+++ b/wingbarrow/http/parse.py
@@ -7,7 +7,9 @@
 
 from wingbarrow.http.message import END, BadMessage, Data, Event, Limits, Request, Response
 
-_FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n")
+_FIELD = re.compile(
+    rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n"
+)
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/(\d)\.(\d)\r\n")
 _STATUS_LINE = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: ([^\x00-\x08\x0a-\x1f\x7f]*))?\r\n")
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
@@ -37,7 +39,7 @@
     end of stream. BadMessage leaves the parser broken: every later call raises it again.
     """
 
-    def __init__(self, requests: bool, limits: Limits = Limits()) -> None:  # noqa: B008 - frozen
+    def __init__(self, requests: bool, limits: Limits = Limits()) -> None:
         self._requests = requests
         self._limits = limits
         self._buffer = bytearray()
@@ -90,8 +92,8 @@
             if state is _State.LENGTH or state is _State.CHUNK_DATA:
                 if not buffer:
                     return None
-                part = bytes(buffer[:self._left])
-                del buffer[:self._left]
+                part = bytes(buffer[: self._left])
+                del buffer[: self._left]
                 self._left -= len(part)
                 if not self._left:
                     self._state = _State.MESSAGE_END if state is _State.LENGTH else _State.CHUNK_END
@@ -148,8 +150,8 @@
             return None
         if end == 0 or self._buffer[end - 1] != 13:
             raise BadMessage(400, "a bare LF")
-        line = bytes(self._buffer[:end - 1])
-        del self._buffer[:end + 1]
+        line = bytes(self._buffer[: end - 1])
+        del self._buffer[: end + 1]
         return line
 
     def _count(self, more: int) -> None:
@@ -170,8 +172,8 @@
             if len(buffer) >= limits.head:
                 raise BadMessage(431, f"a head of more than {limits.head} bytes")
             return None
-        head = bytes(buffer[:end + 2])
-        del buffer[:end + 4]
+        head = bytes(buffer[: end + 2])
+        del buffer[: end + 4]
         self._searched = 0
         match = (_REQUEST_LINE if self._requests else _STATUS_LINE).match(head)
         first = head.find(b"\r\n")
@@ -196,7 +198,7 @@
         if len(fields) > limits.fields:
             raise BadMessage(431, f"more than {limits.fields} fields")
         if at != len(head):
-            line = head[at:head.find(b"\r\n", at)]
+            line = head[at : head.find(b"\r\n", at)]
             raise BadMessage(400, _why_bad(line))
         if self._requests:
             return self._request(match, fields, special)
@@ -231,8 +233,9 @@
             raise BadMessage(400, "both Content-Length and Transfer-Encoding")
         return length, chunked, coded, connection
 
-    def _request(self, match: re.Match[bytes], fields: list[tuple[str, str]],
-                 special: list[tuple[str, str]]) -> Request:
+    def _request(
+        self, match: re.Match[bytes], fields: list[tuple[str, str]], special: list[tuple[str, str]]
+    ) -> Request:
         if match[3] != b"1":
             raise BadMessage(505, "not HTTP/1.x")
         minor = int(match[4])
@@ -250,11 +253,18 @@
                     raise BadMessage(417, "an unknown expectation")
                 expects = True
         self._body(length, chunked)
-        return Request(match[1].decode("ascii"), match[2].decode("ascii"), fields, minor, keep,
-                       expects and (chunked or bool(length)))
+        return Request(
+            match[1].decode("ascii"),
+            match[2].decode("ascii"),
+            fields,
+            minor,
+            keep,
+            expects and (chunked or bool(length)),
+        )
 
-    def _response(self, match: re.Match[bytes], fields: list[tuple[str, str]],
-                  special: list[tuple[str, str]]) -> Response:
+    def _response(
+        self, match: re.Match[bytes], fields: list[tuple[str, str]], special: list[tuple[str, str]]
+    ) -> Response:
         if match[1] != b"1":
             raise BadMessage(505, "not HTTP/1.x")
         status, minor = int(match[3]), int(match[2])
--- a/wingbarrow/http/server.py
+++ b/wingbarrow/http/server.py
@@ -105,7 +105,12 @@
         while True:
             event = self.parser.next()
             if event is None:
-                if request is not None and request.expects_continue and not parts and not self.parser.buffered:
+                if (
+                    request is not None
+                    and request.expects_continue
+                    and not parts
+                    and not self.parser.buffered
+                ):
                     self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
                     request.expects_continue = False
                 if not self._more() and self.parser.idle:
@@ -150,7 +155,9 @@
             return keep
         chunked = request.minor >= 1
         keep = keep and chunked
-        self.send(write_response(answer.status, _fields(answer), None if chunked else b"", keep, True))
+        self.send(
+            write_response(answer.status, _fields(answer), None if chunked else b"", keep, True)
+        )
         if not head_only:
             if not chunked:
                 return False
@@ -166,9 +173,16 @@
 class Server:
     """Serves one listener with `handler`; a failing handler answers 500 and is told to `say`."""
 
-    def __init__(self, hub: Hub, host: str, port: int, handler: Callable[[Request], Answer],
-                 say: Callable[[str], None], limits: ServerLimits = ServerLimits(),  # noqa: B008 - frozen
-                 refuse: Callable[[int, str], Answer] | None = None) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        host: str,
+        port: int,
+        handler: Callable[[Request], Answer],
+        say: Callable[[str], None],
+        limits: ServerLimits = ServerLimits(),
+        refuse: Callable[[int, str], Answer] | None = None,
+    ) -> None:
         self.hub = hub
         self.limits = limits
         self._handler = handler
--- a/wingbarrow/http/watching.py
+++ b/wingbarrow/http/watching.py
@@ -19,8 +19,10 @@
     try:
         value = decode(response.body)
     except ValueError as error:
-        raise ApiError(response.status if response.status >= 400 else 502,
-                       f"the answer is no JSON object: {error}") from None
+        raise ApiError(
+            response.status if response.status >= 400 else 502,
+            f"the answer is no JSON object: {error}",
+        ) from None
     if response.status >= 400:
         raise as_error(value, response.status)
     return value
@@ -29,12 +31,16 @@
 def as_error(status: dict[str, Any], code: int = 500) -> ApiError:
     """An ApiError from a Status object."""
     told = status.get("code")
-    return ApiError(told if isinstance(told, int) else code, str(status.get("message", ""))[:500],
-                    str(status.get("reason", ""))[:100])
+    return ApiError(
+        told if isinstance(told, int) else code,
+        str(status.get("message", ""))[:500],
+        str(status.get("reason", ""))[:100],
+    )
 
 
-def call(pool: Pool, method: str, target: str, body: bytes | None = None,
-         until_us: int | None = None) -> dict[str, Any]:
+def call(
+    pool: Pool, method: str, target: str, body: bytes | None = None, until_us: int | None = None
+) -> dict[str, Any]:
     """One exchange of JSON objects; CallFailed or ApiError."""
     fields = [("Accept", "application/json")]
     if body is not None:
@@ -42,12 +48,16 @@
     return read_answer(pool.request(method, target, body, fields, until_us))
 
 
-def list_all(pool: Pool, path: str, query: str, limit: int, until_us: int) -> tuple[list[dict[str, Any]], str]:
+def list_all(
+    pool: Pool, path: str, query: str, limit: int, until_us: int
+) -> tuple[list[dict[str, Any]], str]:
     """All items, page by page, and the list's resourceVersion; ApiError, CallFailed or ValueError."""
     items: list[dict[str, Any]] = []
     token = ""
     for _ in range(_PAGES_MOST):
-        parts = [part for part in (query, f"limit={limit}", f"continue={token}" if token else "") if part]
+        parts = [
+            part for part in (query, f"limit={limit}", f"continue={token}" if token else "") if part
+        ]
         value = call(pool, "GET", f"{path}?{'&'.join(parts)}", until_us=until_us)
         meta, page = value.get("metadata"), value.get("items")
         if not isinstance(meta, dict) or not isinstance(page, list):
@@ -59,8 +69,9 @@
     raise ValueError(f"a list of more than {_PAGES_MOST} pages")
 
 
-def watch(pool: Pool, target: str, until_us: int | None = None,
-          silence_us: int | None = None) -> Iterator[tuple[str, dict[str, Any]]]:
+def watch(
+    pool: Pool, target: str, until_us: int | None = None, silence_us: int | None = None
+) -> Iterator[tuple[str, dict[str, Any]]]:
     """The events of one watch as (type, object), one by one; see `watch_batches`."""
     batches = watch_batches(pool, target, until_us, silence_us)
     try:
@@ -70,14 +81,17 @@
         batches.close()  # type: ignore[attr-defined]
 
 
-def watch_batches(pool: Pool, target: str, until_us: int | None = None,
-                  silence_us: int | None = None) -> Iterator[list[tuple[str, dict[str, Any]]]]:
+def watch_batches(
+    pool: Pool, target: str, until_us: int | None = None, silence_us: int | None = None
+) -> Iterator[list[tuple[str, dict[str, Any]]]]:
     """The events of one watch as lists of (type, object), each list what came in one piece.
 
     ApiError for an ERROR event or a refused watch, MaybeDone when the stream breaks, ValueError for garbage.
     `until_us` bounds the wait for the head of the answer.
     """
-    response, parts = pool.stream("GET", target, [("Accept", "application/json")], until_us, silence_us)
+    response, parts = pool.stream(
+        "GET", target, [("Accept", "application/json")], until_us, silence_us
+    )
     if response.status != 200:
         body = b""
         for part in parts:
--- a/wingbarrow/http/write.py
+++ b/wingbarrow/http/write.py
@@ -3,27 +3,61 @@
 from __future__ import annotations
 
 PHRASES = {
-    100: "Continue", 200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request",
-    403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 406: "Not Acceptable", 408: "Request Timeout",
-    409: "Conflict", 410: "Gone", 411: "Length Required", 413: "Content Too Large", 414: "URI Too Long",
-    415: "Unsupported Media Type", 417: "Expectation Failed", 422: "Unprocessable Content",
-    429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-    501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported",
+    100: "Continue",
+    200: "OK",
+    201: "Created",
+    202: "Accepted",
+    204: "No Content",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    406: "Not Acceptable",
+    408: "Request Timeout",
+    409: "Conflict",
+    410: "Gone",
+    411: "Length Required",
+    413: "Content Too Large",
+    414: "URI Too Long",
+    415: "Unsupported Media Type",
+    417: "Expectation Failed",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+    505: "HTTP Version Not Supported",
 }
 
 
-def write_request(method: str, target: str, host: str, fields: list[tuple[str, str]], body: bytes | None) -> bytes:
+def write_request(
+    method: str, target: str, host: str, fields: list[tuple[str, str]], body: bytes | None
+) -> bytes:
     """A whole request."""
-    lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in fields)]
+    lines = [
+        f"{method} {target} HTTP/1.1",
+        f"Host: {host}",
+        *(f"{name}: {value}" for name, value in fields),
+    ]
     if body is not None:
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + (body or b"")
 
 
-def write_response(status: int, fields: list[tuple[str, str]], body: bytes | None, keep_alive: bool,
-                   head_only: bool = False) -> bytes:
+def write_response(
+    status: int,
+    fields: list[tuple[str, str]],
+    body: bytes | None,
+    keep_alive: bool,
+    head_only: bool = False,
+) -> bytes:
     """A whole response, or with body None the head of a chunked one."""
-    lines = [f"HTTP/1.1 {status} {PHRASES.get(status, '')}", *(f"{name}: {value}" for name, value in fields)]
+    lines = [
+        f"HTTP/1.1 {status} {PHRASES.get(status, '')}",
+        *(f"{name}: {value}" for name, value in fields),
+    ]
     if body is None:
         lines.append("Transfer-Encoding: chunked")
     elif status >= 200 and status != 204:
--- a/wingbarrow/interface_events.py
+++ b/wingbarrow/interface_events.py
@@ -234,5 +234,17 @@
     notes: tuple[float, float]
 
 
-Event: TypeAlias = (MachineList | TaskArrived | TaskFound | TaskWithdrawn | TimerDue | TaskPlaced
-                    | AttemptEnded | Probed | TaskNote | Learned | Planned | Settings)
+Event: TypeAlias = (
+    MachineList
+    | TaskArrived
+    | TaskFound
+    | TaskWithdrawn
+    | TimerDue
+    | TaskPlaced
+    | AttemptEnded
+    | Probed
+    | TaskNote
+    | Learned
+    | Planned
+    | Settings
+)
--- a/wingbarrow/interface_settings.py
+++ b/wingbarrow/interface_settings.py
@@ -101,11 +101,20 @@
     fall_us: int
     fresh_offers: float
     prices: Prices
-    arrivals_told: bool = False  # an offer has come once its machine says so, by a note, an answer or its end
+    arrivals_told: bool = (
+        False  # an offer has come once its machine says so, by a note, an answer or its end
+    )
 
     def __post_init__(self) -> None:
         """Reject figures that no deployment can mean."""
-        above_zero = ("placers", "booking_cores", "booking_memory", "attempts_most", "tick_us", "fall_us")
+        above_zero = (
+            "placers",
+            "booking_cores",
+            "booking_memory",
+            "attempts_most",
+            "tick_us",
+            "fall_us",
+        )
         for key in (*above_zero, "ask_every_us", "cold_us", "fresh_offers"):
             _check_range(key, getattr(self, key), key in above_zero)
         if not 0 <= self.index < self.placers:
--- a/wingbarrow/kube/names.py
+++ b/wingbarrow/kube/names.py
@@ -20,9 +20,13 @@
 RULES = PREFIX + "rules"
 START_WITHIN = PREFIX + "start-within"
 FEDERATION = PREFIX + "federation"  # of a Job: the name of its federation spec
-LEASE_UNTIL = PREFIX + "lease-until"  # of a Pod: until when it may run, in its machine's clock: "BOOT:MICROSECONDS"
+LEASE_UNTIL = (
+    PREFIX + "lease-until"
+)  # of a Pod: until when it may run, in its machine's clock: "BOOT:MICROSECONDS"
 SESSION = PREFIX + "session"  # of a leased Pod: whose lease it runs by, "placer/life/serial"
-EPOCH = PREFIX + "epoch"  # of a leased Pod: at which its Job was taken over; machines refuse those of earlier ones
+EPOCH = (
+    PREFIX + "epoch"
+)  # of a leased Pod: at which its Job was taken over; machines refuse those of earlier ones
 HANDED = PREFIX + "handed"  # of a Job that another region handed over: its ident
 USE = PREFIX + "use"
 LAUNCHED = PREFIX + "launched"
--- a/wingbarrow/kube/selectors.py
+++ b/wingbarrow/kube/selectors.py
@@ -10,7 +10,9 @@
 Test = Callable[[Mapping[str, str]], bool]
 _SET = re.compile(r"\s*([^\s,!=()]+)\s+(in|notin)\s*\(([^()]*)\)\s*(?:,|$)")
 _ONE = re.compile(r"\s*(!?)\s*([^\s,!=()]+)\s*(?:(==|=|!=)\s*([^\s,!=()]*))?\s*(?:,|$)")
-_LABEL_KEY = re.compile(r"(?:[a-z0-9](?:[-a-z0-9.]{0,251}[a-z0-9])?/)?[A-Za-z0-9](?:[-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?")
+_LABEL_KEY = re.compile(
+    r"(?:[a-z0-9](?:[-a-z0-9.]{0,251}[a-z0-9])?/)?[A-Za-z0-9](?:[-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?"
+)
 _LABEL_VALUE = re.compile(r"(?:[A-Za-z0-9](?:[-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?)?")
 _MOST = 64  # requirements in one selector
 
--- a/wingbarrow/kube/status.py
+++ b/wingbarrow/kube/status.py
@@ -5,10 +5,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-_REASONS = {400: "BadRequest", 403: "Forbidden", 404: "NotFound", 405: "MethodNotAllowed", 406: "NotAcceptable",
-            409: "Conflict", 410: "Expired", 413: "RequestEntityTooLarge", 415: "UnsupportedMediaType",
-            422: "Invalid", 429: "TooManyRequests", 500: "InternalError", 503: "ServiceUnavailable",
-            504: "Timeout"}
+_REASONS = {
+    400: "BadRequest",
+    403: "Forbidden",
+    404: "NotFound",
+    405: "MethodNotAllowed",
+    406: "NotAcceptable",
+    409: "Conflict",
+    410: "Expired",
+    413: "RequestEntityTooLarge",
+    415: "UnsupportedMediaType",
+    422: "Invalid",
+    429: "TooManyRequests",
+    500: "InternalError",
+    503: "ServiceUnavailable",
+    504: "Timeout",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +55,21 @@
         if self.kind:
             details["kind"] = self.kind
         if self.causes:
-            details["causes"] = [{"reason": each.reason, "message": each.message, "field": each.field}
-                                 for each in self.causes]
+            details["causes"] = [
+                {"reason": each.reason, "message": each.message, "field": each.field}
+                for each in self.causes
+            ]
         if self.retry_after_s is not None:
             details["retryAfterSeconds"] = self.retry_after_s
-        out: dict[str, Any] = {"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Failure",
-                               "message": self.message, "reason": self.reason or _REASONS.get(self.code, ""),
-                               "code": self.code}
+        out: dict[str, Any] = {
+            "kind": "Status",
+            "apiVersion": "v1",
+            "metadata": {},
+            "status": "Failure",
+            "message": self.message,
+            "reason": self.reason or _REASONS.get(self.code, ""),
+            "code": self.code,
+        }
         if details:
             out["details"] = details
         return out
@@ -58,7 +78,9 @@
 def invalid(kind: str, name: str, causes: list[Cause]) -> ApiError:
     """422 for an object whose fields are wrong."""
     words = ", ".join(f"{each.field}: {each.message}" for each in causes[:5])
-    return ApiError(422, f'{kind} "{name}" is invalid: {words}', "Invalid", causes, name=name, kind=kind)
+    return ApiError(
+        422, f'{kind} "{name}" is invalid: {words}', "Invalid", causes, name=name, kind=kind
+    )
 
 
 def not_found(kind: str, name: str) -> ApiError:
--- a/wingbarrow/kube/store.py
+++ b/wingbarrow/kube/store.py
@@ -89,7 +89,10 @@
         if before is None:
             return None
         version = self._store.advance()
-        value = {**before.value, "metadata": {**before.value["metadata"], "resourceVersion": str(version)}}
+        value = {
+            **before.value,
+            "metadata": {**before.value["metadata"], "resourceVersion": str(version)},
+        }
         last = Stored(key, version, value, _encode(value), before.labels, before.fields)
         self._note(Change(version, key, None, before, last))
         return last
@@ -118,8 +121,14 @@
         window, at = self.window, position - self.first
         return [window[i] for i in range(at, min(len(window), at + most))]
 
-    def page(self, prefix: str, match: Callable[[Stored], bool], limit: int, token: str | None,
-             exact: int | None) -> Page:
+    def page(
+        self,
+        prefix: str,
+        match: Callable[[Stored], bool],
+        limit: int,
+        token: str | None,
+        exact: int | None,
+    ) -> Page:
         """Objects whose key starts with `prefix`, in order of keys, as of one version for all pages."""
         version, after = self._store.version, ""
         if token:
@@ -130,7 +139,11 @@
         elif exact is not None:
             version = exact
         if version > self._store.version:
-            raise ApiError(504, f"Too large resource version: {version}, current: {self._store.version}", "Timeout")
+            raise ApiError(
+                504,
+                f"Too large resource version: {version}, current: {self._store.version}",
+                "Timeout",
+            )
         objects = self._as_of(version)
         keys = sorted(key for key in objects if key.startswith(prefix) and key > after)
         found = [objects[key] for key in keys if match(objects[key])]
@@ -144,7 +157,9 @@
         if version >= self._store.version or not self.window or version >= self.window[-1].version:
             return self.objects
         if version < self.floor:
-            raise expired(f"The provided continue parameter is too old to list from: {version} ({self.floor})")
+            raise expired(
+                f"The provided continue parameter is too old to list from: {version} ({self.floor})"
+            )
         objects = dict(self.objects)
         for change in reversed(self.window):
             if change.version <= version:
@@ -173,7 +188,9 @@
         self.version += 1
         return self.version
 
-    def collection(self, name: str, select: Callable[[dict[str, Any]], Mapping[str, str]] | None = None) -> Collection:
+    def collection(
+        self, name: str, select: Callable[[dict[str, Any]], Mapping[str, str]] | None = None
+    ) -> Collection:
         """The collection of that name, made at the first call."""
         if name not in self.collections:
             self.collections[name] = Collection(self, select or _metadata)
@@ -199,10 +216,14 @@
 
 def matcher(label: Test | None, field: Test | None) -> Callable[[Stored], bool]:
     """One test of stored objects from both kinds of selector."""
-    return lambda stored: (label is None or label(stored.labels)) and (field is None or field(stored.fields))
+    return lambda stored: (label is None or label(stored.labels)) and (
+        field is None or field(stored.fields)
+    )
 
 
-def watch_lines(changes: list[Change], prefix: str, match: Callable[[Stored], bool]) -> Iterator[bytes]:
+def watch_lines(
+    changes: list[Change], prefix: str, match: Callable[[Stored], bool]
+) -> Iterator[bytes]:
     """The watch events that a client with this prefix and match sees of some changes, a line each.
 
     An object that stops matching is seen as DELETED, one that starts as ADDED.
--- a/wingbarrow/lab/audit.py
+++ b/wingbarrow/lab/audit.py
@@ -17,8 +17,17 @@
 
 ANSWER_SLACK_US = 8_000
 EARLY_MOST = 65_536
-BREACHES = ("unanswered", "double_effects", "late_answers", "sends_to_draining", "cold_overruns", "spread_overruns",
-            "double_answers", "sends_after_end", "runs_deleted")
+BREACHES = (
+    "unanswered",
+    "double_effects",
+    "late_answers",
+    "sends_to_draining",
+    "cold_overruns",
+    "spread_overruns",
+    "double_answers",
+    "sends_after_end",
+    "runs_deleted",
+)
 DELETED_US = 10_000_000
 
 
@@ -61,7 +70,10 @@
 
     def line(self) -> dict[str, Any]:
         """The audit's last line."""
-        return {"kind": "audit", **{key: value for key, value in vars(self).items() if key != "notes"}}
+        return {
+            "kind": "audit",
+            **{key: value for key, value in vars(self).items() if key != "notes"},
+        }
 
 
 @dataclass(slots=True)
@@ -96,7 +108,9 @@
         self._died: dict[str, int] = {}  # when a placer was killed last
         self._open: dict[str, _Offer] = {}  # offers without an answer, by pod
         self._live: dict[str, _Offer] = {}  # accepted and told so, not ended; a killed life's too
-        self._orphans: dict[str, _Offer] = {}  # offers out when their placer was killed: they may still start
+        self._orphans: dict[
+            str, _Offer
+        ] = {}  # offers out when their placer was killed: they may still start
         self._starts: Counter[str] = Counter()
         self._begun: set[str] = set()  # pods that run, told or not
         self._held: dict[str, list[tuple[int, int]]] = defaultdict(list)
@@ -114,9 +128,20 @@
     def run(self, records: Iterable[Record]) -> Audit:
         """Read all records and close the books."""
         last = 0
-        handlers = {"offer": self._offer, "answer": self._answer, "closed": self._closed, "start": self._start,
-                    "end": self._end, "launch": self._launch, "die": self._die, "told": self._tell,
-                    "hold": self._hold, "killed": self._killed, "accepted": self._accept, "deleted": self._deleted}
+        handlers = {
+            "offer": self._offer,
+            "answer": self._answer,
+            "closed": self._closed,
+            "start": self._start,
+            "end": self._end,
+            "launch": self._launch,
+            "die": self._die,
+            "told": self._tell,
+            "hold": self._hold,
+            "killed": self._killed,
+            "accepted": self._accept,
+            "deleted": self._deleted,
+        }
         for record in records:
             last = record.at_us
             if record.what == "answer" and record.where == "owner":
@@ -127,8 +152,14 @@
             self._close_job(name, job, last)
         for pod in self._begun:
             deleted = self._deleted_jobs.get(self._uids.get(pod, ""))
-            if deleted is not None and last > deleted + DELETED_US and not self._excused(pod, deleted):
-                self.audit.breach("runs_deleted", last, f"{pod} runs, its Job was deleted at {deleted}")
+            if (
+                deleted is not None
+                and last > deleted + DELETED_US
+                and not self._excused(pod, deleted)
+            ):
+                self.audit.breach(
+                    "runs_deleted", last, f"{pod} runs, its Job was deleted at {deleted}"
+                )
         return self.audit
 
     # -- rule 1
@@ -161,26 +192,38 @@
         if offer is None:
             return True  # nobody was ever told that it runs: a stray of an offer that was given up
         return offer.former_us is not None or any(
-            end >= deleted_us - DELETED_US for who in (offer.machine, offer.placer)
-            for _, end in self._held.get(who, ()))
+            end >= deleted_us - DELETED_US
+            for who in (offer.machine, offer.placer)
+            for _, end in self._held.get(who, ())
+        )
 
     def _owner_answer(self, record: Record) -> None:
         job = self._jobs.get(record.data["uid"])
         answer = record.data["answer"]
         if job is None:
-            if len(self._early) < EARLY_MOST:  # or a Job that a restarted placer made anew: its first answer counts
+            if (
+                len(self._early) < EARLY_MOST
+            ):  # or a Job that a restarted placer made anew: its first answer counts
                 self._early.setdefault(record.data["uid"], record)
             return
         if not job.answers:
             job.answers.append((record.at_us, answer))
             if record.at_us > job.deadline_us + self._slack_us:
                 # A placer that the lab holds over the deadline cannot answer in time: it owes it at once after.
-                held = next((end for begin, end in self._held.get(job.placer, ())
-                             if begin <= job.deadline_us <= end), 0)
+                held = next(
+                    (
+                        end
+                        for begin, end in self._held.get(job.placer, ())
+                        if begin <= job.deadline_us <= end
+                    ),
+                    0,
+                )
                 if record.at_us <= held + self._slack_us:
                     self.audit.late_by_stall += 1
                 else:
-                    self.audit.breach("late_answers", record.at_us, f"{record.data['job']} {answer}")
+                    self.audit.breach(
+                        "late_answers", record.at_us, f"{record.data['job']} {answer}"
+                    )
             if answer != "placed":
                 self._ended_jobs[record.data["uid"]] = record.at_us
         elif job.answers[-1][1] != answer:
@@ -233,7 +276,9 @@
         if not data["late"] and held is None:
             for other, offer in self._open.items():
                 if offer.request == request and other != pod:
-                    self.audit.breach("double_effects", now, f"two offers of {request} out: {other}, {pod}")
+                    self.audit.breach(
+                        "double_effects", now, f"two offers of {request} out: {other}, {pod}"
+                    )
         place = self._place(machine, cls.spread if cls else Place.NONE)
         self._uids[pod] = str(data.get("uid") or data["task"]).partition("/")[0]
         offer = _Offer(placer, request, data["service"], machine, place)
@@ -259,7 +304,9 @@
             self.audit.breach("sends_after_end", now, f"{data['pod']} of {uid}, ended at {ended}")
         job = self._jobs.get(str(uid).partition("/")[0])
         if job is not None and not job.answers and now > job.deadline_us and not data["late"]:
-            self.audit.breach("sends_after_end", now, f"{data['pod']} of {uid}, past {job.deadline_us}")
+            self.audit.breach(
+                "sends_after_end", now, f"{data['pod']} of {uid}, past {job.deadline_us}"
+            )
 
     def _place(self, machine: str, scope: Place) -> str | None:
         zone, cell = self._places.get(machine, ("", ""))
@@ -269,16 +316,21 @@
         """Offers among these that their placer has given up unseen: to a machine that stands still, past patience."""
         count = 0
         for pod, offer in self._open.items():
-            if (offer.placer, offer.service, offer.place) == key and self._hold_end(offer.machine, now) is not None:
+            if (offer.placer, offer.service, offer.place) == key and self._hold_end(
+                offer.machine, now
+            ) is not None:
                 job = self._jobs.get(self._uids.get(pod, ""))
                 count += job is not None and now >= job.due_us
         return count
 
     def _hidden(self, key: tuple[str, str, str]) -> bool:
         """Whether a former life's task among these ran on a machine that could not tell of it: it was held since."""
-        return any(offer.former_us is not None and (offer.placer, offer.service, offer.place) == key
-                   and any(end >= offer.former_us for _, end in self._held.get(offer.machine, ()))
-                   for offer in self._live.values())
+        return any(
+            offer.former_us is not None
+            and (offer.placer, offer.service, offer.place) == key
+            and any(end >= offer.former_us for _, end in self._held.get(offer.machine, ()))
+            for offer in self._live.values()
+        )
 
     def _take_up(self, pod: str) -> None:
         offer = self._live[pod] = self._orphans.pop(pod)
@@ -311,7 +363,9 @@
         task, cls = record.data["task"], self._classes.get(record.data["task_class"])
         self._starts[task] += 1
         if cls is not None and cls.effect is Effect.UNSAFE and self._starts[task] > 1:
-            self.audit.breach("double_effects", record.at_us, f"{task} started {self._starts[task]} times")
+            self.audit.breach(
+                "double_effects", record.at_us, f"{task} started {self._starts[task]} times"
+            )
 
     def _end(self, record: Record) -> None:
         pod = record.data["pod"]
@@ -321,7 +375,9 @@
         if offer is not None:
             self._release(offer)
         elif pod in self._open:
-            self._open[pod].ended = True  # a machine that was held may end a task before it answers the offer
+            self._open[
+                pod
+            ].ended = True  # a machine that was held may end a task before it answers the offer
 
     def _launch(self, record: Record) -> None:
         machine = record.where
@@ -349,12 +405,21 @@
 
     def _hold_end(self, who: str, now: int) -> int | None:
         """The end of a hold of `who` that lasts at, or ended just at, this time."""
-        return next((end for begin, end in self._held.get(who, ()) if begin <= now <= end + 50_000), None)
+        return next(
+            (end for begin, end in self._held.get(who, ()) if begin <= now <= end + 50_000), None
+        )
 
     def _tell(self, record: Record) -> None:
         data = record.data
         key = (data["placer"], data["machine"])
-        held = next((end for begin, end in self._held.get(data["placer"], ()) if begin <= record.at_us <= end), 0)
+        held = next(
+            (
+                end
+                for begin, end in self._held.get(data["placer"], ())
+                if begin <= record.at_us <= end
+            ),
+            0,
+        )
         heard = max(record.at_us, held)
         phase, since = self._told.get(key, ("", 0))
         if phase != data["phase"]:
@@ -365,22 +430,31 @@
     def _check_drain(self, placer: str, machine: str, now: int) -> None:
         phase, since = self._told.get((placer, machine), ("running", 0))
         if phase != "running" and now > since + self._settings.drain_grace_us:
-            self.audit.breach("sends_to_draining", now, f"{placer} to {machine}, told {phase} at {since}")
+            self.audit.breach(
+                "sends_to_draining", now, f"{placer} to {machine}, told {phase} at {since}"
+            )
 
     def _check_cold(self, placer: str, machine: str, now: int) -> None:
         # What is told in the very instant of an offer, as where list source and placers go on together, cannot have
         # been acted on: under a virtual clock an instant has no order.
-        if now >= self._cold_until.get(machine, 0) or self._informed.get((placer, machine), now) >= now:
+        if (
+            now >= self._cold_until.get(machine, 0)
+            or self._informed.get((placer, machine), now) >= now
+        ):
             return
         offers, rules = self._cold[machine], self._settings.scheduler
         offers.append(now)
         while offers[0] <= now - rules.fall_us:
             offers.popleft()
         if len(offers) > rules.fresh_offers:
-            self.audit.breach("cold_overruns", now, f"{machine}: {len(offers)} offers within the window")
+            self.audit.breach(
+                "cold_overruns", now, f"{machine}: {len(offers)} offers within the window"
+            )
             offers.clear()
 
 
-def audit(records: Iterable[Record], settings: PlacerSettings, slack_us: int = ANSWER_SLACK_US) -> Audit:
+def audit(
+    records: Iterable[Record], settings: PlacerSettings, slack_us: int = ANSWER_SLACK_US
+) -> Audit:
     """Audit a recording; `slack_us`: by how much an answer may be read late without being late."""
     return Auditor(settings, slack_us).run(records)
--- a/wingbarrow/lab/build.py
+++ b/wingbarrow/lab/build.py
@@ -43,9 +43,31 @@
 class Pod:
     """A task on a machine."""
 
-    __slots__ = ("name", "namespace", "value", "task_class", "service", "cores", "memory", "priority", "phase",
-                 "started_us", "runs_us", "verdict", "use_cores", "use_memory", "ended_us", "task", "gone", "told",
-                 "timer", "uid", "session", "epoch", "lease")
+    __slots__ = (
+        "name",
+        "namespace",
+        "value",
+        "task_class",
+        "service",
+        "cores",
+        "memory",
+        "priority",
+        "phase",
+        "started_us",
+        "runs_us",
+        "verdict",
+        "use_cores",
+        "use_memory",
+        "ended_us",
+        "task",
+        "gone",
+        "told",
+        "timer",
+        "uid",
+        "session",
+        "epoch",
+        "lease",
+    )
 
     def __init__(self, value: dict[str, Any], use: tuple[float, float]) -> None:
         meta, notes = value["metadata"], value["metadata"].get("annotations", {})
@@ -59,7 +81,10 @@
         self.priority = int(value["spec"].get("priority", 0))
         self.runs_us = parse_duration(notes.get(names.RUNS_FOR, "10s"))
         self.uid = str(notes.get(names.PREFIX + "job-uid", ""))
-        self.session, self.lease = str(notes.get(names.SESSION, "")), str(notes.get(names.LEASE_UNTIL, ""))
+        self.session, self.lease = (
+            str(notes.get(names.SESSION, "")),
+            str(notes.get(names.LEASE_UNTIL, "")),
+        )
         epoch = str(notes.get(names.EPOCH, "0"))
         self.epoch = int(epoch) if epoch.isdecimal() else 0
         self.phase = "Pending"
--- a/wingbarrow/lab/cluster.py
+++ b/wingbarrow/lab/cluster.py
@@ -46,10 +46,18 @@
 SMALL, LARGE = Build(), Build(kind="large", cores=48.0, memory=96.0, slots=6)
 
 
-def settings_text(index: int, of: int, seed: int, source: int, port: int = 0, state: str = "") -> str:
+def settings_text(
+    index: int, of: int, seed: int, source: int, port: int = 0, state: str = ""
+) -> str:
     """The default settings of the laboratory's placers."""
-    return SETTINGS.format(index=index, of=of, seed=seed, source=source, port=port,
-                           state=f'state "{state}"' if state else "")
+    return SETTINGS.format(
+        index=index,
+        of=of,
+        seed=seed,
+        source=source,
+        port=port,
+        state=f'state "{state}"' if state else "",
+    )
 
 
 def place(index: int, count: int) -> tuple[str, str]:
@@ -91,6 +99,7 @@
             self.service, self.port = service, service.rest.port
             ready.notify()
             service.run()
+
         self.domain = Domain(hub, self.name)
         hub.spawn(begin, self.name, self.domain)
         ready.wait()
@@ -110,9 +119,17 @@
 class Cluster:
     """Machines, list source and placers of one day, or of one region of a fleet that shares a recording."""
 
-    def __init__(self, hub: Hub, machines: int, placers: int, seed: int, log: Callable[..., None],
-                 builds: Callable[[int], Build] | None = None, region: str = "",
-                 record: Recorder | None = None) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        machines: int,
+        placers: int,
+        seed: int,
+        log: Callable[..., None],
+        builds: Callable[[int], Build] | None = None,
+        region: str = "",
+        record: Recorder | None = None,
+    ) -> None:
         self.hub, self.log, self.seed = hub, log, seed
         self.random = random.Random(seed)
         self.record = record or Recorder(hub.now_us)
@@ -127,15 +144,25 @@
             hall, rack = place(index, machines)
             build = builds(index) if builds else (LARGE if index % 4 == 3 else SMALL)
             self._add(replace(build, zone=f"{region}-{hall}" if region else hall, cell=rack))
-        self.placers = [PlacerSlot(self, index, placers, seed + index, str(Path(self._folder.name) / f"p{index}"))
-                        for index in range(placers)]
+        self.placers = [
+            PlacerSlot(
+                self, index, placers, seed + index, str(Path(self._folder.name) / f"p{index}")
+            )
+            for index in range(placers)
+        ]
 
     def _say(self, text: str) -> None:
         self.log("stand-in", text=text)
 
     def _add(self, build: Build) -> Machine:
-        machine = Machine(self.hub, f"{self._named}{self._made}", build, self.seed * 1000 + self._made, self.record,
-                          self._say)
+        machine = Machine(
+            self.hub,
+            f"{self._named}{self._made}",
+            build,
+            self.seed * 1000 + self._made,
+            self.record,
+            self._say,
+        )
         machine.changed = self._changed
         self._made += 1
         self.machines.append(machine)
@@ -166,22 +193,34 @@
     def ready(self) -> bool:
         """Whether every placer has the whole list, and every machine has taken its watch."""
         machines = len(self.machines)
-        return all(slot.service is not None and slot.service.placer.sees(machines) for slot in self.placers)
+        return all(
+            slot.service is not None and slot.service.placer.sees(machines) for slot in self.placers
+        )
 
     def addresses(self) -> list[PlacerAddress]:
         """Where the placers listen."""
         return [PlacerAddress(slot.name, slot.port) for slot in self.placers]
 
-    def hold_subsets(self, replicas: int, leave_after: str = "2s", settle: str = "500ms",
-                     port: Callable[[PlacerSlot, PlacerSlot], int] = lambda slot, other: other.port,
-                     widen: int = 0) -> None:
+    def hold_subsets(
+        self,
+        replicas: int,
+        leave_after: str = "2s",
+        settle: str = "500ms",
+        port: Callable[[PlacerSlot, PlacerSlot], int] = lambda slot, other: other.port,
+        widen: int = 0,
+    ) -> None:
         """Have each placer hold a subset of the machines from its next start on; `port`: where one finds another."""
         roster = " ".join(f'"{slot.name}"' for slot in self.placers)
         for slot in self.placers:
-            peers = "".join(f'peer "127.0.0.1" port={port(slot, other)} name="{other.name}"\n'
-                            for other in self.placers if other is not slot)
-            slot.extra += (f'\nallow-peer "127.0.0.0/8"\n{peers}subset replicas={replicas} widen={widen} {{\n'
-                           f'    roster {roster}\n    leave-after "{leave_after}"\n    settle "{settle}"\n}}\n')
+            peers = "".join(
+                f'peer "127.0.0.1" port={port(slot, other)} name="{other.name}"\n'
+                for other in self.placers
+                if other is not slot
+            )
+            slot.extra += (
+                f'\nallow-peer "127.0.0.0/8"\n{peers}subset replicas={replicas} widen={widen} {{\n'
+                f'    roster {roster}\n    leave-after "{leave_after}"\n    settle "{settle}"\n}}\n'
+            )
 
     # -- troubles
 
@@ -191,6 +230,7 @@
 
         def due() -> None:
             self.hub.spawn(call, "trouble")
+
         self.hub._at(at_us, due, None)
 
     def dark(self, for_us: int) -> None:
--- a/wingbarrow/lab/days.py
+++ b/wingbarrow/lab/days.py
@@ -56,10 +56,12 @@
     @property
     def command(self) -> str:
         """What plays it again."""
-        more = [f" --placers {self.placers}" if self.placers else "",
-                f" --seconds {self.seconds:g}" if self.seconds else "",
-                f" --only {','.join(map(str, self.only))}" if self.only is not None else "",
-                f" --subsets {self.subsets}" if self.subsets else ""]
+        more = [
+            f" --placers {self.placers}" if self.placers else "",
+            f" --seconds {self.seconds:g}" if self.seconds else "",
+            f" --only {','.join(map(str, self.only))}" if self.only is not None else "",
+            f" --subsets {self.subsets}" if self.subsets else "",
+        ]
         return f"wingbarrow lab day {self.name} --seed {self.seed} --scale {self.scale:g}{''.join(more)}"
 
 
@@ -75,8 +77,13 @@
     troubles: list[Trouble]
 
 
-def run_day(name: str, seed: int = 1, log: Callable[..., None] = silent, report: Path | None = None,
-            scale: float = 1.0) -> Outcome:
+def run_day(
+    name: str,
+    seed: int = 1,
+    log: Callable[..., None] = silent,
+    report: Path | None = None,
+    scale: float = 1.0,
+) -> Outcome:
     """Play a day as it is written; `scale` stretches its size."""
     return play(Play(name, seed, scale), log, report)
 
@@ -89,8 +96,9 @@
     if what.only is not None:
         troubles = [troubles[index] for index in what.only if index < len(troubles)]
     hub = Hub(VirtualClock())
-    hub.complain = lambda task, error: log("task-failed", level="error", task=task,
-                                           why=f"{type(error).__name__}: {error}")
+    hub.complain = lambda task, error: log(
+        "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
+    )
     cluster = Cluster(hub, max(4, round(day.machines * scale)), placers, seed, log)
     if what.subsets:
         cluster.hold_subsets(what.subsets)
@@ -113,8 +121,14 @@
     owners = hub.run(main)
     settings = cluster.placers[0].settings
     result = audit(cluster.record.records, settings)
-    outcome = Outcome(result, cluster, owners, time.perf_counter() - begun, (hub.now_us() - 1_000_000_000) / 1e6,
-                      troubles)
+    outcome = Outcome(
+        result,
+        cluster,
+        owners,
+        time.perf_counter() - begun,
+        (hub.now_us() - 1_000_000_000) / 1e6,
+        troubles,
+    )
     if report is not None:
         report.mkdir(parents=True, exist_ok=True)
         cluster.record.write(report / f"{what.name}-{seed}.jsonl")
@@ -159,6 +173,7 @@
     def slow(factor: float) -> None:
         for machine in cluster.machines[::3]:
             machine.slowness = factor
+
     cluster.at(8, lambda: slow(6.0))
     cluster.at(26, lambda: slow(1.0))
 
@@ -167,7 +182,9 @@
     now = cluster.hub.now_us()
     for index, machine in enumerate(cluster.machines[::3]):
         fault = (Fault.SILENT_BEFORE, Fault.REFUSE)[index % 2]
-        machine.faults.rules.append(FaultRule(fault, 1.0, now + 8 * SECOND, now + 28 * SECOND, ("web",)))
+        machine.faults.rules.append(
+            FaultRule(fault, 1.0, now + 8 * SECOND, now + 28 * SECOND, ("web",))
+        )
 
 
 def _list_down(cluster: Cluster, owners: Owners) -> None:
@@ -179,6 +196,7 @@
 def _list_late(cluster: Cluster, owners: Owners) -> None:
     def lag(seconds: float) -> None:
         cluster.source.lag_us = int(seconds * SECOND)
+
     cluster.at(7, lambda: lag(8.0))
     _drain_some(cluster, owners)
     _crash(cluster, owners)
@@ -215,6 +233,7 @@
     def heavier(factors: dict[str, float]) -> None:
         for machine in cluster.machines:
             machine.use_factor = factors
+
     cluster.at(10, lambda: heavier({f"web-{i}": 2.4 for i in range(0, 40, 6)}))
     cluster.at(30, lambda: heavier({}))
 
@@ -223,6 +242,7 @@
     def heavier(factors: dict[str, float]) -> None:
         for machine in cluster.machines:
             machine.use_factor = factors
+
     cluster.at(10, lambda: heavier({"web-0": 2.5, "web-1": 2.5, "web-2": 2.5}))
     cluster.at(28, lambda: heavier({}))
 
@@ -230,21 +250,36 @@
 def _again_at_once(wants: list[Want], seed: int) -> list[Want]:
     """Owners stop a share of their services and ask for all their tasks again within two seconds."""
     now = 15 * SECOND
-    lost = [want for want in wants if want.at_us < now < want.at_us + want.runs_us and want.task_class == "web"
-            and int(want.service.partition("-")[2]) % 2 == 0]
-    more = [replace(want, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(lost)))
-            for i, want in enumerate(lost)]
+    lost = [
+        want
+        for want in wants
+        if want.at_us < now < want.at_us + want.runs_us
+        and want.task_class == "web"
+        and int(want.service.partition("-")[2]) % 2 == 0
+    ]
+    more = [
+        replace(want, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(lost)))
+        for i, want in enumerate(lost)
+    ]
     return sorted([*wants, *more], key=lambda want: want.at_us)
 
 
 def _lost_answers(cluster: Cluster, owners: Owners) -> None:
     now = cluster.hub.now_us()
     for index, machine in enumerate(cluster.machines):
-        faults = (Fault.RESET_BEFORE, Fault.RESET_AFTER, Fault.SILENT_AFTER, Fault.HALF, Fault.GARBAGE,
-                  Fault.SILENT_BEFORE, Fault.DELAY)
+        faults = (
+            Fault.RESET_BEFORE,
+            Fault.RESET_AFTER,
+            Fault.SILENT_AFTER,
+            Fault.HALF,
+            Fault.GARBAGE,
+            Fault.SILENT_BEFORE,
+            Fault.DELAY,
+        )
         for turn in range(2):
-            machine.faults.rules.append(FaultRule(faults[(index + turn) % len(faults)], 0.12, now,
-                                                  now + 36 * SECOND))
+            machine.faults.rules.append(
+                FaultRule(faults[(index + turn) % len(faults)], 0.12, now, now + 36 * SECOND)
+            )
 
 
 def _cuts(cluster: Cluster, owners: Owners) -> None:
@@ -279,24 +314,38 @@
     "burst": Day("demand jumps to 2.4 times the usual for six seconds", _quiet, mix=_BURST),
     "hot_key": Day("all tasks of some services use all they may", _hot),
     "heavy_tail": Day("a share of one class uses far more than it asked", _tail),
-    "reconnect": Day("owners ask again for whole services within two seconds", _quiet, wants=_again_at_once),
+    "reconnect": Day(
+        "owners ask again for whole services within two seconds", _quiet, wants=_again_at_once
+    ),
     "crash": Day("a quarter of the machines die at once and come back cold", _crash),
     "shrink": Day("a fifth of the machines are gone for good", _shrink),
     "deploy": Day("every machine is replaced in turn by a cold one", _deploy),
     "drains": Day("machines drain, send their tasks away and go", _drain_some),
     "pauses": Day("machines stand still for three seconds", _pauses),
     "throttle": Day("a third of the machines work six times slower", _throttle),
-    "class_fail": Day("some machines leave one class unanswered, or turn it away in spite of room", _class_fail),
+    "class_fail": Day(
+        "some machines leave one class unanswered, or turn it away in spite of room", _class_fail
+    ),
     "discovery_down": Day("the list is out of reach while machines crash", _list_down),
-    "discovery_stale": Day("the list runs eight seconds late while machines drain and crash", _list_late),
+    "discovery_stale": Day(
+        "the list runs eight seconds late while machines drain and crash", _list_late
+    ),
     "discovery_back": Day("the list goes back to an older picture after drains", _list_back),
     "balancer_crash": Day("a placer is killed and comes back with its saved list", _placer_crash),
     "balancer_roll": Day("all placers are restarted in turn", _placer_roll),
-    "crowded": Day("far more is wanted than fits, and tasks use more than they ask", _hot, mix=Mix(rate=26.0)),
+    "crowded": Day(
+        "far more is wanted than fits, and tasks use more than they ask", _hot, mix=Mix(rate=26.0)
+    ),
     "balancer_stall": Day("placers stand still for a second, again and again", _placer_stall),
-    "lost_answers": Day("answers to offers are lost, cut, garbled or late, before or after the effect", _lost_answers),
-    "generated": Day("two to nine troubles drawn from the seed: which, when, how long, on whom", _quiet,
-                     generated=True),
+    "lost_answers": Day(
+        "answers to offers are lost, cut, garbled or late, before or after the effect",
+        _lost_answers,
+    ),
+    "generated": Day(
+        "two to nine troubles drawn from the seed: which, when, how long, on whom",
+        _quiet,
+        generated=True,
+    ),
     "cut_watches": Day("watches of the list and of owners are cut in the middle of a line", _cuts),
 }
 
@@ -307,11 +356,20 @@
     first = {r.data["uid"]: r.at_us for r in records if r.what == "accepted"}
     waits: list[int] = []
     for record in records:
-        if record.where == "owner" and record.what == "answer" and record.data["answer"] == "placed":
+        if (
+            record.where == "owner"
+            and record.what == "answer"
+            and record.data["answer"] == "placed"
+        ):
             begun = first.pop(record.data["uid"], None)
             if begun is not None:
                 waits.append(record.at_us - begun)
     waits.sort()
-    return {"kind": "day", "virtual_s": round(outcome.virtual_s, 1), "real_s": round(outcome.real_s, 1),
-            "records": len(records), "placed_ms_p50": waits[len(waits) // 2] / 1000 if waits else None,
-            "placed_ms_p99": waits[len(waits) * 99 // 100] / 1000 if waits else None}
+    return {
+        "kind": "day",
+        "virtual_s": round(outcome.virtual_s, 1),
+        "real_s": round(outcome.real_s, 1),
+        "records": len(records),
+        "placed_ms_p50": waits[len(waits) // 2] / 1000 if waits else None,
+        "placed_ms_p99": waits[len(waits) * 99 // 100] / 1000 if waits else None,
+    }
--- a/wingbarrow/lab/faults.py
+++ b/wingbarrow/lab/faults.py
@@ -42,7 +42,10 @@
     def draw(self, now_us: int, task_class: str) -> FaultRule | None:
         """The fault of the next offer, if any."""
         for rule in self.rules:
-            if (rule.from_us <= now_us < rule.until_us and (not rule.classes or task_class in rule.classes)
-                    and self._random.random() < rule.share):
+            if (
+                rule.from_us <= now_us < rule.until_us
+                and (not rule.classes or task_class in rule.classes)
+                and self._random.random() < rule.share
+            ):
                 return rule
         return None
--- a/wingbarrow/lab/figures.py
+++ b/wingbarrow/lab/figures.py
@@ -12,7 +12,11 @@
 
 def over_seeds(values: Sequence[float]) -> dict[str, float]:
     """Mean, least and most."""
-    return {"mean": round(statistics.mean(values), 4), "least": round(min(values), 4), "most": round(max(values), 4)}
+    return {
+        "mean": round(statistics.mean(values), 4),
+        "least": round(min(values), 4),
+        "most": round(max(values), 4),
+    }
 
 
 def write_rows(rows: Iterable[Any], summary: Any, folder: Path) -> None:
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -48,13 +48,18 @@
 class Assembly(Virtual[Agreement]):
     """`count` placers, the first `voters` of them vote; clocks drift by up to 500 ppm and begin anywhere."""
 
-    def __init__(self, count: int, voters: int, seed: int, times: Times = Times(), loss: float = 0.0) -> None:  # noqa: B008
+    def __init__(
+        self, count: int, voters: int, seed: int, times: Times = Times(), loss: float = 0.0
+    ) -> None:
         super().__init__([f"p{index:03d}" for index in range(count)], seed, loss)
         self.times = times
         self.voters = tuple(self.names[:voters])
         self.disks = {name: Disk(self.voters) for name in self.voters}
         rng = random.Random(f"clocks/{seed}")
-        self.drifts = {name: Drift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND)) for name in self.names}
+        self.drifts = {
+            name: Drift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
+            for name in self.names
+        }
         self.uses: dict[int, Use] = {}
         self.acts = self.refused = self.on_floor = 0
         self._proposed = 0
@@ -92,7 +97,9 @@
 
     def leader(self) -> str | None:
         """Who leads, by the highest term."""
-        found = [name for name, each in self.members.items() if each.leads and name not in self.stopped]
+        found = [
+            name for name, each in self.members.items() if each.leads and name not in self.stopped
+        ]
         return max(found, key=lambda name: self.members[name].raft.disk.term, default=None)  # type: ignore[union-attr]
 
     def propose(self, rules: RuleSet, base: int | None = None, ident: str = "") -> str | None:
@@ -104,26 +111,48 @@
         ident = ident or f"proposal {self._proposed}"
         member = self.members[leader]
         base = member.agreed.version if base is None else base
-        self.act(leader, member.propose(self.clock_us(leader), "propose", {
-            "ident": ident, "base": base, "rules": rules.text(), "by": "somebody", "why": ""}))
+        self.act(
+            leader,
+            member.propose(
+                self.clock_us(leader),
+                "propose",
+                {"ident": ident, "base": base, "rules": rules.text(), "by": "somebody", "why": ""},
+            ),
+        )
         return ident
 
     def lower_floor(self, rules: RuleSet, lasts_us: int, ident: str) -> None:
         """Have the leader propose a floor."""
         leader = self.leader()
         if leader is not None:
-            self.act(leader, self.members[leader].propose(self.clock_us(leader), "floor", {
-                "ident": ident, "rules": rules.text(), "lasts_us": lasts_us}))
+            self.act(
+                leader,
+                self.members[leader].propose(
+                    self.clock_us(leader),
+                    "floor",
+                    {"ident": ident, "rules": rules.text(), "lasts_us": lasts_us},
+                ),
+            )
 
     def outcome(self, ident: str) -> str | None:
         """What became of a proposal, as a living voter knows; None where nothing is decided."""
-        return next((each.agreed.outcomes[ident] for each in self.members.values()
-                     if each.raft is not None and ident in each.agreed.outcomes), None)
+        return next(
+            (
+                each.agreed.outcomes[ident]
+                for each in self.members.values()
+                if each.raft is not None and ident in each.agreed.outcomes
+            ),
+            None,
+        )
 
     def all_on(self, rules: RuleSet) -> bool:
         """Whether every placer acts on these rules, by an edition."""
-        return all((acting := each.acting(self.clock_us(name))) is not None and acting.edition > 0
-                   and acting.rules == rules.text() for name, each in self.members.items())
+        return all(
+            (acting := each.acting(self.clock_us(name))) is not None
+            and acting.edition > 0
+            and acting.rules == rules.text()
+            for name, each in self.members.items()
+        )
 
     def judged(self) -> Contradictions:
         """The verdict over all acts so far."""
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -71,7 +71,11 @@
         running = self._places.running()
         for slot in running:
             told = self.get(slot, f"{API}/members")
-            alive = {each["ident"] for each in told["items"] if each["standing"] == "alive"} if told else set()
+            alive = (
+                {each["ident"] for each in told["items"] if each["standing"] == "alive"}
+                if told
+                else set()
+            )
             if not {other.name for other in running if other is not slot} <= alive:
                 return False
         return True
@@ -90,10 +94,14 @@
         """Settings with rules unlike those at the beginning, and who shares the cold budget, by a number."""
         places = self._places
         rng, text = random.Random(number), places.settings(places.slots[0])
-        text = text.replace('by="cell" most=3', f'by="cell" most={rng.randrange(1, 4)}').replace(
-            "offers=20", f"offers={rng.randrange(4, 21)}").replace(
-            "attempts most=4", f"attempts most={rng.randrange(2, 5)}")
-        barred = "".join(f'bar "{machine.name}"\n' for machine in places.machines if rng.random() < 0.15)
+        text = (
+            text.replace('by="cell" most=3', f'by="cell" most={rng.randrange(1, 4)}')
+            .replace("offers=20", f"offers={rng.randrange(4, 21)}")
+            .replace("attempts most=4", f"attempts most={rng.randrange(2, 5)}")
+        )
+        barred = "".join(
+            f'bar "{machine.name}"\n' for machine in places.machines if rng.random() < 0.15
+        )
         names = places.layout.names
         sharers = rng.sample(names, rng.randrange(1, len(names) + 1))
         text = text.replace("upper=90", f"upper={rng.randrange(70, 96)}")
@@ -105,8 +113,12 @@
         wanted = rules_of(load_text(text))
         offers = sum(share for _, share in wanted.cold_shares)
         wanted = normal(replace(wanted, cold_shares=shares(offers, tuple(sharers))))
-        body = {"ident": f"rig-{number}-{self._hub.now_us()}", "rules": json.loads(wanted.text()), "by": "the rig",
-                "keepDrains": True}
+        body = {
+            "ident": f"rig-{number}-{self._hub.now_us()}",
+            "rules": json.loads(wanted.text()),
+            "by": "the rig",
+            "keepDrains": True,
+        }
         told = self.at_leader(slot, "POST", "rules", body)
         if told is None:
             self._places.event("not-decided", variant=number)
@@ -119,7 +131,9 @@
         """What all are to act on in the end."""
         slots = self._places.slots
         for number in range(1, 20):
-            if self.propose(1_000_000 + self._places.size.seed * 100 + number, slots[number % len(slots)]):
+            if self.propose(
+                1_000_000 + self._places.size.seed * 100 + number, slots[number % len(slots)]
+            ):
                 return
 
     def drain(self, fault: Fault) -> None:
@@ -135,13 +149,18 @@
             self._drains[name] = told["key"]
         self._places.event("drain", machine=name, back=key is not None, told=told)
 
-    def at_leader(self, slot: Slot, method: str, path: str, body: dict[str, Any] | None,
-                  tries: int = TRIES) -> dict[str, Any] | None:
+    def at_leader(
+        self, slot: Slot, method: str, path: str, body: dict[str, Any] | None, tries: int = TRIES
+    ) -> dict[str, Any] | None:
         """What whoever leads answers in the end, asked by way of other placers; None where nothing was decided."""
         places = self._places
         for _ in range(tries):
             told = self.call(slot, method, path, body)
-            if told is not None and told.get("kind") == "Leader" and told.get("name") in places.names:
+            if (
+                told is not None
+                and told.get("kind") == "Leader"
+                and told.get("name") in places.names
+            ):
                 slot = places.slot(str(told["name"]))
                 continue
             if told is not None and told.get("code", 200) in (200, 201, 404, 409):
@@ -152,13 +171,20 @@
             slot = places.slots[(slot.index + 1) % len(places.slots)]
         return None
 
-    def call(self, slot: Slot, method: str, path: str, body: dict[str, Any] | None) -> dict[str, Any] | None:
+    def call(
+        self, slot: Slot, method: str, path: str, body: dict[str, Any] | None
+    ) -> dict[str, Any] | None:
         """An answer, whatever its status; None where none came."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             raw = b"" if body is None else json.dumps(body).encode()
-            response = pool.request(method, f"{API}/{path}", raw, [("Content-Type", "application/json")],
-                                    self._hub.now_us() + 8 * SECOND)
+            response = pool.request(
+                method,
+                f"{API}/{path}",
+                raw,
+                [("Content-Type", "application/json")],
+                self._hub.now_us() + 8 * SECOND,
+            )
             value: dict[str, Any] = json.loads(response.body)
             return value
         except (CallFailed, ValueError):
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -13,7 +13,16 @@
 
 from wingbarrow.decide.peers.custodian import Custodian
 from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.leasing import FORM, Ended, Known, MachineSays, Record, Session, reckoned_us, right_us
+from wingbarrow.decide.peers.leasing import (
+    FORM,
+    Ended,
+    Known,
+    MachineSays,
+    Record,
+    Session,
+    reckoned_us,
+    right_us,
+)
 from wingbarrow.decide.peers.pace import Pace, reissue_within_us
 from wingbarrow.decide.peers.records import Bounds
 from wingbarrow.decide.peers.takeover import Start
@@ -60,7 +69,9 @@
     def __init__(self, world: Custodians, name: str, region: str, life: int) -> None:
         self.world, self.name, self.region = world, name, region
         self.session = Session(name, life, 0)
-        self.custodian = Custodian(name, life, region, world.random.randrange(1 << 30), world.bounds)
+        self.custodian = Custodian(
+            name, life, region, world.random.randrange(1 << 30), world.bounds
+        )
         self.custodian.terms = lambda record: (world.allowed, world.copies)
         self.jobs: dict[str, Held] = {}
         self.heard = 0
@@ -97,8 +108,9 @@
         world = self.world
         if not world.majority(self.name):
             return out
-        session, news, self.heard = world.voters.ask(now_us, self.session, len(self.jobs),
-                                                     self.custodian.keeping.kept(), self.heard)
+        session, news, self.heard = world.voters.ask(
+            now_us, self.session, len(self.jobs), self.custodian.keeping.kept(), self.heard
+        )
         for ended in news:
             out += self._over(now_us, ended)
         if session != self.session:
@@ -113,8 +125,14 @@
         out: list[Effect] = []
         for uid, held in self.jobs.items():
             for index, task in held.tasks.items():
-                gone = task.phase == "placed" or (task.phase == "about" and now_us > task.since_us + WAIT_US)
-                if gone and held.record.effect == "safe" and not self.world.stands(task.machine, uid, index):
+                gone = task.phase == "placed" or (
+                    task.phase == "about" and now_us > task.since_us + WAIT_US
+                )
+                if (
+                    gone
+                    and held.record.effect == "safe"
+                    and not self.world.stands(task.machine, uid, index)
+                ):
                     task.phase = "none"
                     out += self._send(now_us, uid, index)
         return out
@@ -135,6 +153,7 @@
 
     def take(self, now_us: int, record: Record) -> list[Effect]:
         """A new Job."""
+
         def kept(now: int, good: bool, why: str) -> list[Effect]:
             if not good:
                 self.world.counts[f"turned away: {why.split(' from ')[0]}"] += 1
@@ -143,9 +162,11 @@
             self.world.accepted[record.uid] = self.world.now_us, record, self.name
             self.jobs[record.uid].accepted = True
             return self._run(now, record.uid, range(record.count))
+
         self.jobs[record.uid] = Held(record, 0)
-        token, effects = self.custodian.custody.hold(now_us, record, self.world.allowed, self.world.copies,
-                                                     now_us + WAIT_US)
+        token, effects = self.custodian.custody.hold(
+            now_us, record, self.world.allowed, self.world.copies, now_us + WAIT_US
+        )
         self._waiting[token] = kept
         return self._do(now_us, effects)
 
@@ -164,7 +185,9 @@
         def go(now: int, good: bool, why: str) -> list[Effect]:
             if self.jobs.get(uid) is not held:
                 return []
-            if good and now < self.until_us - LEASE_US + right_us(LEASE_US):  # the gate, right before the first byte
+            if good and now < self.until_us - LEASE_US + right_us(
+                LEASE_US
+            ):  # the gate, right before the first byte
                 self.world.offer(self, held, index, machine)
                 return []
             held.tasks[index].phase = "none"
@@ -172,6 +195,7 @@
                 token, effects = self.custodian.custody.back(now, uid, index, now + WAIT_US)
                 return [*self._do(now, effects), SetTimer(retry.key, now + SECOND)]
             return [SetTimer(retry.key, now + SECOND)]
+
         held.tasks[index] = Task(machine.name, "about", now_us)
         if held.record.effect != "unsafe" or self.world.careless:
             return go(now_us, True, "")
@@ -193,7 +217,11 @@
         if self.world.careless and held.record.effect == "unsafe":
             return []
         token, effects = self.custodian.custody.placed(
-            now_us, uid, Known(index, "placed", held.tasks[index].machine, f"{uid}-{index}"), now_us + WAIT_US)
+            now_us,
+            uid,
+            Known(index, "placed", held.tasks[index].machine, f"{uid}-{index}"),
+            now_us + WAIT_US,
+        )
         return self._do(now_us, effects)
 
     def _began(self, now_us: int, start: Start) -> list[Effect]:
@@ -232,14 +260,22 @@
     careless = False  # planted: what must not start twice leaves without its keepers' word
     core: type[Core] = Core
 
-    def __init__(self, seed: int, regions: tuple[str, ...] = ("north", "south", "west"), each: int = 2,
-                 copies: int = 1, loss: float = 0.0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        regions: tuple[str, ...] = ("north", "south", "west"),
+        each: int = 2,
+        copies: int = 1,
+        loss: float = 0.0,
+    ) -> None:
         self.regions = {f"{region}-{index}": region for region in regions for index in range(each)}
         super().__init__(list(self.regions), seed, loss, lambda rng: FAR_US + rng.randrange(FAR_US))
         self.allowed, self.copies = regions, copies
         self.bounds = Bounds()
         self.voters = Voters(RECKONED_US, AFTER_US)
-        self.machines = {f"m-{name}": Standin(f"m-{name}", region) for name, region in self.regions.items()}
+        self.machines = {
+            f"m-{name}": Standin(f"m-{name}", region) for name, region in self.regions.items()
+        }
         self.begins: list[Begin] = []
         self.accepted: dict[str, tuple[int, Record, str]] = {}
         self.reissued: list[tuple[int, str, int, str]] = []
@@ -268,8 +304,11 @@
 
     def majority(self, name: str) -> bool:
         """Whether a placer reaches placers of most regions."""
-        with_it = {self.regions[other] for other in self.members if other not in self.stopped
-                   and (other == name or self.reaches(name, other))}
+        with_it = {
+            self.regions[other]
+            for other in self.members
+            if other not in self.stopped and (other == name or self.reaches(name, other))
+        }
         return 2 * len(with_it) > len(set(self.regions.values()))
 
     def seen(self, name: str) -> dict[str, tuple[str, int]]:
@@ -294,18 +333,30 @@
         until, session = self.now_us + LEASE_US, core.session
         for machine in self.machines.values():
             if machine.region == core.region and machine.up:
-                self.at(self.now_us + self.random.randrange(TURN_US),
-                        lambda machine=machine: machine.renew(self.now_us, session, until))  # type: ignore[misc]
+                self.at(
+                    self.now_us + self.random.randrange(TURN_US),
+                    lambda machine=machine: machine.renew(self.now_us, session, until),  # type: ignore[misc]
+                )
 
     def offer(self, core: Core, held: Held, index: int, machine: Standin) -> None:
         """A send to a machine, and its answer; either may be late or lost."""
-        begin = Begin(0, held.record.uid, index, held.epoch, core.session, core.region, machine.name)
+        begin = Begin(
+            0, held.record.uid, index, held.epoch, core.session, core.region, machine.name
+        )
         until, name, life = core.until_us, core.name, self.lives[core.name]
 
         def arrive() -> None:
             if not machine.up:
                 return
-            here = Begin(self.now_us, begin.uid, index, begin.epoch, begin.session, begin.region, machine.name)
+            here = Begin(
+                self.now_us,
+                begin.uid,
+                index,
+                begin.epoch,
+                begin.session,
+                begin.region,
+                machine.name,
+            )
             known = (begin.uid, index) in machine.runs
             why = machine.take(self.now_us, here, until)
             if not why and not known:
@@ -314,16 +365,29 @@
 
         def back(why: str) -> None:
             if name in self.members and self.lives[name] == life and name not in self.stopped:
-                self.act(name, self.members[name].answered(self.clock_us(name), begin.uid, index, why))
+                self.act(
+                    name, self.members[name].answered(self.clock_us(name), begin.uid, index, why)
+                )
+
         self.at(self.now_us + self.random.randrange(TURN_US), arrive)
 
     def ask_machine(self, core: Core, said: dict[str, Any]) -> list[Effect]:
         """A placer asks its own region's machine for another."""
         machine = self.machines.get(said["machine"])
         reached = machine is not None and machine.up and machine.region == core.region
-        holds = machine.fence(self.now_us, said["uid"], said["epoch"]) if machine is not None and reached else False
+        holds = (
+            machine.fence(self.now_us, said["uid"], said["epoch"])
+            if machine is not None and reached
+            else False
+        )
         boot = self.now_us - machine.boot_us if machine is not None else 0
-        return [Send(said["to"], "", MachineSays(said["number"], said["machine"], said["uid"], reached, holds, boot))]
+        return [
+            Send(
+                said["to"],
+                "",
+                MachineSays(said["number"], said["machine"], said["uid"], reached, holds, boot),
+            )
+        ]
 
     def stands(self, machine: str, uid: str, index: int) -> bool:
         """Whether a task stands at a machine."""
@@ -364,8 +428,28 @@
         self.counts["jobs"] += 1
         if name in self.members and name not in self.stopped:
             core = self.members[name]
-            record = Record(FORM, uid, f"shop/{uid}", core.session, 0, 1, core.region, "spread", effect, "all",
-                            WINDOW_US, AFTER_US, priority, 1.0, 1.0, count, "{}", (), "", 0)
+            record = Record(
+                FORM,
+                uid,
+                f"shop/{uid}",
+                core.session,
+                0,
+                1,
+                core.region,
+                "spread",
+                effect,
+                "all",
+                WINDOW_US,
+                AFTER_US,
+                priority,
+                1.0,
+                1.0,
+                count,
+                "{}",
+                (),
+                "",
+                0,
+            )
             self.act(name, core.take(self.clock_us(name), record))
         return uid
 
--- a/wingbarrow/lab/fleet/custodyplay.py
+++ b/wingbarrow/lab/fleet/custodyplay.py
@@ -41,23 +41,35 @@
         if effect == "unsafe" and len(every) > 1:
             breaches.append(f"never twice, {len(every)} times: {uid}/{index}: {every}")
         if effect == "keyed":
-            breaches += [f"a key twice in its window: {one}, {other}"
-                         for one, other in zip(every, every[1:], strict=False)
-                         if one.epoch != other.epoch and other.at_us - one.at_us < WINDOW_US]
+            breaches += [
+                f"a key twice in its window: {one}, {other}"
+                for one, other in zip(every, every[1:], strict=False)
+                if one.epoch != other.epoch and other.at_us - one.at_us < WINDOW_US
+            ]
     longest = 0
     for at_us, uid, _, _ in world.reissued:
         taken_us, _, name = world.accepted.get(uid, (0, None, ""))
         lost_us = world.lost.get(world.regions.get(name, ""), 0)
         if uid.startswith("safe") and taken_us <= lost_us <= at_us:
             longest = max(longest, at_us - lost_us)
-    return Verdict(tuple(breaches), longest, len(world.begins), len(world.accepted), len(world.reissued),
-                   len(world.unknown()))
+    return Verdict(
+        tuple(breaches),
+        longest,
+        len(world.begins),
+        len(world.accepted),
+        len(world.reissued),
+        len(world.unknown()),
+    )
 
 
 def lost_runs(world: Custodians) -> list[str]:
     """Accepted safe Jobs that stand nowhere now, though somebody who knows of them was there all the time."""
     running = world.running()
-    return sorted(uid for uid in world.accepted if uid.startswith("safe") and uid not in running | world.extinct)
+    return sorted(
+        uid
+        for uid in world.accepted
+        if uid.startswith("safe") and uid not in running | world.extinct
+    )
 
 
 def forgotten(world: Custodians) -> list[str]:
@@ -67,8 +79,14 @@
     return sorted(uid for uid in world.accepted if uid not in begun | known | world.extinct)
 
 
-def loss_of_a_region(seed: int, jobs: int = 60, loss: float = 0.0, machines: bool = True, copies: int = 1,
-                     world: Custodians | None = None) -> Custodians:
+def loss_of_a_region(
+    seed: int,
+    jobs: int = 60,
+    loss: float = 0.0,
+    machines: bool = True,
+    copies: int = 1,
+    world: Custodians | None = None,
+) -> Custodians:
     """Jobs at all placers, then a whole region is killed; time passes until all has to be well again."""
     world = world or Custodians(seed, copies=copies, loss=loss)
     world.run(2 * SECOND)
@@ -82,7 +100,9 @@
     return world
 
 
-def trouble(seed: int, moments: int = 25, copies: int = 2, world: Custodians | None = None) -> Custodians:
+def trouble(
+    seed: int, moments: int = 25, copies: int = 2, world: Custodians | None = None
+) -> Custodians:
     """Loss of regions and returns, kills, stops, cuts, one-way cuts, lost and doubled mail, machines' restarts; then
     all heals."""
     world = world or Custodians(seed, copies=copies)
@@ -96,13 +116,21 @@
             world.run(world.now_us + rng.randrange(300_000))
         what, some, where = rng.random(), rng.choice(world.names), rng.choice(regions)
         if what < 0.15:
-            side, one = {name for name in world.names if world.regions[name] == where}, rng.random() < 0.4
+            side, one = (
+                {name for name in world.names if world.regions[name] == where},
+                rng.random() < 0.4,
+            )
             world.cut = lambda a, b, side=side, one=one: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side))
+                (a in side and b not in side) or (not one and b in side and a not in side)
+            )
         elif what < 0.25:
-            side, one = set(rng.sample(world.names, rng.randrange(1, len(world.names)))), rng.random() < 0.4
+            side, one = (
+                set(rng.sample(world.names, rng.randrange(1, len(world.names)))),
+                rng.random() < 0.4,
+            )
             world.cut = lambda a, b, side=side, one=one: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side))
+                (a in side and b not in side) or (not one and b in side and a not in side)
+            )
         elif what < 0.4:
             world.cut = lambda a, b: False
         elif what < 0.5:
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -23,15 +23,23 @@
 def limited(names: list[str], most: int, rate: int) -> RuleSet:
     """Rules with one limit of each kind."""
     among = tuple(names)
-    return normal(replace(rules(len(names)), limits=(
-        FleetLimit("namespace", "shop", "standing", most, 0, STRANDED_US, among),
-        FleetLimit("class", "web", "rate", rate, WINDOW_US, STRANDED_US, among))))
+    return normal(
+        replace(
+            rules(len(names)),
+            limits=(
+                FleetLimit("namespace", "shop", "standing", most, 0, STRANDED_US, among),
+                FleetLimit("class", "web", "rate", rate, WINDOW_US, STRANDED_US, among),
+            ),
+        )
+    )
 
 
 class Holders(Assembly):
     """`demand` is in tasks a second for each placer; `most` and `rate` are the limits."""
 
-    def __init__(self, count: int, voters: int, seed: int, demand: list[float], most: int, rate: int) -> None:
+    def __init__(
+        self, count: int, voters: int, seed: int, demand: list[float], most: int, rate: int
+    ) -> None:
         self.load = random.Random(f"load/{seed}")
         self.tasks: dict[str, list[int]] = {}
         self.orphans: list[int] = []  # ends of tasks whose placers are gone
@@ -62,7 +70,10 @@
         for name in self.tasks:
             self.tasks[name] = [end for end in self.tasks[name] if end > now]
         for name, member in list(self.members.items()):
-            if name not in self.stopped and self.load.random() < self.demand[name] * TURN_US / SECOND:
+            if (
+                name not in self.stopped
+                and self.load.random() < self.demand[name] * TURN_US / SECOND
+            ):
                 self._want(name, member)
         while self.begun and self.begun[0] <= now - WINDOW_US:
             self.begun.popleft()
@@ -99,7 +110,9 @@
     def __init__(self, holders: Holders, seed: int) -> None:
         self._of, self._load = holders, random.Random(f"reach/{seed}")
         self._lives = dict(holders.lives)
-        self.tasks: dict[str, list[int]] = {name: list(ends) for name, ends in holders.tasks.items()}
+        self.tasks: dict[str, list[int]] = {
+            name: list(ends) for name, ends in holders.tasks.items()
+        }
         self._debts: list[tuple[int, list[int]]] = []
         self.filled = self.turns = 0
         holders.at(holders.now_us, self._turn)
@@ -108,24 +121,36 @@
         of, now = self._of, self._of.now_us
         self._debts = [each for each in self._debts if each[0] > now]
         for name in of.names:
-            if self.tasks.get(name) and (name not in of.members or of.lives[name] != self._lives[name]):
+            if self.tasks.get(name) and (
+                name not in of.members or of.lives[name] != self._lives[name]
+            ):
                 self._debts.append((now + STRANDED_US, self.tasks.pop(name)))
             self._lives[name] = of.lives[name]
             self.tasks[name] = [end for end in self.tasks.get(name, ()) if end > now]
         counts = sum(map(len, self.tasks.values())) + sum(len(ends) for _, ends in self._debts)
         for name in of.names:
-            if self._load.random() < of.demand[name] * TURN_US / SECOND and counts < of.most and self._in_touch(name):
+            if (
+                self._load.random() < of.demand[name] * TURN_US / SECOND
+                and counts < of.most
+                and self._in_touch(name)
+            ):
                 self.tasks[name].append(now + self._load.randrange(*LIFE_US))
                 counts += 1
-        running = sum(end > now for ends in (*self.tasks.values(), *(each for _, each in self._debts)) for end in ends)
+        running = sum(
+            end > now
+            for ends in (*self.tasks.values(), *(each for _, each in self._debts))
+            for end in ends
+        )
         self.filled, self.turns = self.filled + running, self.turns + 1
         of.at(now + TURN_US, self._turn)
 
     def _in_touch(self, name: str) -> bool:
         of = self._of
         runs = of.members.keys() - of.stopped.keys()
-        heard = sum(each == name or (each in runs and not of.cut(name, each) and not of.cut(each, name))
-                    for each in of.voters)
+        heard = sum(
+            each == name or (each in runs and not of.cut(name, each) and not of.cut(each, name))
+            for each in of.voters
+        )
         return name in runs and 2 * heard > len(of.voters)
 
 
@@ -137,9 +162,13 @@
         holders.run(holders.now_us + rng.randrange(4 * SECOND))
         what, some = rng.random(), rng.choice(holders.names)
         if what < 0.25:
-            side, one_way = set(rng.sample(holders.names, rng.randrange(1, len(holders.names)))), rng.random() < 0.4
+            side, one_way = (
+                set(rng.sample(holders.names, rng.randrange(1, len(holders.names)))),
+                rng.random() < 0.4,
+            )
             holders.cut = lambda a, b, side=side, one=one_way: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side))
+                (a in side and b not in side) or (not one and b in side and a not in side)
+            )
         elif what < 0.4:
             holders.cut = lambda a, b: False
         elif what < 0.5:
--- a/wingbarrow/lab/fleet/holding.py
+++ b/wingbarrow/lab/fleet/holding.py
@@ -19,7 +19,10 @@
     """Each limit that stood in all rules; where they differ, the one that allows most."""
     sets = [{each.key: each for each in one.limits} for one in rules]
     keys = set.intersection(*(set(each) for each in sets)) if sets else set()
-    return {key: max((each[key] for each in sets), key=lambda limit: (limit.most, -limit.window_us)) for key in keys}
+    return {
+        key: max((each[key] for each in sets), key=lambda limit: (limit.most, -limit.window_us))
+        for key in keys
+    }
 
 
 def over(limits: dict[str, FleetLimit], records: list[Record]) -> Iterator[str]:
@@ -52,10 +55,13 @@
 
 def crowded(records: list[Record], task_class: str, most: int, window_us: int) -> int | None:
     """When more than `most` Jobs were surely accepted within a window; None where never."""
-    spans = sorted((each.data["sent_us"], each.at_us) for each in records
-                   if each.what == "accepted" and task_class in ("", each.data["task_class"]))
+    spans = sorted(
+        (each.data["sent_us"], each.at_us)
+        for each in records
+        if each.what == "accepted" and task_class in ("", each.data["task_class"])
+    )
     for index in range(len(spans) - most):
-        some = spans[index:index + most + 1]
+        some = spans[index : index + most + 1]
         if max(at for _, at in some) - some[0][0] < window_us:
             return int(some[0][0])
     return None
@@ -69,13 +75,26 @@
             yield f"{key}: {held} are held at the end, {limit.most} are there"
 
 
-def unfounded(machine: str, at_us: int, window_us: int, witnesses: int, records: list[Record]) -> bool:
+def unfounded(
+    machine: str, at_us: int, window_us: int, witnesses: int, records: list[Record]
+) -> bool:
     """Whether a verdict closed a machine though fewer placers than are wanted had a start fail there before.
 
     Failed is what the machine answered with a fault of its own, broke off, or did not answer; not what it refused.
     """
-    offers = {each.data["pod"]: each.data["placer"] for each in records
-              if each.what == "offer" and each.where == machine and at_us - window_us <= each.at_us <= at_us}
-    good = {each.data["pod"] for each in records if each.what == "answer" and each.where == machine
-            and each.data["status"] < 500 and each.at_us <= at_us}
+    offers = {
+        each.data["pod"]: each.data["placer"]
+        for each in records
+        if each.what == "offer"
+        and each.where == machine
+        and at_us - window_us <= each.at_us <= at_us
+    }
+    good = {
+        each.data["pod"]
+        for each in records
+        if each.what == "answer"
+        and each.where == machine
+        and each.data["status"] < 500
+        and each.at_us <= at_us
+    }
     return len({placer for pod, placer in offers.items() if pod not in good}) < witnesses
--- a/wingbarrow/lab/fleet/judge.py
+++ b/wingbarrow/lab/fleet/judge.py
@@ -50,15 +50,27 @@
 from wingbarrow.lab.fleet.judging.turns import judge_turns
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 
-CONCERNS = (judge_rules, judge_limits, judge_refusals, judge_closures, judge_burials, judge_end, judge_leases,
-            judge_turns)
+CONCERNS = (
+    judge_rules,
+    judge_limits,
+    judge_refusals,
+    judge_closures,
+    judge_burials,
+    judge_end,
+    judge_leases,
+    judge_turns,
+)
 
 
 def judge(folder: Path) -> Verdict:
     """Judge a run by what it left."""
     run = Run(folder)
-    out = Verdict(len(run.names), faults=sum(each["what"] == "fault" for each in run.events),
-                  kills=sum(each["what"] == "killed" for each in run.events), slack_ms=run.slack_us // 1000)
+    out = Verdict(
+        len(run.names),
+        faults=sum(each["what"] == "fault" for each in run.events),
+        kills=sum(each["what"] == "killed" for each in run.events),
+        slack_ms=run.slack_us // 1000,
+    )
     out.audit = audit(run.records, load_file(folder / f"{run.names[0]}.kdl"), run.slack_us)
     out.sends = out.audit.offers
     out.notes += out.audit.notes
--- a/wingbarrow/lab/fleet/judging/burials.py
+++ b/wingbarrow/lab/fleet/judging/burials.py
@@ -20,12 +20,25 @@
         told[teller, member].append(at)
         out.burials += 1
         if not any(trouble.meets(at - window, at, teller, member) for trouble in run.troubles):
-            out.breach("unfounded_burials", f"{at}: {teller} buried {member}, of neither of which anything was wrong")
+            out.breach(
+                "unfounded_burials",
+                f"{at}: {teller} buried {member}, of neither of which anything was wrong",
+            )
     for name in run.names:
         for life in run.up[name]:
-            down = next((each for each in run.troubles if each.who == name and not each.other
-                         and each.begin_us == life.end_us), None)
-            if down is None or down.end_us - down.begin_us <= window or run.end_us - down.begin_us <= window:
+            down = next(
+                (
+                    each
+                    for each in run.troubles
+                    if each.who == name and not each.other and each.begin_us == life.end_us
+                ),
+                None,
+            )
+            if (
+                down is None
+                or down.end_us - down.begin_us <= window
+                or run.end_us - down.begin_us <= window
+            ):
                 continue
             for teller in run.names:
                 if teller != name:
@@ -33,13 +46,21 @@
                     _judge_late(run, out, window, down, teller, since)
 
 
-def _judge_late(run: Run, out: Verdict, window: int, down: Span, teller: str, told: list[int]) -> None:
+def _judge_late(
+    run: Run, out: Verdict, window: int, down: Span, teller: str, told: list[int]
+) -> None:
     took = min(told) - down.begin_us if told else NEVER
     if took != NEVER and took <= window:
         out.detect_longest_ms = max(out.detect_longest_ms or 0, took // 1000)
-    elif not any(each.meets(down.begin_us, down.begin_us + window) for each in run.troubles if each is not down):
-        out.breach("late_burials",
-                   f"{down.begin_us}: {teller} did not tell within the stated time that {down.who} is dead")
+    elif not any(
+        each.meets(down.begin_us, down.begin_us + window)
+        for each in run.troubles
+        if each is not down
+    ):
+        out.breach(
+            "late_burials",
+            f"{down.begin_us}: {teller} did not tell within the stated time that {down.who} is dead",
+        )
 
 
 def judge_end(run: Run, out: Verdict) -> None:
--- a/wingbarrow/lab/fleet/judging/jobs.py
+++ b/wingbarrow/lab/fleet/judging/jobs.py
@@ -53,24 +53,44 @@
         for each in run.records:
             data = each.data
             if each.what == "accepted":
-                job = Job(data["uid"], data["task"], data["task_class"], data["placer"],
-                          data.get("federation") or run.class_specs.get(data["task_class"], ""), each.at_us)
+                job = Job(
+                    data["uid"],
+                    data["task"],
+                    data["task_class"],
+                    data["placer"],
+                    data.get("federation") or run.class_specs.get(data["task_class"], ""),
+                    each.at_us,
+                )
                 self.jobs[job.uid] = job
                 self._tasks.setdefault(job.task, []).append(job)
             elif each.what == "answer" and each.where == "owner":
                 if data["uid"] in self.jobs:
-                    self.jobs[data["uid"]].answers.append((each.at_us, data["placer"], data["answer"]))
+                    self.jobs[data["uid"]].answers.append(
+                        (each.at_us, data["placer"], data["answer"])
+                    )
             elif each.what == "answer" and data["status"] != 201:
                 self.refused[data["pod"]] = data["reason"]
             elif each.what == "offer":
                 self._first.setdefault(data.get("session", ""), each.at_us)
             elif each.what == "start":
-                one = Begun(each.at_us, each.where, data["pod"], _uid(data), data["task"], data["task_class"],
-                            data.get("session", ""), data.get("epoch", 0), data.get("until_us", 0))
+                one = Begun(
+                    each.at_us,
+                    each.where,
+                    data["pod"],
+                    _uid(data),
+                    data["task"],
+                    data["task_class"],
+                    data.get("session", ""),
+                    data.get("epoch", 0),
+                    data.get("until_us", 0),
+                )
                 self._first.setdefault(one.session, each.at_us)
                 running[each.where, one.pod] = one
                 self.begun.append(one)
-            elif each.what == "end" and (found := running.pop((each.where, data["pod"]), None)) is not None:
+            elif (
+                each.what == "end"
+                and (found := running.pop((each.where, data["pod"]), None)) is not None
+            ):
                 found.end_us, found.why = each.at_us, data["why"]
                 found.until_us = max(found.until_us, data.get("until_us", 0))
         for one in self.begun:
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -19,8 +19,12 @@
     if not run.regions:
         return
     settings, jobs, reach = load_file(run.folder / f"{run.names[0]}.kdl"), Jobs(run), Reach(run)
-    out.regions = sum(any(place[0] == region for place in run.machines.values()) for region in run.regions)
-    out.leased = sum(run.specs.get(job.spec, {}).get("after_us", 0) > 0 for job in jobs.jobs.values())
+    out.regions = sum(
+        any(place[0] == region for place in run.machines.values()) for region in run.regions
+    )
+    out.leased = sum(
+        run.specs.get(job.spec, {}).get("after_us", 0) > 0 for job in jobs.jobs.values()
+    )
     out.reissued = len({(one.uid, one.epoch) for one in jobs.begun if one.epoch})
     _judge_starts(run, out, settings, jobs)
     _judge_regions(run, out, jobs)
@@ -37,17 +41,27 @@
         known = settings.classes.get(one.task_class)
         effect = known.task_class.effect if known else Effect.SAFE
         if effect is Effect.UNSAFE and one.task in seen:
-            out.breach("double_starts", f"{one.at_us}: {one.task} on {one.machine}, and at {seen[one.task].at_us} on "
-                       f"{seen[one.task].machine}")
+            out.breach(
+                "double_starts",
+                f"{one.at_us}: {one.task} on {one.machine}, and at {seen[one.task].at_us} on "
+                f"{seen[one.task].machine}",
+            )
         seen.setdefault(one.task, one)
     for job in jobs.jobs.values():
         known = settings.classes.get(job.task_class)
         if known is None or known.task_class.effect is not Effect.KEYED:
             continue
         for at, later in enumerate(job.begun):
-            if any(one.epoch < later.epoch and later.at_us - one.at_us < known.task_class.window_us - run.slack_us
-                   and _together(run, known.task_class.group, one, later) for one in job.begun[:at]):
-                out.breach("double_starts", f"{later.at_us}: {job.task} on {later.machine} again within its window")
+            if any(
+                one.epoch < later.epoch
+                and later.at_us - one.at_us < known.task_class.window_us - run.slack_us
+                and _together(run, known.task_class.group, one, later)
+                for one in job.begun[:at]
+            ):
+                out.breach(
+                    "double_starts",
+                    f"{later.at_us}: {job.task} on {later.machine} again within its window",
+                )
 
 
 def _together(run: Run, group: Place, one: Begun, other: Begun) -> bool:
@@ -55,7 +69,9 @@
     length = {Place.ALL: 0, Place.ZONE: 2, Place.CELL: 3}.get(group)
     if length is None:
         return one.machine == other.machine
-    return run.machines.get(one.machine, [])[:length] == run.machines.get(other.machine, [])[:length]
+    return (
+        run.machines.get(one.machine, [])[:length] == run.machines.get(other.machine, [])[:length]
+    )
 
 
 def _judge_regions(run: Run, out: Verdict, jobs: Jobs) -> None:
@@ -64,15 +80,21 @@
         for one in job.begun if spec else ():
             region = run.machines.get(one.machine, [""])[0]
             if spec and region not in spec["regions"]:
-                out.breach("forbidden_regions", f"{one.at_us}: {job.task} of spec {job.spec} on {one.machine}")
+                out.breach(
+                    "forbidden_regions",
+                    f"{one.at_us}: {job.task} of spec {job.spec} on {one.machine}",
+                )
 
 
 def _judge_answers(out: Verdict, jobs: Jobs) -> None:
     """Two placers that answer for one Job; one that answers twice is the audit's."""
     for job in jobs.jobs.values():
         for placer in sorted({by for _, by, _ in job.answers} - {job.placer}):
-            out.breach("double_answers", f"{job.answers[0][0]}: {job.task} was accepted by {job.placer} and answered "
-                       f"by {placer}")
+            out.breach(
+                "double_answers",
+                f"{job.answers[0][0]}: {job.task} was accepted by {job.placer} and answered "
+                f"by {placer}",
+            )
 
 
 class Past:
@@ -93,19 +115,28 @@
             if each.what == "offer" and data.get("session") and not data["late"]:
                 told = data.get("until_us", 0)
                 if (told and each.at_us > told + run.slack_us) or any(
-                        begin + right < each.at_us < end for begin, end in self._gaps(data["session"])):
-                    self._out.breach("past_lease", f"{each.at_us}: {data['placer']} sent {data['pod']} past its lease")
+                    begin + right < each.at_us < end for begin, end in self._gaps(data["session"])
+                ):
+                    self._out.breach(
+                        "past_lease",
+                        f"{each.at_us}: {data['placer']} sent {data['pod']} past its lease",
+                    )
         last = max([run.end_us, *(each.at_us for each in run.records)])
         for one in self._jobs.begun:
             end = min(one.end_us, last)
             if one.session and self._outlived(one, end):
-                self._out.breach("past_lease", f"{end}: {one.pod} ran on {one.machine} past its lease")
+                self._out.breach(
+                    "past_lease", f"{end}: {one.pod} ran on {one.machine} past its lease"
+                )
 
     def _outlived(self, one: Begun, end_us: int) -> bool:
         most = self._run.lease_us + self._run.slack_us
         if one.end_us != NEVER and one.until_us and one.end_us > one.until_us + self._run.slack_us:
             return True
-        return any(max(one.at_us, begin + most) < min(end_us, end) for begin, end in self._gaps(one.session))
+        return any(
+            max(one.at_us, begin + most) < min(end_us, end)
+            for begin, end in self._gaps(one.session)
+        )
 
     def _gaps(self, session: str) -> list[tuple[int, int]]:
         placer = session.rsplit("/", 2)[0]
@@ -113,7 +144,8 @@
         if life is None:
             return []
         return [(begin, end) for begin, end in self._reach.gaps(placer) if begin < life.end_us] + [
-            (life.end_us, NEVER)]
+            (life.end_us, NEVER)
+        ]
 
 
 def _judge_early(run: Run, out: Verdict, jobs: Jobs) -> None:
@@ -125,28 +157,57 @@
     afters = [each["after_us"] for each in run.specs.values() if each["after_us"]]
     for job in jobs.jobs.values():
         for later in job.begun:
-            held = max((until for at, epoch, until, _ in _copies(job) if epoch < later.epoch and at <= later.at_us),
-                       default=0)
+            held = max(
+                (
+                    until
+                    for at, epoch, until, _ in _copies(job)
+                    if epoch < later.epoch and at <= later.at_us
+                ),
+                default=0,
+            )
             if later.at_us < held - run.slack_us:
-                out.breach("early_reissues", f"{later.at_us}: {job.task} on {later.machine}, leased until {held} to "
-                           "one before")
+                out.breach(
+                    "early_reissues",
+                    f"{later.at_us}: {job.task} on {later.machine}, leased until {held} to "
+                    "one before",
+                )
                 continue
-            for session in {session for _, epoch, _, session in _copies(job) if session and epoch < later.epoch}:
-                holder, until = session.rsplit("/", 2)[0], min(later.at_us, ended.get(session, NEVER))
+            for session in {
+                session for _, epoch, _, session in _copies(job) if session and epoch < later.epoch
+            }:
+                holder, until = (
+                    session.rsplit("/", 2)[0],
+                    min(later.at_us, ended.get(session, NEVER)),
+                )
                 life = run.life(holder, jobs.seen_us(session))
                 if life is None:
                     continue
                 # A later life proves that this one is over: its session ends without `after`.
                 anew = run.life(holder, until) != life
-                least = reissued_after_us(run.lease_us, 0 if anew else min(afters, default=0), Times())
+                least = reissued_after_us(
+                    run.lease_us, 0 if anew else min(afters, default=0), Times()
+                )
                 well = touch.last(holder, min(until, life.end_us), life.begin_us, grants)
                 if well is not None and later.at_us < well + least - run.slack_us:
-                    out.breach("early_reissues", f"{later.at_us}: {job.task} on {later.machine}, though {holder} was "
-                               f"in touch until {well}")
+                    out.breach(
+                        "early_reissues",
+                        f"{later.at_us}: {job.task} on {later.machine}, though {holder} was "
+                        f"in touch until {well}",
+                    )
                     break
 
 
 def _copies(job: Job) -> list[tuple[int, int, int, str]]:
     """What machines told of a Job's offers and runs: (when, epoch, leased until, session)."""
-    return [*((each.at_us, each.data.get("epoch", 0), each.data.get("until_us", 0), each.data.get("session", ""))
-              for each in job.offers), *((one.at_us, one.epoch, one.until_us, one.session) for one in job.begun)]
+    return [
+        *(
+            (
+                each.at_us,
+                each.data.get("epoch", 0),
+                each.data.get("until_us", 0),
+                each.data.get("session", ""),
+            )
+            for each in job.offers
+        ),
+        *((one.at_us, one.epoch, one.until_us, one.session) for one in job.begun),
+    ]
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -12,18 +12,32 @@
 def judge_limits(run: Run, out: Verdict) -> None:
     """Whether one was passed at the sockets, or more is held at the end than there is."""
     limits = loosest(run.texts.values())
-    last = {name: [each["shares"] for each in lines if each["what"] == "rights" and each["at_us"] <= run.end_us]
-            for name, lines in run.histories.items()}
-    shares = {name: found[-1] for name, found in last.items() if found and run.up[name][-1].end_us == NEVER}
+    last = {
+        name: [
+            each["shares"]
+            for each in lines
+            if each["what"] == "rights" and each["at_us"] <= run.end_us
+        ]
+        for name, lines in run.histories.items()
+    }
+    shares = {
+        name: found[-1]
+        for name, found in last.items()
+        if found and run.up[name][-1].end_us == NEVER
+    }
     for words in (*over(limits, run.records), *unaccounted(limits, shares)):
         out.breach("limit_overs", words)
-    out.turned_away = sum(each.what == "turned-away" and each.data["code"] == 429 for each in run.records)
+    out.turned_away = sum(
+        each.what == "turned-away" and each.data["code"] == 429 for each in run.records
+    )
 
 
 def judge_closures(run: Run, out: Verdict) -> None:
     """Whether machines failed at as many placers as a verdict wants."""
     terms = Terms()
-    window = terms.span_us + 2 * Times().grant_us + (terms.lasts_us << terms.doublings) + run.slack_us
+    window = (
+        terms.span_us + 2 * Times().grant_us + (terms.lasts_us << terms.doublings) + run.slack_us
+    )
     first: dict[str, int] = {}  # when a verdict that still holds was heard of first
     for name, each in run.lines("verdicts"):
         at = each["at_us"]
@@ -32,6 +46,14 @@
             if at - first.get(machine, -NEVER) <= window - terms.span_us:
                 continue  # one that came to others before, or again after its prober's turn
             first[machine] = at
-            if unfounded(machine, at, terms.span_us + 2 * Times().grant_us + run.slack_us, terms.witnesses,
-                         run.records):
-                out.breach("unfounded_closures", f"{at}: {name} leaves {machine} alone, which hardly anybody saw fail")
+            if unfounded(
+                machine,
+                at,
+                terms.span_us + 2 * Times().grant_us + run.slack_us,
+                terms.witnesses,
+                run.records,
+            ):
+                out.breach(
+                    "unfounded_closures",
+                    f"{at}: {name} leaves {machine} alone, which hardly anybody saw fail",
+                )
--- a/wingbarrow/lab/fleet/judging/losses.py
+++ b/wingbarrow/lab/fleet/judging/losses.py
@@ -18,22 +18,38 @@
 NO_ROOM = ("OutOfcpu", "OutOfmemory", "TooManyRequests")
 
 
-def judge_losses(run: Run, out: Verdict, settings: PlacerSettings, jobs: Jobs, reach: Reach) -> None:
+def judge_losses(
+    run: Run, out: Verdict, settings: PlacerSettings, jobs: Jobs, reach: Reach
+) -> None:
     """Each region's losses."""
-    safe = {name for name, each in settings.classes.items() if each.task_class.effect is Effect.SAFE}
-    leased = [job for job in jobs.jobs.values() if job.task_class in safe
-              and run.specs.get(job.spec, {}).get("after_us")]
+    safe = {
+        name for name, each in settings.classes.items() if each.task_class.effect is Effect.SAFE
+    }
+    leased = [
+        job
+        for job in jobs.jobs.values()
+        if job.task_class in safe and run.specs.get(job.spec, {}).get("after_us")
+    ]
     after_us = max((run.specs[job.spec]["after_us"] for job in leased), default=0)
     stated = reissued_within_us(run.lease_us, after_us, 0, Times())
     for region, names in run.regions.items():
         if len(run.regions) < 2 or not any(place[0] == region for place in run.machines.values()):
             continue
         for begin, end in together([reach.gaps(name) for name in names]):
-            held = [job for job in leased if run.region(job.placer) == region and job.at_us < begin
-                    and _runs_here(run, job, region)]
+            held = [
+                job
+                for job in leased
+                if run.region(job.placer) == region
+                and job.at_us < begin
+                and _runs_here(run, job, region)
+            ]
             within = reissued_within_us(run.lease_us, after_us, len(held), Times()) + run.slack_us
             stated = max(stated, within)
-            if begin and min(end, run.end_us) >= begin + within and _well(run, reach, region, begin, begin + within):
+            if (
+                begin
+                and min(end, run.end_us) >= begin + within
+                and _well(run, reach, region, begin, begin + within)
+            ):
                 for job in held:
                     _judge_run(out, jobs, job, begin, within)
     out.stated_reissue_ms = stated // 1000
@@ -41,28 +57,44 @@
 
 def _judge_run(out: Verdict, jobs: Jobs, job: Job, lost_us: int, within_us: int) -> None:
     end = lost_us + within_us
-    again = min((one.at_us for one in job.begun if one.epoch and one.at_us > lost_us), default=NEVER)
+    again = min(
+        (one.at_us for one in job.begun if one.epoch and one.at_us > lost_us), default=NEVER
+    )
     if again != NEVER:
         out.longest_reissue_ms = max(out.longest_reissue_ms, (again - lost_us) // 1000)
     over = any(one.why in ("done", "") and one.end_us <= end for one in job.begun) or any(
-        at <= end and what != "placed" for at, _, what in job.answers)
-    full = any(jobs.refused.get(each.data["pod"]) in NO_ROOM for each in job.offers if each.data.get("epoch"))
+        at <= end and what != "placed" for at, _, what in job.answers
+    )
+    full = any(
+        jobs.refused.get(each.data["pod"]) in NO_ROOM
+        for each in job.offers
+        if each.data.get("epoch")
+    )
     if again > end and not over and not full:
-        out.breach("lost_runs", f"{lost_us}: {job.task} of {job.placer} was not started again within "
-                   f"{within_us // 1000} ms")
+        out.breach(
+            "lost_runs",
+            f"{lost_us}: {job.task} of {job.placer} was not started again within "
+            f"{within_us // 1000} ms",
+        )
 
 
 def _runs_here(run: Run, job: Job, region: str) -> bool:
     """Whether it was not handed over to another region before."""
-    return all(run.machines.get(one.machine, [""])[0] == region for one in job.begun if not one.epoch)
+    return all(
+        run.machines.get(one.machine, [""])[0] == region for one in job.begun if not one.epoch
+    )
 
 
 def _well(run: Run, reach: Reach, region: str, lost_us: int, end_us: int) -> bool:
     """Whether everybody else was, all the time that counts."""
     begin = lost_us - run.lease_us
     others = [name for name in run.names if name not in run.regions[region]]
-    return not any(gap[0] <= end_us and begin <= gap[1] for name in others for gap in reach.gaps(name)) and not any(
-        each.who in others and each.other in others and each.meets(begin, end_us) for each in run.apart)
+    return not any(
+        gap[0] <= end_us and begin <= gap[1] for name in others for gap in reach.gaps(name)
+    ) and not any(
+        each.who in others and each.other in others and each.meets(begin, end_us)
+        for each in run.apart
+    )
 
 
 def together(spans: list[list[tuple[int, int]]]) -> list[tuple[int, int]]:
--- a/wingbarrow/lab/fleet/judging/reach.py
+++ b/wingbarrow/lab/fleet/judging/reach.py
@@ -19,7 +19,9 @@
         self._apart: dict[frozenset[str], list[tuple[int, int]]] = {}
         self._away: dict[str, list[tuple[int, int]]] = {name: [] for name in run.names}
         for each in run.apart:
-            self._apart.setdefault(frozenset((each.who, each.other)), []).append((each.begin_us, each.end_us))
+            self._apart.setdefault(frozenset((each.who, each.other)), []).append(
+                (each.begin_us, each.end_us)
+            )
         for name, lives in run.up.items():
             edges = [0, *(at for life in lives for at in (life.begin_us, life.end_us)), NEVER]
             self._away[name] += [(edges[i], edges[i + 1]) for i in range(0, len(edges), 2)]
@@ -30,19 +32,34 @@
         """Whether it was in touch with one majority all the time between."""
         others = [name for name in self._run.voters if name != who]
         wanted = len(self._run.voters) // 2 + 1 - (who in self._run.voters)
-        return any(self._whole((who, *some), begin_us, end_us) for some in combinations(others, wanted))
+        return any(
+            self._whole((who, *some), begin_us, end_us) for some in combinations(others, wanted)
+        )
 
     def last(self, who: str, until_us: int, since_us: int, for_us: int) -> int | None:
         """The latest time up to one at which it had been in touch for so long, and after `since_us`; None: never."""
-        ends = {until_us, *(begin for spans in (*self._apart.values(), *self._away.values()) for begin, _ in spans)}
+        ends = {
+            until_us,
+            *(
+                begin
+                for spans in (*self._apart.values(), *self._away.values())
+                for begin, _ in spans
+            ),
+        }
         for at in sorted((at for at in ends if since_us + for_us <= at <= until_us), reverse=True):
             if self.since(who, at - for_us, at - 1):
                 return at
         return None
 
     def _whole(self, names: tuple[str, ...], begin_us: int, end_us: int) -> bool:
-        spans = [*(span for name in names for span in self._away[name]),
-                 *(span for pair in combinations(names, 2) for span in self._apart.get(frozenset(pair), ()))]
+        spans = [
+            *(span for name in names for span in self._away[name]),
+            *(
+                span
+                for pair in combinations(names, 2)
+                for span in self._apart.get(frozenset(pair), ())
+            ),
+        ]
         return not any(begin <= end_us and begin_us <= end for begin, end in spans)
 
 
@@ -53,8 +70,16 @@
 
     def __init__(self, run: Run) -> None:
         self._run, self._cuts = run, run.cuts
-        edges = {0, *(at for each in (*self._cuts, *run.stops) for at in (each.begin_us, each.end_us)),
-                 *(at for lives in run.up.values() for life in lives for at in (life.begin_us, life.end_us))}
+        edges = {
+            0,
+            *(at for each in (*self._cuts, *run.stops) for at in (each.begin_us, each.end_us)),
+            *(
+                at
+                for lives in run.up.values()
+                for life in lives
+                for at in (life.begin_us, life.end_us)
+            ),
+        }
         self._edges = sorted(edges)
         self._known: dict[str, list[tuple[int, int]]] = {}
 
@@ -77,13 +102,18 @@
         wanted = len(self._run.voters) // 2 + 1
         near = {voter for voter in here if self._linked(who, voter, at_us)}
         return self._up(who, at_us) and any(
-            sum(self._linked(leader, other, at_us) for other in here) >= wanted and (
-                leader in near or any(self._linked(voter, leader, at_us) for voter in near)) for leader in here)
+            sum(self._linked(leader, other, at_us) for other in here) >= wanted
+            and (leader in near or any(self._linked(voter, leader, at_us) for voter in near))
+            for leader in here
+        )
 
     def _up(self, name: str, at_us: int) -> bool:
         return any(life.begin_us <= at_us < life.end_us for life in self._run.up[name]) and not any(
-            each.who == name and each.begin_us <= at_us < each.end_us for each in self._run.stops)
+            each.who == name and each.begin_us <= at_us < each.end_us for each in self._run.stops
+        )
 
     def _linked(self, one: str, other: str, at_us: int) -> bool:
-        return one == other or not any(each.begin_us <= at_us < each.end_us and {each.who, each.other} == {one, other}
-                                       for each in self._cuts)
+        return one == other or not any(
+            each.begin_us <= at_us < each.end_us and {each.who, each.other} == {one, other}
+            for each in self._cuts
+        )
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -36,13 +36,19 @@
         wanted = limit.name if limit.about == "class" else ""
         if limit.kind == "rate":
             taken = self._accepted(wanted)
-            return bisect_right(taken, at_us) - bisect_left(taken, at_us - limit.window_us - slack_us)
+            return bisect_right(taken, at_us) - bisect_left(
+                taken, at_us - limit.window_us - slack_us
+            )
         return sum(begin <= at_us and at_us - slack_us <= end for begin, end in self._open(wanted))
 
     def _accepted(self, task_class: str) -> list[int]:
         if task_class not in self._taken:
-            self._taken[task_class] = sorted(each.at_us for each in self._records if each.what == "submit-failed" or (
-                each.what == "accepted" and task_class in ("", each.data["task_class"])))
+            self._taken[task_class] = sorted(
+                each.at_us
+                for each in self._records
+                if each.what == "submit-failed"
+                or (each.what == "accepted" and task_class in ("", each.data["task_class"]))
+            )
         return self._taken[task_class]
 
     def _open(self, task_class: str) -> list[tuple[int, int]]:
@@ -57,10 +63,17 @@
             elif each.what == "end" and (each.where, each.data["pod"]) in runs:
                 out.append((runs.pop((each.where, each.data["pod"])), each.at_us))
             elif each.what == "accepted" and task_class in ("", each.data["task_class"]):
-                waits[each.data["uid"]] = each.data["sent_us"], each.data["sent_us"] + each.data["patience_us"]
+                waits[each.data["uid"]] = (
+                    each.data["sent_us"],
+                    each.data["sent_us"] + each.data["patience_us"],
+                )
             elif each.what == "answer" and each.where == "owner" and each.data["uid"] in waits:
                 out.append((waits.pop(each.data["uid"])[0], each.at_us))
-        self._spans[task_class] = [*out, *waits.values(), *((begin, NEVER) for begin in runs.values())]
+        self._spans[task_class] = [
+            *out,
+            *waits.values(),
+            *((begin, NEVER) for begin in runs.values()),
+        ]
         return self._spans[task_class]
 
 
@@ -79,7 +92,16 @@
             limit = limits[found[1]]
             used = stood.at(limit, at, run.slack_us)
             if used < USED * limit.most and touch.since(placer, at - stated_us, at):
-                out.breach("needless_refusals",
-                           f"{at}: {placer} turned away by {limit.key}, {used} of {limit.most} were in use")
-        elif each.data["code"] == 503 and _NO_RULES in why and touch.since(placer, at - stated_us, at):
-            out.breach("needless_refusals", f"{at}: {placer} acted on no rules though in touch with a majority")
+                out.breach(
+                    "needless_refusals",
+                    f"{at}: {placer} turned away by {limit.key}, {used} of {limit.most} were in use",
+                )
+        elif (
+            each.data["code"] == 503
+            and _NO_RULES in why
+            and touch.since(placer, at - stated_us, at)
+        ):
+            out.breach(
+                "needless_refusals",
+                f"{at}: {placer} acted on no rules though in touch with a majority",
+            )
--- a/wingbarrow/lab/fleet/judging/run.py
+++ b/wingbarrow/lab/fleet/judging/run.py
@@ -14,7 +14,17 @@
 
 NEVER = 1 << 62
 SLACK_US = 250_000  # by which the rig itself may read an answer late, beside the worst lag that it saw of itself
-ON_LINKS = ("cut", "late", "slow", "lossy", "reset", "isolate", "deafen", "cut-region", "slow-region")
+ON_LINKS = (
+    "cut",
+    "late",
+    "slow",
+    "lossy",
+    "reset",
+    "isolate",
+    "deafen",
+    "cut-region",
+    "slow-region",
+)
 CUTS = ("cut", "isolate", "deafen", "cut-region")
 
 
@@ -29,8 +39,11 @@
 
     def meets(self, begin_us: int, end_us: int, *names: str) -> bool:
         """Whether it overlaps a time, and concerns one of some placers (any, without names)."""
-        return self.begin_us <= end_us and begin_us <= self.end_us and (
-            not names or self.who in names or self.other in names)
+        return (
+            self.begin_us <= end_us
+            and begin_us <= self.end_us
+            and (not names or self.who in names or self.other in names)
+        )
 
 
 def read_lines(path: Path) -> list[dict[str, Any]]:
@@ -41,7 +54,7 @@
         try:
             out.append(json.loads(line))
         except ValueError:
-            if line and number < len(raw) - 1 and not raw[number + 1:][0].startswith(b"{"):
+            if line and number < len(raw) - 1 and not raw[number + 1 :][0].startswith(b"{"):
                 raise
     return out
 
@@ -58,18 +71,26 @@
         self.folder = folder
         fleet = json.loads((folder / "fleet.json").read_text())
         self.size: dict[str, Any] = fleet["size"]
-        self.machines: dict[str, list[str]] = fleet.get("machines", {})  # region, zone and cell of each
+        self.machines: dict[str, list[str]] = fleet.get(
+            "machines", {}
+        )  # region, zone and cell of each
         self.specs: dict[str, dict[str, Any]] = fleet.get("specs", {})
         self.class_specs: dict[str, str] = fleet.get("class_specs", {})
         self.lease_us = int(self.size.get("lease_s", 10) * 1_000_000)
-        self.names: list[str] = fleet.get("names") or [f"placer-{index}" for index in range(self.size["placers"])]
-        self.voters: list[str] = fleet.get("voters") or self.names[:3 if len(self.names) < 7 else 5]
+        self.names: list[str] = fleet.get("names") or [
+            f"placer-{index}" for index in range(self.size["placers"])
+        ]
+        self.voters: list[str] = (
+            fleet.get("voters") or self.names[: 3 if len(self.names) < 7 else 5]
+        )
         self.events = read_lines(folder / "events.jsonl")
         self.histories = {name: read_lines(folder / f"{name}.history.jsonl") for name in self.names}
         self.records: list[Record] = Recorder.read(folder / "recording.jsonl")
         self.rules = Rules()
         self.end_us = next((each["at_us"] for each in self.events if each["what"] == "over"), 0)
-        self.slack_us = SLACK_US + max((each.get("lag_worst_us", 0) for each in self.events), default=0)
+        self.slack_us = SLACK_US + max(
+            (each.get("lag_worst_us", 0) for each in self.events), default=0
+        )
         self.up: dict[str, list[Span]] = {name: [] for name in self.names}
         self.regions: dict[str, list[str]] = fleet.get("regions", {})  # placers of each
         self.troubles: list[Span] = []
@@ -92,7 +113,12 @@
             elif what == "killed":
                 self.up[who].append(Span(begun.pop(who), at, who))
                 down[who] = at
-            elif what in ("fault", "healed") and each["kind"] not in ("stop", "kill", "faulty", "kill-region"):
+            elif what in ("fault", "healed") and each["kind"] not in (
+                "stop",
+                "kill",
+                "faulty",
+                "kill-region",
+            ):
                 key = (each["kind"], who, each["other"], str(each["amount"]), str(each["both"]))
                 if what == "fault":
                     open_[key] = at
@@ -118,7 +144,9 @@
         """A fault of links, or none that lasts: its two, one and all others, or all of a region and another's."""
         kind, who, other = key[:3]
         ones = self.regions.get(who, [who])
-        others = self.regions.get(other, [other] if other else [name for name in self.names if name not in ones])
+        others = self.regions.get(
+            other, [other] if other else [name for name in self.names if name not in ones]
+        )
         spans = [Span(begin_us, end_us, a, b) for a in ones for b in others]
         if kind in ON_LINKS:
             self.apart += spans
@@ -138,7 +166,12 @@
 
     def lines(self, what: str) -> list[tuple[str, dict[str, Any]]]:
         """All lines of a kind in the histories, by time: (whose, line)."""
-        found = [(name, each) for name, lines in self.histories.items() for each in lines if each["what"] == what]
+        found = [
+            (name, each)
+            for name, lines in self.histories.items()
+            for each in lines
+            if each["what"] == what
+        ]
         return sorted(found, key=lambda one: (int(one[1]["at_us"]), one[0]))
 
     def region(self, placer: str) -> str:
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -26,16 +26,26 @@
 
     def since_us(self, *states: str) -> int:
         """When it entered one of some first."""
-        return min((self.entered[state] for state in states if state in self.entered), default=NEVER)
+        return min(
+            (self.entered[state] for state in states if state in self.entered), default=NEVER
+        )
 
 
 def judge_turns(run: Run, out: Verdict) -> None:
     """All lines that are about turns."""
     if not run.machines:
         return
-    turns = {each["number"]: Turn(each["number"], each["machine"], each["urgency"], each["at_us"],
-                                  each["told"].get("askedUs", 0))
-             for each in run.events if each["what"] == "turn-asked" and isinstance(each["number"], int)}
+    turns = {
+        each["number"]: Turn(
+            each["number"],
+            each["machine"],
+            each["urgency"],
+            each["at_us"],
+            each["told"].get("askedUs", 0),
+        )
+        for each in run.events
+        if each["what"] == "turn-asked" and isinstance(each["number"], int)
+    }
     out.turns = len(turns)
     for _, each in run.lines("turn"):
         turn = turns.setdefault(each["number"], Turn(each["number"], each["machine"], 0, NEVER, 0))
@@ -54,7 +64,11 @@
         at = turn.since_us("out")
         if at == NEVER:
             continue
-        gone = {each.machine for each in turns if each.since_us("out") <= at < each.since_us("back", "done")}
+        gone = {
+            each.machine
+            for each in turns
+            if each.since_us("out") <= at < each.since_us("back", "done")
+        }
         gone |= _lost(run, at)
         for budget in Rules().budgets:
             length = {Scope.CELL: 3, Scope.ZONE: 2}.get(budget.scope)
@@ -64,8 +78,11 @@
             inside = [name for name, each in run.machines.items() if each[:length] == place]
             away, most = sum(name in gone for name in inside), budget.most_out(len(inside))
             if away > most:
-                out.breach("turn_overs", f"{at}: turn {turn.number} took {turn.machine} out, {away} of "
-                           f"{'/'.join(place)} are; {most} may be")
+                out.breach(
+                    "turn_overs",
+                    f"{at}: turn {turn.number} took {turn.machine} out, {away} of "
+                    f"{'/'.join(place)} are; {most} may be",
+                )
                 break
 
 
@@ -91,14 +108,26 @@
     for later in turns:
         at = later.since_us(*TAKEN)
         for other in turns if at != NEVER and later.asked_us != NEVER else ():
-            if other is later or run.machines[other.machine] != run.machines[later.machine] or other.machine == (
-                    later.machine):
+            if (
+                other is later
+                or run.machines[other.machine] != run.machines[later.machine]
+                or other.machine == (later.machine)
+            ):
                 continue
-            waited = other.asked_us <= at - KNOWN_US and other.since_us(*TAKEN, "given-back") > at + KNOWN_US
-            if waited and _level(other) < _level(later) and not any(
-                    _shaken(run, each.machine, at) for each in (other, later)):
-                out.breach("turn_disorder", f"{at}: turn {later.number} of {later.machine} was closed before "
-                           f"{other.number} of {other.machine}")
+            waited = (
+                other.asked_us <= at - KNOWN_US
+                and other.since_us(*TAKEN, "given-back") > at + KNOWN_US
+            )
+            if (
+                waited
+                and _level(other) < _level(later)
+                and not any(_shaken(run, each.machine, at) for each in (other, later))
+            ):
+                out.breach(
+                    "turn_disorder",
+                    f"{at}: turn {later.number} of {later.machine} was closed before "
+                    f"{other.number} of {other.machine}",
+                )
 
 
 def _level(turn: Turn) -> int:
@@ -109,9 +138,12 @@
 def _shaken(run: Run, machine: str, at_us: int) -> bool:
     """Whether a machine, or a placer of its region, was away lately."""
     names = run.regions.get(run.machines[machine][0], run.names)
-    return any(each.where == machine and each.what in ("die", "launch") and at_us - 2 * KNOWN_US <= each.at_us <= at_us
-               for each in run.records) or any(
-        each.meets(at_us - 2 * KNOWN_US, at_us, *names) for each in run.troubles)
+    return any(
+        each.where == machine
+        and each.what in ("die", "launch")
+        and at_us - 2 * KNOWN_US <= each.at_us <= at_us
+        for each in run.records
+    ) or any(each.meets(at_us - 2 * KNOWN_US, at_us, *names) for each in run.troubles)
 
 
 def _judge_work(run: Run, out: Verdict) -> None:
@@ -125,7 +157,10 @@
         elif each.what == "start":
             running.setdefault(where, set()).add(data["pod"])
             if where in worked:
-                out.breach("worked_on_busy", f"{each.at_us}: {data['pod']} started on {where} in turn {worked[where]}")
+                out.breach(
+                    "worked_on_busy",
+                    f"{each.at_us}: {data['pod']} started on {where} in turn {worked[where]}",
+                )
         elif each.what == "end":
             running.setdefault(where, set()).discard(data["pod"])
         elif each.what == "work-end":
@@ -134,5 +169,8 @@
             worked[where] = data["turn"]
             there = max(int(data["tasks"]), len(running.get(where, ())))
             if there:
-                out.breach("worked_on_busy", f"{each.at_us}: {where} was worked on in turn {data['turn']} with {there} "
-                           "task(s) on it")
+                out.breach(
+                    "worked_on_busy",
+                    f"{each.at_us}: {where} was worked on in turn {data['turn']} with {there} "
+                    "task(s) on it",
+                )
--- a/wingbarrow/lab/fleet/judging/verdict.py
+++ b/wingbarrow/lab/fleet/judging/verdict.py
@@ -7,10 +7,27 @@
 
 from wingbarrow.lab.audit import Audit
 
-BREACHES = ("unfounded_burials", "late_burials", "not_healed", "contradictions", "forbidden_sends", "limit_overs",
-            "unfounded_closures", "not_on_last", "ended_badly", "needless_refusals",
-            "double_starts", "past_lease", "early_reissues", "lost_runs", "forbidden_regions", "turn_overs",
-            "worked_on_busy", "turn_disorder", "double_answers")
+BREACHES = (
+    "unfounded_burials",
+    "late_burials",
+    "not_healed",
+    "contradictions",
+    "forbidden_sends",
+    "limit_overs",
+    "unfounded_closures",
+    "not_on_last",
+    "ended_badly",
+    "needless_refusals",
+    "double_starts",
+    "past_lease",
+    "early_reissues",
+    "lost_runs",
+    "forbidden_regions",
+    "turn_overs",
+    "worked_on_busy",
+    "turn_disorder",
+    "double_answers",
+)
 NOTES_MOST = 100
 
 
@@ -85,4 +102,9 @@
         """The last line of a run."""
         own = {key: value for key, value in vars(self).items() if key not in ("audit", "notes")}
         audit = {key: value for key, value in self.audit.line().items() if key != "kind"}
-        return {"kind": "verdict", **own, **audit, "double_answers": self.double_answers + self.audit.double_answers}
+        return {
+            "kind": "verdict",
+            **own,
+            **audit,
+            "double_answers": self.double_answers + self.audit.double_answers,
+        }
--- a/wingbarrow/lab/fleet/layout.py
+++ b/wingbarrow/lab/fleet/layout.py
@@ -29,7 +29,9 @@
     regions: int = 0
     leases: bool = True
     lease_s: float = 10.0
-    after_s: float = 12.0  # of leased classes' specs; longer by a quarter where nothing may start twice
+    after_s: float = (
+        12.0  # of leased classes' specs; longer by a quarter where nothing may start twice
+    )
     subsets: int = 0  # each machine is held by so many placers of its region; 0: by all of them
 
     @property
@@ -47,9 +49,11 @@
         self.size = size
         self.names = [f"placer-{index}" for index in range(size.placers)]
         self.regions: dict[str, list[str]] = {
-            region: self.names[at::size.regions] for at, region in enumerate(REGIONS[:size.regions])}
+            region: self.names[at :: size.regions]
+            for at, region in enumerate(REGIONS[: size.regions])
+        }
         witness = size.regions == 2
-        self.voters = self.names[:size.voters - witness] + [WITNESS] * witness
+        self.voters = self.names[: size.voters - witness] + [WITNESS] * witness
         self.all = self.names + [WITNESS] * witness
         self.places = {**self.regions, **({THIRD: [WITNESS]} if witness else {})}
         self._region = {name: region for region, names in self.places.items() for name in names}
@@ -67,7 +71,10 @@
         size = self.size
         if not self.regions:
             return {"": size.machines}
-        return {region: len(range(at, size.machines, size.regions)) for at, region in enumerate(self.regions)}
+        return {
+            region: len(range(at, size.machines, size.regions))
+            for at, region in enumerate(self.regions)
+        }
 
     def far(self, one: str, other: str) -> bool:
         """Whether a link goes from a region to another."""
@@ -81,13 +88,20 @@
             return {}
         every, most = list(self.regions), list(self.regions)[:-1]
         after_us = int(self.size.after_s * SECOND)
-        return {"steady": {"regions": every, "after_us": after_us}, "parcels": {"regions": every, "after_us": after_us},
-                "books": {"regions": every, "after_us": after_us * 5 // 4},
-                "homebound": {"regions": most, "after_us": 0}}
+        return {
+            "steady": {"regions": every, "after_us": after_us},
+            "parcels": {"regions": every, "after_us": after_us},
+            "books": {"regions": every, "after_us": after_us * 5 // 4},
+            "homebound": {"regions": most, "after_us": 0},
+        }
 
     def class_specs(self) -> dict[str, str]:
         """The spec that a class goes by."""
-        return {"tracked": "steady", "parcel": "parcels", "settlement": "books"} if self.specs() else {}
+        return (
+            {"tracked": "steady", "parcel": "parcels", "settlement": "books"}
+            if self.specs()
+            else {}
+        )
 
     def text(self, name: str, text: str) -> str:
         """Settings of a placer, with its region, and classes and specs of the play."""
@@ -96,11 +110,15 @@
             return text
         first, _, rest = text.partition("\n")
         bare = name == WITNESS
-        first = f'placer "{name}" region="{region}"{first[first.index(" index="):]}{" machines=false" * bare}'
+        first = f'placer "{name}" region="{region}"{first[first.index(" index=") :]}{" machines=false" * bare}'
         if bare:
-            rest = "\n".join(line for line in rest.split("\n") if not line.startswith("list-source"))
+            rest = "\n".join(
+                line for line in rest.split("\n") if not line.startswith("list-source")
+            )
         if self.specs():
-            rest = rest.replace('class "settlement" effect', 'class "settlement" federation="books" effect')
+            rest = rest.replace(
+                'class "settlement" effect', 'class "settlement" federation="books" effect'
+            )
         return f"{first}\n{rest}{self._federation()}"
 
     def _federation(self) -> str:
@@ -110,18 +128,25 @@
 
         def quoted(names: list[str]) -> str:
             return " ".join(f'"{each}"' for each in names)
+
         most = specs["homebound"]["regions"]
         copies = "".join(f'    copy "{region}"\n' for region in most)
-        out = (f'dataset "ledger" {{\n{copies}    stays {quoted(most)}\n}}\ndataset "catalog" {{\n{copies}}}\n'
-               'class "tracked" effect="safe" federation="steady" patience="5s" {\n    spread by="cell" most=3\n}\n'
-               'class "parcel" effect="keyed" group="all" window="15s" federation="parcels" patience="5s"\n')
+        out = (
+            f'dataset "ledger" {{\n{copies}    stays {quoted(most)}\n}}\ndataset "catalog" {{\n{copies}}}\n'
+            'class "tracked" effect="safe" federation="steady" patience="5s" {\n    spread by="cell" most=3\n}\n'
+            'class "parcel" effect="keyed" group="all" window="15s" federation="parcels" patience="5s"\n'
+        )
         for name, each in specs.items():
             after = each["after_us"]
-            reads = {"steady": '    reads "catalog" near="wanted" much="2Gi"\n',
-                     "homebound": '    reads "ledger" near="required"\n'}.get(name, "")
+            reads = {
+                "steady": '    reads "catalog" near="wanted" much="2Gi"\n',
+                "homebound": '    reads "ledger" near="required"\n',
+            }.get(name, "")
             failover = f'    failover "lost" after="{after // 1000}ms"\n' if after else ""
-            out += (f'federation "{name}" {{\n    allow {quoted(each["regions"])}\n{reads}{failover}'
-                    f'    over lower=60 upper=90\n}}\n')
+            out += (
+                f'federation "{name}" {{\n    allow {quoted(each["regions"])}\n{reads}{failover}'
+                f"    over lower=60 upper=90\n}}\n"
+            )
         return out
 
     def subset(self, name: str) -> str:
@@ -129,8 +154,10 @@
         if not self.size.subsets or name == WITNESS:
             return ""
         roster = " ".join(f'"{each}"' for each in self.mates(name))
-        return (f'subset replicas={self.size.subsets} {{\n    roster {roster}\n    leave-after "2s"\n'
-                '    settle "500ms"\n}\n')
+        return (
+            f'subset replicas={self.size.subsets} {{\n    roster {roster}\n    leave-after "2s"\n'
+            '    settle "500ms"\n}\n'
+        )
 
     def held(self, name: str, machines: list[str]) -> int:
         """How many of its region's machines a placer holds while all placers live."""
@@ -146,11 +173,24 @@
         leases = bool(self.specs())
 
         def line(what: str, name: str) -> str:
-            where = (f' region="{self.region(name)}"' + " machines=false" * (name == WITNESS)) if leases else ""
+            where = (
+                (f' region="{self.region(name)}"' + " machines=false" * (name == WITNESS))
+                if leases
+                else ""
+            )
             return f'    {what} "{name}"{where}\n'
+
         most = int(size.rate * (60 if self.regions else 9))
-        limits = (f'    limit "namespace/default" most={most} stranded="40s"\n'
-                  f'    limit "class/web" most={int(size.rate * 10)} per="5s"\n    limit "cold"\n')
-        return "".join([f'agree lease="{int(size.lease_s * 1000)}ms" {{\n' if leases else "agree {\n",
-                        *[line("voter", name) for name in self.voters],
-                        *[line("member", name) for name in self.all if name not in self.voters], limits, "}\n"])
+        limits = (
+            f'    limit "namespace/default" most={most} stranded="40s"\n'
+            f'    limit "class/web" most={int(size.rate * 10)} per="5s"\n    limit "cold"\n'
+        )
+        return "".join(
+            [
+                f'agree lease="{int(size.lease_s * 1000)}ms" {{\n' if leases else "agree {\n",
+                *[line("voter", name) for name in self.voters],
+                *[line("member", name) for name in self.all if name not in self.voters],
+                limits,
+                "}\n",
+            ]
+        )
--- a/wingbarrow/lab/fleet/leasehold.py
+++ b/wingbarrow/lab/fleet/leasehold.py
@@ -106,10 +106,18 @@
         self.ended: dict[Session, Ended] = {}
         self.changes: list[Session] = []  # each change of an end, in order
         self.unclaimed: dict[Session, int] = {}
-        self._named: dict[tuple[Session, str], Session] = {}  # under which session a successor was named
-
-    def ask(self, now_us: int, session: Session, leased: int, kept: tuple[Kept, ...], heard: int,
-            ) -> tuple[Session, list[Ended], int]:
+        self._named: dict[
+            tuple[Session, str], Session
+        ] = {}  # under which session a successor was named
+
+    def ask(
+        self,
+        now_us: int,
+        session: Session,
+        leased: int,
+        kept: tuple[Kept, ...],
+        heard: int,
+    ) -> tuple[Session, list[Ended], int]:
         """A grant: the session that is open from now on, the ends that were changed since, up to where."""
         if session in self.ended:
             # Danger: what it said was of before it knew; it is named as a successor only once it asks by its new one.
@@ -117,7 +125,11 @@
         self.open[session] = Open(now_us, leased, kept)
         self.decide(now_us)
         news = list(dict.fromkeys(self.changes[heard:]))
-        return session, sorted((self.ended[each] for each in news), key=lambda each: each.epoch), len(self.changes)
+        return (
+            session,
+            sorted((self.ended[each] for each in news), key=lambda each: each.epoch),
+            len(self.changes),
+        )
 
     def decide(self, now_us: int) -> None:
         """End what was not renewed for long enough, and name who succeeds."""
@@ -129,14 +141,20 @@
                 self.changes.append(session)
                 self.unclaimed[session] = held.leased
                 for other, end in list(self.ended.items()):
-                    if self._named.get((other, session.placer), session) <= session != other \
-                            and (other, session.placer) in self._named and session.placer not in end.gone:
+                    if (
+                        self._named.get((other, session.placer), session) <= session != other
+                        and (other, session.placer) in self._named
+                        and session.placer not in end.gone
+                    ):
                         self.ended[other] = replace(end, gone=(*end.gone, session.placer))
                         self.changes.append(other)
         for session, end in self.ended.items():
             named = {name for batch in end.batches for name in batch}
-            heard = {each.placer: each for each, held in self.open.items() if each.placer not in named
-                     and any(kept.session == session for kept in held.kept)}
+            heard = {
+                each.placer: each
+                for each, held in self.open.items()
+                if each.placer not in named and any(kept.session == session for kept in held.kept)
+            }
             if heard:
                 self.ended[session] = replace(end, batches=(*end.batches, tuple(sorted(heard))))
                 self._named |= {(session, name): under for name, under in heard.items()}
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -23,8 +23,19 @@
 SLOW = 5e-4  # of a machine's clock, at worst
 KEEPERS = 2
 LATE_US = 2_500_000
-KINDS = ("cut", "one way", "between", "heal", "lose", "late", "stop", "kill", "kill region", "return",
-         "flap")
+KINDS = (
+    "cut",
+    "one way",
+    "between",
+    "heal",
+    "lose",
+    "late",
+    "stop",
+    "kill",
+    "kill region",
+    "return",
+    "flap",
+)
 SLACK_US = 1_500_000  # for asks that are lost now and then, beyond the formula
 
 
@@ -64,11 +75,21 @@
 class Leaseholders(Assembly):
     """`count` placers in `regions` regions, dealt out evenly; the first voters are of all regions."""
 
-    def __init__(self, count: int, voters: int, seed: int, regions: int = 3, lease_us: int = 4 * SECOND,
-                 after_us: int = 6 * SECOND, times: Times = Times()) -> None:  # noqa: B008 - frozen
+    def __init__(
+        self,
+        count: int,
+        voters: int,
+        seed: int,
+        regions: int = 3,
+        lease_us: int = 4 * SECOND,
+        after_us: int = 6 * SECOND,
+        times: Times = Times(),
+    ) -> None:
         self.lease_us, self.after_us = lease_us, after_us
         self.regions = [f"region-{index}" for index in range(regions)]
-        self.kept: dict[str, dict[Session, int]] = {}  # by keeper: what for, since when it knows of the end (0: open)
+        self.kept: dict[
+            str, dict[Session, int]
+        ] = {}  # by keeper: what for, since when it knows of the end (0: open)
         self.leases: dict[str, Lease] = {}
         self.histories: dict[Session, Life] = {}
         self.faults: list[str] = []
@@ -93,13 +114,23 @@
         lease, self.kept[name] = Lease(name, self.region(name)), {}
         self.leases[name] = lease
         lease.leased = lambda: 1
-        lease.keeping = lambda: tuple(Kept(session, 1, self.after_us) for session in sorted(self.kept[name]))
+        lease.keeping = lambda: tuple(
+            Kept(session, 1, self.after_us) for session in sorted(self.kept[name])
+        )
         chapters = (Decided(self, self.lease_us),) if name in self.voters else ()
         if chapters:
             self._cores[name] = chapters[0]
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
-        return Agreement(name, self.voters, disk, self.random.randrange(1 << 30), self.times, self.lives[name],
-                         chapters, (lease,))
+        return Agreement(
+            name,
+            self.voters,
+            disk,
+            self.random.randrange(1 << 30),
+            self.times,
+            self.lives[name],
+            chapters,
+            (lease,),
+        )
 
     def found(self) -> None:
         """Have a leader, first rules, and a session for everybody."""
@@ -110,7 +141,8 @@
     def all_open(self) -> bool:
         """Whether every placer may send."""
         return len(self.members) == len(self.names) and all(
-            lease.may_send(self.clock_us(name)) for name, lease in self.leases.items())
+            lease.may_send(self.clock_us(name)) for name, lease in self.leases.items()
+        )
 
     def one_log(self) -> bool:
         """Whether all voters have the same state."""
@@ -136,8 +168,10 @@
         self.with_successor += bool(successors)
         self._watched.pop(session, None)
         if self.now_us < max(life.sent_us, life.runs_us):
-            self.faults.append(f"{self.now_us}: {session.text()} ended, though it sends until {life.sent_us} and runs "
-                               f"until {life.runs_us}")
+            self.faults.append(
+                f"{self.now_us}: {session.text()} ended, though it sends until {life.sent_us} and runs "
+                f"until {life.runs_us}"
+            )
         present = self.lives[session.placer] == session.life
         if present and life.asked_us and self.now_us < life.asked_us + self.after_us:
             self.faults.append(f"{self.now_us}: {session.text()} ended sooner than after `after`")
@@ -154,7 +188,9 @@
         if name != session.placer and life.told_us is None:
             life.told_us = self.now_us
         if life.decided_us is None:
-            self.faults.append(f"{self.now_us}: {name} heard of the end of {session.text()}, which is not decided")
+            self.faults.append(
+                f"{self.now_us}: {name} heard of the end of {session.text()}, which is not decided"
+            )
         if session in self.kept[name] and not self.kept[name][session]:
             self.kept[name][session] = self.now_us
 
@@ -177,10 +213,14 @@
         self.sends += 1
         life.sent_us = self.now_us + HOLD_US
         life.asked_us = self.now_us - (local - lease.asked_us)
-        life.runs_us = max(life.runs_us, self.now_us + int((lease.runs_until_us - local) / (1 - SLOW)))
+        life.runs_us = max(
+            life.runs_us, self.now_us + int((lease.runs_until_us - local) / (1 - SLOW))
+        )
         if life.told_us is not None or life.decided_us is not None:
-            self.faults.append(f"{self.now_us}: {session.text()} sends, though its end was decided at "
-                               f"{life.decided_us} and told at {life.told_us}")
+            self.faults.append(
+                f"{self.now_us}: {session.text()} sends, though its end was decided at "
+                f"{life.decided_us} and told at {life.told_us}"
+            )
 
     def _keep(self, name: str) -> None:
         """As custody does it: two keepers of other regions, in touch; what was taken over is let go in the end."""
@@ -190,21 +230,28 @@
         session = self.leases[name].session
         if session is None:
             return
-        some = [each for each in self.names if each in self.members and self.region(each) != self.region(name)
-                and self.in_touch(name, each)]
+        some = [
+            each
+            for each in self.names
+            if each in self.members
+            and self.region(each) != self.region(name)
+            and self.in_touch(name, each)
+        ]
         held = [each for each in some if session in self.kept[each]]
-        for each in [each for each in some if each not in held][:max(0, KEEPERS - len(held))]:
+        for each in [each for each in some if each not in held][: max(0, KEEPERS - len(held))]:
             self.kept[each][session] = 0
 
     def in_touch(self, one: str, other: str) -> bool:
         """Whether two that run hear each other."""
-        return all(each in self.members and each not in self.stopped for each in (one, other)) and not (
-            self.cut(one, other) or self.cut(other, one))
+        return all(
+            each in self.members and each not in self.stopped for each in (one, other)
+        ) and not (self.cut(one, other) or self.cut(other, one))
 
     def reaches(self, name: str, leader: str) -> bool:
         """Whether asks and grants pass between a placer and the leader, by way of a voter where not else."""
         return self.in_touch(name, leader) or any(
-            self.in_touch(name, each) and self.in_touch(each, leader) for each in self.voters)
+            self.in_touch(name, each) and self.in_touch(each, leader) for each in self.voters
+        )
 
     # -- ends in time
 
@@ -213,7 +260,9 @@
         leader = self.leader()
         raft = self.members[leader].raft if leader is not None else None
         led = (leader, raft.disk.term) if leader is not None and raft is not None else ("", 0)
-        touched = [each for each in self.voters if leader is not None and self.in_touch(leader, each)]
+        touched = [
+            each for each in self.voters if leader is not None and self.in_touch(leader, each)
+        ]
         if led != self._led or leader is None or 2 * len(touched) <= len(self.voters) or self.late:
             self._led = led
             self._watched.clear()
@@ -222,21 +271,33 @@
         for session in log.open:
             name = session.placer
             superseded = log.latest[name].session != session
-            heard = (name in self.members and self.lives[name] == log.latest[name].process
-                     and self.reaches(name, leader) and not superseded)
-            kept = any(session in self.kept[each] and self.reaches(each, leader) for each in self.members)
+            heard = (
+                name in self.members
+                and self.lives[name] == log.latest[name].process
+                and self.reaches(name, leader)
+                and not superseded
+            )
+            kept = any(
+                session in self.kept[each] and self.reaches(each, leader) for each in self.members
+            )
             held = self._watched.get(session)
             if heard or held is None or held.kept != kept:
                 self._watched[session] = Watched(self.now_us, kept)
                 continue
-            most = ended_within_us(self.lease_us, 0 if superseded else self.after_us if kept else None)
-            if name in self.members and any(not self.cut(name, each) and (each == leader or self.in_touch(each, leader))
-                                            for each in self.voters):
+            most = ended_within_us(
+                self.lease_us, 0 if superseded else self.after_us if kept else None
+            )
+            if name in self.members and any(
+                not self.cut(name, each) and (each == leader or self.in_touch(each, leader))
+                for each in self.voters
+            ):
                 most += deaf_us(self.lease_us)  # it may be heard, and not hear
             spent = self.now_us - held.since_us
             if spent > most + SLACK_US:
-                self.faults.append(f"{self.now_us}: {session.text()} is open {spent} us after all was still; {most} "
-                                   "are stated")
+                self.faults.append(
+                    f"{self.now_us}: {session.text()} is open {spent} us after all was still; {most} "
+                    "are stated"
+                )
                 held.since_us = self.now_us
         for gone in self._watched.keys() - log.open.keys():
             del self._watched[gone]
@@ -254,12 +315,14 @@
         if what in ("cut", "one way"):
             one = what == "one way"
             holders.cut = lambda a, b, side=side, one=one: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side))
+                (a in side and b not in side) or (not one and b in side and a not in side)
+            )
         elif what == "between":
             third = rng.choice(holders.regions)
             other = {name for name in holders.names if holders.region(name) == third} - side
             holders.cut = lambda a, b, side=side, other=other: (  # type: ignore[misc]
-                (a in side and b in other) or (b in side and a in other))
+                (a in side and b in other) or (b in side and a in other)
+            )
         elif what == "heal":
             holders.cut, holders.loss, holders.late = (lambda a, b: False), 0.0, 0.0
         elif what == "late":
--- a/wingbarrow/lab/fleet/leasemodel.py
+++ b/wingbarrow/lab/fleet/leasemodel.py
@@ -21,8 +21,18 @@
 # Job 0: nothing; a word to the keeper is under way; the keeper has it; so does the holder know; an offer is under way;
 # it runs; it has run; it was refused. Job 1: nothing, an offer is under way, it runs.
 IDLE, KEEP, KEPT, KNOWN, OFFER, RUNS, RAN, REFUSED = range(8)
-ERRORS = ("no_reckoning", "floor", "no_stop", "forgetful", "unkept", "from_arrival", "unconfirmed", "renews_ending",
-          "fence_forgets", "goes_on")
+ERRORS = (
+    "no_reckoning",
+    "floor",
+    "no_stop",
+    "forgetful",
+    "unkept",
+    "from_arrival",
+    "unconfirmed",
+    "renews_ending",
+    "fence_forgets",
+    "goes_on",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +66,9 @@
     reckoned: int  # ticks for which the leader still reckons with the session
     end: int
     held: _Left  # by the holder
-    way: tuple[str, _Left]  # ask, grant, or grant of a new session: what would be left of the lease it brings
+    way: tuple[
+        str, _Left
+    ]  # ask, grant, or grant of a new session: what would be left of the lease it brings
     renewal: _Left  # under way to the machine
     jobs: tuple[tuple[int, _Left], ...]  # phase, what is left of the lease it goes or runs by
     about: bool  # the keeper knows that job 0 is about to start
@@ -99,15 +111,22 @@
 
 def _tick(state: _State, plan: LeasePlan) -> Iterator[_State]:
     ways = [(state.way[0], after) if after.ticks else ("", NONE) for after in _aged(state.way[1])]
-    jobs = [list(_aged_job(phase, left, plan, bool(index))) for index, (phase, left) in enumerate(state.jobs)]
+    jobs = [
+        list(_aged_job(phase, left, plan, bool(index)))
+        for index, (phase, left) in enumerate(state.jobs)
+    ]
     for held in _aged(state.held):
         for way in ways:
             for renewal in _aged(state.renewal):
                 for first in jobs[0]:
                     for second in jobs[1] if len(jobs) > 1 else (None,):
                         yield state._replace(
-                            reckoned=max(0, state.reckoned - 1), held=held, way=way, renewal=renewal,
-                            jobs=(first,) if second is None else (first, second))
+                            reckoned=max(0, state.reckoned - 1),
+                            held=held,
+                            way=way,
+                            renewal=renewal,
+                            jobs=(first,) if second is None else (first, second),
+                        )
 
 
 def _session(state: _State, plan: LeasePlan) -> Iterator[tuple[str, _State]]:
@@ -118,7 +137,9 @@
         yield "loss", state._replace(way=("", NONE))
     else:
         yield "ask", state._replace(way=("ask", _Left(plan.lease, False)))
-    if kind == "ask" and (state.end == OPEN or (state.end == PROPOSED and plan.planted == "renews_ending")):
+    if kind == "ask" and (
+        state.end == OPEN or (state.end == PROPOSED and plan.planted == "renews_ending")
+    ):
         yield "answer", state._replace(way=("grant", left), reckoned=whole)
     if kind == "ask" and plan.planted == "unconfirmed":
         yield "answer by one deposed", state._replace(way=("grant", left))
@@ -147,12 +168,17 @@
     may = state.held.ticks == plan.lease or (plan.lease > 2 and state.held.ticks == plan.lease - 1)
     of_it = not state.back or plan.planted == "goes_on"
     if ready and of_it and (may or plan.planted == "floor"):
-        left = state.held if state.held.ticks else _Left(1, True)  # a floor knows of no lease: it makes one up
-        yield f"send {index}", _job(state, index, OFFER, left)._replace(late=state.late or state.end >= DECIDED)
+        left = (
+            state.held if state.held.ticks else _Left(1, True)
+        )  # a floor knows of no lease: it makes one up
+        yield (
+            f"send {index}",
+            _job(state, index, OFFER, left)._replace(late=state.late or state.end >= DECIDED),
+        )
 
 
 def _job(state: _State, index: int, phase: int, left: _Left = NONE) -> _State:
-    return state._replace(jobs=(*state.jobs[:index], (phase, left), *state.jobs[index + 1:]))
+    return state._replace(jobs=(*state.jobs[:index], (phase, left), *state.jobs[index + 1 :]))
 
 
 def _machine(state: _State, plan: LeasePlan) -> Iterator[tuple[str, _State]]:
@@ -169,8 +195,10 @@
             yield f"job {index} ends", _job(state, index, IDLE if index else RAN)
     if state.renewal.ticks:
         renewal = fresh or state.renewal
-        jobs = tuple((phase, max(left, renewal, key=_longer))
-                     if phase == RUNS else (phase, left) for phase, left in state.jobs)
+        jobs = tuple(
+            (phase, max(left, renewal, key=_longer)) if phase == RUNS else (phase, left)
+            for phase, left in state.jobs
+        )
         yield "renewal arrives", state._replace(renewal=NONE, jobs=jobs)
         yield "renewal lost", state._replace(renewal=NONE)
     elif state.held.ticks and (not state.back or plan.planted == "goes_on"):
@@ -199,8 +227,13 @@
     if not state.copies[0]:
         if not state.about:
             yield "successor starts 0", state._replace(copies=(True, *state.copies[1:]))
-        elif not state.fenced and phase != RUNS and (phase != RAN or plan.planted == "fence_forgets"):
-            yield "the machine proves 0", state._replace(fenced=True, copies=(True, *state.copies[1:]))
+        elif (
+            not state.fenced and phase != RUNS and (phase != RAN or plan.planted == "fence_forgets")
+        ):
+            yield (
+                "the machine proves 0",
+                state._replace(fenced=True, copies=(True, *state.copies[1:])),
+            )
     if len(state.jobs) > 1 and not state.copies[1]:
         yield "successor starts 1", state._replace(copies=(state.copies[0], True))
 
@@ -220,6 +253,17 @@
     """Every state that can be reached from a session that is open and holds nothing; MemoryError past `most`."""
     if plan.planted and plan.planted not in ERRORS:
         raise ValueError(f"no error {plan.planted!r}")
-    start = _State(plan.lease + 1, OPEN, NONE, ("", NONE), NONE, ((IDLE, NONE),) * plan.jobs, False, False,
-                   (False,) * plan.jobs, False, False)
+    start = _State(
+        plan.lease + 1,
+        OPEN,
+        NONE,
+        ("", NONE),
+        NONE,
+        ((IDLE, NONE),) * plan.jobs,
+        False,
+        False,
+        (False,) * plan.jobs,
+        False,
+        False,
+    )
     return search(start, _bad, lambda state: _steps(state, plan), most)
--- a/wingbarrow/lab/fleet/link.py
+++ b/wingbarrow/lab/fleet/link.py
@@ -24,12 +24,16 @@
     delay_us: int = 0
     bytes_per_s: int = 0  # 0: as fast as it goes
     reset_share: float = 0.0
-    twice_share: float = 0.0  # of what clients send: sent again on a connection of its own, the answer thrown away
+    twice_share: float = (
+        0.0  # of what clients send: sent again on a connection of its own, the answer thrown away
+    )
 
     @property
     def whole(self) -> bool:
         """Whether nothing is wrong with it."""
-        return not (self.cut or self.delay_us or self.bytes_per_s or self.reset_share or self.twice_share)
+        return not (
+            self.cut or self.delay_us or self.bytes_per_s or self.reset_share or self.twice_share
+        )
 
 
 class Proxy:
@@ -39,7 +43,9 @@
     many bytes have come back through it; `severed` refuses everything.
     """
 
-    def __init__(self, hub: Hub, port: int, say: Callable[[str], None] = lambda _: None, seed: int = 1) -> None:
+    def __init__(
+        self, hub: Hub, port: int, say: Callable[[str], None] = lambda _: None, seed: int = 1
+    ) -> None:
         self.hub = hub
         self.to = port
         self._listener: Listener = listen(hub, "127.0.0.1", 0, say)
@@ -124,7 +130,7 @@
                     raise PeerGone("reset here")
                 if back and self.cut_after is not None:
                     if len(data) >= self.cut_after:
-                        sink.send(data[:self.cut_after])
+                        sink.send(data[: self.cut_after])
                         self.cut_after = None
                         self.cuts += 1
                         raise PeerGone("cut here")
@@ -144,7 +150,7 @@
             sink.send(data)
             return
         for start in range(0, len(data), TRICKLE):
-            piece = data[start:start + TRICKLE]
+            piece = data[start : start + TRICKLE]
             sink.send(piece)
             if way.whole:
                 continue  # it was healed meanwhile
@@ -170,6 +176,7 @@
                 pass
             finally:
                 self._doubling -= 1
+
         self.hub.spawn(again, "second copy")
 
 
@@ -179,10 +186,16 @@
     `ports` are where they listen; a program that comes back on another port is told by `moved`.
     """
 
-    def __init__(self, hub: Hub, names: list[str], seed: int, say: Callable[[str], None] = lambda _: None) -> None:
+    def __init__(
+        self, hub: Hub, names: list[str], seed: int, say: Callable[[str], None] = lambda _: None
+    ) -> None:
         self.names = names
-        self.links = {(a, b): Proxy(hub, 1, say, seed * 10_007 + i * 101 + j)
-                      for i, a in enumerate(names) for j, b in enumerate(names) if a != b}
+        self.links = {
+            (a, b): Proxy(hub, 1, say, seed * 10_007 + i * 101 + j)
+            for i, a in enumerate(names)
+            for j, b in enumerate(names)
+            if a != b
+        }
 
     def moved(self, name: str, port: int) -> None:
         """A program listens there from now on."""
--- a/wingbarrow/lab/fleet/model.py
+++ b/wingbarrow/lab/fleet/model.py
@@ -74,7 +74,10 @@
     if kind == "ask":
         # Who asks with the edition in force has left those before; who does not may act on its last one meanwhile.
         released = told >= in_force or plan.hasty
-        yield f"answer with {in_force}", (edition, left, ("grant", age, in_force), GIVEN, 0 if released else old)
+        yield (
+            f"answer with {in_force}",
+            (edition, left, ("grant", age, in_force), GIVEN, 0 if released else old),
+        )
         return
     lasts = GRANT if plan.from_answer else GRANT - age
     if told > edition:
@@ -91,13 +94,33 @@
         if index and placers[index - 1] == placer:
             continue  # the same by symmetry
         for name, after in _one(placer, state.edition, plan):
-            yield name, _State(state.edition, _ordered((*placers[:index], after, *placers[index + 1:])))
+            yield (
+                name,
+                _State(state.edition, _ordered((*placers[:index], after, *placers[index + 1 :]))),
+            )
     if state.edition < W and (plan.no_wait or not any(each[4] for each in placers)):
-        yield f"step to {state.edition + 1}", _State(state.edition + 1, _ordered(
-            (edition, left, way, 0, max(current, old)) for edition, left, way, current, old in placers))
-    reckoned = 0 if plan.forgetful else GIVEN  # it knows of no grants: each was asked for before it was elected
-    yield "another leader", _State(state.edition, _ordered(
-        (edition, left, way, reckoned, reckoned) for edition, left, way, _, _ in placers))
+        yield (
+            f"step to {state.edition + 1}",
+            _State(
+                state.edition + 1,
+                _ordered(
+                    (edition, left, way, 0, max(current, old))
+                    for edition, left, way, current, old in placers
+                ),
+            ),
+        )
+    reckoned = (
+        0 if plan.forgetful else GIVEN
+    )  # it knows of no grants: each was asked for before it was elected
+    yield (
+        "another leader",
+        _State(
+            state.edition,
+            _ordered(
+                (edition, left, way, reckoned, reckoned) for edition, left, way, _, _ in placers
+            ),
+        ),
+    )
 
 
 def _ordered(placers: Iterable[Placer]) -> tuple[Placer, ...]:
@@ -110,8 +133,12 @@
     return search(start, _bad, lambda state: _steps(state, plan), most)
 
 
-def search(start: StateT, bad: Callable[[StateT], bool], steps: Callable[[StateT], Iterator[tuple[str, StateT]]],
-            most: int) -> Explored:
+def search(
+    start: StateT,
+    bad: Callable[[StateT], bool],
+    steps: Callable[[StateT], Iterator[tuple[str, StateT]]],
+    most: int,
+) -> Explored:
     """From a state by all steps, nearest first, to the first that is bad; MemoryError past `most` states."""
     came: dict[StateT, tuple[StateT, str] | None] = {start: None}
     line = [start]
@@ -152,13 +179,28 @@
 def _floor_steps(state: _Floors, plan: Plan) -> Iterator[tuple[str, _Floors]]:
     """As `_steps`; a placer that holds a floor's grant may go on by it."""
     placers = state.placers
-    yield "tick", _Floors(state.floor, state.accepted, max(0, state.out - 1), _ordered(_aged(each) for each in placers))
+    yield (
+        "tick",
+        _Floors(
+            state.floor,
+            state.accepted,
+            max(0, state.out - 1),
+            _ordered(_aged(each) for each in placers),
+        ),
+    )
     for index, placer in enumerate(placers):
         for name, after in _one(placer, state.floor, plan):
             out = FLOOR_GIVEN if state.floor == 1 and name.startswith("answer") else state.out
             # Only what is out of the first floor counts here: the reckoning by placer is not used.
-            yield name, _Floors(state.floor, state.accepted, out, _ordered(
-                (*placers[:index], (*after[:3], 0, 0), *placers[index + 1:])))
+            yield (
+                name,
+                _Floors(
+                    state.floor,
+                    state.accepted,
+                    out,
+                    _ordered((*placers[:index], (*after[:3], 0, 0), *placers[index + 1 :])),
+                ),
+            )
     yield "another leader", _Floors(state.floor, state.accepted, FLOOR_GIVEN, state.placers)
     if state.floor == 1:
         yield "lower the floor", _Floors(2, state.accepted, state.out, state.placers)
@@ -168,7 +210,13 @@
 
 def explore_floors(plan: Plan, most: int = 5_000_000) -> Explored:
     """As `explore`: nobody may go on by the first floor once w is accepted."""
+
     def bad(state: _Floors) -> bool:
         return state.accepted and any(each[0] == 1 and each[1] > 0 for each in state.placers)
-    return search(_Floors(1, False, 0, ((0, 0, None, 0, 0),) * plan.placers), bad,
-                   lambda state: _floor_steps(state, plan), most)
+
+    return search(
+        _Floors(1, False, 0, ((0, 0, None, 0, 0),) * plan.placers),
+        bad,
+        lambda state: _floor_steps(state, plan),
+        most,
+    )
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -27,7 +27,10 @@
 START_US = 60 * SECOND
 SEEDS = 3  # placers that all others name as peers
 LEAVE_US = 20 * SECOND
-STARVED_US, STARVED = SECOND // 2, 0.2  # looked at so often; waited for a processor for such a share of it
+STARVED_US, STARVED = (
+    SECOND // 2,
+    0.2,
+)  # looked at so often; waited for a processor for such a share of it
 
 
 class Slot:
@@ -59,18 +62,37 @@
     def open(self, faults: list[Fault]) -> None:
         """Make stand-ins and links; nothing runs yet."""
         hub, layout, seed = self.hub, self.layout, self.size.seed
-        self.clusters = {region: Cluster(hub, count, 0, seed + 1009 * at, self._log, region=region, record=self.record)
-                         for at, (region, count) in enumerate(layout.machines().items())}
+        self.clusters = {
+            region: Cluster(
+                hub, count, 0, seed + 1009 * at, self._log, region=region, record=self.record
+            )
+            for at, (region, count) in enumerate(layout.machines().items())
+        }
         self.network = Network(hub, self.names, seed)
         for (one, other), link in self.network.links.items():
             link.far_us = FAR_US if layout.far(one, other) else 0
-        self.slots = [Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)]
-        (self.folder / "fleet.json").write_text(json.dumps({
-            "size": asdict(self.size), "names": self.names, "voters": self.voters, "regions": layout.places,
-            "machines": {machine.name: [region, machine.build.zone, machine.build.cell]
-                         for region, cluster in self.clusters.items() for machine in cluster.machines},
-            "specs": layout.specs(), "class_specs": layout.class_specs(),
-            "faults": [asdict(fault) for fault in faults]}, indent=1))
+        self.slots = [
+            Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)
+        ]
+        (self.folder / "fleet.json").write_text(
+            json.dumps(
+                {
+                    "size": asdict(self.size),
+                    "names": self.names,
+                    "voters": self.voters,
+                    "regions": layout.places,
+                    "machines": {
+                        machine.name: [region, machine.build.zone, machine.build.cell]
+                        for region, cluster in self.clusters.items()
+                        for machine in cluster.machines
+                    },
+                    "specs": layout.specs(),
+                    "class_specs": layout.class_specs(),
+                    "faults": [asdict(fault) for fault in faults],
+                },
+                indent=1,
+            )
+        )
 
     @property
     def machines(self) -> list[Machine]:
@@ -149,15 +171,27 @@
         seeds = [name for name in self.names[:SEEDS] if name != slot.name]
         others = [name for name in self.names if name != slot.name]
         # All links are named, so that whatever address a placer gives itself, it is reached through its link.
-        peers = "".join(f'peer "127.0.0.1" port={self.network.links[slot.name, name].port} name="{name}"'
-                        f'{"" if name in seeds else " seed=false"}\n' for name in others)
+        peers = "".join(
+            f'peer "127.0.0.1" port={self.network.links[slot.name, name].port} name="{name}"'
+            f"{'' if name in seeds else ' seed=false'}\n"
+            for name in others
+        )
         state = self.folder / f"{slot.name}.state"
         state.mkdir(exist_ok=True)
         mates, cluster = self.layout.mates(slot.name), self.cluster(slot.name)
-        text = settings_text(mates.index(slot.name) if slot.name in mates else 0, len(mates),
-                             self.size.seed + slot.index, cluster.source.port if cluster else 1, 0, str(state))
-        return (self.layout.text(slot.name, text) + f'allow-peer "127.0.0.0/8"\nhistory "{self.folder}/{slot.name}'
-                f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}')
+        text = settings_text(
+            mates.index(slot.name) if slot.name in mates else 0,
+            len(mates),
+            self.size.seed + slot.index,
+            cluster.source.port if cluster else 1,
+            0,
+            str(state),
+        )
+        return (
+            self.layout.text(slot.name, text)
+            + f'allow-peer "127.0.0.0/8"\nhistory "{self.folder}/{slot.name}'
+            f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}'
+        )
 
     def watch(self) -> None:
         """Write down, for good, when a process was ready to run and the machine gave it no processor."""
@@ -179,8 +213,14 @@
         with Nursery(self.hub) as nursery:
             for slot in self.slots:
                 if slot.process is not None:
-                    nursery.spawn(lambda slot=slot: self.event(  # type: ignore[misc]
-                        "ended", who=slot.name, status=slot.process.end(signal.SIGTERM, LEAVE_US)), "ends")
+                    nursery.spawn(
+                        lambda slot=slot: self.event(  # type: ignore[misc]
+                            "ended",
+                            who=slot.name,
+                            status=slot.process.end(signal.SIGTERM, LEAVE_US),
+                        ),
+                        "ends",
+                    )
         self.record.write(self.folder / "recording.jsonl")
         self._events.close()
         self.network.close()
--- a/wingbarrow/lab/fleet/process.py
+++ b/wingbarrow/lab/fleet/process.py
@@ -29,8 +29,12 @@
         self._hub = hub
         error: Any = log.open("ab") if log is not None else subprocess.DEVNULL
         try:
-            self._process = subprocess.Popen([*PROGRAM, *arguments], stdout=subprocess.PIPE, stderr=error,
-                                             stdin=subprocess.DEVNULL)
+            self._process = subprocess.Popen(
+                [*PROGRAM, *arguments],
+                stdout=subprocess.PIPE,
+                stderr=error,
+                stdin=subprocess.DEVNULL,
+            )
         finally:
             if log is not None:
                 error.close()
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -29,7 +29,9 @@
 class Rig:
     """One play; `run` returns when it is over and everything is written."""
 
-    def __init__(self, hub: Hub, size: Size, faults: list[Fault], folder: Path, log: Callable[..., None]) -> None:
+    def __init__(
+        self, hub: Hub, size: Size, faults: list[Fault], folder: Path, log: Callable[..., None]
+    ) -> None:
         self._hub, self._faults = hub, faults
         self.places = Places(hub, size, folder, log)
         self.commands = Commands(self.places)
@@ -61,8 +63,10 @@
             for fault in self._faults:
                 nursery.spawn(lambda fault=fault: self._suffer(fault, begun), "fault")  # type: ignore[misc]
             for owners, wants in self._owners():
-                nursery.spawn(lambda owners=owners, wants=wants: owners.run(wants, until),  # type: ignore[misc]
-                              "owners")
+                nursery.spawn(
+                    lambda owners=owners, wants=wants: owners.run(wants, until),  # type: ignore[misc]
+                    "owners",
+                )
         hub.sleep_until(begun + int(size.seconds * SECOND))
         places.event("quiet")
         hub.sleep(SECOND)
@@ -85,10 +89,18 @@
             if region:
                 mix = replace(mix, rate=size.rate / size.regions, life_s=(5.0, 25.0))
             if places.layout.specs():
-                mix = replace(mix, settlement=0.08, classes=(("tracked", 0.35), ("parcel", 0.12)),
-                              federation=("homebound", 0.1))
-            out.append((Owners(self._hub, addresses, size.seed + 77 + 31 * at, places.record),
-                        draw(mix, size.seconds, size.seed + 5 + 31 * at, region[:1] or "w")))
+                mix = replace(
+                    mix,
+                    settlement=0.08,
+                    classes=(("tracked", 0.35), ("parcel", 0.12)),
+                    federation=("homebound", 0.1),
+                )
+            out.append(
+                (
+                    Owners(self._hub, addresses, size.seed + 77 + 31 * at, places.record),
+                    draw(mix, size.seconds, size.seed + 5 + 31 * at, region[:1] or "w"),
+                )
+            )
         return out
 
     def _suffer(self, fault: Fault, begun: int) -> None:
--- a/wingbarrow/lab/fleet/rightsmodel.py
+++ b/wingbarrow/lab/fleet/rightsmodel.py
@@ -42,14 +42,20 @@
     seen: bool = False  # it has taken a grant of this leader's
     # Its latest ask or the answer: kind, age, what was stated or given, whether it proves (ask) or is of now (answer).
     way: tuple[str, int, int, bool] = ("", 0, 0, False)
-    late: tuple[int, int, bool] = (0, -1, False)  # the ask before, still on its way: age, stated, whether it proves
+    late: tuple[int, int, bool] = (
+        0,
+        -1,
+        False,
+    )  # the ask before, still on its way: age, stated, whether it proves
     passed: bool = False  # this leader has heard of a later one than that
     void: int = -1  # an answer to the ask before, still on its way
     # Decided.
     size: int = 0
     count: int = 0
     known: bool = True  # the life that the block is for
-    debts: tuple[int, ...] = (0,) * (STRANDED + 1)  # what former lives may have in use, by ticks until it is over
+    debts: tuple[int, ...] = (0,) * (
+        STRANDED + 1
+    )  # what former lives may have in use, by ticks until it is over
     # The leader's.
     said: int = -1  # what it holds by its word
     until: int = 0  # ticks until nothing of the life that the block is for can be in use
@@ -58,7 +64,9 @@
 @dataclass(frozen=True, slots=True)
 class _State:
     placers: tuple[_Placer, ...]
-    orphans: tuple[int, ...] = (0,) * STRANDED  # what runs of former lives, by ticks that it still does
+    orphans: tuple[int, ...] = (
+        0,
+    ) * STRANDED  # what runs of former lives, by ticks that it still does
 
 
 def _passes(state: _State, whole: int) -> bool:
@@ -66,16 +74,26 @@
 
 
 def _tick(each: _Placer) -> _Placer:
-    left, idle = max(0, each.left - 1), 0 if each.left > 1 else min(STRANDED, each.idle + (each.left == 0))
+    left, idle = (
+        max(0, each.left - 1),
+        0 if each.left > 1 else min(STRANDED, each.idle + (each.left == 0)),
+    )
     kind, age, figure, good = each.way
     way = (kind, min(GRANT, age + 1), figure, good) if kind else each.way
     if kind == "answer" and age + 1 > GRANT:
         way = ("", 0, 0, False)
-    return replace(each, left=left, idle=idle, share=each.share if left else 0, way=way,
-                   uses=0 if left == 0 and idle >= STRANDED else each.uses,
-                   late=(min(GRANT, each.late[0] + 1), *each.late[1:]) if each.late[1] >= 0 else each.late,
-                   void=each.void if left else -1, until=max(0, each.until - 1),
-                   debts=(each.debts[0] + each.debts[1], *each.debts[2:], 0))
+    return replace(
+        each,
+        left=left,
+        idle=idle,
+        share=each.share if left else 0,
+        way=way,
+        uses=0 if left == 0 and idle >= STRANDED else each.uses,
+        late=(min(GRANT, each.late[0] + 1), *each.late[1:]) if each.late[1] >= 0 else each.late,
+        void=each.void if left else -1,
+        until=max(0, each.until - 1),
+        debts=(each.debts[0] + each.debts[1], *each.debts[2:], 0),
+    )
 
 
 def _heard(placer: _Placer, plan: RightsPlan) -> Iterator[_Placer]:
@@ -86,11 +104,22 @@
             placer = replace(placer, known=True)
         else:
             debt = 0 if plan.no_debt else placer.count
-            placer = replace(placer, known=True, debts=(*placer.debts[:-1], placer.debts[-1] + debt), size=0, count=0,
-                             said=-1)
+            placer = replace(
+                placer,
+                known=True,
+                debts=(*placer.debts[:-1], placer.debts[-1] + debt),
+                size=0,
+                count=0,
+                said=-1,
+            )
     for given in {0, placer.size}:
-        yield replace(placer, way=("answer", age, given, True), passed=placer.late[1] >= 0, until=LAPSES,
-                      said=max(stated, given) if proves or plan.any_word else -1)
+        yield replace(
+            placer,
+            way=("answer", age, given, True),
+            passed=placer.late[1] >= 0,
+            until=LAPSES,
+            said=max(stated, given) if proves or plan.any_word else -1,
+        )
 
 
 def _mail(placer: _Placer, plan: RightsPlan) -> Iterator[tuple[str, _Placer]]:
@@ -103,9 +132,17 @@
     elif kind == "answer":
         void = figure if plan.any_answer and age < GRANT else -1
         yield "ask again", replace(placer, way=ask, void=void)
-        yield f"takes {figure}", replace(placer, share=figure if age < GRANT else placer.share, idle=0 if (
-            age < GRANT) else placer.idle, left=max(placer.left, GRANT - age), seen=placer.seen or now,
-            way=("", 0, 0, False))
+        yield (
+            f"takes {figure}",
+            replace(
+                placer,
+                share=figure if age < GRANT else placer.share,
+                idle=0 if (age < GRANT) else placer.idle,
+                left=max(placer.left, GRANT - age),
+                seen=placer.seen or now,
+                way=("", 0, 0, False),
+            ),
+        )
     else:
         yield "ask", replace(placer, way=ask)
     if kind:
@@ -115,9 +152,17 @@
     if placer.late[1] >= 0 and placer.known and not placer.passed:
         # The answer to an ask that was given up brings a grant and no rights; the ask's word may count.
         age, stated, proves = placer.late
-        yield "late ask", replace(placer, late=(0, -1, False), left=max(placer.left, GRANT - age), until=LAPSES,
-                                  idle=0 if age < GRANT else placer.idle, said=max(stated, placer.size) if (
-                                      proves or plan.any_word) else placer.said)
+        yield (
+            "late ask",
+            replace(
+                placer,
+                late=(0, -1, False),
+                left=max(placer.left, GRANT - age),
+                until=LAPSES,
+                idle=0 if age < GRANT else placer.idle,
+                said=max(stated, placer.size) if (proves or plan.any_word) else placer.said,
+            ),
+        )
 
 
 def _of_one(state: _State, index: int, plan: RightsPlan) -> Iterator[tuple[str, _Placer, int]]:
@@ -129,15 +174,42 @@
         yield "use", replace(placer, uses=placer.uses + 1), 0
     if placer.uses:
         yield "end", replace(placer, uses=placer.uses - 1), 0
-    yield "death", replace(placer, share=0, uses=0, left=0, idle=STRANDED, seen=False, way=("", 0, 0, False),
-                           late=(0, -1, False), passed=False, void=-1, known=False, said=-1), placer.uses
+    yield (
+        "death",
+        replace(
+            placer,
+            share=0,
+            uses=0,
+            left=0,
+            idle=STRANDED,
+            seen=False,
+            way=("", 0, 0, False),
+            late=(0, -1, False),
+            passed=False,
+            void=-1,
+            known=False,
+            said=-1,
+        ),
+        placer.uses,
+    )
     # Moves.
     if placer.size:
-        yield "lower", replace(placer, size=placer.size - 1, count=placer.size - 1 if plan.at_once else
-                               placer.count), 0
+        yield (
+            "lower",
+            replace(
+                placer,
+                size=placer.size - 1,
+                count=placer.size - 1 if plan.at_once else placer.count,
+            ),
+            0,
+        )
     room = plan.whole - sum(each.count + sum(each.debts) for each in state.placers)
     if placer.known and (room > 0 or placer.count > placer.size):
-        yield "raise", replace(placer, size=placer.size + 1, count=max(placer.count, placer.size + 1)), 0
+        yield (
+            "raise",
+            replace(placer, size=placer.size + 1, count=max(placer.count, placer.size + 1)),
+            0,
+        )
     if placer.known and placer.said >= 0 and max(placer.size, placer.said) < placer.count:
         yield "proven by word", replace(placer, count=max(placer.size, placer.said)), 0
     if placer.count and placer.until <= (STRANDED if plan.no_lag else 0):
@@ -153,21 +225,42 @@
             continue  # the same by symmetry
         for name, after, left in _of_one(state, index, plan):
             orphans = (*state.orphans[:-1], state.orphans[-1] + left)
-            yield name, replace(state, placers=tuple(sorted((*state.placers[:index], after,
-                                                             *state.placers[index + 1:]))), orphans=orphans)
-    yield "another leader", replace(state, placers=tuple(sorted(_reign(each, plan) for each in state.placers)))
+            yield (
+                name,
+                replace(
+                    state,
+                    placers=tuple(
+                        sorted((*state.placers[:index], after, *state.placers[index + 1 :]))
+                    ),
+                    orphans=orphans,
+                ),
+            )
+    yield (
+        "another leader",
+        replace(state, placers=tuple(sorted(_reign(each, plan) for each in state.placers))),
+    )
 
 
 def _reign(each: _Placer, plan: RightsPlan) -> _Placer:
     """What is left of a placer's state, and of its mail, under another leader."""
     kind, age, figure, _ = each.way
-    return replace(each, seen=False, passed=False, said=-1, until=LAPSES,
-                   debts=(*[0] * STRANDED, sum(each.debts)), way=(kind, age, figure, False),
-                   late=(*each.late[:2], False), size=0 if plan.forgetful else each.size,
-                   count=0 if plan.forgetful else each.count)
+    return replace(
+        each,
+        seen=False,
+        passed=False,
+        said=-1,
+        until=LAPSES,
+        debts=(*[0] * STRANDED, sum(each.debts)),
+        way=(kind, age, figure, False),
+        late=(*each.late[:2], False),
+        size=0 if plan.forgetful else each.size,
+        count=0 if plan.forgetful else each.count,
+    )
 
 
 def explore_rights(plan: RightsPlan, most: int = 10_000_000) -> Explored:
     """Every state that can be reached from a fleet that holds nothing; MemoryError past `most` of them."""
     start = _State((_Placer(),) * plan.placers)
-    return search(start, lambda state: _passes(state, plan.whole), lambda state: _steps(state, plan), most)
+    return search(
+        start, lambda state: _passes(state, plan.whole), lambda state: _steps(state, plan), most
+    )
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -21,11 +21,24 @@
 def rules(of: int = 3, most: int = 3, offers: int = 20, barred: tuple[str, ...] = ()) -> RuleSet:
     """Rules by whom the cold budget is shared, how many of a service a rack may hold, and what is barred."""
     classes = ClassRules("web", "safe", "cell", most), ClassRules("settlement", "unsafe", "none", 0)
-    return normal(RuleSet(classes, 4, 18 * SECOND, 2 * SECOND, shares(offers, tuple(f"p{i:03d}" for i in range(of))),
-                          250_000, barred))
-
-
-FLOOR = normal(RuleSet((ClassRules("web", "safe", "cell", 1),), 1, 60 * SECOND, 10 * SECOND, (), 0, ("n1", "n2")))
+    return normal(
+        RuleSet(
+            classes,
+            4,
+            18 * SECOND,
+            2 * SECOND,
+            shares(offers, tuple(f"p{i:03d}" for i in range(of))),
+            250_000,
+            barred,
+        )
+    )
+
+
+FLOOR = normal(
+    RuleSet(
+        (ClassRules("web", "safe", "cell", 1),), 1, 60 * SECOND, 10 * SECOND, (), 0, ("n1", "n2")
+    )
+)
 
 
 def founded(count: int = 5, voters: int = 3, seed: int = 1, loss: float = 0.0) -> Assembly:
@@ -33,7 +46,10 @@
     assembly = Assembly(count, voters, seed, loss=loss)
     _want(assembly.run_until(lambda: assembly.leader() is not None, 20 * SECOND), "one leads")
     assembly.propose(rules())
-    _want(assembly.run_until(lambda: assembly.all_on(rules()), 20 * SECOND), "all act on the first rules")
+    _want(
+        assembly.run_until(lambda: assembly.all_on(rules()), 20 * SECOND),
+        "all act on the first rules",
+    )
     return assembly
 
 
@@ -50,7 +66,9 @@
 
 def _cut(side: set[str], one_way: bool) -> Callable[[str, str], bool]:
     """Nothing passes from a side to the rest; nor back, unless one way alone is cut."""
-    return lambda a, b: (a in side and b not in side) or (not one_way and b in side and a not in side)
+    return lambda a, b: (a in side and b not in side) or (
+        not one_way and b in side and a not in side
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +111,9 @@
 
 def _take(assembly: Assembly, step: Step) -> None:
     """Have it happen, where it can."""
-    able = [name for name in step.names if name in assembly.members and name not in assembly.stopped]
+    able = [
+        name for name in step.names if name in assembly.members and name not in assembly.stopped
+    ]
     if step.kind == "floor":
         assembly.lower_floor(FLOOR, 20 * SECOND, "floor")
     elif step.kind == "cut":
@@ -125,11 +145,19 @@
     assembly.cut, assembly.loss = (lambda a, b: False), 0.0
     for name in sorted(set(assembly.names) - set(assembly.members)):
         assembly.start(name)
-    _want(assembly.run_until(lambda: not assembly.stopped and assembly.leader() is not None, 30 * SECOND), "one leads")
+    _want(
+        assembly.run_until(
+            lambda: not assembly.stopped and assembly.leader() is not None, 30 * SECOND
+        ),
+        "one leads",
+    )
     assembly.run(assembly.now_us + 15 * SECOND)
     last = rules(count, 2, 17)
     assembly.propose(last)
-    _want(assembly.run_until(lambda: assembly.all_on(last), 20 * SECOND), "all are on the last version after healing")
+    _want(
+        assembly.run_until(lambda: assembly.all_on(last), 20 * SECOND),
+        "all are on the last version after healing",
+    )
     yield assembly
 
 
@@ -161,7 +189,7 @@
     size = len(kept) // 2
     while size and tries > 0:
         for begin in range(0, len(kept), size):
-            fewer = kept[:begin] + kept[begin + size:]
+            fewer = kept[:begin] + kept[begin + size :]
             tries -= 1
             if trial(count, seed, fewer):
                 kept = fewer
