--- a/wingbarrow/lab/fleet/script.py
+++ b/wingbarrow/lab/fleet/script.py
@@ -97,8 +97,11 @@
     if len(args) != (1 if kind in BETWEEN else 2):
         what = "" if kind in BETWEEN else ", and a region" if on_region else ", and a placer"
         raise ValueError("a time is wanted" + what)
-    who, other = ((str(props.pop("from")), str(props.pop("to"))) if kind in BETWEEN else
-                  (args[1], str(props.pop("to", "")) if on_region else ""))
+    who, other = (
+        (str(props.pop("from")), str(props.pop("to")))
+        if kind in BETWEEN
+        else (args[1], str(props.pop("to", "")) if on_region else "")
+    )
     for name in filter(None, (who, other)):
         if name not in (regions if on_region else names):
             raise ValueError(f"no such {'region' if on_region else 'placer'}: {name}")
@@ -108,9 +111,17 @@
     figure = float(parse_duration(amount)) if isinstance(amount, str) else float(amount)
     if kind in ("lossy", "twice") and not 0 <= figure <= 1:
         raise ValueError("amount: a share of 0 to 1 is wanted")
-    fault = Fault(kind, parse_duration(args[0]), who, other, parse_duration(str(props.pop("lasts", "0s"))),
-                  bool(props.pop("both", True)), figure, bool(props.pop("state", True)),
-                  bool(props.pop("machines", False)))
+    fault = Fault(
+        kind,
+        parse_duration(args[0]),
+        who,
+        other,
+        parse_duration(str(props.pop("lasts", "0s"))),
+        bool(props.pop("both", True)),
+        figure,
+        bool(props.pop("state", True)),
+        bool(props.pop("machines", False)),
+    )
     if props:
         raise ValueError(f"unknown: {', '.join(sorted(props))}")
     return fault
@@ -124,29 +135,69 @@
         at, lasts = rng.uniform(0.05, 0.7) * seconds, min(rng.uniform(0.5, 9), seconds * 0.2)
         kind = rng.choice((*BETWEEN, *TO_ONE, "cut", "stop", "kill"))
         who = rng.choice(names)
-        other = rng.choice([name for name in names if name != who]) if len(names) > 1 and kind in BETWEEN else ""
-        amount = {"late": rng.uniform(0.05, 2) * SECOND, "slow": rng.choice((200, 2_000, 20_000)),
-                  "lossy": rng.uniform(0.05, 0.5), "twice": rng.uniform(0.1, 1)}.get(kind, 0.0)
-        out.append(Fault(kind, int(at * SECOND), who, other, int(lasts * SECOND), rng.random() < 0.5, float(amount),
-                         rng.random() < 0.7))
+        other = (
+            rng.choice([name for name in names if name != who])
+            if len(names) > 1 and kind in BETWEEN
+            else ""
+        )
+        amount = {
+            "late": rng.uniform(0.05, 2) * SECOND,
+            "slow": rng.choice((200, 2_000, 20_000)),
+            "lossy": rng.uniform(0.05, 0.5),
+            "twice": rng.uniform(0.1, 1),
+        }.get(kind, 0.0)
+        out.append(
+            Fault(
+                kind,
+                int(at * SECOND),
+                who,
+                other,
+                int(lasts * SECOND),
+                rng.random() < 0.5,
+                float(amount),
+                rng.random() < 0.7,
+            )
+        )
     # Rules change all along, while links are cut and processes stopped.
     for turn in range(max(2, int(seconds / 8))):
         at = (0.05 + 0.7 * turn / max(2, int(seconds / 8)) + rng.uniform(0, 0.05)) * seconds
-        out.append(Fault("propose", int(at * SECOND), rng.choice(names), amount=float(rng.randrange(1, 1 << 20))))
+        out.append(
+            Fault(
+                "propose",
+                int(at * SECOND),
+                rng.choice(names),
+                amount=float(rng.randrange(1, 1 << 20)),
+            )
+        )
         if turn % 2:
-            out.append(Fault("drain", int((at + 1) * SECOND), rng.choice(names), amount=float(rng.randrange(1 << 20))))
+            out.append(
+                Fault(
+                    "drain",
+                    int((at + 1) * SECOND),
+                    rng.choice(names),
+                    amount=float(rng.randrange(1 << 20)),
+                )
+            )
     if rng.random() < 0.4 and len(names) > 2:
         # A part of the fleet is cut off from the rest.
         side = rng.sample(names, max(1, len(names) // 3))
         at, lasts = rng.uniform(0.1, 0.5) * seconds, seconds * 0.25
-        out += [Fault("cut", int(at * SECOND), a, b, int(lasts * SECOND)) for a in side for b in names if b not in side]
+        out += [
+            Fault("cut", int(at * SECOND), a, b, int(lasts * SECOND))
+            for a in side
+            for b in names
+            if b not in side
+        ]
     return _apart(sorted(out, key=lambda fault: fault.at_us))
 
 
 def generate_regions(seed: int, places: dict[str, list[str]], seconds: float) -> list[Fault]:
     """Faults of a play with regions (placers of each): what happens to whole regions, one after the other, beside less
     of all else; and work on machines all along."""
-    rng, names = random.Random(f"regions/{seed}"), [name for some in places.values() for name in some]
+    rng, names = (
+        random.Random(f"regions/{seed}"),
+        [name for some in places.values() for name in some],
+    )
     out = [fault for fault in generate(seed, names, seconds) if rng.random() < 0.4]
     at = rng.uniform(0.1, 0.2) * min(seconds, 90)
     while at < 0.7 * seconds:
@@ -154,18 +205,47 @@
         lasts, who = rng.uniform(0.2, 0.6) * min(seconds, 75), rng.choice(list(places))
         other = rng.choice([each for each in places if each != who]) if rng.random() < 0.3 else ""
         lasts = min(lasts, 0.85 * seconds - at)
-        out.append(Fault(kind, int(at * SECOND), who, "" if kind == "kill-region" else other, int(lasts * SECOND),
-                         rng.random() < 0.75, float(rng.randrange(50_000, 1_500_000)) if kind == "slow-region" else 0.0,
-                         rng.random() < 0.7, kind == "kill-region" and rng.random() < 0.5))
+        out.append(
+            Fault(
+                kind,
+                int(at * SECOND),
+                who,
+                "" if kind == "kill-region" else other,
+                int(lasts * SECOND),
+                rng.random() < 0.75,
+                float(rng.randrange(50_000, 1_500_000)) if kind == "slow-region" else 0.0,
+                rng.random() < 0.7,
+                kind == "kill-region" and rng.random() < 0.5,
+            )
+        )
         at += lasts + rng.uniform(0.15, 0.4) * min(seconds, 75)
     killed = [each for each in out if each.kind == "kill-region"]
     # While a whole region is down nothing else is killed or stopped: who keeps its Jobs is to be there.
-    out = [each for each in out if each.kind not in ("kill", "stop") or not any(
-        region.at_us - 2 * SECOND <= each.end_us and each.at_us <= region.end_us + 5 * SECOND for region in killed)]
+    out = [
+        each
+        for each in out
+        if each.kind not in ("kill", "stop")
+        or not any(
+            region.at_us - 2 * SECOND <= each.end_us and each.at_us <= region.end_us + 5 * SECOND
+            for region in killed
+        )
+    ]
     for turn in range(max(3, int(seconds / 15))):
-        at_us = int((0.05 + 0.6 * turn / max(3, int(seconds / 15)) + rng.uniform(0, 0.05)) * seconds * SECOND)
-        out.append(Fault(WORK, at_us, rng.choice(names), lasts_us=int(rng.uniform(2, 6) * SECOND),
-                         amount=float(rng.randrange(10) * 100 + rng.randrange(100)), state=rng.random() < 0.9))
+        at_us = int(
+            (0.05 + 0.6 * turn / max(3, int(seconds / 15)) + rng.uniform(0, 0.05))
+            * seconds
+            * SECOND
+        )
+        out.append(
+            Fault(
+                WORK,
+                at_us,
+                rng.choice(names),
+                lasts_us=int(rng.uniform(2, 6) * SECOND),
+                amount=float(rng.randrange(10) * 100 + rng.randrange(100)),
+                state=rng.random() < 0.9,
+            )
+        )
     return _apart(sorted(out, key=lambda fault: fault.at_us))
 
 
--- a/wingbarrow/lab/fleet/suffering.py
+++ b/wingbarrow/lab/fleet/suffering.py
@@ -23,16 +23,26 @@
 
     def suffer(self, fault: Fault) -> None:
         """One fault, now; returns when it is over."""
-        fields = {"kind": fault.kind, "who": fault.who, "other": fault.other, "amount": fault.amount,
-                  "both": fault.both}
+        fields = {
+            "kind": fault.kind,
+            "who": fault.who,
+            "other": fault.other,
+            "amount": fault.amount,
+            "both": fault.both,
+        }
         self._places.event("fault", **fields)
         getattr(self, "_" + fault.kind.replace("-", "_"))(fault)
         self._places.event("healed", **fields)
 
     # -- links
 
-    def _between(self, fault: Fault, pairs: list[tuple[str, str]], on: dict[str, object],
-                 off: dict[str, object]) -> None:
+    def _between(
+        self,
+        fault: Fault,
+        pairs: list[tuple[str, str]],
+        on: dict[str, object],
+        off: dict[str, object],
+    ) -> None:
         """A fault that another one of its kind overlaps is taken back with the last of them."""
         network, kind = self._places.network, next(iter(on))
         for sender, receiver in pairs:
@@ -55,13 +65,19 @@
         self._between(fault, self._pairs(fault), {"delay_us": int(fault.amount)}, {"delay_us": 0})
 
     def _slow(self, fault: Fault) -> None:
-        self._between(fault, self._pairs(fault), {"bytes_per_s": int(fault.amount)}, {"bytes_per_s": 0})
+        self._between(
+            fault, self._pairs(fault), {"bytes_per_s": int(fault.amount)}, {"bytes_per_s": 0}
+        )
 
     def _lossy(self, fault: Fault) -> None:
-        self._between(fault, self._pairs(fault), {"reset_share": fault.amount}, {"reset_share": 0.0})
+        self._between(
+            fault, self._pairs(fault), {"reset_share": fault.amount}, {"reset_share": 0.0}
+        )
 
     def _twice(self, fault: Fault) -> None:
-        self._between(fault, self._pairs(fault), {"twice_share": fault.amount}, {"twice_share": 0.0})
+        self._between(
+            fault, self._pairs(fault), {"twice_share": fault.amount}, {"twice_share": 0.0}
+        )
 
     def _reset(self, fault: Fault) -> None:
         end = self._hub.now_us() + fault.lasts_us
@@ -78,8 +94,12 @@
 
     def _deafen(self, fault: Fault) -> None:
         """It can send and not hear."""
-        self._between(fault, [(other, fault.who) for other in self._places.names if other != fault.who],
-                      {"cut": True}, {"cut": False})
+        self._between(
+            fault,
+            [(other, fault.who) for other in self._places.names if other != fault.who],
+            {"cut": True},
+            {"cut": False},
+        )
 
     # -- processes and machines
 
@@ -112,7 +132,9 @@
     def _across(self, fault: Fault) -> list[tuple[str, str]]:
         """Each link from a region to another, or all others; the other way too where the fault is on both."""
         regions = self._places.layout.places
-        others = [fault.other] if fault.other else [region for region in regions if region != fault.who]
+        others = (
+            [fault.other] if fault.other else [region for region in regions if region != fault.who]
+        )
         pairs = [(a, b) for a in regions[fault.who] for region in others for b in regions[region]]
         return pairs + [(b, a) for a, b in pairs] * fault.both
 
--- a/wingbarrow/lab/fleet/swarm.py
+++ b/wingbarrow/lab/fleet/swarm.py
@@ -66,8 +66,13 @@
 class Virtual(Generic[MachineT]):
     """Placers by name; `make` gives the machine of a new life, at a time of its own clock."""
 
-    def __init__(self, names: list[str], seed: int, loss: float = 0.0,
-                 delay_us: Callable[[random.Random], int] = lambda rng: 200 + rng.randrange(800)) -> None:
+    def __init__(
+        self,
+        names: list[str],
+        seed: int,
+        loss: float = 0.0,
+        delay_us: Callable[[random.Random], int] = lambda rng: 200 + rng.randrange(800),
+    ) -> None:
         self.now_us = 0
         self.names, self.loss = names, loss
         self.twice = 0.0
@@ -145,9 +150,11 @@
 
     def _when_running(self, name: str, life: int, call: Callable[[], None]) -> None:
         """Now, or once the placer goes on; never in another life."""
+
         def alive() -> None:
             if name in self.members and self.lives[name] == life:
                 call()
+
         if name in self.stopped:
             self._waiting.setdefault(name, []).append(alive)
         else:
@@ -175,6 +182,7 @@
             if self._timers.get((name, timer.key)) == timer.at_us:
                 del self._timers[name, timer.key]
                 self.act(name, self.members[name].on_timer(self.clock_us(name), timer.key))
+
         at = self.drifts.get(name, Drift()).true_us(timer.at_us)
         self.at(at, lambda: self._when_running(name, life, due))
 
@@ -186,9 +194,17 @@
 
         def arrive() -> None:
             if receiver in self.members:
-                self._when_running(receiver, self.lives[receiver], lambda: self.act(
+                self._when_running(
                     receiver,
-                    self.members[receiver].on_message(self.clock_us(receiver), name, f"at {name}", send.message)))
+                    self.lives[receiver],
+                    lambda: self.act(
+                        receiver,
+                        self.members[receiver].on_message(
+                            self.clock_us(receiver), name, f"at {name}", send.message
+                        ),
+                    ),
+                )
+
         for _ in range(1 + (self.random.random() < self.twice)):
             self.at(self.now_us + self._delay_us(self.random), arrive)
 
@@ -196,7 +212,7 @@
 class Swarm(Virtual[Membership]):
     """`count` memberships that know the first three as seeds; `delay_us` draws how long a message takes."""
 
-    def __init__(self, count: int, seed: int, rules: Rules = Rules(), loss: float = 0.0) -> None:  # noqa: B008 - frozen
+    def __init__(self, count: int, seed: int, rules: Rules = Rules(), loss: float = 0.0) -> None:
         super().__init__([f"p{index:03d}" for index in range(count)], seed, loss)
         self.rules = rules
         self.life: int | None = None  # of the next start, as its wall clock gives it
@@ -207,7 +223,9 @@
         """A membership."""
         life, self.life = self.life if self.life is not None else 1 + now_us, None
         seeds = tuple(Seed("", f"at {each}") for each in self.names[:3] if each != name)
-        return Membership(Me(name, f"at {name}", "", life), seeds, self.random.randrange(1 << 30), self.rules)
+        return Membership(
+            Me(name, f"at {name}", "", life), seeds, self.random.randrange(1 << 30), self.rules
+        )
 
     # -- questions
 
@@ -222,8 +240,12 @@
 
     def whole(self) -> bool:
         """Whether all that live are alive to each other."""
-        return all(self.standing(who, of) is Standing.ALIVE
-                   for who in self.members for of in self.members if who != of)
+        return all(
+            self.standing(who, of) is Standing.ALIVE
+            for who in self.members
+            for of in self.members
+            if who != of
+        )
 
     def deaths(self, since_us: int = 0) -> list[Told]:
         """Burials told since a time."""
--- a/wingbarrow/lab/fleet/worker.py
+++ b/wingbarrow/lab/fleet/worker.py
@@ -31,11 +31,23 @@
         machines = self._places.machines
         machine = machines[int(fault.amount) % 100 % len(machines)]
         urgency, ident = int(fault.amount) // 100 % 10, f"rig-{machine.name}-{self._hub.now_us()}"
-        told = self._commands.at_leader(self._places.slot(fault.who), "POST", "turns", {
-            "machine": machine.name, "urgency": urgency, "lasts": f"{fault.lasts_us // 1000}ms", "why": "operator",
-            "worker": WORKER, "ident": ident})
+        told = self._commands.at_leader(
+            self._places.slot(fault.who),
+            "POST",
+            "turns",
+            {
+                "machine": machine.name,
+                "urgency": urgency,
+                "lasts": f"{fault.lasts_us // 1000}ms",
+                "why": "operator",
+                "worker": WORKER,
+                "ident": ident,
+            },
+        )
         number = told.get("number") if told is not None else None
-        self._places.event("turn-asked", machine=machine.name, urgency=urgency, number=number, told=told)
+        self._places.event(
+            "turn-asked", machine=machine.name, urgency=urgency, number=number, told=told
+        )
         if isinstance(number, int) and self._wait(number):
             self._do(machine, number, fault)
 
@@ -75,7 +87,11 @@
         while (now := self._hub.now_us()) < min(end, held + lease_us if fault.state else end):
             self._hub.sleep(min(RENEW_US, end - now))
             asked = self._hub.now_us()
-            if fault.state and asked < end and (self._say(number, "renew", 1) or {}).get("state") == "out":
+            if (
+                fault.state
+                and asked < end
+                and (self._say(number, "renew", 1) or {}).get("state") == "out"
+            ):
                 held = asked
         self._places.record(machine.name, "work-end", turn=number, tasks=_tasks(machine))
         self._places.event("turn-worked", number=number, told=self._say(number, "back"))
@@ -83,7 +99,11 @@
     def _say(self, number: int, what: str, tries: int = TRIES) -> dict[str, Any] | None:
         running = self._asked()
         body = {"worker": WORKER}
-        return self._commands.at_leader(running[0], "POST", f"turns/{number}/{what}", body, tries) if running else None
+        return (
+            self._commands.at_leader(running[0], "POST", f"turns/{number}/{what}", body, tries)
+            if running
+            else None
+        )
 
 
 def _tasks(machine: Machine) -> int:
--- a/wingbarrow/lab/fleet/workjudge.py
+++ b/wingbarrow/lab/fleet/workjudge.py
@@ -36,16 +36,33 @@
 
 def level(turn: Turn) -> tuple[int, int, int, int, str]:
     """The order, as the docs state it."""
-    return (turn.asked_us // AGE_US - turn.urgency, turn.latest_us or 1 << 62, turn.asked_us, turn.tasks, turn.machine)
+    return (
+        turn.asked_us // AGE_US - turn.urgency,
+        turn.latest_us or 1 << 62,
+        turn.asked_us,
+        turn.tasks,
+        turn.machine,
+    )
 
 
 class Judge:
     """`most`: of a cell, and of the fleet, at once; `places`: each machine's cell; `lost`: when which machine was lost
     or came back; `known_us`: how long a loss may take to be known; `in_reach`: regions to whose turns order applies."""
 
-    def __init__(self, most_cell: int, most_all: int, places: Mapping[str, str],
-                 lost: Iterable[tuple[int, str, bool]], known_us: int) -> None:
-        self._most_cell, self._most_all, self._places, self._known_us = most_cell, most_all, places, known_us
+    def __init__(
+        self,
+        most_cell: int,
+        most_all: int,
+        places: Mapping[str, str],
+        lost: Iterable[tuple[int, str, bool]],
+        known_us: int,
+    ) -> None:
+        self._most_cell, self._most_all, self._places, self._known_us = (
+            most_cell,
+            most_all,
+            places,
+            known_us,
+        )
         self._lost = list(lost)
 
     def _gone(self, at_us: int, since_us: int) -> set[str]:
@@ -65,7 +82,9 @@
     def _ever_gone(self, at_us: int) -> set[str]:
         """Machines that were lost at any time shortly before: a leader may take them for lost still."""
         out = self._gone(at_us, at_us)
-        return out | {machine for at, machine, _ in self._lost if at_us - 2 * self._known_us <= at <= at_us}
+        return out | {
+            machine for at, machine, _ in self._lost if at_us - 2 * self._known_us <= at <= at_us
+        }
 
     def judge(self, entries: Iterable[Entry], works: Iterable[Work]) -> Verdict:
         """The verdict over all."""
@@ -76,34 +95,70 @@
             for turn in entry.turns:
                 jumps += not _follows(before.get(turn.number), turn)
                 turns[turn.number] = turn
-            live = [each.machine for each in turns.values() if each.state not in ("done", "given-back")]
+            live = [
+                each.machine for each in turns.values() if each.state not in ("done", "given-back")
+            ]
             jumps += len(live) - len(set(live))
-            began = [each for each in entry.turns if _enters(before.get(each.number), each, ("closing", "out"))]
+            began = [
+                each
+                for each in entry.turns
+                if _enters(before.get(each.number), each, ("closing", "out"))
+            ]
             over += sum(self._over(entry.at_us, each, turns) for each in began)
-            closed = [each for each in entry.turns if _enters(before.get(each.number), each, ("closing",))]
-            disorder += sum(self._passed_over(entry.at_us, each, closed, before, turns) for each in before.values()
-                            if closed and each.state == "queued" and turns[each.number].state == "queued")
+            closed = [
+                each for each in entry.turns if _enters(before.get(each.number), each, ("closing",))
+            ]
+            disorder += sum(
+                self._passed_over(entry.at_us, each, closed, before, turns)
+                for each in before.values()
+                if closed and each.state == "queued" and turns[each.number].state == "queued"
+            )
         works = list(works)
-        return Verdict(len(turns), sum(each.state == "done" for each in turns.values()), len(works),
-                       sum(each.holds > 0 for each in works), sum(each.state != "out" for each in works), over,
-                       disorder, jumps)
+        return Verdict(
+            len(turns),
+            sum(each.state == "done" for each in turns.values()),
+            len(works),
+            sum(each.holds > 0 for each in works),
+            sum(each.state != "out" for each in works),
+            over,
+            disorder,
+            jumps,
+        )
 
     def _over(self, at_us: int, turn: Turn, turns: Mapping[int, Turn]) -> bool:
-        out = {each.machine for each in turns.values() if each.state in OUT} | self._gone(at_us, at_us - self._known_us)
+        out = {each.machine for each in turns.values() if each.state in OUT} | self._gone(
+            at_us, at_us - self._known_us
+        )
         cell = self._places[turn.machine]
-        return (sum(self._places[each] == cell for each in out) > self._most_cell or len(out) > self._most_all)
-
-    def _passed_over(self, at_us: int, turn: Turn, closed: list[Turn], before: Mapping[int, Turn],
-                     turns: Mapping[int, Turn]) -> bool:
+        return (
+            sum(self._places[each] == cell for each in out) > self._most_cell
+            or len(out) > self._most_all
+        )
+
+    def _passed_over(
+        self,
+        at_us: int,
+        turn: Turn,
+        closed: list[Turn],
+        before: Mapping[int, Turn],
+        turns: Mapping[int, Turn],
+    ) -> bool:
         """Whether one that waits had room for sure before later ones of its region closed."""
-        later = {each.machine for each in closed if level(each) > level(turn) and each.region == turn.region}
+        later = {
+            each.machine
+            for each in closed
+            if level(each) > level(turn) and each.region == turn.region
+        }
         # Between two looks several entries may have been decided: what was out at either end was room for nobody.
         out = {each.machine for each in (*before.values(), *turns.values()) if each.state in OUT}
         # A lost machine spends its budget whether it has a turn or not, which it may then have at once.
         out = (out - later | self._ever_gone(at_us)) - {turn.machine}
         cell = self._places[turn.machine]
-        return bool(later) and len(out) < self._most_all and (
-            sum(self._places[each] == cell for each in out) < self._most_cell)
+        return (
+            bool(later)
+            and len(out) < self._most_all
+            and (sum(self._places[each] == cell for each in out) < self._most_cell)
+        )
 
 
 def _enters(before: Turn | None, after: Turn, states: tuple[str, ...]) -> bool:
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -50,9 +50,12 @@
     return Judge(MOST_CELL, MOST_ALL, cells, shop.lost_at, KNOWN_US).judge(shop.entries, shop.works)
 
 
-def play(seed: int, size: Size = Size()) -> tuple[Workshop, Verdict]:  # noqa: B008 - frozen
+def play(seed: int, size: Size = Size()) -> tuple[Workshop, Verdict]:
     """One play from a seed: the workshop at its end, and the verdict."""
-    shop, rng = opened(size, seed, loss=random.Random(f"loss/{seed}").choice((0.0, 0.02, 0.1))), random.Random(seed)
+    shop, rng = (
+        opened(size, seed, loss=random.Random(f"loss/{seed}").choice((0.0, 0.02, 0.1))),
+        random.Random(seed),
+    )
     if rng.random() < 0.5:
         shop.lower_floor(FLOOR, 30 * SECOND, "floor")
     workers: set[int] = set()
@@ -72,11 +75,14 @@
             return
         chapter, now = shop.chapters[leader], shop.clock_us(leader)
         silent = [*chapter.silent(now)]
-        waiting = [each.number for each in chapter.queue.live() if each.state in ("queued", "closing")]
+        waiting = [
+            each.number for each in chapter.queue.live() if each.state in ("queued", "closing")
+        ]
         if silent and rng.random() < 0.3:
             shop.decide(leader, "give-back", {"number": rng.choice(silent)})
         elif waiting and rng.random() < 0.03:
             shop.decide(leader, "give-back", {"number": rng.choice(waiting)})
+
     shop.at(shop.now_us, workers_come)
     end = shop.now_us + size.seconds * SECOND
     while shop.now_us < end:
@@ -95,19 +101,26 @@
     if what < 0.4:
         several = rng.random() < 0.3
         for machine in list(shop.benches) if several else [rng.choice(list(shop.benches))]:
-            shop.ask(machine, rng.randrange(10), rng.choice(("w", "")), rng.randrange(SECOND, 4 * SECOND))
+            shop.ask(
+                machine, rng.randrange(10), rng.choice(("w", "")), rng.randrange(SECOND, 4 * SECOND)
+            )
     elif what < 0.5:
         shop.lose(rng.choice(list(shop.benches)), rng.randrange(8 * SECOND))
     elif what < 0.6:
         side = set(rng.sample(shop.names, rng.randrange(1, len(shop.names))))
         one_way = rng.random() < 0.4
-        shop.cut = lambda a, b: (a in side and b not in side) or (not one_way and b in side and a not in side)
+        shop.cut = lambda a, b: (a in side and b not in side) or (
+            not one_way and b in side and a not in side
+        )
     elif what < 0.75:
         shop.cut = lambda a, b: False
     elif what < 0.85 and name in shop.members and name not in shop.stopped:
         shop.stop(name, rng.randrange(4 * SECOND))
     elif what < 0.92 and name in shop.members and name not in shop.stopped:
         shop.kill(name)
-        shop.at(shop.now_us + rng.randrange(5 * SECOND), lambda: None if name in shop.members else shop.start(name))
+        shop.at(
+            shop.now_us + rng.randrange(5 * SECOND),
+            lambda: None if name in shop.members else shop.start(name),
+        )
     elif what < 0.95:
         shop.twice = rng.choice((0.0, 0.2))
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -80,7 +80,9 @@
 
     def place(self, machine: str) -> tuple[str, str] | None:
         bench = self._shop.benches.get(machine)
-        return (bench.zone, bench.cell) if bench is not None and bench.region == self._region else None
+        return (
+            (bench.zone, bench.cell) if bench is not None and bench.region == self._region else None
+        )
 
     def tasks(self, machine: str) -> int:
         return self.out.get(machine, 0) + sum(each == machine for each in self.known.values())
@@ -96,8 +98,10 @@
         cells: dict[tuple[str, str], int] = {}
         for each in mine:
             cells[each.zone, each.cell] = cells.get((each.zone, each.cell), 0) + 1
-        return View(tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
-                    tuple((each.name, each.zone, each.cell) for each in mine if not each.up))
+        return View(
+            tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
+            tuple((each.name, each.zone, each.cell) for each in mine if not each.up),
+        )
 
     def wants(self) -> Sequence[Wanted]:
         return self.wanted
@@ -106,15 +110,28 @@
 class Workshop(Assembly):
     """`count` placers dealt out over regions, `machines` for each region in cells of four and zones of eight."""
 
-    def __init__(self, count: int, voters: int, seed: int, regions: int = 1, machines: int = 8, loss: float = 0.0,
-                 floor_sends: bool = True) -> None:
+    def __init__(
+        self,
+        count: int,
+        voters: int,
+        seed: int,
+        regions: int = 1,
+        machines: int = 8,
+        loss: float = 0.0,
+        floor_sends: bool = True,
+    ) -> None:
         self.eyes: dict[str, _Eyes] = {}
         self.chapters: dict[str, Turns] = {}
         self.sides: dict[str, TurnSide] = {}
         names = [f"r{index}" for index in range(regions)]
         self.region_of = {f"p{index:03d}": names[index % regions] for index in range(count)}
-        self.benches = {f"{region}-m{index}": Bench(f"{region}-m{index}", region, f"z{index // 8}", f"c{index // 4}")
-                        for region in names for index in range(machines)}
+        self.benches = {
+            f"{region}-m{index}": Bench(
+                f"{region}-m{index}", region, f"z{index // 8}", f"c{index // 4}"
+            )
+            for region in names
+            for index in range(machines)
+        }
         self.entries: list[Entry] = []
         self.works: list[Work] = []
         self.lost_at: list[tuple[int, str, bool]] = []  # when which machine was lost, or came back
@@ -131,16 +148,36 @@
         region = self.region_of[name]
         eyes = self.eyes[name] = _Eyes(self, name, region)
         # A new life knows what runs of its former one once machines have told it; here at once.
-        eyes.known = {number: bench.name for bench in self.benches.values()
-                      for number, (owner, _) in bench.tasks.items() if owner == name}
+        eyes.known = {
+            number: bench.name
+            for bench in self.benches.values()
+            for number, (owner, _) in bench.tasks.items()
+            if owner == name
+        }
         drift = self.drifts.get(name)
         turns = self.chapters[name] = Turns(
-            name, lambda now: WALL_US + (drift.true_us(now) if drift is not None else now),
-            TurnTimes(SECOND, view_us=3 * SECOND, count_us=SECOND, lease_us=WORKER_LEASE_US, try_us=3 * SECOND,
-                      gone_us=20 * SECOND))
+            name,
+            lambda now: WALL_US + (drift.true_us(now) if drift is not None else now),
+            TurnTimes(
+                SECOND,
+                view_us=3 * SECOND,
+                count_us=SECOND,
+                lease_us=WORKER_LEASE_US,
+                try_us=3 * SECOND,
+                gone_us=20 * SECOND,
+            ),
+        )
         side = self.sides[name] = TurnSide(name, region, eyes)
-        made = Agreement(name, self.voters, disk, self.random.randrange(1 << 30), self.times, self.lives[name],
-                         (turns,), (side,))
+        made = Agreement(
+            name,
+            self.voters,
+            disk,
+            self.random.randrange(1 << 30),
+            self.times,
+            self.lives[name],
+            (turns,),
+            (side,),
+        )
         made.live_in(region, dict)
         return made
 
@@ -149,7 +186,9 @@
     def _live(self) -> None:
         self._look_at_log()
         for bench in self.benches.values():
-            for number in [number for number, (_, ends) in bench.tasks.items() if ends <= self.now_us]:
+            for number in [
+                number for number, (_, ends) in bench.tasks.items() if ends <= self.now_us
+            ]:
                 self._ends(bench, number)
         for name in self.members:
             if name not in self.stopped:
@@ -159,13 +198,19 @@
 
     def _look_at_log(self) -> None:
         """What is decided, as far as any living voter has applied it."""
-        newest = max((each for name, each in self.chapters.items() if name in self.members),
-                     key=lambda each: each.queue.version, default=None)
+        newest = max(
+            (each for name, each in self.chapters.items() if name in self.members),
+            key=lambda each: each.queue.version,
+            default=None,
+        )
         if newest is None or newest.queue.version <= self._seen:
             return
         self._seen = newest.queue.version
-        changed = tuple(each for number, each in sorted(newest.queue.turns.items())
-                        if self._turns_seen.get(number) != each)
+        changed = tuple(
+            each
+            for number, each in sorted(newest.queue.turns.items())
+            if self._turns_seen.get(number) != each
+        )
         self._turns_seen = dict(newest.queue.turns)
         self.entries.append(Entry(self.now_us, self._seen, changed))
 
@@ -179,6 +224,7 @@
 
         def told() -> None:
             self.eyes[owner].known.pop(number, None)
+
         if owner in self.eyes:
             self.at(self.now_us + self._delay(), told)
 
@@ -195,8 +241,11 @@
             if self.trouble.random() < (0.3 if turn.hand == name else 0.05):
                 shut = turn.state != "back"
                 if shut or turn.hand == name:
-                    self.at(self.now_us + self._delay(), lambda bench=bench, number=turn.number, shut=shut:  # type: ignore[misc]
-                            self._asked(name, eyes, bench, number, shut))
+                    self.at(
+                        self.now_us + self._delay(),
+                        lambda bench=bench, number=turn.number, shut=shut:  # type: ignore[misc]
+                        self._asked(name, eyes, bench, number, shut),
+                    )
             mine = [number for number, machine in eyes.known.items() if machine == turn.machine]
             if turn.state != "back" and mine and self.trouble.random() < 0.2:
                 self._ends(bench, mine[0])
@@ -215,18 +264,28 @@
             return
         floor = acting.edition == 0 and self._floor_sends
         side, eyes = self.sides[name], self.eyes[name]
-        found = [each for each in self.benches.values() if each.region == self.region_of[name]
-                 and (floor or not side.closes(each.name))]
+        found = [
+            each
+            for each in self.benches.values()
+            if each.region == self.region_of[name] and (floor or not side.closes(each.name))
+        ]
         if not found:
             return
         bench, eyes = self.trouble.choice(found), self.eyes[name]
         eyes.out[bench.name] = eyes.out.get(bench.name, 0) + 1
         number, self._next_task = self._next_task, self._next_task + 1
-        trying = [turn.number for turn in side.turns.values()
-                  if turn.machine == bench.name and turn.state == "back" and turn.hand == name]
-        self.at(self.now_us + self._delay(), lambda: self._arrives(name, eyes, bench, number, trying))
-
-    def _arrives(self, name: str, eyes: _Eyes, bench: Bench, number: int, trying: list[int]) -> None:
+        trying = [
+            turn.number
+            for turn in side.turns.values()
+            if turn.machine == bench.name and turn.state == "back" and turn.hand == name
+        ]
+        self.at(
+            self.now_us + self._delay(), lambda: self._arrives(name, eyes, bench, number, trying)
+        )
+
+    def _arrives(
+        self, name: str, eyes: _Eyes, bench: Bench, number: int, trying: list[int]
+    ) -> None:
         taken = bench.up and not bench.guard.refuses()
         if taken:
             bench.tasks[number] = name, self.now_us + self.trouble.randrange(TASK_US)
@@ -237,27 +296,49 @@
                 eyes.known[number] = bench.name
             for each in trying if taken else ():
                 eyes.tried[each] = "well"
+
         self.at(self.now_us + self._delay(), answer)
 
     # -- requests and workers
 
-    def ask(self, machine: str, urgency: int = 5, worker: str = "w", lasts_us: int = 2 * SECOND,
-            ident: str = "") -> bool:
+    def ask(
+        self,
+        machine: str,
+        urgency: int = 5,
+        worker: str = "w",
+        lasts_us: int = 2 * SECOND,
+        ident: str = "",
+    ) -> bool:
         """Ask the leader for a turn; False where nobody leads. What becomes of it is in the log."""
         leader, bench = self.leader(), self.benches[machine]
         if leader is None:
             return False
         ident = ident or f"ask-{self._next_task}-{machine}"
         self._next_task += 1
-        return self.decide(leader, "ask", {
-            "ident": ident, "machine": machine, "region": bench.region, "zone": bench.zone, "cell": bench.cell,
-            "why": "operator", "urgency": urgency, "latest_us": 0, "lasts_us": lasts_us, "worker": worker})
+        return self.decide(
+            leader,
+            "ask",
+            {
+                "ident": ident,
+                "machine": machine,
+                "region": bench.region,
+                "zone": bench.zone,
+                "cell": bench.cell,
+                "why": "operator",
+                "urgency": urgency,
+                "latest_us": 0,
+                "lasts_us": lasts_us,
+                "worker": worker,
+            },
+        )
 
     def decide(self, leader: str, kind: str, value: dict[str, object]) -> bool:
         """Have the leader propose an entry of turns."""
         now = self.clock_us(leader)
         wall = self.chapters[leader]._wall_us(now)
-        self.act(leader, self.members[leader].propose(now, f"turns/{kind}", {**value, "at_us": wall}))
+        self.act(
+            leader, self.members[leader].propose(now, f"turns/{kind}", {**value, "at_us": wall})
+        )
         return True
 
     def work(self, number: int, for_us: int, silent: bool = False) -> None:
@@ -278,6 +359,7 @@
         def back() -> None:
             bench.up = True
             self.lost_at.append((self.now_us, machine, False))
+
         self.at(self.now_us + for_us, back)
 
     def tells(self, what: str) -> list[Tell]:
@@ -307,7 +389,9 @@
             self._renew(leader)
         if shop.now_us < self._until_us:
             bench = shop.benches[turn.machine]
-            shop.works.append(Work(shop.now_us, self._number, turn.machine, len(bench.tasks), turn.state))
+            shop.works.append(
+                Work(shop.now_us, self._number, turn.machine, len(bench.tasks), turn.state)
+            )
             self._left_us -= SECOND // 4
         if self._left_us <= 0 and leader is not None:
             shop.decide(leader, "back", {"number": self._number})
@@ -323,9 +407,14 @@
             if leader not in shop.members or shop.lives[leader] != life:
                 return
             turn = chapter.queue.turns.get(self._number)
-            if chapter.leads and turn is not None and turn.state == "out" and (
-                    chapter.renewed_us(self._number) >= at_leader):
+            if (
+                chapter.leads
+                and turn is not None
+                and turn.state == "out"
+                and (chapter.renewed_us(self._number) >= at_leader)
+            ):
                 self._until_us = max(self._until_us, asked + WORKER_LEASE_US)
             elif tries:
                 shop.at(shop.now_us + SECOND // 10, lambda: look(tries - 1))
+
         look(10)
--- a/wingbarrow/lab/hunt.py
+++ b/wingbarrow/lab/hunt.py
@@ -48,19 +48,45 @@
     try:
         outcome = play(what)
     except Exception as error:  # the hunt goes on; what failed is told with its command
-        return Found(what, {}, 0, 0, 0, 0, time.perf_counter() - begun, [], f"{type(error).__name__}: {error}"[:500])
+        return Found(
+            what,
+            {},
+            0,
+            0,
+            0,
+            0,
+            time.perf_counter() - begun,
+            [],
+            f"{type(error).__name__}: {error}"[:500],
+        )
     audit = outcome.audit
-    odd = {f"odd: {step}": count for slot in outcome.cluster.placers if slot.service
-           for step, count in slot.service.placer.oddities().items()}
-    return Found(what, {**{name: getattr(audit, name) for name in BREACHES if getattr(audit, name)}, **odd},
-                 audit.accepted, audit.placed, audit.left_to_owners, audit.late_by_stall, outcome.real_s,
-                 audit.notes[:3])
+    odd = {
+        f"odd: {step}": count
+        for slot in outcome.cluster.placers
+        if slot.service
+        for step, count in slot.service.placer.oddities().items()
+    }
+    return Found(
+        what,
+        {**{name: getattr(audit, name) for name in BREACHES if getattr(audit, name)}, **odd},
+        audit.accepted,
+        audit.placed,
+        audit.left_to_owners,
+        audit.late_by_stall,
+        outcome.real_s,
+        audit.notes[:3],
+    )
 
 
 def plays(days: list[str], seeds: range, scales: list[float], placers: list[int]) -> list[Play]:
     """Every combination, the smaller sizes first."""
-    return [Play(day, seed, scale, count or None) for scale in sorted(scales) for seed in seeds for day in days
-            for count in placers]
+    return [
+        Play(day, seed, scale, count or None)
+        for scale in sorted(scales)
+        for seed in seeds
+        for day in days
+        for count in placers
+    ]
 
 
 def hunt(wanted: list[Play], jobs: int, progress: Callable[[int, Found], None]) -> Iterator[Found]:
@@ -85,17 +111,21 @@
             best = now
             return True
         return False
+
     scale = found.what.scale
     for smaller in (1.0, 3.0):
         if smaller < scale and still(replace(best.what, scale=smaller)):
             break
     day = DAYS[found.what.name]
     if day.generated:
-        kept = list(best.what.only if best.what.only is not None
-                    else range(len(generate(found.what.seed, day.seconds))))
+        kept = list(
+            best.what.only
+            if best.what.only is not None
+            else range(len(generate(found.what.seed, day.seconds)))
+        )
         index = 0
         while index < len(kept) and left > 0:
-            fewer = kept[:index] + kept[index + 1:]
+            fewer = kept[:index] + kept[index + 1 :]
             if still(replace(best.what, only=tuple(fewer))):
                 kept = fewer
             else:
@@ -116,22 +146,43 @@
         breaches: Counter[str] = Counter()
         for row in mine:
             breaches.update(row.breaches)
-        out.append({"day": name, "scale": scale, "plays": len(mine), "broke": sum(bool(row.breaches) for row in mine),
-                    "failed": sum(bool(row.error) for row in mine), "breaches": dict(breaches),
-                    "accepted": sum(row.accepted for row in mine), "placed": sum(row.placed for row in mine),
-                    "left_to_owners": sum(row.left_to_owners for row in mine),
-                    "late_by_stall": sum(row.late_by_stall for row in mine),
-                    "real_s": round(sum(row.real_s for row in mine))})
+        out.append(
+            {
+                "day": name,
+                "scale": scale,
+                "plays": len(mine),
+                "broke": sum(bool(row.breaches) for row in mine),
+                "failed": sum(bool(row.error) for row in mine),
+                "breaches": dict(breaches),
+                "accepted": sum(row.accepted for row in mine),
+                "placed": sum(row.placed for row in mine),
+                "left_to_owners": sum(row.left_to_owners for row in mine),
+                "late_by_stall": sum(row.late_by_stall for row in mine),
+                "real_s": round(sum(row.real_s for row in mine)),
+            }
+        )
     return out
 
 
 def write(rows: list[Found], smallest: list[Found], folder: Path, command: str) -> None:
     """Rows, table, the shortest reproductions and a plot into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
-    summary = {"command": command, "plays": len(rows), "broke": sum(bool(row.breaches) for row in rows),
-               "failed": sum(bool(row.error) for row in rows), "table": table(rows),
-               "reproductions": [{"command": each.what.command, "breaches": each.breaches, "notes": each.notes,
-                                  "error": each.error} for each in smallest]}
+    summary = {
+        "command": command,
+        "plays": len(rows),
+        "broke": sum(bool(row.breaches) for row in rows),
+        "failed": sum(bool(row.error) for row in rows),
+        "table": table(rows),
+        "reproductions": [
+            {
+                "command": each.what.command,
+                "breaches": each.breaches,
+                "notes": each.notes,
+                "error": each.error,
+            }
+            for each in smallest
+        ],
+    }
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
     with open(folder / "breaches.jsonl", "w", encoding="utf-8") as file:
         for row in rows:
@@ -142,17 +193,25 @@
 
 def _plot(rows: list[Found], path: Path) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     lines = table(rows)
     days = sorted({line["day"] for line in lines})
     scales = sorted({line["scale"] for line in lines})
     figure, axes = pyplot.subplots(figsize=(max(6.0, 0.4 * len(days) + 3), 4.5))
     width = 0.8 / len(scales)
     for turn, scale in enumerate(scales):
-        shares = {line["day"]: line["broke"] / line["plays"] for line in lines if line["scale"] == scale}
-        axes.bar([i + turn * width for i in range(len(days))], [100 * shares.get(day, 0.0) for day in days], width,
-                 label=f"scale {scale:g} ({sum(line['plays'] for line in lines if line['scale'] == scale)} plays)")
+        shares = {
+            line["day"]: line["broke"] / line["plays"] for line in lines if line["scale"] == scale
+        }
+        axes.bar(
+            [i + turn * width for i in range(len(days))],
+            [100 * shares.get(day, 0.0) for day in days],
+            width,
+            label=f"scale {scale:g} ({sum(line['plays'] for line in lines if line['scale'] == scale)} plays)",
+        )
     axes.set_xticks([i + 0.4 - width / 2 for i in range(len(days))], days, rotation=60, ha="right")
     axes.set(ylabel="plays that broke a rule, %", ylim=(0, None), title="Hunt (simulated servers)")
     axes.legend()
--- a/wingbarrow/lab/learn.py
+++ b/wingbarrow/lab/learn.py
@@ -23,7 +23,12 @@
 from wingbarrow.lab.record import Record
 from wingbarrow.transport import Hub, VirtualClock
 
-ARMS = ("cold", "learned", "cold-late", "stale")  # the last two start later, while the peer carries no load
+ARMS = (
+    "cold",
+    "learned",
+    "cold-late",
+    "stale",
+)  # the last two start later, while the peer carries no load
 LATE = ("cold-late", "stale")
 PEER, STEADY, NEW = 0, 1, 2
 WARM_UP_S, STALE_S, MEASURE_S = 25, 120, 60
@@ -103,22 +108,35 @@
             new.start()
             mine["begun"] = hub.now_us()
             owners.skip = {PEER} if arm in LATE else set()
+
         hub.spawn(script, "script")
         owners.run(wants, hub.now_us() + (waits + MEASURE_S + 15) * SECOND)
         return mine["begun"]
+
     begun = hub.run(main)
     found = audit(cluster.record.records, cluster.placers[STEADY].settings)
     cluster.close()
-    return _figures(arm, machines, seed, begun, cluster.record.records, found.clean, found.sends_to_draining)
+    return _figures(
+        arm, machines, seed, begun, cluster.record.records, found.clean, found.sends_to_draining
+    )
 
 
-def _figures(arm: str, machines: int, seed: int, begun: int, records: list[Record], clean: bool,
-             to_draining: int) -> FirstMinute:
+def _figures(
+    arm: str,
+    machines: int,
+    seed: int,
+    begun: int,
+    records: list[Record],
+    clean: bool,
+    to_draining: int,
+) -> FirstMinute:
     end, new, steady = begun + MEASURE_S * SECOND, f"placer-{NEW}", f"placer-{STEADY}"
     counts: dict[str, int] = defaultdict(int)
     owner_of: dict[str, str] = {}
     accepted: dict[str, tuple[str, int]] = {}  # uid: placer, time
-    windows: dict[str, list[list[int]]] = {who: [[0, 0] for _ in range(MEASURE_S // 5)] for who in (new, steady)}
+    windows: dict[str, list[list[int]]] = {
+        who: [[0, 0] for _ in range(MEASURE_S // 5)] for who in (new, steady)
+    }
     uid_of: dict[str, str] = {}
     for record in records:
         data, now = record.data, record.at_us
@@ -142,21 +160,39 @@
             placer, sent = accepted.get(uid_of[data["pod"]], ("", 0))
             in_time = placer != "" and now - sent <= AIM_US
             if in_time and placer in windows:
-                windows[placer][min(len(windows[placer]) - 1, (sent - begun) // (5 * SECOND))][1] += 1
+                windows[placer][min(len(windows[placer]) - 1, (sent - begun) // (5 * SECOND))][
+                    1
+                ] += 1
             if owner_of[data["pod"]] == new:
                 counts["starts"] += 1
                 counts["warm"] += data["warm"]
                 counts["in_time"] += in_time
-    return FirstMinute(arm, machines, seed, counts["offers"], counts["refused_offers"], counts["refused_tasks"],
-                       counts["probes"], counts["starts"], counts["warm"], counts["in_time"], counts["accepted"],
-                       to_draining, clean, [(a, b) for a, b in windows[new]], [(a, b) for a, b in windows[steady]])
+    return FirstMinute(
+        arm,
+        machines,
+        seed,
+        counts["offers"],
+        counts["refused_offers"],
+        counts["refused_tasks"],
+        counts["probes"],
+        counts["starts"],
+        counts["warm"],
+        counts["in_time"],
+        counts["accepted"],
+        to_draining,
+        clean,
+        [(a, b) for a, b in windows[new]],
+        [(a, b) for a, b in windows[steady]],
+    )
 
 
 def _one(job: tuple[str, int, int]) -> FirstMinute:
     return first_minute(*job)
 
 
-def experiment(machines: int, seeds: int, processes: int, arms: tuple[str, ...] = ARMS) -> list[FirstMinute]:
+def experiment(
+    machines: int, seeds: int, processes: int, arms: tuple[str, ...] = ARMS
+) -> list[FirstMinute]:
     """Some arms over all seeds."""
     jobs = [(arm, machines, seed) for seed in range(1, seeds + 1) for arm in arms]
     if processes <= 1:
@@ -170,16 +206,27 @@
     out = []
     for arm in [arm for arm in ARMS if any(row.arm == arm for row in rows)]:
         mine = [row for row in rows if row.arm == arm]
-        figures: dict[str, Any] = {"arm": arm, "seeds": len(mine), "clean": all(row.clean for row in mine),
-                                   "to_draining": sum(row.to_draining for row in mine)}
+        figures: dict[str, Any] = {
+            "arm": arm,
+            "seeds": len(mine),
+            "clean": all(row.clean for row in mine),
+            "to_draining": sum(row.to_draining for row in mine),
+        }
         for name, values in (
-                ("refused_offers_share", [row.refused_offers / max(1, row.offers) for row in mine]),
-                ("refused_tasks", [float(row.refused_tasks) for row in mine]),
-                ("probes", [float(row.probes) for row in mine]),
-                ("warm_share", [row.warm_starts / max(1, row.starts) for row in mine]),
-                ("in_time_share", [row.in_time / max(1, row.accepted) for row in mine]),
-                ("in_time_first_10s", [sum(b for _, b in row.by_window[:2]) / max(1, sum(
-                    a for a, _ in row.by_window[:2])) for row in mine])):
+            ("refused_offers_share", [row.refused_offers / max(1, row.offers) for row in mine]),
+            ("refused_tasks", [float(row.refused_tasks) for row in mine]),
+            ("probes", [float(row.probes) for row in mine]),
+            ("warm_share", [row.warm_starts / max(1, row.starts) for row in mine]),
+            ("in_time_share", [row.in_time / max(1, row.accepted) for row in mine]),
+            (
+                "in_time_first_10s",
+                [
+                    sum(b for _, b in row.by_window[:2])
+                    / max(1, sum(a for a, _ in row.by_window[:2]))
+                    for row in mine
+                ],
+            ),
+        ):
             figures[name] = over_seeds(values)
         out.append(figures)
     return out
@@ -189,8 +236,10 @@
     """Rows, summary and a plot into a folder."""
     write_rows(rows, summary(rows), folder)
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(figsize=(8, 4.5))
     times = [5 * (i + 0.5) for i in range(MEASURE_S // 5)]
 
@@ -198,16 +247,26 @@
         shares = [[b / max(1, a) for a, b in run] for run in runs]
         means = [statistics.mean(column) for column in zip(*shares, strict=True)]
         axes.plot(times, means, style, label=label)
-        axes.fill_between(times, [min(c) for c in zip(*shares, strict=True)],
-                          [max(c) for c in zip(*shares, strict=True)], alpha=0.12)
+        axes.fill_between(
+            times,
+            [min(c) for c in zip(*shares, strict=True)],
+            [max(c) for c in zip(*shares, strict=True)],
+            alpha=0.12,
+        )
+
     for arm, style in zip(ARMS, ("C3-o", "C0-s", "C5:o", "C1:^"), strict=True):
         if any(row.arm == arm for row in rows):
             line([row.by_window for row in rows if row.arm == arm], f"new instance, {arm}", style)
-    line([row.steady_by_window for row in rows if row.arm == rows[0].arm], "running instance", "k--")
-    axes.set(xlabel="seconds since the new instance started", ylim=(0, 1.02),
-             ylabel=f"tasks started within {AIM_US // 1000} ms",
-             title=f"First minute at {rows[0].machines} machines, {len({row.seed for row in rows})} seeds "
-                   "(simulated servers)")
+    line(
+        [row.steady_by_window for row in rows if row.arm == rows[0].arm], "running instance", "k--"
+    )
+    axes.set(
+        xlabel="seconds since the new instance started",
+        ylim=(0, 1.02),
+        ylabel=f"tasks started within {AIM_US // 1000} ms",
+        title=f"First minute at {rows[0].machines} machines, {len({row.seed for row in rows})} seeds "
+        "(simulated servers)",
+    )
     axes.legend(loc="lower right")
     figure.tight_layout()
     figure.savefig(folder / "first-minute.png", dpi=110)
--- a/wingbarrow/lab/leaseguard.py
+++ b/wingbarrow/lab/leaseguard.py
@@ -27,14 +27,25 @@
 class LeaseGuard:
     """One start of a machine; `pods` are those that it holds or looks at, `end` ends one for a lapsed lease."""
 
-    def __init__(self, hub: Hub, name: str, boot: str, ppm: int, domain: Domain, record: Recorder,
-                 pods: Callable[[], Iterable[Pod]], end: Callable[[Pod], None]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        boot: str,
+        ppm: int,
+        domain: Domain,
+        record: Recorder,
+        pods: Callable[[], Iterable[Pod]],
+        end: Callable[[Pod], None],
+    ) -> None:
         self._hub, self._name, self._boot, self._ppm, self._domain = hub, name, boot, ppm, domain
         self._record, self._pods, self._end = record, pods, end
         self._born_us = hub.now_us()
         self._until: dict[str, int] = {}  # by session, in this machine's clock; never shortened
         self._timed: set[str] = set()
-        self._fences: dict[str, int] = {}  # by Job's uid: the epoch from which on its tasks are taken
+        self._fences: dict[
+            str, int
+        ] = {}  # by Job's uid: the epoch from which on its tasks are taken
         self._ran: dict[tuple[str, str], None] = {}  # (uid, pod) of leased tasks that were accepted
         self._forgot = False
 
@@ -83,7 +94,9 @@
         self._hold(session, self._read(until))
         for pod in self._pods():
             if pod.session == session:  # shown with its next news
-                pod.value["metadata"]["annotations"][names.LEASE_UNTIL] = f"{self._boot}:{self._until[session]}"
+                pod.value["metadata"]["annotations"][names.LEASE_UNTIL] = (
+                    f"{self._boot}:{self._until[session]}"
+                )
         return self._say({})
 
     def _fence(self, said: dict[str, Any]) -> Answer:
@@ -95,8 +108,16 @@
         self._fences[uid] = max(epoch, self._fences.get(uid, 0))
         # Danger: a task that ran and is over had its effect too; that it is not here now proves nothing. One that is
         # still looked at is refused by this very fence.
-        holds = sorted({pod.name for pod in self._pods() if pod.uid == uid and pod.phase in ("Pending", "Running")
-                        and (pod.epoch >= epoch or not pod.lease)} | {pod for owner, pod in self._ran if owner == uid})
+        holds = sorted(
+            {
+                pod.name
+                for pod in self._pods()
+                if pod.uid == uid
+                and pod.phase in ("Pending", "Running")
+                and (pod.epoch >= epoch or not pod.lease)
+            }
+            | {pod for owner, pod in self._ran if owner == uid}
+        )
         self._record(self._name, "fence", uid=uid, epoch=epoch, holds=holds)
         return self._say({"holds": holds, "sure": not self._forgot})
 
@@ -105,7 +126,9 @@
     def refusal(self, pod: Pod) -> ApiError | None:
         """Why a task may not start, or not any more; None where nothing of leases speaks against it."""
         if pod.epoch < self._fences.get(pod.uid, 0):
-            return ApiError(409, f"Job {pod.uid} is fenced at epoch {self._fences[pod.uid]}", FENCED)
+            return ApiError(
+                409, f"Job {pod.uid} is fenced at epoch {self._fences[pod.uid]}", FENCED
+            )
         if not pod.lease:
             return None
         try:
@@ -113,7 +136,9 @@
             if pod.session not in self._until and len(self._until) >= SESSIONS_MOST:
                 self._forget()
                 if len(self._until) >= SESSIONS_MOST:
-                    return ApiError(429, f"{SESSIONS_MOST} sessions are known here", "TooManyRequests")
+                    return ApiError(
+                        429, f"{SESSIONS_MOST} sessions are known here", "TooManyRequests"
+                    )
         except ApiError as error:
             return error
         self._hold(pod.session, until)
@@ -137,7 +162,12 @@
         known = self._until.get(pod.session, 0)
         if boot == self._boot and figure.isdecimal():
             known = max(known, int(figure))
-        return {"uid": pod.uid, "session": pod.session, "epoch": pod.epoch, "until_us": self._hub_us(known)}
+        return {
+            "uid": pod.uid,
+            "session": pod.session,
+            "epoch": pod.epoch,
+            "until_us": self._hub_us(known),
+        }
 
     # -- inside
 
@@ -146,7 +176,9 @@
         self._until[session] = max(until, self._until.get(session, 0))
         if session not in self._timed:
             self._timed.add(session)
-            self._hub._at(self._hub_us(self._until[session]), lambda: self._look(session), self._domain)
+            self._hub._at(
+                self._hub_us(self._until[session]), lambda: self._look(session), self._domain
+            )
 
     def _look(self, session: str) -> None:
         self._timed.discard(session)
@@ -161,4 +193,8 @@
     def _forget(self) -> None:
         held = {pod.session for pod in self._pods()}
         now = self.clock_us()
-        self._until = {session: until for session, until in self._until.items() if until > now or session in held}
+        self._until = {
+            session: until
+            for session, until in self._until.items()
+            if until > now or session in held
+        }
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -49,9 +49,16 @@
         self._placers = placers
         self._random = random.Random(seed)
         self._record = record
-        self._pools = [Pool(hub, "127.0.0.1", each.port, PoolLimits(connections=64, waiting=4096,
-                                                                   first_byte_us=5 * SECOND), "owner")
-                       for each in placers]
+        self._pools = [
+            Pool(
+                hub,
+                "127.0.0.1",
+                each.port,
+                PoolLimits(connections=64, waiting=4096, first_byte_us=5 * SECOND),
+                "owner",
+            )
+            for each in placers
+        ]
         self._asked: list[dict[str, _Asked]] = [{} for _ in placers]
         self.waiting: deque[Want] = deque()
         self.submitted = self.open = 0
@@ -84,7 +91,9 @@
         self.open += 1
         try:
             for _ in range(3):
-                index = self._random.choice([i for i in range(len(self._placers)) if i not in self.skip])
+                index = self._random.choice(
+                    [i for i in range(len(self._placers)) if i not in self.skip]
+                )
                 if self._submit(index, want, tries):
                     return
                 self.hub.sleep(200_000 + self._random.randrange(200_000))
@@ -101,12 +110,23 @@
         body = names.encode(job_value(want, name, patience))
         sent_us = self.hub.now_us()
         try:
-            value = call(self._pools[index], "POST", "/apis/batch/v1/namespaces/default/jobs", body,
-                         sent_us + 2 * SECOND)
+            value = call(
+                self._pools[index],
+                "POST",
+                "/apis/batch/v1/namespaces/default/jobs",
+                body,
+                sent_us + 2 * SECOND,
+            )
         except ApiError as error:
             del self._asked[index][name]
-            self._record("owner", "turned-away", placer=placer.name, job=name, code=error.code,
-                         why=str(error)[:WHY_MOST])
+            self._record(
+                "owner",
+                "turned-away",
+                placer=placer.name,
+                job=name,
+                code=error.code,
+                why=str(error)[:WHY_MOST],
+            )
             return error.code == 422
         except CallFailed as error:
             self._record("owner", "submit-failed", placer=placer.name, job=name, why=error.why.name)
@@ -116,9 +136,18 @@
             return not unsent and want.task_class == "settlement"
         asked.until_us = sent_us + patience
         self.open += 1
-        self._record("owner", "accepted", placer=placer.name, job=name, uid=value["metadata"]["uid"],
-                     task=want.ident, task_class=want.task_class, patience_us=patience, sent_us=sent_us,
-                     federation=want.federation)
+        self._record(
+            "owner",
+            "accepted",
+            placer=placer.name,
+            job=name,
+            uid=value["metadata"]["uid"],
+            task=want.ident,
+            task_class=want.task_class,
+            patience_us=patience,
+            sent_us=sent_us,
+            federation=want.federation,
+        )
         self._see(index, asked.early or value)
         self._spawn(lambda: self._give_up(index, asked))
         if self.delete_share and self._deletes.random() < self.delete_share:
@@ -131,15 +160,22 @@
         self.hub.sleep(after_us)
         for _ in range(20):
             try:
-                call(self._pools[index], "DELETE", f"/apis/batch/v1/namespaces/default/jobs/{name}", None,
-                     self.hub.now_us() + 2 * SECOND)
+                call(
+                    self._pools[index],
+                    "DELETE",
+                    f"/apis/batch/v1/namespaces/default/jobs/{name}",
+                    None,
+                    self.hub.now_us() + 2 * SECOND,
+                )
             except ApiError as error:
                 if error.code == 404:
                     return
             except CallFailed:
                 pass
             else:
-                self._record("owner", "deleted", placer=self._placers[index].name, job=name, uid=uid)
+                self._record(
+                    "owner", "deleted", placer=self._placers[index].name, job=name, uid=uid
+                )
                 asked = self._asked[index].pop(name, None)
                 if asked is not None and not asked.answered:
                     asked.answered = True
@@ -151,7 +187,9 @@
         """Ask for so many more tasks within a while, half of them of four services."""
         self._surges += 1
         rng = random.Random(seed)
-        for want in draw(Mix(rate=count / max(0.1, over_s), services=60), over_s, seed, f"s{self._surges}-"):
+        for want in draw(
+            Mix(rate=count / max(0.1, over_s), services=60), over_s, seed, f"s{self._surges}-"
+        ):
             few = rng.random() < 0.5 and want.task_class == "web"
             want = replace(want, service=f"web-{rng.randrange(4)}") if few else want
             self._spawn_at(self.hub.now_us() + want.at_us, want)
@@ -160,6 +198,7 @@
         def later() -> None:
             self.hub.sleep_until(at_us)
             self._ask(want, 0)
+
         self._spawn(later)
 
     def _spawn(self, what: Callable[[], None]) -> None:
@@ -213,12 +252,22 @@
         status = value.get("status", {})
         conditions = {each["type"]: each for each in status.get("conditions", [])}
         failed = conditions.get("Failed", {}).get("reason", "")
-        answer = ("placed" if "Placed" in conditions else
-                  {"Refused": "refused", "Failed": "failed", "LeaseLost": "failed"}.get(failed, ""))
+        answer = (
+            "placed"
+            if "Placed" in conditions
+            else {"Refused": "refused", "Failed": "failed", "LeaseLost": "failed"}.get(failed, "")
+        )
         if not answer:
             return
-        self._record("owner", "answer", placer=self._placers[index].name, job=name, uid=value["metadata"]["uid"],
-                     answer=answer, failed=failed)
+        self._record(
+            "owner",
+            "answer",
+            placer=self._placers[index].name,
+            job=name,
+            uid=value["metadata"]["uid"],
+            answer=answer,
+            failed=failed,
+        )
         if asked is None:
             return
         over = "Complete" in conditions or failed
@@ -226,14 +275,18 @@
             asked.answered = True
             self.open -= 1
             self.on_answer(name, answer)
-            if answer == "refused" or (answer == "failed" and asked.want.task_class != "settlement"):
+            if answer == "refused" or (
+                answer == "failed" and asked.want.task_class != "settlement"
+            ):
                 self._again(asked)
         if over:
             del self._asked[index][name]
 
     def _again(self, asked: _Asked) -> None:
         if asked.tries + 1 < TRIES:
+
             def later() -> None:
                 self.hub.sleep(AGAIN_US + self._random.randrange(SECOND))
                 self._ask(asked.want, asked.tries + 1)
+
             self._spawn(later)
--- a/wingbarrow/lab/machine.py
+++ b/wingbarrow/lab/machine.py
@@ -41,8 +41,15 @@
 class Machine:
     """One machine; its sockets and tasks live in a domain that can be held still or killed."""
 
-    def __init__(self, hub: Hub, name: str, build: Build, seed: int, record: Recorder,
-                 say: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        build: Build,
+        seed: int,
+        record: Recorder,
+        say: Callable[[str], None],
+    ) -> None:
         self.hub, self.name, self.build, self._record, self._say = hub, name, build, record, say
         self._random = random.Random(seed)
         self._boot_seed = random.Random(f"{name}/{seed}")
@@ -61,7 +68,9 @@
         self.ppm = 0  # its clock goes so many parts in a million fast
         self.boots = 0
         self.more_guards: list[Callable[[Machine], Guard]] = []  # made at each launch
-        self.turns = TurnGuard(lambda: any(pod.phase in ("Pending", "Running") for pod in self.present()), name, record)
+        self.turns = TurnGuard(
+            lambda: any(pod.phase in ("Pending", "Running") for pod in self.present()), name, record
+        )
 
     # -- life
 
@@ -82,23 +91,51 @@
         self._in_line: dict[str, Pod] = {}
         self._line: Channel[tuple[Pod | None, Signal]] = Channel(self.hub, self.build.line)
         self.boots += 1
-        self.leases = LeaseGuard(self.hub, self.name, f"{self.boots}-{self._boot_seed.getrandbits(48):x}", self.ppm,
-                                 self.domain, self._record, self.present, self._lapsed)
-        self.guards: list[Guard] = [self.leases, self.turns, *(make(self) for make in self.more_guards)]
-        self._offering = Offering(self.hub, self.name, self._random, self._record, self.faults, self.domain,
-                                  self._changed, self._decide, self.leases.told)
+        self.leases = LeaseGuard(
+            self.hub,
+            self.name,
+            f"{self.boots}-{self._boot_seed.getrandbits(48):x}",
+            self.ppm,
+            self.domain,
+            self._record,
+            self.present,
+            self._lapsed,
+        )
+        self.guards: list[Guard] = [
+            self.leases,
+            self.turns,
+            *(make(self) for make in self.more_guards),
+        ]
+        self._offering = Offering(
+            self.hub,
+            self.name,
+            self._random,
+            self._record,
+            self.faults,
+            self.domain,
+            self._changed,
+            self._decide,
+            self.leases.told,
+        )
         self._offering.came = self._came
         self._record(self.name, "launch", cold=cold, zone=self.build.zone, cell=self.build.cell)
         ready = Signal(self.hub)
 
         def begin() -> None:
-            self._server = Server(self.hub, "127.0.0.1", self.port, self._handle, self._say,
-                                  ServerLimits(connections=512))
+            self._server = Server(
+                self.hub,
+                "127.0.0.1",
+                self.port,
+                self._handle,
+                self._say,
+                ServerLimits(connections=512),
+            )
             self.port = self._server.port
             self.hub.spawn(self._server.serve, f"{self.name} serves")
             self.hub.spawn(self._admit, f"{self.name} admits")
             self.hub.spawn(self._live, f"{self.name} lives")
             ready.notify()
+
         self.hub.spawn(begin, f"{self.name} begins", self.domain)
         ready.wait()
 
@@ -154,10 +191,20 @@
             if path == "/stats/summary":
                 return self._stats(request)
             if path == "/api/v1/pods" and request.method == "GET":
-                return self._pods_view.list_or_watch(Query(query), "", request.get("user-agent") or "")
-            if parts[:3] == ["api", "v1", "namespaces"] and len(parts) == 5 and request.method == "POST":
+                return self._pods_view.list_or_watch(
+                    Query(query), "", request.get("user-agent") or ""
+                )
+            if (
+                parts[:3] == ["api", "v1", "namespaces"]
+                and len(parts) == 5
+                and request.method == "POST"
+            ):
                 return self._offering.offer(request)
-            if parts[:3] == ["api", "v1", "namespaces"] and len(parts) == 6 and request.method == "DELETE":
+            if (
+                parts[:3] == ["api", "v1", "namespaces"]
+                and len(parts) == 6
+                and request.method == "DELETE"
+            ):
                 return self._delete(parts[5])
             for guard in self.guards:
                 answer = guard.answer(request.method, path, request)
@@ -172,27 +219,45 @@
         if pod is None and name in self._in_line:
             # Deleted before it was looked at: it is turned away when its turn comes.
             self._in_line[name].verdict = ApiError(409, "given up before its start", "Terminated")
-            return Answer(200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"}))
+            return Answer(
+                200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
+            )
         if pod is None:
             raise ApiError(404, f'pods "{name}" not found')
         if pod.phase in ("Pending", "Running"):
             self._end(pod, "Failed", "Terminated", told=False)
         self._collection.delete(f"{pod.namespace}/{pod.name}")
-        return Answer(200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"}))
+        return Answer(
+            200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
+        )
 
     def _stats(self, request: Request) -> Answer:
         done = Signal(self.hub)
-        self._record(self.name, "probe", placer=(request.get("user-agent") or "").rpartition("/")[2])
+        self._record(
+            self.name, "probe", placer=(request.get("user-agent") or "").rpartition("/")[2]
+        )
         try:
             self._line.offer((None, done))
         except Full:
             raise ApiError(429, "the line is full") from None
         done.wait()
         cores, memory = self.used()
-        return Answer(200, names.encode({"node": {
-            "nodeName": self.name, "cpu": {"usageNanoCores": int(cores * 1e9)},
-            "memory": {"availableBytes": int((self.build.memory - memory) * 2**30),
-                       "workingSetBytes": int(memory * 2**30)}}, "pods": []}))
+        return Answer(
+            200,
+            names.encode(
+                {
+                    "node": {
+                        "nodeName": self.name,
+                        "cpu": {"usageNanoCores": int(cores * 1e9)},
+                        "memory": {
+                            "availableBytes": int((self.build.memory - memory) * 2**30),
+                            "workingSetBytes": int(memory * 2**30),
+                        },
+                    },
+                    "pods": [],
+                }
+            ),
+        )
 
     def _came(self) -> None:
         self.offers_seen += 1
@@ -223,7 +288,9 @@
         finally:
             del self._in_line[pod.name]
         if pod.verdict is None and self.hub.now_us() >= until:
-            pod.verdict = ApiError(409, "nobody waits for this start any longer", "DeadlineExceeded")
+            pod.verdict = ApiError(
+                409, "nobody waits for this start any longer", "DeadlineExceeded"
+            )
         if pod.verdict is None:
             pod.verdict = self._guarded(pod)  # time may have passed since it was looked at
         if pod.verdict is None:
@@ -244,7 +311,9 @@
                 pod, done = self._line.get()
             except Closed:
                 return
-            self.hub.sleep(int(self.build.admit_us * self.slowness * self._random.uniform(0.7, 1.3)))
+            self.hub.sleep(
+                int(self.build.admit_us * self.slowness * self._random.uniform(0.7, 1.3))
+            )
             if pod is not None and pod.verdict is None:
                 pod.verdict = self._refusal(pod)
             done.notify()
@@ -259,15 +328,18 @@
         if refused is not None:
             return refused
         for which, reason in ((0, "OutOfcpu"), (1, "OutOfmemory")):
-            room = ((build.booking_cores * build.cores, build.booking_memory * build.memory)[which]
-                    - self.asked[which])
+            room = (build.booking_cores * build.cores, build.booking_memory * build.memory)[
+                which
+            ] - self.asked[which]
             ask = (pod.cores, pod.memory)[which]
             if ask > room + 1e-9 and not self._push_out(pod, which, ask - room):
                 return ApiError(409, f"asked {ask:g}, free {room:g}", reason)
         return None
 
     def _guarded(self, pod: Pod) -> ApiError | None:
-        return next((refused for guard in self.guards if (refused := guard.refusal(pod)) is not None), None)
+        return next(
+            (refused for guard in self.guards if (refused := guard.refusal(pod)) is not None), None
+        )
 
     def _lapsed(self, pod: Pod) -> None:
         """A lease was not renewed: its task ends here, whoever still believes in it."""
@@ -298,18 +370,31 @@
     def _start(self, pod: Pod) -> None:
         try:
             held = pod.service in self._programs or any(
-                each.service == pod.service and each.phase == "Running" for each in self.pods.values())
+                each.service == pod.service and each.phase == "Running"
+                for each in self.pods.values()
+            )
             work = self.build.start_us * (1.0 if held else self.build.setup) * self.slowness
-            self.hub.sleep(int(work / self._warmth.pace(self.hub.now_us()) * self._random.uniform(0.8, 1.2)))
+            self.hub.sleep(
+                int(work / self._warmth.pace(self.hub.now_us()) * self._random.uniform(0.8, 1.2))
+            )
         finally:
             self._starting -= 1
         if pod.phase == "Pending" and pod.name in self.pods:
             pod.phase, pod.started_us = "Running", self.hub.now_us()
-            self._record(self.name, "start", pod=pod.name, task=pod.task, task_class=pod.task_class, warm=held,
-                         **self.leases.told(pod))
+            self._record(
+                self.name,
+                "start",
+                pod=pod.name,
+                task=pod.task,
+                task_class=pod.task_class,
+                warm=held,
+                **self.leases.told(pod),
+            )
             self._show(pod)
             self._changed.notify()
-            pod.timer = self.hub._at(pod.started_us + pod.runs_us, lambda: self._over(pod), self.domain)
+            pod.timer = self.hub._at(
+                pod.started_us + pod.runs_us, lambda: self._over(pod), self.domain
+            )
         self._next_start()
 
     def _over(self, pod: Pod) -> None:
@@ -323,8 +408,13 @@
             pod.timer = None
         pod.phase, pod.ended_us = phase, self.hub.now_us()
         if running:
-            self._record(self.name, "end", pod=pod.name, why="lease" if reason == LAPSED else reason or "done",
-                         **self.leases.told(pod))
+            self._record(
+                self.name,
+                "end",
+                pod=pod.name,
+                why="lease" if reason == LAPSED else reason or "done",
+                **self.leases.told(pod),
+            )
             self._programs.append(pod.service)
         else:
             pod.verdict = ApiError(409, "given up before its start", reason or "Terminated")
@@ -337,7 +427,9 @@
         status = {"phase": pod.phase, "hostIP": "127.0.0.1"}
         if pod.started_us:
             clock = self.hub.clock
-            status["startTime"] = names.short_time(pod.started_us + clock.wall_us() - clock.now_us())
+            status["startTime"] = names.short_time(
+                pod.started_us + clock.wall_us() - clock.now_us()
+            )
         reason = (pod.value.get("status") or {}).get("reason")
         if reason:
             status["reason"] = reason
@@ -352,8 +444,11 @@
             now, build = self.hub.now_us(), self.build
             cores, memory = self.used()
             while memory > build.memory:
-                victim = min((pod for pod in self.pods.values() if pod.phase == "Running"),
-                             key=lambda pod: (pod.priority, -pod.use_memory), default=None)
+                victim = min(
+                    (pod for pod in self.pods.values() if pod.phase == "Running"),
+                    key=lambda pod: (pod.priority, -pod.use_memory),
+                    default=None,
+                )
                 if victim is None:
                     break
                 memory -= use_of(victim, now, self.use_factor)[1]
@@ -364,7 +459,8 @@
                     use = use_of(pod, now, self.use_factor)
                     pod.value["metadata"]["annotations"][names.USE] = (
                         f"cores={use[0]:.2f};memory={use[1]:.2f};served={served:.2f};"
-                        f"machine={memory / build.memory:.2f}")
+                        f"machine={memory / build.memory:.2f}"
+                    )
                     self._show(pod)
                 elif pod.ended_us and now - pod.ended_us > KEEP_ENDED_US:
                     del self.pods[pod.name]
--- a/wingbarrow/lab/node.py
+++ b/wingbarrow/lab/node.py
@@ -12,20 +12,35 @@
     """The Node object by which the list source tells of a machine."""
     build = machine.build
     asked = machine.asked
-    notes = {names.FREE_CORES: f"{build.cores - asked[0]:.2f}",
-             names.FREE_MEMORY: f"{build.memory - asked[1]:.2f}"}
+    notes = {
+        names.FREE_CORES: f"{build.cores - asked[0]:.2f}",
+        names.FREE_MEMORY: f"{build.memory - asked[1]:.2f}",
+    }
     if machine.launched_us:
         clock = machine.hub.clock
-        notes[names.LAUNCHED] = names.time_text(machine.launched_us + clock.wall_us() - clock.now_us())
+        notes[names.LAUNCHED] = names.time_text(
+            machine.launched_us + clock.wall_us() - clock.now_us()
+        )
     return {
-        "kind": "Node", "apiVersion": "v1",
-        "metadata": {"name": machine.name, "uid": names.uid("node", machine.name), "annotations": notes,
-                     "labels": {names.ZONE: build.zone, names.CELL: build.cell, names.KIND: build.kind}},
-        "spec": {"unschedulable": True, "taints": [{"key": "node.kubernetes.io/unschedulable",
-                                                    "effect": "NoSchedule"}]} if machine.draining else {},
+        "kind": "Node",
+        "apiVersion": "v1",
+        "metadata": {
+            "name": machine.name,
+            "uid": names.uid("node", machine.name),
+            "annotations": notes,
+            "labels": {names.ZONE: build.zone, names.CELL: build.cell, names.KIND: build.kind},
+        },
+        "spec": {
+            "unschedulable": True,
+            "taints": [{"key": "node.kubernetes.io/unschedulable", "effect": "NoSchedule"}],
+        }
+        if machine.draining
+        else {},
         "status": {
             "capacity": {"cpu": f"{build.cores:g}", "memory": f"{build.memory:g}Gi"},
             "allocatable": {"cpu": f"{build.cores:g}", "memory": f"{build.memory:g}Gi"},
             "addresses": [{"type": "InternalIP", "address": "127.0.0.1"}],
             "daemonEndpoints": {"kubeletEndpoint": {"Port": machine.port}},
-            "conditions": [{"type": "Ready", "status": "True"}]}}
+            "conditions": [{"type": "Ready", "status": "True"}],
+        },
+    }
--- a/wingbarrow/lab/offering.py
+++ b/wingbarrow/lab/offering.py
@@ -17,16 +17,33 @@
 from wingbarrow.lab.record import Recorder
 from wingbarrow.transport import Domain, Hub, PeerGone, Signal
 
-LOOK_US = 1_000_000  # an offer that is left unanswered looks this often whether its client is still there
+LOOK_US = (
+    1_000_000  # an offer that is left unanswered looks this often whether its client is still there
+)
 
 
 class Offering:
     """One life of a machine's front for offers; `decide` admits a task or says why not, `changed` is news of one."""
 
-    def __init__(self, hub: Hub, name: str, seed: random.Random, record: Recorder, faults: FaultPlan, domain: Domain,
-                 changed: Signal, decide: Callable[[Pod, dict[str, Any]], ApiError | None],
-                 told: Callable[[Pod], Mapping[str, Any]]) -> None:
-        self._hub, self._name, self._random, self._record, self._faults = hub, name, seed, record, faults
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        seed: random.Random,
+        record: Recorder,
+        faults: FaultPlan,
+        domain: Domain,
+        changed: Signal,
+        decide: Callable[[Pod, dict[str, Any]], ApiError | None],
+        told: Callable[[Pod], Mapping[str, Any]],
+    ) -> None:
+        self._hub, self._name, self._random, self._record, self._faults = (
+            hub,
+            name,
+            seed,
+            record,
+            faults,
+        )
         self._domain, self._changed, self._decide, self._told = domain, changed, decide, told
         self.came: Callable[[], None] = lambda: None  # an offer crossed the socket
 
@@ -36,11 +53,22 @@
         pod = Pod(value, (self._random.uniform(0.4, 0.9), self._random.uniform(0.6, 0.95)))
         placer = (request.get("user-agent") or "").rpartition("/")[2]
         gone = request.connection.reader_gone()
-        self._record(self._name, "offer", placer=placer, pod=pod.name, task=pod.task, task_class=pod.task_class,
-                     service=pod.service, late=gone, rules=value["metadata"].get("labels", {}).get(names.RULES, ""),
-                     **self._told(pod))
+        self._record(
+            self._name,
+            "offer",
+            placer=placer,
+            pod=pod.name,
+            task=pod.task,
+            task_class=pod.task_class,
+            service=pod.service,
+            late=gone,
+            rules=value["metadata"].get("labels", {}).get(names.RULES, ""),
+            **self._told(pod),
+        )
         self.came()
-        watcher = self._hub.spawn(lambda: self._notice_gone(request, pod), f"{self._name} looks", self._domain)
+        watcher = self._hub.spawn(
+            lambda: self._notice_gone(request, pod), f"{self._name} looks", self._domain
+        )
         try:
             return self._treat(pod, request, value)
         finally:
@@ -76,8 +104,12 @@
         if verdict is None and fault is Fault.SILENT_AFTER:
             self._wait_gone(request, pod)
         if verdict is None and fault in (Fault.HALF, Fault.GARBAGE):
-            data = write_response(201, [("Content-Type", "application/json")], names.encode(pod.value), True)
-            request.connection.send(data[:len(data) // 2] if fault is Fault.HALF else b"\x00\x01 no answer\r\n\r\n")
+            data = write_response(
+                201, [("Content-Type", "application/json")], names.encode(pod.value), True
+            )
+            request.connection.send(
+                data[: len(data) // 2] if fault is Fault.HALF else b"\x00\x01 no answer\r\n\r\n"
+            )
             self._close(request, pod, "broken answer")
         return self._answer(pod, verdict)
 
@@ -85,7 +117,9 @@
         told, pod.told = pod.told, True
         if verdict is not None:
             if not told:
-                self._record(self._name, "answer", pod=pod.name, status=verdict.code, reason=verdict.reason)
+                self._record(
+                    self._name, "answer", pod=pod.name, status=verdict.code, reason=verdict.reason
+                )
             return error_answer(verdict)
         if not told:
             self._record(self._name, "answer", pod=pod.name, status=201, reason="")
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -56,13 +56,27 @@
         start_us = hub.clock.wall_us() + 35 * SECOND
         stamp = datetime.fromtimestamp(start_us / SECOND, UTC).isoformat()
         path = Path(cluster._folder.name) / "windows.kdl"
-        path.write_text(f'window "patch" start="{stamp}" lasts="{6 * EACH_S}s" each="{EACH_S}s" {{ '
-                        f'machines name="*"; }}\nlead "{LEAD_S}s"\npace moves=8 every="1s"\n'
-                        'budget by="cell" max-unavailable=1\nbudget by="all" max-unavailable=2\n')
+        path.write_text(
+            f'window "patch" start="{stamp}" lasts="{6 * EACH_S}s" each="{EACH_S}s" {{ '
+            f'machines name="*"; }}\nlead "{LEAD_S}s"\npace moves=8 every="1s"\n'
+            'budget by="cell" max-unavailable=1\nbudget by="all" max-unavailable=2\n'
+        )
         calendar = load_calendar([path])
-        states = [MachineState(each.name, each.build.cell, each.build.zone, each.build.kind, {},
-                               (each.build.cores, each.build.memory), (0.0, 0.0)) for each in cluster.machines]
-        drains = plan(expand_all(calendar.series, start_us - SECOND, start_us + 1), states, calendar.rules)
+        states = [
+            MachineState(
+                each.name,
+                each.build.cell,
+                each.build.zone,
+                each.build.kind,
+                {},
+                (each.build.cores, each.build.memory),
+                (0.0, 0.0),
+            )
+            for each in cluster.machines
+        ]
+        drains = plan(
+            expand_all(calendar.series, start_us - SECOND, start_us + 1), states, calendar.rules
+        )
         if arm == "calendar":
             for slot in cluster.placers:
                 slot.kill()
@@ -72,10 +86,13 @@
             for drain in drains:
                 if drain.fate is Fate.PLANNED:
                     machine = next(each for each in cluster.machines if each.name == drain.machine)
-                    hub.spawn(lambda drain=drain, machine=machine: _patch(cluster, machine, drain, arm))  # type: ignore[misc]
+                    hub.spawn(
+                        lambda drain=drain, machine=machine: _patch(cluster, machine, drain, arm)  # type: ignore[misc]
+                    )
         owners = Owners(hub, cluster.addresses(), seed + 5, cluster.record)
         owners.run(wants, hub.now_us() + (SECONDS + 60) * SECOND)
         hub.sleep(45 * SECOND)  # what was started last runs to its end
+
     hub.run(main)
     found = audit(cluster.record.records, cluster.placers[0].settings)
     cluster.close()
@@ -97,7 +114,9 @@
     cluster.source.show(machine.name, node_value(machine))
 
 
-def _figures(arm: str, seed: int, wants: list[Want], records: list[Record], clean: bool) -> PatchDay:
+def _figures(
+    arm: str, seed: int, wants: list[Want], records: list[Record], clean: bool
+) -> PatchDay:
     accepted: dict[str, int] = {}
     running: dict[str, tuple[str, int, str]] = {}
     ran: dict[str, int] = {}
@@ -126,9 +145,23 @@
         ran[task] = ran.get(task, 0) + last - since
     wanted = sum(want.runs_us for want in wants)
     share = sum(min(want.runs_us, ran.get(want.ident, 0)) for want in wants) / wanted
-    in_time = sum(want.ident in began and began[want.ident] - accepted.get(want.ident, 0) <= AIM_US for want in wants)
-    return PatchDay(arm, seed, len(wants), in_time, share, counts["moved"], counts["lost"], counts["cold"],
-                    counts["patched"], counts["settlement_moves"], clean)
+    in_time = sum(
+        want.ident in began and began[want.ident] - accepted.get(want.ident, 0) <= AIM_US
+        for want in wants
+    )
+    return PatchDay(
+        arm,
+        seed,
+        len(wants),
+        in_time,
+        share,
+        counts["moved"],
+        counts["lost"],
+        counts["cold"],
+        counts["patched"],
+        counts["settlement_moves"],
+        clean,
+    )
 
 
 def _one(job: tuple[str, int]) -> PatchDay:
@@ -138,7 +171,9 @@
 def experiment(seeds: int, processes: int) -> list[PatchDay]:
     """All arms over all seeds."""
     with Pool(processes) as pool:
-        return pool.map(_one, [(arm, seed) for seed in range(1, seeds + 1) for arm in ARMS], chunksize=1)
+        return pool.map(
+            _one, [(arm, seed) for seed in range(1, seeds + 1) for arm in ARMS], chunksize=1
+        )
 
 
 def summary(rows: list[PatchDay]) -> list[dict[str, Any]]:
@@ -146,14 +181,20 @@
     out = []
     for arm in ARMS:
         mine = [row for row in rows if row.arm == arm]
-        figures: dict[str, Any] = {"arm": arm, "seeds": len(mine), "clean": all(row.clean for row in mine),
-                                   "settlement_moves": sum(row.settlement_moves for row in mine)}
-        for name, values in (("in_time_share", [row.in_time / row.wanted for row in mine]),
-                             ("run_share", [row.run_share for row in mine]),
-                             ("moved", [float(row.moved) for row in mine]),
-                             ("lost", [float(row.lost) for row in mine]),
-                             ("cold_starts", [float(row.cold_starts) for row in mine]),
-                             ("patched", [float(row.patched) for row in mine])):
+        figures: dict[str, Any] = {
+            "arm": arm,
+            "seeds": len(mine),
+            "clean": all(row.clean for row in mine),
+            "settlement_moves": sum(row.settlement_moves for row in mine),
+        }
+        for name, values in (
+            ("in_time_share", [row.in_time / row.wanted for row in mine]),
+            ("run_share", [row.run_share for row in mine]),
+            ("moved", [float(row.moved) for row in mine]),
+            ("lost", [float(row.lost) for row in mine]),
+            ("cold_starts", [float(row.cold_starts) for row in mine]),
+            ("patched", [float(row.patched) for row in mine]),
+        ):
             figures[name] = over_seeds(values)
         out.append(figures)
     return out
--- a/wingbarrow/lab/record.py
+++ b/wingbarrow/lab/record.py
@@ -39,8 +39,10 @@
     def read(path: Path) -> list[Record]:
         """What `write` wrote."""
         with open(path, encoding="utf-8") as file:
-            return [Record(value.pop("at_us"), value.pop("where"), value.pop("what"), value)
-                    for value in map(json.loads, file)]
+            return [
+                Record(value.pop("at_us"), value.pop("where"), value.pop("what"), value)
+                for value in map(json.loads, file)
+            ]
 
     def limit(self, most: int) -> None:
         """Keep at most so many from now on."""
--- a/wingbarrow/lab/source.py
+++ b/wingbarrow/lab/source.py
@@ -23,7 +23,9 @@
 class ListSource:
     """Holds Nodes; `lag_us` passes before a change shows, `down` turns every call away."""
 
-    def __init__(self, hub: Hub, seed: int, record: Recorder, say: Callable[[str], None], window: int = 4096) -> None:
+    def __init__(
+        self, hub: Hub, seed: int, record: Recorder, say: Callable[[str], None], window: int = 4096
+    ) -> None:
         self.hub = hub
         self._record, self._say = record, say
         self._random = random.Random(seed)
@@ -51,16 +53,25 @@
         ready = Signal(self.hub)
 
         def begin() -> None:
-            server = Server(self.hub, "127.0.0.1", self.port, self._handle, self._say, ServerLimits(connections=1024))
+            server = Server(
+                self.hub,
+                "127.0.0.1",
+                self.port,
+                self._handle,
+                self._say,
+                ServerLimits(connections=1024),
+            )
             self.port = server.port
             self.hub.spawn(server.serve, "list-source serves")
             ready.notify()
+
         self.domain = Domain(self.hub, "list-source")
         self.hub.spawn(begin, "list-source", self.domain)
         ready.wait()
 
     def show(self, name: str, value: dict[str, Any] | None) -> None:
         """A machine changed (None: it is gone); shown after the lag, in order."""
+
         def apply() -> None:
             if value is None:
                 self._nodes.delete(name)
@@ -68,6 +79,7 @@
             held = self._nodes.objects.get(name)
             if held is None or _plain(held.value) != _plain(value):
                 self._nodes.put(name, value)
+
         if self.lag_us:
             self.hub._at(self.hub.now_us() + self.lag_us, apply, None)
         else:
@@ -95,6 +107,7 @@
             self._old = view if old else None
             self.domain.kill()
             self.start()
+
         return use
 
     def _handle(self, request: Request) -> Answer:
@@ -113,7 +126,7 @@
     def _maybe_cut(self, agent: str, writer: ChunkWriter, data: bytes) -> None:
         if self.cut_share and self._random.random() < self.cut_share:
             self.cuts += 1
-            part = data[:max(1, len(data) // 2)]
+            part = data[: max(1, len(data) // 2)]
             writer._connection.stream.send(write_chunk(part))
             writer._connection.stream.abort()
             raise PeerGone("cut")
@@ -131,10 +144,21 @@
     def _tell(self, agent: str, kind: str, value: dict[str, Any]) -> None:
         """Record what the bytes just written told whom of a machine."""
         meta = value["metadata"]
-        phase = ("gone" if kind == "DELETED" else
-                 "draining" if value.get("spec", {}).get("unschedulable") else "running")
-        self._record("list-source", "told", placer=agent, machine=meta["name"], phase=phase,
-                     launched=meta.get("annotations", {}).get(names.LAUNCHED, ""))
+        phase = (
+            "gone"
+            if kind == "DELETED"
+            else "draining"
+            if value.get("spec", {}).get("unschedulable")
+            else "running"
+        )
+        self._record(
+            "list-source",
+            "told",
+            placer=agent,
+            machine=meta["name"],
+            phase=phase,
+            launched=meta.get("annotations", {}).get(names.LAUNCHED, ""),
+        )
 
 
 def _plain(value: dict[str, Any]) -> dict[str, Any]:
--- a/wingbarrow/lab/troubles.py
+++ b/wingbarrow/lab/troubles.py
@@ -34,14 +34,27 @@
 def generate(seed: int, seconds: float) -> list[Trouble]:
     """Two to nine troubles over a day of so many seconds."""
     rng = random.Random(f"troubles/{seed}")
-    out = [Trouble(rng.choice(sorted(KINDS)), round(rng.uniform(2, seconds * 0.8), 2), round(rng.uniform(0.2, 12), 2),
-                   round(rng.uniform(0.05, 0.5), 3), round(rng.random(), 3), rng.randrange(1 << 30))
-           for _ in range(rng.randint(2, 9))]
+    out = [
+        Trouble(
+            rng.choice(sorted(KINDS)),
+            round(rng.uniform(2, seconds * 0.8), 2),
+            round(rng.uniform(0.2, 12), 2),
+            round(rng.uniform(0.05, 0.5), 3),
+            round(rng.random(), 3),
+            rng.randrange(1 << 30),
+        )
+        for _ in range(rng.randint(2, 9))
+    ]
     if rng.random() < 0.4:
         # Troubles like company: some begin together.
         at = out[0].at_s
-        out = [out[0], *(Trouble(t.kind, round(at + rng.uniform(0, 1.5), 2), t.for_s, t.part, t.size, t.seed)
-                         for t in out[1:])]
+        out = [
+            out[0],
+            *(
+                Trouble(t.kind, round(at + rng.uniform(0, 1.5), 2), t.for_s, t.part, t.size, t.seed)
+                for t in out[1:]
+            ),
+        ]
     return sorted(out, key=lambda trouble: trouble.at_s)
 
 
@@ -57,7 +70,9 @@
     return random.Random(trouble.seed).sample(live, count) if count > 0 else []
 
 
-def _each(machines: list[Machine], cluster: Cluster, what: Callable[[Machine], None], over_s: float = 0.0) -> None:
+def _each(
+    machines: list[Machine], cluster: Cluster, what: Callable[[Machine], None], over_s: float = 0.0
+) -> None:
     for turn, machine in enumerate(machines):
         cluster.at(over_s * turn / len(machines), lambda m=machine: what(m))  # type: ignore[misc]
 
@@ -68,15 +83,21 @@
 
 def _crash_again(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
     """Machines that come back cold die again while they warm up."""
+
     def twice(machine: Machine) -> None:
         cluster.crash(machine, 0.5 + trouble.for_s / 4)
         cluster.hub.sleep(int(2 * SECOND * (1 + trouble.size)))
         cluster.crash(machine, 1.0)
+
     _each(_some(trouble, cluster), cluster, twice)
 
 
 def _gone(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(_some(trouble, cluster)[:max(1, len(cluster.machines) // 4)], cluster, lambda m: cluster.crash(m, None))
+    _each(
+        _some(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
+        cluster,
+        lambda m: cluster.crash(m, None),
+    )
 
 
 def _hall(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
@@ -87,18 +108,24 @@
 
 
 def _drain(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(_some(trouble, cluster)[:max(1, len(cluster.machines) // 4)], cluster,
-          lambda m: cluster.drain(m, 2 + trouble.for_s), trouble.for_s)
+    _each(
+        _some(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
+        cluster,
+        lambda m: cluster.drain(m, 2 + trouble.for_s),
+        trouble.for_s,
+    )
 
 
 def _undrain(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
     """Machines drain and take it back, again and again."""
+
     def flap(machine: Machine) -> None:
         for _ in range(1 + int(trouble.size * 5)):
             cluster.set_drain(machine, True)
             cluster.hub.sleep(int(trouble.for_s * SECOND / 6))
             cluster.set_drain(machine, False)
             cluster.hub.sleep(int(trouble.for_s * SECOND / 6))
+
     _each(_some(trouble, cluster), cluster, flap)
 
 
@@ -107,7 +134,9 @@
 
 
 def _hold_machines(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(_some(trouble, cluster), cluster, lambda m: cluster.hold_machine(m, min(6.0, trouble.for_s)))
+    _each(
+        _some(trouble, cluster), cluster, lambda m: cluster.hold_machine(m, min(6.0, trouble.for_s))
+    )
 
 
 def _hold_placer(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
@@ -173,8 +202,16 @@
     for machine in _some(trouble, cluster):
         for _ in range(2):
             classes = rng.choice(((), ("web",), ("settlement",)))
-            machine.faults.rules.append(FaultRule(rng.choice(list(Fault)), 0.05 + 0.6 * trouble.size, now, until,
-                                                  classes, int(rng.uniform(0.1, 6) * SECOND)))
+            machine.faults.rules.append(
+                FaultRule(
+                    rng.choice(list(Fault)),
+                    0.05 + 0.6 * trouble.size,
+                    now,
+                    until,
+                    classes,
+                    int(rng.uniform(0.1, 6) * SECOND),
+                )
+            )
 
 
 def _cut_watches(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
@@ -203,12 +240,31 @@
 
 def _surge(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
     """Far more is asked for, and for a few services more than their spread leaves room for."""
-    owners.surge(int(len(cluster.machines) * (2 + 10 * trouble.size)), trouble.for_s / 3, trouble.seed)
+    owners.surge(
+        int(len(cluster.machines) * (2 + 10 * trouble.size)), trouble.for_s / 3, trouble.seed
+    )
 
 
 KINDS: dict[str, Callable[[Trouble, Cluster, Owners], None]] = {
-    "crash": _crash, "crash-again": _crash_again, "gone": _gone, "hall": _hall, "drain": _drain,
-    "undrain": _undrain, "replace": _replace, "hold-machines": _hold_machines, "hold-placer": _hold_placer,
-    "hold-placers": _hold_placers, "hold-all": _hold_all, "restart-placer": _restart_placer,
-    "list-down": _list_down, "list-late": _list_late, "list-back": _list_back, "slow": _slow, "faults": _faults,
-    "cut-watches": _cut_watches, "hungry": _hungry, "owners-delete": _owners_delete, "surge": _surge}
+    "crash": _crash,
+    "crash-again": _crash_again,
+    "gone": _gone,
+    "hall": _hall,
+    "drain": _drain,
+    "undrain": _undrain,
+    "replace": _replace,
+    "hold-machines": _hold_machines,
+    "hold-placer": _hold_placer,
+    "hold-placers": _hold_placers,
+    "hold-all": _hold_all,
+    "restart-placer": _restart_placer,
+    "list-down": _list_down,
+    "list-late": _list_late,
+    "list-back": _list_back,
+    "slow": _slow,
+    "faults": _faults,
+    "cut-watches": _cut_watches,
+    "hungry": _hungry,
+    "owners-delete": _owners_delete,
+    "surge": _surge,
+}
--- a/wingbarrow/lab/turnguard.py
+++ b/wingbarrow/lab/turnguard.py
@@ -20,7 +20,9 @@
 class TurnGuard:
     """`holds`: whether anything is pending or running; `record`, where what is told is written down as `where`'s."""
 
-    def __init__(self, holds: Callable[[], bool], where: str = "", record: Recorder | None = None) -> None:
+    def __init__(
+        self, holds: Callable[[], bool], where: str = "", record: Recorder | None = None
+    ) -> None:
         self._holds, self._where, self._record = holds, where, record
         self.number = 0
         self.shut = False
@@ -58,4 +60,8 @@
 
     def refusal(self, pod: Pod) -> ApiError | None:
         """Why a task may not start; one that was pending when the machine was shut is refused too."""
-        return ApiError(409, f"turn {self.number} takes the machine out", "NodeShutdown") if self.shut else None
+        return (
+            ApiError(409, f"turn {self.number} takes the machine out", "NodeShutdown")
+            if self.shut
+            else None
+        )
--- a/wingbarrow/lab/wants.py
+++ b/wingbarrow/lab/wants.py
@@ -9,7 +9,12 @@
 from wingbarrow.kube import names
 
 SECOND = 1_000_000
-PATIENCE_US = {"web": 5 * SECOND, "settlement": 10 * SECOND, "tracked": 5 * SECOND, "parcel": 5 * SECOND}
+PATIENCE_US = {
+    "web": 5 * SECOND,
+    "settlement": 10 * SECOND,
+    "tracked": 5 * SECOND,
+    "parcel": 5 * SECOND,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +41,9 @@
     classes: tuple[tuple[str, float], ...] = ()  # in place of `web`: so much of it each
     federation: tuple[str, float] = ("", 0.0)  # a spec that so much of `web` names
     life_s: tuple[float, float] = (4.0, 16.0)
-    burst: tuple[tuple[float, float, float], ...] = ()  # from, until (seconds), times the usual rate
+    burst: tuple[
+        tuple[float, float, float], ...
+    ] = ()  # from, until (seconds), times the usual rate
 
 
 def draw(mix: Mix, seconds: float, seed: int, prefix: str = "w") -> list[Want]:
@@ -57,8 +64,18 @@
             task_class = _other(mix, rng)
         service = f"{task_class}-{min(rng.randrange(mix.services), rng.randrange(mix.services))}"
         named = mix.federation[1] and task_class == "web" and rng.random() < mix.federation[1]
-        out.append(Want(int(at * SECOND), f"{prefix}{len(out)}", task_class, service, cores, memory,
-                        int(runs * SECOND), mix.federation[0] if named else ""))
+        out.append(
+            Want(
+                int(at * SECOND),
+                f"{prefix}{len(out)}",
+                task_class,
+                service,
+                cores,
+                memory,
+                int(runs * SECOND),
+                mix.federation[0] if named else "",
+            )
+        )
 
 
 def _other(mix: Mix, rng: random.Random) -> str:
@@ -75,13 +92,36 @@
     """The Job that an owner submits."""
     named = {names.FEDERATION: want.federation} if want.federation else {}
     return {
-        "apiVersion": "batch/v1", "kind": "Job",
-        "metadata": {"name": name, "labels": {names.CLASS: want.task_class, names.SERVICE: want.service},
-                     "annotations": {names.PATIENCE: f"{patience_us // 1000}ms",
-                                     names.EXPECTED: f"{want.runs_us // 1000}ms",
-                                     names.RUNS_FOR: f"{want.runs_us // 1000}ms", **named}},
-        "spec": {"template": {
-            "metadata": {"annotations": {"lab/task": want.ident}},
-            "spec": {"restartPolicy": "Never", "containers": [{
-                "name": "task", "image": "stand-in", "resources": {"requests": {
-                    "cpu": f"{want.cores * 1000:.0f}m", "memory": f"{want.memory * 1024:.0f}Mi"}}}]}}}}
+        "apiVersion": "batch/v1",
+        "kind": "Job",
+        "metadata": {
+            "name": name,
+            "labels": {names.CLASS: want.task_class, names.SERVICE: want.service},
+            "annotations": {
+                names.PATIENCE: f"{patience_us // 1000}ms",
+                names.EXPECTED: f"{want.runs_us // 1000}ms",
+                names.RUNS_FOR: f"{want.runs_us // 1000}ms",
+                **named,
+            },
+        },
+        "spec": {
+            "template": {
+                "metadata": {"annotations": {"lab/task": want.ident}},
+                "spec": {
+                    "restartPolicy": "Never",
+                    "containers": [
+                        {
+                            "name": "task",
+                            "image": "stand-in",
+                            "resources": {
+                                "requests": {
+                                    "cpu": f"{want.cores * 1000:.0f}m",
+                                    "memory": f"{want.memory * 1024:.0f}Mi",
+                                }
+                            },
+                        }
+                    ],
+                },
+            }
+        },
+    }
--- a/wingbarrow/logic.py
+++ b/wingbarrow/logic.py
@@ -11,7 +11,11 @@
 from wingbarrow.logic_machines import FOREVER_US, WARM_US, WHOLE, Fleet, Machine, Task
 
 ASK_BACK = 0.25  # longest pause after discovery failed, as a share of the time to be 'deemed told'
-UNRUN = (api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT)  # what never ran is taken back
+UNRUN = (
+    api.Outcome.REFUSED,
+    api.Outcome.UNREACHABLE,
+    api.Outcome.NOT_SENT,
+)  # what never ran is taken back
 
 
 class Scheduler:
@@ -28,10 +32,19 @@
         self._actions: list[api.Action] = []
         self.knowledge = fleet.knowledge  # what is known of machines, for another instance
         self._handlers: dict[type, Any] = {
-            api.MachineList: self._on_list, api.TaskArrived: self._on_arrival, api.TaskFound: self._on_found,
-            api.TaskWithdrawn: self._close, api.TaskPlaced: self._on_placed, api.AttemptEnded: self._on_ended,
-            api.Probed: fleet.on_report, api.Learned: fleet.on_learned, api.Planned: self._choice.on_planned,
-            api.TaskNote: self._on_note, api.TimerDue: self._on_timer, api.Settings: self._on_settings}
+            api.MachineList: self._on_list,
+            api.TaskArrived: self._on_arrival,
+            api.TaskFound: self._on_found,
+            api.TaskWithdrawn: self._close,
+            api.TaskPlaced: self._on_placed,
+            api.AttemptEnded: self._on_ended,
+            api.Probed: fleet.on_report,
+            api.Learned: fleet.on_learned,
+            api.Planned: self._choice.on_planned,
+            api.TaskNote: self._on_note,
+            api.TimerDue: self._on_timer,
+            api.Settings: self._on_settings,
+        }
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Decide on one event."""
@@ -72,7 +85,9 @@
         self._actions.append(api.Bind(arrival.request, machine.listed.machine, arrival.deadline_us))
         moved = self._choice.move_off(machine)
         if moved is not None:
-            del machine.own[moved.arrival.request]  # it is on its way: no further bind may move it again
+            del machine.own[
+                moved.arrival.request
+            ]  # it is on its way: no further bind may move it again
             self._actions.append(api.Move(moved.arrival.request))
 
     def _enter(self, task: Task, machine: Machine, attempt: int) -> None:
@@ -91,10 +106,15 @@
         self._actions += self._fleet.probes()
 
     def _on_found(self, event: api.TaskFound) -> None:
-        cls, machine = self._classes.get(event.arrival.task_class), self._fleet.machines.get(event.machine)
+        cls, machine = (
+            self._classes.get(event.arrival.task_class),
+            self._fleet.machines.get(event.machine),
+        )
         if cls is None or machine is None or event.arrival.request in self._tasks:
             return
-        self._enter(Task(event.arrival, cls, self._fleet.now, attempts=1, out=0, placed=True), machine, 0)
+        self._enter(
+            Task(event.arrival, cls, self._fleet.now, attempts=1, out=0, placed=True), machine, 0
+        )
         self._fleet.warms(machine, event.arrival.service, FOREVER_US)
 
     def _on_placed(self, event: api.TaskPlaced) -> None:
@@ -104,7 +124,9 @@
         machine.came(self._fleet.now, (event.request, event.attempt), None)
         machine.starts -= 1
         self._choice.busy.clear()
-        machine.rests = {k: rest for k, rest in machine.rests.items() if k not in (WHOLE, task.cls.name)}
+        machine.rests = {
+            k: rest for k, rest in machine.rests.items() if k not in (WHOLE, task.cls.name)
+        }
         task.placed, task.since_us = True, self._fleet.now
         self._fleet.warms(machine, task.arrival.service, FOREVER_US)
 
@@ -116,7 +138,9 @@
         machine.came(now, (event.request, event.attempt), event.outcome)
         machine.own.pop(event.request, None)
         self._choice.count(task, machine, -1)
-        machine.change(task.since_us if event.outcome in UNRUN else now, -arrival.cores, -arrival.memory)
+        machine.change(
+            task.since_us if event.outcome in UNRUN else now, -arrival.cores, -arrival.memory
+        )
         self._fleet.on_report(event)
         if task.placed:
             self._fleet.warms(machine, arrival.service, now + WARM_US)
@@ -132,12 +156,18 @@
                 task.maybe = task.since_us, machine.listed
             # What no further send could serve is ended at once: its owner may ask again the sooner.
             over = task.maybe and task.cls.effect is api.Effect.UNSAFE
-            (self._end if over or task.attempts >= self._settings.attempts_most else self._settle)(task)
+            (self._end if over or task.attempts >= self._settings.attempts_most else self._settle)(
+                task
+            )
 
     def _end(self, task: Task) -> None:
         # Danger (rule 2): a refusal says that trying again does no harm: given only where that is true.
         anywhere = task.cls.effect is api.Effect.KEYED and task.cls.group is api.Place.ALL
-        harmless = anywhere or task.cls.effect is api.Effect.SAFE or (task.out is None and task.maybe is None)
+        harmless = (
+            anywhere
+            or task.cls.effect is api.Effect.SAFE
+            or (task.out is None and task.maybe is None)
+        )
         self._actions.append((api.Refuse if harmless else api.Fail)(task.arrival.request))
         self._close(task.arrival)
 
@@ -148,7 +178,9 @@
     def _on_list(self, event: api.MachineList) -> None:
         if event.form is api.ListForm.FAILED:
             self._watching = self._settings.discovery is api.Discovery.PUSH
-            self._ask_us = self._fleet.now + int(self._settings.ask_every_us * ASK_BACK * self._rng.random())
+            self._ask_us = self._fleet.now + int(
+                self._settings.ask_every_us * ASK_BACK * self._rng.random()
+            )
         elif event.form is api.ListForm.SAVED:
             self._choice.born_us = self._fleet.now  # it comes once, at the scheduler's start
         else:
--- a/wingbarrow/logic_choice.py
+++ b/wingbarrow/logic_choice.py
@@ -5,18 +5,46 @@
 from itertools import islice
 
 from wingbarrow import interface as api
-from wingbarrow.logic_machines import FOREVER_US, LEAST_LOADED, LEFT_UNTOLD_US, WHOLE, Fleet, Machine, Task
-
-R_MIN, R_MAX, P_MAX = 0.85, 1.05, 0.8  # REM's thresholds as shares of L, what a machine can serve; top chance
-FULL_CORES, FULL_MEMORY = 0.9, 0.86  # use a bind may lead to: above, service fades or tasks are evicted
-TIGHT_CORES, TIGHT_FADE, TIGHT_MEMORY = 1.1, 0.4, 0.93  # once nothing else fits; part of a fade that is borne
+from wingbarrow.logic_machines import (
+    FOREVER_US,
+    LEAST_LOADED,
+    LEFT_UNTOLD_US,
+    WHOLE,
+    Fleet,
+    Machine,
+    Task,
+)
+
+R_MIN, R_MAX, P_MAX = (
+    0.85,
+    1.05,
+    0.8,
+)  # REM's thresholds as shares of L, what a machine can serve; top chance
+FULL_CORES, FULL_MEMORY = (
+    0.9,
+    0.86,
+)  # use a bind may lead to: above, service fades or tasks are evicted
+TIGHT_CORES, TIGHT_FADE, TIGHT_MEMORY = (
+    1.1,
+    0.4,
+    0.93,
+)  # once nothing else fits; part of a fade that is borne
 HOMES = 1  # machines that all placers prefer for a service, so that its program is found warm there
-STARTS_MOST, STARTS_SHARED, WARM_TIMES = 4, 8, 4  # own starts out on a machine; few share it; times if warm
-SWEEP_US, MOVE_REST_US = 40_000, 4_000_000  # held are tried again; who began, or ends, so soon stays
+STARTS_MOST, STARTS_SHARED, WARM_TIMES = (
+    4,
+    8,
+    4,
+)  # own starts out on a machine; few share it; times if warm
+SWEEP_US, MOVE_REST_US = (
+    40_000,
+    4_000_000,
+)  # held are tried again; who began, or ends, so soon stays
 
 
 def _place(at: api.ListedMachine, scope: api.Place) -> object:
-    return {api.Place.MACHINE: at.machine, api.Place.CELL: at.cell, api.Place.ZONE: at.zone}.get(scope)
+    return {api.Place.MACHINE: at.machine, api.Place.CELL: at.cell, api.Place.ZONE: at.zone}.get(
+        scope
+    )
 
 
 class Choice:
@@ -52,12 +80,17 @@
                 allowed = True
                 return (m.active or not active) and fleet.fits(task, m, cores, memory)
             return False
-        holds = [m for m in map(fleet.machines.get, fleet.warm_at.get(service, ()))
-                 if m and m.warm.get(service, 0) > fleet.now]
+
+        holds = [
+            m
+            for m in map(fleet.machines.get, fleet.warm_at.get(service, ()))
+            if m and m.warm.get(service, 0) > fleet.now
+        ]
         # Few machines are looked at. Warm ones also beyond what the load needs: a cold start costs more.
         for tier in ((True, *full), (False, *full), (False, tight, TIGHT_MEMORY)):
-            found = ([m for m in holds if suits(m, False, *tier[1:], WARM_TIMES)]
-                     or list(islice((m for m in fleet.ranked(service) if suits(m, *tier)), HOMES)))
+            found = [m for m in holds if suits(m, False, *tier[1:], WARM_TIMES)] or list(
+                islice((m for m in fleet.ranked(service) if suits(m, *tier)), HOMES)
+            )
             if found:
                 return found
         if allowed:
@@ -70,7 +103,11 @@
 
     def _trusts(self, machine: Machine, name: str) -> bool:
         """Whether no rest runs; one just over admits a single task, until it proves itself."""
-        rests = [machine.rests[key] for key in (WHOLE, name) if key in machine.rests] if machine.rests else ()
+        rests = (
+            [machine.rests[key] for key in (WHOLE, name) if key in machine.rests]
+            if machine.rests
+            else ()
+        )
         return all(self._fleet.now >= until_us and not machine.starts for _, until_us in rests)
 
     def may_bind(self, task: Task, machine: Machine) -> bool:
@@ -83,26 +120,42 @@
         if self._closes and now + left_us > self._closes.get(listed.machine, FOREVER_US):
             return False
         # Rule 1. Danger: a send after the end. Rule 2. Danger: a second attempt while one is out.
-        if task.out is not None or task.placed or task.attempts >= rules.attempts_most or now >= task.due_us:
+        if (
+            task.out is not None
+            or task.placed
+            or task.attempts >= rules.attempts_most
+            or now >= task.due_us
+        ):
             return False
         # Rule 2. Danger: a second start of what may already run.
         if task.maybe is not None and cls.effect is not api.Effect.SAFE:
             first_us, first = task.maybe
-            if (cls.effect is api.Effect.UNSAFE or now >= first_us + cls.window_us - rules.tick_us
-                    or _place(first, cls.group) != _place(listed, cls.group)):
+            if (
+                cls.effect is api.Effect.UNSAFE
+                or now >= first_us + cls.window_us - rules.tick_us
+                or _place(first, cls.group) != _place(listed, cls.group)
+            ):
                 return False
         # Rule 4. Danger: all placers together push over a cold machine; each takes its part of the offers.
         if self._fleet.is_cold(machine):
-            span = rules.fall_us * 5 // 4  # a quarter longer: offers travel; spent at one's own start
+            span = (
+                rules.fall_us * 5 // 4
+            )  # a quarter longer: offers travel; spent at one's own start
             while machine.offers and machine.offers[0] <= now - span:
                 machine.offers.popleft()
             each, over = divmod(int(rules.fresh_offers), rules.placers)
             turn = (rules.index + listed.machine) % rules.placers
             # Danger: offers that wait unread at a machine that stands still come all at once when it goes on.
-            if len(machine.offers) + len(machine.unsure) >= each + (turn < over) or now < self.born_us + span:
+            if (
+                len(machine.offers) + len(machine.unsure) >= each + (turn < over)
+                or now < self.born_us + span
+            ):
                 return False
         # Rule 5. Danger: too many of one service where a single failure takes them all.
-        return cls.spread is api.Place.NONE or self._spread[self._spot(task, machine)] < cls.spread_most
+        return (
+            cls.spread is api.Place.NONE
+            or self._spread[self._spot(task, machine)] < cls.spread_most
+        )
 
     def _spot(self, task: Task, machine: Machine) -> tuple[str, object]:
         return task.arrival.service, _place(machine.listed, task.cls.spread)
@@ -116,18 +169,40 @@
     def move_off(self, machine: Machine) -> Task | None:
         """REM: with the gated linear chance, an own task to move off the machine that was just bound to."""
         fleet, load = self._fleet, self._fleet.load(machine)
-        chance = 0.0 if load < R_MIN else 1.0 if load >= R_MAX else P_MAX * (load - R_MIN) / (R_MAX - R_MIN)
+        chance = (
+            0.0
+            if load < R_MIN
+            else 1.0
+            if load >= R_MAX
+            else P_MAX * (load - R_MIN) / (R_MAX - R_MIN)
+        )
         if self._random.random() >= chance:
             return None
         # Danger: a move starts its task a second time; what must never start twice stays where it is.
-        movable = [task for task in machine.own.values()
-                   if task.placed and task.cls.effect is not api.Effect.UNSAFE
-                   and min(task.left_us(fleet.now), fleet.now - task.since_us) >= MOVE_REST_US]
+        movable = [
+            task
+            for task in machine.own.values()
+            if task.placed
+            and task.cls.effect is not api.Effect.UNSAFE
+            and min(task.left_us(fleet.now), fleet.now - task.since_us) >= MOVE_REST_US
+        ]
         # Which one: most relief (cores, and for how long) for the least worth that its restart loses.
         movable.sort(key=lambda t: -t.arrival.cores * t.left_us(fleet.now) / (t.cls.worth + 0.1))
-        return next((t for t in movable if any(
-            m is not machine and not m.gone and t.cls.kind in (None, m.listed.kind) and fleet.load(m) < R_MIN
-            and fleet.fits(t, m, FULL_CORES, FULL_MEMORY) for m in fleet.machines.values())), None)
+        return next(
+            (
+                t
+                for t in movable
+                if any(
+                    m is not machine
+                    and not m.gone
+                    and t.cls.kind in (None, m.listed.kind)
+                    and fleet.load(m) < R_MIN
+                    and fleet.fits(t, m, FULL_CORES, FULL_MEMORY)
+                    for m in fleet.machines.values()
+                )
+            ),
+            None,
+        )
 
     def on_planned(self, event: api.Planned) -> None:
         closes = self._closes | dict(event.closes_us)
--- a/wingbarrow/peers/agreeing.py
+++ b/wingbarrow/peers/agreeing.py
@@ -17,7 +17,9 @@
 from wingbarrow.store.votes import StoreFailed, VoteStore, open_if_there
 
 
-def voter_store(settings: PlacerSettings, log: Callable[..., None]) -> tuple[VoteStore | None, Disk | None]:
+def voter_store(
+    settings: PlacerSettings, log: Callable[..., None]
+) -> tuple[VoteStore | None, Disk | None]:
     """What this placer has on disk as a voter; None where it has nothing, or where that cannot be read: told."""
     store, disk = None, None
     if settings.state is not None:
@@ -28,8 +30,12 @@
             log("rules-store-failed", level="error", why=str(error))
     if disk is None and settings.agree is not None and settings.name in settings.agree.voters:
         # Danger: a voter that lost its disk may have promised what it does not know; it votes no more.
-        log("rules-voter-without-store", level="error", what="`wingbarrow rules init` makes a new voter's; "
-            "one that lost it is left out and taken in anew (`wingbarrow rules voters`)")
+        log(
+            "rules-voter-without-store",
+            level="error",
+            what="`wingbarrow rules init` makes a new voter's; "
+            "one that lost it is left out and taken in anew (`wingbarrow rules voters`)",
+        )
     return store, disk
 
 
@@ -40,8 +46,14 @@
     return Turns(settings.name, wall_us, times), TurnSide(settings.name, settings.region, Blind())
 
 
-def agreement_of(settings: PlacerSettings, disk: Disk | None, life: int, turns: Turns, sides: tuple[Side, ...],
-                 counts: Counter[str]) -> Agreement:
+def agreement_of(
+    settings: PlacerSettings,
+    disk: Disk | None,
+    life: int,
+    turns: Turns,
+    sides: tuple[Side, ...],
+    counts: Counter[str],
+) -> Agreement:
     """The agreement of a placer whose settings say `agree`; every voter has all chapters. `counts` takes refusals."""
     agree = settings.agree
     assert agree is not None
@@ -49,5 +61,13 @@
     sessions, regions = Sessions(agree.lease_us), Regions(agree.lease_us, named)
     turns.held_back = regions.held_machines
     sessions.counts = counts
-    return Agreement(settings.name, agree.voters, disk, settings.seed * 104_729 + life, Times(grant_us=agree.grant_us),
-                     life, chapters=(sessions, regions, turns), sides=sides)
+    return Agreement(
+        settings.name,
+        agree.voters,
+        disk,
+        settings.seed * 104_729 + life,
+        Times(grant_us=agree.grant_us),
+        life,
+        chapters=(sessions, regions, turns),
+        sides=sides,
+    )
--- a/wingbarrow/peers/bounds.py
+++ b/wingbarrow/peers/bounds.py
@@ -7,12 +7,30 @@
 
 from wingbarrow.decide.peers import asking, handing, leasing
 from wingbarrow.decide.peers.leasing import (
-    EFFECTS, ENDED_MOST, KEEPERS_MOST, KEPT_MOST, PHASES, RECORD_MOST, Ended, Record, Session, SessionsSaid,
-    SessionsTold)
+    EFFECTS,
+    ENDED_MOST,
+    KEEPERS_MOST,
+    KEPT_MOST,
+    PHASES,
+    RECORD_MOST,
+    Ended,
+    Record,
+    Session,
+    SessionsSaid,
+    SessionsTold,
+)
 from wingbarrow.decide.peers.regionnews import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
 from wingbarrow.decide.peers.sessionlog import BATCHES_MOST, SUCCESSORS_MOST
 from wingbarrow.decide.peers.turns import (
-    CELLS_MOST, IDENT_MOST, LOST_MOST, TURNS_MOST, WANTS_MOST, TurnsSaid, TurnsTold, View)
+    CELLS_MOST,
+    IDENT_MOST,
+    LOST_MOST,
+    TURNS_MOST,
+    WANTS_MOST,
+    TurnsSaid,
+    TurnsTold,
+    View,
+)
 
 NAME_MOST = 253
 KEY_MOST = 2 * NAME_MOST + 1
@@ -35,19 +53,28 @@
             return "regions: a name too long, or a figure out of range"
     elif isinstance(message, asking.Grant):
         if message.sessions is not None and not _told(message.sessions):
-            return "sessions: more ends than go with a grant, a name too long or a figure out of range"
+            return (
+                "sessions: more ends than go with a grant, a name too long or a figure out of range"
+            )
         if message.turns is not None and not _turns_told(message.turns):
             return "turns: more than there can be, a name too long or a number out of range"
-        if message.regions is not None and not (len(message.regions) <= REGIONS_MOST
-                                                and all(map(_region_told, message.regions))):
+        if message.regions is not None and not (
+            len(message.regions) <= REGIONS_MOST and all(map(_region_told, message.regions))
+        ):
             return "regions: more than there can be, a name too long or a figure out of range"
     elif isinstance(message, HANDING):
-        return "" if _handing(message) else f"{type(message).__name__}: a text too long, or a figure out of range"
+        return (
+            ""
+            if _handing(message)
+            else f"{type(message).__name__}: a text too long, or a figure out of range"
+        )
     elif isinstance(message, leasing.Keep):
         if not (_figures(message.number) and _session(message.session) and _uids(message.gone)):
             return "keep: more uids than go with a letter, a name too long or a figure out of range"
         if len(message.records) > RECORDS_MOST or not all(map(_record, message.records)):
-            return f"keep: more than {RECORDS_MOST} records, or one with something out of its bounds"
+            return (
+                f"keep: more than {RECORDS_MOST} records, or one with something out of its bounds"
+            )
     elif isinstance(message, LEASING) and not _leasing(message):
         return f"{type(message).__name__}: a name or list too long, or a figure out of range"
     return ""
@@ -71,57 +98,113 @@
 
 
 def _said(said: SessionsSaid) -> bool:
-    return (_names(said.region) and _figures(said.serial, said.leased, said.heard) and len(said.keeping) <= KEPT_MOST
-            and len({each.session for each in said.keeping}) == len(said.keeping)
-            and all(_session(each.session) and _figures(each.jobs, each.after_us) for each in said.keeping))
+    return (
+        _names(said.region)
+        and _figures(said.serial, said.leased, said.heard)
+        and len(said.keeping) <= KEPT_MOST
+        and len({each.session for each in said.keeping}) == len(said.keeping)
+        and all(
+            _session(each.session) and _figures(each.jobs, each.after_us) for each in said.keeping
+        )
+    )
 
 
 def _ended(ended: Ended) -> bool:
-    return (_figures(ended.epoch, ended.changed) and _session(ended.session) and _names(ended.region, *ended.gone)
-            and len(ended.batches) <= BATCHES_MOST and len(ended.gone) <= BATCHES_MOST * SUCCESSORS_MOST
-            and all(len(batch) <= SUCCESSORS_MOST and _names(*batch) for batch in ended.batches))
+    return (
+        _figures(ended.epoch, ended.changed)
+        and _session(ended.session)
+        and _names(ended.region, *ended.gone)
+        and len(ended.batches) <= BATCHES_MOST
+        and len(ended.gone) <= BATCHES_MOST * SUCCESSORS_MOST
+        and all(len(batch) <= SUCCESSORS_MOST and _names(*batch) for batch in ended.batches)
+    )
 
 
 def _told(told: SessionsTold) -> bool:
-    return (_figures(told.serial, told.epoch, told.life) and 0 < told.lease_us < FIGURE_MOST
-            and len(told.ended) <= ENDED_MOST and all(map(_ended, told.ended)))
+    return (
+        _figures(told.serial, told.epoch, told.life)
+        and 0 < told.lease_us < FIGURE_MOST
+        and len(told.ended) <= ENDED_MOST
+        and all(map(_ended, told.ended))
+    )
 
 
 def _turns_said(said: TurnsSaid) -> bool:
-    numbers = (said.clear, said.empty, said.tried, said.bad, said.open, said.gone,
-               tuple(number for number, _ in said.tasks), tuple(count for _, count in said.tasks))
-    return (all(len(each) <= TURNS_MOST and _figures(*each) for each in numbers) and _figures(said.at_us)
-            and len(said.places) <= TURNS_MOST and all(
-                _figures(number) and _names(zone, cell) for number, zone, cell in said.places)
-            and _names(said.region) and (said.view is None or _view(said.view)) and len(said.wants) <= WANTS_MOST
-            and all(_names(each.ident, most=IDENT_MOST) and _names(
-                each.machine, each.zone, each.cell, each.why, each.unsafe) and _figures(
-                    each.urgency, each.latest_us, each.lasts_us, each.ends_us, each.from_us) for each in said.wants))
+    numbers = (
+        said.clear,
+        said.empty,
+        said.tried,
+        said.bad,
+        said.open,
+        said.gone,
+        tuple(number for number, _ in said.tasks),
+        tuple(count for _, count in said.tasks),
+    )
+    return (
+        all(len(each) <= TURNS_MOST and _figures(*each) for each in numbers)
+        and _figures(said.at_us)
+        and len(said.places) <= TURNS_MOST
+        and all(_figures(number) and _names(zone, cell) for number, zone, cell in said.places)
+        and _names(said.region)
+        and (said.view is None or _view(said.view))
+        and len(said.wants) <= WANTS_MOST
+        and all(
+            _names(each.ident, most=IDENT_MOST)
+            and _names(each.machine, each.zone, each.cell, each.why, each.unsafe)
+            and _figures(each.urgency, each.latest_us, each.lasts_us, each.ends_us, each.from_us)
+            for each in said.wants
+        )
+    )
 
 
 def _view(view: View) -> bool:
-    return (len(view.cells) <= CELLS_MOST and len(view.lost) <= LOST_MOST and 0 <= view.used < 1e9
-            and all(_names(zone, cell) and 0 <= count < 1 << 31 for zone, cell, count in view.cells)
-            and all(_names(*each) for each in view.lost))
+    return (
+        len(view.cells) <= CELLS_MOST
+        and len(view.lost) <= LOST_MOST
+        and 0 <= view.used < 1e9
+        and all(_names(zone, cell) and 0 <= count < 1 << 31 for zone, cell, count in view.cells)
+        and all(_names(*each) for each in view.lost)
+    )
 
 
 def _turns_told(told: TurnsTold) -> bool:
-    return (_figures(told.version, *told.silent) and len(told.turns) <= TURNS_MOST and len(told.silent) <= TURNS_MOST
-            and all(_figures(number) and _names(machine, state, who) for number, machine, state, who in told.turns))
+    return (
+        _figures(told.version, *told.silent)
+        and len(told.turns) <= TURNS_MOST
+        and len(told.silent) <= TURNS_MOST
+        and all(
+            _figures(number) and _names(machine, state, who)
+            for number, machine, state, who in told.turns
+        )
+    )
 
 
 def _region_said(said: RegionsSaid) -> bool:
-    return (0 < len(said.region) <= NAME_MOST and _figures(said.came, said.refused, said.machines)
-            and len(said.leased) <= LEASED_MOST and all(
-                _names(spec) and 0 <= cores < 1e12 and 0 <= memory < 1e12 for spec, cores, memory in said.leased)
-            and all(0 <= figure < 1e12 for figure in (said.cores, said.memory, said.free_cores, said.free_memory)))
+    return (
+        0 < len(said.region) <= NAME_MOST
+        and _figures(said.came, said.refused, said.machines)
+        and len(said.leased) <= LEASED_MOST
+        and all(
+            _names(spec) and 0 <= cores < 1e12 and 0 <= memory < 1e12
+            for spec, cores, memory in said.leased
+        )
+        and all(
+            0 <= figure < 1e12
+            for figure in (said.cores, said.memory, said.free_cores, said.free_memory)
+        )
+    )
 
 
 def _region_told(told: RegionTold) -> bool:
-    return (_names(told.region, *told.placers) and len(told.placers) <= REGIONS_MOST
-            and _figures(told.age_us, told.refusing_us, told.stable_us)
-            and all(-1e12 < figure < 1e12 for figure in (
-                told.load, told.cores, told.memory, told.held_cores, told.held_memory)))
+    return (
+        _names(told.region, *told.placers)
+        and len(told.placers) <= REGIONS_MOST
+        and _figures(told.age_us, told.refusing_us, told.stable_us)
+        and all(
+            -1e12 < figure < 1e12
+            for figure in (told.load, told.cores, told.memory, told.held_cores, told.held_memory)
+        )
+    )
 
 
 def _handing(message: handing.Message) -> bool:
@@ -131,31 +214,62 @@
         return _names(message.state, message.where) and len(message.words) <= WHY_MOST
     if isinstance(message, handing.HandStop):
         return _figures(message.life)
-    return (_figures(message.life, message.hops, message.left_us) and _names(message.spec)
-            and len(message.manifest) <= handing.MANIFEST_MOST)
+    return (
+        _figures(message.life, message.hops, message.left_us)
+        and _names(message.spec)
+        and len(message.manifest) <= handing.MANIFEST_MOST
+    )
 
 
 def _record(record: Record) -> bool:
-    return (_figures(record.form, record.epoch, record.version, record.window_us, record.after_us, record.count,
-                     record.born_age_us)
-            and 0 < len(record.uid) <= NAME_MOST and 0 < len(record.key) <= KEY_MOST and _session(record.session)
-            and _names(record.region, record.spec, record.group, record.answered, *record.keepers)
-            and len(record.keepers) <= KEEPERS_MOST and record.effect in EFFECTS and abs(record.priority) < FIGURE_MOST
-            and 0 <= record.cores < 1e9 and 0 <= record.memory < 1e9 and len(record.manifest) <= RECORD_MOST
-            and len(record.manifest.encode()) <= RECORD_MOST and len(record.tasks) <= TASKS_MOST
-            and all(_figures(each.index, each.age_us) and each.phase in PHASES and _names(each.machine, each.attempt)
-                    for each in record.tasks))
+    return (
+        _figures(
+            record.form,
+            record.epoch,
+            record.version,
+            record.window_us,
+            record.after_us,
+            record.count,
+            record.born_age_us,
+        )
+        and 0 < len(record.uid) <= NAME_MOST
+        and 0 < len(record.key) <= KEY_MOST
+        and _session(record.session)
+        and _names(record.region, record.spec, record.group, record.answered, *record.keepers)
+        and len(record.keepers) <= KEEPERS_MOST
+        and record.effect in EFFECTS
+        and abs(record.priority) < FIGURE_MOST
+        and 0 <= record.cores < 1e9
+        and 0 <= record.memory < 1e9
+        and len(record.manifest) <= RECORD_MOST
+        and len(record.manifest.encode()) <= RECORD_MOST
+        and len(record.tasks) <= TASKS_MOST
+        and all(
+            _figures(each.index, each.age_us)
+            and each.phase in PHASES
+            and _names(each.machine, each.attempt)
+            for each in record.tasks
+        )
+    )
 
 
 def _leasing(message: Any) -> bool:
     """All but `Keep`."""
     if isinstance(message, leasing.KeepAnswer):
-        return _figures(message.number) and _session(message.session) and _names(message.why, most=WHY_MOST)
+        return (
+            _figures(message.number)
+            and _session(message.session)
+            and _names(message.why, most=WHY_MOST)
+        )
     if isinstance(message, leasing.Settle):
         return _figures(message.number) and _session(message.session) and _uids(message.uids)
     if isinstance(message, leasing.Settled):
-        return (_figures(message.number) and _session(message.session) and _uids(each[0] for each in message.fates)
-                and all(_figures(epoch) and _names(fate) for _, epoch, fate in message.fates))
+        return (
+            _figures(message.number)
+            and _session(message.session)
+            and _uids(each[0] for each in message.fates)
+            and all(_figures(epoch) and _names(fate) for _, epoch, fate in message.fates)
+        )
     if isinstance(message, leasing.AskMachine):
         return _figures(message.number, message.epoch) and _names(message.machine, message.uid)
     return _figures(message.number, message.boot_age_us) and _names(message.machine, message.uid)
--- a/wingbarrow/peers/custody.py
+++ b/wingbarrow/peers/custody.py
@@ -14,7 +14,17 @@
 from wingbarrow.decide.peers.effects import Effect, Send, Tell
 from wingbarrow.decide.peers.healing import Own
 from wingbarrow.decide.peers.leasing import (
-    AskMachine, Ended, Keep, KeepAnswer, Known, MachineSays, Record, Session, Settle, Settled)
+    AskMachine,
+    Ended,
+    Keep,
+    KeepAnswer,
+    Known,
+    MachineSays,
+    Record,
+    Session,
+    Settle,
+    Settled,
+)
 from wingbarrow.decide.peers.pace import Pace
 from wingbarrow.decide.peers.takeover import Start
 from wingbarrow.peers.host import Peering
@@ -23,7 +33,9 @@
 NAME = "custody"
 KINDS = (Keep, KeepAnswer, Settle, Settled, AskMachine, MachineSays)
 LOOK_US = 200_000  # between two looks at who lives
-PACE = Pace(8, 25_000, 16, 5_000)  # what is done in one go holds up all else: a start 0.6 ms, a take-over 0.4 ms
+PACE = Pace(
+    8, 25_000, 16, 5_000
+)  # what is done in one go holds up all else: a start 0.6 ms, a take-over 0.4 ms
 OVERDUE_US = 2_000_000  # after its deadline a token counts as not good, whatever holds its word up
 Then = Callable[[str], None]
 Fields = Mapping[str, Any]
@@ -37,11 +49,15 @@
 
     def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
         self._hub, self._peering = hub, peering
-        self.custodian = Custodian(settings.name, life, settings.region, settings.seed * 31 + life, pace=PACE)
+        self.custodian = Custodian(
+            settings.name, life, settings.region, settings.seed * 31 + life, pace=PACE
+        )
         self._then: dict[int, Then] = {}
         self._alive: dict[str, tuple[str, int]] = {}
         self.on: dict[str, Callable[[Fields], None]] = {}
-        self.own: Callable[[Session], Mapping[str, Own]] = lambda session: {}  # Jobs of a session of this placer's
+        self.own: Callable[[Session], Mapping[str, Own]] = (
+            lambda session: {}
+        )  # Jobs of a session of this placer's
         peering.host(NAME, self, KINDS)
         peering.lease.leased = lambda: len(self.custodian.custody.jobs)
         peering.lease.keeping = self.custodian.keeping.kept
@@ -55,17 +71,25 @@
 
     def look(self) -> None:
         """Take in who lives now."""
-        alive = {each.word.ident: (each.word.region, each.word.life)
-                 for each in self._peering.membership.table.living() if each.word.region}
+        alive = {
+            each.word.ident: (each.word.region, each.word.life)
+            for each in self._peering.membership.table.living()
+            if each.word.region
+        }
         if alive != self._alive:
             self._alive = alive
             self.give(self.custodian.members(self._hub.now_us(), alive))
 
     # -- what the core asks of its keepers
 
-    def hold(self, record: Record, allowed: Collection[str], copies: int, deadline_us: int, then: Then) -> None:
+    def hold(
+        self, record: Record, allowed: Collection[str], copies: int, deadline_us: int, then: Then
+    ) -> None:
         """Have a Job's record at its keepers; where it is not, `drop` it."""
-        self._ask(self.custodian.custody.hold(self._hub.now_us(), record, allowed, copies, deadline_us), then)
+        self._ask(
+            self.custodian.custody.hold(self._hub.now_us(), record, allowed, copies, deadline_us),
+            then,
+        )
 
     def about(self, uid: str, known: Known, deadline_us: int, then: Then) -> None:
         """An attempt is about to be sent."""
@@ -105,6 +129,7 @@
         def then(why: str) -> None:
             words.append(why)
             done.notify()
+
         ask(then)
         if not words:
             with self._hub.limit(max(0, until_us - self._hub.now_us()) + OVERDUE_US):
--- a/wingbarrow/peers/front.py
+++ b/wingbarrow/peers/front.py
@@ -30,8 +30,15 @@
 class InstancesFront:
     """Routes below /apis/wingbarrow.io/v1."""
 
-    def __init__(self, hub: Hub, settings: Callable[[], PlacerSettings], hearsay: Hearsay, peering: Peering, life: int,
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        settings: Callable[[], PlacerSettings],
+        hearsay: Hearsay,
+        peering: Peering,
+        life: int,
+        log: Callable[..., None],
+    ) -> None:
         self._hub, self._settings = hub, settings
         self._hearsay, self._peering = hearsay, peering
         self._log = log
@@ -51,7 +58,12 @@
                 return Answer(200, self._peering.mail(request.body))
             except BadMail as error:
                 self._peering.counts["peers:bad mail"] += 1
-                self._log("peer-mail-refused", level="warning", address=request.connection.stream.peer, why=str(error))
+                self._log(
+                    "peer-mail-refused",
+                    level="warning",
+                    address=request.connection.stream.peer,
+                    why=str(error),
+                )
                 raise ApiError(422, str(error)) from None
         if what == ("GET", "members"):
             return Answer(200, self._members())
@@ -68,27 +80,48 @@
             if len(self._refused) > REFUSED_MOST:
                 self._refused.popitem(last=False)
             self._log("peer-refused", level="warning", address=peer)
-        raise ApiError(403, f"{peer} may not ask this instance; `allow-peer` in its settings says who may")
+        raise ApiError(
+            403, f"{peer} may not ask this instance; `allow-peer` in its settings says who may"
+        )
 
     def _members(self) -> bytes:
         now = self._hub.now_us()
-        return names.encode({
-            "kind": "MemberList", "apiVersion": "wingbarrow.io/v1", "items": [
-                {"ident": each.word.ident, "incarnation": each.word.incarnation, "region": each.word.region,
-                 "address": each.word.address, "standing": each.standing.value, "sinceUs": now - each.since_us,
-                 "restarts": each.restarts, "suspectedBy": sorted(each.suspicion.by) if each.suspicion else []}
-                for each in self._peering.members.values()]})
+        return names.encode(
+            {
+                "kind": "MemberList",
+                "apiVersion": "wingbarrow.io/v1",
+                "items": [
+                    {
+                        "ident": each.word.ident,
+                        "incarnation": each.word.incarnation,
+                        "region": each.word.region,
+                        "address": each.word.address,
+                        "standing": each.standing.value,
+                        "sinceUs": now - each.since_us,
+                        "restarts": each.restarts,
+                        "suspectedBy": sorted(each.suspicion.by) if each.suspicion else [],
+                    }
+                    for each in self._peering.members.values()
+                ],
+            }
+        )
 
     def _knowledge(self, query: Query) -> Answer:
         if self.handovers >= HANDOVERS_MOST:
             self.turned_away += 1
-            raise ApiError(429, f"{HANDOVERS_MOST} hand-overs at once are the most", retry_after_s=1)
+            raise ApiError(
+                429, f"{HANDOVERS_MOST} hand-overs at once are the most", retry_after_s=1
+            )
         if query.get("watch") is not None and query.flag("watch"):
             return Answer(200, stream=self._follow)
         self.handovers += 1
         try:
-            page = self._snapshots.page(query.get("continue") or "", self._hub.now_us(), self._hearsay.know,
-                                        self._hub.checkpoint)
+            page = self._snapshots.page(
+                query.get("continue") or "",
+                self._hub.now_us(),
+                self._hearsay.know,
+                self._hub.checkpoint,
+            )
         except KeyError:
             raise ApiError(410, "that snapshot is past its time; begin again", "Expired") from None
         finally:
@@ -106,7 +139,11 @@
                 sights, shares = self._hearsay.know()
                 now = self._hub.now_us()
                 marks = {each.machine: _mark(each, now) for each in sights}
-                changed = [each for each in sights if first or marks[each.machine] != told.get(each.machine)]
+                changed = [
+                    each
+                    for each in sights
+                    if first or marks[each.machine] != told.get(each.machine)
+                ]
                 # The pages were read just before: the first line only sets what later ones are compared with.
                 writer.write(changes_line([] if first else changed, shares, now))
                 told, first = marks, False
@@ -117,6 +154,11 @@
 
 def _mark(sight: Sight, now: int) -> object:
     """What of a sight counts as a change: figures by when they were heard, programs and rests by name."""
-    return (sight.version, sight.phase, sight.asked,
-            None if sight.measured_age_us is None else now - sight.measured_age_us,
-            frozenset(sight.warm_us), frozenset(sight.rests_us))
+    return (
+        sight.version,
+        sight.phase,
+        sight.asked,
+        None if sight.measured_age_us is None else now - sight.measured_age_us,
+        frozenset(sight.warm_us),
+        frozenset(sight.rests_us),
+    )
--- a/wingbarrow/peers/handover.py
+++ b/wingbarrow/peers/handover.py
@@ -115,8 +115,18 @@
 def to_wire(sight: Sight) -> WireSight:
     """For a page; of programs the longest trusted are told of."""
     warm = dict(sorted(sight.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[:SERVICES_MOST])
-    return WireSight(sight.machine, sight.version, sight.phase.value, sight.launched_age_us, sight.asked,
-                     sight.asked_age_us, sight.beyond, sight.measured_age_us, warm, dict(sight.rests_us))
+    return WireSight(
+        sight.machine,
+        sight.version,
+        sight.phase.value,
+        sight.launched_age_us,
+        sight.asked,
+        sight.asked_age_us,
+        sight.beyond,
+        sight.measured_age_us,
+        warm,
+        dict(sight.rests_us),
+    )
 
 
 def encode_part(sights: Iterable[Sight]) -> tuple[bytes, str]:
@@ -133,13 +143,20 @@
         self._count = 0
         self._life = f"{incarnation:x}"
 
-    def page(self, token: str, now_us: int, take: Callable[[], tuple[list[Sight], Shares]],
-             turn: Callable[[], None]) -> bytes:
+    def page(
+        self,
+        token: str,
+        now_us: int,
+        take: Callable[[], tuple[list[Sight], Shares]],
+        turn: Callable[[], None],
+    ) -> bytes:
         """The page of a token, the first one of a fresh or young snapshot without; KeyError past its time.
 
         `turn` is called between parts: cutting many machines into pages must not hold up placing.
         """
-        for ident in [each.ident for each in self._held.values() if now_us - each.taken_us > KEEP_US]:
+        for ident in [
+            each.ident for each in self._held.values() if now_us - each.taken_us > KEEP_US
+        ]:
             del self._held[ident]
         if token:
             ident, _, number = token.rpartition(".")
@@ -150,19 +167,34 @@
             snapshot, index = self._young(now_us) or self._cut(now_us, *take(), turn), 0
         raw, digest, first = snapshot.parts[index]
         more = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
-        return _encode(WirePage(FORM, snapshot.ident, first, snapshot.total, more, now_us - snapshot.taken_us,
-                                now_us, digest, snapshot.shares.ratio, snapshot.shares.notes,
-                                snapshot.shares.age_us, msgspec.Raw(raw)))
+        return _encode(
+            WirePage(
+                FORM,
+                snapshot.ident,
+                first,
+                snapshot.total,
+                more,
+                now_us - snapshot.taken_us,
+                now_us,
+                digest,
+                snapshot.shares.ratio,
+                snapshot.shares.notes,
+                snapshot.shares.age_us,
+                msgspec.Raw(raw),
+            )
+        )
 
     def _young(self, now_us: int) -> _Snapshot | None:
         newest = next(reversed(self._held.values()), None)
         return newest if newest is not None and now_us - newest.taken_us < SHARE_US else None
 
-    def _cut(self, now_us: int, sights: list[Sight], shares: Shares, turn: Callable[[], None]) -> _Snapshot:
+    def _cut(
+        self, now_us: int, sights: list[Sight], shares: Shares, turn: Callable[[], None]
+    ) -> _Snapshot:
         self._count += 1
         parts: list[tuple[bytes, str, int]] = []
         for first in range(0, max(1, len(sights)), PAGE):
-            parts.append((*encode_part(sights[first:first + PAGE]), first))
+            parts.append((*encode_part(sights[first : first + PAGE]), first))
             turn()
         snapshot = _Snapshot(f"{self._life}-{self._count}", now_us, shares, parts, len(sights))
         self._held[snapshot.ident] = snapshot
@@ -174,8 +206,25 @@
 def changes_line(sights: list[Sight], shares: Shares, now_us: int) -> bytes:
     """One line of the watch: what changed, as a page of its own."""
     raw, digest = encode_part(sights)
-    return _encode(WirePage(FORM, "", 0, len(sights), "", 0, now_us, digest, shares.ratio, shares.notes,
-                            shares.age_us, msgspec.Raw(raw))) + b"\n"
+    return (
+        _encode(
+            WirePage(
+                FORM,
+                "",
+                0,
+                len(sights),
+                "",
+                0,
+                now_us,
+                digest,
+                shares.ratio,
+                shares.notes,
+                shares.age_us,
+                msgspec.Raw(raw),
+            )
+        )
+        + b"\n"
+    )
 
 
 def read_page(raw: bytes, machines_most: int) -> Page:
@@ -195,22 +244,51 @@
         raise BadPage(f"an age of {page.snapshot_age_us}")
     try:
         wire = _sights.decode(body)
-        sights = [Sight(each.machine, each.version, Phase(each.phase), each.launched_age_us, each.asked,
-                        each.asked_age_us, each.beyond, each.measured_age_us, each.warm_us, each.rests_us)
-                  for each in wire]
+        sights = [
+            Sight(
+                each.machine,
+                each.version,
+                Phase(each.phase),
+                each.launched_age_us,
+                each.asked,
+                each.asked_age_us,
+                each.beyond,
+                each.measured_age_us,
+                each.warm_us,
+                each.rests_us,
+            )
+            for each in wire
+        ]
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
         raise BadPage(f"unreadable machines: {str(error)[:120]}") from None
     if len(sights) > max(PAGE, page.total) or page.first + len(sights) > page.total:
         raise BadPage("more machines than the page says")
-    return Page(page.snapshot[:100], page.first, page.total, page.next[:200], page.snapshot_age_us, page.clock_us,
-                Shares(page.ratio, page.notes, page.ratio_age_us), sights)
+    return Page(
+        page.snapshot[:100],
+        page.first,
+        page.total,
+        page.next[:200],
+        page.snapshot_age_us,
+        page.clock_us,
+        Shares(page.ratio, page.notes, page.ratio_age_us),
+        sights,
+    )
 
 
 def write_instance(announcement: Announcement, address: str) -> bytes:
     """What an instance says of itself."""
-    return _encode(WireInstance(announcement.ident, announcement.incarnation, announcement.region,
-                                announcement.cluster, announcement.uptime_us, announcement.list_age_us,
-                                announcement.machines, address))
+    return _encode(
+        WireInstance(
+            announcement.ident,
+            announcement.incarnation,
+            announcement.region,
+            announcement.cluster,
+            announcement.uptime_us,
+            announcement.list_age_us,
+            announcement.machines,
+            address,
+        )
+    )
 
 
 def read_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
@@ -219,8 +297,21 @@
         told = _instance.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise BadPage(f"no announcement: {str(error)[:120]}") from None
-    if not 0 < len(told.ident) <= 253 or len(told.region) > 253 or len(told.cluster) > 253 or len(told.address) > 300:
+    if (
+        not 0 < len(told.ident) <= 253
+        or len(told.region) > 253
+        or len(told.cluster) > 253
+        or len(told.address) > 300
+    ):
         raise BadPage("a name that is empty or too long")
-    return Announcement(peer, told.ident, told.incarnation, told.region, told.cluster, told.uptime_us,
-                        told.list_age_us, told.machines, rtt_us), told.address
-
+    return Announcement(
+        peer,
+        told.ident,
+        told.incarnation,
+        told.region,
+        told.cluster,
+        told.uptime_us,
+        told.list_age_us,
+        told.machines,
+        rtt_us,
+    ), told.address
--- a/wingbarrow/peers/hearsay.py
+++ b/wingbarrow/peers/hearsay.py
@@ -110,13 +110,19 @@
 class Hearsay:
     """Owns what was heard and is not applied yet, and which machines are distrusted for it."""
 
-    def __init__(self, base: Life, host: Module, fleet: Fleet, machines: Links, sightings: Use) -> None:
+    def __init__(
+        self, base: Life, host: Module, fleet: Fleet, machines: Links, sightings: Use
+    ) -> None:
         self._base, self._host, self._fleet, self._machines = base, host, fleet, machines
         self._sightings = sightings
         self._begun_us = base.hub.now_us()
         self._distrust = learning.Distrust(base.settings.limits.machines)
-        self._gone_versions: dict[str, int] = {}  # machines that left the list, for peers to hear of
-        self._heard: dict[str, tuple[Sight, int, bool]] = {}  # not applied yet: sight, when it was true, clock good
+        self._gone_versions: dict[
+            str, int
+        ] = {}  # machines that left the list, for peers to hear of
+        self._heard: dict[
+            str, tuple[Sight, int, bool]
+        ] = {}  # not applied yet: sight, when it was true, clock good
         self._average = (0.5, 0.5)  # asked over size, as peers last told it
         self._shares_taken = False
         fleet.guards.append(self._guard)
@@ -130,8 +136,16 @@
         reflector, now = self._fleet.reflector, self._base.hub.now_us()
         heard, settings = reflector.heard_us, self._base.settings
         return learning.Announcement(
-            "", settings.name, self._base.born_us, settings.region, settings.cluster,
-            now - self._begun_us, None if heard is None else now - heard, len(reflector.held), 0)
+            "",
+            settings.name,
+            self._base.born_us,
+            settings.region,
+            settings.cluster,
+            now - self._begun_us,
+            None if heard is None else now - heard,
+            len(reflector.held),
+            0,
+        )
 
     def know(self) -> tuple[list[Sight], Shares]:
         """What this instance knows of machines, for a hand-over."""
@@ -148,11 +162,24 @@
             if self._base.settings.agree is not None:
                 # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
                 phase = self._guard(entry, entry.listed).phase
-            sights.append(Sight(name, max(entry.version, self._distrust.version(name)), phase, launched,
-                                each.asked, each.asked_age_us, each.beyond, each.measured_age_us, each.warm_us,
-                                each.rests_us))
+            sights.append(
+                Sight(
+                    name,
+                    max(entry.version, self._distrust.version(name)),
+                    phase,
+                    launched,
+                    each.asked,
+                    each.asked_age_us,
+                    each.beyond,
+                    each.measured_age_us,
+                    each.warm_us,
+                    each.rests_us,
+                )
+            )
         for name, version in self._gone_versions.items():
-            sights.append(Sight(name, version, api.Phase.GONE, None, None, None, None, None, {}, {}))
+            sights.append(
+                Sight(name, version, api.Phase.GONE, None, None, None, None, None, {}, {})
+            )
         use_us = self._sightings.use_us
         return sights, Shares(known.ratio, known.notes, None if use_us is None else now - use_us)
 
@@ -177,9 +204,15 @@
         for sight in sights:
             entry = held.get(sight.machine)
             # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
-            if self._distrust.saw(sight, entry.version if entry else None, now) and entry is not None:
+            if (
+                self._distrust.saw(sight, entry.version if entry else None, now)
+                and entry is not None
+            ):
                 changed.append(entry)
-            if len(self._heard) < self._base.settings.limits.machines or sight.machine in self._heard:
+            if (
+                len(self._heard) < self._base.settings.limits.machines
+                or sight.machine in self._heard
+            ):
                 self._heard[sight.machine] = sight, now - more_age_us, clock_good
         if changed:
             self._fleet.take_again(changed)
@@ -193,11 +226,15 @@
             return
         shares = page.shares
         age = None if shares.age_us is None else shares.age_us + more_age_us
-        weighed = [learning.weigh_ratio(ratio, notes, age, clock_good)
-                   for ratio, notes in zip(shares.ratio, shares.notes, strict=True)]
+        weighed = [
+            learning.weigh_ratio(ratio, notes, age, clock_good)
+            for ratio, notes in zip(shares.ratio, shares.notes, strict=True)
+        ]
         if any(notes > 0 for _, notes in weighed):
             self._shares_taken = True
-            self._host.feed(api.Learned((), (weighed[0][0], weighed[1][0]), (weighed[0][1], weighed[1][1])))
+            self._host.feed(
+                api.Learned((), (weighed[0][0], weighed[1][0]), (weighed[0][1], weighed[1][1]))
+            )
 
     def _guard(self, entry: Entry, listed: api.ListedMachine) -> api.ListedMachine:
         """A machine that a peer saw draining is not trusted before a newer list says that it runs (rule 3)."""
@@ -209,18 +246,32 @@
             return
         now, held = self._base.hub.now_us(), self._fleet.held
         groups: dict[tuple[int, bool], list[Sight]] = {}
-        for name in [name for name in self._heard if name in held and name in self._machines.links
-                     and not self._fleet.closed_here(held[name])]:
+        for name in [
+            name
+            for name in self._heard
+            if name in held
+            and name in self._machines.links
+            and not self._fleet.closed_here(held[name])
+        ]:
             sight, at_us, good = self._heard.pop(name)
             groups.setdefault((at_us, good), []).append(sight)
         for (at_us, good), sights in groups.items():
             here = [sight.machine for sight in sights]
             sizes = {name: self._fleet.size_of(held[name]) for name in here}
             self._average = learning.fleet_average(sights, sizes, self._average)
-            weighed = learning.weigh(sights, now - at_us, sizes, {name: held[name].version for name in here},
-                                     {name: held[name].listed.machine for name in here}, good, self._average)
+            weighed = learning.weigh(
+                sights,
+                now - at_us,
+                sizes,
+                {name: held[name].version for name in here},
+                {name: held[name].listed.machine for name in here},
+                good,
+                self._average,
+            )
             self._base.counts["machines_learned"] += len(weighed)
             if weighed:
                 self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
-        for name in [name for name, (_, at_us, _) in self._heard.items() if now - at_us > learning.USELESS_US]:
+        for name in [
+            name for name, (_, at_us, _) in self._heard.items() if now - at_us > learning.USELESS_US
+        ]:
             del self._heard[name]
--- a/wingbarrow/peers/history.py
+++ b/wingbarrow/peers/history.py
@@ -17,8 +17,13 @@
 class History:
     """Appends to a file; without a path it does nothing."""
 
-    def __init__(self, path: str | None, now_us: Callable[[], int], log: Callable[..., None],
-                 most: int = BYTES_MOST) -> None:
+    def __init__(
+        self,
+        path: str | None,
+        now_us: Callable[[], int],
+        log: Callable[..., None],
+        most: int = BYTES_MOST,
+    ) -> None:
         self._now_us, self._log, self._most = now_us, log, most
         self._written = 0
         self._file = None
@@ -32,11 +37,18 @@
         """Add a line of now."""
         if self._file is None:
             return
-        line = json.dumps({"at_us": self._now_us(), "what": what, **fields}, default=str).encode() + b"\n"
+        line = (
+            json.dumps({"at_us": self._now_us(), "what": what, **fields}, default=str).encode()
+            + b"\n"
+        )
         full = self._written + len(line) > self._most
         try:
             # One write a line: a process that is killed leaves whole lines, and at most one torn one at the end.
-            self._file.write(json.dumps({"at_us": self._now_us(), "what": "full"}).encode() + b"\n" if full else line)
+            self._file.write(
+                json.dumps({"at_us": self._now_us(), "what": "full"}).encode() + b"\n"
+                if full
+                else line
+            )
         except OSError as error:
             self._log("history-ended", level="error", why=error.strerror)
             full = True
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -33,7 +33,9 @@
 from wingbarrow.transport import Hub, Nursery, Timer
 
 LEAVE_US = 300_000
-FOUNDING = "founding"  # the first proposal's name: whoever leads first makes it, and it is taken once
+FOUNDING = (
+    "founding"  # the first proposal's name: whoever leads first makes it, and it is taken once
+)
 LOUD = {"twin": "error", "dead": "warning", "suspected": "info"}
 
 
@@ -50,21 +52,31 @@
 class Peering:
     """One placer's side of what placers say to each other; does nothing where the settings name no other placer."""
 
-    def __init__(self, hub: Hub, settings: PlacerSettings, life: int, log: Callable[..., None],
-                 rules: Rules = Rules()) -> None:  # noqa: B008 - frozen
+    def __init__(
+        self,
+        hub: Hub,
+        settings: PlacerSettings,
+        life: int,
+        log: Callable[..., None],
+        rules: Rules = Rules(),
+    ) -> None:
         self._hub, self._settings, self._log = hub, settings, log
         self.counts: Counter[str] = Counter()
         self.address = ""  # this instance's front, once it listens
         self.history = History(settings.history, hub.now_us, log)
         self._routes = {peer.name: str(peer) for peer in settings.peers if peer.name}
         self._life, self._rules = life, rules
-        self.on = bool(settings.peers) or settings.peers_allowed.size > 0 or settings.agree is not None
+        self.on = (
+            bool(settings.peers) or settings.peers_allowed.size > 0 or settings.agree is not None
+        )
         self.membership = self._member()
         self.agreement: Agreement | None = None
         self.lease = Lease(settings.name, settings.region)
         self.lease.counts = self.counts
         self.regions = RegionsSide(lambda now_us: None)
-        self.turns, self.turn_side = turns_of(settings, lambda now: now + hub.clock.wall_us() - hub.now_us())
+        self.turns, self.turn_side = turns_of(
+            settings, lambda now: now + hub.clock.wall_us() - hub.now_us()
+        )
         self.on_turns: Callable[[], None] = lambda: None
         self.on_session: Callable[[Session, bool, int], None] = lambda session, may, epoch: None
         self.on_ended: Callable[[Ended], None] = lambda ended: None
@@ -79,14 +91,22 @@
         self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
         self._timers: dict[tuple[str, str], Timer] = {}
         self._nursery: Nursery | None = None
-        self._post = Post(hub, f"wingbarrow/{settings.name}", self._pack, self._take, self._spawn, self.counts)
-        self._reply: tuple[str, list[bytes]] | None = None  # to whom mail is being answered, and with what so far
+        self._post = Post(
+            hub, f"wingbarrow/{settings.name}", self._pack, self._take, self._spawn, self.counts
+        )
+        self._reply: tuple[str, list[bytes]] | None = (
+            None  # to whom mail is being answered, and with what so far
+        )
 
     def _member(self) -> Membership:
         settings = self._settings
         me = Me(settings.name, self.address or "?", settings.region, self._life)
-        return Membership(me, tuple(Seed(each.name, str(each)) for each in settings.peers if each.seed),
-                          settings.seed * 7919 + self._life, self._rules)
+        return Membership(
+            me,
+            tuple(Seed(each.name, str(each)) for each in settings.peers if each.seed),
+            settings.seed * 7919 + self._life,
+            self._rules,
+        )
 
     # -- the placer's side
 
@@ -109,8 +129,14 @@
         self.history("start", name=settings.name, life=self._life, address=self.address)
         if settings.agree is not None:
             self._store, disk = voter_store(settings, self._log)
-            self.agreement = agreement_of(settings, disk, self._life, self.turns,
-                                          (self.lease, self.regions, self.turn_side), self.counts)
+            self.agreement = agreement_of(
+                settings,
+                disk,
+                self._life,
+                self.turns,
+                (self.lease, self.regions, self.turn_side),
+                self.counts,
+            )
             self.agreement.purse.uses, self.agreement.purse.demand = self.uses, self.demand
             self.agreement.live_in(settings.region, self.zones)
         try:
@@ -186,9 +212,13 @@
             elif isinstance(message, LEASING):
                 self.counts["peers:letters about custody, which is not kept here"] += 1
             elif isinstance(message, words.Message):
-                self.act("members", self.membership.on_message(now, mail.sender, mail.address, message))
+                self.act(
+                    "members", self.membership.on_message(now, mail.sender, mail.address, message)
+                )
             elif self.agreement is not None:
-                self.act("rules", self.agreement.on_message(now, mail.sender, mail.address, message))
+                self.act(
+                    "rules", self.agreement.on_message(now, mail.sender, mail.address, message)
+                )
                 self.act("rules", self.lease.look(now))
             else:
                 self.counts["peers:letters about rules, which are not agreed on here"] += 1
@@ -240,6 +270,7 @@
         def due() -> None:
             self._timers.pop(key, None)
             self._spawn(lambda: self._on_timer(machine, wanted.key), "peers' timer")
+
         self._timers[key] = self._hub.call_at(wanted.at_us, due)
 
     def _on_timer(self, machine: str, key: str) -> None:
@@ -264,7 +295,11 @@
         if tell.what == "rules":
             self.on_rules(str(tell.fields["label"]), str(tell.fields["rules"]))
         elif tell.what == "session":
-            self.on_session(read_session(tell.fields["session"]), bool(tell.fields["open"]), int(tell.fields["epoch"]))
+            self.on_session(
+                read_session(tell.fields["session"]),
+                bool(tell.fields["open"]),
+                int(tell.fields["epoch"]),
+            )
         elif tell.what == "session-ended":
             self.on_ended(self.lease.ended[read_session(tell.fields["session"])])
         elif tell.what == "rights":
@@ -291,7 +326,9 @@
             self.counts["rules:store failed"] += 1
             self._log("rules-store-failed", level="error", why=str(error))
             if self.agreement is not None and self.agreement.raft is not None:
-                self.agreement.raft.empty = True  # it says nothing more as a voter; it goes on by its grants
+                self.agreement.raft.empty = (
+                    True  # it says nothing more as a voter; it goes on by its grants
+                )
             self._store.close()
             self._store = None
             return False
@@ -305,8 +342,16 @@
             except SettingsError as error:
                 self._log("rules-not-founded", level="error", why=str(error)[:500])
                 return
-            self.propose("propose", {"ident": FOUNDING, "base": 0, "rules": text,
-                                     "by": self._settings.name, "why": "the settings of the first leader"})
+            self.propose(
+                "propose",
+                {
+                    "ident": FOUNDING,
+                    "base": 0,
+                    "rules": text,
+                    "by": self._settings.name,
+                    "why": "the settings of the first leader",
+                },
+            )
 
     def propose(self, kind: str, value: dict[str, Any]) -> None:
         """At the leader: have something decided."""
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -41,8 +41,14 @@
 class Learner:
     """One start's learning; `state` tells how it went: asking, followed, learned, cold."""
 
-    def __init__(self, hub: Hub, settings: PlacerSettings, taker: Taker, incarnation: int,
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        settings: PlacerSettings,
+        taker: Taker,
+        incarnation: int,
+        log: Callable[..., None],
+    ) -> None:
         self._hub = hub
         self._settings = settings
         self._taker = taker
@@ -56,9 +62,13 @@
 
     def _pool(self, peer: PeerAddress) -> Pool:
         if peer not in self._pools:
-            self._pools[peer] = Pool(self._hub, peer.host, peer.port, PoolLimits(
-                connections=4, connect_us=ANNOUNCE_US, message=Limits(body=PAGE_BYTES)),
-                f"wingbarrow/{self._settings.name}")
+            self._pools[peer] = Pool(
+                self._hub,
+                peer.host,
+                peer.port,
+                PoolLimits(connections=4, connect_us=ANNOUNCE_US, message=Limits(body=PAGE_BYTES)),
+                f"wingbarrow/{self._settings.name}",
+            )
         return self._pools[peer]
 
     def run(self) -> None:
@@ -67,7 +77,9 @@
             return
         end = self._hub.now_us() + BUDGET_US
         announced = self._announcements()
-        order = learning.order_peers(announced, self._settings.region, self._settings.cluster, self._settings.name)
+        order = learning.order_peers(
+            announced, self._settings.region, self._settings.cluster, self._settings.name
+        )
         by_name = {str(peer): peer for peer in self._peers}
         for announcement in order:
             peer = by_name[announcement.peer]
@@ -82,8 +94,12 @@
             self.counts["fell_back"] += 1
         if self.state == "asking":
             self.state = "learned" if self.counts["pages"] else "cold"
-            self._log("cold-start", peers=len(self._peers), announced=len(announced),
-                      pages=self.counts["pages"])
+            self._log(
+                "cold-start",
+                peers=len(self._peers),
+                announced=len(announced),
+                pages=self.counts["pages"],
+            )
 
     # -- whom to ask
 
@@ -93,7 +109,9 @@
         def ask(peer: PeerAddress) -> None:
             begun = self._hub.now_us()
             try:
-                response = self._pool(peer).request("GET", f"{BASE}/instance", until_us=begun + ANNOUNCE_US)
+                response = self._pool(peer).request(
+                    "GET", f"{BASE}/instance", until_us=begun + ANNOUNCE_US
+                )
                 if response.status != 200:
                     raise BadPage(f"status {response.status}")
                 announced, _ = read_instance(response.body, str(peer), self._hub.now_us() - begun)
@@ -102,6 +120,7 @@
                 self._log("peer-silent", peer=str(peer), why=str(error)[:200])
                 return
             out.append(announced)
+
         with self._hub.limit(ANNOUNCE_US), Nursery(self._hub) as nursery:
             for peer in self._peers:
                 nursery.spawn(lambda peer=peer: ask(peer), "asks a peer")  # type: ignore[misc]
@@ -121,15 +140,21 @@
                 return False
             query = f"?limit={PAGE}" + (f"&continue={quote(token)}" if token else "")
             try:
-                response = self._pool(peer).request("GET", f"{BASE}/knowledge{query}", until_us=end_us)
+                response = self._pool(peer).request(
+                    "GET", f"{BASE}/knowledge{query}", until_us=end_us
+                )
                 if response.status != 200:
                     raise BadPage(f"status {response.status}")
                 page = read_page(response.body, most)
                 if page.first != expected or (snapshot and page.snapshot != snapshot):
-                    raise BadPage(f"page at {page.first} of {page.snapshot}, not at {expected} of {snapshot}")
+                    raise BadPage(
+                        f"page at {page.first} of {page.snapshot}, not at {expected} of {snapshot}"
+                    )
             except (CallFailed, BadPage) as error:
                 self.counts["bad_pages" if isinstance(error, BadPage) else "stalled"] += 1
-                self._log("peer-page-unusable", level="warning", peer=str(peer), why=str(error)[:200])
+                self._log(
+                    "peer-page-unusable", level="warning", peer=str(peer), why=str(error)[:200]
+                )
                 return False
             if not self._take(page, clock, begun):
                 return False
@@ -166,15 +191,21 @@
         end = self._hub.now_us() + FOLLOW_US
         clock = ClockCheck()
         try:
-            response, parts = self._pool(peer).stream("GET", f"{BASE}/knowledge?watch=true",
-                                                      until_us=self._hub.now_us() + PEER_US, silence_us=SILENCE_US)
+            response, parts = self._pool(peer).stream(
+                "GET",
+                f"{BASE}/knowledge?watch=true",
+                until_us=self._hub.now_us() + PEER_US,
+                silence_us=SILENCE_US,
+            )
             try:
                 if response.status != 200:
                     raise BadPage(f"status {response.status}")
                 for line in _lines(parts):
                     if self._hub.now_us() >= end:
                         return
-                    if not self._take(read_page(line, self._settings.limits.machines), clock, self._hub.now_us()):
+                    if not self._take(
+                        read_page(line, self._settings.limits.machines), clock, self._hub.now_us()
+                    ):
                         return
                     self.counts["followed"] += 1
             finally:
--- a/wingbarrow/peers/leasesfront.py
+++ b/wingbarrow/peers/leasesfront.py
@@ -30,13 +30,23 @@
         """Answer one request; ApiError for what is refused."""
         agreement = self._peering.agreement
         if agreement is None:
-            raise ApiError(404, "this placer agrees with nobody: `agree` in its settings", "NotFound")
+            raise ApiError(
+                404, "this placer agrees with nobody: `agree` in its settings", "NotFound"
+            )
         if request.method != "GET":
             raise ApiError(405, "GET is allowed here; sessions are opened and ended by the voters")
         epoch, items = self._of_leader(agreement) if agreement.leads else self._own()
-        return Answer(200, names.encode({
-            "kind": "LeaseList", "apiVersion": "coordination.k8s.io/v1",
-            "metadata": {"resourceVersion": str(epoch)}, "items": items}))
+        return Answer(
+            200,
+            names.encode(
+                {
+                    "kind": "LeaseList",
+                    "apiVersion": "coordination.k8s.io/v1",
+                    "metadata": {"resourceVersion": str(epoch)},
+                    "items": items,
+                }
+            ),
+        )
 
     def _of_leader(self, agreement: Agreement) -> tuple[int, list[dict[str, Any]]]:
         sessions, now = agreement.chapters["sessions"], self._hub.now_us()
@@ -45,35 +55,68 @@
         for session, terms in sorted(log.open.items()):
             renewed, said = sessions.renewed_us.get(session), sessions.says.get(session.placer)
             item = self._lease(session, terms.region, "open", terms.lease_us, renewed, log.epoch)
-            item["status"] |= {"lives": sessions.lives(now, session),
-                               "reckonedLeftUs": max(0, sessions.until_us(session) - now)}
+            item["status"] |= {
+                "lives": sessions.lives(now, session),
+                "reckonedLeftUs": max(0, sessions.until_us(session) - now),
+            }
             if said is not None:
-                item["status"] |= {"leasedJobs": said.leased, "keepsFor": {
-                    each.session.text(): {"jobs": each.jobs, "afterUs": each.after_us} for each in said.keeping}}
+                item["status"] |= {
+                    "leasedJobs": said.leased,
+                    "keepsFor": {
+                        each.session.text(): {"jobs": each.jobs, "afterUs": each.after_us}
+                        for each in said.keeping
+                    },
+                }
             items.append(item)
-        return log.epoch, items + [self._over(each) for each in sorted(log.ended.values(), key=lambda one: one.epoch)]
+        return log.epoch, items + [
+            self._over(each) for each in sorted(log.ended.values(), key=lambda one: one.epoch)
+        ]
 
     def _own(self) -> tuple[int, list[dict[str, Any]]]:
         lease, items = self._peering.lease, []
         if lease.session is not None:
             state = "open" if lease.may_send(self._hub.now_us()) else "lapsed"
-            items.append(self._lease(lease.session, lease.region, state, lease.lease_us, lease.asked_us, lease.heard))
-        return lease.heard, items + [self._over(each) for each in sorted(lease.ended.values(),
-                                                                         key=lambda one: one.epoch)]
+            items.append(
+                self._lease(
+                    lease.session, lease.region, state, lease.lease_us, lease.asked_us, lease.heard
+                )
+            )
+        return lease.heard, items + [
+            self._over(each) for each in sorted(lease.ended.values(), key=lambda one: one.epoch)
+        ]
 
     def _over(self, ended: Ended) -> dict[str, Any]:
         item = self._lease(ended.session, ended.region, "ended", 0, None, ended.changed)
-        item["status"] |= {"epoch": ended.epoch, "batches": [list(each) for each in ended.batches],
-                           "gone": list(ended.gone)}
+        item["status"] |= {
+            "epoch": ended.epoch,
+            "batches": [list(each) for each in ended.batches],
+            "gone": list(ended.gone),
+        }
         return item
 
-    def _lease(self, session: Session, region: str, state: str, lease_us: int, renewed_us: int | None,
-               epoch: int) -> dict[str, Any]:
+    def _lease(
+        self,
+        session: Session,
+        region: str,
+        state: str,
+        lease_us: int,
+        renewed_us: int | None,
+        epoch: int,
+    ) -> dict[str, Any]:
         spec: dict[str, Any] = {"holderIdentity": session.text(), "leaseTransitions": epoch}
         if lease_us:
             spec["leaseDurationSeconds"] = max(1, lease_us // 1_000_000)
         if renewed_us is not None:
-            spec["renewTime"] = names.time_text(self._hub.clock.wall_us() - (self._hub.now_us() - renewed_us))
-        return {"kind": "Lease", "apiVersion": "coordination.k8s.io/v1",
-                "metadata": {"name": session.text().replace("/", "."), "labels": {names.PREFIX + "region": region}},
-                "spec": spec, "status": {"state": state}}
+            spec["renewTime"] = names.time_text(
+                self._hub.clock.wall_us() - (self._hub.now_us() - renewed_us)
+            )
+        return {
+            "kind": "Lease",
+            "apiVersion": "coordination.k8s.io/v1",
+            "metadata": {
+                "name": session.text().replace("/", "."),
+                "labels": {names.PREFIX + "region": region},
+            },
+            "spec": spec,
+            "status": {"state": state},
+        }
--- a/wingbarrow/peers/limitsfront.py
+++ b/wingbarrow/peers/limitsfront.py
@@ -25,7 +25,9 @@
         """Answer one request for `limits` or `verdicts`; ApiError for what is refused."""
         agreement = self._peering.agreement
         if agreement is None:
-            raise ApiError(404, "this placer agrees with nobody: `agree` in its settings", "NotFound")
+            raise ApiError(
+                404, "this placer agrees with nobody: `agree` in its settings", "NotFound"
+            )
         if request.method != "GET":
             raise ApiError(405, "GET is allowed here; limits are changed as rules are")
         if what == "verdicts":
@@ -33,11 +35,23 @@
         now, purse = self._hub.now_us(), agreement.purse
         acting = agreement.acting(now)
         told: dict[str, object] = {
-            "kind": "LimitList", "apiVersion": "wingbarrow.io/v1", "placer": agreement.me, "leader": agreement.leader,
-            "grantLeftUs": max(0, agreement.holder.until_us - now), "items": [
-                {"limit": each.key, "most": purse.limits[each.key].most, "windowUs": purse.limits[each.key].window_us,
-                 "share": each.share if acting is not None and acting.edition else 0, "uses": each.uses,
-                 "wants": each.wants} for each in purse.stated(now)]}
+            "kind": "LimitList",
+            "apiVersion": "wingbarrow.io/v1",
+            "placer": agreement.me,
+            "leader": agreement.leader,
+            "grantLeftUs": max(0, agreement.holder.until_us - now),
+            "items": [
+                {
+                    "limit": each.key,
+                    "most": purse.limits[each.key].most,
+                    "windowUs": purse.limits[each.key].window_us,
+                    "share": each.share if acting is not None and acting.edition else 0,
+                    "uses": each.uses,
+                    "wants": each.wants,
+                }
+                for each in purse.stated(now)
+            ],
+        }
         if agreement.leads and agreement.agreed.rules:
             told["accounts"] = agreement.blocks.accounts(now, read(agreement.agreed.rules).limits)
         return Answer(200, names.encode(told))
@@ -45,18 +59,39 @@
     def _verdicts(self, agreement: Agreement) -> Answer:
         now = self._hub.now_us()
         told: dict[str, object] = {
-            "kind": "VerdictList", "apiVersion": "wingbarrow.io/v1", "placer": agreement.me, "leader": agreement.leader,
-            "closed": sorted(agreement.closures.now(now))}
+            "kind": "VerdictList",
+            "apiVersion": "wingbarrow.io/v1",
+            "placer": agreement.me,
+            "leader": agreement.leader,
+            "closed": sorted(agreement.closures.now(now)),
+        }
         if agreement.leads:
             bench = agreement.bench
             told["items"] = [
-                {"machine": machine, "ageUs": now - each.since_us, "leftUs": 0 if each.ended else each.until_us - now,
-                 "by": list(each.by), "strikes": each.strikes, "ended": each.ended,
-                 "prober": each.prober}
-                for machine, each in sorted(bench.verdicts.items())]
+                {
+                    "machine": machine,
+                    "ageUs": now - each.since_us,
+                    "leftUs": 0 if each.ended else each.until_us - now,
+                    "by": list(each.by),
+                    "strikes": each.strikes,
+                    "ended": each.ended,
+                    "prober": each.prober,
+                }
+                for machine, each in sorted(bench.verdicts.items())
+            ]
             told["spared"] = dict(sorted(bench.spared.items()))
             told["witnesses"] = [
-                {"placer": name, "region": each.region, "ageUs": now - each.at_us, "bad": each.bad, "tried": each.tried,
-                 "evidence": {key: [seen.failed, seen.tried] for key, seen in sorted(each.evidence.items())}}
-                for name, each in sorted(bench.witnesses.items())]
+                {
+                    "placer": name,
+                    "region": each.region,
+                    "ageUs": now - each.at_us,
+                    "bad": each.bad,
+                    "tried": each.tried,
+                    "evidence": {
+                        key: [seen.failed, seen.tried]
+                        for key, seen in sorted(each.evidence.items())
+                    },
+                }
+                for name, each in sorted(bench.witnesses.items())
+            ]
         return Answer(200, names.encode(told))
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -26,13 +26,31 @@
 INCARNATION_MOST = 1 << 62
 
 KINDS: dict[str, type[Any]] = {
-    "probe": words.Probe, "probe-for": words.ProbeFor, "ack": words.Ack, "nack": words.Nack, "sync": words.Sync,
-    "vote-ask": log.VoteAsk, "vote-answer": log.VoteAnswer, "append": log.Append, "append-answer": log.AppendAnswer,
-    "install": log.Install, "ask": asking.Ask, "grant": asking.Grant, "not-leader": asking.NotLeader,
-    "keep": leasing.Keep, "keep-answer": leasing.KeepAnswer, "settle": leasing.Settle, "settled": leasing.Settled,
-    "ask-machine": leasing.AskMachine, "machine-says": leasing.MachineSays,
-    "hand": handing.Hand, "hand-stop": handing.HandStop, "hand-says": handing.HandSays,
-    "ask-for": asking.AskFor, "grant-for": asking.GrantFor}
+    "probe": words.Probe,
+    "probe-for": words.ProbeFor,
+    "ack": words.Ack,
+    "nack": words.Nack,
+    "sync": words.Sync,
+    "vote-ask": log.VoteAsk,
+    "vote-answer": log.VoteAnswer,
+    "append": log.Append,
+    "append-answer": log.AppendAnswer,
+    "install": log.Install,
+    "ask": asking.Ask,
+    "grant": asking.Grant,
+    "not-leader": asking.NotLeader,
+    "keep": leasing.Keep,
+    "keep-answer": leasing.KeepAnswer,
+    "settle": leasing.Settle,
+    "settled": leasing.Settled,
+    "ask-machine": leasing.AskMachine,
+    "machine-says": leasing.MachineSays,
+    "hand": handing.Hand,
+    "hand-stop": handing.HandStop,
+    "hand-says": handing.HandSays,
+    "ask-for": asking.AskFor,
+    "grant-for": asking.GrantFor,
+}
 _NAMES = {kind: name for name, kind in KINDS.items()}
 
 
@@ -65,7 +83,9 @@
 
 _encode = msgspec.json.Encoder().encode
 _mail: msgspec.json.Decoder[_Mail] = msgspec.json.Decoder(_Mail)
-_bodies: dict[str, msgspec.json.Decoder[Any]] = {name: msgspec.json.Decoder(kind) for name, kind in KINDS.items()}
+_bodies: dict[str, msgspec.json.Decoder[Any]] = {
+    name: msgspec.json.Decoder(kind) for name, kind in KINDS.items()
+}
 
 
 def write_letter(message: Any) -> bytes:
@@ -75,8 +95,15 @@
 
 def write_mail(cluster: str, sender: str, address: str, letters: Iterable[bytes]) -> bytes:
     """Letters in one mail."""
-    return _encode({"form": FORM, "cluster": cluster, "sender": sender, "address": address,
-                    "letters": [msgspec.Raw(each) for each in letters]})
+    return _encode(
+        {
+            "form": FORM,
+            "cluster": cluster,
+            "sender": sender,
+            "address": address,
+            "letters": [msgspec.Raw(each) for each in letters],
+        }
+    )
 
 
 def read_mail(raw: bytes, cluster: str) -> Mail:
@@ -119,7 +146,11 @@
     if len(news) > WORDS_MOST:
         raise BadMail(f"{len(news)} words; {WORDS_MOST} are the most")
     for word in news:
-        if not 0 < len(word.ident) <= NAME_MOST or len(word.by) > NAME_MOST or len(word.region) > NAME_MOST:
+        if (
+            not 0 < len(word.ident) <= NAME_MOST
+            or len(word.by) > NAME_MOST
+            or len(word.region) > NAME_MOST
+        ):
             raise BadMail("a member's name that is empty or too long")
         if not 0 < len(word.address) <= ADDRESS_MOST:
             raise BadMail("a member's address that is empty or too long")
@@ -127,16 +158,25 @@
             raise BadMail("an incarnation out of range")
     if isinstance(message, log.Append) and len(message.entries) > ENTRIES_MOST:
         raise BadMail(f"{len(message.entries)} entries; {ENTRIES_MOST} are the most")
-    if isinstance(message, asking.Ask) and (len(message.stated) > LIMITS_MOST or len(
-            {each.key for each in message.stated}) < len(message.stated) or message.up_us < 0):
+    if isinstance(message, asking.Ask) and (
+        len(message.stated) > LIMITS_MOST
+        or len({each.key for each in message.stated}) < len(message.stated)
+        or message.up_us < 0
+    ):
         raise BadMail("more limits than there can be, one twice, or a life of no length")
-    if isinstance(message, asking.Ask) and (len(message.evidence) > EVIDENCE_MOST or not all(
-            0 <= each.failed <= each.tried and 0 < len(each.machine) <= NAME_MOST for each in message.evidence)):
+    if isinstance(message, asking.Ask) and (
+        len(message.evidence) > EVIDENCE_MOST
+        or not all(
+            0 <= each.failed <= each.tried and 0 < len(each.machine) <= NAME_MOST
+            for each in message.evidence
+        )
+    ):
         raise BadMail("evidence that cannot be")
     if isinstance(message, asking.Grant) and len(message.closed) > VERDICTS_MOST:
         raise BadMail(f"{len(message.closed)} verdicts; {VERDICTS_MOST} are the most")
-    if isinstance(message, words.ProbeFor) and not (0 < len(message.ident) <= NAME_MOST
-                                                    and 0 < len(message.address) <= ADDRESS_MOST):
+    if isinstance(message, words.ProbeFor) and not (
+        0 < len(message.ident) <= NAME_MOST and 0 < len(message.address) <= ADDRESS_MOST
+    ):
         raise BadMail("a probe for nobody")
     why = fault(message)
     if why:
