--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -13,16 +13,16 @@
 from wingbarrow.config.agreeing import _VOTERS
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.link import STOP_CONNECTIONS
-from wingbarrow.decide.peers.agreed import CHAPTERS_MAILED, SNAPSHOT_MOST
-from wingbarrow.decide.peers.asking import Times
-from wingbarrow.decide.peers.blocks import PARTS_MOST
-from wingbarrow.decide.peers.leasing import RECORD_MOST
-from wingbarrow.decide.peers.limits import LIMITS_MOST, STRANDED_US, FleetLimit
-from wingbarrow.decide.peers.membership import Rules
-from wingbarrow.decide.peers.records import RECORD_BYTES, TASK_BYTES, Bounds
-from wingbarrow.decide.peers.rules import TEXT_MOST
-from wingbarrow.decide.peers.table import MEMBERS_MOST
-from wingbarrow.decide.peers.turns import ACTIVE_MOST
+from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
+from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.quotas.allocations import PARTS_MOST
+from wingbarrow.decide.sessions.messages import RECORD_MOST
+from wingbarrow.decide.quotas.limits import LIMITS_MOST, STRANDED_US, FleetLimit
+from wingbarrow.decide.membership.swim import Rules
+from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, Bounds
+from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
+from wingbarrow.decide.membership.member_table import MEMBERS_MOST
+from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
 from wingbarrow.peers.message import MAIL_MOST
 from wingbarrow.peers.post import BOXES_MOST
 
@@ -64,7 +64,7 @@
             "members that a placer knows",
             MEMBERS_MOST,
             "placers",
-            "wingbarrow/decide/peers/table.py",
+            "wingbarrow/decide/membership/member_table.py",
             MEMBERSHIP,
         ),
         Bound(
@@ -72,7 +72,7 @@
             "a death is known to all within, at the target's placers",
             rules.detect_us(placers) / SECOND,
             "s",
-            "wingbarrow/decide/peers/membership.py",
+            "wingbarrow/decide/membership/swim.py",
             MEMBERSHIP,
         ),
         Bound(
@@ -80,7 +80,7 @@
             "all are alive to all after a cut has healed, at the target's placers",
             rules.heal_us(placers) / SECOND,
             "s",
-            "wingbarrow/decide/peers/membership.py",
+            "wingbarrow/decide/membership/swim.py",
             MEMBERSHIP,
         ),
         Bound(
@@ -105,7 +105,7 @@
             "a grant of rules lasts",
             times.grant_us / SECOND,
             "s",
-            "wingbarrow/decide/peers/asking.py",
+            "wingbarrow/decide/coordination/messages.py",
             AGREEMENT,
         ),
         Bound(
@@ -113,7 +113,7 @@
             "longest that two editions which contradict each other are in use",
             times.stated_us(TURN_US) / SECOND,
             "s",
-            "wingbarrow/decide/peers/asking.py",
+            "wingbarrow/decide/coordination/messages.py",
             AGREEMENT,
         ),
         Bound(
@@ -121,7 +121,7 @@
             "until a placer in touch with a majority has a grant again",
             times.needless_us() / SECOND,
             "s",
-            "wingbarrow/decide/peers/asking.py",
+            "wingbarrow/decide/coordination/messages.py",
             AGREEMENT,
         ),
         Bound(
@@ -129,7 +129,7 @@
             "text of a rule set without federation specs",
             TEXT_MOST,
             "bytes",
-            "wingbarrow/decide/peers/rules.py",
+            "wingbarrow/decide/rulesets/ruleset.py",
             AGREEMENT,
         ),
         Bound(
@@ -137,7 +137,7 @@
             "what is kept of rules, for one mail",
             SNAPSHOT_MOST,
             "bytes",
-            "wingbarrow/decide/peers/agreed.py",
+            "wingbarrow/decide/rulesets/versions.py",
             AGREEMENT,
         ),
         Bound(
@@ -145,7 +145,7 @@
             "all else that is agreed on, in the same mail",
             CHAPTERS_MAILED,
             "bytes",
-            "wingbarrow/decide/peers/agreed.py",
+            "wingbarrow/decide/rulesets/versions.py",
             AGREEMENT,
         ),
         Bound(
@@ -153,7 +153,7 @@
             "limits of the whole fleet",
             LIMITS_MOST,
             "limits",
-            "wingbarrow/decide/peers/limits.py",
+            "wingbarrow/decide/quotas/limits.py",
             LIMITS,
         ),
         Bound(
@@ -161,7 +161,7 @@
             "blocks: limits times placers that hold some",
             PARTS_MOST,
             "blocks",
-            "wingbarrow/decide/peers/blocks.py",
+            "wingbarrow/decide/quotas/allocations.py",
             LIMITS,
         ),
         Bound(
@@ -169,7 +169,7 @@
             "what a dead placer held counts as in use for",
             STRANDED_US / SECOND,
             "s",
-            "wingbarrow/decide/peers/limits.py",
+            "wingbarrow/decide/quotas/limits.py",
             LIMITS,
         ),
         Bound(
@@ -177,7 +177,7 @@
             "of it, a limit that names the target's placers as those who share it",
             _limit_text(placers),
             "bytes",
-            "wingbarrow/decide/peers/limits.py",
+            "wingbarrow/decide/quotas/limits.py",
             LIMITS,
         ),
         Bound(
@@ -185,7 +185,7 @@
             "a block in a snapshot",
             BLOCK_BYTES,
             "bytes",
-            "wingbarrow/decide/peers/blocks.py",
+            "wingbarrow/decide/quotas/allocations.py",
             LIMITS,
         ),
         Bound(
@@ -193,7 +193,7 @@
             "record of a leased Job",
             RECORD_MOST,
             "bytes",
-            "wingbarrow/decide/peers/leasing.py",
+            "wingbarrow/decide/sessions/messages.py",
             RECORDS,
         ),
         Bound(
@@ -201,7 +201,7 @@
             "of it kept free beside its tasks",
             RECORD_BYTES,
             "bytes",
-            "wingbarrow/decide/peers/records.py",
+            "wingbarrow/decide/replication/records.py",
             RECORDS,
         ),
         Bound(
@@ -209,7 +209,7 @@
             "of it kept free for each task",
             TASK_BYTES,
             "bytes",
-            "wingbarrow/decide/peers/records.py",
+            "wingbarrow/decide/replication/records.py",
             RECORDS,
         ),
         Bound(
@@ -217,7 +217,7 @@
             "records of one holder at one keeper",
             keeper.records,
             "records",
-            "wingbarrow/decide/peers/records.py",
+            "wingbarrow/decide/replication/records.py",
             RECORDS,
         ),
         Bound(
@@ -225,7 +225,7 @@
             "turns that are active",
             ACTIVE_MOST,
             "turns",
-            "wingbarrow/decide/peers/turns.py",
+            "wingbarrow/decide/maintenance/slots.py",
             TURNS,
         ),
         Bound(
--- a/benchmarks/capacity/changes.py
+++ b/benchmarks/capacity/changes.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity.gather import Figure, repeated, spread
 from benchmarks.capacity.results import Point
 from benchmarks.capacity.teams import mailed
-from wingbarrow.decide.peers.rules import RuleSet, normal
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
 from wingbarrow.lab.fleet.swarm import SECOND
 
 DEFAULT_SIZES = (100, 1_000, 5_000, 14_000)
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -12,10 +12,10 @@
 
 from benchmarks.capacity.gather import MB, Figure, accounted, persisted, spread
 from benchmarks.capacity.metered import DECISIONS, LIMITS, READ, WRITTEN, Metered, Meter, held_bytes
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.effects import Persist
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.rules import RuleSet, normal
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.effects import Persist
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules, voters_of
 from wingbarrow.lab.fleet.swarm import SECOND
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -23,10 +23,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.peers.asking import NotLeader
-from wingbarrow.decide.peers.effects import Persist, Send
-from wingbarrow.decide.peers.log import AppendAnswer, VoteAnswer
-from wingbarrow.decide.peers.words import Ack, Nack, Sync
+from wingbarrow.decide.coordination.messages import NotLeader
+from wingbarrow.decide.effects import Persist, Send
+from wingbarrow.decide.consensus.log import AppendAnswer, VoteAnswer
+from wingbarrow.decide.membership.messages import Ack, Nack, Sync
 from wingbarrow.http.server import ServerLimits
 from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
 from wingbarrow.peers.message import BadMail, read_mail, write_letter, write_mail
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -19,10 +19,10 @@
 from benchmarks.capacity.gather import MB, Figure, accounted, repeated
 from benchmarks.capacity.metered import DECISIONS, READ, WRITTEN, Metered, Meter, held_bytes
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.peers.membership import Membership
-from wingbarrow.decide.peers.rules import too_long
-from wingbarrow.decide.peers.table import MEMBERS_MOST
-from wingbarrow.decide.peers.words import Standing
+from wingbarrow.decide.membership.swim import Membership
+from wingbarrow.decide.rulesets.ruleset import too_long
+from wingbarrow.decide.membership.member_table import MEMBERS_MOST
+from wingbarrow.decide.membership.messages import Standing
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 DEFAULT_SIZES = (5, 16, 64, 170, 256, 300)
--- a/benchmarks/capacity/roles_control.py
+++ b/benchmarks/capacity/roles_control.py
@@ -65,10 +65,12 @@
         Row(Key("member", "teams", "rule set, 64 placers"), NOT_TAKEN, Budget("rules_text")),
     ),
     (
-        Mechanism("wingbarrow/decide/peers/membership.py", "SWIM with Lifeguard"),
-        Mechanism("wingbarrow/decide/peers/news.py", "gossip that rides on other messages"),
-        Mechanism("wingbarrow/decide/peers/holding.py", "asks for grants, holds what they bring"),
-        Mechanism("wingbarrow/decide/peers/rights.py", "spends its parts of limits"),
+        Mechanism("wingbarrow/decide/membership/swim.py", "SWIM with Lifeguard"),
+        Mechanism("wingbarrow/decide/membership/gossip.py", "gossip that rides on other messages"),
+        Mechanism(
+            "wingbarrow/decide/coordination/member.py", "asks for grants, holds what they bring"
+        ),
+        Mechanism("wingbarrow/decide/quotas/escrow.py", "spends its parts of limits"),
         Mechanism("wingbarrow/peers/post.py", "mail: batches, bounds"),
     ),
     (
@@ -132,10 +134,10 @@
         ),
     ),
     (
-        Mechanism("wingbarrow/decide/peers/raft.py", "one order of entries"),
-        Mechanism("wingbarrow/decide/peers/agreed.py", "what the entries come to"),
-        Mechanism("wingbarrow/decide/peers/blocks.py", "blocks of limits"),
-        Mechanism("wingbarrow/decide/peers/sessionlog.py", "sessions that end"),
+        Mechanism("wingbarrow/decide/consensus/raft.py", "one order of entries"),
+        Mechanism("wingbarrow/decide/rulesets/versions.py", "what the entries come to"),
+        Mechanism("wingbarrow/decide/quotas/allocations.py", "blocks of limits"),
+        Mechanism("wingbarrow/decide/sessions/session_log.py", "sessions that end"),
         Mechanism("wingbarrow/store/votes.py", "term, vote, log and snapshot on disk"),
     ),
     (
@@ -184,12 +186,14 @@
     ),
     (
         Mechanism(
-            "wingbarrow/decide/peers/leading.py",
+            "wingbarrow/decide/coordination/leader.py",
             "answers asks, one round of the voters for all that wait",
         ),
-        Mechanism("wingbarrow/decide/peers/grants.py", "until when an edition may be acted on"),
-        Mechanism("wingbarrow/decide/peers/agreement.py", "steps between editions"),
-        Mechanism("wingbarrow/decide/peers/limits.py", "limits of the whole fleet"),
+        Mechanism(
+            "wingbarrow/decide/coordination/leases.py", "until when an edition may be acted on"
+        ),
+        Mechanism("wingbarrow/decide/coordination/coordinator.py", "steps between editions"),
+        Mechanism("wingbarrow/decide/quotas/limits.py", "limits of the whole fleet"),
     ),
     (
         Missing(
@@ -248,10 +252,11 @@
     (Row(Key("replica holder", "tasks", "memory held"), NOT_BUILT),),
     (
         Mechanism(
-            "wingbarrow/decide/peers/custody.py", "which record must be where before what leaves"
+            "wingbarrow/decide/replication/primary.py",
+            "which record must be where before what leaves",
         ),
-        Mechanism("wingbarrow/decide/peers/keeping.py", "the keeper's side, with its bounds"),
-        Mechanism("wingbarrow/decide/peers/reissue.py", "what becomes of a lost holder's Jobs"),
+        Mechanism("wingbarrow/decide/replication/replica.py", "the keeper's side, with its bounds"),
+        Mechanism("wingbarrow/decide/sessions/reissue.py", "what becomes of a lost holder's Jobs"),
         Mechanism("wingbarrow/core/successor.py", "takes them over"),
     ),
     (
@@ -278,9 +283,9 @@
         ),
     ),
     (
-        Mechanism("wingbarrow/decide/peers/handing.py", "a Job that goes to another region"),
-        Mechanism("wingbarrow/decide/peers/regionnews.py", "how loaded each region is"),
-        Mechanism("wingbarrow/decide/peers/healing.py", "what is asked after a cut"),
+        Mechanism("wingbarrow/decide/regions/forwarding.py", "a Job that goes to another region"),
+        Mechanism("wingbarrow/decide/regions/reports.py", "how loaded each region is"),
+        Mechanism("wingbarrow/decide/sessions/recovery.py", "what is asked after a cut"),
         Mechanism("wingbarrow/lab/fleet/link.py", "the links of the rig, for trials"),
     ),
     (
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -33,11 +33,13 @@
 from benchmarks.capacity.fleet import USES, Agreements, founded, rule_set, steady
 from benchmarks.capacity.gather import SEEDS, Figure, repeated, spread
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.peers import blocks, limits, rules
-from wingbarrow.decide.peers.agreed import CHAPTERS_MAILED
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.log import Install
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.quotas import allocations as blocks
+from wingbarrow.decide.quotas import limits
+from wingbarrow.decide.rulesets import ruleset as rules
+from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.consensus.log import Install
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message
 from wingbarrow.peers.post import LETTER_MOST
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -9,7 +9,7 @@
 import json
 import statistics
 
-from wingbarrow.decide.peers.words import Standing
+from wingbarrow.decide.membership.messages import Standing
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 QUIET_S = 60
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -11,7 +11,8 @@
 from benchmarks.capacity.fleet import rule_set, three_limits
 from benchmarks.capacity.gather import Figure, repeated
 from benchmarks.capacity.metered import Meter, held_bytes
-from wingbarrow.decide.peers import limits, table
+from wingbarrow.decide.quotas import limits
+from wingbarrow.decide.membership import member_table as table
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_file
-from wingbarrow.decide.peers.rules import read
+from wingbarrow.decide.rulesets.ruleset import read
 from wingbarrow.peers.ruleset import rules_of
 
 FILES = Path(__file__).parent.parent / "data" / "federation"
--- a/tests/decide/peers/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -10,9 +10,17 @@
 
 import pytest
 
-from wingbarrow.decide.peers.effects import Persist, Send, SetTimer
-from wingbarrow.decide.peers.log import VOTERS, Committed, Confirmed, Disk, Elected, Entry, Restored
-from wingbarrow.decide.peers.raft import Raft
+from wingbarrow.decide.effects import Persist, Send, SetTimer
+from wingbarrow.decide.consensus.log import (
+    VOTERS,
+    Committed,
+    Confirmed,
+    Disk,
+    Elected,
+    Entry,
+    Restored,
+)
+from wingbarrow.decide.consensus.raft import Raft
 
 S = 1_000_000
 
--- a/tests/decide/peers/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -14,9 +14,9 @@
 from hypothesis import stateful
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wingbarrow.decide.peers import log
-from wingbarrow.decide.peers.effects import Persist, Send, SetTimer
-from wingbarrow.decide.peers.raft import Raft
+from wingbarrow.decide.consensus import log
+from wingbarrow.decide.effects import Persist, Send, SetTimer
+from wingbarrow.decide.consensus.raft import Raft
 
 NAMES = ("v0", "v1", "v2", "v3")
 PICK = st.integers(0, 1 << 16)
--- a/tests/decide/peers/test_agreement.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from wingbarrow.decide.peers.agreed import Agreed, from_text
-from wingbarrow.decide.peers.agreement import Ask, Grant, NotLeader
-from wingbarrow.decide.peers.grants import Holder, given_until_us
-from wingbarrow.decide.peers.leading import Leading
-from wingbarrow.decide.peers.limits import DRIFT
-from wingbarrow.decide.peers.rules import ClassRules, allows, contradict, meet, normal, read
+from wingbarrow.decide.rulesets.versions import Agreed, from_text
+from wingbarrow.decide.coordination.coordinator import Ask, Grant, NotLeader
+from wingbarrow.decide.coordination.leases import Holder, given_until_us
+from wingbarrow.decide.coordination.leader import Leading
+from wingbarrow.decide.quotas.limits import DRIFT
+from wingbarrow.decide.rulesets.ruleset import ClassRules, allows, contradict, meet, normal, read
 from wingbarrow.lab.fleet.assembly import Use, judge
 from wingbarrow.lab.fleet.schedules import (
     FLOOR,
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -13,7 +13,7 @@
 from tests.decide.federation.made import FEDERATIONS, allowed_acts
 from wingbarrow.decide.federation import compare, form
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.peers import rules as r
+from wingbarrow.decide.rulesets import ruleset as r
 
 _NORTH, _SOUTH = s.Spec("orders", ("north",)), s.Spec("orders", ("south",))
 
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -9,9 +9,9 @@
 from wingbarrow.config import load_text
 from wingbarrow.decide.federation import form
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.peers import agreed as ag
-from wingbarrow.decide.peers import log
-from wingbarrow.decide.peers import rules as r
+from wingbarrow.decide.rulesets import versions as ag
+from wingbarrow.decide.consensus import log
+from wingbarrow.decide.rulesets import ruleset as r
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 from wingbarrow.peers.ruleset import rules_of
 
--- a/tests/decide/peers/test_turns.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -9,13 +9,13 @@
 import pytest
 
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.peers.planned import DrainPlan, WindowRules
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.turncalendar import wanted
-from wingbarrow.decide.peers.turning import Turns, TurnTimes
-from wingbarrow.decide.peers.turns import AGE_US, TURNS_MOST, Queue, TurnsSaid, View
-from wingbarrow.decide.peers.turnside import Blind, TurnSide
+from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.maintenance.calendar import wanted
+from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
+from wingbarrow.decide.maintenance.slots import AGE_US, TURNS_MOST, Queue, TurnsSaid, View
+from wingbarrow.decide.maintenance.participant import Blind, TurnSide
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workshop import WALL_US
--- a/tests/decide/peers/test_turns_machine.py
+++ b/tests/decide/maintenance/test_slots_machine.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from wingbarrow.decide.drains import Budget, Scope
-from wingbarrow.decide.peers.turnbudgets import Room
-from wingbarrow.decide.peers.turns import AGE_US, Queue, View
+from wingbarrow.decide.maintenance.budgets import Room
+from wingbarrow.decide.maintenance.slots import AGE_US, Queue, View
 from wingbarrow.lab.fleet.swarm import SECOND
 
 CELLS = {"a": 3, "b": 3}
--- a/tests/decide/peers/test_turns_play.py
+++ b/tests/decide/maintenance/test_slots_play.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from tests.decide.peers.test_turns import request
-from wingbarrow.decide.peers.turnbudgets import Room
-from wingbarrow.decide.peers.turning import Turns
-from wingbarrow.decide.peers.turns import Queue, Turn, View
+from tests.decide.maintenance.test_slots import request
+from wingbarrow.decide.maintenance.budgets import Room
+from wingbarrow.decide.maintenance.scheduler import Turns
+from wingbarrow.decide.maintenance.slots import Queue, Turn, View
 from wingbarrow.lab.fleet.schedules import FLOOR
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
--- a/tests/decide/peers/test_membership.py
+++ b/tests/decide/membership/test_swim.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from wingbarrow.decide.peers.membership import NEWS_MOST, SYNC_MOST, Me, Membership, Rules
-from wingbarrow.decide.peers.effects import Send
-from wingbarrow.decide.peers.words import Ack, Probe, Standing, Sync, Word
+from wingbarrow.decide.membership.swim import NEWS_MOST, SYNC_MOST, Me, Membership, Rules
+from wingbarrow.decide.effects import Send
+from wingbarrow.decide.membership.messages import Ack, Probe, Standing, Sync, Word
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 
--- a/tests/decide/peers/test_verdicts.py
+++ b/tests/decide/outliers/test_ejection.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.peers.verdicts import Bench, Closed, Closures, Evidence, Experience, Terms
+from wingbarrow.decide.outliers.ejection import Bench, Closed, Closures, Evidence, Experience, Terms
 
 S = 1_000_000
 ZONES = {f"m{index}": "east" if index < 10 else "west" for index in range(20)}
--- a/tests/decide/peers/rightsfleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wingbarrow.decide.peers.asking import Ask, Grant, Times
-from wingbarrow.decide.peers.blocks import MOVE_US, Blocks
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.effects import SetTimer
-from wingbarrow.decide.peers.holding import Holding
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet, normal
+from wingbarrow.decide.coordination.messages import Ask, Grant, Times
+from wingbarrow.decide.quotas.allocations import MOVE_US, Blocks
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.effects import SetTimer
+from wingbarrow.decide.coordination.member import Holding
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
 from wingbarrow.lab.fleet.schedules import rules
 
 S = 1_000_000
--- a/tests/decide/peers/test_blocks.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.decide.peers.rightsfleet import (
+from tests.decide.quotas.escrow_fleet import (
     GRANT,
     MOST,
     NAMES,
@@ -20,12 +20,12 @@
     has_all,
     limited,
 )
-from wingbarrow.decide.peers import blocks
-from wingbarrow.decide.peers.asking import Times
-from wingbarrow.decide.peers.blocks import Block, Blocks
-from wingbarrow.decide.peers.limits import HOUR_US
-from wingbarrow.decide.peers.rights import Asker, Stated
-from wingbarrow.decide.peers.rules import normal
+from wingbarrow.decide.quotas import allocations as blocks
+from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.quotas.allocations import Block, Blocks
+from wingbarrow.decide.quotas.limits import HOUR_US
+from wingbarrow.decide.quotas.escrow import Asker, Stated
+from wingbarrow.decide.rulesets.ruleset import normal
 from wingbarrow.lab.fleet.schedules import founded, rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
--- a/tests/decide/peers/test_rights.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, given, settings, stateful
 from hypothesis import strategies as st
 
-from tests.decide.peers.rightsfleet import (
+from tests.decide.quotas.escrow_fleet import (
     NAMES,
     STANDING,
     STRANDED,
@@ -21,9 +21,9 @@
     has_share,
     then_b_takes_what_it_gets,
 )
-from wingbarrow.decide.peers.blocks import Block, Blocks
-from wingbarrow.decide.peers.holding import Holding
-from wingbarrow.decide.peers.rights import fair
+from wingbarrow.decide.quotas.allocations import Block, Blocks
+from wingbarrow.decide.coordination.member import Holding
+from wingbarrow.decide.quotas.escrow import fair
 
 
 @given(
--- a/tests/decide/peers/test_handing.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from wingbarrow.decide.peers import handing
-from wingbarrow.decide.peers.effects import Effect, Send, Tell
-from wingbarrow.decide.peers.handing import (
+from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.regions.forwarding import (
     AGAIN_US,
     DONE,
     FAILED,
--- a/tests/decide/peers/test_regionnews.py
+++ b/tests/decide/regions/test_reports.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.peers.regionnews import OLD_US, Regions, RegionsSaid, RegionsSide
-from wingbarrow.decide.peers.rights import Asker
+from wingbarrow.decide.regions.reports import OLD_US, Regions, RegionsSaid, RegionsSide
+from wingbarrow.decide.quotas.escrow import Asker
 
 S = 1_000_000
 LOST = 4 * S
--- a/tests/decide/peers/test_custody.py
+++ b/tests/decide/replication/test_replication.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from wingbarrow.decide.peers.custody import Custody
-from wingbarrow.decide.peers.effects import Effect, Send, Tell
-from wingbarrow.decide.peers.held import Job, Tokens
-from wingbarrow.decide.peers.keeping import Keeping, unclaimed
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.replication.primary import Custody
+from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.replication.replicated_job import Job, Tokens
+from wingbarrow.decide.replication.replica import Keeping, unclaimed
+from wingbarrow.decide.sessions.messages import (
     Ended,
     Keep,
     KeepAnswer,
@@ -25,7 +25,7 @@
     Session,
     Settle,
 )
-from wingbarrow.decide.peers.records import Bounds, choose, phase_of
+from wingbarrow.decide.replication.records import Bounds, choose, phase_of
 
 S = 1_000_000
 ALLOWED = ("north", "south", "west")
--- a/tests/decide/peers/test_trial.py
+++ b/tests/decide/rulesets/test_canary.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wingbarrow.decide.peers.trial import ANSWERS_LEAST, Advice, Count, Trial
+from wingbarrow.decide.rulesets.canary import ANSWERS_LEAST, Advice, Count, Trial
 
 S = 1_000_000
 
--- a/tests/decide/peers/test_rules.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.peers import planned as p
-from wingbarrow.decide.peers import rules as r
-from wingbarrow.decide.peers.differing import differences
+from wingbarrow.decide.rulesets import agreed_drains as p
+from wingbarrow.decide.rulesets import ruleset as r
+from wingbarrow.decide.rulesets.diff import differences
 
 CLASSES = st.dictionaries(
     st.sampled_from(["web", "settlement", "batch"]),
--- a/tests/decide/peers/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -11,14 +11,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.peers import reissue
-from wingbarrow.decide.peers.custodian import Custodian
-from wingbarrow.decide.peers.effects import Effect, Send, Tell
-from wingbarrow.decide.peers.inquiry import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
-from wingbarrow.decide.peers.keeping import Taking
-from wingbarrow.decide.peers.leasing import PHASES, AskMachine, Known, MachineSays, Record, Session
-from wingbarrow.decide.peers.pace import Pace
-from wingbarrow.decide.peers.reissue import (
+from wingbarrow.decide.sessions import reissue
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.sessions.machine_queries import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
+from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.sessions.messages import (
+    PHASES,
+    AskMachine,
+    Known,
+    MachineSays,
+    Record,
+    Session,
+)
+from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.sessions.reissue import (
     EVERY,
     SAYS,
     TABLE,
@@ -30,7 +37,7 @@
     said_of,
     settle,
 )
-from wingbarrow.decide.peers.takeover import CLAIM_US, Takeover
+from wingbarrow.decide.sessions.failover import CLAIM_US, Takeover
 from wingbarrow.lab.fleet.custodians import Custodians, stated_us
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
 
--- a/tests/decide/peers/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     Kept,
     Session,
@@ -17,16 +17,16 @@
     right_us,
     successor,
 )
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.sessionlog import (
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.sessions.session_log import (
     ENDED_CHARS,
     ENDED_KEPT,
     LIVES_MOST,
     SessionLog,
     from_text,
 )
-from wingbarrow.decide.peers.sessions import (
+from wingbarrow.decide.sessions.sessions import (
     TURN_US,
     Lease,
     Sessions,
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from wingbarrow.decide.peers import agreement
-from wingbarrow.decide.peers.blocks import Blocks
+from wingbarrow.decide.coordination import coordinator as agreement
+from wingbarrow.decide.quotas.allocations import Blocks
 from wingbarrow.lab.fleet.holders import STRANDED_US, Holders, limited, trouble
 from wingbarrow.lab.fleet.swarm import SECOND
 
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wingbarrow.decide.peers.sessions import Lease, Sessions, deaf_us, ended_within_us
+from wingbarrow.decide.sessions.sessions import Lease, Sessions, deaf_us, ended_within_us
 from wingbarrow.lab.fleet.leaseholders import Leaseholders, played
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -103,9 +103,9 @@
 
 def _no_reckoning(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        "wingbarrow.decide.peers.sessions.reckoned_us", lambda lease_us, turn_us: lease_us // 2
+        "wingbarrow.decide.sessions.sessions.reckoned_us", lambda lease_us, turn_us: lease_us // 2
     )
-    patch.setattr("wingbarrow.decide.peers.sessions.drifted_us", lambda time_us: time_us // 2)
+    patch.setattr("wingbarrow.decide.sessions.sessions.drifted_us", lambda time_us: time_us // 2)
 
 
 def _forgetful(patch: pytest.MonkeyPatch) -> None:
--- a/tests/lab/test_refusals.py
+++ b/tests/lab/test_refusals.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.lab.made import Made
-from wingbarrow.decide.peers.asking import Times
+from wingbarrow.decide.coordination.messages import Times
 from wingbarrow.lab.fleet.judge import judge
 
 LIMIT = "429 limit namespace/default/standing of the whole fleet: 40 at once"
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -10,7 +10,7 @@
 
 from tests.peers.stage import RULES, Agreeing
 from tests.stage import S
-from wingbarrow.decide.peers.agreed import RECOVERED
+from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.record import Record
 from wingbarrow.store.votes import StoreFailed, VoteStore, create, recover
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.peers.asking import Ask, Grant
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.coordination.messages import Ask, Grant
+from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
     RECORD_MOST,
@@ -29,8 +29,8 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.peers.turns import TURNS_MOST, TurnsSaid, TurnsTold
-from wingbarrow.decide.peers.words import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
+from wingbarrow.decide.maintenance.slots import TURNS_MOST, TurnsSaid, TurnsTold
+from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
 from wingbarrow.peers.bounds import RECORDS_MOST, UIDS_MOST
 from wingbarrow.peers.message import (
     LETTERS_MOST,
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from tests.stage import S, Stage
-from wingbarrow.decide.peers.words import Standing
+from wingbarrow.decide.membership.messages import Standing
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 from wingbarrow.peers.post import BOXES_MOST, PATH
-from wingbarrow.decide.peers.words import Sync, Word
+from wingbarrow.decide.membership.messages import Sync, Word
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
 
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -10,9 +10,9 @@
 from tests.peers.stage import Agreeing
 from tests.stage import S
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.leasing import Ended, Keep, KeepAnswer, Kept, Session
-from wingbarrow.decide.peers.sessions import ended_within_us
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.sessions.messages import Ended, Keep, KeepAnswer, Kept, Session
+from wingbarrow.decide.sessions.sessions import ended_within_us
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.host import Peering
 
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -8,8 +8,8 @@
 import lmdb
 import pytest
 
-from wingbarrow.decide.peers.effects import Persist
-from wingbarrow.decide.peers.log import Disk, Entry
+from wingbarrow.decide.effects import Persist
+from wingbarrow.decide.consensus.log import Disk, Entry
 from wingbarrow.store.votes import StoreFailed, VoteStore, create, open_if_there
 
 
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -12,7 +12,7 @@
 import click
 from prometheus_client.parser import text_string_to_metric_families
 
-from wingbarrow.decide.peers.trial import Count
+from wingbarrow.decide.rulesets.canary import Count
 from wingbarrow.http.client import CallFailed, Pool
 from wingbarrow.http.watching import call, list_all, watch
 from wingbarrow.kube.status import ApiError
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -13,11 +13,11 @@
 
 from wingbarrow.cli.client import URL, Client, CommandFailed, FleetAnswers, with_client
 from wingbarrow.config import PlacerSettings, SettingsError, load_file, parse_duration
-from wingbarrow.decide.peers.agreed import EDITIONS_LEFT, RECOVERED, from_text
-from wingbarrow.decide.peers.planned import DrainPlan
-from wingbarrow.decide.peers.trial import Advice, Trial
-from wingbarrow.decide.peers.differing import differences
-from wingbarrow.decide.peers.rules import RuleSet, allows, contradict, read
+from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
+from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
+from wingbarrow.decide.rulesets.canary import Advice, Trial
+from wingbarrow.decide.rulesets.diff import differences
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, read
 from wingbarrow.peers.ruleset import keeping_drains, rules_of
 from wingbarrow.store.votes import StoreFailed, create
 from wingbarrow.store.votes import recover as recover_store
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -9,7 +9,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.peers.limits import FleetLimit
+from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import SubsetRules
 
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.saved import write_whole
 from wingbarrow.decide.draining import OVER, Drains, Held, Phase, Running, failed_zones
 from wingbarrow.decide.drains import Drain, Fate, MachineState, plan
-from wingbarrow.decide.peers.planned import AskedDrain
+from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
 from wingbarrow.decide.windows import Series, UnsafePolicy, expand_all, to_us
 from wingbarrow.transport import Hub
 
--- a/wingbarrow/core/elsewhere.py
+++ b/wingbarrow/core/elsewhere.py
@@ -1,8 +1,8 @@
 """New Jobs that their spec sends to another region, and those that other regions' placers handed over to this one.
 
-Where a Job goes is decided in `decide.federation.route`, how it is handed over in `decide.peers.handing`; this room
-carries it out. A handed task is in the book of both placers: here, where its owner asked, it is owed an answer; there
-it is a Job of its own, named after its ident, whose answer goes back by mail.
+Where a Job goes is decided in `decide.federation.route`, how it is handed over in `decide.regions.forwarding`; this
+room carries it out. A handed task is in the book of both placers: here, where its owner asked, it is owed an answer;
+there it is a Job of its own, named after its ident, whose answer goes back by mail.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.peers import handing
-from wingbarrow.decide.peers.effects import Effect, Tell
+from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.effects import Effect, Tell
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
--- a/wingbarrow/core/leaseholder.py
+++ b/wingbarrow/core/leaseholder.py
@@ -24,8 +24,8 @@
 from wingbarrow.decide import again
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.peers.leasing import FORM, OFFERED, Known, Record
-from wingbarrow.decide.peers.regionnews import LEASED_MOST
+from wingbarrow.decide.sessions.messages import FORM, OFFERED, Known, Record
+from wingbarrow.decide.regions.reports import LEASED_MOST
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.custody import RecordReplication
--- a/wingbarrow/core/leases.py
+++ b/wingbarrow/core/leases.py
@@ -14,8 +14,8 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.decide.peers.leasing import Session
-from wingbarrow.decide.peers.sessions import Lease
+from wingbarrow.decide.sessions.messages import Session
+from wingbarrow.decide.sessions.sessions import Lease
 
 PARTS, LOOKS = (
     3,
--- a/wingbarrow/core/ownregion.py
+++ b/wingbarrow/core/ownregion.py
@@ -8,7 +8,7 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.book import Book, State
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.decide.peers.regionnews import RegionsSaid
+from wingbarrow.decide.regions.reports import RegionsSaid
 from wingbarrow.interface import Phase
 
 LATELY_US = 10_000_000
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -37,7 +37,7 @@
 from wingbarrow.core.turns import MaintenanceSlots
 from wingbarrow.core.verdicts import Verdicts
 from wingbarrow.decide.admission import Admission
-from wingbarrow.decide.peers.grants import Acting
+from wingbarrow.decide.coordination.leases import Acting
 from wingbarrow.peers.custody import RecordReplication
 from wingbarrow.peers.bounds import HANDING
 from wingbarrow.peers.hearsay import Hearsay
--- a/wingbarrow/core/rulebook.py
+++ b/wingbarrow/core/rulebook.py
@@ -11,10 +11,10 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.gate import Held
-from wingbarrow.decide.peers.grants import Acting
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.rights import Purse
-from wingbarrow.decide.peers.rules import RuleSet, read
+from wingbarrow.decide.coordination.leases import Acting
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.rulesets.ruleset import RuleSet, read
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.ruleset import cold_total, scheduler_under
 from wingbarrow.transport import Signal
--- a/wingbarrow/core/successor.py
+++ b/wingbarrow/core/successor.py
@@ -1,8 +1,8 @@
 """What becomes of Jobs whose session has ended: those of others that are run here, and this placer's own.
 
-What is decided stands in `decide.peers.custodian`. A Job that is taken over is a *run* of wanted work: its owner was
-answered by the placer that took it, or was not; no answer is owed here. It is shown under its name, with the session
-that held it, and asked of the module like a lost task, within what this region has free, until it stands.
+What is decided stands in `decide.replication.replicator`. A Job that is taken over is a *run* of wanted work: its
+owner was answered by the placer that took it, or was not; no answer is owed here. It is shown under its name, with the
+session that held it, and asked of the module like a lost task, within what this region has free, until it stands.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.peers.healing import Own
-from wingbarrow.decide.peers.leasing import MachineSays, Record, Session, read_session
-from wingbarrow.decide.peers.takeover import Start
+from wingbarrow.decide.sessions.recovery import Own
+from wingbarrow.decide.sessions.messages import MachineSays, Record, Session, read_session
+from wingbarrow.decide.sessions.failover import Start
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, not_found
 
--- a/wingbarrow/core/turns.py
+++ b/wingbarrow/core/turns.py
@@ -1,6 +1,7 @@
 """Turns as the core carries them out: machines closed and asked, own tasks moved away, what is told of the region.
 
-What is out when is decided by the voters (`decide.peers.turning`); this room is the eyes of this placer's side of it.
+What is out when is decided by the voters (`decide.maintenance.scheduler`); this room is the eyes of this placer's side
+of it.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from wingbarrow.core.stops import Stops
 from wingbarrow.core.verdicts import FAULTS
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.turncalendar import wanted
-from wingbarrow.decide.peers.turns import View, Wanted
-from wingbarrow.decide.peers.turnside import Known, TurnSide
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.maintenance.calendar import wanted
+from wingbarrow.decide.maintenance.slots import View, Wanted
+from wingbarrow.decide.maintenance.participant import Known, TurnSide
 from wingbarrow.kube import names
 
 SECOND = 1_000_000
--- a/wingbarrow/core/verdicts.py
+++ b/wingbarrow/core/verdicts.py
@@ -9,7 +9,7 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.peers.agreement import Agreement
+from wingbarrow.decide.coordination.coordinator import Agreement
 
 # A refusal for want of room is no fault of a machine's, and what was not sent or given up here none either.
 FAULTS = (api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.UNREACHABLE, api.Outcome.BROKEN)
--- a/wingbarrow/decide/peers/log.py
+++ b/wingbarrow/decide/consensus/log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.peers.effects import Effect, Persist
+from wingbarrow.decide.effects import Effect, Persist
 
 APPEND_CHARS = 256 * 1024  # of entries in one message
 TERMS_LEFT = 1_000_000  # for elections of voters that were lost
--- a/wingbarrow/decide/peers/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from wingbarrow.decide.peers.effects import Persist, Send, SetTimer, Tell
-from wingbarrow.decide.peers.log import (
+from wingbarrow.decide.effects import Persist, Send, SetTimer, Tell
+from wingbarrow.decide.consensus.log import (
     VOTERS,
     Append,
     AppendAnswer,
--- a/wingbarrow/decide/peers/agreement.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -8,18 +8,26 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from wingbarrow.decide.peers import log
-from wingbarrow.decide.peers.agreed import RECOVERED, Agreed, from_text
-from wingbarrow.decide.peers.asking import Ask, AskFor, Grant, GrantFor, Message, NotLeader, Times
-from wingbarrow.decide.peers.blocks import Blocks
-from wingbarrow.decide.peers.chapters import Chapter, Side
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.grants import Acting, Holder
-from wingbarrow.decide.peers.holding import Holding
-from wingbarrow.decide.peers.leading import Leading
-from wingbarrow.decide.peers.raft import Raft
-from wingbarrow.decide.peers.rights import Purse
-from wingbarrow.decide.peers.verdicts import Bench, Closures, Experience
+from wingbarrow.decide.consensus import log
+from wingbarrow.decide.rulesets.versions import RECOVERED, Agreed, from_text
+from wingbarrow.decide.coordination.messages import (
+    Ask,
+    AskFor,
+    Grant,
+    GrantFor,
+    Message,
+    NotLeader,
+    Times,
+)
+from wingbarrow.decide.quotas.allocations import Blocks
+from wingbarrow.decide.coordination.subsystem import Chapter, Side
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.coordination.leases import Acting, Holder
+from wingbarrow.decide.coordination.member import Holding
+from wingbarrow.decide.coordination.leader import Leading
+from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.outliers.ejection import Bench, Closures, Experience
 
 __all__ = ["Agreement", "Ask", "Grant", "Message", "NotLeader", "Times"]
 
--- a/wingbarrow/decide/peers/leading.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wingbarrow.decide.peers import log
-from wingbarrow.decide.peers.agreed import Agreed
-from wingbarrow.decide.peers.asking import Ask, Grant, GrantFor, NotLeader, Times
-from wingbarrow.decide.peers.blocks import Blocks
-from wingbarrow.decide.peers.chapters import Chapter
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer
-from wingbarrow.decide.peers.grants import given_until_us
-from wingbarrow.decide.peers.raft import Raft
-from wingbarrow.decide.peers.rights import Asker, Right
-from wingbarrow.decide.peers.rules import RuleSet, read
-from wingbarrow.decide.peers.verdicts import Bench
+from wingbarrow.decide.consensus import log
+from wingbarrow.decide.rulesets.versions import Agreed
+from wingbarrow.decide.coordination.messages import Ask, Grant, GrantFor, NotLeader, Times
+from wingbarrow.decide.quotas.allocations import Blocks
+from wingbarrow.decide.coordination.subsystem import Chapter
+from wingbarrow.decide.effects import Effect, Send, SetTimer
+from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.quotas.escrow import Asker, Right
+from wingbarrow.decide.rulesets.ruleset import RuleSet, read
+from wingbarrow.decide.outliers.ejection import Bench
 
 HOLDERS_MOST = 4096
 JUDGE_US = 250_000  # between looks at all evidence
--- a/wingbarrow/decide/peers/grants.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.limits import drifted_us
+from wingbarrow.decide.quotas.limits import drifted_us
 
 
 def given_until_us(now_us: int, lasts_us: int) -> int:
--- a/wingbarrow/decide/peers/holding.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -8,13 +8,13 @@
 import random
 from collections.abc import Callable
 
-from wingbarrow.decide.peers.asking import Ask, Grant, NotLeader, Times
-from wingbarrow.decide.peers.chapters import Side
-from wingbarrow.decide.peers.effects import Effect, SetTimer, Tell
-from wingbarrow.decide.peers.grants import Acting, Holder
-from wingbarrow.decide.peers.rights import Purse
-from wingbarrow.decide.peers.rules import read
-from wingbarrow.decide.peers.verdicts import Closures, Experience
+from wingbarrow.decide.coordination.messages import Ask, Grant, NotLeader, Times
+from wingbarrow.decide.coordination.subsystem import Side
+from wingbarrow.decide.effects import Effect, SetTimer, Tell
+from wingbarrow.decide.coordination.leases import Acting, Holder
+from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.rulesets.ruleset import read
+from wingbarrow.decide.outliers.ejection import Closures, Experience
 
 
 HOPS_MOST = (
--- a/wingbarrow/decide/peers/asking.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers import log
-from wingbarrow.decide.peers.grants import given_until_us
-from wingbarrow.decide.peers.leasing import SessionsSaid, SessionsTold
-from wingbarrow.decide.peers.regionnews import RegionsSaid, RegionTold
-from wingbarrow.decide.peers.rights import Right, Stated
-from wingbarrow.decide.peers.turns import TurnsSaid, TurnsTold
-from wingbarrow.decide.peers.verdicts import Closed, Evidence
+from wingbarrow.decide.consensus import log
+from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.sessions.messages import SessionsSaid, SessionsTold
+from wingbarrow.decide.regions.reports import RegionsSaid, RegionTold
+from wingbarrow.decide.quotas.escrow import Right, Stated
+from wingbarrow.decide.maintenance.slots import TurnsSaid, TurnsTold
+from wingbarrow.decide.outliers.ejection import Closed, Evidence
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/peers/chapters.py
+++ b/wingbarrow/decide/coordination/subsystem.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wingbarrow.decide.peers.effects import Effect
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.effects import Effect
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/federation/spec.py
+++ b/wingbarrow/decide/federation/spec.py
@@ -1,6 +1,7 @@
 """A federation spec's types: where work may run, near which data, where it goes when a region is lost, when it returns.
 
-Part of what placers agree on (`decide.peers.rules`): names in order, times in microseconds, shares in parts of 100.
+Part of what placers agree on (`decide.rulesets.ruleset`): names in order, times in microseconds, shares in parts of
+100.
 """
 
 from __future__ import annotations
--- a/wingbarrow/decide/peers/turnbudgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from wingbarrow.decide.drains import Budget, Scope
-from wingbarrow.decide.peers.turns import Turn, View
+from wingbarrow.decide.maintenance.slots import Turn, View
 
 Place = tuple[Scope, str]
 
--- a/wingbarrow/decide/peers/turnside.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.turns import (
+from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.maintenance.slots import (
     CELLS_MOST,
     LOST_MOST,
     WANTS_MOST,
--- a/wingbarrow/decide/peers/turning.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.grants import given_until_us
-from wingbarrow.decide.peers.limits import drifted_us
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.turnbudgets import Room
-from wingbarrow.decide.peers.turns import (
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.maintenance.budgets import Room
+from wingbarrow.decide.maintenance.slots import (
     AGE_US,
     OVER,
     Queue,
--- a/wingbarrow/decide/peers/table.py
+++ b/wingbarrow/decide/membership/member_table.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.news import Gossip
-from wingbarrow.decide.peers.suspicion import Suspicion
-from wingbarrow.decide.peers.words import Standing, Word, overrides
+from wingbarrow.decide.membership.gossip import Gossip
+from wingbarrow.decide.membership.suspicion import Suspicion
+from wingbarrow.decide.membership.messages import Standing, Word, overrides
 
 MEMBERS_MOST = 256
 ASKS = 3  # of a suspected member itself, before it counts as dead
--- a/wingbarrow/decide/peers/membership.py
+++ b/wingbarrow/decide/membership/swim.py
@@ -13,10 +13,19 @@
 from dataclasses import dataclass
 from math import ceil, log2
 
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.suspicion import Health, Suspicion, shortest_us
-from wingbarrow.decide.peers.table import ASKS, GONE, Change, Member, Table
-from wingbarrow.decide.peers.words import Ack, Message, Nack, Probe, ProbeFor, Standing, Sync, Word
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.membership.suspicion import Health, Suspicion, shortest_us
+from wingbarrow.decide.membership.member_table import ASKS, GONE, Change, Member, Table
+from wingbarrow.decide.membership.messages import (
+    Ack,
+    Message,
+    Nack,
+    Probe,
+    ProbeFor,
+    Standing,
+    Sync,
+    Word,
+)
 
 SYNC_MOST = 32  # words of one Sync
 NEWS_MOST = 24  # words that ride on another message
--- a/wingbarrow/decide/peers/blocks.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -38,11 +38,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.grants import given_until_us
-from wingbarrow.decide.peers.limits import HOUR_US, FleetLimit, drifted_us
-from wingbarrow.decide.peers.rights import STEADY, Asker, Right, Stated, fair
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.quotas.limits import HOUR_US, FleetLimit, drifted_us
+from wingbarrow.decide.quotas.escrow import STEADY, Asker, Right, Stated, fair
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 MOVE_US = 100_000  # between entries: at most ten a second, each for all limits and holders
 PARTS_MOST = 8192  # blocks in all, so that a snapshot fits into a mail: about 50 bytes each
--- a/wingbarrow/decide/peers/rights.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.limits import FleetLimit
+from wingbarrow.decide.quotas.limits import FleetLimit
 
 GRAINS = 256  # of a rate's window: uses within one are remembered together
 AHEAD = 4  # of what is used one in so many more is wanted
--- /dev/null
+++ b/wingbarrow/decide/regions/__init__.py
@@ -0,0 +1,1 @@
+"""What regions tell each other: load reports, and Jobs that are forwarded to another region."""
--- a/wingbarrow/decide/peers/handing.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -18,7 +18,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
 
 HOPS_MOST = 1
 AGAIN_US = 300_000  # until a letter without an answer is sent again
--- a/wingbarrow/decide/peers/regionnews.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -16,10 +16,10 @@
 from wingbarrow.decide.federation.room import held_back
 from wingbarrow.decide.federation.route import RegionNews
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.effects import Effect
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.effects import Effect
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 OLD_US = 15_000_000  # news beyond this age counts for nothing
 REGIONS_MOST, PLACERS_MOST = 64, 4096
--- a/wingbarrow/decide/peers/custody.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -13,12 +13,19 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import replace
 
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.held import Job, Tokens, settled
-from wingbarrow.decide.peers.keepers import Keepers
-from wingbarrow.decide.peers.keepline import Line
-from wingbarrow.decide.peers.leasing import RECORD_MOST, Keep, KeepAnswer, Known, Record, Session
-from wingbarrow.decide.peers.records import Bounds, size_of
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.replication.replicated_job import Job, Tokens, settled
+from wingbarrow.decide.replication.replica_set import Keepers
+from wingbarrow.decide.replication.replica_link import Line
+from wingbarrow.decide.sessions.messages import (
+    RECORD_MOST,
+    Keep,
+    KeepAnswer,
+    Known,
+    Record,
+    Session,
+)
+from wingbarrow.decide.replication.records import Bounds, size_of
 
 TIMER = "custody"
 
--- a/wingbarrow/decide/peers/keeping.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, replace
 from heapq import nsmallest
 
-from wingbarrow.decide.peers.effects import Effect, Send, Tell
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.sessions.messages import (
     EFFECTS,
     FORM,
     KEPT_MOST,
@@ -31,7 +31,7 @@
     Settled,
     successor,
 )
-from wingbarrow.decide.peers.records import Bounds, aged, doubted, order, size_of
+from wingbarrow.decide.replication.records import Bounds, aged, doubted, order, size_of
 
 HOLDERS_MOST = 4096
 UNKNOWN_HERE = "not known here"
--- a/wingbarrow/decide/peers/held.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.leasing import Known, Record
+from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.sessions.messages import Known, Record
 
 
 @dataclass(slots=True)
--- a/wingbarrow/decide/peers/custodian.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -13,13 +13,13 @@
 from dataclasses import replace
 from typing import Any
 
-from wingbarrow.decide.peers.custody import TIMER as CUSTODY
-from wingbarrow.decide.peers.custody import Custody
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.healing import Healing, Own
-from wingbarrow.decide.peers.inquiry import NUMBERS
-from wingbarrow.decide.peers.keeping import UNKNOWN_HERE, Keeping, Taking
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.replication.primary import TIMER as CUSTODY
+from wingbarrow.decide.replication.primary import Custody
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.sessions.recovery import Healing, Own
+from wingbarrow.decide.sessions.machine_queries import NUMBERS
+from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Keeping, Taking
+from wingbarrow.decide.sessions.messages import (
     KEPT_MOST,
     AskMachine,
     Ended,
@@ -31,10 +31,10 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.peers.pace import Pace
-from wingbarrow.decide.peers.records import Bounds, doubted
-from wingbarrow.decide.peers.reissue import Verdict
-from wingbarrow.decide.peers.takeover import Start, Takeover, rank_of
+from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.replication.records import Bounds, doubted
+from wingbarrow.decide.sessions.reissue import Verdict
+from wingbarrow.decide.sessions.failover import Start, Takeover, rank_of
 
 CLAIM_US = 10_000_000  # until a claim's token is renewed
 WATCH_US = 3_000_000  # between looks at what others are to take over
--- a/wingbarrow/decide/peers/differing.py
+++ b/wingbarrow/decide/rulesets/diff.py
@@ -5,9 +5,9 @@
 from dataclasses import fields
 
 from wingbarrow.decide.federation import compare
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.planned import AskedDrain, DrainPlan
-from wingbarrow.decide.peers.rules import ClassRules, RuleSet
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet
 
 
 def differences(a: RuleSet, b: RuleSet) -> list[str]:
--- a/wingbarrow/decide/peers/rules.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -16,14 +16,14 @@
 from wingbarrow.decide.federation import compare, form
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.peers.limits import (
+from wingbarrow.decide.quotas.limits import (
     FleetLimit,
     check_limits,
     limits_meet,
     limits_within,
     normal_limits,
 )
-from wingbarrow.decide.peers.planned import (
+from wingbarrow.decide.rulesets.agreed_drains import (
     AskedDrain,
     DrainPlan,
     WindowRules,
--- a/wingbarrow/decide/peers/agreed.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -15,7 +15,7 @@
 
 from wingbarrow.decide.federation.form import FEDERATION_MOST
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.peers.rules import (
+from wingbarrow.decide.rulesets.ruleset import (
     MAILED_MOST,
     BadRules,
     RuleSet,
--- /dev/null
+++ b/wingbarrow/decide/sessions/__init__.py
@@ -0,0 +1,1 @@
+"""Sessions of placers that hold leased Jobs: expiry, fencing epochs, failover and reissue."""
--- a/wingbarrow/decide/peers/takeover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -14,12 +14,12 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, replace
 
-from wingbarrow.decide.peers.effects import Effect, SetTimer, Tell
-from wingbarrow.decide.peers.inquiry import Inquiry
-from wingbarrow.decide.peers.keeping import Taking
-from wingbarrow.decide.peers.leasing import MachineSays, Record, Session
-from wingbarrow.decide.peers.records import phase_of
-from wingbarrow.decide.peers.reissue import (
+from wingbarrow.decide.effects import Effect, SetTimer, Tell
+from wingbarrow.decide.sessions.machine_queries import Inquiry
+from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.sessions.messages import MachineSays, Record, Session
+from wingbarrow.decide.replication.records import phase_of
+from wingbarrow.decide.sessions.reissue import (
     TABLE,
     Row,
     Verdict,
--- a/wingbarrow/decide/peers/inquiry.py
+++ b/wingbarrow/decide/sessions/machine_queries.py
@@ -10,9 +10,9 @@
 from collections import deque
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.effects import Effect, Send
-from wingbarrow.decide.peers.leasing import AskMachine, MachineSays
-from wingbarrow.decide.peers.reissue import said_of
+from wingbarrow.decide.effects import Effect, Send
+from wingbarrow.decide.sessions.messages import AskMachine, MachineSays
+from wingbarrow.decide.sessions.reissue import said_of
 
 ASK_US = 1_000_000  # until a machine's answer is asked for again
 AGAIN_US = 15_000_000  # between asks of a machine that is unreachable
--- a/wingbarrow/decide/peers/leasing.py
+++ b/wingbarrow/decide/sessions/messages.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.peers.limits import drifted_us
+from wingbarrow.decide.quotas.limits import drifted_us
 
 FORM = 1
 LEASE_US = 10_000_000  # by default
--- a/wingbarrow/decide/peers/healing.py
+++ b/wingbarrow/decide/sessions/recovery.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.keeping import UNKNOWN_HERE
-from wingbarrow.decide.peers.leasing import KEPT_MOST, Ended, Record, Session, Settle, Settled
-from wingbarrow.decide.peers.reissue import Copy, Verdict, settle
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.replication.replica import UNKNOWN_HERE
+from wingbarrow.decide.sessions.messages import KEPT_MOST, Ended, Record, Session, Settle, Settled
+from wingbarrow.decide.sessions.reissue import Copy, Verdict, settle
 
 ASK_US = 1_000_000  # between asks of a successor that has not answered
 NOBODY_US = 10_000_000  # for how long successors are looked for
--- a/wingbarrow/decide/peers/sessionlog.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.peers.leasing import Ended, Session, read_session
+from wingbarrow.decide.sessions.messages import Ended, Session, read_session
 
 OPEN_MOST = 1024  # sessions at a time
 LIVES_MOST = 8  # of them of one placer, the present and those whose reckoning is not over
--- a/wingbarrow/decide/peers/sessions.py
+++ b/wingbarrow/decide/sessions/sessions.py
@@ -21,9 +21,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from wingbarrow.decide.peers.chapters import Proposal
-from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
     LEASE_US,
@@ -35,10 +35,15 @@
     reckoned_us,
     right_us,
 )
-from wingbarrow.decide.peers.limits import drifted_us
-from wingbarrow.decide.peers.rights import Asker
-from wingbarrow.decide.peers.rules import RuleSet
-from wingbarrow.decide.peers.sessionlog import ENDED_KEPT, SUCCESSORS_MOST, SessionLog, from_text
+from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.sessions.session_log import (
+    ENDED_KEPT,
+    SUCCESSORS_MOST,
+    SessionLog,
+    from_text,
+)
 
 LONE = 6  # leases, after which a session with no living keeper ends
 LOOKS = 8  # in a lease: how often the leader looks at all sessions at least
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -11,8 +11,8 @@
 from wingbarrow.config import parse_duration
 from wingbarrow.core.drainer import Drainer
 from wingbarrow.decide.drains import Fate
-from wingbarrow.decide.peers.planned import AskedDrain, fresh
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, fresh
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -6,10 +6,10 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.agreement import Agreement, Times
-from wingbarrow.decide.peers.effects import Persist
-from wingbarrow.decide.peers.log import Disk
-from wingbarrow.decide.peers.rules import RuleSet, allows, read
+from wingbarrow.decide.coordination.coordinator import Agreement, Times
+from wingbarrow.decide.effects import Persist
+from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, read
 from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
 
 ACT_US = 10_000
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -13,7 +13,7 @@
 from urllib.parse import quote
 
 from wingbarrow.config import load_text
-from wingbarrow.decide.peers.rules import normal, shares
+from wingbarrow.decide.rulesets.ruleset import normal, shares
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.watching import call
 from wingbarrow.kube.status import ApiError
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.peers.custodian import Custodian
-from wingbarrow.decide.peers.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.sessions.messages import (
     FORM,
     Ended,
     Known,
@@ -23,9 +23,9 @@
     reckoned_us,
     right_us,
 )
-from wingbarrow.decide.peers.pace import Pace, reissue_within_us
-from wingbarrow.decide.peers.records import Bounds
-from wingbarrow.decide.peers.takeover import Start
+from wingbarrow.decide.sessions.failover_pace import Pace, reissue_within_us
+from wingbarrow.decide.replication.records import Bounds
+from wingbarrow.decide.sessions.failover import Start
 from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.rules import RuleSet, normal
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
--- a/wingbarrow/lab/fleet/holding.py
+++ b/wingbarrow/lab/fleet/holding.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from wingbarrow.decide.peers.limits import FleetLimit
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.record import Record
 
 
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.peers.asking import Times
-from wingbarrow.decide.peers.leasing import reckoned_us
-from wingbarrow.decide.peers.limits import drifted_us
+from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.sessions.messages import reckoned_us
+from wingbarrow.decide.quotas.limits import drifted_us
 
 TURN_US = 10_000  # the hub's longest turn, between the gate and the write
 LOOKS = 8  # in a lease: how often a leader looks at sessions at least
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from wingbarrow.config import PlacerSettings, load_file
-from wingbarrow.decide.peers.asking import Times
-from wingbarrow.decide.peers.leasing import right_us
+from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.sessions.messages import right_us
 from wingbarrow.interface import Effect, Place
 from wingbarrow.lab.fleet.judging.formulas import reissued_after_us
 from wingbarrow.lab.fleet.judging.jobs import Begun, Job, Jobs
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.peers.agreement import Times
-from wingbarrow.decide.peers.verdicts import Terms
+from wingbarrow.decide.coordination.coordinator import Times
+from wingbarrow.decide.outliers.ejection import Terms
 from wingbarrow.lab.fleet.holding import loosest, over, unaccounted, unfounded
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
--- a/wingbarrow/lab/fleet/judging/losses.py
+++ b/wingbarrow/lab/fleet/judging/losses.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from wingbarrow.config import PlacerSettings
-from wingbarrow.decide.peers.asking import Times
+from wingbarrow.decide.coordination.messages import Times
 from wingbarrow.interface import Effect
 from wingbarrow.lab.fleet.judging.formulas import reissued_within_us
 from wingbarrow.lab.fleet.judging.jobs import Job, Jobs
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -10,8 +10,8 @@
 import re
 from bisect import bisect_left, bisect_right
 
-from wingbarrow.decide.peers.asking import Times
-from wingbarrow.decide.peers.limits import FleetLimit
+from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.lab.fleet.holding import loosest
 from wingbarrow.lab.fleet.judging.reach import Touch
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from wingbarrow.decide.peers.agreement import Times
-from wingbarrow.decide.peers.rules import RuleSet, allows, keeps_floor, read
+from wingbarrow.decide.coordination.coordinator import Times
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, keeps_floor, read
 from wingbarrow.lab.fleet.judging.formulas import TURN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
--- a/wingbarrow/lab/fleet/judging/run.py
+++ b/wingbarrow/lab/fleet/judging/run.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from wingbarrow.decide.peers.membership import Rules
-from wingbarrow.decide.peers.rules import RuleSet, read
+from wingbarrow.decide.membership.swim import Rules
+from wingbarrow.decide.rulesets.ruleset import RuleSet, read
 from wingbarrow.lab.record import Record, Recorder
 
 NEVER = 1 << 62
--- a/wingbarrow/lab/fleet/leasehold.py
+++ b/wingbarrow/lab/fleet/leasehold.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from wingbarrow.decide.peers.leasing import Ended, Kept, Session
+from wingbarrow.decide.sessions.messages import Ended, Kept, Session
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wingbarrow.decide.peers.agreement import Agreement, Times
-from wingbarrow.decide.peers.effects import Effect, Tell
-from wingbarrow.decide.peers.leasing import Kept, Session, read_session
-from wingbarrow.decide.peers.sessions import Lease, Sessions, deaf_us, ended_within_us
+from wingbarrow.decide.coordination.coordinator import Agreement, Times
+from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.sessions.messages import Kept, Session, read_session
+from wingbarrow.decide.sessions.sessions import Lease, Sessions, deaf_us, ended_within_us
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from wingbarrow.decide.peers.membership import Rules
+from wingbarrow.decide.membership.swim import Rules
 from wingbarrow.lab.fleet.commands import Commands
 from wingbarrow.lab.fleet.layout import Size
 from wingbarrow.lab.fleet.places import START_US, Places
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.agreement import Times
-from wingbarrow.decide.peers.rules import ClassRules, RuleSet, normal, shares
+from wingbarrow.decide.coordination.coordinator import Times
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normal, shares
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 
--- a/wingbarrow/lab/fleet/swarm.py
+++ b/wingbarrow/lab/fleet/swarm.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
-from wingbarrow.decide.peers.effects import Effect, Persist, Send, SetTimer, Tell
-from wingbarrow.decide.peers.membership import Me, Membership, Rules, Seed
-from wingbarrow.decide.peers.words import Standing
+from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
+from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
+from wingbarrow.decide.membership.messages import Standing
 
 SECOND = 1_000_000
 
--- a/wingbarrow/lab/fleet/workjudge.py
+++ b/wingbarrow/lab/fleet/workjudge.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from wingbarrow.decide.peers.turns import Turn
+from wingbarrow.decide.maintenance.slots import Turn
 from wingbarrow.lab.fleet.workshop import Entry, Work
 
 OUT = ("closing", "empty", "out", "back")
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass, replace
 
-from wingbarrow.decide.peers.planned import DrainPlan
-from wingbarrow.decide.peers.rules import RuleSet
+from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.schedules import FLOOR, rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workjudge import Judge, Verdict
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -11,11 +11,11 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.peers.agreement import Agreement, Times
-from wingbarrow.decide.peers.effects import Tell
-from wingbarrow.decide.peers.turning import Turns, TurnTimes
-from wingbarrow.decide.peers.turns import Turn, View, Wanted
-from wingbarrow.decide.peers.turnside import TurnSide
+from wingbarrow.decide.coordination.coordinator import Agreement, Times
+from wingbarrow.decide.effects import Tell
+from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
+from wingbarrow.decide.maintenance.slots import Turn, View, Wanted
+from wingbarrow.decide.maintenance.participant import TurnSide
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
--- a/wingbarrow/peers/bounds.py
+++ b/wingbarrow/peers/bounds.py
@@ -5,8 +5,10 @@
 from collections.abc import Iterable
 from typing import Any, get_args
 
-from wingbarrow.decide.peers import asking, handing, leasing
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.coordination import messages as asking
+from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.sessions import messages as leasing
+from wingbarrow.decide.sessions.messages import (
     EFFECTS,
     ENDED_MOST,
     KEEPERS_MOST,
@@ -19,9 +21,9 @@
     SessionsSaid,
     SessionsTold,
 )
-from wingbarrow.decide.peers.regionnews import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
-from wingbarrow.decide.peers.sessionlog import BATCHES_MOST, SUCCESSORS_MOST
-from wingbarrow.decide.peers.turns import (
+from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
+from wingbarrow.decide.sessions.session_log import BATCHES_MOST, SUCCESSORS_MOST
+from wingbarrow.decide.maintenance.slots import (
     CELLS_MOST,
     IDENT_MOST,
     LOST_MOST,
--- a/wingbarrow/peers/custody.py
+++ b/wingbarrow/peers/custody.py
@@ -1,7 +1,7 @@
 """Replication of job records: this placer as holder of leased Jobs, keeper of other regions' records, and successor.
 
-What is decided stands in `decide.peers.custodian`; this carries it out: letters by the host of what placers say to each
-other, tokens as waits that end by themselves, who lives by membership, ends by the voters' log.
+What is decided stands in `decide.replication.replicator`; this carries it out: letters by the host of what placers say
+to each other, tokens as waits that end by themselves, who lives by membership, ends by the voters' log.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from typing import Any
 
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.peers.custodian import Custodian
-from wingbarrow.decide.peers.effects import Effect, Send, Tell
-from wingbarrow.decide.peers.healing import Own
-from wingbarrow.decide.peers.leasing import (
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.sessions.recovery import Own
+from wingbarrow.decide.sessions.messages import (
     AskMachine,
     Ended,
     Keep,
@@ -25,8 +25,8 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.peers.pace import Pace
-from wingbarrow.decide.peers.takeover import Start
+from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.sessions.failover import Start
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub, Signal
 
@@ -44,7 +44,8 @@
 class RecordReplication:
     """A token's word is "" where a record is where it must be, else why it is not. `on` is what the core hears.
 
-    Of `on`: `session-over`, `startable`, `stop`, `ask-machine`, `settled`, `reissue`, as `decide.peers.custodian` says.
+    Of `on`: `session-over`, `startable`, `stop`, `ask-machine`, `settled`, `reissue`, as
+    `decide.replication.replicator` says.
     """
 
     def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -14,15 +14,15 @@
 
 from wingbarrow.config import SettingsError
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.peers import words
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.effects import Effect, Persist, Send, SetTimer, Tell
-from wingbarrow.decide.peers.handing import Target
-from wingbarrow.decide.peers.leasing import Ended, Session, read_session
-from wingbarrow.decide.peers.membership import Me, Membership, Rules, Seed
-from wingbarrow.decide.peers.regionnews import RegionsSide
-from wingbarrow.decide.peers.sessions import Lease
-from wingbarrow.decide.peers.table import Member
+from wingbarrow.decide.membership import messages as words
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
+from wingbarrow.decide.regions.forwarding import Target
+from wingbarrow.decide.sessions.messages import Ended, Session, read_session
+from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
+from wingbarrow.decide.regions.reports import RegionsSide
+from wingbarrow.decide.sessions.sessions import Lease
+from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.peers.agreeing import agreement_of, turns_of, voter_store
 from wingbarrow.peers.bounds import LEASING
 from wingbarrow.peers.history import History
--- a/wingbarrow/peers/leasesfront.py
+++ b/wingbarrow/peers/leasesfront.py
@@ -9,9 +9,9 @@
 
 from typing import Any
 
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.leasing import Ended, Session
-from wingbarrow.decide.peers.sessions import Sessions
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.sessions.messages import Ended, Session
+from wingbarrow.decide.sessions.sessions import Sessions
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/peers/limitsfront.py
+++ b/wingbarrow/peers/limitsfront.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.rules import read
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.rulesets.ruleset import read
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/peers/ruleset.py
+++ b/wingbarrow/peers/ruleset.py
@@ -8,8 +8,8 @@
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.config.subsetting import module_settings
-from wingbarrow.decide.peers.planned import plan_of, series_of, window_of
-from wingbarrow.decide.peers.rules import ClassRules, RuleSet, normal, read, shares
+from wingbarrow.decide.rulesets.agreed_drains import plan_of, series_of, window_of
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normal, read, shares
 
 
 def rules_of(settings: PlacerSettings) -> RuleSet:
--- a/wingbarrow/peers/rulesfront.py
+++ b/wingbarrow/peers/rulesfront.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.rules import BadRules, RuleSet, normal, read
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.rulesets.ruleset import BadRules, RuleSet, normal, read
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/peers/turnsfront.py
+++ b/wingbarrow/peers/turnsfront.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from wingbarrow.config import parse_duration
-from wingbarrow.decide.peers.agreement import Agreement
-from wingbarrow.decide.peers.turns import IDENT_MOST, LABEL_MOST, OVER, WORDS_MOST, Turn, rank
+from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.maintenance.slots import IDENT_MOST, LABEL_MOST, OVER, WORDS_MOST, Turn, rank
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/store/votes.py
+++ b/wingbarrow/store/votes.py
@@ -1,6 +1,6 @@
 """A voter's disk: term, vote, log and snapshot, in one LMDB environment; a write is on disk when it returns.
 
-What is stored is what `decide.peers.log.Disk` holds. It is made once, by an operator's word (`create`): a voter
+What is stored is what `decide.consensus.log.Disk` holds. It is made once, by an operator's word (`create`): a voter
 that finds none where there was one has lost what it promised, and must not begin anew by itself.
 """
 
@@ -13,8 +13,8 @@
 
 import lmdb
 
-from wingbarrow.decide.peers.effects import Persist
-from wingbarrow.decide.peers.log import Disk, Entry, alone
+from wingbarrow.decide.effects import Persist
+from wingbarrow.decide.consensus.log import Disk, Entry, alone
 
 BYTES_MOST = 256 << 20
 FORM = 1
