--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -24,7 +24,7 @@
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
 from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
 from wingbarrow.peers.message import MAIL_MOST
-from wingbarrow.peers.post import BOXES_MOST
+from wingbarrow.peers.mailbox import BOXES_MOST
 
 SECOND = 1_000_000
 TURN_US = 10_000  # the hub's longest turn, as in docs/rules-agreed.md
@@ -88,7 +88,7 @@
             "addresses that it sends mail to",
             BOXES_MOST,
             "addresses",
-            "wingbarrow/peers/post.py",
+            "wingbarrow/peers/mailbox.py",
             MAIL,
         ),
         Bound("mail_most", "one mail", MAIL_MOST, "bytes", "wingbarrow/peers/message.py", MAIL),
--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -24,7 +24,7 @@
 
 from benchmarks.capacity.gather import Figure, repeated
 from benchmarks.capacity.results import Point
-from wingbarrow.core.book import RUNNING, JobRecord, State, TaskRecord
+from wingbarrow.core.job_store import RUNNING, JobRecord, State, TaskRecord
 from wingbarrow.core.logs import silent
 from wingbarrow.http.client import Pool
 from wingbarrow.http.watching import call
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -30,7 +30,7 @@
 from wingbarrow.http.server import ServerLimits
 from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
 from wingbarrow.peers.message import BadMail, read_mail, write_letter, write_mail
-from wingbarrow.peers.post import BOXES_MOST, LETTER_MOST
+from wingbarrow.peers.mailbox import BOXES_MOST, LETTER_MOST
 
 CLUSTER = "main"
 ANSWERS = (
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -62,7 +62,7 @@
             "with subsets: which machines a placer holds, its cold shares",
         ),
         Mechanism("wingbarrow/core/subset.py", "with subsets: takes machines in and lets them go"),
-        Mechanism("wingbarrow/decide/door.py", "turns away what cannot be answered in time"),
+        Mechanism("wingbarrow/decide/overload.py", "turns away what cannot be answered in time"),
     ),
     (
         Missing("gangs that start whole or not at all: tasks of a Job are placed one by one", "0"),
@@ -159,7 +159,7 @@
     (
         Mechanism("wingbarrow/core/link.py", "what a placer opens to one machine"),
         Mechanism("wingbarrow/core/stops.py", "stops that are owed, by machine"),
-        Mechanism("wingbarrow/core/leases.py", "renewals of what may run"),
+        Mechanism("wingbarrow/core/machine_leases.py", "renewals of what may run"),
         Mechanism("wingbarrow/decide/descriptors.py", "whose descriptor goes, on the platform"),
     ),
     (
@@ -186,8 +186,8 @@
     ),
     (Row(Key("operator client", "placers", "time to answer"), NOT_BUILT),),
     (
-        Mechanism("wingbarrow/peers/rulesfront.py", "state, proposals, floors, voters"),
-        Mechanism("wingbarrow/peers/limitsfront.py", "who holds what of each limit"),
+        Mechanism("wingbarrow/peers/rulesets_api.py", "state, proposals, floors, voters"),
+        Mechanism("wingbarrow/peers/limits_api.py", "who holds what of each limit"),
         Mechanism("wingbarrow/cli/rules.py", "the commands"),
     ),
     (
--- a/benchmarks/capacity/roles_control.py
+++ b/benchmarks/capacity/roles_control.py
@@ -71,7 +71,7 @@
             "wingbarrow/decide/coordination/member.py", "asks for grants, holds what they bring"
         ),
         Mechanism("wingbarrow/decide/quotas/escrow.py", "spends its parts of limits"),
-        Mechanism("wingbarrow/peers/post.py", "mail: batches, bounds"),
+        Mechanism("wingbarrow/peers/mailbox.py", "mail: batches, bounds"),
     ),
     (
         Missing("membership by region: more members than a placer keeps", "members_most / placers"),
@@ -138,7 +138,7 @@
         Mechanism("wingbarrow/decide/rulesets/versions.py", "what the entries come to"),
         Mechanism("wingbarrow/decide/quotas/allocations.py", "blocks of limits"),
         Mechanism("wingbarrow/decide/sessions/session_log.py", "sessions that end"),
-        Mechanism("wingbarrow/store/votes.py", "term, vote, log and snapshot on disk"),
+        Mechanism("wingbarrow/store/voter_store.py", "term, vote, log and snapshot on disk"),
     ),
     (
         Missing(
@@ -257,7 +257,7 @@
         ),
         Mechanism("wingbarrow/decide/replication/replica.py", "the keeper's side, with its bounds"),
         Mechanism("wingbarrow/decide/sessions/reissue.py", "what becomes of a lost holder's Jobs"),
-        Mechanism("wingbarrow/core/successor.py", "takes them over"),
+        Mechanism("wingbarrow/core/failover.py", "takes them over"),
     ),
     (
         Missing("records that survive their keeper's process: they are in memory", "0"),
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -42,7 +42,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message
-from wingbarrow.peers.post import LETTER_MOST
+from wingbarrow.peers.mailbox import LETTER_MOST
 
 DEFAULT_SIZES = (10, 30, 45, 64, 100, 370)
 PLACERS = (16, 64)
--- a/tests/capacity/test_machines.py
+++ b/tests/capacity/test_machines.py
@@ -183,7 +183,7 @@
     part_by_file = {
         "logic_choice": "module",
         "core/stages": "attempts",
-        "core/book": "book",
+        "core/job_store": "book",
         "core/host": "core",
         "http/client": "connections",
         "kube/store": "objects shown",
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -11,7 +11,7 @@
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_file
 from wingbarrow.decide.rulesets.ruleset import read
-from wingbarrow.peers.ruleset import rules_of
+from wingbarrow.peers.ruleset_settings import rules_of
 
 FILES = Path(__file__).parent.parent / "data" / "federation"
 BAD, GOOD = (sorted((FILES / kind).glob("*.kdl")) for kind in ("bad", "good"))
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset import rules_of, scheduler_under
+from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
 
 S = 1_000_000
 ROSTER = ("placer-0", "placer-1", "placer-2", "placer-3", "placer-4")
--- a/tests/core/test_rulebook.py
+++ b/tests/core/test_active_rules.py
@@ -7,10 +7,10 @@
 from typing import Any, cast
 
 from wingbarrow.config import load_text
-from wingbarrow.core.rulebook import Rulebook
+from wingbarrow.core.active_rules import Rulebook
 from wingbarrow.decide.federation.spec import Federation, Spec
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset import rules_of
+from wingbarrow.peers.ruleset_settings import rules_of
 
 
 def test_a_floor_leaves_the_specs_that_were_known() -> None:
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -6,8 +6,8 @@
 
 from tests.peers.stage import Agreeing
 from tests.stage import S, Stage
-from wingbarrow.core.coldshares import ColdShares
-from wingbarrow.core.ownregion import OwnRegion
+from wingbarrow.core.slow_start import ColdShares
+from wingbarrow.core.local_region import OwnRegion
 from wingbarrow.lab.build import Build
 
 
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -7,7 +7,7 @@
 
 from tests.core.subsetstage import SubsetStage
 from tests.stage import S
-from wingbarrow.core.coldshares import ColdShares
+from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.core.placer import Placer
 from wingbarrow.interface import Phase, Settings
 from wingbarrow.lab.cluster import PlacerSlot
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -9,7 +9,7 @@
 
 from tests.core.subsetstage import SETTLE_S, SubsetStage
 from tests.stage import S
-from wingbarrow.core import saved
+from wingbarrow.core import saved_list as saved
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.subset import LINGER_US, Subset
 from wingbarrow.decide.subsets import Subsets
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from wingbarrow.core.book import JobRecord, State, TaskRecord
+from wingbarrow.core.job_store import JobRecord, State, TaskRecord
 from wingbarrow.core.waits import LOOKED_AT, Waits
 
 S = 1_000_000
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.consensus import log
 from wingbarrow.decide.rulesets import ruleset as r
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
-from wingbarrow.peers.ruleset import rules_of
+from wingbarrow.peers.ruleset_settings import rules_of
 
 PLACES = ("eu-north-1", "eu-south-1", "us-east-1", "us-west-2", "ap-south-1", "ap-east-1")
 
--- a/tests/decide/test_decide.py
+++ b/tests/decide/test_decide.py
@@ -10,14 +10,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide import again, strays
+from wingbarrow.decide import retries as again
+from wingbarrow.decide import orphans as strays
 from wingbarrow.decide.admission import Admission
-from wingbarrow.decide.again import End
+from wingbarrow.decide.retries import End
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.decide.listing import NEW_SOURCE_US, ListJudge, Take
-from wingbarrow.decide.repeats import Earlier, may_repeat
-from wingbarrow.decide.strays import Sight, Stray
+from wingbarrow.decide.idempotency import Earlier, may_repeat
+from wingbarrow.decide.orphans import Sight, Stray
 from wingbarrow.interface import Effect, ListedMachine, Phase, Place, TaskClass
 
 S = 1_000_000
--- a/tests/decide/test_door.py
+++ b/tests/decide/test_overload.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.again import was_answered
-from wingbarrow.decide.door import INTERVAL_US, TARGET_US, Door, TurnedAway, Why
-from wingbarrow.decide.rebirth import WAIT_US, Rebirth
+from wingbarrow.decide.retries import was_answered
+from wingbarrow.decide.overload import INTERVAL_US, TARGET_US, Door, TurnedAway, Why
+from wingbarrow.decide.restarts import WAIT_US, Rebirth
 from wingbarrow.interface import ListedMachine, Phase, Place
 from wingbarrow.transport.lag import Lag
 from tests.conftest import task_class
--- a/tests/decide/test_coldshare.py
+++ b/tests/decide/test_slow_start.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.coldshare import Came, ColdShare
+from wingbarrow.decide.slow_start import Came, ColdShare
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.decide.subsets import Subsets, SubsetRules
 
--- a/tests/lab/made.py
+++ b/tests/lab/made.py
@@ -8,7 +8,7 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset import rules_of
+from wingbarrow.peers.ruleset_settings import rules_of
 
 S = 1_000_000
 AGREE = """agree {
--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -15,7 +15,7 @@
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.source import ListSource
-from wingbarrow.store.votes import create
+from wingbarrow.store.voter_store import create
 
 NAMES = ("north", "south", "east")
 SPECS = """
--- a/tests/peers/stage.py
+++ b/tests/peers/stage.py
@@ -9,7 +9,7 @@
 from tests.stage import S, Stage
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
-from wingbarrow.store.votes import create
+from wingbarrow.store.voter_store import create
 
 RULES = "/apis/wingbarrow.io/v1/rules"
 
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.record import Record
-from wingbarrow.store.votes import StoreFailed, VoteStore, create, recover
+from wingbarrow.store.voter_store import StoreFailed, VoteStore, create, recover
 
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.stage import S, Stage
-from wingbarrow.peers.handover import PAGE, Snapshots, read_page, write_instance
-from wingbarrow.peers.handover import Shares as HandedShares
+from wingbarrow.peers.knowledge_pages import PAGE, Snapshots, read_page, write_instance
+from wingbarrow.peers.knowledge_pages import Shares as HandedShares
 from wingbarrow.decide.learning import Announcement, Sight
 from wingbarrow.http.server import Answer, Server
 from wingbarrow.http.message import Request
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -8,7 +8,7 @@
 
 from tests.peers.regions import Regions
 from tests.stage import S, Stage
-from wingbarrow.core.leaseholder import Leaseholder
+from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.kube import names
 
 
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -31,7 +31,7 @@
 )
 from wingbarrow.decide.maintenance.slots import TURNS_MOST, TurnsSaid, TurnsTold
 from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
-from wingbarrow.peers.bounds import RECORDS_MOST, UIDS_MOST
+from wingbarrow.peers.message_bounds import RECORDS_MOST, UIDS_MOST
 from wingbarrow.peers.message import (
     LETTERS_MOST,
     MAIL_MOST,
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -9,7 +9,7 @@
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
-from wingbarrow.peers.post import BOXES_MOST, PATH
+from wingbarrow.peers.mailbox import BOXES_MOST, PATH
 from wingbarrow.decide.membership.messages import Sync, Word
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -12,7 +12,7 @@
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.wants import Want, job_value
-from wingbarrow.peers.ruleset import rules_of, scheduler_under
+from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
 
 
 def test_all_act_on_the_first_leaders_rules_and_on_what_is_proposed_and_offers_carry_it() -> None:
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.consensus.log import Disk, Entry
-from wingbarrow.store.votes import StoreFailed, VoteStore, create, open_if_there
+from wingbarrow.store.voter_store import StoreFailed, VoteStore, create, open_if_there
 
 
 def made(path: Path) -> VoteStore:
@@ -97,7 +97,7 @@
 def test_a_write_that_fails_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("wingbarrow.store.votes.BYTES_MOST", 1 << 17)
+    monkeypatch.setattr("wingbarrow.store.voter_store.BYTES_MOST", 1 << 17)
     store = made(tmp_path)
     before = store.load()
     with pytest.raises(StoreFailed):
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -18,9 +18,9 @@
 from wingbarrow.decide.rulesets.canary import Advice, Trial
 from wingbarrow.decide.rulesets.diff import differences
 from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, read
-from wingbarrow.peers.ruleset import keeping_drains, rules_of
-from wingbarrow.store.votes import StoreFailed, create
-from wingbarrow.store.votes import recover as recover_store
+from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
+from wingbarrow.store.voter_store import StoreFailed, create
+from wingbarrow.store.voter_store import recover as recover_store
 
 
 SECOND = 1_000_000
--- a/wingbarrow/core/rulebook.py
+++ b/wingbarrow/core/active_rules.py
@@ -16,7 +16,7 @@
 from wingbarrow.decide.quotas.escrow import Purse
 from wingbarrow.decide.rulesets.ruleset import RuleSet, read
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.ruleset import cold_total, scheduler_under
+from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
 from wingbarrow.transport import Signal
 
 RIGHTS_US = 1_000_000  # a Job waits for rights that others may spare for so long, and a third of its patience
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wingbarrow.core.book import TaskRecord
+from wingbarrow.core.job_store import TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.stages import Ledger, Stage, Staged
 from wingbarrow.decide.gate import Held
--- a/wingbarrow/core/keeper.py
+++ b/wingbarrow/core/checkpoint.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from wingbarrow.core import saved
+from wingbarrow.core import saved_list as saved
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet, saved_entries
 from wingbarrow.interface import ListForm
--- a/wingbarrow/core/closing.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -8,7 +8,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -16,7 +16,7 @@
 
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.load import SettingsError
-from wingbarrow.core.saved import write_whole
+from wingbarrow.core.saved_list import write_whole
 from wingbarrow.decide.draining import OVER, Drains, Held, Phase, Running, failed_zones
 from wingbarrow.decide.drains import Drain, Fate, MachineState, plan
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
--- a/wingbarrow/core/events.py
+++ b/wingbarrow/core/events.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from wingbarrow.core.book import JobRecord
+from wingbarrow.core.job_store import JobRecord
 from wingbarrow.kube import names
 from wingbarrow.kube.store import Collection
 
--- a/wingbarrow/core/successor.py
+++ b/wingbarrow/core/failover.py
@@ -15,11 +15,11 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import RUNNING, Book, JobRecord, Leased, State, Step, TaskRecord
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import RUNNING, Book, JobRecord, Leased, State, Step, TaskRecord
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.intake import read_job
-from wingbarrow.core.leaseholder import Leaseholder
+from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.pods import PodSight
--- a/wingbarrow/core/jobstatus.py
+++ b/wingbarrow/core/jobstatus.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from wingbarrow.core.book import JobRecord, State
+from wingbarrow.core.job_store import JobRecord, State
 from wingbarrow.kube.names import short_time
 
 
--- a/wingbarrow/core/leaseholder.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -12,23 +12,23 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.book import OPEN, Book, JobRecord, Leased, State, Step, TaskRecord
+from wingbarrow.core.job_store import OPEN, Book, JobRecord, Leased, State, Step, TaskRecord
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest
-from wingbarrow.core.leases import Leases
+from wingbarrow.core.machine_leases import Leases
 from wingbarrow.core.pods import Ended
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import again
+from wingbarrow.decide import retries as again
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.sessions.messages import FORM, OFFERED, Known, Record
 from wingbarrow.decide.regions.reports import LEASED_MOST
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid
-from wingbarrow.peers.custody import RecordReplication
+from wingbarrow.peers.replication import RecordReplication
 
 KEEPER_US = (
     2_500_000  # a new Job waits so long for its keeper, and no longer than half of its patience
--- a/wingbarrow/core/turns.py
+++ b/wingbarrow/core/maintenance.py
@@ -13,11 +13,11 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.closing import Closing
+from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.stops import Stops
-from wingbarrow.core.verdicts import FAULTS
+from wingbarrow.core.outlier_ejection import FAULTS
 from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.coordination.coordinator import Agreement
 from wingbarrow.decide.rulesets.ruleset import RuleSet
--- a/wingbarrow/core/mover.py
+++ b/wingbarrow/core/migrations.py
@@ -6,9 +6,9 @@
 
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.book import OPEN, Book, State, TaskRecord
-from wingbarrow.core.elsewhere import Elsewhere
-from wingbarrow.core.leaseholder import Leaseholder
+from wingbarrow.core.job_store import OPEN, Book, State, TaskRecord
+from wingbarrow.core.remote_regions import Elsewhere
+from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.federation.moving import Run, moves
--- a/wingbarrow/core/sightings.py
+++ b/wingbarrow/core/observations.py
@@ -13,8 +13,8 @@
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.pods import Phase, PodSight, read_pod
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.strays import Strays
-from wingbarrow.decide import again
+from wingbarrow.core.orphans import Strays
+from wingbarrow.decide import retries as again
 
 _USES = {
     "cores": api.NoteKind.CORES_USED,
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -7,16 +7,16 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.book import Book, State
-from wingbarrow.core.leaseholder import Leaseholder
+from wingbarrow.core.job_store import Book, State
+from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
-from wingbarrow.core.rulebook import Rulebook
-from wingbarrow.core.strays import Strays
-from wingbarrow.decide import again
+from wingbarrow.core.active_rules import Rulebook
+from wingbarrow.core.orphans import Strays
+from wingbarrow.decide import retries as again
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
--- a/wingbarrow/core/strays.py
+++ b/wingbarrow/core/orphans.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.core import saved
+from wingbarrow.core import saved_list as saved
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import Book, State, Step, TaskRecord
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest, job_value
 from wingbarrow.core.link import MachineLink
@@ -19,7 +19,8 @@
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import again, strays
+from wingbarrow.decide import retries as again
+from wingbarrow.decide import orphans as strays
 from wingbarrow.kube import names
 
 
@@ -72,7 +73,7 @@
     def judge(
         self, link: MachineLink, pod: str, namespace: str, task: TaskRecord, sight: PodSight | None
     ) -> None:
-        """Do with a known task's stray what `decide.strays` says."""
+        """Do with a known task's stray what `decide.orphans` says."""
         job, state = task.job, task.state
         if job.leased is not None and not job.leased.session:
             return  # Danger: this placer has no say over it any more; its machine stops it, or a stop is under way
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -10,40 +10,40 @@
 from wingbarrow.config.subsetting import module_settings
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import Book, Step
-from wingbarrow.core.closing import Closing
-from wingbarrow.core.coldshares import ColdShares
-from wingbarrow.core.leaseholder import Leaseholder
-from wingbarrow.core.desk import Desk
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import Book, Step
+from wingbarrow.core.drain_schedule import Closing
+from wingbarrow.core.slow_start import ColdShares
+from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_admission import Desk
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.core.elsewhere import Elsewhere
+from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
-from wingbarrow.core.keeper import Keeper
-from wingbarrow.core.leases import Leases
+from wingbarrow.core.checkpoint import Keeper
+from wingbarrow.core.machine_leases import Leases
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.mover import Mover
+from wingbarrow.core.migrations import Mover
 from wingbarrow.core.offers import Offers
-from wingbarrow.core.ownregion import OwnRegion
+from wingbarrow.core.local_region import OwnRegion
 from wingbarrow.core.requests import Requests
-from wingbarrow.core.rulebook import Rulebook
+from wingbarrow.core.active_rules import Rulebook
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.sightings import Sightings
+from wingbarrow.core.observations import Sightings
 from wingbarrow.core.stops import Stops
-from wingbarrow.core.strays import Strays
+from wingbarrow.core.orphans import Strays
 from wingbarrow.core.subset import Subset
-from wingbarrow.core.successor import Successor
-from wingbarrow.core.turns import MaintenanceSlots
-from wingbarrow.core.verdicts import Verdicts
+from wingbarrow.core.failover import Successor
+from wingbarrow.core.maintenance import MaintenanceSlots
+from wingbarrow.core.outlier_ejection import Verdicts
 from wingbarrow.decide.admission import Admission
 from wingbarrow.decide.coordination.leases import Acting
-from wingbarrow.peers.custody import RecordReplication
-from wingbarrow.peers.bounds import HANDING
-from wingbarrow.peers.hearsay import Hearsay
+from wingbarrow.peers.replication import RecordReplication
+from wingbarrow.peers.message_bounds import HANDING
+from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
-from wingbarrow.peers.ruleset import calendar_under
+from wingbarrow.peers.ruleset_settings import calendar_under
 from wingbarrow.transport import Hub, Nursery
 
 
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -9,7 +9,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.config.settings import parse_duration, parse_size
-from wingbarrow.core.book import TaskRecord
+from wingbarrow.core.job_store import TaskRecord
 from wingbarrow.http.client import MaybeDone, NotSent, Why
 from wingbarrow.http.message import Response
 from wingbarrow.kube import names
--- a/wingbarrow/core/elsewhere.py
+++ b/wingbarrow/core/remote_regions.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import Book, JobRecord, State, Step, TaskRecord
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import Book, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.intake import JobRequest
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -7,8 +7,8 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import Book, State, Step, TaskRecord
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.host import Host
 from wingbarrow.core.waits import Waits
 
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -5,11 +5,11 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.board import Board
-from wingbarrow.core.book import Book, State, Step, TaskRecord
+from wingbarrow.core.api_objects import Board
+from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import again
+from wingbarrow.decide import retries as again
 from wingbarrow.transport import Timer
 
 
--- a/wingbarrow/core/coldshares.py
+++ b/wingbarrow/core/slow_start.py
@@ -16,7 +16,7 @@
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.coldshare import Came, ColdShare
+from wingbarrow.decide.slow_start import Came, ColdShare
 from wingbarrow.decide.subsets import Subsets
 
 LOOK_US = 50_000
--- a/wingbarrow/core/stages.py
+++ b/wingbarrow/core/stages.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any, Generic, Protocol, TypeVar
 
-from wingbarrow.decide.again import End
+from wingbarrow.decide.retries import End
 from wingbarrow.transport import CancelScope
 
 
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from wingbarrow.core.book import State, TaskRecord
+from wingbarrow.core.job_store import State, TaskRecord
 from wingbarrow.decide.widening import is_long
 
 LOOKED_AT = 64  # of each group; patience has an upper bound, and so has the number of groups
--- a/wingbarrow/decide/gate.py
+++ b/wingbarrow/decide/gate.py
@@ -40,13 +40,13 @@
     granted: Held | None = None  # what the agreed rules say against it at this moment
     leased: bool = True  # its Job needs no lease, or this placer's holds, by its own clock
     may_repeat: bool = (
-        True  # no earlier attempt may have run, or `decide.repeats` allows one more now
+        True  # no earlier attempt may have run, or `decide.idempotency` allows one more now
     )
     chosen_launched_us: int | None = (
         None  # the machine's last start as known when it was chosen; None: as now
     )
     cold_share_left: bool = (
-        True  # by `decide.coldshare`, where placers hold subsets of the machines
+        True  # by `decide.slow_start`, where placers hold subsets of the machines
     )
 
 
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -17,7 +17,7 @@
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid, not_found
-from wingbarrow.peers.rulesfront import RulesFront
+from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.transport import Hub
 
 API = "wingbarrow.io/v1"
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -17,11 +17,11 @@
 from wingbarrow.http.message import Limits, Request
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.front import InstancesFront
-from wingbarrow.peers.leasesfront import LeasesFront
-from wingbarrow.peers.limitsfront import LimitsFront
-from wingbarrow.peers.rulesfront import RulesFront
-from wingbarrow.peers.turnsfront import TurnsFront
+from wingbarrow.peers.api import InstancesFront
+from wingbarrow.peers.leases_api import LeasesFront
+from wingbarrow.peers.limits_api import LimitsFront
+from wingbarrow.peers.rulesets_api import RulesFront
+from wingbarrow.peers.maintenance_api import TurnsFront
 from wingbarrow.transport import Hub
 
 _COLLECTIONS = {("batch/v1", "jobs"), ("v1", "nodes"), ("v1", "events")}
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -20,7 +20,7 @@
 from wingbarrow.lab.fleet.places import Places, Slot
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
-from wingbarrow.peers.ruleset import rules_of
+from wingbarrow.peers.ruleset_settings import rules_of
 
 TRIES = 20
 API = "/apis/wingbarrow.io/v1"
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -21,7 +21,7 @@
 from wingbarrow.lab.fleet.script import Fault
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.record import Recorder
-from wingbarrow.store.votes import create
+from wingbarrow.store.voter_store import create
 from wingbarrow.transport import Hub, Nursery
 
 START_US = 60 * SECOND
--- a/wingbarrow/peers/front.py
+++ b/wingbarrow/peers/api.py
@@ -15,8 +15,8 @@
 from wingbarrow.http.message import Request
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.handover import Snapshots, changes_line, write_instance
-from wingbarrow.peers.hearsay import Hearsay
+from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
+from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.message import BadMail
 from wingbarrow.transport import Hub
--- a/wingbarrow/peers/agreeing.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.sessions.sessions import Sessions
 from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
 from wingbarrow.decide.maintenance.participant import Blind, TurnSide
-from wingbarrow.store.votes import StoreFailed, VoteStore, open_if_there
+from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
 
 
 def voter_store(
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -23,13 +23,13 @@
 from wingbarrow.decide.regions.reports import RegionsSide
 from wingbarrow.decide.sessions.sessions import Lease
 from wingbarrow.decide.membership.member_table import Member
-from wingbarrow.peers.agreeing import agreement_of, turns_of, voter_store
-from wingbarrow.peers.bounds import LEASING
+from wingbarrow.peers.coordinator_setup import agreement_of, turns_of, voter_store
+from wingbarrow.peers.message_bounds import LEASING
 from wingbarrow.peers.history import History
 from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
-from wingbarrow.peers.post import Post
-from wingbarrow.peers.ruleset import rules_of
-from wingbarrow.store.votes import StoreFailed, VoteStore
+from wingbarrow.peers.mailbox import Post
+from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.store.voter_store import StoreFailed, VoteStore
 from wingbarrow.transport import Hub, Nursery, Timer
 
 LEAVE_US = 300_000
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -11,7 +11,7 @@
 from urllib.parse import quote
 
 from wingbarrow.config.settings import PeerAddress, PlacerSettings
-from wingbarrow.peers.handover import PAGE, BadPage, Page, read_instance, read_page
+from wingbarrow.peers.knowledge_pages import PAGE, BadPage, Page, read_instance, read_page
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import Announcement, ClockCheck, Sight
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
--- a/wingbarrow/peers/turnsfront.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -19,7 +19,7 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
-from wingbarrow.peers.rulesfront import RulesFront
+from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.transport import Hub
 
 API = "wingbarrow.io/v1"
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.quotas.limits import LIMITS_MOST
 from wingbarrow.decide.outliers.ejection import EVIDENCE_MOST, VERDICTS_MOST
-from wingbarrow.peers.bounds import fault
+from wingbarrow.peers.message_bounds import fault
 
 FORM = 1
 MAIL_MOST = 1 << 20  # bytes: what a front takes by default
--- a/wingbarrow/peers/hearsay.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -10,7 +10,7 @@
 from wingbarrow.config import PlacerSettings
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import Sight
-from wingbarrow.peers.handover import Page, Shares
+from wingbarrow.peers.knowledge_pages import Page, Shares
 from wingbarrow.transport import Hub
 
 GONE_KEPT = 1024
--- a/wingbarrow/peers/rulesfront.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -16,7 +16,7 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
-from wingbarrow.peers.ruleset import keeping_drains
+from wingbarrow.peers.ruleset_settings import keeping_drains
 from wingbarrow.transport import Hub
 
 DECIDED_US = 5_000_000
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -9,10 +9,10 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide import strays
-from wingbarrow.decide.again import End
+from wingbarrow.decide import orphans as strays
+from wingbarrow.decide.retries import End
 from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.repeats import Earlier, may_repeat
+from wingbarrow.decide.idempotency import Earlier, may_repeat
 from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
@@ -184,7 +184,7 @@
         self._over(attempt, outcome)
 
     def _may_run(self, attempt: Attempt) -> None:
-        """An offer that nobody waits for may run all the same: should it show up, do what `decide.strays` says."""
+        """An offer that nobody waits for may run all the same: should it show up, do what `decide.orphans` says."""
         if self._is_stopped(attempt):
             attempt.link.remember_stray(attempt.task.ident)
 
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -14,7 +14,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.crowd import Guest
-from wingbarrow.decide.repeats import Earlier
+from wingbarrow.decide.idempotency import Earlier
 
 
 class State(Enum):
