--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -13,18 +13,18 @@
 from wingbarrow.config.agreeing import _VOTERS
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.link import STOP_CONNECTIONS
-from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
 from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
+from wingbarrow.decide.membership.member_table import MEMBERS_MOST
+from wingbarrow.decide.membership.swim import Rules
 from wingbarrow.decide.quotas.allocations import PARTS_MOST
-from wingbarrow.decide.sessions.messages import RECORD_MOST
 from wingbarrow.decide.quotas.limits import LIMITS_MOST, STRANDED_US, FleetLimit
-from wingbarrow.decide.membership.swim import Rules
 from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, Bounds
 from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
-from wingbarrow.decide.membership.member_table import MEMBERS_MOST
-from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
-from wingbarrow.peers.message import MAIL_MOST
+from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
+from wingbarrow.decide.sessions.messages import RECORD_MOST
 from wingbarrow.peers.mailbox import BOXES_MOST
+from wingbarrow.peers.message import MAIL_MOST
 
 SECOND = 1_000_000
 TURN_US = 10_000  # the hub's longest turn, as in docs/rules-agreed.md
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from benchmarks.capacity.gather import MB, Figure, accounted, persisted, spread
-from benchmarks.capacity.metered import DECISIONS, LIMITS, READ, WRITTEN, Metered, Meter, held_bytes
+from benchmarks.capacity.metered import DECISIONS, LIMITS, READ, WRITTEN, Meter, Metered, held_bytes
 from wingbarrow.decide.coordination.coordinator import Agreement
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.quotas.limits import FleetLimit
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -23,14 +23,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from wingbarrow.decide.consensus.log import AppendAnswer, VoteAnswer
 from wingbarrow.decide.coordination.messages import NotLeader
 from wingbarrow.decide.effects import Persist, Send
-from wingbarrow.decide.consensus.log import AppendAnswer, VoteAnswer
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
 from wingbarrow.http.server import ServerLimits
 from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
-from wingbarrow.peers.message import BadMail, read_mail, write_letter, write_mail
 from wingbarrow.peers.mailbox import BOXES_MOST, LETTER_MOST
+from wingbarrow.peers.message import BadMail, read_mail, write_letter, write_mail
 
 CLUSTER = "main"
 ANSWERS = (
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -17,12 +17,12 @@
 
 from benchmarks.capacity.fleet import QUIET_US, founded, in_force, rule_set, steady, three_limits
 from benchmarks.capacity.gather import MB, Figure, accounted, repeated
-from benchmarks.capacity.metered import DECISIONS, READ, WRITTEN, Metered, Meter, held_bytes
+from benchmarks.capacity.metered import DECISIONS, READ, WRITTEN, Meter, Metered, held_bytes
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.membership.swim import Membership
-from wingbarrow.decide.rulesets.ruleset import too_long
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
 from wingbarrow.decide.membership.messages import Standing
+from wingbarrow.decide.membership.swim import Membership
+from wingbarrow.decide.rulesets.ruleset import too_long
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 DEFAULT_SIZES = (5, 16, 64, 170, 256, 300)
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -84,7 +84,8 @@
 
     def end(self) -> None:
         """End the process, whatever state it is in."""
-        assert self._process.stdin is not None and self._process.stdout is not None
+        assert self._process.stdin is not None
+        assert self._process.stdout is not None
         try:
             self._process.stdin.close()
         except OSError:
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -33,13 +33,13 @@
 from benchmarks.capacity.fleet import USES, Agreements, founded, rule_set, steady
 from benchmarks.capacity.gather import SEEDS, Figure, repeated, spread
 from benchmarks.capacity.results import Point
+from wingbarrow.decide.consensus.log import Install
 from wingbarrow.decide.quotas import allocations as blocks
 from wingbarrow.decide.quotas import limits
-from wingbarrow.decide.rulesets import ruleset as rules
-from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.consensus.log import Install
+from wingbarrow.decide.rulesets import ruleset as rules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message
 from wingbarrow.peers.mailbox import LETTER_MOST
--- a/benchmarks/placements.py
+++ b/benchmarks/placements.py
@@ -20,7 +20,6 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-
 from benchmarks.capacity.load import load
 from benchmarks.capacity.profile import PARTS, Sampler
 from wingbarrow.config import load_text
@@ -28,8 +27,8 @@
 from wingbarrow.fronts.serve import Service
 from wingbarrow.http.client import Pool
 from wingbarrow.kube import names
-from wingbarrow.lab.cluster import place, settings_text
 from wingbarrow.lab.build import Build
+from wingbarrow.lab.cluster import place, settings_text
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.record import Recorder
--- a/benchmarks/relay_soak.py
+++ b/benchmarks/relay_soak.py
@@ -18,7 +18,7 @@
 import time
 from typing import Any
 
-from tests.relay.stage import S, Machine, Stage, over
+from tests.relay.stage import Machine, S, Stage, over
 
 EVERY_S = 9  # a machine is replaced so often
 
--- a/tests/capacity/recompute.py
+++ b/tests/capacity/recompute.py
@@ -124,7 +124,7 @@
         for cell, size in zip(cells, SIZES[points[0].varies], strict=True):
             if ident not in with_line:
                 at = [point.value for point in points if point.size == size]
-                if (cell == "not measured") == bool(at) or at and not near(number(cell), at[0]):
+                if (cell == "not measured") == bool(at) or (at and not near(number(cell), at[0])):
                     out.append(f"{ident} at {size}: {cell}, points say {at}")
                 continue
             value, mark = value_at(results, points, size)
--- a/tests/capacity/test_command.py
+++ b/tests/capacity/test_command.py
@@ -89,7 +89,8 @@
     out = tmp_path / "capacity.json"
     assert main([*arguments, "--out", str(out)]) == 2
     told = capsys.readouterr().err
-    assert not out.exists() and told.startswith("capacity: ")
+    assert not out.exists()
+    assert told.startswith("capacity: ")
     if "clouds" in "".join(arguments):
         assert "machines, subsets, tasks, placers, teams, changes, gangs" in told
 
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -36,7 +36,8 @@
 def test_flat_data_is_flat() -> None:
     slope = fit(points(lambda size: 2.4, 0.05))
     assert (slope.model, slope.slope, slope.sizes) == ("flat", 0.0, SIZES)
-    assert at(slope, 1000) == pytest.approx(2.4, rel=0.05) and slope.residual < 0.05
+    assert at(slope, 1000) == pytest.approx(2.4, rel=0.05)
+    assert slope.residual < 0.05
 
 
 def test_all_zeros_are_flat() -> None:
@@ -47,7 +48,8 @@
 @pytest.mark.parametrize("noise", [0.0, 0.03])
 def test_linear_data_is_linear(noise: float) -> None:
     slope = fit(points(lambda size: 20 + 2.2 * size, noise))
-    assert slope.model == "linear" and slope.exponent == 1.0
+    assert slope.model == "linear"
+    assert slope.exponent == 1.0
     assert slope.slope == pytest.approx(2.2, rel=0.05)
     assert slope.intercept == pytest.approx(20, rel=0.1)
     assert at(slope, 512) == pytest.approx(20 + 2.2 * 512, rel=0.05)
@@ -56,7 +58,8 @@
 @pytest.mark.parametrize("noise", [0.0, 0.03])
 def test_quadratic_data_is_told_as_superlinear(noise: float) -> None:
     slope = fit(points(lambda size: 0.5 * size**2, noise))
-    assert slope.model == "power" and superlinear(slope)
+    assert slope.model == "power"
+    assert superlinear(slope)
     assert slope.exponent == pytest.approx(2.0, abs=0.05)
     assert at(slope, 512) == pytest.approx(0.5 * 512**2, rel=0.1)
     assert "FASTER THAN THE SIZE" in words(slope)
@@ -64,27 +67,28 @@
 
 def test_a_quadratic_with_an_intercept_is_found() -> None:
     slope = fit(points(lambda size: 100 + 0.5 * size**2))
-    assert slope.model == "power" and slope.exponent == pytest.approx(2.0, abs=0.1)
+    assert slope.model == "power"
+    assert slope.exponent == pytest.approx(2.0, abs=0.1)
     assert at(slope, 256) == pytest.approx(100 + 0.5 * 256**2, rel=0.05)
 
 
 def test_what_falls_with_the_size_is_a_power_below_zero() -> None:
     slope = fit(points(lambda size: 1000 / size))
-    assert (
-        slope.model == "power"
-        and slope.exponent == pytest.approx(-1.0, abs=0.05)
-        and not superlinear(slope)
-    )
+    assert slope.model == "power"
+    assert slope.exponent == pytest.approx(-1.0, abs=0.05)
+    assert not superlinear(slope)
 
 
 def test_three_points_never_make_a_power_law() -> None:
     slope = fit(points(lambda size: float(size**2), sizes=(5, 16, 64)))
-    assert slope.model == "linear" and slope.residual > 0.1
+    assert slope.model == "linear"
+    assert slope.residual > 0.1
 
 
 def test_a_zero_among_values_does_not_break_the_fit() -> None:
     slope = fit(points(lambda size: float(size - 5)))
-    assert slope.model == "linear" and slope.slope == pytest.approx(1.0, rel=0.01)
+    assert slope.model == "linear"
+    assert slope.slope == pytest.approx(1.0, rel=0.01)
 
 
 def test_fewer_than_three_sizes_are_refused() -> None:
--- a/tests/capacity/test_machines.py
+++ b/tests/capacity/test_machines.py
@@ -92,7 +92,8 @@
 
     monkeypatch.setattr(subprocess, "Popen", recorded)
     yield begun
-    assert begun and all(each.poll() is not None for each in begun)
+    assert begun
+    assert all(each.poll() is not None for each in begun)
 
 
 def units(points: list[Point], role: str, size: int) -> dict[str, str]:
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -87,7 +87,8 @@
 def test_without_results_the_page_has_no_measured_figure() -> None:
     text = page.written_anew(PAGE.read_text(), page.NOTHING, page.NO_RESULTS)
     rows = re.findall(r'^\| <a id="m-[\w-]+"></a>.*$', text, re.M)
-    assert rows and all("| not measured | - | - | - |" in row for row in rows)
+    assert rows
+    assert all("| not measured | - | - | - |" in row for row in rows)
     assert wrong(text, page.NOTHING) == []
 
 
@@ -164,9 +165,9 @@
 
 def test_figures_follow_from_the_points(made_up: Results, made_up_page: str) -> None:
     assert wrong(made_up_page, made_up) == []
-    assert (
-        made_up_page.count("(e x") > 10 and "3 runs, " in made_up_page and "one run" in made_up_page
-    )
+    assert made_up_page.count("(e x") > 10
+    assert "3 runs, " in made_up_page
+    assert "one run" in made_up_page
     assert "**14,649** (e x4.3)" in made_up_page, "descriptors over their budget"
     assert "**below 0** (e x4.3)" in made_up_page, "a line that falls below 0 gives no figure"
     assert "| not measured, 149 | 3,399, 399 | not measured, 1,649 |" in made_up_page, (
@@ -191,7 +192,8 @@
     shares = [
         float(share) for share in re.findall(r"(?:breaks at|up to) ([\d.]+) of the target", text)
     ]
-    assert len(shares) >= 4 and shares == sorted(shares)
+    assert len(shares) >= 4
+    assert shares == sorted(shares)
     assert all("**Missing**" in line for line in text.splitlines() if "breaks at" in line)
     assert all("Not missing yet" in line for line in text.splitlines() if "up to" in line)
     assert text.index("up to") < text.index("not measured at which size"), (
@@ -285,7 +287,8 @@
 )
 def test_a_figure_without_a_source_is_found(made_up: Results, made_up_page: str, line: str) -> None:
     found = page.faults(made_up_page + "\n" + line + "\n", made_up)
-    assert len(found) == 1 and ("without a source" in found[0] or "nothing on the page" in found[0])
+    assert len(found) == 1
+    assert "without a source" in found[0] or "nothing on the page" in found[0]
 
 
 @pytest.mark.parametrize(
@@ -368,7 +371,8 @@
     assert page.main([str(MADE_UP), str(copy)]) == 0
     assert "<!-- results: tests/capacity/data/made-up.json -->" in copy.read_text()
     once = copy.read_text()
-    assert page.main([str(MADE_UP), str(copy)]) == 0 and copy.read_text() == once
+    assert page.main([str(MADE_UP), str(copy)]) == 0
+    assert copy.read_text() == once
     copy.write_text(once + "\nIt takes 12 MB.\n")
     assert page.main([str(MADE_UP), str(copy)]) == 1
     assert "without a source: It takes 12 MB." in capsys.readouterr().err
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -11,8 +11,8 @@
 from benchmarks.capacity.fleet import rule_set, three_limits
 from benchmarks.capacity.gather import Figure, repeated
 from benchmarks.capacity.metered import Meter, held_bytes
-from wingbarrow.decide.quotas import limits
 from wingbarrow.decide.membership import member_table as table
+from wingbarrow.decide.quotas import limits
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
@@ -89,7 +89,8 @@
     meter.on = True
     outer()
     used = meter.accounts["a"].used_ns
-    assert 5_000_000 <= used["inner"] < 9_000_000 and 5_000_000 <= used["outer"] < 9_000_000
+    assert 5_000_000 <= used["inner"] < 9_000_000
+    assert 5_000_000 <= used["outer"] < 9_000_000
 
 
 def test_state_that_a_placer_shares_with_others_counts_in_full_and_once() -> None:
@@ -117,18 +118,15 @@
 ) -> None:
     monkeypatch.setattr(limits, "LIMITS_MOST", 2)
     within, over = (values(list(teams.fleet(count, 3, 1))) for count in (2, 3))
-    assert (
-        within["leader", "limits in force, 3 placers"] == 2
-        and over["leader", "limits in force, 3 placers"] == 0
-    )
+    assert within["leader", "limits in force, 3 placers"] == 2
+    assert over["leader", "limits in force, 3 placers"] == 0
     assert (
         within["leader", "blocks, 3 placers"]
         == within["leader", "blocks, 3 placers, bounds lifted"]
         == 6
     )
-    assert ("leader", "blocks, 3 placers") not in over and over[
-        "leader", "blocks, 3 placers, bounds lifted"
-    ] == 9
+    assert ("leader", "blocks, 3 placers") not in over
+    assert over["leader", "blocks, 3 placers, bounds lifted"] == 9
     assert over["leader", "letters refused, 3 placers, bounds lifted"] == 0
     assert limits.LIMITS_MOST == 2, "the bounds are back"
 
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -39,9 +39,11 @@
 def test_the_command_says_file_line_and_what_is_wrong() -> None:
     path = FILES / "bad" / "residency-against-failover.kdl"
     told = CliRunner().invoke(main, ["check", str(path)])
-    assert told.exit_code == 2 and f"{path}:16: failover: to 'east', and 'patients'" in told.output
+    assert told.exit_code == 2
+    assert f"{path}:16: failover: to 'east', and 'patients'" in told.output
     assert CliRunner().invoke(main, ["check", str(GOOD[0])]).exit_code == 0
 
 
 def test_there_are_enough_of_both() -> None:
-    assert len(BAD) >= 40 and len(GOOD) >= 20
+    assert len(BAD) >= 40
+    assert len(GOOD) >= 20
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -31,8 +31,11 @@
         3,
         8080,
     )
-    assert web.spread is Place.CELL and web.spread_most == 3 and settlement.effect is Effect.UNSAFE
-    assert read.classes["web"].patience_us == 5_000_000 and read.scheduler.kinds[0].memory == 48.0
+    assert web.spread is Place.CELL
+    assert web.spread_most == 3
+    assert settlement.effect is Effect.UNSAFE
+    assert read.classes["web"].patience_us == 5_000_000
+    assert read.scheduler.kinds[0].memory == 48.0
 
 
 def test_all_errors_come_at_once_with_their_lines() -> None:
@@ -52,11 +55,14 @@
     found = problems(text)
     words = {line: [text for at, text in found if at == line] for line, _ in found}
     assert "did you mean 'class'" in words[5][0]
-    assert "did you mean 'safe'" in words[6][0] and "not a duration" in words[6][1]
+    assert "did you mean 'safe'" in words[6][0]
+    assert "not a duration" in words[6][1]
     assert "did you mean 'spread'" in words[7][0]
-    assert "given before, in line 8" in words[8][0] and "number" in words[8][1]
+    assert "given before, in line 8" in words[8][0]
+    assert "number" in words[8][1]
     assert "port= is missing" in words[10][0]
-    assert len(words[11]) == 2 and "did you mean 'tasks-open'" in words[12][0]
+    assert len(words[11]) == 2
+    assert "did you mean 'tasks-open'" in words[12][0]
 
 
 def test_figures_that_contradict_each_other_are_found() -> None:
@@ -103,8 +109,10 @@
 
 
 def test_durations_and_sizes() -> None:
-    assert parse_duration("1m30s") == 90_000_000 and parse_duration("0.5ms") == 500
-    assert parse_size("500m") == 0.5 and parse_size("2Gi") == 2 * 2**30
+    assert parse_duration("1m30s") == 90_000_000
+    assert parse_duration("0.5ms") == 500
+    assert parse_size("500m") == 0.5
+    assert parse_size("2Gi") == 2 * 2**30
     for bad in ("", "5", "s", "5 s", "-5s", "5s5", "1e3s"):
         with pytest.raises(ValueError):
             parse_duration(bad)
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -33,7 +33,8 @@
 
 def test_without_the_node_there_are_no_subsets_and_the_module_hears_what_it_always_did() -> None:
     settings = load_text(text(""))
-    assert settings.subset is None and module_settings(settings) is settings.scheduler
+    assert settings.subset is None
+    assert module_settings(settings) is settings.scheduler
 
 
 def test_a_whole_node_is_read() -> None:
@@ -44,11 +45,13 @@
         )
     )
     assert settings.subset is not None
-    assert settings.subset.rules.roster == ROSTER and settings.subset.rules.replicas == 3
+    assert settings.subset.rules.roster == ROSTER
+    assert settings.subset.rules.replicas == 3
     assert settings.subset.rules.spare_part == 0.5
     assert (settings.subset.leave_after_us, settings.subset.settle_us) == (7 * S, 300_000)
     plain = load_text(text(f"subset replicas=3 {{ roster {NAMED} }}")).subset
-    assert plain is not None and (plain.leave_after_us, plain.settle_us) == (
+    assert plain is not None
+    assert (plain.leave_after_us, plain.settle_us) == (
         LEAVE_AFTER_US,
         SETTLE_US,
     )
@@ -57,7 +60,8 @@
 
 def test_a_subset_may_be_widened_to_the_whole_roster_and_no_further() -> None:
     wide = load_text(text(f"subset replicas=3 widen=2 {{ roster {NAMED} }}"))
-    assert wide.subset is not None and wide.subset.widen == 2
+    assert wide.subset is not None
+    assert wide.subset.widen == 2
     told = module_settings(wide)
     assert (told.placers, told.fresh_offers) == (3, 15.0), "cold offers are dealt as without"
 
@@ -143,7 +147,8 @@
 def test_a_calendar_is_refused_beside_subsets_at_its_line() -> None:
     whole = text(f"subset replicas=2 {{ roster {NAMED} }}", ALLOWED + 'calendar "windows.ics"\n')
     [(line, told)] = refused(whole)
-    assert whole.splitlines()[line - 1].startswith("calendar") and "by the whole list" in told
+    assert whole.splitlines()[line - 1].startswith("calendar")
+    assert "by the whole list" in told
 
 
 def test_a_subset_too_small_for_the_largest_job_of_a_class_is_refused() -> None:
@@ -163,7 +168,8 @@
     path.write_text(text(f"subset replicas=6 {{ roster {NAMED} }}"))
     line = len(path.read_text().splitlines())
     told = CliRunner().invoke(main, ["check", str(path)])
-    assert told.exit_code == 2 and f"{path}:{line}: subset: 6 replicas" in told.output
+    assert told.exit_code == 2
+    assert f"{path}:{line}: subset: 6 replicas" in told.output
 
 
 AGREE = """agree {
@@ -186,7 +192,8 @@
         ),
     )
     settings = load_text(whole.replace(" index=", ' region="north" index=', 1))
-    assert settings.subset is not None and settings.subset.rules.roster == (
+    assert settings.subset is not None
+    assert settings.subset.rules.roster == (
         "placer-0",
         "placer-1",
         "placer-3",
@@ -198,7 +205,8 @@
     for index, name in enumerate(ROSTER):
         settings = load_text(text(f"subset replicas=3 {{ roster {NAMED} }}", index=index))
         told = module_settings(settings)
-        assert settings.name == name and settings.subset is not None
+        assert settings.name == name
+        assert settings.subset is not None
         assert (told.placers, told.index, told.fresh_offers) == (3, index % 3, 15.0)
         assert settings.scheduler.placers == 5, (
             "what placers share beside that, such as moves, they share as before"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 
 import hypothesis
 import pytest
-from tests.known_red import KnownRed
 
+from tests.known_red import KnownRed
 from wingbarrow import Scheduler
 from wingbarrow import interface as api
 
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -122,11 +122,10 @@
         placer = restarted(stage, calendar(stage, tmp_path, 10))
         stage.hub.sleep(30 * S)
         moved = [record for record in stage.seen("end", why="Terminated")]
-        assert len(moved) == 10 and len(stage.seen("start", task_class="settlement")) == 1
-        assert (
-            placer.drainer.describe()[0]["phase"] == "closed"
-            and placer.drainer.describe()[0]["late"]
-        )
+        assert len(moved) == 10
+        assert len(stage.seen("start", task_class="settlement")) == 1
+        assert placer.drainer.describe()[0]["phase"] == "closed"
+        assert placer.drainer.describe()[0]["late"]
         stage.hub.sleep(15 * S)
         assert placer.drainer.describe()[0]["phase"] == "out", "the window waited for the batch run"
         assert stage.conditions("pay")["Complete"]
@@ -134,7 +133,8 @@
             machine.name: sum(pod.phase == "Running" for pod in machine.pods.values())
             for machine in stage.cluster.machines
         }
-        assert running["node-0"] == 0 and sum(running.values()) == 10
+        assert running["node-0"] == 0
+        assert sum(running.values()) == 10
 
     stage.play(script)
     assert stage.audit().double_effects == 0
@@ -157,7 +157,8 @@
         for turn in range(12):
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(3 * S)
-        assert offers_after(stage, "node-0", begun) == 0 and len(stage.seen("start")) == 12
+        assert offers_after(stage, "node-0", begun) == 0
+        assert len(stage.seen("start")) == 12
 
     stage.play(script)
 
@@ -264,10 +265,8 @@
         stage.hub.sleep(8 * S)
         assert items()[0]["phase"] == "out"
         assert pool.request("DELETE", f"{DRAINS}/{items()[0]['key']}").status == 200
-        assert (
-            items()[0]["phase"] == "given up"
-            and placer.machines.links["node-0"].phase.value == "running"
-        )
+        assert items()[0]["phase"] == "given up"
+        assert placer.machines.links["node-0"].phase.value == "running"
         assert pool.request("DELETE", f"{DRAINS}/none").status == 404
         made = pool.request("POST", DRAINS, b'{"machine": "node-3", "lasts": "30s"}')
         assert made.status == 201
@@ -298,7 +297,8 @@
         path = "/api/v1/namespaces/default/pods"
         assert stage.pool().request("POST", f"{path}/{pods['web']}/eviction", b"{}").status == 201
         refused = stage.pool().request("POST", f"{path}/{pods['settlement']}/eviction", b"{}")
-        assert refused.status == 429 and refused.get("retry-after")
+        assert refused.status == 429
+        assert refused.get("retry-after")
         assert stage.pool().request("POST", f"{path}/none/eviction", b"{}").status == 404
         stage.hub.sleep(3 * S)
         assert stage.job("web")["status"]["ready"] == 1
@@ -341,14 +341,14 @@
         for turn in range(12):
             stage.submit(f"u{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(4 * S)
-        assert (
-            placer.drainer.describe()[0]["phase"] == "out"
-            and offers_after(stage, "node-0", returned) == 0
-        )
+        assert placer.drainer.describe()[0]["phase"] == "out"
+        assert offers_after(stage, "node-0", returned) == 0
 
     stage.play(script)
     found = stage.audit()
-    assert not (found.sends_to_draining or found.double_effects or found.cold_overruns)
+    assert not (found.sends_to_draining)
+    assert not (found.double_effects)
+    assert not (found.cold_overruns)
 
 
 def test_a_machine_that_never_goes_is_closed_to_the_end_and_used_again(tmp_path: Path) -> None:
@@ -390,7 +390,8 @@
         )  # the window is put forward: the machine closes at once, the offer is out
         assert placer.drainer.reload()
         stage.hub.sleep(S * 3 // 2)
-        assert placer.machines.links["node-0"].phase.value == "draining" and not stage.seen("start")
+        assert placer.machines.links["node-0"].phase.value == "draining"
+        assert not stage.seen("start")
         stage.cluster.machines[1].draining = False
         assert "Placed" in stage.settled("edge")
         stage.hub.sleep(12 * S)
@@ -424,4 +425,5 @@
         stage.hub.sleep(8 * S)
 
     stage.play(script)
-    assert stage.audit().cold_overruns == 0 and not stage.seen("fell")
+    assert stage.audit().cold_overruns == 0
+    assert not stage.seen("fell")
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -10,10 +10,10 @@
 from wingbarrow.http.client import CallFailed
 from wingbarrow.http.watching import list_all, watch
 from wingbarrow.kube.status import ApiError
-from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.build import Build
-from wingbarrow.lab.node import node_value
+from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.fleet.link import Proxy
+from wingbarrow.lab.node import node_value
 from wingbarrow.transport import Nursery
 
 
@@ -65,7 +65,8 @@
                     proxy.cut_after = cut
         seen, relists = results[0]
         versions = [version for _, _, version in seen]
-        assert proxy.cuts >= 3 and relists == 1
+        assert proxy.cuts >= 3
+        assert relists == 1
         assert versions == sorted(set(versions)), "an event came twice or out of order"
         window = stage.cluster.placers[0].service.placer.board.jobs.window  # type: ignore[union-attr]
         assert [change.version for change in window] == versions, "an event was missed"
@@ -114,13 +115,16 @@
         stage.submit("pay", "settlement", patience_s=10)
         stage.submit("early", patience_s=5)
         stage.hub.sleep(3 * S)
-        assert not stage.seen("offer") and stage.job("pay")["status"]["active"] == 1
+        assert not stage.seen("offer")
+        assert stage.job("pay")["status"]["active"] == 1
         for machine in stage.cluster.machines:
             stage.cluster.source.show(machine.name, node_value(machine))
-        assert "Placed" in stage.settled("pay") and "Placed" in stage.settled("early")
+        assert "Placed" in stage.settled("pay")
+        assert "Placed" in stage.settled("early")
 
     stage.play(script, start=False)
-    assert stage.audit().clean and stage.audit().placed == 2
+    assert stage.audit().clean
+    assert stage.audit().placed == 2
 
 
 def test_a_list_that_fails_at_the_start_is_asked_again() -> None:
@@ -170,12 +174,14 @@
 
     found = stage.play(script)
     starts = len(stage.seen("start"))
-    assert len(stage.seen("offer")) == 1 and starts == (0 if fault.name.endswith("BEFORE") else 1)
+    assert len(stage.seen("offer")) == 1
+    assert starts == (0 if fault.name.endswith("BEFORE") else 1)
     assert found.get("Failed") != "Refused"
     if starts and "Placed" not in found:  # found running later: told, and counted once
         assert found["wingbarrow.io/FoundRunning"] == "FoundRunning"
     audited = stage.audit()
-    assert audited.clean and audited.placed + audited.failed == 1
+    assert audited.clean
+    assert audited.placed + audited.failed == 1
 
 
 def test_a_settlement_refused_before_its_start_may_go_elsewhere() -> None:
@@ -191,7 +197,8 @@
         }
 
     stage.play(script)
-    assert len(stage.seen("start")) >= 1 and stage.audit().clean
+    assert len(stage.seen("start")) >= 1
+    assert stage.audit().clean
 
 
 def test_no_offer_leaves_once_the_drain_is_heard_while_it_waits_for_a_connection() -> None:
@@ -211,12 +218,14 @@
         machine = stage.cluster.machines[0]
         machine.draining = True  # it says so, and goes on with what it has
         stage.cluster.source.show(machine.name, node_value(machine))
-        assert "Placed" in stage.settled("first") and "Failed" in stage.settled("second")
+        assert "Placed" in stage.settled("first")
+        assert "Failed" in stage.settled("second")
         counts = slot.service.placer.base.counts  # type: ignore[union-attr]
         assert counts["held:draining"] == 1
 
     stage.play(script)
-    assert len(stage.seen("offer")) == 1 and stage.audit().clean
+    assert len(stage.seen("offer")) == 1
+    assert stage.audit().clean
 
 
 @pytest.mark.parametrize(
@@ -239,7 +248,8 @@
 
     found = stage.play(script)
     audited = stage.audit()
-    assert audited.clean and audited.accepted == 1
+    assert audited.clean
+    assert audited.accepted == 1
     assert ("Placed" in found) != ("Failed" in found)
     ran = len(stage.seen("start"))
     ended = len(stage.seen("end"))
@@ -264,7 +274,9 @@
 
     stage.play(script)
     audited = stage.audit()
-    assert audited.late_answers == 0 and audited.unanswered == 0 and audited.late_by_stall <= 1
+    assert audited.late_answers == 0
+    assert audited.unanswered == 0
+    assert audited.late_by_stall <= 1
 
 
 def test_deleting_a_job_stops_what_runs_and_what_is_on_its_way() -> None:
@@ -311,7 +323,8 @@
         assert stage.conditions("pay")["Complete"]
 
     stage.play(script)
-    assert len(stage.seen("start")) == 7 and stage.audit().double_effects == 0
+    assert len(stage.seen("start")) == 7
+    assert stage.audit().double_effects == 0
 
 
 def test_a_job_of_many_tasks_is_spread_and_counted() -> None:
@@ -325,5 +338,7 @@
         return {"first": status["ready"], **stage.job("many")["status"]}
 
     status = stage.play(script)
-    assert status["first"] == 9 and status["succeeded"] == 9 and status["active"] == 0
+    assert status["first"] == 9
+    assert status["succeeded"] == 9
+    assert status["active"] == 0
     assert stage.audit().spread_overruns == 0
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from wingbarrow.config import load_text
-from wingbarrow.core.job_store import OPEN, TOMBSTONES, Book, State, Step
 from wingbarrow.core.intake import read_job
+from wingbarrow.core.job_store import OPEN, TOMBSTONES, Book, State, Step
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
@@ -62,7 +62,8 @@
     assert book.step(task, Step.REFUSE)
     for step in (Step.PLACE, Step.REFUSE, Step.FAIL, Step.DONE):
         assert not book.step(task, step)
-    assert task.state is State.REFUSED and sum(book.odd.values()) == 4
+    assert task.state is State.REFUSED
+    assert sum(book.odd.values()) == 4
 
 
 def test_memory_of_ended_and_deleted_jobs_is_bounded() -> None:
@@ -76,7 +77,9 @@
     for number in range(TOMBSTONES + 50):
         job.uid, job.adopted = f"t{number}", True
         book.delete(job)
-    assert not book.was_deleted("t0") and not book.was_deleted("t49") and book.was_deleted("t50")
+    assert not book.was_deleted("t0")
+    assert not book.was_deleted("t49")
+    assert book.was_deleted("t50")
 
 
 def test_an_open_job_is_never_surplus() -> None:
@@ -157,13 +160,12 @@
     del value["metadata"]["name"]
     value["metadata"]["generateName"] = "label-"
     asked = read(value)
-    assert (
-        asked.name == "label-abcde"
-        and asked.count == 1
-        and asked.memory == 2.0
-        and asked.cores == 1.0
-    )
-    assert asked.service == "default/shop" and asked.patience_us == 5_000_000
+    assert asked.name == "label-abcde"
+    assert asked.count == 1
+    assert asked.memory == 2.0
+    assert asked.cores == 1.0
+    assert asked.service == "default/shop"
+    assert asked.patience_us == 5_000_000
     value["metadata"]["labels"]["wingbarrow.io/class"] = "settlement"
     assert read(value).restarts == 0, "what must not start twice has no restarts"
 
@@ -190,4 +192,5 @@
     try:
         read(value)
     except ApiError as error:
-        assert error.code == 422 and error.causes
+        assert error.code == 422
+        assert error.causes
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -10,10 +10,10 @@
 from tests.stage import JOBS, S, Stage
 from wingbarrow.http.watching import call
 from wingbarrow.kube import names
-from wingbarrow.lab.faults import Fault, FaultRule
-from wingbarrow.lab.wants import Want, job_value
 from wingbarrow.lab.build import Build
+from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.node import node_value
+from wingbarrow.lab.wants import Want, job_value
 from wingbarrow.transport import Nursery, Stream, connect
 
 BIG = Build(cores=64.0, memory=128.0)
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -22,10 +22,13 @@
         for turn in range(30):
             assert stage.answer_of(stage.cluster.placers[turn % 5], f"t{turn}") == "placed"
         sent = {(record.data["placer"], record.where) for record in stage.seen("offer")}
-        assert sent and all(machine in wanted[placer] for placer, machine in sent)
+        assert sent
+        assert all(machine in wanted[placer] for placer, machine in sent)
         for each in stage.live():
-            assert len(each.fleet.held) + each.fleet.reflector.left_out == 12 and each.sees(12)
-            assert each.fleet.reflector.passed_over > 0 and not each.oddities()
+            assert len(each.fleet.held) + each.fleet.reflector.left_out == 12
+            assert each.sees(12)
+            assert each.fleet.reflector.passed_over > 0
+            assert not each.oddities()
         told = stage.pool().request("GET", "/metrics").body.decode()
         placer = stage.placer(0)
         for name, value in (
@@ -38,7 +41,8 @@
             assert f"\nwingbarrow_subset_{name} {float(value)}\n" in told, name
 
     stage.play(script, start=False)
-    assert stage.audit().clean and stage.audit().placed == 30
+    assert stage.audit().clean
+    assert stage.audit().placed == 30
 
 
 def test_a_third_of_the_placers_killed_at_once_and_back() -> None:
@@ -76,7 +80,8 @@
         assert sum(each.base.counts["subset:released"] for each in stage.live()) > 0
 
     stage.play(script, start=False)
-    assert stage.audit().clean and stage.audit().placed == 4
+    assert stage.audit().clean
+    assert stage.audit().placed == 4
 
 
 def test_both_sides_of_a_cut_take_the_others_machines_and_let_go_when_it_heals() -> None:
@@ -111,7 +116,9 @@
     audited = stage.audit()
     cold = {machine.name for machine in stage.cluster.machines[:2]}
     senders = {record.data["placer"] for record in stage.seen("offer") if record.where in cold}
-    assert len(senders) == 4 and audited.clean and audited.accepted == 160
+    assert len(senders) == 4
+    assert audited.clean
+    assert audited.accepted == 160
 
 
 def test_a_placer_that_comes_and_goes_for_shorter_than_it_may_be_missing_moves_nothing() -> None:
@@ -214,7 +221,8 @@
         assert answers == ["placed" if wanted[slot.name] else "refused" for slot in slots]
 
     stage.play(script, start=False)
-    assert stage.audit().clean and stage.audit().refused == 3
+    assert stage.audit().clean
+    assert stage.audit().refused == 3
 
     whole = SubsetStage(machines=3, placers=2, replicas=2)
 
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -6,8 +6,8 @@
 
 from tests.peers.stage import Agreeing
 from tests.stage import S, Stage
-from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.core.local_region import OwnRegion
+from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.lab.build import Build
 
 
@@ -43,10 +43,8 @@
         )
         for name in list(placer.fleet.held):
             placer.fleet.reflector.drop(name)
-        assert (
-            placer.fleet.part == 0.0
-            and OwnRegion(placer.base, placer.book, placer.fleet).say(0) is None
-        )
+        assert placer.fleet.part == 0.0
+        assert OwnRegion(placer.base, placer.book, placer.fleet).say(0) is None
 
     stage.play(script)
 
@@ -82,7 +80,9 @@
             "by way of what both allow"
         )
         for each in live:
-            assert isinstance(each.offers.cold, ColdShares) and each.offers.cold._offers() == 5.0
+            assert isinstance(each.offers.cold, ColdShares)
+            assert each.offers.cold._offers() == 5.0
 
     stage.play(script)
-    assert stage.audit().cold_overruns == 0 and stage.audit().sends_to_draining == 0
+    assert stage.audit().cold_overruns == 0
+    assert stage.audit().sends_to_draining == 0
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -7,8 +7,8 @@
 
 from tests.core.subsetstage import SubsetStage
 from tests.stage import S
-from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.core.placer import Placer
+from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.interface import Phase, Settings
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.machine import Machine
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -13,7 +13,7 @@
 from wingbarrow.core.logs import silent
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.reflector import Reflector
-from wingbarrow.decide.subsets import Subsets, SubsetRules
+from wingbarrow.decide.subsets import SubsetRules, Subsets
 from wingbarrow.interface import ListForm, Phase
 from wingbarrow.kube.store import Store
 from wingbarrow.lab.record import Recorder
@@ -98,10 +98,10 @@
         want = {f"m{number}" for number in range(500) if listing.wanted(f"m{number}")}
         assert listing.wait(lambda: len(listing.reflector.held) == len(want))
         reflector = listing.reflector
-        assert set(reflector.held) == want and 100 <= len(want) <= 200
-        assert (
-            listing.wait(lambda: reflector.left_out == 500 - len(want)) and reflector.relists == 1
-        )
+        assert set(reflector.held) == want
+        assert 100 <= len(want) <= 200
+        assert listing.wait(lambda: reflector.left_out == 500 - len(want))
+        assert reflector.relists == 1
         assert reflector.passed_over == 500 - len(want)
         assert sum(entries for _, entries, _ in listing.delivered) == len(want), (
             "each is delivered once"
@@ -126,7 +126,8 @@
         want = {f"m{number}" for number in range(50) if listing.wanted(f"m{number}")}
         assert before < want == set(listing.reflector.held)
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0)
-        assert listing.reflector.watches == 1 and listing.reflector.left_out == 50 - len(want)
+        assert listing.reflector.watches == 1
+        assert listing.reflector.left_out == 50 - len(want)
         listing.reflector.refill()
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0), (
             "a second one brings nothing"
@@ -192,7 +193,8 @@
             other, int(entry["metadata"]["resourceVersion"])
         )
         listing.reflector.refill()
-        assert other not in listing.reflector.held and len(listing.reflector.held) == 19
+        assert other not in listing.reflector.held
+        assert len(listing.reflector.held) == 19
 
     listing.play(script)
 
@@ -204,10 +206,12 @@
         for number in range(20):
             listing.source.show(f"m{number}", node(f"m{number}"))
         assert listing.wait(lambda: listing.reflector.watches == 1)
-        assert len(listing.reflector.held) <= 8 and "list-too-long" not in listing.logged
+        assert len(listing.reflector.held) <= 8
+        assert "list-too-long" not in listing.logged
         listing.living = frozenset({"p0"})
         listing.reflector.refill()
-        assert len(listing.reflector.held) == 8 and listing.logged.count("list-too-long") == 1
+        assert len(listing.reflector.held) == 8
+        assert listing.logged.count("list-too-long") == 1
 
     listing.play(script)
 
@@ -262,4 +266,5 @@
 
     stage.play(script, start=False)
     audited = stage.audit()
-    assert audited.clean and audited.accepted == 6
+    assert audited.clean
+    assert audited.accepted == 6
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -95,30 +95,33 @@
         members_say(stage, subset, {each.name for each in stage.cluster.placers})
         if drains:
             stage.cluster.set_drain(standin, True)
-        assert link.phase is Phase.DRAINING and machine in subset.lingering
+        assert link.phase is Phase.DRAINING
+        assert machine in subset.lingering
         stage.submit_to(slot, "later", patience_s=2)
         assert stage.answer_of(slot, "out") == "placed", "what is out goes on"
         assert stage.answer_of(slot, "later") == "refused", "nothing new goes there"
         other.start()
         stage.hub.sleep(LINGER_US + 2 * S)
-        assert (
-            placer.machines.links[machine] is link
-            and link.reachable
-            and machine in placer.fleet.held
-        )
+        assert placer.machines.links[machine] is link
+        assert link.reachable
+        assert machine in placer.fleet.held
         if drains:
             assert placer.fleet.held[machine].listed.phase is Phase.DRAINING
             stage.cluster.set_drain(standin, False)
         assert stage.wait(lambda: stage.settled_subsets(), 60), (
             "it is let go once its task has ended"
         )
-        assert link.retired and not link.reachable and machine not in placer.fleet.held
+        assert link.retired
+        assert not link.reachable
+        assert machine not in placer.fleet.held
         assert placer.board.nodes.objects.get(machine) is None
         stage.hub.sleep(S)
         assert not link._pool._open and not link._stop_pool._open, "its connections are closed"
 
     stage.play(script, start=False)
-    assert len(stage.seen("offer")) == 1 and len(stage.seen("start")) == 1 and stage.audit().clean
+    assert len(stage.seen("offer")) == 1
+    assert len(stage.seen("start")) == 1
+    assert stage.audit().clean
 
 
 def test_a_machine_that_comes_back_in_while_it_lingers_is_sent_to_again_by_the_same_connections() -> (
@@ -139,12 +142,14 @@
         assert phase_of(link) is Phase.DRAINING
         members_say(stage, subset, without)
         assert stage.wait(lambda: machine not in subset.lingering, 10)
-        assert phase_of(link) is Phase.RUNNING and placer.machines.links[machine] is link
+        assert phase_of(link) is Phase.RUNNING
+        assert placer.machines.links[machine] is link
         stage.submit_to(slot, "second", runs_s=2)
         assert stage.answer_of(slot, "second") == "placed"
 
     stage.play(script, start=False)
-    assert len(stage.seen("offer")) == 2 and stage.audit().clean
+    assert len(stage.seen("offer")) == 2
+    assert stage.audit().clean
 
 
 def test_a_machine_is_not_let_go_while_a_stop_is_owed_to_it_or_a_task_of_this_placers_runs_there() -> (
@@ -197,7 +202,8 @@
         stage.hub.sleep(S)
         slot.start()
         placer = slot.service.placer  # type: ignore[union-attr]
-        assert placer.subset is not None and not placer.subset.holds(machine)
+        assert placer.subset is not None
+        assert not placer.subset.holds(machine)
         assert stage.wait(lambda: "default/t" in placer.book.jobs, 10), (
             "its Job is made anew from what runs"
         )
@@ -206,7 +212,8 @@
         assert stage.wait(stage.settled_subsets, 120)
 
     stage.play(script, start=False)
-    assert len(stage.seen("start")) == 1 and len(stage.seen("end")) == 1
+    assert len(stage.seen("start")) == 1
+    assert len(stage.seen("end")) == 1
 
 
 def test_a_machine_that_came_in_is_on_the_saved_list_within_little_more_than_a_second() -> None:
@@ -241,7 +248,8 @@
         slot.start()
         placer = slot.service.placer  # type: ignore[union-attr]
         assert stage.wait(lambda: "default/t" in placer.book.jobs, 10)
-        assert placer.subset is not None and len(placer.machines.links) == 6
+        assert placer.subset is not None
+        assert len(placer.machines.links) == 6
         assert stage.wait(
             lambda: placer.subset is not None and placer.subset.lingering == [machine], 20
         )
@@ -259,9 +267,11 @@
         slot, machine, other, link = brought_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         subset = placer.subset
-        assert subset is not None and subset._may_go(link, stage.hub.now_us())
+        assert subset is not None
+        assert subset._may_go(link, stage.hub.now_us())
         stage.submit_to(slot, "out", runs_s=4)
-        assert placer.attempts.on(link) and link.offered_us is None
+        assert placer.attempts.on(link)
+        assert link.offered_us is None
         assert not subset._may_go(link, stage.hub.now_us()), "an attempt is out"
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
@@ -316,7 +326,8 @@
         placer.fleet.guards.pop()  # the other machines are open again
         placer.fleet.take_again(list(placer.fleet.held.values()))
         members_say(stage, subset, set(subset.living) | {other.name})
-        assert phase_of(link) is Phase.DRAINING and machine in subset.lingering
+        assert phase_of(link) is Phase.DRAINING
+        assert machine in subset.lingering
         sights = placer.hearsay.know()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
         for each in stage.live():
@@ -339,7 +350,8 @@
         stage.begin()
         for each in stage.live():
             out = [name for name in stage.names() if name not in each.fleet.held]
-            assert out and not any(each.fleet.must_tell(name) for name in out)
+            assert out
+            assert not any(each.fleet.must_tell(name) for name in out)
             gone = next(iter(each.fleet.held))
             assert each.fleet.must_tell(gone)
 
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -59,12 +59,15 @@
         print("placed after", taken_us / S, "s")
         assert taken_us <= 5 * S // 4 + LOOK_US + WIDEN_SPREAD_US + S // 2
         machine = machine_of(placer, "more")
-        assert machine not in held and subset.holds(machine) and subset.extra == 1
+        assert machine not in held
+        assert subset.holds(machine)
+        assert subset.extra == 1
         first_two = {name for name in stage.names() if slot.name in subset.subsets.order(name)[:2]}
         assert set(placer.fleet.held) == first_two, "one rank more"
         assert placer.fleet.reflector.refills == refills + 1
         told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
-        assert "\nwingbarrow_subset_extra_ranks 1.0\n" in told and 'subset:widened"} 1.0' in told
+        assert "\nwingbarrow_subset_extra_ranks 1.0\n" in told
+        assert 'subset:widened"} 1.0' in told
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -78,7 +81,8 @@
         fill(stage, slot, len(held))
         stage.submit_to(slot, "more")
         assert stage.answer_of(slot, "more") == "refused"
-        assert set(placer.fleet.held) == held and placer.fleet.reflector.refills == 0
+        assert set(placer.fleet.held) == held
+        assert placer.fleet.reflector.refills == 0
         assert not placer.base.counts["subset:widened"]
 
     stage.play(script, start=False)
@@ -102,9 +106,11 @@
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
         assert [stage.answer_of(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
-        assert stage.hub.now_us() - asked_us <= 8 * S + S // 2 and not len(placer.waits)
+        assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
+        assert not len(placer.waits)
         assert subset.extra == 2 == placer.base.counts["subset:widened"]
-        assert steps_us[2] - steps_us[1] >= STEP_US - 10_000 and steps_us[1] - asked_us >= 2 * S
+        assert steps_us[2] - steps_us[1] >= STEP_US - 10_000
+        assert steps_us[1] - asked_us >= 2 * S
         assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
         out = [name for name in stage.names() if slot.name not in subset.subsets.order(name)[:3]]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
@@ -128,15 +134,15 @@
         assert stage.wait(lambda: subset.extra == 0, 40)
         assert CALM_US - S <= stage.hub.now_us() - placed_us <= CALM_US + S
         link = placer.machines.links[machine]
-        assert link.phase is Phase.DRAINING and set(subset.lingering) == others | {machine}
+        assert link.phase is Phase.DRAINING
+        assert set(subset.lingering) == others | {machine}
         assert stage.wait(lambda: subset.lingering == [machine], (LINGER_US + 5 * S) / S)
         assert placer.base.counts["subset:narrowed"] == 1
         assert placer.fleet.reflector.refills == refills, "a step down reads no list"
         # It waits long again: the machine that is followed still is open at once.
         stage.submit_to(slot, "again", runs_s=1)
-        assert (
-            stage.answer_of(slot, "again") == "placed" and machine_of(placer, "again") not in held
-        )
+        assert stage.answer_of(slot, "again") == "placed"
+        assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
         job = placer.book.jobs["default/more"]
         assert stage.wait(lambda: not job.open, 90) and job.tasks[0].state.value == "done", (
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -35,7 +35,8 @@
 def test_a_task_waits_long_from_a_quarter_of_its_patience_until_it_is_answered() -> None:
     asked = Asked()
     task = asked.ask(10 * S, 4 * S)
-    assert not asked.waits.any_long(11 * S - 1) and asked.waits.any_long(11 * S)
+    assert not asked.waits.any_long(11 * S - 1)
+    assert asked.waits.any_long(11 * S)
     asked.waits.remove(task, task.request)
     assert not asked.waits.any_long(12 * S)
 
@@ -66,11 +67,13 @@
     for _ in range(5 * LOOKED_AT):
         patient.ask(0, 600 * S)
     patient.ask(S, 4 * S)
-    assert not patient.waits.any_long(2 * S - 1) and patient.waits.any_long(2 * S)
+    assert not patient.waits.any_long(2 * S - 1)
+    assert patient.waits.any_long(2 * S)
 
 
 def test_a_look_asks_of_few_tasks_however_many_wait() -> None:
     asked = Asked()
     for number in range(20_000):
         asked.out.add(asked.ask(number, (2, 5, 60)[number % 3] * S).request)
-    assert not asked.waits.any_long(40 * S) and 0 < asked.looks <= 3 * LOOKED_AT
+    assert not asked.waits.any_long(40 * S)
+    assert 0 < asked.looks <= 3 * LOOKED_AT
--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from wingbarrow.decide.effects import Persist, Send, SetTimer
 from wingbarrow.decide.consensus.log import (
     VOTERS,
     Committed,
@@ -21,6 +20,7 @@
     Restored,
 )
 from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.effects import Persist, Send, SetTimer
 
 S = 1_000_000
 
@@ -158,10 +158,8 @@
             self.propose(f"last-{self.now_us}")
         self.run(2 * S)
         voters = [name for name in self.names if name in self.live and not self.live[name].empty]
-        assert (
-            len({self.applied[name] for name in voters}) == 1
-            and len({tuple(self.states[v]) for v in voters}) == 1
-        )
+        assert len({self.applied[name] for name in voters}) == 1
+        assert len({tuple(self.states[v]) for v in voters}) == 1
 
 
 def test_one_is_elected_and_what_it_proposes_is_decided_by_all() -> None:
@@ -204,7 +202,8 @@
         else:
             proposed += cluster.propose(f"{seed}-{proposed}")
     cluster.settle()
-    assert proposed >= 5 and any(entry.kind == "x" for entry in cluster.decided.values())
+    assert proposed >= 5
+    assert any(entry.kind == "x" for entry in cluster.decided.values())
 
 
 def test_one_cut_off_raises_no_term_and_deposes_nobody_when_it_comes_back() -> None:
@@ -217,7 +216,8 @@
     cluster.run(30 * S)
     cluster.cut = lambda a, b: False
     cluster.run(5 * S)
-    assert cluster.leader() is leader and leader.disk.term == term
+    assert cluster.leader() is leader
+    assert leader.disk.term == term
 
 
 def test_a_leader_that_a_majority_does_not_hear_stops_and_confirms_nothing() -> None:
@@ -232,9 +232,11 @@
     cluster.cut = lambda a, b: (a in side) != (b in side)
     cluster.act(old.me, old.confirm(cluster.now_us, 2))
     cluster.run(4 * S)
-    assert not old.leads and (old.me, 2) not in cluster.confirmed
+    assert not old.leads
+    assert (old.me, 2) not in cluster.confirmed
     new = cluster.leader()
-    assert new is not None and new.me not in side
+    assert new is not None
+    assert new.me not in side
 
 
 def test_one_that_lost_its_disk_says_nothing() -> None:
@@ -262,7 +264,8 @@
         cluster.start(name)
     cluster.run(5 * S)
     leader = cluster.leader()
-    assert leader is not None and leader.change_voters(cluster.now_us, ("v0", "v3", "v9"))[0] == -1
+    assert leader is not None
+    assert leader.change_voters(cluster.now_us, ("v0", "v3", "v9"))[0] == -1
     index, effects = leader.change_voters(cluster.now_us, tuple(cluster.names))
     cluster.act(leader.me, effects)
     assert index > 0 and leader.change_voters(cluster.now_us, tuple(cluster.names[:3]))[0] == -1, (
@@ -276,5 +279,8 @@
     cluster.act(leader.me, effects)
     cluster.run(6 * S)
     new = cluster.leader()
-    assert index > 0 and new is not None and new.me != leader.me and leader.me not in new.voters
+    assert index > 0
+    assert new is not None
+    assert new.me != leader.me
+    assert leader.me not in new.voters
     assert any(entry.kind == VOTERS for entry in cluster.decided.values())
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -9,14 +9,13 @@
 from typing import Any
 
 import pytest
-from hypothesis import HealthCheck, Phase, settings
+from hypothesis import HealthCheck, Phase, settings, stateful
 from hypothesis import strategies as st
-from hypothesis import stateful
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from wingbarrow.decide.consensus import log
-from wingbarrow.decide.effects import Persist, Send, SetTimer
 from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.effects import Persist, Send, SetTimer
 
 NAMES = ("v0", "v1", "v2", "v3")
 PICK = st.integers(0, 1 << 16)
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from wingbarrow.decide.rulesets.versions import Agreed, from_text
 from wingbarrow.decide.coordination.coordinator import Ask, Grant, NotLeader
-from wingbarrow.decide.coordination.leases import Holder, given_until_us
 from wingbarrow.decide.coordination.leader import Leading
+from wingbarrow.decide.coordination.leases import Holder, given_until_us
 from wingbarrow.decide.quotas.limits import DRIFT
 from wingbarrow.decide.rulesets.ruleset import ClassRules, allows, contradict, meet, normal, read
+from wingbarrow.decide.rulesets.versions import Agreed, from_text
 from wingbarrow.lab.fleet.assembly import Use, judge
 from wingbarrow.lab.fleet.schedules import (
     FLOOR,
@@ -27,7 +27,7 @@
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
-@pytest.mark.parametrize("count, voters", [(1, 1), (3, 3), (5, 3), (16, 5), (64, 7)])
+@pytest.mark.parametrize(("count", "voters"), [(1, 1), (3, 3), (5, 3), (16, 5), (64, 7)])
 def test_all_act_on_what_was_proposed_also_where_it_contradicts_and_nobody_pauses(
     count: int, voters: int
 ) -> None:
@@ -54,7 +54,9 @@
     assembly.run(assembly.now_us + 4 * SECOND)
     member = assembly.members["p004"]
     acting = member.acting(assembly.clock_us("p004"))
-    assert acting is not None and acting.label == "f1" and read(acting.rules) == FLOOR
+    assert acting is not None
+    assert acting.label == "f1"
+    assert read(acting.rules) == FLOOR
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + 10 * SECOND)
     assembly.propose(rules(4, most=2))
@@ -81,7 +83,8 @@
     barring = rules(barred=("n1", "n2", "n3"))
     first = assembly.propose(barring)
     assembly.run(assembly.now_us + SECOND)
-    assert first is not None and "lower the floor" in (assembly.outcome(first) or "")
+    assert first is not None
+    assert "lower the floor" in (assembly.outcome(first) or "")
     assembly.lower_floor(replace(FLOOR, barred=("n1", "n2", "n3")), 30 * SECOND, "floor 2")
     assembly.run(assembly.now_us + 20 * SECOND)
     second = assembly.propose(barring)
@@ -99,13 +102,13 @@
     assembly.propose(rules(most=2), base=1, ident="one")
     assembly.propose(rules(most=1), base=1, ident="other")
     assembly.run(assembly.now_us + SECOND)
-    assert assembly.outcome("one") == "" and "version 2 has been accepted since" in (
-        assembly.outcome("other") or ""
-    )
+    assert assembly.outcome("one") == ""
+    assert "version 2 has been accepted since" in (assembly.outcome("other") or "")
     assembly.propose(rules(most=2), base=1, ident="one")
     assembly.run(assembly.now_us + 5 * SECOND)
     leader = assembly.leader()
-    assert leader is not None and assembly.members[leader].agreed.version == 2
+    assert leader is not None
+    assert assembly.members[leader].agreed.version == 2
     assert [each.number for each in assembly.members[leader].agreed.versions] == [1, 2]
 
 
@@ -150,7 +153,7 @@
     fine(assembly)
 
 
-@pytest.mark.parametrize("count, voters", [(3, 3), (5, 3), (16, 5)])
+@pytest.mark.parametrize(("count", "voters"), [(3, 3), (5, 3), (16, 5)])
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_generated_schedules_never_have_rules_in_use_whose_time_has_passed(
     count: int, voters: int, seed: int
@@ -168,12 +171,14 @@
         holder = Holder()
         holder.take(1_000_000, 1, "x", 2_000_000)
         lasts_truly = (holder.until_us - 1_000_000) / (1 + rate)
-        assert lasts_truly <= (given_until_us(0, 2_000_000)) / (1 + 5e-4) and DRIFT >= 2 * 5e-4
+        assert lasts_truly <= (given_until_us(0, 2_000_000)) / (1 + 5e-4)
+        assert DRIFT >= 2 * 5e-4
 
 
 def test_a_late_grant_brings_no_rules_back() -> None:
     holder = Holder()
-    assert holder.take(10, 2, "new", 100) and not holder.take(50, 1, "old", 100)
+    assert holder.take(10, 2, "new", 100)
+    assert not holder.take(50, 1, "old", 100)
     assert (
         holder.acting(60) is not None
         and holder.acting(60).rules == "new"  # type: ignore[union-attr]
@@ -220,7 +225,8 @@
     ):
         state.apply(kind, body)
         assert state.text() == before
-    assert from_text(before) == state and state.edition == 1
+    assert from_text(before) == state
+    assert state.edition == 1
 
 
 def test_what_a_class_is_spread_by_cannot_change() -> None:
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -24,7 +24,8 @@
 ) -> None:
     met = compare.meet(a, b)
     assert allowed_acts(met) <= allowed_acts(a) & allowed_acts(b)
-    assert compare.within(met, a) and compare.within(met, b)
+    assert compare.within(met, a)
+    assert compare.within(met, b)
     assert compare.meet(b, a) == met
     assert compare.meet(met, a) == met or compare.within(compare.meet(met, a), met)
 
@@ -50,9 +51,11 @@
 @settings(max_examples=50)
 def test_a_text_reads_back_and_says_all(a: s.Federation, b: s.Federation) -> None:
     text = form.write(a)
-    assert form.read(text) == a and form.write(form.read(text)) == text
+    assert form.read(text) == a
+    assert form.write(form.read(text)) == text
     assert (text == form.write(b)) == (a == b) == (not compare.differences(a, b))
-    assert not set(text) & set('"\\') and text.isascii()
+    assert not set(text) & set('"\\')
+    assert text.isascii()
 
 
 def _rules(federation: s.Federation, effect: str = "safe") -> r.RuleSet:
@@ -122,17 +125,22 @@
     a, b = (s.Federation((each,), (), (("web", "orders"),)) for each in (_NORTH, _SOUTH))
     met = compare.meet(a, b)
     found = met.spec_for("web")
-    assert found is not None and found.regions == () and met.spec_for("pay") is None
+    assert found is not None
+    assert found.regions == ()
+    assert met.spec_for("pay") is None
     other = replace(b, specs=(replace(_SOUTH, name="mail"),), uses=(("web", "mail"),))
     step = compare.meet(a, other)
     between = step.spec_for("web")
-    assert between is not None and between.name == s.BOTH + "web" and between.regions == ()
+    assert between is not None
+    assert between.name == s.BOTH + "web"
+    assert between.regions == ()
     named = step.spec_for("pay", s.BOTH + "web")
     assert named is not None and named.regions == (), (
         "a Job that names what stands between versions is refused"
     )
     unnamed = met.spec_for("web", "nobody")
-    assert unnamed is not None and unnamed.regions == ()
+    assert unnamed is not None
+    assert unnamed.regions == ()
 
 
 def _keeps(part: str) -> Callable[[s.Spec, s.Spec, str], s.Spec]:
--- a/tests/decide/federation/test_room.py
+++ b/tests/decide/federation/test_room.py
@@ -70,10 +70,8 @@
             ("mail", "south"): (20.0, 20.0),
         },
     )
-    assert (
-        held.room == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)}
-        and not held.short
-    )
+    assert held.room == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)}
+    assert not held.short
 
 
 def test_what_has_no_room_is_told() -> None:
@@ -105,6 +103,5 @@
         {"north": (50.0, 200.0), "south": (40.0, 200.0)},
         {("orders", "north"): (30.0, 60.0), ("mail", "north"): (5.0, 5.0)},
     )
-    assert held.room["south"] == (0.0, 0.0) and held.short == (
-        room.Short("mail", "north", 5.0, 5.0),
-    )
+    assert held.room["south"] == (0.0, 0.0)
+    assert held.short == (room.Short("mail", "north", 5.0, 5.0),)
--- a/tests/decide/federation/test_route.py
+++ b/tests/decide/federation/test_route.py
@@ -65,7 +65,8 @@
     full = {region: replace(each, cores=1.0) for region, each in known.items()}
     assert share(full) == {"north": 1.0}, "its own door says the rest"
     choice = ro.choose(SPEC, ALONE, replace(NEW, here="west"), full, 0.5)
-    assert choice.region == "" and choice.reason == (
+    assert choice.region == ""
+    assert choice.reason == (
         "of north, south, east none will do (north: no room; south: no room; east: no room)"
     )
     held = told("north", news(), held_cores=99.0)
@@ -169,11 +170,12 @@
 
 
 def test_when_a_failover_is_due() -> None:
-    assert ro.due(SPEC, "lost", 30_000_000) and not ro.due(SPEC, "lost", 29_999_999)
-    assert ro.due(SPEC, "refusing", 50_000_000) and not ro.due(SPEC, "refusing", 49_999_999)
-    assert not ro.due(SPEC, "closed", 1 << 40) and not ro.due(
-        replace(SPEC, failover=None), "lost", 1 << 40
-    )
+    assert ro.due(SPEC, "lost", 30_000_000)
+    assert not ro.due(SPEC, "lost", 29_999_999)
+    assert ro.due(SPEC, "refusing", 50_000_000)
+    assert not ro.due(SPEC, "refusing", 49_999_999)
+    assert not ro.due(SPEC, "closed", 1 << 40)
+    assert not ro.due(replace(SPEC, failover=None), "lost", 1 << 40)
 
 
 def test_return_to_a_region_that_is_well_for_long_enough_and_has_room() -> None:
@@ -251,7 +253,8 @@
         ]
 
     first = play()
-    assert first == play() and set(first) == set(REGIONS)
+    assert first == play()
+    assert set(first) == set(REGIONS)
 
 
 @pytest.mark.parametrize("lower", [0, 50])
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -7,11 +7,11 @@
 import pytest
 
 from wingbarrow.config import load_text
+from wingbarrow.decide.consensus import log
 from wingbarrow.decide.federation import form
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.rulesets import versions as ag
-from wingbarrow.decide.consensus import log
 from wingbarrow.decide.rulesets import ruleset as r
+from wingbarrow.decide.rulesets import versions as ag
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 from wingbarrow.peers.ruleset_settings import rules_of
 
@@ -66,9 +66,8 @@
         s.DATASETS_MOST,
     )
     text = rules.text()
-    assert (
-        r.read(text) == rules and len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
-    )
+    assert r.read(text) == rules
+    assert len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
 
 
 def test_a_text_too_long_is_refused() -> None:
@@ -122,10 +121,8 @@
     for turn in range(6):
         rules = _large(turn)
         rest, federation = r.apart(rules)
-        assert (
-            len(json.dumps(rest)) > r.MAILED_MOST * 0.8
-            and len(federation) > form.FEDERATION_MOST * 0.85
-        )
+        assert len(json.dumps(rest)) > r.MAILED_MOST * 0.8
+        assert len(federation) > form.FEDERATION_MOST * 0.85
         agreed.apply(
             "propose",
             json.dumps(
@@ -165,7 +162,8 @@
     assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < ag.SNAPSHOT_MOST
     assert ag.SNAPSHOT_MOST + ag.CHAPTERS_MAILED < MAIL_MOST - 4096
     back = ag.from_text(state)
-    assert back == agreed and back.text() == state
+    assert back == agreed
+    assert back.text() == state
 
 
 def test_versions_keep_their_federation_while_there_is_room() -> None:
@@ -184,7 +182,8 @@
             ),
         )
     whole = [agreed.whole(each) for each in agreed.versions]
-    assert whole == [_small(turn).text() for turn in range(7)] and len(agreed.federations) == 2
+    assert whole == [_small(turn).text() for turn in range(7)]
+    assert len(agreed.federations) == 2
     for turn in range(7, 12):
         agreed.apply(
             "propose",
@@ -243,9 +242,8 @@
                 {"ident": part, "base": turn, "by": "", "why": "", "rules": rules(part).text()}
             ),
         )
-    assert agreed.outcomes["a"] == "" and agreed.outcomes["b"].startswith(
-        "what both allow cannot be said"
-    )
+    assert agreed.outcomes["a"] == ""
+    assert agreed.outcomes["b"].startswith("what both allow cannot be said")
     assert agreed.version == 1
 
 
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -9,13 +9,13 @@
 import pytest
 
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
-from wingbarrow.decide.quotas.escrow import Asker
-from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.maintenance.calendar import wanted
+from wingbarrow.decide.maintenance.participant import Blind, TurnSide
 from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
 from wingbarrow.decide.maintenance.slots import AGE_US, TURNS_MOST, Queue, TurnsSaid, View
-from wingbarrow.decide.maintenance.participant import Blind, TurnSide
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workshop import WALL_US
@@ -139,7 +139,8 @@
     assert led.states() == {"a-1": "empty"}
     led.lost["r"] = (("a-2", "z", "a"),)
     led.run(20)
-    assert led.states() == {"a-1": "empty"} and "1 of them lost" in led.turns.blocked[1]
+    assert led.states() == {"a-1": "empty"}
+    assert "1 of them lost" in led.turns.blocked[1]
     led.lost.clear()
     led.run(2)
     assert led.states() == {"a-1": "out"}
@@ -194,10 +195,8 @@
     led.view = replace(led.view, lost=(("x-1", "y", "x"),))
     led.ask("b-1")
     led.run(4)
-    assert (
-        led.states() == {"a-1": "back", "b-1": "queued"}
-        and "r/y has failed" in led.turns.blocked[2]
-    )
+    assert led.states() == {"a-1": "back", "b-1": "queued"}
+    assert "r/y has failed" in led.turns.blocked[2]
     assert led.turns.queue.turns[1].note == "r/y has failed"
 
 
@@ -216,7 +215,8 @@
         led.speak["r"] = TurnsSaid(region="r", tried=tuple(each.number for each in queue.active()))
         if not queue.live():
             break
-    assert sorted(order) == list(range(1, 201)) and not led.turns.queue.live()
+    assert sorted(order) == list(range(1, 201))
+    assert not led.turns.queue.live()
     assert led.turns.queue.queued() == []
 
 
@@ -226,7 +226,8 @@
         queue.apply("ask", request(f"m{index}"))
     assert f"{TURNS_MOST} turns are asked for" in queue.refusal(request("one-more"))
     queue.apply("ask", request("one-more"))
-    assert queue.outcomes["of-one-more"][0] == 0 and len(queue.live()) == TURNS_MOST
+    assert queue.outcomes["of-one-more"][0] == 0
+    assert len(queue.live()) == TURNS_MOST
     assert "has turn 1 already" in Queue.refusal(queue, request("m0"))
     long = Queue()
     for index in range(TURNS_MOST):
@@ -234,7 +235,8 @@
         long.apply(
             "ask", request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names)
         )
-    assert len(long.live()) == TURNS_MOST and len(long.text()) < TURNS_MOST * 1400 + 256 * 400
+    assert len(long.live()) == TURNS_MOST
+    assert len(long.text()) < TURNS_MOST * 1400 + 256 * 400
     again = Queue()
     again.restore(long.text())
     assert again.text() == long.text()
@@ -309,13 +311,15 @@
     turns.apply("queue", {"turns": [[1, 0]], "at_us": WALL_US})
     turns.apply("close", {"number": 1, "at_us": WALL_US})
     first = turns.told(0, Asker("p", 1, 0, 1))
-    assert side.take(0, 0, first)[0].fields["state"] == "closing" and side.say(0).clear == (1,)  # type: ignore[union-attr]
+    assert side.take(0, 0, first)[0].fields["state"] == "closing"  # type: ignore[union-attr]
+    assert side.say(0).clear == (1,)
     for kind in ("give-back", "done"):
         turns.apply(kind, {"number": 1, "at_us": WALL_US})
     turns.apply("ask", request("m", ident="again"))
     turns.apply("queue", {"turns": [[2, 0]], "at_us": WALL_US})
     turns.apply("close", {"number": 2, "at_us": WALL_US})
-    assert 2 not in side.say(0).clear and side.closes("m")
+    assert 2 not in side.say(0).clear
+    assert side.closes("m")
     side.take(0, 0, turns.told(0, Asker("p", 1, 0, 2)))
     assert side.say(0).clear == (2,)
     assert not side.take(0, 0, first) and side.say(0).clear == (2,), (
@@ -364,13 +368,12 @@
 
     assert machines_at("2027-01-01T01:58:59") == []
     assert machines_at("2027-01-01T01:59:30") == ["m0", "m1"], "m2 does not run, m3 is not meant"
-    assert (
-        machines_at("2027-01-01T02:39:00") == ["m0", "m1"]
-        and machines_at("2027-01-01T02:40:00") == []
-    )
+    assert machines_at("2027-01-01T02:39:00") == ["m0", "m1"]
+    assert machines_at("2027-01-01T02:40:00") == []
     one = wanted(of, machines, at("2027-01-01T02:00:00"))[0]
     assert (one.urgency, one.unsafe, one.ends_us) == (6, "shorten", at("2027-01-01T03:00:00"))
-    assert one.from_us == at("2027-01-01T02:00:00") and one.latest_us == at("2027-01-01T02:40:00")
+    assert one.from_us == at("2027-01-01T02:00:00")
+    assert one.latest_us == at("2027-01-01T02:40:00")
     assert machines_at("2027-01-01T02:00:00", replace(of, cancelled=(one.ident,))) == ["m1"]
     black = replace(
         of,
@@ -406,7 +409,8 @@
     led.run(1)
     assert led.states()["a-2"] == "back", "opened again, and tried first"
     led.run(8)
-    assert led.states()["a-1"] == "back" and led.turns.queue.turns[1].note == "its time is over"
+    assert led.states()["a-1"] == "back"
+    assert led.turns.queue.turns[1].note == "its time is over"
 
 
 def test_the_order_ages_so_that_nobody_starves() -> None:
--- a/tests/decide/maintenance/test_slots_machine.py
+++ b/tests/decide/maintenance/test_slots_machine.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from hypothesis import settings, strategies as st
+from hypothesis import settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from wingbarrow.decide.drains import Budget, Scope
--- a/tests/decide/maintenance/test_slots_play.py
+++ b/tests/decide/maintenance/test_slots_play.py
@@ -44,7 +44,8 @@
     shop.kill(old)
     shop.benches["r0-m1"].tasks[10**9] = "somebody", shop.now_us + 15 * SECOND
     shop.run(shop.now_us + 12 * SECOND)
-    assert wait(shop, 1, "empty").state == "empty" and shop.leader() not in (None, old)
+    assert wait(shop, 1, "empty").state == "empty"
+    assert shop.leader() not in (None, old)
     wait(shop, 1, "out")
     assert not shop.benches["r0-m1"].tasks
     shop.work(1, SECOND)
@@ -59,7 +60,8 @@
     shop.cut = lambda a, b: "p004" in (a, b)
     shop.run(shop.now_us + 3 * SECOND)
     acting = shop.members["p004"].acting(shop.clock_us("p004"))
-    assert acting is not None and not acting.edition
+    assert acting is not None
+    assert not acting.edition
     bench = shop.benches["r0-m2"]
     for number in range(10**9, 10**9 + 5):
         bench.tasks[number] = "p004", shop.now_us + 10 * SECOND
@@ -71,7 +73,8 @@
         "all in reach are clear; the machine is not empty"
     )
     wait(shop, 1, "out")
-    assert not bench.tasks and not shop.sides["p004"].closes("r0-m2")
+    assert not bench.tasks
+    assert not shop.sides["p004"].closes("r0-m2")
     shop.work(1, 3 * SECOND)
     wait(shop, 1, "back")
     assert judged(shop).clean
@@ -94,7 +97,8 @@
     works = len(shop.works)
     assert wait(shop, 1, "given-back").note == "nobody there"
     shop.run(shop.now_us + 10 * SECOND)
-    assert len(shop.works) == works > 0 and judged(shop).clean
+    assert len(shop.works) == works > 0
+    assert judged(shop).clean
 
 
 def test_one_placer_tries_a_machine_first_that_is_back() -> None:
@@ -139,7 +143,7 @@
     return made
 
 
-@pytest.mark.parametrize("planted, seed", [("busy", 4), ("over", 1), ("disorder", 2)])
+@pytest.mark.parametrize(("planted", "seed"), [("busy", 4), ("over", 1), ("disorder", 2)])
 def test_the_judge_finds_what_is_planted(
     planted: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from wingbarrow.decide.membership.swim import NEWS_MOST, SYNC_MOST, Me, Membership, Rules
 from wingbarrow.decide.effects import Send
 from wingbarrow.decide.membership.messages import Ack, Probe, Standing, Sync, Word
+from wingbarrow.decide.membership.swim import NEWS_MOST, SYNC_MOST, Me, Membership, Rules
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 
@@ -45,7 +45,8 @@
         swarm.life = life
         swarm.start("p003")
         assert swarm.run_until(swarm.whole, swarm.rules.heal_us(5))
-    assert swarm.members["p003"].incarnation > 3600 * SECOND and not swarm.members["p003"].twins
+    assert swarm.members["p003"].incarnation > 3600 * SECOND
+    assert not swarm.members["p003"].twins
     assert [swarm.members[each].table.members["p003"].restarts for each in ("p000", "p001")] == [
         2,
         2,
@@ -78,7 +79,8 @@
         else (lambda a, b: (a, b) == ("p002", "p001"))
     )
     swarm.run(begun + 120 * SECOND)
-    assert not swarm.deaths(begun) and swarm.whole()
+    assert not swarm.deaths(begun)
+    assert swarm.whole()
 
 
 def test_every_pair_cut_but_through_one() -> None:
@@ -143,7 +145,8 @@
         for each in member.on_message(swarm.now_us, "p001", "at p001", Probe(7))
         if isinstance(each, Send)
     ]
-    assert len(sends[0].message.news) <= NEWS_MOST and isinstance(sends[0].message, Ack)
+    assert len(sends[0].message.news) <= NEWS_MOST
+    assert isinstance(sends[0].message, Ack)
     sends = [
         each
         for each in member.on_message(swarm.now_us, "p001", "at p001", Sync(True))
@@ -163,12 +166,13 @@
             for each in member.on_message(round_, "b", "at b", Sync(False, (word,)))
             if hasattr(each, "what")
         ]
-    assert told[0] == "former-life" and told[-1] == "twin" and member.twins
+    assert told[0] == "former-life"
+    assert told[-1] == "twin"
+    assert member.twins
 
 
 def test_the_stated_times_are_formulas_that_grow_with_the_logarithm() -> None:
     rules = Rules()
     assert rules.detect_us(5) == 2 * (7 + 1 + 6) * SECOND + 12 * SECOND + 3 * 700_000
-    assert rules.detect_us(170) < 2.5 * rules.detect_us(5) and rules.heal_us(
-        64
-    ) < 2 * rules.heal_us(5)
+    assert rules.detect_us(170) < 2.5 * rules.detect_us(5)
+    assert rules.heal_us(64) < 2 * rules.heal_us(5)
--- a/tests/decide/outliers/test_ejection.py
+++ b/tests/decide/outliers/test_ejection.py
@@ -33,10 +33,12 @@
 def test_one_witness_is_none_two_of_one_region_neither_where_there_are_more() -> None:
     bench = Bench()
     heard(bench, S, "m1", witnesses=1)
-    assert closed(bench, S) == set() and "1 witness" in bench.spared["m1"]
+    assert closed(bench, S) == set()
+    assert "1 witness" in bench.spared["m1"]
     heard(bench, S, "m1", region="one")
     bench.hear(S, "p9", "other", (), 0, 5)
-    assert closed(bench, S) == set() and "one region" in bench.spared["m1"]
+    assert closed(bench, S) == set()
+    assert "one region" in bench.spared["m1"]
     heard(bench, S, "m1")
     assert closed(bench, S) == {"m1"}
 
@@ -58,7 +60,8 @@
     bench = Bench(Terms(doubt_share=1.0))
     heard(bench, S, *ZONES, witnesses=5)
     found = closed(bench, S)
-    assert len(found) == 4 and sum(ZONES[each] == "east" for each in found) <= 3
+    assert len(found) == 4
+    assert sum(ZONES[each] == "east" for each in found) <= 3
     assert any("of the fleet" in words for words in bench.spared.values())
 
 
@@ -79,7 +82,8 @@
 def test_one_placer_tries_it_for_all_and_its_word_opens_it() -> None:
     bench = Bench()
     heard(bench, S, "m1")
-    assert closed(bench, S) == {"m1"} and bench.told(S)[0].prober == ""
+    assert closed(bench, S) == {"m1"}
+    assert bench.told(S)[0].prober == ""
     now = 5 * S
     heard(bench, now, "m1")
     bench.judge(now, ZONES)
@@ -89,7 +93,8 @@
     bench.hear(now, other, "", [Evidence("m1", 0, 2)], 0, 5)
     assert closed(bench, now) == {"m1"}, "not its word"
     bench.hear(now, prober, "", [Evidence("m1", 0, 1)], 0, 5)
-    assert closed(bench, now) == set() and "found it well" in bench.verdicts["m1"].ended
+    assert closed(bench, now) == set()
+    assert "found it well" in bench.verdicts["m1"].ended
 
 
 def test_a_machine_that_left_the_list_is_closed_no_longer_and_old_evidence_is_none() -> None:
@@ -106,7 +111,8 @@
 def test_a_placer_goes_by_them_until_they_end_also_when_it_hears_no_more() -> None:
     closures = Closures()
     closures.take(S, "me", [Closed("m1", 2 * S, S, "other"), Closed("m2", 5 * S, 0, "me")])
-    assert closures.now(S) == {"m1"} and closures.age_us(2 * S, "m1") == 2 * S
+    assert closures.now(S) == {"m1"}
+    assert closures.age_us(2 * S, "m1") == 2 * S
     assert closures.now(3 * S) == frozenset()
 
 
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from wingbarrow.decide.coordination.member import Holding
 from wingbarrow.decide.coordination.messages import Ask, Grant, Times
-from wingbarrow.decide.quotas.allocations import MOVE_US, Blocks
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import SetTimer
-from wingbarrow.decide.coordination.member import Holding
-from wingbarrow.decide.quotas.limits import FleetLimit
+from wingbarrow.decide.quotas.allocations import MOVE_US, Blocks
 from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
 from wingbarrow.lab.fleet.schedules import rules
 
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -20,11 +20,11 @@
     has_all,
     limited,
 )
-from wingbarrow.decide.quotas import allocations as blocks
 from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.quotas import allocations as blocks
 from wingbarrow.decide.quotas.allocations import Block, Blocks
-from wingbarrow.decide.quotas.limits import HOUR_US
 from wingbarrow.decide.quotas.escrow import Asker, Stated
+from wingbarrow.decide.quotas.limits import HOUR_US
 from wingbarrow.decide.rulesets.ruleset import normal
 from wingbarrow.lab.fleet.schedules import founded, rules
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, value",
+    ("kind", "value"),
     [
         ("other", {}),
         ("move", {}),
@@ -180,7 +180,8 @@
         )
         for each in bank.due(at, wanted)[0]:
             bank.apply(each.kind, each.value)
-    assert len(bank.blocks[STANDING.key].parts) == 4 and bank.refused > 0
+    assert len(bank.blocks[STANDING.key].parts) == 4
+    assert bank.refused > 0
 
 
 def test_accounts_are_told() -> None:
@@ -188,7 +189,8 @@
     has_all(fleet)
     fleet.get("a", 0)
     told = fleet.bank.accounts(fleet.now_us, limited(MOST).limits)
-    assert [each["limit"] for each in told] == [RATE.key, STANDING.key] and told[1]["free"] == 0
+    assert [each["limit"] for each in told] == [RATE.key, STANDING.key]
+    assert told[1]["free"] == 0
     assert {each["placer"]: each["uses"] for each in told[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
 
 
@@ -217,13 +219,14 @@
     assembly = founded(5, 3, seed=3)
     leader = assembly.leader()
     member = "p004"
-    assembly.cut = (
-        lambda a, b: (a, b) == (leader, member) or not one_way and (a, b) == (member, leader)
+    assembly.cut = lambda a, b: (a, b) == (leader, member) or (
+        not one_way and (a, b) == (member, leader)
     )
     assembly.run(assembly.now_us + 2 * SECOND)
     assembly.refused = 0
     assembly.run(assembly.now_us + 20 * SECOND)
-    assert assembly.refused == 0 and assembly.leader() == leader
+    assert assembly.refused == 0
+    assert assembly.leader() == leader
     assembly.cut = lambda a, b: False
     assembly.run(assembly.now_us + 15 * SECOND)
     assert assembly.members[member].holding._by == "", "the leader itself is asked again"
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -21,8 +21,8 @@
     has_share,
     then_b_takes_what_it_gets,
 )
-from wingbarrow.decide.quotas.allocations import Block, Blocks
 from wingbarrow.decide.coordination.member import Holding
+from wingbarrow.decide.quotas.allocations import Block, Blocks
 from wingbarrow.decide.quotas.escrow import fair
 
 
@@ -31,7 +31,8 @@
 )
 def test_parts_are_fair_and_make_the_whole(total: int, wants: dict[str, int]) -> None:
     parts = fair(total, wants)
-    assert sum(parts.values()) <= total and min(parts.values()) >= 0
+    assert sum(parts.values()) <= total
+    assert min(parts.values()) >= 0
     assert sum(parts.values()) >= min(total, sum(wants.values()))
     for name, part in parts.items():
         if part < wants[name]:
@@ -230,7 +231,7 @@
 
 
 @pytest.mark.parametrize(
-    "planted, story",
+    ("planted", "story"),
     [
         (NoLag, silent),
         (NoDebt, reborn),
--- a/tests/decide/quotas/test_escrow_model.py
+++ b/tests/decide/quotas/test_escrow_model.py
@@ -11,13 +11,15 @@
     """With two placers: the leader waits for each of them, so that a third one only makes it wait longer."""
     found = explore(Plan(2))
     print(f"{found.states} states")
-    assert found.way == () and found.states > 50_000
+    assert found.way == ()
+    assert found.states > 50_000
 
 
 def test_nobody_goes_on_by_a_floor_that_allows_what_an_accepted_version_forbids() -> None:
     found = explore_floors(Plan(2))
     print(f"{found.states} states")
-    assert found.way == () and found.states > 1_000
+    assert found.way == ()
+    assert found.states > 1_000
 
 
 @pytest.mark.parametrize(
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.regions.forwarding import (
     AGAIN_US,
     DONE,
@@ -154,7 +154,8 @@
     play = played(3, 0.0, False)
     assert not breaches(play)
     placed = sum(PLACED in told for told in play.outcomes.values())
-    assert placed == sum(play.starts.values()) and placed > len(play.refused) // 3
+    assert placed == sum(play.starts.values())
+    assert placed > len(play.refused) // 3
 
 
 def test_planted_errors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -185,9 +186,8 @@
         if isinstance(each, Send)
     ] == [REFUSED]
     answer = taking.on_message(1, "g", "", Hand("g/1/1", 7, 1, "s", SECOND, "{}"))
-    assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED] and len(
-        answer
-    ) == 1
+    assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED]
+    assert len(answer) == 1
 
 
 def test_what_cannot_be_taken_is_refused_with_its_reason() -> None:
@@ -197,11 +197,12 @@
         (Hand("g/1/2", 7, 1, "s", 0, "{}"), "patience"),
     ):
         [says] = taking.on_message(0, "g", "", hand)
-        assert (
-            isinstance(says, Send) and says.message.state == REFUSED and words in says.message.words
-        )
+        assert isinstance(says, Send)
+        assert says.message.state == REFUSED
+        assert words in says.message.words
     [says] = taking.on_message(0, "g", "", Hand("g/1/3", 6, 1, "s", SECOND, "{}"))
-    assert isinstance(says, Send) and says.message.stranger
+    assert isinstance(says, Send)
+    assert says.message.stranger
     assert not taking.on_message(0, "another", "", Hand("g/1/3", 7, 1, "s", SECOND, "{}"))
 
 
@@ -227,4 +228,5 @@
                 told.append((now, each.fields["state"]))
             elif isinstance(each, Send) and told:
                 assert isinstance(each.message, HandStop)
-    assert [state for _, state in told] == [FAILED] and told[0][0] <= SECOND + AGAIN_US
+    assert [state for _, state in told] == [FAILED]
+    assert told[0][0] <= SECOND + AGAIN_US
--- a/tests/decide/regions/test_reports.py
+++ b/tests/decide/regions/test_reports.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.regions.reports import OLD_US, Regions, RegionsSaid, RegionsSide
 from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.regions.reports import OLD_US, Regions, RegionsSaid, RegionsSide
 
 S = 1_000_000
 LOST = 4 * S
@@ -29,7 +29,8 @@
     hear(regions, 2 * S, "b", said(free=30.0))
     north = regions.told(3 * S, Asker("p", 1, 1, 1))[0]
     assert (north.load, north.cores, north.age_us, north.placers) == (0.7, 30.0, 1 * S, ("a", "b"))
-    assert north.stable_us == 2 * S and not north.lost
+    assert north.stable_us == 2 * S
+    assert not north.lost
 
 
 def test_a_region_is_lost_once_nobody_of_it_was_heard_for_long_and_not_by_a_new_leader_at_once() -> (
@@ -39,7 +40,8 @@
     assert not any(each.lost for each in regions.told(11 * S, Asker("p", 1, 1, 1)))
     hear(regions, 11 * S, "a", said())
     later = {each.region: each for each in regions.told(14 * S + 1, Asker("p", 1, 1, 1))}
-    assert later["south"].lost and not later["north"].lost
+    assert later["south"].lost
+    assert not later["north"].lost
     assert all(each.lost for each in regions.told(16 * S, Asker("p", 1, 1, 1)))
     hear(regions, 20 * S, "a", said())
     back = regions.told(22 * S, Asker("p", 1, 1, 1))[0]
@@ -61,7 +63,8 @@
     side = RegionsSide(lambda now: said("south"))
     side.take(9 * S, 7 * S, regions.told(2 * S, Asker("p", 1, 1, 1)))  # by a clock of its own
     assert side.news(9 * S)["north"].age_us == 3 * S, "1 s there, 2 s since it asked"
-    assert "north" in side.news(7 * S + OLD_US - S) and "north" not in side.news(7 * S + OLD_US)
+    assert "north" in side.news(7 * S + OLD_US - S)
+    assert "north" not in side.news(7 * S + OLD_US)
     assert side.say(0) == said("south")
     side.take(10 * S, 10 * S, None)
     assert "north" in side.news(10 * S), "a leader that tells nothing takes nothing back"
--- a/tests/decide/replication/test_replication.py
+++ b/tests/decide/replication/test_replication.py
@@ -11,10 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from wingbarrow.decide.replication.primary import Custody
 from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.replication.replicated_job import Job, Tokens
+from wingbarrow.decide.replication.primary import Custody
+from wingbarrow.decide.replication.records import Bounds, choose, phase_of
 from wingbarrow.decide.replication.replica import Keeping, unclaimed
+from wingbarrow.decide.replication.replicated_job import Job, Tokens
 from wingbarrow.decide.sessions.messages import (
     Ended,
     Keep,
@@ -25,7 +26,6 @@
     Session,
     Settle,
 )
-from wingbarrow.decide.replication.records import Bounds, choose, phase_of
 
 S = 1_000_000
 ALLOWED = ("north", "south", "west")
@@ -97,7 +97,8 @@
 ) -> None:
     regions = {"north": ("a", "n"), "south": ("b", "d"), "west": ("c", "e"), "east": ("f",)}
     chosen = choose(uid, "north", ALLOWED, regions, copies)
-    assert len(chosen) == len(set(chosen)) == copies and set(chosen) <= set("bcde")
+    assert len(chosen) == len(set(chosen)) == copies
+    assert set(chosen) <= set("bcde")
     if copies >= 2:
         assert {WHERE[name] for name in chosen[:2]} == {"south", "west"}
     after = choose(uid, "north", ALLOWED, regions, copies, (gone,))
@@ -119,7 +120,8 @@
     made: Custody, job: Record, why: str
 ) -> None:
     token, effects = made.hold(0, job, ALLOWED, 1, S)
-    assert kept(effects) == {token: (False, why)} and not made.jobs
+    assert kept(effects) == {token: (False, why)}
+    assert not made.jobs
 
 
 def test_a_token_is_settled_once_and_at_its_deadline_at_the_latest() -> None:
@@ -129,8 +131,10 @@
     second, _ = made.answered(3_000, "u", "placed", 503_000)
     assert not kept(exchange(made, keepers, 10_000, "bcde"))
     told = exchange(made, keepers, 503_000, "bcde")
-    assert set(kept(told)) == {second} and not kept(told)[second][0]
-    assert not kept(exchange(made, keepers, 900_000)) and not kept(made.on_timer(2 * S))
+    assert set(kept(told)) == {second}
+    assert not kept(told)[second][0]
+    assert not kept(exchange(made, keepers, 900_000))
+    assert not kept(made.on_timer(2 * S))
     third, effects = made.answered(2 * S, "v", "placed", 3 * S)
     assert kept(effects) == {third: (False, "not held")}
 
@@ -148,11 +152,9 @@
     assert kept(told) == {token: (False, "session over")}
     assert [each.what for each in told if isinstance(each, Tell)] == ["kept", "session-over"]
     late, effects = made.hold(2 * S, record("v"), ALLOWED, 1, 3 * S)
-    assert (
-        kept(effects) == {late: (False, "session over")}
-        and not made.jobs
-        and set(made.former) == {"u"}
-    )
+    assert kept(effects) == {late: (False, "session over")}
+    assert not made.jobs
+    assert set(made.former) == {"u"}
     assert not made.buried(2 * S, ME, 1)
     made.begin(3 * S, Session("a", 1, 1))
     token, _ = made.hold(3 * S, record("w"), ALLOWED, 1, 4 * S)
@@ -213,17 +215,23 @@
     ) -> KeepAnswer:
         records = tuple(record(uid, session=session) for uid in uids)
         (answer,) = keeper.on_keep(0, sender, Keep(number, session, records, life=1, **more))
-        assert isinstance(answer, Send) and isinstance(answer.message, KeepAnswer)
+        assert isinstance(answer, Send)
+        assert isinstance(answer.message, KeepAnswer)
         return answer.message
 
-    assert say(1, "u", "v").good and keeper.kept() == (Kept(ME, 2, 5 * S),)
+    assert say(1, "u", "v").good
+    assert keeper.kept() == (Kept(ME, 2, 5 * S),)
     refused = say(2, "w", "x")
-    assert not refused.good and "no room" in refused.why and set(keeper.entries) == {"u", "v"}
-    assert say(3, "w", gone=("u",)).good and set(keeper.entries) == {"v", "w"}
+    assert not refused.good
+    assert "no room" in refused.why
+    assert set(keeper.entries) == {"u", "v"}
+    assert say(3, "w", gone=("u",)).good
+    assert set(keeper.entries) == {"v", "w"}
     assert not keeper.on_keep(0, "a", Keep(2, ME, (record("u"),), life=1)), (
         "late mail is not answered, nor taken"
     )
-    assert not say(4, "w", sender="b").good and not say(4, "w", serial=1).good
+    assert not say(4, "w", sender="b").good
+    assert not say(4, "w", serial=1).good
     assert (
         say(5, "w", session=Session("a", 2, 0)).taken == (("w", 0, "a"),) or "w" in keeper.entries
     )
@@ -239,17 +247,20 @@
     end = Ended(1, ME, "north", (("c",),))
     assert not keepers["b"].ended(0, end)
     (taking,) = keepers["c"].ended(S, end)
-    assert (
-        taking.must == ("b",) and taking.record.born_age_us == S and not keepers["c"].ended(S, end)
-    )
+    assert taking.must == ("b",)
+    assert taking.record.born_age_us == S
+    assert not keepers["c"].ended(S, end)
     assert keepers["b"].others() == {"c": ["u"]}
     keepers["b"].own_end(Session("b", 1, 1), ())
     gone = Ended(1, ME, "north", (("c",), ("b",)), ("c",))
-    assert not keepers["b"].ended(S, gone) and "u" in keepers["b"].others()[""]
+    assert not keepers["b"].ended(S, gone)
+    assert "u" in keepers["b"].others()[""]
     late = keepers["b"].take(S, "u")
-    assert late is not None and phase_of(late.record, 0).phase == "doubt"
+    assert late is not None
+    assert phase_of(late.record, 0).phase == "doubt"
     (answer,) = keepers["c"].settle("b", Settle(1, ME, ("u", "x")), {"x": (4, "run")})
-    assert isinstance(answer, Send) and answer.message.fates == (
+    assert isinstance(answer, Send)
+    assert answer.message.fates == (
         ("u", 1, "waiting"),
         ("x", 4, "run"),
     )
@@ -266,7 +277,8 @@
         rival = Session("b", 1, 0)
         claim = Keep(1, rival, (replace(record("u", session=rival), epoch=2, version=2),), life=1)
         *told, answer = keeper.on_keep(0, "b", claim)
-        assert isinstance(answer, Send) and (not answer.message.taken) is stands
+        assert isinstance(answer, Send)
+        assert (not answer.message.taken) is stands
         assert [each.what for each in told if isinstance(each, Tell)] == (
             ["superseded"] if stands else []
         )
--- a/tests/decide/rulesets/test_canary.py
+++ b/tests/decide/rulesets/test_canary.py
@@ -27,7 +27,8 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_bad_change_is_taken_back_soon_and_a_good_one_kept(seed: int) -> None:
     advice, number = played(0.02, 0.4, seed)
-    assert advice is Advice.BACK and ANSWERS_LEAST - 1 <= number < 100
+    assert advice is Advice.BACK
+    assert ANSWERS_LEAST - 1 <= number < 100
     assert played(0.02, 0.02, seed)[0] is Advice.KEEP
     assert played(0.30, 0.05, seed)[0] is Advice.KEEP
 
@@ -40,5 +41,6 @@
 def test_few_answers_say_nothing_and_a_placer_that_began_anew_counts_from_nothing() -> None:
     trial = Trial(Count(100, 0), Count(1000, 10), 0.05, 60 * S)
     assert trial.judge(S, Count(1010, 20)) is Advice.WAIT
-    assert trial.judge(S, Count(50, 1)) is Advice.WAIT and trial.after == Count(50, 1)
+    assert trial.judge(S, Count(50, 1)) is Advice.WAIT
+    assert trial.after == Count(50, 1)
     assert trial.judge(S, Count(60, 40)) is Advice.BACK
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -85,15 +85,19 @@
     if r.allows(a, b) and r.allows(b, c):
         assert r.allows(a, c)
     if a == b:
-        assert a.digest == b.digest and not r.contradict(a, b) and not differences(a, b)
+        assert a.digest == b.digest
+        assert not r.contradict(a, b)
+        assert not differences(a, b)
     else:
-        assert a.digest != b.digest and differences(a, b)
+        assert a.digest != b.digest
+        assert differences(a, b)
 
 
 @given(SETS, SETS)
 def test_the_meet_allows_only_what_both_allow(a: r.RuleSet, b: r.RuleSet) -> None:
     met = r.meet(a, b)
-    assert r.allows(met, a) and r.allows(met, b)
+    assert r.allows(met, a)
+    assert r.allows(met, b)
     assert r.meet(b, a) == met
     if r.allows(a, b):
         assert r.allows(met, a) and r.allows(a, met), (
@@ -115,7 +119,8 @@
 
 @given(SETS)
 def test_the_text_is_read_back(a: r.RuleSet) -> None:
-    assert r.read(a.text()) == a and not r.check(a)
+    assert r.read(a.text()) == a
+    assert not r.check(a)
 
 
 def test_the_cases_of_the_issue() -> None:
@@ -124,23 +129,24 @@
     assert r.contradict(three, four), "one share grows while others shrink"
     assert dict(r.meet(three, four).cold_shares) == {"a": 5, "b": 5, "c": 5}
     tight = replace(ONE, classes=(r.ClassRules("web", "safe", "cell", 2),))
-    assert r.allows(tight, ONE) and not r.allows(ONE, tight) and not r.contradict(tight, ONE)
+    assert r.allows(tight, ONE)
+    assert not r.allows(ONE, tight)
+    assert not r.contradict(tight, ONE)
     assert r.meet(tight, ONE) == tight
     barred = replace(ONE, barred=("n1",))
-    assert r.allows(barred, ONE) and differences(ONE, barred) == ["barred: n1"]
+    assert r.allows(barred, ONE)
+    assert differences(ONE, barred) == ["barred: n1"]
 
 
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
 def test_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
     cut = dict(r.shares(offers, tuple(names)))
-    assert (
-        sum(cut.values()) == offers
-        and max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
-    )
+    assert sum(cut.values()) == offers
+    assert max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    ("change", "words"),
     [
         ({"classes": []}, "classes"),
         ({"classes": [{"name": "x"}]}, "no rule set"),
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -11,11 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.sessions import reissue
-from wingbarrow.decide.replication.replicator import Custodian
 from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.sessions.machine_queries import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
 from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.sessions import reissue
+from wingbarrow.decide.sessions.failover import CLAIM_US, Takeover
+from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.sessions.machine_queries import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
 from wingbarrow.decide.sessions.messages import (
     PHASES,
     AskMachine,
@@ -24,7 +26,6 @@
     Record,
     Session,
 )
-from wingbarrow.decide.sessions.failover_pace import Pace
 from wingbarrow.decide.sessions.reissue import (
     EVERY,
     SAYS,
@@ -37,7 +38,6 @@
     said_of,
     settle,
 )
-from wingbarrow.decide.sessions.failover import CLAIM_US, Takeover
 from wingbarrow.lab.fleet.custodians import Custodians, stated_us
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
 
@@ -75,9 +75,8 @@
     assert not astray(TABLE)
     assert {id(decide(*each)) for each in ALL} == {id(row) for row in TABLE}
     docs = (Path(__file__).parents[3] / "docs" / "reissue.md").read_text()
-    assert all(row.why for row in TABLE) and all(
-        table in docs for table in reissue.markdown().strip().split("\n\n")
-    )
+    assert all(row.why for row in TABLE)
+    assert all(table in docs for table in reissue.markdown().strip().split("\n\n"))
 
 
 def test_each_row_is_needed_and_each_wrong_verdict_is_found() -> None:
@@ -95,11 +94,11 @@
     says = MachineSays(1, "m", "u", True, holds, told_us - boot_us)
     word = said_of(says, told_us + late_us - left_us)
     if word == "clear":
-        assert boot_us < left_us and not holds
+        assert boot_us < left_us
+        assert not holds
     assert (word == "holds") is holds
-    assert (
-        said_of(replace(says, reached=False), 0) == "unreachable" and said_of(None, 0) == "unasked"
-    )
+    assert said_of(replace(says, reached=False), 0) == "unreachable"
+    assert said_of(None, 0) == "unasked"
 
 
 @given(
@@ -117,9 +116,8 @@
         assert (mine, theirs).count(Verdict.RUN) <= 1 + (effect == "unsafe" and a.runs and b.runs)
     if effect == "unsafe":
         assert Verdict.STOP not in (mine, theirs)
-        assert not (a.runs and mine is not Verdict.RUN) and not (
-            b.runs and not a.runs and theirs is Verdict.WAIT
-        )
+        assert not (a.runs and mine is not Verdict.RUN)
+        assert not (b.runs and not a.runs and theirs is Verdict.WAIT)
 
 
 def job(
@@ -191,10 +189,13 @@
         out = made.on_timer(S + tries * ASK_US)
         sent |= {each.ident for each in out if isinstance(each, Send)}
         told += verdicts(out)
-    assert sent == {"n1", "n2"} and told == ["unknown"]
+    assert sent == {"n1", "n2"}
+    assert told == ["unknown"]
     late = MachineSays(number, "m", "u", True, False, 3600 * S)
-    assert verdicts(made.on_message(20 * S, late)) == ["run"] and list(made.ready) == ["u"]
-    assert not made.on_message(21 * S, late) and made.give("u").indexes == (0,)
+    assert verdicts(made.on_message(20 * S, late)) == ["run"]
+    assert list(made.ready) == ["u"]
+    assert not made.on_message(21 * S, late)
+    assert made.give("u").indexes == (0,)
     assert not verdicts(made.on_message(22 * S, replace(late, holds=True)))
 
 
@@ -215,7 +216,8 @@
     assert not made.on_message(2 * S, replace(says, number=number + 1))
     assert verdicts(made.on_message(2 * S, replace(says, number=number))) == [verdict]
     if verdict == "unknown":
-        assert verdicts(made.operator(3 * S, "u")) == ["run"] and not made.operator(4 * S, "u")
+        assert verdicts(made.operator(3 * S, "u")) == ["run"]
+        assert not made.operator(4 * S, "u")
 
 
 def test_another_keepers_better_knowledge_counts_before_anything_starts() -> None:
@@ -223,7 +225,8 @@
     made.add(0, [taking(job("u", known=None))])
     assert not made.ready
     made.later(S, job("u", known=replace(ABOUT, phase="placed")))
-    assert verdicts(made.claimed(S, "u")) == ["unknown"] and not made.ready
+    assert verdicts(made.claimed(S, "u")) == ["unknown"]
+    assert not made.ready
 
 
 def test_without_a_placer_of_the_lost_region_an_attempt_is_unknown_until_one_is_back() -> None:
@@ -231,13 +234,15 @@
     assert verdicts(made.add(0, [taking(job("u", known=ABOUT))])) == ["unknown"]
     made.claimed(S, "u")
     back = made.places(AGAIN_US, ("n1",))
-    assert verdicts(back) == ["asked"] and len(asks(made.on_timer(AGAIN_US)) + asks(back)) >= 1
+    assert verdicts(back) == ["asked"]
+    assert len(asks(made.on_timer(AGAIN_US)) + asks(back)) >= 1
 
 
 def test_a_key_waits_for_its_window_and_a_safe_job_for_nobody() -> None:
     made, first = begun(None, "keyed")
     assert verdicts(first) == ["waiting"]
-    assert not verdicts(made.on_timer(3 * S)) and verdicts(made.on_timer(4 * S)) == ["run"]
+    assert not verdicts(made.on_timer(3 * S))
+    assert verdicts(made.on_timer(4 * S)) == ["run"]
     made = Takeover(GONE, 7)
     assert not verdicts(made.add(0, [taking(job("u", "safe"))]))
     assert verdicts(made.on_timer(CLAIM_US)) == ["run"]
@@ -265,11 +270,13 @@
     now = CLAIM_US
     while len(got) < 6:
         starts, _ = made.next(now, 4.0, 4.0)
-        assert len(starts) <= 2 and not made.next(now, 4.0, 4.0)[0]
+        assert len(starts) <= 2
+        assert not made.next(now, 4.0, 4.0)[0]
         got += [each.record.uid for each in starts]
         now += S
     assert got == ["u5", "u2", "u4", "u1", "u3", "u0"]
-    assert not made.next(now, 4.0, 4.0)[0] and not made.next(now, 9.0, 9.0, lambda record: False)[0]
+    assert not made.next(now, 4.0, 4.0)[0]
+    assert not made.next(now, 9.0, 9.0, lambda record: False)[0]
     assert [each.record.uid for each in made.next(now, 9.0, 9.0)[0]] == ["wide"]
 
 
@@ -279,16 +286,22 @@
 ) -> None:
     world = loss_of_a_region(seed, loss=0.02 * (seed % 2), copies=1 + seed % 2)
     verdict = judged(world)
-    assert not verdict.breaches and not lost_runs(world) and not forgotten(world)
-    assert verdict.reissued > 3 and 0 < verdict.longest_us <= stated_us(60)
+    assert not verdict.breaches
+    assert not lost_runs(world)
+    assert not forgotten(world)
+    assert verdict.reissued > 3
+    assert 0 < verdict.longest_us <= stated_us(60)
 
 
 @pytest.mark.parametrize("seed", range(14))
 def test_no_trouble_starts_anything_twice_or_loses_what_somebody_knows(seed: int) -> None:
     world = trouble(seed, copies=1 + seed % 2)
     verdict = judged(world)
-    assert not verdict.breaches and not lost_runs(world) and not forgotten(world)
-    assert verdict.accepted > 5 and verdict.starts > 5
+    assert not verdict.breaches
+    assert not lost_runs(world)
+    assert not forgotten(world)
+    assert verdict.accepted > 5
+    assert verdict.starts > 5
 
 
 class Careless(Custodians):
@@ -337,4 +350,6 @@
 @given(st.integers(1000, 10**6), st.integers(1, 2))
 def test_generated_trouble(seed: int, copies: int) -> None:
     world = trouble(seed, moments=12, copies=copies)
-    assert not judged(world).breaches and not lost_runs(world) and not forgotten(world)
+    assert not judged(world).breaches
+    assert not lost_runs(world)
+    assert not forgotten(world)
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -9,6 +9,8 @@
 
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     Kept,
@@ -17,8 +19,6 @@
     right_us,
     successor,
 )
-from wingbarrow.decide.quotas.escrow import Asker
-from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.session_log import (
     ENDED_CHARS,
     ENDED_KEPT,
@@ -105,22 +105,20 @@
     desk = Desk()
     lost, _ = desk.join("a"), desk.join("b")
     desk.keep("b", lost.session)
-    assert (
-        lost.session == Session("a", 1, 1)
-        and lost.may_send(desk.now)
-        and lost.runs_until_us == LEASE
-    )
+    assert lost.session == Session("a", 1, 1)
+    assert lost.may_send(desk.now)
+    assert lost.runs_until_us == LEASE
     session, last = lost.session, desk.now
     desk.wait(right_us(LEASE), "b")
-    assert not lost.may_send(desk.now) and lost.may_send(desk.now - 1)
+    assert not lost.may_send(desk.now)
+    assert lost.may_send(desk.now - 1)
     desk.wait(last + AFTER - desk.now, "b")
     assert not desk.over(session)
     desk.wait(last + ended_within_us(LEASE, AFTER) - desk.now, "b")
     ended = desk.sessions.log.ended[session]
     assert (ended.epoch, ended.batches, ended.region) == (1, (("b",),), "of a")
-    assert (
-        desk.leases["b"].ended[session].batches[0] == ("b",) and successor(ended, ("c", "b")) == "b"
-    )
+    assert desk.leases["b"].ended[session].batches[0] == ("b",)
+    assert successor(ended, ("c", "b")) == "b"
 
 
 def test_after_shorter_than_the_lease_does_not_shorten_the_reckoning() -> None:
@@ -144,7 +142,8 @@
     assert desk.sessions.log.ended[session].batches == ()
     desk.keep("b", session)
     desk.wait(2 * SECOND, "b")
-    assert late.ended[session].batches == (("b",),) and late.ended[session].changed == 2
+    assert late.ended[session].batches == (("b",),)
+    assert late.ended[session].changed == 2
 
 
 def test_who_comes_back_before_the_end_goes_on_and_after_it_begins_anew_with_all_ends_heard() -> (
@@ -156,14 +155,17 @@
     first = lost.session
     desk.wait(AFTER - SECOND, "b")
     desk.ask("a")
-    assert lost.session == first and lost.may_send(desk.now)
+    assert lost.session == first
+    assert lost.may_send(desk.now)
     desk.wait(AFTER + 5 * SECOND, "b")
     assert desk.over(first) and lost.session == first, "it does not know yet"
     desk.told.clear()
     desk.ask("a")
-    assert lost.session is None and not lost.may_send(desk.now)
+    assert lost.session is None
+    assert not lost.may_send(desk.now)
     desk.ask("a")
-    assert lost.session == Session("a", 1, 2) and lost.may_send(desk.now)
+    assert lost.session == Session("a", 1, 2)
+    assert lost.may_send(desk.now)
     # Its first session lapsed in silence, so that the last that was told of it was that it is open.
     assert [(each.what, each.fields.get("open")) for name, each in desk.told if name == "a"] == [
         ("session", False),
@@ -178,7 +180,8 @@
     desk.keep("b", lost.session)
     desk.undecided = []
     desk.wait(AFTER + 2 * SECOND, "b")
-    assert [each.kind for each in desk.undecided] == ["ended"] and not desk.over(lost.session)
+    assert [each.kind for each in desk.undecided] == ["ended"]
+    assert not desk.over(lost.session)
     desk.ask("a")
     assert not lost.may_send(desk.now)
     desk.sessions.apply(desk.undecided[0].kind, desk.undecided[0].value)
@@ -195,18 +198,22 @@
     desk.lives["a"], twin = 2, Lease("a", "of a")
     desk.ask("a", lease=twin)
     desk.ask("a", lease=twin)
-    assert twin.session == Session("a", 2, 1) and twin.may_send(desk.now)
+    assert twin.session == Session("a", 2, 1)
+    assert twin.may_send(desk.now)
     begun = desk.now
     while desk.now < begun + RECKONED:
         desk.now += SECOND // 2
         desk.ask("a", lease=twin)
         desk.ask("a", lease=old, life=1)
     desk.wait(2 * SECOND)
-    assert desk.over(Session("a", 1, 1)) and not old.may_send(desk.now) and twin.may_send(desk.now)
+    assert desk.over(Session("a", 1, 1))
+    assert not old.may_send(desk.now)
+    assert twin.may_send(desk.now)
     desk.ask("a", lease=old, life=1)
     desk.wait(SECOND)
     desk.ask("a", lease=old, life=1)
-    assert old.session is None and list(desk.sessions.log.open) == [Session("a", 2, 1)]
+    assert old.session is None
+    assert list(desk.sessions.log.open) == [Session("a", 2, 1)]
 
 
 def test_a_wall_clock_set_back_between_two_lives_costs_a_session_until_the_former_one_is_silent_and_no_longer() -> (
@@ -219,7 +226,8 @@
     desk.wait(RECKONED - SECOND, "a")
     assert later.session is None
     desk.wait(3 * SECOND, "a")
-    assert later.session == Session("a", 9_001, 1) and later.may_send(desk.now)
+    assert later.session == Session("a", 9_001, 1)
+    assert later.may_send(desk.now)
 
 
 def test_one_that_is_heard_and_does_not_hear_ends_and_one_that_hears_again_goes_on() -> None:
@@ -237,7 +245,8 @@
     deaf = desk.join("a")
     desk.wait(3 * LEASE, "a", lose=("a",))
     desk.wait(SECOND, "a")
-    assert deaf.session == Session("a", 1, 1) and deaf.may_send(desk.now)
+    assert deaf.session == Session("a", 1, 1)
+    assert deaf.may_send(desk.now)
 
 
 def test_a_new_leader_reckons_with_all_that_is_open_from_its_election() -> None:
@@ -248,7 +257,8 @@
     desk.sessions.elected(desk.now, True)
     begun = desk.now
     desk.wait(RECKONED - 1, "b")
-    assert not desk.over(lost.session) and desk.now == begun + RECKONED - 1
+    assert not desk.over(lost.session)
+    assert desk.now == begun + RECKONED - 1
     desk.wait(LEASE // 8 + SECOND, "b")
     assert desk.over(lost.session)
 
@@ -261,7 +271,8 @@
     desk.decide()
     assert not desk.sessions.log.ended
     desk.wait(LEASE, "a", "b")
-    assert not desk.sessions.log.ended and desk.leases["a"].session == Session("a", 1, 1)
+    assert not desk.sessions.log.ended
+    assert desk.leases["a"].session == Session("a", 1, 1)
 
 
 def test_successors_that_are_lost_themselves_are_gone_and_may_join_again_behind_the_others() -> (
@@ -284,9 +295,9 @@
     )
     desk.wait(2 * SECOND, "b", "c", "d")  # back, under a new session, and still a keeper
     again = desk.sessions.log.ended[session]
-    assert (
-        again.batches == (("c",), ("b",)) and not again.gone and successor(again, ("b", "c")) == "c"
-    )
+    assert again.batches == (("c",), ("b",))
+    assert not again.gone
+    assert successor(again, ("b", "c")) == "c"
     desk.wait(lone_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
     assert successor(desk.sessions.log.ended[session], ("b", "c")) == "b"
 
@@ -298,9 +309,11 @@
     late = Lease("a", "r")
     desk.leases["a"], desk.lives["a"] = late, 1
     desk.ask("a")
-    assert late.heard == ENDED_MOST and late.session is None
+    assert late.heard == ENDED_MOST
+    assert late.session is None
     desk.ask("a")
-    assert late.heard == ENDED_MOST + 10 == len(late.ended) and late.session is not None
+    assert late.heard == ENDED_MOST + 10 == len(late.ended)
+    assert late.session is not None
 
 
 def test_what_is_forgotten_is_over_all_the_same() -> None:
@@ -311,10 +324,12 @@
     desk.sessions.apply("ended", {"session": session.text(), "successors": []})
     for number in range(ENDED_KEPT):
         _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
-    assert len(desk.sessions.log.ended) == ENDED_KEPT and session not in desk.sessions.log.ended
+    assert len(desk.sessions.log.ended) == ENDED_KEPT
+    assert session not in desk.sessions.log.ended
     for _ in range(8):
         desk.ask("a")
-    assert lost.session == Session("a", 1, 2) and lost.may_send(desk.now)
+    assert lost.session == Session("a", 1, 2)
+    assert lost.may_send(desk.now)
     assert [each.fields["session"] for _, each in desk.told if each.what == "session-ended"].count(
         session.text()
     ) == 1
@@ -346,15 +361,17 @@
                 "successors": [other.text()],
             },
         )
-        assert not log.open.keys() & seen and log.epoch >= before
+        assert not log.open.keys() & seen
+        assert log.epoch >= before
         seen |= log.ended.keys()
         assert max(log.lives(name) for name in "abcde") <= LIVES_MOST
         for ended in log.ended.values():
             joined = [name for batch in ended.batches for name in batch]
-            assert len(joined) == len(set(joined)) and set(ended.gone) <= set(joined) == set(
-                log.by[ended.session]
-            )
-    assert log.ended and from_text(log.text()) == log and from_text("") == SessionLog()
+            assert len(joined) == len(set(joined))
+            assert set(ended.gone) <= set(joined) == set(log.by[ended.session])
+    assert log.ended
+    assert from_text(log.text()) == log
+    assert from_text("") == SessionLog()
 
 
 def test_what_is_kept_of_ends_has_a_bound_by_count_and_by_length() -> None:
@@ -372,15 +389,13 @@
         log.apply(
             "ended", {"session": lost.text(), "successors": [each.text() for each in keepers]}
         )
-    assert (
-        1 < len(log.ended) < 20
-        and len(log.text()) < 2 * ENDED_CHARS
-        and Session("x19", 1, 1) in log.ended
-    )
+    assert 1 < len(log.ended) < 20
+    assert len(log.text()) < 2 * ENDED_CHARS
+    assert Session("x19", 1, 1) in log.ended
 
 
 @pytest.mark.parametrize(
-    "kind, value",
+    ("kind", "value"),
     [
         ("opened", {}),
         ("opened", {"session": "x", "process": 1, "region": "", "lease_us": 1}),
@@ -404,14 +419,15 @@
     desk = Desk()
     for life in range(1, 4 * LIVES_MOST):
         desk.join("a", life)
-    assert (
-        desk.sessions.log.lives("a") == LIVES_MOST
-        and desk.sessions.counts["sessions: no room for another"]
-    )
+    assert desk.sessions.log.lives("a") == LIVES_MOST
+    assert desk.sessions.counts["sessions: no room for another"]
     desk.wait(RECKONED + 3 * SECOND, "a")
-    assert desk.leases["a"].may_send(desk.now) and desk.sessions.log.lives("a") == 1
+    assert desk.leases["a"].may_send(desk.now)
+    assert desk.sessions.log.lives("a") == 1
 
 
 def test_one_that_stands_in_no_region_has_no_session() -> None:
     lease = Lease("a", "")
-    assert lease.say(5) is None and lease.take(5, 5, None) == [] and not lease.may_send(5)
+    assert lease.say(5) is None
+    assert lease.take(5, 5, None) == []
+    assert not lease.may_send(5)
--- a/tests/decide/test_decide.py
+++ b/tests/decide/test_decide.py
@@ -10,15 +10,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide import retries as again
 from wingbarrow.decide import orphans as strays
+from wingbarrow.decide import retries as again
 from wingbarrow.decide.admission import Admission
-from wingbarrow.decide.retries import End
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.listing import NEW_SOURCE_US, ListJudge, Take
 from wingbarrow.decide.idempotency import Earlier, may_repeat
+from wingbarrow.decide.listing import NEW_SOURCE_US, ListJudge, Take
 from wingbarrow.decide.orphans import Sight, Stray
+from wingbarrow.decide.retries import End
 from wingbarrow.interface import Effect, ListedMachine, Phase, Place, TaskClass
 
 S = 1_000_000
@@ -97,7 +97,8 @@
             if GATE.check(at, Offer(now, 1 << 50, True, True, True, 1)) is None or at > 18 * S:
                 sent.append(at)
     cold = sorted(at for at in sent if at < 18 * S)
-    assert cold and all(len([b for b in cold if a <= b < a + 2 * S]) <= budget for a in cold)
+    assert cold
+    assert all(len([b for b in cold if a <= b < a + 2 * S]) <= budget for a in cold)
 
 
 def sights() -> list[Sight]:
@@ -113,7 +114,9 @@
         if sight.known and not sight.wanted:
             assert verdict is Stray.STOP
         if verdict is Stray.PLACE:
-            assert sight.pending and not sight.attempt_out and not sight.running_elsewhere
+            assert sight.pending
+            assert not sight.attempt_out
+            assert not sight.running_elsewhere
         if not sight.known:
             assert verdict is Stray.ADOPT
 
@@ -141,35 +144,44 @@
 )
 def test_waits_grow_with_losses_and_stay_bounded(end: End, losses: int, seed: int) -> None:
     verdict = again.judge(end, Effect.SAFE, 1, losses, random.Random(seed))
-    assert verdict.counts and verdict.after_us is not None
+    assert verdict.counts
+    assert verdict.after_us is not None
     assert 100_000 <= verdict.after_us <= again.EVICTED_US << again.DOUBLINGS
     assert again.judge(end, Effect.SAFE, 0, losses, random.Random(seed)).after_us is None
 
 
 def test_a_move_costs_no_restart_and_an_end_is_an_end() -> None:
     moved = again.judge(End.MOVED, Effect.SAFE, 0, 9, random.Random(1))
-    assert moved.after_us == again.MOVED_US and not moved.counts
+    assert moved.after_us == again.MOVED_US
+    assert not moved.counts
     for end in (End.DONE, End.STOPPED):
         assert again.judge(end, Effect.SAFE, 9, 0, random.Random(1)).after_us is None
 
 
 def test_admission_counts_in_all_and_by_namespace_and_gives_room_back() -> None:
     admission = Admission(10, 6)
-    assert admission.check("a", 7) is not None and admission.check("a", 6) is None
+    assert admission.check("a", 7) is not None
+    assert admission.check("a", 6) is None
     admission.add("a", 6)
     full = admission.check("a", 1)
-    assert full is not None and full.most == 6 and full.retry_after_s >= 1
-    assert admission.check("b", 5) is not None and admission.check("b", 4) is None
+    assert full is not None
+    assert full.most == 6
+    assert full.retry_after_s >= 1
+    assert admission.check("b", 5) is not None
+    assert admission.check("b", 4) is None
     for _ in range(6):
         admission.remove("a")
-    assert admission.open == 0 and admission.check("a", 6) is None and not admission._namespaces
+    assert admission.open == 0
+    assert admission.check("a", 6) is None
+    assert not admission._namespaces
 
 
 @given(st.integers(), st.integers(1, 60))
 def test_pauses_double_and_stay_bounded(seed: int, count: int) -> None:
     pause = Backoff(random.Random(seed), 100, 6400)
     waits = [pause.next_us() for _ in range(count)]
-    assert all(50 <= wait <= 6400 for wait in waits) and waits[0] <= 100
+    assert all(50 <= wait <= 6400 for wait in waits)
+    assert waits[0] <= 100
     assert all(wait >= 3200 for wait in waits[7:])
     pause.clear()
     assert pause.next_us() <= 100
@@ -177,12 +189,15 @@
 
 def test_an_older_list_is_kept_out_until_it_is_all_there_is() -> None:
     judge = ListJudge()
-    assert judge.judge_list(100, 0) is Take.TAKE and judge.judge_entry("a", 90)
-    assert not judge.judge_entry("a", 80) and judge.judge_entry("a", 120)
+    assert judge.judge_list(100, 0) is Take.TAKE
+    assert judge.judge_entry("a", 90)
+    assert not judge.judge_entry("a", 80)
+    assert judge.judge_entry("a", 120)
     assert judge.judge_list(110, S) is Take.TOO_OLD  # an entry of 120 was seen
     assert judge.judge_list(110, S + NEW_SOURCE_US - 1) is Take.TOO_OLD
     assert judge.judge_list(5, S + NEW_SOURCE_US) is Take.NEW_SOURCE
-    assert judge.judge_entry("a", 5) and judge.judge_list(6, 2 * NEW_SOURCE_US) is Take.TAKE
+    assert judge.judge_entry("a", 5)
+    assert judge.judge_list(6, 2 * NEW_SOURCE_US) is Take.TAKE
 
 
 def test_a_newer_list_between_clears_the_wait_for_a_new_source() -> None:
--- a/tests/decide/test_descriptors.py
+++ b/tests/decide/test_descriptors.py
@@ -21,7 +21,8 @@
 def test_owners_machines_and_what_is_kept_fit_the_table(limit: int) -> None:
     table = Table(limit)
     assert table.owners_most >= limit / 3 or limit < 256, "owners may hold a third of the limit"
-    assert table.most + KEPT == limit and table.owners_most <= table.most / 2
+    assert table.most + KEPT == limit
+    assert table.owners_most <= table.most / 2
     assert table.over(table.owners_most, table.most - table.owners_most) == 0
     assert table.over(table.owners_most, table.most - table.owners_most + 3) == 3
 
@@ -44,9 +45,8 @@
 
 def test_a_second_connection_to_a_machine_takes_none_of_the_last_eighth() -> None:
     table = Table(784)
-    assert table.may_add_extra(100, table.extras_most - 101) and not table.may_add_extra(
-        100, table.extras_most - 100
-    )
+    assert table.may_add_extra(100, table.extras_most - 101)
+    assert not table.may_add_extra(100, table.extras_most - 100)
     assert table.extras_most < table.most
 
 
@@ -59,4 +59,5 @@
     if gone is None:
         assert all(rank > worst for rank, _ in held)
     else:
-        assert gone.rank <= worst and (gone.rank, gone.used_us) == min(held)
+        assert gone.rank <= worst
+        assert (gone.rank, gone.used_us) == min(held)
--- a/tests/decide/test_drains.py
+++ b/tests/decide/test_drains.py
@@ -92,9 +92,8 @@
     assert fates["high", "n000"].fate is Fate.PLANNED
     assert "high" in fates["low", "n000"].reason
     assert fates["low", "n001"].fate is Fate.PLANNED
-    assert (
-        fates["low", "n002"].fate is Fate.REFUSED and "2 machine(s)" in fates["low", "n002"].reason
-    )
+    assert fates["low", "n002"].fate is Fate.REFUSED
+    assert "2 machine(s)" in fates["low", "n002"].reason
 
 
 def test_three_that_each_look_harmless_are_not_together() -> None:
@@ -109,7 +108,8 @@
 def test_a_window_for_all_machines_never_leaves_less_room_than_is_asked() -> None:
     found = plan([window("all")], FLEET, Rules((), fill=0.9))
     out = len(planned(found))
-    assert out == 6 and 0.9 * (12 - out) * 10.0 + 1e-9 >= 4.0 * 12
+    assert out == 6
+    assert 0.9 * (12 - out) * 10.0 + 1e-9 >= 4.0 * 12
     assert any("would not fit" in drain.reason for drain in found)
     full = [replace(each, asked=(9.5, 9.5)) for each in FLEET]
     assert not planned(plan([window("all")], full, Rules(())))
@@ -130,7 +130,8 @@
     found = plan(
         [window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules
     )
-    assert "christmas" in found[0].reason and found[1].fate is Fate.PLANNED
+    assert "christmas" in found[0].reason
+    assert found[1].fate is Fate.PLANNED
 
 
 def test_shares_round_as_a_disruption_budget_does() -> None:
@@ -240,14 +241,17 @@
 def test_a_drain_closes_for_long_tasks_first_then_for_all_then_is_out_and_open_again() -> None:
     held = drains()
     far = step(held, START - 2 * H)
-    assert far.closing == {"n001": START} and not far.closed
+    assert far.closing == {"n001": START}
+    assert not far.closed
     assert step(held, START - 61 * S).closing == {"n001": START}
     near = step(held, START - 60 * S)
-    assert near.closed == {"n001"} and not near.closing
+    assert near.closed == {"n001"}
+    assert not near.closing
     assert step(held, START - 59 * S).changed[0].phase is Phase.OUT
     assert step(held, START + H - 1).closed == {"n001"}
     over = step(held, START + H)
-    assert not over.closed and over.changed[0].phase is Phase.DONE
+    assert not over.closed
+    assert over.changed[0].phase is Phase.DONE
 
 
 def test_only_movable_tasks_that_would_outlive_the_start_are_moved_at_the_pace() -> None:
@@ -266,7 +270,8 @@
         turn = step(held, START + second * S, left)
         assert len(turn.moves) <= 2
         moved += turn.moves
-    assert sorted(moved) == [1, 4, 5] and moved[0] == 4
+    assert sorted(moved) == [1, 4, 5]
+    assert moved[0] == 4
 
 
 def test_placers_share_the_pace_without_doubling_it() -> None:
@@ -311,10 +316,8 @@
     back = drains(take_back=True)
     task = [Running(1, True, None)]
     step(back, START - 60 * S, task)
-    assert (
-        not step(back, START - 50 * S, task, frozenset("b")).closed
-        and phase(back) is Phase.GIVEN_UP
-    )
+    assert not step(back, START - 50 * S, task, frozenset("b")).closed
+    assert phase(back) is Phase.GIVEN_UP
     kept = drains(take_back=False)
     step(kept, START - 60 * S, task)
     assert step(kept, START - 50 * S, task, frozenset("b")).closed
@@ -329,9 +332,11 @@
     held = drains()
     assert not step(held, START - 60 * S, [Running(1, True, None)], room=False).closed
     turn = step(held, START, [Running(1, True, None)], room=False)
-    assert turn.closed and not turn.moves
+    assert turn.closed
+    assert not turn.moves
     step(held, START + H, [Running(1, True, None)], room=False)
-    assert phase(held) is Phase.GIVEN_UP and "still run" in held.held[DRAIN.key].reason
+    assert phase(held) is Phase.GIVEN_UP
+    assert "still run" in held.held[DRAIN.key].reason
 
 
 def test_a_clock_set_back_undoes_nothing_and_a_restart_goes_on() -> None:
@@ -341,7 +346,8 @@
     again = Drains(Policy(), 1)
     again.restore(held.held.values())
     again.take_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
-    assert step(again, START - 2 * H, task).closed and phase(again) is Phase.CLOSED
+    assert step(again, START - 2 * H, task).closed
+    assert phase(again) is Phase.CLOSED
     step(again, START - 2 * H, [])
     assert phase(again) is Phase.OUT
 
@@ -349,22 +355,19 @@
 def test_cancelled_is_cancelled_and_a_new_plan_does_not_bring_it_back() -> None:
     held = drains()
     step(held, START - 60 * S, [Running(1, True, None)])
-    assert (
-        held.cancel(DRAIN.key, START)
-        and not held.cancel(DRAIN.key, START)
-        and not held.cancel("none", START)
-    )
+    assert held.cancel(DRAIN.key, START)
+    assert not held.cancel(DRAIN.key, START)
+    assert not held.cancel("none", START)
     held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START)
-    assert phase(held) is Phase.GIVEN_UP and not step(held, START).closed
+    assert phase(held) is Phase.GIVEN_UP
+    assert not step(held, START).closed
 
 
 def test_an_offer_that_is_out_keeps_a_machine_from_counting_as_empty() -> None:
     held = drains()
     step(held, START - 60 * S, [Running(1, True, None, True)])
-    assert (
-        not step(held, START - 50 * S, [Running(1, True, None, True)]).moves
-        and phase(held) is Phase.CLOSED
-    )
+    assert not step(held, START - 50 * S, [Running(1, True, None, True)]).moves
+    assert phase(held) is Phase.CLOSED
     step(held, START - 40 * S, [])
     assert phase(held) is Phase.OUT
     assert step(held, START - 30 * S, [Running(1, True, None)]).moves == (1,), (
@@ -416,5 +419,6 @@
         + [("b", True, False)] * 2
         + [("b", False, False)] * 2
     )
-    assert failed_zones(here, 0.5) == {"b"} and failed_zones(here, 0.6) == NONE
+    assert failed_zones(here, 0.5) == {"b"}
+    assert failed_zones(here, 0.6) == NONE
     assert isinstance(Held(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), Held)
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -45,7 +45,8 @@
 
 def test_a_figure_fades_to_the_average_of_the_fleet() -> None:
     (found,) = weigh(replace(SIGHT, asked=(18.0, 36.0)), more=HALF_LIFE_US)
-    assert found.asked == pytest.approx((14.0, 28.0)) and found.asked_age_us == HALF_LIFE_US
+    assert found.asked == pytest.approx((14.0, 28.0))
+    assert found.asked_age_us == HALF_LIFE_US
     assert found.beyond == pytest.approx((0.5, 1.0))
     assert not found.warm_us and not found.rests_us, "what is over by now is not told"
 
@@ -69,13 +70,15 @@
 @pytest.mark.parametrize("age", [-1, -3600 * S, AGE_MOST_US + 1, 1 << 62])
 def test_an_implausible_age_makes_a_figure_useless_not_fresh(age: int) -> None:
     (found,) = weigh(replace(SIGHT, asked_age_us=age, measured_age_us=age))
-    assert found.asked is None and found.beyond is None
+    assert found.asked is None
+    assert found.beyond is None
 
 
 @pytest.mark.parametrize("bad", [(math.nan, 1.0), (math.inf, 1.0), (1e12, 1.0)])
 def test_figures_that_cannot_be_are_dropped(bad: tuple[float, float]) -> None:
     (found,) = weigh(replace(SIGHT, asked=bad, beyond=bad))
-    assert found.asked is None and found.beyond is None
+    assert found.asked is None
+    assert found.beyond is None
 
 
 def test_nothing_timed_is_believed_of_a_clock_that_jumped() -> None:
@@ -94,13 +97,14 @@
 
 def test_clocks_may_differ_but_not_jump() -> None:
     check = ClockCheck()
-    assert (
-        check.page(0, 3600 * S) and check.page(S, 3601 * S) and check.page(2 * S, 3602 * S + S // 2)
-    )
+    assert check.page(0, 3600 * S)
+    assert check.page(S, 3601 * S)
+    assert check.page(2 * S, 3602 * S + S // 2)
     assert not check.page(3 * S, 7200 * S)
     assert not check.page(4 * S, 3604 * S), "once it jumped it is not believed again"
     back = ClockCheck()
-    assert back.page(0, 100 * S) and not back.page(S, 90 * S)
+    assert back.page(0, 100 * S)
+    assert not back.page(S, 90 * S)
 
 
 def told(name: str, **more: object) -> Announcement:
@@ -137,7 +141,8 @@
     for version in (15, 19, 20):
         assert distrust.narrow("m", version, entry).phase is Phase.DRAINING
     assert distrust.narrow("m", 21, entry).phase is Phase.RUNNING
-    assert distrust.narrow("m", 21, entry).phase is Phase.RUNNING and len(distrust) == 0
+    assert distrust.narrow("m", 21, entry).phase is Phase.RUNNING
+    assert len(distrust) == 0
 
 
 def test_a_drain_that_the_list_has_outlived_is_no_news() -> None:
@@ -173,7 +178,8 @@
     ours = {f"m{i}": i for i in range(10)}
     same = [replace(SIGHT, machine=f"m{i}") for i in range(8)]
     others = [replace(SIGHT, machine=f"x{i}") for i in range(9)]
-    assert not learning.strangers(same, ours) and learning.strangers(others, ours)
+    assert not learning.strangers(same, ours)
+    assert learning.strangers(others, ours)
     assert not learning.strangers(others, {}), "without a list nothing is strange"
 
 
@@ -207,7 +213,9 @@
     value = old.scheduler.knowledge(old.now)
     assert {each.machine for each in value.machines} == {1, 2}
     one = next(each for each in value.machines if each.machine == 1)
-    assert one.asked is not None and one.asked_age_us is not None and one.asked_age_us >= 0
+    assert one.asked is not None
+    assert one.asked_age_us is not None
+    assert one.asked_age_us >= 0
     assert old.scheduler.knowledge(old.now) == value, "reading changes nothing"
 
 
--- a/tests/decide/test_liveness.py
+++ b/tests/decide/test_liveness.py
@@ -56,12 +56,10 @@
         elif verdict is Verdict.LOST:
             lost = now
             break
-    assert (
-        cut is not None
-        and cut <= LOOK_OFFER_US + 4 * RETRY_US
-        and lost is not None
-        and lost >= LOST_US
-    )
+    assert cut is not None
+    assert cut <= LOOK_OFFER_US + 4 * RETRY_US
+    assert lost is not None
+    assert lost >= LOST_US
     assert lost <= LOST_US + LOOK_US
 
 
@@ -72,15 +70,18 @@
         live.on_no_show(2_000_000, 1_750_000)
         assert live.doubtful
         getattr(live, clear)(2_100_000)
-        assert not live.doubtful and live.judge(2_200_000, True, True) is Verdict.FINE
+        assert not live.doubtful
+        assert live.judge(2_200_000, True, True) is Verdict.FINE
 
 
 def test_one_that_says_nothing_is_closed_in_time_and_a_usual_owner_much_later() -> None:
     crowd = Crowd(4)
     mute = Guest(0)
-    assert not crowd.is_idle(SILENT_US - 1, mute, 0) and crowd.is_idle(SILENT_US, mute, 0)
+    assert not crowd.is_idle(SILENT_US - 1, mute, 0)
+    assert crowd.is_idle(SILENT_US, mute, 0)
     usual = Guest(0, heard_us=0, proven=True)
-    assert not crowd.is_idle(IDLE_US - 1, usual, 0) and crowd.is_idle(IDLE_US, usual, 0)
+    assert not crowd.is_idle(IDLE_US - 1, usual, 0)
+    assert crowd.is_idle(IDLE_US, usual, 0)
     assert not crowd.is_idle(100 * IDLE_US, usual, 1)
 
 
@@ -99,6 +100,7 @@
     live = Liveness(0)
     assert not live.doubts(0)
     live.on_no_show(1_000_000, 750_000)
-    assert live.doubts(1_000_000 + RETRY_US - 1) and not live.doubts(1_000_000 + RETRY_US)
+    assert live.doubts(1_000_000 + RETRY_US - 1)
+    assert not live.doubts(1_000_000 + RETRY_US)
     live.on_came_up(1_100_000)
     assert not live.doubts(1_100_000)
--- a/tests/decide/test_overload.py
+++ b/tests/decide/test_overload.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.retries import was_answered
+from tests.conftest import task_class
 from wingbarrow.decide.overload import INTERVAL_US, TARGET_US, Door, TurnedAway, Why
 from wingbarrow.decide.restarts import WAIT_US, Rebirth
+from wingbarrow.decide.retries import was_answered
 from wingbarrow.interface import ListedMachine, Phase, Place
 from wingbarrow.transport.lag import Lag
-from tests.conftest import task_class
 
 S = 1_000_000
 
@@ -16,7 +16,8 @@
     door = Door(20_000)
     assert door.due_us(10 * S, 9 * S, 5 * S, 0) == 14 * S
     away = door.due_us(10 * S, 5 * S, 5 * S, 0)
-    assert isinstance(away, TurnedAway) and away.why is Why.OUT_OF_PATIENCE
+    assert isinstance(away, TurnedAway)
+    assert away.why is Why.OUT_OF_PATIENCE
     assert isinstance(door.due_us(10 * S, 10 * S - 100_000, 130_000, 0), TurnedAway), (
         "too little is left"
     )
@@ -45,9 +46,11 @@
 
 def test_a_placer_that_runs_late_with_much_owed_takes_in_no_more() -> None:
     door = Door(20_000)
-    assert door.on_wait(S, S, 140_000, 10_000) is None and door.on_wait(S, S, 900_000, 60) is None
+    assert door.on_wait(S, S, 140_000, 10_000) is None
+    assert door.on_wait(S, S, 900_000, 60) is None
     away = door.on_wait(S, S, 160_000, 65)
-    assert away is not None and away.why is Why.OVERLOADED
+    assert away is not None
+    assert away.why is Why.OVERLOADED
 
 
 def test_what_could_not_be_decided_in_time_at_the_present_pace_is_turned_away() -> None:
@@ -57,7 +60,8 @@
         answered += 25
         assert isinstance(door.due_us(now, now, 4 * S, 100_000, 150, answered), int)
     away = door.due_us(now, now, 4 * S, 100_000, 210, answered)
-    assert isinstance(away, TurnedAway) and away.why is Why.OVERLOADED
+    assert isinstance(away, TurnedAway)
+    assert away.why is Why.OVERLOADED
     assert isinstance(door.due_us(now, now, 20 * S, 100_000, 210, answered), int), "it has the time"
     assert isinstance(door.due_us(now, now, 4 * S, 0, 210, answered), int), (
         "waiting for room is no overload"
@@ -73,20 +77,21 @@
     assert lag.recent_us(0) == 0
     lag.note(S, 400_000)
     lag.note(S, 10_000)
-    assert (
-        lag.recent_us(S) == 400_000
-        and lag.recent_us(2 * S) == 200_000
-        and lag.recent_us(3 * S) == 100_000
-    )
+    assert lag.recent_us(S) == 400_000
+    assert lag.recent_us(2 * S) == 200_000
+    assert lag.recent_us(3 * S) == 100_000
     lag.note(4 * S, 60_000)
     assert lag.recent_us(4 * S) == 60_000
-    assert lag.recent_us(100 * S) == 0 and lag.worst_us == 400_000 and lag.times == 2
+    assert lag.recent_us(100 * S) == 0
+    assert lag.worst_us == 400_000
+    assert lag.times == 2
 
 
 def test_only_a_start_well_before_the_last_sign_of_life_was_surely_answered() -> None:
     assert was_answered(10 * S, 13 * S, 20 * S)
     assert not was_answered(10 * S, 12 * S, 20 * S)
-    assert not was_answered(None, 13 * S, 20 * S) and not was_answered(10 * S, None, 20 * S)
+    assert not was_answered(None, 13 * S, 20 * S)
+    assert not was_answered(10 * S, None, 20 * S)
     assert not was_answered(10 * S, 21 * S, 20 * S), "the clock went back: the stamp proves nothing"
 
 
@@ -100,11 +105,18 @@
     for name, each in (("a", a), ("b", b), ("c", c)):
         waits.saw(name, each, 0)
     waits.listed = True
-    assert waits.closed(a) and waits.closed(c) and not waits.over
-    assert waits.told("c") and not waits.closed(c) and waits.closed(a)
+    assert waits.closed(a)
+    assert waits.closed(c)
+    assert not waits.over
+    assert waits.told("c")
+    assert not waits.closed(c)
+    assert waits.closed(a)
     assert not waits.told("a") and waits.closed(a) and not waits.told("a"), "b has not told"
-    assert not waits.give_up(WAIT_US - 1) and waits.closed(b)
-    assert waits.give_up(WAIT_US) and not waits.closed(b) and waits.over
+    assert not waits.give_up(WAIT_US - 1)
+    assert waits.closed(b)
+    assert waits.give_up(WAIT_US)
+    assert not waits.closed(b)
+    assert waits.over
     waits.saw("d", machine(4, 1), S)
     assert not waits.closed(a), "what comes later holds nothing of a former life"
 
@@ -118,7 +130,9 @@
     )
     zone.saw("a", machine(1, 1), 0)
     zone.saw("b", machine(2, 2), 0)
-    assert not zone.told("a") and zone.closed(machine(1, 1))
+    assert not zone.told("a")
+    assert zone.closed(machine(1, 1))
     none = Rebirth((task_class("free"),))
     none.saw("a", machine(1, 1), 0)
-    assert none.over and not none.closed(machine(1, 1))
+    assert none.over
+    assert not none.closed(machine(1, 1))
--- a/tests/decide/test_slow_start.py
+++ b/tests/decide/test_slow_start.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.slow_start import Came, ColdShare
 from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.subsets import Subsets, SubsetRules
+from wingbarrow.decide.slow_start import Came, ColdShare
+from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
 FALL = 2 * S
@@ -37,10 +37,8 @@
     account.ended(9 * S, "m", "d", Came.ALONE)
     assert account.left(9 * S + SPAN, "m", 1, 3) == 0, "a broken connection says nothing of others"
     account.ended(9 * S, "m", "", Came.SPOKE)
-    assert (
-        account.left(9 * S + SPAN - 1, "m", 1, 3) == 0
-        and account.left(9 * S + SPAN, "m", 1, 3) == 3
-    )
+    assert account.left(9 * S + SPAN - 1, "m", 1, 3) == 0
+    assert account.left(9 * S + SPAN, "m", 1, 3) == 3
     account.sent("m", 1, 18 * S, "e")
     account.ended(12 * S, "m", "e", Came.UNKNOWN)
     assert account.left(13 * S, "m", 2, 3) == 2, (
@@ -53,19 +51,19 @@
     account = ColdShare(SPAN)
     account.sent("m", 1, 18 * S, "a")
     account.ended(0, "m", "a", Came.SPOKE)
-    assert (
-        account.left(0, "m", 1, 1) == 0
-        and account.left(0, "m", 1, 0) == 0
-        and account.left(0, "n", 1, 0) == 0
-    )
+    assert account.left(0, "m", 1, 1) == 0
+    assert account.left(0, "m", 1, 0) == 0
+    assert account.left(0, "n", 1, 0) == 0
 
 
 def test_a_full_table_lets_nothing_out_until_a_machine_is_no_longer_cold() -> None:
     account = ColdShare(SPAN, machines_most=2)
     account.sent("m", 1, 18 * S, "a")
     account.sent("n", 1, 5 * S, "b")
-    assert account.left(S, "o", 1, 3) == 0 and len(account) == 2
-    assert account.left(5 * S, "o", 1, 3) == 3 and len(account) == 1
+    assert account.left(S, "o", 1, 3) == 0
+    assert len(account) == 2
+    assert account.left(5 * S, "o", 1, 3) == 3
+    assert len(account) == 1
 
 
 def test_figures_out_of_range_are_refused() -> None:
--- a/tests/decide/test_subset_cold.py
+++ b/tests/decide/test_subset_cold.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "offers, spare_part, dealt",
+    ("offers", "spare_part", "dealt"),
     [
         (20.0, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
         (20.9, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
--- a/tests/decide/test_subset_view.py
+++ b/tests/decide/test_subset_view.py
@@ -31,18 +31,21 @@
 
 def test_at_the_start_everybody_lives() -> None:
     view = view_of()
-    assert view.living(0) == ALL and view.next_us() is None
+    assert view.living(0) == ALL
+    assert view.next_us() is None
 
 
 @pytest.mark.parametrize("nobody", [frozenset(), frozenset({"stranger"})])
 def test_where_nobody_is_known_everybody_lives(nobody: frozenset[str]) -> None:
     view = view_of()
     view.on_members(0, nobody)
-    assert view.next_us() is None and view.living(100 * S) == ALL
+    assert view.next_us() is None
+    assert view.living(100 * S) == ALL
     view.on_members(100 * S, ALL - {ROSTER[1]})
     assert view.living(110 * S) == ALL - {ROSTER[1]}
     view.on_members(120 * S, nobody)
-    assert view.next_us() == 112 * S and view.living(120 * S) == ALL
+    assert view.next_us() == 112 * S
+    assert view.living(120 * S) == ALL
 
 
 def test_one_that_is_dead_leaves_after_its_time_and_is_back_at_once() -> None:
@@ -50,16 +53,19 @@
     view.on_members(5 * S, ALL - {ROSTER[1]})
     assert view.next_us() == 15 * S
     assert view.living(15 * S - 1) == ALL
-    assert view.living(15 * S) == ALL - {ROSTER[1]} and view.next_us() is None
+    assert view.living(15 * S) == ALL - {ROSTER[1]}
+    assert view.next_us() is None
     view.on_members(60 * S, ALL)
-    assert view.living(60 * S) == ALL and view.next_us() is None
+    assert view.living(60 * S) == ALL
+    assert view.next_us() is None
 
 
 def test_news_that_repeats_itself_puts_nothing_off() -> None:
     view = view_of()
     for now_us in range(0, 10 * S, S):
         view.on_members(now_us, ALL - {ROSTER[1]})
-    assert view.next_us() == 10 * S and view.living(10 * S) == ALL - {ROSTER[1]}
+    assert view.next_us() == 10 * S
+    assert view.living(10 * S) == ALL - {ROSTER[1]}
 
 
 def test_a_flap_shorter_than_its_time_moves_nothing() -> None:
@@ -68,7 +74,8 @@
         view.on_members(now_us, ALL - {ROSTER[1]})
         assert view.living(now_us + 9 * S) == ALL
         view.on_members(now_us + 10 * S, ALL)  # told before the change that is due was made
-        assert view.living(now_us + 10 * S) == ALL and view.next_us() is None
+        assert view.living(now_us + 10 * S) == ALL
+        assert view.next_us() is None
 
 
 def test_changes_of_one_span_are_made_together() -> None:
@@ -89,7 +96,8 @@
 def test_the_first_change_waits_for_no_span() -> None:
     view = LivingView(ME, ROSTER, 0, SPAN_US)
     view.on_members(S, ALL - {ROSTER[1]})
-    assert view.next_us() == S and view.living(S) == ALL - {ROSTER[1]}
+    assert view.next_us() == S
+    assert view.living(S) == ALL - {ROSTER[1]}
 
 
 def test_one_that_comes_back_waits_for_the_spans_end_only() -> None:
@@ -98,7 +106,8 @@
     without = view.living(10 * S)
     view.on_members(11 * S, ALL)
     assert view.next_us() == 12 * S
-    assert view.living(12 * S - 1) == without and view.living(12 * S) == ALL
+    assert view.living(12 * S - 1) == without
+    assert view.living(12 * S) == ALL
 
 
 def test_one_that_came_back_and_went_again_before_the_spans_end_stays_out() -> None:
@@ -108,7 +117,8 @@
     view.on_members(10 * S + 1, ALL)
     view.on_members(10 * S + 2, ALL - {ROSTER[1]})
     assert view.next_us() is None
-    assert view.living(12 * S) == without and view.living(60 * S) == without
+    assert view.living(12 * S) == without
+    assert view.living(60 * S) == without
 
 
 def test_ones_own_name_is_always_in() -> None:
@@ -122,7 +132,8 @@
 def test_strangers_are_passed_over() -> None:
     view = view_of()
     view.on_members(0, ALL | {"stranger"})
-    assert view.living(60 * S) == ALL and view.next_us() is None
+    assert view.living(60 * S) == ALL
+    assert view.next_us() is None
 
 
 def test_state_grows_with_the_roster_alone() -> None:
@@ -132,11 +143,12 @@
         strangers = {f"stranger-{turn}-{index}" for index in range(5)}
         view.on_members(turn * S, frozenset(rng.sample(ROSTER, 12)) | strangers)
         assert view.living(turn * S) <= ALL
-    assert len(view._missing_us) <= len(ROSTER) and set(view._missing_us) <= ALL
+    assert len(view._missing_us) <= len(ROSTER)
+    assert set(view._missing_us) <= ALL
 
 
 @pytest.mark.parametrize(
-    "me, leave_us, span_us, key",
+    ("me", "leave_us", "span_us", "key"),
     [("stranger", 0, 0, "roster"), (ME, -1, 0, "leave-after"), (ME, 0, -1, "settle")],
 )
 def test_what_cannot_be_is_refused(me: str, leave_us: int, span_us: int, key: str) -> None:
@@ -147,7 +159,8 @@
 def test_the_usual_times() -> None:
     view = LivingView(ME, ROSTER)
     view.on_members(0, ALL - {ROSTER[1]})
-    assert view.next_us() == LEAVE_AFTER_US == 10 * S and SETTLE_US == 2 * S
+    assert view.next_us() == LEAVE_AFTER_US == 10 * S
+    assert SETTLE_US == 2 * S
 
 
 News = list[
@@ -171,9 +184,12 @@
         for _ in range(ticks):
             due_us = view.next_us()
             living = view.living(now_us)
-            assert ME in living and living <= frozenset(roster)
+            assert ME in living
+            assert living <= frozenset(roster)
             if living != held:
-                assert due_us is not None and due_us <= now_us and now_us - changed_us >= SPAN_US
+                assert due_us is not None
+                assert due_us <= now_us
+                assert now_us - changed_us >= SPAN_US
                 assert all(now_us - told_us[name] >= LEAVE_US for name in held - living)
                 held, changed_us = living, now_us
             else:
--- a/tests/decide/test_subsets.py
+++ b/tests/decide/test_subsets.py
@@ -131,7 +131,8 @@
 def test_names_that_run_together_are_kept_apart() -> None:
     # Were the two names hashed as one text, "a" with "bc" and "ab" with "c" would have one score.
     keys = {module._placer_key(name) for name in ("a", "ab", "abc", "")}
-    assert len(keys) == 4 and {len(key) for key in keys} == {module.PLACER_KEY_BYTES}
+    assert len(keys) == 4
+    assert {len(key) for key in keys} == {module.PLACER_KEY_BYTES}
 
 
 class Counted(frozenset[str]):
@@ -216,7 +217,8 @@
         mean = subset_size(len(MACHINES), len(roster), replicas)
         most = subset_most_expected(len(MACHINES), len(roster), replicas)
         assert sum(sizes) == replicas * len(MACHINES)
-        assert max(sizes) <= most and min(sizes) >= 2 * mean - most
+        assert max(sizes) <= most
+        assert min(sizes) >= 2 * mean - most
 
 
 def test_two_placers_share_no_more_machines_than_chance_has_it(subsets: Subsets) -> None:
@@ -225,14 +227,15 @@
         sum({one, other} <= set(subsets.holders(machine, ALL)) for machine in MACHINES)
         for one, other in zip(ROSTER, ROSTER[1:], strict=False)
     ]
-    assert max(both) <= 17 and 3.5 <= sum(both) / len(both) <= 7.1
+    assert max(both) <= 17
+    assert 3.5 <= sum(both) / len(both) <= 7.1
 
 
 # -- bad rules
 
 
 @pytest.mark.parametrize(
-    "more, key",
+    ("more", "key"),
     [
         ({"roster": ()}, "roster"),
         ({"roster": ("a", "")}, "roster"),
@@ -271,7 +274,8 @@
 @given(st.integers(0, 20_000), st.integers(1, 2_000), st.integers(1, 8))
 def test_the_fewest_placers_that_do(machines: int, most: int, replicas: int) -> None:
     wanted = placers_wanted(machines, most, replicas)
-    assert wanted >= replicas and subset_most_expected(machines, wanted, replicas) <= most
+    assert wanted >= replicas
+    assert subset_most_expected(machines, wanted, replicas) <= most
     assert wanted == replicas or subset_most_expected(machines, wanted - 1, replicas) > most
 
 
@@ -281,7 +285,7 @@
     assert sizes == sorted(sizes, reverse=True)
 
 
-@pytest.mark.parametrize("machines, placers, replicas", [(-1, 1, 1), (1, 0, 1), (1, 1, 0)])
+@pytest.mark.parametrize(("machines", "placers", "replicas"), [(-1, 1, 1), (1, 0, 1), (1, 1, 0)])
 def test_sizes_of_nothing_are_refused(machines: int, placers: int, replicas: int) -> None:
     with pytest.raises(ValueError):
         subset_size(machines, placers, replicas)
--- a/tests/decide/test_widening.py
+++ b/tests/decide/test_widening.py
@@ -24,14 +24,18 @@
         now_us += later_us
         before = widening.extra
         after = widening.look(now_us, waits, useful)
-        assert after == widening.extra and 0 <= after <= most
+        assert after == widening.extra
+        assert 0 <= after <= most
         if after != before:
-            assert abs(after - before) == 1 and now_us - stepped_us >= STEP_US
+            assert abs(after - before) == 1
+            assert now_us - stepped_us >= STEP_US
             stepped_us = now_us
         if after > before:
-            assert waits and after <= useful
+            assert waits
+            assert after <= useful
         elif after < before:
-            assert not waits and now_us - max(long_us, fell_us) >= CALM_US
+            assert not waits
+            assert now_us - max(long_us, fell_us) >= CALM_US
             fell_us = now_us
         long_us = now_us if waits else long_us
 
@@ -46,14 +50,14 @@
         if widening.look(now_us, True, most) > before:
             up_us.append(now_us)
         now_us += every_us if now_us % S >= S - 2 * every_us or not up_us else S // 4
-    assert len(up_us) == most and all(
-        S <= b - a < 2 * S for a, b in zip(up_us, up_us[1:], strict=False)
-    )
+    assert len(up_us) == most
+    assert all(S <= b - a < 2 * S for a, b in zip(up_us, up_us[1:], strict=False))
     last_us, downs = now_us, 0
     for look in range(1, 4 * 31 * most):
         before = widening.extra
         downs += widening.look(last_us + look * S // 4, False, most) < before
-    assert downs == most and widening.extra == 0
+    assert downs == most
+    assert widening.extra == 0
 
 
 def test_one_long_wait_within_the_calm_begins_it_anew() -> None:
--- a/tests/decide/test_windows.py
+++ b/tests/decide/test_windows.py
@@ -8,8 +8,7 @@
 import pytest
 
 from wingbarrow.config import SettingsError
-from wingbarrow.config.calendar import load_calendar, read_ics, read_kdl
-from wingbarrow.config.calendar import Calendar
+from wingbarrow.config.calendar import Calendar, load_calendar, read_ics, read_kdl
 from wingbarrow.decide.windows import (
     OCCURRENCES_MOST,
     SECOND,
@@ -115,13 +114,13 @@
 def test_a_calendar_is_read_whole() -> None:
     read = read_kdl(CALENDAR, "c.kdl", Calendar())
     (kernel,) = read.series
-    assert (
-        kernel.each_us == H // 2
-        and kernel.unsafe is UnsafePolicy.GIVE_UP
-        and len(kernel.selectors) == 2
-    )
+    assert kernel.each_us == H // 2
+    assert kernel.unsafe is UnsafePolicy.GIVE_UP
+    assert len(kernel.selectors) == 2
     assert [budget.most_out(20) for budget in read.rules.budgets] == [1, 5]
-    assert read.policy.moves == 6 and read.policy.failed_share == 0.4 and not read.policy.take_back
+    assert read.policy.moves == 6
+    assert read.policy.failed_share == 0.4
+    assert not read.policy.take_back
     assert read.rules.blackouts[0].start_us == us(2026, 12, 23, 22)
 
 
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -8,8 +8,8 @@
 import pytest
 
 from wingbarrow.http.client import MaybeDone, NotSent, Pool, PoolLimits, Why
-from wingbarrow.http.server import Answer, ChunkWriter, Server, ServerLimits
 from wingbarrow.http.message import Limits, Request
+from wingbarrow.http.server import Answer, ChunkWriter, Server, ServerLimits
 from wingbarrow.transport import Hub, Nursery, PeerGone, Stream, VirtualClock, connect, listen
 
 S = 1_000_000
@@ -80,7 +80,8 @@
         pool = Pool(hub, "127.0.0.1", started(hub).port)
         for _ in range(3):
             response = pool.request("HEAD", "/abc")
-            assert response.body == b"" and response.get("content-length") == "10"
+            assert response.body == b""
+            assert response.get("content-length") == "10"
         assert pool.request("GET", "/abc").body == b"GET /abc "
 
     play(script)
@@ -93,7 +94,8 @@
         return read_all(stream)
 
     answer = play(script)
-    assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1") == 1
+    assert answer.startswith(b"HTTP/1.1 400 ")
+    assert answer.count(b"HTTP/1.1") == 1
 
 
 def test_a_client_of_a_byte_a_second_is_ended_and_others_are_served() -> None:
@@ -132,7 +134,8 @@
         stream = connect(hub, "127.0.0.1", server.port)
         stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         hub.sleep(5 * S)
-        assert server.slow_readers == 1 and server.connections == 0
+        assert server.slow_readers == 1
+        assert server.connections == 0
         stream.close()
 
     play(script)
@@ -145,7 +148,8 @@
         hub.sleep(1)
         third = connect(hub, "127.0.0.1", server.port)
         answer = read_all(third)
-        assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1" in answer
+        assert answer.startswith(b"HTTP/1.1 503 ")
+        assert b"Retry-After: 1" in answer
         held[0].send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         assert held[0].receive().startswith(b"HTTP/1.1 200 ")
 
@@ -165,7 +169,8 @@
         assert [pool.request("GET", "/").status for _ in range(3)] == [500] * 3
 
     play(script)
-    assert len(told) == 1 and "RuntimeError" in told[0]
+    assert len(told) == 1
+    assert "RuntimeError" in told[0]
 
 
 def failing(
@@ -278,7 +283,8 @@
         with Nursery(hub) as nursery:
             for name in "abcd":
                 nursery.spawn(lambda name=name: ask("/" + name))
-        assert len(seen) == 2 and sorted(why.name for why in failed) == [
+        assert len(seen) == 2
+        assert sorted(why.name for why in failed) == [
             "NO_TURN",
             "NO_TURN",
             "SILENT",
--- a/tests/http/test_wire.py
+++ b/tests/http/test_wire.py
@@ -113,7 +113,8 @@
 )
 def test_what_breaks_the_protocol_is_refused_with_its_status(message: bytes, status: int) -> None:
     last = events([message])[-1]
-    assert isinstance(last, tuple) and last[0] == status
+    assert isinstance(last, tuple)
+    assert last[0] == status
     parser = Parser(True)
     parser.feed(message)
     for _ in range(2):
@@ -133,7 +134,8 @@
     parser = Parser(False)
     parser.no_body = True
     parser.feed(answer[:-4])
-    assert parser.next() is not None and isinstance(parser.next(), End)
+    assert parser.next() is not None
+    assert isinstance(parser.next(), End)
 
 
 @settings(max_examples=100, deadline=None)
@@ -147,7 +149,8 @@
 def test_what_is_written_is_read_back(body: bytes, fields: list[tuple[str, str]]) -> None:
     read: list[Event | object] = events([write_request("PUT", "/a?b=c", "h", fields, body)])
     head = read[0]
-    assert isinstance(head, Request) and (head.method, head.target) == ("PUT", "/a?b=c")
+    assert isinstance(head, Request)
+    assert (head.method, head.target) == ("PUT", "/a?b=c")
     assert [value for name, value in head.fields if name.startswith("x-")] == [
         value for _, value in fields
     ]
--- a/tests/kube/test_store.py
+++ b/tests/kube/test_store.py
@@ -80,7 +80,8 @@
     while True:
         page = things.page("d/", ANY, limit, token, None)
         seen |= {stored.key: stored.raw for stored in page.items}
-        assert page.version == 12 and page.remaining == 12 - len(seen)
+        assert page.version == 12
+        assert page.remaining == 12 - len(seen)
         token = page.more
         if token is None:
             break
@@ -127,7 +128,8 @@
 )
 def test_label_selectors(text: str, held: dict[str, str], wanted: bool) -> None:
     test = selectors.labels(text)
-    assert test is not None and test(held) is wanted
+    assert test is not None
+    assert test(held) is wanted
 
 
 @pytest.mark.parametrize(
@@ -142,7 +144,8 @@
 def test_field_selectors() -> None:
     known = frozenset(("metadata.name", "reason"))
     test = selectors.fields("metadata.name=a,reason!=b", known)
-    assert test is not None and test({"metadata.name": "a", "reason": "c"})
+    assert test is not None
+    assert test({"metadata.name": "a", "reason": "c"})
     assert not test({"metadata.name": "a", "reason": "b"})
     for bad in ("status.phase=x", "metadata.name", "metadata.name=a=b"):
         with pytest.raises(ApiError):
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -106,7 +106,8 @@
 
 def test_a_clean_recording_is_clean() -> None:
     found = clean().audit()
-    assert found.clean and (found.accepted, found.placed, found.offers, found.starts) == (
+    assert found.clean
+    assert (found.accepted, found.placed, found.offers, found.starts) == (
         1,
         1,
         2,
@@ -122,7 +123,8 @@
     tape = clean()
     tape.accept(5, "v")
     found = tape.audit()
-    assert found.clean and found.open_at_end == 1
+    assert found.clean
+    assert found.open_at_end == 1
 
 
 def late_answer(tape: Tape) -> None:
@@ -247,7 +249,8 @@
     tape = clean()
     plant(tape)
     found = tape.audit()
-    assert not found.clean and getattr(found, breach) == 1
+    assert not found.clean
+    assert getattr(found, breach) == 1
     assert [name for name in BREACHES if getattr(found, name)] == [breach]
 
 
@@ -274,7 +277,8 @@
     tape.accept(1, "v", patience=3.5)
     tape.answer(5, "v", "failed")
     found = tape.audit()
-    assert found.clean and found.late_by_stall == 1
+    assert found.clean
+    assert found.late_by_stall == 1
     tape.records = [record for record in tape.records if record.what != "hold"]
     assert tape.audit().late_answers == 1
 
@@ -284,7 +288,8 @@
     tape.accept(2, "v")
     tape.add(3, "p0", "killed")
     found = tape.audit()
-    assert found.clean and found.left_to_owners == 1
+    assert found.clean
+    assert found.left_to_owners == 1
 
 
 def test_a_task_that_ends_before_its_offer_is_answered_no_longer_counts() -> None:
@@ -311,7 +316,9 @@
     tape.accept(2, "v")
     tape.add(3, "owner", "deleted", uid="v", job="v", placer="p0")
     found = tape.audit()
-    assert found.clean and found.deleted_unanswered == 1 and found.left_to_owners == 0
+    assert found.clean
+    assert found.deleted_unanswered == 1
+    assert found.left_to_owners == 0
 
 
 def test_an_answer_or_a_kill_read_just_before_the_acceptance_counts_for_its_job() -> None:
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -6,14 +6,14 @@
 
 import pytest
 
+from tests.lab.direct import place_directly
 from wingbarrow.config import load_text
 from wingbarrow.lab.audit import Audit
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.days import DAYS, Day, Play, play, run_day
-from wingbarrow.lab.wants import Mix, draw
 from wingbarrow.lab.troubles import generate
+from wingbarrow.lab.wants import Mix, draw
 from wingbarrow.logic import Scheduler
-from tests.lab.direct import place_directly
 
 SEED = 11
 SCRIPTED = sorted(set(DAYS) - {"generated"})
@@ -44,7 +44,8 @@
     found, odd = played[name]
     assert found.clean, found.notes
     ended = found.placed + found.refused + found.failed + found.left_to_owners
-    assert found.accepted >= 300 and found.accepted == ended
+    assert found.accepted >= 300
+    assert found.accepted == ended
     assert found.placed >= 0.9 * found.accepted
     assert not odd, "steps that the tables lack"
 
@@ -67,7 +68,8 @@
     troubles = generate(37, 40.0)
     assert troubles == generate(37, 40.0) != generate(38, 40.0)
     outcome = play(Play("generated", 37, 0.4, placers=2, seconds=6, only=(1, 3)))
-    assert outcome.troubles == [troubles[1], troubles[3]] and outcome.audit.clean
+    assert outcome.troubles == [troubles[1], troubles[3]]
+    assert outcome.audit.clean
     assert len(outcome.cluster.placers) == 2
     assert Play("generated", 37, 3, 2, 6, (1, 3)).command == (
         "wingbarrow lab day generated --seed 37 --scale 3 --placers 2 --seconds 6 --only 1,3"
@@ -93,6 +95,7 @@
     settings = load_text(settings_text(0, 1, SEED, 1)).scheduler
     placed, refused = place_directly(Scheduler(settings, 1), outcome.cluster.machines, wants)
     audited = outcome.audit
-    assert audited.clean and placed + refused == len(wants)
+    assert audited.clean
+    assert placed + refused == len(wants)
     assert abs(audited.placed - placed) <= 0.03 * len(wants)
     assert abs(audited.refused - refused) <= 0.03 * len(wants)
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -4,7 +4,6 @@
 
 import json
 import shutil
-from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -21,7 +20,7 @@
 
 
 @pytest.fixture(scope="module")
-def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Path]:
+def fleet(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """What one short play with five processes left: rules change while links and processes fail."""
     folder = tmp_path_factory.mktemp("fleet") / "run"
     faults = [
@@ -41,20 +40,19 @@
     ]
     hub = Hub()
     hub.run(Rig(hub, Size(5, 6, 11.0, 7, 6.0), faults, folder, silent).run)
-    yield folder
+    return folder
 
 
 def test_processes_with_faults_between_them_keep_the_rules_and_find_together(fleet: Path) -> None:
     verdict = judge(fleet)
     assert verdict.clean, verdict.notes
     assert (verdict.placers, verdict.faults, verdict.kills) == (5, 13, 1)
-    assert (
-        verdict.versions >= 5
-        and verdict.editions >= 3
-        and verdict.longest_contradiction_ms <= verdict.stated_ms
-    )
+    assert verdict.versions >= 5
+    assert verdict.editions >= 3
+    assert verdict.longest_contradiction_ms <= verdict.stated_ms
     # With a leader killed and limits held in parts few are taken; enough to be judged by.
-    assert verdict.sends == verdict.audit.offers >= 10 and verdict.audit.placed >= 10
+    assert verdict.sends == verdict.audit.offers >= 10
+    assert verdict.audit.placed >= 10
     assert verdict.audit.accepted == sum(
         (
             verdict.audit.placed,
@@ -71,7 +69,8 @@
     assert {"start", "member-joined", "member-restarted", "rules"} <= kinds
     assert verdict.closures >= 1, "a machine failed every start for six seconds"
     drained = [each for each in lines(fleet / "events.jsonl") if each["what"] == "drain"]
-    assert len(drained) == 1 and drained[0]["told"]["kind"] == "Drain"
+    assert len(drained) == 1
+    assert drained[0]["told"]["kind"] == "Drain"
     closed = [
         name
         for name in FLEET
@@ -122,7 +121,8 @@
         [*lines(history), told(later, "dead", "placer-2"), told(later + 1, "alive", "placer-2")],
     )
     found = judge(copy)
-    assert (found.unfounded_burials, found.burials) == (1, judge(copy).burials) and not found.clean
+    assert (found.unfounded_burials, found.burials) == (1, judge(copy).burials)
+    assert not found.clean
     write(
         history,
         [
@@ -143,7 +143,8 @@
     over["at_us"] += 3 * window
     write(events, [each for each in found if each["what"] not in ("ending", "ended")] + [killed])
     verdict = judge(copy)
-    assert verdict.late_burials == 4 and not verdict.clean
+    assert verdict.late_burials == 4
+    assert not verdict.clean
     for name, at_us in (
         ("placer-0", killed["at_us"] + window // 2),
         ("placer-1", killed["at_us"] + window + 1),
@@ -157,7 +158,8 @@
             ],
         )
     verdict = judge(copy)
-    assert verdict.late_burials == 3 and verdict.detect_longest_ms == window // 2000
+    assert verdict.late_burials == 3
+    assert verdict.detect_longest_ms == window // 2000
 
 
 def test_a_planted_member_that_stays_dead_is_found(copy: Path) -> None:
@@ -165,7 +167,8 @@
     history = copy / "placer-0.history.jsonl"
     write(history, [*lines(history), told(over, "dead", "placer-1")])
     verdict = judge(copy)
-    assert verdict.not_healed == 1 and not verdict.clean
+    assert verdict.not_healed == 1
+    assert not verdict.clean
     write(history, [each for each in lines(history) if each.get("member") != "placer-1"])
     assert judge(copy).not_healed == 1, "never heard of is no better"
 
@@ -187,7 +190,8 @@
     write(
         path, [*found, {**start, "task_class": "settlement"}, {**start, "task_class": "settlement"}]
     )
-    assert judge(copy).audit.double_effects and not judge(copy).clean
+    assert judge(copy).audit.double_effects
+    assert not judge(copy).clean
     write(path, [each for each in found if each["what"] != "answer" or each["where"] != "owner"])
     assert judge(copy).audit.unanswered
 
@@ -217,7 +221,8 @@
     old = f"e{int(late['rules'][1:]) - 2}"
     plant(copy, late, rules=old, at_us=late["at_us"] + 1)
     verdict = judge(copy)
-    assert verdict.contradictions == 1 and not verdict.clean
+    assert verdict.contradictions == 1
+    assert not verdict.clean
 
 
 def test_a_planted_send_past_the_stated_time_is_found_and_one_within_it_is_none(copy: Path) -> None:
@@ -252,9 +257,8 @@
     plant(copy, like, rules=f"e{number + 2}", at_us=first)
     plant(copy, like, rules=f"e{number + 1}", at_us=first + stated_us - S // 10)
     verdict = judge(copy)
-    assert (
-        verdict.contradictions == 0 and verdict.longest_contradiction_ms == stated_us // 1000 - 100
-    )
+    assert verdict.contradictions == 0
+    assert verdict.longest_contradiction_ms == stated_us // 1000 - 100
     plant(copy, like, rules=f"e{number + 1}", at_us=first + stated_us + S // 10)
     assert judge(copy).contradictions == 1
 
@@ -360,7 +364,8 @@
     plant(copy, like, rules="f1")
     verdict = judge(copy)
     # Once for each edition that was in use in that very moment: two, where the rules were about to change.
-    assert verdict.contradictions in (1, 2) and verdict.sends_on_floor == 1
+    assert verdict.contradictions in (1, 2)
+    assert verdict.sends_on_floor == 1
 
 
 def test_a_planted_placer_that_stays_on_other_rules_is_found(copy: Path) -> None:
@@ -369,4 +374,5 @@
     last = [each for each in found if each["what"] == "rules"][-1]
     write(history, [each for each in found if each is not last])
     verdict = judge(copy)
-    assert verdict.not_on_last == 1 and not verdict.clean
+    assert verdict.not_on_last == 1
+    assert not verdict.clean
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -23,7 +23,7 @@
     return holders
 
 
-@pytest.mark.parametrize("count, seed", [(3, 1), (3, 2), (5, 3), (5, 4), (5, 5)])
+@pytest.mark.parametrize(("count", "seed"), [(3, 1), (3, 2), (5, 3), (5, 4), (5, 5)])
 def test_nobody_passes_the_whole_under_generated_trouble_and_most_of_it_is_used_after(
     count: int, seed: int
 ) -> None:
--- a/tests/lab/test_judge_regions.py
+++ b/tests/lab/test_judge_regions.py
@@ -208,7 +208,7 @@
     assert broken(made) == {"past_lease": 1}
 
 
-@pytest.mark.parametrize("at_s, count", [(67, 0), (68.1, 0), (69, 1), (80, 2)])
+@pytest.mark.parametrize(("at_s", "count"), [(67, 0), (68.1, 0), (69, 1), (80, 2)])
 def test_a_send_by_a_holder_that_was_out_of_reach_for_longer_than_its_right_is_found(
     made: Made, at_s: float, count: int
 ) -> None:
@@ -242,7 +242,7 @@
     assert broken(made)["early_reissues"] == 1
 
 
-@pytest.mark.parametrize("at_s, early", [(68, 1), (72, 0)])
+@pytest.mark.parametrize(("at_s", "early"), [(68, 1), (72, 0)])
 def test_a_start_before_the_voters_can_have_ended_the_session_is_found(
     made: Made, at_s: float, early: int
 ) -> None:
@@ -284,7 +284,8 @@
     again.run(51, NORTH, 69, "lease", leased_s=69)
     again.run(75, SOUTH, 90, session="placer-1/1/1", epoch=1)
     verdict = found(made)
-    assert verdict.lost_runs == 4 and verdict.longest_reissue_ms == 15_000
+    assert verdict.lost_runs == 4
+    assert verdict.longest_reissue_ms == 15_000
     stated_s = verdict.stated_reissue_ms / 1000
     late = Task(made, "late")
     late.run(51, NORTH, 69, "lease", leased_s=69)
@@ -350,7 +351,8 @@
         70, "owner", "answer", placer="placer-1", job="a", uid="u-a", answer="placed", failed=""
     )
     verdict = found(made)
-    assert verdict.broken == ["double_answers"] and verdict.line()["double_answers"] == 1
+    assert verdict.broken == ["double_answers"]
+    assert verdict.line()["double_answers"] == 1
 
 
 # -- turns
@@ -390,7 +392,7 @@
     assert verdict.clean and verdict.turns == 4, verdict.notes
 
 
-@pytest.mark.parametrize("other, over", [("node-n-1", 1), ("node-n-2", 1), ("node-s-0", 0)])
+@pytest.mark.parametrize(("other", "over"), [("node-n-1", 1), ("node-n-2", 1), ("node-s-0", 0)])
 def test_more_machines_out_than_a_budget_allows_are_found(
     made: Made, other: str, over: int
 ) -> None:
@@ -408,7 +410,7 @@
     assert broken(made) == {"turn_overs": 1}
 
 
-@pytest.mark.parametrize("tasks, starts_s", [(1, None), (0, 55.0), (0, 49.0)])
+@pytest.mark.parametrize(("tasks", "starts_s"), [(1, None), (0, 55.0), (0, 49.0)])
 def test_work_on_a_machine_with_a_task_is_found(
     made: Made, tasks: int, starts_s: float | None
 ) -> None:
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -39,7 +39,8 @@
     rest(held, held.lease_us + SECOND // 2)
     held.cut = lambda a, b: False
     rest(held, 20 * SECOND)
-    assert held.ends == 0 and held.all_open()
+    assert held.ends == 0
+    assert held.all_open()
 
 
 def test_flapping_faster_than_the_lease_ends_nothing() -> None:
@@ -50,7 +51,8 @@
         rest(held, held.lease_us * 3 // 4)
         held.cut = lambda a, b: False
         rest(held, SECOND)
-    assert held.ends == 0 and held.all_open()
+    assert held.ends == 0
+    assert held.all_open()
 
 
 @pytest.mark.parametrize("wakes", [True, False])
@@ -66,7 +68,8 @@
     assert held.ends == 1 == held.with_successor
     rest(held, 40 * SECOND)
     if wakes:
-        assert held.leases[lost].session == replace(session, serial=2) and held.all_open()
+        assert held.leases[lost].session == replace(session, serial=2)
+        assert held.all_open()
 
 
 def test_the_leader_lost_between_lapse_and_end_makes_it_wait_and_happen_once() -> None:
@@ -98,7 +101,8 @@
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_generated_trouble_ends_no_session_too_early_and_none_too_late(seed: int) -> None:
     held = played(6, 3, seed, 12)
-    assert not held.faults and held.sends > 1_000
+    assert not held.faults
+    assert held.sends > 1_000
 
 
 def _no_reckoning(patch: pytest.MonkeyPatch) -> None:
@@ -156,6 +160,6 @@
             + ended_within_us(held.lease_us, held.after_us)
             + 5 * SECOND
         )
-        assert (
-            bool(held.faults) is planted and held.ends == (not planted) and held.leader() == leader
-        )
+        assert bool(held.faults) is planted
+        assert held.ends == (not planted)
+        assert held.leader() == leader
--- a/tests/lab/test_leasemodel.py
+++ b/tests/lab/test_leasemodel.py
@@ -10,7 +10,8 @@
 def test_no_way_leads_to_two_copies_or_to_a_send_after_the_end() -> None:
     explored = explore_leases(LeasePlan(lease=2))
     print(f"{explored.states} states")
-    assert not explored.way and explored.states > 10_000
+    assert not explored.way
+    assert explored.states > 10_000
 
 
 @pytest.mark.parametrize("planted", ERRORS)
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -8,14 +8,14 @@
 import pytest
 
 from wingbarrow.config import load_text
-from wingbarrow.lab.cluster import settings_text
-from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.core.logs import silent
+from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.fleet.commands import Commands
-from wingbarrow.lab.fleet.places import Places
-from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.lab.fleet.layout import THIRD, WITNESS, Layout, Size
+from wingbarrow.lab.fleet.link import Network, Proxy
+from wingbarrow.lab.fleet.places import Places
 from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
+from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.transport import Hub, PeerGone, Stream, VirtualClock, connect, listen
 
 S = 1_000_000
@@ -67,7 +67,8 @@
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         assert asked(hub, proxy.port) == b"word"
         proxy.forth.cut = True
-        assert asked(hub, proxy.port) is None and echo.heard == [b"word"]
+        assert asked(hub, proxy.port) is None
+        assert echo.heard == [b"word"]
         proxy.forth.cut, proxy.back.cut = False, True
         assert asked(hub, proxy.port) is None
         assert len(echo.heard) == 2, "one way is cut: it was heard, its answer was not"
@@ -80,7 +81,8 @@
 def test_a_link_is_late_slow_resets_and_delivers_twice() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word" and hub.now_us() - begun >= S // 2
+        assert asked(hub, proxy.port) == b"word"
+        assert hub.now_us() - begun >= S // 2
         proxy.forth.delay_us, proxy.back.bytes_per_s, begun = 0, 8, hub.now_us()
         assert asked(hub, proxy.port) == b"word"
         proxy.heal()
@@ -88,7 +90,8 @@
         count = len(echo.heard)
         assert asked(hub, proxy.port) == b"word"
         hub.sleep(S)
-        assert len(echo.heard) == count + 2 and proxy.doubles == 1
+        assert len(echo.heard) == count + 2
+        assert proxy.doubles == 1
         proxy.heal()
         proxy.back.reset_share = 1.0
         assert asked(hub, proxy.port) == b"reset"
@@ -99,9 +102,11 @@
 def test_a_far_link_is_late_both_ways_and_a_fault_adds_to_it() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         proxy.far_us, begun = S // 50, hub.now_us()
-        assert asked(hub, proxy.port) == b"word" and S // 25 <= hub.now_us() - begun < S // 20
+        assert asked(hub, proxy.port) == b"word"
+        assert S // 25 <= hub.now_us() - begun < S // 20
         proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word" and hub.now_us() - begun >= S // 2 + S // 25
+        assert asked(hub, proxy.port) == b"word"
+        assert hub.now_us() - begun >= S // 2 + S // 25
         proxy.heal()
         assert proxy.far_us, "what is far stays so"
 
@@ -114,10 +119,8 @@
     def main() -> None:
         network = Network(hub, NAMES, 1)
         network.set("placer-0", "placer-1", cut=True)
-        assert (
-            network.links["placer-0", "placer-1"].forth.cut
-            and network.links["placer-1", "placer-0"].back.cut
-        )
+        assert network.links["placer-0", "placer-1"].forth.cut
+        assert network.links["placer-1", "placer-0"].back.cut
         assert not network.links["placer-0", "placer-1"].back.cut
         assert not network.links["placer-1", "placer-0"].forth.cut
         assert all(way.whole for way in network.ways("placer-0", "placer-2"))
@@ -149,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    ("text", "words"),
     [
         ('explode "1s" "placer-0"', "is wanted"),
         ('stop "1s"', "a placer"),
@@ -197,7 +200,8 @@
         faults = generate_regions(seed, layout.regions, 60)
         assert faults == generate_regions(seed, layout.regions, 60)
         regional = [each for each in faults if each.kind.endswith("-region")]
-        assert regional and all(each.end_us < 54 * S for each in regional)
+        assert regional
+        assert all(each.end_us < 54 * S for each in regional)
         assert sum(each.kind == "work" for each in faults) >= 3
         for region in regional:
             assert region.kind != "kill-region" or not any(
@@ -214,24 +218,26 @@
 
 
 @pytest.mark.parametrize(
-    "placers, regions", [(3, 3), (6, 3), (9, 3), (16, 5), (8, 4), (2, 2), (6, 2), (16, 2)]
+    ("placers", "regions"), [(3, 3), (6, 3), (9, 3), (16, 5), (8, 4), (2, 2), (6, 2), (16, 2)]
 )
 def test_no_region_has_a_majority_of_the_voters(placers: int, regions: int) -> None:
     layout = Layout(Size(placers, 3 * regions, regions=regions))
     assert sorted(name for some in layout.places.values() for name in some) == sorted(layout.all)
-    assert len(layout.voters) in (3, 5) and set(layout.voters) <= set(layout.all)
+    assert len(layout.voters) in (3, 5)
+    assert set(layout.voters) <= set(layout.all)
     assert all(
         2 * sum(voter in names for voter in layout.voters) < len(layout.voters)
         for names in layout.places.values()
     )
     assert (layout.places.get(THIRD) == [WITNESS]) == (regions == 2)
     sizes = [len(names) for names in layout.regions.values()]
-    assert len(sizes) == regions and max(sizes) - min(sizes) <= 1
+    assert len(sizes) == regions
+    assert max(sizes) - min(sizes) <= 1
     assert sum(layout.machines().values()) == 3 * regions
 
 
 @pytest.mark.parametrize(
-    "regions, lease_s, after_s", [(0, 10, 12), (2, 10, 12), (3, 6, 8), (5, 10, 30)]
+    ("regions", "lease_s", "after_s"), [(0, 10, 12), (2, 10, 12), (3, 6, 8), (5, 10, 30)]
 )
 def test_settings_of_every_placer_can_be_used(regions: int, lease_s: float, after_s: float) -> None:
     layout = Layout(Size(max(6, regions), 10, regions=regions, lease_s=lease_s, after_s=after_s))
@@ -245,10 +251,12 @@
 def test_generated_faults_are_a_function_of_the_seed_and_leave_time_to_heal() -> None:
     for seed in range(1, 60):
         faults = generate(seed, NAMES, 60)
-        assert faults == generate(seed, NAMES, 60) and faults
+        assert faults == generate(seed, NAMES, 60)
+        assert faults
         spans: dict[str, int] = {}
         for fault in faults:
-            assert {fault.who, fault.other} <= {*NAMES, ""} and fault.who != fault.other
+            assert {fault.who, fault.other} <= {*NAMES, ""}
+            assert fault.who != fault.other
             if fault.kind in ("stop", "kill"):
                 assert fault.at_us >= spans.get(fault.who, 0), (
                     "a process suffers one thing at a time"
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -143,7 +143,8 @@
 
 
 def test_the_day_itself_is_clean(day: Outcome) -> None:
-    assert day.audit.clean and day.audit.accepted > 100 * SCALE
+    assert day.audit.clean
+    assert day.audit.accepted > 100 * SCALE
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_refusals.py
+++ b/tests/lab/test_refusals.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, who, other, both",
+    ("kind", "who", "other", "both"),
     [
         ("isolate", "placer-1", "", True),
         ("deafen", "placer-1", "", True),
--- a/tests/lab/test_regions_processes.py
+++ b/tests/lab/test_regions_processes.py
@@ -32,7 +32,9 @@
     assert verdict.clean, verdict.notes
     assert (verdict.regions, verdict.kills, verdict.turns) == (3, 2, 3)
     # Enough to be judged by: leased work in every region, some of it started again by successors.
-    assert verdict.audit.placed >= 60 and verdict.leased >= 40 and verdict.reissued >= 1
+    assert verdict.audit.placed >= 60
+    assert verdict.leased >= 40
+    assert verdict.reissued >= 1
     assert 0 < verdict.longest_reissue_ms <= verdict.stated_reissue_ms
     ended = [
         line
--- a/tests/lab/test_rightsmodel.py
+++ b/tests/lab/test_rightsmodel.py
@@ -7,10 +7,11 @@
 from wingbarrow.lab.fleet.rightsmodel import RightsPlan, explore_rights
 
 
-@pytest.mark.parametrize("whole, states", [(1, 6_000), (2, 40_000)])
+@pytest.mark.parametrize(("whole", "states"), [(1, 6_000), (2, 40_000)])
 def test_no_way_leads_past_the_whole(whole: int, states: int) -> None:
     explored = explore_rights(RightsPlan(placers=1, whole=whole))
-    assert not explored.way and explored.states > states
+    assert not explored.way
+    assert explored.states > states
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_subset_days.py
+++ b/tests/lab/test_subset_days.py
@@ -73,7 +73,8 @@
     print("seed", SEED, told)
     assert found.clean, found.notes
     ended = found.placed + found.refused + found.failed + found.left_to_owners
-    assert found.accepted >= 300 and found.accepted == ended
+    assert found.accepted >= 300
+    assert found.accepted == ended
     assert found.placed >= 0.9 * found.accepted
     if name == "lost":
         assert told["changes"] and told["refills"] and told["released"], told
@@ -81,5 +82,6 @@
 
 def test_the_command_plays_a_day_with_subsets_and_refuses_more_than_there_are_placers() -> None:
     told = CliRunner().invoke(main, ["lab", "day", "quiet", "--subsets", "4", "--placers", "3"])
-    assert told.exit_code == 2 and "more than there are placers" in told.output
+    assert told.exit_code == 2
+    assert "more than there are placers" in told.output
     assert Play("quiet", placers=3, subsets=2).command.endswith("--placers 3 --subsets 2")
--- a/tests/lab/test_turnsmodel.py
+++ b/tests/lab/test_turnsmodel.py
@@ -9,7 +9,8 @@
 
 def test_no_way_leads_to_work_on_a_machine_that_is_not_empty_or_not_given() -> None:
     explored = explore_turns(TurnsPlan(placers=1))
-    assert not explored.way and explored.states > 3000
+    assert not explored.way
+    assert explored.states > 3000
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -77,7 +77,9 @@
         status, told = stage.ask(other, "POST", wanted, DRAINS)
         assert (status, told["name"]) == (307, stage.leader().name)
         status, told = stage.ask(stage.leader(), "POST", wanted, DRAINS)
-        assert status == 201 and told["version"] == 2 and told["floors"] == []
+        assert status == 201
+        assert told["version"] == 2
+        assert told["floors"] == []
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         again = stage.ask(stage.leader(), "POST", wanted, DRAINS)
         assert (again[0], again[1]["key"]) == (200, told["key"]), (
@@ -95,11 +97,13 @@
         (Path(back.state) / "drains.json").unlink(missing_ok=True)
         back.start()
         stage.work(4, "back")
-        assert stage.phase(back, "node-2") == "draining" and not stage.sent("node-2", since)
+        assert stage.phase(back, "node-2") == "draining"
+        assert not stage.sent("node-2", since)
         # A proposal from a file says nothing of drains that were asked for; a change by hand keeps them too.
         assert stage.propose("bars", barred=["node-0"])[0] == 201
         stage.hub.sleep(4 * S)
-        assert stage.everywhere("node-2", "draining") and stage.everywhere("node-0", "draining")
+        assert stage.everywhere("node-2", "draining")
+        assert stage.everywhere("node-0", "draining")
         key = stage.ask(other, path=DRAINS)[1]["items"][0]["key"]
         assert stage.ask(stage.leader(), "DELETE", None, f"{DRAINS}/{key}x")[0] == 404
         assert stage.ask(stage.leader(), "DELETE", None, f"{DRAINS}/{key}")[0] == 200
@@ -155,7 +159,8 @@
         assert stage.wait(lambda: stage.label(alone) == "", 10)
         moved = alone.service.placer.base.counts["drain_moves"]
         stage.hub.sleep(15 * S)
-        assert stage.label(alone) == "" and alone.service.placer.base.counts["drain_moves"] == moved
+        assert stage.label(alone) == ""
+        assert alone.service.placer.base.counts["drain_moves"] == moved
         assert stage.phase(alone, "node-1") == "draining"
 
     stage.play(script)
@@ -176,7 +181,8 @@
         status, told = stage.ask(
             stage.leader(), "POST", {"machine": "node-2", "lasts": "10m"}, DRAINS
         )
-        assert status == 201 and told["floors"] == [{"number": 1, "lastsUs": 60 * S}]
+        assert status == 201
+        assert told["floors"] == [{"number": 1, "lastsUs": 60 * S}]
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         for slot in stage.cluster.placers[:3]:
             slot.kill()
@@ -301,7 +307,8 @@
         # One of the lost comes back with its store after all: it hears of a later term and decides nothing.
         stage.cluster.placers[0].start()
         stage.hub.sleep(8 * S)
-        assert stage.label(stage.cluster.placers[0]) == "e1004" and stage.leader() in (
+        assert stage.label(stage.cluster.placers[0]) == "e1004"
+        assert stage.leader() in (
             left,
             taken_in,
         )
--- a/tests/peers/test_handing_path.py
+++ b/tests/peers/test_handing_path.py
@@ -58,7 +58,8 @@
         assert stage.wait(
             lambda: all("Complete" in stage.told(north, f"job-{number}") for number in range(4)), 12
         )
-        assert north.service is not None and not north.service.placer.oddities()
+        assert north.service is not None
+        assert not north.service.placer.oddities()
         assert len(north.service.placer.desk._elsewhere.giving) == 0  # type: ignore[union-attr]
 
     stage.play(script)
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -9,15 +9,15 @@
 import pytest
 
 from tests.stage import S, Stage
-from wingbarrow.peers.knowledge_pages import PAGE, Snapshots, read_page, write_instance
-from wingbarrow.peers.knowledge_pages import Shares as HandedShares
 from wingbarrow.decide.learning import Announcement, Sight
-from wingbarrow.http.server import Answer, Server
 from wingbarrow.http.message import Request
+from wingbarrow.http.server import Answer, Server
 from wingbarrow.interface import Phase
 from wingbarrow.kube import names
-from wingbarrow.lab.node import node_value
 from wingbarrow.lab.fleet.link import Proxy
+from wingbarrow.lab.node import node_value
+from wingbarrow.peers.knowledge_pages import PAGE, Snapshots, read_page, write_instance
+from wingbarrow.peers.knowledge_pages import Shares as HandedShares
 from wingbarrow.transport import Nursery
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
@@ -145,12 +145,15 @@
         stage.submit("at-once")
         stage.settled("at-once", 2)
         stage.hub.sleep(S)
-        assert placer.learner.state == "followed" and placer.learner.source == "placer-1"
+        assert placer.learner.state == "followed"
+        assert placer.learner.source == "placer-1"
         assert {f"default/taught-{number}" for number in range(12)} <= known_warm(placer)
         assert not [task for task in placer.book.by_request.values() if "taught" in task.job.key]
         stage.hub.sleep(70 * S)
-        assert placer.learner.state == "learned" and placer.learner.counts["followed"] >= 50
-        assert teacher.service is not None and teacher.service.rest.instances.handovers == 0
+        assert placer.learner.state == "learned"
+        assert placer.learner.counts["followed"] >= 50
+        assert teacher.service is not None
+        assert teacher.service.rest.instances.handovers == 0
         member = placer.peering.members["placer-1"]
         assert member.standing.value == "alive"
 
@@ -191,7 +194,8 @@
         good = FakePeer(stage, sights, "b-good")
         placer = restarted(stage, bad.server.port, good.server.port)
         stage.hub.sleep(3 * S)
-        assert known_warm(placer) == {"default/heard"} and placer.learner.source == "b-good"
+        assert known_warm(placer) == {"default/heard"}
+        assert placer.learner.source == "b-good"
         assert placer.learner.counts["bad_pages"] == 1
 
     stage.play(script)
@@ -244,7 +248,8 @@
         peer.server._handler = answer
         placer = restarted(stage, proxy.port)
         stage.hub.sleep(8 * S)
-        assert not known_warm(placer) and placer.learner.state == "cold"
+        assert not known_warm(placer)
+        assert placer.learner.state == "cold"
 
     stage.play(script)
 
@@ -267,7 +272,8 @@
             peer = FakePeer(stage, [sight(f"node-{i % 4}") for i in range(3 * PAGE)], spoil=spoil)
             placer = restarted(stage, peer.server.port)
             stage.hub.sleep(3 * S)
-            assert placer.learner.counts["bad_pages"] == 1 and peer.pages == 2
+            assert placer.learner.counts["bad_pages"] == 1
+            assert peer.pages == 2
 
         stage.play(script)
 
@@ -283,11 +289,13 @@
         placer = restarted(stage)
         stage.hub.sleep(S)
         assert slot.service is not None
-        assert placer.hearsay.take_sights(peer.sights, 0, True) is False and not known_warm(placer)
+        assert placer.hearsay.take_sights(peer.sights, 0, True) is False
+        assert not known_warm(placer)
         other = FakePeer(stage, [sight("node-0")], "elsewhere", cluster="other")
         placer = restarted(stage, other.server.port)
         stage.hub.sleep(2 * S)
-        assert other.pages == 0 and placer.learner.state == "cold"
+        assert other.pages == 0
+        assert placer.learner.state == "cold"
 
     stage.play(script)
 
@@ -394,7 +402,8 @@
         for slot in (first, second):
             assert slot.service is not None
             learner = slot.service.placer.learner
-            assert learner.state == "cold" and not learner.counts["pages"]
+            assert learner.state == "cold"
+            assert not learner.counts["pages"]
             assert len(slot.service.placer.peering.members) == 1
         stage.submit("works")
         assert "Placed" in stage.settled("works")
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -26,9 +26,8 @@
             "one machine's clock is fast, the other's slow"
         )
         start = stage.seen("start", uid=uid)[0]
-        assert (
-            start.data["session"].startswith("placer-0/") and start.data["until_us"] > start.at_us
-        )
+        assert start.data["session"].startswith("placer-0/")
+        assert start.data["until_us"] > start.at_us
         stage.hub.sleep(12 * S)
         assert stage.running(uid) and stage.starts(uid) == 1, "renewed, it runs on"
         north.kill()
@@ -36,10 +35,8 @@
         stage.hub.sleep(4 * S)
         for each in (uid, other):
             end = stage.seen("end", uid=each)[0]
-            assert (
-                end.data["why"] == "lease"
-                and killed + S < end.at_us <= killed + 3 * S + 3 * S // 1000
-            )
+            assert end.data["why"] == "lease"
+            assert killed + S < end.at_us <= killed + 3 * S + 3 * S // 1000
             assert not stage.running(each)
 
     stage.play(script)
@@ -61,16 +58,17 @@
         assert status == 201, told
         assert north.service is not None
         placer = north.service.placer
-        assert placer.leases is not None and placer.leases.ask(
-            placer.fleet._machines.links["node-0"]
-        )
+        assert placer.leases is not None
+        assert placer.leases.ask(placer.fleet._machines.links["node-0"])
         uid = stage.taken(north, "one")
         stage.cut(0)
         stage.hub.sleep(6 * S)
         assert not stage.running(uid), "its machine stopped it, and it is asked for again"
-        assert stage.label(north) == "f1" and stage.give(north, "bare", spec="")[0] == 201
+        assert stage.label(north) == "f1"
+        assert stage.give(north, "bare", spec="")[0] == 201
         stage.hub.sleep(S)
-        assert placer.base.counts["held:no_lease"] and len(stage.seen("offer", uid=uid)) == 1
+        assert placer.base.counts["held:no_lease"]
+        assert len(stage.seen("offer", uid=uid)) == 1
         assert len(stage.seen("offer", rules="f1")) == 1, "what needs no lease goes on"
 
     stage.play(script)
@@ -135,10 +133,8 @@
         assert machine.pods["good"].phase == "Failed"
         told = ask("/fence", uid="u", epoch=3)[1]
         assert told["holds"] == ["good"] and told["sure"], "what ran and is over had its effect"
-        assert (
-            offer("old", later(2 * S), 2) == (409, "Fenced")
-            and offer("new", later(2 * S), 3)[0] == 201
-        )
+        assert offer("old", later(2 * S), 2) == (409, "Fenced")
+        assert offer("new", later(2 * S), 3)[0] == 201
         former = later(2 * S)
         machine.die()
         machine.launch(cold=False)
@@ -164,14 +160,16 @@
         assert status == 503 and "keeper" in value["message"] and value["retry-after"], value
         assert stage.hub.now_us() - began <= 3 * S, "a bounded wait"
         began = stage.hub.now_us()
-        assert stage.give(south, "bare", spec="")[0] == 201 and stage.hub.now_us() - began < S // 10
+        assert stage.give(south, "bare", spec="")[0] == 201
+        assert stage.hub.now_us() - began < S // 10
         assert stage.give(south, "none", spec="nowhere")[0] == 422
         assert stage.give(stage.cluster.placers[0], "away", spec="home")[0] == 201, (
             "elsewhere: it is handed over"
         )
         stage.cut(2, False)
         assert stage.wait(lambda: stage.give(south, "kept", spec="home")[0] in (201, 409), 20)
-        assert south.service is not None and not south.service.placer.oddities()
+        assert south.service is not None
+        assert not south.service.placer.oddities()
 
     stage.play(script)
 
@@ -223,7 +221,8 @@
             stage.running(safe)
         )
         first, second = stage.seen("start", uid=safe)
-        assert second.at_us >= first.data["until_us"] and second.data["epoch"] > first.data["epoch"]
+        assert second.at_us >= first.data["until_us"]
+        assert second.data["epoch"] > first.data["epoch"]
         assert not second.data["session"].startswith("placer-0/")
         stage.hub.sleep(5 * S)
         assert stage.starts(never) == 1, "it is neither started again"
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -64,12 +64,11 @@
         one, other = stage.cluster.placers[4], stage.cluster.placers[3]
         assert stage.fill(one, "a", 26) == 20, "parts of those without demand are not left unused"
         status, words, retry = stage.turned_away[-1]
-        assert (
-            status == 429
-            and "limit namespace/default/standing of the whole fleet: 20 at once" in words
-        )
+        assert status == 429
+        assert "limit namespace/default/standing of the whole fleet: 20 at once" in words
         assert 1 <= int(retry) <= 4
-        assert stage.fill(other, "b", 6) == 0 and stage.standing() == 20
+        assert stage.fill(other, "b", 6) == 0
+        assert stage.standing() == 20
         told = stage.ask(stage.leader(), path=LIMITS)[1]
         assert told["accounts"][0]["free"] == 0
         mine = next(each for each in told["accounts"][0]["held"] if each["placer"] == one.name)
@@ -163,7 +162,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    ("line", "words"),
     [
         ('limit "tenant/x" most=1', "out of its bounds"),
         ('limit "namespace/x"', "most= is wanted"),
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -11,6 +11,8 @@
 from hypothesis import strategies as st
 
 from wingbarrow.decide.coordination.messages import Ask, Grant
+from wingbarrow.decide.maintenance.slots import TURNS_MOST, TurnsSaid, TurnsTold
+from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
@@ -29,9 +31,6 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.maintenance.slots import TURNS_MOST, TurnsSaid, TurnsTold
-from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
-from wingbarrow.peers.message_bounds import RECORDS_MOST, UIDS_MOST
 from wingbarrow.peers.message import (
     LETTERS_MOST,
     MAIL_MOST,
@@ -40,6 +39,7 @@
     write_letter,
     write_mail,
 )
+from wingbarrow.peers.message_bounds import RECORDS_MOST, UIDS_MOST
 
 WORD = Word("placer-1", 7, Standing.SUSPECTED, "127.0.0.1:1", "north", 3, "placer-2")
 MESSAGES = [
@@ -73,7 +73,8 @@
     read = read_mail(
         mail(letters=[{"kind": "from-the-future", "body": {"x": [1]}}, *letters]), "main"
     )
-    assert read.messages == MESSAGES and read.strange == 1
+    assert read.messages == MESSAGES
+    assert read.strange == 1
 
 
 def word(**changes: Any) -> list[dict[str, Any]]:
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw, words",
+    ("raw", "words"),
     [
         (b"", "no mail"),
         (b"{", "no mail"),
--- a/tests/peers/test_moving_path.py
+++ b/tests/peers/test_moving_path.py
@@ -79,6 +79,7 @@
         )
         stage.cut(0, False)
         stage.hub.sleep(25 * S)
-        assert len(stage.running(uid)) == 1 and not set(stage.running(uid)) & names
+        assert len(stage.running(uid)) == 1
+        assert not set(stage.running(uid)) & names
 
     stage.play(script)
