--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -5,12 +5,11 @@
 from typing import Any
 
 from tests.stage import S, Stage
-from wingbarrow.decide.membership.messages import Standing
+from wingbarrow.decide.membership.messages import Standing, Sync, Word
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
-from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 from wingbarrow.peers.mailbox import BOXES_MOST, PATH
-from wingbarrow.decide.membership.messages import Sync, Word
+from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
 
@@ -153,7 +152,8 @@
 
     def script() -> None:
         service = stage.cluster.placers[0].service
-        assert service is not None and not service.placer.peering.on
+        assert service is not None
+        assert not service.placer.peering.on
         stage.hub.sleep(10 * S)
         assert not service.placer.peering.counts
 
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -58,7 +58,8 @@
         assert len(stage.seen("fence", uid=uid)) >= 1, "its region's other placer asked the machine"
         assert not stage.offered(uid, 0)
         stage.hub.sleep(10 * S)
-        assert stage.starts(uid) == 1 and not stage.unknown()
+        assert stage.starts(uid) == 1
+        assert not stage.unknown()
 
     stage.play(script)
 
@@ -81,14 +82,16 @@
             "its successor had proof, and started it"
         )
         stage.hub.sleep(25 * S)
-        assert not stage.offered(uid, 0) and stage.starts(uid) == 1
+        assert not stage.offered(uid, 0)
+        assert stage.starts(uid) == 1
         assert stage.north.service is not None
         counts = stage.north.service.placer.base.counts
         assert counts["held:no_lease"] >= 1, counts
         assert stage.told(stage.north, "held")["Failed"] == "LeaseLost", (
             "its owner is answered by who took it"
         )
-        assert stage.may_send(stage.north) and stage.give(stage.north, "fresh")[0] == 201
+        assert stage.may_send(stage.north)
+        assert stage.give(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
@@ -116,7 +119,8 @@
             )
         assert stage.wait(lambda: stage.starts(uids["never"]) == 2, 5), "on the operator's word"
         stage.hub.sleep(5 * S)
-        assert stage.starts(uids["ran"]) == 1 and not stage.unknown()
+        assert stage.starts(uids["ran"]) == 1
+        assert not stage.unknown()
         assert stage.ask(at["ran"], "POST", {"ran": True}, f"{UNKNOWN}/default/ran")[0] == 404
 
     stage.play(script)
@@ -202,7 +206,8 @@
             slot.service is not None and not slot.service.placer.oddities()
             for slot in stage.cluster.placers
         )
-        assert stage.may_send(stage.north) and stage.give(stage.north, "fresh")[0] == 201
+        assert stage.may_send(stage.north)
+        assert stage.give(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
@@ -220,8 +225,10 @@
         assert stage.north.service is not None
         assert stage.north.service.placer.base.counts["jobs_adopted"] == 0
         first, second = stage.seen("start", uid=uid)
-        assert second.at_us >= first.data["until_us"] and len(stage.running(uid)) == 1
-        assert stage.may_send(stage.north) and stage.give(stage.north, "fresh")[0] == 201
+        assert second.at_us >= first.data["until_us"]
+        assert len(stage.running(uid)) == 1
+        assert stage.may_send(stage.north)
+        assert stage.give(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -27,11 +27,13 @@
         status, told = stage.ask(
             other, "POST", {"ident": "x", "rules": stage.changed(barred=["node-1"])}
         )
-        assert status == 307 and told["name"] == stage.leader().name
+        assert status == 307
+        assert told["name"] == stage.leader().name
         status, told = stage.ask(
             stage.leader(), "POST", {"ident": "x", "rules": stage.changed(barred=["node-1"])}
         )
-        assert status == 201 and told["version"] == 2
+        assert status == 201
+        assert told["version"] == 2
         assert stage.wait(lambda: stage.all_on("e2"), 5)
         since = stage.hub.now_us()
         for number in range(12):
@@ -43,13 +45,15 @@
             for each in stage.cluster.record.records
             if each.what == "offer" and each.at_us > since
         ]
-        assert sent and all(each.data["rules"] == "e2" and each.where != "node-1" for each in sent)
+        assert sent
+        assert all(each.data["rules"] == "e2" and each.where != "node-1" for each in sent)
         status, told = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": stage.changed()})
         assert status == 201 and told["version"] == 2, "sent again: it was taken once"
         status, told = stage.ask(
             stage.leader(), "POST", {"ident": "y", "rules": stage.changed(barred=[]), "base": 1}
         )
-        assert status == 409 and "has been accepted since" in told["message"]
+        assert status == 409
+        assert "has been accepted since" in told["message"]
 
     stage.play(script)
     assert stage.audit().clean
@@ -117,7 +121,8 @@
             and each.data["rules"] == "e1"
             and each.at_us > first_us + 2_100_000
         ]
-        assert not late and stage.all_on("e2")
+        assert not late
+        assert stage.all_on("e2")
 
     stage.play(script)
 
@@ -139,7 +144,8 @@
         response = stage.pool(alone.port).request(
             "POST", "/apis/batch/v1/namespaces/default/jobs", body
         )
-        assert response.status == 503 and b"out of touch" in response.body
+        assert response.status == 503
+        assert b"out of touch" in response.body
         for slot in stage.cluster.placers[:3]:
             slot.start()
         assert stage.wait(lambda: stage.all_on("e1"))
@@ -171,7 +177,8 @@
             for each in stage.cluster.record.records
             if each.what == "offer" and each.at_us >= since
         ]
-        assert sent and all(
+        assert sent
+        assert all(
             each.data["rules"] == "f1" and each.where in ("node-2", "node-3") for each in sent
         )
 
@@ -194,7 +201,8 @@
         (Path(lost.state) / "rules").rmdir()
         lost.start()
         stage.hub.sleep(8 * S)
-        assert "rules-voter-without-store" in told and stage.all_on("e1")
+        assert "rules-voter-without-store" in told
+        assert stage.all_on("e1")
         other = next(
             slot
             for slot in stage.cluster.placers
@@ -202,7 +210,8 @@
         )
         other.kill()
         stage.hub.sleep(8 * S)
-        assert stage.label(stage.cluster.placers[0]) in ("", "e1") and not stage.all_on("e1")
+        assert stage.label(stage.cluster.placers[0]) in ("", "e1")
+        assert not stage.all_on("e1")
 
     stage.play(script)
 
@@ -231,7 +240,8 @@
         assert stage.ask(leader, "POST", {"voters": ["x", "y"]}, RULES + "/voters")[0] == 409
         assert stage.ask(leader, "POST", {"voters": 3}, RULES + "/voters")[0] == 422
         assert stage.ask(leader, "GET", None, RULES + "/nonsense")[0] in (404, 405)
-        assert stage.all_on("e1") and stage.ask(leader)[1]["version"] == 1
+        assert stage.all_on("e1")
+        assert stage.ask(leader)[1]["version"] == 1
 
     stage.play(script)
 
@@ -241,13 +251,14 @@
 
     def script() -> None:
         response = stage.pool().request("GET", RULES)
-        assert response.status == 404 and b"agree" in response.body
+        assert response.status == 404
+        assert b"agree" in response.body
 
     stage.play(script)
 
 
 @pytest.mark.parametrize(
-    "block, words",
+    ("block", "words"),
     [
         ('agree {\n voter "placer-0"\n voter "b"\n}', "different voters"),
         ('agree {\n voter "b"\n}', "neither"),
@@ -268,8 +279,8 @@
         ' voter "placer-1"\n voter "placer-2"\n member "placer-3"\n}\n'
     )
     rules = rules_of(settings)
-    assert dict(rules.cold_shares) == {f"placer-{i}": 5 for i in range(4)} and rules.barred == (
-        "n1",
-    )
+    assert dict(rules.cold_shares) == {f"placer-{i}": 5 for i in range(4)}
+    assert rules.barred == ("n1",)
     told = scheduler_under(settings, rules.text())
-    assert divmod(int(told.fresh_offers), told.placers) == (5, 0) and told.attempts_most == 4
+    assert divmod(int(told.fresh_offers), told.placers) == (5, 0)
+    assert told.attempts_most == 4
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -54,7 +54,8 @@
 
     def items(self, slot: PlacerSlot) -> dict[str, dict[str, Any]]:
         status, value = self.ask(slot, path=LEASES)
-        assert status == 200 and value["kind"] == "LeaseList"
+        assert status == 200
+        assert value["kind"] == "LeaseList"
         return {each["spec"]["holderIdentity"]: each for each in value["items"]}
 
 
@@ -78,25 +79,25 @@
         stage.hub.sleep(2 * S)
         leader = stage.leader()
         held = stage.items(leader)
-        assert len(held) == 5 and {each["status"]["state"] for each in held.values()} == {"open"}
+        assert len(held) == 5
+        assert {each["status"]["state"] for each in held.values()} == {"open"}
         assert held[session.text()]["spec"]["leaseDurationSeconds"] == 4
         keeper = next(each for each in held.values() if each["status"].get("keepsFor"))
         assert keeper["status"]["keepsFor"] == {session.text(): {"jobs": 7, "afterUs": 5 * S}}
         assert list(stage.items(lost)) == [session.text()], "its own alone"
         lost.hold(ended_within_us(LEASE_US, 5 * S) + 5 * S)
         assert stage.wait(lambda: bool(ended), 30)
-        assert (
-            ended[0][0] == 3
-            and ended[0][1].session == session
-            and ended[0][1].batches == (("placer-3",),)
-        )
+        assert ended[0][0] == 3
+        assert ended[0][1].session == session
+        assert ended[0][1].batches == (("placer-3",),)
         over = stage.items(leader)[session.text()]
         assert (over["status"]["state"], over["spec"]["leaseTransitions"]) == (
             "ended",
             ended[0][1].changed,
         )
         assert stage.wait(lambda: (4, replace(session, serial=2), True) in told, 30)
-        assert told[0] == (4, session, False) and (4, ended[0][1]) in ended
+        assert told[0] == (4, session, False)
+        assert (4, ended[0][1]) in ended
         assert stage.items(stage.cluster.placers[3])[session.text()]["status"]["state"] == "ended"
         assert stage.ask(leader, "DELETE", path=LEASES)[0] == 405
 
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -8,8 +8,8 @@
 import lmdb
 import pytest
 
-from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.consensus.log import Disk, Entry
+from wingbarrow.decide.effects import Persist
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, create, open_if_there
 
 
--- a/tests/peers/test_turns_path.py
+++ b/tests/peers/test_turns_path.py
@@ -64,15 +64,21 @@
         )
         assert (again[0], again[1]["number"]) == (201, number)
         status, told = stage.ask(stage.leader(), "POST", {"machine": "node-2"}, TURNS)
-        assert status == 409 and f"has turn {number}" in told["message"]
+        assert status == 409
+        assert f"has turn {number}" in told["message"]
         assert stage.wait(lambda: stage.state(number) == "out", 30), stage.turn(number)
         turn = stage.turn(number)
-        assert turn["cell"] and turn["zone"] and turn["tasks"] > 0 and stage.holds("node-2") == 0
-        assert stage.guard("node-2").refuses() and stage.everywhere("node-2", "draining")
+        assert turn["cell"]
+        assert turn["zone"]
+        assert turn["tasks"] > 0
+        assert stage.holds("node-2") == 0
+        assert stage.guard("node-2").refuses()
+        assert stage.everywhere("node-2", "draining")
         since = stage.hub.now_us()
         for round_ in range(4):
             stage.work(2, f"out-{round_}")
-            assert stage.say(number, "renew", worker="w")[0] == 200 and stage.holds("node-2") == 0
+            assert stage.say(number, "renew", worker="w")[0] == 200
+            assert stage.holds("node-2") == 0
         assert stage.say(number, "renew", worker="another")[0] == 409
         assert stage.say(number, "give-back")[0] == 409, "its worker is heard of"
         assert stage.say(number, "out-done", worker="w")[1]["state"] == "back"
@@ -82,14 +88,14 @@
         assert len(senders) <= 1 or stage.state(number) == "done"
         assert stage.wait(lambda: stage.state(number) == "done", 40), stage.turn(number)
         stage.work(3, "after")
-        assert stage.everywhere("node-2", "running") and not stage.guard("node-2").refuses()
+        assert stage.everywhere("node-2", "running")
+        assert not stage.guard("node-2").refuses()
         assert {each["state"] for each in stage.ask(stage.leader(), path=TURNS)[1]["items"]} == {
             "done"
         }
         records = [each.data for each in stage.seen("turn") if each.where == "node-2"]
-        assert records[-1]["shut"] is False and any(
-            each["shut"] and each["empty"] for each in records
-        )
+        assert records[-1]["shut"] is False
+        assert any(each["shut"] and each["empty"] for each in records)
 
     stage.play(script)
 
@@ -110,12 +116,14 @@
                 stage.work(0.3, f"load-{step}")
             items = stage.ask(stage.leader(), path=TURNS)[1]["items"]
             out = [each for each in items if each["state"] == "out"]
-            assert len(out) <= 1 and all(stage.holds(each["machine"]) == 0 for each in out)
+            assert len(out) <= 1
+            assert all(stage.holds(each["machine"]) == 0 for each in out)
             for each in items:
                 seen[each["machine"]].add(each["state"])
         assert len(items) == 2 and {each["state"] for each in items} == {"done"}, items
         assert all("out" in states for states in seen.values())
-        assert stage.everywhere("node-1", "running") and stage.everywhere("node-3", "running")
+        assert stage.everywhere("node-1", "running")
+        assert stage.everywhere("node-3", "running")
 
     stage.play(script)
 
@@ -138,7 +146,8 @@
         assert stage.wait(lambda: leads(stage), 20)
         assert stage.wait(lambda: stage.state(number) == "out", 30), stage.turn(number)
         told = stage.turn(unknown["number"])
-        assert told["state"] == "asked" and "no list" in told["blocked"]
+        assert told["state"] == "asked"
+        assert "no list" in told["blocked"]
         assert stage.say(unknown["number"], "give-back", note="a slip")[1]["state"] == "given-back"
         assert stage.say(number, "renew")[1]["state"] == "out"
         killed.start()
--- a/tests/peers/test_verdicts_path.py
+++ b/tests/peers/test_verdicts_path.py
@@ -65,7 +65,9 @@
         assert sum(stage.closed(slot, "node-3") for slot in slots) >= 4
         told = stage.ask(stage.leader(), path=VERDICTS)[1]
         (verdict,) = told["items"]
-        assert verdict["machine"] == "node-3" and len(verdict["by"]) >= 2 and not verdict["ended"]
+        assert verdict["machine"] == "node-3"
+        assert len(verdict["by"]) >= 2
+        assert not verdict["ended"]
         assert any("node-3" in each["evidence"] for each in told["witnesses"])
         assert stage.ask(slots[4], path=VERDICTS)[1]["closed"] in ([], ["node-3"])
         since = stage.hub.now_us()
@@ -92,7 +94,8 @@
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         liar = stage.cluster.placers[4].service
-        assert liar is not None and liar.placer.peering.agreement is not None
+        assert liar is not None
+        assert liar.placer.peering.agreement is not None
         for _ in range(20):
             for machine in stage.cluster.machines:
                 liar.placer.peering.agreement.experience.note(
@@ -100,7 +103,8 @@
                 )
             stage.hub.sleep(S // 4)
         told = stage.ask(stage.leader(), path=VERDICTS)[1]
-        assert not told["items"] and any(each["bad"] == 8 for each in told["witnesses"])
+        assert not told["items"]
+        assert any(each["bad"] == 8 for each in told["witnesses"])
         assert not any(
             stage.closed(slot, machine.name)
             for slot in stage.cluster.placers
--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -318,12 +318,12 @@
     "DESCRIPTION",
     "MADE",
     "MS",
-    "S",
     "SETTINGS",
     "Client",
     "Journal",
     "Listener",
     "Machine",
+    "S",
     "Stage",
     "over",
 ]
--- a/tests/relay/test_configuration.py
+++ b/tests/relay/test_configuration.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import SETTINGS
 
+from tests.relay.stage import SETTINGS
 from wingbarrow.core.logs import silent
 from wingbarrow.relay.configuration import BadConfiguration, load, load_journal
 from wingbarrow.relay.placer import Placer
@@ -43,7 +43,8 @@
         0x8C1F30D27A5BE964,
         "127.0.0.1:9",
     )
-    assert told.settings.classes[0].name == "web" and told.patience_us == 5_000_000
+    assert told.settings.classes[0].name == "web"
+    assert told.patience_us == 5_000_000
 
 
 @pytest.mark.parametrize(
@@ -75,11 +76,9 @@
             timeout=60,
             env={**os.environ, "RELAY_CONFIG": "", **environment},
         )
-        assert (
-            ended.returncode == 2
-            and ended.stderr.count("\n") == 1
-            and "Traceback" not in ended.stderr
-        )
+        assert ended.returncode == 2
+        assert ended.stderr.count("\n") == 1
+        assert "Traceback" not in ended.stderr
 
 
 ODD: list[Any] = [
@@ -150,12 +149,13 @@
             )
         except (BadConfiguration, ValueError) as error:  # what `run` tells, and ends with status 2
             refused += 1
-            assert str(error) and "\n" not in str(error)
+            assert str(error)
+            assert "\n" not in str(error)
     assert refused > 500
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    ("change", "told"),
     [
         ({"limits": {"sockets": 1e400}}, "limits.sockets"),
         ({"limits": {"sockets": 63}}, "limits.sockets"),
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import S, SETTINGS, Client, Machine, Stage, over
 
+from tests.relay.stage import SETTINGS, Client, Machine, S, Stage, over
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay.message import Kind
 from wingbarrow.transport import Stream
@@ -72,7 +72,7 @@
             self.sleep(5)
 
 
-@pytest.mark.parametrize("sockets, count", [(96, 120), (192, 250)])
+@pytest.mark.parametrize(("sockets", "count"), [(96, 120), (192, 250)])
 def test_more_machines_than_the_table_holds_are_all_heard_in_time(sockets: int, count: int) -> None:
     def play(stage: Stage) -> None:
         assert isinstance(stage, Crowded)
@@ -140,7 +140,8 @@
             client.kinds(task) == [Kind.ANSWER]
             for task, client in zip(range(1001, 1021), more, strict=True)
         )
-        assert answers >= 15 and stage.held_most <= Table(96).most
+        assert answers >= 15
+        assert stage.held_most <= Table(96).most
 
     Crowded(0, settings=MANY, sockets=96).run(play)
 
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 import pytest
-from tests.relay.stage import MS, Client, Stage
 
+from tests.relay.stage import MS, Client, Stage
 from wingbarrow.relay.message import Cause, Kind, Message, encode, with_cause
 from wingbarrow.relay.owners import UNREAD_US
 from wingbarrow.transport import Stream
@@ -106,7 +106,8 @@
         (owner,) = [each for each in owners._owners if 1 in each.tasks]
         stall(stage, lambda: owners.close(owner, "id twice"))
         stage.sleep(1500)
-        assert len(stage.machines[0].set_ups()) == 1 and stage.placer.life.counts["withdrawn"] == 1
+        assert len(stage.machines[0].set_ups()) == 1
+        assert stage.placer.life.counts["withdrawn"] == 1
 
     Stage(1).run(play)
 
@@ -159,7 +160,8 @@
 
         stall(stage, both)
         stage.sleep(500)
-        assert before == 1 and stage.set_ups(2) == []
+        assert before == 1
+        assert stage.set_ups(2) == []
         client.ask(3, name="3" * 16)
         stage.sleep(50)
         assert client.kinds(3) == [Kind.ANSWER]
@@ -182,7 +184,8 @@
         stall(stage, talk)
         stage.sleep(1500)
         assert [client.kinds(task) for task in (1, 2, 3, 5)] == [[Kind.ANSWER]] * 4
-        assert client.kinds(4) == [] and stage.set_ups(4) == []
+        assert client.kinds(4) == []
+        assert stage.set_ups(4) == []
         assert stage.placer.life.counts["sends_behind"] > 0
 
     Stage(1).run(play)
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 
 import pytest
-from tests.relay.stage import MS, S, Journal, Machine, Stage, over
-from tests.relay.test_list import Trouble, deliveries, event, move, phase, say, tails, tell, until
 
+from tests.relay.stage import MS, Journal, Machine, S, Stage, over
+from tests.relay.test_list import Trouble, deliveries, event, move, phase, say, tails, tell, until
 from wingbarrow import interface as api
 from wingbarrow.http.message import Request
 from wingbarrow.relay import journal
@@ -75,7 +75,8 @@
 def test_a_bad_entry_is_passed_over_and_told(change: dict[str, object]) -> None:
     told: list[str] = []
     _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, told.append)
-    assert len(news.entries) == 1 and len(told) == 1
+    assert len(news.entries) == 1
+    assert len(told) == 1
 
 
 @pytest.mark.parametrize(
@@ -103,7 +104,8 @@
         for task in range(1, 6):
             stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(100)
-        assert not drained.set_ups() and len(stage.machines[1].set_ups()) == 5
+        assert not drained.set_ups()
+        assert len(stage.machines[1].set_ups()) == 5
 
     Stage().run(play)
 
@@ -121,7 +123,8 @@
         stage.sleep(50)
         again = Machine(stage.hub, machine.name, machine.port)
         stage.sleep(2000)
-        assert not again.set_ups() and not machine.set_ups()
+        assert not again.set_ups()
+        assert not machine.set_ups()
         assert stage.owner.kinds(1) == [Kind.RELEASE]
 
     Stage(1).run(play)
@@ -143,7 +146,8 @@
         stage.journal.add(stage.machines[0].entry("Terminating"))
         stage.sleep(400)
         tails = [target.partition("&")[0] for _, target in stage.journal.calls]
-        assert tails == ["/journal?tail=1"] * 4 + ["/journal?tail=2"] and not stage.journal.troubles
+        assert tails == ["/journal?tail=1"] * 4 + ["/journal?tail=2"]
+        assert not stage.journal.troubles
         stage.owner.ask(1)
         stage.sleep(50)
         assert not stage.machines[0].set_ups()
@@ -175,12 +179,14 @@
         fresh.add(stage.machines[0].entry("Terminating"))
         stage.placer._follower.move_to(Address("127.0.0.1", fresh.server.port))
         stage.sleep(100)
-        assert fresh.calls and "tail=1&" in fresh.calls[0][1]
+        assert fresh.calls
+        assert "tail=1&" in fresh.calls[0][1]
         for task in range(2, 6):
             stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(100)
         late = [heard for heard in stage.machines[0].set_ups() if heard.message.task != 1]
-        assert not late and all(Kind.ANSWER in stage.owner.kinds(task) for task in range(1, 6))
+        assert not late
+        assert all(Kind.ANSWER in stage.owner.kinds(task) for task in range(1, 6))
 
     Stage().run(play)
 
@@ -192,7 +198,8 @@
         stage.sleep(100)
         stage.owner.ask(1)
         stage.sleep(50)
-        assert not stage.machines[0].set_ups() and stage.owner.kinds(1) == [Kind.ANSWER]
+        assert not stage.machines[0].set_ups()
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
 
     Stage().run(play)
 
@@ -212,12 +219,12 @@
         machine.tell(over(1))
         stage.sleep(50)
         news = stage.owner.of(1) + late.of(1)  # on either connection
-        assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE] and news[
-            1
-        ].cause == Cause.OVER
+        assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
+        assert news[1].cause == Cause.OVER
         while stage.ended_us is None and stage.hub.now_us() < told + 10 * S:
             stage.sleep(50)
-        assert stage.ended_us is not None and 2 * S <= stage.ended_us - told <= 3_700 * MS
+        assert stage.ended_us is not None
+        assert 2 * S <= stage.ended_us - told <= 3_700 * MS
 
     Stage().run(play)
 
@@ -339,13 +346,15 @@
         move(stage, between)
         move(stage, last)
         stage.sleep(50)
-        assert not between.calls and tails(last) == [1]
+        assert not between.calls
+        assert tails(last) == [1]
         move(stage, between)
         move(stage, last)  # there and back
         stage.sleep(50)
         last.add(stage.machines[0].entry("Terminating"))
         stage.sleep(20)
-        assert phase(stage, stage.machines[0]) is api.Phase.DRAINING and len(last.calls) <= 3
+        assert phase(stage, stage.machines[0]) is api.Phase.DRAINING
+        assert len(last.calls) <= 3
         assert not stage.placer.life.counts["journal_failures"]
 
     Stage().run(play)
@@ -361,7 +370,8 @@
         stage.journal.add(first.entry())
         stage.journal.add(first.entry())
         stage.sleep(1500)
-        assert phase(stage, first) is api.Phase.DRAINING and tails(fresh)[-1] == 2
+        assert phase(stage, first) is api.Phase.DRAINING
+        assert tails(fresh)[-1] == 2
         assert not stage.placer.life.counts["journal_failures"]
 
     Stage().run(play)
@@ -395,7 +405,8 @@
             until(stage, fill)
             calls = len(stage.journal.calls)
             stage.sleep(4000)
-            assert 14 <= counts["journal_failures"] <= 30 and len(stage.journal.calls) == calls
+            assert 14 <= counts["journal_failures"] <= 30
+            assert len(stage.journal.calls) == calls
             stage.journal.add(stage.machines[0].entry("Terminating"))
         finally:
             for each in held:
@@ -409,7 +420,7 @@
 
 
 @pytest.mark.parametrize(
-    "body, status",
+    ("body", "status"),
     [
         (b"{", b"200 OK"),
         (b"\xff\xfe", b"200 OK"),
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import MS, S, Journal, Machine, Stage
 
+from tests.relay.stage import MS, Journal, Machine, S, Stage
 from wingbarrow import interface as api
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
--- a/tests/relay/test_machine_races.py
+++ b/tests/relay/test_machine_races.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import MS, S, Stage, over
 
+from tests.relay.stage import MS, S, Stage, over
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream, connect
@@ -124,10 +124,8 @@
         stall_at_dial(stage, monkeypatch, 1, 300)
         stage.owner.ask(1, patience_ms=4000)
         stage.sleep(400)
-        assert (
-            stage.owner.kinds(1) == [Kind.ANSWER]
-            and stage.placer.life.counts["dials_failed:silent"] == 0
-        )
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert stage.placer.life.counts["dials_failed:silent"] == 0
 
     Stage(1).run(play)
 
@@ -146,7 +144,8 @@
         if then == "quiet":
             stage.owner.ask(1, patience_ms=200)
             stage.sleep(5000)
-            assert stage.placer.life.counts["dials_failed:silent"] == 1 and not stage.set_ups(1)
+            assert stage.placer.life.counts["dials_failed:silent"] == 1
+            assert not stage.set_ups(1)
             stage.owner.ask(2, "settlement", name="2" * 16, figures=found)
         else:
             stage.owner.ask(2, "settlement", name="2" * 16, figures=found)
@@ -162,7 +161,8 @@
         )
         machine.tell(over(2))
         stage.sleep(100)
-        assert stage.owner.kinds(2) == [Kind.RELEASE] and stage.owner.of(2)[0].cause == Cause.OVER
+        assert stage.owner.kinds(2) == [Kind.RELEASE]
+        assert stage.owner.of(2)[0].cause == Cause.OVER
 
     Stage(1).run(play)
 
--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from tests.relay.stage import S, Machine, Stage, over
 
+from tests.relay.stage import Machine, S, Stage, over
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Kind, Message, with_cause
@@ -25,7 +25,8 @@
         count = len(machine.streams)
         first.abort()  # with it a release may be lost, though another connection is open
         stage.sleep(300)
-        assert second.open and len(machine.streams) > count
+        assert second.open
+        assert len(machine.streams) > count
 
     Stage(1).run(play)
 
@@ -60,7 +61,8 @@
         machine.die()
         stage.sleep(900)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
-        assert stage.owner.heard[-1].at_us - died <= S and stage.owner.of(1)[1].cause == Cause.RESET
+        assert stage.owner.heard[-1].at_us - died <= S
+        assert stage.owner.of(1)[1].cause == Cause.RESET
 
     Stage(1).run(play)
 
@@ -161,7 +163,8 @@
         stage.sleep(3500)
         machine.take(*held[0])
         stage.sleep(50)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and len(stage.set_ups(1)) == 1
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert len(stage.set_ups(1)) == 1
 
     Stage(1).run(play)
 
@@ -181,7 +184,8 @@
         stage.sleep(100)
         stage.owner.ask(2, name="b" * 16)
         stage.sleep(100)
-        assert stage.owner.kinds(2) == [Kind.ANSWER] and len(new.set_ups(2)) == 1
+        assert stage.owner.kinds(2) == [Kind.ANSWER]
+        assert len(new.set_ups(2)) == 1
 
     Stage(1).run(play)
 
@@ -218,17 +222,13 @@
         stage.journal.add(stage.machines[0].entry())
         stage.sleep(1500)
         placer = stage.placer
-        assert (
-            len(placer._links.by_name) == 2
-            and len(placer._attempts) == 0
-            and not placer._requests.by_ident
-        )
+        assert len(placer._links.by_name) == 2
+        assert len(placer._attempts) == 0
+        assert not placer._requests.by_ident
         scheduler = placer._host._scheduler
-        assert (
-            len(scheduler._fleet.machines) == 2
-            and not scheduler._tasks
-            and not scheduler._choice._spread
-        )
+        assert len(scheduler._fleet.machines) == 2
+        assert not scheduler._tasks
+        assert not scheduler._choice._spread
 
     Stage().run(play)
 
@@ -284,6 +284,7 @@
             "they share what there is"
         )
         held = [link.held for link in stage.placer._links.by_name.values()]
-        assert max(held) > 1 and sum(held) <= Table(48).extras_most
+        assert max(held) > 1
+        assert sum(held) <= Table(48).extras_most
 
     Stage(8, sockets=48).run(play)
--- a/tests/relay/test_message.py
+++ b/tests/relay/test_message.py
@@ -43,9 +43,8 @@
         framer.feed(data[at:cut])
         got += read_all(framer)
         at = cut
-    assert [
-        (each.kind, each.task, dict(each.values)) for each in got
-    ] == wanted and framer.buffered == 0
+    assert [(each.kind, each.task, dict(each.values)) for each in got] == wanted
+    assert framer.buffered == 0
 
 
 @given(st.binary(max_size=400))
--- a/tests/relay/test_offers.py
+++ b/tests/relay/test_offers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from tests.relay.stage import DESCRIPTION, MADE, MS, Stage, over
-
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream
 
@@ -22,14 +21,13 @@
             Code.DESCRIPTION: DESCRIPTION,
         }
         (answer,) = stage.owner.of(7)
-        assert answer.kind == Kind.ANSWER and answer.values == {Code.DESCRIPTION: MADE}
+        assert answer.kind == Kind.ANSWER
+        assert answer.values == {Code.DESCRIPTION: MADE}
         machine.tell(over(7))
         machine.tell(over(7))  # the machine says it twice, on the next connection too
         stage.sleep(50)
-        assert (
-            stage.owner.kinds(7) == [Kind.ANSWER, Kind.RELEASE]
-            and stage.owner.of(7)[1].cause == Cause.OVER
-        )
+        assert stage.owner.kinds(7) == [Kind.ANSWER, Kind.RELEASE]
+        assert stage.owner.of(7)[1].cause == Cause.OVER
 
     Stage().run(play)
 
@@ -96,8 +94,10 @@
         stage.sleep(300)
         assert len(stage.set_ups(1)) == 1
         answer, released = stage.owner.of(1)
-        assert answer.kind == Kind.ANSWER and answer.values == {Code.DESCRIPTION: MADE}
-        assert released.kind == Kind.RELEASE and released.cause == Cause.OVER
+        assert answer.kind == Kind.ANSWER
+        assert answer.values == {Code.DESCRIPTION: MADE}
+        assert released.kind == Kind.RELEASE
+        assert released.cause == Cause.OVER
 
     Stage().run(play)
 
@@ -109,11 +109,14 @@
         stage.owner.ask(1, "settlement")
         stage.owner.ask(2, "web")
         stage.sleep(1500)
-        assert len(stage.set_ups(1)) == 1 and len(stage.set_ups(2)) == 4
+        assert len(stage.set_ups(1)) == 1
+        assert len(stage.set_ups(2)) == 4
         (failed,) = stage.owner.of(1)
-        assert failed.kind == Kind.RELEASE and failed.cause not in (34, 42, 102)
+        assert failed.kind == Kind.RELEASE
+        assert failed.cause not in (34, 42, 102)
         (refused,) = stage.owner.of(2)
-        assert refused.kind == Kind.RELEASE and refused.cause in (34, 42, 102)
+        assert refused.kind == Kind.RELEASE
+        assert refused.cause in (34, 42, 102)
 
     Stage().run(play)
 
@@ -144,7 +147,8 @@
         machine.on_set_up = odd
         stage.owner.ask(1)
         stage.sleep(50)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and stage.owner.of(999) == []
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert stage.owner.of(999) == []
         machine.on_set_up = lambda stream, message: stream.send(
             encode(Kind.ANSWER, message.task, {})
         )
@@ -172,7 +176,8 @@
             machine.take(stream, message)
         stage.sleep(100)
         cut = [each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE][2:]
-        assert cut == [1] and [len(stage.owner.of(task)) for task in (1, 2)] == [1, 1]
+        assert cut == [1]
+        assert [len(stage.owner.of(task)) for task in (1, 2)] == [1, 1]
 
     Stage(1).run(play)
 
@@ -183,6 +188,7 @@
         asked = stage.hub.now_us()
         stage.sleep(1500)
         (answer,) = stage.owner.heard
-        assert answer.message.kind == Kind.RELEASE and answer.at_us - asked <= 1000 * MS
+        assert answer.message.kind == Kind.RELEASE
+        assert answer.at_us - asked <= 1000 * MS
 
     Stage().run(play)
--- a/tests/relay/test_overtaken.py
+++ b/tests/relay/test_overtaken.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 import pytest
-from tests.relay.stage import MADE, Heard, Machine, Stage, over
 
+from tests.relay.stage import MADE, Heard, Machine, Stage, over
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.offers import TOLD_US
 from wingbarrow.transport import Stream
@@ -52,7 +52,8 @@
         stage.sleep(4_000)
         ((machine, asked),) = stage.set_ups(1)
         (told,) = [each for each in stage.owner.heard if each.message.task == 1]
-        assert told.message.kind == Kind.RELEASE and told.message.cause == Cause.RESET
+        assert told.message.kind == Kind.RELEASE
+        assert told.message.cause == Cause.RESET
         assert told.at_us - asked.at_us <= 300_000 + 50_000
         assert [each for each in machine.heard if each.message.kind == Kind.RELEASE] == []
         assert stage.placer.life.counts["answers_overtaken"] == 1
@@ -67,7 +68,8 @@
         releases_first(stage, lambda task: over(task, Cause.RESET))
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(1_000)
-        assert len(stage.set_ups(1)) == 2 and stage.owner.kinds(1) == [Kind.ANSWER]
+        assert len(stage.set_ups(1)) == 2
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
 
     Stage().run(play)
 
@@ -102,11 +104,9 @@
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(3_000)
         answer, release = stage.owner.of(1)
-        assert (
-            answer.kind == Kind.ANSWER
-            and release.kind == Kind.RELEASE
-            and release.cause == Cause.OVER
-        )
+        assert answer.kind == Kind.ANSWER
+        assert release.kind == Kind.RELEASE
+        assert release.cause == Cause.OVER
 
     Stage().run(play)
 
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 import pytest
-from tests.relay.stage import MS, S, Client, Machine, Stage, over
 
+from tests.relay.stage import MS, Client, Machine, S, Stage, over
 from wingbarrow.relay.message import Cause, Kind, with_cause
 
 MANY = 12_000  # more tasks than one placer ever looks after
@@ -44,7 +44,8 @@
         machine.silent = True  # what comes now is never read
         ends(stage)
         stage.sleep(20)
-        assert stage.placer._requests.by_ident.get(1) is None and releases(machine, 1) == 0
+        assert stage.placer._requests.by_ident.get(1) is None
+        assert releases(machine, 1) == 0
         for stream in machine.streams:
             stream.abort()
         machine.silent = False
@@ -105,7 +106,8 @@
         turns_until(stage, lambda: stage.placer.life.counts["releases_again"] == 1)
         second.stream.abort()
         stage.sleep(8500)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and second.kinds(1) == []
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert second.kinds(1) == []
         assert third.kinds(1) == [Kind.RELEASE]
 
     Stage(1).run(play)
@@ -128,7 +130,8 @@
         last = stage.client()
         prove(last, 3)
         stage.sleep(500)
-        assert fresh.kinds(1) == [] and last.kinds(1) == [Kind.RELEASE]
+        assert fresh.kinds(1) == []
+        assert last.kinds(1) == [Kind.RELEASE]
 
     Stage(1).run(play)
 
@@ -163,7 +166,8 @@
             if task % 100 == 0:
                 stage.hub.checkpoint()
         stage.sleep(1000)
-        assert len(stage.placer._attempts) < MANY and len(stage.placer._requests.by_ident) < MANY
+        assert len(stage.placer._attempts) < MANY
+        assert len(stage.placer._requests.by_ident) < MANY
         usual = stage.client()  # the placer goes on
         prove(usual, 1)
 
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from tests.relay.stage import MADE, S, Stage, over
-
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream
 
@@ -52,7 +51,8 @@
         stage.owner.ask(5, figures=figures, patience_ms=0)
         stage.owner.ask(5, figures=figures, patience_ms=0)  # it may name what is held already
         stage.sleep(300)
-        assert stage.owner.of(5) == [] and stage.machines[0].set_ups() == []
+        assert stage.owner.of(5) == []
+        assert stage.machines[0].set_ups() == []
         stage.machines[0].tell(over(5))  # a connection is there for its news
         stage.sleep(50)
         stage.client().ask(6, name="e" * 16)  # proves itself an owner: releases can go there
@@ -92,9 +92,8 @@
         stage.hub.checkpoint()
         stage.owner.stream.abort()  # nothing was said to be heard
         stage.sleep(100)
-        assert [each.kind for each in other.of(1)] == [
-            Kind.RELEASE
-        ] and Kind.RELEASE in other.kinds(2)
+        assert [each.kind for each in other.of(1)] == [Kind.RELEASE]
+        assert Kind.RELEASE in other.kinds(2)
 
     Stage(1).run(play)
 
@@ -143,7 +142,8 @@
         began = stage.hub.now_us()
         stage.sleep(3000)
         for each in (mute, half):
-            assert each.ended_us is not None and each.ended_us - began <= 3 * S
+            assert each.ended_us is not None
+            assert each.ended_us - began <= 3 * S
         assert stage.owner.kinds(1) == [Kind.ANSWER]
 
     Stage().run(play)
@@ -156,8 +156,10 @@
         idle.stream.send(encode(Kind.PROGRESS, 5, {}) + encode(Kind.RELEASE_HEARD, 6, {}))
         lost.ask(7, figures="cores:1;memory:1;service:s1;at:s-nowhere")
         stage.sleep(2500)
-        assert idle.ended_us is not None and idle.ended_us - began <= 3 * S
-        assert lost.kinds(7) == [Kind.RELEASE] and stage.owner.of(7) == []
+        assert idle.ended_us is not None
+        assert idle.ended_us - began <= 3 * S
+        assert lost.kinds(7) == [Kind.RELEASE]
+        assert stage.owner.of(7) == []
 
     Stage().run(play)
 
@@ -170,10 +172,8 @@
         bad.ask(3, DESCRIPTION=None)
         bad.ask(4, patience_ms=-5)
         stage.sleep(100)
-        assert (
-            all(bad.kinds(task) == [Kind.RELEASE] for task in (1, 2, 3, 4))
-            and not stage.machines[0].set_ups()
-        )
+        assert all(bad.kinds(task) == [Kind.RELEASE] for task in (1, 2, 3, 4))
+        assert not stage.machines[0].set_ups()
 
     Stage(1).run(play)
 
@@ -188,10 +188,12 @@
         thief = stage.client()
         thief.ask(1, DESCRIPTION=b"another")
         stage.sleep(20)
-        assert thief.kinds(1) == [Kind.RELEASE] and stage.owner.of(1) == []
+        assert thief.kinds(1) == [Kind.RELEASE]
+        assert stage.owner.of(1) == []
         machine.take(*held[0])
         stage.sleep(20)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and len(held) == 1
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert len(held) == 1
         thief.stream.send(
             with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP)
         )  # takes back what it never had
@@ -213,6 +215,7 @@
         stage.sleep(50)
         stage.owner.ask(2, name="9" * 16)
         stage.sleep(50)
-        assert stage.owner.kinds(2) == [Kind.ANSWER] and len(stage.placer.owners) <= 64
+        assert stage.owner.kinds(2) == [Kind.ANSWER]
+        assert len(stage.placer.owners) <= 64
 
     Stage(sockets=128).run(play)
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import MADE, MS, SETTINGS, Client, Journal, S, Stage, over
 
+from tests.relay.stage import MADE, MS, SETTINGS, Client, Journal, S, Stage, over
 from wingbarrow.relay import links
 from wingbarrow.relay.configuration import Address
 from wingbarrow.relay.message import Code, Kind, Message, encode
@@ -41,7 +41,8 @@
         stage.machines[0].on_set_up = answer_after(stage, 1800)
         stage.owner.ask(2, patience_ms=2500, name="2" * 16)
         stage.sleep(1900)
-        assert stage.owner.kinds(2) == [Kind.ANSWER] and stage.owner.ended_us is None
+        assert stage.owner.kinds(2) == [Kind.ANSWER]
+        assert stage.owner.ended_us is None
 
     Stage(1).run(play)
 
@@ -55,7 +56,8 @@
         stage.sleep(100)
         late.ask(1)
         stage.sleep(100)
-        assert late.kinds(1) == [Kind.ANSWER] and late.ended_us is None
+        assert late.kinds(1) == [Kind.ANSWER]
+        assert late.ended_us is None
 
     Stage(1).run(play)
 
@@ -128,7 +130,8 @@
         machine.tell(over(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == stage.owner.kinds(4) == [Kind.ANSWER, Kind.RELEASE]
-        assert stage.owner.kinds(2) == stage.owner.kinds(3) == [Kind.ANSWER] and not ends
+        assert stage.owner.kinds(2) == stage.owner.kinds(3) == [Kind.ANSWER]
+        assert not ends
         assert not [each for each in machine.heard if each.message.kind == Kind.RELEASE], (
             "nothing is stopped"
         )
@@ -157,7 +160,8 @@
             late_connections(stage, patched, 1)
             stage.owner.ask(1, "settlement", patience_ms=4000)
             stage.sleep(3000)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and len(stage.set_ups(1)) == 1
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert len(stage.set_ups(1)) == 1
 
     Stage(1).run(play)
 
@@ -197,7 +201,8 @@
         for task in range(1, 7):
             owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(100)
-        assert not stage.journal.troubles and not drained.set_ups()
+        assert not stage.journal.troubles
+        assert not drained.set_ups()
         assert all(owner.kinds(task) == [Kind.ANSWER] for task in range(1, 7))
 
     Stage().run(play)
@@ -232,8 +237,10 @@
         stage.hub.spawn(placer.run, "second")
         stage.hub.checkpoint()
         front = Client(stage.hub, placer.port)
-        assert front.test() == 1 and stage.hub.now_us() - began <= 100 * MS
-        assert calls[0] <= 400 * 500 and placer._links.held == 0
+        assert front.test() == 1
+        assert stage.hub.now_us() - began <= 100 * MS
+        assert calls[0] <= 400 * 500
+        assert placer._links.held == 0
         placer.life.end()
 
     Stage(1).run(play)
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import MS, S, SETTINGS, Client, Journal, Machine
 
+from tests.relay.stage import MS, SETTINGS, Client, Journal, Machine, S
 from wingbarrow.relay.message import Kind, encode, with_cause
 from wingbarrow.transport import Hub, PeerGone
 
@@ -176,7 +176,8 @@
             assert hub.now_us() - began < 2 * S
             site.until(lambda: len(again.calls) > 1, "its answer is taken, and it is asked again")
             assert f"tail={len(again.events)}" in again.calls[-1][1]
-            assert process.poll() is None and b"EMFILE" not in (tmp_path / "log").read_bytes()
+            assert process.poll() is None
+            assert b"EMFILE" not in (tmp_path / "log").read_bytes()
 
     play(call)
 
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import DESCRIPTION, MS, S, SETTINGS, Machine, Stage
 
+from tests.relay.stage import DESCRIPTION, MS, SETTINGS, Machine, S, Stage
 from wingbarrow.decide.crowd import IDLE_US, SILENT_US
 from wingbarrow.http.message import Request
 from wingbarrow.relay import links
@@ -111,12 +111,14 @@
         (machine,) = stage.machines
         stage.owner.ask(1, name="1" * 16)
         stage.sleep(1950)
-        assert len(machine.streams) == 1 and machine.streams[0].open
+        assert len(machine.streams) == 1
+        assert machine.streams[0].open
         other = stage.client()
         other.ask(2, "settlement", name="2" * 16)
         machine.streams[0].end_writing()  # its end crosses the offer
         stage.sleep(100)
-        assert other.kinds(2) == [Kind.ANSWER] and len(machine.streams) == 2
+        assert other.kinds(2) == [Kind.ANSWER]
+        assert len(machine.streams) == 2
 
     Stage(
         1,
@@ -155,7 +157,8 @@
         assert len(machine.set_ups()) == 1
         now_is_the_time.append(True)
         stage.sleep(1500)
-        assert len(machine.set_ups()) == 1 and stage.placer.life.counts["sends_behind_list"] > 0
+        assert len(machine.set_ups()) == 1
+        assert stage.placer.life.counts["sends_behind_list"] > 0
 
     Stage(1).run(play)
 
@@ -187,7 +190,8 @@
             machine.take(stream, message)
         stage.sleep(5200)
         sent = [heard.at_us for heard in machine.set_ups()]
-        assert len(sent) == 16 and all(owner.kinds(task) == [Kind.ANSWER] for task in range(1, 17))
+        assert len(sent) == 16
+        assert all(owner.kinds(task) == [Kind.ANSWER] for task in range(1, 17))
         assert max(sum(at <= other < at + 2 * S for other in sent) for at in sent) == 4
 
     family = {**SETTINGS["family_info"], "fresh_offers": 4}
@@ -216,7 +220,8 @@
 
         stage.hub.spawn(at_once, "stall")
         stage.sleep(1200)
-        assert Kind.ANSWER in stage.owner.kinds(2) and stage.owner.ended_us is None
+        assert Kind.ANSWER in stage.owner.kinds(2)
+        assert stage.owner.ended_us is None
 
     Stage(1).run(play)
 
@@ -244,11 +249,13 @@
             stage.sleep(20)
         stage.owner.ask(2, name="2" * 16)
         stage.sleep(30)
-        assert stage.set_ups(2) == [] and stage.owner.of(2) == []
+        assert stage.set_ups(2) == []
+        assert stage.owner.of(2) == []
         again = stage.client()
         again.ask(2, name="2" * 16)
         stage.sleep(50)
-        assert again.kinds(2) == [Kind.ANSWER] and len(stage.set_ups(2)) == 1
+        assert again.kinds(2) == [Kind.ANSWER]
+        assert len(stage.set_ups(2)) == 1
         assert stage.placer.life.counts["crossed_a_close"] == 1
 
     Stage(1).run(play)
@@ -260,7 +267,8 @@
         stage.sleep(20)
         clients = [stage.client() for _ in range(owners._crowd.most - 1)]
         stage.sleep(20)
-        assert len(owners) == owners._crowd.most and stage.placer.life.counts["owners:crowded"] == 0
+        assert len(owners) == owners._crowd.most
+        assert stage.placer.life.counts["owners:crowded"] == 0
         make_room = owners._make_room
 
         def ask_first() -> None:
@@ -272,7 +280,8 @@
         owners._make_room = ask_first  # type: ignore[method-assign]
         one_more = stage.client()
         stage.sleep(50)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and one_more.ended_us is None
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert one_more.ended_us is None
         assert stage.placer.life.counts["owners:crowded"] == 1
         assert [client.ended_us is not None for client in clients].count(True) == 1
 
@@ -342,7 +351,8 @@
             stage.sleep(5)
             if client.ended_us is not None:
                 break
-        assert client.ended_us is not None and client.kinds(1) == [Kind.ANSWER]
+        assert client.ended_us is not None
+        assert client.kinds(1) == [Kind.ANSWER]
         assert not ends or ends[0] > client.ended_us, "its end was read before any reset"
 
     Stage(1).run(play)
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 import pytest
-from tests.relay.stage import MS, SETTINGS, S, Machine, Stage
-from tests.relay.test_configuration import GOOD, write
 
+from tests.relay.stage import MS, SETTINGS, Machine, S, Stage
+from tests.relay.test_configuration import GOOD, write
 from wingbarrow import interface as api
 from wingbarrow.reader import settings_of
 from wingbarrow.relay import setup
@@ -73,7 +73,8 @@
     with pytest.raises(BadConfiguration) as caught:
         load({**write(folder, changed(GOOD, path, new)), "RELAY_LISTEN": ""})
     line = str(caught.value).removeprefix(f"{folder / 'config.json'}: ")
-    assert "\n" not in line and len(line) < 200
+    assert "\n" not in line
+    assert len(line) < 200
     return line
 
 
@@ -150,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, new, told",
+    ("path", "new", "told"),
     [
         ("settings.lanes", [], "settings.lanes: at least one is needed"),
         (
@@ -329,7 +330,7 @@
 
 
 @pytest.mark.parametrize(
-    "figures, values",
+    ("figures", "values"),
     [
         ("cores:2000;memory:6.4e10;service:s", {}),  # thousandths of a core, bytes
         ("cores:1e-7;memory:0;service:Größe-∑", {}),
@@ -373,9 +374,12 @@
             cwd=ROOT,
             env={**os.environ, **write(tmp_path, changed(GOOD, path, new))},
         )
-        assert ended.returncode == 2 and ended.stdout == ""
-        assert ended.stderr.startswith("wingbarrow: ") and ended.stderr.count("\n") == 1
-        assert f": {path}" in ended.stderr and "Traceback" not in ended.stderr
+        assert ended.returncode == 2
+        assert ended.stdout == ""
+        assert ended.stderr.startswith("wingbarrow: ")
+        assert ended.stderr.count("\n") == 1
+        assert f": {path}" in ended.stderr
+        assert "Traceback" not in ended.stderr
 
 
 def test_run_goes_on_where_sighup_finds_what_cannot_be_used(tmp_path: Path) -> None:
@@ -399,7 +403,8 @@
             write(tmp_path, value)
             process.send_signal(signal.SIGHUP)
             line = hear("reload")
-            assert "reload-refused" in line and key in line
+            assert "reload-refused" in line
+            assert key in line
         assert process.poll() is None
         write(tmp_path, {**GOOD, "journal": "127.0.0.1:7"})
         process.send_signal(signal.SIGHUP)
@@ -438,7 +443,7 @@
 
 
 @pytest.mark.parametrize(
-    "settings, patience_ms",
+    ("settings", "patience_ms"),
     [
         (site(["größte – ∑/%s\u2028{0}: 'x'\t"]), 2000),
         (site([f"c{i}" for i in range(12)]), 2000),
@@ -503,7 +508,8 @@
             machine.on_set_up = full
         stage.owner.ask(1)
         stage.sleep(1500)
-        assert len(stage.set_ups(1)) == 1 and stage.owner.kinds(1) == [Kind.RELEASE]
+        assert len(stage.set_ups(1)) == 1
+        assert stage.owner.kinds(1) == [Kind.RELEASE]
         assert stage.owner.of(1)[0].cause == Cause.BUSY
 
     Stage(settings=site(["web"], bounds__send_cap=1)).run(once)
@@ -518,7 +524,8 @@
         stage.sleep(45_000)
         machine.take(*held[0])
         stage.sleep(50)
-        assert stage.owner.kinds(1) == [Kind.ANSWER] and len(held) == 1
+        assert stage.owner.kinds(1) == [Kind.ANSWER]
+        assert len(held) == 1
 
     Stage(1, settings=site(["slow"], lanes__0__deadline_us=60 * S)).run(late)
 
--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from tests.conftest import task_class
 
+from tests.conftest import task_class
 from wingbarrow import interface as api
 from wingbarrow.relay import setup
 from wingbarrow.relay.message import Code, Kind, Message
@@ -26,10 +26,13 @@
 def test_a_final_answer_is_given_once_whatever_comes_late(final: Step, late: Step) -> None:
     requests = RequestTable()
     asked = task(requests)
-    assert requests.pending == 1 and requests.step(asked, final) and requests.pending == 0
+    assert requests.pending == 1
+    assert requests.step(asked, final)
+    assert requests.pending == 0
     again = requests.step(asked, late)
     assert again is (final is Step.START and late in (Step.WITHDRAW, Step.END, Step.MOVE))
-    assert requests.pending == 0 and bool(requests.odd) is not again
+    assert requests.pending == 0
+    assert bool(requests.odd) is not again
     assert not asked.passed_on  # what was only for machines is not kept
 
 
@@ -37,10 +40,11 @@
 def test_a_task_that_stands_ends_once_and_is_forgotten(end: Step) -> None:
     requests = RequestTable()
     stands = task(requests, state=State.RUNNING)
-    assert (
-        requests.pending == 0 and requests.step(stands, end) and not requests.step(stands, Step.END)
-    )
-    assert not requests.by_ident and not requests.by_request
+    assert requests.pending == 0
+    assert requests.step(stands, end)
+    assert not requests.step(stands, Step.END)
+    assert not requests.by_ident
+    assert not requests.by_request
 
 
 def test_an_id_that_is_used_again_is_another_task() -> None:
@@ -48,8 +52,10 @@
     first = task(requests)
     requests.step(first, Step.FAIL)
     second = task(requests)
-    assert requests.by_ident[7] is second and first.request != second.request
-    assert not requests.step(first, Step.REFUSE) and requests.by_ident[7] is second
+    assert requests.by_ident[7] is second
+    assert first.request != second.request
+    assert not requests.step(first, Step.REFUSE)
+    assert requests.by_ident[7] is second
 
 
 GOOD = {
--- a/tests/relay/test_trace.py
+++ b/tests/relay/test_trace.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 from tests.relay.stage import MS, Stage, over
-
 from wingbarrow.core.logs import silent
 from wingbarrow.relay.placer import Placer
 from wingbarrow.relay.trace import VARIABLE, Trace, from_environment
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -11,10 +11,10 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.lab.audit import Audit, audit
-from wingbarrow.lab.cluster import Cluster
-from wingbarrow.lab.wants import Want, job_value
 from wingbarrow.lab.build import Build
+from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.record import Record
+from wingbarrow.lab.wants import Want, job_value
 from wingbarrow.transport import Hub, VirtualClock
 
 S = 1_000_000
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -91,7 +91,8 @@
 def test_an_unmodified_client_creates_watches_lists_and_deletes_jobs(api: k8s.ApiClient) -> None:
     batch = k8s.BatchV1Api(api)
     made = batch.create_namespaced_job("default", job("first"))
-    assert made.metadata.uid and made.status.start_time
+    assert made.metadata.uid
+    assert made.status.start_time
     seen = []
     for event in Watch().stream(
         batch.list_namespaced_job,
@@ -104,7 +105,8 @@
         seen.append((event["type"], conditions))
         if "Complete" in conditions:
             break
-    assert "Placed" in seen[0][1] | seen[-1][1] and seen[-1][1] >= {"Placed", "Complete"}
+    assert "Placed" in seen[0][1] | seen[-1][1]
+    assert seen[-1][1] >= {"Placed", "Complete"}
     assert batch.read_namespaced_job("first", "default").status.succeeded == 1
     assert [
         each.metadata.name
@@ -116,7 +118,8 @@
     assert (deleted if isinstance(deleted, dict) else deleted.to_dict())["status"] == "Success"
     with pytest.raises(ApiException) as caught:
         batch.read_namespaced_job("first", "default")
-    assert caught.value.status == 404 and json.loads(caught.value.body)["reason"] == "NotFound"
+    assert caught.value.status == 404
+    assert json.loads(caught.value.body)["reason"] == "NotFound"
 
 
 def test_the_client_pages_through_lists_and_gets_errors_as_status(api: k8s.ApiClient) -> None:
@@ -140,7 +143,9 @@
         with pytest.raises(ApiException) as caught:
             batch.create_namespaced_job("pages", bad)
         told = json.loads(caught.value.body)
-        assert caught.value.status == status and told["kind"] == "Status" and told["code"] == status
+        assert caught.value.status == status
+        assert told["kind"] == "Status"
+        assert told["code"] == status
         assert status != 422 or told["details"]["causes"][0]["field"]
     dry = batch.create_namespaced_job("pages", job("dry"), dry_run="All")
     assert dry.metadata.name == "dry"
@@ -193,20 +198,17 @@
     file.write_text(json.dumps(k8s.ApiClient().sanitize_for_serialization(job("by-hand"))))
     url = ["--url", lab.url]
     done = run("submit", str(file), "--wait", *url)
-    assert (
-        done.exit_code == 0
-        and "default/by-hand accepted" in done.output
-        and "placed" in done.output
-    )
+    assert done.exit_code == 0
+    assert "default/by-hand accepted" in done.output
+    assert "placed" in done.output
     assert run("submit", str(file), *url).exit_code == 1
-    assert (
-        "by-hand" in run("get", "jobs", *url).output
-        and "node-3" in run("get", "nodes", *url).output
-    )
+    assert "by-hand" in run("get", "jobs", *url).output
+    assert "node-3" in run("get", "nodes", *url).output
     assert json.loads(run("get", "jobs", "by-hand", "--json", *url).output)["kind"] == "Job"
     assert "node-0" in run("watch", "nodes", "--seconds", "1", *url).output
     missing = run("get", "jobs", "none", *url)
-    assert missing.exit_code == 1 and "not found" in missing.output
+    assert missing.exit_code == 1
+    assert "not found" in missing.output
     assert run("get", "jobs", "--url", "http://127.0.0.1:1").exit_code == 1
 
 
@@ -225,17 +227,17 @@
         str(tmp_path / "p.png"),
         *url,
     )
-    assert (
-        plan.exit_code == 0
-        and plan.output.count("planned") == 2
-        and (tmp_path / "p.png").stat().st_size > 1000
-    )
+    assert plan.exit_code == 0
+    assert plan.output.count("planned") == 2
+    assert (tmp_path / "p.png").stat().st_size > 1000
     file.write_text('window "w" start="soon" lasts="2h" { machines zone="hall-a"; }\n')
     bad = run("drains", "plan", str(file), *url)
-    assert bad.exit_code == 2 and f"{file}:1:" in bad.stderr
+    assert bad.exit_code == 2
+    assert f"{file}:1:" in bad.stderr
     asked = run("drains", "now", "node-3", "--lasts", "60s", *url)
     key = asked.output.strip()
-    assert asked.exit_code == 0 and key in run("drains", "status", *url).output
+    assert asked.exit_code == 0
+    assert key in run("drains", "status", *url).output
     assert run("drains", "cancel", key, *url).exit_code == 0
     assert "given up" in run("drains", "status", *url).output
     assert run("drains", "cancel", key, *url).exit_code == 1
@@ -258,13 +260,15 @@
     assert run("check", str(good)).exit_code == 0
     refused = run("check", str(bad))
     line = bad.read_text().count("\n")
-    assert refused.exit_code == 2 and f"{bad}:{line}: unknown node 'clas'" in refused.stderr
+    assert refused.exit_code == 2
+    assert f"{bad}:{line}: unknown node 'clas'" in refused.stderr
     assert run("check", str(tmp_path / "none.kdl")).exit_code == 2
 
 
 def test_days_are_listed_and_an_unknown_one_is_refused() -> None:
     listed = run("lab", "day", "--list")
-    assert listed.exit_code == 0 and "bad-day" in listed.output
+    assert listed.exit_code == 0
+    assert "bad-day" in listed.output
     assert run("lab", "day", "no-such").exit_code == 2
 
 
@@ -277,7 +281,8 @@
     process = subprocess.Popen(
         [*WINGBARROW, "serve", str(file)], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
     )
-    assert process.stdout is not None and process.stderr is not None
+    assert process.stdout is not None
+    assert process.stderr is not None
     told: list[str] = []
     reader = threading.Thread(target=lambda: told.extend(process.stderr or ()))
     reader.start()
@@ -299,7 +304,8 @@
     wait_for("settings-taken")
     with pytest.raises(ApiException) as caught:
         batch.create_namespaced_job("default", job("two"))
-    assert caught.value.status == 429 and caught.value.headers["Retry-After"] == "1"
+    assert caught.value.status == 429
+    assert caught.value.headers["Retry-After"] == "1"
     process.send_signal(signal.SIGINT)
     assert process.wait(10) == 0
     reader.join()
@@ -339,9 +345,8 @@
         timeout=30,
         check=False,
     )
-    assert done.returncode == 2 and done.stdout == ""
-    assert (
-        "40512 file descriptors" in done.stderr
-        and "900" in done.stderr
-        and done.stderr.count("\n") == 1
-    )
+    assert done.returncode == 2
+    assert done.stdout == ""
+    assert "40512 file descriptors" in done.stderr
+    assert "900" in done.stderr
+    assert done.stderr.count("\n") == 1
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -22,6 +22,7 @@
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
+
 from tests.coldfleet import (
     MS,
     START_US,
@@ -34,7 +35,6 @@
     most_within,
 )
 from tests.conftest import S
-
 from wingbarrow import interface as api
 
 M = 1  # the machine that starts
@@ -241,10 +241,12 @@
         }
     )
     run_for(fleet, 300 * MS + rule.wait_us + 500 * MS)
-    assert by_placer(fleet, process) == shares and shares.total() == rule.bound
+    assert by_placer(fleet, process) == shares
+    assert shares.total() == rule.bound
     run_for(fleet, rule.fall_us * 5 // 4 + 500 * MS)
     twice = by_placer(fleet, process)
-    assert all(twice[index] == 2 * share for index, share in shares.items()) and judge(fleet) == []
+    assert all(twice[index] == 2 * share for index, share in shares.items())
+    assert judge(fleet) == []
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -264,12 +266,14 @@
     run_for(fleet, 2 * S)
     assert by_placer(fleet, process) == dict.fromkeys(range(4), 4)
     run_for(fleet, 2 * S)
-    assert by_placer(fleet, process)[0] == 8 and judge(fleet) == []
+    assert by_placer(fleet, process)[0] == 8
+    assert judge(fleet) == []
     for _ in range(4):
         fleet.restart_placer(0)
         fleet.arrive(0, 12)
         run_for(fleet, 700 * MS)
-    assert by_placer(fleet, process)[0] == 8 and judge(fleet) == []
+    assert by_placer(fleet, process)[0] == 8
+    assert judge(fleet) == []
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -319,11 +323,13 @@
     process = fleet.start(M)
     crowd(fleet, 40)
     run_for(fleet, 240 * MS)
-    assert not fleet.reached and fleet.held == {"stale": 20}
+    assert not fleet.reached
+    assert fleet.held == {"stale": 20}
     run_for(fleet, 100 * MS)
     assert by_placer(fleet, process).total() == 20, "one span later, and not after more"
     run_for(fleet, 4 * S)
-    assert by_placer(fleet, process).total() >= 20 * 13 and judge(fleet) == []
+    assert by_placer(fleet, process).total() >= 20 * 13
+    assert judge(fleet) == []
 
 
 @pytest.mark.parametrize(("told", "part"), [(False, 0.5), (True, 0.9)])
@@ -340,7 +346,8 @@
         crowd(fleet, 12, 1500 * MS)
         run_for(fleet, fleet.rule.fall_us * 5 // 4)
     sent = by_placer(fleet, process)
-    assert set(sent) == set(range(8)) and judge(fleet) == []
+    assert set(sent) == set(range(8))
+    assert judge(fleet) == []
     assert 0.8 * part <= sent.total() / (4 * 40) <= 1.0, sent.total()
 
 
@@ -383,7 +390,8 @@
         crowd(fleet, 10)
         run_for(fleet, 150 * MS)
         fleet.come_back(M, shift_us=turn)
-    assert fleet.told_within(process) == 20 and judge(fleet) == []
+    assert fleet.told_within(process) == 20
+    assert judge(fleet) == []
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -406,7 +414,8 @@
     fleet.come_back(M)
     crowd(fleet, 8, S)
     run_for(fleet, S)
-    assert by_placer(fleet, process).total() == 20 and judge(fleet) == []
+    assert by_placer(fleet, process).total() == 20
+    assert judge(fleet) == []
 
 
 @pytest.mark.parametrize("end", [api.Outcome.TIMED_OUT, api.Outcome.BROKEN, api.Outcome.CANCELLED])
@@ -444,4 +453,5 @@
         crowd(fleet, 4, 1500 * MS)
         run_for(fleet, S)
     run_for(fleet, S)
-    assert fleet.told_within(process) == int(fresh) and judge(fleet) == []
+    assert fleet.told_within(process) == int(fresh)
+    assert judge(fleet) == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import pytest
+
 from tests import known_red
 
 ROOT = Path(__file__).parent.parent
@@ -87,32 +88,34 @@
 
 def test_without_a_file_nothing_is_expected_to_fail(project: Project) -> None:
     status, out = project.run(None)
-    assert status == FAILED and "4 failed, 2 passed" in out and "known red" not in out
+    assert status == FAILED
+    assert "4 failed, 2 passed" in out
+    assert "known red" not in out
 
 
 def test_three_fail_as_known_and_are_printed_and_others_fail_the_run(project: Project) -> None:
     status, out = project.run(f"# mended first next time\n\n  {lines(*REST)}")
-    assert status == FAILED and "1 failed, 2 passed, 3 xfailed" in out
+    assert status == FAILED
+    assert "1 failed, 2 passed, 3 xfailed" in out
     for node in REST:
         assert f"fails as known: {node} | a cause of it | #7\n" in out
     status, out = project.run(None, "--deselect", FAILS)  # with these alone it passes
-    assert (
-        status == OK
-        and "2 passed, 1 deselected, 3 xfailed" in out
-        and out.count("fails as known: ") == 3
-    )
+    assert status == OK
+    assert "2 passed, 1 deselected, 3 xfailed" in out
+    assert out.count("fails as known: ") == 3
 
 
 def test_one_that_passes_fails_the_run(project: Project) -> None:
     status, out = project.run(
         lines("tests/test_one.py::test_passes"), "tests/test_one.py", "-k", "test_passes"
     )
-    assert status == FAILED and "[XPASS(strict)] a cause of it (#7)" in out
+    assert status == FAILED
+    assert "[XPASS(strict)] a cause of it (#7)" in out
     assert "FAILED: tests/test_one.py::test_passes | a cause of it | #7\n" in out
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    ("text", "told"),
     [
         (lines("tests/test_one.py::test_nowhere"), "no such test: tests/test_one.py::test_nowhere"),
         (lines("tests/test_one.py::test_named"), "no such test: tests/test_one.py::test_named"),
@@ -123,7 +126,9 @@
 )
 def test_a_line_that_names_no_test_fails_the_run(project: Project, text: str, told: str) -> None:
     status, out = project.run(text)
-    assert status == MISUSED and f"{known_red.NAME}: {told}" in out and "Traceback" not in out
+    assert status == MISUSED
+    assert f"{known_red.NAME}: {told}" in out
+    assert "Traceback" not in out
 
 
 def test_too_many_lines_and_lines_of_another_form_fail_the_run(project: Project) -> None:
@@ -132,11 +137,13 @@
         (FAILS, "line 1: not of the form"),
     ):
         status, out = project.run(text)
-        assert status == MISUSED and f"{known_red.NAME}: {told}" in out and "Traceback" not in out
+        assert status == MISUSED
+        assert f"{known_red.NAME}: {told}" in out
+        assert "Traceback" not in out
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    ("text", "told"),
     [
         (lines(FAILS, *REST), "4 lines, and no more than 3 may be"),
         (lines(FAILS, FAILS), f"line 2: a second one of {FAILS}"),
@@ -156,17 +163,16 @@
 def test_a_run_of_other_folders_passes_over_a_line_and_says_so(project: Project) -> None:
     text = lines("tests/test_one.py::test_nowhere")  # only who collects that file can know
     status, out = project.run(text, "tests/peers")
-    assert status == OK and "not run here: tests/test_one.py::test_nowhere" in out
+    assert status == OK
+    assert "not run here: tests/test_one.py::test_nowhere" in out
     status, _ = project.run(text, "tests", "--ignore=tests/peers")
     assert status == MISUSED
     status, _ = project.run(text, "tests", "--ignore=tests/test_one.py")
     assert status == OK
     status, out = project.run(lines(FAILS), "tests", "--ignore=tests/peers")
-    assert (
-        status == FAILED
-        and f"fails as known: {FAILS}" in out
-        and "3 failed, 1 passed, 1 xfailed" in out
-    )
+    assert status == FAILED
+    assert f"fails as known: {FAILS}" in out
+    assert "3 failed, 1 passed, 1 xfailed" in out
     status, _ = project.run(
         lines("tests/test_three.py::test_red"), "tests/peers"
     )  # a missing file, all can see
@@ -177,15 +183,18 @@
     status, out = project.run(
         lines("tests/test_one.py::test_nowhere"), "tests/test_one.py::test_passes"
     )
-    assert status == OK and "1 passed" in out
+    assert status == OK
+    assert "1 passed" in out
     status, out = project.run(lines(FAILS), "tests", "-k", "test_passes or test_fine")
-    assert status == OK and f"not run here: {FAILS}" in out
+    assert status == OK
+    assert f"not run here: {FAILS}" in out
 
 
 def test_a_file_that_cannot_be_read_is_told_as_such(project: Project) -> None:
     (project.root / "tests" / "test_one.py").write_text("raise RuntimeError('broken file')\n")
     status, out = project.run(lines(FAILS))
-    assert status not in (OK, MISUSED) and "broken file" in out
+    assert status not in (OK, MISUSED)
+    assert "broken file" in out
 
 
 def test_this_projects_own_conftest_reads_it(project: Project) -> None:
@@ -193,11 +202,9 @@
     status, out = project.run(
         lines(FAILS), "tests/test_one.py", "--deselect", REST[0], "-k", "red or passes"
     )
-    assert (
-        status == OK
-        and f"fails as known: {FAILS} | a cause of it | #7\n" in out
-        and "1 xfailed" in out
-    )
+    assert status == OK
+    assert f"fails as known: {FAILS} | a cause of it | #7\n" in out
+    assert "1 xfailed" in out
 
 
 def test_the_file_of_this_project_has_the_form() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -4,11 +4,11 @@
 
 from collections import Counter
 
-from tests.conftest import Driver, S, listed, settings, task_class
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
+from tests.conftest import Driver, S, listed, settings, task_class
 from wingbarrow import interface as api
 
 CLASSES = (
@@ -53,7 +53,8 @@
 
     def on_final(self, action: api.Refuse | api.Fail) -> None:
         request, now = action.request, self.driver.now
-        assert request in self.open and request not in self.placed
+        assert request in self.open
+        assert request not in self.placed
         self.open.remove(request)
         assert now <= self.arrivals[request].deadline_us
         risky = request in self.maybe or any(key[0] == request for key in self.out)
@@ -63,12 +64,16 @@
     def on_bind(self, action: api.Bind) -> None:
         request, now = action.request, self.driver.now
         arrival, machine = self.arrivals[request], self.machines[action.machine]
-        assert request in self.open and request not in self.placed and now < arrival.deadline_us
+        assert request in self.open
+        assert request not in self.placed
+        assert now < arrival.deadline_us
         assert not any(key[0] == request for key in self.out)
         assert machine.phase is api.Phase.RUNNING
         if request in self.maybe and arrival.task_class != "web":
             at, first = self.maybe[request]
-            assert arrival.task_class == "key" and first.cell == machine.cell and now < at + 3 * S
+            assert arrival.task_class == "key"
+            assert first.cell == machine.cell
+            assert now < at + 3 * S
         if machine.launched_us and now < machine.launched_us + self.config.cold_us:
             self.cold.append((now, machine.machine))
             recent = [
--- a/tests/test_rem.py
+++ b/tests/test_rem.py
@@ -5,7 +5,6 @@
 import random
 
 from tests.conftest import Driver, S, binds, listed, settings, task_class
-
 from wingbarrow import interface as api
 from wingbarrow import logic_choice, logic_machines
 
@@ -139,9 +138,8 @@
         chosen[: logic_choice.STARTS_MOST * logic_choice.WARM_TIMES]
         == [inactive.listed.machine] * 16
     )
-    assert (
-        len(chosen) == 20 and inactive.listed.machine not in chosen[16:]
-    )  # the rest start cold elsewhere
+    assert len(chosen) == 20
+    assert inactive.listed.machine not in chosen[16:]
 
 
 def test_a_silent_machine_rests_then_gets_one_task_at_a_time() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,8 @@
 import math
 
 import pytest
-from tests.conftest import Driver, S, binds, finals, listed, settings, task_class
 
+from tests.conftest import Driver, S, binds, finals, listed, settings, task_class
 from wingbarrow import interface as api
 
 UNPROVEN = [api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.BROKEN, api.Outcome.CANCELLED]
@@ -35,7 +35,8 @@
     driver.listing(listed(1), listed(2))
     (bind,) = binds(driver.arrive(1))
     actions = driver.end(1, bind.machine, outcome)
-    assert not binds(actions) and finals(actions) == [api.Fail(1)]
+    assert not binds(actions)
+    assert finals(actions) == [api.Fail(1)]
 
 
 @pytest.mark.parametrize("outcome", PROVEN)
@@ -103,7 +104,9 @@
             asked.append(driver.now - start)
             driver.listing(form=api.ListForm.FAILED)
     gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
-    assert asked[0] < S and max(gaps) < 5 * S and len(asked) < 40
+    assert asked[0] < S
+    assert max(gaps) < 5 * S
+    assert len(asked) < 40
 
 
 def test_a_subscription_is_not_asked_for_twice() -> None:
@@ -136,7 +139,8 @@
     placers: int, offers: float
 ) -> None:
     sent = [cold_offers(placers, index, offers) for index in range(placers)]
-    assert sum(sent) == int(offers) and max(sent) - min(sent) <= 1
+    assert sum(sent) == int(offers)
+    assert max(sent) - min(sent) <= 1
 
 
 def test_a_placer_that_restarts_takes_its_cold_share_as_spent() -> None:
@@ -226,7 +230,8 @@
     (second,) = binds(driver.end(1, first.machine, api.Outcome.ERROR))
     driver.give(api.TaskPlaced(1, 1, second.machine, 1000))
     known = {each.machine: each for each in driver.scheduler.knowledge(driver.now).machines}
-    assert known[first.machine].rests_us and not known[second.machine].rests_us
+    assert known[first.machine].rests_us
+    assert not known[second.machine].rests_us
 
 
 def test_other_settings_hold_at_once_also_for_tasks_that_are_there_already() -> None:
--- a/tests/test_rules_command.py
+++ b/tests/test_rules_command.py
@@ -34,7 +34,8 @@
     file.write_text(settings_text(0, 1, 1, 1, 0, str(folder / "state")) + AGREE)
     assert run("init", str(file)) == (0, "placer-0 may vote\n")
     code, words = run("init", str(file))
-    assert code == 2 and "already" in words
+    assert code == 2
+    assert "already" in words
     process = subprocess.Popen(
         [sys.executable, "-m", "wingbarrow", "serve", str(file)],
         stdout=subprocess.PIPE,
@@ -58,25 +59,27 @@
     changed = tmp_path / "new.kdl"
     changed.write_text(file.read_text().replace("most=3", "most=2") + 'bar "node-1"\n')
     code, words = run("propose", str(changed), "--dry-run", "--url", url)
-    assert (
-        code == 0
-        and "class web: safe, 3 by cell -> safe, 2 by cell" in words
-        and "barred: node-1" in words
-    )
-    assert "forbids some" in words and "it would be accepted" in words
+    assert code == 0
+    assert "class web: safe, 3 by cell -> safe, 2 by cell" in words
+    assert "barred: node-1" in words
+    assert "forbids some" in words
+    assert "it would be accepted" in words
     code, words = run("propose", str(changed), "--why", "fewer to a rack", "--url", url)
-    assert code == 0 and "accepted: version 2" in words
+    assert code == 0
+    assert "accepted: version 2" in words
     code, words = run("propose", str(changed), "--base", "1", "--url", url)
-    assert code == 1 and "has been accepted since" in words
+    assert code == 1
+    assert "has been accepted since" in words
     assert "fewer to a rack" in run("history", "--url", url)[1]
     assert "no longer barred: node-1" in run("diff", "2", "1", "--url", url)[1]
     code, words = run("rollback", "1", "--url", url)
-    assert code == 0 and "version 3" in words
+    assert code == 0
+    assert "version 3" in words
     assert run("rollback", "9", "--url", url)[0] == 1
     state = json.loads(run("status", "--json", "--url", url)[1])
-    assert (
-        state["version"] == 3 and state["voters"] == ["placer-0"] and state["leader"] == "placer-0"
-    )
+    assert state["version"] == 3
+    assert state["voters"] == ["placer-0"]
+    assert state["leader"] == "placer-0"
 
 
 def refuse(url: str, names: range) -> None:
@@ -133,7 +136,8 @@
         assert process.poll() is None
     refuse(url, range(40))
     out, _ = process.communicate(timeout=60)
-    assert process.returncode == 3 and "back to version" in out
+    assert process.returncode == 3
+    assert "back to version" in out
     after = json.loads(run("status", "--json", "--url", url)[1])
     assert json.dumps(after["versions"][-1]["rules"], sort_keys=True) == before
     assert after["version"] == begun["version"] + 2
@@ -150,7 +154,8 @@
     barring = tmp_path / "barring.kdl"
     barring.write_text(file.read_text() + 'bar "node-2"\n')
     code, words = run("propose", str(barring), "--url", url)
-    assert code == 1 and "lower the floor first" in words
+    assert code == 1
+    assert "lower the floor first" in words
     assert run("floor", str(least), "--lasts", "soon", "--url", url)[0] == 2
 
 
@@ -158,14 +163,16 @@
     file = tmp_path / "x.kdl"
     file.write_text(settings_text(0, 1, 1, 1))
     code, words = run("init", str(file))
-    assert code == 2 and "no voter" in words
+    assert code == 2
+    assert "no voter" in words
 
 
 def test_to_recover_says_what_it_risks_and_does_nothing_unasked_or_while_the_placer_runs(
     placer: tuple[str, Path], tmp_path: Path
 ) -> None:
     code, words = run("recover", str(placer[1]), "--yes")
-    assert code == 2 and "another process has it open" in words
+    assert code == 2
+    assert "another process has it open" in words
     file = tmp_path / "left.kdl"
     file.write_text(
         settings_text(0, 1, 1, 1, 0, str(tmp_path / "state"))
@@ -173,13 +180,16 @@
         + 'allow-peer "127.0.0.0/8"\n'
     )
     code, words = run("recover", str(file))
-    assert code == 2 and "no voter's store" in words
+    assert code == 2
+    assert "no voter's store" in words
     assert run("init", str(file))[0] == 0
     code, words = run("recover", str(file))
-    assert (
-        code == 3 and "voters placer-0, placer-1, placer-2" in words and words.count("risked") == 3
-    )
+    assert code == 3
+    assert "voters placer-0, placer-1, placer-2" in words
+    assert words.count("risked") == 3
     assert run("recover", str(file)) == (3, words), "nothing was done"
     assert run("recover", str(file), "--yes")[0] == 0
     code, words = run("recover", str(file))
-    assert code == 3 and "term 1000000" in words and "voters placer-0\n" in words
+    assert code == 3
+    assert "term 1000000" in words
+    assert "voters placer-0\n" in words
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -60,13 +60,17 @@
 
 def test_a_task_is_placed_and_its_answer_ends_with_done() -> None:
     status, out, complaints = run([], START, [ASK])
-    assert status == 0 and complaints == ""
-    assert "SEND placer-0 9 51 8000000" in out and out.count("DONE\n") == 3
+    assert status == 0
+    assert complaints == ""
+    assert "SEND placer-0 9 51 8000000" in out
+    assert out.count("DONE\n") == 3
 
 
 def test_an_unknown_event_is_passed_over() -> None:
     status, out, complaints = run(START, ["WHATEVER placer-0 1"])
-    assert status == 0 and "BAIL_OUT" not in out and complaints.count("\n") == 1
+    assert status == 0
+    assert "BAIL_OUT" not in out
+    assert complaints.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -81,7 +85,9 @@
 )
 def test_unreadable_values_give_up_the_instance_alone(line: str) -> None:
     status, out, complaints = run(START, [line])
-    assert status == 0 and out.count("BAIL_OUT placer-") == 1 and complaints.count("\n") == 1
+    assert status == 0
+    assert out.count("BAIL_OUT placer-") == 1
+    assert complaints.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -90,7 +96,8 @@
 def test_a_broken_frame_ends_the_adapter(text: str) -> None:
     sink, complaints = io.StringIO(), io.StringIO()
     assert serve(io.StringIO(text), sink, complaints) != 0
-    assert sink.getvalue() == "" and "broken input" in complaints.getvalue()
+    assert sink.getvalue() == ""
+    assert "broken input" in complaints.getvalue()
 
 
 @pytest.mark.parametrize("key", ["balancers", "me", "discovery", "kinds", "lanes", "quantum_us"])
@@ -122,4 +129,5 @@
         ).stdout
         for seed in ("0", "1", "77")
     }
-    assert len(outs) == 1 and "SEND" in outs.pop()
+    assert len(outs) == 1
+    assert "SEND" in outs.pop()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -36,7 +36,7 @@
     assert all(site(path)["name"] == path.stem for path in FILES)
 
 
-@pytest.mark.parametrize("one, other", combinations(FILES, 2), ids=lambda path: path.stem)
+@pytest.mark.parametrize(("one", "other"), combinations(FILES, 2), ids=lambda path: path.stem)
 def test_no_name_of_one_is_in_another(one: Path, other: Path) -> None:
     assert not names(one) & names(other)
 
@@ -51,12 +51,14 @@
 def test_the_two_differ_in_what_the_settings_hold() -> None:
     by_name = {path.stem: site(path) for path in FILES}
     quay, press = by_name["aveiro-quay"], by_name["galway-press"]
-    assert len(quay["class"]) == 6 and len(quay["net"]["zones"]) == 3
+    assert len(quay["class"]) == 6
+    assert len(quay["net"]["zones"]) == 3
     assert min(each["deadline_ms"] for each in quay["class"]) < 300
     keyed = [each for each in quay["class"] if each["effect"] == "keyed"]
     assert {each["group"] for each in keyed} == {"zone", "cell", "all"}
     assert all(300 <= each["window_ms"] <= 1500 for each in keyed)
-    assert len(press["class"]) == 2 and len(press["tenant"]) > 1
+    assert len(press["class"]) == 2
+    assert len(press["tenant"]) > 1
     assert all(20_000 <= each["deadline_ms"] <= 60_000 for each in press["class"])
     assert [each["worth"] for each in press["class"] if each["effect"] == "unsafe"] == [12]
 
@@ -68,10 +70,10 @@
     done = subprocess.run(
         [sys.executable, str(place / "lay.py")], capture_output=True, text=True, timeout=60
     )
-    assert done.returncode == 2 and not done.stdout
-    assert (
-        done.stderr.count("\n") == 1 and "the kit has to lie beside the repository" in done.stderr
-    )
+    assert done.returncode == 2
+    assert not done.stdout
+    assert done.stderr.count("\n") == 1
+    assert "the kit has to lie beside the repository" in done.stderr
     assert [path.name for path in place.iterdir()] == ["lay.py"]
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -95,12 +95,13 @@
     whole = report()
     del whole["gate"]
     found = read(whole)
-    assert found.gate is None and found.failures() == []
+    assert found.gate is None
+    assert found.failures() == []
     assert "gate not said" in found.text()
 
 
 @pytest.mark.parametrize(
-    "changed, wrong",
+    ("changed", "wrong"),
     [
         ({"served": 0.39}, "served under what is wanted"),
         (
@@ -122,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    "took, failures",
+    ("took", "failures"),
     [
         ([0.2] * 9 + [10.5], []),
         ([0.2] * 8 + [10.5, 11], ["restarts late"]),
@@ -300,7 +301,7 @@
 
 
 @pytest.mark.parametrize(
-    "changed, words",
+    ("changed", "words"),
     [
         ({"rules": {"lost": 1}}, "FAILED: rule lost"),
         ({"fault": "n1 ended"}, "FAILED: fault: n1 ended"),
@@ -315,7 +316,8 @@
     lay(stand, 8)
     assert play(stand, *asked(stand, 7), *asked(stand, 8)) == 1
     out = capsys.readouterr().out
-    assert words in out and "2 plays: 1 passed, 1 failed, 0 not played or not read" in out
+    assert words in out
+    assert "2 plays: 1 passed, 1 failed, 0 not played or not read" in out
 
 
 @pytest.mark.parametrize(
@@ -335,11 +337,9 @@
         (stand / "report-7").write_text(text)
     assert play(stand, *asked(stand, 7)) == 1
     out = capsys.readouterr().out
-    assert (
-        "not read" in out
-        and "the bench ended with 0: snapshot none" in out
-        and "0 passed, 0 failed, 1 not" in out
-    )
+    assert "not read" in out
+    assert "the bench ended with 0: snapshot none" in out
+    assert "0 passed, 0 failed, 1 not" in out
 
 
 def test_a_kept_report_of_an_earlier_play_is_not_read_for_this_one(stand: Path) -> None:
@@ -374,7 +374,8 @@
     (stand / "slow").write_text("")
     began = time.monotonic()
     assert play(stand, *asked(stand, 7), "--most-s", "1") == 1
-    assert time.monotonic() - began < 30 and bench_is_gone(stand)
+    assert time.monotonic() - began < 30
+    assert bench_is_gone(stand)
     assert "not played to its end within 1 s" in capsys.readouterr().out
 
 
@@ -406,7 +407,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, words",
+    ("more", "words"),
     [
         (["--play", "HALL:roll+mass"], "SITE:DAY:SEED"),
         (["--play", "HALL:roll mass:7"], "no day"),
@@ -434,7 +435,9 @@
 ) -> None:
     assert play(stand, *[part.replace("HALL", str(stand / "hall.toml")) for part in more]) == 2
     said = capsys.readouterr()
-    assert words in said.err and said.err.count("\n") == 1 and not said.out
+    assert words in said.err
+    assert said.err.count("\n") == 1
+    assert not said.out
     assert not list(stand.glob("argv-*"))
 
 
--- a/tests/transport/test_hub.py
+++ b/tests/transport/test_hub.py
@@ -41,7 +41,8 @@
                 nursery.spawn(lambda at=at: (hub.sleep(at), woken.append(at)))
 
     hub.run(main)
-    assert woken == sorted(times) and hub.now_us() == max(times)
+    assert woken == sorted(times)
+    assert hub.now_us() == max(times)
 
 
 def test_cancelled_timers_are_forgotten_and_do_not_pile_up(hub: Hub) -> None:
@@ -67,7 +68,8 @@
                 except Cancelled:
                     seen.append("second")
                     raise
-        assert scope.caught and hub.now_us() == S
+        assert scope.caught
+        assert hub.now_us() == S
         hub.sleep(S)
         return seen
 
@@ -97,7 +99,8 @@
             nursery.spawn(sibling)
             nursery.spawn(lambda: (hub.sleep(S), 1 // 0))
             hub.sleep(100 * S)
-        assert hub.now_us() == S and ended == ["sibling"]
+        assert hub.now_us() == S
+        assert ended == ["sibling"]
 
     hub.run(main)
 
@@ -130,7 +133,8 @@
         hub.sleep(S)
         return 7
 
-    assert hub.run(main) == 7 and told == ["loose: ZeroDivisionError"]
+    assert hub.run(main) == 7
+    assert told == ["loose: ZeroDivisionError"]
 
 
 def test_a_held_domain_runs_nothing_and_then_all(hub: Hub) -> None:
@@ -149,7 +153,8 @@
 
     hub.run(main)
     times = [at for _, at in ran]
-    assert len(times) == 30 and not [at for at in times if S < at < 2 * S]
+    assert len(times) == 30
+    assert not [at for at in times if S < at < 2 * S]
 
 
 def test_a_killed_domain_ends_at_once_whatever_it_waits_for(hub: Hub) -> None:
--- a/tests/transport/test_net.py
+++ b/tests/transport/test_net.py
@@ -65,7 +65,8 @@
         while not ended:
             hub.sleep(S // 10)
             ticks += 1
-        assert ended == [True] and ticks >= 9
+        assert ended == [True]
+        assert ticks >= 9
         stream.close()
 
     hub.run(main)
@@ -95,14 +96,18 @@
             hub, "127.0.0.1", listener.port
         )  # takes the last descriptor; none is left to accept it
         hub.sleep(S)
-        assert listener.times_full >= 5 and len(told) == 1 and "Too many open files" in told[0]
+        assert listener.times_full >= 5
+        assert len(told) == 1
+        assert "Too many open files" in told[0]
         second.send(b"still served")
         assert second.receive() == b"still served"
         third.send(b"waited")
         for fd in filler:
             os.close(fd)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        assert third.receive() == b"waited" and told[-1] == "accepting again" and len(told) == 2
+        assert third.receive() == b"waited"
+        assert told[-1] == "accepting again"
+        assert len(told) == 2
         first.close()
 
     try:
--- a/wingbarrow/cli/lab.py
+++ b/wingbarrow/cli/lab.py
@@ -14,7 +14,6 @@
 from wingbarrow.cli.client import need_plots
 from wingbarrow.cli.labfleet import fleet
 from wingbarrow.core.logs import Log, silent
-
 from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.days import DAYS, Play, play
 from wingbarrow.lab.days import summary as day_summary
--- a/wingbarrow/cli/labfleet.py
+++ b/wingbarrow/cli/labfleet.py
@@ -11,8 +11,8 @@
 
 from wingbarrow.core.logs import silent
 from wingbarrow.lab.fleet.judge import judge
-from wingbarrow.lab.fleet.layout import REGIONS, Layout, Size
 from wingbarrow.lab.fleet.judging.verdict import Verdict
+from wingbarrow.lab.fleet.layout import REGIONS, Layout, Size
 from wingbarrow.lab.fleet.process import NotStarted
 from wingbarrow.lab.fleet.rig import Rig
 from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -11,9 +11,9 @@
 import click
 
 from wingbarrow.cli.client import URL, Client, with_client
-from wingbarrow.cli.lab import lab
 from wingbarrow.cli.drains import drains
 from wingbarrow.cli.fleet import fleet
+from wingbarrow.cli.lab import lab
 from wingbarrow.cli.rules import rules
 from wingbarrow.cli.turns import turns
 from wingbarrow.config import SettingsError, load_file
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -13,16 +13,15 @@
 
 from wingbarrow.cli.client import URL, Client, CommandFailed, FleetAnswers, with_client
 from wingbarrow.config import PlacerSettings, SettingsError, load_file, parse_duration
-from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.canary import Advice, Trial
 from wingbarrow.decide.rulesets.diff import differences
 from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, read
+from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
 from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
 from wingbarrow.store.voter_store import StoreFailed, create
 from wingbarrow.store.voter_store import recover as recover_store
 
-
 SECOND = 1_000_000
 RISKS = (
     "risked: what was decided without this voter is gone, and what was proposed and not decided may come to be;",
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -15,6 +15,7 @@
 import icalendar
 
 from wingbarrow.config.lines import NodeLines
+from wingbarrow.config.settings import parse_duration
 from wingbarrow.config.shapes import (
     NEEDED,
     Node,
@@ -27,9 +28,8 @@
     text,
     word,
 )
-from wingbarrow.config.settings import parse_duration
-from wingbarrow.decide.drains import Budget, Rules, Scope
 from wingbarrow.decide.draining import Policy
+from wingbarrow.decide.drains import Budget, Rules, Scope
 from wingbarrow.decide.windows import (
     Blackout,
     Selector,
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -9,11 +9,11 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
+from wingbarrow.decide.coordination.leases import Acting
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.gate import Held
-from wingbarrow.decide.coordination.leases import Acting
-from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, read
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from wingbarrow.core.base import Base
-from wingbarrow.core.job_store import Book, JobRecord
 from wingbarrow.core.events import Events, event_fields
+from wingbarrow.core.job_store import Book, JobRecord
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.kube import names
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
--- a/wingbarrow/core/events.py
+++ b/wingbarrow/core/events.py
@@ -93,7 +93,8 @@
 def event_fields(value: dict[str, object]) -> dict[str, str]:
     """What Events can be selected by."""
     meta, about = value["metadata"], value["involvedObject"]
-    assert isinstance(meta, dict) and isinstance(about, dict)
+    assert isinstance(meta, dict)
+    assert isinstance(about, dict)
     return {
         "metadata.name": meta["name"],
         "metadata.namespace": meta["namespace"],
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from wingbarrow import interface as api
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import RUNNING, Book, JobRecord, Leased, State, Step, TaskRecord
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.intake import read_job
+from wingbarrow.core.job_store import RUNNING, Book, JobRecord, Leased, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
@@ -27,9 +27,9 @@
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.sessions.recovery import Own
-from wingbarrow.decide.sessions.messages import MachineSays, Record, Session, read_session
 from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.sessions.messages import MachineSays, Record, Session, read_session
+from wingbarrow.decide.sessions.recovery import Own
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, not_found
 
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 from wingbarrow import interface as api
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry, read_node
+from wingbarrow.core.observations import Sightings
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.observations import Sightings
 from wingbarrow.decide.restarts import Rebirth
 
 REOPEN_US = 50_000
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 from wingbarrow import interface as api
+from wingbarrow.core.active_rules import Rulebook
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import OPEN, Book, State, Step, TaskRecord
 from wingbarrow.core.drain_schedule import Closing
-from wingbarrow.core.remote_regions import Elsewhere
-from wingbarrow.core.leased_jobs import Leaseholder
 from wingbarrow.core.intake import job_value, read_job
+from wingbarrow.core.job_store import OPEN, Book, State, Step, TaskRecord
+from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
-from wingbarrow.core.active_rules import Rulebook
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide import retries as again
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -12,20 +12,20 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.job_store import OPEN, Book, JobRecord, Leased, State, Step, TaskRecord
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.job_store import OPEN, Book, JobRecord, Leased, State, Step, TaskRecord
+from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machine_leases import Leases
 from wingbarrow.core.pods import Ended
-from wingbarrow.core.link import MachineLink
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide import retries as again
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.sessions.messages import FORM, OFFERED, Known, Record
 from wingbarrow.decide.regions.reports import LEASED_MOST
+from wingbarrow.decide.sessions.messages import FORM, OFFERED, Known, Record
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.replication import RecordReplication
@@ -157,7 +157,8 @@
     def record(self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str) -> Record:
         """A Job as its keeper is to have it."""
         told, session = asked.task_class.task_class, self._leases.session
-        assert session is not None and spec.failover is not None
+        assert session is not None
+        assert spec.failover is not None
         return Record(
             FORM,
             uid,
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from wingbarrow.core.base import Base
-from wingbarrow.core.job_store import Book, State
 from wingbarrow.core.fleet import Fleet
+from wingbarrow.core.job_store import Book, State
 from wingbarrow.decide.regions.reports import RegionsSaid
 from wingbarrow.interface import Phase
 
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -16,14 +16,14 @@
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.stops import Stops
 from wingbarrow.core.outlier_ejection import FAULTS
-from wingbarrow.decide.drains import MachineState
+from wingbarrow.core.stops import Stops
 from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.maintenance.calendar import wanted
-from wingbarrow.decide.maintenance.slots import View, Wanted
 from wingbarrow.decide.maintenance.participant import Known, TurnSide
+from wingbarrow.decide.maintenance.slots import View, Wanted
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.kube import names
 
 SECOND = 1_000_000
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -7,8 +7,8 @@
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.job_store import OPEN, Book, State, TaskRecord
-from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.federation.moving import Run, moves
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -11,9 +11,9 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.offers import Offers
+from wingbarrow.core.orphans import Strays
 from wingbarrow.core.pods import Phase, PodSight, read_pod
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.orphans import Strays
 from wingbarrow.decide import retries as again
 
 _USES = {
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -5,22 +5,21 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
+from wingbarrow.core.active_rules import Rulebook
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
+from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import Book, State
 from wingbarrow.core.leased_jobs import Leaseholder
-from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
+from wingbarrow.core.orphans import Strays
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
-from wingbarrow.core.active_rules import Rulebook
-from wingbarrow.core.orphans import Strays
 from wingbarrow.decide import retries as again
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
-
 ANEW_MOST = 8  # times that a task is asked for anew
 
 
@@ -120,8 +119,7 @@
                     attempt.decided_us,
                 ),
                 task.job.leased is None
-                or self._leaseholder is not None
-                and self._leaseholder.may_send(task.job),
+                or (self._leaseholder is not None and self._leaseholder.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
                 cold_share_left=self.cold is None or self.cold.left(link),
             ),
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -8,19 +8,19 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core import saved_list as saved
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest, job_value
+from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.pods import Phase, PodSight, expected_left_us, pod_resources
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import retries as again
 from wingbarrow.decide import orphans as strays
+from wingbarrow.decide import retries as again
 from wingbarrow.kube import names
 
 
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -8,41 +8,41 @@
 from wingbarrow import interface as api
 from wingbarrow.config import PlacerSettings
 from wingbarrow.config.subsetting import module_settings
+from wingbarrow.core.active_rules import Rulebook
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import Book, Step
+from wingbarrow.core.checkpoint import Keeper
 from wingbarrow.core.drain_schedule import Closing
-from wingbarrow.core.slow_start import ColdShares
-from wingbarrow.core.leased_jobs import Leaseholder
-from wingbarrow.core.job_admission import Desk
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.core.remote_regions import Elsewhere
+from wingbarrow.core.failover import Successor
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
-from wingbarrow.core.checkpoint import Keeper
+from wingbarrow.core.job_admission import Desk
+from wingbarrow.core.job_store import Book, Step
+from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.local_region import OwnRegion
 from wingbarrow.core.machine_leases import Leases
 from wingbarrow.core.machines import Machines
+from wingbarrow.core.maintenance import MaintenanceSlots
 from wingbarrow.core.migrations import Mover
+from wingbarrow.core.observations import Sightings
 from wingbarrow.core.offers import Offers
-from wingbarrow.core.local_region import OwnRegion
+from wingbarrow.core.orphans import Strays
+from wingbarrow.core.outlier_ejection import Verdicts
+from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
-from wingbarrow.core.active_rules import Rulebook
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.observations import Sightings
+from wingbarrow.core.slow_start import ColdShares
 from wingbarrow.core.stops import Stops
-from wingbarrow.core.orphans import Strays
 from wingbarrow.core.subset import Subset
-from wingbarrow.core.failover import Successor
-from wingbarrow.core.maintenance import MaintenanceSlots
-from wingbarrow.core.outlier_ejection import Verdicts
 from wingbarrow.decide.admission import Admission
 from wingbarrow.decide.coordination.leases import Acting
-from wingbarrow.peers.replication import RecordReplication
-from wingbarrow.peers.message_bounds import HANDING
-from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
+from wingbarrow.peers.message_bounds import HANDING
+from wingbarrow.peers.peer_hints import Hearsay
+from wingbarrow.peers.replication import RecordReplication
 from wingbarrow.peers.ruleset_settings import calendar_under
 from wingbarrow.transport import Hub, Nursery
 
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -14,8 +14,8 @@
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.decide.listing import ListJudge, Take
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
-from wingbarrow.http.watching import list_all, watch_batches
 from wingbarrow.http.message import Limits
+from wingbarrow.http.watching import list_all, watch_batches
 from wingbarrow.interface import ListForm
 from wingbarrow.kube.status import ApiError
 from wingbarrow.transport import Hub
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from wingbarrow.core.base import Base
 from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import Book, JobRecord, State, Step, TaskRecord
+from wingbarrow.core.base import Base
 from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.job_store import Book, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
+from wingbarrow.decide.effects import Effect, Tell
 from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.regions import forwarding as handing
-from wingbarrow.decide.effects import Effect, Tell
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
@@ -216,7 +216,7 @@
             State.LOST: handing.LOST,
             State.STOPPED: handing.LOST,
         }.get(task.state)
-        if state is None or state == handing.PLACED and before is State.AGAIN:
+        if state is None or (state == handing.PLACED and before is State.AGAIN):
             return
         if state in handing.FINAL:
             self._forget(ident)
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from wingbarrow import interface as api
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
-from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.host import Host
+from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.waits import Waits
 
 
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from wingbarrow import interface as api
+from wingbarrow.core.api_objects import Board
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.api_objects import Board
 from wingbarrow.core.job_store import Book, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.stops import Stops
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from wingbarrow.decide.effects import Persist, Send, SetTimer, Tell
 from wingbarrow.decide.consensus.log import (
     VOTERS,
     Append,
@@ -28,6 +27,7 @@
     VoteAnswer,
     VoteAsk,
 )
+from wingbarrow.decide.effects import Persist, Send, SetTimer, Tell
 
 ENTRIES_MOST = 32  # in one Append
 LOG_MOST = 512  # entries kept before they are folded into a snapshot
@@ -237,7 +237,7 @@
             if (
                 granted
                 and not self._yielded
-                and (self.role is Role.FOLLOWER or self._pre and ident < self.me)
+                and (self.role is Role.FOLLOWER or (self._pre and ident < self.me))
             ):
                 # Of two that stand at once one gives way, or both get half of the votes. Once: who stands may be deaf.
                 self._yielded, self.role = True, Role.FOLLOWER
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -9,7 +9,10 @@
 from typing import Any
 
 from wingbarrow.decide.consensus import log
-from wingbarrow.decide.rulesets.versions import RECOVERED, Agreed, from_text
+from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.coordination.leader import Leading
+from wingbarrow.decide.coordination.leases import Acting, Holder
+from wingbarrow.decide.coordination.member import Holding
 from wingbarrow.decide.coordination.messages import (
     Ask,
     AskFor,
@@ -19,15 +22,12 @@
     NotLeader,
     Times,
 )
-from wingbarrow.decide.quotas.allocations import Blocks
 from wingbarrow.decide.coordination.subsystem import Chapter, Side
 from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.coordination.leases import Acting, Holder
-from wingbarrow.decide.coordination.member import Holding
-from wingbarrow.decide.coordination.leader import Leading
-from wingbarrow.decide.consensus.raft import Raft
-from wingbarrow.decide.quotas.escrow import Purse
 from wingbarrow.decide.outliers.ejection import Bench, Closures, Experience
+from wingbarrow.decide.quotas.allocations import Blocks
+from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.rulesets.versions import RECOVERED, Agreed, from_text
 
 __all__ = ["Agreement", "Ask", "Grant", "Message", "NotLeader", "Times"]
 
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -12,16 +12,16 @@
 from typing import Any, Protocol
 
 from wingbarrow.decide.consensus import log
-from wingbarrow.decide.rulesets.versions import Agreed
+from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.coordination.leases import given_until_us
 from wingbarrow.decide.coordination.messages import Ask, Grant, GrantFor, NotLeader, Times
-from wingbarrow.decide.quotas.allocations import Blocks
 from wingbarrow.decide.coordination.subsystem import Chapter
 from wingbarrow.decide.effects import Effect, Send, SetTimer
-from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.outliers.ejection import Bench
+from wingbarrow.decide.quotas.allocations import Blocks
 from wingbarrow.decide.quotas.escrow import Asker, Right
 from wingbarrow.decide.rulesets.ruleset import RuleSet, read
-from wingbarrow.decide.outliers.ejection import Bench
+from wingbarrow.decide.rulesets.versions import Agreed
 
 HOLDERS_MOST = 4096
 JUDGE_US = 250_000  # between looks at all evidence
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -8,14 +8,13 @@
 import random
 from collections.abc import Callable
 
+from wingbarrow.decide.coordination.leases import Acting, Holder
 from wingbarrow.decide.coordination.messages import Ask, Grant, NotLeader, Times
 from wingbarrow.decide.coordination.subsystem import Side
 from wingbarrow.decide.effects import Effect, SetTimer, Tell
-from wingbarrow.decide.coordination.leases import Acting, Holder
+from wingbarrow.decide.outliers.ejection import Closures, Experience
 from wingbarrow.decide.quotas.escrow import Purse
 from wingbarrow.decide.rulesets.ruleset import read
-from wingbarrow.decide.outliers.ejection import Closures, Experience
-
 
 HOPS_MOST = (
     2  # from one who does not lead to the one that it names, before the next ask is due by time
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -6,11 +6,11 @@
 
 from wingbarrow.decide.consensus import log
 from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.sessions.messages import SessionsSaid, SessionsTold
-from wingbarrow.decide.regions.reports import RegionsSaid, RegionTold
-from wingbarrow.decide.quotas.escrow import Right, Stated
 from wingbarrow.decide.maintenance.slots import TurnsSaid, TurnsTold
 from wingbarrow.decide.outliers.ejection import Closed, Evidence
+from wingbarrow.decide.quotas.escrow import Right, Stated
+from wingbarrow.decide.regions.reports import RegionsSaid, RegionTold
+from wingbarrow.decide.sessions.messages import SessionsSaid, SessionsTold
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/drains.py
+++ b/wingbarrow/decide/drains.py
@@ -100,7 +100,7 @@
 class _Span:
     """A machine out of service: when, which, and by which window."""
 
-    __slots__ = ("start", "end", "machine", "window")
+    __slots__ = ("end", "machine", "start", "window")
 
     def __init__(self, start: int, end: int, machine: MachineState, window: str) -> None:
         self.start, self.end, self.machine, self.window = start, end, machine, window
--- a/wingbarrow/decide/federation/room.py
+++ b/wingbarrow/decide/federation/room.py
@@ -48,7 +48,7 @@
     flow = {(load.name, load.most[0][0]): load.need for load in loads if load.need and load.most}
     for (_, place), amount in flow.items():
         taken[place] = taken.get(place, 0) + amount
-    if all(not load.need or load.most and load.need <= load.most[0][1] for load in loads) and all(
+    if all(not load.need or (load.most and load.need <= load.most[0][1]) for load in loads) and all(
         taken[place] <= free.get(place, 0) for place in taken
     ):
         return flow  # each in its first place, as mostly
--- a/wingbarrow/decide/liveness.py
+++ b/wingbarrow/decide/liveness.py
@@ -32,7 +32,7 @@
 class Liveness:
     """One machine, as its connections show it; all times in microseconds of one clock."""
 
-    __slots__ = ("heard_us", "_looked_us", "_failed_since_us", "_began_us", "_fails")
+    __slots__ = ("_began_us", "_failed_since_us", "_fails", "_looked_us", "heard_us")
 
     def __init__(self, now_us: int) -> None:
         self.heard_us = now_us
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -10,9 +10,9 @@
 from collections.abc import Sequence
 
 from wingbarrow.decide.drains import MachineState
+from wingbarrow.decide.maintenance.slots import URGENCY_MOST, Wanted, short_ident
 from wingbarrow.decide.rulesets.agreed_drains import series_of
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.decide.maintenance.slots import URGENCY_MOST, Wanted, short_ident
 from wingbarrow.decide.windows import Occurrence, Series, UnsafePolicy, expand_all
 
 DAY_US = 86_400_000_000
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -154,7 +154,7 @@
 
     def _view(self) -> View | None:
         view = self.eyes.view() if self.tells else None
-        if view is None or len(view.cells) <= CELLS_MOST and len(view.lost) <= LOST_MOST:
+        if view is None or (len(view.cells) <= CELLS_MOST and len(view.lost) <= LOST_MOST):
             return view
         return None  # too many are lost, or too many cells: its region counts as out of reach, and nothing goes out
 
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -13,11 +13,8 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.quotas.escrow import Asker
-from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.maintenance.budgets import Room
 from wingbarrow.decide.maintenance.slots import (
     AGE_US,
@@ -29,6 +26,9 @@
     View,
     short_ident,
 )
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 SECOND = 1_000_000
 PLACERS_MOST = 4096
--- a/wingbarrow/decide/membership/member_table.py
+++ b/wingbarrow/decide/membership/member_table.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.membership.gossip import Gossip
-from wingbarrow.decide.membership.suspicion import Suspicion
 from wingbarrow.decide.membership.messages import Standing, Word, overrides
+from wingbarrow.decide.membership.suspicion import Suspicion
 
 MEMBERS_MOST = 256
 ASKS = 3  # of a suspected member itself, before it counts as dead
@@ -34,7 +34,7 @@
 class Change:
     """How the standing of a member changed: for logs, histories and components that act on it."""
 
-    __slots__ = ("what", "word", "before")
+    __slots__ = ("before", "what", "word")
 
     def __init__(self, what: str, word: Word, before: Standing | None) -> None:
         self.what, self.word, self.before = what, word, before
--- a/wingbarrow/decide/membership/swim.py
+++ b/wingbarrow/decide/membership/swim.py
@@ -14,7 +14,6 @@
 from math import ceil, log2
 
 from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.membership.suspicion import Health, Suspicion, shortest_us
 from wingbarrow.decide.membership.member_table import ASKS, GONE, Change, Member, Table
 from wingbarrow.decide.membership.messages import (
     Ack,
@@ -26,6 +25,7 @@
     Sync,
     Word,
 )
+from wingbarrow.decide.membership.suspicion import Health, Suspicion, shortest_us
 
 SYNC_MOST = 32  # words of one Sync
 NEWS_MOST = 24  # words that ride on another message
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -38,10 +38,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.quotas.limits import HOUR_US, FleetLimit, drifted_us
+from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.quotas.escrow import STEADY, Asker, Right, Stated, fair
+from wingbarrow.decide.quotas.limits import HOUR_US, FleetLimit, drifted_us
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 MOVE_US = 100_000  # between entries: at most ten a second, each for all limits and holders
@@ -417,7 +417,7 @@
                 size, count = size + more, max(count, size + more)
             else:
                 size = target
-            if size or count or name in limit.among and name in block.parts:
+            if size or count or (name in limit.among and name in block.parts):
                 out[name] = size, count
         return dict(sorted(out.items())), debts
 
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -75,7 +75,7 @@
 class _Lately:
     """How many were used within a window, in grains of it: each counts as of its grain's end, so never too short."""
 
-    __slots__ = ("_times", "_sum")
+    __slots__ = ("_sum", "_times")
 
     def __init__(self) -> None:
         self._times: deque[tuple[int, int]] = deque()
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from wingbarrow.decide.coordination.subsystem import Proposal
+from wingbarrow.decide.effects import Effect
 from wingbarrow.decide.federation.room import held_back
 from wingbarrow.decide.federation.route import RegionNews
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.effects import Effect
 from wingbarrow.decide.quotas.escrow import Asker
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
@@ -252,7 +252,7 @@
                 each.held_cores,
                 each.held_memory,
             )
-            if news.age_us <= OLD_US or each.lost and since <= OLD_US:
+            if news.age_us <= OLD_US or (each.lost and since <= OLD_US):
                 out[each.region] = replace(
                     news, age_us=min(news.age_us, since) if each.lost else news.age_us
                 )
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -14,9 +14,10 @@
 from dataclasses import replace
 
 from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.replication.replicated_job import Job, Tokens, settled
-from wingbarrow.decide.replication.replica_set import Keepers
+from wingbarrow.decide.replication.records import Bounds, size_of
 from wingbarrow.decide.replication.replica_link import Line
+from wingbarrow.decide.replication.replica_set import Keepers
+from wingbarrow.decide.replication.replicated_job import Job, Tokens, settled
 from wingbarrow.decide.sessions.messages import (
     RECORD_MOST,
     Keep,
@@ -25,7 +26,6 @@
     Record,
     Session,
 )
-from wingbarrow.decide.replication.records import Bounds, size_of
 
 TIMER = "custody"
 
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -15,6 +15,7 @@
 from heapq import nsmallest
 
 from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.replication.records import Bounds, aged, doubted, order, size_of
 from wingbarrow.decide.sessions.messages import (
     EFFECTS,
     FORM,
@@ -31,7 +32,6 @@
     Settled,
     successor,
 )
-from wingbarrow.decide.replication.records import Bounds, aged, doubted, order, size_of
 
 HOLDERS_MOST = 4096
 UNKNOWN_HERE = "not known here"
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 
 from wingbarrow.decide.backoff import Backoff
-from wingbarrow.decide.sessions.messages import Keep, Record, Session
 from wingbarrow.decide.replication.records import Bounds, aged, size_of
+from wingbarrow.decide.sessions.messages import Keep, Record, Session
 
 
 @dataclass(slots=True)
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Collection, Mapping
 from itertools import islice
 
-from wingbarrow.decide.replication.replica_link import Line
 from wingbarrow.decide.replication.records import Bounds, choose
+from wingbarrow.decide.replication.replica_link import Line
 
 LACKING_US = 1_000_000  # between two searches for keepers that are not there
 
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -13,12 +13,14 @@
 from dataclasses import replace
 from typing import Any
 
+from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
 from wingbarrow.decide.replication.primary import TIMER as CUSTODY
 from wingbarrow.decide.replication.primary import Custody
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.sessions.recovery import Healing, Own
-from wingbarrow.decide.sessions.machine_queries import NUMBERS
+from wingbarrow.decide.replication.records import Bounds, doubted
 from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Keeping, Taking
+from wingbarrow.decide.sessions.failover import Start, Takeover, rank_of
+from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.sessions.machine_queries import NUMBERS
 from wingbarrow.decide.sessions.messages import (
     KEPT_MOST,
     AskMachine,
@@ -31,10 +33,8 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.sessions.failover_pace import Pace
-from wingbarrow.decide.replication.records import Bounds, doubted
+from wingbarrow.decide.sessions.recovery import Healing, Own
 from wingbarrow.decide.sessions.reissue import Verdict
-from wingbarrow.decide.sessions.failover import Start, Takeover, rank_of
 
 CLAIM_US = 10_000_000  # until a claim's token is renewed
 WATCH_US = 3_000_000  # between looks at what others are to take over
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, replace
 
 from wingbarrow.decide.effects import Effect, SetTimer, Tell
-from wingbarrow.decide.sessions.machine_queries import Inquiry
+from wingbarrow.decide.replication.records import phase_of
 from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.sessions.machine_queries import Inquiry
 from wingbarrow.decide.sessions.messages import MachineSays, Record, Session
-from wingbarrow.decide.replication.records import phase_of
 from wingbarrow.decide.sessions.reissue import (
     TABLE,
     Row,
--- a/wingbarrow/decide/sessions/failover_pace.py
+++ b/wingbarrow/decide/sessions/failover_pace.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from wingbarrow.decide.sessions.messages import reckoned_us
 from wingbarrow.decide.sessions.failover import CLAIM_US
+from wingbarrow.decide.sessions.messages import reckoned_us
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wingbarrow.decide.sessions.messages import PHASES, Known, MachineSays, Record
 from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.sessions.messages import PHASES, Known, MachineSays, Record
 
 EVERY = ("unsafe", "keyed", "safe")
 SAYS = ("unasked", "unreachable", "holds", "clear", "anew", "operator")
--- a/wingbarrow/decide/sessions/sessions.py
+++ b/wingbarrow/decide/sessions/sessions.py
@@ -23,6 +23,9 @@
 
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
@@ -35,9 +38,6 @@
     reckoned_us,
     right_us,
 )
-from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.quotas.escrow import Asker
-from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.session_log import (
     ENDED_KEPT,
     SUCCESSORS_MOST,
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -13,15 +13,15 @@
 from wingbarrow.fronts.drains import DrainsFront
 from wingbarrow.fronts.unknown import UnknownFront
 from wingbarrow.http.listwatch import ListWatch, Query, error_answer
-from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.http.message import Limits, Request
+from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.api import InstancesFront
 from wingbarrow.peers.leases_api import LeasesFront
 from wingbarrow.peers.limits_api import LimitsFront
-from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.peers.maintenance_api import TurnsFront
+from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.transport import Hub
 
 _COLLECTIONS = {("batch/v1", "jobs"), ("v1", "nodes"), ("v1", "events")}
--- a/wingbarrow/lab/cluster.py
+++ b/wingbarrow/lab/cluster.py
@@ -11,8 +11,8 @@
 
 from wingbarrow.config import PlacerSettings, load_text
 from wingbarrow.fronts.serve import Service
-from wingbarrow.lab.load import PlacerAddress
 from wingbarrow.lab.build import Build
+from wingbarrow.lab.load import PlacerAddress
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.ports import PortHold
--- a/wingbarrow/lab/days.py
+++ b/wingbarrow/lab/days.py
@@ -16,8 +16,8 @@
 from wingbarrow.lab.cluster import SECOND, Cluster
 from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.load import Owners
-from wingbarrow.lab.wants import Mix, Want, draw
 from wingbarrow.lab.troubles import Trouble, arrange, generate
+from wingbarrow.lab.wants import Mix, Want, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 Script = Callable[[Cluster, Owners], None]
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -6,9 +6,9 @@
 import random
 from dataclasses import dataclass
 
+from wingbarrow.decide.consensus.log import Disk
 from wingbarrow.decide.coordination.coordinator import Agreement, Times
 from wingbarrow.decide.effects import Persist
-from wingbarrow.decide.consensus.log import Disk
 from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, read
 from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
 
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -11,8 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.replication.replicator import Custodian
 from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.replication.records import Bounds
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.sessions.failover_pace import Pace, reissue_within_us
 from wingbarrow.decide.sessions.messages import (
     FORM,
     Ended,
@@ -23,9 +26,6 @@
     reckoned_us,
     right_us,
 )
-from wingbarrow.decide.sessions.failover_pace import Pace, reissue_within_us
-from wingbarrow.decide.replication.records import Bounds
-from wingbarrow.decide.sessions.failover import Start
 from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from wingbarrow.decide.coordination.messages import Times
-from wingbarrow.decide.sessions.messages import reckoned_us
 from wingbarrow.decide.quotas.limits import drifted_us
+from wingbarrow.decide.sessions.messages import reckoned_us
 
 TURN_US = 10_000  # the hub's longest turn, between the gate and the write
 LOOKS = 8  # in a lease: how often a leader looks at sessions at least
--- a/wingbarrow/lab/fleet/swarm.py
+++ b/wingbarrow/lab/fleet/swarm.py
@@ -15,8 +15,8 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
-from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
 from wingbarrow.decide.membership.messages import Standing
+from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
 
 SECOND = 1_000_000
 
--- a/wingbarrow/lab/fleet/turnsmodel.py
+++ b/wingbarrow/lab/fleet/turnsmodel.py
@@ -133,10 +133,8 @@
         yield "a grant is reckoned lapsed", to(live=False, way=None)
     yield from _sends(state, index, plan)
     for which, number in enumerate(placer.knows):
-        if (
-            number > placer.told[which]
-            and placer.sent % MACHINES != which
-            or (number > placer.told[which] and placer.sent < 0)
+        if (number > placer.told[which] and placer.sent % MACHINES != which) or (
+            number > placer.told[which] and placer.sent < 0
         ):
             yield f"it confirms {which}", to(told=_set(placer.told, which, number))
 
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -13,9 +13,9 @@
 
 from wingbarrow.decide.coordination.coordinator import Agreement, Times
 from wingbarrow.decide.effects import Tell
+from wingbarrow.decide.maintenance.participant import TurnSide
 from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
 from wingbarrow.decide.maintenance.slots import Turn, View, Wanted
-from wingbarrow.decide.maintenance.participant import TurnSide
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
--- a/wingbarrow/lab/learn.py
+++ b/wingbarrow/lab/learn.py
@@ -14,13 +14,13 @@
 
 from wingbarrow.core.logs import silent
 from wingbarrow.lab.audit import audit
+from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import SECOND, SMALL, Cluster
 from wingbarrow.lab.figures import over_seeds, write_rows
-from wingbarrow.lab.load import Owners
-from wingbarrow.lab.wants import Mix, draw
-from wingbarrow.lab.build import Build
 from wingbarrow.lab.fleet.link import Proxy
+from wingbarrow.lab.load import Owners
 from wingbarrow.lab.record import Record
+from wingbarrow.lab.wants import Mix, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 ARMS = (
--- a/wingbarrow/lab/machine.py
+++ b/wingbarrow/lab/machine.py
@@ -9,8 +9,8 @@
 
 from wingbarrow.config import parse_duration
 from wingbarrow.http.listwatch import ListWatch, Query, error_answer
-from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.http.message import Request
+from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.kube.store import Store
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -16,10 +16,10 @@
 from wingbarrow.lab.cluster import SECOND, Cluster
 from wingbarrow.lab.figures import over_seeds, write_rows
 from wingbarrow.lab.load import Owners
-from wingbarrow.lab.wants import Mix, Want, draw
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.record import Record
+from wingbarrow.lab.wants import Mix, Want, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 ARMS = ("none", "calendar", "at-once")
--- a/wingbarrow/lab/source.py
+++ b/wingbarrow/lab/source.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from wingbarrow.http.listwatch import ListWatch, Query, error_answer
-from wingbarrow.http.server import Answer, ChunkWriter, Server, ServerLimits
 from wingbarrow.http.message import Request
+from wingbarrow.http.server import Answer, ChunkWriter, Server, ServerLimits
 from wingbarrow.http.write import write_chunk
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
--- a/wingbarrow/logic_machines.py
+++ b/wingbarrow/logic_machines.py
@@ -119,7 +119,7 @@
             came = [
                 k
                 for k, up in self.unsure.items()
-                if up and outcome != api.Outcome.BROKEN or k == key
+                if (up and outcome != api.Outcome.BROKEN) or k == key
             ]
             self.unsure = {each: known for each, known in self.unsure.items() if each not in came}
             self.offers.extend([now_us] * len(came))
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/api.py
@@ -11,14 +11,14 @@
 from wingbarrow.config import PlacerSettings
 from wingbarrow.decide.learning import Sight
 from wingbarrow.http.listwatch import Query
-from wingbarrow.http.server import Answer, ChunkWriter
 from wingbarrow.http.message import Request
+from wingbarrow.http.server import Answer, ChunkWriter
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
-from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.peers.host import Peering
+from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
 from wingbarrow.peers.message import BadMail
+from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 
 from wingbarrow.config.settings import PlacerSettings
+from wingbarrow.decide.consensus.log import Disk
 from wingbarrow.decide.coordination.coordinator import Agreement, Times
 from wingbarrow.decide.coordination.subsystem import Side
-from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.decide.maintenance.participant import Blind, TurnSide
+from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
 from wingbarrow.decide.regions.reports import Regions
 from wingbarrow.decide.sessions.sessions import Sessions
-from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
-from wingbarrow.decide.maintenance.participant import Blind, TurnSide
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
 
 
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -14,20 +14,20 @@
 
 from wingbarrow.config import SettingsError
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.coordination.coordinator import Agreement
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
-from wingbarrow.decide.regions.forwarding import Target
-from wingbarrow.decide.sessions.messages import Ended, Session, read_session
+from wingbarrow.decide.membership import messages as words
+from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
+from wingbarrow.decide.regions.forwarding import Target
 from wingbarrow.decide.regions.reports import RegionsSide
+from wingbarrow.decide.sessions.messages import Ended, Session, read_session
 from wingbarrow.decide.sessions.sessions import Lease
-from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.peers.coordinator_setup import agreement_of, turns_of, voter_store
-from wingbarrow.peers.message_bounds import LEASING
 from wingbarrow.peers.history import History
-from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
 from wingbarrow.peers.mailbox import Post
+from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
+from wingbarrow.peers.message_bounds import LEASING
 from wingbarrow.peers.ruleset_settings import rules_of
 from wingbarrow.store.voter_store import StoreFailed, VoteStore
 from wingbarrow.transport import Hub, Nursery, Timer
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -11,11 +11,11 @@
 from urllib.parse import quote
 
 from wingbarrow.config.settings import PeerAddress, PlacerSettings
-from wingbarrow.peers.knowledge_pages import PAGE, BadPage, Page, read_instance, read_page
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import Announcement, ClockCheck, Sight
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
+from wingbarrow.peers.knowledge_pages import PAGE, BadPage, Page, read_instance, read_page
 from wingbarrow.transport import Hub, Nursery
 
 SECOND = 1_000_000
--- a/wingbarrow/peers/mailbox.py
+++ b/wingbarrow/peers/mailbox.py
@@ -27,7 +27,7 @@
 class _Box:
     """What waits for one address."""
 
-    __slots__ = ("pool", "letters", "calls")
+    __slots__ = ("calls", "letters", "pool")
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from wingbarrow.decide.coordination import messages as asking
-from wingbarrow.decide.regions import forwarding as handing
-from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.decide.consensus import log
+from wingbarrow.decide.coordination import messages as asking
 from wingbarrow.decide.membership import messages as words
-from wingbarrow.decide.quotas.limits import LIMITS_MOST
 from wingbarrow.decide.outliers.ejection import EVIDENCE_MOST, VERDICTS_MOST
+from wingbarrow.decide.quotas.limits import LIMITS_MOST
+from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.peers.message_bounds import fault
 
 FORM = 1
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -6,7 +6,18 @@
 from typing import Any, get_args
 
 from wingbarrow.decide.coordination import messages as asking
+from wingbarrow.decide.maintenance.slots import (
+    CELLS_MOST,
+    IDENT_MOST,
+    LOST_MOST,
+    TURNS_MOST,
+    WANTS_MOST,
+    TurnsSaid,
+    TurnsTold,
+    View,
+)
 from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
 from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.decide.sessions.messages import (
     EFFECTS,
@@ -21,18 +32,7 @@
     SessionsSaid,
     SessionsTold,
 )
-from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
 from wingbarrow.decide.sessions.session_log import BATCHES_MOST, SUCCESSORS_MOST
-from wingbarrow.decide.maintenance.slots import (
-    CELLS_MOST,
-    IDENT_MOST,
-    LOST_MOST,
-    TURNS_MOST,
-    WANTS_MOST,
-    TurnsSaid,
-    TurnsTold,
-    View,
-)
 
 NAME_MOST = 253
 KEY_MOST = 2 * NAME_MOST + 1
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -10,9 +10,10 @@
 from typing import Any
 
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.replication.replicator import Custodian
 from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.sessions.recovery import Own
+from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.sessions.failover_pace import Pace
 from wingbarrow.decide.sessions.messages import (
     AskMachine,
     Ended,
@@ -25,8 +26,7 @@
     Settle,
     Settled,
 )
-from wingbarrow.decide.sessions.failover_pace import Pace
-from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.sessions.recovery import Own
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub, Signal
 
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -8,8 +8,8 @@
 import sys
 
 from wingbarrow.core.lines import LineLog
-from wingbarrow.relay.configuration import BadConfiguration, load
 from wingbarrow.relay import trace
+from wingbarrow.relay.configuration import BadConfiguration, load
 from wingbarrow.relay.placer import Placer
 from wingbarrow.transport import Hub, PeerGone
 from wingbarrow.transport.signals import on_signals
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -6,9 +6,9 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide.retries import End
 from wingbarrow.decide.crowd import Crowd
 from wingbarrow.decide.overload import Door, TurnedAway
+from wingbarrow.decide.retries import End
 from wingbarrow.relay import setup
 from wingbarrow.relay.links import Attempt, Attempts, Links
 from wingbarrow.relay.message import Cause, Code, Kind, Message, with_cause
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -55,7 +55,7 @@
 class Line:
     """One connection to a machine and the set-ups open on it."""
 
-    __slots__ = ("link", "stream", "outbox", "framer", "out", "used_us", "number")
+    __slots__ = ("framer", "link", "number", "out", "outbox", "stream", "used_us")
 
     def __init__(self, link: Link, stream: Stream, outbox: Outbox, now_us: int) -> None:
         self.link, self.stream, self.outbox, self.used_us = link, stream, outbox, now_us
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -10,9 +10,9 @@
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide import orphans as strays
-from wingbarrow.decide.retries import End
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.decide.idempotency import Earlier, may_repeat
+from wingbarrow.decide.retries import End
 from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -33,15 +33,15 @@
     """One connection from an owner, the front, or anybody."""
 
     __slots__ = (
-        "stream",
-        "outbox",
+        "_waiting",
+        "foreign",
         "framer",
         "guest",
-        "tasks",
-        "foreign",
-        "retired",
         "number",
-        "_waiting",
+        "outbox",
+        "retired",
+        "stream",
+        "tasks",
     )
 
     def __init__(self, stream: Stream, outbox: Outbox, guest: Guest, number: int) -> None:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -10,8 +10,8 @@
 from wingbarrow.decide.crowd import Crowd
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay import journal
-from wingbarrow.relay.configuration import BadConfiguration, Configuration, load_journal
 from wingbarrow.relay.admission import Admission
+from wingbarrow.relay.configuration import BadConfiguration, Configuration, load_journal
 from wingbarrow.relay.links import SWEEP_US, Attempts, Link, Links
 from wingbarrow.relay.message import Message
 from wingbarrow.relay.offers import Offers
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -13,8 +13,8 @@
 
 import lmdb
 
-from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.consensus.log import Disk, Entry, alone
+from wingbarrow.decide.effects import Persist
 
 BYTES_MOST = 256 << 20
 FORM = 1
--- a/wingbarrow/transport/lag.py
+++ b/wingbarrow/transport/lag.py
@@ -13,7 +13,7 @@
 class Lag:
     """Times in microseconds of the hub's clock."""
 
-    __slots__ = ("_peak_us", "_at_us", "worst_us", "times")
+    __slots__ = ("_at_us", "_peak_us", "times", "worst_us")
 
     def __init__(self) -> None:
         self._peak_us = self._at_us = 0
--- a/wingbarrow/transport/net.py
+++ b/wingbarrow/transport/net.py
@@ -28,7 +28,7 @@
 class _Endpoint:
     """A socket that belongs to the domain it was made in, and ends with it."""
 
-    __slots__ = ("hub", "open", "_socket", "_fd", "_domain")
+    __slots__ = ("_domain", "_fd", "_socket", "hub", "open")
 
     def __init__(self, hub: Hub, sock: socket.socket) -> None:
         self.hub = hub
--- a/wingbarrow/transport/outbox.py
+++ b/wingbarrow/transport/outbox.py
@@ -12,7 +12,7 @@
     A peer that reads so slowly that more than `most` bytes wait is cut off.
     """
 
-    __slots__ = ("_hub", "_stream", "_most", "_left", "overrun")
+    __slots__ = ("_hub", "_left", "_most", "_stream", "overrun")
 
     def __init__(self, hub: Hub, stream: Stream, most: int) -> None:
         self._hub = hub
--- a/wingbarrow/transport/scopes.py
+++ b/wingbarrow/transport/scopes.py
@@ -30,7 +30,7 @@
 class CancelScope:
     """A `with` block that can be cancelled, by hand or by its deadline (microseconds on the hub's clock)."""
 
-    __slots__ = ("hub", "deadline_us", "cancelled", "caught", "_timer", "_tasks")
+    __slots__ = ("_tasks", "_timer", "cancelled", "caught", "deadline_us", "hub")
 
     def __init__(self, hub: Hub, deadline_us: int | None = None) -> None:
         self.hub = hub
@@ -76,17 +76,17 @@
     """A greenlet with its scopes; `done` and `error` tell how it ended."""
 
     __slots__ = (
-        "hub",
-        "glet",
-        "scopes",
+        "blocked",
         "domain",
         "done",
         "error",
-        "blocked",
+        "first",
+        "glet",
+        "hub",
+        "name",
         "on_end",
         "own",
-        "name",
-        "first",
+        "scopes",
         "silent_us",
     )
 
