--- a/tests/test_lint_debt.py
+++ b/tests/test_lint_debt.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-import re
+import tokenize
 import tomllib
 from pathlib import Path
 
@@ -27,9 +27,15 @@
     return found
 
 
-def count(pattern: str) -> int:
-    sources = [source for tree in TREES for source in (ROOT / tree).rglob("*.py")]
-    return sum(len(re.findall(pattern, source.read_text())) for source in sources)
+def comments(word: str) -> int:
+    """How many comments hold the word: by tokens, since strings may hold it too."""
+    found = 0
+    for tree in TREES:
+        for source in (ROOT / tree).rglob("*.py"):
+            with source.open("rb") as file:
+                for token in tokenize.tokenize(file.readline):
+                    found += token.type == tokenize.COMMENT and word in token.string
+    return found
 
 
 def test_the_ignores_of_single_files_only_become_fewer() -> None:
@@ -68,5 +74,5 @@
 
 
 def test_comments_that_silence_a_check_only_become_fewer() -> None:
-    assert count(r"# noqa\b") - count(r"\(r\"# noqa") <= MAX_NOQA
-    assert count(r"# type: ignore\b") - count(r"\(r\"# type: ignore") <= MAX_TYPE_IGNORES
+    assert comments("noqa") <= MAX_NOQA
+    assert comments("type: ignore") <= MAX_TYPE_IGNORES
