--- /dev/null
+++ b/tests/stored/test_corpus.py
@@ -0,0 +1,130 @@
+"""What the program of commit ff53260 left on disk is read as the same values, and goes on from there.
+
+The files under `tests/data/stored` never change; see the README there.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import shutil
+from pathlib import Path
+
+import pytest
+
+from tests.stored import scenario, state
+from tests.wire import samples
+from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.store.voter_store import VoteStore
+
+STORED = samples.DATA / "stored"
+
+
+def test_no_file_of_the_corpus_has_changed_or_gone() -> None:
+    lines = (samples.DATA / "golden.sha256").read_text().splitlines()
+    listed = {name: digest for digest, name in (line.split("  ") for line in lines)}
+    found = {
+        str(each.relative_to(samples.DATA)): hashlib.sha256(each.read_bytes()).hexdigest()
+        for folder in ("stored", "wire")
+        for each in (samples.DATA / folder).rglob("*")
+        if each.is_file() and each.suffix != ".md"
+    }
+    assert found == listed
+
+
+def opened(folder: Path) -> VoteStore:
+    """A copy of the voter's store."""
+    shutil.copytree(STORED / "votes", folder / "votes")
+    return VoteStore(folder / "votes")
+
+
+@pytest.fixture
+def disk(tmp_path: Path) -> Disk:
+    store = opened(tmp_path)
+    try:
+        return store.load()
+    finally:
+        store.close()
+
+
+def test_a_voters_store_holds_what_the_voter_put_on_disk(disk: Disk) -> None:
+    assert disk == scenario.disk_of(scenario.life()[0])
+    assert (disk.voters, disk.term, disk.vote, disk.base, disk.base_term) == (
+        ("a",),
+        1_000_002,
+        "",
+        15,
+        1,
+    )
+    assert (disk.last, disk.term_at(disk.last), disk.voters_now()) == (54, 1_000_002, ("a",))
+
+
+def test_the_stored_log_has_each_kind_of_entry(disk: Disk) -> None:
+    kinds = {each.kind for each in disk.log}
+    assert {each.replace("/", ".") or "empty" for each in kinds} == {
+        each.stem for each in (samples.DATA / "wire" / "entries").iterdir()
+    }
+
+
+def test_each_stored_entry_makes_the_same_state_of_the_one_before(disk: Disk) -> None:
+    wanted = (STORED / "digests.txt").read_text().splitlines()
+    found = [f"{kind or 'empty'} {held.digest}" for kind, held in scenario.replayed(disk)]
+    assert found == wanted
+
+
+def test_the_replayed_state_has_the_values_of_the_voters_life(disk: Disk) -> None:
+    *_, (_, held) = scenario.replayed(disk)
+    wanted = {each.stem: each.read_text() for each in (STORED / "texts").iterdir()}
+    assert held.texts() == wanted
+    assert scenario.values(held) == scenario.VALUES
+
+
+@pytest.mark.parametrize("name", ["agreed", "blocks", "sessions", "turns", "regions"])
+def test_a_chapter_restored_from_its_text_has_that_text(name: str) -> None:
+    text = (STORED / "texts" / f"{name}.txt").read_text()
+    assert scenario.text_again(name, text) == text
+
+
+def test_a_voter_goes_on_with_its_store(tmp_path: Path) -> None:
+    store = opened(tmp_path)
+    before = store.load()
+    voter = scenario.Voter(store.load(), 100 * samples.S)
+    voter.run(110 * samples.S)
+    assert scenario.leads(voter)
+    voter.propose_rules("after", scenario.RULES, 2)
+    voter.run(112 * samples.S)
+    assert scenario.accepted(voter) == (3, "")
+    for each in voter.persisted:
+        store.persist(each)
+    store.close()
+    again = VoteStore(tmp_path / "votes")
+    after = again.load()
+    again.close()
+    assert after.term > before.term
+    assert after.vote == scenario.ME
+    assert after.log[: len(before.log)] == before.log
+    assert (after.base, after.state) == (before.base, before.state)
+    assert [each.kind for each in after.log[len(before.log) :]][:2] == ["", "propose"]
+
+
+# -- the folder of a placer
+
+
+def test_the_saved_list_is_read_as_its_entries() -> None:
+    # Figures of room of a saved list are not told: nan is no equal of itself, their text is.
+    assert list(map(repr, state.read_machines(STORED / "state"))) == list(map(repr, state.ENTRIES))
+
+
+def test_the_stamp_is_read_as_its_time() -> None:
+    assert state.read_alive(STORED / "state") == state.ALIVE_US
+
+
+def test_saved_drains_are_read_as_they_stood() -> None:
+    assert state.read_drains(STORED / "state") == state.HELD
+
+
+def test_a_placers_files_are_written_byte_for_byte(tmp_path: Path) -> None:
+    for write in (state.write_machines, state.write_alive, state.write_drains):
+        write(tmp_path)
+    files = {each.name: each.read_bytes() for each in (STORED / "state").iterdir()}
+    assert set(files) == {state.MACHINES, state.ALIVE, state.DRAINS}
+    assert {each.name: each.read_bytes() for each in tmp_path.iterdir()} == files
--- /dev/null
+++ b/tests/stored/test_going_on.py
@@ -0,0 +1,121 @@
+"""Placers that start on folders which the program of commit ff53260 left go on with what is there."""
+
+from __future__ import annotations
+
+import shutil
+from pathlib import Path
+from typing import Any
+
+from tests.peers.stage import Agreeing
+from tests.stage import S, Stage
+from tests.stored import make, state
+from tests.wire import samples
+from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.http.watching import call
+from wingbarrow.lab.node import node_value
+from wingbarrow.store.voter_store import VoteStore
+from wingbarrow.transport import VirtualClock
+
+STORED = samples.DATA / "stored"
+
+
+def later(stage: Stage, seconds: int) -> None:
+    """Set the wall clock to after what is stored was written."""
+    clock = stage.hub.clock
+    assert isinstance(clock, VirtualClock)
+    clock._wall += seconds * S
+
+
+def port_of(node: dict[str, Any]) -> int:
+    port: int = node["status"]["daemonEndpoints"]["kubeletEndpoint"]["Port"]
+    return port
+
+
+def test_a_placer_uses_the_saved_list_and_goes_on_with_a_drain() -> None:
+    stage = Stage(machines=2)
+
+    def script() -> None:
+        slot = stage.cluster.placers[0]
+        slot.kill()
+        stage.cluster.source.set_down(True)
+        later(stage, 40)
+        for name in (state.MACHINES, state.ALIVE, state.DRAINS):
+            shutil.copy(STORED / "placer" / name, Path(slot.state) / name)
+        slot.extra = f'\ncalendar "{STORED / "placer" / "windows.kdl"}"\n'
+        slot.start()
+        assert slot.service is not None
+        placer = slot.service.placer
+        stage.hub.sleep(S // 10)
+        shown = call(stage.pool(), "GET", "/api/v1/nodes")["items"]
+        assert {each["metadata"]["name"]: port_of(each) for each in shown} == {
+            "node-0": 1,
+            "node-1": 1,
+        }
+        found = placer.drainer.describe()
+        assert [(each["key"], each["phase"]) for each in found] == [
+            ("patch@1780000015/node-0", "out")
+        ]
+        saved = placer.drainer.drains.held["patch@1780000015/node-0"]
+        assert saved.since_us == 1_780_000_011_500_000, "its saved state, not one begun anew"
+        begun = stage.hub.now_us()
+        stage.cluster.source.set_down(False)
+        for machine in stage.cluster.machines:
+            stage.cluster.source.show(machine.name, node_value(machine))
+        stage.hub.sleep(5 * S)
+        assert {name: each.port for name, each in placer.fleet.held.items()} == {
+            each.name: each.port for each in stage.cluster.machines
+        }
+        for number in range(6):
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=1)
+            assert "Placed" in stage.settled(f"t{number}")
+        sent = {each.where for each in stage.seen("offer") if each.at_us > begun}
+        assert sent == {"node-1"}
+
+    stage.play(script)
+
+
+def test_voters_go_on_with_rules_that_were_agreed_on() -> None:
+    stage = Agreeing(machines=2, placers=3)
+    stage.limits = make.LIMITS
+
+    def script() -> None:
+        stage.join()
+        for slot in stage.cluster.placers:
+            slot.kill()
+            shutil.rmtree(slot.state)
+            shutil.copytree(STORED / "cluster" / slot.name, slot.state)
+        before = {
+            slot.name: stored(STORED / "cluster" / slot.name, slot.name)
+            for slot in stage.cluster.placers
+        }
+        later(stage, 3600)
+        for slot in stage.cluster.placers:
+            slot.start()
+        assert stage.wait(lambda: stage.all_on("e2"), 30)
+        told = stage.ask(stage.leader())[1]
+        assert [each["number"] for each in told["versions"]] == [1, 2]
+        assert told["versions"][-1]["rules"]["barred"] == ["node-1"]
+        value = {"ident": "y", "rules": stage.changed(barred=["node-1", "node-5"])}
+        status, told = stage.ask(stage.leader(), "POST", value)
+        assert (status, told["version"]) == (201, 3)
+        assert stage.wait(lambda: stage.all_on("e3"), 30)
+        stage.submit("t", runs_s=1)
+        assert "Placed" in stage.settled("t")
+        assert {each.where for each in stage.seen("offer")} == {"node-0"}
+        for slot in stage.cluster.placers:
+            slot.kill()
+            after = stored(Path(slot.state), slot.name)
+            assert after.term > before[slot.name].term
+            assert after.log[: len(before[slot.name].log)] == before[slot.name].log
+            assert after.base == before[slot.name].base
+
+    def stored(folder: Path, name: str) -> Disk:
+        scratch = Path(stage.cluster.placers[0].state).parent / f"copy-{folder.parent.name}-{name}"
+        shutil.copytree(folder / "rules", scratch)
+        store = VoteStore(scratch)
+        try:
+            return store.load()
+        finally:
+            store.close()
+
+    stage.play(script)
