--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -13,13 +13,13 @@
 from wingbarrow.config.agreeing import _VOTERS
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.link import STOP_CONNECTIONS
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
-from wingbarrow.decide.membership.swim import Rules
+from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.decide.quotas.allocations import PARTS_MOST
 from wingbarrow.decide.quotas.limits import LIMITS_MOST, STRANDED_US, FleetLimit
-from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, Bounds
+from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, ReplicationLimits
 from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
 from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
 from wingbarrow.decide.sessions.messages import RECORD_MOST
@@ -56,7 +56,7 @@
 @cache
 def bounds() -> tuple[Bound, ...]:
     """All of them, in the order of the page."""
-    times, rules, defaults, keeper = Times(), Rules(), Limits(), Bounds()
+    times, rules, defaults, keeper = Timing(), SwimSettings(), Limits(), ReplicationLimits()
     placers = round(figures()["placers"])
     return (
         Bound(
--- a/benchmarks/capacity/changes.py
+++ b/benchmarks/capacity/changes.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity.gather import Figure, repeated, spread
 from benchmarks.capacity.results import Point
 from benchmarks.capacity.teams import mailed
-from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.swarm import SECOND
 
 DEFAULT_SIZES = (100, 1_000, 5_000, 14_000)
@@ -58,7 +58,7 @@
             replace(each, most=each.most * self.tasks // 100) for each in three_limits(names)
         )
         barred = tuple(f"machine-{index}" for index in range(self.barred))
-        return normal(
+        return normalized(
             replace(
                 rule_set(placers, limits, self.most, self.offers),
                 attempts_most=self.attempts,
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -12,10 +12,10 @@
 
 from benchmarks.capacity.gather import MB, Figure, accounted, persisted, spread
 from benchmarks.capacity.metered import DECISIONS, LIMITS, READ, WRITTEN, Meter, Metered, held_bytes
-from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules, voters_of
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -47,10 +47,10 @@
     count: int, limits: tuple[FleetLimit, ...], most: int = 3, offers: int = 20
 ) -> RuleSet:
     """For placers p000 and on. More of `most` and fewer `offers` contradicts another: it takes two steps."""
-    return normal(replace(rules(count, most, offers), limits=limits))
+    return normalized(replace(rules(count, most, offers), limits=limits))
 
 
-class Agreements(Metered[Agreement], Assembly):
+class Agreements(Metered[Coordinator], Assembly):
     """`count` placers that agree on rules; each voter's disk is a copy in memory."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -58,13 +58,13 @@
         self.short = False  # whether each wants more of each limit than there is
         super().__init__(count, voters_of(count), seed)
 
-    def make(self, name: str, now_us: int) -> Agreement:
+    def make(self, name: str, now_us: int) -> Coordinator:
         """One that uses limits, with the leader's account of them timed by itself."""
         made = super().make(name, now_us)
         made.holding.life = self.lives[name]
         made.purse.uses = lambda key: USES
         made.purse.demand = lambda key: WANTED if self.short else 0
-        for method in ("answers", "due"):
+        for method in ("answers", "next_proposals"):
             setattr(
                 made.blocks, method, self.meter.timed(name, LIMITS, getattr(made.blocks, method))
             )
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.consensus.log import AppendAnswer, VoteAnswer
+from wingbarrow.decide.consensus.log import AppendResponse, VoteResponse
 from wingbarrow.decide.coordination.messages import NotLeader
 from wingbarrow.decide.effects import Persist, Send
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
@@ -36,8 +36,8 @@
 ANSWERS = (
     Ack,
     Nack,
-    AppendAnswer,
-    VoteAnswer,
+    AppendResponse,
+    VoteResponse,
     NotLeader,
 )  # sent at once to whom the mail came from
 DECISIONS, LIMITS, WRITTEN, READ = "decisions", "limits", "mail written", "mail read"
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.metered import DECISIONS, READ, WRITTEN, Meter, Metered, held_bytes
 from benchmarks.capacity.results import Point
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
-from wingbarrow.decide.membership.messages import Standing
+from wingbarrow.decide.membership.messages import MemberStatus
 from wingbarrow.decide.membership.swim import Membership
 from wingbarrow.decide.rulesets.ruleset import too_long
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
@@ -45,7 +45,7 @@
         return (
             len(self.members)
             - 1
-            - sum(each.standing is Standing.ALIVE for each in table.members.values())
+            - sum(each.standing is MemberStatus.ALIVE for each in table.members.values())
         )
 
     def all_known(self) -> bool:
@@ -90,7 +90,7 @@
     gone, begun = swarm.names[seed % len(swarm.names)], swarm.now_us
     swarm.kill(gone)
     most = 2 * swarm.rules.detect_us(len(swarm.names))
-    if not swarm.run_until(lambda: swarm.all_think(gone, Standing.DEAD), most):
+    if not swarm.run_until(lambda: swarm.all_think(gone, MemberStatus.DEAD), most):
         raise RuntimeError(f"{len(swarm.names)} placers, seed {seed}: a death is not found")
     times = [
         (each.at_us - begun) / SECOND
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -33,7 +33,7 @@
 from benchmarks.capacity.fleet import USES, Agreements, founded, rule_set, steady
 from benchmarks.capacity.gather import SEEDS, Figure, repeated, spread
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.consensus.log import Install
+from wingbarrow.decide.consensus.log import InstallSnapshot
 from wingbarrow.decide.quotas import allocations as blocks
 from wingbarrow.decide.quotas import limits
 from wingbarrow.decide.quotas.limits import FleetLimit
@@ -142,13 +142,13 @@
     """What the voters' state takes: in a snapshot, whole, and what of it is the chapter of blocks."""
     member = found.members[found.leader() or found.voters[0]]
     assert member.raft is not None
-    member.agreed.chapters |= {name: each.text() for name, each in member.chapters.items()}
+    member.agreed.chapters |= {name: each.snapshot() for name, each in member.chapters.items()}
     disk = member.raft.disk
-    install = Install(
+    install = InstallSnapshot(
         disk.term, disk.last, disk.term, " ".join(disk.voters), member.agreed.text(), 1
     )
     yield Figure("voter", "snapshot", "B", len(message.write_letter(install)))
-    yield Figure("voter", "snapshot: blocks", "B", mailed(member.blocks.text()))
+    yield Figure("voter", "snapshot: blocks", "B", mailed(member.blocks.snapshot()))
     yield Figure("voter", "log", "B", sum(len(each.body) for each in disk.log))
     yield Figure(
         "leader", "blocks", "blocks", sum(len(each.parts) for each in member.blocks.blocks.values())
@@ -171,13 +171,13 @@
 
 def blocks_mailed(teams: int, placers: int) -> int:
     """The size of the blocks of so many teams and placers in a snapshot."""
-    made = blocks.Blocks(1)
+    made = blocks.AllocationLedger(1)
     made.lives = dict.fromkeys(names_of(placers), 1)
     made.blocks = {
-        each.key: blocks.Block(dict.fromkeys(names_of(placers), (2 * USES, 2 * USES)))
+        each.key: blocks.Allocation(dict.fromkeys(names_of(placers), (2 * USES, 2 * USES)))
         for each in team_limits(teams, ["p000"])
     }
-    return mailed(made.text())
+    return mailed(made.snapshot())
 
 
 def bounds(placers: int) -> Iterator[Point]:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -9,7 +9,7 @@
 import json
 import statistics
 
-from wingbarrow.decide.membership.messages import Standing
+from wingbarrow.decide.membership.messages import MemberStatus
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 QUIET_S = 60
@@ -48,7 +48,7 @@
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
     if not swarm.run_until(
-        lambda: swarm.all_think(gone, Standing.DEAD), 2 * swarm.rules.detect_us(count)
+        lambda: swarm.all_think(gone, MemberStatus.DEAD), 2 * swarm.rules.detect_us(count)
     ):
         raise SystemExit(f"{count} placers, seed {seed}: a death is not found")
     times = [
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_file
-from wingbarrow.decide.rulesets.ruleset import read
+from wingbarrow.decide.rulesets.ruleset import parse_rule_set
 from wingbarrow.peers.ruleset_settings import rules_of
 
 FILES = Path(__file__).parent.parent / "data" / "federation"
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
 def test_good_files_load_and_read_back_as_rules(path: Path) -> None:
     rules = rules_of(load_file(path))
-    assert read(rules.text()) == rules
+    assert parse_rule_set(rules.text()) == rules
 
 
 def test_the_command_says_file_line_and_what_is_wrong() -> None:
--- a/tests/core/test_active_rules.py
+++ b/tests/core/test_active_rules.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from wingbarrow.config import load_text
-from wingbarrow.core.active_rules import Rulebook
+from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.decide.federation.spec import Federation, Spec
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.peers.ruleset_settings import rules_of
@@ -18,7 +18,7 @@
     base: Any = SimpleNamespace(
         settings=settings, hub=SimpleNamespace(), log=lambda *words, **more: None
     )
-    book = Rulebook(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
+    book = ActiveRules(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
     federation = Federation((Spec("orders", ("north",)),), (), (("web", "orders"),))
     rules = rules_of(settings)
     assert book.federation() == settings.federation == Federation()
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -12,7 +12,7 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.core.intake import read_job
-from wingbarrow.core.job_store import OPEN, TOMBSTONES, Book, State, Step
+from wingbarrow.core.job_store import OPEN, TOMBSTONES, JobStore, State, Step
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
@@ -27,11 +27,11 @@
     return read_job(value, namespace, SETTINGS.classes, SETTINGS.limits, "abcde")
 
 
-def made(count: int = 1, most: int = 1000) -> tuple[Book, Any]:
+def made(count: int = 1, most: int = 1000) -> tuple[JobStore, Any]:
     value = copy.deepcopy(VALUE)
     value["spec"]["parallelism"] = count
     value["status"] = {}
-    book = Book(Admission(most, most), 10)
+    book = JobStore(Admission(most, most), 10)
     return book, book.add("default/job", "u1", read(value), value)
 
 
@@ -67,7 +67,7 @@
 
 
 def test_memory_of_ended_and_deleted_jobs_is_bounded() -> None:
-    book = Book(Admission(10_000, 10_000), 3)
+    book = JobStore(Admission(10_000, 10_000), 3)
     for number in range(6):
         job = book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
         book.step(job.tasks[0], Step.REFUSE)
@@ -83,7 +83,7 @@
 
 
 def test_an_open_job_is_never_surplus() -> None:
-    book = Book(Admission(100, 100), 1)
+    book = JobStore(Admission(100, 100), 1)
     for number in range(5):
         book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
     assert not book.surplus()
--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -12,12 +12,12 @@
 
 from wingbarrow.decide.consensus.log import (
     VOTERS,
-    Committed,
-    Confirmed,
-    Disk,
-    Elected,
-    Entry,
-    Restored,
+    EntriesCommitted,
+    LeadershipChanged,
+    LeadershipConfirmed,
+    LogEntry,
+    PersistentState,
+    SnapshotRestored,
 )
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.effects import Persist, Send, SetTimer
@@ -35,12 +35,16 @@
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.sequence = 0
         self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.disks: dict[str, Disk] = {name: Disk(tuple(self.names)) for name in self.names}
+        self.disks: dict[str, PersistentState] = {
+            name: PersistentState(tuple(self.names)) for name in self.names
+        }
         self.lives: dict[str, int] = dict.fromkeys(self.names, 0)
         self.live: dict[str, Raft] = {}
         self.timers: dict[tuple[str, str], int] = {}
         self.leaders: dict[int, str] = {}  # by term
-        self.decided: dict[int, Entry] = {}  # the reference: what anybody was ever told is decided
+        self.decided: dict[
+            int, LogEntry
+        ] = {}  # the reference: what anybody was ever told is decided
         self.applied: dict[str, int] = {}
         self.states: dict[str, list[str]] = {}
         self.confirmed: list[tuple[str, int]] = []
@@ -89,10 +93,10 @@
                 self.at(effect.at_us, due)
             elif isinstance(effect, Send):
                 self.send(name, effect)
-            elif isinstance(effect, Elected) and effect.on:
+            elif isinstance(effect, LeadershipChanged) and effect.on:
                 term = self.live[name].disk.term
                 assert self.leaders.setdefault(term, name) == name, f"two leaders in term {term}"
-            elif isinstance(effect, Committed):
+            elif isinstance(effect, EntriesCommitted):
                 for offset, entry in enumerate(effect.entries):
                     index = effect.first + offset
                     assert index == self.applied[name] + 1
@@ -102,10 +106,10 @@
                     self.applied[name] = index
                     if entry.kind == "x":
                         self.states[name].append(entry.body)
-            elif isinstance(effect, Restored):
+            elif isinstance(effect, SnapshotRestored):
                 self.applied[name] = effect.index
                 self.states[name] = effect.state.split()
-            elif isinstance(effect, Confirmed):
+            elif isinstance(effect, LeadershipConfirmed):
                 self.confirmed.append((name, effect.number))
         disk, live = self.disks[name], self.live[name].disk
         if not self.live[name].empty:
@@ -260,7 +264,7 @@
     for name in cluster.names:
         cluster.kill(name)
     for name in cluster.names:
-        cluster.disks[name] = Disk(tuple(cluster.names[:3]))
+        cluster.disks[name] = PersistentState(tuple(cluster.names[:3]))
         cluster.start(name)
     cluster.run(5 * S)
     leader = cluster.leader()
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -39,10 +39,10 @@
         self.now_us = 0
         self.mail: list[tuple[str, str, Any]] = []
         self.timers: dict[tuple[str, str], int] = {}
-        self.disks = {name: log.Disk(NAMES[:3]) for name in NAMES}
+        self.disks = {name: log.PersistentState(NAMES[:3]) for name in NAMES}
         self.live: dict[str, Raft] = {}
         self.leaders: dict[int, str] = {}
-        self.decided: list[log.Entry] = []  # the reference
+        self.decided: list[log.LogEntry] = []  # the reference
         self.applied: dict[str, int] = {}
         self.number = self.lives = 0
         for name in NAMES:
@@ -62,14 +62,14 @@
                 self.timers[name, effect.key.removeprefix("raft ")] = effect.at_us
             elif isinstance(effect, Send):
                 self.mail.append((name, effect.ident, effect.message))
-            elif isinstance(effect, log.Elected) and effect.on:
+            elif isinstance(effect, log.LeadershipChanged) and effect.on:
                 self.elected(name)
-            elif isinstance(effect, log.Restored):
+            elif isinstance(effect, log.SnapshotRestored):
                 assert effect.index <= len(self.decided), (
                     "a snapshot of what nobody was told is decided"
                 )
                 self.applied[name] = effect.index
-            elif isinstance(effect, log.Committed):
+            elif isinstance(effect, log.EntriesCommitted):
                 self.committed(name, effect)
 
     def elected(self, name: str) -> None:
@@ -82,7 +82,7 @@
                     "a leader that lacks a decision"
                 )
 
-    def committed(self, name: str, effect: log.Committed) -> None:
+    def committed(self, name: str, effect: log.EntriesCommitted) -> None:
         assert effect.first == self.applied[name] + 1, "in order, and once"
         for index, entry in enumerate(effect.entries, effect.first):
             if index > len(self.decided):
@@ -199,7 +199,7 @@
     """Planted: whose log is shorter may be elected."""
 
     def on_message(self, now_us: int, ident: str, message: Any) -> log.Effects:
-        if isinstance(message, log.VoteAsk):
+        if isinstance(message, log.VoteRequest):
             message = replace(message, last_term=1 << 30)
         return super().on_message(now_us, ident, message)
 
@@ -208,7 +208,7 @@
     """Planted: a vote is forgotten as soon as it is given."""
 
     def on_message(self, now_us: int, ident: str, message: Any) -> log.Effects:
-        if isinstance(message, log.VoteAsk):
+        if isinstance(message, log.VoteRequest):
             self.disk.vote = ""
         return super().on_message(now_us, ident, message)
 
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -7,12 +7,19 @@
 
 import pytest
 
-from wingbarrow.decide.coordination.coordinator import Ask, Grant, NotLeader
-from wingbarrow.decide.coordination.leader import Leading
-from wingbarrow.decide.coordination.leases import Holder, given_until_us
+from wingbarrow.decide.coordination.leader import Leader
+from wingbarrow.decide.coordination.leases import RulesLease, lease_expiry_us
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader
 from wingbarrow.decide.quotas.limits import DRIFT
-from wingbarrow.decide.rulesets.ruleset import ClassRules, allows, contradict, meet, normal, read
-from wingbarrow.decide.rulesets.versions import Agreed, from_text
+from wingbarrow.decide.rulesets.ruleset import (
+    ClassRules,
+    allows,
+    contradict,
+    intersection,
+    normalized,
+    parse_rule_set,
+)
+from wingbarrow.decide.rulesets.versions import RuleSetState, from_text
 from wingbarrow.lab.fleet.assembly import Use, judge
 from wingbarrow.lab.fleet.schedules import (
     FLOOR,
@@ -38,7 +45,7 @@
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
     assert [assembly.uses[number].rules for number in (1, 2, 3)] == [
         rules(3).text(),
-        meet(rules(3), rules(4)).text(),
+        intersection(rules(3), rules(4)).text(),
         rules(4).text(),
     ]
     assert assembly.refused == 0, "no gap in service"
@@ -56,7 +63,7 @@
     acting = member.acting(assembly.clock_us("p004"))
     assert acting is not None
     assert acting.label == "f1"
-    assert read(acting.rules) == FLOOR
+    assert parse_rule_set(acting.rules) == FLOOR
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + 10 * SECOND)
     assembly.propose(rules(4, most=2))
@@ -168,15 +175,15 @@
 
 def test_the_giver_reckons_with_a_grant_for_longer_than_its_holder_whatever_their_clocks() -> None:
     for rate in (-5e-4, 0.0, 5e-4):
-        holder = Holder()
+        holder = RulesLease()
         holder.take(1_000_000, 1, "x", 2_000_000)
         lasts_truly = (holder.until_us - 1_000_000) / (1 + rate)
-        assert lasts_truly <= (given_until_us(0, 2_000_000)) / (1 + 5e-4)
+        assert lasts_truly <= (lease_expiry_us(0, 2_000_000)) / (1 + 5e-4)
         assert DRIFT >= 2 * 5e-4
 
 
 def test_a_late_grant_brings_no_rules_back() -> None:
-    holder = Holder()
+    holder = RulesLease()
     assert holder.take(10, 2, "new", 100)
     assert not holder.take(50, 1, "old", 100)
     assert (
@@ -192,7 +199,9 @@
     before = member.holder.until_us
     for number in (0, 10_000_000):
         assert (
-            member.on_message(1, "p000", "", Grant(number, 9, rules(2).text(), 10**12, 9, 0, "", 0))
+            member.on_message(
+                1, "p000", "", LeaseGrant(number, 9, rules(2).text(), 10**12, 9, 0, "", 0)
+            )
             == []
         )
         assert member.on_message(1, "p000", "", NotLeader(number, "p001")) == []
@@ -203,12 +212,12 @@
     assembly = founded()
     leader = assembly.leader()
     other = next(name for name in assembly.voters if name != leader)
-    effects = assembly.members[other].on_message(1, "x", "at x", Ask(1, 0, 0))
+    effects = assembly.members[other].on_message(1, "x", "at x", LeaseRequest(1, 0, 0))
     assert [type(each.message) for each in effects] == [NotLeader]  # type: ignore[union-attr]
 
 
 def test_the_state_is_read_back_and_what_cannot_be_read_changes_nothing() -> None:
-    state = Agreed()
+    state = RuleSetState()
     state.apply(
         "propose",
         json.dumps({"ident": "a", "base": 0, "rules": rules().text(), "by": "x", "why": ""}),
@@ -230,14 +239,14 @@
 
 
 def test_what_a_class_is_spread_by_cannot_change() -> None:
-    state = Agreed(1, rules().text(), 1)
+    state = RuleSetState(1, rules().text(), 1)
     moved = replace(rules(), classes=(ClassRules("web", "safe", "zone", 3),))
-    assert "spread by" in state.objection(1, normal(moved).text())
+    assert "spread by" in state.objection(1, normalized(moved).text())
 
 
 def test_the_judge_finds_planted_acts_on_rules_whose_time_has_passed() -> None:
     tight, loose = rules(most=1).text(), rules(most=3).text()
-    assert allows(read(tight), read(loose))
+    assert allows(parse_rule_set(tight), parse_rule_set(loose))
     assert judge({1: Use(0, 100, loose), 2: Use(60, 200, tight)}, 9).longest_us == 40
     assert judge({1: Use(0, 100, tight), 2: Use(60, 200, loose)}, 9).longest_us == 0, (
         "the new one allows it all"
@@ -252,7 +261,7 @@
 
 def test_a_planted_error_is_found_by_a_schedule_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not trial(3, 1)
-    monkeypatch.setattr(Leading, "_lapsed_at_us", lambda self: 0)  # steps wait for nobody
+    monkeypatch.setattr(Leader, "_lapsed_at_us", lambda self: 0)  # steps wait for nobody
     seed = next(seed for seed in range(1, 30) if trial(3, seed))
     kept = shrink(3, seed)
     assert len(kept) <= len(steps(3, seed)) // 2 and trial(3, seed, kept), f"seed {seed}"
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -59,7 +59,7 @@
 
 
 def _rules(federation: s.Federation, effect: str = "safe") -> r.RuleSet:
-    return r.normal(
+    return r.normalized(
         r.RuleSet(
             (r.ClassRules("web", "safe", "none", 0), r.ClassRules("pay", effect, "none", 0)),
             4,
@@ -79,7 +79,7 @@
 ) -> None:
     both = [_rules(_slow(a), one), _rules(_slow(b), other)]
     if not any(r.check(each) for each in both):
-        assert not r.check(r.meet(*both))
+        assert not r.check(r.intersection(*both))
 
 
 def _slow(federation: s.Federation) -> s.Federation:
@@ -102,19 +102,19 @@
     federation = s.Federation(
         (s.Spec("orders", ("north", "south"), failover=over),), (), (("pay", "orders"),)
     )
-    assert r.read(_rules(federation, "keyed").text())
+    assert r.parse_rule_set(_rules(federation, "keyed").text())
     with pytest.raises(
-        r.BadRules, match='pay: federation orders fails over on "refusing", a suspicion'
+        r.RuleSetError, match='pay: federation orders fails over on "refusing", a suspicion'
     ):
-        r.read(_rules(federation, "unsafe").text())
+        r.parse_rule_set(_rules(federation, "unsafe").text())
 
 
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
 def test_rule_sets_have_it_as_a_part(a: s.Federation, b: s.Federation) -> None:
     one, other = _rules(a), _rules(b)
-    assert r.read(one.text()) == one
-    assert r.read(r.meet(one, other).text()).federation == compare.meet(a, b)
+    assert r.parse_rule_set(one.text()) == one
+    assert r.parse_rule_set(r.intersection(one, other).text()).federation == compare.meet(a, b)
     assert r.allows(one, other) == compare.within(a, b)
     assert r.keeps_floor(one, other), "no floor speaks of it"
     rest, federation = r.apart(one)
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -66,7 +66,7 @@
         s.DATASETS_MOST,
     )
     text = rules.text()
-    assert r.read(text) == rules
+    assert r.parse_rule_set(text) == rules
     assert len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
 
 
@@ -76,13 +76,13 @@
             (), tuple(s.DataSet(f"{'d' * 110}-{at}", (("north", 0),)) for at in range(1024))
         )
     )
-    rules = r.normal(
+    rules = r.normalized(
         r.RuleSet(
             (r.ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (), federation=federation
         )
     )
-    with pytest.raises(r.BadRules, match="characters of specs and data sets"):
-        r.read(rules.text())
+    with pytest.raises(r.RuleSetError, match="characters of specs and data sets"):
+        r.parse_rule_set(rules.text())
 
 
 def _large(turn: int, names: int = 4000) -> r.RuleSet:
@@ -102,7 +102,7 @@
         for at in range(256)
     )
     barred = tuple(f"n{at:04}" for at in range(names))
-    return r.normal(
+    return r.normalized(
         r.RuleSet(
             (r.ClassRules("web", "safe", "none", 0),),
             1 + turn % 9,
@@ -117,7 +117,7 @@
 
 
 def test_a_snapshot_with_all_that_is_kept_fits_one_mail() -> None:
-    agreed = ag.Agreed()
+    agreed = ag.RuleSetState()
     for turn in range(6):
         rules = _large(turn)
         rest, federation = r.apart(rules)
@@ -158,7 +158,7 @@
             ),
         )
     state = agreed.text()
-    letter = write_letter(log.Install(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40))
+    letter = write_letter(log.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40))
     assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < ag.SNAPSHOT_MOST
     assert ag.SNAPSHOT_MOST + ag.CHAPTERS_MAILED < MAIL_MOST - 4096
     back = ag.from_text(state)
@@ -167,7 +167,7 @@
 
 
 def test_versions_keep_their_federation_while_there_is_room() -> None:
-    agreed = ag.Agreed()
+    agreed = ag.RuleSetState()
     for turn in range(7):
         agreed.apply(
             "propose",
@@ -203,7 +203,7 @@
 
 def _small(turn: int) -> r.RuleSet:
     spec = s.Spec("orders", ("north", "south"), on_cut=s.CUTS[turn % 2])
-    return r.normal(
+    return r.normalized(
         r.RuleSet(
             (r.ClassRules("web", "safe", "none", 0),),
             1 + turn,
@@ -221,7 +221,7 @@
     def rules(part: str) -> r.RuleSet:
         needs = tuple(s.Need(f"{part}{at}") for at in range(20))
         spec = s.Spec("orders", ("north", "south"), data=needs)
-        return r.normal(
+        return r.normalized(
             r.RuleSet(
                 (r.ClassRules("web", "safe", "none", 0),),
                 4,
@@ -234,7 +234,7 @@
             )
         )
 
-    agreed = ag.Agreed()
+    agreed = ag.RuleSetState()
     for turn, part in enumerate("ab"):
         agreed.apply(
             "propose",
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -10,17 +10,23 @@
 
 from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.maintenance.calendar import wanted
-from wingbarrow.decide.maintenance.participant import Blind, TurnSide
-from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
-from wingbarrow.decide.maintenance.slots import AGE_US, TURNS_MOST, Queue, TurnsSaid, View
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
+from wingbarrow.decide.maintenance.slots import (
+    AGE_US,
+    TURNS_MOST,
+    MaintenanceReport,
+    RegionView,
+    SlotQueue,
+)
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workshop import WALL_US
 
-TIMES = TurnTimes()
+TIMES = MaintenanceTiming()
 
 
 def request(machine: str, region: str = "r", cell: str = "c", **more: Any) -> dict[str, Any]:
@@ -47,13 +53,13 @@
         self, cells: dict[str, int], budgets: tuple[tuple[str, str, float], ...], *regions: str
     ) -> None:
         self.now_us, self.number, self.cells = 100 * SECOND, 0, cells
-        self.turns = Turns("of-r", lambda now: WALL_US + now)
+        self.turns = MaintenanceScheduler("of-r", lambda now: WALL_US + now)
         self.rules = replace(rules(), plan=DrainPlan(budgets=budgets))
-        self.speak = {region: TurnsSaid(region=region) for region in (regions or ("r",))}
+        self.speak = {region: MaintenanceReport(region=region) for region in (regions or ("r",))}
         self.lost: dict[str, tuple[tuple[str, str, str], ...]] = {}
         self.used, self.deaf = 0.0, False  # deaf: machines say nothing
-        self.view: View | None = None
-        self.turns.elected(self.now_us, True)
+        self.view: RegionView | None = None
+        self.turns.on_leadership_change(self.now_us, True)
         self.run(3)
 
     def run(self, seconds: float) -> None:
@@ -61,14 +67,14 @@
             self.now_us += SECOND // 2
             self.number += 1
             for region, said in self.speak.items():
-                asker = Asker(f"of-{region}", 1, 0, self.number)
-                told = self.turns.told(self.now_us, asker)
+                asker = Requester(f"of-{region}", 1, 0, self.number)
+                told = self.turns.response_for(self.now_us, asker)
                 numbers = tuple(
                     number
                     for number, _, state, _ in told.turns
                     if state in ("closing", "empty", "out")
                 )
-                self.turns.hear(
+                self.turns.on_report(
                     self.now_us,
                     asker,
                     replace(
@@ -80,14 +86,14 @@
                             (number, 0) for number, _, state, _ in told.turns if state == "asked"
                         ),
                         view=self.view
-                        or View(
+                        or RegionView(
                             tuple(("z", cell, count) for cell, count in self.cells.items()),
                             self.lost.get(region, ()),
                             self.used,
                         ),
                     ),
                 )
-            for each in self.turns.due(self.now_us, self.rules)[0]:
+            for each in self.turns.next_proposals(self.now_us, self.rules)[0]:
                 self.turns.apply(each.kind, each.value)
 
     def ask(self, *machines: str, region: str = "r", **more: Any) -> None:
@@ -114,7 +120,7 @@
     assert led.states() == {"a-1": "queued", "a-2": "back"}, (
         "one that is not tried yet counts as out"
     )
-    led.speak["r"] = TurnsSaid(region="r", tried=(2,))
+    led.speak["r"] = MaintenanceReport(region="r", tried=(2,))
     led.run(5)
     assert led.states() == {"a-1": "out", "a-2": "done"}
 
@@ -155,7 +161,7 @@
     led.run(5)
     assert led.states() == {"a-1": "queued", "a-2": "out", "a-3": "out"}
     assert "out of reach" in led.turns.blocked[1]
-    led.speak["s"] = TurnsSaid(region="s")
+    led.speak["s"] = MaintenanceReport(region="s")
     led.run(5)
     assert led.states()["a-1"] == "out"
 
@@ -186,7 +192,7 @@
     )
     led.rules, led.view = (
         replace(led.rules, windows=(window,)),
-        View((("y", "x", 2), ("z", "a", 4), ("z", "b", 4))),
+        RegionView((("y", "x", 2), ("z", "a", 4), ("z", "b", 4))),
     )
     led.ask("a-1", why="calendar", ident="patch@0/a-1", worker="")
     led.deaf = True
@@ -212,7 +218,9 @@
         order += [each.number for each in out if each.number not in order]
         for each in out:
             queue.apply("back", {"number": each.number, "at_us": WALL_US + led.now_us})
-        led.speak["r"] = TurnsSaid(region="r", tried=tuple(each.number for each in queue.active()))
+        led.speak["r"] = MaintenanceReport(
+            region="r", tried=tuple(each.number for each in queue.active())
+        )
         if not queue.live():
             break
     assert sorted(order) == list(range(1, 201))
@@ -221,15 +229,15 @@
 
 
 def test_past_the_bound_a_request_is_refused_with_the_reason() -> None:
-    queue = Queue()
+    queue = SlotQueue()
     for index in range(TURNS_MOST):
         queue.apply("ask", request(f"m{index}"))
     assert f"{TURNS_MOST} turns are asked for" in queue.refusal(request("one-more"))
     queue.apply("ask", request("one-more"))
     assert queue.outcomes["of-one-more"][0] == 0
     assert len(queue.live()) == TURNS_MOST
-    assert "has turn 1 already" in Queue.refusal(queue, request("m0"))
-    long = Queue()
+    assert "has turn 1 already" in SlotQueue.refusal(queue, request("m0"))
+    long = SlotQueue()
     for index in range(TURNS_MOST):
         names = {"region": "r" * 63, "zone": "z" * 63, "cell": "c" * 63, "worker": "w" * 63}
         long.apply(
@@ -237,7 +245,7 @@
         )
     assert len(long.live()) == TURNS_MOST
     assert len(long.text()) < TURNS_MOST * 1400 + 256 * 400
-    again = Queue()
+    again = SlotQueue()
     again.restore(long.text())
     assert again.text() == long.text()
 
@@ -256,13 +264,13 @@
     ],
 )
 def test_a_request_that_cannot_be_is_refused(wrong: dict[str, Any]) -> None:
-    queue = Queue()
+    queue = SlotQueue()
     queue.apply("ask", request("m") | wrong)
     assert not queue.turns
 
 
 def test_entries_that_cannot_be_read_change_nothing() -> None:
-    queue = Queue()
+    queue = SlotQueue()
     queue.apply("ask", request("m"))
     text = queue.text()
     for kind, value in (
@@ -299,30 +307,30 @@
     led.turns.renew(led.now_us, 1)
     led.run(1)
     assert led.turns.renewed_us(1) == 0
-    led.speak["r"] = TurnsSaid(region="r", open=(1,))
+    led.speak["r"] = MaintenanceReport(region="r", open=(1,))
     led.run(TIMES.try_us / SECOND + 1)
     assert led.states() == {"a-1": "given-back"}
 
 
 def test_who_was_told_of_an_earlier_turn_does_not_confirm_a_later_one() -> None:
-    side = TurnSide("p", "r", Blind())
-    turns = Turns("p", lambda now: WALL_US + now)
+    side = MaintenanceMember("p", "r", NoObservations())
+    turns = MaintenanceScheduler("p", lambda now: WALL_US + now)
     turns.apply("ask", request("m"))
     turns.apply("queue", {"turns": [[1, 0]], "at_us": WALL_US})
     turns.apply("close", {"number": 1, "at_us": WALL_US})
-    first = turns.told(0, Asker("p", 1, 0, 1))
-    assert side.take(0, 0, first)[0].fields["state"] == "closing"  # type: ignore[union-attr]
-    assert side.say(0).clear == (1,)
+    first = turns.response_for(0, Requester("p", 1, 0, 1))
+    assert side.on_response(0, 0, first)[0].fields["state"] == "closing"  # type: ignore[union-attr]
+    assert side.report(0).clear == (1,)
     for kind in ("give-back", "done"):
         turns.apply(kind, {"number": 1, "at_us": WALL_US})
     turns.apply("ask", request("m", ident="again"))
     turns.apply("queue", {"turns": [[2, 0]], "at_us": WALL_US})
     turns.apply("close", {"number": 2, "at_us": WALL_US})
-    assert 2 not in side.say(0).clear
+    assert 2 not in side.report(0).clear
     assert side.closes("m")
-    side.take(0, 0, turns.told(0, Asker("p", 1, 0, 2)))
-    assert side.say(0).clear == (2,)
-    assert not side.take(0, 0, first) and side.say(0).clear == (2,), (
+    side.on_response(0, 0, turns.response_for(0, Requester("p", 1, 0, 2)))
+    assert side.report(0).clear == (2,)
+    assert not side.on_response(0, 0, first) and side.report(0).clear == (2,), (
         "a grant that was late changes nothing"
     )
 
@@ -414,7 +422,7 @@
 
 
 def test_the_order_ages_so_that_nobody_starves() -> None:
-    queue, at_us = Queue(), WALL_US // AGE_US * AGE_US
+    queue, at_us = SlotQueue(), WALL_US // AGE_US * AGE_US
     queue.apply("ask", request("old", urgency=0, at_us=at_us))
     queue.apply("ask", request("new", urgency=9, at_us=at_us + 8 * AGE_US))
     queue.apply("ask", request("late", urgency=9, at_us=at_us + 10 * AGE_US))
--- a/tests/decide/maintenance/test_slots_machine.py
+++ b/tests/decide/maintenance/test_slots_machine.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from wingbarrow.decide.drains import Budget, Scope
-from wingbarrow.decide.maintenance.budgets import Room
-from wingbarrow.decide.maintenance.slots import AGE_US, Queue, View
+from wingbarrow.decide.maintenance.budgets import BudgetUse
+from wingbarrow.decide.maintenance.slots import AGE_US, RegionView, SlotQueue
 from wingbarrow.lab.fleet.swarm import SECOND
 
 CELLS = {"a": 3, "b": 3}
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.queue = Queue()
+        self.queue = SlotQueue()
         self.plain: list[dict[str, Any]] = []
         self.clock = 0
         self.asked = 0
@@ -113,7 +113,7 @@
     @rule()
     def another_voter(self) -> None:
         text = self.queue.text()
-        self.queue = Queue()
+        self.queue = SlotQueue()
         self.queue.restore(text)
         assert self.queue.text() == text
 
@@ -136,8 +136,10 @@
     @invariant()
     def same_room(self) -> None:
         """Whoever has room by the queue's account has it by a plain count, and the other way round."""
-        view = View(tuple(("z", cell, count) for cell, count in CELLS.items()), (("a0", "z", "a"),))
-        room = Room(
+        view = RegionView(
+            tuple(("z", cell, count) for cell, count in CELLS.items()), (("a0", "z", "a"),)
+        )
+        room = BudgetUse(
             [Budget(Scope.CELL, 1), Budget(Scope.ALL, 0.5, None, True)],
             {"r": view},
             self.queue.active(),
--- a/tests/decide/maintenance/test_slots_play.py
+++ b/tests/decide/maintenance/test_slots_play.py
@@ -9,16 +9,16 @@
 import pytest
 
 from tests.decide.maintenance.test_slots import request
-from wingbarrow.decide.maintenance.budgets import Room
-from wingbarrow.decide.maintenance.scheduler import Turns
-from wingbarrow.decide.maintenance.slots import Queue, Turn, View
+from wingbarrow.decide.maintenance.budgets import BudgetUse
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
+from wingbarrow.decide.maintenance.slots import RegionView, Slot, SlotQueue
 from wingbarrow.lab.fleet.schedules import FLOOR
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
 from wingbarrow.lab.fleet.workshop import WALL_US, Workshop
 
 
-def wait(shop: Workshop, number: int, *states: str, seconds: int = 30) -> Turn:
+def wait(shop: Workshop, number: int, *states: str, seconds: int = 30) -> Slot:
     assert shop.run_until(
         lambda: (turn := shop.turn(number)) is not None and turn.state in states,
         seconds * SECOND,
@@ -127,7 +127,7 @@
     assert judged(shop).clean
 
 
-def no_word(self: Turns, now_us: int, turn: Turn) -> bool:
+def no_word(self: MaintenanceScheduler, now_us: int, turn: Slot) -> bool:
     return now_us >= self._began_us + self.times.lapse_us() and all(
         (held := self._placers.get(name)) is not None and turn.number in held.said.clear
         for name in self.may_act(now_us)
@@ -135,7 +135,7 @@
 
 
 def no_losses(real: Callable[..., None]) -> Callable[..., None]:
-    def made(self: Room, budgets: Any, views: dict[str, View], *rest: Any) -> None:
+    def made(self: BudgetUse, budgets: Any, views: dict[str, RegionView], *rest: Any) -> None:
         real(
             self, budgets, {region: replace(view, lost=()) for region, view in views.items()}, *rest
         )
@@ -148,10 +148,10 @@
     planted: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if planted == "busy":
-        monkeypatch.setattr(Turns, "proved", no_word)
+        monkeypatch.setattr(MaintenanceScheduler, "proved", no_word)
     elif planted == "over":
-        monkeypatch.setattr(Room, "__init__", no_losses(Room.__init__))
+        monkeypatch.setattr(BudgetUse, "__init__", no_losses(BudgetUse.__init__))
     else:
-        real = Queue.queued
-        monkeypatch.setattr(Queue, "queued", lambda self: real(self)[::-1])
+        real = SlotQueue.queued
+        monkeypatch.setattr(SlotQueue, "queued", lambda self: real(self)[::-1])
     assert getattr(play(seed, Size(seconds=25))[1], planted)
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -5,8 +5,14 @@
 import pytest
 
 from wingbarrow.decide.effects import Send
-from wingbarrow.decide.membership.messages import Ack, Probe, Standing, Sync, Word
-from wingbarrow.decide.membership.swim import NEWS_MOST, SYNC_MOST, Me, Membership, Rules
+from wingbarrow.decide.membership.messages import Ack, MemberStatus, MemberUpdate, Ping, Sync
+from wingbarrow.decide.membership.swim import (
+    NEWS_MOST,
+    SYNC_MOST,
+    LocalMember,
+    Membership,
+    SwimSettings,
+)
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 
@@ -30,7 +36,7 @@
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
     assert swarm.run_until(
-        lambda: swarm.all_think(gone, Standing.DEAD), swarm.rules.detect_us(count)
+        lambda: swarm.all_think(gone, MemberStatus.DEAD), swarm.rules.detect_us(count)
     )
     assert {each.fields["member"] for each in swarm.deaths(begun)} == {gone}
 
@@ -40,7 +46,7 @@
     for life in (3600 * SECOND, 5):
         swarm.kill("p003")
         assert swarm.run_until(
-            lambda: swarm.all_think("p003", Standing.DEAD), swarm.rules.detect_us(5)
+            lambda: swarm.all_think("p003", MemberStatus.DEAD), swarm.rules.detect_us(5)
         )
         swarm.life = life
         swarm.start("p003")
@@ -60,9 +66,12 @@
     swarm.cut = lambda a, b: (a in side) != (b in side)
     swarm.run(swarm.now_us + 90 * SECOND)
     assert all(
-        swarm.standing(a, b) is Standing.DEAD for a in side for b in swarm.names if b not in side
+        swarm.standing(a, b) is MemberStatus.DEAD
+        for a in side
+        for b in swarm.names
+        if b not in side
     )
-    assert all(swarm.standing(a, b) is Standing.ALIVE for a in side for b in side if a != b)
+    assert all(swarm.standing(a, b) is MemberStatus.ALIVE for a in side for b in side if a != b)
     swarm.cut = lambda a, b: False
     healed = swarm.now_us
     assert swarm.run_until(swarm.whole, swarm.rules.heal_us(8))
@@ -96,7 +105,7 @@
     swarm.cut = lambda a, b: b == "p004"
     swarm.run(swarm.now_us + 60 * SECOND)
     assert swarm.members["p004"].health.score >= 4, "none of its probes is answered: it slows down"
-    assert all(swarm.standing(a, "p004") is Standing.DEAD for a in swarm.names[:4]), (
+    assert all(swarm.standing(a, "p004") is MemberStatus.DEAD for a in swarm.names[:4]), (
         "it answers nobody"
     )
     swarm.cut = lambda a, b: False
@@ -139,10 +148,10 @@
     member = swarm.members["p000"]
     for name in swarm.names[1:]:
         held = member.table.members[name].word
-        member.table.hear(held.as_standing(Standing.SUSPECTED, "p001"), swarm.now_us)
+        member.table.hear(held.as_standing(MemberStatus.SUSPECTED, "p001"), swarm.now_us)
     sends = [
         each
-        for each in member.on_message(swarm.now_us, "p001", "at p001", Probe(7))
+        for each in member.on_message(swarm.now_us, "p001", "at p001", Ping(7))
         if isinstance(each, Send)
     ]
     assert len(sends[0].message.news) <= NEWS_MOST
@@ -156,15 +165,15 @@
 
 
 def test_another_placer_under_ones_own_name_is_told() -> None:
-    member = Membership(Me("a", "here", "", 10), (), 1)
+    member = Membership(LocalMember("a", "here", "", 10), (), 1)
     member.start(0)
     told = []
     for round_ in range(20):
-        word = Word("a", member.incarnation, Standing.ALIVE, "there", "", 99)
+        word = MemberUpdate("a", member.incarnation, MemberStatus.ALIVE, "there", "", 99)
         told += [
-            each.what
+            each.event
             for each in member.on_message(round_, "b", "at b", Sync(False, (word,)))
-            if hasattr(each, "what")
+            if hasattr(each, "event")
         ]
     assert told[0] == "former-life"
     assert told[-1] == "twin"
@@ -172,7 +181,7 @@
 
 
 def test_the_stated_times_are_formulas_that_grow_with_the_logarithm() -> None:
-    rules = Rules()
+    rules = SwimSettings()
     assert rules.detect_us(5) == 2 * (7 + 1 + 6) * SECOND + 12 * SECOND + 3 * 700_000
     assert rules.detect_us(170) < 2.5 * rules.detect_us(5)
     assert rules.heal_us(64) < 2 * rules.heal_us(5)
--- a/tests/decide/outliers/test_ejection.py
+++ b/tests/decide/outliers/test_ejection.py
@@ -5,33 +5,45 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.outliers.ejection import Bench, Closed, Closures, Evidence, Experience, Terms
+from wingbarrow.decide.outliers.ejection import (
+    ActiveEjections,
+    Ejection,
+    HealthObserver,
+    HealthReport,
+    OutlierDetector,
+    OutlierSettings,
+)
 
 S = 1_000_000
 ZONES = {f"m{index}": "east" if index < 10 else "west" for index in range(20)}
 
 
 def heard(
-    bench: Bench, now_us: int, *machines: str, witnesses: int = 2, failed: int = 3, region: str = ""
+    bench: OutlierDetector,
+    now_us: int,
+    *machines: str,
+    witnesses: int = 2,
+    failed: int = 3,
+    region: str = "",
 ) -> None:
     for number in range(witnesses):
         bench.hear(
             now_us,
             f"p{number}",
             region or f"r{number}",
-            [Evidence(each, failed, 3) for each in machines],
+            [HealthReport(each, failed, 3) for each in machines],
             len(machines),
             10 + len(machines),
         )
 
 
-def closed(bench: Bench, now_us: int) -> set[str]:
+def closed(bench: OutlierDetector, now_us: int) -> set[str]:
     bench.judge(now_us, ZONES)
     return {each.machine for each in bench.told(now_us)}
 
 
 def test_one_witness_is_none_two_of_one_region_neither_where_there_are_more() -> None:
-    bench = Bench()
+    bench = OutlierDetector()
     heard(bench, S, "m1", witnesses=1)
     assert closed(bench, S) == set()
     assert "1 witness" in bench.spared["m1"]
@@ -44,20 +56,20 @@
 
 
 def test_two_of_a_fleet_in_one_region_are_enough() -> None:
-    bench = Bench()
+    bench = OutlierDetector()
     heard(bench, S, "m1", region="one")
     assert closed(bench, S) == {"m1"}
 
 
 def test_who_finds_all_machines_bad_is_not_heard() -> None:
-    bench = Bench()
+    bench = OutlierDetector()
     for liar in ("p0", "p1"):
-        bench.hear(S, liar, liar, [Evidence(each, 3, 3) for each in ZONES], 20, 20)
+        bench.hear(S, liar, liar, [HealthReport(each, 3, 3) for each in ZONES], 20, 20)
     assert closed(bench, S) == set()
 
 
 def test_no_more_than_a_share_of_fleet_and_zone_is_closed_whoever_says_so() -> None:
-    bench = Bench(Terms(doubt_share=1.0))
+    bench = OutlierDetector(OutlierSettings(doubt_share=1.0))
     heard(bench, S, *ZONES, witnesses=5)
     found = closed(bench, S)
     assert len(found) == 4
@@ -66,7 +78,7 @@
 
 
 def test_it_ends_by_itself_and_comes_back_for_longer() -> None:
-    bench, lasted = Bench(), []
+    bench, lasted = OutlierDetector(), []
     now = S
     for _ in range(3):
         heard(bench, now, "m1")
@@ -80,7 +92,7 @@
 
 
 def test_one_placer_tries_it_for_all_and_its_word_opens_it() -> None:
-    bench = Bench()
+    bench = OutlierDetector()
     heard(bench, S, "m1")
     assert closed(bench, S) == {"m1"}
     assert bench.told(S)[0].prober == ""
@@ -90,41 +102,41 @@
     prober = bench.told(now)[0].prober
     assert prober in ("p0", "p1")
     other = "p1" if prober == "p0" else "p0"
-    bench.hear(now, other, "", [Evidence("m1", 0, 2)], 0, 5)
+    bench.hear(now, other, "", [HealthReport("m1", 0, 2)], 0, 5)
     assert closed(bench, now) == {"m1"}, "not its word"
-    bench.hear(now, prober, "", [Evidence("m1", 0, 1)], 0, 5)
+    bench.hear(now, prober, "", [HealthReport("m1", 0, 1)], 0, 5)
     assert closed(bench, now) == set()
     assert "found it well" in bench.verdicts["m1"].ended
 
 
 def test_a_machine_that_left_the_list_is_closed_no_longer_and_old_evidence_is_none() -> None:
-    bench = Bench()
+    bench = OutlierDetector()
     heard(bench, S, "m1")
     assert closed(bench, S) == {"m1"}
     bench.judge(2 * S, {"m2": "east"})
     assert not bench.told(2 * S)
-    bench = Bench()
+    bench = OutlierDetector()
     heard(bench, S, "m1")
     assert closed(bench, 12 * S) == set()
 
 
 def test_a_placer_goes_by_them_until_they_end_also_when_it_hears_no_more() -> None:
-    closures = Closures()
-    closures.take(S, "me", [Closed("m1", 2 * S, S, "other"), Closed("m2", 5 * S, 0, "me")])
+    closures = ActiveEjections()
+    closures.take(S, "me", [Ejection("m1", 2 * S, S, "other"), Ejection("m2", 5 * S, 0, "me")])
     assert closures.now(S) == {"m1"}
     assert closures.age_us(2 * S, "m1") == 2 * S
     assert closures.now(3 * S) == frozenset()
 
 
 def test_what_was_seen_before_and_while_it_stood_still_counts_for_nothing() -> None:
-    own = Experience()
+    own = HealthObserver()
     for number in range(3):
         own.note(number * S // 10, "m1", False)
-    assert own.evidence(S)[0] == (Evidence("m1", 3, 3),)
+    assert own.evidence(S)[0] == (HealthReport("m1", 3, 3),)
     own.note(5 * S, "m1", False)
     assert own.evidence(5 * S) == ((), 0, 0)
     own.note(6 * S, "m2", True)
-    assert own.evidence(6 * S) == ((Evidence("m2", 0, 1),), 0, 1)
+    assert own.evidence(6 * S) == ((HealthReport("m2", 0, 1),), 0, 1)
     for second in range(7, 17):
         last = own.evidence(second * S)
     assert last == ((), 0, 0)
@@ -145,10 +157,10 @@
 def test_whatever_is_said_the_shares_and_witnesses_hold(
     words: list[tuple[str, list[tuple[str, int, int]]]],
 ) -> None:
-    bench, terms = Bench(), Terms()
+    bench, terms = OutlierDetector(), OutlierSettings()
     for turn, (name, said) in enumerate(words):
         now = S + turn * S // 2
-        evidence = [Evidence(machine, failed, failed + good) for machine, failed, good in said]
+        evidence = [HealthReport(machine, failed, failed + good) for machine, failed, good in said]
         bench.hear(now, name, name, evidence, 0, 20)
         found = closed(bench, now)
         assert len(found) <= terms.fleet_share * len(ZONES)
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wingbarrow.decide.coordination.member import Holding
-from wingbarrow.decide.coordination.messages import Ask, Grant, Times
+from wingbarrow.decide.coordination.member import LeaseClient
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, Timing
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import SetTimer
-from wingbarrow.decide.quotas.allocations import MOVE_US, Blocks
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.allocations import MOVE_US, AllocationLedger
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.schedules import rules
 
 S = 1_000_000
@@ -28,7 +28,7 @@
 
 
 def limited(most: int) -> RuleSet:
-    return normal(
+    return normalized(
         replace(rules(3), limits=(replace(STANDING, most=most), replace(RATE, most=most)))
     )
 
@@ -37,7 +37,7 @@
 class Placer:
     """One life of a placer: its holding, and what stands of it."""
 
-    holding: Holding
+    holding: LeaseClient
     standing: int = 0
     wants: int = 0
 
@@ -53,15 +53,15 @@
     name: str
     life: int
     leader: int
-    ask: Ask
-    grant: Grant | None = None
+    ask: LeaseRequest
+    grant: LeaseGrant | None = None
 
 
 class Fleet(RuleBasedStateMachine):
     """Mail is kept, lost, doubled and late at will; an entry that was proposed is decided or lost."""
 
-    blocks: type[Blocks] = Blocks
-    holding: type[Holding] = Holding
+    blocks: type[AllocationLedger] = AllocationLedger
+    holding: type[LeaseClient] = LeaseClient
     found: Counter[str] = Counter()
 
     def __init__(self) -> None:
@@ -88,14 +88,14 @@
 
     def rise(self, name: str) -> None:
         self.lives += 1
-        holding = self.holding(name, ("v",), self.lives, Times(GRANT), self.lives, SetTimer)
+        holding = self.holding(name, ("v",), self.lives, Timing(GRANT), self.lives, SetTimer)
         holding.born_us = self.now_us
         placer = self.placers[name] = Placer(holding)
         holding.purse.uses = lambda key: placer.standing
         holding.purse.demand = lambda key: placer.wants
 
     @property
-    def bank(self) -> Blocks:
+    def bank(self) -> AllocationLedger:
         return self.voters[self.leader]
 
     @rule(by=st.integers(1, 1500))
@@ -125,10 +125,10 @@
         if letter.leader != self.leader:
             return
         ask = letter.ask
-        asker = Asker(letter.name, ask.life, ask.up_us, ask.number, ask.reign)
+        asker = Requester(letter.name, ask.life, ask.up_us, ask.number, ask.reign)
         wanted = limited(self.most)
         rights = self.bank.answers(self.now_us, [(asker, ask.stated)], wanted.limits)[0]
-        grant = Grant(
+        grant = LeaseGrant(
             ask.number,
             self.edition,
             "" if ask.edition == self.edition else wanted.text(),
@@ -169,7 +169,7 @@
     @rule()
     def move(self) -> None:
         if not self.proposed:
-            self.proposed, _ = self.bank.due(self.now_us, limited(self.most))
+            self.proposed, _ = self.bank.next_proposals(self.now_us, limited(self.most))
 
     @rule()
     def decide(self) -> None:
@@ -186,15 +186,15 @@
             self.found["leaders"] += 1
 
     def elect(self, leader: int, lost: bool) -> None:
-        self.bank.elected(self.now_us, False)
+        self.bank.on_leadership_change(self.now_us, False)
         if lost:
             self.proposed = []
         self.decide()
         self.leader, self.reign = leader, self.reign + 1
-        text = self.bank.text()
+        text = self.bank.snapshot()
         self.bank.restore(text)
-        assert self.bank.text() == text == self.voters[1 - leader].text()
-        self.bank.elected(self.now_us, True, self.reign)
+        assert self.bank.snapshot() == text == self.voters[1 - leader].snapshot()
+        self.bank.on_leadership_change(self.now_us, True, self.reign)
 
     @rule(rarely=st.integers(0, 5), most=st.sampled_from((3, MOST)))
     def may_change(self, rarely: int, most: int) -> None:
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -20,12 +20,12 @@
     has_all,
     limited,
 )
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas import allocations as blocks
-from wingbarrow.decide.quotas.allocations import Block, Blocks
-from wingbarrow.decide.quotas.escrow import Asker, Stated
+from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas.escrow import QuotaReport, Requester
 from wingbarrow.decide.quotas.limits import HOUR_US
-from wingbarrow.decide.rulesets.ruleset import normal
+from wingbarrow.decide.rulesets.ruleset import normalized
 from wingbarrow.lab.fleet.schedules import founded, rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -76,13 +76,13 @@
     fleet.get("a", 2, moves=False)
     bank = fleet.voters[1]
     first, second = (
-        fleet.bank.due(fleet.now_us + later, limited(MOST))[0][0] for later in (S, 2 * S)
+        fleet.bank.next_proposals(fleet.now_us + later, limited(MOST))[0][0] for later in (S, 2 * S)
     )
     bank.apply(first.kind, json.loads(json.dumps(first.value)))
-    held = bank.text()
+    held = bank.snapshot()
     for each in (first, second):
         bank.apply(each.kind, each.value)
-        assert bank.text() == held
+        assert bank.snapshot() == held
 
 
 @pytest.mark.parametrize(
@@ -102,11 +102,11 @@
     ],
 )
 def test_what_cannot_be_read_changes_nothing(kind: str, value: Any) -> None:
-    bank = Blocks(GRANT)
-    held = bank.text()
+    bank = AllocationLedger(GRANT)
+    held = bank.snapshot()
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
         bank.apply(kind, value)
-    assert bank.text() == held
+    assert bank.snapshot() == held
 
 
 def test_a_lowered_limit_is_spent_by_nobody_until_enough_has_ended() -> None:
@@ -130,12 +130,12 @@
 ):
     fleet = Fleet()
     has_all(fleet)
-    bare, held = normal(rules(3)), fleet.bank.blocks[STANDING.key].total
-    fleet.bank.due(fleet.now_us, bare)
+    bare, held = normalized(rules(3)), fleet.bank.blocks[STANDING.key].total
+    fleet.bank.next_proposals(fleet.now_us, bare)
     for later in (S, HOUR_US):
-        assert fleet.bank.due(fleet.now_us + later, bare)[0] == []
+        assert fleet.bank.next_proposals(fleet.now_us + later, bare)[0] == []
     assert held == MOST
-    drop = fleet.bank.due(fleet.now_us + HOUR_US + 10 * S, bare)[0]
+    drop = fleet.bank.next_proposals(fleet.now_us + HOUR_US + 10 * S, bare)[0]
     assert drop[0].value["drop"] == sorted(fleet.bank.blocks) == sorted((STANDING.key, RATE.key))
     fleet.bank.apply(drop[0].kind, drop[0].value)
     assert fleet.bank.blocks == {}
@@ -159,26 +159,26 @@
     fleet = Fleet()
     has_all(fleet)
     bank, at = fleet.bank, fleet.now_us
-    asker = Asker("a", 0, 10**9, 1)
+    asker = Requester("a", 0, 10**9, 1)
     assert bank.answers(at, [(asker, ())], [STANDING]) == [()]
     at += GRANT + STRANDED + S // 10
     bank.answers(at, [(asker, ())], [STANDING])
-    assert bank.due(at, limited(MOST))[0][0].value["lives"]["a"] == 0
+    assert bank.next_proposals(at, limited(MOST))[0][0].value["lives"]["a"] == 0
 
 
 def test_blocks_are_bounded_and_those_beyond_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(blocks, "PARTS_MOST", 4)
     names = tuple(f"p{index}" for index in range(6))
-    wanted = normal(replace(rules(3), limits=(replace(STANDING, among=names),)))
-    bank = Blocks(GRANT)
-    bank.elected(S, True, 1)
+    wanted = normalized(replace(rules(3), limits=(replace(STANDING, among=names),)))
+    bank = AllocationLedger(GRANT)
+    bank.on_leadership_change(S, True, 1)
     for at in (2 * S, 3 * S, 4 * S):
         bank.answers(
             at,
-            [(Asker(name, 1, S, at), (Stated(STANDING.key, 0, 0, 1),)) for name in names],
+            [(Requester(name, 1, S, at), (QuotaReport(STANDING.key, 0, 0, 1),)) for name in names],
             wanted.limits,
         )
-        for each in bank.due(at, wanted)[0]:
+        for each in bank.next_proposals(at, wanted)[0]:
             bank.apply(each.kind, each.value)
     assert len(bank.blocks[STANDING.key].parts) == 4
     assert bank.refused > 0
@@ -206,7 +206,7 @@
         assert leader is not None
         assembly.kill(leader)
         assembly.refused = assembly.acts = 0
-        assembly.run(assembly.now_us + Times().needless_us())
+        assembly.run(assembly.now_us + Timing().needless_us())
         looks, missed = looks + assembly.acts + assembly.refused, missed + assembly.refused
         assembly.refused = 0
         assembly.run(assembly.now_us + 3 * SECOND)
@@ -234,22 +234,22 @@
 
 def test_one_is_not_left_with_far_too_little_where_each_other_has_a_little_too_much() -> None:
     names = tuple("abcde")
-    limit, bank, at = replace(STANDING, most=80, among=names), Blocks(GRANT), S
-    bank.blocks = {limit.key: Block({"a": (4, 4), **{name: (19, 19) for name in "bcde"}})}
+    limit, bank, at = replace(STANDING, most=80, among=names), AllocationLedger(GRANT), S
+    bank.blocks = {limit.key: Allocation({"a": (4, 4), **{name: (19, 19) for name in "bcde"}})}
     bank.lives = {name: 1 for name in names}
-    bank.elected(0, True, 1)
+    bank.on_leadership_change(0, True, 1)
     for number in range(1, 6):
         at += S
         parts = bank.blocks[limit.key].parts
         bank.answers(
             at,
             [
-                (Asker(name, 1, at, number, 1), (Stated(limit.key, parts[name][0], 3, 3),))
+                (Requester(name, 1, at, number, 1), (QuotaReport(limit.key, parts[name][0], 3, 3),))
                 for name in names
             ],
             [limit],
         )
-        for each in bank.due(at, normal(replace(rules(3), limits=(limit,))))[0]:
+        for each in bank.next_proposals(at, normalized(replace(rules(3), limits=(limit,))))[0]:
             bank.apply(each.kind, each.value)
     assert min(size for size, _ in bank.blocks[limit.key].parts.values()) >= 13
 
@@ -272,4 +272,4 @@
 
 
 def test_the_stated_time_is_under_five_seconds() -> None:
-    assert Times().needless_us() == 4_866_666
+    assert Timing().needless_us() == 4_866_666
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -21,8 +21,8 @@
     has_share,
     then_b_takes_what_it_gets,
 )
-from wingbarrow.decide.coordination.member import Holding
-from wingbarrow.decide.quotas.allocations import Block, Blocks
+from wingbarrow.decide.coordination.member import LeaseClient
+from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
 from wingbarrow.decide.quotas.escrow import fair
 
 
@@ -69,21 +69,21 @@
 # -- errors, each with the story that shows it
 
 
-class NoLag(Blocks):
+class NoLag(AllocationLedger):
     """Planted: what has lapsed is free at once."""
 
     def _lapses_us(self, name: str) -> int:
         return super()._lapses_us(name) - STRANDED
 
 
-class NoDebt(Blocks):
+class NoDebt(AllocationLedger):
     """Planted: what a former life had is free at once."""
 
     def _settled(self, *_: Any) -> bool:
         return True
 
 
-class OneLife(Blocks):
+class OneLife(AllocationLedger):
     """Planted: a new life is taken for the one before."""
 
     def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
@@ -97,7 +97,7 @@
         )
 
 
-class AnyWord(Blocks):
+class AnyWord(AllocationLedger):
     """Planted: an ask that was sent to an earlier leader proves what its sender holds."""
 
     def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
@@ -106,7 +106,7 @@
         )
 
 
-class AtOnce(Blocks):
+class AtOnce(AllocationLedger):
     """Planted: a size that is lowered counts as lowered without any proof."""
 
     def _plan(self, *args: Any) -> Any:
@@ -116,15 +116,15 @@
         return {name: (size, size) for name, (size, _) in parts.items()}, debts
 
 
-class Forgetful(Blocks):
+class Forgetful(AllocationLedger):
     """Planted: a new leader knows nothing of blocks."""
 
     def elected(self, now_us: int, on: bool, reign: int = 0) -> None:
         super().elected(now_us, on, reign)
-        self.blocks = {key: Block() for key in self.blocks} if on else self.blocks
+        self.blocks = {key: Allocation() for key in self.blocks} if on else self.blocks
 
 
-class AnyAnswer(Holding):
+class AnyAnswer(LeaseClient):
     """Planted: a purse takes answers to asks before its latest."""
 
     def on_grant(self, now_us: int, ident: str, grant: Any) -> Any:
@@ -135,7 +135,7 @@
             self._number = number
 
 
-class Stale(Holding):
+class Stale(LeaseClient):
     """Planted: shares outlive the grant."""
 
     def __init__(self, *args: Any) -> None:
@@ -249,6 +249,6 @@
         then_b_takes_what_it_gets(fleet)
 
     play(Fleet())
-    where = "blocks" if issubclass(planted, Blocks) else "holding"
+    where = "blocks" if issubclass(planted, AllocationLedger) else "holding"
     with pytest.raises(AssertionError, match="stand"):
         play(type(planted.__name__, (Fleet,), {where: planted})())
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.regions.forwarding import (
     AGAIN_US,
@@ -20,12 +20,12 @@
     RAN,
     REFUSED,
     TAKEN,
-    Budget,
-    Giving,
-    Hand,
-    HandSays,
-    HandStop,
-    Taking,
+    ForwardBudget,
+    ForwardCancel,
+    ForwardReceiver,
+    ForwardRequest,
+    ForwardSender,
+    ForwardStatus,
     Target,
 )
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
@@ -35,14 +35,14 @@
     """One placer's two sides; what it takes it starts after a while, or refuses."""
 
     def __init__(self, play: Play, name: str, life: int) -> None:
-        self.giving, self.taking = Giving(name, life), Taking(life)
+        self.giving, self.taking = ForwardSender(name, life), ForwardReceiver(life)
         self._play, self._name = play, name
 
     def start(self, now_us: int) -> list[Effect]:
         return []
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        if isinstance(message, HandSays):
+        if isinstance(message, ForwardStatus):
             return self.giving.on_message(now_us, ident, address, message)
         return self.taking.on_message(now_us, ident, address, message)
 
@@ -73,11 +73,11 @@
 
     def act(self, name: str, effects: Any) -> None:
         effects = list(effects)
-        super().act(name, [each for each in effects if not isinstance(each, Tell)])
+        super().act(name, [each for each in effects if not isinstance(each, Notify)])
         for each in effects:
-            if isinstance(each, Tell) and each.what == "handed":
+            if isinstance(each, Notify) and each.event == "handed":
                 self.outcomes[each.fields["ident"]].append(each.fields["state"])
-            elif isinstance(each, Tell) and each.what == "take":
+            elif isinstance(each, Notify) and each.event == "take":
                 later = partial(self.decide, name, self.lives[name], each.fields["ident"])
                 self.at(self.now_us + self.random.randrange(SECOND), later)
 
@@ -161,12 +161,12 @@
 def test_planted_errors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(handing, "DONE_MOST", 0)  # an end is forgotten at once...
     assert not any(breaches(played(seed)) for seed in range(4)), "...which the floor makes good"
-    monkeypatch.setattr(Taking, "_finish", lambda self, says: says)
+    monkeypatch.setattr(ForwardReceiver, "_finish", lambda self, says: says)
     assert any(breaches(played(seed)) for seed in range(12))
     monkeypatch.undo()
-    keeps = Giving._strange
+    keeps = ForwardSender._strange
     monkeypatch.setattr(
-        Giving,
+        ForwardSender,
         "_strange",
         lambda self, now, ident, out: (
             setattr(out, "harmless", True),
@@ -179,35 +179,35 @@
 
 
 def test_a_stop_that_overtakes_its_hand_over_is_kept() -> None:
-    taking = Taking(7)
+    taking = ForwardReceiver(7)
     assert [
         each.message.state
-        for each in taking.on_message(0, "g", "", HandStop("g/1/1", 7))
+        for each in taking.on_message(0, "g", "", ForwardCancel("g/1/1", 7))
         if isinstance(each, Send)
     ] == [REFUSED]
-    answer = taking.on_message(1, "g", "", Hand("g/1/1", 7, 1, "s", SECOND, "{}"))
+    answer = taking.on_message(1, "g", "", ForwardRequest("g/1/1", 7, 1, "s", SECOND, "{}"))
     assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED]
     assert len(answer) == 1
 
 
 def test_what_cannot_be_taken_is_refused_with_its_reason() -> None:
-    taking = Taking(7)
+    taking = ForwardReceiver(7)
     for hand, words in (
-        (Hand("g/1/1", 7, 2, "s", SECOND, "{}"), "hops"),
-        (Hand("g/1/2", 7, 1, "s", 0, "{}"), "patience"),
+        (ForwardRequest("g/1/1", 7, 2, "s", SECOND, "{}"), "hops"),
+        (ForwardRequest("g/1/2", 7, 1, "s", 0, "{}"), "patience"),
     ):
         [says] = taking.on_message(0, "g", "", hand)
         assert isinstance(says, Send)
         assert says.message.state == REFUSED
         assert words in says.message.words
-    [says] = taking.on_message(0, "g", "", Hand("g/1/3", 6, 1, "s", SECOND, "{}"))
+    [says] = taking.on_message(0, "g", "", ForwardRequest("g/1/3", 6, 1, "s", SECOND, "{}"))
     assert isinstance(says, Send)
     assert says.message.stranger
-    assert not taking.on_message(0, "another", "", Hand("g/1/3", 7, 1, "s", SECOND, "{}"))
+    assert not taking.on_message(0, "another", "", ForwardRequest("g/1/3", 7, 1, "s", SECOND, "{}"))
 
 
 def test_a_budget_is_a_share_of_first_tries() -> None:
-    budget = Budget(0.2, 3.0)
+    budget = ForwardBudget(0.2, 3.0)
     assert [budget.take() for _ in range(5)] == [True, True, True, False, False]
     for _ in range(100):
         budget.tried()
@@ -217,16 +217,16 @@
 
 
 def test_a_hand_over_that_is_silent_fails_in_time_and_is_stopped() -> None:
-    giving = Giving("g", 1)
+    giving = ForwardSender("g", 1)
     ident, effects = giving.begin(0, "{}", "s", False, SECOND, [Target("t", 1)])
     now = 0
     told: list[tuple[int, str]] = []
     while now < 3 * SECOND:
         now += AGAIN_US
         for each in giving.on_timer(min(now, SECOND) if not told else now, ident):
-            if isinstance(each, Tell):
+            if isinstance(each, Notify):
                 told.append((now, each.fields["state"]))
             elif isinstance(each, Send) and told:
-                assert isinstance(each.message, HandStop)
+                assert isinstance(each.message, ForwardCancel)
     assert [state for _, state in told] == [FAILED]
     assert told[0][0] <= SECOND + AGAIN_US
--- a/tests/decide/replication/test_replication.py
+++ b/tests/decide/replication/test_replication.py
@@ -11,20 +11,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.replication.primary import Custody
-from wingbarrow.decide.replication.records import Bounds, choose, phase_of
-from wingbarrow.decide.replication.replica import Keeping, unclaimed
-from wingbarrow.decide.replication.replicated_job import Job, Tokens
+from wingbarrow.decide.effects import Effect, Notify, Send
+from wingbarrow.decide.replication.primary import Primary
+from wingbarrow.decide.replication.records import ReplicationLimits, choose, phase_of
+from wingbarrow.decide.replication.replica import Replica, unclaimed
+from wingbarrow.decide.replication.replicated_job import ReplicatedJob, Tokens
 from wingbarrow.decide.sessions.messages import (
-    Ended,
-    Keep,
-    KeepAnswer,
-    Kept,
-    Known,
-    Record,
+    EndedSession,
+    HeldRecords,
+    KnownTask,
+    LeasedJobRecord,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
     Session,
-    Settle,
 )
 
 S = 1_000_000
@@ -35,8 +35,8 @@
 
 def record(
     uid: str, effect: str = "safe", version: int = 1, manifest: str = "{}", session: Session = ME
-) -> Record:
-    return Record(
+) -> LeasedJobRecord:
+    return LeasedJobRecord(
         1,
         uid,
         f"shop/{uid}",
@@ -60,8 +60,8 @@
     )
 
 
-def holder(bounds: Bounds = Bounds(), names: str = "bcde") -> Custody:
-    made = Custody("a", 1, "north", 1, bounds)
+def holder(bounds: ReplicationLimits = ReplicationLimits(), names: str = "bcde") -> Primary:
+    made = Primary("a", 1, "north", 1, bounds)
     made.members(0, {"a": ("north", 1)} | {name: (WHERE[name], 1) for name in names})
     return made
 
@@ -70,19 +70,19 @@
     return {
         each.fields["token"]: (each.fields["good"], each.fields["why"])
         for each in effects
-        if isinstance(each, Tell) and each.what == "kept"
+        if isinstance(each, Notify) and each.event == "kept"
     }
 
 
 def exchange(
-    made: Custody, keepers: dict[str, Keeping], now_us: int, deaf: str = ""
+    made: Primary, keepers: dict[str, Replica], now_us: int, deaf: str = ""
 ) -> list[Effect]:
     """All mail goes to and fro at once, but to and from the deaf."""
     told: list[Effect] = []
     todo = made.on_timer(now_us)
     while todo:
         effect = todo.pop(0)
-        if isinstance(effect, Tell):
+        if isinstance(effect, Notify):
             told.append(effect)
         elif isinstance(effect, Send) and effect.ident in keepers and effect.ident not in deaf:
             for answer in keepers[effect.ident].on_keep(now_us, "a", effect.message):
@@ -112,12 +112,16 @@
     ("made", "job", "why"),
     [
         (holder(names=""), record("u"), "no keeper"),
-        (holder(Bounds(bytes=3000)), record("u", manifest="x" * 4000), "no room at any keeper"),
+        (
+            holder(ReplicationLimits(bytes=3000)),
+            record("u", manifest="x" * 4000),
+            "no room at any keeper",
+        ),
         (holder(), record("u", manifest="x" * 16384), "record of 17582 bytes, at most 16384"),
     ],
 )
 def test_what_cannot_be_kept_is_refused_at_once_with_its_reason(
-    made: Custody, job: Record, why: str
+    made: Primary, job: LeasedJobRecord, why: str
 ) -> None:
     token, effects = made.hold(0, job, ALLOWED, 1, S)
     assert kept(effects) == {token: (False, why)}
@@ -125,7 +129,7 @@
 
 
 def test_a_token_is_settled_once_and_at_its_deadline_at_the_latest() -> None:
-    made, keepers = holder(), {name: Keeping(name, 1) for name in WHERE}
+    made, keepers = holder(), {name: Replica(name, 1) for name in WHERE}
     first, _ = made.hold(0, record("u"), ALLOWED, 1, S)
     assert kept(exchange(made, keepers, 2_000)) == {first: (True, "")}
     second, _ = made.answered(3_000, "u", "placed", 503_000)
@@ -142,15 +146,15 @@
 def test_a_holder_hears_once_that_its_session_is_over_and_holds_nothing_until_it_has_another() -> (
     None
 ):
-    made, keepers = holder(), {name: Keeping(name, 1) for name in WHERE}
+    made, keepers = holder(), {name: Replica(name, 1) for name in WHERE}
     made.hold(0, record("u"), ALLOWED, 1, S)
     exchange(made, keepers, 2_000)
     for keeper in keepers.values():
-        keeper.ended(S, Ended(1, ME, "north"))
+        keeper.ended(S, EndedSession(1, ME, "north"))
     token, _ = made.answered(S, "u", "placed", 3 * S)
     told = exchange(made, keepers, S + 2_000)
     assert kept(told) == {token: (False, "session over")}
-    assert [each.what for each in told if isinstance(each, Tell)] == ["kept", "session-over"]
+    assert [each.event for each in told if isinstance(each, Notify)] == ["kept", "session-over"]
     late, effects = made.hold(2 * S, record("v"), ALLOWED, 1, 3 * S)
     assert kept(effects) == {late: (False, "session over")}
     assert not made.jobs
@@ -162,8 +166,8 @@
 
 
 def test_a_silent_keeper_is_replaced_in_the_stated_time_and_holds_up_nobody_else() -> None:
-    bounds = Bounds()
-    made, keepers = holder(bounds), {name: Keeping(name, 1) for name in WHERE}
+    bounds = ReplicationLimits()
+    made, keepers = holder(bounds), {name: Replica(name, 1) for name in WHERE}
     for index in range(400):
         made.hold(0, record(f"u{index}"), ALLOWED, 1, 10 * S)
     for now in range(2_000, 60_000, 2_000):
@@ -185,7 +189,7 @@
 
 @pytest.mark.parametrize("way", ["forgot", "buried", "neither"])
 def test_nothing_leaves_of_a_never_twice_job_before_a_dropped_keeper_is_out_of_it(way: str) -> None:
-    made, keepers = holder(), {name: Keeping(name, 1) for name in WHERE}
+    made, keepers = holder(), {name: Replica(name, 1) for name in WHERE}
     made.hold(0, record("u", "unsafe"), ALLOWED, 1, S)
     exchange(made, keepers, 2_000)
     (first,) = made.jobs["u"].chosen
@@ -193,7 +197,7 @@
     for now in range(3_000, 2 * S, 5_000):
         exchange(made, keepers, now, first)
     assert made.jobs["u"].chosen != [first]
-    token, _ = made.about(2 * S, "u", Known(0, "about", "m", "p"), 9 * S)
+    token, _ = made.about(2 * S, "u", KnownTask(0, "about", "m", "p"), 9 * S)
     assert not kept(exchange(made, keepers, 2 * S + 5_000, first))
     if way == "forgot":
         assert kept(exchange(made, keepers, 8 * S)) == {token: (True, "")}
@@ -208,26 +212,28 @@
 
 
 def test_a_keeper_takes_a_mail_whole_or_refuses_it_whole() -> None:
-    keeper = Keeping("b", 1, Bounds(records=3))
+    keeper = Replica("b", 1, ReplicationLimits(records=3))
 
     def say(
         number: int, *uids: str, session: Session = ME, sender: str = "a", **more: Any
-    ) -> KeepAnswer:
+    ) -> ReplicateResponse:
         records = tuple(record(uid, session=session) for uid in uids)
-        (answer,) = keeper.on_keep(0, sender, Keep(number, session, records, life=1, **more))
+        (answer,) = keeper.on_keep(
+            0, sender, ReplicateRequest(number, session, records, life=1, **more)
+        )
         assert isinstance(answer, Send)
-        assert isinstance(answer.message, KeepAnswer)
+        assert isinstance(answer.message, ReplicateResponse)
         return answer.message
 
     assert say(1, "u", "v").good
-    assert keeper.kept() == (Kept(ME, 2, 5 * S),)
+    assert keeper.kept() == (HeldRecords(ME, 2, 5 * S),)
     refused = say(2, "w", "x")
     assert not refused.good
     assert "no room" in refused.why
     assert set(keeper.entries) == {"u", "v"}
     assert say(3, "w", gone=("u",)).good
     assert set(keeper.entries) == {"v", "w"}
-    assert not keeper.on_keep(0, "a", Keep(2, ME, (record("u"),), life=1)), (
+    assert not keeper.on_keep(0, "a", ReplicateRequest(2, ME, (record("u"),), life=1)), (
         "late mail is not answered, nor taken"
     )
     assert not say(4, "w", sender="b").good
@@ -239,12 +245,12 @@
 
 
 def test_only_the_successor_takes_over_and_a_later_end_of_its_own_leaves_doubt() -> None:
-    keepers = {name: Keeping(name, 1) for name in "bc"}
+    keepers = {name: Replica(name, 1) for name in "bc"}
     job = replace(record("u", "unsafe"), keepers=("b", "c"))
     for keeper in keepers.values():
-        keeper.on_keep(0, "a", Keep(1, ME, (job,), life=1))
+        keeper.on_keep(0, "a", ReplicateRequest(1, ME, (job,), life=1))
     assert unclaimed(3, keepers["b"].kept()) == 2
-    end = Ended(1, ME, "north", (("c",),))
+    end = EndedSession(1, ME, "north", (("c",),))
     assert not keepers["b"].ended(0, end)
     (taking,) = keepers["c"].ended(S, end)
     assert taking.must == ("b",)
@@ -252,13 +258,13 @@
     assert not keepers["c"].ended(S, end)
     assert keepers["b"].others() == {"c": ["u"]}
     keepers["b"].own_end(Session("b", 1, 1), ())
-    gone = Ended(1, ME, "north", (("c",), ("b",)), ("c",))
+    gone = EndedSession(1, ME, "north", (("c",), ("b",)), ("c",))
     assert not keepers["b"].ended(S, gone)
     assert "u" in keepers["b"].others()[""]
     late = keepers["b"].take(S, "u")
     assert late is not None
     assert phase_of(late.record, 0).phase == "doubt"
-    (answer,) = keepers["c"].settle("b", Settle(1, ME, ("u", "x")), {"x": (4, "run")})
+    (answer,) = keepers["c"].settle("b", ResolveRequest(1, ME, ("u", "x")), {"x": (4, "run")})
     assert isinstance(answer, Send)
     assert answer.message.fates == (
         ("u", 1, "waiting"),
@@ -270,16 +276,20 @@
     None
 ):
     for started, stands in ((False, True), (True, False)):
-        keeper = Keeping("c", 1)
-        keeper.on_keep(0, "a", Keep(1, ME, (replace(record("u"), keepers=("c",)),), life=1))
-        keeper.ended(0, Ended(2, ME, "north", (("c",),)))
+        keeper = Replica("c", 1)
+        keeper.on_keep(
+            0, "a", ReplicateRequest(1, ME, (replace(record("u"), keepers=("c",)),), life=1)
+        )
+        keeper.ended(0, EndedSession(2, ME, "north", (("c",),)))
         keeper.fate("u", "run" if started else "asked")
         rival = Session("b", 1, 0)
-        claim = Keep(1, rival, (replace(record("u", session=rival), epoch=2, version=2),), life=1)
+        claim = ReplicateRequest(
+            1, rival, (replace(record("u", session=rival), epoch=2, version=2),), life=1
+        )
         *told, answer = keeper.on_keep(0, "b", claim)
         assert isinstance(answer, Send)
         assert (not answer.message.taken) is stands
-        assert [each.what for each in told if isinstance(each, Tell)] == (
+        assert [each.event for each in told if isinstance(each, Notify)] == (
             ["superseded"] if stands else []
         )
 
@@ -295,7 +305,7 @@
         self.now_us = 0
         self.made = holder()
         self.made._tokens = self.tokens()
-        self.keepers: dict[str, Keeping] = {name: Keeping(name, 1) for name in WHERE}
+        self.keepers: dict[str, Replica] = {name: Replica(name, 1) for name in WHERE}
         self.lives = dict.fromkeys(WHERE, 1)
         self.mail: list[tuple[str, str, Any]] = []
         self.open: dict[int, tuple[str, int, bool]] = {}
@@ -310,7 +320,7 @@
         for effect in effects:
             if isinstance(effect, Send):
                 self.mail.append(("a", effect.ident, effect.message))
-            elif isinstance(effect, Tell) and effect.what == "kept":
+            elif isinstance(effect, Notify) and effect.event == "kept":
                 uid, version, every = self.open.pop(
                     effect.fields["token"]
                 )  # KeyError: settled twice
@@ -369,7 +379,7 @@
     )
     def change(self, which: int, what: str, wait: int) -> None:
         uid = sorted(self.made.jobs)[which % len(self.made.jobs)]
-        until, known = self.now_us + wait * S // 10, Known(0, what, "m", "p")
+        until, known = self.now_us + wait * S // 10, KnownTask(0, what, "m", "p")
         if what == "about":
             self.ask(self.made.about(self.now_us, uid, known, until), uid, uid.startswith("unsafe"))
         elif what == "placed":
@@ -386,7 +396,7 @@
         sender, receiver, message = self.mail[which % len(self.mail)]
         if not keep:
             del self.mail[which % len(self.mail)]
-        if isinstance(message, KeepAnswer):
+        if isinstance(message, ReplicateResponse):
             self.carry(self.made.on_message(self.now_us, sender, message))
         elif receiver in self.keepers:
             for effect in self.keepers[receiver].on_keep(self.now_us, sender, message):
@@ -421,7 +431,7 @@
     def rise(self, name: str) -> None:
         if name not in self.keepers:
             self.lives[name] += 1
-            self.keepers[name] = Keeping(name, self.lives[name])
+            self.keepers[name] = Replica(name, self.lives[name])
             self.members()
 
     @rule(name=st.sampled_from("bcde"), first=st.booleans())
@@ -479,14 +489,14 @@
 class OneIsEnough(Tokens):
     """Planted: an attempt that must not start twice leaves once one keeper knows."""
 
-    def wait(self, job: Job, number: int, deadline_us: int, every: bool) -> None:
+    def wait(self, job: ReplicatedJob, number: int, deadline_us: int, every: bool) -> None:
         super().wait(job, number, deadline_us, False)
 
 
 class Hasty(Tokens):
     """Planted: a change counts as kept once the version before is."""
 
-    def met(self, job: Job) -> list[Effect]:
+    def met(self, job: ReplicatedJob) -> list[Effect]:
         for token in job.tokens:
             token.version -= 1
         return super().met(job)
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -73,8 +73,8 @@
     ).map(tuple),
     st.sets(st.sampled_from(["nightly@1800000000/n1", "nightly@1800000000/n2"])).map(tuple),
     PLANS,
-).map(r.normal)
-ONE = r.normal(
+).map(r.normalized)
+ONE = r.normalized(
     r.RuleSet((r.ClassRules("web", "safe", "cell", 3),), 4, 18, 2, (("a", 10), ("b", 10)), 250, ())
 )
 
@@ -95,10 +95,10 @@
 
 @given(SETS, SETS)
 def test_the_meet_allows_only_what_both_allow(a: r.RuleSet, b: r.RuleSet) -> None:
-    met = r.meet(a, b)
+    met = r.intersection(a, b)
     assert r.allows(met, a)
     assert r.allows(met, b)
-    assert r.meet(b, a) == met
+    assert r.intersection(b, a) == met
     if r.allows(a, b):
         assert r.allows(met, a) and r.allows(a, met), (
             "nothing is lost where one is within the other"
@@ -110,16 +110,18 @@
     a: r.RuleSet, b: r.RuleSet, c: r.RuleSet
 ) -> None:
     if r.allows(c, a) and r.allows(c, b):
-        lost = {each.name for each in c.classes} - {each.name for each in r.meet(a, b).classes}
+        lost = {each.name for each in c.classes} - {
+            each.name for each in r.intersection(a, b).classes
+        }
         kinds = [{each.name: each.spread_by for each in side.classes} for side in (a, b)]
         assert all(kinds[0][name] != kinds[1][name] for name in lost)
         if not lost:
-            assert r.allows(c, r.meet(a, b))
+            assert r.allows(c, r.intersection(a, b))
 
 
 @given(SETS)
 def test_the_text_is_read_back(a: r.RuleSet) -> None:
-    assert r.read(a.text()) == a
+    assert r.parse_rule_set(a.text()) == a
     assert not r.check(a)
 
 
@@ -127,12 +129,12 @@
     three = replace(ONE, cold_shares=r.shares(20, ("a", "b", "c")))
     four = replace(ONE, cold_shares=r.shares(20, ("a", "b", "c", "d")))
     assert r.contradict(three, four), "one share grows while others shrink"
-    assert dict(r.meet(three, four).cold_shares) == {"a": 5, "b": 5, "c": 5}
+    assert dict(r.intersection(three, four).cold_shares) == {"a": 5, "b": 5, "c": 5}
     tight = replace(ONE, classes=(r.ClassRules("web", "safe", "cell", 2),))
     assert r.allows(tight, ONE)
     assert not r.allows(ONE, tight)
     assert not r.contradict(tight, ONE)
-    assert r.meet(tight, ONE) == tight
+    assert r.intersection(tight, ONE) == tight
     barred = replace(ONE, barred=("n1",))
     assert r.allows(barred, ONE)
     assert differences(ONE, barred) == ["barred: n1"]
@@ -163,16 +165,16 @@
     ],
 )
 def test_what_is_wrong_with_one_is_said(change: dict[str, object], words: str) -> None:
-    with pytest.raises(r.BadRules, match=words):
-        r.read(json.dumps({**json.loads(ONE.text()), **change}))
+    with pytest.raises(r.RuleSetError, match=words):
+        r.parse_rule_set(json.dumps({**json.loads(ONE.text()), **change}))
 
 
 @given(st.text(max_size=200))
 def test_no_text_brings_about_anything_but_a_refusal(text: str) -> None:
-    with pytest.raises(r.BadRules):
-        r.read(text)
+    with pytest.raises(r.RuleSetError):
+        r.parse_rule_set(text)
 
 
 def test_ten_megabytes_are_refused() -> None:
-    with pytest.raises(r.BadRules, match="the most"):
-        r.read(" " * (10 << 20))
+    with pytest.raises(r.RuleSetError, match="the most"):
+        r.parse_rule_set(" " * (10 << 20))
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -11,19 +11,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.effects import Effect, Send, Tell
+from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.replication.replica import Taking
-from wingbarrow.decide.replication.replicator import Custodian
+from wingbarrow.decide.replication.replicator import Replicator
 from wingbarrow.decide.sessions import reissue
-from wingbarrow.decide.sessions.failover import CLAIM_US, Takeover
+from wingbarrow.decide.sessions.failover import CLAIM_US, SessionFailover
 from wingbarrow.decide.sessions.failover_pace import Pace
 from wingbarrow.decide.sessions.machine_queries import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
 from wingbarrow.decide.sessions.messages import (
     PHASES,
-    AskMachine,
-    Known,
-    MachineSays,
-    Record,
+    KnownTask,
+    LeasedJobRecord,
+    MachineQuery,
+    MachineReport,
     Session,
 )
 from wingbarrow.decide.sessions.reissue import (
@@ -31,9 +31,9 @@
     SAYS,
     TABLE,
     TIMES,
-    Copy,
-    Row,
-    Verdict,
+    ReissueDecision,
+    ReissueRow,
+    RunCopy,
     decide,
     said_of,
     settle,
@@ -67,7 +67,7 @@
     return "asked" if says == "unasked" else "unknown"
 
 
-def astray(table: tuple[Row, ...]) -> list[tuple[str, ...]]:
+def astray(table: tuple[ReissueRow, ...]) -> list[tuple[str, ...]]:
     return [each for each in ALL if decide(*each, table).verdict.value != plain(*each)]
 
 
@@ -81,7 +81,7 @@
 
 def test_each_row_is_needed_and_each_wrong_verdict_is_found() -> None:
     for index, row in enumerate(TABLE):
-        for verdict in Verdict:
+        for verdict in ReissueDecision:
             if verdict is not row.verdict:
                 assert astray((*TABLE[:index], replace(row, verdict=verdict), *TABLE[index + 1 :]))
 
@@ -91,7 +91,7 @@
     boot_us: int, left_us: int, late_us: int, holds: bool
 ) -> None:
     told_us = max(boot_us, left_us)
-    says = MachineSays(1, "m", "u", True, holds, told_us - boot_us)
+    says = MachineReport(1, "m", "u", True, holds, told_us - boot_us)
     word = said_of(says, told_us + late_us - left_us)
     if word == "clear":
         assert boot_us < left_us
@@ -109,26 +109,28 @@
 def test_healing_is_the_same_from_both_sides_and_never_stops_what_must_not_start_twice(
     effect: str, one: tuple[int, str, bool], other: tuple[int, str, bool]
 ) -> None:
-    a, b = Copy(*one), Copy(*other)
+    a, b = RunCopy(*one), RunCopy(*other)
     mine, theirs, _ = settle(effect, a, b)
     if (a.epoch, a.holder) != (b.epoch, b.holder):
         assert settle(effect, b, a)[:2] == (theirs, mine)
-        assert (mine, theirs).count(Verdict.RUN) <= 1 + (effect == "unsafe" and a.runs and b.runs)
+        assert (mine, theirs).count(ReissueDecision.RUN) <= 1 + (
+            effect == "unsafe" and a.runs and b.runs
+        )
     if effect == "unsafe":
-        assert Verdict.STOP not in (mine, theirs)
-        assert not (a.runs and mine is not Verdict.RUN)
-        assert not (b.runs and not a.runs and theirs is Verdict.WAIT)
+        assert ReissueDecision.STOP not in (mine, theirs)
+        assert not (a.runs and mine is not ReissueDecision.RUN)
+        assert not (b.runs and not a.runs and theirs is ReissueDecision.WAIT)
 
 
 def job(
     uid: str,
     effect: str = "unsafe",
-    known: Known | None = None,
+    known: KnownTask | None = None,
     priority: int = 0,
     born_us: int = 0,
     count: int = 1,
-) -> Record:
-    return Record(
+) -> LeasedJobRecord:
+    return LeasedJobRecord(
         1,
         uid,
         f"shop/{uid}",
@@ -153,11 +155,11 @@
     )
 
 
-def taking(record: Record) -> Taking:
+def taking(record: LeasedJobRecord) -> Taking:
     return Taking(record, 7, ())
 
 
-def asks(effects: list[Effect]) -> list[AskMachine]:
+def asks(effects: list[Effect]) -> list[MachineQuery]:
     return [each.message for each in effects if isinstance(each, Send)]
 
 
@@ -165,15 +167,17 @@
     return [
         each.fields["verdict"]
         for each in effects
-        if isinstance(each, Tell) and each.what == "reissue"
+        if isinstance(each, Notify) and each.event == "reissue"
     ]
 
 
-ABOUT = Known(0, "about", "m", "p", 10 * S)
+ABOUT = KnownTask(0, "about", "m", "p", 10 * S)
 
 
-def begun(known: Known | None = ABOUT, effect: str = "unsafe") -> tuple[Takeover, list[Effect]]:
-    made = Takeover(GONE, 7)
+def begun(
+    known: KnownTask | None = ABOUT, effect: str = "unsafe"
+) -> tuple[SessionFailover, list[Effect]]:
+    made = SessionFailover(GONE, 7)
     out = made.places(0, ("n1", "n2"))
     out += made.add(0, [taking(job("u", effect, known))])
     return made, out + made.claimed(S, "u")
@@ -191,7 +195,7 @@
         told += verdicts(out)
     assert sent == {"n1", "n2"}
     assert told == ["unknown"]
-    late = MachineSays(number, "m", "u", True, False, 3600 * S)
+    late = MachineReport(number, "m", "u", True, False, 3600 * S)
     assert verdicts(made.on_message(20 * S, late)) == ["run"]
     assert list(made.ready) == ["u"]
     assert not made.on_message(21 * S, late)
@@ -202,13 +206,13 @@
 @pytest.mark.parametrize(
     ("says", "verdict"),
     [
-        (MachineSays(0, "m", "u", True, True, 3600 * S), "unknown"),
-        (MachineSays(0, "m", "u", True, False, 5 * S), "unknown"),
-        (MachineSays(0, "m", "u", True, False, 3600 * S), "run"),
+        (MachineReport(0, "m", "u", True, True, 3600 * S), "unknown"),
+        (MachineReport(0, "m", "u", True, False, 5 * S), "unknown"),
+        (MachineReport(0, "m", "u", True, False, 3600 * S), "run"),
     ],
 )
 def test_only_a_machine_that_never_had_it_clears_an_attempt(
-    says: MachineSays, verdict: str
+    says: MachineReport, verdict: str
 ) -> None:
     made, first = begun()
     number = asks(first)[0].number
@@ -221,7 +225,7 @@
 
 
 def test_another_keepers_better_knowledge_counts_before_anything_starts() -> None:
-    made = Takeover(GONE, 7)
+    made = SessionFailover(GONE, 7)
     made.add(0, [taking(job("u", known=None))])
     assert not made.ready
     made.later(S, job("u", known=replace(ABOUT, phase="placed")))
@@ -230,7 +234,7 @@
 
 
 def test_without_a_placer_of_the_lost_region_an_attempt_is_unknown_until_one_is_back() -> None:
-    made = Takeover(GONE, 7)
+    made = SessionFailover(GONE, 7)
     assert verdicts(made.add(0, [taking(job("u", known=ABOUT))])) == ["unknown"]
     made.claimed(S, "u")
     back = made.places(AGAIN_US, ("n1",))
@@ -243,23 +247,23 @@
     assert verdicts(first) == ["waiting"]
     assert not verdicts(made.on_timer(3 * S))
     assert verdicts(made.on_timer(4 * S)) == ["run"]
-    made = Takeover(GONE, 7)
+    made = SessionFailover(GONE, 7)
     assert not verdicts(made.add(0, [taking(job("u", "safe"))]))
     assert verdicts(made.on_timer(CLAIM_US)) == ["run"]
 
 
 def test_so_many_machines_are_asked_at_a_time() -> None:
-    made = Takeover(GONE, 7)
+    made = SessionFailover(GONE, 7)
     made.places(0, ("n1",))
     out = made.add(0, [taking(job(f"u{index}", known=ABOUT)) for index in range(3 * ASKS_MOST)])
     out += [effect for index in range(3 * ASKS_MOST) for effect in made.claimed(S, f"u{index}")]
     assert len(asks(out)) == ASKS_MOST
     first = asks(out)[0]
-    assert len(asks(made.on_message(S, MachineSays(first.number, "m", first.uid, True)))) == 1
+    assert len(asks(made.on_message(S, MachineReport(first.number, "m", first.uid, True)))) == 1
 
 
 def test_work_comes_by_priority_then_by_age_in_room_and_pace() -> None:
-    made = Custodian("b", 1, "south", 1, pace=Pace(starts=2, every_us=S))
+    made = Replicator("b", 1, "south", 1, pace=Pace(starts=2, every_us=S))
     rng = random.Random(1)
     jobs = [job(f"u{index}", "safe", None, index % 3, index * S) for index in range(6)]
     jobs.append(job("wide", "safe", None, 9, 0, count=5))
@@ -310,8 +314,8 @@
     careless = True
 
 
-def wrong(index: int) -> tuple[Row, ...]:
-    return (*TABLE[:index], replace(TABLE[index], verdict=Verdict.RUN), *TABLE[index + 1 :])
+def wrong(index: int) -> tuple[ReissueRow, ...]:
+    return (*TABLE[:index], replace(TABLE[index], verdict=ReissueDecision.RUN), *TABLE[index + 1 :])
 
 
 def test_planted_an_attempt_that_leaves_without_a_word_is_found() -> None:
@@ -334,7 +338,7 @@
 def test_planted_rows_are_found_by_the_plays(
     row: int, kind: str, seeds: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Takeover, "table", wrong(row))
+    monkeypatch.setattr(SessionFailover, "table", wrong(row))
     assert any(
         kind in breach
         for seed in seeds
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -8,16 +8,16 @@
 import pytest
 
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.effects import Effect, Tell
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
-    Kept,
+    HeldRecords,
     Session,
     reckoned_us,
     right_us,
-    successor,
+    successor_of,
 )
 from wingbarrow.decide.sessions.session_log import (
     ENDED_CHARS,
@@ -28,8 +28,8 @@
 )
 from wingbarrow.decide.sessions.sessions import (
     TURN_US,
-    Lease,
-    Sessions,
+    SessionLease,
+    SessionSubsystem,
     deaf_us,
     ended_within_us,
     lone_us,
@@ -47,43 +47,47 @@
     """A leader alone, and placers that ask it directly; what it proposes is decided at once."""
 
     def __init__(self) -> None:
-        self.now, self.sessions = 0, Sessions(LEASE)
-        self.sessions.elected(0, True)
-        self.leases: dict[str, Lease] = {}
+        self.now, self.sessions = 0, SessionSubsystem(LEASE)
+        self.sessions.on_leadership_change(0, True)
+        self.leases: dict[str, SessionLease] = {}
         self.lives: dict[str, int] = {}
-        self.told: list[tuple[str, Tell]] = []
+        self.told: list[tuple[str, Notify]] = []
         self.undecided: list[Proposal] | None = None
 
-    def join(self, name: str, life: int = 1) -> Lease:
-        self.leases[name], self.lives[name] = Lease(name, f"of {name}"), life
+    def join(self, name: str, life: int = 1) -> SessionLease:
+        self.leases[name], self.lives[name] = SessionLease(name, f"of {name}"), life
         self.ask(name)
         self.ask(name)
         return self.leases[name]
 
     def keep(self, keeper: str, session: Session | None, after_us: int = AFTER) -> None:
         assert session is not None
-        self.leases[keeper].keeping = lambda: (Kept(session, 3, after_us),)
+        self.leases[keeper].keeping = lambda: (HeldRecords(session, 3, after_us),)
 
     def ask(
-        self, name: str, lose: bool = False, lease: Lease | None = None, life: int | None = None
+        self,
+        name: str,
+        lose: bool = False,
+        lease: SessionLease | None = None,
+        life: int | None = None,
     ) -> None:
         lease = lease or self.leases[name]
-        asker = Asker(name, self.lives[name] if life is None else life, 1, self.now)
-        self.sessions.hear(self.now, asker, lease.say(self.now))
-        told = self.sessions.told(self.now, asker)
+        asker = Requester(name, self.lives[name] if life is None else life, 1, self.now)
+        self.sessions.on_report(self.now, asker, lease.report(self.now))
+        told = self.sessions.response_for(self.now, asker)
         if not lose:
-            self.tell(name, lease.take(self.now, self.now, told))
+            self.tell(name, lease.on_response(self.now, self.now, told))
         self.decide()
 
     def tell(self, name: str, effects: list[Effect]) -> None:
-        self.told += [(name, each) for each in effects if isinstance(each, Tell)]
+        self.told += [(name, each) for each in effects if isinstance(each, Notify)]
 
     def decide(self) -> None:
         if self.undecided is not None:
             if not self.undecided:  # nothing more is asked for while something is being decided
-                self.undecided += self.sessions.due(self.now, RULES)[0]
+                self.undecided += self.sessions.next_proposals(self.now, RULES)[0]
             return
-        for each in self.sessions.due(self.now, RULES)[0]:
+        for each in self.sessions.next_proposals(self.now, RULES)[0]:
             self.sessions.apply(each.kind, each.value)
 
     def wait(
@@ -118,7 +122,7 @@
     ended = desk.sessions.log.ended[session]
     assert (ended.epoch, ended.batches, ended.region) == (1, (("b",),), "of a")
     assert desk.leases["b"].ended[session].batches[0] == ("b",)
-    assert successor(ended, ("c", "b")) == "b"
+    assert successor_of(ended, ("c", "b")) == "b"
 
 
 def test_after_shorter_than_the_lease_does_not_shorten_the_reckoning() -> None:
@@ -167,7 +171,7 @@
     assert lost.session == Session("a", 1, 2)
     assert lost.may_send(desk.now)
     # Its first session lapsed in silence, so that the last that was told of it was that it is open.
-    assert [(each.what, each.fields.get("open")) for name, each in desk.told if name == "a"] == [
+    assert [(each.event, each.fields.get("open")) for name, each in desk.told if name == "a"] == [
         ("session", False),
         ("session-ended", None),
         ("session", True),
@@ -195,7 +199,7 @@
     desk = Desk()
     old = desk.join("a")
     desk.wait(5 * SECOND, "a")
-    desk.lives["a"], twin = 2, Lease("a", "of a")
+    desk.lives["a"], twin = 2, SessionLease("a", "of a")
     desk.ask("a", lease=twin)
     desk.ask("a", lease=twin)
     assert twin.session == Session("a", 2, 1)
@@ -221,7 +225,7 @@
 ):
     desk = Desk()
     desk.join("a", life=9_000)
-    desk.lives["a"], later = 5_000, Lease("a", "of a")
+    desk.lives["a"], later = 5_000, SessionLease("a", "of a")
     desk.leases["a"] = later
     desk.wait(RECKONED - SECOND, "a")
     assert later.session is None
@@ -254,7 +258,7 @@
     lost, _ = desk.join("a"), desk.join("b")
     desk.keep("b", lost.session, 1)
     desk.wait(RECKONED - 1, "b")
-    desk.sessions.elected(desk.now, True)
+    desk.sessions.on_leadership_change(desk.now, True)
     begun = desk.now
     desk.wait(RECKONED - 1, "b")
     assert not desk.over(lost.session)
@@ -286,10 +290,14 @@
     desk.keep("b", session)
     desk.keep("c", session)
     desk.wait(AFTER + 2 * SECOND, "b", "c", "d")
-    assert successor(desk.sessions.log.ended[session], ("b", "c")) == "b"
+    assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
     desk.wait(lone_us(LEASE) + 2 * SECOND, "c", "d")
     ended = desk.sessions.log.ended[session]
-    assert (ended.gone, successor(ended, ("b", "c")), successor(ended, ("b",))) == (("b",), "c", "")
+    assert (ended.gone, successor_of(ended, ("b", "c")), successor_of(ended, ("b",))) == (
+        ("b",),
+        "c",
+        "",
+    )
     assert ended.changed > ended.epoch and desk.leases["c"].ended[session] == ended, (
         "who takes over acts under more"
     )
@@ -297,16 +305,16 @@
     again = desk.sessions.log.ended[session]
     assert again.batches == (("c",), ("b",))
     assert not again.gone
-    assert successor(again, ("b", "c")) == "c"
+    assert successor_of(again, ("b", "c")) == "c"
     desk.wait(lone_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
-    assert successor(desk.sessions.log.ended[session], ("b", "c")) == "b"
+    assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
 
 
 def test_a_new_session_waits_until_all_ends_are_heard_so_many_at_a_time() -> None:
     desk = Desk()
     for number in range(ENDED_MOST + 10):
         _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
-    late = Lease("a", "r")
+    late = SessionLease("a", "r")
     desk.leases["a"], desk.lives["a"] = late, 1
     desk.ask("a")
     assert late.heard == ENDED_MOST
@@ -330,7 +338,7 @@
         desk.ask("a")
     assert lost.session == Session("a", 1, 2)
     assert lost.may_send(desk.now)
-    assert [each.fields["session"] for _, each in desk.told if each.what == "session-ended"].count(
+    assert [each.fields["session"] for _, each in desk.told if each.event == "session-ended"].count(
         session.text()
     ) == 1
 
@@ -427,7 +435,7 @@
 
 
 def test_one_that_stands_in_no_region_has_no_session() -> None:
-    lease = Lease("a", "")
-    assert lease.say(5) is None
-    assert lease.take(5, 5, None) == []
+    lease = SessionLease("a", "")
+    assert lease.report(5) is None
+    assert lease.on_response(5, 5, None) == []
     assert not lease.may_send(5)
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingbarrow.decide.coordination import coordinator as agreement
-from wingbarrow.decide.quotas.allocations import Blocks
+from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.lab.fleet.holders import STRANDED_US, Holders, limited, trouble
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -35,9 +35,9 @@
 
 
 def test_a_planted_account_that_forgets_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Forgetful(Blocks):
+    class Forgetful(AllocationLedger):
         def _lapses_us(self, name: str) -> int:
             return super()._lapses_us(name) - STRANDED_US
 
-    monkeypatch.setattr(agreement, "Blocks", Forgetful)
+    monkeypatch.setattr(agreement, "AllocationLedger", Forgetful)
     assert any(played(3, seed).over for seed in range(1, 20))
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from wingbarrow.decide.sessions.sessions import Lease, Sessions, deaf_us, ended_within_us
+from wingbarrow.decide.sessions.sessions import (
+    SessionLease,
+    SessionSubsystem,
+    deaf_us,
+    ended_within_us,
+)
 from wingbarrow.lab.fleet.leaseholders import Leaseholders, played
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -113,28 +118,36 @@
 
 
 def _forgetful(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Sessions, "elected", lambda self, now_us, on: self._forget(now_us - 10**9))
-    patch.setattr(Sessions, "_awake", lambda self, now_us: None)
+    patch.setattr(
+        SessionSubsystem,
+        "on_leadership_change",
+        lambda self, now_us, on: self._forget(now_us - 10**9),
+    )
+    patch.setattr(SessionSubsystem, "_awake", lambda self, now_us: None)
 
 
 def _floor(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Lease, "may_send", lambda self, now_us: self.session is not None)
+    patch.setattr(SessionLease, "may_send", lambda self, now_us: self.session is not None)
 
 
 def _without_after(patch: pytest.MonkeyPatch) -> None:
-    real = Sessions.end_due_us
-    patch.setattr(Sessions, "end_due_us", lambda self, session, kept: real(self, session, (0, [])))
+    real = SessionSubsystem.end_due_us
+    patch.setattr(
+        SessionSubsystem, "end_due_us", lambda self, session, kept: real(self, session, (0, []))
+    )
 
 
 def _late(patch: pytest.MonkeyPatch) -> None:
-    real = Sessions.end_due_us
+    real = SessionSubsystem.end_due_us
     patch.setattr(
-        Sessions, "end_due_us", lambda self, session, kept: real(self, session, kept) + 5 * SECOND
+        SessionSubsystem,
+        "end_due_us",
+        lambda self, session, kept: real(self, session, kept) + 5 * SECOND,
     )
 
 
 def _deaf_go_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Sessions, "_hears", lambda self, now_us, session, said: True)
+    patch.setattr(SessionSubsystem, "_hears", lambda self, now_us, session, said: True)
 
 
 @pytest.mark.parametrize("plant", [_no_reckoning, _forgetful, _floor, _without_after, _late])
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -8,7 +8,7 @@
 
 from tests.peers.regions import Regions
 from tests.stage import S, Stage
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.kube import names
 
 
@@ -46,7 +46,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Regions(machines=3)
-    monkeypatch.setattr(Leaseholder, "before", lambda self, attempt: None)
+    monkeypatch.setattr(LeasedJobs, "before", lambda self, attempt: None)
 
     def script() -> None:
         stage.join()
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -10,26 +10,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.coordination.messages import Ask, Grant
-from wingbarrow.decide.maintenance.slots import TURNS_MOST, TurnsSaid, TurnsTold
-from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
+from wingbarrow.decide.maintenance.slots import TURNS_MOST, MaintenanceReport, MaintenanceResponse
+from wingbarrow.decide.membership.messages import (
+    Ack,
+    MemberStatus,
+    MemberUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+    Sync,
+)
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
     RECORD_MOST,
-    AskMachine,
-    Ended,
-    Keep,
-    KeepAnswer,
-    Kept,
-    Known,
-    MachineSays,
-    Record,
+    EndedSession,
+    HeldRecords,
+    KnownTask,
+    LeasedJobRecord,
+    MachineQuery,
+    MachineReport,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
     Session,
-    SessionsSaid,
-    SessionsTold,
-    Settle,
-    Settled,
+    SessionsReport,
+    SessionsResponse,
 )
 from wingbarrow.peers.message import (
     LETTERS_MOST,
@@ -41,10 +49,10 @@
 )
 from wingbarrow.peers.message_bounds import RECORDS_MOST, UIDS_MOST
 
-WORD = Word("placer-1", 7, Standing.SUSPECTED, "127.0.0.1:1", "north", 3, "placer-2")
+WORD = MemberUpdate("placer-1", 7, MemberStatus.SUSPECTED, "127.0.0.1:1", "north", 3, "placer-2")
 MESSAGES = [
-    Probe(1, (WORD,)),
-    ProbeFor(2, "a", "127.0.0.1:2"),
+    Ping(1, (WORD,)),
+    PingRequest(2, "a", "127.0.0.1:2"),
     Ack(3, "a", (WORD, WORD)),
     Nack(4),
     Sync(True, (WORD,)),
@@ -78,7 +86,7 @@
 
 
 def word(**changes: Any) -> list[dict[str, Any]]:
-    value = json.loads(write_letter(Probe(1, (WORD,))))
+    value = json.loads(write_letter(Ping(1, (WORD,))))
     value["body"]["news"][0].update(changes)
     return [value]
 
@@ -134,7 +142,7 @@
 # -- leases
 
 OF = Session("p", 1, 2)
-RECORD = Record(
+RECORD = LeasedJobRecord(
     1,
     "u",
     "default/j",
@@ -155,18 +163,18 @@
     ("k",),
     "",
     0,
-    (Known(0, "about", "m", "pod", 3),),
+    (KnownTask(0, "about", "m", "pod", 3),),
 )
-ENDED = Ended(1, OF, "north", (("k", "l"), ("m",)), ("k",), 3)
+ENDED = EndedSession(1, OF, "north", (("k", "l"), ("m",)), ("k",), 3)
 LEASING = [
-    Ask(
+    LeaseRequest(
         1,
         0,
         0,
-        sessions=SessionsSaid("north", 1, 2, (Kept(OF, 3, 4),), 5, True),
-        turns=TurnsSaid((1,), (2,), (3,)),
+        sessions=SessionsReport("north", 1, 2, (HeldRecords(OF, 3, 4),), 5, True),
+        turns=MaintenanceReport((1,), (2,), (3,)),
     ),
-    Grant(
+    LeaseGrant(
         1,
         0,
         "",
@@ -175,15 +183,15 @@
         0,
         "",
         0,
-        sessions=SessionsTold(True, 1, 10, 3, (ENDED,), 9),
-        turns=TurnsTold(1, ((1, "m", "out", ""),)),
+        sessions=SessionsResponse(True, 1, 10, 3, (ENDED,), 9),
+        turns=MaintenanceResponse(1, ((1, "m", "out", ""),)),
     ),
-    Keep(1, OF, (RECORD,), ("u",)),
-    KeepAnswer(1, OF, False, "full", True),
-    Settle(1, OF, ("u",)),
-    Settled(1, OF, (("u", 3, "run"),)),
-    AskMachine(1, "m", "u", 3),
-    MachineSays(1, "m", "u", True, False, 9),
+    ReplicateRequest(1, OF, (RECORD,), ("u",)),
+    ReplicateResponse(1, OF, False, "full", True),
+    ResolveRequest(1, OF, ("u",)),
+    ResolveResponse(1, OF, (("u", 3, "run"),)),
+    MachineQuery(1, "m", "u", 3),
+    MachineReport(1, "m", "u", True, False, 9),
 ]
 
 
@@ -198,21 +206,29 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Ask(1, 0, 0, sessions=SessionsSaid("x" * 254, 1, 2)),
-        Ask(1, 0, 0, sessions=SessionsSaid("r", -1, 2)),
-        Ask(1, 0, 0, sessions=SessionsSaid("r", 1, 2, (Kept(OF, 1, 1),) * 2)),
-        Ask(
+        LeaseRequest(1, 0, 0, sessions=SessionsReport("x" * 254, 1, 2)),
+        LeaseRequest(1, 0, 0, sessions=SessionsReport("r", -1, 2)),
+        LeaseRequest(1, 0, 0, sessions=SessionsReport("r", 1, 2, (HeldRecords(OF, 1, 1),) * 2)),
+        LeaseRequest(
             1,
             0,
             0,
-            sessions=SessionsSaid(
-                "r", 1, 2, tuple(Kept(Session("p", n, 1), 1, 1) for n in range(KEPT_MOST + 1))
+            sessions=SessionsReport(
+                "r",
+                1,
+                2,
+                tuple(HeldRecords(Session("p", n, 1), 1, 1) for n in range(KEPT_MOST + 1)),
             ),
         ),
-        Ask(1, 0, 0, sessions=SessionsSaid("r", 1, 2, (Kept(replace(OF, placer=""), 1, 1),))),
-        Ask(1, 0, 0, turns=TurnsSaid(tuple(range(TURNS_MOST + 1)))),
-        Grant(1, 0, "", 1, 0, 0, "", 0, sessions=SessionsTold(True, 1, 0, 3)),
-        Grant(
+        LeaseRequest(
+            1,
+            0,
+            0,
+            sessions=SessionsReport("r", 1, 2, (HeldRecords(replace(OF, placer=""), 1, 1),)),
+        ),
+        LeaseRequest(1, 0, 0, turns=MaintenanceReport(tuple(range(TURNS_MOST + 1)))),
+        LeaseGrant(1, 0, "", 1, 0, 0, "", 0, sessions=SessionsResponse(True, 1, 0, 3)),
+        LeaseGrant(
             1,
             0,
             "",
@@ -221,9 +237,9 @@
             0,
             "",
             0,
-            sessions=SessionsTold(True, 1, 10, 3, (ENDED,) * (ENDED_MOST + 1)),
+            sessions=SessionsResponse(True, 1, 10, 3, (ENDED,) * (ENDED_MOST + 1)),
         ),
-        Grant(
+        LeaseGrant(
             1,
             0,
             "",
@@ -232,9 +248,9 @@
             0,
             "",
             0,
-            sessions=SessionsTold(True, 1, 10, 3, (replace(ENDED, epoch=-1),)),
+            sessions=SessionsResponse(True, 1, 10, 3, (replace(ENDED, epoch=-1),)),
         ),
-        Grant(
+        LeaseGrant(
             1,
             0,
             "",
@@ -243,14 +259,14 @@
             0,
             "",
             0,
-            sessions=SessionsTold(True, 1, 10, 3, (replace(ENDED, batches=(("k",) * 65,)),)),
+            sessions=SessionsResponse(True, 1, 10, 3, (replace(ENDED, batches=(("k",) * 65,)),)),
         ),
-        Grant(1, 0, "", 1, 0, 0, "", 0, turns=TurnsTold(1, ((-1, "m", "out", ""),))),
-        Keep(1, OF, (RECORD,) * (RECORDS_MOST + 1)),
-        Keep(1, OF, (), ("u",) * (UIDS_MOST + 1)),
-        Keep(-1, OF),
+        LeaseGrant(1, 0, "", 1, 0, 0, "", 0, turns=MaintenanceResponse(1, ((-1, "m", "out", ""),))),
+        ReplicateRequest(1, OF, (RECORD,) * (RECORDS_MOST + 1)),
+        ReplicateRequest(1, OF, (), ("u",) * (UIDS_MOST + 1)),
+        ReplicateRequest(-1, OF),
         *(
-            Keep(1, OF, (replace(RECORD, **change),))
+            ReplicateRequest(1, OF, (replace(RECORD, **change),))
             for change in (
                 {"manifest": "x" * (RECORD_MOST + 1)},
                 {"manifest": "ä" * (RECORD_MOST // 2 + 1)},
@@ -259,15 +275,15 @@
                 {"version": -1},
                 {"keepers": ("a", "b", "c")},
                 {"cores": -1.0},
-                {"tasks": (Known(0, "gone"),)},
-                {"tasks": (Known(-1, "about"),)},
+                {"tasks": (KnownTask(0, "gone"),)},
+                {"tasks": (KnownTask(-1, "about"),)},
             )
         ),
-        KeepAnswer(1, OF, False, "x" * 501),
-        Settle(1, OF, ("",)),
-        Settled(1, OF, (("u", -3, "run"),)),
-        AskMachine(1, "m" * 254, "u", 3),
-        MachineSays(1, "m", "u", True, False, -9),
+        ReplicateResponse(1, OF, False, "x" * 501),
+        ResolveRequest(1, OF, ("",)),
+        ResolveResponse(1, OF, (("u", -3, "run"),)),
+        MachineQuery(1, "m" * 254, "u", 3),
+        MachineReport(1, "m", "u", True, False, -9),
     ],
     ids=lambda each: type(each).__name__,
 )
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tests.stage import S, Stage
-from wingbarrow.decide.membership.messages import Standing, Sync, Word
+from wingbarrow.decide.membership.messages import MemberStatus, MemberUpdate, Sync
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.mailbox import BOXES_MOST, PATH
@@ -27,7 +27,7 @@
         for slot in self.cluster.placers:
             slot.start()
 
-    def standing(self, who: int, of: int) -> Standing | None:
+    def standing(self, who: int, of: int) -> MemberStatus | None:
         service = self.cluster.placers[who].service
         assert service is not None
         held = service.placer.peering.members.get(f"placer-{of}")
@@ -41,7 +41,7 @@
 
     def whole(self) -> bool:
         live = [slot.index for slot in self.cluster.placers if slot.service is not None]
-        return all(self.standing(a, b) is Standing.ALIVE for a in live for b in live if a != b)
+        return all(self.standing(a, b) is MemberStatus.ALIVE for a in live for b in live if a != b)
 
 
 def test_placers_that_have_one_seed_learn_of_all_others_and_of_deaths_and_returns() -> None:
@@ -53,7 +53,7 @@
         gone: PlacerSlot = stage.cluster.placers[3]
         gone.kill()
         assert stage.wait(
-            lambda: all(stage.standing(a, 3) is Standing.DEAD for a in (0, 1, 2, 4)), 40
+            lambda: all(stage.standing(a, 3) is MemberStatus.DEAD for a in (0, 1, 2, 4)), 40
         )
         gone.start()
         assert stage.wait(stage.whole, 51)
@@ -88,7 +88,7 @@
         stage.join()
         assert stage.wait(stage.whole, 20)
         pool = stage.pool()
-        liar = Word("placer-1", 1 << 61, Standing.DEAD, "127.0.0.1:9", "", 1, "liar")
+        liar = MemberUpdate("placer-1", 1 << 61, MemberStatus.DEAD, "127.0.0.1:9", "", 1, "liar")
         stranger = write_mail("other", "x", "y:1", [write_letter(Sync(True, (liar,)))])
         for body in (b"", b"{}", b"\x00" * 300_000, stranger):
             assert pool.request("POST", PATH, body).status in (413, 422)
@@ -110,7 +110,7 @@
         service = stage.cluster.placers[0].service
         assert service is not None
         words = tuple(
-            Word(f"x{number}", 5, Standing.ALIVE, address, "", 5)
+            MemberUpdate(f"x{number}", 5, MemberStatus.ALIVE, address, "", 5)
             for number, address in enumerate(
                 ("192.0.2.1:80", "example.org:80", "127.0.0.1:0", "nonsense")
             )
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -10,8 +10,14 @@
 from tests.peers.stage import Agreeing
 from tests.stage import S
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.sessions.messages import Ended, Keep, KeepAnswer, Kept, Session
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.sessions.messages import (
+    EndedSession,
+    HeldRecords,
+    ReplicateRequest,
+    ReplicateResponse,
+    Session,
+)
 from wingbarrow.decide.sessions.sessions import ended_within_us
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.host import Peering
@@ -61,7 +67,7 @@
 
 def test_placers_hold_sessions_and_the_end_of_one_reaches_its_keeper_and_the_one_itself() -> None:
     stage = Regions(machines=1, placers=5)
-    ended: list[tuple[int, Ended]] = []
+    ended: list[tuple[int, EndedSession]] = []
     told: list[tuple[int, Session, bool]] = []
 
     def script() -> None:
@@ -70,7 +76,7 @@
         lost = stage.cluster.placers[4]
         session = stage.peering(4).lease.session
         assert session is not None
-        stage.peering(3).lease.keeping = lambda: (Kept(session, 7, 5 * S),)
+        stage.peering(3).lease.keeping = lambda: (HeldRecords(session, 7, 5 * S),)
         for index in (3, 4):
             stage.peering(index).on_ended = lambda each, index=index: ended.append((index, each))
             stage.peering(index).on_session = lambda session, may, epoch, index=index: told.append(
@@ -125,16 +131,16 @@
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         self.heard.append((ident, message))
-        if not isinstance(message, Keep):
+        if not isinstance(message, ReplicateRequest):
             return []
         return [
-            Send(ident, address, KeepAnswer(message.number, message.session, True)),
+            Send(ident, address, ReplicateResponse(message.number, message.session, True)),
             SetTimer("one", now_us + S),
         ]
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
         self.heard.append(("timer", key))
-        return [Tell("custody-timer", {"key": key})]
+        return [Notify("custody-timer", {"key": key})]
 
 
 def test_a_machine_that_is_hosted_gets_its_kinds_and_timers_and_without_one_they_are_counted() -> (
@@ -151,13 +157,13 @@
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        peering(1).host("custody", keeper, (Keep, KeepAnswer))
-        peering(0).host("custody", holder, (Keep, KeepAnswer))
+        peering(1).host("custody", keeper, (ReplicateRequest, ReplicateResponse))
+        peering(0).host("custody", holder, (ReplicateRequest, ReplicateResponse))
         for other in (1, 2):
-            peering(0).act("custody", [Send(f"placer-{other}", "", Keep(9, session))])
+            peering(0).act("custody", [Send(f"placer-{other}", "", ReplicateRequest(9, session))])
         stage.hub.sleep(3 * S)
-        assert keeper.heard == [("placer-0", Keep(9, session)), ("timer", "one")]
-        assert holder.heard == [("placer-1", KeepAnswer(9, session, True))]
+        assert keeper.heard == [("placer-0", ReplicateRequest(9, session)), ("timer", "one")]
+        assert holder.heard == [("placer-1", ReplicateResponse(9, session, True))]
         assert peering(2).counts["peers:letters about custody, which is not kept here"] == 1
         for name in ("custody", "rules", "members"):
             with pytest.raises(ValueError, match=name):
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -8,7 +8,7 @@
 import lmdb
 import pytest
 
-from wingbarrow.decide.consensus.log import Disk, Entry
+from wingbarrow.decide.consensus.log import LogEntry, PersistentState
 from wingbarrow.decide.effects import Persist
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, create, open_if_there
 
@@ -19,14 +19,14 @@
 
 
 def test_what_is_written_is_there_when_it_is_opened_again(tmp_path: Path) -> None:
-    rng, store, disk = random.Random(3), made(tmp_path), Disk(("a", "b", "c"))
+    rng, store, disk = random.Random(3), made(tmp_path), PersistentState(("a", "b", "c"))
     assert store.load() == disk
     for _ in range(200):
         what = rng.random()
         if what < 0.5:
             first = rng.randrange(disk.base + 1, disk.last + 2)
             entries = tuple(
-                Entry(disk.term, "x", str(rng.random())) for _ in range(rng.randrange(4))
+                LogEntry(disk.term, "x", str(rng.random())) for _ in range(rng.randrange(4))
             )
             disk.log = disk.log[: first - disk.base - 1] + list(entries)
             store.persist(Persist(disk.term, disk.vote, first, entries, None))
@@ -83,7 +83,9 @@
 def test_a_gap_in_the_log_is_refused(tmp_path: Path) -> None:
     store = made(tmp_path)
     store.persist(
-        Persist(1, "a", 1, (Entry(1, "x", "1"), Entry(1, "x", "2"), Entry(1, "x", "3")), None)
+        Persist(
+            1, "a", 1, (LogEntry(1, "x", "1"), LogEntry(1, "x", "2"), LogEntry(1, "x", "3")), None
+        )
     )
     store.close()
     with lmdb.open(str(tmp_path / "rules")) as env, env.begin(write=True) as txn:
@@ -101,6 +103,6 @@
     store = made(tmp_path)
     before = store.load()
     with pytest.raises(StoreFailed):
-        store.persist(Persist(7, "b", 1, (Entry(7, "x", "y" * (1 << 20)),), None))
+        store.persist(Persist(7, "b", 1, (LogEntry(7, "x", "y" * (1 << 20)),), None))
     assert store.load() == before
     store.close()
--- a/tests/peers/test_turns_path.py
+++ b/tests/peers/test_turns_path.py
@@ -9,7 +9,7 @@
 from tests.peers.stage import Agreeing
 from tests.peers.test_drains_agreed import Draining
 from tests.stage import S
-from wingbarrow.decide.rulesets.ruleset import read
+from wingbarrow.decide.rulesets.ruleset import parse_rule_set
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.turnguard import TurnGuard
 
@@ -129,7 +129,7 @@
 
 
 def read_plan(rules: dict[str, Any]) -> dict[str, Any]:
-    plan = asdict(read(json.dumps(rules)).plan)
+    plan = asdict(parse_rule_set(json.dumps(rules)).plan)
     return {**plan, "budgets": [list(each) for each in plan["budgets"]], "blackouts": []}
 
 
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -17,25 +17,31 @@
 
 from tests.wire import samples
 from tests.wire.samples import S
-from wingbarrow.decide.consensus.log import VOTERS, Disk, Entry, alone
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.coordination.messages import Ask, Grant
+from wingbarrow.decide.consensus.log import VOTERS, LogEntry, PersistentState, alone
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
 from wingbarrow.decide.effects import Persist, Send, SetTimer
-from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
-from wingbarrow.decide.maintenance.slots import Queue, Turn, TurnsSaid, View, Wanted
-from wingbarrow.decide.quotas.allocations import Block, Blocks
-from wingbarrow.decide.quotas.escrow import Stated
-from wingbarrow.decide.regions.reports import Regions, RegionsSaid
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
+from wingbarrow.decide.maintenance.slots import (
+    MaintenanceReport,
+    RegionView,
+    Slot,
+    SlotQueue,
+    SlotRequest,
+)
+from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas.escrow import QuotaReport
+from wingbarrow.decide.regions.reports import RegionReport, RegionSubsystem
 from wingbarrow.decide.rulesets.versions import RECOVERED, from_text
-from wingbarrow.decide.sessions.messages import Ended, Kept, Session, SessionsSaid
-from wingbarrow.decide.sessions.session_log import Latest, Open, SessionLog
-from wingbarrow.decide.sessions.sessions import Sessions
+from wingbarrow.decide.sessions.messages import EndedSession, HeldRecords, Session, SessionsReport
+from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
+from wingbarrow.decide.sessions.sessions import SessionSubsystem
 from wingbarrow.store.voter_store import VoteStore, create
 
 ME = "a"
 WALL_US = 1_780_000_000 * S
 LEASE_US = 4 * S
-TIMES = TurnTimes(try_us=2 * S)
+TIMES = MaintenanceTiming(try_us=2 * S)
 RULES = replace(samples.RULES, asked=(), cancelled=())
 # Against the first rules: one more try, one machine fewer. Neither allows the other; two steps lead there.
 OTHER = replace(RULES, attempts_most=5, barred=("node-7", "node-8"))
@@ -45,12 +51,18 @@
 # When a placer's asks hold what it wants: before the snapshot and after it.
 WANTS = {
     2 * S: (
-        Wanted("w@1/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 1_780_000_600 * S, 3 * S),
+        SlotRequest(
+            "w@1/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 1_780_000_600 * S, 3 * S
+        ),
     ),
     13 * S: (
-        Wanted("w@2/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 1_780_000_600 * S, 3 * S),
-        Wanted("gone@1/node-2", "node-2", "hall-a", "rack-1", "calendar", 0, 1_780_000_700 * S, S),
-        Wanted(
+        SlotRequest(
+            "w@2/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 1_780_000_600 * S, 3 * S
+        ),
+        SlotRequest(
+            "gone@1/node-2", "node-2", "hall-a", "rack-1", "calendar", 0, 1_780_000_700 * S, S
+        ),
+        SlotRequest(
             "v/node-3", "node-3", "hall-a", "rack-1", "verdict", 5, 0, S, from_us=WALL_US + 18 * S
         ),
     ),
@@ -70,14 +82,16 @@
 }
 
 
-def turns_said(queue: Queue, at_us: int, wants: tuple[Wanted, ...] = ()) -> TurnsSaid:
+def turns_said(
+    queue: SlotQueue, at_us: int, wants: tuple[SlotRequest, ...] = ()
+) -> MaintenanceReport:
     """What a placer says whose machines do all that is asked of them at once."""
     by = {
         state: tuple(each.number for each in queue.turns.values() if each.state == state)
         for state in ("asked", "closing", "empty", "back")
     }
     shut = by["closing"] + by["empty"]
-    return TurnsSaid(
+    return MaintenanceReport(
         clear=shut,
         empty=shut,
         tried=by["back"],
@@ -85,7 +99,7 @@
         places=tuple((number, "hall-a", "rack-2") for number in by["asked"]),
         region="north",
         at_us=at_us,
-        view=View(
+        view=RegionView(
             (("hall-a", "rack-0", 8), ("hall-a", "rack-1", 8), ("hall-a", "rack-2", 8)), (), 1.0
         ),
         wants=wants,
@@ -97,13 +111,13 @@
 
     name = "turns"
 
-    def __init__(self, queue: Queue) -> None:
+    def __init__(self, queue: SlotQueue) -> None:
         self._queue = queue
 
-    def say(self, now_us: int) -> TurnsSaid:
+    def report(self, now_us: int) -> MaintenanceReport:
         return turns_said(self._queue, now_us)
 
-    def take(self, now_us: int, asked_us: int, told: Any) -> list[Any]:
+    def on_response(self, now_us: int, asked_us: int, told: Any) -> list[Any]:
         return []
 
 
@@ -123,38 +137,40 @@
     reign: int = 0
     session: Session | None = None
     heard: int = 0
-    told: list[Grant] = field(default_factory=list)
+    told: list[LeaseGrant] = field(default_factory=list)
 
-    def ask(self, now_us: int, queue: Queue, sessions: dict[str, Session | None]) -> Ask:
+    def ask(
+        self, now_us: int, queue: SlotQueue, sessions: dict[str, Session | None]
+    ) -> LeaseRequest:
         self.number += 1
         kept = sessions.get(self.keeps[0]) if now_us >= self.keeps[1] else None
-        return Ask(
+        return LeaseRequest(
             self.number,
             self.edition,
             self.floor,
             7,
             now_us,
-            tuple(Stated(each.key, 0, 0, 4) for each in RULES.limits),
+            tuple(QuotaReport(each.key, 0, 0, 4) for each in RULES.limits),
             self.region,
-            sessions=SessionsSaid(
+            sessions=SessionsReport(
                 self.region,
                 self.session.serial if self.session is not None else 0,
                 2,
-                (Kept(kept, 2, 3 * S),) if kept is not None else (),
+                (HeldRecords(kept, 2, 3 * S),) if kept is not None else (),
                 self.heard,
             ),
             turns=self._turns(now_us, queue),
-            regions=RegionsSaid(self.region, 96.0, 192.0, 48.0, 96.0, machines=24),
+            regions=RegionReport(self.region, 96.0, 192.0, 48.0, 96.0, machines=24),
             reign=self.reign,
         )
 
-    def _turns(self, now_us: int, queue: Queue) -> TurnsSaid:
+    def _turns(self, now_us: int, queue: SlotQueue) -> MaintenanceReport:
         said = turns_said(queue, now_us, WANTS.get(now_us, ()) if self.wants else ())
         if self.region == "north":
             return said
-        return TurnsSaid(clear=said.clear, region=self.region, at_us=now_us)
+        return MaintenanceReport(clear=said.clear, region=self.region, at_us=now_us)
 
-    def take(self, grant: Grant) -> None:
+    def take(self, grant: LeaseGrant) -> None:
         self.told.append(grant)
         self.edition, self.reign, self.floor = grant.edition, grant.reign, grant.floor
         if grant.sessions is not None:
@@ -166,20 +182,20 @@
 class Voter:
     """The voter and its host: timers, what it has put on disk, what it sent."""
 
-    def __init__(self, disk: Disk, now_us: int = S) -> None:
+    def __init__(self, disk: PersistentState, now_us: int = S) -> None:
         self.now_us = now_us
         self.persisted: list[Persist] = []
         self.sent: list[Send] = []
         self._timers: dict[str, int] = {}
-        self.sessions = Sessions(LEASE_US)
-        self.turns = Turns(ME, lambda now_us: WALL_US + now_us, TIMES)
-        self.agreement = Agreement(
+        self.sessions = SessionSubsystem(LEASE_US)
+        self.turns = MaintenanceScheduler(ME, lambda now_us: WALL_US + now_us, TIMES)
+        self.agreement = Coordinator(
             ME,
             (ME,),
             disk,
             5,
             life=7,
-            chapters=(self.sessions, Regions(LEASE_US), self.turns),
+            chapters=(self.sessions, RegionSubsystem(LEASE_US), self.turns),
             sides=(OwnTurns(self.turns.queue),),
         )
         self._do(self.agreement.start(self.now_us))
@@ -227,7 +243,7 @@
         """Put a snapshot on disk, as once the log is long."""
         raft, agreed = self.agreement.raft, self.agreement.agreed
         assert raft is not None
-        agreed.chapters |= {name: each.text() for name, each in self.agreement.chapters.items()}
+        agreed.chapters |= {name: each.snapshot() for name, each in self.agreement.chapters.items()}
         self._do(self.agreement.of_raft(self.now_us, raft.fold(agreed.text())))
 
 
@@ -240,7 +256,7 @@
 
 def life() -> tuple[list[Persist], list[Placer]]:
     """All that the voter put on disk, and its placers with the grants that came to them."""
-    voter = Voter(Disk((ME,)))
+    voter = Voter(PersistentState((ME,)))
     placers = [
         Placer("p", "north", silent_us=8 * S),
         Placer("q", "south", keeps=("p", 0)),
@@ -271,7 +287,7 @@
                 voter.hear(each.name, each.ask(voter.now_us, voter.turns.queue, held))
         voter.run(half * S // 2 + S // 8)
         for sent in voter.sent:
-            if isinstance(sent.message, Grant):
+            if isinstance(sent.message, LeaseGrant):
                 next(each for each in placers if each.name == sent.ident).take(sent.message)
         voter.sent.clear()
     raft = voter.agreement.raft
@@ -280,16 +296,16 @@
     return voter.persisted, placers
 
 
-def disk_of(persisted: list[Persist]) -> Disk:
-    disk = Disk((ME,))
+def disk_of(persisted: list[Persist]) -> PersistentState:
+    disk = PersistentState((ME,))
     for each in persisted:
         disk.keep(each)
     return disk
 
 
-def entries(persisted: list[Persist]) -> list[Entry]:
+def entries(persisted: list[Persist]) -> list[LogEntry]:
     """All entries ever decided."""
-    disk, out = Disk((ME,)), dict[int, Entry]()
+    disk, out = PersistentState((ME,)), dict[int, LogEntry]()
     for each in persisted:
         disk.keep(each)
         out |= dict(enumerate(disk.log, disk.base + 1))
@@ -307,16 +323,16 @@
         self.chapters: dict[str, Any] = {
             each.name: each
             for each in (
-                Blocks(2 * S),
-                Sessions(LEASE_US),
-                Regions(LEASE_US),
-                Turns(ME, lambda now_us: 0),
+                AllocationLedger(2 * S),
+                SessionSubsystem(LEASE_US),
+                RegionSubsystem(LEASE_US),
+                MaintenanceScheduler(ME, lambda now_us: 0),
             )
         }
         for name, chapter in self.chapters.items():
             chapter.restore(self.agreed.chapters.get(name, ""))
 
-    def apply(self, entry: Entry) -> None:
+    def apply(self, entry: LogEntry) -> None:
         name, _, kind = entry.kind.partition("/")
         if kind:
             self.chapters[name].apply(kind, json.loads(entry.body))
@@ -328,7 +344,7 @@
 
     def texts(self) -> dict[str, str]:
         return {"agreed": self.agreed.text()} | {
-            name: each.text() for name, each in self.chapters.items()
+            name: each.snapshot() for name, each in self.chapters.items()
         }
 
     @property
@@ -336,7 +352,7 @@
         return blake2b(json.dumps(self.texts()).encode(), digest_size=16).hexdigest()
 
 
-def replayed(disk: Disk) -> Iterator[tuple[str, State]]:
+def replayed(disk: PersistentState) -> Iterator[tuple[str, State]]:
     """The snapshot's state, then the state after each entry of the log, with the entry's kind."""
     state = State(disk.state)
     yield "snapshot", state
@@ -381,7 +397,7 @@
         return from_text(text).text()
     chapter = State("").chapters[name]
     chapter.restore(text)
-    made: str = chapter.text()
+    made: str = chapter.snapshot()
     return made
 
 
@@ -403,16 +419,20 @@
 
 
 _P, _Q, _R, _S = (Session(name, 7, 1) for name in "pqrs")
-_OPEN = (Open("south", LEASE_US), Open("north", LEASE_US), Open("south", LEASE_US))
+_OPEN = (
+    OpenSession("south", LEASE_US),
+    OpenSession("north", LEASE_US),
+    OpenSession("south", LEASE_US),
+)
 
 
-def _parts(a: int, others: int) -> Block:
-    return Block({"a": (a, a), "p": (0, 0), "q": (others, others), "r": (others, others)})
+def _parts(a: int, others: int) -> Allocation:
+    return Allocation({"a": (a, a), "p": (0, 0), "q": (others, others), "r": (others, others)})
 
 
-def _turn(number: int, wanted: Wanted, asked_us: int, since_us: int, **more: Any) -> Turn:
+def _turn(number: int, wanted: SlotRequest, asked_us: int, since_us: int, **more: Any) -> Slot:
     told: dict[str, Any] = {"state": "done", "tasks": 4, "note": "its time is over"}
-    return Turn(
+    return Slot(
         number,
         wanted.machine,
         "north",
@@ -431,7 +451,7 @@
 
 
 _FIRST, (_AGAIN, _GONE, _VERDICT) = WANTS[2 * S][0], WANTS[13 * S]
-_OPERATORS = Wanted("op-1", "node-4", "hall-a", "rack-2", "operator", 5, 0, 0)
+_OPERATORS = SlotRequest("op-1", "node-4", "hall-a", "rack-2", "operator", 5, 0, 0)
 _REFUSED = "version 2 has been accepted since; yours is based on 1: see `rules diff`"
 VALUES: dict[str, Any] = {
     "agreed": (
@@ -456,8 +476,8 @@
     "sessions": SessionLog(
         3,
         dict(zip((_Q, _R, _S), _OPEN, strict=True)),
-        {each.placer: Latest(7, each) for each in (_P, _Q, _R, _S)},
-        {_P: Ended(1, _P, "north", (("q",), ("r",)), (), 3)},
+        {each.placer: LatestSession(7, each) for each in (_P, _Q, _R, _S)},
+        {_P: EndedSession(1, _P, "north", (("q",), ("r",)), (), 3)},
         {_P: {"q": _Q, "r": _R}},
     ),
     "turns": (
--- a/tests/stored/test_corpus.py
+++ b/tests/stored/test_corpus.py
@@ -13,7 +13,7 @@
 
 from tests.stored import scenario, state
 from tests.wire import samples
-from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.store.voter_store import VoteStore
 
 STORED = samples.DATA / "stored"
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def disk(tmp_path: Path) -> Disk:
+def disk(tmp_path: Path) -> PersistentState:
     store = opened(tmp_path)
     try:
         return store.load()
@@ -46,7 +46,7 @@
         store.close()
 
 
-def test_a_voters_store_holds_what_the_voter_put_on_disk(disk: Disk) -> None:
+def test_a_voters_store_holds_what_the_voter_put_on_disk(disk: PersistentState) -> None:
     assert disk == scenario.disk_of(scenario.life()[0])
     assert (disk.voters, disk.term, disk.vote, disk.base, disk.base_term) == (
         ("a",),
@@ -58,20 +58,20 @@
     assert (disk.last, disk.term_at(disk.last), disk.voters_now()) == (54, 1_000_002, ("a",))
 
 
-def test_the_stored_log_has_each_kind_of_entry(disk: Disk) -> None:
+def test_the_stored_log_has_each_kind_of_entry(disk: PersistentState) -> None:
     kinds = {each.kind for each in disk.log}
     assert {each.replace("/", ".") or "empty" for each in kinds} == {
         each.stem for each in (samples.DATA / "wire" / "entries").iterdir()
     }
 
 
-def test_each_stored_entry_makes_the_same_state_of_the_one_before(disk: Disk) -> None:
+def test_each_stored_entry_makes_the_same_state_of_the_one_before(disk: PersistentState) -> None:
     wanted = (STORED / "digests.txt").read_text().splitlines()
     found = [f"{kind or 'empty'} {held.digest}" for kind, held in scenario.replayed(disk)]
     assert found == wanted
 
 
-def test_the_replayed_state_has_the_values_of_the_voters_life(disk: Disk) -> None:
+def test_the_replayed_state_has_the_values_of_the_voters_life(disk: PersistentState) -> None:
     *_, (_, held) = scenario.replayed(disk)
     wanted = {each.stem: each.read_text() for each in (STORED / "texts").iterdir()}
     assert held.texts() == wanted
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -10,7 +10,7 @@
 from tests.stage import S, Stage
 from tests.stored import make, state
 from tests.wire import samples
-from wingbarrow.decide.consensus.log import Disk
+from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.http.watching import call
 from wingbarrow.lab.node import node_value
 from wingbarrow.store.voter_store import VoteStore
@@ -109,7 +109,7 @@
             assert after.log[: len(before[slot.name].log)] == before[slot.name].log
             assert after.base == before[slot.name].base
 
-    def stored(folder: Path, name: str) -> Disk:
+    def stored(folder: Path, name: str) -> PersistentState:
         scratch = Path(stage.cluster.placers[0].state).parent / f"copy-{folder.parent.name}-{name}"
         shutil.copytree(folder / "rules", scratch)
         store = VoteStore(scratch)
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -19,49 +19,70 @@
 
 import wingbarrow
 from wingbarrow.decide.consensus.log import (
-    Append,
-    AppendAnswer,
-    Entry,
-    Install,
-    VoteAnswer,
-    VoteAsk,
+    AppendRequest,
+    AppendResponse,
+    InstallSnapshot,
+    LogEntry,
+    VoteRequest,
+    VoteResponse,
 )
 from wingbarrow.decide.coordination import messages as coordination
-from wingbarrow.decide.coordination.messages import Ask, AskFor, Grant, GrantFor, NotLeader
+from wingbarrow.decide.coordination.messages import (
+    LeaseGrant,
+    LeaseRequest,
+    NotLeader,
+    RelayedGrant,
+    RelayedRequest,
+)
 from wingbarrow.decide.federation.spec import Back, DataSet, Failover, Federation, Need, Spec
 from wingbarrow.decide.learning import Announcement, Sight
-from wingbarrow.decide.maintenance.slots import Queue, Turn, TurnsSaid, TurnsTold, View, Wanted
+from wingbarrow.decide.maintenance.slots import (
+    MaintenanceReport,
+    MaintenanceResponse,
+    RegionView,
+    Slot,
+    SlotQueue,
+    SlotRequest,
+)
 from wingbarrow.decide.membership import messages as membership
-from wingbarrow.decide.membership.messages import Ack, Nack, Probe, ProbeFor, Standing, Sync, Word
-from wingbarrow.decide.outliers.ejection import Closed, Evidence
-from wingbarrow.decide.quotas.allocations import Block, Blocks
-from wingbarrow.decide.quotas.escrow import Right, Stated
+from wingbarrow.decide.membership.messages import (
+    Ack,
+    MemberStatus,
+    MemberUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+    Sync,
+)
+from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
+from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.regions import forwarding
-from wingbarrow.decide.regions.forwarding import Hand, HandSays, HandStop
-from wingbarrow.decide.regions.reports import RegionsSaid, RegionTold
+from wingbarrow.decide.regions.forwarding import ForwardCancel, ForwardRequest, ForwardStatus
+from wingbarrow.decide.regions.reports import RegionReport, RegionSummary
 from wingbarrow.decide.rulesets import ruleset, versions
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet
-from wingbarrow.decide.rulesets.versions import Agreed, Floor, Version
+from wingbarrow.decide.rulesets.versions import Floor, RuleSetState, Version
 from wingbarrow.decide.sessions import messages as sessions
 from wingbarrow.decide.sessions import session_log
 from wingbarrow.decide.sessions.messages import (
-    AskMachine,
-    Ended,
-    Keep,
-    KeepAnswer,
-    Kept,
-    Known,
-    MachineSays,
-    Record,
+    EndedSession,
+    HeldRecords,
+    KnownTask,
+    LeasedJobRecord,
+    MachineQuery,
+    MachineReport,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
     Session,
-    SessionsSaid,
-    SessionsTold,
-    Settle,
-    Settled,
+    SessionsReport,
+    SessionsResponse,
 )
-from wingbarrow.decide.sessions.session_log import Latest, Open, SessionLog
+from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
 from wingbarrow.interface import Phase
 from wingbarrow.peers import knowledge_pages, message
 from wingbarrow.peers.knowledge_pages import Page, Shares
@@ -73,25 +94,27 @@
 # -- parts of letters
 
 WORDS = (
-    Word("placer-1", 7, Standing.ALIVE, "127.0.0.1:7001", "north", 3),
-    Word("placer-2", 0, Standing.SUSPECTED, "127.0.0.1:7002", "", 0, "placer-1"),
-    Word("placer-3", 2, Standing.DEAD, "127.0.0.1:7003", "süd", 1, "placer-1"),
-    Word("placer-4", 9, Standing.LEFT, "[::1]:7004", "north", 1_780_000_000_000_000),
+    MemberUpdate("placer-1", 7, MemberStatus.ALIVE, "127.0.0.1:7001", "north", 3),
+    MemberUpdate("placer-2", 0, MemberStatus.SUSPECTED, "127.0.0.1:7002", "", 0, "placer-1"),
+    MemberUpdate("placer-3", 2, MemberStatus.DEAD, "127.0.0.1:7003", "süd", 1, "placer-1"),
+    MemberUpdate("placer-4", 9, MemberStatus.LEFT, "[::1]:7004", "north", 1_780_000_000_000_000),
 )
 SESSION = Session("placer-1", 1_780_000_000, 2)
 YOUNG = Session("placer-2", 0, 0)
-ENDED = Ended(5, SESSION, "north", (("placer-2", "placer-3"), ("placer-4",)), ("placer-3",), 7)
-ENDED_PLAIN = Ended(1, YOUNG, "")
+ENDED = EndedSession(
+    5, SESSION, "north", (("placer-2", "placer-3"), ("placer-4",)), ("placer-3",), 7
+)
+ENDED_PLAIN = EndedSession(1, YOUNG, "")
 KNOWN = (
-    Known(0, "none"),
-    Known(1, "about", "node-1", "job-1", 3),
-    Known(2, "doubt", "node-2", "job-2", 4),
-    Known(3, "placed", "node-3", "job-3", 5),
-    Known(4, "over", "node-4", "job-4", 6),
+    KnownTask(0, "none"),
+    KnownTask(1, "about", "node-1", "job-1", 3),
+    KnownTask(2, "doubt", "node-2", "job-2", 4),
+    KnownTask(3, "placed", "node-3", "job-3", 5),
+    KnownTask(4, "over", "node-4", "job-4", 6),
 )
 
 
-def _record(uid: str, effect: str, answered: str, **more: Any) -> Record:
+def _record(uid: str, effect: str, answered: str, **more: Any) -> LeasedJobRecord:
     told: dict[str, Any] = {
         "form": 1,
         "uid": uid,
@@ -114,14 +137,14 @@
         "answered": answered,
         "born_age_us": 17,
     }
-    return Record(**{**told, **more})
+    return LeasedJobRecord(**{**told, **more})
 
 
 RECORDS = (
     _record("u-1", "unsafe", "offered", tasks=KNOWN, others=("placer-4",), moves=2),
     _record("u-2", "keyed", "placed", tasks=KNOWN[:1]),
     _record("u-3", "safe", "failed", priority=-1),
-    Record(
+    LeasedJobRecord(
         form=0,
         uid="u-4",
         key="default/k",
@@ -144,12 +167,12 @@
         born_age_us=0,
     ),
 )
-VIEW = View((("hall-a", "rack-0", 3),), (("node-9", "hall-a", "rack-0"),), 1.5)
+VIEW = RegionView((("hall-a", "rack-0", 3),), (("node-9", "hall-a", "rack-0"),), 1.5)
 WANTED = (
-    Wanted("w@1/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 9, 8, "shorten", 7, 6),
-    Wanted("v", "node-2", "", "", "verdict", 0, 0, 0),
+    SlotRequest("w@1/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 9, 8, "shorten", 7, 6),
+    SlotRequest("v", "node-2", "", "", "verdict", 0, 0, 0),
 )
-TURNS_SAID = TurnsSaid(
+TURNS_SAID = MaintenanceReport(
     clear=(1,),
     empty=(2, 3),
     tried=(4,),
@@ -163,36 +186,38 @@
     view=VIEW,
     wants=WANTED,
 )
-ASK_FULL = Ask(
+ASK_FULL = LeaseRequest(
     number=4,
     edition=2,
     floor=1,
     life=1_780_000_000,
     up_us=5 * S,
-    stated=(Stated("cold", 3, 2, 4), Stated("class/web/rate", 0, 0, 0)),
+    stated=(QuotaReport("cold", 3, 2, 4), QuotaReport("class/web/rate", 0, 0, 0)),
     region="north",
-    evidence=(Evidence("node-1", 2, 3), Evidence("node-2", 0, 0)),
+    evidence=(HealthReport("node-1", 2, 3), HealthReport("node-2", 0, 0)),
     bad=1,
     tried=2,
-    sessions=SessionsSaid("north", 2, 3, (Kept(SESSION, 3, 5 * S), Kept(YOUNG, 0, 0)), 5, True),
+    sessions=SessionsReport(
+        "north", 2, 3, (HeldRecords(SESSION, 3, 5 * S), HeldRecords(YOUNG, 0, 0)), 5, True
+    ),
     turns=TURNS_SAID,
-    regions=RegionsSaid(
+    regions=RegionReport(
         "north", 96.0, 192.5, 12.25, 24.0, True, 9, 4, 3, (("shop", 1.5, 2.0), ("", 0.0, 0.0))
     ),
     reign=6,
     forward=True,
 )
-ASK_LEAST = Ask(0, 0, 0)
-ASK_PLAIN_PARTS = Ask(
+ASK_LEAST = LeaseRequest(0, 0, 0)
+ASK_PLAIN_PARTS = LeaseRequest(
     1,
     0,
     0,
-    sessions=SessionsSaid("", 0, 0),
-    turns=TurnsSaid(view=View(()), wants=()),
-    regions=RegionsSaid("south", 0.0, 0.0, 0.0, 0.0),
+    sessions=SessionsReport("", 0, 0),
+    turns=MaintenanceReport(view=RegionView(()), wants=()),
+    regions=RegionReport("south", 0.0, 0.0, 0.0, 0.0),
 )
-ASK_TURNS = Ask(2, 0, 0, turns=TurnsSaid())
-GRANT_FULL = Grant(
+ASK_TURNS = LeaseRequest(2, 0, 0, turns=MaintenanceReport())
+GRANT_FULL = LeaseGrant(
     number=4,
     edition=2,
     rules='{"attempts_most":4}',
@@ -201,58 +226,93 @@
     floor=1,
     floor_rules="{}",
     floor_us=60 * S,
-    rights=(Right("cold", 3), Right("class/web/rate", 0)),
-    closed=(Closed("node-1", 9, 8, "placer-1"), Closed("node-2", 0, 0, "")),
-    sessions=SessionsTold(True, 2, 10 * S, 7, (ENDED, ENDED_PLAIN), 1_780_000_000),
-    turns=TurnsTold(
+    rights=(QuotaGrant("cold", 3), QuotaGrant("class/web/rate", 0)),
+    closed=(Ejection("node-1", 9, 8, "placer-1"), Ejection("node-2", 0, 0, "")),
+    sessions=SessionsResponse(True, 2, 10 * S, 7, (ENDED, ENDED_PLAIN), 1_780_000_000),
+    turns=MaintenanceResponse(
         9, ((1, "node-1", "closing", "placer-1"), (2, "node-2", "asked", "")), (3,), True
     ),
     regions=(
-        RegionTold(
+        RegionSummary(
             "north", 1, 0.75, 2.5, 3.5, False, True, 4, 5, ("placer-1", "placer-2"), 6.5, 7.5
         ),
-        RegionTold("", 0, 0.0, 0.0, 0.0, True, False, 0, 0, ()),
+        RegionSummary("", 0, 0.0, 0.0, 0.0, True, False, 0, 0, ()),
     ),
     reign=6,
     leader="placer-1",
 )
-GRANT_LEAST = Grant(0, 0, "", 0, 0, 0, "", 0)
-GRANT_PLAIN_PARTS = Grant(
-    1, 0, "", 1, 0, 0, "", 0, sessions=SessionsTold(False, 0, 1, 0), turns=TurnsTold(0), regions=()
+GRANT_LEAST = LeaseGrant(0, 0, "", 0, 0, 0, "", 0)
+GRANT_PLAIN_PARTS = LeaseGrant(
+    1,
+    0,
+    "",
+    1,
+    0,
+    0,
+    "",
+    0,
+    sessions=SessionsResponse(False, 0, 1, 0),
+    turns=MaintenanceResponse(0),
+    regions=(),
+)
+ENTRIES = (
+    LogEntry(3, "", ""),
+    LogEntry(4, "voters", "a b"),
+    LogEntry(4, "turns/close", '{"number": 1}'),
 )
-ENTRIES = (Entry(3, "", ""), Entry(4, "voters", "a b"), Entry(4, "turns/close", '{"number": 1}'))
 
 # By the kind's word on the wire. What is left out on the wire has its default: `least` is read from that too.
 LETTERS: dict[str, tuple[Any, ...]] = {
-    "probe": (Probe(1, WORDS), Probe(0)),
-    "probe-for": (ProbeFor(2, "placer-1", "127.0.0.1:7001", WORDS[:1]), ProbeFor(0, "a", "b")),
+    "probe": (Ping(1, WORDS), Ping(0)),
+    "probe-for": (
+        PingRequest(2, "placer-1", "127.0.0.1:7001", WORDS[:1]),
+        PingRequest(0, "a", "b"),
+    ),
     "ack": (Ack(3, "placer-1", WORDS[1:3]), Ack(0, "")),
     "nack": (Nack(4, WORDS[3:]), Nack(0)),
     "sync": (Sync(True, WORDS), Sync(False)),
-    "vote-ask": (VoteAsk(3, 2, 1, True), VoteAsk(0, 0, 0, False)),
-    "vote-answer": (VoteAnswer(3, True, True), VoteAnswer(0, False, False)),
-    "append": (Append(4, 3, 2, ENTRIES, 1, 9), Append(0, 0, 0, (), 0, 0)),
-    "append-answer": (AppendAnswer(4, True, 3, 9), AppendAnswer(0, False, 0, 0)),
-    "install": (Install(4, 3, 2, "a b", '{"edition":1}', 9), Install(0, 0, 0, "", "", 0)),
+    "vote-ask": (VoteRequest(3, 2, 1, True), VoteRequest(0, 0, 0, False)),
+    "vote-answer": (VoteResponse(3, True, True), VoteResponse(0, False, False)),
+    "append": (AppendRequest(4, 3, 2, ENTRIES, 1, 9), AppendRequest(0, 0, 0, (), 0, 0)),
+    "append-answer": (AppendResponse(4, True, 3, 9), AppendResponse(0, False, 0, 0)),
+    "install": (
+        InstallSnapshot(4, 3, 2, "a b", '{"edition":1}', 9),
+        InstallSnapshot(0, 0, 0, "", "", 0),
+    ),
     "ask": (ASK_FULL, ASK_PLAIN_PARTS, ASK_TURNS, ASK_LEAST),
     "grant": (GRANT_FULL, GRANT_PLAIN_PARTS, GRANT_LEAST),
     "not-leader": (NotLeader(4, "placer-1"), NotLeader(0, "")),
-    "keep": (Keep(4, SESSION, RECORDS, ("u-8", "u-9"), 1_780_000_000, 2), Keep(0, YOUNG)),
+    "keep": (
+        ReplicateRequest(4, SESSION, RECORDS, ("u-8", "u-9"), 1_780_000_000, 2),
+        ReplicateRequest(0, YOUNG),
+    ),
     "keep-answer": (
-        KeepAnswer(
+        ReplicateResponse(
             4, SESSION, True, "full", True, 1_780_000_000, 2, (("u-1", 3, "placer-4"),), RECORDS[:1]
         ),
-        KeepAnswer(0, YOUNG, False),
+        ReplicateResponse(0, YOUNG, False),
+    ),
+    "settle": (ResolveRequest(4, SESSION, ("u-1", "u-2")), ResolveRequest(0, YOUNG, ())),
+    "settled": (
+        ResolveResponse(4, SESSION, (("u-1", 3, "run"), ("u-2", 0, ""))),
+        ResolveResponse(0, YOUNG, ()),
+    ),
+    "ask-machine": (MachineQuery(4, "node-1", "u-1", 3), MachineQuery(0, "", "", 0)),
+    "machine-says": (
+        MachineReport(4, "node-1", "u-1", True, True, 9),
+        MachineReport(0, "", "", False),
+    ),
+    "hand": (
+        ForwardRequest("placer-1/1/2", 3, 1, "shop", 4 * S, "{}"),
+        ForwardRequest("a", 0, 0, "", 0, ""),
+    ),
+    "hand-stop": (ForwardCancel("placer-1/1/2", 3), ForwardCancel("a", 0)),
+    "hand-says": (
+        ForwardStatus("placer-1/1/2", "taken", "node-1", "why", True),
+        ForwardStatus("a", ""),
     ),
-    "settle": (Settle(4, SESSION, ("u-1", "u-2")), Settle(0, YOUNG, ())),
-    "settled": (Settled(4, SESSION, (("u-1", 3, "run"), ("u-2", 0, ""))), Settled(0, YOUNG, ())),
-    "ask-machine": (AskMachine(4, "node-1", "u-1", 3), AskMachine(0, "", "", 0)),
-    "machine-says": (MachineSays(4, "node-1", "u-1", True, True, 9), MachineSays(0, "", "", False)),
-    "hand": (Hand("placer-1/1/2", 3, 1, "shop", 4 * S, "{}"), Hand("a", 0, 0, "", 0, "")),
-    "hand-stop": (HandStop("placer-1/1/2", 3), HandStop("a", 0)),
-    "hand-says": (HandSays("placer-1/1/2", "taken", "node-1", "why", True), HandSays("a", "")),
-    "ask-for": (AskFor("placer-1", ASK_FULL), AskFor("placer-2", ASK_LEAST)),
-    "grant-for": (GrantFor("placer-1", GRANT_FULL), GrantFor("placer-2", GRANT_LEAST)),
+    "ask-for": (RelayedRequest("placer-1", ASK_FULL), RelayedRequest("placer-2", ASK_LEAST)),
+    "grant-for": (RelayedGrant("placer-1", GRANT_FULL), RelayedGrant("placer-2", GRANT_LEAST)),
 }
 
 
@@ -420,13 +480,13 @@
 
 
 def read_rules(text: str) -> RuleSet:
-    return ruleset.read(text)
+    return ruleset.parse_rule_set(text)
 
 
 # -- snapshots
 
 _FEDERATION_DIGEST = blake2b(b"R north;S plain 0 - - - n/0/1 c 60 90 r;", digest_size=8).hexdigest()
-AGREED = Agreed(
+AGREED = RuleSetState(
     4,
     RULES.text(),
     3,
@@ -443,8 +503,8 @@
 _LATER = Session("placer-1", 1_780_000_000, 3)
 SESSIONS = SessionLog(
     7,
-    {_LATER: Open("north", 10 * S), YOUNG: Open("", 4 * S)},
-    {"placer-2": Latest(0, YOUNG), "placer-1": Latest(1_780_000_001, _LATER)},
+    {_LATER: OpenSession("north", 10 * S), YOUNG: OpenSession("", 4 * S)},
+    {"placer-2": LatestSession(0, YOUNG), "placer-1": LatestSession(1_780_000_001, _LATER)},
     {SESSION: ENDED},
     {
         SESSION: {
@@ -455,12 +515,12 @@
     },
 )
 BLOCKS = {
-    "cold": Block({"p": (2, 3), "q": (0, 0)}, [("p", 6, 4)]),
-    "namespace/default/standing": Block(),
+    "cold": Allocation({"p": (2, 3), "q": (0, 0)}, [("p", 6, 4)]),
+    "namespace/default/standing": Allocation(),
 }
 TURNS = {
-    1: Turn(1, "node-1", "", "", "", "operator", 0, 0, 1, 0, ""),
-    7: Turn(
+    1: Slot(1, "node-1", "", "", "", "operator", 0, 0, 1, 0, ""),
+    7: Slot(
         number=7,
         machine="node-7",
         region="north",
@@ -486,14 +546,14 @@
 }
 
 
-def _blocks() -> Blocks:
-    made = Blocks(2 * S)
+def _blocks() -> AllocationLedger:
+    made = AllocationLedger(2 * S)
     made.serial, made.doubt, made.lives, made.blocks = 9, True, {"q": 7, "p": 8}, dict(BLOCKS)
     return made
 
 
-def _queue() -> Queue:
-    made = Queue()
+def _queue() -> SlotQueue:
+    made = SlotQueue()
     made.turns, made.last, made.version, made.clock_us = dict(TURNS), 8, 12, 99
     made.outcomes, made.windowed = {"x": (1, ""), "y": (0, "no")}, {"00ff": 77}
     return made
@@ -504,7 +564,7 @@
     return {
         "agreed": AGREED.text(),
         "sessions": SESSIONS.text(),
-        "blocks": _blocks().text(),
+        "blocks": _blocks().snapshot(),
         "turns": _queue().text(),
     }
 
@@ -518,14 +578,14 @@
         log = session_log.from_text(text)
         return log, SESSIONS, log.text()
     if name == "blocks":
-        blocks, held = Blocks(2 * S), _blocks()
+        blocks, held = AllocationLedger(2 * S), _blocks()
         blocks.restore(text)
         return (
             _of(blocks, "serial doubt lives blocks"),
             _of(held, "serial doubt lives blocks"),
-            blocks.text(),
+            blocks.snapshot(),
         )
-    queue, whole = Queue(), "turns last version clock_us outcomes windowed"
+    queue, whole = SlotQueue(), "turns last version clock_us outcomes windowed"
     queue.restore(text)
     return _of(queue, whole), _of(_queue(), whole), queue.text()
 
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -12,7 +12,7 @@
 import click
 from prometheus_client.parser import text_string_to_metric_families
 
-from wingbarrow.decide.rulesets.canary import Count
+from wingbarrow.decide.rulesets.canary import AnswerCounts
 from wingbarrow.http.client import CallFailed, Pool
 from wingbarrow.http.watching import call, list_all, watch
 from wingbarrow.kube.status import ApiError
@@ -76,7 +76,7 @@
         except (ApiError, CallFailed) as error:
             raise CommandFailed(str(error)) from None
 
-    def answers(self) -> Count:
+    def answers(self) -> AnswerCounts:
         """Final answers that this placer has given, and those that placed nothing."""
         try:
             response = self._pool.request("GET", "/metrics", until_us=self._until())
@@ -90,7 +90,7 @@
             for sample in family.samples
             if sample.name.endswith("_total")
         }
-        return Count(
+        return AnswerCounts(
             sum(found.values()), sum(count for answer, count in found.items() if answer != "placed")
         )
 
@@ -231,9 +231,9 @@
 
     def __init__(self, first: Client) -> None:
         self._clients = [first, *first.others()]
-        self._last: dict[int, Count] = {}
+        self._last: dict[int, AnswerCounts] = {}
 
-    def count(self) -> Count:
+    def count(self) -> AnswerCounts:
         """All together, as of now; CommandFailed where none can be asked."""
         failed: CommandFailed | None = None
         for number, client in enumerate(self._clients):
@@ -242,16 +242,16 @@
             except CommandFailed as error:
                 failed = error
                 continue
-            before = self._last.get(number, Count(0, 0))
+            before = self._last.get(number, AnswerCounts(0, 0))
             # One that began anew counts from nothing: its former answers stay in the sum.
             self._last[number] = (
                 told
                 if told.answers >= before.answers
-                else Count(before.answers + told.answers, before.bad + told.bad)
+                else AnswerCounts(before.answers + told.answers, before.bad + told.bad)
             )
         if not self._last and failed is not None:
             raise failed
-        return Count(
+        return AnswerCounts(
             sum(each.answers for each in self._last.values()),
             sum(each.bad for each in self._last.values()),
         )
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -14,9 +14,9 @@
 from wingbarrow.cli.client import URL, Client, CommandFailed, FleetAnswers, with_client
 from wingbarrow.config import PlacerSettings, SettingsError, load_file, parse_duration
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
-from wingbarrow.decide.rulesets.canary import Advice, Trial
+from wingbarrow.decide.rulesets.canary import CanaryAdvice, CanaryAnalysis
 from wingbarrow.decide.rulesets.diff import differences
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, read
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, parse_rule_set
 from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
 from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
 from wingbarrow.store.voter_store import StoreFailed, create
@@ -67,13 +67,15 @@
 def _version(state: dict[str, Any], number: int) -> RuleSet:
     for each in state["versions"]:
         if each["number"] == number and each["rules"] is not None:
-            return read(json.dumps(each["rules"]))
+            return parse_rule_set(json.dumps(each["rules"]))
     kept = [str(each["number"]) for each in state["versions"] if each["rules"] is not None]
     raise CommandFailed(f"version {number} is not kept; there are {', '.join(kept) or 'none'}")
 
 
 def _back(state: dict[str, Any], number: int) -> RuleSet:
-    return keeping_drains(_version(state, number), read(json.dumps(state["versions"][-1]["rules"])))
+    return keeping_drains(
+        _version(state, number), parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
+    )
 
 
 def _propose(
@@ -144,7 +146,7 @@
     def call(client: Client) -> int:
         state, wanted = _voter(client), asked
         if state["versions"]:
-            now = read(json.dumps(state["versions"][-1]["rules"]))
+            now = parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
             wanted = keeping_drains(asked, now)
             for line in differences(now, wanted):
                 click.echo(line)
@@ -161,26 +163,28 @@
         if fleet is None or begun is None or watch_s is None or dry_run:
             return 0
         at = fleet.count()
-        trial = Trial(at.since(begun), at, bound, int(watch_s * SECOND))
+        trial = CanaryAnalysis(at.since(begun), at, bound, int(watch_s * SECOND))
         return _watch(client, fleet, trial, watch_s, version)
 
     sys.exit(with_client(url, call))
 
 
-def _watch(client: Client, fleet: FleetAnswers, trial: Trial, seconds: float, before: int) -> int:
+def _watch(
+    client: Client, fleet: FleetAnswers, trial: CanaryAnalysis, seconds: float, before: int
+) -> int:
     """Keep the change, or take it back: 0 or 3."""
     passed, step = 0.0, min(1.0, seconds / 5)
     while True:
         client.sleep(step)
         passed += step
         advice = trial.judge(int(passed * SECOND), fleet.count())
-        if advice is Advice.KEEP:
+        if advice is CanaryAdvice.KEEP:
             click.echo(
                 f"kept: of {trial.after.answers} answers of {fleet.placers} placer(s) {trial.after.share:.1%} "
                 f"placed nothing, {trial.rise:+.1%} beside before"
             )
             return 0
-        if advice is Advice.BACK:
+        if advice is CanaryAdvice.BACK:
             click.echo(
                 f"of {trial.after.answers} answers {trial.after.share:.1%} placed nothing, {trial.rise:+.1%} "
                 f"beside before: back to version {before}"
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -9,12 +9,12 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.coordination.leases import Acting
+from wingbarrow.decide.coordination.leases import RulesInForce
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.gate import Held
-from wingbarrow.decide.quotas.escrow import Purse
+from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.ruleset import RuleSet, read
+from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
 from wingbarrow.transport import Signal
@@ -24,13 +24,13 @@
 LOOK_US = 100_000  # they look again so often, as tasks that end free rights too
 
 
-class Rulebook:
+class ActiveRules:
     """`acting` tells what may be acted on at a time; None where placers agree on nothing here."""
 
     def __init__(self, base: Base, host: Host) -> None:
         self._base, self._host = base, host
-        self.acting: Callable[[int], Acting | None] | None = None
-        self.purse: Callable[[], Purse | None] = lambda: None
+        self.acting: Callable[[int], RulesInForce | None] | None = None
+        self.purse: Callable[[], QuotaAccount | None] = lambda: None
         self._cold: int | None = (
             None  # this placer's part of the cold budget, where it is held in parts
         )
@@ -63,7 +63,7 @@
         self._base.log("rules", label=label or "none")
         if not text:
             return
-        self._rules, self._text = read(text), text
+        self._rules, self._text = parse_rule_set(text), text
         self._by_rights = label.startswith("e") and any(
             each.about == "cold" for each in self._rules.limits
         )
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -6,17 +6,17 @@
 
 from wingbarrow.core.base import Base
 from wingbarrow.core.events import Events, event_fields
-from wingbarrow.core.job_store import Book, JobRecord
+from wingbarrow.core.job_store import JobRecord, JobStore
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.kube import names
 from wingbarrow.kube.store import Store, Stored
 
 
-class Board:
+class ApiObjects:
     """Jobs are shown once for all that one event brought about; Nodes as the list and the calendar have them."""
 
-    def __init__(self, base: Base, book: Book) -> None:
+    def __init__(self, base: Base, book: JobStore) -> None:
         self._base = base
         self._book = book
         # The wall clock lies above every version of an earlier life, at less than a change a microsecond.
--- a/wingbarrow/core/checkpoint.py
+++ b/wingbarrow/core/checkpoint.py
@@ -13,7 +13,7 @@
 ALIVE_EVERY_US = 1_000_000
 
 
-class Keeper:
+class Checkpoint:
     """Without a folder for state, nothing is kept and nothing is known at a start."""
 
     def __init__(self, base: Base, fleet: Fleet) -> None:
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
@@ -22,7 +22,13 @@
     """Owns which machines are closed, or close for long tasks."""
 
     def __init__(
-        self, base: Base, host: Host, fleet: Fleet, attempts: Attempts, runs: Runs, board: Board
+        self,
+        base: Base,
+        host: Host,
+        fleet: Fleet,
+        attempts: Attempts,
+        runs: Runs,
+        board: ApiObjects,
     ) -> None:
         self._base, self._host, self._fleet, self._attempts = base, host, fleet, attempts
         self._runs, self._board = runs, board
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.intake import read_job
-from wingbarrow.core.job_store import RUNNING, Book, JobRecord, Leased, State, Step, TaskRecord
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_store import RUNNING, JobRecord, JobStore, Leased, State, Step, TaskRecord
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.pods import PodSight
@@ -27,9 +27,14 @@
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.sessions.failover import Start
-from wingbarrow.decide.sessions.messages import MachineSays, Record, Session, read_session
-from wingbarrow.decide.sessions.recovery import Own
+from wingbarrow.decide.sessions.failover import StartOrder
+from wingbarrow.decide.sessions.messages import (
+    LeasedJobRecord,
+    MachineReport,
+    Session,
+    read_session,
+)
+from wingbarrow.decide.sessions.recovery import OwnJob
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, not_found
 
@@ -46,21 +51,21 @@
 Fields = Mapping[str, Any]
 
 
-class Successor:
+class JobFailover:
     """Hears what the replication of records tells, and carries it out in the book, at machines and with the module."""
 
     def __init__(
         self,
         base: Base,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
-        board: Board,
+        board: ApiObjects,
         machines: Machines,
         fleet: Fleet,
         requests: Requests,
         runs: Runs,
         stops: Stops,
-        holder: Leaseholder,
+        holder: LeasedJobs,
     ) -> None:
         self._base, self._book, self._attempts, self._board = base, book, attempts, board
         self._machines, self._fleet, self._requests, self._runs, self._stops = (
@@ -74,7 +79,7 @@
         self._asking = 0
         self._showing = False
         self._given_up: dict[
-            str, dict[str, tuple[Own, JobRecord]]
+            str, dict[str, tuple[OwnJob, JobRecord]]
         ] = {}  # by session: what it had when that ended
         self._pending: dict[str, TaskRecord] = {}  # runs that were taken over and do not stand yet
         self._told: set[tuple[str, str]] = set()  # strays that were told of
@@ -93,7 +98,7 @@
 
     # -- others' Jobs
 
-    def _spec(self, record: Record, federation: Federation) -> Spec | None:
+    def _spec(self, record: LeasedJobRecord, federation: Federation) -> Spec | None:
         """As it stands now; a name that stood between two versions only gives way to what its Job and class name."""
         found = federation.named.get(record.spec)
         if found is None:
@@ -107,14 +112,14 @@
                 return None
         return found
 
-    def _terms(self, record: Record) -> tuple[tuple[str, ...], int]:
+    def _terms(self, record: LeasedJobRecord) -> tuple[tuple[str, ...], int]:
         federation = self._holder.federation()
         spec = self._spec(record, federation)
         if spec is None or spec.failover is None:
             return (), 1
         return allowed(spec, federation), spec.failover.copies
 
-    def _may(self, record: Record, free: tuple[float, float]) -> bool:
+    def _may(self, record: LeasedJobRecord, free: tuple[float, float]) -> bool:
         """Whether its spec has it run here after its region's loss, as specs stand now."""
         federation, here = self._holder.federation(), self._base.settings.region
         spec = self._spec(record, federation)
@@ -160,7 +165,7 @@
             else:
                 self._pending.pop(task.name, None)
 
-    def _start(self, start: Start) -> None:
+    def _start(self, start: StartOrder) -> None:
         record, session = start.record, self._records.custodian.custody.session
         job = self._shown(record)
         if job is None:
@@ -181,7 +186,7 @@
                 self._requests.ask(task)
         self._board.mark(job)
 
-    def _shown(self, record: Record) -> JobRecord | None:
+    def _shown(self, record: LeasedJobRecord) -> JobRecord | None:
         """A Job in the book, as its record says; None, and told, where it cannot be read here."""
         held = self._book.jobs.get(record.key)
         if held is not None and held.uid == record.uid:
@@ -323,7 +328,7 @@
             up_us = fenced.up_us if fenced is not None and fenced.sure else 0
             self._records.say(
                 str(told["to"]),
-                MachineSays(
+                MachineReport(
                     int(told["number"]),
                     str(told["machine"]),
                     str(told["uid"]),
@@ -337,7 +342,7 @@
 
     # -- this placer's own Jobs, once it has no say over them
 
-    def _own(self, session: Session) -> Mapping[str, Own]:
+    def _own(self, session: Session) -> Mapping[str, OwnJob]:
         if session.placer != self._base.settings.name:
             return {}
         text = session.text()
@@ -347,7 +352,7 @@
             held = custody.jobs.get(job.uid) or custody.former.get(job.uid)
             if job.leased is not None and job.leased.session == text and held is not None:
                 had[job.uid] = (
-                    Own(held.record, any(task.state in RUNNING for task in job.tasks)),
+                    OwnJob(held.record, any(task.state in RUNNING for task in job.tasks)),
                     job,
                 )
         while len(self._given_up) > ENDED_MOST:
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry, read_node
-from wingbarrow.core.observations import Sightings
+from wingbarrow.core.observations import Observations
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.restarts import Rebirth
@@ -37,11 +37,11 @@
         self,
         base: Base,
         host: Host,
-        board: Board,
+        board: ApiObjects,
         machines: Machines,
         attempts: Attempts,
         runs: Runs,
-        sightings: Sightings,
+        sightings: Observations,
     ) -> None:
         self._base, self._host, self._board, self._machines = base, host, board, machines
         self._attempts, self._runs, self._sightings = attempts, runs, sightings
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.core.active_rules import Rulebook
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.active_rules import ActiveRules
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.intake import job_value, read_job
-from wingbarrow.core.job_store import OPEN, Book, State, Step, TaskRecord
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_store import OPEN, JobStore, State, Step, TaskRecord
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -28,21 +28,21 @@
     return str((value["metadata"].get("annotations") or {}).get(names.FEDERATION, ""))
 
 
-class Desk:
+class JobAdmission:
     """Owns the door; every limit on what comes in is asked here."""
 
     def __init__(
         self,
         base: Base,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
-        board: Board,
+        board: ApiObjects,
         requests: Requests,
         runs: Runs,
         stops: Stops,
         closing: Closing,
-        rulebook: Rulebook,
-        leaseholder: Leaseholder | None = None,
+        rulebook: ActiveRules,
+        leaseholder: LeasedJobs | None = None,
         elsewhere: Elsewhere | None = None,
     ) -> None:
         self._rulebook, self._leaseholder, self._elsewhere = rulebook, leaseholder, elsewhere
--- a/wingbarrow/core/job_store.py
+++ b/wingbarrow/core/job_store.py
@@ -141,7 +141,7 @@
         return sum(self.counts[state] for state in OPEN)
 
 
-class Book:
+class JobStore:
     """All Jobs of one placer, with bounds on what is open and on what is remembered."""
 
     def __init__(self, admission: Admission, jobs_kept: int) -> None:
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -14,9 +14,9 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest
-from wingbarrow.core.job_store import OPEN, Book, JobRecord, Leased, State, Step, TaskRecord
+from wingbarrow.core.job_store import OPEN, JobRecord, JobStore, Leased, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
-from wingbarrow.core.machine_leases import Leases
+from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.pods import Ended
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -25,7 +25,7 @@
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.regions.reports import LEASED_MOST
-from wingbarrow.decide.sessions.messages import FORM, OFFERED, Known, Record
+from wingbarrow.decide.sessions.messages import FORM, OFFERED, KnownTask, LeasedJobRecord
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.replication import RecordReplication
@@ -37,19 +37,19 @@
 ANSWER_US = 20_000  # of the owner's patience, kept for the answer itself
 
 
-class Leaseholder:
+class LeasedJobs:
     """`federation` tells the specs in force."""
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
         requests: Requests,
         runs: Runs,
         stops: Stops,
-        leases: Leases,
+        leases: MachineLeases,
         records: RecordReplication,
         federation: Callable[[], Federation],
     ) -> None:
@@ -154,12 +154,14 @@
         """Whether the voters ended a session, as far as was heard here."""
         return any(each.text() == session for each in self._leases.lease.ended)
 
-    def record(self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str) -> Record:
+    def record(
+        self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str
+    ) -> LeasedJobRecord:
         """A Job as its keeper is to have it."""
         told, session = asked.task_class.task_class, self._leases.session
         assert session is not None
         assert spec.failover is not None
-        return Record(
+        return LeasedJobRecord(
             FORM,
             uid,
             key,
@@ -213,7 +215,7 @@
         if job.asked.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
         known, until = (
-            Known(attempt.task.index, "about", link.name, attempt.key),
+            KnownTask(attempt.task.index, "about", link.name, attempt.key),
             attempt.deadline_us,
         )
         self._told.add(attempt.key)
@@ -256,7 +258,7 @@
             return True
         if attempt.confirming:
             return False
-        known = Known(task.index, "placed", attempt.link.name, attempt.key)
+        known = KnownTask(task.index, "placed", attempt.link.name, attempt.key)
         if task.answered:
             # A run, of which nobody is owed an answer: it is not stopped for want of a keeper's word.
             self.records.placed(task.job.uid, known, task.deadline_us, lambda why: None)
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -7,8 +7,8 @@
 
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.job_store import Book, State
-from wingbarrow.decide.regions.reports import RegionsSaid
+from wingbarrow.core.job_store import JobStore, State
+from wingbarrow.decide.regions.reports import RegionReport
 from wingbarrow.interface import Phase
 
 LATELY_US = 10_000_000
@@ -19,16 +19,16 @@
 class OwnRegion:
     """Sums, as of the last look."""
 
-    def __init__(self, base: Base, book: Book, fleet: Fleet) -> None:
+    def __init__(self, base: Base, book: JobStore, fleet: Fleet) -> None:
         self._base, self._book, self._fleet = base, book, fleet
         self._seen: deque[tuple[int, int, int]] = (
             deque()
         )  # when, what came in all, what of it was refused
-        self._said: RegionsSaid | None = None
+        self._said: RegionReport | None = None
         self._at_us = -EVERY_US
         self.leased: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
 
-    def say(self, now_us: int) -> RegionsSaid | None:
+    def say(self, now_us: int) -> RegionReport | None:
         """With an ask; None without a region, machines, or a list of them."""
         settings = self._base.settings
         if (
@@ -42,7 +42,7 @@
             self._at_us, self._said = now_us, self._sum(now_us)
         return self._said
 
-    def _sum(self, now_us: int) -> RegionsSaid:
+    def _sum(self, now_us: int) -> RegionReport:
         """Where this placer holds a part of the machines, what that part has stands for the whole."""
         scheduler, sizes = self._base.settings.scheduler, self._base.sizes
         whole, machines = [0.0, 0.0], 0
@@ -60,7 +60,7 @@
         whole, free = [each / part for each in whole], [each / part for each in free]
         machines = round(machines / part)
         came, refused = self._lately(now_us)
-        return RegionsSaid(
+        return RegionReport(
             self._base.settings.region,
             round(whole[0], 3),
             round(whole[1], 3),
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -15,7 +15,7 @@
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.decide.sessions.messages import Session
-from wingbarrow.decide.sessions.sessions import Lease
+from wingbarrow.decide.sessions.sessions import SessionLease
 
 PARTS, LOOKS = (
     3,
@@ -38,10 +38,10 @@
         return f"{self.boot}:{max(0, self.at_us + here_us - self.came_us)}"
 
 
-class Leases:
+class MachineLeases:
     """Owns what is known of machines' clocks, and which machines hold leased tasks."""
 
-    def __init__(self, base: Base, machines: Machines, lease: Lease, lease_us: int) -> None:
+    def __init__(self, base: Base, machines: Machines, lease: SessionLease, lease_us: int) -> None:
         self._base, self._machines, self.lease, self.lease_us = base, machines, lease, lease_us
         self._clocks: dict[MachineLink, Clock] = {}
         self._held: dict[str, Counter[str]] = {}  # by session: leased attempts on each machine
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -18,11 +18,11 @@
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.outlier_ejection import FAULTS
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.maintenance.calendar import wanted
-from wingbarrow.decide.maintenance.participant import Known, TurnSide
-from wingbarrow.decide.maintenance.slots import View, Wanted
+from wingbarrow.decide.maintenance.participant import KnownSlot, MaintenanceMember
+from wingbarrow.decide.maintenance.slots import RegionView, SlotRequest
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.kube import names
 
@@ -72,8 +72,8 @@
         attempts: Attempts,
         stops: Stops,
         closing: Closing,
-        side: TurnSide,
-        agreement: Callable[[], Agreement | None],
+        side: MaintenanceMember,
+        agreement: Callable[[], Coordinator | None],
         rules: Callable[[], RuleSet | None],
     ) -> None:
         self._base, self._fleet, self._machines, self._attempts = base, fleet, machines, attempts
@@ -82,7 +82,7 @@
         self._talks: dict[int, _Talk] = {}
         self._seen: dict[str, _Seen] = {}
         self._shut: frozenset[str] = frozenset()
-        self._wants: tuple[int, list[Wanted]] = -WANTS_US, []
+        self._wants: tuple[int, list[SlotRequest]] = -WANTS_US, []
         self._allowance, self._earned_us = 0.0, base.hub.now_us()
         self._calls = 0
         side.eyes = self
@@ -121,7 +121,7 @@
         talk = self._talks.get(number)
         return talk.came_to if talk is not None else ""
 
-    def view(self) -> View | None:
+    def view(self) -> RegionView | None:
         """The region as this placer's list has it; None before there is a list."""
         if not self._fleet.ready:
             return None
@@ -134,7 +134,7 @@
             for name, each in self._seen.items()
             if name in bad or self._is_lost(now, each, states.get(name))
         ]
-        return View(
+        return RegionView(
             tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
             tuple(sorted(lost)),
             self._used(list(states.values())),
@@ -158,7 +158,7 @@
             states
         )  # by estimate: a list may tell of more room than there is
 
-    def wants(self) -> Sequence[Wanted]:
+    def wants(self) -> Sequence[SlotRequest]:
         """What windows want by now, and machines that verdicts closed again and again."""
         now, rules = self._base.hub.now_us(), self._rules()
         if rules is None or now - self._wants[0] < WANTS_US:
@@ -170,7 +170,9 @@
         for each in states:
             if each.name in struck:
                 ident = f"verdict-{each.name}-{self._base.hub.clock.wall_us() // LOST_US}"
-                found.append(Wanted(ident, each.name, each.zone, each.cell, "verdict", 6, 0, 0))
+                found.append(
+                    SlotRequest(ident, each.name, each.zone, each.cell, "verdict", 6, 0, 0)
+                )
         self._wants = now, found
         return found
 
@@ -233,7 +235,7 @@
         for name in [name for name, each in self._seen.items() if now - each.at_us > LOST_US]:
             del self._seen[name]
 
-    def _speak(self, now: int, turn: Known) -> None:
+    def _speak(self, now: int, turn: KnownSlot) -> None:
         """Tell the machine the turn's number, and hear what it says; all may, one is to."""
         link = self._machines.links.get(turn.machine)
         mine, talk = turn.hand == self.side.me, self._talks.setdefault(turn.number, _Talk())
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -6,8 +6,8 @@
 
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.job_store import OPEN, Book, State, TaskRecord
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_store import OPEN, JobStore, State, TaskRecord
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -24,11 +24,11 @@
     def __init__(
         self,
         base: Base,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
         requests: Requests,
         runs: Runs,
-        holder: Leaseholder,
+        holder: LeasedJobs,
         elsewhere: Elsewhere,
     ) -> None:
         self._base, self._attempts, self._requests, self._runs = base, attempts, requests, runs
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -11,7 +11,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.offers import Offers
-from wingbarrow.core.orphans import Strays
+from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Phase, PodSight, read_pod
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide import retries as again
@@ -24,11 +24,17 @@
 }
 
 
-class Sightings:
+class Observations:
     """`told` is called with a machine's name once it has listed what it runs."""
 
     def __init__(
-        self, base: Base, host: Host, attempts: Attempts, offers: Offers, runs: Runs, strays: Strays
+        self,
+        base: Base,
+        host: Host,
+        attempts: Attempts,
+        offers: Offers,
+        runs: Runs,
+        strays: Orphans,
     ) -> None:
         self._base, self._host, self._attempts = base, host, attempts
         self._offers, self._runs, self._strays = offers, runs, strays
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -5,15 +5,15 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
-from wingbarrow.core.active_rules import Rulebook
+from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
-from wingbarrow.core.job_store import Book, State
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_store import JobStore, State
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.orphans import Strays
+from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide import retries as again
@@ -43,13 +43,13 @@
         self,
         base: Base,
         host: Host,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
         machines: Machines,
         requests: Requests,
-        strays: Strays,
-        rulebook: Rulebook,
-        leaseholder: Leaseholder | None = None,
+        strays: Orphans,
+        rulebook: ActiveRules,
+        leaseholder: LeasedJobs | None = None,
     ) -> None:
         self._rulebook, self._leaseholder = rulebook, leaseholder
         self._base, self._host, self._book, self._attempts, self._machines = (
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -8,12 +8,12 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core import saved_list as saved
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest, job_value
-from wingbarrow.core.job_store import Book, State, Step, TaskRecord
+from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.pods import Phase, PodSight, expected_left_us, pod_resources
 from wingbarrow.core.requests import Requests
@@ -24,16 +24,16 @@
 from wingbarrow.kube import names
 
 
-class Strays:
+class Orphans:
     """Owns what is known of this placer's former life."""
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
-        board: Board,
+        board: ApiObjects,
         requests: Requests,
         runs: Runs,
         stops: Stops,
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -9,7 +9,7 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.coordination.coordinator import Coordinator
 
 # A refusal for want of room is no fault of a machine's, and what was not sent or given up here none either.
 FAULTS = (api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.UNREACHABLE, api.Outcome.BROKEN)
@@ -18,7 +18,9 @@
 class Verdicts:
     """`agreement` gives the state machine that placers agree by, None where there is none."""
 
-    def __init__(self, base: Base, fleet: Fleet, agreement: Callable[[], Agreement | None]) -> None:
+    def __init__(
+        self, base: Base, fleet: Fleet, agreement: Callable[[], Coordinator | None]
+    ) -> None:
         self._base, self._fleet, self._agreement = base, fleet, agreement
         self._closed: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
