--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -8,27 +8,27 @@
 from wingbarrow import interface as api
 from wingbarrow.config import PlacerSettings
 from wingbarrow.config.subsetting import module_settings
-from wingbarrow.core.active_rules import Rulebook
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.active_rules import ActiveRules
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.checkpoint import Keeper
+from wingbarrow.core.checkpoint import Checkpoint
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.core.failover import Successor
+from wingbarrow.core.failover import JobFailover
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
-from wingbarrow.core.job_admission import Desk
-from wingbarrow.core.job_store import Book, Step
-from wingbarrow.core.leased_jobs import Leaseholder
+from wingbarrow.core.job_admission import JobAdmission
+from wingbarrow.core.job_store import JobStore, Step
+from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.local_region import OwnRegion
-from wingbarrow.core.machine_leases import Leases
+from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import MaintenanceSlots
 from wingbarrow.core.migrations import Mover
-from wingbarrow.core.observations import Sightings
+from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
-from wingbarrow.core.orphans import Strays
+from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.outlier_ejection import Verdicts
 from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
@@ -37,7 +37,7 @@
 from wingbarrow.core.stops import Stops
 from wingbarrow.core.subset import Subset
 from wingbarrow.decide.admission import Admission
-from wingbarrow.decide.coordination.leases import Acting
+from wingbarrow.decide.coordination.leases import RulesInForce
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
 from wingbarrow.peers.message_bounds import HANDING
@@ -51,7 +51,7 @@
     """Who carries out what the module decides."""
 
     def __init__(
-        self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: Board
+        self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: ApiObjects
     ) -> None:
         self._offers, self._requests, self._runs, self._fleet, self._board = (
             offers,
@@ -86,31 +86,31 @@
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
         base = self.base = Base(hub, settings, log)
         limits = settings.limits
-        book = self.book = Book(
+        book = self.book = JobStore(
             Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
         )
         attempts = self.attempts = Attempts()
         machines = self.machines = Machines()
         host = self.host = Host(base, module_settings(settings))
-        board = self.board = Board(base, book)
+        board = self.board = ApiObjects(base, book)
         requests = Requests(base, host, book, attempts, board)
         self.waits = requests.waits
         stops = self.stops = Stops(
             hub, random.Random(base.random.random()), base.spawn, base.counts
         )
         runs = Runs(base, book, attempts, board, requests, stops)
-        strays = Strays(base, host, book, attempts, board, requests, runs, stops)
-        rulebook = self.rulebook = Rulebook(base, host)
+        strays = Orphans(base, host, book, attempts, board, requests, runs, stops)
+        rulebook = self.rulebook = ActiveRules(base, host)
         self.peering = Peering(hub, settings, base.born_us, log)
-        self.leases: Leases | None = None
+        self.leases: MachineLeases | None = None
         self.turns: MaintenanceSlots | None = None
-        self.leaseholder: Leaseholder | None = None
+        self.leaseholder: LeasedJobs | None = None
         if settings.agree is not None and settings.region:
-            leases = self.leases = Leases(
+            leases = self.leases = MachineLeases(
                 base, machines, self.peering.lease, settings.agree.lease_us
             )
             records = RecordReplication(hub, settings, base.born_us, self.peering)
-            self.leaseholder = Leaseholder(
+            self.leaseholder = LeasedJobs(
                 base,
                 host,
                 book,
@@ -126,12 +126,12 @@
         offers = self.offers = Offers(
             base, host, book, attempts, machines, requests, strays, rulebook, self.leaseholder
         )
-        sightings = Sightings(base, host, attempts, offers, runs, strays)
+        sightings = Observations(base, host, attempts, offers, runs, strays)
         fleet = self.fleet = Fleet(base, host, board, machines, attempts, runs, sightings)
         self.hearsay = Hearsay(base, host, fleet, machines, sightings)
-        self.successor: Successor | None = None
+        self.successor: JobFailover | None = None
         if self.leaseholder is not None:
-            self.successor = Successor(
+            self.successor = JobFailover(
                 base,
                 book,
                 attempts,
@@ -147,7 +147,7 @@
         closing = Closing(base, host, fleet, attempts, runs, board)
         self.mover: Mover | None = None
         elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
-        desk = self.desk = Desk(
+        desk = self.desk = JobAdmission(
             base,
             book,
             attempts,
@@ -170,7 +170,7 @@
                     base, book, attempts, requests, runs, self.leaseholder, elsewhere
                 )
         host.hands = _Hands(offers, requests, runs, fleet, board)
-        self._keeper = Keeper(base, fleet)
+        self._keeper = Checkpoint(base, fleet)
         if settings.agree is not None:
             rulebook.pass_again = lambda names: fleet.take_again(
                 [entry for name, entry in fleet.held.items() if name in names]
@@ -294,7 +294,7 @@
         table = self.peering.membership.table
         return frozenset(each.word.ident for each in table.living()), len(table.members)
 
-    def _acting(self, now_us: int) -> Acting | None:
+    def _acting(self, now_us: int) -> RulesInForce | None:
         agreement = self.peering.agreement
         return agreement.acting(now_us) if agreement is not None else None
 
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.base import Base
 from wingbarrow.core.intake import JobRequest
-from wingbarrow.core.job_store import Book, JobRecord, State, Step, TaskRecord
+from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
-from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.effects import Effect, Notify
 from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.regions import forwarding as handing
@@ -29,10 +29,15 @@
 class Elsewhere:
     """`act` carries out effects by mail; `submit` takes a handed Job in, within what is left of patience."""
 
-    def __init__(self, base: Base, book: Book, board: Board, requests: Requests, life: int) -> None:
+    def __init__(
+        self, base: Base, book: JobStore, board: ApiObjects, requests: Requests, life: int
+    ) -> None:
         self._base, self._book, self._board, self._requests = base, book, board, requests
-        self.giving, self.taking = handing.Giving(base.settings.name, life), handing.Taking(life)
-        self.budget = handing.Budget()
+        self.giving, self.taking = (
+            handing.ForwardSender(base.settings.name, life),
+            handing.ForwardReceiver(life),
+        )
+        self.budget = handing.ForwardBudget()
         self.news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
         self.targets: Callable[[tuple[str, ...]], list[handing.Target]] = (
             lambda names: []
@@ -227,7 +232,7 @@
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """A letter about handing over."""
-        if isinstance(message, handing.HandSays):
+        if isinstance(message, handing.ForwardStatus):
             return self._carry(self.giving.on_message(now_us, ident, address, message))
         return self._carry(self.taking.on_message(now_us, ident, address, message))
 
@@ -239,11 +244,11 @@
         """Do here what is told; the rest is the host's."""
         out: list[Effect] = []
         for each in effects:
-            if not isinstance(each, Tell):
+            if not isinstance(each, Notify):
                 out.append(each)
-            elif each.what == "handed":
+            elif each.event == "handed":
                 self._handed(**each.fields)
-            elif each.what == "take":
+            elif each.event == "take":
                 ident, manifest, left = (
                     each.fields[name] for name in ("ident", "manifest", "left_us")
                 )
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from wingbarrow import interface as api
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
-from wingbarrow.core.job_store import Book, State, Step, TaskRecord
+from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.waits import Waits
 
 
@@ -17,7 +17,7 @@
     """The way from a task to the module, and of the module's answers back."""
 
     def __init__(
-        self, base: Base, host: Host, book: Book, attempts: Attempts, board: Board
+        self, base: Base, host: Host, book: JobStore, attempts: Attempts, board: ApiObjects
     ) -> None:
         self._base, self._host, self._book, self._attempts, self._board = (
             base,
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from wingbarrow import interface as api
-from wingbarrow.core.api_objects import Board
+from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.job_store import Book, State, Step, TaskRecord
+from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide import retries as again
@@ -19,9 +19,9 @@
     def __init__(
         self,
         base: Base,
-        book: Book,
+        book: JobStore,
         attempts: Attempts,
-        board: Board,
+        board: ApiObjects,
         requests: Requests,
         stops: Stops,
     ) -> None:
--- a/wingbarrow/decide/consensus/log.py
+++ b/wingbarrow/decide/consensus/log.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class LogEntry:
     """One decision: `kind` and `body` are the replicated state's, but for VOTERS (names with spaces between)."""
 
     term: int
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoteAsk:
+class VoteRequest:
     """Elect me; `pre`: would you?"""
 
     term: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoteAnswer:
+class VoteResponse:
     """Whether, in a term."""
 
     term: int
@@ -40,19 +40,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Append:
+class AppendRequest:
     """Entries after `prev_index`; none of them is a heartbeat. `round` counts what the leader sent."""
 
     term: int
     prev_index: int
     prev_term: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     commit: int
     round: int
 
 
 @dataclass(frozen=True, slots=True)
-class AppendAnswer:
+class AppendResponse:
     """Up to where the log is the leader's, or where to try next."""
 
     term: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallSnapshot:
     """The state up to an index, in place of entries that are no longer kept."""
 
     term: int
@@ -73,11 +73,11 @@
     round: int
 
 
-Message = VoteAsk | VoteAnswer | Append | AppendAnswer | Install
+Message = VoteRequest | VoteResponse | AppendRequest | AppendResponse | InstallSnapshot
 
 
 @dataclass(slots=True)
-class Disk:
+class PersistentState:
     """What a voter has on disk: its term and vote, the log after `base`, and the state up to there."""
 
     voters: tuple[str, ...]  # as of `base`
@@ -86,7 +86,7 @@
     base: int = 0
     base_term: int = 0
     state: str = ""
-    log: list[Entry] = field(default_factory=list)
+    log: list[LogEntry] = field(default_factory=list)
 
     @property
     def last(self) -> int:
@@ -99,10 +99,10 @@
             return self.base_term
         return self.log[index - self.base - 1].term if self.base < index <= self.last else None
 
-    def after(self, index: int, most: int) -> tuple[Entry, ...]:
+    def after(self, index: int, most: int) -> tuple[LogEntry, ...]:
         """Some entries after an index; few where they are long, so that they fit a mail."""
         size = 0
-        out: list[Entry] = []
+        out: list[LogEntry] = []
         for entry in self.log[index - self.base : index - self.base + most]:
             size += len(entry.body)
             if out and size > APPEND_CHARS:
@@ -127,7 +127,7 @@
         return self.voters
 
 
-def alone(me: str, disk: Disk, kind: str) -> Persist:
+def alone(me: str, disk: PersistentState, kind: str) -> Persist:
     """What makes one voter the only one, whatever the others decided: for a majority that is lost for good.
 
     Danger: entries that were not decided may come to be, and those decided without this voter are gone. `kind` is of
@@ -135,20 +135,20 @@
     """
     term = disk.term + TERMS_LEFT
     return Persist(
-        term, "", disk.last + 1, (Entry(term, VOTERS, me), Entry(term, kind, "{}")), None
+        term, "", disk.last + 1, (LogEntry(term, VOTERS, me), LogEntry(term, kind, "{}")), None
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Committed:
+class EntriesCommitted:
     """Entries, with the index of the first, that are decided: for the replicated state, once and in order."""
 
     first: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class SnapshotRestored:
     """The replicated state begins anew from a snapshot."""
 
     index: int
@@ -156,17 +156,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class LeadershipConfirmed:
     """A majority followed this leader after the `confirm` of that number was asked for."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Elected:
+class LeadershipChanged:
     """This voter leads from now on; or does so no longer."""
 
     on: bool
 
 
-Effects = list["Effect | Committed | Restored | Confirmed | Elected"]
+Effects = list[
+    Effect | EntriesCommitted | SnapshotRestored | LeadershipConfirmed | LeadershipChanged
+]
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -13,21 +13,21 @@
 
 from wingbarrow.decide.consensus.log import (
     VOTERS,
-    Append,
-    AppendAnswer,
-    Committed,
-    Confirmed,
-    Disk,
+    AppendRequest,
+    AppendResponse,
     Effects,
-    Elected,
-    Entry,
-    Install,
+    EntriesCommitted,
+    InstallSnapshot,
+    LeadershipChanged,
+    LeadershipConfirmed,
+    LogEntry,
     Message,
-    Restored,
-    VoteAnswer,
-    VoteAsk,
+    PersistentState,
+    SnapshotRestored,
+    VoteRequest,
+    VoteResponse,
 )
-from wingbarrow.decide.effects import Persist, Send, SetTimer, Tell
+from wingbarrow.decide.effects import Notify, Persist, Send, SetTimer
 
 ENTRIES_MOST = 32  # in one Append
 LOG_MOST = 512  # entries kept before they are folded into a snapshot
@@ -54,10 +54,12 @@
 class Raft:
     """One voter. `disk` is None for one that has none: it takes no part until it is taken in anew (`empty`)."""
 
-    def __init__(self, me: str, disk: Disk | None, seed: int, election_us: int = 1_000_000) -> None:
+    def __init__(
+        self, me: str, disk: PersistentState | None, seed: int, election_us: int = 1_000_000
+    ) -> None:
         self.me = me
         self.empty = disk is None
-        self.disk = disk or Disk(())
+        self.disk = disk or PersistentState(())
         self.role = Role.FOLLOWER
         self.leader = ""
         self.commit = self.disk.base
@@ -87,7 +89,7 @@
 
     def start(self, now_us: int) -> Effects:
         """Begin, from what is on disk."""
-        out: Effects = [Restored(self.disk.base, self.disk.state)]
+        out: Effects = [SnapshotRestored(self.disk.base, self.disk.state)]
         return [*out, *self._wait_for_leader(now_us)]
 
     # -- asked by the placer
@@ -97,7 +99,7 @@
         self._now_us = now_us
         if not self.leads:
             return -1, []
-        self.disk.log.append(Entry(self.disk.term, kind, body))
+        self.disk.log.append(LogEntry(self.disk.term, kind, body))
         if kind == VOTERS:
             self._know_peers(now_us)
         return self.disk.last, [
@@ -161,20 +163,24 @@
         self._now_us = now_us
         if self.empty:
             return []  # Danger: what it once promised is lost with its disk; a second word could undo a decision
-        if isinstance(message, VoteAsk):
+        if isinstance(message, VoteRequest):
             return self._on_vote_ask(now_us, ident, message)
-        if message.term > self.disk.term and not (isinstance(message, VoteAnswer) and message.pre):
+        if message.term > self.disk.term and not (
+            isinstance(message, VoteResponse) and message.pre
+        ):
             out = self._step_down(now_us, message.term)
         else:
             out = []
-        if isinstance(message, VoteAnswer):
+        if isinstance(message, VoteResponse):
             return [*out, *self._on_vote(now_us, ident, message)]
-        if isinstance(message, AppendAnswer):
+        if isinstance(message, AppendResponse):
             return [*out, *self._on_answer(now_us, ident, message)]
         if message.term < self.disk.term:
             return [
                 *out,
-                Send(ident, "", AppendAnswer(self.disk.term, False, self.disk.last, message.round)),
+                Send(
+                    ident, "", AppendResponse(self.disk.term, False, self.disk.last, message.round)
+                ),
             ]
         if self.role is not Role.FOLLOWER or self.leader != ident:
             out += self._follow(ident)
@@ -184,7 +190,7 @@
             *out,
             *(
                 self._on_append(ident, message)
-                if isinstance(message, Append)
+                if isinstance(message, AppendRequest)
                 else self._on_install(ident, message)
             ),
         ]
@@ -216,14 +222,14 @@
         last_term = self.disk.term_at(self.disk.last) or 0
         return [
             *(
-                Send(each, "", VoteAsk(term, self.disk.last, last_term, self._pre))
+                Send(each, "", VoteRequest(term, self.disk.last, last_term, self._pre))
                 for each in self.voters
                 if each not in self._granted
             ),
             self._timer("again", now_us + self._beat_us),
         ]
 
-    def _on_vote_ask(self, now_us: int, ident: str, asked: VoteAsk) -> Effects:
+    def _on_vote_ask(self, now_us: int, ident: str, asked: VoteRequest) -> Effects:
         disk = self.disk
         out: Effects = []
         # Who hears a leader elects no other: one that was cut off or let go of must not depose it by coming back.
@@ -245,7 +251,7 @@
                 out.append(self._timer("election", now_us + wait))
             return [
                 *out,
-                Send(ident, "", VoteAnswer(asked.term if granted else disk.term, granted, True)),
+                Send(ident, "", VoteResponse(asked.term if granted else disk.term, granted, True)),
             ]
         granted = good and asked.term == disk.term and disk.vote in ("", ident)
         if granted and not disk.vote:
@@ -253,9 +259,9 @@
             out.append(self._persist(None))
         if granted:
             out += self._wait_for_leader(now_us)
-        return [*out, Send(ident, "", VoteAnswer(disk.term, granted, False))]
+        return [*out, Send(ident, "", VoteResponse(disk.term, granted, False))]
 
-    def _on_vote(self, now_us: int, ident: str, answer: VoteAnswer) -> Effects:
+    def _on_vote(self, now_us: int, ident: str, answer: VoteResponse) -> Effects:
         if (
             self.role is not Role.CANDIDATE
             or answer.pre is not self._pre
@@ -279,12 +285,12 @@
         self._peers, self._confirms = {}, []
         self._know_peers(now_us)
         self.disk.log.append(
-            Entry(self.disk.term, "", "")
+            LogEntry(self.disk.term, "", "")
         )  # of its own term: earlier ones are committed with it
         return [
             self._persist(self.disk.last),
-            Elected(True),
-            Tell("leads", {"term": self.disk.term}),
+            LeadershipChanged(True),
+            Notify("leads", {"term": self.disk.term}),
             *self._send_all(now_us),
             *self._advance(),
             self._timer("beat", now_us + self._beat_us),
@@ -305,7 +311,7 @@
             out.append(self._persist(None))
         if led:
             self.leader = ""
-            out += [Elected(False), Tell("leads-no-longer", {"term": self.disk.term})]
+            out += [LeadershipChanged(False), Notify("leads-no-longer", {"term": self.disk.term})]
         self._confirms = []
         return [*out, *self._wait_for_leader(now_us)]
 
@@ -314,8 +320,8 @@
         self.leader = ident
         self._confirms = []
         return [
-            *([Elected(False)] if led else []),
-            Tell("follows", {"leader": ident, "term": self.disk.term}),
+            *([LeadershipChanged(False)] if led else []),
+            Notify("follows", {"leader": ident, "term": self.disk.term}),
         ]
 
     # -- leading
@@ -343,7 +349,7 @@
             return Send(
                 name,
                 "",
-                Install(
+                InstallSnapshot(
                     disk.term,
                     disk.base,
                     disk.base_term,
@@ -355,12 +361,12 @@
         return Send(
             name,
             "",
-            Append(
+            AppendRequest(
                 disk.term, prev, prev_term, disk.after(prev, ENTRIES_MOST), self.commit, self._round
             ),
         )
 
-    def _on_answer(self, now_us: int, ident: str, answer: AppendAnswer) -> Effects:
+    def _on_answer(self, now_us: int, ident: str, answer: AppendResponse) -> Effects:
         peer = self._peers.get(ident)
         if not self.leads or peer is None or answer.term != self.disk.term:
             return []
@@ -407,12 +413,12 @@
             if 2 * count <= len(self.voters):
                 break
             self._confirms.pop(0)
-            done.append(Confirmed(number))
+            done.append(LeadershipConfirmed(number))
         return done
 
     # -- following
 
-    def _on_append(self, ident: str, message: Append) -> Effects:
+    def _on_append(self, ident: str, message: AppendRequest) -> Effects:
         disk = self.disk
         held = disk.term_at(message.prev_index)
         if message.prev_index < disk.base:
@@ -420,7 +426,7 @@
             message = replace(message, prev_index=disk.base, entries=message.entries[skip:])
         elif held is None or held != message.prev_term:
             near = min(disk.last, message.prev_index - 1)
-            return [Send(ident, "", AppendAnswer(disk.term, False, near, message.round))]
+            return [Send(ident, "", AppendResponse(disk.term, False, near, message.round))]
         out: Effects = []
         index = message.prev_index
         for offset, entry in enumerate(message.entries):
@@ -439,9 +445,9 @@
         if message.commit > self.commit:
             self.commit = max(self.commit, min(message.commit, index))
             out += self._apply()
-        return [*out, Send(ident, "", AppendAnswer(disk.term, True, index, message.round))]
+        return [*out, Send(ident, "", AppendResponse(disk.term, True, index, message.round))]
 
-    def _on_install(self, ident: str, message: Install) -> Effects:
+    def _on_install(self, ident: str, message: InstallSnapshot) -> Effects:
         disk = self.disk
         out: Effects = []
         if message.index > self.commit:
@@ -453,10 +459,10 @@
             disk.base, disk.base_term, disk.state = message.index, message.last_term, message.state
             disk.voters, disk.log = tuple(message.voters.split()), kept
             self.commit = self._applied = message.index
-            out += [self._persist(disk.base), Restored(message.index, message.state)]
+            out += [self._persist(disk.base), SnapshotRestored(message.index, message.state)]
         return [
             *out,
-            Send(ident, "", AppendAnswer(disk.term, True, max(message.index, 0), message.round)),
+            Send(ident, "", AppendResponse(disk.term, True, max(message.index, 0), message.round)),
         ]
 
     def _apply(self) -> Effects:
@@ -466,7 +472,7 @@
         first, self_base = self._applied + 1, self.disk.base
         entries = tuple(self.disk.log[self._applied - self_base : self.commit - self_base])
         self._applied = self.commit
-        return [Committed(first, entries)]
+        return [EntriesCommitted(first, entries)]
 
     # -- small things
 
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -10,29 +10,27 @@
 
 from wingbarrow.decide.consensus import log
 from wingbarrow.decide.consensus.raft import Raft
-from wingbarrow.decide.coordination.leader import Leading
-from wingbarrow.decide.coordination.leases import Acting, Holder
-from wingbarrow.decide.coordination.member import Holding
+from wingbarrow.decide.coordination.leader import Leader
+from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
+from wingbarrow.decide.coordination.member import LeaseClient
 from wingbarrow.decide.coordination.messages import (
-    Ask,
-    AskFor,
-    Grant,
-    GrantFor,
+    LeaseGrant,
+    LeaseRequest,
     Message,
     NotLeader,
-    Times,
+    RelayedGrant,
+    RelayedRequest,
+    Timing,
 )
-from wingbarrow.decide.coordination.subsystem import Chapter, Side
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.outliers.ejection import Bench, Closures, Experience
-from wingbarrow.decide.quotas.allocations import Blocks
-from wingbarrow.decide.quotas.escrow import Purse
-from wingbarrow.decide.rulesets.versions import RECOVERED, Agreed, from_text
+from wingbarrow.decide.coordination.subsystem import MemberSubsystem, ReplicatedSubsystem
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.escrow import QuotaAccount
+from wingbarrow.decide.rulesets.versions import RECOVERED, RuleSetState, from_text
 
-__all__ = ["Agreement", "Ask", "Grant", "Message", "NotLeader", "Times"]
 
-
-class Agreement:
+class Coordinator:
     """`disk`: what this placer has as a voter, None where it has none; `voters`: those that the settings name.
 
     `chapters` and `sides` are what is agreed on beside rules: a voter's part and every placer's.
@@ -42,23 +40,25 @@
         self,
         me: str,
         voters: tuple[str, ...],
-        disk: log.Disk | None,
+        disk: log.PersistentState | None,
         seed: int,
-        times: Times = Times(),
+        times: Timing = Timing(),
         life: int = 0,
-        chapters: tuple[Chapter, ...] = (),
-        sides: tuple[Side, ...] = (),
+        chapters: tuple[ReplicatedSubsystem, ...] = (),
+        sides: tuple[MemberSubsystem, ...] = (),
     ) -> None:
         self.me, self.times, self.named = me, times, voters
         self.raft = (
             Raft(me, disk, seed, times.election_us) if me in voters or disk is not None else None
         )
-        self.agreed = Agreed()
-        self.blocks = Blocks(times.grant_us)
-        self.chapters: dict[str, Chapter] = {each.name: each for each in (self.blocks, *chapters)}
+        self.agreed = RuleSetState()
+        self.blocks = AllocationLedger(times.grant_us)
+        self.chapters: dict[str, ReplicatedSubsystem] = {
+            each.name: each for each in (self.blocks, *chapters)
+        }
         self._due: dict[str, int] = {}
-        self.holding = Holding(me, voters, seed + 1, times, life, self.timer, sides)
-        self.leading = Leading(
+        self.holding = LeaseClient(me, voters, seed + 1, times, life, self.timer, sides)
+        self.leading = Leader(
             self,
             times,
             self.blocks,
@@ -76,20 +76,20 @@
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """Mail of another placer."""
-        if isinstance(message, Ask):
+        if isinstance(message, LeaseRequest):
             leader = self.raft.leader if self.raft is not None else ""
             if message.forward and leader not in ("", self.me, ident):
-                return [Send(leader, "", AskFor(ident, message))]
+                return [Send(leader, "", RelayedRequest(ident, message))]
             return self.leading.on_ask(now_us, ident, address, message)
-        if isinstance(message, Grant):
+        if isinstance(message, LeaseGrant):
             return self.holding.on_grant(now_us, ident, message)
         if isinstance(message, NotLeader):
             return self.holding.on_not_leader(now_us, message)
         if self.raft is None or ident not in (*self.raft.voters, *self.named):
             return []
-        if isinstance(message, AskFor):
+        if isinstance(message, RelayedRequest):
             return self.leading.on_ask(now_us, message.ident, "", message.ask, ident)
-        if isinstance(message, GrantFor):
+        if isinstance(message, RelayedGrant):
             return [Send(message.ident, "", message.grant)]
         return self.of_raft(now_us, self.raft.on_message(now_us, ident, message))
 
@@ -120,12 +120,12 @@
 
     # -- the placer's questions
 
-    def acting(self, now_us: int) -> Acting | None:
+    def acting(self, now_us: int) -> RulesInForce | None:
         """What this placer may act on right now: to be asked right before each first byte."""
         return self.holding.holder.acting(now_us)
 
     @property
-    def holder(self) -> Holder:
+    def holder(self) -> RulesLease:
         """This placer's grants."""
         return self.holding.holder
 
@@ -135,22 +135,22 @@
         return self.holding.version
 
     @property
-    def purse(self) -> Purse:
+    def purse(self) -> QuotaAccount:
         """Its rights to the fleet's limits."""
         return self.holding.purse
 
     @property
-    def experience(self) -> Experience:
+    def experience(self) -> HealthObserver:
         """What it saw of machines."""
         return self.holding.experience
 
     @property
-    def closures(self) -> Closures:
+    def closures(self) -> ActiveEjections:
         """Which machines verdicts close to it."""
         return self.holding.closures
 
     @property
-    def bench(self) -> Bench:
+    def bench(self) -> OutlierDetector:
         """At the leader: evidence and verdicts."""
         return self.leading.bench
 
@@ -195,21 +195,21 @@
         """Effects for the host; what is decided goes into the replicated state on the way."""
         out: list[Effect] = []
         for effect in effects:
-            if isinstance(effect, log.Restored):
+            if isinstance(effect, log.SnapshotRestored):
                 self.agreed = from_text(effect.state)
                 for name, chapter in self.chapters.items():
                     chapter.restore(self.agreed.chapters.get(name, ""))
-            elif isinstance(effect, log.Committed):
+            elif isinstance(effect, log.EntriesCommitted):
                 out += self._decided(now_us, effect)
-            elif isinstance(effect, log.Confirmed):
+            elif isinstance(effect, log.LeadershipConfirmed):
                 out += self.leading.confirmed(now_us, effect.number)
-            elif isinstance(effect, log.Elected):
+            elif isinstance(effect, log.LeadershipChanged):
                 out += self.leading.elected(now_us, effect.on)
             else:
                 out.append(effect)
         return out
 
-    def _decided(self, now_us: int, committed: log.Committed) -> list[Effect]:
+    def _decided(self, now_us: int, committed: log.EntriesCommitted) -> list[Effect]:
         out: list[Effect] = []
         before = self.agreed.edition, self.agreed.version, len(self.agreed.floors)
         told = False
@@ -225,10 +225,10 @@
                         self._apply(each, RECOVERED, "{}")
         if self.agreed.edition != before[0]:
             out.append(
-                Tell("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
+                Notify("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
             )
         if self.raft is not None and self.raft.wants_fold:
-            self.agreed.chapters |= {name: each.text() for name, each in self.chapters.items()}
+            self.agreed.chapters |= {name: each.snapshot() for name, each in self.chapters.items()}
             out += self.of_raft(now_us, self.raft.fold(self.agreed.text()))
         if self.leads and (
             told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -13,15 +13,21 @@
 
 from wingbarrow.decide.consensus import log
 from wingbarrow.decide.consensus.raft import Raft
-from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.coordination.messages import Ask, Grant, GrantFor, NotLeader, Times
-from wingbarrow.decide.coordination.subsystem import Chapter
+from wingbarrow.decide.coordination.leases import lease_expiry_us
+from wingbarrow.decide.coordination.messages import (
+    LeaseGrant,
+    LeaseRequest,
+    NotLeader,
+    RelayedGrant,
+    Timing,
+)
+from wingbarrow.decide.coordination.subsystem import ReplicatedSubsystem
 from wingbarrow.decide.effects import Effect, Send, SetTimer
-from wingbarrow.decide.outliers.ejection import Bench
-from wingbarrow.decide.quotas.allocations import Blocks
-from wingbarrow.decide.quotas.escrow import Asker, Right
-from wingbarrow.decide.rulesets.ruleset import RuleSet, read
-from wingbarrow.decide.rulesets.versions import Agreed
+from wingbarrow.decide.outliers.ejection import OutlierDetector
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.escrow import QuotaGrant, Requester
+from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
+from wingbarrow.decide.rulesets.versions import RuleSetState
 
 HOLDERS_MOST = 4096
 JUDGE_US = 250_000  # between looks at all evidence
@@ -32,20 +38,20 @@
 class _Asked:
     ident: str
     address: str
-    ask: Ask
+    ask: LeaseRequest
     via: str = ""  # the voter that passed it on
 
     @property
-    def asker(self) -> Asker:
-        return Asker(self.ident, self.ask.life, self.ask.up_us, self.ask.number, self.ask.reign)
+    def asker(self) -> Requester:
+        return Requester(self.ident, self.ask.life, self.ask.up_us, self.ask.number, self.ask.reign)
 
 
-class Owner(Protocol):
+class LeaderHost(Protocol):
     """The agreement that this is the leader's side of."""
 
     me: str
     raft: Raft | None
-    agreed: Agreed
+    agreed: RuleSetState
 
     @property
     def leads(self) -> bool:
@@ -65,16 +71,16 @@
         """Have something decided."""
 
 
-class Leading:
+class Leader:
     """`blocks`: the chapter of rights; `take_grant`: what becomes of a grant to this very placer."""
 
     def __init__(
         self,
-        owner: Owner,
-        times: Times,
-        blocks: Blocks,
-        chapters: tuple[Chapter, ...],
-        take_grant: Callable[[int, Grant], list[Effect]],
+        owner: LeaderHost,
+        times: Timing,
+        blocks: AllocationLedger,
+        chapters: tuple[ReplicatedSubsystem, ...],
+        take_grant: Callable[[int, LeaseGrant], list[Effect]],
     ) -> None:
         self._owner, self.times, self.chapters, self._take_grant = (
             owner,
@@ -84,7 +90,7 @@
         )
         self.zones: Callable[[], Mapping[str, str]] = dict  # of each machine of this placer's list
         self.blocks = blocks
-        self.bench, self._judged_us = Bench(), -JUDGE_US
+        self.bench, self._judged_us = OutlierDetector(), -JUDGE_US
         self._read: tuple[str, RuleSet | None] = ("", None)
         self._waiting: list[_Asked] = []
         self._rounds: dict[int, list[_Asked]] = {}
@@ -103,17 +109,17 @@
         """Begin anew, with nothing known but the log; or end."""
         self._waiting, self._rounds, self.holders = [], {}, {}
         self._floors_out, self._leaving = {}, {}
-        self.bench = Bench()
+        self.bench = OutlierDetector()
         raft = self._owner.raft
-        self.blocks.elected(now_us, on, raft.disk.term if raft is not None else 0)
+        self.blocks.on_leadership_change(now_us, on, raft.disk.term if raft is not None else 0)
         for chapter in self.chapters:
-            chapter.elected(now_us, on)
+            chapter.on_leadership_change(now_us, on)
         return [self._owner.timer("step", now_us + self.times.batch_us)] if on else []
 
     # -- rounds
 
     def on_ask(
-        self, now_us: int, ident: str, address: str, ask: Ask, via: str = ""
+        self, now_us: int, ident: str, address: str, ask: LeaseRequest, via: str = ""
     ) -> list[Effect]:
         """Somebody asks, this placer itself too; `via` a voter that passed it on."""
         if not self._owner.leads:
@@ -159,12 +165,12 @@
             for chapter in self.chapters:
                 said = getattr(asked.ask, chapter.name)
                 if said is not None:
-                    chapter.hear(now_us, asked.asker, said)
+                    chapter.on_report(now_us, asked.asker, said)
         for asked, rights in zip(asks, self._rights(now_us, asks), strict=True):
             out += self._give(now_us, asked, rights)
         return [*out, *self.look_at_steps(now_us)]
 
-    def _rights(self, now_us: int, asks: Sequence[_Asked]) -> list[tuple[Right, ...]]:
+    def _rights(self, now_us: int, asks: Sequence[_Asked]) -> list[tuple[QuotaGrant, ...]]:
         """What those that asked together may use of the fleet's limits."""
         if not asks:
             return []
@@ -172,7 +178,7 @@
             now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits
         )
 
-    def _give(self, now_us: int, asked: _Asked, rights: tuple[Right, ...]) -> list[Effect]:
+    def _give(self, now_us: int, asked: _Asked, rights: tuple[QuotaGrant, ...]) -> list[Effect]:
         agreed, ask, lasts = self._owner.agreed, asked.ask, self.times.grant_us
         floor = agreed.floors[-1] if agreed.floors else None
         if asked.ident not in self.holders and len(self.holders) >= HOLDERS_MOST:
@@ -182,15 +188,15 @@
         # Who asks with the edition in force has left those before for good. Who does not may never hear of it, and act
         # on its last one as long as that was given to it.
         held = self.holders.get(asked.ident)
-        until = given_until_us(now_us, lasts)
+        until = lease_expiry_us(now_us, lasts)
         if ask.edition >= agreed.edition:
             self._leaving.pop(asked.ident, None)
         elif held is not None and held[0] < agreed.edition:
             self._leaving[asked.ident] = max(self._leaving.get(asked.ident, 0), held[1])
         self.holders[asked.ident] = agreed.edition, until
         if floor is not None:
-            self._floors_out[floor.number] = given_until_us(now_us, floor.lasts_us)
-        grant = Grant(
+            self._floors_out[floor.number] = lease_expiry_us(now_us, floor.lasts_us)
+        grant = LeaseGrant(
             ask.number,
             agreed.edition,
             "" if ask.edition == agreed.edition else agreed.rules,
@@ -201,14 +207,16 @@
             floor.lasts_us if floor else 0,
             rights,
             self.bench.told(now_us),
-            **{chapter.name: chapter.told(now_us, asked.asker) for chapter in self.chapters},
+            **{
+                chapter.name: chapter.response_for(now_us, asked.asker) for chapter in self.chapters
+            },
             reign=self.blocks.reign,
             leader=self._owner.me,
         )
         if asked.ident == self._owner.me:
             return self._take_grant(now_us, grant)
         return [
-            Send(asked.via, "", GrantFor(asked.ident, grant))
+            Send(asked.via, "", RelayedGrant(asked.ident, grant))
             if asked.via
             else Send(asked.ident, asked.address, grant)
         ]
@@ -218,7 +226,7 @@
         text, rules = self._read
         if rules is None or text != self._owner.agreed.rules:
             text = self._owner.agreed.rules
-            rules = read(text)
+            rules = parse_rule_set(text)
             self._read = text, rules
         return rules
 
@@ -243,14 +251,14 @@
         if len(agreed.floors) > 1:
             began = owner.raft.began_us
             ends = [
-                max(self._floors_out.get(each.number, 0), given_until_us(began, each.lasts_us))
+                max(self._floors_out.get(each.number, 0), lease_expiry_us(began, each.lasts_us))
                 for each in agreed.floors[:-1]
             ]
             if now_us >= max(ends):
                 return owner.propose(now_us, "floor-lapsed", {"number": agreed.floors[-1].number})
             again.append(max(ends))
         for chapter in (self.blocks, *self.chapters) if agreed.edition else ():
-            proposals, at = chapter.due(now_us, self._rules())
+            proposals, at = chapter.next_proposals(now_us, self._rules())
             for each in proposals:
                 out += owner.propose(now_us, f"{chapter.name}/{each.kind}", each.value)
             if at is not None:
@@ -264,5 +272,5 @@
         old = [until for each, until in self.holders.values() if each < edition]
         # Grants that an earlier leader gave are not known here: each was asked for before this one was elected.
         return max(
-            [given_until_us(raft.began_us, self.times.grant_us), *old, *self._leaving.values()]
+            [lease_expiry_us(raft.began_us, self.times.grant_us), *old, *self._leaving.values()]
         )
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -12,13 +12,13 @@
 from wingbarrow.decide.quotas.limits import drifted_us
 
 
-def given_until_us(now_us: int, lasts_us: int) -> int:
+def lease_expiry_us(now_us: int, lasts_us: int) -> int:
     """Until when the giver reckons with a grant that it gives now: its holder asked before."""
     return now_us + drifted_us(lasts_us)
 
 
 @dataclass(frozen=True, slots=True)
-class Acting:
+class RulesInForce:
     """What a placer acts on: `label` goes with each offer. `rules` is a rule set's text."""
 
     label: str
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Holder:
+class RulesLease:
     """One placer's grants; times by its own clock."""
 
     edition: int = 0
@@ -54,10 +54,10 @@
             self.floor, self.floor_rules, self.floor_until_us = number, rules, 0
         self.floor_until_us = max(self.floor_until_us, asked_us + lasts_us)
 
-    def acting(self, now_us: int) -> Acting | None:
+    def acting(self, now_us: int) -> RulesInForce | None:
         """What may be acted on at this moment; None: nothing."""
         if self.edition and now_us < self.until_us:
-            return Acting(f"e{self.edition}", self.edition, self.rules)
+            return RulesInForce(f"e{self.edition}", self.edition, self.rules)
         if self.floor and now_us < self.floor_until_us:
-            return Acting(f"f{self.floor}", 0, self.floor_rules)
+            return RulesInForce(f"f{self.floor}", 0, self.floor_rules)
         return None
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -8,13 +8,13 @@
 import random
 from collections.abc import Callable
 
-from wingbarrow.decide.coordination.leases import Acting, Holder
-from wingbarrow.decide.coordination.messages import Ask, Grant, NotLeader, Times
-from wingbarrow.decide.coordination.subsystem import Side
-from wingbarrow.decide.effects import Effect, SetTimer, Tell
-from wingbarrow.decide.outliers.ejection import Closures, Experience
-from wingbarrow.decide.quotas.escrow import Purse
-from wingbarrow.decide.rulesets.ruleset import read
+from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader, Timing
+from wingbarrow.decide.coordination.subsystem import MemberSubsystem
+from wingbarrow.decide.effects import Effect, Notify, SetTimer
+from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver
+from wingbarrow.decide.quotas.escrow import QuotaAccount
+from wingbarrow.decide.rulesets.ruleset import parse_rule_set
 
 HOPS_MOST = (
     2  # from one who does not lead to the one that it names, before the next ask is due by time
@@ -24,7 +24,7 @@
 HURRY_US = 100_000  # between asks for which somebody waits
 
 
-class Holding:
+class LeaseClient:
     """`timer` sets one of the owner's; `named`: the voters of the settings, who are asked in turn while no leader is
     known."""
 
@@ -33,10 +33,10 @@
         me: str,
         named: tuple[str, ...],
         seed: int,
-        times: Times,
+        times: Timing,
         life: int,
         timer: Callable[[str, int], SetTimer],
-        sides: tuple[Side, ...] = (),
+        sides: tuple[MemberSubsystem, ...] = (),
     ) -> None:
         self.me, self.named, self.times, self.life, self._timer, self.sides = (
             me,
@@ -48,9 +48,9 @@
         )
         self.born_us = 0
         self.region = ""
-        self.purse = Purse()
-        self.experience, self.closures = Experience(), Closures()
-        self.holder = Holder()
+        self.purse = QuotaAccount()
+        self.experience, self.closures = HealthObserver(), ActiveEjections()
+        self.holder = RulesLease()
         self.version = 0  # the latest that a grant told of
         self.leader = ""  # as the last answer told
         self._closed: frozenset[str] = frozenset()
@@ -59,7 +59,7 @@
         self.reign = 0  # of the latest grant taken
         self._asked: dict[int, int] = {}  # own asks without an answer: when each was sent
         self._tried = 0
-        self._acting: Acting | None = None
+        self._acting: RulesInForce | None = None
         self._last, self._failed = (
             "",
             "",
@@ -76,7 +76,7 @@
         self._gave_up = False  # by the last answer: some share became less
         self._sent_us = -times.grant_us  # when the last ask was sent
 
-    def ask(self, now_us: int, known: str) -> tuple[Ask, str, list[Effect]]:
+    def ask(self, now_us: int, known: str) -> tuple[LeaseRequest, str, list[Effect]]:
         """The next ask, whom to send it to ("" for nobody; `known` leads as far as is known), and what else is to be
         done."""
         out: list[Effect] = []
@@ -91,9 +91,9 @@
         evidence, bad, tried = self.experience.evidence(now_us, self.closures.mine)
         if now_us >= self.holder.until_us and self.purse.shares:
             self.purse.lapse()
-            out.append(Tell("rights", {"shares": {}}))
+            out.append(Notify("rights", {"shares": {}}))
         receiver, forward = self._whom(known, unanswered)
-        ask = Ask(
+        ask = LeaseRequest(
             self._number,
             self.holder.edition,
             self.holder.floor,
@@ -106,7 +106,7 @@
             tried,
             reign=self.reign,
             forward=forward,
-            **{side.name: side.say(now_us) for side in self.sides},
+            **{side.name: side.report(now_us) for side in self.sides},
         )
         self._last = "" if forward else receiver
         self._forwarded = {
@@ -164,9 +164,9 @@
         if closed == self._closed:
             return []
         self._closed = closed
-        return [Tell("verdicts", {"machines": sorted(closed)})]
+        return [Notify("verdicts", {"machines": sorted(closed)})]
 
-    def on_grant(self, now_us: int, ident: str, grant: Grant) -> list[Effect]:
+    def on_grant(self, now_us: int, ident: str, grant: LeaseGrant) -> list[Effect]:
         """An answer."""
         asked_us = self._asked.pop(grant.number, None)
         if asked_us is None:
@@ -193,7 +193,7 @@
         self.closures.take(now_us, self.me, grant.closed)
         out += self._look_at_closed(now_us)
         for side in self.sides:
-            out += side.take(now_us, asked_us, getattr(grant, side.name))
+            out += side.on_response(now_us, asked_us, getattr(grant, side.name))
         # A third of the grant between asks: two may be lost before one lapses. Sooner where rights are short: what
         # others give back comes by the answers.
         # Sooner too where they became less: what is given up here is wanted elsewhere, and free by the next ask.
@@ -202,11 +202,11 @@
         return [self._timer("ask", now_us + wait), *self.look_at_grant(now_us), *out]
 
     def _take_rights(
-        self, now_us: int, asked_us: int, grant: Grant, before: int, gap: bool
+        self, now_us: int, asked_us: int, grant: LeaseGrant, before: int, gap: bool
     ) -> list[Effect]:
         shares = dict(self.purse.shares)
         if self.holder.edition != before:
-            self.purse.take_limits(read(self.holder.rules).limits)
+            self.purse.take_limits(parse_rule_set(self.holder.rules).limits)
         if gap:
             self.purse.lapse()
         # Danger: an earlier ask stated what may have been given back since; and what was given is not counted any more
@@ -215,7 +215,7 @@
             self.purse.take(grant.rights)
         self._gave_up = any(self.purse.shares.get(key, 0) < share for key, share in shares.items())
         return (
-            [Tell("rights", {"shares": dict(self.purse.shares)})]
+            [Notify("rights", {"shares": dict(self.purse.shares)})]
             if shares != self.purse.shares
             else []
         )
@@ -244,9 +244,9 @@
         out: list[Effect] = []
         if acting != self._acting:
             self._acting = acting
-            told = acting or Acting("", 0, "")
+            told = acting or RulesInForce("", 0, "")
             out.append(
-                Tell("rules", {"label": told.label, "edition": told.edition, "rules": told.rules})
+                Notify("rules", {"label": told.label, "edition": told.edition, "rules": told.rules})
             )
         ends = [at for at in (self.holder.until_us, self.holder.floor_until_us) if at > now_us]
         if ends:
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.consensus import log
-from wingbarrow.decide.coordination.leases import given_until_us
-from wingbarrow.decide.maintenance.slots import TurnsSaid, TurnsTold
-from wingbarrow.decide.outliers.ejection import Closed, Evidence
-from wingbarrow.decide.quotas.escrow import Right, Stated
-from wingbarrow.decide.regions.reports import RegionsSaid, RegionTold
-from wingbarrow.decide.sessions.messages import SessionsSaid, SessionsTold
+from wingbarrow.decide.coordination.leases import lease_expiry_us
+from wingbarrow.decide.maintenance.slots import MaintenanceReport, MaintenanceResponse
+from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
+from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport
+from wingbarrow.decide.regions.reports import RegionReport, RegionSummary
+from wingbarrow.decide.sessions.messages import SessionsReport, SessionsResponse
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class LeaseRequest:
     """May I act? `edition`, `floor`: what the asker acts on, so that their rules need not be said again."""
 
     number: int
@@ -22,22 +22,22 @@
     floor: int
     life: int = 0  # of the asker, and for how long it has lasted
     up_us: int = 0
-    stated: tuple[Stated, ...] = ()  # what it holds, uses and wants of the fleet's limits
+    stated: tuple[QuotaReport, ...] = ()  # what it holds, uses and wants of the fleet's limits
     region: str = ""
     evidence: tuple[
-        Evidence, ...
+        HealthReport, ...
     ] = ()  # what it saw of machines lately: of `tried` ones it found `bad` bad
     bad: int = 0
     tried: int = 0
-    sessions: SessionsSaid | None = None
-    turns: TurnsSaid | None = None
-    regions: RegionsSaid | None = None
+    sessions: SessionsReport | None = None
+    turns: MaintenanceReport | None = None
+    regions: RegionReport | None = None
     reign: int = 0  # of the grant that the asker took last
     forward: bool = False  # the leader does not answer: whoever is asked is to pass this on to it
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseGrant:
     """You may, for so long from when you asked. Rules are empty where the asker has them."""
 
     number: int
@@ -48,11 +48,11 @@
     floor: int
     floor_rules: str
     floor_us: int
-    rights: tuple[Right, ...] = ()  # in place of what was stated
-    closed: tuple[Closed, ...] = ()  # machines that verdicts close
-    sessions: SessionsTold | None = None
-    turns: TurnsTold | None = None
-    regions: tuple[RegionTold, ...] | None = None
+    rights: tuple[QuotaGrant, ...] = ()  # in place of what was stated
+    closed: tuple[Ejection, ...] = ()  # machines that verdicts close
+    sessions: SessionsResponse | None = None
+    turns: MaintenanceResponse | None = None
+    regions: tuple[RegionSummary, ...] | None = None
     reign: int = 0  # the term of the leader that answers
     leader: str = ""
 
@@ -66,26 +66,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskFor:
+class RelayedRequest:
     """A voter passes on what another placer asks."""
 
     ident: str
-    ask: Ask
+    ask: LeaseRequest
 
 
 @dataclass(frozen=True, slots=True)
-class GrantFor:
+class RelayedGrant:
     """The answer to it, to be passed back."""
 
     ident: str
-    grant: Grant
+    grant: LeaseGrant
 
 
-Message = Ask | Grant | NotLeader | AskFor | GrantFor | log.Message
+Message = LeaseRequest | LeaseGrant | NotLeader | RelayedRequest | RelayedGrant | log.Message
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class Timing:
     """Times in microseconds."""
 
     grant_us: int = 2_000_000
@@ -110,4 +110,4 @@
         A grant of the old ones was asked for before the new ones were decided, and lasts `grant_us` by its holder's
         clock; the gate asks right before the first byte, which may then wait for the hub's longest turn.
         """
-        return given_until_us(0, self.grant_us) + turn_us
+        return lease_expiry_us(0, self.grant_us) + turn_us
--- a/wingbarrow/decide/coordination/subsystem.py
+++ b/wingbarrow/decide/coordination/subsystem.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from wingbarrow.decide.effects import Effect
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 
@@ -23,7 +23,7 @@
     value: dict[str, Any]
 
 
-class Chapter(Protocol):
+class ReplicatedSubsystem(Protocol):
     """The voters' side: `apply`, `text` and `restore` make the same state at every voter; the rest is the leader's."""
 
     name: str
@@ -31,22 +31,22 @@
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """Take one decided entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """All of the replicated state, for a snapshot."""
 
     def restore(self, text: str) -> None:
         """What `text` gave; an empty one is the state at the beginning."""
 
-    def elected(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, on: bool) -> None:
         """This voter leads from now on, and knows nothing that is not in the log; or does so no longer."""
 
-    def hear(self, now_us: int, asker: Asker, said: Any) -> None:
+    def on_report(self, now_us: int, asker: Requester, said: Any) -> None:
         """At the leader: a placer's part of an ask that a majority has confirmed since; None where it says nothing."""
 
-    def told(self, now_us: int, asker: Asker) -> Any:
+    def response_for(self, now_us: int, asker: Requester) -> Any:
         """At the leader: its part of that placer's grant; None for nothing."""
 
-    def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
+    def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """At the leader: what is to be decided now, and when to ask again at the latest.
 
         Asked after each round, never while something that was proposed is not decided yet. What is proposed again is
@@ -54,13 +54,13 @@
         """
 
 
-class Side(Protocol):
+class MemberSubsystem(Protocol):
     """Every placer's side, a voter's too."""
 
     name: str
 
-    def say(self, now_us: int) -> Any:
+    def report(self, now_us: int) -> Any:
         """Its part of the next ask."""
 
-    def take(self, now_us: int, asked_us: int, told: Any) -> list[Effect]:
+    def on_response(self, now_us: int, asked_us: int, told: Any) -> list[Effect]:
         """The part of the grant that answers the ask of `asked_us`; None where the leader told nothing."""
--- a/wingbarrow/decide/effects.py
+++ b/wingbarrow/decide/effects.py
@@ -27,10 +27,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Notify:
     """Something that the placer's other components, its log and its history are to hear; `what` names it."""
 
-    what: str
+    event: str
     fields: dict[str, Any]
 
 
@@ -48,4 +48,4 @@
     snapshot: tuple[int, int, str, str] | None
 
 
-Effect = Send | SetTimer | Tell | Persist
+Effect = Send | SetTimer | Notify | Persist
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from wingbarrow.decide.drains import Budget, Scope
-from wingbarrow.decide.maintenance.slots import Turn, View
+from wingbarrow.decide.maintenance.slots import RegionView, Slot
 
 Place = tuple[Scope, str]
 
@@ -28,15 +28,15 @@
     )
 
 
-class Room:
+class BudgetUse:
     """Budgets as they stand at one moment. `views`: of the regions in reach; `held_back`: machines' worth that a region
     keeps free for the loss of another."""
 
     def __init__(
         self,
         budgets: Iterable[Budget],
-        views: Mapping[str, View],
-        turns: Iterable[Turn],
+        views: Mapping[str, RegionView],
+        turns: Iterable[Slot],
         held_back: Callable[[str], float] = lambda region: 0.0,
     ) -> None:
         self._views, self._held_back = views, held_back
@@ -57,7 +57,7 @@
         for budget in budgets:
             self._most.setdefault(budget.scope, []).append(budget)
 
-    def take(self, turn: Turn) -> None:
+    def take(self, turn: Slot) -> None:
         """Its machine is out by a turn from now on."""
         gone = (turn.region, turn.machine) in self._gone  # it counts already
         for place in places(turn.region, turn.zone, turn.cell):
@@ -69,7 +69,7 @@
         total = self.totals[place]
         return min((each.most_out(total) for each in self._most.get(place[0], ())), default=total)
 
-    def full(self, turn: Turn, turns_too: bool = True, taken: bool = False) -> str:
+    def full(self, turn: Slot, turns_too: bool = True, taken: bool = False) -> str:
         """Why a turn's machine cannot be out beside those that are; "" where it can. `taken`: it counts as out."""
         more = 0 if taken or (turn.region, turn.machine) in self._gone else 1
         for place in places(turn.region, turn.zone, turn.cell):
@@ -82,7 +82,7 @@
                 )
         return self._crowded(turn.region, turns_too, more)
 
-    def failed(self, turn: Turn, share: float) -> list[str]:
+    def failed(self, turn: Slot, share: float) -> list[str]:
         """Halls of its region, other than its own, of whose machines at least a share is gone without a turn."""
         if self._failed is None:
             self._failed = sorted(
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.maintenance.slots import URGENCY_MOST, Wanted, short_ident
+from wingbarrow.decide.maintenance.slots import URGENCY_MOST, SlotRequest, short_ident
 from wingbarrow.decide.rulesets.agreed_drains import series_of
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.windows import Occurrence, Series, UnsafePolicy, expand_all
@@ -28,12 +28,12 @@
 
 def wanted(
     rules: RuleSet, machines: Sequence[MachineState], wall_us: int, most: int = WANTED_MOST
-) -> list[Wanted]:
+) -> list[SlotRequest]:
     """Turns that windows want at a wall time, by window and machine's name; those taken back are left out."""
     lead, cancelled = rules.plan.lead_us, {short_ident(key) for key in rules.cancelled}
     blackouts = rules.plan.rules(()).blackouts
     series = [series_of(each) for each in rules.windows]
-    out: list[Wanted] = []
+    out: list[SlotRequest] = []
     for occurrence in expand_all(series, wall_us, wall_us + lead + 1):
         latest = _latest(occurrence, lead)
         if not occurrence.start_us - lead <= wall_us < latest:
@@ -64,10 +64,10 @@
     )
 
 
-def _one(occurrence: Occurrence, machine: MachineState, ident: str, latest_us: int) -> Wanted:
+def _one(occurrence: Occurrence, machine: MachineState, ident: str, latest_us: int) -> SlotRequest:
     series = occurrence.series
     ends = occurrence.end_us if series.unsafe is not UnsafePolicy.WAIT else 0
-    return Wanted(
+    return SlotRequest(
         ident,
         machine.name,
         machine.zone,
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wingbarrow.decide.effects import Effect, Tell
+from wingbarrow.decide.effects import Effect, Notify
 from wingbarrow.decide.maintenance.slots import (
     CELLS_MOST,
     LOST_MOST,
     WANTS_MOST,
-    TurnsSaid,
-    TurnsTold,
-    View,
-    Wanted,
+    MaintenanceReport,
+    MaintenanceResponse,
+    RegionView,
+    SlotRequest,
 )
 
 
-class Eyes(Protocol):
+class LocalObservations(Protocol):
     """What a placer knows of its machines."""
 
     def listed(self, machine: str) -> bool:
@@ -41,14 +41,14 @@
     def came_to(self, number: int) -> str:
         """What starts at a machine that is tried came to, since it is tried: well, bad; "" for none yet."""
 
-    def view(self) -> View | None:
+    def view(self) -> RegionView | None:
         """What the list tells of the region; None where there is none."""
 
-    def wants(self) -> Sequence[Wanted]:
+    def wants(self) -> Sequence[SlotRequest]:
         """Turns that the calendar, or verdicts, want now."""
 
 
-class Blind:
+class NoObservations:
     """The eyes of one without machines."""
 
     def listed(self, machine: str) -> bool:
@@ -71,17 +71,17 @@
         """Nothing."""
         return ""
 
-    def view(self) -> View | None:
+    def view(self) -> RegionView | None:
         """None."""
         return None
 
-    def wants(self) -> Sequence[Wanted]:
+    def wants(self) -> Sequence[SlotRequest]:
         """None."""
         return ()
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownSlot:
     """A turn as this placer was told of it."""
 
     number: int
@@ -91,14 +91,14 @@
     silent: bool = False
 
 
-class TurnSide:
+class MaintenanceMember:
     """A side. `region`: this placer's."""
 
     name = "turns"
 
-    def __init__(self, me: str, region: str, eyes: Eyes) -> None:
+    def __init__(self, me: str, region: str, eyes: LocalObservations) -> None:
         self.me, self.region, self.eyes = me, region, eyes
-        self.turns: dict[int, Known] = {}
+        self.turns: dict[int, KnownSlot] = {}
         self.tells = False  # whether this placer tells of its region
         self._version = 0
         self._next_want = 0
@@ -113,7 +113,7 @@
         """The machines that turns close to this placer."""
         return self._shut
 
-    def say(self, now_us: int) -> TurnsSaid:
+    def report(self, now_us: int) -> MaintenanceReport:
         """What is confirmed as of now."""
         clear, gone, empty, opened, tried, bad = (list[int]() for _ in range(6))
         tasks: list[tuple[int, int]] = []
@@ -137,7 +137,7 @@
                 came_to = self.eyes.came_to(number) if turn.hand == self.me else ""
                 tried += [number] if came_to == "well" else []
                 bad += [number] if came_to == "bad" else []
-        return TurnsSaid(
+        return MaintenanceReport(
             tuple(clear),
             tuple(empty),
             tuple(tried),
@@ -152,13 +152,13 @@
             self._wants(),
         )
 
-    def _view(self) -> View | None:
+    def _view(self) -> RegionView | None:
         view = self.eyes.view() if self.tells else None
         if view is None or (len(view.cells) <= CELLS_MOST and len(view.lost) <= LOST_MOST):
             return view
         return None  # too many are lost, or too many cells: its region counts as out of reach, and nothing goes out
 
-    def _wants(self) -> tuple[Wanted, ...]:
+    def _wants(self) -> tuple[SlotRequest, ...]:
         """Some at a time, all in turn: those that the queue has already are passed over there."""
         found = list(self.eyes.wants()) if self.tells else []
         if len(found) <= WANTS_MOST:
@@ -167,14 +167,16 @@
         self._next_want = begin + WANTS_MOST
         return tuple((found + found)[begin : begin + WANTS_MOST])
 
-    def take(self, now_us: int, asked_us: int, told: TurnsTold | None) -> list[Effect]:
+    def on_response(
+        self, now_us: int, asked_us: int, told: MaintenanceResponse | None
+    ) -> list[Effect]:
         """What a grant tells, in place of what was told before."""
         if told is None or told.version < self._version:
             return []  # Danger: a late grant would open a machine that a turn has closed since
         self._version, self.tells = told.version, told.tell
         before, silent = self.turns, frozenset(told.silent)
         self.turns = {
-            number: Known(number, machine, state, hand, number in silent)
+            number: KnownSlot(number, machine, state, hand, number in silent)
             for number, machine, state, hand in told.turns
         }
         self._shut = frozenset(
@@ -189,7 +191,7 @@
                 held is None or (held.state, held.silent) != (each.state, each.silent)
             ):
                 out.append(
-                    Tell(
+                    Notify(
                         "turn",
                         {
                             "number": number,
@@ -201,6 +203,6 @@
         for number, held in before.items():
             if number not in self.turns and held.state != "asked":
                 out.append(
-                    Tell("turn", {"number": number, "machine": held.machine, "state": "over"})
+                    Notify("turn", {"number": number, "machine": held.machine, "state": "over"})
                 )
         return out
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -13,20 +13,20 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.maintenance.budgets import Room
+from wingbarrow.decide.maintenance.budgets import BudgetUse
 from wingbarrow.decide.maintenance.slots import (
     AGE_US,
     OVER,
-    Queue,
-    Turn,
-    TurnsSaid,
-    TurnsTold,
-    View,
+    MaintenanceReport,
+    MaintenanceResponse,
+    RegionView,
+    Slot,
+    SlotQueue,
     short_ident,
 )
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import drifted_us
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnTimes:
+class MaintenanceTiming:
     """In microseconds. `grant_us` is the agreement's; the rest is the leader's reckoning, by its own clock."""
 
     grant_us: int = 2 * SECOND
@@ -56,7 +56,7 @@
 
     def lapse_us(self) -> int:
         """For how long after a grant its holder may act, at the most, by the leader's clock."""
-        return given_until_us(0, self.grant_us)
+        return lease_expiry_us(0, self.grant_us)
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
     life: int
     number: int
     heard_us: int
-    said: TurnsSaid
+    said: MaintenanceReport
 
 
 @dataclass(slots=True)
@@ -80,16 +80,16 @@
     )  # renewals not confirmed yet: number, when
 
 
-class Turns:
+class MaintenanceScheduler:
     """A chapter. `wall_us` gives the wall clock at a time of the host's clock."""
 
     name = "turns"
 
     def __init__(
-        self, me: str, wall_us: Callable[[int], int], times: TurnTimes = TurnTimes()
+        self, me: str, wall_us: Callable[[int], int], times: MaintenanceTiming = MaintenanceTiming()
     ) -> None:
         self.me, self._wall_us, self.times = me, wall_us, times
-        self.queue = Queue()
+        self.queue = SlotQueue()
         self.held_back: Callable[[int, str], float] = (
             lambda now_us, region: 0.0
         )  # in machines' worth
@@ -98,7 +98,7 @@
         self._placers: dict[str, _Placer] = {}
         self._given: dict[str, int] = {}  # until when a placer may act, at the latest
         self._watches: dict[int, _Watch] = {}
-        self._views: dict[str, tuple[int, str, View]] = {}  # by region: when, who, what
+        self._views: dict[str, tuple[int, str, RegionView]] = {}  # by region: when, who, what
         self._wants: dict[str, dict[str, object]] = {}  # requests to be proposed, by ident
         self._hands: dict[int, tuple[int, str]] = {}  # as of when, by turn
         self._looked_us = -LOOK_US
@@ -112,7 +112,7 @@
         """One decided entry."""
         self.queue.apply(kind, value)
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """The queue."""
         return self.queue.text()
 
@@ -122,13 +122,13 @@
 
     # -- the leader's
 
-    def elected(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, on: bool) -> None:
         """Begin anew: nothing that an earlier leader was told counts."""
         self.leads, self._began_us = on, now_us
         self._placers, self._given, self._watches, self._views, self._wants = {}, {}, {}, {}, {}
         self.blocked, self._hands, self._looked_us = {}, {}, now_us - LOOK_US
 
-    def hear(self, now_us: int, asker: Asker, said: TurnsSaid | None) -> None:
+    def on_report(self, now_us: int, asker: Requester, said: MaintenanceReport | None) -> None:
         """What a placer says, in place of what it said before."""
         if said is None:
             return
@@ -160,7 +160,7 @@
         if asker.ident == self.me:
             self._confirm_renewals(said.at_us)
 
-    def told(self, now_us: int, asker: Asker) -> TurnsTold:
+    def response_for(self, now_us: int, asker: Requester) -> MaintenanceResponse:
         """With a grant: from now on its holder may act until that has lapsed."""
         self._given[asker.ident] = now_us + self.times.lapse_us()
         placer = self._placers.get(asker.ident)
@@ -180,7 +180,7 @@
             )
             for each in (*active, *asked[:TOLD_MOST])
         )
-        return TurnsTold(
+        return MaintenanceResponse(
             self.queue.version,
             turns,
             tuple(self.silent(now_us)),
@@ -196,7 +196,7 @@
             if each.said.region == region and now_us - each.heard_us < self.times.view_us
         ]
 
-    def hand(self, now_us: int, turn: Turn) -> str:
+    def hand(self, now_us: int, turn: Slot) -> str:
         """Which placer speaks with a turn's machine, and tries it: one of its region; "" where none is in reach."""
         at, held = self._hands.get(turn.number, (now_us - LOOK_US, ""))
         if now_us - at < LOOK_US:
@@ -220,7 +220,7 @@
             else max(able, key=lambda name: _weight(region, name), default="")
         )
 
-    def _in_reach(self, now_us: int) -> dict[str, View]:
+    def _in_reach(self, now_us: int) -> dict[str, RegionView]:
         return {
             region: view
             for region, (at, _, view) in self._views.items()
@@ -272,7 +272,7 @@
 
     # -- what is proposed
 
-    def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
+    def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """Requests that tellers brought, then each turn's next step, then who closes, in the queue's order."""
         if not self._wants and not self.queue.live():
             return [], None
@@ -289,7 +289,7 @@
             if not self.queue.knows(ident) and not self.queue.refusal({**value, "at_us": wall})
         ]
         self._wants = {}
-        room = Room(
+        room = BudgetUse(
             rules.plan.rules(()).budgets,
             self._in_reach(now_us),
             self.queue.active(),
@@ -321,7 +321,7 @@
             ]
         return out[:PROPOSED_MOST], now_us + LOOK_US
 
-    def _look_gone(self, now_us: int, turn: Turn, watch: _Watch) -> None:
+    def _look_gone(self, now_us: int, turn: Slot, watch: _Watch) -> None:
         """Whether its machine is on no list of its region, by its teller's word."""
         told = self._views.get(turn.region)
         teller = (
@@ -335,7 +335,7 @@
         elif watch.gone_us is None:
             watch.gone_us = now_us
 
-    def _found(self, now_us: int, turn: Turn, watch: _Watch) -> tuple[object, ...] | None:
+    def _found(self, now_us: int, turn: Slot, watch: _Watch) -> tuple[object, ...] | None:
         """For the queue: tasks at its machine, once all placers of its region have counted theirs, or had the time to;
         and where it is, if that was not said."""
         region, place = turn.region, tuple[str, ...]()
@@ -367,7 +367,7 @@
         return (turn.number, sum(each for each in found if each is not None), *place)
 
     def _step(
-        self, now_us: int, wall: int, turn: Turn, watch: _Watch, rules: RuleSet, room: Room
+        self, now_us: int, wall: int, turn: Slot, watch: _Watch, rules: RuleSet, room: BudgetUse
     ) -> tuple[str, str] | None:
         """What becomes of one turn, and why; None: it stays."""
         gone = watch.gone_us is not None and now_us >= watch.gone_us + self.times.gone_us
@@ -411,7 +411,7 @@
         return None
 
     def _returned(
-        self, now_us: int, turn: Turn, watch: _Watch, gone: bool
+        self, now_us: int, turn: Slot, watch: _Watch, gone: bool
     ) -> tuple[str, str] | None:
         said = [
             each.said
@@ -437,11 +437,11 @@
         """Who may act by a grant that this leader gave."""
         return [name for name, until in self._given.items() if now_us < until]
 
-    def proved(self, now_us: int, turn: Turn) -> bool:
+    def proved(self, now_us: int, turn: Slot) -> bool:
         """Whether nothing is at a turn's machine, and nothing can come."""
         return not self.unproved(now_us, turn)
 
-    def unproved(self, now_us: int, turn: Turn) -> str:
+    def unproved(self, now_us: int, turn: Slot) -> str:
         """What the proof for a turn lacks, in words; "" where it is whole."""
         if now_us < self._began_us + self.times.lapse_us():
             # Danger: who was not heard of yet may act by a grant of an earlier leader's.
@@ -458,7 +458,9 @@
         )
         return "" if heard else "the machine has not said that it refuses new work and is empty"
 
-    def _closing(self, now_us: int, wall: int, room: Room, failed_share: float) -> Iterator[int]:
+    def _closing(
+        self, now_us: int, wall: int, room: BudgetUse, failed_share: float
+    ) -> Iterator[int]:
         """Who closes now, in order. Who cannot, holds nobody up; but one that has waited long, and could go if no turn
         were out, keeps its room."""
         reach = self._in_reach(now_us)
--- a/wingbarrow/decide/maintenance/slots.py
+++ b/wingbarrow/decide/maintenance/slots.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class Slot:
     """One request to take a machine out. Times by wall clock, in microseconds; `number` fences it at its machine."""
 
     number: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class SlotRequest:
     """A request before it has a number: what a teller's calendar or verdicts ask for."""
 
     ident: str
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class RegionView:
     """What one placer's list tells of its region, for budgets.
 
     `cells`: (zone, cell, machines that belong there); `lost`: (machine, zone, cell) of those among them that do not
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnsSaid:
+class MaintenanceReport:
     """With an ask: of which closing turns nothing of this placer's is at the machine or on its way; what machines said.
 
     `clear`: numbers of turns; `empty`: turns whose machine told that it refuses new work under this very number, and
@@ -117,12 +117,12 @@
     places: tuple[tuple[int, str, str], ...] = ()
     region: str = ""
     at_us: int = 0
-    view: View | None = None
-    wants: tuple[Wanted, ...] = ()
+    view: RegionView | None = None
+    wants: tuple[SlotRequest, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class TurnsTold:
+class MaintenanceResponse:
     """With a grant: turns that are closing, empty, out or back, as (number, machine, state, who tries it).
 
     Beside those, some that are asked for, whose tasks are to be counted. `silent`: turns whose worker is not heard of;
@@ -145,7 +145,7 @@
     return f"{window[: IDENT_MOST - 33]}/{hashlib.blake2b(machine.encode(), digest_size=16).hexdigest()}"
 
 
-def rank(turn: Turn) -> tuple[int, int, int, int, str, int]:
+def rank(turn: Slot) -> tuple[int, int, int, int, str, int]:
     """The order of turns, the least first: urgency and age, then latest time, waiting time, tasks, name.
 
     A turn counts as one more urgent for each period of AGE_US that began since it was asked for. So the order of two
@@ -199,11 +199,11 @@
 }
 
 
-class Queue:
+class SlotQueue:
     """The replicated state: turns by number, the last number, what became of requests."""
 
     def __init__(self) -> None:
-        self.turns: dict[int, Turn] = {}  # live ones, and the latest ended
+        self.turns: dict[int, Slot] = {}  # live ones, and the latest ended
         self.last = 0
         self.version = 0  # entries that changed something
         self.clock_us = 0  # the latest time of any entry
@@ -214,19 +214,19 @@
 
     # -- questions
 
-    def live(self) -> list[Turn]:
+    def live(self) -> list[Slot]:
         """Those that are not over, by number."""
         return [each for each in self.turns.values() if each.state not in OVER]
 
-    def active(self) -> list[Turn]:
+    def active(self) -> list[Slot]:
         """Those whose machine is closed."""
         return [each for each in self.turns.values() if each.state in ACTIVE]
 
-    def queued(self) -> list[Turn]:
+    def queued(self) -> list[Slot]:
         """Those that wait, in their order."""
         return sorted((each for each in self.turns.values() if each.state == "queued"), key=rank)
 
-    def of(self, machine: str) -> Turn | None:
+    def of(self, machine: str) -> Slot | None:
         """A machine's turn that is not over; there is one at most."""
         return next(
             (
@@ -304,7 +304,7 @@
             self.windowed[_digest(ident)] = value["latest_us"]
         if not words:
             self.last += 1
-            self.turns[self.last] = Turn(
+            self.turns[self.last] = Slot(
                 self.last,
                 value["machine"],
                 value["region"],
@@ -393,7 +393,7 @@
     def restore(self, text: str) -> None:
         """What `text` gave; an empty one is the state at the beginning."""
         value = json.loads(text) if text else {}
-        self.turns = {each[0]: Turn(*each) for each in value.get("turns", ())}
+        self.turns = {each[0]: Slot(*each) for each in value.get("turns", ())}
         self.last, self.version = value.get("last", 0), value.get("version", 0)
         self.clock_us = value.get("clock_us", 0)
         self.windowed = dict(value.get("windowed", {}))
--- a/wingbarrow/decide/membership/messages.py
+++ b/wingbarrow/decide/membership/messages.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Standing(Enum):
+class MemberStatus(Enum):
     """What is thought of a member."""
 
     ALIVE = "alive"
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class MemberUpdate:
     """What somebody says of a member.
 
     `incarnation` orders words about one member; only the member itself raises it. `life` tells one run of a program
@@ -25,42 +25,47 @@
 
     ident: str
     incarnation: int
-    standing: Standing
+    standing: MemberStatus
     address: str
     region: str
     life: int
     by: str = ""
 
-    def as_standing(self, standing: Standing, by: str = "") -> Word:
+    def as_standing(self, standing: MemberStatus, by: str = "") -> MemberUpdate:
         """The same with another standing."""
         return replace(self, standing=standing, by=by)
 
 
-def overrides(word: Word, held: Word) -> bool:
+def overrides(word: MemberUpdate, held: MemberUpdate) -> bool:
     """Whether a word replaces the one held of the same member (SWIM, section 4.2)."""
     if word.incarnation != held.incarnation:
         # A death of long ago does not end a later life, and only a later word of its own ends a death.
         return word.incarnation > held.incarnation
-    order = {Standing.ALIVE: 0, Standing.SUSPECTED: 1, Standing.DEAD: 2, Standing.LEFT: 3}
+    order = {
+        MemberStatus.ALIVE: 0,
+        MemberStatus.SUSPECTED: 1,
+        MemberStatus.DEAD: 2,
+        MemberStatus.LEFT: 3,
+    }
     return order[word.standing] > order[held.standing]
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class Ping:
     """Are you there? Answered by an `Ack` of that number."""
 
     number: int
-    news: tuple[Word, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeFor:
+class PingRequest:
     """Probe another for me: `Ack` where it answers, `Nack` where it has not in time."""
 
     number: int
     ident: str
     address: str
-    news: tuple[Word, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +74,7 @@
 
     number: int
     ident: str  # who is there
-    news: tuple[Word, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +82,7 @@
     """I am here, but the one you had me probe did not answer me."""
 
     number: int
-    news: tuple[Word, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +90,7 @@
     """Some of what I hold of all members; `ask`: say the same to me."""
 
     ask: bool
-    news: tuple[Word, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
 
 
-Message = Probe | ProbeFor | Ack | Nack | Sync
+Message = Ping | PingRequest | Ack | Nack | Sync
--- a/wingbarrow/decide/membership/swim.py
+++ b/wingbarrow/decide/membership/swim.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass
 from math import ceil, log2
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.membership.member_table import ASKS, GONE, Change, Member, Table
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.membership.member_table import ASKS, GONE, Change, Member, MemberTable
 from wingbarrow.decide.membership.messages import (
     Ack,
+    MemberStatus,
+    MemberUpdate,
     Message,
     Nack,
-    Probe,
-    ProbeFor,
-    Standing,
+    Ping,
+    PingRequest,
     Sync,
-    Word,
 )
 from wingbarrow.decide.membership.suspicion import Health, Suspicion, shortest_us
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SwimSettings:
     """Times in microseconds; the figures are those of the SWIM and Lifeguard papers, at a period of a second."""
 
     period_us: int = 1_000_000
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Me:
+class LocalMember:
     """This placer, as others are to know it."""
 
     ident: str
@@ -117,11 +117,19 @@
 class Membership:
     """One placer's; the host calls `start`, `on_message`, `on_timer`, `leave` and carries out what they return."""
 
-    def __init__(self, me: Me, seeds: tuple[Seed, ...], seed: int, rules: Rules = Rules()) -> None:
+    def __init__(
+        self,
+        me: LocalMember,
+        seeds: tuple[Seed, ...],
+        seed: int,
+        rules: SwimSettings = SwimSettings(),
+    ) -> None:
         self.me, self.rules = me, rules
         self.incarnation = me.life
         self.health = Health()
-        self.table = Table(me.ident, lambda now: rules.suspicion(now, len(self.table.living()) + 1))
+        self.table = MemberTable(
+            me.ident, lambda now: rules.suspicion(now, len(self.table.living()) + 1)
+        )
         self.twins = 0  # words of another living placer under this one's name
         self._others_lives = 0
         self._seeds = seeds
@@ -146,7 +154,7 @@
     def leave(self, now_us: int) -> list[Effect]:
         """Say that this placer ends by itself."""
         self._left = True
-        word = self.own_word().as_standing(Standing.LEFT, self.me.ident)
+        word = self.own_word().as_standing(MemberStatus.LEFT, self.me.ident)
         return [
             self._send(each, Sync(False, (word,))) for each in self._some(self.table.living(), 3)
         ]
@@ -158,9 +166,9 @@
         out: list[Effect] = []
         for word in message.news:
             out += self._hear(word, now_us)
-        if isinstance(message, Probe):
+        if isinstance(message, Ping):
             out.append(Send(ident, address, Ack(message.number, self.me.ident, self._news(ident))))
-        elif isinstance(message, ProbeFor):
+        elif isinstance(message, PingRequest):
             out += self._probe_for(now_us, ident, address, message)
         elif isinstance(message, Ack):
             out += self._acked(ident, message)
@@ -189,12 +197,12 @@
             return self._bury(now_us)
         return self._end_relay(int(key.removeprefix("relay ")))
 
-    def own_word(self) -> Word:
+    def own_word(self) -> MemberUpdate:
         """What this placer says of itself."""
-        return Word(
+        return MemberUpdate(
             self.me.ident,
             self.incarnation,
-            Standing.ALIVE,
+            MemberStatus.ALIVE,
             self.me.address,
             self.me.region,
             self.me.life,
@@ -202,22 +210,22 @@
 
     # -- words
 
-    def _hear(self, word: Word, now_us: int) -> list[Effect]:
+    def _hear(self, word: MemberUpdate, now_us: int) -> list[Effect]:
         if word.ident == self.me.ident:
             return self._hear_of_self(word)
         asked: list[Effect] = []
-        if word.standing is Standing.DEAD and not self._long_suspected(word, now_us):
+        if word.standing is MemberStatus.DEAD and not self._long_suspected(word, now_us):
             # Danger: who was cut off holds all others for dead, and would bury them here too once the cut has healed.
             # Who is truly dead has been suspected here for some time by then; who is not is asked, and speaks up.
-            word = word.as_standing(Standing.SUSPECTED, self.me.ident)
+            word = word.as_standing(MemberStatus.SUSPECTED, self.me.ident)
             held = self.table.members.get(word.ident)
-            if held is not None and held.standing is Standing.ALIVE:
+            if held is not None and held.standing is MemberStatus.ALIVE:
                 asked = [Send(word.ident, held.word.address, Sync(True, (self.own_word(), word)))]
         change = self.table.hear(word, now_us)
         out: list[Effect] = [] if change is None else [_told(change)]
         return [*out, *asked, *self._bury_timer()]
 
-    def _long_suspected(self, word: Word, now_us: int) -> bool:
+    def _long_suspected(self, word: MemberUpdate, now_us: int) -> bool:
         """Whether a member is gone here, unknown, or has been suspected for as long as a suspicion must last."""
         held = self.table.members.get(word.ident)
         if held is None or held.standing in GONE:
@@ -225,9 +233,9 @@
         suspicion = held.suspicion
         return suspicion is not None and now_us - suspicion.since_us >= suspicion.least_us
 
-    def _hear_of_self(self, word: Word) -> list[Effect]:
+    def _hear_of_self(self, word: MemberUpdate) -> list[Effect]:
         mine = word.life == self.me.life
-        if word.incarnation < self.incarnation or (mine and word.standing is Standing.ALIVE):
+        if word.incarnation < self.incarnation or (mine and word.standing is MemberStatus.ALIVE):
             return []
         # Danger: an incarnation at or above one's own would silence every later word of this life, as where the wall
         # clock was set back between two lives.
@@ -236,26 +244,26 @@
         if not mine:
             self._others_lives += 1
             if self._others_lives <= FORMER_MOST:
-                return [Tell("former-life", {"incarnation": self.incarnation})]
+                return [Notify("former-life", {"incarnation": self.incarnation})]
             self.twins += 1  # it answers back: it is no memory of a former life
-            return [Tell("twin", {"address": word.address})]
+            return [Notify("twin", {"address": word.address})]
         self.health.blame()
         return [
-            Tell(
+            Notify(
                 "refuted",
                 {"standing": word.standing.value, "by": word.by, "incarnation": self.incarnation},
             )
         ]
 
-    def _news(self, receiver: str) -> tuple[Word, ...]:
+    def _news(self, receiver: str) -> tuple[MemberUpdate, ...]:
         """What rides on a message; a member that is thought ill of hears it first, so that it can speak up."""
         held = self.table.members.get(receiver)
         news = self.table.gossip.take(NEWS_MOST - 2, first=receiver)
-        if held is not None and held.standing is not Standing.ALIVE and held.word not in news:
+        if held is not None and held.standing is not MemberStatus.ALIVE and held.word not in news:
             news = (held.word, *news)
         return (self.own_word(), *news)
 
-    def _sample(self, receiver: str) -> tuple[Word, ...]:
+    def _sample(self, receiver: str) -> tuple[MemberUpdate, ...]:
         held = self.table.members.get(receiver)
         others = [each.word for each in self.table.members.values() if each.word.ident != receiver]
         some = self._random.sample(others, min(SYNC_MOST - 2, len(others)))
@@ -276,7 +284,7 @@
         if target is not None:
             self._number += 1
             self._probe = _Probe(self._number, target.word.ident)
-            out.append(self._send(target, Probe(self._number, self._news(target.word.ident))))
+            out.append(self._send(target, Ping(self._number, self._news(target.word.ident))))
             out.append(self._timer("probe", now_us + self.rules.timeout_us * self.health.factor))
         out.append(self._timer("period", now_us + self.rules.period_us * self.health.factor))
         return out
@@ -284,7 +292,10 @@
     def _next_target(self) -> Member | None:
         while self._round:
             member = self.table.members.get(self._round.pop())
-            if member is not None and member.standing in (Standing.ALIVE, Standing.SUSPECTED):
+            if member is not None and member.standing in (
+                MemberStatus.ALIVE,
+                MemberStatus.SUSPECTED,
+            ):
                 return member
         self._round = [each.word.ident for each in self.table.living()]
         self._random.shuffle(self._round)
@@ -301,7 +312,7 @@
             [
                 each
                 for each in self.table.living()
-                if each is not target and each.standing is Standing.ALIVE
+                if each is not target and each.standing is MemberStatus.ALIVE
             ],
             self.rules.helpers,
         )
@@ -309,7 +320,7 @@
         return [
             self._send(
                 each,
-                ProbeFor(
+                PingRequest(
                     probe.number, probe.ident, target.word.address, self._news(each.word.ident)
                 ),
             )
@@ -334,14 +345,14 @@
             )
         ]
 
-    def _probe_for(self, now_us: int, ident: str, address: str, asked: ProbeFor) -> list[Effect]:
+    def _probe_for(self, now_us: int, ident: str, address: str, asked: PingRequest) -> list[Effect]:
         if len(self._relays) >= RELAYS_MOST:
             return []
         self._number += 1
         due = now_us + self.rules.timeout_us * 4 // 5
         self._relays[self._number] = _Relay(ident, address, asked.number, due)
         return [
-            Send(asked.ident, asked.address, Probe(self._number, self._news(asked.ident))),
+            Send(asked.ident, asked.address, Ping(self._number, self._news(asked.ident))),
             self._timer(f"relay {self._number}", due),
         ]
 
@@ -404,9 +415,9 @@
         return self._random.sample(members, min(most, len(members)))
 
 
-def _told(change: Change) -> Tell:
+def _told(change: Change) -> Notify:
     word = change.word
-    return Tell(
+    return Notify(
         change.what,
         {
             "member": word.ident,
--- a/wingbarrow/decide/outliers/ejection.py
+++ b/wingbarrow/decide/outliers/ejection.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class OutlierSettings:
     """What makes a verdict; times in microseconds, shares parts of 1."""
 
     span_us: int = 10 * SECOND  # older outcomes count for nothing
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
+class HealthReport:
     """What one placer saw of one machine within the span."""
 
     machine: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
+class Ejection:
     """A verdict as a placer is told of it: for how long it still holds, how old it is, who tries the machine."""
 
     machine: str
@@ -56,10 +56,10 @@
     prober: str  # "" as long as nobody does
 
 
-class Experience:
+class HealthObserver:
     """One placer's own outcomes by machine; once it stood still, what it saw until then counts for nothing."""
 
-    def __init__(self, terms: Terms = Terms()) -> None:
+    def __init__(self, terms: OutlierSettings = OutlierSettings()) -> None:
         self.terms = terms
         self._notes: dict[str, deque[tuple[int, bool]]] = {}
         self._looked_us: int | None = None
@@ -70,27 +70,27 @@
 
     def evidence(
         self, now_us: int, tried_for_all: Container[str] = ()
-    ) -> tuple[tuple[Evidence, ...], int, int]:
+    ) -> tuple[tuple[HealthReport, ...], int, int]:
         """What is worth telling, first of machines that this placer tries for all, then the worst; of how many machines
         that were tried how many were bad."""
         if self._looked_us is not None and now_us - self._looked_us > 2 * SECOND:
             self._notes.clear()  # Danger: who stood still found all machines late
         self._looked_us = now_us
-        found: list[Evidence] = []
+        found: list[HealthReport] = []
         for machine, notes in list(self._notes.items()):
             while notes and notes[0][0] <= now_us - self.terms.span_us:
                 notes.popleft()
             if not notes:
                 del self._notes[machine]
                 continue
-            found.append(Evidence(machine, sum(not good for _, good in notes), len(notes)))
+            found.append(HealthReport(machine, sum(not good for _, good in notes), len(notes)))
         bad = sum(is_bad(each, self.terms) for each in found)
         # Danger: among many good ones the word that opens a machine would be left out.
         found.sort(key=lambda each: (each.machine not in tried_for_all, -each.failed, each.machine))
         return tuple(found[:EVIDENCE_MOST]), bad, len(found)
 
 
-def is_bad(each: Evidence, terms: Terms) -> bool:
+def is_bad(each: HealthReport, terms: OutlierSettings) -> bool:
     """Whether one witness finds a machine bad."""
     return each.failed > 0 and each.failed >= terms.failed_share * each.tried
 
@@ -101,7 +101,7 @@
     region: str
     bad: int
     tried: int
-    evidence: dict[str, Evidence]
+    evidence: dict[str, HealthReport]
 
 
 @dataclass(slots=True)
@@ -115,10 +115,10 @@
 
 
 @dataclass(slots=True)
-class Bench:
+class OutlierDetector:
     """The leader's: evidence by witness, and the verdicts; each leader begins anew, and is soon told what it lacks."""
 
-    terms: Terms = Terms()
+    terms: OutlierSettings = OutlierSettings()
     witnesses: dict[str, _Witness] = field(default_factory=dict)
     verdicts: dict[str, _Verdict] = field(default_factory=dict)
     spared: dict[str, str] = field(default_factory=dict)  # bad by the witnesses, and left open: why
@@ -128,7 +128,7 @@
         now_us: int,
         ident: str,
         region: str,
-        evidence: Iterable[Evidence],
+        evidence: Iterable[HealthReport],
         bad: int,
         tried: int,
     ) -> None:
@@ -230,17 +230,17 @@
             default="",
         )
 
-    def told(self, now_us: int) -> tuple[Closed, ...]:
+    def told(self, now_us: int) -> tuple[Ejection, ...]:
         """For a grant."""
         found = [
-            Closed(machine, each.until_us - now_us, now_us - each.since_us, each.prober)
+            Ejection(machine, each.until_us - now_us, now_us - each.since_us, each.prober)
             for machine, each in sorted(self.verdicts.items())
             if not each.ended
         ]
         return tuple(found[:VERDICTS_MOST])
 
 
-class Closures:
+class ActiveEjections:
     """A placer's side: which machines verdicts close to it now. They end by themselves, by its own clock."""
 
     def __init__(self) -> None:
@@ -248,7 +248,7 @@
         self._since_us: dict[str, int] = {}
         self.mine: frozenset[str] = frozenset()  # that this placer tries for all
 
-    def take(self, now_us: int, me: str, closed: Iterable[Closed]) -> None:
+    def take(self, now_us: int, me: str, closed: Iterable[Ejection]) -> None:
         """What a grant told, in place of what was told before."""
         closed = list(closed)
         self._until_us = {each.machine: now_us + each.left_us for each in closed}
@@ -263,7 +263,9 @@
             if until > now_us and machine not in self.mine
         )
 
-    def again_and_again(self, now_us: int, strikes: int, terms: Terms = Terms()) -> list[str]:
+    def again_and_again(
+        self, now_us: int, strikes: int, terms: OutlierSettings = OutlierSettings()
+    ) -> list[str]:
         """Machines whose verdict is so long that as many came before it."""
         return sorted(
             machine
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -38,9 +38,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.coordination.leases import given_until_us
+from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.quotas.escrow import STEADY, Asker, Right, Stated, fair
+from wingbarrow.decide.quotas.escrow import STEADY, QuotaGrant, QuotaReport, Requester, fair
 from wingbarrow.decide.quotas.limits import HOUR_US, FleetLimit, drifted_us
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Block:
+class Allocation:
     """One limit's, replicated: by holder its size and its count (never less); debts as (holder, former life, count)."""
 
     parts: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -91,7 +91,7 @@
         return max(self.stated, self.given)
 
 
-class Blocks:
+class AllocationLedger:
     """The chapter `blocks`: replicated state, and the leader's account of who holds what."""
 
     name = "blocks"
@@ -100,8 +100,8 @@
         self._grant_us = grant_us
         self.serial, self.doubt = 0, False
         self.lives: dict[str, int] = {}
-        self.blocks: dict[str, Block] = {}
-        self.elected(0, False)
+        self.blocks: dict[str, Allocation] = {}
+        self.on_leadership_change(0, False)
 
     # -- replicated
 
@@ -114,7 +114,7 @@
         lives = {str(name): int(life) for name, life in value["lives"].items()}
         blocks = {} if value["fresh"] else dict(self.blocks)
         for key, (parts, debts) in value["set"].items():
-            made = Block(
+            made = Allocation(
                 {str(name): (int(size), int(count)) for name, (size, count) in parts.items()},
                 [(str(name), int(life), int(count)) for name, life, count in debts],
             )
@@ -130,7 +130,7 @@
         """One voter went on alone: entries may be lost."""
         self.serial, self.doubt = self.serial + 1_000_000, True
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """All of the replicated state."""
         return json.dumps(
             {
@@ -154,7 +154,7 @@
             dict(value["lives"]),
         )
         self.blocks = {
-            key: Block(
+            key: Allocation(
                 {name: (size, count) for name, (size, count) in parts.items()},
                 [(name, life, count) for name, life, count in debts],
             )
@@ -163,7 +163,7 @@
 
     # -- the leader's
 
-    def elected(self, now_us: int, on: bool, reign: int = 0) -> None:
+    def on_leadership_change(self, now_us: int, on: bool, reign: int = 0) -> None:
         """`reign`: its term, which no other leader has."""
         self.reign, self._began_us, self._moved_us = reign if on else 0, now_us, now_us - MOVE_US
         self._heard: dict[str, _Heard] = {}
@@ -177,20 +177,20 @@
         self._lacking_us: dict[str, int] = {}  # limits that the rules lack: since when
         self.refused = 0  # blocks that there was no place for
 
-    def hear(self, now_us: int, asker: Asker, said: Any) -> None:
+    def on_report(self, now_us: int, asker: Requester, said: Any) -> None:
         """Nothing: `answers` hears all that ask together."""
 
-    def told(self, now_us: int, asker: Asker) -> Any:
+    def response_for(self, now_us: int, asker: Requester) -> Any:
         """Nothing: rights ride in a grant's own field."""
 
     def answers(
         self,
         now_us: int,
-        asks: Sequence[tuple[Asker, Iterable[Stated]]],
+        asks: Sequence[tuple[Requester, Iterable[QuotaReport]]],
         limits: Iterable[FleetLimit],
-    ) -> list[tuple[Right, ...]]:
+    ) -> list[tuple[QuotaGrant, ...]]:
         """What each asker may use from now on; asks that a majority has confirmed since they came."""
-        limits, out = tuple(limits), [list[Right]() for _ in asks]
+        limits, out = tuple(limits), [list[QuotaGrant]() for _ in asks]
         lag = max((each.lag_us for each in limits), default=0)
         for key in self._said.keys() - {each.key for each in limits}:
             del self._said[key]
@@ -198,22 +198,22 @@
         said = [{each.key: each for each in stated} for _, stated in asks]
         for limit in limits:
             sayings = self._said.setdefault(limit.key, {})
-            block = self.blocks.get(limit.key, Block())
+            block = self.blocks.get(limit.key, Allocation())
             for index, (asker, _) in enumerate(asks):
                 if counts[index] and (asker.ident in limit.among or asker.ident in block.parts):
-                    mine = said[index].get(limit.key, Stated(limit.key, 0, 0, 0))
+                    mine = said[index].get(limit.key, QuotaReport(limit.key, 0, 0, 0))
                     sayings[asker.ident] = _Said(
                         max(0, mine.share, mine.uses),
                         max(0, mine.uses),
                         min(max(0, mine.wants), limit.most),
                     )
             for index, share in self._shares(now_us, asks, counts, limit, block):
-                out[index].append(Right(limit.key, share))
+                out[index].append(QuotaGrant(limit.key, share))
         return [tuple(each) for each in out]
 
-    def _hear(self, now_us: int, asker: Asker, lag_us: int) -> bool:
+    def _hear(self, now_us: int, asker: Requester, lag_us: int) -> bool:
         """Whether what an ask states counts: it is no late or doubled one."""
-        until = given_until_us(now_us, self._grant_us)
+        until = lease_expiry_us(now_us, self._grant_us)
         held = self._heard.get(asker.ident)
         known = max(
             self.lives.get(asker.ident, asker.life), held.life if held is not None else asker.life
@@ -237,10 +237,10 @@
     def _shares(
         self,
         now_us: int,
-        asks: Sequence[tuple[Asker, Any]],
+        asks: Sequence[tuple[Requester, Any]],
         counts: list[bool],
         limit: FleetLimit,
-        block: Block,
+        block: Allocation,
     ) -> Iterator[tuple[int, int]]:
         sayings = self._said[limit.key]
         beyond = sum(
@@ -264,7 +264,7 @@
 
     # -- moves
 
-    def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
+    def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """One entry for all that is to be moved."""
         if now_us < self._moved_us + MOVE_US:
             return [], self._moved_us + MOVE_US
@@ -289,7 +289,7 @@
         reborn = {name: life for name, life in self._reborn().items() if name in names}
         left = PARTS_MOST - sum(len(each.parts) for each in self.blocks.values())
         for limit in rules.limits:
-            block = self.blocks.get(limit.key, Block())
+            block = self.blocks.get(limit.key, Allocation())
             parts, debts = self._plan(now_us, limit, block, reborn)
             new = [name for name in parts if name not in block.parts]
             for name in new[max(0, left) :]:
@@ -337,7 +337,7 @@
         drop = [
             key
             for key, at in self._lacking_us.items()
-            if now_us >= given_until_us(at, self._grant_us) + drifted_us(HOUR_US)
+            if now_us >= lease_expiry_us(at, self._grant_us) + drifted_us(HOUR_US)
         ]
         for key in self._lacking_us.keys() - set(drop):
             block = self.blocks[key]
@@ -359,11 +359,11 @@
         return (
             held.until_us
             if held is not None and known
-            else given_until_us(self._began_us, self._grant_us)
+            else lease_expiry_us(self._began_us, self._grant_us)
         )
 
     def _plan(
-        self, now_us: int, limit: FleetLimit, block: Block, reborn: dict[str, int]
+        self, now_us: int, limit: FleetLimit, block: Allocation, reborn: dict[str, int]
     ) -> tuple[dict[str, tuple[int, int]], list[tuple[str, int, int]]]:
         """Blocks and debts as they are to be next."""
         debts = [each for each in block.debts if not self._settled(now_us, limit, each)]
@@ -460,7 +460,7 @@
         """Each limit with who holds what, how old that news is, and what nobody can use now."""
         out: list[dict[str, object]] = []
         for limit in limits:
-            block, sayings = self.blocks.get(limit.key, Block()), self._said.get(limit.key, {})
+            block, sayings = self.blocks.get(limit.key, Allocation()), self._said.get(limit.key, {})
             out.append(
                 {
                     "limit": limit.key,
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stated:
+class QuotaReport:
     """What a placer says of one limit as it asks: what it may use, what it uses, what it would use if it could."""
 
     key: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """Who asks: its name, which life of it and for how long that has lasted, and the number of its ask.
 
     `reign`: the term of the leader whose grant it took last; 0 for none in this life.
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Right:
+class QuotaGrant:
     """What it may use from now on, in place of what it stated."""
 
     key: str
@@ -96,7 +96,7 @@
         return self._sum
 
 
-class Purse:
+class QuotaAccount:
     """One placer's rights. `uses` counts what stands of a standing limit, by its key."""
 
     def __init__(
@@ -130,7 +130,7 @@
         lately = self._lately.get(key)
         return 0 if lately is None else lately.within(now_us, limit.lag_us)
 
-    def stated(self, now_us: int) -> tuple[Stated, ...]:
+    def stated(self, now_us: int) -> tuple[QuotaReport, ...]:
         """For an ask."""
         out = []
         for key in sorted(self.limits):
@@ -138,7 +138,7 @@
             away, at = self._turned_away.get(key, (0, 0))
             # A little more than what is known of, so that more is here before it is short: a move takes two asks.
             waiting = max(self.demand(key), away if now_us - at < 2_000_000 else 0, used // AHEAD)
-            out.append(Stated(key, self.shares.get(key, 0), used, used + waiting))
+            out.append(QuotaReport(key, self.shares.get(key, 0), used, used + waiting))
         self._turned_away = {
             key: each for key, each in self._turned_away.items() if now_us - each[1] < 2_000_000
         }
@@ -155,7 +155,7 @@
         """
         self.shares.clear()
 
-    def take(self, rights: Iterable[Right]) -> None:
+    def take(self, rights: Iterable[QuotaGrant]) -> None:
         """The answer to the latest ask, which came before the grant lapsed that the ask was sent under."""
         for each in rights:
             if each.key in self.limits:
--- a/wingbarrow/decide/regions/forwarding.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -18,7 +18,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 
 HOPS_MOST = 1
 AGAIN_US = 300_000  # until a letter without an answer is sent again
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hand:
+class ForwardRequest:
     """Run this for me. `life`: of the placer that it is meant for; `hops` it has gone."""
 
     ident: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandStop:
+class ForwardCancel:
     """Nobody wants it any longer; answered by a `HandSays`."""
 
     ident: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandSays:
+class ForwardStatus:
     """What became of it so far; `stranger`: another life of the receiver speaks, which knows nothing of it."""
 
     ident: str
@@ -65,10 +65,10 @@
     stranger: bool = False
 
 
-Message = Hand | HandStop | HandSays
+Message = ForwardRequest | ForwardCancel | ForwardStatus
 
 
-class Budget:
+class ForwardBudget:
     """Hand-overs as a share of first tries, so that regions that are all full do not pass work round in circles."""
 
     def __init__(self, share: float = SHARE, burst: float = BURST) -> None:
@@ -107,7 +107,7 @@
     stopping_us: int | None = None  # until when a stop is said
 
 
-class Giving:
+class ForwardSender:
     """The first placer's side. Tells `handed` with ident, state, machine and words, each change once."""
 
     def __init__(self, me: str, life: int) -> None:
@@ -151,7 +151,9 @@
         out.stopping_us = now_us + STOP_US
         return self._say(now_us, ident)
 
-    def on_message(self, now_us: int, ident: str, address: str, message: HandSays) -> list[Effect]:
+    def on_message(
+        self, now_us: int, ident: str, address: str, message: ForwardStatus
+    ) -> list[Effect]:
         """What a receiver says."""
         out = self._open.get(message.ident)
         if out is None or not out.targets or out.targets[0].name != ident:
@@ -211,9 +213,11 @@
             else now_us + wait,
         )
         letter = (
-            HandStop(ident, target.life)
+            ForwardCancel(ident, target.life)
             if out.stopping_us is not None
-            else Hand(ident, target.life, 1, out.spec, max(0, out.due_us - now_us), out.manifest)
+            else ForwardRequest(
+                ident, target.life, 1, out.spec, max(0, out.due_us - now_us), out.manifest
+            )
         )
         return [Send(target.name, "", letter), timer]
 
@@ -244,7 +248,9 @@
 
 
 def _told(ident: str, state: str, where: str, words: str) -> Effect:
-    return Tell("handed", {"ident": ident, "state": state, "machine": where, "words": words[:300]})
+    return Notify(
+        "handed", {"ident": ident, "state": state, "machine": where, "words": words[:300]}
+    )
 
 
 @dataclass(slots=True)
@@ -257,23 +263,23 @@
 
 
 @dataclass(slots=True)
-class Taking:
+class ForwardReceiver:
     """The receiver's side. Tells `take` (ident, spec, manifest, left_us) once for each ident, and `stop` (ident)."""
 
     life: int
     _open: dict[str, _In] = field(default_factory=dict)
-    _done: dict[str, HandSays] = field(default_factory=dict)
+    _done: dict[str, ForwardStatus] = field(default_factory=dict)
     _floor: dict[str, tuple[int, int]] = field(
         default_factory=dict
     )  # by giver: all up to it is over, and forgotten
     counts: Counter[str] = field(default_factory=Counter)
 
     def on_message(
-        self, now_us: int, ident: str, address: str, message: Hand | HandStop
+        self, now_us: int, ident: str, address: str, message: ForwardRequest | ForwardCancel
     ) -> list[Effect]:
         """A hand-over, or its stop."""
         if message.life != self.life:
-            return [Send(ident, address, HandSays(message.ident, REFUSED, stranger=True))]
+            return [Send(ident, address, ForwardStatus(message.ident, REFUSED, stranger=True))]
         done, held = self._done.get(message.ident), self._open.get(message.ident)
         giver, life, number = _parts(message.ident)
         if giver != ident:
@@ -281,22 +287,26 @@
         if done is None and held is None and (life, number) <= self._floor.get(giver, (0, 0)):
             # Danger: its end is forgotten; a letter that was held up would start it once more.
             return [
-                Send(ident, address, HandSays(message.ident, FAILED, words="it was over long ago"))
+                Send(
+                    ident,
+                    address,
+                    ForwardStatus(message.ident, FAILED, words="it was over long ago"),
+                )
             ]
         if done is not None:
             return [Send(ident, address, done)]
-        if isinstance(message, HandStop):
+        if isinstance(message, ForwardCancel):
             if held is None:
                 # Danger: the hand-over may come after its stop; it is refused then.
                 return [
                     Send(
                         ident,
                         address,
-                        self._finish(HandSays(message.ident, REFUSED, words="stopped before")),
+                        self._finish(ForwardStatus(message.ident, REFUSED, words="stopped before")),
                     )
                 ]
             return [
-                Tell("stop", {"ident": message.ident}),
+                Notify("stop", {"ident": message.ident}),
                 Send(ident, address, self._says(message.ident, held)),
             ]
         if held is not None:
@@ -312,10 +322,12 @@
         )
         if why:
             self.counts["handing:refused, " + why] += 1
-            return [Send(ident, address, self._finish(HandSays(message.ident, REFUSED, words=why)))]
+            return [
+                Send(ident, address, self._finish(ForwardStatus(message.ident, REFUSED, words=why)))
+            ]
         self._open[message.ident] = _In(ident)
         return [
-            Tell(
+            Notify(
                 "take",
                 {
                     "ident": message.ident,
@@ -324,7 +336,7 @@
                     "left_us": message.left_us,
                 },
             ),
-            Send(ident, address, HandSays(message.ident, TAKEN)),
+            Send(ident, address, ForwardStatus(message.ident, TAKEN)),
         ]
 
     def came_to(
@@ -343,10 +355,10 @@
             self._finish(says)
         return [Send(held.giver, "", says)]
 
-    def _says(self, ident: str, held: _In) -> HandSays:
-        return HandSays(ident, held.state, held.where, held.words)
+    def _says(self, ident: str, held: _In) -> ForwardStatus:
+        return ForwardStatus(ident, held.state, held.where, held.words)
 
-    def _finish(self, says: HandSays) -> HandSays:
+    def _finish(self, says: ForwardStatus) -> ForwardStatus:
         self._done[says.ident] = says
         while len(self._done) > DONE_MOST:
             oldest = next(iter(self._done))
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -18,7 +18,7 @@
 from wingbarrow.decide.federation.room import held_back
 from wingbarrow.decide.federation.route import RegionNews
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 OLD_US = 15_000_000  # news beyond this age counts for nothing
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RegionsSaid:
+class RegionReport:
     """With an ask: what this placer's list says of its own region. Cores; memory in GiB."""
 
     region: str
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RegionTold:
+class RegionSummary:
     """One region, with a grant; ages and durations as of then."""
 
     region: str
@@ -72,10 +72,10 @@
 @dataclass(slots=True)
 class _Heard:
     at_us: int
-    said: RegionsSaid
+    said: RegionReport
 
 
-class Regions:
+class RegionSubsystem:
     """The leader's side, a chapter without entries. `named`: the regions of the settings, lost until heard of."""
 
     name = "regions"
@@ -93,18 +93,18 @@
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """It has no entries."""
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """Nothing is replicated."""
         return ""
 
     def restore(self, text: str) -> None:
         """Likewise."""
 
-    def elected(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, on: bool) -> None:
         """Begin with nothing."""
         self._heard, self._well, self._refusing, self._began_us = {}, {}, {}, now_us
 
-    def hear(self, now_us: int, asker: Asker, said: RegionsSaid) -> None:
+    def on_report(self, now_us: int, asker: Requester, said: RegionReport) -> None:
         """What a placer's list says, in place of what it said before."""
         if len(self._heard) >= PLACERS_MOST and asker.ident not in self._heard:
             return
@@ -127,7 +127,7 @@
         else:
             self._refusing.pop(region, None)
 
-    def told(self, now_us: int, asker: Asker) -> tuple[RegionTold, ...]:
+    def response_for(self, now_us: int, asker: Requester) -> tuple[RegionSummary, ...]:
         """All regions, by name."""
         held = self._held_back(now_us)
         return tuple(
@@ -177,12 +177,14 @@
             return 0.0
         return max(held[0] / said.said.cores, held[1] / said.said.memory) * said.said.machines
 
-    def _one(self, now_us: int, region: str, heard: dict[str, _Heard]) -> RegionTold:
+    def _one(self, now_us: int, region: str, heard: dict[str, _Heard]) -> RegionSummary:
         live = {name: each for name, each in heard.items() if now_us - each.at_us <= self._lost_us}
         if not live:
             # Danger: a leader that has just been elected has heard of nobody, which says nothing of them.
             lost = now_us - self._began_us > self._lost_us
-            return RegionTold(region, now_us - self._began_us, 0.0, 0.0, 0.0, lost, False, 0, 0, ())
+            return RegionSummary(
+                region, now_us - self._began_us, 0.0, 0.0, 0.0, lost, False, 0, 0, ()
+            )
         # All placers of a region read one list; the one that asked last has read it last.
         newest = max(live.values(), key=lambda each: each.at_us)
         said = newest.said
@@ -194,7 +196,7 @@
             ),
             default=1.0,
         )
-        return RegionTold(
+        return RegionSummary(
             region,
             now_us - newest.at_us,
             round(load, 4),
@@ -207,27 +209,29 @@
             tuple(sorted(live))[:64],
         )
 
-    def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
+    def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """Nothing is decided; the specs in force are taken in."""
         self._federation = rules.federation
         return [], None
 
 
-class RegionsSide:
+class RegionMember:
     """Every placer's: `own` gives what its list says, None while it has none."""
 
     name = "regions"
 
-    def __init__(self, own: Callable[[int], RegionsSaid | None]) -> None:
+    def __init__(self, own: Callable[[int], RegionReport | None]) -> None:
         self.own = own
-        self._told: tuple[RegionTold, ...] = ()
+        self._told: tuple[RegionSummary, ...] = ()
         self._at_us = 0
 
-    def say(self, now_us: int) -> RegionsSaid | None:
+    def report(self, now_us: int) -> RegionReport | None:
         """With an ask."""
         return self.own(now_us)
 
-    def take(self, now_us: int, asked_us: int, told: tuple[RegionTold, ...] | None) -> list[Effect]:
+    def on_response(
+        self, now_us: int, asked_us: int, told: tuple[RegionSummary, ...] | None
+    ) -> list[Effect]:
         """With a grant; ages count from the ask, so that a slow answer makes nothing younger."""
         if told:
             self._told, self._at_us = tuple(told), asked_us
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -1,7 +1,7 @@
 """The holder's side of custody: which record must be where before what leaves; which keeper; when one is replaced.
 
 A Job's record goes to its keepers, placers of other regions that its spec allows, and each change of it again. A
-change has a token; `Tell("kept")` settles each token once, at its deadline at the latest, and only by what keepers
+change has a token; `Notify("kept")` settles each token once, at its deadline at the latest, and only by what keepers
 have acknowledged. Two kinds of tokens: most want one keeper; that of an attempt that must not start twice, about to be
 sent, wants *everybody* who may have the record. Danger: a keeper that was dropped as too slow and was told nothing
 would believe that nothing had left, and start the Job again. So a dropped keeper of such a Job has to say that it
@@ -13,38 +13,43 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import replace
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.replication.records import Bounds, size_of
-from wingbarrow.decide.replication.replica_link import Line
-from wingbarrow.decide.replication.replica_set import Keepers
-from wingbarrow.decide.replication.replicated_job import Job, Tokens, settled
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.replication.records import ReplicationLimits, size_of
+from wingbarrow.decide.replication.replica_link import ReplicaLink
+from wingbarrow.decide.replication.replica_set import ReplicaSet
+from wingbarrow.decide.replication.replicated_job import ReplicatedJob, Tokens, settled
 from wingbarrow.decide.sessions.messages import (
     RECORD_MOST,
-    Keep,
-    KeepAnswer,
-    Known,
-    Record,
+    KnownTask,
+    LeasedJobRecord,
+    ReplicateRequest,
+    ReplicateResponse,
     Session,
 )
 
 TIMER = "custody"
 
 
-class Custody:
+class Primary:
     """One placer's, as a holder. The host calls it with mail and the timer `TIMER`, and carries out what it returns."""
 
     def __init__(
-        self, me: str, life: int, region: str, seed: int, bounds: Bounds = Bounds()
+        self,
+        me: str,
+        life: int,
+        region: str,
+        seed: int,
+        bounds: ReplicationLimits = ReplicationLimits(),
     ) -> None:
         self.session, self.region, self.bounds = Session(me, life, 0), region, bounds
-        self.jobs: dict[str, Job] = {}
-        self.former: dict[str, Job] = {}  # of the session before, `former_session`
+        self.jobs: dict[str, ReplicatedJob] = {}
+        self.former: dict[str, ReplicatedJob] = {}  # of the session before, `former_session`
         self.former_session = self.session
         self.over = False  # this session has ended; nothing is held under it any more
         self.started: Callable[[str], bool] = (
             lambda uid: False
         )  # whether a Job that was taken over runs
-        self.keepers = Keepers(me, region, seed, bounds)
+        self.keepers = ReplicaSet(me, region, seed, bounds)
         self._tokens = Tokens()
         self._timer_us: int | None = None
 
@@ -53,7 +58,7 @@
     def hold(
         self,
         now_us: int,
-        record: Record,
+        record: LeasedJobRecord,
         allowed: Collection[str],
         copies: int,
         deadline_us: int,
@@ -84,7 +89,7 @@
             return number, [settled(number, "no room at any keeper" if able else "no keeper")]
         others = set(must) - {self.session.placer}
         since = {each.index: now_us - each.age_us for each in record.tasks}
-        job = Job(
+        job = ReplicatedJob(
             replace(record, session=self.session, keepers=chosen, others=(), moves=0),
             born_us=now_us - record.born_age_us,
             since_us=since,
@@ -107,26 +112,26 @@
         return number, [*self._tokens.met(job), *self._next_effects(now_us)]
 
     def about(
-        self, now_us: int, uid: str, known: Known, deadline_us: int
+        self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
         """An attempt is about to be sent: not before the token is good."""
         return self._task(now_us, uid, replace(known, phase="about"), deadline_us)
 
     def placed(
-        self, now_us: int, uid: str, known: Known, deadline_us: int
+        self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
         """A task stands on a machine: the answer `placed` not before the token is good."""
         return self._task(now_us, uid, replace(known, phase="placed"), deadline_us)
 
     def back(self, now_us: int, uid: str, index: int, deadline_us: int) -> tuple[int, list[Effect]]:
         """An attempt is proven not to run: its machine refused it, or never heard of it and never will."""
-        return self._task(now_us, uid, Known(index, "none"), deadline_us)
+        return self._task(now_us, uid, KnownTask(index, "none"), deadline_us)
 
     def ended(
         self, now_us: int, uid: str, index: int, deadline_us: int
     ) -> tuple[int, list[Effect]]:
         """A task is over: it is never to be started again."""
-        return self._task(now_us, uid, Known(index, "over"), deadline_us)
+        return self._task(now_us, uid, KnownTask(index, "over"), deadline_us)
 
     def answered(
         self, now_us: int, uid: str, answer: str, deadline_us: int
@@ -158,7 +163,7 @@
             self.keepers.line(name).want(now_us, uid, gone=True)
         return out + self._next_effects(now_us)
 
-    def learn(self, now_us: int, uid: str, tasks: tuple[Known, ...]) -> list[Effect]:
+    def learn(self, now_us: int, uid: str, tasks: tuple[KnownTask, ...]) -> list[Effect]:
         """Another keeper knew more of a Job that was taken over: its keepers here are to know it, too."""
         job = self.jobs.get(uid)
         if job is None or job.record.tasks == tasks:
@@ -178,7 +183,9 @@
                 self._renewed(now_us, line, alive[name][1], 0)
         return self._next_effects(now_us)
 
-    def allow(self, now_us: int, allowed: Callable[[Record], Collection[str]]) -> list[Effect]:
+    def allow(
+        self, now_us: int, allowed: Callable[[LeasedJobRecord], Collection[str]]
+    ) -> list[Effect]:
         """Specs have changed: a keeper in a region that a Job's spec does not allow any more is replaced."""
         for uid, job in self.jobs.items():
             job.allowed = tuple(allowed(job.record))
@@ -219,7 +226,7 @@
 
     # -- mail and time
 
-    def on_message(self, now_us: int, ident: str, message: KeepAnswer) -> list[Effect]:
+    def on_message(self, now_us: int, ident: str, message: ReplicateResponse) -> list[Effect]:
         """A keeper answered."""
         line = self.keepers.lines.get(ident)
         if (
@@ -243,7 +250,7 @@
         elif not message.good:
             self._say_again(now_us, line, keep)
             line.due_us = now_us + self.bounds.most_us
-            out = [Tell("keeper-refused", {"keeper": ident, "why": message.why})]
+            out = [Notify("keeper-refused", {"keeper": ident, "why": message.why})]
             self._leave(now_us, line)
         else:
             out = self._kept(now_us, line, message, keep.records, keep.gone)
@@ -280,12 +287,12 @@
         self.former, self.former_session, self.jobs = self.jobs, self.session, {}
         self._tokens.clear()
         self.keepers.clear()
-        return [*out, Tell("session-over", {"session": self.session.text()})]
+        return [*out, Notify("session-over", {"session": self.session.text()})]
 
     # -- changes
 
     def _task(
-        self, now_us: int, uid: str, known: Known, deadline_us: int
+        self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
         job = self.jobs.get(uid)
         if job is None or not 0 <= known.index < job.record.count:
@@ -300,10 +307,10 @@
         self,
         now_us: int,
         uid: str,
-        record: Record | None,
+        record: LeasedJobRecord | None,
         deadline_us: int,
         every: bool = False,
-        known: Known | None = None,
+        known: KnownTask | None = None,
     ) -> tuple[int, list[Effect]]:
         number = self._tokens.next()
         job = self.jobs.get(uid)
@@ -319,7 +326,7 @@
         self._tokens.wait(job, number, deadline_us, every)
         return number, self._spread(now_us, job)
 
-    def _spread(self, now_us: int, job: Job) -> list[Effect]:
+    def _spread(self, now_us: int, job: ReplicatedJob) -> list[Effect]:
         """Say a change to all keepers."""
         for name in job.chosen:
             self.keepers.lines[name].want(now_us, job.record.uid)
@@ -331,7 +338,7 @@
         job = self.jobs.get(uid)
         return job is not None and (name in job.chosen or name in job.heed)
 
-    def _say_again(self, now_us: int, line: Line, keep: Keep) -> None:
+    def _say_again(self, now_us: int, line: ReplicaLink, keep: ReplicateRequest) -> None:
         """A mail was not taken."""
         for record in keep.records:
             if self._wanted(record.uid, line.name):
@@ -343,12 +350,12 @@
     def _kept(
         self,
         now_us: int,
-        line: Line,
-        message: KeepAnswer,
-        records: tuple[Record, ...],
+        line: ReplicaLink,
+        message: ReplicateResponse,
+        records: tuple[LeasedJobRecord, ...],
         gone: tuple[str, ...],
     ) -> list[Effect]:
-        out: list[Effect] = [Tell("later", {"record": each}) for each in message.later]
+        out: list[Effect] = [Notify("later", {"record": each}) for each in message.later]
         for uid, epoch, holder in message.taken:
             job = self.jobs.get(uid)
             if job is None:
@@ -361,7 +368,7 @@
                 self.keepers.lack(now_us, uid, line.name)
                 continue
             out += self._tokens.fail(job, "taken")
-            out += [Tell("taken", {"uid": uid, "by": holder}), *self.drop(now_us, uid)]
+            out += [Notify("taken", {"uid": uid, "by": holder}), *self.drop(now_us, uid)]
         refused = {uid for uid, _, _ in message.taken}
         for uid in gone:
             if (
@@ -383,14 +390,14 @@
                 self._tidy(now_us, job)
         return out
 
-    def _tidy(self, now_us: int, job: Job) -> None:
+    def _tidy(self, now_us: int, job: ReplicatedJob) -> None:
         """Have others forget, once a keeper has the record as it is without them."""
         if any(job.acked.get(name, -1) >= job.moved for name in job.chosen):
             for name in sorted(job.others):
                 if name not in job.heed:
                     self.keepers.line(name).want(now_us, job.record.uid, gone=True)
 
-    def _leave(self, now_us: int, line: Line) -> None:
+    def _leave(self, now_us: int, line: ReplicaLink) -> None:
         """Drop a keeper: those of its Jobs that somebody waits for are moved first."""
         self.keepers.leave(now_us, line, lambda uid: bool(self.jobs[uid].tokens))
 
@@ -434,7 +441,7 @@
         ):
             self.keepers.line(each).want(now_us, uid)
 
-    def _renewed(self, now_us: int, line: Line, life: int, serial: int) -> None:
+    def _renewed(self, now_us: int, line: ReplicaLink, life: int, serial: int) -> None:
         """A keeper has another session: what it had from this holder it has no more, or doubts."""
         line.life, line.serial = life, serial
         line.reset()
--- a/wingbarrow/decide/replication/records.py
+++ b/wingbarrow/decide/replication/records.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-from wingbarrow.decide.sessions.messages import Known, Record
+from wingbarrow.decide.sessions.messages import KnownTask, LeasedJobRecord
 
 RECORD_BYTES = 1024  # of a record beside its manifest, its own names and its tasks
 TASK_BYTES = 160  # kept free for each task, machine and attempt named
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ReplicationLimits:
     """What one placer keeps for another, or has another keep: records and bytes for each peer; figures of one mail.
 
     Times in microseconds. `slow_us`: a keeper that has not answered for so long is dropped, and chosen by nobody here
@@ -38,7 +38,7 @@
         return self.slow_us + self.every_us * (1 + records // self.moves)
 
 
-def size_of(record: Record) -> int:
+def size_of(record: LeasedJobRecord) -> int:
     """Bytes that a record counts for: what it has, and no less than what its tasks may come to."""
     names = sum(len(each) for each in (record.uid, record.key, record.spec, record.session.placer))
     tasks = sum(96 + len(each.machine) + len(each.attempt) for each in record.tasks)
@@ -47,18 +47,18 @@
     )
 
 
-def aged(record: Record, by_us: int) -> Record:
+def aged(record: LeasedJobRecord, by_us: int) -> LeasedJobRecord:
     """The same, said so much later."""
     tasks = tuple(replace(each, age_us=each.age_us + by_us) for each in record.tasks)
     return replace(record, born_age_us=record.born_age_us + by_us, tasks=tasks)
 
 
-def phase_of(record: Record, index: int) -> Known:
+def phase_of(record: LeasedJobRecord, index: int) -> KnownTask:
     """What is known of a task; nothing was said of it: none."""
-    return next((each for each in record.tasks if each.index == index), Known(index, "none"))
+    return next((each for each in record.tasks if each.index == index), KnownTask(index, "none"))
 
 
-def doubted(record: Record) -> Record:
+def doubted(record: LeasedJobRecord) -> LeasedJobRecord:
     """The same by one who cannot know whether more has happened since; of a safe Job that is no matter."""
     if record.effect == "safe":
         return record
@@ -71,7 +71,7 @@
     )
 
 
-def order(record: Record) -> tuple[int, int]:
+def order(record: LeasedJobRecord) -> tuple[int, int]:
     """The later of two records of a Job has the greater."""
     return record.epoch, record.version
 
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -14,23 +14,23 @@
 from dataclasses import dataclass, replace
 from heapq import nsmallest
 
-from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.replication.records import Bounds, aged, doubted, order, size_of
+from wingbarrow.decide.effects import Effect, Notify, Send
+from wingbarrow.decide.replication.records import ReplicationLimits, aged, doubted, order, size_of
 from wingbarrow.decide.sessions.messages import (
     EFFECTS,
     FORM,
     KEPT_MOST,
     OFFERED,
     RECORD_MOST,
-    Ended,
-    Keep,
-    KeepAnswer,
-    Kept,
-    Record,
+    EndedSession,
+    HeldRecords,
+    LeasedJobRecord,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
     Session,
-    Settle,
-    Settled,
-    successor,
+    successor_of,
 )
 
 HOLDERS_MOST = 4096
@@ -38,14 +38,14 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class ReplicaEntry:
     """One record kept; `under`: what it took the place of at the same epoch, which stands again if it goes."""
 
-    record: Record
+    record: LeasedJobRecord
     said_us: int
     size: int
     doubt: bool = False
-    under: Entry | None = None
+    under: ReplicaEntry | None = None
 
 
 @dataclass(slots=True)
@@ -53,37 +53,37 @@
     """A Job that this placer takes over; a task of which more may be true than is kept is in doubt, and stays so at
     later successors, too. `must`: who else may have it."""
 
-    record: Record
+    record: LeasedJobRecord
     epoch: int
     must: tuple[str, ...]
 
 
-class Keeping:
+class Replica:
     """One placer's, as a keeper."""
 
-    def __init__(self, me: str, life: int, bounds: Bounds = Bounds()) -> None:
+    def __init__(self, me: str, life: int, bounds: ReplicationLimits = ReplicationLimits()) -> None:
         self.session, self.bounds = Session(me, life, 0), bounds
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, ReplicaEntry] = {}
         self.sessions: dict[Session, dict[str, None]] = {}  # uids by holder's session
         self.taken: dict[
             str, tuple[int, str]
         ] = {}  # what this placer has taken over: epoch and fate
-        self.ends: dict[Session, Ended] = {}  # of sessions of which something is kept
+        self.ends: dict[Session, EndedSession] = {}  # of sessions of which something is kept
         self.latest: dict[str, Session] = {}  # of each placer, the last that has ended
         self._sizes: dict[str, int] = {}  # bytes by holder
         self._size = 0  # of all
-        self._last: dict[str, tuple[Session, int, KeepAnswer]] = {}
-        self._kept: tuple[Kept, ...] | None = None
+        self._last: dict[str, tuple[Session, int, ReplicateResponse]] = {}
+        self._kept: tuple[HeldRecords, ...] | None = None
 
     # -- mail of holders
 
-    def on_keep(self, now_us: int, ident: str, keep: Keep) -> list[Effect]:
+    def on_keep(self, now_us: int, ident: str, keep: ReplicateRequest) -> list[Effect]:
         """Take it or not, and say so; nothing is said to what is older than what was answered already."""
         last = self._last.get(ident)
         if last is not None and last[0] == keep.session and keep.number <= last[1]:
             return [Send(ident, "", last[2])] if keep.number == last[1] else []
         out: list[Effect] = []
-        answer = KeepAnswer(
+        answer = ReplicateResponse(
             keep.number, keep.session, False, life=self.session.life, serial=self.session.serial
         )
         why = self._wrong(ident, keep)
@@ -101,7 +101,7 @@
         why = self._room(ident, new)
         if why:
             return [Send(ident, "", replace(answer, why=why))]
-        later: list[Record] = []
+        later: list[LeasedJobRecord] = []
         for record in new:
             out += self._put(now_us, record, later)
         for uid in keep.gone:
@@ -110,7 +110,7 @@
         self._last[ident] = keep.session, keep.number, answer
         return [*out, Send(ident, "", answer)]
 
-    def _wrong(self, ident: str, keep: Keep) -> str:
+    def _wrong(self, ident: str, keep: ReplicateRequest) -> str:
         if keep.session.placer != ident:
             return "not the sender's session"
         if ident not in self._last and len(self._last) >= HOLDERS_MOST:
@@ -130,7 +130,7 @@
         latest = self.latest.get(session.placer)
         return latest is not None and session <= latest
 
-    def _room(self, holder: str, new: Iterable[Record]) -> str:
+    def _room(self, holder: str, new: Iterable[LeasedJobRecord]) -> str:
         records = sum(
             len(uids) for session, uids in self.sessions.items() if session.placer == holder
         )
@@ -153,7 +153,7 @@
 
     # -- which of two records stands
 
-    def _stands(self, record: Record) -> bool:
+    def _stands(self, record: LeasedJobRecord) -> bool:
         """Whether a record that was said takes the place of what is known here."""
         own = self.taken.get(record.uid)
         if own is not None and record.epoch <= own[0]:
@@ -174,14 +174,16 @@
         record = self.entries[uid].record
         return record.epoch, record.session.placer
 
-    def _put(self, now_us: int, record: Record, later: list[Record]) -> list[Effect]:
+    def _put(
+        self, now_us: int, record: LeasedJobRecord, later: list[LeasedJobRecord]
+    ) -> list[Effect]:
         out: list[Effect] = []
         had = self.entries.get(record.uid)
-        entry = Entry(record, now_us, size_of(record))
+        entry = ReplicaEntry(record, now_us, size_of(record))
         if record.uid in self.taken:
             epoch, fate = self.taken.pop(record.uid)
             out.append(
-                Tell(
+                Notify(
                     "superseded",
                     {
                         "uid": record.uid,
@@ -215,7 +217,7 @@
         elif entry.under is not None and entry.under.record.session == session:
             entry.under = None
 
-    def _add(self, entry: Entry) -> None:
+    def _add(self, entry: ReplicaEntry) -> None:
         record = entry.record
         self.entries[record.uid] = entry
         self.sessions.setdefault(record.session, {})[record.uid] = None
@@ -237,17 +239,17 @@
         self._kept = None
 
     @staticmethod
-    def _now(now_us: int, entry: Entry) -> Record:
+    def _now(now_us: int, entry: ReplicaEntry) -> LeasedJobRecord:
         return aged(entry.record, now_us - entry.said_us)
 
-    def record(self, now_us: int, uid: str) -> Record | None:
+    def record(self, now_us: int, uid: str) -> LeasedJobRecord | None:
         """What is kept of a Job, with the ages of now."""
         entry = self.entries.get(uid)
         return self._now(now_us, entry) if entry is not None else None
 
     # -- what the voters decide
 
-    def kept(self) -> tuple[Kept, ...]:
+    def kept(self) -> tuple[HeldRecords, ...]:
         """What is kept of each session, for the next ask; those that this placer has taken over do not count."""
         if self._kept is None:
             out = []
@@ -256,12 +258,12 @@
                     self.entries[uid].record.after_us for uid in uids if uid not in self.taken
                 ]
                 if afters:
-                    out.append(Kept(session, len(afters), min(afters)))
+                    out.append(HeldRecords(session, len(afters), min(afters)))
             out.sort(key=lambda each: (-each.jobs, each.session))
             self._kept = tuple(out[:KEPT_MOST])
         return self._kept
 
-    def ended(self, now_us: int, ended: Ended, most: int = 1 << 30) -> list[Taking]:
+    def ended(self, now_us: int, ended: EndedSession, most: int = 1 << 30) -> list[Taking]:
         """A session is over, or has more successors than before: what this placer takes over, each Job once.
 
         The first `most` of them, by priority and age: to be called again while it returns so many.
@@ -279,7 +281,7 @@
             if (
                 uid not in self.taken
                 and not entry.doubt
-                and successor(ended, (*entry.record.keepers, me)) == me
+                and successor_of(ended, (*entry.record.keepers, me)) == me
             ):
                 mine.append((-entry.record.priority, entry.said_us - entry.record.born_age_us, uid))
         return [self._take(now_us, uid, ended) for _, _, uid in nsmallest(most, mine)]
@@ -292,7 +294,7 @@
             return None
         return self._take(now_us, uid, end)
 
-    def _take(self, now_us: int, uid: str, ended: Ended) -> Taking:
+    def _take(self, now_us: int, uid: str, ended: EndedSession) -> Taking:
         entry, me = self.entries[uid], self.session.placer
         record = self._now(now_us, entry)
         names = {*record.keepers, *record.others}
@@ -321,7 +323,7 @@
             every = {name for batch in end.batches for name in batch} - {*end.gone}
             for uid in self.sessions.get(end.session, ()):
                 entry = self.entries[uid]
-                first = successor(end, entry.record.keepers)
+                first = successor_of(end, entry.record.keepers)
                 names = {*every, ""} if entry.doubt else {first}
                 for name in sorted(names - {self.session.placer}) if uid not in self.taken else ():
                     out.setdefault(name, []).append(uid)
@@ -367,7 +369,9 @@
         ):
             self._forget(uid)
 
-    def settle(self, ident: str, ask: Settle, held: Mapping[str, tuple[int, str]]) -> list[Effect]:
+    def settle(
+        self, ident: str, ask: ResolveRequest, held: Mapping[str, tuple[int, str]]
+    ) -> list[Effect]:
         """What became of Jobs of a session that has ended, to one that came back or that keeps them too.
 
         `held`: what this placer holds itself, by uid: epoch and fate.
@@ -383,9 +387,9 @@
                 fates.append((uid, entry.record.epoch, "waiting"))
             else:
                 fates.append((uid, 0, UNKNOWN_HERE))
-        return [Send(ident, "", Settled(ask.number, ask.session, tuple(fates)))]
+        return [Send(ident, "", ResolveResponse(ask.number, ask.session, tuple(fates)))]
 
 
-def unclaimed(leased: int, kept: Iterable[Kept]) -> int:
+def unclaimed(leased: int, kept: Iterable[HeldRecords]) -> int:
     """How many Jobs of a lost session nobody keeps, as far as all keepers were heard."""
     return max(0, leased - sum(each.jobs for each in kept))
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -7,31 +7,36 @@
 from dataclasses import dataclass, replace
 
 from wingbarrow.decide.backoff import Backoff
-from wingbarrow.decide.replication.records import Bounds, aged, size_of
-from wingbarrow.decide.sessions.messages import Keep, Record, Session
+from wingbarrow.decide.replication.records import ReplicationLimits, aged, size_of
+from wingbarrow.decide.sessions.messages import LeasedJobRecord, ReplicateRequest, Session
 
 
 @dataclass(slots=True)
-class Out:
+class PendingRequest:
     """The mail that is not answered yet; ages in it are those of `said_us`."""
 
-    keep: Keep
+    keep: ReplicateRequest
     said_us: int
     again_us: int
 
 
-class Line:
+class ReplicaLink:
     """`dirty`: uids whose record is to go there; `gone`: those that it need not keep; `jobs`: whose keeper it is."""
 
     def __init__(
-        self, name: str, life: int, seed: random.Random, bounds: Bounds, number: Callable[[], int]
+        self,
+        name: str,
+        life: int,
+        seed: random.Random,
+        bounds: ReplicationLimits,
+        number: Callable[[], int],
     ) -> None:
         self.name, self.life, self.serial = name, life, 0
         self.dirty: dict[str, None] = {}
         self.gone: dict[str, None] = {}
         self.jobs: dict[str, int] = {}  # bytes by uid
         self.size = 0
-        self.out: Out | None = None
+        self.out: PendingRequest | None = None
         self.due_us: int | None = None  # when the next mail may go
         self.rest_us = -1  # not chosen before
         self._number = number
@@ -64,17 +69,21 @@
         self.out = None
         self._backoff.clear()
 
-    def mail(self, now_us: int, session: Session, records: list[Record]) -> Keep:
+    def mail(
+        self, now_us: int, session: Session, records: list[LeasedJobRecord]
+    ) -> ReplicateRequest:
         """The next mail: these records, and as many of `gone` as fit."""
         gone = tuple(self.gone)[: self._bounds.mail_records]
         for uid in gone:
             del self.gone[uid]
-        keep = Keep(self._number(), session, tuple(records), gone, self.life, self.serial)
+        keep = ReplicateRequest(
+            self._number(), session, tuple(records), gone, self.life, self.serial
+        )
         self._backoff.clear()
-        self.out = Out(keep, now_us, now_us + self._backoff.next_us())
+        self.out = PendingRequest(keep, now_us, now_us + self._backoff.next_us())
         return keep
 
-    def again(self, now_us: int) -> Keep:
+    def again(self, now_us: int) -> ReplicateRequest:
         """The same mail, with the ages of now."""
         assert self.out is not None
         later = now_us - self.out.said_us
@@ -82,9 +91,9 @@
         keep = self.out.keep
         return replace(keep, records=tuple(aged(each, later) for each in keep.records))
 
-    def take(self, make: Callable[[str], Record]) -> list[Record]:
+    def take(self, make: Callable[[str], LeasedJobRecord]) -> list[LeasedJobRecord]:
         """Records of `dirty` that go with the next mail."""
-        out: list[Record] = []
+        out: list[LeasedJobRecord] = []
         size = 0
         for uid in self.dirty:
             record = make(uid)
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable, Collection, Mapping
 from itertools import islice
 
-from wingbarrow.decide.replication.records import Bounds, choose
-from wingbarrow.decide.replication.replica_link import Line
+from wingbarrow.decide.replication.records import ReplicationLimits, choose
+from wingbarrow.decide.replication.replica_link import ReplicaLink
 
 LACKING_US = 1_000_000  # between two searches for keepers that are not there
 
 
-class Keepers:
+class ReplicaSet:
     """Lines by name. Moves are pairs of a Job's uid and the keeper that is to be replaced ("": it has none)."""
 
-    def __init__(self, me: str, region: str, seed: int, bounds: Bounds) -> None:
+    def __init__(self, me: str, region: str, seed: int, bounds: ReplicationLimits) -> None:
         self.me, self.region, self.bounds = me, region, bounds
-        self.lines: dict[str, Line] = {}
+        self.lines: dict[str, ReplicaLink] = {}
         self.where: dict[str, str] = {}  # region of each that is alive
         self.move_us: int | None = None
         self._alive: dict[str, tuple[str, ...]] = {}  # by region
@@ -32,13 +32,13 @@
         self._number += 1
         return self._number
 
-    def line(self, name: str) -> Line:
+    def line(self, name: str) -> ReplicaLink:
         """The line to a placer, whoever it is."""
         if name not in self.lines:
-            self.lines[name] = Line(name, 0, self._random, self.bounds, self._next)
+            self.lines[name] = ReplicaLink(name, 0, self._random, self.bounds, self._next)
         return self.lines[name]
 
-    def members(self, alive: Mapping[str, tuple[str, int]]) -> list[Line]:
+    def members(self, alive: Mapping[str, tuple[str, int]]) -> list[ReplicaLink]:
         """Who is alive, with region and life; lines of those that are not."""
         by_region: dict[str, list[str]] = {}
         for name in sorted(alive.keys() - {self.me}):
@@ -49,7 +49,9 @@
             if name not in alive and not (line.jobs or line.dirty or line.gone or line.out):
                 del self.lines[name]
         for name in sorted(alive.keys() - self.lines.keys() - {self.me}):
-            self.lines[name] = Line(name, alive[name][1], self._random, self.bounds, self._next)
+            self.lines[name] = ReplicaLink(
+                name, alive[name][1], self._random, self.bounds, self._next
+            )
         return [line for name, line in self.lines.items() if name not in alive]
 
     def choose(
@@ -71,7 +73,7 @@
 
     # -- replacing
 
-    def leave(self, now_us: int, line: Line, urgent: Callable[[str], bool]) -> None:
+    def leave(self, now_us: int, line: ReplicaLink, urgent: Callable[[str], bool]) -> None:
         """Drop a keeper: those of its Jobs that somebody waits for are moved first."""
         line.rest_us = now_us + self.bounds.rest_us
         for uid in line.jobs:
--- a/wingbarrow/decide/replication/replicated_job.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from wingbarrow.decide.effects import Effect, Tell
-from wingbarrow.decide.sessions.messages import Known, Record
+from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.sessions.messages import KnownTask, LeasedJobRecord
 
 
 @dataclass(slots=True)
@@ -21,10 +21,10 @@
 
 
 @dataclass(slots=True)
-class Job:
+class ReplicatedJob:
     """One record of this holder's: `others` may have it, or an older one, and are to forget it."""
 
-    record: Record
+    record: LeasedJobRecord
     born_us: int
     since_us: dict[int, int]  # of each task's phase
     allowed: tuple[str, ...]
@@ -42,7 +42,7 @@
     moved: int = 0  # the version at which its keepers changed last
     tokens: list[Token] = field(default_factory=list)
 
-    def changed(self, known: Known, region: str) -> Record:
+    def changed(self, known: KnownTask, region: str) -> LeasedJobRecord:
         """Its record with another word of a task; one that runs or is to run does so in that region."""
         tasks = [each for each in self.record.tasks if each.index != known.index]
         tasks += [known] if known.phase != "none" else []
@@ -51,7 +51,7 @@
             self.record, tasks=tuple(sorted(tasks, key=lambda each: each.index)), region=where
         )
 
-    def said(self, now_us: int) -> Record:
+    def said(self, now_us: int) -> LeasedJobRecord:
         """Its record with the ages of now."""
         tasks = tuple(
             replace(each, age_us=now_us - self.since_us[each.index]) for each in self.record.tasks
@@ -64,9 +64,9 @@
         )
 
 
-def settled(number: int, why: str = "") -> Tell:
+def settled(number: int, why: str = "") -> Notify:
     """A token is good, or is not, and why."""
-    return Tell("kept", {"token": number, "good": not why, "why": why})
+    return Notify("kept", {"token": number, "good": not why, "why": why})
 
 
 class Tokens:
@@ -81,12 +81,12 @@
         self._number += 1
         return self._number
 
-    def wait(self, job: Job, number: int, deadline_us: int, every: bool) -> None:
+    def wait(self, job: ReplicatedJob, number: int, deadline_us: int, every: bool) -> None:
         """A token for the Job's record as it is now."""
         job.tokens.append(Token(number, job.record.version, deadline_us, every))
         heapq.heappush(self._deadlines, (deadline_us, number, job.record.uid))
 
-    def met(self, job: Job) -> list[Effect]:
+    def met(self, job: ReplicatedJob) -> list[Effect]:
         """Settle those for which enough have acknowledged."""
         out: list[Effect] = []
         for token in list(job.tokens):
@@ -96,13 +96,13 @@
                 out.append(settled(token.number))
         return out
 
-    def fail(self, job: Job, why: str) -> list[Effect]:
+    def fail(self, job: ReplicatedJob, why: str) -> list[Effect]:
         """None of a Job's is good."""
         out: list[Effect] = [settled(each.number, why) for each in job.tokens]
         job.tokens.clear()
         return out
 
-    def late(self, now_us: int, jobs: Mapping[str, Job]) -> list[Effect]:
+    def late(self, now_us: int, jobs: Mapping[str, ReplicatedJob]) -> list[Effect]:
         """Settle those whose deadline has passed."""
         out: list[Effect] = []
         while self._deadlines and self._deadlines[0][0] <= now_us:
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -13,28 +13,28 @@
 from dataclasses import replace
 from typing import Any
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 from wingbarrow.decide.replication.primary import TIMER as CUSTODY
-from wingbarrow.decide.replication.primary import Custody
-from wingbarrow.decide.replication.records import Bounds, doubted
-from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Keeping, Taking
-from wingbarrow.decide.sessions.failover import Start, Takeover, rank_of
+from wingbarrow.decide.replication.primary import Primary
+from wingbarrow.decide.replication.records import ReplicationLimits, doubted
+from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Replica, Taking
+from wingbarrow.decide.sessions.failover import SessionFailover, StartOrder, rank_of
 from wingbarrow.decide.sessions.failover_pace import Pace
 from wingbarrow.decide.sessions.machine_queries import NUMBERS
 from wingbarrow.decide.sessions.messages import (
     KEPT_MOST,
-    AskMachine,
-    Ended,
-    Keep,
-    KeepAnswer,
+    EndedSession,
+    LeasedJobRecord,
+    MachineQuery,
     Message,
-    Record,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
     Session,
-    Settle,
-    Settled,
 )
-from wingbarrow.decide.sessions.recovery import Healing, Own
-from wingbarrow.decide.sessions.reissue import Verdict
+from wingbarrow.decide.sessions.recovery import OwnJob, SessionRecovery
+from wingbarrow.decide.sessions.reissue import ReissueDecision
 
 CLAIM_US = 10_000_000  # until a claim's token is renewed
 WATCH_US = 3_000_000  # between looks at what others are to take over
@@ -43,7 +43,7 @@
 STARTABLE, WATCH, TAKING = "startable", "watch", "taking"
 
 
-class Custodian:
+class Replicator:
     """One placer's. `terms`: the regions that a Job's spec allows now, and how many keepers it wants."""
 
     def __init__(
@@ -52,26 +52,29 @@
         life: int,
         region: str,
         seed: int,
-        bounds: Bounds = Bounds(),
+        bounds: ReplicationLimits = ReplicationLimits(),
         pace: Pace = Pace(),
     ) -> None:
         self.me, self.region, self.pace = me, region, pace
-        self.custody = Custody(me, life, region, seed, bounds)
-        self.keeping = Keeping(me, life, bounds)
+        self.custody = Primary(me, life, region, seed, bounds)
+        self.keeping = Replica(me, life, bounds)
         self.custody.started = (
-            lambda uid: self.keeping.taken.get(uid, (0, ""))[1] == Verdict.RUN.value
+            lambda uid: self.keeping.taken.get(uid, (0, ""))[1] == ReissueDecision.RUN.value
         )
-        self.terms: Callable[[Record], tuple[tuple[str, ...], int]] = lambda record: ((), 1)
-        self.takeovers: dict[Session, Takeover] = {}
-        self.healings: dict[Session, Healing] = {}
+        self.terms: Callable[[LeasedJobRecord], tuple[tuple[str, ...], int]] = lambda record: (
+            (),
+            1,
+        )
+        self.takeovers: dict[Session, SessionFailover] = {}
+        self.healings: dict[Session, SessionRecovery] = {}
         self._alive: dict[str, tuple[str, int]] = {}
         self._claims: dict[int, str] = {}  # tokens of Jobs taken over
-        self._where: dict[str, Takeover] = {}  # by uid
+        self._where: dict[str, SessionFailover] = {}  # by uid
         self._heap: list[tuple[int, int, str, str]] = []
         self._next_us = 0  # when the core may have more
         self._startable_us: int | None = None
         self._watch_us: int | None = None
-        self._taking: dict[Session, Ended] = {}  # ends of which more is to be taken over
+        self._taking: dict[Session, EndedSession] = {}  # ends of which more is to be taken over
         self._heard: dict[Session, int] = {}  # when an end was heard of
         self._settles: dict[int, str] = {}
         self._number = 0
@@ -86,7 +89,7 @@
             out += self._go(now_us, takeover.places(now_us, self._askers(takeover)))
         return out
 
-    def over(self, now_us: int, ended: Ended, runs: Collection[str] = ()) -> list[Effect]:
+    def over(self, now_us: int, ended: EndedSession, runs: Collection[str] = ()) -> list[Effect]:
         """The voters ended a session, or it has more successors; to be said in the order of epochs.
 
         `runs`: where it was this placer's, the Jobs of which something still runs on its machines.
@@ -100,10 +103,12 @@
                 and self.custody.former
             ):
                 jobs = {
-                    uid: Own(job.said(now_us), uid in runs)
+                    uid: OwnJob(job.said(now_us), uid in runs)
                     for uid, job in self.custody.former.items()
                 }
-                healing = self.healings[ended.session] = Healing(self.me, ended.session, jobs)
+                healing = self.healings[ended.session] = SessionRecovery(
+                    self.me, ended.session, jobs
+                )
             return out + (
                 self._go(now_us, healing.ended(now_us, ended)) if healing is not None else []
             )
@@ -112,7 +117,7 @@
             self._heard.setdefault(ended.session, now_us)
         return out + self._watch(now_us)
 
-    def _succeed(self, now_us: int, ended: Ended) -> list[Effect]:
+    def _succeed(self, now_us: int, ended: EndedSession) -> list[Effect]:
         """Take over so many, and the rest in later turns."""
         takings = self.keeping.ended(now_us, ended, self.pace.takes)
         if len(takings) < self.pace.takes:
@@ -147,7 +152,7 @@
             self._go(now_us, self._where[uid].operator(now_us, uid)) if uid in self._where else []
         )
 
-    def record(self, uid: str) -> Record | None:
+    def record(self, uid: str) -> LeasedJobRecord | None:
         """What is known here of a Job that is being taken over."""
         return self._where[uid].cases[uid].record if uid in self._where else None
 
@@ -155,7 +160,7 @@
         """Of a Job that is being taken over; "" of any other."""
         return self._where[uid].cases[uid].fate if uid in self._where else ""
 
-    def unknown(self) -> list[Record]:
+    def unknown(self) -> list[LeasedJobRecord]:
         """Jobs that are kept as unknown, for the operator's list; those of a session of before, too, until settled."""
         healing = [
             own.record
@@ -167,22 +172,22 @@
             case.record
             for takeover in self.takeovers.values()
             for case in takeover.cases.values()
-            if case.fate == Verdict.UNKNOWN.value
+            if case.fate == ReissueDecision.UNKNOWN.value
         ]
 
     def on_message(self, now_us: int, ident: str, address: str, message: Message) -> list[Effect]:
         """Mail came."""
-        if isinstance(message, Keep):
+        if isinstance(message, ReplicateRequest):
             return self._go(now_us, self.keeping.on_keep(now_us, ident, message))
-        if isinstance(message, KeepAnswer):
+        if isinstance(message, ReplicateResponse):
             return self._go(now_us, self.custody.on_message(now_us, ident, message))
-        if isinstance(message, Settle):
+        if isinstance(message, ResolveRequest):
             return self.keeping.settle(ident, message, self._held(message))
-        if isinstance(message, Settled):
+        if isinstance(message, ResolveResponse):
             return self._settled(now_us, ident, message)
-        if isinstance(message, AskMachine):
+        if isinstance(message, MachineQuery):
             return [
-                Tell(
+                Notify(
                     "ask-machine",
                     {
                         "to": ident,
@@ -207,14 +212,17 @@
             return self._go(now_us, self.custody.on_timer(now_us))
         if key == STARTABLE:
             self._startable_us = None
-            return [Tell("startable", {"jobs": len(self._heap)})] if self._heap else []
+            return [Notify("startable", {"jobs": len(self._heap)})] if self._heap else []
         if key == TAKING:
             return self._succeed(now_us, next(iter(self._taking.values()))) if self._taking else []
         if key == WATCH:
             self._watch_us = None
             return self._watch(now_us, ask=True)
         self.healings = {session: each for session, each in self.healings.items() if not each.done}
-        parts: list[Takeover | Healing] = [*self.takeovers.values(), *self.healings.values()]
+        parts: list[SessionFailover | SessionRecovery] = [
+            *self.takeovers.values(),
+            *self.healings.values(),
+        ]
         return [
             effect
             for each in parts
@@ -229,10 +237,10 @@
         now_us: int,
         cores: float,
         memory: float,
-        may: Callable[[Record], bool] = lambda record: True,
-    ) -> tuple[list[Start], list[Effect]]:
+        may: Callable[[LeasedJobRecord], bool] = lambda record: True,
+    ) -> tuple[list[StartOrder], list[Effect]]:
         """What may be started now, in order, within that room; `may`: whether its spec allows it here, now."""
-        out: list[Start] = []
+        out: list[StartOrder] = []
         left: list[tuple[int, int, str, str]] = []
         while (
             now_us >= self._next_us
@@ -251,7 +259,7 @@
                 continue
             cores, memory = cores - record.cores * tasks, memory - record.memory * tasks
             out.append(takeover.give(record.uid))
-            self.keeping.fate(record.uid, Verdict.RUN.value)
+            self.keeping.fate(record.uid, ReissueDecision.RUN.value)
         for entry in left:
             heapq.heappush(self._heap, entry)
         if out:
@@ -271,7 +279,7 @@
 
     # -- inside
 
-    def _askers(self, takeover: Takeover) -> list[str]:
+    def _askers(self, takeover: SessionFailover) -> list[str]:
         regions = {case.record.region for case in takeover.cases.values()}
         return [name for name, (region, _) in self._alive.items() if region in regions]
 
@@ -292,7 +300,7 @@
             return []
         takeover = self.takeovers.get(session)
         if takeover is None:
-            takeover = self.takeovers[session] = Takeover(session, epoch)
+            takeover = self.takeovers[session] = SessionFailover(session, epoch)
         self._where |= {taking.record.uid: takeover for taking in takings}
         out = self._go(now_us, takeover.add(now_us, takings))
         out += self._go(now_us, takeover.places(now_us, self._askers(takeover)))
@@ -312,34 +320,34 @@
         """What the parts tell each other is heard here; the rest goes out, in order."""
         out: list[Effect] = []
         for effect in effects:
-            if not isinstance(effect, Tell):
+            if not isinstance(effect, Notify):
                 out.append(effect)
                 continue
             said = effect.fields
             uid = said.get("uid", "")
-            if effect.what == "kept" and said["token"] in self._claims:
+            if effect.event == "kept" and said["token"] in self._claims:
                 out += self._claim(now_us, self._claims.pop(said["token"]), said)
-            elif effect.what == "later":
-                record: Record = said["record"]
+            elif effect.event == "later":
+                record: LeasedJobRecord = said["record"]
                 if record.uid in self._where:
                     takeover = self._where[record.uid]
                     out += self._go(now_us, takeover.later(now_us, record))
                     if record.uid in takeover.cases:
                         tasks = takeover.cases[record.uid].record.tasks
                         out += self.custody.learn(now_us, record.uid, tasks)
-            elif effect.what in ("superseded", "taken"):
+            elif effect.event in ("superseded", "taken"):
                 out += self._lost(now_us, uid, said)
-            elif effect.what == "settled":
+            elif effect.event == "settled":
                 self.custody.former.pop(uid, None)
                 out += [
                     effect,
                     *(self._again(now_us, said["own"], said["epoch"]) if not said["by"] else []),
                 ]
-            elif effect.what == "reissue":
+            elif effect.event == "reissue":
                 self.keeping.fate(uid, said["verdict"])
                 out.append(effect)
                 takeover = self._where[uid]
-                if said["verdict"] == Verdict.RUN.value and uid in takeover.ready:
+                if said["verdict"] == ReissueDecision.RUN.value and uid in takeover.ready:
                     heapq.heappush(self._heap, (*rank_of(takeover.cases[uid]), uid))
                     out += self._call(now_us)
             else:
@@ -368,7 +376,7 @@
             self.keeping.let_go(uid)
             self._prune()
         out = self._go(now_us, self.custody.drop(now_us, uid))
-        return [*out, Tell("stop", {"uid": uid, "fate": fate, "by": said["by"]})]
+        return [*out, Notify("stop", {"uid": uid, "fate": fate, "by": said["by"]})]
 
     def _prune(self) -> None:
         self.takeovers = {session: each for session, each in self.takeovers.items() if each.cases}
@@ -376,13 +384,13 @@
             session: at for session, at in self._heard.items() if session in self.keeping.ends
         }
 
-    def _again(self, now_us: int, own: Own, epoch: int) -> list[Effect]:
+    def _again(self, now_us: int, own: OwnJob, epoch: int) -> list[Effect]:
         """Nobody knows a Job of this placer's former session: it succeeds itself."""
         if own.record.uid in self.custody.jobs:
             return []
         must = {*own.record.keepers, *own.record.others} - {self.me}
         taking = Taking(doubted(own.record), epoch, tuple(sorted(must)))
-        self.keeping.taken[own.record.uid] = epoch, Verdict.WAIT.value
+        self.keeping.taken[own.record.uid] = epoch, ReissueDecision.WAIT.value
         return self._take(now_us, own.record.session, taking.epoch, [taking])
 
     def _watch(self, now_us: int, ask: bool = False) -> list[Effect]:
@@ -398,10 +406,12 @@
                     self._number += 1
                     self._settles[self._number] = name
                     out.append(
-                        Send(name, "", Settle(self._number, session, tuple(some[:KEPT_MOST])))
+                        Send(
+                            name, "", ResolveRequest(self._number, session, tuple(some[:KEPT_MOST]))
+                        )
                     )
                 elif now_us >= self._heard.get(session, now_us) + LAST_US:
-                    out.append(Tell("orphans", {"session": session.text(), "jobs": len(some)}))
+                    out.append(Notify("orphans", {"session": session.text(), "jobs": len(some)}))
                     out += self._take_each(now_us, some)
         while len(self._settles) > 1024:
             del self._settles[next(iter(self._settles))]
@@ -418,20 +428,20 @@
                 out += self._take(now_us, taking.record.session, taking.epoch, [taking])
         return out
 
-    def _held(self, ask: Settle) -> dict[str, tuple[int, str]]:
+    def _held(self, ask: ResolveRequest) -> dict[str, tuple[int, str]]:
         """Of these Jobs, those that this placer holds, or held under a session that is being healed."""
         out = {}
         for uid in ask.uids:
             job = self.custody.jobs.get(uid)
             if job is not None and ask.session != self.custody.session:
-                out[uid] = job.record.epoch, Verdict.RUN.value
+                out[uid] = job.record.epoch, ReissueDecision.RUN.value
             for healing in self.healings.values():
                 own = healing.jobs.get(uid)
                 if own is not None and healing.session != ask.session:
-                    out[uid] = own.record.epoch, Verdict.WAIT.value
+                    out[uid] = own.record.epoch, ReissueDecision.WAIT.value
         return out
 
-    def _settled(self, now_us: int, ident: str, message: Settled) -> list[Effect]:
+    def _settled(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
         healing = self.healings.get(message.session)
         if healing is not None:
             out = self._go(now_us, healing.on_message(now_us, ident, message))
--- a/wingbarrow/decide/rulesets/canary.py
+++ b/wingbarrow/decide/rulesets/canary.py
@@ -15,7 +15,7 @@
 )
 
 
-class Advice(Enum):
+class CanaryAdvice(Enum):
     """What to do now."""
 
     WAIT = "too little is known yet"
@@ -24,17 +24,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AnswerCounts:
     """Answers so far: all, and those that did not place."""
 
     answers: int
     bad: int
 
-    def since(self, other: Count) -> Count:
+    def since(self, other: AnswerCounts) -> AnswerCounts:
         """What came after another count; a placer that began anew in between counts from nothing."""
         if self.answers < other.answers or self.bad < other.bad:
             return self
-        return Count(self.answers - other.answers, self.bad - other.bad)
+        return AnswerCounts(self.answers - other.answers, self.bad - other.bad)
 
     @property
     def share(self) -> float:
@@ -42,19 +42,19 @@
         return self.bad / self.answers if self.answers else 0.0
 
 
-class Trial:
+class CanaryAnalysis:
     """One change: `before` is what was counted over some time before it, `at` the counts when it was accepted."""
 
-    def __init__(self, before: Count, at: Count, bound: float, end_us: int) -> None:
+    def __init__(self, before: AnswerCounts, at: AnswerCounts, bound: float, end_us: int) -> None:
         self._before, self._at, self._bound, self._end_us = before, at, bound, end_us
-        self.after = Count(0, 0)
+        self.after = AnswerCounts(0, 0)
 
     @property
     def rise(self) -> float:
         """By how much the share of bad answers has risen."""
         return self.after.share - self._before.share
 
-    def judge(self, now_us: int, count: Count) -> Advice:
+    def judge(self, now_us: int, count: AnswerCounts) -> CanaryAdvice:
         """Take the counts of now."""
         self.after = count.since(self._at)
         if self.after.answers >= ANSWERS_LEAST and self.rise > self._bound:
@@ -62,5 +62,5 @@
             share = max(self.after.share, 1 / self.after.answers)
             error = sqrt(share * (1 - min(share, 0.999)) / self.after.answers)
             if self.rise - self._bound > CERTAIN * error:
-                return Advice.BACK
-        return Advice.KEEP if now_us >= self._end_us else Advice.WAIT
+                return CanaryAdvice.BACK
+        return CanaryAdvice.KEEP if now_us >= self._end_us else CanaryAdvice.WAIT
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -48,7 +48,7 @@
 )  # no floor speaks of these; rights to a limit are lost with the grant
 
 
-class BadRules(ValueError):
+class RuleSetError(ValueError):
     """A rule set that cannot be used; what is wrong in words, one for each thing."""
 
 
@@ -107,7 +107,7 @@
 }
 
 
-def normal(rules: RuleSet) -> RuleSet:
+def normalized(rules: RuleSet) -> RuleSet:
     """The one form of the same rules: names in order, shares of nothing and figures without a meaning left out."""
     classes = (
         each if each.spread_by != "none" else replace(each, spread_most=0) for each in rules.classes
@@ -125,10 +125,10 @@
     )
 
 
-def read(text: str) -> RuleSet:
+def parse_rule_set(text: str) -> RuleSet:
     """A rule set from its text; BadRules says what is wrong."""
     if len(text) > TEXT_MOST + form.FEDERATION_MOST:
-        raise BadRules(
+        raise RuleSetError(
             f"{len(text)} characters; {TEXT_MOST}, and {form.FEDERATION_MOST} of a federation, are the most"
         )
     try:
@@ -136,7 +136,7 @@
         if not isinstance(value, dict) or set(value) | set(FLOORLESS) != {
             each.name for each in fields(RuleSet)
         }:
-            raise BadRules("not the fields of a rule set")
+            raise RuleSetError("not the fields of a rule set")
         value["federation"] = form.read(value.get("federation", ""))
         classes = tuple(ClassRules(**each) for each in value["classes"])
         shares = tuple((name, share) for name, share in value["cold_shares"])
@@ -154,14 +154,14 @@
         }
         if "plan" in value:
             value["plan"] = read_plan(value["plan"])
-        rules = normal(RuleSet(**value))
-    except BadRules:
+        rules = normalized(RuleSet(**value))
+    except RuleSetError:
         raise
     except (ValueError, TypeError, KeyError, RecursionError) as error:
-        raise BadRules(f"no rule set: {str(error)[:120]}") from None
+        raise RuleSetError(f"no rule set: {str(error)[:120]}") from None
     problems = check(rules) + too_long(rules)
     if problems:
-        raise BadRules("; ".join(problems))
+        raise RuleSetError("; ".join(problems))
     return rules
 
 
@@ -271,7 +271,7 @@
     """One field's."""
 
     within: Callable[[Any, Any], bool]
-    meet: Callable[[Any, Any], Any]
+    intersection: Callable[[Any, Any], Any]
 
 
 def _class_within(a: ClassRules, b: ClassRules) -> bool:
@@ -376,12 +376,12 @@
     return not allows(a, b) and not allows(b, a)
 
 
-def meet(a: RuleSet, b: RuleSet) -> RuleSet:
+def intersection(a: RuleSet, b: RuleSet) -> RuleSet:
     """What both allow, and no more."""
-    return normal(
+    return normalized(
         RuleSet(
             **{
-                name: order.meet(getattr(a, name), getattr(b, name))
+                name: order.intersection(getattr(a, name), getattr(b, name))
                 for name, order in _FIELDS.items()
             }
         )
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -17,15 +17,15 @@
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.rulesets.ruleset import (
     MAILED_MOST,
-    BadRules,
     RuleSet,
+    RuleSetError,
     apart,
     check,
     contradict,
+    intersection,
     joined,
     keeps_floor,
-    meet,
-    read,
+    parse_rule_set,
     too_long,
 )
 
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Agreed:
+class RuleSetState:
     """The replicated state. Texts are the canonical ones of `rules`."""
 
     edition: int = 0  # in force; 0: nothing is agreed on yet
@@ -115,7 +115,7 @@
                 self._floor(value)
             elif kind == "floor-lapsed" and len(self.floors) > 1:
                 self.floors = [each for each in self.floors if each.number >= value["number"]]
-        except (ValueError, KeyError, TypeError, BadRules):
+        except (ValueError, KeyError, TypeError, RuleSetError):
             return
 
     @property
@@ -135,15 +135,15 @@
     def objection(self, base: int, text: str) -> str:
         """Why a version cannot be accepted now; "" where it can."""
         try:
-            rules = read(text)
-        except BadRules as error:
+            rules = parse_rule_set(text)
+        except RuleSetError as error:
             return str(error)
         if base != self.version:
             return f"version {self.version} has been accepted since; yours is based on {base}: see `rules diff`"
         if rules.text() == self.latest:
             return "these are the rules already"
         for floor in self.floors:
-            if not keeps_floor(read(floor.rules), rules):
+            if not keeps_floor(parse_rule_set(floor.rules), rules):
                 return f"it forbids what floor {floor.number} allows: lower the floor first"
         moved = self._moved(rules)
         if moved:
@@ -152,10 +152,10 @@
 
     def _no_way(self, rules: RuleSet) -> str:
         """Why the fleet cannot go to these rules by what both allow; "" where it can."""
-        now = read(self.rules) if self.edition else rules
+        now = parse_rule_set(self.rules) if self.edition else rules
         if not contradict(now, rules):
             return ""
-        between = meet(now, rules)
+        between = intersection(now, rules)
         problems = too_long(between) + check(between)
         return (
             f"what both allow cannot be said, go in smaller steps: {'; '.join(problems)}"
@@ -168,7 +168,9 @@
         if not self.edition:
             return []
         texts = [self.rules, *self.steps]
-        held = {each.name: each.spread_by for text in texts for each in read(text).classes}
+        held = {
+            each.name: each.spread_by for text in texts for each in parse_rule_set(text).classes
+        }
         return [
             each.name
             for each in rules.classes
@@ -184,7 +186,7 @@
         self._remember(ident, why_not)
         if why_not:
             return
-        rules = read(text)
+        rules = parse_rule_set(text)
         self.version += 1
         rest, federation = apart(rules)
         self.versions.append(
@@ -210,9 +212,11 @@
             return
         # From what is in force, whatever was still to come: a version proposed in the middle of a step to another takes
         # its place, and no more than two neighbouring editions are ever in use.
-        now = read(self.rules)
+        now = parse_rule_set(self.rules)
         self.steps = (
-            [meet(now, rules).text(), rules.text()] if contradict(now, rules) else [rules.text()]
+            [intersection(now, rules).text(), rules.text()]
+            if contradict(now, rules)
+            else [rules.text()]
         )
 
     def _drop_old(self) -> None:
@@ -224,7 +228,7 @@
         self.federations = {
             digest: text for digest, text in self.federations.items() if digest in named
         }
-        used = [apart(read(text))[1] for text in (self.rules, *self.steps)]
+        used = [apart(parse_rule_set(text))[1] for text in (self.rules, *self.steps)]
         while (
             len(self.federations) > 1
             and sum(map(len, {*used, *self.federations.values()})) > FEDERATIONS_MOST
@@ -241,8 +245,8 @@
     def floor_objection(self, text: str, lasts_us: int) -> str:
         """Why a floor cannot be taken now; "" where it can."""
         try:
-            floor = read(text)
-        except BadRules as error:
+            floor = parse_rule_set(text)
+        except RuleSetError as error:
             return str(error)
         if not 0 < lasts_us <= DAY_US:
             return "a floor holds for at most a day"
@@ -254,7 +258,7 @@
         if sum(len(json.dumps(each)) + 200 for each in held) > FLOORS_MAILED:
             return f"more than {FLOORS_MAILED} characters of floors that may still be out: wait for the oldest to lapse"
         for each in [self.rules, *self.steps]:
-            if not keeps_floor(floor, read(each)):
+            if not keeps_floor(floor, parse_rule_set(each)):
                 return "it allows what the rules in force, or still to come, forbid"
         return ""
 
@@ -267,14 +271,18 @@
         if not why_not:
             number = self.floors[-1].number + 1 if self.floors else 1
             self.floors.append(
-                Floor(number, _of_floor(read(str(value["rules"]))), int(value["lasts_us"]))
+                Floor(
+                    number, _of_floor(parse_rule_set(str(value["rules"]))), int(value["lasts_us"])
+                )
             )
 
     # -- snapshots
 
     def text(self) -> str:
         """All of it. Rules stand in it as objects, so that mail puts fewer marks before theirs; a federation once."""
-        parts = [apart(read(text)) if text else ("", "") for text in (self.rules, *self.steps)]
+        parts = [
+            apart(parse_rule_set(text)) if text else ("", "") for text in (self.rules, *self.steps)
+        ]
         federations = dict(self.federations)
         for _, federation in parts:
             if federation:
@@ -311,10 +319,10 @@
     )
 
 
-def from_text(text: str) -> Agreed:
+def from_text(text: str) -> RuleSetState:
     """What `text` gave; an empty one is the state at the beginning."""
     if not text:
-        return Agreed()
+        return RuleSetState()
     value = json.loads(text)
     federations = dict(value.get("federations", {}))
 
@@ -325,7 +333,7 @@
             else joined(_text(named[0]), federations[named[1]] if named[1] else "")
         )
 
-    return Agreed(
+    return RuleSetState(
         value["edition"],
         whole(value["rules"]),
         value["version"],
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -14,15 +14,15 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, replace
 
-from wingbarrow.decide.effects import Effect, SetTimer, Tell
+from wingbarrow.decide.effects import Effect, Notify, SetTimer
 from wingbarrow.decide.replication.records import phase_of
 from wingbarrow.decide.replication.replica import Taking
-from wingbarrow.decide.sessions.machine_queries import Inquiry
-from wingbarrow.decide.sessions.messages import MachineSays, Record, Session
+from wingbarrow.decide.sessions.machine_queries import MachineQueries
+from wingbarrow.decide.sessions.messages import LeasedJobRecord, MachineReport, Session
 from wingbarrow.decide.sessions.reissue import (
     TABLE,
-    Row,
-    Verdict,
+    ReissueDecision,
+    ReissueRow,
     decide,
     merged,
     time_of,
@@ -34,10 +34,10 @@
 
 
 @dataclass(slots=True)
-class Case:
+class FailoverCase:
     """One Job. `fate` is a verdict's word, or `claiming`, or `ready` to be given to the core."""
 
-    record: Record
+    record: LeasedJobRecord
     epoch: int
     added_us: int
     until_us: int  # of a keyed one, its window
@@ -48,25 +48,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartOrder:
     """What the core is to start: these tasks of a Job, at its epoch; the manifest is in the record."""
 
-    record: Record
+    record: LeasedJobRecord
     epoch: int
     indexes: tuple[int, ...]
 
 
-class Takeover:
+class SessionFailover:
     """One ended session's at this placer. The host calls it with time, mail and the word of custody."""
 
-    table: tuple[Row, ...] = TABLE
+    table: tuple[ReissueRow, ...] = TABLE
 
     def __init__(self, session: Session, epoch: int) -> None:
         self.session, self.epoch = session, epoch
         self.timer = f"takeover/{session.text()}"
-        self.cases: dict[str, Case] = {}
+        self.cases: dict[str, FailoverCase] = {}
         self.ready: dict[str, None] = {}
-        self.inquiry = Inquiry(epoch)
+        self.inquiry = MachineQueries(epoch)
         self._due: list[tuple[int, str]] = []
         self._timer_us: int | None = None
 
@@ -74,14 +74,14 @@
         """Take Jobs over; each is to be held at once, and `claimed` called with what came of it."""
         for taking in takings:
             record = taking.record
-            case = Case(record, taking.epoch, now_us, window_until_us(record, now_us))
+            case = FailoverCase(record, taking.epoch, now_us, window_until_us(record, now_us))
             self.cases[record.uid] = case
             self._inquire(now_us, case)
             for at in (case.until_us, now_us + CLAIM_US):
                 heapq.heappush(self._due, (at, record.uid))
         return self._go_on(now_us, [each.record.uid for each in takings])
 
-    def _inquire(self, now_us: int, case: Case) -> None:
+    def _inquire(self, now_us: int, case: FailoverCase) -> None:
         for known in case.record.tasks if case.record.effect == "unsafe" else ():
             if known.phase == "about":
                 self.inquiry.want(
@@ -98,7 +98,7 @@
         case.claimed = True
         return self._go_on(now_us, (uid,))
 
-    def later(self, now_us: int, record: Record) -> list[Effect]:
+    def later(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
         """What another keeper knew. Danger: this placer's own record may be of before an attempt left."""
         case = self.cases.get(record.uid)
         if case is None or case.claimed or record.epoch >= case.epoch:
@@ -130,7 +130,7 @@
     def operator(self, now_us: int, uid: str) -> list[Effect]:
         """An operator answers for it that no task of this Job ever ran."""
         case = self.cases.get(uid)
-        if case is None or case.fate != Verdict.UNKNOWN.value:
+        if case is None or case.fate != ReissueDecision.UNKNOWN.value:
             return []
         for index in range(case.record.count):
             self.inquiry.answered(uid, index, "operator")
@@ -140,7 +140,7 @@
         """Placers of the lost region that are there."""
         return self._go_on(now_us, sorted(self.inquiry.places(tuple(sorted(askers)))))
 
-    def on_message(self, now_us: int, message: MachineSays) -> list[Effect]:
+    def on_message(self, now_us: int, message: MachineReport) -> list[Effect]:
         """A machine told, late or twice."""
         uid = self.inquiry.on_message(now_us, message)
         return self._go_on(now_us, (uid,) if uid else ())
@@ -153,16 +153,16 @@
             uids.add(heapq.heappop(self._due)[1])
         return self._go_on(now_us, sorted(uids))
 
-    def give(self, uid: str) -> Start:
+    def give(self, uid: str) -> StartOrder:
         """Start it: the core has it from now on."""
         del self.ready[uid]
         case = self.cases[uid]
-        case.fate = Verdict.RUN.value
-        return Start(case.record, case.epoch, case.run)
+        case.fate = ReissueDecision.RUN.value
+        return StartOrder(case.record, case.epoch, case.run)
 
     # -- inside
 
-    def _judge(self, now_us: int, case: Case) -> dict[int, Row]:
+    def _judge(self, now_us: int, case: FailoverCase) -> dict[int, ReissueRow]:
         record = case.record
         time = time_of(record, now_us, case.until_us)
         out = {}
@@ -175,10 +175,17 @@
         out: list[Effect] = []
         for uid in uids:
             case = self.cases.get(uid)
-            if case is None or case.fate in (Verdict.RUN.value, Verdict.NOTHING.value, READY):
+            if case is None or case.fate in (
+                ReissueDecision.RUN.value,
+                ReissueDecision.NOTHING.value,
+                READY,
+            ):
                 continue
             found = self._judge(now_us, case)
-            sure = {row.verdict for row in found.values()} <= {Verdict.UNKNOWN, Verdict.NOTHING}
+            sure = {row.verdict for row in found.values()} <= {
+                ReissueDecision.UNKNOWN,
+                ReissueDecision.NOTHING,
+            }
             if (
                 sure
                 or case.claimed
@@ -196,23 +203,33 @@
             out.append(SetTimer(self.timer, self._timer_us))
         return out
 
-    def _settle(self, case: Case, found: dict[int, Row]) -> list[Effect]:
+    def _settle(self, case: FailoverCase, found: dict[int, ReissueRow]) -> list[Effect]:
         """What is decided of a Job's tasks becomes its fate, told where it is another than before."""
         verdicts = {row.verdict for row in found.values()}
-        for verdict in (Verdict.ASK, Verdict.WAIT):
+        for verdict in (ReissueDecision.ASK, ReissueDecision.WAIT):
             if verdict in verdicts:
                 case.fate = verdict.value
                 return self._tell(case, found, (verdict,))
-        case.run = tuple(index for index, row in found.items() if row.verdict is Verdict.RUN)
+        case.run = tuple(
+            index for index, row in found.items() if row.verdict is ReissueDecision.RUN
+        )
         if case.run:
             case.fate = READY
             self.ready[case.record.uid] = None
         else:
-            case.fate = (Verdict.UNKNOWN if Verdict.UNKNOWN in verdicts else Verdict.NOTHING).value
-        return self._tell(case, found, (Verdict.RUN, Verdict.UNKNOWN, Verdict.NOTHING))
+            case.fate = (
+                ReissueDecision.UNKNOWN
+                if ReissueDecision.UNKNOWN in verdicts
+                else ReissueDecision.NOTHING
+            ).value
+        return self._tell(
+            case, found, (ReissueDecision.RUN, ReissueDecision.UNKNOWN, ReissueDecision.NOTHING)
+        )
 
     @staticmethod
-    def _tell(case: Case, found: dict[int, Row], which: tuple[Verdict, ...]) -> list[Effect]:
+    def _tell(
+        case: FailoverCase, found: dict[int, ReissueRow], which: tuple[ReissueDecision, ...]
+    ) -> list[Effect]:
         out: list[Effect] = []
         told = []
         for each in which:
@@ -222,7 +239,7 @@
             told.append((each.value, indexes))
             if (each.value, indexes) not in case.told:
                 out.append(
-                    Tell(
+                    Notify(
                         "reissue",
                         {
                             "uid": case.record.uid,
@@ -238,6 +255,6 @@
         return out
 
 
-def rank_of(case: Case) -> tuple[int, int, str]:
+def rank_of(case: FailoverCase) -> tuple[int, int, str]:
     """As work comes, the least first: by priority, by how long its owner has waited for it, by name."""
     return -case.record.priority, case.added_us - case.record.born_age_us, case.record.key
--- a/wingbarrow/decide/sessions/machine_queries.py
+++ b/wingbarrow/decide/sessions/machine_queries.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.effects import Effect, Send
-from wingbarrow.decide.sessions.messages import AskMachine, MachineSays
+from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
 from wingbarrow.decide.sessions.reissue import said_of
 
 ASK_US = 1_000_000  # until a machine's answer is asked for again
@@ -37,7 +37,7 @@
     queued: bool = False
 
 
-class Inquiry:
+class MachineQueries:
     """All asks of one take-over."""
 
     def __init__(self, epoch: int) -> None:
@@ -92,7 +92,7 @@
                 self._line_up(ask)
         return {ask.uid for ask in open_asks} if changed else set()
 
-    def on_message(self, now_us: int, message: MachineSays) -> str:
+    def on_message(self, now_us: int, message: MachineReport) -> str:
         """A machine told, late or twice; the uid that it is about, "" for nothing new."""
         ask = self._numbers.get(message.number)
         if (
@@ -145,7 +145,7 @@
             self._out += 1
             self._wait(ask, now_us + ASK_US)
             asker = self.askers[ask.number % len(self.askers)]
-            out.append(Send(asker, "", AskMachine(ask.number, ask.machine, ask.uid, self.epoch)))
+            out.append(Send(asker, "", MachineQuery(ask.number, ask.machine, ask.uid, self.epoch)))
         return out
 
     def due(self) -> int | None:
