--- a/wingbarrow/decide/sessions/messages.py
+++ b/wingbarrow/decide/sessions/messages.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class HeldRecords:
     """What one placer keeps for another's session: so many Jobs, the least `after` among their specs."""
 
     session: Session
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionsSaid:
+class SessionsReport:
     """With an ask."""
 
     region: str
     serial: int  # of its present session, 0 before the first; the life goes with the ask
     leased: int  # Jobs under it
-    keeping: tuple[Kept, ...] = ()  # at most KEPT_MOST
+    keeping: tuple[HeldRecords, ...] = ()  # at most KEPT_MOST
     heard: int = 0  # the latest epoch that it has heard of
     deaf: bool = False  # no grant has come to it for so long that it may send nothing
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class EndedSession:
     """A session that is over, by the voters' log. `epoch` counts ends, and changes of who succeeds.
 
     `changed` is the epoch of its own latest change: whoever takes over acts under that, as it heard it. Later
@@ -95,7 +95,7 @@
     changed: int = 0
 
 
-def successor(ended: Ended, keepers: tuple[str, ...]) -> str:
+def successor_of(ended: EndedSession, keepers: tuple[str, ...]) -> str:
     """Who takes over a Job with these keepers; "" while nobody does."""
     for batch in ended.batches:
         for name in keepers:
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionsTold:
+class SessionsResponse:
     """With a grant. `open`: the asker's session is the one that is renewed by this, for `lease_us` from the ask."""
 
     open: bool
@@ -113,7 +113,7 @@
     lease_us: int
     epoch: int  # up to which the asker has heard all with this
     ended: tuple[
-        Ended, ...
+        EndedSession, ...
     ] = ()  # those that changed after what was heard, in their order: ENDED_MOST at a time
     life: int = (
         0  # of the asker's session: its process's, or a later one where a wall clock was set back
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownTask:
     """What a keeper knows of one task: its phase, at which machine, by which attempt, since when."""
 
     index: int
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class LeasedJobRecord:
     """A leased Job as its keeper has it. Later `(epoch, version)` replaces earlier, whoever says it."""
 
     form: int
@@ -161,7 +161,7 @@
     keepers: tuple[str, ...]
     answered: str  # by its first placer: OFFERED before its 201, then "", placed, refused or failed
     born_age_us: int  # since it was accepted, when this was said
-    tasks: tuple[Known, ...] = field(default=())
+    tasks: tuple[KnownTask, ...] = field(default=())
     others: tuple[
         str, ...
     ] = ()  # placers that may have an older one, and have not forgotten it yet
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class ReplicateRequest:
     """Have these, in place of what you had of them; `gone`: uids that need no keeping any more.
 
     `life`, `serial`: of the keeper's session, as the holder knows it; a keeper of another refuses, as it has lost or
@@ -181,14 +181,14 @@
 
     number: int
     session: Session
-    records: tuple[Record, ...] = ()
+    records: tuple[LeasedJobRecord, ...] = ()
     gone: tuple[str, ...] = ()
     life: int = 0
     serial: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class KeepAnswer:
+class ReplicateResponse:
     """All of that number is kept; or not, and why (bounds, or this session has ended: `over`).
 
     `life`, `serial`: of the keeper's session. `taken`: uids of the mail that another holds by a later word, at which
@@ -204,14 +204,14 @@
     life: int = 0
     serial: int = 0
     taken: tuple[tuple[str, int, str], ...] = ()
-    later: tuple[Record, ...] = ()
+    later: tuple[LeasedJobRecord, ...] = ()
 
 
 # -- after an end
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class ResolveRequest:
     """One that came back asks a successor, or a keeper, what became of Jobs of an ended session."""
 
     number: int
@@ -220,7 +220,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class ResolveResponse:
     """Of each Job: its epoch, and what became of it (run, waiting, asked, unknown, stopped, not known here)."""
 
     number: int
@@ -229,7 +229,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskMachine:
+class MachineQuery:
     """To a placer of the region in which a machine is: fence a Job there, and tell what it holds."""
 
     number: int
@@ -239,7 +239,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineSays:
+class MachineReport:
     """What the machine said; `reached`: whether it did. `boot_age_us`: for how long it has been up."""
 
     number: int
@@ -250,4 +250,11 @@
     boot_age_us: int = 0
 
 
-Message = Keep | KeepAnswer | Settle | Settled | AskMachine | MachineSays
+Message = (
+    ReplicateRequest
+    | ReplicateResponse
+    | ResolveRequest
+    | ResolveResponse
+    | MachineQuery
+    | MachineReport
+)
--- a/wingbarrow/decide/sessions/recovery.py
+++ b/wingbarrow/decide/sessions/recovery.py
@@ -11,27 +11,34 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 from wingbarrow.decide.replication.replica import UNKNOWN_HERE
-from wingbarrow.decide.sessions.messages import KEPT_MOST, Ended, Record, Session, Settle, Settled
-from wingbarrow.decide.sessions.reissue import Copy, Verdict, settle
+from wingbarrow.decide.sessions.messages import (
+    KEPT_MOST,
+    EndedSession,
+    LeasedJobRecord,
+    ResolveRequest,
+    ResolveResponse,
+    Session,
+)
+from wingbarrow.decide.sessions.reissue import ReissueDecision, RunCopy, settle
 
 ASK_US = 1_000_000  # between asks of a successor that has not answered
 NOBODY_US = 10_000_000  # for how long successors are looked for
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class OwnJob:
     """A Job as the one that came back has it."""
 
-    record: Record
+    record: LeasedJobRecord
     runs: bool
 
 
-class Healing:
+class SessionRecovery:
     """Of one ended session of this placer; done once each successor has answered, or has gone."""
 
-    def __init__(self, me: str, session: Session, jobs: Mapping[str, Own]) -> None:
+    def __init__(self, me: str, session: Session, jobs: Mapping[str, OwnJob]) -> None:
         self.me, self.session = me, session
         self.timer = f"healing/{session.text()}"
         self.jobs = dict(jobs)
@@ -46,7 +53,7 @@
         """Whether nothing is left to be told."""
         return not self.jobs
 
-    def ended(self, now_us: int, ended: Ended) -> list[Effect]:
+    def ended(self, now_us: int, ended: EndedSession) -> list[Effect]:
         """Its end, and who succeeds; again where there are more."""
         # One whose session ended since may be there, and know who has what it had.
         names = {name for batch in ended.batches for name in batch} - {self.me}
@@ -67,7 +74,7 @@
                     Send(
                         name,
                         "",
-                        Settle(self._number, self.session, tuple(sorted(uids))[:KEPT_MOST]),
+                        ResolveRequest(self._number, self.session, tuple(sorted(uids))[:KEPT_MOST]),
                     )
                 )
         while len(self._numbers) > 1024:
@@ -76,7 +83,7 @@
             out += self._nobody()
         return [*out, SetTimer(self.timer, now_us + ASK_US)] if self.jobs else out
 
-    def on_message(self, now_us: int, ident: str, message: Settled) -> list[Effect]:
+    def on_message(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
         """A successor told."""
         if self._numbers.pop(message.number, "") != ident or message.session != self.session:
             return []
@@ -89,12 +96,12 @@
             if fate == UNKNOWN_HERE or epoch <= own.record.epoch:
                 continue  # who has it at an earlier epoch, or at this, is no successor of it
             here, there = (
-                Copy(own.record.epoch, self.me, own.runs),
-                Copy(epoch, ident, fate == "run"),
+                RunCopy(own.record.epoch, self.me, own.runs),
+                RunCopy(epoch, ident, fate == "run"),
             )
             mine, theirs, why = settle(own.record.effect, here, there)
             out.append(
-                Tell(
+                Notify(
                     "settled",
                     {
                         "uid": uid,
@@ -119,14 +126,14 @@
         """Jobs of which no successor knows."""
         out: list[Effect] = []
         for uid, own in list(self.jobs.items()):
-            mine = Verdict.RUN if own.record.effect == "safe" else Verdict.UNKNOWN
+            mine = ReissueDecision.RUN if own.record.effect == "safe" else ReissueDecision.UNKNOWN
             out.append(
-                Tell(
+                Notify(
                     "settled",
                     {
                         "uid": uid,
                         "mine": mine.value,
-                        "theirs": Verdict.NOTHING.value,
+                        "theirs": ReissueDecision.NOTHING.value,
                         "by": "",
                         "epoch": self._epoch,
                         "fate": UNKNOWN_HERE,
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.sessions.messages import PHASES, Known, MachineSays, Record
+from wingbarrow.decide.sessions.messages import PHASES, KnownTask, LeasedJobRecord, MachineReport
 
 EVERY = ("unsafe", "keyed", "safe")
 SAYS = ("unasked", "unreachable", "holds", "clear", "anew", "operator")
@@ -23,7 +23,7 @@
 ANY: tuple[str, ...] = ()
 
 
-class Verdict(Enum):
+class ReissueDecision(Enum):
     """What becomes of a task."""
 
     RUN = "run"
@@ -35,130 +35,139 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class ReissueRow:
     """The first row that fits holds; an empty column fits all. `why` names the danger, or the proof."""
 
     effects: tuple[str, ...]
     knows: tuple[str, ...]
     says: tuple[str, ...]
     times: tuple[str, ...]
-    verdict: Verdict
+    verdict: ReissueDecision
     why: str
 
 
 TABLE = (
-    Row(
-        ANY, ("over",), ANY, ANY, Verdict.NOTHING, "it is over: what has ended would be done again"
+    ReissueRow(
+        ANY,
+        ("over",),
+        ANY,
+        ANY,
+        ReissueDecision.NOTHING,
+        "it is over: what has ended would be done again",
     ),
-    Row(
+    ReissueRow(
         ("safe",),
         ANY,
         ANY,
         ANY,
-        Verdict.RUN,
+        ReissueDecision.RUN,
         "it may repeat; a copy that a machine has not stopped yet overlaps until its lease has passed there",
     ),
-    Row(("keyed",), ANY, ("operator",), ANY, Verdict.RUN, "the operator answers for it"),
-    Row(
+    ReissueRow(
+        ("keyed",), ANY, ("operator",), ANY, ReissueDecision.RUN, "the operator answers for it"
+    ),
+    ReissueRow(
         ("keyed",),
         ANY,
         ANY,
         ("window",),
-        Verdict.WAIT,
+        ReissueDecision.WAIT,
         "the former holder may have sent the same key just before its right lapsed, within the window and the group",
     ),
-    Row(
+    ReissueRow(
         ("keyed",),
         ANY,
         ANY,
         ("open",),
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "another may have started it since, or may yet, within the window of a key that holds everywhere",
     ),
-    Row(
+    ReissueRow(
         ("keyed",),
         ANY,
         ANY,
         ("past",),
-        Verdict.RUN,
+        ReissueDecision.RUN,
         "no copy runs any more, and the key's window, where its group reaches here, has passed",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("none", "about", "placed", "doubt"),
         ("operator",),
         ANY,
-        Verdict.RUN,
+        ReissueDecision.RUN,
         "the operator answers for it that it never ran",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ANY,
         ("holds",),
         ANY,
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "its machine took it: it had its effect, or may have",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("doubt",),
         ANY,
         ANY,
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "its holder, or a successor, may have gone on by other keepers than this one",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("none",),
         ANY,
         ANY,
-        Verdict.RUN,
+        ReissueDecision.RUN,
         "nothing of it ever left: every keeper hears of an attempt before its first byte",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("placed",),
         ANY,
         ANY,
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "it was started: whether it ended well nobody here can prove",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("about",),
         ("unasked",),
         ANY,
-        Verdict.ASK,
+        ReissueDecision.ASK,
         "the attempt may have left, or may still be on its way: its machine has to refuse it first, and say",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("about",),
         ("clear",),
         ANY,
-        Verdict.RUN,
+        ReissueDecision.RUN,
         "its machine never had it since before it could be sent, and refuses it from now on by its epoch",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("about",),
         ("anew",),
         ANY,
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "its machine started anew since: what ran there before its start it does not know",
     ),
-    Row(
+    ReissueRow(
         ("unsafe",),
         ("about",),
         ("unreachable",),
         ANY,
-        Verdict.UNKNOWN,
+        ReissueDecision.UNKNOWN,
         "a machine that does not answer may have run it, and is asked again",
     ),
 )
 
 
-def decide(effect: str, knows: str, says: str, time: str, table: tuple[Row, ...] = TABLE) -> Row:
+def decide(
+    effect: str, knows: str, says: str, time: str, table: tuple[ReissueRow, ...] = TABLE
+) -> ReissueRow:
     """The row that holds."""
     for row in table:
         if all(
@@ -174,7 +183,7 @@
     raise ValueError(f"no row for {effect}, {knows}, {says}, {time}")
 
 
-def window_until_us(record: Record, heard_us: int) -> int:
+def window_until_us(record: LeasedJobRecord, heard_us: int) -> int:
     """Until when a keyed Job waits: the last send was before the end of its holder's session was heard of.
 
     Of a key that holds for all, or where another successor of this region may have started it: the whole window, by
@@ -185,18 +194,18 @@
     return heard_us + drifted_us(record.window_us)
 
 
-def time_of(record: Record, now_us: int, until_us: int) -> str:
+def time_of(record: LeasedJobRecord, now_us: int, until_us: int) -> str:
     """As the table takes it."""
     if record.effect == "keyed" and record.group == "all" and _doubt(record):
         return "open"
     return "window" if now_us < until_us else "past"
 
 
-def _doubt(record: Record) -> bool:
+def _doubt(record: LeasedJobRecord) -> bool:
     return any(each.phase == "doubt" for each in record.tasks)
 
 
-def said_of(says: MachineSays | None, age_us: int) -> str:
+def said_of(says: MachineReport | None, age_us: int) -> str:
     """What a machine's answer means for an attempt that could leave `age_us` ago at the earliest.
 
     Danger: "never had it" counts only where the machine remembers all of that time, by any clock.
@@ -210,7 +219,7 @@
     return "clear" if says.boot_age_us > drifted_us(age_us) else "anew"
 
 
-def merged(mine: Known, theirs: Known) -> Known:
+def merged(mine: KnownTask, theirs: KnownTask) -> KnownTask:
     """Of two words about one task, the one that says more: a successor goes by the worst that may be."""
     if PHASES.index(theirs.phase) != PHASES.index(mine.phase):
         return theirs if PHASES.index(theirs.phase) > PHASES.index(mine.phase) else mine
@@ -224,8 +233,8 @@
     effects: tuple[str, ...]
     earlier_runs: bool
     later_runs: bool
-    earlier: Verdict
-    later: Verdict
+    earlier: ReissueDecision
+    later: ReissueDecision
     why: str
 
 
@@ -234,41 +243,55 @@
         ("unsafe",),
         True,
         True,
-        Verdict.RUN,
-        Verdict.RUN,
+        ReissueDecision.RUN,
+        ReissueDecision.RUN,
         "what must not start twice is never stopped to tidy up; told as a breach",
     ),
     Heal(
         ("unsafe",),
         True,
         False,
-        Verdict.RUN,
-        Verdict.NOTHING,
+        ReissueDecision.RUN,
+        ReissueDecision.NOTHING,
         "it runs where it ran: a second start, or a stop in its middle, would do harm",
     ),
     Heal(
         ("keyed", "safe"),
         True,
         True,
-        Verdict.STOP,
-        Verdict.RUN,
+        ReissueDecision.STOP,
+        ReissueDecision.RUN,
         "one copy is enough: the later epoch's",
     ),
     Heal(
         ("keyed", "safe"),
         True,
         False,
-        Verdict.STOP,
-        Verdict.WAIT,
+        ReissueDecision.STOP,
+        ReissueDecision.WAIT,
         "a holder whose session was ended has no more say; its successor starts it",
     ),
-    Heal(EVERY, False, True, Verdict.NOTHING, Verdict.RUN, "the later epoch's goes on"),
-    Heal(EVERY, False, False, Verdict.NOTHING, Verdict.WAIT, "the later epoch's holder decides"),
+    Heal(
+        EVERY,
+        False,
+        True,
+        ReissueDecision.NOTHING,
+        ReissueDecision.RUN,
+        "the later epoch's goes on",
+    ),
+    Heal(
+        EVERY,
+        False,
+        False,
+        ReissueDecision.NOTHING,
+        ReissueDecision.WAIT,
+        "the later epoch's holder decides",
+    ),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class RunCopy:
     """One side's view of a Job: at which epoch and by whom it is held, and whether a run of it stands there."""
 
     epoch: int
@@ -277,11 +300,15 @@
 
 
 def settle(
-    effect: str, mine: Copy, theirs: Copy, table: tuple[Heal, ...] = HEALING
-) -> tuple[Verdict, Verdict, str]:
+    effect: str, mine: RunCopy, theirs: RunCopy, table: tuple[Heal, ...] = HEALING
+) -> tuple[ReissueDecision, ReissueDecision, str]:
     """What becomes of mine, of theirs, and why. The greater epoch is the later; of one epoch the lesser name is."""
     if (mine.epoch, mine.holder) == (theirs.epoch, theirs.holder):
-        return (Verdict.RUN if mine.runs else Verdict.WAIT), Verdict.NOTHING, "they are the same"
+        return (
+            (ReissueDecision.RUN if mine.runs else ReissueDecision.WAIT),
+            ReissueDecision.NOTHING,
+            "they are the same",
+        )
     later = (mine.epoch, _falling(mine.holder)) > (theirs.epoch, _falling(theirs.holder))
     first, second = (theirs, mine) if later else (mine, theirs)
     for row in table:
--- a/wingbarrow/decide/sessions/session_log.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.sessions.messages import Ended, Session, read_session
+from wingbarrow.decide.sessions.messages import EndedSession, Session, read_session
 
 OPEN_MOST = 1024  # sessions at a time
 LIVES_MOST = 8  # of them of one placer, the present and those whose reckoning is not over
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenSession:
     """One open session. Its lease stays as it was opened with, whatever a later leader's settings say."""
 
     region: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Latest:
+class LatestSession:
     """How far a placer's sessions have come, and which process of it has the latest."""
 
     process: int
@@ -45,9 +45,9 @@
     """The replicated state. `by`: for each end, by which session each successor joined."""
 
     epoch: int = 0
-    open: dict[Session, Open] = field(default_factory=dict)
-    latest: dict[str, Latest] = field(default_factory=dict)
-    ended: dict[Session, Ended] = field(default_factory=dict)
+    open: dict[Session, OpenSession] = field(default_factory=dict)
+    latest: dict[str, LatestSession] = field(default_factory=dict)
+    ended: dict[Session, EndedSession] = field(default_factory=dict)
     by: dict[Session, dict[str, Session]] = field(default_factory=dict)
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
@@ -55,7 +55,9 @@
         session = read_session(str(value["session"]))
         if kind == "opened":
             self._opened(
-                session, int(value["process"]), Open(str(value["region"]), int(value["lease_us"]))
+                session,
+                int(value["process"]),
+                OpenSession(str(value["region"]), int(value["lease_us"])),
             )
         elif kind in ("ended", "succeed"):
             successors = [read_session(str(each)) for each in value["successors"]]
@@ -72,7 +74,7 @@
         """How many sessions of a placer are open."""
         return sum(each.placer == placer for each in self.open)
 
-    def _opened(self, session: Session, process: int, terms: Open) -> None:
+    def _opened(self, session: Session, process: int, terms: OpenSession) -> None:
         held = self.latest.get(session.placer)
         # Danger: an end stands for good. What is not later than the latest is open already, or has ended.
         if (
@@ -85,7 +87,7 @@
             raise ValueError("a lease of no length")
         self.open[session] = terms
         self.latest.pop(session.placer, None)  # the last to come stands last
-        self.latest[session.placer] = Latest(process, session)
+        self.latest[session.placer] = LatestSession(process, session)
         if len(self.latest) > LATEST_MOST:
             # Whoever is forgotten begins after the serial that it states itself: nothing is opened twice.
             present = {each.placer for each in self.open}
@@ -96,7 +98,7 @@
         if terms is None:
             return
         self.epoch += 1
-        self.ended[session] = Ended(self.epoch, session, terms.region, changed=self.epoch)
+        self.ended[session] = EndedSession(self.epoch, session, terms.region, changed=self.epoch)
         self.by[session] = {}
         for other, by in self.by.items():
             if by.get(session.placer) == session:
@@ -177,13 +179,15 @@
         return out
     value = json.loads(text)
     out.epoch = value["epoch"]
-    out.open = {read_session(name): Open(region, lease) for name, region, lease in value["open"]}
+    out.open = {
+        read_session(name): OpenSession(region, lease) for name, region, lease in value["open"]
+    }
     for process, name in value["latest"]:
         session = read_session(name)
-        out.latest[session.placer] = Latest(process, session)
+        out.latest[session.placer] = LatestSession(process, session)
     for epoch, name, region, batches, gone, changed, by in value["ended"]:
         session = read_session(name)
-        out.ended[session] = Ended(
+        out.ended[session] = EndedSession(
             epoch, session, region, tuple(tuple(each) for each in batches), tuple(gone), changed
         )
         joined = [read_session(each) for each in by]
--- a/wingbarrow/decide/sessions/sessions.py
+++ b/wingbarrow/decide/sessions/sessions.py
@@ -22,19 +22,19 @@
 from typing import Any
 
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.effects import Effect, Tell
-from wingbarrow.decide.quotas.escrow import Asker
+from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import drifted_us
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.sessions.messages import (
     ENDED_MOST,
     KEPT_MOST,
     LEASE_US,
-    Ended,
-    Kept,
+    EndedSession,
+    HeldRecords,
     Session,
-    SessionsSaid,
-    SessionsTold,
+    SessionsReport,
+    SessionsResponse,
     reckoned_us,
     right_us,
 )
@@ -78,7 +78,7 @@
     return waits + lease_us // LOOKS + round_us
 
 
-class Sessions:
+class SessionSubsystem:
     """The voters' part; times by the leader's clock. `lease_us` is that of sessions that are opened from now on."""
 
     name = "sessions"
@@ -99,10 +99,10 @@
         ] = {}  # by placer: session, process, region
         self._deaf_us: dict[Session, int] = {}  # since when its asks say that no grant comes
         self.says: dict[
-            str, SessionsSaid
+            str, SessionsReport
         ] = {}  # by placer whose session is open, what it said last
         self._round: dict[
-            str, tuple[Asker, SessionsSaid, Session | None]
+            str, tuple[Requester, SessionsReport, Session | None]
         ] = {}  # who asked, and what that renewed
 
     # -- the log
@@ -113,7 +113,7 @@
         self._look_us = 0
         self._ending &= self.log.open.keys()
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """All of the replicated state."""
         return self.log.text()
 
@@ -123,7 +123,7 @@
 
     # -- the leader
 
-    def elected(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, on: bool) -> None:
         """Leads from now on, or no longer. Danger: what leaders before renewed is not known: it counts from now."""
         self._forget(now_us)
 
@@ -134,7 +134,7 @@
             self.counts["sessions: leader stood still"] += 1
         self._seen_us = now_us
 
-    def hear(self, now_us: int, asker: Asker, said: SessionsSaid | None) -> None:
+    def on_report(self, now_us: int, asker: Requester, said: SessionsReport | None) -> None:
         """A placer's part of an ask that a majority confirmed: its session is renewed, or one is to be opened."""
         if said is None:
             return
@@ -163,7 +163,7 @@
             self._want(asker, Session(asker.ident, max(asker.life, held.session.life + 1), 1), said)
         self._round[asker.ident] = asker, said, renewed
 
-    def _hears(self, now_us: int, session: Session, said: SessionsSaid) -> bool:
+    def _hears(self, now_us: int, session: Session, said: SessionsReport) -> bool:
         """Danger: one that is heard and does not hear would keep its work from everybody for good."""
         if not said.deaf:
             self._deaf_us.pop(session, None)
@@ -173,13 +173,13 @@
             < self.log.open[session].lease_us // 2
         )
 
-    def _want(self, asker: Asker, session: Session, said: SessionsSaid) -> None:
+    def _want(self, asker: Requester, session: Session, said: SessionsReport) -> None:
         if self.log.may_open(asker.ident):
             self._wanted[asker.ident] = session, asker.life, said.region
         else:
             self.counts["sessions: no room for another"] += 1
 
-    def told(self, now_us: int, asker: Asker) -> SessionsTold | None:
+    def response_for(self, now_us: int, asker: Requester) -> SessionsResponse | None:
         """Its part of the grant."""
         heard = self._round.get(asker.ident)
         if heard is None or heard[0] != asker:
@@ -188,7 +188,7 @@
         ended, upto = self._news(said.heard)
         held = self.log.latest.get(asker.ident)
         if held is None or held.process != asker.life:
-            return SessionsTold(False, said.serial, self.lease_us, upto, ended)
+            return SessionsResponse(False, said.serial, self.lease_us, upto, ended)
         session = held.session
         terms = self.log.open.get(session)
         # Danger: a new session before its holder knows which have ended would go on with what is somebody else's now.
@@ -197,7 +197,7 @@
             and renewed == session
             and (said.serial == session.serial or upto >= self.log.epoch)
         )
-        return SessionsTold(
+        return SessionsResponse(
             good,
             session.serial,
             terms.lease_us if terms is not None else self.lease_us,
@@ -206,7 +206,7 @@
             session.life,
         )
 
-    def _news(self, heard: int) -> tuple[tuple[Ended, ...], int]:
+    def _news(self, heard: int) -> tuple[tuple[EndedSession, ...], int]:
         """What changed after an epoch, as much as goes with a grant, and up to which epoch that is all."""
         if heard >= self.log.epoch:
             return (), self.log.epoch
@@ -214,7 +214,7 @@
             (each for each in self.log.ended.values() if each.changed > heard),
             key=lambda each: each.changed,
         )
-        chars, some = 0, list[Ended]()
+        chars, some = 0, list[EndedSession]()
         for each in missed[:ENDED_MOST]:
             chars += sum(len(name) + 4 for batch in (*each.batches, each.gone) for name in batch)
             if some and chars > TOLD_CHARS:
@@ -271,7 +271,7 @@
             return due  # a later process, or a later session of this one: nobody comes back to it
         return max(due, base + (lone_us(terms.lease_us) if kept is None else drifted_us(kept[0])))
 
-    def due(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
+    def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
         """What is to be decided, and when to look again."""
         self._awake(now_us)
         self._round = {}
@@ -338,7 +338,7 @@
     )
 
 
-class Lease:
+class SessionLease:
     """A placer's part; times by its own clock. Off where it stands in no region: then it has no session."""
 
     name = "sessions"
@@ -352,9 +352,9 @@
         self.runs_until_us = 0  # when the lease ends that machines are to be told
         self.lease_us = 0
         self.heard = 0
-        self.ended: dict[Session, Ended] = {}  # as heard; the latest ENDED_KEPT
+        self.ended: dict[Session, EndedSession] = {}  # as heard; the latest ENDED_KEPT
         self.leased: Callable[[], int] = lambda: 0  # Jobs under it
-        self.keeping: Callable[[], tuple[Kept, ...]] = tuple  # for others' sessions
+        self.keeping: Callable[[], tuple[HeldRecords, ...]] = tuple  # for others' sessions
         self.counts: Counter[str] = Counter()
         self._right_until_us = self._told_us = 0
 
@@ -362,7 +362,7 @@
         """Whether a leased Job's first byte may leave at this moment. A floor never stands in for this."""
         return self.session is not None and now_us < self._right_until_us
 
-    def say(self, now_us: int) -> SessionsSaid | None:
+    def report(self, now_us: int) -> SessionsReport | None:
         """With the next ask."""
         if not self.region:
             return None
@@ -370,11 +370,13 @@
         if len(keeping) > KEPT_MOST:
             self.counts["sessions: kept for more than can be said"] += 1
         deaf = self.session is not None and now_us - self._told_us >= right_us(self.lease_us)
-        return SessionsSaid(
+        return SessionsReport(
             self.region, self.serial, self.leased(), keeping[:KEPT_MOST], self.heard, deaf
         )
 
-    def take(self, now_us: int, asked_us: int, told: SessionsTold | None) -> list[Effect]:
+    def on_response(
+        self, now_us: int, asked_us: int, told: SessionsResponse | None
+    ) -> list[Effect]:
         """What the leader told: ends first, then whether this session goes on, or a new one begins."""
         if told is None:
             return []
@@ -392,14 +394,16 @@
         ):
             if self.session is not None and session != self.session:
                 # Its end is known to nobody any more: it is over all the same, and nobody is known to succeed.
-                out += self._hear(Ended(told.epoch, self.session, self.region, changed=told.epoch))
+                out += self._hear(
+                    EndedSession(told.epoch, self.session, self.region, changed=told.epoch)
+                )
             self.session, self.serial, self.lease_us = session, told.serial, told.lease_us
             self.asked_us = max(self.asked_us, asked_us)
             self._right_until_us = self.asked_us + right_us(told.lease_us)
             self.runs_until_us = self.asked_us + told.lease_us
         return [*out, *self.look(now_us)]
 
-    def _hear(self, ended: Ended) -> list[Effect]:
+    def _hear(self, ended: EndedSession) -> list[Effect]:
         self.ended.pop(ended.session, None)
         self.ended[ended.session] = ended
         while len(self.ended) > ENDED_KEPT:
@@ -411,7 +415,7 @@
             out += self._told(False, ended.session)
         return [
             *out,
-            Tell(
+            Notify(
                 "session-ended",
                 {
                     "epoch": ended.epoch,
@@ -435,4 +439,4 @@
         if self.open == may:
             return []
         self.open = may
-        return [Tell("session", {"session": session.text(), "open": may, "epoch": self.heard})]
+        return [Notify("session", {"session": session.text(), "open": may, "epoch": self.heard})]
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -6,10 +6,11 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.decide.consensus.log import Disk
-from wingbarrow.decide.coordination.coordinator import Agreement, Times
+from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.effects import Persist
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, read
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, parse_rule_set
 from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
 
 ACT_US = 10_000
@@ -40,21 +41,23 @@
         later = [each for number, each in uses.items() if number >= edition + 2]
         past += any(each.first_us <= use.last_us for each in later)
         following = uses.get(edition + 1)
-        if following is not None and not allows(read(use.rules), read(following.rules)):
+        if following is not None and not allows(
+            parse_rule_set(use.rules), parse_rule_set(following.rules)
+        ):
             longest = max(longest, use.last_us - following.first_us)
     return Contradictions(acts, past, longest)
 
 
-class Assembly(Virtual[Agreement]):
+class Assembly(Virtual[Coordinator]):
     """`count` placers, the first `voters` of them vote; clocks drift by up to 500 ppm and begin anywhere."""
 
     def __init__(
-        self, count: int, voters: int, seed: int, times: Times = Times(), loss: float = 0.0
+        self, count: int, voters: int, seed: int, times: Timing = Timing(), loss: float = 0.0
     ) -> None:
         super().__init__([f"p{index:03d}" for index in range(count)], seed, loss)
         self.times = times
         self.voters = tuple(self.names[:voters])
-        self.disks = {name: Disk(self.voters) for name in self.voters}
+        self.disks = {name: PersistentState(self.voters) for name in self.voters}
         rng = random.Random(f"clocks/{seed}")
         self.drifts = {
             name: Drift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
@@ -67,10 +70,10 @@
             self.start(name)
         self.at(0, self._act_all)
 
-    def make(self, name: str, now_us: int) -> Agreement:
+    def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement, from what is on its disk."""
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
-        return Agreement(name, self.voters, disk, self.random.randrange(1 << 30), self.times)
+        return Coordinator(name, self.voters, disk, self.random.randrange(1 << 30), self.times)
 
     def persisted(self, name: str, what: Persist) -> None:
         """As the store does it."""
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.effects import Effect, Send, SetTimer, Tell
-from wingbarrow.decide.replication.records import Bounds
-from wingbarrow.decide.replication.replicator import Custodian
-from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.replication.records import ReplicationLimits
+from wingbarrow.decide.replication.replicator import Replicator
+from wingbarrow.decide.sessions.failover import StartOrder
 from wingbarrow.decide.sessions.failover_pace import Pace, reissue_within_us
 from wingbarrow.decide.sessions.messages import (
     FORM,
-    Ended,
-    Known,
-    MachineSays,
-    Record,
+    EndedSession,
+    KnownTask,
+    LeasedJobRecord,
+    MachineReport,
     Session,
     reckoned_us,
     right_us,
@@ -57,7 +57,7 @@
 class Held:
     """A Job at its placer."""
 
-    record: Record
+    record: LeasedJobRecord
     epoch: int
     accepted: bool = False
     tasks: dict[int, Task] = field(default_factory=dict)
@@ -69,7 +69,7 @@
     def __init__(self, world: Custodians, name: str, region: str, life: int) -> None:
         self.world, self.name, self.region = world, name, region
         self.session = Session(name, life, 0)
-        self.custodian = Custodian(
+        self.custodian = Replicator(
             name, life, region, world.random.randrange(1 << 30), world.bounds
         )
         self.custodian.terms = lambda record: (world.allowed, world.copies)
@@ -137,7 +137,7 @@
                     out += self._send(now_us, uid, index)
         return out
 
-    def _over(self, now_us: int, ended: Ended) -> list[Effect]:
+    def _over(self, now_us: int, ended: EndedSession) -> list[Effect]:
         runs: set[str] = set()
         if ended.session == self.session:
             runs = set(self.jobs)
@@ -151,7 +151,7 @@
 
     # -- its work
 
-    def take(self, now_us: int, record: Record) -> list[Effect]:
+    def take(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
         """A new Job."""
 
         def kept(now: int, good: bool, why: str) -> list[Effect]:
@@ -199,7 +199,7 @@
         held.tasks[index] = Task(machine.name, "about", now_us)
         if held.record.effect != "unsafe" or self.world.careless:
             return go(now_us, True, "")
-        known = Known(index, "about", machine.name, f"{uid}-{index}")
+        known = KnownTask(index, "about", machine.name, f"{uid}-{index}")
         token, effects = self.custodian.custody.about(now_us, uid, known, now_us + WAIT_US)
         self._waiting[token] = go
         return self._do(now_us, effects)
@@ -219,12 +219,12 @@
         token, effects = self.custodian.custody.placed(
             now_us,
             uid,
-            Known(index, "placed", held.tasks[index].machine, f"{uid}-{index}"),
+            KnownTask(index, "placed", held.tasks[index].machine, f"{uid}-{index}"),
             now_us + WAIT_US,
         )
         return self._do(now_us, effects)
 
-    def _began(self, now_us: int, start: Start) -> list[Effect]:
+    def _began(self, now_us: int, start: StartOrder) -> list[Effect]:
         self.jobs[start.record.uid] = Held(start.record, start.epoch, True)
         self.world.reissued.append((self.world.now_us, start.record.uid, start.epoch, self.name))
         return self._run(now_us, start.record.uid, start.indexes)
@@ -233,23 +233,23 @@
         out: list[Effect] = []
         for effect in effects:
             out.append(effect)
-            if not isinstance(effect, Tell):
+            if not isinstance(effect, Notify):
                 continue
             said = effect.fields
-            if effect.what == "kept":
+            if effect.event == "kept":
                 waiting = self._waiting.pop(said["token"], None)
                 out += waiting(now_us, said["good"], said["why"]) if waiting is not None else []
-            elif effect.what == "startable":
+            elif effect.event == "startable":
                 starts, more = self.custodian.next(now_us, 1e9, 1e9)
                 out += self._do(now_us, more)
                 for start in starts:
                     out += self._began(now_us, start)
-            elif effect.what == "stop":
+            elif effect.event == "stop":
                 self.jobs.pop(said["uid"], None)
                 self.world.stop_runs(said["uid"], self.region)
-            elif effect.what == "settled" and said["mine"] == "stopped":
+            elif effect.event == "settled" and said["mine"] == "stopped":
                 self.world.stop_runs(said["uid"], self.region)
-            elif effect.what == "ask-machine":
+            elif effect.event == "ask-machine":
                 out += self.world.ask_machine(self, said)
         return out
 
@@ -271,13 +271,13 @@
         self.regions = {f"{region}-{index}": region for region in regions for index in range(each)}
         super().__init__(list(self.regions), seed, loss, lambda rng: FAR_US + rng.randrange(FAR_US))
         self.allowed, self.copies = regions, copies
-        self.bounds = Bounds()
+        self.bounds = ReplicationLimits()
         self.voters = Voters(RECKONED_US, AFTER_US)
         self.machines = {
             f"m-{name}": Standin(f"m-{name}", region) for name, region in self.regions.items()
         }
         self.begins: list[Begin] = []
-        self.accepted: dict[str, tuple[int, Record, str]] = {}
+        self.accepted: dict[str, tuple[int, LeasedJobRecord, str]] = {}
         self.reissued: list[tuple[int, str, int, str]] = []
         self.counts: Counter[str] = Counter()
         self.lost: dict[str, int] = {}  # region: since when
@@ -385,7 +385,7 @@
             Send(
                 said["to"],
                 "",
-                MachineSays(said["number"], said["machine"], said["uid"], reached, holds, boot),
+                MachineReport(said["number"], said["machine"], said["uid"], reached, holds, boot),
             )
         ]
 
@@ -428,7 +428,7 @@
         self.counts["jobs"] += 1
         if name in self.members and name not in self.stopped:
             core = self.members[name]
-            record = Record(
+            record = LeasedJobRecord(
                 FORM,
                 uid,
                 f"shop/{uid}",
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from wingbarrow.decide.coordination.coordinator import Agreement
+from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.ruleset import RuleSet, normal
+from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -23,7 +23,7 @@
 def limited(names: list[str], most: int, rate: int) -> RuleSet:
     """Rules with one limit of each kind."""
     among = tuple(names)
-    return normal(
+    return normalized(
         replace(
             rules(len(names)),
             limits=(
@@ -50,7 +50,7 @@
         self.demand = dict(zip(self.names, demand, strict=True))
         self.at(0, self._turn)
 
-    def make(self, name: str, now_us: int) -> Agreement:
+    def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement that counts its placer's tasks."""
         made = super().make(name, now_us)
         made.holding.life = self.lives[name]
@@ -82,7 +82,7 @@
         self.over += (running > self.most) + (len(self.begun) > self.rate)
         self.at(now + TURN_US, self._turn)
 
-    def _want(self, name: str, member: Agreement) -> None:
+    def _want(self, name: str, member: Coordinator) -> None:
         local = self.clock_us(name)
         acting = member.acting(local)
         self.wanted += 1
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import drifted_us
 from wingbarrow.decide.sessions.messages import reckoned_us
 
@@ -15,7 +15,7 @@
 KNOWN_US = 15_000_000  # until a leader knows that a machine is lost, or is there again
 
 
-def reissued_within_us(lease_us: int, after_us: int, jobs: int, times: Times) -> int:
+def reissued_within_us(lease_us: int, after_us: int, jobs: int, times: Timing) -> int:
     """From a region's loss until the last of so many safe runs of it stands elsewhere, where there is room.
 
     A leader is elected where it went with the region; by it the session lapses (`reckoned_us`, or `after_us`), which
@@ -27,6 +27,6 @@
     return times.needless_us() + ended + 2 * times.grant_us // 3 + CLAIM_US + paced + START_US
 
 
-def reissued_after_us(lease_us: int, after_us: int, times: Times) -> int:
+def reissued_after_us(lease_us: int, after_us: int, times: Timing) -> int:
     """No sooner than this after a session's holder was surely renewed: the last grant before is at most a grant old."""
     return max(reckoned_us(lease_us, TURN_US), after_us) - drifted_us(times.grant_us)
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wingbarrow.config import PlacerSettings, load_file
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.sessions.messages import right_us
 from wingbarrow.interface import Effect, Place
 from wingbarrow.lab.fleet.judging.formulas import reissued_after_us
@@ -150,7 +150,7 @@
 
 def _judge_early(run: Run, out: Verdict, jobs: Jobs) -> None:
     """A start under a later epoch while a machine still holds the former one's lease, or before it can have ended."""
-    touch, grants = Touch(run), Times().needless_us()
+    touch, grants = Touch(run), Timing().needless_us()
     ended: dict[str, int] = {}
     for _, each in run.lines("session-ended"):
         ended.setdefault(each["session"], each["at_us"])
@@ -185,7 +185,7 @@
                 # A later life proves that this one is over: its session ends without `after`.
                 anew = run.life(holder, until) != life
                 least = reissued_after_us(
-                    run.lease_us, 0 if anew else min(afters, default=0), Times()
+                    run.lease_us, 0 if anew else min(afters, default=0), Timing()
                 )
                 well = touch.last(holder, min(until, life.end_us), life.begin_us, grants)
                 if well is not None and later.at_us < well + least - run.slack_us:
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.coordination.coordinator import Times
-from wingbarrow.decide.outliers.ejection import Terms
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.outliers.ejection import OutlierSettings
 from wingbarrow.lab.fleet.holding import loosest, over, unaccounted, unfounded
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
@@ -34,9 +34,9 @@
 
 def judge_closures(run: Run, out: Verdict) -> None:
     """Whether machines failed at as many placers as a verdict wants."""
-    terms = Terms()
+    terms = OutlierSettings()
     window = (
-        terms.span_us + 2 * Times().grant_us + (terms.lasts_us << terms.doublings) + run.slack_us
+        terms.span_us + 2 * Timing().grant_us + (terms.lasts_us << terms.doublings) + run.slack_us
     )
     first: dict[str, int] = {}  # when a verdict that still holds was heard of first
     for name, each in run.lines("verdicts"):
@@ -49,7 +49,7 @@
             if unfounded(
                 machine,
                 at,
-                terms.span_us + 2 * Times().grant_us + run.slack_us,
+                terms.span_us + 2 * Timing().grant_us + run.slack_us,
                 terms.witnesses,
                 run.records,
             ):
--- a/wingbarrow/lab/fleet/judging/losses.py
+++ b/wingbarrow/lab/fleet/judging/losses.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from wingbarrow.config import PlacerSettings
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.interface import Effect
 from wingbarrow.lab.fleet.judging.formulas import reissued_within_us
 from wingbarrow.lab.fleet.judging.jobs import Job, Jobs
@@ -31,7 +31,7 @@
         if job.task_class in safe and run.specs.get(job.spec, {}).get("after_us")
     ]
     after_us = max((run.specs[job.spec]["after_us"] for job in leased), default=0)
-    stated = reissued_within_us(run.lease_us, after_us, 0, Times())
+    stated = reissued_within_us(run.lease_us, after_us, 0, Timing())
     for region, names in run.regions.items():
         if len(run.regions) < 2 or not any(place[0] == region for place in run.machines.values()):
             continue
@@ -43,7 +43,7 @@
                 and job.at_us < begin
                 and _runs_here(run, job, region)
             ]
-            within = reissued_within_us(run.lease_us, after_us, len(held), Times()) + run.slack_us
+            within = reissued_within_us(run.lease_us, after_us, len(held), Timing()) + run.slack_us
             stated = max(stated, within)
             if (
                 begin
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -10,7 +10,7 @@
 import re
 from bisect import bisect_left, bisect_right
 
-from wingbarrow.decide.coordination.messages import Times
+from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.lab.fleet.holding import loosest
 from wingbarrow.lab.fleet.judging.reach import Touch
@@ -80,8 +80,8 @@
 def judge_refusals(run: Run, out: Verdict) -> None:
     """Count them."""
     out.starved = len(run.starved)
-    out.needless_stated_ms = Times().needless_us() // 1000
-    stated_us = Times().needless_us() + run.slack_us
+    out.needless_stated_ms = Timing().needless_us() // 1000
+    stated_us = Timing().needless_us() + run.slack_us
     limits, touch, stood = loosest(run.texts.values()), Touch(run), Stood(run.records)
     for each in run.records:
         if each.what != "turned-away" or each.at_us > (run.end_us or NEVER):
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from wingbarrow.decide.coordination.coordinator import Times
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, keeps_floor, read
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, keeps_floor, parse_rule_set
 from wingbarrow.lab.fleet.judging.formulas import TURN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
@@ -38,7 +38,7 @@
             if edition:
                 self._first.setdefault(edition, each.at_us)
                 self._last[edition] = each.at_us
-        self._stated_us = Times().stated_us(TURN_US) + run.slack_us
+        self._stated_us = Timing().stated_us(TURN_US) + run.slack_us
 
     def judge(self) -> None:
         """Judge them."""
@@ -134,7 +134,7 @@
         ]
         # Drains that the rig had asked for stay through a proposal, which does not speak of them.
         last = run.texts.get(told[-1]) if told else None
-        if last is None or replace(last, asked=(), cancelled=()) != read(accepted[-1]):
+        if last is None or replace(last, asked=(), cancelled=()) != parse_rule_set(accepted[-1]):
             out.breach(
                 "not_on_last",
                 f"at the end {name} acts on {told[-1] if told else 'nothing'}, not on the last rules",
--- a/wingbarrow/lab/fleet/judging/run.py
+++ b/wingbarrow/lab/fleet/judging/run.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from wingbarrow.decide.membership.swim import Rules
-from wingbarrow.decide.rulesets.ruleset import RuleSet, read
+from wingbarrow.decide.membership.swim import SwimSettings
+from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
 from wingbarrow.lab.record import Record, Recorder
 
 NEVER = 1 << 62
@@ -86,7 +86,7 @@
         self.events = read_lines(folder / "events.jsonl")
         self.histories = {name: read_lines(folder / f"{name}.history.jsonl") for name in self.names}
         self.records: list[Record] = Recorder.read(folder / "recording.jsonl")
-        self.rules = Rules()
+        self.rules = SwimSettings()
         self.end_us = next((each["at_us"] for each in self.events if each["what"] == "over"), 0)
         self.slack_us = SLACK_US + max(
             (each.get("lag_worst_us", 0) for each in self.events), default=0
@@ -162,7 +162,7 @@
             for each in lines:
                 if each["what"] == "rules":
                     first.setdefault(each["label"], each["rules"])
-        return {label: read(text) for label, text in first.items() if label}
+        return {label: parse_rule_set(text) for label, text in first.items() if label}
 
     def lines(self, what: str) -> list[tuple[str, dict[str, Any]]]:
         """All lines of a kind in the histories, by time: (whose, line)."""
--- a/wingbarrow/lab/fleet/leasehold.py
+++ b/wingbarrow/lab/fleet/leasehold.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from wingbarrow.decide.sessions.messages import Ended, Kept, Session
+from wingbarrow.decide.sessions.messages import EndedSession, HeldRecords, Session
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
 
     renewed_us: int
     leased: int = 0
-    kept: tuple[Kept, ...] = ()
+    kept: tuple[HeldRecords, ...] = ()
 
 
 class Voters:
@@ -103,7 +103,7 @@
     def __init__(self, reckoned_us: int, after_us: int) -> None:
         self.reckoned_us, self.after_us = reckoned_us, after_us
         self.open: dict[Session, Open] = {}
-        self.ended: dict[Session, Ended] = {}
+        self.ended: dict[Session, EndedSession] = {}
         self.changes: list[Session] = []  # each change of an end, in order
         self.unclaimed: dict[Session, int] = {}
         self._named: dict[
@@ -115,9 +115,9 @@
         now_us: int,
         session: Session,
         leased: int,
-        kept: tuple[Kept, ...],
+        kept: tuple[HeldRecords, ...],
         heard: int,
-    ) -> tuple[Session, list[Ended], int]:
+    ) -> tuple[Session, list[EndedSession], int]:
         """A grant: the session that is open from now on, the ends that were changed since, up to where."""
         if session in self.ended:
             # Danger: what it said was of before it knew; it is named as a successor only once it asks by its new one.
@@ -137,7 +137,7 @@
             lapsed = held.renewed_us + max(self.reckoned_us, self.after_us)
             if now_us > lapsed:
                 del self.open[session]
-                self.ended[session] = Ended(len(self.ended) + 1, session, "")
+                self.ended[session] = EndedSession(len(self.ended) + 1, session, "")
                 self.changes.append(session)
                 self.unclaimed[session] = held.leased
                 for other, end in list(self.ended.items()):
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -10,10 +10,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wingbarrow.decide.coordination.coordinator import Agreement, Times
-from wingbarrow.decide.effects import Effect, Tell
-from wingbarrow.decide.sessions.messages import Kept, Session, read_session
-from wingbarrow.decide.sessions.sessions import Lease, Sessions, deaf_us, ended_within_us
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.sessions.messages import HeldRecords, Session, read_session
+from wingbarrow.decide.sessions.sessions import (
+    SessionLease,
+    SessionSubsystem,
+    deaf_us,
+    ended_within_us,
+)
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -39,7 +45,7 @@
 SLACK_US = 1_500_000  # for asks that are lost now and then, beyond the formula
 
 
-class Decided(Sessions):
+class Decided(SessionSubsystem):
     """A voter's part that says when an end is decided."""
 
     def __init__(self, owner: Leaseholders, lease_us: int) -> None:
@@ -83,21 +89,21 @@
         regions: int = 3,
         lease_us: int = 4 * SECOND,
         after_us: int = 6 * SECOND,
-        times: Times = Times(),
+        times: Timing = Timing(),
     ) -> None:
         self.lease_us, self.after_us = lease_us, after_us
         self.regions = [f"region-{index}" for index in range(regions)]
         self.kept: dict[
             str, dict[Session, int]
         ] = {}  # by keeper: what for, since when it knows of the end (0: open)
-        self.leases: dict[str, Lease] = {}
+        self.leases: dict[str, SessionLease] = {}
         self.histories: dict[Session, Life] = {}
         self.faults: list[str] = []
         self.ends = self.with_successor = self.watched_longest_us = self.sends = 0
         self.late = 0.0  # share of the mail that takes up to `LATE_US`
         self._watched: dict[Session, Watched] = {}
         self._led: tuple[str, int] = "", 0
-        self._cores: dict[str, Sessions] = {}
+        self._cores: dict[str, SessionSubsystem] = {}
         super().__init__(count, voters, seed, times)
         self._delay_us = self._delayed_us
         self.at(0, self._turn)
@@ -109,19 +115,19 @@
         """Where a placer stands."""
         return self.regions[self.names.index(name) % len(self.regions)]
 
-    def make(self, name: str, now_us: int) -> Agreement:
+    def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement with sessions; what a life kept for others is gone with it."""
-        lease, self.kept[name] = Lease(name, self.region(name)), {}
+        lease, self.kept[name] = SessionLease(name, self.region(name)), {}
         self.leases[name] = lease
         lease.leased = lambda: 1
         lease.keeping = lambda: tuple(
-            Kept(session, 1, self.after_us) for session in sorted(self.kept[name])
+            HeldRecords(session, 1, self.after_us) for session in sorted(self.kept[name])
         )
         chapters = (Decided(self, self.lease_us),) if name in self.voters else ()
         if chapters:
             self._cores[name] = chapters[0]
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
-        return Agreement(
+        return Coordinator(
             name,
             self.voters,
             disk,
@@ -146,9 +152,9 @@
 
     def one_log(self) -> bool:
         """Whether all voters have the same state."""
-        return len({self._cores[name].text() for name in self.voters}) == 1
+        return len({self._cores[name].snapshot() for name in self.voters}) == 1
 
-    def log(self) -> Sessions:
+    def log(self) -> SessionSubsystem:
         """The leader's part."""
         return self._cores[self.leader() or self.voters[0]]
 
@@ -179,7 +185,7 @@
     def act(self, name: str, effects: list[Effect]) -> None:  # type: ignore[override]
         """Effects, with what is told about ends looked at."""
         for each in effects:
-            if isinstance(each, Tell) and each.what == "session-ended":
+            if isinstance(each, Notify) and each.event == "session-ended":
                 self._on_told(name, read_session(each.fields["session"]))
         super().act(name, effects)
 
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from wingbarrow.decide.membership.swim import Rules
+from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.lab.fleet.commands import Commands
 from wingbarrow.lab.fleet.layout import Size
 from wingbarrow.lab.fleet.places import START_US, Places
@@ -74,7 +74,7 @@
         self.progress("the last fault is over")
         hub.sleep(TAIL_US // 4)
         # The judge holds the fleet to its stated time: the rig waits that long at most, and less where all is well.
-        end = hub.now_us() + Rules().heal_us(len(places.names))
+        end = hub.now_us() + SwimSettings().heal_us(len(places.names))
         while not (commands.whole() and commands.agreed()) and hub.now_us() < end:
             hub.sleep(SECOND // 5)
         hub.sleep(SECOND)
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from wingbarrow.decide.coordination.coordinator import Times
-from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normal, shares
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normalized, shares
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 
-STATED_US = Times().stated_us(ACT_US)
+STATED_US = Timing().stated_us(ACT_US)
 
 
 class Broken(AssertionError):
@@ -21,7 +21,7 @@
 def rules(of: int = 3, most: int = 3, offers: int = 20, barred: tuple[str, ...] = ()) -> RuleSet:
     """Rules by whom the cold budget is shared, how many of a service a rack may hold, and what is barred."""
     classes = ClassRules("web", "safe", "cell", most), ClassRules("settlement", "unsafe", "none", 0)
-    return normal(
+    return normalized(
         RuleSet(
             classes,
             4,
@@ -34,7 +34,7 @@
     )
 
 
-FLOOR = normal(
+FLOOR = normalized(
     RuleSet(
         (ClassRules("web", "safe", "cell", 1),), 1, 60 * SECOND, 10 * SECOND, (), 0, ("n1", "n2")
     )
--- a/wingbarrow/lab/fleet/swarm.py
+++ b/wingbarrow/lab/fleet/swarm.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
-from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
-from wingbarrow.decide.membership.messages import Standing
-from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
+from wingbarrow.decide.effects import Effect, Notify, Persist, Send, SetTimer
+from wingbarrow.decide.membership.messages import MemberStatus
+from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
 
 SECOND = 1_000_000
 
@@ -166,8 +166,8 @@
         """Carry out what a machine asked for."""
         life = self.lives[name]
         for effect in effects:
-            if isinstance(effect, Tell):
-                self.told.append(Told(self.now_us, name, effect.what, effect.fields))
+            if isinstance(effect, Notify):
+                self.told.append(Told(self.now_us, name, effect.event, effect.fields))
             elif isinstance(effect, SetTimer):
                 self._set_timer(name, life, effect)
             elif isinstance(effect, Persist):
@@ -212,7 +212,9 @@
 class Swarm(Virtual[Membership]):
     """`count` memberships that know the first three as seeds; `delay_us` draws how long a message takes."""
 
-    def __init__(self, count: int, seed: int, rules: Rules = Rules(), loss: float = 0.0) -> None:
+    def __init__(
+        self, count: int, seed: int, rules: SwimSettings = SwimSettings(), loss: float = 0.0
+    ) -> None:
         super().__init__([f"p{index:03d}" for index in range(count)], seed, loss)
         self.rules = rules
         self.life: int | None = None  # of the next start, as its wall clock gives it
@@ -224,24 +226,27 @@
         life, self.life = self.life if self.life is not None else 1 + now_us, None
         seeds = tuple(Seed("", f"at {each}") for each in self.names[:3] if each != name)
         return Membership(
-            Me(name, f"at {name}", "", life), seeds, self.random.randrange(1 << 30), self.rules
+            LocalMember(name, f"at {name}", "", life),
+            seeds,
+            self.random.randrange(1 << 30),
+            self.rules,
         )
 
     # -- questions
 
-    def standing(self, who: str, of: str) -> Standing | None:
+    def standing(self, who: str, of: str) -> MemberStatus | None:
         """What one thinks of another."""
         held = self.members[who].table.members.get(of)
         return held.standing if held is not None else None
 
-    def all_think(self, of: str, standing: Standing | None) -> bool:
+    def all_think(self, of: str, standing: MemberStatus | None) -> bool:
         """Whether every living placer thinks the same of one."""
         return all(self.standing(who, of) is standing for who in self.members if who != of)
 
     def whole(self) -> bool:
         """Whether all that live are alive to each other."""
         return all(
-            self.standing(who, of) is Standing.ALIVE
+            self.standing(who, of) is MemberStatus.ALIVE
             for who in self.members
             for of in self.members
             if who != of
--- a/wingbarrow/lab/fleet/workjudge.py
+++ b/wingbarrow/lab/fleet/workjudge.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from wingbarrow.decide.maintenance.slots import Turn
+from wingbarrow.decide.maintenance.slots import Slot
 from wingbarrow.lab.fleet.workshop import Entry, Work
 
 OUT = ("closing", "empty", "out", "back")
@@ -34,7 +34,7 @@
         return not (self.busy or self.stale or self.over or self.disorder or self.jumps)
 
 
-def level(turn: Turn) -> tuple[int, int, int, int, str]:
+def level(turn: Slot) -> tuple[int, int, int, int, str]:
     """The order, as the docs state it."""
     return (
         turn.asked_us // AGE_US - turn.urgency,
@@ -88,7 +88,7 @@
 
     def judge(self, entries: Iterable[Entry], works: Iterable[Work]) -> Verdict:
         """The verdict over all."""
-        turns: dict[int, Turn] = {}
+        turns: dict[int, Slot] = {}
         over = disorder = jumps = 0
         for entry in entries:
             before = dict(turns)
@@ -125,7 +125,7 @@
             jumps,
         )
 
-    def _over(self, at_us: int, turn: Turn, turns: Mapping[int, Turn]) -> bool:
+    def _over(self, at_us: int, turn: Slot, turns: Mapping[int, Slot]) -> bool:
         out = {each.machine for each in turns.values() if each.state in OUT} | self._gone(
             at_us, at_us - self._known_us
         )
@@ -138,10 +138,10 @@
     def _passed_over(
         self,
         at_us: int,
-        turn: Turn,
-        closed: list[Turn],
-        before: Mapping[int, Turn],
-        turns: Mapping[int, Turn],
+        turn: Slot,
+        closed: list[Slot],
+        before: Mapping[int, Slot],
+        turns: Mapping[int, Slot],
     ) -> bool:
         """Whether one that waits had room for sure before later ones of its region closed."""
         later = {
@@ -161,11 +161,11 @@
         )
 
 
-def _enters(before: Turn | None, after: Turn, states: tuple[str, ...]) -> bool:
+def _enters(before: Slot | None, after: Slot, states: tuple[str, ...]) -> bool:
     return after.state in states and (before is None or before.state != after.state)
 
 
-def _follows(before: Turn | None, after: Turn) -> bool:
+def _follows(before: Slot | None, after: Slot) -> bool:
     """Several entries may have been decided between two looks; none may be undone."""
     was = before.state if before is not None else "asked"
     if after.state == "given-back":
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -11,11 +11,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.coordination.coordinator import Agreement, Times
-from wingbarrow.decide.effects import Tell
-from wingbarrow.decide.maintenance.participant import TurnSide
-from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
-from wingbarrow.decide.maintenance.slots import Turn, View, Wanted
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.effects import Notify
+from wingbarrow.decide.maintenance.participant import MaintenanceMember
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
+from wingbarrow.decide.maintenance.slots import RegionView, Slot, SlotRequest
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
@@ -49,7 +50,7 @@
 
     at_us: int
     version: int
-    turns: tuple[Turn, ...]
+    turns: tuple[Slot, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +73,7 @@
         self.out: dict[str, int] = {}  # offers under way, by machine
         self.known: dict[int, str] = {}  # own tasks, as it knows: number -> machine
         self.tried: dict[int, str] = {}
-        self.wanted: list[Wanted] = []
+        self.wanted: list[SlotRequest] = []
 
     def listed(self, machine: str) -> bool:
         bench = self._shop.benches.get(machine)
@@ -93,17 +94,17 @@
     def came_to(self, number: int) -> str:
         return self.tried.get(number, "")
 
-    def view(self) -> View | None:
+    def view(self) -> RegionView | None:
         mine = [each for each in self._shop.benches.values() if each.region == self._region]
         cells: dict[tuple[str, str], int] = {}
         for each in mine:
             cells[each.zone, each.cell] = cells.get((each.zone, each.cell), 0) + 1
-        return View(
+        return RegionView(
             tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
             tuple((each.name, each.zone, each.cell) for each in mine if not each.up),
         )
 
-    def wants(self) -> Sequence[Wanted]:
+    def wants(self) -> Sequence[SlotRequest]:
         return self.wanted
 
 
@@ -121,8 +122,8 @@
         floor_sends: bool = True,
     ) -> None:
         self.eyes: dict[str, _Eyes] = {}
-        self.chapters: dict[str, Turns] = {}
-        self.sides: dict[str, TurnSide] = {}
+        self.chapters: dict[str, MaintenanceScheduler] = {}
+        self.sides: dict[str, MaintenanceMember] = {}
         names = [f"r{index}" for index in range(regions)]
         self.region_of = {f"p{index:03d}": names[index % regions] for index in range(count)}
         self.benches = {
@@ -137,12 +138,14 @@
         self.lost_at: list[tuple[int, str, bool]] = []  # when which machine was lost, or came back
         self.trouble = random.Random(f"workshop/{seed}")
         self._next_task, self._seen = 0, 0
-        self._turns_seen: dict[int, Turn] = {}
+        self._turns_seen: dict[int, Slot] = {}
         self._floor_sends = floor_sends
-        super().__init__(count, voters, seed, Times(grant_us=SECOND, election_us=SECOND // 2), loss)
+        super().__init__(
+            count, voters, seed, Timing(grant_us=SECOND, election_us=SECOND // 2), loss
+        )
         self.at(0, self._live)
 
-    def make(self, name: str, now_us: int) -> Agreement:
+    def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement with turns, and the eyes of its new life."""
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
         region = self.region_of[name]
@@ -155,10 +158,10 @@
             if owner == name
         }
         drift = self.drifts.get(name)
-        turns = self.chapters[name] = Turns(
+        turns = self.chapters[name] = MaintenanceScheduler(
             name,
             lambda now: WALL_US + (drift.true_us(now) if drift is not None else now),
-            TurnTimes(
+            MaintenanceTiming(
                 SECOND,
                 view_us=3 * SECOND,
                 count_us=SECOND,
@@ -167,8 +170,8 @@
                 gone_us=20 * SECOND,
             ),
         )
-        side = self.sides[name] = TurnSide(name, region, eyes)
-        made = Agreement(
+        side = self.sides[name] = MaintenanceMember(name, region, eyes)
+        made = Coordinator(
             name,
             self.voters,
             disk,
@@ -214,7 +217,7 @@
         self._turns_seen = dict(newest.queue.turns)
         self.entries.append(Entry(self.now_us, self._seen, changed))
 
-    def turn(self, number: int) -> Turn | None:
+    def turn(self, number: int) -> Slot | None:
         """A turn as decided."""
         self._look_at_log()
         return self._turns_seen.get(number)
@@ -362,9 +365,9 @@
 
         self.at(self.now_us + for_us, back)
 
-    def tells(self, what: str) -> list[Tell]:
+    def tells(self, what: str) -> list[Notify]:
         """What placers told, by kind."""
-        return [Tell(each.what, each.fields) for each in self.told if each.what == what]
+        return [Notify(each.what, each.fields) for each in self.told if each.what == what]
 
 
 class Worker:
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -7,19 +7,20 @@
 from pathlib import Path
 
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.consensus.log import Disk
-from wingbarrow.decide.coordination.coordinator import Agreement, Times
-from wingbarrow.decide.coordination.subsystem import Side
-from wingbarrow.decide.maintenance.participant import Blind, TurnSide
-from wingbarrow.decide.maintenance.scheduler import Turns, TurnTimes
-from wingbarrow.decide.regions.reports import Regions
-from wingbarrow.decide.sessions.sessions import Sessions
+from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.coordination.subsystem import MemberSubsystem
+from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
+from wingbarrow.decide.regions.reports import RegionSubsystem
+from wingbarrow.decide.sessions.sessions import SessionSubsystem
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
 
 
 def voter_store(
     settings: PlacerSettings, log: Callable[..., None]
-) -> tuple[VoteStore | None, Disk | None]:
+) -> tuple[VoteStore | None, PersistentState | None]:
     """What this placer has on disk as a voter; None where it has nothing, or where that cannot be read: told."""
     store, disk = None, None
     if settings.state is not None:
@@ -39,34 +40,40 @@
     return store, disk
 
 
-def turns_of(settings: PlacerSettings, wall_us: Callable[[int], int]) -> tuple[Turns, TurnSide]:
+def turns_of(
+    settings: PlacerSettings, wall_us: Callable[[int], int]
+) -> tuple[MaintenanceScheduler, MaintenanceMember]:
     """The chapter of turns and this placer's side of it, which has no eyes yet."""
-    grant_us = settings.agree.grant_us if settings.agree is not None else TurnTimes().grant_us
-    times = TurnTimes(grant_us, view_us=3 * grant_us, count_us=grant_us * 3 // 2)
-    return Turns(settings.name, wall_us, times), TurnSide(settings.name, settings.region, Blind())
+    grant_us = (
+        settings.agree.grant_us if settings.agree is not None else MaintenanceTiming().grant_us
+    )
+    times = MaintenanceTiming(grant_us, view_us=3 * grant_us, count_us=grant_us * 3 // 2)
+    return MaintenanceScheduler(settings.name, wall_us, times), MaintenanceMember(
+        settings.name, settings.region, NoObservations()
+    )
 
 
 def agreement_of(
     settings: PlacerSettings,
-    disk: Disk | None,
+    disk: PersistentState | None,
     life: int,
-    turns: Turns,
-    sides: tuple[Side, ...],
+    turns: MaintenanceScheduler,
+    sides: tuple[MemberSubsystem, ...],
     counts: Counter[str],
-) -> Agreement:
+) -> Coordinator:
     """The agreement of a placer whose settings say `agree`; every voter has all chapters. `counts` takes refusals."""
     agree = settings.agree
     assert agree is not None
     named = tuple(sorted({region for name, region in agree.regions if name not in agree.bare}))
-    sessions, regions = Sessions(agree.lease_us), Regions(agree.lease_us, named)
+    sessions, regions = SessionSubsystem(agree.lease_us), RegionSubsystem(agree.lease_us, named)
     turns.held_back = regions.held_machines
     sessions.counts = counts
-    return Agreement(
+    return Coordinator(
         settings.name,
         agree.voters,
         disk,
         settings.seed * 104_729 + life,
-        Times(grant_us=agree.grant_us),
+        Timing(grant_us=agree.grant_us),
         life,
         chapters=(sessions, regions, turns),
         sides=sides,
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -14,15 +14,15 @@
 
 from wingbarrow.config import SettingsError
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer, Tell
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.effects import Effect, Notify, Persist, Send, SetTimer
 from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.membership.member_table import Member
-from wingbarrow.decide.membership.swim import Me, Membership, Rules, Seed
+from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
 from wingbarrow.decide.regions.forwarding import Target
-from wingbarrow.decide.regions.reports import RegionsSide
-from wingbarrow.decide.sessions.messages import Ended, Session, read_session
-from wingbarrow.decide.sessions.sessions import Lease
+from wingbarrow.decide.regions.reports import RegionMember
+from wingbarrow.decide.sessions.messages import EndedSession, Session, read_session
+from wingbarrow.decide.sessions.sessions import SessionLease
 from wingbarrow.peers.coordinator_setup import agreement_of, turns_of, voter_store
 from wingbarrow.peers.history import History
 from wingbarrow.peers.mailbox import Post
@@ -58,7 +58,7 @@
         settings: PlacerSettings,
         life: int,
         log: Callable[..., None],
-        rules: Rules = Rules(),
+        rules: SwimSettings = SwimSettings(),
     ) -> None:
         self._hub, self._settings, self._log = hub, settings, log
         self.counts: Counter[str] = Counter()
@@ -70,16 +70,16 @@
             bool(settings.peers) or settings.peers_allowed.size > 0 or settings.agree is not None
         )
         self.membership = self._member()
-        self.agreement: Agreement | None = None
-        self.lease = Lease(settings.name, settings.region)
+        self.agreement: Coordinator | None = None
+        self.lease = SessionLease(settings.name, settings.region)
         self.lease.counts = self.counts
-        self.regions = RegionsSide(lambda now_us: None)
+        self.regions = RegionMember(lambda now_us: None)
         self.turns, self.turn_side = turns_of(
             settings, lambda now: now + hub.clock.wall_us() - hub.now_us()
         )
         self.on_turns: Callable[[], None] = lambda: None
         self.on_session: Callable[[Session, bool, int], None] = lambda session, may, epoch: None
-        self.on_ended: Callable[[Ended], None] = lambda ended: None
+        self.on_ended: Callable[[EndedSession], None] = lambda ended: None
         self.on_rules: Callable[[str, str], None] = lambda label, text: None
         self.on_rights: Callable[[], None] = lambda: None
         self.uses: Callable[[str], int] = lambda key: 0  # of a standing limit, by its key
@@ -100,7 +100,7 @@
 
     def _member(self) -> Membership:
         settings = self._settings
-        me = Me(settings.name, self.address or "?", settings.region, self._life)
+        me = LocalMember(settings.name, self.address or "?", settings.region, self._life)
         return Membership(
             me,
             tuple(Seed(each.name, str(each)) for each in settings.peers if each.seed),
@@ -235,7 +235,7 @@
                 self._send(effect)
             elif isinstance(effect, SetTimer):
                 self._set_timer(machine, effect)
-            elif isinstance(effect, Tell):
+            elif isinstance(effect, Notify):
                 self._tell(machine, effect)
             elif not self._persist(effect):
                 return  # Danger: what follows would be said though it is not on disk
@@ -283,35 +283,35 @@
             self.act(machine, self.agreement.on_timer(now, key))
             self.act(machine, self.lease.look(now))
 
-    def _tell(self, machine: str, tell: Tell) -> None:
+    def _tell(self, machine: str, tell: Notify) -> None:
         if machine == "members":
-            self.counts["peers:" + tell.what] += 1
-            self.history("member-" + tell.what, **tell.fields)
-            self._log("member-" + tell.what, level=LOUD.get(tell.what, "info"), **tell.fields)
+            self.counts["peers:" + tell.event] += 1
+            self.history("member-" + tell.event, **tell.fields)
+            self._log("member-" + tell.event, level=LOUD.get(tell.event, "info"), **tell.fields)
             return
-        self.history(tell.what, **tell.fields)
+        self.history(tell.event, **tell.fields)
         if machine in self._hosted:
             return
-        if tell.what == "rules":
+        if tell.event == "rules":
             self.on_rules(str(tell.fields["label"]), str(tell.fields["rules"]))
-        elif tell.what == "session":
+        elif tell.event == "session":
             self.on_session(
                 read_session(tell.fields["session"]),
                 bool(tell.fields["open"]),
                 int(tell.fields["epoch"]),
             )
-        elif tell.what == "session-ended":
+        elif tell.event == "session-ended":
             self.on_ended(self.lease.ended[read_session(tell.fields["session"])])
-        elif tell.what == "rights":
+        elif tell.event == "rights":
             self.on_rights()
-        elif tell.what == "verdicts":
+        elif tell.event == "verdicts":
             self.on_verdicts(frozenset(tell.fields["machines"]))
-        elif tell.what == "turn":
+        elif tell.event == "turn":
             self.on_turns()
             self._log("turn", **tell.fields)
         else:
-            self._log("rules-" + tell.what, **tell.fields)
-        if tell.what == "leads":
+            self._log("rules-" + tell.event, **tell.fields)
+        if tell.event == "leads":
             self._spawn(self._found, "founds")
 
     # -- rules
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -9,9 +9,9 @@
 
 from typing import Any
 
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.sessions.messages import Ended, Session
-from wingbarrow.decide.sessions.sessions import Sessions
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.sessions.messages import EndedSession, Session
+from wingbarrow.decide.sessions.sessions import SessionSubsystem
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -48,9 +48,9 @@
             ),
         )
 
-    def _of_leader(self, agreement: Agreement) -> tuple[int, list[dict[str, Any]]]:
+    def _of_leader(self, agreement: Coordinator) -> tuple[int, list[dict[str, Any]]]:
         sessions, now = agreement.chapters["sessions"], self._hub.now_us()
-        assert isinstance(sessions, Sessions)
+        assert isinstance(sessions, SessionSubsystem)
         log, items = sessions.log, []
         for session, terms in sorted(log.open.items()):
             renewed, said = sessions.renewed_us.get(session), sessions.says.get(session.placer)
@@ -85,7 +85,7 @@
             self._over(each) for each in sorted(lease.ended.values(), key=lambda one: one.epoch)
         ]
 
-    def _over(self, ended: Ended) -> dict[str, Any]:
+    def _over(self, ended: EndedSession) -> dict[str, Any]:
         item = self._lease(ended.session, ended.region, "ended", 0, None, ended.changed)
         item["status"] |= {
             "epoch": ended.epoch,
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.rulesets.ruleset import read
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.rulesets.ruleset import parse_rule_set
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -53,10 +53,12 @@
             ],
         }
         if agreement.leads and agreement.agreed.rules:
-            told["accounts"] = agreement.blocks.accounts(now, read(agreement.agreed.rules).limits)
+            told["accounts"] = agreement.blocks.accounts(
+                now, parse_rule_set(agreement.agreed.rules).limits
+            )
         return Answer(200, names.encode(told))
 
-    def _verdicts(self, agreement: Agreement) -> Answer:
+    def _verdicts(self, agreement: Coordinator) -> Answer:
         now = self._hub.now_us()
         told: dict[str, object] = {
             "kind": "VerdictList",
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from wingbarrow.config import parse_duration
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.maintenance.slots import IDENT_MOST, LABEL_MOST, OVER, WORDS_MOST, Turn, rank
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.maintenance.slots import IDENT_MOST, LABEL_MOST, OVER, WORDS_MOST, Slot, rank
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -91,13 +91,13 @@
 
     # -- to be read
 
-    def _turn(self, number: int) -> Turn:
+    def _turn(self, number: int) -> Slot:
         turn = self._peering.turns.queue.turns.get(number)
         if turn is None:
             raise ApiError(404, f"no turn {number}, or it ended long ago", "NotFound")
         return turn
 
-    def _one(self, turn: Turn) -> dict[str, Any]:
+    def _one(self, turn: Slot) -> dict[str, Any]:
         turns, now = self._peering.turns, self._hub.now_us()
         told = {key: value for key, value in asdict(turn).items() if key in SHOWN}
         told |= {
@@ -119,7 +119,7 @@
             told["renewedAgeUs"] = now - renewed if renewed else None
         return told
 
-    def _list(self, agreement: Agreement) -> Answer:
+    def _list(self, agreement: Coordinator) -> Answer:
         queue = self._peering.turns.queue
         every = sorted(
             queue.turns.values(),
@@ -139,7 +139,7 @@
 
     # -- to be done
 
-    def _ask(self, agreement: Agreement, body: dict[str, Any]) -> Answer:
+    def _ask(self, agreement: Coordinator, body: dict[str, Any]) -> Answer:
         queue, wall = self._peering.turns.queue, self._hub.clock.wall_us()
         value = self._wanted(agreement, body, wall)
         if value["ident"] not in queue.outcomes:
@@ -161,7 +161,7 @@
             raise ApiError(409, why_not, "Conflict")
         return Answer(201, names.encode(self._one(self._turn(number))))
 
-    def _wanted(self, agreement: Agreement, body: dict[str, Any], wall: int) -> dict[str, Any]:
+    def _wanted(self, agreement: Coordinator, body: dict[str, Any], wall: int) -> dict[str, Any]:
         try:
             latest, lasts = str(body.get("latest", "")), str(body.get("lasts", "0s"))
             latest_us = _wall_us(latest, wall) if latest else 0
@@ -193,7 +193,9 @@
                 )
             self._hub.sleep(LOOK_US)
 
-    def _act(self, agreement: Agreement, number: int, action: str, body: dict[str, Any]) -> Answer:
+    def _act(
+        self, agreement: Coordinator, number: int, action: str, body: dict[str, Any]
+    ) -> Answer:
         turn, worker = self._turn(number), body.get("worker")
         if worker is not None and turn.worker and worker != turn.worker and action != "give-back":
             raise ApiError(409, f"turn {number} is {turn.worker}'s", "Conflict")
@@ -231,7 +233,7 @@
         self._wait(lambda: self._turn(number).state != state)
         return Answer(200, names.encode(self._one(self._turn(number))))
 
-    def _renew(self, agreement: Agreement, number: int) -> Answer:
+    def _renew(self, agreement: Coordinator, number: int) -> Answer:
         turns, asked = self._peering.turns, self._hub.now_us()
         turn = self._turn(number)
         if turn.state == "out":
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -30,30 +30,30 @@
 INCARNATION_MOST = 1 << 62
 
 KINDS: dict[str, type[Any]] = {
-    "probe": words.Probe,
-    "probe-for": words.ProbeFor,
+    "probe": words.Ping,
+    "probe-for": words.PingRequest,
     "ack": words.Ack,
     "nack": words.Nack,
     "sync": words.Sync,
-    "vote-ask": log.VoteAsk,
-    "vote-answer": log.VoteAnswer,
-    "append": log.Append,
-    "append-answer": log.AppendAnswer,
-    "install": log.Install,
-    "ask": asking.Ask,
-    "grant": asking.Grant,
+    "vote-ask": log.VoteRequest,
+    "vote-answer": log.VoteResponse,
+    "append": log.AppendRequest,
+    "append-answer": log.AppendResponse,
+    "install": log.InstallSnapshot,
+    "ask": asking.LeaseRequest,
+    "grant": asking.LeaseGrant,
     "not-leader": asking.NotLeader,
-    "keep": leasing.Keep,
-    "keep-answer": leasing.KeepAnswer,
-    "settle": leasing.Settle,
-    "settled": leasing.Settled,
-    "ask-machine": leasing.AskMachine,
-    "machine-says": leasing.MachineSays,
-    "hand": handing.Hand,
-    "hand-stop": handing.HandStop,
-    "hand-says": handing.HandSays,
-    "ask-for": asking.AskFor,
-    "grant-for": asking.GrantFor,
+    "keep": leasing.ReplicateRequest,
+    "keep-answer": leasing.ReplicateResponse,
+    "settle": leasing.ResolveRequest,
+    "settled": leasing.ResolveResponse,
+    "ask-machine": leasing.MachineQuery,
+    "machine-says": leasing.MachineReport,
+    "hand": handing.ForwardRequest,
+    "hand-stop": handing.ForwardCancel,
+    "hand-says": handing.ForwardStatus,
+    "ask-for": asking.RelayedRequest,
+    "grant-for": asking.RelayedGrant,
 }
 _NAMES = {kind: name for name, kind in KINDS.items()}
 
@@ -142,10 +142,10 @@
 
 
 def _check(message: Any) -> None:
-    if isinstance(message, asking.AskFor | asking.GrantFor):
+    if isinstance(message, asking.RelayedRequest | asking.RelayedGrant):
         if not 0 < len(message.ident) <= NAME_MOST:
             raise BadMail("an ask, or a grant, for nobody")
-        message = message.ask if isinstance(message, asking.AskFor) else message.grant
+        message = message.ask if isinstance(message, asking.RelayedRequest) else message.grant
     news = getattr(message, "news", ())
     if len(news) > WORDS_MOST:
         raise BadMail(f"{len(news)} words; {WORDS_MOST} are the most")
@@ -160,15 +160,15 @@
             raise BadMail("a member's address that is empty or too long")
         if not (0 <= word.incarnation < INCARNATION_MOST and 0 <= word.life < INCARNATION_MOST):
             raise BadMail("an incarnation out of range")
-    if isinstance(message, log.Append) and len(message.entries) > ENTRIES_MOST:
+    if isinstance(message, log.AppendRequest) and len(message.entries) > ENTRIES_MOST:
         raise BadMail(f"{len(message.entries)} entries; {ENTRIES_MOST} are the most")
-    if isinstance(message, asking.Ask) and (
+    if isinstance(message, asking.LeaseRequest) and (
         len(message.stated) > LIMITS_MOST
         or len({each.key for each in message.stated}) < len(message.stated)
         or message.up_us < 0
     ):
         raise BadMail("more limits than there can be, one twice, or a life of no length")
-    if isinstance(message, asking.Ask) and (
+    if isinstance(message, asking.LeaseRequest) and (
         len(message.evidence) > EVIDENCE_MOST
         or not all(
             0 <= each.failed <= each.tried and 0 < len(each.machine) <= NAME_MOST
@@ -176,9 +176,9 @@
         )
     ):
         raise BadMail("evidence that cannot be")
-    if isinstance(message, asking.Grant) and len(message.closed) > VERDICTS_MOST:
+    if isinstance(message, asking.LeaseGrant) and len(message.closed) > VERDICTS_MOST:
         raise BadMail(f"{len(message.closed)} verdicts; {VERDICTS_MOST} are the most")
-    if isinstance(message, words.ProbeFor) and not (
+    if isinstance(message, words.PingRequest) and not (
         0 < len(message.ident) <= NAME_MOST and 0 < len(message.address) <= ADDRESS_MOST
     ):
         raise BadMail("a probe for nobody")
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -12,12 +12,12 @@
     LOST_MOST,
     TURNS_MOST,
     WANTS_MOST,
-    TurnsSaid,
-    TurnsTold,
-    View,
+    MaintenanceReport,
+    MaintenanceResponse,
+    RegionView,
 )
 from wingbarrow.decide.regions import forwarding as handing
-from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionsSaid, RegionTold
+from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionReport, RegionSummary
 from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.decide.sessions.messages import (
     EFFECTS,
@@ -26,11 +26,11 @@
     KEPT_MOST,
     PHASES,
     RECORD_MOST,
-    Ended,
-    Record,
+    EndedSession,
+    LeasedJobRecord,
     Session,
-    SessionsSaid,
-    SessionsTold,
+    SessionsReport,
+    SessionsResponse,
 )
 from wingbarrow.decide.sessions.session_log import BATCHES_MOST, SUCCESSORS_MOST
 
@@ -42,10 +42,23 @@
 FIGURE_MOST = 1 << 62
 LEASING, HANDING = get_args(leasing.Message), get_args(handing.Message)
 
+# A fault goes back to the sender and into logs: on the wire these messages keep their first names.
+_NAMES_IN_FAULTS = {
+    handing.ForwardRequest: "Hand",
+    handing.ForwardCancel: "HandStop",
+    handing.ForwardStatus: "HandSays",
+    leasing.ReplicateRequest: "Keep",
+    leasing.ReplicateResponse: "KeepAnswer",
+    leasing.ResolveRequest: "Settle",
+    leasing.ResolveResponse: "Settled",
+    leasing.MachineQuery: "AskMachine",
+    leasing.MachineReport: "MachineSays",
+}
+
 
 def fault(message: Any) -> str:
     """What is over its bound, in words; "" where nothing is."""
-    if isinstance(message, asking.Ask):
+    if isinstance(message, asking.LeaseRequest):
         said = message.sessions
         if said is not None and not _said(said):
             return "sessions: more than can be kept, a name too long or a figure out of range"
@@ -53,7 +66,7 @@
             return "turns: more than there can be, or a number out of range"
         if message.regions is not None and not _region_said(message.regions):
             return "regions: a name too long, or a figure out of range"
-    elif isinstance(message, asking.Grant):
+    elif isinstance(message, asking.LeaseGrant):
         if message.sessions is not None and not _told(message.sessions):
             return (
                 "sessions: more ends than go with a grant, a name too long or a figure out of range"
@@ -68,9 +81,9 @@
         return (
             ""
             if _handing(message)
-            else f"{type(message).__name__}: a text too long, or a figure out of range"
+            else f"{_NAMES_IN_FAULTS[type(message)]}: a text too long, or a figure out of range"
         )
-    elif isinstance(message, leasing.Keep):
+    elif isinstance(message, leasing.ReplicateRequest):
         if not (_figures(message.number) and _session(message.session) and _uids(message.gone)):
             return "keep: more uids than go with a letter, a name too long or a figure out of range"
         if len(message.records) > RECORDS_MOST or not all(map(_record, message.records)):
@@ -78,7 +91,9 @@
                 f"keep: more than {RECORDS_MOST} records, or one with something out of its bounds"
             )
     elif isinstance(message, LEASING) and not _leasing(message):
-        return f"{type(message).__name__}: a name or list too long, or a figure out of range"
+        return (
+            f"{_NAMES_IN_FAULTS[type(message)]}: a name or list too long, or a figure out of range"
+        )
     return ""
 
 
@@ -99,7 +114,7 @@
     return len(uids) <= UIDS_MOST and all(uids) and _names(*uids)
 
 
-def _said(said: SessionsSaid) -> bool:
+def _said(said: SessionsReport) -> bool:
     return (
         _names(said.region)
         and _figures(said.serial, said.leased, said.heard)
@@ -111,7 +126,7 @@
     )
 
 
-def _ended(ended: Ended) -> bool:
+def _ended(ended: EndedSession) -> bool:
     return (
         _figures(ended.epoch, ended.changed)
         and _session(ended.session)
@@ -122,7 +137,7 @@
     )
 
 
-def _told(told: SessionsTold) -> bool:
+def _told(told: SessionsResponse) -> bool:
     return (
         _figures(told.serial, told.epoch, told.life)
         and 0 < told.lease_us < FIGURE_MOST
@@ -131,7 +146,7 @@
     )
 
 
-def _turns_said(said: TurnsSaid) -> bool:
+def _turns_said(said: MaintenanceReport) -> bool:
     numbers = (
         said.clear,
         said.empty,
@@ -159,7 +174,7 @@
     )
 
 
-def _view(view: View) -> bool:
+def _view(view: RegionView) -> bool:
     return (
         len(view.cells) <= CELLS_MOST
         and len(view.lost) <= LOST_MOST
@@ -169,7 +184,7 @@
     )
 
 
-def _turns_told(told: TurnsTold) -> bool:
+def _turns_told(told: MaintenanceResponse) -> bool:
     return (
         _figures(told.version, *told.silent)
         and len(told.turns) <= TURNS_MOST
@@ -181,7 +196,7 @@
     )
 
 
-def _region_said(said: RegionsSaid) -> bool:
+def _region_said(said: RegionReport) -> bool:
     return (
         0 < len(said.region) <= NAME_MOST
         and _figures(said.came, said.refused, said.machines)
@@ -197,7 +212,7 @@
     )
 
 
-def _region_told(told: RegionTold) -> bool:
+def _region_told(told: RegionSummary) -> bool:
     return (
         _names(told.region, *told.placers)
         and len(told.placers) <= REGIONS_MOST
@@ -212,9 +227,9 @@
 def _handing(message: handing.Message) -> bool:
     if not 0 < len(message.ident) <= KEY_MOST:
         return False
-    if isinstance(message, handing.HandSays):
+    if isinstance(message, handing.ForwardStatus):
         return _names(message.state, message.where) and len(message.words) <= WHY_MOST
-    if isinstance(message, handing.HandStop):
+    if isinstance(message, handing.ForwardCancel):
         return _figures(message.life)
     return (
         _figures(message.life, message.hops, message.left_us)
@@ -223,7 +238,7 @@
     )
 
 
-def _record(record: Record) -> bool:
+def _record(record: LeasedJobRecord) -> bool:
     return (
         _figures(
             record.form,
@@ -257,21 +272,21 @@
 
 def _leasing(message: Any) -> bool:
     """All but `Keep`."""
-    if isinstance(message, leasing.KeepAnswer):
+    if isinstance(message, leasing.ReplicateResponse):
         return (
             _figures(message.number)
             and _session(message.session)
             and _names(message.why, most=WHY_MOST)
         )
-    if isinstance(message, leasing.Settle):
+    if isinstance(message, leasing.ResolveRequest):
         return _figures(message.number) and _session(message.session) and _uids(message.uids)
-    if isinstance(message, leasing.Settled):
+    if isinstance(message, leasing.ResolveResponse):
         return (
             _figures(message.number)
             and _session(message.session)
             and _uids(each[0] for each in message.fates)
             and all(_figures(epoch) and _names(fate) for _, epoch, fate in message.fates)
         )
-    if isinstance(message, leasing.AskMachine):
+    if isinstance(message, leasing.MachineQuery):
         return _figures(message.number, message.epoch) and _names(message.machine, message.uid)
     return _figures(message.number, message.boot_age_us) and _names(message.machine, message.uid)
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -10,28 +10,35 @@
 from typing import Any
 
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.effects import Effect, Send, Tell
-from wingbarrow.decide.replication.replicator import Custodian
-from wingbarrow.decide.sessions.failover import Start
+from wingbarrow.decide.effects import Effect, Notify, Send
+from wingbarrow.decide.replication.replicator import Replicator
+from wingbarrow.decide.sessions.failover import StartOrder
 from wingbarrow.decide.sessions.failover_pace import Pace
 from wingbarrow.decide.sessions.messages import (
-    AskMachine,
-    Ended,
-    Keep,
-    KeepAnswer,
-    Known,
-    MachineSays,
-    Record,
+    EndedSession,
+    KnownTask,
+    LeasedJobRecord,
+    MachineQuery,
+    MachineReport,
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
     Session,
-    Settle,
-    Settled,
 )
-from wingbarrow.decide.sessions.recovery import Own
+from wingbarrow.decide.sessions.recovery import OwnJob
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub, Signal
 
 NAME = "custody"
-KINDS = (Keep, KeepAnswer, Settle, Settled, AskMachine, MachineSays)
+KINDS = (
+    ReplicateRequest,
+    ReplicateResponse,
+    ResolveRequest,
+    ResolveResponse,
+    MachineQuery,
+    MachineReport,
+)
 LOOK_US = 200_000  # between two looks at who lives
 PACE = Pace(
     8, 25_000, 16, 5_000
@@ -50,13 +57,13 @@
 
     def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
         self._hub, self._peering = hub, peering
-        self.custodian = Custodian(
+        self.custodian = Replicator(
             settings.name, life, settings.region, settings.seed * 31 + life, pace=PACE
         )
         self._then: dict[int, Then] = {}
         self._alive: dict[str, tuple[str, int]] = {}
         self.on: dict[str, Callable[[Fields], None]] = {}
-        self.own: Callable[[Session], Mapping[str, Own]] = (
+        self.own: Callable[[Session], Mapping[str, OwnJob]] = (
             lambda session: {}
         )  # Jobs of a session of this placer's
         peering.host(NAME, self, KINDS)
@@ -84,7 +91,12 @@
     # -- what the core asks of its keepers
 
     def hold(
-        self, record: Record, allowed: Collection[str], copies: int, deadline_us: int, then: Then
+        self,
+        record: LeasedJobRecord,
+        allowed: Collection[str],
+        copies: int,
+        deadline_us: int,
+        then: Then,
     ) -> None:
         """Have a Job's record at its keepers; where it is not, `drop` it."""
         self._ask(
@@ -92,11 +104,11 @@
             then,
         )
 
-    def about(self, uid: str, known: Known, deadline_us: int, then: Then) -> None:
+    def about(self, uid: str, known: KnownTask, deadline_us: int, then: Then) -> None:
         """An attempt is about to be sent."""
         self._ask(self.custodian.custody.about(self._hub.now_us(), uid, known, deadline_us), then)
 
-    def placed(self, uid: str, known: Known, deadline_us: int, then: Then) -> None:
+    def placed(self, uid: str, known: KnownTask, deadline_us: int, then: Then) -> None:
         """A task stands on a machine."""
         self._ask(self.custodian.custody.placed(self._hub.now_us(), uid, known, deadline_us), then)
 
@@ -144,7 +156,9 @@
 
     # -- what the core takes over, and says of machines
 
-    def next(self, cores: float, memory: float, may: Callable[[Record], bool]) -> list[Start]:
+    def next(
+        self, cores: float, memory: float, may: Callable[[LeasedJobRecord], bool]
+    ) -> list[StartOrder]:
         """What may be started now, in order, within that room."""
         starts, effects = self.custodian.next(self._hub.now_us(), cores, memory, may)
         self.give(effects)
@@ -154,7 +168,7 @@
         """An operator answers for it that an unknown Job never ran."""
         self.give(self.custodian.operator(self._hub.now_us(), uid))
 
-    def say(self, ident: str, message: MachineSays) -> None:
+    def say(self, ident: str, message: MachineReport) -> None:
         """What a machine told, to who asked."""
         self.give([Send(ident, "", message)])
 
@@ -162,7 +176,7 @@
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """A letter."""
-        if isinstance(message, KeepAnswer) and message.over:
+        if isinstance(message, ReplicateResponse) and message.over:
             self.own(self.custodian.custody.session)  # what it has of it is gone with that answer
         return self._sift(self.custodian.on_message(now_us, ident, address, message))
 
@@ -182,7 +196,7 @@
         """What is left for the host once what concerns this placer's own components is done."""
         out: list[Effect] = []
         for each in effects:
-            if isinstance(each, Tell) and each.what == "kept":
+            if isinstance(each, Notify) and each.event == "kept":
                 then, why = self._then.pop(each.fields["token"], None), str(each.fields["why"])
                 if then is not None:
                     then(why)
@@ -190,8 +204,8 @@
                     self._peering.counts["custody:" + why.partition(" from ")[0][:60]] += 1
                 continue
             out.append(each)
-            if isinstance(each, Tell) and each.what in self.on:
-                self.on[each.what](each.fields)
+            if isinstance(each, Notify) and each.event in self.on:
+                self.on[each.event](each.fields)
         return out
 
     # -- sessions
@@ -200,6 +214,6 @@
         if may and session != self.custodian.custody.session:
             self.give(self.custodian.begin(self._hub.now_us(), session))
 
-    def _ended(self, ended: Ended) -> None:
+    def _ended(self, ended: EndedSession) -> None:
         runs = {uid for uid, own in self.own(ended.session).items() if own.runs}
         self.give(self.custodian.over(self._hub.now_us(), ended, runs))
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -9,7 +9,13 @@
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.config.subsetting import module_settings
 from wingbarrow.decide.rulesets.agreed_drains import plan_of, series_of, window_of
-from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normal, read, shares
+from wingbarrow.decide.rulesets.ruleset import (
+    ClassRules,
+    RuleSet,
+    normalized,
+    parse_rule_set,
+    shares,
+)
 
 
 def rules_of(settings: PlacerSettings) -> RuleSet:
@@ -30,7 +36,7 @@
         )
         for name, each in settings.classes.items()
     )
-    return normal(
+    return normalized(
         RuleSet(
             classes,
             scheduler.attempts_most,
@@ -68,7 +74,7 @@
 
     `cold_share`: what this placer holds of the cold budget now, where that is a limit of the whole fleet.
     """
-    rules, scheduler = read(text), module_settings(settings)
+    rules, scheduler = parse_rule_set(text), module_settings(settings)
     held = {each.name: each for each in rules.classes}
     classes = tuple(_class(each, held.get(each.name)) for each in scheduler.classes)
     told = replace(
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from wingbarrow.decide.coordination.coordinator import Agreement
-from wingbarrow.decide.rulesets.ruleset import BadRules, RuleSet, normal, read
+from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.rulesets.ruleset import RuleSet, RuleSetError, normalized, parse_rule_set
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -49,7 +49,7 @@
             405 if parts in ([], ["voters"]) else 404, "GET or POST rules, POST rules/voters"
         )
 
-    def _elsewhere(self, agreement: Agreement, request: Request) -> Answer:
+    def _elsewhere(self, agreement: Coordinator, request: Request) -> Answer:
         address = self._peering.address_of(agreement.leader) if agreement.leader else ""
         if not address:
             raise ApiError(
@@ -77,7 +77,7 @@
         """At the leader: the rules of the latest version; None before there is one."""
         agreement = self._peering.agreement
         return (
-            read(agreement.agreed.latest)
+            parse_rule_set(agreement.agreed.latest)
             if agreement is not None and agreement.agreed.latest
             else None
         )
@@ -92,7 +92,7 @@
             raise ApiError(503, "nothing is agreed on yet", "ServiceUnavailable", retry_after_s=1)
         for number in range(CHANGE_TRIES):
             agreed = agreement.agreed
-            wanted = normal(edit(read(agreed.latest))).text()
+            wanted = normalized(edit(parse_rule_set(agreed.latest))).text()
             if wanted != agreed.latest:
                 why_not = agreed.objection(agreed.version, wanted)
                 if why_not:
@@ -125,7 +125,7 @@
         except ValueError as error:
             raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
 
-    def _state(self, agreement: Agreement) -> dict[str, Any]:
+    def _state(self, agreement: Coordinator) -> dict[str, Any]:
         now, acting, raft = self._hub.now_us(), agreement.acting(self._hub.now_us()), agreement.raft
         state: dict[str, Any] = {
             "kind": "Rules",
@@ -177,7 +177,7 @@
             ]
         return state
 
-    def _propose(self, agreement: Agreement, value: dict[str, Any]) -> Answer:
+    def _propose(self, agreement: Coordinator, value: dict[str, Any]) -> Answer:
         ident, rules, lasts = value.get("ident"), value.get("rules"), value.get("lastsUs")
         if (
             not isinstance(ident, str)
@@ -191,8 +191,8 @@
             raise ApiError(422, "base and lastsUs are whole numbers", "Invalid")
         if value.get("keepDrains") and agreed.edition:
             try:
-                text = keeping_drains(read(text), read(agreed.latest)).text()
-            except BadRules as error:
+                text = keeping_drains(parse_rule_set(text), parse_rule_set(agreed.latest)).text()
+            except RuleSetError as error:
                 raise ApiError(409, str(error), "Conflict") from None
         held = agreed.outcomes.get(ident)
         if held is None:
@@ -216,7 +216,7 @@
             held = self._decided(agreement, ident)
         return self._outcome(agreement, held, False)
 
-    def _decided(self, agreement: Agreement, ident: str) -> str:
+    def _decided(self, agreement: Coordinator, ident: str) -> str:
         end = self._hub.now_us() + DECIDED_US
         while ident not in agreement.agreed.outcomes:
             if self._hub.now_us() >= end:
@@ -228,7 +228,7 @@
             self._hub.sleep(10_000)
         return agreement.agreed.outcomes[ident]
 
-    def _outcome(self, agreement: Agreement, why_not: str, dry: bool) -> Answer:
+    def _outcome(self, agreement: Coordinator, why_not: str, dry: bool) -> Answer:
         if why_not:
             raise ApiError(409, why_not, "Conflict")
         return Answer(
@@ -244,7 +244,7 @@
             ),
         )
 
-    def _voters(self, agreement: Agreement, value: dict[str, Any]) -> Answer:
+    def _voters(self, agreement: Coordinator, value: dict[str, Any]) -> Answer:
         wanted = value.get("voters")
         if not isinstance(wanted, list) or not all(
             isinstance(each, str) and each for each in wanted
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -13,7 +13,7 @@
 
 import lmdb
 
-from wingbarrow.decide.consensus.log import Disk, Entry, alone
+from wingbarrow.decide.consensus.log import LogEntry, PersistentState, alone
 from wingbarrow.decide.effects import Persist
 
 BYTES_MOST = 256 << 20
@@ -57,7 +57,7 @@
             self._owner.close()
             raise StoreFailed(f"{folder}: {error}") from None
 
-    def load(self) -> Disk:
+    def load(self) -> PersistentState:
         """What is on disk; StoreFailed where it cannot be what was written."""
         try:
             with self._env.begin() as txn:
@@ -67,7 +67,7 @@
                     raise StoreFailed(
                         f"{self.folder}: form {meta.get('form')}; {FORM} is read here"
                     )
-                disk = Disk(
+                disk = PersistentState(
                     tuple(voters.split()), meta["term"], meta["vote"], base, base_term, state
                 )
                 for key, value in txn.cursor():
@@ -78,7 +78,7 @@
                         continue
                     if index != disk.last + 1:
                         raise StoreFailed(f"{self.folder}: entry {index} after {disk.last}")
-                    disk.log.append(Entry(*json.loads(value)))
+                    disk.log.append(LogEntry(*json.loads(value)))
         except (lmdb.Error, ValueError, TypeError, KeyError) as error:
             raise StoreFailed(f"{self.folder}: {type(error).__name__}: {error}") from None
         return disk
@@ -133,7 +133,7 @@
         raise StoreFailed(f"{folder}: {error}") from None
 
 
-def recover(folder: Path, me: str, kind: str, act: bool) -> Disk:
+def recover(folder: Path, me: str, kind: str, act: bool) -> PersistentState:
     """What a voter holds; with `act` it is the only voter from then on (`log.alone`). Its placer must not run."""
     store = VoteStore(folder)
     try:
