--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -95,7 +95,7 @@
         def main() -> None:
             self.cluster.start()
             self.hub.sleep(WARM_UP_US)
-            self.book.on_step.append(self._step)
+            self.book.state_listeners.append(self._step)
             try:
                 script()
             finally:
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -12,7 +12,7 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.core.intake import read_job
-from wingbarrow.core.job_store import OPEN, TOMBSTONES, JobStore, State, Step
+from wingbarrow.core.job_store import MAX_TOMBSTONES, OPEN, JobStore, State, Step
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
@@ -44,7 +44,7 @@
     answers: dict[int, list[State]] = {index: [] for index in range(5)}
     for index, step in steps:
         task = job.tasks[index]
-        before, taken = task.answered, book.step(task, step)
+        before, taken = task.answered, book.transition(task, step)
         if task.answered and not before:
             assert taken
             answers[index].append(task.state)
@@ -52,29 +52,29 @@
     assert job.unanswered == sum(not task.answered for task in job.tasks)
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
-    assert book.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open
+    assert book.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
     write_status(job, 1)
 
 
 def test_late_and_doubled_steps_are_counted_and_change_nothing() -> None:
     book, job = made()
     task = job.tasks[0]
-    assert book.step(task, Step.REFUSE)
+    assert book.transition(task, Step.REFUSE)
     for step in (Step.PLACE, Step.REFUSE, Step.FAIL, Step.DONE):
-        assert not book.step(task, step)
+        assert not book.transition(task, step)
     assert task.state is State.REFUSED
-    assert sum(book.odd.values()) == 4
+    assert sum(book.unexpected_transitions.values()) == 4
 
 
 def test_memory_of_ended_and_deleted_jobs_is_bounded() -> None:
     book = JobStore(Admission(10_000, 10_000), 3)
     for number in range(6):
         job = book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-        book.step(job.tasks[0], Step.REFUSE)
-    assert [job.key for job in book.surplus()] == ["default/j0", "default/j1", "default/j2"]
+        book.transition(job.tasks[0], Step.REFUSE)
+    assert [job.key for job in book.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
     book.delete(job)
     assert not book.was_deleted("u5"), "this life's pods are known by their names"
-    for number in range(TOMBSTONES + 50):
+    for number in range(MAX_TOMBSTONES + 50):
         job.uid, job.adopted = f"t{number}", True
         book.delete(job)
     assert not book.was_deleted("t0")
@@ -86,7 +86,7 @@
     book = JobStore(Admission(100, 100), 1)
     for number in range(5):
         book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-    assert not book.surplus()
+    assert not book.expired_jobs()
 
 
 @pytest.mark.parametrize(
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -292,7 +292,7 @@
             stage.submit(f"j{turn}")
             stage.delete(f"j{turn}")
         stage.hub.sleep(S)
-        assert placer.base.counts["stops_owed"] == 0 and placer.stops.owed == 0
+        assert placer.base.counts["stops_owed"] == 0 and placer.stops.pending == 0
 
     stage.play(script)
     assert not stage.seen("offer")
@@ -308,7 +308,7 @@
             stage.hub.sleep(turn * 4_000)
             stage.delete(f"j{turn}")
         stage.hub.sleep(10 * S)
-        assert not stage.jobs() and placer.stops.owed == 0
+        assert not stage.jobs() and placer.stops.pending == 0
         assert placer.base.counts["stops_sent"] <= 40 and placer.base.counts["jobs_adopted"] == 0
         assert not any(
             pod.phase == "Running"
@@ -332,9 +332,9 @@
         stage.delete("a")
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
         stage.hub.sleep(30 * S)
-        assert placer.stops.owed == 1
+        assert placer.stops.pending == 1
         stage.hub.sleep(20 * S)
-        assert placer.stops.owed == 0 and stage.seen("end", why="Terminated")
+        assert placer.stops.pending == 0 and stage.seen("end", why="Terminated")
 
     stage.play(script)
 
@@ -349,7 +349,7 @@
         stage.cluster.hold_machine(stage.cluster.machines[0], 4.0)
         stage.delete("a")
         stage.hub.sleep(8 * S)
-        assert not placer.oddities() and placer.stops.owed == 0
+        assert not placer.oddities() and placer.stops.pending == 0
 
     stage.play(script)
 
@@ -359,7 +359,7 @@
 
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.book.take_limits(20_000, 4, 4)
+        placer.book.set_limits(20_000, 4, 4)
         for turn in range(4):
             stage.submit(f"j{turn}", runs_s=1000, cores=0.25)
             stage.settled(f"j{turn}")
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -173,7 +173,7 @@
         stage.hub.sleep(S // 10)
         placer.desk.delete_job("default/t")
         stage.hub.sleep(15 * S)
-        assert placer.stops.owed_on(link) == 1 and subset.lingering == [machine], (
+        assert placer.stops.pending_on(link) == 1 and subset.lingering == [machine], (
             "the others are let go"
         )
         assert stage.wait(lambda: not subset.lingering, 90)
@@ -280,7 +280,7 @@
             "its offer is just over"
         )
         assert subset._may_go(link, offered_us + LINGER_US)
-        placer.stops.owe(link, "default", "ghost", settled=lambda: False)
+        placer.stops.request(link, "default", "ghost", settled=lambda: False)
         assert not subset._may_go(link, offered_us + LINGER_US), "a stop is owed"
         link.reachable = False
         assert not subset._may_go(link, offered_us + 9 * LINGER_US), "it cannot tell"
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -101,7 +101,7 @@
         for name in ("a", "b", "c"):
             stage.submit_to(slot, name, patience_s=8)
         assert len(placer.waits) == 3, "what was placed before does not wait"
-        while placer.book.owed:
+        while placer.book.unanswered:
             if subset.extra > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
@@ -145,7 +145,7 @@
         assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
         job = placer.book.jobs["default/more"]
-        assert stage.wait(lambda: not job.open, 90) and job.tasks[0].state.value == "done", (
+        assert stage.wait(lambda: not job.open_tasks, 90) and job.tasks[0].state.value == "done", (
             "it was followed"
         )
         assert stage.wait(stage.settled_subsets, 60), "all are let go in the end"
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -25,7 +25,7 @@
         return request in self.out
 
     def ask(self, now_us: int, patience_us: int) -> TaskRecord:
-        job = cast(JobRecord, SimpleNamespace(asked=SimpleNamespace(patience_us=patience_us)))
+        job = cast(JobRecord, SimpleNamespace(request=SimpleNamespace(patience_us=patience_us)))
         task = TaskRecord(job, 0, request=self._next, deadline_us=now_us + patience_us)
         self._next += 1
         self.waits.add(task)
--- a/tests/decide/test_decide.py
+++ b/tests/decide/test_decide.py
@@ -17,7 +17,7 @@
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.decide.idempotency import Earlier, may_repeat
 from wingbarrow.decide.listing import NEW_SOURCE_US, ListJudge, Take
-from wingbarrow.decide.orphans import Sight, Stray
+from wingbarrow.decide.orphans import Orphan, OrphanAction
 from wingbarrow.decide.retries import End
 from wingbarrow.interface import Effect, ListedMachine, Phase, Place, TaskClass
 
@@ -101,33 +101,41 @@
     assert all(len([b for b in cold if a <= b < a + 2 * S]) <= budget for a in cold)
 
 
-def sights() -> list[Sight]:
+def sights() -> list[Orphan]:
     flags = list(itertools.product([False, True], repeat=6))
-    return [Sight(effect, *each) for effect in Effect for each in flags]
+    return [Orphan(effect, *each) for effect in Effect for each in flags]
 
 
 def test_no_verdict_on_a_stray_stops_an_unsafe_task_whose_job_is_wanted() -> None:
     for sight in sights():
-        verdict = strays.judge(sight)
-        if sight.effect is Effect.UNSAFE and sight.known and sight.wanted and not sight.ended:
-            assert verdict is not Stray.STOP
-        if sight.known and not sight.wanted:
-            assert verdict is Stray.STOP
-        if verdict is Stray.PLACE:
-            assert sight.pending
-            assert not sight.attempt_out
-            assert not sight.running_elsewhere
-        if not sight.known:
-            assert verdict is Stray.ADOPT
+        verdict = strays.action_for(sight)
+        if (
+            sight.effect is Effect.UNSAFE
+            and sight.is_known
+            and sight.is_wanted
+            and not sight.has_ended
+        ):
+            assert verdict is not OrphanAction.STOP
+        if sight.is_known and not sight.is_wanted:
+            assert verdict is OrphanAction.STOP
+        if verdict is OrphanAction.PLACE:
+            assert sight.is_unanswered
+            assert not sight.has_attempt
+            assert not sight.has_other_copy
+        if not sight.is_known:
+            assert verdict is OrphanAction.ADOPT
 
 
 def test_a_safe_copy_beside_another_is_stopped() -> None:
-    base = Sight(Effect.SAFE, True, True, True, True, False, False)
-    assert strays.judge(base) is Stray.STOP
-    assert strays.judge(replace(base, effect=Effect.KEYED)) is Stray.LEAVE
-    assert strays.judge(replace(base, attempt_out=False)) is Stray.PLACE
-    assert strays.judge(replace(base, pending=False)) is Stray.STOP
-    assert strays.judge(replace(base, pending=False, effect=Effect.UNSAFE)) is Stray.ADOPT
+    base = Orphan(Effect.SAFE, True, True, True, True, False, False)
+    assert strays.action_for(base) is OrphanAction.STOP
+    assert strays.action_for(replace(base, effect=Effect.KEYED)) is OrphanAction.LEAVE
+    assert strays.action_for(replace(base, has_attempt=False)) is OrphanAction.PLACE
+    assert strays.action_for(replace(base, is_unanswered=False)) is OrphanAction.STOP
+    assert (
+        strays.action_for(replace(base, is_unanswered=False, effect=Effect.UNSAFE))
+        is OrphanAction.ADOPT
+    )
 
 
 @given(st.sampled_from(End), st.integers(0, 9), st.integers(0, 50), st.integers())
--- a/tests/stored/state.py
+++ b/tests/stored/state.py
@@ -149,11 +149,11 @@
 
 
 def write_alive(folder: Path) -> None:
-    saved_list.stamp_alive(folder, ALIVE_US)
+    saved_list.write_heartbeat(folder, ALIVE_US)
 
 
 def read_alive(folder: Path) -> int | None:
-    return saved_list.last_alive(folder)
+    return saved_list.read_heartbeat(folder)
 
 
 def write_drains(folder: Path) -> None:
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -20,7 +20,7 @@
         self._base = base
         self._book = book
         # The wall clock lies above every version of an earlier life, at less than a change a microsecond.
-        self.store = Store(base.born_us, base.settings.limits.window)
+        self.store = Store(base.started_us, base.settings.limits.window)
         self.jobs = self.store.collection("jobs")
         self.nodes = self.store.collection("nodes", _node_fields)
         self._events = Events(self.store.collection("events", event_fields), base.settings.name)
@@ -46,7 +46,7 @@
             if not job.deleted:
                 write_status(job, self._base.hub.clock.wall_us())
                 self.jobs.put(job.key, job.value)
-        for job in self._book.surplus():
+        for job in self._book.expired_jobs():
             self._book.delete(job)
             self.jobs.delete(job.key)
             self._base.counts["jobs_forgotten"] += 1
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -6,12 +6,12 @@
 
 from wingbarrow.core.job_store import TaskRecord
 from wingbarrow.core.link import MachineLink
-from wingbarrow.core.stages import Ledger, Stage, Staged
+from wingbarrow.core.stages import AttemptRecord, AttemptTable, Stage
 from wingbarrow.decide.gate import Held
 
 
 @dataclass(slots=True, eq=False)
-class Attempt(Staged[TaskRecord, MachineLink]):
+class Attempt(AttemptRecord[TaskRecord, MachineLink]):
     """One offer of one request to one machine; its key is the pod's name."""
 
     use: tuple[float, ...] = ()
@@ -25,7 +25,7 @@
     rules: str = ""  # the label of the agreed rules that it was decided under; empty where none are
 
 
-class Attempts(Ledger[Attempt]):
+class Attempts(AttemptTable[Attempt]):
     """All attempts that are not over; by key is by pod."""
 
 
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -75,13 +75,13 @@
         wall = self._base.hub.clock.wall_us() - self._base.hub.now_us()
         for attempt in self._attempts.by_key.values():
             if attempt.stage is not Stage.ENDED and attempt.stopping is None:
-                asked = attempt.task.job.asked
+                asked = attempt.task.job.request
                 offered = attempt.stage is not Stage.PLACED
                 began = attempt.decided_us if offered else attempt.placed_us
                 ends = None if asked.expected_us is None else wall + began + asked.expected_us
                 movable = (
                     asked.task_class.task_class.effect is not api.Effect.UNSAFE
-                    and not attempt.task.doubtful
+                    and not attempt.task.answer_uncertain
                 )
                 out.setdefault(attempt.link.name, []).append(
                     Running(attempt.request, movable, ends, offered)
@@ -124,12 +124,12 @@
         attempt = self._attempts.of(request)
         if (
             attempt is None
-            or attempt.task.job.asked.task_class.task_class.effect is api.Effect.UNSAFE
+            or attempt.task.job.request.task_class.task_class.effect is api.Effect.UNSAFE
         ):
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["drain_moves"] += 1
-        attempt.task.last = why
+        attempt.task.last_outcome = why
         self._runs.move(request)
 
     def tell_drain(self, held: Held) -> None:
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -16,7 +16,7 @@
 
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.load import SettingsError
-from wingbarrow.core.saved_list import write_whole
+from wingbarrow.core.saved_list import write_atomically
 from wingbarrow.decide.draining import OVER, Drains, Held, Phase, Running, failed_zones
 from wingbarrow.decide.drains import Drain, Fate, MachineState, plan
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
@@ -279,7 +279,7 @@
         )
         data = msgspec.json.encode(_File(FORM, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw)))
         try:
-            write_whole(self._file, data)
+            write_atomically(self._file, data)
         except OSError as error:
             self._log("drains-not-saved", level="error", why=str(error))
 
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -18,11 +18,19 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.intake import read_job
-from wingbarrow.core.job_store import RUNNING, JobRecord, JobStore, Leased, State, Step, TaskRecord
+from wingbarrow.core.job_store import (
+    RUNNING,
+    JobLease,
+    JobRecord,
+    JobStore,
+    State,
+    Step,
+    TaskRecord,
+)
 from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.pods import PodSight
+from wingbarrow.core.pods import PodStatus
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
@@ -94,7 +102,7 @@
             "session-over": self._over,
         }
         records.own, records.custodian.terms = self._own, self._terms
-        book.on_step.append(self._stepped)
+        book.state_listeners.append(self._stepped)
 
     # -- others' Jobs
 
@@ -151,7 +159,7 @@
     def _startable(self, told: Fields) -> None:
         free = cores, memory = self._room_here()
         for task in self._pending.values():
-            cores, memory = cores - task.job.asked.cores, memory - task.job.asked.memory
+            cores, memory = cores - task.job.request.cores, memory - task.job.request.memory
         if len(self._pending) >= PENDING_MOST:
             cores = memory = 0.0  # what is ready is told of again
         for start in self._records.next(cores, memory, lambda record: self._may(record, free)):
@@ -159,8 +167,8 @@
         self._board.flush()
 
     def _stepped(self, task: TaskRecord, before: State) -> None:
-        if task.job.leased is not None and task.job.leased.former:
-            if task.state in (State.ASKED, State.AGAIN):
+        if task.job.leased is not None and task.job.leased.previous_session:
+            if task.state in (State.ASKED, State.RETRYING):
                 self._pending[task.name] = task
             else:
                 self._pending.pop(task.name, None)
@@ -170,10 +178,10 @@
         job = self._shown(record)
         if job is None:
             return
-        job.leased = Leased(record.spec, session.text(), start.epoch, record.session.text())
-        if UNKNOWN in job.notes:
-            job.notes[UNKNOWN] = "Released", "an operator said that it never ran"
-        job.notes[TAKEN] = (
+        job.leased = JobLease(record.spec, session.text(), start.epoch, record.session.text())
+        if UNKNOWN in job.conditions:
+            job.conditions[UNKNOWN] = "Released", "an operator said that it never ran"
+        job.conditions[TAKEN] = (
             "Run",
             f"run here at epoch {start.epoch}; {record.session.text()} held it",
         )
@@ -181,9 +189,9 @@
         self._base.counts["taken over"] += 1
         for index in start.indexes:
             task = job.tasks[index]
-            task.last = ""
-            if self._book.step(task, Step.TAKE):
-                self._requests.ask(task)
+            task.last_outcome = ""
+            if self._book.transition(task, Step.TAKE_OVER):
+                self._requests.submit(task)
         self._board.mark(job)
 
     def _shown(self, record: LeasedJobRecord) -> JobRecord | None:
@@ -219,23 +227,23 @@
         """Whether a run is asked for again: one that was taken over, or was stopped as its lease lapsed."""
         leased = task.job.leased
         if leased is None or not (
-            leased.former or (task.placed and not self._holder.may_send(task.job))
+            leased.previous_session or (task.was_placed and not self._holder.may_send(task.job))
         ):
             return False
-        effect = task.job.asked.task_class.task_class.effect
-        if task.state is State.FAILED and effect is api.Effect.UNSAFE and task.left:
+        effect = task.job.request.task_class.task_class.effect
+        if task.state is State.FAILED and effect is api.Effect.UNSAFE and task.may_have_run:
             # Danger: it may have started.
-            task.job.notes[UNKNOWN] = (
+            task.job.conditions[UNKNOWN] = (
                 "InDoubt",
-                f"it may have started, and is not tried again: {task.last}",
+                f"it may have started, and is not tried again: {task.last_outcome}",
             )
             return False
         after = min(AGAIN_MOST_US, AGAIN_US << min(task.losses, 10))
         task.losses += 1
         after = after // 2 + self._base.random.randrange(after // 2 + 1)
-        if task.state is State.FAILED and effect is api.Effect.KEYED and task.left:
-            after += task.job.asked.task_class.task_class.window_us
-        if not self._book.step(task, Step.WAIT):
+        if task.state is State.FAILED and effect is api.Effect.KEYED and task.may_have_run:
+            after += task.job.request.task_class.task_class.window_us
+        if not self._book.transition(task, Step.SCHEDULE_RETRY):
             return False
         self._runs.wait(task, after)
         return True
@@ -256,7 +264,7 @@
             record = self._records.custodian.record(uid)
             job = self._shown(record) if record is not None else None
             if job is not None and record is not None:
-                job.notes[UNKNOWN] = (
+                job.conditions[UNKNOWN] = (
                     "Unknown",
                     (
                         f"{told['why']}; {record.session.text()} held it; neither started nor "
@@ -304,7 +312,7 @@
             return
         self._records.drop(record.uid)
         for job in [each for each in self._book.jobs.values() if each.uid == record.uid]:
-            job.notes[TAKEN] = "Ran", "an operator said that it ran"
+            job.conditions[TAKEN] = "Ran", "an operator said that it ran"
             self._board.mark(job)
         self._board.flush()
 
@@ -383,14 +391,14 @@
 
         Danger: a stop in the middle of what must not start twice does harm that no order is worth.
         """
-        unsafe = job.asked.task_class.task_class.effect is api.Effect.UNSAFE
+        unsafe = job.request.task_class.task_class.effect is api.Effect.UNSAFE
         self._holder.jobs.pop(job.uid, None)
         if job.leased is not None:
             job.leased = replace(job.leased, session="")
-        job.notes[kind] = reason, words
+        job.conditions[kind] = reason, words
         for task in job.tasks:
             attempt = self._attempts.of(task.request) if task.request else None
-            task.last = words
+            task.last_outcome = words
             if task.state is State.ASKED:
                 job.lease_lost = True
                 if attempt is None:
@@ -400,14 +408,14 @@
                     self._base.counts["leases:left in doubt"] += 1
                 else:
                     self._holder.lose(attempt, words)
-            elif task.state is State.AGAIN:
+            elif task.state is State.RETRYING:
                 self._runs.cancel_again(task)
-                self._book.step(task, Step.STOP)
+                self._book.transition(task, Step.STOP)
             elif task.state in RUNNING and attempt is not None:
                 if unsafe:
                     self._base.counts["leases:left running"] += 1
                 else:
-                    self._book.step(task, Step.LOSE)
+                    self._book.transition(task, Step.LOSE)
                     self._holder.stop(attempt)
         self._board.mark(job)
 
@@ -423,7 +431,7 @@
                     else "nobody has it"
                 )
                 job = had[uid][1]
-                job.notes[TAKEN] = (
+                job.conditions[TAKEN] = (
                     str(told["fate"]).title().replace(" ", ""),
                     f"{by}; {told['why']}",
                 )
@@ -443,7 +451,7 @@
 
     # -- what is found running
 
-    def stray(self, link: MachineLink, sight: PodSight) -> bool:
+    def stray(self, link: MachineLink, sight: PodStatus) -> bool:
         """A leased task that no Job of this life accounts for: True where nothing more is to be done with it.
 
         It is a former life's, or of a session that has ended. It is never adopted: its machine stops it once its lease
@@ -460,7 +468,7 @@
         settings = self._base.settings.classes.get(str(labels.get(names.CLASS, "")))
         unsafe = settings is None or settings.task_class.effect is api.Effect.UNSAFE
         if not unsafe and self._holder.ended(leased):
-            self._stops.owe(link, sight.namespace, sight.name)
+            self._stops.request(link, sight.namespace, sight.name)
             self._base.counts["leases:strays stopped"] += 1
         elif (leased, sight.name) not in self._told and len(self._told) < 4096:
             self._told.add((leased, sight.name))
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -53,7 +53,7 @@
     def look_at_door(self, came_us: int) -> None:
         """Asked of each Job before its body is read: ApiError 429 where the placer is behind."""
         away = self._door.on_wait(
-            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._book.owed
+            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._book.unanswered
         )
         if away is not None:
             raise self._turned_away(away)
@@ -95,7 +95,7 @@
             now if came_us is None else came_us,
             asked.patience_us,
             base.hub.lag_us(),
-            self._book.owed,
+            self._book.unanswered,
             self._book.answers.total(),
         )
         if isinstance(due, TurnedAway):
@@ -130,7 +130,11 @@
         if spec is not None and self._elsewhere is not None and not dry_run:
             region = self._elsewhere.route(asked, spec, handed)
         uid = names.uid(
-            base.settings.name, base.life, key, self._board.store.version, base.random.random()
+            base.settings.name,
+            base.incarnation,
+            key,
+            self._board.store.version,
+            base.random.random(),
         )
         shown = job_value(value, asked, uid, base.hub.clock.wall_us())
         if dry_run:
@@ -154,7 +158,7 @@
             self._elsewhere.give(job, due, region, spec.name)
             return shown
         for task in job.tasks:
-            self._requests.ask(task, due)
+            self._requests.submit(task, due)
         return shown
 
     def _look_at_name(self, key: str, name: str) -> None:
@@ -166,7 +170,7 @@
             )
 
     def _look_at_room(self, namespace: str, count: int) -> None:
-        too_many = self._book.admission.check(namespace, count, self._stops.owed)
+        too_many = self._book.admission.check(namespace, count, self._stops.pending)
         if too_many is not None:
             self._base.counts["turned_away"] += 1
             self._base.log(
@@ -195,10 +199,10 @@
         if state not in OPEN:
             return
         attempt = self._attempts.of(task.request)
-        self._book.step(task, Step.STOP)
+        self._book.transition(task, Step.STOP)
         if self._elsewhere is not None and self._elsewhere.withdraw(task):
             return
-        if state is State.AGAIN:
+        if state is State.RETRYING:
             self._runs.cancel_again(task)
         elif state is State.ASKED:
             self._requests.withdraw(task)
@@ -211,9 +215,9 @@
                 # Danger: the offer is on its way; what it starts must not run on without an owner. One stop ends it
                 # on the machine, and the offer is answered by that.
                 attempt.stopping = again.End.STOPPED
-                self._stops.owe(
+                self._stops.request(
                     attempt.link,
-                    task.job.asked.namespace,
+                    task.job.request.namespace,
                     attempt.key,
                     settled=lambda: attempt.stage is Stage.ENDED,
                 )
@@ -227,7 +231,7 @@
         attempt = self._attempts.by_key.get(pod)
         if attempt is None or attempt.stage is not Stage.PLACED:
             raise not_found("pods", pod)
-        if attempt.task.job.asked.task_class.task_class.effect is api.Effect.UNSAFE:
+        if attempt.task.job.request.task_class.task_class.effect is api.Effect.UNSAFE:
             raise ApiError(
                 429,
                 f"{pod} is of a class that must not start twice; it is never moved",
@@ -237,7 +241,7 @@
 
     def namespaces(self) -> list[str]:
         """Those of present Jobs, and `default`."""
-        return sorted({"default", *(job.asked.namespace for job in self._book.jobs.values())})
+        return sorted({"default", *(job.request.namespace for job in self._book.jobs.values())})
 
     def uid_of(self, key: str) -> str | None:
         """A Job's uid, None where there is none of that key."""
--- a/wingbarrow/core/jobstatus.py
+++ b/wingbarrow/core/jobstatus.py
@@ -12,22 +12,22 @@
     """Bring `job.value["status"]` up to date; conditions are added once and stay."""
     counts, status = job.counts, job.value.setdefault("status", {})
     figures = {
-        "active": job.open,
-        "ready": counts[State.PLACED] + counts[State.FOUND],
+        "active": job.open_tasks,
+        "ready": counts[State.PLACED] + counts[State.ADOPTED],
         "succeeded": counts[State.DONE],
         "failed": counts[State.REFUSED] + counts[State.FAILED] + counts[State.LOST],
     }
     for name, figure in figures.items():
         if figure or name in status:
             status[name] = figure
-    for kind, (reason, words) in job.notes.items():
+    for kind, (reason, words) in job.conditions.items():
         held = next((each for each in status.get("conditions", ()) if each["type"] == kind), None)
         if held is not None and (held["reason"], held["message"]) != (reason, words):
             status["conditions"].remove(held)
         _add(status, kind, reason, words, wall_us)
     if job.unanswered:
         return
-    if job.adopted and not job.notes:
+    if job.adopted and not job.conditions:
         _add(
             status,
             "wingbarrow.io/Adopted",
@@ -35,7 +35,7 @@
             "found running after a restart of the placer",
             wall_us,
         )
-    if counts[State.FOUND] and not job.adopted:
+    if counts[State.ADOPTED] and not job.adopted:
         _add(
             status,
             "wingbarrow.io/FoundRunning",
@@ -55,12 +55,16 @@
             status,
             "Placed",
             "AllPlaced",
-            f"{job.asked.count} of {job.asked.count} tasks were placed",
+            f"{job.request.count} of {job.request.count} tasks were placed",
             wall_us,
         )
-    if job.open or _has(status, "Failed") or (job.leased is not None and not job.leased.session):
+    if (
+        job.open_tasks
+        or _has(status, "Failed")
+        or (job.leased is not None and not job.leased.session)
+    ):
         return  # of a Job whose lease was ended, its notes tell what became of it
-    if counts[State.DONE] == job.asked.count:
+    if counts[State.DONE] == job.request.count:
         _add(status, "SuccessCriteriaMet", "CompletionsReached", "all tasks ended well", wall_us)
         _add(status, "Complete", "CompletionsReached", "all tasks ended well", wall_us)
         status["completionTime"] = short_time(wall_us)
@@ -77,7 +81,7 @@
 def _words(job: JobRecord, state: State | None) -> str:
     if state is None:
         return ""
-    total = job.asked.count
+    total = job.request.count
     told = (
         f"{job.counts[state]} of {total} tasks {state.value}"
         if total > 1
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -14,7 +14,7 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest
-from wingbarrow.core.job_store import OPEN, JobRecord, JobStore, Leased, State, Step, TaskRecord
+from wingbarrow.core.job_store import OPEN, JobLease, JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.pods import Ended
@@ -66,9 +66,9 @@
         self._told: set[str] = (
             set()
         )  # pods of which a keeper was told that they are about to be sent
-        book.on_step.append(self._stepped)
-        book.on_delete.append(self._deleted)
-        requests.confirm, requests.failing = self._confirm, self._failing
+        book.state_listeners.append(self._stepped)
+        book.delete_listeners.append(self._deleted)
+        requests.may_answer_placed, requests.is_answered_by_lease = self._confirm, self._failing
         requests.attempt_began, requests.attempt_ended = self._attempt_began, self._attempt_ended
 
     # -- intake
@@ -93,8 +93,8 @@
         for job in self.jobs.values():
             if job.leased is not None:
                 found = sums.setdefault(job.leased.spec, [0.0, 0.0])
-                found[0] += job.asked.cores * job.open
-                found[1] += job.asked.memory * job.open
+                found[0] += job.request.cores * job.open_tasks
+                found[1] += job.request.memory * job.open_tasks
         return tuple(
             sorted(
                 (
@@ -107,7 +107,7 @@
 
     def take_in(
         self, key: str, uid: str, asked: JobRequest, spec: Spec, manifest: str, due_us: int
-    ) -> Leased:
+    ) -> JobLease:
         """Have a Job with a keeper; waits. ApiError 503 where that cannot be, and then no keeper keeps it."""
         base, session = self._base, self._leases.session
         if session is None or not self._leases.may_send(session.text()):
@@ -136,9 +136,9 @@
                 self.records.drop(uid)
         if not good:
             raise self._away("no keeper", why or "this placer's lease does not hold any more")
-        return Leased(spec.name, session.text())
+        return JobLease(spec.name, session.text())
 
-    def hold(self, job: JobRecord, leased: Leased) -> None:
+    def hold(self, job: JobRecord, leased: JobLease) -> None:
         """A Job that a keeper has is accepted."""
         job.leased = leased
         self.jobs[job.uid] = job
@@ -212,7 +212,7 @@
             return Ended(
                 api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
             )
-        if job.asked.task_class.task_class.effect is not api.Effect.UNSAFE:
+        if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
         known, until = (
             KnownTask(attempt.task.index, "about", link.name, attempt.key),
@@ -245,7 +245,7 @@
         told = attempt.key in self._told
         self._told.discard(attempt.key)
         if outcome in (api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT):
-            attempt.task.left = False
+            attempt.task.may_have_run = False
             if told:
                 self.records.back(job.uid, attempt.task.index)
 
@@ -286,9 +286,9 @@
         if self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._base.hub.now_us()
             if attempt.found:
-                self._requests.found(attempt)
+                self._requests.on_found(attempt)
             else:
-                self._requests.placed(attempt)
+                self._requests.on_placed(attempt)
 
     def _failing(self, attempt: Attempt) -> bool:
         """The owner's patience is over, and a copy runs of which no keeper knows yet."""
@@ -303,7 +303,7 @@
         Danger: a copy that no keeper knows of would run beside the one that a successor starts.
         """
         task = attempt.task
-        task.last = f"LeaseLost: {why}"[:300]
+        task.last_outcome = f"LeaseLost: {why}"[:300]
         task.job.lease_lost = True
         self._base.counts["leases:lost answers"] += 1
         self._requests.fail(task)
@@ -318,9 +318,9 @@
             self._runs.stop(attempt, again.End.STOPPED)
         elif attempt.stage is Stage.SENT:
             attempt.stopping = again.End.STOPPED
-            self._stops.owe(
+            self._stops.request(
                 attempt.link,
-                attempt.task.job.asked.namespace,
+                attempt.task.job.request.namespace,
                 attempt.key,
                 settled=lambda: attempt.stage is Stage.ENDED,
             )
@@ -338,13 +338,13 @@
             self._requests.withdraw(task)
         else:
             self._runs.cancel_again(task)
-            self._book.step(task, Step.ASK)
-            deadline = now + task.job.asked.patience_us
+            self._book.transition(task, Step.RETRY)
+            deadline = now + task.job.request.patience_us
         request = self._book.open_request(task, deadline)
         attempt = Attempt(
             request, 0, task, link, pod, now, deadline, Stage.SENT, found=True, left_us=left_us
         )
-        task.binds = 1
+        task.attempts_made = 1
         self._attempts.add(attempt)
         self._attempt_began(attempt)
         if self._confirm(attempt):
@@ -354,7 +354,7 @@
     # -- what the keeper hears afterwards
 
     def _deleted(self, job: JobRecord) -> None:
-        if not job.open and (job.leased is not None or job.notes):
+        if not job.open_tasks and (job.leased is not None or job.conditions):
             self.jobs.pop(job.uid, None)
             self.records.drop(job.uid)
 
@@ -365,14 +365,14 @@
         if task.state in (State.REFUSED, State.FAILED) and self.goes_on(task):
             return
         if task.state not in OPEN:
-            if not job.open:
+            if not job.open_tasks:
                 self.jobs.pop(job.uid, None)
                 self.records.drop(job.uid)
             elif before in OPEN:
                 self.records.over(job.uid, task.index)
-        elif task.state is State.AGAIN:
+        elif task.state is State.RETRYING:
             self.records.back(job.uid, task.index)
-        if before is State.ASKED and not job.unanswered and job.open:
+        if before is State.ASKED and not job.unanswered and job.open_tasks:
             failed = job.counts[State.FAILED] or job.counts[State.REFUSED]
             self.records.answered(job.uid, "failed" if failed else "placed")
 
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -107,7 +107,9 @@
         entry, link = self._fleet.held.get(machine), self._machines.links.get(machine)
         if not self._fleet.ready or (entry is not None and self._fleet.closed_by_start(entry)):
             return -1
-        return len(self._attempts.on(link)) + self._stops.owed_on(link) if link is not None else 0
+        return (
+            len(self._attempts.on(link)) + self._stops.pending_on(link) if link is not None else 0
+        )
 
     def word(self, number: int) -> str:
         """What the machine said last, as long as that counts."""
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -37,8 +37,8 @@
             str, tuple[TaskRecord, str, str, int]
         ] = {}  # task, spec, region, since when
         self._from = 0  # where the next look at all runs begins
-        requests.elsewhere = self._asked
-        book.on_step.append(self._stepped)
+        requests.goes_to_other_region = self._asked
+        book.state_listeners.append(self._stepped)
 
     def run(self) -> None:
         """Look again and again, until cancelled."""
@@ -69,9 +69,9 @@
             afar = self._elsewhere.came_from_afar(job.key)
             for task in job.tasks:
                 if (
-                    task.state in (State.PLACED, State.FOUND)
+                    task.state in (State.PLACED, State.ADOPTED)
                     and task.name not in self._bound
-                    and not task.doubtful
+                    and not task.answer_uncertain
                 ):
                     standing.append(
                         (
@@ -79,9 +79,9 @@
                             Run(
                                 task.request,
                                 job.leased.spec,
-                                job.asked.cores,
-                                job.asked.memory,
-                                job.asked.task_class.task_class.effect.value,
+                                job.request.cores,
+                                job.request.memory,
+                                job.request.task_class.task_class.effect.value,
                                 afar,
                             ),
                         )
@@ -117,7 +117,7 @@
         if bound is None or task.state is not State.ASKED:
             return False
         _, spec, region, _ = bound
-        due = self._base.hub.now_us() + task.job.asked.patience_us
+        due = self._base.hub.now_us() + task.job.request.patience_us
         return self._elsewhere.give_task(task, due, region, spec)
 
     def _stepped(self, task: TaskRecord, before: State) -> None:
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -12,7 +12,7 @@
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
-from wingbarrow.core.pods import Phase, PodSight, read_pod
+from wingbarrow.core.pods import Phase, PodStatus, read_pod
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide import retries as again
 
@@ -73,7 +73,7 @@
 
         self._base.spawn(lambda: link.follow(listed, event, self._base.log), f"follow {link.name}")
 
-    def _read(self, link: MachineLink, value: dict[str, Any]) -> PodSight | None:
+    def _read(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
         try:
             return read_pod(value)
         except ValueError as error:
@@ -81,10 +81,10 @@
             self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
             return None
 
-    def _seen(self, link: MachineLink, sight: PodSight) -> None:
+    def _seen(self, link: MachineLink, sight: PodStatus) -> None:
         attempt = self._attempts.by_key.get(sight.name)
         if attempt is None:
-            self._strays.seen(link, sight)
+            self._strays.on_pod(link, sight)
             return
         if sight.phase is Phase.PENDING and attempt.stage is Stage.SENT:
             self._host.feed(
@@ -109,7 +109,7 @@
         elif sight.use:
             self._use(attempt, link, sight)
 
-    def _use(self, attempt: Attempt, link: MachineLink, sight: PodSight) -> None:
+    def _use(self, attempt: Attempt, link: MachineLink, sight: PodStatus) -> None:
         use = tuple(sight.use.get(key, -1.0) for key in _USES)
         if use == attempt.use:
             return
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -73,7 +73,7 @@
             self._host.feed(
                 api.AttemptEnded(
                     bind.request,
-                    task.binds if task else 0,
+                    task.attempts_made if task else 0,
                     bind.machine,
                     api.Outcome.NOT_SENT,
                     api.Reason.UNTOLD,
@@ -83,10 +83,10 @@
                 )
             )
             if task is not None:
-                task.binds += 1
+                task.attempts_made += 1
             return
-        number, task.binds = task.binds, task.binds + 1
-        pod = f"t{self._base.life}-{bind.request}-{number}"
+        number, task.attempts_made = task.attempts_made, task.attempts_made + 1
+        pod = f"t{self._base.incarnation}-{bind.request}-{number}"
         attempt = Attempt(
             bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us
         )
@@ -114,7 +114,7 @@
                 self._rulebook.against(
                     now,
                     attempt.rules,
-                    task.job.asked.task_class.task_class.name,
+                    task.job.request.task_class.task_class.name,
                     link.name,
                     attempt.decided_us,
                 ),
@@ -132,7 +132,7 @@
         link.offered_us = now
         if self.cold is not None:
             self.cold.sent(attempt)
-        task.left = True
+        task.may_have_run = True
         return True
 
     def _offer(self, attempt: Attempt) -> None:
@@ -157,7 +157,7 @@
             ended = self._leaseholder.before(attempt) if self._leaseholder is not None else None
             if ended is None:
                 ended = link.offer(
-                    task.job.asked.namespace,
+                    task.job.request.namespace,
                     body,
                     attempt.deadline_us,
                     lambda: self._may_send(attempt),
@@ -178,7 +178,7 @@
             self.runs(attempt)
         elif self._costs_nothing(attempt):
             self._base.counts["asked_anew"] += 1
-            self._requests.ask_anew(attempt)
+            self._requests.resubmit(attempt)
         else:
             self._failed(attempt, ended)
 
@@ -191,9 +191,9 @@
         return (
             attempt.held is Held.COLD_SHARE
             and attempt.stage is Stage.WAITING
-            and not task.left
+            and not task.may_have_run
             and task.job.leased is None
-            and task.anew < ANEW_MOST
+            and task.resubmissions < ANEW_MOST
             and task.state is State.ASKED
             and task.request == attempt.request
             and self._base.hub.now_us() < task.deadline_us
@@ -204,18 +204,20 @@
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
             # The request was answered otherwise while the offer was out: what runs now is a stray.
-            self._requests.attempt_over(
+            self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
             self._base.counts["answers_late"] += 1
-            self._strays.judge(attempt.link, attempt.key, task.job.asked.namespace, task, None)
+            self._strays.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
             return
-        if self._requests.confirm(attempt) and self._attempts.advance(attempt, Stage.PLACED):
+        if self._requests.may_answer_placed(attempt) and self._attempts.advance(
+            attempt, Stage.PLACED
+        ):
             attempt.placed_us = now
-            self._requests.placed(attempt)
+            self._requests.on_placed(attempt)
 
     def _failed(self, attempt: Attempt, ended: Ended) -> None:
-        attempt.task.last = f"{attempt.link.name}: {ended.words}"[:300]
+        attempt.task.last_outcome = f"{attempt.link.name}: {ended.words}"[:300]
         self._base.counts[f"offer:{ended.outcome.value}"] += 1
         self._base.log(
             "offer-ended",
@@ -226,7 +228,7 @@
             outcome=ended.outcome.value,
             why=ended.words,
         )
-        self._requests.attempt_over(
+        self._requests.on_attempt_ended(
             attempt,
             ended.outcome,
             ended.reason,
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -1,4 +1,8 @@
-"""Tasks that run though no open attempt accounts for them: adopted, taken as an answer, or stopped."""
+"""Orphaned pods: they run though no open attempt accounts for them. Adopted, taken as an answer, or stopped.
+
+`decide.orphans` decides which; this carries it out. Orphans come of lost answers, of offers that were given up and
+accepted all the same, and of an earlier incarnation of this placer.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.core import saved_list as saved
+from wingbarrow.core import saved_list
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
@@ -15,159 +19,172 @@
 from wingbarrow.core.intake import JobRequest, job_value
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
-from wingbarrow.core.pods import Phase, PodSight, expected_left_us, pod_resources
+from wingbarrow.core.pods import Phase, PodStatus, expected_left_us, pod_resources
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import orphans as strays
-from wingbarrow.decide import retries as again
+from wingbarrow.decide import orphans, retries
 from wingbarrow.kube import names
 
 
 class Orphans:
-    """Owns what is known of this placer's former life."""
+    """Carries out what is decided on orphans; owns what is known of the earlier incarnation."""
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
-        board: ApiObjects,
+        objects: ApiObjects,
         requests: Requests,
         runs: Runs,
         stops: Stops,
     ) -> None:
-        self._base, self._host, self._book, self._attempts, self._board = (
-            base,
-            host,
-            book,
-            attempts,
-            board,
-        )
-        self._requests, self._runs, self._stops = requests, runs, stops
-        self.foreign: Callable[[MachineLink, PodSight], bool] = (
-            lambda link, sight: False
-        )  # not by a present lease
-        # A leased Job's: whether a keeper's word comes first, and then its answer.
-        self.leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = (
+        self._base = base
+        self._host = host
+        self._jobs = jobs
+        self._attempts = attempts
+        self._objects = objects
+        self._requests = requests
+        self._runs = runs
+        self._stops = stops
+        # Whether a pod is another placer's, by a lease in force.
+        self.is_foreign: Callable[[MachineLink, PodStatus], bool] = lambda link, pod_status: False
+        # Whether a leased Job's placement waits for a replica's acknowledgement, and is answered after it.
+        self.place_leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = (
             lambda link, pod, task, left: False
         )
         state = base.settings.state
-        self._former_us = saved.last_alive(Path(state)) if state else None
+        self._last_heartbeat_us = saved_list.read_heartbeat(Path(state)) if state else None
 
-    def seen(self, link: MachineLink, sight: PodSight) -> None:
-        """A machine tells of a pod that no open attempt accounts for."""
-        if sight.phase is not Phase.RUNNING or self.foreign(link, sight):
+    def on_pod(self, link: MachineLink, pod_status: PodStatus) -> None:
+        """A machine reported a pod that no open attempt accounts for."""
+        if pod_status.phase is not Phase.RUNNING or self.is_foreign(link, pod_status):
             return
-        job = self._book.jobs.get(sight.job_key)
-        if job is not None and job.uid == sight.job_uid and sight.index < len(job.tasks):
-            self.judge(link, sight.name, sight.namespace, job.tasks[sight.index], sight)
-        elif sight.name.startswith(f"t{self._base.life}-") or self._book.was_deleted(sight.job_uid):
-            # Danger: what was deleted would come back. A pod of this life without a Job is nobody's; for those of a
-            # former life the deleted Job's uid is remembered.
-            self._stop(link, sight.namespace, sight.name)
+        job = self._jobs.jobs.get(pod_status.job_key)
+        if job is not None and job.uid == pod_status.job_uid and pod_status.index < len(job.tasks):
+            self.resolve(
+                link, pod_status.name, pod_status.namespace, job.tasks[pod_status.index], pod_status
+            )
+        elif pod_status.name.startswith(f"t{self._base.incarnation}-") or self._jobs.was_deleted(
+            pod_status.job_uid
+        ):
+            # Danger: a deleted Job would come back. A pod of this incarnation without a Job has no owner; for those of
+            # an earlier one the deleted Job's uid is remembered.
+            self._stop(link, pod_status.namespace, pod_status.name)
         else:
-            self._adopt_job(link, sight)
+            self._adopt_job(link, pod_status)
 
-    def judge(
-        self, link: MachineLink, pod: str, namespace: str, task: TaskRecord, sight: PodSight | None
+    def resolve(
+        self,
+        link: MachineLink,
+        pod: str,
+        namespace: str,
+        task: TaskRecord,
+        pod_status: PodStatus | None,
     ) -> None:
-        """Do with a known task's stray what `decide.orphans` says."""
+        """Carry out what `decide.orphans` says of an orphan whose task is known."""
         job, state = task.job, task.state
         if job.leased is not None and not job.leased.session:
-            return  # Danger: this placer has no say over it any more; its machine stops it, or a stop is under way
-        verdict = strays.judge(
-            strays.Sight(
-                job.asked.task_class.task_class.effect,
+            return  # Danger: its session has ended. Its machine stops it, or a stop is under way
+        action = orphans.action_for(
+            orphans.Orphan(
+                job.request.task_class.task_class.effect,
                 True,
                 not job.deleted,
-                state in (State.ASKED, State.AGAIN),
+                state in (State.ASKED, State.RETRYING),
                 state is State.ASKED and self._attempts.of(task.request) is not None,
-                state in (State.PLACED, State.FOUND),
+                state in (State.PLACED, State.ADOPTED),
                 state in (State.DONE, State.STOPPED) and not job.adopted,
             )
         )
-        self._base.counts["stray:" + verdict.value] += 1
+        self._base.counts["stray:" + action.value] += 1
         self._base.log(
             "stray",
             level="warning",
             job=job.key,
             task=task.index,
             machine=link.name,
-            verdict=verdict.value,
+            verdict=action.value,
         )
-        if verdict is strays.Stray.STOP:
+        if action is orphans.OrphanAction.STOP:
             self._stop(link, namespace, pod)
-        elif verdict is strays.Stray.ADOPT:
-            self._adopt(link, pod, task, sight)
-        elif verdict is strays.Stray.PLACE:
-            self._place_late(link, pod, task, sight)
+        elif action is orphans.OrphanAction.ADOPT:
+            self._adopt(link, pod, task, pod_status)
+        elif action is orphans.OrphanAction.PLACE:
+            self._place_late(link, pod, task, pod_status)
 
     def _stop(self, link: MachineLink, namespace: str, pod: str) -> None:
-        if not self._stops.owes(link, pod):
+        if not self._stops.is_pending(link, pod):
             self._base.counts["strays_stopped"] += 1
-            self._stops.owe(link, namespace, pod)
+            self._stops.request(link, namespace, pod)
 
     def _place_late(
-        self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None
+        self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
-        """A copy runs that the open request can have as its own: it ends as placed."""
-        left = expected_left_us(sight.value) if sight else task.job.asked.expected_us
-        if self.leased(link, pod, task, left):
+        """The orphan is what the open request waits for: the request ends as placed."""
+        left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
+        if self.place_leased(link, pod, task, left):
             return
-        if task.state is State.AGAIN:
+        if task.state is State.RETRYING:
             self._runs.cancel_again(task)
-            self._book.step(task, Step.ASK)
+            self._jobs.transition(task, Step.RETRY)
         else:
             self._requests.withdraw(task)
-        self._book.step(task, Step.PLACE)
-        self._hand_over(link, pod, task, sight)
+        self._jobs.transition(task, Step.PLACE)
+        self._hand_over(link, pod, task, pod_status)
 
-    def _adopt(self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None) -> None:
-        if self._book.step(task, Step.ADOPT):
-            self._board.tell(
+    def _adopt(
+        self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
+    ) -> None:
+        if self._jobs.transition(task, Step.ADOPT):
+            self._objects.tell(
                 task.job, "Normal", "FoundRunning", f"task {task.index} runs on {link.name}"
             )
-            self._hand_over(link, pod, task, sight)
+            self._hand_over(link, pod, task, pod_status)
 
     def _hand_over(
-        self, link: MachineLink, pod: str, task: TaskRecord, sight: PodSight | None
+        self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
-        """Give a running task to the module as found; attempt 0 is deemed made."""
+        """Give a running task to the decision module as found; it counts as attempt 0."""
         now = self._base.hub.now_us()
-        request = self._book.open_request(task, now)
-        task.binds, task.machine = 1, link.name
+        request = self._jobs.open_request(task, now)
+        task.attempts_made, task.machine = 1, link.name
         attempt = Attempt(request, 0, task, link, pod, now, now, Stage.PLACED, now)
         self._attempts.add(attempt)
         self._requests.attempt_began(attempt)
-        self._board.mark(task.job)
-        left = expected_left_us(sight.value) if sight else task.job.asked.expected_us
+        self._objects.mark(task.job)
+        left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
         self._host.feed(api.TaskFound(self._requests.arrival(task, request, left), link.ident))
 
-    def _adopt_job(self, link: MachineLink, sight: PodSight) -> None:
-        """A former life's task: its Job is made anew from what the machine holds."""
-        asked = self._read_former(link, sight)
-        if asked is None or sight.job_key in self._book.jobs:
+    def _adopt_job(self, link: MachineLink, pod_status: PodStatus) -> None:
+        """A pod of an earlier incarnation: its Job is recreated from the pod."""
+        asked = self._recreate_request(link, pod_status)
+        if asked is None or pod_status.job_key in self._jobs.jobs:
             self._base.counts["not_adopted"] += 1
-            self._base.log("not-adopted", level="error", machine=link.name, job=sight.job_key)
+            self._base.log("not-adopted", level="error", machine=link.name, job=pod_status.job_key)
             return
-        job = self._book.add(
-            sight.job_key, sight.job_uid, asked, self._former_value(sight, asked), adopted=True
+        job = self._jobs.add(
+            pod_status.job_key,
+            pod_status.job_uid,
+            asked,
+            self._recreate_job(pod_status, asked),
+            adopted=True,
         )
         self._base.counts["jobs_adopted"] += 1
-        task = job.tasks[sight.index]
-        task.doubtful = not again.was_answered(
-            sight.started_us, self._former_us, self._base.born_us
+        task = job.tasks[pod_status.index]
+        task.answer_uncertain = not retries.was_answered(
+            pod_status.started_us, self._last_heartbeat_us, self._base.started_us
         )
-        self._base.counts["adopted_in_doubt"] += task.doubtful
-        self._adopt(link, sight.name, task, sight)
+        self._base.counts["adopted_in_doubt"] += task.answer_uncertain
+        self._adopt(link, pod_status.name, task, pod_status)
 
-    def _read_former(self, link: MachineLink, sight: PodSight) -> JobRequest | None:
-        value = sight.value
+    def _recreate_request(self, link: MachineLink, pod_status: PodStatus) -> JobRequest | None:
+        value = pod_status.value
         labels, notes = value["metadata"].get("labels") or {}, value["metadata"]["annotations"]
         settings = self._base.settings.classes.get(labels.get(names.CLASS, ""))
-        namespace, _, name = sight.job_key.partition("/")
+        namespace, _, name = pod_status.job_key.partition("/")
         try:
             cores, memory = pod_resources(value)
         except ValueError as error:
@@ -180,8 +197,8 @@
             namespace,
             name,
             settings,
-            notes.get(names.SERVICE, sight.job_key),
-            sight.job_size,
+            notes.get(names.SERVICE, pod_status.job_key),
+            pod_status.job_size,
             cores,
             memory,
             settings.patience_us,
@@ -189,8 +206,8 @@
             settings.restarts if safe else 0,
         )
 
-    def _former_value(self, sight: PodSight, asked: JobRequest) -> dict[str, Any]:
-        value, notes = sight.value, sight.value["metadata"]["annotations"]
+    def _recreate_job(self, pod_status: PodStatus, asked: JobRequest) -> dict[str, Any]:
+        value, notes = pod_status.value, pod_status.value["metadata"]["annotations"]
         spec = {
             key: part for key, part in value["spec"].items() if key not in ("nodeName", "priority")
         }
@@ -206,6 +223,6 @@
                 "spec": {"template": {"spec": spec}},
             },
             asked,
-            sight.job_uid,
+            pod_status.job_uid,
             self._base.hub.clock.wall_us(),
         )
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -65,10 +65,10 @@
         self._offers.bind(bind)
 
     def refuse(self, request: int) -> None:
-        self._requests.answer(request, Step.REFUSE)
+        self._requests.reject_or_fail(request, Step.REFUSE)
 
     def fail(self, request: int) -> None:
-        self._requests.answer(request, Step.FAIL)
+        self._requests.reject_or_fail(request, Step.FAIL)
 
     def move(self, request: int) -> None:
         self._runs.move(request)
@@ -101,7 +101,7 @@
         runs = Runs(base, book, attempts, board, requests, stops)
         strays = Orphans(base, host, book, attempts, board, requests, runs, stops)
         rulebook = self.rulebook = ActiveRules(base, host)
-        self.peering = Peering(hub, settings, base.born_us, log)
+        self.peering = Peering(hub, settings, base.started_us, log)
         self.leases: MachineLeases | None = None
         self.turns: MaintenanceSlots | None = None
         self.leaseholder: LeasedJobs | None = None
@@ -109,7 +109,7 @@
             leases = self.leases = MachineLeases(
                 base, machines, self.peering.lease, settings.agree.lease_us
             )
-            records = RecordReplication(hub, settings, base.born_us, self.peering)
+            records = RecordReplication(hub, settings, base.started_us, self.peering)
             self.leaseholder = LeasedJobs(
                 base,
                 host,
@@ -122,7 +122,7 @@
                 records,
                 rulebook.federation,
             )
-            strays.leased = self.leaseholder.place_late
+            strays.place_leased = self.leaseholder.place_late
         offers = self.offers = Offers(
             base, host, book, attempts, machines, requests, strays, rulebook, self.leaseholder
         )
@@ -143,7 +143,7 @@
                 stops,
                 self.leaseholder,
             )
-            strays.foreign = self.successor.stray
+            strays.is_foreign = self.successor.stray
         closing = Closing(base, host, fleet, attempts, runs, board)
         self.mover: Mover | None = None
         elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
@@ -182,7 +182,7 @@
             rulebook.hurry = self.peering.hurry
             self.peering.uses = self._uses
             # Of the cold budget a placer wants as much as waits; how much of that is for cold machines nobody knows.
-            self.peering.demand = lambda key: book.owed if key == "cold" else 0
+            self.peering.demand = lambda key: book.unanswered if key == "cold" else 0
             verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
             turns = self.turns = MaintenanceSlots(
                 base,
@@ -196,7 +196,7 @@
                 rulebook.in_force,
             )
             self.peering.on_turns = turns.changed
-            requests.came_to = turns.noting(verdicts.note)
+            requests.on_start_outcome = turns.noting(verdicts.note)
             self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
             rulebook.purse = (
                 lambda: self.peering.agreement.purse if self.peering.agreement is not None else None
@@ -216,8 +216,8 @@
             cold = offers.cold = ColdShares(
                 base, fleet, attempts, subset.subsets, rulebook.cold_offers
             )
-            requests.answered, fleet.spoke = cold.ended, cold.spoke
-        self.learner = Learner(hub, settings, self.hearsay, base.born_us, log)
+            requests.on_attempt_answered, fleet.spoke = cold.ended, cold.spoke
+        self.learner = Learner(hub, settings, self.hearsay, base.started_us, log)
         needed = tuple(
             each.task_class.kind for each in settings.classes.values() if each.task_class.kind
         )
@@ -272,7 +272,7 @@
     def _elsewhere(self, fleet: Fleet, requests: Requests) -> Elsewhere:
         """The room for what crosses regions."""
         peering, base = self.peering, self.base
-        made = Elsewhere(base, self.book, self.board, requests, base.born_us)
+        made = Elsewhere(base, self.book, self.board, requests, base.started_us)
         made.federation = self.rulebook.federation
         made.news = peering.regions.news
         made.targets = peering.targets
@@ -309,13 +309,13 @@
 
     def oddities(self) -> dict[str, int]:
         """Steps that the state tables lack, and how often each was met; empty unless something is wrong."""
-        return dict(self.book.odd + self.attempts.odd)
+        return dict(self.book.unexpected_transitions + self.attempts.unexpected_transitions)
 
     def take_settings(self, fresh: PlacerSettings) -> None:
         """Use a file's settings that was read again: patience, priorities, restarts and limits of what comes."""
         self.base.settings = fresh
         self.drainer.reload()
-        self.book.take_limits(
+        self.book.set_limits(
             fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
         )
         self.board.store.window_most = fresh.limits.window
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -64,7 +64,7 @@
 
     `until`: of a leased Job, until when it may run by the machine's clock.
     """
-    job, asked = task.job, task.job.asked
+    job, asked = task.job, task.job.request
     template = job.value["spec"]["template"]
     meta = template.get("metadata") or {}
     notes = {
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PodSight:
+class PodStatus:
     """A pod as a machine tells of it."""
 
     name: str
@@ -171,7 +171,7 @@
         return _GIVEN_UP.get(self.reason, api.Reason.UNTOLD)
 
 
-def read_pod(value: dict[str, Any]) -> PodSight:
+def read_pod(value: dict[str, Any]) -> PodStatus:
     """ValueError names the field that is missing or wrong."""
     meta, status = value.get("metadata"), value.get("status")
     if not isinstance(meta, dict) or not isinstance(status, dict):
@@ -190,7 +190,7 @@
         raise ValueError("metadata.annotations") from None
     if not 0 <= index < size <= 100_000 or "/" not in key:
         raise ValueError("metadata.annotations")
-    return PodSight(
+    return PodStatus(
         str(meta.get("name", "")),
         str(meta.get("namespace", "")),
         key,
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -51,7 +51,7 @@
         self._taken: dict[str, str] = {}  # the ident by the key of the Job that was made of it
         self._keys: dict[str, str] = {}  # and the other way
         self._stopped: set[str] = set()  # idents whose stop came while their Job was being taken in
-        book.on_step.append(self._stepped)
+        book.state_listeners.append(self._stepped)
 
     # -- from here to another region
 
@@ -102,15 +102,15 @@
         """Hand all tasks of a Job over; each is answered by this placer, whatever comes of it."""
         for task in job.tasks:
             if not self.give_task(task, due_us, region, spec):
-                task.last = f"no placer of region {region} is known"
-                self._requests.answer(self._book.open_request(task, due_us), Step.REFUSE)
+                task.last_outcome = f"no placer of region {region} is known"
+                self._requests.reject_or_fail(self._book.open_request(task, due_us), Step.REFUSE)
 
     def give_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Hand one over that is asked for; False where nobody there can be asked."""
         news, job = self.news(self._base.hub.now_us()).get(region), task.job
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
-        harmless = job.asked.task_class.task_class.effect.value == "safe"
+        harmless = job.request.task_class.task_class.effect.value == "safe"
         ident, effects = self.giving.begin(
             self._base.hub.now_us(), _manifest(job), spec, harmless, due_us - ANSWER_US, targets
         )
@@ -143,25 +143,25 @@
         task = self._given.get(ident)
         if task is None:
             return
-        task.last = words or task.last
+        task.last_outcome = words or task.last_outcome
         if state == handing.PLACED:
             task.machine = machine
             self._book.close_request(task)
-            self._book.step(task, Step.PLACE)
+            self._book.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
         elif state in (handing.REFUSED, handing.FAILED) and task.answered:
             # A run that was to move, and nobody took: its owner has had its answer, and wants it still.
             del self._given[ident]
             del self._idents[task.name]
             self._book.close_request(task)
-            self._requests.ask(task, self._base.hub.now_us() + task.job.asked.patience_us)
+            self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
             return
         elif state in (handing.REFUSED, handing.FAILED):
-            self._requests.answer(
+            self._requests.reject_or_fail(
                 task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL
             )
         elif state in handing.RAN:
-            self._book.step(task, Step.DONE if state == handing.DONE else Step.LOSE)
+            self._book.transition(task, Step.DONE if state == handing.DONE else Step.LOSE)
         if state in handing.FINAL:
             del self._given[ident]
             self._idents.pop(task.name, None)
@@ -214,19 +214,21 @@
             return
         state = {
             State.PLACED: handing.PLACED,
-            State.FOUND: handing.PLACED,
+            State.ADOPTED: handing.PLACED,
             State.REFUSED: handing.REFUSED,
             State.FAILED: handing.FAILED,
             State.DONE: handing.DONE,
             State.LOST: handing.LOST,
             State.STOPPED: handing.LOST,
         }.get(task.state)
-        if state is None or (state == handing.PLACED and before is State.AGAIN):
+        if state is None or (state == handing.PLACED and before is State.RETRYING):
             return
         if state in handing.FINAL:
             self._forget(ident)
         where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
-        self.act(self.taking.came_to(self._base.hub.now_us(), ident, state, where, task.last))
+        self.act(
+            self.taking.came_to(self._base.hub.now_us(), ident, state, where, task.last_outcome)
+        )
 
     # -- driven by the host of what placers say to each other
 
@@ -276,7 +278,7 @@
         {
             "apiVersion": "batch/v1",
             "kind": "Job",
-            "metadata": {"namespace": job.asked.namespace, **kept},
+            "metadata": {"namespace": job.request.namespace, **kept},
             "spec": spec,
         }
     ).decode()
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -27,49 +27,49 @@
             board,
         )
         self.waits = Waits(lambda request: attempts.of(request) is not None)
-        self.came_to: Callable[[str, api.Outcome | None], None] = (
+        self.on_start_outcome: Callable[[str, api.Outcome | None], None] = (
             lambda machine, outcome: None
         )  # None: it runs
-        self.answered: Callable[[Attempt, api.Outcome | None], None] = (
+        self.on_attempt_answered: Callable[[Attempt, api.Outcome | None], None] = (
             lambda attempt, outcome: None
         )  # None: it runs
         # Of leased Jobs: whether `placed` may be answered at once, what an attempt came to, whether the failure of a
         # request with an attempt out is answered by who keeps the lease.
-        self.confirm: Callable[[Attempt], bool] = lambda attempt: True
+        self.may_answer_placed: Callable[[Attempt], bool] = lambda attempt: True
         self.attempt_began: Callable[[Attempt], None] = lambda attempt: None
         self.attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
             lambda attempt, outcome, words: None
         )
-        self.failing: Callable[[Attempt], bool] = lambda attempt: False
-        self.elsewhere: Callable[[TaskRecord], bool] = (
+        self.is_answered_by_lease: Callable[[Attempt], bool] = lambda attempt: False
+        self.goes_to_other_region: Callable[[TaskRecord], bool] = (
             lambda task: False
         )  # whether another region is asked instead
 
-    def ask(self, task: TaskRecord, due_us: int | None = None) -> None:
+    def submit(self, task: TaskRecord, due_us: int | None = None) -> None:
         """Ask for a task; its final answer is due then, without a time after its Job's patience."""
-        if due_us is None and self.elsewhere(task):
+        if due_us is None and self.goes_to_other_region(task):
             return
-        asked = task.job.asked
+        asked = task.job.request
         if due_us is None:
             due_us = self._base.hub.now_us() + asked.patience_us
         request = self._book.open_request(task, due_us)
         self.waits.add(task)
         self._host.feed(self.arrival(task, request, asked.expected_us))
 
-    def ask_anew(self, attempt: Attempt) -> None:
+    def resubmit(self, attempt: Attempt) -> None:
         """An offer was held for a reason that lies with its machine alone: ask for its task as if it had not been made.
 
         Only of a task of which nothing was ever sent, as the module forgets that it tried. The answer is due as before.
         """
         task, due_us = attempt.task, attempt.task.deadline_us
-        task.anew += 1
+        task.resubmissions += 1
         self.close(task)
-        self.attempt_over(attempt, api.Outcome.NOT_SENT, api.Reason.UNTOLD, 0)
-        self.ask(task, due_us)
+        self.on_attempt_ended(attempt, api.Outcome.NOT_SENT, api.Reason.UNTOLD, 0)
+        self.submit(task, due_us)
 
     def arrival(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
         """A task as the module hears of it."""
-        asked = task.job.asked
+        asked = task.job.request
         return api.TaskArrived(
             request,
             asked.task_class.task_class.name,
@@ -93,14 +93,14 @@
         self.close(task)
         self._host.feed(api.TaskWithdrawn(request))
 
-    def answer(self, request: int, step: Step) -> None:
+    def reject_or_fail(self, request: int, step: Step) -> None:
         """The final answer to a request that is not placed."""
         task = self._book.by_request.get(request)
         if task is None or task.state is not State.ASKED:
             self._base.counts["answers_dropped"] += 1
             return
         attempt = self._attempts.of(request)
-        if attempt is not None and self.failing(attempt):
+        if attempt is not None and self.is_answered_by_lease(attempt):
             return
         self._answer(task, step, attempt)
 
@@ -112,8 +112,8 @@
 
     def _answer(self, task: TaskRecord, step: Step, attempt: Attempt | None) -> None:
         request = task.request
-        if not task.last:
-            task.last = (
+        if not task.last_outcome:
+            task.last_outcome = (
                 "an offer was out when the owner's patience ended"
                 if attempt
                 else "no machine had room, or none was known, before the owner's patience ended"
@@ -121,27 +121,27 @@
         self.close(task)
         if attempt is not None:
             attempt.abandoned = True
-        self._book.step(task, step)
+        self._book.transition(task, step)
         self._board.mark(task.job)
         reason = "Refused" if step is Step.REFUSE else "Failed"
-        self._board.tell(task.job, "Warning", reason, f"task {task.index}: {task.last}")
+        self._board.tell(task.job, "Warning", reason, f"task {task.index}: {task.last_outcome}")
         self._base.log(
             "task-" + reason.lower(),
             request=request,
             job=task.job.key,
             task=task.index,
-            why=task.last,
+            why=task.last_outcome,
         )
 
-    def placed(self, attempt: Attempt) -> None:
+    def on_placed(self, attempt: Attempt) -> None:
         """A machine runs it: its request ends as placed, with its attempt."""
         task = attempt.task
         task.machine = attempt.link.name
-        self.came_to(attempt.link.name, None)
-        self.answered(attempt, None)
+        self.on_start_outcome(attempt.link.name, None)
+        self.on_attempt_answered(attempt, None)
         self._host.cancel_timer(attempt.request)
         self.waits.remove(task, attempt.request)
-        self._book.step(task, Step.PLACE)
+        self._book.transition(task, Step.PLACE)
         self._base.counts["placed"] += 1
         self._board.mark(task.job)
         self._base.log(
@@ -154,18 +154,18 @@
         waited = attempt.placed_us - attempt.decided_us
         self._host.feed(api.TaskPlaced(attempt.request, attempt.number, attempt.link.ident, waited))
 
-    def found(self, attempt: Attempt) -> None:
+    def on_found(self, attempt: Attempt) -> None:
         """As `placed`, of one that the module has not sent."""
         task = attempt.task
         task.machine = attempt.link.name
-        self._book.step(task, Step.PLACE)
+        self._book.transition(task, Step.PLACE)
         self._base.counts["placed"] += 1
         self._board.mark(task.job)
         self._host.feed(
             api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
         )
 
-    def attempt_over(
+    def on_attempt_ended(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
@@ -179,8 +179,8 @@
             return
         self.attempt_ended(attempt, outcome, words)
         if not placed:
-            self.came_to(attempt.link.name, outcome)
-            self.answered(attempt, outcome)
+            self.on_start_outcome(attempt.link.name, outcome)
+            self.on_attempt_answered(attempt, outcome)
         closed = (
             placed
             or attempt.task.request != attempt.request
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -45,15 +45,15 @@
             if end in (again.End.MOVED, again.End.STOPPED)
             else api.Outcome.BROKEN
         )
-        task.last = words
+        task.last_outcome = words
         if task.request == attempt.request:
             self._requests.close(task)
         self._board.mark(job)
         if end is again.End.DONE:
-            self._book.step(task, Step.DONE)
+            self._book.transition(task, Step.DONE)
         elif end is not again.End.STOPPED:
             self._after_loss(task, end, words)
-        self._requests.attempt_over(
+        self._requests.on_attempt_ended(
             attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
         )
 
@@ -63,14 +63,16 @@
         self.ended(attempt, end, api.Reason.UNTOLD, f"{words} ({attempt.link.name})")
 
     def _after_loss(self, task: TaskRecord, end: again.End, words: str) -> None:
-        effect = task.job.asked.task_class.task_class.effect
+        effect = task.job.request.task_class.task_class.effect
         verdict = again.judge(end, effect, task.restarts_left, task.losses, self._base.random)
         self._base.counts["run:" + end.value] += 1
         # A task found running in this life had its answer from its owner's point of view: failed, or refused. One of a
         # former life was placed, and its Job still wants it, where it is sure that its owner was told so.
-        answered_otherwise = task.state is State.FOUND and (not task.job.adopted or task.doubtful)
+        answered_otherwise = task.state is State.ADOPTED and (
+            not task.job.adopted or task.answer_uncertain
+        )
         if verdict.after_us is None or answered_otherwise:
-            self._book.step(task, Step.LOSE)
+            self._book.transition(task, Step.LOSE)
             self._board.tell(
                 task.job, "Warning", "Lost", f"task {task.index}: {words}; not asked for again"
             )
@@ -78,7 +80,7 @@
         if verdict.counts:
             task.restarts_left -= 1
             task.losses += 1
-        self._book.step(task, Step.WAIT)
+        self._book.transition(task, Step.SCHEDULE_RETRY)
         self._board.tell(
             task.job,
             "Normal",
@@ -92,9 +94,9 @@
 
         def due() -> None:
             self._again.pop(task.name, None)
-            if self._book.step(task, Step.ASK):
+            if self._book.transition(task, Step.RETRY):
                 self._board.mark(task.job)
-                self._requests.ask(task)
+                self._requests.submit(task)
 
         self._again[task.name] = self._base.hub.call_at(self._base.hub.now_us() + after_us, due)
 
@@ -112,7 +114,7 @@
             attempt is None
             or attempt.stage is not Stage.PLACED
             or attempt.stopping is not None
-            or attempt.task.doubtful
+            or attempt.task.answer_uncertain
         ):
             self._base.counts["moves_dropped"] += 1
             return
@@ -132,9 +134,9 @@
                     f"{attempt.stopping.value}, stopped on {attempt.link.name}",
                 )
 
-        self._stops.owe(
+        self._stops.request(
             attempt.link,
-            attempt.task.job.asked.namespace,
+            attempt.task.job.request.namespace,
             attempt.key,
             wanted=lambda: attempt.stage is Stage.PLACED,
             done=stopped,
--- a/wingbarrow/core/saved_list.py
+++ b/wingbarrow/core/saved_list.py
@@ -1,4 +1,4 @@
-"""The last good list of machines on disk, for a restart: written whole beside the old one, then renamed."""
+"""The last usable machine list on disk, for a restart; replaced atomically (written beside it, synced, renamed)."""
 
 from __future__ import annotations
 
@@ -9,43 +9,61 @@
 import msgspec
 import xxhash
 
-_MOST = 256 << 20
+_FORM = 1
+_FILE = "machines.json"
+_HEARTBEAT_FILE = "alive"
+_MAX_BYTES = 256 << 20
+_MAX_HEARTBEAT_CHARS = 40
+
+
+class SavedListError(ValueError):
+    """The saved list cannot be used."""
+
+    def __init__(self, path: Path, why: str) -> None:
+        super().__init__(f"{path}: {why}")
+        self.path = path
+        self.why = why
 
 
 class _File(msgspec.Struct):
+    """Form of the file; `digest` is of the bytes of `nodes`."""
+
     form: int
     digest: str
     nodes: msgspec.Raw
 
 
 def save(folder: Path, nodes: list[dict[str, Any]]) -> None:
-    """Write the Node objects; OSError where the disk does not take them."""
+    """Write the Node objects. Raises OSError."""
     raw = msgspec.json.encode(nodes)
-    write_whole(
-        folder / "machines.json",
-        msgspec.json.encode(_File(1, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))),
+    write_atomically(
+        folder / _FILE,
+        msgspec.json.encode(_File(_FORM, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))),
     )
 
 
-def stamp_alive(folder: Path, wall_us: int) -> None:
-    """Leave word that this life works at this time; no sync: a lost stamp only makes a later life more careful."""
+def write_heartbeat(folder: Path, wall_us: int) -> None:
+    """Record that the placer worked at this time (microseconds since 1970). Raises OSError.
+
+    Not synced: a lost heartbeat only makes the next incarnation more careful.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    temporary = folder / f"alive.{os.getpid()}"
+    temporary = folder / f"{_HEARTBEAT_FILE}.{os.getpid()}"
     temporary.write_text(f"{wall_us}\n", encoding="ascii")
-    os.replace(temporary, folder / "alive")
+    os.replace(temporary, folder / _HEARTBEAT_FILE)
 
 
-def last_alive(folder: Path) -> int | None:
-    """When a former life last worked (microseconds since 1970); None where that is not known."""
+def read_heartbeat(folder: Path) -> int | None:
+    """The last heartbeat (microseconds since 1970); None where it is missing or unreadable."""
     try:
-        text = (folder / "alive").read_text(encoding="ascii")[:40].strip()
+        text = (folder / _HEARTBEAT_FILE).read_text(encoding="ascii")[:_MAX_HEARTBEAT_CHARS].strip()
     except (OSError, ValueError):
         return None
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-def write_whole(path: Path, data: bytes) -> None:
-    """Replace a file so that a crash leaves the old one or the new one whole; OSError where it cannot be."""
+def write_atomically(path: Path, data: bytes) -> None:
+    """Replace a file so that a crash leaves either the old or the new content. Raises OSError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     temporary = path.with_name(f"{path.name}.{os.getpid()}")
     with open(temporary, "wb") as file:
@@ -56,21 +74,23 @@
 
 
 def load(folder: Path) -> list[dict[str, Any]]:
-    """The Node objects last saved; an empty list without a file; ValueError for one that cannot be used."""
-    path = folder / "machines.json"
+    """The Node objects last saved, none without a file. Raises SavedListError."""
+    path = folder / _FILE
     try:
-        if path.stat().st_size > _MOST:
-            raise ValueError(f"{path}: more than {_MOST} bytes")
+        if path.stat().st_size > _MAX_BYTES:
+            raise SavedListError(path, f"more than {_MAX_BYTES} bytes")
         data = path.read_bytes()
     except FileNotFoundError:
         return []
     except OSError as error:
-        raise ValueError(f"{path}: {error.strerror}") from None
+        raise SavedListError(path, error.strerror or "") from error
     try:
         file: _File = msgspec.json.decode(data, type=_File)
-        if file.form != 1 or xxhash.xxh64_hexdigest(bytes(file.nodes)) != file.digest:
-            raise ValueError("its digest or form is wrong")
+        if file.form != _FORM or xxhash.xxh64_hexdigest(bytes(file.nodes)) != file.digest:
+            raise SavedListError(path, "its digest or form is wrong")
         nodes: list[dict[str, Any]] = msgspec.json.decode(file.nodes, type=list[dict[str, Any]])
-        return nodes
+    except SavedListError:
+        raise
     except (msgspec.MsgspecError, ValueError) as error:
-        raise ValueError(f"{path}: {error}") from None
+        raise SavedListError(path, str(error)) from error
+    return nodes
--- a/wingbarrow/core/stages.py
+++ b/wingbarrow/core/stages.py
@@ -39,11 +39,11 @@
 
 TaskT = TypeVar("TaskT")
 LinkT = TypeVar("LinkT", bound=Named)
-AttemptT = TypeVar("AttemptT", bound="Staged[Any, Any]")
+AttemptT = TypeVar("AttemptT", bound="AttemptRecord[Any, Any]")
 
 
 @dataclass(slots=True, eq=False)
-class Staged(Generic[TaskT, LinkT]):
+class AttemptRecord(Generic[TaskT, LinkT]):
     """One offer of one request to one machine; `number` counts a request's attempts from 0.
 
     `key` names the attempt among all of one placer; times are microseconds of the hub's clock.
@@ -64,14 +64,14 @@
     launched_us: int | None = None  # the machine's last start as known when it was chosen
 
 
-class Ledger(Generic[AttemptT]):
+class AttemptTable(Generic[AttemptT]):
     """All attempts that are not over, by request, by key and by machine."""
 
     def __init__(self) -> None:
         self._by_request: dict[int, AttemptT] = {}
         self.by_key: dict[str, AttemptT] = {}
         self._on: dict[str, dict[str, AttemptT]] = {}
-        self.odd: Counter[str] = Counter()
+        self.unexpected_transitions: Counter[str] = Counter()
 
     def add(self, attempt: AttemptT) -> None:
         """A new attempt; the module sends one at a time."""
@@ -86,7 +86,7 @@
     def advance(self, attempt: AttemptT, stage: Stage) -> bool:
         """Change its stage; False, and counted, where it is past that."""
         if stage not in _NEXT[attempt.stage]:
-            self.odd[f"{stage.value} after {attempt.stage.value}"] += 1
+            self.unexpected_transitions[f"{stage.value} after {attempt.stage.value}"] += 1
             return False
         attempt.stage = stage
         if stage is Stage.ENDED:
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -1,8 +1,8 @@
-"""Stops that are owed: tasks that must not run on, by machine, each asked for until the machine confirms it.
+"""Pending stops of pods, by machine: each DELETE is retried with backoff until the machine confirms it.
 
-A stop is owed by pod: asking twice for one costs nothing. They go after offers and by a connection or two of their
-own, so that work for tasks that are gone never crowds out work for those that wait. What is owed counts against
-the bound on open tasks (`decide.admission`), so it cannot pile up.
+Stops are idempotent by pod name. They yield to offers and use at most MAX_CALLS_PER_MACHINE connections of a machine,
+so that cleaning up never delays waiting tasks. Pending stops count as open tasks in `decide.admission` and are
+thereby bounded.
 """
 
 from __future__ import annotations
@@ -19,8 +19,12 @@
 from wingbarrow.interface import Phase
 from wingbarrow.transport import Hub, Signal
 
-WORKERS = 2  # stops on their way to one machine at a time
-REMEMBERED = 4096  # confirmed stops, so that late news of them costs no further call
+MAX_CALLS_PER_MACHINE = 2
+MAX_CONFIRMED = (
+    4096  # pod names of confirmed stops, so that a late watch event causes no further call
+)
+MIN_BACKOFF_US = 100_000
+MAX_BACKOFF_US = 5_000_000
 
 
 def _always() -> bool:
@@ -32,32 +36,34 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Owed:
-    """One pod's stop."""
+class _PendingStop:
+    """Stop of one pod.
+
+    `is_wanted` turns False when the pod has ended by itself. While `is_settled` is False the offer of the pod is still
+    under way, and "not found" proves nothing. `on_stopped` is called once the machine confirms that the pod is gone.
+    """
 
     pod: str
     namespace: str
-    wanted: Callable[[], bool]  # False: it has ended by itself
-    settled: Callable[
-        [], bool
-    ]  # False: its offer is still under way, so "not found" may be too early
-    done: Callable[[], None]
-    pause: Backoff
+    is_wanted: Callable[[], bool]
+    is_settled: Callable[[], bool]
+    on_stopped: Callable[[], None]
+    backoff: Backoff
 
 
-class _Machine:
-    """What is owed on one machine: `fresh` in order of coming, `later` by when they are tried again."""
+class _MachineStops:
+    """Pending stops on one machine: `fresh` in order of request, `retries` a heap by due time."""
 
     def __init__(self, hub: Hub) -> None:
         self.pods: set[str] = set()
-        self.fresh: deque[_Owed] = deque()
-        self.later: list[tuple[int, str, _Owed]] = []
+        self.fresh: deque[_PendingStop] = deque()
+        self.retries: list[tuple[int, str, _PendingStop]] = []
         self.workers = 0
-        self.came = Signal(hub)
+        self.arrived = Signal(hub)
 
 
 class Stops:
-    """All stops one placer owes; `spawn` starts a task that lives as long as the placer."""
+    """All pending stops of one placer; `spawn` starts a task that lives as long as the placer."""
 
     def __init__(
         self,
@@ -70,11 +76,11 @@
         self._seed = seed
         self._spawn = spawn
         self._counts = counts
-        self._machines: dict[MachineLink, _Machine] = {}
+        self._machines: dict[MachineLink, _MachineStops] = {}
         self._confirmed: dict[str, None] = {}
-        self.owed = 0
+        self.pending = 0
 
-    def owe(
+    def request(
         self,
         link: MachineLink,
         namespace: str,
@@ -83,78 +89,84 @@
         settled: Callable[[], bool] = _always,
         done: Callable[[], None] = _nothing,
     ) -> None:
-        """Have a pod stopped; `done` is called once the machine says that it is not there any longer."""
+        """Have a pod stopped; a second request for the same pod changes nothing."""
         if pod in self._confirmed:
             return
         machine = self._machines.get(link)
         if machine is None:
-            machine = self._machines[link] = _Machine(self._hub)
+            machine = self._machines[link] = _MachineStops(self._hub)
         if pod in machine.pods:
             return
         machine.pods.add(pod)
         machine.fresh.append(
-            _Owed(pod, namespace, wanted, settled, done, Backoff(self._seed, 100_000, 5_000_000))
+            _PendingStop(
+                pod,
+                namespace,
+                wanted,
+                settled,
+                done,
+                Backoff(self._seed, MIN_BACKOFF_US, MAX_BACKOFF_US),
+            )
         )
-        machine.came.notify()
-        self.owed += 1
+        machine.arrived.notify()
+        self.pending += 1
         self._counts["stops_owed"] += 1
-        if machine.workers < min(WORKERS, len(machine.pods)):
+        if machine.workers < min(MAX_CALLS_PER_MACHINE, len(machine.pods)):
             machine.workers += 1
             self._spawn(lambda: self._work(link, machine), f"stops on {link.name}")
 
-    def owes(self, link: MachineLink, pod: str) -> bool:
-        """Whether that stop is still owed."""
+    def is_pending(self, link: MachineLink, pod: str) -> bool:
+        """Whether this pod's stop is not confirmed yet."""
         machine = self._machines.get(link)
         return machine is not None and pod in machine.pods
 
-    def owed_on(self, link: MachineLink) -> int:
-        """How many are owed on one machine."""
+    def pending_on(self, link: MachineLink) -> int:
+        """Number of pending stops on one machine."""
         machine = self._machines.get(link)
         return len(machine.pods) if machine is not None else 0
 
-    def _work(self, link: MachineLink, machine: _Machine) -> None:
-        while machine.fresh or machine.later:
+    def _work(self, link: MachineLink, machine: _MachineStops) -> None:
+        while machine.fresh or machine.retries:
             now = self._hub.now_us()
-            if machine.later and machine.later[0][0] <= now:
-                owed = heapq.heappop(machine.later)[2]
+            if machine.retries and machine.retries[0][0] <= now:
+                stop = heapq.heappop(machine.retries)[2]
             elif machine.fresh:
-                owed = machine.fresh.popleft()
+                stop = machine.fresh.popleft()
             else:
-                with self._hub.limit(machine.later[0][0] - now):
-                    machine.came.wait()
+                with self._hub.limit(machine.retries[0][0] - now):
+                    machine.arrived.wait()
                 continue
-            if self._try(link, owed):
-                self.owed -= 1
-                machine.pods.discard(owed.pod)
+            if self._try(link, stop):
+                self.pending -= 1
+                machine.pods.discard(stop.pod)
             else:
                 heapq.heappush(
-                    machine.later, (self._hub.now_us() + owed.pause.next_us(), owed.pod, owed)
+                    machine.retries, (self._hub.now_us() + stop.backoff.next_us(), stop.pod, stop)
                 )
         machine.workers -= 1
         if not machine.pods and not machine.workers and self._machines.get(link) is machine:
             del self._machines[link]
 
-    def _try(self, link: MachineLink, owed: _Owed) -> bool:
-        """One try; True where nothing more is owed."""
+    def _try(self, link: MachineLink, stop: _PendingStop) -> bool:
+        """One attempt; True where the stop is no longer pending."""
         self._hub.checkpoint()  # offers that are ready go first
-        if link.retired or not owed.wanted():
+        if link.retired or not stop.is_wanted():
             return True
         self._counts["stops_sent"] += 1
-        gone = link.delete(owed.namespace, owed.pod)
+        gone = link.delete(stop.namespace, stop.pod)
         if gone is None:
             # Danger: a stop that is forgotten leaves a task running; only a machine that is gone is let go.
             return link.phase is Phase.GONE and not link.reachable
-        if gone is Gone.WAS_NOT_THERE and not owed.settled():
+        if gone is Gone.WAS_NOT_THERE and not stop.is_settled():
             return False
         self._counts["stops_done"] += 1
         if gone is Gone.STOPPED:
-            self._remember(
-                owed.pod
-            )  # one that was not there may yet come: its offer waits in a socket
-        owed.done()
+            # A pod that was not there is not remembered: its offer may still wait in a socket.
+            self._remember(stop.pod)
+        stop.on_stopped()
         return True
 
     def _remember(self, pod: str) -> None:
         self._confirmed[pod] = None
-        if len(self._confirmed) > REMEMBERED:
+        if len(self._confirmed) > MAX_CONFIRMED:
             del self._confirmed[next(iter(self._confirmed))]
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -195,7 +195,7 @@
             and not link.reachable
             and link.phase is not api.Phase.GONE
             and not self._attempts.on(link)
-            and not self._stops.owed_on(link)
+            and not self._stops.pending_on(link)
         )
 
     def _may_go(self, link: MachineLink, now_us: int) -> bool:
@@ -204,7 +204,7 @@
             link.phase is not api.Phase.GONE
             and link.reachable
             and not self._attempts.on(link)
-            and not self._stops.owed_on(link)
+            and not self._stops.pending_on(link)
             and (link.offered_us is None or now_us - link.offered_us >= LINGER_US)
         )
 
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -46,9 +46,9 @@
     def _waits_long(self, now_us: int, request: int, task: TaskRecord) -> bool:
         if task.request != request or task.state is not State.ASKED or self._is_out(request):
             return False
-        patience_us = task.job.asked.patience_us
+        patience_us = task.job.request.patience_us
         return is_long(patience_us - (task.deadline_us - now_us), patience_us)
 
 
 def _group(task: TaskRecord) -> int:
-    return task.job.asked.patience_us.bit_length()
+    return task.job.request.patience_us.bit_length()
--- a/wingbarrow/decide/orphans.py
+++ b/wingbarrow/decide/orphans.py
@@ -1,7 +1,7 @@
-"""What to do with a task that runs on a machine though no open attempt of this placer accounts for it.
+"""Decides on an orphan: a task that runs on a machine though no open attempt of this placer accounts for it.
 
-It comes of an answer that was lost, of an offer that was given up and accepted all the same, or of this
-placer's former life.
+Orphans come of lost answers, of offers that were given up and accepted all the same, and of an earlier incarnation of
+the placer.
 """
 
 from __future__ import annotations
@@ -12,43 +12,43 @@
 from wingbarrow.interface import Effect
 
 
-class Stray(Enum):
-    """What happens to a stray."""
+class OrphanAction(Enum):
+    """What is done with an orphan. Values appear in counters and logs."""
 
-    ADOPT = "adopt"  # hand it to the module as found; its owner's answer stands as it is
-    PLACE = "place"  # it is what the open request waits for: the request ends as placed
+    ADOPT = "adopt"  # look after it; what its owner was answered stays as it is
+    PLACE = "place"  # the open request ends as placed, with this copy
     STOP = "stop"
     LEAVE = "leave"
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
-    """What is known of a stray's task."""
+class Orphan:
+    """What the placer knows of an orphan's task."""
 
     effect: Effect
-    known: bool  # this life of the placer knows its Job
-    wanted: bool  # its Job was not deleted
-    pending: bool  # a final answer is owed
-    attempt_out: bool  # some attempt of it is out
-    running_elsewhere: bool  # another copy is placed
-    ended: bool  # succeeded, or stopped
-
-
-def judge(sight: Sight) -> Stray:
-    """Decide on one stray."""
-    if not sight.known:
-        # Danger: a former life's tasks would run on without anyone's care; each is taken in once.
-        return Stray.ADOPT
-    if not sight.wanted or sight.ended:
-        return Stray.STOP
-    if sight.running_elsewhere:
+    is_known: bool  # this incarnation of the placer has its Job
+    is_wanted: bool  # its Job was not deleted
+    is_unanswered: bool  # its owner awaits a final answer
+    has_attempt: bool  # an attempt of it is open
+    has_other_copy: bool  # another copy is placed
+    has_ended: bool  # succeeded, or stopped
+
+
+def action_for(orphan: Orphan) -> OrphanAction:
+    """Decide on one orphan."""
+    if not orphan.is_known:
+        # Danger: a task of an earlier incarnation would run on unobserved; each is adopted once.
+        return OrphanAction.ADOPT
+    if not orphan.is_wanted or orphan.has_ended:
+        return OrphanAction.STOP
+    if orphan.has_other_copy:
         # Rule 2. Danger: a second copy that goes on having its effect. Of an unsafe task none can be: it is sent
-        # once. Should one be seen all the same, stopping either would only hide it: left, told, counted.
-        return Stray.LEAVE if sight.effect is Effect.UNSAFE else Stray.STOP
-    if sight.pending:
-        if sight.attempt_out:
-            # The attempt in flight may be turned away by this very copy (keyed), or run beside it (safe).
-            return Stray.STOP if sight.effect is Effect.SAFE else Stray.LEAVE
-        return Stray.PLACE
-    # Its owner was answered. A safe task's owner asks again: this copy would only take room.
-    return Stray.STOP if sight.effect is Effect.SAFE else Stray.ADOPT
+        # once. Should one be observed all the same, stopping either would hide it: it is left, logged and counted.
+        return OrphanAction.LEAVE if orphan.effect is Effect.UNSAFE else OrphanAction.STOP
+    if orphan.is_unanswered:
+        if orphan.has_attempt:
+            # The open attempt may be rejected because of this copy (keyed), or run beside it (safe).
+            return OrphanAction.STOP if orphan.effect is Effect.SAFE else OrphanAction.LEAVE
+        return OrphanAction.PLACE
+    # Its owner was answered. The owner of a safe task retries: this copy would only use capacity.
+    return OrphanAction.STOP if orphan.effect is Effect.SAFE else OrphanAction.ADOPT
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -64,7 +64,7 @@
             lambda: placer.base.settings,
             placer.hearsay,
             placer.peering,
-            placer.base.born_us,
+            placer.base.started_us,
             log,
         )
         self.rules = RulesFront(hub, placer.peering)
@@ -251,7 +251,10 @@
             events.add_metric([what], count)
         for what, count in placer.peering.counts.items():
             events.add_metric([what], count)
-        for what, count in [*placer.book.odd.items(), *placer.attempts.odd.items()]:
+        for what, count in [
+            *placer.book.unexpected_transitions.items(),
+            *placer.attempts.unexpected_transitions.items(),
+        ]:
             events.add_metric(["odd: " + what], count)
         yield events
         answers = CounterMetricFamily(
@@ -268,8 +271,16 @@
         yield requests
         for name, help_text, value in (
             ("wingbarrow_open_tasks", "Tasks that are not over", placer.book.admission.open),
-            ("wingbarrow_answers_owed", "Tasks that wait for a final answer", placer.book.owed),
-            ("wingbarrow_stops_owed", "Tasks that machines are still to stop", placer.stops.owed),
+            (
+                "wingbarrow_answers_owed",
+                "Tasks that wait for a final answer",
+                placer.book.unanswered,
+            ),
+            (
+                "wingbarrow_stops_owed",
+                "Tasks that machines are still to stop",
+                placer.stops.pending,
+            ),
             (
                 "wingbarrow_lag_seconds",
                 "How late the process has lately run; fades by half a second by second",
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -104,7 +104,7 @@
     hub: Hub
     settings: PlacerSettings
     counts: Counter[str]
-    born_us: int
+    started_us: int
 
 
 class Hearsay:
@@ -138,7 +138,7 @@
         return learning.Announcement(
             "",
             settings.name,
-            self._base.born_us,
+            self._base.started_us,
             settings.region,
             settings.cluster,
             now - self._begun_us,
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from wingbarrow.core.life import Life
-from wingbarrow.core.stages import Ledger, Staged
+from wingbarrow.core.stages import AttemptRecord, AttemptTable
 from wingbarrow.decide.descriptors import Rank, Table
 from wingbarrow.decide.liveness import Liveness, Verdict
 from wingbarrow.interface import ListedMachine, Phase
@@ -44,11 +44,11 @@
 )  # of dials: they say nothing of the machine
 
 
-class Attempt(Staged[Task, "Link"]):
+class Attempt(AttemptRecord[Task, "Link"]):
     """One set-up sent to one machine."""
 
 
-class Attempts(Ledger[Attempt]):
+class Attempts(AttemptTable[Attempt]):
     """All attempts that are not over."""
 
 
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -189,8 +189,8 @@
             attempt.link.remember_stray(attempt.task.ident)
 
     def _is_stopped(self, attempt: Attempt) -> bool:
-        sight = strays.Sight(attempt.task.cls.effect, True, True, False, False, False, False)
-        return strays.judge(sight) is strays.Stray.STOP
+        sight = strays.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
+        return strays.action_for(sight) is strays.OrphanAction.STOP
 
     def _line_of(self, attempt: Attempt) -> Line | None:
         ident = attempt.task.ident
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -262,7 +262,7 @@
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
             lag_worst_us=self.life.hub.lag.worst_us,
-            odd=dict(self._requests.odd + self._attempts.odd),
+            odd=dict(self._requests.odd + self._attempts.unexpected_transitions),
             **self.life.counts,
         )
 
