--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -22,7 +22,7 @@
 from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, ReplicationLimits
 from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
 from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
-from wingbarrow.decide.sessions.messages import RECORD_MOST
+from wingbarrow.decide.sessions.leased_job_record import MAX_RECORD_BYTES
 from wingbarrow.peers.mailbox import BOXES_MOST
 from wingbarrow.peers.message import MAIL_MOST
 
@@ -191,7 +191,7 @@
         Bound(
             "record_most",
             "record of a leased Job",
-            RECORD_MOST,
+            MAX_RECORD_BYTES,
             "bytes",
             "wingbarrow/decide/sessions/messages.py",
             RECORDS,
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -12,13 +12,13 @@
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.regions.forwarding import (
-    AGAIN_US,
     DONE,
     FAILED,
     FINAL,
     PLACED,
     RAN,
     REFUSED,
+    RETRY_US,
     TAKEN,
     ForwardBudget,
     ForwardCancel,
@@ -87,13 +87,13 @@
         taking = self.members[name].taking
         if self.random.random() < 0.3:
             self.refused.add(ident)
-            self.act(name, taking.came_to(self.now_us, ident, REFUSED))
+            self.act(name, taking.report_status(self.now_us, ident, REFUSED))
             return
         self.starts[ident] += 1
-        self.act(name, taking.came_to(self.now_us, ident, PLACED, "node-1"))
+        self.act(name, taking.report_status(self.now_us, ident, PLACED, "node-1"))
         self.at(
             self.now_us + 2 * SECOND,
-            lambda: self.act(name, taking.came_to(self.now_us, ident, DONE))
+            lambda: self.act(name, taking.report_status(self.now_us, ident, DONE))
             if name in self.members and self.lives[name] == life
             else None,
         )
@@ -159,7 +159,7 @@
 
 
 def test_planted_errors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(handing, "DONE_MOST", 0)  # an end is forgotten at once...
+    monkeypatch.setattr(handing, "MAX_FINISHED", 0)  # an end is forgotten at once...
     assert not any(breaches(played(seed)) for seed in range(4)), "...which the floor makes good"
     monkeypatch.setattr(ForwardReceiver, "_finish", lambda self, says: says)
     assert any(breaches(played(seed)) for seed in range(12))
@@ -208,10 +208,10 @@
 
 def test_a_budget_is_a_share_of_first_tries() -> None:
     budget = ForwardBudget(0.2, 3.0)
-    assert [budget.take() for _ in range(5)] == [True, True, True, False, False]
+    assert [budget.try_take() for _ in range(5)] == [True, True, True, False, False]
     for _ in range(100):
-        budget.tried()
-    assert [budget.take() for _ in range(4)] == [True, True, True, False], (
+        budget.on_first_attempt()
+    assert [budget.try_take() for _ in range(4)] == [True, True, True, False], (
         "what is not used does not pile up"
     )
 
@@ -222,11 +222,11 @@
     now = 0
     told: list[tuple[int, str]] = []
     while now < 3 * SECOND:
-        now += AGAIN_US
+        now += RETRY_US
         for each in giving.on_timer(min(now, SECOND) if not told else now, ident):
             if isinstance(each, Notify):
                 told.append((now, each.fields["state"]))
             elif isinstance(each, Send) and told:
                 assert isinstance(each.message, ForwardCancel)
     assert [state for _, state in told] == [FAILED]
-    assert told[0][0] <= SECOND + AGAIN_US
+    assert told[0][0] <= SECOND + RETRY_US
--- a/tests/decide/regions/test_reports.py
+++ b/tests/decide/regions/test_reports.py
@@ -3,7 +3,12 @@
 from __future__ import annotations
 
 from wingbarrow.decide.quotas.escrow import Requester
-from wingbarrow.decide.regions.reports import OLD_US, RegionMember, RegionReport, RegionSubsystem
+from wingbarrow.decide.regions.reports import (
+    MAX_AGE_US,
+    RegionMember,
+    RegionReport,
+    RegionSubsystem,
+)
 
 S = 1_000_000
 LOST = 4 * S
@@ -69,8 +74,8 @@
         9 * S, 7 * S, regions.response_for(2 * S, Requester("p", 1, 1, 1))
     )  # by a clock of its own
     assert side.news(9 * S)["north"].age_us == 3 * S, "1 s there, 2 s since it asked"
-    assert "north" in side.news(7 * S + OLD_US - S)
-    assert "north" not in side.news(7 * S + OLD_US)
+    assert "north" in side.news(7 * S + MAX_AGE_US - S)
+    assert "north" not in side.news(7 * S + MAX_AGE_US)
     assert side.report(0) == said("south")
     side.on_response(10 * S, 10 * S, None)
     assert "north" in side.news(10 * S), "a leader that tells nothing takes nothing back"
@@ -81,4 +86,4 @@
     side = RegionMember(lambda now: None)
     side.on_response(100 * S, 100 * S, regions.response_for(100 * S, Requester("p", 1, 1, 1)))
     assert side.news(101 * S)["south"].lost
-    assert not side.news(100 * S + OLD_US + 1)
+    assert not side.news(100 * S + MAX_AGE_US + 1)
--- a/tests/decide/replication/test_replication.py
+++ b/tests/decide/replication/test_replication.py
@@ -16,16 +16,14 @@
 from wingbarrow.decide.replication.records import ReplicationLimits, choose, phase_of
 from wingbarrow.decide.replication.replica import Replica, unclaimed
 from wingbarrow.decide.replication.replicated_job import ReplicatedJob, Tokens
+from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import (
-    EndedSession,
     HeldRecords,
-    KnownTask,
-    LeasedJobRecord,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
-    Session,
 )
+from wingbarrow.decide.sessions.session import EndedSession, Session
 
 S = 1_000_000
 ALLOWED = ("north", "south", "west")
@@ -80,8 +78,7 @@
     """All mail goes to and fro at once, but to and from the deaf."""
     told: list[Effect] = []
     todo = made.on_timer(now_us)
-    while todo:
-        effect = todo.pop(0)
+    for effect in todo:  # grows by the answers while it is read
         if isinstance(effect, Notify):
             told.append(effect)
         elif isinstance(effect, Send) and effect.ident in keepers and effect.ident not in deaf:
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -15,35 +15,35 @@
 from wingbarrow.decide.replication.replica import Taking
 from wingbarrow.decide.replication.replicator import Replicator
 from wingbarrow.decide.sessions import reissue
-from wingbarrow.decide.sessions.failover import CLAIM_US, SessionFailover
-from wingbarrow.decide.sessions.failover_pace import Pace
-from wingbarrow.decide.sessions.machine_queries import AGAIN_US, ASK_US, ASKS_MOST, UNREACHED
-from wingbarrow.decide.sessions.messages import (
-    PHASES,
-    KnownTask,
-    LeasedJobRecord,
-    MachineQuery,
-    MachineReport,
-    Session,
+from wingbarrow.decide.sessions.failover import MAX_CLAIM_WAIT_US, SessionFailover
+from wingbarrow.decide.sessions.failover_pace import FailoverPace
+from wingbarrow.decide.sessions.leased_job_record import TASK_PHASES, KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.machine_queries import (
+    ANSWER_TIMEOUT_US,
+    MAX_OUTSTANDING,
+    UNREACHABLE_AFTER,
+    UNREACHABLE_RETRY_US,
 )
+from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
 from wingbarrow.decide.sessions.reissue import (
     EVERY,
+    REISSUE_TABLE,
     SAYS,
-    TABLE,
     TIMES,
     ReissueDecision,
     ReissueRow,
     RunCopy,
     decide,
-    said_of,
-    settle,
+    machine_answer,
+    resolve_copies,
 )
+from wingbarrow.decide.sessions.session import Session
 from wingbarrow.lab.fleet.custodians import Custodians, stated_us
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
 
 S = 1_000_000
 GONE = Session("a", 1, 0)
-ALL = list(itertools.product(EVERY, PHASES, SAYS, TIMES))
+ALL = list(itertools.product(EVERY, TASK_PHASES, SAYS, TIMES))
 
 
 def plain(effect: str, knows: str, says: str, time: str) -> str:
@@ -68,22 +68,28 @@
 
 
 def astray(table: tuple[ReissueRow, ...]) -> list[tuple[str, ...]]:
-    return [each for each in ALL if decide(*each, table).verdict.value != plain(*each)]
+    return [each for each in ALL if decide(*each, table).decision.value != plain(*each)]
 
 
 def test_the_table_is_what_the_plain_reference_says_and_has_no_idle_row() -> None:
-    assert not astray(TABLE)
-    assert {id(decide(*each)) for each in ALL} == {id(row) for row in TABLE}
+    assert not astray(REISSUE_TABLE)
+    assert {id(decide(*each)) for each in ALL} == {id(row) for row in REISSUE_TABLE}
     docs = (Path(__file__).parents[3] / "docs" / "reissue.md").read_text()
-    assert all(row.why for row in TABLE)
+    assert all(row.why for row in REISSUE_TABLE)
     assert all(table in docs for table in reissue.markdown().strip().split("\n\n"))
 
 
 def test_each_row_is_needed_and_each_wrong_verdict_is_found() -> None:
-    for index, row in enumerate(TABLE):
+    for index, row in enumerate(REISSUE_TABLE):
         for verdict in ReissueDecision:
-            if verdict is not row.verdict:
-                assert astray((*TABLE[:index], replace(row, verdict=verdict), *TABLE[index + 1 :]))
+            if verdict is not row.decision:
+                assert astray(
+                    (
+                        *REISSUE_TABLE[:index],
+                        replace(row, decision=verdict),
+                        *REISSUE_TABLE[index + 1 :],
+                    )
+                )
 
 
 @given(st.integers(0, 10**9), st.integers(0, 10**9), st.integers(0, 10**8), st.booleans())
@@ -92,13 +98,13 @@
 ) -> None:
     told_us = max(boot_us, left_us)
     says = MachineReport(1, "m", "u", True, holds, told_us - boot_us)
-    word = said_of(says, told_us + late_us - left_us)
+    word = machine_answer(says, told_us + late_us - left_us)
     if word == "clear":
         assert boot_us < left_us
         assert not holds
     assert (word == "holds") is holds
-    assert said_of(replace(says, reached=False), 0) == "unreachable"
-    assert said_of(None, 0) == "unasked"
+    assert machine_answer(replace(says, reached=False), 0) == "unreachable"
+    assert machine_answer(None, 0) == "unasked"
 
 
 @given(
@@ -110,16 +116,16 @@
     effect: str, one: tuple[int, str, bool], other: tuple[int, str, bool]
 ) -> None:
     a, b = RunCopy(*one), RunCopy(*other)
-    mine, theirs, _ = settle(effect, a, b)
+    mine, theirs, _ = resolve_copies(effect, a, b)
     if (a.epoch, a.holder) != (b.epoch, b.holder):
-        assert settle(effect, b, a)[:2] == (theirs, mine)
+        assert resolve_copies(effect, b, a)[:2] == (theirs, mine)
         assert (mine, theirs).count(ReissueDecision.RUN) <= 1 + (
-            effect == "unsafe" and a.runs and b.runs
+            effect == "unsafe" and a.is_running and b.is_running
         )
     if effect == "unsafe":
         assert ReissueDecision.STOP not in (mine, theirs)
-        assert not (a.runs and mine is not ReissueDecision.RUN)
-        assert not (b.runs and not a.runs and theirs is ReissueDecision.WAIT)
+        assert not (a.is_running and mine is not ReissueDecision.RUN)
+        assert not (b.is_running and not a.is_running and theirs is ReissueDecision.WAIT)
 
 
 def job(
@@ -178,9 +184,9 @@
     known: KnownTask | None = ABOUT, effect: str = "unsafe"
 ) -> tuple[SessionFailover, list[Effect]]:
     made = SessionFailover(GONE, 7)
-    out = made.places(0, ("n1", "n2"))
+    out = made.on_placers(0, ("n1", "n2"))
     out += made.add(0, [taking(job("u", effect, known))])
-    return made, out + made.claimed(S, "u")
+    return made, out + made.on_claimed(S, "u")
 
 
 def test_a_machine_is_asked_again_by_another_and_its_late_word_still_counts() -> None:
@@ -189,18 +195,18 @@
     sent = {each.ident for each in first if isinstance(each, Send)}
     number = asks(first)[0].number
     told: list[str] = []
-    for tries in range(1, UNREACHED + 1):
-        out = made.on_timer(S + tries * ASK_US)
+    for tries in range(1, UNREACHABLE_AFTER + 1):
+        out = made.on_timer(S + tries * ANSWER_TIMEOUT_US)
         sent |= {each.ident for each in out if isinstance(each, Send)}
         told += verdicts(out)
     assert sent == {"n1", "n2"}
     assert told == ["unknown"]
     late = MachineReport(number, "m", "u", True, False, 3600 * S)
-    assert verdicts(made.on_message(20 * S, late)) == ["run"]
+    assert verdicts(made.on_machine_report(20 * S, late)) == ["run"]
     assert list(made.ready) == ["u"]
-    assert not made.on_message(21 * S, late)
-    assert made.give("u").indexes == (0,)
-    assert not verdicts(made.on_message(22 * S, replace(late, holds=True)))
+    assert not made.on_machine_report(21 * S, late)
+    assert made.start("u").indexes == (0,)
+    assert not verdicts(made.on_machine_report(22 * S, replace(late, holds=True)))
 
 
 @pytest.mark.parametrize(
@@ -216,30 +222,30 @@
 ) -> None:
     made, first = begun()
     number = asks(first)[0].number
-    assert not made.on_message(2 * S, replace(says, number=number, machine="other"))
-    assert not made.on_message(2 * S, replace(says, number=number + 1))
-    assert verdicts(made.on_message(2 * S, replace(says, number=number))) == [verdict]
+    assert not made.on_machine_report(2 * S, replace(says, number=number, machine="other"))
+    assert not made.on_machine_report(2 * S, replace(says, number=number + 1))
+    assert verdicts(made.on_machine_report(2 * S, replace(says, number=number))) == [verdict]
     if verdict == "unknown":
-        assert verdicts(made.operator(3 * S, "u")) == ["run"]
-        assert not made.operator(4 * S, "u")
+        assert verdicts(made.on_operator_confirmation(3 * S, "u")) == ["run"]
+        assert not made.on_operator_confirmation(4 * S, "u")
 
 
 def test_another_keepers_better_knowledge_counts_before_anything_starts() -> None:
     made = SessionFailover(GONE, 7)
     made.add(0, [taking(job("u", known=None))])
     assert not made.ready
-    made.later(S, job("u", known=replace(ABOUT, phase="placed")))
-    assert verdicts(made.claimed(S, "u")) == ["unknown"]
+    made.on_replica_record(S, job("u", known=replace(ABOUT, phase="placed")))
+    assert verdicts(made.on_claimed(S, "u")) == ["unknown"]
     assert not made.ready
 
 
 def test_without_a_placer_of_the_lost_region_an_attempt_is_unknown_until_one_is_back() -> None:
     made = SessionFailover(GONE, 7)
     assert verdicts(made.add(0, [taking(job("u", known=ABOUT))])) == ["unknown"]
-    made.claimed(S, "u")
-    back = made.places(AGAIN_US, ("n1",))
+    made.on_claimed(S, "u")
+    back = made.on_placers(UNREACHABLE_RETRY_US, ("n1",))
     assert verdicts(back) == ["asked"]
-    assert len(asks(made.on_timer(AGAIN_US)) + asks(back)) >= 1
+    assert len(asks(made.on_timer(UNREACHABLE_RETRY_US)) + asks(back)) >= 1
 
 
 def test_a_key_waits_for_its_window_and_a_safe_job_for_nobody() -> None:
@@ -249,29 +255,35 @@
     assert verdicts(made.on_timer(4 * S)) == ["run"]
     made = SessionFailover(GONE, 7)
     assert not verdicts(made.add(0, [taking(job("u", "safe"))]))
-    assert verdicts(made.on_timer(CLAIM_US)) == ["run"]
+    assert verdicts(made.on_timer(MAX_CLAIM_WAIT_US)) == ["run"]
 
 
 def test_so_many_machines_are_asked_at_a_time() -> None:
     made = SessionFailover(GONE, 7)
-    made.places(0, ("n1",))
-    out = made.add(0, [taking(job(f"u{index}", known=ABOUT)) for index in range(3 * ASKS_MOST)])
-    out += [effect for index in range(3 * ASKS_MOST) for effect in made.claimed(S, f"u{index}")]
-    assert len(asks(out)) == ASKS_MOST
+    made.on_placers(0, ("n1",))
+    out = made.add(
+        0, [taking(job(f"u{index}", known=ABOUT)) for index in range(3 * MAX_OUTSTANDING)]
+    )
+    out += [
+        effect for index in range(3 * MAX_OUTSTANDING) for effect in made.on_claimed(S, f"u{index}")
+    ]
+    assert len(asks(out)) == MAX_OUTSTANDING
     first = asks(out)[0]
-    assert len(asks(made.on_message(S, MachineReport(first.number, "m", first.uid, True)))) == 1
+    assert (
+        len(asks(made.on_machine_report(S, MachineReport(first.number, "m", first.uid, True)))) == 1
+    )
 
 
 def test_work_comes_by_priority_then_by_age_in_room_and_pace() -> None:
-    made = Replicator("b", 1, "south", 1, pace=Pace(starts=2, every_us=S))
+    made = Replicator("b", 1, "south", 1, pace=FailoverPace(max_starts=2, start_interval_us=S))
     rng = random.Random(1)
     jobs = [job(f"u{index}", "safe", None, index % 3, index * S) for index in range(6)]
     jobs.append(job("wide", "safe", None, 9, 0, count=5))
     rng.shuffle(jobs)
     made._take(0, GONE, 7, [taking(each) for each in jobs])
-    made.on_timer(CLAIM_US, f"takeover/{GONE.text()}")
+    made.on_timer(MAX_CLAIM_WAIT_US, f"failover/{GONE.text()}")
     got: list[str] = []
-    now = CLAIM_US
+    now = MAX_CLAIM_WAIT_US
     while len(got) < 6:
         starts, _ = made.next(now, 4.0, 4.0)
         assert len(starts) <= 2
@@ -315,7 +327,11 @@
 
 
 def wrong(index: int) -> tuple[ReissueRow, ...]:
-    return (*TABLE[:index], replace(TABLE[index], verdict=ReissueDecision.RUN), *TABLE[index + 1 :])
+    return (
+        *REISSUE_TABLE[:index],
+        replace(REISSUE_TABLE[index], decision=ReissueDecision.RUN),
+        *REISSUE_TABLE[index + 1 :],
+    )
 
 
 def test_planted_an_attempt_that_leaves_without_a_word_is_found() -> None:
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -11,34 +11,30 @@
 from wingbarrow.decide.effects import Effect, Notify
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.decide.sessions.messages import (
-    ENDED_MOST,
-    HeldRecords,
-    Session,
-    reckoned_us,
-    right_us,
-    successor_of,
+from wingbarrow.decide.sessions.lease_times import (
+    MAX_TURN_US,
+    ended_within_us,
+    holder_lease_us,
+    one_way_renewal_us,
+    unreplicated_wait_us,
+    voter_lease_us,
 )
+from wingbarrow.decide.sessions.messages import MAX_ENDED_PER_RESPONSE, HeldRecords
+from wingbarrow.decide.sessions.session import Session, successor_of
+from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.decide.sessions.session_log import (
-    ENDED_CHARS,
-    ENDED_KEPT,
-    LIVES_MOST,
+    MAX_ENDED_CHARS,
+    MAX_ENDED_SESSIONS,
+    MAX_OPEN_SESSIONS_PER_PLACER,
     SessionLog,
-    from_text,
-)
-from wingbarrow.decide.sessions.sessions import (
-    TURN_US,
-    SessionLease,
-    SessionSubsystem,
-    deaf_us,
-    ended_within_us,
-    lone_us,
+    parse_session_log,
 )
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
 LEASE = 10 * SECOND
-RECKONED = reckoned_us(LEASE, TURN_US)
+RECKONED = voter_lease_us(LEASE, MAX_TURN_US)
 AFTER = 15 * SECOND
 RULES: RuleSet = rules()
 
@@ -62,7 +58,7 @@
 
     def keep(self, keeper: str, session: Session | None, after_us: int = AFTER) -> None:
         assert session is not None
-        self.leases[keeper].keeping = lambda: (HeldRecords(session, 3, after_us),)
+        self.leases[keeper].report_jobs(held_records=lambda: (HeldRecords(session, 3, after_us),))
 
     def ask(
         self,
@@ -111,9 +107,9 @@
     desk.keep("b", lost.session)
     assert lost.session == Session("a", 1, 1)
     assert lost.may_send(desk.now)
-    assert lost.runs_until_us == LEASE
+    assert lost.machine_lease_until_us == LEASE
     session, last = lost.session, desk.now
-    desk.wait(right_us(LEASE), "b")
+    desk.wait(holder_lease_us(LEASE), "b")
     assert not lost.may_send(desk.now)
     assert lost.may_send(desk.now - 1)
     desk.wait(last + AFTER - desk.now, "b")
@@ -140,7 +136,7 @@
     lost, late = desk.join("a"), desk.join("b")
     session = lost.session
     assert session is not None
-    desk.wait(lone_us(LEASE) - 1, "b")
+    desk.wait(unreplicated_wait_us(LEASE) - 1, "b")
     assert not desk.over(session)
     desk.wait(LEASE // 8 + SECOND, "b")
     assert desk.sessions.log.ended[session].batches == ()
@@ -239,10 +235,13 @@
     deaf, _ = desk.join("a"), desk.join("b")
     desk.keep("b", deaf.session)
     session, last = deaf.session, desk.now
-    desk.wait(deaf_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
+    desk.wait(one_way_renewal_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
     assert not desk.over(session)
     desk.wait(
-        last + deaf_us(LEASE) + ended_within_us(LEASE, AFTER) - desk.now, "a", "b", lose=("a",)
+        last + one_way_renewal_us(LEASE) + ended_within_us(LEASE, AFTER) - desk.now,
+        "a",
+        "b",
+        lose=("a",),
     )
     assert desk.over(session)
     desk = Desk()
@@ -291,7 +290,7 @@
     desk.keep("c", session)
     desk.wait(AFTER + 2 * SECOND, "b", "c", "d")
     assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
-    desk.wait(lone_us(LEASE) + 2 * SECOND, "c", "d")
+    desk.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "c", "d")
     ended = desk.sessions.log.ended[session]
     assert (ended.gone, successor_of(ended, ("b", "c")), successor_of(ended, ("b",))) == (
         ("b",),
@@ -306,21 +305,21 @@
     assert again.batches == (("c",), ("b",))
     assert not again.gone
     assert successor_of(again, ("b", "c")) == "c"
-    desk.wait(lone_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
+    desk.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
     assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
 
 
 def test_a_new_session_waits_until_all_ends_are_heard_so_many_at_a_time() -> None:
     desk = Desk()
-    for number in range(ENDED_MOST + 10):
+    for number in range(MAX_ENDED_PER_RESPONSE + 10):
         _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
     late = SessionLease("a", "r")
     desk.leases["a"], desk.lives["a"] = late, 1
     desk.ask("a")
-    assert late.heard == ENDED_MOST
+    assert late.known_epoch == MAX_ENDED_PER_RESPONSE
     assert late.session is None
     desk.ask("a")
-    assert late.heard == ENDED_MOST + 10 == len(late.ended)
+    assert late.known_epoch == MAX_ENDED_PER_RESPONSE + 10 == len(late.ended)
     assert late.session is not None
 
 
@@ -330,9 +329,9 @@
     session = lost.session
     assert session is not None
     desk.sessions.apply("ended", {"session": session.text(), "successors": []})
-    for number in range(ENDED_KEPT):
+    for number in range(MAX_ENDED_SESSIONS):
         _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
-    assert len(desk.sessions.log.ended) == ENDED_KEPT
+    assert len(desk.sessions.log.ended) == MAX_ENDED_SESSIONS
     assert session not in desk.sessions.log.ended
     for _ in range(8):
         desk.ask("a")
@@ -372,14 +371,14 @@
         assert not log.open.keys() & seen
         assert log.epoch >= before
         seen |= log.ended.keys()
-        assert max(log.lives(name) for name in "abcde") <= LIVES_MOST
+        assert max(log.open_count(name) for name in "abcde") <= MAX_OPEN_SESSIONS_PER_PLACER
         for ended in log.ended.values():
             joined = [name for batch in ended.batches for name in batch]
             assert len(joined) == len(set(joined))
-            assert set(ended.gone) <= set(joined) == set(log.by[ended.session])
+            assert set(ended.gone) <= set(joined) == set(log.joined_by[ended.session])
     assert log.ended
-    assert from_text(log.text()) == log
-    assert from_text("") == SessionLog()
+    assert parse_session_log(log.text()) == log
+    assert parse_session_log("") == SessionLog()
 
 
 def test_what_is_kept_of_ends_has_a_bound_by_count_and_by_length() -> None:
@@ -398,7 +397,7 @@
             "ended", {"session": lost.text(), "successors": [each.text() for each in keepers]}
         )
     assert 1 < len(log.ended) < 20
-    assert len(log.text()) < 2 * ENDED_CHARS
+    assert len(log.text()) < 2 * MAX_ENDED_CHARS
     assert Session("x19", 1, 1) in log.ended
 
 
@@ -425,13 +424,13 @@
 
 def test_lives_that_follow_each_other_fast_wait_for_room_and_it_is_counted() -> None:
     desk = Desk()
-    for life in range(1, 4 * LIVES_MOST):
+    for life in range(1, 4 * MAX_OPEN_SESSIONS_PER_PLACER):
         desk.join("a", life)
-    assert desk.sessions.log.lives("a") == LIVES_MOST
+    assert desk.sessions.log.open_count("a") == MAX_OPEN_SESSIONS_PER_PLACER
     assert desk.sessions.counts["sessions: no room for another"]
     desk.wait(RECKONED + 3 * SECOND, "a")
     assert desk.leases["a"].may_send(desk.now)
-    assert desk.sessions.log.lives("a") == 1
+    assert desk.sessions.log.open_count("a") == 1
 
 
 def test_one_that_stands_in_no_region_has_no_session() -> None:
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -7,12 +7,9 @@
 
 import pytest
 
-from wingbarrow.decide.sessions.sessions import (
-    SessionLease,
-    SessionSubsystem,
-    deaf_us,
-    ended_within_us,
-)
+from wingbarrow.decide.sessions.lease_times import ended_within_us, one_way_renewal_us
+from wingbarrow.decide.sessions.session_lease import SessionLease
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.leaseholders import Leaseholders, played
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -111,10 +108,14 @@
 
 
 def _no_reckoning(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(
-        "wingbarrow.decide.sessions.sessions.reckoned_us", lambda lease_us, turn_us: lease_us // 2
-    )
-    patch.setattr("wingbarrow.decide.sessions.sessions.drifted_us", lambda time_us: time_us // 2)
+    for module in ("lease_times", "session_subsystem"):
+        patch.setattr(
+            f"wingbarrow.decide.sessions.{module}.voter_lease_us",
+            lambda lease_us, max_turn_us: lease_us // 2,
+        )
+        patch.setattr(
+            f"wingbarrow.decide.sessions.{module}.drifted_us", lambda time_us: time_us // 2
+        )
 
 
 def _forgetful(patch: pytest.MonkeyPatch) -> None:
@@ -131,17 +132,19 @@
 
 
 def _without_after(patch: pytest.MonkeyPatch) -> None:
-    real = SessionSubsystem.end_due_us
+    real = SessionSubsystem.earliest_end_us
     patch.setattr(
-        SessionSubsystem, "end_due_us", lambda self, session, kept: real(self, session, (0, []))
+        SessionSubsystem,
+        "earliest_end_us",
+        lambda self, session, kept: real(self, session, (0, [])),
     )
 
 
 def _late(patch: pytest.MonkeyPatch) -> None:
-    real = SessionSubsystem.end_due_us
+    real = SessionSubsystem.earliest_end_us
     patch.setattr(
         SessionSubsystem,
-        "end_due_us",
+        "earliest_end_us",
         lambda self, session, kept: real(self, session, kept) + 5 * SECOND,
     )
 
@@ -169,7 +172,7 @@
         held.cut = lambda a, b, lost=lost: b == lost
         held.run(
             held.now_us
-            + deaf_us(held.lease_us)
+            + one_way_renewal_us(held.lease_us)
             + ended_within_us(held.lease_us, held.after_us)
             + 5 * SECOND
         )
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -21,24 +21,25 @@
     PingRequest,
     Sync,
 )
-from wingbarrow.decide.sessions.messages import (
-    ENDED_MOST,
-    KEPT_MOST,
-    RECORD_MOST,
-    EndedSession,
-    HeldRecords,
+from wingbarrow.decide.sessions.leased_job_record import (
+    MAX_RECORD_BYTES,
     KnownTask,
     LeasedJobRecord,
+)
+from wingbarrow.decide.sessions.messages import (
+    MAX_ENDED_PER_RESPONSE,
+    MAX_HELD_SESSIONS,
+    HeldRecords,
     MachineQuery,
     MachineReport,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
     ResolveResponse,
-    Session,
     SessionsReport,
     SessionsResponse,
 )
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.peers.message import (
     LETTERS_MOST,
     MAIL_MOST,
@@ -217,7 +218,7 @@
                 "r",
                 1,
                 2,
-                tuple(HeldRecords(Session("p", n, 1), 1, 1) for n in range(KEPT_MOST + 1)),
+                tuple(HeldRecords(Session("p", n, 1), 1, 1) for n in range(MAX_HELD_SESSIONS + 1)),
             ),
         ),
         LeaseRequest(
@@ -237,7 +238,7 @@
             0,
             "",
             0,
-            sessions=SessionsResponse(True, 1, 10, 3, (ENDED,) * (ENDED_MOST + 1)),
+            sessions=SessionsResponse(True, 1, 10, 3, (ENDED,) * (MAX_ENDED_PER_RESPONSE + 1)),
         ),
         LeaseGrant(
             1,
@@ -268,8 +269,8 @@
         *(
             ReplicateRequest(1, OF, (replace(RECORD, **change),))
             for change in (
-                {"manifest": "x" * (RECORD_MOST + 1)},
-                {"manifest": "ä" * (RECORD_MOST // 2 + 1)},
+                {"manifest": "x" * (MAX_RECORD_BYTES + 1)},
+                {"manifest": "ä" * (MAX_RECORD_BYTES // 2 + 1)},
                 {"uid": ""},
                 {"effect": "x"},
                 {"version": -1},
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -11,14 +11,9 @@
 from tests.stage import S
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
-from wingbarrow.decide.sessions.messages import (
-    EndedSession,
-    HeldRecords,
-    ReplicateRequest,
-    ReplicateResponse,
-    Session,
-)
-from wingbarrow.decide.sessions.sessions import ended_within_us
+from wingbarrow.decide.sessions.lease_times import ended_within_us
+from wingbarrow.decide.sessions.messages import HeldRecords, ReplicateRequest, ReplicateResponse
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.peers.host import Peering
 
@@ -76,7 +71,7 @@
         lost = stage.cluster.placers[4]
         session = stage.peering(4).lease.session
         assert session is not None
-        stage.peering(3).lease.keeping = lambda: (HeldRecords(session, 7, 5 * S),)
+        stage.peering(3).lease.report_jobs(held_records=lambda: (HeldRecords(session, 7, 5 * S),))
         for index in (3, 4):
             stage.peering(index).on_ended = lambda each, index=index: ended.append((index, each))
             stage.peering(index).on_session = lambda session, may, epoch, index=index: told.append(
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -33,9 +33,10 @@
 from wingbarrow.decide.quotas.escrow import QuotaReport
 from wingbarrow.decide.regions.reports import RegionReport, RegionSubsystem
 from wingbarrow.decide.rulesets.versions import RECOVERED, from_text
-from wingbarrow.decide.sessions.messages import EndedSession, HeldRecords, Session, SessionsReport
+from wingbarrow.decide.sessions.messages import HeldRecords, SessionsReport
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
-from wingbarrow.decide.sessions.sessions import SessionSubsystem
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.store.voter_store import VoteStore, create
 
 ME = "a"
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -67,21 +67,19 @@
 from wingbarrow.decide.rulesets.versions import Floor, RuleSetState, Version
 from wingbarrow.decide.sessions import messages as sessions
 from wingbarrow.decide.sessions import session_log
+from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import (
-    EndedSession,
     HeldRecords,
-    KnownTask,
-    LeasedJobRecord,
     MachineQuery,
     MachineReport,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
     ResolveResponse,
-    Session,
     SessionsReport,
     SessionsResponse,
 )
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
 from wingbarrow.interface import Phase
 from wingbarrow.peers import knowledge_pages, message
@@ -575,7 +573,7 @@
         state = versions.from_text(text)
         return state, AGREED, state.text()
     if name == "sessions":
-        log = session_log.from_text(text)
+        log = session_log.parse_session_log(text)
         return log, SESSIONS, log.text()
     if name == "blocks":
         blocks, held = AllocationLedger(2 * S), _blocks()
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -28,13 +28,10 @@
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.sessions.failover import StartOrder
-from wingbarrow.decide.sessions.messages import (
-    LeasedJobRecord,
-    MachineReport,
-    Session,
-    read_session,
-)
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
+from wingbarrow.decide.sessions.messages import MachineReport
 from wingbarrow.decide.sessions.recovery import OwnJob
+from wingbarrow.decide.sessions.session import Session, parse_session
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, not_found
 
@@ -361,7 +358,7 @@
 
     def _over(self, told: Fields) -> None:
         """This session has ended: all that was held under it is a successor's to decide."""
-        self._own(read_session(str(told["session"])))
+        self._own(parse_session(str(told["session"])))
         for job in list(self._holder.jobs.values()):
             self.give_up(
                 job,
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -24,8 +24,13 @@
 from wingbarrow.decide import retries as again
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.regions.reports import LEASED_MOST
-from wingbarrow.decide.sessions.messages import FORM, OFFERED, KnownTask, LeasedJobRecord
+from wingbarrow.decide.regions.reports import MAX_LEASED_SPECS
+from wingbarrow.decide.sessions.leased_job_record import (
+    OFFERED,
+    RECORD_FORMAT,
+    KnownTask,
+    LeasedJobRecord,
+)
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.replication import RecordReplication
@@ -102,7 +107,7 @@
                     for name, (cores, memory) in sums.items()
                 ),
                 key=lambda each: (-each[1], each[0]),
-            )[:LEASED_MOST]
+            )[:MAX_LEASED_SPECS]
         )
 
     def take_in(
@@ -162,7 +167,7 @@
         assert session is not None
         assert spec.failover is not None
         return LeasedJobRecord(
-            FORM,
+            RECORD_FORMAT,
             uid,
             key,
             session,
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -14,8 +14,8 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.decide.sessions.messages import Session
-from wingbarrow.decide.sessions.sessions import SessionLease
+from wingbarrow.decide.sessions.session import Session
+from wingbarrow.decide.sessions.session_lease import SessionLease
 
 PARTS, LOOKS = (
     3,
@@ -90,7 +90,7 @@
     def until(self, link: MachineLink) -> str:
         """Until when a task sent to a machine now may run, in that machine's clock."""
         clock = self._clocks.get(link)
-        return clock.at(self.lease.runs_until_us) if clock is not None else UNKNOWN
+        return clock.at(self.lease.machine_lease_until_us) if clock is not None else UNKNOWN
 
     # -- renewals
 
@@ -130,7 +130,7 @@
             link, (until, when) = self._machines.links.get(name), self._renewed.get(name, (0, 0))
             if link is None or name in self._out or len(self._out) >= OUT_MOST:
                 continue
-            if until < self.lease.runs_until_us and now >= when + self.lease_us // PARTS:
+            if until < self.lease.machine_lease_until_us and now >= when + self.lease_us // PARTS:
                 self._out.add(name)
                 self._base.spawn(
                     lambda link=link: self._renew(link, session.text()),  # type: ignore[misc]
@@ -144,7 +144,7 @@
                 return
             if self.lease.session is None or self.lease.session.text() != session:
                 return  # Danger: it ended while the machine was asked
-            told = self.lease.runs_until_us
+            told = self.lease.machine_lease_until_us
             text = link.renew(session, self.until(link))
             if text is None:
                 self.forget(link)  # it has started anew: what ran there is gone
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -279,7 +279,7 @@
         made.act = lambda effects: peering.act("handing", effects)
         peering.host("handing", made, HANDING)
         own = OwnRegion(base, self.book, fleet)
-        peering.regions.own = own.say
+        peering.regions.read_own = own.say
         if self.leaseholder is not None:
             own.leased = self.leaseholder.held
         return made
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -70,7 +70,7 @@
                     "ServiceUnavailable",
                 )
             return here
-        self.budget.tried()
+        self.budget.on_first_attempt()
         choice: Choice = choose(
             spec,
             federation,
@@ -86,7 +86,7 @@
                 "ServiceUnavailable",
                 retry_after_s=base.random.randrange(1, 5),
             )
-        if choice.region != here and not self.budget.take():
+        if choice.region != here and not self.budget.try_take():
             base.counts["handing:over the budget"] += 1
             if here in allowed(spec, federation):
                 return here
@@ -185,7 +185,7 @@
             self.submit(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
-            self.act(self.taking.came_to(now, ident, handing.REFUSED, "", str(error)))
+            self.act(self.taking.report_status(now, ident, handing.REFUSED, "", str(error)))
             return
         if ident in self._stopped:
             self._stop(ident)
@@ -199,7 +199,9 @@
             return
         self._forget(ident)
         self.delete(key)
-        self.act(self.taking.came_to(self._base.hub.now_us(), ident, handing.FAILED, "", "stopped"))
+        self.act(
+            self.taking.report_status(self._base.hub.now_us(), ident, handing.FAILED, "", "stopped")
+        )
 
     def _forget(self, ident: str) -> None:
         self._stopped.discard(ident)
@@ -226,7 +228,7 @@
         if state in handing.FINAL:
             self._forget(ident)
         where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
-        self.act(self.taking.came_to(self._base.hub.now_us(), ident, state, where, task.last))
+        self.act(self.taking.report_status(self._base.hub.now_us(), ident, state, where, task.last))
 
     # -- driven by the host of what placers say to each other
 
--- a/wingbarrow/decide/regions/forwarding.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -20,14 +20,14 @@
 
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 
-HOPS_MOST = 1
-AGAIN_US = 300_000  # until a letter without an answer is sent again
-OPEN_MOST = 2048  # hand-overs under way, at either side
-DONE_MOST = 8192  # idents remembered after their end, at the receiver
-STOP_US = 60_000_000  # for so long a stop is said
-MANIFEST_MOST = 16 * 1024
-SHARE = 0.2  # of first tries that may be handed over
-BURST = 20.0
+MAX_HOPS = 1
+RETRY_US = 300_000  # until a letter without an answer is sent again
+MAX_OPEN = 2048  # hand-overs under way, at either side
+MAX_FINISHED = 8192  # idents remembered after their end, at the receiver
+CANCEL_US = 60_000_000  # for so long a stop is said
+MAX_MANIFEST_CHARS = 16 * 1024
+BUDGET_SHARE = 0.2  # of first tries that may be handed over
+BUDGET_BURST = 20.0
 
 TAKEN, REFUSED, PLACED, FAILED, DONE, LOST = "taken", "refused", "placed", "failed", "done", "lost"
 RAN = (DONE, LOST)  # it was placed, and has ended well or otherwise
@@ -71,14 +71,14 @@
 class ForwardBudget:
     """Hand-overs as a share of first tries, so that regions that are all full do not pass work round in circles."""
 
-    def __init__(self, share: float = SHARE, burst: float = BURST) -> None:
+    def __init__(self, share: float = BUDGET_SHARE, burst: float = BUDGET_BURST) -> None:
         self._share, self._burst, self._left = share, burst, burst
 
-    def tried(self) -> None:
+    def on_first_attempt(self) -> None:
         """A Job came for the first time."""
         self._left = min(self._burst, self._left + self._share)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Whether one more may be handed over; it counts."""
         if self._left < 1.0:
             return False
@@ -131,8 +131,8 @@
         """Hand one over to the first of some placers that takes it: its ident, "" where none can be asked."""
         if (
             not targets
-            or len(self._open) >= OPEN_MOST
-            or len(manifest) > MANIFEST_MOST
+            or len(self._open) >= MAX_OPEN
+            or len(manifest) > MAX_MANIFEST_CHARS
             or now_us >= due_us
         ):
             self.counts["handing:not begun"] += 1
@@ -148,7 +148,7 @@
         out = self._open.get(ident)
         if out is None or out.stopping_us is not None:
             return []
-        out.stopping_us = now_us + STOP_US
+        out.stopping_us = now_us + CANCEL_US
         return self._say(now_us, ident)
 
     def on_message(
@@ -196,7 +196,7 @@
             if not sent:
                 del self._open[key]
                 return [told]
-            out.stopping_us = now_us + STOP_US
+            out.stopping_us = now_us + CANCEL_US
             return [told, *self._say(now_us, key)]
         return self._say(now_us, key)
 
@@ -205,7 +205,7 @@
         target = out.targets[0]
         out.said_us = now_us
         # What was taken or placed is asked after at a slower pace: each change is told unasked.
-        wait = AGAIN_US if out.state == "" or out.stopping_us is not None else 8 * AGAIN_US
+        wait = RETRY_US if out.state == "" or out.stopping_us is not None else 8 * RETRY_US
         timer = SetTimer(
             ident,
             min(now_us + wait, out.due_us)
@@ -313,11 +313,11 @@
             return [Send(ident, address, self._says(message.ident, held))]
         why = (
             "too many hops"
-            if message.hops > HOPS_MOST
+            if message.hops > MAX_HOPS
             else "no patience is left"
             if message.left_us <= 0
             else "too many hand-overs are under way"
-            if len(self._open) >= OPEN_MOST
+            if len(self._open) >= MAX_OPEN
             else ""
         )
         if why:
@@ -339,8 +339,8 @@
             Send(ident, address, ForwardStatus(message.ident, TAKEN)),
         ]
 
-    def came_to(
-        self, now_us: int, ident: str, state: str, where: str = "", words: str = ""
+    def report_status(
+        self, now_us: int, ident: str, state: str, machine: str = "", reason: str = ""
     ) -> list[Effect]:
         """What this placer made of one: placed, refused (nothing was started, nor will be), failed, done, lost."""
         held = self._open.get(ident)
@@ -348,7 +348,7 @@
             return []
         if held.state == PLACED and state in (REFUSED, FAILED):
             state = LOST
-        held.state, held.where, held.words = state, where, words[:300]
+        held.state, held.where, held.words = state, machine, reason[:300]
         says = self._says(ident, held)
         if state in FINAL:
             del self._open[ident]
@@ -360,7 +360,7 @@
 
     def _finish(self, says: ForwardStatus) -> ForwardStatus:
         self._done[says.ident] = says
-        while len(self._done) > DONE_MOST:
+        while len(self._done) > MAX_FINISHED:
             oldest = next(iter(self._done))
             del self._done[oldest]
             giver, life, number = _parts(oldest)
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -21,16 +21,17 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-OLD_US = 15_000_000  # news beyond this age counts for nothing
-REGIONS_MOST, PLACERS_MOST = 64, 4096
-LEASED_MOST = 256
-HELD_US = 500_000  # what is held back is worked out no more often
-REFUSED_SHARE = 0.5  # of what came lately: from then on a placer counts as refusing
+MAX_AGE_US = 15_000_000  # news beyond this age counts for nothing
+MAX_REGIONS = 64
+MAX_PLACERS = 4096
+MAX_LEASED_SPECS = 256
+RESERVE_INTERVAL_US = 500_000  # what is held back is worked out no more often
+REJECTING_SHARE = 0.5  # of what came lately: from then on a placer counts as refusing
 
 
-def fresh_within_us(grant_us: int, again_us: int) -> int:
+def fresh_within_us(grant_us: int, retry_us: int) -> int:
     """How old news is at most at a placer in touch: what another told at its last ask, as of this one's last grant."""
-    return 2 * (grant_us // 3 + again_us)
+    return 2 * (grant_us // 3 + retry_us)
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +89,7 @@
         self._began_us = 0
         self._federation = Federation()
         self._held: dict[str, tuple[float, float]] = {}
-        self._held_us = -HELD_US
+        self._held_us = -RESERVE_INTERVAL_US
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """It has no entries."""
@@ -106,7 +107,7 @@
 
     def on_report(self, now_us: int, asker: Requester, said: RegionReport) -> None:
         """What a placer's list says, in place of what it said before."""
-        if len(self._heard) >= PLACERS_MOST and asker.ident not in self._heard:
+        if len(self._heard) >= MAX_PLACERS and asker.ident not in self._heard:
             return
         region = said.region
         last = max(
@@ -122,7 +123,7 @@
             if each.said.region == region and now_us - each.at_us <= self._lost_us
         ]
         came, refused = sum(each.came for each in lately), sum(each.refused for each in lately)
-        if came and refused >= REFUSED_SHARE * came:
+        if came and refused >= REJECTING_SHARE * came:
             self._refusing.setdefault(region, now_us)
         else:
             self._refusing.pop(region, None)
@@ -143,11 +144,11 @@
         out: dict[str, dict[str, _Heard]] = {name: {} for name in self._named}
         for name, heard in self._heard.items():
             out.setdefault(heard.said.region, {})[name] = heard
-        return dict(sorted(out.items())[:REGIONS_MOST])
+        return dict(sorted(out.items())[:MAX_REGIONS])
 
     def _held_back(self, now_us: int) -> dict[str, tuple[float, float]]:
         """What each region in touch keeps free for the loss of another, in cores and GiB."""
-        if now_us - self._held_us < HELD_US:
+        if now_us - self._held_us < RESERVE_INTERVAL_US:
             return self._held
         self._held_us = now_us
         rooms: dict[str, tuple[float, float]] = {}
@@ -165,7 +166,7 @@
         )
         return self._held
 
-    def held_machines(self, now_us: int, region: str) -> float:
+    def reserved_machines(self, now_us: int, region: str) -> float:
         """The same in machines' worth, for what counts machines."""
         held = self._held_back(now_us).get(region, (0.0, 0.0))
         said = max(
@@ -220,14 +221,14 @@
 
     name = "regions"
 
-    def __init__(self, own: Callable[[int], RegionReport | None]) -> None:
-        self.own = own
+    def __init__(self, read_own: Callable[[int], RegionReport | None]) -> None:
+        self.read_own = read_own
         self._told: tuple[RegionSummary, ...] = ()
         self._at_us = 0
 
     def report(self, now_us: int) -> RegionReport | None:
         """With an ask."""
-        return self.own(now_us)
+        return self.read_own(now_us)
 
     def on_response(
         self, now_us: int, asked_us: int, told: tuple[RegionSummary, ...] | None
@@ -256,7 +257,7 @@
                 each.held_cores,
                 each.held_memory,
             )
-            if news.age_us <= OLD_US or (each.lost and since <= OLD_US):
+            if news.age_us <= MAX_AGE_US or (each.lost and since <= MAX_AGE_US):
                 out[each.region] = replace(
                     news, age_us=min(news.age_us, since) if each.lost else news.age_us
                 )
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -18,14 +18,13 @@
 from wingbarrow.decide.replication.replica_link import ReplicaLink
 from wingbarrow.decide.replication.replica_set import ReplicaSet
 from wingbarrow.decide.replication.replicated_job import ReplicatedJob, Tokens, settled
-from wingbarrow.decide.sessions.messages import (
-    RECORD_MOST,
+from wingbarrow.decide.sessions.leased_job_record import (
+    MAX_RECORD_BYTES,
     KnownTask,
     LeasedJobRecord,
-    ReplicateRequest,
-    ReplicateResponse,
-    Session,
 )
+from wingbarrow.decide.sessions.messages import ReplicateRequest, ReplicateResponse
+from wingbarrow.decide.sessions.session import Session
 
 TIMER = "custody"
 
@@ -77,8 +76,8 @@
             if self.over
             else "held already"
             if record.uid in self.jobs
-            else f"record of {size} bytes, at most {RECORD_MOST}"
-            if size > RECORD_MOST
+            else f"record of {size} bytes, at most {MAX_RECORD_BYTES}"
+            if size > MAX_RECORD_BYTES
             else ""
         )
         if why:
@@ -316,9 +315,9 @@
         job = self.jobs.get(uid)
         if job is None or record is None:
             return number, [settled(number, "session over" if self.over else "not held")]
-        if size_of(record) > RECORD_MOST:
+        if size_of(record) > MAX_RECORD_BYTES:
             return number, [
-                settled(number, f"record of {size_of(record)} bytes, at most {RECORD_MOST}")
+                settled(number, f"record of {size_of(record)} bytes, at most {MAX_RECORD_BYTES}")
             ]
         if known is not None:
             job.since_us[known.index] = now_us - known.age_us
--- a/wingbarrow/decide/replication/records.py
+++ b/wingbarrow/decide/replication/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-from wingbarrow.decide.sessions.messages import KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 
 RECORD_BYTES = 1024  # of a record beside its manifest, its own names and its tasks
 TASK_BYTES = 160  # kept free for each task, machine and attempt named
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -16,22 +16,23 @@
 
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.replication.records import ReplicationLimits, aged, doubted, order, size_of
-from wingbarrow.decide.sessions.messages import (
+from wingbarrow.decide.sessions.leased_job_record import (
     EFFECTS,
-    FORM,
-    KEPT_MOST,
+    MAX_RECORD_BYTES,
     OFFERED,
-    RECORD_MOST,
-    EndedSession,
-    HeldRecords,
+    RECORD_FORMAT,
     LeasedJobRecord,
+)
+from wingbarrow.decide.sessions.messages import (
+    MAX_HELD_SESSIONS,
+    MAX_RESOLVE_UIDS,
+    HeldRecords,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
     ResolveResponse,
-    Session,
-    successor_of,
 )
+from wingbarrow.decide.sessions.session import EndedSession, Session, successor_of
 
 HOLDERS_MOST = 4096
 UNKNOWN_HERE = "not known here"
@@ -117,13 +118,15 @@
             return f"more than {HOLDERS_MOST} holders"
         for record in keep.records:
             if (
-                record.form != FORM
+                record.form != RECORD_FORMAT
                 or record.effect not in EFFECTS
                 or record.session != keep.session
             ):
                 return f"record {record.uid[:64]}: a field that this placer does not read"
-            if size_of(record) > RECORD_MOST:
-                return f"record {record.uid[:64]}: {size_of(record)} bytes, at most {RECORD_MOST}"
+            if size_of(record) > MAX_RECORD_BYTES:
+                return (
+                    f"record {record.uid[:64]}: {size_of(record)} bytes, at most {MAX_RECORD_BYTES}"
+                )
         return ""
 
     def _over(self, session: Session) -> bool:
@@ -260,7 +263,7 @@
                 if afters:
                     out.append(HeldRecords(session, len(afters), min(afters)))
             out.sort(key=lambda each: (-each.jobs, each.session))
-            self._kept = tuple(out[:KEPT_MOST])
+            self._kept = tuple(out[:MAX_HELD_SESSIONS])
         return self._kept
 
     def ended(self, now_us: int, ended: EndedSession, most: int = 1 << 30) -> list[Taking]:
@@ -377,7 +380,7 @@
         `held`: what this placer holds itself, by uid: epoch and fate.
         """
         fates = []
-        for uid in ask.uids[:KEPT_MOST]:
+        for uid in ask.uids[:MAX_RESOLVE_UIDS]:
             entry = self.entries.get(uid)
             if uid in self.taken:
                 fates.append((uid, *self.taken[uid]))
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -8,7 +8,9 @@
 
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.decide.replication.records import ReplicationLimits, aged, size_of
-from wingbarrow.decide.sessions.messages import LeasedJobRecord, ReplicateRequest, Session
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
+from wingbarrow.decide.sessions.messages import ReplicateRequest
+from wingbarrow.decide.sessions.session import Session
 
 
 @dataclass(slots=True)
--- a/wingbarrow/decide/replication/replicated_job.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.sessions.messages import KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 
 
 @dataclass(slots=True)
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -18,23 +18,27 @@
 from wingbarrow.decide.replication.primary import Primary
 from wingbarrow.decide.replication.records import ReplicationLimits, doubted
 from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Replica, Taking
-from wingbarrow.decide.sessions.failover import SessionFailover, StartOrder, rank_of
-from wingbarrow.decide.sessions.failover_pace import Pace
-from wingbarrow.decide.sessions.machine_queries import NUMBERS
+from wingbarrow.decide.sessions.failover import (
+    FailoverState,
+    SessionFailover,
+    StartOrder,
+    start_order_key,
+)
+from wingbarrow.decide.sessions.failover_pace import FailoverPace
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
+from wingbarrow.decide.sessions.machine_queries import NUMBERS_PER_EPOCH
 from wingbarrow.decide.sessions.messages import (
-    KEPT_MOST,
-    EndedSession,
-    LeasedJobRecord,
+    MAX_RESOLVE_UIDS,
     MachineQuery,
     Message,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
     ResolveResponse,
-    Session,
 )
 from wingbarrow.decide.sessions.recovery import OwnJob, SessionRecovery
 from wingbarrow.decide.sessions.reissue import ReissueDecision
+from wingbarrow.decide.sessions.session import EndedSession, Session
 
 CLAIM_US = 10_000_000  # until a claim's token is renewed
 WATCH_US = 3_000_000  # between looks at what others are to take over
@@ -53,7 +57,7 @@
         region: str,
         seed: int,
         bounds: ReplicationLimits = ReplicationLimits(),
-        pace: Pace = Pace(),
+        pace: FailoverPace = FailoverPace(),
     ) -> None:
         self.me, self.region, self.pace = me, region, pace
         self.custody = Primary(me, life, region, seed, bounds)
@@ -86,7 +90,7 @@
         self._alive = dict(alive)
         out = self._go(now_us, self.custody.members(now_us, alive))
         for takeover in self.takeovers.values():
-            out += self._go(now_us, takeover.places(now_us, self._askers(takeover)))
+            out += self._go(now_us, takeover.on_placers(now_us, self._askers(takeover)))
         return out
 
     def over(self, now_us: int, ended: EndedSession, runs: Collection[str] = ()) -> list[Effect]:
@@ -110,7 +114,9 @@
                     self.me, ended.session, jobs
                 )
             return out + (
-                self._go(now_us, healing.ended(now_us, ended)) if healing is not None else []
+                self._go(now_us, healing.on_session_ended(now_us, ended))
+                if healing is not None
+                else []
             )
         out += self._succeed(now_us, ended)
         if ended.session in self.keeping.ends:
@@ -119,13 +125,15 @@
 
     def _succeed(self, now_us: int, ended: EndedSession) -> list[Effect]:
         """Take over so many, and the rest in later turns."""
-        takings = self.keeping.ended(now_us, ended, self.pace.takes)
-        if len(takings) < self.pace.takes:
+        takings = self.keeping.ended(now_us, ended, self.pace.max_claims)
+        if len(takings) < self.pace.max_claims:
             self._taking.pop(ended.session, None)
         else:
             self._taking[ended.session] = ended
         out = self._take(now_us, ended.session, ended.epoch, takings)
-        return [*out, SetTimer(TAKING, now_us + self.pace.take_us)] if self._taking else out
+        return (
+            [*out, SetTimer(TAKING, now_us + self.pace.claim_interval_us)] if self._taking else out
+        )
 
     def begin(self, now_us: int, session: Session) -> list[Effect]:
         """This placer's former session was ended, and it has this one: it holds nothing, and succeeds nobody."""
@@ -141,7 +149,7 @@
     def drop(self, now_us: int, uid: str) -> list[Effect]:
         """A Job is over, deleted, or was never accepted: nobody needs to keep it."""
         if uid in self._where:
-            self._where.pop(uid).superseded(uid)
+            self._where.pop(uid).remove(uid)
             self.keeping.let_go(uid)
             self._prune()
         return self._go(now_us, self.custody.drop(now_us, uid))
@@ -149,7 +157,9 @@
     def operator(self, now_us: int, uid: str) -> list[Effect]:
         """An operator answers for it that an unknown Job never ran."""
         return (
-            self._go(now_us, self._where[uid].operator(now_us, uid)) if uid in self._where else []
+            self._go(now_us, self._where[uid].on_operator_confirmation(now_us, uid))
+            if uid in self._where
+            else []
         )
 
     def record(self, uid: str) -> LeasedJobRecord | None:
@@ -158,7 +168,7 @@
 
     def fate(self, uid: str) -> str:
         """Of a Job that is being taken over; "" of any other."""
-        return self._where[uid].cases[uid].fate if uid in self._where else ""
+        return self._where[uid].cases[uid].state.value if uid in self._where else ""
 
     def unknown(self) -> list[LeasedJobRecord]:
         """Jobs that are kept as unknown, for the operator's list; those of a session of before, too, until settled."""
@@ -172,7 +182,7 @@
             case.record
             for takeover in self.takeovers.values()
             for case in takeover.cases.values()
-            if case.fate == ReissueDecision.UNKNOWN.value
+            if case.state is FailoverState.UNKNOWN
         ]
 
     def on_message(self, now_us: int, ident: str, address: str, message: Message) -> list[Effect]:
@@ -199,11 +209,17 @@
                 )
             ]
         takeover = next(
-            (each for each in self.takeovers.values() if each.epoch == message.number // NUMBERS),
+            (
+                each
+                for each in self.takeovers.values()
+                if each.epoch == message.number // NUMBERS_PER_EPOCH
+            ),
             None,
         )
         return (
-            self._go(now_us, takeover.on_message(now_us, message)) if takeover is not None else []
+            self._go(now_us, takeover.on_machine_report(now_us, message))
+            if takeover is not None
+            else []
         )
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
@@ -218,7 +234,9 @@
         if key == WATCH:
             self._watch_us = None
             return self._watch(now_us, ask=True)
-        self.healings = {session: each for session, each in self.healings.items() if not each.done}
+        self.healings = {
+            session: each for session, each in self.healings.items() if not each.is_done
+        }
         parts: list[SessionFailover | SessionRecovery] = [
             *self.takeovers.values(),
             *self.healings.values(),
@@ -245,32 +263,34 @@
         while (
             now_us >= self._next_us
             and self._heap
-            and len(out) < self.pace.starts
-            and len(left) < 8 * self.pace.starts
+            and len(out) < self.pace.max_starts
+            and len(left) < 8 * self.pace.max_starts
         ):
             entry = heapq.heappop(self._heap)
             takeover = self._where.get(entry[3])
             if takeover is None or entry[3] not in takeover.ready:
                 continue
             record = takeover.cases[entry[3]].record
-            tasks = len(takeover.cases[entry[3]].run)
+            tasks = len(takeover.cases[entry[3]].start_indexes)
             if record.cores * tasks > cores or record.memory * tasks > memory or not may(record):
                 left.append(entry)
                 continue
             cores, memory = cores - record.cores * tasks, memory - record.memory * tasks
-            out.append(takeover.give(record.uid))
+            out.append(takeover.start(record.uid))
             self.keeping.fate(record.uid, ReissueDecision.RUN.value)
         for entry in left:
             heapq.heappush(self._heap, entry)
         if out:
-            self._next_us = now_us + self.pace.every_us
+            self._next_us = now_us + self.pace.start_interval_us
         return out, self._call(now_us, 0 if out else IDLE_US)
 
     def _call(self, now_us: int, after_us: int = 0) -> list[Effect]:
         """Have the core come for what is ready."""
         if not self._heap or self._startable_us is not None:
             return []
-        self._startable_us = max(self._next_us, now_us + max(after_us, self.pace.every_us // 4))
+        self._startable_us = max(
+            self._next_us, now_us + max(after_us, self.pace.start_interval_us // 4)
+        )
         return [SetTimer(STARTABLE, self._startable_us)]
 
     def carry(self, now_us: int, effects: list[Effect]) -> list[Effect]:
@@ -303,7 +323,7 @@
             takeover = self.takeovers[session] = SessionFailover(session, epoch)
         self._where |= {taking.record.uid: takeover for taking in takings}
         out = self._go(now_us, takeover.add(now_us, takings))
-        out += self._go(now_us, takeover.places(now_us, self._askers(takeover)))
+        out += self._go(now_us, takeover.on_placers(now_us, self._askers(takeover)))
         for taking in takings:
             record = taking.record
             allowed, copies = self.terms(record)
@@ -331,7 +351,7 @@
                 record: LeasedJobRecord = said["record"]
                 if record.uid in self._where:
                     takeover = self._where[record.uid]
-                    out += self._go(now_us, takeover.later(now_us, record))
+                    out += self._go(now_us, takeover.on_replica_record(now_us, record))
                     if record.uid in takeover.cases:
                         tasks = takeover.cases[record.uid].record.tasks
                         out += self.custody.learn(now_us, record.uid, tasks)
@@ -348,7 +368,7 @@
                 out.append(effect)
                 takeover = self._where[uid]
                 if said["verdict"] == ReissueDecision.RUN.value and uid in takeover.ready:
-                    heapq.heappush(self._heap, (*rank_of(takeover.cases[uid]), uid))
+                    heapq.heappush(self._heap, (*start_order_key(takeover.cases[uid]), uid))
                     out += self._call(now_us)
             else:
                 out.append(effect)
@@ -359,7 +379,7 @@
         if takeover is None or said["why"] in ("taken", "dropped", "session over"):
             return []
         if said["good"]:
-            return self._go(now_us, takeover.claimed(now_us, uid))
+            return self._go(now_us, takeover.on_claimed(now_us, uid))
         every = takeover.cases[uid].record.effect != "safe"
         token, effects = self.custody.again(now_us, uid, now_us + CLAIM_US, every)
         if uid in self.custody.jobs:
@@ -371,8 +391,8 @@
         takeover = self._where.pop(uid, None)
         fate = "run"
         if takeover is not None and uid in takeover.cases:
-            fate = takeover.cases[uid].fate
-            takeover.superseded(uid)
+            fate = takeover.cases[uid].state.value
+            takeover.remove(uid)
             self.keeping.let_go(uid)
             self._prune()
         out = self._go(now_us, self.custody.drop(now_us, uid))
@@ -407,7 +427,9 @@
                     self._settles[self._number] = name
                     out.append(
                         Send(
-                            name, "", ResolveRequest(self._number, session, tuple(some[:KEPT_MOST]))
+                            name,
+                            "",
+                            ResolveRequest(self._number, session, tuple(some[:MAX_RESOLVE_UIDS])),
                         )
                     )
                 elif now_us >= self._heard.get(session, now_us) + LAST_US:
@@ -444,8 +466,8 @@
     def _settled(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
         healing = self.healings.get(message.session)
         if healing is not None:
-            out = self._go(now_us, healing.on_message(now_us, ident, message))
-            if healing.done:
+            out = self._go(now_us, healing.on_resolve_response(now_us, ident, message))
+            if healing.is_done:
                 del self.healings[message.session]
             return out
         if self._settles.pop(message.number, "") != ident:
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -13,24 +13,41 @@
 import heapq
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, replace
+from enum import Enum
 
 from wingbarrow.decide.effects import Effect, Notify, SetTimer
 from wingbarrow.decide.replication.records import phase_of
 from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 from wingbarrow.decide.sessions.machine_queries import MachineQueries
-from wingbarrow.decide.sessions.messages import LeasedJobRecord, MachineReport, Session
+from wingbarrow.decide.sessions.messages import MachineReport
 from wingbarrow.decide.sessions.reissue import (
-    TABLE,
+    REISSUE_TABLE,
     ReissueDecision,
     ReissueRow,
     decide,
-    merged,
-    time_of,
+    key_window,
     window_until_us,
+    worst_known,
 )
+from wingbarrow.decide.sessions.session import Session
 
-CLAIM_US = 2_000_000  # a safe Job waits so long for its keepers' word
-CLAIMING, READY = "claiming", "ready"
+MAX_CLAIM_WAIT_US = 2_000_000  # a safe Job waits so long for its keepers' word
+
+
+class FailoverState(Enum):
+    """Where one Job's failover stands; values as they are notified and answered to a returning holder."""
+
+    CLAIMING = "claiming"  # its other replica holders have not all answered yet
+    QUERYING = "asked"  # a machine has to answer first
+    WAITING = "waiting"  # for the end of a key's window
+    READY = "ready"  # to be started by the core
+    STARTED = "run"
+    UNKNOWN = "unknown"  # whether it had its effect cannot be proven: left to an operator
+    NOTHING = "nothing"  # it was over
+
+
+FINAL_STATES = (FailoverState.READY, FailoverState.STARTED, FailoverState.NOTHING)
 
 
 @dataclass(slots=True)
@@ -40,11 +57,11 @@
     record: LeasedJobRecord
     epoch: int
     added_us: int
-    until_us: int  # of a keyed one, its window
+    window_until_us: int  # of a keyed one, its window
     claimed: bool = False
-    fate: str = CLAIMING
-    run: tuple[int, ...] = ()
-    told: tuple[tuple[str, tuple[int, ...]], ...] = ()
+    state: FailoverState = FailoverState.CLAIMING
+    start_indexes: tuple[int, ...] = ()
+    notified: tuple[tuple[str, tuple[int, ...]], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,14 +76,14 @@
 class SessionFailover:
     """One ended session's at this placer. The host calls it with time, mail and the word of custody."""
 
-    table: tuple[ReissueRow, ...] = TABLE
+    table: tuple[ReissueRow, ...] = REISSUE_TABLE
 
     def __init__(self, session: Session, epoch: int) -> None:
         self.session, self.epoch = session, epoch
-        self.timer = f"takeover/{session.text()}"
+        self.timer = f"failover/{session.text()}"
         self.cases: dict[str, FailoverCase] = {}
         self.ready: dict[str, None] = {}
-        self.inquiry = MachineQueries(epoch)
+        self.queries = MachineQueries(epoch)
         self._due: list[tuple[int, str]] = []
         self._timer_us: int | None = None
 
@@ -77,20 +94,18 @@
             case = FailoverCase(record, taking.epoch, now_us, window_until_us(record, now_us))
             self.cases[record.uid] = case
             self._inquire(now_us, case)
-            for at in (case.until_us, now_us + CLAIM_US):
+            for at in (case.window_until_us, now_us + MAX_CLAIM_WAIT_US):
                 heapq.heappush(self._due, (at, record.uid))
         return self._go_on(now_us, [each.record.uid for each in takings])
 
     def _inquire(self, now_us: int, case: FailoverCase) -> None:
         for known in case.record.tasks if case.record.effect == "unsafe" else ():
             if known.phase == "about":
-                self.inquiry.want(
-                    case.record.uid, known.index, known.machine, now_us - known.age_us
-                )
+                self.queries.add(case.record.uid, known.index, known.machine, now_us - known.age_us)
 
     # -- what it hears
 
-    def claimed(self, now_us: int, uid: str) -> list[Effect]:
+    def on_claimed(self, now_us: int, uid: str) -> list[Effect]:
         """All that may have a record of this Job have heard that it is held here."""
         case = self.cases.get(uid)
         if case is None or case.claimed:
@@ -98,7 +113,7 @@
         case.claimed = True
         return self._go_on(now_us, (uid,))
 
-    def later(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
+    def on_replica_record(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
         """What another keeper knew. Danger: this placer's own record may be of before an attempt left."""
         case = self.cases.get(record.uid)
         if case is None or case.claimed or record.epoch >= case.epoch:
@@ -109,7 +124,7 @@
             for each in record.tasks
         }
         tasks = {
-            index: merged(phase_of(case.record, index), known) for index, known in more.items()
+            index: worst_known(phase_of(case.record, index), known) for index, known in more.items()
         }
         tasks = {each.index: each for each in case.record.tasks} | tasks
         case.record = replace(
@@ -117,57 +132,57 @@
             tasks=tuple(tasks[index] for index in sorted(tasks)),
             answered=case.record.answered or record.answered,
         )
-        self.inquiry.forget(record.uid)
+        self.queries.forget(record.uid)
         self._inquire(now_us, case)
         return self._go_on(now_us, ())
 
-    def superseded(self, uid: str) -> None:
+    def remove(self, uid: str) -> None:
         """Another holds it by a later word, or it was deleted."""
         self.cases.pop(uid, None)
         self.ready.pop(uid, None)
-        self.inquiry.forget(uid)
+        self.queries.forget(uid)
 
-    def operator(self, now_us: int, uid: str) -> list[Effect]:
+    def on_operator_confirmation(self, now_us: int, uid: str) -> list[Effect]:
         """An operator answers for it that no task of this Job ever ran."""
         case = self.cases.get(uid)
-        if case is None or case.fate != ReissueDecision.UNKNOWN.value:
+        if case is None or case.state is not FailoverState.UNKNOWN:
             return []
         for index in range(case.record.count):
-            self.inquiry.answered(uid, index, "operator")
+            self.queries.set_answer(uid, index, "operator")
         return self._go_on(now_us, (uid,))
 
-    def places(self, now_us: int, askers: Iterable[str]) -> list[Effect]:
+    def on_placers(self, now_us: int, placers: Iterable[str]) -> list[Effect]:
         """Placers of the lost region that are there."""
-        return self._go_on(now_us, sorted(self.inquiry.places(tuple(sorted(askers)))))
+        return self._go_on(now_us, sorted(self.queries.set_placers(tuple(sorted(placers)))))
 
-    def on_message(self, now_us: int, message: MachineReport) -> list[Effect]:
+    def on_machine_report(self, now_us: int, message: MachineReport) -> list[Effect]:
         """A machine told, late or twice."""
-        uid = self.inquiry.on_message(now_us, message)
+        uid = self.queries.on_machine_report(now_us, message)
         return self._go_on(now_us, (uid,) if uid else ())
 
     def on_timer(self, now_us: int) -> list[Effect]:
         """Something is due."""
         self._timer_us = None
-        uids = self.inquiry.on_time(now_us)
+        uids = self.queries.on_timer(now_us)
         while self._due and self._due[0][0] <= now_us:
             uids.add(heapq.heappop(self._due)[1])
         return self._go_on(now_us, sorted(uids))
 
-    def give(self, uid: str) -> StartOrder:
+    def start(self, uid: str) -> StartOrder:
         """Start it: the core has it from now on."""
         del self.ready[uid]
         case = self.cases[uid]
-        case.fate = ReissueDecision.RUN.value
-        return StartOrder(case.record, case.epoch, case.run)
+        case.state = FailoverState.STARTED
+        return StartOrder(case.record, case.epoch, case.start_indexes)
 
     # -- inside
 
     def _judge(self, now_us: int, case: FailoverCase) -> dict[int, ReissueRow]:
         record = case.record
-        time = time_of(record, now_us, case.until_us)
+        time = key_window(record, now_us, case.window_until_us)
         out = {}
         for index in range(record.count):
-            phase, word = phase_of(record, index).phase, self.inquiry.word(record.uid, index)
+            phase, word = phase_of(record, index).phase, self.queries.answer(record.uid, index)
             out[index] = decide(record.effect, phase, word, time, self.table)
         return out
 
@@ -175,27 +190,23 @@
         out: list[Effect] = []
         for uid in uids:
             case = self.cases.get(uid)
-            if case is None or case.fate in (
-                ReissueDecision.RUN.value,
-                ReissueDecision.NOTHING.value,
-                READY,
-            ):
+            if case is None or case.state in FINAL_STATES:
                 continue
             found = self._judge(now_us, case)
-            sure = {row.verdict for row in found.values()} <= {
+            sure = {row.decision for row in found.values()} <= {
                 ReissueDecision.UNKNOWN,
                 ReissueDecision.NOTHING,
             }
             if (
                 sure
                 or case.claimed
-                or (case.record.effect == "safe" and now_us >= case.added_us + CLAIM_US)
+                or (case.record.effect == "safe" and now_us >= case.added_us + MAX_CLAIM_WAIT_US)
             ):
                 out += self._settle(case, found)
-        out += self.inquiry.mail(now_us)
+        out += self.queries.next_requests(now_us)
         due = [
             at
-            for at in (self.inquiry.due(), self._due[0][0] if self._due else None)
+            for at in (self.queries.next_deadline_us(), self._due[0][0] if self._due else None)
             if at is not None
         ]
         if due and (self._timer_us is None or min(due) < self._timer_us):
@@ -205,23 +216,23 @@
 
     def _settle(self, case: FailoverCase, found: dict[int, ReissueRow]) -> list[Effect]:
         """What is decided of a Job's tasks becomes its fate, told where it is another than before."""
-        verdicts = {row.verdict for row in found.values()}
-        for verdict in (ReissueDecision.ASK, ReissueDecision.WAIT):
+        verdicts = {row.decision for row in found.values()}
+        for verdict in (ReissueDecision.QUERY, ReissueDecision.WAIT):
             if verdict in verdicts:
-                case.fate = verdict.value
+                case.state = FailoverState(verdict.value)
                 return self._tell(case, found, (verdict,))
-        case.run = tuple(
-            index for index, row in found.items() if row.verdict is ReissueDecision.RUN
+        case.start_indexes = tuple(
+            index for index, row in found.items() if row.decision is ReissueDecision.RUN
         )
-        if case.run:
-            case.fate = READY
+        if case.start_indexes:
+            case.state = FailoverState.READY
             self.ready[case.record.uid] = None
         else:
-            case.fate = (
-                ReissueDecision.UNKNOWN
+            case.state = (
+                FailoverState.UNKNOWN
                 if ReissueDecision.UNKNOWN in verdicts
-                else ReissueDecision.NOTHING
-            ).value
+                else FailoverState.NOTHING
+            )
         return self._tell(
             case, found, (ReissueDecision.RUN, ReissueDecision.UNKNOWN, ReissueDecision.NOTHING)
         )
@@ -233,11 +244,11 @@
         out: list[Effect] = []
         told = []
         for each in which:
-            indexes = tuple(index for index, row in found.items() if row.verdict is each)
+            indexes = tuple(index for index, row in found.items() if row.decision is each)
             if not indexes:
                 continue
             told.append((each.value, indexes))
-            if (each.value, indexes) not in case.told:
+            if (each.value, indexes) not in case.notified:
                 out.append(
                     Notify(
                         "reissue",
@@ -251,10 +262,10 @@
                         },
                     )
                 )
-        case.told = tuple(told)
+        case.notified = tuple(told)
         return out
 
 
-def rank_of(case: FailoverCase) -> tuple[int, int, str]:
+def start_order_key(case: FailoverCase) -> tuple[int, int, str]:
     """As work comes, the least first: by priority, by how long its owner has waited for it, by name."""
     return -case.record.priority, case.added_us - case.record.born_age_us, case.record.key
--- a/wingbarrow/decide/sessions/messages.py
+++ b/wingbarrow/decide/sessions/messages.py
@@ -8,48 +8,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
-from wingbarrow.decide.quotas.limits import drifted_us
-
-FORM = 1
-LEASE_US = 10_000_000  # by default
-RIGHT = 0.8  # of the lease: until then a holder may send first bytes
-RECORD_MOST = 16 * 1024  # bytes of a Job's record, its manifest included
-KEEPERS_MOST = 2
-EFFECTS = ("unsafe", "keyed", "safe")
-OFFERED = "offered"  # to its keepers; its owner may yet be told that it is not accepted
-
-
-def right_us(lease_us: int) -> int:
-    """For how long after it asked a holder may send."""
-    return int(lease_us * RIGHT)
-
-
-def reckoned_us(lease_us: int, turn_us: int) -> int:
-    """For how long after a grant the voters reckon with its session: whoever asked did so before."""
-    return drifted_us(lease_us) + turn_us
-
-
-@dataclass(frozen=True, slots=True, order=True)
-class Session:
-    """Whose it is. As text `placer/life/serial`; lives grow."""
-
-    placer: str
-    life: int
-    serial: int
-
-    def text(self) -> str:
-        """As machines and annotations carry it."""
-        return f"{self.placer}/{self.life}/{self.serial}"
-
-
-def read_session(text: str) -> Session:
-    """ValueError for anything else."""
-    placer, life, serial = text.rsplit("/", 2)
-    if not placer or not life.isdecimal() or not serial.isdecimal():
-        raise ValueError(f"no session: {text[:80]!r}")
-    return Session(placer, int(life), int(serial))
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
+from wingbarrow.decide.sessions.session import EndedSession, Session
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,35 +35,8 @@
     deaf: bool = False  # no grant has come to it for so long that it may send nothing
 
 
-KEPT_MOST = 512
-
-
-@dataclass(frozen=True, slots=True)
-class EndedSession:
-    """A session that is over, by the voters' log. `epoch` counts ends, and changes of who succeeds.
-
-    `changed` is the epoch of its own latest change: whoever takes over acts under that, as it heard it. Later
-    successors come in later batches.
-
-    A Job's successor is the first of its keepers that stands in the earliest batch in which one of them stands and is
-    not `gone`: `successor` below, the same at everybody.
-    """
-
-    epoch: int
-    session: Session
-    region: str
-    batches: tuple[tuple[str, ...], ...] = ()
-    gone: tuple[str, ...] = ()  # successors whose own session has ended since
-    changed: int = 0
-
-
-def successor_of(ended: EndedSession, keepers: tuple[str, ...]) -> str:
-    """Who takes over a Job with these keepers; "" while nobody does."""
-    for batch in ended.batches:
-        for name in keepers:
-            if name in batch and name not in ended.gone:
-                return name
-    return ""
+MAX_HELD_SESSIONS = 512  # in one report
+MAX_RESOLVE_UIDS = 512  # in one request
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,52 +55,7 @@
     )
 
 
-ENDED_MOST = 64
-
-
-@dataclass(frozen=True, slots=True)
-class KnownTask:
-    """What a keeper knows of one task: its phase, at which machine, by which attempt, since when."""
-
-    index: int
-    phase: str  # none, about, placed, over; doubt: whoever says so took it over and cannot know
-    machine: str = ""
-    attempt: str = ""  # the pod's name
-    age_us: int = 0  # since the phase began, when this was said
-
-
-PHASES = ("none", "about", "doubt", "placed", "over")
-
-
-@dataclass(frozen=True, slots=True)
-class LeasedJobRecord:
-    """A leased Job as its keeper has it. Later `(epoch, version)` replaces earlier, whoever says it."""
-
-    form: int
-    uid: str
-    key: str  # namespace/name
-    session: Session  # that holds it
-    epoch: int  # at which it was taken over; 0 by its first placer
-    version: int  # counts changes within an epoch
-    region: str  # where it runs, and the machines are that its tasks name
-    spec: str  # name of its federation spec
-    effect: str
-    group: str  # of a keyed class: machine, cell, zone, all
-    window_us: int
-    after_us: int
-    priority: int
-    cores: float
-    memory: float
-    count: int
-    manifest: str  # the Job's JSON
-    keepers: tuple[str, ...]
-    answered: str  # by its first placer: OFFERED before its 201, then "", placed, refused or failed
-    born_age_us: int  # since it was accepted, when this was said
-    tasks: tuple[KnownTask, ...] = field(default=())
-    others: tuple[
-        str, ...
-    ] = ()  # placers that may have an older one, and have not forgotten it yet
-    moves: int = 0  # how often its keepers changed in this epoch; 0: nobody but `keepers` and `others` ever had it
+MAX_ENDED_PER_RESPONSE = 64
 
 
 # -- between holder and keeper, at most once, said again until answered
--- a/wingbarrow/decide/sessions/recovery.py
+++ b/wingbarrow/decide/sessions/recovery.py
@@ -13,18 +13,13 @@
 
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 from wingbarrow.decide.replication.replica import UNKNOWN_HERE
-from wingbarrow.decide.sessions.messages import (
-    KEPT_MOST,
-    EndedSession,
-    LeasedJobRecord,
-    ResolveRequest,
-    ResolveResponse,
-    Session,
-)
-from wingbarrow.decide.sessions.reissue import ReissueDecision, RunCopy, settle
+from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
+from wingbarrow.decide.sessions.messages import MAX_RESOLVE_UIDS, ResolveRequest, ResolveResponse
+from wingbarrow.decide.sessions.reissue import ReissueDecision, RunCopy, resolve_copies
+from wingbarrow.decide.sessions.session import EndedSession, Session
 
-ASK_US = 1_000_000  # between asks of a successor that has not answered
-NOBODY_US = 10_000_000  # for how long successors are looked for
+RESOLVE_RETRY_US = 1_000_000  # between asks of a successor that has not answered
+SUCCESSOR_SEARCH_US = 10_000_000  # for how long successors are looked for
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +27,7 @@
     """A Job as the one that came back has it."""
 
     record: LeasedJobRecord
-    runs: bool
+    is_running: bool
 
 
 class SessionRecovery:
@@ -40,7 +35,7 @@
 
     def __init__(self, me: str, session: Session, jobs: Mapping[str, OwnJob]) -> None:
         self.me, self.session = me, session
-        self.timer = f"healing/{session.text()}"
+        self.timer = f"recovery/{session.text()}"
         self.jobs = dict(jobs)
         self._asked: dict[str, set[str]] = {}  # by successor: uids that it has not told of
         self._numbers: dict[int, str] = {}
@@ -49,16 +44,16 @@
         self._nobody_us: int | None = None
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Whether nothing is left to be told."""
         return not self.jobs
 
-    def ended(self, now_us: int, ended: EndedSession) -> list[Effect]:
+    def on_session_ended(self, now_us: int, ended: EndedSession) -> list[Effect]:
         """Its end, and who succeeds; again where there are more."""
         # One whose session ended since may be there, and know who has what it had.
         names = {name for batch in ended.batches for name in batch} - {self.me}
         self._epoch = ended.epoch
-        self._nobody_us = self._nobody_us or now_us + NOBODY_US
+        self._nobody_us = self._nobody_us or now_us + SUCCESSOR_SEARCH_US
         for name in sorted(names - self._asked.keys()):
             self._asked[name] = set(self.jobs)
         return self.on_timer(now_us)
@@ -74,16 +69,20 @@
                     Send(
                         name,
                         "",
-                        ResolveRequest(self._number, self.session, tuple(sorted(uids))[:KEPT_MOST]),
+                        ResolveRequest(
+                            self._number, self.session, tuple(sorted(uids))[:MAX_RESOLVE_UIDS]
+                        ),
                     )
                 )
         while len(self._numbers) > 1024:
             del self._numbers[next(iter(self._numbers))]
         if self._nobody_us is not None and now_us >= self._nobody_us:
             out += self._nobody()
-        return [*out, SetTimer(self.timer, now_us + ASK_US)] if self.jobs else out
+        return [*out, SetTimer(self.timer, now_us + RESOLVE_RETRY_US)] if self.jobs else out
 
-    def on_message(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
+    def on_resolve_response(
+        self, now_us: int, ident: str, message: ResolveResponse
+    ) -> list[Effect]:
         """A successor told."""
         if self._numbers.pop(message.number, "") != ident or message.session != self.session:
             return []
@@ -96,10 +95,10 @@
             if fate == UNKNOWN_HERE or epoch <= own.record.epoch:
                 continue  # who has it at an earlier epoch, or at this, is no successor of it
             here, there = (
-                RunCopy(own.record.epoch, self.me, own.runs),
+                RunCopy(own.record.epoch, self.me, own.is_running),
                 RunCopy(epoch, ident, fate == "run"),
             )
-            mine, theirs, why = settle(own.record.effect, here, there)
+            mine, theirs, why = resolve_copies(own.record.effect, here, there)
             out.append(
                 Notify(
                     "settled",
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -11,7 +11,8 @@
 from enum import Enum
 
 from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.sessions.messages import PHASES, KnownTask, LeasedJobRecord, MachineReport
+from wingbarrow.decide.sessions.leased_job_record import TASK_PHASES, KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.messages import MachineReport
 
 EVERY = ("unsafe", "keyed", "safe")
 SAYS = ("unasked", "unreachable", "holds", "clear", "anew", "operator")
@@ -28,7 +29,7 @@
 
     RUN = "run"
     WAIT = "waiting"
-    ASK = "asked"
+    QUERY = "asked"
     UNKNOWN = "unknown"
     STOP = "stopped"
     NOTHING = "nothing"
@@ -39,14 +40,14 @@
     """The first row that fits holds; an empty column fits all. `why` names the danger, or the proof."""
 
     effects: tuple[str, ...]
-    knows: tuple[str, ...]
-    says: tuple[str, ...]
-    times: tuple[str, ...]
-    verdict: ReissueDecision
+    phases: tuple[str, ...]
+    answers: tuple[str, ...]
+    windows: tuple[str, ...]
+    decision: ReissueDecision
     why: str
 
 
-TABLE = (
+REISSUE_TABLE = (
     ReissueRow(
         ANY,
         ("over",),
@@ -135,7 +136,7 @@
         ("about",),
         ("unasked",),
         ANY,
-        ReissueDecision.ASK,
+        ReissueDecision.QUERY,
         "the attempt may have left, or may still be on its way: its machine has to refuse it first, and say",
     ),
     ReissueRow(
@@ -166,7 +167,7 @@
 
 
 def decide(
-    effect: str, knows: str, says: str, time: str, table: tuple[ReissueRow, ...] = TABLE
+    effect: str, knows: str, says: str, time: str, table: tuple[ReissueRow, ...] = REISSUE_TABLE
 ) -> ReissueRow:
     """The row that holds."""
     for row in table:
@@ -174,9 +175,9 @@
             not column or figure in column
             for column, figure in (
                 (row.effects, effect),
-                (row.knows, knows),
-                (row.says, says),
-                (row.times, time),
+                (row.phases, knows),
+                (row.answers, says),
+                (row.windows, time),
             )
         ):
             return row
@@ -194,7 +195,7 @@
     return heard_us + drifted_us(record.window_us)
 
 
-def time_of(record: LeasedJobRecord, now_us: int, until_us: int) -> str:
+def key_window(record: LeasedJobRecord, now_us: int, until_us: int) -> str:
     """As the table takes it."""
     if record.effect == "keyed" and record.group == "all" and _doubt(record):
         return "open"
@@ -205,29 +206,29 @@
     return any(each.phase == "doubt" for each in record.tasks)
 
 
-def said_of(says: MachineReport | None, age_us: int) -> str:
+def machine_answer(report: MachineReport | None, age_us: int) -> str:
     """What a machine's answer means for an attempt that could leave `age_us` ago at the earliest.
 
     Danger: "never had it" counts only where the machine remembers all of that time, by any clock.
     """
-    if says is None:
+    if report is None:
         return "unasked"
-    if not says.reached:
+    if not report.reached:
         return "unreachable"
-    if says.holds:
+    if report.holds:
         return "holds"
-    return "clear" if says.boot_age_us > drifted_us(age_us) else "anew"
+    return "clear" if report.boot_age_us > drifted_us(age_us) else "anew"
 
 
-def merged(mine: KnownTask, theirs: KnownTask) -> KnownTask:
+def worst_known(mine: KnownTask, theirs: KnownTask) -> KnownTask:
     """Of two words about one task, the one that says more: a successor goes by the worst that may be."""
-    if PHASES.index(theirs.phase) != PHASES.index(mine.phase):
-        return theirs if PHASES.index(theirs.phase) > PHASES.index(mine.phase) else mine
+    if TASK_PHASES.index(theirs.phase) != TASK_PHASES.index(mine.phase):
+        return theirs if TASK_PHASES.index(theirs.phase) > TASK_PHASES.index(mine.phase) else mine
     return theirs if theirs.age_us > mine.age_us else mine
 
 
 @dataclass(frozen=True, slots=True)
-class Heal:
+class RecoveryRow:
     """What becomes of two copies of one Job that both are believed in: the earlier's and the later's, by epoch."""
 
     effects: tuple[str, ...]
@@ -238,8 +239,8 @@
     why: str
 
 
-HEALING = (
-    Heal(
+RECOVERY_TABLE = (
+    RecoveryRow(
         ("unsafe",),
         True,
         True,
@@ -247,7 +248,7 @@
         ReissueDecision.RUN,
         "what must not start twice is never stopped to tidy up; told as a breach",
     ),
-    Heal(
+    RecoveryRow(
         ("unsafe",),
         True,
         False,
@@ -255,7 +256,7 @@
         ReissueDecision.NOTHING,
         "it runs where it ran: a second start, or a stop in its middle, would do harm",
     ),
-    Heal(
+    RecoveryRow(
         ("keyed", "safe"),
         True,
         True,
@@ -263,7 +264,7 @@
         ReissueDecision.RUN,
         "one copy is enough: the later epoch's",
     ),
-    Heal(
+    RecoveryRow(
         ("keyed", "safe"),
         True,
         False,
@@ -271,7 +272,7 @@
         ReissueDecision.WAIT,
         "a holder whose session was ended has no more say; its successor starts it",
     ),
-    Heal(
+    RecoveryRow(
         EVERY,
         False,
         True,
@@ -279,7 +280,7 @@
         ReissueDecision.RUN,
         "the later epoch's goes on",
     ),
-    Heal(
+    RecoveryRow(
         EVERY,
         False,
         False,
@@ -296,16 +297,16 @@
 
     epoch: int
     holder: str
-    runs: bool
+    is_running: bool
 
 
-def settle(
-    effect: str, mine: RunCopy, theirs: RunCopy, table: tuple[Heal, ...] = HEALING
+def resolve_copies(
+    effect: str, mine: RunCopy, theirs: RunCopy, table: tuple[RecoveryRow, ...] = RECOVERY_TABLE
 ) -> tuple[ReissueDecision, ReissueDecision, str]:
     """What becomes of mine, of theirs, and why. The greater epoch is the later; of one epoch the lesser name is."""
     if (mine.epoch, mine.holder) == (theirs.epoch, theirs.holder):
         return (
-            (ReissueDecision.RUN if mine.runs else ReissueDecision.WAIT),
+            (ReissueDecision.RUN if mine.is_running else ReissueDecision.WAIT),
             ReissueDecision.NOTHING,
             "they are the same",
         )
@@ -313,8 +314,8 @@
     first, second = (theirs, mine) if later else (mine, theirs)
     for row in table:
         if effect in row.effects and (row.earlier_runs, row.later_runs) == (
-            first.runs,
-            second.runs,
+            first.is_running,
+            second.is_running,
         ):
             return (row.later, row.earlier, row.why) if later else (row.earlier, row.later, row.why)
     raise ValueError(f"no row for {effect}")
@@ -325,22 +326,22 @@
     return (*(-ord(each) for each in name), 1)
 
 
-def rows() -> list[tuple[str, ...]]:
+def reissue_rows() -> list[tuple[str, ...]]:
     """The table as text, for docs: effect, what the keeper knows, what machines tell, time, verdict, why."""
     return [
         (
             *(
                 ", ".join(column) or "any"
-                for column in (row.effects, row.knows, row.says, row.times)
+                for column in (row.effects, row.phases, row.answers, row.windows)
             ),
-            row.verdict.value,
+            row.decision.value,
             row.why,
         )
-        for row in TABLE
+        for row in REISSUE_TABLE
     ]
 
 
-def healing_rows() -> list[tuple[str, ...]]:
+def recovery_rows() -> list[tuple[str, ...]]:
     """The table of healing as text: effect, earlier runs, later runs, what becomes of each, why."""
     return [
         (
@@ -351,7 +352,7 @@
             row.later.value,
             row.why,
         )
-        for row in HEALING
+        for row in RECOVERY_TABLE
     ]
 
 
@@ -364,9 +365,10 @@
         )
 
     first = table(
-        ("effect", "the keeper knows", "the machine tells", "time", "verdict", "why"), rows()
+        ("effect", "the keeper knows", "the machine tells", "time", "verdict", "why"),
+        reissue_rows(),
     )
     second = table(
-        ("effect", "earlier runs", "later runs", "the earlier", "the later", "why"), healing_rows()
+        ("effect", "earlier runs", "later runs", "the earlier", "the later", "why"), recovery_rows()
     )
     return f"{first}\n\n{second}\n"
--- a/wingbarrow/decide/sessions/session_log.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -11,17 +11,19 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.sessions.messages import EndedSession, Session, read_session
-
-OPEN_MOST = 1024  # sessions at a time
-LIVES_MOST = 8  # of them of one placer, the present and those whose reckoning is not over
-LATEST_MOST = 2048  # placers of which it is known how far their sessions have come
-ENDED_KEPT = 256  # ends; those whose last change is the oldest are forgotten first
-ENDED_CHARS = (
+from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
+
+MAX_OPEN_SESSIONS = 1024  # sessions at a time
+MAX_OPEN_SESSIONS_PER_PLACER = (
+    8  # of them of one placer, the present and those whose reckoning is not over
+)
+MAX_LATEST_SESSIONS = 2048  # placers of which it is known how far their sessions have come
+MAX_ENDED_SESSIONS = 256  # ends; those whose last change is the oldest are forgotten first
+MAX_ENDED_CHARS = (
     96 * 1024
 )  # of all their successors' names and sessions: a snapshot goes with one mail
-SUCCESSORS_MOST = 64  # in one batch
-BATCHES_MOST = 32  # of one end
+MAX_SUCCESSORS_PER_BATCH = 64  # in one batch
+MAX_BATCHES_PER_END = 32  # of one end
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,11 +50,11 @@
     open: dict[Session, OpenSession] = field(default_factory=dict)
     latest: dict[str, LatestSession] = field(default_factory=dict)
     ended: dict[Session, EndedSession] = field(default_factory=dict)
-    by: dict[Session, dict[str, Session]] = field(default_factory=dict)
+    joined_by: dict[Session, dict[str, Session]] = field(default_factory=dict)
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """Take one entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
-        session = read_session(str(value["session"]))
+        session = parse_session(str(value["session"]))
         if kind == "opened":
             self._opened(
                 session,
@@ -60,17 +62,20 @@
                 OpenSession(str(value["region"]), int(value["lease_us"])),
             )
         elif kind in ("ended", "succeed"):
-            successors = [read_session(str(each)) for each in value["successors"]]
+            successors = [parse_session(str(each)) for each in value["successors"]]
             if kind == "ended":
                 self._ended(session, successors)
             elif session in self.ended:
                 self._join(session, successors)
 
-    def may_open(self, placer: str) -> bool:
+    def can_open(self, placer: str) -> bool:
         """Whether there is room for another session of a placer."""
-        return len(self.open) < OPEN_MOST and self.lives(placer) < LIVES_MOST
+        return (
+            len(self.open) < MAX_OPEN_SESSIONS
+            and self.open_count(placer) < MAX_OPEN_SESSIONS_PER_PLACER
+        )
 
-    def lives(self, placer: str) -> int:
+    def open_count(self, placer: str) -> int:
         """How many sessions of a placer are open."""
         return sum(each.placer == placer for each in self.open)
 
@@ -80,7 +85,7 @@
         if (
             (held is not None and session <= held.session)
             or session in self.open
-            or not self.may_open(session.placer)
+            or not self.can_open(session.placer)
         ):
             return
         if terms.lease_us <= 0:
@@ -88,7 +93,7 @@
         self.open[session] = terms
         self.latest.pop(session.placer, None)  # the last to come stands last
         self.latest[session.placer] = LatestSession(process, session)
-        if len(self.latest) > LATEST_MOST:
+        if len(self.latest) > MAX_LATEST_SESSIONS:
             # Whoever is forgotten begins after the serial that it states itself: nothing is opened twice.
             present = {each.placer for each in self.open}
             del self.latest[next(name for name in self.latest if name not in present)]
@@ -99,8 +104,8 @@
             return
         self.epoch += 1
         self.ended[session] = EndedSession(self.epoch, session, terms.region, changed=self.epoch)
-        self.by[session] = {}
-        for other, by in self.by.items():
+        self.joined_by[session] = {}
+        for other, by in self.joined_by.items():
             if by.get(session.placer) == session:
                 held = self.ended[other]
                 self.epoch += 1
@@ -112,16 +117,16 @@
         self._forget()
 
     def _join(self, session: Session, successors: list[Session]) -> None:
-        held, by = self.ended[session], self.by[session]
+        held, by = self.ended[session], self.joined_by[session]
         new = {
             each.placer: each
-            for each in sorted(successors)[:SUCCESSORS_MOST]
+            for each in sorted(successors)[:MAX_SUCCESSORS_PER_BATCH]
             if each in self.open
             and each.placer != session.placer
             and by.get(each.placer) != each
             and (each.placer not in by or each.placer in held.gone)
         }
-        if not new or len(held.batches) >= BATCHES_MOST:
+        if not new or len(held.batches) >= MAX_BATCHES_PER_END:
             return
         # One that was gone stands in the new batch alone: what fell to others meanwhile stays theirs.
         batches = [tuple(name for name in batch if name not in new) for batch in held.batches]
@@ -136,12 +141,17 @@
         self._forget()
 
     def _forget(self) -> None:
-        chars = {session: sum(2 * len(name) + 40 for name in by) for session, by in self.by.items()}
+        chars = {
+            session: sum(2 * len(name) + 40 for name in by)
+            for session, by in self.joined_by.items()
+        }
         total = sum(chars.values())
-        while len(self.ended) > ENDED_KEPT or (total > ENDED_CHARS and len(self.ended) > 1):
+        while len(self.ended) > MAX_ENDED_SESSIONS or (
+            total > MAX_ENDED_CHARS and len(self.ended) > 1
+        ):
             oldest = min(self.ended.values(), key=lambda each: each.changed).session
             total -= chars[oldest]
-            del self.ended[oldest], self.by[oldest]
+            del self.ended[oldest], self.joined_by[oldest]
 
     # -- snapshots
 
@@ -163,7 +173,7 @@
                         each.batches,
                         each.gone,
                         each.changed,
-                        [by.text() for by in self.by[each.session].values()],
+                        [by.text() for by in self.joined_by[each.session].values()],
                     ]
                     for each in self.ended.values()
                 ],
@@ -172,7 +182,7 @@
         )
 
 
-def from_text(text: str) -> SessionLog:
+def parse_session_log(text: str) -> SessionLog:
     """What `text` gave; an empty one is the state at the beginning."""
     out = SessionLog()
     if not text:
@@ -180,16 +190,16 @@
     value = json.loads(text)
     out.epoch = value["epoch"]
     out.open = {
-        read_session(name): OpenSession(region, lease) for name, region, lease in value["open"]
+        parse_session(name): OpenSession(region, lease) for name, region, lease in value["open"]
     }
     for process, name in value["latest"]:
-        session = read_session(name)
+        session = parse_session(name)
         out.latest[session.placer] = LatestSession(process, session)
     for epoch, name, region, batches, gone, changed, by in value["ended"]:
-        session = read_session(name)
+        session = parse_session(name)
         out.ended[session] = EndedSession(
             epoch, session, region, tuple(tuple(each) for each in batches), tuple(gone), changed
         )
-        joined = [read_session(each) for each in by]
-        out.by[session] = {each.placer: each for each in joined}
+        joined = [parse_session(each) for each in by]
+        out.joined_by[session] = {each.placer: each for each in joined}
     return out
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -15,17 +15,11 @@
 from wingbarrow.decide.replication.records import ReplicationLimits
 from wingbarrow.decide.replication.replicator import Replicator
 from wingbarrow.decide.sessions.failover import StartOrder
-from wingbarrow.decide.sessions.failover_pace import Pace, reissue_within_us
-from wingbarrow.decide.sessions.messages import (
-    FORM,
-    EndedSession,
-    KnownTask,
-    LeasedJobRecord,
-    MachineReport,
-    Session,
-    reckoned_us,
-    right_us,
-)
+from wingbarrow.decide.sessions.failover_pace import FailoverPace, reissue_within_us
+from wingbarrow.decide.sessions.lease_times import holder_lease_us, voter_lease_us
+from wingbarrow.decide.sessions.leased_job_record import RECORD_FORMAT, KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.messages import MachineReport
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
@@ -34,14 +28,16 @@
 WINDOW_US = 12 * SECOND  # of a key: longer than a take-over needs
 WAIT_US = 5 * SECOND  # for a keeper's word
 FAR_US = 10_000  # one way between regions
-RECKONED_US = reckoned_us(LEASE_US, TURN_US)
+RECKONED_US = voter_lease_us(LEASE_US, TURN_US)
 SOUGHT_US = 500_000  # between a placer's looks at who is there
 UNSEEN_US = 3 * SECOND  # until one that is cut off is not seen any more
 
 
 def stated_us(jobs: int) -> int:
     """From a region's loss to the last start of its safe Jobs elsewhere, where there is room, all at one successor."""
-    return reissue_within_us(LEASE_US, TURN_US, AFTER_US, ASK_US, 0, jobs, Pace(), 2 * FAR_US)
+    return reissue_within_us(
+        LEASE_US, TURN_US, AFTER_US, ASK_US, 0, jobs, FailoverPace(), 2 * FAR_US
+    )
 
 
 @dataclass(slots=True)
@@ -185,7 +181,7 @@
         def go(now: int, good: bool, why: str) -> list[Effect]:
             if self.jobs.get(uid) is not held:
                 return []
-            if good and now < self.until_us - LEASE_US + right_us(
+            if good and now < self.until_us - LEASE_US + holder_lease_us(
                 LEASE_US
             ):  # the gate, right before the first byte
                 self.world.offer(self, held, index, machine)
@@ -429,7 +425,7 @@
         if name in self.members and name not in self.stopped:
             core = self.members[name]
             record = LeasedJobRecord(
-                FORM,
+                RECORD_FORMAT,
                 uid,
                 f"shop/{uid}",
                 core.session,
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -4,7 +4,7 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.sessions.messages import reckoned_us
+from wingbarrow.decide.sessions.lease_times import voter_lease_us
 
 TURN_US = 10_000  # the hub's longest turn, between the gate and the write
 LOOKS = 8  # in a lease: how often a leader looks at sessions at least
@@ -18,15 +18,17 @@
 def reissued_within_us(lease_us: int, after_us: int, jobs: int, times: Timing) -> int:
     """From a region's loss until the last of so many safe runs of it stands elsewhere, where there is room.
 
-    A leader is elected where it went with the region; by it the session lapses (`reckoned_us`, or `after_us`), which
+    A leader is elected where it went with the region; by it the session lapses (`voter_lease_us`, or `after_us`), which
     it sees at one of its looks and has decided in one round; each successor hears with its next grant, claims, and
     gives its Jobs to the core in order, which has them started.
     """
-    ended = max(reckoned_us(lease_us, TURN_US), drifted_us(after_us)) + lease_us // LOOKS + ROUND_US
+    ended = (
+        max(voter_lease_us(lease_us, TURN_US), drifted_us(after_us)) + lease_us // LOOKS + ROUND_US
+    )
     paced = EVERY_US * (1 + (jobs + STARTS - 1) // STARTS)
     return times.needless_us() + ended + 2 * times.grant_us // 3 + CLAIM_US + paced + START_US
 
 
 def reissued_after_us(lease_us: int, after_us: int, times: Timing) -> int:
     """No sooner than this after a session's holder was surely renewed: the last grant before is at most a grant old."""
-    return max(reckoned_us(lease_us, TURN_US), after_us) - drifted_us(times.grant_us)
+    return max(voter_lease_us(lease_us, TURN_US), after_us) - drifted_us(times.grant_us)
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -4,7 +4,7 @@
 
 from wingbarrow.config import PlacerSettings, load_file
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.sessions.messages import right_us
+from wingbarrow.decide.sessions.lease_times import holder_lease_us
 from wingbarrow.interface import Effect, Place
 from wingbarrow.lab.fleet.judging.formulas import reissued_after_us
 from wingbarrow.lab.fleet.judging.jobs import Begun, Job, Jobs
@@ -109,7 +109,7 @@
 
     def judge(self) -> None:
         """Judge them."""
-        run, right = self._run, right_us(self._run.lease_us) + self._run.slack_us
+        run, right = self._run, holder_lease_us(self._run.lease_us) + self._run.slack_us
         for each in run.records:
             data = each.data
             if each.what == "offer" and data.get("session") and not data["late"]:
--- a/wingbarrow/lab/fleet/leasehold.py
+++ b/wingbarrow/lab/fleet/leasehold.py
@@ -9,7 +9,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from wingbarrow.decide.sessions.messages import EndedSession, HeldRecords, Session
+from wingbarrow.decide.sessions.messages import HeldRecords
+from wingbarrow.decide.sessions.session import EndedSession, Session
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -13,13 +13,11 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.sessions.messages import HeldRecords, Session, read_session
-from wingbarrow.decide.sessions.sessions import (
-    SessionLease,
-    SessionSubsystem,
-    deaf_us,
-    ended_within_us,
-)
+from wingbarrow.decide.sessions.lease_times import ended_within_us, one_way_renewal_us
+from wingbarrow.decide.sessions.messages import HeldRecords
+from wingbarrow.decide.sessions.session import Session, parse_session
+from wingbarrow.decide.sessions.session_lease import SessionLease
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -56,7 +54,7 @@
         """As it is, and told."""
         super().apply(kind, value)
         if kind == "ended":
-            self._owner.on_decided(read_session(value["session"]), tuple(value["successors"]))
+            self._owner.on_decided(parse_session(value["session"]), tuple(value["successors"]))
 
 
 @dataclass(slots=True)
@@ -119,9 +117,11 @@
         """An agreement with sessions; what a life kept for others is gone with it."""
         lease, self.kept[name] = SessionLease(name, self.region(name)), {}
         self.leases[name] = lease
-        lease.leased = lambda: 1
-        lease.keeping = lambda: tuple(
-            HeldRecords(session, 1, self.after_us) for session in sorted(self.kept[name])
+        lease.report_jobs(
+            count_leased=lambda: 1,
+            held_records=lambda: tuple(
+                HeldRecords(session, 1, self.after_us) for session in sorted(self.kept[name])
+            ),
         )
         chapters = (Decided(self, self.lease_us),) if name in self.voters else ()
         if chapters:
@@ -186,7 +186,7 @@
         """Effects, with what is told about ends looked at."""
         for each in effects:
             if isinstance(each, Notify) and each.event == "session-ended":
-                self._on_told(name, read_session(each.fields["session"]))
+                self._on_told(name, parse_session(each.fields["session"]))
         super().act(name, effects)
 
     def _on_told(self, name: str, session: Session) -> None:
@@ -218,9 +218,9 @@
         life = self.life(session)
         self.sends += 1
         life.sent_us = self.now_us + HOLD_US
-        life.asked_us = self.now_us - (local - lease.asked_us)
+        life.asked_us = self.now_us - (local - lease.requested_us)
         life.runs_us = max(
-            life.runs_us, self.now_us + int((lease.runs_until_us - local) / (1 - SLOW))
+            life.runs_us, self.now_us + int((lease.machine_lease_until_us - local) / (1 - SLOW))
         )
         if life.told_us is not None or life.decided_us is not None:
             self.faults.append(
@@ -297,7 +297,7 @@
                 not self.cut(name, each) and (each == leader or self.in_touch(each, leader))
                 for each in self.voters
             ):
-                most += deaf_us(self.lease_us)  # it may be heard, and not hear
+                most += one_way_renewal_us(self.lease_us)  # it may be heard, and not hear
             spent = self.now_us - held.since_us
             if spent > most + SLACK_US:
                 self.faults.append(
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
 from wingbarrow.decide.regions.reports import RegionSubsystem
-from wingbarrow.decide.sessions.sessions import SessionSubsystem
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
 
 
@@ -66,7 +66,7 @@
     assert agree is not None
     named = tuple(sorted({region for name, region in agree.regions if name not in agree.bare}))
     sessions, regions = SessionSubsystem(agree.lease_us), RegionSubsystem(agree.lease_us, named)
-    turns.held_back = regions.held_machines
+    turns.held_back = regions.reserved_machines
     sessions.counts = counts
     return Coordinator(
         settings.name,
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -21,8 +21,8 @@
 from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
 from wingbarrow.decide.regions.forwarding import Target
 from wingbarrow.decide.regions.reports import RegionMember
-from wingbarrow.decide.sessions.messages import EndedSession, Session, read_session
-from wingbarrow.decide.sessions.sessions import SessionLease
+from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
+from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.peers.coordinator_setup import agreement_of, turns_of, voter_store
 from wingbarrow.peers.history import History
 from wingbarrow.peers.mailbox import Post
@@ -219,7 +219,7 @@
                 self.act(
                     "rules", self.agreement.on_message(now, mail.sender, mail.address, message)
                 )
-                self.act("rules", self.lease.look(now))
+                self.act("rules", self.lease.check_expiry(now))
             else:
                 self.counts["peers:letters about rules, which are not agreed on here"] += 1
 
@@ -281,7 +281,7 @@
             self.act(machine, self._hosted[machine].on_timer(now, key))
         elif self.agreement is not None:
             self.act(machine, self.agreement.on_timer(now, key))
-            self.act(machine, self.lease.look(now))
+            self.act(machine, self.lease.check_expiry(now))
 
     def _tell(self, machine: str, tell: Notify) -> None:
         if machine == "members":
@@ -296,12 +296,12 @@
             self.on_rules(str(tell.fields["label"]), str(tell.fields["rules"]))
         elif tell.event == "session":
             self.on_session(
-                read_session(tell.fields["session"]),
+                parse_session(tell.fields["session"]),
                 bool(tell.fields["open"]),
                 int(tell.fields["epoch"]),
             )
         elif tell.event == "session-ended":
-            self.on_ended(self.lease.ended[read_session(tell.fields["session"])])
+            self.on_ended(self.lease.ended[parse_session(tell.fields["session"])])
         elif tell.event == "rights":
             self.on_rights()
         elif tell.event == "verdicts":
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
-from wingbarrow.decide.sessions.messages import EndedSession, Session
-from wingbarrow.decide.sessions.sessions import SessionSubsystem
+from wingbarrow.decide.sessions.session import EndedSession, Session
+from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -53,11 +53,11 @@
         assert isinstance(sessions, SessionSubsystem)
         log, items = sessions.log, []
         for session, terms in sorted(log.open.items()):
-            renewed, said = sessions.renewed_us.get(session), sessions.says.get(session.placer)
+            renewed, said = sessions.renewed_us.get(session), sessions.reports.get(session.placer)
             item = self._lease(session, terms.region, "open", terms.lease_us, renewed, log.epoch)
             item["status"] |= {
-                "lives": sessions.lives(now, session),
-                "reckonedLeftUs": max(0, sessions.until_us(session) - now),
+                "lives": sessions.is_live(now, session),
+                "reckonedLeftUs": max(0, sessions.lease_until_us(session) - now),
             }
             if said is not None:
                 item["status"] |= {
@@ -78,10 +78,15 @@
             state = "open" if lease.may_send(self._hub.now_us()) else "lapsed"
             items.append(
                 self._lease(
-                    lease.session, lease.region, state, lease.lease_us, lease.asked_us, lease.heard
+                    lease.session,
+                    lease.region,
+                    state,
+                    lease.lease_us,
+                    lease.requested_us,
+                    lease.known_epoch,
                 )
             )
-        return lease.heard, items + [
+        return lease.known_epoch, items + [
             self._over(each) for each in sorted(lease.ended.values(), key=lambda one: one.epoch)
         ]
 
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -17,22 +17,28 @@
     RegionView,
 )
 from wingbarrow.decide.regions import forwarding as handing
-from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionReport, RegionSummary
+from wingbarrow.decide.regions.reports import (
+    MAX_LEASED_SPECS,
+    MAX_REGIONS,
+    RegionReport,
+    RegionSummary,
+)
 from wingbarrow.decide.sessions import messages as leasing
-from wingbarrow.decide.sessions.messages import (
+from wingbarrow.decide.sessions.leased_job_record import (
     EFFECTS,
-    ENDED_MOST,
-    KEEPERS_MOST,
-    KEPT_MOST,
-    PHASES,
-    RECORD_MOST,
-    EndedSession,
+    MAX_RECORD_BYTES,
+    MAX_REPLICAS,
+    TASK_PHASES,
     LeasedJobRecord,
-    Session,
+)
+from wingbarrow.decide.sessions.messages import (
+    MAX_ENDED_PER_RESPONSE,
+    MAX_HELD_SESSIONS,
     SessionsReport,
     SessionsResponse,
 )
-from wingbarrow.decide.sessions.session_log import BATCHES_MOST, SUCCESSORS_MOST
+from wingbarrow.decide.sessions.session import EndedSession, Session
+from wingbarrow.decide.sessions.session_log import MAX_BATCHES_PER_END, MAX_SUCCESSORS_PER_BATCH
 
 NAME_MOST = 253
 KEY_MOST = 2 * NAME_MOST + 1
@@ -74,7 +80,7 @@
         if message.turns is not None and not _turns_told(message.turns):
             return "turns: more than there can be, a name too long or a number out of range"
         if message.regions is not None and not (
-            len(message.regions) <= REGIONS_MOST and all(map(_region_told, message.regions))
+            len(message.regions) <= MAX_REGIONS and all(map(_region_told, message.regions))
         ):
             return "regions: more than there can be, a name too long or a figure out of range"
     elif isinstance(message, HANDING):
@@ -118,7 +124,7 @@
     return (
         _names(said.region)
         and _figures(said.serial, said.leased, said.heard)
-        and len(said.keeping) <= KEPT_MOST
+        and len(said.keeping) <= MAX_HELD_SESSIONS
         and len({each.session for each in said.keeping}) == len(said.keeping)
         and all(
             _session(each.session) and _figures(each.jobs, each.after_us) for each in said.keeping
@@ -131,9 +137,11 @@
         _figures(ended.epoch, ended.changed)
         and _session(ended.session)
         and _names(ended.region, *ended.gone)
-        and len(ended.batches) <= BATCHES_MOST
-        and len(ended.gone) <= BATCHES_MOST * SUCCESSORS_MOST
-        and all(len(batch) <= SUCCESSORS_MOST and _names(*batch) for batch in ended.batches)
+        and len(ended.batches) <= MAX_BATCHES_PER_END
+        and len(ended.gone) <= MAX_BATCHES_PER_END * MAX_SUCCESSORS_PER_BATCH
+        and all(
+            len(batch) <= MAX_SUCCESSORS_PER_BATCH and _names(*batch) for batch in ended.batches
+        )
     )
 
 
@@ -141,7 +149,7 @@
     return (
         _figures(told.serial, told.epoch, told.life)
         and 0 < told.lease_us < FIGURE_MOST
-        and len(told.ended) <= ENDED_MOST
+        and len(told.ended) <= MAX_ENDED_PER_RESPONSE
         and all(map(_ended, told.ended))
     )
 
@@ -200,7 +208,7 @@
     return (
         0 < len(said.region) <= NAME_MOST
         and _figures(said.came, said.refused, said.machines)
-        and len(said.leased) <= LEASED_MOST
+        and len(said.leased) <= MAX_LEASED_SPECS
         and all(
             _names(spec) and 0 <= cores < 1e12 and 0 <= memory < 1e12
             for spec, cores, memory in said.leased
@@ -215,7 +223,7 @@
 def _region_told(told: RegionSummary) -> bool:
     return (
         _names(told.region, *told.placers)
-        and len(told.placers) <= REGIONS_MOST
+        and len(told.placers) <= MAX_REGIONS
         and _figures(told.age_us, told.refusing_us, told.stable_us)
         and all(
             -1e12 < figure < 1e12
@@ -234,7 +242,7 @@
     return (
         _figures(message.life, message.hops, message.left_us)
         and _names(message.spec)
-        and len(message.manifest) <= handing.MANIFEST_MOST
+        and len(message.manifest) <= handing.MAX_MANIFEST_CHARS
     )
 
 
@@ -253,17 +261,17 @@
         and 0 < len(record.key) <= KEY_MOST
         and _session(record.session)
         and _names(record.region, record.spec, record.group, record.answered, *record.keepers)
-        and len(record.keepers) <= KEEPERS_MOST
+        and len(record.keepers) <= MAX_REPLICAS
         and record.effect in EFFECTS
         and abs(record.priority) < FIGURE_MOST
         and 0 <= record.cores < 1e9
         and 0 <= record.memory < 1e9
-        and len(record.manifest) <= RECORD_MOST
-        and len(record.manifest.encode()) <= RECORD_MOST
+        and len(record.manifest) <= MAX_RECORD_BYTES
+        and len(record.manifest.encode()) <= MAX_RECORD_BYTES
         and len(record.tasks) <= TASKS_MOST
         and all(
             _figures(each.index, each.age_us)
-            and each.phase in PHASES
+            and each.phase in TASK_PHASES
             and _names(each.machine, each.attempt)
             for each in record.tasks
         )
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -13,20 +13,18 @@
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.replication.replicator import Replicator
 from wingbarrow.decide.sessions.failover import StartOrder
-from wingbarrow.decide.sessions.failover_pace import Pace
+from wingbarrow.decide.sessions.failover_pace import FailoverPace
+from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import (
-    EndedSession,
-    KnownTask,
-    LeasedJobRecord,
     MachineQuery,
     MachineReport,
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
     ResolveResponse,
-    Session,
 )
 from wingbarrow.decide.sessions.recovery import OwnJob
+from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub, Signal
 
@@ -40,7 +38,7 @@
     MachineReport,
 )
 LOOK_US = 200_000  # between two looks at who lives
-PACE = Pace(
+PACE = FailoverPace(
     8, 25_000, 16, 5_000
 )  # what is done in one go holds up all else: a start 0.6 ms, a take-over 0.4 ms
 OVERDUE_US = 2_000_000  # after its deadline a token counts as not good, whatever holds its word up
@@ -67,8 +65,10 @@
             lambda session: {}
         )  # Jobs of a session of this placer's
         peering.host(NAME, self, KINDS)
-        peering.lease.leased = lambda: len(self.custodian.custody.jobs)
-        peering.lease.keeping = self.custodian.keeping.kept
+        peering.lease.report_jobs(
+            count_leased=lambda: len(self.custodian.custody.jobs),
+            held_records=self.custodian.keeping.kept,
+        )
         peering.on_session, peering.on_ended = self._session, self._ended
 
     def run(self) -> None:
@@ -215,5 +215,5 @@
             self.give(self.custodian.begin(self._hub.now_us(), session))
 
     def _ended(self, ended: EndedSession) -> None:
-        runs = {uid for uid, own in self.own(ended.session).items() if own.runs}
+        runs = {uid for uid, own in self.own(ended.session).items() if own.is_running}
         self.give(self.custodian.over(self._hub.now_us(), ended, runs))
