--- a/tests/wire/test_status_golden.py
+++ b/tests/wire/test_status_golden.py
@@ -29,7 +29,7 @@
     "failed-and-refused": ((Step.FAIL,), (Step.REFUSE,), (Step.PLACE, Step.DONE)),
     "lost": ((Step.PLACE, Step.LOSE),),
     "one-lost": ((Step.PLACE, Step.LOSE), (Step.PLACE, Step.DONE)),
-    "waits": ((Step.PLACE, Step.WAIT),),
+    "waits": ((Step.PLACE, Step.SCHEDULE_RETRY),),
     "stopped": ((Step.PLACE, Step.STOP),),
 }
 
@@ -60,8 +60,8 @@
         write_status(job, WALL_US)
         for task, steps in zip(job.tasks, rows, strict=True):
             for number, step in enumerate(steps):
-                task.last = f"words on {step.value}"
-                assert store.step(task, step), (name, step)
+                task.last_outcome = f"words on {step.value}"
+                assert store.transition(task, step), (name, step)
                 write_status(job, WALL_US + (number + 1) * 1_000_000)
         lines.append(names.encode(job.value))
     assert_golden("rest/job-status.jsonl", b"\n".join([*lines, b""]))
@@ -76,21 +76,21 @@
         ({"wingbarrow.io/TakenOver": ("Run", "words")}, (Step.ADOPT,)),
     ):
         store, job = job_of("former", 1, adopted=True)
-        job.notes.update(notes)
+        job.conditions.update(notes)
         for step in steps:
-            job.tasks[0].last = "its words"
-            assert store.step(job.tasks[0], step), step
+            job.tasks[0].last_outcome = "its words"
+            assert store.transition(job.tasks[0], step), step
             write_status(job, WALL_US)
         lines.append(names.encode(job.value))
     store, job = job_of("lease-lost", 1)
     job.lease_lost = True
-    job.tasks[0].last = "no keeper said so in time"
-    assert store.step(job.tasks[0], Step.FAIL)
+    job.tasks[0].last_outcome = "no keeper said so in time"
+    assert store.transition(job.tasks[0], Step.FAIL)
     write_status(job, WALL_US)
     lines.append(names.encode(job.value))
-    job.notes["wingbarrow.io/Unknown"] = ("First", "words")
+    job.conditions["wingbarrow.io/Unknown"] = ("First", "words")
     write_status(job, WALL_US)
-    job.notes["wingbarrow.io/Unknown"] = ("Second", "other words")
+    job.conditions["wingbarrow.io/Unknown"] = ("Second", "other words")
     write_status(job, WALL_US + 5_000_000)
     lines.append(names.encode(job.value))
     assert_golden("rest/job-status-former.jsonl", b"\n".join([*lines, b""]))
