--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -22,7 +22,7 @@
     RelayedRequest,
     Timing,
 )
-from wingbarrow.decide.coordination.subsystem import MemberSubsystem, ReplicatedSubsystem
+from wingbarrow.decide.coordination.subsystem import AnyMemberSubsystem, AnyReplicatedSubsystem
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
@@ -44,8 +44,8 @@
         seed: int,
         times: Timing = Timing(),
         life: int = 0,
-        chapters: tuple[ReplicatedSubsystem, ...] = (),
-        sides: tuple[MemberSubsystem, ...] = (),
+        chapters: tuple[AnyReplicatedSubsystem, ...] = (),
+        sides: tuple[AnyMemberSubsystem, ...] = (),
     ) -> None:
         self.me, self.times, self.named = me, times, voters
         self.raft = (
@@ -53,7 +53,7 @@
         )
         self.agreed = RuleSetState()
         self.blocks = AllocationLedger(times.grant_us)
-        self.chapters: dict[str, ReplicatedSubsystem] = {
+        self.chapters: dict[str, AnyReplicatedSubsystem] = {
             each.name: each for each in (self.blocks, *chapters)
         }
         self._due: dict[str, int] = {}
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -21,7 +21,7 @@
     RelayedGrant,
     Timing,
 )
-from wingbarrow.decide.coordination.subsystem import ReplicatedSubsystem
+from wingbarrow.decide.coordination.subsystem import AnyReplicatedSubsystem
 from wingbarrow.decide.effects import Effect, Send, SetTimer
 from wingbarrow.decide.outliers.ejection import OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
@@ -79,7 +79,7 @@
         owner: LeaderHost,
         times: Timing,
         blocks: AllocationLedger,
-        chapters: tuple[ReplicatedSubsystem, ...],
+        chapters: tuple[AnyReplicatedSubsystem, ...],
         take_grant: Callable[[int, LeaseGrant], list[Effect]],
     ) -> None:
         self._owner, self.times, self.chapters, self._take_grant = (
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader, Timing
-from wingbarrow.decide.coordination.subsystem import MemberSubsystem
+from wingbarrow.decide.coordination.subsystem import AnyMemberSubsystem
 from wingbarrow.decide.effects import Effect, Notify, SetTimer
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver
 from wingbarrow.decide.quotas.escrow import QuotaAccount
@@ -36,7 +36,7 @@
         times: Timing,
         life: int,
         timer: Callable[[str, int], SetTimer],
-        sides: tuple[MemberSubsystem, ...] = (),
+        sides: tuple[AnyMemberSubsystem, ...] = (),
     ) -> None:
         self.me, self.named, self.times, self.life, self._timer, self.sides = (
             me,
--- a/wingbarrow/decide/coordination/subsystem.py
+++ b/wingbarrow/decide/coordination/subsystem.py
@@ -1,66 +1,92 @@
-"""What the voters' log decides beside rules: each thing a chapter, with its part of the log, of asks and of grants.
+"""Sub-state machines of the voters' log: what each must offer at a voter, and at every placer.
 
-`agreement` hosts chapters by name and knows nothing of what they are about. An entry of kind `sessions/ended` is given
-to the chapter `sessions` as `ended`; its part of an ask is the field of that name (`asking.Ask.sessions`), likewise of
-a grant. Only a leader that a majority has followed since an ask hears it and answers it, as with grants of rules.
+The rule set is one part of the replicated state; sessions, quotas, maintenance slots and remote regions are others. A
+subsystem has a name, and three things are found by it: its log entries, of kind `NAME/KIND`; its part of a placer's
+`LeaseRequest`; its part of the `LeaseGrant` that answers. `Coordinator` and `Leader` know these names alone, and
+nothing of what the parts mean. A leader passes a report on, and answers it, only after a majority of the voters has
+followed it since the report came (ReadIndex, Ongaro 2014, 6.4).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeAlias, TypeVar
 
 from wingbarrow.decide.effects import Effect
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
+# What `json` reads and writes as an object: each subsystem knows the keys of its own entries.
+JsonObject: TypeAlias = dict[str, Any]
+
+ReportT_contra = TypeVar("ReportT_contra", contravariant=True)
+ResponseT_co = TypeVar("ResponseT_co", covariant=True)
+ResponseT_contra = TypeVar("ResponseT_contra", contravariant=True)
+ReportT_co = TypeVar("ReportT_co", covariant=True)
+
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """An entry to be decided: `kind` without the chapter's name, `value` as JSON takes it."""
+    """An entry for the log: `kind` without the subsystem's name, `value` as it is written in JSON."""
 
     kind: str
-    value: dict[str, Any]
+    value: JsonObject
+
 
+class ReplicatedSubsystem(Protocol[ReportT_contra, ResponseT_co]):
+    """A voter's part: replicated state, and at the leader what its members report and are answered.
 
-class ReplicatedSubsystem(Protocol):
-    """The voters' side: `apply`, `text` and `restore` make the same state at every voter; the rest is the leader's."""
+    `Coordinator` calls `apply`, `snapshot` and `restore` at every voter; they must come to the same state everywhere,
+    so they may use neither a clock nor chance. `Leader` calls the other methods, at the leader alone.
+    """
 
     name: str
 
-    def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Take one decided entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
+    def apply(self, kind: str, value: JsonObject) -> None:
+        """Apply one committed entry; the same entry may come twice, and then changes nothing the second time.
+
+        Raises ValueError, KeyError or TypeError where the entry cannot be read; the state is then unchanged.
+        """
 
     def snapshot(self) -> str:
-        """All of the replicated state, for a snapshot."""
+        """The whole replicated state as text; called when the log is compacted."""
 
     def restore(self, text: str) -> None:
-        """What `text` gave; an empty one is the state at the beginning."""
+        """Replace the state by that of a `snapshot`; "" stands for the initial state."""
 
     def on_leadership_change(self, now_us: int, on: bool) -> None:
-        """This voter leads from now on, and knows nothing that is not in the log; or does so no longer."""
+        """This voter was elected (`on`), and knows only what the log says; or it leads no longer."""
 
-    def on_report(self, now_us: int, asker: Requester, said: Any) -> None:
-        """At the leader: a placer's part of an ask that a majority has confirmed since; None where it says nothing."""
+    def on_report(self, now_us: int, requester: Requester, report: ReportT_contra) -> None:
+        """A placer's report, leadership confirmed since. Not called where the request has no such part."""
 
-    def response_for(self, now_us: int, asker: Requester) -> Any:
-        """At the leader: its part of that placer's grant; None for nothing."""
+    def response_for(self, now_us: int, requester: Requester) -> ResponseT_co | None:
+        """This subsystem's part of the grant to a placer; None for nothing.
+
+        Called for each request, with or without a report, once the whole batch's reports are in.
+        """
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """At the leader: what is to be decided now, and when to ask again at the latest.
+        """What to propose now, and when to be called again at the latest (None: after the next batch of requests).
 
-        Asked after each round, never while something that was proposed is not decided yet. What is proposed again is
-        to change nothing the second time (`apply` checks).
+        Called after each batch of requests, and only while no entry is uncommitted.
         """
 
 
-class MemberSubsystem(Protocol):
-    """Every placer's side, a voter's too."""
+class MemberSubsystem(Protocol[ReportT_co, ResponseT_contra]):
+    """Every placer's part, a voter's too. `LeaseClient` calls it: `report` with each request, then `on_response`."""
 
     name: str
 
-    def report(self, now_us: int) -> Any:
-        """Its part of the next ask."""
+    def report(self, now_us: int) -> ReportT_co | None:
+        """Its part of the next request; None for nothing."""
+
+    def on_response(
+        self, now_us: int, requested_us: int, response: ResponseT_contra | None
+    ) -> list[Effect]:
+        """Its part of the grant that answers the request of `requested_us`; None where the leader has sent none."""
+
 
-    def on_response(self, now_us: int, asked_us: int, told: Any) -> list[Effect]:
-        """The part of the grant that answers the ask of `asked_us`; None where the leader told nothing."""
+# Subsystems of a placer, of different types: which report and response go together is known by `name` alone.
+AnyReplicatedSubsystem: TypeAlias = ReplicatedSubsystem[Any, Any]
+AnyMemberSubsystem: TypeAlias = MemberSubsystem[Any, Any]
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -10,7 +10,7 @@
 from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.coordination.subsystem import MemberSubsystem
+from wingbarrow.decide.coordination.subsystem import AnyMemberSubsystem
 from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
 from wingbarrow.decide.regions.reports import RegionSubsystem
@@ -58,7 +58,7 @@
     disk: PersistentState | None,
     life: int,
     turns: MaintenanceScheduler,
-    sides: tuple[MemberSubsystem, ...],
+    sides: tuple[AnyMemberSubsystem, ...],
     counts: Counter[str],
 ) -> Coordinator:
     """The agreement of a placer whose settings say `agree`; every voter has all chapters. `counts` takes refusals."""
