--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -61,7 +61,7 @@
     while len(times) < count - len(side) and assembly.now_us < begun + 60 * SECOND:
         assembly.run(assembly.now_us + ACT_US)
         for name, member in assembly.members.items():
-            acting = member.acting(assembly.clock_us(name))
+            acting = member.rules_in_force(assembly.clock_us(name))
             if name not in times and acting is not None and acting.rules == wanted.text():
                 times[name] = (assembly.now_us - begun) / SECOND
     return {
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -111,7 +111,7 @@
         Bound(
             "stated_s",
             "longest that two editions which contradict each other are in use",
-            times.stated_us(TURN_US) / SECOND,
+            times.overlap_us(TURN_US) / SECOND,
             "s",
             "wingbarrow/decide/coordination/messages.py",
             AGREEMENT,
@@ -119,7 +119,7 @@
         Bound(
             "needless_s",
             "until a placer in touch with a majority has a grant again",
-            times.needless_us() / SECOND,
+            times.reacquire_us() / SECOND,
             "s",
             "wingbarrow/decide/coordination/messages.py",
             AGREEMENT,
--- a/benchmarks/capacity/changes.py
+++ b/benchmarks/capacity/changes.py
@@ -146,15 +146,15 @@
 
 def last_decided(fleet: Agreements) -> int:
     """The index of the last entry that some voter has."""
-    disks = [member.raft.disk for member in fleet.members.values() if member.raft is not None]
-    return max(disk.last for disk in disks)
+    disks = [member.raft.persistent for member in fleet.members.values() if member.raft is not None]
+    return max(disk.last_log_index for disk in disks)
 
 
 def kept(fleet: Agreements, where: str) -> Iterator[Figure]:
     """What voters keep at the end: the log that is not folded yet, and the state that a snapshot would have."""
     member = fleet.members[fleet.leader() or fleet.voters[0]]
     assert member.raft is not None
-    disk = member.raft.disk
+    disk = member.raft.persistent
     yield Figure("voter", f"log held{where}", "entries", len(disk.log))
     yield Figure("voter", f"log held{where}", "B", sum(len(each.body) for each in disk.log))
     yield Figure("voter", f"state in a snapshot{where}", "B", mailed(member.agreed.text()))
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -61,12 +61,14 @@
     def make(self, name: str, now_us: int) -> Coordinator:
         """One that uses limits, with the leader's account of them timed by itself."""
         made = super().make(name, now_us)
-        made.holding.life = self.lives[name]
-        made.purse.uses = lambda key: USES
-        made.purse.demand = lambda key: WANTED if self.short else 0
+        made.lease_client.incarnation = self.lives[name]
+        made.quotas.uses = lambda key: USES
+        made.quotas.demand = lambda key: WANTED if self.short else 0
         for method in ("answers", "next_proposals"):
             setattr(
-                made.blocks, method, self.meter.timed(name, LIMITS, getattr(made.blocks, method))
+                made.allocations,
+                method,
+                self.meter.timed(name, LIMITS, getattr(made.allocations, method)),
             )
         return made
 
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -142,16 +142,24 @@
     """What the voters' state takes: in a snapshot, whole, and what of it is the chapter of blocks."""
     member = found.members[found.leader() or found.voters[0]]
     assert member.raft is not None
-    member.agreed.chapters |= {name: each.snapshot() for name, each in member.chapters.items()}
-    disk = member.raft.disk
+    member.agreed.chapters |= {name: each.snapshot() for name, each in member.subsystems.items()}
+    disk = member.raft.persistent
     install = InstallSnapshot(
-        disk.term, disk.last, disk.term, " ".join(disk.voters), member.agreed.text(), 1
+        disk.term,
+        disk.last_log_index,
+        disk.term,
+        " ".join(disk.snapshot_voters),
+        member.agreed.text(),
+        1,
     )
     yield Figure("voter", "snapshot", "B", len(message.write_letter(install)))
-    yield Figure("voter", "snapshot: blocks", "B", mailed(member.blocks.snapshot()))
+    yield Figure("voter", "snapshot: blocks", "B", mailed(member.allocations.snapshot()))
     yield Figure("voter", "log", "B", sum(len(each.body) for each in disk.log))
     yield Figure(
-        "leader", "blocks", "blocks", sum(len(each.parts) for each in member.blocks.blocks.values())
+        "leader",
+        "blocks",
+        "blocks",
+        sum(len(each.parts) for each in member.allocations.blocks.values()),
     )
 
 
--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -81,7 +81,7 @@
 
         for effect in effects:
             if isinstance(effect, Persist):
-                self.disks[name].keep(effect)
+                self.disks[name].persist(effect)
             elif isinstance(effect, SetTimer):
                 key = effect.key.removeprefix("raft ")
                 self.timers[name, key] = effect.at_us
@@ -93,12 +93,12 @@
                 self.at(effect.at_us, due)
             elif isinstance(effect, Send):
                 self.send(name, effect)
-            elif isinstance(effect, LeadershipChanged) and effect.on:
-                term = self.live[name].disk.term
+            elif isinstance(effect, LeadershipChanged) and effect.is_leader:
+                term = self.live[name].persistent.term
                 assert self.leaders.setdefault(term, name) == name, f"two leaders in term {term}"
             elif isinstance(effect, EntriesCommitted):
                 for offset, entry in enumerate(effect.entries):
-                    index = effect.first + offset
+                    index = effect.first_index + offset
                     assert index == self.applied[name] + 1
                     assert self.decided.setdefault(index, entry) == entry, (
                         f"{name}: another decision at {index}"
@@ -110,13 +110,13 @@
                 self.applied[name] = effect.index
                 self.states[name] = effect.state.split()
             elif isinstance(effect, LeadershipConfirmed):
-                self.confirmed.append((name, effect.number))
-        disk, live = self.disks[name], self.live[name].disk
-        if not self.live[name].empty:
-            assert (disk.term, disk.vote, disk.base, disk.log) == (
+                self.confirmed.append((name, effect.read_id))
+        disk, live = self.disks[name], self.live[name].persistent
+        if not self.live[name].has_lost_state:
+            assert (disk.term, disk.vote, disk.snapshot_index, disk.log) == (
                 live.term,
                 live.vote,
-                live.base,
+                live.snapshot_index,
                 live.log,
             )
 
@@ -140,15 +140,15 @@
             self.at(self.now_us + delay, arrive)
 
     def leader(self) -> Raft | None:
-        found = [raft for raft in self.live.values() if raft.leads]
-        return max(found, key=lambda raft: raft.disk.term, default=None)
+        found = [raft for raft in self.live.values() if raft.is_leader]
+        return max(found, key=lambda raft: raft.persistent.term, default=None)
 
     def propose(self, body: str, kind: str = "x") -> bool:
         leader = self.leader()
         if leader is None:
             return False
         index, effects = leader.propose(self.now_us, kind, body)
-        self.act(leader.me, effects)
+        self.act(leader.name, effects)
         return index > 0
 
     def settle(self) -> None:
@@ -161,7 +161,9 @@
             self.run(S // 2)
             self.propose(f"last-{self.now_us}")
         self.run(2 * S)
-        voters = [name for name in self.names if name in self.live and not self.live[name].empty]
+        voters = [
+            name for name in self.names if name in self.live and not self.live[name].has_lost_state
+        ]
         assert len({self.applied[name] for name in voters}) == 1
         assert len({tuple(self.states[v]) for v in voters}) == 1
 
@@ -202,7 +204,7 @@
             for name in sorted(set(cluster.names) - set(cluster.live)):
                 cluster.start(name)
         elif what < 0.65 and (leader := cluster.leader()) is not None:
-            cluster.act(leader.me, leader.fold(" ".join(cluster.states[leader.me])))
+            cluster.act(leader.name, leader.compact(" ".join(cluster.states[leader.name])))
         else:
             proposed += cluster.propose(f"{seed}-{proposed}")
     cluster.settle()
@@ -215,13 +217,16 @@
     cluster.run(5 * S)
     leader = cluster.leader()
     assert leader is not None
-    term, other = leader.disk.term, next(name for name in cluster.names if name != leader.me)
+    term, other = (
+        leader.persistent.term,
+        next(name for name in cluster.names if name != leader.name),
+    )
     cluster.cut = lambda a, b: other in (a, b)
     cluster.run(30 * S)
     cluster.cut = lambda a, b: False
     cluster.run(5 * S)
     assert cluster.leader() is leader
-    assert leader.disk.term == term
+    assert leader.persistent.term == term
 
 
 def test_a_leader_that_a_majority_does_not_hear_stops_and_confirms_nothing() -> None:
@@ -229,18 +234,18 @@
     cluster.run(5 * S)
     old = cluster.leader()
     assert old is not None
-    cluster.act(old.me, old.confirm(cluster.now_us, 1))
+    cluster.act(old.name, old.confirm_leadership(cluster.now_us, 1))
     cluster.run(S // 2)
-    assert cluster.confirmed == [(old.me, 1)]
-    side = {old.me, next(name for name in cluster.names if name != old.me)}
+    assert cluster.confirmed == [(old.name, 1)]
+    side = {old.name, next(name for name in cluster.names if name != old.name)}
     cluster.cut = lambda a, b: (a in side) != (b in side)
-    cluster.act(old.me, old.confirm(cluster.now_us, 2))
+    cluster.act(old.name, old.confirm_leadership(cluster.now_us, 2))
     cluster.run(4 * S)
-    assert not old.leads
-    assert (old.me, 2) not in cluster.confirmed
+    assert not old.is_leader
+    assert (old.name, 2) not in cluster.confirmed
     new = cluster.leader()
     assert new is not None
-    assert new.me not in side
+    assert new.name not in side
 
 
 def test_one_that_lost_its_disk_says_nothing() -> None:
@@ -248,12 +253,14 @@
     cluster.run(5 * S)
     leader = cluster.leader()
     assert leader is not None
-    lost, other = (name for name in cluster.names if name != leader.me)
+    lost, other = (name for name in cluster.names if name != leader.name)
     cluster.kill(lost)
     cluster.start(lost, empty=True)
     cluster.kill(other)
     cluster.run(10 * S)
-    assert not leader.leads, "two of three are a majority only where both remember what they said"
+    assert not leader.is_leader, (
+        "two of three are a majority only where both remember what they said"
+    )
     cluster.start(other)
     cluster.run(10 * S)
     assert cluster.leader() is not None
@@ -271,20 +278,20 @@
     assert leader is not None
     assert leader.change_voters(cluster.now_us, ("v0", "v3", "v9"))[0] == -1
     index, effects = leader.change_voters(cluster.now_us, tuple(cluster.names))
-    cluster.act(leader.me, effects)
+    cluster.act(leader.name, effects)
     assert index > 0 and leader.change_voters(cluster.now_us, tuple(cluster.names[:3]))[0] == -1, (
         "not yet decided"
     )
     cluster.run(2 * S)
     assert all(cluster.live[name].voters == tuple(cluster.names) for name in cluster.names)
     index, effects = leader.change_voters(
-        cluster.now_us, tuple(n for n in cluster.names if n != leader.me)
+        cluster.now_us, tuple(n for n in cluster.names if n != leader.name)
     )
-    cluster.act(leader.me, effects)
+    cluster.act(leader.name, effects)
     cluster.run(6 * S)
     new = cluster.leader()
     assert index > 0
     assert new is not None
-    assert new.me != leader.me
-    assert leader.me not in new.voters
+    assert new.name != leader.name
+    assert leader.name not in new.voters
     assert any(entry.kind == VOTERS for entry in cluster.decided.values())
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -51,18 +51,18 @@
     def begin(self, name: str) -> None:
         self.lives += 1
         self.live[name] = self.kind(name, copy.deepcopy(self.disks[name]), self.lives * 31)
-        self.applied[name] = self.disks[name].base
+        self.applied[name] = self.disks[name].snapshot_index
         self.act(name, self.live[name].start(self.now_us))
 
     def act(self, name: str, effects: list[Any]) -> None:
         for effect in effects:
             if isinstance(effect, Persist):
-                self.disks[name].keep(effect)
+                self.disks[name].persist(effect)
             elif isinstance(effect, SetTimer):
                 self.timers[name, effect.key.removeprefix("raft ")] = effect.at_us
             elif isinstance(effect, Send):
                 self.mail.append((name, effect.ident, effect.message))
-            elif isinstance(effect, log.LeadershipChanged) and effect.on:
+            elif isinstance(effect, log.LeadershipChanged) and effect.is_leader:
                 self.elected(name)
             elif isinstance(effect, log.SnapshotRestored):
                 assert effect.index <= len(self.decided), (
@@ -73,18 +73,19 @@
                 self.committed(name, effect)
 
     def elected(self, name: str) -> None:
-        disk = self.live[name].disk
+        disk = self.live[name].persistent
         self.found["elected"] += 1
         assert self.leaders.setdefault(disk.term, name) == name, f"two leaders in term {disk.term}"
         for index, entry in enumerate(self.decided, 1):
-            if index > disk.base:
-                assert disk.last >= index and disk.log[index - disk.base - 1] == entry, (
-                    "a leader that lacks a decision"
-                )
+            if index > disk.snapshot_index:
+                assert (
+                    disk.last_log_index >= index
+                    and disk.log[index - disk.snapshot_index - 1] == entry
+                ), "a leader that lacks a decision"
 
     def committed(self, name: str, effect: log.EntriesCommitted) -> None:
-        assert effect.first == self.applied[name] + 1, "in order, and once"
-        for index, entry in enumerate(effect.entries, effect.first):
+        assert effect.first_index == self.applied[name] + 1, "in order, and once"
+        for index, entry in enumerate(effect.entries, effect.first_index):
             if index > len(self.decided):
                 assert index == len(self.decided) + 1
                 self.decided.append(entry)
@@ -148,15 +149,15 @@
 
     @rule(pick=PICK)
     def propose(self, pick: int) -> None:
-        leading = [raft for raft in self.live.values() if raft.leads]
+        leading = [raft for raft in self.live.values() if raft.is_leader]
         if leading:  # also one that was deposed and does not know it
             raft = leading[pick % len(leading)]
             self.number += 1
-            self.act(raft.me, raft.propose(self.now_us, "x", str(self.number))[1])
+            self.act(raft.name, raft.propose(self.now_us, "x", str(self.number))[1])
 
     @rule(pick=PICK)
     def change_voters(self, pick: int) -> None:
-        leading = [raft for raft in self.live.values() if raft.leads]
+        leading = [raft for raft in self.live.values() if raft.is_leader]
         if leading:
             raft, name = leading[pick % len(leading)], NAMES[pick % 4]
             voters = (
@@ -165,21 +166,21 @@
                 else (*raft.voters, name)
             )
             if voters:
-                self.act(raft.me, raft.change_voters(self.now_us, voters)[1])
+                self.act(raft.name, raft.change_voters(self.now_us, voters)[1])
 
     @rule(name=st.sampled_from(NAMES))
     def fold(self, name: str) -> None:
         if name in self.live:
-            self.act(name, self.live[name].fold(f"state up to {self.applied[name]}"))
+            self.act(name, self.live[name].compact(f"state up to {self.applied[name]}"))
 
     @invariant()
     def what_is_on_disk_is_what_is_said(self) -> None:
         for name, raft in self.live.items():
-            disk, said = self.disks[name], raft.disk
-            assert (disk.term, disk.vote, disk.base, disk.log) == (
+            disk, said = self.disks[name], raft.persistent
+            assert (disk.term, disk.vote, disk.snapshot_index, disk.log) == (
                 said.term,
                 said.vote,
-                said.base,
+                said.snapshot_index,
                 said.log,
             )
 
@@ -209,7 +210,7 @@
 
     def on_message(self, now_us: int, ident: str, message: Any) -> log.Effects:
         if isinstance(message, log.VoteRequest):
-            self.disk.vote = ""
+            self.persistent.vote = ""
         return super().on_message(now_us, ident, message)
 
 
@@ -218,7 +219,7 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return super().voters[:1] if self.leads else super().voters
+        return super().voters[:1] if self.is_leader else super().voters
 
 
 @pytest.mark.parametrize("planted", [VotesTwice, DecidesAlone])
@@ -231,10 +232,10 @@
 def lagging(kind: type[Raft]) -> None:
     """A decision that one voter lacks; then the leader dies, and that one stands again and again."""
     machine = type("Lagging", (Voters,), {"kind": kind})()
-    while not any(raft.leads for raft in machine.live.values()):
+    while not any(raft.is_leader for raft in machine.live.values()):
         machine.go_on(10)
     machine.go_on(60)
-    leader = next(name for name, raft in machine.live.items() if raft.leads)
+    leader = next(name for name, raft in machine.live.items() if raft.is_leader)
     lags = next(name for name in NAMES[:3] if name != leader)
     before = len(machine.decided)
     machine.propose(0)
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -60,7 +60,7 @@
     assembly.cut = lambda a, b: "p004" in (a, b)
     assembly.run(assembly.now_us + 4 * SECOND)
     member = assembly.members["p004"]
-    acting = member.acting(assembly.clock_us("p004"))
+    acting = member.rules_in_force(assembly.clock_us("p004"))
     assert acting is not None
     assert acting.label == "f1"
     assert parse_rule_set(acting.rules) == FLOOR
@@ -68,7 +68,7 @@
     assembly.run(assembly.now_us + 10 * SECOND)
     assembly.propose(rules(4, most=2))
     assembly.run(assembly.now_us + 60 * SECOND)
-    assert member.acting(assembly.clock_us("p004")) is None, (
+    assert member.rules_in_force(assembly.clock_us("p004")) is None, (
         "the floor's own grant is over: it refuses"
     )
     assembly.cut = lambda a, b: False
@@ -80,7 +80,7 @@
     assembly = founded()
     assembly.cut = lambda a, b: "p004" in (a, b)
     assembly.run(assembly.now_us + 4 * SECOND)
-    assert assembly.members["p004"].acting(assembly.clock_us("p004")) is None
+    assert assembly.members["p004"].rules_in_force(assembly.clock_us("p004")) is None
 
 
 def test_a_proposal_that_forbids_what_a_floor_allows_waits_for_the_longest_grant() -> None:
@@ -140,7 +140,7 @@
         assembly.propose(rules(4, most=most))
         assembly.run(assembly.now_us + 12 * SECOND)
     for name in side:
-        assert assembly.members[name].acting(assembly.clock_us(name)) is None
+        assert assembly.members[name].rules_in_force(assembly.clock_us(name)) is None
     assembly.cut = lambda a, b: False
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
     fine(assembly)
@@ -155,7 +155,9 @@
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + seconds * SECOND - 1)
     if seconds > 2:
-        assert assembly.members["p004"].holder.acting(assembly.clock_us("p004")) is None
+        assert (
+            assembly.members["p004"].rules_lease.rules_in_force(assembly.clock_us("p004")) is None
+        )
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
     fine(assembly)
 
@@ -176,27 +178,27 @@
 def test_the_giver_reckons_with_a_grant_for_longer_than_its_holder_whatever_their_clocks() -> None:
     for rate in (-5e-4, 0.0, 5e-4):
         holder = RulesLease()
-        holder.take(1_000_000, 1, "x", 2_000_000)
-        lasts_truly = (holder.until_us - 1_000_000) / (1 + rate)
+        holder.renew(1_000_000, 1, "x", 2_000_000)
+        lasts_truly = (holder.expires_us - 1_000_000) / (1 + rate)
         assert lasts_truly <= (lease_expiry_us(0, 2_000_000)) / (1 + 5e-4)
         assert DRIFT >= 2 * 5e-4
 
 
 def test_a_late_grant_brings_no_rules_back() -> None:
     holder = RulesLease()
-    assert holder.take(10, 2, "new", 100)
-    assert not holder.take(50, 1, "old", 100)
+    assert holder.renew(10, 2, "new", 100)
+    assert not holder.renew(50, 1, "old", 100)
     assert (
-        holder.acting(60) is not None
-        and holder.acting(60).rules == "new"  # type: ignore[union-attr]
-        and holder.acting(110) is None
+        holder.rules_in_force(60) is not None
+        and holder.rules_in_force(60).rules == "new"  # type: ignore[union-attr]
+        and holder.rules_in_force(110) is None
     )
 
 
 def test_answers_to_asks_that_were_given_up_count_for_nothing() -> None:
     assembly = founded()
     member = assembly.members["p004"]
-    before = member.holder.until_us
+    before = member.rules_lease.expires_us
     for number in (0, 10_000_000):
         assert (
             member.on_message(
@@ -205,7 +207,7 @@
             == []
         )
         assert member.on_message(1, "p000", "", NotLeader(number, "p001")) == []
-    assert (member.holder.edition, member.holder.until_us) == (1, before)
+    assert (member.rules_lease.edition, member.rules_lease.expires_us) == (1, before)
 
 
 def test_who_does_not_lead_gives_nothing() -> None:
@@ -261,7 +263,9 @@
 
 def test_a_planted_error_is_found_by_a_schedule_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not trial(3, 1)
-    monkeypatch.setattr(Leader, "_lapsed_at_us", lambda self: 0)  # steps wait for nobody
+    monkeypatch.setattr(
+        Leader, "_earlier_leases_expire_us", lambda self: 0
+    )  # steps wait for nobody
     seed = next(seed for seed in range(1, 30) if trial(3, seed))
     kept = shrink(3, seed)
     assert len(kept) <= len(steps(3, seed)) // 2 and trial(3, seed, kept), f"seed {seed}"
--- a/tests/decide/maintenance/test_slots_play.py
+++ b/tests/decide/maintenance/test_slots_play.py
@@ -59,7 +59,7 @@
     shop.run(shop.now_us + 3 * SECOND)
     shop.cut = lambda a, b: "p004" in (a, b)
     shop.run(shop.now_us + 3 * SECOND)
-    acting = shop.members["p004"].acting(shop.clock_us("p004"))
+    acting = shop.members["p004"].rules_in_force(shop.clock_us("p004"))
     assert acting is not None
     assert not acting.edition
     bench = shop.benches["r0-m2"]
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -43,7 +43,7 @@
 
     @property
     def until_us(self) -> int:
-        return self.holding.holder.until_us
+        return self.holding.rules_lease.expires_us
 
 
 @dataclass(frozen=True)
@@ -89,10 +89,10 @@
     def rise(self, name: str) -> None:
         self.lives += 1
         holding = self.holding(name, ("v",), self.lives, Timing(GRANT), self.lives, SetTimer)
-        holding.born_us = self.now_us
+        holding.started_us = self.now_us
         placer = self.placers[name] = Placer(holding)
-        holding.purse.uses = lambda key: placer.standing
-        holding.purse.demand = lambda key: placer.wants
+        holding.quotas.uses = lambda key: placer.standing
+        holding.quotas.demand = lambda key: placer.wants
 
     @property
     def bank(self) -> AllocationLedger:
@@ -110,8 +110,8 @@
     def ask(self, name: str, wants: int) -> None:
         placer = self.placers[name]
         placer.wants = wants
-        ask, _, _ = placer.holding.ask(self.now_us, "v")
-        self.mail.append(Letter(name, placer.holding.life, self.leader, ask))
+        ask, _, _ = placer.holding.next_request(self.now_us, "v")
+        self.mail.append(Letter(name, placer.holding.incarnation, self.leader, ask))
 
     @rule(pick=st.integers(0, 99), keep=st.booleans())
     def arrive(self, pick: int, keep: bool) -> None:
@@ -144,9 +144,9 @@
 
     def take_back(self, letter: Letter) -> None:
         placer = self.placers[letter.name]
-        if placer.holding.life == letter.life and letter.grant is not None:
+        if placer.holding.incarnation == letter.life and letter.grant is not None:
             placer.holding.on_grant(self.now_us, "v", letter.grant)
-            self.found["given"] += sum(placer.holding.purse.shares.values())
+            self.found["given"] += sum(placer.holding.quotas.shares.values())
 
     def get(self, name: str, wants: int, moves: bool = True, to_placer: bool = True) -> None:
         """An ask and its answer without trouble; and what is due is decided."""
@@ -206,7 +206,7 @@
     @rule(name=st.sampled_from(NAMES), count=st.integers(1, 6))
     def start(self, name: str, count: int) -> None:
         placer = self.placers[name]
-        purse = placer.holding.purse
+        purse = placer.holding.quotas
         if self.now_us < placer.until_us and purse.limits:
             if purse.may(self.now_us, STANDING.key, count):
                 placer.standing += count
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -31,7 +31,7 @@
 
 
 def share(fleet: Fleet, name: str) -> int:
-    return fleet.placers[name].holding.purse.shares.get(STANDING.key, 0)
+    return fleet.placers[name].holding.quotas.shares.get(STANDING.key, 0)
 
 
 def test_a_new_leader_gives_each_its_own_with_the_first_answer_and_so_after_a_gap() -> None:
@@ -206,7 +206,7 @@
         assert leader is not None
         assembly.kill(leader)
         assembly.refused = assembly.acts = 0
-        assembly.run(assembly.now_us + Timing().needless_us())
+        assembly.run(assembly.now_us + Timing().reacquire_us())
         looks, missed = looks + assembly.acts + assembly.refused, missed + assembly.refused
         assembly.refused = 0
         assembly.run(assembly.now_us + 3 * SECOND)
@@ -229,7 +229,7 @@
     assert assembly.leader() == leader
     assembly.cut = lambda a, b: False
     assembly.run(assembly.now_us + 15 * SECOND)
-    assert assembly.members[member].holding._by == "", "the leader itself is asked again"
+    assert assembly.members[member].lease_client._by == "", "the leader itself is asked again"
 
 
 def test_one_is_not_left_with_far_too_little_where_each_other_has_a_little_too_much() -> None:
@@ -263,7 +263,7 @@
         cuts = {("p004", leader)}
         assembly.cut = lambda a, b, cuts=cuts: (a, b) in cuts
         assembly.run(assembly.now_us + 4 * SECOND)
-        by = assembly.members["p004"].holding._by
+        by = assembly.members["p004"].lease_client._by
         assert by in others, f"seed {seed}"
         cuts.add((leader, by))
         assembly.refused = 0
@@ -272,4 +272,4 @@
 
 
 def test_the_stated_time_is_under_five_seconds() -> None:
-    assert Timing().needless_us() == 4_866_666
+    assert Timing().reacquire_us() == 4_866_666
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -140,7 +140,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.purse.lapse = lambda: None  # type: ignore[method-assign]
+        self.quotas.lapse = lambda: None  # type: ignore[method-assign]
 
 
 def silent(fleet: Fleet) -> None:
@@ -209,7 +209,7 @@
         fleet.get("b", 6)
         fleet.get("a", 0, to_placer=False)
     fleet.get("b", 6)
-    fleet.start("b", fleet.placers["b"].holding.purse.shares[STANDING.key])
+    fleet.start("b", fleet.placers["b"].holding.quotas.shares[STANDING.key])
     fleet.take_back(late)
     fleet.start("a", 4)
 
--- a/tests/lab/test_refusals.py
+++ b/tests/lab/test_refusals.py
@@ -13,7 +13,7 @@
 LIMIT = "429 limit namespace/default/standing of the whole fleet: 40 at once"
 RATE = "429 limit class/web/rate of the whole fleet: 20 in 5 s"
 NONE = "503 this placer is out of touch with the others and may act on no rules now"
-STATED_S = Timing().needless_us() / 1e6
+STATED_S = Timing().reacquire_us() / 1e6
 
 
 @pytest.fixture
--- a/tests/peers/stage.py
+++ b/tests/peers/stage.py
@@ -66,7 +66,7 @@
             for slot in self.cluster.placers
             if slot.service is not None
             and slot.service.placer.peering.agreement is not None
-            and slot.service.placer.peering.agreement.leads
+            and slot.service.placer.peering.agreement.is_leader
         )
 
     def ask(
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.record import Record
-from wingbarrow.store.voter_store import StoreFailed, VoteStore, create, recover
+from wingbarrow.store.voter_store import StoreError, VoterStore, become_sole_voter, create
 
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
@@ -280,14 +280,15 @@
             slot.kill()
         stage.hub.sleep(4 * S)
         folder = Path(left.state) / "rules"
-        holder = VoteStore(folder)
-        with pytest.raises(StoreFailed, match="another process has it open"):
-            recover(folder, left.name, RECOVERED, True)
+        holder = VoterStore(folder)
+        with pytest.raises(StoreError, match="another process has it open"):
+            become_sole_voter(folder, left.name, RECOVERED, True)
         holder.close()
-        before = recover(folder, left.name, RECOVERED, False)
-        assert recover(folder, left.name, RECOVERED, True).last == before.last, (
-            "to look changes nothing"
-        )
+        before = become_sole_voter(folder, left.name, RECOVERED, False)
+        assert (
+            become_sole_voter(folder, left.name, RECOVERED, True).last_log_index
+            == before.last_log_index
+        ), "to look changes nothing"
         left.start()
         assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules that it knew"
         create(Path(stage.cluster.placers[3].state) / "rules", (left.name,))
--- a/tests/peers/test_turns_path.py
+++ b/tests/peers/test_turns_path.py
@@ -174,7 +174,7 @@
         return (
             service is not None
             and service.placer.peering.agreement is not None
-            and (service.placer.peering.agreement.leads)
+            and (service.placer.peering.agreement.is_leader)
         )
 
     return any(map(one, stage.cluster.placers))
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -17,7 +17,7 @@
 
 from tests.wire import samples
 from tests.wire.samples import S
-from wingbarrow.decide.consensus.log import VOTERS, LogEntry, PersistentState, alone
+from wingbarrow.decide.consensus.log import VOTERS, LogEntry, PersistentState, sole_voter_update
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
 from wingbarrow.decide.effects import Persist, Send, SetTimer
@@ -37,7 +37,7 @@
 from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
-from wingbarrow.store.voter_store import VoteStore, create
+from wingbarrow.store.voter_store import VoterStore, create
 
 ME = "a"
 WALL_US = 1_780_000_000 * S
@@ -238,14 +238,16 @@
     def propose_same_voters(self) -> None:
         raft = self.agreement.raft
         assert raft is not None
-        self._do(self.agreement.of_raft(self.now_us, raft.propose(self.now_us, VOTERS, ME)[1]))
+        self._do(self.agreement.apply_raft(self.now_us, raft.propose(self.now_us, VOTERS, ME)[1]))
 
     def fold(self) -> None:
         """Put a snapshot on disk, as once the log is long."""
         raft, agreed = self.agreement.raft, self.agreement.agreed
         assert raft is not None
-        agreed.chapters |= {name: each.snapshot() for name, each in self.agreement.chapters.items()}
-        self._do(self.agreement.of_raft(self.now_us, raft.fold(agreed.text())))
+        agreed.chapters |= {
+            name: each.snapshot() for name, each in self.agreement.subsystems.items()
+        }
+        self._do(self.agreement.apply_raft(self.now_us, raft.compact(agreed.text())))
 
 
 def restarted(voter: Voter) -> Voter:
@@ -293,14 +295,14 @@
         voter.sent.clear()
     raft = voter.agreement.raft
     assert raft is not None
-    voter.persisted.append(alone(ME, raft.disk, RECOVERED))
+    voter.persisted.append(sole_voter_update(ME, raft.persistent, RECOVERED))
     return voter.persisted, placers
 
 
 def disk_of(persisted: list[Persist]) -> PersistentState:
     disk = PersistentState((ME,))
     for each in persisted:
-        disk.keep(each)
+        disk.persist(each)
     return disk
 
 
@@ -308,8 +310,8 @@
     """All entries ever decided."""
     disk, out = PersistentState((ME,)), dict[int, LogEntry]()
     for each in persisted:
-        disk.keep(each)
-        out |= dict(enumerate(disk.log, disk.base + 1))
+        disk.persist(each)
+        out |= dict(enumerate(disk.log, disk.snapshot_index + 1))
     return [out[index] for index in sorted(out)]
 
 
@@ -355,7 +357,7 @@
 
 def replayed(disk: PersistentState) -> Iterator[tuple[str, State]]:
     """The snapshot's state, then the state after each entry of the log, with the entry's kind."""
-    state = State(disk.state)
+    state = State(disk.snapshot_state)
     yield "snapshot", state
     for entry in disk.log:
         state.apply(entry)
@@ -365,7 +367,7 @@
 def write_store(folder: Path, persisted: list[Persist], scratch: Path) -> None:
     """A store of all that was put on disk, copied without free pages."""
     create(scratch, (ME,))
-    store = VoteStore(scratch)
+    store = VoterStore(scratch)
     for each in persisted:
         store.persist(each)
     store.close()
@@ -383,7 +385,7 @@
 
 
 def leads(voter: Voter) -> bool:
-    return voter.agreement.leads
+    return voter.agreement.is_leader
 
 
 def accepted(voter: Voter) -> tuple[int, str]:
--- a/tests/stored/test_corpus.py
+++ b/tests/stored/test_corpus.py
@@ -14,7 +14,7 @@
 from tests.stored import scenario, state
 from tests.wire import samples
 from wingbarrow.decide.consensus.log import PersistentState
-from wingbarrow.store.voter_store import VoteStore
+from wingbarrow.store.voter_store import VoterStore
 
 STORED = samples.DATA / "stored"
 
@@ -31,10 +31,10 @@
     assert found == listed
 
 
-def opened(folder: Path) -> VoteStore:
+def opened(folder: Path) -> VoterStore:
     """A copy of the voter's store."""
     shutil.copytree(STORED / "votes", folder / "votes")
-    return VoteStore(folder / "votes")
+    return VoterStore(folder / "votes")
 
 
 @pytest.fixture
@@ -48,14 +48,24 @@
 
 def test_a_voters_store_holds_what_the_voter_put_on_disk(disk: PersistentState) -> None:
     assert disk == scenario.disk_of(scenario.life()[0])
-    assert (disk.voters, disk.term, disk.vote, disk.base, disk.base_term) == (
+    assert (
+        disk.snapshot_voters,
+        disk.term,
+        disk.vote,
+        disk.snapshot_index,
+        disk.snapshot_term,
+    ) == (
         ("a",),
         1_000_002,
         "",
         15,
         1,
     )
-    assert (disk.last, disk.term_at(disk.last), disk.voters_now()) == (54, 1_000_002, ("a",))
+    assert (disk.last_log_index, disk.term_at(disk.last_log_index), disk.latest_voters()) == (
+        54,
+        1_000_002,
+        ("a",),
+    )
 
 
 def test_the_stored_log_has_each_kind_of_entry(disk: PersistentState) -> None:
@@ -96,13 +106,16 @@
     for each in voter.persisted:
         store.persist(each)
     store.close()
-    again = VoteStore(tmp_path / "votes")
+    again = VoterStore(tmp_path / "votes")
     after = again.load()
     again.close()
     assert after.term > before.term
     assert after.vote == scenario.ME
     assert after.log[: len(before.log)] == before.log
-    assert (after.base, after.state) == (before.base, before.state)
+    assert (after.snapshot_index, after.snapshot_state) == (
+        before.snapshot_index,
+        before.snapshot_state,
+    )
     assert [each.kind for each in after.log[len(before.log) :]][:2] == ["", "propose"]
 
 
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.http.watching import call
 from wingbarrow.lab.node import node_value
-from wingbarrow.store.voter_store import VoteStore
+from wingbarrow.store.voter_store import VoterStore
 from wingbarrow.transport import VirtualClock
 
 STORED = samples.DATA / "stored"
@@ -107,12 +107,12 @@
             after = stored(Path(slot.state), slot.name)
             assert after.term > before[slot.name].term
             assert after.log[: len(before[slot.name].log)] == before[slot.name].log
-            assert after.base == before[slot.name].base
+            assert after.snapshot_index == before[slot.name].snapshot_index
 
     def stored(folder: Path, name: str) -> PersistentState:
         scratch = Path(stage.cluster.placers[0].state).parent / f"copy-{folder.parent.name}-{name}"
         shutil.copytree(folder / "rules", scratch)
-        store = VoteStore(scratch)
+        store = VoterStore(scratch)
         try:
             return store.load()
         finally:
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -19,8 +19,8 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, parse_rule_set
 from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
 from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
-from wingbarrow.store.voter_store import StoreFailed, create
-from wingbarrow.store.voter_store import recover as recover_store
+from wingbarrow.store.voter_store import StoreError, create
+from wingbarrow.store.voter_store import become_sole_voter as recover_store
 
 SECOND = 1_000_000
 RISKS = (
@@ -320,7 +320,7 @@
         sys.exit(2)
     try:
         create(Path(settings.state) / "rules", settings.agree.voters)
-    except StoreFailed as error:
+    except StoreError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     click.echo(f"{settings.name} may vote")
@@ -345,15 +345,15 @@
         sys.exit(2)
     try:
         disk = recover_store(Path(settings.state) / "rules", settings.name, RECOVERED, yes)
-    except StoreFailed as error:
+    except StoreError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    agreed = from_text(disk.state)
+    agreed = from_text(disk.snapshot_state)
     for entry in disk.log:
         agreed.apply(entry.kind, entry.body)
     click.echo(
-        f"{settings.name}: term {disk.term}, last entry {disk.last} of term {disk.term_at(disk.last)}, "
-        f"version {agreed.version}; voters {', '.join(disk.voters_now())}"
+        f"{settings.name}: term {disk.term}, last entry {disk.last_log_index} of term {disk.term_at(disk.last_log_index)}, "
+        f"version {agreed.version}; voters {', '.join(disk.latest_voters())}"
     )
     for line in RISKS:
         click.echo(line)
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -130,7 +130,7 @@
         states = {each.name: each for each in self._closing.machine_states()}
         cells = Counter((each.zone, each.cell) for each in self._seen.values())
         now, agreement = self._base.hub.now_us(), self._agreement()
-        bad = agreement.closures.now(now) if agreement is not None else frozenset()
+        bad = agreement.ejections.now(now) if agreement is not None else frozenset()
         lost = [
             (name, each.zone, each.cell)
             for name, each in self._seen.items()
@@ -168,7 +168,7 @@
         states = self._closing.machine_states()
         found = wanted(rules, states, self._base.hub.clock.wall_us())
         agreement = self._agreement()
-        struck = agreement.closures.again_and_again(now, STRIKES) if agreement is not None else []
+        struck = agreement.ejections.again_and_again(now, STRIKES) if agreement is not None else []
         for each in states:
             if each.name in struck:
                 ident = f"verdict-{each.name}-{self._base.hub.clock.wall_us() // LOST_US}"
@@ -272,7 +272,7 @@
     def _move(self, now: int) -> None:
         """Own tasks away from closed machines, at this placer's share of the calendar's pace."""
         rules, agreement = self._rules(), self._agreement()
-        if rules is None or agreement is None or agreement.acting(now) is None:
+        if rules is None or agreement is None or agreement.rules_in_force(now) is None:
             return  # Danger: what is stopped here while this placer may act on no rules could not be started elsewhere
         share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
         passed, self._earned_us = max(0, now - self._earned_us), now
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -29,7 +29,7 @@
         """What an attempt came to at a machine; None: it runs."""
         agreement = self._agreement()
         if agreement is not None and (outcome is None or outcome in FAULTS):
-            agreement.experience.note(self._base.hub.now_us(), machine, outcome is None)
+            agreement.health_observer.note(self._base.hub.now_us(), machine, outcome is None)
 
     def take(self, closed: frozenset[str]) -> None:
         """Verdicts close these machines from now on, and no others."""
@@ -58,6 +58,6 @@
         ):
             return listed
         now = self._base.hub.now_us()
-        if listed.launched_us > now - agreement.closures.age_us(now, entry.name):
+        if listed.launched_us > now - agreement.ejections.age_us(now, entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -199,7 +199,9 @@
             requests.on_start_outcome = turns.noting(verdicts.note)
             self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
             rulebook.purse = (
-                lambda: self.peering.agreement.purse if self.peering.agreement is not None else None
+                lambda: self.peering.agreement.quotas
+                if self.peering.agreement is not None
+                else None
             )
         self.subset: Subset | None = None
         if settings.subset is not None:
@@ -296,7 +298,7 @@
 
     def _acting(self, now_us: int) -> RulesInForce | None:
         agreement = self.peering.agreement
-        return agreement.acting(now_us) if agreement is not None else None
+        return agreement.rules_in_force(now_us) if agreement is not None else None
 
     @property
     def ready(self) -> bool:
--- a/wingbarrow/decide/consensus/log.py
+++ b/wingbarrow/decide/consensus/log.py
@@ -6,8 +6,8 @@
 
 from wingbarrow.decide.effects import Effect, Persist
 
-APPEND_CHARS = 256 * 1024  # of entries in one message
-TERMS_LEFT = 1_000_000  # for elections of voters that were lost
+MAX_APPEND_CHARS = 256 * 1024  # of entries in one message
+RECOVERY_TERM_GAP = 1_000_000  # for elections of voters that were lost
 VOTERS = "voters"  # the kind of an entry that changes who votes
 
 
@@ -80,62 +80,70 @@
 class PersistentState:
     """What a voter has on disk: its term and vote, the log after `base`, and the state up to there."""
 
-    voters: tuple[str, ...]  # as of `base`
+    snapshot_voters: tuple[str, ...]  # as of `base`
     term: int = 0
     vote: str = ""
-    base: int = 0
-    base_term: int = 0
-    state: str = ""
+    snapshot_index: int = 0
+    snapshot_term: int = 0
+    snapshot_state: str = ""
     log: list[LogEntry] = field(default_factory=list)
 
     @property
-    def last(self) -> int:
+    def last_log_index(self) -> int:
         """The index of the last entry."""
-        return self.base + len(self.log)
+        return self.snapshot_index + len(self.log)
 
     def term_at(self, index: int) -> int | None:
         """The term of an entry; None where it is not kept, or not there."""
-        if index == self.base:
-            return self.base_term
-        return self.log[index - self.base - 1].term if self.base < index <= self.last else None
-
-    def after(self, index: int, most: int) -> tuple[LogEntry, ...]:
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        return (
+            self.log[index - self.snapshot_index - 1].term
+            if self.snapshot_index < index <= self.last_log_index
+            else None
+        )
+
+    def entries_after(self, index: int, most: int) -> tuple[LogEntry, ...]:
         """Some entries after an index; few where they are long, so that they fit a mail."""
         size = 0
         out: list[LogEntry] = []
-        for entry in self.log[index - self.base : index - self.base + most]:
+        for entry in self.log[index - self.snapshot_index : index - self.snapshot_index + most]:
             size += len(entry.body)
-            if out and size > APPEND_CHARS:
+            if out and size > MAX_APPEND_CHARS:
                 break
             out.append(entry)
         return tuple(out)
 
-    def keep(self, what: Persist) -> None:
+    def persist(self, what: Persist) -> None:
         """Take what was asked to be on disk, as a store does it."""
         self.term, self.vote = what.term, what.vote
         if what.snapshot is not None:
-            self.base, self.base_term, voters, self.state = what.snapshot
-            self.voters, self.log = tuple(voters.split()), []
-        if what.first is not None:
-            self.log = self.log[: what.first - self.base - 1] + list(what.entries)
+            self.snapshot_index, self.snapshot_term, voters, self.snapshot_state = what.snapshot
+            self.snapshot_voters, self.log = tuple(voters.split()), []
+        if what.first_index is not None:
+            self.log = self.log[: what.first_index - self.snapshot_index - 1] + list(what.entries)
 
-    def voters_now(self) -> tuple[str, ...]:
+    def latest_voters(self) -> tuple[str, ...]:
         """By the latest entry about it, committed or not."""
         for entry in reversed(self.log):
             if entry.kind == VOTERS:
                 return tuple(entry.body.split())
-        return self.voters
+        return self.snapshot_voters
 
 
-def alone(me: str, disk: PersistentState, kind: str) -> Persist:
+def sole_voter_update(me: str, disk: PersistentState, kind: str) -> Persist:
     """What makes one voter the only one, whatever the others decided: for a majority that is lost for good.
 
     Danger: entries that were not decided may come to be, and those decided without this voter are gone. `kind` is of
     an entry that has the replicated state leave room for what it does not know of.
     """
-    term = disk.term + TERMS_LEFT
+    term = disk.term + RECOVERY_TERM_GAP
     return Persist(
-        term, "", disk.last + 1, (LogEntry(term, VOTERS, me), LogEntry(term, kind, "{}")), None
+        term,
+        "",
+        disk.last_log_index + 1,
+        (LogEntry(term, VOTERS, me), LogEntry(term, kind, "{}")),
+        None,
     )
 
 
@@ -143,7 +151,7 @@
 class EntriesCommitted:
     """Entries, with the index of the first, that are decided: for the replicated state, once and in order."""
 
-    first: int
+    first_index: int
     entries: tuple[LogEntry, ...]
 
 
@@ -159,14 +167,14 @@
 class LeadershipConfirmed:
     """A majority followed this leader after the `confirm` of that number was asked for."""
 
-    number: int
+    read_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChanged:
     """This voter leads from now on; or does so no longer."""
 
-    on: bool
+    is_leader: bool
 
 
 Effects = list[
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -29,8 +29,8 @@
 )
 from wingbarrow.decide.effects import Notify, Persist, Send, SetTimer
 
-ENTRIES_MOST = 32  # in one Append
-LOG_MOST = 512  # entries kept before they are folded into a snapshot
+MAX_APPEND_ENTRIES = 32  # in one Append
+MAX_LOG_ENTRIES = 512  # entries kept before they are folded into a snapshot
 
 
 class Role(Enum):
@@ -57,16 +57,16 @@
     def __init__(
         self, me: str, disk: PersistentState | None, seed: int, election_us: int = 1_000_000
     ) -> None:
-        self.me = me
-        self.empty = disk is None
-        self.disk = disk or PersistentState(())
+        self.name = me
+        self.has_lost_state = disk is None
+        self.persistent = disk or PersistentState(())
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = self.disk.base
-        self.began_us = 0  # when this voter was elected last
+        self.commit_index = self.persistent.snapshot_index
+        self.elected_at_us = 0  # when this voter was elected last
         self._election_us, self._beat_us = election_us, election_us // 5
         self._random = random.Random(seed)
-        self._applied = self.disk.base
+        self._applied = self.persistent.snapshot_index
         self._heard_us = -election_us  # of a leader
         self._granted: set[str] = set()
         self._pre = False
@@ -80,16 +80,18 @@
     @property
     def voters(self) -> tuple[str, ...]:
         """Who votes now."""
-        return self.disk.voters_now()
+        return self.persistent.latest_voters()
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this voter is the leader."""
         return self.role is Role.LEADER
 
     def start(self, now_us: int) -> Effects:
         """Begin, from what is on disk."""
-        out: Effects = [SnapshotRestored(self.disk.base, self.disk.state)]
+        out: Effects = [
+            SnapshotRestored(self.persistent.snapshot_index, self.persistent.snapshot_state)
+        ]
         return [*out, *self._wait_for_leader(now_us)]
 
     # -- asked by the placer
@@ -97,13 +99,13 @@
     def propose(self, now_us: int, kind: str, body: str) -> tuple[int, Effects]:
         """Append a decision: its index, which is committed or lost in the end; -1 where this is not the leader."""
         self._now_us = now_us
-        if not self.leads:
+        if not self.is_leader:
             return -1, []
-        self.disk.log.append(LogEntry(self.disk.term, kind, body))
+        self.persistent.log.append(LogEntry(self.persistent.term, kind, body))
         if kind == VOTERS:
             self._know_peers(now_us)
-        return self.disk.last, [
-            self._persist(self.disk.last),
+        return self.persistent.last_log_index, [
+            self._persist(self.persistent.last_log_index),
             *self._send_all(now_us),
             *self._advance(),
         ]
@@ -112,37 +114,43 @@
         """Take one in or leave one out; -1 where that is not one step, or the last one is not committed yet."""
         held = self.voters
         pending = any(
-            entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base :]
+            entry.kind == VOTERS
+            for entry in self.persistent.log[self.commit_index - self.persistent.snapshot_index :]
         )
-        own_term = self.disk.term_at(self.commit) == self.disk.term
+        own_term = self.persistent.term_at(self.commit_index) == self.persistent.term
         if pending or not own_term or len(set(held) ^ set(voters)) != 1 or not voters:
             return -1, []
         return self.propose(now_us, VOTERS, " ".join(voters))
 
-    def confirm(self, now_us: int, number: int) -> Effects:
+    def confirm_leadership(self, now_us: int, number: int) -> Effects:
         """Tell `Confirmed(number)` once a majority has answered something sent from now on."""
-        if not self.leads:
+        if not self.is_leader:
             return []
         self._confirms.append((number, self._round + 1))
         return [*self._send_all(now_us), *self._check_confirms()]
 
-    def fold(self, state: str) -> Effects:
+    def compact(self, state: str) -> Effects:
         """The replicated state as of what was committed and applied: entries up to there are kept no longer."""
-        disk = self.disk
-        if self._applied <= disk.base:
+        disk = self.persistent
+        if self._applied <= disk.snapshot_index:
             return []
-        voters, term = disk.voters, disk.term_at(self._applied)
-        for entry in disk.log[: self._applied - disk.base]:
+        voters, term = disk.snapshot_voters, disk.term_at(self._applied)
+        for entry in disk.log[: self._applied - disk.snapshot_index]:
             if entry.kind == VOTERS:
                 voters = tuple(entry.body.split())
-        disk.log = disk.log[self._applied - disk.base :]
-        disk.base, disk.base_term, disk.state, disk.voters = self._applied, term or 0, state, voters
-        return [self._persist(disk.base)]
+        disk.log = disk.log[self._applied - disk.snapshot_index :]
+        disk.snapshot_index, disk.snapshot_term, disk.snapshot_state, disk.snapshot_voters = (
+            self._applied,
+            term or 0,
+            state,
+            voters,
+        )
+        return [self._persist(disk.snapshot_index)]
 
     @property
-    def wants_fold(self) -> bool:
+    def should_compact(self) -> bool:
         """Whether the log is long enough."""
-        return self._applied - self.disk.base > LOG_MOST
+        return self._applied - self.persistent.snapshot_index > MAX_LOG_ENTRIES
 
     # -- driven by the host
 
@@ -154,18 +162,18 @@
             return self._beat(now_us)
         if key == "again":
             return self._ask_votes(now_us) if self.role is Role.CANDIDATE else []
-        if self.leads or self.empty or self.me not in self.voters:
+        if self.is_leader or self.has_lost_state or self.name not in self.voters:
             return self._wait_for_leader(now_us)
         return self._stand(now_us, True)
 
     def on_message(self, now_us: int, ident: str, message: Message) -> Effects:
         """A message of another voter."""
         self._now_us = now_us
-        if self.empty:
+        if self.has_lost_state:
             return []  # Danger: what it once promised is lost with its disk; a second word could undo a decision
         if isinstance(message, VoteRequest):
             return self._on_vote_ask(now_us, ident, message)
-        if message.term > self.disk.term and not (
+        if message.term > self.persistent.term and not (
             isinstance(message, VoteResponse) and message.pre
         ):
             out = self._step_down(now_us, message.term)
@@ -175,11 +183,15 @@
             return [*out, *self._on_vote(now_us, ident, message)]
         if isinstance(message, AppendResponse):
             return [*out, *self._on_answer(now_us, ident, message)]
-        if message.term < self.disk.term:
+        if message.term < self.persistent.term:
             return [
                 *out,
                 Send(
-                    ident, "", AppendResponse(self.disk.term, False, self.disk.last, message.round)
+                    ident,
+                    "",
+                    AppendResponse(
+                        self.persistent.term, False, self.persistent.last_log_index, message.round
+                    ),
                 ),
             ]
         if self.role is not Role.FOLLOWER or self.leader != ident:
@@ -204,10 +216,10 @@
     def _stand(self, now_us: int, pre: bool) -> Effects:
         """Ask to be elected; first only whether one would be, so that who was cut off raises no term in vain."""
         out: Effects = []
-        self._pre, self._granted, self.leader, self._yielded = pre, {self.me}, "", False
+        self._pre, self._granted, self.leader, self._yielded = pre, {self.name}, "", False
         self.role = Role.CANDIDATE
         if not pre:
-            self.disk.term, self.disk.vote = self.disk.term + 1, self.me
+            self.persistent.term, self.persistent.vote = self.persistent.term + 1, self.name
             out.append(self._persist(None))
         return [
             *out,
@@ -218,11 +230,15 @@
 
     def _ask_votes(self, now_us: int) -> Effects:
         """Of all that have not granted theirs, again and again: an ask or its answer may be lost."""
-        term = self.disk.term + 1 if self._pre else self.disk.term
-        last_term = self.disk.term_at(self.disk.last) or 0
+        term = self.persistent.term + 1 if self._pre else self.persistent.term
+        last_term = self.persistent.term_at(self.persistent.last_log_index) or 0
         return [
             *(
-                Send(each, "", VoteRequest(term, self.disk.last, last_term, self._pre))
+                Send(
+                    each,
+                    "",
+                    VoteRequest(term, self.persistent.last_log_index, last_term, self._pre),
+                )
                 for each in self.voters
                 if each not in self._granted
             ),
@@ -230,20 +246,20 @@
         ]
 
     def _on_vote_ask(self, now_us: int, ident: str, asked: VoteRequest) -> Effects:
-        disk = self.disk
+        disk = self.persistent
         out: Effects = []
         # Who hears a leader elects no other: one that was cut off or let go of must not depose it by coming back.
-        stays = self.leads or now_us - self._heard_us < self._election_us
+        stays = self.is_leader or now_us - self._heard_us < self._election_us
         if asked.term > disk.term and not asked.pre and not stays:
             out += self._step_down(now_us, asked.term)
-        mine = (disk.term_at(disk.last) or 0, disk.last)
+        mine = (disk.term_at(disk.last_log_index) or 0, disk.last_log_index)
         good = (asked.last_term, asked.last_index) >= mine and not stays and ident in self.voters
         if asked.pre:
             granted = good and asked.term > disk.term
             if (
                 granted
                 and not self._yielded
-                and (self.role is Role.FOLLOWER or (self._pre and ident < self.me))
+                and (self.role is Role.FOLLOWER or (self._pre and ident < self.name))
             ):
                 # Of two that stand at once one gives way, or both get half of the votes. Once: who stands may be deaf.
                 self._yielded, self.role = True, Role.FOLLOWER
@@ -268,10 +284,12 @@
             or ident not in self.voters
         ):
             return []
-        if answer.granted and answer.term == (self.disk.term + 1 if self._pre else self.disk.term):
+        if answer.granted and answer.term == (
+            self.persistent.term + 1 if self._pre else self.persistent.term
+        ):
             self._granted.add(ident)
             return self._count_votes(now_us)
-        if answer.term > self.disk.term:
+        if answer.term > self.persistent.term:
             return self._step_down(now_us, answer.term)
         return []
 
@@ -281,16 +299,16 @@
         return self._stand(now_us, False) if self._pre else self._lead(now_us)
 
     def _lead(self, now_us: int) -> Effects:
-        self.role, self.leader, self.began_us = Role.LEADER, self.me, now_us
+        self.role, self.leader, self.elected_at_us = Role.LEADER, self.name, now_us
         self._peers, self._confirms = {}, []
         self._know_peers(now_us)
-        self.disk.log.append(
-            LogEntry(self.disk.term, "", "")
+        self.persistent.log.append(
+            LogEntry(self.persistent.term, "", "")
         )  # of its own term: earlier ones are committed with it
         return [
-            self._persist(self.disk.last),
+            self._persist(self.persistent.last_log_index),
             LeadershipChanged(True),
-            Notify("leads", {"term": self.disk.term}),
+            Notify("leads", {"term": self.persistent.term}),
             *self._send_all(now_us),
             *self._advance(),
             self._timer("beat", now_us + self._beat_us),
@@ -298,44 +316,47 @@
 
     def _know_peers(self, now_us: int) -> None:
         for name in self.voters:
-            if name != self.me and name not in self._peers:
-                self._peers[name] = _Peer(self.disk.last + 1, heard_us=now_us)
+            if name != self.name and name not in self._peers:
+                self._peers[name] = _Peer(self.persistent.last_log_index + 1, heard_us=now_us)
         for name in [name for name in self._peers if name not in self.voters]:
             del self._peers[name]
 
     def _step_down(self, now_us: int, term: int) -> Effects:
-        led, self.role = self.leads, Role.FOLLOWER
+        led, self.role = self.is_leader, Role.FOLLOWER
         out: Effects = []
-        if term > self.disk.term:
-            self.disk.term, self.disk.vote, self.leader = term, "", ""
+        if term > self.persistent.term:
+            self.persistent.term, self.persistent.vote, self.leader = term, "", ""
             out.append(self._persist(None))
         if led:
             self.leader = ""
-            out += [LeadershipChanged(False), Notify("leads-no-longer", {"term": self.disk.term})]
+            out += [
+                LeadershipChanged(False),
+                Notify("leads-no-longer", {"term": self.persistent.term}),
+            ]
         self._confirms = []
         return [*out, *self._wait_for_leader(now_us)]
 
     def _follow(self, ident: str) -> Effects:
-        led, self.role = self.leads, Role.FOLLOWER
+        led, self.role = self.is_leader, Role.FOLLOWER
         self.leader = ident
         self._confirms = []
         return [
             *([LeadershipChanged(False)] if led else []),
-            Notify("follows", {"leader": ident, "term": self.disk.term}),
+            Notify("follows", {"leader": ident, "term": self.persistent.term}),
         ]
 
     # -- leading
 
     def _beat(self, now_us: int) -> Effects:
-        if not self.leads:
+        if not self.is_leader:
             return []
         heard = 1 + sum(
             now_us - each.heard_us < 2 * self._election_us for name, each in self._peers.items()
         )
-        counted = heard if self.me in self.voters else heard - 1
+        counted = heard if self.name in self.voters else heard - 1
         if 2 * counted <= len(self.voters):
             # Check-quorum. Danger: a leader that a majority does not hear any more would go on answering as one.
-            return self._step_down(now_us, self.disk.term)
+            return self._step_down(now_us, self.persistent.term)
         return [*self._send_all(now_us), self._timer("beat", now_us + self._beat_us)]
 
     def _send_all(self, now_us: int) -> Effects:
@@ -343,7 +364,7 @@
         return [self._send_to(name, each) for name, each in self._peers.items()]
 
     def _send_to(self, name: str, peer: _Peer) -> Send:
-        disk, prev = self.disk, peer.next - 1
+        disk, prev = self.persistent, peer.next - 1
         prev_term = disk.term_at(prev)
         if prev_term is None:
             return Send(
@@ -351,10 +372,10 @@
                 "",
                 InstallSnapshot(
                     disk.term,
-                    disk.base,
-                    disk.base_term,
-                    " ".join(disk.voters),
-                    disk.state,
+                    disk.snapshot_index,
+                    disk.snapshot_term,
+                    " ".join(disk.snapshot_voters),
+                    disk.snapshot_state,
                     self._round,
                 ),
             )
@@ -362,13 +383,18 @@
             name,
             "",
             AppendRequest(
-                disk.term, prev, prev_term, disk.after(prev, ENTRIES_MOST), self.commit, self._round
+                disk.term,
+                prev,
+                prev_term,
+                disk.entries_after(prev, MAX_APPEND_ENTRIES),
+                self.commit_index,
+                self._round,
             ),
         )
 
     def _on_answer(self, now_us: int, ident: str, answer: AppendResponse) -> Effects:
         peer = self._peers.get(ident)
-        if not self.leads or peer is None or answer.term != self.disk.term:
+        if not self.is_leader or peer is None or answer.term != self.persistent.term:
             return []
         peer.heard_us, peer.round = now_us, max(peer.round, answer.round)
         out = self._check_confirms()
@@ -379,7 +405,7 @@
         peer.match = max(peer.match, answer.match)
         peer.next = max(peer.next, peer.match + 1)
         out += self._advance()
-        if peer.match < self.disk.last and peer.match > before:
+        if peer.match < self.persistent.last_log_index and peer.match > before:
             out.append(self._send_to(ident, peer))
         return out
 
@@ -387,19 +413,23 @@
         """Commit what a majority holds of this term."""
         voters = self.voters
         held = sorted(
-            (self.disk.last if name == self.me else self._peers[name].match for name in voters),
+            (
+                self.persistent.last_log_index if name == self.name else self._peers[name].match
+                for name in voters
+            ),
             reverse=True,
         )
         index = held[len(voters) // 2]
-        if index <= self.commit or self.disk.term_at(index) != self.disk.term:
+        if index <= self.commit_index or self.persistent.term_at(index) != self.persistent.term:
             return []
-        self.commit = index
+        self.commit_index = index
         out = self._apply()
-        if self.me not in self.voters and not any(
-            entry.kind == VOTERS for entry in self.disk.log[self.commit - self.disk.base :]
+        if self.name not in self.voters and not any(
+            entry.kind == VOTERS
+            for entry in self.persistent.log[self.commit_index - self.persistent.snapshot_index :]
         ):
             out += self._step_down(
-                self._now_us, self.disk.term
+                self._now_us, self.persistent.term
             )  # it was left out, and that is decided
         return out
 
@@ -408,7 +438,7 @@
         while self._confirms:
             number, wanted = self._confirms[0]
             count = sum(peer.round >= wanted for peer in self._peers.values()) + (
-                self.me in self.voters
+                self.name in self.voters
             )
             if 2 * count <= len(self.voters):
                 break
@@ -419,13 +449,15 @@
     # -- following
 
     def _on_append(self, ident: str, message: AppendRequest) -> Effects:
-        disk = self.disk
+        disk = self.persistent
         held = disk.term_at(message.prev_index)
-        if message.prev_index < disk.base:
-            held, skip = disk.base_term, disk.base - message.prev_index
-            message = replace(message, prev_index=disk.base, entries=message.entries[skip:])
+        if message.prev_index < disk.snapshot_index:
+            held, skip = disk.snapshot_term, disk.snapshot_index - message.prev_index
+            message = replace(
+                message, prev_index=disk.snapshot_index, entries=message.entries[skip:]
+            )
         elif held is None or held != message.prev_term:
-            near = min(disk.last, message.prev_index - 1)
+            near = min(disk.last_log_index, message.prev_index - 1)
             return [Send(ident, "", AppendResponse(disk.term, False, near, message.round))]
         out: Effects = []
         index = message.prev_index
@@ -436,30 +468,37 @@
                 continue
             if known is not None:
                 disk.log = disk.log[
-                    : index - disk.base - 1
+                    : index - disk.snapshot_index - 1
                 ]  # an entry that was never committed gives way
             disk.log += message.entries[offset:]
             out.append(self._persist(index))
             index = message.prev_index + len(message.entries)
             break
-        if message.commit > self.commit:
-            self.commit = max(self.commit, min(message.commit, index))
+        if message.commit > self.commit_index:
+            self.commit_index = max(self.commit_index, min(message.commit, index))
             out += self._apply()
         return [*out, Send(ident, "", AppendResponse(disk.term, True, index, message.round))]
 
     def _on_install(self, ident: str, message: InstallSnapshot) -> Effects:
-        disk = self.disk
+        disk = self.persistent
         out: Effects = []
-        if message.index > self.commit:
+        if message.index > self.commit_index:
             kept = (
-                disk.log[message.index - disk.base :]
+                disk.log[message.index - disk.snapshot_index :]
                 if disk.term_at(message.index) == message.last_term
                 else []
             )
-            disk.base, disk.base_term, disk.state = message.index, message.last_term, message.state
-            disk.voters, disk.log = tuple(message.voters.split()), kept
-            self.commit = self._applied = message.index
-            out += [self._persist(disk.base), SnapshotRestored(message.index, message.state)]
+            disk.snapshot_index, disk.snapshot_term, disk.snapshot_state = (
+                message.index,
+                message.last_term,
+                message.state,
+            )
+            disk.snapshot_voters, disk.log = tuple(message.voters.split()), kept
+            self.commit_index = self._applied = message.index
+            out += [
+                self._persist(disk.snapshot_index),
+                SnapshotRestored(message.index, message.state),
+            ]
         return [
             *out,
             Send(ident, "", AppendResponse(disk.term, True, max(message.index, 0), message.round)),
@@ -467,28 +506,39 @@
 
     def _apply(self) -> Effects:
         """Hand over what was decided, once and in order."""
-        if self.commit <= self._applied:
+        if self.commit_index <= self._applied:
             return []
-        first, self_base = self._applied + 1, self.disk.base
-        entries = tuple(self.disk.log[self._applied - self_base : self.commit - self_base])
-        self._applied = self.commit
+        first, self_base = self._applied + 1, self.persistent.snapshot_index
+        entries = tuple(
+            self.persistent.log[self._applied - self_base : self.commit_index - self_base]
+        )
+        self._applied = self.commit_index
         return [EntriesCommitted(first, entries)]
 
     # -- small things
 
     def _persist(self, first: int | None) -> Persist:
         """Term and vote; and the log from an index on (all of it, and the snapshot, from `base`)."""
-        disk = self.disk
-        whole = first is not None and first <= disk.base
+        disk = self.persistent
+        whole = first is not None and first <= disk.snapshot_index
         entries = (
-            () if first is None else tuple(disk.log if whole else disk.log[first - disk.base - 1 :])
+            ()
+            if first is None
+            else tuple(disk.log if whole else disk.log[first - disk.snapshot_index - 1 :])
         )
         return Persist(
             disk.term,
             disk.vote,
-            disk.base + 1 if whole else first,
+            disk.snapshot_index + 1 if whole else first,
             entries,
-            (disk.base, disk.base_term, " ".join(disk.voters), disk.state) if whole else None,
+            (
+                disk.snapshot_index,
+                disk.snapshot_term,
+                " ".join(disk.snapshot_voters),
+                disk.snapshot_state,
+            )
+            if whole
+            else None,
         )
 
     def _timer(self, key: str, at_us: int) -> SetTimer:
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -47,164 +47,166 @@
         chapters: tuple[AnyReplicatedSubsystem, ...] = (),
         sides: tuple[AnyMemberSubsystem, ...] = (),
     ) -> None:
-        self.me, self.times, self.named = me, times, voters
+        self.name, self.timing, self.configured_voters = me, times, voters
         self.raft = (
             Raft(me, disk, seed, times.election_us) if me in voters or disk is not None else None
         )
         self.agreed = RuleSetState()
-        self.blocks = AllocationLedger(times.grant_us)
-        self.chapters: dict[str, AnyReplicatedSubsystem] = {
-            each.name: each for each in (self.blocks, *chapters)
+        self.allocations = AllocationLedger(times.grant_us)
+        self.subsystems: dict[str, AnyReplicatedSubsystem] = {
+            each.name: each for each in (self.allocations, *chapters)
         }
         self._due: dict[str, int] = {}
-        self.holding = LeaseClient(me, voters, seed + 1, times, life, self.timer, sides)
-        self.leading = Leader(
+        self.lease_client = LeaseClient(me, voters, seed + 1, times, life, self.timer, sides)
+        self.leadership = Leader(
             self,
             times,
-            self.blocks,
+            self.allocations,
             chapters,
-            lambda now, grant: self.holding.on_grant(now, me, grant),
+            lambda now, grant: self.lease_client.on_grant(now, me, grant),
         )
 
     # -- driven by the host
 
     def start(self, now_us: int) -> list[Effect]:
         """Begin."""
-        self.holding.born_us = now_us
-        out = self.of_raft(now_us, self.raft.start(now_us)) if self.raft is not None else []
+        self.lease_client.started_us = now_us
+        out = self.apply_raft(now_us, self.raft.start(now_us)) if self.raft is not None else []
         return [*out, self.timer("ask", now_us + 1)]
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """Mail of another placer."""
         if isinstance(message, LeaseRequest):
             leader = self.raft.leader if self.raft is not None else ""
-            if message.forward and leader not in ("", self.me, ident):
+            if message.forward and leader not in ("", self.name, ident):
                 return [Send(leader, "", RelayedRequest(ident, message))]
-            return self.leading.on_ask(now_us, ident, address, message)
+            return self.leadership.on_request(now_us, ident, address, message)
         if isinstance(message, LeaseGrant):
-            return self.holding.on_grant(now_us, ident, message)
+            return self.lease_client.on_grant(now_us, ident, message)
         if isinstance(message, NotLeader):
-            return self.holding.on_not_leader(now_us, message)
-        if self.raft is None or ident not in (*self.raft.voters, *self.named):
+            return self.lease_client.on_not_leader(now_us, message)
+        if self.raft is None or ident not in (*self.raft.voters, *self.configured_voters):
             return []
         if isinstance(message, RelayedRequest):
-            return self.leading.on_ask(now_us, message.ident, "", message.ask, ident)
+            return self.leadership.on_request(now_us, message.ident, "", message.ask, ident)
         if isinstance(message, RelayedGrant):
             return [Send(message.ident, "", message.grant)]
-        return self.of_raft(now_us, self.raft.on_message(now_us, ident, message))
+        return self.apply_raft(now_us, self.raft.on_message(now_us, ident, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
         """A timer that was set is due."""
         if key.startswith("raft "):
             assert self.raft is not None
-            return self.of_raft(now_us, self.raft.on_timer(now_us, key.removeprefix("raft ")))
+            return self.apply_raft(now_us, self.raft.on_timer(now_us, key.removeprefix("raft ")))
         if self._due.pop(key, None) is None:
             return []
         if key == "ask":
             return self._ask(now_us)
         if key == "lapse":
-            return self.holding.look_at_grant(now_us)
+            return self.lease_client.notify_rules(now_us)
         if key == "batch":
-            return self.leading.begin_round(now_us)
-        return self.leading.look_at_steps(now_us)
+            return self.leadership.confirm_batch(now_us)
+        return self.leadership.propose_next(now_us)
 
     def _ask(self, now_us: int) -> list[Effect]:
-        ask, receiver, out = self.holding.ask(now_us, self.me if self.leads else self.leader)
-        if self.leads:
-            return [*self.leading.on_ask(now_us, self.me, "", ask), *out]
+        ask, receiver, out = self.lease_client.next_request(
+            now_us, self.name if self.is_leader else self.leader
+        )
+        if self.is_leader:
+            return [*self.leadership.on_request(now_us, self.name, "", ask), *out]
         return [Send(receiver, "", ask), *out] if receiver else out
 
-    def hurry(self, now_us: int) -> list[Effect]:
+    def request_soon(self, now_us: int) -> list[Effect]:
         """Somebody waits for rights that may be with others."""
-        return self.holding.hurry(now_us)
+        return self.lease_client.request_soon(now_us)
 
     # -- the placer's questions
 
-    def acting(self, now_us: int) -> RulesInForce | None:
+    def rules_in_force(self, now_us: int) -> RulesInForce | None:
         """What this placer may act on right now: to be asked right before each first byte."""
-        return self.holding.holder.acting(now_us)
+        return self.lease_client.rules_lease.rules_in_force(now_us)
 
     @property
-    def holder(self) -> RulesLease:
+    def rules_lease(self) -> RulesLease:
         """This placer's grants."""
-        return self.holding.holder
+        return self.lease_client.rules_lease
 
     @property
     def version(self) -> int:
         """The latest that a grant told of."""
-        return self.holding.version
+        return self.lease_client.version
 
     @property
-    def purse(self) -> QuotaAccount:
+    def quotas(self) -> QuotaAccount:
         """Its rights to the fleet's limits."""
-        return self.holding.purse
+        return self.lease_client.quotas
 
     @property
-    def experience(self) -> HealthObserver:
+    def health_observer(self) -> HealthObserver:
         """What it saw of machines."""
-        return self.holding.experience
+        return self.lease_client.health_observer
 
     @property
-    def closures(self) -> ActiveEjections:
+    def ejections(self) -> ActiveEjections:
         """Which machines verdicts close to it."""
-        return self.holding.closures
+        return self.lease_client.ejections
 
     @property
-    def bench(self) -> OutlierDetector:
+    def outlier_detector(self) -> OutlierDetector:
         """At the leader: evidence and verdicts."""
-        return self.leading.bench
+        return self.leadership.outlier_detector
 
     @property
-    def holders(self) -> dict[str, tuple[int, int]]:
+    def lease_holders(self) -> dict[str, tuple[int, int]]:
         """At the leader: who holds a grant, for which edition, until when at the latest."""
-        return self.leading.holders
+        return self.leadership.lease_holders
 
     def live_in(self, region: str, zones: Callable[[], Mapping[str, str]]) -> None:
         """Where this placer is, and the zone of each machine of its list."""
-        self.holding.region, self.leading.zones = region, zones
+        self.lease_client.region, self.leadership.zones = region, zones
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this placer decides."""
-        return self.raft is not None and self.raft.leads
+        return self.raft is not None and self.raft.is_leader
 
     @property
     def leader(self) -> str:
         """Who leads, as far as is known; "" where nobody is."""
         if self.raft is not None and self.raft.leader:
             return self.raft.leader
-        return self.holding.leader
+        return self.lease_client.leader
 
     def propose(self, now_us: int, kind: str, value: dict[str, Any]) -> list[Effect]:
         """At the leader: have a proposal decided; its outcome is in `agreed.outcomes` by its `ident`."""
-        if self.raft is None or not self.raft.leads:
+        if self.raft is None or not self.raft.is_leader:
             return []
         _, effects = self.raft.propose(now_us, kind, json.dumps(value))
-        return self.of_raft(now_us, effects)
+        return self.apply_raft(now_us, effects)
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[bool, list[Effect]]:
         """At the leader: take one voter in, or leave one out; whether that is possible now."""
         if self.raft is None:
             return False, []
         index, effects = self.raft.change_voters(now_us, voters)
-        return index > 0, self.of_raft(now_us, effects)
+        return index > 0, self.apply_raft(now_us, effects)
 
     # -- the voters' log
 
-    def of_raft(self, now_us: int, effects: log.Effects) -> list[Effect]:
+    def apply_raft(self, now_us: int, effects: log.Effects) -> list[Effect]:
         """Effects for the host; what is decided goes into the replicated state on the way."""
         out: list[Effect] = []
         for effect in effects:
             if isinstance(effect, log.SnapshotRestored):
                 self.agreed = from_text(effect.state)
-                for name, chapter in self.chapters.items():
+                for name, chapter in self.subsystems.items():
                     chapter.restore(self.agreed.chapters.get(name, ""))
             elif isinstance(effect, log.EntriesCommitted):
                 out += self._decided(now_us, effect)
             elif isinstance(effect, log.LeadershipConfirmed):
-                out += self.leading.confirmed(now_us, effect.number)
+                out += self.leadership.on_confirmed(now_us, effect.read_id)
             elif isinstance(effect, log.LeadershipChanged):
-                out += self.leading.elected(now_us, effect.on)
+                out += self.leadership.on_leadership_change(now_us, effect.is_leader)
             else:
                 out.append(effect)
         return out
@@ -220,24 +222,26 @@
             elif entry.kind not in ("", log.VOTERS):
                 self.agreed.apply(entry.kind, entry.body)
                 if entry.kind == RECOVERED:
-                    self.blocks.recovered()
-                    for each in self.chapters:
+                    self.allocations.recovered()
+                    for each in self.subsystems:
                         self._apply(each, RECOVERED, "{}")
         if self.agreed.edition != before[0]:
             out.append(
                 Notify("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
             )
-        if self.raft is not None and self.raft.wants_fold:
-            self.agreed.chapters |= {name: each.snapshot() for name, each in self.chapters.items()}
-            out += self.of_raft(now_us, self.raft.fold(self.agreed.text()))
-        if self.leads and (
+        if self.raft is not None and self.raft.should_compact:
+            self.agreed.chapters |= {
+                name: each.snapshot() for name, each in self.subsystems.items()
+            }
+            out += self.apply_raft(now_us, self.raft.compact(self.agreed.text()))
+        if self.is_leader and (
             told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))
         ):
             out.append(self.timer("step", now_us + 1))
         return out
 
     def _apply(self, name: str, kind: str, body: str) -> bool:
-        chapter = self.chapters.get(name)
+        chapter = self.subsystems.get(name)
         if chapter is None:
             return False
         try:
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -32,32 +32,32 @@
 
     edition: int = 0
     rules: str = ""
-    until_us: int = 0
+    expires_us: int = 0
     floor: int = 0
     floor_rules: str = ""
-    floor_until_us: int = 0
+    floor_expires_us: int = 0
 
-    def take(self, asked_us: int, edition: int, rules: str, lasts_us: int) -> bool:
+    def renew(self, asked_us: int, edition: int, rules: str, lasts_us: int) -> bool:
         """A grant, as asked for at `asked_us`; False for one of an edition that was left behind."""
         if edition < self.edition:
             return False  # Danger: an answer that was late must not bring rules back whose time has passed
         if edition > self.edition:
-            self.edition, self.rules, self.until_us = edition, rules, 0
-        self.until_us = max(self.until_us, asked_us + lasts_us)
+            self.edition, self.rules, self.expires_us = edition, rules, 0
+        self.expires_us = max(self.expires_us, asked_us + lasts_us)
         return True
 
-    def take_floor(self, asked_us: int, number: int, rules: str, lasts_us: int) -> None:
+    def renew_floor(self, asked_us: int, number: int, rules: str, lasts_us: int) -> None:
         """A floor's grant."""
         if number < self.floor:
             return
         if number > self.floor:
-            self.floor, self.floor_rules, self.floor_until_us = number, rules, 0
-        self.floor_until_us = max(self.floor_until_us, asked_us + lasts_us)
+            self.floor, self.floor_rules, self.floor_expires_us = number, rules, 0
+        self.floor_expires_us = max(self.floor_expires_us, asked_us + lasts_us)
 
-    def acting(self, now_us: int) -> RulesInForce | None:
+    def rules_in_force(self, now_us: int) -> RulesInForce | None:
         """What may be acted on at this moment; None: nothing."""
-        if self.edition and now_us < self.until_us:
+        if self.edition and now_us < self.expires_us:
             return RulesInForce(f"e{self.edition}", self.edition, self.rules)
-        if self.floor and now_us < self.floor_until_us:
+        if self.floor and now_us < self.floor_expires_us:
             return RulesInForce(f"f{self.floor}", 0, self.floor_rules)
         return None
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -16,12 +16,12 @@
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.rulesets.ruleset import parse_rule_set
 
-HOPS_MOST = (
+MAX_REDIRECTS = (
     2  # from one who does not lead to the one that it names, before the next ask is due by time
 )
 
-RELAYED_MOST = 8  # answers by way of a voter, before the leader itself is asked again
-HURRY_US = 100_000  # between asks for which somebody waits
+MAX_RELAYED_GRANTS = 8  # answers by way of a voter, before the leader itself is asked again
+MIN_REQUEST_INTERVAL_US = 100_000  # between asks for which somebody waits
 
 
 class LeaseClient:
@@ -38,7 +38,14 @@
         timer: Callable[[str, int], SetTimer],
         sides: tuple[AnyMemberSubsystem, ...] = (),
     ) -> None:
-        self.me, self.named, self.times, self.life, self._timer, self.sides = (
+        (
+            self.name,
+            self.configured_voters,
+            self.timing,
+            self.incarnation,
+            self._timer,
+            self.subsystems,
+        ) = (
             me,
             named,
             times,
@@ -46,17 +53,17 @@
             timer,
             sides,
         )
-        self.born_us = 0
+        self.started_us = 0
         self.region = ""
-        self.purse = QuotaAccount()
-        self.experience, self.closures = HealthObserver(), ActiveEjections()
-        self.holder = RulesLease()
+        self.quotas = QuotaAccount()
+        self.health_observer, self.ejections = HealthObserver(), ActiveEjections()
+        self.rules_lease = RulesLease()
         self.version = 0  # the latest that a grant told of
         self.leader = ""  # as the last answer told
         self._closed: frozenset[str] = frozenset()
         self._random = random.Random(seed)
         self._number = 0
-        self.reign = 0  # of the latest grant taken
+        self.term = 0  # of the latest grant taken
         self._asked: dict[int, int] = {}  # own asks without an answer: when each was sent
         self._tried = 0
         self._acting: RulesInForce | None = None
@@ -76,37 +83,37 @@
         self._gave_up = False  # by the last answer: some share became less
         self._sent_us = -times.grant_us  # when the last ask was sent
 
-    def ask(self, now_us: int, known: str) -> tuple[LeaseRequest, str, list[Effect]]:
+    def next_request(self, now_us: int, known: str) -> tuple[LeaseRequest, str, list[Effect]]:
         """The next ask, whom to send it to ("" for nobody; `known` leads as far as is known), and what else is to be
         done."""
         out: list[Effect] = []
         unanswered = bool(self._asked)
         self._asked = {
-            number: at for number, at in self._asked.items() if now_us - at < self.times.grant_us
+            number: at for number, at in self._asked.items() if now_us - at < self.timing.grant_us
         }
         hinted = bool(self._hint)
         self._hops = self._hops if hinted else 0
         self._number += 1
         self._asked[self._number] = self._sent_us = now_us
-        evidence, bad, tried = self.experience.evidence(now_us, self.closures.mine)
-        if now_us >= self.holder.until_us and self.purse.shares:
-            self.purse.lapse()
+        evidence, bad, tried = self.health_observer.evidence(now_us, self.ejections.mine)
+        if now_us >= self.rules_lease.expires_us and self.quotas.shares:
+            self.quotas.lapse()
             out.append(Notify("rights", {"shares": {}}))
         receiver, forward = self._whom(known, unanswered)
         ask = LeaseRequest(
             self._number,
-            self.holder.edition,
-            self.holder.floor,
-            self.life,
-            max(0, now_us - self.born_us),
-            self.purse.stated(now_us),
+            self.rules_lease.edition,
+            self.rules_lease.floor,
+            self.incarnation,
+            max(0, now_us - self.started_us),
+            self.quotas.stated(now_us),
             self.region,
             evidence,
             bad,
             tried,
-            reign=self.reign,
+            reign=self.term,
             forward=forward,
-            **{side.name: side.report(now_us) for side in self.sides},
+            **{side.name: side.report(now_us) for side in self.subsystems},
         )
         self._last = "" if forward else receiver
         self._forwarded = {
@@ -115,27 +122,27 @@
             if each in self._asked
         }
         self._hint = ""
-        wait = self.times.again_us + self._random.randrange(self.times.again_us // 2)
+        wait = self.timing.retry_us + self._random.randrange(self.timing.retry_us // 2)
         return (
             ask,
             receiver,
             [
                 *out,
                 self._timer("ask", now_us + wait),
-                *self.look_at_grant(now_us),
+                *self.notify_rules(now_us),
                 *self._look_at_closed(now_us),
             ],
         )
 
-    def hurry(self, now_us: int) -> list[Effect]:
+    def request_soon(self, now_us: int) -> list[Effect]:
         """Somebody waits for rights: ask soon, unless an answer is on its way; at a bounded pace."""
         if self._asked:
             return []
-        return [self._timer("ask", max(now_us + 1, self._sent_us + HURRY_US))]
+        return [self._timer("ask", max(now_us + 1, self._sent_us + MIN_REQUEST_INTERVAL_US))]
 
     def _whom(self, known: str, unanswered: bool) -> tuple[str, bool]:
         """Whom to ask, and whether it is to pass that on to the leader, which did not answer."""
-        if known == self.me:
+        if known == self.name:
             return known, False
         if unanswered:
             self._failed = (
@@ -148,7 +155,7 @@
             return self._by, True
         if known and known != self._failed:
             return known, False
-        others = [name for name in self.named if name not in (self.me, self._failed)]
+        others = [name for name in self.configured_voters if name not in (self.name, self._failed)]
         if not others:
             self._failed = ""
             return known, False
@@ -160,7 +167,7 @@
 
     def _look_at_closed(self, now_us: int) -> list[Effect]:
         """Tell which machines verdicts close, where those are others than before; also as they end unrenewed."""
-        closed = self.closures.now(now_us)
+        closed = self.ejections.now(now_us)
         if closed == self._closed:
             return []
         self._closed = closed
@@ -173,50 +180,53 @@
             return []  # given up, or doubled: when it was asked for is not known
         self._asked.clear()
         self.leader = grant.leader or ident
-        if grant.number in self._forwarded and self._relayed < RELAYED_MOST:
+        if grant.number in self._forwarded and self._relayed < MAX_RELAYED_GRANTS:
             self._by, self._relayed, self._failed = ident, self._relayed + 1, self.leader
         else:
             self._by, self._relayed, self._failed, self._tried = "", 0, "", 0
         self._forwarded.clear()
-        self.reign = max(self.reign, grant.reign)
+        self.term = max(self.term, grant.reign)
         out: list[Effect] = []
-        rules = grant.rules or self.holder.rules
-        if grant.edition and (grant.rules or grant.edition == self.holder.edition):
-            before, gap = self.holder.edition, now_us >= self.holder.until_us
-            if self.holder.take(asked_us, grant.edition, rules, grant.lasts_us):
+        rules = grant.rules or self.rules_lease.rules
+        if grant.edition and (grant.rules or grant.edition == self.rules_lease.edition):
+            before, gap = self.rules_lease.edition, now_us >= self.rules_lease.expires_us
+            if self.rules_lease.renew(asked_us, grant.edition, rules, grant.lasts_us):
                 out += self._take_rights(now_us, asked_us, grant, before, gap)
-        if grant.floor and (grant.floor_rules or grant.floor == self.holder.floor):
-            self.holder.take_floor(
-                asked_us, grant.floor, grant.floor_rules or self.holder.floor_rules, grant.floor_us
+        if grant.floor and (grant.floor_rules or grant.floor == self.rules_lease.floor):
+            self.rules_lease.renew_floor(
+                asked_us,
+                grant.floor,
+                grant.floor_rules or self.rules_lease.floor_rules,
+                grant.floor_us,
             )
         self.version = max(self.version, grant.version)
-        self.closures.take(now_us, self.me, grant.closed)
+        self.ejections.take(now_us, self.name, grant.closed)
         out += self._look_at_closed(now_us)
-        for side in self.sides:
+        for side in self.subsystems:
             out += side.on_response(now_us, asked_us, getattr(grant, side.name))
         # A third of the grant between asks: two may be lost before one lapses. Sooner where rights are short: what
         # others give back comes by the answers.
         # Sooner too where they became less: what is given up here is wanted elsewhere, and free by the next ask.
-        soon = self.purse.limits and (self.purse.short(now_us) or self._gave_up)
-        wait = self.times.again_us if soon else self.times.grant_us // 3
-        return [self._timer("ask", now_us + wait), *self.look_at_grant(now_us), *out]
+        soon = self.quotas.limits and (self.quotas.short(now_us) or self._gave_up)
+        wait = self.timing.retry_us if soon else self.timing.grant_us // 3
+        return [self._timer("ask", now_us + wait), *self.notify_rules(now_us), *out]
 
     def _take_rights(
         self, now_us: int, asked_us: int, grant: LeaseGrant, before: int, gap: bool
     ) -> list[Effect]:
-        shares = dict(self.purse.shares)
-        if self.holder.edition != before:
-            self.purse.take_limits(parse_rule_set(self.holder.rules).limits)
+        shares = dict(self.quotas.shares)
+        if self.rules_lease.edition != before:
+            self.quotas.take_limits(parse_rule_set(self.rules_lease.rules).limits)
         if gap:
-            self.purse.lapse()
+            self.quotas.lapse()
         # Danger: an earlier ask stated what may have been given back since; and what was given is not counted any more
         # once the grant that it came with is over.
         if grant.number == self._number and now_us < asked_us + grant.lasts_us:
-            self.purse.take(grant.rights)
-        self._gave_up = any(self.purse.shares.get(key, 0) < share for key, share in shares.items())
+            self.quotas.take(grant.rights)
+        self._gave_up = any(self.quotas.shares.get(key, 0) < share for key, share in shares.items())
         return (
-            [Notify("rights", {"shares": dict(self.purse.shares)})]
-            if shares != self.purse.shares
+            [Notify("rights", {"shares": dict(self.quotas.shares)})]
+            if shares != self.quotas.shares
             else []
         )
 
@@ -231,16 +241,16 @@
         # Danger: two that name each other, each behind in its way, would be asked in turn as fast as mail goes.
         if (
             not message.leader
-            or message.leader in (self.me, self._hint, self._failed)
-            or self._hops >= HOPS_MOST
+            or message.leader in (self.name, self._hint, self._failed)
+            or self._hops >= MAX_REDIRECTS
         ):
             return []
         self._hint, self._hops = message.leader, self._hops + 1
         return [self._timer("ask", now_us + 1)]
 
-    def look_at_grant(self, now_us: int) -> list[Effect]:
+    def notify_rules(self, now_us: int) -> list[Effect]:
         """Tell what is acted on, where that is another than before."""
-        acting = self.holder.acting(now_us)
+        acting = self.rules_lease.rules_in_force(now_us)
         out: list[Effect] = []
         if acting != self._acting:
             self._acting = acting
@@ -248,7 +258,11 @@
             out.append(
                 Notify("rules", {"label": told.label, "edition": told.edition, "rules": told.rules})
             )
-        ends = [at for at in (self.holder.until_us, self.holder.floor_until_us) if at > now_us]
+        ends = [
+            at
+            for at in (self.rules_lease.expires_us, self.rules_lease.floor_expires_us)
+            if at > now_us
+        ]
         if ends:
             out.append(self._timer("lapse", min(ends)))
         return out
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -93,18 +93,18 @@
         500_000  # short, so that another leader answers before grants of the last one lapse
     )
     batch_us: int = 20_000  # asks are answered together, one round of the voters for all
-    again_us: int = 200_000  # an ask without an answer is sent again, to another voter
+    retry_us: int = 200_000  # an ask without an answer is sent again, to another voter
 
-    def needless_us(self) -> int:
+    def reacquire_us(self) -> int:
         """Within what time a placer that is in touch with a majority of the voters holds a grant and its rights again.
 
         A leader that nobody answers steps down after two elections' time at most, followers stand within two, once
         more where votes are split; then asks find it, at most four in turn, by way of a voter where the leader itself
         does not answer, and the last one may have been sent right before.
         """
-        return 6 * self.election_us + 6 * self.again_us + self.grant_us // 3
+        return 6 * self.election_us + 6 * self.retry_us + self.grant_us // 3
 
-    def stated_us(self, turn_us: int) -> int:
+    def overlap_us(self, turn_us: int) -> int:
         """For how long after the first act under new rules somebody may act under those before: the stated time.
 
         A grant of the old ones was asked for before the new ones were decided, and lasts `grant_us` by its holder's
--- a/wingbarrow/decide/effects.py
+++ b/wingbarrow/decide/effects.py
@@ -43,7 +43,7 @@
 
     term: int
     vote: str
-    first: int | None
+    first_index: int | None
     entries: tuple[Any, ...]
     snapshot: tuple[int, int, str, str] | None
 
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -77,13 +77,13 @@
 
     def persisted(self, name: str, what: Persist) -> None:
         """As the store does it."""
-        self.disks[name].keep(what)
+        self.disks[name].persist(what)
 
     def _act_all(self) -> None:
         for name, member in self.members.items():
             if name in self.stopped:
                 continue
-            acting = member.acting(self.clock_us(name))
+            acting = member.rules_in_force(self.clock_us(name))
             if acting is None:
                 self.refused += 1
                 continue
@@ -101,9 +101,11 @@
     def leader(self) -> str | None:
         """Who leads, by the highest term."""
         found = [
-            name for name, each in self.members.items() if each.leads and name not in self.stopped
+            name
+            for name, each in self.members.items()
+            if each.is_leader and name not in self.stopped
         ]
-        return max(found, key=lambda name: self.members[name].raft.disk.term, default=None)  # type: ignore[union-attr]
+        return max(found, key=lambda name: self.members[name].raft.persistent.term, default=None)  # type: ignore[union-attr]
 
     def propose(self, rules: RuleSet, base: int | None = None, ident: str = "") -> str | None:
         """Have the leader propose: the proposal's name; None where nobody leads."""
@@ -151,7 +153,7 @@
     def all_on(self, rules: RuleSet) -> bool:
         """Whether every placer acts on these rules, by an edition."""
         return all(
-            (acting := each.acting(self.clock_us(name))) is not None
+            (acting := each.rules_in_force(self.clock_us(name))) is not None
             and acting.edition > 0
             and acting.rules == rules.text()
             for name, each in self.members.items()
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -53,10 +53,10 @@
     def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement that counts its placer's tasks."""
         made = super().make(name, now_us)
-        made.holding.life = self.lives[name]
+        made.lease_client.incarnation = self.lives[name]
         self.orphans += self.tasks.pop(name, [])
         self.tasks[name] = []
-        made.purse.uses = lambda key: len(self.tasks.get(name, ())) if key == STANDING else 0
+        made.quotas.uses = lambda key: len(self.tasks.get(name, ())) if key == STANDING else 0
         return made
 
     def kill(self, name: str) -> None:
@@ -84,13 +84,13 @@
 
     def _want(self, name: str, member: Coordinator) -> None:
         local = self.clock_us(name)
-        acting = member.acting(local)
+        acting = member.rules_in_force(local)
         self.wanted += 1
-        if acting is None or not acting.edition or not member.purse.limits:
+        if acting is None or not acting.edition or not member.quotas.limits:
             return
-        allowed = [member.purse.may(local, key, 1) for key in (STANDING, RATE)]
+        allowed = [member.quotas.may(local, key, 1) for key in (STANDING, RATE)]
         if all(allowed):
-            member.purse.use(local, RATE, 1)
+            member.quotas.use(local, RATE, 1)
             self.tasks[name].append(self.now_us + self.load.randrange(*LIFE_US))
             self.begun.append(self.now_us)
             self.started += 1
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -26,7 +26,7 @@
         max(voter_lease_us(lease_us, TURN_US), drifted_us(after_us)) + lease_us // LOOKS + ROUND_US
     )
     paced = EVERY_US * (1 + (jobs + STARTS - 1) // STARTS)
-    return times.needless_us() + ended + 2 * times.grant_us // 3 + CLAIM_US + paced + START_US
+    return times.reacquire_us() + ended + 2 * times.grant_us // 3 + CLAIM_US + paced + START_US
 
 
 def reissued_after_us(lease_us: int, after_us: int, times: Timing) -> int:
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -150,7 +150,7 @@
 
 def _judge_early(run: Run, out: Verdict, jobs: Jobs) -> None:
     """A start under a later epoch while a machine still holds the former one's lease, or before it can have ended."""
-    touch, grants = Touch(run), Timing().needless_us()
+    touch, grants = Touch(run), Timing().reacquire_us()
     ended: dict[str, int] = {}
     for _, each in run.lines("session-ended"):
         ended.setdefault(each["session"], each["at_us"])
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -80,8 +80,8 @@
 def judge_refusals(run: Run, out: Verdict) -> None:
     """Count them."""
     out.starved = len(run.starved)
-    out.needless_stated_ms = Timing().needless_us() // 1000
-    stated_us = Timing().needless_us() + run.slack_us
+    out.needless_stated_ms = Timing().reacquire_us() // 1000
+    stated_us = Timing().reacquire_us() + run.slack_us
     limits, touch, stood = loosest(run.texts.values()), Touch(run), Stood(run.records)
     for each in run.records:
         if each.what != "turned-away" or each.at_us > (run.end_us or NEVER):
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -38,7 +38,7 @@
             if edition:
                 self._first.setdefault(edition, each.at_us)
                 self._last[edition] = each.at_us
-        self._stated_us = Timing().stated_us(TURN_US) + run.slack_us
+        self._stated_us = Timing().overlap_us(TURN_US) + run.slack_us
 
     def judge(self) -> None:
         """Judge them."""
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -265,7 +265,7 @@
         """Count for how long nothing has put off the end of each open session; longer than stated is a fault."""
         leader = self.leader()
         raft = self.members[leader].raft if leader is not None else None
-        led = (leader, raft.disk.term) if leader is not None and raft is not None else ("", 0)
+        led = (leader, raft.persistent.term) if leader is not None and raft is not None else ("", 0)
         touched = [
             each for each in self.voters if leader is not None and self.in_touch(leader, each)
         ]
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -11,7 +11,7 @@
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 
-STATED_US = Timing().stated_us(ACT_US)
+STATED_US = Timing().overlap_us(ACT_US)
 
 
 class Broken(AssertionError):
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -262,7 +262,7 @@
             self.at(self.now_us + self._delay(), lambda: eyes.words.__setitem__(number, word))
 
     def _send_tasks(self, name: str) -> None:
-        acting = self.members[name].acting(self.clock_us(name))
+        acting = self.members[name].rules_in_force(self.clock_us(name))
         if acting is None or self.trouble.random() > 0.3:
             return
         floor = acting.edition == 0 and self._floor_sends
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -15,19 +15,19 @@
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
 from wingbarrow.decide.regions.reports import RegionSubsystem
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
-from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
+from wingbarrow.store.voter_store import StoreError, VoterStore, open_existing
 
 
-def voter_store(
+def open_voter_store(
     settings: PlacerSettings, log: Callable[..., None]
-) -> tuple[VoteStore | None, PersistentState | None]:
+) -> tuple[VoterStore | None, PersistentState | None]:
     """What this placer has on disk as a voter; None where it has nothing, or where that cannot be read: told."""
     store, disk = None, None
     if settings.state is not None:
         try:
-            store = open_if_there(Path(settings.state) / "rules")
+            store = open_existing(Path(settings.state) / "rules")
             disk = store.load() if store is not None else None
-        except StoreFailed as error:
+        except StoreError as error:
             log("rules-store-failed", level="error", why=str(error))
     if disk is None and settings.agree is not None and settings.name in settings.agree.voters:
         # Danger: a voter that lost its disk may have promised what it does not know; it votes no more.
@@ -40,7 +40,7 @@
     return store, disk
 
 
-def turns_of(
+def maintenance_for(
     settings: PlacerSettings, wall_us: Callable[[int], int]
 ) -> tuple[MaintenanceScheduler, MaintenanceMember]:
     """The chapter of turns and this placer's side of it, which has no eyes yet."""
@@ -53,7 +53,7 @@
     )
 
 
-def agreement_of(
+def coordinator_for(
     settings: PlacerSettings,
     disk: PersistentState | None,
     life: int,
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -23,13 +23,13 @@
 from wingbarrow.decide.regions.reports import RegionMember
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 from wingbarrow.decide.sessions.session_lease import SessionLease
-from wingbarrow.peers.coordinator_setup import agreement_of, turns_of, voter_store
+from wingbarrow.peers.coordinator_setup import coordinator_for, maintenance_for, open_voter_store
 from wingbarrow.peers.history import History
 from wingbarrow.peers.mailbox import Post
 from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
 from wingbarrow.peers.message_bounds import LEASING
 from wingbarrow.peers.ruleset_settings import rules_of
-from wingbarrow.store.voter_store import StoreFailed, VoteStore
+from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
 
 LEAVE_US = 300_000
@@ -74,7 +74,7 @@
         self.lease = SessionLease(settings.name, settings.region)
         self.lease.counts = self.counts
         self.regions = RegionMember(lambda now_us: None)
-        self.turns, self.turn_side = turns_of(
+        self.turns, self.turn_side = maintenance_for(
             settings, lambda now: now + hub.clock.wall_us() - hub.now_us()
         )
         self.on_turns: Callable[[], None] = lambda: None
@@ -86,7 +86,7 @@
         self.zones: Callable[[], Mapping[str, str]] = dict  # of each machine of the list
         self.on_verdicts: Callable[[frozenset[str]], None] = lambda machines: None
         self.demand: Callable[[str], int] = lambda key: 0  # what would be used beyond that
-        self._store: VoteStore | None = None
+        self._store: VoterStore | None = None
         self._hosted: dict[str, Machine] = {}  # by name, beside membership and agreement
         self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
         self._timers: dict[tuple[str, str], Timer] = {}
@@ -128,8 +128,8 @@
         self.membership = self._member()  # the address is known by now
         self.history("start", name=settings.name, life=self._life, address=self.address)
         if settings.agree is not None:
-            self._store, disk = voter_store(settings, self._log)
-            self.agreement = agreement_of(
+            self._store, disk = open_voter_store(settings, self._log)
+            self.agreement = coordinator_for(
                 settings,
                 disk,
                 self._life,
@@ -137,7 +137,7 @@
                 (self.lease, self.regions, self.turn_side),
                 self.counts,
             )
-            self.agreement.purse.uses, self.agreement.purse.demand = self.uses, self.demand
+            self.agreement.quotas.uses, self.agreement.quotas.demand = self.uses, self.demand
             self.agreement.live_in(settings.region, self.zones)
         try:
             with Nursery(self._hub) as nursery:
@@ -173,7 +173,7 @@
     def hurry(self) -> None:
         """Somebody waits for rights: have them asked for soon."""
         if self.agreement is not None:
-            self.act("rules", self.agreement.hurry(self._hub.now_us()))
+            self.act("rules", self.agreement.request_soon(self._hub.now_us()))
 
     def targets(self, names: Iterable[str]) -> list[Target]:
         """Those of some other placers that live, in the life in which they are known."""
@@ -322,11 +322,11 @@
         try:
             self._store.persist(what)
             return True
-        except StoreFailed as error:
+        except StoreError as error:
             self.counts["rules:store failed"] += 1
             self._log("rules-store-failed", level="error", why=str(error))
             if self.agreement is not None and self.agreement.raft is not None:
-                self.agreement.raft.empty = (
+                self.agreement.raft.has_lost_state = (
                     True  # it says nothing more as a voter; it goes on by its grants
                 )
             self._store.close()
@@ -336,7 +336,7 @@
     def _found(self) -> None:
         """The first leader proposes what its own settings say, once."""
         agreement = self.agreement
-        if agreement is not None and agreement.leads and not agreement.agreed.version:
+        if agreement is not None and agreement.is_leader and not agreement.agreed.version:
             try:
                 text = rules_of(self._settings).text()
             except SettingsError as error:
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -35,7 +35,7 @@
             )
         if request.method != "GET":
             raise ApiError(405, "GET is allowed here; sessions are opened and ended by the voters")
-        epoch, items = self._of_leader(agreement) if agreement.leads else self._own()
+        epoch, items = self._of_leader(agreement) if agreement.is_leader else self._own()
         return Answer(
             200,
             names.encode(
@@ -49,7 +49,7 @@
         )
 
     def _of_leader(self, agreement: Coordinator) -> tuple[int, list[dict[str, Any]]]:
-        sessions, now = agreement.chapters["sessions"], self._hub.now_us()
+        sessions, now = agreement.subsystems["sessions"], self._hub.now_us()
         assert isinstance(sessions, SessionSubsystem)
         log, items = sessions.log, []
         for session, terms in sorted(log.open.items()):
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -32,14 +32,14 @@
             raise ApiError(405, "GET is allowed here; limits are changed as rules are")
         if what == "verdicts":
             return self._verdicts(agreement)
-        now, purse = self._hub.now_us(), agreement.purse
-        acting = agreement.acting(now)
+        now, purse = self._hub.now_us(), agreement.quotas
+        acting = agreement.rules_in_force(now)
         told: dict[str, object] = {
             "kind": "LimitList",
             "apiVersion": "wingbarrow.io/v1",
-            "placer": agreement.me,
+            "placer": agreement.name,
             "leader": agreement.leader,
-            "grantLeftUs": max(0, agreement.holder.until_us - now),
+            "grantLeftUs": max(0, agreement.rules_lease.expires_us - now),
             "items": [
                 {
                     "limit": each.key,
@@ -52,8 +52,8 @@
                 for each in purse.stated(now)
             ],
         }
-        if agreement.leads and agreement.agreed.rules:
-            told["accounts"] = agreement.blocks.accounts(
+        if agreement.is_leader and agreement.agreed.rules:
+            told["accounts"] = agreement.allocations.accounts(
                 now, parse_rule_set(agreement.agreed.rules).limits
             )
         return Answer(200, names.encode(told))
@@ -63,12 +63,12 @@
         told: dict[str, object] = {
             "kind": "VerdictList",
             "apiVersion": "wingbarrow.io/v1",
-            "placer": agreement.me,
+            "placer": agreement.name,
             "leader": agreement.leader,
-            "closed": sorted(agreement.closures.now(now)),
+            "closed": sorted(agreement.ejections.now(now)),
         }
-        if agreement.leads:
-            bench = agreement.bench
+        if agreement.is_leader:
+            bench = agreement.outlier_detector
             told["items"] = [
                 {
                     "machine": machine,
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -131,7 +131,7 @@
                 {
                     "kind": "TurnList",
                     "apiVersion": API,
-                    "leader": agreement.me,
+                    "leader": agreement.name,
                     "items": [self._one(each) for each in every],
                 }
             ),
@@ -169,7 +169,7 @@
         except ValueError as error:
             raise ApiError(422, f"latest, lasts: {error}", "Invalid") from None
         self._asked += 1
-        ident = body.get("ident") or f"{agreement.me}-{self._hub.now_us()}-{self._asked}"
+        ident = body.get("ident") or f"{agreement.name}-{self._hub.now_us()}-{self._asked}"
         return {
             "ident": str(ident)[:IDENT_MOST],
             "machine": body.get("machine"),
@@ -241,10 +241,10 @@
             self._wait(
                 lambda: turns.renewed_us(number) >= asked
                 or self._turn(number).state != "out"
-                or not agreement.leads,
+                or not agreement.is_leader,
                 CONFIRMED_US,
             )
-            if not agreement.leads:
+            if not agreement.is_leader:
                 raise ApiError(
                     503, "this placer leads no more", "ServiceUnavailable", retry_after_s=1
                 )
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -41,7 +41,7 @@
         if request.method == "GET" and not parts:
             return Answer(200, names.encode(self._state(agreement)))
         if request.method == "POST" and parts in ([], ["voters"]):
-            if not agreement.leads:
+            if not agreement.is_leader:
                 return self._elsewhere(agreement, request)
             value = self._body(request)
             return self._voters(agreement, value) if parts else self._propose(agreement, value)
@@ -71,7 +71,7 @@
             raise ApiError(
                 503, "this placer takes part in nothing yet", "ServiceUnavailable", retry_after_s=1
             )
-        return None if agreement.leads else self._elsewhere(agreement, request)
+        return None if agreement.is_leader else self._elsewhere(agreement, request)
 
     def latest(self) -> RuleSet | None:
         """At the leader: the rules of the latest version; None before there is one."""
@@ -97,14 +97,14 @@
                 why_not = agreed.objection(agreed.version, wanted)
                 if why_not:
                     break
-                ident = f"{agreement.me}-{self._hub.now_us()}-{number}"
+                ident = f"{agreement.name}-{self._hub.now_us()}-{number}"
                 self._peering.propose(
                     "propose",
                     {
                         "ident": ident,
                         "base": agreed.version,
                         "rules": wanted,
-                        "by": agreement.me,
+                        "by": agreement.name,
                         "why": why[:500],
                     },
                 )
@@ -126,23 +126,27 @@
             raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
 
     def _state(self, agreement: Coordinator) -> dict[str, Any]:
-        now, acting, raft = self._hub.now_us(), agreement.acting(self._hub.now_us()), agreement.raft
+        now, acting, raft = (
+            self._hub.now_us(),
+            agreement.rules_in_force(self._hub.now_us()),
+            agreement.raft,
+        )
         state: dict[str, Any] = {
             "kind": "Rules",
             "apiVersion": "wingbarrow.io/v1",
-            "placer": agreement.me,
+            "placer": agreement.name,
             "leader": agreement.leader,
             "label": acting.label if acting else "",
             "rules": json.loads(acting.rules) if acting else None,
             "version": max(agreement.version, agreement.agreed.version),
-            "grantLeftUs": max(0, agreement.holder.until_us - now),
-            "floorLeftUs": max(0, agreement.holder.floor_until_us - now),
+            "grantLeftUs": max(0, agreement.rules_lease.expires_us - now),
+            "floorLeftUs": max(0, agreement.rules_lease.floor_expires_us - now),
         }
-        if raft is not None and not raft.empty:
+        if raft is not None and not raft.has_lost_state:
             agreed = agreement.agreed
             state |= {
                 "voters": list(raft.voters),
-                "term": raft.disk.term,
+                "term": raft.persistent.term,
                 "edition": agreed.edition,
                 "steps": len(agreed.steps),
                 "versions": [
@@ -165,7 +169,7 @@
                     for each in agreed.floors
                 ],
             }
-        if agreement.leads:
+        if agreement.is_leader:
             state["holders"] = [
                 {
                     "placer": name,
@@ -173,7 +177,7 @@
                     "leftUs": max(0, until - now),
                     "lapsedUs": max(0, now - until),
                 }
-                for name, (edition, until) in sorted(agreement.holders.items())
+                for name, (edition, until) in sorted(agreement.lease_holders.items())
             ]
         return state
 
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -13,15 +13,15 @@
 
 import lmdb
 
-from wingbarrow.decide.consensus.log import LogEntry, PersistentState, alone
+from wingbarrow.decide.consensus.log import LogEntry, PersistentState, sole_voter_update
 from wingbarrow.decide.effects import Persist
 
-BYTES_MOST = 256 << 20
-FORM = 1
+MAP_SIZE_BYTES = 256 << 20
+FORMAT = 1
 _META, _SNAPSHOT, _ENTRY = b"meta", b"snapshot", b"entry/"
 
 
-class StoreFailed(Exception):
+class StoreError(Exception):
     """The disk could not be read or written; the text says how."""
 
 
@@ -30,20 +30,20 @@
 
 
 def _owned(folder: Path) -> TextIO:
-    """Hold a store for this process as long as the file is open; StoreFailed where another does."""
+    """Hold a store for this process as long as the file is open; StoreError where another does."""
     try:
         file = (folder / "owner").open("a", encoding="utf-8")
     except OSError as error:
-        raise StoreFailed(f"{folder}: {error.strerror}") from None
+        raise StoreError(f"{folder}: {error.strerror}") from None
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         file.close()
-        raise StoreFailed(f"{folder}: another process has it open") from None
+        raise StoreError(f"{folder}: another process has it open") from None
     return file
 
 
-class VoteStore:
+class VoterStore:
     """Opened on a folder that `create` has made."""
 
     def __init__(self, folder: Path) -> None:
@@ -51,21 +51,26 @@
         self._owner = _owned(folder)
         try:
             self._env = lmdb.open(
-                str(folder), map_size=BYTES_MOST, max_dbs=0, subdir=True, create=False, lock=True
+                str(folder),
+                map_size=MAP_SIZE_BYTES,
+                max_dbs=0,
+                subdir=True,
+                create=False,
+                lock=True,
             )
         except lmdb.Error as error:
             self._owner.close()
-            raise StoreFailed(f"{folder}: {error}") from None
+            raise StoreError(f"{folder}: {error}") from None
 
     def load(self) -> PersistentState:
-        """What is on disk; StoreFailed where it cannot be what was written."""
+        """What is on disk; StoreError where it cannot be what was written."""
         try:
             with self._env.begin() as txn:
                 meta: dict[str, Any] = json.loads(txn.get(_META) or b"{}")
                 base, base_term, voters, state = json.loads(txn.get(_SNAPSHOT) or b"null")
-                if meta.get("form") != FORM:
-                    raise StoreFailed(
-                        f"{self.folder}: form {meta.get('form')}; {FORM} is read here"
+                if meta.get("form") != FORMAT:
+                    raise StoreError(
+                        f"{self.folder}: form {meta.get('form')}; {FORMAT} is read here"
                     )
                 disk = PersistentState(
                     tuple(voters.split()), meta["term"], meta["vote"], base, base_term, state
@@ -76,32 +81,35 @@
                     index = int.from_bytes(bytes(key)[len(_ENTRY) :], "big")
                     if index <= base:
                         continue
-                    if index != disk.last + 1:
-                        raise StoreFailed(f"{self.folder}: entry {index} after {disk.last}")
+                    if index != disk.last_log_index + 1:
+                        raise StoreError(
+                            f"{self.folder}: entry {index} after {disk.last_log_index}"
+                        )
                     disk.log.append(LogEntry(*json.loads(value)))
         except (lmdb.Error, ValueError, TypeError, KeyError) as error:
-            raise StoreFailed(f"{self.folder}: {type(error).__name__}: {error}") from None
+            raise StoreError(f"{self.folder}: {type(error).__name__}: {error}") from None
         return disk
 
     def persist(self, what: Persist) -> None:
-        """Write in one transaction, and sync; StoreFailed where it is not on disk, and then nothing of it is."""
+        """Write in one transaction, and sync; StoreError where it is not on disk, and then nothing of it is."""
         try:
             with self._env.begin(write=True) as txn:
                 txn.put(
-                    _META, json.dumps({"form": FORM, "term": what.term, "vote": what.vote}).encode()
+                    _META,
+                    json.dumps({"form": FORMAT, "term": what.term, "vote": what.vote}).encode(),
                 )
                 if what.snapshot is not None:
                     txn.put(_SNAPSHOT, json.dumps(what.snapshot).encode())
                     self._drop(txn, 0, what.snapshot[0] + 1)
-                if what.first is not None:
-                    self._drop(txn, what.first, None)
+                if what.first_index is not None:
+                    self._drop(txn, what.first_index, None)
                     for offset, entry in enumerate(what.entries):
                         txn.put(
-                            _key(what.first + offset),
+                            _key(what.first_index + offset),
                             json.dumps([entry.term, entry.kind, entry.body]).encode(),
                         )
         except lmdb.Error as error:
-            raise StoreFailed(f"{self.folder}: {error}") from None
+            raise StoreError(f"{self.folder}: {error}") from None
 
     def _drop(self, txn: Any, first: int, end: int | None) -> None:
         with txn.cursor() as cursor:
@@ -120,31 +128,31 @@
 
 
 def create(folder: Path, voters: tuple[str, ...]) -> None:
-    """Make the disk of a voter that has never voted; StoreFailed where there is one already."""
+    """Make the disk of a voter that has never voted; StoreError where there is one already."""
     if (folder / "data.mdb").exists():
-        raise StoreFailed(f"{folder}: there is one already")
+        raise StoreError(f"{folder}: there is one already")
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        lmdb.open(str(folder), map_size=BYTES_MOST, subdir=True).close()
-        store = VoteStore(folder)
+        lmdb.open(str(folder), map_size=MAP_SIZE_BYTES, subdir=True).close()
+        store = VoterStore(folder)
         store.persist(Persist(0, "", 1, (), (0, 0, " ".join(voters), "")))
         store.close()
     except (lmdb.Error, OSError) as error:
-        raise StoreFailed(f"{folder}: {error}") from None
+        raise StoreError(f"{folder}: {error}") from None
 
 
-def recover(folder: Path, me: str, kind: str, act: bool) -> PersistentState:
+def become_sole_voter(folder: Path, me: str, kind: str, act: bool) -> PersistentState:
     """What a voter holds; with `act` it is the only voter from then on (`log.alone`). Its placer must not run."""
-    store = VoteStore(folder)
+    store = VoterStore(folder)
     try:
         disk = store.load()
         if act:
-            store.persist(alone(me, disk, kind))
+            store.persist(sole_voter_update(me, disk, kind))
         return disk
     finally:
         store.close()
 
 
-def open_if_there(folder: Path) -> VoteStore | None:
+def open_existing(folder: Path) -> VoterStore | None:
     """The store of a folder; None where none was made."""
-    return VoteStore(folder) if (folder / "data.mdb").exists() else None
+    return VoterStore(folder) if (folder / "data.mdb").exists() else None
