--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wingbarrow.decide.consensus.log import AppendResponse, VoteResponse
+from wingbarrow.decide.consensus.messages import AppendResponse, VoteResponse
 from wingbarrow.decide.coordination.messages import NotLeader
 from wingbarrow.decide.effects import Persist, Send
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
@@ -121,7 +121,7 @@
             account = self.accounts[name]
             account.persists += 1
             account.persisted_chars += sum(len(each.kind) + len(each.body) for each in what.entries)
-            account.persisted_chars += len(what.snapshot[3]) if what.snapshot is not None else 0
+            account.persisted_chars += len(what.snapshot.state) if what.snapshot is not None else 0
 
     def connection(self, now_us: int, sender: str, receiver: str, message: Any) -> None:
         """Remember who calls whom; what answers a mail goes back in its answer."""
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -33,7 +33,7 @@
 from benchmarks.capacity.fleet import USES, Agreements, founded, rule_set, steady
 from benchmarks.capacity.gather import SEEDS, Figure, repeated, spread
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.consensus.log import InstallSnapshot
+from wingbarrow.decide.consensus.messages import InstallSnapshot
 from wingbarrow.decide.quotas import allocations as blocks
 from wingbarrow.decide.quotas import limits
 from wingbarrow.decide.quotas.limits import FleetLimit
--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -10,15 +10,14 @@
 
 import pytest
 
-from wingbarrow.decide.consensus.log import (
-    VOTERS,
+from wingbarrow.decide.consensus.effects import (
     EntriesCommitted,
     LeadershipChanged,
     LeadershipConfirmed,
-    LogEntry,
-    PersistentState,
     SnapshotRestored,
 )
+from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
+from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.effects import Persist, Send, SetTimer
 
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -13,7 +13,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus.effects import (
+    Effects,
+    EntriesCommitted,
+    LeadershipChanged,
+    SnapshotRestored,
+)
+from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
+from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.messages import VoteRequest
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.effects import Persist, Send, SetTimer
 
@@ -39,10 +47,10 @@
         self.now_us = 0
         self.mail: list[tuple[str, str, Any]] = []
         self.timers: dict[tuple[str, str], int] = {}
-        self.disks = {name: log.PersistentState(NAMES[:3]) for name in NAMES}
+        self.disks = {name: PersistentState(NAMES[:3]) for name in NAMES}
         self.live: dict[str, Raft] = {}
         self.leaders: dict[int, str] = {}
-        self.decided: list[log.LogEntry] = []  # the reference
+        self.decided: list[LogEntry] = []  # the reference
         self.applied: dict[str, int] = {}
         self.number = self.lives = 0
         for name in NAMES:
@@ -62,14 +70,14 @@
                 self.timers[name, effect.key.removeprefix("raft ")] = effect.at_us
             elif isinstance(effect, Send):
                 self.mail.append((name, effect.ident, effect.message))
-            elif isinstance(effect, log.LeadershipChanged) and effect.is_leader:
+            elif isinstance(effect, LeadershipChanged) and effect.is_leader:
                 self.elected(name)
-            elif isinstance(effect, log.SnapshotRestored):
+            elif isinstance(effect, SnapshotRestored):
                 assert effect.index <= len(self.decided), (
                     "a snapshot of what nobody was told is decided"
                 )
                 self.applied[name] = effect.index
-            elif isinstance(effect, log.EntriesCommitted):
+            elif isinstance(effect, EntriesCommitted):
                 self.committed(name, effect)
 
     def elected(self, name: str) -> None:
@@ -83,7 +91,7 @@
                     and disk.log[index - disk.snapshot_index - 1] == entry
                 ), "a leader that lacks a decision"
 
-    def committed(self, name: str, effect: log.EntriesCommitted) -> None:
+    def committed(self, name: str, effect: EntriesCommitted) -> None:
         assert effect.first_index == self.applied[name] + 1, "in order, and once"
         for index, entry in enumerate(effect.entries, effect.first_index):
             if index > len(self.decided):
@@ -192,15 +200,15 @@
     Voters.found = Counter()
     run(Voters, settings=PLAY)
     assert (
-        min(Voters.found[each] for each in ("elected", "x")) >= 20 and Voters.found[log.VOTERS] >= 3
+        min(Voters.found[each] for each in ("elected", "x")) >= 20 and Voters.found[VOTERS] >= 3
     ), Voters.found
 
 
 class VotesForAnybody(Raft):
     """Planted: whose log is shorter may be elected."""
 
-    def on_message(self, now_us: int, ident: str, message: Any) -> log.Effects:
-        if isinstance(message, log.VoteRequest):
+    def on_message(self, now_us: int, ident: str, message: Any) -> Effects:
+        if isinstance(message, VoteRequest):
             message = replace(message, last_term=1 << 30)
         return super().on_message(now_us, ident, message)
 
@@ -208,8 +216,8 @@
 class VotesTwice(Raft):
     """Planted: a vote is forgotten as soon as it is given."""
 
-    def on_message(self, now_us: int, ident: str, message: Any) -> log.Effects:
-        if isinstance(message, log.VoteRequest):
+    def on_message(self, now_us: int, ident: str, message: Any) -> Effects:
+        if isinstance(message, VoteRequest):
             self.persistent.vote = ""
         return super().on_message(now_us, ident, message)
 
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wingbarrow.config import load_text
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.federation import form
 from wingbarrow.decide.federation import spec as s
 from wingbarrow.decide.rulesets import ruleset as r
@@ -158,7 +158,9 @@
             ),
         )
     state = agreed.text()
-    letter = write_letter(log.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40))
+    letter = write_letter(
+        consensus.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40)
+    )
     assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < ag.SNAPSHOT_MOST
     assert ag.SNAPSHOT_MOST + ag.CHAPTERS_MAILED < MAIL_MOST - 4096
     back = ag.from_text(state)
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.record import Record
-from wingbarrow.store.voter_store import StoreError, VoterStore, become_sole_voter, create
+from wingbarrow.store.voter_store import StoreError, VoterStore, become_sole_voter, create, load
 
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
@@ -282,12 +282,11 @@
         folder = Path(left.state) / "rules"
         holder = VoterStore(folder)
         with pytest.raises(StoreError, match="another process has it open"):
-            become_sole_voter(folder, left.name, RECOVERED, True)
+            become_sole_voter(folder, left.name, RECOVERED)
         holder.close()
-        before = become_sole_voter(folder, left.name, RECOVERED, False)
+        before = load(folder)
         assert (
-            become_sole_voter(folder, left.name, RECOVERED, True).last_log_index
-            == before.last_log_index
+            become_sole_voter(folder, left.name, RECOVERED).last_log_index == before.last_log_index
         ), "to look changes nothing"
         left.start()
         assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules that it knew"
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -8,7 +8,8 @@
 import lmdb
 import pytest
 
-from wingbarrow.decide.consensus.log import LogEntry, PersistentState
+from wingbarrow.decide.consensus.entries import LogEntry
+from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.effects import Persist
 from wingbarrow.store.voter_store import StoreError, VoterStore, create, open_existing
 
@@ -47,7 +48,7 @@
                     disk.vote,
                     disk.snapshot_index + 1,
                     tuple(disk.log),
-                    (disk.snapshot_index, disk.snapshot_term, "a b c", disk.snapshot_state),
+                    disk.snapshot,
                 )
             )
         if rng.random() < 0.1:
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -18,11 +18,11 @@
 import msgspec
 
 import wingbarrow
-from wingbarrow.decide.consensus.log import (
+from wingbarrow.decide.consensus.entries import LogEntry
+from wingbarrow.decide.consensus.messages import (
     AppendRequest,
     AppendResponse,
     InstallSnapshot,
-    LogEntry,
     VoteRequest,
     VoteResponse,
 )
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -19,8 +19,8 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, parse_rule_set
 from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
 from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
-from wingbarrow.store.voter_store import StoreError, create
-from wingbarrow.store.voter_store import become_sole_voter as recover_store
+from wingbarrow.store.voter_store import StoreError, become_sole_voter, create
+from wingbarrow.store.voter_store import load as load_store
 
 SECOND = 1_000_000
 RISKS = (
@@ -344,7 +344,8 @@
         click.echo(f"{file}: {settings.name} has no voter's store", err=True)
         sys.exit(2)
     try:
-        disk = recover_store(Path(settings.state) / "rules", settings.name, RECOVERED, yes)
+        folder = Path(settings.state) / "rules"
+        disk = become_sole_voter(folder, settings.name, RECOVERED) if yes else load_store(folder)
     except StoreError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/wingbarrow/decide/consensus/log.py
+++ b/wingbarrow/decide/consensus/log.py
@@ -1,88 +1,23 @@
-"""A voter's log and what is said about it: entries, messages, what is on disk, and what `raft` hands to its owner."""
+"""A voter's persistent state (Ongaro 2014, figure 3.1): current term, vote, log, and the snapshot before the log."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.effects import Effect, Persist
+from wingbarrow.decide.consensus.entries import VOTERS, LogEntry, Snapshot, voters_of
+from wingbarrow.decide.effects import Persist
 
-MAX_APPEND_CHARS = 256 * 1024  # of entries in one message
-RECOVERY_TERM_GAP = 1_000_000  # for elections of voters that were lost
-VOTERS = "voters"  # the kind of an entry that changes who votes
-
-
-@dataclass(frozen=True, slots=True)
-class LogEntry:
-    """One decision: `kind` and `body` are the replicated state's, but for VOTERS (names with spaces between)."""
-
-    term: int
-    kind: str
-    body: str
-
-
-@dataclass(frozen=True, slots=True)
-class VoteRequest:
-    """Elect me; `pre`: would you?"""
-
-    term: int
-    last_index: int
-    last_term: int
-    pre: bool
-
-
-@dataclass(frozen=True, slots=True)
-class VoteResponse:
-    """Whether, in a term."""
-
-    term: int
-    granted: bool
-    pre: bool
-
-
-@dataclass(frozen=True, slots=True)
-class AppendRequest:
-    """Entries after `prev_index`; none of them is a heartbeat. `round` counts what the leader sent."""
-
-    term: int
-    prev_index: int
-    prev_term: int
-    entries: tuple[LogEntry, ...]
-    commit: int
-    round: int
-
-
-@dataclass(frozen=True, slots=True)
-class AppendResponse:
-    """Up to where the log is the leader's, or where to try next."""
-
-    term: int
-    ok: bool
-    match: int
-    round: int
-
-
-@dataclass(frozen=True, slots=True)
-class InstallSnapshot:
-    """The state up to an index, in place of entries that are no longer kept."""
-
-    term: int
-    index: int
-    last_term: int
-    voters: str
-    state: str
-    round: int
-
-
-Message = VoteRequest | VoteResponse | AppendRequest | AppendResponse | InstallSnapshot
+MAX_APPEND_CHARS = 256 * 1024  # of the entries' bodies in one message
+RECOVERY_TERM_GAP = 1_000_000  # left for elections among voters that were lost
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a voter has on disk: its term and vote, the log after `base`, and the state up to there."""
+    """Term and vote, the snapshot up to `snapshot_index`, and the log of all entries after it."""
 
-    snapshot_voters: tuple[str, ...]  # as of `base`
+    snapshot_voters: tuple[str, ...]
     term: int = 0
-    vote: str = ""
+    vote: str = ""  # votedFor in `term`; "" for nobody
     snapshot_index: int = 0
     snapshot_term: int = 0
     snapshot_state: str = ""
@@ -90,93 +25,91 @@
 
     @property
     def last_log_index(self) -> int:
-        """The index of the last entry."""
+        """The index of the last entry; that of the snapshot where the log is empty."""
         return self.snapshot_index + len(self.log)
 
+    @property
+    def last_log_term(self) -> int:
+        """The term of the last entry."""
+        return self.term_at(self.last_log_index) or 0
+
+    @property
+    def snapshot(self) -> Snapshot:
+        """The snapshot before the log."""
+        return Snapshot(
+            self.snapshot_index, self.snapshot_term, self.snapshot_voters, self.snapshot_state
+        )
+
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not kept, or not there."""
+        """The term of an entry; None where it was compacted away, or does not exist."""
         if index == self.snapshot_index:
             return self.snapshot_term
-        return (
-            self.log[index - self.snapshot_index - 1].term
-            if self.snapshot_index < index <= self.last_log_index
-            else None
-        )
+        if self.snapshot_index < index <= self.last_log_index:
+            return self.log[index - self.snapshot_index - 1].term
+        return None
+
+    def entries_from(self, first_index: int) -> tuple[LogEntry, ...]:
+        """All entries of the log from an index on."""
+        return tuple(self.log[first_index - self.snapshot_index - 1 :])
 
-    def entries_after(self, index: int, most: int) -> tuple[LogEntry, ...]:
-        """Some entries after an index; few where they are long, so that they fit a mail."""
+    def next_entries(self, prev_index: int, max_entries: int) -> tuple[LogEntry, ...]:
+        """Entries after an index for one message: at least one, and no more than `MAX_APPEND_CHARS` with the others."""
         size = 0
-        out: list[LogEntry] = []
-        for entry in self.log[index - self.snapshot_index : index - self.snapshot_index + most]:
+        entries: list[LogEntry] = []
+        offset = prev_index - self.snapshot_index
+        for entry in self.log[offset : offset + max_entries]:
             size += len(entry.body)
-            if out and size > MAX_APPEND_CHARS:
+            if entries and size > MAX_APPEND_CHARS:
                 break
-            out.append(entry)
-        return tuple(out)
-
-    def persist(self, what: Persist) -> None:
-        """Take what was asked to be on disk, as a store does it."""
-        self.term, self.vote = what.term, what.vote
-        if what.snapshot is not None:
-            self.snapshot_index, self.snapshot_term, voters, self.snapshot_state = what.snapshot
-            self.snapshot_voters, self.log = tuple(voters.split()), []
-        if what.first_index is not None:
-            self.log = self.log[: what.first_index - self.snapshot_index - 1] + list(what.entries)
+            entries.append(entry)
+        return tuple(entries)
+
+    def replace_from(self, first_index: int, entries: tuple[LogEntry, ...]) -> None:
+        """Put entries in place of all that the log holds from an index on."""
+        self.log = self.log[: first_index - self.snapshot_index - 1] + list(entries)
+
+    def replace_snapshot(self, snapshot: Snapshot, log: list[LogEntry]) -> None:
+        """Take a snapshot in place of the one before, with the log that follows it."""
+        self.snapshot_index = snapshot.index
+        self.snapshot_term = snapshot.term
+        self.snapshot_voters = snapshot.voters
+        self.snapshot_state = snapshot.state
+        self.log = log
+
+    def persist(self, update: Persist) -> None:
+        """Apply an update as a store does: for hosts that keep a voter's state in memory."""
+        self.term = update.term
+        self.vote = update.vote
+        if update.snapshot is not None:
+            self.replace_snapshot(update.snapshot, [])
+        if update.first_index is not None:
+            self.replace_from(update.first_index, update.entries)
 
     def latest_voters(self) -> tuple[str, ...]:
-        """By the latest entry about it, committed or not."""
+        """The configuration in force: a voter uses the latest in its log, committed or not (4.1)."""
         for entry in reversed(self.log):
             if entry.kind == VOTERS:
-                return tuple(entry.body.split())
+                return voters_of(entry)
         return self.snapshot_voters
 
+    def voters_at(self, index: int) -> tuple[str, ...]:
+        """The configuration as of an entry of the log."""
+        for entry in reversed(self.log[: index - self.snapshot_index]):
+            if entry.kind == VOTERS:
+                return voters_of(entry)
+        return self.snapshot_voters
 
-def sole_voter_update(me: str, disk: PersistentState, kind: str) -> Persist:
-    """What makes one voter the only one, whatever the others decided: for a majority that is lost for good.
-
-    Danger: entries that were not decided may come to be, and those decided without this voter are gone. `kind` is of
-    an entry that has the replicated state leave room for what it does not know of.
-    """
-    term = disk.term + RECOVERY_TERM_GAP
-    return Persist(
-        term,
-        "",
-        disk.last_log_index + 1,
-        (LogEntry(term, VOTERS, me), LogEntry(term, kind, "{}")),
-        None,
-    )
-
-
-@dataclass(frozen=True, slots=True)
-class EntriesCommitted:
-    """Entries, with the index of the first, that are decided: for the replicated state, once and in order."""
-
-    first_index: int
-    entries: tuple[LogEntry, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class SnapshotRestored:
-    """The replicated state begins anew from a snapshot."""
-
-    index: int
-    state: str
-
-
-@dataclass(frozen=True, slots=True)
-class LeadershipConfirmed:
-    """A majority followed this leader after the `confirm` of that number was asked for."""
-
-    read_id: int
-
-
-@dataclass(frozen=True, slots=True)
-class LeadershipChanged:
-    """This voter leads from now on; or does so no longer."""
+    def has_configuration_after(self, index: int) -> bool:
+        """Whether the log changes the configuration after an index."""
+        return any(entry.kind == VOTERS for entry in self.log[index - self.snapshot_index :])
 
-    is_leader: bool
 
+def sole_voter_update(name: str, persistent: PersistentState, recovery_kind: str) -> Persist:
+    """The update that makes one voter the only one, for a majority that is lost for good.
 
-Effects = list[
-    Effect | EntriesCommitted | SnapshotRestored | LeadershipConfirmed | LeadershipChanged
-]
+    Danger: entries that were not committed may become so, and entries that were committed without this voter are gone.
+    An entry of `recovery_kind` follows the configuration, so that the state machine can allow for what it cannot know.
+    """
+    term = persistent.term + RECOVERY_TERM_GAP
+    entries = (LogEntry(term, VOTERS, name), LogEntry(term, recovery_kind, "{}"))
+    return Persist(term, "", persistent.last_log_index + 1, entries, None)
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -1,546 +1,585 @@
-"""One order of decisions among a few named voters: Raft (Ongaro 2014) with pre-vote and check-quorum.
+"""Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) without I/O; sections are cited by number.
 
-A state machine without I/O. What must be on disk is asked for by a `Persist` before the sends that rest on it, in the
-same list. Voters change one at a time. `confirm` tells when a majority still followed this leader after a moment:
-nothing is answered by one that was deposed and does not know it. A voter without its disk is none: see `Raft.empty`.
+Beside elections and log replication (chapter 3): changes of one voter at a time (4.1), log compaction (5), confirmation
+of leadership for reads (ReadIndex, 6.4), pre-vote (9.6) and check-quorum (6.2). Guaranteed is what figure 3.2 lists, for
+a host that keeps to its duties, listed at `Raft`.
 """
 
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from enum import Enum
 
-from wingbarrow.decide.consensus.log import (
-    VOTERS,
-    AppendRequest,
-    AppendResponse,
+from wingbarrow.decide.consensus.effects import (
     Effects,
     EntriesCommitted,
-    InstallSnapshot,
     LeadershipChanged,
     LeadershipConfirmed,
-    LogEntry,
-    Message,
-    PersistentState,
     SnapshotRestored,
+)
+from wingbarrow.decide.consensus.entries import NO_OP, VOTERS, LogEntry, Snapshot
+from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    InstallSnapshot,
+    Message,
     VoteRequest,
     VoteResponse,
 )
+from wingbarrow.decide.consensus.progress import LeaderState, PendingRead, Progress
 from wingbarrow.decide.effects import Notify, Persist, Send, SetTimer
 
-MAX_APPEND_ENTRIES = 32  # in one Append
-MAX_LOG_ENTRIES = 512  # entries kept before they are folded into a snapshot
+MAX_APPEND_ENTRIES = 32  # in one AppendRequest
+MAX_LOG_ENTRIES = 512  # that are committed, before the log should be compacted
+HEARTBEATS_PER_ELECTION_TIMEOUT = 5
+
+TIMER_PREFIX = "raft "  # of the keys that the host sees
+ELECTION_TIMER = "election"
+HEARTBEAT_TIMER = "beat"
+VOTE_RETRY_TIMER = "again"
 
 
 class Role(Enum):
-    """What a voter is now."""
+    """A voter's state (figure 3.3); a pre-candidate counts as a candidate."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-@dataclass(slots=True)
-class _Peer:
-    """What a leader knows of another voter."""
+class Raft:
+    """One voter. Every method but properties returns effects, which the host carries out before its next call.
 
-    next: int
-    match: int = 0
-    round: int = 0  # the latest of this leader's rounds that it has answered
-    heard_us: int = 0
+    The host's duties, in order:
 
+    1. Call `start` once, then `on_message` for each message of another voter and `on_timer` for each timer that is due
+       (without `TIMER_PREFIX`), with a monotonic clock.
+    2. Carry out the effects of each call in their order. A `Persist` is on disk before any later effect is begun; where
+       it fails, call `on_storage_failure` and drop the rest.
+    3. Apply `EntriesCommitted` and `SnapshotRestored` to the state machine.
+    4. Answer a read at the leader only after `LeadershipConfirmed` for a `confirm_leadership` that came after the read
+       did, and only once an entry of the leader's own term is committed (6.4).
+    5. Call `compact` with the state machine's snapshot when `should_compact` says so, with all effects carried out.
 
-class Raft:
-    """One voter. `disk` is None for one that has none: it takes no part until it is taken in anew (`empty`)."""
+    `persistent` is what the host's store holds, and belongs to this voter from then on. It is None where the store was
+    lost: the voter then takes no part, for it may have cast a vote or acknowledged entries that it does not know of.
+    """
 
     def __init__(
-        self, me: str, disk: PersistentState | None, seed: int, election_us: int = 1_000_000
+        self,
+        name: str,
+        persistent: PersistentState | None,
+        seed: int,
+        election_timeout_us: int = 1_000_000,
     ) -> None:
-        self.name = me
-        self.has_lost_state = disk is None
-        self.persistent = disk or PersistentState(())
+        self.name = name
+        self.has_lost_state = persistent is None
+        self.persistent = persistent or PersistentState(())
         self.role = Role.FOLLOWER
-        self.leader = ""
+        self.leader = ""  # as far as is known; "" where nobody is
         self.commit_index = self.persistent.snapshot_index
-        self.elected_at_us = 0  # when this voter was elected last
-        self._election_us, self._beat_us = election_us, election_us // 5
+        self.elected_at_us = 0  # when this voter became leader last
+        self._last_applied = self.persistent.snapshot_index
+        self._election_timeout_us = election_timeout_us
+        self._heartbeat_us = election_timeout_us // HEARTBEATS_PER_ELECTION_TIMEOUT
         self._random = random.Random(seed)
-        self._applied = self.persistent.snapshot_index
-        self._heard_us = -election_us  # of a leader
-        self._granted: set[str] = set()
-        self._pre = False
-        self._yielded = False  # since it stood last: to another that stands
-        self._peers: dict[str, _Peer] = {}
-        self._round = 0
-        self._confirms: list[tuple[int, int]] = []  # number, the round that must be answered
-        self._due: dict[str, int] = {}
+        self._last_leader_contact_us = -election_timeout_us
+        self._votes: set[str] = set()
+        self._is_pre_vote = False
+        self._has_yielded = False  # to another pre-candidate, since this one's last candidacy
+        self._leading = LeaderState()
+        self._round = 0  # number of the latest broadcast; goes on over elections
+        self._timers: set[str] = set()  # that are set and not yet due
         self._now_us = 0
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Who votes now."""
+        """The configuration in force."""
         return self.persistent.latest_voters()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter is the leader."""
+        """Whether this voter leads, as far as it knows: see `confirm_leadership`."""
         return self.role is Role.LEADER
 
+    @property
+    def has_committed_in_term(self) -> bool:
+        """Whether an entry of the current term is committed; before, a leader's commit index may be behind (6.4)."""
+        return self.persistent.term_at(self.commit_index) == self.persistent.term
+
+    @property
+    def should_compact(self) -> bool:
+        """Whether enough entries have been applied for the host to call `compact`."""
+        return self._last_applied - self.persistent.snapshot_index > MAX_LOG_ENTRIES
+
     def start(self, now_us: int) -> Effects:
-        """Begin, from what is on disk."""
-        out: Effects = [
-            SnapshotRestored(self.persistent.snapshot_index, self.persistent.snapshot_state)
-        ]
-        return [*out, *self._wait_for_leader(now_us)]
+        """Begin as a follower, from what is on disk."""
+        restored = SnapshotRestored(self.persistent.snapshot_index, self.persistent.snapshot_state)
+        return [restored, self._set_election_timer(now_us)]
 
-    # -- asked by the placer
+    # -- Requests of the host
 
     def propose(self, now_us: int, kind: str, body: str) -> tuple[int, Effects]:
-        """Append a decision: its index, which is committed or lost in the end; -1 where this is not the leader."""
+        """Append an entry: its index; -1 where this voter is not the leader.
+
+        The entry is committed when it comes in `EntriesCommitted`; after a change of leader another may take its index.
+        """
         self._now_us = now_us
         if not self.is_leader:
             return -1, []
         self.persistent.log.append(LogEntry(self.persistent.term, kind, body))
         if kind == VOTERS:
-            self._know_peers(now_us)
-        return self.persistent.last_log_index, [
-            self._persist(self.persistent.last_log_index),
-            *self._send_all(now_us),
-            *self._advance(),
-        ]
+            self._track_followers(now_us)
+        index = self.persistent.last_log_index
+        effects: Effects = [self._persist_from(index)]
+        effects += self._broadcast()
+        effects += self._advance_commit_index()
+        return index, effects
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[int, Effects]:
-        """Take one in or leave one out; -1 where that is not one step, or the last one is not committed yet."""
-        held = self.voters
-        pending = any(
-            entry.kind == VOTERS
-            for entry in self.persistent.log[self.commit_index - self.persistent.snapshot_index :]
-        )
-        own_term = self.persistent.term_at(self.commit_index) == self.persistent.term
-        if pending or not own_term or len(set(held) ^ set(voters)) != 1 or not voters:
+        """Add or remove one voter (4.1): the entry's index; -1 where that is refused.
+
+        Refused are changes of none or of several voters, a change while another is uncommitted, and, for the same
+        safety, any before an entry of this leader's term is committed.
+        """
+        is_one_change = len(set(self.voters) ^ set(voters)) == 1
+        if not is_one_change or not voters or not self.has_committed_in_term:
+            return -1, []
+        if self.persistent.has_configuration_after(self.commit_index):
             return -1, []
         return self.propose(now_us, VOTERS, " ".join(voters))
 
-    def confirm_leadership(self, now_us: int, number: int) -> Effects:
-        """Tell `Confirmed(number)` once a majority has answered something sent from now on."""
+    def confirm_leadership(self, now_us: int, read_id: int) -> Effects:
+        """Emit `LeadershipConfirmed(read_id)` once a majority has answered a broadcast of now or later (6.4).
+
+        Nothing comes where this voter is no leader, or ceases to be one before.
+        """
         if not self.is_leader:
             return []
-        self._confirms.append((number, self._round + 1))
-        return [*self._send_all(now_us), *self._check_confirms()]
+        self._leading.pending_reads.append(PendingRead(read_id, self._round + 1))
+        return [*self._broadcast(), *self._confirm_reads()]
 
     def compact(self, state: str) -> Effects:
-        """The replicated state as of what was committed and applied: entries up to there are kept no longer."""
-        disk = self.persistent
-        if self._applied <= disk.snapshot_index:
+        """Replace all applied entries by a snapshot of the state machine, which has applied exactly these (5)."""
+        persistent = self.persistent
+        index = self._last_applied
+        if index <= persistent.snapshot_index:
             return []
-        voters, term = disk.snapshot_voters, disk.term_at(self._applied)
-        for entry in disk.log[: self._applied - disk.snapshot_index]:
-            if entry.kind == VOTERS:
-                voters = tuple(entry.body.split())
-        disk.log = disk.log[self._applied - disk.snapshot_index :]
-        disk.snapshot_index, disk.snapshot_term, disk.snapshot_state, disk.snapshot_voters = (
-            self._applied,
-            term or 0,
-            state,
-            voters,
-        )
-        return [self._persist(disk.snapshot_index)]
+        term = persistent.term_at(index) or 0
+        snapshot = Snapshot(index, term, persistent.voters_at(index), state)
+        persistent.replace_snapshot(snapshot, list(persistent.entries_from(index + 1)))
+        return [self._persist_snapshot()]
 
-    @property
-    def should_compact(self) -> bool:
-        """Whether the log is long enough."""
-        return self._applied - self.persistent.snapshot_index > MAX_LOG_ENTRIES
+    def on_storage_failure(self) -> None:
+        """The host could not write a `Persist`: from now on this voter takes no part."""
+        self.has_lost_state = True
 
-    # -- driven by the host
+    # -- Events
 
     def on_timer(self, now_us: int, key: str) -> Effects:
-        """A timer is due: `election` or `beat`."""
-        if self._due.pop(key, None) is None:
+        """A timer is due; one that was not set is ignored."""
+        if key not in self._timers:
             return []
-        if key == "beat":
-            return self._beat(now_us)
-        if key == "again":
-            return self._ask_votes(now_us) if self.role is Role.CANDIDATE else []
+        self._timers.remove(key)
+        if key == HEARTBEAT_TIMER:
+            return self._on_heartbeat_timer(now_us)
+        if key == VOTE_RETRY_TIMER:
+            return self._request_votes(now_us) if self.role is Role.CANDIDATE else []
         if self.is_leader or self.has_lost_state or self.name not in self.voters:
-            return self._wait_for_leader(now_us)
-        return self._stand(now_us, True)
+            return [self._set_election_timer(now_us)]
+        return self._campaign(now_us, pre_vote=True)
 
-    def on_message(self, now_us: int, ident: str, message: Message) -> Effects:
+    def on_message(self, now_us: int, sender: str, message: Message) -> Effects:
         """A message of another voter."""
         self._now_us = now_us
         if self.has_lost_state:
-            return []  # Danger: what it once promised is lost with its disk; a second word could undo a decision
+            # Danger: a second vote in one term, or a log that lacks what was acknowledged, could undo a decision.
+            return []
         if isinstance(message, VoteRequest):
-            return self._on_vote_ask(now_us, ident, message)
-        if message.term > self.persistent.term and not (
-            isinstance(message, VoteResponse) and message.pre
-        ):
-            out = self._step_down(now_us, message.term)
-        else:
-            out = []
+            return self._on_vote_request(now_us, sender, message)
+        effects: Effects = []
+        # A granted pre-vote names the term that its receiver would begin, which is nobody's yet.
+        is_pre_vote = isinstance(message, VoteResponse) and message.pre
+        if message.term > self.persistent.term and not is_pre_vote:
+            effects += self._step_down(now_us, message.term)
         if isinstance(message, VoteResponse):
-            return [*out, *self._on_vote(now_us, ident, message)]
-        if isinstance(message, AppendResponse):
-            return [*out, *self._on_answer(now_us, ident, message)]
-        if message.term < self.persistent.term:
-            return [
-                *out,
-                Send(
-                    ident,
-                    "",
-                    AppendResponse(
-                        self.persistent.term, False, self.persistent.last_log_index, message.round
-                    ),
-                ),
-            ]
-        if self.role is not Role.FOLLOWER or self.leader != ident:
-            out += self._follow(ident)
-        self._heard_us = now_us
-        out += self._wait_for_leader(now_us)
-        return [
-            *out,
-            *(
-                self._on_append(ident, message)
-                if isinstance(message, AppendRequest)
-                else self._on_install(ident, message)
-            ),
-        ]
+            effects += self._on_vote_response(now_us, sender, message)
+        elif isinstance(message, AppendResponse):
+            effects += self._on_append_response(now_us, sender, message)
+        elif message.term < self.persistent.term:
+            effects.append(self._append_response(sender, message.round, ok=False))
+        else:
+            effects += self._on_leader_message(now_us, sender, message)
+        return effects
 
-    # -- elections
+    # -- Leader election (3.4)
 
-    def _wait_for_leader(self, now_us: int) -> Effects:
-        wait = self._election_us + self._random.randrange(self._election_us)
-        return [self._timer("election", now_us + wait)]
+    def _set_election_timer(self, now_us: int) -> SetTimer:
+        timeout_us = self._election_timeout_us + self._random.randrange(self._election_timeout_us)
+        return self._set_timer(ELECTION_TIMER, now_us + timeout_us)
 
-    def _stand(self, now_us: int, pre: bool) -> Effects:
-        """Ask to be elected; first only whether one would be, so that who was cut off raises no term in vain."""
-        out: Effects = []
-        self._pre, self._granted, self.leader, self._yielded = pre, {self.name}, "", False
+    def _campaign(self, now_us: int, *, pre_vote: bool) -> Effects:
+        """Ask for votes; first for pre-votes, so that a voter that was cut off does not raise the term (9.6)."""
+        effects: Effects = []
         self.role = Role.CANDIDATE
-        if not pre:
-            self.persistent.term, self.persistent.vote = self.persistent.term + 1, self.name
-            out.append(self._persist(None))
-        return [
-            *out,
-            *self._ask_votes(now_us),
-            *self._wait_for_leader(now_us),
-            *self._count_votes(now_us),
-        ]
-
-    def _ask_votes(self, now_us: int) -> Effects:
-        """Of all that have not granted theirs, again and again: an ask or its answer may be lost."""
-        term = self.persistent.term + 1 if self._pre else self.persistent.term
-        last_term = self.persistent.term_at(self.persistent.last_log_index) or 0
+        self.leader = ""
+        self._is_pre_vote = pre_vote
+        self._votes = {self.name}
+        self._has_yielded = False
+        if not pre_vote:
+            self.persistent.term += 1
+            self.persistent.vote = self.name
+            effects.append(self._persist_vote())
+        effects += self._request_votes(now_us)
+        effects.append(self._set_election_timer(now_us))
+        effects += self._count_votes(now_us)
+        return effects
+
+    def _campaign_term(self) -> int:
+        """The term that this candidate asks votes for; a pre-vote is for the term after its own."""
+        return self.persistent.term + 1 if self._is_pre_vote else self.persistent.term
+
+    def _request_votes(self, now_us: int) -> Effects:
+        """Ask all who have not granted their vote; repeated, as a request or its answer may be lost."""
+        request = VoteRequest(
+            self._campaign_term(),
+            self.persistent.last_log_index,
+            self.persistent.last_log_term,
+            self._is_pre_vote,
+        )
         return [
-            *(
-                Send(
-                    each,
-                    "",
-                    VoteRequest(term, self.persistent.last_log_index, last_term, self._pre),
-                )
-                for each in self.voters
-                if each not in self._granted
-            ),
-            self._timer("again", now_us + self._beat_us),
+            *(Send(voter, "", request) for voter in self.voters if voter not in self._votes),
+            self._set_timer(VOTE_RETRY_TIMER, now_us + self._heartbeat_us),
         ]
 
-    def _on_vote_ask(self, now_us: int, ident: str, asked: VoteRequest) -> Effects:
-        disk = self.persistent
-        out: Effects = []
-        # Who hears a leader elects no other: one that was cut off or let go of must not depose it by coming back.
-        stays = self.is_leader or now_us - self._heard_us < self._election_us
-        if asked.term > disk.term and not asked.pre and not stays:
-            out += self._step_down(now_us, asked.term)
-        mine = (disk.term_at(disk.last_log_index) or 0, disk.last_log_index)
-        good = (asked.last_term, asked.last_index) >= mine and not stays and ident in self.voters
-        if asked.pre:
-            granted = good and asked.term > disk.term
-            if (
-                granted
-                and not self._yielded
-                and (self.role is Role.FOLLOWER or (self._pre and ident < self.name))
-            ):
-                # Of two that stand at once one gives way, or both get half of the votes. Once: who stands may be deaf.
-                self._yielded, self.role = True, Role.FOLLOWER
-                wait = 2 * self._beat_us + self._random.randrange(2 * self._beat_us)
-                out.append(self._timer("election", now_us + wait))
-            return [
-                *out,
-                Send(ident, "", VoteResponse(asked.term if granted else disk.term, granted, True)),
-            ]
-        granted = good and asked.term == disk.term and disk.vote in ("", ident)
-        if granted and not disk.vote:
-            disk.vote = ident
-            out.append(self._persist(None))
+    def _on_vote_request(self, now_us: int, candidate: str, request: VoteRequest) -> Effects:
+        # A voter that hears from a leader neither votes nor takes over the term, so that one that was cut off, or
+        # removed, deposes nobody when it comes back (4.2.3).
+        contact_us = now_us - self._last_leader_contact_us
+        has_leader = self.is_leader or contact_us < self._election_timeout_us
+        log_is_up_to_date = (request.last_term, request.last_index) >= (
+            self.persistent.last_log_term,
+            self.persistent.last_log_index,
+        )  # 3.6.1
+        is_eligible = log_is_up_to_date and not has_leader and candidate in self.voters
+        if request.pre:
+            return self._on_pre_vote_request(now_us, candidate, request, is_eligible=is_eligible)
+        effects: Effects = []
+        if request.term > self.persistent.term and not has_leader:
+            effects += self._step_down(now_us, request.term)
+        persistent = self.persistent
+        is_free = persistent.vote in ("", candidate)
+        granted = is_eligible and request.term == persistent.term and is_free
+        if granted and not persistent.vote:
+            persistent.vote = candidate
+            effects.append(self._persist_vote())
         if granted:
-            out += self._wait_for_leader(now_us)
-        return [*out, Send(ident, "", VoteResponse(disk.term, granted, False))]
-
-    def _on_vote(self, now_us: int, ident: str, answer: VoteResponse) -> Effects:
-        if (
-            self.role is not Role.CANDIDATE
-            or answer.pre is not self._pre
-            or ident not in self.voters
-        ):
+            effects.append(self._set_election_timer(now_us))
+        effects.append(Send(candidate, "", VoteResponse(persistent.term, granted, False)))
+        return effects
+
+    def _on_pre_vote_request(
+        self, now_us: int, candidate: str, request: VoteRequest, *, is_eligible: bool
+    ) -> Effects:
+        effects: Effects = []
+        granted = is_eligible and request.term > self.persistent.term
+        if granted and self._yields_to(candidate):
+            # Of two that campaign at once one gives way, else each may get half of the votes; and it does so once only,
+            # as the other may be unable to receive answers.
+            self._has_yielded = True
+            self.role = Role.FOLLOWER
+            wait_us = 2 * self._heartbeat_us + self._random.randrange(2 * self._heartbeat_us)
+            effects.append(self._set_timer(ELECTION_TIMER, now_us + wait_us))
+        term = request.term if granted else self.persistent.term
+        effects.append(Send(candidate, "", VoteResponse(term, granted, True)))
+        return effects
+
+    def _yields_to(self, candidate: str) -> bool:
+        """Whether to give way to a pre-candidate: a follower does, and of two pre-candidates the later by name."""
+        if self._has_yielded:
+            return False
+        return self.role is Role.FOLLOWER or (self._is_pre_vote and candidate < self.name)
+
+    def _on_vote_response(self, now_us: int, voter: str, response: VoteResponse) -> Effects:
+        is_for_campaign = self.role is Role.CANDIDATE and response.pre is self._is_pre_vote
+        if not is_for_campaign or voter not in self.voters:
             return []
-        if answer.granted and answer.term == (
-            self.persistent.term + 1 if self._pre else self.persistent.term
-        ):
-            self._granted.add(ident)
+        if response.granted and response.term == self._campaign_term():
+            self._votes.add(voter)
             return self._count_votes(now_us)
-        if answer.term > self.persistent.term:
-            return self._step_down(now_us, answer.term)
+        if response.term > self.persistent.term:
+            return self._step_down(now_us, response.term)
         return []
 
     def _count_votes(self, now_us: int) -> Effects:
-        if 2 * len(self._granted & set(self.voters)) <= len(self.voters):
+        if not self._is_majority(len(self._votes & set(self.voters))):
             return []
-        return self._stand(now_us, False) if self._pre else self._lead(now_us)
-
-    def _lead(self, now_us: int) -> Effects:
-        self.role, self.leader, self.elected_at_us = Role.LEADER, self.name, now_us
-        self._peers, self._confirms = {}, []
-        self._know_peers(now_us)
-        self.persistent.log.append(
-            LogEntry(self.persistent.term, "", "")
-        )  # of its own term: earlier ones are committed with it
-        return [
-            self._persist(self.persistent.last_log_index),
+        if self._is_pre_vote:
+            return self._campaign(now_us, pre_vote=False)
+        return self._become_leader(now_us)
+
+    def _become_leader(self, now_us: int) -> Effects:
+        self.role = Role.LEADER
+        self.leader = self.name
+        self.elected_at_us = now_us
+        self._leading = LeaderState()
+        self._track_followers(now_us)
+        # Entries of earlier terms are committed only together with one of the leader's own (3.6.2).
+        self.persistent.log.append(LogEntry(self.persistent.term, NO_OP, ""))
+        effects: Effects = [
+            self._persist_from(self.persistent.last_log_index),
             LeadershipChanged(True),
             Notify("leads", {"term": self.persistent.term}),
-            *self._send_all(now_us),
-            *self._advance(),
-            self._timer("beat", now_us + self._beat_us),
         ]
-
-    def _know_peers(self, now_us: int) -> None:
-        for name in self.voters:
-            if name != self.name and name not in self._peers:
-                self._peers[name] = _Peer(self.persistent.last_log_index + 1, heard_us=now_us)
-        for name in [name for name in self._peers if name not in self.voters]:
-            del self._peers[name]
+        effects += self._broadcast()
+        effects += self._advance_commit_index()
+        effects.append(self._set_timer(HEARTBEAT_TIMER, now_us + self._heartbeat_us))
+        return effects
 
     def _step_down(self, now_us: int, term: int) -> Effects:
-        led, self.role = self.is_leader, Role.FOLLOWER
-        out: Effects = []
+        """Become a follower without a known leader, in `term` where that is a later one."""
+        was_leader = self.is_leader
+        effects: Effects = []
+        self.role = Role.FOLLOWER
         if term > self.persistent.term:
-            self.persistent.term, self.persistent.vote, self.leader = term, "", ""
-            out.append(self._persist(None))
-        if led:
+            self.persistent.term = term
+            self.persistent.vote = ""
             self.leader = ""
-            out += [
-                LeadershipChanged(False),
-                Notify("leads-no-longer", {"term": self.persistent.term}),
-            ]
-        self._confirms = []
-        return [*out, *self._wait_for_leader(now_us)]
-
-    def _follow(self, ident: str) -> Effects:
-        led, self.role = self.is_leader, Role.FOLLOWER
-        self.leader = ident
-        self._confirms = []
-        return [
-            *([LeadershipChanged(False)] if led else []),
-            Notify("follows", {"leader": ident, "term": self.persistent.term}),
-        ]
+            effects.append(self._persist_vote())
+        if was_leader:
+            self.leader = ""
+            effects.append(LeadershipChanged(False))
+            effects.append(Notify("leads-no-longer", {"term": self.persistent.term}))
+        self._leading.pending_reads.clear()
+        effects.append(self._set_election_timer(now_us))
+        return effects
+
+    def _follow(self, leader: str) -> Effects:
+        """Become a follower of the current term's leader."""
+        was_leader = self.is_leader
+        effects: Effects = [LeadershipChanged(False)] if was_leader else []
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self._leading.pending_reads.clear()
+        effects.append(Notify("follows", {"leader": leader, "term": self.persistent.term}))
+        return effects
 
-    # -- leading
+    # -- The leader's part of log replication (3.5)
 
-    def _beat(self, now_us: int) -> Effects:
+    def _on_heartbeat_timer(self, now_us: int) -> Effects:
         if not self.is_leader:
             return []
-        heard = 1 + sum(
-            now_us - each.heard_us < 2 * self._election_us for name, each in self._peers.items()
+        active = self._own_vote() + sum(
+            now_us - each.last_response_us < 2 * self._election_timeout_us
+            for each in self._leading.progress.values()
         )
-        counted = heard if self.name in self.voters else heard - 1
-        if 2 * counted <= len(self.voters):
-            # Check-quorum. Danger: a leader that a majority does not hear any more would go on answering as one.
+        if not self._is_majority(active):
+            # Check-quorum (6.2). Danger: a leader that a majority hears no longer would go on answering as one.
             return self._step_down(now_us, self.persistent.term)
-        return [*self._send_all(now_us), self._timer("beat", now_us + self._beat_us)]
+        return [
+            *self._broadcast(),
+            self._set_timer(HEARTBEAT_TIMER, now_us + self._heartbeat_us),
+        ]
+
+    def _track_followers(self, now_us: int) -> None:
+        followers = [name for name in self.voters if name != self.name]
+        self._leading.track(followers, self.persistent.last_log_index + 1, now_us)
 
-    def _send_all(self, now_us: int) -> Effects:
+    def _broadcast(self) -> list[Send]:
+        """Send each follower what it lacks, or a heartbeat."""
         self._round += 1
-        return [self._send_to(name, each) for name, each in self._peers.items()]
+        return [self._replicate(name, each) for name, each in self._leading.progress.items()]
 
-    def _send_to(self, name: str, peer: _Peer) -> Send:
-        disk, prev = self.persistent, peer.next - 1
-        prev_term = disk.term_at(prev)
+    def _replicate(self, follower: str, progress: Progress) -> Send:
+        """The entries after `next_index`; the snapshot where those were compacted away."""
+        persistent = self.persistent
+        prev_index = progress.next_index - 1
+        prev_term = persistent.term_at(prev_index)
         if prev_term is None:
-            return Send(
-                name,
-                "",
-                InstallSnapshot(
-                    disk.term,
-                    disk.snapshot_index,
-                    disk.snapshot_term,
-                    " ".join(disk.snapshot_voters),
-                    disk.snapshot_state,
-                    self._round,
-                ),
-            )
-        return Send(
-            name,
-            "",
-            AppendRequest(
-                disk.term,
-                prev,
-                prev_term,
-                disk.entries_after(prev, MAX_APPEND_ENTRIES),
-                self.commit_index,
+            snapshot = InstallSnapshot(
+                persistent.term,
+                persistent.snapshot_index,
+                persistent.snapshot_term,
+                " ".join(persistent.snapshot_voters),
+                persistent.snapshot_state,
                 self._round,
-            ),
+            )
+            return Send(follower, "", snapshot)
+        request = AppendRequest(
+            persistent.term,
+            prev_index,
+            prev_term,
+            persistent.next_entries(prev_index, MAX_APPEND_ENTRIES),
+            self.commit_index,
+            self._round,
         )
+        return Send(follower, "", request)
 
-    def _on_answer(self, now_us: int, ident: str, answer: AppendResponse) -> Effects:
-        peer = self._peers.get(ident)
-        if not self.is_leader or peer is None or answer.term != self.persistent.term:
+    def _on_append_response(self, now_us: int, follower: str, response: AppendResponse) -> Effects:
+        progress = self._leading.progress.get(follower)
+        if not self.is_leader or progress is None or response.term != self.persistent.term:
             return []
-        peer.heard_us, peer.round = now_us, max(peer.round, answer.round)
-        out = self._check_confirms()
-        if not answer.ok:
-            peer.next = max(1, min(peer.next - 1, answer.match + 1))
-            return [*out, self._send_to(ident, peer)]
-        before = peer.match
-        peer.match = max(peer.match, answer.match)
-        peer.next = max(peer.next, peer.match + 1)
-        out += self._advance()
-        if peer.match < self.persistent.last_log_index and peer.match > before:
-            out.append(self._send_to(ident, peer))
-        return out
-
-    def _advance(self) -> Effects:
-        """Commit what a majority holds of this term."""
-        voters = self.voters
-        held = sorted(
+        progress.last_response_us = now_us
+        progress.acked_round = max(progress.acked_round, response.round)
+        effects = self._confirm_reads()
+        if not response.ok:
+            # 3.5: go back until the logs agree; the response tells how far at once.
+            progress.next_index = max(1, min(progress.next_index - 1, response.match + 1))
+            effects.append(self._replicate(follower, progress))
+            return effects
+        old_match_index = progress.match_index
+        progress.match_index = max(old_match_index, response.match)
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
+        effects += self._advance_commit_index()
+        if old_match_index < progress.match_index < self.persistent.last_log_index:
+            effects.append(self._replicate(follower, progress))
+        return effects
+
+    def _advance_commit_index(self) -> Effects:
+        """Commit what a majority holds, if it is of the current term (3.6.2)."""
+        match_indexes = sorted(
             (
-                self.persistent.last_log_index if name == self.name else self._peers[name].match
-                for name in voters
+                self.persistent.last_log_index
+                if name == self.name
+                else self._leading.progress[name].match_index
+                for name in self.voters
             ),
             reverse=True,
         )
-        index = held[len(voters) // 2]
+        index = match_indexes[len(match_indexes) // 2]
         if index <= self.commit_index or self.persistent.term_at(index) != self.persistent.term:
             return []
         self.commit_index = index
-        out = self._apply()
-        if self.name not in self.voters and not any(
-            entry.kind == VOTERS
-            for entry in self.persistent.log[self.commit_index - self.persistent.snapshot_index :]
-        ):
-            out += self._step_down(
-                self._now_us, self.persistent.term
-            )  # it was left out, and that is decided
-        return out
-
-    def _check_confirms(self) -> Effects:
-        done: Effects = []
-        while self._confirms:
-            number, wanted = self._confirms[0]
-            count = sum(peer.round >= wanted for peer in self._peers.values()) + (
-                self.name in self.voters
+        effects = self._apply_committed()
+        is_removed = self.name not in self.voters
+        if is_removed and not self.persistent.has_configuration_after(self.commit_index):
+            effects += self._step_down(self._now_us, self.persistent.term)  # 4.2.2
+        return effects
+
+    def _confirm_reads(self) -> Effects:
+        """Confirm pending reads, oldest first, as far as a majority has answered (6.4)."""
+        effects: Effects = []
+        reads = self._leading.pending_reads
+        while reads:
+            answered = self._own_vote() + sum(
+                each.acked_round >= reads[0].round for each in self._leading.progress.values()
             )
-            if 2 * count <= len(self.voters):
+            if not self._is_majority(answered):
                 break
-            self._confirms.pop(0)
-            done.append(LeadershipConfirmed(number))
-        return done
-
-    # -- following
-
-    def _on_append(self, ident: str, message: AppendRequest) -> Effects:
-        disk = self.persistent
-        held = disk.term_at(message.prev_index)
-        if message.prev_index < disk.snapshot_index:
-            held, skip = disk.snapshot_term, disk.snapshot_index - message.prev_index
-            message = replace(
-                message, prev_index=disk.snapshot_index, entries=message.entries[skip:]
-            )
-        elif held is None or held != message.prev_term:
-            near = min(disk.last_log_index, message.prev_index - 1)
-            return [Send(ident, "", AppendResponse(disk.term, False, near, message.round))]
-        out: Effects = []
-        index = message.prev_index
-        for offset, entry in enumerate(message.entries):
-            index = message.prev_index + offset + 1
-            known = disk.term_at(index)
-            if known == entry.term:
-                continue
-            if known is not None:
-                disk.log = disk.log[
-                    : index - disk.snapshot_index - 1
-                ]  # an entry that was never committed gives way
-            disk.log += message.entries[offset:]
-            out.append(self._persist(index))
-            index = message.prev_index + len(message.entries)
-            break
-        if message.commit > self.commit_index:
-            self.commit_index = max(self.commit_index, min(message.commit, index))
-            out += self._apply()
-        return [*out, Send(ident, "", AppendResponse(disk.term, True, index, message.round))]
-
-    def _on_install(self, ident: str, message: InstallSnapshot) -> Effects:
-        disk = self.persistent
-        out: Effects = []
-        if message.index > self.commit_index:
-            kept = (
-                disk.log[message.index - disk.snapshot_index :]
-                if disk.term_at(message.index) == message.last_term
-                else []
-            )
-            disk.snapshot_index, disk.snapshot_term, disk.snapshot_state = (
-                message.index,
-                message.last_term,
-                message.state,
+            effects.append(LeadershipConfirmed(reads.popleft().read_id))
+        return effects
+
+    # -- The follower's part of log replication (3.5), and snapshots (5)
+
+    def _on_leader_message(
+        self, now_us: int, leader: str, message: AppendRequest | InstallSnapshot
+    ) -> Effects:
+        """A message of the current term's leader."""
+        effects: Effects = []
+        if self.role is not Role.FOLLOWER or self.leader != leader:
+            effects += self._follow(leader)
+        self._last_leader_contact_us = now_us
+        effects.append(self._set_election_timer(now_us))
+        if isinstance(message, AppendRequest):
+            effects += self._on_append_request(leader, message)
+        else:
+            effects += self._on_install_snapshot(leader, message)
+        return effects
+
+    def _on_append_request(self, leader: str, request: AppendRequest) -> Effects:
+        persistent = self.persistent
+        if request.prev_index < persistent.snapshot_index:
+            # What the snapshot includes is committed, so the logs agree up to its end.
+            known = persistent.snapshot_index - request.prev_index
+            request = replace(
+                request, prev_index=persistent.snapshot_index, entries=request.entries[known:]
             )
-            disk.snapshot_voters, disk.log = tuple(message.voters.split()), kept
-            self.commit_index = self._applied = message.index
-            out += [
-                self._persist(disk.snapshot_index),
-                SnapshotRestored(message.index, message.state),
-            ]
-        return [
-            *out,
-            Send(ident, "", AppendResponse(disk.term, True, max(message.index, 0), message.round)),
-        ]
+        elif persistent.term_at(request.prev_index) != request.prev_term:
+            retry_index = min(persistent.last_log_index, request.prev_index - 1)
+            return [self._append_response(leader, request.round, ok=False, match=retry_index)]
+        effects = self._append_new_entries(request)
+        last_new_index = request.prev_index + len(request.entries)
+        if request.commit > self.commit_index:
+            self.commit_index = max(self.commit_index, min(request.commit, last_new_index))
+            effects += self._apply_committed()
+        effects.append(self._append_response(leader, request.round, ok=True, match=last_new_index))
+        return effects
+
+    def _append_new_entries(self, request: AppendRequest) -> Effects:
+        """Append what is not in the log, in place of entries that conflict with it: those were never committed."""
+        for offset, entry in enumerate(request.entries):
+            index = request.prev_index + offset + 1
+            if self.persistent.term_at(index) != entry.term:
+                self.persistent.replace_from(index, request.entries[offset:])
+                return [self._persist_from(index)]
+        return []
 
-    def _apply(self) -> Effects:
-        """Hand over what was decided, once and in order."""
-        if self.commit_index <= self._applied:
+    def _on_install_snapshot(self, leader: str, message: InstallSnapshot) -> Effects:
+        effects: Effects = []
+        persistent = self.persistent
+        if message.index > self.commit_index:
+            is_in_log = persistent.term_at(message.index) == message.last_term
+            log = list(persistent.entries_from(message.index + 1)) if is_in_log else []
+            voters = tuple(message.voters.split())
+            snapshot = Snapshot(message.index, message.last_term, voters, message.state)
+            persistent.replace_snapshot(snapshot, log)
+            self.commit_index = message.index
+            self._last_applied = message.index
+            effects.append(self._persist_snapshot())
+            effects.append(SnapshotRestored(message.index, message.state))
+        match_index = max(message.index, 0)
+        effects.append(self._append_response(leader, message.round, ok=True, match=match_index))
+        return effects
+
+    def _append_response(
+        self, leader: str, broadcast: int, *, ok: bool, match: int | None = None
+    ) -> Send:
+        """Answer a leader; `match` is the last log index unless given."""
+        if match is None:
+            match = self.persistent.last_log_index
+        return Send(leader, "", AppendResponse(self.persistent.term, ok, match, broadcast))
+
+    def _apply_committed(self) -> Effects:
+        """Hand over the entries that are committed and not applied."""
+        if self.commit_index <= self._last_applied:
             return []
-        first, self_base = self._applied + 1, self.persistent.snapshot_index
-        entries = tuple(
-            self.persistent.log[self._applied - self_base : self.commit_index - self_base]
-        )
-        self._applied = self.commit_index
-        return [EntriesCommitted(first, entries)]
-
-    # -- small things
-
-    def _persist(self, first: int | None) -> Persist:
-        """Term and vote; and the log from an index on (all of it, and the snapshot, from `base`)."""
-        disk = self.persistent
-        whole = first is not None and first <= disk.snapshot_index
-        entries = (
-            ()
-            if first is None
-            else tuple(disk.log if whole else disk.log[first - disk.snapshot_index - 1 :])
-        )
+        first_index = self._last_applied + 1
+        entries = self.persistent.entries_from(first_index)
+        count = self.commit_index - self._last_applied
+        self._last_applied = self.commit_index
+        return [EntriesCommitted(first_index, entries[:count])]
+
+    # -- Majorities, persistence and timers
+
+    def _is_majority(self, count: int) -> bool:
+        return 2 * count > len(self.voters)
+
+    def _own_vote(self) -> int:
+        """1 where this voter is in the configuration; a leader that was removed does not count itself (4.2.2)."""
+        return 1 if self.name in self.voters else 0
+
+    def _persist_vote(self) -> Persist:
+        return Persist(self.persistent.term, self.persistent.vote, None, (), None)
+
+    def _persist_from(self, first_index: int) -> Persist:
+        """Term, vote, and the log from an index on."""
+        persistent = self.persistent
+        entries = persistent.entries_from(first_index)
+        return Persist(persistent.term, persistent.vote, first_index, entries, None)
+
+    def _persist_snapshot(self) -> Persist:
+        """Everything."""
+        persistent = self.persistent
         return Persist(
-            disk.term,
-            disk.vote,
-            disk.snapshot_index + 1 if whole else first,
-            entries,
-            (
-                disk.snapshot_index,
-                disk.snapshot_term,
-                " ".join(disk.snapshot_voters),
-                disk.snapshot_state,
-            )
-            if whole
-            else None,
+            persistent.term,
+            persistent.vote,
+            persistent.snapshot_index + 1,
+            tuple(persistent.log),
+            persistent.snapshot,
         )
 
-    def _timer(self, key: str, at_us: int) -> SetTimer:
-        self._due[key] = at_us
-        return SetTimer("raft " + key, at_us)
+    def _set_timer(self, key: str, at_us: int) -> SetTimer:
+        self._timers.add(key)
+        return SetTimer(TIMER_PREFIX + key, at_us)
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -8,7 +8,15 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus.effects import (
+    Effects,
+    EntriesCommitted,
+    LeadershipChanged,
+    LeadershipConfirmed,
+    SnapshotRestored,
+)
+from wingbarrow.decide.consensus.entries import VOTERS
+from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.coordination.leader import Leader
 from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
@@ -40,7 +48,7 @@
         self,
         me: str,
         voters: tuple[str, ...],
-        disk: log.PersistentState | None,
+        disk: PersistentState | None,
         seed: int,
         times: Timing = Timing(),
         life: int = 0,
@@ -193,25 +201,25 @@
 
     # -- the voters' log
 
-    def apply_raft(self, now_us: int, effects: log.Effects) -> list[Effect]:
+    def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
         """Effects for the host; what is decided goes into the replicated state on the way."""
         out: list[Effect] = []
         for effect in effects:
-            if isinstance(effect, log.SnapshotRestored):
+            if isinstance(effect, SnapshotRestored):
                 self.agreed = from_text(effect.state)
                 for name, chapter in self.subsystems.items():
                     chapter.restore(self.agreed.chapters.get(name, ""))
-            elif isinstance(effect, log.EntriesCommitted):
+            elif isinstance(effect, EntriesCommitted):
                 out += self._decided(now_us, effect)
-            elif isinstance(effect, log.LeadershipConfirmed):
+            elif isinstance(effect, LeadershipConfirmed):
                 out += self.leadership.on_confirmed(now_us, effect.read_id)
-            elif isinstance(effect, log.LeadershipChanged):
+            elif isinstance(effect, LeadershipChanged):
                 out += self.leadership.on_leadership_change(now_us, effect.is_leader)
             else:
                 out.append(effect)
         return out
 
-    def _decided(self, now_us: int, committed: log.EntriesCommitted) -> list[Effect]:
+    def _decided(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
         out: list[Effect] = []
         before = self.agreed.edition, self.agreed.version, len(self.agreed.floors)
         told = False
@@ -219,7 +227,7 @@
             name, _, kind = entry.kind.partition("/")
             if kind:
                 told = self._apply(name, kind, entry.body) or told
-            elif entry.kind not in ("", log.VOTERS):
+            elif entry.kind not in ("", VOTERS):
                 self.agreed.apply(entry.kind, entry.body)
                 if entry.kind == RECOVERED:
                     self.allocations.recovered()
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus.effects import Effects
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.coordination.messages import (
@@ -64,7 +64,7 @@
     def timer(self, key: str, at_us: int) -> SetTimer:
         """Set one."""
 
-    def apply_raft(self, now_us: int, effects: log.Effects) -> list[Effect]:
+    def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
         """Effects for the host."""
 
     def propose(self, now_us: int, kind: str, value: dict[str, Any]) -> list[Effect]:
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.maintenance.slots import MaintenanceReport, MaintenanceResponse
 from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
@@ -81,7 +81,7 @@
     grant: LeaseGrant
 
 
-Message = LeaseRequest | LeaseGrant | NotLeader | RelayedRequest | RelayedGrant | log.Message
+Message = LeaseRequest | LeaseGrant | NotLeader | RelayedRequest | RelayedGrant | consensus.Message
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -326,9 +326,7 @@
             self.counts["rules:store failed"] += 1
             self._log("rules-store-failed", level="error", why=str(error))
             if self.agreement is not None and self.agreement.raft is not None:
-                self.agreement.raft.has_lost_state = (
-                    True  # it says nothing more as a voter; it goes on by its grants
-                )
+                self.agreement.raft.on_storage_failure()  # its leases go on
             self._store.close()
             self._store = None
             return False
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from wingbarrow.decide.consensus import log
+from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.coordination import messages as asking
 from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.outliers.ejection import EVIDENCE_MOST, VERDICTS_MOST
@@ -35,11 +35,11 @@
     "ack": words.Ack,
     "nack": words.Nack,
     "sync": words.Sync,
-    "vote-ask": log.VoteRequest,
-    "vote-answer": log.VoteResponse,
-    "append": log.AppendRequest,
-    "append-answer": log.AppendResponse,
-    "install": log.InstallSnapshot,
+    "vote-ask": consensus.VoteRequest,
+    "vote-answer": consensus.VoteResponse,
+    "append": consensus.AppendRequest,
+    "append-answer": consensus.AppendResponse,
+    "install": consensus.InstallSnapshot,
     "ask": asking.LeaseRequest,
     "grant": asking.LeaseGrant,
     "not-leader": asking.NotLeader,
@@ -160,7 +160,7 @@
             raise BadMail("a member's address that is empty or too long")
         if not (0 <= word.incarnation < INCARNATION_MOST and 0 <= word.life < INCARNATION_MOST):
             raise BadMail("an incarnation out of range")
-    if isinstance(message, log.AppendRequest) and len(message.entries) > ENTRIES_MOST:
+    if isinstance(message, consensus.AppendRequest) and len(message.entries) > ENTRIES_MOST:
         raise BadMail(f"{len(message.entries)} entries; {ENTRIES_MOST} are the most")
     if isinstance(message, asking.LeaseRequest) and (
         len(message.stated) > LIMITS_MOST
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -1,7 +1,13 @@
-"""A voter's disk: term, vote, log and snapshot, in one LMDB environment; a write is on disk when it returns.
+"""A voter's persistent state in one LMDB environment; what `persist` was given is on disk when it returns.
 
-What is stored is what `decide.consensus.log.Disk` holds. It is made once, by an operator's word (`create`): a voter
-that finds none where there was one has lost what it promised, and must not begin anew by itself.
+Layout, version `FORMAT`: all values are JSON.
+
+    meta                      {"form", "term", "vote"}
+    snapshot                  [index, term, voters with spaces between, state]
+    entry/ + index, 8 bytes   [term, kind, body]
+
+An operator makes a store once (`create`). A voter that finds none where there was one must not begin anew by itself: it
+has lost the votes that it cast (Raft, 3.8).
 """
 
 from __future__ import annotations
@@ -9,48 +15,72 @@
 import fcntl
 import json
 from pathlib import Path
-from typing import Any, TextIO
+from types import TracebackType
+from typing import Any, Self, TextIO
 
 import lmdb
 
-from wingbarrow.decide.consensus.log import LogEntry, PersistentState, sole_voter_update
+from wingbarrow.decide.consensus.entries import LogEntry, Snapshot
+from wingbarrow.decide.consensus.log import PersistentState, sole_voter_update
 from wingbarrow.decide.effects import Persist
 
 MAP_SIZE_BYTES = 256 << 20
 FORMAT = 1
-_META, _SNAPSHOT, _ENTRY = b"meta", b"snapshot", b"entry/"
+DATA_FILE = "data.mdb"  # LMDB's own name
+OWNER_FILE = "owner"  # locked by the process that has the store open
+
+_META_KEY = b"meta"
+_SNAPSHOT_KEY = b"snapshot"
+_ENTRY_PREFIX = b"entry/"
+_INDEX_BYTES = 8
 
 
 class StoreError(Exception):
-    """The disk could not be read or written; the text says how."""
+    """A store could not be used: its folder, the operation ("open", "load", "persist", "create"), and why."""
+
+    def __init__(self, folder: Path, *, operation: str, reason: str) -> None:
+        super().__init__(f"{folder}: {reason}")
+        self.folder = folder
+        self.operation = operation
+        self.reason = reason
+
 
+def _entry_key(index: int) -> bytes:
+    return _ENTRY_PREFIX + index.to_bytes(_INDEX_BYTES, "big")
 
-def _key(index: int) -> bytes:
-    return _ENTRY + index.to_bytes(8, "big")
 
+def _entry_index(key: bytes) -> int | None:
+    """The index of an entry's key; None for other keys."""
+    if not key.startswith(_ENTRY_PREFIX):
+        return None
+    return int.from_bytes(key[len(_ENTRY_PREFIX) :], "big")
 
-def _owned(folder: Path) -> TextIO:
-    """Hold a store for this process as long as the file is open; StoreError where another does."""
+
+def _lock(folder: Path) -> TextIO:
+    """Own a store until the file is closed; LMDB itself would let several processes write."""
     try:
-        file = (folder / "owner").open("a", encoding="utf-8")
+        file = (folder / OWNER_FILE).open("a", encoding="utf-8")
     except OSError as error:
-        raise StoreError(f"{folder}: {error.strerror}") from None
+        raise StoreError(folder, operation="open", reason=str(error.strerror)) from error
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-    except OSError:
+    except OSError as error:
         file.close()
-        raise StoreError(f"{folder}: another process has it open") from None
+        raise StoreError(folder, operation="open", reason="another process has it open") from error
     return file
 
 
 class VoterStore:
-    """Opened on a folder that `create` has made."""
+    """A store that `create` has made, open until `close` or the end of a `with`; one process at a time.
+
+    Raises StoreError where it cannot be opened.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._owner = _owned(folder)
+        self._owner = _lock(folder)
         try:
-            self._env = lmdb.open(
+            self._environment = lmdb.open(
                 str(folder),
                 map_size=MAP_SIZE_BYTES,
                 max_dbs=0,
@@ -60,99 +90,120 @@
             )
         except lmdb.Error as error:
             self._owner.close()
-            raise StoreError(f"{folder}: {error}") from None
+            raise StoreError(folder, operation="open", reason=str(error)) from error
+
+    def __enter__(self) -> Self:
+        return self
+
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        self.close()
+
+    def close(self) -> None:
+        """Close the environment, and let other processes open it."""
+        self._environment.close()
+        self._owner.close()
 
     def load(self) -> PersistentState:
-        """What is on disk; StoreError where it cannot be what was written."""
+        """All that is stored. Raises StoreError where it cannot be read, or cannot be what `persist` has written."""
         try:
-            with self._env.begin() as txn:
-                meta: dict[str, Any] = json.loads(txn.get(_META) or b"{}")
-                base, base_term, voters, state = json.loads(txn.get(_SNAPSHOT) or b"null")
-                if meta.get("form") != FORMAT:
-                    raise StoreError(
-                        f"{self.folder}: form {meta.get('form')}; {FORMAT} is read here"
-                    )
-                disk = PersistentState(
-                    tuple(voters.split()), meta["term"], meta["vote"], base, base_term, state
-                )
-                for key, value in txn.cursor():
-                    if not bytes(key).startswith(_ENTRY):
-                        continue
-                    index = int.from_bytes(bytes(key)[len(_ENTRY) :], "big")
-                    if index <= base:
-                        continue
-                    if index != disk.last_log_index + 1:
-                        raise StoreError(
-                            f"{self.folder}: entry {index} after {disk.last_log_index}"
-                        )
-                    disk.log.append(LogEntry(*json.loads(value)))
+            with self._environment.begin() as transaction:
+                return self._load(transaction)
         except (lmdb.Error, ValueError, TypeError, KeyError) as error:
-            raise StoreError(f"{self.folder}: {type(error).__name__}: {error}") from None
-        return disk
-
-    def persist(self, what: Persist) -> None:
-        """Write in one transaction, and sync; StoreError where it is not on disk, and then nothing of it is."""
+            reason = f"{type(error).__name__}: {error}"
+            raise StoreError(self.folder, operation="load", reason=reason) from error
+
+    def _load(self, transaction: Any) -> PersistentState:
+        meta: dict[str, Any] = json.loads(transaction.get(_META_KEY) or b"{}")
+        index, term, voters, state = json.loads(transaction.get(_SNAPSHOT_KEY) or b"null")
+        if meta.get("form") != FORMAT:
+            reason = f"form {meta.get('form')}; {FORMAT} is read here"
+            raise StoreError(self.folder, operation="load", reason=reason)
+        persistent = PersistentState(
+            tuple(voters.split()), meta["term"], meta["vote"], index, term, state
+        )
+        for key, value in transaction.cursor():
+            entry_index = _entry_index(bytes(key))
+            if entry_index is None or entry_index <= persistent.snapshot_index:
+                continue
+            if entry_index != persistent.last_log_index + 1:
+                reason = f"entry {entry_index} after {persistent.last_log_index}"
+                raise StoreError(self.folder, operation="load", reason=reason)
+            persistent.log.append(LogEntry(*json.loads(value)))
+        return persistent
+
+    def persist(self, update: Persist) -> None:
+        """Write an update in one transaction and sync it. Raises StoreError where none of it was written."""
         try:
-            with self._env.begin(write=True) as txn:
-                txn.put(
-                    _META,
-                    json.dumps({"form": FORMAT, "term": what.term, "vote": what.vote}).encode(),
-                )
-                if what.snapshot is not None:
-                    txn.put(_SNAPSHOT, json.dumps(what.snapshot).encode())
-                    self._drop(txn, 0, what.snapshot[0] + 1)
-                if what.first_index is not None:
-                    self._drop(txn, what.first_index, None)
-                    for offset, entry in enumerate(what.entries):
-                        txn.put(
-                            _key(what.first_index + offset),
-                            json.dumps([entry.term, entry.kind, entry.body]).encode(),
-                        )
+            with self._environment.begin(write=True) as transaction:
+                self._write_meta(transaction, update)
+                if update.snapshot is not None:
+                    self._write_snapshot(transaction, update.snapshot)
+                if update.first_index is not None:
+                    self._replace_entries(transaction, update.first_index, update.entries)
         except lmdb.Error as error:
-            raise StoreError(f"{self.folder}: {error}") from None
-
-    def _drop(self, txn: Any, first: int, end: int | None) -> None:
-        with txn.cursor() as cursor:
-            found = cursor.set_range(_key(first))
-            while (
-                found
-                and bytes(cursor.key()).startswith(_ENTRY)
-                and (end is None or bytes(cursor.key()) < _key(end))
-            ):
+            raise StoreError(self.folder, operation="persist", reason=str(error)) from error
+
+    def _write_meta(self, transaction: Any, update: Persist) -> None:
+        meta = {"form": FORMAT, "term": update.term, "vote": update.vote}
+        transaction.put(_META_KEY, json.dumps(meta).encode())
+
+    def _write_snapshot(self, transaction: Any, snapshot: Snapshot) -> None:
+        voters = " ".join(snapshot.voters)
+        value = [snapshot.index, snapshot.term, voters, snapshot.state]
+        transaction.put(_SNAPSHOT_KEY, json.dumps(value).encode())
+        self._delete_entries(transaction, 0, snapshot.index + 1)
+
+    def _replace_entries(
+        self, transaction: Any, first_index: int, entries: tuple[LogEntry, ...]
+    ) -> None:
+        self._delete_entries(transaction, first_index, None)
+        for index, entry in enumerate(entries, first_index):
+            value = [entry.term, entry.kind, entry.body]
+            transaction.put(_entry_key(index), json.dumps(value).encode())
+
+    def _delete_entries(self, transaction: Any, first_index: int, end_index: int | None) -> None:
+        """Delete entries from an index on, up to `end_index` (exclusive; None: all)."""
+        with transaction.cursor() as cursor:
+            found = cursor.set_range(_entry_key(first_index))
+            while found:
+                index = _entry_index(bytes(cursor.key()))
+                if index is None or (end_index is not None and index >= end_index):
+                    return
                 found = cursor.delete()
 
-    def close(self) -> None:
-        """Let it go."""
-        self._env.close()
-        self._owner.close()
-
 
 def create(folder: Path, voters: tuple[str, ...]) -> None:
-    """Make the disk of a voter that has never voted; StoreError where there is one already."""
-    if (folder / "data.mdb").exists():
-        raise StoreError(f"{folder}: there is one already")
+    """Make the store of a voter that has never voted. Raises StoreError where there is one already."""
+    if (folder / DATA_FILE).exists():
+        raise StoreError(folder, operation="create", reason="there is one already")
     try:
         folder.mkdir(parents=True, exist_ok=True)
         lmdb.open(str(folder), map_size=MAP_SIZE_BYTES, subdir=True).close()
-        store = VoterStore(folder)
-        store.persist(Persist(0, "", 1, (), (0, 0, " ".join(voters), "")))
-        store.close()
+        with VoterStore(folder) as store:
+            store.persist(Persist(0, "", 1, (), Snapshot(0, 0, voters, "")))
     except (lmdb.Error, OSError) as error:
-        raise StoreError(f"{folder}: {error}") from None
+        raise StoreError(folder, operation="create", reason=str(error)) from error
 
 
-def become_sole_voter(folder: Path, me: str, kind: str, act: bool) -> PersistentState:
-    """What a voter holds; with `act` it is the only voter from then on (`log.alone`). Its placer must not run."""
-    store = VoterStore(folder)
-    try:
-        disk = store.load()
-        if act:
-            store.persist(sole_voter_update(me, disk, kind))
-        return disk
-    finally:
-        store.close()
+def load(folder: Path) -> PersistentState:
+    """What a store holds, whose placer does not run."""
+    with VoterStore(folder) as store:
+        return store.load()
+
+
+def become_sole_voter(folder: Path, name: str, recovery_kind: str) -> PersistentState:
+    """Make a voter the only one (`sole_voter_update`), whose placer does not run: what its store held before."""
+    with VoterStore(folder) as store:
+        persistent = store.load()
+        store.persist(sole_voter_update(name, persistent, recovery_kind))
+        return persistent
 
 
 def open_existing(folder: Path) -> VoterStore | None:
-    """The store of a folder; None where none was made."""
-    return VoterStore(folder) if (folder / "data.mdb").exists() else None
+    """The store of a folder, opened; None where none was made."""
+    return VoterStore(folder) if (folder / DATA_FILE).exists() else None
