--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -119,8 +119,8 @@
 class Forgetful(AllocationLedger):
     """Planted: a new leader knows nothing of blocks."""
 
-    def elected(self, now_us: int, on: bool, reign: int = 0) -> None:
-        super().elected(now_us, on, reign)
+    def on_leadership_change(self, now_us: int, on: bool, reign: int = 0) -> None:
+        super().on_leadership_change(now_us, on, reign)
         self.blocks = {key: Allocation() for key in self.blocks} if on else self.blocks
 
 
