--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -17,8 +17,8 @@
 from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
 from wingbarrow.decide.membership.swim import SwimSettings
-from wingbarrow.decide.quotas.allocations import PARTS_MOST
-from wingbarrow.decide.quotas.limits import LIMITS_MOST, STRANDED_US, FleetLimit
+from wingbarrow.decide.quotas.allocations import MAX_ALLOCATIONS
+from wingbarrow.decide.quotas.limits import MAX_LIMITS, STRANDED_US, FleetLimit
 from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, ReplicationLimits
 from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
 from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
@@ -151,7 +151,7 @@
         Bound(
             "limits_most",
             "limits of the whole fleet",
-            LIMITS_MOST,
+            MAX_LIMITS,
             "limits",
             "wingbarrow/decide/quotas/limits.py",
             LIMITS,
@@ -159,7 +159,7 @@
         Bound(
             "blocks_most",
             "blocks: limits times placers that hold some",
-            PARTS_MOST,
+            MAX_ALLOCATIONS,
             "blocks",
             "wingbarrow/decide/quotas/allocations.py",
             LIMITS,
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -62,9 +62,9 @@
         """One that uses limits, with the leader's account of them timed by itself."""
         made = super().make(name, now_us)
         made.holding.life = self.lives[name]
-        made.purse.uses = lambda key: USES
+        made.purse.in_use = lambda key: USES
         made.purse.demand = lambda key: WANTED if self.short else 0
-        for method in ("answers", "next_proposals"):
+        for method in ("grants_for", "next_proposals"):
             setattr(
                 made.blocks, method, self.meter.timed(name, LIMITS, getattr(made.blocks, method))
             )
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -1,11 +1,12 @@
 """What grows with the number of teams: one fleet-wide limit of tasks at once for each team's namespace.
 
-At 16 placers, and at 64 with one seed, named in each measure. Today's bounds refuse many teams: `limits.LIMITS_MOST`
+At 16 placers, and at 64 with one seed, named in each measure. Today's bounds refuse many teams: `limits.MAX_LIMITS`
 whatever the number of placers, and `rules.TEXT_MOST` (each limit names all placers that share in it) before that where
 there are many placers. "limits in force" is how many of the asked ones were accepted: all or none, as they are one
-rule set. Measures named "bounds lifted" are of a fleet with these bounds, and `blocks.PARTS_MOST`, out of the way, in
-this process alone: what so many limits would cost, not what can be had. Within the bounds both are the same run. More
-blocks than `LIFTED_BLOCKS_MOST` (370 teams at 64 placers) are not tried: one leader's account of them takes many cores.
+rule set. Measures named "bounds lifted" are of a fleet with these bounds, and `allocations.MAX_ALLOCATIONS`, out of the
+way, in this process alone: what so many limits would cost, not what can be had. Within the bounds both are the same
+run. More blocks than `LIFTED_BLOCKS_MOST` (370 teams at 64 placers) are not tried: one leader's account of them takes
+many cores.
 
 The points end with the most teams that each bound allows, found by trying ("teams allowed by ..."), for placers with
 names of four letters; longer names take more of a rule set and of a snapshot. Found on 2026-12-02:
@@ -18,9 +19,9 @@
 | 256 | 64 | 16 | 32 | 25 |
 
 The first two refuse a rule set when it is proposed, and come before the last two, which would let blocks be left out
-(`Blocks.refused`) or a snapshot outgrow its share without a refusal. What breaks before most of these is the leader's
-account of limits ("processor: limits"): 0.72 and 0.91 of a core in two runs with 45 teams and 64 placers, on a machine
-with other work.
+(`AllocationLedger.rejected_allocations`) or a snapshot outgrow its share without a refusal. What breaks before most of
+these is the leader's account of limits ("processor: limits"): 0.72 and 0.91 of a core in two runs with 45 teams and 64
+placers, on a machine with other work.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 from benchmarks.capacity.gather import SEEDS, Figure, repeated, spread
 from benchmarks.capacity.results import Point
 from wingbarrow.decide.consensus.log import InstallSnapshot
-from wingbarrow.decide.quotas import allocations as blocks
-from wingbarrow.decide.quotas import limits
+from wingbarrow.decide.quotas import allocations, limits
+from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets import ruleset as rules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
@@ -80,11 +81,11 @@
 def lifted_bounds() -> Iterator[None]:
     """The bounds of limits out of the way, in this process and for the block."""
     places = (
-        (limits, "LIMITS_MOST"),
-        (message, "LIMITS_MOST"),
+        (limits, "MAX_LIMITS"),
+        (message, "MAX_LIMITS"),
         (rules, "TEXT_MOST"),
         (rules, "MAILED_MOST"),
-        (blocks, "PARTS_MOST"),
+        (allocations, "MAX_ALLOCATIONS"),
     )
     before = [(module, name, getattr(module, name)) for module, name in places]
     try:
@@ -151,7 +152,10 @@
     yield Figure("voter", "snapshot: blocks", "B", mailed(member.blocks.snapshot()))
     yield Figure("voter", "log", "B", sum(len(each.body) for each in disk.log))
     yield Figure(
-        "leader", "blocks", "blocks", sum(len(each.parts) for each in member.blocks.blocks.values())
+        "leader",
+        "blocks",
+        "blocks",
+        sum(len(each.by_holder) for each in member.blocks.allocations.values()),
     )
 
 
@@ -171,10 +175,10 @@
 
 def blocks_mailed(teams: int, placers: int) -> int:
     """The size of the blocks of so many teams and placers in a snapshot."""
-    made = blocks.AllocationLedger(1)
-    made.lives = dict.fromkeys(names_of(placers), 1)
-    made.blocks = {
-        each.key: blocks.Allocation(dict.fromkeys(names_of(placers), (2 * USES, 2 * USES)))
+    made = allocations.AllocationLedger(1)
+    made.incarnations = dict.fromkeys(names_of(placers), 1)
+    made.allocations = {
+        each.key: LimitAllocations(dict.fromkeys(names_of(placers), Allocation(2 * USES, 2 * USES)))
         for each in team_limits(teams, ["p000"])
     }
     return mailed(made.snapshot())
@@ -193,7 +197,7 @@
     found = {
         "the number of limits": count,
         "the length of a rule set": text,
-        "the number of blocks": lambda teams: teams * placers <= blocks.PARTS_MOST,
+        "the number of blocks": lambda teams: teams * placers <= allocations.MAX_ALLOCATIONS,
         "the chapters' part of a snapshot": lambda teams: blocks_mailed(teams, placers)
         <= CHAPTERS_MAILED,
         "the size of a mail (blocks alone)": lambda teams: blocks_mailed(teams, placers)
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -116,7 +116,7 @@
 def test_limits_over_the_bound_are_not_in_force_and_measured_as_lifted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(limits, "LIMITS_MOST", 2)
+    monkeypatch.setattr(limits, "MAX_LIMITS", 2)
     within, over = (values(list(teams.fleet(count, 3, 1))) for count in (2, 3))
     assert within["leader", "limits in force, 3 placers"] == 2
     assert over["leader", "limits in force, 3 placers"] == 0
@@ -128,7 +128,7 @@
     assert ("leader", "blocks, 3 placers") not in over
     assert over["leader", "blocks, 3 placers, bounds lifted"] == 9
     assert over["leader", "letters refused, 3 placers, bounds lifted"] == 0
-    assert limits.LIMITS_MOST == 2, "the bounds are back"
+    assert limits.MAX_LIMITS == 2, "the bounds are back"
 
 
 def test_the_bounds_of_teams_are_found_by_trying() -> None:
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -10,7 +10,7 @@
 from wingbarrow.decide.coordination.leader import Leader
 from wingbarrow.decide.coordination.leases import RulesLease, lease_expiry_us
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader
-from wingbarrow.decide.quotas.limits import DRIFT
+from wingbarrow.decide.quotas.limits import MAX_CLOCK_DRIFT
 from wingbarrow.decide.rulesets.ruleset import (
     ClassRules,
     allows,
@@ -179,7 +179,7 @@
         holder.take(1_000_000, 1, "x", 2_000_000)
         lasts_truly = (holder.until_us - 1_000_000) / (1 + rate)
         assert lasts_truly <= (lease_expiry_us(0, 2_000_000)) / (1 + 5e-4)
-        assert DRIFT >= 2 * 5e-4
+        assert MAX_CLOCK_DRIFT >= 2 * 5e-4
 
 
 def test_a_late_grant_brings_no_rules_back() -> None:
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, Timing
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import SetTimer
-from wingbarrow.decide.quotas.allocations import MOVE_US, AllocationLedger
+from wingbarrow.decide.quotas.allocations import MOVE_INTERVAL_US, AllocationLedger
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
@@ -91,11 +91,11 @@
         holding = self.holding(name, ("v",), self.lives, Timing(GRANT), self.lives, SetTimer)
         holding.born_us = self.now_us
         placer = self.placers[name] = Placer(holding)
-        holding.purse.uses = lambda key: placer.standing
+        holding.purse.in_use = lambda key: placer.standing
         holding.purse.demand = lambda key: placer.wants
 
     @property
-    def bank(self) -> AllocationLedger:
+    def ledger(self) -> AllocationLedger:
         return self.voters[self.leader]
 
     @rule(by=st.integers(1, 1500))
@@ -127,7 +127,7 @@
         ask = letter.ask
         asker = Requester(letter.name, ask.life, ask.up_us, ask.number, ask.reign)
         wanted = limited(self.most)
-        rights = self.bank.answers(self.now_us, [(asker, ask.stated)], wanted.limits)[0]
+        rights = self.ledger.grants_for(self.now_us, [(asker, ask.stated)], wanted.limits)[0]
         grant = LeaseGrant(
             ask.number,
             self.edition,
@@ -155,7 +155,7 @@
         if to_placer and self.mail:
             self.take_back(self.mail.pop())
         if moves:
-            self.now_us += MOVE_US
+            self.now_us += MOVE_INTERVAL_US
             self.move()
             self.decide()
 
@@ -169,7 +169,7 @@
     @rule()
     def move(self) -> None:
         if not self.proposed:
-            self.proposed, _ = self.bank.next_proposals(self.now_us, limited(self.most))
+            self.proposed, _ = self.ledger.next_proposals(self.now_us, limited(self.most))
 
     @rule()
     def decide(self) -> None:
@@ -186,15 +186,15 @@
             self.found["leaders"] += 1
 
     def elect(self, leader: int, lost: bool) -> None:
-        self.bank.on_leadership_change(self.now_us, False)
+        self.ledger.on_leadership_change(self.now_us, False)
         if lost:
             self.proposed = []
         self.decide()
         self.leader, self.reign = leader, self.reign + 1
-        text = self.bank.snapshot()
-        self.bank.restore(text)
-        assert self.bank.snapshot() == text == self.voters[1 - leader].snapshot()
-        self.bank.on_leadership_change(self.now_us, True, self.reign)
+        text = self.ledger.snapshot()
+        self.ledger.restore(text)
+        assert self.ledger.snapshot() == text == self.voters[1 - leader].snapshot()
+        self.ledger.on_leadership_change(self.now_us, True, self.reign)
 
     @rule(rarely=st.integers(0, 5), most=st.sampled_from((3, MOST)))
     def may_change(self, rarely: int, most: int) -> None:
@@ -208,11 +208,11 @@
         placer = self.placers[name]
         purse = placer.holding.purse
         if self.now_us < placer.until_us and purse.limits:
-            if purse.may(self.now_us, STANDING.key, count):
+            if purse.has_room(self.now_us, STANDING.key, count):
                 placer.standing += count
                 self.found["standing"] += count
-            if purse.may(self.now_us, RATE.key, count):
-                purse.use(self.now_us, RATE.key, count)
+            if purse.has_room(self.now_us, RATE.key, count):
+                purse.record_use(self.now_us, RATE.key, count)
                 self.starts += [self.now_us] * count
                 self.found["starts"] += count
 
@@ -252,9 +252,9 @@
         assert sum(at > self.now_us - WINDOW for at in self.starts) <= MOST, (
             f"{len(self.starts)} within the window"
         )
-        for block in self.bank.blocks.values():
-            assert sum(size for size, _ in block.parts.values()) <= MOST, (
-                "blocks make more than the whole"
+        for decided in self.ledger.allocations.values():
+            assert sum(size for size, _ in decided.by_holder.values()) <= MOST, (
+                "sizes exceed the limit"
             )
 
 
@@ -269,7 +269,7 @@
     """`a` uses it too."""
     has_share(fleet)
     fleet.start("a", 6)
-    assert fleet.placers["a"].standing == 6, fleet.bank.blocks
+    assert fleet.placers["a"].standing == 6, fleet.ledger.allocations
 
 
 def then_b_takes_what_it_gets(fleet: Fleet) -> None:
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -21,8 +21,9 @@
     limited,
 )
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.quotas import allocations as blocks
-from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas import allocations
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
 from wingbarrow.decide.quotas.escrow import QuotaReport, Requester
 from wingbarrow.decide.quotas.limits import HOUR_US
 from wingbarrow.decide.rulesets.ruleset import normalized
@@ -74,15 +75,16 @@
 def test_a_move_that_was_worked_out_on_another_state_changes_nothing() -> None:
     fleet = Fleet()
     fleet.get("a", 2, moves=False)
-    bank = fleet.voters[1]
+    ledger = fleet.voters[1]
     first, second = (
-        fleet.bank.next_proposals(fleet.now_us + later, limited(MOST))[0][0] for later in (S, 2 * S)
+        fleet.ledger.next_proposals(fleet.now_us + later, limited(MOST))[0][0]
+        for later in (S, 2 * S)
     )
-    bank.apply(first.kind, json.loads(json.dumps(first.value)))
-    held = bank.snapshot()
+    ledger.apply(first.kind, json.loads(json.dumps(first.value)))
+    held = ledger.snapshot()
     for each in (first, second):
-        bank.apply(each.kind, each.value)
-        assert bank.snapshot() == held
+        ledger.apply(each.kind, each.value)
+        assert ledger.snapshot() == held
 
 
 @pytest.mark.parametrize(
@@ -102,11 +104,11 @@
     ],
 )
 def test_what_cannot_be_read_changes_nothing(kind: str, value: Any) -> None:
-    bank = AllocationLedger(GRANT)
-    held = bank.snapshot()
+    ledger = AllocationLedger(GRANT)
+    held = ledger.snapshot()
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
-        bank.apply(kind, value)
-    assert bank.snapshot() == held
+        ledger.apply(kind, value)
+    assert ledger.snapshot() == held
 
 
 def test_a_lowered_limit_is_spent_by_nobody_until_enough_has_ended() -> None:
@@ -130,15 +132,19 @@
 ):
     fleet = Fleet()
     has_all(fleet)
-    bare, held = normalized(rules(3)), fleet.bank.blocks[STANDING.key].total
-    fleet.bank.next_proposals(fleet.now_us, bare)
+    bare, held = normalized(rules(3)), fleet.ledger.allocations[STANDING.key].total
+    fleet.ledger.next_proposals(fleet.now_us, bare)
     for later in (S, HOUR_US):
-        assert fleet.bank.next_proposals(fleet.now_us + later, bare)[0] == []
+        assert fleet.ledger.next_proposals(fleet.now_us + later, bare)[0] == []
     assert held == MOST
-    drop = fleet.bank.next_proposals(fleet.now_us + HOUR_US + 10 * S, bare)[0]
-    assert drop[0].value["drop"] == sorted(fleet.bank.blocks) == sorted((STANDING.key, RATE.key))
-    fleet.bank.apply(drop[0].kind, drop[0].value)
-    assert fleet.bank.blocks == {}
+    drop = fleet.ledger.next_proposals(fleet.now_us + HOUR_US + 10 * S, bare)[0]
+    assert (
+        drop[0].value["drop"]
+        == sorted(fleet.ledger.allocations)
+        == sorted((STANDING.key, RATE.key))
+    )
+    fleet.ledger.apply(drop[0].kind, drop[0].value)
+    assert fleet.ledger.allocations == {}
 
 
 def test_after_recovery_nobody_gets_anything_until_all_that_was_given_is_over() -> None:
@@ -158,37 +164,37 @@
 def test_a_life_of_a_lower_number_is_taken_once_nothing_of_the_known_one_can_stand() -> None:
     fleet = Fleet()
     has_all(fleet)
-    bank, at = fleet.bank, fleet.now_us
+    ledger, at = fleet.ledger, fleet.now_us
     asker = Requester("a", 0, 10**9, 1)
-    assert bank.answers(at, [(asker, ())], [STANDING]) == [()]
+    assert ledger.grants_for(at, [(asker, ())], [STANDING]) == [()]
     at += GRANT + STRANDED + S // 10
-    bank.answers(at, [(asker, ())], [STANDING])
-    assert bank.next_proposals(at, limited(MOST))[0][0].value["lives"]["a"] == 0
+    ledger.grants_for(at, [(asker, ())], [STANDING])
+    assert ledger.next_proposals(at, limited(MOST))[0][0].value["lives"]["a"] == 0
 
 
 def test_blocks_are_bounded_and_those_beyond_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(blocks, "PARTS_MOST", 4)
+    monkeypatch.setattr(allocations, "MAX_ALLOCATIONS", 4)
     names = tuple(f"p{index}" for index in range(6))
     wanted = normalized(replace(rules(3), limits=(replace(STANDING, among=names),)))
-    bank = AllocationLedger(GRANT)
-    bank.on_leadership_change(S, True, 1)
+    ledger = AllocationLedger(GRANT)
+    ledger.on_leadership_change(S, True, 1)
     for at in (2 * S, 3 * S, 4 * S):
-        bank.answers(
+        ledger.grants_for(
             at,
             [(Requester(name, 1, S, at), (QuotaReport(STANDING.key, 0, 0, 1),)) for name in names],
             wanted.limits,
         )
-        for each in bank.next_proposals(at, wanted)[0]:
-            bank.apply(each.kind, each.value)
-    assert len(bank.blocks[STANDING.key].parts) == 4
-    assert bank.refused > 0
+        for each in ledger.next_proposals(at, wanted)[0]:
+            ledger.apply(each.kind, each.value)
+    assert len(ledger.allocations[STANDING.key].by_holder) == 4
+    assert ledger.rejected_allocations > 0
 
 
 def test_accounts_are_told() -> None:
     fleet = Fleet()
     has_all(fleet)
     fleet.get("a", 0)
-    told = fleet.bank.accounts(fleet.now_us, limited(MOST).limits)
+    told = fleet.ledger.accounts(fleet.now_us, limited(MOST).limits)
     assert [each["limit"] for each in told] == [RATE.key, STANDING.key]
     assert told[1]["free"] == 0
     assert {each["placer"]: each["uses"] for each in told[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
@@ -234,14 +240,18 @@
 
 def test_one_is_not_left_with_far_too_little_where_each_other_has_a_little_too_much() -> None:
     names = tuple("abcde")
-    limit, bank, at = replace(STANDING, most=80, among=names), AllocationLedger(GRANT), S
-    bank.blocks = {limit.key: Allocation({"a": (4, 4), **{name: (19, 19) for name in "bcde"}})}
-    bank.lives = {name: 1 for name in names}
-    bank.on_leadership_change(0, True, 1)
+    limit, ledger, at = replace(STANDING, most=80, among=names), AllocationLedger(GRANT), S
+    ledger.allocations = {
+        limit.key: LimitAllocations(
+            {"a": Allocation(4, 4), **{name: Allocation(19, 19) for name in "bcde"}}
+        )
+    }
+    ledger.incarnations = {name: 1 for name in names}
+    ledger.on_leadership_change(0, True, 1)
     for number in range(1, 6):
         at += S
-        parts = bank.blocks[limit.key].parts
-        bank.answers(
+        parts = ledger.allocations[limit.key].by_holder
+        ledger.grants_for(
             at,
             [
                 (Requester(name, 1, at, number, 1), (QuotaReport(limit.key, parts[name][0], 3, 3),))
@@ -249,9 +259,9 @@
             ],
             [limit],
         )
-        for each in bank.next_proposals(at, normalized(replace(rules(3), limits=(limit,))))[0]:
-            bank.apply(each.kind, each.value)
-    assert min(size for size, _ in bank.blocks[limit.key].parts.values()) >= 13
+        for each in ledger.next_proposals(at, normalized(replace(rules(3), limits=(limit,))))[0]:
+            ledger.apply(each.kind, each.value)
+    assert min(size for size, _ in ledger.allocations[limit.key].by_holder.values()) >= 13
 
 
 def test_when_the_voter_that_passes_asks_on_loses_the_leader_another_does() -> None:
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -22,15 +22,16 @@
     then_b_takes_what_it_gets,
 )
 from wingbarrow.decide.coordination.member import LeaseClient
-from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
-from wingbarrow.decide.quotas.escrow import fair
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
+from wingbarrow.decide.quotas.escrow import max_min_fair
 
 
 @given(
     st.integers(0, 50), st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 60), min_size=1)
 )
 def test_parts_are_fair_and_make_the_whole(total: int, wants: dict[str, int]) -> None:
-    parts = fair(total, wants)
+    parts = max_min_fair(total, wants)
     assert sum(parts.values()) <= total
     assert min(parts.values()) >= 0
     assert sum(parts.values()) >= min(total, sum(wants.values()))
@@ -40,8 +41,8 @@
 
 
 def test_one_that_asks_for_all_leaves_to_others_what_they_want() -> None:
-    assert fair(100, {"liar": 10**6, "x": 20, "y": 30}) == {"liar": 50, "x": 20, "y": 30}
-    assert fair(100, {"liar": 10**6, "x": 80, "y": 90}) == {"liar": 34, "x": 33, "y": 33}
+    assert max_min_fair(100, {"liar": 10**6, "x": 20, "y": 30}) == {"liar": 50, "x": 20, "y": 30}
+    assert max_min_fair(100, {"liar": 10**6, "x": 80, "y": 90}) == {"liar": 34, "x": 33, "y": 33}
 
 
 run: Callable[..., None] = stateful.run_state_machine_as_test
@@ -72,22 +73,22 @@
 class NoLag(AllocationLedger):
     """Planted: what has lapsed is free at once."""
 
-    def _lapses_us(self, name: str) -> int:
-        return super()._lapses_us(name) - STRANDED
+    def _lease_end_us(self, name: str) -> int:
+        return super()._lease_end_us(name) - STRANDED
 
 
 class NoDebt(AllocationLedger):
     """Planted: what a former life had is free at once."""
 
-    def _settled(self, *_: Any) -> bool:
+    def _is_reclaimed(self, *_: Any) -> bool:
         return True
 
 
 class OneLife(AllocationLedger):
     """Planted: a new life is taken for the one before."""
 
-    def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
-        return super().answers(
+    def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
+        return super().grants_for(
             now_us,
             [
                 (replace(asker, life=1, number=asker.life * 10**6 + asker.number), said)
@@ -100,9 +101,9 @@
 class AnyWord(AllocationLedger):
     """Planted: an ask that was sent to an earlier leader proves what its sender holds."""
 
-    def answers(self, now_us: int, asks: Any, limits: Any) -> Any:
-        return super().answers(
-            now_us, [(replace(asker, reign=self.reign), said) for asker, said in asks], limits
+    def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
+        return super().grants_for(
+            now_us, [(replace(asker, reign=self.term), said) for asker, said in asks], limits
         )
 
 
@@ -110,18 +111,22 @@
     """Planted: a size that is lowered counts as lowered without any proof."""
 
     def _plan(self, *args: Any) -> Any:
-        for each in self._heard.values():
-            each.proves = False
-        parts, debts = super()._plan(*args)
-        return {name: (size, size) for name, (size, _) in parts.items()}, debts
+        for each in self._leader.contacts.values():
+            each.is_of_this_term = False
+        planned = super()._plan(*args)
+        return LimitAllocations(
+            {name: Allocation(size, size) for name, (size, _) in planned.by_holder.items()},
+            planned.outstanding,
+        )
 
 
 class Forgetful(AllocationLedger):
     """Planted: a new leader knows nothing of blocks."""
 
-    def on_leadership_change(self, now_us: int, on: bool, reign: int = 0) -> None:
-        super().on_leadership_change(now_us, on, reign)
-        self.blocks = {key: Allocation() for key in self.blocks} if on else self.blocks
+    def on_leadership_change(self, now_us: int, is_leader: bool, term: int = 0) -> None:
+        super().on_leadership_change(now_us, is_leader, term)
+        if is_leader:
+            self.allocations = {key: LimitAllocations() for key in self.allocations}
 
 
 class AnyAnswer(LeaseClient):
@@ -140,7 +145,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.purse.lapse = lambda: None  # type: ignore[method-assign]
+        self.purse.expire = lambda: None  # type: ignore[method-assign]
 
 
 def silent(fleet: Fleet) -> None:
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -36,8 +36,8 @@
 
 def test_a_planted_account_that_forgets_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     class Forgetful(AllocationLedger):
-        def _lapses_us(self, name: str) -> int:
-            return super()._lapses_us(name) - STRANDED_US
+        def _lease_end_us(self, name: str) -> int:
+            return super()._lease_end_us(name) - STRANDED_US
 
     monkeypatch.setattr(agreement, "AllocationLedger", Forgetful)
     assert any(played(3, seed).over for seed in range(1, 20))
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -29,7 +29,8 @@
     SlotQueue,
     SlotRequest,
 )
-from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
 from wingbarrow.decide.quotas.escrow import QuotaReport
 from wingbarrow.decide.regions.reports import RegionReport, RegionSubsystem
 from wingbarrow.decide.rulesets.versions import RECOVERED, from_text
@@ -412,7 +413,7 @@
         "floors": [
             (each.number, samples.read_rules(each.rules), each.lasts_us) for each in agreed.floors
         ],
-        "blocks": (blocks.serial, blocks.doubt, blocks.lives, blocks.blocks),
+        "blocks": (blocks.serial, blocks.is_in_doubt, blocks.incarnations, blocks.allocations),
         "sessions": sessions.log,
         "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.turns),
     }
@@ -426,8 +427,9 @@
 )
 
 
-def _parts(a: int, others: int) -> Allocation:
-    return Allocation({"a": (a, a), "p": (0, 0), "q": (others, others), "r": (others, others)})
+def _parts(a: int, others: int) -> LimitAllocations:
+    sizes = {"a": a, "p": 0, "q": others, "r": others}
+    return LimitAllocations({name: Allocation(size, size) for name, size in sizes.items()})
 
 
 def _turn(number: int, wanted: SlotRequest, asked_us: int, since_us: int, **more: Any) -> Slot:
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -55,7 +55,12 @@
     Sync,
 )
 from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
-from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
+from wingbarrow.decide.quotas.allocations import AllocationLedger
+from wingbarrow.decide.quotas.entries import (
+    Allocation,
+    LimitAllocations,
+    OutstandingAllocation,
+)
 from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.regions import forwarding
@@ -515,8 +520,10 @@
     },
 )
 BLOCKS = {
-    "cold": Allocation({"p": (2, 3), "q": (0, 0)}, [("p", 6, 4)]),
-    "namespace/default/standing": Allocation(),
+    "cold": LimitAllocations(
+        {"p": Allocation(2, 3), "q": Allocation(0, 0)}, [OutstandingAllocation("p", 6, 4)]
+    ),
+    "namespace/default/standing": LimitAllocations(),
 }
 TURNS = {
     1: Slot(1, "node-1", "", "", "", "operator", 0, 0, 1, 0, ""),
@@ -548,7 +555,10 @@
 
 def _blocks() -> AllocationLedger:
     made = AllocationLedger(2 * S)
-    made.serial, made.doubt, made.lives, made.blocks = 9, True, {"q": 7, "p": 8}, dict(BLOCKS)
+    made.serial = 9
+    made.is_in_doubt = True
+    made.incarnations = {"q": 7, "p": 8}
+    made.allocations = dict(BLOCKS)
     return made
 
 
@@ -581,8 +591,8 @@
         blocks, held = AllocationLedger(2 * S), _blocks()
         blocks.restore(text)
         return (
-            _of(blocks, "serial doubt lives blocks"),
-            _of(held, "serial doubt lives blocks"),
+            _of(blocks, "serial is_in_doubt incarnations allocations"),
+            _of(held, "serial is_in_doubt incarnations allocations"),
             blocks.snapshot(),
         )
     queue, whole = SlotQueue(), "turns last version clock_us outcomes windowed"
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -131,10 +131,10 @@
         if asked and (acting is None or not acting.edition):
             return asked[0]  # Danger: on a floor, rights have lapsed: others may hold them by now
         for each in asked:
-            if not purse.may(now, each.key, count, again):
+            if not purse.has_room(now, each.key, count, is_retry=again):
                 return each
         for each in asked:
-            purse.use(now, each.key, count)
+            purse.record_use(now, each.key, count)
         return None
 
     def in_force(self) -> RuleSet | None:
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -174,7 +174,7 @@
         """What those that asked together may use of the fleet's limits."""
         if not asks:
             return []
-        return self.blocks.answers(
+        return self.blocks.grants_for(
             now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits
         )
 
@@ -210,7 +210,7 @@
             **{
                 chapter.name: chapter.response_for(now_us, asked.asker) for chapter in self.chapters
             },
-            reign=self.blocks.reign,
+            reign=self.blocks.term,
             leader=self._owner.me,
         )
         if asked.ident == self._owner.me:
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -90,7 +90,7 @@
         self._asked[self._number] = self._sent_us = now_us
         evidence, bad, tried = self.experience.evidence(now_us, self.closures.mine)
         if now_us >= self.holder.until_us and self.purse.shares:
-            self.purse.lapse()
+            self.purse.expire()
             out.append(Notify("rights", {"shares": {}}))
         receiver, forward = self._whom(known, unanswered)
         ask = LeaseRequest(
@@ -99,7 +99,7 @@
             self.holder.floor,
             self.life,
             max(0, now_us - self.born_us),
-            self.purse.stated(now_us),
+            self.purse.report(now_us),
             self.region,
             evidence,
             bad,
@@ -197,7 +197,7 @@
         # A third of the grant between asks: two may be lost before one lapses. Sooner where rights are short: what
         # others give back comes by the answers.
         # Sooner too where they became less: what is given up here is wanted elsewhere, and free by the next ask.
-        soon = self.purse.limits and (self.purse.short(now_us) or self._gave_up)
+        soon = self.purse.limits and (self.purse.is_short(now_us) or self._gave_up)
         wait = self.times.again_us if soon else self.times.grant_us // 3
         return [self._timer("ask", now_us + wait), *self.look_at_grant(now_us), *out]
 
@@ -206,13 +206,13 @@
     ) -> list[Effect]:
         shares = dict(self.purse.shares)
         if self.holder.edition != before:
-            self.purse.take_limits(parse_rule_set(self.holder.rules).limits)
+            self.purse.on_limits(parse_rule_set(self.holder.rules).limits)
         if gap:
-            self.purse.lapse()
+            self.purse.expire()
         # Danger: an earlier ask stated what may have been given back since; and what was given is not counted any more
         # once the grant that it came with is over.
         if grant.number == self._number and now_us < asked_us + grant.lasts_us:
-            self.purse.take(grant.rights)
+            self.purse.on_grants(grant.rights)
         self._gave_up = any(self.purse.shares.get(key, 0) < share for key, share in shares.items())
         return (
             [Notify("rights", {"shares": dict(self.purse.shares)})]
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -1,33 +1,32 @@
-"""Blocks: how much of each limit of the fleet a placer may hold, decided in the voters' log; no I/O.
-
-A holder's *block* has a size, up to which any leader lets it use the limit, and a count, which is what it may still
-hold or have in use: the size, or more while it was lowered and that is not done yet. A *debt* is what a former life of
-a placer may have left in use. The state is in the log, so that a change of leader loses nothing: whoever is unheard
-counts as its block and no more, and whoever comes back has its own block with the first answer. Why the sum of what is
-in use never passes the whole, whatever is lost, doubled, late, stopped or killed:
-
-- a leader gives a life of a placer at most the size that is decided for that very life, and answers only after a
-  majority has confirmed it since the ask came, with all decided before applied; a purse takes only the answer to its
-  latest ask, and none that comes after that ask's own grant would be over;
-- all counts and debts together are at most the whole: a size goes up only by what is left of it. A move to another is
-  two entries: the one that lowers the size of the one, and, once the lower count is proven, the one that takes the
-  count down and raises the other;
-- a count goes down by one of two proofs. *By word*: an ask of the same life that names this leader's reign, the term of
-  the grant that it took last. It was sent after this leader was elected, so that no earlier leader can answer it or a
-  later one any more, and answers to those before it are void; what it states (the larger of share and uses) and what it
-  is given is all that its sender holds. *By time*: `drifted(grant)` after this leader's last answer to it, or its
-  election, no grant of it lasts, and after the limit's lag on top (`stranded`, or the window) nothing of it stands;
-- a new life of the same name proves that the one before has ended. Its count becomes a debt, which goes once the new
-  life is as old as the lag, or this leader has known of it for so long. A life that is older by its number, as after a
-  wall clock was set back, is taken only once nothing of the one that is known can stand;
-- each entry names the serial of the state that it was worked out on, and changes nothing on another: one proposed by a
-  leader that was deposed is either the next or void;
-- where voters were lost and one went on alone, moves may be lost with them: all blocks are in doubt, nobody gets
-  anything until every grant and lag is over, then all begins anew.
-
-A limit that is lowered, or that appears over what stands: what is in use beyond the whole is taken off all sizes, so
-that nobody spends until enough has ended. One that the rules lack keeps its blocks until nothing of it can be in use.
-Rates are told by use within their window, by the holder's clock and 0.2% longer; the same proofs hold for them.
+"""Allocations of the fleet's limits: replicated state, and the leader's account of who may hold what; no I/O.
+
+Escrow (O'Neil 1986) with quota leases. An allocation has a *size*, which any leader lets its holder use, and a
+*reserved* amount, which the holder may still hold or have in use (`entries`). An *outstanding* allocation is what a
+former incarnation of a placer may have left in use. All of it is in the voters' log, so that a change of leader loses
+nothing: a placer out of touch counts as what is reserved for it, and has its own again with the first response.
+
+Guarantee: what is in use never exceeds a limit, whatever is lost, duplicated, late, stopped or killed. docs/quotas.md
+gives the argument. The rules that it rests on, each marked below where it is kept:
+
+1. A leader grants to an incarnation at most the size decided for that very incarnation, and only after a majority has
+   confirmed it since the request came, with all earlier decisions applied. `escrow.QuotaAccount` takes only the
+   response to its latest request, within that request's lease.
+2. All that is reserved and outstanding is at most the limit. A move between holders takes two entries: the first lowers
+   a size, the second, once that is proven, takes the reserved amount down and raises the other size.
+3. A reserved amount is reclaimed by one of two proofs. By report: a request of the same incarnation that names this
+   leader's term. It was sent after this leader was elected, so that no earlier leader can respond to it or to a later
+   one, and earlier responses are void: what it reports and what it is granted is all that its sender holds. By time:
+   the drifted lease after this leader's last response to it, or its election, no lease of it lasts, and after the
+   limit's lag on top (`stranded`, or the window of a rate) nothing of it is in use.
+4. A new incarnation proves that the one before has ended. What was reserved becomes outstanding, and is reclaimed once
+   the new incarnation is as old as the lag, or this leader has known of the end for so long. An incarnation with a
+   lower number, as after a wall clock was set back, counts only once nothing of the known one can be in use.
+5. Each entry names the serial of the state that it was computed on, and changes nothing in another one.
+6. Where voters were lost and one went on alone, moves may be lost: nobody is granted anything until every lease and lag
+   is over; then all begins anew.
+
+A limit that is lowered, or is new, below what is in use: the excess is taken off all sizes, so that nobody uses more
+until enough has ended. A limit that the rule set lacks keeps its allocations until nothing of it can be in use.
 Times in microseconds, by this voter's clock.
 """
 
@@ -40,451 +39,457 @@
 
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.quotas.escrow import STEADY, QuotaGrant, QuotaReport, Requester, fair
+from wingbarrow.decide.quotas.entries import (
+    NO_ALLOCATION,
+    Allocation,
+    LimitAllocations,
+    MoveEntry,
+    OutstandingAllocation,
+    QuotaEntryError,
+)
+from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport, Requester
 from wingbarrow.decide.quotas.limits import HOUR_US, FleetLimit, drifted_us
+from wingbarrow.decide.quotas.planning import HolderUse, LimitView, next_allocations
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-MOVE_US = 100_000  # between entries: at most ten a second, each for all limits and holders
-PARTS_MOST = 8192  # blocks in all, so that a snapshot fits into a mail: about 50 bytes each
-DEBTS_MOST = 1024  # of one limit; over it the new life waits until one has gone
+MOVE = "move"  # the only kind of entry
+MOVE_INTERVAL_US = 100_000  # between entries: at most ten a second, each for all limits and holders
+MAX_ALLOCATIONS = 8192  # in all, so that a snapshot fits into a message: about 50 bytes each
+MAX_OUTSTANDING_PER_LIMIT = 1024  # beyond it a new incarnation waits until one is reclaimed
+SERIALS_SKIPPED_AT_RECOVERY = 1_000_000  # more than any entries that may have been lost
 
 
 @dataclass(slots=True)
-class Allocation:
-    """One limit's, replicated: by holder its size and its count (never less); debts as (holder, former life, count)."""
+class _Contact:
+    """The latest request of a placer's current incarnation."""
 
-    parts: dict[str, tuple[int, int]] = field(default_factory=dict)
-    debts: list[tuple[str, int, int]] = field(default_factory=list)
-
-    @property
-    def total(self) -> int:
-        """All that may be in use."""
-        return sum(count for _, count in self.parts.values()) + sum(
-            count for _, _, count in self.debts
-        )
-
-
-@dataclass(slots=True)
-class _Heard:
-    """A placer's latest ask, of the life that counts."""
-
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     up_us: int
-    at_us: int
-    until_us: int  # when the latest grant to it has lapsed, at the latest
-    proves: bool  # it names this leader's reign
+    received_us: int
+    expires_us: int  # when the latest lease granted to it has expired, at the latest
+    is_of_this_term: bool  # it proves what its sender holds: rule 3
 
 
 @dataclass(slots=True)
-class _Said:
-    """What it stated of one limit and was given in the answer."""
-
-    stated: int
-    uses: int
-    wants: int
-    given: int = 0
+class _LeaderState:
+    """What a leader has learned since its election; begun anew by each."""
 
-    @property
-    def held(self) -> int:
-        """What it may use or have in use since."""
-        return max(self.stated, self.given)
+    term: int = 0  # no other leader has it; 0 where this voter does not lead
+    elected_us: int = 0
+    moved_us: int = 0  # when the last entry was proposed
+    contacts: dict[str, _Contact] = field(default_factory=dict)
+    uses: dict[str, dict[str, HolderUse]] = field(default_factory=dict)  # by limit, by holder
+    outstanding_since_us: dict[tuple[str, str, int], int] = field(default_factory=dict)
+    ended_us: dict[tuple[str, int], int] = field(default_factory=dict)  # by holder, incarnation
+    unlisted_since_us: dict[str, int] = field(default_factory=dict)  # limits the rule set lacks
+    rejected_allocations: int = 0  # beyond MAX_ALLOCATIONS
 
 
 class AllocationLedger:
-    """The chapter `blocks`: replicated state, and the leader's account of who holds what."""
+    """The replicated subsystem `blocks`: allocations of all limits, and the leader's account of them."""
 
     name = "blocks"
 
-    def __init__(self, grant_us: int) -> None:
-        self._grant_us = grant_us
-        self.serial, self.doubt = 0, False
-        self.lives: dict[str, int] = {}
-        self.blocks: dict[str, Allocation] = {}
-        self.on_leadership_change(0, False)
+    def __init__(self, lease_us: int) -> None:
+        self._lease_us = lease_us
+        self.serial = 0
+        self.is_in_doubt = False  # rule 6
+        self.incarnations: dict[str, int] = {}
+        self.allocations: dict[str, LimitAllocations] = {}  # by the limit's key
+        self._leader = _LeaderState()
+
+    @property
+    def term(self) -> int:
+        """The term in which this voter leads; 0 where it does not."""
+        return self._leader.term
+
+    @property
+    def rejected_allocations(self) -> int:
+        """How often, in this term, a new holder got nothing because of `MAX_ALLOCATIONS`."""
+        return self._leader.rejected_allocations
 
     # -- replicated
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """`move`: the state that it brings about, in place of the one that it names."""
-        if kind != "move":
-            raise ValueError(f"no such entry: {kind}")
-        if value["base"] != self.serial:
-            return
-        lives = {str(name): int(life) for name, life in value["lives"].items()}
-        blocks = {} if value["fresh"] else dict(self.blocks)
-        for key, (parts, debts) in value["set"].items():
-            made = Allocation(
-                {str(name): (int(size), int(count)) for name, (size, count) in parts.items()},
-                [(str(name), int(life), int(count)) for name, life, count in debts],
-            )
-            if any(not 0 <= size <= count for size, count in made.parts.values()):
-                raise ValueError("a block that cannot be")
-            blocks[str(key)] = made
-        gone = [str(key) for key in value["drop"]]
+        """Apply a decided entry.
+
+        Raises ValueError (QuotaEntryError), KeyError, TypeError or AttributeError for one that cannot be read, and
+        changes nothing then.
+        """
+        if kind != MOVE:
+            raise QuotaEntryError(f"no such entry: {kind}")
+        if value["base"] == self.serial:  # rule 5
+            self._apply_move(MoveEntry.from_entry(value))
+
+    def _apply_move(self, move: MoveEntry) -> None:
         self.serial += 1
-        self.lives, self.doubt = lives, self.doubt and not value["fresh"]
-        self.blocks = {key: each for key, each in blocks.items() if key not in gone}
+        self.incarnations = dict(move.incarnations)
+        self.is_in_doubt = self.is_in_doubt and not move.is_reset
+        kept = {} if move.is_reset else self.allocations
+        self.allocations = {
+            key: each
+            for key, each in {**kept, **move.allocations}.items()
+            if key not in move.dropped
+        }
 
     def recovered(self) -> None:
         """One voter went on alone: entries may be lost."""
-        self.serial, self.doubt = self.serial + 1_000_000, True
+        self.serial += SERIALS_SKIPPED_AT_RECOVERY
+        self.is_in_doubt = True
 
     def snapshot(self) -> str:
-        """All of the replicated state."""
+        """All of the replicated state, in the words of its JSON form."""
         return json.dumps(
             {
                 "serial": self.serial,
-                "doubt": self.doubt,
-                "lives": self.lives,
-                "blocks": {key: [each.parts, each.debts] for key, each in self.blocks.items()},
+                "doubt": self.is_in_doubt,
+                "lives": self.incarnations,
+                "blocks": {key: each.to_json() for key, each in self.allocations.items()},
             },
             sort_keys=True,
             separators=(",", ":"),
         )
 
     def restore(self, text: str) -> None:
-        """What `text` gave."""
-        value = (
-            json.loads(text) if text else {"serial": 0, "doubt": False, "lives": {}, "blocks": {}}
-        )
-        self.serial, self.doubt, self.lives = (
-            int(value["serial"]),
-            bool(value["doubt"]),
-            dict(value["lives"]),
-        )
-        self.blocks = {
-            key: Allocation(
-                {name: (size, count) for name, (size, count) in parts.items()},
-                [(name, life, count) for name, life, count in debts],
-            )
-            for key, (parts, debts) in value["blocks"].items()
+        """Take the state of a snapshot; an empty text is the state at the beginning."""
+        if not text:
+            self.serial = 0
+            self.is_in_doubt = False
+            self.incarnations = {}
+            self.allocations = {}
+            return
+        value = json.loads(text)
+        self.serial = int(value["serial"])
+        self.is_in_doubt = bool(value["doubt"])
+        self.incarnations = dict(value["lives"])
+        self.allocations = {
+            key: LimitAllocations.from_json(each) for key, each in value["blocks"].items()
         }
 
     # -- the leader's
 
-    def on_leadership_change(self, now_us: int, on: bool, reign: int = 0) -> None:
-        """`reign`: its term, which no other leader has."""
-        self.reign, self._began_us, self._moved_us = reign if on else 0, now_us, now_us - MOVE_US
-        self._heard: dict[str, _Heard] = {}
-        self._said: dict[str, dict[str, _Said]] = {}
-        self._debts_us: dict[
-            tuple[str, str, int], int
-        ] = {}  # key, holder and life of a debt: known since when
-        self._ended_us: dict[
-            tuple[str, int], int
-        ] = {}  # holder and former life: when it, or its grant, was over
-        self._lacking_us: dict[str, int] = {}  # limits that the rules lack: since when
-        self.refused = 0  # blocks that there was no place for
-
-    def on_report(self, now_us: int, asker: Requester, said: Any) -> None:
-        """Nothing: `answers` hears all that ask together."""
-
-    def response_for(self, now_us: int, asker: Requester) -> Any:
-        """Nothing: rights ride in a grant's own field."""
-
-    def answers(
+    def on_leadership_change(self, now_us: int, is_leader: bool, term: int = 0) -> None:
+        """Forget what an earlier leadership learned; `term` is this leader's, which no other has."""
+        self._leader = _LeaderState(
+            term=term if is_leader else 0,
+            elected_us=now_us,
+            moved_us=now_us - MOVE_INTERVAL_US,
+        )
+
+    def on_report(self, now_us: int, requester: Requester, report: Any) -> None:
+        """Nothing: `grants_for` takes the reports of all that ask together."""
+
+    def response_for(self, now_us: int, requester: Requester) -> Any:
+        """Nothing: quota grants have their own field in a lease grant."""
+
+    def grants_for(
         self,
         now_us: int,
-        asks: Sequence[tuple[Requester, Iterable[QuotaReport]]],
+        requests: Sequence[tuple[Requester, Iterable[QuotaReport]]],
         limits: Iterable[FleetLimit],
     ) -> list[tuple[QuotaGrant, ...]]:
-        """What each asker may use from now on; asks that a majority has confirmed since they came."""
-        limits, out = tuple(limits), [list[QuotaGrant]() for _ in asks]
-        lag = max((each.lag_us for each in limits), default=0)
-        for key in self._said.keys() - {each.key for each in limits}:
-            del self._said[key]
-        counts = [self._hear(now_us, asker, lag) for asker, _ in asks]
-        said = [{each.key: each for each in stated} for _, stated in asks]
+        """What each requester may use from now on, in the order of `requests`.
+
+        A majority has confirmed this leader since the requests came (rule 1).
+        """
+        limits = tuple(limits)
+        grants = [list[QuotaGrant]() for _ in requests]
+        longest_lag_us = max((each.lag_us for each in limits), default=0)
+        uses_by_limit = self._leader.uses
+        for key in uses_by_limit.keys() - {each.key for each in limits}:
+            del uses_by_limit[key]
+        is_current = [
+            self._on_contact(now_us, requester, longest_lag_us) for requester, _ in requests
+        ]
+        reports = [{each.key: each for each in reported} for _, reported in requests]
         for limit in limits:
-            sayings = self._said.setdefault(limit.key, {})
-            block = self.blocks.get(limit.key, Allocation())
-            for index, (asker, _) in enumerate(asks):
-                if counts[index] and (asker.ident in limit.among or asker.ident in block.parts):
-                    mine = said[index].get(limit.key, QuotaReport(limit.key, 0, 0, 0))
-                    sayings[asker.ident] = _Said(
-                        max(0, mine.share, mine.uses),
-                        max(0, mine.uses),
-                        min(max(0, mine.wants), limit.most),
-                    )
-            for index, share in self._shares(now_us, asks, counts, limit, block):
-                out[index].append(QuotaGrant(limit.key, share))
-        return [tuple(each) for each in out]
-
-    def _hear(self, now_us: int, asker: Requester, lag_us: int) -> bool:
-        """Whether what an ask states counts: it is no late or doubled one."""
-        until = lease_expiry_us(now_us, self._grant_us)
-        held = self._heard.get(asker.ident)
+            uses = uses_by_limit.setdefault(limit.key, {})
+            decided = self.allocations.get(limit.key, LimitAllocations())
+            for index, (requester, _) in enumerate(requests):
+                name = requester.ident
+                if is_current[index] and (name in limit.among or name in decided.by_holder):
+                    uses[name] = _use_of(limit, reports[index].get(limit.key))
+            for index, share in self._shares(now_us, requests, is_current, limit, decided):
+                grants[index].append(QuotaGrant(limit.key, share))
+        return [tuple(each) for each in grants]
+
+    def _on_contact(self, now_us: int, requester: Requester, lag_us: int) -> bool:
+        """Take note of a request; whether its reports count: it is neither late nor duplicate."""
+        contacts = self._leader.contacts
+        name, incarnation = requester.ident, requester.life
+        expires_us = lease_expiry_us(now_us, self._lease_us)
+        last = contacts.get(name)
         known = max(
-            self.lives.get(asker.ident, asker.life), held.life if held is not None else asker.life
+            self.incarnations.get(name, incarnation),
+            last.incarnation if last is not None else incarnation,
         )
-        if asker.life < known and now_us < self._lapses_us(asker.ident) + lag_us:
-            return False  # of a former life, or of one after a wall clock was set back: that waits
-        if held is not None and held.life == asker.life:
-            held.until_us = until  # Danger: a grant rides on the answer to a doubled ask too
-            if asker.number <= held.number:
+        if incarnation < known and now_us < self._lease_end_us(name) + lag_us:
+            return (
+                False  # rule 4: a former one, or one after a wall clock was set back, which waits
+            )
+        if last is not None and last.incarnation == incarnation:
+            last.expires_us = expires_us  # Danger: the response to a duplicate brings a lease too
+            if requester.number <= last.sequence:
                 return False
-        if held is not None and held.life != asker.life:
-            self._ended_us[asker.ident, held.life] = min(now_us, held.until_us)
-        if held is None or held.life != asker.life:
-            for each in self._said.values():
-                each.pop(asker.ident, None)
-        self._heard[asker.ident] = _Heard(
-            asker.life, asker.number, asker.up_us, now_us, until, asker.reign == self.reign
+        else:
+            if last is not None:
+                self._leader.ended_us[name, last.incarnation] = min(now_us, last.expires_us)
+            for uses in self._leader.uses.values():
+                uses.pop(name, None)
+        contacts[name] = _Contact(
+            incarnation=incarnation,
+            sequence=requester.number,
+            up_us=requester.up_us,
+            received_us=now_us,
+            expires_us=expires_us,
+            is_of_this_term=requester.reign == self._leader.term,
         )
         return True
 
     def _shares(
         self,
         now_us: int,
-        asks: Sequence[tuple[Requester, Any]],
-        counts: list[bool],
+        requests: Sequence[tuple[Requester, Any]],
+        is_current: Sequence[bool],
         limit: FleetLimit,
-        block: Allocation,
+        decided: LimitAllocations,
     ) -> Iterator[tuple[int, int]]:
-        sayings = self._said[limit.key]
-        beyond = sum(
-            max(0, said.uses - block.parts.get(name, (0, 0))[1]) for name, said in sayings.items()
+        """Shares of one limit to grant, each with the index of its request."""
+        uses = self._leader.uses[limit.key]
+        unreserved_use = sum(
+            max(0, use.in_use - decided.of(name).reserved) for name, use in uses.items()
         )
-        # What stands beyond the whole, under a limit that was lowered or is new: all are held to the plan at once.
-        plan = (
-            self._plan(now_us, limit, block, self._reborn())[0]
-            if block.total + beyond > limit.most
+        # In use beyond the limit, which was lowered or is new: all are held to the plan at once.
+        planned = (
+            self._plan(now_us, limit, decided, self._restarted())
+            if decided.total + unreserved_use > limit.most
             else None
         )
-        for index, (asker, _) in enumerate(asks):
-            said = sayings.get(asker.ident)
-            if not counts[index] or said is None:
+        for index, (requester, _) in enumerate(requests):
+            name = requester.ident
+            use = uses.get(name)
+            if not is_current[index] or use is None:
                 continue
-            size = block.parts.get(asker.ident, (0, 0))[0]
-            if self.lives.get(asker.ident) != asker.life or self.doubt:
-                size = 0  # Danger: the size is a former life's, or moves were lost
-            said.given = min(size, limit.most if plan is None else plan.get(asker.ident, (0, 0))[0])
-            yield index, said.given
+            size = decided.of(name).size
+            if self.incarnations.get(name) != requester.life or self.is_in_doubt:
+                size = 0  # Danger: the size is a former incarnation's, or moves were lost
+            use.granted = min(size, limit.most if planned is None else planned.of(name).size)
+            yield index, use.granted
 
     # -- moves
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """One entry for all that is to be moved."""
-        if now_us < self._moved_us + MOVE_US:
-            return [], self._moved_us + MOVE_US
-        if self.doubt:
-            at = self._lapses_us("") + max(
-                [
-                    drifted_us(HOUR_US) if not rules.limits else 0,
-                    *(each.lag_us for each in rules.limits),
-                ]
-            )
-            if now_us < at:
-                return [], at
-            return [self._proposal(now_us, {}, {}, [], True)], now_us + MOVE_US
-        changed: dict[str, Any] = {}
-        names = {name for limit in rules.limits for name in limit.among}
-        names |= {
-            name
-            for block in self.blocks.values()
-            for name in (*block.parts, *(each[0] for each in block.debts))
-        }
-        lives = {name: life for name, life in self.lives.items() if name in names}
-        reborn = {name: life for name, life in self._reborn().items() if name in names}
-        left = PARTS_MOST - sum(len(each.parts) for each in self.blocks.values())
+        """One entry for all that is to move, and when to ask again; see `ReplicatedSubsystem`."""
+        next_move_us = self._leader.moved_us + MOVE_INTERVAL_US
+        if now_us < next_move_us:
+            return [], next_move_us
+        if self.is_in_doubt:
+            return self._reset(now_us, rules)
+        holders = self._holders(rules)
+        restarted = {name: each for name, each in self._restarted().items() if name in holders}
+        changed = self._changed(now_us, rules, restarted)
+        dropped = self._on_unlisted(now_us, rules, restarted, changed)
+        incarnations = {name: each for name, each in self.incarnations.items() if name in holders}
+        incarnations |= restarted
+        if not changed and not dropped and incarnations == self.incarnations:
+            return [], None
+        return self._proposed(now_us, MoveEntry(self.serial, incarnations, changed, dropped))
+
+    def _proposed(self, now_us: int, move: MoveEntry) -> tuple[list[Proposal], int]:
+        self._leader.moved_us = now_us
+        return [Proposal(MOVE, move.to_entry())], now_us + MOVE_INTERVAL_US
+
+    def _reset(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int]:
+        """Begin anew once all that was granted before a recovery is over (rule 6)."""
+        lags_us = [each.lag_us for each in rules.limits] or [drifted_us(HOUR_US)]
+        over_us = self._lease_end_us("") + max(lags_us)
+        if now_us < over_us:
+            return [], over_us
+        return self._proposed(now_us, MoveEntry(self.serial, {}, {}, [], is_reset=True))
+
+    def _holders(self, rules: RuleSet) -> set[str]:
+        """Names that a limit or an allocation speaks of."""
+        holders = {name for limit in rules.limits for name in limit.among}
+        for each in self.allocations.values():
+            holders.update(each.by_holder)
+            holders.update(outstanding.holder for outstanding in each.outstanding)
+        return holders
+
+    def _changed(
+        self, now_us: int, rules: RuleSet, restarted: dict[str, int]
+    ) -> dict[str, LimitAllocations]:
+        """New allocations of the limits in which something changes, within MAX_ALLOCATIONS."""
+        changed: dict[str, LimitAllocations] = {}
+        left = MAX_ALLOCATIONS - sum(len(each.by_holder) for each in self.allocations.values())
         for limit in rules.limits:
-            block = self.blocks.get(limit.key, Allocation())
-            parts, debts = self._plan(now_us, limit, block, reborn)
-            new = [name for name in parts if name not in block.parts]
+            decided = self.allocations.get(limit.key, LimitAllocations())
+            planned = self._plan(now_us, limit, decided, restarted)
+            new = [name for name in planned.by_holder if name not in decided.by_holder]
             for name in new[max(0, left) :]:
-                del parts[name]
-                self.refused += 1
+                del planned.by_holder[name]
+                self._leader.rejected_allocations += 1
             left -= min(max(0, left), len(new))
-            if (parts, debts) != (block.parts, block.debts):
-                changed[limit.key] = [parts, debts]
-        drop = self._lacking(now_us, rules, reborn, changed)
-        lives |= reborn
-        if not changed and not drop and lives == self.lives:
-            return [], None
-        return [self._proposal(now_us, lives, changed, drop, False)], now_us + MOVE_US
+            if planned != decided:
+                changed[limit.key] = planned
+        return changed
 
-    def _reborn(self) -> dict[str, int]:
-        """Lives that are heard, and not the decided ones."""
+    def _restarted(self) -> dict[str, int]:
+        """Incarnations in touch that are not the decided ones, by name."""
         return {
-            name: each.life
-            for name, each in self._heard.items()
-            if each.life != self.lives.get(name)
+            name: each.incarnation
+            for name, each in self._leader.contacts.items()
+            if each.incarnation != self.incarnations.get(name)
         }
 
-    def _proposal(
+    def _on_unlisted(
         self,
         now_us: int,
-        lives: dict[str, int],
-        changed: dict[str, Any],
-        drop: list[str],
-        fresh: bool,
-    ) -> Proposal:
-        self._moved_us = now_us
-        return Proposal(
-            "move",
-            {"base": self.serial, "lives": lives, "set": changed, "drop": drop, "fresh": fresh},
-        )
-
-    def _lacking(
-        self, now_us: int, rules: RuleSet, reborn: dict[str, int], changed: dict[str, Any]
+        rules: RuleSet,
+        restarted: dict[str, int],
+        changed: dict[str, LimitAllocations],
     ) -> list[str]:
-        """Limits that the rules lack: forgotten once nothing of them can be in use, whatever their lag was."""
-        here = {each.key for each in rules.limits}
-        self._lacking_us = {
-            key: self._lacking_us.get(key, now_us) for key in self.blocks if key not in here
+        """Limits that the rule set lacks: those to drop, as nothing of them can be in use, whatever their lag was.
+
+        Adds to `changed` those others of which a restarted placer held a part.
+        """
+        listed = {each.key for each in rules.limits}
+        since_us = self._leader.unlisted_since_us
+        since_us = self._leader.unlisted_since_us = {
+            key: since_us.get(key, now_us) for key in self.allocations if key not in listed
         }
-        drop = [
+        dropped = [
             key
-            for key, at in self._lacking_us.items()
-            if now_us >= lease_expiry_us(at, self._grant_us) + drifted_us(HOUR_US)
+            for key, each_us in since_us.items()
+            if now_us >= lease_expiry_us(each_us, self._lease_us) + drifted_us(HOUR_US)
         ]
-        for key in self._lacking_us.keys() - set(drop):
-            block = self.blocks[key]
-            gone = [name for name in reborn if name in block.parts]
-            if gone:
-                changed[key] = [
-                    {name: each for name, each in block.parts.items() if name not in gone},
-                    [
-                        *block.debts,
-                        *((name, self.lives.get(name, 0), block.parts[name][1]) for name in gone),
-                    ][-DEBTS_MOST:],
+        for key in since_us.keys() - set(dropped):
+            decided = self.allocations[key]
+            ended = [name for name in restarted if name in decided.by_holder]
+            if ended:
+                outstanding = [
+                    *decided.outstanding,
+                    *(self._ended(decided, each) for each in ended),
                 ]
-        return drop
-
-    def _lapses_us(self, name: str) -> int:
-        """When no grant that this or an earlier leader gave to the life that is known can last."""
-        held = self._heard.get(name)
-        known = held is not None and held.life == self.lives.get(name)
-        return (
-            held.until_us
-            if held is not None and known
-            else lease_expiry_us(self._began_us, self._grant_us)
+                changed[key] = LimitAllocations(
+                    {name: each for name, each in decided.by_holder.items() if name not in ended},
+                    outstanding[-MAX_OUTSTANDING_PER_LIMIT:],
+                )
+        return dropped
+
+    def _ended(self, decided: LimitAllocations, name: str) -> OutstandingAllocation:
+        """What the decided incarnation of a restarted placer may have left in use."""
+        return OutstandingAllocation(
+            name, self.incarnations.get(name, 0), decided.by_holder[name].reserved
         )
 
+    def _lease_end_us(self, name: str) -> int:
+        """When no lease that this or an earlier leader granted to the decided incarnation can last."""
+        last = self._leader.contacts.get(name)
+        if last is not None and last.incarnation == self.incarnations.get(name):
+            return last.expires_us
+        return lease_expiry_us(self._leader.elected_us, self._lease_us)
+
     def _plan(
-        self, now_us: int, limit: FleetLimit, block: Allocation, reborn: dict[str, int]
-    ) -> tuple[dict[str, tuple[int, int]], list[tuple[str, int, int]]]:
-        """Blocks and debts as they are to be next."""
-        debts = [each for each in block.debts if not self._settled(now_us, limit, each)]
-        sayings = self._said.get(limit.key, {})
-        held: dict[str, tuple[int, int]] = {}  # size, and the count as far as it is proven
-        live: dict[str, _Said] = {}
-        for name in sorted({*limit.among, *block.parts}):
-            size, count = block.parts.get(name, (0, 0))
-            said, heard = sayings.get(name), self._heard.get(name)
-            if name in reborn and name in block.parts:
-                if len(debts) >= DEBTS_MOST:
+        self, now_us: int, limit: FleetLimit, decided: LimitAllocations, restarted: dict[str, int]
+    ) -> LimitAllocations:
+        """The allocations of one limit as they are to be next."""
+        return next_allocations(self._view(now_us, limit, decided, restarted), decided)
+
+    def _view(
+        self, now_us: int, limit: FleetLimit, decided: LimitAllocations, restarted: dict[str, int]
+    ) -> LimitView:
+        """Allocations as far as they are proven (rules 3 and 4), and reports of holders in touch."""
+        outstanding = [
+            each for each in decided.outstanding if not self._is_reclaimed(now_us, limit, each)
+        ]
+        all_uses = self._leader.uses.get(limit.key, {})
+        proven: dict[str, Allocation] = {}
+        in_touch: dict[str, HolderUse] = {}
+        members = frozenset(limit.among)
+        for name in sorted(members.union(decided.by_holder)):
+            current = decided.by_holder.get(name, NO_ALLOCATION)
+            size, reserved = current
+            if name in restarted and name in decided.by_holder:
+                if len(outstanding) >= MAX_OUTSTANDING_PER_LIMIT:
                     continue
-                debts.append((name, self.lives.get(name, 0), count))
-                size = count = 0
-            if said is not None and heard is not None:
-                if heard.proves:
-                    count = max(size, said.held)
-                if now_us < heard.until_us:
-                    live[name] = said
-                    count = max(count, said.uses)
+                outstanding.append(self._ended(decided, name))
+                size = reserved = 0
+            use = all_uses.get(name)
+            last = self._leader.contacts.get(name)
+            if use is not None and last is not None:
+                if last.is_of_this_term:
+                    reserved = max(size, use.held)
+                if now_us < last.expires_us:
+                    in_touch[name] = use
+                    reserved = max(reserved, use.in_use)
             if (
-                name not in live
-                and name not in reborn
-                and now_us >= self._lapses_us(name) + limit.lag_us
+                name not in in_touch
+                and name not in restarted
+                and now_us >= self._lease_end_us(name) + limit.lag_us
             ):
-                size = count = 0
-            held[name] = size, count
-        targets = self._targets(limit, sum(each[2] for each in debts), held, live)
-        room = (
-            limit.most - sum(each[2] for each in debts) - sum(count for _, count in held.values())
-        )
-        near = {
-            name
-            for name, (size, _) in held.items()
-            if name in limit.among
-            and abs(targets.get(name, size) - size) * STEADY <= max(size, targets.get(name, size))
-        }
-        short = {name for name, said in live.items() if said.wants > held[name][0]}
-        # Danger: where each of many has a little too much, one could be left with far too little.
-        tight = room < sum(
-            max(0, target - held[name][0]) for name, target in targets.items() if name not in near
-        )
-        out: dict[str, tuple[int, int]] = {}
-        for name, (size, count) in sorted(held.items(), key=lambda each: each[1][0]):
-            target = targets.get(name, size)
-            if name in near and not (name in short if target > size else tight):
-                target = size
-            if target > size:
-                more = min(target - size, count - size + max(0, room))
-                room -= max(0, size + more - count)
-                size, count = size + more, max(count, size + more)
-            else:
-                size = target
-            if size or count or (name in limit.among and name in block.parts):
-                out[name] = size, count
-        return dict(sorted(out.items())), debts
-
-    def _targets(
-        self, limit: FleetLimit, owed: int, held: dict[str, tuple[int, int]], live: dict[str, _Said]
-    ) -> dict[str, int]:
-        """Fair parts of what the others cannot hold, for those that are heard."""
-        pool = max(
-            0,
-            limit.most - owed - sum(count for name, (_, count) in held.items() if name not in live),
-        )
-        wants = {name: said.wants for name, said in live.items() if name in limit.among}
-        targets = fair(pool, wants) if wants else {}
-        uses = {name: said.uses for name, said in live.items()}
-        spend = {name: max(0, target - uses[name]) for name, target in targets.items()}
-        room = max(0, pool - sum(uses.values()))
-        if sum(spend.values()) > room:
-            for name, each in spend.items():
-                if each:
-                    targets[name] = uses[name] + each * room // sum(spend.values())
-        return {**{name: 0 for name in live}, **targets}
-
-    def _settled(self, now_us: int, limit: FleetLimit, debt: tuple[str, int, int]) -> bool:
-        name, life, _ = debt
-        since = self._debts_us.setdefault(
-            (limit.key, name, life), self._ended_us.get((name, life), now_us)
+                size = reserved = 0
+            proven[name] = current.changed(size, reserved)
+        return LimitView(limit, proven, in_touch, outstanding, members)
+
+    def _is_reclaimed(
+        self, now_us: int, limit: FleetLimit, outstanding: OutstandingAllocation
+    ) -> bool:
+        """Whether nothing of what a former incarnation held can be in use any more (rule 4)."""
+        name, incarnation, _ = outstanding
+        since_us = self._leader.outstanding_since_us.setdefault(
+            (limit.key, name, incarnation), self._leader.ended_us.get((name, incarnation), now_us)
         )
-        heard = self._heard.get(name)
-        if (
-            heard is not None
-            and heard.life > life
-            and heard.up_us + now_us - heard.at_us >= limit.lag_us
-        ):
-            return True  # that life has lasted for so long, and the other ended before
-        return now_us >= since + limit.lag_us
+        last = self._leader.contacts.get(name)
+        if last is not None and last.incarnation > incarnation:
+            age_us = last.up_us + now_us - last.received_us
+            if age_us >= limit.lag_us:
+                return True  # that incarnation has lasted for so long, and the other ended before
+        return now_us >= since_us + limit.lag_us
 
-    # -- for people
+    # -- reports for operators
 
     def accounts(self, now_us: int, limits: Iterable[FleetLimit]) -> list[dict[str, object]]:
-        """Each limit with who holds what, how old that news is, and what nobody can use now."""
-        out: list[dict[str, object]] = []
+        """Each limit with who holds what and the age of that news, as the API and the command line show it."""
+        accounts: list[dict[str, object]] = []
         for limit in limits:
-            block, sayings = self.blocks.get(limit.key, Allocation()), self._said.get(limit.key, {})
-            out.append(
+            decided = self.allocations.get(limit.key, LimitAllocations())
+            uses = self._leader.uses.get(limit.key, {})
+            accounts.append(
                 {
                     "limit": limit.key,
                     "most": limit.most,
-                    "free": limit.most - block.total,
-                    "owed": sum(each[2] for each in block.debts),
+                    "free": limit.most - decided.total,
+                    "owed": decided.total_outstanding,
                     "held": [
-                        self._account(now_us, name, part, sayings.get(name))
-                        for name, part in sorted(block.parts.items())
+                        self._account(now_us, name, allocation, uses.get(name))
+                        for name, allocation in sorted(decided.by_holder.items())
                     ],
                 }
             )
-        return out
+        return accounts
 
     def _account(
-        self, now_us: int, name: str, part: tuple[int, int], said: _Said | None
+        self, now_us: int, name: str, allocation: Allocation, use: HolderUse | None
     ) -> dict[str, object]:
-        heard = self._heard.get(name)
+        last = self._leader.contacts.get(name)
         return {
             "placer": name,
-            "share": part[0],
-            "counts": part[1],
-            "uses": said.uses if said else 0,
-            "wants": said.wants if said else 0,
-            "ageUs": now_us - (heard.at_us if heard else self._began_us),
-            "lapsed": heard is None or now_us >= heard.until_us,
+            "share": allocation.size,
+            "counts": allocation.reserved,
+            "uses": use.in_use if use else 0,
+            "wants": use.demand if use else 0,
+            "ageUs": now_us - (last.received_us if last else self._leader.elected_us),
+            "lapsed": last is None or now_us >= last.expires_us,
         }
+
+
+def _use_of(limit: FleetLimit, report: QuotaReport | None) -> HolderUse:
+    """A report within its bounds; one that lacks the limit reports no use."""
+    if report is None:
+        return HolderUse(0, 0, 0)
+    return HolderUse(
+        reported=max(0, report.share, report.uses),
+        in_use=max(0, report.uses),
+        demand=min(max(0, report.wants), limit.most),
+    )
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -1,14 +1,15 @@
-"""Rights in escrow: the whole of a limit cut into parts that placers hold, so that nobody can pass it; no I/O.
+"""Quotas in escrow: a limit is divided into allocations that placers use up without asking, and none can exceed it.
 
-As escrow transactions (O'Neil 1986) and demarcation (Barbara, Garcia-Molina 1992): a placer uses only what it holds.
-How much each may hold is decided in the voters' log (`blocks`); what it holds rides on its grants of rules, and lapses
-with them. This is the placer's side, a `Purse`, and what both sides say:
+As escrow transactions (O'Neil 1986) and the demarcation protocol (Barbara, Garcia-Molina 1992): a placer uses only what
+is allocated to it. Who holds how much is decided in the voters' log (`allocations`); a placer's share comes with its
+lease of the rule set, and expires with it (a quota lease). This module is the placer's side, `QuotaAccount`, and the
+messages of both. Two rules that the leader's accounting relies on:
 
-- a purse states nothing that has lapsed, and after a gap it holds what the first answer brings;
-- it takes only the answer to its latest ask, and only while that ask's own grant lasts, so that what an ask states is
-  all that its sender may use until the answer to that very ask, or a later one.
+- an account reports nothing that has expired, and after a gap it holds what the first response brings;
+- it takes only the response to its latest request, and only within that request's own lease, so that what a request
+  reports is all that its sender may use until the response to that very request, or a later one.
 
-Times in microseconds, by the placer's clock.
+No I/O. Times in microseconds, by the placer's clock.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 from wingbarrow.decide.quotas.limits import FleetLimit
 
-GRAINS = 256  # of a rate's window: uses within one are remembered together
-AHEAD = 4  # of what is used one in so many more is wanted
-STEADY = 8  # a share changes by more than one part in so many, or not at all: shares do not flap
+WINDOW_BUCKETS = 256  # of a rate's window: uses within one are counted together
+HEADROOM_DIVISOR = 4  # a request demands one in so many beyond what is in use
+REJECTED_DEMAND_US = 2_000_000  # how long what was not admitted counts as demand
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaReport:
-    """What a placer says of one limit as it asks: what it may use, what it uses, what it would use if it could."""
+    """A placer's report on one limit: its share, what is in use, what would be in use without a limit."""
 
     key: str
     share: int
@@ -36,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """Who asks: its name, which life of it and for how long that has lasted, and the number of its ask.
+    """Sender of a lease request: its name, incarnation and the age of that, and the request's sequence number.
 
-    `reign`: the term of the leader whose grant it took last; 0 for none in this life.
+    `reign`: the term of the leader whose grant it took last; 0 for none in this incarnation.
     """
 
     ident: str
@@ -50,131 +51,134 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """What it may use from now on, in place of what it stated."""
+    """The share that a placer may use from now on, in place of the one that it reported."""
 
     key: str
     share: int
 
 
-def fair(total: int, wants: dict[str, int]) -> dict[str, int]:
-    """Max-min fair parts of a whole: nobody gets more than it wants while another gets less than that and wants more.
+def max_min_fair(total: int, demand: dict[str, int]) -> dict[str, int]:
+    """Max-min fair shares of `total`: none gets more than its demand while another has less than that and wants more.
 
-    Of what nobody wants half is given out in equal parts, so that who has had no demand may begin at once, and half by
-    what is wanted, since who has much has more to come.
+    Of what nobody demands, half is divided equally, so that a placer without demand so far may begin at once, and half
+    in proportion to demand, since the busiest have most to come.
     """
-    left, out = total, {}
-    for index, name in enumerate(sorted(wants, key=lambda each: (wants[each], each))):
-        out[name] = min(wants[name], left // (len(wants) - index))
-        left -= out[name]
-    whole = max(1, sum(wants.values()))
-    for name, each in wants.items():
-        out[name] += left // 2 // len(wants) + left // 2 * each // whole
-    return out
+    left = total
+    shares: dict[str, int] = {}
+    for index, name in enumerate(sorted(demand, key=lambda each: (demand[each], each))):
+        shares[name] = min(demand[name], left // (len(demand) - index))
+        left -= shares[name]
+    total_demand = max(1, sum(demand.values()))
+    for name, each in demand.items():
+        shares[name] += left // 2 // len(demand) + left // 2 * each // total_demand
+    return shares
 
 
-class _Lately:
-    """How many were used within a window, in grains of it: each counts as of its grain's end, so never too short."""
+class _SlidingWindow:
+    """Uses within a window, counted by buckets: each counts as of its bucket's end, so never for too short a time."""
 
-    __slots__ = ("_sum", "_times")
+    __slots__ = ("_buckets", "_sum")
 
     def __init__(self) -> None:
-        self._times: deque[tuple[int, int]] = deque()
+        self._buckets: deque[tuple[int, int]] = deque()  # end and uses of each
         self._sum = 0
 
-    def add(self, now_us: int, count: int, grain_us: int) -> None:
-        """So many more."""
+    def add(self, now_us: int, count: int, bucket_us: int) -> None:
+        """Count more uses."""
         self._sum += count
-        ends_us = (now_us // max(1, grain_us) + 1) * max(1, grain_us)
-        if self._times and self._times[-1][0] == ends_us:
-            count += self._times.pop()[1]
-        self._times.append((ends_us, count))
+        ends_us = (now_us // max(1, bucket_us) + 1) * max(1, bucket_us)
+        if self._buckets and self._buckets[-1][0] == ends_us:
+            count += self._buckets.pop()[1]
+        self._buckets.append((ends_us, count))
 
     def within(self, now_us: int, window_us: int) -> int:
-        """How many within a window that ends now."""
-        while self._times and self._times[0][0] <= now_us - window_us:
-            self._sum -= self._times.popleft()[1]
+        """Uses within the window that ends now."""
+        while self._buckets and self._buckets[0][0] <= now_us - window_us:
+            self._sum -= self._buckets.popleft()[1]
         return self._sum
 
 
 class QuotaAccount:
-    """One placer's rights. `uses` counts what stands of a standing limit, by its key."""
+    """One placer's shares of the fleet's limits, what it uses of them, and what it demands."""
 
     def __init__(
         self,
-        uses: Callable[[str], int] = lambda key: 0,
+        in_use: Callable[[str], int] = lambda key: 0,
         demand: Callable[[str], int] = lambda key: 0,
     ) -> None:
-        self.uses, self.demand = (
-            uses,
-            demand,
-        )  # what stands of a limit; what would be used beyond what is
+        self.in_use = in_use  # of a standing limit, by its key
+        self.demand = demand  # what would be used beyond what is
         self.shares: dict[str, int] = {}
         self.limits: dict[str, FleetLimit] = {}
-        self._lately: dict[str, _Lately] = {}  # of a rate: what was used
-        self._turned_away: dict[
-            str, tuple[int, int]
-        ] = {}  # how many were not allowed, and when last
+        self._windows: dict[str, _SlidingWindow] = {}  # by a rate limit's key
+        self._rejected: dict[str, tuple[int, int]] = {}  # how many were not admitted, and when last
 
-    def take_limits(self, limits: Iterable[FleetLimit]) -> None:
-        """The limits of other rules; shares of those that are gone are given back."""
+    def on_limits(self, limits: Iterable[FleetLimit]) -> None:
+        """Take the limits of another rule set; shares of limits that it lacks are given back."""
         self.limits = {each.key: each for each in limits}
-        for held in (self.shares, self._lately, self._turned_away):
-            for key in held.keys() - self.limits.keys():
-                del held[key]
+        for by_key in (self.shares, self._windows, self._rejected):
+            for key in by_key.keys() - self.limits.keys():
+                del by_key[key]
 
     def used(self, now_us: int, key: str) -> int:
-        """What is in use now."""
+        """What is in use of a limit now."""
         limit = self.limits[key]
         if limit.kind == "standing":
-            return self.uses(key)
-        lately = self._lately.get(key)
-        return 0 if lately is None else lately.within(now_us, limit.lag_us)
+            return self.in_use(key)
+        window = self._windows.get(key)
+        return 0 if window is None else window.within(now_us, limit.lag_us)
 
-    def stated(self, now_us: int) -> tuple[QuotaReport, ...]:
-        """For an ask."""
-        out = []
+    def report(self, now_us: int) -> tuple[QuotaReport, ...]:
+        """A report on each limit, for the next lease request."""
+        reports = []
         for key in sorted(self.limits):
             used = self.used(now_us, key)
-            away, at = self._turned_away.get(key, (0, 0))
-            # A little more than what is known of, so that more is here before it is short: a move takes two asks.
-            waiting = max(self.demand(key), away if now_us - at < 2_000_000 else 0, used // AHEAD)
-            out.append(QuotaReport(key, self.shares.get(key, 0), used, used + waiting))
-        self._turned_away = {
-            key: each for key, each in self._turned_away.items() if now_us - each[1] < 2_000_000
+            rejected, rejected_us = self._rejected.get(key, (0, 0))
+            recent = rejected if now_us - rejected_us < REJECTED_DEMAND_US else 0
+            # Some headroom, so that more is here before it is short: a move takes two requests.
+            waiting = max(self.demand(key), recent, used // HEADROOM_DIVISOR)
+            reports.append(QuotaReport(key, self.shares.get(key, 0), used, used + waiting))
+        self._rejected = {
+            key: each
+            for key, each in self._rejected.items()
+            if now_us - each[1] < REJECTED_DEMAND_US
         }
-        return tuple(out)
+        return tuple(reports)
 
-    def short(self, now_us: int) -> bool:
-        """Whether more is wanted of some limit than is held."""
-        return any(each.wants > each.share for each in self.stated(now_us))
+    def is_short(self, now_us: int) -> bool:
+        """Whether demand exceeds the share of some limit."""
+        return any(each.wants > each.share for each in self.report(now_us))
 
-    def lapse(self) -> None:
-        """The grant has lapsed, and what was held with it: it must not be stated any more.
+    def expire(self) -> None:
+        """The lease has expired, and all shares with it: they must not be reported any more.
 
-        Danger: a new leader leaves everybody what it states, and another may have been given this by now.
+        Danger: a new leader leaves to everybody what it reports, and another may have been given this by now.
         """
         self.shares.clear()
 
-    def take(self, rights: Iterable[QuotaGrant]) -> None:
-        """The answer to the latest ask, which came before the grant lapsed that the ask was sent under."""
-        for each in rights:
+    def on_grants(self, grants: Iterable[QuotaGrant]) -> None:
+        """Take the response to the latest request; the caller checks that the request's lease still lasts."""
+        for each in grants:
             if each.key in self.limits:
                 self.shares[each.key] = max(0, each.share)
 
-    def may(self, now_us: int, key: str, count: int, again: bool = False) -> bool:
-        """Whether so many more are within what is held; the caller has a grant. What is not is counted as wanted, once
-        (`again`: it was asked for before)."""
+    def has_room(self, now_us: int, key: str, count: int, *, is_retry: bool = False) -> bool:
+        """Whether `count` more are within the share; the caller holds a lease.
+
+        What is not counts as demand, once: not again for a retry.
+        """
         if self.used(now_us, key) + count <= self.shares.get(key, 0):
             return True
-        if again:
+        if is_retry:
             return False
-        away, at = self._turned_away.get(key, (0, 0))
-        self._turned_away[key] = (away + count if now_us - at < 2_000_000 else count), now_us
+        rejected, rejected_us = self._rejected.get(key, (0, 0))
+        is_recent = now_us - rejected_us < REJECTED_DEMAND_US
+        self._rejected[key] = (rejected + count if is_recent else count), now_us
         return False
 
-    def use(self, now_us: int, key: str, count: int) -> None:
-        """So many are used: told for rates; what stands is counted by `uses`."""
-        if self.limits[key].kind == "rate":
-            self._lately.setdefault(key, _Lately()).add(
-                now_us, count, self.limits[key].window_us // GRAINS
-            )
+    def record_use(self, now_us: int, key: str, count: int) -> None:
+        """Count uses of a rate limit; what is in use of a standing limit is read from `in_use`."""
+        limit = self.limits[key]
+        if limit.kind == "rate":
+            window = self._windows.setdefault(key, _SlidingWindow())
+            window.add(now_us, count, limit.window_us // WINDOW_BUCKETS)
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -19,9 +19,9 @@
 from wingbarrow.decide.quotas.limits import (
     FleetLimit,
     check_limits,
-    limits_meet,
-    limits_within,
-    normal_limits,
+    limits_allow,
+    limits_intersection,
+    normalized_limits,
 )
 from wingbarrow.decide.rulesets.agreed_drains import (
     AskedDrain,
@@ -120,7 +120,7 @@
         asked=tuple(sorted(set(rules.asked))),
         windows=tuple(sorted(rules.windows, key=lambda each: (each.name, repr(each)))),
         cancelled=tuple(sorted(set(rules.cancelled))),
-        limits=normal_limits(rules.limits),
+        limits=normalized_limits(rules.limits),
         federation=form.normal(rules.federation),
     )
 
@@ -352,7 +352,7 @@
     "asked": _NAMED,
     "cancelled": _Order(lambda a, b: set(a) <= set(b), lambda a, b: tuple(set(a) & set(b))),
     "plan": _Order(plan_within, plan_meet),
-    "limits": _Order(limits_within, limits_meet),
+    "limits": _Order(limits_allow, limits_intersection),
     "federation": _Order(compare.within, compare.meet),
 }
 
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -56,7 +56,7 @@
         made.holding.life = self.lives[name]
         self.orphans += self.tasks.pop(name, [])
         self.tasks[name] = []
-        made.purse.uses = lambda key: len(self.tasks.get(name, ())) if key == STANDING else 0
+        made.purse.in_use = lambda key: len(self.tasks.get(name, ())) if key == STANDING else 0
         return made
 
     def kill(self, name: str) -> None:
@@ -88,9 +88,9 @@
         self.wanted += 1
         if acting is None or not acting.edition or not member.purse.limits:
             return
-        allowed = [member.purse.may(local, key, 1) for key in (STANDING, RATE)]
+        allowed = [member.purse.has_room(local, key, 1) for key in (STANDING, RATE)]
         if all(allowed):
-            member.purse.use(local, RATE, 1)
+            member.purse.record_use(local, RATE, 1)
             self.tasks[name].append(self.now_us + self.load.randrange(*LIFE_US))
             self.begun.append(self.now_us)
             self.started += 1
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -137,7 +137,7 @@
                 (self.lease, self.regions, self.turn_side),
                 self.counts,
             )
-            self.agreement.purse.uses, self.agreement.purse.demand = self.uses, self.demand
+            self.agreement.purse.in_use, self.agreement.purse.demand = self.uses, self.demand
             self.agreement.live_in(settings.region, self.zones)
         try:
             with Nursery(self._hub) as nursery:
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -49,7 +49,7 @@
                     "uses": each.uses,
                     "wants": each.wants,
                 }
-                for each in purse.stated(now)
+                for each in purse.report(now)
             ],
         }
         if agreement.leads and agreement.agreed.rules:
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -17,7 +17,7 @@
 from wingbarrow.decide.coordination import messages as asking
 from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.outliers.ejection import EVIDENCE_MOST, VERDICTS_MOST
-from wingbarrow.decide.quotas.limits import LIMITS_MOST
+from wingbarrow.decide.quotas.limits import MAX_LIMITS
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.peers.message_bounds import fault
@@ -163,7 +163,7 @@
     if isinstance(message, log.AppendRequest) and len(message.entries) > ENTRIES_MOST:
         raise BadMail(f"{len(message.entries)} entries; {ENTRIES_MOST} are the most")
     if isinstance(message, asking.LeaseRequest) and (
-        len(message.stated) > LIMITS_MOST
+        len(message.stated) > MAX_LIMITS
         or len({each.key for each in message.stated}) < len(message.stated)
         or message.up_us < 0
     ):
