--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -179,7 +179,7 @@
         """What those that asked together may use of the fleet's limits."""
         if not asks:
             return []
-        return self.allocations.answers(
+        return self.allocations.grants_for(
             now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits
         )
 
@@ -218,7 +218,7 @@
                 chapter.name: chapter.response_for(now_us, asked.asker)
                 for chapter in self.subsystems
             },
-            reign=self.allocations.reign,
+            reign=self.allocations.term,
             leader=self._owner.name,
         )
         if asked.ident == self._owner.name:
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -97,7 +97,7 @@
         self._asked[self._number] = self._sent_us = now_us
         evidence, bad, tried = self.health_observer.evidence(now_us, self.ejections.mine)
         if now_us >= self.rules_lease.expires_us and self.quotas.shares:
-            self.quotas.lapse()
+            self.quotas.expire()
             out.append(Notify("rights", {"shares": {}}))
         receiver, forward = self._whom(known, unanswered)
         ask = LeaseRequest(
@@ -106,7 +106,7 @@
             self.rules_lease.floor,
             self.incarnation,
             max(0, now_us - self.started_us),
-            self.quotas.stated(now_us),
+            self.quotas.report(now_us),
             self.region,
             evidence,
             bad,
@@ -207,7 +207,7 @@
         # A third of the grant between asks: two may be lost before one lapses. Sooner where rights are short: what
         # others give back comes by the answers.
         # Sooner too where they became less: what is given up here is wanted elsewhere, and free by the next ask.
-        soon = self.quotas.limits and (self.quotas.short(now_us) or self._gave_up)
+        soon = self.quotas.limits and (self.quotas.is_short(now_us) or self._gave_up)
         wait = self.timing.retry_us if soon else self.timing.grant_us // 3
         return [self._timer("ask", now_us + wait), *self.notify_rules(now_us), *out]
 
@@ -216,13 +216,13 @@
     ) -> list[Effect]:
         shares = dict(self.quotas.shares)
         if self.rules_lease.edition != before:
-            self.quotas.take_limits(parse_rule_set(self.rules_lease.rules).limits)
+            self.quotas.on_limits(parse_rule_set(self.rules_lease.rules).limits)
         if gap:
-            self.quotas.lapse()
+            self.quotas.expire()
         # Danger: an earlier ask stated what may have been given back since; and what was given is not counted any more
         # once the grant that it came with is over.
         if grant.number == self._number and now_us < asked_us + grant.lasts_us:
-            self.quotas.take(grant.rights)
+            self.quotas.on_grants(grant.rights)
         self._gave_up = any(self.quotas.shares.get(key, 0) < share for key, share in shares.items())
         return (
             [Notify("rights", {"shares": dict(self.quotas.shares)})]
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -137,7 +137,7 @@
                 (self.lease, self.regions, self.turn_side),
                 self.counts,
             )
-            self.agreement.quotas.uses, self.agreement.quotas.demand = self.uses, self.demand
+            self.agreement.quotas.in_use, self.agreement.quotas.demand = self.uses, self.demand
             self.agreement.live_in(settings.region, self.zones)
         try:
             with Nursery(self._hub) as nursery:
