--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -14,7 +14,7 @@
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.link import STOP_CONNECTIONS
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.maintenance.slots import ACTIVE_MOST
+from wingbarrow.decide.maintenance.slots import MAX_ACTIVE_SLOTS
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.decide.quotas.allocations import PARTS_MOST
@@ -223,7 +223,7 @@
         Bound(
             "turns_active",
             "turns that are active",
-            ACTIVE_MOST,
+            MAX_ACTIVE_SLOTS,
             "turns",
             "wingbarrow/decide/maintenance/slots.py",
             TURNS,
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -9,16 +9,13 @@
 import pytest
 
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.maintenance.calendar import wanted
+from wingbarrow.decide.maintenance.calendar import calendar_requests
+from wingbarrow.decide.maintenance.entries import SlotRequested, decode_entry
+from wingbarrow.decide.maintenance.messages import MaintenanceReport, RegionView
 from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
-from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
-from wingbarrow.decide.maintenance.slots import (
-    AGE_US,
-    TURNS_MOST,
-    MaintenanceReport,
-    RegionView,
-    SlotQueue,
-)
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
+from wingbarrow.decide.maintenance.slots import AGING_PERIOD_US, MAX_LIVE_SLOTS, SlotQueue
+from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
@@ -26,7 +23,7 @@
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workshop import WALL_US
 
-TIMES = MaintenanceTiming()
+TIMING = MaintenanceTiming()
 
 
 def request(machine: str, region: str = "r", cell: str = "c", **more: Any) -> dict[str, Any]:
@@ -46,6 +43,14 @@
     }
 
 
+def requested(machine: str, **more: Any) -> SlotRequested:
+    return SlotRequested.from_json(request(machine, **more))
+
+
+def apply_entry(queue: SlotQueue, kind: str, value: dict[str, Any]) -> None:
+    queue.apply(decode_entry(kind, value))
+
+
 class Led:
     """A leader by itself: one placer for each region speaks, and what it proposes is decided at once."""
 
@@ -102,7 +107,7 @@
             self.turns.apply("ask", request(machine, region, cell, **more))
 
     def states(self) -> dict[str, str]:
-        return {each.machine: each.state for each in self.turns.queue.turns.values()}
+        return {each.machine: each.state for each in self.turns.queue.slots.values()}
 
     def where(self, state: str) -> list[str]:
         return sorted(machine for machine, each in self.states().items() if each == state)
@@ -168,7 +173,7 @@
 
 def test_room_for_what_is_asked_and_for_another_regions_loss_is_kept() -> None:
     led = Led({"a": 4, "b": 4}, (("region", "max", 4.0),))
-    led.used, led.turns.held_back = 3.5, lambda now, region: 2.0
+    led.used, led.turns.reserved_machines = 3.5, lambda now, region: 2.0
     led.ask("a-1", "a-2", "b-1", "b-2")
     led.run(5)
     assert len(led.where("out")) == 2, "8 machines, 3.5 worth of work, 2 held back"
@@ -203,7 +208,7 @@
     led.run(4)
     assert led.states() == {"a-1": "back", "b-1": "queued"}
     assert "r/y has failed" in led.turns.blocked[2]
-    assert led.turns.queue.turns[1].note == "r/y has failed"
+    assert led.turns.queue.slots[1].note == "r/y has failed"
 
 
 def test_two_hundred_ask_at_once_and_all_have_their_turn_within_the_budgets_and_in_order() -> None:
@@ -213,11 +218,11 @@
     for _ in range(600):
         led.run(0.5)
         queue = led.turns.queue
-        out = [each for each in queue.turns.values() if each.state == "out"]
+        out = [each for each in queue.slots.values() if each.state == "out"]
         assert len(queue.active()) <= 8
         order += [each.number for each in out if each.number not in order]
         for each in out:
-            queue.apply("back", {"number": each.number, "at_us": WALL_US + led.now_us})
+            apply_entry(queue, "back", {"number": each.number, "at_us": WALL_US + led.now_us})
         led.speak["r"] = MaintenanceReport(
             region="r", tried=tuple(each.number for each in queue.active())
         )
@@ -230,21 +235,23 @@
 
 def test_past_the_bound_a_request_is_refused_with_the_reason() -> None:
     queue = SlotQueue()
-    for index in range(TURNS_MOST):
-        queue.apply("ask", request(f"m{index}"))
-    assert f"{TURNS_MOST} turns are asked for" in queue.refusal(request("one-more"))
-    queue.apply("ask", request("one-more"))
+    for index in range(MAX_LIVE_SLOTS):
+        apply_entry(queue, "ask", request(f"m{index}"))
+    assert f"{MAX_LIVE_SLOTS} turns are asked for" in queue.refusal(requested("one-more"))
+    apply_entry(queue, "ask", request("one-more"))
     assert queue.outcomes["of-one-more"][0] == 0
-    assert len(queue.live()) == TURNS_MOST
-    assert "has turn 1 already" in SlotQueue.refusal(queue, request("m0"))
+    assert len(queue.live()) == MAX_LIVE_SLOTS
+    assert "has turn 1 already" in queue.refusal(requested("m0"))
     long = SlotQueue()
-    for index in range(TURNS_MOST):
+    for index in range(MAX_LIVE_SLOTS):
         names = {"region": "r" * 63, "zone": "z" * 63, "cell": "c" * 63, "worker": "w" * 63}
-        long.apply(
-            "ask", request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names)
+        apply_entry(
+            long,
+            "ask",
+            request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names),
         )
-    assert len(long.live()) == TURNS_MOST
-    assert len(long.text()) < TURNS_MOST * 1400 + 256 * 400
+    assert len(long.live()) == MAX_LIVE_SLOTS
+    assert len(long.text()) < MAX_LIVE_SLOTS * 1400 + 256 * 400
     again = SlotQueue()
     again.restore(long.text())
     assert again.text() == long.text()
@@ -265,13 +272,13 @@
 )
 def test_a_request_that_cannot_be_is_refused(wrong: dict[str, Any]) -> None:
     queue = SlotQueue()
-    queue.apply("ask", request("m") | wrong)
-    assert not queue.turns
+    apply_entry(queue, "ask", request("m") | wrong)
+    assert not queue.slots
 
 
 def test_entries_that_cannot_be_read_change_nothing() -> None:
     queue = SlotQueue()
-    queue.apply("ask", request("m"))
+    apply_entry(queue, "ask", request("m"))
     text = queue.text()
     for kind, value in (
         ("close", {"number": "x", "at_us": 1}),
@@ -281,8 +288,8 @@
         ("out", {"number": 1, "at_us": -1}),
     ):
         with pytest.raises((ValueError, KeyError, TypeError)):
-            queue.apply(kind, value)
-    queue.apply("out", {"number": 1, "at_us": 1})
+            apply_entry(queue, kind, value)
+    apply_entry(queue, "out", {"number": 1, "at_us": 1})
     assert queue.text() == text
 
 
@@ -297,7 +304,7 @@
     )
     led.run(0.5)
     assert led.turns.renewed_us(1) == asked
-    led.run(TIMES.lease_us / SECOND - 2)
+    led.run(TIMING.lease_us / SECOND - 2)
     assert not [*led.turns.silent(led.now_us)]
     led.run(4)
     assert [*led.turns.silent(led.now_us)] == [1] and led.states() == {"a-1": "out"}, (
@@ -308,7 +315,7 @@
     led.run(1)
     assert led.turns.renewed_us(1) == 0
     led.speak["r"] = MaintenanceReport(region="r", open=(1,))
-    led.run(TIMES.try_us / SECOND + 1)
+    led.run(TIMING.try_us / SECOND + 1)
     assert led.states() == {"a-1": "given-back"}
 
 
@@ -327,7 +334,7 @@
     turns.apply("queue", {"turns": [[2, 0]], "at_us": WALL_US})
     turns.apply("close", {"number": 2, "at_us": WALL_US})
     assert 2 not in side.report(0).clear
-    assert side.closes("m")
+    assert side.is_closed("m")
     side.on_response(0, 0, turns.response_for(0, Requester("p", 1, 0, 2)))
     assert side.report(0).clear == (2,)
     assert not side.on_response(0, 0, first) and side.report(0).clear == (2,), (
@@ -372,13 +379,13 @@
     of = replace(rules(), windows=(window,))
 
     def machines_at(text: str, of: RuleSet = of) -> list[str]:
-        return [each.machine for each in wanted(of, machines, at(text))]
+        return [each.machine for each in calendar_requests(of, machines, at(text))]
 
     assert machines_at("2027-01-01T01:58:59") == []
     assert machines_at("2027-01-01T01:59:30") == ["m0", "m1"], "m2 does not run, m3 is not meant"
     assert machines_at("2027-01-01T02:39:00") == ["m0", "m1"]
     assert machines_at("2027-01-01T02:40:00") == []
-    one = wanted(of, machines, at("2027-01-01T02:00:00"))[0]
+    one = calendar_requests(of, machines, at("2027-01-01T02:00:00"))[0]
     assert (one.urgency, one.unsafe, one.ends_us) == (6, "shorten", at("2027-01-01T03:00:00"))
     assert one.from_us == at("2027-01-01T02:00:00")
     assert one.latest_us == at("2027-01-01T02:40:00")
@@ -418,13 +425,13 @@
     assert led.states()["a-2"] == "back", "opened again, and tried first"
     led.run(8)
     assert led.states()["a-1"] == "back"
-    assert led.turns.queue.turns[1].note == "its time is over"
+    assert led.turns.queue.slots[1].note == "its time is over"
 
 
 def test_the_order_ages_so_that_nobody_starves() -> None:
-    queue, at_us = SlotQueue(), WALL_US // AGE_US * AGE_US
-    queue.apply("ask", request("old", urgency=0, at_us=at_us))
-    queue.apply("ask", request("new", urgency=9, at_us=at_us + 8 * AGE_US))
-    queue.apply("ask", request("late", urgency=9, at_us=at_us + 10 * AGE_US))
-    queue.apply("queue", {"turns": [[1, 0], [2, 0], [3, 0]], "at_us": at_us})
+    queue, at_us = SlotQueue(), WALL_US // AGING_PERIOD_US * AGING_PERIOD_US
+    apply_entry(queue, "ask", request("old", urgency=0, at_us=at_us))
+    apply_entry(queue, "ask", request("new", urgency=9, at_us=at_us + 8 * AGING_PERIOD_US))
+    apply_entry(queue, "ask", request("late", urgency=9, at_us=at_us + 10 * AGING_PERIOD_US))
+    apply_entry(queue, "queue", {"turns": [[1, 0], [2, 0], [3, 0]], "at_us": at_us})
     assert [each.machine for each in queue.queued()] == ["new", "old", "late"]
--- a/tests/decide/maintenance/test_slots_machine.py
+++ b/tests/decide/maintenance/test_slots_machine.py
@@ -10,7 +10,9 @@
 
 from wingbarrow.decide.drains import Budget, Scope
 from wingbarrow.decide.maintenance.budgets import BudgetUse
-from wingbarrow.decide.maintenance.slots import AGE_US, RegionView, SlotQueue
+from wingbarrow.decide.maintenance.entries import decode_entry
+from wingbarrow.decide.maintenance.messages import RegionView
+from wingbarrow.decide.maintenance.slots import AGING_PERIOD_US, SlotQueue
 from wingbarrow.lab.fleet.swarm import SECOND
 
 CELLS = {"a": 3, "b": 3}
@@ -30,7 +32,7 @@
         self.asked = 0
 
     def apply(self, kind: str, at: int, **value: Any) -> None:
-        self.queue.apply(kind, {**value, "at_us": at})
+        self.queue.apply(decode_entry(kind, {**value, "at_us": at}))
 
     def moved(self, at: int) -> int:
         self.clock = max(self.clock, at)
@@ -49,7 +51,7 @@
         known = ident in self.queue.outcomes
         self.apply(
             "ask",
-            at * AGE_US // 2,
+            at * AGING_PERIOD_US // 2,
             ident=ident,
             machine=machine,
             region="r",
@@ -63,7 +65,7 @@
         )
         if known:
             return
-        now = self.moved(at * AGE_US // 2)
+        now = self.moved(at * AGING_PERIOD_US // 2)
         if not any(
             each["machine"] == machine and each["state"] not in ("done", "given-back")
             for each in self.plain
@@ -119,7 +121,7 @@
 
     @invariant()
     def same_states(self) -> None:
-        assert {each.number: (each.machine, each.state) for each in self.queue.turns.values()} == {
+        assert {each.number: (each.machine, each.state) for each in self.queue.slots.values()} == {
             each["number"]: (each["machine"], each["state"]) for each in self.plain
         }
 
@@ -130,7 +132,7 @@
         for figure in ("machine", "tasks", "asked"):
             waiting.sort(key=lambda each: each[figure])
         waiting.sort(key=lambda each: each["latest"] or 10**20)
-        waiting.sort(key=lambda each: each["asked"] // AGE_US - each["urgency"])
+        waiting.sort(key=lambda each: each["asked"] // AGING_PERIOD_US - each["urgency"])
         assert [each.number for each in self.queue.queued()] == [each["number"] for each in waiting]
 
     @invariant()
@@ -152,7 +154,7 @@
         for turn in self.queue.queued():
             after = out | {turn.machine}
             fits = sum(each[0] == turn.cell for each in after) <= 1 and len(after) <= 3
-            assert (room.full(turn) == "") is fits, (turn.machine, sorted(out))
+            assert (room.refusal(turn) == "") is fits, (turn.machine, sorted(out))
 
 
 TestQueue = QueueMachine.TestCase
--- a/tests/decide/maintenance/test_slots_play.py
+++ b/tests/decide/maintenance/test_slots_play.py
@@ -10,8 +10,9 @@
 
 from tests.decide.maintenance.test_slots import request
 from wingbarrow.decide.maintenance.budgets import BudgetUse
-from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
-from wingbarrow.decide.maintenance.slots import RegionView, Slot, SlotQueue
+from wingbarrow.decide.maintenance.emptiness import EmptinessProof
+from wingbarrow.decide.maintenance.messages import RegionView
+from wingbarrow.decide.maintenance.slots import Slot, SlotQueue
 from wingbarrow.lab.fleet.schedules import FLOOR
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
@@ -74,7 +75,7 @@
     )
     wait(shop, 1, "out")
     assert not bench.tasks
-    assert not shop.sides["p004"].closes("r0-m2")
+    assert not shop.sides["p004"].is_closed("r0-m2")
     shop.work(1, 3 * SECOND)
     wait(shop, 1, "back")
     assert judged(shop).clean
@@ -108,11 +109,11 @@
     shop.work(1, SECOND)
     wait(shop, 1, "back")
     shop.run(shop.now_us + SECOND // 5)
-    open_to = [name for name, side in shop.sides.items() if not side.closes("r0-m3")]
+    open_to = [name for name, side in shop.sides.items() if not side.is_closed("r0-m3")]
     assert len(open_to) <= 1
     wait(shop, 1, "done")
     assert shop.run_until(
-        lambda: not any(each.closes("r0-m3") for each in shop.sides.values()), 5 * SECOND
+        lambda: not any(each.is_closed("r0-m3") for each in shop.sides.values()), 5 * SECOND
     )
 
 
@@ -127,9 +128,9 @@
     assert judged(shop).clean
 
 
-def no_word(self: MaintenanceScheduler, now_us: int, turn: Slot) -> bool:
-    return now_us >= self._began_us + self.times.lapse_us() and all(
-        (held := self._placers.get(name)) is not None and turn.number in held.said.clear
+def without_machine_reply(self: EmptinessProof, now_us: int, number: int) -> bool:
+    return now_us >= self.leading_since_us + self.timing.lapse_us() and all(
+        (report := self.reports.last_report(name)) is not None and number in report.clear
         for name in self.may_act(now_us)
     )
 
@@ -148,7 +149,7 @@
     planted: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if planted == "busy":
-        monkeypatch.setattr(MaintenanceScheduler, "proved", no_word)
+        monkeypatch.setattr(EmptinessProof, "is_complete", without_machine_reply)
     elif planted == "over":
         monkeypatch.setattr(BudgetUse, "__init__", no_losses(BudgetUse.__init__))
     else:
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
-from wingbarrow.decide.maintenance.slots import TURNS_MOST, MaintenanceReport, MaintenanceResponse
+from wingbarrow.decide.maintenance.messages import MaintenanceReport, MaintenanceResponse
+from wingbarrow.decide.maintenance.slots import MAX_LIVE_SLOTS
 from wingbarrow.decide.membership.messages import (
     Ack,
     MemberStatus,
@@ -226,7 +227,7 @@
             0,
             sessions=SessionsReport("r", 1, 2, (HeldRecords(replace(OF, placer=""), 1, 1),)),
         ),
-        LeaseRequest(1, 0, 0, turns=MaintenanceReport(tuple(range(TURNS_MOST + 1)))),
+        LeaseRequest(1, 0, 0, turns=MaintenanceReport(tuple(range(MAX_LIVE_SLOTS + 1)))),
         LeaseGrant(1, 0, "", 1, 0, 0, "", 0, sessions=SessionsResponse(True, 1, 0, 3)),
         LeaseGrant(
             1,
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -21,14 +21,10 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
 from wingbarrow.decide.effects import Persist, Send, SetTimer
-from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
-from wingbarrow.decide.maintenance.slots import (
-    MaintenanceReport,
-    RegionView,
-    Slot,
-    SlotQueue,
-    SlotRequest,
-)
+from wingbarrow.decide.maintenance.messages import MaintenanceReport, RegionView, SlotRequest
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
+from wingbarrow.decide.maintenance.slots import Slot, SlotQueue
+from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.decide.quotas.allocations import Allocation, AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaReport
 from wingbarrow.decide.regions.reports import RegionReport, RegionSubsystem
@@ -87,7 +83,7 @@
 ) -> MaintenanceReport:
     """What a placer says whose machines do all that is asked of them at once."""
     by = {
-        state: tuple(each.number for each in queue.turns.values() if each.state == state)
+        state: tuple(each.number for each in queue.slots.values() if each.state == state)
         for state in ("asked", "closing", "empty", "back")
     }
     shut = by["closing"] + by["empty"]
@@ -414,7 +410,7 @@
         ],
         "blocks": (blocks.serial, blocks.doubt, blocks.lives, blocks.blocks),
         "sessions": sessions.log,
-        "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.turns),
+        "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.slots),
     }
 
 
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -36,14 +36,14 @@
 )
 from wingbarrow.decide.federation.spec import Back, DataSet, Failover, Federation, Need, Spec
 from wingbarrow.decide.learning import Announcement, Sight
-from wingbarrow.decide.maintenance.slots import (
+from wingbarrow.decide.maintenance import entries
+from wingbarrow.decide.maintenance.messages import (
     MaintenanceReport,
     MaintenanceResponse,
     RegionView,
-    Slot,
-    SlotQueue,
     SlotRequest,
 )
+from wingbarrow.decide.maintenance.slots import Slot, SlotQueue, SlotState
 from wingbarrow.decide.membership import messages as membership
 from wingbarrow.decide.membership.messages import (
     Ack,
@@ -532,7 +532,7 @@
         asked_us=2,
         lasts_us=3,
         worker="worker-1",
-        state="back",
+        state=SlotState.BACK,
         tasks=4,
         since_us=5,
         ident="w@1/node-7",
@@ -554,7 +554,7 @@
 
 def _queue() -> SlotQueue:
     made = SlotQueue()
-    made.turns, made.last, made.version, made.clock_us = dict(TURNS), 8, 12, 99
+    made.slots, made.last, made.version, made.clock_us = dict(TURNS), 8, 12, 99
     made.outcomes, made.windowed = {"x": (1, ""), "y": (0, "no")}, {"00ff": 77}
     return made
 
@@ -585,7 +585,7 @@
             _of(held, "serial doubt lives blocks"),
             blocks.snapshot(),
         )
-    queue, whole = SlotQueue(), "turns last version clock_us outcomes windowed"
+    queue, whole = SlotQueue(), "slots last version clock_us outcomes windowed"
     queue.restore(text)
     return _of(queue, whole), _of(_queue(), whole), queue.text()
 
@@ -658,8 +658,11 @@
 
 
 def kinds_in_code() -> set[str]:
-    """Each string that a replicated state compares the kind of an entry with, by the program's own text."""
-    found: set[str] = set()
+    """Each string that a replicated state compares the kind of an entry with, by the program's own text.
+
+    Maintenance compares none: it reads entries by a table of types, whose keys these are.
+    """
+    found: set[str] = set(entries.ENTRY_TYPES)
     for source in sorted((Path(wingbarrow.__file__).parent / "decide").rglob("*.py")):
         tree = ast.parse(source.read_text())
         for node in ast.walk(tree):
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -1,289 +1,369 @@
-"""Turns as the core carries them out: machines closed and asked, own tasks moved away, what is told of the region.
+"""Maintenance slots as the core carries them out: machines closed and asked, own tasks moved, the region observed.
 
-What is out when is decided by the voters (`decide.maintenance.scheduler`); this room is the eyes of this placer's side
-of it.
+Which machine is out is decided by the voters (`decide.maintenance.scheduler`); this component makes this placer's
+observations (`decide.maintenance.participant.LocalObservations`) and acts on what grants name.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.fleet import Fleet
+from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.outlier_ejection import FAULTS
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.maintenance.calendar import wanted
-from wingbarrow.decide.maintenance.participant import KnownSlot, MaintenanceMember
-from wingbarrow.decide.maintenance.slots import RegionView, SlotRequest
+from wingbarrow.decide.maintenance.calendar import calendar_requests
+from wingbarrow.decide.maintenance.messages import RegionView, SlotRequest
+from wingbarrow.decide.maintenance.participant import (
+    KnownSlot,
+    MachineReply,
+    MaintenanceMember,
+    TrialOutcome,
+)
+from wingbarrow.decide.maintenance.slots import SlotState
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.kube import names
 
 SECOND = 1_000_000
-LOOK_US = SECOND // 4
-ASK_US, SELDOM_US = (
-    SECOND,
-    5 * SECOND,
-)  # between words with a machine: by the one that is to, by the others
-WORD_US = 10 * SECOND  # a machine's word counts for so long
-LOST_US = 600 * SECOND  # a machine that vanished without a drain counts as lost for so long
-DEAF_US = 10 * SECOND  # one that is listed, and not reached for so long, counts as lost
-WANTS_US = 2 * SECOND
-STRIKES = 3  # verdicts on one machine before it asks for a turn
-CALLS_MOST = 32  # words with machines at once
+SCAN_INTERVAL_US = SECOND // 4
+CONTACT_INTERVAL_US = (
+    SECOND  # between calls to a machine by its contact, while the slot waits for it
+)
+OBSERVER_INTERVAL_US = 5 * SECOND  # between calls to a machine otherwise
+REPLY_VALID_US = 10 * SECOND
+LOSS_REMEMBERED_US = 600 * SECOND  # a machine that left the list without a drain counts as lost
+UNREACHABLE_LOST_US = 10 * SECOND  # a listed machine that is not reached for so long counts as lost
+REQUESTS_INTERVAL_US = 2 * SECOND
+EJECTIONS_FOR_REQUEST = 3  # repeated ejections of a machine after which a slot is requested for it
+EJECTED_URGENCY = 6
+MAX_CALLS = 32  # to machines at once
+
+OutcomeListener = Callable[[str, api.Outcome | None], None]  # machine; None: the start succeeded
+
+
+@dataclass(frozen=True, slots=True)
+class LocalMachines:
+    """The core's components that know this placer's machines and tasks."""
+
+    fleet: Fleet
+    machines: Machines
+    attempts: Attempts
+    stops: Stops
+    drain_schedule: Closing
 
 
 @dataclass(slots=True)
-class _Talk:
-    """With one machine, about one turn."""
+class _Dialogue:
+    """With one machine, about one slot."""
 
-    word: str = ""
-    at_us: int = -WORD_US
-    asked_us: int = -SELDOM_US
-    came_to: str = ""  # what starts there came to since this placer tries it
-    out: bool = False  # a call is under way
+    reply: MachineReply = MachineReply.NONE
+    replied_us: int = -REPLY_VALID_US
+    called_us: int = -OBSERVER_INTERVAL_US
+    trial: TrialOutcome = TrialOutcome.NONE  # of starts since this placer tries the machine
+    is_calling: bool = False
 
 
 @dataclass(slots=True)
-class _Seen:
-    """A machine of the list, when it ran last, and since when it is not reached."""
+class _ListedMachine:
+    """A machine of the list, when it was listed last, and since when it is not reached."""
 
     zone: str
     cell: str
-    at_us: int
-    deaf_us: int | None = field(default=None)
+    listed_us: int
+    unreachable_since_us: int | None = None
 
 
 class MaintenanceSlots:
-    """`rules`: those in force; `agreement` gives the state machine that placers agree by, once there is one."""
+    """Observations for `member`, and its effects on machines and tasks.
+
+    `agreement` gives the coordinator once there is one, `rules` the rule set in force.
+    """
 
     def __init__(
         self,
         base: Base,
-        fleet: Fleet,
-        machines: Machines,
-        attempts: Attempts,
-        stops: Stops,
-        closing: Closing,
-        side: MaintenanceMember,
+        local: LocalMachines,
+        member: MaintenanceMember,
         agreement: Callable[[], Coordinator | None],
         rules: Callable[[], RuleSet | None],
     ) -> None:
-        self._base, self._fleet, self._machines, self._attempts = base, fleet, machines, attempts
-        self._stops, self._closing, self.side = stops, closing, side
-        self._agreement, self._rules = agreement, rules
-        self._talks: dict[int, _Talk] = {}
-        self._seen: dict[str, _Seen] = {}
-        self._shut: frozenset[str] = frozenset()
-        self._wants: tuple[int, list[SlotRequest]] = -WANTS_US, []
-        self._allowance, self._earned_us = 0.0, base.hub.now_us()
+        self._base = base
+        self._fleet = local.fleet
+        self._machines = local.machines
+        self._attempts = local.attempts
+        self._stops = local.stops
+        self._drain_schedule = local.drain_schedule
+        self._member = member
+        self._agreement = agreement
+        self._rules = rules
+        self._dialogues: dict[int, _Dialogue] = {}
+        self._listed: dict[str, _ListedMachine] = {}
+        self._closed: frozenset[str] = frozenset()
+        self._requests: list[SlotRequest] = []
+        self._requests_us = -REQUESTS_INTERVAL_US
+        self._move_allowance = 0.0
+        self._allowance_us = base.hub.now_us()
         self._calls = 0
-        side.eyes = self
-        closing.turned = side.closes
+        member.observe_by(self)
+        local.drain_schedule.turned = member.is_closed
 
-    # -- what the side asks
+    # Observations
 
-    def listed(self, machine: str) -> bool:
-        """Whether the list has it; True where this placer cannot tell: without a list, and of machines left out."""
+    def is_listed(self, machine: str) -> bool:
+        """Whether the list has it; True where this placer cannot tell: without a list, and outside of its subset."""
         return machine in self._fleet.held or not self._fleet.must_tell(machine)
 
-    def place(self, machine: str) -> tuple[str, str] | None:
-        """Where the list has it."""
+    def place_of(self, machine: str) -> tuple[str, str] | None:
+        """Zone and cell by the list."""
         entry = self._fleet.held.get(machine)
         if entry is None:
             return None
         labels = entry.value["metadata"].get("labels") or {}
         return entry.listed.zone, str(labels.get(names.CELL, machine))
 
-    def tasks(self, machine: str) -> int:
-        """Own tasks there or on their way, owed stops included; -1 while the machine has not told what it runs."""
-        entry, link = self._fleet.held.get(machine), self._machines.links.get(machine)
+    def own_tasks_at(self, machine: str) -> int:
+        """Own tasks there or on their way, with pending stops; -1 until the machine has said what it runs."""
+        entry = self._fleet.held.get(machine)
         if not self._fleet.ready or (entry is not None and self._fleet.closed_by_start(entry)):
             return -1
-        return len(self._attempts.on(link)) + self._stops.owed_on(link) if link is not None else 0
-
-    def word(self, number: int) -> str:
-        """What the machine said last, as long as that counts."""
-        talk = self._talks.get(number)
-        return (
-            talk.word if talk is not None and self._base.hub.now_us() - talk.at_us < WORD_US else ""
-        )
-
-    def came_to(self, number: int) -> str:
-        """What starts at a machine that this placer tries came to."""
-        talk = self._talks.get(number)
-        return talk.came_to if talk is not None else ""
-
-    def view(self) -> RegionView | None:
+        link = self._machines.links.get(machine)
+        if link is None:
+            return 0
+        return len(self._attempts.on(link)) + self._stops.owed_on(link)
+
+    def reply_for(self, number: int) -> MachineReply:
+        """The machine's last reply, for REPLY_VALID_US."""
+        dialogue = self._dialogues.get(number)
+        if dialogue is None or self._base.hub.now_us() - dialogue.replied_us >= REPLY_VALID_US:
+            return MachineReply.NONE
+        return dialogue.reply
+
+    def trial_outcome(self, number: int) -> TrialOutcome:
+        """How starts went at a machine that this placer tries."""
+        dialogue = self._dialogues.get(number)
+        return dialogue.trial if dialogue is not None else TrialOutcome.NONE
+
+    def region_view(self) -> RegionView | None:
         """The region as this placer's list has it; None before there is a list."""
         if not self._fleet.ready:
             return None
-        states = {each.name: each for each in self._closing.machine_states()}
-        cells = Counter((each.zone, each.cell) for each in self._seen.values())
-        now, agreement = self._base.hub.now_us(), self._agreement()
-        bad = agreement.closures.now(now) if agreement is not None else frozenset()
+        states = {each.name: each for each in self._drain_schedule.machine_states()}
+        cells = Counter((each.zone, each.cell) for each in self._listed.values())
+        now_us = self._base.hub.now_us()
+        agreement = self._agreement()
+        ejected = agreement.closures.now(now_us) if agreement is not None else frozenset()
         lost = [
             (name, each.zone, each.cell)
-            for name, each in self._seen.items()
-            if name in bad or self._is_lost(now, each, states.get(name))
+            for name, each in self._listed.items()
+            if name in ejected or _is_lost(now_us, each, states.get(name))
         ]
         return RegionView(
-            tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
-            tuple(sorted(lost)),
-            self._used(list(states.values())),
+            cells=tuple((zone, cell, count) for (zone, cell), count in sorted(cells.items())),
+            lost=tuple(sorted(lost)),
+            used=self._demand_machines(list(states.values())),
         )
 
-    def _is_lost(self, now: int, seen: _Seen, state: MachineState | None) -> bool:
-        deaf = seen.deaf_us is not None and now - seen.deaf_us >= DEAF_US
-        return state is None or not state.running or deaf
+    def _demand_machines(self, states: Sequence[MachineState]) -> float:
+        """The demand in machines, each filled only as far as the calendar lets it be.
 
-    def _used(self, states: Sequence[MachineState]) -> float:
-        """Machines' worth of what is asked for, filled as far as the calendar lets them be."""
+        An estimate by the larger share of cores and memory: a list may state more capacity than there is.
+        """
         rules = self._rules()
         fill = rules.plan.fill if rules is not None else 1.0
         shares = []
-        for which in (0, 1):
-            size = sum(each.size[which] for each in states)
-            shares.append(
-                sum(each.asked[which] for each in states) / (fill * size) if size else 0.0
-            )
-        return max(0.0, *shares) * len(
-            states
-        )  # by estimate: a list may tell of more room than there is
-
-    def wants(self) -> Sequence[SlotRequest]:
-        """What windows want by now, and machines that verdicts closed again and again."""
-        now, rules = self._base.hub.now_us(), self._rules()
-        if rules is None or now - self._wants[0] < WANTS_US:
-            return self._wants[1]
-        states = self._closing.machine_states()
-        found = wanted(rules, states, self._base.hub.clock.wall_us())
-        agreement = self._agreement()
-        struck = agreement.closures.again_and_again(now, STRIKES) if agreement is not None else []
-        for each in states:
-            if each.name in struck:
-                ident = f"verdict-{each.name}-{self._base.hub.clock.wall_us() // LOST_US}"
-                found.append(
-                    SlotRequest(ident, each.name, each.zone, each.cell, "verdict", 6, 0, 0)
-                )
-        self._wants = now, found
+        for resource in (0, 1):
+            size = sum(each.size[resource] for each in states)
+            asked = sum(each.asked[resource] for each in states)
+            shares.append(asked / (fill * size) if size else 0.0)
+        return max(0.0, *shares) * len(states)
+
+    def slot_requests(self) -> Sequence[SlotRequest]:
+        """Requests of windows that are due, and of machines that were ejected repeatedly; made anew now and then."""
+        now_us = self._base.hub.now_us()
+        rules = self._rules()
+        if rules is None or now_us - self._requests_us < REQUESTS_INTERVAL_US:
+            return self._requests
+        states = self._drain_schedule.machine_states()
+        wall_us = self._base.hub.clock.wall_us()
+        found = calendar_requests(rules, states, wall_us)
+        found += self._ejection_requests(now_us, wall_us, states)
+        self._requests = found
+        self._requests_us = now_us
         return found
 
-    def noting(
-        self, then: Callable[[str, api.Outcome | None], None]
-    ) -> Callable[[str, api.Outcome | None], None]:
-        """Who is told what attempts came to, and tells somebody else."""
-
-        def note(machine: str, outcome: api.Outcome | None) -> None:
-            self.note(machine, outcome)
-            then(machine, outcome)
-
-        return note
-
-    def note(self, machine: str, outcome: api.Outcome | None) -> None:
-        """What an attempt came to at a machine; None: it runs."""
-        for turn in self.side.turns.values():
-            if turn.machine == machine and turn.state == "back" and turn.hand == self.side.me:
-                talk = self._talks.setdefault(turn.number, _Talk())
-                if talk.came_to != "well" and (outcome is None or outcome in FAULTS):
-                    talk.came_to = "well" if outcome is None else "bad"
-
-    # -- what it does
-
-    def changed(self) -> None:
-        """A grant told of other turns: close and open machines at once."""
-        before, self._shut = self._shut, self.side.shut
-        self._closing.pass_again(before ^ self._shut)
-        self._talks = {
-            number: talk for number, talk in self._talks.items() if number in self.side.turns
+    def _ejection_requests(
+        self, now_us: int, wall_us: int, states: Sequence[MachineState]
+    ) -> list[SlotRequest]:
+        agreement = self._agreement()
+        if agreement is None:
+            return []
+        ejected = agreement.closures.again_and_again(now_us, EJECTIONS_FOR_REQUEST)
+        return [
+            SlotRequest(
+                ident=f"verdict-{each.name}-{wall_us // LOSS_REMEMBERED_US}",
+                machine=each.name,
+                zone=each.zone,
+                cell=each.cell,
+                why="verdict",
+                urgency=EJECTED_URGENCY,
+                latest_us=0,
+                lasts_us=0,
+            )
+            for each in states
+            if each.name in ejected
+        ]
+
+    # Outcomes of attempts
+
+    def observing(self, listener: OutcomeListener) -> OutcomeListener:
+        """A listener for outcomes of attempts that notes them here and passes them on to another."""
+
+        def on_outcome(machine: str, outcome: api.Outcome | None) -> None:
+            self.on_outcome(machine, outcome)
+            listener(machine, outcome)
+
+        return on_outcome
+
+    def on_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
+        """An attempt ended at a machine, or runs there (None): it counts if this placer tries the machine."""
+        for slot in self._member.slots.values():
+            if slot.machine != machine or slot.state != SlotState.BACK:
+                continue
+            if slot.contact != self._member.me:
+                continue
+            dialogue = self._dialogues.setdefault(slot.number, _Dialogue())
+            if outcome is None:
+                dialogue.trial = TrialOutcome.SUCCEEDED
+            elif outcome in FAULTS and dialogue.trial != TrialOutcome.SUCCEEDED:
+                dialogue.trial = TrialOutcome.FAILED
+
+    # Effects
+
+    def on_slots_changed(self) -> None:
+        """A grant named other slots: close and open machines at once."""
+        before = self._closed
+        self._closed = self._member.closed_machines
+        self._drain_schedule.pass_again(before ^ self._closed)
+        known = self._member.slots
+        self._dialogues = {
+            number: each for number, each in self._dialogues.items() if number in known
         }
 
     def run(self) -> None:
-        """Look at turns until cancelled."""
+        """Scan slots and machines until cancelled."""
         while True:
-            self._look()
-            self._base.hub.sleep(LOOK_US)
+            self._scan()
+            self._base.hub.sleep(SCAN_INTERVAL_US)
 
-    def _look(self) -> None:
-        now = self._base.hub.now_us()
+    def _scan(self) -> None:
+        now_us = self._base.hub.now_us()
         if self._fleet.ready:
-            self._look_at_list(now)
-        if self._shut != self.side.shut:
-            self.changed()
-        for turn in list(self.side.turns.values()):
-            if turn.state != "asked":
-                self._speak(now, turn)
-        self._move(now)
-
-    def _look_at_list(self, now: int) -> None:
-        """Which machines belong here; one that the list drained is out by intent, one that vanished counts as lost."""
-        for state in self._closing.machine_states():
-            seen = self._seen.setdefault(state.name, _Seen(state.zone, state.cell, now))
-            seen.zone, seen.cell, seen.at_us = state.zone, state.cell, now
+            self._scan_list(now_us)
+        if self._closed != self._member.closed_machines:
+            self.on_slots_changed()
+        for slot in list(self._member.slots.values()):
+            if slot.state != SlotState.ASKED:
+                self._call_machine(now_us, slot)
+        self._move_tasks(now_us)
+
+    def _scan_list(self, now_us: int) -> None:
+        """Which machines belong here: one that the list drains is out by intent, one that left it counts as lost."""
+        for state in self._drain_schedule.machine_states():
+            listed = self._listed.setdefault(
+                state.name, _ListedMachine(state.zone, state.cell, now_us)
+            )
+            listed.zone = state.zone
+            listed.cell = state.cell
+            listed.listed_us = now_us
             link = self._machines.links.get(state.name)
             if link is not None and link.reachable:
-                seen.deaf_us = None
-            elif seen.deaf_us is None:
-                seen.deaf_us = now
-        for name in [name for name, each in self._seen.items() if now - each.at_us > LOST_US]:
-            del self._seen[name]
-
-    def _speak(self, now: int, turn: KnownSlot) -> None:
-        """Tell the machine the turn's number, and hear what it says; all may, one is to."""
-        link = self._machines.links.get(turn.machine)
-        mine, talk = turn.hand == self.side.me, self._talks.setdefault(turn.number, _Talk())
-        if (
-            link is None
-            or talk.out
-            or self._calls >= CALLS_MOST
-            or (turn.state == "back" and not mine)
-        ):
+                listed.unreachable_since_us = None
+            elif listed.unreachable_since_us is None:
+                listed.unreachable_since_us = now_us
+        forgotten = [
+            name
+            for name, each in self._listed.items()
+            if now_us - each.listed_us > LOSS_REMEMBERED_US
+        ]
+        for name in forgotten:
+            del self._listed[name]
+
+    def _call_machine(self, now_us: int, slot: KnownSlot) -> None:
+        """Give the machine the slot's number and take its reply: every placer may, and its contact has to."""
+        link = self._machines.links.get(slot.machine)
+        is_contact = slot.contact == self._member.me
+        dialogue = self._dialogues.setdefault(slot.number, _Dialogue())
+        if link is None or dialogue.is_calling or self._calls >= MAX_CALLS:
             return
-        urgent = mine and (
-            turn.state in ("closing", "empty") or (turn.state == "back" and talk.word != "open")
-        )
-        if now - talk.asked_us < (ASK_US if urgent else SELDOM_US):
+        if slot.state == SlotState.BACK and not is_contact:
+            return
+        is_urgent = is_contact and _awaits_reply(slot, dialogue)
+        interval_us = CONTACT_INTERVAL_US if is_urgent else OBSERVER_INTERVAL_US
+        if now_us - dialogue.called_us < interval_us:
             return
-        talk.asked_us, talk.out = now, True
+        dialogue.called_us = now_us
+        dialogue.is_calling = True
         self._calls += 1
-
-        def ask() -> None:
-            try:
-                word = link.turn(turn.number, turn.state != "back")
-            finally:
-                self._calls -= 1
-                talk.out = False
-            if word:
-                talk.word, talk.at_us = word, self._base.hub.now_us()
-            else:
-                self._base.counts["turns:no word"] += 1
-
-        self._base.spawn(ask, f"turn {turn.number}")
-
-    def _move(self, now: int) -> None:
-        """Own tasks away from closed machines, at this placer's share of the calendar's pace."""
-        rules, agreement = self._rules(), self._agreement()
-        if rules is None or agreement is None or agreement.acting(now) is None:
-            return  # Danger: what is stopped here while this placer may act on no rules could not be started elsewhere
-        share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
-        passed, self._earned_us = max(0, now - self._earned_us), now
-        self._allowance = min(
-            max(1.0, share), self._allowance + share * passed / rules.plan.every_us
-        )
-        if self._allowance < 1 or not self._shut:
+        self._base.spawn(lambda: self._call(link, slot, dialogue), f"turn {slot.number}")
+
+    def _call(self, link: MachineLink, slot: KnownSlot, dialogue: _Dialogue) -> None:
+        try:
+            reply = link.turn(slot.number, slot.state != SlotState.BACK)
+        finally:
+            self._calls -= 1
+            dialogue.is_calling = False
+        if reply:
+            dialogue.reply = MachineReply(reply)
+            dialogue.replied_us = self._base.hub.now_us()
+        else:
+            self._base.counts["turns:no word"] += 1
+
+    def _move_tasks(self, now_us: int) -> None:
+        """Move own tasks off closed machines, at this placer's share of the calendar's pace."""
+        rules = self._rules()
+        agreement = self._agreement()
+        if rules is None or agreement is None or agreement.acting(now_us) is None:
+            return  # Danger: what is stopped while this placer may act on no rules could not be started elsewhere
+        self._earn_moves(now_us, rules)
+        if self._move_allowance < 1 or not self._closed:
             return
-        running = self._closing.own_running()
-        for turn in sorted(self.side.turns.values(), key=lambda each: each.number):
-            for task in running.get(turn.machine, []) if turn.machine in self._shut else ():
-                if task.movable and not task.offered and self._allowance >= 1:
-                    self._allowance -= 1
-                    self._closing.move_task(
-                        task.request, f"turn {turn.number} takes its machine out"
-                    )
+        running = self._drain_schedule.own_running()
+        for slot in sorted(self._member.slots.values(), key=lambda each: each.number):
+            if slot.machine not in self._closed:
+                continue
+            for task in running.get(slot.machine, []):
+                if task.movable and not task.offered and self._move_allowance >= 1:
+                    self._move_allowance -= 1
+                    reason = f"turn {slot.number} takes its machine out"
+                    self._drain_schedule.move_task(task.request, reason)
+
+    def _earn_moves(self, now_us: int, rules: RuleSet) -> None:
+        """A token bucket: `plan.moves` every `plan.every_us` for all placers, at least one token deep."""
+        share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
+        passed_us = max(0, now_us - self._allowance_us)
+        self._allowance_us = now_us
+        earned = self._move_allowance + share * passed_us / rules.plan.every_us
+        self._move_allowance = min(max(1.0, share), earned)
+
+
+def _is_lost(now_us: int, listed: _ListedMachine, state: MachineState | None) -> bool:
+    if state is None or not state.running:
+        return True
+    since_us = listed.unreachable_since_us
+    return since_us is not None and now_us - since_us >= UNREACHABLE_LOST_US
+
+
+def _awaits_reply(slot: KnownSlot, dialogue: _Dialogue) -> bool:
+    """Whether the slot's next state waits for the machine's reply."""
+    if slot.state == SlotState.BACK:
+        return dialogue.reply != MachineReply.OPEN
+    return slot.state in (SlotState.CLOSING, SlotState.EMPTY)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -24,7 +24,7 @@
 from wingbarrow.core.local_region import OwnRegion
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.maintenance import MaintenanceSlots
+from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
 from wingbarrow.core.migrations import Mover
 from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
@@ -186,17 +186,13 @@
             verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
             turns = self.turns = MaintenanceSlots(
                 base,
-                fleet,
-                machines,
-                attempts,
-                stops,
-                closing,
+                LocalMachines(fleet, machines, attempts, stops, closing),
                 self.peering.turn_side,
                 lambda: self.peering.agreement,
                 rulebook.in_force,
             )
-            self.peering.on_turns = turns.changed
-            requests.came_to = turns.noting(verdicts.note)
+            self.peering.on_turns = turns.on_slots_changed
+            requests.came_to = turns.observing(verdicts.note)
             self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
             rulebook.purse = (
                 lambda: self.peering.agreement.purse if self.peering.agreement is not None else None
@@ -237,7 +233,7 @@
             )
             rulebook.drained = lambda machine: self.drainer.closes(
                 machine
-            ) or self.peering.turn_side.closes(machine)
+            ) or self.peering.turn_side.is_closed(machine)
             self.drainer.may_move = lambda: self._acting(hub.now_us()) is not None
             self.drainer.on_closed = lambda machines: self.peering.history(
                 "closed", machines=sorted(machines)
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -6,7 +6,7 @@
 
 from wingbarrow.decide.consensus import log
 from wingbarrow.decide.coordination.leases import lease_expiry_us
-from wingbarrow.decide.maintenance.slots import MaintenanceReport, MaintenanceResponse
+from wingbarrow.decide.maintenance.messages import MaintenanceReport, MaintenanceResponse
 from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
 from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport
 from wingbarrow.decide.regions.reports import RegionReport, RegionSummary
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -1,9 +1,9 @@
-"""How many machines may be out at once, as turns count: by cell, zone, region and fleet; no I/O.
+"""How many machines may be out at once: disruption budgets by cell, zone, region and fleet; no I/O.
 
-PodDisruptionBudget's terms (`decide.drains.Budget`). A machine counts as out once its turn has closed it, and as long
-as it is lost, or closed by a verdict or by the list: who spends a budget does not matter. What belongs to a place is
-what its region's teller said; a region whose teller is not heard of is out of reach, and counts with neither its
-machines nor those of them that are out.
+In the terms of Kubernetes' PodDisruptionBudget (`decide.drains.Budget`), for machines. A machine counts as out once
+its slot has closed it, and as long as it is lost, ejected as an outlier or drained by the list: what spends a budget
+does not matter. Which machines belong to a place is what its region's reporter said; a region whose reporter is not
+heard of is out of reach, and neither its machines nor those of them that are out are counted.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from wingbarrow.decide.drains import Budget, Scope
-from wingbarrow.decide.maintenance.slots import RegionView, Slot
+from wingbarrow.decide.maintenance.messages import RegionView
+from wingbarrow.decide.maintenance.slots import Slot
 
 Place = tuple[Scope, str]
+ROUNDING = 1e-9  # what sums of shares of machines may be off by
 
 
-def places(region: str, zone: str, cell: str) -> tuple[Place, ...]:
-    """Where a machine counts, the smallest first."""
+def places_of(region: str, zone: str, cell: str) -> tuple[Place, ...]:
+    """The places in which a machine counts, the smallest first."""
     return (
         (Scope.CELL, f"{region}/{zone}/{cell}"),
         (Scope.ZONE, f"{region}/{zone}"),
@@ -28,85 +30,104 @@
     )
 
 
+def _no_reserve(region: str) -> float:
+    return 0.0
+
+
 class BudgetUse:
-    """Budgets as they stand at one moment. `views`: of the regions in reach; `held_back`: machines' worth that a region
-    keeps free for the loss of another."""
+    """Budgets and what is spent of them at one moment.
+
+    `views`: of the regions in reach. `reserved_machines`: what a region keeps free for the loss of another.
+    """
 
     def __init__(
         self,
         budgets: Iterable[Budget],
         views: Mapping[str, RegionView],
-        turns: Iterable[Slot],
-        held_back: Callable[[str], float] = lambda region: 0.0,
+        slots: Iterable[Slot],
+        reserved_machines: Callable[[str], float] = _no_reserve,
     ) -> None:
-        self._views, self._held_back = views, held_back
-        self.totals, self.lost, self.by_turns = Counter[Place](), Counter[Place](), Counter[Place]()
-        self._failed: list[str] | None = None
-        self._gone: set[tuple[str, str]] = set()
-        for region, view in views.items():
-            for zone, cell, count in view.cells:
-                for place in places(region, zone, cell):
-                    self.totals[place] += count
-            for machine, zone, cell in view.lost:
-                self._gone.add((region, machine))
-                self.lost.update(places(region, zone, cell))
-        for turn in turns:
-            if turn.region in views:
-                self.take(turn)
-        self._most: dict[Scope, list[Budget]] = {}
+        self._views = views
+        self._reserved_machines = reserved_machines
+        self._totals = Counter[Place]()
+        self._lost = Counter[Place]()  # out without a slot
+        self._by_slots = Counter[Place]()  # out by a slot
+        self._lost_machines: set[tuple[str, str]] = set()
+        self._failed_zones: list[str] | None = None
+        self._budgets: dict[Scope, list[Budget]] = {}
         for budget in budgets:
-            self._most.setdefault(budget.scope, []).append(budget)
-
-    def take(self, turn: Slot) -> None:
-        """Its machine is out by a turn from now on."""
-        gone = (turn.region, turn.machine) in self._gone  # it counts already
-        for place in places(turn.region, turn.zone, turn.cell):
-            self.by_turns[place] += 1
-            self.lost[place] -= gone
-
-    def most(self, place: Place) -> int:
-        """How many of a place may be out."""
-        total = self.totals[place]
-        return min((each.most_out(total) for each in self._most.get(place[0], ())), default=total)
-
-    def full(self, turn: Slot, turns_too: bool = True, taken: bool = False) -> str:
-        """Why a turn's machine cannot be out beside those that are; "" where it can. `taken`: it counts as out."""
-        more = 0 if taken or (turn.region, turn.machine) in self._gone else 1
-        for place in places(turn.region, turn.zone, turn.cell):
-            out = self.lost[place] + (self.by_turns[place] if turns_too else 0)
-            if out + more > self.most(place):
-                where = f"{place[0].value} {place[1]!r}" if place[1] else "the fleet"
+            self._budgets.setdefault(budget.scope, []).append(budget)
+        for region, view in views.items():
+            self._count(region, view)
+        for slot in slots:
+            if slot.region in views:
+                self.take(slot)
+
+    def _count(self, region: str, view: RegionView) -> None:
+        for zone, cell, machines in view.cells:
+            for place in places_of(region, zone, cell):
+                self._totals[place] += machines
+        for machine, zone, cell in view.lost:
+            self._lost_machines.add((region, machine))
+            self._lost.update(places_of(region, zone, cell))
+
+    def take(self, slot: Slot) -> None:
+        """Count a slot's machine as out by it; one that is lost counts once."""
+        is_lost = (slot.region, slot.machine) in self._lost_machines
+        for place in places_of(slot.region, slot.zone, slot.cell):
+            self._by_slots[place] += 1
+            self._lost[place] -= is_lost
+
+    def max_out(self, place: Place) -> int:
+        """How many machines of a place may be out."""
+        scope, _ = place
+        total = self._totals[place]
+        allowed = (each.most_out(total) for each in self._budgets.get(scope, ()))
+        return min(allowed, default=total)
+
+    def refusal(self, slot: Slot, *, with_slots: bool = True, is_taken: bool = False) -> str:
+        """Why a slot's machine cannot be out beside those that are, in words for operators; "" if it can.
+
+        `with_slots`: count those that are out by slots. `is_taken`: the machine counts as out already.
+        """
+        is_counted = is_taken or (slot.region, slot.machine) in self._lost_machines
+        more = 0 if is_counted else 1
+        for place in places_of(slot.region, slot.zone, slot.cell):
+            out = self._lost[place] + (self._by_slots[place] if with_slots else 0)
+            allowed = self.max_out(place)
+            if out + more > allowed:
+                scope, name = place
+                where = f"{scope.value} {name!r}" if name else "the fleet"
                 return (
-                    f"{where}: {out} machine(s) out, {self.lost[place]} of them lost or closed otherwise; "
-                    f"{self.most(place)} may be"
+                    f"{where}: {out} machine(s) out, {self._lost[place]} of them lost or closed otherwise; "
+                    f"{allowed} may be"
                 )
-        return self._crowded(turn.region, turns_too, more)
+        return self._capacity_refusal(slot.region, more, with_slots=with_slots)
 
-    def failed(self, turn: Slot, share: float) -> list[str]:
-        """Halls of its region, other than its own, of whose machines at least a share is gone without a turn."""
-        if self._failed is None:
-            self._failed = sorted(
+    def failed_zones(self, slot: Slot, failed_share: float) -> list[str]:
+        """Zones of its region, other than its own, of which at least a share is out without a slot."""
+        if self._failed_zones is None:
+            self._failed_zones = sorted(
                 name
-                for (scope, name), total in self.totals.items()
+                for (scope, name), total in self._totals.items()
                 if scope is Scope.ZONE
-                and self.lost[scope, name]
-                and self.lost[scope, name] >= share * total
+                and self._lost[scope, name]
+                and self._lost[scope, name] >= failed_share * total
             )
-        own = f"{turn.region}/{turn.zone}"
-        return [name for name in self._failed if name != own and name.startswith(f"{turn.region}/")]
-
-    def _crowded(self, region: str, turns_too: bool, more: int) -> str:
-        place, view = (Scope.REGION, region), self._views[region]
-        stay = (
-            self.totals[place]
-            - self.lost[place]
-            - (self.by_turns[place] if turns_too else 0)
-            - more
+        own = f"{slot.region}/{slot.zone}"
+        region = f"{slot.region}/"
+        return [each for each in self._failed_zones if each != own and each.startswith(region)]
+
+    def _capacity_refusal(self, region: str, more: int, *, with_slots: bool) -> str:
+        """Why the demand and the reserve would not fit on the machines that stay."""
+        place = (Scope.REGION, region)
+        by_slots = self._by_slots[place] if with_slots else 0
+        staying = self._totals[place] - self._lost[place] - by_slots - more
+        reserved = self._reserved_machines(region)
+        demand = self._views[region].used + reserved
+        if staying + ROUNDING >= demand:
+            return ""
+        return (
+            f"{staying} machine(s) of region {region!r} would stay; {math.ceil(demand - ROUNDING)} are wanted, "
+            f"{reserved:g} of them for another region's loss"
         )
-        wanted = view.used + self._held_back(region)
-        if stay + 1e-9 < wanted:
-            return (
-                f"{stay} machine(s) of region {region!r} would stay; {math.ceil(wanted - 1e-9)} are wanted, "
-                f"{self._held_back(region):g} of them for another region's loss"
-            )
-        return ""
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -1,82 +1,94 @@
-"""Windows of the calendar as turns: which machines are to be asked for now, planned once for a region; no I/O.
+"""Windows of the calendar as requests for maintenance slots, planned once for a region; no I/O.
 
-A pure function of the windows on which placers agree, a region's machines, and the wall clock. A window's machines are
-asked for as it begins, all of them, less the calendar's lead; the queue then takes them one after another as budgets
-allow, so that no slots need to be cut beforehand. The latest time of each is the window's end less one machine's turn.
+A pure function of the windows on which placers agree, a region's machines and the wall clock. All machines of a window
+are requested as its lead begins; the queue then takes them one after another as the budgets allow. The latest time of a
+request is the window's end less the work on one machine.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
+from itertools import islice
 
 from wingbarrow.decide.drains import MachineState
-from wingbarrow.decide.maintenance.slots import URGENCY_MOST, SlotRequest, short_ident
+from wingbarrow.decide.maintenance.entries import CALENDAR, MAX_URGENCY
+from wingbarrow.decide.maintenance.messages import SlotRequest
+from wingbarrow.decide.maintenance.slots import short_ident
 from wingbarrow.decide.rulesets.agreed_drains import series_of
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.windows import Occurrence, Series, UnsafePolicy, expand_all
 
-DAY_US = 86_400_000_000
-WANTED_MOST = 4096
-USUAL = 4  # the urgency of a window of precedence 0
+MAX_CALENDAR_WANTED = 4096
+DEFAULT_URGENCY = 4  # of a window of precedence 0
+PRECEDENCE_PER_URGENCY = 100
 
 
 def urgency_of(precedence: int) -> int:
-    """A window's precedence as urgency: its sign, and one more for each further hundred."""
-    step = (precedence + 99) // 100 if precedence > 0 else -((99 - precedence) // 100)
-    return max(0, min(URGENCY_MOST - 1, USUAL + step))
+    """A window's precedence as urgency: one more, or less, for each hundred that it began, below MAX_URGENCY."""
+    rounded_up = -(-abs(precedence) // PRECEDENCE_PER_URGENCY)
+    step = rounded_up if precedence > 0 else -rounded_up
+    return max(0, min(MAX_URGENCY - 1, DEFAULT_URGENCY + step))
 
 
-def wanted(
-    rules: RuleSet, machines: Sequence[MachineState], wall_us: int, most: int = WANTED_MOST
+def calendar_requests(
+    rules: RuleSet,
+    machines: Sequence[MachineState],
+    wall_us: int,
+    max_requests: int = MAX_CALENDAR_WANTED,
 ) -> list[SlotRequest]:
-    """Turns that windows want at a wall time, by window and machine's name; those taken back are left out."""
-    lead, cancelled = rules.plan.lead_us, {short_ident(key) for key in rules.cancelled}
+    """Requests that windows make at a wall time, by window and machine's name, without those that were cancelled."""
+    return list(islice(_requests(rules, machines, wall_us), max_requests))
+
+
+def _requests(
+    rules: RuleSet, machines: Sequence[MachineState], wall_us: int
+) -> Iterator[SlotRequest]:
+    lead_us = rules.plan.lead_us
+    cancelled = {short_ident(key) for key in rules.cancelled}
     blackouts = rules.plan.rules(()).blackouts
     series = [series_of(each) for each in rules.windows]
-    out: list[SlotRequest] = []
-    for occurrence in expand_all(series, wall_us, wall_us + lead + 1):
-        latest = _latest(occurrence, lead)
-        if not occurrence.start_us - lead <= wall_us < latest:
+    by_name = sorted(machines, key=lambda each: each.name)
+    for occurrence in expand_all(series, wall_us, wall_us + lead_us + 1):
+        latest_us = _latest_us(occurrence, lead_us)
+        if not occurrence.start_us - lead_us <= wall_us < latest_us:
             continue
         if any(each.start_us <= occurrence.start_us < each.end_us for each in blackouts):
             continue
-        for machine in sorted(machines, key=lambda each: each.name):
+        for machine in by_name:
             ident = short_ident(f"{occurrence.ident}/{machine.name}")
-            if machine.running and ident not in cancelled and _meant(occurrence.series, machine):
-                out.append(_one(occurrence, machine, ident, latest))
-                if len(out) >= most:
-                    return out
-    return out
+            is_due = machine.running and ident not in cancelled
+            if is_due and _selects(occurrence.series, machine):
+                yield _request(occurrence, machine, ident, latest_us)
 
 
-def _meant(series: Series, machine: MachineState) -> bool:
+def _selects(series: Series, machine: MachineState) -> bool:
     return any(
         each.matches(machine.name, machine.cell, machine.zone, machine.labels)
         for each in series.selectors
     )
 
 
-def _latest(occurrence: Occurrence, lead_us: int) -> int:
-    """When a machine's turn has to have begun; one that fills its window is not lost by a moment's wait for proof."""
+def _latest_us(occurrence: Occurrence, lead_us: int) -> int:
+    """When work on a machine has to have begun; work that fills its window may begin a little later."""
     series = occurrence.series
-    return max(
-        occurrence.end_us - series.each_us, occurrence.start_us + min(lead_us, series.lasts_us // 2)
-    )
+    grace_us = min(lead_us, series.lasts_us // 2)
+    return max(occurrence.end_us - series.each_us, occurrence.start_us + grace_us)
 
 
-def _one(occurrence: Occurrence, machine: MachineState, ident: str, latest_us: int) -> SlotRequest:
+def _request(
+    occurrence: Occurrence, machine: MachineState, ident: str, latest_us: int
+) -> SlotRequest:
     series = occurrence.series
-    ends = occurrence.end_us if series.unsafe is not UnsafePolicy.WAIT else 0
     return SlotRequest(
-        ident,
-        machine.name,
-        machine.zone,
-        machine.cell,
-        "calendar",
-        urgency_of(series.precedence),
-        latest_us,
-        series.each_us,
-        series.unsafe.value,
-        ends,
-        occurrence.start_us,
+        ident=ident,
+        machine=machine.name,
+        zone=machine.zone,
+        cell=machine.cell,
+        why=CALENDAR,
+        urgency=urgency_of(series.precedence),
+        latest_us=latest_us,
+        lasts_us=series.each_us,
+        unsafe=series.unsafe.value,
+        ends_us=occurrence.end_us if series.unsafe is not UnsafePolicy.WAIT else 0,
+        from_us=occurrence.start_us,
     )
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -1,208 +1,257 @@
-"""A placer's side of turns: which machines are closed to it, what it confirms of them, what it tells of its region.
+"""A placer's part of maintenance: which machines are closed to it, and what it reports of them and of its region.
 
-A machine is closed to a placer from when a grant told it of the turn, which is before that grant lets it act, until a
-grant tells that the turn is over; in `back`, to all but the one that tries it. Grants that come late change nothing:
-the queue's version only grows.
+A machine is closed to a placer from when a grant names its slot, which is before that grant lets the placer act, until
+a grant names it no more; once it is returned, to all but its contact. Late grants change nothing: the queue's version
+only grows.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from dataclasses import dataclass
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Protocol
 
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.maintenance.slots import (
-    CELLS_MOST,
-    LOST_MOST,
-    WANTS_MOST,
+from wingbarrow.decide.maintenance.messages import (
+    MAX_REPORTED_CELLS,
+    MAX_REPORTED_LOSSES,
+    MAX_REPORTED_REQUESTS,
     MaintenanceReport,
     MaintenanceResponse,
     RegionView,
     SlotRequest,
 )
+from wingbarrow.decide.maintenance.slots import SlotState
+
+
+class MachineReply(StrEnum):
+    """What a machine answered last under a slot's number."""
+
+    NONE = ""
+    CLOSED = "shut"  # it refuses new work, and has tasks
+    EMPTY = "empty"  # it refuses new work, and has none
+    OPEN = "open"
+
+
+class TrialOutcome(StrEnum):
+    """How starts went at a returned machine that this placer tries."""
+
+    NONE = ""
+    SUCCEEDED = "well"
+    FAILED = "bad"
 
 
 class LocalObservations(Protocol):
-    """What a placer knows of its machines."""
+    """What a placer knows of the machines of its region."""
 
-    def listed(self, machine: str) -> bool:
-        """Whether its list has it; True while it has no list yet."""
+    def is_listed(self, machine: str) -> bool:
+        """Whether its list has the machine; True also while it has no list."""
 
-    def place(self, machine: str) -> tuple[str, str] | None:
-        """Its zone and cell; None where the list does not have it."""
+    def place_of(self, machine: str) -> tuple[str, str] | None:
+        """Zone and cell by its list; None if it does not have the machine."""
 
-    def tasks(self, machine: str) -> int:
-        """Own tasks there or on their way: placed, offered, or to be stopped; -1 where that is not known (yet)."""
+    def own_tasks_at(self, machine: str) -> int:
+        """Own tasks there or on their way: placed, offered or to be stopped; -1 while that is not known."""
 
-    def word(self, number: int) -> str:
-        """What the machine said last under a turn's number: shut, empty, open; "" for nothing."""
+    def reply_for(self, number: int) -> MachineReply:
+        """The machine's last reply under a slot's number, as long as it counts."""
 
-    def came_to(self, number: int) -> str:
-        """What starts at a machine that is tried came to, since it is tried: well, bad; "" for none yet."""
+    def trial_outcome(self, number: int) -> TrialOutcome:
+        """How starts went at the machine of a slot that is tried."""
 
-    def view(self) -> RegionView | None:
-        """What the list tells of the region; None where there is none."""
+    def region_view(self) -> RegionView | None:
+        """The region as its list has it; None without a list."""
 
-    def wants(self) -> Sequence[SlotRequest]:
-        """Turns that the calendar, or verdicts, want now."""
+    def slot_requests(self) -> Sequence[SlotRequest]:
+        """Requests that the calendar and outlier ejection make now."""
 
 
 class NoObservations:
-    """The eyes of one without machines."""
+    """Observations of a placer without machines."""
 
-    def listed(self, machine: str) -> bool:
-        """None is."""
+    def is_listed(self, machine: str) -> bool:
+        """No machine is."""
         return False
 
-    def place(self, machine: str) -> tuple[str, str] | None:
-        """Nowhere."""
+    def place_of(self, machine: str) -> tuple[str, str] | None:
+        """No machine has one."""
         return None
 
-    def tasks(self, machine: str) -> int:
+    def own_tasks_at(self, machine: str) -> int:
         """None."""
         return 0
 
-    def word(self, number: int) -> str:
-        """Nobody says any."""
-        return ""
+    def reply_for(self, number: int) -> MachineReply:
+        """None."""
+        return MachineReply.NONE
 
-    def came_to(self, number: int) -> str:
-        """Nothing."""
-        return ""
+    def trial_outcome(self, number: int) -> TrialOutcome:
+        """None."""
+        return TrialOutcome.NONE
 
-    def view(self) -> RegionView | None:
+    def region_view(self) -> RegionView | None:
         """None."""
         return None
 
-    def wants(self) -> Sequence[SlotRequest]:
+    def slot_requests(self) -> Sequence[SlotRequest]:
         """None."""
         return ()
 
 
 @dataclass(frozen=True, slots=True)
 class KnownSlot:
-    """A turn as this placer was told of it."""
+    """A slot as the last grant named it. A state that this version does not know closes the machine."""
 
     number: int
     machine: str
-    state: str
-    hand: str  # who speaks with its machine, and tries it
-    silent: bool = False
+    state: str  # a value of SlotState, from the wire
+    contact: str  # the placer that speaks with its machine, and tries it once it is returned
+    is_silent: bool = False  # its maintenance operator let its lease lapse
+
+
+@dataclass(slots=True)
+class _Confirmations:
+    """Numbers of slots, by what is reported of them."""
+
+    clear: list[int] = field(default_factory=list)
+    empty: list[int] = field(default_factory=list)
+    tried: list[int] = field(default_factory=list)
+    failed: list[int] = field(default_factory=list)
+    opened: list[int] = field(default_factory=list)
+    unlisted: list[int] = field(default_factory=list)
+    tasks: list[tuple[int, int]] = field(default_factory=list)
+    places: list[tuple[int, str, str]] = field(default_factory=list)
 
 
 class MaintenanceMember:
-    """A side. `region`: this placer's."""
+    """The member's side of the subsystem `turns`. `region`: this placer's."""
 
     name = "turns"
 
-    def __init__(self, me: str, region: str, eyes: LocalObservations) -> None:
-        self.me, self.region, self.eyes = me, region, eyes
-        self.turns: dict[int, KnownSlot] = {}
-        self.tells = False  # whether this placer tells of its region
+    def __init__(self, me: str, region: str, observations: LocalObservations) -> None:
+        self.me = me
+        self.region = region
+        self.slots: dict[int, KnownSlot] = {}
+        self.is_region_reporter = False
+        self._observations = observations
         self._version = 0
-        self._next_want = 0
-        self._shut: frozenset[str] = frozenset()
+        self._next_request = 0
+        self._closed: frozenset[str] = frozenset()
+
+    def observe_by(self, observations: LocalObservations) -> None:
+        """Report by these from now on: a placer joins its peers before it has machines."""
+        self._observations = observations
 
-    def closes(self, machine: str) -> bool:
-        """Whether a turn closes a machine to this placer."""
-        return machine in self._shut
+    def is_closed(self, machine: str) -> bool:
+        """Whether a slot closes a machine to this placer."""
+        return machine in self._closed
 
     @property
-    def shut(self) -> frozenset[str]:
-        """The machines that turns close to this placer."""
-        return self._shut
+    def closed_machines(self) -> frozenset[str]:
+        """The machines that slots close to this placer."""
+        return self._closed
 
     def report(self, now_us: int) -> MaintenanceReport:
         """What is confirmed as of now."""
-        clear, gone, empty, opened, tried, bad = (list[int]() for _ in range(6))
-        tasks: list[tuple[int, int]] = []
-        places: list[tuple[int, str, str]] = []
-        for number, turn in self.turns.items():
-            there = self.eyes.tasks(turn.machine)
-            if not self.eyes.listed(turn.machine):
-                gone.append(number)
-            if turn.state == "asked":
-                place = self.eyes.place(turn.machine)
-                tasks.append((number, max(0, there)))
-                places += [(number, *place)] if place is not None else []
-                continue
-            if there == 0 and turn.state != "back":
-                clear.append(number)
-            word = self.eyes.word(number)
-            if word == "empty" and turn.state != "back":
-                empty.append(number)
-            if word == "open" and turn.state == "back":
-                opened.append(number)
-                came_to = self.eyes.came_to(number) if turn.hand == self.me else ""
-                tried += [number] if came_to == "well" else []
-                bad += [number] if came_to == "bad" else []
+        found = _Confirmations()
+        for slot in self.slots.values():
+            self._confirm(slot, found)
         return MaintenanceReport(
-            tuple(clear),
-            tuple(empty),
-            tuple(tried),
-            tuple(bad),
-            tuple(opened),
-            tuple(gone),
-            tuple(tasks),
-            tuple(places),
-            self.region,
-            now_us,
-            self._view(),
-            self._wants(),
+            clear=tuple(found.clear),
+            empty=tuple(found.empty),
+            tried=tuple(found.tried),
+            bad=tuple(found.failed),
+            open=tuple(found.opened),
+            gone=tuple(found.unlisted),
+            tasks=tuple(found.tasks),
+            places=tuple(found.places),
+            region=self.region,
+            at_us=now_us,
+            view=self._region_view(),
+            wants=self._some_requests(),
         )
 
-    def _view(self) -> RegionView | None:
-        view = self.eyes.view() if self.tells else None
-        if view is None or (len(view.cells) <= CELLS_MOST and len(view.lost) <= LOST_MOST):
-            return view
-        return None  # too many are lost, or too many cells: its region counts as out of reach, and nothing goes out
-
-    def _wants(self) -> tuple[SlotRequest, ...]:
-        """Some at a time, all in turn: those that the queue has already are passed over there."""
-        found = list(self.eyes.wants()) if self.tells else []
-        if len(found) <= WANTS_MOST:
+    def _confirm(self, slot: KnownSlot, found: _Confirmations) -> None:
+        tasks = self._observations.own_tasks_at(slot.machine)
+        if not self._observations.is_listed(slot.machine):
+            found.unlisted.append(slot.number)
+        if slot.state == SlotState.ASKED:
+            place = self._observations.place_of(slot.machine)
+            found.tasks.append((slot.number, max(0, tasks)))
+            if place is not None:
+                found.places.append((slot.number, *place))
+            return
+        reply = self._observations.reply_for(slot.number)
+        if slot.state == SlotState.BACK:
+            if reply == MachineReply.OPEN:
+                self._confirm_opened(slot, found)
+            return
+        if tasks == 0:
+            found.clear.append(slot.number)
+        if reply == MachineReply.EMPTY:
+            found.empty.append(slot.number)
+
+    def _confirm_opened(self, slot: KnownSlot, found: _Confirmations) -> None:
+        found.opened.append(slot.number)
+        if slot.contact != self.me:
+            return
+        outcome = self._observations.trial_outcome(slot.number)
+        if outcome == TrialOutcome.SUCCEEDED:
+            found.tried.append(slot.number)
+        elif outcome == TrialOutcome.FAILED:
+            found.failed.append(slot.number)
+
+    def _region_view(self) -> RegionView | None:
+        view = self._observations.region_view() if self.is_region_reporter else None
+        if view is None:
+            return None
+        if len(view.cells) > MAX_REPORTED_CELLS or len(view.lost) > MAX_REPORTED_LOSSES:
+            return None  # the region counts as out of reach, and none of its machines is given out
+        return view
+
+    def _some_requests(self) -> tuple[SlotRequest, ...]:
+        """As many as a report may have, going round: the leader passes over those that it has."""
+        found = list(self._observations.slot_requests()) if self.is_region_reporter else []
+        if len(found) <= MAX_REPORTED_REQUESTS:
             return tuple(found)
-        begin = self._next_want % len(found)
-        self._next_want = begin + WANTS_MOST
-        return tuple((found + found)[begin : begin + WANTS_MOST])
+        begin = self._next_request % len(found)
+        self._next_request = begin + MAX_REPORTED_REQUESTS
+        return tuple((found + found)[begin : begin + MAX_REPORTED_REQUESTS])
 
     def on_response(
-        self, now_us: int, asked_us: int, told: MaintenanceResponse | None
+        self, now_us: int, asked_us: int, response: MaintenanceResponse | None
     ) -> list[Effect]:
-        """What a grant tells, in place of what was told before."""
-        if told is None or told.version < self._version:
-            return []  # Danger: a late grant would open a machine that a turn has closed since
-        self._version, self.tells = told.version, told.tell
-        before, silent = self.turns, frozenset(told.silent)
-        self.turns = {
-            number: KnownSlot(number, machine, state, hand, number in silent)
-            for number, machine, state, hand in told.turns
+        """Take the slots that a grant names in place of those known; notify of each change of state."""
+        if response is None or response.version < self._version:
+            return []  # Danger: a late grant would open a machine that a slot has closed since
+        self._version = response.version
+        self.is_region_reporter = response.tell
+        before = self.slots
+        silent = frozenset(response.silent)
+        self.slots = {
+            number: KnownSlot(number, machine, state, contact, number in silent)
+            for number, machine, state, contact in response.turns
         }
-        self._shut = frozenset(
-            each.machine
-            for each in self.turns.values()
-            if each.state != "asked" and not (each.state == "back" and each.hand == self.me)
-        )
-        out: list[Effect] = []
-        for number, each in self.turns.items():
-            held = before.get(number)
-            if each.state != "asked" and (
-                held is None or (held.state, held.silent) != (each.state, each.silent)
-            ):
-                out.append(
-                    Notify(
-                        "turn",
-                        {
-                            "number": number,
-                            "machine": each.machine,
-                            "state": "silent" if each.silent else each.state,
-                        },
-                    )
-                )
-        for number, held in before.items():
-            if number not in self.turns and held.state != "asked":
-                out.append(
-                    Notify("turn", {"number": number, "machine": held.machine, "state": "over"})
-                )
-        return out
+        self._closed = frozenset(each.machine for each in self.slots.values() if self._closes(each))
+        return list(_changes(before, self.slots))
+
+    def _closes(self, slot: KnownSlot) -> bool:
+        if slot.state == SlotState.ASKED:
+            return False
+        return slot.state != SlotState.BACK or slot.contact != self.me
+
+
+def _changes(before: Mapping[int, KnownSlot], after: Mapping[int, KnownSlot]) -> Iterator[Notify]:
+    for number, slot in after.items():
+        held = before.get(number)
+        is_new = held is None or (held.state, held.is_silent) != (slot.state, slot.is_silent)
+        if is_new and slot.state != SlotState.ASKED:
+            yield _notice(slot, "silent" if slot.is_silent else slot.state)
+    for number, held in before.items():
+        if number not in after and held.state != SlotState.ASKED:
+            yield _notice(held, "over")
+
+
+def _notice(slot: KnownSlot, state: str) -> Notify:
+    return Notify("turn", {"number": slot.number, "machine": slot.machine, "state": state})
--- a/wingbarrow/decide/maintenance/slots.py
+++ b/wingbarrow/decide/maintenance/slots.py
@@ -1,42 +1,92 @@
-"""Turns: which machine may be worked on, and when. The types, and the queue as the voters' log makes it.
+"""The queue of maintenance slots as the voters' log makes it: which machine is taken out, and in which order.
 
     asked -> queued -> closing -> empty -> out -> back -> done
-    asked, queued -> given-back;  closing, empty, out -> back -> given-back, by its worker's or an operator's word
+    asked, queued -> given-back;  closing, empty, out -> back -> given-back
 
-`out` is decided only with proof (`turning`); `back` comes before `given-back` wherever the machine may have been shut:
-somebody has to open it again, and one placer tries it first. All that the order depends on is in entries: times are the
-wall clock of the leader that proposed them, and never run backwards here, whoever led.
+A replicated state machine (Raft, section 5.3): every voter applies the same entries (`entries`) and comes to the same
+state. All that the order depends on is in entries; their times are the wall clock of the leader that proposed them, and
+never run backwards here. When a transition may be proposed is decided by the leader (`scheduler`), not here: `back`
+precedes the end wherever the machine may have been closed, as somebody has to open it and try it.
 """
 
 from __future__ import annotations
 
 import hashlib
 import json
-from collections.abc import Iterable
+from collections.abc import Mapping
 from dataclasses import astuple, dataclass, replace
-from typing import Any
-
-STATES = ("asked", "queued", "closing", "empty", "out", "back", "done", "given-back")
-WAITING = ("asked", "queued")
-ACTIVE = ("closing", "empty", "out", "back")  # counted by budgets, told with every grant
-OVER = ("done", "given-back")
-TURNS_MOST = 512
-ACTIVE_MOST = 128  # of those: all of them are in every grant
-ENDED_MOST = 64  # ended ones that are remembered
-WINDOWED_MOST = 4096  # calendar's requests that are remembered until their latest time
-IDENTS_MOST = 256  # requests whose outcome is remembered, for those that are sent again
-NUMBERS_LEFT = 10_000  # for turns that voters who were lost may have decided
-AGE_US = 600_000_000  # what has waited for so long counts as one more urgent
-URGENCY_MOST = 9
-NAME_MOST, LABEL_MOST, IDENT_MOST, WORDS_MOST = 253, 63, 320, 160  # characters; see `Queue.text`
-WHYS = ("calendar", "operator", "verdict")
-UNSAFE = ("wait", "shorten", "give-up")
-LASTS_MOST_US = 31 * 86_400_000_000
+from enum import StrEnum
+
+from wingbarrow.decide.maintenance.entries import (
+    MAX_IDENT_CHARACTERS,
+    MAX_NOTE_CHARACTERS,
+    CountedSlot,
+    Entry,
+    MachineEmptied,
+    MachineOut,
+    MachineReturned,
+    SlotClosing,
+    SlotDone,
+    SlotGivenBack,
+    SlotRequested,
+    SlotsQueued,
+    SlotTerms,
+    SlotTransition,
+    VotersRecovered,
+    WindowTerms,
+)
+
+MAX_LIVE_SLOTS = 512
+MAX_ACTIVE_SLOTS = 128  # of those: all of them are in every grant
+MAX_ENDED_SLOTS = 64  # ended ones that are remembered
+MAX_CALENDAR_REQUESTS = 4096  # of the calendar, remembered until their latest time
+MAX_OUTCOMES = 256  # requests whose outcome is remembered, for those that are sent again
+RECOVERY_NUMBER_GAP = 10_000  # numbers that voters who were lost may have given
+AGING_PERIOD_US = 600_000_000  # a slot counts as one more urgent for each of these that it waits
+NO_DEADLINE = 1 << 62
+DIGEST_BYTES = 16
+IDENT_PREFIX_CHARACTERS = MAX_IDENT_CHARACTERS - 2 * DIGEST_BYTES - 1
+
+
+class SlotState(StrEnum):
+    """The states of a slot; values are the words of the wire, of the log and of the REST API."""
+
+    ASKED = "asked"
+    QUEUED = "queued"
+    CLOSING = "closing"
+    EMPTY = "empty"
+    OUT = "out"
+    BACK = "back"
+    DONE = "done"
+    GIVEN_BACK = "given-back"
+
+
+ACTIVE_STATES = (SlotState.CLOSING, SlotState.EMPTY, SlotState.OUT, SlotState.BACK)
+ENDED_STATES = (SlotState.DONE, SlotState.GIVEN_BACK)
+
+# The state that a transition leads to, by the state before; in any other state it changes nothing.
+TRANSITIONS: Mapping[type[Entry], Mapping[SlotState, SlotState]] = {
+    SlotClosing: {SlotState.QUEUED: SlotState.CLOSING},
+    MachineEmptied: {SlotState.CLOSING: SlotState.EMPTY},
+    MachineOut: {SlotState.EMPTY: SlotState.OUT},
+    MachineReturned: {SlotState.OUT: SlotState.BACK},
+    SlotDone: {SlotState.BACK: SlotState.DONE},
+    SlotGivenBack: {
+        SlotState.ASKED: SlotState.GIVEN_BACK,
+        SlotState.QUEUED: SlotState.GIVEN_BACK,
+        SlotState.CLOSING: SlotState.BACK,
+        SlotState.EMPTY: SlotState.BACK,
+        SlotState.OUT: SlotState.BACK,
+    },
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """One request to take a machine out. Times by wall clock, in microseconds; `number` fences it at its machine."""
+    """One request to take a machine out, and how far it is. Snapshots hold the fields in this order.
+
+    Times by the wall clock, in microseconds; `number` is the fencing token at the machine.
+    """
 
     number: int
     machine: str
@@ -45,339 +95,208 @@
     cell: str
     why: str  # calendar, operator, verdict
     urgency: int  # 0 to 9, the greater the sooner
-    latest_us: int  # it should have begun by then; 0: whenever
+    latest_us: int  # the work should have begun by then; 0: no deadline
     asked_us: int
     lasts_us: int
-    worker: str  # who does the work; holds the turn by a lease of its own
-    state: str = "asked"
-    tasks: int = 0  # to be moved, as placers told before it was queued
+    worker: str  # the maintenance operator, which holds the slot by a lease; "": none
+    state: SlotState = SlotState.ASKED
+    tasks: int = 0  # to be moved, as placers counted before it was queued
     since_us: int = 0  # when its state began
-    ident: str = ""  # of the request: the same one sent again is taken once
-    unsafe: str = "wait"  # for tasks that must not start twice, as with windows
-    ends_us: int = 0  # of a window that may be shortened: over by then
-    given: bool = False  # it ends as given-back
-    note: str = ""  # why, in words
-    from_us: int = 0  # not out before
-    out_us: int = 0  # when it went out; 0: not yet, or never
-
-
-@dataclass(frozen=True, slots=True)
-class SlotRequest:
-    """A request before it has a number: what a teller's calendar or verdicts ask for."""
-
-    ident: str
-    machine: str
-    zone: str
-    cell: str
-    why: str
-    urgency: int
-    latest_us: int
-    lasts_us: int
-    unsafe: str = "wait"
-    ends_us: int = 0
-    from_us: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class RegionView:
-    """What one placer's list tells of its region, for budgets.
-
-    `cells`: (zone, cell, machines that belong there); `lost`: (machine, zone, cell) of those among them that do not
-    run, are lost, or are closed by a verdict or by the list; `used`: machines' worth of what is asked for, the share of
-    them that may be filled taken into account.
-    """
-
-    cells: tuple[tuple[str, str, int], ...]
-    lost: tuple[tuple[str, str, str], ...] = ()
-    used: float = 0.0
-
-
-CELLS_MOST, LOST_MOST, WANTS_MOST = 2048, 256, 32
-
-
-@dataclass(frozen=True, slots=True)
-class MaintenanceReport:
-    """With an ask: of which closing turns nothing of this placer's is at the machine or on its way; what machines said.
-
-    `clear`: numbers of turns; `empty`: turns whose machine told that it refuses new work under this very number, and
-    holds nothing; `tried`: turns in `back` whose machine took a start of this placer's well, `bad`: or failed one;
-    `open`: turns in `back` whose machine told that it takes work again; `gone`: turns whose machine this placer's list
-    does not have; `tasks`: own tasks at machines of turns that are asked for, `places`: zone and cell of those that its
-    list has; `at_us`: when this was said, by the
-    sayer's clock. `view` and `wants` come from who was told to tell them.
-    """
-
-    clear: tuple[int, ...] = ()
-    empty: tuple[int, ...] = ()
-    tried: tuple[int, ...] = ()
-    bad: tuple[int, ...] = ()
-    open: tuple[int, ...] = ()
-    gone: tuple[int, ...] = ()
-    tasks: tuple[tuple[int, int], ...] = ()
-    places: tuple[tuple[int, str, str], ...] = ()
-    region: str = ""
-    at_us: int = 0
-    view: RegionView | None = None
-    wants: tuple[SlotRequest, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class MaintenanceResponse:
-    """With a grant: turns that are closing, empty, out or back, as (number, machine, state, who tries it).
-
-    Beside those, some that are asked for, whose tasks are to be counted. `silent`: turns whose worker is not heard of;
-    `tell`: the asker is to say what its list tells of its region, and what its calendar wants. The fourth field names
-    the placer that speaks with the machine (all may), and alone sends to it in `back`.
-    """
-
-    version: int
-    turns: tuple[tuple[int, str, str, str], ...] = ()
-    silent: tuple[int, ...] = ()
-    tell: bool = False
+    ident: str = ""  # of the request: one that is sent again is not taken twice
+    unsafe: str = "wait"  # for tasks that must not start twice, as with calendar windows
+    ends_us: int = 0  # the end of a window that may be shortened
+    given: bool = False  # it was given back, and ends as given-back
+    note: str = ""  # why it is in its state, for operators
+    from_us: int = 0  # the machine is not given out before
+    out_us: int = 0  # when the machine was given out; 0: it was not
 
 
 def short_ident(key: str) -> str:
-    """A drain's key (WINDOW@START/MACHINE) as the name of the request for its turn; the machine cut where it is too
-    long."""
-    if len(key) <= IDENT_MOST:
+    """The ident of a calendar's request from the key of its drain (WINDOW@START/MACHINE); a long machine is hashed."""
+    if len(key) <= MAX_IDENT_CHARACTERS:
         return key
     window, _, machine = key.rpartition("/")
-    return f"{window[: IDENT_MOST - 33]}/{hashlib.blake2b(machine.encode(), digest_size=16).hexdigest()}"
+    digest = hashlib.blake2b(machine.encode(), digest_size=DIGEST_BYTES).hexdigest()
+    return f"{window[:IDENT_PREFIX_CHARACTERS]}/{digest}"
 
 
-def rank(turn: Slot) -> tuple[int, int, int, int, str, int]:
-    """The order of turns, the least first: urgency and age, then latest time, waiting time, tasks, name.
+def queue_rank(slot: Slot) -> tuple[int, int, int, int, str, int]:
+    """The sort key of the queue: age and urgency, deadline, time of request, tasks, machine, number.
 
-    A turn counts as one more urgent for each period of AGE_US that began since it was asked for. So the order of two
-    never changes as time passes, and what is asked for URGENCY_MOST + 1 periods later stands behind whatever it says.
+    A slot counts as one more urgent for each AGING_PERIOD_US that began since its request. The order of two slots never
+    changes as time passes, and a request that is MAX_URGENCY + 1 periods later ranks behind whatever its urgency is.
     """
-    level = turn.asked_us // AGE_US - turn.urgency
-    return level, turn.latest_us or 1 << 62, turn.asked_us, turn.tasks, turn.machine, turn.number
-
-
-def objection(value: dict[str, Any]) -> str:
-    """What is wrong with a request, in words; "" for a good one."""
-
-    def name(key: str, most: int, least: int = 1) -> bool:
-        return isinstance(value.get(key), str) and least <= len(value[key]) <= most
-
-    def whole(key: str, most: int) -> bool:
-        return type(value.get(key)) is int and 0 <= value[key] <= most
-
-    if not name("machine", NAME_MOST):
-        return f"machine: a name of at most {NAME_MOST} characters is wanted"
-    if not all(name(key, LABEL_MOST, 0) for key in ("region", "zone", "cell", "worker")):
-        return f"region, zone, cell, worker: names of at most {LABEL_MOST} characters are wanted"
-    if not name("ident", IDENT_MOST):
-        return f"ident: a name of the request's own, of at most {IDENT_MOST} characters, is wanted"
-    if value.get("why") not in WHYS or value.get("unsafe", "wait") not in UNSAFE:
-        return f"why: one of {', '.join(WHYS)} is wanted, unsafe: one of {', '.join(UNSAFE)}"
-    if not whole("urgency", URGENCY_MOST):
-        return f"urgency: 0 to {URGENCY_MOST} is wanted"
-    if not whole("lasts_us", LASTS_MOST_US):
-        return "lasts: at most 31 days are wanted"
-    value = {"ends_us": 0, "from_us": 0, **value}
-    if not all(whole(key, 1 << 53) for key in ("latest_us", "at_us", "ends_us", "from_us")):
-        return "latest: a time is wanted"
-    return ""
-
-
-# What an entry of a kind makes of a turn's state; what is not here changes nothing.
-_NEXT = {
-    "close": {"queued": "closing"},
-    "empty": {"closing": "empty"},
-    "out": {"empty": "out"},
-    "back": {"out": "back"},
-    "done": {"back": "done"},
-    "give-back": {
-        "asked": "given-back",
-        "queued": "given-back",
-        "closing": "back",
-        "empty": "back",
-        "out": "back",
-    },
-}
+    level = slot.asked_us // AGING_PERIOD_US - slot.urgency
+    deadline = slot.latest_us or NO_DEADLINE
+    return level, deadline, slot.asked_us, slot.tasks, slot.machine, slot.number
 
 
 class SlotQueue:
-    """The replicated state: turns by number, the last number, what became of requests."""
+    """The replicated state: slots by number, the last number given, and the outcomes of requests."""
 
     def __init__(self) -> None:
-        self.turns: dict[int, Slot] = {}  # live ones, and the latest ended
+        self.slots: dict[int, Slot] = {}  # live ones, and the latest ended ones
         self.last = 0
-        self.version = 0  # entries that changed something
+        self.version = 0  # grows with each entry that changed something
         self.clock_us = 0  # the latest time of any entry
-        self.outcomes: dict[str, tuple[int, str]] = {}  # by request: its number, or 0 and why not
-        self.windowed: dict[
-            str, int
-        ] = {}  # digests of the calendar's requests that were taken: their latest time
-
-    # -- questions
+        self.outcomes: dict[str, tuple[int, str]] = {}  # by ident: the number, or 0 and why not
+        self.windowed: dict[str, int] = {}  # digests of the calendar's requests: their latest time
 
     def live(self) -> list[Slot]:
-        """Those that are not over, by number."""
-        return [each for each in self.turns.values() if each.state not in OVER]
+        """Slots that have not ended, by number."""
+        return [each for each in self.slots.values() if each.state not in ENDED_STATES]
 
     def active(self) -> list[Slot]:
-        """Those whose machine is closed."""
-        return [each for each in self.turns.values() if each.state in ACTIVE]
+        """Slots whose machine is closed; the budgets count them, and every grant names them."""
+        return [each for each in self.slots.values() if each.state in ACTIVE_STATES]
 
     def queued(self) -> list[Slot]:
-        """Those that wait, in their order."""
-        return sorted((each for each in self.turns.values() if each.state == "queued"), key=rank)
-
-    def of(self, machine: str) -> Slot | None:
-        """A machine's turn that is not over; there is one at most."""
-        return next(
-            (
-                each
-                for each in self.turns.values()
-                if each.machine == machine and each.state not in OVER
-            ),
-            None,
+        """Slots that wait for the budgets, in the queue's order."""
+        waiting = (each for each in self.slots.values() if each.state == SlotState.QUEUED)
+        return sorted(waiting, key=queue_rank)
+
+    def live_slot_of(self, machine: str) -> Slot | None:
+        """A machine's live slot; there is one at most."""
+        found = (
+            each
+            for each in self.slots.values()
+            if each.machine == machine and each.state not in ENDED_STATES
         )
+        return next(found, None)
 
-    def refusal(self, value: dict[str, Any]) -> str:
-        """Why a request cannot be taken now; "" where it can."""
-        words = objection(value)
-        if words:
-            return words
-        held = self.of(value["machine"])
+    def refusal(self, request: SlotRequested) -> str:
+        """Why a request cannot be taken now, in words for its sender; "" if it can."""
+        if request.terms is None:
+            return request.problem
+        held = self.live_slot_of(request.terms.machine)
         if held is not None:
             return f"{held.machine} has turn {held.number} already ({held.state})"
-        if len(self.live()) >= TURNS_MOST:
-            return f"{TURNS_MOST} turns are asked for and not over: more are not taken"
-        if value["why"] == "calendar" and len(self.windowed) >= WINDOWED_MOST:
-            return f"{WINDOWED_MOST} turns of windows that are not over are remembered: more are not taken"
+        if len(self.live()) >= MAX_LIVE_SLOTS:
+            return f"{MAX_LIVE_SLOTS} turns are asked for and not over: more are not taken"
+        if request.is_calendar and len(self.windowed) >= MAX_CALENDAR_REQUESTS:
+            return (
+                f"{MAX_CALENDAR_REQUESTS} turns of windows that are not over are remembered: "
+                "more are not taken"
+            )
         return ""
 
-    def knows(self, ident: str) -> bool:
-        """Whether a request was taken, or refused, before."""
+    def is_known(self, ident: str) -> bool:
+        """Whether a request of that ident was taken or refused before."""
         return ident in self.outcomes or _digest(ident) in self.windowed
 
-    # -- entries
-
-    def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Take one; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
-        at = max(
-            self.clock_us, _time(value.get("at_us", 0) if kind == "recovered" else value["at_us"])
-        )
-        if kind == "ask":
-            changed = self._ask(value, at)
-        elif kind == "queue":
-            changed = self._queue(
-                [
-                    (int(number), max(0, int(tasks)), *map(str, place))
-                    for number, tasks, *place in value["turns"]
-                ],
-                at,
-            )
-        elif kind == "recovered":
-            # Danger: of what was decided last, some may be lost, and machines know its numbers.
-            self.last, self.version, changed = (
-                self.last + NUMBERS_LEFT,
-                self.version + NUMBERS_LEFT,
-                True,
-            )
-        elif kind in _NEXT:
-            changed = self._step(
-                kind, int(value["number"]), str(value.get("note", ""))[:WORDS_MOST], at
-            )
-            if changed and value.get(
-                "again"
-            ):  # it was taken back, and is not any more: it may be asked for anew
-                self.windowed.pop(_digest(str(value["again"])), None)
-        else:
-            raise ValueError(f"no entry of turns: {kind[:40]}")
+    def apply(self, entry: Entry) -> None:
+        """Apply a decided entry; one that does not fit the state changes nothing."""
+        at_us = max(self.clock_us, entry.at_us)
+        changed = False
+        match entry:
+            case SlotRequested():
+                changed = self._on_requested(entry, at_us)
+            case SlotsQueued():
+                changed = self._on_queued(entry, at_us)
+            case SlotTransition():
+                changed = self._on_transition(entry, at_us)
+            case VotersRecovered():
+                changed = self._on_recovered()
         if changed:
-            self.clock_us, self.version = at, self.version + 1
+            self.clock_us = at_us
+            self.version += 1
 
-    def _ask(self, value: dict[str, Any], at: int) -> bool:
-        ident = str(value["ident"])[:IDENT_MOST]
-        if self.knows(ident):
+    def _on_requested(self, request: SlotRequested, at_us: int) -> bool:
+        if self.is_known(request.ident):
             return False  # sent again: it has its outcome
-        self.windowed = {digest: until for digest, until in self.windowed.items() if until > at}
-        words = self.refusal(value)
-        if value["why"] != "calendar":
-            self._remember(ident, 0 if words else self.last + 1, words)
-        elif not words:
-            self.windowed[_digest(ident)] = value["latest_us"]
-        if not words:
-            self.last += 1
-            self.turns[self.last] = Slot(
-                self.last,
-                value["machine"],
-                value["region"],
-                value["zone"],
-                value["cell"],
-                value["why"],
-                value["urgency"],
-                value["latest_us"],
-                at,
-                value["lasts_us"],
-                value["worker"],
-                "asked",
-                0,
-                at,
-                ident,
-                value.get("unsafe", "wait"),
-                value.get("ends_us", 0),
-                from_us=value.get("from_us", 0),
-            )
+        self.windowed = {digest: until for digest, until in self.windowed.items() if until > at_us}
+        refusal = self.refusal(request)
+        if not request.is_calendar:
+            self._remember_outcome(request.ident, 0 if refusal else self.last + 1, refusal)
+        if not refusal and request.terms is not None:
+            if request.is_calendar:
+                self.windowed[_digest(request.ident)] = request.terms.latest_us
+            self._add(request.ident, request.terms, at_us)
         return True
 
-    def _remember(self, ident: str, number: int, words: str) -> None:
-        self.outcomes[ident] = number, words[:WORDS_MOST]
-        while len(self.outcomes) > IDENTS_MOST:
+    def _add(self, ident: str, terms: SlotTerms, at_us: int) -> None:
+        window = terms.window or WindowTerms()
+        self.last += 1
+        self.slots[self.last] = Slot(
+            number=self.last,
+            machine=terms.machine,
+            region=terms.region,
+            zone=terms.zone,
+            cell=terms.cell,
+            why=terms.why,
+            urgency=terms.urgency,
+            latest_us=terms.latest_us,
+            asked_us=at_us,
+            lasts_us=terms.lasts_us,
+            worker=terms.worker,
+            since_us=at_us,
+            ident=ident,
+            unsafe=window.unsafe,
+            ends_us=window.ends_us,
+            from_us=window.from_us,
+        )
+
+    def _remember_outcome(self, ident: str, number: int, refusal: str) -> None:
+        self.outcomes[ident] = (number, refusal[:MAX_NOTE_CHARACTERS])
+        while len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
-    def _queue(self, counted: Iterable[tuple[Any, ...]], at: int) -> bool:
-        changed = False
-        for number, tasks, *place in counted:
-            turn = self.turns.get(number)
-            if turn is not None and turn.state == "asked":
-                turn = replace(turn, state="queued", tasks=tasks, since_us=at)
-                if len(place) == 3:
-                    region, zone, cell = (each[:LABEL_MOST] for each in place)
-                    turn = replace(turn, region=region, zone=zone, cell=cell)
-                self.turns[number] = turn
-                changed = True
-        return changed
-
-    def _step(self, kind: str, number: int, note: str, at: int) -> bool:
-        turn = self.turns.get(number)
-        state = _NEXT[kind].get(turn.state) if turn is not None else None
-        if turn is None or state is None:
+    def _on_queued(self, entry: SlotsQueued, at_us: int) -> bool:
+        return any([self._queue_one(each, at_us) for each in entry.slots])
+
+    def _queue_one(self, counted: CountedSlot, at_us: int) -> bool:
+        slot = self.slots.get(counted.number)
+        if slot is None or slot.state != SlotState.ASKED:
             return False
-        if kind == "close" and len(self.active()) >= ACTIVE_MOST:
-            return False  # Danger: one that did not fit into a grant would be opened by whoever hears that grant
-        if kind == "done" and turn.given:
-            state = "given-back"
-        if kind == "done" and turn.given:
-            note = turn.note or note  # why it was taken back, not how it came back
-        self.turns[number] = replace(
-            turn,
+        slot = replace(slot, state=SlotState.QUEUED, tasks=counted.tasks, since_us=at_us)
+        if counted.place is not None:
+            region, zone, cell = counted.place
+            slot = replace(slot, region=region, zone=zone, cell=cell)
+        self.slots[counted.number] = slot
+        return True
+
+    def _on_transition(self, entry: SlotTransition, at_us: int) -> bool:
+        slot = self.slots.get(entry.number)
+        state = TRANSITIONS[type(entry)].get(slot.state) if slot is not None else None
+        if slot is None or state is None:
+            return False
+        if isinstance(entry, SlotClosing) and len(self.active()) >= MAX_ACTIVE_SLOTS:
+            return False  # Danger: a placer takes a machine that its grant has no room for as open
+        note = entry.note or slot.note
+        if isinstance(entry, SlotDone) and slot.given:
+            state = SlotState.GIVEN_BACK
+            note = slot.note or note  # why it was given back, not how its machine came back
+        self.slots[entry.number] = replace(
+            slot,
             state=state,
-            since_us=at,
-            given=turn.given or kind == "give-back",
-            note=note or turn.note,
-            out_us=at if state == "out" else turn.out_us,
+            since_us=at_us,
+            given=slot.given or isinstance(entry, SlotGivenBack),
+            note=note,
+            out_us=at_us if state == SlotState.OUT else slot.out_us,
         )
-        if state in OVER:
-            self._forget()
+        if state in ENDED_STATES:
+            self._forget_ended()
+        if entry.retry_ident:
+            self.windowed.pop(_digest(entry.retry_ident), None)
+        return True
+
+    def _on_recovered(self) -> bool:
+        # Danger: of what was decided last some may be lost, and machines know its numbers.
+        self.last += RECOVERY_NUMBER_GAP
+        self.version += RECOVERY_NUMBER_GAP
         return True
 
-    def _forget(self) -> None:
+    def _forget_ended(self) -> None:
         ended = sorted(
-            (each.since_us, number) for number, each in self.turns.items() if each.state in OVER
+            (each.since_us, number)
+            for number, each in self.slots.items()
+            if each.state in ENDED_STATES
         )
-        for _, number in ended[: max(0, len(ended) - ENDED_MOST)]:
-            del self.turns[number]
-
-    # -- snapshots
+        for _, number in ended[: max(0, len(ended) - MAX_ENDED_SLOTS)]:
+            del self.slots[number]
 
     def text(self) -> str:
-        """All of it; with names as long as they may be under 1.4 KB a turn, so that a snapshot fits one mail."""
+        """The whole state as JSON, for snapshots: under 1.4 KB a slot, so that it fits one message."""
         return json.dumps(
             {
                 "last": self.last,
@@ -385,28 +304,25 @@
                 "clock_us": self.clock_us,
                 "outcomes": self.outcomes,
                 "windowed": self.windowed,
-                "turns": [astuple(each) for each in self.turns.values()],
+                "turns": [astuple(each) for each in self.slots.values()],
             },
             separators=(",", ":"),
         )
 
     def restore(self, text: str) -> None:
-        """What `text` gave; an empty one is the state at the beginning."""
+        """Replace the state by what `text` returned; "" is the initial state."""
         value = json.loads(text) if text else {}
-        self.turns = {each[0]: Slot(*each) for each in value.get("turns", ())}
-        self.last, self.version = value.get("last", 0), value.get("version", 0)
+        restored = (Slot(*each) for each in value.get("turns", ()))
+        self.slots = {each.number: replace(each, state=SlotState(each.state)) for each in restored}
+        self.last = value.get("last", 0)
+        self.version = value.get("version", 0)
         self.clock_us = value.get("clock_us", 0)
         self.windowed = dict(value.get("windowed", {}))
         self.outcomes = {
-            ident: (number, words) for ident, (number, words) in value.get("outcomes", {}).items()
+            ident: (number, refusal)
+            for ident, (number, refusal) in value.get("outcomes", {}).items()
         }
 
 
 def _digest(ident: str) -> str:
     return hashlib.blake2b(ident.encode(), digest_size=8).hexdigest()
-
-
-def _time(value: object) -> int:
-    if type(value) is not int or not 0 <= value < 1 << 53:
-        raise ValueError("a time is wanted")
-    return value
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -20,7 +20,7 @@
 from wingbarrow.peers.api import InstancesFront
 from wingbarrow.peers.leases_api import LeasesFront
 from wingbarrow.peers.limits_api import LimitsFront
-from wingbarrow.peers.maintenance_api import TurnsFront
+from wingbarrow.peers.maintenance_api import MaintenanceApi
 from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.transport import Hub
 
@@ -70,7 +70,7 @@
         self.rules = RulesFront(hub, placer.peering)
         self.limits = LimitsFront(hub, placer.peering)
         self.leases = LeasesFront(hub, placer.peering)
-        self.turns = TurnsFront(hub, placer.peering, self.rules)
+        self.turns = MaintenanceApi(hub, placer.peering, self.rules)
         self.drains = DrainsFront(hub, placer.drainer, self.rules)
         self.unknown = UnknownFront(placer)
         placer.peering.address = f"{placer.base.settings.host}:{self.port}"
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -14,9 +14,11 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.effects import Notify
-from wingbarrow.decide.maintenance.participant import MaintenanceMember
-from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
-from wingbarrow.decide.maintenance.slots import RegionView, Slot, SlotRequest
+from wingbarrow.decide.maintenance.messages import RegionView, SlotRequest
+from wingbarrow.decide.maintenance.participant import MachineReply, MaintenanceMember, TrialOutcome
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
+from wingbarrow.decide.maintenance.slots import Slot
+from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
@@ -75,26 +77,26 @@
         self.tried: dict[int, str] = {}
         self.wanted: list[SlotRequest] = []
 
-    def listed(self, machine: str) -> bool:
+    def is_listed(self, machine: str) -> bool:
         bench = self._shop.benches.get(machine)
         return bench is not None and bench.region == self._region
 
-    def place(self, machine: str) -> tuple[str, str] | None:
+    def place_of(self, machine: str) -> tuple[str, str] | None:
         bench = self._shop.benches.get(machine)
         return (
             (bench.zone, bench.cell) if bench is not None and bench.region == self._region else None
         )
 
-    def tasks(self, machine: str) -> int:
+    def own_tasks_at(self, machine: str) -> int:
         return self.out.get(machine, 0) + sum(each == machine for each in self.known.values())
 
-    def word(self, number: int) -> str:
-        return self.words.get(number, "")
+    def reply_for(self, number: int) -> MachineReply:
+        return MachineReply(self.words.get(number, ""))
 
-    def came_to(self, number: int) -> str:
-        return self.tried.get(number, "")
+    def trial_outcome(self, number: int) -> TrialOutcome:
+        return TrialOutcome(self.tried.get(number, ""))
 
-    def view(self) -> RegionView | None:
+    def region_view(self) -> RegionView | None:
         mine = [each for each in self._shop.benches.values() if each.region == self._region]
         cells: dict[tuple[str, str], int] = {}
         for each in mine:
@@ -104,7 +106,7 @@
             tuple((each.name, each.zone, each.cell) for each in mine if not each.up),
         )
 
-    def wants(self) -> Sequence[SlotRequest]:
+    def slot_requests(self) -> Sequence[SlotRequest]:
         return self.wanted
 
 
@@ -211,10 +213,10 @@
         self._seen = newest.queue.version
         changed = tuple(
             each
-            for number, each in sorted(newest.queue.turns.items())
+            for number, each in sorted(newest.queue.slots.items())
             if self._turns_seen.get(number) != each
         )
-        self._turns_seen = dict(newest.queue.turns)
+        self._turns_seen = dict(newest.queue.slots)
         self.entries.append(Entry(self.now_us, self._seen, changed))
 
     def turn(self, number: int) -> Slot | None:
@@ -237,13 +239,13 @@
     def _speak(self, name: str) -> None:
         """Ask machines of closing turns, move own tasks away, as a placer's room does."""
         side, eyes = self.sides[name], self.eyes[name]
-        for turn in side.turns.values():
+        for turn in side.slots.values():
             bench = self.benches.get(turn.machine)
-            if turn.state == "asked" or bench is None or not eyes.listed(turn.machine):
+            if turn.state == "asked" or bench is None or not eyes.is_listed(turn.machine):
                 continue
-            if self.trouble.random() < (0.3 if turn.hand == name else 0.05):
+            if self.trouble.random() < (0.3 if turn.contact == name else 0.05):
                 shut = turn.state != "back"
-                if shut or turn.hand == name:
+                if shut or turn.contact == name:
                     self.at(
                         self.now_us + self._delay(),
                         lambda bench=bench, number=turn.number, shut=shut:  # type: ignore[misc]
@@ -270,7 +272,7 @@
         found = [
             each
             for each in self.benches.values()
-            if each.region == self.region_of[name] and (floor or not side.closes(each.name))
+            if each.region == self.region_of[name] and (floor or not side.is_closed(each.name))
         ]
         if not found:
             return
@@ -279,8 +281,8 @@
         number, self._next_task = self._next_task, self._next_task + 1
         trying = [
             turn.number
-            for turn in side.turns.values()
-            if turn.machine == bench.name and turn.state == "back" and turn.hand == name
+            for turn in side.slots.values()
+            if turn.machine == bench.name and turn.state == "back" and turn.contact == name
         ]
         self.at(
             self.now_us + self._delay(), lambda: self._arrives(name, eyes, bench, number, trying)
@@ -409,7 +411,7 @@
         def look(tries: int) -> None:
             if leader not in shop.members or shop.lives[leader] != life:
                 return
-            turn = chapter.queue.turns.get(self._number)
+            turn = chapter.queue.slots.get(self._number)
             if (
                 chapter.leads
                 and turn is not None
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -12,7 +12,8 @@
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.coordination.subsystem import MemberSubsystem
 from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
-from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler, MaintenanceTiming
+from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
+from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.decide.regions.reports import RegionSubsystem
 from wingbarrow.decide.sessions.sessions import SessionSubsystem
 from wingbarrow.store.voter_store import StoreFailed, VoteStore, open_if_there
@@ -43,7 +44,7 @@
 def turns_of(
     settings: PlacerSettings, wall_us: Callable[[int], int]
 ) -> tuple[MaintenanceScheduler, MaintenanceMember]:
-    """The chapter of turns and this placer's side of it, which has no eyes yet."""
+    """The maintenance subsystem and this placer's part of it, which observes no machines yet."""
     grant_us = (
         settings.agree.grant_us if settings.agree is not None else MaintenanceTiming().grant_us
     )
@@ -66,7 +67,7 @@
     assert agree is not None
     named = tuple(sorted({region for name, region in agree.regions if name not in agree.bare}))
     sessions, regions = SessionSubsystem(agree.lease_us), RegionSubsystem(agree.lease_us, named)
-    turns.held_back = regions.held_machines
+    turns.reserved_machines = regions.held_machines
     sessions.counts = counts
     return Coordinator(
         settings.name,
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -1,19 +1,29 @@
-"""What operators and workers ask about turns, of any placer: /apis/wingbarrow.io/v1/turns.
+"""The REST API of maintenance slots, at any placer: /apis/wingbarrow.io/v1/turns.
 
-GET lists them, GET .../N tells one; POST asks for one; POST .../N/renew holds it for a worker, .../N/out-done and
-.../N/back give the machine back, .../N/give-back takes the turn back. What only the leader knows is answered elsewhere
-with 307 and its address. Only the answer to `renew` lets a worker work: it is given by a leader that a majority has
-followed since it was asked.
+GET lists slots, GET .../N shows one; POST requests one; POST .../N/renew renews an operator's lease, .../N/out-done and
+.../N/back give the machine back, .../N/give-back takes the slot back. Placers that do not lead answer 307 with the
+leader's address. Only the answer to `renew` lets an operator work: a leader gives it once a majority has followed it
+since the request came.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import asdict
 from typing import Any
 
 from wingbarrow.config import parse_duration
 from wingbarrow.decide.coordination.coordinator import Coordinator
-from wingbarrow.decide.maintenance.slots import IDENT_MOST, LABEL_MOST, OVER, WORDS_MOST, Slot, rank
+from wingbarrow.decide.maintenance.entries import (
+    MAX_IDENT_CHARACTERS,
+    MAX_LABEL_CHARACTERS,
+    MAX_NOTE_CHARACTERS,
+    MachineReturned,
+    SlotGivenBack,
+    SlotRequested,
+    SlotTransition,
+)
+from wingbarrow.decide.maintenance.slots import ENDED_STATES, Slot, SlotState, queue_rank
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -22,10 +32,17 @@
 from wingbarrow.peers.rulesets_api import RulesFront
 from wingbarrow.transport import Hub
 
-API = "wingbarrow.io/v1"
-DECIDED_US, CONFIRMED_US, LOOK_US = 5_000_000, 3_000_000, 10_000
-ACTIONS = ("renew", "out-done", "back", "give-back")
-SHOWN = (
+API_VERSION = "wingbarrow.io/v1"
+DECISION_TIMEOUT_US = 5_000_000
+CONFIRMATION_TIMEOUT_US = 3_000_000
+POLL_INTERVAL_US = 10_000
+MAX_NUMBER_DIGITS = 15
+FULL_RETRY_S = 60
+GIVE_BACK = "give-back"
+ACTIONS = ("renew", "out-done", "back", GIVE_BACK)
+RETURNED_STATES = (SlotState.BACK, SlotState.DONE, SlotState.GIVEN_BACK)
+BLOCKABLE_STATES = (SlotState.ASKED, SlotState.QUEUED, SlotState.EMPTY)
+SLOT_FIELDS = (
     "number",
     "machine",
     "region",
@@ -41,137 +58,112 @@
 )
 
 
-class TurnsFront:
+class MaintenanceApi:
     """Routes below /apis/wingbarrow.io/v1/turns."""
 
     def __init__(self, hub: Hub, peering: Peering, rules: RulesFront) -> None:
-        self._hub, self._peering, self._rules = hub, peering, rules
-        self._asked = 0
+        self._hub = hub
+        self._peering = peering
+        self._rules = rules
+        self._requests = 0
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Answer a request by the path's parts below the API's root; ApiError for what is rejected."""
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
                 404, "this placer agrees on turns with nobody: `agree` in its settings", "NotFound"
             )
-        number = int(parts[0]) if parts and parts[0].isdecimal() and len(parts[0]) < 16 else None
-        if (
-            (parts and number is None)
-            or len(parts) > 2
-            or (len(parts) == 2 and parts[1] not in ACTIONS)
-        ):
-            raise ApiError(
-                404, f"turns, turns/NUMBER, turns/NUMBER/{'|'.join(ACTIONS)}", "NotFound"
-            )
-        method = "GET" if len(parts) == 1 else "POST"
-        if request.method != method and not (request.method == "GET" and not parts):
-            raise ApiError(405, f"{method} is allowed here")
+        number = _route(request, parts)
         away = self._rules.away(request)
         if away is not None:
             return away
         if request.method == "GET":
-            return (
-                self._list(agreement)
-                if number is None
-                else Answer(200, names.encode(self._one(self._turn(number))))
-            )
-        body = self._body(request)
-        return (
-            self._ask(agreement, body)
-            if number is None
-            else self._act(agreement, number, parts[1], body)
-        )
+            return self._list(agreement) if number is None else self._answer(self._slot(number))
+        body = _body(request)
+        if number is None:
+            return self._request_slot(agreement, body)
+        return self._act(agreement, number, parts[1], body)
 
-    def _body(self, request: Request) -> dict[str, Any]:
-        try:
-            return names.decode(request.body) if request.body else {}
-        except ValueError as error:
-            raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
-
-    # -- to be read
+    # Reading
 
-    def _turn(self, number: int) -> Slot:
-        turn = self._peering.turns.queue.turns.get(number)
-        if turn is None:
+    def _slot(self, number: int) -> Slot:
+        slot = self._peering.turns.queue.slots.get(number)
+        if slot is None:
             raise ApiError(404, f"no turn {number}, or it ended long ago", "NotFound")
-        return turn
+        return slot
+
+    def _answer(self, slot: Slot, status: int = 200) -> Answer:
+        return Answer(status, names.encode(self._shown(slot)))
 
-    def _one(self, turn: Slot) -> dict[str, Any]:
-        turns, now = self._peering.turns, self._hub.now_us()
-        told = {key: value for key, value in asdict(turn).items() if key in SHOWN}
-        told |= {
+    def _shown(self, slot: Slot) -> dict[str, Any]:
+        scheduler = self._peering.turns
+        now_us = self._hub.now_us()
+        shown = {key: value for key, value in asdict(slot).items() if key in SLOT_FIELDS}
+        shown |= {
+            "state": slot.state.value,
             "kind": "Turn",
-            "apiVersion": API,
-            "askedUs": turn.asked_us,
-            "latestUs": turn.latest_us,
-            "lastsUs": turn.lasts_us,
-            "sinceUs": turn.since_us,
-            "leaseUs": turns.times.lease_us,
+            "apiVersion": API_VERSION,
+            "askedUs": slot.asked_us,
+            "latestUs": slot.latest_us,
+            "lastsUs": slot.lasts_us,
+            "sinceUs": slot.since_us,
+            "leaseUs": scheduler.timing.lease_us,
         }
-        if turns.blocked.get(turn.number) and turn.state in ("asked", "queued", "empty"):
-            told["blocked"] = turns.blocked[turn.number]
-        if turn.state == "closing":
-            told["unproved"] = turns.unproved(now, turn)
-        if turn.state == "out":
-            told["silent"] = turn.number in list(turns.silent(now))
-            renewed = turns.renewed_us(turn.number)
-            told["renewedAgeUs"] = now - renewed if renewed else None
-        return told
+        reason = scheduler.blocked.get(slot.number)
+        if reason and slot.state in BLOCKABLE_STATES:
+            shown["blocked"] = reason
+        if slot.state == SlotState.CLOSING:
+            shown["unproved"] = scheduler.unproved(now_us, slot)
+        if slot.state == SlotState.OUT:
+            shown["silent"] = slot.number in list(scheduler.silent(now_us))
+            renewed_us = scheduler.renewed_us(slot.number)
+            shown["renewedAgeUs"] = now_us - renewed_us if renewed_us else None
+        return shown
 
     def _list(self, agreement: Coordinator) -> Answer:
-        queue = self._peering.turns.queue
-        every = sorted(
-            queue.turns.values(),
-            key=lambda each: (each.state in OVER, each.state == "queued", rank(each)),
-        )
-        return Answer(
-            200,
-            names.encode(
-                {
-                    "kind": "TurnList",
-                    "apiVersion": API,
-                    "leader": agreement.me,
-                    "items": [self._one(each) for each in every],
-                }
-            ),
-        )
+        """Active slots, then queued ones in their order, then those that ended."""
+        slots = sorted(self._peering.turns.queue.slots.values(), key=_list_rank)
+        value = {
+            "kind": "TurnList",
+            "apiVersion": API_VERSION,
+            "leader": agreement.me,
+            "items": [self._shown(each) for each in slots],
+        }
+        return Answer(200, names.encode(value))
 
-    # -- to be done
+    # Requests
 
-    def _ask(self, agreement: Coordinator, body: dict[str, Any]) -> Answer:
-        queue, wall = self._peering.turns.queue, self._hub.clock.wall_us()
-        value = self._wanted(agreement, body, wall)
-        if value["ident"] not in queue.outcomes:
-            refused = queue.refusal(value)
-            if refused:
-                raise ApiError(
-                    429
-                    if "more are not taken" in refused
-                    else 409
-                    if "already" in refused
-                    else 422,
-                    refused,
-                    retry_after_s=60 if "more are not taken" in refused else None,
-                )
-            self._peering.propose("turns/ask", value)
-            self._wait(lambda: value["ident"] in queue.outcomes)
-        number, why_not = queue.outcomes[value["ident"]]
-        if why_not:
-            raise ApiError(409, why_not, "Conflict")
-        return Answer(201, names.encode(self._one(self._turn(number))))
-
-    def _wanted(self, agreement: Coordinator, body: dict[str, Any], wall: int) -> dict[str, Any]:
+    def _request_slot(self, agreement: Coordinator, body: dict[str, Any]) -> Answer:
+        queue = self._peering.turns.queue
+        value = self._request_value(agreement, body, self._hub.clock.wall_us())
+        ident = value["ident"]
+        if ident not in queue.outcomes:
+            request = SlotRequested.from_json(value)
+            refusal = queue.refusal(request)
+            if refusal:
+                raise _refused(refusal)
+            self._peering.propose(f"turns/{request.kind}", request.to_json())
+            self._wait(lambda: ident in queue.outcomes)
+        number, refusal = queue.outcomes[ident]
+        if refusal:
+            raise ApiError(409, refusal, "Conflict")
+        return self._answer(self._slot(number), 201)
+
+    def _request_value(
+        self, agreement: Coordinator, body: dict[str, Any], wall_us: int
+    ) -> dict[str, Any]:
+        """The request as an entry's JSON form, its names and figures as the sender gave them."""
         try:
-            latest, lasts = str(body.get("latest", "")), str(body.get("lasts", "0s"))
-            latest_us = _wall_us(latest, wall) if latest else 0
-            lasts_us = parse_duration(lasts)
+            latest = str(body.get("latest", ""))
+            latest_us = _wall_us(latest, wall_us) if latest else 0
+            lasts_us = parse_duration(str(body.get("lasts", "0s")))
         except ValueError as error:
-            raise ApiError(422, f"latest, lasts: {error}", "Invalid") from None
-        self._asked += 1
-        ident = body.get("ident") or f"{agreement.me}-{self._hub.now_us()}-{self._asked}"
+            raise ApiError(422, f"latest, lasts: {error}", "Invalid") from error
+        self._requests += 1
+        ident = body.get("ident") or f"{agreement.me}-{self._hub.now_us()}-{self._requests}"
         return {
-            "ident": str(ident)[:IDENT_MOST],
+            "ident": str(ident)[:MAX_IDENT_CHARACTERS],
             "machine": body.get("machine"),
             "region": "",
             "zone": "",
@@ -180,84 +172,138 @@
             "urgency": body.get("urgency", 5),
             "latest_us": latest_us,
             "lasts_us": lasts_us,
-            "worker": str(body.get("worker", ""))[:LABEL_MOST],
-            "at_us": wall,
+            "worker": str(body.get("worker", ""))[:MAX_LABEL_CHARACTERS],
+            "at_us": wall_us,
         }
 
-    def _wait(self, done: Any, most_us: int = DECIDED_US) -> None:
-        end = self._hub.now_us() + most_us
-        while not done():
-            if self._hub.now_us() >= end:
-                raise ApiError(
-                    504, "not decided yet: send it again, a request under the same ident", "Timeout"
-                )
-            self._hub.sleep(LOOK_US)
+    # Actions
 
     def _act(
         self, agreement: Coordinator, number: int, action: str, body: dict[str, Any]
     ) -> Answer:
-        turn, worker = self._turn(number), body.get("worker")
-        if worker is not None and turn.worker and worker != turn.worker and action != "give-back":
-            raise ApiError(409, f"turn {number} is {turn.worker}'s", "Conflict")
+        slot = self._slot(number)
+        worker = body.get("worker")
+        is_other = worker is not None and slot.worker and worker != slot.worker
+        if is_other and action != GIVE_BACK:
+            raise ApiError(409, f"turn {number} is {slot.worker}'s", "Conflict")
         if action == "renew":
             return self._renew(agreement, number)
-        kind = "give-back" if action == "give-back" else "back"
-        if kind == "back" and turn.state != "out":
-            if turn.state in ("back", "done"):
-                return Answer(200, names.encode(self._one(turn)))  # its answer may have been lost
-            raise ApiError(409, f"turn {number} is {turn.state}, not out", "Conflict")
-        if kind == "give-back" and (turn.given or turn.state in ("back", "done", "given-back")):
-            if turn.given:
-                return Answer(200, names.encode(self._one(turn)))
-            raise ApiError(409, f"turn {number} is {turn.state} already", "Conflict")
-        held = (
-            kind == "give-back"
-            and turn.state == "out"
-            and turn.worker
-            and worker != turn.worker
-            and turn.number not in list(self._peering.turns.silent(self._hub.now_us()))
-        )
-        if held and not body.get("force"):
-            # Danger: its worker may work for as long as its lease goes on, beside whoever comes next.
+        if action == GIVE_BACK:
+            return self._give_back(slot, body)
+        return self._return_machine(slot, body)
+
+    def _return_machine(self, slot: Slot, body: dict[str, Any]) -> Answer:
+        if slot.state == SlotState.OUT:
+            return self._transition(MachineReturned, slot, body)
+        if slot.state in (SlotState.BACK, SlotState.DONE):
+            return self._answer(slot)  # the answer to an earlier request may have been lost
+        raise ApiError(409, f"turn {slot.number} is {slot.state}, not out", "Conflict")
+
+    def _give_back(self, slot: Slot, body: dict[str, Any]) -> Answer:
+        if slot.given:
+            return self._answer(slot)
+        if slot.state in RETURNED_STATES:
+            raise ApiError(409, f"turn {slot.number} is {slot.state} already", "Conflict")
+        if self._is_held_by_other(slot, body.get("worker")) and not body.get("force"):
+            # Danger: its operator may work until its lease lapses, beside the next one.
             raise ApiError(
                 409,
-                f"turn {number} is held by {turn.worker}, who is heard of: its word, or force, is "
+                f"turn {slot.number} is held by {slot.worker}, who is heard of: its word, or force, is "
                 "wanted",
                 "Conflict",
             )
-        words = str(body.get("note", ""))[:WORDS_MOST]
-        self._peering.propose(
-            f"turns/{kind}", {"number": number, "at_us": self._hub.clock.wall_us(), "note": words}
+        return self._transition(SlotGivenBack, slot, body)
+
+    def _is_held_by_other(self, slot: Slot, worker: object) -> bool:
+        """Whether an operator other than the sender holds the slot by a lease that has not lapsed."""
+        if slot.state != SlotState.OUT or not slot.worker or worker == slot.worker:
+            return False
+        return slot.number not in list(self._peering.turns.silent(self._hub.now_us()))
+
+    def _transition(
+        self, entry_type: type[SlotTransition], slot: Slot, body: dict[str, Any]
+    ) -> Answer:
+        """Propose a transition and wait until it is decided."""
+        entry = entry_type(
+            number=slot.number,
+            at_us=self._hub.clock.wall_us(),
+            note=str(body.get("note", ""))[:MAX_NOTE_CHARACTERS],
         )
-        state = turn.state
-        self._wait(lambda: self._turn(number).state != state)
-        return Answer(200, names.encode(self._one(self._turn(number))))
+        self._peering.propose(f"turns/{entry.kind}", entry.to_json())
+        self._wait(lambda: self._slot(slot.number).state != slot.state)
+        return self._answer(self._slot(slot.number))
 
     def _renew(self, agreement: Coordinator, number: int) -> Answer:
-        turns, asked = self._peering.turns, self._hub.now_us()
-        turn = self._turn(number)
-        if turn.state == "out":
-            turns.renew(asked, number)
-            self._wait(
-                lambda: turns.renewed_us(number) >= asked
-                or self._turn(number).state != "out"
-                or not agreement.leads,
-                CONFIRMED_US,
-            )
+        """Renew the operator's lease and wait until a majority has followed this leader since."""
+        scheduler = self._peering.turns
+        asked_us = self._hub.now_us()
+        slot = self._slot(number)
+        if slot.state == SlotState.OUT:
+            scheduler.renew(asked_us, number)
+
+            def is_settled() -> bool:
+                is_renewed = scheduler.renewed_us(number) >= asked_us
+                is_out = self._slot(number).state == SlotState.OUT
+                return is_renewed or not is_out or not agreement.leads
+
+            self._wait(is_settled, CONFIRMATION_TIMEOUT_US)
             if not agreement.leads:
                 raise ApiError(
                     503, "this placer leads no more", "ServiceUnavailable", retry_after_s=1
                 )
-            turn = self._turn(number)
-        if turn.state in ("back", *OVER):
+            slot = self._slot(number)
+        if slot.state in RETURNED_STATES:
+            note = f": {slot.note}" if slot.note else ""
             raise ApiError(
                 409,
-                f"turn {number} is {turn.state}"
-                + (f": {turn.note}" if turn.note else "")
-                + "; its machine is not to be worked on",
+                f"turn {number} is {slot.state}{note}; its machine is not to be worked on",
                 "Conflict",
             )
-        return Answer(200, names.encode(self._one(turn)))
+        return self._answer(slot)
+
+    def _wait(self, is_done: Callable[[], bool], timeout_us: int = DECISION_TIMEOUT_US) -> None:
+        end_us = self._hub.now_us() + timeout_us
+        while not is_done():
+            if self._hub.now_us() >= end_us:
+                raise ApiError(
+                    504, "not decided yet: send it again, a request under the same ident", "Timeout"
+                )
+            self._hub.sleep(POLL_INTERVAL_US)
+
+
+def _route(request: Request, parts: list[str]) -> int | None:
+    """The slot's number in a path, None for all slots; ApiError for unknown paths and methods."""
+    number = None
+    if parts and parts[0].isdecimal() and len(parts[0]) <= MAX_NUMBER_DIGITS:
+        number = int(parts[0])
+    has_action = len(parts) == len(("number", "action"))
+    is_known = (number is not None or not parts) and (
+        len(parts) <= 1 or (has_action and parts[1] in ACTIONS)
+    )
+    if not is_known:
+        raise ApiError(404, f"turns, turns/NUMBER, turns/NUMBER/{'|'.join(ACTIONS)}", "NotFound")
+    method = "GET" if len(parts) == 1 else "POST"
+    if request.method != method and not (request.method == "GET" and not parts):
+        raise ApiError(405, f"{method} is allowed here")
+    return number
+
+
+def _body(request: Request) -> dict[str, Any]:
+    try:
+        return names.decode(request.body) if request.body else {}
+    except ValueError as error:
+        raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from error
+
+
+def _list_rank(slot: Slot) -> tuple[bool, bool, tuple[int, int, int, int, str, int]]:
+    return slot.state in ENDED_STATES, slot.state == SlotState.QUEUED, queue_rank(slot)
+
+
+def _refused(refusal: str) -> ApiError:
+    """429 while the queue is full, 409 where the machine has a slot, 422 for an invalid request."""
+    if "more are not taken" in refusal:
+        return ApiError(429, refusal, retry_after_s=FULL_RETRY_S)
+    return ApiError(409 if "already" in refusal else 422, refusal)
 
 
 def _wall_us(text: str, wall_us: int) -> int:
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -6,16 +6,16 @@
 from typing import Any, get_args
 
 from wingbarrow.decide.coordination import messages as asking
-from wingbarrow.decide.maintenance.slots import (
-    CELLS_MOST,
-    IDENT_MOST,
-    LOST_MOST,
-    TURNS_MOST,
-    WANTS_MOST,
+from wingbarrow.decide.maintenance.entries import MAX_IDENT_CHARACTERS
+from wingbarrow.decide.maintenance.messages import (
+    MAX_REPORTED_CELLS,
+    MAX_REPORTED_LOSSES,
+    MAX_REPORTED_REQUESTS,
     MaintenanceReport,
     MaintenanceResponse,
     RegionView,
 )
+from wingbarrow.decide.maintenance.slots import MAX_LIVE_SLOTS
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.regions.reports import LEASED_MOST, REGIONS_MOST, RegionReport, RegionSummary
 from wingbarrow.decide.sessions import messages as leasing
@@ -158,15 +158,15 @@
         tuple(count for _, count in said.tasks),
     )
     return (
-        all(len(each) <= TURNS_MOST and _figures(*each) for each in numbers)
+        all(len(each) <= MAX_LIVE_SLOTS and _figures(*each) for each in numbers)
         and _figures(said.at_us)
-        and len(said.places) <= TURNS_MOST
+        and len(said.places) <= MAX_LIVE_SLOTS
         and all(_figures(number) and _names(zone, cell) for number, zone, cell in said.places)
         and _names(said.region)
         and (said.view is None or _view(said.view))
-        and len(said.wants) <= WANTS_MOST
+        and len(said.wants) <= MAX_REPORTED_REQUESTS
         and all(
-            _names(each.ident, most=IDENT_MOST)
+            _names(each.ident, most=MAX_IDENT_CHARACTERS)
             and _names(each.machine, each.zone, each.cell, each.why, each.unsafe)
             and _figures(each.urgency, each.latest_us, each.lasts_us, each.ends_us, each.from_us)
             for each in said.wants
@@ -176,8 +176,8 @@
 
 def _view(view: RegionView) -> bool:
     return (
-        len(view.cells) <= CELLS_MOST
-        and len(view.lost) <= LOST_MOST
+        len(view.cells) <= MAX_REPORTED_CELLS
+        and len(view.lost) <= MAX_REPORTED_LOSSES
         and 0 <= view.used < 1e9
         and all(_names(zone, cell) and 0 <= count < 1 << 31 for zone, cell, count in view.cells)
         and all(_names(*each) for each in view.lost)
@@ -187,8 +187,8 @@
 def _turns_told(told: MaintenanceResponse) -> bool:
     return (
         _figures(told.version, *told.silent)
-        and len(told.turns) <= TURNS_MOST
-        and len(told.silent) <= TURNS_MOST
+        and len(told.turns) <= MAX_LIVE_SLOTS
+        and len(told.silent) <= MAX_LIVE_SLOTS
         and all(
             _figures(number) and _names(machine, state, who)
             for number, machine, state, who in told.turns
