--- a/benchmarks/drain_plan.py
+++ b/benchmarks/drain_plan.py
@@ -9,8 +9,8 @@
 import time
 from datetime import datetime
 
-from wingbarrow.decide.drains import Fate, MachineState, Rules, plan
-from wingbarrow.decide.windows import SECOND, Selector, Series, expand_all, to_us, zone
+from wingbarrow.decide.maintenance.drain_plan import Fate, MachineState, Rules, plan
+from wingbarrow.decide.maintenance.windows import SECOND, Selector, Series, expand_all, to_us, zone
 
 HOUR = 3600 * SECOND
 
--- a/tests/decide/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -10,7 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.draining import (
+from wingbarrow.decide.maintenance.drain_plan import (
+    Budget,
+    Drain,
+    Fate,
+    MachineState,
+    Rules,
+    Scope,
+    plan,
+)
+from wingbarrow.decide.maintenance.drain_progress import (
     OVER,
     Drains,
     Held,
@@ -20,8 +29,7 @@
     Turn,
     failed_zones,
 )
-from wingbarrow.decide.drains import Budget, Drain, Fate, MachineState, Rules, Scope, plan
-from wingbarrow.decide.windows import (
+from wingbarrow.decide.maintenance.windows import (
     SECOND,
     Blackout,
     Occurrence,
--- a/tests/decide/maintenance/test_slots_machine.py
+++ b/tests/decide/maintenance/test_queue_model.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from wingbarrow.decide.drains import Budget, Scope
 from wingbarrow.decide.maintenance.budgets import BudgetUse
+from wingbarrow.decide.maintenance.drain_plan import Budget, Scope
 from wingbarrow.decide.maintenance.entries import decode_entry
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import AGING_PERIOD_US, SlotQueue
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.maintenance.calendar import calendar_requests
+from wingbarrow.decide.maintenance.drain_plan import MachineState
 from wingbarrow.decide.maintenance.entries import SlotRequested, decode_entry
 from wingbarrow.decide.maintenance.messages import MaintenanceReport, RegionView
 from wingbarrow.decide.maintenance.participant import MaintenanceMember, NoObservations
--- a/tests/decide/test_windows.py
+++ b/tests/decide/maintenance/test_windows.py
@@ -9,7 +9,7 @@
 
 from wingbarrow.config import SettingsError
 from wingbarrow.config.calendar import Calendar, load_calendar, read_ics, read_kdl
-from wingbarrow.decide.windows import (
+from wingbarrow.decide.maintenance.windows import (
     OCCURRENCES_MOST,
     SECOND,
     Selector,
--- a/tests/stored/state.py
+++ b/tests/stored/state.py
@@ -14,9 +14,9 @@
 from wingbarrow.core.fleet import saved_entries
 from wingbarrow.core.logs import silent
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.draining import Held, Phase, Running
-from wingbarrow.decide.drains import Drain, Fate, MachineState
-from wingbarrow.decide.windows import UnsafePolicy
+from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState
+from wingbarrow.decide.maintenance.drain_progress import Held, Phase, Running
+from wingbarrow.decide.maintenance.windows import UnsafePolicy
 from wingbarrow.interface import ListedMachine
 from wingbarrow.interface import Phase as MachinePhase
 from wingbarrow.kube import names
--- a/wingbarrow/cli/drains.py
+++ b/wingbarrow/cli/drains.py
@@ -15,8 +15,8 @@
 from wingbarrow.config import SettingsError, parse_size
 from wingbarrow.config.calendar import load_calendar
 from wingbarrow.core.nodes import read_node
-from wingbarrow.decide.drains import Drain, MachineState, plan
-from wingbarrow.decide.windows import expand_all
+from wingbarrow.decide.maintenance.drain_plan import Drain, MachineState, plan
+from wingbarrow.decide.maintenance.windows import expand_all
 from wingbarrow.kube import names
 
 SECOND = 1_000_000
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -28,9 +28,9 @@
     text,
     word,
 )
-from wingbarrow.decide.draining import Policy
-from wingbarrow.decide.drains import Budget, Rules, Scope
-from wingbarrow.decide.windows import (
+from wingbarrow.decide.maintenance.drain_plan import Budget, Rules, Scope
+from wingbarrow.decide.maintenance.drain_progress import Policy
+from wingbarrow.decide.maintenance.windows import (
     Blackout,
     Selector,
     Series,
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -13,8 +13,8 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.draining import Held, Running
-from wingbarrow.decide.drains import MachineState
+from wingbarrow.decide.maintenance.drain_plan import MachineState
+from wingbarrow.decide.maintenance.drain_progress import Held, Running
 from wingbarrow.kube import names
 
 
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -1,7 +1,8 @@
-"""Drains by the calendar, done by one placer: plan, narrow the module, move own tasks at its share of the pace.
+"""Calendar drains of one placer: plan them, narrow the placement module, move own tasks at its share of the pace.
 
-What is out when is decided in `decide.drains`, what may be done next in `decide.draining`; where a moved task goes, by
-the module. The state of drains is kept on disk: a restart, or a clock set back, goes on where it stood.
+What is out when is decided in `decide.maintenance.drain_plan`, what may be done next in
+`decide.maintenance.drain_progress`; where a moved task goes, by the placement module. The state of drains is kept on
+disk: after a restart, or when the clock is set back, they go on from there.
 """
 
 from __future__ import annotations
@@ -17,10 +18,17 @@
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.load import SettingsError
 from wingbarrow.core.saved_list import write_whole
-from wingbarrow.decide.draining import OVER, Drains, Held, Phase, Running, failed_zones
-from wingbarrow.decide.drains import Drain, Fate, MachineState, plan
+from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState, plan
+from wingbarrow.decide.maintenance.drain_progress import (
+    OVER,
+    Drains,
+    Held,
+    Phase,
+    Running,
+    failed_zones,
+)
+from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_us
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
-from wingbarrow.decide.windows import Series, UnsafePolicy, expand_all, to_us
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -20,8 +20,8 @@
 from wingbarrow.core.outlier_ejection import FAULTS
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.coordination.coordinator import Coordinator
-from wingbarrow.decide.drains import MachineState
 from wingbarrow.decide.maintenance.calendar import calendar_requests
+from wingbarrow.decide.maintenance.drain_plan import MachineState
 from wingbarrow.decide.maintenance.messages import RegionView, SlotRequest
 from wingbarrow.decide.maintenance.participant import (
     KnownSlot,
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -1,9 +1,9 @@
 """How many machines may be out at once: disruption budgets by cell, zone, region and fleet; no I/O.
 
-In the terms of Kubernetes' PodDisruptionBudget (`decide.drains.Budget`), for machines. A machine counts as out once
-its slot has closed it, and as long as it is lost, ejected as an outlier or drained by the list: what spends a budget
-does not matter. Which machines belong to a place is what its region's reporter said; a region whose reporter is not
-heard of is out of reach, and neither its machines nor those of them that are out are counted.
+In the terms of Kubernetes' PodDisruptionBudget (`drain_plan.Budget`), for machines. A machine counts as out once its
+slot has closed it, and as long as it is lost, ejected as an outlier or drained by the list: what spends a budget does
+not matter. Which machines belong to a place is what its region's reporter said; a region whose reporter is not heard of
+is out of reach, and neither its machines nor those of them that are out are counted.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from wingbarrow.decide.drains import Budget, Scope
+from wingbarrow.decide.maintenance.drain_plan import Budget, Scope
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import Slot
 
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterator, Sequence
 from itertools import islice
 
-from wingbarrow.decide.drains import MachineState
+from wingbarrow.decide.maintenance.drain_plan import MachineState
 from wingbarrow.decide.maintenance.entries import CALENDAR, MAX_URGENCY
 from wingbarrow.decide.maintenance.messages import SlotRequest
 from wingbarrow.decide.maintenance.slots import short_ident
+from wingbarrow.decide.maintenance.windows import Occurrence, Series, UnsafePolicy, expand_all
 from wingbarrow.decide.rulesets.agreed_drains import series_of
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.decide.windows import Occurrence, Series, UnsafePolicy, expand_all
 
 MAX_CALENDAR_WANTED = 4096
 DEFAULT_URGENCY = 4  # of a window of precedence 0
--- a/wingbarrow/decide/drains.py
+++ b/wingbarrow/decide/maintenance/drain_plan.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wingbarrow.decide.windows import Blackout, Occurrence
+from wingbarrow.decide.maintenance.windows import Blackout, Occurrence
 
 
 class Scope(Enum):
--- a/wingbarrow/decide/draining.py
+++ b/wingbarrow/decide/maintenance/drain_progress.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from wingbarrow.decide.drains import Drain
-from wingbarrow.decide.windows import UnsafePolicy
+from wingbarrow.decide.maintenance.drain_plan import Drain
+from wingbarrow.decide.maintenance.windows import UnsafePolicy
 
 SECOND = 1_000_000
 CANCELLED, WITHDRAWN = "cancelled by the operator", "its window was taken back"
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -10,9 +10,9 @@
 from datetime import UTC, date, datetime
 from typing import Any
 
-from wingbarrow.decide.draining import Policy
-from wingbarrow.decide.drains import Budget, Rules, Scope
-from wingbarrow.decide.windows import (
+from wingbarrow.decide.maintenance.drain_plan import Budget, Rules, Scope
+from wingbarrow.decide.maintenance.drain_progress import Policy
+from wingbarrow.decide.maintenance.windows import (
     Blackout,
     Selector,
     Series,
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowRules:
-    """A window as text: `decide.windows.Series` in a form that has one spelling."""
+    """A window as text: `decide.maintenance.windows.Series` in a form that has one spelling."""
 
     name: str
     start: str  # local to `zone`; with its offset where that is ""
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """What all plans keep and how drains are done: `decide.drains.Rules` and `decide.draining.Policy`."""
+    """What all plans keep and how drains are done: `drain_plan.Rules` and `drain_progress.Policy`."""
 
     budgets: tuple[tuple[str, str, float], ...] = (
         ("cell", "max", 1.0),
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.config import parse_duration
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.decide.drains import Fate
+from wingbarrow.decide.maintenance.drain_plan import Fate
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, fresh
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.http.message import Request
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.drains import Rules, Scope
+from wingbarrow.decide.maintenance.drain_plan import Rules, Scope
 from wingbarrow.lab.fleet.judging.formulas import KNOWN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -10,8 +10,8 @@
 
 from wingbarrow.config.calendar import load_calendar
 from wingbarrow.core.logs import silent
-from wingbarrow.decide.drains import Drain, Fate, MachineState, plan
-from wingbarrow.decide.windows import expand_all
+from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState, plan
+from wingbarrow.decide.maintenance.windows import expand_all
 from wingbarrow.lab.audit import audit
 from wingbarrow.lab.cluster import SECOND, Cluster
 from wingbarrow.lab.figures import over_seeds, write_rows
