--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -203,7 +203,7 @@
             for name in sorted(set(cluster.names) - set(cluster.live)):
                 cluster.start(name)
         elif what < 0.65 and (leader := cluster.leader()) is not None:
-            cluster.act(leader.name, leader.compact(" ".join(cluster.states[leader.name])))
+            cluster.act(leader.name, leader.log.compact(" ".join(cluster.states[leader.name])))
         else:
             proposed += cluster.propose(f"{seed}-{proposed}")
     cluster.settle()
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -179,7 +179,7 @@
     @rule(name=st.sampled_from(NAMES))
     def fold(self, name: str) -> None:
         if name in self.live:
-            self.act(name, self.live[name].compact(f"state up to {self.applied[name]}"))
+            self.act(name, self.live[name].log.compact(f"state up to {self.applied[name]}"))
 
     @invariant()
     def what_is_on_disk_is_what_is_said(self) -> None:
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -249,7 +249,7 @@
         agreed.chapters |= {
             name: each.snapshot() for name, each in self.agreement.subsystems.items()
         }
-        self._do(self.agreement.apply_raft(self.now_us, raft.compact(agreed.text())))
+        self._do(self.agreement.apply_raft(self.now_us, raft.log.compact(agreed.text())))
 
 
 def restarted(voter: Voter) -> Voter:
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -1,24 +1,22 @@
 """Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) without I/O; sections are cited by number.
 
 Beside elections and log replication (chapter 3): changes of one voter at a time (4.1), log compaction (5), confirmation
-of leadership for reads (ReadIndex, 6.4), pre-vote (9.6) and check-quorum (6.2). Guaranteed is what figure 3.2 lists, for
-a host that keeps to its duties, listed at `Raft`.
+of leadership for reads (ReadIndex, 6.4), pre-vote (9.6) and check-quorum (6.2). Guaranteed is what figure 3.2 lists,
+for a host that keeps to its duties, listed at `Raft`.
 """
 
 from __future__ import annotations
 
 import random
-from dataclasses import replace
 from enum import Enum
 
 from wingbarrow.decide.consensus.effects import (
     Effects,
-    EntriesCommitted,
     LeadershipChanged,
     LeadershipConfirmed,
     SnapshotRestored,
 )
-from wingbarrow.decide.consensus.entries import NO_OP, VOTERS, LogEntry, Snapshot
+from wingbarrow.decide.consensus.entries import NO_OP, VOTERS
 from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.messages import (
     AppendRequest,
@@ -29,10 +27,10 @@
     VoteResponse,
 )
 from wingbarrow.decide.consensus.progress import LeaderState, PendingRead, Progress
-from wingbarrow.decide.effects import Notify, Persist, Send, SetTimer
+from wingbarrow.decide.consensus.replicated_log import ReplicatedLog
+from wingbarrow.decide.effects import Notify, Send, SetTimer
 
 MAX_APPEND_ENTRIES = 32  # in one AppendRequest
-MAX_LOG_ENTRIES = 512  # that are committed, before the log should be compacted
 HEARTBEATS_PER_ELECTION_TIMEOUT = 5
 
 TIMER_PREFIX = "raft "  # of the keys that the host sees
@@ -60,8 +58,9 @@
        it fails, call `on_storage_failure` and drop the rest.
     3. Apply `EntriesCommitted` and `SnapshotRestored` to the state machine.
     4. Answer a read at the leader only after `LeadershipConfirmed` for a `confirm_leadership` that came after the read
-       did, and only once an entry of the leader's own term is committed (6.4).
-    5. Call `compact` with the state machine's snapshot when `should_compact` says so, with all effects carried out.
+       did, and only if `log.has_committed_in_term` (6.4).
+    5. Call `log.compact` with a snapshot of the state machine, which has applied all that was handed over, when
+       `log.should_compact` says so; carry out its effects likewise.
 
     `persistent` is what the host's store holds, and belongs to this voter from then on. It is None where the store was
     lost: the voter then takes no part, for it may have cast a vote or acknowledged entries that it does not know of.
@@ -76,12 +75,11 @@
     ) -> None:
         self.name = name
         self.has_lost_state = persistent is None
-        self.persistent = persistent or PersistentState(())
+        self.log = ReplicatedLog(persistent or PersistentState(()))
+        self.persistent = self.log.persistent
         self.role = Role.FOLLOWER
         self.leader = ""  # as far as is known; "" where nobody is
-        self.commit_index = self.persistent.snapshot_index
         self.elected_at_us = 0  # when this voter became leader last
-        self._last_applied = self.persistent.snapshot_index
         self._election_timeout_us = election_timeout_us
         self._heartbeat_us = election_timeout_us // HEARTBEATS_PER_ELECTION_TIMEOUT
         self._random = random.Random(seed)
@@ -104,16 +102,6 @@
         """Whether this voter leads, as far as it knows: see `confirm_leadership`."""
         return self.role is Role.LEADER
 
-    @property
-    def has_committed_in_term(self) -> bool:
-        """Whether an entry of the current term is committed; before, a leader's commit index may be behind (6.4)."""
-        return self.persistent.term_at(self.commit_index) == self.persistent.term
-
-    @property
-    def should_compact(self) -> bool:
-        """Whether enough entries have been applied for the host to call `compact`."""
-        return self._last_applied - self.persistent.snapshot_index > MAX_LOG_ENTRIES
-
     def start(self, now_us: int) -> Effects:
         """Begin as a follower, from what is on disk."""
         restored = SnapshotRestored(self.persistent.snapshot_index, self.persistent.snapshot_state)
@@ -129,11 +117,10 @@
         self._now_us = now_us
         if not self.is_leader:
             return -1, []
-        self.persistent.log.append(LogEntry(self.persistent.term, kind, body))
+        effects: Effects = [self.log.append(kind, body)]
+        index = self.persistent.last_log_index
         if kind == VOTERS:
             self._track_followers(now_us)
-        index = self.persistent.last_log_index
-        effects: Effects = [self._persist_from(index)]
         effects += self._broadcast()
         effects += self._advance_commit_index()
         return index, effects
@@ -145,9 +132,9 @@
         safety, any before an entry of this leader's term is committed.
         """
         is_one_change = len(set(self.voters) ^ set(voters)) == 1
-        if not is_one_change or not voters or not self.has_committed_in_term:
+        if not is_one_change or not voters or not self.log.has_committed_in_term:
             return -1, []
-        if self.persistent.has_configuration_after(self.commit_index):
+        if self.log.has_uncommitted_configuration:
             return -1, []
         return self.propose(now_us, VOTERS, " ".join(voters))
 
@@ -161,17 +148,6 @@
         self._leading.pending_reads.append(PendingRead(read_id, self._round + 1))
         return [*self._broadcast(), *self._confirm_reads()]
 
-    def compact(self, state: str) -> Effects:
-        """Replace all applied entries by a snapshot of the state machine, which has applied exactly these (5)."""
-        persistent = self.persistent
-        index = self._last_applied
-        if index <= persistent.snapshot_index:
-            return []
-        term = persistent.term_at(index) or 0
-        snapshot = Snapshot(index, term, persistent.voters_at(index), state)
-        persistent.replace_snapshot(snapshot, list(persistent.entries_from(index + 1)))
-        return [self._persist_snapshot()]
-
     def on_storage_failure(self) -> None:
         """The host could not write a `Persist`: from now on this voter takes no part."""
         self.has_lost_state = True
@@ -229,9 +205,7 @@
         self._votes = {self.name}
         self._has_yielded = False
         if not pre_vote:
-            self.persistent.term += 1
-            self.persistent.vote = self.name
-            effects.append(self._persist_vote())
+            effects.append(self.log.begin_term(self.persistent.term + 1, vote=self.name))
         effects += self._request_votes(now_us)
         effects.append(self._set_election_timer(now_us))
         effects += self._count_votes(now_us)
@@ -273,8 +247,7 @@
         is_free = persistent.vote in ("", candidate)
         granted = is_eligible and request.term == persistent.term and is_free
         if granted and not persistent.vote:
-            persistent.vote = candidate
-            effects.append(self._persist_vote())
+            effects.append(self.log.vote_for(candidate))
         if granted:
             effects.append(self._set_election_timer(now_us))
         effects.append(Send(candidate, "", VoteResponse(persistent.term, granted, False)))
@@ -327,9 +300,8 @@
         self._leading = LeaderState()
         self._track_followers(now_us)
         # Entries of earlier terms are committed only together with one of the leader's own (3.6.2).
-        self.persistent.log.append(LogEntry(self.persistent.term, NO_OP, ""))
         effects: Effects = [
-            self._persist_from(self.persistent.last_log_index),
+            self.log.append(NO_OP, ""),
             LeadershipChanged(True),
             Notify("leads", {"term": self.persistent.term}),
         ]
@@ -344,10 +316,8 @@
         effects: Effects = []
         self.role = Role.FOLLOWER
         if term > self.persistent.term:
-            self.persistent.term = term
-            self.persistent.vote = ""
             self.leader = ""
-            effects.append(self._persist_vote())
+            effects.append(self.log.begin_term(term, vote=""))
         if was_leader:
             self.leader = ""
             effects.append(LeadershipChanged(False))
@@ -371,10 +341,8 @@
     def _on_heartbeat_timer(self, now_us: int) -> Effects:
         if not self.is_leader:
             return []
-        active = self._own_vote() + sum(
-            now_us - each.last_response_us < 2 * self._election_timeout_us
-            for each in self._leading.progress.values()
-        )
+        since_us = now_us - 2 * self._election_timeout_us
+        active = self._own_vote() + self._leading.heard_since(since_us)
         if not self._is_majority(active):
             # Check-quorum (6.2). Danger: a leader that a majority hears no longer would go on answering as one.
             return self._step_down(now_us, self.persistent.term)
@@ -412,7 +380,7 @@
             prev_index,
             prev_term,
             persistent.next_entries(prev_index, MAX_APPEND_ENTRIES),
-            self.commit_index,
+            self.log.commit_index,
             self._round,
         )
         return Send(follower, "", request)
@@ -449,12 +417,10 @@
             reverse=True,
         )
         index = match_indexes[len(match_indexes) // 2]
-        if index <= self.commit_index or self.persistent.term_at(index) != self.persistent.term:
+        if index <= self.log.commit_index or self.persistent.term_at(index) != self.persistent.term:
             return []
-        self.commit_index = index
-        effects = self._apply_committed()
-        is_removed = self.name not in self.voters
-        if is_removed and not self.persistent.has_configuration_after(self.commit_index):
+        effects = self.log.commit(index)
+        if self.name not in self.voters and not self.log.has_uncommitted_configuration:
             effects += self._step_down(self._now_us, self.persistent.term)  # 4.2.2
         return effects
 
@@ -463,9 +429,7 @@
         effects: Effects = []
         reads = self._leading.pending_reads
         while reads:
-            answered = self._own_vote() + sum(
-                each.acked_round >= reads[0].round for each in self._leading.progress.values()
-            )
+            answered = self._own_vote() + self._leading.answered(reads[0].round)
             if not self._is_majority(answered):
                 break
             effects.append(LeadershipConfirmed(reads.popleft().read_id))
@@ -483,54 +447,15 @@
         self._last_leader_contact_us = now_us
         effects.append(self._set_election_timer(now_us))
         if isinstance(message, AppendRequest):
-            effects += self._on_append_request(leader, message)
-        else:
-            effects += self._on_install_snapshot(leader, message)
-        return effects
-
-    def _on_append_request(self, leader: str, request: AppendRequest) -> Effects:
-        persistent = self.persistent
-        if request.prev_index < persistent.snapshot_index:
-            # What the snapshot includes is committed, so the logs agree up to its end.
-            known = persistent.snapshot_index - request.prev_index
-            request = replace(
-                request, prev_index=persistent.snapshot_index, entries=request.entries[known:]
+            result = self.log.append_from_leader(message)
+            effects += result.effects
+            effects.append(
+                self._append_response(leader, message.round, ok=result.ok, match=result.match)
             )
-        elif persistent.term_at(request.prev_index) != request.prev_term:
-            retry_index = min(persistent.last_log_index, request.prev_index - 1)
-            return [self._append_response(leader, request.round, ok=False, match=retry_index)]
-        effects = self._append_new_entries(request)
-        last_new_index = request.prev_index + len(request.entries)
-        if request.commit > self.commit_index:
-            self.commit_index = max(self.commit_index, min(request.commit, last_new_index))
-            effects += self._apply_committed()
-        effects.append(self._append_response(leader, request.round, ok=True, match=last_new_index))
-        return effects
-
-    def _append_new_entries(self, request: AppendRequest) -> Effects:
-        """Append what is not in the log, in place of entries that conflict with it: those were never committed."""
-        for offset, entry in enumerate(request.entries):
-            index = request.prev_index + offset + 1
-            if self.persistent.term_at(index) != entry.term:
-                self.persistent.replace_from(index, request.entries[offset:])
-                return [self._persist_from(index)]
-        return []
-
-    def _on_install_snapshot(self, leader: str, message: InstallSnapshot) -> Effects:
-        effects: Effects = []
-        persistent = self.persistent
-        if message.index > self.commit_index:
-            is_in_log = persistent.term_at(message.index) == message.last_term
-            log = list(persistent.entries_from(message.index + 1)) if is_in_log else []
-            voters = tuple(message.voters.split())
-            snapshot = Snapshot(message.index, message.last_term, voters, message.state)
-            persistent.replace_snapshot(snapshot, log)
-            self.commit_index = message.index
-            self._last_applied = message.index
-            effects.append(self._persist_snapshot())
-            effects.append(SnapshotRestored(message.index, message.state))
-        match_index = max(message.index, 0)
-        effects.append(self._append_response(leader, message.round, ok=True, match=match_index))
+        else:
+            effects += self.log.install_snapshot(message)
+            match = max(message.index, 0)
+            effects.append(self._append_response(leader, message.round, ok=True, match=match))
         return effects
 
     def _append_response(
@@ -541,17 +466,7 @@
             match = self.persistent.last_log_index
         return Send(leader, "", AppendResponse(self.persistent.term, ok, match, broadcast))
 
-    def _apply_committed(self) -> Effects:
-        """Hand over the entries that are committed and not applied."""
-        if self.commit_index <= self._last_applied:
-            return []
-        first_index = self._last_applied + 1
-        entries = self.persistent.entries_from(first_index)
-        count = self.commit_index - self._last_applied
-        self._last_applied = self.commit_index
-        return [EntriesCommitted(first_index, entries[:count])]
-
-    # -- Majorities, persistence and timers
+    # -- Majorities and timers
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.voters)
@@ -560,26 +475,6 @@
         """1 where this voter is in the configuration; a leader that was removed does not count itself (4.2.2)."""
         return 1 if self.name in self.voters else 0
 
-    def _persist_vote(self) -> Persist:
-        return Persist(self.persistent.term, self.persistent.vote, None, (), None)
-
-    def _persist_from(self, first_index: int) -> Persist:
-        """Term, vote, and the log from an index on."""
-        persistent = self.persistent
-        entries = persistent.entries_from(first_index)
-        return Persist(persistent.term, persistent.vote, first_index, entries, None)
-
-    def _persist_snapshot(self) -> Persist:
-        """Everything."""
-        persistent = self.persistent
-        return Persist(
-            persistent.term,
-            persistent.vote,
-            persistent.snapshot_index + 1,
-            tuple(persistent.log),
-            persistent.snapshot,
-        )
-
     def _set_timer(self, key: str, at_us: int) -> SetTimer:
         self._timers.add(key)
         return SetTimer(TIMER_PREFIX + key, at_us)
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -237,11 +237,11 @@
             out.append(
                 Notify("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
             )
-        if self.raft is not None and self.raft.should_compact:
+        if self.raft is not None and self.raft.log.should_compact:
             self.agreed.chapters |= {
                 name: each.snapshot() for name, each in self.subsystems.items()
             }
-            out += self.apply_raft(now_us, self.raft.compact(self.agreed.text()))
+            out += self.apply_raft(now_us, self.raft.log.compact(self.agreed.text()))
         if self.is_leader and (
             told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))
         ):
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -147,10 +147,7 @@
         """A majority has followed since a round began: its asks are answered."""
         out: list[Effect] = []
         owner = self._owner
-        if (
-            owner.raft is None
-            or owner.raft.persistent.term_at(owner.raft.commit_index) != owner.raft.persistent.term
-        ):
+        if owner.raft is None or not owner.raft.log.has_committed_in_term:
             # Danger: what earlier leaders decided is known for sure only once an entry of this term is decided.
             self._rounds.pop(number, None)
             return out
@@ -245,8 +242,8 @@
         owner, agreed = self._owner, self._owner.agreed
         if not owner.is_leader or owner.raft is None:
             return []
-        if owner.raft.persistent.term_at(owner.raft.commit_index) != owner.raft.persistent.term or (
-            owner.raft.commit_index != owner.raft.persistent.last_log_index
+        if not owner.raft.log.has_committed_in_term or (
+            owner.raft.log.commit_index != owner.raft.persistent.last_log_index
         ):
             return [
                 owner.timer("step", now_us + self.timing.batch_us)
