--- a/wingbarrow/lab/fleet/layout.py
+++ b/wingbarrow/lab/fleet/layout.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
 from wingbarrow.decide.subsets import SubsetRules, Subsets
@@ -33,6 +34,8 @@
         12.0  # of leased classes' specs; longer by a quarter where nothing may start twice
     )
     subsets: int = 0  # each machine is held by so many placers of its region; 0: by all of them
+    other_program: str = ""  # the checkout whose program the first `other_placers` placers run
+    other_placers: int = 0
 
     @property
     def voters(self) -> int:
@@ -41,6 +44,10 @@
             return 5 if self.placers >= 6 else 3
         return 5 if self.placers >= 7 else 3 if self.placers >= 3 else 1
 
+    def checkout(self, index: int) -> Path | None:
+        """The tree of the program that a placer runs; None for this one's."""
+        return Path(self.other_program) if index < self.other_placers else None
+
 
 class Layout:
     """Who and what is where; `regions` are those with machines, {} without any."""
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -132,7 +132,8 @@
         path.write_text(self.settings(slot))
         slot.lives += 1
         self.event("starting", who=slot.name, life=slot.lives)
-        process = Process(self.hub, ["serve", str(path)], self.folder / f"{slot.name}.log")
+        log, checkout = self.folder / f"{slot.name}.log", self.size.checkout(slot.index)
+        process = Process(self.hub, ["serve", str(path)], log, checkout)
         slot.process, slot.starting = process, True
         port = int(process.line("placer", START_US)["url"].rpartition(":")[2])
         slot.starting = False
--- a/wingbarrow/lab/fleet/process.py
+++ b/wingbarrow/lab/fleet/process.py
@@ -23,9 +23,14 @@
 
 
 class Process:
-    """One run of the program; `told` holds what it said on standard output, a JSON object a line."""
+    """One run of the program; `told` holds what it said on standard output, a JSON object a line.
 
-    def __init__(self, hub: Hub, arguments: list[str], log: Path | None) -> None:
+    `checkout` is another tree whose program runs in place of this one's, with all that it starts itself.
+    """
+
+    def __init__(
+        self, hub: Hub, arguments: list[str], log: Path | None, checkout: Path | None = None
+    ) -> None:
         self._hub = hub
         error: Any = log.open("ab") if log is not None else subprocess.DEVNULL
         try:
@@ -34,6 +39,8 @@
                 stdout=subprocess.PIPE,
                 stderr=error,
                 stdin=subprocess.DEVNULL,
+                cwd=checkout,
+                env=os.environ | ({"PYTHONPATH": str(checkout)} if checkout is not None else {}),
             )
         finally:
             if log is not None:
