--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -9,7 +9,7 @@
 
 from wingbarrow.decide.sessions.lease_times import ended_within_us, one_way_renewal_us
 from wingbarrow.decide.sessions.session_lease import SessionLease
-from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
+from wingbarrow.decide.sessions.session_subsystem import ReplicaHolders, SessionSubsystem
 from wingbarrow.lab.fleet.leaseholders import Leaseholders, played
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -122,9 +122,9 @@
     patch.setattr(
         SessionSubsystem,
         "on_leadership_change",
-        lambda self, now_us, on: self._forget(now_us - 10**9),
+        lambda self, now_us, on: self._reset_leader(now_us - 10**9),
     )
-    patch.setattr(SessionSubsystem, "_awake", lambda self, now_us: None)
+    patch.setattr(SessionSubsystem, "_note_activity", lambda self, now_us: None)
 
 
 def _floor(patch: pytest.MonkeyPatch) -> None:
@@ -136,7 +136,7 @@
     patch.setattr(
         SessionSubsystem,
         "earliest_end_us",
-        lambda self, session, kept: real(self, session, (0, [])),
+        lambda self, session, holders: real(self, session, ReplicaHolders(0, [])),
     )
 
 
@@ -145,12 +145,12 @@
     patch.setattr(
         SessionSubsystem,
         "earliest_end_us",
-        lambda self, session, kept: real(self, session, kept) + 5 * SECOND,
+        lambda self, session, holders: real(self, session, holders) + 5 * SECOND,
     )
 
 
 def _deaf_go_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SessionSubsystem, "_hears", lambda self, now_us, session, said: True)
+    patch.setattr(SessionSubsystem, "_receives_grants", lambda self, now_us, session, report: True)
 
 
 @pytest.mark.parametrize("plant", [_no_reckoning, _forgetful, _floor, _without_after, _late])
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -656,8 +656,11 @@
 
 
 def kinds_in_code() -> set[str]:
-    """Each string that a replicated state compares the kind of an entry with, by the program's own text."""
-    found: set[str] = set()
+    """Each string that a replicated state compares the kind of an entry with, by the program's own text.
+
+    Sessions read entries by a table of types, whose keys these are.
+    """
+    found: set[str] = set(session_log.ENTRY_TYPES)
     for source in sorted((Path(wingbarrow.__file__).parent / "decide").rglob("*.py")):
         tree = ast.parse(source.read_text())
         for node in ast.walk(tree):
--- a/wingbarrow/decide/sessions/lease_times.py
+++ b/wingbarrow/decide/sessions/lease_times.py
@@ -1,45 +1,63 @@
-"""Durations of a session's lease, in microseconds."""
+"""Durations of a session's lease and of what its end waits for, in microseconds.
+
+Three leases end in this order, all counted from the request that renewed them, each by its own clock:
+
+    holder   0.8 L                 no first byte of a leased Job is sent after it (`holder_lease_us`)
+    machine  L                     a machine ends what runs under the session
+    voters   1.002 L + 1 + turn    counted from the answer; the session may be ended after it (`voter_lease_us`)
+
+`drifted_us` is the bound on the drift between two clocks (1.002 t + 1).
+"""
 
 from __future__ import annotations
 
 from wingbarrow.decide.quotas.limits import drifted_us
 
 LEASE_US = 10_000_000  # by default
-HOLDER_LEASE_SHARE = 0.8  # of the lease: until then a holder may send first bytes
+HOLDER_LEASE_SHARE = 0.8
+UNREPLICATED_LEASES = 6
+CHECKS_PER_LEASE = 8  # how often, at least, the leader checks all sessions during one lease
+MAX_TURN_US = 10_000  # longest turn of the hub
 
 
 def holder_lease_us(lease_us: int) -> int:
-    """For how long after it asked a holder may send."""
+    """Return 0.8 L: for how long after its request a holder may send a leased Job's first byte."""
     return int(lease_us * HOLDER_LEASE_SHARE)
 
 
 def voter_lease_us(lease_us: int, max_turn_us: int) -> int:
-    """For how long after a grant the voters reckon with its session: whoever asked did so before."""
-    return drifted_us(lease_us) + max_turn_us
-
+    """Return drifted(L) + turn: for how long after its grant the voters count a session as held.
 
-UNREPLICATED_LEASES = 6  # leases, after which a session with no living keeper ends
-CHECKS_PER_LEASE = 8  # in a lease: how often the leader looks at all sessions at least
-MAX_TURN_US = 10_000  # the hub's longest turn
+    The holder counts from its request, which it sent before that grant.
+    """
+    return drifted_us(lease_us) + max_turn_us
 
 
 def unreplicated_wait_us(lease_us: int) -> int:
-    """For how long after its last renewal a session without a living keeper stays open."""
+    """Return 6 drifted(L): how long after its last renewal a session without live replica holder stays open."""
     return UNREPLICATED_LEASES * drifted_us(lease_us)
 
 
 def one_way_renewal_us(lease_us: int) -> int:
-    """For how long after the last grant that reached it a placer's asks, which go on coming, renew its session."""
+    """Return 0.8 L + L / 2: how long requests renew the session of a placer after the last grant that reached it.
+
+    Such a placer is cut off in one direction: the leader receives its requests, and it receives no grant.
+    """
     return holder_lease_us(lease_us) + lease_us // 2
 
 
 def ended_within_us(
     lease_us: int, after_us: int | None, max_turn_us: int = MAX_TURN_US, round_us: int = 250_000
 ) -> int:
-    """Within which a session's end is decided, from the later of its last renewal and the election of the leader that
-    a majority follows since, without a pause of it longer than a look's; `after_us`: the least that living keepers say,
-    None where there is none. `round_us`: what a decision among the voters takes. The last renewal may come `deaf_us`
-    after the last grant that came, where a cut lets asks through alone.
+    """Return within what time a lost session's end is decided.
+
+    max(voter lease, drifted(after)) + L / 8 + round, or 6 drifted(L) in place of the maximum where `after_us` is None.
+    It counts from the session's last renewal, or from the election of a later leader that a majority has followed since
+    and that has not paused for longer than a check's interval. After a cut that lets only requests through, the last
+    renewal comes up to `one_way_renewal_us` after the last grant that arrived.
+
+    after_us: least `after` that live replica holders report; None where there is no live replica holder.
+    round_us: duration of a decision among the voters.
     """
     waits = (
         unreplicated_wait_us(lease_us)
--- a/wingbarrow/decide/sessions/leased_job_record.py
+++ b/wingbarrow/decide/sessions/leased_job_record.py
@@ -1,58 +1,82 @@
-"""The record of a leased Job, as replica holders store it. Times in microseconds, as durations."""
+"""The record of a leased Job, as its primary and its replica holders have it. Field names are wire names.
+
+Durations and ages in microseconds: no clock crosses placers.
+"""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from wingbarrow.decide.sessions.session import Session
 
 RECORD_FORMAT = 1
-MAX_RECORD_BYTES = 16 * 1024  # bytes of a Job's record, its manifest included
+MAX_RECORD_BYTES = 16 * 1024  # manifest included
 MAX_REPLICAS = 2
-EFFECTS = ("unsafe", "keyed", "safe")
-OFFERED = "offered"  # to its keepers; its owner may yet be told that it is not accepted
+EFFECTS = (
+    "unsafe",
+    "keyed",
+    "safe",
+)  # of a class: never to be started twice; once a window; repeatable
+OFFERED = "offered"  # value of `answered` before the owner's 201: it may yet be rejected
+TASK_PHASES = ("none", "about", "doubt", "placed", "over")  # from least to most advanced
 
 
 @dataclass(frozen=True, slots=True)
 class KnownTask:
-    """What a keeper knows of one task: its phase, at which machine, by which attempt, since when."""
+    """What a replica holder knows of one task.
+
+    phase: `none` before any attempt, `about` before an attempt's first byte, `placed`, `over`; `doubt` where the Job
+        was reissued, or its holder may have gone on with other replica holders.
+    attempt: name of the pod.
+    age_us: since the phase began, when this was sent.
+    """
 
     index: int
-    phase: str  # none, about, placed, over; doubt: whoever says so took it over and cannot know
+    phase: str
     machine: str = ""
-    attempt: str = ""  # the pod's name
-    age_us: int = 0  # since the phase began, when this was said
-
-
-TASK_PHASES = ("none", "about", "doubt", "placed", "over")
+    attempt: str = ""
+    age_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LeasedJobRecord:
-    """A leased Job as its keeper has it. Later `(epoch, version)` replaces earlier, whoever says it."""
+    """One leased Job. A later `(epoch, version)` replaces an earlier one, whoever sends it.
+
+    key: namespace/name.
+    session: under which it is held.
+    epoch: fencing token: 0 at its first placer, else the epoch under which it was reissued.
+    version: counts changes within an epoch.
+    region: where it runs, with the machines that its tasks name.
+    spec: name of its federation spec.
+    group: of a keyed class, within which a key holds: machine, cell, zone, all.
+    manifest: JSON of the Job.
+    keepers: its replica holders, by rendezvous rank.
+    answered: to its owner: OFFERED before the 201, then "", placed, refused or failed.
+    born_age_us: since it was accepted, when this was sent.
+    others: placers that may have an older record, and have not yet confirmed that they dropped it.
+    moves: how often the replica holders changed in this epoch; at 0 only `keepers` and `others` ever had the record.
+    """
 
     form: int
     uid: str
-    key: str  # namespace/name
-    session: Session  # that holds it
-    epoch: int  # at which it was taken over; 0 by its first placer
-    version: int  # counts changes within an epoch
-    region: str  # where it runs, and the machines are that its tasks name
-    spec: str  # name of its federation spec
+    key: str
+    session: Session
+    epoch: int
+    version: int
+    region: str
+    spec: str
     effect: str
-    group: str  # of a keyed class: machine, cell, zone, all
+    group: str
     window_us: int
     after_us: int
     priority: int
     cores: float
     memory: float
     count: int
-    manifest: str  # the Job's JSON
+    manifest: str
     keepers: tuple[str, ...]
-    answered: str  # by its first placer: OFFERED before its 201, then "", placed, refused or failed
-    born_age_us: int  # since it was accepted, when this was said
-    tasks: tuple[KnownTask, ...] = field(default=())
-    others: tuple[
-        str, ...
-    ] = ()  # placers that may have an older one, and have not forgotten it yet
-    moves: int = 0  # how often its keepers changed in this epoch; 0: nobody but `keepers` and `others` ever had it
+    answered: str
+    born_age_us: int
+    tasks: tuple[KnownTask, ...] = ()
+    others: tuple[str, ...] = ()
+    moves: int = 0
--- a/wingbarrow/decide/sessions/messages.py
+++ b/wingbarrow/decide/sessions/messages.py
@@ -1,9 +1,7 @@
-"""What is said about leases: sessions, their ends, records in custody. Types alone; times in microseconds, durations.
+"""Messages about sessions and leased Jobs between placers. Field names are wire names.
 
-A *session* is a placer's lease on all its leased Jobs at once: one for each life, and a new one (`serial`) after the
-voters have ended one of a life that goes on. It is renewed with each grant. Three things lapse in this order, each by
-its own clock, counted from when the grant was asked for: the holder's right to send (`RIGHT` of the lease), the
-machines' word for what runs (the whole lease, in the machine's own clock), the voters' reckoning (`reckoned_us`).
+`SessionsReport` and `SessionsResponse` are parts of a request for a lease and of its grant. The others are sent at most
+once, and again, under a new number, until answered. Durations and ages in microseconds.
 """
 
 from __future__ import annotations
@@ -13,10 +11,16 @@
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 from wingbarrow.decide.sessions.session import EndedSession, Session
 
+MAX_HELD_SESSIONS = 512  # in one report
+MAX_ENDED_PER_RESPONSE = 64
+MAX_RESOLVE_UIDS = 512  # in one request
+
+# -- with a lease request and its grant
+
 
 @dataclass(frozen=True, slots=True)
 class HeldRecords:
-    """What one placer keeps for another's session: so many Jobs, the least `after` among their specs."""
+    """How many Jobs of another placer's session a replica holder has, and the least `after` among their specs."""
 
     session: Session
     jobs: int
@@ -25,48 +29,50 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionsReport:
-    """With an ask."""
-
-    region: str
-    serial: int  # of its present session, 0 before the first; the life goes with the ask
-    leased: int  # Jobs under it
-    keeping: tuple[HeldRecords, ...] = ()  # at most KEPT_MOST
-    heard: int = 0  # the latest epoch that it has heard of
-    deaf: bool = False  # no grant has come to it for so long that it may send nothing
+    """A placer's report with a lease request.
 
+    serial: of its present session, 0 before its first; the incarnation is the request's.
+    leased: Jobs under that session.
+    keeping: replicas for other sessions, at most MAX_HELD_SESSIONS.
+    heard: latest epoch that it knows.
+    deaf: no grant has arrived for so long that it may send nothing.
+    """
 
-MAX_HELD_SESSIONS = 512  # in one report
-MAX_RESOLVE_UIDS = 512  # in one request
+    region: str
+    serial: int
+    leased: int
+    keeping: tuple[HeldRecords, ...] = ()
+    heard: int = 0
+    deaf: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SessionsResponse:
-    """With a grant. `open`: the asker's session is the one that is renewed by this, for `lease_us` from the ask."""
+    """The leader's response, with a grant.
+
+    open: whether this renews the session `(life, serial)` of the requester, for `lease_us` from its request.
+    epoch: up to which the requester knows every end with this response.
+    ended: the ends that changed after the reported epoch, in that order, at most MAX_ENDED_PER_RESPONSE.
+    life: of the session: the process's incarnation, or a later one where a wall clock was set back.
+    """
 
     open: bool
-    serial: int  # that the asker's session has from now on
+    serial: int
     lease_us: int
-    epoch: int  # up to which the asker has heard all with this
-    ended: tuple[
-        EndedSession, ...
-    ] = ()  # those that changed after what was heard, in their order: ENDED_MOST at a time
-    life: int = (
-        0  # of the asker's session: its process's, or a later one where a wall clock was set back
-    )
-
-
-MAX_ENDED_PER_RESPONSE = 64
+    epoch: int
+    ended: tuple[EndedSession, ...] = ()
+    life: int = 0
 
 
-# -- between holder and keeper, at most once, said again until answered
+# -- between a primary and a replica holder
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicateRequest:
-    """Have these, in place of what you had of them; `gone`: uids that need no keeping any more.
+    """Store these records in place of earlier ones, and drop those of the uids in `gone`.
 
-    `life`, `serial`: of the keeper's session, as the holder knows it; a keeper of another refuses, as it has lost or
-    doubts what it had, and late mail must not pass for new.
+    `life` and `serial` are of the receiver's session as the sender knows it. A receiver in another session rejects the
+    request: it has lost or doubts its records, and a late message must not pass for a new one.
     """
 
     number: int
@@ -79,11 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicateResponse:
-    """All of that number is kept; or not, and why (bounds, or this session has ended: `over`).
+    """Whether all of a request is stored, and if not, why.
 
-    `life`, `serial`: of the keeper's session. `taken`: uids of the mail that another holds by a later word, at which
-    epoch and who: they were not kept. `later`: what stood at the keeper of uids that were taken over, without
-    manifests: the new holder may have known less.
+    over: the sender's session has ended.
+    life, serial: of the responding placer's session.
+    taken: uid, epoch and holder of Jobs in the request that another placer holds at a later epoch: not stored.
+    later: records that the responding placer had of reissued Jobs, without manifests: the new holder may know less.
     """
 
     number: int
@@ -97,12 +104,12 @@
     later: tuple[LeasedJobRecord, ...] = ()
 
 
-# -- after an end
+# -- after the end of a session
 
 
 @dataclass(frozen=True, slots=True)
 class ResolveRequest:
-    """One that came back asks a successor, or a keeper, what became of Jobs of an ended session."""
+    """A returning holder asks a successor or a replica holder for the outcome of Jobs of an ended session."""
 
     number: int
     session: Session
@@ -111,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolveResponse:
-    """Of each Job: its epoch, and what became of it (run, waiting, asked, unknown, stopped, not known here)."""
+    """For each Job its uid, epoch and outcome: a value of `FailoverState` or `ReissueDecision`, or not known here."""
 
     number: int
     session: Session
@@ -120,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineQuery:
-    """To a placer of the region in which a machine is: fence a Job there, and tell what it holds."""
+    """Ask a placer in a machine's region to fence a Job there at `epoch`, and to report whether it holds the Job."""
 
     number: int
     machine: str
@@ -130,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineReport:
-    """What the machine said; `reached`: whether it did. `boot_age_us`: for how long it has been up."""
+    """The machine's answer. reached: whether it answered. boot_age_us: how long the machine has been up."""
 
     number: int
     machine: str
--- a/wingbarrow/decide/sessions/session.py
+++ b/wingbarrow/decide/sessions/session.py
@@ -1,7 +1,7 @@
 """Identity of a placer's session, the end of one, and who succeeds to its Jobs.
 
 A *session* (Chubby's term, Burrows 2006) is a placer's lease on all of its leased Jobs at once. Each incarnation of a
-placer has one, and a new one (`serial`) after the voters have ended the one before while the process went on.
+placer has one, and a new one (`serial`) after the voters have ended one of an incarnation that goes on.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Session:
-    """Whose it is. As text `placer/life/serial`; lives grow."""
+    """Identity of a session; ordered by placer, then by age, as incarnations (`life`) and serials grow."""
 
     placer: str
     life: int
     serial: int
 
     def text(self) -> str:
-        """As machines and annotations carry it."""
+        """Return `placer/life/serial`, the form in the log, at machines and in annotations."""
         return f"{self.placer}/{self.life}/{self.serial}"
 
 
 def parse_session(text: str) -> Session:
-    """ValueError for anything else."""
+    """Read what `Session.text` gives; ValueError for anything else."""
     placer, life, serial = text.rsplit("/", 2)
     if not placer or not life.isdecimal() or not serial.isdecimal():
         raise ValueError(f"no session: {text[:80]!r}")
@@ -32,25 +32,27 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedSession:
-    """A session that is over, by the voters' log. `epoch` counts ends, and changes of who succeeds.
+    """A session that the voters have ended, and the placers that succeed it.
 
-    `changed` is the epoch of its own latest change: whoever takes over acts under that, as it heard it. Later
-    successors come in later batches.
-
-    A Job's successor is the first of its keepers that stands in the earliest batch in which one of them stands and is
-    not `gone`: `successor` below, the same at everybody.
+    `epoch` is the fencing token: it counts ends and changes of successors over all sessions. `changed` is the epoch of
+    the latest change of this end; a successor acts under the one with which it learned that it succeeds. Successors
+    that hold replicas are named in `batches`, in the order in which they joined; `gone` are those whose own session has
+    ended since.
     """
 
     epoch: int
     session: Session
     region: str
     batches: tuple[tuple[str, ...], ...] = ()
-    gone: tuple[str, ...] = ()  # successors whose own session has ended since
+    gone: tuple[str, ...] = ()
     changed: int = 0
 
 
 def successor_of(ended: EndedSession, replica_holders: tuple[str, ...]) -> str:
-    """Who takes over a Job with these keepers; "" while nobody does."""
+    """Return the successor for a Job, given its replica holders by rendezvous rank; "" while there is none.
+
+    It is the first replica holder in the earliest batch that has one which is not gone: the same at every placer.
+    """
     for batch in ended.batches:
         for name in replica_holders:
             if name in batch and name not in ended.gone:
--- a/wingbarrow/decide/sessions/session_lease.py
+++ b/wingbarrow/decide/sessions/session_lease.py
@@ -1,4 +1,7 @@
-"""A placer's side of its session: when it may send, and the ends that it has heard of. No I/O."""
+"""The holder's side of sessions: when it may send leased Jobs' first bytes, and the ends that it knows. No I/O.
+
+Times by the placer's own clock; see `lease_times` for the order in which the leases of holder, machines and voters end.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,39 @@
     SessionsResponse,
 )
 from wingbarrow.decide.sessions.session import EndedSession, Session
-from wingbarrow.decide.sessions.session_log import (
-    MAX_ENDED_SESSIONS,
-)
+from wingbarrow.decide.sessions.session_log import MAX_ENDED_SESSIONS
 
 
 class SessionLease:
-    """A placer's part; times by its own clock. Off where it stands in no region: then it has no session."""
+    """One placer's lease. A placer without a region has no session.
+
+    session: the present one; None before the first, and between an end and the next.
+    serial: of the latest session of this incarnation, the present one or one that has ended.
+    is_open: whether it may send, as last notified.
+    requested_us: when the request was sent that renewed it last.
+    machine_lease_until_us: when machines are to end what runs under the session.
+    known_epoch: up to which all ends are known.
+    ended: the latest MAX_ENDED_SESSIONS ends.
+    """
 
     name = "sessions"
 
     def __init__(self, me: str, region: str) -> None:
-        self.me, self.region = me, region
+        self.me = me
+        self.region = region
         self.session: Session | None = None
-        self.serial = 0  # of the latest session of this life, the present or one that has ended
-        self.is_open = False  # as it was told last, and by time
-        self.requested_us = 0  # for what renewed it last
-        self.machine_lease_until_us = 0  # when the lease ends that machines are to be told
+        self.serial = 0
+        self.is_open = False
+        self.requested_us = 0
+        self.machine_lease_until_us = 0
         self.lease_us = 0
         self.known_epoch = 0
-        self.ended: dict[Session, EndedSession] = {}  # as heard; the latest ENDED_KEPT
+        self.ended: dict[Session, EndedSession] = {}
+        self.counts: Counter[str] = Counter()
         self._count_leased: Callable[[], int] = int
         self._held_records: Callable[[], tuple[HeldRecords, ...]] = tuple
-        self.counts: Counter[str] = Counter()
-        self._right_until_us = self._told_us = 0
+        self._holder_lease_until_us = 0
+        self._responded_us = 0
 
     def report_jobs(
         self,
@@ -50,91 +62,90 @@
         self._held_records = held_records
 
     def may_send(self, now_us: int) -> bool:
-        """Whether a leased Job's first byte may leave at this moment. A floor never stands in for this."""
-        return self.session is not None and now_us < self._right_until_us
+        """Whether a leased Job's first byte may leave at this moment. A floor of the rule set never replaces this."""
+        return self.session is not None and now_us < self._holder_lease_until_us
 
     def report(self, now_us: int) -> SessionsReport | None:
-        """With the next ask."""
+        """Return the report for the next request; None without a region."""
         if not self.region:
             return None
-        keeping = self._held_records()
-        if len(keeping) > MAX_HELD_SESSIONS:
+        held = self._held_records()
+        if len(held) > MAX_HELD_SESSIONS:
             self.counts["sessions: kept for more than can be said"] += 1
-        deaf = self.session is not None and now_us - self._told_us >= holder_lease_us(self.lease_us)
+        silent_us = now_us - self._responded_us
         return SessionsReport(
             self.region,
             self.serial,
             self._count_leased(),
-            keeping[:MAX_HELD_SESSIONS],
+            held[:MAX_HELD_SESSIONS],
             self.known_epoch,
-            deaf,
+            deaf=self.session is not None and silent_us >= holder_lease_us(self.lease_us),
         )
 
     def on_response(
         self, now_us: int, asked_us: int, told: SessionsResponse | None
     ) -> list[Effect]:
-        """What the leader told: ends first, then whether this session goes on, or a new one begins."""
+        """Apply the leader's response: ends first, then a renewal, or the beginning of a new session."""
         if told is None:
             return []
-        self._told_us = now_us
-        out: list[Effect] = []
-        for each in told.ended:
-            if each.changed > self.known_epoch:
-                out += self._hear(each)
+        self._responded_us = now_us
+        effects: list[Effect] = []
+        for ended in told.ended:
+            if ended.changed > self.known_epoch:
+                effects += self._on_ended(ended)
         self.known_epoch = max(self.known_epoch, told.epoch)
         session = Session(self.me, told.life, told.serial)
-        if (
-            told.open
-            and session not in self.ended
-            and (self.session is None or session >= self.session)
-        ):
+        if told.open and self._may_begin(session):
             if self.session is not None and session != self.session:
-                # Its end is known to nobody any more: it is over all the same, and nobody is known to succeed.
-                out += self._hear(
-                    EndedSession(told.epoch, self.session, self.region, changed=told.epoch)
-                )
-            self.session, self.serial, self.lease_us = session, told.serial, told.lease_us
-            self.requested_us = max(self.requested_us, asked_us)
-            self._right_until_us = self.requested_us + holder_lease_us(told.lease_us)
-            self.machine_lease_until_us = self.requested_us + told.lease_us
-        return [*out, *self.check_expiry(now_us)]
-
-    def _hear(self, ended: EndedSession) -> list[Effect]:
-        self.ended.pop(ended.session, None)
+                # Nobody remembers the end of this one. It is over all the same, and its successors are not known.
+                end = EndedSession(told.epoch, self.session, self.region, changed=told.epoch)
+                effects += self._on_ended(end)
+            self._renew(session, asked_us, told.lease_us)
+        return [*effects, *self.check_expiry(now_us)]
+
+    def _may_begin(self, session: Session) -> bool:
+        """Whether a session is the present one or a later one, and has not ended."""
+        return session not in self.ended and (self.session is None or session >= self.session)
+
+    def _renew(self, session: Session, requested_us: int, lease_us: int) -> None:
+        self.session = session
+        self.serial = session.serial
+        self.lease_us = lease_us
+        self.requested_us = max(self.requested_us, requested_us)
+        self._holder_lease_until_us = self.requested_us + holder_lease_us(lease_us)
+        self.machine_lease_until_us = self.requested_us + lease_us
+
+    def _on_ended(self, ended: EndedSession) -> list[Effect]:
+        self.ended.pop(ended.session, None)  # so that the latest change is the last in order
         self.ended[ended.session] = ended
         while len(self.ended) > MAX_ENDED_SESSIONS:
             del self.ended[next(iter(self.ended))]
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if ended.session == self.session:
             # Danger: a successor may act from here on, whatever this lease's own time would still allow.
-            self.session, self._right_until_us, self.machine_lease_until_us = None, 0, 0
-            out += self._told(False, ended.session)
-        return [
-            *out,
-            Notify(
-                "session-ended",
-                {
-                    "epoch": ended.epoch,
-                    "session": ended.session.text(),
-                    "region": ended.region,
-                    "batches": [list(each) for each in ended.batches],
-                    "gone": list(ended.gone),
-                    "changed": ended.changed,
-                },
-            ),
-        ]
+            self.session = None
+            self._holder_lease_until_us = 0
+            self.machine_lease_until_us = 0
+            effects += self._notify_change(ended.session, is_open=False)
+        end = {
+            "epoch": ended.epoch,
+            "session": ended.session.text(),
+            "region": ended.region,
+            "batches": [list(each) for each in ended.batches],
+            "gone": list(ended.gone),
+            "changed": ended.changed,
+        }
+        return [*effects, Notify("session-ended", end)]
 
     def check_expiry(self, now_us: int) -> list[Effect]:
-        """Tell where this session opened or lapsed since it was looked at last."""
-        may = self.may_send(now_us)
-        if may == self.is_open or self.session is None:
+        """Notify where the lease was opened, or expired, since the last notification."""
+        if self.session is None:
             return []
-        return self._told(may, self.session)
+        return self._notify_change(self.session, is_open=self.may_send(now_us))
 
-    def _told(self, may: bool, session: Session) -> list[Effect]:
-        if self.is_open == may:
+    def _notify_change(self, session: Session, *, is_open: bool) -> list[Effect]:
+        if self.is_open == is_open:
             return []
-        self.is_open = may
-        return [
-            Notify("session", {"session": session.text(), "open": may, "epoch": self.known_epoch})
-        ]
+        self.is_open = is_open
+        change = {"session": session.text(), "open": is_open, "epoch": self.known_epoch}
+        return [Notify("session", change)]
--- a/wingbarrow/decide/sessions/session_log.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -1,29 +1,121 @@
-"""What voters have decided about sessions: which are open, which have ended, and who succeeds. Deterministic; no I/O.
+"""The voters' replicated state of sessions: which are open, which have ended, and who succeeds. Deterministic; no I/O.
 
-A session is opened by an entry before it is used, and never again once it has ended: `latest` knows how far each
-placer's sessions have come. Each change of what is told has its own number (`epoch`), so that a placer that has heard
-up to one knows exactly what it has missed, and who takes over later acts under a higher one.
+A session is opened by an entry before it is used, and never again once it has ended: `latest` has each placer's latest
+one. Each change that placers learn of takes the next `epoch`, so that a placer that knows all up to one epoch can be
+sent exactly what it has missed, and a later successor acts under a higher fencing token.
 """
 
 from __future__ import annotations
 
 import json
+from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
-from typing import Any
+from typing import Any, ClassVar
 
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 
-MAX_OPEN_SESSIONS = 1024  # sessions at a time
-MAX_OPEN_SESSIONS_PER_PLACER = (
-    8  # of them of one placer, the present and those whose reckoning is not over
-)
-MAX_LATEST_SESSIONS = 2048  # placers of which it is known how far their sessions have come
-MAX_ENDED_SESSIONS = 256  # ends; those whose last change is the oldest are forgotten first
-MAX_ENDED_CHARS = (
-    96 * 1024
-)  # of all their successors' names and sessions: a snapshot goes with one mail
-MAX_SUCCESSORS_PER_BATCH = 64  # in one batch
-MAX_BATCHES_PER_END = 32  # of one end
+MAX_OPEN_SESSIONS = 1024
+MAX_OPEN_SESSIONS_PER_PLACER = 8  # its present one, and earlier ones whose lease is not over
+MAX_LATEST_SESSIONS = 2048  # placers whose latest session is remembered
+MAX_ENDED_SESSIONS = 256  # the ones that changed longest ago are dropped first
+MAX_ENDED_CHARS = 96 * 1024  # names of all their successors: a snapshot is sent in one message
+MAX_SUCCESSORS_PER_BATCH = 64
+MAX_BATCHES_PER_END = 32
+
+# -- entries, by the kind that the log has
+
+
+@dataclass(frozen=True, slots=True)
+class SessionOpened:
+    """A session begins. `process` is the incarnation that asked for it; the session's own may be later."""
+
+    kind: ClassVar[str] = "opened"
+
+    session: Session
+    process: int
+    region: str
+    lease_us: int
+
+    def value(self) -> dict[str, Any]:
+        """Return the entry's JSON object."""
+        return {
+            "session": self.session.text(),
+            "process": self.process,
+            "region": self.region,
+            "lease_us": self.lease_us,
+        }
+
+    @classmethod
+    def parse(cls, session: Session, value: dict[str, Any]) -> SessionOpened:
+        """Read what `value` gave; see `parse_entry`."""
+        return cls(session, int(value["process"]), str(value["region"]), int(value["lease_us"]))
+
+
+@dataclass(frozen=True, slots=True)
+class SessionEnded:
+    """A session ends, with the sessions of its first successors."""
+
+    kind: ClassVar[str] = "ended"
+
+    session: Session
+    successors: tuple[Session, ...]
+
+    def value(self) -> dict[str, Any]:
+        """Return the entry's JSON object."""
+        return _successors_value(self.session, self.successors)
+
+    @classmethod
+    def parse(cls, session: Session, value: dict[str, Any]) -> SessionEnded:
+        """Read what `value` gave; see `parse_entry`."""
+        return cls(session, _parse_successors(value))
+
+
+@dataclass(frozen=True, slots=True)
+class SuccessorsJoined:
+    """Replica holders that were not live, or not known, when a session ended become its successors."""
+
+    kind: ClassVar[str] = "succeed"
+
+    session: Session
+    successors: tuple[Session, ...]
+
+    def value(self) -> dict[str, Any]:
+        """Return the entry's JSON object."""
+        return _successors_value(self.session, self.successors)
+
+    @classmethod
+    def parse(cls, session: Session, value: dict[str, Any]) -> SuccessorsJoined:
+        """Read what `value` gave; see `parse_entry`."""
+        return cls(session, _parse_successors(value))
+
+
+SessionEntry = SessionOpened | SessionEnded | SuccessorsJoined
+ENTRY_TYPES: dict[str, type[SessionEntry]] = {
+    each.kind: each for each in (SessionOpened, SessionEnded, SuccessorsJoined)
+}
+
+
+def _successors_value(session: Session, successors: tuple[Session, ...]) -> dict[str, Any]:
+    return {"session": session.text(), "successors": [each.text() for each in successors]}
+
+
+def _parse_successors(value: dict[str, Any]) -> tuple[Session, ...]:
+    return tuple(parse_session(str(each)) for each in value["successors"])
+
+
+def limited_successors(successors: Iterable[Session]) -> tuple[Session, ...]:
+    """Return as many as one batch may have, in their order."""
+    return tuple(sorted(successors)[:MAX_SUCCESSORS_PER_BATCH])
+
+
+def parse_entry(kind: str, value: dict[str, Any]) -> SessionEntry | None:
+    """Read an entry; None for a kind that is not known. ValueError, KeyError or TypeError where it cannot be read."""
+    session = parse_session(str(value["session"]))
+    entry_type = ENTRY_TYPES.get(kind)
+    return entry_type.parse(session, value) if entry_type is not None else None
+
+
+# -- state
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatestSession:
-    """How far a placer's sessions have come, and which process of it has the latest."""
+    """A placer's latest session, and the incarnation of the process that has it."""
 
     process: int
     session: Session
@@ -44,7 +136,7 @@
 
 @dataclass(slots=True)
 class SessionLog:
-    """The replicated state. `by`: for each end, by which session each successor joined."""
+    """The replicated state. `joined_by`: for each end, by successor, the session under which it joined."""
 
     epoch: int = 0
     open: dict[Session, OpenSession] = field(default_factory=dict)
@@ -53,97 +145,97 @@
     joined_by: dict[Session, dict[str, Session]] = field(default_factory=dict)
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Take one entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
-        session = parse_session(str(value["session"]))
-        if kind == "opened":
-            self._opened(
-                session,
-                int(value["process"]),
-                OpenSession(str(value["region"]), int(value["lease_us"])),
-            )
-        elif kind in ("ended", "succeed"):
-            successors = [parse_session(str(each)) for each in value["successors"]]
-            if kind == "ended":
-                self._ended(session, successors)
-            elif session in self.ended:
+        """Apply one entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
+        match parse_entry(kind, value):
+            case SessionOpened() as entry:
+                self._open(entry)
+            case SessionEnded(session, successors):
+                self._end(session, successors)
+            case SuccessorsJoined(session, successors) if session in self.ended:
                 self._join(session, successors)
 
     def can_open(self, placer: str) -> bool:
-        """Whether there is room for another session of a placer."""
+        """Whether the bounds allow another session of a placer."""
         return (
             len(self.open) < MAX_OPEN_SESSIONS
             and self.open_count(placer) < MAX_OPEN_SESSIONS_PER_PLACER
         )
 
     def open_count(self, placer: str) -> int:
-        """How many sessions of a placer are open."""
+        """Return how many sessions of a placer are open."""
         return sum(each.placer == placer for each in self.open)
 
-    def _opened(self, session: Session, process: int, terms: OpenSession) -> None:
-        held = self.latest.get(session.placer)
-        # Danger: an end stands for good. What is not later than the latest is open already, or has ended.
-        if (
-            (held is not None and session <= held.session)
-            or session in self.open
-            or not self.can_open(session.placer)
-        ):
+    def can_join(self, session: Session, successor: Session) -> bool:
+        """Whether a replica holder's session is no successor of an ended session yet, or is one that was gone."""
+        joined = self.joined_by[session].get(successor.placer)
+        if joined is None:
+            return True
+        return joined != successor and successor.placer in self.ended[session].gone
+
+    def _open(self, entry: SessionOpened) -> None:
+        session = entry.session
+        latest = self.latest.get(session.placer)
+        # Danger: an end is final. What is not later than the latest is open already, or has ended.
+        if latest is not None and session <= latest.session:
+            return
+        if session in self.open or not self.can_open(session.placer):
             return
-        if terms.lease_us <= 0:
+        if entry.lease_us <= 0:
             raise ValueError("a lease of no length")
-        self.open[session] = terms
-        self.latest.pop(session.placer, None)  # the last to come stands last
-        self.latest[session.placer] = LatestSession(process, session)
+        self.open[session] = OpenSession(entry.region, entry.lease_us)
+        self.latest.pop(session.placer, None)  # so that the newest is the last in order
+        self.latest[session.placer] = LatestSession(entry.process, session)
         if len(self.latest) > MAX_LATEST_SESSIONS:
-            # Whoever is forgotten begins after the serial that it states itself: nothing is opened twice.
+            # A placer that is dropped here continues after the serial that it reports: nothing is opened twice.
             present = {each.placer for each in self.open}
             del self.latest[next(name for name in self.latest if name not in present)]
 
-    def _ended(self, session: Session, successors: list[Session]) -> None:
+    def _end(self, session: Session, successors: tuple[Session, ...]) -> None:
         terms = self.open.pop(session, None)
         if terms is None:
             return
         self.epoch += 1
         self.ended[session] = EndedSession(self.epoch, session, terms.region, changed=self.epoch)
         self.joined_by[session] = {}
-        for other, by in self.joined_by.items():
-            if by.get(session.placer) == session:
-                held = self.ended[other]
-                self.epoch += 1
-                self.ended[other] = replace(
-                    held, gone=tuple(sorted({*held.gone, session.placer})), changed=self.epoch
-                )
+        self._mark_gone(session)
         if successors:
             self._join(session, successors)
-        self._forget()
+        self._prune_ended()
 
-    def _join(self, session: Session, successors: list[Session]) -> None:
-        held, by = self.ended[session], self.joined_by[session]
+    def _mark_gone(self, session: Session) -> None:
+        """The session of a successor has ended: it is none any more where it joined under that session."""
+        for other, joined_by in self.joined_by.items():
+            if joined_by.get(session.placer) == session:
+                ended = self.ended[other]
+                gone = tuple(sorted({*ended.gone, session.placer}))
+                self.epoch += 1
+                self.ended[other] = replace(ended, gone=gone, changed=self.epoch)
+
+    def _join(self, session: Session, successors: tuple[Session, ...]) -> None:
+        ended = self.ended[session]
         new = {
             each.placer: each
-            for each in sorted(successors)[:MAX_SUCCESSORS_PER_BATCH]
-            if each in self.open
-            and each.placer != session.placer
-            and by.get(each.placer) != each
-            and (each.placer not in by or each.placer in held.gone)
+            for each in limited_successors(successors)
+            if each in self.open and each.placer != session.placer and self.can_join(session, each)
         }
-        if not new or len(held.batches) >= MAX_BATCHES_PER_END:
+        if not new or len(ended.batches) >= MAX_BATCHES_PER_END:
             return
-        # One that was gone stands in the new batch alone: what fell to others meanwhile stays theirs.
-        batches = [tuple(name for name in batch if name not in new) for batch in held.batches]
+        # One that was gone is named in the new batch alone: Jobs that others got meanwhile stay theirs.
+        batches = [tuple(name for name in batch if name not in new) for batch in ended.batches]
         self.epoch += 1
         self.ended[session] = replace(
-            held,
+            ended,
             batches=(*(each for each in batches if each), tuple(sorted(new))),
-            gone=tuple(name for name in held.gone if name not in new),
+            gone=tuple(name for name in ended.gone if name not in new),
             changed=self.epoch,
         )
-        by.update(new)
-        self._forget()
+        self.joined_by[session].update(new)
+        self._prune_ended()
 
-    def _forget(self) -> None:
+    def _prune_ended(self) -> None:
         chars = {
-            session: sum(2 * len(name) + 40 for name in by)
-            for session, by in self.joined_by.items()
+            session: sum(2 * len(name) + 40 for name in joined_by)
+            for session, joined_by in self.joined_by.items()
         }
         total = sum(chars.values())
         while len(self.ended) > MAX_ENDED_SESSIONS or (
@@ -151,55 +243,50 @@
         ):
             oldest = min(self.ended.values(), key=lambda each: each.changed).session
             total -= chars[oldest]
-            del self.ended[oldest], self.joined_by[oldest]
-
-    # -- snapshots
+            del self.ended[oldest]
+            del self.joined_by[oldest]
 
     def text(self) -> str:
-        """All of it."""
-        return json.dumps(
-            {
-                "epoch": self.epoch,
-                "open": [
-                    [session.text(), each.region, each.lease_us]
-                    for session, each in self.open.items()
-                ],
-                "latest": [[each.process, each.session.text()] for each in self.latest.values()],
-                "ended": [
-                    [
-                        each.epoch,
-                        each.session.text(),
-                        each.region,
-                        each.batches,
-                        each.gone,
-                        each.changed,
-                        [by.text() for by in self.joined_by[each.session].values()],
-                    ]
-                    for each in self.ended.values()
-                ],
-            },
-            separators=(",", ":"),
-        )
+        """Return all of it as JSON, for a snapshot."""
+        state = {
+            "epoch": self.epoch,
+            "open": [
+                [session.text(), each.region, each.lease_us] for session, each in self.open.items()
+            ],
+            "latest": [[each.process, each.session.text()] for each in self.latest.values()],
+            "ended": [self._ended_row(each) for each in self.ended.values()],
+        }
+        return json.dumps(state, separators=(",", ":"))
+
+    def _ended_row(self, ended: EndedSession) -> list[Any]:
+        return [
+            ended.epoch,
+            ended.session.text(),
+            ended.region,
+            ended.batches,
+            ended.gone,
+            ended.changed,
+            [each.text() for each in self.joined_by[ended.session].values()],
+        ]
 
 
 def parse_session_log(text: str) -> SessionLog:
-    """What `text` gave; an empty one is the state at the beginning."""
-    out = SessionLog()
+    """Read what `SessionLog.text` gives; "" is the state at the beginning."""
+    log = SessionLog()
     if not text:
-        return out
-    value = json.loads(text)
-    out.epoch = value["epoch"]
-    out.open = {
-        parse_session(name): OpenSession(region, lease) for name, region, lease in value["open"]
-    }
-    for process, name in value["latest"]:
+        return log
+    state = json.loads(text)
+    log.epoch = state["epoch"]
+    for name, region, lease_us in state["open"]:
+        log.open[parse_session(name)] = OpenSession(region, lease_us)
+    for process, name in state["latest"]:
         session = parse_session(name)
-        out.latest[session.placer] = LatestSession(process, session)
-    for epoch, name, region, batches, gone, changed, by in value["ended"]:
+        log.latest[session.placer] = LatestSession(process, session)
+    for epoch, name, region, batches, gone, changed, joined in state["ended"]:
         session = parse_session(name)
-        out.ended[session] = EndedSession(
+        log.ended[session] = EndedSession(
             epoch, session, region, tuple(tuple(each) for each in batches), tuple(gone), changed
         )
-        joined = [parse_session(each) for each in by]
-        out.joined_by[session] = {each.placer: each for each in joined}
-    return out
+        successors = [parse_session(each) for each in joined]
+        log.joined_by[session] = {each.placer: each for each in successors}
+    return log
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -1,23 +1,26 @@
-"""Sessions: until when a placer may act for its leased Jobs, at which epoch that has ended, and who succeeds. No I/O.
-
-`Sessions` is the voters' part, a chapter of their log (`sessionlog`), with what its leader reckons; `Lease` is every
-placer's. As Chubby's sessions and sequencers (Burrows 2006), except that nothing is kept alive between elections: a new
-leader reckons with every open session from its own election. What an end rests on, in order:
-
-- a session is renewed only by a grant, which a majority confirmed after it was asked for, and for no longer than the
-  leader reckons with (`reckoned_us`); what has been proposed to end is renewed no more;
-- a leader proposes an end when its reckoning is over, the least `after` of what keepers say has passed since the last
-  renewal (or its election), and keepers have had a lease's time to be heard by it;
-- with no living keeper it waits for `lone_us` instead and names nobody; keepers that come later join in later batches;
-- one that is heard but does not hear (a cut one way) is renewed for a while only (`deaf_us`): it can do nothing;
-- a later process of the same name proves that the one before is over: its session ends without `after`;
-- whoever comes back before its end goes on, whoever comes after it has a new session, and gets it only together with
-  all ends that it has not heard of.
+"""The voters' side of sessions: when a placer's session is renewed, ended, and who succeeds it. No I/O.
+
+The subsystem `sessions` of the voters' log (`session_log`), with what the present leader counts. It follows Chubby's
+sessions and sequencers (Burrows 2006), except that nothing renews a session between elections: a new leader counts
+every open session from its own election. An end rests on these rules:
+
+- A session is renewed only by a grant, which a majority confirmed after its request, and for no longer than the leader
+  counts (`voter_lease_us`). A session whose end is proposed is not renewed any more.
+- A leader proposes an end when the voters' lease is over, the least `after` that replica holders report has passed
+  since the last renewal (or the election), and replica holders had a lease's time to report to this leader.
+- Without a live replica holder it waits for `unreplicated_wait_us` instead and names no successor. Replica holders that
+  report later join as successors in later batches.
+- A placer that reports but receives no grant (a cut in one direction) is renewed for half a lease only
+  (`one_way_renewal_us`): it can do nothing.
+- A later incarnation of a name proves that the earlier one is over: its session ends without waiting for `after`.
+- A holder that returns before its end keeps its session. One that returns later gets a new one, only together with all
+  ends that it does not know.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass, field
 from typing import Any
 
 from wingbarrow.decide.coordination.subsystem import Proposal
@@ -39,273 +42,314 @@
 )
 from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.decide.sessions.session_log import (
-    MAX_SUCCESSORS_PER_BATCH,
+    SessionEnded,
+    SessionEntry,
     SessionLog,
+    SessionOpened,
+    SuccessorsJoined,
+    limited_successors,
     parse_session_log,
 )
 
 MAX_PROPOSALS = 64  # at a time
-MAX_ENDED_CHARS_PER_RESPONSE = 128 * 1024  # of names in one grant
+MAX_ENDED_CHARS_PER_RESPONSE = 128 * 1024  # of names
+
+
+@dataclass(slots=True)
+class ReplicaHolders:
+    """Live placers that hold replicas for one session: their own sessions, and the least `after` that they report."""
+
+    after_us: int
+    sessions: list[Session]
+
+
+@dataclass(frozen=True, slots=True)
+class ConfirmedReport:
+    """A report that a majority confirmed, and the session that it renewed."""
+
+    requester: Requester
+    report: SessionsReport
+    renewed: Session | None
+
+
+@dataclass(slots=True)
+class LeaderState:
+    """What a leader knows beside the log; it begins empty. Times by the leader's clock.
+
+    counting_since_us: its election, or the end of its latest pause: no session counts as renewed before.
+    active_us: when it last did anything.
+    next_check_us: when all sessions are checked next.
+    renewed_us: by session, its latest renewal.
+    ending: sessions whose end is proposed.
+    requested: by placer, the session to be opened for it.
+    no_grant_since_us: by session, since when its holder reports that no grant arrives.
+    reports: by placer with an open session, its latest report.
+    confirmed: by placer, its report of this round.
+    """
+
+    counting_since_us: int
+    active_us: int
+    next_check_us: int
+    renewed_us: dict[Session, int] = field(default_factory=dict)
+    ending: set[Session] = field(default_factory=set)
+    requested: dict[str, SessionOpened] = field(default_factory=dict)
+    no_grant_since_us: dict[Session, int] = field(default_factory=dict)
+    reports: dict[str, SessionsReport] = field(default_factory=dict)
+    confirmed: dict[str, ConfirmedReport] = field(default_factory=dict)
 
 
 class SessionSubsystem:
-    """The voters' part; times by the leader's clock. `lease_us` is that of sessions that are opened from now on."""
+    """The voters' side. `lease_us` is the lease of sessions that are opened from now on."""
 
     name = "sessions"
 
     def __init__(self, lease_us: int = LEASE_US, max_turn_us: int = MAX_TURN_US) -> None:
-        self.lease_us, self.max_turn_us = lease_us, max_turn_us
+        self.lease_us = lease_us
+        self.max_turn_us = max_turn_us
         self.log = SessionLog()
         self.counts: Counter[str] = Counter()
-        self._forget(0)
-
-    def _forget(self, now_us: int) -> None:
-        """Know nothing that is not in the log."""
-        self.counting_since_us = self._seen_us = self._look_us = now_us
-        self.renewed_us: dict[Session, int] = {}
-        self._ending: set[Session] = set()
-        self._wanted: dict[
-            str, tuple[Session, int, str]
-        ] = {}  # by placer: session, process, region
-        self._deaf_us: dict[Session, int] = {}  # since when its asks say that no grant comes
-        self.reports: dict[
-            str, SessionsReport
-        ] = {}  # by placer whose session is open, what it said last
-        self._round: dict[
-            str, tuple[Requester, SessionsReport, Session | None]
-        ] = {}  # who asked, and what that renewed
+        self._reset_leader(0)
+
+    def _reset_leader(self, now_us: int) -> None:
+        """Drop all that is not in the log."""
+        self.leader = LeaderState(now_us, now_us, now_us)
 
     # -- the log
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Take one decided entry."""
+        """Apply one decided entry; see `SessionLog.apply`."""
         self.log.apply(kind, value)
-        self._look_us = 0
-        self._ending &= self.log.open.keys()
+        self.leader.next_check_us = 0
+        self.leader.ending &= self.log.open.keys()
 
     def snapshot(self) -> str:
-        """All of the replicated state."""
+        """Return all of the replicated state."""
         return self.log.text()
 
     def restore(self, text: str) -> None:
-        """What `text` gave."""
+        """Replace the replicated state by what `snapshot` gave."""
         self.log = parse_session_log(text)
 
-    # -- the leader
+    # -- reports and responses, at the leader
 
     def on_leadership_change(self, now_us: int, on: bool) -> None:
-        """Leads from now on, or no longer. Danger: what leaders before renewed is not known: it counts from now."""
-        self._forget(now_us)
+        """Begin or cease to lead.
 
-    def _awake(self, now_us: int) -> None:
-        """Danger: what others said to a leader that stood still lies unread; by its clock all of them are silent."""
-        if self.log.open and now_us - self._seen_us > 2 * self.lease_us // CHECKS_PER_LEASE:
-            self.counting_since_us = now_us
-            self.counts["sessions: leader stood still"] += 1
-        self._seen_us = now_us
+        Danger: renewals by earlier leaders are not known, so every open session is counted from now.
+        """
+        self._reset_leader(now_us)
 
     def on_report(self, now_us: int, asker: Requester, said: SessionsReport | None) -> None:
-        """A placer's part of an ask that a majority confirmed: its session is renewed, or one is to be opened."""
+        """Renew the session of a placer whose request a majority confirmed, or have one opened for it."""
         if said is None:
             return
-        self._awake(now_us)
+        self._note_activity(now_us)
         renewed: Session | None = None
-        held = self.log.latest.get(asker.ident)
-        if held is None:
-            # Not known, or forgotten: what it states that it had is over, and is not opened again.
-            self._want(asker, Session(asker.ident, asker.life, said.serial + 1), said)
-        elif held.process == asker.life:
-            if held.session not in self.log.open:
-                serial = max(held.session.serial, said.serial) + 1
-                self._want(asker, Session(asker.ident, held.session.life, serial), said)
-            elif held.session not in self._ending and self._hears(now_us, held.session, said):
-                # Danger: an end that is proposed is decided sooner or later; a renewal would run on beyond it.
-                self.renewed_us[held.session] = now_us
-                renewed = held.session
-                if said.keeping != (
-                    self.reports[asker.ident].keeping if asker.ident in self.reports else ()
-                ):
-                    self._look_us = 0
-                self.reports[asker.ident] = said
-        elif held.process < asker.life or (said.serial == 0 and self._lapsed(now_us, held.session)):
-            # A later process; or, by a wall clock that was set back, one that never had a session while the one that is
-            # known is silent. Danger: a former one that woke up has had a session, and renews and opens nothing.
-            self._want(asker, Session(asker.ident, max(asker.life, held.session.life + 1), 1), said)
-        self._round[asker.ident] = asker, said, renewed
-
-    def _hears(self, now_us: int, session: Session, said: SessionsReport) -> bool:
-        """Danger: one that is heard and does not hear would keep its work from everybody for good."""
-        if not said.deaf:
-            self._deaf_us.pop(session, None)
-            return True
-        return (
-            now_us - self._deaf_us.setdefault(session, now_us)
-            < self.log.open[session].lease_us // 2
-        )
-
-    def _want(self, asker: Requester, session: Session, said: SessionsReport) -> None:
-        if self.log.can_open(asker.ident):
-            self._wanted[asker.ident] = session, asker.life, said.region
-        else:
-            self.counts["sessions: no room for another"] += 1
+        latest = self.log.latest.get(asker.ident)
+        if latest is None:
+            # Not known, or dropped: the session that it reports is over, and is not opened again.
+            self._request(asker, Session(asker.ident, asker.life, said.serial + 1), said)
+        elif latest.process == asker.life:
+            if latest.session not in self.log.open:
+                serial = max(latest.session.serial, said.serial) + 1
+                self._request(asker, Session(asker.ident, latest.session.life, serial), said)
+            elif self._may_renew(now_us, latest.session, said):
+                self._renew(now_us, latest.session, said)
+                renewed = latest.session
+        elif latest.process < asker.life or (
+            said.serial == 0 and self._is_expired(now_us, latest.session)
+        ):
+            # A later incarnation; or, where a wall clock was set back, a process that never had a session while the
+            # known one is silent. Danger: an earlier process that wakes up has had one, and renews and opens nothing.
+            life = max(asker.life, latest.session.life + 1)
+            self._request(asker, Session(asker.ident, life, 1), said)
+        self.leader.confirmed[asker.ident] = ConfirmedReport(asker, said, renewed)
 
     def response_for(self, now_us: int, asker: Requester) -> SessionsResponse | None:
-        """Its part of the grant."""
-        heard = self._round.get(asker.ident)
-        if heard is None or heard[0] != asker:
+        """Return the response to the requester's report of this round; None where it has made none."""
+        confirmed = self.leader.confirmed.get(asker.ident)
+        if confirmed is None or confirmed.requester != asker:
             return None
-        _, said, renewed = heard
-        ended, upto = self._news(said.heard)
-        held = self.log.latest.get(asker.ident)
-        if held is None or held.process != asker.life:
-            return SessionsResponse(False, said.serial, self.lease_us, upto, ended)
-        session = held.session
+        report = confirmed.report
+        ended, epoch = self._changes_after(report.heard)
+        latest = self.log.latest.get(asker.ident)
+        if latest is None or latest.process != asker.life:
+            return SessionsResponse(False, report.serial, self.lease_us, epoch, ended)
+        session = latest.session
         terms = self.log.open.get(session)
-        # Danger: a new session before its holder knows which have ended would go on with what is somebody else's now.
-        good = (
+        # Danger: a holder with a new session that does not know all ends would go on with Jobs that others hold now.
+        is_open = (
             terms is not None
-            and renewed == session
-            and (said.serial == session.serial or upto >= self.log.epoch)
-        )
-        return SessionsResponse(
-            good,
-            session.serial,
-            terms.lease_us if terms is not None else self.lease_us,
-            upto,
-            ended,
-            session.life,
+            and confirmed.renewed == session
+            and (report.serial == session.serial or epoch >= self.log.epoch)
         )
+        lease_us = self.lease_us if terms is None else terms.lease_us
+        return SessionsResponse(is_open, session.serial, lease_us, epoch, ended, session.life)
+
+    def _note_activity(self, now_us: int) -> None:
+        """Count from now after a pause: reports that came meanwhile are unread, and every placer seems silent."""
+        leader = self.leader
+        if self.log.open and now_us - leader.active_us > 2 * self.lease_us // CHECKS_PER_LEASE:
+            leader.counting_since_us = now_us
+            self.counts["sessions: leader stood still"] += 1
+        leader.active_us = now_us
+
+    def _may_renew(self, now_us: int, session: Session, report: SessionsReport) -> bool:
+        """Danger: an end that is proposed is decided sooner or later; a renewal would run on beyond it."""
+        return session not in self.leader.ending and self._receives_grants(now_us, session, report)
+
+    def _receives_grants(self, now_us: int, session: Session, report: SessionsReport) -> bool:
+        """Whether the placer receives grants, or lately did.
 
-    def _news(self, heard: int) -> tuple[tuple[EndedSession, ...], int]:
-        """What changed after an epoch, as much as goes with a grant, and up to which epoch that is all."""
-        if heard >= self.log.epoch:
+        Danger: renewing one that only sends would keep its Jobs from everybody for good.
+        """
+        if not report.deaf:
+            self.leader.no_grant_since_us.pop(session, None)
+            return True
+        since_us = self.leader.no_grant_since_us.setdefault(session, now_us)
+        return now_us - since_us < self.log.open[session].lease_us // 2
+
+    def _renew(self, now_us: int, session: Session, report: SessionsReport) -> None:
+        former = self.leader.reports.get(session.placer)
+        if report.keeping != (former.keeping if former is not None else ()):
+            self.leader.next_check_us = 0
+        self.leader.renewed_us[session] = now_us
+        self.leader.reports[session.placer] = report
+
+    def _request(self, requester: Requester, session: Session, report: SessionsReport) -> None:
+        """Have a session opened with the next proposals."""
+        if self.log.can_open(requester.ident):
+            self.leader.requested[requester.ident] = SessionOpened(
+                session, requester.life, report.region, self.lease_us
+            )
+        else:
+            self.counts["sessions: no room for another"] += 1
+
+    def _changes_after(self, epoch: int) -> tuple[tuple[EndedSession, ...], int]:
+        """Return the ends that changed after an epoch, as many as fit, and up to which epoch these are all."""
+        if epoch >= self.log.epoch:
             return (), self.log.epoch
         missed = sorted(
-            (each for each in self.log.ended.values() if each.changed > heard),
+            (each for each in self.log.ended.values() if each.changed > epoch),
             key=lambda each: each.changed,
         )
-        chars, some = 0, list[EndedSession]()
+        chars = 0
+        fitting: list[EndedSession] = []
         for each in missed[:MAX_ENDED_PER_RESPONSE]:
             chars += sum(len(name) + 4 for batch in (*each.batches, each.gone) for name in batch)
-            if some and chars > MAX_ENDED_CHARS_PER_RESPONSE:
+            if fitting and chars > MAX_ENDED_CHARS_PER_RESPONSE:
                 break
-            some.append(each)
-        return tuple(some), self.log.epoch if len(some) == len(missed) else some[-1].changed
+            fitting.append(each)
+        complete = len(fitting) == len(missed)
+        return tuple(fitting), self.log.epoch if complete else fitting[-1].changed
 
-    # -- ends
+    # -- leases as this leader counts them
+
+    def _renewed_us(self, session: Session) -> int:
+        """Return from when an open session's lease counts."""
+        since_us = self.leader.counting_since_us
+        return max(self.leader.renewed_us.get(session, since_us), since_us)
 
     def lease_until_us(self, session: Session) -> int:
-        """Until when this leader reckons with an open session."""
-        return max(
-            self.renewed_us.get(session, self.counting_since_us), self.counting_since_us
-        ) + voter_lease_us(self.log.open[session].lease_us, self.max_turn_us)
+        """Return when the voters' lease of an open session is over."""
+        lease_us = voter_lease_us(self.log.open[session].lease_us, self.max_turn_us)
+        return self._renewed_us(session) + lease_us
 
-    def _lapsed(self, now_us: int, session: Session) -> bool:
+    def _is_expired(self, now_us: int, session: Session) -> bool:
         return session not in self.log.open or now_us >= self.lease_until_us(session)
 
     def is_live(self, now_us: int, session: Session) -> bool:
-        """Whether an open session was renewed by this leader so lately that its holder may send."""
-        renewed = self.renewed_us.get(session)
-        return (
-            renewed is not None
-            and session not in self._ending
-            and (now_us < renewed + holder_lease_us(self.log.open[session].lease_us))
-        )
-
-    def replica_holders(self, now_us: int) -> dict[Session, tuple[int, list[Session]]]:
-        """For each session that living placers keep for: the least `after`, and the keepers' own sessions."""
-        out: dict[Session, tuple[int, list[Session]]] = {}
-        for ident, said in self.reports.items():
-            held = self.log.latest.get(ident)
-            if (
-                held is None
-                or said.deaf
-                or held.session not in self.log.open
-                or not self.is_live(now_us, held.session)
-            ):
+        """Whether this leader renewed an open session so lately that its holder may send."""
+        renewed_us = self.leader.renewed_us.get(session)
+        if renewed_us is None or session in self.leader.ending:
+            return False
+        return now_us < renewed_us + holder_lease_us(self.log.open[session].lease_us)
+
+    def replica_holders(self, now_us: int) -> dict[Session, ReplicaHolders]:
+        """Return, by session, the live placers that hold replicas for it."""
+        holders: dict[Session, ReplicaHolders] = {}
+        for name, report in self.leader.reports.items():
+            session = self._live_session(now_us, name)
+            if session is None or report.deaf:
                 continue
-            for each in said.keeping:
-                if each.session.placer != ident and each.jobs > 0:
-                    after, some = out.setdefault(each.session, (each.after_us, []))
-                    some.append(held.session)
-                    out[each.session] = min(after, each.after_us), some
-        return out
-
-    def earliest_end_us(self, session: Session, kept: tuple[int, list[Session]] | None) -> int:
-        """When an open session may end, unless it is renewed."""
-        terms = self.log.open[session]
-        base = max(self.renewed_us.get(session, self.counting_since_us), self.counting_since_us)
-        due = max(self.lease_until_us(session), self.counting_since_us + drifted_us(terms.lease_us))
+            for held in report.keeping:
+                if held.session.placer != name and held.jobs > 0:
+                    found = holders.setdefault(held.session, ReplicaHolders(held.after_us, []))
+                    found.after_us = min(found.after_us, held.after_us)
+                    found.sessions.append(session)
+        return holders
+
+    def _live_session(self, now_us: int, placer: str) -> Session | None:
+        latest = self.log.latest.get(placer)
+        if latest is None or latest.session not in self.log.open:
+            return None
+        return latest.session if self.is_live(now_us, latest.session) else None
+
+    def earliest_end_us(self, session: Session, holders: ReplicaHolders | None) -> int:
+        """Return when an open session may end, unless it is renewed."""
+        lease_us = self.log.open[session].lease_us
+        due_us = max(
+            self.lease_until_us(session), self.leader.counting_since_us + drifted_us(lease_us)
+        )
         latest = self.log.latest.get(session.placer)
         if latest is not None and latest.session != session:
-            return due  # a later process, or a later session of this one: nobody comes back to it
-        return max(
-            due,
-            base + (unreplicated_wait_us(terms.lease_us) if kept is None else drifted_us(kept[0])),
+            return due_us  # the placer has a later session: nobody returns to this one
+        wait_us = (
+            unreplicated_wait_us(lease_us) if holders is None else drifted_us(holders.after_us)
         )
+        return max(due_us, self._renewed_us(session) + wait_us)
+
+    # -- proposals
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """What is to be decided, and when to look again."""
-        self._awake(now_us)
-        self._round = {}
-        out = self._look(now_us) if now_us >= self._look_us else []
-        for session, process, region in list(self._wanted.values())[:MAX_PROPOSALS]:
-            held = self.log.latest.get(session.placer)
-            if held is None or session > held.session:
-                self.renewed_us[session] = now_us  # reckoned with from before it can be given
-                out.append(
-                    Proposal(
-                        "opened",
-                        {
-                            "session": session.text(),
-                            "process": process,
-                            "region": region,
-                            "lease_us": self.lease_us,
-                        },
-                    )
-                )
-        self._wanted = {}
-        return out, self._look_us if self.log.open or out else None
-
-    def _look(self, now_us: int) -> list[Proposal]:
-        out: list[Proposal] = []
-        keepers = self.replica_holders(now_us)
-        following = now_us + self.lease_us // CHECKS_PER_LEASE
-        for session in self.log.open:
-            kept = keepers.get(session)
-            due = self.earliest_end_us(session, kept)
-            if due > now_us or len(out) >= MAX_PROPOSALS:
-                following = min(following, max(due, now_us + 1))
-            elif session not in self._ending:
-                self._ending.add(session)
-                out.append(_proposal("ended", session, kept[1] if kept is not None else []))
-        for session, (_, some) in keepers.items():
-            ended = self.log.ended.get(session)
-            if ended is not None and len(out) < MAX_PROPOSALS:
-                by = self.log.joined_by[session]
-                late = [
-                    each
-                    for each in some
-                    if by.get(each.placer) != each
-                    and (each.placer not in by or each.placer in ended.gone)
-                ]
+        """Return what is to be decided, and when to ask again; see `ReplicatedSubsystem.next_proposals`."""
+        leader = self.leader
+        self._note_activity(now_us)
+        leader.confirmed = {}
+        entries = self._check(now_us) if now_us >= leader.next_check_us else []
+        for entry in list(leader.requested.values())[:MAX_PROPOSALS]:
+            latest = self.log.latest.get(entry.session.placer)
+            if latest is None or entry.session > latest.session:
+                leader.renewed_us[entry.session] = now_us  # counted from before it can be granted
+                entries.append(entry)
+        leader.requested = {}
+        proposals = [Proposal(entry.kind, entry.value()) for entry in entries]
+        return proposals, leader.next_check_us if self.log.open or proposals else None
+
+    def _check(self, now_us: int) -> list[SessionEntry]:
+        """Check all sessions: return ends that are due, and replica holders that join as successors."""
+        holders = self.replica_holders(now_us)
+        entries = self._ends_due(now_us, holders)
+        for session, found in holders.items():
+            if session in self.log.ended and len(entries) < MAX_PROPOSALS:
+                late = [each for each in found.sessions if self.log.can_join(session, each)]
                 if late:
-                    out.append(_proposal("succeed", session, late))
-        self._look_us = following
-        self.renewed_us = {
-            each: at for each, at in self.renewed_us.items() if each in self.log.open
+                    entries.append(SuccessorsJoined(session, limited_successors(late)))
+        self._prune()
+        return entries
+
+    def _ends_due(self, now_us: int, holders: dict[Session, ReplicaHolders]) -> list[SessionEntry]:
+        entries: list[SessionEntry] = []
+        next_check_us = now_us + self.lease_us // CHECKS_PER_LEASE
+        for session in self.log.open:
+            found = holders.get(session)
+            due_us = self.earliest_end_us(session, found)
+            if due_us > now_us or len(entries) >= MAX_PROPOSALS:
+                next_check_us = min(next_check_us, max(due_us, now_us + 1))
+            elif session not in self.leader.ending:
+                self.leader.ending.add(session)
+                successors = found.sessions if found is not None else []
+                entries.append(SessionEnded(session, limited_successors(successors)))
+        self.leader.next_check_us = next_check_us
+        return entries
+
+    def _prune(self) -> None:
+        """Drop what concerns sessions that are not open any more."""
+        leader = self.leader
+        opened = self.log.open
+        leader.renewed_us = {each: at for each, at in leader.renewed_us.items() if each in opened}
+        leader.no_grant_since_us = {
+            each: at for each, at in leader.no_grant_since_us.items() if each in opened
         }
-        self._deaf_us = {each: at for each, at in self._deaf_us.items() if each in self.log.open}
         present = {each.placer for each in self.log.open}
-        self.reports = {name: said for name, said in self.reports.items() if name in present}
-        return out
-
-
-def _proposal(kind: str, session: Session, successors: list[Session]) -> Proposal:
-    return Proposal(
-        kind,
-        {
-            "session": session.text(),
-            "successors": [each.text() for each in sorted(successors)[:MAX_SUCCESSORS_PER_BATCH]],
-        },
-    )
+        leader.reports = {name: each for name, each in leader.reports.items() if name in present}
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -53,7 +53,7 @@
         assert isinstance(sessions, SessionSubsystem)
         log, items = sessions.log, []
         for session, terms in sorted(log.open.items()):
-            renewed, said = sessions.renewed_us.get(session), sessions.reports.get(session.placer)
+            renewed, said = sessions.leader.renewed_us.get(session), sessions.leader.reports.get(session.placer)
             item = self._lease(session, terms.region, "open", terms.lease_us, renewed, log.epoch)
             item["status"] |= {
                 "lives": sessions.is_live(now, session),
