--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -216,7 +216,7 @@
         ("R north;S a 0,0 - - - n/0/1 c 60 90 r;", "spec a"),
         ("D a;", "no federation"),
         ("R north;S a 0 - - l/1s/-/0/0/1/0/0 n/0/1 c 60 90 r;", "spec a"),
-        ("x" * (form.FEDERATION_MOST + 1), "the most"),
+        ("x" * (form.MAX_FEDERATION + 1), "the most"),
     ],
 )
 def test_texts_that_are_none_are_refused_with_words(text: str, words: str) -> None:
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -31,7 +31,7 @@
         for at, name in enumerate(PLACES)
     ]
     out += ["}", 'kind "s" cores=24 memory="48Gi"', 'class "web" effect="safe" patience="5s"']
-    for at in range(s.DATASETS_MOST):
+    for at in range(s.MAX_DATASETS):
         three = [PLACES[(at + step) % 6] for step in range(3)]
         out += [
             f'dataset "team-{at % 40:02}-table-{at:04}" {{',
@@ -42,7 +42,7 @@
             *(["    stays " + " ".join(f'"{name}"' for name in three)] if at % 4 == 0 else []),
             "}",
         ]
-    for at in range(s.SPECS_MOST):
+    for at in range(s.MAX_SPECS):
         data = at * 4 + 1
         out += [
             f'federation "team-{at % 40:02}-service-{at:03}" {{',
@@ -62,12 +62,12 @@
 def test_the_most_specs_and_data_sets_are_checked_and_agreed_on() -> None:
     rules = rules_of(load_text(whole_file()))
     assert (len(rules.federation.specs), len(rules.federation.datasets)) == (
-        s.SPECS_MOST,
-        s.DATASETS_MOST,
+        s.MAX_SPECS,
+        s.MAX_DATASETS,
     )
     text = rules.text()
     assert r.parse_rule_set(text) == rules
-    assert len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
+    assert len(form.write(rules.federation)) < form.MAX_FEDERATION * 3 // 4
 
 
 def test_a_text_too_long_is_refused() -> None:
@@ -122,7 +122,7 @@
         rules = _large(turn)
         rest, federation = r.apart(rules)
         assert len(json.dumps(rest)) > r.MAILED_MOST * 0.8
-        assert len(federation) > form.FEDERATION_MOST * 0.85
+        assert len(federation) > form.MAX_FEDERATION * 0.85
         agreed.apply(
             "propose",
             json.dumps(
--- a/tests/test_rem.py
+++ b/tests/test_rem.py
@@ -135,7 +135,7 @@
         for bind in binds(driver.arrive(i, service="shop", cores=0.1))
     ]
     assert (
-        chosen[: logic_choice.STARTS_MOST * logic_choice.WARM_TIMES]
+        chosen[: logic_choice.MAX_STARTS * logic_choice.WARM_TIMES]
         == [inactive.listed.machine] * 16
     )
     assert len(chosen) == 20
@@ -165,7 +165,7 @@
 
 
 def test_a_placer_alone_starts_more_at_a_time_on_a_machine() -> None:
-    for placers, most in ((1, logic_choice.STARTS_SHARED), (4, logic_choice.STARTS_MOST)):
+    for placers, most in ((1, logic_choice.STARTS_SHARED), (4, logic_choice.MAX_STARTS)):
         driver = Driver(settings(placers=placers))
         driver.listing(listed(1))
         assert sum(len(binds(driver.arrive(i, cores=0.1))) for i in range(20)) == most
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -40,9 +40,9 @@
     zone,
 )
 
-_FILE_MOST = 4 << 20
-_SERIES_MOST = 10_000
-_LASTS_MOST = 31 * 86_400 * 1_000_000
+_MAX_FILE_BYTES = 4 << 20
+_MAX_SERIES = 10_000
+_MAX_DURATION = 31 * 86_400 * 1_000_000
 _MACHINES = "X-WINGBARROW-MACHINES"
 
 
@@ -134,8 +134,8 @@
                     for name in twice
                 ],
             )
-    if len(out.series) > _SERIES_MOST:
-        raise SettingsError("calendar", [(1, f"more than {_SERIES_MOST} windows")])
+    if len(out.series) > _MAX_SERIES:
+        raise SettingsError("calendar", [(1, f"more than {_MAX_SERIES} windows")])
     return out
 
 
@@ -149,8 +149,8 @@
         raw = path.read_bytes()
     except OSError as error:
         raise SettingsError(str(path), [(1, f"cannot be read: {error.strerror}")]) from None
-    if len(raw) > _FILE_MOST:
-        raise SettingsError(str(path), [(1, f"more than {_FILE_MOST} bytes")])
+    if len(raw) > _MAX_FILE_BYTES:
+        raise SettingsError(str(path), [(1, f"more than {_MAX_FILE_BYTES} bytes")])
     try:
         return raw.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -296,7 +296,7 @@
 def _check_length(lasts_us: int, each_us: int) -> None:
     if lasts_us <= 0:
         raise ValueError("a window of no length")
-    if lasts_us > _LASTS_MOST:
+    if lasts_us > _MAX_DURATION:
         raise ValueError("a window of more than 31 days")
     if each_us > lasts_us:
         raise ValueError("each machine's turn is longer than the window")
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -21,8 +21,8 @@
 from wingbarrow.decide.federation.form import normal
 from wingbarrow.decide.federation.spec import (
     CLASS,
-    COPIES_MOST,
     CUTS,
+    MAX_COPIES,
     NEAR,
     ON,
     RETURNS,
@@ -61,7 +61,7 @@
                     "after": (read_duration, NEEDED),
                     "refusing": (read_duration, 0),
                     "room": (number(1, 100, True), 100),
-                    "copies": (number(1, COPIES_MOST, True), 1),
+                    "copies": (number(1, MAX_COPIES, True), 1),
                     "cores": (_CORES, 0),
                     "memory": (read_size, 0.0),
                 },
--- a/wingbarrow/config/load.py
+++ b/wingbarrow/config/load.py
@@ -30,8 +30,8 @@
 )
 
 __all__ = ["SettingsError", "load_file", "load_text"]
-_FILE_MOST = 1 << 20
-_PEERS_MOST = 64
+_MAX_FILE_BYTES = 1 << 20
+_MAX_PEERS = 64
 _PLACES = ("none", "machine", "cell", "zone")
 _WHOLE = number(1, 10_000_000, True)
 _LIMITS = {each.name.replace("_", "-").removesuffix("-us"): each for each in fields(Limits)}
@@ -121,8 +121,8 @@
         raw = Path(path).read_bytes()
     except OSError as error:
         raise SettingsError(str(path), [(1, f"cannot be read: {error.strerror}")]) from None
-    if len(raw) > _FILE_MOST:
-        raise SettingsError(str(path), [(1, f"more than {_FILE_MOST} bytes")])
+    if len(raw) > _MAX_FILE_BYTES:
+        raise SettingsError(str(path), [(1, f"more than {_MAX_FILE_BYTES} bytes")])
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -185,9 +185,9 @@
             for key, nodes in node.children.items()
         }
     )
-    if len(top.children.get("peer", [])) > _PEERS_MOST:
+    if len(top.children.get("peer", [])) > _MAX_PEERS:
         problems.append(
-            (top.children["peer"][_PEERS_MOST].line, f"peer: more than {_PEERS_MOST} peers")
+            (top.children["peer"][_MAX_PEERS].line, f"peer: more than {_MAX_PEERS} peers")
         )
     for node in top.children["class"]:
         if node.props["patience"] > limits.patience_us:
--- a/wingbarrow/config/subsetting.py
+++ b/wingbarrow/config/subsetting.py
@@ -23,8 +23,8 @@
 from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import ROSTER_MOST, SubsetRules, Subsets, subset_size
 
-WIDEN_MOST = 8
-MACHINES_LEAST = (
+MAX_WIDEN = 8
+MIN_MACHINES = (
     8  # of an expected subset: with fewer, one in which most are full or rest is no rarity
 )
 _LEAVE_US, _SETTLE_US = (1_000_000, 600_000_000), (100_000, 60_000_000)
@@ -33,7 +33,7 @@
     {
         "replicas": (number(1, ROSTER_MOST, True), NEEDED),
         "spare": (number(0, 1), 0.25),
-        "widen": (number(0, WIDEN_MOST, True), 0),
+        "widen": (number(0, MAX_WIDEN, True), 0),
         "machines": (number(1, 10_000_000, True), None),
         "cells": (number(1, 10_000_000, True), None),
     },
@@ -195,8 +195,8 @@
         return []  # everybody holds every machine
     size = subset_size(machines, len(roster), replicas)
     out = []
-    if size < MACHINES_LEAST:
-        out.append(f"about {size:.1f} machines for each placer, fewer than {MACHINES_LEAST}")
+    if size < MIN_MACHINES:
+        out.append(f"about {size:.1f} machines for each placer, fewer than {MIN_MACHINES}")
     stated = any("tasks-per-job" in each.children for each in top.children.get("limits", []))
     missed = 1 - replicas / len(roster)
     cells_held = None if cells is None else cells * (1 - missed ** (machines / cells))
--- a/wingbarrow/decide/federation/check.py
+++ b/wingbarrow/decide/federation/check.py
@@ -17,17 +17,17 @@
     unfit,
 )
 from wingbarrow.decide.federation.form import (
-    AFTER_MOST_US,
-    FEDERATION_MOST,
+    MAX_AFTER_US,
+    MAX_FEDERATION,
+    MAX_USES,
     NAME,
     NAME_WORDS,
-    USES_MOST,
     write,
 )
 from wingbarrow.decide.federation.spec import (
-    DATASETS_MOST,
-    REGIONS_MOST,
-    SPECS_MOST,
+    MAX_DATASETS,
+    MAX_REGIONS,
+    MAX_SPECS,
     DataSet,
     Federation,
 )
@@ -40,9 +40,9 @@
     """Everything that is wrong with a whole federation."""
     out: list[Fault] = []
     for kind, most, names in (
-        ("federation", SPECS_MOST, [each.name for each in federation.specs]),
-        ("dataset", DATASETS_MOST, [each.name for each in federation.datasets]),
-        ("room", REGIONS_MOST, [each[0] for each in known.rooms]),
+        ("federation", MAX_SPECS, [each.name for each in federation.specs]),
+        ("dataset", MAX_DATASETS, [each.name for each in federation.datasets]),
+        ("room", MAX_REGIONS, [each[0] for each in known.rooms]),
     ):
         if len(names) > most:
             out.append(Fault((kind, most), f"{kind}: more than {most}"))
@@ -53,8 +53,8 @@
                     Fault((kind, at), f"{kind} {name!r} was given before", (kind, first[name]))
                 )
             first.setdefault(name, at)
-    if len(known.regions) > REGIONS_MOST:
-        out.append(Fault((), f"agree: more than {REGIONS_MOST} regions"))
+    if len(known.regions) > MAX_REGIONS:
+        out.append(Fault((), f"agree: more than {MAX_REGIONS} regions"))
     for region in known.regions:
         if not NAME.fullmatch(region):
             out.append(Fault((), f"agree: region {region[:60]!r}: {NAME_WORDS} are wanted"))
@@ -69,12 +69,12 @@
         out = circles(federation) + rooms(federation, known)
     if not out:
         size = len(write(federation))
-        if size > FEDERATION_MOST:
+        if size > MAX_FEDERATION:
             out.append(
                 Fault(
                     (),
                     f"federation: specs and data sets are {size} characters as placers agree on them; "
-                    f"{FEDERATION_MOST} are the most: shorter names, fewer copies told",
+                    f"{MAX_FEDERATION} are the most: shorter names, fewer copies told",
                 )
             )
     return out
@@ -101,8 +101,8 @@
                     (*path, "stays"),
                 )
             )
-        if behind_us > AFTER_MOST_US:
-            out.append(Fault(place, f"copy: behind by more than {seconds(AFTER_MOST_US)}"))
+        if behind_us > MAX_AFTER_US:
+            out.append(Fault(place, f"copy: behind by more than {seconds(MAX_AFTER_US)}"))
     return out + region_faults((*path, "stays"), "stays", dataset.stays, known)
 
 
@@ -112,8 +112,8 @@
 def _uses(federation: Federation, known: Known) -> list[Fault]:
     out: list[Fault] = []
     names = [each.name for each in federation.specs]
-    if len(federation.uses) > USES_MOST:
-        out.append(Fault((), f"class: more than {USES_MOST} with a spec"))
+    if len(federation.uses) > MAX_USES:
+        out.append(Fault((), f"class: more than {MAX_USES} with a spec"))
     for task_class, name in federation.uses:
         path: Path = ("class", task_class)
         out += name_faults(path, "class", task_class)
--- a/wingbarrow/decide/federation/checkspec.py
+++ b/wingbarrow/decide/federation/checkspec.py
@@ -13,9 +13,9 @@
     region_faults,
     seconds,
 )
-from wingbarrow.decide.federation.form import AFTER_MOST_US, CORES_MOST, MIB_MOST
+from wingbarrow.decide.federation.form import MAX_AFTER_US, MAX_CORES, MAX_MIB
 from wingbarrow.decide.federation.room import homes
-from wingbarrow.decide.federation.spec import NEEDS_MOST, Failover, Federation, Need, Spec, allowed
+from wingbarrow.decide.federation.spec import MAX_NEEDS, Failover, Federation, Need, Spec, allowed
 
 SECOND = 1_000_000
 
@@ -79,15 +79,15 @@
     def _data(self) -> bool:
         """Whether what it reads is known, so that regions can be weighed by it."""
         spec, good = self.spec, True
-        if len(spec.data) > NEEDS_MOST:
-            self.bad("reads", f"more than {NEEDS_MOST} data sets", NEEDS_MOST)
+        if len(spec.data) > MAX_NEEDS:
+            self.bad("reads", f"more than {MAX_NEEDS} data sets", MAX_NEEDS)
         for at, need in enumerate(spec.data):
             dataset = self.sets.get(need.dataset)
             if need.dataset in (each.dataset for each in spec.data[:at]):
                 self.bad("reads", f"data set {need.dataset!r} is read twice", at)
-            if need.mib > MIB_MOST or need.behind_us > AFTER_MOST_US:
+            if need.mib > MAX_MIB or need.behind_us > MAX_AFTER_US:
                 self.bad(
-                    "reads", f"at most {MIB_MOST >> 30} Pi, and {seconds(AFTER_MOST_US)} behind", at
+                    "reads", f"at most {MAX_MIB >> 30} Pi, and {seconds(MAX_AFTER_US)} behind", at
                 )
             if dataset is None:
                 self.bad(
@@ -136,16 +136,16 @@
                 f"after {seconds(over.after_us)} is shorter than the lease of "
                 f"{seconds(known.lease_us)}: what is lost may still be running by right",
             )
-        if max(over.after_us, over.refusing_us) > AFTER_MOST_US:
-            self.bad("failover", f"{seconds(AFTER_MOST_US)} at most")
+        if max(over.after_us, over.refusing_us) > MAX_AFTER_US:
+            self.bad("failover", f"{seconds(MAX_AFTER_US)} at most")
         if len(set(over.on)) < len(over.on):
             self.bad("failover", "one thing is named twice")
         if "refusing" in over.on and over.refusing_us < SECOND:
             self.bad("failover", 'on "refusing": for how long, refusing="1s" or more?')
         if over.refusing_us and "refusing" not in over.on:
             self.bad("failover", 'refusing= is said, and it does not follow on "refusing"')
-        if over.cores > CORES_MOST or over.mib > MIB_MOST:
-            self.bad("failover", f"at most {CORES_MOST} cores and {MIB_MOST >> 30} Pi")
+        if over.cores > MAX_CORES or over.mib > MAX_MIB:
+            self.bad("failover", f"at most {MAX_CORES} cores and {MAX_MIB >> 30} Pi")
         self._circle("failover", over.to, "to")
         for region in dict.fromkeys(over.to):
             self._target(region, over)
@@ -217,8 +217,8 @@
                 f'"stable" after {seconds(back.stable_us)} is shorter than the lease of '
                 f"{seconds(self.known.lease_us)}: a region that flaps would have its work to and fro",
             )
-        if back.stable_us > AFTER_MOST_US:
-            self.bad("back", f"{seconds(AFTER_MOST_US)} at most")
+        if back.stable_us > MAX_AFTER_US:
+            self.bad("back", f"{seconds(MAX_AFTER_US)} at most")
         to = spec.failover.to if spec.failover is not None else ()
         rank = {region: at for at, region in enumerate(spec.regions)}
         for at, region in enumerate(to):
--- a/wingbarrow/decide/federation/form.py
+++ b/wingbarrow/decide/federation/form.py
@@ -15,14 +15,14 @@
 from functools import lru_cache
 
 from wingbarrow.decide.federation.spec import (
-    COPIES_MOST,
     CUTS,
-    DATASETS_MOST,
-    NEEDS_MOST,
+    MAX_COPIES,
+    MAX_DATASETS,
+    MAX_NEEDS,
+    MAX_REGIONS,
+    MAX_SPECS,
     ON,
-    REGIONS_MOST,
     RETURNS,
-    SPECS_MOST,
     Back,
     DataSet,
     Failover,
@@ -33,11 +33,11 @@
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,126}")
 NAME_WORDS = "1 to 127 letters, digits, '.', '_' or '-', beginning with a letter or digit"
-FEDERATION_MOST = 112 * 1024  # characters of one text
-USES_MOST = 256
-AFTER_MOST_US = 7 * 86_400_000_000
-MIB_MOST = 1 << 40
-CORES_MOST = 10_000_000
+MAX_FEDERATION = 112 * 1024  # characters of one text
+MAX_USES = 256
+MAX_AFTER_US = 7 * 86_400_000_000
+MAX_MIB = 1 << 40
+MAX_CORES = 10_000_000
 _UNITS = (("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1))
 _KEPT = (
     8  # federations whose text and form are not worked out again: those in force, and those to come
@@ -197,9 +197,9 @@
 @lru_cache(maxsize=_KEPT)
 def read(text: str) -> Federation:
     """A federation from its text; BadFederation says what is wrong. What it names need not be there."""
-    if len(text) > FEDERATION_MOST:
+    if len(text) > MAX_FEDERATION:
         raise BadFederation(
-            f"{len(text)} characters of specs and data sets; {FEDERATION_MOST} are the most"
+            f"{len(text)} characters of specs and data sets; {MAX_FEDERATION} are the most"
         )
     regions: list[str] = []
     specs: list[Spec] = []
@@ -298,9 +298,9 @@
         if not good:
             out.append(words)
 
-    want(len(federation.specs) <= SPECS_MOST + USES_MOST, f"more than {SPECS_MOST} specs")
-    want(len(federation.datasets) <= DATASETS_MOST, f"more than {DATASETS_MOST} data sets")
-    want(len(federation.uses) <= USES_MOST, f"more than {USES_MOST} classes with a spec")
+    want(len(federation.specs) <= MAX_SPECS + MAX_USES, f"more than {MAX_SPECS} specs")
+    want(len(federation.datasets) <= MAX_DATASETS, f"more than {MAX_DATASETS} data sets")
+    want(len(federation.uses) <= MAX_USES, f"more than {MAX_USES} classes with a spec")
     names = {
         *(each.name for each in federation.specs),
         *(each.name for each in federation.datasets),
@@ -314,35 +314,35 @@
         good = (
             _once(spec.regions)
             and _once(tuple(each.dataset for each in spec.data))
-            and len(spec.data) <= 2 * NEEDS_MOST
+            and len(spec.data) <= 2 * MAX_NEEDS
             and 0 <= spec.lower < spec.upper <= 100
             and all(
-                0 <= each.mib <= MIB_MOST and 0 <= each.behind_us <= AFTER_MOST_US
+                0 <= each.mib <= MAX_MIB and 0 <= each.behind_us <= MAX_AFTER_US
                 for each in spec.data
             )
-            and 0 <= spec.back.stable_us <= AFTER_MOST_US
+            and 0 <= spec.back.stable_us <= MAX_AFTER_US
             and 1 <= spec.back.pace <= 1000
         )
         if over is not None:
             good = (
                 good
                 and _once(over.to)
-                and 0 <= over.after_us <= AFTER_MOST_US
+                and 0 <= over.after_us <= MAX_AFTER_US
                 and 1 <= over.room <= 100
-                and 0 <= over.refusing_us <= AFTER_MOST_US
-                and 1 <= over.copies <= COPIES_MOST
-                and 0 <= over.cores <= CORES_MOST
-                and 0 <= over.mib <= MIB_MOST
+                and 0 <= over.refusing_us <= MAX_AFTER_US
+                and 1 <= over.copies <= MAX_COPIES
+                and 0 <= over.cores <= MAX_CORES
+                and 0 <= over.mib <= MAX_MIB
             )
         want(good, f"spec {spec.name[:60]}: a name twice, or a figure out of its bounds")
     for dataset in federation.datasets:
         regions |= {*(region for region, _ in dataset.copies), *dataset.stays}
         want(
             _once(tuple(region for region, _ in dataset.copies))
-            and all(0 <= behind <= AFTER_MOST_US for _, behind in dataset.copies),
+            and all(0 <= behind <= MAX_AFTER_US for _, behind in dataset.copies),
             f"data set {dataset.name[:60]}: a region twice, or a figure out of its bounds",
         )
-    want(len(regions) <= 2 * REGIONS_MOST, f"more than {REGIONS_MOST} regions")
+    want(len(regions) <= 2 * MAX_REGIONS, f"more than {MAX_REGIONS} regions")
     bad = sorted(name for name in names | regions if not NAME.fullmatch(name))
     want(not bad, f"{bad[0][:60] if bad else ''!r}: a name of {NAME_WORDS} is wanted")
     want(_once(tuple(each.name for each in federation.specs)), "a spec is named twice")
--- a/wingbarrow/decide/federation/route.py
+++ b/wingbarrow/decide/federation/route.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 
 KNOWN_US = 15_000_000  # news older than this counts as not known
-REASON_MOST = 400
+MAX_REASON = 400
 
 
 @dataclass(frozen=True, slots=True)
@@ -245,4 +245,4 @@
             for region in can
             if region != self._wanted.here or self._wanted.why == "new"
         ]
-        return f"of {', '.join(can)} none will do ({'; '.join(told)})"[:REASON_MOST]
+        return f"of {', '.join(can)} none will do ({'; '.join(told)})"[:MAX_REASON]
--- a/wingbarrow/decide/federation/spec.py
+++ b/wingbarrow/decide/federation/spec.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-SPECS_MOST, DATASETS_MOST, REGIONS_MOST = 256, 1024, 64
-NEEDS_MOST, COPIES_MOST = 16, 3  # data sets that a spec reads; keepers
+MAX_SPECS, MAX_DATASETS, MAX_REGIONS = 256, 1024, 64
+MAX_NEEDS, MAX_COPIES = 16, 3  # data sets that a spec reads; keepers
 ON = ("lost", "refusing", "closed")  # what a failover may follow
 RETURNS = ("never", "idle", "stable")  # from what moves least
 CUTS = ("stop", "carry-on")
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -127,9 +127,9 @@
 
 def parse_rule_set(text: str) -> RuleSet:
     """A rule set from its text; BadRules says what is wrong."""
-    if len(text) > TEXT_MOST + form.FEDERATION_MOST:
+    if len(text) > TEXT_MOST + form.MAX_FEDERATION:
         raise RuleSetError(
-            f"{len(text)} characters; {TEXT_MOST}, and {form.FEDERATION_MOST} of a federation, are the most"
+            f"{len(text)} characters; {TEXT_MOST}, and {form.MAX_FEDERATION} of a federation, are the most"
         )
     try:
         value = json.loads(text)
@@ -188,9 +188,9 @@
             f"{len(rest)} characters without the federation; {TEXT_MOST} are the most, and {MAILED_MOST} with "
             "what mail puts before quotation marks"
         )
-    if len(federation) > form.FEDERATION_MOST:
+    if len(federation) > form.MAX_FEDERATION:
         out.append(
-            f"{len(federation)} characters of specs and data sets; {form.FEDERATION_MOST} are the most"
+            f"{len(federation)} characters of specs and data sets; {form.MAX_FEDERATION} are the most"
         )
     return out
 
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.federation.form import FEDERATION_MOST
+from wingbarrow.decide.federation.form import MAX_FEDERATION
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.rulesets.ruleset import (
     MAILED_MOST,
@@ -33,7 +33,7 @@
 # once, whoever names it), outcomes; what is left is for `chapters`.
 VERSIONS_MOST, VERSIONS_MAILED = 64, 160 * 1024  # kept; older ones are known by number alone
 FEDERATIONS_MOST = (
-    3 * FEDERATION_MOST + 64 * 1024
+    3 * MAX_FEDERATION + 64 * 1024
 )  # in force, two steps, and those of versions before
 FLOORS_MAILED = 96 * 1024
 IDENTS_MOST, OUTCOME_MOST = (
--- a/wingbarrow/http/parse.py
+++ b/wingbarrow/http/parse.py
@@ -16,8 +16,8 @@
 _DIGITS = re.compile(rb"[0-9]{1,15}")
 _SPECIAL = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
 _NAMES: dict[bytes, str] = {}
-_NAMES_MOST = 512
-_LINE_MOST = 1024  # of a chunk size with its extensions
+_MAX_NAMES = 512
+_MAX_LINE_BYTES = 1024  # of a chunk size with its extensions
 
 
 class _State(Enum):
@@ -143,9 +143,9 @@
                     raise BadMessage(431, "too many trailers")
 
     def _line(self) -> bytes | None:
-        end = self._buffer.find(b"\n", 0, _LINE_MOST)
+        end = self._buffer.find(b"\n", 0, _MAX_LINE_BYTES)
         if end < 0:
-            if len(self._buffer) >= _LINE_MOST:
+            if len(self._buffer) >= _MAX_LINE_BYTES:
                 raise BadMessage(400, "a line of the chunked coding is too long")
             return None
         if end == 0 or self._buffer[end - 1] != 13:
@@ -299,7 +299,7 @@
 def _name(raw: bytes) -> str:
     """A field's name in lower case; those met before are kept, up to a bound."""
     name = raw.decode("ascii").lower()
-    if len(_NAMES) < _NAMES_MOST and len(raw) <= 64:
+    if len(_NAMES) < _MAX_NAMES and len(raw) <= 64:
         _NAMES[raw] = name
     return name
 
--- a/wingbarrow/http/watching.py
+++ b/wingbarrow/http/watching.py
@@ -10,8 +10,8 @@
 from wingbarrow.kube.names import decode
 from wingbarrow.kube.status import ApiError
 
-_LINE_MOST = 8 << 20
-_PAGES_MOST = 1000
+_MAX_LINE_BYTES = 8 << 20
+_MAX_PAGES = 1000
 
 
 def read_answer(response: Response) -> dict[str, Any]:
@@ -54,7 +54,7 @@
     """All items, page by page, and the list's resourceVersion; ApiError, CallFailed or ValueError."""
     items: list[dict[str, Any]] = []
     token = ""
-    for _ in range(_PAGES_MOST):
+    for _ in range(_MAX_PAGES):
         parts = [
             part for part in (query, f"limit={limit}", f"continue={token}" if token else "") if part
         ]
@@ -66,7 +66,7 @@
         token = str(meta.get("continue") or "")
         if not token:
             return items, str(meta.get("resourceVersion") or "")
-    raise ValueError(f"a list of more than {_PAGES_MOST} pages")
+    raise ValueError(f"a list of more than {_MAX_PAGES} pages")
 
 
 def watch(
@@ -96,7 +96,7 @@
         body = b""
         for part in parts:
             body += part
-            if len(body) > _LINE_MOST:
+            if len(body) > _MAX_LINE_BYTES:
                 break
         response.body = body
         read_answer(response)
@@ -106,7 +106,7 @@
         for part in parts:
             lines = (rest + part).split(b"\n")
             rest = lines.pop()
-            if len(rest) > _LINE_MOST:
+            if len(rest) > _MAX_LINE_BYTES:
                 raise ValueError("a watch event of more than 8 MiB")
             batch: list[tuple[str, dict[str, Any]]] = []
             for line in lines:
--- a/wingbarrow/lab/audit.py
+++ b/wingbarrow/lab/audit.py
@@ -16,7 +16,7 @@
 from wingbarrow.lab.record import Record
 
 ANSWER_SLACK_US = 8_000
-EARLY_MOST = 65_536
+MAX_EARLY = 65_536
 BREACHES = (
     "unanswered",
     "double_effects",
@@ -202,7 +202,7 @@
         answer = record.data["answer"]
         if job is None:
             if (
-                len(self._early) < EARLY_MOST
+                len(self._early) < MAX_EARLY
             ):  # or a Job that a restarted placer made anew: its first answer counts
                 self._early.setdefault(record.data["uid"], record)
             return
--- a/wingbarrow/lab/fleet/judging/verdict.py
+++ b/wingbarrow/lab/fleet/judging/verdict.py
@@ -28,7 +28,7 @@
     "turn_disorder",
     "double_answers",
 )
-NOTES_MOST = 100
+MAX_NOTES = 100
 
 
 @dataclass
@@ -95,7 +95,7 @@
     def breach(self, name: str, words: str) -> None:
         """Count one of a kind, and note it while there is room."""
         setattr(self, name, getattr(self, name) + 1)
-        if len(self.notes) < NOTES_MOST:
+        if len(self.notes) < MAX_NOTES:
             self.notes.append(words)
 
     def line(self) -> dict[str, Any]:
--- a/wingbarrow/lab/fleet/link.py
+++ b/wingbarrow/lab/fleet/link.py
@@ -13,7 +13,7 @@
 from wingbarrow.transport import Hub, Listener, Nursery, PeerGone, Signal, Stream, connect, listen
 
 TRICKLE = 64  # bytes in one go on a slow direction
-DOUBLES_MOST = 16  # second copies on their way at a time
+MAX_DOUBLES = 16  # second copies on their way at a time
 
 
 @dataclass(slots=True)
@@ -158,7 +158,7 @@
 
     def _double(self, data: bytes) -> None:
         """The same bytes again, as a network that delivers twice; whole requests only make sense to the receiver."""
-        if self._doubling >= DOUBLES_MOST:
+        if self._doubling >= MAX_DOUBLES:
             return
         self._doubling += 1
         self.doubles += 1
--- a/wingbarrow/lab/fleet/script.py
+++ b/wingbarrow/lab/fleet/script.py
@@ -40,7 +40,7 @@
 TO_ONE = ("isolate", "deafen", "stop", "kill", "propose", "drain", "faulty")
 WORK = "work"
 ON_REGIONS = ("cut-region", "slow-region", "kill-region")
-FAULTS_MOST = 10_000
+MAX_FAULTS = 10_000
 
 
 class BadScript(ValueError):
@@ -77,8 +77,8 @@
         nodes = ckdl.parse(path.read_text(encoding="utf-8")).nodes
     except (OSError, UnicodeDecodeError, ckdl.ParseError, ValueError) as error:
         raise BadScript(f"{path}: {error}") from None
-    if len(nodes) > FAULTS_MOST:
-        raise BadScript(f"{path}: {len(nodes)} faults; {FAULTS_MOST} are the most")
+    if len(nodes) > MAX_FAULTS:
+        raise BadScript(f"{path}: {len(nodes)} faults; {MAX_FAULTS} are the most")
     out: list[Fault] = []
     for number, node in enumerate(nodes, 1):
         try:
--- a/wingbarrow/lab/leaseguard.py
+++ b/wingbarrow/lab/leaseguard.py
@@ -18,9 +18,9 @@
 from wingbarrow.lab.record import Recorder
 from wingbarrow.transport import Domain, Hub
 
-FENCES_MOST = 4096
-SESSIONS_MOST = 4096
-RAN_MOST = 65_536  # leased tasks that began here, remembered until the machine's next start
+MAX_FENCES = 4096
+MAX_SESSIONS = 4096
+MAX_FINISHED = 65_536  # leased tasks that began here, remembered until the machine's next start
 LAPSED, FENCED = "LeaseLapsed", "Fenced"
 
 
@@ -103,8 +103,8 @@
         uid, epoch = said.get("uid"), said.get("epoch")
         if not isinstance(uid, str) or not isinstance(epoch, int) or not 0 < len(uid) <= 64:
             raise ApiError(400, "uid and epoch are wanted", "BadRequest")
-        if uid not in self._fences and len(self._fences) >= FENCES_MOST:
-            raise ApiError(429, f"{FENCES_MOST} Jobs are fenced here already", "TooManyRequests")
+        if uid not in self._fences and len(self._fences) >= MAX_FENCES:
+            raise ApiError(429, f"{MAX_FENCES} Jobs are fenced here already", "TooManyRequests")
         self._fences[uid] = max(epoch, self._fences.get(uid, 0))
         # Danger: a task that ran and is over had its effect too; that it is not here now proves nothing. One that is
         # still looked at is refused by this very fence.
@@ -133,11 +133,11 @@
             return None
         try:
             until = self._read(pod.lease)
-            if pod.session not in self._until and len(self._until) >= SESSIONS_MOST:
+            if pod.session not in self._until and len(self._until) >= MAX_SESSIONS:
                 self._forget()
-                if len(self._until) >= SESSIONS_MOST:
+                if len(self._until) >= MAX_SESSIONS:
                     return ApiError(
-                        429, f"{SESSIONS_MOST} sessions are known here", "TooManyRequests"
+                        429, f"{MAX_SESSIONS} sessions are known here", "TooManyRequests"
                     )
         except ApiError as error:
             return error
@@ -150,7 +150,7 @@
         """A task is taken: it may have its effect from now on."""
         if pod.lease:
             self._ran[pod.uid, pod.name] = None
-            if len(self._ran) > RAN_MOST:
+            if len(self._ran) > MAX_FINISHED:
                 del self._ran[next(iter(self._ran))]
                 self._forgot = True
 
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -20,7 +20,7 @@
 
 AGAIN_US = 1_500_000
 TRIES = 4
-WHY_MOST = 200  # characters of a refusal's words that are recorded
+MAX_REASON_CHARS = 200  # characters of a refusal's words that are recorded
 
 
 @dataclass(slots=True)
@@ -125,7 +125,7 @@
                 placer=placer.name,
                 job=name,
                 code=error.code,
-                why=str(error)[:WHY_MOST],
+                why=str(error)[:MAX_REASON_CHARS],
             )
             return error.code == 422
         except CallFailed as error:
--- a/wingbarrow/logic_choice.py
+++ b/wingbarrow/logic_choice.py
@@ -30,7 +30,7 @@
     0.93,
 )  # once nothing else fits; part of a fade that is borne
 HOMES = 1  # machines that all placers prefer for a service, so that its program is found warm there
-STARTS_MOST, STARTS_SHARED, WARM_TIMES = (
+MAX_STARTS, STARTS_SHARED, WARM_TIMES = (
     4,
     8,
     4,
@@ -68,7 +68,7 @@
         shape = task.cls.name, task.arrival.cores, task.arrival.memory
         if fleet.now - self._no_room.get(shape, -SWEEP_US) < SWEEP_US or task.cls.name in self.busy:
             return []
-        starts = max(STARTS_MOST, STARTS_SHARED // fleet.settings.placers)
+        starts = max(MAX_STARTS, STARTS_SHARED // fleet.settings.placers)
         tight = max(TIGHT_CORES, task.cls.calm + TIGHT_FADE * task.cls.fade)
         full, shut, allowed = (FULL_CORES, FULL_MEMORY), set[int](), False
 
--- a/wingbarrow/logic_machines.py
+++ b/wingbarrow/logic_machines.py
@@ -33,7 +33,7 @@
 )  # memory of a younger task grows; of one handed over, so long
 REST_US, REST_DOUBLINGS = 500_000, 4  # rest after a broken answer, doubled so often at most
 SILENT_US, WHOLE = 3 * SECOND, ""  # rest after silence to a class; key of what regards all classes
-PROBES_MOST, PROBE_POINTS = 10.0, 0.003  # saved up, or owed for unasked figures; part of the result
+MAX_PROBES, PROBE_POINTS = 10.0, 0.003  # saved up, or owed for unasked figures; part of the result
 RANKS_KEPT, WARM_KEPT = (
     512,
     1024,
@@ -318,7 +318,7 @@
             if each.beyond is not None and self.now - each.measured_age_us > machine.measured_us:
                 machine.beyond, machine.measured_us = each.beyond, self.now - each.measured_age_us
                 self._probes_due = max(
-                    -PROBES_MOST, self._probes_due - 1
+                    -MAX_PROBES, self._probes_due - 1
                 )  # it spares a probe of one's own
             for service, left in each.warm_us.items():
                 self.warms(
@@ -372,7 +372,7 @@
     def probes(self) -> list[api.Probe]:
         """Earned by an arrival: of the machine with the oldest figures; the heap's times may be older."""
         settings, earned = self.settings, PROBE_POINTS / max(self.settings.prices.probe, 1e-4)
-        self._probes_due = min(PROBES_MOST, self._probes_due + earned)
+        self._probes_due = min(MAX_PROBES, self._probes_due + earned)
         may = (
             settings.may_probe
             and settings.reports is not api.Reports.NONE
--- a/wingbarrow/reader.py
+++ b/wingbarrow/reader.py
@@ -31,8 +31,8 @@
 }
 COUNTED = {"asked": False, "used": True}
 # Discovery is asked again after half of `rules.ask_every_us`: were that 0, a placer would do nothing else.
-ASK_LEAST_US = 100_000
-SHOWN_MOST = 60
+MIN_ASK_US = 100_000
+MAX_SHOWN = 60
 T = TypeVar("T")
 
 
@@ -41,7 +41,7 @@
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
     text = repr(value)
-    return text if len(text) <= SHOWN_MOST else text[:SHOWN_MOST] + "..."
+    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,7 +210,7 @@
         reports_use=setup.at("family_info.report_counts").choice(COUNTED),
         room_in_list=setup.at("family_info.free_in_list").flag(),
         tick_us=max(1, setup.at("quantum_us").whole()),
-        ask_every_us=max(ASK_LEAST_US, setup.at("rules.ask_every_us").whole()),
+        ask_every_us=max(MIN_ASK_US, setup.at("rules.ask_every_us").whole()),
         cold_us=setup.at("rules.cold_us").whole(),
         fall_us=max(1, setup.at("rules.fall_us").whole()),
         fresh_offers=setup.at("family_info.fresh_offers").number(),
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -18,7 +18,7 @@
 from wingbarrow.relay.trace import Trace
 
 OPEN_IN_ALL = 2048  # set-ups that may wait for their final answer
-HELD_MOST = 8192  # attempts at machines, beyond which no task is taken in as running already
+MAX_HELD = 8192  # attempts at machines, beyond which no task is taken in as running already
 
 
 class Admission:
@@ -125,7 +125,7 @@
             if link is None or link.closed:
                 owner.write(refusal(asked.ident, Cause.RESET))
             return
-        if len(self._attempts) >= HELD_MOST:
+        if len(self._attempts) >= MAX_HELD:
             # Danger: nobody else bounds them, and only its machine knows whether a task is there at all.
             self._turn_away(owner, asked.ident, Cause.RESET, "too many held", None)
             return
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -13,14 +13,14 @@
 from wingbarrow.decide.descriptors import LEAST
 from wingbarrow.reader import Part, settings_of, shown
 
-FILE_MOST = 16 << 20
+MAX_FILE_BYTES = 16 << 20
 # Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
 DIAL_US = 250_000
-STAY_AWAY_MOST_US = 1_000_000
+MAX_STAY_AWAY_US = 1_000_000
 CONN_IDLE_US = 30_000_000
-BOUND_LEAST_US = 1_000
+MIN_BOUND_US = 1_000
 TICK_PART = 20  # of the shortest deadline: no more than this part is kept back before a deadline
-DIGITS_MOST = 300  # of a whole number; a longer one is no float, and counts as infinite
+MAX_DIGITS = 300  # of a whole number; a longer one is no float, and counts as infinite
 
 
 class BadConfiguration(Exception):
@@ -76,17 +76,17 @@
 
 
 def _whole_number(digits: str) -> int | float:
-    return int(digits) if len(digits) <= DIGITS_MOST else float(digits)
+    return int(digits) if len(digits) <= MAX_DIGITS else float(digits)
 
 
 def _load(path: str) -> dict[str, Any]:
     try:
         with Path(path).open("rb") as file:
-            raw = file.read(FILE_MOST + 1)
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise BadConfiguration(f"{path}: {error.strerror}") from None
-    if len(raw) > FILE_MOST:
-        raise BadConfiguration(f"{path}: longer than {FILE_MOST} bytes")
+    if len(raw) > MAX_FILE_BYTES:
+        raise BadConfiguration(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
         value = json.loads(raw, parse_int=_whole_number)
     except (ValueError, RecursionError) as error:
@@ -116,7 +116,7 @@
     """A time of the site's bounds, in microseconds; `usual` where it is absent or 0."""
     part = settings.find(f"bounds.{key}")
     told = 0 if part is None else part.whole()
-    return max(BOUND_LEAST_US, told) if told else usual
+    return max(MIN_BOUND_US, told) if told else usual
 
 
 def _deadlines(settings: Part) -> list[int]:
@@ -157,7 +157,7 @@
             known=_known(whole.at("known")),
             settings=_scheduler(settings),
             dial_us=_bound(settings, "dial_timeout_us", DIAL_US),
-            stay_away_most_us=_bound(settings, "max_retry_after_us", STAY_AWAY_MOST_US),
+            stay_away_most_us=_bound(settings, "max_retry_after_us", MAX_STAY_AWAY_US),
             patience_us=max(_deadlines(settings)),
             conn_idle_us=_bound(settings, "conn_idle_us", CONN_IDLE_US),
         )
--- a/wingbarrow/relay/entries.py
+++ b/wingbarrow/relay/entries.py
@@ -12,9 +12,9 @@
 from wingbarrow.relay.configuration import Address, BadConfiguration, read_address
 
 PHASES = {"Ready": api.Phase.RUNNING, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
-STARTED_MOST_MS = 10**14  # beyond it is no time of a start
-NUMBER_MOST = 1 << 62
-WHY_MOST = 200
+MAX_STARTED_MS = 10**14  # beyond it is no time of a start
+MAX_NUMBER = 1 << 62
+MAX_REASON_CHARS = 200
 
 
 def ident(name: str) -> int:
@@ -81,7 +81,7 @@
 
 
 def _plain(text: str) -> str:
-    return text[:WHY_MOST].encode("ascii", "backslashreplace").decode()
+    return text[:MAX_REASON_CHARS].encode("ascii", "backslashreplace").decode()
 
 
 def _room(value: Any) -> tuple[float, float]:
@@ -106,13 +106,13 @@
     (zone + kind).encode()  # lone surrogates are a ValueError
     if isinstance(cell, float) and cell.is_integer():
         cell = int(cell)  # some services write each figure as a float
-    if not isinstance(cell, int) or abs(cell) > NUMBER_MOST:
+    if not isinstance(cell, int) or abs(cell) > MAX_NUMBER:
         raise ValueError("cell")
     started = 0 if "startedAtMs" not in value else started
     if (
         isinstance(started, bool)
         or not isinstance(started, (int, float))
-        or not started <= STARTED_MOST_MS
+        or not started <= MAX_STARTED_MS
         or not isfinite(started)
     ):
         raise ValueError("startedAtMs")
@@ -156,7 +156,7 @@
     if (
         isinstance(position, bool)
         or not isinstance(position, int)
-        or not 0 < position <= NUMBER_MOST
+        or not 0 < position <= MAX_NUMBER
     ):
         return Event(0, False, (), "an event without position")
     if not isinstance(hosts, dict) or not isinstance(hosts.get("instances"), list):
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -20,13 +20,13 @@
 WAIT_MS = 1_000
 GRACE_US = 400_000  # beyond the wait asked for, until it counts as silent
 CONNECT_US = 500_000
-BODY_MOST = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 EARLY_US = WAIT_MS * 500  # an answer without news before that is not the wait that was asked for
-ASKS_MOST = 3  # for missing events, until they are given up
+MAX_ASKS = 3  # for missing events, until they are given up
 # Danger (rule 3): a drain that lies unread after a stall counts as told. Of a grace of 250 ms a fifth may pass.
 UNREAD_US = 50_000
-MARKS_MOST = 1024  # events remembered, to tell a service that lags from one that numbers anew
-TOLD_MOST = 64  # texts remembered, so that one fault is not logged over and over
+MAX_MARKS = 1024  # events remembered, to tell a service that lags from one that numbers anew
+MAX_REPORTED = 64  # texts remembered, so that one fault is not logged over and over
 
 
 class Follower:
@@ -58,7 +58,7 @@
         self._behind: int | None = None  # the last number of a service that lags
         self._roster = Roster(known)
         self._marks = OrderedDict((each.position, each.mark) for each in known)
-        self._told: deque[str] = deque(maxlen=TOLD_MOST)
+        self._told: deque[str] = deque(maxlen=MAX_REPORTED)
         self._scope: CancelScope | None = None
         self._pool: Pool | None = None
         self._pause = Backoff(random.Random(life.random.random()), 20_000, 500_000)
@@ -84,7 +84,7 @@
         while True:
             address = self._address
             limits = PoolLimits(
-                connections=1, connect_us=CONNECT_US, message=Limits(body=BODY_MOST)
+                connections=1, connect_us=CONNECT_US, message=Limits(body=MAX_BODY_BYTES)
             )
             pool = self._pool = Pool(hub, address.host, address.port, limits)
             try:
@@ -98,7 +98,7 @@
     def _turn(self, pool: Pool, address: Address) -> bool:
         """One call and what it tells; whether the next may follow at once."""
         life, begun_us = self._life, self._life.hub.now_us()
-        tail = 0 if self._from_start or self._asks == ASKS_MOST - 1 else self.position
+        tail = 0 if self._from_start or self._asks == MAX_ASKS - 1 else self.position
         answer: tuple[int, list[Event]] | None = None
         why = ""
         # The scope ends before anything is delivered: a move never cuts a delivery short.
@@ -169,7 +169,7 @@
 
     def _take(self, event: Event, newer: set[str]) -> News:
         self._marks[event.position] = event.mark
-        if len(self._marks) > MARKS_MOST:
+        if len(self._marks) > MAX_MARKS:
             self._marks.popitem(last=False)
         return self._roster.take(event, self._complain, newer)
 
@@ -187,7 +187,7 @@
         if self._asks == 1:
             self._life.counts["journal_gaps"] += 1
             self._life.log("journal-gap", level="warning", after=self.position, before=top)
-        if self._asks > ASKS_MOST - 1:
+        if self._asks > MAX_ASKS - 1:
             self._asks = 0
             self._life.counts["journal_gaps_given_up"] += 1
             self._life.log("journal-gap-given-up", level="error", after=self.position, before=top)
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -20,21 +20,21 @@
 from wingbarrow.relay.tasks import Task
 from wingbarrow.transport import Outbox, PeerGone, Signal, Stream, connect
 
-OUT_MOST = 1 << 20
+MAX_UNSENT_BYTES = 1 << 20
 SPARE_US = (
     3_000_000  # a connection beyond the one that news needs is closed so long after its last set-up
 )
 LAST_US = 10_000_000  # the last one too, where nothing stands
 SWEEP_US = 100_000
 REDIAL_US = 100_000
-REDIAL_MOST_US = 500_000  # doubled up to this while connections are refused and old ones stand
+MAX_REDIAL_US = 500_000  # doubled up to this while connections are refused and old ones stand
 IDLE_MARGIN_US = 1_000_000  # before the settings' idle time; a quarter of it where that is less
 RETIRE_US = 1_000_000  # for the machine to end its side of a connection that is closed here
 VISIT_US = 3_000_000  # after a connection had to go, the machine is asked on a new one for what it may have said
-LINES_MOST = 6  # connections to one machine
-DIALS_MOST = 3  # at once to one machine
-STRAYS_MOST = 512  # offers given up that may run all the same, remembered for one machine
-RELEASES_MOST = 1024  # that wait for a connection
+MAX_LINES = 6  # connections to one machine
+MAX_DIALS = 3  # at once to one machine
+MAX_ORPHANS = 512  # offers given up that may run all the same, remembered for one machine
+MAX_RELEASES = 1024  # that wait for a connection
 OWN_FAULTS = (
     "EMFILE",
     "ENFILE",
@@ -167,8 +167,8 @@
         own = self.held
         return (
             not self.closed
-            and own < LINES_MOST
-            and self._dials < DIALS_MOST
+            and own < MAX_LINES
+            and self._dials < MAX_DIALS
             and (own == 0 or self._links.may_add_extra())
         )
 
@@ -232,13 +232,13 @@
                 self.liveness.on_refused(hub.now_us())
                 self._refusals += 1
             self._redial_us = hub.now_us() + min(
-                REDIAL_MOST_US, REDIAL_US << min(self._refusals, 10)
+                MAX_REDIAL_US, REDIAL_US << min(self._refusals, 10)
             )
             return None
         self.liveness.on_came_up(hub.now_us())
         self._refusals = 0
         self._missed, self._visit_us = False, None
-        line = Line(self, stream, Outbox(hub, stream, OUT_MOST), hub.now_us())
+        line = Line(self, stream, Outbox(hub, stream, MAX_UNSENT_BYTES), hub.now_us())
         self.lines.append(line)
         self._links.lines[line] = None
         self._life.spawn(lambda: self._read(line), f"line to {self.name}")
@@ -343,14 +343,14 @@
         line = self.shared_line()
         if line is None or not line.write(with_cause(Kind.RELEASE, ident, cause)):
             self._releases[ident] = cause
-            if len(self._releases) > RELEASES_MOST:
+            if len(self._releases) > MAX_RELEASES:
                 self._releases.popitem(last=False)
 
     def remember_stray(self, ident: int) -> None:
         """An offer was given up that may run all the same."""
         self.strays[ident] = None
         self.strays.move_to_end(ident)
-        if len(self.strays) > STRAYS_MOST:
+        if len(self.strays) > MAX_ORPHANS:
             self.strays.popitem(last=False)
 
     def close(self) -> None:
@@ -366,7 +366,7 @@
         offers = any(line.out for line in self.lines)
         verdict = self.liveness.judge(now_us, offers, bool(self.running))
         if verdict is Verdict.LOOK:
-            if self._dials < DIALS_MOST and (not self.liveness.doubtful or self._links.may_look()):
+            if self._dials < MAX_DIALS and (not self.liveness.doubtful or self._links.may_look()):
                 self._life.spawn(self._look, f"look at {self.name}")
         elif verdict is Verdict.CUT:
             self._news.cut(self)
--- a/wingbarrow/relay/message.py
+++ b/wingbarrow/relay/message.py
@@ -12,7 +12,7 @@
 
 MOST = 16 * 1024  # bytes of a message behind its length
 LEAST = 9  # a type and a task
-PARAMETERS_MOST = 64
+MAX_PARAMETERS = 64
 
 
 class Kind(IntEnum):
@@ -122,7 +122,7 @@
         at += 3
         if length > end - at:
             raise BadMessage("a parameter is longer than its message")
-        if code in values or len(values) >= PARAMETERS_MOST:
+        if code in values or len(values) >= MAX_PARAMETERS:
             raise BadMessage(f"parameter {code} twice, or too many")
         values[code] = body[at : at + length]
         at += length
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -30,7 +30,7 @@
 from wingbarrow.relay.trace import Trace
 
 # After a start a machine may release a task before its owner has named it here.
-EARLY_US, EARLY_MOST = 8_500_000, 1024
+EARLY_US, MAX_EARLY = 8_500_000, 1024
 # What has stood and is over is told to its owner within 1 s of the machine's release ("The rules on sockets").
 TOLD_US = 800_000
 UNRUN = (
@@ -383,7 +383,7 @@
             now = self._life.hub.now_us()
             cause = (message.values.get(Code.CAUSE) or bytes((Cause.RESET,)))[0]
             self._early[link.ident, ident] = cause, now + EARLY_US
-            while len(self._early) > EARLY_MOST or next(iter(self._early.values()))[1] <= now:
+            while len(self._early) > MAX_EARLY or next(iter(self._early.values()))[1] <= now:
                 self._early.popitem(last=False)
         elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.strays.pop(ident, False) is None:
             self._life.counts["strays_stopped"] += 1
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -12,13 +12,13 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
-OUT_MOST = 256 * 1024  # bytes that may wait for an owner that reads slowly
+MAX_UNSENT_BYTES = 256 * 1024  # bytes that may wait for an owner that reads slowly
 SWEEP_US = 250_000
-ACCEPTED_MOST = 8  # connections accepted before each of them has had its turn, and is counted
-FOREIGN_MOST = 64  # remembered for one connection
+MAX_ACCEPTED = 8  # connections accepted before each of them has had its turn, and is counted
+MAX_FOREIGN = 64  # remembered for one connection
 BURST = 32  # messages of one connection before others get a turn
 HEARD_US = 2_000_000  # a release is sent again where its connection ends so soon without a word that it was heard
-PENDING_US, PENDING_MOST = (
+PENDING_US, MAX_PENDING = (
     8_500_000,
     8192,
 )  # releases that wait for a connection: how long, how many
@@ -48,9 +48,7 @@
         self.stream, self.outbox, self.guest, self.number = stream, outbox, guest, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
-        self.foreign: deque[int] = deque(
-            maxlen=FOREIGN_MOST
-        )  # ids it asked for that were another's
+        self.foreign: deque[int] = deque(maxlen=MAX_FOREIGN)  # ids it asked for that were another's
         self.retired = (
             False  # closed here; what its client still says is read, and set-ups go elsewhere
         )
@@ -109,12 +107,14 @@
 
     def serve(self, listener: Listener) -> None:
         """Accept until cancelled."""
-        listener.serve(self._serve, ACCEPTED_MOST)
+        listener.serve(self._serve, MAX_ACCEPTED)
 
     def _serve(self, stream: Stream) -> None:
         hub = self._life.hub
         self._accepted += 1
-        owner = Owner(stream, Outbox(hub, stream, OUT_MOST), Guest(hub.now_us()), self._accepted)
+        owner = Owner(
+            stream, Outbox(hub, stream, MAX_UNSENT_BYTES), Guest(hub.now_us()), self._accepted
+        )
         self._owners[owner] = None
         self._make_room()
         try:
@@ -240,7 +240,7 @@
         self._tell_or_defer(encode(Kind.MOVE, ident, {}))
 
     def _defer(self, data: bytes) -> None:
-        if len(self._pending) >= PENDING_MOST:
+        if len(self._pending) >= MAX_PENDING:
             _, lost = self._pending.popleft()
             self._trace(int.from_bytes(lost[3:11], "big"), "release dropped")
             self._life.counts["releases_dropped"] += 1
@@ -266,7 +266,7 @@
         ident = int.from_bytes(data[3:11], "big")
         self._trace(ident, "release told", owner=owner.number)
         self._unheard[ident] = until_us or self._life.hub.now_us() + HEARD_US, owner, data
-        if len(self._unheard) > PENDING_MOST:
+        if len(self._unheard) > MAX_PENDING:
             self._unheard.popitem(last=False)
         return True
 
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -22,7 +22,7 @@
 
 # The platform ends a placer no sooner than so long after SIGTERM: the longest deadline, counted as 3 s where it is
 # longer, and 0.7 s. Until shortly before, what stands is looked after: nobody else tells its owners that it is over.
-PATIENCE_MOST_US, LINGER_US = 3_000_000, 300_000
+MAX_PATIENCE_US, LINGER_US = 3_000_000, 300_000
 # Connections come until 0.4 s after SIGTERM and their requests 0.2 s more; each of them is owed an answer.
 ARRIVALS_US = 620_000
 FAREWELL_US = 80_000  # at most, for what is written to leave, and for clients to hear that this side has ended
@@ -285,7 +285,7 @@
 
     def _wind_up(self) -> None:
         hub = self.life.hub
-        patience_us = min(PATIENCE_MOST_US, self._configuration.patience_us)
+        patience_us = min(MAX_PATIENCE_US, self._configuration.patience_us)
         end_us = hub.now_us() + max(patience_us + LINGER_US, ARRIVALS_US)
         while self._requests.pending or hub.now_us() < end_us:
             hub.sleep(20_000)
--- a/wingbarrow/relay/setup.py
+++ b/wingbarrow/relay/setup.py
@@ -11,10 +11,10 @@
 
 FAR_MS = 1e12  # some thirty years: no owner waits so long, and no task has so long to go
 FAR_TIMES = 100  # what the settings tell, for a bound
-PATIENCE_LEAST_MS = 3_600_000  # of patience, as a bound
-SIZE_MOST = 1e18  # in whatever unit the site counts cores and memory, bytes too
-SIZE_LEAST = 1e-12  # of cores
-TOKEN_MOST = 64  # bytes
+MIN_PATIENCE_MS = 3_600_000  # of patience, as a bound
+MAX_SIZE = 1e18  # in whatever unit the site counts cores and memory, bytes too
+MIN_SIZE = 1e-12  # of cores
+MAX_TOKEN = 64  # bytes
 _NAME = re.compile(r"[0-9a-fA-F]{16}")
 # What an owner tells its placer; the rest goes on to the machine as it came, also what this program has no name for:
 # keyed classes bring a parameter by which machines know a repeat, and the page does not list it.
@@ -25,8 +25,8 @@
 class Bounds:
     """What a figure may be at most; patience in milliseconds."""
 
-    cores: float = SIZE_MOST
-    memory: float = SIZE_MOST
+    cores: float = MAX_SIZE
+    memory: float = MAX_SIZE
     patience_ms: float = FAR_MS
 
     @classmethod
@@ -37,12 +37,12 @@
         """
 
         def most(sizes: list[float], booking: float) -> float:
-            return FAR_TIMES * max(1.0, booking) * max(sizes) if sizes else SIZE_MOST
+            return FAR_TIMES * max(1.0, booking) * max(sizes) if sizes else MAX_SIZE
 
         return cls(
             most([kind.cores for kind in settings.kinds], settings.booking_cores),
             most([kind.memory for kind in settings.kinds], settings.booking_memory),
-            max(PATIENCE_LEAST_MS, FAR_TIMES * deadline_us / 1000),
+            max(MIN_PATIENCE_MS, FAR_TIMES * deadline_us / 1000),
         )
 
 
@@ -81,7 +81,7 @@
 
 
 def _is_token(text: str) -> bool:
-    return text.split() == [text] and len(text.encode()) <= TOKEN_MOST
+    return text.split() == [text] and len(text.encode()) <= MAX_TOKEN
 
 
 def _figure(text: str | None, what: str, least: float, most: float) -> float:
@@ -126,7 +126,7 @@
         cls,
         name,
         service,
-        _figure(figures.get("cores"), "cores", SIZE_LEAST, bounds.cores),
+        _figure(figures.get("cores"), "cores", MIN_SIZE, bounds.cores),
         _figure(figures.get("memory"), "memory", 0, bounds.memory),
         int(patience_ms * 1000),
         None if hint is None else int(_figure(hint, "hint", 0, FAR_MS) * 1000),
--- a/wingbarrow/relay/trace.py
+++ b/wingbarrow/relay/trace.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 VARIABLE = "RELAY_TRACE"
-LINES_MOST = 1_000_000
+MAX_LINES = 1_000_000
 
 
 class Trace:
@@ -19,7 +19,7 @@
     def __init__(
         self, lines: int = 0, write: Callable[[str, str, dict[str, Any]], None] | None = None
     ) -> None:
-        self._left = min(lines, LINES_MOST) if write is not None else 0
+        self._left = min(lines, MAX_LINES) if write is not None else 0
         self._write = write
 
     @property
