--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -20,8 +20,8 @@
 from wingbarrow.decide.quotas.allocations import MAX_ALLOCATIONS
 from wingbarrow.decide.quotas.limits import MAX_LIMITS, STRANDED_US, FleetLimit
 from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, ReplicationLimits
-from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
-from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
+from wingbarrow.decide.rulesets.parsing import MAX_TEXT_CHARS
+from wingbarrow.decide.rulesets.versions import MAX_SNAPSHOT_CHARS, MAX_SUBSYSTEMS_CHARS
 from wingbarrow.decide.sessions.leased_job_record import MAX_RECORD_BYTES
 from wingbarrow.peers.mailbox import BOXES_MOST
 from wingbarrow.peers.message import MAIL_MOST
@@ -127,7 +127,7 @@
         Bound(
             "rules_text",
             "text of a rule set without federation specs",
-            TEXT_MOST,
+            MAX_TEXT_CHARS,
             "bytes",
             "wingbarrow/decide/rulesets/ruleset.py",
             AGREEMENT,
@@ -135,7 +135,7 @@
         Bound(
             "snapshot_most",
             "what is kept of rules, for one mail",
-            SNAPSHOT_MOST,
+            MAX_SNAPSHOT_CHARS,
             "bytes",
             "wingbarrow/decide/rulesets/versions.py",
             AGREEMENT,
@@ -143,7 +143,7 @@
         Bound(
             "chapters_most",
             "all else that is agreed on, in the same mail",
-            CHAPTERS_MAILED,
+            MAX_SUBSYSTEMS_CHARS,
             "bytes",
             "wingbarrow/decide/rulesets/versions.py",
             AGREEMENT,
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -22,7 +22,7 @@
 from wingbarrow.decide.membership.member_table import MEMBERS_MOST
 from wingbarrow.decide.membership.messages import MemberStatus
 from wingbarrow.decide.membership.swim import Membership
-from wingbarrow.decide.rulesets.ruleset import too_long
+from wingbarrow.decide.rulesets.parsing import length_faults
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 DEFAULT_SIZES = (5, 16, 64, 170, 256, 300)
@@ -121,7 +121,7 @@
     """The most placers, of names of four letters, whose rule set with three limits is short enough to be accepted."""
 
     def accepted(count: int) -> bool:
-        return not too_long(
+        return not length_faults(
             rule_set(count, three_limits([f"p{index:03d}" for index in range(count)]))
         )
 
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -1,10 +1,10 @@
 """What grows with the number of teams: one fleet-wide limit of tasks at once for each team's namespace.
 
 At 16 placers, and at 64 with one seed, named in each measure. Today's bounds refuse many teams: `limits.MAX_LIMITS`
-whatever the number of placers, and `rules.TEXT_MOST` (each limit names all placers that share in it) before that where
-there are many placers. "limits in force" is how many of the asked ones were accepted: all or none, as they are one
-rule set. Measures named "bounds lifted" are of a fleet with these bounds, and `allocations.MAX_ALLOCATIONS`, out of the
-way, in this process alone: what so many limits would cost, not what can be had. Within the bounds both are the same
+whatever the number of placers, and `parsing.MAX_TEXT_CHARS` (each limit names all placers that share in it) before that
+where there are many placers. "limits in force" is how many of the asked ones were accepted: all or none, as they are
+one rule set. Measures named "bounds lifted" are of a fleet with these bounds, and `allocations.MAX_ALLOCATIONS`, out of
+the way, in this process alone: what so many limits would cost, not what can be had. Within the bounds both are the same
 run. More blocks than `LIFTED_BLOCKS_MOST` (370 teams at 64 placers) are not tried: one leader's account of them takes
 many cores.
 
@@ -38,9 +38,9 @@
 from wingbarrow.decide.quotas import allocations, limits
 from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets import ruleset as rules
+from wingbarrow.decide.rulesets import parsing
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED
+from wingbarrow.decide.rulesets.versions import MAX_SUBSYSTEMS_CHARS
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message
 from wingbarrow.peers.mailbox import LETTER_MOST
@@ -83,8 +83,8 @@
     places = (
         (limits, "MAX_LIMITS"),
         (message, "MAX_LIMITS"),
-        (rules, "TEXT_MOST"),
-        (rules, "MAILED_MOST"),
+        (parsing, "MAX_TEXT_CHARS"),
+        (parsing, "MAX_ESCAPED_CHARS"),
         (allocations, "MAX_ALLOCATIONS"),
     )
     before = [(module, name, getattr(module, name)) for module, name in places]
@@ -99,7 +99,7 @@
 
 def refusal(rule: RuleSet) -> str:
     """Why today's bounds refuse a rule set; "" where they do not."""
-    return "; ".join(rules.check(rule) + rules.too_long(rule))
+    return "; ".join(parsing.check(rule) + parsing.length_faults(rule))
 
 
 def fleet(teams: int, placers: int, seed: int) -> Iterator[Figure]:
@@ -197,14 +197,14 @@
         return not limits.check_limits(team_limits(teams, names))
 
     def text(teams: int) -> bool:
-        return not rules.too_long(rule_set(placers, team_limits(teams, names)))
+        return not parsing.length_faults(rule_set(placers, team_limits(teams, names)))
 
     found = {
         "the number of limits": count,
         "the length of a rule set": text,
         "the number of blocks": lambda teams: teams * placers <= allocations.MAX_ALLOCATIONS,
         "the chapters' part of a snapshot": lambda teams: blocks_mailed(teams, placers)
-        <= CHAPTERS_MAILED,
+        <= MAX_SUBSYSTEMS_CHARS,
         "the size of a mail (blocks alone)": lambda teams: blocks_mailed(teams, placers)
         <= LETTER_MOST,
     }
--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_file
-from wingbarrow.decide.rulesets.ruleset import parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.peers.ruleset_settings import rules_of
 
 FILES = Path(__file__).parent.parent / "data" / "federation"
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -11,14 +11,9 @@
 from wingbarrow.decide.coordination.leases import RulesLease, lease_expiry_us
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader
 from wingbarrow.decide.quotas.limits import MAX_CLOCK_DRIFT
-from wingbarrow.decide.rulesets.ruleset import (
-    ClassRules,
-    allows,
-    contradict,
-    intersection,
-    normalized,
-    parse_rule_set,
-)
+from wingbarrow.decide.rulesets.comparison import allows, contradict, intersection
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import ClassRules, normalized
 from wingbarrow.decide.rulesets.versions import RuleSetState, from_text
 from wingbarrow.lab.fleet.assembly import Use, judge
 from wingbarrow.lab.fleet.schedules import (
@@ -237,7 +232,7 @@
         state.apply(kind, body)
         assert state.text() == before
     assert from_text(before) == state
-    assert state.edition == 1
+    assert state.revision == 1
 
 
 def test_what_a_class_is_spread_by_cannot_change() -> None:
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -13,7 +13,20 @@
 from tests.decide.federation.made import FEDERATIONS, allowed_acts
 from wingbarrow.decide.federation import compare, form
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.rulesets import ruleset as r
+from wingbarrow.decide.rulesets.comparison import allows, intersection, keeps_floor
+from wingbarrow.decide.rulesets.parsing import (
+    check,
+    join_federation,
+    parse_rule_set,
+    split_federation,
+)
+from wingbarrow.decide.rulesets.ruleset import (
+    EFFECTS,
+    ClassRules,
+    RuleSet,
+    RuleSetError,
+    normalized,
+)
 
 _NORTH, _SOUTH = s.Spec("orders", ("north",)), s.Spec("orders", ("south",))
 
@@ -58,10 +71,10 @@
     assert text.isascii()
 
 
-def _rules(federation: s.Federation, effect: str = "safe") -> r.RuleSet:
-    return r.normalized(
-        r.RuleSet(
-            (r.ClassRules("web", "safe", "none", 0), r.ClassRules("pay", effect, "none", 0)),
+def _rules(federation: s.Federation, effect: str = "safe") -> RuleSet:
+    return normalized(
+        RuleSet(
+            (ClassRules("web", "safe", "none", 0), ClassRules("pay", effect, "none", 0)),
             4,
             18,
             2,
@@ -73,13 +86,13 @@
     )
 
 
-@given(FEDERATIONS, FEDERATIONS, st.sampled_from(r.EFFECTS), st.sampled_from(r.EFFECTS))
+@given(FEDERATIONS, FEDERATIONS, st.sampled_from(EFFECTS), st.sampled_from(EFFECTS))
 def test_between_two_that_keep_never_twice_work_so_does_the_meet(
     a: s.Federation, b: s.Federation, one: str, other: str
 ) -> None:
     both = [_rules(_slow(a), one), _rules(_slow(b), other)]
-    if not any(r.check(each) for each in both):
-        assert not r.check(r.intersection(*both))
+    if not any(check(each) for each in both):
+        assert not check(intersection(*both))
 
 
 def _slow(federation: s.Federation) -> s.Federation:
@@ -102,23 +115,23 @@
     federation = s.Federation(
         (s.Spec("orders", ("north", "south"), failover=over),), (), (("pay", "orders"),)
     )
-    assert r.parse_rule_set(_rules(federation, "keyed").text())
+    assert parse_rule_set(_rules(federation, "keyed").text())
     with pytest.raises(
-        r.RuleSetError, match='pay: federation orders fails over on "refusing", a suspicion'
+        RuleSetError, match='pay: federation orders fails over on "refusing", a suspicion'
     ):
-        r.parse_rule_set(_rules(federation, "unsafe").text())
+        parse_rule_set(_rules(federation, "unsafe").text())
 
 
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
 def test_rule_sets_have_it_as_a_part(a: s.Federation, b: s.Federation) -> None:
     one, other = _rules(a), _rules(b)
-    assert r.parse_rule_set(one.text()) == one
-    assert r.parse_rule_set(r.intersection(one, other).text()).federation == compare.meet(a, b)
-    assert r.allows(one, other) == compare.within(a, b)
-    assert r.keeps_floor(one, other), "no floor speaks of it"
-    rest, federation = r.apart(one)
-    assert r.joined(rest, federation) == one.text()
+    assert parse_rule_set(one.text()) == one
+    assert parse_rule_set(intersection(one, other).text()).federation == compare.meet(a, b)
+    assert allows(one, other) == compare.within(a, b)
+    assert keeps_floor(one, other), "no floor speaks of it"
+    rest, federation = split_federation(one)
+    assert join_federation(rest, federation) == one.text()
 
 
 def test_where_two_versions_leave_no_region_jobs_are_refused_and_nobody_can_name_the_step() -> None:
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -10,8 +10,15 @@
 from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.federation import form
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.rulesets import ruleset as r
-from wingbarrow.decide.rulesets import versions as ag
+from wingbarrow.decide.rulesets.parsing import MAX_ESCAPED_CHARS, parse_rule_set, split_federation
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, RuleSetError, normalized
+from wingbarrow.decide.rulesets.versions import (
+    MAX_OUTCOMES,
+    MAX_SNAPSHOT_CHARS,
+    MAX_SUBSYSTEMS_CHARS,
+    RuleSetState,
+    from_text,
+)
 from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
 from wingbarrow.peers.ruleset_settings import rules_of
 
@@ -66,7 +73,7 @@
         s.DATASETS_MOST,
     )
     text = rules.text()
-    assert r.parse_rule_set(text) == rules
+    assert parse_rule_set(text) == rules
     assert len(form.write(rules.federation)) < form.FEDERATION_MOST * 3 // 4
 
 
@@ -76,16 +83,16 @@
             (), tuple(s.DataSet(f"{'d' * 110}-{at}", (("north", 0),)) for at in range(1024))
         )
     )
-    rules = r.normalized(
-        r.RuleSet(
-            (r.ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (), federation=federation
+    rules = normalized(
+        RuleSet(
+            (ClassRules("web", "safe", "none", 0),), 4, 18, 2, (), 250, (), federation=federation
         )
     )
-    with pytest.raises(r.RuleSetError, match="characters of specs and data sets"):
-        r.parse_rule_set(rules.text())
+    with pytest.raises(RuleSetError, match="characters of specs and data sets"):
+        parse_rule_set(rules.text())
 
 
-def _large(turn: int, names: int = 4000) -> r.RuleSet:
+def _large(turn: int, names: int = 4000) -> RuleSet:
     """As long a rule set as there may be; two of them contradict each other."""
     over = s.Failover(("lost",), 30_000_000 + turn, copies=1 + turn % 2)
     sets = tuple(
@@ -102,9 +109,9 @@
         for at in range(256)
     )
     barred = tuple(f"n{at:04}" for at in range(names))
-    return r.normalized(
-        r.RuleSet(
-            (r.ClassRules("web", "safe", "none", 0),),
+    return normalized(
+        RuleSet(
+            (ClassRules("web", "safe", "none", 0),),
             1 + turn % 9,
             18,
             2,
@@ -117,11 +124,11 @@
 
 
 def test_a_snapshot_with_all_that_is_kept_fits_one_mail() -> None:
-    agreed = ag.RuleSetState()
+    agreed = RuleSetState()
     for turn in range(6):
         rules = _large(turn)
-        rest, federation = r.apart(rules)
-        assert len(json.dumps(rest)) > r.MAILED_MOST * 0.8
+        rest, federation = split_federation(rules)
+        assert len(json.dumps(rest)) > MAX_ESCAPED_CHARS * 0.8
         assert len(federation) > form.FEDERATION_MOST * 0.85
         agreed.apply(
             "propose",
@@ -144,7 +151,7 @@
     assert len(agreed.floors) == 2 and "floors that may still be out" in agreed.outcomes["f3"], (
         agreed.outcomes["f1"]
     )
-    for number in range(ag.IDENTS_MOST):
+    for number in range(MAX_OUTCOMES):
         agreed.apply(
             "propose",
             json.dumps(
@@ -161,15 +168,15 @@
     letter = write_letter(
         consensus.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40)
     )
-    assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < ag.SNAPSHOT_MOST
-    assert ag.SNAPSHOT_MOST + ag.CHAPTERS_MAILED < MAIL_MOST - 4096
-    back = ag.from_text(state)
+    assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < MAX_SNAPSHOT_CHARS
+    assert MAX_SNAPSHOT_CHARS + MAX_SUBSYSTEMS_CHARS < MAIL_MOST - 4096
+    back = from_text(state)
     assert back == agreed
     assert back.text() == state
 
 
 def test_versions_keep_their_federation_while_there_is_room() -> None:
-    agreed = ag.RuleSetState()
+    agreed = RuleSetState()
     for turn in range(7):
         agreed.apply(
             "propose",
@@ -183,7 +190,7 @@
                 }
             ),
         )
-    whole = [agreed.whole(each) for each in agreed.versions]
+    whole = [agreed.text_of(each) for each in agreed.versions]
     assert whole == [_small(turn).text() for turn in range(7)]
     assert len(agreed.federations) == 2
     for turn in range(7, 12):
@@ -199,15 +206,15 @@
                 }
             ),
         )
-    assert agreed.whole(agreed.versions[-1]) == agreed.latest == _large(11, 0).text()
-    assert agreed.whole(agreed.versions[0]) is None, "the oldest give way first"
+    assert agreed.text_of(agreed.versions[-1]) == agreed.latest == _large(11, 0).text()
+    assert agreed.text_of(agreed.versions[0]) is None, "the oldest give way first"
 
 
-def _small(turn: int) -> r.RuleSet:
+def _small(turn: int) -> RuleSet:
     spec = s.Spec("orders", ("north", "south"), on_cut=s.CUTS[turn % 2])
-    return r.normalized(
-        r.RuleSet(
-            (r.ClassRules("web", "safe", "none", 0),),
+    return normalized(
+        RuleSet(
+            (ClassRules("web", "safe", "none", 0),),
             1 + turn,
             18,
             2,
@@ -220,12 +227,12 @@
 
 
 def test_a_step_that_cannot_be_said_is_refused() -> None:
-    def rules(part: str) -> r.RuleSet:
+    def rules(part: str) -> RuleSet:
         needs = tuple(s.Need(f"{part}{at}") for at in range(20))
         spec = s.Spec("orders", ("north", "south"), data=needs)
-        return r.normalized(
-            r.RuleSet(
-                (r.ClassRules("web", "safe", "none", 0),),
+        return normalized(
+            RuleSet(
+                (ClassRules("web", "safe", "none", 0),),
                 4,
                 18,
                 2,
@@ -236,7 +243,7 @@
             )
         )
 
-    agreed = ag.RuleSetState()
+    agreed = RuleSetState()
     for turn, part in enumerate("ab"):
         agreed.apply(
             "propose",
@@ -251,7 +258,7 @@
 
 def test_a_snapshot_of_before_there_were_federations_is_read() -> None:
     rules = _small(0)
-    text = r.apart(rules)[0]
+    text = split_federation(rules)[0]
     old = {
         "edition": 1,
         "rules": text,
@@ -264,6 +271,6 @@
         ],
         "floors": [{"number": 1, "rules": text, "lasts_us": 5}],
     }
-    agreed = ag.from_text(json.dumps(old))
-    assert (agreed.rules, agreed.steps, agreed.whole(agreed.versions[0])) == (text, [text], text)
-    assert ag.from_text(agreed.text()) == agreed
+    agreed = from_text(json.dumps(old))
+    assert (agreed.rules, agreed.steps, agreed.text_of(agreed.versions[0])) == (text, [text], text)
+    assert from_text(agreed.text()) == agreed
--- a/tests/decide/rulesets/test_canary.py
+++ b/tests/decide/rulesets/test_canary.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wingbarrow.decide.rulesets.canary import (
-    ANSWERS_LEAST,
+    MIN_ANSWERS,
     AnswerCounts,
     CanaryAdvice,
     CanaryAnalysis,
@@ -34,14 +34,14 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_bad_change_is_taken_back_soon_and_a_good_one_kept(seed: int) -> None:
     advice, number = played(0.02, 0.4, seed)
-    assert advice is CanaryAdvice.BACK
-    assert ANSWERS_LEAST - 1 <= number < 100
+    assert advice is CanaryAdvice.ROLLBACK
+    assert MIN_ANSWERS - 1 <= number < 100
     assert played(0.02, 0.02, seed)[0] is CanaryAdvice.KEEP
     assert played(0.30, 0.05, seed)[0] is CanaryAdvice.KEEP
 
 
 def test_a_rise_within_the_bound_is_kept_and_chance_seldom_takes_back() -> None:
-    back = sum(played(0.02, 0.05, seed)[0] is CanaryAdvice.BACK for seed in range(200))
+    back = sum(played(0.02, 0.05, seed)[0] is CanaryAdvice.ROLLBACK for seed in range(200))
     assert back <= 6, "a rise of 0.03 where 0.05 is the bound"
 
 
@@ -50,4 +50,4 @@
     assert trial.judge(S, AnswerCounts(1010, 20)) is CanaryAdvice.WAIT
     assert trial.judge(S, AnswerCounts(50, 1)) is CanaryAdvice.WAIT
     assert trial.after == AnswerCounts(50, 1)
-    assert trial.judge(S, AnswerCounts(60, 40)) is CanaryAdvice.BACK
+    assert trial.judge(S, AnswerCounts(60, 40)) is CanaryAdvice.ROLLBACK
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -9,25 +9,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.rulesets import agreed_drains as p
-from wingbarrow.decide.rulesets import ruleset as r
+from wingbarrow.decide.rulesets.agreed_drains import SECOND, AskedDrain, DrainPlan, WindowRules
+from wingbarrow.decide.rulesets.comparison import allows, contradict, intersection
 from wingbarrow.decide.rulesets.diff import differences
+from wingbarrow.decide.rulesets.parsing import check, parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import (
+    EFFECTS,
+    ClassRules,
+    RuleSet,
+    RuleSetError,
+    equal_shares,
+    normalized,
+)
 
 CLASSES = st.dictionaries(
     st.sampled_from(["web", "settlement", "batch"]),
     st.tuples(
-        st.sampled_from(r.EFFECTS), st.sampled_from(["none", "machine", "cell"]), st.integers(1, 4)
+        st.sampled_from(EFFECTS), st.sampled_from(["none", "machine", "cell"]), st.integers(1, 4)
     ),
     min_size=1,
-).map(lambda found: tuple(r.ClassRules(name, *each) for name, each in found.items()))
+).map(lambda found: tuple(ClassRules(name, *each) for name, each in found.items()))
 WINDOWS = st.lists(
     st.builds(
-        p.WindowRules,
+        WindowRules,
         st.sampled_from(["nightly", "patch"]),
         st.just("2026-12-06T02:00:00"),
         st.just("Europe/Helsinki"),
-        st.sampled_from([60 * p.SECOND, 90 * p.SECOND]),
-        st.just(30 * p.SECOND),
+        st.sampled_from([60 * SECOND, 90 * SECOND]),
+        st.just(30 * SECOND),
         st.sampled_from(["", "FREQ=DAILY"]),
         st.just(("2026-12-08",)),
         st.just(()),
@@ -39,20 +48,20 @@
     unique_by=lambda each: each.name,
 ).map(tuple)
 PLANS = st.builds(
-    p.DrainPlan,
+    DrainPlan,
     st.sets(st.sampled_from([("cell", "max", 1.0), ("zone", "min-share", 0.5)]), min_size=1).map(
         lambda found: tuple(sorted(found))
     ),
     st.sets(st.just(("feast", 1, 2))).map(tuple),
     st.sampled_from([0.5, 0.9]),
-    st.just(60 * p.SECOND),
+    st.just(60 * SECOND),
     st.integers(1, 2),
-    st.just(p.SECOND),
+    st.just(SECOND),
     st.just(0.5),
     st.booleans(),
 )
 SETS = st.builds(
-    r.RuleSet,
+    RuleSet,
     CLASSES,
     st.integers(1, 4),
     st.integers(0, 3),
@@ -65,28 +74,28 @@
     WINDOWS,
     st.sets(
         st.builds(
-            p.AskedDrain,
+            AskedDrain,
             st.sampled_from(["n1", "n2"]),
-            st.just(1_800_000_000 * p.SECOND),
+            st.just(1_800_000_000 * SECOND),
             st.sampled_from([1, 2]),
         )
     ).map(tuple),
     st.sets(st.sampled_from(["nightly@1800000000/n1", "nightly@1800000000/n2"])).map(tuple),
     PLANS,
-).map(r.normalized)
-ONE = r.normalized(
-    r.RuleSet((r.ClassRules("web", "safe", "cell", 3),), 4, 18, 2, (("a", 10), ("b", 10)), 250, ())
+).map(normalized)
+ONE = normalized(
+    RuleSet((ClassRules("web", "safe", "cell", 3),), 4, 18, 2, (("a", 10), ("b", 10)), 250, ())
 )
 
 
 @given(SETS, SETS, SETS)
-def test_it_is_an_order(a: r.RuleSet, b: r.RuleSet, c: r.RuleSet) -> None:
-    assert r.allows(a, a)
-    if r.allows(a, b) and r.allows(b, c):
-        assert r.allows(a, c)
+def test_it_is_an_order(a: RuleSet, b: RuleSet, c: RuleSet) -> None:
+    assert allows(a, a)
+    if allows(a, b) and allows(b, c):
+        assert allows(a, c)
     if a == b:
         assert a.digest == b.digest
-        assert not r.contradict(a, b)
+        assert not contradict(a, b)
         assert not differences(a, b)
     else:
         assert a.digest != b.digest
@@ -94,55 +103,53 @@
 
 
 @given(SETS, SETS)
-def test_the_meet_allows_only_what_both_allow(a: r.RuleSet, b: r.RuleSet) -> None:
-    met = r.intersection(a, b)
-    assert r.allows(met, a)
-    assert r.allows(met, b)
-    assert r.intersection(b, a) == met
-    if r.allows(a, b):
-        assert r.allows(met, a) and r.allows(a, met), (
-            "nothing is lost where one is within the other"
-        )
+def test_the_meet_allows_only_what_both_allow(a: RuleSet, b: RuleSet) -> None:
+    met = intersection(a, b)
+    assert allows(met, a)
+    assert allows(met, b)
+    assert intersection(b, a) == met
+    if allows(a, b):
+        assert allows(met, a) and allows(a, met), "nothing is lost where one is within the other"
 
 
 @given(SETS, SETS, SETS)
 def test_what_is_within_both_is_within_the_meet_but_where_spreads_differ_by_kind(
-    a: r.RuleSet, b: r.RuleSet, c: r.RuleSet
+    a: RuleSet, b: RuleSet, c: RuleSet
 ) -> None:
-    if r.allows(c, a) and r.allows(c, b):
+    if allows(c, a) and allows(c, b):
         lost = {each.name for each in c.classes} - {
-            each.name for each in r.intersection(a, b).classes
+            each.name for each in intersection(a, b).classes
         }
         kinds = [{each.name: each.spread_by for each in side.classes} for side in (a, b)]
         assert all(kinds[0][name] != kinds[1][name] for name in lost)
         if not lost:
-            assert r.allows(c, r.intersection(a, b))
+            assert allows(c, intersection(a, b))
 
 
 @given(SETS)
-def test_the_text_is_read_back(a: r.RuleSet) -> None:
-    assert r.parse_rule_set(a.text()) == a
-    assert not r.check(a)
+def test_the_text_is_read_back(a: RuleSet) -> None:
+    assert parse_rule_set(a.text()) == a
+    assert not check(a)
 
 
 def test_the_cases_of_the_issue() -> None:
-    three = replace(ONE, cold_shares=r.shares(20, ("a", "b", "c")))
-    four = replace(ONE, cold_shares=r.shares(20, ("a", "b", "c", "d")))
-    assert r.contradict(three, four), "one share grows while others shrink"
-    assert dict(r.intersection(three, four).cold_shares) == {"a": 5, "b": 5, "c": 5}
-    tight = replace(ONE, classes=(r.ClassRules("web", "safe", "cell", 2),))
-    assert r.allows(tight, ONE)
-    assert not r.allows(ONE, tight)
-    assert not r.contradict(tight, ONE)
-    assert r.intersection(tight, ONE) == tight
+    three = replace(ONE, cold_shares=equal_shares(20, ("a", "b", "c")))
+    four = replace(ONE, cold_shares=equal_shares(20, ("a", "b", "c", "d")))
+    assert contradict(three, four), "one share grows while others shrink"
+    assert dict(intersection(three, four).cold_shares) == {"a": 5, "b": 5, "c": 5}
+    tight = replace(ONE, classes=(ClassRules("web", "safe", "cell", 2),))
+    assert allows(tight, ONE)
+    assert not allows(ONE, tight)
+    assert not contradict(tight, ONE)
+    assert intersection(tight, ONE) == tight
     barred = replace(ONE, barred=("n1",))
-    assert r.allows(barred, ONE)
+    assert allows(barred, ONE)
     assert differences(ONE, barred) == ["barred: n1"]
 
 
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
 def test_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
-    cut = dict(r.shares(offers, tuple(names)))
+    cut = dict(equal_shares(offers, tuple(names)))
     assert sum(cut.values()) == offers
     assert max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
 
@@ -165,16 +172,16 @@
     ],
 )
 def test_what_is_wrong_with_one_is_said(change: dict[str, object], words: str) -> None:
-    with pytest.raises(r.RuleSetError, match=words):
-        r.parse_rule_set(json.dumps({**json.loads(ONE.text()), **change}))
+    with pytest.raises(RuleSetError, match=words):
+        parse_rule_set(json.dumps({**json.loads(ONE.text()), **change}))
 
 
 @given(st.text(max_size=200))
 def test_no_text_brings_about_anything_but_a_refusal(text: str) -> None:
-    with pytest.raises(r.RuleSetError):
-        r.parse_rule_set(text)
+    with pytest.raises(RuleSetError):
+        parse_rule_set(text)
 
 
 def test_ten_megabytes_are_refused() -> None:
-    with pytest.raises(r.RuleSetError, match="the most"):
-        r.parse_rule_set(" " * (10 << 20))
+    with pytest.raises(RuleSetError, match="the most"):
+        parse_rule_set(" " * (10 << 20))
--- a/tests/peers/test_maintenance_path.py
+++ b/tests/peers/test_maintenance_path.py
@@ -9,7 +9,7 @@
 from tests.peers.stage import Agreeing
 from tests.peers.test_drains_agreed import Draining
 from tests.stage import S
-from wingbarrow.decide.rulesets.ruleset import parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.turnguard import TurnGuard
 
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -407,7 +407,7 @@
     blocks, sessions, turns = (state.chapters[name] for name in ("blocks", "sessions", "turns"))
     agreed = state.agreed
     return {
-        "agreed": (agreed.edition, agreed.version, agreed.steps, agreed.outcomes),
+        "agreed": (agreed.revision, agreed.version, agreed.steps, agreed.outcomes),
         "rules": samples.read_rules(agreed.rules),
         "versions": [(each.number, each.base, each.by, each.why) for each in agreed.versions],
         "floors": [
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -66,7 +66,7 @@
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.decide.regions.forwarding import ForwardCancel, ForwardRequest, ForwardStatus
 from wingbarrow.decide.regions.reports import RegionReport, RegionSummary
-from wingbarrow.decide.rulesets import ruleset, versions
+from wingbarrow.decide.rulesets import parsing, versions
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet
 from wingbarrow.decide.rulesets.versions import Floor, RuleSetState, Version
@@ -483,7 +483,7 @@
 
 
 def read_rules(text: str) -> RuleSet:
-    return ruleset.parse_rule_set(text)
+    return parsing.parse_rule_set(text)
 
 
 # -- snapshots
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -15,9 +15,11 @@
 from wingbarrow.config import PlacerSettings, SettingsError, load_file, parse_duration
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.canary import CanaryAdvice, CanaryAnalysis
+from wingbarrow.decide.rulesets.comparison import allows, contradict
 from wingbarrow.decide.rulesets.diff import differences
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, contradict, parse_rule_set
-from wingbarrow.decide.rulesets.versions import EDITIONS_LEFT, RECOVERED, from_text
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.decide.rulesets.versions import RECOVERED, REVISIONS_SKIPPED_AT_RECOVERY, from_text
 from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
 from wingbarrow.store.voter_store import StoreError, become_sole_voter, create
 from wingbarrow.store.voter_store import load as load_store
@@ -184,7 +186,7 @@
                 f"placed nothing, {trial.rise:+.1%} beside before"
             )
             return 0
-        if advice is CanaryAdvice.BACK:
+        if advice is CanaryAdvice.ROLLBACK:
             click.echo(
                 f"of {trial.after.answers} answers {trial.after.share:.1%} placed nothing, {trial.rise:+.1%} "
                 f"beside before: back to version {before}"
@@ -362,5 +364,5 @@
         click.echo("nothing was done: add --yes")
         sys.exit(3)
     click.echo(
-        f"{settings.name} decides alone from its next start on; editions go on {EDITIONS_LEFT} further"
+        f"{settings.name} decides alone from its next start on; editions go on {REVISIONS_SKIPPED_AT_RECOVERY} further"
     )
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -14,7 +14,8 @@
 from wingbarrow.decide.gate import Held
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
 from wingbarrow.transport import Signal
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -221,7 +221,7 @@
 
     def _decided(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
         out: list[Effect] = []
-        before = self.agreed.edition, self.agreed.version, len(self.agreed.floors)
+        before = self.agreed.revision, self.agreed.version, len(self.agreed.floors)
         told = False
         for entry in committed.entries:
             name, _, kind = entry.kind.partition("/")
@@ -233,9 +233,9 @@
                     self.allocations.recovered()
                     for each in self.subsystems:
                         self._apply(each, RECOVERED, "{}")
-        if self.agreed.edition != before[0]:
+        if self.agreed.revision != before[0]:
             out.append(
-                Notify("edition", {"edition": self.agreed.edition, "version": self.agreed.version})
+                Notify("edition", {"edition": self.agreed.revision, "version": self.agreed.version})
             )
         if self.raft is not None and self.raft.log.should_compact:
             self.agreed.chapters |= {
@@ -243,7 +243,7 @@
             }
             out += self.apply_raft(now_us, self.raft.log.compact(self.agreed.text()))
         if self.is_leader and (
-            told or before != (self.agreed.edition, self.agreed.version, len(self.agreed.floors))
+            told or before != (self.agreed.revision, self.agreed.version, len(self.agreed.floors))
         ):
             out.append(self.timer("step", now_us + 1))
         return out
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -26,7 +26,8 @@
 from wingbarrow.decide.outliers.ejection import OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaGrant, Requester
-from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import RuleSetState
 
 MAX_LEASE_HOLDERS = 4096
@@ -154,7 +155,7 @@
         if now_us - self._judged_us >= OUTLIER_SCAN_INTERVAL_US:
             self._judged_us = now_us
             self.outlier_detector.judge(now_us, self.zones())
-        asks = self._rounds.pop(number, []) if owner.agreed.edition else []
+        asks = self._rounds.pop(number, []) if owner.agreed.revision else []
         for asked in asks:
             self.outlier_detector.hear(
                 now_us,
@@ -193,17 +194,17 @@
         # on its last one as long as that was given to it.
         held = self.lease_holders.get(asked.ident)
         until = lease_expiry_us(now_us, lasts)
-        if ask.edition >= agreed.edition:
+        if ask.edition >= agreed.revision:
             self._leaving.pop(asked.ident, None)
-        elif held is not None and held[0] < agreed.edition:
+        elif held is not None and held[0] < agreed.revision:
             self._leaving[asked.ident] = max(self._leaving.get(asked.ident, 0), held[1])
-        self.lease_holders[asked.ident] = agreed.edition, until
+        self.lease_holders[asked.ident] = agreed.revision, until
         if floor is not None:
             self._floors_out[floor.number] = lease_expiry_us(now_us, floor.lasts_us)
         grant = LeaseGrant(
             ask.number,
-            agreed.edition,
-            "" if ask.edition == agreed.edition else agreed.rules,
+            agreed.revision,
+            "" if ask.edition == agreed.revision else agreed.rules,
             lasts,
             agreed.version,
             floor.number if floor else 0,
@@ -253,7 +254,7 @@
         if agreed.steps:
             due = self._earlier_leases_expire_us()
             if now_us >= due:
-                return owner.propose(now_us, "step", {"from": agreed.edition})
+                return owner.propose(now_us, "step", {"from": agreed.revision})
             again.append(due)
         if len(agreed.floors) > 1:
             began = owner.raft.elected_at_us
@@ -264,7 +265,7 @@
             if now_us >= max(ends):
                 return owner.propose(now_us, "floor-lapsed", {"number": agreed.floors[-1].number})
             again.append(max(ends))
-        for chapter in (self.allocations, *self.subsystems) if agreed.edition else ():
+        for chapter in (self.allocations, *self.subsystems) if agreed.revision else ():
             proposals, at = chapter.next_proposals(now_us, self._rules())
             for each in proposals:
                 out += owner.propose(now_us, f"{chapter.name}/{each.kind}", each.value)
@@ -274,7 +275,7 @@
 
     def _earlier_leases_expire_us(self) -> int:
         """When no placer can act on an edition before the one in force any more, by this leader's reckoning."""
-        raft, edition = self._owner.raft, self._owner.agreed.edition
+        raft, edition = self._owner.raft, self._owner.agreed.revision
         assert raft is not None
         old = [until for each, until in self.lease_holders.values() if each < edition]
         # Grants that an earlier leader gave are not known here: each was asked for before this one was elected.
--- a/wingbarrow/decide/coordination/member.py
+++ b/wingbarrow/decide/coordination/member.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.effects import Effect, Notify, SetTimer
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver
 from wingbarrow.decide.quotas.escrow import QuotaAccount
-from wingbarrow.decide.rulesets.ruleset import parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
 
 MAX_REDIRECTS = (
     2  # from one who does not lead to the one that it names, before the next ask is due by time
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -1,7 +1,7 @@
-"""Drains as far as placers agree on them: windows of the calendar, drains asked for, drains taken back; no I/O.
+"""Drains as far as placers agree on them: maintenance windows, requested drains, cancelled drains; no I/O.
 
-Each compares by what may be sent: a window more, or a drain more, allows less. Times in microseconds; those of `asked`
-and of blackouts by the wall clock, as the windows' own.
+They are parts of a rule set, and compare by what may be sent to machines: one more window, or drain, allows less. Times
+in microseconds; those of requested drains and of blackouts by the wall clock, as the windows' own.
 """
 
 from __future__ import annotations
@@ -23,14 +23,33 @@
 )
 
 SECOND = 1_000_000
-LASTS_MOST_US = 31 * 86_400 * SECOND
-WINDOWS_MOST, ASKED_MOST, CANCELLED_MOST, DATES_MOST = 128, 128, 512, 64
-KEPT_US = 40 * 86_400 * SECOND  # a cancelled drain is over by then, whatever its window's length
+DAY_US = 86_400 * SECOND
+MAX_LENGTH_US = 31 * DAY_US  # of a window and of a drain
+MAX_WINDOWS = 128
+MAX_REQUESTED = 128
+MAX_CANCELLED = 512
+MAX_DATES = 64  # of each kind, and machines, in a window
+MAX_NAME_CHARS = 253
+MAX_KEY_CHARS = 600
+MAX_NAME_CHARS_SHOWN = 60
+MAX_REASON_CHARS = 120
+MAX_BUDGETS = 64
+MAX_BLACKOUTS = 256
+MAX_BUDGET = 1_000_000
+MAX_MOVES = 10_000
+MIN_FILL = 0.05
+MIN_FAILED_SHARE = 0.01
+MAX_PRECEDENCE = 1000
+MAX_EXACT_INT = 1 << 53  # in a JSON number
+DATE_CHARS = len("2026-12-31")
+REQUESTED_PREFIX = "now-"  # of a requested drain's window
+BUDGET_KINDS = ("max", "max-share", "min", "min-share")
+CANCELLED_KEPT_US = 40 * DAY_US  # the drain is over by then, whatever its window's length
 
 
 @dataclass(frozen=True, slots=True)
 class WindowRules:
-    """A window as text: `decide.maintenance.windows.Series` in a form that has one spelling."""
+    """A window in the canonical form: `maintenance.windows.Series` as text. Field names are those of the JSON form."""
 
     name: str
     start: str  # local to `zone`; with its offset where that is ""
@@ -47,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class AskedDrain:
-    """A drain that an operator asked for; from a whole second on."""
+    """A drain that an operator requested, from a whole second on."""
 
     machine: str
     start_us: int
@@ -55,16 +74,16 @@
 
     @property
     def window(self) -> str:
-        """The name of the window that it stands for."""
-        return f"now-{self.machine}-{self.start_us // SECOND}"
+        """The name of its window."""
+        return f"{REQUESTED_PREFIX}{self.machine}-{self.start_us // SECOND}"
 
     @property
     def key(self) -> str:
-        """Of the drain that comes of it."""
+        """The key of the drain, by which it is cancelled."""
         return f"{self.window}@{self.start_us // SECOND}/{self.machine}"
 
     def series(self) -> Series:
-        """As a window that outranks the calendar's."""
+        """Its window, which takes precedence over the calendar's."""
         start = datetime.fromtimestamp(self.start_us // SECOND, UTC)
         return Series(
             self.window,
@@ -72,14 +91,14 @@
             self.lasts_us,
             self.lasts_us,
             selectors=(Selector(name=self.machine),),
-            precedence=1000,
+            precedence=MAX_PRECEDENCE,
             unsafe=UnsafePolicy.WAIT,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """What all plans keep and how drains are done: `drain_plan.Rules` and `drain_progress.Policy`."""
+    """How drains are planned and carried out: `drain_plan.Rules` and `drain_progress.Policy` in one form."""
 
     budgets: tuple[tuple[str, str, float], ...] = (
         ("cell", "max", 1.0),
@@ -94,49 +113,49 @@
     take_back: bool = True
 
     def rules(self, kinds_needed: tuple[str, ...]) -> Rules:
-        """For planning; which kinds some class needs is the placer's to know."""
+        """The planner's rules; `kinds_needed`: the machine kinds that some class of the placer needs."""
         budgets = tuple(
             Budget(
                 Scope(scope),
-                figure if kind.startswith("max") else None,
-                figure if kind.startswith("min") else None,
-                kind.endswith("share"),
+                max_unavailable=amount if kind.startswith("max") else None,
+                min_available=amount if kind.startswith("min") else None,
+                share=kind.endswith("share"),
             )
-            for scope, kind, figure in self.budgets
-        )
-        return Rules(
-            budgets, tuple(Blackout(*each) for each in self.blackouts), self.fill, kinds_needed
+            for scope, kind, amount in self.budgets
         )
+        blackouts = tuple(Blackout(*each) for each in self.blackouts)
+        return Rules(budgets, blackouts, self.fill, kinds_needed)
 
     def policy(self) -> Policy:
-        """For carrying out."""
+        """The pace at which drains are carried out."""
         return Policy(self.lead_us, self.moves, self.every_us, self.failed_share, self.take_back)
 
 
 def plan_of(rules: Rules, policy: Policy) -> DrainPlan:
-    """From what a calendar says."""
-
-    def budget(each: Budget) -> tuple[str, str, float]:
-        kind = "max" if each.max_unavailable is not None else "min"
-        figure = (
-            each.max_unavailable if each.max_unavailable is not None else each.min_available or 0
-        )
-        return each.scope.value, kind + ("-share" if each.share else ""), float(figure)
-
+    """The canonical form of a calendar's rules and policy."""
     return DrainPlan(
-        tuple(sorted({budget(each) for each in rules.budgets})),
-        tuple(sorted({(each.name, each.start_us, each.end_us) for each in rules.blackouts})),
-        rules.fill,
-        policy.lead_us,
-        policy.moves,
-        policy.every_us,
-        policy.failed_share,
-        policy.take_back,
+        budgets=tuple(sorted({_budget_of(each) for each in rules.budgets})),
+        blackouts=tuple(
+            sorted({(each.name, each.start_us, each.end_us) for each in rules.blackouts})
+        ),
+        fill=rules.fill,
+        lead_us=policy.lead_us,
+        moves=policy.moves,
+        every_us=policy.every_us,
+        failed_share=policy.failed_share,
+        take_back=policy.take_back,
     )
 
 
-def plan_within(a: DrainPlan, b: DrainPlan) -> bool:
-    """Whether whatever `a` allows, `b` allows too."""
+def _budget_of(budget: Budget) -> tuple[str, str, float]:
+    suffix = "-share" if budget.share else ""
+    if budget.max_unavailable is not None:
+        return budget.scope.value, f"max{suffix}", float(budget.max_unavailable)
+    return budget.scope.value, f"min{suffix}", float(budget.min_available or 0)
+
+
+def plan_allows(a: DrainPlan, b: DrainPlan) -> bool:
+    """Whether `b` allows all that `a` allows."""
     return (
         set(a.budgets) >= set(b.budgets)
         and set(a.blackouts) >= set(b.blackouts)
@@ -149,64 +168,61 @@
     )
 
 
-def plan_meet(a: DrainPlan, b: DrainPlan) -> DrainPlan:
+def plan_intersection(a: DrainPlan, b: DrainPlan) -> DrainPlan:
     """What both allow."""
     return DrainPlan(
-        tuple(sorted({*a.budgets, *b.budgets})),
-        tuple(sorted({*a.blackouts, *b.blackouts})),
-        min(a.fill, b.fill),
-        max(a.lead_us, b.lead_us),
-        min(a.moves, b.moves),
-        max(a.every_us, b.every_us),
-        min(a.failed_share, b.failed_share),
-        a.take_back or b.take_back,
+        budgets=tuple(sorted({*a.budgets, *b.budgets})),
+        blackouts=tuple(sorted({*a.blackouts, *b.blackouts})),
+        fill=min(a.fill, b.fill),
+        lead_us=max(a.lead_us, b.lead_us),
+        moves=min(a.moves, b.moves),
+        every_us=max(a.every_us, b.every_us),
+        failed_share=min(a.failed_share, b.failed_share),
+        take_back=a.take_back or b.take_back,
     )
 
 
 def window_of(series: Series) -> WindowRules:
-    """The text form of a window."""
-    named = getattr(series.start.tzinfo, "key", "")
-    start = series.start.replace(tzinfo=None) if named else series.start
+    """The canonical form of a window."""
+    zone_key = getattr(series.start.tzinfo, "key", "")
+    start = series.start.replace(tzinfo=None) if zone_key else series.start
     return WindowRules(
-        series.name,
-        start.isoformat(),
-        named,
-        series.lasts_us,
-        series.each_us,
-        series.rule,
-        tuple(each.isoformat() for each in series.exceptions),
-        tuple(each.isoformat() for each in series.extra),
-        tuple(
+        name=series.name,
+        start=start.isoformat(),
+        zone=zone_key,
+        lasts_us=series.lasts_us,
+        each_us=series.each_us,
+        repeats=series.rule,
+        exceptions=tuple(each.isoformat() for each in series.exceptions),
+        extra=tuple(each.isoformat() for each in series.extra),
+        machines=tuple(
             (each.name, each.cell, each.zone, "=".join(each.label) if each.label else "")
             for each in series.selectors
         ),
-        series.precedence,
-        series.unsafe.value,
+        precedence=series.precedence,
+        unsafe=series.unsafe.value,
     )
 
 
 def series_of(window: WindowRules) -> Series:
-    """The window that a text stands for; ValueError says what is wrong with it."""
+    """The window of a canonical form; ValueError, TypeError or OverflowError where it cannot be."""
     start = datetime.fromisoformat(window.start)
     if window.zone:
         start = start.replace(tzinfo=zone(window.zone))
     if start.tzinfo is None:
         raise ValueError("a start without zone or offset")
-    if not 0 < window.each_us <= window.lasts_us <= LASTS_MOST_US:
+    if not 0 < window.each_us <= window.lasts_us <= MAX_LENGTH_US:
         raise ValueError(
             "a length of at most 31 days, no shorter than each machine's turn, is wanted"
         )
-    if max(len(window.exceptions), len(window.extra), len(window.machines)) > DATES_MOST:
-        raise ValueError(f"more than {DATES_MOST} dates or machines")
+    if max(len(window.exceptions), len(window.extra), len(window.machines)) > MAX_DATES:
+        raise ValueError(f"more than {MAX_DATES} dates or machines")
     if window.repeats:
         check_rule(window.repeats, start)
-    exceptions: list[datetime | date] = [
-        date.fromisoformat(each) if len(each) == 10 else datetime.fromisoformat(each)
-        for each in window.exceptions
-    ]
+    exceptions = tuple(_exception(each) for each in window.exceptions)
     extra = tuple(datetime.fromisoformat(each) for each in window.extra)
     selectors = tuple(_selector(*each) for each in window.machines)
-    if not selectors or not -1000 <= window.precedence <= 1000:
+    if not selectors or not -MAX_PRECEDENCE <= window.precedence <= MAX_PRECEDENCE:
         raise ValueError("machines, and a precedence of -1000 to 1000, are wanted")
     to_us(start)
     return Series(
@@ -215,7 +231,7 @@
         window.lasts_us,
         window.each_us,
         window.repeats,
-        tuple(exceptions),
+        exceptions,
         extra,
         selectors,
         window.precedence,
@@ -223,16 +239,19 @@
     )
 
 
-def _selector(name: str, cell: str, hall: str, label: str) -> Selector:
+def _exception(text: str) -> datetime | date:
+    return date.fromisoformat(text) if len(text) == DATE_CHARS else datetime.fromisoformat(text)
+
+
+def _selector(name: str, cell: str, failure_zone: str, label: str) -> Selector:
     key, _, value = label.partition("=")
-    if not all(isinstance(each, str) for each in (name, cell, hall, label)) or (
-        label and not (key and value)
-    ):
+    parts = (name, cell, failure_zone, label)
+    if not all(isinstance(each, str) for each in parts) or (label and not (key and value)):
         raise ValueError("machines: a name, cell, zone or label (key=value) is wanted")
-    made = Selector(name, cell, hall, (key, value) if label else None)
-    if made == Selector():
+    selector = Selector(name, cell, failure_zone, (key, value) if label else None)
+    if selector == Selector():
         raise ValueError("machines: one that names none")
-    return made
+    return selector
 
 
 def read_window(value: dict[str, Any]) -> WindowRules:
@@ -245,89 +264,112 @@
 
 
 def read_plan(value: dict[str, Any]) -> DrainPlan:
-    """From a JSON object, as `read_window`."""
+    """From a JSON object; ValueError, TypeError or KeyError where it is none."""
     value = dict(value)
     for name in ("budgets", "blackouts"):
         value[name] = tuple(tuple(each) for each in value[name])
     return DrainPlan(**value)
 
 
-def check_planned(
+def check_drains(
     windows: tuple[WindowRules, ...],
-    asked: tuple[AskedDrain, ...],
+    requested: tuple[AskedDrain, ...],
     cancelled: tuple[str, ...],
     plan: DrainPlan,
 ) -> list[str]:
-    """What is wrong, in words."""
-    out: list[str] = []
-    if len(windows) > WINDOWS_MOST or len(asked) > ASKED_MOST or len(cancelled) > CANCELLED_MOST:
-        out.append(
-            f"more than {WINDOWS_MOST} windows, {ASKED_MOST} drains asked for or {CANCELLED_MOST} taken back"
+    """Faults of a rule set's drains, one sentence each; empty where there are none."""
+    faults: list[str] = []
+    if (
+        len(windows) > MAX_WINDOWS
+        or len(requested) > MAX_REQUESTED
+        or len(cancelled) > MAX_CANCELLED
+    ):
+        faults.append(
+            f"more than {MAX_WINDOWS} windows, {MAX_REQUESTED} drains asked for or {MAX_CANCELLED} taken back"
         )
     if len({each.name for each in windows}) != len(windows):
-        out.append("a window is named twice")
-    for each in windows:
-        try:
-            if not each.name or each.name.startswith("now-"):
-                raise ValueError("a name that does not begin with now- is wanted")
-            series_of(each)
-        except (ValueError, TypeError, OverflowError) as error:
-            out.append(f"window {str(each.name)[:60]}: {str(error)[:120]}")
-    for drain in asked:
-        if not (
-            isinstance(drain.machine, str)
-            and 0 < len(drain.machine) <= 253
-            and type(drain.start_us) is int
-            and type(drain.lasts_us) is int
-            and 0 < drain.lasts_us <= LASTS_MOST_US
-            and 0 <= drain.start_us < 1 << 53
-            and drain.start_us % SECOND == 0
-        ):
-            out.append(
-                "a drain asked for: a machine, a start in whole seconds and a length of at most 31 days"
-            )
-    if not all(isinstance(key, str) and 0 < len(key) <= 600 for key in cancelled):
-        out.append("a drain taken back without its key")
+        faults.append("a window is named twice")
+    faults.extend(fault for fault in map(_window_fault, windows) if fault)
+    faults.extend(
+        "a drain asked for: a machine, a start in whole seconds and a length of at most 31 days"
+        for each in requested
+        if not _is_valid_request(each)
+    )
+    if not all(isinstance(key, str) and 0 < len(key) <= MAX_KEY_CHARS for key in cancelled):
+        faults.append("a drain taken back without its key")
+    return faults + _plan_faults(plan)
+
+
+def _window_fault(window: WindowRules) -> str:
+    """What is wrong with a window; "" where nothing is."""
+    prefix = f"window {str(window.name)[:MAX_NAME_CHARS_SHOWN]}: "
+    if not window.name or window.name.startswith(REQUESTED_PREFIX):
+        return f"{prefix}a name that does not begin with now- is wanted"
+    try:
+        series_of(window)
+    except (ValueError, TypeError, OverflowError) as error:
+        return prefix + str(error)[:MAX_REASON_CHARS]
+    return ""
+
+
+def _is_valid_request(drain: AskedDrain) -> bool:
+    return (
+        isinstance(drain.machine, str)
+        and 0 < len(drain.machine) <= MAX_NAME_CHARS
+        and type(drain.start_us) is int
+        and type(drain.lasts_us) is int
+        and 0 < drain.lasts_us <= MAX_LENGTH_US
+        and 0 <= drain.start_us < MAX_EXACT_INT
+        and drain.start_us % SECOND == 0
+    )
+
+
+def _plan_faults(plan: DrainPlan) -> list[str]:
     try:
         plan.rules(())
-        good = (
-            0.05 <= plan.fill <= 1
-            and 0 <= plan.lead_us <= LASTS_MOST_US
-            and 1 <= plan.moves <= 10_000
-            and 1 <= plan.every_us <= LASTS_MOST_US
-            and 0.01 <= plan.failed_share <= 1
-            and len(plan.budgets) <= 64
-            and len(plan.blackouts) <= 256
-            and isinstance(plan.take_back, bool)
-            and all(
-                kind in ("max", "max-share", "min", "min-share") and 0 <= figure <= 1_000_000
-                for _, kind, figure in plan.budgets
-            )
-            and all(
-                type(begin) is int and type(end) is int and begin < end
-                for _, begin, end in plan.blackouts
-            )
-        )
+        is_valid = _has_valid_pace(plan) and _has_valid_budgets(plan)
     except (ValueError, TypeError) as error:
-        out.append(f"drains' plan: {str(error)[:120]}")
-    else:
-        if not good:
-            out.append("drains' plan: a figure out of its bounds")
-    return out
+        return [f"drains' plan: {str(error)[:MAX_REASON_CHARS]}"]
+    return [] if is_valid else ["drains' plan: a figure out of its bounds"]
+
+
+def _has_valid_pace(plan: DrainPlan) -> bool:
+    return (
+        MIN_FILL <= plan.fill <= 1
+        and 0 <= plan.lead_us <= MAX_LENGTH_US
+        and 1 <= plan.moves <= MAX_MOVES
+        and 1 <= plan.every_us <= MAX_LENGTH_US
+        and MIN_FAILED_SHARE <= plan.failed_share <= 1
+        and isinstance(plan.take_back, bool)
+    )
 
 
-def fresh(
-    asked: tuple[AskedDrain, ...],
+def _has_valid_budgets(plan: DrainPlan) -> bool:
+    return (
+        len(plan.budgets) <= MAX_BUDGETS
+        and len(plan.blackouts) <= MAX_BLACKOUTS
+        and all(
+            kind in BUDGET_KINDS and 0 <= amount <= MAX_BUDGET for _, kind, amount in plan.budgets
+        )
+        and all(
+            type(start_us) is int and type(end_us) is int and start_us < end_us
+            for _, start_us, end_us in plan.blackouts
+        )
+    )
+
+
+def without_expired(
+    requested: tuple[AskedDrain, ...],
     cancelled: tuple[str, ...],
     wall_us: int,
 ) -> tuple[tuple[AskedDrain, ...], tuple[str, ...]]:
-    """Without what is over: drains past their end, and what was taken back of long ago."""
-
-    def recent(key: str) -> bool:
-        begun = key.partition("@")[2].partition("/")[0]
-        return not begun.isdecimal() or int(begun) * SECOND + KEPT_US > wall_us
-
+    """Requested drains that are not over, and cancellations of drains that may not be."""
     return (
-        tuple(each for each in asked if each.start_us + each.lasts_us > wall_us),
-        tuple(key for key in cancelled if recent(key)),
+        tuple(each for each in requested if each.start_us + each.lasts_us > wall_us),
+        tuple(key for key in cancelled if _may_be_due(key, wall_us)),
     )
+
+
+def _may_be_due(key: str, wall_us: int) -> bool:
+    start_s = key.partition("@")[2].partition("/")[0]
+    return not start_s.isdecimal() or int(start_s) * SECOND + CANCELLED_KEPT_US > wall_us
--- a/wingbarrow/decide/rulesets/canary.py
+++ b/wingbarrow/decide/rulesets/canary.py
@@ -1,6 +1,6 @@
-"""Whether a change of rules is bad for service: the share of answers that place nothing, after it beside before.
+"""Canary analysis of a change of rules: the share of answers that place nothing, after it and before; no I/O.
 
-No I/O and no clock: it is told counts of answers so far, of any number of placers together, and says what to do.
+It takes cumulative counts of answers, of any number of placers together, and advises whether to keep the change.
 """
 
 from __future__ import annotations
@@ -9,44 +9,50 @@
 from enum import Enum
 from math import sqrt
 
-ANSWERS_LEAST = 30  # after the change, before it is judged
-CERTAIN = (
-    2.5  # standard errors by which a rise must be above the bound: it is looked at again and again
-)
+MIN_ANSWERS = 30  # after the change, before it is judged
+# Standard errors by which a rise must exceed the bound: high, as the same change is judged again and again.
+MIN_STANDARD_ERRORS = 2.5
+MAX_SHARE_IN_ERROR = 0.999  # so that a share of 1 has a standard error too
 
 
 class CanaryAdvice(Enum):
-    """What to do now."""
+    """What to do with the change."""
 
     WAIT = "too little is known yet"
     KEEP = "the time is over, and service is as it was"
-    BACK = "service is worse by more than the bound"
+    ROLLBACK = "service is worse by more than the bound"
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCounts:
-    """Answers so far: all, and those that did not place."""
+    """Cumulative counts of answers: all, and those that did not place."""
 
     answers: int
     bad: int
 
     def since(self, other: AnswerCounts) -> AnswerCounts:
-        """What came after another count; a placer that began anew in between counts from nothing."""
+        """What came after another count; a placer that restarted in between counts from nothing."""
         if self.answers < other.answers or self.bad < other.bad:
             return self
         return AnswerCounts(self.answers - other.answers, self.bad - other.bad)
 
     @property
     def share(self) -> float:
-        """Bad ones of all."""
+        """The share of bad answers."""
         return self.bad / self.answers if self.answers else 0.0
 
 
 class CanaryAnalysis:
-    """One change: `before` is what was counted over some time before it, `at` the counts when it was accepted."""
+    """One change. `before`: counts over some time before it; `at`: cumulative counts when it was accepted.
+
+    `bound`: by how much the share of bad answers may rise. `end_us`: when the change is kept.
+    """
 
     def __init__(self, before: AnswerCounts, at: AnswerCounts, bound: float, end_us: int) -> None:
-        self._before, self._at, self._bound, self._end_us = before, at, bound, end_us
+        self._before = before
+        self._at = at
+        self._bound = bound
+        self._end_us = end_us
         self.after = AnswerCounts(0, 0)
 
     @property
@@ -55,12 +61,12 @@
         return self.after.share - self._before.share
 
     def judge(self, now_us: int, count: AnswerCounts) -> CanaryAdvice:
-        """Take the counts of now."""
+        """Advice by the cumulative counts of now; `now_us` on the clock of `end_us`."""
         self.after = count.since(self._at)
-        if self.after.answers >= ANSWERS_LEAST and self.rise > self._bound:
-            # Danger: with few answers a share moves by chance alone, and a good change would be taken back.
+        if self.after.answers >= MIN_ANSWERS and self.rise > self._bound:
+            # Danger: with few answers a share moves by chance alone, and a good change would be rolled back.
             share = max(self.after.share, 1 / self.after.answers)
-            error = sqrt(share * (1 - min(share, 0.999)) / self.after.answers)
-            if self.rise - self._bound > CERTAIN * error:
-                return CanaryAdvice.BACK
+            error = sqrt(share * (1 - min(share, MAX_SHARE_IN_ERROR)) / self.after.answers)
+            if self.rise - self._bound > MIN_STANDARD_ERRORS * error:
+                return CanaryAdvice.ROLLBACK
         return CanaryAdvice.KEEP if now_us >= self._end_us else CanaryAdvice.WAIT
--- a/wingbarrow/decide/rulesets/diff.py
+++ b/wingbarrow/decide/rulesets/diff.py
@@ -1,88 +1,133 @@
-"""What is another between two rule sets, in words; no I/O."""
+"""The differences between two rule sets, one sentence each, for operators; no I/O."""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterator
 from dataclasses import fields
+from typing import Any
 
 from wingbarrow.decide.federation import compare
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan
+from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet
 
+SECOND = 1_000_000
+Shares = tuple[tuple[str, int], ...]
+
 
 def differences(a: RuleSet, b: RuleSet) -> list[str]:
-    """What is another in `b`, in words, a line each."""
-    out: list[str] = []
-    for name in (each.name for each in fields(RuleSet)):
-        one, other = getattr(a, name), getattr(b, name)
-        if one == other:
+    """What is different in `b`, by the order of fields."""
+    lines: list[str] = []
+    for field in fields(RuleSet):
+        before, after = getattr(a, field.name), getattr(b, field.name)
+        if before == after:
             continue
-        if name == "classes":
-            before, after = ({each.name: each for each in side} for side in (one, other))
-            for key in sorted(before.keys() | after.keys()):
-                if before.get(key) != after.get(key):
-                    out.append(
-                        f"class {key}: {_words(before.get(key))} -> {_words(after.get(key))}"
-                    )
-        elif name == "cold_shares":
-            mine, theirs = dict(one), dict(other)
-            out += [
-                f"cold share of {key}: {mine.get(key, 0)} -> {theirs.get(key, 0)}"
-                for key in sorted(mine.keys() | theirs.keys())
-                if mine.get(key, 0) != theirs.get(key, 0)
-            ]
-        elif name == "windows":
-            old, new = ({each.name: each for each in side} for side in (one, other))
-            out += [
-                f"window {key}: {'changed' if key in old and key in new else 'new' if key in new else 'gone'}"
-                for key in sorted(old.keys() | new.keys())
-                if old.get(key) != new.get(key)
-            ]
-        elif name in ("asked", "cancelled"):
-            word = "drain asked for" if name == "asked" else "drain taken back"
-            out += [f"{word}: {_drain(each)}" for each in sorted(set(other) - set(one))]
-            out += [f"no longer a {word}: {_drain(each)}" for each in sorted(set(one) - set(other))]
-        elif name == "limits":
-            told, new = ({each.key: each for each in side} for side in (one, other))
-            out += [
-                f"limit {key}: {_limit(told.get(key))} -> {_limit(new.get(key))}"
-                for key in sorted(told.keys() | new.keys())
-                if told.get(key) != new.get(key)
-            ]
-        elif name == "federation":
-            out += compare.differences(one, other)
-        elif name == "plan":
-            out += [
-                f"drains, {field.name.replace('_', ' ')}: {getattr(one, field.name)} -> "
-                f"{getattr(other, field.name)}"
-                for field in fields(DrainPlan)
-                if getattr(one, field.name) != getattr(other, field.name)
-            ]
-        elif name == "barred":
-            out += [f"barred: {key}" for key in sorted(set(other) - set(one))]
-            out += [f"no longer barred: {key}" for key in sorted(set(one) - set(other))]
+        describe = _DESCRIBED.get(field.name)
+        if describe is None:
+            lines.append(f"{_spaced(field.name)}: {before} -> {after}")
         else:
-            out.append(f"{name.replace('_', ' ')}: {one} -> {other}")
-    return out
+            lines.extend(describe(before, after))
+    return lines
 
 
-def _limit(limit: FleetLimit | None) -> str:
-    if limit is None:
-        return "none"
-    return (
-        f"{limit.most}"
-        + (f" in {limit.window_us / 1_000_000:g} s" if limit.window_us else "")
-        + f" among {len(limit.among)}, stranded for {limit.stranded_us / 1_000_000:g} s"
-    )
+def _spaced(name: str) -> str:
+    return name.replace("_", " ")
 
 
-def _drain(each: AskedDrain | str) -> str:
-    return each if isinstance(each, str) else f"{each.machine} for {each.lasts_us // 1_000_000} s"
+def _classes(before: tuple[ClassRules, ...], after: tuple[ClassRules, ...]) -> Iterator[str]:
+    old = {each.name: each for each in before}
+    new = {each.name: each for each in after}
+    for name in sorted(old.keys() | new.keys()):
+        if old.get(name) != new.get(name):
+            yield f"class {name}: {_class(old.get(name))} -> {_class(new.get(name))}"
 
 
-def _words(rules: ClassRules | None) -> str:
+def _class(rules: ClassRules | None) -> str:
     if rules is None:
         return "not there"
-    return f"{rules.effect}" + (
-        f", {rules.spread_most} by {rules.spread_by}" if rules.spread_by != "none" else ""
+    if rules.spread_by == "none":
+        return rules.effect
+    return f"{rules.effect}, {rules.spread_most} by {rules.spread_by}"
+
+
+def _cold_shares(before: Shares, after: Shares) -> Iterator[str]:
+    old = dict(before)
+    new = dict(after)
+    for placer in sorted(old.keys() | new.keys()):
+        if old.get(placer, 0) != new.get(placer, 0):
+            yield f"cold share of {placer}: {old.get(placer, 0)} -> {new.get(placer, 0)}"
+
+
+def _windows(before: tuple[WindowRules, ...], after: tuple[WindowRules, ...]) -> Iterator[str]:
+    old = {each.name: each for each in before}
+    new = {each.name: each for each in after}
+    for name in sorted(old.keys() | new.keys()):
+        if name not in new:
+            yield f"window {name}: gone"
+        elif name not in old:
+            yield f"window {name}: new"
+        elif old[name] != new[name]:
+            yield f"window {name}: changed"
+
+
+def _requested(before: tuple[AskedDrain, ...], after: tuple[AskedDrain, ...]) -> Iterator[str]:
+    for each in sorted(set(after) - set(before)):
+        yield f"drain asked for: {_drain(each)}"
+    for each in sorted(set(before) - set(after)):
+        yield f"no longer a drain asked for: {_drain(each)}"
+
+
+def _drain(drain: AskedDrain) -> str:
+    return f"{drain.machine} for {drain.lasts_us // SECOND} s"
+
+
+def _cancelled(before: tuple[str, ...], after: tuple[str, ...]) -> Iterator[str]:
+    for key in sorted(set(after) - set(before)):
+        yield f"drain taken back: {key}"
+    for key in sorted(set(before) - set(after)):
+        yield f"no longer a drain taken back: {key}"
+
+
+def _barred(before: tuple[str, ...], after: tuple[str, ...]) -> Iterator[str]:
+    for machine in sorted(set(after) - set(before)):
+        yield f"barred: {machine}"
+    for machine in sorted(set(before) - set(after)):
+        yield f"no longer barred: {machine}"
+
+
+def _plan(before: DrainPlan, after: DrainPlan) -> Iterator[str]:
+    for field in fields(DrainPlan):
+        old, new = getattr(before, field.name), getattr(after, field.name)
+        if old != new:
+            yield f"drains, {_spaced(field.name)}: {old} -> {new}"
+
+
+def _limits(before: tuple[FleetLimit, ...], after: tuple[FleetLimit, ...]) -> Iterator[str]:
+    old = {each.key: each for each in before}
+    new = {each.key: each for each in after}
+    for key in sorted(old.keys() | new.keys()):
+        if old.get(key) != new.get(key):
+            yield f"limit {key}: {_limit(old.get(key))} -> {_limit(new.get(key))}"
+
+
+def _limit(limit: FleetLimit | None) -> str:
+    if limit is None:
+        return "none"
+    window = f" in {limit.window_us / SECOND:g} s" if limit.window_us else ""
+    return (
+        f"{limit.most}{window} among {len(limit.among)}, "
+        f"stranded for {limit.stranded_us / SECOND:g} s"
     )
+
+
+_DESCRIBED: dict[str, Callable[[Any, Any], Iterator[str] | list[str]]] = {
+    "classes": _classes,
+    "cold_shares": _cold_shares,
+    "barred": _barred,
+    "windows": _windows,
+    "asked": _requested,
+    "cancelled": _cancelled,
+    "plan": _plan,
+    "limits": _limits,
+    "federation": compare.differences,
+}
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -1,61 +1,75 @@
-"""What voters have decided about rules: versions, the edition in force, the steps still to go, the floors.
+"""The agreed rule sets as the voters' log makes them: versions, the revision in force, transitions and floors; no I/O.
 
-Deterministic: the same entries in the same order make the same state at every voter. An *edition* is one step in force;
-a version that contradicts the one before takes two, by way of what both allow. Which edition placers may act on at a
-time is told by grants (`agreement`); the next begins by a `step` entry, once the leader knows that those before have
-lapsed.
+Deterministic: the same entries in the same order make the same state at every voter. A *version* is an accepted
+proposal; a *revision* is a rule set in force, numbered one by one. A version that contradicts the one before takes two
+revisions, by way of their intersection, as in online schema change (F1, Rae et al. 2013): at most two neighbouring ones
+are in use. Leases tell which revision placers may act on; the next one begins by a `step` entry, once the leader knows
+that leases of earlier ones have expired.
+
+The JSON form of the state and the messages call a revision `edition`.
 """
 
 from __future__ import annotations
 
-import hashlib
 import json
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
 from wingbarrow.decide.federation.form import FEDERATION_MOST
-from wingbarrow.decide.federation.spec import Federation
+from wingbarrow.decide.rulesets.comparison import contradict, intersection, keeps_floor
+from wingbarrow.decide.rulesets.entries import (
+    FloorEntry,
+    FloorsExpiredEntry,
+    ProposalEntry,
+    StepEntry,
+)
+from wingbarrow.decide.rulesets.parsing import (
+    MAX_ESCAPED_CHARS,
+    check,
+    join_federation,
+    length_faults,
+    parse_rule_set,
+    split_federation,
+)
 from wingbarrow.decide.rulesets.ruleset import (
-    MAILED_MOST,
+    NO_FEDERATION,
     RuleSet,
     RuleSetError,
-    apart,
-    check,
-    contradict,
-    intersection,
-    joined,
-    keeps_floor,
-    parse_rule_set,
-    too_long,
+    canonical_json,
+    digest_of,
 )
 
-# A snapshot goes in one mail of 1 MiB. Counted as mailed: in force and two steps, versions, floors, federations (each
-# once, whoever names it), outcomes; what is left is for `chapters`.
-VERSIONS_MOST, VERSIONS_MAILED = 64, 160 * 1024  # kept; older ones are known by number alone
-FEDERATIONS_MOST = (
-    3 * FEDERATION_MOST + 64 * 1024
-)  # in force, two steps, and those of versions before
-FLOORS_MAILED = 96 * 1024
-IDENTS_MOST, OUTCOME_MOST = (
-    256,
-    200,
-)  # proposals whose outcome is remembered, for those that are sent again
-OUTCOMES_MAILED = IDENTS_MOST * (OUTCOME_MOST + 120)
-SNAPSHOT_MOST = (
-    3 * MAILED_MOST + VERSIONS_MAILED + FEDERATIONS_MOST + FLOORS_MAILED + OUTCOMES_MAILED
+# A snapshot goes in one message of 1 MiB. Counted as escaped there: the rule set in force and two steps, versions,
+# floors, federations (each once, whoever names it), outcomes; what is left is for the replicated subsystems.
+MAX_VERSIONS = 64  # kept; older ones are known by number alone
+MAX_VERSIONS_CHARS = 160 * 1024
+MAX_FEDERATIONS_CHARS = 3 * FEDERATION_MOST + 64 * 1024  # of three revisions, and earlier versions
+MAX_FLOORS = 4  # that may be in use at a time
+MAX_FLOORS_CHARS = 96 * 1024
+MAX_OUTCOMES = 256  # of proposals, for those that are sent again
+MAX_OUTCOME_CHARS = 200
+MAX_OUTCOMES_CHARS = MAX_OUTCOMES * (MAX_OUTCOME_CHARS + 120)
+MAX_SNAPSHOT_CHARS = (
+    3 * MAX_ESCAPED_CHARS
+    + MAX_VERSIONS_CHARS
+    + MAX_FEDERATIONS_CHARS
+    + MAX_FLOORS_CHARS
+    + MAX_OUTCOMES_CHARS
 )
-CHAPTERS_MAILED = (
+MAX_SUBSYSTEMS_CHARS = (
     128 * 1024
-)  # all chapters' texts together, as mailed: what their own bounds come to must stay below
-RECOVERED = "recovered"  # the kind of the entry by which one voter went on alone
-EDITIONS_LEFT = 1000  # for those that may have been decided by voters that were lost
-FLOORS_MOST = 4  # that may be out at a time
+)  # all subsystems together, as escaped; their own bounds stay below
+MAX_AUTHOR_CHARS = 253
+MAX_REASON_CHARS = 500
+RECORD_CHARS = 200  # of a version or a floor beside its texts
+RECOVERED = "recovered"  # kind of the entry by which one voter went on alone
+REVISIONS_SKIPPED_AT_RECOVERY = 1000  # for those that lost voters may have decided
 DAY_US = 86_400_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One accepted version. `rules` is the text without the federation, which `Agreed.whole` adds."""
+    """An accepted version. `rules` is the text without the federation, which `RuleSetState.text_of` adds."""
 
     number: int
     rules: str
@@ -65,14 +79,16 @@
     digest: str
     federation: str = ""  # the digest of its text
 
-    def mailed(self) -> int:
-        """Its size in a snapshot."""
-        return len(json.dumps(self.rules)) + len(json.dumps(json.dumps(self.by + self.why))) + 200
+    @property
+    def snapshot_chars(self) -> int:
+        """Its size in a snapshot, as escaped."""
+        texts = len(json.dumps(self.rules)) + len(json.dumps(json.dumps(self.by + self.why)))
+        return texts + RECORD_CHARS
 
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """Rules that every version allows, and for how long one may go on by them without hearing of anybody."""
+    """Rules that every version allows, and for how long a placer may go on by them when cut off from the voters."""
 
     number: int
     rules: str
@@ -81,41 +97,33 @@
 
 @dataclass(slots=True)
 class RuleSetState:
-    """The replicated state. Texts are the canonical ones of `rules`."""
+    """The replicated state. Texts of rule sets are canonical ones."""
 
-    edition: int = 0  # in force; 0: nothing is agreed on yet
-    rules: str = ""  # of that edition
-    version: int = 0  # the latest accepted, which the steps lead to
-    steps: list[str] = field(default_factory=list)  # rules of the editions still to come
+    revision: int = 0  # in force; 0: nothing is agreed on yet
+    rules: str = ""  # of that revision
+    version: int = 0  # the latest accepted one, which the steps lead to
+    steps: list[str] = field(default_factory=list)  # rules of the revisions still to come
     versions: list[Version] = field(default_factory=list)
-    floors: list[Floor] = field(
-        default_factory=list
-    )  # the latest last; those before may still be out
-    outcomes: dict[str, str] = field(
-        default_factory=dict
-    )  # by proposal: "" where it was accepted, else why not
-    chapters: dict[str, str] = field(
-        default_factory=dict
-    )  # each one's text as of the last snapshot
-    federations: dict[str, str] = field(
-        default_factory=dict
-    )  # texts of versions' by digest, the latest last
+    floors: list[Floor] = field(default_factory=list)  # latest last; earlier may be in use
+    outcomes: dict[str, str] = field(default_factory=dict)  # by proposal: "" or the objection
+    chapters: dict[str, str] = field(default_factory=dict)  # subsystems' texts as of a snapshot
+    federations: dict[str, str] = field(default_factory=dict)  # of versions, by digest, latest last
 
     def apply(self, kind: str, body: str) -> None:
-        """Take one decided entry; what cannot be read changes nothing (it was checked before it was proposed)."""
+        """Apply a decided entry; one that cannot be read changes nothing (it was checked before it was proposed)."""
         try:
             value = json.loads(body) if body else {}
             if kind == "propose":
-                self._propose(value)
-            elif kind == "step" and value["from"] == self.edition and self.steps:
-                self.edition, self.rules = self.edition + 1, self.steps.pop(0)
-            elif kind == RECOVERED and self.edition:
-                self.edition += EDITIONS_LEFT
+                self._apply_proposal(ProposalEntry.from_entry(value))
+            elif kind == "step":
+                self._apply_step(StepEntry.from_entry(value))
             elif kind == "floor":
-                self._floor(value)
-            elif kind == "floor-lapsed" and len(self.floors) > 1:
-                self.floors = [each for each in self.floors if each.number >= value["number"]]
-        except (ValueError, KeyError, TypeError, RuleSetError):
+                self._apply_floor(FloorEntry.from_entry(value))
+            elif kind == "floor-lapsed":
+                self._apply_floors_expired(FloorsExpiredEntry.from_entry(value))
+            elif kind == RECOVERED:
+                self._apply_recovered()
+        except (ValueError, KeyError, TypeError):
             return
 
     @property
@@ -123,12 +131,12 @@
         """The rules of the latest version; "" before there is one."""
         return self.steps[-1] if self.steps else self.rules
 
-    def whole(self, version: Version) -> str | None:
+    def text_of(self, version: Version) -> str | None:
         """The text of a version's rules; None where its federation is no longer kept."""
         if not version.federation:
             return version.rules
         federation = self.federations.get(version.federation)
-        return None if federation is None else joined(version.rules, federation)
+        return None if federation is None else join_federation(version.rules, federation)
 
     # -- proposals
 
@@ -142,205 +150,234 @@
             return f"version {self.version} has been accepted since; yours is based on {base}: see `rules diff`"
         if rules.text() == self.latest:
             return "these are the rules already"
+        return (
+            self._floors_objection(rules)
+            or self._spread_objection(rules)
+            or self._transition_objection(rules)
+        )
+
+    def _floors_objection(self, rules: RuleSet) -> str:
         for floor in self.floors:
             if not keeps_floor(parse_rule_set(floor.rules), rules):
                 return f"it forbids what floor {floor.number} allows: lower the floor first"
-        moved = self._moved(rules)
-        if moved:
-            return f"what a class is spread by cannot change while placers run: {', '.join(moved)}"
-        return self._no_way(rules)
-
-    def _no_way(self, rules: RuleSet) -> str:
-        """Why the fleet cannot go to these rules by what both allow; "" where it can."""
-        now = parse_rule_set(self.rules) if self.edition else rules
-        if not contradict(now, rules):
-            return ""
-        between = intersection(now, rules)
-        problems = too_long(between) + check(between)
-        return (
-            f"what both allow cannot be said, go in smaller steps: {'; '.join(problems)}"
-            if problems
-            else ""
-        )
+        return ""
 
-    def _moved(self, rules: RuleSet) -> list[str]:
-        """Classes whose spread would be counted by other places than tasks already are."""
-        if not self.edition:
-            return []
-        texts = [self.rules, *self.steps]
-        held = {
-            each.name: each.spread_by for text in texts for each in parse_rule_set(text).classes
+    def _spread_objection(self, rules: RuleSet) -> str:
+        """Tasks that run are counted by the domains that their class was spread by: these cannot change."""
+        if not self.revision:
+            return ""
+        spread_by = {
+            each.name: each.spread_by
+            for text in (self.rules, *self.steps)
+            for each in parse_rule_set(text).classes
         }
-        return [
+        changed = [
             each.name
             for each in rules.classes
-            if held.get(each.name, each.spread_by) != each.spread_by
+            if spread_by.get(each.name, each.spread_by) != each.spread_by
         ]
+        if not changed:
+            return ""
+        return f"what a class is spread by cannot change while placers run: {', '.join(changed)}"
+
+    def _transition_objection(self, rules: RuleSet) -> str:
+        """Why the fleet cannot go to these rules by way of the intersection; "" where it can."""
+        in_force = parse_rule_set(self.rules) if self.revision else rules
+        if not contradict(in_force, rules):
+            return ""
+        between = intersection(in_force, rules)
+        faults = length_faults(between) + check(between)
+        if not faults:
+            return ""
+        return f"what both allow cannot be said, go in smaller steps: {'; '.join(faults)}"
 
-    def _propose(self, value: dict[str, Any]) -> None:
-        ident = str(value["ident"])
-        if ident in self.outcomes:
+    def _apply_proposal(self, proposal: ProposalEntry) -> None:
+        if proposal.ident in self.outcomes:
             return  # sent again: it has its outcome
-        text = str(value["rules"])
-        why_not = self.objection(int(value["base"]), text)
-        self._remember(ident, why_not)
-        if why_not:
+        objection = self.objection(proposal.base, proposal.rules)
+        self._record_outcome(proposal.ident, objection)
+        if objection:
             return
-        rules = parse_rule_set(text)
+        rules = parse_rule_set(proposal.rules)
+        rest, federation = split_federation(rules)
+        federation_digest = _federation_digest(federation)
         self.version += 1
-        rest, federation = apart(rules)
         self.versions.append(
             Version(
-                self.version,
-                rest,
-                int(value["base"]),
-                str(value["by"])[:253],
-                str(value["why"])[:500],
-                rules.digest,
-                _digest(federation),
+                number=self.version,
+                rules=rest,
+                base=proposal.base,
+                by=proposal.by[:MAX_AUTHOR_CHARS],
+                why=proposal.why[:MAX_REASON_CHARS],
+                digest=rules.digest,
+                federation=federation_digest,
             )
         )
         if federation:
-            self.federations.pop(_digest(federation), None)
-            self.federations[_digest(federation)] = federation
-        self._go_to(rules)
-        self._drop_old()
-
-    def _go_to(self, rules: RuleSet) -> None:
-        if not self.edition:
-            self.edition, self.rules = 1, rules.text()
+            self.federations.pop(federation_digest, None)  # the latest last
+            self.federations[federation_digest] = federation
+        self._begin_transition(rules)
+        self._drop_oldest()
+
+    def _begin_transition(self, rules: RuleSet) -> None:
+        """Go to a version from the revision in force, in place of any steps that were still to come."""
+        if not self.revision:
+            self.revision = 1
+            self.rules = rules.text()
             return
-        # From what is in force, whatever was still to come: a version proposed in the middle of a step to another takes
-        # its place, and no more than two neighbouring editions are ever in use.
-        now = parse_rule_set(self.rules)
-        self.steps = (
-            [intersection(now, rules).text(), rules.text()]
-            if contradict(now, rules)
-            else [rules.text()]
-        )
-
-    def _drop_old(self) -> None:
-        """Versions, and federations that only they have, beyond what fits a snapshot."""
-        self.versions = self.versions[-VERSIONS_MOST:]
-        while sum(each.mailed() for each in self.versions) > VERSIONS_MAILED:
+        in_force = parse_rule_set(self.rules)
+        self.steps = [rules.text()]
+        if contradict(in_force, rules):
+            self.steps.insert(0, intersection(in_force, rules).text())
+
+    def _drop_oldest(self) -> None:
+        """Drop versions, and federations that only they have, beyond what fits a snapshot."""
+        self.versions = self.versions[-MAX_VERSIONS:]
+        while sum(each.snapshot_chars for each in self.versions) > MAX_VERSIONS_CHARS:
             del self.versions[0]
         named = {each.federation for each in self.versions}
         self.federations = {
             digest: text for digest, text in self.federations.items() if digest in named
         }
-        used = [apart(parse_rule_set(text))[1] for text in (self.rules, *self.steps)]
+        in_use = [split_federation(parse_rule_set(text))[1] for text in (self.rules, *self.steps)]
         while (
             len(self.federations) > 1
-            and sum(map(len, {*used, *self.federations.values()})) > FEDERATIONS_MOST
+            and sum(map(len, {*in_use, *self.federations.values()})) > MAX_FEDERATIONS_CHARS
         ):
             del self.federations[next(iter(self.federations))]
 
-    def _remember(self, ident: str, outcome: str) -> None:
-        self.outcomes[ident] = outcome[:OUTCOME_MOST]
-        while len(self.outcomes) > IDENTS_MOST:
+    def _record_outcome(self, ident: str, outcome: str) -> None:
+        self.outcomes[ident] = outcome[:MAX_OUTCOME_CHARS]
+        while len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
+    # -- transitions
+
+    def _apply_step(self, step: StepEntry) -> None:
+        if step.from_revision == self.revision and self.steps:
+            self.revision += 1
+            self.rules = self.steps.pop(0)
+
+    def _apply_recovered(self) -> None:
+        if self.revision:
+            self.revision += REVISIONS_SKIPPED_AT_RECOVERY
+
     # -- floors
 
     def floor_objection(self, text: str, lasts_us: int) -> str:
-        """Why a floor cannot be taken now; "" where it can."""
+        """Why a floor cannot be accepted now; "" where it can."""
         try:
             floor = parse_rule_set(text)
         except RuleSetError as error:
             return str(error)
         if not 0 < lasts_us <= DAY_US:
             return "a floor holds for at most a day"
-        if len(self.floors) >= FLOORS_MOST:
+        if len(self.floors) >= MAX_FLOORS:
             return "too many floors may still be out: wait for the oldest to lapse"
-        if not self.edition:
+        if not self.revision:
             return "nothing is agreed on yet"
-        held = [*(each.rules for each in self.floors), _of_floor(floor)]
-        if sum(len(json.dumps(each)) + 200 for each in held) > FLOORS_MAILED:
-            return f"more than {FLOORS_MAILED} characters of floors that may still be out: wait for the oldest to lapse"
-        for each in [self.rules, *self.steps]:
-            if not keeps_floor(floor, parse_rule_set(each)):
+        return self._floor_size_objection(floor) or self._floor_rules_objection(floor)
+
+    def _floor_size_objection(self, floor: RuleSet) -> str:
+        texts = [*(each.rules for each in self.floors), _floor_text(floor)]
+        if sum(len(json.dumps(each)) + RECORD_CHARS for each in texts) <= MAX_FLOORS_CHARS:
+            return ""
+        return (
+            f"more than {MAX_FLOORS_CHARS} characters of floors that may still be out: "
+            "wait for the oldest to lapse"
+        )
+
+    def _floor_rules_objection(self, floor: RuleSet) -> str:
+        for text in (self.rules, *self.steps):
+            if not keeps_floor(floor, parse_rule_set(text)):
                 return "it allows what the rules in force, or still to come, forbid"
         return ""
 
-    def _floor(self, value: dict[str, Any]) -> None:
-        ident = str(value["ident"])
-        if ident in self.outcomes:
+    def _apply_floor(self, floor: FloorEntry) -> None:
+        if floor.ident in self.outcomes:
             return
-        why_not = self.floor_objection(str(value["rules"]), int(value["lasts_us"]))
-        self._remember(ident, why_not)
-        if not why_not:
+        objection = self.floor_objection(floor.rules, floor.lasts_us)
+        self._record_outcome(floor.ident, objection)
+        if not objection:
             number = self.floors[-1].number + 1 if self.floors else 1
-            self.floors.append(
-                Floor(
-                    number, _of_floor(parse_rule_set(str(value["rules"]))), int(value["lasts_us"])
-                )
-            )
+            text = _floor_text(parse_rule_set(floor.rules))
+            self.floors.append(Floor(number, text, floor.lasts_us))
+
+    def _apply_floors_expired(self, expired: FloorsExpiredEntry) -> None:
+        if len(self.floors) > 1:
+            self.floors = [each for each in self.floors if each.number >= expired.number]
 
     # -- snapshots
 
     def text(self) -> str:
-        """All of it. Rules stand in it as objects, so that mail puts fewer marks before theirs; a federation once."""
-        parts = [
-            apart(parse_rule_set(text)) if text else ("", "") for text in (self.rules, *self.steps)
-        ]
+        """All of the state as JSON.
+
+        Rules are in it as objects, so that fewer quotes are escaped in a message; each federation is in it once.
+        """
         federations = dict(self.federations)
-        for _, federation in parts:
+        revisions = []
+        for text in (self.rules, *self.steps):
+            rest, federation = split_federation(parse_rule_set(text)) if text else ("", "")
+            digest = _federation_digest(federation)
             if federation:
-                federations.setdefault(_digest(federation), federation)
-        named = [
-            [json.loads(rest) if rest else "", _digest(federation)] for rest, federation in parts
-        ]
-        value = asdict(self) | {
-            "rules": named[0],
-            "steps": named[1:],
+                federations.setdefault(digest, federation)
+            revisions.append([json.loads(rest) if rest else "", digest])
+        value = {
+            "edition": self.revision,
+            "rules": revisions[0],
+            "version": self.version,
+            "steps": revisions[1:],
+            "versions": [_with_rules_as_object(asdict(each)) for each in self.versions],
+            "floors": [_with_rules_as_object(asdict(each)) for each in self.floors],
+            "outcomes": self.outcomes,
+            "chapters": self.chapters,
             "federations": federations,
             "kept": list(self.federations),
         }
-        for each in (*value["versions"], *value["floors"]):
-            each["rules"] = json.loads(each["rules"])
         return json.dumps(value, separators=(",", ":"))
 
 
-def _digest(federation: str) -> str:
-    return hashlib.blake2b(federation.encode(), digest_size=8).hexdigest() if federation else ""
+def _with_rules_as_object(record: dict[str, Any]) -> dict[str, Any]:
+    return {**record, "rules": json.loads(record["rules"])}
 
 
-def _of_floor(rules: RuleSet) -> str:
-    """The text of a floor, which speaks of no federation: who goes by it keeps to the one that it knew."""
-    return replace(rules, federation=Federation()).text()
+def _federation_digest(federation: str) -> str:
+    return digest_of(federation) if federation else ""
 
 
-def _text(value: Any) -> str:
-    """Rules of a snapshot; those of before 2026-12 are texts already."""
-    return (
-        value
-        if isinstance(value, str)
-        else json.dumps(value, sort_keys=True, separators=(",", ":"))
-    )
+def _floor_text(rules: RuleSet) -> str:
+    """The text of a floor, which has no federation: a placer that goes by it keeps to the one that it knew."""
+    return replace(rules, federation=NO_FEDERATION).text()
+
+
+def _rules_text(value: Any) -> str:
+    """The text of a snapshot's rules; snapshots of before 2026-12 have texts already."""
+    return value if isinstance(value, str) else canonical_json(value)
 
 
 def from_text(text: str) -> RuleSetState:
-    """What `text` gave; an empty one is the state at the beginning."""
+    """The state of a snapshot's text; an empty one is the state at the beginning."""
     if not text:
         return RuleSetState()
     value = json.loads(text)
     federations = dict(value.get("federations", {}))
 
-    def whole(named: Any) -> str:
-        return (
-            named
-            if isinstance(named, str)
-            else joined(_text(named[0]), federations[named[1]] if named[1] else "")
-        )
+    def revision_text(revision: Any) -> str:
+        if isinstance(revision, str):
+            return revision
+        rest, digest = revision
+        return join_federation(_rules_text(rest), federations[digest] if digest else "")
 
     return RuleSetState(
-        value["edition"],
-        whole(value["rules"]),
-        value["version"],
-        [whole(each) for each in value["steps"]],
-        [Version(**{**each, "rules": _text(each["rules"])}) for each in value["versions"]],
-        [Floor(**{**each, "rules": _text(each["rules"])}) for each in value["floors"]],
-        dict(value["outcomes"]),
-        dict(value.get("chapters", {})),
-        {digest: federations[digest] for digest in value.get("kept", ())},
+        revision=value["edition"],
+        rules=revision_text(value["rules"]),
+        version=value["version"],
+        steps=[revision_text(each) for each in value["steps"]],
+        versions=[
+            Version(**{**each, "rules": _rules_text(each["rules"])}) for each in value["versions"]
+        ],
+        floors=[Floor(**{**each, "rules": _rules_text(each["rules"])}) for each in value["floors"]],
+        outcomes=dict(value["outcomes"]),
+        chapters=dict(value.get("chapters", {})),
+        federations={digest: federations[digest] for digest in value.get("kept", ())},
     )
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -11,7 +11,7 @@
 from wingbarrow.config import parse_duration
 from wingbarrow.core.drainer import Drainer
 from wingbarrow.decide.maintenance.drain_plan import Fate
-from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, fresh
+from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, without_expired
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
@@ -126,7 +126,7 @@
         )
 
     def _fresh(self, rules: RuleSet) -> RuleSet:
-        asked, cancelled = fresh(rules.asked, rules.cancelled, self._hub.clock.wall_us())
+        asked, cancelled = without_expired(rules.asked, rules.cancelled, self._hub.clock.wall_us())
         return replace(rules, asked=asked, cancelled=cancelled)
 
 
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -10,7 +10,9 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.effects import Persist
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, parse_rule_set
+from wingbarrow.decide.rulesets.comparison import allows
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
 
 ACT_US = 10_000
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -13,7 +13,7 @@
 from urllib.parse import quote
 
 from wingbarrow.config import load_text
-from wingbarrow.decide.rulesets.ruleset import normalized, shares
+from wingbarrow.decide.rulesets.ruleset import equal_shares, normalized
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.watching import call
 from wingbarrow.kube.status import ApiError
@@ -112,7 +112,7 @@
         text, sharers = self.variant(number)
         wanted = rules_of(load_text(text))
         offers = sum(share for _, share in wanted.cold_shares)
-        wanted = normalized(replace(wanted, cold_shares=shares(offers, tuple(sharers))))
+        wanted = normalized(replace(wanted, cold_shares=equal_shares(offers, tuple(sharers))))
         body = {
             "ident": f"rig-{number}-{self._hub.now_us()}",
             "rules": json.loads(wanted.text()),
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -5,7 +5,9 @@
 from dataclasses import replace
 
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.rulesets.ruleset import RuleSet, allows, keeps_floor, parse_rule_set
+from wingbarrow.decide.rulesets.comparison import allows, keeps_floor
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.judging.formulas import TURN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
--- a/wingbarrow/lab/fleet/judging/run.py
+++ b/wingbarrow/lab/fleet/judging/run.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from wingbarrow.decide.membership.swim import SwimSettings
-from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.record import Record, Recorder
 
 NEVER = 1 << 62
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, normalized, shares
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -27,7 +27,7 @@
             4,
             18 * SECOND,
             2 * SECOND,
-            shares(offers, tuple(f"p{i:03d}" for i in range(of))),
+            equal_shares(offers, tuple(f"p{i:03d}" for i in range(of))),
             250_000,
             barred,
         )
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
-from wingbarrow.decide.rulesets.ruleset import parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -9,13 +9,8 @@
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.config.subsetting import module_settings
 from wingbarrow.decide.rulesets.agreed_drains import plan_of, series_of, window_of
-from wingbarrow.decide.rulesets.ruleset import (
-    ClassRules,
-    RuleSet,
-    normalized,
-    parse_rule_set,
-    shares,
-)
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
 
 
 def rules_of(settings: PlacerSettings) -> RuleSet:
@@ -42,7 +37,7 @@
             scheduler.attempts_most,
             scheduler.cold_us,
             scheduler.fall_us,
-            shares(int(scheduler.fresh_offers), members),
+            equal_shares(int(scheduler.fresh_offers), members),
             settings.drain_grace_us,
             settings.barred,
             windows=tuple(window_of(each) for each in calendar.series),
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
-from wingbarrow.decide.rulesets.ruleset import RuleSet, RuleSetError, normalized, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+from wingbarrow.decide.rulesets.ruleset import RuleSet, RuleSetError, normalized
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -88,7 +89,7 @@
         `floors`: for how long placers that are cut off may go on without hearing of it, where there are floors.
         """
         agreement, why_not = self._peering.agreement, ""
-        if agreement is None or not agreement.agreed.edition:
+        if agreement is None or not agreement.agreed.revision:
             raise ApiError(503, "nothing is agreed on yet", "ServiceUnavailable", retry_after_s=1)
         for number in range(CHANGE_TRIES):
             agreed = agreement.agreed
@@ -147,7 +148,7 @@
             state |= {
                 "voters": list(raft.voters),
                 "term": raft.persistent.term,
-                "edition": agreed.edition,
+                "edition": agreed.revision,
                 "steps": len(agreed.steps),
                 "versions": [
                     {
@@ -156,7 +157,7 @@
                         "why": each.why,
                         "base": each.base,
                         "digest": each.digest,
-                        "rules": json.loads(agreed.whole(each) or "null"),
+                        "rules": json.loads(agreed.text_of(each) or "null"),
                     }
                     for each in agreed.versions
                 ],
@@ -193,7 +194,7 @@
         base = value.get("base", agreed.version)
         if not isinstance(base, int) or (lasts is not None and not isinstance(lasts, int)):
             raise ApiError(422, "base and lastsUs are whole numbers", "Invalid")
-        if value.get("keepDrains") and agreed.edition:
+        if value.get("keepDrains") and agreed.revision:
             try:
                 text = keeping_drains(parse_rule_set(text), parse_rule_set(agreed.latest)).text()
             except RuleSetError as error:
@@ -241,7 +242,7 @@
                 {
                     "kind": "Accepted",
                     "version": agreement.agreed.version,
-                    "edition": agreement.agreed.edition,
+                    "edition": agreement.agreed.revision,
                     "steps": len(agreement.agreed.steps),
                     "dryRun": dry,
                 }
