--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -19,7 +19,11 @@
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.decide.quotas.allocations import MAX_ALLOCATIONS
 from wingbarrow.decide.quotas.limits import MAX_LIMITS, STRANDED_US, FleetLimit
-from wingbarrow.decide.replication.records import RECORD_BYTES, TASK_BYTES, ReplicationLimits
+from wingbarrow.decide.replication.records import (
+    MIN_BYTES_PER_TASK,
+    RECORD_BASE_BYTES,
+    ReplicationLimits,
+)
 from wingbarrow.decide.rulesets.ruleset import TEXT_MOST
 from wingbarrow.decide.rulesets.versions import CHAPTERS_MAILED, SNAPSHOT_MOST
 from wingbarrow.decide.sessions.leased_job_record import MAX_RECORD_BYTES
@@ -199,7 +203,7 @@
         Bound(
             "record_head",
             "of it kept free beside its tasks",
-            RECORD_BYTES,
+            RECORD_BASE_BYTES,
             "bytes",
             "wingbarrow/decide/replication/records.py",
             RECORDS,
@@ -207,7 +211,7 @@
         Bound(
             "record_task",
             "of it kept free for each task",
-            TASK_BYTES,
+            MIN_BYTES_PER_TASK,
             "bytes",
             "wingbarrow/decide/replication/records.py",
             RECORDS,
@@ -215,7 +219,7 @@
         Bound(
             "keeper_records",
             "records of one holder at one keeper",
-            keeper.records,
+            keeper.max_records_per_peer,
             "records",
             "wingbarrow/decide/replication/records.py",
             RECORDS,
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -13,7 +13,7 @@
 
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.replication.replica import Taking
-from wingbarrow.decide.replication.replicator import Replicator
+from wingbarrow.decide.replication.replicator import Replicator, ReplicatorSettings
 from wingbarrow.decide.sessions import reissue
 from wingbarrow.decide.sessions.failover import MAX_CLAIM_WAIT_US, SessionFailover
 from wingbarrow.decide.sessions.failover_pace import FailoverPace
@@ -275,25 +275,26 @@
 
 
 def test_work_comes_by_priority_then_by_age_in_room_and_pace() -> None:
-    made = Replicator("b", 1, "south", 1, pace=FailoverPace(max_starts=2, start_interval_us=S))
+    settings = ReplicatorSettings(pace=FailoverPace(max_starts=2, start_interval_us=S))
+    made = Replicator(Session("b", 1, 0), "south", 1, settings=settings)
     rng = random.Random(1)
     jobs = [job(f"u{index}", "safe", None, index % 3, index * S) for index in range(6)]
     jobs.append(job("wide", "safe", None, 9, 0, count=5))
     rng.shuffle(jobs)
-    made._take(0, GONE, 7, [taking(each) for each in jobs])
+    made._take_over(0, GONE, 7, [taking(each) for each in jobs])
     made.on_timer(MAX_CLAIM_WAIT_US, f"failover/{GONE.text()}")
     got: list[str] = []
     now = MAX_CLAIM_WAIT_US
     while len(got) < 6:
-        starts, _ = made.next(now, 4.0, 4.0)
+        starts, _ = made.next_starts(now, 4.0, 4.0)
         assert len(starts) <= 2
-        assert not made.next(now, 4.0, 4.0)[0]
+        assert not made.next_starts(now, 4.0, 4.0)[0]
         got += [each.record.uid for each in starts]
         now += S
     assert got == ["u5", "u2", "u4", "u1", "u3", "u0"]
-    assert not made.next(now, 4.0, 4.0)[0]
-    assert not made.next(now, 9.0, 9.0, lambda record: False)[0]
-    assert [each.record.uid for each in made.next(now, 9.0, 9.0)[0]] == ["wide"]
+    assert not made.next_starts(now, 4.0, 4.0)[0]
+    assert not made.next_starts(now, 9.0, 9.0, lambda record: False)[0]
+    assert [each.record.uid for each in made.next_starts(now, 9.0, 9.0)[0]] == ["wide"]
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -46,7 +46,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Regions(machines=3)
-    monkeypatch.setattr(LeasedJobs, "before", lambda self, attempt: None)
+    monkeypatch.setattr(LeasedJobs, "before_send", lambda self, attempt: None)
 
     def script() -> None:
         stage.join()
@@ -59,7 +59,7 @@
         assert north.service is not None
         placer = north.service.placer
         assert placer.leases is not None
-        assert placer.leases.ask(placer.fleet._machines.links["node-0"])
+        assert placer.leases.read_clock(placer.fleet._machines.links["node-0"])
         uid = stage.taken(north, "one")
         stage.cut(0)
         stage.hub.sleep(6 * S)
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -12,7 +12,7 @@
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.intake import job_value, read_job
 from wingbarrow.core.job_store import OPEN, JobStore, State, Step, TaskRecord
-from wingbarrow.core.leased_jobs import LeasedJobs
+from wingbarrow.core.leased_jobs import LeaseCandidate, LeasedJobs
 from wingbarrow.core.remote_regions import Elsewhere
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -124,7 +124,9 @@
             self._look_at_name(key, asked.name)
             self._look_at_room(namespace, asked.count)
         spec = (
-            self._leaseholder.spec(asked, _named(value)) if self._leaseholder is not None else None
+            self._leaseholder.spec_for(asked, _named(value))
+            if self._leaseholder is not None
+            else None
         )
         here = region = base.settings.region
         if spec is not None and self._elsewhere is not None and not dry_run:
@@ -149,10 +151,11 @@
             manifest = names.encode(
                 {key: part for key, part in shown.items() if key != "status"}
             ).decode()
-            leased = self._leaseholder.take_in(key, uid, asked, spec, manifest, due)
+            candidate = LeaseCandidate(key, uid, asked, spec, manifest)
+            leased = self._leaseholder.replicate(candidate, due)
         job = self._book.add(key, uid, asked, shown)
         if leased is not None and self._leaseholder is not None:
-            self._leaseholder.hold(job, leased)
+            self._leaseholder.accept(job, leased)
         self._board.show_new(job)
         if region != here and spec is not None and self._elsewhere is not None:
             self._elsewhere.give(job, due, region, spec.name)
@@ -163,7 +166,7 @@
 
     def _look_at_name(self, key: str, name: str) -> None:
         if key in self._book.jobs or (
-            self._leaseholder is not None and key in self._leaseholder.coming
+            self._leaseholder is not None and key in self._leaseholder.awaiting_replica
         ):
             raise ApiError(
                 409, f'jobs.batch "{name}" already exists', "AlreadyExists", name=name, kind="jobs"
--- /dev/null
+++ b/wingbarrow/core/machine_fences.py
@@ -0,0 +1,49 @@
+"""Fences at this region's machines, for placers of other regions that take over Jobs.
+
+A fence has a machine reject a Job's tasks of epochs before the given one, and report what it runs of the Job.
+"""
+
+from __future__ import annotations
+
+from wingbarrow.core.base import Base
+from wingbarrow.core.machines import Machines
+from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
+from wingbarrow.peers.replication import RecordReplication
+
+MAX_PENDING_QUERIES = 64
+
+
+class MachineFences:
+    """Answers machine queries, each by a task of its own."""
+
+    def __init__(self, base: Base, machines: Machines, records: RecordReplication) -> None:
+        self._base = base
+        self._machines = machines
+        self._records = records
+        self._pending = 0
+
+    def on_machine_query(self, ident: str, query: MachineQuery) -> None:
+        """Fence a Job at a machine, and report to `ident`; a query beyond the limit is dropped, and will be retried."""
+        if self._pending >= MAX_PENDING_QUERIES:
+            self._base.counts["fences dropped"] += 1
+            return
+        link = self._machines.links.get(query.machine)
+        self._pending += 1
+
+        def fence() -> None:
+            try:
+                fenced = link.fence(query.uid, query.epoch) if link is not None else None
+            finally:
+                self._pending -= 1
+            # Danger: a machine that does not remember all of its time cannot report what it does not run.
+            report = MachineReport(
+                query.number,
+                query.machine,
+                query.uid,
+                fenced is not None,
+                fenced is not None and bool(fenced.holds),
+                fenced.up_us if fenced is not None and fenced.sure else 0,
+            )
+            self._records.send_machine_report(ident, report)
+
+        self._base.spawn(fence, "asks a machine")
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -146,7 +146,7 @@
                 link.name,
                 attempt.deadline_us - self._base.hub.now_us(),
                 attempt.rules,
-                self._leaseholder.until(attempt) if self._leaseholder is not None else "",
+                self._leaseholder.expiry(attempt) if self._leaseholder is not None else "",
             )
 
         ended: Ended | None = Ended(
@@ -154,7 +154,9 @@
         )
         with CancelScope(self._base.hub) as scope:
             attempt.scope = scope
-            ended = self._leaseholder.before(attempt) if self._leaseholder is not None else None
+            ended = (
+                self._leaseholder.before_send(attempt) if self._leaseholder is not None else None
+            )
             if ended is None:
                 ended = link.offer(
                     task.job.request.namespace,
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -15,13 +15,16 @@
 from wingbarrow.core.checkpoint import Checkpoint
 from wingbarrow.core.drain_schedule import Closing
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.core.failover import JobFailover
+from wingbarrow.core.ended_session import EndedSessionJobs
+from wingbarrow.core.failover import FailoverListener, JobFailover
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_admission import JobAdmission
+from wingbarrow.core.job_components import JobComponents
 from wingbarrow.core.job_store import JobStore, Step
 from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.local_region import OwnRegion
+from wingbarrow.core.machine_fences import MachineFences
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
@@ -102,6 +105,7 @@
         strays = Orphans(base, host, book, attempts, board, requests, runs, stops)
         rulebook = self.rulebook = ActiveRules(base, host)
         self.peering = Peering(hub, settings, base.started_us, log)
+        components = JobComponents(base, book, attempts, board, requests, runs, stops)
         self.leases: MachineLeases | None = None
         self.turns: MaintenanceSlots | None = None
         self.leaseholder: LeasedJobs | None = None
@@ -110,40 +114,15 @@
                 base, machines, self.peering.lease, settings.agree.lease_us
             )
             records = RecordReplication(hub, settings, base.started_us, self.peering)
-            self.leaseholder = LeasedJobs(
-                base,
-                host,
-                book,
-                attempts,
-                requests,
-                runs,
-                stops,
-                leases,
-                records,
-                rulebook.federation,
-            )
-            strays.place_leased = self.leaseholder.place_late
+            self.leaseholder = LeasedJobs(components, leases, records, rulebook.federation)
+            strays.place_leased = self.leaseholder.adopt
         offers = self.offers = Offers(
             base, host, book, attempts, machines, requests, strays, rulebook, self.leaseholder
         )
         sightings = Observations(base, host, attempts, offers, runs, strays)
         fleet = self.fleet = Fleet(base, host, board, machines, attempts, runs, sightings)
         self.hearsay = Hearsay(base, host, fleet, machines, sightings)
-        self.successor: JobFailover | None = None
-        if self.leaseholder is not None:
-            self.successor = JobFailover(
-                base,
-                book,
-                attempts,
-                board,
-                machines,
-                fleet,
-                requests,
-                runs,
-                stops,
-                self.leaseholder,
-            )
-            strays.is_foreign = self.successor.stray
+        self.failover = self._failover(components, strays)
         closing = Closing(base, host, fleet, attempts, runs, board)
         self.mover: Mover | None = None
         elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
@@ -267,6 +246,18 @@
         if self.host.failed is not None:
             raise self.host.failed
 
+    def _failover(self, components: JobComponents, strays: Orphans) -> JobFailover | None:
+        """What acts on ends of sessions; None where no Job is leased."""
+        if self.leaseholder is None:
+            return None
+        records = self.leaseholder.records
+        failover = JobFailover(components, self.fleet, self.leaseholder)
+        ended_jobs = EndedSessionJobs(components, self.leaseholder)
+        fences = MachineFences(self.base, self.machines, records)
+        records.connect(FailoverListener(failover, ended_jobs, fences))
+        strays.is_foreign = ended_jobs.is_stray
+        return failover
+
     def _elsewhere(self, fleet: Fleet, requests: Requests) -> Elsewhere:
         """The room for what crosses regions."""
         peering, base = self.peering, self.base
@@ -279,7 +270,7 @@
         own = OwnRegion(base, self.book, fleet)
         peering.regions.read_own = own.say
         if self.leaseholder is not None:
-            own.leased = self.leaseholder.held
+            own.leased = self.leaseholder.leased_by_spec
         return made
 
     def _uses(self, key: str) -> int:
--- /dev/null
+++ b/wingbarrow/decide/replication/orphans.py
@@ -0,0 +1,102 @@
+"""Stored Jobs of ended sessions that another placer is to take over: does it, and who does if nobody knows them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Replica
+from wingbarrow.decide.sessions.messages import MAX_RESOLVE_UIDS, ResolveRequest, ResolveResponse
+from wingbarrow.decide.sessions.session import Session
+
+CHECK_INTERVAL_US = 3_000_000
+TIMEOUT_US = 30_000_000  # after it, any replica takes over what no successor does
+MAX_PENDING_REQUESTS = 1024
+ORPHAN_TIMER = "watch"
+
+
+class OrphanedJobs:
+    """Asks successors whether they know the Jobs that `replica` stores of ended sessions.
+
+    `take_over` takes Jobs over here, by time and uids, and returns the effects.
+    """
+
+    def __init__(
+        self, replica: Replica, take_over: Callable[[int, list[str]], list[Effect]]
+    ) -> None:
+        self._replica = replica
+        self._take_over = take_over
+        self._check_us: int | None = None
+        self._ended_us: dict[Session, int] = {}  # when the end of a session was received
+        self._pending_requests: dict[int, str] = {}  # placer by number
+        self._last_number = 0
+
+    def on_session_ended(self, now_us: int, session: Session) -> None:
+        """The voters ended a session."""
+        if session in self._replica.session_ends:
+            self._ended_us.setdefault(session, now_us)
+
+    def prune(self) -> None:
+        """Forget the ends of sessions of which nothing is stored."""
+        self._ended_us = {
+            session: ended_us
+            for session, ended_us in self._ended_us.items()
+            if session in self._replica.session_ends
+        }
+
+    def on_timer(self, now_us: int) -> list[Effect]:
+        """Ask the successors; to be called at `ORPHAN_TIMER`."""
+        self._check_us = None
+        return self.check(now_us, resolve=True)
+
+    def check(self, now_us: int, *, resolve: bool) -> list[Effect]:
+        """Set the timer while Jobs await successors; `resolve`: ask these, and take over what has none in time."""
+        out: list[Effect] = []
+        awaiting = self._replica.awaiting_successors()
+        if resolve:
+            for name, uids in sorted(awaiting.items()):
+                for session, session_uids in self._by_session(uids).items():
+                    if name:
+                        out.append(self._request(name, session, session_uids))
+                    else:
+                        out += self._take_over_overdue(now_us, session, session_uids)
+        while len(self._pending_requests) > MAX_PENDING_REQUESTS:
+            del self._pending_requests[next(iter(self._pending_requests))]
+        if awaiting and self._check_us is None:
+            self._check_us = now_us + CHECK_INTERVAL_US
+            out.append(SetTimer(ORPHAN_TIMER, self._check_us))
+        return out
+
+    def on_response(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
+        """A successor told the outcomes of Jobs: discard those it knows, take over those it does not."""
+        if self._pending_requests.pop(message.number, "") != ident:
+            return []
+        out: list[Effect] = []
+        for uid, epoch, outcome in message.fates:
+            entry = self._replica.entries.get(uid)
+            if entry is None:
+                continue
+            if outcome != UNKNOWN_HERE and epoch > entry.record.epoch:
+                self._replica.on_known_elsewhere(uid)
+            elif outcome == UNKNOWN_HERE and not entry.in_doubt:
+                out += self._take_over(now_us, [uid])
+        return out
+
+    def _by_session(self, uids: list[str]) -> dict[Session, list[str]]:
+        by_session: dict[Session, list[str]] = {}
+        for uid in uids:
+            by_session.setdefault(self._replica.entries[uid].record.session, []).append(uid)
+        return by_session
+
+    def _request(self, name: str, session: Session, uids: list[str]) -> Send:
+        self._last_number += 1
+        self._pending_requests[self._last_number] = name
+        request = ResolveRequest(self._last_number, session, tuple(uids[:MAX_RESOLVE_UIDS]))
+        return Send(name, "", request)
+
+    def _take_over_overdue(self, now_us: int, session: Session, uids: list[str]) -> list[Effect]:
+        """Take over Jobs without any successor, `TIMEOUT_US` after their session's end was received."""
+        if now_us < self._ended_us.get(session, now_us) + TIMEOUT_US:
+            return []
+        orphans = Notify("orphans", {"session": session.text(), "jobs": len(uids)})
+        return [orphans, *self._take_over(now_us, uids)]
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -1,11 +1,12 @@
-"""The holder's side of custody: which record must be where before what leaves; which keeper; when one is replaced.
-
-A Job's record goes to its keepers, placers of other regions that its spec allows, and each change of it again. A
-change has a token; `Notify("kept")` settles each token once, at its deadline at the latest, and only by what keepers
-have acknowledged. Two kinds of tokens: most want one keeper; that of an attempt that must not start twice, about to be
-sent, wants *everybody* who may have the record. Danger: a keeper that was dropped as too slow and was told nothing
-would believe that nothing had left, and start the Job again. So a dropped keeper of such a Job has to say that it
-forgot, or the voters have to end its session, before anything more of the Job leaves.
+"""The primary's side of replication: which record must be acknowledged by whom before an effect may leave.
+
+A leased Job's record is sent to its replicas, placers of other regions that its spec allows, and again after each
+change. A change has a token; `Notify("kept")` settles each token once, at its deadline at the latest, and as good only
+by what replicas have acknowledged. Most tokens require one acknowledgement. That of an attempt which must not start
+twice, recorded before it is sent, requires one from *every* placer that may have the record. Danger: a replica that was
+replaced as too slow, and received nothing since, would conclude that nothing was sent, and start the Job a second
+time. So a former replica of such a Job has to confirm the removal of the record, or the voters have to end its
+session, before anything more of the Job is sent.
 """
 
 from __future__ import annotations
@@ -14,10 +15,26 @@
 from dataclasses import replace
 
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
-from wingbarrow.decide.replication.records import ReplicationLimits, size_of
+from wingbarrow.decide.replication.records import (
+    ReplicationLimits,
+    ReplicationTerms,
+    record_size_bytes,
+)
+from wingbarrow.decide.replication.replica_assignments import ReplicaAssignments
 from wingbarrow.decide.replication.replica_link import ReplicaLink
 from wingbarrow.decide.replication.replica_set import ReplicaSet
-from wingbarrow.decide.replication.replicated_job import ReplicatedJob, Tokens, settled
+from wingbarrow.decide.replication.replicated_job import (
+    ALREADY_REPLICATED,
+    NO_CAPACITY,
+    NO_REPLICA,
+    NOT_REPLICATED,
+    REMOVED,
+    SESSION_OVER,
+    TAKEN_OVER,
+    PendingAcknowledgements,
+    ReplicatedJob,
+    token_settled,
+)
 from wingbarrow.decide.sessions.leased_job_record import (
     MAX_RECORD_BYTES,
     KnownTask,
@@ -26,449 +43,433 @@
 from wingbarrow.decide.sessions.messages import ReplicateRequest, ReplicateResponse
 from wingbarrow.decide.sessions.session import Session
 
-TIMER = "custody"
+PRIMARY_TIMER = "custody"
+
+
+def _never_started(uid: str) -> bool:
+    return False
+
+
+def _size_refusal(size_bytes: int) -> str:
+    """Why a record cannot be replicated for its size; "" where it can."""
+    if size_bytes <= MAX_RECORD_BYTES:
+        return ""
+    return f"record of {size_bytes} bytes, at most {MAX_RECORD_BYTES}"
 
 
 class Primary:
-    """One placer's, as a holder. The host calls it with mail and the timer `TIMER`, and carries out what it returns."""
+    """The records of one placer's own Jobs, under its present session.
+
+    The host calls `on_message` and, at `PRIMARY_TIMER`, `on_timer`, and performs the returned effects in order.
+    `is_started` says whether a Job that was taken over from an ended session has been started here.
+    """
 
     def __init__(
         self,
-        me: str,
-        life: int,
+        session: Session,
         region: str,
         seed: int,
-        bounds: ReplicationLimits = ReplicationLimits(),
+        limits: ReplicationLimits = ReplicationLimits(),
+        is_started: Callable[[str], bool] = _never_started,
     ) -> None:
-        self.session, self.region, self.bounds = Session(me, life, 0), region, bounds
-        self.jobs: dict[str, ReplicatedJob] = {}
-        self.former: dict[str, ReplicatedJob] = {}  # of the session before, `former_session`
-        self.former_session = self.session
-        self.over = False  # this session has ended; nothing is held under it any more
-        self.started: Callable[[str], bool] = (
-            lambda uid: False
-        )  # whether a Job that was taken over runs
-        self.keepers = ReplicaSet(me, region, seed, bounds)
-        self._tokens = Tokens()
+        self.session = session
+        self.region = region
+        self.limits = limits
+        self.former_jobs: dict[str, ReplicatedJob] = {}  # of `former_session`
+        self.former_session = session
+        self.session_ended = False  # then there are no Jobs until `begin_session`
+        self.replicas = ReplicaSet(session.placer, region, seed, limits)
+        self._assignments = ReplicaAssignments(self.replicas)
+        self._is_started = is_started
+        self._pending = PendingAcknowledgements()
         self._timer_us: int | None = None
 
-    # -- what the core asks; each returns a token and what is to happen
+    @property
+    def jobs(self) -> dict[str, ReplicatedJob]:
+        """The Jobs of the present session, by uid."""
+        return self._assignments.jobs
+
+    # -- changes by the core; each returns its token and the effects
+
+    def replicate(
+        self, now_us: int, record: LeasedJobRecord, terms: ReplicationTerms, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
+        """Replicate a new Job; the token fails at once where no replica has capacity.
+
+        Where the token fails, the caller has to `remove` the Job.
+        """
+        token = self._pending.next_token()
+        size_bytes = record_size_bytes(record)
+        why = self._refusal(record.uid, size_bytes)
+        if why:
+            return token, [token_settled(token, why)]
+        chosen = self.replicas.choose(now_us, record.uid, terms, size_bytes)
+        if not chosen:
+            available = self.replicas.choose(now_us, record.uid, terms, 0)
+            return token, [token_settled(token, NO_CAPACITY if available else NO_REPLICA)]
+        job = self._new_job(now_us, record, terms, chosen, size_bytes)
+        self._pending.add(job, token, deadline_us, False)
+        return token, self._start_replication(now_us, job)
 
-    def hold(
+    def replicate_taken_over(
         self,
         now_us: int,
         record: LeasedJobRecord,
-        allowed: Collection[str],
-        copies: int,
+        terms: ReplicationTerms,
         deadline_us: int,
-        must: Collection[str] = (),
-        alone: bool = False,
+        former_replicas: Collection[str],
     ) -> tuple[int, list[Effect]]:
-        """Have a Job's record at its keepers; where the token is not good, `drop` it.
+        """Replicate a Job of an ended session; without any replica until there is one.
 
-        `must`: others that may have an older one of it (a taken-over Job's). `alone`: hold it where there is no keeper,
-        too, until there is one.
+        `former_replicas` may have an older record. Unless the Job is safe, the token requires all of them.
         """
-        number = self._tokens.next()
-        size = size_of(record)
-        why = (
-            "session over"
-            if self.over
-            else "held already"
-            if record.uid in self.jobs
-            else f"record of {size} bytes, at most {MAX_RECORD_BYTES}"
-            if size > MAX_RECORD_BYTES
-            else ""
-        )
+        token = self._pending.next_token()
+        size_bytes = record_size_bytes(record)
+        why = self._refusal(record.uid, size_bytes)
         if why:
-            return number, [settled(number, why)]
-        chosen = self.keepers.choose(now_us, record.uid, allowed, copies, size)
-        if not chosen and not alone:
-            able = self.keepers.choose(now_us, record.uid, allowed, copies, 0)
-            return number, [settled(number, "no room at any keeper" if able else "no keeper")]
-        others = set(must) - {self.session.placer}
-        since = {each.index: now_us - each.age_us for each in record.tasks}
-        job = ReplicatedJob(
-            replace(record, session=self.session, keepers=chosen, others=(), moves=0),
-            born_us=now_us - record.born_age_us,
-            since_us=since,
-            allowed=tuple(allowed),
-            size=size,
-            chosen=list(chosen),
-            others=others - set(chosen),
-            heed=others,
-            alone=not chosen,
-            moved=record.version,
-        )
-        self.jobs[record.uid] = job
-        self._tokens.wait(job, number, deadline_us, bool(must) and record.effect != "safe")
-        for name in (*chosen, *sorted(job.others)):
-            self.keepers.line(name).want(now_us, record.uid)
-        for name in chosen:
-            self.keepers.lines[name].charge(record.uid, size)
-        if not chosen:
-            self.keepers.lack(now_us, record.uid, "")
-        return number, [*self._tokens.met(job), *self._next_effects(now_us)]
-
-    def about(
+            return token, [token_settled(token, why)]
+        chosen = self.replicas.choose(now_us, record.uid, terms, size_bytes)
+        job = self._new_job(now_us, record, terms, chosen, size_bytes)
+        job.must_acknowledge = set(former_replicas) - {self.session.placer}
+        job.former_replicas = job.must_acknowledge - set(chosen)
+        requires_all = bool(former_replicas) and record.effect != "safe"
+        self._pending.add(job, token, deadline_us, requires_all)
+        return token, self._start_replication(now_us, job)
+
+    def record_send(
         self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """An attempt is about to be sent: not before the token is good."""
-        return self._task(now_us, uid, replace(known, phase="about"), deadline_us)
+        """An attempt is about to be sent, and must not be before the token is good."""
+        return self._record_task(now_us, uid, replace(known, phase="about"), deadline_us)
 
-    def placed(
+    def record_placed(
         self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """A task stands on a machine: the answer `placed` not before the token is good."""
-        return self._task(now_us, uid, replace(known, phase="placed"), deadline_us)
+        """A machine runs a task; the answer `placed` must not be given before the token is good."""
+        return self._record_task(now_us, uid, replace(known, phase="placed"), deadline_us)
 
-    def back(self, now_us: int, uid: str, index: int, deadline_us: int) -> tuple[int, list[Effect]]:
-        """An attempt is proven not to run: its machine refused it, or never heard of it and never will."""
-        return self._task(now_us, uid, KnownTask(index, "none"), deadline_us)
+    def record_not_running(
+        self, now_us: int, uid: str, index: int, deadline_us: int
+    ) -> tuple[int, list[Effect]]:
+        """An attempt does not run, as is proven: its machine rejected it, or never received it and never will."""
+        return self._record_task(now_us, uid, KnownTask(index, "none"), deadline_us)
 
-    def ended(
+    def record_task_ended(
         self, now_us: int, uid: str, index: int, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """A task is over: it is never to be started again."""
-        return self._task(now_us, uid, KnownTask(index, "over"), deadline_us)
+        """A task is over, and is never to be started again."""
+        return self._record_task(now_us, uid, KnownTask(index, "over"), deadline_us)
 
-    def answered(
+    def record_answer(
         self, now_us: int, uid: str, answer: str, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """What the owner was told."""
+        """The answer that the Job's owner was given."""
         job = self.jobs.get(uid)
-        record = replace(job.record, answered=answer) if job is not None else None
-        return self._change(now_us, uid, record, deadline_us)
+        if job is None:
+            return self._not_replicated()
+        return self._change_record(now_us, job, replace(job.record, answered=answer), deadline_us)
 
-    def again(
-        self, now_us: int, uid: str, deadline_us: int, every: bool
+    def await_acknowledgement(
+        self, now_us: int, uid: str, deadline_us: int, *, requires_all: bool
     ) -> tuple[int, list[Effect]]:
-        """Wait once more for what is said of a Job already."""
-        number, job = self._tokens.next(), self.jobs.get(uid)
+        """A new token for a Job's record as it is."""
+        job = self.jobs.get(uid)
         if job is None:
-            return number, [settled(number, "session over" if self.over else "not held")]
-        self._tokens.wait(job, number, deadline_us, every)
-        return number, [*self._tokens.met(job), *self._next_effects(now_us)]
-
-    def drop(self, now_us: int, uid: str) -> list[Effect]:
-        """A Job needs no keeping any more."""
-        self.former.pop(uid, None)
+            return self._not_replicated()
+        token = self._pending.next_token()
+        self._pending.add(job, token, deadline_us, requires_all)
+        return token, [*self._pending.settle_acknowledged(job), *self._next_effects(now_us)]
+
+    def remove(self, now_us: int, uid: str) -> list[Effect]:
+        """Have the replicas remove a Job's record, and fail its tokens."""
+        self.former_jobs.pop(uid, None)
         job = self.jobs.pop(uid, None)
         if job is None:
             return []
-        out = self._tokens.fail(job, "dropped")
-        for name in (*job.chosen, *sorted(job.others)):
-            self.keepers.line(name).free(uid)
-            self.keepers.line(name).want(now_us, uid, gone=True)
+        out = self._pending.fail(job, REMOVED)
+        self._assignments.remove(now_us, job)
         return out + self._next_effects(now_us)
 
-    def learn(self, now_us: int, uid: str, tasks: tuple[KnownTask, ...]) -> list[Effect]:
-        """Another keeper knew more of a Job that was taken over: its keepers here are to know it, too."""
+    def update_tasks(self, now_us: int, uid: str, tasks: tuple[KnownTask, ...]) -> list[Effect]:
+        """Replace the tasks of a Job that was taken over, after another replica knew more of them."""
         job = self.jobs.get(uid)
         if job is None or job.record.tasks == tasks:
             return []
         job.record = replace(job.record, tasks=tasks, version=job.record.version + 1)
         job.since_us |= {each.index: now_us - each.age_us for each in tasks}
-        return self._spread(now_us, job)
+        self._assignments.enqueue_update(now_us, job)
+        return self._next_effects(now_us)
 
-    # -- who is there
+    # -- membership, specs and sessions
 
-    def members(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
-        """Who keeps, by name, with region and life: alive by membership. Who is not in it is dropped as a keeper."""
-        for line in self.keepers.members(alive):
-            self._leave(now_us, line)
-        for name, line in self.keepers.lines.items():
-            if name in alive and alive[name][1] > line.life:
-                self._renewed(now_us, line, alive[name][1], 0)
+    def on_membership(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
+        """Take the region and life, by name, of each placer that is alive; exclude the replicas that are not."""
+        for link in self.replicas.on_membership(alive):
+            self._assignments.exclude(now_us, link)
+        for name, link in self.replicas.links.items():
+            if name in alive and alive[name][1] > link.life:
+                self._assignments.on_replica_session(now_us, link, alive[name][1], 0)
         return self._next_effects(now_us)
 
-    def allow(
-        self, now_us: int, allowed: Callable[[LeasedJobRecord], Collection[str]]
+    def on_specs_changed(
+        self, now_us: int, terms_of: Callable[[LeasedJobRecord], ReplicationTerms]
     ) -> list[Effect]:
-        """Specs have changed: a keeper in a region that a Job's spec does not allow any more is replaced."""
+        """Replace the replicas in regions that a Job's spec no longer allows."""
         for uid, job in self.jobs.items():
-            job.allowed = tuple(allowed(job.record))
-            for name in job.chosen:
-                if not self.keepers.stays(now_us, name, job.allowed):
-                    self.keepers.move(now_us, uid, name)
+            job.terms = terms_of(job.record)
+            for name in job.replicas:
+                if not self.replicas.is_usable(now_us, name, job.terms.allowed_regions):
+                    self.replicas.schedule_reassignment(now_us, uid, name)
         return self._next_effects(now_us)
 
-    def buried(self, now_us: int, session: Session, epoch: int) -> list[Effect]:
-        """The voters ended a session; to be said in the order of epochs.
+    def on_session_ended(self, now_us: int, session: Session, epoch: int) -> list[Effect]:
+        """The voters ended a session; to be called in the order of epochs.
 
-        What was kept under it is no ground for anything any more. Danger: a placer that is to hear of a Job that was
-        taken over may have had the record under a later session; only an end after the Job's own speaks for it.
+        Records that were stored under it no longer count. Danger: a placer that has to acknowledge a Job that was taken
+        over may have stored the record under a later session; only an end after the Job's own epoch releases it.
         """
         if session.placer == self.session.placer:
-            return self._finish() if session >= self.session and not self.over else []
-        line = self.keepers.lines.get(session.placer)
+            is_own = session >= self.session and not self.session_ended
+            return self._end_session() if is_own else []
+        link = self.replicas.links.get(session.placer)
         out: list[Effect] = []
-        if line is not None:
+        if link is not None:
             for job in self.jobs.values():
-                if line.name in job.heed and epoch > job.record.epoch:
-                    job.heed.discard(line.name)
-            if (line.life, line.serial) <= (session.life, session.serial):
-                self._renewed(now_us, line, session.life, session.serial + 1)
-                if line.name not in self.keepers.where:
-                    self._leave(now_us, line)
+                if link.name in job.must_acknowledge and epoch > job.record.epoch:
+                    job.must_acknowledge.discard(link.name)
+            if (link.life, link.serial) <= (session.life, session.serial):
+                self._assignments.on_replica_session(now_us, link, session.life, session.serial + 1)
+                if link.name not in self.replicas.regions:
+                    self._assignments.exclude(now_us, link)
                 else:
-                    # Danger: it may be gone, and not be known to be: an attempt that waits for its word waits in vain.
-                    line.rest_us = max(line.rest_us, now_us + self.bounds.rest_us)
-            out = self._settle_all()
+                    # Danger: it may have left before membership shows it: an attempt that needs its acknowledgement
+                    # would wait in vain.
+                    link.excluded_until_us = max(
+                        link.excluded_until_us, now_us + self.limits.exclusion_us
+                    )
+            out = self._settle_acknowledged()
         return out + self._next_effects(now_us)
 
-    def begin(self, now_us: int, session: Session) -> list[Effect]:
-        """This placer has a new session, and holds nothing."""
-        out = [] if self.over else self._finish()
-        self.session, self.over = session, False
+    def begin_session(self, now_us: int, session: Session) -> list[Effect]:
+        """This placer has a new session, without any Job."""
+        out = [] if self.session_ended else self._end_session()
+        self.session = session
+        self.session_ended = False
         return out + self._next_effects(now_us)
 
-    # -- mail and time
+    # -- messages and time
 
     def on_message(self, now_us: int, ident: str, message: ReplicateResponse) -> list[Effect]:
-        """A keeper answered."""
-        line = self.keepers.lines.get(ident)
+        """A replica answered; answers to other than its pending request are ignored."""
+        link = self.replicas.links.get(ident)
         if (
-            self.over
+            self.session_ended
             or message.session != self.session
-            or line is None
-            or line.out is None
-            or line.out.keep.number != message.number
+            or link is None
+            or link.pending is None
+            or link.pending.request.number != message.number
         ):
             return []
         if message.over:
-            return self._finish()
-        keep = line.out.keep
-        line.reset()
-        line.due_us = now_us
+            return self._end_session()
+        request = link.pending.request
+        link.cancel_pending()
+        link.next_request_us = now_us
         out: list[Effect] = []
-        if (message.life, message.serial) != (keep.life, keep.serial):
-            self._say_again(now_us, line, keep)
-            self._renewed(now_us, line, message.life, message.serial)
-            out = self._settle_all()
+        if (message.life, message.serial) != (request.life, request.serial):
+            self._assignments.requeue(now_us, link, request)
+            self._assignments.on_replica_session(now_us, link, message.life, message.serial)
+            out = self._settle_acknowledged()
         elif not message.good:
-            self._say_again(now_us, line, keep)
-            line.due_us = now_us + self.bounds.most_us
+            self._assignments.requeue(now_us, link, request)
+            link.next_request_us = now_us + self.limits.max_retry_us
             out = [Notify("keeper-refused", {"keeper": ident, "why": message.why})]
-            self._leave(now_us, line)
+            self._assignments.exclude(now_us, link)
         else:
-            out = self._kept(now_us, line, message, keep.records, keep.gone)
+            out = self._on_stored(now_us, link, message, request)
         return out + self._next_effects(now_us)
 
-    def on_timer(self, now_us: int, key: str = TIMER) -> list[Effect]:
-        """Something is due."""
+    def on_timer(self, now_us: int, key: str = PRIMARY_TIMER) -> list[Effect]:
+        """Expire tokens, exclude silent replicas, reassign, and send what is due."""
         self._timer_us = None
         out: list[Effect] = []
-        out += self._tokens.late(now_us, self.jobs)
-        for line in self.keepers.lines.values():
+        out += self._pending.expire(now_us, self.jobs)
+        for link in self.replicas.links.values():
             if (
-                line.out is not None
-                and now_us >= line.out.said_us + self.bounds.slow_us
-                and line.rest_us < now_us
+                link.pending is not None
+                and now_us >= link.pending.sent_us + self.limits.response_timeout_us
+                and link.excluded_until_us < now_us
             ):
-                self._leave(now_us, line)
-        for uid, name in self.keepers.moves(now_us):
-            self._move(now_us, uid, name)
+                self._assignments.exclude(now_us, link)
+        for uid, name in self.replicas.due_reassignments(now_us):
+            self._assignments.reassign(now_us, uid, name)
         return out + self._next_effects(now_us)
 
-    # -- ends
+    # -- the end of the session
 
-    def _settle_all(self) -> list[Effect]:
-        """After a keeper was released from all that it had."""
-        return [tell for job in self.jobs.values() if job.tokens for tell in self._tokens.met(job)]
+    def _settle_acknowledged(self) -> list[Effect]:
+        """After a replica was released from all its records."""
+        return [
+            effect
+            for job in self.jobs.values()
+            if job.pending
+            for effect in self._pending.settle_acknowledged(job)
+        ]
 
-    def _finish(self) -> list[Effect]:
-        """This session is over."""
+    def _end_session(self) -> list[Effect]:
         out: list[Effect] = [
-            tell for job in self.jobs.values() for tell in self._tokens.fail(job, "session over")
+            effect for job in self.jobs.values() for effect in self._pending.fail(job, SESSION_OVER)
         ]
-        self.over = True
-        self.former, self.former_session, self.jobs = self.jobs, self.session, {}
-        self._tokens.clear()
-        self.keepers.clear()
+        self.session_ended = True
+        self.former_session = self.session
+        self._pending.clear()
+        self.former_jobs = self._assignments.clear()
         return [*out, Notify("session-over", {"session": self.session.text()})]
 
-    # -- changes
+    # -- records
+
+    def _refusal(self, uid: str, size_bytes: int) -> str:
+        """Why a Job cannot be replicated under this session; "" where it can."""
+        if self.session_ended:
+            return SESSION_OVER
+        if uid in self.jobs:
+            return ALREADY_REPLICATED
+        return _size_refusal(size_bytes)
 
-    def _task(
+    def _not_replicated(self) -> tuple[int, list[Effect]]:
+        token = self._pending.next_token()
+        why = SESSION_OVER if self.session_ended else NOT_REPLICATED
+        return token, [token_settled(token, why)]
+
+    def _new_job(
+        self,
+        now_us: int,
+        record: LeasedJobRecord,
+        terms: ReplicationTerms,
+        chosen: tuple[str, ...],
+        size_bytes: int,
+    ) -> ReplicatedJob:
+        return ReplicatedJob(
+            replace(record, session=self.session, keepers=chosen, others=(), moves=0),
+            born_us=now_us - record.born_age_us,
+            since_us={each.index: now_us - each.age_us for each in record.tasks},
+            terms=terms,
+            size_bytes=size_bytes,
+            replicas=list(chosen),
+            has_no_replica=not chosen,
+            reassigned_version=record.version,
+        )
+
+    def _start_replication(self, now_us: int, job: ReplicatedJob) -> list[Effect]:
+        self._assignments.begin(now_us, job)
+        return [*self._pending.settle_acknowledged(job), *self._next_effects(now_us)]
+
+    def _record_task(
         self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
         job = self.jobs.get(uid)
         if job is None or not 0 <= known.index < job.record.count:
-            number = self._tokens.next()
-            return number, [settled(number, "session over" if self.over else "not held")]
-        record = job.changed(known, self.region)
-        # Danger: of a Job that may repeat, one keeper is enough; of any other all that may start it have to know.
-        every = known.phase == "about" and record.effect != "safe"
-        return self._change(now_us, uid, record, deadline_us, every, known)
-
-    def _change(
+            return self._not_replicated()
+        record = job.record_with_task(known, self.region)
+        return self._change_record(now_us, job, record, deadline_us, known)
+
+    def _change_record(
         self,
         now_us: int,
-        uid: str,
-        record: LeasedJobRecord | None,
+        job: ReplicatedJob,
+        record: LeasedJobRecord,
         deadline_us: int,
-        every: bool = False,
         known: KnownTask | None = None,
     ) -> tuple[int, list[Effect]]:
-        number = self._tokens.next()
-        job = self.jobs.get(uid)
-        if job is None or record is None:
-            return number, [settled(number, "session over" if self.over else "not held")]
-        if size_of(record) > MAX_RECORD_BYTES:
-            return number, [
-                settled(number, f"record of {size_of(record)} bytes, at most {MAX_RECORD_BYTES}")
-            ]
+        """Replace a Job's record, `known` being its changed task, and send it to all replicas."""
+        token = self._pending.next_token()
+        why = _size_refusal(record_size_bytes(record))
+        if why:
+            return token, [token_settled(token, why)]
+        requires_all = False
         if known is not None:
             job.since_us[known.index] = now_us - known.age_us
+            # Danger: one replica is enough for a Job that may repeat; of any other all that may start it must know.
+            requires_all = known.phase == "about" and record.effect != "safe"
         job.record = replace(record, version=record.version + 1)
-        self._tokens.wait(job, number, deadline_us, every)
-        return number, self._spread(now_us, job)
-
-    def _spread(self, now_us: int, job: ReplicatedJob) -> list[Effect]:
-        """Say a change to all keepers."""
-        for name in job.chosen:
-            self.keepers.lines[name].want(now_us, job.record.uid)
-        return self._next_effects(now_us)
+        self._pending.add(job, token, deadline_us, requires_all)
+        self._assignments.enqueue_update(now_us, job)
+        return token, self._next_effects(now_us)
 
-    # -- keepers
+    # -- responses
 
-    def _wanted(self, uid: str, name: str) -> bool:
-        job = self.jobs.get(uid)
-        return job is not None and (name in job.chosen or name in job.heed)
-
-    def _say_again(self, now_us: int, line: ReplicaLink, keep: ReplicateRequest) -> None:
-        """A mail was not taken."""
-        for record in keep.records:
-            if self._wanted(record.uid, line.name):
-                line.want(now_us, record.uid)
-        for uid in keep.gone:
-            if uid not in line.dirty:
-                line.want(now_us, uid, gone=True)
-
-    def _kept(
+    def _on_stored(
         self,
         now_us: int,
-        line: ReplicaLink,
+        link: ReplicaLink,
         message: ReplicateResponse,
-        records: tuple[LeasedJobRecord, ...],
-        gone: tuple[str, ...],
+        request: ReplicateRequest,
     ) -> list[Effect]:
+        """A replica stored a request, but for the records that another primary has by a later one."""
         out: list[Effect] = [Notify("later", {"record": each}) for each in message.later]
-        for uid, epoch, holder in message.taken:
-            job = self.jobs.get(uid)
-            if job is None:
-                continue
-            # Danger: of two at one epoch each may be refused by the other's keepers, and both let go. One that has
-            # started it goes by a later epoch, or by the word of a lesser name's own.
-            first = holder != line.name or self.session.placer < holder
-            if epoch <= job.record.epoch and first and self.started(uid):
-                job.contested.add(line.name)
-                self.keepers.lack(now_us, uid, line.name)
-                continue
-            out += self._tokens.fail(job, "taken")
-            out += [Notify("taken", {"uid": uid, "by": holder}), *self.drop(now_us, uid)]
-        refused = {uid for uid, _, _ in message.taken}
-        for uid in gone:
-            if (
-                uid in self.jobs
-                and uid not in line.dirty
-                and line.name not in self.jobs[uid].chosen
-            ):
-                self.jobs[uid].others.discard(line.name)
-                self.jobs[uid].acked.pop(line.name, None)
-        for uid in gone:
-            if uid in self.jobs:
-                out += self._tokens.met(self.jobs[uid])
-        for record in records:
-            job = self.jobs.get(record.uid) if record.uid not in refused else None
+        for uid, epoch, primary in message.taken:
+            out += self._on_rejected(now_us, link, uid, epoch, primary)
+        out += self._on_removed(link, request.gone)
+        rejected = {uid for uid, _, _ in message.taken}
+        for record in request.records:
+            job = self.jobs.get(record.uid) if record.uid not in rejected else None
             if job is not None:
-                job.acked[line.name] = max(record.version, job.acked.get(line.name, -1))
-                job.heed.discard(line.name)
-                out += self._tokens.met(job)
-                self._tidy(now_us, job)
+                job.acknowledged[link.name] = max(
+                    record.version, job.acknowledged.get(link.name, -1)
+                )
+                job.must_acknowledge.discard(link.name)
+                out += self._pending.settle_acknowledged(job)
+                self._assignments.release_former_replicas(now_us, job)
         return out
 
-    def _tidy(self, now_us: int, job: ReplicatedJob) -> None:
-        """Have others forget, once a keeper has the record as it is without them."""
-        if any(job.acked.get(name, -1) >= job.moved for name in job.chosen):
-            for name in sorted(job.others):
-                if name not in job.heed:
-                    self.keepers.line(name).want(now_us, job.record.uid, gone=True)
-
-    def _leave(self, now_us: int, line: ReplicaLink) -> None:
-        """Drop a keeper: those of its Jobs that somebody waits for are moved first."""
-        self.keepers.leave(now_us, line, lambda uid: bool(self.jobs[uid].tokens))
-
-    def _move(self, now_us: int, uid: str, name: str) -> None:
-        """Another keeper in place of one; where there is none, it stays, and counts by its own word alone."""
-        job, line = self.jobs.get(uid), self.keepers.lines.get(name)
-        if job is not None and name in job.contested:
-            job.contested.discard(name)
-            if self._wanted(uid, name):
-                self.keepers.line(name).want(now_us, uid)
-            return
-        if (
-            job is None
-            or not (job.alone if line is None else name in job.chosen)
-            or self.keepers.stays(now_us, name, job.allowed)
-        ):
-            return
-        new = self.keepers.choose(now_us, uid, job.allowed, 1, job.size, {*job.chosen, *job.others})
-        if not new:
-            self.keepers.lack(now_us, uid, name)
-            return
-        if line is None:
-            job.chosen, job.alone = list(new), False
-        else:
-            job.chosen[job.chosen.index(name)] = new[0]
-            job.others.add(name)
-            line.free(uid)
-            if name not in job.heed:
-                line.dirty.pop(uid, None)
-        self.keepers.lines[new[0]].charge(uid, job.size)
-        job.record = replace(
-            job.record,
-            keepers=tuple(job.chosen),
-            version=job.record.version + 1,
-            moves=job.record.moves + 1,
-        )
-        job.moved = job.record.version
-        for each in (
-            *job.chosen,
-            *(name for name in sorted(job.others) if self._wanted(uid, name)),
-        ):
-            self.keepers.line(each).want(now_us, uid)
+    def _on_rejected(
+        self, now_us: int, link: ReplicaLink, uid: str, epoch: int, primary: str
+    ) -> list[Effect]:
+        """A replica has a Job of another primary, at this epoch: give the Job up, unless it was started here."""
+        job = self.jobs.get(uid)
+        if job is None:
+            return []
+        # Danger: of two primaries at one epoch each may be rejected by the other's replicas, and both give up. One that
+        # has started the Job yields only to a later epoch, or to the placer itself where that has the lesser name.
+        has_precedence = primary != link.name or self.session.placer < primary
+        if epoch <= job.record.epoch and has_precedence and self._is_started(uid):
+            job.disputed_by.add(link.name)
+            self.replicas.defer_reassignment(now_us, uid, link.name)
+            return []
+        out = self._pending.fail(job, TAKEN_OVER)
+        return [*out, Notify("taken", {"uid": uid, "by": primary}), *self.remove(now_us, uid)]
 
-    def _renewed(self, now_us: int, line: ReplicaLink, life: int, serial: int) -> None:
-        """A keeper has another session: what it had from this holder it has no more, or doubts."""
-        line.life, line.serial = life, serial
-        line.reset()
-        for uid, job in self.jobs.items():
-            job.acked.pop(line.name, None)
-            if self._wanted(uid, line.name):
-                line.want(now_us, uid)
-            elif line.name in job.others:
-                job.others.discard(line.name)
-                line.want(now_us, uid, gone=True)
+    def _on_removed(self, link: ReplicaLink, uids: tuple[str, ...]) -> list[Effect]:
+        """A placer removed these records."""
+        jobs = [self.jobs[uid] for uid in uids if uid in self.jobs]
+        for job in jobs:
+            if job.record.uid not in link.pending_updates and link.name not in job.replicas:
+                job.former_replicas.discard(link.name)
+                job.acknowledged.pop(link.name, None)
+        return [effect for job in jobs for effect in self._pending.settle_acknowledged(job)]
 
-    # -- mail
+    # -- requests
 
     def _next_effects(self, now_us: int) -> list[Effect]:
-        """What is due to be said, and the timer for what is next."""
+        """The requests that are due, and the timer for the next deadline."""
         out: list[Effect] = []
-        due = self._tokens.due()
-        due += [self.keepers.move_us] if self.keepers.move_us is not None else []
-        for line in self.keepers.lines.values():
-            if line.out is None and line.due_us is not None and line.due_us <= now_us:
-                line.due_us = None
-                if line.dirty or line.gone:
-                    records = line.take(lambda uid: self.jobs[uid].said(now_us))
-                    out.append(Send(line.name, "", line.mail(now_us, self.session, records)))
-            elif line.out is not None and line.out.again_us <= now_us:
-                out.append(Send(line.name, "", line.again(now_us)))
-            due += line.next_us(now_us, self.bounds.slow_us)
-        if due and (self._timer_us is None or min(due) < self._timer_us):
-            self._timer_us = max(now_us, min(due))
-            out.append(SetTimer(TIMER, self._timer_us))
+        deadlines: list[int] = []
+        expiry_us = self._pending.next_deadline()
+        if expiry_us is not None:
+            deadlines.append(expiry_us)
+        if self.replicas.reassign_us is not None:
+            deadlines.append(self.replicas.reassign_us)
+        for link in self.replicas.links.values():
+            request = link.due_request(now_us, self.session, self._read_record)
+            if request is not None:
+                out.append(Send(link.name, "", request))
+            deadlines += link.deadlines(now_us, self.limits.response_timeout_us)
+        if deadlines:
+            next_us = min(deadlines)
+            if self._timer_us is None or next_us < self._timer_us:
+                self._timer_us = max(now_us, next_us)
+                out.append(SetTimer(PRIMARY_TIMER, self._timer_us))
         return out
+
+    def _read_record(self, now_us: int, uid: str) -> LeasedJobRecord:
+        return self.jobs[uid].record_at(now_us)
--- a/wingbarrow/decide/replication/records.py
+++ b/wingbarrow/decide/replication/records.py
@@ -1,4 +1,8 @@
-"""Records in custody: how large one is, how it grows older, who keeps it, and which of two is the later."""
+"""Records of leased Jobs: their size, age and order, the limits of replication, and the choice of replicas.
+
+Replicas are chosen by rendezvous hashing (Thaler and Ravishankar 1998): a placer that leaves changes the replicas
+of only those Jobs whose records it had.
+"""
 
 from __future__ import annotations
 
@@ -8,100 +12,110 @@
 
 from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 
-RECORD_BYTES = 1024  # of a record beside its manifest, its own names and its tasks
-TASK_BYTES = 160  # kept free for each task, machine and attempt named
+RECORD_BASE_BYTES = 1024  # reserved for a record's fields apart from its manifest, names and tasks
+MIN_BYTES_PER_TASK = 160  # reserved for each task, with the names of its machine and attempt
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationLimits:
-    """What one placer keeps for another, or has another keep: records and bytes for each peer; figures of one mail.
+    """Limits of one placer's primary and replica. Sizes in bytes, times in microseconds.
 
-    Times in microseconds. `slow_us`: a keeper that has not answered for so long is dropped, and chosen by nobody here
-    for `rest_us`; what it kept goes to others, `moves` records each `every_us`.
+    A replica that has not answered for `response_timeout_us` is excluded: no Job is assigned to it for
+    `exclusion_us`, and its Jobs are reassigned in batches.
     """
 
-    records: int = 20_000
-    bytes: int = 64 << 20
-    all_bytes: int = 512 << 20  # that a keeper has of all
-    mail_records: int = 64
-    mail_bytes: int = 256 << 10
-    wait_us: int = 2_000  # a turn of the hub: what comes within it goes in one mail
-    first_us: int = 200_000  # until a mail is said again; doubles
-    most_us: int = 2_000_000
-    slow_us: int = 1_500_000
-    rest_us: int = 30_000_000
-    moves: int = 64
-    every_us: int = 50_000
-
-    def replaced_us(self, records: int) -> int:
-        """Within which all records of a silent keeper are on their way to others, where there are any."""
-        return self.slow_us + self.every_us * (1 + records // self.moves)
-
-
-def size_of(record: LeasedJobRecord) -> int:
-    """Bytes that a record counts for: what it has, and no less than what its tasks may come to."""
+    max_records_per_peer: int = 20_000  # of one primary at one replica
+    max_bytes_per_peer: int = 64 << 20
+    max_total_bytes: int = 512 << 20  # of all primaries at one replica
+    max_request_records: int = 64
+    max_request_bytes: int = 256 << 10
+    batch_window_us: int = 2_000  # changes within it leave in one request
+    min_retry_us: int = 200_000  # until the first retry of a request; doubles
+    max_retry_us: int = 2_000_000
+    response_timeout_us: int = 1_500_000
+    exclusion_us: int = 30_000_000
+    max_reassignments_per_batch: int = 64
+    reassignment_interval_us: int = 50_000  # between batches
+
+    def reassigned_within_us(self, records: int) -> int:
+        """The time within which all of a silent replica's `records` are sent to other replicas, if there are any."""
+        batches = 1 + records // self.max_reassignments_per_batch
+        return self.response_timeout_us + self.reassignment_interval_us * batches
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationTerms:
+    """What a Job's federation spec asks for: the regions that may have its record, and how many replicas."""
+
+    allowed_regions: tuple[str, ...]
+    copies: int
+
+
+def record_size_bytes(record: LeasedJobRecord) -> int:
+    """The size that a record counts for: its content, with space reserved for what its tasks may add."""
     names = sum(len(each) for each in (record.uid, record.key, record.spec, record.session.placer))
     tasks = sum(96 + len(each.machine) + len(each.attempt) for each in record.tasks)
-    return (
-        RECORD_BYTES + names + len(record.manifest.encode()) + max(tasks, record.count * TASK_BYTES)
-    )
+    reserved = max(tasks, record.count * MIN_BYTES_PER_TASK)
+    return RECORD_BASE_BYTES + names + len(record.manifest.encode()) + reserved
 
 
-def aged(record: LeasedJobRecord, by_us: int) -> LeasedJobRecord:
-    """The same, said so much later."""
-    tasks = tuple(replace(each, age_us=each.age_us + by_us) for each in record.tasks)
-    return replace(record, born_age_us=record.born_age_us + by_us, tasks=tasks)
+def with_ages_advanced(record: LeasedJobRecord, elapsed_us: int) -> LeasedJobRecord:
+    """The record with all its ages `elapsed_us` greater, as sent that much later."""
+    tasks = tuple(replace(each, age_us=each.age_us + elapsed_us) for each in record.tasks)
+    return replace(record, born_age_us=record.born_age_us + elapsed_us, tasks=tasks)
 
 
 def phase_of(record: LeasedJobRecord, index: int) -> KnownTask:
-    """What is known of a task; nothing was said of it: none."""
+    """The record's entry of a task; phase `none` where it has no entry."""
     return next((each for each in record.tasks if each.index == index), KnownTask(index, "none"))
 
 
-def doubted(record: LeasedJobRecord) -> LeasedJobRecord:
-    """The same by one who cannot know whether more has happened since; of a safe Job that is no matter."""
+def with_tasks_in_doubt(record: LeasedJobRecord) -> LeasedJobRecord:
+    """The record as a successor must read it that cannot exclude later changes: tasks not over are in doubt.
+
+    A safe Job's record is returned unchanged: its tasks may be repeated whatever happened.
+    """
     if record.effect == "safe":
         return record
     tasks = (phase_of(record, index) for index in range(record.count))
-    return replace(
-        record,
-        tasks=tuple(
-            each if each.phase == "over" else replace(each, phase="doubt") for each in tasks
-        ),
+    in_doubt = tuple(
+        each if each.phase == "over" else replace(each, phase="doubt") for each in tasks
     )
+    return replace(record, tasks=in_doubt)
 
 
-def order(record: LeasedJobRecord) -> tuple[int, int]:
-    """The later of two records of a Job has the greater."""
+def version_order(record: LeasedJobRecord) -> tuple[int, int]:
+    """The sort key of a Job's records: the later record has the greater key."""
     return record.epoch, record.version
 
 
-def rank(uid: str, name: str) -> bytes:
-    """Rendezvous: the keeper with the least is the first choice for a Job."""
+def rendezvous_rank(uid: str, name: str) -> bytes:
+    """The rank of a placer as replica of a Job; the least rank is preferred."""
     return blake2b(f"{uid}/{name}".encode(), digest_size=8).digest()
 
 
-def choose(
+def choose_replicas(
     uid: str,
     region: str,
-    allowed: Collection[str],
-    by_region: Mapping[str, Sequence[str]],
-    copies: int,
-    without: Collection[str] = (),
+    terms: ReplicationTerms,
+    placers_by_region: Mapping[str, Sequence[str]],
+    excluded: Collection[str] = (),
 ) -> tuple[str, ...]:
-    """Keepers of a Job that runs in `region`: of other regions that its spec allows, each of another while there is
-    one; fewer than `copies` where there are no more, none where there is no keeper."""
-    able = sorted(
-        (rank(uid, name), where, name)
-        for where, names in by_region.items()
-        if where != region and where in allowed
+    """The replicas of a Job that runs in `region`: `terms.copies` placers of other allowed regions, or fewer.
+
+    Each is of a region of its own as long as there are enough regions.
+    """
+    ranked = sorted(
+        (rendezvous_rank(uid, name), where, name)
+        for where, names in placers_by_region.items()
+        if where != region and where in terms.allowed_regions
         for name in names
-        if name not in without
+        if name not in excluded
     )
-    first: list[str] = []
-    rest: list[str] = []
+    first_of_region: list[str] = []
+    others: list[str] = []
     seen: set[str] = set()
-    for _, where, name in able:
-        (rest if where in seen else first).append(name)
+    for _, where, name in ranked:
+        (others if where in seen else first_of_region).append(name)
         seen.add(where)
-    return tuple((first + rest)[:copies])
+    return tuple((first_of_region + others)[: terms.copies])
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -1,11 +1,13 @@
-"""The keeper's side of custody: records of other placers' Jobs, in order, within bounds, and what of them to take over.
-
-A mail is kept whole or refused whole for want of room. A record gives way to a later one: of a later epoch, or of the
-same epoch and a later version; two that took a Job over at the same epoch are told apart by their names, the lesser
-stands. Ages become times of this clock: late mail makes what happened look later than it was, which only makes a
-successor wait longer. Danger: mail of before this placer's own session ended must not pass for new, so that a mail for
-another session than the present one is refused; and what was kept until then is *in doubt*, as its holder may go on
-without telling this placer.
+"""The replica's side of replication: other placers' records, stored in order and within limits, and their failover.
+
+A request is stored whole, or refused whole for want of capacity. A record is replaced by a later one: of a later epoch,
+or of the same epoch and a later version. Of two primaries that took a Job over at the same epoch, the one with the
+lesser name has precedence. Ages become times of this placer's clock: a late message makes events look later than they
+were, which only makes a successor wait longer.
+
+Danger: a message of before this placer's own session ended must not pass for a new one, so that a request for another
+session than the present one is refused; and the records stored until then are *in doubt*, as their primary may go on
+without this placer.
 """
 
 from __future__ import annotations
@@ -15,7 +17,13 @@
 from heapq import nsmallest
 
 from wingbarrow.decide.effects import Effect, Notify, Send
-from wingbarrow.decide.replication.records import ReplicationLimits, aged, doubted, order, size_of
+from wingbarrow.decide.replication.records import (
+    ReplicationLimits,
+    record_size_bytes,
+    version_order,
+    with_ages_advanced,
+    with_tasks_in_doubt,
+)
 from wingbarrow.decide.sessions.leased_job_record import (
     EFFECTS,
     MAX_RECORD_BYTES,
@@ -34,25 +42,37 @@
 )
 from wingbarrow.decide.sessions.session import EndedSession, Session, successor_of
 
-HOLDERS_MOST = 4096
+MAX_PRIMARIES = 4096
 UNKNOWN_HERE = "not known here"
+WAITING = "waiting"  # the outcome of a Job that was taken over, until one is decided
+RUNNING = "run"
+UNLIMITED = 1 << 30
 
 
 @dataclass(slots=True)
 class ReplicaEntry:
-    """One record kept; `under`: what it took the place of at the same epoch, which stands again if it goes."""
+    """One stored record.
+
+    `superseded` is the entry that it replaced at the same epoch, which is restored if this one is removed.
+    """
 
     record: LeasedJobRecord
-    said_us: int
-    size: int
-    doubt: bool = False
-    under: ReplicaEntry | None = None
+    received_us: int
+    size_bytes: int
+    in_doubt: bool = False
+    superseded: ReplicaEntry | None = None
+
+    def record_at(self, now_us: int) -> LeasedJobRecord:
+        """The record with the ages of now."""
+        return with_ages_advanced(self.record, now_us - self.received_us)
 
 
 @dataclass(slots=True)
 class Taking:
-    """A Job that this placer takes over; a task of which more may be true than is kept is in doubt, and stays so at
-    later successors, too. `must`: who else may have it."""
+    """A Job that this placer takes over, and the other placers that may have its record (`must`).
+
+    A task is in doubt where more may be true of it than is recorded, and remains so at later successors.
+    """
 
     record: LeasedJobRecord
     epoch: int
@@ -60,339 +80,372 @@
 
 
 class Replica:
-    """One placer's, as a keeper."""
+    """The records that one placer stores for others, under its present session."""
 
-    def __init__(self, me: str, life: int, bounds: ReplicationLimits = ReplicationLimits()) -> None:
-        self.session, self.bounds = Session(me, life, 0), bounds
+    def __init__(self, session: Session, limits: ReplicationLimits = ReplicationLimits()) -> None:
+        self.session = session
+        self.limits = limits
         self.entries: dict[str, ReplicaEntry] = {}
-        self.sessions: dict[Session, dict[str, None]] = {}  # uids by holder's session
-        self.taken: dict[
-            str, tuple[int, str]
-        ] = {}  # what this placer has taken over: epoch and fate
-        self.ends: dict[Session, EndedSession] = {}  # of sessions of which something is kept
-        self.latest: dict[str, Session] = {}  # of each placer, the last that has ended
-        self._sizes: dict[str, int] = {}  # bytes by holder
-        self._size = 0  # of all
-        self._last: dict[str, tuple[Session, int, ReplicateResponse]] = {}
-        self._kept: tuple[HeldRecords, ...] | None = None
-
-    # -- mail of holders
-
-    def on_keep(self, now_us: int, ident: str, keep: ReplicateRequest) -> list[Effect]:
-        """Take it or not, and say so; nothing is said to what is older than what was answered already."""
-        last = self._last.get(ident)
-        if last is not None and last[0] == keep.session and keep.number <= last[1]:
-            return [Send(ident, "", last[2])] if keep.number == last[1] else []
-        out: list[Effect] = []
-        answer = ReplicateResponse(
-            keep.number, keep.session, False, life=self.session.life, serial=self.session.serial
+        self.uids_by_session: dict[Session, dict[str, None]] = {}  # of primaries
+        self.taken_over: dict[str, tuple[int, str]] = {}  # epoch and outcome, by uid
+        self.session_ends: dict[Session, EndedSession] = {}  # of sessions with entries
+        self.last_ended: dict[str, Session] = {}  # by placer
+        self._bytes_by_primary: dict[str, int] = {}
+        self._total_bytes = 0
+        self._last_responses: dict[str, tuple[Session, int, ReplicateResponse]] = {}
+        self._summary: tuple[HeldRecords, ...] | None = None  # None: to be computed
+
+    # -- requests of primaries
+
+    def on_request(self, now_us: int, ident: str, request: ReplicateRequest) -> list[Effect]:
+        """Store a request's records, or refuse them, and answer; older requests than the last get no answer."""
+        last = self._last_responses.get(ident)
+        if last is not None and last[0] == request.session and request.number <= last[1]:
+            return [Send(ident, "", last[2])] if request.number == last[1] else []
+        response = ReplicateResponse(
+            request.number,
+            request.session,
+            False,
+            life=self.session.life,
+            serial=self.session.serial,
         )
-        why = self._wrong(ident, keep)
+        why = self._malformed(ident, request)
         if why:
-            return [Send(ident, "", replace(answer, why=why))]
-        if self._over(keep.session) or (last is not None and keep.session < last[0]):
-            return [Send(ident, "", replace(answer, why="this session has ended", over=True))]
-        if (keep.life, keep.serial) != (self.session.life, self.session.serial):
-            return [Send(ident, "", replace(answer, why="not to this keeper's session"))]
+            return [Send(ident, "", replace(response, why=why))]
+        if self._has_ended(request.session) or (last is not None and request.session < last[0]):
+            refusal = replace(response, why="this session has ended", over=True)
+            return [Send(ident, "", refusal)]
+        if (request.life, request.serial) != (self.session.life, self.session.serial):
+            return [Send(ident, "", replace(response, why="not to this keeper's session"))]
         taken = tuple(
-            (each.uid, *self._holder(each.uid)) for each in keep.records if not self._stands(each)
+            (each.uid, *self._known_primary(each.uid))
+            for each in request.records
+            if not self._has_precedence(each)
         )
-        refused = {uid for uid, _, _ in taken}
-        new = [each for each in keep.records if each.uid not in refused]
-        why = self._room(ident, new)
+        rejected = {uid for uid, _, _ in taken}
+        records = [each for each in request.records if each.uid not in rejected]
+        why = self._capacity_refusal(ident, records)
         if why:
-            return [Send(ident, "", replace(answer, why=why))]
+            return [Send(ident, "", replace(response, why=why))]
+        out: list[Effect] = []
         later: list[LeasedJobRecord] = []
-        for record in new:
-            out += self._put(now_us, record, later)
-        for uid in keep.gone:
-            self._gone(keep.session, uid)
-        answer = replace(answer, good=True, taken=taken, later=tuple(later))
-        self._last[ident] = keep.session, keep.number, answer
-        return [*out, Send(ident, "", answer)]
-
-    def _wrong(self, ident: str, keep: ReplicateRequest) -> str:
-        if keep.session.placer != ident:
+        for record in records:
+            out += self._store(now_us, record, later)
+        for uid in request.gone:
+            self._remove(request.session, uid)
+        response = replace(response, good=True, taken=taken, later=tuple(later))
+        self._last_responses[ident] = request.session, request.number, response
+        return [*out, Send(ident, "", response)]
+
+    def _malformed(self, ident: str, request: ReplicateRequest) -> str:
+        """Why a request is refused whatever is stored; "" where it is well formed."""
+        if request.session.placer != ident:
             return "not the sender's session"
-        if ident not in self._last and len(self._last) >= HOLDERS_MOST:
-            return f"more than {HOLDERS_MOST} holders"
-        for record in keep.records:
+        if ident not in self._last_responses and len(self._last_responses) >= MAX_PRIMARIES:
+            return f"more than {MAX_PRIMARIES} holders"
+        for record in request.records:
             if (
                 record.form != RECORD_FORMAT
                 or record.effect not in EFFECTS
-                or record.session != keep.session
+                or record.session != request.session
             ):
                 return f"record {record.uid[:64]}: a field that this placer does not read"
-            if size_of(record) > MAX_RECORD_BYTES:
-                return (
-                    f"record {record.uid[:64]}: {size_of(record)} bytes, at most {MAX_RECORD_BYTES}"
-                )
+            size_bytes = record_size_bytes(record)
+            if size_bytes > MAX_RECORD_BYTES:
+                return f"record {record.uid[:64]}: {size_bytes} bytes, at most {MAX_RECORD_BYTES}"
         return ""
 
-    def _over(self, session: Session) -> bool:
-        latest = self.latest.get(session.placer)
-        return latest is not None and session <= latest
+    def _has_ended(self, session: Session) -> bool:
+        last = self.last_ended.get(session.placer)
+        return last is not None and session <= last
 
-    def _room(self, holder: str, new: Iterable[LeasedJobRecord]) -> str:
+    def _capacity_refusal(self, primary: str, new: Iterable[LeasedJobRecord]) -> str:
+        """Why these records of a primary cannot be stored, by number or size; "" where they can."""
         records = sum(
-            len(uids) for session, uids in self.sessions.items() if session.placer == holder
+            len(uids) for session, uids in self.uids_by_session.items() if session.placer == primary
         )
-        size = self._sizes.get(holder, 0)
+        stored_bytes = self._bytes_by_primary.get(primary, 0)
+        size_bytes = stored_bytes
         for record in new:
-            had = self.entries.get(record.uid)
-            mine = had is not None and had.record.session.placer == holder
-            records += not mine
-            size += size_of(record) - (had.size if had is not None and mine else 0)
-        if records > self.bounds.records:
-            return f"no room: {records} records of one holder, at most {self.bounds.records}"
-        if size > self.bounds.bytes:
-            return f"no room: {size} bytes of one holder, at most {self.bounds.bytes}"
-        total = self._size + size - self._sizes.get(holder, 0)
-        return (
-            f"no room: {total} bytes, at most {self.bounds.all_bytes}"
-            if total > self.bounds.all_bytes
-            else ""
-        )
+            previous = self.entries.get(record.uid)
+            size_bytes += record_size_bytes(record)
+            if previous is not None and previous.record.session.placer == primary:
+                size_bytes -= previous.size_bytes
+            else:
+                records += 1
+        limits = self.limits
+        if records > limits.max_records_per_peer:
+            return (
+                f"no room: {records} records of one holder, at most {limits.max_records_per_peer}"
+            )
+        if size_bytes > limits.max_bytes_per_peer:
+            return f"no room: {size_bytes} bytes of one holder, at most {limits.max_bytes_per_peer}"
+        total_bytes = self._total_bytes + size_bytes - stored_bytes
+        if total_bytes > limits.max_total_bytes:
+            return f"no room: {total_bytes} bytes, at most {limits.max_total_bytes}"
+        return ""
 
-    # -- which of two records stands
-
-    def _stands(self, record: LeasedJobRecord) -> bool:
-        """Whether a record that was said takes the place of what is known here."""
-        own = self.taken.get(record.uid)
-        if own is not None and record.epoch <= own[0]:
-            # Danger: what was started here goes on; the other has not started, as this placer did not agree to it.
-            first = record.session.placer < self.session.placer
-            return record.epoch == own[0] and first and own[1] != "run"
-        had = self.entries.get(record.uid)
-        if had is None or had.record.session == record.session or record.epoch > had.record.epoch:
+    # -- precedence
+
+    def _has_precedence(self, record: LeasedJobRecord) -> bool:
+        """Whether a received record replaces what this placer has of the Job."""
+        has_lesser_name = record.session.placer < self.session.placer
+        own = self.taken_over.get(record.uid)
+        if own is not None:
+            epoch, outcome = own
+            if record.epoch <= epoch:
+                # Danger: what was started here goes on; the other has not started, as it has no acknowledgement of
+                # this placer.
+                return record.epoch == epoch and has_lesser_name and outcome != RUNNING
+        entry = self.entries.get(record.uid)
+        if entry is None:
             return True
-        return (
-            record.epoch == had.record.epoch and record.session.placer < had.record.session.placer
-        )
+        known = entry.record
+        if known.session == record.session or record.epoch > known.epoch:
+            return True
+        return record.epoch == known.epoch and record.session.placer < known.session.placer
 
-    def _holder(self, uid: str) -> tuple[int, str]:
-        """At which epoch a Job is held, and by whom, as far as this placer knows."""
-        if uid in self.taken:
-            return self.taken[uid][0], self.session.placer
+    def _known_primary(self, uid: str) -> tuple[int, str]:
+        """A Job's epoch and primary, as far as this placer knows."""
+        if uid in self.taken_over:
+            return self.taken_over[uid][0], self.session.placer
         record = self.entries[uid].record
         return record.epoch, record.session.placer
 
-    def _put(
+    # -- storage
+
+    def _store(
         self, now_us: int, record: LeasedJobRecord, later: list[LeasedJobRecord]
     ) -> list[Effect]:
+        """Store a record; add to `later` what its primary may not know of a Job that is not safe."""
         out: list[Effect] = []
-        had = self.entries.get(record.uid)
-        entry = ReplicaEntry(record, now_us, size_of(record))
-        if record.uid in self.taken:
-            epoch, fate = self.taken.pop(record.uid)
-            out.append(
-                Notify(
-                    "superseded",
-                    {
-                        "uid": record.uid,
-                        "epoch": record.epoch,
-                        "fate": fate,
-                        "by": record.session.placer,
-                        "record": record,
-                    },
-                )
-            )
-        if had is not None and had.record.session == record.session:
-            if order(had.record) > order(record):
+        previous = self.entries.get(record.uid)
+        entry = ReplicaEntry(record, now_us, record_size_bytes(record))
+        if record.uid in self.taken_over:
+            out.append(self._superseded(record))
+        if previous is not None and previous.record.session == record.session:
+            if version_order(previous.record) > version_order(record):
                 return out
-            entry.under = had.under
-        elif had is not None:
+            entry.superseded = previous.superseded
+        elif previous is not None:
             if record.effect != "safe":
-                later.append(replace(self._now(now_us, had), manifest=""))
-            entry.under = had if had.record.epoch == record.epoch else None
-        self._forget(record.uid)
+                later.append(replace(previous.record_at(now_us), manifest=""))
+            if previous.record.epoch == record.epoch:
+                entry.superseded = previous
+        self._discard(record.uid)
         self._add(entry)
         return out
 
-    def _gone(self, session: Session, uid: str) -> None:
+    def _superseded(self, record: LeasedJobRecord) -> Notify:
+        """A Job that was taken over here belongs to another primary."""
+        _, outcome = self.taken_over.pop(record.uid)
+        fields = {
+            "uid": record.uid,
+            "epoch": record.epoch,
+            "fate": outcome,
+            "by": record.session.placer,
+            "record": record,
+        }
+        return Notify("superseded", fields)
+
+    def _remove(self, session: Session, uid: str) -> None:
+        """The primary of this session removed a Job."""
         entry = self.entries.get(uid)
         if entry is None:
             return
         if entry.record.session == session:
-            self._forget(uid)
-            if entry.under is not None:
-                self._add(entry.under)
-        elif entry.under is not None and entry.under.record.session == session:
-            entry.under = None
+            self._discard(uid)
+            if entry.superseded is not None:
+                self._add(entry.superseded)
+        elif entry.superseded is not None and entry.superseded.record.session == session:
+            entry.superseded = None
 
     def _add(self, entry: ReplicaEntry) -> None:
         record = entry.record
+        primary = record.session.placer
         self.entries[record.uid] = entry
-        self.sessions.setdefault(record.session, {})[record.uid] = None
-        self._sizes[record.session.placer] = self._sizes.get(record.session.placer, 0) + entry.size
-        self._size += entry.size
-        self._kept = None
+        self.uids_by_session.setdefault(record.session, {})[record.uid] = None
+        self._bytes_by_primary[primary] = self._bytes_by_primary.get(primary, 0) + entry.size_bytes
+        self._total_bytes += entry.size_bytes
+        self._summary = None
 
-    def _forget(self, uid: str) -> None:
+    def _discard(self, uid: str) -> None:
         entry = self.entries.pop(uid, None)
         if entry is None:
             return
         session = entry.record.session
-        self._sizes[session.placer] -= entry.size
-        self._size -= entry.size
-        del self.sessions[session][uid]
-        if not self.sessions[session]:
-            del self.sessions[session]
-            self.ends.pop(session, None)
-        self._kept = None
-
-    @staticmethod
-    def _now(now_us: int, entry: ReplicaEntry) -> LeasedJobRecord:
-        return aged(entry.record, now_us - entry.said_us)
-
-    def record(self, now_us: int, uid: str) -> LeasedJobRecord | None:
-        """What is kept of a Job, with the ages of now."""
+        self._bytes_by_primary[session.placer] -= entry.size_bytes
+        self._total_bytes -= entry.size_bytes
+        del self.uids_by_session[session][uid]
+        if not self.uids_by_session[session]:
+            del self.uids_by_session[session]
+            self.session_ends.pop(session, None)
+        self._summary = None
+
+    def record_at(self, now_us: int, uid: str) -> LeasedJobRecord | None:
+        """The stored record of a Job, with the ages of now."""
         entry = self.entries.get(uid)
-        return self._now(now_us, entry) if entry is not None else None
+        return entry.record_at(now_us) if entry is not None else None
 
-    # -- what the voters decide
+    # -- ends of sessions
 
-    def kept(self) -> tuple[HeldRecords, ...]:
-        """What is kept of each session, for the next ask; those that this placer has taken over do not count."""
-        if self._kept is None:
+    def summary(self) -> tuple[HeldRecords, ...]:
+        """What is stored of each session, the most Jobs first, without those that this placer has taken over."""
+        if self._summary is None:
             out = []
-            for session, uids in self.sessions.items():
+            for session, uids in self.uids_by_session.items():
                 afters = [
-                    self.entries[uid].record.after_us for uid in uids if uid not in self.taken
+                    self.entries[uid].record.after_us for uid in uids if uid not in self.taken_over
                 ]
                 if afters:
                     out.append(HeldRecords(session, len(afters), min(afters)))
             out.sort(key=lambda each: (-each.jobs, each.session))
-            self._kept = tuple(out[:MAX_HELD_SESSIONS])
-        return self._kept
+            self._summary = tuple(out[:MAX_HELD_SESSIONS])
+        return self._summary
 
-    def ended(self, now_us: int, ended: EndedSession, most: int = 1 << 30) -> list[Taking]:
-        """A session is over, or has more successors than before: what this placer takes over, each Job once.
+    def on_session_ended(
+        self, now_us: int, ended: EndedSession, limit: int = UNLIMITED
+    ) -> list[Taking]:
+        """A session is over, or has more successors than before: the Jobs that this placer takes over, each once.
 
-        The first `most` of them, by priority and age: to be called again while it returns so many.
+        The first `limit` of them, by priority and age: to be called again while it returns so many.
         """
-        if not self._over(ended.session):
-            self.latest[ended.session.placer] = ended.session
-        if ended.session not in self.sessions:
+        if not self._has_ended(ended.session):
+            self.last_ended[ended.session.placer] = ended.session
+        if ended.session not in self.uids_by_session:
             return []
-        self.ends[ended.session] = ended
-        me = self.session.placer
-        mine = []
-        for uid in self.sessions[ended.session]:
+        self.session_ends[ended.session] = ended
+        candidates = []
+        for uid in self.uids_by_session[ended.session]:
             entry = self.entries[uid]
-            # What is in doubt is left to one who knows better, while there may be one.
-            if (
-                uid not in self.taken
-                and not entry.doubt
-                and successor_of(ended, (*entry.record.keepers, me)) == me
-            ):
-                mine.append((-entry.record.priority, entry.said_us - entry.record.born_age_us, uid))
-        return [self._take(now_us, uid, ended) for _, _, uid in nsmallest(most, mine)]
+            if self._is_successor(ended, uid, entry):
+                born_us = entry.received_us - entry.record.born_age_us
+                candidates.append((-entry.record.priority, born_us, uid))
+        return [self._take_over(now_us, uid, ended) for _, _, uid in nsmallest(limit, candidates)]
+
+    def _is_successor(self, ended: EndedSession, uid: str, entry: ReplicaEntry) -> bool:
+        """Whether this placer takes a Job over. One in doubt is left to a replica that knows more, if there is one."""
+        if uid in self.taken_over or entry.in_doubt:
+            return False
+        me = self.session.placer
+        return successor_of(ended, (*entry.record.keepers, me)) == me
 
-    def take(self, now_us: int, uid: str) -> Taking | None:
-        """Take one over whose successor, as this placer reckons, knows nothing of it, or that has none."""
+    def take_over(self, now_us: int, uid: str) -> Taking | None:
+        """Take over a Job of an ended session whose successor does not know it, or that has none."""
         entry = self.entries.get(uid)
-        end = self.ends.get(entry.record.session) if entry is not None else None
-        if entry is None or end is None or uid in self.taken:
+        ended = self.session_ends.get(entry.record.session) if entry is not None else None
+        if ended is None or uid in self.taken_over:
             return None
-        return self._take(now_us, uid, end)
+        return self._take_over(now_us, uid, ended)
 
-    def _take(self, now_us: int, uid: str, ended: EndedSession) -> Taking:
-        entry, me = self.entries[uid], self.session.placer
-        record = self._now(now_us, entry)
+    def _take_over(self, now_us: int, uid: str, ended: EndedSession) -> Taking:
+        entry = self.entries[uid]
+        me = self.session.placer
+        record = entry.record_at(now_us)
         names = {*record.keepers, *record.others}
-        names |= {name for batch in ended.batches for name in batch} if record.moves else set()
+        if record.moves:
+            names |= {name for batch in ended.batches for name in batch}
         gone = set(ended.gone) - {me}
-        # Danger: one that is gone may have started it and asked those whom it knew of, not this placer.
-        # Or it was never accepted, for want of this very answer, and its owner asked elsewhere.
+        # Danger: a successor that is gone may have started it after it asked those whom it knew of, not this placer.
+        # Or it was never accepted, for want of this very answer, and its owner submitted it elsewhere.
         if (
-            entry.doubt
+            entry.in_doubt
             or (record.moves > 0 and bool(gone))
             or me in ended.gone
             or record.answered == OFFERED
         ):
-            record = doubted(record)
-        self.taken[uid] = ended.epoch, "waiting"
-        self._kept = None
+            record = with_tasks_in_doubt(record)
+        self.taken_over[uid] = ended.epoch, WAITING
+        self._summary = None
         return Taking(record, ended.epoch, tuple(sorted(names - gone - {me})))
 
-    def others(self) -> dict[str, list[str]]:
-        """Of sessions that are over: Jobs kept here that another is to take over, by its name ("": nobody known).
+    def awaiting_successors(self) -> dict[str, list[str]]:
+        """The uids of Jobs of ended sessions that another placer is to take over, by its name ("": none is known).
 
-        Of one in doubt here all that succeed are named.
+        A Job that is in doubt here stands under all successors.
         """
         out: dict[str, list[str]] = {}
-        for end in self.ends.values():
-            every = {name for batch in end.batches for name in batch} - {*end.gone}
-            for uid in self.sessions.get(end.session, ()):
+        for ended in self.session_ends.values():
+            successors = {name for batch in ended.batches for name in batch} - {*ended.gone}
+            for uid in self.uids_by_session.get(ended.session, ()):
+                if uid in self.taken_over:
+                    continue
                 entry = self.entries[uid]
-                first = successor_of(end, entry.record.keepers)
-                names = {*every, ""} if entry.doubt else {first}
-                for name in sorted(names - {self.session.placer}) if uid not in self.taken else ():
+                if entry.in_doubt:
+                    names = {*successors, ""}
+                else:
+                    names = {successor_of(ended, entry.record.keepers)}
+                for name in sorted(names - {self.session.placer}):
                     out.setdefault(name, []).append(uid)
         return out
 
-    def known_elsewhere(self, uid: str) -> None:
-        """What is in doubt here is known to one that succeeds: it is no matter here."""
+    def on_known_elsewhere(self, uid: str) -> None:
+        """A successor knows a Job that is in doubt here: its entry is no longer needed."""
         entry = self.entries.get(uid)
         if (
             entry is not None
-            and entry.doubt
-            and uid not in self.taken
-            and entry.record.session in self.ends
+            and entry.in_doubt
+            and uid not in self.taken_over
+            and entry.record.session in self.session_ends
         ):
-            self._forget(uid)
+            self._discard(uid)
 
-    def own_end(self, session: Session, held: Collection[str]) -> None:
-        """This placer's session was ended, and it has a new one: its holders may have gone on without it.
+    def on_own_session_ended(self, session: Session, own_jobs: Collection[str]) -> None:
+        """This placer's session was ended, and it has a new one: primaries may have gone on without it.
 
-        What it had taken over and `held` is its own successors' by their records.
+        Of what it had taken over, `own_jobs` go to its own successors, by their records.
         """
         self.session = session
-        for uid in set(held) & self.taken.keys():
-            self.let_go(uid)
-        self.taken.clear()
-        self._kept = None
+        for uid in set(own_jobs) & self.taken_over.keys():
+            self.release(uid)
+        self.taken_over.clear()
+        self._summary = None
         for entry in self.entries.values():
-            entry.doubt = entry.doubt or entry.record.effect != "safe"
+            entry.in_doubt = entry.in_doubt or entry.record.effect != "safe"
 
-    # -- what became of Jobs
+    # -- outcomes
 
-    def fate(self, uid: str, fate: str) -> None:
-        """What became of a Job that was taken over here; `nothing` and `stopped` need no keeping any more."""
-        if uid in self.taken:
-            self.taken[uid] = self.taken[uid][0], fate
+    def set_outcome(self, uid: str, outcome: str) -> None:
+        """Note the outcome of a Job that was taken over here."""
+        if uid in self.taken_over:
+            epoch, _ = self.taken_over[uid]
+            self.taken_over[uid] = epoch, outcome
 
-    def let_go(self, uid: str) -> None:
-        """A Job that was taken over here is over, or is another's: nothing of it is kept."""
+    def release(self, uid: str) -> None:
+        """A Job that was taken over here is over, or another primary's: discard its entry."""
         if (
-            self.taken.pop(uid, None) is not None
+            self.taken_over.pop(uid, None) is not None
             and uid in self.entries
-            and self.entries[uid].record.session in self.ends
+            and self.entries[uid].record.session in self.session_ends
         ):
-            self._forget(uid)
+            self._discard(uid)
 
-    def settle(
-        self, ident: str, ask: ResolveRequest, held: Mapping[str, tuple[int, str]]
+    def on_resolve(
+        self, ident: str, request: ResolveRequest, own_jobs: Mapping[str, tuple[int, str]]
     ) -> list[Effect]:
-        """What became of Jobs of a session that has ended, to one that came back or that keeps them too.
+        """Answer a former primary, or another replica, with the outcomes of Jobs of an ended session.
 
-        `held`: what this placer holds itself, by uid: epoch and fate.
+        `own_jobs`: epoch and outcome, by uid, of the Jobs of which this placer itself is primary.
         """
-        fates = []
-        for uid in ask.uids[:MAX_RESOLVE_UIDS]:
-            entry = self.entries.get(uid)
-            if uid in self.taken:
-                fates.append((uid, *self.taken[uid]))
-            elif uid in held:
-                fates.append((uid, *held[uid]))
-            elif entry is not None and entry.record.session != ask.session:
-                fates.append((uid, entry.record.epoch, "waiting"))
-            else:
-                fates.append((uid, 0, UNKNOWN_HERE))
-        return [Send(ident, "", ResolveResponse(ask.number, ask.session, tuple(fates)))]
+        fates = [
+            (uid, *self._outcome(uid, request, own_jobs)) for uid in request.uids[:MAX_RESOLVE_UIDS]
+        ]
+        return [Send(ident, "", ResolveResponse(request.number, request.session, tuple(fates)))]
+
+    def _outcome(
+        self, uid: str, request: ResolveRequest, own_jobs: Mapping[str, tuple[int, str]]
+    ) -> tuple[int, str]:
+        """The epoch and outcome of one Job."""
+        if uid in self.taken_over:
+            return self.taken_over[uid]
+        if uid in own_jobs:
+            return own_jobs[uid]
+        entry = self.entries.get(uid)
+        if entry is not None and entry.record.session != request.session:
+            return entry.record.epoch, WAITING
+        return 0, UNKNOWN_HERE
 
 
-def unclaimed(leased: int, kept: Iterable[HeldRecords]) -> int:
-    """How many Jobs of a lost session nobody keeps, as far as all keepers were heard."""
-    return max(0, leased - sum(each.jobs for each in kept))
+def count_unreplicated(leased: int, summaries: Iterable[HeldRecords]) -> int:
+    """How many of a lost session's `leased` Jobs have no replica, by the summaries of all replicas."""
+    return max(0, leased - sum(each.jobs for each in summaries))
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -1,4 +1,4 @@
-"""The line from a holder to one keeper: what is to be said, one mail at a time, said again until it is answered."""
+"""The link from a primary to one replica: queued changes, and one request at a time, retried until answered."""
 
 from __future__ import annotations
 
@@ -7,119 +7,164 @@
 from dataclasses import dataclass, replace
 
 from wingbarrow.decide.backoff import Backoff
-from wingbarrow.decide.replication.records import ReplicationLimits, aged, size_of
+from wingbarrow.decide.replication.records import (
+    ReplicationLimits,
+    record_size_bytes,
+    with_ages_advanced,
+)
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 from wingbarrow.decide.sessions.messages import ReplicateRequest
 from wingbarrow.decide.sessions.session import Session
 
+ReadRecord = Callable[[int, str], LeasedJobRecord]  # by time and uid
+
 
 @dataclass(slots=True)
 class PendingRequest:
-    """The mail that is not answered yet; ages in it are those of `said_us`."""
+    """The request that is not answered yet; the ages in its records are those of `sent_us`."""
 
-    keep: ReplicateRequest
-    said_us: int
-    again_us: int
+    request: ReplicateRequest
+    sent_us: int
+    retry_us: int
 
 
 class ReplicaLink:
-    """`dirty`: uids whose record is to go there; `gone`: those that it need not keep; `jobs`: whose keeper it is."""
+    """Queues by uid, in order: `pending_updates` (records to send) and `pending_removals` (records to remove).
+
+    `record_sizes` are the sizes, by uid, of the records that are assigned to this replica. `life` and `serial` are
+    those of the replica's session as last heard. Retries follow an exponential backoff.
+    """
 
     def __init__(
         self,
         name: str,
         life: int,
-        seed: random.Random,
-        bounds: ReplicationLimits,
-        number: Callable[[], int],
+        random_source: random.Random,
+        limits: ReplicationLimits,
+        next_number: Callable[[], int],
     ) -> None:
-        self.name, self.life, self.serial = name, life, 0
-        self.dirty: dict[str, None] = {}
-        self.gone: dict[str, None] = {}
-        self.jobs: dict[str, int] = {}  # bytes by uid
-        self.size = 0
-        self.out: PendingRequest | None = None
-        self.due_us: int | None = None  # when the next mail may go
-        self.rest_us = -1  # not chosen before
-        self._number = number
-        self._bounds = bounds
-        self._backoff = Backoff(seed, bounds.first_us, bounds.most_us)
-
-    def want(self, now_us: int, uid: str, gone: bool = False) -> None:
-        """Something is to be said of a Job."""
-        self.dirty.pop(uid, None)
-        self.gone.pop(uid, None)
-        (self.gone if gone else self.dirty)[uid] = None
-        if self.due_us is None:
-            self.due_us = now_us + self._bounds.wait_us
-
-    def charge(self, uid: str, size: int) -> None:
-        """It keeps a Job."""
-        self.size += size - self.jobs.get(uid, 0)
-        self.jobs[uid] = size
-
-    def free(self, uid: str) -> None:
-        """It no longer does."""
-        self.size -= self.jobs.pop(uid, 0)
-
-    def room(self, size: int) -> bool:
-        """Whether one more may be kept there."""
-        return len(self.jobs) < self._bounds.records and self.size + size <= self._bounds.bytes
-
-    def reset(self) -> None:
-        """Forget what is not answered; its answer counts no more."""
-        self.out = None
+        self.name = name
+        self.life = life
+        self.serial = 0
+        self.pending_updates: dict[str, None] = {}
+        self.pending_removals: dict[str, None] = {}
+        self.record_sizes: dict[str, int] = {}
+        self.total_bytes = 0
+        self.pending: PendingRequest | None = None
+        self.next_request_us: int | None = None
+        self.excluded_until_us = -1
+        self._next_number = next_number
+        self._limits = limits
+        self._backoff = Backoff(random_source, limits.min_retry_us, limits.max_retry_us)
+
+    def enqueue_update(self, now_us: int, uid: str) -> None:
+        """Send a Job's record with the next request; the record is read when that leaves."""
+        self.pending_updates.pop(uid, None)
+        self.pending_removals.pop(uid, None)
+        self.pending_updates[uid] = None
+        self._schedule_request(now_us)
+
+    def enqueue_removal(self, now_us: int, uid: str) -> None:
+        """Have the replica remove a Job's record with the next request."""
+        self.pending_updates.pop(uid, None)
+        self.pending_removals.pop(uid, None)
+        self.pending_removals[uid] = None
+        self._schedule_request(now_us)
+
+    def _schedule_request(self, now_us: int) -> None:
+        if self.next_request_us is None:
+            self.next_request_us = now_us + self._limits.batch_window_us
+
+    def assign(self, uid: str, size_bytes: int) -> None:
+        """Count a Job's record against this replica's capacity."""
+        self.total_bytes += size_bytes - self.record_sizes.get(uid, 0)
+        self.record_sizes[uid] = size_bytes
+
+    def unassign(self, uid: str) -> None:
+        """Undo `assign`; nothing happens where the Job is not assigned."""
+        self.total_bytes -= self.record_sizes.pop(uid, 0)
+
+    def has_capacity(self, size_bytes: int) -> bool:
+        """Whether one more record of this size may be assigned."""
+        return (
+            len(self.record_sizes) < self._limits.max_records_per_peer
+            and self.total_bytes + size_bytes <= self._limits.max_bytes_per_peer
+        )
+
+    def cancel_pending(self) -> None:
+        """Forget the pending request: a later response to it is ignored."""
+        self.pending = None
         self._backoff.clear()
 
-    def mail(
+    def due_request(
+        self, now_us: int, session: Session, read_record: ReadRecord
+    ) -> ReplicateRequest | None:
+        """The next request, or the pending one once more, where that is due."""
+        pending = self.pending
+        if pending is not None:
+            return self._retry(now_us, pending) if pending.retry_us <= now_us else None
+        if self.next_request_us is None or self.next_request_us > now_us:
+            return None
+        self.next_request_us = None
+        if not self.pending_updates and not self.pending_removals:
+            return None
+        return self._next_request(now_us, session, self._collect_updates(now_us, read_record))
+
+    def _next_request(
         self, now_us: int, session: Session, records: list[LeasedJobRecord]
     ) -> ReplicateRequest:
-        """The next mail: these records, and as many of `gone` as fit."""
-        gone = tuple(self.gone)[: self._bounds.mail_records]
-        for uid in gone:
-            del self.gone[uid]
-        keep = ReplicateRequest(
-            self._number(), session, tuple(records), gone, self.life, self.serial
+        """A new pending request: these records, and as many removals as fit."""
+        removals = tuple(self.pending_removals)[: self._limits.max_request_records]
+        for uid in removals:
+            del self.pending_removals[uid]
+        request = ReplicateRequest(
+            self._next_number(), session, tuple(records), removals, self.life, self.serial
         )
         self._backoff.clear()
-        self.out = PendingRequest(keep, now_us, now_us + self._backoff.next_us())
-        return keep
-
-    def again(self, now_us: int) -> ReplicateRequest:
-        """The same mail, with the ages of now."""
-        assert self.out is not None
-        later = now_us - self.out.said_us
-        self.out.again_us = now_us + self._backoff.next_us()
-        keep = self.out.keep
-        return replace(keep, records=tuple(aged(each, later) for each in keep.records))
-
-    def take(self, make: Callable[[str], LeasedJobRecord]) -> list[LeasedJobRecord]:
-        """Records of `dirty` that go with the next mail."""
-        out: list[LeasedJobRecord] = []
-        size = 0
-        for uid in self.dirty:
-            record = make(uid)
-            size += size_of(record)
-            if out and (len(out) >= self._bounds.mail_records or size > self._bounds.mail_bytes):
+        self.pending = PendingRequest(request, now_us, now_us + self._backoff.next_us())
+        return request
+
+    def _retry(self, now_us: int, pending: PendingRequest) -> ReplicateRequest:
+        """The pending request with the ages of now."""
+        elapsed_us = now_us - pending.sent_us
+        pending.retry_us = now_us + self._backoff.next_us()
+        request = pending.request
+        records = tuple(with_ages_advanced(each, elapsed_us) for each in request.records)
+        return replace(request, records=records)
+
+    def _collect_updates(self, now_us: int, read_record: ReadRecord) -> list[LeasedJobRecord]:
+        """Take records off `pending_updates` for the next request: at least one, then as many as its limits allow."""
+        records: list[LeasedJobRecord] = []
+        size_bytes = 0
+        for uid in self.pending_updates:
+            record = read_record(now_us, uid)
+            size_bytes += record_size_bytes(record)
+            if records and (
+                len(records) >= self._limits.max_request_records
+                or size_bytes > self._limits.max_request_bytes
+            ):
                 break
-            out.append(record)
-        for record in out:
-            del self.dirty[record.uid]
-        return out
+            records.append(record)
+        for record in records:
+            del self.pending_updates[record.uid]
+        return records
 
     def clear(self) -> None:
-        """Nothing is kept there any more, and nothing to be said."""
-        self.reset()
-        self.dirty.clear()
-        self.gone.clear()
-        self.jobs.clear()
-        self.size, self.due_us = 0, None
-
-    def next_us(self, now_us: int, slow_us: int) -> list[int]:
-        """When it wants to be called."""
-        if self.out is not None:
-            slow = self.out.said_us + slow_us
-            return (
-                [self.out.again_us, slow] if self.rest_us <= now_us < slow else [self.out.again_us]
-            )
-        return [self.due_us] if self.due_us is not None and (self.dirty or self.gone) else []
+        """Forget all records, queues and the pending request."""
+        self.cancel_pending()
+        self.pending_updates.clear()
+        self.pending_removals.clear()
+        self.record_sizes.clear()
+        self.total_bytes = 0
+        self.next_request_us = None
+
+    def deadlines(self, now_us: int, response_timeout_us: int) -> list[int]:
+        """When the primary must look at this link again; empty where nothing is to be done."""
+        if self.pending is not None:
+            timeout_us = self.pending.sent_us + response_timeout_us
+            if self.excluded_until_us <= now_us < timeout_us:
+                return [self.pending.retry_us, timeout_us]
+            return [self.pending.retry_us]
+        if self.next_request_us is not None and (self.pending_updates or self.pending_removals):
+            return [self.next_request_us]
+        return []
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -1,4 +1,4 @@
-"""Which placers keep for this one: who is there, who was dropped as silent or full, and whose records are to move."""
+"""A primary's replicas: which placers are available, which are excluded as silent or full, what is reassigned."""
 
 from __future__ import annotations
 
@@ -6,116 +6,142 @@
 from collections.abc import Callable, Collection, Mapping
 from itertools import islice
 
-from wingbarrow.decide.replication.records import ReplicationLimits, choose
+from wingbarrow.decide.replication.records import (
+    ReplicationLimits,
+    ReplicationTerms,
+    choose_replicas,
+)
 from wingbarrow.decide.replication.replica_link import ReplicaLink
 
-LACKING_US = 1_000_000  # between two searches for keepers that are not there
+SEARCH_INTERVAL_US = 1_000_000  # between searches for a replica where none was available
 
 
 class ReplicaSet:
-    """Lines by name. Moves are pairs of a Job's uid and the keeper that is to be replaced ("": it has none)."""
-
-    def __init__(self, me: str, region: str, seed: int, bounds: ReplicationLimits) -> None:
-        self.me, self.region, self.bounds = me, region, bounds
-        self.lines: dict[str, ReplicaLink] = {}
-        self.where: dict[str, str] = {}  # region of each that is alive
-        self.move_us: int | None = None
-        self._alive: dict[str, tuple[str, ...]] = {}  # by region
+    """The links by name, and the queues of reassignments.
+
+    A reassignment is a pair of a Job's uid and the replica to be replaced ("" where the Job has none yet).
+    """
+
+    def __init__(self, me: str, region: str, seed: int, limits: ReplicationLimits) -> None:
+        self.me = me
+        self.region = region
+        self.limits = limits
+        self.links: dict[str, ReplicaLink] = {}
+        self.regions: dict[str, str] = {}  # of each placer that is alive
+        self.reassign_us: int | None = None  # when the next batch is due
+        self._placers_by_region: dict[str, tuple[str, ...]] = {}
         self._random = random.Random(seed)
-        self._number = 0
-        self._urgent: dict[tuple[str, str], None] = {}  # somebody waits for these
-        self._moves: dict[tuple[str, str], None] = {}
-        self._lacking: dict[tuple[str, str], None] = {}  # there was no other
-
-    def _next(self) -> int:
-        """Danger: a line that is made anew must not number its mails from the start, or they pass for old."""
-        self._number += 1
-        return self._number
-
-    def line(self, name: str) -> ReplicaLink:
-        """The line to a placer, whoever it is."""
-        if name not in self.lines:
-            self.lines[name] = ReplicaLink(name, 0, self._random, self.bounds, self._next)
-        return self.lines[name]
-
-    def members(self, alive: Mapping[str, tuple[str, int]]) -> list[ReplicaLink]:
-        """Who is alive, with region and life; lines of those that are not."""
-        by_region: dict[str, list[str]] = {}
+        self._last_number = 0
+        self._urgent: dict[tuple[str, str], None] = {}  # an acknowledgement is awaited
+        self._scheduled: dict[tuple[str, str], None] = {}
+        self._deferred: dict[tuple[str, str], None] = {}  # no other replica was available
+
+    def _next_number(self) -> int:
+        """Danger: a link made anew must not number its requests from the start, or they are taken for old ones."""
+        self._last_number += 1
+        return self._last_number
+
+    def link(self, name: str) -> ReplicaLink:
+        """The link to a placer, made where there is none."""
+        if name not in self.links:
+            self.links[name] = self._new_link(name, 0)
+        return self.links[name]
+
+    def _new_link(self, name: str, life: int) -> ReplicaLink:
+        return ReplicaLink(name, life, self._random, self.limits, self._next_number)
+
+    def on_membership(self, alive: Mapping[str, tuple[str, int]]) -> list[ReplicaLink]:
+        """Take the region and life of each placer that is alive; return the links to placers that are not."""
+        names_by_region: dict[str, list[str]] = {}
         for name in sorted(alive.keys() - {self.me}):
-            by_region.setdefault(alive[name][0], []).append(name)
-        self._alive = {region: tuple(names) for region, names in by_region.items()}
-        self.where = {name: region for name, (region, _) in alive.items()}
-        for name, line in list(self.lines.items()):
-            if name not in alive and not (line.jobs or line.dirty or line.gone or line.out):
-                del self.lines[name]
-        for name in sorted(alive.keys() - self.lines.keys() - {self.me}):
-            self.lines[name] = ReplicaLink(
-                name, alive[name][1], self._random, self.bounds, self._next
-            )
-        return [line for name, line in self.lines.items() if name not in alive]
+            names_by_region.setdefault(alive[name][0], []).append(name)
+        self._placers_by_region = {
+            region: tuple(names) for region, names in names_by_region.items()
+        }
+        self.regions = {name: region for name, (region, _) in alive.items()}
+        for name, link in list(self.links.items()):
+            if name not in alive and not (
+                link.record_sizes or link.pending_updates or link.pending_removals or link.pending
+            ):
+                del self.links[name]
+        for name in sorted(alive.keys() - self.links.keys() - {self.me}):
+            self.links[name] = self._new_link(name, alive[name][1])
+        return [link for name, link in self.links.items() if name not in alive]
 
     def choose(
         self,
         now_us: int,
         uid: str,
-        allowed: Collection[str],
-        copies: int,
-        size: int,
-        without: Collection[str] = (),
+        terms: ReplicationTerms,
+        size_bytes: int,
+        excluded: Collection[str] = (),
     ) -> tuple[str, ...]:
-        """Keepers with room; one that was slow, and answers now, where there is no other."""
-        full = {name for name, line in self.lines.items() if not line.room(size)}
-        slow = {name for name, line in self.lines.items() if line.rest_us > now_us}
-        silent = {name for name in slow if self.lines[name].out is not None}
-        return choose(
-            uid, self.region, allowed, self._alive, copies, {*full, *slow, *without}
-        ) or choose(uid, self.region, allowed, self._alive, copies, {*full, *silent, *without})
-
-    # -- replacing
-
-    def leave(self, now_us: int, line: ReplicaLink, urgent: Callable[[str], bool]) -> None:
-        """Drop a keeper: those of its Jobs that somebody waits for are moved first."""
-        line.rest_us = now_us + self.bounds.rest_us
-        for uid in line.jobs:
-            self.move(now_us, uid, line.name, urgent(uid))
-
-    def move(self, now_us: int, uid: str, name: str, urgent: bool = False) -> None:
-        """One is to be replaced."""
-        (self._urgent if urgent else self._moves)[uid, name] = None
-        if self.move_us is None:
-            self.move_us = now_us
-
-    def lack(self, now_us: int, uid: str, name: str) -> None:
-        """There is no other now: it is looked for again."""
-        self._lacking[uid, name] = None
-        if self.move_us is None:
-            self.move_us = now_us + LACKING_US
-
-    def moves(self, now_us: int) -> list[tuple[str, str]]:
-        """What is to be moved now: so many at a time."""
-        if self.move_us is None or self.move_us > now_us:
+        """Replicas with capacity for a Job's record.
+
+        Excluded placers that answer again are chosen only where there is no other.
+        """
+        full = {name for name, link in self.links.items() if not link.has_capacity(size_bytes)}
+        slow = {name for name, link in self.links.items() if link.excluded_until_us > now_us}
+        silent = {name for name in slow if self.links[name].pending is not None}
+        return choose_replicas(
+            uid, self.region, terms, self._placers_by_region, {*full, *slow, *excluded}
+        ) or choose_replicas(
+            uid, self.region, terms, self._placers_by_region, {*full, *silent, *excluded}
+        )
+
+    # -- reassignment
+
+    def exclude(self, now_us: int, link: ReplicaLink, is_urgent: Callable[[str], bool]) -> None:
+        """Choose a replica for no new Job, and schedule the reassignment of its Jobs, urgent ones first."""
+        link.excluded_until_us = now_us + self.limits.exclusion_us
+        for uid in link.record_sizes:
+            self.schedule_reassignment(now_us, uid, link.name, urgent=is_urgent(uid))
+
+    def schedule_reassignment(
+        self, now_us: int, uid: str, name: str, *, urgent: bool = False
+    ) -> None:
+        """Replace one replica of a Job with the next batch."""
+        (self._urgent if urgent else self._scheduled)[uid, name] = None
+        if self.reassign_us is None:
+            self.reassign_us = now_us
+
+    def defer_reassignment(self, now_us: int, uid: str, name: str) -> None:
+        """No replacement is available now: try again after `SEARCH_INTERVAL_US`."""
+        self._deferred[uid, name] = None
+        if self.reassign_us is None:
+            self.reassign_us = now_us + SEARCH_INTERVAL_US
+
+    def due_reassignments(self, now_us: int) -> list[tuple[str, str]]:
+        """The batch that is due, urgent ones first; empty before its time."""
+        if self.reassign_us is None or self.reassign_us > now_us:
             return []
-        if not self._urgent and not self._moves:
-            self._moves, self._lacking = self._lacking, {}
-        most = self.bounds.moves
-        some = [*islice(self._urgent, most), *islice(self._moves, most)][:most]
-        for each in some:
+        if not self._urgent and not self._scheduled:
+            self._scheduled = self._deferred
+            self._deferred = {}
+        size = self.limits.max_reassignments_per_batch
+        batch = [*islice(self._urgent, size), *islice(self._scheduled, size)][:size]
+        for each in batch:
             self._urgent.pop(each, None)
-            self._moves.pop(each, None)
-        self.move_us = now_us + self.bounds.every_us if self._urgent or self._moves else None
-        if self.move_us is None and self._lacking:
-            self.move_us = now_us + LACKING_US
-        return some
-
-    def stays(self, now_us: int, name: str, allowed: Collection[str]) -> bool:
-        """Whether a keeper need not be replaced any more."""
-        line = self.lines.get(name)
-        return line is not None and line.rest_us <= now_us and self.where.get(name) in allowed
+            self._scheduled.pop(each, None)
+        if self._urgent or self._scheduled:
+            self.reassign_us = now_us + self.limits.reassignment_interval_us
+        elif self._deferred:
+            self.reassign_us = now_us + SEARCH_INTERVAL_US
+        else:
+            self.reassign_us = None
+        return batch
+
+    def is_usable(self, now_us: int, name: str, allowed_regions: Collection[str]) -> bool:
+        """Whether a placer may be a replica: alive, in an allowed region, and not excluded."""
+        link = self.links.get(name)
+        if link is None or link.excluded_until_us > now_us:
+            return False
+        return self.regions.get(name) in allowed_regions
 
     def clear(self) -> None:
-        """Nothing is kept any more."""
-        self.move_us = None
-        for each in (self._urgent, self._moves, self._lacking):
-            each.clear()
-        for line in self.lines.values():
-            line.clear()
+        """Forget all records and reassignments."""
+        self.reassign_us = None
+        for queue in (self._urgent, self._scheduled, self._deferred):
+            queue.clear()
+        for link in self.links.values():
+            link.clear()
--- a/wingbarrow/decide/replication/replicated_job.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -1,4 +1,4 @@
-"""A Job in custody as its holder knows it, and the tokens that wait for keepers' words about it."""
+"""A replicated Job as its primary knows it, and the acknowledgements that are pending for its changes."""
 
 from __future__ import annotations
 
@@ -7,51 +7,62 @@
 from dataclasses import dataclass, field, replace
 
 from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 
+# Reasons for which a token fails, beside those with figures.
+SESSION_OVER = "session over"
+NOT_REPLICATED = "not held"
+ALREADY_REPLICATED = "held already"
+NO_REPLICA = "no keeper"
+NO_CAPACITY = "no room at any keeper"
+REMOVED = "dropped"
+TAKEN_OVER = "taken"
+MAX_NAMED_REPLICAS = 4  # in the reason of a token that has expired
+
 
 @dataclass(slots=True)
-class Token:
-    """A change that waits for its keepers; `every`: for all that may have the record."""
+class PendingAcknowledgement:
+    """A change that awaits acknowledgement: by one replica, or by every placer that may have the record."""
 
-    number: int
+    token: int
     version: int
     deadline_us: int
-    every: bool
+    requires_all: bool
 
 
 @dataclass(slots=True)
 class ReplicatedJob:
-    """One record of this holder's: `others` may have it, or an older one, and are to forget it."""
+    """One Job of this primary.
+
+    `former_replicas` may still have its record, or an older one, and are to remove it. `must_acknowledge` are those of
+    them that have to receive this primary's record first.
+    """
 
     record: LeasedJobRecord
     born_us: int
-    since_us: dict[int, int]  # of each task's phase
-    allowed: tuple[str, ...]
-    size: int
-    chosen: list[str]
-    others: set[str] = field(default_factory=set)
-    heed: set[str] = field(
-        default_factory=set
-    )  # have to hear of this holder before they may forget
-    acked: dict[str, int] = field(default_factory=dict)
-    alone: bool = False  # there is no keeper
-    contested: set[str] = field(
-        default_factory=set
-    )  # keepers that have it from another at the same epoch
-    moved: int = 0  # the version at which its keepers changed last
-    tokens: list[Token] = field(default_factory=list)
-
-    def changed(self, known: KnownTask, region: str) -> LeasedJobRecord:
-        """Its record with another word of a task; one that runs or is to run does so in that region."""
+    since_us: dict[int, int]  # by task: when its phase began
+    terms: ReplicationTerms
+    size_bytes: int
+    replicas: list[str]
+    former_replicas: set[str] = field(default_factory=set)
+    must_acknowledge: set[str] = field(default_factory=set)
+    acknowledged: dict[str, int] = field(default_factory=dict)  # by replica: the latest version
+    has_no_replica: bool = False
+    disputed_by: set[str] = field(default_factory=set)  # have it of another primary, same epoch
+    reassigned_version: int = 0  # of the last change of its replicas
+    pending: list[PendingAcknowledgement] = field(default_factory=list)
+
+    def record_with_task(self, known: KnownTask, region: str) -> LeasedJobRecord:
+        """Its record with one task replaced; `region` becomes the record's where the task is sent or placed."""
         tasks = [each for each in self.record.tasks if each.index != known.index]
-        tasks += [known] if known.phase != "none" else []
+        if known.phase != "none":
+            tasks.append(known)
+        tasks.sort(key=lambda each: each.index)
         where = region if known.phase in ("about", "placed") else self.record.region
-        return replace(
-            self.record, tasks=tuple(sorted(tasks, key=lambda each: each.index)), region=where
-        )
+        return replace(self.record, tasks=tuple(tasks), region=where)
 
-    def said(self, now_us: int) -> LeasedJobRecord:
+    def record_at(self, now_us: int) -> LeasedJobRecord:
         """Its record with the ages of now."""
         tasks = tuple(
             replace(each, age_us=now_us - self.since_us[each.index]) for each in self.record.tasks
@@ -60,68 +71,83 @@
             self.record,
             born_age_us=now_us - self.born_us,
             tasks=tasks,
-            others=tuple(sorted(self.others)),
+            others=tuple(sorted(self.former_replicas)),
         )
 
+    def has_acknowledged(self, name: str, version: int) -> bool:
+        """Whether a replica has acknowledged a version of the record, or a later one."""
+        return self.acknowledged.get(name, -1) >= version
 
-def settled(number: int, why: str = "") -> Notify:
-    """A token is good, or is not, and why."""
-    return Notify("kept", {"token": number, "good": not why, "why": why})
+    def is_acknowledged(self, pending: PendingAcknowledgement) -> bool:
+        """Whether enough replicas have acknowledged a change."""
+        answers = [
+            self.has_acknowledged(name, pending.version)
+            for name in (*self.replicas, *self.former_replicas)
+        ]
+        if pending.requires_all:
+            return all(answers)
+        return any(answers) or self.has_no_replica
 
 
-class Tokens:
-    """Numbers, and deadlines in order."""
+def token_settled(token: int, why: str = "") -> Notify:
+    """The event that settles a token: acknowledged, or failed for the reason `why`."""
+    return Notify("kept", {"token": token, "good": not why, "why": why})
 
-    def __init__(self) -> None:
-        self._number = 0
-        self._deadlines: list[tuple[int, int, str]] = []  # heap of when, token, uid
 
-    def next(self) -> int:
-        """A number that was never given."""
-        self._number += 1
-        return self._number
+class PendingAcknowledgements:
+    """Issues tokens, and settles each once: acknowledged, failed, or expired at its deadline."""
 
-    def wait(self, job: ReplicatedJob, number: int, deadline_us: int, every: bool) -> None:
-        """A token for the Job's record as it is now."""
-        job.tokens.append(Token(number, job.record.version, deadline_us, every))
-        heapq.heappush(self._deadlines, (deadline_us, number, job.record.uid))
+    def __init__(self) -> None:
+        self._last_token = 0
+        self._deadlines: list[tuple[int, int, str]] = []  # heap of deadline, token, uid
+
+    def next_token(self) -> int:
+        """A token that was never issued."""
+        self._last_token += 1
+        return self._last_token
+
+    def add(self, job: ReplicatedJob, token: int, deadline_us: int, requires_all: bool) -> None:
+        """Await the acknowledgement of the Job's record as it is now."""
+        job.pending.append(
+            PendingAcknowledgement(token, job.record.version, deadline_us, requires_all)
+        )
+        heapq.heappush(self._deadlines, (deadline_us, token, job.record.uid))
 
-    def met(self, job: ReplicatedJob) -> list[Effect]:
-        """Settle those for which enough have acknowledged."""
+    def settle_acknowledged(self, job: ReplicatedJob) -> list[Effect]:
+        """Settle the Job's tokens that enough replicas have acknowledged."""
         out: list[Effect] = []
-        for token in list(job.tokens):
-            has = [job.acked.get(name, -1) >= token.version for name in (*job.chosen, *job.others)]
-            if all(has) if token.every else any(has) or job.alone:
-                job.tokens.remove(token)
-                out.append(settled(token.number))
+        for pending in list(job.pending):
+            if job.is_acknowledged(pending):
+                job.pending.remove(pending)
+                out.append(token_settled(pending.token))
         return out
 
     def fail(self, job: ReplicatedJob, why: str) -> list[Effect]:
-        """None of a Job's is good."""
-        out: list[Effect] = [settled(each.number, why) for each in job.tokens]
-        job.tokens.clear()
+        """Settle all of a Job's tokens as failed."""
+        out: list[Effect] = [token_settled(each.token, why) for each in job.pending]
+        job.pending.clear()
         return out
 
-    def late(self, now_us: int, jobs: Mapping[str, ReplicatedJob]) -> list[Effect]:
-        """Settle those whose deadline has passed."""
+    def expire(self, now_us: int, jobs: Mapping[str, ReplicatedJob]) -> list[Effect]:
+        """Settle as failed the tokens whose deadline has passed, with the silent replicas as the reason."""
         out: list[Effect] = []
         while self._deadlines and self._deadlines[0][0] <= now_us:
-            _, number, uid = heapq.heappop(self._deadlines)
+            _, token, uid = heapq.heappop(self._deadlines)
             job = jobs.get(uid)
-            for token in (
-                [each for each in job.tokens if each.number == number] if job is not None else []
-            ):
-                assert job is not None
-                job.tokens.remove(token)
-                asked = (*job.chosen, *sorted(job.others))
-                silent = [name for name in asked if job.acked.get(name, -1) < token.version]
-                out.append(settled(number, f"no word in time from {', '.join(silent[:4])}"))
+            if job is None:
+                continue
+            for pending in [each for each in job.pending if each.token == token]:
+                job.pending.remove(pending)
+                asked = (*job.replicas, *sorted(job.former_replicas))
+                silent = [name for name in asked if not job.has_acknowledged(name, pending.version)]
+                named = ", ".join(silent[:MAX_NAMED_REPLICAS])
+                out.append(token_settled(token, f"no word in time from {named}"))
         return out
 
-    def due(self) -> list[int]:
-        """When the next may be late."""
-        return [self._deadlines[0][0]] if self._deadlines else []
+    def next_deadline(self) -> int | None:
+        """When the next token expires."""
+        return self._deadlines[0][0] if self._deadlines else None
 
     def clear(self) -> None:
-        """None is open any more."""
+        """Forget all deadlines."""
         self._deadlines.clear()
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -1,35 +1,38 @@
-"""One placer's part in custody, whole: holder, keeper, and successor of sessions that ended; what the core talks to.
+"""One placer's whole part in replication: primary, replica, and successor of sessions that have ended.
 
-`hold`, `about`, `placed`, `back`, `ended`, `answered` are called on `custody` itself; all else here, as it concerns
-more than one part. Tells for the core: `kept` (a token), `session-over`, `reissue`, `startable` (call `next`),
-`stop` (a Job that another holds by a later word: `fate` says whether it was started here), `ask-machine` (a machine
-of this region is to be fenced and asked, its answer sent back as `MachineSays`), `settled`, `orphans`.
+Joins `Primary` and `Replica` with the failover of other placers' sessions and the recovery of this placer's own. Calls
+of `replicate`, `record_send`, `record_placed`, `record_not_running`, `record_task_ended` and `record_answer` go to
+`primary` itself, and their effects through `process`; all else is called here, as it concerns more than one part.
+
+Events for the host, each a `Notify`: `kept` (a token is settled), `session-over`, `reissue` (a decision on tasks of a
+Job that was taken over), `startable` (call `next_starts`), `stop` (another placer is primary of a Job by a later epoch;
+`fate` says whether it was started here), `ask-machine` (a machine of this region is to be fenced and asked, its answer
+sent back as `MachineReport`), `settled` (the outcome of a Job of this placer's ended session), `orphans`.
 """
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Callable, Collection, Mapping
-from dataclasses import replace
-from typing import Any
-
-from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
-from wingbarrow.decide.replication.primary import TIMER as CUSTODY
-from wingbarrow.decide.replication.primary import Primary
-from wingbarrow.decide.replication.records import ReplicationLimits, doubted
-from wingbarrow.decide.replication.replica import UNKNOWN_HERE, Replica, Taking
-from wingbarrow.decide.sessions.failover import (
-    FailoverState,
-    SessionFailover,
-    StartOrder,
-    start_order_key,
+from dataclasses import dataclass, replace
+
+from wingbarrow.decide.effects import Effect, Notify, SetTimer
+from wingbarrow.decide.replication.orphans import ORPHAN_TIMER, OrphanedJobs
+from wingbarrow.decide.replication.primary import PRIMARY_TIMER, Primary
+from wingbarrow.decide.replication.records import (
+    ReplicationLimits,
+    ReplicationTerms,
+    with_tasks_in_doubt,
 )
+from wingbarrow.decide.replication.replica import Replica, Taking
+from wingbarrow.decide.replication.replicated_job import REMOVED, SESSION_OVER, TAKEN_OVER
+from wingbarrow.decide.replication.start_queue import STARTABLE_TIMER, StartQueue
+from wingbarrow.decide.sessions.failover import FailoverState, SessionFailover, StartOrder
 from wingbarrow.decide.sessions.failover_pace import FailoverPace
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 from wingbarrow.decide.sessions.machine_queries import NUMBERS_PER_EPOCH
 from wingbarrow.decide.sessions.messages import (
-    MAX_RESOLVE_UIDS,
     MachineQuery,
+    MachineReport,
     Message,
     ReplicateRequest,
     ReplicateResponse,
@@ -40,443 +43,428 @@
 from wingbarrow.decide.sessions.reissue import ReissueDecision
 from wingbarrow.decide.sessions.session import EndedSession, Session
 
-CLAIM_US = 10_000_000  # until a claim's token is renewed
-WATCH_US = 3_000_000  # between looks at what others are to take over
-IDLE_US = 1_000_000  # until the core is asked again that took nothing of what is ready
-LAST_US = 30_000_000  # after it, what nobody takes over is taken over by whoever keeps it
-STARTABLE, WATCH, TAKING = "startable", "watch", "taking"
+CLAIM_TIMEOUT_US = 10_000_000  # until a claim's token is renewed
+TAKEOVER_TIMER = "taking"
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicatorSettings:
+    """The limits of replication, and the pace of failover."""
+
+    limits: ReplicationLimits = ReplicationLimits()
+    pace: FailoverPace = FailoverPace()
+
+
+DEFAULT_SETTINGS = ReplicatorSettings()
+
+
+def _no_terms(record: LeasedJobRecord) -> ReplicationTerms:
+    return ReplicationTerms((), 1)
+
+
+def _any(record: LeasedJobRecord) -> bool:
+    return True
 
 
 class Replicator:
-    """One placer's. `terms`: the regions that a Job's spec allows now, and how many keepers it wants."""
+    """One placer's primary, replica and failovers. `terms_of`: what a Job's spec asks for now."""
 
     def __init__(
         self,
-        me: str,
-        life: int,
+        session: Session,
         region: str,
         seed: int,
-        bounds: ReplicationLimits = ReplicationLimits(),
-        pace: FailoverPace = FailoverPace(),
+        terms_of: Callable[[LeasedJobRecord], ReplicationTerms] = _no_terms,
+        settings: ReplicatorSettings = DEFAULT_SETTINGS,
     ) -> None:
-        self.me, self.region, self.pace = me, region, pace
-        self.custody = Primary(me, life, region, seed, bounds)
-        self.keeping = Replica(me, life, bounds)
-        self.custody.started = (
-            lambda uid: self.keeping.taken.get(uid, (0, ""))[1] == ReissueDecision.RUN.value
-        )
-        self.terms: Callable[[LeasedJobRecord], tuple[tuple[str, ...], int]] = lambda record: (
-            (),
-            1,
-        )
-        self.takeovers: dict[Session, SessionFailover] = {}
-        self.healings: dict[Session, SessionRecovery] = {}
-        self._alive: dict[str, tuple[str, int]] = {}
-        self._claims: dict[int, str] = {}  # tokens of Jobs taken over
-        self._where: dict[str, SessionFailover] = {}  # by uid
-        self._heap: list[tuple[int, int, str, str]] = []
-        self._next_us = 0  # when the core may have more
-        self._startable_us: int | None = None
-        self._watch_us: int | None = None
-        self._taking: dict[Session, EndedSession] = {}  # ends of which more is to be taken over
-        self._heard: dict[Session, int] = {}  # when an end was heard of
-        self._settles: dict[int, str] = {}
-        self._number = 0
-
-    # -- what is heard
-
-    def members(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
-        """Placers by name that are alive by membership: region and life."""
-        self._alive = dict(alive)
-        out = self._go(now_us, self.custody.members(now_us, alive))
-        for takeover in self.takeovers.values():
-            out += self._go(now_us, takeover.on_placers(now_us, self._askers(takeover)))
+        self.me = session.placer
+        self.region = region
+        self.pace = settings.pace
+        self.primary = Primary(session, region, seed, settings.limits, self._is_started)
+        self.replica = Replica(session, settings.limits)
+        self.failovers: dict[Session, SessionFailover] = {}
+        self.recoveries: dict[Session, SessionRecovery] = {}
+        self._terms_of = terms_of
+        self._members: dict[str, tuple[str, int]] = {}  # region and life by name
+        self._claims: dict[int, str] = {}  # uid by token: Jobs that are being taken over
+        self._failover_by_uid: dict[str, SessionFailover] = {}
+        self._starts = StartQueue(settings.pace, self._failover_by_uid.get)
+        self._unfinished_ends: dict[Session, EndedSession] = {}  # more is to be taken over
+        self._orphans = OrphanedJobs(self.replica, self._take_over_each)
+
+    def _is_started(self, uid: str) -> bool:
+        """Whether a Job that was taken over has been started here."""
+        _, outcome = self.replica.taken_over.get(uid, (0, ""))
+        return outcome == ReissueDecision.RUN.value
+
+    # -- membership and sessions
+
+    def on_membership(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
+        """Take the region and life, by name, of each placer that is alive."""
+        self._members = dict(alive)
+        out = self.process(now_us, self.primary.on_membership(now_us, alive))
+        for failover in self.failovers.values():
+            out += self.process(now_us, failover.on_placers(now_us, self._queriers(failover)))
         return out
 
-    def over(self, now_us: int, ended: EndedSession, runs: Collection[str] = ()) -> list[Effect]:
-        """The voters ended a session, or it has more successors; to be said in the order of epochs.
+    def on_session_ended(
+        self, now_us: int, ended: EndedSession, running: Collection[str] = ()
+    ) -> list[Effect]:
+        """The voters ended a session, or it has more successors; to be called in the order of epochs.
 
-        `runs`: where it was this placer's, the Jobs of which something still runs on its machines.
+        `running`: if it was this placer's, the uids of Jobs that still run on its machines.
         """
-        out = self._go(now_us, self.custody.buried(now_us, ended.session, ended.epoch))
+        out = self.process(
+            now_us, self.primary.on_session_ended(now_us, ended.session, ended.epoch)
+        )
         if ended.session.placer == self.me:
-            healing = self.healings.get(ended.session)
-            if (
-                healing is None
-                and self.custody.former_session == ended.session
-                and self.custody.former
-            ):
-                jobs = {
-                    uid: OwnJob(job.said(now_us), uid in runs)
-                    for uid, job in self.custody.former.items()
-                }
-                healing = self.healings[ended.session] = SessionRecovery(
-                    self.me, ended.session, jobs
-                )
-            return out + (
-                self._go(now_us, healing.on_session_ended(now_us, ended))
-                if healing is not None
-                else []
-            )
-        out += self._succeed(now_us, ended)
-        if ended.session in self.keeping.ends:
-            self._heard.setdefault(ended.session, now_us)
-        return out + self._watch(now_us)
-
-    def _succeed(self, now_us: int, ended: EndedSession) -> list[Effect]:
-        """Take over so many, and the rest in later turns."""
-        takings = self.keeping.ended(now_us, ended, self.pace.max_claims)
+            recovery = self._recovery(now_us, ended.session, running)
+            if recovery is not None:
+                out += self.process(now_us, recovery.on_session_ended(now_us, ended))
+            return out
+        out += self._take_over_batch(now_us, ended)
+        self._orphans.on_session_ended(now_us, ended.session)
+        return out + self._orphans.check(now_us, resolve=False)
+
+    def _recovery(
+        self, now_us: int, session: Session, running: Collection[str]
+    ) -> SessionRecovery | None:
+        """The recovery of one of this placer's ended sessions; begun where it had Jobs."""
+        recovery = self.recoveries.get(session)
+        former_jobs = self.primary.former_jobs
+        if recovery is None and self.primary.former_session == session and former_jobs:
+            jobs = {
+                uid: OwnJob(job.record_at(now_us), uid in running)
+                for uid, job in former_jobs.items()
+            }
+            recovery = SessionRecovery(self.me, session, jobs)
+            self.recoveries[session] = recovery
+        return recovery
+
+    def _take_over_batch(self, now_us: int, ended: EndedSession) -> list[Effect]:
+        """Take over as many Jobs of an ended session as the pace allows; the rest follow by timer."""
+        takings = self.replica.on_session_ended(now_us, ended, self.pace.max_claims)
         if len(takings) < self.pace.max_claims:
-            self._taking.pop(ended.session, None)
+            self._unfinished_ends.pop(ended.session, None)
         else:
-            self._taking[ended.session] = ended
-        out = self._take(now_us, ended.session, ended.epoch, takings)
-        return (
-            [*out, SetTimer(TAKING, now_us + self.pace.claim_interval_us)] if self._taking else out
-        )
+            self._unfinished_ends[ended.session] = ended
+        out = self._take_over(now_us, ended.session, ended.epoch, takings)
+        if self._unfinished_ends:
+            out.append(SetTimer(TAKEOVER_TIMER, now_us + self.pace.claim_interval_us))
+        return out
 
-    def begin(self, now_us: int, session: Session) -> list[Effect]:
-        """This placer's former session was ended, and it has this one: it holds nothing, and succeeds nobody."""
-        out = self._go(now_us, self.custody.begin(now_us, session))
-        self.keeping.own_end(session, self.custody.former)
-        self.takeovers.clear()
-        self._taking.clear()
-        self._where.clear()
+    def _take_over_next_batch(self, now_us: int) -> list[Effect]:
+        ended = next(iter(self._unfinished_ends.values()), None)
+        return self._take_over_batch(now_us, ended) if ended is not None else []
+
+    def begin_session(self, now_us: int, session: Session) -> list[Effect]:
+        """This placer's session was ended, and it has a new one: without Jobs, and without failovers."""
+        out = self.process(now_us, self.primary.begin_session(now_us, session))
+        self.replica.on_own_session_ended(session, self.primary.former_jobs)
+        self.failovers.clear()
+        self._unfinished_ends.clear()
+        self._failover_by_uid.clear()
         self._claims.clear()
-        self._heap.clear()
+        self._starts.clear()
         return out
 
-    def drop(self, now_us: int, uid: str) -> list[Effect]:
-        """A Job is over, deleted, or was never accepted: nobody needs to keep it."""
-        if uid in self._where:
-            self._where.pop(uid).remove(uid)
-            self.keeping.let_go(uid)
+    # -- calls of the host
+
+    def remove(self, now_us: int, uid: str) -> list[Effect]:
+        """A Job is over, deleted, or was never accepted: no replica needs its record."""
+        if uid in self._failover_by_uid:
+            self._failover_by_uid.pop(uid).remove(uid)
+            self.replica.release(uid)
             self._prune()
-        return self._go(now_us, self.custody.drop(now_us, uid))
+        return self.process(now_us, self.primary.remove(now_us, uid))
 
-    def operator(self, now_us: int, uid: str) -> list[Effect]:
-        """An operator answers for it that an unknown Job never ran."""
+    def confirm_never_ran(self, now_us: int, uid: str) -> list[Effect]:
+        """An operator confirms that a Job with the decision `unknown` never ran."""
+        failover = self._failover_by_uid.get(uid)
         return (
-            self._go(now_us, self._where[uid].on_operator_confirmation(now_us, uid))
-            if uid in self._where
+            self.process(now_us, failover.on_operator_confirmation(now_us, uid))
+            if failover is not None
             else []
         )
 
-    def record(self, uid: str) -> LeasedJobRecord | None:
-        """What is known here of a Job that is being taken over."""
-        return self._where[uid].cases[uid].record if uid in self._where else None
+    def failover_record(self, uid: str) -> LeasedJobRecord | None:
+        """The record of a Job that is being taken over."""
+        failover = self._failover_by_uid.get(uid)
+        return failover.cases[uid].record if failover is not None else None
 
-    def fate(self, uid: str) -> str:
-        """Of a Job that is being taken over; "" of any other."""
-        return self._where[uid].cases[uid].state.value if uid in self._where else ""
+    def failover_outcome(self, uid: str) -> str:
+        """The outcome of a Job that is being taken over; "" of any other."""
+        failover = self._failover_by_uid.get(uid)
+        return failover.cases[uid].state.value if failover is not None else ""
 
-    def unknown(self) -> list[LeasedJobRecord]:
-        """Jobs that are kept as unknown, for the operator's list; those of a session of before, too, until settled."""
-        healing = [
+    def unknown_jobs(self) -> list[LeasedJobRecord]:
+        """Jobs of which nobody can prove that they did not run, and unsafe ones of sessions in recovery."""
+        recovering = [
             own.record
-            for each in self.healings.values()
-            for own in each.jobs.values()
+            for recovery in self.recoveries.values()
+            for own in recovery.jobs.values()
             if own.record.effect != "safe"
         ]
-        return healing + [
+        return recovering + [
             case.record
-            for takeover in self.takeovers.values()
-            for case in takeover.cases.values()
+            for failover in self.failovers.values()
+            for case in failover.cases.values()
             if case.state is FailoverState.UNKNOWN
         ]
 
+    def next_starts(
+        self,
+        now_us: int,
+        cores: float,
+        memory: float,
+        may_start: Callable[[LeasedJobRecord], bool] = _any,
+    ) -> tuple[list[StartOrder], list[Effect]]:
+        """The Jobs to be started now, in order, within this capacity (cores, GiB) and the pace of failover.
+
+        `may_start`: whether a Job's spec allows it here, now.
+        """
+        starts, effects = self._starts.take(now_us, cores, memory, may_start)
+        for start in starts:
+            self.replica.set_outcome(start.record.uid, ReissueDecision.RUN.value)
+        return starts, effects
+
+    # -- messages and time
+
     def on_message(self, now_us: int, ident: str, address: str, message: Message) -> list[Effect]:
-        """Mail came."""
-        if isinstance(message, ReplicateRequest):
-            return self._go(now_us, self.keeping.on_keep(now_us, ident, message))
-        if isinstance(message, ReplicateResponse):
-            return self._go(now_us, self.custody.on_message(now_us, ident, message))
-        if isinstance(message, ResolveRequest):
-            return self.keeping.settle(ident, message, self._held(message))
-        if isinstance(message, ResolveResponse):
-            return self._settled(now_us, ident, message)
-        if isinstance(message, MachineQuery):
-            return [
-                Notify(
-                    "ask-machine",
-                    {
-                        "to": ident,
-                        "number": message.number,
-                        "machine": message.machine,
-                        "uid": message.uid,
-                        "epoch": message.epoch,
-                    },
-                )
-            ]
-        takeover = next(
-            (
-                each
-                for each in self.takeovers.values()
-                if each.epoch == message.number // NUMBERS_PER_EPOCH
-            ),
-            None,
-        )
-        return (
-            self._go(now_us, takeover.on_machine_report(now_us, message))
-            if takeover is not None
-            else []
+        """Handle another placer's message."""
+        match message:
+            case ReplicateRequest():
+                out = self.process(now_us, self.replica.on_request(now_us, ident, message))
+            case ReplicateResponse():
+                out = self.process(now_us, self.primary.on_message(now_us, ident, message))
+            case ResolveRequest():
+                out = self.replica.on_resolve(ident, message, self._own_jobs(message))
+            case ResolveResponse():
+                out = self._on_resolve_response(now_us, ident, message)
+            case MachineQuery():
+                out = [self._machine_query(ident, message)]
+            case MachineReport():
+                out = self._on_machine_report(now_us, message)
+        return out
+
+    @staticmethod
+    def _machine_query(ident: str, query: MachineQuery) -> Notify:
+        return Notify(
+            "ask-machine",
+            {
+                "to": ident,
+                "number": query.number,
+                "machine": query.machine,
+                "uid": query.uid,
+                "epoch": query.epoch,
+            },
         )
 
+    def _on_machine_report(self, now_us: int, report: MachineReport) -> list[Effect]:
+        epoch = report.number // NUMBERS_PER_EPOCH
+        for failover in self.failovers.values():
+            if failover.epoch == epoch:
+                return self.process(now_us, failover.on_machine_report(now_us, report))
+        return []
+
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """A timer is due."""
-        if key == CUSTODY:
-            return self._go(now_us, self.custody.on_timer(now_us))
-        if key == STARTABLE:
-            self._startable_us = None
-            return [Notify("startable", {"jobs": len(self._heap)})] if self._heap else []
-        if key == TAKING:
-            return self._succeed(now_us, next(iter(self._taking.values()))) if self._taking else []
-        if key == WATCH:
-            self._watch_us = None
-            return self._watch(now_us, ask=True)
-        self.healings = {
-            session: each for session, each in self.healings.items() if not each.is_done
+        """Handle one of this placer's timers."""
+        if key == PRIMARY_TIMER:
+            return self.process(now_us, self.primary.on_timer(now_us))
+        if key == STARTABLE_TIMER:
+            return self._starts.on_timer()
+        if key == TAKEOVER_TIMER:
+            return self._take_over_next_batch(now_us)
+        if key == ORPHAN_TIMER:
+            return self._orphans.on_timer(now_us)
+        self.recoveries = {
+            session: each for session, each in self.recoveries.items() if not each.is_done
         }
         parts: list[SessionFailover | SessionRecovery] = [
-            *self.takeovers.values(),
-            *self.healings.values(),
+            *self.failovers.values(),
+            *self.recoveries.values(),
         ]
         return [
             effect
-            for each in parts
-            if each.timer == key
-            for effect in self._go(now_us, each.on_timer(now_us))
+            for part in parts
+            if part.timer == key
+            for effect in self.process(now_us, part.on_timer(now_us))
         ]
 
-    # -- what the core takes
+    # -- events between the parts
 
-    def next(
-        self,
-        now_us: int,
-        cores: float,
-        memory: float,
-        may: Callable[[LeasedJobRecord], bool] = lambda record: True,
-    ) -> tuple[list[StartOrder], list[Effect]]:
-        """What may be started now, in order, within that room; `may`: whether its spec allows it here, now."""
-        out: list[StartOrder] = []
-        left: list[tuple[int, int, str, str]] = []
-        while (
-            now_us >= self._next_us
-            and self._heap
-            and len(out) < self.pace.max_starts
-            and len(left) < 8 * self.pace.max_starts
-        ):
-            entry = heapq.heappop(self._heap)
-            takeover = self._where.get(entry[3])
-            if takeover is None or entry[3] not in takeover.ready:
-                continue
-            record = takeover.cases[entry[3]].record
-            tasks = len(takeover.cases[entry[3]].start_indexes)
-            if record.cores * tasks > cores or record.memory * tasks > memory or not may(record):
-                left.append(entry)
-                continue
-            cores, memory = cores - record.cores * tasks, memory - record.memory * tasks
-            out.append(takeover.start(record.uid))
-            self.keeping.fate(record.uid, ReissueDecision.RUN.value)
-        for entry in left:
-            heapq.heappush(self._heap, entry)
-        if out:
-            self._next_us = now_us + self.pace.start_interval_us
-        return out, self._call(now_us, 0 if out else IDLE_US)
-
-    def _call(self, now_us: int, after_us: int = 0) -> list[Effect]:
-        """Have the core come for what is ready."""
-        if not self._heap or self._startable_us is not None:
+    def process(self, now_us: int, effects: list[Effect]) -> list[Effect]:
+        """Handle the events that the parts have for each other; return the effects for the host, in order."""
+        out: list[Effect] = []
+        for effect in effects:
+            if isinstance(effect, Notify):
+                out += self._on_event(now_us, effect)
+            else:
+                out.append(effect)
+        return out
+
+    def _on_event(self, now_us: int, event: Notify) -> list[Effect]:
+        fields = event.fields
+        match event.event:
+            case "kept" if fields["token"] in self._claims:
+                uid = self._claims.pop(fields["token"])
+                return self._on_claim_settled(now_us, uid, fields["why"])
+            case "later":
+                return self._on_later_record(now_us, fields["record"])
+            case "superseded" | "taken":
+                return self._on_superseded(now_us, fields["uid"], fields["by"])
+            case "settled":
+                self.primary.former_jobs.pop(fields["uid"], None)
+                if fields["by"]:
+                    return [event]
+                return [event, *self._restart_own(now_us, fields["own"], fields["epoch"])]
+            case "reissue":
+                return self._on_reissue_decided(now_us, event)
+            case _:
+                return [event]
+
+    def _on_claim_settled(self, now_us: int, uid: str, why: str) -> list[Effect]:
+        """The replication of a Job that is being taken over was acknowledged, or failed: then it is awaited anew."""
+        failover = self._failover_by_uid.get(uid)
+        if failover is None or why in (TAKEN_OVER, REMOVED, SESSION_OVER):
             return []
-        self._startable_us = max(
-            self._next_us, now_us + max(after_us, self.pace.start_interval_us // 4)
+        if not why:
+            return self.process(now_us, failover.on_claimed(now_us, uid))
+        token, effects = self.primary.await_acknowledgement(
+            now_us,
+            uid,
+            now_us + CLAIM_TIMEOUT_US,
+            requires_all=failover.cases[uid].record.effect != "safe",
         )
-        return [SetTimer(STARTABLE, self._startable_us)]
+        if uid in self.primary.jobs:
+            self._claims[token] = uid
+        return self.process(now_us, effects)
 
-    def carry(self, now_us: int, effects: list[Effect]) -> list[Effect]:
-        """Of a call on `custody` itself: what concerns the other parts is heard there; the rest is to be done."""
-        return self._go(now_us, effects)
+    def _on_later_record(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
+        """A replica had another record of a Job that is being taken over: merge its tasks, and replicate them."""
+        uid = record.uid
+        failover = self._failover_by_uid.get(uid)
+        if failover is None:
+            return []
+        out = self.process(now_us, failover.on_replica_record(now_us, record))
+        if uid in failover.cases:
+            out += self.primary.update_tasks(now_us, uid, failover.cases[uid].record.tasks)
+        return out
+
+    def _on_superseded(self, now_us: int, uid: str, primary: str) -> list[Effect]:
+        """Another placer is primary of a Job by a later epoch, or by precedence."""
+        failover = self._failover_by_uid.pop(uid, None)
+        outcome = ReissueDecision.RUN.value
+        if failover is not None and uid in failover.cases:
+            outcome = failover.cases[uid].state.value
+            failover.remove(uid)
+            self.replica.release(uid)
+            self._prune()
+        out = self.process(now_us, self.primary.remove(now_us, uid))
+        return [*out, Notify("stop", {"uid": uid, "fate": outcome, "by": primary})]
+
+    def _on_reissue_decided(self, now_us: int, event: Notify) -> list[Effect]:
+        uid = event.fields["uid"]
+        decision = event.fields["verdict"]
+        self.replica.set_outcome(uid, decision)
+        failover = self._failover_by_uid[uid]
+        if decision != ReissueDecision.RUN.value or uid not in failover.ready:
+            return [event]
+        return [event, *self._starts.push(now_us, failover.cases[uid])]
+
+    # -- failover
 
-    # -- inside
+    def _queriers(self, failover: SessionFailover) -> list[str]:
+        """The placers that can ask the machines of a failover's Jobs."""
+        regions = {case.record.region for case in failover.cases.values()}
+        return [name for name, (region, _) in self._members.items() if region in regions]
 
-    def _askers(self, takeover: SessionFailover) -> list[str]:
-        regions = {case.record.region for case in takeover.cases.values()}
-        return [name for name, (region, _) in self._alive.items() if region in regions]
+    def _possible_replicas(self, taking: Taking) -> tuple[str, ...]:
+        """Who has to acknowledge that a Job is taken over.
 
-    def _must(self, taking: Taking) -> tuple[str, ...]:
-        """Danger: one that is dead by the voters never answers; one that is there, or stands in a batch, has to."""
-        end = self.keeping.ends.get(taking.record.session)
-        named = {name for batch in end.batches for name in batch} if end is not None else set()
+        Danger: a placer whose session has ended for good never answers; one that is alive, or a successor, has to.
+        """
+        ended = self.replica.session_ends.get(taking.record.session)
+        successors = (
+            {name for batch in ended.batches for name in batch} if ended is not None else set()
+        )
         return tuple(
             name
             for name in taking.must
-            if name in self._alive or name in named or name not in self.keeping.latest
+            if name in self._members or name in successors or name not in self.replica.last_ended
         )
 
-    def _take(
+    def _take_over(
         self, now_us: int, session: Session, epoch: int, takings: list[Taking]
     ) -> list[Effect]:
+        """Begin the failover of these Jobs, and replicate them under this placer's session."""
         if not takings:
             return []
-        takeover = self.takeovers.get(session)
-        if takeover is None:
-            takeover = self.takeovers[session] = SessionFailover(session, epoch)
-        self._where |= {taking.record.uid: takeover for taking in takings}
-        out = self._go(now_us, takeover.add(now_us, takings))
-        out += self._go(now_us, takeover.on_placers(now_us, self._askers(takeover)))
+        failover = self.failovers.get(session)
+        if failover is None:
+            failover = SessionFailover(session, epoch)
+            self.failovers[session] = failover
+        self._failover_by_uid |= {taking.record.uid: failover for taking in takings}
+        out = self.process(now_us, failover.add(now_us, takings))
+        out += self.process(now_us, failover.on_placers(now_us, self._queriers(failover)))
         for taking in takings:
             record = taking.record
-            allowed, copies = self.terms(record)
-            record = replace(record, epoch=taking.epoch, version=record.version + 1)
-            must = self._must(taking)
-            token, effects = self.custody.hold(
-                now_us, record, allowed, copies, now_us + CLAIM_US, must, alone=True
+            terms = self._terms_of(record)
+            token, effects = self.primary.replicate_taken_over(
+                now_us,
+                replace(record, epoch=taking.epoch, version=record.version + 1),
+                terms,
+                now_us + CLAIM_TIMEOUT_US,
+                self._possible_replicas(taking),
             )
             self._claims[token] = record.uid
-            out += self._go(now_us, effects)
+            out += self.process(now_us, effects)
         return out
 
-    def _go(self, now_us: int, effects: list[Effect]) -> list[Effect]:
-        """What the parts tell each other is heard here; the rest goes out, in order."""
-        out: list[Effect] = []
-        for effect in effects:
-            if not isinstance(effect, Notify):
-                out.append(effect)
-                continue
-            said = effect.fields
-            uid = said.get("uid", "")
-            if effect.event == "kept" and said["token"] in self._claims:
-                out += self._claim(now_us, self._claims.pop(said["token"]), said)
-            elif effect.event == "later":
-                record: LeasedJobRecord = said["record"]
-                if record.uid in self._where:
-                    takeover = self._where[record.uid]
-                    out += self._go(now_us, takeover.on_replica_record(now_us, record))
-                    if record.uid in takeover.cases:
-                        tasks = takeover.cases[record.uid].record.tasks
-                        out += self.custody.learn(now_us, record.uid, tasks)
-            elif effect.event in ("superseded", "taken"):
-                out += self._lost(now_us, uid, said)
-            elif effect.event == "settled":
-                self.custody.former.pop(uid, None)
-                out += [
-                    effect,
-                    *(self._again(now_us, said["own"], said["epoch"]) if not said["by"] else []),
-                ]
-            elif effect.event == "reissue":
-                self.keeping.fate(uid, said["verdict"])
-                out.append(effect)
-                takeover = self._where[uid]
-                if said["verdict"] == ReissueDecision.RUN.value and uid in takeover.ready:
-                    heapq.heappush(self._heap, (*start_order_key(takeover.cases[uid]), uid))
-                    out += self._call(now_us)
-            else:
-                out.append(effect)
-        return out
-
-    def _claim(self, now_us: int, uid: str, said: Mapping[str, Any]) -> list[Effect]:
-        takeover = self._where.get(uid)
-        if takeover is None or said["why"] in ("taken", "dropped", "session over"):
-            return []
-        if said["good"]:
-            return self._go(now_us, takeover.on_claimed(now_us, uid))
-        every = takeover.cases[uid].record.effect != "safe"
-        token, effects = self.custody.again(now_us, uid, now_us + CLAIM_US, every)
-        if uid in self.custody.jobs:
-            self._claims[token] = uid
-        return self._go(now_us, effects)
-
-    def _lost(self, now_us: int, uid: str, said: Mapping[str, Any]) -> list[Effect]:
-        """Another holds a Job by a later word."""
-        takeover = self._where.pop(uid, None)
-        fate = "run"
-        if takeover is not None and uid in takeover.cases:
-            fate = takeover.cases[uid].state.value
-            takeover.remove(uid)
-            self.keeping.let_go(uid)
-            self._prune()
-        out = self._go(now_us, self.custody.drop(now_us, uid))
-        return [*out, Notify("stop", {"uid": uid, "fate": fate, "by": said["by"]})]
-
     def _prune(self) -> None:
-        self.takeovers = {session: each for session, each in self.takeovers.items() if each.cases}
-        self._heard = {
-            session: at for session, at in self._heard.items() if session in self.keeping.ends
-        }
-
-    def _again(self, now_us: int, own: OwnJob, epoch: int) -> list[Effect]:
-        """Nobody knows a Job of this placer's former session: it succeeds itself."""
-        if own.record.uid in self.custody.jobs:
+        """Forget failovers without Jobs, and ends of sessions without entries."""
+        self.failovers = {session: each for session, each in self.failovers.items() if each.cases}
+        self._orphans.prune()
+
+    def _restart_own(self, now_us: int, own: OwnJob, epoch: int) -> list[Effect]:
+        """No successor knows a Job of this placer's ended session: this placer takes it over itself."""
+        record = own.record
+        if record.uid in self.primary.jobs:
             return []
-        must = {*own.record.keepers, *own.record.others} - {self.me}
-        taking = Taking(doubted(own.record), epoch, tuple(sorted(must)))
-        self.keeping.taken[own.record.uid] = epoch, ReissueDecision.WAIT.value
-        return self._take(now_us, own.record.session, taking.epoch, [taking])
+        others = {*record.keepers, *record.others} - {self.me}
+        taking = Taking(with_tasks_in_doubt(record), epoch, tuple(sorted(others)))
+        self.replica.taken_over[record.uid] = epoch, ReissueDecision.WAIT.value
+        return self._take_over(now_us, record.session, epoch, [taking])
 
-    def _watch(self, now_us: int, ask: bool = False) -> list[Effect]:
-        """Jobs kept here that others are to take over: whether they do."""
-        out: list[Effect] = []
-        others = self.keeping.others()
-        for name, uids in sorted(others.items()) if ask else ():
-            by_session: dict[Session, list[str]] = {}
-            for uid in uids:
-                by_session.setdefault(self.keeping.entries[uid].record.session, []).append(uid)
-            for session, some in by_session.items():
-                if name:
-                    self._number += 1
-                    self._settles[self._number] = name
-                    out.append(
-                        Send(
-                            name,
-                            "",
-                            ResolveRequest(self._number, session, tuple(some[:MAX_RESOLVE_UIDS])),
-                        )
-                    )
-                elif now_us >= self._heard.get(session, now_us) + LAST_US:
-                    out.append(Notify("orphans", {"session": session.text(), "jobs": len(some)}))
-                    out += self._take_each(now_us, some)
-        while len(self._settles) > 1024:
-            del self._settles[next(iter(self._settles))]
-        if others and self._watch_us is None:
-            self._watch_us = now_us + WATCH_US
-            out.append(SetTimer(WATCH, self._watch_us))
-        return out
-
-    def _take_each(self, now_us: int, uids: list[str]) -> list[Effect]:
+    def _take_over_each(self, now_us: int, uids: list[str]) -> list[Effect]:
         out: list[Effect] = []
         for uid in uids:
-            taking = self.keeping.take(now_us, uid)
+            taking = self.replica.take_over(now_us, uid)
             if taking is not None:
-                out += self._take(now_us, taking.record.session, taking.epoch, [taking])
+                out += self._take_over(now_us, taking.record.session, taking.epoch, [taking])
         return out
 
-    def _held(self, ask: ResolveRequest) -> dict[str, tuple[int, str]]:
-        """Of these Jobs, those that this placer holds, or held under a session that is being healed."""
+    def _own_jobs(self, request: ResolveRequest) -> dict[str, tuple[int, str]]:
+        """Of the requested Jobs, those of which this placer is primary, or was in a session in recovery."""
         out = {}
-        for uid in ask.uids:
-            job = self.custody.jobs.get(uid)
-            if job is not None and ask.session != self.custody.session:
+        for uid in request.uids:
+            job = self.primary.jobs.get(uid)
+            if job is not None and request.session != self.primary.session:
                 out[uid] = job.record.epoch, ReissueDecision.RUN.value
-            for healing in self.healings.values():
-                own = healing.jobs.get(uid)
-                if own is not None and healing.session != ask.session:
+            for recovery in self.recoveries.values():
+                own = recovery.jobs.get(uid)
+                if own is not None and recovery.session != request.session:
                     out[uid] = own.record.epoch, ReissueDecision.WAIT.value
         return out
 
-    def _settled(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
-        healing = self.healings.get(message.session)
-        if healing is not None:
-            out = self._go(now_us, healing.on_resolve_response(now_us, ident, message))
-            if healing.is_done:
-                del self.healings[message.session]
+    def _on_resolve_response(
+        self, now_us: int, ident: str, message: ResolveResponse
+    ) -> list[Effect]:
+        """A successor told the outcomes of Jobs: of this placer's own ended session, or of those it is a replica of."""
+        recovery = self.recoveries.get(message.session)
+        if recovery is not None:
+            out = self.process(now_us, recovery.on_resolve_response(now_us, ident, message))
+            if recovery.is_done:
+                del self.recoveries[message.session]
             return out
-        if self._settles.pop(message.number, "") != ident:
-            return []
-        out = []
-        for uid, epoch, fate in message.fates:
-            entry = self.keeping.entries.get(uid)
-            if entry is not None and fate != UNKNOWN_HERE and epoch > entry.record.epoch:
-                self.keeping.known_elsewhere(uid)
-            elif entry is not None and fate == UNKNOWN_HERE and not entry.doubt:
-                out += self._take_each(now_us, [uid])
-        return out
+        return self._orphans.on_response(now_us, ident, message)
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -23,8 +23,8 @@
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
         """Answer one request; ApiError for what is refused."""
-        successor = self._placer.successor
-        if successor is None:
+        failover = self._placer.failover
+        if failover is None:
             raise ApiError(
                 404, "no leases are held here: `agree` and a region in its settings", "NotFound"
             )
@@ -34,7 +34,7 @@
             return Answer(
                 200,
                 names.encode(
-                    {"kind": "UnknownList", "apiVersion": API, "items": successor.unknown()}
+                    {"kind": "UnknownList", "apiVersion": API, "items": failover.unknown()}
                 ),
             )
         if request.method != "POST" or len(parts) != 2:
@@ -45,7 +45,7 @@
             raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
         if not isinstance(ran, bool):
             raise ApiError(422, 'a word is wanted: {"ran": true} or {"ran": false}', "Invalid")
-        successor.release("/".join(parts), ran)
+        failover.release("/".join(parts), ran)
         return Answer(
             200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
         )
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -1,17 +1,19 @@
-"""Replication of job records: this placer as holder of leased Jobs, keeper of other regions' records, and successor.
+"""Replication of job records: this placer as primary, as replica of other regions' records, and as successor.
 
-What is decided stands in `decide.replication.replicator`; this carries it out: letters by the host of what placers say
-to each other, tokens as waits that end by themselves, who lives by membership, ends by the voters' log.
+`decide.replication.replicator` decides; this performs its effects: messages and timers by the peers' host, tokens as
+waits of bounded time, membership and ends of sessions as they come from the peers, and events to a listener.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection, Iterable, Mapping
-from typing import Any
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.decide.effects import Effect, Notify, Send
-from wingbarrow.decide.replication.replicator import Replicator
+from wingbarrow.decide.replication.records import ReplicationTerms
+from wingbarrow.decide.replication.replicator import Replicator, ReplicatorSettings
 from wingbarrow.decide.sessions.failover import StartOrder
 from wingbarrow.decide.sessions.failover_pace import FailoverPace
 from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
@@ -24,12 +26,12 @@
     ResolveResponse,
 )
 from wingbarrow.decide.sessions.recovery import OwnJob
-from wingbarrow.decide.sessions.session import EndedSession, Session
+from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub, Signal
 
 NAME = "custody"
-KINDS = (
+MESSAGE_TYPES = (
     ReplicateRequest,
     ReplicateResponse,
     ResolveRequest,
@@ -37,183 +39,301 @@
     MachineQuery,
     MachineReport,
 )
-LOOK_US = 200_000  # between two looks at who lives
-PACE = FailoverPace(
-    8, 25_000, 16, 5_000
-)  # what is done in one go holds up all else: a start 0.6 ms, a take-over 0.4 ms
-OVERDUE_US = 2_000_000  # after its deadline a token counts as not good, whatever holds its word up
-Then = Callable[[str], None]
-Fields = Mapping[str, Any]
+MEMBERS_INTERVAL_US = 200_000  # between reads of the membership
+# A batch occupies the hub until it is done: 0.6 ms for a start, 0.4 ms for a Job that is taken over.
+FAILOVER_PACE = FailoverPace(8, 25_000, 16, 5_000)
+WAIT_GRACE_US = 2_000_000  # after its deadline, until a wait ends without its token being settled
+OnSettled = Callable[[str], None]  # receives "" for an acknowledgement, else why there is none
 
 
-class RecordReplication:
-    """A token's word is "" where a record is where it must be, else why it is not. `on` is what the core hears.
+@dataclass(frozen=True, slots=True)
+class ReissueEvent:
+    """A decision on tasks of a Job that is taken over; its `verdict` is a `ReissueDecision`'s value."""
+
+    uid: str
+    key: str  # namespace/name
+    verdict: str
+    epoch: int
+    why: str
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveredJob:
+    """The outcome of a Job of this placer's ended session; `primary` is "" where no successor knows it."""
 
-    Of `on`: `session-over`, `startable`, `stop`, `ask-machine`, `settled`, `reissue`, as
-    `decide.replication.replicator` says.
+    uid: str
+    outcome: str
+    primary: str
+    epoch: int
+    why: str
+
+
+class ReplicationListener(Protocol):
+    """What the core does with the events of replication, and what replication reads of it.
+
+    Called synchronously, within a call of `RecordReplication` or by the task of the peers' host: no method may block.
     """
 
+    def on_startable(self) -> None:
+        """Jobs that were taken over are ready: start what `next_starts` returns."""
+
+    def on_reissue(self, event: ReissueEvent) -> None:
+        """A decision was taken on tasks of a Job; those to be run come by `on_startable`."""
+
+    def on_machine_query(self, ident: str, query: MachineQuery) -> None:
+        """Fence a Job at a machine of this region, and send what it says by `send_machine_report`."""
+
+    def on_superseded(self, uid: str, primary: str) -> None:
+        """Another placer is primary of a Job by a later epoch, or by precedence."""
+
+    def on_recovered(self, job: RecoveredJob) -> None:
+        """A successor told the outcome of a Job of this placer's ended session."""
+
+    def on_session_over(self, session: Session) -> None:
+        """This placer's session has ended: its successors decide about all Jobs that were leased under it."""
+
+    def own_jobs(self, session: Session) -> Mapping[str, OwnJob]:
+        """The Jobs, by uid, that this placer had leased under a session of its own; empty for any other."""
+        ...
+
+    def terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
+        """What a Job's federation spec asks for now."""
+        ...
+
+
+class RecordReplication:
+    """Replicates records for the core, and gives its events to the listener that `connect` sets."""
+
     def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
-        self._hub, self._peering = hub, peering
-        self.custodian = Replicator(
-            settings.name, life, settings.region, settings.seed * 31 + life, pace=PACE
+        self._hub = hub
+        self._peering = peering
+        self._listener: ReplicationListener | None = None
+        self.replicator = Replicator(
+            Session(settings.name, life, 0),
+            settings.region,
+            settings.seed * 31 + life,
+            self._terms_of,
+            ReplicatorSettings(pace=FAILOVER_PACE),
         )
-        self._then: dict[int, Then] = {}
-        self._alive: dict[str, tuple[str, int]] = {}
-        self.on: dict[str, Callable[[Fields], None]] = {}
-        self.own: Callable[[Session], Mapping[str, OwnJob]] = (
-            lambda session: {}
-        )  # Jobs of a session of this placer's
-        peering.host(NAME, self, KINDS)
+        self._waiting: dict[int, OnSettled] = {}  # by token
+        self._members: dict[str, tuple[str, int]] = {}  # region and life by name
+
+    def connect(self, listener: ReplicationListener) -> None:
+        """Take part among the peers, with this listener; once, before any other call.
+
+        Apart from the constructor, as the listener itself replicates records by this object.
+        """
+        self._listener = listener
+        peering = self._peering
+        peering.host(NAME, self, MESSAGE_TYPES)
         peering.lease.report_jobs(
-            count_leased=lambda: len(self.custodian.custody.jobs),
-            held_records=self.custodian.keeping.kept,
+            count_leased=lambda: len(self.replicator.primary.jobs),
+            held_records=self.replicator.replica.summary,
         )
-        peering.on_session, peering.on_ended = self._session, self._ended
+        peering.on_session = self._on_session
+        peering.on_ended = self._on_session_ended
+
+    def _terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
+        return self._connected().terms_of(record)
+
+    def _connected(self) -> ReplicationListener:
+        if self._listener is None:
+            raise RuntimeError("replication has no listener")
+        return self._listener
 
     def run(self) -> None:
-        """Follow who lives, until cancelled."""
+        """Follow the membership, until cancelled."""
         while True:
-            self.look()
-            self._hub.sleep(LOOK_US)
+            self.refresh_members()
+            self._hub.sleep(MEMBERS_INTERVAL_US)
 
-    def look(self) -> None:
-        """Take in who lives now."""
+    def refresh_members(self) -> None:
+        """Read the membership, and act where it has changed."""
         alive = {
             each.word.ident: (each.word.region, each.word.life)
             for each in self._peering.membership.table.living()
             if each.word.region
         }
-        if alive != self._alive:
-            self._alive = alive
-            self.give(self.custodian.members(self._hub.now_us(), alive))
+        if alive != self._members:
+            self._members = alive
+            self.perform(self.replicator.on_membership(self._hub.now_us(), alive))
 
-    # -- what the core asks of its keepers
+    # -- changes by the core; `on_settled` is called once, within the call or later
 
-    def hold(
+    def replicate(
         self,
         record: LeasedJobRecord,
-        allowed: Collection[str],
-        copies: int,
+        terms: ReplicationTerms,
         deadline_us: int,
-        then: Then,
+        on_settled: OnSettled,
     ) -> None:
-        """Have a Job's record at its keepers; where it is not, `drop` it."""
-        self._ask(
-            self.custodian.custody.hold(self._hub.now_us(), record, allowed, copies, deadline_us),
-            then,
-        )
+        """Replicate a new Job's record; where that fails, the caller has to `remove` it."""
+        now = self._hub.now_us()
+        self._await(self.replicator.primary.replicate(now, record, terms, deadline_us), on_settled)
 
-    def about(self, uid: str, known: KnownTask, deadline_us: int, then: Then) -> None:
+    def record_send(
+        self, uid: str, known: KnownTask, deadline_us: int, on_settled: OnSettled
+    ) -> None:
         """An attempt is about to be sent."""
-        self._ask(self.custodian.custody.about(self._hub.now_us(), uid, known, deadline_us), then)
+        now = self._hub.now_us()
+        self._await(self.replicator.primary.record_send(now, uid, known, deadline_us), on_settled)
 
-    def placed(self, uid: str, known: KnownTask, deadline_us: int, then: Then) -> None:
-        """A task stands on a machine."""
-        self._ask(self.custodian.custody.placed(self._hub.now_us(), uid, known, deadline_us), then)
+    def record_placed(
+        self, uid: str, known: KnownTask, deadline_us: int, on_settled: OnSettled
+    ) -> None:
+        """A machine runs a task."""
+        now = self._hub.now_us()
+        self._await(self.replicator.primary.record_placed(now, uid, known, deadline_us), on_settled)
 
-    def back(self, uid: str, index: int) -> None:
+    def record_not_running(self, uid: str, index: int) -> None:
         """An attempt is proven not to run."""
         now = self._hub.now_us()
-        if uid in self.custodian.custody.jobs:
-            self._heard(self.custodian.custody.back(now, uid, index, now)[1])
+        if uid in self.replicator.primary.jobs:
+            _, effects = self.replicator.primary.record_not_running(now, uid, index, now)
+            self._perform_primary(effects)
 
-    def over(self, uid: str, index: int) -> None:
+    def record_task_ended(self, uid: str, index: int) -> None:
         """A task is over."""
         now = self._hub.now_us()
-        if uid in self.custodian.custody.jobs:
-            self._heard(self.custodian.custody.ended(now, uid, index, now)[1])
+        if uid in self.replicator.primary.jobs:
+            _, effects = self.replicator.primary.record_task_ended(now, uid, index, now)
+            self._perform_primary(effects)
 
-    def answered(self, uid: str, answer: str) -> None:
-        """What the owner was told."""
+    def record_answer(self, uid: str, answer: str) -> None:
+        """The answer that the Job's owner was given."""
         now = self._hub.now_us()
-        if uid in self.custodian.custody.jobs:
-            self._heard(self.custodian.custody.answered(now, uid, answer, now)[1])
+        if uid in self.replicator.primary.jobs:
+            _, effects = self.replicator.primary.record_answer(now, uid, answer, now)
+            self._perform_primary(effects)
 
-    def drop(self, uid: str) -> None:
-        """A Job needs no keeping any more."""
-        self.give(self.custodian.drop(self._hub.now_us(), uid))
+    def remove(self, uid: str) -> None:
+        """A Job is over, deleted, or was never accepted: no replica needs its record."""
+        self.perform(self.replicator.remove(self._hub.now_us(), uid))
 
-    def wait(self, ask: Callable[[Then], None], until_us: int) -> str:
-        """Ask for something, and wait for its word: for a bounded time, whatever goes wrong."""
-        words: list[str] = []
-        done = Signal(self._hub)
+    def wait_for(self, change: Callable[[OnSettled], None], deadline_us: int) -> str:
+        """Make a change, and wait until its token is settled: "" if acknowledged, else why not.
 
-        def then(why: str) -> None:
-            words.append(why)
-            done.notify()
+        Ends `WAIT_GRACE_US` after the deadline at the latest, whatever delays the token.
+        """
+        results: list[str] = []
+        settled = Signal(self._hub)
 
-        ask(then)
-        if not words:
-            with self._hub.limit(max(0, until_us - self._hub.now_us()) + OVERDUE_US):
-                done.wait()
-        return words[0] if words else "no word of custody itself"
+        def on_settled(why: str) -> None:
+            results.append(why)
+            settled.notify()
 
-    def _ask(self, asked: tuple[int, list[Effect]], then: Then) -> None:
-        number, effects = asked
-        self._then[number] = then
-        self._heard(effects)
+        change(on_settled)
+        if not results:
+            with self._hub.limit(max(0, deadline_us - self._hub.now_us()) + WAIT_GRACE_US):
+                settled.wait()
+        return results[0] if results else "no word of custody itself"
 
-    # -- what the core takes over, and says of machines
+    def _await(self, change: tuple[int, list[Effect]], on_settled: OnSettled) -> None:
+        token, effects = change
+        self._waiting[token] = on_settled
+        self._perform_primary(effects)
 
-    def next(
-        self, cores: float, memory: float, may: Callable[[LeasedJobRecord], bool]
+    # -- failover
+
+    def next_starts(
+        self, cores: float, memory: float, may_start: Callable[[LeasedJobRecord], bool]
     ) -> list[StartOrder]:
-        """What may be started now, in order, within that room."""
-        starts, effects = self.custodian.next(self._hub.now_us(), cores, memory, may)
-        self.give(effects)
+        """The Jobs to be started now, in order, within this capacity (cores, GiB)."""
+        now = self._hub.now_us()
+        starts, effects = self.replicator.next_starts(now, cores, memory, may_start)
+        self.perform(effects)
         return starts
 
-    def operator(self, uid: str) -> None:
-        """An operator answers for it that an unknown Job never ran."""
-        self.give(self.custodian.operator(self._hub.now_us(), uid))
+    def confirm_never_ran(self, uid: str) -> None:
+        """An operator confirms that an unknown Job never ran."""
+        self.perform(self.replicator.confirm_never_ran(self._hub.now_us(), uid))
 
-    def say(self, ident: str, message: MachineReport) -> None:
-        """What a machine told, to who asked."""
-        self.give([Send(ident, "", message)])
+    def send_machine_report(self, ident: str, report: MachineReport) -> None:
+        """Answer a placer's machine query."""
+        self.perform([Send(ident, "", report)])
 
-    # -- what the host of peers calls
+    # -- calls of the peers' host
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """A letter."""
+        """Handle another placer's message."""
         if isinstance(message, ReplicateResponse) and message.over:
-            self.own(self.custodian.custody.session)  # what it has of it is gone with that answer
-        return self._sift(self.custodian.on_message(now_us, ident, address, message))
+            # The answer ends the session: the core has to note its Jobs of it before they are gone.
+            self._connected().own_jobs(self.replicator.primary.session)
+        return self._dispatch(self.replicator.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """A timer."""
-        return self._sift(self.custodian.on_timer(now_us, key))
+        """Handle a timer."""
+        return self._dispatch(self.replicator.on_timer(now_us, key))
 
-    def give(self, effects: Iterable[Effect]) -> None:
-        """Carry out what is asked for."""
-        self._peering.act(NAME, self._sift(effects))
+    def perform(self, effects: Iterable[Effect]) -> None:
+        """Perform the effects of a call on the replicator."""
+        self._peering.act(NAME, self._dispatch(effects))
 
-    def _heard(self, effects: list[Effect]) -> None:
-        """Of a call on the holder's side alone: the other sides hear of it first."""
-        self.give(self.custodian.carry(self._hub.now_us(), effects))
+    def _perform_primary(self, effects: list[Effect]) -> None:
+        """Perform the effects of a call on the primary, once the replicator's other parts have handled its events."""
+        self.perform(self.replicator.process(self._hub.now_us(), effects))
 
-    def _sift(self, effects: Iterable[Effect]) -> list[Effect]:
-        """What is left for the host once what concerns this placer's own components is done."""
+    def _dispatch(self, effects: Iterable[Effect]) -> list[Effect]:
+        """Settle waits, and call the listener; return the effects for the peers' host."""
         out: list[Effect] = []
-        for each in effects:
-            if isinstance(each, Notify) and each.event == "kept":
-                then, why = self._then.pop(each.fields["token"], None), str(each.fields["why"])
-                if then is not None:
-                    then(why)
-                elif why:
-                    self._peering.counts["custody:" + why.partition(" from ")[0][:60]] += 1
+        for effect in effects:
+            if isinstance(effect, Notify) and effect.event == "kept":
+                self._settle(effect.fields["token"], str(effect.fields["why"]))
                 continue
-            out.append(each)
-            if isinstance(each, Notify) and each.event in self.on:
-                self.on[each.event](each.fields)
+            out.append(effect)
+            if isinstance(effect, Notify):
+                self._notify_listener(effect.event, effect.fields)
         return out
 
+    def _settle(self, token: int, why: str) -> None:
+        on_settled = self._waiting.pop(token, None)
+        if on_settled is not None:
+            on_settled(why)
+        elif why:
+            self._peering.counts["custody:" + why.partition(" from ")[0][:60]] += 1
+
+    def _notify_listener(self, event: str, fields: Mapping[str, Any]) -> None:
+        listener = self._connected()
+        match event:
+            case "startable":
+                listener.on_startable()
+            case "reissue":
+                listener.on_reissue(
+                    ReissueEvent(
+                        uid=fields["uid"],
+                        key=fields["key"],
+                        verdict=fields["verdict"],
+                        epoch=fields["epoch"],
+                        why=fields["why"],
+                    )
+                )
+            case "ask-machine":
+                query = MachineQuery(
+                    fields["number"], fields["machine"], fields["uid"], fields["epoch"]
+                )
+                listener.on_machine_query(fields["to"], query)
+            case "stop":
+                listener.on_superseded(fields["uid"], fields["by"])
+            case "settled":
+                listener.on_recovered(
+                    RecoveredJob(
+                        uid=fields["uid"],
+                        outcome=fields["fate"],
+                        primary=fields["by"],
+                        epoch=fields["epoch"],
+                        why=fields["why"],
+                    )
+                )
+            case "session-over":
+                listener.on_session_over(parse_session(fields["session"]))
+
     # -- sessions
 
-    def _session(self, session: Session, may: bool, epoch: int) -> None:
-        if may and session != self.custodian.custody.session:
-            self.give(self.custodian.begin(self._hub.now_us(), session))
+    def _on_session(self, session: Session, may_send: bool, epoch: int) -> None:
+        if may_send and session != self.replicator.primary.session:
+            self.perform(self.replicator.begin_session(self._hub.now_us(), session))
 
-    def _ended(self, ended: EndedSession) -> None:
-        runs = {uid for uid, own in self.own(ended.session).items() if own.is_running}
-        self.give(self.custodian.over(self._hub.now_us(), ended, runs))
+    def _on_session_ended(self, ended: EndedSession) -> None:
+        own_jobs = self._connected().own_jobs(ended.session)
+        running = {uid for uid, own in own_jobs.items() if own.is_running}
+        self.perform(self.replicator.on_session_ended(self._hub.now_us(), ended, running))
