--- a/tests/decide/replication/arrangement.py
+++ b/tests/decide/replication/arrangement.py
@@ -15,44 +15,52 @@
 S = 1_000_000
 ALLOWED = ("north", "south", "west")
 TERMS = ReplicationTerms(ALLOWED, 1)
-WHERE = {"b": "south", "c": "west", "d": "south", "e": "west"}
-ME = Session("a", 1, 0)
+REGIONS = {"b": "south", "c": "west", "d": "south", "e": "west"}
+SESSION = Session("a", 1, 0)
 
 
-def record(
-    uid: str, effect: str = "safe", version: int = 1, manifest: str = "{}", session: Session = ME
+def new_record(
+    uid: str,
+    effect: str = "safe",
+    version: int = 1,
+    manifest: str = "{}",
+    session: Session = SESSION,
 ) -> LeasedJobRecord:
     return LeasedJobRecord(
-        1,
-        uid,
-        f"shop/{uid}",
-        session,
-        0,
-        version,
-        "north",
-        "spread",
-        effect,
-        "all",
-        3 * S,
-        5 * S,
-        0,
-        1.0,
-        1.0,
-        1,
-        manifest,
-        (),
-        "",
-        0,
+        form=1,
+        uid=uid,
+        key=f"shop/{uid}",
+        session=session,
+        epoch=0,
+        version=version,
+        region="north",
+        spec="spread",
+        effect=effect,
+        group="all",
+        window_us=3 * S,
+        after_us=5 * S,
+        priority=0,
+        cores=1.0,
+        memory=1.0,
+        count=1,
+        manifest=manifest,
+        keepers=(),
+        answered="",
+        born_age_us=0,
     )
 
 
-def holder(bounds: ReplicationLimits = ReplicationLimits(), names: str = "bcde") -> Primary:
-    made = Primary(ME, "north", 1, bounds)
-    made.on_membership(0, {"a": ("north", 1)} | {name: (WHERE[name], 1) for name in names})
-    return made
+def new_primary(limits: ReplicationLimits = ReplicationLimits(), names: str = "bcde") -> Primary:
+    primary = Primary(SESSION, "north", 1, limits)
+    primary.on_membership(0, {"a": ("north", 1)} | {name: (REGIONS[name], 1) for name in names})
+    return primary
 
 
-def kept(effects: list[Effect]) -> dict[int, tuple[bool, str]]:
+def new_replicas() -> dict[str, Replica]:
+    return {name: Replica(Session(name, 1, 0)) for name in REGIONS}
+
+
+def settled(effects: list[Effect]) -> dict[int, tuple[bool, str]]:
     return {
         each.fields["token"]: (each.fields["good"], each.fields["why"])
         for each in effects
@@ -61,16 +69,16 @@
 
 
 def exchange(
-    made: Primary, keepers: dict[str, Replica], now_us: int, deaf: str = ""
+    primary: Primary, replicas: dict[str, Replica], now_us: int, silent: str = ""
 ) -> list[Effect]:
-    """All mail goes to and fro at once, but to and from the deaf."""
-    told: list[Effect] = []
-    todo = made.on_timer(now_us)
-    for effect in todo:  # grows by the answers while it is read
+    """Deliver all messages at once, but to and from the silent replicas; the events of the primary."""
+    events: list[Effect] = []
+    queue = primary.on_timer(now_us)
+    for effect in queue:  # grows by the answers while it is read
         if isinstance(effect, Notify):
-            told.append(effect)
-        elif isinstance(effect, Send) and effect.ident in keepers and effect.ident not in deaf:
-            for answer in keepers[effect.ident].on_request(now_us, "a", effect.message):
+            events.append(effect)
+        elif isinstance(effect, Send) and effect.ident in replicas and effect.ident not in silent:
+            for answer in replicas[effect.ident].on_request(now_us, "a", effect.message):
                 if isinstance(answer, Send):
-                    todo += made.on_message(now_us, effect.ident, answer.message)
-    return told
+                    queue += primary.on_message(now_us, effect.ident, answer.message)
+    return events
--- a/tests/decide/replication/test_primary.py
+++ b/tests/decide/replication/test_primary.py
@@ -8,29 +8,28 @@
 
 from tests.decide.replication.arrangement import (
     ALLOWED,
-    ME,
+    REGIONS,
+    SESSION,
     TERMS,
-    WHERE,
     S,
     exchange,
-    holder,
-    kept,
-    record,
+    new_primary,
+    new_record,
+    new_replicas,
+    settled,
 )
 from wingbarrow.decide.effects import Notify
-from wingbarrow.decide.replication.primary import Primary
 from wingbarrow.decide.replication.records import (
     ReplicationLimits,
     ReplicationTerms,
     choose_replicas,
 )
-from wingbarrow.decide.replication.replica import Replica
-from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.leased_job_record import KnownTask
 from wingbarrow.decide.sessions.session import EndedSession, Session
 
 
 @given(st.text("abcdef0123456789", min_size=1), st.integers(1, 3), st.sampled_from("bcde"))
-def test_keepers_stand_in_other_allowed_regions_and_change_only_for_who_goes(
+def test_replicas_are_in_other_allowed_regions_and_change_only_for_an_excluded_placer(
     uid: str, copies: int, gone: str
 ) -> None:
     regions = {"north": ("a", "n"), "south": ("b", "d"), "west": ("c", "e"), "east": ("f",)}
@@ -39,7 +38,7 @@
     assert len(chosen) == len(set(chosen)) == copies
     assert set(chosen) <= set("bcde")
     if copies >= 2:
-        assert {WHERE[name] for name in chosen[:2]} == {"south", "west"}
+        assert {REGIONS[name] for name in chosen[:2]} == {"south", "west"}
     after = choose_replicas(uid, "north", terms, regions, (gone,))
     assert gone not in after
     if gone not in chosen:
@@ -48,105 +47,109 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "job", "why"),
+    ("names", "max_bytes", "manifest", "why"),
     [
-        (holder(names=""), record("u"), "no keeper"),
-        (
-            holder(ReplicationLimits(max_bytes_per_peer=3000)),
-            record("u", manifest="x" * 4000),
-            "no room at any keeper",
-        ),
-        (holder(), record("u", manifest="x" * 16384), "record of 17582 bytes, at most 16384"),
+        ("", 64 << 20, "{}", "no keeper"),
+        ("bcde", 3000, "x" * 4000, "no room at any keeper"),
+        ("bcde", 64 << 20, "x" * 16384, "record of 17582 bytes, at most 16384"),
     ],
 )
-def test_what_cannot_be_kept_is_refused_at_once_with_its_reason(
-    made: Primary, job: LeasedJobRecord, why: str
+def test_job_that_no_replica_can_store_fails_at_once_with_its_reason(
+    names: str, max_bytes: int, manifest: str, why: str
 ) -> None:
-    token, effects = made.replicate(0, job, TERMS, S)
-    assert kept(effects) == {token: (False, why)}
-    assert not made.jobs
+    primary = new_primary(ReplicationLimits(max_bytes_per_peer=max_bytes), names)
+    token, effects = primary.replicate(0, new_record("u", manifest=manifest), TERMS, S)
+    assert settled(effects) == {token: (False, why)}
+    assert not primary.jobs
 
 
-def test_a_token_is_settled_once_and_at_its_deadline_at_the_latest() -> None:
-    made, keepers = holder(), {name: Replica(Session(name, 1, 0)) for name in WHERE}
-    first, _ = made.replicate(0, record("u"), TERMS, S)
-    assert kept(exchange(made, keepers, 2_000)) == {first: (True, "")}
-    second, _ = made.record_answer(3_000, "u", "placed", 503_000)
-    assert not kept(exchange(made, keepers, 10_000, "bcde"))
-    told = exchange(made, keepers, 503_000, "bcde")
-    assert set(kept(told)) == {second}
-    assert not kept(told)[second][0]
-    assert not kept(exchange(made, keepers, 900_000))
-    assert not kept(made.on_timer(2 * S))
-    third, effects = made.record_answer(2 * S, "v", "placed", 3 * S)
-    assert kept(effects) == {third: (False, "not held")}
+def test_token_is_settled_once_and_by_its_deadline() -> None:
+    primary = new_primary()
+    replicas = new_replicas()
+    first, _ = primary.replicate(0, new_record("u"), TERMS, S)
+    assert settled(exchange(primary, replicas, 2_000)) == {first: (True, "")}
+    second, _ = primary.record_answer(3_000, "u", "placed", 503_000)
+    assert not settled(exchange(primary, replicas, 10_000, "bcde"))
+    events = exchange(primary, replicas, 503_000, "bcde")
+    assert set(settled(events)) == {second}
+    assert not settled(events)[second][0]
+    assert not settled(exchange(primary, replicas, 900_000))
+    assert not settled(primary.on_timer(2 * S))
+    third, effects = primary.record_answer(2 * S, "v", "placed", 3 * S)
+    assert settled(effects) == {third: (False, "not held")}
 
 
-def test_a_holder_hears_once_that_its_session_is_over_and_holds_nothing_until_it_has_another() -> (
-    None
-):
-    made, keepers = holder(), {name: Replica(Session(name, 1, 0)) for name in WHERE}
-    made.replicate(0, record("u"), TERMS, S)
-    exchange(made, keepers, 2_000)
-    for keeper in keepers.values():
-        keeper.on_session_ended(S, EndedSession(1, ME, "north"))
-    token, _ = made.record_answer(S, "u", "placed", 3 * S)
-    told = exchange(made, keepers, S + 2_000)
-    assert kept(told) == {token: (False, "session over")}
-    assert [each.event for each in told if isinstance(each, Notify)] == ["kept", "session-over"]
-    late, effects = made.replicate(2 * S, record("v"), TERMS, 3 * S)
-    assert kept(effects) == {late: (False, "session over")}
-    assert not made.jobs
-    assert set(made.former_jobs) == {"u"}
-    assert not made.on_session_ended(2 * S, ME, 1)
-    made.begin_session(3 * S, Session("a", 1, 1))
-    token, _ = made.replicate(3 * S, record("w"), TERMS, 4 * S)
-    assert kept(exchange(made, keepers, 3 * S + 2_000)) == {token: (True, "")}
+def test_ended_session_is_notified_once_and_has_no_jobs_until_the_next() -> None:
+    primary = new_primary()
+    replicas = new_replicas()
+    primary.replicate(0, new_record("u"), TERMS, S)
+    exchange(primary, replicas, 2_000)
+    for replica in replicas.values():
+        replica.on_session_ended(S, EndedSession(1, SESSION, "north"))
+    token, _ = primary.record_answer(S, "u", "placed", 3 * S)
+    events = exchange(primary, replicas, S + 2_000)
+    assert settled(events) == {token: (False, "session over")}
+    assert [each.event for each in events if isinstance(each, Notify)] == ["kept", "session-over"]
+    late, effects = primary.replicate(2 * S, new_record("v"), TERMS, 3 * S)
+    assert settled(effects) == {late: (False, "session over")}
+    assert not primary.jobs
+    assert set(primary.former_jobs) == {"u"}
+    assert not primary.on_session_ended(2 * S, SESSION, 1)
+    primary.begin_session(3 * S, Session("a", 1, 1))
+    token, _ = primary.replicate(3 * S, new_record("w"), TERMS, 4 * S)
+    assert settled(exchange(primary, replicas, 3 * S + 2_000)) == {token: (True, "")}
 
 
-def test_a_silent_keeper_is_replaced_in_the_stated_time_and_holds_up_nobody_else() -> None:
-    bounds = ReplicationLimits()
-    made, keepers = holder(bounds), {name: Replica(Session(name, 1, 0)) for name in WHERE}
+def test_silent_replica_is_replaced_within_the_stated_time_and_delays_no_other() -> None:
+    limits = ReplicationLimits()
+    primary = new_primary(limits)
+    replicas = new_replicas()
     for index in range(400):
-        made.replicate(0, record(f"u{index}"), TERMS, 10 * S)
+        primary.replicate(0, new_record(f"u{index}"), TERMS, 10 * S)
     for now in range(2_000, 60_000, 2_000):
-        exchange(made, keepers, now)
-    mine = [uid for uid, job in made.jobs.items() if job.replicas == ["b"]]
-    tokens = {uid: made.record_answer(60_000, uid, "placed", 10 * S)[0] for uid in made.jobs}
+        exchange(primary, replicas, now)
+    reassigned = [uid for uid, job in primary.jobs.items() if job.replicas == ["b"]]
+    tokens = {uid: primary.record_answer(60_000, uid, "placed", 10 * S)[0] for uid in primary.jobs}
     good: dict[int, int] = {}
     for now in range(60_000, 3 * S, 5_000):
         good |= {
             token: now
-            for token, (well, _) in kept(exchange(made, keepers, now, "b")).items()
-            if well
+            for token, (is_good, _) in settled(exchange(primary, replicas, now, "b")).items()
+            if is_good
         }
-    assert len(mine) > 50
-    assert all(good[tokens[uid]] < 60_000 + 20_000 for uid in made.jobs if uid not in mine)
+    assert len(reassigned) > 50
+    assert all(good[tokens[uid]] < 60_000 + 20_000 for uid in primary.jobs if uid not in reassigned)
     assert all(
-        good[tokens[uid]] < 60_000 + bounds.reassigned_within_us(len(mine)) + 50_000 for uid in mine
+        good[tokens[uid]] < 60_000 + limits.reassigned_within_us(len(reassigned)) + 50_000
+        for uid in reassigned
     )
-    assert all("b" not in job.replicas for job in made.jobs.values())
+    assert all("b" not in job.replicas for job in primary.jobs.values())
 
 
-@pytest.mark.parametrize("way", ["forgot", "buried", "neither"])
-def test_nothing_leaves_of_a_never_twice_job_before_a_dropped_keeper_is_out_of_it(way: str) -> None:
-    made, keepers = holder(), {name: Replica(Session(name, 1, 0)) for name in WHERE}
-    made.replicate(0, record("u", "unsafe"), TERMS, S)
-    exchange(made, keepers, 2_000)
-    (first,) = made.jobs["u"].replicas
-    made.record_answer(3_000, "u", "", 3 * S)
+@pytest.mark.parametrize("released_by", ["removed", "session ended", "neither"])
+def test_unsafe_send_waits_until_a_former_replica_has_removed_the_record_or_lost_its_session(
+    released_by: str,
+) -> None:
+    primary = new_primary()
+    replicas = new_replicas()
+    primary.replicate(0, new_record("u", "unsafe"), TERMS, S)
+    exchange(primary, replicas, 2_000)
+    (first,) = primary.jobs["u"].replicas
+    primary.record_answer(3_000, "u", "", 3 * S)
     for now in range(3_000, 2 * S, 5_000):
-        exchange(made, keepers, now, first)
-    assert made.jobs["u"].replicas != [first]
-    token, _ = made.record_send(2 * S, "u", KnownTask(0, "about", "m", "p"), 9 * S)
-    assert not kept(exchange(made, keepers, 2 * S + 5_000, first))
-    if way == "forgot":
-        assert kept(exchange(made, keepers, 8 * S)) == {token: (True, "")}
-        assert "u" not in keepers[first].entries
-    elif way == "buried":
-        assert kept(made.on_session_ended(8 * S, Session(first, 1, 0), 1)) == {token: (True, "")}
+        exchange(primary, replicas, now, first)
+    assert primary.jobs["u"].replicas != [first]
+    token, _ = primary.record_send(2 * S, "u", KnownTask(0, "about", "m", "p"), 9 * S)
+    assert not settled(exchange(primary, replicas, 2 * S + 5_000, first))
+    if released_by == "removed":
+        assert settled(exchange(primary, replicas, 8 * S)) == {token: (True, "")}
+        assert "u" not in replicas[first].entries
+    elif released_by == "session ended":
+        assert settled(primary.on_session_ended(8 * S, Session(first, 1, 0), 1)) == {
+            token: (True, "")
+        }
     else:
-        exchange(made, keepers, 8 * S, first)
-        assert kept(exchange(made, keepers, 9 * S, first)) == {
+        exchange(primary, replicas, 8 * S, first)
+        assert settled(exchange(primary, replicas, 9 * S, first)) == {
             token: (False, f"no word in time from {first}")
         }
--- a/tests/decide/replication/test_replication_model.py
+++ b/tests/decide/replication/test_replication_model.py
@@ -13,10 +13,11 @@
 
 from tests.decide.replication.arrangement import (
     ALLOWED,
-    WHERE,
+    REGIONS,
     S,
-    holder,
-    record,
+    new_primary,
+    new_record,
+    new_replicas,
 )
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.replication.records import (
@@ -29,186 +30,190 @@
 from wingbarrow.decide.sessions.session import Session
 
 
-class World(RuleBasedStateMachine):
-    """A holder and four keepers; mail is lost, late, doubled; keepers die, come back, or are ended alive."""
+class ReplicationModel(RuleBasedStateMachine):
+    """A primary and four replicas; messages are lost, late, doubled; replicas restart, or have their session ended."""
 
-    tokens: type[PendingAcknowledgements] = PendingAcknowledgements
+    pending_type: type[PendingAcknowledgements] = PendingAcknowledgements
 
     def __init__(self) -> None:
         super().__init__()
-        self.found: Counter[str] = Counter()
+        self.violations: Counter[str] = Counter()
         self.now_us = 0
-        self.made = holder()
-        self.made._pending = self.tokens()
-        self.keepers: dict[str, Replica] = {name: Replica(Session(name, 1, 0)) for name in WHERE}
-        self.lives = dict.fromkeys(WHERE, 1)
-        self.mail: list[tuple[str, str, Any]] = []
-        self.open: dict[int, tuple[str, int, bool]] = {}
-        self.promised: dict[str, int] = {}  # versions that were acknowledged, of each Job
+        self.primary = new_primary()
+        self.primary._pending = self.pending_type()
+        self.replicas = new_replicas()
+        self.lives = dict.fromkeys(REGIONS, 1)
+        self.messages: list[tuple[str, str, Any]] = []
+        self.pending: dict[int, tuple[str, int, bool]] = {}
+        self.acknowledged: dict[str, int] = {}  # versions that were acknowledged, of each Job
         self.lost: dict[
             str, int
-        ] = {}  # the latest version that died with the only keeper that had it
-        self.ends = 0
-        self.born = 0
+        ] = {}  # the latest version that died with the only replica that had it
+        self.epoch = 0
+        self.job_count = 0
 
-    def carry(self, effects: list[Effect]) -> None:
+    def perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self.mail.append(("a", effect.ident, effect.message))
+                self.messages.append(("a", effect.ident, effect.message))
             elif isinstance(effect, Notify) and effect.event == "kept":
-                uid, version, every = self.open.pop(
+                uid, version, requires_all = self.pending.pop(
                     effect.fields["token"]
                 )  # KeyError: settled twice
                 if effect.fields["good"]:
-                    self.settled(uid, version, every)
+                    self.on_settled(uid, version, requires_all)
 
-    def having(self, uid: str, version: int) -> set[str]:
+    def replicas_with(self, uid: str, version: int) -> set[str]:
         return {
             name
-            for name, each in self.keepers.items()
+            for name, each in self.replicas.items()
             if uid in each.entries and each.entries[uid].record.version >= version
         }
 
-    def settled(self, uid: str, version: int, every: bool) -> None:
-        if uid not in self.made.jobs:
+    def on_settled(self, uid: str, version: int, requires_all: bool) -> None:
+        if uid not in self.primary.jobs:
             return
-        if not self.having(uid, version) and self.lost.get(uid, 0) < version:
-            self.found["nobody has it"] += 1
-        if every:
+        if not self.replicas_with(uid, version) and self.lost.get(uid, 0) < version:
+            self.violations["nobody has it"] += 1
+        if requires_all:
             older = [
                 name
-                for name, each in self.keepers.items()
+                for name, each in self.replicas.items()
                 if uid in each.entries
                 and not each.entries[uid].in_doubt
                 and each.entries[uid].record.version < version
             ]
-            self.found["one believes that nothing left"] += bool(older)
-        self.promised[uid] = max(version, self.promised.get(uid, 0))
+            self.violations["one believes that nothing left"] += bool(older)
+        self.acknowledged[uid] = max(version, self.acknowledged.get(uid, 0))
 
-    def ask(self, answer: tuple[int, list[Effect]], uid: str, every: bool = False) -> None:
-        token, effects = answer
-        job = self.made.jobs.get(uid)
-        self.open[token] = uid, job.record.version if job is not None else 0, every
-        self.carry(effects)
+    def track(self, change: tuple[int, list[Effect]], uid: str, requires_all: bool = False) -> None:
+        token, effects = change
+        job = self.primary.jobs.get(uid)
+        self.pending[token] = uid, job.record.version if job is not None else 0, requires_all
+        self.perform(effects)
 
     @rule(
         effect=st.sampled_from(("safe", "unsafe")),
         copies=st.integers(1, 2),
         wait=st.integers(1, 40),
     )
-    def hold(self, effect: str, copies: int, wait: int) -> None:
-        self.born += 1
-        uid = f"{effect}{self.born}"
-        self.ask(
-            self.made.replicate(
+    def replicate(self, effect: str, copies: int, wait: int) -> None:
+        self.job_count += 1
+        uid = f"{effect}{self.job_count}"
+        self.track(
+            self.primary.replicate(
                 self.now_us,
-                record(uid, effect),
+                new_record(uid, effect),
                 ReplicationTerms(ALLOWED, copies),
                 self.now_us + wait * S // 10,
             ),
             uid,
         )
 
-    @precondition(lambda self: self.made.jobs)
+    @precondition(lambda self: self.primary.jobs)
     @rule(
         which=st.integers(0, 9),
         what=st.sampled_from(("about", "placed", "answered", "drop")),
         wait=st.integers(1, 40),
     )
     def change(self, which: int, what: str, wait: int) -> None:
-        uid = sorted(self.made.jobs)[which % len(self.made.jobs)]
+        uid = sorted(self.primary.jobs)[which % len(self.primary.jobs)]
         until, known = self.now_us + wait * S // 10, KnownTask(0, what, "m", "p")
         if what == "about":
-            self.ask(
-                self.made.record_send(self.now_us, uid, known, until), uid, uid.startswith("unsafe")
+            self.track(
+                self.primary.record_send(self.now_us, uid, known, until),
+                uid,
+                uid.startswith("unsafe"),
             )
         elif what == "placed":
-            self.ask(self.made.record_placed(self.now_us, uid, known, until), uid)
+            self.track(self.primary.record_placed(self.now_us, uid, known, until), uid)
         elif what == "answered":
-            self.ask(self.made.record_answer(self.now_us, uid, "placed", until), uid)
+            self.track(self.primary.record_answer(self.now_us, uid, "placed", until), uid)
         else:
-            self.promised.pop(uid, None)
-            self.carry(self.made.remove(self.now_us, uid))
+            self.acknowledged.pop(uid, None)
+            self.perform(self.primary.remove(self.now_us, uid))
 
-    @precondition(lambda self: self.mail)
+    @precondition(lambda self: self.messages)
     @rule(which=st.integers(0, 50), keep=st.booleans())
     def deliver(self, which: int, keep: bool) -> None:
-        sender, receiver, message = self.mail[which % len(self.mail)]
+        sender, receiver, message = self.messages[which % len(self.messages)]
         if not keep:
-            del self.mail[which % len(self.mail)]
+            del self.messages[which % len(self.messages)]
         if isinstance(message, ReplicateResponse):
-            self.carry(self.made.on_message(self.now_us, sender, message))
-        elif receiver in self.keepers:
-            for effect in self.keepers[receiver].on_request(self.now_us, sender, message):
+            self.perform(self.primary.on_message(self.now_us, sender, message))
+        elif receiver in self.replicas:
+            for effect in self.replicas[receiver].on_request(self.now_us, sender, message):
                 if isinstance(effect, Send):
-                    self.mail.append((receiver, sender, effect.message))
+                    self.messages.append((receiver, sender, effect.message))
 
     @rule()
     def deliver_all(self) -> None:
-        for _ in range(min(40, len(self.mail))):
+        for _ in range(min(40, len(self.messages))):
             self.deliver(0, False)
 
-    @precondition(lambda self: self.mail)
+    @precondition(lambda self: self.messages)
     @rule(which=st.integers(0, 50))
-    def lose(self, which: int) -> None:
-        del self.mail[which % len(self.mail)]
+    def drop_message(self, which: int) -> None:
+        del self.messages[which % len(self.messages)]
 
     @rule(by=st.sampled_from((2_000, 100_000, 400_000, 1_600_000, 31 * S)))
     def pass_time(self, by: int) -> None:
         self.now_us += by
-        self.carry(self.made.on_timer(self.now_us))
+        self.perform(self.primary.on_timer(self.now_us))
 
     @rule(name=st.sampled_from("bcde"))
-    def die(self, name: str) -> None:
-        if name in self.keepers:
-            for uid, entry in self.keepers[name].entries.items():
-                if self.having(uid, entry.record.version) == {name}:
+    def kill_replica(self, name: str) -> None:
+        if name in self.replicas:
+            for uid, entry in self.replicas[name].entries.items():
+                if self.replicas_with(uid, entry.record.version) == {name}:
                     self.lost[uid] = max(entry.record.version, self.lost.get(uid, 0))
-            del self.keepers[name]
-            self.members()
+            del self.replicas[name]
+            self.update_membership()
 
     @rule(name=st.sampled_from("bcde"))
-    def rise(self, name: str) -> None:
-        if name not in self.keepers:
+    def restart_replica(self, name: str) -> None:
+        if name not in self.replicas:
             self.lives[name] += 1
-            self.keepers[name] = Replica(Session(name, self.lives[name], 0))
-            self.members()
+            self.replicas[name] = Replica(Session(name, self.lives[name], 0))
+            self.update_membership()
 
     @rule(name=st.sampled_from("bcde"), first=st.booleans())
-    def end_alive(self, name: str, first: bool) -> None:
-        """The voters end a keeper's session: it hears of that before the holder, or after."""
-        if name not in self.keepers:
+    def end_session(self, name: str, first: bool) -> None:
+        """The voters end a replica's session: it hears of that before the primary, or after."""
+        if name not in self.replicas:
             return
-        self.ends += 1
-        session = self.keepers[name].session
+        self.epoch += 1
+        session = self.replicas[name].session
         if first:
-            self.keepers[name].on_own_session_ended(replace(session, serial=session.serial + 1), ())
-        self.carry(self.made.on_session_ended(self.now_us, session, self.ends))
-        self.keepers[name].on_own_session_ended(replace(session, serial=session.serial + 1), ())
-
-    def members(self) -> None:
-        self.carry(
-            self.made.on_membership(
-                self.now_us, {name: (WHERE[name], self.lives[name]) for name in self.keepers}
+            self.replicas[name].on_own_session_ended(
+                replace(session, serial=session.serial + 1), ()
+            )
+        self.perform(self.primary.on_session_ended(self.now_us, session, self.epoch))
+        self.replicas[name].on_own_session_ended(replace(session, serial=session.serial + 1), ())
+
+    def update_membership(self) -> None:
+        self.perform(
+            self.primary.on_membership(
+                self.now_us, {name: (REGIONS[name], self.lives[name]) for name in self.replicas}
             )
         )
 
     @invariant()
-    def what_was_acknowledged_is_kept(self) -> None:
-        for uid, version in self.promised.items():
+    def acknowledged_versions_are_stored(self) -> None:
+        for uid, version in self.acknowledged.items():
             if (
-                uid in self.made.jobs
-                and not self.having(uid, version)
+                uid in self.primary.jobs
+                and not self.replicas_with(uid, version)
                 and self.lost.get(uid, 0) < version
             ):
-                self.found["acknowledged and nowhere"] += 1
+                self.violations["acknowledged and nowhere"] += 1
 
     @invariant()
-    def nothing_was_found(self) -> None:
-        assert not self.found, self.found
+    def no_violation(self) -> None:
+        assert not self.violations, self.violations
 
 
-QUIET = settings(
+SETTINGS = settings(
     max_examples=60,
     stateful_step_count=60,
     deadline=None,
@@ -217,24 +222,24 @@
     suppress_health_check=list(HealthCheck),
 )
 
-BLUNT = settings(
-    QUIET, max_examples=400, phases=[Phase.generate]
-)  # what is planted need not be shrunk
+PLANTED_SETTINGS = settings(
+    SETTINGS, max_examples=400, phases=[Phase.generate]
+)  # a planted error need not be shrunk
 
 
-def test_what_is_acknowledged_is_kept_and_known() -> None:
-    stateful.run_state_machine_as_test(World, settings=QUIET)  # type: ignore[no-untyped-call]
+def test_acknowledged_versions_are_stored_under_generated_faults() -> None:
+    stateful.run_state_machine_as_test(ReplicationModel, settings=SETTINGS)  # type: ignore[no-untyped-call]
 
 
-class OneIsEnough(PendingAcknowledgements):
-    """Planted: an attempt that must not start twice leaves once one keeper knows."""
+class OneAcknowledgementIsEnough(PendingAcknowledgements):
+    """Planted: an attempt that must not start twice is sent after one acknowledgement."""
 
     def add(self, job: ReplicatedJob, token: int, deadline_us: int, requires_all: bool) -> None:
         super().add(job, token, deadline_us, False)
 
 
-class Hasty(PendingAcknowledgements):
-    """Planted: a change counts as kept once the version before is."""
+class PreviousVersionIsEnough(PendingAcknowledgements):
+    """Planted: a change counts as acknowledged once the version before is."""
 
     def settle_acknowledged(self, job: ReplicatedJob) -> list[Effect]:
         for pending in job.pending:
@@ -242,8 +247,8 @@
         return super().settle_acknowledged(job)
 
 
-@pytest.mark.parametrize("planted", [OneIsEnough, Hasty])
+@pytest.mark.parametrize("planted", [OneAcknowledgementIsEnough, PreviousVersionIsEnough])
 def test_planted_errors_are_found(planted: type[PendingAcknowledgements]) -> None:
-    broken = type("Broken", (World,), {"tokens": planted})
+    broken = type("Broken", (ReplicationModel,), {"pending_type": planted})
     with pytest.raises(AssertionError, match="Counter"):
-        stateful.run_state_machine_as_test(broken, settings=BLUNT)  # type: ignore[no-untyped-call]
+        stateful.run_state_machine_as_test(broken, settings=PLANTED_SETTINGS)  # type: ignore[no-untyped-call]
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from wingbarrow.decide.effects import Effect, Notify, Send
-from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.replication.replica import JobClaim
 from wingbarrow.decide.replication.replicator import Replicator, ReplicatorSettings
 from wingbarrow.decide.sessions import reissue
 from wingbarrow.decide.sessions.failover import MAX_CLAIM_WAIT_US, SessionFailover
@@ -161,8 +161,8 @@
     )
 
 
-def taking(record: LeasedJobRecord) -> Taking:
-    return Taking(record, 7, ())
+def claim(record: LeasedJobRecord) -> JobClaim:
+    return JobClaim(record, 7, ())
 
 
 def asks(effects: list[Effect]) -> list[MachineQuery]:
@@ -185,7 +185,7 @@
 ) -> tuple[SessionFailover, list[Effect]]:
     made = SessionFailover(GONE, 7)
     out = made.on_placers(0, ("n1", "n2"))
-    out += made.add(0, [taking(job("u", effect, known))])
+    out += made.add(0, [claim(job("u", effect, known))])
     return made, out + made.on_claimed(S, "u")
 
 
@@ -232,7 +232,7 @@
 
 def test_another_keepers_better_knowledge_counts_before_anything_starts() -> None:
     made = SessionFailover(GONE, 7)
-    made.add(0, [taking(job("u", known=None))])
+    made.add(0, [claim(job("u", known=None))])
     assert not made.ready
     made.on_replica_record(S, job("u", known=replace(ABOUT, phase="placed")))
     assert verdicts(made.on_claimed(S, "u")) == ["unknown"]
@@ -241,7 +241,7 @@
 
 def test_without_a_placer_of_the_lost_region_an_attempt_is_unknown_until_one_is_back() -> None:
     made = SessionFailover(GONE, 7)
-    assert verdicts(made.add(0, [taking(job("u", known=ABOUT))])) == ["unknown"]
+    assert verdicts(made.add(0, [claim(job("u", known=ABOUT))])) == ["unknown"]
     made.on_claimed(S, "u")
     back = made.on_placers(UNREACHABLE_RETRY_US, ("n1",))
     assert verdicts(back) == ["asked"]
@@ -254,7 +254,7 @@
     assert not verdicts(made.on_timer(3 * S))
     assert verdicts(made.on_timer(4 * S)) == ["run"]
     made = SessionFailover(GONE, 7)
-    assert not verdicts(made.add(0, [taking(job("u", "safe"))]))
+    assert not verdicts(made.add(0, [claim(job("u", "safe"))]))
     assert verdicts(made.on_timer(MAX_CLAIM_WAIT_US)) == ["run"]
 
 
@@ -262,7 +262,7 @@
     made = SessionFailover(GONE, 7)
     made.on_placers(0, ("n1",))
     out = made.add(
-        0, [taking(job(f"u{index}", known=ABOUT)) for index in range(3 * MAX_OUTSTANDING)]
+        0, [claim(job(f"u{index}", known=ABOUT)) for index in range(3 * MAX_OUTSTANDING)]
     )
     out += [
         effect for index in range(3 * MAX_OUTSTANDING) for effect in made.on_claimed(S, f"u{index}")
@@ -281,7 +281,7 @@
     jobs = [job(f"u{index}", "safe", None, index % 3, index * S) for index in range(6)]
     jobs.append(job("wide", "safe", None, 9, 0, count=5))
     rng.shuffle(jobs)
-    made._take_over(0, GONE, 7, [taking(each) for each in jobs])
+    made._take_over(0, GONE, 7, [claim(each) for each in jobs])
     made.on_timer(MAX_CLAIM_WAIT_US, f"failover/{GONE.text()}")
     got: list[str] = []
     now = MAX_CLAIM_WAIT_US
--- a/wingbarrow/decide/replication/records.py
+++ b/wingbarrow/decide/replication/records.py
@@ -65,7 +65,7 @@
     return replace(record, born_age_us=record.born_age_us + elapsed_us, tasks=tasks)
 
 
-def phase_of(record: LeasedJobRecord, index: int) -> KnownTask:
+def known_task(record: LeasedJobRecord, index: int) -> KnownTask:
     """The record's entry of a task; phase `none` where it has no entry."""
     return next((each for each in record.tasks if each.index == index), KnownTask(index, "none"))
 
@@ -77,7 +77,7 @@
     """
     if record.effect == "safe":
         return record
-    tasks = (phase_of(record, index) for index in range(record.count))
+    tasks = (known_task(record, index) for index in range(record.count))
     in_doubt = tuple(
         each if each.phase == "over" else replace(each, phase="doubt") for each in tasks
     )
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -68,15 +68,15 @@
 
 
 @dataclass(slots=True)
-class Taking:
-    """A Job that this placer takes over, and the other placers that may have its record (`must`).
+class JobClaim:
+    """A Job that this placer takes over, and the other placers that may have its record (`possible_replicas`).
 
     A task is in doubt where more may be true of it than is recorded, and remains so at later successors.
     """
 
     record: LeasedJobRecord
     epoch: int
-    must: tuple[str, ...]
+    possible_replicas: tuple[str, ...]
 
 
 class Replica:
@@ -305,7 +305,7 @@
 
     def on_session_ended(
         self, now_us: int, ended: EndedSession, limit: int = UNLIMITED
-    ) -> list[Taking]:
+    ) -> list[JobClaim]:
         """A session is over, or has more successors than before: the Jobs that this placer takes over, each once.
 
         The first `limit` of them, by priority and age: to be called again while it returns so many.
@@ -330,7 +330,7 @@
         me = self.session.placer
         return successor_of(ended, (*entry.record.keepers, me)) == me
 
-    def take_over(self, now_us: int, uid: str) -> Taking | None:
+    def take_over(self, now_us: int, uid: str) -> JobClaim | None:
         """Take over a Job of an ended session whose successor does not know it, or that has none."""
         entry = self.entries.get(uid)
         ended = self.session_ends.get(entry.record.session) if entry is not None else None
@@ -338,7 +338,7 @@
             return None
         return self._take_over(now_us, uid, ended)
 
-    def _take_over(self, now_us: int, uid: str, ended: EndedSession) -> Taking:
+    def _take_over(self, now_us: int, uid: str, ended: EndedSession) -> JobClaim:
         entry = self.entries[uid]
         me = self.session.placer
         record = entry.record_at(now_us)
@@ -357,7 +357,7 @@
             record = with_tasks_in_doubt(record)
         self.taken_over[uid] = ended.epoch, WAITING
         self._summary = None
-        return Taking(record, ended.epoch, tuple(sorted(names - gone - {me})))
+        return JobClaim(record, ended.epoch, tuple(sorted(names - gone - {me})))
 
     def awaiting_successors(self) -> dict[str, list[str]]:
         """The uids of Jobs of ended sessions that another placer is to take over, by its name ("": none is known).
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -23,7 +23,7 @@
     ReplicationTerms,
     with_tasks_in_doubt,
 )
-from wingbarrow.decide.replication.replica import Replica, Taking
+from wingbarrow.decide.replication.replica import JobClaim, Replica
 from wingbarrow.decide.replication.replicated_job import REMOVED, SESSION_OVER, TAKEN_OVER
 from wingbarrow.decide.replication.start_queue import STARTABLE_TIMER, StartQueue
 from wingbarrow.decide.sessions.failover import FailoverState, SessionFailover, StartOrder
@@ -143,12 +143,12 @@
 
     def _take_over_batch(self, now_us: int, ended: EndedSession) -> list[Effect]:
         """Take over as many Jobs of an ended session as the pace allows; the rest follow by timer."""
-        takings = self.replica.on_session_ended(now_us, ended, self.pace.max_claims)
-        if len(takings) < self.pace.max_claims:
+        claims = self.replica.on_session_ended(now_us, ended, self.pace.max_claims)
+        if len(claims) < self.pace.max_claims:
             self._unfinished_ends.pop(ended.session, None)
         else:
             self._unfinished_ends[ended.session] = ended
-        out = self._take_over(now_us, ended.session, ended.epoch, takings)
+        out = self._take_over(now_us, ended.session, ended.epoch, claims)
         if self._unfinished_ends:
             out.append(SetTimer(TAKEOVER_TIMER, now_us + self.pace.claim_interval_us))
         return out
@@ -379,43 +379,43 @@
         regions = {case.record.region for case in failover.cases.values()}
         return [name for name, (region, _) in self._members.items() if region in regions]
 
-    def _possible_replicas(self, taking: Taking) -> tuple[str, ...]:
+    def _claim_from(self, claim: JobClaim) -> tuple[str, ...]:
         """Who has to acknowledge that a Job is taken over.
 
         Danger: a placer whose session has ended for good never answers; one that is alive, or a successor, has to.
         """
-        ended = self.replica.session_ends.get(taking.record.session)
+        ended = self.replica.session_ends.get(claim.record.session)
         successors = (
             {name for batch in ended.batches for name in batch} if ended is not None else set()
         )
         return tuple(
             name
-            for name in taking.must
+            for name in claim.possible_replicas
             if name in self._members or name in successors or name not in self.replica.last_ended
         )
 
     def _take_over(
-        self, now_us: int, session: Session, epoch: int, takings: list[Taking]
+        self, now_us: int, session: Session, epoch: int, claims: list[JobClaim]
     ) -> list[Effect]:
         """Begin the failover of these Jobs, and replicate them under this placer's session."""
-        if not takings:
+        if not claims:
             return []
         failover = self.failovers.get(session)
         if failover is None:
             failover = SessionFailover(session, epoch)
             self.failovers[session] = failover
-        self._failover_by_uid |= {taking.record.uid: failover for taking in takings}
-        out = self.process(now_us, failover.add(now_us, takings))
+        self._failover_by_uid |= {claim.record.uid: failover for claim in claims}
+        out = self.process(now_us, failover.add(now_us, claims))
         out += self.process(now_us, failover.on_placers(now_us, self._queriers(failover)))
-        for taking in takings:
-            record = taking.record
+        for claim in claims:
+            record = claim.record
             terms = self._terms_of(record)
             token, effects = self.primary.replicate_taken_over(
                 now_us,
-                replace(record, epoch=taking.epoch, version=record.version + 1),
+                replace(record, epoch=claim.epoch, version=record.version + 1),
                 terms,
                 now_us + CLAIM_TIMEOUT_US,
-                self._possible_replicas(taking),
+                self._claim_from(claim),
             )
             self._claims[token] = record.uid
             out += self.process(now_us, effects)
@@ -432,16 +432,16 @@
         if record.uid in self.primary.jobs:
             return []
         others = {*record.keepers, *record.others} - {self.me}
-        taking = Taking(with_tasks_in_doubt(record), epoch, tuple(sorted(others)))
+        claim = JobClaim(with_tasks_in_doubt(record), epoch, tuple(sorted(others)))
         self.replica.taken_over[record.uid] = epoch, ReissueDecision.WAIT.value
-        return self._take_over(now_us, record.session, epoch, [taking])
+        return self._take_over(now_us, record.session, epoch, [claim])
 
     def _take_over_each(self, now_us: int, uids: list[str]) -> list[Effect]:
         out: list[Effect] = []
         for uid in uids:
-            taking = self.replica.take_over(now_us, uid)
-            if taking is not None:
-                out += self._take_over(now_us, taking.record.session, taking.epoch, [taking])
+            claim = self.replica.take_over(now_us, uid)
+            if claim is not None:
+                out += self._take_over(now_us, claim.record.session, claim.epoch, [claim])
         return out
 
     def _own_jobs(self, request: ResolveRequest) -> dict[str, tuple[int, str]]:
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -16,8 +16,8 @@
 from enum import Enum
 
 from wingbarrow.decide.effects import Effect, Notify, SetTimer
-from wingbarrow.decide.replication.records import phase_of
-from wingbarrow.decide.replication.replica import Taking
+from wingbarrow.decide.replication.records import known_task
+from wingbarrow.decide.replication.replica import JobClaim
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 from wingbarrow.decide.sessions.machine_queries import MachineQueries
 from wingbarrow.decide.sessions.messages import MachineReport
@@ -87,16 +87,16 @@
         self._due: list[tuple[int, str]] = []
         self._timer_us: int | None = None
 
-    def add(self, now_us: int, takings: Collection[Taking]) -> list[Effect]:
+    def add(self, now_us: int, claims: Collection[JobClaim]) -> list[Effect]:
         """Take Jobs over; each is to be held at once, and `claimed` called with what came of it."""
-        for taking in takings:
-            record = taking.record
-            case = FailoverCase(record, taking.epoch, now_us, window_until_us(record, now_us))
+        for claim in claims:
+            record = claim.record
+            case = FailoverCase(record, claim.epoch, now_us, window_until_us(record, now_us))
             self.cases[record.uid] = case
             self._inquire(now_us, case)
             for at in (case.window_until_us, now_us + MAX_CLAIM_WAIT_US):
                 heapq.heappush(self._due, (at, record.uid))
-        return self._go_on(now_us, [each.record.uid for each in takings])
+        return self._go_on(now_us, [each.record.uid for each in claims])
 
     def _inquire(self, now_us: int, case: FailoverCase) -> None:
         for known in case.record.tasks if case.record.effect == "unsafe" else ():
@@ -124,7 +124,8 @@
             for each in record.tasks
         }
         tasks = {
-            index: worst_known(phase_of(case.record, index), known) for index, known in more.items()
+            index: worst_known(known_task(case.record, index), known)
+            for index, known in more.items()
         }
         tasks = {each.index: each for each in case.record.tasks} | tasks
         case.record = replace(
@@ -182,7 +183,7 @@
         time = key_window(record, now_us, case.window_until_us)
         out = {}
         for index in range(record.count):
-            phase, word = phase_of(record, index).phase, self.queries.answer(record.uid, index)
+            phase, word = known_task(record, index).phase, self.queries.answer(record.uid, index)
             out[index] = decide(record.effect, phase, word, time, self.table)
         return out
 
