--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -13,6 +13,7 @@
 from benchmarks.capacity.gather import MB, Figure, accounted, persisted, spread
 from benchmarks.capacity.metered import DECISIONS, LIMITS, READ, WRITTEN, Meter, Metered, held_bytes
 from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.settings import LocalPlacer
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
@@ -58,10 +59,13 @@
         self.short = False  # whether each wants more of each limit than there is
         super().__init__(count, voters_of(count), seed)
 
+    def local(self, name: str) -> LocalPlacer:
+        """Its account of limits needs its incarnation."""
+        return LocalPlacer(name, self.lives[name])
+
     def make(self, name: str, now_us: int) -> Coordinator:
         """One that uses limits, with the leader's account of them timed by itself."""
         made = super().make(name, now_us)
-        made.lease_client.incarnation = self.lives[name]
         made.quotas.in_use = lambda key: USES
         made.quotas.demand = lambda key: WANTED if self.short else 0
         for method in ("grants_for", "next_proposals"):
--- a/benchmarks/capacity/roles_control.py
+++ b/benchmarks/capacity/roles_control.py
@@ -68,7 +68,8 @@
         Mechanism("wingbarrow/decide/membership/swim.py", "SWIM with Lifeguard"),
         Mechanism("wingbarrow/decide/membership/gossip.py", "gossip that rides on other messages"),
         Mechanism(
-            "wingbarrow/decide/coordination/member.py", "asks for grants, holds what they bring"
+            "wingbarrow/decide/coordination/lease_client.py",
+            "asks for grants, holds what they bring",
         ),
         Mechanism("wingbarrow/decide/quotas/escrow.py", "spends its parts of limits"),
         Mechanism("wingbarrow/peers/mailbox.py", "mail: batches, bounds"),
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -10,10 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wingbarrow.decide.coordination.member import LeaseClient
+from wingbarrow.decide.coordination.lease_client import LeaseClient
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, Timing
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer
 from wingbarrow.decide.coordination.subsystem import Proposal
-from wingbarrow.decide.effects import SetTimer
+from wingbarrow.decide.coordination.timers import Timers
 from wingbarrow.decide.quotas.allocations import MOVE_INTERVAL_US, AllocationLedger
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import FleetLimit
@@ -88,8 +89,13 @@
 
     def rise(self, name: str) -> None:
         self.lives += 1
-        holding = self.holding(name, ("v",), self.lives, Timing(GRANT), self.lives, SetTimer)
-        holding.started_us = self.now_us
+        holding = self.holding(
+            LocalPlacer(name, self.lives),
+            CoordinationSettings(("v",), Timing(GRANT)),
+            self.lives,
+            Timers(),
+        )
+        holding.start(self.now_us)
         placer = self.placers[name] = Placer(holding)
         holding.quotas.in_use = lambda key: placer.standing
         holding.quotas.demand = lambda key: placer.wants
@@ -111,7 +117,7 @@
         placer = self.placers[name]
         placer.wants = wants
         ask, _, _ = placer.holding.next_request(self.now_us, "v")
-        self.mail.append(Letter(name, placer.holding.incarnation, self.leader, ask))
+        self.mail.append(Letter(name, placer.holding.local.incarnation, self.leader, ask))
 
     @rule(pick=st.integers(0, 99), keep=st.booleans())
     def arrive(self, pick: int, keep: bool) -> None:
@@ -144,7 +150,7 @@
 
     def take_back(self, letter: Letter) -> None:
         placer = self.placers[letter.name]
-        if placer.holding.incarnation == letter.life and letter.grant is not None:
+        if placer.holding.local.incarnation == letter.life and letter.grant is not None:
             placer.holding.on_grant(self.now_us, "v", letter.grant)
             self.found["given"] += sum(placer.holding.quotas.shares.values())
 
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -235,7 +235,9 @@
     assert assembly.leader() == leader
     assembly.cut = lambda a, b: False
     assembly.run(assembly.now_us + 15 * SECOND)
-    assert assembly.members[member].lease_client._by == "", "the leader itself is asked again"
+    assert assembly.members[member].lease_client.selector.relay == "", (
+        "the leader itself is asked again"
+    )
 
 
 def test_one_is_not_left_with_far_too_little_where_each_other_has_a_little_too_much() -> None:
@@ -273,7 +275,7 @@
         cuts = {("p004", leader)}
         assembly.cut = lambda a, b, cuts=cuts: (a, b) in cuts
         assembly.run(assembly.now_us + 4 * SECOND)
-        by = assembly.members["p004"].lease_client._by
+        by = assembly.members["p004"].lease_client.selector.relay
         assert by in others, f"seed {seed}"
         cuts.add((leader, by))
         assembly.refused = 0
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -21,7 +21,7 @@
     has_share,
     then_b_takes_what_it_gets,
 )
-from wingbarrow.decide.coordination.member import LeaseClient
+from wingbarrow.decide.coordination.lease_client import LeaseClient
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.entries import Allocation, LimitAllocations
 from wingbarrow.decide.quotas.escrow import max_min_fair
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -21,6 +21,7 @@
 from wingbarrow.decide.consensus.log import PersistentState, sole_voter_update
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
 from wingbarrow.decide.effects import Persist, Send, SetTimer
 from wingbarrow.decide.maintenance.messages import MaintenanceReport, RegionView, SlotRequest
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
@@ -189,13 +190,14 @@
         self.sessions = SessionSubsystem(LEASE_US)
         self.turns = MaintenanceScheduler(ME, lambda now_us: WALL_US + now_us, TIMES)
         self.agreement = Coordinator(
-            ME,
-            (ME,),
+            LocalPlacer(ME, incarnation=7),
+            CoordinationSettings((ME,)),
             disk,
             5,
-            life=7,
-            chapters=(self.sessions, RegionSubsystem(LEASE_US), self.turns),
-            sides=(OwnTurns(self.turns.queue),),
+            Subsystems(
+                (self.sessions, RegionSubsystem(LEASE_US), self.turns),
+                (OwnTurns(self.turns.queue),),
+            ),
         )
         self._do(self.agreement.start(self.now_us))
 
@@ -240,12 +242,10 @@
 
     def fold(self) -> None:
         """Put a snapshot on disk, as once the log is long."""
-        raft, agreed = self.agreement.raft, self.agreement.agreed
+        raft = self.agreement.raft
         assert raft is not None
-        agreed.chapters |= {
-            name: each.snapshot() for name, each in self.agreement.subsystems.items()
-        }
-        self._do(self.agreement.apply_raft(self.now_us, raft.log.compact(agreed.text())))
+        effects = raft.log.compact(self.agreement.snapshot())
+        self._do(self.agreement.apply_raft(self.now_us, effects))
 
 
 def restarted(voter: Voter) -> Voter:
--- a/wingbarrow/decide/consensus/replicated_log.py
+++ b/wingbarrow/decide/consensus/replicated_log.py
@@ -115,7 +115,7 @@
         return [self._persist_snapshot()]
 
     def install_snapshot(self, message: InstallSnapshot) -> Effects:
-        """At a follower: take the leader's snapshot, unless all of it is committed here; keep entries that follow it."""
+        """At a follower: take the leader's snapshot, unless all of it is committed here; entries after it are kept."""
         if message.index <= self.commit_index:
             return []
         persistent = self.persistent
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -1,12 +1,12 @@
-"""Agreement, one placer's part: it holds grants (`holding`); where it votes it decides; where it leads it gives them
-(`leading`). Beside rules, chapters are decided by the same log (`chapters`).
+"""One placer's part in coordination: what joins the voters' log, the leader's side and the lease client.
+
+Every placer has a `LeaseClient`. A voter also has a `Raft`, whose committed entries make up the replicated state here:
+the rule set (`agreed`) and the subsystems. The `Leader` acts while this voter leads.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Mapping
-from typing import Any
 
 from wingbarrow.decide.consensus.effects import (
     Effects,
@@ -15,12 +15,14 @@
     LeadershipConfirmed,
     SnapshotRestored,
 )
-from wingbarrow.decide.consensus.entries import VOTERS
+from wingbarrow.decide.consensus.entries import NO_OP, VOTERS, LogEntry
 from wingbarrow.decide.consensus.log import PersistentState
-from wingbarrow.decide.consensus.raft import Raft
-from wingbarrow.decide.coordination.leader import Leader
+from wingbarrow.decide.consensus.messages import Message as RaftMessage
+from wingbarrow.decide.consensus.raft import TIMER_PREFIX, Raft
+from wingbarrow.decide.coordination.granted_leases import GrantedLease
+from wingbarrow.decide.coordination.leader import Leader, WaitingRequest
+from wingbarrow.decide.coordination.lease_client import LeaseClient
 from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
-from wingbarrow.decide.coordination.member import LeaseClient
 from wingbarrow.decide.coordination.messages import (
     LeaseGrant,
     LeaseRequest,
@@ -28,10 +30,17 @@
     NotLeader,
     RelayedGrant,
     RelayedRequest,
-    Timing,
 )
-from wingbarrow.decide.coordination.subsystem import AnyMemberSubsystem, AnyReplicatedSubsystem
-from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
+from wingbarrow.decide.coordination.subsystem import AnyReplicatedSubsystem, JsonObject
+from wingbarrow.decide.coordination.timers import (
+    BATCH_TIMER,
+    EXPIRY_TIMER,
+    PROPOSAL_TIMER,
+    REQUEST_TIMER,
+    Timers,
+)
+from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaAccount
@@ -39,143 +48,158 @@
 
 
 class Coordinator:
-    """`disk`: what this placer has as a voter, None where it has none; `voters`: those that the settings name.
+    """`persistent` is what this placer's store holds as a voter; None where it has none.
 
-    `chapters` and `sides` are what is agreed on beside rules: a voter's part and every placer's.
+    A placer is a voter if the settings name it or it has a store; named and without a store it votes no more (`Raft`).
+    The host calls `start`, then `on_message` and `on_timer`, and carries out the effects in their order.
+
+    `rules_lease`, `version`, `quotas`, `health_observer`, `ejections`, `outlier_detector` and `lease_holders` are the
+    parts' own: pages and the placer read them here, so that they need not know which part holds what.
     """
 
     def __init__(
         self,
-        me: str,
-        voters: tuple[str, ...],
-        disk: PersistentState | None,
+        local: LocalPlacer,
+        settings: CoordinationSettings,
+        persistent: PersistentState | None,
         seed: int,
-        times: Timing = Timing(),
-        life: int = 0,
-        chapters: tuple[AnyReplicatedSubsystem, ...] = (),
-        sides: tuple[AnyMemberSubsystem, ...] = (),
+        subsystems: Subsystems = Subsystems(),
     ) -> None:
-        self.name, self.timing, self.configured_voters = me, times, voters
-        self.raft = (
-            Raft(me, disk, seed, times.election_us) if me in voters or disk is not None else None
-        )
+        timing = settings.timing
+        self.name = local.name
         self.agreed = RuleSetState()
-        self.allocations = AllocationLedger(times.grant_us)
+        self.allocations = AllocationLedger(timing.grant_us)
+        self.raft: Raft | None = None
+        if local.name in settings.voters or persistent is not None:
+            self.raft = Raft(local.name, persistent, seed, timing.election_us)
+        self._configured_voters = settings.voters
+        self._timers = Timers()
+        self.lease_client = LeaseClient(local, settings, seed + 1, self._timers, subsystems.members)
+        self.leadership = Leader(self, timing, self._timers, subsystems.replicated, local.zones)
         self.subsystems: dict[str, AnyReplicatedSubsystem] = {
-            each.name: each for each in (self.allocations, *chapters)
+            each.name: each for each in (self.allocations, *subsystems.replicated)
         }
-        self._due: dict[str, int] = {}
-        self.lease_client = LeaseClient(me, voters, seed + 1, times, life, self.timer, sides)
-        self.leadership = Leader(
-            self,
-            times,
-            self.allocations,
-            chapters,
-            lambda now, grant: self.lease_client.on_grant(now, me, grant),
-        )
-
-    # -- driven by the host
 
-    def start(self, now_us: int) -> list[Effect]:
-        """Begin."""
-        self.lease_client.started_us = now_us
-        out = self.apply_raft(now_us, self.raft.start(now_us)) if self.raft is not None else []
-        return [*out, self.timer("ask", now_us + 1)]
+    # -- Events
 
-    def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """Mail of another placer."""
+    def start(self, now_us: int) -> list[Effect]:
+        """Begin, from what was stored."""
+        effects: list[Effect] = []
+        if self.raft is not None:
+            effects += self.apply_raft(now_us, self.raft.start(now_us))
+        effects += self.lease_client.start(now_us)
+        return effects
+
+    def on_message(self, now_us: int, sender: str, address: str, message: Message) -> list[Effect]:
+        """A message of another placer; `address` is where an answer reaches it."""
         if isinstance(message, LeaseRequest):
-            leader = self.raft.leader if self.raft is not None else ""
-            if message.forward and leader not in ("", self.name, ident):
-                return [Send(leader, "", RelayedRequest(ident, message))]
-            return self.leadership.on_request(now_us, ident, address, message)
+            return self._on_request(now_us, WaitingRequest(sender, address, message))
         if isinstance(message, LeaseGrant):
-            return self.lease_client.on_grant(now_us, ident, message)
+            return self.lease_client.on_grant(now_us, sender, message)
         if isinstance(message, NotLeader):
             return self.lease_client.on_not_leader(now_us, message)
-        if self.raft is None or ident not in (*self.raft.voters, *self.configured_voters):
+        return self._on_voter_message(now_us, sender, message)
+
+    def _on_voter_message(
+        self, now_us: int, sender: str, message: RelayedRequest | RelayedGrant | RaftMessage
+    ) -> list[Effect]:
+        """A message that only voters send to each other; ignored where either is none."""
+        if self.raft is None or sender not in (*self.raft.voters, *self._configured_voters):
             return []
         if isinstance(message, RelayedRequest):
-            return self.leadership.on_request(now_us, message.ident, "", message.ask, ident)
+            request = WaitingRequest(message.ident, "", message.ask, relay=sender)
+            return self.leadership.on_request(now_us, request)
         if isinstance(message, RelayedGrant):
             return [Send(message.ident, "", message.grant)]
-        return self.apply_raft(now_us, self.raft.on_message(now_us, ident, message))
+        return self.apply_raft(now_us, self.raft.on_message(now_us, sender, message))
+
+    def _on_request(self, now_us: int, waiting: WaitingRequest) -> list[Effect]:
+        """Answer a request, or forward it where its sender wants that and somebody else leads."""
+        leader = self.raft.leader if self.raft is not None else ""
+        if waiting.request.forward and leader not in ("", self.name, waiting.sender):
+            return [Send(leader, "", RelayedRequest(waiting.sender, waiting.request))]
+        return self.leadership.on_request(now_us, waiting)
+
+    def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
+        """This placer leads, and has granted its own request."""
+        return self.lease_client.on_grant(now_us, self.name, grant)
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """A timer that was set is due."""
-        if key.startswith("raft "):
+        """A timer is due; one that was not set is ignored."""
+        if key.startswith(TIMER_PREFIX):
             assert self.raft is not None
-            return self.apply_raft(now_us, self.raft.on_timer(now_us, key.removeprefix("raft ")))
-        if self._due.pop(key, None) is None:
+            raft_key = key.removeprefix(TIMER_PREFIX)
+            return self.apply_raft(now_us, self.raft.on_timer(now_us, raft_key))
+        if not self._timers.take(key):
             return []
-        if key == "ask":
-            return self._ask(now_us)
-        if key == "lapse":
-            return self.lease_client.notify_rules(now_us)
-        if key == "batch":
-            return self.leadership.confirm_batch(now_us)
-        return self.leadership.propose_next(now_us)
-
-    def _ask(self, now_us: int) -> list[Effect]:
-        ask, receiver, out = self.lease_client.next_request(
-            now_us, self.name if self.is_leader else self.leader
-        )
+        handlers = {
+            REQUEST_TIMER: self._send_request,
+            EXPIRY_TIMER: self.lease_client.notify_rules,
+            BATCH_TIMER: self.leadership.confirm_batch,
+            PROPOSAL_TIMER: self.leadership.propose_next,
+        }
+        return handlers[key](now_us)
+
+    def _send_request(self, now_us: int) -> list[Effect]:
+        leader = self.name if self.is_leader else self.leader
+        request, receiver, effects = self.lease_client.next_request(now_us, leader)
         if self.is_leader:
-            return [*self.leadership.on_request(now_us, self.name, "", ask), *out]
-        return [Send(receiver, "", ask), *out] if receiver else out
+            own = WaitingRequest(self.name, "", request)
+            return [*self.leadership.on_request(now_us, own), *effects]
+        if not receiver.name:
+            return effects
+        return [Send(receiver.name, "", request), *effects]
 
     def request_soon(self, now_us: int) -> list[Effect]:
-        """Somebody waits for rights that may be with others."""
+        """Somebody waits for quota, which others may hold."""
         return self.lease_client.request_soon(now_us)
 
-    # -- the placer's questions
+    # -- What this placer may do
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
-        """What this placer may act on right now: to be asked right before each first byte."""
-        return self.lease_client.rules_lease.rules_in_force(now_us)
+        """What this placer may act on at this moment, None for nothing: ask right before each first byte."""
+        return self.rules_lease.rules_in_force(now_us)
 
     @property
     def rules_lease(self) -> RulesLease:
-        """This placer's grants."""
+        """This placer's leases."""
         return self.lease_client.rules_lease
 
     @property
     def version(self) -> int:
-        """The latest that a grant told of."""
+        """The latest version of the rule set that this placer has heard of."""
         return self.lease_client.version
 
     @property
     def quotas(self) -> QuotaAccount:
-        """Its rights to the fleet's limits."""
+        """This placer's shares of the fleet's limits."""
         return self.lease_client.quotas
 
     @property
     def health_observer(self) -> HealthObserver:
-        """What it saw of machines."""
+        """What this placer sees of machines."""
         return self.lease_client.health_observer
 
     @property
     def ejections(self) -> ActiveEjections:
-        """Which machines verdicts close to it."""
+        """The machines that are ejected for this placer."""
         return self.lease_client.ejections
 
+    # -- What the leader knows
+
     @property
     def outlier_detector(self) -> OutlierDetector:
-        """At the leader: evidence and verdicts."""
+        """At the leader: health reports, and what follows from them."""
         return self.leadership.outlier_detector
 
     @property
-    def lease_holders(self) -> dict[str, tuple[int, int]]:
-        """At the leader: who holds a grant, for which edition, until when at the latest."""
+    def lease_holders(self) -> dict[str, GrantedLease]:
+        """At the leader: who was granted a lease."""
         return self.leadership.lease_holders
 
-    def live_in(self, region: str, zones: Callable[[], Mapping[str, str]]) -> None:
-        """Where this placer is, and the zone of each machine of its list."""
-        self.lease_client.region, self.leadership.zones = region, zones
-
     @property
     def is_leader(self) -> bool:
-        """Whether this placer decides."""
+        """Whether this placer leads."""
         return self.raft is not None and self.raft.is_leader
 
     @property
@@ -185,82 +209,88 @@
             return self.raft.leader
         return self.lease_client.leader
 
-    def propose(self, now_us: int, kind: str, value: dict[str, Any]) -> list[Effect]:
-        """At the leader: have a proposal decided; its outcome is in `agreed.outcomes` by its `ident`."""
-        if self.raft is None or not self.raft.is_leader:
+    def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
+        """At the leader: propose an entry; the outcome of one with an `ident` will be in `agreed.outcomes`."""
+        if self.raft is None or not self.is_leader:
             return []
         _, effects = self.raft.propose(now_us, kind, json.dumps(value))
         return self.apply_raft(now_us, effects)
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[bool, list[Effect]]:
-        """At the leader: take one voter in, or leave one out; whether that is possible now."""
+        """At the leader: add or remove one voter; whether that is possible now."""
         if self.raft is None:
             return False, []
         index, effects = self.raft.change_voters(now_us, voters)
         return index > 0, self.apply_raft(now_us, effects)
 
-    # -- the voters' log
+    # -- The replicated state
 
     def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
-        """Effects for the host; what is decided goes into the replicated state on the way."""
-        out: list[Effect] = []
+        """Apply what the voters' log hands over; the effects for the host, in their order."""
+        host_effects: list[Effect] = []
         for effect in effects:
             if isinstance(effect, SnapshotRestored):
-                self.agreed = from_text(effect.state)
-                for name, chapter in self.subsystems.items():
-                    chapter.restore(self.agreed.chapters.get(name, ""))
+                self._restore(effect)
             elif isinstance(effect, EntriesCommitted):
-                out += self._decided(now_us, effect)
+                host_effects += self._on_committed(now_us, effect)
             elif isinstance(effect, LeadershipConfirmed):
-                out += self.leadership.on_confirmed(now_us, effect.read_id)
+                host_effects += self.leadership.on_confirmed(now_us, effect.read_id)
             elif isinstance(effect, LeadershipChanged):
-                out += self.leadership.on_leadership_change(now_us, effect.is_leader)
+                is_leader = effect.is_leader
+                host_effects += self.leadership.on_leadership_change(now_us, is_leader=is_leader)
             else:
-                out.append(effect)
-        return out
-
-    def _decided(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
-        out: list[Effect] = []
-        before = self.agreed.revision, self.agreed.version, len(self.agreed.floors)
-        told = False
+                host_effects.append(effect)
+        return host_effects
+
+    def _restore(self, snapshot: SnapshotRestored) -> None:
+        self.agreed = from_text(snapshot.state)
+        for name, subsystem in self.subsystems.items():
+            subsystem.restore(self.agreed.chapters.get(name, ""))
+
+    def _on_committed(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
+        effects: list[Effect] = []
+        agreed = self.agreed
+        before = (agreed.revision, agreed.version, len(agreed.floors))
+        old_edition = agreed.revision
+        has_changed = False
         for entry in committed.entries:
-            name, _, kind = entry.kind.partition("/")
-            if kind:
-                told = self._apply(name, kind, entry.body) or told
-            elif entry.kind not in ("", VOTERS):
-                self.agreed.apply(entry.kind, entry.body)
-                if entry.kind == RECOVERED:
-                    self.allocations.recovered()
-                    for each in self.subsystems:
-                        self._apply(each, RECOVERED, "{}")
-        if self.agreed.revision != before[0]:
-            out.append(
-                Notify("edition", {"edition": self.agreed.revision, "version": self.agreed.version})
-            )
+            has_changed = self._apply(entry) or has_changed
+        if agreed.revision != old_edition:
+            fields = {"edition": agreed.revision, "version": agreed.version}
+            effects.append(Notify("edition", fields))
         if self.raft is not None and self.raft.log.should_compact:
-            self.agreed.chapters |= {
-                name: each.snapshot() for name, each in self.subsystems.items()
-            }
-            out += self.apply_raft(now_us, self.raft.log.compact(self.agreed.text()))
-        if self.is_leader and (
-            told or before != (self.agreed.revision, self.agreed.version, len(self.agreed.floors))
-        ):
-            out.append(self.timer("step", now_us + 1))
-        return out
-
-    def _apply(self, name: str, kind: str, body: str) -> bool:
-        chapter = self.subsystems.get(name)
-        if chapter is None:
+            effects += self.apply_raft(now_us, self.raft.log.compact(self.snapshot()))
+        has_changed = has_changed or before != (agreed.revision, agreed.version, len(agreed.floors))
+        if self.is_leader and has_changed:
+            effects.append(self._timers.set(PROPOSAL_TIMER, now_us + 1))
+        return effects
+
+    def snapshot(self) -> str:
+        """The replicated state, for `ReplicatedLog.compact`."""
+        self.agreed.chapters |= {name: each.snapshot() for name, each in self.subsystems.items()}
+        return self.agreed.text()
+
+    def _apply(self, entry: LogEntry) -> bool:
+        """Apply an entry; whether it was for a subsystem, which took it."""
+        subsystem, _, kind = entry.kind.partition("/")
+        if kind:
+            return self._apply_to_subsystem(subsystem, kind, entry.body)
+        if entry.kind in (NO_OP, VOTERS):
+            return False
+        self.agreed.apply(entry.kind, entry.body)
+        if entry.kind == RECOVERED:
+            self.allocations.recovered()
+            for name in self.subsystems:
+                self._apply_to_subsystem(name, RECOVERED, "{}")
+        return False
+
+    def _apply_to_subsystem(self, name: str, kind: str, body: str) -> bool:
+        """Whether a subsystem took an entry: a voter passes over one that it cannot read, as all voters do."""
+        subsystem = self.subsystems.get(name)
+        if subsystem is None:
             return False
         try:
-            chapter.apply(kind, json.loads(body))
+            subsystem.apply(kind, json.loads(body))
         except (ValueError, KeyError, TypeError):
-            return (
-                False  # it was checked before it was proposed; what cannot be read changes nothing
-            )
+            return False
         return True
-
-    def timer(self, key: str, at_us: int) -> SetTimer:
-        """One of this agreement's own."""
-        self._due[key] = at_us
-        return SetTimer(key, at_us)
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -1,18 +1,20 @@
-"""The leader's side of agreement: asks answered by rounds, grants and steps; what it knows is its own, and not logged.
+"""The leader's side of coordination: it answers lease requests, and proposes what is due.
 
-A leader answers for a grant only after a majority has followed it since it was asked, so that nobody is answered by one
-that was deposed; it takes the next step only once all grants of earlier editions have lapsed by its reckoning, or their
-holders have moved on; a new leader, which knows of no grants, waits for as long as one lasts.
+Guaranteed: a request is answered only after a majority of the voters has followed this leader since the request came,
+so that no deposed leader grants anything; and a transition between editions is proposed only once no lease of an
+earlier edition can be in force, as `GrantedLeases` reckons. What a leader knows beside the log is its own, and ends
+with its term.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass
-from typing import Any, Protocol
+from dataclasses import dataclass, field
+from typing import Protocol
 
 from wingbarrow.decide.consensus.effects import Effects
 from wingbarrow.decide.consensus.raft import Raft
+from wingbarrow.decide.coordination.granted_leases import GrantedLease, GrantedLeases
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.coordination.messages import (
     LeaseGrant,
@@ -21,8 +23,9 @@
     RelayedGrant,
     Timing,
 )
-from wingbarrow.decide.coordination.subsystem import AnyReplicatedSubsystem
-from wingbarrow.decide.effects import Effect, Send, SetTimer
+from wingbarrow.decide.coordination.subsystem import AnyReplicatedSubsystem, JsonObject
+from wingbarrow.decide.coordination.timers import BATCH_TIMER, PROPOSAL_TIMER, Timers
+from wingbarrow.decide.effects import Effect, Send
 from wingbarrow.decide.outliers.ejection import OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaGrant, Requester
@@ -30,259 +33,284 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import RuleSetState
 
-MAX_LEASE_HOLDERS = 4096
-OUTLIER_SCAN_INTERVAL_US = 250_000  # between looks at all evidence
-MAX_WAITING_REQUESTS = 4096  # that wait for a round
+OUTLIER_SCAN_INTERVAL_US = 250_000
+MAX_WAITING_REQUESTS = 4096
 
 
-@dataclass(slots=True)
-class _Asked:
-    ident: str
+@dataclass(frozen=True, slots=True)
+class WaitingRequest:
+    """A request that waits for leadership to be confirmed; `relay` is the voter that forwarded it, "" for none."""
+
+    sender: str
     address: str
-    ask: LeaseRequest
-    via: str = ""  # the voter that passed it on
+    request: LeaseRequest
+    relay: str = ""
 
     @property
-    def asker(self) -> Requester:
-        return Requester(self.ident, self.ask.life, self.ask.up_us, self.ask.number, self.ask.reign)
+    def requester(self) -> Requester:
+        """Its sender, as subsystems see it."""
+        request = self.request
+        return Requester(self.sender, request.life, request.up_us, request.number, request.reign)
+
+
+@dataclass(slots=True)
+class LeaderState:
+    """What a leader knows beside the log; made anew as leadership changes."""
+
+    waiting: list[WaitingRequest] = field(default_factory=list)
+    batches: dict[int, list[WaitingRequest]] = field(default_factory=dict)  # by their read's id
+    leases: GrantedLeases = field(default_factory=GrantedLeases)
+    outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
 
 
 class LeaderHost(Protocol):
-    """The agreement that this is the leader's side of."""
+    """What a `Leader` needs of its `Coordinator`."""
 
     name: str
     raft: Raft | None
     agreed: RuleSetState
+    allocations: AllocationLedger
 
     @property
     def is_leader(self) -> bool:
-        """Whether this placer decides."""
+        """Whether this placer leads."""
 
     @property
     def leader(self) -> str:
-        """Who does, as far as is known."""
-
-    def timer(self, key: str, at_us: int) -> SetTimer:
-        """Set one."""
+        """Who leads, as far as is known."""
 
     def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
-        """Effects for the host."""
+        """Apply effects of the voters' log, and return those for the host."""
+
+    def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
+        """Propose an entry."""
 
-    def propose(self, now_us: int, kind: str, value: dict[str, Any]) -> list[Effect]:
-        """Have something decided."""
+    def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
+        """This placer's own request was granted."""
 
 
 class Leader:
-    """`blocks`: the chapter of rights; `take_grant`: what becomes of a grant to this very placer."""
+    """One placer's part as the leader; while it does not lead, every request is redirected and nothing proposed."""
 
     def __init__(
         self,
-        owner: LeaderHost,
-        times: Timing,
-        blocks: AllocationLedger,
-        chapters: tuple[AnyReplicatedSubsystem, ...],
-        take_grant: Callable[[int, LeaseGrant], list[Effect]],
+        host: LeaderHost,
+        timing: Timing,
+        timers: Timers,
+        subsystems: tuple[AnyReplicatedSubsystem, ...],
+        zones: Callable[[], Mapping[str, str]],
     ) -> None:
-        self._owner, self.timing, self.subsystems, self._take_grant = (
-            owner,
-            times,
-            chapters,
-            take_grant,
-        )
-        self.zones: Callable[[], Mapping[str, str]] = dict  # of each machine of this placer's list
-        self.allocations = blocks
-        self.outlier_detector, self._judged_us = OutlierDetector(), -OUTLIER_SCAN_INTERVAL_US
-        self._read: tuple[str, RuleSet | None] = ("", None)
-        self._waiting: list[_Asked] = []
-        self._rounds: dict[int, list[_Asked]] = {}
-        self._round = 0
-        self.lease_holders: dict[
-            str, tuple[int, int]
-        ] = {}  # edition, and until when it may act on it at the latest
-        self._floors_out: dict[
-            int, int
-        ] = {}  # floor: until when somebody may go on by it at the latest
-        self._leaving: dict[
-            str, int
-        ] = {}  # who was given a later edition, and until when it may act on its last one
-
-    def on_leadership_change(self, now_us: int, on: bool) -> list[Effect]:
-        """Begin anew, with nothing known but the log; or end."""
-        self._waiting, self._rounds, self.lease_holders = [], {}, {}
-        self._floors_out, self._leaving = {}, {}
-        self.outlier_detector = OutlierDetector()
-        raft = self._owner.raft
-        self.allocations.on_leadership_change(
-            now_us, on, raft.persistent.term if raft is not None else 0
-        )
-        for chapter in self.subsystems:
-            chapter.on_leadership_change(now_us, on)
-        return [self._owner.timer("step", now_us + self.timing.batch_us)] if on else []
+        self._host = host
+        self._timing = timing
+        self._timers = timers
+        self._subsystems = subsystems
+        self._zones = zones
+        self._state = LeaderState()
+        self._read_id = 0  # of the latest batch
+        self._last_outlier_scan_us = -OUTLIER_SCAN_INTERVAL_US
+        self._parsed_rules: tuple[str, RuleSet | None] = ("", None)
 
-    # -- rounds
+    @property
+    def outlier_detector(self) -> OutlierDetector:
+        """Health reports of this term, and what follows from them."""
+        return self._state.outlier_detector
 
-    def on_request(
-        self, now_us: int, ident: str, address: str, ask: LeaseRequest, via: str = ""
-    ) -> list[Effect]:
-        """Somebody asks, this placer itself too; `via` a voter that passed it on."""
-        if not self._owner.is_leader:
-            return [] if via else [Send(ident, address, NotLeader(ask.number, self._owner.leader))]
-        if len(self._waiting) >= MAX_WAITING_REQUESTS:
+    @property
+    def lease_holders(self) -> dict[str, GrantedLease]:
+        """Who was granted a lease in this term."""
+        return self._state.leases.by_holder
+
+    def on_leadership_change(self, now_us: int, *, is_leader: bool) -> list[Effect]:
+        """This placer was elected, or leads no longer: nothing but the log is known."""
+        self._state = LeaderState()
+        raft = self._host.raft
+        term = raft.persistent.term if raft is not None else 0
+        self._host.allocations.on_leadership_change(now_us, is_leader, term)
+        for subsystem in self._subsystems:
+            subsystem.on_leadership_change(now_us, is_leader)
+        if not is_leader:
+            return []
+        return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
+
+    # -- Requests: they wait for a batch, and a batch for its leader to be confirmed
+
+    def on_request(self, now_us: int, waiting: WaitingRequest) -> list[Effect]:
+        """A placer's request, also this placer's own; a later one of the same sender replaces it while it waits."""
+        if not self._host.is_leader:
+            if waiting.relay:
+                return []
+            redirect = NotLeader(waiting.request.number, self._host.leader)
+            return [Send(waiting.sender, waiting.address, redirect)]
+        queue = self._state.waiting
+        if len(queue) >= MAX_WAITING_REQUESTS:
+            return []
+        is_first = not queue
+        queue = [each for each in queue if each.sender != waiting.sender]
+        self._state.waiting = [*queue, waiting]
+        if not is_first:
             return []
-        waits = bool(self._waiting)
-        self._waiting = [each for each in self._waiting if each.ident != ident]
-        self._waiting.append(_Asked(ident, address, ask, via))
-        return [] if waits else [self._owner.timer("batch", now_us + self.timing.batch_us)]
+        return [self._timers.set(BATCH_TIMER, now_us + self._timing.batch_us)]
 
     def confirm_batch(self, now_us: int) -> list[Effect]:
-        """Have a majority confirm this leader, for all that wait."""
-        owner = self._owner
-        if not owner.is_leader or owner.raft is None or not self._waiting:
-            self._waiting = []
+        """`BATCH_TIMER` is due: have leadership confirmed for all requests that wait."""
+        raft = self._host.raft
+        batch = self._state.waiting
+        self._state.waiting = []
+        if not batch or raft is None or not self._host.is_leader:
             return []
-        self._round += 1
-        self._rounds[self._round], self._waiting = self._waiting, []
-        return owner.apply_raft(now_us, owner.raft.confirm_leadership(now_us, self._round))
-
-    def on_confirmed(self, now_us: int, number: int) -> list[Effect]:
-        """A majority has followed since a round began: its asks are answered."""
-        out: list[Effect] = []
-        owner = self._owner
-        if owner.raft is None or not owner.raft.log.has_committed_in_term:
-            # Danger: what earlier leaders decided is known for sure only once an entry of this term is decided.
-            self._rounds.pop(number, None)
-            return out
-        if now_us - self._judged_us >= OUTLIER_SCAN_INTERVAL_US:
-            self._judged_us = now_us
-            self.outlier_detector.judge(now_us, self.zones())
-        asks = self._rounds.pop(number, []) if owner.agreed.revision else []
-        for asked in asks:
-            self.outlier_detector.hear(
-                now_us,
-                asked.ident,
-                asked.ask.region,
-                asked.ask.evidence,
-                asked.ask.bad,
-                asked.ask.tried,
-            )
-            for chapter in self.subsystems:
-                said = getattr(asked.ask, chapter.name)
-                if said is not None:
-                    chapter.on_report(now_us, asked.asker, said)
-        for asked, rights in zip(asks, self._rights(now_us, asks), strict=True):
-            out += self._give(now_us, asked, rights)
-        return [*out, *self.propose_next(now_us)]
-
-    def _rights(self, now_us: int, asks: Sequence[_Asked]) -> list[tuple[QuotaGrant, ...]]:
-        """What those that asked together may use of the fleet's limits."""
-        if not asks:
+        self._read_id += 1
+        self._state.batches[self._read_id] = batch
+        return self._host.apply_raft(now_us, raft.confirm_leadership(now_us, self._read_id))
+
+    def on_confirmed(self, now_us: int, read_id: int) -> list[Effect]:
+        """Leadership is confirmed since a batch was closed: take in its reports, then answer its requests."""
+        raft = self._host.raft
+        batch = self._state.batches.pop(read_id, [])
+        if raft is None or not raft.log.has_committed_in_term:
+            # Danger: until then entries of earlier leaders may be committed that are not applied here. The senders
+            # will ask again.
             return []
-        return self.allocations.grants_for(
-            now_us, [(each.asker, each.ask.stated) for each in asks], self._rules().limits
+        if now_us - self._last_outlier_scan_us >= OUTLIER_SCAN_INTERVAL_US:
+            self._last_outlier_scan_us = now_us
+            self.outlier_detector.judge(now_us, self._zones())
+        effects: list[Effect] = []
+        if batch and self._host.agreed.revision:
+            for each in batch:
+                self._take_reports(now_us, each)
+            for each, quotas in zip(batch, self._quota_grants(now_us, batch), strict=True):
+                effects += self._answer(now_us, each, quotas)
+        effects += self.propose_next(now_us)
+        return effects
+
+    def _take_reports(self, now_us: int, waiting: WaitingRequest) -> None:
+        request = waiting.request
+        self.outlier_detector.hear(
+            now_us, waiting.sender, request.region, request.evidence, request.bad, request.tried
         )
+        for subsystem in self._subsystems:
+            report = getattr(request, subsystem.name)
+            if report is not None:
+                subsystem.on_report(now_us, waiting.requester, report)
 
-    def _give(self, now_us: int, asked: _Asked, rights: tuple[QuotaGrant, ...]) -> list[Effect]:
-        agreed, ask, lasts = self._owner.agreed, asked.ask, self.timing.grant_us
+    def _quota_grants(
+        self, now_us: int, batch: Sequence[WaitingRequest]
+    ) -> list[tuple[QuotaGrant, ...]]:
+        """What the senders of a batch may use of the fleet's limits: one answer for all, as one's gain is another's."""
+        reports = [(each.requester, each.request.stated) for each in batch]
+        return self._host.allocations.grants_for(now_us, reports, self._rules().limits)
+
+    def _answer(
+        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    ) -> list[Effect]:
+        """Grant a lease, unless there are too many holders."""
+        agreed = self._host.agreed
+        leases = self._state.leases
+        if not leases.has_room_for(waiting.sender, now_us):
+            return []
+        expires_us = lease_expiry_us(now_us, self._timing.grant_us)
+        lease = GrantedLease(agreed.revision, expires_us)
+        leases.grant(waiting.sender, waiting.request.edition, lease)
+        if agreed.floors:
+            floor = agreed.floors[-1]
+            leases.grant_floor(floor.number, lease_expiry_us(now_us, floor.lasts_us))
+        grant = self._grant(now_us, waiting, quotas)
+        if waiting.sender == self._host.name:
+            return self._host.on_own_grant(now_us, grant)
+        if waiting.relay:
+            return [Send(waiting.relay, "", RelayedGrant(waiting.sender, grant))]
+        return [Send(waiting.sender, waiting.address, grant)]
+
+    def _grant(
+        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    ) -> LeaseGrant:
+        """The message; rules that the requester has are left out."""
+        agreed = self._host.agreed
+        request = waiting.request
         floor = agreed.floors[-1] if agreed.floors else None
-        if asked.ident not in self.lease_holders and len(self.lease_holders) >= MAX_LEASE_HOLDERS:
-            self.lease_holders = {
-                name: each for name, each in self.lease_holders.items() if each[1] > now_us
-            }
-            if len(self.lease_holders) >= MAX_LEASE_HOLDERS:
-                return []
-        # Who asks with the edition in force has left those before for good. Who does not may never hear of it, and act
-        # on its last one as long as that was given to it.
-        held = self.lease_holders.get(asked.ident)
-        until = lease_expiry_us(now_us, lasts)
-        if ask.edition >= agreed.revision:
-            self._leaving.pop(asked.ident, None)
-        elif held is not None and held[0] < agreed.revision:
-            self._leaving[asked.ident] = max(self._leaving.get(asked.ident, 0), held[1])
-        self.lease_holders[asked.ident] = agreed.revision, until
-        if floor is not None:
-            self._floors_out[floor.number] = lease_expiry_us(now_us, floor.lasts_us)
-        grant = LeaseGrant(
-            ask.number,
+        return LeaseGrant(
+            request.number,
             agreed.revision,
-            "" if ask.edition == agreed.revision else agreed.rules,
-            lasts,
+            "" if request.edition == agreed.revision else agreed.rules,
+            self._timing.grant_us,
             agreed.version,
             floor.number if floor else 0,
-            floor.rules if floor and ask.floor != floor.number else "",
+            floor.rules if floor and request.floor != floor.number else "",
             floor.lasts_us if floor else 0,
-            rights,
+            quotas,
             self.outlier_detector.told(now_us),
             **{
-                chapter.name: chapter.response_for(now_us, asked.asker)
-                for chapter in self.subsystems
+                each.name: each.response_for(now_us, waiting.requester) for each in self._subsystems
             },
-            reign=self.allocations.term,
-            leader=self._owner.name,
+            reign=self._host.allocations.term,
+            leader=self._host.name,
         )
-        if asked.ident == self._owner.name:
-            return self._take_grant(now_us, grant)
-        return [
-            Send(asked.via, "", RelayedGrant(asked.ident, grant))
-            if asked.via
-            else Send(asked.ident, asked.address, grant)
-        ]
 
     def _rules(self) -> RuleSet:
-        """The rules in force."""
-        text, rules = self._read
-        if rules is None or text != self._owner.agreed.rules:
-            text = self._owner.agreed.rules
+        """The rules in force, parsed once."""
+        text = self._host.agreed.rules
+        parsed_text, rules = self._parsed_rules
+        if rules is None or text != parsed_text:
             rules = parse_rule_set(text)
-            self._read = text, rules
+            self._parsed_rules = text, rules
         return rules
 
-    # -- steps
+    # -- Proposals
 
     def propose_next(self, now_us: int) -> list[Effect]:
-        """Take the next step, drop a floor, or what chapters have due, once what came before has lapsed."""
-        owner, agreed = self._owner, self._owner.agreed
-        if not owner.is_leader or owner.raft is None:
+        """Propose what is due, of one kind at a time: a transition to the next edition, the end of a floor, or what
+        subsystems want. Where nothing is due yet, or an entry is uncommitted, `PROPOSAL_TIMER` is set."""
+        raft = self._host.raft
+        agreed = self._host.agreed
+        if raft is None or not self._host.is_leader:
             return []
-        if not owner.raft.log.has_committed_in_term or (
-            owner.raft.log.commit_index != owner.raft.persistent.last_log_index
-        ):
-            return [
-                owner.timer("step", now_us + self.timing.batch_us)
-            ]  # something is being decided
-        out: list[Effect] = []
-        again: list[int] = []
+        is_all_committed = raft.log.commit_index == raft.persistent.last_log_index
+        if not raft.log.has_committed_in_term or not is_all_committed:
+            return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
+        due_us: list[int] = []
         if agreed.steps:
-            due = self._earlier_leases_expire_us()
-            if now_us >= due:
-                return owner.propose(now_us, "step", {"from": agreed.revision})
-            again.append(due)
+            transition_us = self._earlier_leases_expire_us()
+            if now_us >= transition_us:
+                return self._host.propose(now_us, "step", {"from": agreed.revision})
+            due_us.append(transition_us)
         if len(agreed.floors) > 1:
-            began = owner.raft.elected_at_us
-            ends = [
-                max(self._floors_out.get(each.number, 0), lease_expiry_us(began, each.lasts_us))
-                for each in agreed.floors[:-1]
-            ]
-            if now_us >= max(ends):
-                return owner.propose(now_us, "floor-lapsed", {"number": agreed.floors[-1].number})
-            again.append(max(ends))
-        for chapter in (self.allocations, *self.subsystems) if agreed.revision else ():
-            proposals, at = chapter.next_proposals(now_us, self._rules())
+            floors_expire_us = self._earlier_floors_expire_us()
+            if now_us >= floors_expire_us:
+                latest = {"number": agreed.floors[-1].number}
+                return self._host.propose(now_us, "floor-lapsed", latest)
+            due_us.append(floors_expire_us)
+        effects: list[Effect] = []
+        if agreed.revision:
+            effects += self._propose_for_subsystems(now_us, due_us)
+        if due_us:
+            effects.append(self._timers.set(PROPOSAL_TIMER, min(due_us)))
+        return effects
+
+    def _propose_for_subsystems(self, now_us: int, due_us: list[int]) -> list[Effect]:
+        """Propose what subsystems want; `due_us` gets when each is to be called again."""
+        effects: list[Effect] = []
+        for subsystem in (self._host.allocations, *self._subsystems):
+            proposals, next_us = subsystem.next_proposals(now_us, self._rules())
             for each in proposals:
-                out += owner.propose(now_us, f"{chapter.name}/{each.kind}", each.value)
-            if at is not None:
-                again.append(max(at, now_us + self.timing.batch_us))
-        return [*out, owner.timer("step", min(again))] if again else out
+                kind = f"{subsystem.name}/{each.kind}"
+                effects += self._host.propose(now_us, kind, each.value)
+            if next_us is not None:
+                due_us.append(max(next_us, now_us + self._timing.batch_us))
+        return effects
 
     def _earlier_leases_expire_us(self) -> int:
-        """When no placer can act on an edition before the one in force any more, by this leader's reckoning."""
-        raft, edition = self._owner.raft, self._owner.agreed.revision
+        """When no placer can act on an edition before the one in force any more."""
+        raft = self._host.raft
+        assert raft is not None
+        edition = self._host.agreed.revision
+        return self._state.leases.earlier_expire_us(
+            edition, raft.elected_at_us, self._timing.grant_us
+        )
+
+    def _earlier_floors_expire_us(self) -> int:
+        """When no placer can go by a floor before the latest any more."""
+        raft = self._host.raft
         assert raft is not None
-        old = [until for each, until in self.lease_holders.values() if each < edition]
-        # Grants that an earlier leader gave are not known here: each was asked for before this one was elected.
         return max(
-            [
-                lease_expiry_us(raft.elected_at_us, self.timing.grant_us),
-                *old,
-                *self._leaving.values(),
-            ]
+            self._state.leases.floor_expires_us(each.number, raft.elected_at_us, each.lasts_us)
+            for each in self._host.agreed.floors[:-1]
         )
--- /dev/null
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -0,0 +1,222 @@
+"""Every placer's side of coordination: it renews its lease of the rule set, and holds what comes with each grant.
+
+A grant brings the rules to act on, shares of the fleet's quotas, the machines that are ejected, and each subsystem's
+part. What it brings counts from when it was *requested*, by this placer's clock, so that no delay makes it last longer.
+"""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
+from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest, NotLeader
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer
+from wingbarrow.decide.coordination.subsystem import AnyMemberSubsystem
+from wingbarrow.decide.coordination.timers import EXPIRY_TIMER, REQUEST_TIMER, Timers
+from wingbarrow.decide.coordination.voter_selection import Receiver, VoterSelector
+from wingbarrow.decide.effects import Effect, Notify
+from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver
+from wingbarrow.decide.quotas.escrow import QuotaAccount
+from wingbarrow.decide.rulesets.parsing import parse_rule_set
+
+MIN_REQUEST_INTERVAL_US = 100_000  # where requests are sent because somebody waits for quota
+REQUESTS_PER_LEASE = 3  # so that two may be lost before a lease expires
+
+
+@dataclass(frozen=True, slots=True)
+class _Outstanding:
+    """A request without an answer yet."""
+
+    sent_us: int
+    is_forwarded: bool
+
+
+class LeaseClient:
+    """One placer's leases. The owner calls `next_request` as `REQUEST_TIMER` is due, and sends what it returns."""
+
+    def __init__(
+        self,
+        local: LocalPlacer,
+        settings: CoordinationSettings,
+        seed: int,
+        timers: Timers,
+        subsystems: tuple[AnyMemberSubsystem, ...] = (),
+    ) -> None:
+        self.started_us = 0  # when `start` was called
+        self.quotas = QuotaAccount()
+        self.health_observer = HealthObserver()
+        self.ejections = ActiveEjections()
+        self.rules_lease = RulesLease()
+        self.version = 0  # the latest version of the rule set that a grant named
+        self.leader = ""  # by the latest answer; "" where that knew none
+        self.term = 0  # of the leader that gave the latest grant
+        self.selector = VoterSelector(local.name, settings.voters)
+        self.local = local
+        self._timing = settings.timing
+        self._timers = timers
+        self._subsystems = subsystems
+        self._random = random.Random(seed)
+        self._number = 0  # of the latest request
+        self._sent_us = -settings.timing.grant_us
+        self._outstanding: dict[int, _Outstanding] = {}  # by the request's number
+        self._notified_rules: RulesInForce | None = None
+        self._notified_ejections: frozenset[str] = frozenset()
+        self._has_given_up_quota = False  # with the latest grant
+
+    def start(self, now_us: int) -> list[Effect]:
+        """Begin."""
+        self.started_us = now_us
+        return [self._timers.set(REQUEST_TIMER, now_us + 1)]
+
+    # -- Requests
+
+    def next_request(self, now_us: int, leader: str) -> tuple[LeaseRequest, Receiver, list[Effect]]:
+        """The next request, whom to send it to, and what to do beside; `leader` as far as is known."""
+        effects: list[Effect] = []
+        is_unanswered = bool(self._outstanding)
+        self._outstanding = {
+            number: each
+            for number, each in self._outstanding.items()
+            if now_us - each.sent_us < self._timing.grant_us
+        }
+        if now_us >= self.rules_lease.expires_us and self.quotas.shares:
+            self.quotas.expire()
+            effects.append(Notify("rights", {"shares": {}}))
+        receiver = self.selector.choose(leader, is_unanswered=is_unanswered)
+        self._number += 1
+        self._sent_us = now_us
+        self._outstanding[self._number] = _Outstanding(now_us, receiver.forward)
+        request = self._request(now_us, forward=receiver.forward)
+        jitter_us = self._random.randrange(self._timing.retry_us // 2)
+        retry_at_us = now_us + self._timing.retry_us + jitter_us
+        effects.append(self._timers.set(REQUEST_TIMER, retry_at_us))
+        effects += self.notify_rules(now_us)
+        effects += self._notify_ejections(now_us)
+        return request, receiver, effects
+
+    def _request(self, now_us: int, *, forward: bool) -> LeaseRequest:
+        evidence, bad, tried = self.health_observer.evidence(now_us, self.ejections.mine)
+        return LeaseRequest(
+            self._number,
+            self.rules_lease.edition,
+            self.rules_lease.floor,
+            self.local.incarnation,
+            max(0, now_us - self.started_us),
+            self.quotas.report(now_us),
+            self.local.region,
+            evidence,
+            bad,
+            tried,
+            reign=self.term,
+            forward=forward,
+            **{each.name: each.report(now_us) for each in self._subsystems},
+        )
+
+    def request_soon(self, now_us: int) -> list[Effect]:
+        """Somebody waits for quota: send the next request early, unless one is outstanding."""
+        if self._outstanding:
+            return []
+        at_us = max(now_us + 1, self._sent_us + MIN_REQUEST_INTERVAL_US)
+        return [self._timers.set(REQUEST_TIMER, at_us)]
+
+    # -- Answers
+
+    def on_not_leader(self, now_us: int, message: NotLeader) -> list[Effect]:
+        """The receiver of a request does not lead."""
+        if self._outstanding.pop(message.number, None) is None:
+            return []
+        self.leader = message.leader
+        if not self.selector.on_redirect(message.leader):
+            return []
+        return [self._timers.set(REQUEST_TIMER, now_us + 1)]
+
+    def on_grant(self, now_us: int, sender: str, grant: LeaseGrant) -> list[Effect]:
+        """A request was granted. A duplicate, or one of a request that was given up, is ignored."""
+        request = self._outstanding.pop(grant.number, None)
+        if request is None:
+            return []
+        self._outstanding.clear()
+        self.leader = grant.leader or sender
+        self.selector.on_grant(sender, self.leader, was_forwarded=request.is_forwarded)
+        self.term = max(self.term, grant.reign)
+        effects = self._renew_rules(now_us, request.sent_us, grant)
+        self._renew_floor(request.sent_us, grant)
+        self.version = max(self.version, grant.version)
+        self.ejections.take(now_us, self.local.name, grant.closed)
+        effects += self._notify_ejections(now_us)
+        for each in self._subsystems:
+            effects += each.on_response(now_us, request.sent_us, getattr(grant, each.name))
+        return [
+            self._timers.set(REQUEST_TIMER, now_us + self._request_interval_us(now_us)),
+            *self.notify_rules(now_us),
+            *effects,
+        ]
+
+    def _request_interval_us(self, now_us: int) -> int:
+        """How long after a grant to send the next request.
+
+        Sooner where quota is short, as what others give back comes with grants; and where this placer gave some up, as
+        that is wanted elsewhere, and is free with its next request.
+        """
+        if self.quotas.limits and (self.quotas.is_short(now_us) or self._has_given_up_quota):
+            return self._timing.retry_us
+        return self._timing.grant_us // REQUESTS_PER_LEASE
+
+    def _renew_rules(self, now_us: int, requested_us: int, grant: LeaseGrant) -> list[Effect]:
+        lease = self.rules_lease
+        if not grant.edition or not (grant.rules or grant.edition == lease.edition):
+            return []  # nothing in force yet; or an edition whose rules are not known here
+        old_edition = lease.edition
+        had_expired = now_us >= lease.expires_us
+        rules = grant.rules or lease.rules
+        if not lease.renew(requested_us, grant.edition, rules, grant.lasts_us):
+            return []
+        old_shares = dict(self.quotas.shares)
+        if lease.edition != old_edition:
+            self.quotas.on_limits(parse_rule_set(lease.rules).limits)
+        if had_expired:
+            self.quotas.expire()
+        # Danger: what an earlier request reported may have been given back since; and the leader counts a share no
+        # longer once the lease that it came with is over.
+        is_latest = grant.number == self._number
+        if is_latest and now_us < requested_us + grant.lasts_us:
+            self.quotas.on_grants(grant.rights)
+        shares = self.quotas.shares
+        self._has_given_up_quota = any(
+            shares.get(key, 0) < share for key, share in old_shares.items()
+        )
+        if shares == old_shares:
+            return []
+        return [Notify("rights", {"shares": dict(shares)})]
+
+    def _renew_floor(self, requested_us: int, grant: LeaseGrant) -> None:
+        lease = self.rules_lease
+        if grant.floor and (grant.floor_rules or grant.floor == lease.floor):
+            rules = grant.floor_rules or lease.floor_rules
+            lease.renew_floor(requested_us, grant.floor, rules, grant.floor_us)
+
+    # -- Events
+
+    def notify_rules(self, now_us: int) -> list[Effect]:
+        """Notify of the rules in force, if they changed; set the timer for the next expiry."""
+        effects: list[Effect] = []
+        rules = self.rules_lease.rules_in_force(now_us)
+        if rules != self._notified_rules:
+            self._notified_rules = rules
+            shown = rules or RulesInForce("", 0, "")
+            fields = {"label": shown.label, "edition": shown.edition, "rules": shown.rules}
+            effects.append(Notify("rules", fields))
+        expiries_us = (self.rules_lease.expires_us, self.rules_lease.floor_expires_us)
+        next_expiry_us = min((each for each in expiries_us if each > now_us), default=None)
+        if next_expiry_us is not None:
+            effects.append(self._timers.set(EXPIRY_TIMER, next_expiry_us))
+        return effects
+
+    def _notify_ejections(self, now_us: int) -> list[Effect]:
+        """Notify of the machines that are ejected, if they changed; ejections also end without a grant."""
+        ejected = self.ejections.now(now_us)
+        if ejected == self._notified_ejections:
+            return []
+        self._notified_ejections = ejected
+        return [Notify("verdicts", {"machines": sorted(ejected)})]
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -1,8 +1,9 @@
-"""Until when a placer may act on which rules: the holder's side, counted from when it asked, by its own clock alone.
+"""The holder's side of leases of the rule set: until when a placer may act on which rules.
 
-As leases in Chubby, but that time only ever shortens them: the giver reckons with a grant until later than its holder
-does, by the drift that two clocks may have. A holder that hears of nobody goes on by the floor, as long as the floor's
-own grant lasts; then it refuses.
+As in Chubby (Burrows 2006): a lease counts from when it was requested, by its holder's clock, and for its giver from
+when it was granted and longer by the drift that two clocks may have; so the holder's always ends first. A holder whose
+lease has expired goes on by the floor, rules that every version must allow, while the floor's own lease lasts; then it
+may act on nothing.
 """
 
 from __future__ import annotations
@@ -13,22 +14,22 @@
 
 
 def lease_expiry_us(now_us: int, lasts_us: int) -> int:
-    """Until when the giver reckons with a grant that it gives now: its holder asked before."""
+    """Until when the giver of a lease reckons with it; `now_us` is a time after its holder requested it."""
     return now_us + drifted_us(lasts_us)
 
 
 @dataclass(frozen=True, slots=True)
 class RulesInForce:
-    """What a placer acts on: `label` goes with each offer. `rules` is a rule set's text."""
+    """What a placer acts on; `rules` is a rule set's text."""
 
-    label: str
+    label: str  # of each offer: `e7` for edition 7, `f2` for floor 2
     edition: int  # 0 for a floor
     rules: str
 
 
 @dataclass(slots=True)
 class RulesLease:
-    """One placer's grants; times by its own clock."""
+    """One placer's leases; times by its own clock, expiries of 0 for none."""
 
     edition: int = 0
     rules: str = ""
@@ -37,25 +38,26 @@
     floor_rules: str = ""
     floor_expires_us: int = 0
 
-    def renew(self, asked_us: int, edition: int, rules: str, lasts_us: int) -> bool:
-        """A grant, as asked for at `asked_us`; False for one of an edition that was left behind."""
+    def renew(self, requested_us: int, edition: int, rules: str, lasts_us: int) -> bool:
+        """Renew, as requested at that time; False for a grant of an edition before the one held: it has no effect."""
         if edition < self.edition:
-            return False  # Danger: an answer that was late must not bring rules back whose time has passed
+            # Danger: a late grant must not bring back rules whose time has passed.
+            return False
         if edition > self.edition:
             self.edition, self.rules, self.expires_us = edition, rules, 0
-        self.expires_us = max(self.expires_us, asked_us + lasts_us)
+        self.expires_us = max(self.expires_us, requested_us + lasts_us)
         return True
 
-    def renew_floor(self, asked_us: int, number: int, rules: str, lasts_us: int) -> None:
-        """A floor's grant."""
+    def renew_floor(self, requested_us: int, number: int, rules: str, lasts_us: int) -> None:
+        """Renew the lease of a floor; a grant of an earlier floor has no effect."""
         if number < self.floor:
             return
         if number > self.floor:
             self.floor, self.floor_rules, self.floor_expires_us = number, rules, 0
-        self.floor_expires_us = max(self.floor_expires_us, asked_us + lasts_us)
+        self.floor_expires_us = max(self.floor_expires_us, requested_us + lasts_us)
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
-        """What may be acted on at this moment; None: nothing."""
+        """What may be acted on at this moment; None for nothing."""
         if self.edition and now_us < self.expires_us:
             return RulesInForce(f"e{self.edition}", self.edition, self.rules)
         if self.floor and now_us < self.floor_expires_us:
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -1,4 +1,8 @@
-"""What is asked and answered about acting on rules: asks, grants, who leads; and the times that go with them."""
+"""Messages of coordination: lease requests and what answers them; and the times that go with them.
+
+Fields have the names that they have on the wire (`wingbarrow.peers.message`), the field's terms stand beside them. Each
+subsystem has a field of its name in `LeaseRequest` (its report) and in `LeaseGrant` (its response).
+"""
 
 from __future__ import annotations
 
@@ -15,59 +19,57 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """May I act? `edition`, `floor`: what the asker acts on, so that their rules need not be said again."""
-
-    number: int
-    edition: int
-    floor: int
-    life: int = 0  # of the asker, and for how long it has lasted
-    up_us: int = 0
-    stated: tuple[QuotaReport, ...] = ()  # what it holds, uses and wants of the fleet's limits
+    """A placer asks for its lease to be renewed. Rules that it holds already need not come with the grant."""
+
+    number: int  # of this request, by its sender
+    edition: int  # that it holds; 0 for none
+    floor: int  # likewise
+    life: int = 0  # incarnation
+    up_us: int = 0  # since this incarnation began
+    stated: tuple[QuotaReport, ...] = ()  # what it holds, uses and demands of the fleet's limits
     region: str = ""
-    evidence: tuple[
-        HealthReport, ...
-    ] = ()  # what it saw of machines lately: of `tried` ones it found `bad` bad
+    evidence: tuple[HealthReport, ...] = ()  # on machines, of `tried` in all, `bad` of them bad
     bad: int = 0
     tried: int = 0
     sessions: SessionsReport | None = None
     turns: MaintenanceReport | None = None
     regions: RegionReport | None = None
-    reign: int = 0  # of the grant that the asker took last
-    forward: bool = False  # the leader does not answer: whoever is asked is to pass this on to it
+    reign: int = 0  # term of the leader whose grant it took last
+    forward: bool = False  # the leader does not answer: the receiver is to forward this to it
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """You may, for so long from when you asked. Rules are empty where the asker has them."""
+    """The answer: act on `edition` for `lasts_us` from when you requested it. Rules that you hold are ""."""
 
-    number: int
+    number: int  # of the request
     edition: int
     rules: str
     lasts_us: int
-    version: int
-    floor: int
+    version: int  # the latest version of the rule set
+    floor: int  # 0 for none
     floor_rules: str
-    floor_us: int
-    rights: tuple[QuotaGrant, ...] = ()  # in place of what was stated
-    closed: tuple[Ejection, ...] = ()  # machines that verdicts close
+    floor_us: int  # how long the lease of the floor lasts, likewise from the request
+    rights: tuple[QuotaGrant, ...] = ()  # quotas, in place of what was reported
+    closed: tuple[Ejection, ...] = ()  # machines that are ejected
     sessions: SessionsResponse | None = None
     turns: MaintenanceResponse | None = None
     regions: tuple[RegionSummary, ...] | None = None
-    reign: int = 0  # the term of the leader that answers
+    reign: int = 0  # term of the leader that grants
     leader: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class NotLeader:
-    """Ask that one instead; "" where none is known."""
+    """The answer of one that does not lead; `leader` is "" where it knows none."""
 
-    number: int
+    number: int  # of the request
     leader: str
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedRequest:
-    """A voter passes on what another placer asks."""
+    """Voter to leader: the request of the placer `ident`."""
 
     ident: str
     ask: LeaseRequest
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedGrant:
-    """The answer to it, to be passed back."""
+    """Leader to voter: the grant for the placer `ident`."""
 
     ident: str
     grant: LeaseGrant
@@ -86,28 +88,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times in microseconds."""
+    """The times of coordination, in microseconds; the same at all placers."""
 
-    grant_us: int = 2_000_000
-    election_us: int = (
-        500_000  # short, so that another leader answers before grants of the last one lapse
+    grant_us: int = 2_000_000  # how long a lease of the rule set lasts
+    # Short, so that the next leader answers before leases that the last one granted expire.
+    election_us: int = 500_000
+    batch_us: int = (
+        20_000  # requests of that long are answered together, by one round of the voters
     )
-    batch_us: int = 20_000  # asks are answered together, one round of the voters for all
-    retry_us: int = 200_000  # an ask without an answer is sent again, to another voter
+    retry_us: int = 200_000  # after which a request without an answer is sent again
 
     def reacquire_us(self) -> int:
-        """Within what time a placer that is in touch with a majority of the voters holds a grant and its rights again.
+        """Within what time a placer that is in touch with a majority of the voters holds a lease and its quotas again.
 
-        A leader that nobody answers steps down after two elections' time at most, followers stand within two, once
-        more where votes are split; then asks find it, at most four in turn, by way of a voter where the leader itself
-        does not answer, and the last one may have been sent right before.
+        A leader that nobody answers steps down after two election timeouts at most; another is elected within two, and
+        once more where votes are split. Then requests find it: at most four in turn, through a relay where the leader
+        itself does not answer, and the last request may have been sent right before.
         """
         return 6 * self.election_us + 6 * self.retry_us + self.grant_us // 3
 
     def overlap_us(self, turn_us: int) -> int:
-        """For how long after the first act under new rules somebody may act under those before: the stated time.
+        """For how long after the first act under new rules somebody may act under those before ("the stated time").
 
-        A grant of the old ones was asked for before the new ones were decided, and lasts `grant_us` by its holder's
-        clock; the gate asks right before the first byte, which may then wait for the hub's longest turn.
+        A lease of the old ones was requested before the new ones were committed, and lasts `grant_us` by its holder's
+        clock. A placer asks right before the first byte, which may then wait for `turn_us`, the hub's longest turn.
         """
         return lease_expiry_us(0, self.grant_us) + turn_us
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -9,6 +9,7 @@
 from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.rulesets.comparison import allows
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
@@ -75,7 +76,13 @@
     def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement, from what is on its disk."""
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
-        return Coordinator(name, self.voters, disk, self.random.randrange(1 << 30), self.times)
+        settings = CoordinationSettings(self.voters, self.times)
+        seed = self.random.randrange(1 << 30)
+        return Coordinator(self.local(name), settings, disk, seed)
+
+    def local(self, name: str) -> LocalPlacer:
+        """What a placer says of itself."""
+        return LocalPlacer(name)
 
     def persisted(self, name: str, what: Persist) -> None:
         """As the store does it."""
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -8,6 +8,7 @@
 from dataclasses import replace
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.settings import LocalPlacer
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
@@ -50,10 +51,13 @@
         self.demand = dict(zip(self.names, demand, strict=True))
         self.at(0, self._turn)
 
+    def local(self, name: str) -> LocalPlacer:
+        """Its account of limits needs its incarnation."""
+        return LocalPlacer(name, self.lives[name])
+
     def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement that counts its placer's tasks."""
         made = super().make(name, now_us)
-        made.lease_client.incarnation = self.lives[name]
         self.orphans += self.tasks.pop(name, [])
         self.tasks[name] = []
         made.quotas.in_use = lambda key: len(self.tasks.get(name, ())) if key == STANDING else 0
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -12,6 +12,7 @@
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
 from wingbarrow.decide.effects import Effect, Notify
 from wingbarrow.decide.sessions.lease_times import ended_within_us, one_way_renewal_us
 from wingbarrow.decide.sessions.messages import HeldRecords
@@ -128,14 +129,11 @@
             self._cores[name] = chapters[0]
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
         return Coordinator(
-            name,
-            self.voters,
+            LocalPlacer(name, self.lives[name]),
+            CoordinationSettings(self.voters, self.times),
             disk,
             self.random.randrange(1 << 30),
-            self.times,
-            self.lives[name],
-            chapters,
-            (lease,),
+            Subsystems(chapters, (lease,)),
         )
 
     def found(self) -> None:
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -13,6 +13,7 @@
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
+from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
 from wingbarrow.decide.effects import Notify
 from wingbarrow.decide.maintenance.messages import RegionView, SlotRequest
 from wingbarrow.decide.maintenance.participant import MachineReply, MaintenanceMember, TrialOutcome
@@ -173,18 +174,13 @@
             ),
         )
         side = self.sides[name] = MaintenanceMember(name, region, eyes)
-        made = Coordinator(
-            name,
-            self.voters,
+        return Coordinator(
+            LocalPlacer(name, self.lives[name], region),
+            CoordinationSettings(self.voters, self.times),
             disk,
             self.random.randrange(1 << 30),
-            self.times,
-            self.lives[name],
-            (turns,),
-            (side,),
+            Subsystems((turns,), (side,)),
         )
-        made.live_in(region, dict)
-        return made
 
     # -- what goes on
 
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -15,6 +15,7 @@
 from wingbarrow.config import SettingsError
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.coordination.settings import LocalPlacer, Subsystems
 from wingbarrow.decide.effects import Effect, Notify, Persist, Send, SetTimer
 from wingbarrow.decide.membership import messages as words
 from wingbarrow.decide.membership.member_table import Member
@@ -23,7 +24,12 @@
 from wingbarrow.decide.regions.reports import RegionMember
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 from wingbarrow.decide.sessions.session_lease import SessionLease
-from wingbarrow.peers.coordinator_setup import coordinator_for, maintenance_for, open_voter_store
+from wingbarrow.peers.coordinator_setup import (
+    coordinator_for,
+    maintenance_for,
+    open_voter_store,
+    replicated_subsystems,
+)
 from wingbarrow.peers.history import History
 from wingbarrow.peers.mailbox import Post
 from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
@@ -132,13 +138,13 @@
             self.agreement = coordinator_for(
                 settings,
                 disk,
-                self._life,
-                self.turns,
-                (self.lease, self.regions, self.turn_side),
-                self.counts,
+                LocalPlacer(settings.name, self._life, settings.region, self.zones),
+                Subsystems(
+                    replicated_subsystems(settings, self.turns, self.counts),
+                    (self.lease, self.regions, self.turn_side),
+                ),
             )
             self.agreement.quotas.in_use, self.agreement.quotas.demand = self.uses, self.demand
-            self.agreement.live_in(settings.region, self.zones)
         try:
             with Nursery(self._hub) as nursery:
                 self._nursery = nursery
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -174,11 +174,11 @@
             state["holders"] = [
                 {
                     "placer": name,
-                    "edition": edition,
-                    "leftUs": max(0, until - now),
-                    "lapsedUs": max(0, now - until),
+                    "edition": lease.edition,
+                    "leftUs": max(0, lease.expires_us - now),
+                    "lapsedUs": max(0, now - lease.expires_us),
                 }
-                for name, (edition, until) in sorted(agreement.lease_holders.items())
+                for name, lease in sorted(agreement.lease_holders.items())
             ]
         return state
 
