--- a/benchmarks/drain_plan.py
+++ b/benchmarks/drain_plan.py
@@ -9,7 +9,7 @@
 import time
 from datetime import datetime
 
-from wingbarrow.decide.maintenance.drain_plan import Fate, MachineState, Rules, plan
+from wingbarrow.decide.maintenance.drain_plan import MachineState, PlanOutcome, PlanRules, plan
 from wingbarrow.decide.maintenance.windows import SECOND, Selector, Series, expand_all, to_us, zone
 
 HOUR = 3600 * SECOND
@@ -35,12 +35,12 @@
     times = []
     for _ in range(runs):
         start = time.perf_counter()
-        found = plan(expand_all([series], begin, begin + 365 * 24 * HOUR), fleet, Rules())
+        found = plan(expand_all([series], begin, begin + 365 * 24 * HOUR), fleet, PlanRules())
         times.append(time.perf_counter() - start)
     return {
         "machines": count,
         "drains": len(found),
-        "planned": sum(each.fate is Fate.PLANNED for each in found),
+        "planned": sum(each.outcome is PlanOutcome.PLANNED for each in found),
         "seconds_median": round(statistics.median(times), 2),
         "seconds_most": round(max(times), 2),
         "runs": runs,
--- a/tests/decide/maintenance/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -13,20 +13,20 @@
 from wingbarrow.decide.maintenance.drain_plan import (
     Budget,
     Drain,
-    Fate,
     MachineState,
-    Rules,
+    PlanOutcome,
+    PlanRules,
     Scope,
     plan,
 )
 from wingbarrow.decide.maintenance.drain_progress import (
-    OVER,
-    Drains,
-    Held,
+    ENDED_PHASES,
+    DrainPolicy,
+    DrainStep,
+    DrainTracker,
     Phase,
-    Policy,
-    Running,
-    Turn,
+    RunningTask,
+    TrackedDrain,
     failed_zones,
 )
 from wingbarrow.decide.maintenance.windows import (
@@ -57,7 +57,7 @@
 
 
 FLEET = [machine(number) for number in range(12)]
-ONE_PER_RACK = Rules((Budget(Scope.CELL, 1),))
+ONE_PER_RACK = PlanRules((Budget(Scope.CELL, 1),))
 
 
 def window(
@@ -80,7 +80,7 @@
 
 
 def planned(drains: list[Drain]) -> list[Drain]:
-    return [drain for drain in drains if drain.fate is Fate.PLANNED]
+    return [drain for drain in drains if drain.outcome is PlanOutcome.PLANNED]
 
 
 def test_a_rack_is_taken_one_after_another() -> None:
@@ -93,14 +93,14 @@
 
 
 def test_two_windows_that_would_empty_a_rack_are_told_apart_by_precedence() -> None:
-    rules = Rules((Budget(Scope.CELL, 2),))
+    rules = PlanRules((Budget(Scope.CELL, 2),))
     first, second = window("low", cell="r0"), window("high", precedence=5, name="n000")
     found = plan(sorted([first, second], key=lambda o: -o.series.precedence), FLEET, rules)
     fates = {(drain.window, drain.machine): drain for drain in found}
-    assert fates["high", "n000"].fate is Fate.PLANNED
+    assert fates["high", "n000"].outcome is PlanOutcome.PLANNED
     assert "high" in fates["low", "n000"].reason
-    assert fates["low", "n001"].fate is Fate.PLANNED
-    assert fates["low", "n002"].fate is Fate.REFUSED
+    assert fates["low", "n001"].outcome is PlanOutcome.PLANNED
+    assert fates["low", "n002"].outcome is PlanOutcome.REFUSED
     assert "2 machine(s)" in fates["low", "n002"].reason
 
 
@@ -108,44 +108,48 @@
     found = plan(
         [window("a", name="n000"), window("b", name="n001"), window("c", name="n002")],
         FLEET,
-        Rules((Budget(Scope.CELL, None, 1),)),
+        PlanRules((Budget(Scope.CELL, None, 1),)),
     )
-    assert [drain.fate for drain in found] == [Fate.PLANNED, Fate.PLANNED, Fate.REFUSED]
+    assert [drain.outcome for drain in found] == [
+        PlanOutcome.PLANNED,
+        PlanOutcome.PLANNED,
+        PlanOutcome.REFUSED,
+    ]
 
 
 def test_a_window_for_all_machines_never_leaves_less_room_than_is_asked() -> None:
-    found = plan([window("all")], FLEET, Rules((), fill=0.9))
+    found = plan([window("all")], FLEET, PlanRules((), fill=0.9))
     out = len(planned(found))
     assert out == 6
     assert 0.9 * (12 - out) * 10.0 + 1e-9 >= 4.0 * 12
     assert any("would not fit" in drain.reason for drain in found)
-    full = [replace(each, asked=(9.5, 9.5)) for each in FLEET]
-    assert not planned(plan([window("all")], full, Rules(())))
+    full = [replace(each, requested=(9.5, 9.5)) for each in FLEET]
+    assert not planned(plan([window("all")], full, PlanRules(())))
 
 
 def test_the_last_machine_of_a_kind_that_a_class_needs_stays() -> None:
     fleet = [
-        replace(each, asked=(0.1, 0.1))
+        replace(each, requested=(0.1, 0.1))
         for each in [*FLEET[:4], machine(4, kind="large"), machine(5, kind="large")]
     ]
-    found = plan([window("all")], fleet, Rules((), kinds_needed=("large",), fill=1.0))
+    found = plan([window("all")], fleet, PlanRules((), kinds_needed=("large",), fill=1.0))
     large = [drain for drain in found if drain.machine in ("n004", "n005")]
-    assert sorted(drain.fate.value for drain in large) == ["planned", "refused"]
+    assert sorted(drain.outcome.value for drain in large) == ["planned", "refused"]
 
 
 def test_nothing_starts_in_a_blackout() -> None:
-    rules = Rules((), blackouts=(Blackout("christmas", START - H, START + H),))
+    rules = PlanRules((), blackouts=(Blackout("christmas", START - H, START + H),))
     found = plan(
         [window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules
     )
     assert "christmas" in found[0].reason
-    assert found[1].fate is Fate.PLANNED
+    assert found[1].outcome is PlanOutcome.PLANNED
 
 
 def test_shares_round_as_a_disruption_budget_does() -> None:
-    assert Budget(Scope.CELL, 0.5, None, True).most_out(3) == 2
-    assert Budget(Scope.CELL, None, 0.5, True).most_out(3) == 1
-    assert Budget(Scope.ALL, None, 5).most_out(3) == 0
+    assert Budget(Scope.CELL, 0.5, None, True).max_out(3) == 2
+    assert Budget(Scope.CELL, None, 0.5, True).max_out(3) == 1
+    assert Budget(Scope.ALL, None, 5).max_out(3) == 0
 
 
 OCCURRENCES = st.lists(
@@ -184,10 +188,10 @@
     lost: set[int],
 ) -> None:
     fleet = [
-        replace(each, asked=(asked, asked), running=number not in lost)
+        replace(each, requested=(asked, asked), running=number not in lost)
         for number, each in enumerate(FLEET)
     ]
-    rules = Rules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
+    rules = PlanRules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
     occurrences = sorted(
         (
             window(
@@ -206,7 +210,7 @@
         assert len(out) == len(set(out)) <= whole
         assert all(count <= cell for count in Counter(running[name].cell for name in out).values())
         left = sum(each.size[0] for each in running.values()) - 10.0 * len(out)
-        assert not out or sum(each.asked[0] for each in running.values()) <= 0.9 * left + 1e-6
+        assert not out or sum(each.requested[0] for each in running.values()) <= 0.9 * left + 1e-6
     for drain in going:
         assert drain.machine in running
         occurrence = next(
@@ -215,34 +219,36 @@
             if each.ident == drain.occurrence and each.series.name == drain.window
         )
         assert occurrence.start_us <= drain.start_us < drain.end_us <= occurrence.end_us
-    assert all(drain.reason for drain in found if drain.fate is Fate.REFUSED)
+    assert all(drain.reason for drain in found if drain.outcome is PlanOutcome.REFUSED)
 
 
 # -- doing
 
 
-DRAIN = Drain("w", "w@1", "n001", Fate.PLANNED, START, START + H)
+DRAIN = Drain("w", "w@1", "n001", PlanOutcome.PLANNED, START, START + H)
 ZONES = {"n001": "a", "n002": "b"}
 NONE: frozenset[str] = frozenset()
 
 
-def drains(unsafe: UnsafePolicy = UnsafePolicy.WAIT, placers: int = 1, **policy: object) -> Drains:
-    held = Drains(replace(Policy(), **policy), placers)  # type: ignore[arg-type]
-    held.take_plan([(DRAIN, unsafe)], START - 10 * H)
+def drains(
+    unsafe: UnsafePolicy = UnsafePolicy.WAIT, placers: int = 1, **policy: object
+) -> DrainTracker:
+    held = DrainTracker(replace(DrainPolicy(), **policy), placers)  # type: ignore[arg-type]
+    held.on_plan([(DRAIN, unsafe)], START - 10 * H)
     return held
 
 
-def phase(held: Drains) -> Phase:
-    return held.held[DRAIN.key].phase
+def phase(held: DrainTracker) -> Phase:
+    return held.tracked[DRAIN.key].phase
 
 
 def step(
-    held: Drains,
+    held: DrainTracker,
     now: int,
-    tasks: list[Running] | None = None,
+    tasks: list[RunningTask] | None = None,
     failed: frozenset[str] = NONE,
     room: bool = True,
-) -> Turn:
+) -> DrainStep:
     return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": room})
 
 
@@ -265,11 +271,11 @@
 def test_only_movable_tasks_that_would_outlive_the_start_are_moved_at_the_pace() -> None:
     held = drains(moves=2, every_us=S)
     tasks = [
-        Running(1, True, START + H),
-        Running(2, False, None),
-        Running(3, True, START - 30 * S),
-        Running(4, True, None),
-        Running(5, True, START + 2 * H),
+        RunningTask(1, True, START + H),
+        RunningTask(2, False, None),
+        RunningTask(3, True, START - 30 * S),
+        RunningTask(4, True, None),
+        RunningTask(5, True, START + 2 * H),
     ]
     step(held, START - 61 * S, tasks)
     moved: list[int] = []
@@ -286,7 +292,7 @@
     moved = 0
     for _ in range(4):
         held = drains(placers=4, moves=4)
-        tasks = [Running(number, True, None) for number in range(100)]
+        tasks = [RunningTask(number, True, None) for number in range(100)]
         for tick in range(21):
             turn = step(held, START - 60 * S + tick * S // 2, tasks)
             moved += len(turn.moves)
@@ -306,23 +312,23 @@
     policy: UnsafePolicy, outcome: Phase
 ) -> None:
     held = drains(policy)
-    batch = [Running(9, False, START + H // 2)]
+    batch = [RunningTask(9, False, START + H // 2)]
     for second in range(-60, 600, 10):
         assert not step(held, START + second * S, batch).moves
     step(held, START + H // 2, [])
     assert phase(held) is outcome
     if outcome is Phase.OUT:
-        end = held.held[DRAIN.key].drain.end_us
+        end = held.tracked[DRAIN.key].drain.end_us
         assert end == START + H if policy is UnsafePolicy.SHORTEN else end > START + H + 9 * 60 * S
 
 
 def test_a_failed_hall_stops_drains_elsewhere_and_takes_back_those_begun() -> None:
     held = drains()
     assert not step(held, START - 60 * S, failed=frozenset("b")).closed
-    assert "b has failed" in held.held[DRAIN.key].reason
+    assert "b has failed" in held.tracked[DRAIN.key].reason
     assert step(held, START - 50 * S).closed
     back = drains(take_back=True)
-    task = [Running(1, True, None)]
+    task = [RunningTask(1, True, None)]
     step(back, START - 60 * S, task)
     assert not step(back, START - 50 * S, task, frozenset("b")).closed
     assert phase(back) is Phase.GIVEN_UP
@@ -338,22 +344,22 @@
 
 def test_without_room_a_drain_waits_and_moves_nothing() -> None:
     held = drains()
-    assert not step(held, START - 60 * S, [Running(1, True, None)], room=False).closed
-    turn = step(held, START, [Running(1, True, None)], room=False)
+    assert not step(held, START - 60 * S, [RunningTask(1, True, None)], room=False).closed
+    turn = step(held, START, [RunningTask(1, True, None)], room=False)
     assert turn.closed
     assert not turn.moves
-    step(held, START + H, [Running(1, True, None)], room=False)
+    step(held, START + H, [RunningTask(1, True, None)], room=False)
     assert phase(held) is Phase.GIVEN_UP
-    assert "still run" in held.held[DRAIN.key].reason
+    assert "still run" in held.tracked[DRAIN.key].reason
 
 
 def test_a_clock_set_back_undoes_nothing_and_a_restart_goes_on() -> None:
     held = drains()
-    task = [Running(1, False, None)]
+    task = [RunningTask(1, False, None)]
     step(held, START - 60 * S, task)
-    again = Drains(Policy(), 1)
-    again.restore(held.held.values())
-    again.take_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
+    again = DrainTracker(DrainPolicy(), 1)
+    again.restore(held.tracked.values())
+    again.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
     assert step(again, START - 2 * H, task).closed
     assert phase(again) is Phase.CLOSED
     step(again, START - 2 * H, [])
@@ -362,31 +368,31 @@
 
 def test_cancelled_is_cancelled_and_a_new_plan_does_not_bring_it_back() -> None:
     held = drains()
-    step(held, START - 60 * S, [Running(1, True, None)])
+    step(held, START - 60 * S, [RunningTask(1, True, None)])
     assert held.cancel(DRAIN.key, START)
     assert not held.cancel(DRAIN.key, START)
     assert not held.cancel("none", START)
-    held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START)
+    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START)
     assert phase(held) is Phase.GIVEN_UP
     assert not step(held, START).closed
 
 
 def test_an_offer_that_is_out_keeps_a_machine_from_counting_as_empty() -> None:
     held = drains()
-    step(held, START - 60 * S, [Running(1, True, None, True)])
-    assert not step(held, START - 50 * S, [Running(1, True, None, True)]).moves
+    step(held, START - 60 * S, [RunningTask(1, True, None, True)])
+    assert not step(held, START - 50 * S, [RunningTask(1, True, None, True)]).moves
     assert phase(held) is Phase.CLOSED
     step(held, START - 40 * S, [])
     assert phase(held) is Phase.OUT
-    assert step(held, START - 30 * S, [Running(1, True, None)]).moves == (1,), (
+    assert step(held, START - 30 * S, [RunningTask(1, True, None)]).moves == (1,), (
         "a late answer's task is moved too"
     )
 
 
 def test_a_window_in_the_past_never_begins() -> None:
-    held = Drains(Policy(), 1)
-    held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * H)
-    assert not held.held
+    held = DrainTracker(DrainPolicy(), 1)
+    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * H)
+    assert not held.tracked
     late = drains()
     step(late, START + 2 * H)
     assert phase(late) is Phase.GIVEN_UP
@@ -409,13 +415,13 @@
         turn = step(
             held,
             START + second * S,
-            [Running(n, n == 0, None) for n in range(tasks)],
+            [RunningTask(n, n == 0, None) for n in range(tasks)],
             frozenset("b") if failed else NONE,
             room,
         )
         assert all(request == 0 for request in turn.moves), "only what may start twice is moved"
         now = phase(held)
-        assert last not in OVER or now is last
+        assert last not in ENDED_PHASES or now is last
         assert now is Phase.GIVEN_UP or order.index(now) >= order.index(last)
         last = now
 
@@ -429,4 +435,4 @@
     )
     assert failed_zones(here, 0.5) == {"b"}
     assert failed_zones(here, 0.6) == NONE
-    assert isinstance(Held(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), Held)
+    assert isinstance(TrackedDrain(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), TrackedDrain)
--- a/tests/decide/maintenance/test_windows.py
+++ b/tests/decide/maintenance/test_windows.py
@@ -10,7 +10,7 @@
 from wingbarrow.config import SettingsError
 from wingbarrow.config.calendar import Calendar, load_calendar, read_ics, read_kdl
 from wingbarrow.decide.maintenance.windows import (
-    OCCURRENCES_MOST,
+    MAX_OCCURRENCES,
     SECOND,
     Selector,
     Series,
@@ -77,9 +77,9 @@
 def test_a_series_for_ever_is_bounded_and_one_without_length_never_comes() -> None:
     hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", lasts=H)
     assert (
-        OCCURRENCES_MOST - 4
+        MAX_OCCURRENCES - 4
         <= len(expand(hourly, us(2026, 1, 1), us(2030, 1, 1)))
-        <= OCCURRENCES_MOST
+        <= MAX_OCCURRENCES
     )
     assert (
         expand(
@@ -117,7 +117,7 @@
     assert kernel.each_us == H // 2
     assert kernel.unsafe is UnsafePolicy.GIVE_UP
     assert len(kernel.selectors) == 2
-    assert [budget.most_out(20) for budget in read.rules.budgets] == [1, 5]
+    assert [budget.max_out(20) for budget in read.rules.budgets] == [1, 5]
     assert read.policy.moves == 6
     assert read.policy.failed_share == 0.4
     assert not read.policy.take_back
@@ -166,7 +166,7 @@
 
 def test_icalendar_events_that_name_machines_are_windows() -> None:
     (patch,) = read_ics(ICS.replace("\n", "\r\n"), "c.ics")
-    assert (patch.name, patch.lasts_us, patch.each_us) == ("patch-1", 2 * H, H // 2)
+    assert (patch.name, patch.duration_us, patch.each_us) == ("patch-1", 2 * H, H // 2)
     found = expand(patch, us(2026, 10, 1), us(2026, 12, 1))
     assert [each.start_us for each in found] == [us(2026, 10, 17, 23), us(2026, 11, 1, 0)]
 
--- a/tests/stored/state.py
+++ b/tests/stored/state.py
@@ -14,8 +14,8 @@
 from wingbarrow.core.fleet import saved_entries
 from wingbarrow.core.logs import silent
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState
-from wingbarrow.decide.maintenance.drain_progress import Held, Phase, Running
+from wingbarrow.decide.maintenance.drain_plan import Drain, MachineState, PlanOutcome
+from wingbarrow.decide.maintenance.drain_progress import Phase, RunningTask, TrackedDrain
 from wingbarrow.decide.maintenance.windows import UnsafePolicy
 from wingbarrow.interface import ListedMachine
 from wingbarrow.interface import Phase as MachinePhase
@@ -102,10 +102,12 @@
 ]
 
 
-def _held(phase: Phase, unsafe: UnsafePolicy, *more: Any) -> Held:
+def _held(phase: Phase, unsafe: UnsafePolicy, *more: Any) -> TrackedDrain:
     machine = f"node-{phase.value.replace(' ', '-')}"
-    drain = Drain("w", "w@1780000010", machine, Fate.PLANNED, WALL_US + 10 * S, WALL_US + 70 * S)
-    return Held(drain, phase, unsafe, *more)
+    drain = Drain(
+        "w", "w@1780000010", machine, PlanOutcome.PLANNED, WALL_US + 10 * S, WALL_US + 70 * S
+    )
+    return TrackedDrain(drain, phase, unsafe, *more)
 
 
 HELD = [
@@ -123,16 +125,16 @@
     def machine_states(self) -> list[MachineState]:
         return []
 
-    def own_running(self) -> dict[str, list[Running]]:
+    def own_running(self) -> dict[str, list[RunningTask]]:
         return {}
 
-    def take_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
+    def on_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
         pass
 
     def move_task(self, request: int, why: str) -> None:
         pass
 
-    def tell_drain(self, held: Held) -> None:
+    def report_drain(self, held: TrackedDrain) -> None:
         pass
 
 
@@ -158,11 +160,11 @@
 
 def write_drains(folder: Path) -> None:
     drainer = _drainer(folder)
-    drainer.drains.held = {each.drain.key: each for each in (*HELD, PLANNED)}
+    drainer.drains.tracked = {each.drain.key: each for each in (*HELD, PLANNED)}
     drainer._save()
 
 
-def read_drains(folder: Path) -> list[Held]:
+def read_drains(folder: Path) -> list[TrackedDrain]:
     drainer = _drainer(folder)
     drainer._restore()
-    return list(drainer.drains.held.values())
+    return list(drainer.drains.tracked.values())
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -55,7 +55,7 @@
         assert [(each["key"], each["phase"]) for each in found] == [
             ("patch@1780000015/node-0", "out")
         ]
-        saved = placer.drainer.drains.held["patch@1780000015/node-0"]
+        saved = placer.drainer.drains.tracked["patch@1780000015/node-0"]
         assert saved.since_us == 1_780_000_011_500_000, "its saved state, not one begun anew"
         begun = stage.hub.now_us()
         stage.cluster.source.set_down(False)
--- a/wingbarrow/cli/drains.py
+++ b/wingbarrow/cli/drains.py
@@ -90,7 +90,7 @@
     )
     for drain in found:
         click.echo(
-            f"{drain.machine:<20}{drain.fate.value:<9}{_when(drain.start_us)} to {_when(drain.end_us)}  "
+            f"{drain.machine:<20}{drain.outcome.value:<9}{_when(drain.start_us)} to {_when(drain.end_us)}  "
             f"{drain.window}{'  ' + drain.reason if drain.reason else ''}"
         )
     if plot is not None:
@@ -113,8 +113,8 @@
             machines.index(drain.machine),
             dates.date2num(end) - dates.date2num(begin),
             left=dates.date2num(begin),
-            color="C0" if drain.fate.value == "planned" else "none",
-            edgecolor="C0" if drain.fate.value == "planned" else "C3",
+            color="C0" if drain.outcome.value == "planned" else "none",
+            edgecolor="C0" if drain.outcome.value == "planned" else "C3",
         )
     axes.set_yticks(range(len(machines)), machines, fontsize=7)
     axes.xaxis_date()
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -28,8 +28,8 @@
     text,
     word,
 )
-from wingbarrow.decide.maintenance.drain_plan import Budget, Rules, Scope
-from wingbarrow.decide.maintenance.drain_progress import Policy
+from wingbarrow.decide.maintenance.drain_plan import Budget, PlanRules, Scope
+from wingbarrow.decide.maintenance.drain_progress import DrainPolicy
 from wingbarrow.decide.maintenance.windows import (
     Blackout,
     Selector,
@@ -51,8 +51,8 @@
     """Windows, what a plan must keep, and how drains are done."""
 
     series: tuple[Series, ...] = ()
-    rules: Rules = field(default_factory=Rules)
-    policy: Policy = field(default_factory=Policy)
+    rules: PlanRules = field(default_factory=PlanRules)
+    policy: DrainPolicy = field(default_factory=DrainPolicy)
 
 
 def _share(value: Any) -> tuple[float, bool]:
@@ -117,7 +117,7 @@
 
 def load_calendar(paths: Iterable[str | Path], kinds_needed: tuple[str, ...] = ()) -> Calendar:
     """One calendar from all files (.ics by that ending, else KDL); SettingsError for the first file at fault."""
-    out = Calendar(rules=Rules(kinds_needed=kinds_needed))
+    out = Calendar(rules=PlanRules(kinds_needed=kinds_needed))
     for path in paths:
         raw = _read(Path(path))
         before = {series.name for series in out.series}
@@ -221,13 +221,13 @@
     fill, lead, rules, policy = top.one("fill"), top.one("lead"), base.rules, base.policy
     return Calendar(
         (*base.series, *series),
-        Rules(
+        PlanRules(
             tuple(budgets) or rules.budgets,
             (*rules.blackouts, *blackouts),
             fill.args[0] if fill else rules.fill,
             rules.kinds_needed,
         ),
-        Policy(
+        DrainPolicy(
             lead.args[0] if lead else policy.lead_us,
             top.get("pace", "moves", policy.moves),
             top.get("pace", "every", policy.every_us) or policy.every_us,
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -1,4 +1,4 @@
-"""Drains by the calendar, as the core carries them out; `core.drainer` says when, `decide` how."""
+"""Closed machines and moves of tasks: what drains and maintenance slots do to the core; `core.drainer` says when."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
-from wingbarrow.core.attempts import Attempts, Stage
+from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.maintenance.drain_plan import MachineState
-from wingbarrow.decide.maintenance.drain_progress import Held, Running
+from wingbarrow.decide.maintenance.drain_progress import RunningTask, TrackedDrain
 from wingbarrow.kube import names
 
+CLOCK_JITTER_US = 1_000  # closing times that differ by less are the same
 
-class Closing:
-    """Owns which machines are closed, or close for long tasks."""
+
+class DrainSchedule:
+    """Owns which machines are closed to new tasks, or close for long ones."""
 
     def __init__(
         self,
@@ -30,112 +32,118 @@
         runs: Runs,
         board: ApiObjects,
     ) -> None:
-        self._base, self._host, self._fleet, self._attempts = base, host, fleet, attempts
-        self._runs, self._board = runs, board
+        self._base = base
+        self._host = host
+        self._fleet = fleet
+        self._attempts = attempts
+        self._runs = runs
+        self._board = board
         self._closing: dict[
             str, int
-        ] = {}  # machines that close for long tasks: when, on the module's clock
+        ] = {}  # machines that close for long tasks: when, by the module's clock
         self._closed: frozenset[str] = frozenset()
-        self.turned: Callable[[str], bool] = lambda name: False  # closed by a turn
+        self.is_closed_by_slot: Callable[[str], bool] = _never_closed
         fleet.guards.append(self._guard)
         fleet.drained = self._is_closed
 
     def _is_closed(self, name: str) -> bool:
-        return name in self._closed or self.turned(name)
+        return name in self._closed or self.is_closed_by_slot(name)
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """The calendar can only take from what the list says (rule 3)."""
+        """A drain can only take from what the list says (rule 3)."""
         if self._is_closed(entry.name) and listed.phase is api.Phase.RUNNING:
             return replace(listed, phase=api.Phase.DRAINING)
         return listed
 
     def machine_states(self) -> list[MachineState]:
-        """The machines of the list as planning sees them; those that the list itself drains do not run."""
-        asked = {each.machine: each.asked for each in self._host.knowledge().machines}
-        out = []
+        """The machines of the list as the planner sees them; those that the list itself drains do not run."""
+        requested = {each.machine: each.asked for each in self._host.knowledge().machines}
+        states = []
         for name, entry in self._fleet.held.items():
             labels = entry.value["metadata"].get("labels") or {}
-            out.append(
+            states.append(
                 MachineState(
-                    name,
-                    str(labels.get(names.CELL, name)),
-                    entry.listed.zone,
-                    entry.listed.kind,
-                    labels,
-                    self._fleet.size_of(entry),
-                    asked.get(entry.listed.machine) or (0.0, 0.0),
-                    entry.listed.phase is api.Phase.RUNNING,
+                    name=name,
+                    cell=str(labels.get(names.CELL, name)),
+                    zone=entry.listed.zone,
+                    kind=entry.listed.kind,
+                    labels=labels,
+                    size=self._fleet.size_of(entry),
+                    requested=requested.get(entry.listed.machine) or (0.0, 0.0),
+                    running=entry.listed.phase is api.Phase.RUNNING,
                 )
             )
-        return out
+        return states
 
-    def own_running(self) -> dict[str, list[Running]]:
+    def own_running(self) -> dict[str, list[RunningTask]]:
         """Own tasks by machine, placed or offered, with when they end by their owner's hint."""
-        out: dict[str, list[Running]] = {}
-        wall = self._base.hub.clock.wall_us() - self._base.hub.now_us()
+        running: dict[str, list[RunningTask]] = {}
+        wall_shift_us = self._base.hub.clock.wall_us() - self._base.hub.now_us()
         for attempt in self._attempts.by_key.values():
-            if attempt.stage is not Stage.ENDED and attempt.stopping is None:
-                asked = attempt.task.job.request
-                offered = attempt.stage is not Stage.PLACED
-                began = attempt.decided_us if offered else attempt.placed_us
-                ends = None if asked.expected_us is None else wall + began + asked.expected_us
-                movable = (
-                    asked.task_class.task_class.effect is not api.Effect.UNSAFE
-                    and not attempt.task.answer_uncertain
-                )
-                out.setdefault(attempt.link.name, []).append(
-                    Running(attempt.request, movable, ends, offered)
-                )
-        return out
+            if attempt.stage is Stage.ENDED or attempt.stopping is not None:
+                continue
+            request = attempt.task.job.request
+            is_offered = attempt.stage is not Stage.PLACED
+            began_us = attempt.decided_us if is_offered else attempt.placed_us
+            ends_us = None
+            if request.expected_us is not None:
+                ends_us = wall_shift_us + began_us + request.expected_us
+            is_movable = not _is_unsafe(attempt) and not attempt.task.answer_uncertain
+            running.setdefault(attempt.link.name, []).append(
+                RunningTask(attempt.request, is_movable, ends_us, is_offered)
+            )
+        return running
 
-    def take_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
+    def on_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
         """Narrow the module: long tasks off machines that close, everything off those that are closed."""
-        shift = self._base.hub.now_us() - self._base.hub.clock.wall_us()
-        fresh = {name: at + shift for name, at in closing.items()}
+        self._narrow(closing)
+        if closed != self._closed:
+            touched = closed ^ self._closed
+            self._closed = closed
+            self._fleet.take_again(self._show(touched))
+
+    def _narrow(self, closing: dict[str, int]) -> None:
+        shift_us = self._base.hub.now_us() - self._base.hub.clock.wall_us()
+        fresh = {name: at_us + shift_us for name, at_us in closing.items()}
         changes: dict[int, int | None] = {
-            names.ident(name): at
-            for name, at in fresh.items()
-            if abs(self._closing.get(name, 0) - at) > 1_000
+            names.ident(name): at_us
+            for name, at_us in fresh.items()
+            if abs(self._closing.get(name, 0) - at_us) > CLOCK_JITTER_US
         }
         changes |= {names.ident(name): None for name in self._closing if name not in fresh}
         self._closing = fresh
         if changes:
             self._host.feed(api.Planned(changes))
-        if closed != self._closed:
-            touched = closed ^ self._closed
-            self._closed = closed
-            held = self._fleet.held
-            entries = [held[name] for name in sorted(touched) if name in held]
-            for entry in entries:
-                self._board.show_node(entry, self._is_closed(entry.name))
-            self._fleet.take_again(entries)
 
-    def pass_again(self, machines: Iterable[str]) -> None:
-        """Turns closed, or opened, machines: show that, to the module too."""
+    def _show(self, machines: Iterable[str]) -> list[NodeEntry]:
+        """Show the machines of the list anew, by name; their entries."""
         held = self._fleet.held
         entries = [held[name] for name in sorted(machines) if name in held]
         for entry in entries:
             self._board.show_node(entry, self._is_closed(entry.name))
+        return entries
+
+    def refresh(self, machines: Iterable[str]) -> None:
+        """Maintenance slots closed or opened machines: show that, and give them to the module anew."""
+        entries = self._show(machines)
         if entries:
             self._fleet.take_again(entries)
 
     def move_task(self, request: int, why: str) -> None:
-        """Stop a placed task and ask for it again; never one that must not start twice."""
+        """Stop a placed task and request it anew; never one that must not start twice."""
         attempt = self._attempts.of(request)
-        if (
-            attempt is None
-            or attempt.task.job.request.task_class.task_class.effect is api.Effect.UNSAFE
-        ):
+        if attempt is None or _is_unsafe(attempt):
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["drain_moves"] += 1
         attempt.task.last_outcome = why
         self._runs.move(request)
 
-    def tell_drain(self, held: Held) -> None:
-        """A drain's phase for people: a line in the log, an Event and a condition of its Node."""
+    def report_drain(self, held: TrackedDrain) -> None:
+        """Report a drain's phase to operators: a line in the log, an Event and a condition of its Node."""
         self._base.counts["drains:" + held.phase.value] += 1
-        name, wall = held.drain.machine, self._base.hub.clock.wall_us()
+        name = held.drain.machine
+        now = names.short_time(self._base.hub.clock.wall_us())
         reason = "Drain" + held.phase.value.title().replace(" ", "")
         self._board.tell_node(
             name,
@@ -151,8 +159,8 @@
                 "status": str(held.phase.value in ("closed", "out")),
                 "reason": reason,
                 "message": held.reason or f"window {held.drain.window}",
-                "lastTransitionTime": names.short_time(wall),
-                "lastHeartbeatTime": names.short_time(wall),
+                "lastTransitionTime": now,
+                "lastHeartbeatTime": now,
             },
         )
         entry = self._fleet.held.get(name)
@@ -166,3 +174,12 @@
             why=held.reason,
             moved=held.moved,
         )
+
+
+def _never_closed(machine: str) -> bool:
+    return False
+
+
+def _is_unsafe(attempt: Attempt) -> bool:
+    """Whether a task must not start twice."""
+    return attempt.task.job.request.task_class.task_class.effect is api.Effect.UNSAFE
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -18,13 +18,21 @@
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.load import SettingsError
 from wingbarrow.core.saved_list import write_atomically
-from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState, plan
+from wingbarrow.decide.maintenance.drain_plan import (
+    ROUNDING,
+    Drain,
+    MachineState,
+    PlanOutcome,
+    plan,
+)
 from wingbarrow.decide.maintenance.drain_progress import (
-    OVER,
-    Drains,
-    Held,
+    ACTIVE_PHASES,
+    ENDED_PHASES,
+    DrainStep,
+    DrainTracker,
     Phase,
-    Running,
+    RunningTask,
+    TrackedDrain,
     failed_zones,
 )
 from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_us
@@ -32,18 +40,20 @@
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
-TURN_US = 500_000
-PLAN_EVERY_US = 60 * SECOND
-HORIZON_US = 8 * 86_400 * SECOND
-EARLIER_US = 86_400 * SECOND
-FORM = 1
-ASKED_MOST = 64
-LOST_KEPT_US = (
-    600 * SECOND
-)  # a machine that vanished without a drain speaks for its hall's failure so long
-
-
-class _Kept(msgspec.Struct):
+STEP_INTERVAL_US = 500_000
+PLAN_INTERVAL_US = 60 * SECOND
+HORIZON_US = 8 * 86_400 * SECOND  # how far ahead drains are planned
+PAST_US = 86_400 * SECOND  # how far back, for windows that have begun
+LOSS_REMEMBERED_US = 600 * SECOND  # a machine that vanished counts for its zone's failure so long
+FORMAT = 1  # of the state file
+MAX_REQUESTED_DRAINS = 64
+MAX_LOGGED_PROBLEMS = 20
+MAX_LOGGED_CHARACTERS = 200
+
+
+class _StoredDrain(msgspec.Struct):
+    """A drain in the state file."""
+
     key: str
     window: str
     occurrence: str
@@ -64,23 +74,23 @@
     drains: msgspec.Raw
 
 
-class Host(Protocol):
-    """The placer, as far as drains go."""
+class DrainHost(Protocol):
+    """What the drainer needs of its placer."""
 
     def machine_states(self) -> list[MachineState]:
-        """The machines of the list; those that drain by the list's word do not run."""
+        """The machines of the list; those that the list itself drains do not run."""
 
-    def own_running(self) -> dict[str, list[Running]]:
+    def own_running(self) -> dict[str, list[RunningTask]]:
         """Own placed tasks by machine."""
 
-    def take_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
-        """Machines that close for long tasks at a wall time, and those that are closed."""
+    def on_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
+        """Machines that close for long tasks, with the wall time from which on; and those that are closed."""
 
     def move_task(self, request: int, why: str) -> None:
-        """Stop a task here and ask for it again."""
+        """Stop a task here and request it anew."""
 
-    def tell_drain(self, held: Held) -> None:
-        """A drain has come to another phase."""
+    def report_drain(self, held: TrackedDrain) -> None:
+        """A drain is in a new phase."""
 
 
 class Drainer:
@@ -93,9 +103,10 @@
         kinds_needed: tuple[str, ...],
         placers: int,
         state: str | None,
-        host: Host,
+        host: DrainHost,
         log: Callable[..., None],
-        agreed: bool = False,
+        *,
+        is_agreed: bool = False,
     ) -> None:
         self._hub = hub
         self._paths = paths
@@ -103,25 +114,23 @@
         self._host = host
         self._log = log
         self._file = Path(state) / "drains.json" if state else None
-        self.agreed = (
-            agreed  # windows and drains are what placers agree on, and nothing of this one's own
-        )
+        self.is_agreed = is_agreed  # windows and drains are those on which placers agree
         self.may_move: Callable[[], bool] = lambda: True
         self.on_closed: Callable[[frozenset[str]], None] = lambda machines: None
         self._closed = frozenset[str]()
-        self._agreed: dict[str, AskedDrain] = {}  # by machine
-        self.calendar = Calendar() if agreed else load_calendar(paths, kinds_needed)
-        self.drains = Drains(self.calendar.policy, placers)
+        self._agreed_drains: dict[str, AskedDrain] = {}  # by machine
+        self.calendar = Calendar() if is_agreed else load_calendar(paths, kinds_needed)
+        self.drains = DrainTracker(self.calendar.policy, placers)
         self.refused: list[Drain] = []
-        self._asked: list[Series] = []  # drains that an operator asked for now
+        self._requested: list[Series] = []  # drains that operators requested
         self._planned_us: int | None = None
         self._planned_for: frozenset[str] = frozenset()
-        # Machines that were seen running, their hall and when last: so a lost hall is noticed.
-        self._seen: dict[str, tuple[str, int]] = {}
+        # Machines that ran, with their zone and when they ran last: a zone that failed is known by them.
+        self._last_running: dict[str, tuple[str, int]] = {}
 
     def reload(self) -> bool:
-        """Read the calendar again, whole or not at all; False, and told, where it cannot be used."""
-        if self.agreed:
+        """Read the calendar again; False, with the problems in the log, if it is invalid: then nothing changed."""
+        if self.is_agreed:
             self._log(
                 "calendar-agreed",
                 what="a calendar read again changes nothing: `wingbarrow rules propose`",
@@ -130,162 +139,177 @@
         try:
             fresh = load_calendar(self._paths, self._kinds_needed)
         except SettingsError as error:
-            for line, words in error.problems[:20]:
-                self._log("calendar-refused", level="error", file=error.name, line=line, why=words)
+            for line, problem in error.problems[:MAX_LOGGED_PROBLEMS]:
+                self._log(
+                    "calendar-refused", level="error", file=error.name, line=line, why=problem
+                )
             return False
         self.calendar = fresh
-        self.drains.take_policy(fresh.policy)
+        self.drains.on_policy(fresh.policy)
         self._planned_us = None
         return True
 
-    def take(
+    def on_agreed(
         self, calendar: Calendar, asked: tuple[AskedDrain, ...], cancelled: tuple[str, ...]
     ) -> None:
-        """What placers agree on, in place of what was there; acted on when this returns."""
-        now = self._hub.clock.wall_us()
-        self.calendar, self._asked = calendar, [each.series() for each in asked]
-        self.drains.take_policy(calendar.policy)
-        self.drains.by_turns = frozenset(each.name for each in calendar.series)
-        windows = frozenset(each.name for each in (*calendar.series, *self._asked))
-        for each in self.drains.agree(windows, frozenset(cancelled), now):
-            self._host.tell_drain(each)
-        self._agreed = {each.machine: each for each in asked}
+        """Take the windows and drains on which placers agree; they are in force when this returns."""
+        now_us = self._hub.clock.wall_us()
+        self.calendar = calendar
+        self._requested = [each.series() for each in asked]
+        self.drains.on_policy(calendar.policy)
+        self.drains.slot_windows = frozenset(each.name for each in calendar.series)
+        windows = frozenset(each.name for each in (*calendar.series, *self._requested))
+        for each in self.drains.on_agreed(windows, frozenset(cancelled), now_us):
+            self._host.report_drain(each)
+        self._agreed_drains = {each.machine: each for each in asked}
         self._planned_us = None
-        self.turn()
-
-    def closes(self, machine: str) -> bool:
-        """Whether a drain that placers agree on closes a machine, also before it is planned here."""
-        asked = self._agreed.get(machine)
-        if (
-            asked is None
-            or not asked.start_us <= self._hub.clock.wall_us() < asked.start_us + asked.lasts_us
-        ):
+        self.step()
+
+    def is_closed(self, machine: str) -> bool:
+        """Whether a drain on which placers agree closes a machine, also before it is planned here."""
+        asked = self._agreed_drains.get(machine)
+        if asked is None:
             return False
-        held = self.drains.held.get(asked.key)
-        return held is None or held.phase not in OVER
+        now_us = self._hub.clock.wall_us()
+        if not asked.start_us <= now_us < asked.start_us + asked.lasts_us:
+            return False
+        held = self.drains.tracked.get(asked.key)
+        return held is None or held.phase not in ENDED_PHASES
 
     def run(self) -> None:
         """Follow the calendar until cancelled."""
         self._restore()
         while True:
-            self.turn()
-            self._hub.sleep(TURN_US)
+            self.step()
+            self._hub.sleep(STEP_INTERVAL_US)
 
-    def turn(self) -> None:
-        """Plan where it is time to, then do what is due."""
-        if not (self.calendar.series or self._asked or self.drains.held):
+    def step(self) -> None:
+        """Plan if that is due, then take every drain as far as it goes."""
+        if not (self.calendar.series or self._requested or self.drains.tracked):
             return
-        now = self._hub.clock.wall_us()
+        now_us = self._hub.clock.wall_us()
         machines = self._host.machine_states()
-        self._look(now, machines)
-        self._plan(now, machines)
+        self._watch_machines(now_us, machines)
+        self._plan(now_us, machines)
         running = self._host.own_running()
-        held = [
-            each for each in self.drains.held.values() if each.phase in (Phase.CLOSED, Phase.OUT)
-        ]
-        drained = {each.drain.machine for each in held}
-        here = {machine.name for machine in machines if machine.running}
-        failed = failed_zones(
-            ((zone, name in here, name in drained) for name, (zone, _) in self._seen.items()),
-            self.calendar.policy.failed_share,
+        drained = {
+            each.drain.machine
+            for each in self.drains.tracked.values()
+            if each.phase in ACTIVE_PHASES
+        }
+        step = self.drains.step(
+            now_us,
+            running,
+            zones={name: zone for name, (zone, _) in self._last_running.items()},
+            failed=self._failed_zones(machines, drained),
+            has_capacity=self._has_capacity(machines, drained),
         )
-        zones = {name: zone for name, (zone, _) in self._seen.items()}
-        turn = self.drains.step(now, running, zones, failed, self._room(machines, drained))
-        self._host.take_planned(turn.closing, turn.closed)
-        for each in turn.changed:
-            self._host.tell_drain(each)
-        if turn.closed != self._closed:
-            self._closed = turn.closed
-            self.on_closed(turn.closed)
-        # Danger: what is stopped here while this placer may act on no rules could not be started elsewhere.
-        for request in turn.moves if self.may_move() else ():
+        self._take_effect(step)
+
+    def _take_effect(self, step: DrainStep) -> None:
+        self._host.on_planned(step.closing, step.closed)
+        for each in step.changed:
+            self._host.report_drain(each)
+        if step.closed != self._closed:
+            self._closed = step.closed
+            self.on_closed(step.closed)
+        # Danger: what is stopped while this placer may act on no rules could not be started elsewhere.
+        for request in step.moves if self.may_move() else ():
             self._host.move_task(request, "its machine is drained by the calendar")
-        if turn.changed:
+        if step.changed:
             self._save()
 
-    def _look(self, now: int, machines: list[MachineState]) -> None:
+    def _watch_machines(self, now_us: int, machines: list[MachineState]) -> None:
         """A machine that the list drained has left by intent; one that vanished counts as lost for a while."""
         for machine in machines:
             if machine.running:
-                self._seen[machine.name] = machine.zone, now
+                self._last_running[machine.name] = (machine.zone, now_us)
             else:
-                self._seen.pop(machine.name, None)
-        for name in [
-            name for name, (_, at) in self._seen.items() if not 0 <= now - at <= LOST_KEPT_US
-        ]:
-            del self._seen[name]
-
-    def _plan(self, now: int, machines: list[MachineState]) -> None:
-        names = frozenset(machine.name for machine in machines if machine.running)
-        due = self._planned_us is None or not 0 <= now - self._planned_us < PLAN_EVERY_US
-        if not machines or not (due or names != self._planned_for):
+                self._last_running.pop(machine.name, None)
+        forgotten = [
+            name
+            for name, (_, at_us) in self._last_running.items()
+            if not 0 <= now_us - at_us <= LOSS_REMEMBERED_US
+        ]
+        for name in forgotten:
+            del self._last_running[name]
+
+    def _failed_zones(self, machines: list[MachineState], drained: set[str]) -> frozenset[str]:
+        running = {machine.name for machine in machines if machine.running}
+        return failed_zones(
+            (
+                (zone, name in running, name in drained)
+                for name, (zone, _) in self._last_running.items()
+            ),
+            self.calendar.policy.failed_share,
+        )
+
+    def _plan(self, now_us: int, machines: list[MachineState]) -> None:
+        """Plan anew every PLAN_INTERVAL_US, and when other machines run than at the last time."""
+        running = frozenset(machine.name for machine in machines if machine.running)
+        is_due = self._planned_us is None or not 0 <= now_us - self._planned_us < PLAN_INTERVAL_US
+        if not machines or not (is_due or running != self._planned_for):
             return
-        self._planned_us, self._planned_for = now, names
-        self._asked = [each for each in self._asked if to_us(each.start) + each.lasts_us > now]
+        self._planned_us = now_us
+        self._planned_for = running
+        self._requested = [
+            each for each in self._requested if to_us(each.start) + each.duration_us > now_us
+        ]
         occurrences = expand_all(
-            [*self._asked, *self.calendar.series], now - EARLIER_US, now + HORIZON_US
+            [*self._requested, *self.calendar.series], now_us - PAST_US, now_us + HORIZON_US
         )
         unsafe = {occurrence.ident: occurrence.series.unsafe for occurrence in occurrences}
-        found = plan(occurrences, machines, self.calendar.rules)
-        if self.agreed:
-            # Weighed when it was asked for: who sees the fleet otherwise now must not leave it out.
-            windows = {each.name for each in self._asked}
-            found = [
-                replace(each, fate=Fate.PLANNED, reason="") if each.window in windows else each
-                for each in found
-            ]
-        self.drains.take_plan(
-            [(drain, unsafe[drain.occurrence]) for drain in found if drain.fate is Fate.PLANNED],
-            now,
-        )
+        drains = plan(occurrences, machines, self.calendar.rules)
+        if self.is_agreed:
+            drains = self._with_agreed_planned(drains)
+        planned = [each for each in drains if each.outcome is PlanOutcome.PLANNED]
+        self.drains.on_plan([(each, unsafe[each.occurrence]) for each in planned], now_us)
         self.refused = [
-            drain for drain in found if drain.fate is Fate.REFUSED and drain.end_us > now
+            each for each in drains if each.outcome is PlanOutcome.REFUSED and each.end_us > now_us
         ]
 
-    def _room(self, machines: list[MachineState], drained: set[str]) -> dict[str, bool]:
-        """Whether what is asked on a machine would fit on those that stay, by what is asked now."""
+    def _with_agreed_planned(self, drains: list[Drain]) -> list[Drain]:
+        """Requested drains were planned when placers agreed: one that sees other machines now keeps them."""
+        windows = {each.name for each in self._requested}
+        return [
+            replace(each, outcome=PlanOutcome.PLANNED, reason="")
+            if each.window in windows
+            else each
+            for each in drains
+        ]
+
+    def _has_capacity(self, machines: list[MachineState], drained: set[str]) -> dict[str, bool]:
+        """Whether what is requested on a machine would fit on those that stay, by what is requested now."""
         fill = self.calendar.rules.fill
         staying = [
             machine for machine in machines if machine.running and machine.name not in drained
         ]
         free = [
-            sum(fill * machine.size[i] - machine.asked[i] for machine in staying) for i in (0, 1)
+            sum(fill * machine.size[i] - machine.requested[i] for machine in staying)
+            for i in (0, 1)
         ]
-        out: dict[str, bool] = {}
+        has_capacity: dict[str, bool] = {}
         for machine in machines:
-            own = [
-                fill * machine.size[i] - machine.asked[i] if machine.name not in drained else 0.0
-                for i in (0, 1)
-            ]
-            out[machine.name] = all(free[i] - own[i] >= machine.asked[i] - 1e-9 for i in (0, 1))
-        return out
+            own = [0.0, 0.0]
+            if machine.name not in drained:
+                own = [fill * machine.size[i] - machine.requested[i] for i in (0, 1)]
+            has_capacity[machine.name] = all(
+                free[i] - own[i] >= machine.requested[i] - ROUNDING for i in (0, 1)
+            )
+        return has_capacity
 
-    # -- what survives a restart
+    # State on disk
 
     def _save(self) -> None:
         if self._file is None:
             return
-        raw = msgspec.json.encode(
-            [
-                _Kept(
-                    each.drain.key,
-                    each.drain.window,
-                    each.drain.occurrence,
-                    each.drain.machine,
-                    each.drain.start_us,
-                    each.drain.end_us,
-                    each.phase.value,
-                    each.unsafe.value,
-                    each.since_us,
-                    each.moved,
-                    each.late,
-                    each.reason,
-                )
-                for each in self.drains.held.values()
-                if each.phase is not Phase.PLANNED
-            ]
-        )
-        data = msgspec.json.encode(_File(FORM, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw)))
+        stored = [
+            _to_stored(each)
+            for each in self.drains.tracked.values()
+            if each.phase is not Phase.PLANNED
+        ]
+        raw = msgspec.json.encode(stored)
+        data = msgspec.json.encode(_File(FORMAT, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw)))
         try:
             write_atomically(self._file, data)
         except OSError as error:
@@ -295,75 +319,62 @@
         if self._file is None or not self._file.exists():
             return
         try:
-            file: _File = msgspec.json.decode(self._file.read_bytes(), type=_File)
-            if file.form != FORM or xxhash.xxh64_hexdigest(bytes(file.drains)) != file.digest:
-                raise ValueError("its digest or form is wrong")
-            kept: list[_Kept] = msgspec.json.decode(file.drains, type=list[_Kept])
-            self.drains.restore(
-                Held(
-                    Drain(
-                        each.window,
-                        each.occurrence,
-                        each.machine,
-                        Fate.PLANNED,
-                        each.start_us,
-                        each.end_us,
-                    ),
-                    Phase(each.phase),
-                    UnsafePolicy(each.unsafe),
-                    each.since_us,
-                    each.moved,
-                    each.late,
-                    each.reason,
-                )
-                for each in kept
-            )
+            self.drains.restore(_from_stored(each) for each in _read(self._file))
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             self._log(
-                "saved-drains-unusable", level="error", file=str(self._file), why=str(error)[:200]
+                "saved-drains-unusable",
+                level="error",
+                file=str(self._file),
+                why=str(error)[:MAX_LOGGED_CHARACTERS],
             )
 
-    # -- for operators
+    # Operators
 
     def cancel(self, key: str) -> bool:
-        """Take a drain back; False where there is none to take."""
-        now = self._hub.clock.wall_us()
-        done = self.drains.cancel(key, now)
-        if done:
-            self._host.tell_drain(self.drains.held[key])
+        """Cancel a drain; False if there is none that has not ended."""
+        is_cancelled = self.drains.cancel(key, self._hub.clock.wall_us())
+        if is_cancelled:
+            self._host.report_drain(self.drains.tracked[key])
             self._save()
-            self.turn()
-        return done
+            self.step()
+        return is_cancelled
 
-    def ask_now(self, machine: str, lasts_us: int) -> Drain:
+    def drain_now(self, machine: str, duration_us: int) -> Drain:
         """Drain a machine from now on, under the same budgets; the drain as planned, or refused with the reason."""
-        asked, drain = self.weigh(machine, lasts_us)
-        if drain.fate is Fate.PLANNED:
-            self._asked = [*self._asked[-ASKED_MOST:], asked.series()]
+        request, drain = self.plan_drain(machine, duration_us)
+        if drain.outcome is PlanOutcome.PLANNED:
+            self._requested = [*self._requested[-MAX_REQUESTED_DRAINS:], request.series()]
             self._planned_us = None
-            self.turn()
+            self.step()
         return drain
 
-    def weigh(self, machine: str, lasts_us: int) -> tuple[AskedDrain, Drain]:
-        """What would come of a drain from now on; nothing changes."""
-        now = self._hub.clock.wall_us()
-        asked = AskedDrain(machine, now // SECOND * SECOND, lasts_us)
-        every = [asked.series(), *self._asked, *self.calendar.series]
-        found = plan(
-            expand_all(every, now - EARLIER_US, now + HORIZON_US),
+    def plan_drain(self, machine: str, duration_us: int) -> tuple[AskedDrain, Drain]:
+        """A drain from now on as it would be planned; nothing changes."""
+        now_us = self._hub.clock.wall_us()
+        request = AskedDrain(machine, now_us // SECOND * SECOND, duration_us)
+        series = [request.series(), *self._requested, *self.calendar.series]
+        drains = plan(
+            expand_all(series, now_us - PAST_US, now_us + HORIZON_US),
             self._host.machine_states(),
             self.calendar.rules,
         )
-        mine = [each for each in found if each.window == asked.window]
-        if not mine:
-            return asked, Drain(
-                asked.window, "", machine, Fate.REFUSED, now, now, "no such machine runs"
-            )
-        return asked, mine[0]
+        own = [each for each in drains if each.window == request.window]
+        if own:
+            return request, own[0]
+        unknown = Drain(
+            window=request.window,
+            occurrence="",
+            machine=machine,
+            outcome=PlanOutcome.REFUSED,
+            start_us=now_us,
+            end_us=now_us,
+            reason="no such machine runs",
+        )
+        return request, unknown
 
     def describe(self) -> list[dict[str, Any]]:
-        """All drains that are known, by their start, refused ones with their reason."""
-        out = [
+        """All drains by their start, refused ones with their reason, as the REST API shows them."""
+        shown = [
             {
                 "key": each.drain.key,
                 "window": each.drain.window,
@@ -375,9 +386,9 @@
                 "late": each.late,
                 "reason": each.reason,
             }
-            for each in self.drains.held.values()
+            for each in self.drains.tracked.values()
         ]
-        out += [
+        shown += [
             {
                 "key": each.key,
                 "window": each.window,
@@ -391,4 +402,49 @@
             }
             for each in self.refused
         ]
-        return sorted(out, key=lambda each: (each["startUs"], each["key"]))
+        return sorted(shown, key=lambda each: (each["startUs"], each["key"]))
+
+
+def _read(path: Path) -> list[_StoredDrain]:
+    """The drains of a state file; OSError, ValueError or MsgspecError if it cannot be used."""
+    file: _File = msgspec.json.decode(path.read_bytes(), type=_File)
+    if file.form != FORMAT or xxhash.xxh64_hexdigest(bytes(file.drains)) != file.digest:
+        raise ValueError("its digest or form is wrong")
+    drains: list[_StoredDrain] = msgspec.json.decode(file.drains, type=list[_StoredDrain])
+    return drains
+
+
+def _to_stored(held: TrackedDrain) -> _StoredDrain:
+    return _StoredDrain(
+        key=held.drain.key,
+        window=held.drain.window,
+        occurrence=held.drain.occurrence,
+        machine=held.drain.machine,
+        start_us=held.drain.start_us,
+        end_us=held.drain.end_us,
+        phase=held.phase.value,
+        unsafe=held.unsafe.value,
+        since_us=held.since_us,
+        moved=held.moved,
+        late=held.late,
+        reason=held.reason,
+    )
+
+
+def _from_stored(stored: _StoredDrain) -> TrackedDrain:
+    return TrackedDrain(
+        drain=Drain(
+            window=stored.window,
+            occurrence=stored.occurrence,
+            machine=stored.machine,
+            outcome=PlanOutcome.PLANNED,
+            start_us=stored.start_us,
+            end_us=stored.end_us,
+        ),
+        phase=Phase(stored.phase),
+        unsafe=UnsafePolicy(stored.unsafe),
+        since_us=stored.since_us,
+        moved=stored.moved,
+        late=stored.late,
+        reason=stored.reason,
+    )
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -9,7 +9,7 @@
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
-from wingbarrow.core.drain_schedule import Closing
+from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.intake import job_value, read_job
 from wingbarrow.core.job_store import OPEN, JobStore, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
@@ -40,14 +40,19 @@
         requests: Requests,
         runs: Runs,
         stops: Stops,
-        closing: Closing,
+        drain_schedule: DrainSchedule,
         rulebook: ActiveRules,
         leaseholder: LeasedJobs | None = None,
         elsewhere: Elsewhere | None = None,
     ) -> None:
         self._rulebook, self._leaseholder, self._elsewhere = rulebook, leaseholder, elsewhere
         self._base, self._book, self._attempts, self._board = base, book, attempts, board
-        self._requests, self._runs, self._stops, self._closing = requests, runs, stops, closing
+        self._requests, self._runs, self._stops, self._drain_schedule = (
+            requests,
+            runs,
+            stops,
+            drain_schedule,
+        )
         self._door = Door(base.settings.scheduler.tick_us)
 
     def look_at_door(self, came_us: int) -> None:
@@ -237,7 +242,7 @@
                 f"{pod} is of a class that must not start twice; it is never moved",
                 retry_after_s=60,
             )
-        self._closing.move_task(attempt.request, "evicted through the API")
+        self._drain_schedule.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
         """Those of present Jobs, and `default`."""
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -13,7 +13,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
-from wingbarrow.core.drain_schedule import Closing
+from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
@@ -58,7 +58,7 @@
     machines: Machines
     attempts: Attempts
     stops: Stops
-    drain_schedule: Closing
+    drain_schedule: DrainSchedule
 
 
 @dataclass(slots=True)
@@ -114,7 +114,7 @@
         self._allowance_us = base.hub.now_us()
         self._calls = 0
         member.observe_by(self)
-        local.drain_schedule.turned = member.is_closed
+        local.drain_schedule.is_closed_by_slot = member.is_closed
 
     # Observations
 
@@ -182,7 +182,7 @@
         shares = []
         for resource in (0, 1):
             size = sum(each.size[resource] for each in states)
-            asked = sum(each.asked[resource] for each in states)
+            asked = sum(each.requested[resource] for each in states)
             shares.append(asked / (fill * size) if size else 0.0)
         return max(0.0, *shares) * len(states)
 
@@ -252,7 +252,7 @@
         """A grant named other slots: close and open machines at once."""
         before = self._closed
         self._closed = self._member.closed_machines
-        self._drain_schedule.pass_again(before ^ self._closed)
+        self._drain_schedule.refresh(before ^ self._closed)
         known = self._member.slots
         self._dialogues = {
             number: each for number, each in self._dialogues.items() if number in known
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -13,7 +13,7 @@
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
 from wingbarrow.core.checkpoint import Checkpoint
-from wingbarrow.core.drain_schedule import Closing
+from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.drainer import Drainer
 from wingbarrow.core.failover import JobFailover
 from wingbarrow.core.fleet import Fleet
@@ -144,7 +144,7 @@
                 self.leaseholder,
             )
             strays.is_foreign = self.successor.stray
-        closing = Closing(base, host, fleet, attempts, runs, board)
+        drain_schedule = DrainSchedule(base, host, fleet, attempts, runs, board)
         self.mover: Mover | None = None
         elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
         desk = self.desk = JobAdmission(
@@ -155,7 +155,7 @@
             requests,
             runs,
             stops,
-            closing,
+            drain_schedule,
             rulebook,
             self.leaseholder,
             elsewhere,
@@ -186,7 +186,7 @@
             verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
             turns = self.turns = MaintenanceSlots(
                 base,
-                LocalMachines(fleet, machines, attempts, stops, closing),
+                LocalMachines(fleet, machines, attempts, stops, drain_schedule),
                 self.peering.turn_side,
                 lambda: self.peering.agreement,
                 rulebook.in_force,
@@ -225,15 +225,15 @@
             needed,
             settings.scheduler.placers,
             settings.state,
-            closing,
+            drain_schedule,
             log,
-            settings.agree is not None,
+            is_agreed=settings.agree is not None,
         )
         if settings.agree is not None:
-            rulebook.on_drains = lambda rules: self.drainer.take(
+            rulebook.on_drains = lambda rules: self.drainer.on_agreed(
                 calendar_under(rules, needed), rules.asked, rules.cancelled
             )
-            rulebook.drained = lambda machine: self.drainer.closes(
+            rulebook.drained = lambda machine: self.drainer.is_closed(
                 machine
             ) or self.peering.turn_side.is_closed(machine)
             self.drainer.may_move = lambda: self._acting(hub.now_us()) is not None
@@ -250,7 +250,7 @@
             nursery.spawn(self.fleet.reflector.run, "reflector")
             nursery.spawn(self.fleet.give_up_waiting, "rebirth")
             nursery.spawn(self.learner.run, "learner")
-            if base.settings.calendars or self.drainer.agreed:
+            if base.settings.calendars or self.drainer.is_agreed:
                 nursery.spawn(self.drainer.run, "drainer")
             nursery.spawn(self.peering.run, "peers")
             if self.subset is not None:
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -82,7 +82,7 @@
         """How many machines of a place may be out."""
         scope, _ = place
         total = self._totals[place]
-        allowed = (each.most_out(total) for each in self._budgets.get(scope, ()))
+        allowed = (each.max_out(total) for each in self._budgets.get(scope, ()))
         return min(allowed, default=total)
 
     def refusal(self, slot: Slot, *, with_slots: bool = True, is_taken: bool = False) -> str:
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -71,7 +71,7 @@
 def _latest_us(occurrence: Occurrence, lead_us: int) -> int:
     """When work on a machine has to have begun; work that fills its window may begin a little later."""
     series = occurrence.series
-    grace_us = min(lead_us, series.lasts_us // 2)
+    grace_us = min(lead_us, series.duration_us // 2)
     return max(occurrence.end_us - series.each_us, occurrence.start_us + grace_us)
 
 
--- a/wingbarrow/decide/maintenance/windows.py
+++ b/wingbarrow/decide/maintenance/windows.py
@@ -1,8 +1,8 @@
 """Maintenance windows: series that recur by RFC 5545, expanded to occurrences in wall time; no I/O.
 
-Local times belong to a named zone. A local time that a change to daylight saving skips is moved forward by the gap;
-one that comes twice means its first coming. A window lasts by the clock on the wall of nobody: its length is elapsed
-time, so one that spans a change is neither longer nor shorter.
+Local times belong to a named time zone. A local time that a change to daylight saving skips is moved forward by the
+gap; one that occurs twice means its first occurrence. A window's duration is elapsed time, whether it spans a change or
+not.
 """
 
 from __future__ import annotations
@@ -11,16 +11,18 @@
 from dataclasses import dataclass
 from datetime import UTC, date, datetime, timedelta
 from enum import Enum
+from itertools import islice, takewhile
 from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
-from dateutil.rrule import rrulestr
+from dateutil.rrule import HOURLY, rrulestr
 
 SECOND = 1_000_000
-OCCURRENCES_MOST = 2_000  # of one series within one horizon
+MAX_OCCURRENCES = 2_000  # of one series within one span
+MARGIN = timedelta(hours=2)  # more than any change to daylight saving
 
 
 class UnsafePolicy(Enum):
-    """What a window does for tasks that must not start twice and still run when it would begin."""
+    """What a window does about tasks that must not start twice and still run when it would begin."""
 
     WAIT = "wait"  # the machine stays closed, the work on it begins when they have ended
     SHORTEN = "shorten"  # the same, but the window still ends when it was to end
@@ -29,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Which machines: every named part has to match; at least one is named."""
+    """Selects machines: every part that is given has to match; at least one is given."""
 
     name: str = ""
     cell: str = ""
@@ -37,7 +39,7 @@
     label: tuple[str, str] | None = None
 
     def matches(self, name: str, cell: str, zone: str, labels: Mapping[str, str]) -> bool:
-        """Whether a machine is meant."""
+        """Whether a machine is selected."""
         return (
             (not self.name or self.name in ("*", name))
             and (not self.cell or self.cell == cell)
@@ -48,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """A window as written: its first start (local), length, rule, what it is for. Times in microseconds."""
+    """A window as written: its first start (local), duration, recurrence and machines. Times in microseconds."""
 
     name: str
     start: datetime  # with its zone
-    lasts_us: int
+    duration_us: int
     each_us: int  # that one machine is out; the window holds as many one after another as fit
     rule: str = ""  # an RRULE's value, empty for a single one
     exceptions: tuple[datetime | date, ...] = ()
@@ -73,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Occurrence:
-    """One coming of a series, in wall microseconds."""
+    """One occurrence of a series, in wall microseconds."""
 
     series: Series
     start_us: int
@@ -106,44 +108,43 @@
         parsed = rrulestr(rule, dtstart=start.replace(tzinfo=None), ignoretz=True)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise ValueError(f"not a recurrence rule (RFC 5545, 3.3.10): {str(error)[:100]}") from None
-    if getattr(parsed, "_freq", 0) > 4:
+    if getattr(parsed, "_freq", 0) > HOURLY:
         raise ValueError("a rule that repeats more often than hourly")
 
 
 def expand(series: Series, from_us: int, until_us: int) -> list[Occurrence]:
-    """Occurrences of a series that touch a span, in order; at most OCCURRENCES_MOST."""
-    if series.lasts_us <= 0 or until_us <= from_us:
+    """Occurrences of a series that overlap a span, in order; at most MAX_OCCURRENCES."""
+    if series.duration_us <= 0 or until_us <= from_us:
         return []
     tz = series.start.tzinfo
-    length = timedelta(microseconds=series.lasts_us)
-    first = (
-        datetime.fromtimestamp(from_us / SECOND, tz).replace(tzinfo=None)
-        - length
-        - timedelta(hours=2)
-    )
-    last = datetime.fromtimestamp(until_us / SECOND, tz).replace(tzinfo=None) + timedelta(hours=2)
+    found: dict[int, Occurrence] = {}
+    for local in _local_starts(series, from_us, until_us):
+        if _is_excepted(local, series.exceptions, tz):
+            continue
+        start_us = to_us(local.replace(tzinfo=tz))
+        end_us = start_us + series.duration_us
+        if start_us < until_us and end_us > from_us:
+            found[start_us] = Occurrence(series, start_us, end_us)
+    return [found[key] for key in sorted(found)][:MAX_OCCURRENCES]
+
+
+def _local_starts(series: Series, from_us: int, until_us: int) -> list[datetime]:
+    """Local starts that may overlap a span, not sorted; MARGIN allows for changes to daylight saving."""
+    tz = series.start.tzinfo
     begin = series.start.replace(tzinfo=None)
-    starts: list[datetime] = []
+    starts = [begin]
     if series.rule:
+        duration = timedelta(microseconds=series.duration_us)
+        earliest = datetime.fromtimestamp(from_us / SECOND, tz).replace(tzinfo=None)
+        latest = datetime.fromtimestamp(until_us / SECOND, tz).replace(tzinfo=None)
         rule = rrulestr(series.rule, dtstart=begin, ignoretz=True)
-        for at in rule.xafter(first, inc=True):
-            if at > last or len(starts) >= OCCURRENCES_MOST:
-                break
-            starts.append(at)
-    else:
-        starts.append(begin)
-    starts += [each.astimezone(tz).replace(tzinfo=None) for each in series.extra]
-    out: dict[int, Occurrence] = {}
-    for at in starts:
-        if _excepted(at, series.exceptions, tz):
-            continue
-        start_us = to_us(at.replace(tzinfo=tz))
-        if start_us < until_us and start_us + series.lasts_us > from_us:
-            out[start_us] = Occurrence(series, start_us, start_us + series.lasts_us)
-    return [out[key] for key in sorted(out)][:OCCURRENCES_MOST]
+        following = rule.xafter(earliest - duration - MARGIN, inc=True)
+        in_span = takewhile(lambda start: start <= latest + MARGIN, following)
+        starts = list(islice(in_span, MAX_OCCURRENCES))
+    return starts + [each.astimezone(tz).replace(tzinfo=None) for each in series.extra]
 
 
-def _excepted(at: datetime, exceptions: Iterable[datetime | date], tz: object) -> bool:
+def _is_excepted(at: datetime, exceptions: Iterable[datetime | date], tz: object) -> bool:
     for each in exceptions:
         if isinstance(each, datetime):
             local = each.astimezone(tz).replace(tzinfo=None) if each.tzinfo else each  # type: ignore[arg-type]
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -10,8 +10,8 @@
 from datetime import UTC, date, datetime
 from typing import Any
 
-from wingbarrow.decide.maintenance.drain_plan import Budget, Rules, Scope
-from wingbarrow.decide.maintenance.drain_progress import Policy
+from wingbarrow.decide.maintenance.drain_plan import Budget, PlanRules, Scope
+from wingbarrow.decide.maintenance.drain_progress import DrainPolicy
 from wingbarrow.decide.maintenance.windows import (
     Blackout,
     Selector,
@@ -93,7 +93,7 @@
     failed_share: float = 0.5
     take_back: bool = True
 
-    def rules(self, kinds_needed: tuple[str, ...]) -> Rules:
+    def rules(self, kinds_needed: tuple[str, ...]) -> PlanRules:
         """For planning; which kinds some class needs is the placer's to know."""
         budgets = tuple(
             Budget(
@@ -104,16 +104,18 @@
             )
             for scope, kind, figure in self.budgets
         )
-        return Rules(
+        return PlanRules(
             budgets, tuple(Blackout(*each) for each in self.blackouts), self.fill, kinds_needed
         )
 
-    def policy(self) -> Policy:
+    def policy(self) -> DrainPolicy:
         """For carrying out."""
-        return Policy(self.lead_us, self.moves, self.every_us, self.failed_share, self.take_back)
+        return DrainPolicy(
+            self.lead_us, self.moves, self.every_us, self.failed_share, self.take_back
+        )
 
 
-def plan_of(rules: Rules, policy: Policy) -> DrainPlan:
+def plan_of(rules: PlanRules, policy: DrainPolicy) -> DrainPlan:
     """From what a calendar says."""
 
     def budget(each: Budget) -> tuple[str, str, float]:
@@ -171,7 +173,7 @@
         series.name,
         start.isoformat(),
         named,
-        series.lasts_us,
+        series.duration_us,
         series.each_us,
         series.rule,
         tuple(each.isoformat() for each in series.exceptions),
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.config import parse_duration
 from wingbarrow.core.drainer import Drainer
-from wingbarrow.decide.maintenance.drain_plan import Fate
+from wingbarrow.decide.maintenance.drain_plan import PlanOutcome
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, fresh
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.http.message import Request
@@ -40,15 +40,15 @@
             )
         if request.method != ("DELETE" if parts else "POST"):
             raise ApiError(405, "DELETE is allowed here" if parts else "GET, POST are allowed here")
-        away = self._rules.away(request) if self._drainer.agreed else None
+        away = self._rules.away(request) if self._drainer.is_agreed else None
         if away is not None:
             return away
         return self._cancel("/".join(parts)) if parts else self._ask(request)
 
     def _ask(self, request: Request) -> Answer:
         machine, lasts = self._wanted(request)
-        if not self._drainer.agreed:
-            drain = self._drainer.ask_now(machine, lasts)
+        if not self._drainer.is_agreed:
+            drain = self._drainer.drain_now(machine, lasts)
             told = {}
         else:
             # Danger: the answer to the first ask may be lost, and a second drain would outlast the first one's end.
@@ -57,12 +57,12 @@
                 return Answer(
                     200, names.encode({"kind": "Drain", "apiVersion": API, "key": held.key})
                 )
-            asked, drain = self._drainer.weigh(machine, lasts)
-            if drain.fate is Fate.PLANNED:
+            asked, drain = self._drainer.plan_drain(machine, lasts)
+            if drain.outcome is PlanOutcome.PLANNED:
                 told = self._rules.change(
                     lambda rules: self._with(rules, asked), f"drain {machine}"
                 )
-        if drain.fate is Fate.REFUSED:
+        if drain.outcome is PlanOutcome.REFUSED:
             raise ApiError(409, f"{machine}: {drain.reason}", "Conflict")
         return Answer(
             201, names.encode({"kind": "Drain", "apiVersion": API, "key": drain.key, **told})
@@ -109,11 +109,11 @@
 
     def _cancel(self, key: str) -> Answer:
         told = {}
-        if not self._drainer.agreed:
+        if not self._drainer.is_agreed:
             if not self._drainer.cancel(key):
                 raise not_found("drains", key)
         else:
-            if key not in self._drainer.drains.held:
+            if key not in self._drainer.drains.tracked:
                 raise not_found("drains", key)
             told = self._rules.change(
                 lambda rules: self._fresh(_without(rules, key)), f"take back {key}"
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.maintenance.drain_plan import Rules, Scope
+from wingbarrow.decide.maintenance.drain_plan import PlanRules, Scope
 from wingbarrow.lab.fleet.judging.formulas import KNOWN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
@@ -70,13 +70,13 @@
             if each.since_us("out") <= at < each.since_us("back", "done")
         }
         gone |= _lost(run, at)
-        for budget in Rules().budgets:
+        for budget in PlanRules().budgets:
             length = {Scope.CELL: 3, Scope.ZONE: 2}.get(budget.scope)
             if length is None:
                 continue
             place = run.machines[turn.machine][:length]
             inside = [name for name, each in run.machines.items() if each[:length] == place]
-            away, most = sum(name in gone for name in inside), budget.most_out(len(inside))
+            away, most = sum(name in gone for name in inside), budget.max_out(len(inside))
             if away > most:
                 out.breach(
                     "turn_overs",
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -10,7 +10,7 @@
 
 from wingbarrow.config.calendar import load_calendar
 from wingbarrow.core.logs import silent
-from wingbarrow.decide.maintenance.drain_plan import Drain, Fate, MachineState, plan
+from wingbarrow.decide.maintenance.drain_plan import Drain, MachineState, PlanOutcome, plan
 from wingbarrow.decide.maintenance.windows import expand_all
 from wingbarrow.lab.audit import audit
 from wingbarrow.lab.cluster import SECOND, Cluster
@@ -84,7 +84,7 @@
                 slot.start()
         if arm != "none":
             for drain in drains:
-                if drain.fate is Fate.PLANNED:
+                if drain.outcome is PlanOutcome.PLANNED:
                     machine = next(each for each in cluster.machines if each.name == drain.machine)
                     hub.spawn(
                         lambda drain=drain, machine=machine: _patch(cluster, machine, drain, arm)  # type: ignore[misc]
