--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -1,4 +1,4 @@
-"""Calendar drains on the whole path, with a compressed clock, judged at the sockets."""
+"""Calendar drains with complete placers and a compressed clock, judged at the sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     stage: Stage,
     folder: Path,
     starts_s: float,
-    lasts: str = "20s",
+    duration: str = "20s",
     machines: str = 'name="node-0"',
     more: str = "",
     unsafe: str = "wait",
@@ -30,7 +30,7 @@
     start = datetime.fromtimestamp(stage.hub.clock.wall_us() / S, UTC) + timedelta(seconds=starts_s)
     path = folder / "windows.kdl"
     path.write_text(
-        f'window "patch" start="{start.isoformat()}" lasts="{lasts}" unsafe="{unsafe}" {{ '
+        f'window "patch" start="{start.isoformat()}" lasts="{duration}" unsafe="{unsafe}" {{ '
         f'machines {machines}; }}\nlead "4s"\npace moves=4 every="1s"\n{more}\n'
     )
     return f'\ncalendar "{path}"\n'
@@ -101,7 +101,7 @@
     stage.play(script)
 
 
-def test_running_tasks_find_a_home_in_time_and_what_must_not_start_twice_is_left(
+def test_running_tasks_are_moved_in_time_except_those_that_must_not_start_twice(
     tmp_path: Path,
 ) -> None:
     stage = Stage(machines=3, build=Build(cores=48.0, memory=96.0))
@@ -141,13 +141,13 @@
 
 
 @pytest.mark.parametrize("back_s", [0, 3600])
-def test_a_restart_in_the_middle_goes_on_even_with_the_clock_set_back(
+def test_drains_continue_after_a_restart_even_with_the_clock_set_back(
     tmp_path: Path, back_s: int
 ) -> None:
     stage = Stage(machines=2)
 
     def script() -> None:
-        extra = calendar(stage, tmp_path, 10, lasts="60s")
+        extra = calendar(stage, tmp_path, 10, duration="60s")
         restarted(stage, extra)
         stage.hub.sleep(8 * S)
         stage.hub.clock._wall -= back_s * S  # type: ignore[attr-defined]
@@ -163,7 +163,7 @@
     stage.play(script)
 
 
-def test_a_failed_hall_holds_back_drains_in_the_other(tmp_path: Path) -> None:
+def test_a_failed_zone_delays_drains_in_the_other(tmp_path: Path) -> None:
     stage = Stage(machines=6)
 
     def script() -> None:
@@ -174,7 +174,7 @@
                 tmp_path,
                 20,
                 machines='zone="hall-a"',
-                lasts="30s",
+                duration="30s",
                 more='budget by="cell" max-unavailable=1',
             ),
         )
@@ -191,7 +191,7 @@
     stage.play(script)
 
 
-def test_machines_replaced_by_a_deploy_do_not_make_a_failed_hall(tmp_path: Path) -> None:
+def test_machines_replaced_by_a_deploy_do_not_make_a_failed_zone(tmp_path: Path) -> None:
     stage = Stage(machines=4)
 
     def script() -> None:
@@ -204,7 +204,7 @@
     stage.play(script)
 
 
-def test_two_placers_do_the_same_drain_at_one_pace_without_talking(tmp_path: Path) -> None:
+def test_two_placers_carry_out_the_same_drain_at_one_pace_without_messages(tmp_path: Path) -> None:
     stage = Stage(machines=3, placers=2, build=Build(cores=48.0, memory=96.0))
 
     def script() -> None:
@@ -250,11 +250,11 @@
     stage.play(script)
 
 
-def test_operators_see_cancel_and_ask(tmp_path: Path) -> None:
+def test_operators_list_cancel_and_request_drains(tmp_path: Path) -> None:
     stage = Stage(machines=4)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 10, lasts="60s"))
+        placer = restarted(stage, calendar(stage, tmp_path, 10, duration="60s"))
         pool = stage.pool()
 
         def items() -> list[dict[str, Any]]:
@@ -296,9 +296,9 @@
         pods = {record.data["task_class"]: record.data["pod"] for record in stage.seen("start")}
         path = "/api/v1/namespaces/default/pods"
         assert stage.pool().request("POST", f"{path}/{pods['web']}/eviction", b"{}").status == 201
-        refused = stage.pool().request("POST", f"{path}/{pods['settlement']}/eviction", b"{}")
-        assert refused.status == 429
-        assert refused.get("retry-after")
+        rejected = stage.pool().request("POST", f"{path}/{pods['settlement']}/eviction", b"{}")
+        assert rejected.status == 429
+        assert rejected.get("retry-after")
         assert stage.pool().request("POST", f"{path}/none/eviction", b"{}").status == 404
         stage.hub.sleep(3 * S)
         assert stage.job("web")["status"]["ready"] == 1
@@ -308,7 +308,7 @@
     assert len(stage.seen("start", task_class="settlement")) == 1
 
 
-def test_a_calendar_that_changes_for_the_worse_is_not_taken(tmp_path: Path) -> None:
+def test_an_invalid_calendar_is_not_loaded(tmp_path: Path) -> None:
     stage = Stage(machines=2)
 
     def script() -> None:
@@ -321,13 +321,13 @@
     stage.play(script)
 
 
-def test_a_machine_that_goes_early_loses_its_tasks_to_others_and_stays_closed_when_it_returns(
+def test_tasks_of_a_machine_that_leaves_early_move_and_it_stays_closed_when_it_returns(
     tmp_path: Path,
 ) -> None:
     stage = Stage(machines=3)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 12, lasts="30s"))
+        placer = restarted(stage, calendar(stage, tmp_path, 12, duration="30s"))
         for turn in range(12):
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=5)
         stage.hub.sleep(3 * S)
@@ -351,11 +351,11 @@
     assert not (found.cold_overruns)
 
 
-def test_a_machine_that_never_goes_is_closed_to_the_end_and_used_again(tmp_path: Path) -> None:
+def test_a_machine_that_never_leaves_is_closed_until_the_window_ends(tmp_path: Path) -> None:
     stage = Stage(machines=2)
 
     def script() -> None:
-        restarted(stage, calendar(stage, tmp_path, 6, lasts="10s"))
+        restarted(stage, calendar(stage, tmp_path, 6, duration="10s"))
         stage.hub.sleep(4 * S)
         within = stage.hub.now_us()
         for turn in range(8):
@@ -403,12 +403,12 @@
     assert stage.audit().clean
 
 
-def test_drains_go_on_when_the_other_hall_is_back(tmp_path: Path) -> None:
+def test_drains_continue_once_the_other_zone_is_back(tmp_path: Path) -> None:
     stage = Stage(machines=6)
 
     def script() -> None:
         placer = restarted(
-            stage, calendar(stage, tmp_path, 12, machines='name="node-0"', lasts="40s")
+            stage, calendar(stage, tmp_path, 12, machines='name="node-0"', duration="40s")
         )
         for machine in stage.cluster.machines[3:]:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, None))
--- a/tests/decide/maintenance/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -1,4 +1,4 @@
-"""Plans of drains and their doing: budgets, room, halls that fail, clocks set back."""
+"""Plans of calendar drains and their progress: budgets, capacity, failed zones, clocks set back."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def window(
     title: str,
     start: int = START,
-    lasts: int = 2 * H,
+    duration: int = 2 * H,
     each: int = 0,
     precedence: int = 0,
     **selector: str,
@@ -71,19 +71,19 @@
     series = Series(
         title,
         datetime(2026, 1, 1, tzinfo=zone("UTC")),
-        lasts,
-        each or lasts,
+        duration,
+        each or duration,
         selectors=(Selector(**(selector or {"name": "*"})),),  # type: ignore[arg-type]
         precedence=precedence,
     )
-    return Occurrence(series, start, start + lasts)
+    return Occurrence(series, start, start + duration)
 
 
 def planned(drains: list[Drain]) -> list[Drain]:
     return [drain for drain in drains if drain.outcome is PlanOutcome.PLANNED]
 
 
-def test_a_rack_is_taken_one_after_another() -> None:
+def test_the_machines_of_a_cell_are_planned_one_after_another() -> None:
     found = plan([window("w", each=H // 2, cell="r0")], FLEET, ONE_PER_RACK)
     assert [(drain.machine, drain.start_us - START) for drain in found] == [
         ("n000", 0),
@@ -92,7 +92,7 @@
     ]
 
 
-def test_two_windows_that_would_empty_a_rack_are_told_apart_by_precedence() -> None:
+def test_of_two_windows_that_would_empty_a_cell_the_one_of_higher_precedence_is_planned() -> None:
     rules = PlanRules((Budget(Scope.CELL, 2),))
     first, second = window("low", cell="r0"), window("high", precedence=5, name="n000")
     found = plan(sorted([first, second], key=lambda o: -o.series.precedence), FLEET, rules)
@@ -104,7 +104,7 @@
     assert "2 machine(s)" in fates["low", "n002"].reason
 
 
-def test_three_that_each_look_harmless_are_not_together() -> None:
+def test_three_windows_that_fit_the_budget_singly_are_not_planned_together() -> None:
     found = plan(
         [window("a", name="n000"), window("b", name="n001"), window("c", name="n002")],
         FLEET,
@@ -117,7 +117,7 @@
     ]
 
 
-def test_a_window_for_all_machines_never_leaves_less_room_than_is_asked() -> None:
+def test_a_window_for_all_machines_leaves_capacity_for_the_demand() -> None:
     found = plan([window("all")], FLEET, PlanRules((), fill=0.9))
     out = len(planned(found))
     assert out == 6
@@ -180,24 +180,29 @@
     st.sampled_from([0.5, 2.0, 5.0, 8.0]),
     st.sets(st.integers(0, 11), max_size=4),
 )
-def test_no_plan_passes_its_budgets_and_the_same_input_gives_the_same_plan(
+def test_every_plan_keeps_its_budgets_and_the_same_input_gives_the_same_plan(
     spec: list[tuple[int, int, int, dict[str, str]]],
     cell: int,
     whole: int,
-    asked: float,
+    requested: float,
     lost: set[int],
 ) -> None:
     fleet = [
-        replace(each, requested=(asked, asked), running=number not in lost)
+        replace(each, requested=(requested, requested), running=number not in lost)
         for number, each in enumerate(FLEET)
     ]
     rules = PlanRules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
     occurrences = sorted(
         (
             window(
-                f"w{i}", START + at * H // 4, lasts * H // 4, min(each, lasts) * H // 4, 0, **where
+                f"w{i}",
+                START + at * H // 4,
+                duration * H // 4,
+                min(each, duration) * H // 4,
+                0,
+                **where,
             )
-            for i, (at, lasts, each, where) in enumerate(spec)
+            for i, (at, duration, each, where) in enumerate(spec)
         ),
         key=lambda each: (each.start_us, each.series.name),
     )
@@ -247,12 +252,12 @@
     now: int,
     tasks: list[RunningTask] | None = None,
     failed: frozenset[str] = NONE,
-    room: bool = True,
+    has_capacity: bool = True,
 ) -> DrainStep:
-    return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": room})
+    return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": has_capacity})
 
 
-def test_a_drain_closes_for_long_tasks_first_then_for_all_then_is_out_and_open_again() -> None:
+def test_a_drain_closes_for_long_tasks_then_for_all_then_is_out_then_done() -> None:
     held = drains()
     far = step(held, START - 2 * H)
     assert far.closing == {"n001": START}
@@ -281,9 +286,9 @@
     moved: list[int] = []
     for second in range(-60, -50):
         left = [task for task in tasks if task.request not in moved]
-        turn = step(held, START + second * S, left)
-        assert len(turn.moves) <= 2
-        moved += turn.moves
+        taken = step(held, START + second * S, left)
+        assert len(taken.moves) <= 2
+        moved += taken.moves
     assert sorted(moved) == [1, 4, 5]
     assert moved[0] == 4
 
@@ -294,9 +299,9 @@
         held = drains(placers=4, moves=4)
         tasks = [RunningTask(number, True, None) for number in range(100)]
         for tick in range(21):
-            turn = step(held, START - 60 * S + tick * S // 2, tasks)
-            moved += len(turn.moves)
-            tasks = [task for task in tasks if task.request not in turn.moves]
+            taken = step(held, START - 60 * S + tick * S // 2, tasks)
+            moved += len(taken.moves)
+            tasks = [task for task in tasks if task.request not in taken.moves]
     assert moved <= 4 * 10 + 4
 
 
@@ -308,7 +313,7 @@
         (UnsafePolicy.WAIT, Phase.OUT),
     ],
 )
-def test_what_must_not_start_twice_runs_out_and_the_window_does_as_its_file_says(
+def test_tasks_that_must_not_start_twice_end_by_themselves_as_the_window_says(
     policy: UnsafePolicy, outcome: Phase
 ) -> None:
     held = drains(policy)
@@ -322,7 +327,7 @@
         assert end == START + H if policy is UnsafePolicy.SHORTEN else end > START + H + 9 * 60 * S
 
 
-def test_a_failed_hall_stops_drains_elsewhere_and_takes_back_those_begun() -> None:
+def test_a_failed_zone_stops_drains_elsewhere_and_gives_up_those_begun() -> None:
     held = drains()
     assert not step(held, START - 60 * S, failed=frozenset("b")).closed
     assert "b has failed" in held.tracked[DRAIN.key].reason
@@ -332,9 +337,9 @@
     step(back, START - 60 * S, task)
     assert not step(back, START - 50 * S, task, frozenset("b")).closed
     assert phase(back) is Phase.GIVEN_UP
-    kept = drains(take_back=False)
-    step(kept, START - 60 * S, task)
-    assert step(kept, START - 50 * S, task, frozenset("b")).closed
+    lenient = drains(take_back=False)
+    step(lenient, START - 60 * S, task)
+    assert step(lenient, START - 50 * S, task, frozenset("b")).closed
     own = drains()
     step(own, START - 60 * S, task)
     assert step(own, START - 50 * S, task, frozenset("a")).closed, (
@@ -342,31 +347,31 @@
     )
 
 
-def test_without_room_a_drain_waits_and_moves_nothing() -> None:
+def test_without_capacity_elsewhere_a_drain_waits_and_moves_nothing() -> None:
     held = drains()
-    assert not step(held, START - 60 * S, [RunningTask(1, True, None)], room=False).closed
-    turn = step(held, START, [RunningTask(1, True, None)], room=False)
-    assert turn.closed
-    assert not turn.moves
-    step(held, START + H, [RunningTask(1, True, None)], room=False)
+    assert not step(held, START - 60 * S, [RunningTask(1, True, None)], has_capacity=False).closed
+    taken = step(held, START, [RunningTask(1, True, None)], has_capacity=False)
+    assert taken.closed
+    assert not taken.moves
+    step(held, START + H, [RunningTask(1, True, None)], has_capacity=False)
     assert phase(held) is Phase.GIVEN_UP
     assert "still run" in held.tracked[DRAIN.key].reason
 
 
-def test_a_clock_set_back_undoes_nothing_and_a_restart_goes_on() -> None:
+def test_a_clock_set_back_undoes_nothing_and_a_restart_restores_the_phase() -> None:
     held = drains()
     task = [RunningTask(1, False, None)]
     step(held, START - 60 * S, task)
-    again = DrainTracker(DrainPolicy(), 1)
-    again.restore(held.tracked.values())
-    again.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
-    assert step(again, START - 2 * H, task).closed
-    assert phase(again) is Phase.CLOSED
-    step(again, START - 2 * H, [])
-    assert phase(again) is Phase.OUT
+    restarted = DrainTracker(DrainPolicy(), 1)
+    restarted.restore(held.tracked.values())
+    restarted.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
+    assert step(restarted, START - 2 * H, task).closed
+    assert phase(restarted) is Phase.CLOSED
+    step(restarted, START - 2 * H, [])
+    assert phase(restarted) is Phase.OUT
 
 
-def test_cancelled_is_cancelled_and_a_new_plan_does_not_bring_it_back() -> None:
+def test_a_cancelled_drain_is_not_planned_anew() -> None:
     held = drains()
     step(held, START - 60 * S, [RunningTask(1, True, None)])
     assert held.cancel(DRAIN.key, START)
@@ -377,7 +382,7 @@
     assert not step(held, START).closed
 
 
-def test_an_offer_that_is_out_keeps_a_machine_from_counting_as_empty() -> None:
+def test_a_pending_offer_keeps_a_machine_from_counting_as_empty() -> None:
     held = drains()
     step(held, START - 60 * S, [RunningTask(1, True, None, True)])
     assert not step(held, START - 50 * S, [RunningTask(1, True, None, True)]).moves
@@ -411,22 +416,22 @@
     held = drains()
     order = [Phase.PLANNED, Phase.CLOSED, Phase.OUT, Phase.DONE]
     last = Phase.PLANNED
-    for second, tasks, failed, room in moments:
-        turn = step(
+    for second, tasks, failed, has_capacity in moments:
+        taken = step(
             held,
             START + second * S,
             [RunningTask(n, n == 0, None) for n in range(tasks)],
             frozenset("b") if failed else NONE,
-            room,
+            has_capacity,
         )
-        assert all(request == 0 for request in turn.moves), "only what may start twice is moved"
+        assert all(request == 0 for request in taken.moves), "only what may start twice is moved"
         now = phase(held)
         assert last not in ENDED_PHASES or now is last
         assert now is Phase.GIVEN_UP or order.index(now) >= order.index(last)
         last = now
 
 
-def test_a_hall_has_failed_when_a_share_of_it_is_gone_undrained() -> None:
+def test_a_zone_has_failed_when_a_share_of_it_is_lost_without_a_drain() -> None:
     here = (
         [("a", True, False)] * 3
         + [("a", False, True)] * 3
--- a/tests/decide/maintenance/test_queue_model.py
+++ b/tests/decide/maintenance/test_queue_model.py
@@ -1,4 +1,4 @@
-"""The queue against a plain reference: entries in any order, snapshots, and who may close next."""
+"""The slot queue against a plain model: entries in any order, snapshots, and which slots may close next."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """The reference: a list of plain requests, and the time as it was told."""
+    """The model: a list of plain requests, and the latest time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.queue = SlotQueue()
         self.plain: list[dict[str, Any]] = []
         self.clock = 0
-        self.asked = 0
+        self.requests = 0
 
     def apply(self, kind: str, at: int, **value: Any) -> None:
         self.queue.apply(decode_entry(kind, {**value, "at_us": at}))
 
-    def moved(self, at: int) -> int:
+    def advance(self, at: int) -> int:
         self.clock = max(self.clock, at)
         return self.clock
 
@@ -43,11 +43,13 @@
         urgency=st.integers(0, 9),
         latest=st.sampled_from([0, 5, 7]),
         at=st.integers(0, 20),
-        again=st.booleans(),
+        is_resent=st.booleans(),
     )
-    def ask(self, machine: str, urgency: int, latest: int, at: int, again: bool) -> None:
-        self.asked += not (again and self.asked)
-        ident = f"i{self.asked}"
+    def request_slot(
+        self, machine: str, urgency: int, latest: int, at: int, is_resent: bool
+    ) -> None:
+        self.requests += not (is_resent and self.requests)
+        ident = f"i{self.requests}"
         known = ident in self.queue.outcomes
         self.apply(
             "ask",
@@ -65,7 +67,7 @@
         )
         if known:
             return
-        now = self.moved(at * AGING_PERIOD_US // 2)
+        now = self.advance(at * AGING_PERIOD_US // 2)
         if not any(
             each["machine"] == machine and each["state"] not in ("done", "given-back")
             for each in self.plain
@@ -90,7 +92,7 @@
         self.apply("queue", at * SECOND, turns=[[chosen["number"], tasks], [999, 1]])
         if chosen["state"] == "asked":
             chosen["state"], chosen["tasks"] = "queued", tasks
-            self.moved(at * SECOND)
+            self.advance(at * SECOND)
 
     @precondition(lambda self: self.plain)
     @rule(data=st.data(), kind=st.sampled_from([*STEPS, "give-back"]), at=st.integers(0, 20))
@@ -110,7 +112,7 @@
             chosen["state"] = AFTER.get(kind) or ("given-back" if chosen["given"] else "done")
         else:
             return
-        self.moved(at * SECOND)
+        self.advance(at * SECOND)
 
     @rule()
     def another_voter(self) -> None:
@@ -136,12 +138,12 @@
         assert [each.number for each in self.queue.queued()] == [each["number"] for each in waiting]
 
     @invariant()
-    def same_room(self) -> None:
+    def same_budgets(self) -> None:
         """Whoever has room by the queue's account has it by a plain count, and the other way round."""
         view = RegionView(
             tuple(("z", cell, count) for cell, count in CELLS.items()), (("a0", "z", "a"),)
         )
-        room = BudgetUse(
+        budgets = BudgetUse(
             [Budget(Scope.CELL, 1), Budget(Scope.ALL, 0.5, None, True)],
             {"r": view},
             self.queue.active(),
@@ -151,10 +153,10 @@
             for each in self.plain
             if each["state"] in ("closing", "empty", "out", "back")
         } | {"a0"}
-        for turn in self.queue.queued():
-            after = out | {turn.machine}
-            fits = sum(each[0] == turn.cell for each in after) <= 1 and len(after) <= 3
-            assert (room.refusal(turn) == "") is fits, (turn.machine, sorted(out))
+        for slot in self.queue.queued():
+            after = out | {slot.machine}
+            fits = sum(each[0] == slot.cell for each in after) <= 1 and len(after) <= 3
+            assert (budgets.refusal(slot) == "") is fits, (slot.machine, sorted(out))
 
 
 TestQueue = QueueMachine.TestCase
--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -1,4 +1,4 @@
-"""Turns on the virtual clock: hard cases, generated plays, and the judge that finds what is planted."""
+"""Maintenance on the virtual clock: hard cases, generated runs, and a judge that finds planted errors."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     return turn
 
 
-def ask(shop: Workshop, machine: str, **more: Any) -> None:
+def request_slot(shop: Workshop, machine: str, **more: Any) -> None:
     leader, bench = shop.leader(), shop.benches[machine]
     assert leader is not None
     shop.decide(leader, "ask", request(machine, bench.region, bench.cell, zone=bench.zone, **more))
 
 
-def test_a_leader_lost_between_empty_and_out_has_a_successor_that_proves_it_anew() -> None:
+def test_after_a_leader_lost_between_empty_and_out_the_next_proves_emptiness_anew() -> None:
     shop = opened(Size(), 3)
-    ask(shop, "r0-m1", from_us=WALL_US + shop.now_us + 8 * SECOND)
+    request_slot(shop, "r0-m1", from_us=WALL_US + shop.now_us + 8 * SECOND)
     wait(shop, 1, "empty")
     old = shop.leader()
     assert old is not None
@@ -54,7 +54,7 @@
     assert judged(shop).clean
 
 
-def test_a_placer_cut_off_on_a_floor_with_tasks_on_the_machine_keeps_it_from_going_out() -> None:
+def test_tasks_of_a_placer_cut_off_on_a_floor_keep_the_machine_from_going_out() -> None:
     shop = opened(Size(), 5)
     shop.lower_floor(FLOOR, 60 * SECOND, "floor")
     shop.run(shop.now_us + 3 * SECOND)
@@ -66,7 +66,7 @@
     bench = shop.benches["r0-m2"]
     for number in range(10**9, 10**9 + 5):
         bench.tasks[number] = "p004", shop.now_us + 10 * SECOND
-    ask(shop, "r0-m2")
+    request_slot(shop, "r0-m2")
     wait(shop, 1, "closing")
     shop.run(shop.now_us + 5 * SECOND)
     turn = shop.turn(1)
@@ -81,16 +81,16 @@
     assert judged(shop).clean
 
 
-def test_a_silent_worker_is_told_and_works_no_more_once_its_turn_was_given_back() -> None:
+def test_a_silent_operator_is_reported_and_stops_work_once_its_slot_was_given_back() -> None:
     shop = opened(Size(), 6)
-    ask(shop, "r0-m1")
+    request_slot(shop, "r0-m1")
     wait(shop, 1, "out")
     shop.work(1, 3 * SECOND, silent=True)
     assert shop.run_until(
         lambda: any(each.fields["state"] == "silent" for each in shop.tells("turn")), 20 * SECOND
     )
     assert shop.benches["r0-m1"].guard.refuses()
-    ask(shop, "r0-m5")
+    request_slot(shop, "r0-m5")
     wait(shop, 2, "out")
     leader = shop.leader()
     assert leader is not None
@@ -102,9 +102,9 @@
     assert judged(shop).clean
 
 
-def test_one_placer_tries_a_machine_first_that_is_back() -> None:
+def test_one_placer_tries_a_returned_machine_first() -> None:
     shop = opened(Size(), 8)
-    ask(shop, "r0-m3")
+    request_slot(shop, "r0-m3")
     wait(shop, 1, "out")
     shop.work(1, SECOND)
     wait(shop, 1, "back")
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", [Size(seconds=30), Size(9, 5, 3, 4, 30)])
-def test_generated_trouble_breaks_nothing(size: Size, seed: int) -> None:
+def test_generated_faults_violate_no_guarantee(size: Size, seed: int) -> None:
     shop, verdict = play(seed, size)
     assert verdict.clean and verdict.done > 3 and verdict.works > 10, verdict
     assert shop.run_until(
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize(("planted", "seed"), [("busy", 4), ("over", 1), ("disorder", 2)])
-def test_the_judge_finds_what_is_planted(
+def test_the_judge_finds_planted_errors(
     planted: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if planted == "busy":
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -1,4 +1,4 @@
-"""Turns: the leader's part by itself, the queue's bounds, windows as requests."""
+"""Maintenance slots: the scheduler of a single leader, the bounds of the queue, windows as requests."""
 
 from __future__ import annotations
 
@@ -51,44 +51,46 @@
     queue.apply(decode_entry(kind, value))
 
 
-class Led:
-    """A leader by itself: one placer for each region speaks, and what it proposes is decided at once."""
+class SoloLeader:
+    """A leader by itself: one placer for each region reports, and what it proposes is decided at once."""
 
     def __init__(
         self, cells: dict[str, int], budgets: tuple[tuple[str, str, float], ...], *regions: str
     ) -> None:
         self.now_us, self.number, self.cells = 100 * SECOND, 0, cells
-        self.turns = MaintenanceScheduler("of-r", lambda now: WALL_US + now)
+        self.scheduler = MaintenanceScheduler("of-r", lambda now: WALL_US + now)
         self.rules = replace(rules(), plan=DrainPlan(budgets=budgets))
-        self.speak = {region: MaintenanceReport(region=region) for region in (regions or ("r",))}
+        self.reports = {region: MaintenanceReport(region=region) for region in (regions or ("r",))}
         self.lost: dict[str, tuple[tuple[str, str, str], ...]] = {}
-        self.used, self.deaf = 0.0, False  # deaf: machines say nothing
+        self.used, self.is_silent = 0.0, False  # is_silent: machines do not reply
         self.view: RegionView | None = None
-        self.turns.on_leadership_change(self.now_us, True)
+        self.scheduler.on_leadership_change(self.now_us, True)
         self.run(3)
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 2)):
             self.now_us += SECOND // 2
             self.number += 1
-            for region, said in self.speak.items():
-                asker = Requester(f"of-{region}", 1, 0, self.number)
-                told = self.turns.response_for(self.now_us, asker)
+            for region, report in self.reports.items():
+                requester = Requester(f"of-{region}", 1, 0, self.number)
+                response = self.scheduler.response_for(self.now_us, requester)
                 numbers = tuple(
                     number
-                    for number, _, state, _ in told.turns
+                    for number, _, state, _ in response.turns
                     if state in ("closing", "empty", "out")
                 )
-                self.turns.on_report(
+                self.scheduler.on_report(
                     self.now_us,
-                    asker,
+                    requester,
                     replace(
-                        said,
+                        report,
                         clear=numbers,
-                        empty=() if self.deaf else numbers,
+                        empty=() if self.is_silent else numbers,
                         at_us=self.now_us,
                         tasks=tuple(
-                            (number, 0) for number, _, state, _ in told.turns if state == "asked"
+                            (number, 0)
+                            for number, _, state, _ in response.turns
+                            if state == "asked"
                         ),
                         view=self.view
                         or RegionView(
@@ -98,90 +100,94 @@
                         ),
                     ),
                 )
-            for each in self.turns.next_proposals(self.now_us, self.rules)[0]:
-                self.turns.apply(each.kind, each.value)
+            for each in self.scheduler.next_proposals(self.now_us, self.rules)[0]:
+                self.scheduler.apply(each.kind, each.value)
 
-    def ask(self, *machines: str, region: str = "r", **more: Any) -> None:
+    def request_slots(self, *machines: str, region: str = "r", **more: Any) -> None:
         for machine in machines:
             cell = machine.partition("-")[0]
-            self.turns.apply("ask", request(machine, region, cell, **more))
+            self.scheduler.apply("ask", request(machine, region, cell, **more))
 
     def states(self) -> dict[str, str]:
-        return {each.machine: each.state for each in self.turns.queue.slots.values()}
+        return {each.machine: each.state for each in self.scheduler.queue.slots.values()}
 
-    def where(self, state: str) -> list[str]:
+    def machines_in(self, state: str) -> list[str]:
         return sorted(machine for machine, each in self.states().items() if each == state)
 
 
-def test_two_ask_for_the_last_turn_of_a_budget_and_the_second_follows_the_first() -> None:
-    led = Led({"a": 4, "b": 4}, (("cell", "max", 1.0),))
-    led.ask("a-1", urgency=3)
-    led.ask("a-2", urgency=4)
-    led.run(5)
-    assert led.states() == {"a-1": "queued", "a-2": "out"}
-    assert "1 may be" in led.turns.blocked[1]
-    led.turns.apply("back", {"number": 2, "at_us": WALL_US})
-    led.run(5)
-    assert led.states() == {"a-1": "queued", "a-2": "back"}, (
+def test_two_slots_that_fit_a_budget_only_singly_go_out_one_after_the_other() -> None:
+    leader = SoloLeader({"a": 4, "b": 4}, (("cell", "max", 1.0),))
+    leader.request_slots("a-1", urgency=3)
+    leader.request_slots("a-2", urgency=4)
+    leader.run(5)
+    assert leader.states() == {"a-1": "queued", "a-2": "out"}
+    assert "1 may be" in leader.scheduler.blocked[1]
+    leader.scheduler.apply("back", {"number": 2, "at_us": WALL_US})
+    leader.run(5)
+    assert leader.states() == {"a-1": "queued", "a-2": "back"}, (
         "one that is not tried yet counts as out"
     )
-    led.speak["r"] = MaintenanceReport(region="r", tried=(2,))
-    led.run(5)
-    assert led.states() == {"a-1": "out", "a-2": "done"}
-
-
-def test_machines_lost_while_others_are_out_spend_the_budget() -> None:
-    led = Led({"a": 4, "b": 4}, (("all", "max", 2.0),))
-    led.ask("a-1")
-    led.lost["r"] = (("b-1", "z", "b"),)
-    led.run(5)
-    led.ask("a-2")
-    led.run(5)
-    assert led.states() == {"a-1": "out", "a-2": "queued"}
-    led.lost["r"] = (("a-1", "z", "a"),)
-    led.run(5)
-    assert led.states() == {"a-1": "out", "a-2": "out"}, "one that is out and lost counts once"
-
-
-def test_a_loss_between_closing_and_out_makes_the_machine_wait() -> None:
-    led = Led({"a": 4}, (("all", "max", 1.0),))
-    led.ask("a-1", from_us=WALL_US + 110 * SECOND)
-    led.run(4)
-    assert led.states() == {"a-1": "empty"}
-    led.lost["r"] = (("a-2", "z", "a"),)
-    led.run(20)
-    assert led.states() == {"a-1": "empty"}
-    assert "1 of them lost" in led.turns.blocked[1]
-    led.lost.clear()
-    led.run(2)
-    assert led.states() == {"a-1": "out"}
-
-
-def test_a_region_out_of_reach_waits_and_holds_nobody_up() -> None:
-    led = Led({"a": 4}, (("all", "max", 4.0),), "r", "s")
-    del led.speak["s"]
-    led.run(10)
-    led.ask("a-1", region="s", urgency=9)
-    led.ask("a-2", "a-3")
-    led.run(5)
-    assert led.states() == {"a-1": "queued", "a-2": "out", "a-3": "out"}
-    assert "out of reach" in led.turns.blocked[1]
-    led.speak["s"] = MaintenanceReport(region="s")
-    led.run(5)
-    assert led.states()["a-1"] == "out"
-
-
-def test_room_for_what_is_asked_and_for_another_regions_loss_is_kept() -> None:
-    led = Led({"a": 4, "b": 4}, (("region", "max", 4.0),))
-    led.used, led.turns.reserved_machines = 3.5, lambda now, region: 2.0
-    led.ask("a-1", "a-2", "b-1", "b-2")
-    led.run(5)
-    assert len(led.where("out")) == 2, "8 machines, 3.5 worth of work, 2 held back"
-    assert any("2 of them for another region's loss" in each for each in led.turns.blocked.values())
-
-
-def test_while_a_hall_has_failed_nothing_closes_elsewhere_and_windows_are_taken_back() -> None:
-    led = Led({"a": 4, "b": 4}, (("all", "max", 9.0),))
+    leader.reports["r"] = MaintenanceReport(region="r", tried=(2,))
+    leader.run(5)
+    assert leader.states() == {"a-1": "out", "a-2": "done"}
+
+
+def test_lost_machines_spend_the_budget_and_count_once() -> None:
+    leader = SoloLeader({"a": 4, "b": 4}, (("all", "max", 2.0),))
+    leader.request_slots("a-1")
+    leader.lost["r"] = (("b-1", "z", "b"),)
+    leader.run(5)
+    leader.request_slots("a-2")
+    leader.run(5)
+    assert leader.states() == {"a-1": "out", "a-2": "queued"}
+    leader.lost["r"] = (("a-1", "z", "a"),)
+    leader.run(5)
+    assert leader.states() == {"a-1": "out", "a-2": "out"}, "one that is out and lost counts once"
+
+
+def test_an_empty_machine_waits_while_a_loss_spends_the_budget() -> None:
+    leader = SoloLeader({"a": 4}, (("all", "max", 1.0),))
+    leader.request_slots("a-1", from_us=WALL_US + 110 * SECOND)
+    leader.run(4)
+    assert leader.states() == {"a-1": "empty"}
+    leader.lost["r"] = (("a-2", "z", "a"),)
+    leader.run(20)
+    assert leader.states() == {"a-1": "empty"}
+    assert "1 of them lost" in leader.scheduler.blocked[1]
+    leader.lost.clear()
+    leader.run(2)
+    assert leader.states() == {"a-1": "out"}
+
+
+def test_slots_of_a_region_out_of_reach_wait_and_block_no_others() -> None:
+    leader = SoloLeader({"a": 4}, (("all", "max", 4.0),), "r", "s")
+    del leader.reports["s"]
+    leader.run(10)
+    leader.request_slots("a-1", region="s", urgency=9)
+    leader.request_slots("a-2", "a-3")
+    leader.run(5)
+    assert leader.states() == {"a-1": "queued", "a-2": "out", "a-3": "out"}
+    assert "out of reach" in leader.scheduler.blocked[1]
+    leader.reports["s"] = MaintenanceReport(region="s")
+    leader.run(5)
+    assert leader.states()["a-1"] == "out"
+
+
+def test_capacity_for_the_demand_and_the_reserve_stays() -> None:
+    leader = SoloLeader({"a": 4, "b": 4}, (("region", "max", 4.0),))
+    leader.used, leader.scheduler.reserved_machines = 3.5, lambda now, region: 2.0
+    leader.request_slots("a-1", "a-2", "b-1", "b-2")
+    leader.run(5)
+    assert len(leader.machines_in("out")) == 2, "8 machines, 3.5 worth of work, 2 held back"
+    assert any(
+        "2 of them for another region's loss" in each for each in leader.scheduler.blocked.values()
+    )
+
+
+def test_while_a_zone_has_failed_no_slot_closes_elsewhere_and_closing_windows_are_given_back() -> (
+    None
+):
+    leader = SoloLeader({"a": 4, "b": 4}, (("all", "max", 9.0),))
     window = WindowRules(
         "patch",
         "2027-01-01T02:00:00+00:00",
@@ -195,45 +201,49 @@
         0,
         "wait",
     )
-    led.rules, led.view = (
-        replace(led.rules, windows=(window,)),
+    leader.rules, leader.view = (
+        replace(leader.rules, windows=(window,)),
         RegionView((("y", "x", 2), ("z", "a", 4), ("z", "b", 4))),
     )
-    led.ask("a-1", why="calendar", ident="patch@0/a-1", worker="")
-    led.deaf = True
-    led.run(4)
-    assert led.states() == {"a-1": "closing"}
-    led.view = replace(led.view, lost=(("x-1", "y", "x"),))
-    led.ask("b-1")
-    led.run(4)
-    assert led.states() == {"a-1": "back", "b-1": "queued"}
-    assert "r/y has failed" in led.turns.blocked[2]
-    assert led.turns.queue.slots[1].note == "r/y has failed"
-
-
-def test_two_hundred_ask_at_once_and_all_have_their_turn_within_the_budgets_and_in_order() -> None:
-    led = Led({f"c{index}": 10 for index in range(20)}, (("cell", "max", 1.0), ("all", "max", 8.0)))
-    led.ask(*(f"c{index % 20}-{index}" for index in range(200)))
+    leader.request_slots("a-1", why="calendar", ident="patch@0/a-1", worker="")
+    leader.is_silent = True
+    leader.run(4)
+    assert leader.states() == {"a-1": "closing"}
+    leader.view = replace(leader.view, lost=(("x-1", "y", "x"),))
+    leader.request_slots("b-1")
+    leader.run(4)
+    assert leader.states() == {"a-1": "back", "b-1": "queued"}
+    assert "r/y has failed" in leader.scheduler.blocked[2]
+    assert leader.scheduler.queue.slots[1].note == "r/y has failed"
+
+
+def test_two_hundred_requests_at_once_are_served_within_the_budgets() -> None:
+    leader = SoloLeader(
+        {f"c{index}": 10 for index in range(20)}, (("cell", "max", 1.0), ("all", "max", 8.0))
+    )
+    leader.request_slots(*(f"c{index % 20}-{index}" for index in range(200)))
     order: list[int] = []
     for _ in range(600):
-        led.run(0.5)
-        queue = led.turns.queue
+        leader.run(0.5)
+        queue = leader.scheduler.queue
         out = [each for each in queue.slots.values() if each.state == "out"]
         assert len(queue.active()) <= 8
         order += [each.number for each in out if each.number not in order]
         for each in out:
-            apply_entry(queue, "back", {"number": each.number, "at_us": WALL_US + led.now_us})
-        led.speak["r"] = MaintenanceReport(
+            apply_entry(queue, "back", {"number": each.number, "at_us": WALL_US + leader.now_us})
+        leader.reports["r"] = MaintenanceReport(
             region="r", tried=tuple(each.number for each in queue.active())
         )
         if not queue.live():
             break
     assert sorted(order) == list(range(1, 201))
-    assert not led.turns.queue.live()
-    assert led.turns.queue.queued() == []
+    assert not leader.scheduler.queue.live()
+    assert leader.scheduler.queue.queued() == []
 
 
-def test_past_the_bound_a_request_is_refused_with_the_reason() -> None:
+def test_a_request_beyond_the_bound_is_rejected_with_the_reason_and_all_slots_fit_a_snapshot() -> (
+    None
+):
     queue = SlotQueue()
     for index in range(MAX_LIVE_SLOTS):
         apply_entry(queue, "ask", request(f"m{index}"))
@@ -252,9 +262,9 @@
         )
     assert len(long.live()) == MAX_LIVE_SLOTS
     assert len(long.text()) < MAX_LIVE_SLOTS * 1400 + 256 * 400
-    again = SlotQueue()
-    again.restore(long.text())
-    assert again.text() == long.text()
+    restored = SlotQueue()
+    restored.restore(long.text())
+    assert restored.text() == long.text()
 
 
 @pytest.mark.parametrize(
@@ -270,13 +280,13 @@
         {"ident": "i" * 321},
     ],
 )
-def test_a_request_that_cannot_be_is_refused(wrong: dict[str, Any]) -> None:
+def test_an_invalid_request_is_rejected(wrong: dict[str, Any]) -> None:
     queue = SlotQueue()
     apply_entry(queue, "ask", request("m") | wrong)
     assert not queue.slots
 
 
-def test_entries_that_cannot_be_read_change_nothing() -> None:
+def test_unreadable_entries_change_nothing() -> None:
     queue = SlotQueue()
     apply_entry(queue, "ask", request("m"))
     text = queue.text()
@@ -293,51 +303,51 @@
     assert queue.text() == text
 
 
-def test_a_worker_is_heard_only_once_a_majority_has_followed_since_and_only_while_out() -> None:
-    led = Led({"a": 4}, (("all", "max", 1.0),))
-    led.ask("a-1")
-    led.run(5)
-    asked = led.now_us
-    led.turns.renew(asked, 1)
-    assert led.turns.renewed_us(1) < asked, (
+def test_a_renewal_counts_once_a_majority_has_followed_since_and_only_while_out() -> None:
+    leader = SoloLeader({"a": 4}, (("all", "max", 1.0),))
+    leader.request_slots("a-1")
+    leader.run(5)
+    renewed_at = leader.now_us
+    leader.scheduler.renew(renewed_at, 1)
+    assert leader.scheduler.renewed_us(1) < renewed_at, (
         "a deposed leader would hear no confirmed ask of its own"
     )
-    led.run(0.5)
-    assert led.turns.renewed_us(1) == asked
-    led.run(TIMING.lease_us / SECOND - 2)
-    assert not [*led.turns.silent(led.now_us)]
-    led.run(4)
-    assert [*led.turns.silent(led.now_us)] == [1] and led.states() == {"a-1": "out"}, (
+    leader.run(0.5)
+    assert leader.scheduler.renewed_us(1) == renewed_at
+    leader.run(TIMING.lease_us / SECOND - 2)
+    assert not [*leader.scheduler.silent(leader.now_us)]
+    leader.run(4)
+    assert [*leader.scheduler.silent(leader.now_us)] == [1] and leader.states() == {"a-1": "out"}, (
         "it stays shut, and is told"
     )
-    led.turns.apply("give-back", {"number": 1, "at_us": WALL_US})
-    led.turns.renew(led.now_us, 1)
-    led.run(1)
-    assert led.turns.renewed_us(1) == 0
-    led.speak["r"] = MaintenanceReport(region="r", open=(1,))
-    led.run(TIMING.try_us / SECOND + 1)
-    assert led.states() == {"a-1": "given-back"}
-
-
-def test_who_was_told_of_an_earlier_turn_does_not_confirm_a_later_one() -> None:
-    side = MaintenanceMember("p", "r", NoObservations())
-    turns = MaintenanceScheduler("p", lambda now: WALL_US + now)
-    turns.apply("ask", request("m"))
-    turns.apply("queue", {"turns": [[1, 0]], "at_us": WALL_US})
-    turns.apply("close", {"number": 1, "at_us": WALL_US})
-    first = turns.response_for(0, Requester("p", 1, 0, 1))
-    assert side.on_response(0, 0, first)[0].fields["state"] == "closing"  # type: ignore[union-attr]
-    assert side.report(0).clear == (1,)
+    leader.scheduler.apply("give-back", {"number": 1, "at_us": WALL_US})
+    leader.scheduler.renew(leader.now_us, 1)
+    leader.run(1)
+    assert leader.scheduler.renewed_us(1) == 0
+    leader.reports["r"] = MaintenanceReport(region="r", open=(1,))
+    leader.run(TIMING.try_us / SECOND + 1)
+    assert leader.states() == {"a-1": "given-back"}
+
+
+def test_a_placer_that_knows_an_earlier_slot_does_not_confirm_a_later_one() -> None:
+    member = MaintenanceMember("p", "r", NoObservations())
+    scheduler = MaintenanceScheduler("p", lambda now: WALL_US + now)
+    scheduler.apply("ask", request("m"))
+    scheduler.apply("queue", {"turns": [[1, 0]], "at_us": WALL_US})
+    scheduler.apply("close", {"number": 1, "at_us": WALL_US})
+    first = scheduler.response_for(0, Requester("p", 1, 0, 1))
+    assert member.on_response(0, 0, first)[0].fields["state"] == "closing"  # type: ignore[union-attr]
+    assert member.report(0).clear == (1,)
     for kind in ("give-back", "done"):
-        turns.apply(kind, {"number": 1, "at_us": WALL_US})
-    turns.apply("ask", request("m", ident="again"))
-    turns.apply("queue", {"turns": [[2, 0]], "at_us": WALL_US})
-    turns.apply("close", {"number": 2, "at_us": WALL_US})
-    assert 2 not in side.report(0).clear
-    assert side.is_closed("m")
-    side.on_response(0, 0, turns.response_for(0, Requester("p", 1, 0, 2)))
-    assert side.report(0).clear == (2,)
-    assert not side.on_response(0, 0, first) and side.report(0).clear == (2,), (
+        scheduler.apply(kind, {"number": 1, "at_us": WALL_US})
+    scheduler.apply("ask", request("m", ident="again"))
+    scheduler.apply("queue", {"turns": [[2, 0]], "at_us": WALL_US})
+    scheduler.apply("close", {"number": 2, "at_us": WALL_US})
+    assert 2 not in member.report(0).clear
+    assert member.is_closed("m")
+    member.on_response(0, 0, scheduler.response_for(0, Requester("p", 1, 0, 2)))
+    assert member.report(0).clear == (2,)
+    assert not member.on_response(0, 0, first) and member.report(0).clear == (2,), (
         "a grant that was late changes nothing"
     )
 
@@ -349,7 +359,7 @@
     return int(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp() * SECOND)
 
 
-def test_windows_ask_for_turns_as_they_begin_and_not_for_what_was_taken_back() -> None:
+def test_windows_request_slots_as_their_lead_begins_unless_cancelled() -> None:
     window = WindowRules(
         "patch",
         "2027-01-01T02:00:00+00:00",
@@ -397,8 +407,8 @@
     assert machines_at("2027-01-01T02:00:00", black) == []
 
 
-def test_a_calendars_turn_ends_by_its_time_and_with_its_window() -> None:
-    led = Led({"a": 4}, (("all", "max", 9.0),))
+def test_a_calendar_slot_ends_by_its_duration_and_with_its_window() -> None:
+    leader = SoloLeader({"a": 4}, (("all", "max", 9.0),))
     window = WindowRules(
         "patch",
         "2027-01-01T02:00:00+00:00",
@@ -412,23 +422,23 @@
         0,
         "wait",
     )
-    led.rules = replace(led.rules, windows=(window,))
+    leader.rules = replace(leader.rules, windows=(window,))
     for index in (1, 2, 3):
-        led.ask(
+        leader.request_slots(
             f"a-{index}", why="calendar", ident=f"patch@0/a-{index}", worker="", lasts_us=8 * SECOND
         )
-    led.ask("a-4", why="calendar", ident="gone@0/a-4", worker="")
-    led.run(5)
-    assert led.states() == {"a-1": "out", "a-2": "out", "a-3": "out", "a-4": "given-back"}
-    led.rules = replace(led.rules, cancelled=("patch@0/a-2",))
-    led.run(1)
-    assert led.states()["a-2"] == "back", "opened again, and tried first"
-    led.run(8)
-    assert led.states()["a-1"] == "back"
-    assert led.turns.queue.slots[1].note == "its time is over"
-
-
-def test_the_order_ages_so_that_nobody_starves() -> None:
+    leader.request_slots("a-4", why="calendar", ident="gone@0/a-4", worker="")
+    leader.run(5)
+    assert leader.states() == {"a-1": "out", "a-2": "out", "a-3": "out", "a-4": "given-back"}
+    leader.rules = replace(leader.rules, cancelled=("patch@0/a-2",))
+    leader.run(1)
+    assert leader.states()["a-2"] == "back", "opened again, and tried first"
+    leader.run(8)
+    assert leader.states()["a-1"] == "back"
+    assert leader.scheduler.queue.slots[1].note == "its time is over"
+
+
+def test_waiting_slots_age_so_that_none_starves() -> None:
     queue, at_us = SlotQueue(), WALL_US // AGING_PERIOD_US * AGING_PERIOD_US
     apply_entry(queue, "ask", request("old", urgency=0, at_us=at_us))
     apply_entry(queue, "ask", request("new", urgency=9, at_us=at_us + 8 * AGING_PERIOD_US))
--- a/tests/decide/maintenance/test_windows.py
+++ b/tests/decide/maintenance/test_windows.py
@@ -25,8 +25,8 @@
 HELSINKI = zone("Europe/Helsinki")
 
 
-def series(start: datetime, rule: str = "", lasts: int = 2 * H, **more: object) -> Series:
-    return Series("w", start, lasts, lasts, rule, selectors=(Selector(name="*"),), **more)  # type: ignore[arg-type]
+def series(start: datetime, rule: str = "", duration: int = 2 * H, **more: object) -> Series:
+    return Series("w", start, duration, duration, rule, selectors=(Selector(name="*"),), **more)  # type: ignore[arg-type]
 
 
 def us(year: int, month: int, day: int, hour: int = 0, minute: int = 0) -> int:
@@ -45,9 +45,7 @@
     assert {each.end_us - each.start_us for each in found} == {2 * H}
 
 
-def test_a_start_that_the_change_skips_moves_forward_and_one_that_comes_twice_is_the_first() -> (
-    None
-):
+def test_a_skipped_local_start_moves_forward_and_a_repeated_one_is_the_first() -> None:
     skipped = series(datetime(2026, 3, 29, 3, 30, tzinfo=HELSINKI))  # 03:00 to 04:00 is not there
     assert expand(skipped, us(2026, 3, 28), us(2026, 3, 30))[0].start_us == us(2026, 3, 29, 1, 30)
     twice = series(datetime(2026, 10, 25, 3, 30, tzinfo=HELSINKI))
@@ -55,7 +53,7 @@
 
 
 def test_a_window_over_midnight_and_one_that_began_before_the_span_are_found() -> None:
-    late = series(datetime(2026, 5, 1, 23, 0, tzinfo=HELSINKI), "FREQ=DAILY", lasts=5 * H)
+    late = series(datetime(2026, 5, 1, 23, 0, tzinfo=HELSINKI), "FREQ=DAILY", duration=5 * H)
     found = expand(late, us(2026, 5, 2, 0), us(2026, 5, 2, 12))
     assert [each.start_us for each in found] == [us(2026, 5, 1, 20)]
 
@@ -74,8 +72,8 @@
     assert days == [1, 4, 5, 20]
 
 
-def test_a_series_for_ever_is_bounded_and_one_without_length_never_comes() -> None:
-    hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", lasts=H)
+def test_an_endless_series_is_bounded_and_one_without_duration_has_no_occurrence() -> None:
+    hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", duration=H)
     assert (
         MAX_OCCURRENCES - 4
         <= len(expand(hourly, us(2026, 1, 1), us(2030, 1, 1)))
@@ -83,7 +81,9 @@
     )
     assert (
         expand(
-            series(datetime(2026, 1, 1, tzinfo=HELSINKI), lasts=0), us(2025, 1, 1), us(2027, 1, 1)
+            series(datetime(2026, 1, 1, tzinfo=HELSINKI), duration=0),
+            us(2025, 1, 1),
+            us(2027, 1, 1),
         )
         == []
     )
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "rule", ["FREQ=NEVER", "nonsense", "FREQ=SECONDLY", "FREQ=MINUTELY", "BYDAY=MO"]
 )
-def test_bad_rules_are_refused(rule: str) -> None:
+def test_invalid_recurrence_rules_raise(rule: str) -> None:
     with pytest.raises(ValueError):
         check_rule(rule, datetime(2026, 1, 1))
 
@@ -111,7 +111,7 @@
 """
 
 
-def test_a_calendar_is_read_whole() -> None:
+def test_every_part_of_a_calendar_is_read() -> None:
     read = read_kdl(CALENDAR, "c.kdl", Calendar())
     (kernel,) = read.series
     assert kernel.each_us == H // 2
@@ -124,7 +124,7 @@
     assert read.rules.blackouts[0].start_us == us(2026, 12, 23, 22)
 
 
-def test_every_problem_of_a_calendar_comes_at_once_with_its_line() -> None:
+def test_all_problems_of_a_calendar_are_reported_with_their_lines() -> None:
     bad = """calendar zone="Europe/Helsinki"
 window "a" start="2026-13-06" lasts="2h" { machines zone="x"; }
 window "b" start="2026-12-06" lasts="0s" { machines zone="x"; }
@@ -181,13 +181,13 @@
         ("X-WINGBARROW-EACH:30m", "X-WINGBARROW-EACH:soon"),
     ],
 )
-def test_a_bad_event_refuses_the_file_and_names_it(old: str, new: str) -> None:
+def test_an_invalid_event_rejects_the_file_and_is_named(old: str, new: str) -> None:
     assert old in ICS
     with pytest.raises(SettingsError):
         read_ics(ICS.replace(old, new), "c.ics")
 
 
-def test_no_calendar_is_half_taken(tmp_path: Path) -> None:
+def test_an_invalid_calendar_changes_nothing(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.kdl", tmp_path / "bad.ics"
     good.write_text(CALENDAR)
     bad.write_text("BEGIN:VCALENDAR\nnot this")
--- a/tests/peers/test_maintenance_path.py
+++ b/tests/peers/test_maintenance_path.py
@@ -1,4 +1,4 @@
-"""Turns on a virtual clock with whole placers: asked over REST, confirmed, refused by the machine, worked on, tried."""
+"""Maintenance slots with complete placers: requested over REST, confirmed, refused by the machine, tried again."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.turnguard import TurnGuard
 
-TURNS = "/apis/wingbarrow.io/v1/turns"
+SLOTS_PATH = "/apis/wingbarrow.io/v1/turns"
 
 
-class Turning(Draining):
-    """With turns asked of the leader."""
+class MaintenanceStage(Draining):
+    """With maintenance slots, requested of the leader."""
 
-    def turn(self, number: int) -> dict[str, Any]:
-        return self.ask(self.leader(), path=f"{TURNS}/{number}")[1]
+    def slot(self, number: int) -> dict[str, Any]:
+        return self.ask(self.leader(), path=f"{SLOTS_PATH}/{number}")[1]
 
     def state(self, number: int) -> str:
-        return str(self.turn(number).get("state"))
+        return str(self.slot(number).get("state"))
 
-    def want(self, machine: str, **more: Any) -> dict[str, Any]:
-        status, told = self.ask(
-            self.leader(), "POST", {"machine": machine, "worker": "w", **more}, TURNS
+    def request_slot(self, machine: str, **more: Any) -> dict[str, Any]:
+        status, answer = self.ask(
+            self.leader(), "POST", {"machine": machine, "worker": "w", **more}, SLOTS_PATH
         )
-        assert status == 201, told
-        return told
+        assert status == 201, answer
+        return answer
 
-    def say(self, number: int, action: str, **more: Any) -> tuple[int, dict[str, Any]]:
-        return self.ask(self.leader(), "POST", more, f"{TURNS}/{number}/{action}")
+    def act(self, number: int, action: str, **more: Any) -> tuple[int, dict[str, Any]]:
+        return self.ask(self.leader(), "POST", more, f"{SLOTS_PATH}/{number}/{action}")
 
     def holds(self, machine: str) -> int:
         found = next(each for each in self.cluster.machines if each.name == machine)
@@ -48,51 +48,54 @@
         self.hub.sleep(2 * S)
 
 
-def test_one_whole_turn() -> None:
-    stage = Turning(machines=8, placers=5)
+def test_a_slot_from_request_to_done() -> None:
+    stage = MaintenanceStage(machines=8, placers=5)
 
     def script() -> None:
         stage.ready()
         other = next(slot for slot in stage.cluster.placers if slot is not stage.leader())
-        status, told = stage.ask(other, "POST", {"machine": "node-2"}, TURNS)
-        assert (status, told["name"]) == (307, stage.leader().name)
+        status, answer = stage.ask(other, "POST", {"machine": "node-2"}, SLOTS_PATH)
+        assert (status, answer["name"]) == (307, stage.leader().name)
         stage.work(3, "before")
         assert stage.holds("node-2") > 0
-        number = stage.want("node-2", urgency=7, ident="once", lasts="5m")["number"]
-        again = stage.ask(
-            stage.leader(), "POST", {"machine": "node-2", "worker": "w", "ident": "once"}, TURNS
+        number = stage.request_slot("node-2", urgency=7, ident="once", lasts="5m")["number"]
+        resent = stage.ask(
+            stage.leader(),
+            "POST",
+            {"machine": "node-2", "worker": "w", "ident": "once"},
+            SLOTS_PATH,
         )
-        assert (again[0], again[1]["number"]) == (201, number)
-        status, told = stage.ask(stage.leader(), "POST", {"machine": "node-2"}, TURNS)
+        assert (resent[0], resent[1]["number"]) == (201, number)
+        status, answer = stage.ask(stage.leader(), "POST", {"machine": "node-2"}, SLOTS_PATH)
         assert status == 409
-        assert f"has turn {number}" in told["message"]
-        assert stage.wait(lambda: stage.state(number) == "out", 30), stage.turn(number)
-        turn = stage.turn(number)
-        assert turn["cell"]
-        assert turn["zone"]
-        assert turn["tasks"] > 0
+        assert f"has turn {number}" in answer["message"]
+        assert stage.wait(lambda: stage.state(number) == "out", 30), stage.slot(number)
+        slot = stage.slot(number)
+        assert slot["cell"]
+        assert slot["zone"]
+        assert slot["tasks"] > 0
         assert stage.holds("node-2") == 0
         assert stage.guard("node-2").refuses()
         assert stage.everywhere("node-2", "draining")
         since = stage.hub.now_us()
         for round_ in range(4):
             stage.work(2, f"out-{round_}")
-            assert stage.say(number, "renew", worker="w")[0] == 200
+            assert stage.act(number, "renew", worker="w")[0] == 200
             assert stage.holds("node-2") == 0
-        assert stage.say(number, "renew", worker="another")[0] == 409
-        assert stage.say(number, "give-back")[0] == 409, "its worker is heard of"
-        assert stage.say(number, "out-done", worker="w")[1]["state"] == "back"
-        assert stage.say(number, "renew", worker="w")[0] == 409
+        assert stage.act(number, "renew", worker="another")[0] == 409
+        assert stage.act(number, "give-back")[0] == 409, "its worker is heard of"
+        assert stage.act(number, "out-done", worker="w")[1]["state"] == "back"
+        assert stage.act(number, "renew", worker="w")[0] == 409
         stage.work(6, "back")
         senders = {each.data["placer"] for each in stage.sent("node-2", since)}
         assert len(senders) <= 1 or stage.state(number) == "done"
-        assert stage.wait(lambda: stage.state(number) == "done", 40), stage.turn(number)
+        assert stage.wait(lambda: stage.state(number) == "done", 40), stage.slot(number)
         stage.work(3, "after")
         assert stage.everywhere("node-2", "running")
         assert not stage.guard("node-2").refuses()
-        assert {each["state"] for each in stage.ask(stage.leader(), path=TURNS)[1]["items"]} == {
-            "done"
-        }
+        assert {
+            each["state"] for each in stage.ask(stage.leader(), path=SLOTS_PATH)[1]["items"]
+        } == {"done"}
         records = [each.data for each in stage.seen("turn") if each.where == "node-2"]
         assert records[-1]["shut"] is False
         assert any(each["shut"] and each["empty"] for each in records)
@@ -100,8 +103,8 @@
     stage.play(script)
 
 
-def test_a_window_has_its_turns_one_after_another_and_asks_for_none_twice() -> None:
-    stage = Turning(machines=8, placers=3)
+def test_a_window_takes_its_machines_one_after_another_and_requests_none_twice() -> None:
+    stage = MaintenanceStage(machines=8, placers=3)
 
     def script() -> None:
         stage.ready()
@@ -114,7 +117,7 @@
             stage.hub.sleep(S)
             if step % 6 == 0:
                 stage.work(0.3, f"load-{step}")
-            items = stage.ask(stage.leader(), path=TURNS)[1]["items"]
+            items = stage.ask(stage.leader(), path=SLOTS_PATH)[1]["items"]
             out = [each for each in items if each["state"] == "out"]
             assert len(out) <= 1
             assert all(stage.holds(each["machine"]) == 0 for each in out)
@@ -133,23 +136,23 @@
     return {**plan, "budgets": [list(each) for each in plan["budgets"]], "blackouts": []}
 
 
-def test_a_leader_killed_in_the_middle_and_a_machine_nobody_knows() -> None:
-    stage = Turning(machines=8, placers=5)
+def test_a_slot_survives_a_killed_leader_and_an_unknown_machine_waits() -> None:
+    stage = MaintenanceStage(machines=8, placers=5)
 
     def script() -> None:
         stage.ready()
-        unknown = stage.want("no-such-machine")
-        number = stage.want("node-5")["number"]
+        unknown = stage.request_slot("no-such-machine")
+        number = stage.request_slot("node-5")["number"]
         assert stage.wait(lambda: stage.state(number) in ("closing", "empty", "out"), 10)
         killed = stage.leader()
         killed.kill()
         assert stage.wait(lambda: leads(stage), 20)
-        assert stage.wait(lambda: stage.state(number) == "out", 30), stage.turn(number)
-        told = stage.turn(unknown["number"])
-        assert told["state"] == "asked"
-        assert "no list" in told["blocked"]
-        assert stage.say(unknown["number"], "give-back", note="a slip")[1]["state"] == "given-back"
-        assert stage.say(number, "renew")[1]["state"] == "out"
+        assert stage.wait(lambda: stage.state(number) == "out", 30), stage.slot(number)
+        answer = stage.slot(unknown["number"])
+        assert answer["state"] == "asked"
+        assert "no list" in answer["blocked"]
+        assert stage.act(unknown["number"], "give-back", note="a slip")[1]["state"] == "given-back"
+        assert stage.act(number, "renew")[1]["state"] == "out"
         killed.start()
         assert stage.wait(lambda: killed.service is not None and killed.service.placer.ready, 20)
         assert stage.wait(lambda: stage.phase(killed, "node-5") == "draining", 10), (
@@ -161,9 +164,9 @@
             {"machine": "node-1", "lasts": "long"},
             {"machine": "node-1", "latest": "x"},
         ):
-            assert stage.ask(stage.leader(), "POST", wrong, TURNS)[0] == 422, wrong
-        assert stage.ask(stage.leader(), "POST", {}, f"{TURNS}/77/renew")[0] == 404
-        assert stage.ask(stage.leader(), "POST", {}, f"{TURNS}/{number}/dance")[0] == 404
+            assert stage.ask(stage.leader(), "POST", wrong, SLOTS_PATH)[0] == 422, wrong
+        assert stage.ask(stage.leader(), "POST", {}, f"{SLOTS_PATH}/77/renew")[0] == 404
+        assert stage.ask(stage.leader(), "POST", {}, f"{SLOTS_PATH}/{number}/dance")[0] == 404
 
     stage.play(script)
 
--- a/wingbarrow/decide/maintenance/emptiness.py
+++ b/wingbarrow/decide/maintenance/emptiness.py
@@ -2,7 +2,7 @@
 
 It needs, as of now, that (1) each placer that may act has confirmed, under the slot's number, that none of its tasks is
 at the machine or on its way: one whose grant has lapsed may not act, unless by a floor, which knows no slots; hence
-that (2) the machine itself, told the number, refuses new work and holds nothing. `docs/maintenance.md`: the argument.
+that (2) the machine itself, called with the number, refuses new work and holds nothing. Proof: `docs/maintenance.md`.
 """
 
 from __future__ import annotations
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -94,7 +94,7 @@
         return self._steps.blocked
 
     def on_leadership_change(self, now_us: int, on: bool) -> None:
-        """Begin anew: nothing that an earlier leader was told counts."""
+        """Begin anew: no report to an earlier leader counts."""
         self.leads = on
         self._proof.on_leadership_change(now_us)
         self._reports.clear()
