--- a/tests/decide/maintenance/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -1,4 +1,4 @@
-"""Plans of drains and their doing: budgets, room, halls that fail, clocks set back."""
+"""Plans of calendar drains and their progress: budgets, capacity, failed zones, clocks set back."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from wingbarrow.decide.maintenance.drain_plan import (
     Budget,
     Drain,
-    Fate,
     MachineState,
-    Rules,
+    PlanOutcome,
+    PlanRules,
     Scope,
     plan,
 )
 from wingbarrow.decide.maintenance.drain_progress import (
-    OVER,
-    Drains,
-    Held,
+    ENDED_PHASES,
+    DrainPolicy,
+    DrainStep,
+    DrainTracker,
     Phase,
-    Policy,
-    Running,
-    Turn,
+    RunningTask,
+    TrackedDrain,
     failed_zones,
 )
 from wingbarrow.decide.maintenance.windows import (
@@ -57,13 +57,13 @@
 
 
 FLEET = [machine(number) for number in range(12)]
-ONE_PER_RACK = Rules((Budget(Scope.CELL, 1),))
+ONE_PER_RACK = PlanRules((Budget(Scope.CELL, 1),))
 
 
 def window(
     title: str,
     start: int = START,
-    lasts: int = 2 * H,
+    duration: int = 2 * H,
     each: int = 0,
     precedence: int = 0,
     **selector: str,
@@ -71,19 +71,19 @@
     series = Series(
         title,
         datetime(2026, 1, 1, tzinfo=zone("UTC")),
-        lasts,
-        each or lasts,
+        duration,
+        each or duration,
         selectors=(Selector(**(selector or {"name": "*"})),),  # type: ignore[arg-type]
         precedence=precedence,
     )
-    return Occurrence(series, start, start + lasts)
+    return Occurrence(series, start, start + duration)
 
 
 def planned(drains: list[Drain]) -> list[Drain]:
-    return [drain for drain in drains if drain.fate is Fate.PLANNED]
+    return [drain for drain in drains if drain.outcome is PlanOutcome.PLANNED]
 
 
-def test_a_rack_is_taken_one_after_another() -> None:
+def test_the_machines_of_a_cell_are_planned_one_after_another() -> None:
     found = plan([window("w", each=H // 2, cell="r0")], FLEET, ONE_PER_RACK)
     assert [(drain.machine, drain.start_us - START) for drain in found] == [
         ("n000", 0),
@@ -92,60 +92,64 @@
     ]
 
 
-def test_two_windows_that_would_empty_a_rack_are_told_apart_by_precedence() -> None:
-    rules = Rules((Budget(Scope.CELL, 2),))
+def test_of_two_windows_that_would_empty_a_cell_the_one_of_higher_precedence_is_planned() -> None:
+    rules = PlanRules((Budget(Scope.CELL, 2),))
     first, second = window("low", cell="r0"), window("high", precedence=5, name="n000")
     found = plan(sorted([first, second], key=lambda o: -o.series.precedence), FLEET, rules)
     fates = {(drain.window, drain.machine): drain for drain in found}
-    assert fates["high", "n000"].fate is Fate.PLANNED
+    assert fates["high", "n000"].outcome is PlanOutcome.PLANNED
     assert "high" in fates["low", "n000"].reason
-    assert fates["low", "n001"].fate is Fate.PLANNED
-    assert fates["low", "n002"].fate is Fate.REFUSED
+    assert fates["low", "n001"].outcome is PlanOutcome.PLANNED
+    assert fates["low", "n002"].outcome is PlanOutcome.REFUSED
     assert "2 machine(s)" in fates["low", "n002"].reason
 
 
-def test_three_that_each_look_harmless_are_not_together() -> None:
+def test_three_windows_that_fit_the_budget_singly_are_not_planned_together() -> None:
     found = plan(
         [window("a", name="n000"), window("b", name="n001"), window("c", name="n002")],
         FLEET,
-        Rules((Budget(Scope.CELL, None, 1),)),
+        PlanRules((Budget(Scope.CELL, None, 1),)),
     )
-    assert [drain.fate for drain in found] == [Fate.PLANNED, Fate.PLANNED, Fate.REFUSED]
+    assert [drain.outcome for drain in found] == [
+        PlanOutcome.PLANNED,
+        PlanOutcome.PLANNED,
+        PlanOutcome.REFUSED,
+    ]
 
 
-def test_a_window_for_all_machines_never_leaves_less_room_than_is_asked() -> None:
-    found = plan([window("all")], FLEET, Rules((), fill=0.9))
+def test_a_window_for_all_machines_leaves_capacity_for_the_demand() -> None:
+    found = plan([window("all")], FLEET, PlanRules((), fill=0.9))
     out = len(planned(found))
     assert out == 6
     assert 0.9 * (12 - out) * 10.0 + 1e-9 >= 4.0 * 12
     assert any("would not fit" in drain.reason for drain in found)
-    full = [replace(each, asked=(9.5, 9.5)) for each in FLEET]
-    assert not planned(plan([window("all")], full, Rules(())))
+    full = [replace(each, requested=(9.5, 9.5)) for each in FLEET]
+    assert not planned(plan([window("all")], full, PlanRules(())))
 
 
 def test_the_last_machine_of_a_kind_that_a_class_needs_stays() -> None:
     fleet = [
-        replace(each, asked=(0.1, 0.1))
+        replace(each, requested=(0.1, 0.1))
         for each in [*FLEET[:4], machine(4, kind="large"), machine(5, kind="large")]
     ]
-    found = plan([window("all")], fleet, Rules((), kinds_needed=("large",), fill=1.0))
+    found = plan([window("all")], fleet, PlanRules((), kinds_needed=("large",), fill=1.0))
     large = [drain for drain in found if drain.machine in ("n004", "n005")]
-    assert sorted(drain.fate.value for drain in large) == ["planned", "refused"]
+    assert sorted(drain.outcome.value for drain in large) == ["planned", "refused"]
 
 
 def test_nothing_starts_in_a_blackout() -> None:
-    rules = Rules((), blackouts=(Blackout("christmas", START - H, START + H),))
+    rules = PlanRules((), blackouts=(Blackout("christmas", START - H, START + H),))
     found = plan(
         [window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules
     )
     assert "christmas" in found[0].reason
-    assert found[1].fate is Fate.PLANNED
+    assert found[1].outcome is PlanOutcome.PLANNED
 
 
 def test_shares_round_as_a_disruption_budget_does() -> None:
-    assert Budget(Scope.CELL, 0.5, None, True).most_out(3) == 2
-    assert Budget(Scope.CELL, None, 0.5, True).most_out(3) == 1
-    assert Budget(Scope.ALL, None, 5).most_out(3) == 0
+    assert Budget(Scope.CELL, 0.5, None, True).max_out(3) == 2
+    assert Budget(Scope.CELL, None, 0.5, True).max_out(3) == 1
+    assert Budget(Scope.ALL, None, 5).max_out(3) == 0
 
 
 OCCURRENCES = st.lists(
@@ -176,24 +180,29 @@
     st.sampled_from([0.5, 2.0, 5.0, 8.0]),
     st.sets(st.integers(0, 11), max_size=4),
 )
-def test_no_plan_passes_its_budgets_and_the_same_input_gives_the_same_plan(
+def test_every_plan_keeps_its_budgets_and_the_same_input_gives_the_same_plan(
     spec: list[tuple[int, int, int, dict[str, str]]],
     cell: int,
     whole: int,
-    asked: float,
+    requested: float,
     lost: set[int],
 ) -> None:
     fleet = [
-        replace(each, asked=(asked, asked), running=number not in lost)
+        replace(each, requested=(requested, requested), running=number not in lost)
         for number, each in enumerate(FLEET)
     ]
-    rules = Rules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
+    rules = PlanRules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
     occurrences = sorted(
         (
             window(
-                f"w{i}", START + at * H // 4, lasts * H // 4, min(each, lasts) * H // 4, 0, **where
+                f"w{i}",
+                START + at * H // 4,
+                duration * H // 4,
+                min(each, duration) * H // 4,
+                0,
+                **where,
             )
-            for i, (at, lasts, each, where) in enumerate(spec)
+            for i, (at, duration, each, where) in enumerate(spec)
         ),
         key=lambda each: (each.start_us, each.series.name),
     )
@@ -206,7 +215,7 @@
         assert len(out) == len(set(out)) <= whole
         assert all(count <= cell for count in Counter(running[name].cell for name in out).values())
         left = sum(each.size[0] for each in running.values()) - 10.0 * len(out)
-        assert not out or sum(each.asked[0] for each in running.values()) <= 0.9 * left + 1e-6
+        assert not out or sum(each.requested[0] for each in running.values()) <= 0.9 * left + 1e-6
     for drain in going:
         assert drain.machine in running
         occurrence = next(
@@ -215,38 +224,40 @@
             if each.ident == drain.occurrence and each.series.name == drain.window
         )
         assert occurrence.start_us <= drain.start_us < drain.end_us <= occurrence.end_us
-    assert all(drain.reason for drain in found if drain.fate is Fate.REFUSED)
+    assert all(drain.reason for drain in found if drain.outcome is PlanOutcome.REFUSED)
 
 
 # -- doing
 
 
-DRAIN = Drain("w", "w@1", "n001", Fate.PLANNED, START, START + H)
+DRAIN = Drain("w", "w@1", "n001", PlanOutcome.PLANNED, START, START + H)
 ZONES = {"n001": "a", "n002": "b"}
 NONE: frozenset[str] = frozenset()
 
 
-def drains(unsafe: UnsafePolicy = UnsafePolicy.WAIT, placers: int = 1, **policy: object) -> Drains:
-    held = Drains(replace(Policy(), **policy), placers)  # type: ignore[arg-type]
-    held.take_plan([(DRAIN, unsafe)], START - 10 * H)
+def drains(
+    unsafe: UnsafePolicy = UnsafePolicy.WAIT, placers: int = 1, **policy: object
+) -> DrainTracker:
+    held = DrainTracker(replace(DrainPolicy(), **policy), placers)  # type: ignore[arg-type]
+    held.on_plan([(DRAIN, unsafe)], START - 10 * H)
     return held
 
 
-def phase(held: Drains) -> Phase:
-    return held.held[DRAIN.key].phase
+def phase(held: DrainTracker) -> Phase:
+    return held.tracked[DRAIN.key].phase
 
 
 def step(
-    held: Drains,
+    held: DrainTracker,
     now: int,
-    tasks: list[Running] | None = None,
+    tasks: list[RunningTask] | None = None,
     failed: frozenset[str] = NONE,
-    room: bool = True,
-) -> Turn:
-    return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": room})
+    has_capacity: bool = True,
+) -> DrainStep:
+    return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": has_capacity})
 
 
-def test_a_drain_closes_for_long_tasks_first_then_for_all_then_is_out_and_open_again() -> None:
+def test_a_drain_closes_for_long_tasks_then_for_all_then_is_out_then_done() -> None:
     held = drains()
     far = step(held, START - 2 * H)
     assert far.closing == {"n001": START}
@@ -265,19 +276,19 @@
 def test_only_movable_tasks_that_would_outlive_the_start_are_moved_at_the_pace() -> None:
     held = drains(moves=2, every_us=S)
     tasks = [
-        Running(1, True, START + H),
-        Running(2, False, None),
-        Running(3, True, START - 30 * S),
-        Running(4, True, None),
-        Running(5, True, START + 2 * H),
+        RunningTask(1, True, START + H),
+        RunningTask(2, False, None),
+        RunningTask(3, True, START - 30 * S),
+        RunningTask(4, True, None),
+        RunningTask(5, True, START + 2 * H),
     ]
     step(held, START - 61 * S, tasks)
     moved: list[int] = []
     for second in range(-60, -50):
         left = [task for task in tasks if task.request not in moved]
-        turn = step(held, START + second * S, left)
-        assert len(turn.moves) <= 2
-        moved += turn.moves
+        taken = step(held, START + second * S, left)
+        assert len(taken.moves) <= 2
+        moved += taken.moves
     assert sorted(moved) == [1, 4, 5]
     assert moved[0] == 4
 
@@ -286,11 +297,11 @@
     moved = 0
     for _ in range(4):
         held = drains(placers=4, moves=4)
-        tasks = [Running(number, True, None) for number in range(100)]
+        tasks = [RunningTask(number, True, None) for number in range(100)]
         for tick in range(21):
-            turn = step(held, START - 60 * S + tick * S // 2, tasks)
-            moved += len(turn.moves)
-            tasks = [task for task in tasks if task.request not in turn.moves]
+            taken = step(held, START - 60 * S + tick * S // 2, tasks)
+            moved += len(taken.moves)
+            tasks = [task for task in tasks if task.request not in taken.moves]
     assert moved <= 4 * 10 + 4
 
 
@@ -302,33 +313,33 @@
         (UnsafePolicy.WAIT, Phase.OUT),
     ],
 )
-def test_what_must_not_start_twice_runs_out_and_the_window_does_as_its_file_says(
+def test_tasks_that_must_not_start_twice_end_by_themselves_as_the_window_says(
     policy: UnsafePolicy, outcome: Phase
 ) -> None:
     held = drains(policy)
-    batch = [Running(9, False, START + H // 2)]
+    batch = [RunningTask(9, False, START + H // 2)]
     for second in range(-60, 600, 10):
         assert not step(held, START + second * S, batch).moves
     step(held, START + H // 2, [])
     assert phase(held) is outcome
     if outcome is Phase.OUT:
-        end = held.held[DRAIN.key].drain.end_us
+        end = held.tracked[DRAIN.key].drain.end_us
         assert end == START + H if policy is UnsafePolicy.SHORTEN else end > START + H + 9 * 60 * S
 
 
-def test_a_failed_hall_stops_drains_elsewhere_and_takes_back_those_begun() -> None:
+def test_a_failed_zone_stops_drains_elsewhere_and_gives_up_those_begun() -> None:
     held = drains()
     assert not step(held, START - 60 * S, failed=frozenset("b")).closed
-    assert "b has failed" in held.held[DRAIN.key].reason
+    assert "b has failed" in held.tracked[DRAIN.key].reason
     assert step(held, START - 50 * S).closed
     back = drains(take_back=True)
-    task = [Running(1, True, None)]
+    task = [RunningTask(1, True, None)]
     step(back, START - 60 * S, task)
     assert not step(back, START - 50 * S, task, frozenset("b")).closed
     assert phase(back) is Phase.GIVEN_UP
-    kept = drains(take_back=False)
-    step(kept, START - 60 * S, task)
-    assert step(kept, START - 50 * S, task, frozenset("b")).closed
+    lenient = drains(take_back=False)
+    step(lenient, START - 60 * S, task)
+    assert step(lenient, START - 50 * S, task, frozenset("b")).closed
     own = drains()
     step(own, START - 60 * S, task)
     assert step(own, START - 50 * S, task, frozenset("a")).closed, (
@@ -336,57 +347,57 @@
     )
 
 
-def test_without_room_a_drain_waits_and_moves_nothing() -> None:
+def test_without_capacity_elsewhere_a_drain_waits_and_moves_nothing() -> None:
     held = drains()
-    assert not step(held, START - 60 * S, [Running(1, True, None)], room=False).closed
-    turn = step(held, START, [Running(1, True, None)], room=False)
-    assert turn.closed
-    assert not turn.moves
-    step(held, START + H, [Running(1, True, None)], room=False)
+    assert not step(held, START - 60 * S, [RunningTask(1, True, None)], has_capacity=False).closed
+    taken = step(held, START, [RunningTask(1, True, None)], has_capacity=False)
+    assert taken.closed
+    assert not taken.moves
+    step(held, START + H, [RunningTask(1, True, None)], has_capacity=False)
     assert phase(held) is Phase.GIVEN_UP
-    assert "still run" in held.held[DRAIN.key].reason
+    assert "still run" in held.tracked[DRAIN.key].reason
 
 
-def test_a_clock_set_back_undoes_nothing_and_a_restart_goes_on() -> None:
+def test_a_clock_set_back_undoes_nothing_and_a_restart_restores_the_phase() -> None:
     held = drains()
-    task = [Running(1, False, None)]
+    task = [RunningTask(1, False, None)]
     step(held, START - 60 * S, task)
-    again = Drains(Policy(), 1)
-    again.restore(held.held.values())
-    again.take_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
-    assert step(again, START - 2 * H, task).closed
-    assert phase(again) is Phase.CLOSED
-    step(again, START - 2 * H, [])
-    assert phase(again) is Phase.OUT
+    restarted = DrainTracker(DrainPolicy(), 1)
+    restarted.restore(held.tracked.values())
+    restarted.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
+    assert step(restarted, START - 2 * H, task).closed
+    assert phase(restarted) is Phase.CLOSED
+    step(restarted, START - 2 * H, [])
+    assert phase(restarted) is Phase.OUT
 
 
-def test_cancelled_is_cancelled_and_a_new_plan_does_not_bring_it_back() -> None:
+def test_a_cancelled_drain_is_not_planned_anew() -> None:
     held = drains()
-    step(held, START - 60 * S, [Running(1, True, None)])
+    step(held, START - 60 * S, [RunningTask(1, True, None)])
     assert held.cancel(DRAIN.key, START)
     assert not held.cancel(DRAIN.key, START)
     assert not held.cancel("none", START)
-    held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START)
+    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START)
     assert phase(held) is Phase.GIVEN_UP
     assert not step(held, START).closed
 
 
-def test_an_offer_that_is_out_keeps_a_machine_from_counting_as_empty() -> None:
+def test_a_pending_offer_keeps_a_machine_from_counting_as_empty() -> None:
     held = drains()
-    step(held, START - 60 * S, [Running(1, True, None, True)])
-    assert not step(held, START - 50 * S, [Running(1, True, None, True)]).moves
+    step(held, START - 60 * S, [RunningTask(1, True, None, True)])
+    assert not step(held, START - 50 * S, [RunningTask(1, True, None, True)]).moves
     assert phase(held) is Phase.CLOSED
     step(held, START - 40 * S, [])
     assert phase(held) is Phase.OUT
-    assert step(held, START - 30 * S, [Running(1, True, None)]).moves == (1,), (
+    assert step(held, START - 30 * S, [RunningTask(1, True, None)]).moves == (1,), (
         "a late answer's task is moved too"
     )
 
 
 def test_a_window_in_the_past_never_begins() -> None:
-    held = Drains(Policy(), 1)
-    held.take_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * H)
-    assert not held.held
+    held = DrainTracker(DrainPolicy(), 1)
+    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * H)
+    assert not held.tracked
     late = drains()
     step(late, START + 2 * H)
     assert phase(late) is Phase.GIVEN_UP
@@ -405,22 +416,22 @@
     held = drains()
     order = [Phase.PLANNED, Phase.CLOSED, Phase.OUT, Phase.DONE]
     last = Phase.PLANNED
-    for second, tasks, failed, room in moments:
-        turn = step(
+    for second, tasks, failed, has_capacity in moments:
+        taken = step(
             held,
             START + second * S,
-            [Running(n, n == 0, None) for n in range(tasks)],
+            [RunningTask(n, n == 0, None) for n in range(tasks)],
             frozenset("b") if failed else NONE,
-            room,
+            has_capacity,
         )
-        assert all(request == 0 for request in turn.moves), "only what may start twice is moved"
+        assert all(request == 0 for request in taken.moves), "only what may start twice is moved"
         now = phase(held)
-        assert last not in OVER or now is last
+        assert last not in ENDED_PHASES or now is last
         assert now is Phase.GIVEN_UP or order.index(now) >= order.index(last)
         last = now
 
 
-def test_a_hall_has_failed_when_a_share_of_it_is_gone_undrained() -> None:
+def test_a_zone_has_failed_when_a_share_of_it_is_lost_without_a_drain() -> None:
     here = (
         [("a", True, False)] * 3
         + [("a", False, True)] * 3
@@ -429,4 +440,4 @@
     )
     assert failed_zones(here, 0.5) == {"b"}
     assert failed_zones(here, 0.6) == NONE
-    assert isinstance(Held(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), Held)
+    assert isinstance(TrackedDrain(DRAIN, Phase.PLANNED, UnsafePolicy.WAIT, 0), TrackedDrain)
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -10,8 +10,8 @@
 from datetime import UTC, date, datetime
 from typing import Any
 
-from wingbarrow.decide.maintenance.drain_plan import Budget, Rules, Scope
-from wingbarrow.decide.maintenance.drain_progress import Policy
+from wingbarrow.decide.maintenance.drain_plan import Budget, PlanRules, Scope
+from wingbarrow.decide.maintenance.drain_progress import DrainPolicy
 from wingbarrow.decide.maintenance.windows import (
     Blackout,
     Selector,
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """How drains are planned and carried out: `drain_plan.Rules` and `drain_progress.Policy` in one form."""
+    """How drains are planned and carried out: `drain_plan.PlanRules` and `drain_progress.DrainPolicy` in one form."""
 
     budgets: tuple[tuple[str, str, float], ...] = (
         ("cell", "max", 1.0),
@@ -112,7 +112,7 @@
     failed_share: float = 0.5
     take_back: bool = True
 
-    def rules(self, kinds_needed: tuple[str, ...]) -> Rules:
+    def rules(self, kinds_needed: tuple[str, ...]) -> PlanRules:
         """The planner's rules; `kinds_needed`: the machine kinds that some class of the placer needs."""
         budgets = tuple(
             Budget(
@@ -124,14 +124,16 @@
             for scope, kind, amount in self.budgets
         )
         blackouts = tuple(Blackout(*each) for each in self.blackouts)
-        return Rules(budgets, blackouts, self.fill, kinds_needed)
+        return PlanRules(budgets, blackouts, self.fill, kinds_needed)
 
-    def policy(self) -> Policy:
+    def policy(self) -> DrainPolicy:
         """The pace at which drains are carried out."""
-        return Policy(self.lead_us, self.moves, self.every_us, self.failed_share, self.take_back)
+        return DrainPolicy(
+            self.lead_us, self.moves, self.every_us, self.failed_share, self.take_back
+        )
 
 
-def plan_of(rules: Rules, policy: Policy) -> DrainPlan:
+def plan_of(rules: PlanRules, policy: DrainPolicy) -> DrainPlan:
     """The canonical form of a calendar's rules and policy."""
     return DrainPlan(
         budgets=tuple(sorted({_budget_of(each) for each in rules.budgets})),
@@ -190,7 +192,7 @@
         name=series.name,
         start=start.isoformat(),
         zone=zone_key,
-        lasts_us=series.lasts_us,
+        lasts_us=series.duration_us,
         each_us=series.each_us,
         repeats=series.rule,
         exceptions=tuple(each.isoformat() for each in series.exceptions),
