--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -115,7 +115,7 @@
     def book(self) -> Any:
         """The placer's."""
         assert self.slot.service is not None
-        return self.slot.service.placer.book
+        return self.slot.service.placer.job_store
 
     def _step(self, task: TaskRecord, before: State) -> None:
         if task.state is State.PLACED:
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -74,9 +74,9 @@
         closed = window - 4 * S
         assert max(record.at_us for record in shorts) <= closed + S // 2 + 250_000
         assert max(record.at_us for record in shorts) > closed - 3 * S
-        assert placer.board.nodes.objects["node-0"].value["spec"]["unschedulable"] is True
+        assert placer.objects.nodes.objects["node-0"].value["spec"]["unschedulable"] is True
         stage.hub.sleep(20 * S)
-        node = placer.board.nodes.objects["node-0"].value
+        node = placer.objects.nodes.objects["node-0"].value
         assert "unschedulable" not in node["spec"]
         drain = next(
             each for each in node["status"]["conditions"] if each["type"] == "wingbarrow.io/Drain"
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -68,7 +68,7 @@
         assert proxy.cuts >= 3
         assert relists == 1
         assert versions == sorted(set(versions)), "an event came twice or out of order"
-        window = stage.cluster.placers[0].service.placer.board.jobs.window  # type: ignore[union-attr]
+        window = stage.cluster.placers[0].service.placer.objects.jobs.window  # type: ignore[union-attr]
         assert [change.version for change in window] == versions, "an event was missed"
 
     stage.play(script)
@@ -80,7 +80,7 @@
 
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.board.store.window_most = 8
+        placer.objects.store.window_most = 8
         proxy = Proxy(stage.hub, stage.cluster.placers[0].port)
         stage.submit("pay", "settlement", runs_s=30, patience_s=10)
         results: list[Any] = []
@@ -97,7 +97,7 @@
         last = {name: version for _, name, version in seen}
         assert last == {
             key.partition("/")[2]: stored.version
-            for key, stored in placer.board.jobs.objects.items()
+            for key, stored in placer.objects.jobs.objects.items()
         }
 
     stage.play(script)
@@ -297,7 +297,7 @@
             for machine in stage.cluster.machines
             for pod in machine.pods.values()
         )
-        assert stage.cluster.placers[0].service.placer.book.admission.open == 0  # type: ignore[union-attr]
+        assert stage.cluster.placers[0].service.placer.job_store.admission.open == 0  # type: ignore[union-attr]
         stage.submit("running", runs_s=1)  # the name is free again
         stage.settled("running")
 
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -211,10 +211,10 @@
         for _ in range(50):
             hub._at(
                 hub.now_us() + S,
-                lambda: answered.append(sum(placer.book.answers.values())),
+                lambda: answered.append(sum(placer.job_store.answers.values())),
                 stage.cluster.placers[0].domain,
             )
-        before = placer.book.answers.copy()
+        before = placer.job_store.answers.copy()
         assert not before
         stage.hub.sleep(S // 2)
         held(stage, 4.0)
@@ -349,7 +349,7 @@
         stage.cluster.hold_machine(stage.cluster.machines[0], 4.0)
         stage.delete("a")
         stage.hub.sleep(8 * S)
-        assert not placer.oddities() and placer.stops.pending == 0
+        assert not placer.unexpected_transitions() and placer.stops.pending == 0
 
     stage.play(script)
 
@@ -359,7 +359,7 @@
 
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.book.set_limits(20_000, 4, 4)
+        placer.job_store.set_limits(20_000, 4, 4)
         for turn in range(4):
             stage.submit(f"j{turn}", runs_s=1000, cores=0.25)
             stage.settled(f"j{turn}")
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -4,7 +4,7 @@
 
 from tests.core.subsetstage import LEAVE_S, SETTLE_S, SubsetStage
 from tests.stage import S
-from wingbarrow.core.subset import ALONE_US, LOOK_US
+from wingbarrow.core.subset import ALONE_US, CHECK_INTERVAL_US
 from wingbarrow.lab.node import node_value
 
 
@@ -26,9 +26,9 @@
         assert all(machine in wanted[placer] for placer, machine in sent)
         for each in stage.live():
             assert len(each.fleet.held) + each.fleet.reflector.left_out == 12
-            assert each.sees(12)
+            assert each.has_complete_view(12)
             assert each.fleet.reflector.passed_over > 0
-            assert not each.oddities()
+            assert not each.unexpected_transitions()
         told = stage.pool().request("GET", "/metrics").body.decode()
         placer = stage.placer(0)
         for name, value in (
@@ -59,7 +59,7 @@
         stated_us = (
             rules.detect_us(6)
             + int((LEAVE_S + SETTLE_S) * S)
-            + 2 * LOOK_US
+            + 2 * CHECK_INTERVAL_US
             + stage.subset(2)._spread_us
             + S
         )
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -6,8 +6,8 @@
 
 from tests.peers.stage import Agreeing
 from tests.stage import S, Stage
-from wingbarrow.core.local_region import OwnRegion
-from wingbarrow.core.slow_start import ColdShares
+from wingbarrow.core.local_region import LocalRegion
+from wingbarrow.core.slow_start import SlowStartShares
 from wingbarrow.lab.build import Build
 
 
@@ -31,11 +31,11 @@
         slot = stage.cluster.placers[0]
         assert slot.service is not None
         placer = slot.service.placer
-        whole = OwnRegion(placer.base, placer.book, placer.fleet)._sum(0)
+        whole = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
         for name in list(placer.fleet.held)[:9]:
             placer.fleet.reflector.drop(name)
-        part = OwnRegion(placer.base, placer.book, placer.fleet)._sum(0)
-        assert (placer.fleet.part, part.machines, part.cores, part.memory) == (
+        part = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
+        assert (placer.fleet.held_fraction, part.machines, part.cores, part.memory) == (
             0.25,
             12,
             whole.cores,
@@ -43,8 +43,8 @@
         )
         for name in list(placer.fleet.held):
             placer.fleet.reflector.drop(name)
-        assert placer.fleet.part == 0.0
-        assert OwnRegion(placer.base, placer.book, placer.fleet).say(0) is None
+        assert placer.fleet.held_fraction == 0.0
+        assert LocalRegion(placer.base, placer.job_store, placer.fleet).report(0) is None
 
     stage.play(script)
 
@@ -80,8 +80,8 @@
             "by way of what both allow"
         )
         for each in live:
-            assert isinstance(each.offers.cold, ColdShares)
-            assert each.offers.cold._offers() == 5.0
+            assert isinstance(each.offers.slow_start, SlowStartShares)
+            assert each.offers.slow_start._fleet_offers() == 5.0
 
     stage.play(script)
     assert stage.audit().cold_overruns == 0
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -8,7 +8,7 @@
 from tests.core.subsetstage import SubsetStage
 from tests.stage import S
 from wingbarrow.core.placer import Placer
-from wingbarrow.core.slow_start import ColdShares
+from wingbarrow.core.slow_start import SlowStartShares
 from wingbarrow.interface import Phase, Settings
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.machine import Machine
@@ -18,9 +18,9 @@
 OFFERS = 20
 
 
-def cold_shares(placer: Placer) -> ColdShares:
-    found = placer.offers.cold
-    assert isinstance(found, ColdShares)
+def cold_shares(placer: Placer) -> SlowStartShares:
+    found = placer.offers.slow_start
+    assert isinstance(found, SlowStartShares)
     return found
 
 
@@ -143,12 +143,14 @@
         assert stage.wait(stage.settled_subsets, 60)
         placer = stage.placer(index)
         cold = cold_shares(placer)
-        cold._offers = lambda: 2.0  # two for the whole region: ranks beyond the second have none
+        cold._fleet_offers = (
+            lambda: 2.0
+        )  # two for the whole region: ranks beyond the second have none
         assert subsets.cold_most(slot.name, machine.name, 2.0) == 0
         begun_us = stage.hub.now_us()
         zone_falls(stage)
         assert set(cold._closed) == {machine.name}
-        sights, _ = placer.hearsay.know()
+        sights, _ = placer.peer_hints.know()
         assert {sight.machine: sight.phase for sight in sights}[machine.name] is Phase.RUNNING, (
             "peers hear of no drain"
         )
@@ -176,7 +178,7 @@
     def script() -> None:
         stage.begin()
         for each in stage.live():
-            each.fleet.rationed = lambda entry, listed: listed
+            each.fleet.slow_start_guard = lambda entry, listed: listed
             told = each.host._scheduler
             each.host.feed(_generous(each))
             assert told is each.host._scheduler
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -45,7 +45,7 @@
     placer.fleet.guards.append(
         lambda entry, listed: listed if entry.name == machine else _drained(listed)
     )
-    placer.fleet.take_again(list(placer.fleet.held.values()))
+    placer.fleet.reapply(list(placer.fleet.held.values()))
 
 
 def _drained(listed: ListedMachine) -> ListedMachine:
@@ -60,7 +60,7 @@
     """Membership tells a placer this from now on; who is back is let in at once, as the last change has settled."""
     stage.hub.sleep(int(SETTLE_S * S))
     subset._members = lambda: (frozenset(living), len(living))
-    subset._look(stage.hub.now_us())
+    subset._check_membership(stage.hub.now_us())
 
 
 def brought_in(stage: SubsetStage) -> tuple[PlacerSlot, str, PlacerSlot, MachineLink]:
@@ -114,7 +114,7 @@
         assert link.retired
         assert not link.reachable
         assert machine not in placer.fleet.held
-        assert placer.board.nodes.objects.get(machine) is None
+        assert placer.objects.nodes.objects.get(machine) is None
         stage.hub.sleep(S)
         assert not link._pool._open and not link._stop_pool._open, "its connections are closed"
 
@@ -171,7 +171,7 @@
         assert stage.wait(lambda: machine in subset.lingering, 60)
         stage.cluster.hold_machine(standin, 20)
         stage.hub.sleep(S // 10)
-        placer.desk.delete_job("default/t")
+        placer.admission.delete_job("default/t")
         stage.hub.sleep(15 * S)
         assert placer.stops.pending_on(link) == 1 and subset.lingering == [machine], (
             "the others are let go"
@@ -204,7 +204,7 @@
         placer = slot.service.placer  # type: ignore[union-attr]
         assert placer.subset is not None
         assert not placer.subset.holds(machine)
-        assert stage.wait(lambda: "default/t" in placer.book.jobs, 10), (
+        assert stage.wait(lambda: "default/t" in placer.job_store.jobs, 10), (
             "its Job is made anew from what runs"
         )
         assert machine in placer.subset.lingering
@@ -247,7 +247,7 @@
         other.start()
         slot.start()
         placer = slot.service.placer  # type: ignore[union-attr]
-        assert stage.wait(lambda: "default/t" in placer.book.jobs, 10)
+        assert stage.wait(lambda: "default/t" in placer.job_store.jobs, 10)
         assert placer.subset is not None
         assert len(placer.machines.links) == 6
         assert stage.wait(
@@ -268,11 +268,11 @@
         placer = slot.service.placer  # type: ignore[union-attr]
         subset = placer.subset
         assert subset is not None
-        assert subset._may_go(link, stage.hub.now_us())
+        assert subset._may_release(link, stage.hub.now_us())
         stage.submit_to(slot, "out", runs_s=4)
         assert placer.attempts.on(link)
         assert link.offered_us is None
-        assert not subset._may_go(link, stage.hub.now_us()), "an attempt is out"
+        assert not subset._may_release(link, stage.hub.now_us()), "an attempt is out"
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.offered_us
@@ -324,18 +324,18 @@
         subset = placer.subset
         assert subset is not None
         placer.fleet.guards.pop()  # the other machines are open again
-        placer.fleet.take_again(list(placer.fleet.held.values()))
+        placer.fleet.reapply(list(placer.fleet.held.values()))
         members_say(stage, subset, set(subset.living) | {other.name})
         assert phase_of(link) is Phase.DRAINING
         assert machine in subset.lingering
-        sights = placer.hearsay.know()[0]
+        sights = placer.peer_hints.know()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
         for each in stage.live():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
-            assert each.hearsay.take_sights(others * 4, 0, True), "taken for a stranger"
-            assert all(each.fleet.reflector.wanted(name) for name in each.hearsay._heard)
+            assert each.peer_hints.take_sights(others * 4, 0, True), "taken for a stranger"
+            assert all(each.fleet.reflector.wanted(name) for name in each.peer_hints._heard)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
-        assert machine not in {sight.machine for sight in placer.hearsay.know()[0]}, (
+        assert machine not in {sight.machine for sight in placer.peer_hints.know()[0]}, (
             "it is not told to be gone"
         )
 
@@ -351,9 +351,9 @@
         for each in stage.live():
             out = [name for name in stage.names() if name not in each.fleet.held]
             assert out
-            assert not any(each.fleet.must_tell(name) for name in out)
+            assert not any(each.fleet.is_off_list(name) for name in out)
             gone = next(iter(each.fleet.held))
-            assert each.fleet.must_tell(gone)
+            assert each.fleet.is_off_list(gone)
 
     stage.play(script, start=False)
 
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -8,7 +8,7 @@
 from tests.core.test_subset_cold import OFFERS, burst, most_within
 from tests.stage import S
 from wingbarrow.core.placer import Placer
-from wingbarrow.core.subset import LINGER_US, LOOK_US, WIDEN_SPREAD_US
+from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDEN_SPREAD_US
 from wingbarrow.decide.widening import CALM_US, STEP_US
 from wingbarrow.interface import Phase
 from wingbarrow.lab.build import Build
@@ -35,7 +35,7 @@
 
 
 def machine_of(placer: Placer, job: str) -> str:
-    return placer.book.jobs[f"default/{job}"].tasks[0].machine
+    return placer.job_store.jobs[f"default/{job}"].tasks[0].machine
 
 
 def test_a_job_that_fits_nowhere_in_the_subset_is_placed_outside_it_well_within_its_patience() -> (
@@ -57,7 +57,7 @@
         assert stage.answer_of(slot, "more") == "placed"
         taken_us = stage.hub.now_us() - asked_us
         print("placed after", taken_us / S, "s")
-        assert taken_us <= 5 * S // 4 + LOOK_US + WIDEN_SPREAD_US + S // 2
+        assert taken_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDEN_SPREAD_US + S // 2
         machine = machine_of(placer, "more")
         assert machine not in held
         assert subset.holds(machine)
@@ -101,7 +101,7 @@
         for name in ("a", "b", "c"):
             stage.submit_to(slot, name, patience_s=8)
         assert len(placer.waits) == 3, "what was placed before does not wait"
-        while placer.book.unanswered:
+        while placer.job_store.unanswered:
             if subset.extra > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
@@ -144,7 +144,7 @@
         assert stage.answer_of(slot, "again") == "placed"
         assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
-        job = placer.book.jobs["default/more"]
+        job = placer.job_store.jobs["default/more"]
         assert stage.wait(lambda: not job.open_tasks, 90) and job.tasks[0].state.value == "done", (
             "it was followed"
         )
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from wingbarrow.core.job_store import JobRecord, State, TaskRecord
-from wingbarrow.core.waits import LOOKED_AT, Waits
+from wingbarrow.core.waits import MAX_CHECKED_PER_GROUP, Waits
 
 S = 1_000_000
 
@@ -59,12 +59,12 @@
     None
 ):
     asked = Asked()
-    for _ in range(LOOKED_AT - 1):
+    for _ in range(MAX_CHECKED_PER_GROUP - 1):
         asked.out.add(asked.ask(0, 5 * S).request)
     asked.ask(0, 5 * S)
     assert asked.waits.any_long(2 * S)
     patient = Asked()
-    for _ in range(5 * LOOKED_AT):
+    for _ in range(5 * MAX_CHECKED_PER_GROUP):
         patient.ask(0, 600 * S)
     patient.ask(S, 4 * S)
     assert not patient.waits.any_long(2 * S - 1)
@@ -76,4 +76,4 @@
     for number in range(20_000):
         asked.out.add(asked.ask(number, (2, 5, 60)[number % 3] * S).request)
     assert not asked.waits.any_long(40 * S)
-    assert 0 < asked.looks <= 3 * LOOKED_AT
+    assert 0 < asked.looks <= 3 * MAX_CHECKED_PER_GROUP
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -25,7 +25,7 @@
     """A day's audit, and whether a state table met a step that it lacks."""
     outcome = run_day(name, SEED)
     odd = any(
-        slot.service.placer.book.unexpected_transitions
+        slot.service.placer.job_store.unexpected_transitions
         + slot.service.placer.attempts.unexpected_transitions
         for slot in outcome.cluster.placers
         if slot.service
--- a/tests/lab/test_subset_days.py
+++ b/tests/lab/test_subset_days.py
@@ -49,7 +49,7 @@
     DAYS["subsets"] = replace(day, machines=14)
     outcome = play(Play("subsets", SEED, placers=5, subsets=2))
     placers = [slot.service.placer for slot in outcome.cluster.placers if slot.service]
-    assert not any(each.oddities() for each in placers), "steps that the tables lack"
+    assert not any(each.unexpected_transitions() for each in placers), "steps that the tables lack"
     told = {
         "changes": sum(each.base.counts["subset:changes"] for each in placers),
         "refills": sum(each.fleet.reflector.refills for each in placers),
--- a/tests/peers/test_handing_path.py
+++ b/tests/peers/test_handing_path.py
@@ -59,8 +59,8 @@
             lambda: all("Complete" in stage.told(north, f"job-{number}") for number in range(4)), 12
         )
         assert north.service is not None
-        assert not north.service.placer.oddities()
-        assert len(north.service.placer.desk._elsewhere.giving) == 0  # type: ignore[union-attr]
+        assert not north.service.placer.unexpected_transitions()
+        assert len(north.service.placer.admission._remote_regions.giving) == 0  # type: ignore[union-attr]
 
     stage.play(script)
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -148,7 +148,9 @@
         assert placer.learner.state == "followed"
         assert placer.learner.source == "placer-1"
         assert {f"default/taught-{number}" for number in range(12)} <= known_warm(placer)
-        assert not [task for task in placer.book.by_request.values() if "taught" in task.job.key]
+        assert not [
+            task for task in placer.job_store.by_request.values() if "taught" in task.job.key
+        ]
         stage.hub.sleep(70 * S)
         assert placer.learner.state == "learned"
         assert placer.learner.counts["followed"] >= 50
@@ -289,7 +291,7 @@
         placer = restarted(stage)
         stage.hub.sleep(S)
         assert slot.service is not None
-        assert placer.hearsay.take_sights(peer.sights, 0, True) is False
+        assert placer.peer_hints.take_sights(peer.sights, 0, True) is False
         assert not known_warm(placer)
         other = FakePeer(stage, [sight("node-0")], "elsewhere", cluster="other")
         placer = restarted(stage, other.server.port)
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -169,7 +169,7 @@
         stage.cut(2, False)
         assert stage.wait(lambda: stage.give(south, "kept", spec="home")[0] in (201, 409), 20)
         assert south.service is not None
-        assert not south.service.placer.oddities()
+        assert not south.service.placer.unexpected_transitions()
 
     stage.play(script)
 
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -203,7 +203,7 @@
             stage.running(uid) for uid in safe
         ]
         assert all(
-            slot.service is not None and not slot.service.placer.oddities()
+            slot.service is not None and not slot.service.placer.unexpected_transitions()
             for slot in stage.cluster.placers
         )
         assert stage.may_send(stage.north)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -78,7 +78,7 @@
 
     def script() -> None:
         hub, placer = stage.hub, stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.board.store.window_most = 32
+        placer.objects.store.window_most = 32
         slow = connect(hub, "127.0.0.1", stage.cluster.placers[0].port)
         slow.send(f"GET {JOBS}?watch=true HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         hub.sleep(S // 10)
@@ -94,12 +94,12 @@
             big = {"note": "x" * 100_000}
             for turn in range(120):  # some ten megabytes: more than the socket's buffers hold
                 made = stage.submit(f"t{turn}", runs_s=30, cores=0.1, memory=0.1)
-                job = placer.book.jobs[f"default/{made['metadata']['name']}"]
+                job = placer.job_store.jobs[f"default/{made['metadata']['name']}"]
                 job.value["metadata"]["annotations"] = {
                     **job.value["metadata"]["annotations"],
                     **big,
                 }
-                placer.board.jobs.put(job.key, job.value)
+                placer.objects.jobs.put(job.key, job.value)
                 hub.sleep(S // 20)
         assert counts[0] >= 240, "the watcher beside it saw all"
         data = b""
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -73,7 +73,7 @@
             def reload() -> None:
                 fresh = reload_file(file, service.placer.base.settings, log)
                 if fresh is not None:
-                    service.placer.take_settings(fresh)
+                    service.placer.apply_settings(fresh)
                     log("settings-taken", file=str(file))
 
             def end() -> None:
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -18,14 +18,16 @@
 
     def __init__(self, base: Base, book: JobStore) -> None:
         self._base = base
-        self._book = book
+        self._job_store = book
         # The wall clock lies above every version of an earlier life, at less than a change a microsecond.
         self.store = Store(base.started_us, base.settings.limits.window)
         self.jobs = self.store.collection("jobs")
         self.nodes = self.store.collection("nodes", _node_fields)
         self._events = Events(self.store.collection("events", event_fields), base.settings.name)
         self._dirty: dict[str, JobRecord] = {}
-        self._shown: dict[str, int] = {}  # the source's version of each Node that clients see
+        self._shown_versions: dict[
+            str, int
+        ] = {}  # the source's version of each Node that clients see
         self._conditions: dict[str, dict[str, str]] = {}  # by Node: its drain, in words for people
 
     # -- Jobs
@@ -46,16 +48,16 @@
             if not job.deleted:
                 write_status(job, self._base.hub.clock.wall_us())
                 self.jobs.put(job.key, job.value)
-        for job in self._book.expired_jobs():
-            self._book.delete(job)
+        for job in self._job_store.expired_jobs():
+            self._job_store.delete(job)
             self.jobs.delete(job.key)
             self._base.counts["jobs_forgotten"] += 1
 
-    def tell(self, job: JobRecord, kind: str, reason: str, message: str) -> None:
+    def record_event(self, job: JobRecord, kind: str, reason: str, message: str) -> None:
         """An Event on a Job."""
         self._events.tell(job, kind, reason, message, self._base.hub.clock.wall_us())
 
-    def tell_node(self, name: str, kind: str, reason: str, message: str) -> None:
+    def record_node_event(self, name: str, kind: str, reason: str, message: str) -> None:
         """An Event on a Node."""
         self._events.tell_node(name, kind, reason, message, self._base.hub.clock.wall_us())
 
@@ -86,15 +88,15 @@
             }
         self.nodes.put(entry.name, value)
 
-    def show_news(self, entry: NodeEntry, drained: bool) -> None:
+    def show_node_if_changed(self, entry: NodeEntry, drained: bool) -> None:
         """A Node of the list, where its version is not the one that is shown."""
-        if self._shown.get(entry.name) != entry.version:
-            self._shown[entry.name] = entry.version
+        if self._shown_versions.get(entry.name) != entry.version:
+            self._shown_versions[entry.name] = entry.version
             self.show_node(entry, drained)
 
     def drop_node(self, name: str) -> Stored | None:
         """A machine left the list; the Node as it last was."""
-        self._shown.pop(name, None)
+        self._shown_versions.pop(name, None)
         self._conditions.pop(name, None)
         return self.nodes.delete(name)
 
--- a/wingbarrow/core/checkpoint.py
+++ b/wingbarrow/core/checkpoint.py
@@ -29,8 +29,8 @@
                 )
             except ValueError as error:  # the file, or an entry of it
                 self._base.log("saved-list-unusable", level="error", why=str(error))
-                self._fleet.forgotten()
-        self._fleet.take(ListForm.SAVED, entries, [])
+                self._fleet.on_state_lost()
+        self._fleet.apply(ListForm.SAVED, entries, [])
 
     def run(self) -> None:
         """Write heartbeat and list until cancelled."""
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -38,7 +38,7 @@
         self._closed: frozenset[str] = frozenset()
         self.turned: Callable[[str], bool] = lambda name: False  # closed by a turn
         fleet.guards.append(self._guard)
-        fleet.drained = self._is_closed
+        fleet.is_drained = self._is_closed
 
     def _is_closed(self, name: str) -> bool:
         return name in self._closed or self.turned(name)
@@ -108,7 +108,7 @@
             entries = [held[name] for name in sorted(touched) if name in held]
             for entry in entries:
                 self._board.show_node(entry, self._is_closed(entry.name))
-            self._fleet.take_again(entries)
+            self._fleet.reapply(entries)
 
     def pass_again(self, machines: Iterable[str]) -> None:
         """Turns closed, or opened, machines: show that, to the module too."""
@@ -117,7 +117,7 @@
         for entry in entries:
             self._board.show_node(entry, self._is_closed(entry.name))
         if entries:
-            self._fleet.take_again(entries)
+            self._fleet.reapply(entries)
 
     def move_task(self, request: int, why: str) -> None:
         """Stop a placed task and ask for it again; never one that must not start twice."""
@@ -137,7 +137,7 @@
         self._base.counts["drains:" + held.phase.value] += 1
         name, wall = held.drain.machine, self._base.hub.clock.wall_us()
         reason = "Drain" + held.phase.value.title().replace(" ", "")
-        self._board.tell_node(
+        self._board.record_node_event(
             name,
             "Warning" if held.reason else "Normal",
             reason,
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -242,7 +242,7 @@
             after += task.job.request.task_class.task_class.window_us
         if not self._book.transition(task, Step.SCHEDULE_RETRY):
             return False
-        self._runs.wait(task, after)
+        self._runs.schedule_retry(task, after)
         return True
 
     def _decided(self, told: Fields) -> None:
@@ -406,7 +406,7 @@
                 else:
                     self._holder.lose(attempt, words)
             elif task.state is State.RETRYING:
-                self._runs.cancel_again(task)
+                self._runs.cancel_retry(task)
                 self._book.transition(task, Step.STOP)
             elif task.state in RUNNING and attempt is not None:
                 if unsafe:
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -22,7 +22,7 @@
 from wingbarrow.decide.restarts import Rebirth
 
 REOPEN_US = 50_000
-PROBES_OUT = 32
+MAX_PROBES = 32
 Guard = Callable[[NodeEntry, api.ListedMachine], api.ListedMachine]
 
 
@@ -43,9 +43,9 @@
         runs: Runs,
         sightings: Observations,
     ) -> None:
-        self._base, self._host, self._board, self._machines = base, host, board, machines
-        self._attempts, self._runs, self._sightings = attempts, runs, sightings
-        self._rebirth = Rebirth(base.settings.scheduler.classes)
+        self._base, self._host, self._objects, self._machines = base, host, board, machines
+        self._attempts, self._runs, self._observations = attempts, runs, sightings
+        self._restart_guard = Rebirth(base.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
         settings = base.settings
@@ -57,24 +57,26 @@
             random.Random(base.random.random()),
             settings.limits.machines,
             base.shift_us,
-            self.take,
+            self.apply,
             base.log,
         )
         self.ready = False  # a list of machines has come
         self.guards: list[Guard] = []
-        self.rationed: Guard = (
+        self.slow_start_guard: Guard = (
             lambda entry, listed: listed
         )  # narrows what the module alone sees, last of all
-        self.gone: Callable[[str], None] = lambda name: None
-        self.listed: Callable[[str], None] = lambda name: None
-        self.spoke: Callable[[str], None] = lambda name: None  # a machine answered a probe
-        self.taken_in: Callable[[], None] = lambda: None
-        self.drained: Callable[[str], bool] = lambda name: False  # closed by the calendar
-        self.forgotten: Callable[[], None] = lambda: None  # what a former life held cannot be read
-        self.apart: list[
+        self.on_gone: Callable[[str], None] = lambda name: None
+        self.on_machine_listed: Callable[[str], None] = lambda name: None
+        self.on_contact: Callable[[str], None] = lambda name: None  # a machine answered a probe
+        self.on_delivery_applied: Callable[[], None] = lambda: None
+        self.is_drained: Callable[[str], bool] = lambda name: False  # closed by the calendar
+        self.on_state_lost: Callable[[], None] = (
+            lambda: None
+        )  # what a former life held cannot be read
+        self.closed_locally: list[
             Callable[[str], bool]
         ] = []  # which machines are closed to this placer alone
-        sightings.told = self._told
+        sightings.on_listed = self._on_pods_listed
 
     @property
     def held(self) -> dict[str, NodeEntry]:
@@ -82,14 +84,14 @@
         return self.reflector.held
 
     @property
-    def part(self) -> float:
+    def held_fraction(self) -> float:
         """The part of the machines on the list that this placer holds; 1.0 where none is left out."""
         held, left_out = len(self.held), self.reflector.left_out
         return held / (held + left_out) if left_out else 1.0
 
     # -- the list
 
-    def take(self, form: api.ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
+    def apply(self, form: api.ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
         """A delivery of the reflector, or entries that are to pass the guards anew."""
         if form is api.ListForm.FAILED:
             self._host.feed(api.MachineList(form, ()))
@@ -98,12 +100,12 @@
             self.ready = True
         now = self._base.hub.now_us()
         for entry in entries:
-            self._rebirth.saw(entry.name, entry.listed, now)
+            self._restart_guard.saw(entry.name, entry.listed, now)
         # Every entry passes here, and so the guards (rules 3 and 5).
         narrowed = {entry.name: self._narrow(entry) for entry in entries}
-        listed = [self.rationed(entry, narrowed[entry.name]) for entry in entries]
+        listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
         for name in gone:
-            entry_gone = self._leaves(name)
+            entry_gone = self._on_gone(name)
             if form is api.ListForm.CHANGES and entry_gone is not None:
                 listed.append(entry_gone)
         fresh: list[MachineLink] = []
@@ -113,37 +115,37 @@
                 narrowed[entry.name].phase,
                 narrowed[entry.name].launched_us,
             )
-            self.listed(entry.name)
-            self._board.show_news(entry, self.drained(entry.name))
+            self.on_machine_listed(entry.name)
+            self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
-        self._rebirth.listed |= form is api.ListForm.FULL
+        self._restart_guard.listed |= form is api.ListForm.FULL
         for link in fresh:
-            self._sightings.follow(link)
+            self._observations.follow(link)
         for name in gone:
             self._retire(name)
-        self.taken_in()
+        self.on_delivery_applied()
 
-    def take_again(self, entries: Iterable[NodeEntry]) -> None:
+    def reapply(self, entries: Iterable[NodeEntry]) -> None:
         """Have entries pass the guards anew; their figures of room are no news and count as not told."""
-        self.take(api.ListForm.CHANGES, [untold(entry) for entry in entries], [])
+        self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
 
     def _narrow(self, entry: NodeEntry) -> api.ListedMachine:
         listed = entry.listed
         for guard in self.guards:
             listed = guard(entry, listed)
-        if listed.phase is api.Phase.RUNNING and self._rebirth.closed(entry.listed):
+        if listed.phase is api.Phase.RUNNING and self._restart_guard.closed(entry.listed):
             # Danger (rule 5): a former life's tasks that are not known yet would not count.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
 
-    def _leaves(self, name: str) -> api.ListedMachine | None:
-        self.gone(name)
-        return self._as_gone(name)
+    def _on_gone(self, name: str) -> api.ListedMachine | None:
+        self.on_gone(name)
+        return self._remove_node(name)
 
-    def _as_gone(self, name: str) -> api.ListedMachine | None:
+    def _remove_node(self, name: str) -> api.ListedMachine | None:
         """A machine that is shown no more, and its last entry as the module is to have it; None where it had none."""
         link = self._machines.links.get(name)
-        stored = self._board.drop_node(name)
+        stored = self._objects.drop_node(name)
         if link is None:
             return None
         link.phase = api.Phase.GONE
@@ -160,7 +162,7 @@
         To the module and to clients it is gone; to peers, and to what follows the list, nothing is said.
         """
         self.reflector.drop(name)
-        entry = self._as_gone(name)
+        entry = self._remove_node(name)
         link = self._machines.links.get(name)
         if link is not None:
             link.release()
@@ -170,15 +172,17 @@
 
     # -- after a start
 
-    def closed_by_start(self, entry: NodeEntry) -> bool:
+    def is_closed_by_restart(self, entry: NodeEntry) -> bool:
         """Whether only this placer's own start keeps it from a machine."""
-        return self._rebirth.closed(entry.listed)
+        return self._restart_guard.closed(entry.listed)
 
-    def closed_here(self, entry: NodeEntry) -> bool:
+    def is_closed_locally(self, entry: NodeEntry) -> bool:
         """Whether a machine is closed to this placer for reasons of its own: no drain that others should hear of."""
-        return self.closed_by_start(entry) or any(closed(entry.name) for closed in self.apart)
+        return self.is_closed_by_restart(entry) or any(
+            closed(entry.name) for closed in self.closed_locally
+        )
 
-    def must_tell(self, name: str) -> bool:
+    def is_off_list(self, name: str) -> bool:
         """Whether a machine that is not held is off the list, and not merely left out."""
         return self.ready and self.reflector.wanted(name)
 
@@ -187,17 +191,17 @@
         """Whether machines that may be sent to by now are still to be shown to the module."""
         return self._reopening
 
-    def give_up_waiting(self) -> None:
+    def run_restart_timeouts(self) -> None:
         """Machines that cannot be reached hold up their rack for a while only; ends with that."""
-        while not self._rebirth.over:
-            if self._rebirth.give_up(self._base.hub.now_us()):
+        while not self._restart_guard.over:
+            if self._restart_guard.give_up(self._base.hub.now_us()):
                 self._reopen()
-            if not self._rebirth.over:
+            if not self._restart_guard.over:
                 self._base.hub.sleep(REOPEN_US)
 
-    def _told(self, name: str) -> None:
+    def _on_pods_listed(self, name: str) -> None:
         """A machine has listed what it runs for this placer."""
-        if self._rebirth.told(name):
+        if self._restart_guard.told(name):
             self._reopen()
 
     def _reopen(self) -> None:
@@ -209,7 +213,7 @@
         def due() -> None:
             self._reopening = False
             links = self._machines.links
-            self.take_again(
+            self.reapply(
                 [
                     entry
                     for name, entry in self.held.items()
@@ -221,11 +225,11 @@
 
         self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, due)
 
-    def sees(self, machines: int) -> bool:
+    def has_complete_view(self, machines: int) -> bool:
         """Whether the list names at least so many machines and each of them has told what it runs."""
         return (
             len(self.held) + self.reflector.left_out >= machines
-            and self._rebirth.waiting == 0
+            and self._restart_guard.waiting == 0
             and all(link.reachable for link in self._machines.links.values())
         )
 
@@ -271,7 +275,7 @@
             if link.phase is not api.Phase.GONE:
                 return
             for attempt in self._attempts.on(link):
-                self._runs.lost(attempt, "its machine is gone")
+                self._runs.on_lost(attempt, "its machine is gone")
             if not self._attempts.on(link):
                 link.retired = True
                 link.close()
@@ -286,7 +290,7 @@
     def probe(self, machine: int) -> None:
         """Ask a machine for its own figures."""
         link = self._machines.of(machine)
-        if link is None or self._probes_out >= PROBES_OUT:
+        if link is None or self._probes_out >= MAX_PROBES:
             self._base.counts["probes_dropped"] += 1
             return
         size = self.size_of(self.held.get(link.name))
@@ -299,18 +303,18 @@
             finally:
                 self._probes_out -= 1
             if report is not None:
-                self.spoke(link.name)
+                self.on_contact(link.name)
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
             self._host.feed(api.Probed(machine, outcome, report))
 
         self._base.spawn(probe, "probe")
 
 
-def untold(entry: NodeEntry) -> NodeEntry:
+def without_free_capacity(entry: NodeEntry) -> NodeEntry:
     """An entry whose figures of room are of an unknown age: they count as not told."""
     return replace(entry, listed=replace(entry.listed, free_cores=math.nan, free_memory=math.nan))
 
 
 def saved_entries(values: list[dict[str, Any]], wall_to_mono_us: int) -> list[NodeEntry]:
     """A saved list's entries; ValueError names the field that cannot be read."""
-    return [untold(read_node(value, wall_to_mono_us)) for value in values]
+    return [without_free_capacity(read_node(value, wall_to_mono_us)) for value in values]
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -13,7 +13,7 @@
 from wingbarrow.core.intake import job_value, read_job
 from wingbarrow.core.job_store import OPEN, JobStore, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.remote_regions import Elsewhere
+from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
@@ -43,22 +43,31 @@
         closing: Closing,
         rulebook: ActiveRules,
         leaseholder: LeasedJobs | None = None,
-        elsewhere: Elsewhere | None = None,
+        elsewhere: RemoteRegions | None = None,
     ) -> None:
-        self._rulebook, self._leaseholder, self._elsewhere = rulebook, leaseholder, elsewhere
-        self._base, self._book, self._attempts, self._board = base, book, attempts, board
-        self._requests, self._runs, self._stops, self._closing = requests, runs, stops, closing
-        self._door = Door(base.settings.scheduler.tick_us)
+        self._active_rules, self._leased_jobs, self._remote_regions = (
+            rulebook,
+            leaseholder,
+            elsewhere,
+        )
+        self._base, self._jobs, self._attempts, self._objects = base, book, attempts, board
+        self._requests, self._runs, self._stops, self._drain_schedule = (
+            requests,
+            runs,
+            stops,
+            closing,
+        )
+        self._overload = Door(base.settings.scheduler.tick_us)
 
-    def look_at_door(self, came_us: int) -> None:
+    def check_overload(self, came_us: int) -> None:
         """Asked of each Job before its body is read: ApiError 429 where the placer is behind."""
-        away = self._door.on_wait(
-            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._book.unanswered
+        away = self._overload.on_wait(
+            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._jobs.unanswered
         )
         if away is not None:
-            raise self._turned_away(away)
+            raise self._overload_error(away)
 
-    def _turned_away(self, away: TurnedAway) -> ApiError:
+    def _overload_error(self, away: TurnedAway) -> ApiError:
         what = "turned_away:" + away.why.name.lower()
         self._base.counts[what] += 1
         if self._base.counts[what] % 1000 == 1:
@@ -84,27 +93,27 @@
         placer, so that it goes no further.
         """
         base = self._base
-        self._rulebook.look()
+        self._active_rules.look()
         fresh = f"{base.random.randrange(36**5):05x}"[-5:]
         asked = read_job(value, namespace, base.settings.classes, base.settings.limits, fresh)
         key = f"{namespace}/{asked.name}"
-        self._look_at_name(key, asked.name)
+        self._check_name(key, asked.name)
         now = base.hub.now_us()
-        due = self._door.due_us(
+        due = self._overload.due_us(
             now,
             now if came_us is None else came_us,
             asked.patience_us,
             base.hub.lag_us(),
-            self._book.unanswered,
-            self._book.answers.total(),
+            self._jobs.unanswered,
+            self._jobs.answers.total(),
         )
         if isinstance(due, TurnedAway):
-            raise self._turned_away(due)
-        self._look_at_room(namespace, asked.count)
+            raise self._overload_error(due)
+        self._check_limits(namespace, asked.count)
         beyond = (
             None
             if dry_run
-            else self._rulebook.beyond_after(
+            else self._active_rules.beyond_after(
                 namespace,
                 asked.task_class.task_class.name,
                 asked.count,
@@ -121,19 +130,19 @@
                 retry_after_s=base.random.randrange(1, 5),
             )
         if base.hub.now_us() > now:  # it has waited for rights: others may have come meanwhile
-            self._look_at_name(key, asked.name)
-            self._look_at_room(namespace, asked.count)
+            self._check_name(key, asked.name)
+            self._check_limits(namespace, asked.count)
         spec = (
-            self._leaseholder.spec(asked, _named(value)) if self._leaseholder is not None else None
+            self._leased_jobs.spec(asked, _named(value)) if self._leased_jobs is not None else None
         )
         here = region = base.settings.region
-        if spec is not None and self._elsewhere is not None and not dry_run:
-            region = self._elsewhere.route(asked, spec, handed)
+        if spec is not None and self._remote_regions is not None and not dry_run:
+            region = self._remote_regions.route(asked, spec, handed)
         uid = names.uid(
             base.settings.name,
             base.incarnation,
             key,
-            self._board.store.version,
+            self._objects.store.version,
             base.random.random(),
         )
         shown = job_value(value, asked, uid, base.hub.clock.wall_us())
@@ -144,33 +153,33 @@
             spec is not None
             and spec.failover is not None
             and region == here
-            and self._leaseholder is not None
+            and self._leased_jobs is not None
         ):
             manifest = names.encode(
                 {key: part for key, part in shown.items() if key != "status"}
             ).decode()
-            leased = self._leaseholder.take_in(key, uid, asked, spec, manifest, due)
-        job = self._book.add(key, uid, asked, shown)
-        if leased is not None and self._leaseholder is not None:
-            self._leaseholder.hold(job, leased)
-        self._board.show_new(job)
-        if region != here and spec is not None and self._elsewhere is not None:
-            self._elsewhere.give(job, due, region, spec.name)
+            leased = self._leased_jobs.take_in(key, uid, asked, spec, manifest, due)
+        job = self._jobs.add(key, uid, asked, shown)
+        if leased is not None and self._leased_jobs is not None:
+            self._leased_jobs.hold(job, leased)
+        self._objects.show_new(job)
+        if region != here and spec is not None and self._remote_regions is not None:
+            self._remote_regions.forward_job(job, due, region, spec.name)
             return shown
         for task in job.tasks:
             self._requests.submit(task, due)
         return shown
 
-    def _look_at_name(self, key: str, name: str) -> None:
-        if key in self._book.jobs or (
-            self._leaseholder is not None and key in self._leaseholder.coming
+    def _check_name(self, key: str, name: str) -> None:
+        if key in self._jobs.jobs or (
+            self._leased_jobs is not None and key in self._leased_jobs.coming
         ):
             raise ApiError(
                 409, f'jobs.batch "{name}" already exists', "AlreadyExists", name=name, kind="jobs"
             )
 
-    def _look_at_room(self, namespace: str, count: int) -> None:
-        too_many = self._book.admission.check(namespace, count, self._stops.pending)
+    def _check_limits(self, namespace: str, count: int) -> None:
+        too_many = self._jobs.admission.check(namespace, count, self._stops.pending)
         if too_many is not None:
             self._base.counts["turned_away"] += 1
             self._base.log(
@@ -184,13 +193,13 @@
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job and stop what of it runs or is on its way; the Job as it last was."""
-        job = self._book.jobs.get(key)
+        job = self._jobs.jobs.get(key)
         if job is None:
             raise not_found("jobs.batch", key.rpartition("/")[2])
-        self._book.delete(job)
+        self._jobs.delete(job)
         for task in job.tasks:
             self._withdraw(task)
-        last = self._board.jobs.delete(key)
+        last = self._objects.jobs.delete(key)
         self._base.counts["jobs_deleted"] += 1
         return last.value if last else job.value
 
@@ -199,18 +208,18 @@
         if state not in OPEN:
             return
         attempt = self._attempts.of(task.request)
-        self._book.transition(task, Step.STOP)
-        if self._elsewhere is not None and self._elsewhere.withdraw(task):
+        self._jobs.transition(task, Step.STOP)
+        if self._remote_regions is not None and self._remote_regions.withdraw(task):
             return
         if state is State.RETRYING:
-            self._runs.cancel_again(task)
+            self._runs.cancel_retry(task)
         elif state is State.ASKED:
             self._requests.withdraw(task)
             if attempt is None:
                 return
             attempt.abandoned = True
-            if attempt.confirming and self._leaseholder is not None:
-                self._leaseholder.stop(attempt)
+            if attempt.confirming and self._leased_jobs is not None:
+                self._leased_jobs.stop(attempt)
             elif attempt.stage is Stage.SENT:
                 # Danger: the offer is on its way; what it starts must not run on without an owner. One stop ends it
                 # on the machine, and the offer is answered by that.
@@ -237,13 +246,13 @@
                 f"{pod} is of a class that must not start twice; it is never moved",
                 retry_after_s=60,
             )
-        self._closing.move_task(attempt.request, "evicted through the API")
+        self._drain_schedule.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
         """Those of present Jobs, and `default`."""
-        return sorted({"default", *(job.request.namespace for job in self._book.jobs.values())})
+        return sorted({"default", *(job.request.namespace for job in self._jobs.jobs.values())})
 
     def uid_of(self, key: str) -> str | None:
         """A Job's uid, None where there is none of that key."""
-        job = self._book.jobs.get(key)
+        job = self._jobs.jobs.get(key)
         return job.uid if job is not None else None
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -74,7 +74,10 @@
         book.state_listeners.append(self._stepped)
         book.delete_listeners.append(self._deleted)
         requests.may_answer_placed, requests.is_answered_by_lease = self._confirm, self._failing
-        requests.attempt_began, requests.attempt_ended = self._attempt_began, self._attempt_ended
+        requests.on_attempt_began, requests.on_leased_attempt_ended = (
+            self._attempt_began,
+            self._attempt_ended,
+        )
 
     # -- intake
 
@@ -342,7 +345,7 @@
         if task.state is State.ASKED:
             self._requests.withdraw(task)
         else:
-            self._runs.cancel_again(task)
+            self._runs.cancel_retry(task)
             self._book.transition(task, Step.RETRY)
             deadline = now + task.job.request.patience_us
         request = self._book.open_request(task, deadline)
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -11,38 +11,38 @@
 from wingbarrow.decide.regions.reports import RegionReport
 from wingbarrow.interface import Phase
 
-LATELY_US = 10_000_000
-EVERY_US = 500_000  # the list is summed up no more often
-TURNED_AWAY = "turned_away"
+DEMAND_WINDOW_US = 10_000_000
+REPORT_INTERVAL_US = 500_000  # the list is summed up no more often
+REJECTED_COUNTERS = "turned_away"
 
 
-class OwnRegion:
+class LocalRegion:
     """Sums, as of the last look."""
 
     def __init__(self, base: Base, book: JobStore, fleet: Fleet) -> None:
-        self._base, self._book, self._fleet = base, book, fleet
-        self._seen: deque[tuple[int, int, int]] = (
+        self._base, self._jobs, self._fleet = base, book, fleet
+        self._samples: deque[tuple[int, int, int]] = (
             deque()
         )  # when, what came in all, what of it was refused
-        self._said: RegionReport | None = None
-        self._at_us = -EVERY_US
+        self._last_report: RegionReport | None = None
+        self._reported_us = -REPORT_INTERVAL_US
         self.leased: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
 
-    def say(self, now_us: int) -> RegionReport | None:
+    def report(self, now_us: int) -> RegionReport | None:
         """With an ask; None without a region, machines, or a list of them."""
         settings = self._base.settings
         if (
             not settings.region
             or not settings.machines
             or not self._fleet.ready
-            or not self._fleet.part
+            or not self._fleet.held_fraction
         ):
             return None
-        if now_us - self._at_us >= EVERY_US:
-            self._at_us, self._said = now_us, self._sum(now_us)
-        return self._said
+        if now_us - self._reported_us >= REPORT_INTERVAL_US:
+            self._reported_us, self._last_report = now_us, self._summarise(now_us)
+        return self._last_report
 
-    def _sum(self, now_us: int) -> RegionReport:
+    def _summarise(self, now_us: int) -> RegionReport:
         """Where this placer holds a part of the machines, what that part has stands for the whole."""
         scheduler, sizes = self._base.settings.scheduler, self._base.sizes
         whole, machines = [0.0, 0.0], 0
@@ -56,10 +56,10 @@
             free[0] += max(0.0, entry.listed.free_cores)
             free[1] += max(0.0, entry.listed.free_memory)
             machines += 1
-        part = self._fleet.part
+        part = self._fleet.held_fraction
         whole, free = [each / part for each in whole], [each / part for each in free]
         machines = round(machines / part)
-        came, refused = self._lately(now_us)
+        came, refused = self._recent_demand(now_us)
         return RegionReport(
             self._base.settings.region,
             round(whole[0], 3),
@@ -73,14 +73,14 @@
             self.leased(),
         )
 
-    def _lately(self, now_us: int) -> tuple[int, int]:
+    def _recent_demand(self, now_us: int) -> tuple[int, int]:
         away = sum(
-            count for what, count in self._base.counts.items() if what.startswith(TURNED_AWAY)
+            count for what, count in self._base.counts.items() if what.startswith(REJECTED_COUNTERS)
         )
-        answers = self._book.answers
+        answers = self._jobs.answers
         came, refused = answers.total() + away, answers[State.REFUSED] + away
-        self._seen.append((now_us, came, refused))
-        while len(self._seen) > 1 and self._seen[1][0] <= now_us - LATELY_US:
-            self._seen.popleft()
-        _, came_then, refused_then = self._seen[0]
+        self._samples.append((now_us, came, refused))
+        while len(self._samples) > 1 and self._samples[1][0] <= now_us - DEMAND_WINDOW_US:
+            self._samples.popleft()
+        _, came_then, refused_then = self._samples[0]
         return came - came_then, refused - refused_then
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -120,7 +120,7 @@
 
     def is_listed(self, machine: str) -> bool:
         """Whether the list has it; True where this placer cannot tell: without a list, and outside of its subset."""
-        return machine in self._fleet.held or not self._fleet.must_tell(machine)
+        return machine in self._fleet.held or not self._fleet.is_off_list(machine)
 
     def place_of(self, machine: str) -> tuple[str, str] | None:
         """Zone and cell by the list."""
@@ -133,7 +133,7 @@
     def own_tasks_at(self, machine: str) -> int:
         """Own tasks there or on their way, with pending stops; -1 until the machine has said what it runs."""
         entry = self._fleet.held.get(machine)
-        if not self._fleet.ready or (entry is not None and self._fleet.closed_by_start(entry)):
+        if not self._fleet.ready or (entry is not None and self._fleet.is_closed_by_restart(entry)):
             return -1
         link = self._machines.links.get(machine)
         if link is None:
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -37,9 +37,9 @@
         strays: Orphans,
     ) -> None:
         self._base, self._host, self._attempts = base, host, attempts
-        self._offers, self._runs, self._strays = offers, runs, strays
-        self.told: Callable[[str], None] = lambda name: None
-        self.use_us: int | None = None  # when a task last told of its use
+        self._offers, self._runs, self._orphans = offers, runs, strays
+        self.on_listed: Callable[[str], None] = lambda name: None
+        self.last_usage_us: int | None = None  # when a task last told of its use
 
     def follow(self, link: MachineLink) -> None:
         """List and watch one machine for as long as it is reached."""
@@ -47,33 +47,33 @@
         def listed(pods: list[dict[str, Any]], asked_us: int) -> None:
             seen = set()
             for value in pods:
-                sight = self._read(link, value)
+                sight = self._read_pod(link, value)
                 if sight is not None:
                     seen.add(sight.name)
-                    self._seen(link, sight)
+                    self._on_pod_status(link, sight)
             for attempt in self._attempts.on(link):
                 if (
                     attempt.stage is Stage.PLACED
                     and attempt.key not in seen
                     and attempt.placed_us < asked_us
                 ):
-                    self._runs.lost(attempt, "the machine no longer holds it")
-            self.told(link.name)
+                    self._runs.on_lost(attempt, "the machine no longer holds it")
+            self.on_listed(link.name)
 
         def event(kind: str, value: dict[str, Any]) -> None:
-            sight = self._read(link, value)
+            sight = self._read_pod(link, value)
             if sight is None:
                 return
             if kind == "DELETED":
                 attempt = self._attempts.by_key.get(sight.name)
                 if attempt is not None and attempt.stage is Stage.PLACED:
-                    self._runs.lost(attempt, f"deleted on {link.name}")
+                    self._runs.on_lost(attempt, f"deleted on {link.name}")
             else:
-                self._seen(link, sight)
+                self._on_pod_status(link, sight)
 
         self._base.spawn(lambda: link.follow(listed, event, self._base.log), f"follow {link.name}")
 
-    def _read(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
+    def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
         try:
             return read_pod(value)
         except ValueError as error:
@@ -81,10 +81,10 @@
             self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
             return None
 
-    def _seen(self, link: MachineLink, sight: PodStatus) -> None:
+    def _on_pod_status(self, link: MachineLink, sight: PodStatus) -> None:
         attempt = self._attempts.by_key.get(sight.name)
         if attempt is None:
-            self._strays.on_pod(link, sight)
+            self._orphans.on_pod(link, sight)
             return
         if sight.phase is Phase.PENDING and attempt.stage is Stage.SENT:
             self._host.feed(
@@ -92,24 +92,24 @@
             )
         if sight.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
             self._base.counts["placed_by_news"] += 1
-            self._offers.runs(attempt)
+            self._offers.on_running(attempt)
             if attempt.scope is not None:
                 attempt.scope.cancel()
         if attempt.stage is not Stage.PLACED:
             return
         if sight.phase is Phase.SUCCEEDED:
-            self._runs.ended(attempt, again.End.DONE, api.Reason.UNTOLD, "ended well")
+            self._runs.on_ended(attempt, again.End.DONE, api.Reason.UNTOLD, "ended well")
         elif sight.phase is Phase.FAILED:
             reason = sight.gave_up
             # A machine that stopped it for want of renewal says nothing against another start, by whoever may then.
             end = attempt.stopping or (
                 again.End.MOVED if sight.reason == "LeaseLapsed" else again.end_of(reason)
             )
-            self._runs.ended(attempt, end, reason, f"{link.name}: {sight.reason or 'failed'}")
+            self._runs.on_ended(attempt, end, reason, f"{link.name}: {sight.reason or 'failed'}")
         elif sight.use:
-            self._use(attempt, link, sight)
+            self._on_usage(attempt, link, sight)
 
-    def _use(self, attempt: Attempt, link: MachineLink, sight: PodStatus) -> None:
+    def _on_usage(self, attempt: Attempt, link: MachineLink, sight: PodStatus) -> None:
         use = tuple(sight.use.get(key, -1.0) for key in _USES)
         if use == attempt.use:
             return
@@ -119,4 +119,4 @@
                 self._host.feed(
                     api.TaskNote(attempt.request, attempt.number, link.ident, kind, level)
                 )
-        self.use_us = self._base.hub.now_us()
+        self.last_usage_us = self._base.hub.now_us()
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -20,19 +20,19 @@
 from wingbarrow.decide.gate import Held, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
-ANEW_MOST = 8  # times that a task is asked for anew
+MAX_RESUBMISSIONS = 8  # times that a task is asked for anew
 
 
-class ColdOffers(Protocol):
+class SlowStartLimit(Protocol):
     """A placer's share of what cold machines may be sent."""
 
-    def chosen(self, link: MachineLink) -> None:
+    def on_chosen(self, link: MachineLink) -> None:
         """The module has chosen a machine for an offer that is under way from now on."""
 
-    def left(self, link: MachineLink) -> bool:
+    def has_share(self, link: MachineLink) -> bool:
         """Whether one more offer may go to a machine now."""
 
-    def sent(self, attempt: Attempt) -> None:
+    def on_sent(self, attempt: Attempt) -> None:
         """The first byte of an offer goes out."""
 
 
@@ -51,22 +51,22 @@
         rulebook: ActiveRules,
         leaseholder: LeasedJobs | None = None,
     ) -> None:
-        self._rulebook, self._leaseholder = rulebook, leaseholder
-        self._base, self._host, self._book, self._attempts, self._machines = (
+        self._active_rules, self._leased_jobs = rulebook, leaseholder
+        self._base, self._host, self._jobs, self._attempts, self._machines = (
             base,
             host,
             book,
             attempts,
             machines,
         )
-        self._requests, self._strays = requests, strays
+        self._requests, self._orphans = requests, strays
         rules = base.settings.scheduler
         self._gate = SendGate(rules.cold_us, rules.fall_us)
-        self.cold: ColdOffers | None = None  # where placers hold subsets of the machines
+        self.slow_start: SlowStartLimit | None = None  # where placers hold subsets of the machines
 
     def bind(self, bind: api.Bind) -> None:
         """The module chose a machine: an attempt begins."""
-        task, link = self._book.by_request.get(bind.request), self._machines.of(bind.machine)
+        task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
         if task is None or link is None:
             # The module binds open requests to listed machines alone; should it not, the offer counts as unsent.
             self._base.counts["binds_dropped"] += 1
@@ -90,11 +90,11 @@
         attempt = Attempt(
             bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us
         )
-        attempt.rules, attempt.launched_us = self._rulebook.label, link.launched_us
+        attempt.rules, attempt.launched_us = self._active_rules.label, link.launched_us
         self._attempts.add(attempt)
         self._base.counts["binds"] += 1
-        if self.cold is not None:
-            self.cold.chosen(link)
+        if self.slow_start is not None:
+            self.slow_start.on_chosen(link)
         self._base.spawn(lambda: self._offer(attempt), "offer")
 
     def _may_send(self, attempt: Attempt) -> bool:
@@ -111,7 +111,7 @@
                 and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING,
                 link.launched_us,
-                self._rulebook.against(
+                self._active_rules.against(
                     now,
                     attempt.rules,
                     task.job.request.task_class.task_class.name,
@@ -119,9 +119,9 @@
                     attempt.decided_us,
                 ),
                 task.job.leased is None
-                or (self._leaseholder is not None and self._leaseholder.may_send(task.job)),
+                or (self._leased_jobs is not None and self._leased_jobs.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
-                cold_share_left=self.cold is None or self.cold.left(link),
+                cold_share_left=self.slow_start is None or self.slow_start.has_share(link),
             ),
         )
         if held is not None:
@@ -130,8 +130,8 @@
             return False
         self._attempts.advance(attempt, Stage.SENT)
         link.offered_us = now
-        if self.cold is not None:
-            self.cold.sent(attempt)
+        if self.slow_start is not None:
+            self.slow_start.on_sent(attempt)
         task.may_have_run = True
         return True
 
@@ -146,7 +146,7 @@
                 link.name,
                 attempt.deadline_us - self._base.hub.now_us(),
                 attempt.rules,
-                self._leaseholder.until(attempt) if self._leaseholder is not None else "",
+                self._leased_jobs.until(attempt) if self._leased_jobs is not None else "",
             )
 
         ended: Ended | None = Ended(
@@ -154,7 +154,7 @@
         )
         with CancelScope(self._base.hub) as scope:
             attempt.scope = scope
-            ended = self._leaseholder.before(attempt) if self._leaseholder is not None else None
+            ended = self._leased_jobs.before(attempt) if self._leased_jobs is not None else None
             if ended is None:
                 ended = link.offer(
                     task.job.request.namespace,
@@ -175,14 +175,14 @@
             # Danger: the machine's answer to a stopped offer is not its judgement; it would be rested for that.
             ended = Ended(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
         if ended is None:
-            self.runs(attempt)
-        elif self._costs_nothing(attempt):
+            self.on_running(attempt)
+        elif self._may_resubmit(attempt):
             self._base.counts["asked_anew"] += 1
             self._requests.resubmit(attempt)
         else:
-            self._failed(attempt, ended)
+            self._on_failed(attempt, ended)
 
-    def _costs_nothing(self, attempt: Attempt) -> bool:
+    def _may_resubmit(self, attempt: Attempt) -> bool:
         """Whether an offer was held for want of a share, chosen in one turn with others that used it up.
 
         Danger: a few of those would use up all attempts of a task for which no machine was ever asked.
@@ -193,13 +193,13 @@
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
             and task.job.leased is None
-            and task.resubmissions < ANEW_MOST
+            and task.resubmissions < MAX_RESUBMISSIONS
             and task.state is State.ASKED
             and task.request == attempt.request
             and self._base.hub.now_us() < task.deadline_us
         )
 
-    def runs(self, attempt: Attempt) -> None:
+    def on_running(self, attempt: Attempt) -> None:
         """The machine says that the task runs."""
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
@@ -208,7 +208,7 @@
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
             self._base.counts["answers_late"] += 1
-            self._strays.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
+            self._orphans.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
             return
         if self._requests.may_answer_placed(attempt) and self._attempts.advance(
             attempt, Stage.PLACED
@@ -216,7 +216,7 @@
             attempt.placed_us = now
             self._requests.on_placed(attempt)
 
-    def _failed(self, attempt: Attempt, ended: Ended) -> None:
+    def _on_failed(self, attempt: Attempt, ended: Ended) -> None:
         attempt.task.last_outcome = f"{attempt.link.name}: {ended.words}"[:300]
         self._base.counts[f"offer:{ended.outcome.value}"] += 1
         self._base.log(
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -128,7 +128,7 @@
         if self.place_leased(link, pod, task, left):
             return
         if task.state is State.RETRYING:
-            self._runs.cancel_again(task)
+            self._runs.cancel_retry(task)
             self._jobs.transition(task, Step.RETRY)
         else:
             self._requests.withdraw(task)
@@ -139,7 +139,7 @@
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
         if self._jobs.transition(task, Step.ADOPT):
-            self._objects.tell(
+            self._objects.record_event(
                 task.job, "Normal", "FoundRunning", f"task {task.index} runs on {link.name}"
             )
             self._hand_over(link, pod, task, pod_status)
@@ -153,7 +153,7 @@
         task.attempts_made, task.machine = 1, link.name
         attempt = Attempt(request, 0, task, link, pod, now, now, Stage.PLACED, now)
         self._attempts.add(attempt)
-        self._requests.attempt_began(attempt)
+        self._requests.on_attempt_began(attempt)
         self._objects.mark(task.job)
         left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
         self._host.feed(api.TaskFound(self._requests.arrival(task, request, left), link.ident))
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -38,7 +38,7 @@
             self._base.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
             self._base.log("verdict", machine=name, closed=name in closed)
         held = self._fleet.held
-        self._fleet.take_again([held[name] for name in sorted(changed) if name in held])
+        self._fleet.reapply([held[name] for name in sorted(changed) if name in held])
 
     def zones(self) -> Mapping[str, str]:
         """The hall of each machine that the list has running."""
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -21,19 +21,19 @@
 from wingbarrow.core.job_admission import JobAdmission
 from wingbarrow.core.job_store import JobStore, Step
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.local_region import OwnRegion
+from wingbarrow.core.local_region import LocalRegion
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
-from wingbarrow.core.migrations import Mover
+from wingbarrow.core.migrations import Migrations
 from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.outlier_ejection import Verdicts
-from wingbarrow.core.remote_regions import Elsewhere
+from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
-from wingbarrow.core.slow_start import ColdShares
+from wingbarrow.core.slow_start import SlowStartShares
 from wingbarrow.core.stops import Stops
 from wingbarrow.core.subset import Subset
 from wingbarrow.decide.admission import Admission
@@ -53,7 +53,7 @@
     def __init__(
         self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: ApiObjects
     ) -> None:
-        self._offers, self._requests, self._runs, self._fleet, self._board = (
+        self._offers, self._requests, self._runs, self._fleet, self._objects = (
             offers,
             requests,
             runs,
@@ -77,7 +77,7 @@
         self._fleet.probe(machine)
 
     def flush(self) -> None:
-        self._board.flush()
+        self._objects.flush()
 
 
 class Placer:
@@ -86,13 +86,13 @@
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
         base = self.base = Base(hub, settings, log)
         limits = settings.limits
-        book = self.book = JobStore(
+        book = self.job_store = JobStore(
             Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
         )
         attempts = self.attempts = Attempts()
         machines = self.machines = Machines()
         host = self.host = Host(base, module_settings(settings))
-        board = self.board = ApiObjects(base, book)
+        board = self.objects = ApiObjects(base, book)
         requests = Requests(base, host, book, attempts, board)
         self.waits = requests.waits
         stops = self.stops = Stops(
@@ -100,17 +100,17 @@
         )
         runs = Runs(base, book, attempts, board, requests, stops)
         strays = Orphans(base, host, book, attempts, board, requests, runs, stops)
-        rulebook = self.rulebook = ActiveRules(base, host)
+        rulebook = self.active_rules = ActiveRules(base, host)
         self.peering = Peering(hub, settings, base.started_us, log)
         self.leases: MachineLeases | None = None
-        self.turns: MaintenanceSlots | None = None
-        self.leaseholder: LeasedJobs | None = None
+        self.maintenance: MaintenanceSlots | None = None
+        self.leased_jobs: LeasedJobs | None = None
         if settings.agree is not None and settings.region:
             leases = self.leases = MachineLeases(
                 base, machines, self.peering.lease, settings.agree.lease_us
             )
             records = RecordReplication(hub, settings, base.started_us, self.peering)
-            self.leaseholder = LeasedJobs(
+            self.leased_jobs = LeasedJobs(
                 base,
                 host,
                 book,
@@ -122,16 +122,16 @@
                 records,
                 rulebook.federation,
             )
-            strays.place_leased = self.leaseholder.place_late
+            strays.place_leased = self.leased_jobs.place_late
         offers = self.offers = Offers(
-            base, host, book, attempts, machines, requests, strays, rulebook, self.leaseholder
+            base, host, book, attempts, machines, requests, strays, rulebook, self.leased_jobs
         )
         sightings = Observations(base, host, attempts, offers, runs, strays)
         fleet = self.fleet = Fleet(base, host, board, machines, attempts, runs, sightings)
-        self.hearsay = Hearsay(base, host, fleet, machines, sightings)
-        self.successor: JobFailover | None = None
-        if self.leaseholder is not None:
-            self.successor = JobFailover(
+        self.peer_hints = Hearsay(base, host, fleet, machines, sightings)
+        self.job_failover: JobFailover | None = None
+        if self.leased_jobs is not None:
+            self.job_failover = JobFailover(
                 base,
                 book,
                 attempts,
@@ -141,13 +141,13 @@
                 requests,
                 runs,
                 stops,
-                self.leaseholder,
+                self.leased_jobs,
             )
-            strays.is_foreign = self.successor.stray
+            strays.is_foreign = self.job_failover.stray
         closing = Closing(base, host, fleet, attempts, runs, board)
-        self.mover: Mover | None = None
-        elsewhere = self._elsewhere(fleet, requests) if self.leaseholder is not None else None
-        desk = self.desk = JobAdmission(
+        self.migrations: Migrations | None = None
+        elsewhere = self._elsewhere(fleet, requests) if self.leased_jobs is not None else None
+        desk = self.admission = JobAdmission(
             base,
             book,
             attempts,
@@ -157,7 +157,7 @@
             stops,
             closing,
             rulebook,
-            self.leaseholder,
+            self.leased_jobs,
             elsewhere,
         )
         if elsewhere is not None:
@@ -165,14 +165,14 @@
                 value, namespace, False, handed=True
             )
             elsewhere.delete = desk.delete_job
-            if self.leaseholder is not None:
-                self.mover = Mover(
-                    base, book, attempts, requests, runs, self.leaseholder, elsewhere
+            if self.leased_jobs is not None:
+                self.migrations = Migrations(
+                    base, book, attempts, requests, runs, self.leased_jobs, elsewhere
                 )
         host.hands = _Hands(offers, requests, runs, fleet, board)
-        self._keeper = Checkpoint(base, fleet)
+        self._checkpoint = Checkpoint(base, fleet)
         if settings.agree is not None:
-            rulebook.pass_again = lambda names: fleet.take_again(
+            rulebook.pass_again = lambda names: fleet.reapply(
                 [entry for name, entry in fleet.held.items() if name in names]
             )
             fleet.guards.append(rulebook.guard)
@@ -184,7 +184,7 @@
             # Of the cold budget a placer wants as much as waits; how much of that is for cold machines nobody knows.
             self.peering.demand = lambda key: book.unanswered if key == "cold" else 0
             verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
-            turns = self.turns = MaintenanceSlots(
+            turns = self.maintenance = MaintenanceSlots(
                 base,
                 LocalMachines(fleet, machines, attempts, stops, closing),
                 self.peering.turn_side,
@@ -211,11 +211,14 @@
                 self._members,
                 self.waits.any_long,
             )
-            cold = offers.cold = ColdShares(
+            cold = offers.slow_start = SlowStartShares(
                 base, fleet, attempts, subset.subsets, rulebook.cold_offers
             )
-            requests.on_attempt_answered, fleet.spoke = cold.ended, cold.spoke
-        self.learner = Learner(hub, settings, self.hearsay, base.started_us, log)
+            requests.on_attempt_answered, fleet.on_contact = (
+                cold.on_attempt_answered,
+                cold.on_contact,
+            )
+        self.learner = Learner(hub, settings, self.peer_hints, base.started_us, log)
         needed = tuple(
             each.task_class.kind for each in settings.classes.values() if each.task_class.kind
         )
@@ -246,46 +249,46 @@
         base = self.base
         with Nursery(base.hub) as nursery:
             base.live_in(nursery)
-            self._keeper.load()
+            self._checkpoint.load()
             nursery.spawn(self.fleet.reflector.run, "reflector")
-            nursery.spawn(self.fleet.give_up_waiting, "rebirth")
+            nursery.spawn(self.fleet.run_restart_timeouts, "rebirth")
             nursery.spawn(self.learner.run, "learner")
             if base.settings.calendars or self.drainer.agreed:
                 nursery.spawn(self.drainer.run, "drainer")
             nursery.spawn(self.peering.run, "peers")
             if self.subset is not None:
                 nursery.spawn(self.subset.run, "subset")
-            if self.turns is not None:
-                nursery.spawn(self.turns.run, "turns")
-            if self.mover is not None:
-                nursery.spawn(self.mover.run, "mover")
-            if self.leases is not None and self.leaseholder is not None:
+            if self.maintenance is not None:
+                nursery.spawn(self.maintenance.run, "turns")
+            if self.migrations is not None:
+                nursery.spawn(self.migrations.run, "mover")
+            if self.leases is not None and self.leased_jobs is not None:
                 nursery.spawn(self.leases.run, "leases")
-                nursery.spawn(self.leaseholder.records.run, "custody")
+                nursery.spawn(self.leased_jobs.records.run, "custody")
             if base.settings.state:
-                nursery.spawn(self._keeper.run, "saving")
+                nursery.spawn(self._checkpoint.run, "saving")
         if self.host.failed is not None:
             raise self.host.failed
 
-    def _elsewhere(self, fleet: Fleet, requests: Requests) -> Elsewhere:
+    def _elsewhere(self, fleet: Fleet, requests: Requests) -> RemoteRegions:
         """The room for what crosses regions."""
         peering, base = self.peering, self.base
-        made = Elsewhere(base, self.book, self.board, requests, base.started_us)
-        made.federation = self.rulebook.federation
-        made.news = peering.regions.news
+        made = RemoteRegions(base, self.job_store, self.objects, requests, base.started_us)
+        made.federation = self.active_rules.federation
+        made.region_news = peering.regions.news
         made.targets = peering.targets
-        made.act = lambda effects: peering.act("handing", effects)
+        made.carry_out = lambda effects: peering.act("handing", effects)
         peering.host("handing", made, HANDING)
-        own = OwnRegion(base, self.book, fleet)
-        peering.regions.read_own = own.say
-        if self.leaseholder is not None:
-            own.leased = self.leaseholder.held
+        own = LocalRegion(base, self.job_store, fleet)
+        peering.regions.read_own = own.report
+        if self.leased_jobs is not None:
+            own.leased = self.leased_jobs.held
         return made
 
     def _uses(self, key: str) -> int:
         """Open tasks under a standing limit, for what is told to the voters' leader."""
         about, _, rest = key.partition("/")
-        return self.book.admission.standing(about, rest.rpartition("/")[0])
+        return self.job_store.admission.standing(about, rest.rpartition("/")[0])
 
     def _members(self) -> tuple[frozenset[str], int]:
         """The other placers that live by membership, and how many it has heard of."""
@@ -301,19 +304,19 @@
         """Whether a list of machines has come."""
         return self.fleet.ready
 
-    def sees(self, machines: int) -> bool:
+    def has_complete_view(self, machines: int) -> bool:
         """Whether the list names at least so many machines and each of them has told what it runs."""
-        return self.fleet.sees(machines)
+        return self.fleet.has_complete_view(machines)
 
-    def oddities(self) -> dict[str, int]:
+    def unexpected_transitions(self) -> dict[str, int]:
         """Steps that the state tables lack, and how often each was met; empty unless something is wrong."""
-        return dict(self.book.unexpected_transitions + self.attempts.unexpected_transitions)
+        return dict(self.job_store.unexpected_transitions + self.attempts.unexpected_transitions)
 
-    def take_settings(self, fresh: PlacerSettings) -> None:
+    def apply_settings(self, fresh: PlacerSettings) -> None:
         """Use a file's settings that was read again: patience, priorities, restarts and limits of what comes."""
         self.base.settings = fresh
         self.drainer.reload()
-        self.book.set_limits(
+        self.job_store.set_limits(
             fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
         )
-        self.board.store.window_most = fresh.limits.window
+        self.objects.store.window_most = fresh.limits.window
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -22,36 +22,40 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
-ANSWER_US = 100_000  # of the owner's patience, kept for the answer's way back
-KEPT_US = 250_000  # less for the receiver than for the giver: its answer crosses regions
+ANSWER_MARGIN_US = 100_000  # of the owner's patience, kept for the answer's way back
+RECEIVER_MARGIN_US = 250_000  # less for the receiver than for the giver: its answer crosses regions
 
 
-class Elsewhere:
+class RemoteRegions:
     """`act` carries out effects by mail; `submit` takes a handed Job in, within what is left of patience."""
 
     def __init__(
         self, base: Base, book: JobStore, board: ApiObjects, requests: Requests, life: int
     ) -> None:
-        self._base, self._book, self._board, self._requests = base, book, board, requests
-        self.giving, self.taking = (
+        self._base, self._jobs, self._objects, self._requests = base, book, board, requests
+        self.sender, self.receiver = (
             handing.ForwardSender(base.settings.name, life),
             handing.ForwardReceiver(life),
         )
         self.budget = handing.ForwardBudget()
-        self.news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
+        self.region_news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
         self.targets: Callable[[tuple[str, ...]], list[handing.Target]] = (
             lambda names: []
         )  # those that live
         self.federation: Callable[[], Federation] = Federation
-        self.act: Callable[[list[Effect]], None] = lambda effects: None
+        self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
         self.submit: Callable[[dict[str, Any], str], object] = lambda value, namespace: None
         self.delete: Callable[[str], object] = lambda key: None
-        self._given: dict[str, TaskRecord] = {}  # by ident
-        self._idents: dict[str, str] = {}  # by the task's name
-        self._taken: dict[str, str] = {}  # the ident by the key of the Job that was made of it
-        self._keys: dict[str, str] = {}  # and the other way
-        self._stopped: set[str] = set()  # idents whose stop came while their Job was being taken in
-        book.state_listeners.append(self._stepped)
+        self._forwarded: dict[str, TaskRecord] = {}  # by ident
+        self._ident_by_task: dict[str, str] = {}  # by the task's name
+        self._ident_by_job: dict[
+            str, str
+        ] = {}  # the ident by the key of the Job that was made of it
+        self._job_by_ident: dict[str, str] = {}  # and the other way
+        self._stopped_early: set[str] = (
+            set()
+        )  # idents whose stop came while their Job was being taken in
+        book.state_listeners.append(self._on_state_change)
 
     # -- from here to another region
 
@@ -75,7 +79,7 @@
             spec,
             federation,
             Wanted(asked.cores, asked.memory, asked.task_class.task_class.effect.value, here),
-            self.news(base.hub.now_us()),
+            self.region_news(base.hub.now_us()),
             base.random.random(),
         )
         if not choice.region:
@@ -98,62 +102,67 @@
             )
         return choice.region
 
-    def give(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
+    def forward_job(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
         """Hand all tasks of a Job over; each is answered by this placer, whatever comes of it."""
         for task in job.tasks:
-            if not self.give_task(task, due_us, region, spec):
+            if not self.forward_task(task, due_us, region, spec):
                 task.last_outcome = f"no placer of region {region} is known"
-                self._requests.reject_or_fail(self._book.open_request(task, due_us), Step.REFUSE)
+                self._requests.reject_or_fail(self._jobs.open_request(task, due_us), Step.REFUSE)
 
-    def give_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
+    def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Hand one over that is asked for; False where nobody there can be asked."""
-        news, job = self.news(self._base.hub.now_us()).get(region), task.job
+        news, job = self.region_news(self._base.hub.now_us()).get(region), task.job
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
         harmless = job.request.task_class.task_class.effect.value == "safe"
-        ident, effects = self.giving.begin(
-            self._base.hub.now_us(), _manifest(job), spec, harmless, due_us - ANSWER_US, targets
+        ident, effects = self.sender.begin(
+            self._base.hub.now_us(),
+            _manifest(job),
+            spec,
+            harmless,
+            due_us - ANSWER_MARGIN_US,
+            targets,
         )
         if not ident:
             return False
-        self._book.open_request(task, due_us)
-        self._given[ident], self._idents[task.name] = task, ident
-        self.act(effects)
+        self._jobs.open_request(task, due_us)
+        self._forwarded[ident], self._ident_by_task[task.name] = task, ident
+        self.carry_out(effects)
         return True
 
-    def has(self, task: TaskRecord) -> bool:
+    def is_forwarded(self, task: TaskRecord) -> bool:
         """Whether another region has a task, or is asked for it."""
-        return task.name in self._idents
+        return task.name in self._ident_by_task
 
-    def came_from_afar(self, key: str) -> bool:
+    def is_from_other_region(self, key: str) -> bool:
         """Whether a Job was handed over to this placer."""
-        return key in self._taken
+        return key in self._ident_by_job
 
     def withdraw(self, task: TaskRecord) -> bool:
         """Its owner deleted it; False where it was not handed over."""
-        ident = self._idents.pop(task.name, None)
+        ident = self._ident_by_task.pop(task.name, None)
         if ident is None:
             return False
-        self._given.pop(ident, None)
-        self._book.close_request(task)
-        self.act(self.giving.withdraw(self._base.hub.now_us(), ident))
+        self._forwarded.pop(ident, None)
+        self._jobs.close_request(task)
+        self.carry_out(self.sender.withdraw(self._base.hub.now_us(), ident))
         return True
 
-    def _handed(self, ident: str, state: str, machine: str, words: str) -> None:
-        task = self._given.get(ident)
+    def _on_forward_status(self, ident: str, state: str, machine: str, words: str) -> None:
+        task = self._forwarded.get(ident)
         if task is None:
             return
         task.last_outcome = words or task.last_outcome
         if state == handing.PLACED:
             task.machine = machine
-            self._book.close_request(task)
-            self._book.transition(task, Step.PLACE)
+            self._jobs.close_request(task)
+            self._jobs.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
         elif state in (handing.REFUSED, handing.FAILED) and task.answered:
             # A run that was to move, and nobody took: its owner has had its answer, and wants it still.
-            del self._given[ident]
-            del self._idents[task.name]
-            self._book.close_request(task)
+            del self._forwarded[ident]
+            del self._ident_by_task[task.name]
+            self._jobs.close_request(task)
             self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
             return
         elif state in (handing.REFUSED, handing.FAILED):
@@ -161,16 +170,16 @@
                 task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL
             )
         elif state in handing.RAN:
-            self._book.transition(task, Step.DONE if state == handing.DONE else Step.LOSE)
+            self._jobs.transition(task, Step.DONE if state == handing.DONE else Step.LOSE)
         if state in handing.FINAL:
-            del self._given[ident]
-            self._idents.pop(task.name, None)
-        self._board.mark(task.job)
-        self._board.flush()
+            del self._forwarded[ident]
+            self._ident_by_task.pop(task.name, None)
+        self._objects.mark(task.job)
+        self._objects.flush()
 
     # -- from another region to here
 
-    def _take(self, ident: str, manifest: str, left_us: int) -> None:
+    def _receive(self, ident: str, manifest: str, left_us: int) -> None:
         """Runs in a task of its own: taking a Job in may wait for its keeper."""
         now = self._base.hub.now_us()
         try:
@@ -178,40 +187,45 @@
             meta = value["metadata"]
             meta["name"] = f"handed-{names.ident(ident):013x}"
             notes = meta.setdefault("annotations", {})
-            notes |= {names.HANDED: ident, names.PATIENCE: f"{max(0, left_us - KEPT_US) // 1000}ms"}
+            notes |= {
+                names.HANDED: ident,
+                names.PATIENCE: f"{max(0, left_us - RECEIVER_MARGIN_US) // 1000}ms",
+            }
             namespace = str(meta["namespace"])
             key = f"{namespace}/{meta['name']}"
-            self._taken[key], self._keys[ident] = ident, key
+            self._ident_by_job[key], self._job_by_ident[ident] = ident, key
             self.submit(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
-            self.act(self.taking.report_status(now, ident, handing.REFUSED, "", str(error)))
+            self.carry_out(self.receiver.report_status(now, ident, handing.REFUSED, "", str(error)))
             return
-        if ident in self._stopped:
-            self._stop(ident)
+        if ident in self._stopped_early:
+            self._on_stop(ident)
 
-    def _stop(self, ident: str) -> None:
-        key = self._keys.get(ident)
+    def _on_stop(self, ident: str) -> None:
+        key = self._job_by_ident.get(ident)
         if key is None:
             return
-        if key not in self._book.jobs:
-            self._stopped.add(ident)  # it is still being taken in
+        if key not in self._jobs.jobs:
+            self._stopped_early.add(ident)  # it is still being taken in
             return
         self._forget(ident)
         self.delete(key)
-        self.act(
-            self.taking.report_status(self._base.hub.now_us(), ident, handing.FAILED, "", "stopped")
+        self.carry_out(
+            self.receiver.report_status(
+                self._base.hub.now_us(), ident, handing.FAILED, "", "stopped"
+            )
         )
 
     def _forget(self, ident: str) -> None:
-        self._stopped.discard(ident)
-        key = self._keys.pop(ident, None)
+        self._stopped_early.discard(ident)
+        key = self._job_by_ident.pop(ident, None)
         if key is not None:
-            self._taken.pop(key, None)
+            self._ident_by_job.pop(key, None)
 
-    def _stepped(self, task: TaskRecord, before: State) -> None:
+    def _on_state_change(self, task: TaskRecord, before: State) -> None:
         """A task of this placer's book has another state: its giver hears what concerns it."""
-        ident = self._taken.get(task.job.key)
+        ident = self._ident_by_job.get(task.job.key)
         if ident is None or task.state is before:
             return
         state = {
@@ -228,8 +242,8 @@
         if state in handing.FINAL:
             self._forget(ident)
         where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
-        self.act(
-            self.taking.report_status(
+        self.carry_out(
+            self.receiver.report_status(
                 self._base.hub.now_us(), ident, state, where, task.last_outcome
             )
         )
@@ -239,33 +253,33 @@
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """A letter about handing over."""
         if isinstance(message, handing.ForwardStatus):
-            return self._carry(self.giving.on_message(now_us, ident, address, message))
-        return self._carry(self.taking.on_message(now_us, ident, address, message))
+            return self._carry_out_here(self.sender.on_message(now_us, ident, address, message))
+        return self._carry_out_here(self.receiver.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
         """One of the giver's timers."""
-        return self._carry(self.giving.on_timer(now_us, key))
+        return self._carry_out_here(self.sender.on_timer(now_us, key))
 
-    def _carry(self, effects: list[Effect]) -> list[Effect]:
+    def _carry_out_here(self, effects: list[Effect]) -> list[Effect]:
         """Do here what is told; the rest is the host's."""
         out: list[Effect] = []
         for each in effects:
             if not isinstance(each, Notify):
                 out.append(each)
             elif each.event == "handed":
-                self._handed(**each.fields)
+                self._on_forward_status(**each.fields)
             elif each.event == "take":
                 ident, manifest, left = (
                     each.fields[name] for name in ("ident", "manifest", "left_us")
                 )
                 self._base.spawn(
-                    lambda ident=ident, manifest=manifest, left=left: self._take(  # type: ignore[misc]
+                    lambda ident=ident, manifest=manifest, left=left: self._receive(  # type: ignore[misc]
                         ident, manifest, left
                     ),
                     "takes a Job that was handed over",
                 )
             else:
-                self._stop(each.fields["ident"])
+                self._on_stop(each.fields["ident"])
         return out
 
 
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -19,7 +19,7 @@
     def __init__(
         self, base: Base, host: Host, book: JobStore, attempts: Attempts, board: ApiObjects
     ) -> None:
-        self._base, self._host, self._book, self._attempts, self._board = (
+        self._base, self._host, self._jobs, self._attempts, self._objects = (
             base,
             host,
             book,
@@ -36,23 +36,23 @@
         # Of leased Jobs: whether `placed` may be answered at once, what an attempt came to, whether the failure of a
         # request with an attempt out is answered by who keeps the lease.
         self.may_answer_placed: Callable[[Attempt], bool] = lambda attempt: True
-        self.attempt_began: Callable[[Attempt], None] = lambda attempt: None
-        self.attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
+        self.on_attempt_began: Callable[[Attempt], None] = lambda attempt: None
+        self.on_leased_attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
             lambda attempt, outcome, words: None
         )
         self.is_answered_by_lease: Callable[[Attempt], bool] = lambda attempt: False
-        self.goes_to_other_region: Callable[[TaskRecord], bool] = (
+        self.try_forward: Callable[[TaskRecord], bool] = (
             lambda task: False
         )  # whether another region is asked instead
 
     def submit(self, task: TaskRecord, due_us: int | None = None) -> None:
         """Ask for a task; its final answer is due then, without a time after its Job's patience."""
-        if due_us is None and self.goes_to_other_region(task):
+        if due_us is None and self.try_forward(task):
             return
         asked = task.job.request
         if due_us is None:
             due_us = self._base.hub.now_us() + asked.patience_us
-        request = self._book.open_request(task, due_us)
+        request = self._jobs.open_request(task, due_us)
         self.waits.add(task)
         self._host.feed(self.arrival(task, request, asked.expected_us))
 
@@ -85,7 +85,7 @@
         """Its request has ended."""
         self._host.cancel_timer(task.request)
         self.waits.remove(task, task.request)
-        self._book.close_request(task)
+        self._jobs.close_request(task)
 
     def withdraw(self, task: TaskRecord) -> None:
         """Nobody wants the answer any longer."""
@@ -95,7 +95,7 @@
 
     def reject_or_fail(self, request: int, step: Step) -> None:
         """The final answer to a request that is not placed."""
-        task = self._book.by_request.get(request)
+        task = self._jobs.by_request.get(request)
         if task is None or task.state is not State.ASKED:
             self._base.counts["answers_dropped"] += 1
             return
@@ -121,10 +121,12 @@
         self.close(task)
         if attempt is not None:
             attempt.abandoned = True
-        self._book.transition(task, step)
-        self._board.mark(task.job)
+        self._jobs.transition(task, step)
+        self._objects.mark(task.job)
         reason = "Refused" if step is Step.REFUSE else "Failed"
-        self._board.tell(task.job, "Warning", reason, f"task {task.index}: {task.last_outcome}")
+        self._objects.record_event(
+            task.job, "Warning", reason, f"task {task.index}: {task.last_outcome}"
+        )
         self._base.log(
             "task-" + reason.lower(),
             request=request,
@@ -141,9 +143,9 @@
         self.on_attempt_answered(attempt, None)
         self._host.cancel_timer(attempt.request)
         self.waits.remove(task, attempt.request)
-        self._book.transition(task, Step.PLACE)
+        self._jobs.transition(task, Step.PLACE)
         self._base.counts["placed"] += 1
-        self._board.mark(task.job)
+        self._objects.mark(task.job)
         self._base.log(
             "task-placed",
             level="debug",
@@ -158,9 +160,9 @@
         """As `placed`, of one that the module has not sent."""
         task = attempt.task
         task.machine = attempt.link.name
-        self._book.transition(task, Step.PLACE)
+        self._jobs.transition(task, Step.PLACE)
         self._base.counts["placed"] += 1
-        self._board.mark(task.job)
+        self._objects.mark(task.job)
         self._host.feed(
             api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
         )
@@ -177,7 +179,7 @@
         placed = attempt.stage is Stage.PLACED
         if not self._attempts.advance(attempt, Stage.ENDED):
             return
-        self.attempt_ended(attempt, outcome, words)
+        self.on_leased_attempt_ended(attempt, outcome, words)
         if not placed:
             self.on_start_outcome(attempt.link.name, outcome)
             self.on_attempt_answered(attempt, outcome)
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -25,11 +25,11 @@
         requests: Requests,
         stops: Stops,
     ) -> None:
-        self._base, self._book, self._attempts, self._board = base, book, attempts, board
+        self._base, self._jobs, self._attempts, self._objects = base, book, attempts, board
         self._requests, self._stops = requests, stops
-        self._again: dict[str, Timer] = {}
+        self._retry_timers: dict[str, Timer] = {}
 
-    def ended(self, attempt: Attempt, end: again.End, reason: api.Reason, words: str) -> None:
+    def on_ended(self, attempt: Attempt, end: again.End, reason: api.Reason, words: str) -> None:
         """A placed task's run is over."""
         task, job = attempt.task, attempt.task.job
         if attempt.stage is not Stage.PLACED:
@@ -48,21 +48,21 @@
         task.last_outcome = words
         if task.request == attempt.request:
             self._requests.close(task)
-        self._board.mark(job)
+        self._objects.mark(job)
         if end is again.End.DONE:
-            self._book.transition(task, Step.DONE)
+            self._jobs.transition(task, Step.DONE)
         elif end is not again.End.STOPPED:
-            self._after_loss(task, end, words)
+            self._retry_or_lose(task, end, words)
         self._requests.on_attempt_ended(
             attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
         )
 
-    def lost(self, attempt: Attempt, words: str) -> None:
+    def on_lost(self, attempt: Attempt, words: str) -> None:
         """Its machine holds it no longer, or is gone."""
         end = attempt.stopping or again.End.LOST
-        self.ended(attempt, end, api.Reason.UNTOLD, f"{words} ({attempt.link.name})")
+        self.on_ended(attempt, end, api.Reason.UNTOLD, f"{words} ({attempt.link.name})")
 
-    def _after_loss(self, task: TaskRecord, end: again.End, words: str) -> None:
+    def _retry_or_lose(self, task: TaskRecord, end: again.End, words: str) -> None:
         effect = task.job.request.task_class.task_class.effect
         verdict = again.judge(end, effect, task.restarts_left, task.losses, self._base.random)
         self._base.counts["run:" + end.value] += 1
@@ -72,37 +72,39 @@
             not task.job.adopted or task.answer_uncertain
         )
         if verdict.after_us is None or answered_otherwise:
-            self._book.transition(task, Step.LOSE)
-            self._board.tell(
+            self._jobs.transition(task, Step.LOSE)
+            self._objects.record_event(
                 task.job, "Warning", "Lost", f"task {task.index}: {words}; not asked for again"
             )
             return
         if verdict.counts:
             task.restarts_left -= 1
             task.losses += 1
-        self._book.transition(task, Step.SCHEDULE_RETRY)
-        self._board.tell(
+        self._jobs.transition(task, Step.SCHEDULE_RETRY)
+        self._objects.record_event(
             task.job,
             "Normal",
             "Moved" if end is again.End.MOVED else "Lost",
             f"task {task.index}: {words}; asked for again",
         )
-        self.wait(task, verdict.after_us)
+        self.schedule_retry(task, verdict.after_us)
 
-    def wait(self, task: TaskRecord, after_us: int) -> None:
+    def schedule_retry(self, task: TaskRecord, after_us: int) -> None:
         """Ask for a task that waits, after a while."""
 
         def due() -> None:
-            self._again.pop(task.name, None)
-            if self._book.transition(task, Step.RETRY):
-                self._board.mark(task.job)
+            self._retry_timers.pop(task.name, None)
+            if self._jobs.transition(task, Step.RETRY):
+                self._objects.mark(task.job)
                 self._requests.submit(task)
 
-        self._again[task.name] = self._base.hub.call_at(self._base.hub.now_us() + after_us, due)
+        self._retry_timers[task.name] = self._base.hub.call_at(
+            self._base.hub.now_us() + after_us, due
+        )
 
-    def cancel_again(self, task: TaskRecord) -> None:
+    def cancel_retry(self, task: TaskRecord) -> None:
         """It will not be asked for again after all."""
-        timer = self._again.pop(task.name, None)
+        timer = self._retry_timers.pop(task.name, None)
         if timer is not None:
             timer.cancel()
 
@@ -127,7 +129,7 @@
 
         def stopped() -> None:
             if attempt.stopping is not None:
-                self.ended(
+                self.on_ended(
                     attempt,
                     attempt.stopping,
                     api.Reason.UNTOLD,
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -19,8 +19,8 @@
 from wingbarrow.decide.slow_start import Came, ColdShare
 from wingbarrow.decide.subsets import Subsets
 
-LOOK_US = 50_000
-CAME = {
+CHECK_INTERVAL_US = 50_000
+ARRIVALS = {
     api.Outcome.NOT_SENT: Came.NEVER,
     api.Outcome.UNREACHABLE: Came.NEVER,
     api.Outcome.TIMED_OUT: Came.UNKNOWN,
@@ -29,7 +29,7 @@
 }
 
 
-class ColdShares:
+class SlowStartShares:
     """`offers`: what all placers together may send to one cold machine within the window, by the rules in force."""
 
     def __init__(
@@ -41,7 +41,7 @@
         offers: Callable[[], float],
     ) -> None:
         self._base, self._fleet, self._attempts = base, fleet, attempts
-        self._subsets, self._offers = subsets, offers
+        self._subsets, self._fleet_offers = subsets, offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
         self._account = ColdShare(
@@ -50,85 +50,85 @@
         self._closed: dict[
             str, None
         ] = {}  # machines that are shown as draining for want of a share
-        self._looking = False
-        fleet.rationed = self._ration
+        self._reopening = False
+        fleet.slow_start_guard = self._limit
 
-    def left(self, link: MachineLink) -> bool:
+    def has_share(self, link: MachineLink) -> bool:
         """Whether one more offer may go to a machine now; True for any that is not cold."""
         now = self._base.hub.now_us()
         return (
-            not self._cold(link.launched_us, now)
+            not self._is_cold(link.launched_us, now)
             or self._left(now, link.name, link.launched_us) > 0
         )
 
     def _left(self, now_us: int, name: str, launched_us: int) -> int:
-        share = self._subsets.cold_most(self._base.settings.name, name, self._offers())
+        share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
         return self._account.left(now_us, name, launched_us, share)
 
-    def chosen(self, link: MachineLink) -> None:
+    def on_chosen(self, link: MachineLink) -> None:
         """The module has chosen a machine for an offer that is under way from now on."""
         entry = self._fleet.held.get(link.name)
         if (
             entry is not None
             and link.name not in self._closed
-            and self._used_up(link.name, link.launched_us)
+            and self._is_used_up(link.name, link.launched_us)
         ):
-            self._fleet.take_again([entry])
+            self._fleet.reapply([entry])
 
-    def _used_up(self, name: str, launched_us: int) -> bool:
+    def _is_used_up(self, name: str, launched_us: int) -> bool:
         """Whether what is under way uses up what is left of a cold machine's share."""
         now = self._base.hub.now_us()
-        if not self._cold(launched_us, now):
+        if not self._is_cold(launched_us, now):
             return False
         waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_named(name))
         return self._left(now, name, launched_us) <= waiting
 
-    def sent(self, attempt: Attempt) -> None:
+    def on_sent(self, attempt: Attempt) -> None:
         """The first byte of an offer goes out, which the gate allowed."""
         link, now = attempt.link, self._base.hub.now_us()
-        if self._cold(link.launched_us, now):
+        if self._is_cold(link.launched_us, now):
             self._account.sent(
                 link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key
             )
 
-    def ended(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
+    def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
         """How an offer ended; None: its task runs."""
-        came = Came.SPOKE if outcome is None else CAME.get(outcome, Came.SPOKE)
+        came = Came.SPOKE if outcome is None else ARRIVALS.get(outcome, Came.SPOKE)
         self._account.ended(self._base.hub.now_us(), attempt.link.name, attempt.key, came)
 
-    def spoke(self, name: str) -> None:
+    def on_contact(self, name: str) -> None:
         """A machine has answered something else: what it was sent and given up before has come."""
         self._account.ended(self._base.hub.now_us(), name, "", Came.SPOKE)
 
-    def _cold(self, launched_us: int, now_us: int) -> bool:
+    def _is_cold(self, launched_us: int, now_us: int) -> bool:
         return launched_us > 0 and now_us < launched_us + self._cold_us
 
-    def _ration(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        if listed.phase is not api.Phase.RUNNING or not self._used_up(
+    def _limit(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
+        if listed.phase is not api.Phase.RUNNING or not self._is_used_up(
             entry.name, listed.launched_us
         ):
             self._closed.pop(entry.name, None)
             return listed
         self._closed[entry.name] = None
-        if not self._looking:
-            self._looking = True
-            self._base.spawn(self._look, "cold shares")
+        if not self._reopening:
+            self._reopening = True
+            self._base.spawn(self._reopen_machines, "cold shares")
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def _look(self) -> None:
+    def _reopen_machines(self) -> None:
         """Open machines of which there is some share again, all of a while at once."""
         try:
             while self._closed:
-                self._base.hub.sleep(LOOK_US)
+                self._base.hub.sleep(CHECK_INTERVAL_US)
                 held = self._fleet.held
                 for name in [name for name in self._closed if name not in held]:
                     del self._closed[name]
                 again = [
                     held[name]
                     for name in self._closed
-                    if not self._used_up(name, held[name].listed.launched_us)
+                    if not self._is_used_up(name, held[name].listed.launched_us)
                 ]
                 if again:
-                    self._fleet.take_again(again)
+                    self._fleet.reapply(again)
         finally:
-            self._looking = False
+            self._reopening = False
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -28,12 +28,12 @@
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.decide.widening import Widening
 
-LOOK_US = 250_000
+CHECK_INTERVAL_US = 250_000
 ALONE_US = 5_000_000  # after so long without a word of any member, this placer is taken to be alone
 LINGER_US = 10_000_000  # after the last offer to a machine: one that was given up may begin so late
-RELEASE_AGAIN_US = 2_000_000  # a machine that could not be released is looked at again
-LAST_LOOK_US = 1_000_000  # a machine that stood still until just now may take in offers a little after its answer
-RELEASES_OUT = 16  # machines that are asked at a time
+RELEASE_RETRY_US = 2_000_000  # a machine that could not be released is looked at again
+RELEASE_CONFIRM_US = 1_000_000  # a machine that stood still until just now may take in offers a little after its answer
+MAX_RELEASES = 16  # machines that are asked at a time
 REFILL_EACH_US = (
     100_000  # lists of all placers are spread over so long for each placer of the roster ...
 )
@@ -67,34 +67,34 @@
         self._view = LivingView(
             self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
         )
-        self._widen_most, self._widening = settings.widen, Widening(settings.widen)
+        self._max_extra, self._widening = settings.widen, Widening(settings.widen)
         self.extra = (
             0  # further ranks that this placer holds machines of, as tasks of its own wait long
         )
         self._begun_us = base.hub.now_us()
         self.living = self._view.living(self._begun_us)
-        self._everything = (
+        self._follows_all = (
             False  # take in every machine of the first list: what a former life held is not known
         )
         self._refills = Refills(base, fleet.reflector, self._spread_us)
         # Apart from those: what waits for its time among all placers must not hold this up.
-        self._widens = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
+        self._widening_lists = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
         self._releasing = 0
-        self._again_us: dict[
+        self._retry_at_us: dict[
             str, int
         ] = {}  # lingering machines that could not be released: when to look again
-        fleet.reflector.wanted = self.wants
+        fleet.reflector.wanted = self.is_followed
         fleet.guards.append(self._guard)
-        fleet.apart.append(lambda name: not self.holds(name))
-        fleet.forgotten = self._take_everything
+        fleet.closed_locally.append(lambda name: not self.holds(name))
+        fleet.on_state_lost = self._on_state_lost
 
     def holds(self, name: str) -> bool:
         """Whether a machine is of this placer's subset."""
         return self.subsets.holds(self._me, name, self.living, self.extra)
 
-    def wants(self, name: str) -> bool:
+    def is_followed(self, name: str) -> bool:
         """Whether a machine's entry is read: it is of the subset, or lingers."""
-        return self._everything or name in self._machines.links or self.holds(name)
+        return self._follows_all or name in self._machines.links or self.holds(name)
 
     @property
     def lingering(self) -> list[str]:
@@ -107,9 +107,9 @@
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def _take_everything(self) -> None:
+    def _on_state_lost(self) -> None:
         # Danger (rule 5): tasks of a former life would run on machines that are not of the subset, and not count.
-        self._everything = True
+        self._follows_all = True
 
     # -- who lives
 
@@ -118,15 +118,15 @@
         self._begun_us = self._base.hub.now_us()
         while True:
             now = self._base.hub.now_us()
-            self._look(now)
-            if self._widen_most:
-                self._look_at_waits(now)
+            self._check_membership(now)
+            if self._max_extra:
+                self._check_waits(now)
             self._release_some(now)
             if self._fleet.reflector.relists:
-                self._everything = False
-            self._base.hub.sleep(LOOK_US)
+                self._follows_all = False
+            self._base.hub.sleep(CHECK_INTERVAL_US)
 
-    def _look(self, now_us: int) -> None:
+    def _check_membership(self, now_us: int) -> None:
         living, known = self._members()
         if known or now_us - self._begun_us >= ALONE_US:
             living |= {self._me}
@@ -149,7 +149,7 @@
         if before - living:
             self._refills.ask()
 
-    def _look_at_waits(self, now_us: int) -> None:
+    def _check_waits(self, now_us: int) -> None:
         before, useful = self.extra, len(self.living) - self.subsets.rules.replicas
         extra = self._widening.look(now_us, self._waits_long(now_us), useful)
         if extra == before:
@@ -158,7 +158,7 @@
         self._base.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
         self._base.log("subset-width", extra=extra, moved=moved)
         if extra > before:
-            self._widens.ask()
+            self._widening_lists.ask()
 
     def _change(self, living: frozenset[str], extra: int) -> int:
         """Hold by these from now on; how many of the machines that are followed come in or leave."""
@@ -166,25 +166,25 @@
         self.living, self.extra = living, extra
         changed = set(before) ^ {name for name in held if self.holds(name)}
         if changed:
-            self._fleet.take_again([held[name] for name in held if name in changed])
+            self._fleet.reapply([held[name] for name in held if name in changed])
         return len(changed)
 
     # -- machines that go
 
     def _release_some(self, now_us: int) -> None:
         lingering = self.lingering
-        if self._again_us:
-            self._again_us = {
-                name: self._again_us[name] for name in lingering if name in self._again_us
+        if self._retry_at_us:
+            self._retry_at_us = {
+                name: self._retry_at_us[name] for name in lingering if name in self._retry_at_us
             }
         for name in lingering:
             link = self._machines.links[name]
-            if self._releasing >= RELEASES_OUT:
+            if self._releasing >= MAX_RELEASES:
                 return
             if name not in self._fleet.held and self._is_lost(link):
                 self._fleet.release(name)
-            elif self._again_us.get(name, 0) <= now_us and self._may_go(link, now_us):
-                self._again_us[name] = now_us + RELEASE_AGAIN_US
+            elif self._retry_at_us.get(name, 0) <= now_us and self._may_release(link, now_us):
+                self._retry_at_us[name] = now_us + RELEASE_RETRY_US
                 self._releasing += 1
                 self._base.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
 
@@ -198,7 +198,7 @@
             and not self._stops.pending_on(link)
         )
 
-    def _may_go(self, link: MachineLink, now_us: int) -> bool:
+    def _may_release(self, link: MachineLink, now_us: int) -> bool:
         """Whether nothing of this placer's is known to be there, or on its way."""
         return (
             link.phase is not api.Phase.GONE
@@ -213,7 +213,7 @@
             # Danger: a start that was given up, or a former life's task, would run on with nobody to stop it.
             holds_any = link.holds_any()
             if holds_any is False:
-                self._base.hub.sleep(LAST_LOOK_US)
+                self._base.hub.sleep(RELEASE_CONFIRM_US)
         finally:
             self._releasing -= 1
         name = link.name
@@ -221,7 +221,7 @@
             holds_any is False
             and not self.holds(name)
             and self._machines.links.get(name) is link
-            and self._may_go(link, self._base.hub.now_us())
+            and self._may_release(link, self._base.hub.now_us())
         ):
             self._base.counts["subset:released"] += 1
             self._fleet.release(name)
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -12,7 +12,9 @@
 from wingbarrow.core.job_store import State, TaskRecord
 from wingbarrow.decide.widening import is_long
 
-LOOKED_AT = 64  # of each group; patience has an upper bound, and so has the number of groups
+MAX_CHECKED_PER_GROUP = (
+    64  # of each group; patience has an upper bound, and so has the number of groups
+)
 
 
 class Waits:
@@ -40,7 +42,7 @@
         return any(
             self._waits_long(now_us, request, task)
             for group in self._groups.values()
-            for request, task in islice(group.items(), LOOKED_AT)
+            for request, task in islice(group.items(), MAX_CHECKED_PER_GROUP)
         )
 
     def _waits_long(self, now_us: int, request: int, task: TaskRecord) -> bool:
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -35,15 +35,15 @@
         self._log = log
         limits, store, seed = (
             placer.base.settings.limits,
-            placer.board.store,
+            placer.objects.store,
             placer.base.settings.seed,
         )
         self.resources = {
             "jobs": ListWatch(
-                hub, store, placer.board.jobs, "Job", "batch/v1", limits.watchers, seed
+                hub, store, placer.objects.jobs, "Job", "batch/v1", limits.watchers, seed
             ),
             "nodes": ListWatch(
-                hub, store, placer.board.nodes, "Node", "v1", limits.watchers, seed + 1
+                hub, store, placer.objects.nodes, "Node", "v1", limits.watchers, seed + 1
             ),
             "events": ListWatch(
                 hub, store, store.collection("events"), "Event", "v1", limits.watchers, seed + 2
@@ -62,7 +62,7 @@
         self.instances = InstancesFront(
             hub,
             lambda: placer.base.settings,
-            placer.hearsay,
+            placer.peer_hints,
             placer.peering,
             placer.base.started_us,
             log,
@@ -145,7 +145,7 @@
         name = parts[0] if parts else ""
         if name == "pods" and len(parts) == 3 and parts[2] == "eviction" and namespace:
             self._allow(request, "POST")
-            self._placer.desk.evict(parts[1])
+            self._placer.admission.evict(parts[1])
             return Answer(
                 201,
                 names.encode(
@@ -172,14 +172,14 @@
         """Namespaces exist by being named; those of present Jobs are listed, and `default`."""
         if parts:
             return Answer(200, names.encode(_namespace(parts[0])))
-        found = self._placer.desk.namespaces()
+        found = self._placer.admission.namespaces()
         return Answer(
             200,
             names.encode(
                 {
                     "kind": "NamespaceList",
                     "apiVersion": "v1",
-                    "metadata": {"resourceVersion": str(self._placer.board.store.version)},
+                    "metadata": {"resourceVersion": str(self._placer.objects.store.version)},
                     "items": [_namespace(each) for each in found],
                 }
             ),
@@ -207,9 +207,9 @@
         return True
 
     def _create(self, request: Request, namespace: str, query: Query) -> Answer:
-        self._placer.desk.look_at_door(request.came_us)
+        self._placer.admission.check_overload(request.came_us)
         value = self._body(request)
-        made = self._placer.desk.submit(
+        made = self._placer.admission.submit(
             value, namespace, self._dry_run(query.get("dryRun")), request.came_us
         )
         return Answer(201, names.encode(made))
@@ -217,12 +217,12 @@
     def _delete(self, request: Request, key: str, query: Query) -> Answer:
         options = self._body(request) if request.body else {}
         told = options.get("dryRun")
-        uid, wanted = self._placer.desk.uid_of(key), options.get("preconditions")
+        uid, wanted = self._placer.admission.uid_of(key), options.get("preconditions")
         if uid is not None and isinstance(wanted, dict) and wanted.get("uid") not in (None, uid):
             raise ApiError(409, f"the UID in the precondition is not that of {key}", "Conflict")
         if self._dry_run(query.get("dryRun")) or self._dry_run(told):
             return self.resources["jobs"].get(key)
-        value = self._placer.desk.delete_job(key)
+        value = self._placer.admission.delete_job(key)
         return Answer(
             200,
             names.encode(
@@ -252,7 +252,7 @@
         for what, count in placer.peering.counts.items():
             events.add_metric([what], count)
         for what, count in [
-            *placer.book.unexpected_transitions.items(),
+            *placer.job_store.unexpected_transitions.items(),
             *placer.attempts.unexpected_transitions.items(),
         ]:
             events.add_metric(["odd: " + what], count)
@@ -260,7 +260,7 @@
         answers = CounterMetricFamily(
             "wingbarrow_answers", "First final answers", labels=["answer"]
         )
-        for state, count in placer.book.answers.items():
+        for state, count in placer.job_store.answers.items():
             answers.add_metric([state.value], count)
         yield answers
         requests = CounterMetricFamily(
@@ -270,11 +270,11 @@
             requests.add_metric([str(status)], count)
         yield requests
         for name, help_text, value in (
-            ("wingbarrow_open_tasks", "Tasks that are not over", placer.book.admission.open),
+            ("wingbarrow_open_tasks", "Tasks that are not over", placer.job_store.admission.open),
             (
                 "wingbarrow_answers_owed",
                 "Tasks that wait for a final answer",
-                placer.book.unanswered,
+                placer.job_store.unanswered,
             ),
             (
                 "wingbarrow_stops_owed",
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -23,7 +23,7 @@
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
         """Answer one request; ApiError for what is refused."""
-        successor = self._placer.successor
+        successor = self._placer.job_failover
         if successor is None:
             raise ApiError(
                 404, "no leases are held here: `agree` and a region in its settings", "NotFound"
--- a/wingbarrow/lab/cluster.py
+++ b/wingbarrow/lab/cluster.py
@@ -194,7 +194,8 @@
         """Whether every placer has the whole list, and every machine has taken its watch."""
         machines = len(self.machines)
         return all(
-            slot.service is not None and slot.service.placer.sees(machines) for slot in self.placers
+            slot.service is not None and slot.service.placer.has_complete_view(machines)
+            for slot in self.placers
         )
 
     def addresses(self) -> list[PlacerAddress]:
--- a/wingbarrow/lab/hunt.py
+++ b/wingbarrow/lab/hunt.py
@@ -64,7 +64,7 @@
         f"odd: {step}": count
         for slot in outcome.cluster.placers
         if slot.service
-        for step, count in slot.service.placer.oddities().items()
+        for step, count in slot.service.placer.unexpected_transitions().items()
     }
     return Found(
         what,
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -51,9 +51,9 @@
     """The placer's machines; `guards` narrow what the module is told, the calls hear of what comes and goes."""
 
     guards: list[Any]
-    gone: Callable[[str], None]
-    listed: Callable[[str], None]
-    taken_in: Callable[[], None]
+    on_gone: Callable[[str], None]
+    on_machine_listed: Callable[[str], None]
+    on_delivery_applied: Callable[[], None]
     reflector: Any
 
     @property
@@ -64,13 +64,13 @@
     def reopening(self) -> bool:
         """Whether closed machines are being opened right now."""
 
-    def closed_here(self, entry: Any) -> bool:
+    def is_closed_locally(self, entry: Any) -> bool:
         """Whether a machine is closed to this placer for reasons of its own, such as its start."""
 
     def size_of(self, entry: Any) -> tuple[float, float]:
         """Cores and memory."""
 
-    def take_again(self, entries: Iterable[Any]) -> None:
+    def reapply(self, entries: Iterable[Any]) -> None:
         """Have entries pass the guards anew."""
 
 
@@ -95,7 +95,7 @@
 class Use(Protocol):
     """When a task last told of its use."""
 
-    use_us: int | None
+    last_usage_us: int | None
 
 
 class Life(Protocol):
@@ -126,7 +126,11 @@
         self._average = (0.5, 0.5)  # asked over size, as peers last told it
         self._shares_taken = False
         fleet.guards.append(self._guard)
-        fleet.gone, fleet.listed, fleet.taken_in = self._note_gone, self._note_listed, self._apply
+        fleet.on_gone, fleet.on_machine_listed, fleet.on_delivery_applied = (
+            self._note_gone,
+            self._note_listed,
+            self._apply,
+        )
         fleet.reflector.on_new_source = self._distrust.new_source
 
     # -- told to others
@@ -158,7 +162,7 @@
                 continue
             launched = now - link.launched_us if link.launched_us > 0 else None
             # What is closed for this placer's own reasons is no drain that others should hear of.
-            phase = entry.listed.phase if self._fleet.closed_here(entry) else link.phase
+            phase = entry.listed.phase if self._fleet.is_closed_locally(entry) else link.phase
             if self._base.settings.agree is not None:
                 # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
                 phase = self._guard(entry, entry.listed).phase
@@ -180,7 +184,7 @@
             sights.append(
                 Sight(name, version, api.Phase.GONE, None, None, None, None, None, {}, {})
             )
-        use_us = self._sightings.use_us
+        use_us = self._sightings.last_usage_us
         return sights, Shares(known.ratio, known.notes, None if use_us is None else now - use_us)
 
     def _note_gone(self, name: str) -> None:
@@ -215,7 +219,7 @@
             ):
                 self._heard[sight.machine] = sight, now - more_age_us, clock_good
         if changed:
-            self._fleet.take_again(changed)
+            self._fleet.reapply(changed)
         else:
             self._apply()
         return True
@@ -251,7 +255,7 @@
             for name in self._heard
             if name in held
             and name in self._machines.links
-            and not self._fleet.closed_here(held[name])
+            and not self._fleet.is_closed_locally(held[name])
         ]:
             sight, at_us, good = self._heard.pop(name)
             groups.setdefault((at_us, good), []).append(sight)
