--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -135,7 +135,7 @@
 
     def start(self) -> None:
         """Count from now on, by wrapping the reflector's method, which does not wait for anything."""
-        total, take_in = self, Reflector._batch
+        total, take_in = self, Reflector._on_batch
 
         def counted_batch(self: Reflector, batch: list[tuple[str, dict[str, Any]]]) -> None:
             begun_s = time.process_time()
@@ -143,7 +143,7 @@
             total.seconds += time.process_time() - begun_s
             total.entries += sum(kind != "BOOKMARK" for kind, _ in batch)
 
-        Reflector._batch = counted_batch  # type: ignore[method-assign]
+        Reflector._on_batch = counted_batch  # type: ignore[method-assign]
 
 
 class Reporter:
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -27,7 +27,7 @@
         for each in stage.live():
             assert len(each.fleet.held) + each.fleet.reflector.left_out == 12
             assert each.has_complete_view(12)
-            assert each.fleet.reflector.passed_over > 0
+            assert each.fleet.reflector.skipped_entries > 0
             assert not each.unexpected_transitions()
         told = stage.pool().request("GET", "/metrics").body.decode()
         placer = stage.placer(0)
@@ -36,7 +36,7 @@
             ("lingering", 0),
             ("relists", 0),
             ("left_out", placer.fleet.reflector.left_out),
-            ("passed_over", placer.fleet.reflector.passed_over),
+            ("passed_over", placer.fleet.reflector.skipped_entries),
         ):
             assert f"\nwingbarrow_subset_{name} {float(value)}\n" in told, name
 
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -56,7 +56,7 @@
             self._take,
             self._log,
         )
-        self.reflector.wanted = self.wanted
+        self.reflector.is_wanted = self.wanted
 
     def wanted(self, name: str) -> bool:
         return self.subsets.holds("p0", name, self.living)
@@ -102,7 +102,7 @@
         assert 100 <= len(want) <= 200
         assert listing.wait(lambda: reflector.left_out == 500 - len(want))
         assert reflector.relists == 1
-        assert reflector.passed_over == 500 - len(want)
+        assert reflector.skipped_entries == 500 - len(want)
         assert sum(entries for _, entries, _ in listing.delivered) == len(want), (
             "each is delivered once"
         )
@@ -156,9 +156,9 @@
         ]:  # the picture is later than the list that was read, by news that was passed over too
             listing.source.show(name, node(name, drains=True))
         serve_old = listing.source.keep_old()
-        passed = listing.reflector.passed_over + len(out[1:5])
+        passed = listing.reflector.skipped_entries + len(out[1:5])
         listing.source.show(other, node(other, drains=True))
-        assert listing.wait(lambda: listing.reflector.passed_over > passed)
+        assert listing.wait(lambda: listing.reflector.skipped_entries > passed)
         assert len(out) >= 5
         listing.living = frozenset({"p0"})
         serve_old(True)
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -276,14 +276,14 @@
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.offered_us
-        assert offered_us is not None and not subset._may_go(link, offered_us + LINGER_US - 1), (
+        assert offered_us is not None and not subset._may_release(link, offered_us + LINGER_US - 1), (
             "its offer is just over"
         )
-        assert subset._may_go(link, offered_us + LINGER_US)
+        assert subset._may_release(link, offered_us + LINGER_US)
         placer.stops.request(link, "default", "ghost", settled=lambda: False)
-        assert not subset._may_go(link, offered_us + LINGER_US), "a stop is owed"
+        assert not subset._may_release(link, offered_us + LINGER_US), "a stop is owed"
         link.reachable = False
-        assert not subset._may_go(link, offered_us + 9 * LINGER_US), "it cannot tell"
+        assert not subset._may_release(link, offered_us + 9 * LINGER_US), "it cannot tell"
 
     stage.play(script, start=False)
 
@@ -333,7 +333,7 @@
         for each in stage.live():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
             assert each.peer_hints.take_sights(others * 4, 0, True), "taken for a stranger"
-            assert all(each.fleet.reflector.wanted(name) for name in each.peer_hints._heard)
+            assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._heard)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
         assert machine not in {sight.machine for sight in placer.peer_hints.know()[0]}, (
             "it is not told to be gone"
--- a/tests/decide/test_decide.py
+++ b/tests/decide/test_decide.py
@@ -14,11 +14,11 @@
 from wingbarrow.decide import retries as again
 from wingbarrow.decide.admission import Admission
 from wingbarrow.decide.backoff import Backoff
-from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.idempotency import Earlier, may_repeat
+from wingbarrow.decide.gate import HoldReason, Offer, SendGate
+from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.listing import NEW_SOURCE_US, ListJudge, Take
 from wingbarrow.decide.orphans import Orphan, OrphanAction
-from wingbarrow.decide.retries import End
+from wingbarrow.decide.retries import RunEnd
 from wingbarrow.interface import Effect, ListedMachine, Phase, Place, TaskClass
 
 S = 1_000_000
@@ -37,23 +37,23 @@
     ("change", "now", "held"),
     [
         ({}, 11 * S, None),
-        ({"request_open": False}, 11 * S, Held.ENDED),
-        ({}, 20 * S, Held.LATE),
+        ({"request_open": False}, 11 * S, HoldReason.ENDED),
+        ({}, 20 * S, HoldReason.LATE),
         ({}, 20 * S - 1, None),
-        ({"attempt_out": False}, 11 * S, Held.NOT_OUT),
-        ({"machine_runs": False}, 10 * S, Held.DRAINING),
-        ({"leased": False}, 11 * S, Held.NO_LEASE),
+        ({"attempt_out": False}, 11 * S, HoldReason.NOT_OUT),
+        ({"machine_runs": False}, 10 * S, HoldReason.DRAINING),
+        ({"leased": False}, 11 * S, HoldReason.NO_LEASE),
         ({"launched_us": 5 * S}, 10 * S + S // 4, None),
-        ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, Held.STALE_COLD),
+        ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, HoldReason.STALE_COLD),
         ({"launched_us": 5 * S, "deadline_us": 90 * S}, 23 * S, None),
-        ({"may_repeat": False}, 11 * S, Held.REPEAT),
+        ({"may_repeat": False}, 11 * S, HoldReason.REPEAT),
         ({"launched_us": 5 * S, "chosen_launched_us": 5 * S}, 10 * S, None),
-        ({"launched_us": 5 * S, "chosen_launched_us": 0}, 10 * S, Held.RESTARTED),
+        ({"launched_us": 5 * S, "chosen_launched_us": 0}, 10 * S, HoldReason.RESTARTED),
         ({"launched_us": 5 * S, "chosen_launched_us": 0, "deadline_us": 90 * S}, 23 * S, None),
     ],
 )
 def test_the_gate_holds_what_a_rule_forbids(
-    change: dict[str, object], now: int, held: Held | None
+    change: dict[str, object], now: int, held: HoldReason | None
 ) -> None:
     assert GATE.check(now, replace(OFFER, **change)) is held  # type: ignore[arg-type]
 
@@ -81,7 +81,7 @@
         ListedMachine(i, "std", c, z, Phase.RUNNING, 0, 1.0, 1.0)
         for i, c, z in ((1, 1, "a"), (2, cell, zone))
     )
-    assert may_repeat(now, cls, Earlier(S // 2, first), second, 1000) is allowed
+    assert may_repeat(now, cls, EarlierAttempt(S // 2, first), second, 1000) is allowed
     assert may_repeat(now, cls, None, second, 1000)
 
 
@@ -138,32 +138,34 @@
     )
 
 
-@given(st.sampled_from(End), st.integers(0, 9), st.integers(0, 50), st.integers())
+@given(st.sampled_from(RunEnd), st.integers(0, 9), st.integers(0, 50), st.integers())
 def test_what_must_not_start_twice_is_never_asked_again(
-    end: End, left: int, losses: int, seed: int
+    end: RunEnd, left: int, losses: int, seed: int
 ) -> None:
-    assert again.judge(end, Effect.UNSAFE, left, losses, random.Random(seed)).after_us is None
+    assert (
+        again.decide_retry(end, Effect.UNSAFE, left, losses, random.Random(seed)).after_us is None
+    )
 
 
 @given(
-    st.sampled_from([End.EVICTED, End.LOST, End.SENT_AWAY, End.PUSHED_OUT]),
+    st.sampled_from([RunEnd.EVICTED, RunEnd.LOST, RunEnd.SENT_AWAY, RunEnd.PUSHED_OUT]),
     st.integers(0, 50),
     st.integers(),
 )
-def test_waits_grow_with_losses_and_stay_bounded(end: End, losses: int, seed: int) -> None:
-    verdict = again.judge(end, Effect.SAFE, 1, losses, random.Random(seed))
+def test_waits_grow_with_losses_and_stay_bounded(end: RunEnd, losses: int, seed: int) -> None:
+    verdict = again.decide_retry(end, Effect.SAFE, 1, losses, random.Random(seed))
     assert verdict.counts
     assert verdict.after_us is not None
-    assert 100_000 <= verdict.after_us <= again.EVICTED_US << again.DOUBLINGS
-    assert again.judge(end, Effect.SAFE, 0, losses, random.Random(seed)).after_us is None
+    assert 100_000 <= verdict.after_us <= again.EVICTED_DELAY_US << again.MAX_DOUBLINGS
+    assert again.decide_retry(end, Effect.SAFE, 0, losses, random.Random(seed)).after_us is None
 
 
 def test_a_move_costs_no_restart_and_an_end_is_an_end() -> None:
-    moved = again.judge(End.MOVED, Effect.SAFE, 0, 9, random.Random(1))
-    assert moved.after_us == again.MOVED_US
+    moved = again.decide_retry(RunEnd.MOVED, Effect.SAFE, 0, 9, random.Random(1))
+    assert moved.after_us == again.MOVED_DELAY_US
     assert not moved.counts
-    for end in (End.DONE, End.STOPPED):
-        assert again.judge(end, Effect.SAFE, 9, 0, random.Random(1)).after_us is None
+    for end in (RunEnd.DONE, RunEnd.STOPPED):
+        assert again.decide_retry(end, Effect.SAFE, 9, 0, random.Random(1)).after_us is None
 
 
 def test_admission_counts_in_all_and_by_namespace_and_gives_room_back() -> None:
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -13,27 +13,27 @@
 from wingbarrow import interface as api
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import (
-    AGE_MOST_US,
     HALF_LIFE_US,
-    USELESS_US,
+    MAX_AGE_US,
+    MAX_USEFUL_AGE_US,
     Announcement,
     ClockCheck,
     Distrust,
-    Sight,
+    MachineObservation,
 )
 from wingbarrow.interface import Phase
 
 S = 1_000_000
-SIGHT = Sight(
+SIGHT = MachineObservation(
     "m", 10, Phase.RUNNING, None, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
 )
 SIZES, VERSIONS, IDENTS = {"m": (20.0, 40.0)}, {"m": 10}, {"m": 7}
 
 
 def weigh(
-    sight: Sight, more: int = 0, good: bool = True, version: int = 10
+    sight: MachineObservation, more: int = 0, good: bool = True, version: int = 10
 ) -> list[api.LearnedMachine]:
-    return learning.weigh([sight], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5))
+    return learning.learned_machines([sight], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5))
 
 
 def test_a_fresh_sight_is_taken_as_it_is() -> None:
@@ -51,7 +51,7 @@
     assert not found.warm_us and not found.rests_us, "what is over by now is not told"
 
 
-@given(st.integers(0, 3 * USELESS_US), st.integers(0, USELESS_US))
+@given(st.integers(0, 3 * MAX_USEFUL_AGE_US), st.integers(0, MAX_USEFUL_AGE_US))
 def test_more_age_never_weighs_more(age: int, more: int) -> None:
     assert 0 <= learning.weight(age + more) <= learning.weight(age) <= 1
 
@@ -60,14 +60,18 @@
     assert (
         weigh(
             replace(
-                SIGHT, asked_age_us=USELESS_US, measured_age_us=USELESS_US, warm_us={}, rests_us={}
+                SIGHT,
+                asked_age_us=MAX_USEFUL_AGE_US,
+                measured_age_us=MAX_USEFUL_AGE_US,
+                warm_us={},
+                rests_us={},
             )
         )
         == []
     )
 
 
-@pytest.mark.parametrize("age", [-1, -3600 * S, AGE_MOST_US + 1, 1 << 62])
+@pytest.mark.parametrize("age", [-1, -3600 * S, MAX_AGE_US + 1, 1 << 62])
 def test_an_implausible_age_makes_a_figure_useless_not_fresh(age: int) -> None:
     (found,) = weigh(replace(SIGHT, asked_age_us=age, measured_age_us=age))
     assert found.asked is None
@@ -97,14 +101,14 @@
 
 def test_clocks_may_differ_but_not_jump() -> None:
     check = ClockCheck()
-    assert check.page(0, 3600 * S)
-    assert check.page(S, 3601 * S)
-    assert check.page(2 * S, 3602 * S + S // 2)
-    assert not check.page(3 * S, 7200 * S)
-    assert not check.page(4 * S, 3604 * S), "once it jumped it is not believed again"
+    assert check.check_page(0, 3600 * S)
+    assert check.check_page(S, 3601 * S)
+    assert check.check_page(2 * S, 3602 * S + S // 2)
+    assert not check.check_page(3 * S, 7200 * S)
+    assert not check.check_page(4 * S, 3604 * S), "once it jumped it is not believed again"
     back = ClockCheck()
-    assert back.page(0, 100 * S)
-    assert not back.page(S, 90 * S)
+    assert back.check_page(0, 100 * S)
+    assert not back.check_page(S, 90 * S)
 
 
 def told(name: str, **more: object) -> Announcement:
@@ -136,7 +140,7 @@
 def test_a_drain_is_trusted_until_a_newer_list_says_it_runs() -> None:
     distrust = Distrust(10)
     drained = replace(SIGHT, phase=Phase.DRAINING, version=20)
-    assert distrust.saw(drained, 15, 0)
+    assert distrust.on_observation(drained, 15, 0)
     entry = listed(7)
     for version in (15, 19, 20):
         assert distrust.narrow("m", version, entry).phase is Phase.DRAINING
@@ -147,19 +151,19 @@
 
 def test_a_drain_that_the_list_has_outlived_is_no_news() -> None:
     distrust = Distrust(10)
-    assert not distrust.saw(replace(SIGHT, phase=Phase.GONE, version=9), 10, 0)
+    assert not distrust.on_observation(replace(SIGHT, phase=Phase.GONE, version=9), 10, 0)
     assert distrust.narrow("m", 10, listed(7)).phase is Phase.RUNNING
 
 
 def test_a_drain_of_a_machine_not_listed_yet_counts_when_it_comes() -> None:
     distrust = Distrust(10)
-    distrust.saw(replace(SIGHT, phase=Phase.GONE, version=20), None, 0)
+    distrust.on_observation(replace(SIGHT, phase=Phase.GONE, version=20), None, 0)
     assert distrust.narrow("m", 12, listed(7)).phase is Phase.DRAINING
 
 
 def test_a_later_start_that_a_peer_saw_makes_the_machine_cold_never_warm() -> None:
     distrust = Distrust(10)
-    distrust.saw(replace(SIGHT, version=20, launched_age_us=2 * S), 15, 100 * S)
+    distrust.on_observation(replace(SIGHT, version=20, launched_age_us=2 * S), 15, 100 * S)
     assert distrust.narrow("m", 15, listed(7)).launched_us == 98 * S
     assert distrust.narrow("m", 15, listed(7, launched_us=99 * S)).launched_us == 99 * S
     assert distrust.narrow("m", 20, listed(7)).launched_us == 0
@@ -168,9 +172,9 @@
 def test_distrust_is_bounded_and_a_new_source_clears_it() -> None:
     distrust = Distrust(3)
     for number in range(9):
-        distrust.saw(replace(SIGHT, machine=f"m{number}", phase=Phase.GONE), None, 0)
+        distrust.on_observation(replace(SIGHT, machine=f"m{number}", phase=Phase.GONE), None, 0)
     assert len(distrust) == 3
-    distrust.new_source()
+    distrust.on_new_source()
     assert len(distrust) == 0
 
 
@@ -178,9 +182,9 @@
     ours = {f"m{i}": i for i in range(10)}
     same = [replace(SIGHT, machine=f"m{i}") for i in range(8)]
     others = [replace(SIGHT, machine=f"x{i}") for i in range(9)]
-    assert not learning.strangers(same, ours)
-    assert learning.strangers(others, ours)
-    assert not learning.strangers(others, {}), "without a list nothing is strange"
+    assert not learning.is_other_cluster(same, ours)
+    assert learning.is_other_cluster(others, ours)
+    assert not learning.is_other_cluster(others, {}), "without a list nothing is strange"
 
 
 @pytest.mark.parametrize(
@@ -195,7 +199,7 @@
     ],
 )
 def test_shares_that_cannot_be_weigh_nothing(ratio: float, notes: float, age: int | None) -> None:
-    assert learning.weigh_ratio(ratio, notes, age, True) == (0.0, 0.0)
+    assert learning.learned_ratio(ratio, notes, age, True) == (0.0, 0.0)
 
 
 # -- the module's side
--- a/tests/decide/test_slow_start.py
+++ b/tests/decide/test_slow_start.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.slow_start import Came, ColdShare
+from wingbarrow.decide.gate import HoldReason, Offer, SendGate
+from wingbarrow.decide.slow_start import Arrival, SlowStartShare
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
@@ -16,72 +16,74 @@
 
 
 def test_an_offer_counts_until_a_span_after_it_came() -> None:
-    account = ColdShare(SPAN)
-    assert account.left(0, "m", 1, 2) == 2
-    account.sent("m", 1, 18 * S, "a")
-    account.sent("m", 1, 18 * S, "b")
-    assert account.left(10 * S, "m", 1, 2) == 0, "nobody knows yet whether they came"
-    account.ended(10 * S, "m", "a", Came.SPOKE)
-    assert account.left(10 * S + SPAN - 1, "m", 1, 2) == 0
-    assert account.left(10 * S + SPAN, "m", 1, 2) == 1
-    account.ended(11 * S, "m", "b", Came.NEVER)
-    assert account.left(13 * S, "m", 1, 2) == 2
+    account = SlowStartShare(SPAN)
+    assert account.remaining(0, "m", 1, 2) == 2
+    account.on_sent("m", 1, 18 * S, "a")
+    account.on_sent("m", 1, 18 * S, "b")
+    assert account.remaining(10 * S, "m", 1, 2) == 0, "nobody knows yet whether they came"
+    account.on_ended(10 * S, "m", "a", Arrival.CONTACT)
+    assert account.remaining(10 * S + SPAN - 1, "m", 1, 2) == 0
+    assert account.remaining(10 * S + SPAN, "m", 1, 2) == 1
+    account.on_ended(11 * S, "m", "b", Arrival.NEVER)
+    assert account.remaining(13 * S, "m", 1, 2) == 2
 
 
 def test_a_given_up_offer_counts_until_the_machine_speaks_or_starts_anew() -> None:
-    account = ColdShare(SPAN)
+    account = SlowStartShare(SPAN)
     for offer in ("a", "b", "c"):
-        account.sent("m", 1, 18 * S, offer)
-        account.ended(S, "m", offer, Came.UNKNOWN)
-    assert account.left(9 * S, "m", 1, 3) == 0
-    account.ended(9 * S, "m", "d", Came.ALONE)
-    assert account.left(9 * S + SPAN, "m", 1, 3) == 0, "a broken connection says nothing of others"
-    account.ended(9 * S, "m", "", Came.SPOKE)
-    assert account.left(9 * S + SPAN - 1, "m", 1, 3) == 0
-    assert account.left(9 * S + SPAN, "m", 1, 3) == 3
-    account.sent("m", 1, 18 * S, "e")
-    account.ended(12 * S, "m", "e", Came.UNKNOWN)
-    assert account.left(13 * S, "m", 2, 3) == 2, (
+        account.on_sent("m", 1, 18 * S, offer)
+        account.on_ended(S, "m", offer, Arrival.UNKNOWN)
+    assert account.remaining(9 * S, "m", 1, 3) == 0
+    account.on_ended(9 * S, "m", "d", Arrival.ARRIVED)
+    assert account.remaining(9 * S + SPAN, "m", 1, 3) == 0, (
+        "a broken connection says nothing of others"
+    )
+    account.on_ended(9 * S, "m", "", Arrival.CONTACT)
+    assert account.remaining(9 * S + SPAN - 1, "m", 1, 3) == 0
+    assert account.remaining(9 * S + SPAN, "m", 1, 3) == 3
+    account.on_sent("m", 1, 18 * S, "e")
+    account.on_ended(12 * S, "m", "e", Arrival.UNKNOWN)
+    assert account.remaining(13 * S, "m", 2, 3) == 2, (
         "to its former process: it counts as come at the new start"
     )
-    assert account.left(13 * S + SPAN, "m", 2, 3) == 3
+    assert account.remaining(13 * S + SPAN, "m", 2, 3) == 3
 
 
 def test_a_smaller_share_is_kept_at_once_and_none_stays_none() -> None:
-    account = ColdShare(SPAN)
-    account.sent("m", 1, 18 * S, "a")
-    account.ended(0, "m", "a", Came.SPOKE)
-    assert account.left(0, "m", 1, 1) == 0
-    assert account.left(0, "m", 1, 0) == 0
-    assert account.left(0, "n", 1, 0) == 0
+    account = SlowStartShare(SPAN)
+    account.on_sent("m", 1, 18 * S, "a")
+    account.on_ended(0, "m", "a", Arrival.CONTACT)
+    assert account.remaining(0, "m", 1, 1) == 0
+    assert account.remaining(0, "m", 1, 0) == 0
+    assert account.remaining(0, "n", 1, 0) == 0
 
 
 def test_a_full_table_lets_nothing_out_until_a_machine_is_no_longer_cold() -> None:
-    account = ColdShare(SPAN, machines_most=2)
-    account.sent("m", 1, 18 * S, "a")
-    account.sent("n", 1, 5 * S, "b")
-    assert account.left(S, "o", 1, 3) == 0
+    account = SlowStartShare(SPAN, max_machines=2)
+    account.on_sent("m", 1, 18 * S, "a")
+    account.on_sent("n", 1, 5 * S, "b")
+    assert account.remaining(S, "o", 1, 3) == 0
     assert len(account) == 2
-    assert account.left(5 * S, "o", 1, 3) == 3
+    assert account.remaining(5 * S, "o", 1, 3) == 3
     assert len(account) == 1
 
 
 def test_figures_out_of_range_are_refused() -> None:
     for span, most in ((0, 1), (1, 0)):
         with pytest.raises(ValueError, match="above 0"):
-            ColdShare(span, most)
+            SlowStartShare(span, most)
 
 
 def test_the_gate_holds_an_offer_to_a_cold_machine_beyond_the_share() -> None:
     gate = SendGate(18 * S, FALL)
 
-    def held(cold_share_left: bool, launched_us: int) -> Held | None:
+    def held(cold_share_left: bool, launched_us: int) -> HoldReason | None:
         return gate.check(
             20 * S,
             Offer(20 * S, 30 * S, True, True, True, launched_us, cold_share_left=cold_share_left),
         )
 
-    assert held(False, 10 * S) is Held.COLD_SHARE
+    assert held(False, 10 * S) is HoldReason.COLD_SHARE
     assert held(True, 10 * S) is None
     assert held(False, 1 * S) is None, "it is not cold any more"
     assert held(False, 0) is None
@@ -103,7 +105,7 @@
     """
     names = tuple(f"p{index}" for index in range(7))
     subsets = Subsets(SubsetRules(names, replicas))
-    accounts = {name: ColdShare(SPAN) for name in names}
+    accounts = {name: SlowStartShare(SPAN) for name in names}
     now, count = 0, 0
     unread: list[tuple[str, str]] = []
     arrived: list[int] = []
@@ -111,16 +113,16 @@
         now += wait_us
         name = names[which]
         for _ in range(3):
-            if accounts[name].left(now, "m", 1, subsets.cold_most(name, "m", offers)) > 0:
+            if accounts[name].remaining(now, "m", 1, subsets.cold_most(name, "m", offers)) > 0:
                 count += 1
-                accounts[name].sent("m", 1, 1 << 60, f"o{count}")
+                accounts[name].on_sent("m", 1, 1 << 60, f"o{count}")
                 unread.append((name, f"o{count}"))
                 if count % 5 == 0:
-                    accounts[name].ended(now, "m", f"o{count}", Came.UNKNOWN)
+                    accounts[name].on_ended(now, "m", f"o{count}", Arrival.UNKNOWN)
         if reads:
             arrived += [now] * len(unread)
             for sender, offer in unread:
-                accounts[sender].ended(now, "m", offer, Came.SPOKE)
+                accounts[sender].on_ended(now, "m", offer, Arrival.CONTACT)
             unread = []
             within = [at for at in arrived if at > now - FALL]
             assert len(within) <= offers
--- a/tests/peers/test_handing_path.py
+++ b/tests/peers/test_handing_path.py
@@ -60,7 +60,7 @@
         )
         assert north.service is not None
         assert not north.service.placer.unexpected_transitions()
-        assert len(north.service.placer.admission._remote_regions.giving) == 0  # type: ignore[union-attr]
+        assert len(north.service.placer.admission._remote_regions.sender) == 0  # type: ignore[union-attr]
 
     stage.play(script)
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.stage import S, Stage
-from wingbarrow.decide.learning import Announcement, Sight
+from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer, Server
 from wingbarrow.interface import Phase
@@ -27,7 +27,7 @@
     return f'peer "127.0.0.1" port={port}\n'
 
 
-def sight(name: str, **more: Any) -> Sight:
+def sight(name: str, **more: Any) -> MachineObservation:
     fields: dict[str, Any] = {
         "machine": name,
         "version": 5000,
@@ -40,7 +40,7 @@
         "warm_us": {"default/heard": 9 * S},
         "rests_us": {},
     }
-    return Sight(**{**fields, **more})
+    return MachineObservation(**{**fields, **more})
 
 
 class FakePeer:
@@ -49,7 +49,7 @@
     def __init__(
         self,
         stage: Stage,
-        sights: list[Sight],
+        sights: list[MachineObservation],
         ident: str = "fake",
         spoil: Callable[[int, bytes], bytes | None] = lambda _, page: page,
         **announce: Any,
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -35,7 +35,7 @@
     RelayedRequest,
 )
 from wingbarrow.decide.federation.spec import Back, DataSet, Failover, Federation, Need, Spec
-from wingbarrow.decide.learning import Announcement, Sight
+from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.decide.maintenance import entries
 from wingbarrow.decide.maintenance.messages import (
     MaintenanceReport,
@@ -605,7 +605,7 @@
 # -- what instances tell of machines at a start
 
 SIGHTS = (
-    Sight(
+    MachineObservation(
         "node-1",
         9,
         Phase.RUNNING,
@@ -617,7 +617,7 @@
         {"shop": 5},
         {"": (1, 4), "web": (2, 3)},
     ),
-    Sight("node-2", 0, Phase.DRAINING, None, None, None, None, None, {}, {}),
+    MachineObservation("node-2", 0, Phase.DRAINING, None, None, None, None, None, {}, {}),
 )
 PAGE = Page("1f-1", 0, 2, "", 5, 3 * S, Shares((0.5, 0.75), (3.0, 4.0), 6), list(SIGHTS))
 ANNOUNCED = (Announcement("peer:1", "placer-0", 7, "north", "main", 6, 5, 4, 3), "127.0.0.1:7000")
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -11,7 +11,7 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.leases import RulesInForce
 from wingbarrow.decide.federation.spec import Federation
-from wingbarrow.decide.gate import Held
+from wingbarrow.decide.gate import HoldReason
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, parse_rule_set
@@ -160,17 +160,17 @@
 
     def against(
         self, now_us: int, label: str, task_class: str, machine: str, decided_us: int
-    ) -> Held | None:
+    ) -> HoldReason | None:
         """What speaks against an offer that was decided under rules of a label, right before its first byte."""
         if self.acting is None:
             return None
         acting = self.acting(now_us)
         if acting is None:
-            return Held.NO_GRANT
+            return HoldReason.NO_GRANT
         if acting.label != label or self._rules is None or decided_us < self._cold_less_us:
-            return Held.OTHER_RULES
+            return HoldReason.OTHER_RULES
         if machine in self._barred or self.drained(machine) or task_class not in self._classes:
-            return Held.FORBIDDEN
+            return HoldReason.FORBIDDEN
         return None
 
     def look(self) -> None:
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -7,7 +7,7 @@
 from wingbarrow.core.job_store import TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.stages import AttemptRecord, AttemptTable, Stage
-from wingbarrow.decide.gate import Held
+from wingbarrow.decide.gate import HoldReason
 
 
 @dataclass(slots=True, eq=False)
@@ -21,7 +21,7 @@
     session: str = ""  # by whose lease it runs, where its Job is leased
     found: bool = False  # it was found running, and the module knows nothing of it
     left_us: int | None = None  # of its run, where it was found
-    held: Held | None = None  # why the gate held it
+    held: HoldReason | None = None  # why the gate held it
     rules: str = ""  # the label of the agreed rules that it was decided under; empty where none are
 
 
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -4,7 +4,7 @@
 
 import math
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Container, Iterable
 from dataclasses import replace
 from typing import Any
 
@@ -19,7 +19,7 @@
 from wingbarrow.core.observations import Observations
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.restarts import Rebirth
+from wingbarrow.decide.restarts import RestartGuard
 
 REOPEN_US = 50_000
 MAX_PROBES = 32
@@ -45,7 +45,7 @@
     ) -> None:
         self._base, self._host, self._objects, self._machines = base, host, board, machines
         self._attempts, self._runs, self._observations = attempts, runs, sightings
-        self._restart_guard = Rebirth(base.settings.scheduler.classes)
+        self._restart_guard = RestartGuard(base.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
         settings = base.settings
@@ -100,7 +100,7 @@
             self.ready = True
         now = self._base.hub.now_us()
         for entry in entries:
-            self._restart_guard.saw(entry.name, entry.listed, now)
+            self._restart_guard.on_machine_listed(entry.name, entry.listed, now)
         # Every entry passes here, and so the guards (rules 3 and 5).
         narrowed = {entry.name: self._narrow(entry) for entry in entries}
         listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
@@ -118,7 +118,7 @@
             self.on_machine_listed(entry.name)
             self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
-        self._restart_guard.listed |= form is api.ListForm.FULL
+        self._restart_guard.list_received |= form is api.ListForm.FULL
         for link in fresh:
             self._observations.follow(link)
         for name in gone:
@@ -129,11 +129,15 @@
         """Have entries pass the guards anew; their figures of room are no news and count as not told."""
         self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
 
+    def reapply_named(self, names: Container[str]) -> None:
+        """As `reapply`, for the machines of these names that are held."""
+        self.reapply([entry for name, entry in self.held.items() if name in names])
+
     def _narrow(self, entry: NodeEntry) -> api.ListedMachine:
         listed = entry.listed
         for guard in self.guards:
             listed = guard(entry, listed)
-        if listed.phase is api.Phase.RUNNING and self._restart_guard.closed(entry.listed):
+        if listed.phase is api.Phase.RUNNING and self._restart_guard.is_closed(entry.listed):
             # Danger (rule 5): a former life's tasks that are not known yet would not count.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
@@ -174,7 +178,7 @@
 
     def is_closed_by_restart(self, entry: NodeEntry) -> bool:
         """Whether only this placer's own start keeps it from a machine."""
-        return self._restart_guard.closed(entry.listed)
+        return self._restart_guard.is_closed(entry.listed)
 
     def is_closed_locally(self, entry: NodeEntry) -> bool:
         """Whether a machine is closed to this placer for reasons of its own: no drain that others should hear of."""
@@ -184,7 +188,7 @@
 
     def is_off_list(self, name: str) -> bool:
         """Whether a machine that is not held is off the list, and not merely left out."""
-        return self.ready and self.reflector.wanted(name)
+        return self.ready and self.reflector.is_wanted(name)
 
     @property
     def reopening(self) -> bool:
@@ -193,15 +197,15 @@
 
     def run_restart_timeouts(self) -> None:
         """Machines that cannot be reached hold up their rack for a while only; ends with that."""
-        while not self._restart_guard.over:
-            if self._restart_guard.give_up(self._base.hub.now_us()):
+        while not self._restart_guard.is_over:
+            if self._restart_guard.expire(self._base.hub.now_us()):
                 self._reopen()
-            if not self._restart_guard.over:
+            if not self._restart_guard.is_over:
                 self._base.hub.sleep(REOPEN_US)
 
     def _on_pods_listed(self, name: str) -> None:
         """A machine has listed what it runs for this placer."""
-        if self._restart_guard.told(name):
+        if self._restart_guard.on_pods_listed(name):
             self._reopen()
 
     def _reopen(self) -> None:
@@ -229,7 +233,7 @@
         """Whether the list names at least so many machines and each of them has told what it runs."""
         return (
             len(self.held) + self.reflector.left_out >= machines
-            and self._restart_guard.waiting == 0
+            and self._restart_guard.pending_count == 0
             and all(link.reachable for link in self._machines.links.values())
         )
 
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -1,4 +1,9 @@
-"""The desk: what fronts ask of the core, by whatever protocol they speak."""
+"""Admission of Jobs, and what else clients ask of the core by whatever protocol: deletion, eviction, names.
+
+A Job is admitted after these checks, in this order: form, name, overload and deadline, limits of this placer, limits of
+the whole fleet (which may wait), federation spec, and for a leased Job a replica that holds its record (which may
+wait). Until the last has passed nothing of the Job is kept.
+"""
 
 from __future__ import annotations
 
@@ -10,134 +15,112 @@
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.drain_schedule import Closing
-from wingbarrow.core.intake import job_value, read_job
-from wingbarrow.core.job_store import OPEN, JobStore, State, Step, TaskRecord
+from wingbarrow.core.intake import JobRequest, job_value, read_job
+from wingbarrow.core.job_store import OPEN, JobLease, JobStore, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import retries as again
-from wingbarrow.decide.overload import Door, TurnedAway
+from wingbarrow.decide import retries
+from wingbarrow.decide.federation.spec import Spec
+from wingbarrow.decide.overload import OverloadControl, Rejected
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, not_found
 
 
-def _named(value: dict[str, Any]) -> str:
+def _named_spec(value: dict[str, Any]) -> str:
     """The federation spec that a Job names, "" for none."""
     return str((value["metadata"].get("annotations") or {}).get(names.FEDERATION, ""))
 
 
 class JobAdmission:
-    """Owns the door; every limit on what comes in is asked here."""
+    """Admits, deletes and evicts; every limit on new Jobs is checked here."""
 
     def __init__(
         self,
         base: Base,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
-        board: ApiObjects,
+        objects: ApiObjects,
         requests: Requests,
         runs: Runs,
         stops: Stops,
-        closing: Closing,
-        rulebook: ActiveRules,
-        leaseholder: LeasedJobs | None = None,
-        elsewhere: RemoteRegions | None = None,
+        drain_schedule: Closing,
+        active_rules: ActiveRules,
+        leased_jobs: LeasedJobs | None = None,
+        remote_regions: RemoteRegions | None = None,
     ) -> None:
-        self._active_rules, self._leased_jobs, self._remote_regions = (
-            rulebook,
-            leaseholder,
-            elsewhere,
-        )
-        self._base, self._jobs, self._attempts, self._objects = base, book, attempts, board
-        self._requests, self._runs, self._stops, self._drain_schedule = (
-            requests,
-            runs,
-            stops,
-            closing,
-        )
-        self._overload = Door(base.settings.scheduler.tick_us)
+        self._base = base
+        self._jobs = jobs
+        self._attempts = attempts
+        self._objects = objects
+        self._requests = requests
+        self._runs = runs
+        self._stops = stops
+        self._drain_schedule = drain_schedule
+        self._active_rules = active_rules
+        self._leased_jobs = leased_jobs
+        self._remote_regions = remote_regions
+        self._overload = OverloadControl(base.settings.scheduler.tick_us)
 
-    def check_overload(self, came_us: int) -> None:
-        """Asked of each Job before its body is read: ApiError 429 where the placer is behind."""
-        away = self._overload.on_wait(
-            self._base.hub.now_us(), came_us, self._base.hub.lag_us(), self._jobs.unanswered
+    def check_overload(self, arrived_us: int) -> None:
+        """Called for each Job before its body is read; raises ApiError 429 where the placer is overloaded."""
+        rejected = self._overload.check_wait(
+            self._base.hub.now_us(), arrived_us, self._base.hub.lag_us(), self._jobs.unanswered
         )
-        if away is not None:
-            raise self._overload_error(away)
-
-    def _overload_error(self, away: TurnedAway) -> ApiError:
-        what = "turned_away:" + away.why.name.lower()
-        self._base.counts[what] += 1
-        if self._base.counts[what] % 1000 == 1:
-            self._base.log(
-                "job-turned-away",
-                level="warning",
-                why=away.why.value,
-                so_far=self._base.counts[what],
-            )
-        return ApiError(429, away.why.value, retry_after_s=away.retry_after_s)
+        if rejected is not None:
+            raise self._overload_error(rejected)
 
     def submit(
         self,
         value: dict[str, Any],
         namespace: str,
-        dry_run: bool,
-        came_us: int | None = None,
-        handed: bool = False,
+        *,
+        dry_run: bool = False,
+        arrived_us: int | None = None,
     ) -> dict[str, Any]:
-        """Accept a Job; ApiError says why not, and then nothing of it is kept.
+        """Admit a Job and return its value as clients see it; ApiError says why it is rejected, without a trace of it.
 
-        Its owner's patience runs from `came_us`, when it had not come yet; without that from now. `handed`: by another
-        placer, so that it goes no further.
+        The owner's patience runs from `arrived_us`, a time at which the request had not arrived yet; by default from
+        now.
         """
+        return self._admit(value, namespace, dry_run, arrived_us, is_forwarded=False)
+
+    def submit_forwarded(self, value: dict[str, Any], namespace: str) -> None:
+        """Admit a Job that another region's placer forwarded; it is not forwarded again."""
+        self._admit(value, namespace, dry_run=False, arrived_us=None, is_forwarded=True)
+
+    def _admit(
+        self,
+        value: dict[str, Any],
+        namespace: str,
+        dry_run: bool,
+        arrived_us: int | None,
+        is_forwarded: bool,
+    ) -> dict[str, Any]:
         base = self._base
         self._active_rules.look()
-        fresh = f"{base.random.randrange(36**5):05x}"[-5:]
-        asked = read_job(value, namespace, base.settings.classes, base.settings.limits, fresh)
-        key = f"{namespace}/{asked.name}"
-        self._check_name(key, asked.name)
-        now = base.hub.now_us()
-        due = self._overload.due_us(
-            now,
-            now if came_us is None else came_us,
-            asked.patience_us,
-            base.hub.lag_us(),
-            self._jobs.unanswered,
-            self._jobs.answers.total(),
-        )
-        if isinstance(due, TurnedAway):
-            raise self._overload_error(due)
-        self._check_limits(namespace, asked.count)
-        beyond = (
-            None
-            if dry_run
-            else self._active_rules.beyond_after(
-                namespace,
-                asked.task_class.task_class.name,
-                asked.count,
-                now + max(0, due - now) // 3,
-            )
+        generated_suffix = f"{base.random.randrange(36**5):05x}"[-5:]
+        request = read_job(
+            value, namespace, base.settings.classes, base.settings.limits, generated_suffix
         )
-        if beyond is not None:
-            base.counts["turned_away:limit"] += 1
-            # Spread, so that those turned away together do not come back together.
-            raise ApiError(
-                429,
-                f"limit {beyond.key} of the whole fleet: {beyond.most}"
-                + (f" in {beyond.window_us / 1e6:g} s" if beyond.window_us else " at once"),
-                retry_after_s=base.random.randrange(1, 5),
-            )
-        if base.hub.now_us() > now:  # it has waited for rights: others may have come meanwhile
-            self._check_name(key, asked.name)
-            self._check_limits(namespace, asked.count)
-        spec = (
-            self._leased_jobs.spec(asked, _named(value)) if self._leased_jobs is not None else None
-        )
-        here = region = base.settings.region
+        key = f"{namespace}/{request.name}"
+        self._check_name(key, request.name)
+        now = base.hub.now_us()
+        due_us = self._due_us(request, now, now if arrived_us is None else arrived_us)
+        self._check_limits(namespace, request.count)
+        if not dry_run:
+            self._check_fleet_limits(request, now, due_us)
+        if base.hub.now_us() > now:  # it waited for a quota: other Jobs may have been admitted
+            self._check_name(key, request.name)
+            self._check_limits(namespace, request.count)
+        spec = None
+        if self._leased_jobs is not None:
+            spec = self._leased_jobs.spec(request, _named_spec(value))
+        region = base.settings.region
         if spec is not None and self._remote_regions is not None and not dry_run:
-            region = self._remote_regions.route(asked, spec, handed)
+            region = self._remote_regions.route(request, spec, is_forwarded)
         uid = names.uid(
             base.settings.name,
             base.incarnation,
@@ -145,31 +128,26 @@
             self._objects.store.version,
             base.random.random(),
         )
-        shown = job_value(value, asked, uid, base.hub.clock.wall_us())
+        shown = job_value(value, request, uid, base.hub.clock.wall_us())
         if dry_run:
             return shown
-        leased = None
-        if (
-            spec is not None
-            and spec.failover is not None
-            and region == here
-            and self._leased_jobs is not None
-        ):
-            manifest = names.encode(
-                {key: part for key, part in shown.items() if key != "status"}
-            ).decode()
-            leased = self._leased_jobs.take_in(key, uid, asked, spec, manifest, due)
-        job = self._jobs.add(key, uid, asked, shown)
-        if leased is not None and self._leased_jobs is not None:
-            self._leased_jobs.hold(job, leased)
+        is_local = region == base.settings.region
+        lease = None
+        if spec is not None and is_local:
+            lease = self._lease(key, uid, request, spec, shown, due_us)
+        job = self._jobs.add(key, uid, request, shown)
+        if lease is not None and self._leased_jobs is not None:
+            self._leased_jobs.hold(job, lease)
         self._objects.show_new(job)
-        if region != here and spec is not None and self._remote_regions is not None:
-            self._remote_regions.forward_job(job, due, region, spec.name)
+        if spec is not None and not is_local and self._remote_regions is not None:
+            self._remote_regions.forward_job(job, due_us, region, spec.name)
             return shown
         for task in job.tasks:
-            self._requests.submit(task, due)
+            self._requests.submit(task, due_us)
         return shown
 
+    # -- steps of admission; each raises ApiError where the Job is rejected
+
     def _check_name(self, key: str, name: str) -> None:
         if key in self._jobs.jobs or (
             self._leased_jobs is not None and key in self._leased_jobs.coming
@@ -178,7 +156,34 @@
                 409, f'jobs.batch "{name}" already exists', "AlreadyExists", name=name, kind="jobs"
             )
 
+    def _due_us(self, request: JobRequest, now_us: int, arrived_us: int) -> int:
+        """When the final answer is due."""
+        due_us = self._overload.due_us(
+            now_us,
+            arrived_us,
+            request.patience_us,
+            self._base.hub.lag_us(),
+            self._jobs.unanswered,
+            self._jobs.answers.total(),
+        )
+        if isinstance(due_us, Rejected):
+            raise self._overload_error(due_us)
+        return due_us
+
+    def _overload_error(self, rejected: Rejected) -> ApiError:
+        counter = "turned_away:" + rejected.why.name.lower()
+        self._base.counts[counter] += 1
+        if self._base.counts[counter] % 1000 == 1:
+            self._base.log(
+                "job-turned-away",
+                level="warning",
+                why=rejected.why.value,
+                so_far=self._base.counts[counter],
+            )
+        return ApiError(429, rejected.why.value, retry_after_s=rejected.retry_after_s)
+
     def _check_limits(self, namespace: str, count: int) -> None:
+        """This placer's own limits on open tasks and pending stops."""
         too_many = self._jobs.admission.check(namespace, count, self._stops.pending)
         if too_many is not None:
             self._base.counts["turned_away"] += 1
@@ -191,8 +196,46 @@
                 retry_after_s=too_many.retry_after_s,
             )
 
+    def _check_fleet_limits(self, request: JobRequest, now_us: int, due_us: int) -> None:
+        """Limits that placers agree on; waits for this placer's quota, up to a third of the time left."""
+        exceeded = self._active_rules.beyond_after(
+            request.namespace,
+            request.task_class.task_class.name,
+            request.count,
+            now_us + max(0, due_us - now_us) // 3,
+        )
+        if exceeded is None:
+            return
+        self._base.counts["turned_away:limit"] += 1
+        # Random, so that clients rejected at one time do not retry at one time.
+        raise ApiError(
+            429,
+            f"limit {exceeded.key} of the whole fleet: {exceeded.most}"
+            + (f" in {exceeded.window_us / 1e6:g} s" if exceeded.window_us else " at once"),
+            retry_after_s=self._base.random.randrange(1, 5),
+        )
+
+    def _lease(
+        self,
+        key: str,
+        uid: str,
+        request: JobRequest,
+        spec: Spec,
+        shown: dict[str, Any],
+        due_us: int,
+    ) -> JobLease | None:
+        """Have replicas hold the record of a Job whose spec asks for failover; waits. None where it asks for none."""
+        if spec.failover is None or self._leased_jobs is None:
+            return None
+        manifest = {name: part for name, part in shown.items() if name != "status"}
+        return self._leased_jobs.take_in(
+            key, uid, request, spec, names.encode(manifest).decode(), due_us
+        )
+
+    # -- what ends tasks
+
     def delete_job(self, key: str) -> dict[str, Any]:
-        """Delete a Job and stop what of it runs or is on its way; the Job as it last was."""
+        """Delete a Job, stop its tasks, and return its last value; ApiError 404 where there is none."""
         job = self._jobs.jobs.get(key)
         if job is None:
             raise not_found("jobs.batch", key.rpartition("/")[2])
@@ -221,9 +264,9 @@
             if attempt.confirming and self._leased_jobs is not None:
                 self._leased_jobs.stop(attempt)
             elif attempt.stage is Stage.SENT:
-                # Danger: the offer is on its way; what it starts must not run on without an owner. One stop ends it
-                # on the machine, and the offer is answered by that.
-                attempt.stopping = again.End.STOPPED
+                # Danger: the offer is in flight; without a stop the pod that it starts would run without an owner. One
+                # stop ends it on the machine, and the offer is answered by that.
+                attempt.stopping = retries.RunEnd.STOPPED
                 self._stops.request(
                     attempt.link,
                     task.job.request.namespace,
@@ -231,12 +274,12 @@
                     settled=lambda: attempt.stage is Stage.ENDED,
                 )
             elif attempt.scope is not None:
-                attempt.scope.cancel()  # nothing went out: no call is owed
+                attempt.scope.cancel()  # nothing was sent: no stop is needed
         elif attempt is not None:
-            self._runs.stop(attempt, again.End.STOPPED)
+            self._runs.stop(attempt, retries.RunEnd.STOPPED)
 
     def evict(self, pod: str) -> None:
-        """Move one task by its pod's name (the Eviction API); ApiError where it cannot be."""
+        """Move one task by its pod's name (Eviction API); ApiError 404 for an unknown pod, 429 for an unsafe class."""
         attempt = self._attempts.by_key.get(pod)
         if attempt is None or attempt.stage is not Stage.PLACED:
             raise not_found("pods", pod)
@@ -249,10 +292,10 @@
         self._drain_schedule.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
-        """Those of present Jobs, and `default`."""
+        """The namespaces of present Jobs, and `default`."""
         return sorted({"default", *(job.request.namespace for job in self._jobs.jobs.values())})
 
     def uid_of(self, key: str) -> str | None:
-        """A Job's uid, None where there is none of that key."""
+        """The uid of the Job of that key, None without one."""
         job = self._jobs.jobs.get(key)
         return job.uid if job is not None else None
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -323,9 +323,9 @@
             attempt.placed_us = self._base.hub.now_us()
         attempt.confirming, attempt.abandoned = False, True
         if attempt.stage is Stage.PLACED:
-            self._runs.stop(attempt, again.End.STOPPED)
+            self._runs.stop(attempt, again.RunEnd.STOPPED)
         elif attempt.stage is Stage.SENT:
-            attempt.stopping = again.End.STOPPED
+            attempt.stopping = again.RunEnd.STOPPED
             self._stops.request(
                 attempt.link,
                 attempt.task.job.request.namespace,
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -98,12 +98,12 @@
         if attempt.stage is not Stage.PLACED:
             return
         if sight.phase is Phase.SUCCEEDED:
-            self._runs.on_ended(attempt, again.End.DONE, api.Reason.UNTOLD, "ended well")
+            self._runs.on_ended(attempt, again.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
         elif sight.phase is Phase.FAILED:
             reason = sight.gave_up
             # A machine that stopped it for want of renewal says nothing against another start, by whoever may then.
             end = attempt.stopping or (
-                again.End.MOVED if sight.reason == "LeaseLapsed" else again.end_of(reason)
+                again.RunEnd.MOVED if sight.reason == "LeaseLapsed" else again.run_end_for(reason)
             )
             self._runs.on_ended(attempt, end, reason, f"{link.name}: {sight.reason or 'failed'}")
         elif sight.use:
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -17,7 +17,7 @@
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide import retries as again
-from wingbarrow.decide.gate import Held, Offer, SendGate
+from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
 MAX_RESUBMISSIONS = 8  # times that a task is asked for anew
@@ -100,7 +100,7 @@
     def _may_send(self, attempt: Attempt) -> bool:
         """Every offer passes here right before its first byte; see decide.gate."""
         task, link, now = attempt.task, attempt.link, self._base.hub.now_us()
-        held: Held | None = self._gate.check(
+        held: HoldReason | None = self._gate.check(
             now,
             Offer(
                 attempt.decided_us,
@@ -171,7 +171,7 @@
             and ended.outcome is api.Outcome.CANCELLED
         ):
             ended = Ended(api.Outcome.NOT_SENT, ended.reason, ended.words)
-        elif ended is not None and attempt.stopping is again.End.STOPPED:
+        elif ended is not None and attempt.stopping is again.RunEnd.STOPPED:
             # Danger: the machine's answer to a stopped offer is not its judgement; it would be rested for that.
             ended = Ended(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
         if ended is None:
@@ -189,7 +189,7 @@
         """
         task = attempt.task
         return (
-            attempt.held is Held.COLD_SHARE
+            attempt.held is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
             and task.job.leased is None
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -1,4 +1,4 @@
-"""One placer: the components of the core put together. `docs/architecture.md` draws a task's way through them."""
+"""One placer: builds the components of the core and connects them; `docs/architecture.md` draws a task's way."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.config import PlacerSettings
+from wingbarrow.config.settings import SubsetSettings
 from wingbarrow.config.subsetting import module_settings
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
@@ -37,7 +38,11 @@
 from wingbarrow.core.stops import Stops
 from wingbarrow.core.subset import Subset
 from wingbarrow.decide.admission import Admission
+from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.leases import RulesInForce
+from wingbarrow.decide.effects import Effect
+from wingbarrow.decide.quotas.escrow import QuotaAccount
+from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
 from wingbarrow.peers.message_bounds import HANDING
@@ -47,19 +52,17 @@
 from wingbarrow.transport import Hub, Nursery
 
 
-class _Hands:
-    """Who carries out what the module decides."""
+class _ModuleActions:
+    """Carries out the module's actions (`core.host.Hands`), each by the component that owns it."""
 
     def __init__(
-        self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, board: ApiObjects
+        self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, objects: ApiObjects
     ) -> None:
-        self._offers, self._requests, self._runs, self._fleet, self._objects = (
-            offers,
-            requests,
-            runs,
-            fleet,
-            board,
-        )
+        self._offers = offers
+        self._requests = requests
+        self._runs = runs
+        self._fleet = fleet
+        self._objects = objects
 
     def bind(self, bind: api.Bind) -> None:
         self._offers.bind(bind)
@@ -81,171 +84,255 @@
 
 
 class Placer:
-    """The core of the program; fronts talk to `desk` and read the `board`."""
+    """The core of the program; fronts call `admission` and read `objects`.
+
+    The order in which components are built is part of the behaviour: it is the order of their random draws from
+    `base.random`, of the fleet's guards and of the Job store's listeners.
+    """
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
-        base = self.base = Base(hub, settings, log)
-        limits = settings.limits
-        book = self.job_store = JobStore(
-            Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
-        )
-        attempts = self.attempts = Attempts()
-        machines = self.machines = Machines()
-        host = self.host = Host(base, module_settings(settings))
-        board = self.objects = ApiObjects(base, book)
-        requests = Requests(base, host, book, attempts, board)
-        self.waits = requests.waits
-        stops = self.stops = Stops(
-            hub, random.Random(base.random.random()), base.spawn, base.counts
+        self.base = Base(hub, settings, log)
+        self._class_kinds = tuple(
+            each.task_class.kind for each in settings.classes.values() if each.task_class.kind
         )
-        runs = Runs(base, book, attempts, board, requests, stops)
-        strays = Orphans(base, host, book, attempts, board, requests, runs, stops)
-        rulebook = self.active_rules = ActiveRules(base, host)
-        self.peering = Peering(hub, settings, base.started_us, log)
+        self._build_core(settings)
+        self.active_rules = ActiveRules(self.base, self.host)
+        self.peering = Peering(hub, settings, self.base.started_us, log)
         self.leases: MachineLeases | None = None
-        self.maintenance: MaintenanceSlots | None = None
         self.leased_jobs: LeasedJobs | None = None
         if settings.agree is not None and settings.region:
-            leases = self.leases = MachineLeases(
-                base, machines, self.peering.lease, settings.agree.lease_us
-            )
-            records = RecordReplication(hub, settings, base.started_us, self.peering)
-            self.leased_jobs = LeasedJobs(
-                base,
-                host,
-                book,
-                attempts,
-                requests,
-                runs,
-                stops,
-                leases,
-                records,
-                rulebook.federation,
-            )
-            strays.place_leased = self.leased_jobs.place_late
-        offers = self.offers = Offers(
-            base, host, book, attempts, machines, requests, strays, rulebook, self.leased_jobs
-        )
-        sightings = Observations(base, host, attempts, offers, runs, strays)
-        fleet = self.fleet = Fleet(base, host, board, machines, attempts, runs, sightings)
-        self.peer_hints = Hearsay(base, host, fleet, machines, sightings)
+            self._build_leases(settings, settings.agree.lease_us)
+        self._build_machines()
         self.job_failover: JobFailover | None = None
         if self.leased_jobs is not None:
-            self.job_failover = JobFailover(
-                base,
-                book,
-                attempts,
-                board,
-                machines,
-                fleet,
-                requests,
-                runs,
-                stops,
-                self.leased_jobs,
-            )
-            strays.is_foreign = self.job_failover.stray
-        closing = Closing(base, host, fleet, attempts, runs, board)
-        self.migrations: Migrations | None = None
-        elsewhere = self._elsewhere(fleet, requests) if self.leased_jobs is not None else None
-        desk = self.admission = JobAdmission(
-            base,
-            book,
-            attempts,
-            board,
-            requests,
-            runs,
-            stops,
-            closing,
-            rulebook,
-            self.leased_jobs,
-            elsewhere,
+            self._build_failover(self.leased_jobs)
+        self._drain_schedule = Closing(
+            self.base, self.host, self.fleet, self.attempts, self._runs, self.objects
         )
-        if elsewhere is not None:
-            elsewhere.submit = lambda value, namespace: desk.submit(
-                value, namespace, False, handed=True
-            )
-            elsewhere.delete = desk.delete_job
-            if self.leased_jobs is not None:
-                self.migrations = Migrations(
-                    base, book, attempts, requests, runs, self.leased_jobs, elsewhere
-                )
-        host.hands = _Hands(offers, requests, runs, fleet, board)
-        self._checkpoint = Checkpoint(base, fleet)
+        self._build_admission()
+        self.host.hands = _ModuleActions(
+            self.offers, self._requests, self._runs, self.fleet, self.objects
+        )
+        self._checkpoint = Checkpoint(self.base, self.fleet)
+        self.maintenance: MaintenanceSlots | None = None
         if settings.agree is not None:
-            rulebook.pass_again = lambda names: fleet.reapply(
-                [entry for name, entry in fleet.held.items() if name in names]
-            )
-            fleet.guards.append(rulebook.guard)
-            rulebook.acting = self._acting
-            self.peering.on_rules = rulebook.take
-            self.peering.on_rights = rulebook.take_rights
-            rulebook.hurry = self.peering.hurry
-            self.peering.uses = self._uses
-            # Of the cold budget a placer wants as much as waits; how much of that is for cold machines nobody knows.
-            self.peering.demand = lambda key: book.unanswered if key == "cold" else 0
-            verdicts = Verdicts(base, fleet, lambda: self.peering.agreement)
-            turns = self.maintenance = MaintenanceSlots(
-                base,
-                LocalMachines(fleet, machines, attempts, stops, closing),
-                self.peering.turn_side,
-                lambda: self.peering.agreement,
-                rulebook.in_force,
-            )
-            self.peering.on_turns = turns.on_slots_changed
-            requests.on_start_outcome = turns.observing(verdicts.note)
-            self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
-            rulebook.purse = (
-                lambda: self.peering.agreement.quotas
-                if self.peering.agreement is not None
-                else None
-            )
+            self._build_agreement()
         self.subset: Subset | None = None
         if settings.subset is not None:
-            subset = self.subset = Subset(
-                base,
-                settings.subset,
-                fleet,
-                machines,
-                attempts,
-                stops,
-                self._members,
-                self.waits.any_long,
-            )
-            cold = offers.slow_start = SlowStartShares(
-                base, fleet, attempts, subset.subsets, rulebook.cold_offers
-            )
-            requests.on_attempt_answered, fleet.on_contact = (
-                cold.on_attempt_answered,
-                cold.on_contact,
+            self._build_subset(settings.subset)
+        self.learner = Learner(hub, settings, self.peer_hints, self.base.started_us, log)
+        self._build_drains(settings, log)
+
+    # -- building
+
+    def _build_core(self, settings: PlacerSettings) -> None:
+        """The module, and what a task passes on every placer."""
+        base = self.base
+        limits = settings.limits
+        self.job_store = JobStore(
+            Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
+        )
+        self.attempts = Attempts()
+        self.machines = Machines()
+        self.host = Host(base, module_settings(settings))
+        self.objects = ApiObjects(base, self.job_store)
+        self._requests = Requests(base, self.host, self.job_store, self.attempts, self.objects)
+        self.waits = self._requests.waits
+        self.stops = Stops(base.hub, random.Random(base.random.random()), base.spawn, base.counts)
+        self._runs = Runs(
+            base, self.job_store, self.attempts, self.objects, self._requests, self.stops
+        )
+        self._orphans = Orphans(
+            base,
+            self.host,
+            self.job_store,
+            self.attempts,
+            self.objects,
+            self._requests,
+            self._runs,
+            self.stops,
+        )
+
+    def _build_leases(self, settings: PlacerSettings, lease_us: int) -> None:
+        """Leased Jobs: machines told of this placer's session, records held by replicas."""
+        self.leases = MachineLeases(self.base, self.machines, self.peering.lease, lease_us)
+        records = RecordReplication(self.base.hub, settings, self.base.started_us, self.peering)
+        self.leased_jobs = LeasedJobs(
+            self.base,
+            self.host,
+            self.job_store,
+            self.attempts,
+            self._requests,
+            self._runs,
+            self.stops,
+            self.leases,
+            records,
+            self.active_rules.federation,
+        )
+        self._orphans.place_leased = self.leased_jobs.place_late
+
+    def _build_machines(self) -> None:
+        """The machines: the list, offers, what machines report, and peers' hints on them."""
+        self.offers = Offers(
+            self.base,
+            self.host,
+            self.job_store,
+            self.attempts,
+            self.machines,
+            self._requests,
+            self._orphans,
+            self.active_rules,
+            self.leased_jobs,
+        )
+        observations = Observations(
+            self.base, self.host, self.attempts, self.offers, self._runs, self._orphans
+        )
+        self.fleet = Fleet(
+            self.base,
+            self.host,
+            self.objects,
+            self.machines,
+            self.attempts,
+            self._runs,
+            observations,
+        )
+        self.peer_hints = Hearsay(self.base, self.host, self.fleet, self.machines, observations)
+
+    def _build_failover(self, leased_jobs: LeasedJobs) -> None:
+        """Leased Jobs of other placers' ended sessions."""
+        self.job_failover = JobFailover(
+            self.base,
+            self.job_store,
+            self.attempts,
+            self.objects,
+            self.machines,
+            self.fleet,
+            self._requests,
+            self._runs,
+            self.stops,
+            leased_jobs,
+        )
+        self._orphans.is_foreign = self.job_failover.stray
+
+    def _build_admission(self) -> None:
+        """What fronts ask for; with leases also Jobs to and from other regions."""
+        remote_regions = None
+        if self.leased_jobs is not None:
+            remote_regions = self._build_remote_regions(self.leased_jobs)
+        self.admission = JobAdmission(
+            self.base,
+            self.job_store,
+            self.attempts,
+            self.objects,
+            self._requests,
+            self._runs,
+            self.stops,
+            self._drain_schedule,
+            self.active_rules,
+            self.leased_jobs,
+            remote_regions,
+        )
+        self.migrations: Migrations | None = None
+        if remote_regions is not None and self.leased_jobs is not None:
+            remote_regions.admission = self.admission
+            self.migrations = Migrations(
+                self.base,
+                self.job_store,
+                self.attempts,
+                self._requests,
+                self._runs,
+                self.leased_jobs,
+                remote_regions,
             )
-        self.learner = Learner(hub, settings, self.peer_hints, base.started_us, log)
-        needed = tuple(
-            each.task_class.kind for each in settings.classes.values() if each.task_class.kind
+
+    def _build_remote_regions(self, leased_jobs: LeasedJobs) -> RemoteRegions:
+        """Forwarding between regions, and this region's own report to the others."""
+        peering = self.peering
+        remote_regions = RemoteRegions(
+            self.base, self.job_store, self.objects, self._requests, self.base.started_us
+        )
+        remote_regions.federation = self.active_rules.federation
+        remote_regions.region_news = peering.regions.news
+        remote_regions.targets = peering.targets
+        remote_regions.carry_out = self._carry_out_forwarding
+        peering.host("handing", remote_regions, HANDING)
+        local_region = LocalRegion(self.base, self.job_store, self.fleet)
+        local_region.leased = leased_jobs.held
+        peering.regions.read_own = local_region.report
+        return remote_regions
+
+    def _build_agreement(self) -> None:
+        """What placers agree on: rules, quotas, ejected machines and maintenance slots."""
+        peering, active_rules = self.peering, self.active_rules
+        active_rules.pass_again = self.fleet.reapply_named
+        self.fleet.guards.append(active_rules.guard)
+        active_rules.acting = self._rules_in_force
+        peering.on_rules = active_rules.take
+        peering.on_rights = active_rules.take_rights
+        active_rules.hurry = peering.hurry
+        peering.uses = self._quota_in_use
+        peering.demand = self._quota_demand
+        ejections = Verdicts(self.base, self.fleet, self._coordinator)
+        self.maintenance = MaintenanceSlots(
+            self.base,
+            LocalMachines(
+                self.fleet, self.machines, self.attempts, self.stops, self._drain_schedule
+            ),
+            peering.turn_side,
+            self._coordinator,
+            active_rules.in_force,
         )
+        peering.on_turns = self.maintenance.on_slots_changed
+        self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
+        peering.zones = ejections.zones
+        peering.on_verdicts = ejections.take
+        active_rules.purse = self._quota_account
+
+    def _build_subset(self, settings: SubsetSettings) -> None:
+        """The part of the region's machines that this placer holds, and its share of offers to cold ones."""
+        self.subset = Subset(
+            self.base,
+            settings,
+            self.fleet,
+            self.machines,
+            self.attempts,
+            self.stops,
+            self._members,
+            self.waits.any_long,
+        )
+        shares = SlowStartShares(
+            self.base,
+            self.fleet,
+            self.attempts,
+            self.subset.subsets,
+            self.active_rules.cold_offers,
+        )
+        self.offers.slow_start = shares
+        self._requests.on_attempt_answered = shares.on_attempt_answered
+        self.fleet.on_contact = shares.on_contact
+
+    def _build_drains(self, settings: PlacerSettings, log: Callable[..., None]) -> None:
+        """Calendar drains, by this placer's own calendar or by the rules that placers agree on."""
         self.drainer = Drainer(
-            hub,
+            self.base.hub,
             settings.calendars,
-            needed,
+            self._class_kinds,
             settings.scheduler.placers,
             settings.state,
-            closing,
+            self._drain_schedule,
             log,
             settings.agree is not None,
         )
         if settings.agree is not None:
-            rulebook.on_drains = lambda rules: self.drainer.take(
-                calendar_under(rules, needed), rules.asked, rules.cancelled
-            )
-            rulebook.drained = lambda machine: self.drainer.closes(
-                machine
-            ) or self.peering.turn_side.is_closed(machine)
-            self.drainer.may_move = lambda: self._acting(hub.now_us()) is not None
-            self.drainer.on_closed = lambda machines: self.peering.history(
-                "closed", machines=sorted(machines)
-            )
+            self.active_rules.on_drains = self._on_agreed_drains
+            self.active_rules.drained = self._is_drained_by_agreement
+            self.drainer.may_move = self._may_act
+            self.drainer.on_closed = self._on_machines_closed
+
+    # -- running
 
     def run(self) -> None:
-        """Work until cancelled; a failure of the core itself ends it."""
+        """Work until cancelled; raises the error where the core itself failed."""
         base = self.base
         with Nursery(base.hub) as nursery:
             base.live_in(nursery)
@@ -270,50 +357,67 @@
         if self.host.failed is not None:
             raise self.host.failed
 
-    def _elsewhere(self, fleet: Fleet, requests: Requests) -> RemoteRegions:
-        """The room for what crosses regions."""
-        peering, base = self.peering, self.base
-        made = RemoteRegions(base, self.job_store, self.objects, requests, base.started_us)
-        made.federation = self.active_rules.federation
-        made.region_news = peering.regions.news
-        made.targets = peering.targets
-        made.carry_out = lambda effects: peering.act("handing", effects)
-        peering.host("handing", made, HANDING)
-        own = LocalRegion(base, self.job_store, fleet)
-        peering.regions.read_own = own.report
-        if self.leased_jobs is not None:
-            own.leased = self.leased_jobs.held
-        return made
+    # -- what components ask of the placer as a whole
+
+    def _coordinator(self) -> Coordinator | None:
+        """The state machine by which placers agree; None where this placer takes no part, or not yet."""
+        return self.peering.agreement
+
+    def _rules_in_force(self, now_us: int) -> RulesInForce | None:
+        agreement = self.peering.agreement
+        return agreement.rules_in_force(now_us) if agreement is not None else None
+
+    def _may_act(self) -> bool:
+        """Whether this placer may act on agreed rules now."""
+        return self._rules_in_force(self.base.hub.now_us()) is not None
 
-    def _uses(self, key: str) -> int:
-        """Open tasks under a standing limit, for what is told to the voters' leader."""
+    def _quota_account(self) -> QuotaAccount | None:
+        agreement = self.peering.agreement
+        return agreement.quotas if agreement is not None else None
+
+    def _quota_in_use(self, key: str) -> int:
+        """Open tasks under a standing limit, for the report to the voters' leader."""
         about, _, rest = key.partition("/")
         return self.job_store.admission.standing(about, rest.rpartition("/")[0])
 
+    def _quota_demand(self, key: str) -> int:
+        """What would be used beyond that. Of the cold budget: as much as waits, as the part of it is not known."""
+        return self.job_store.unanswered if key == "cold" else 0
+
+    def _carry_out_forwarding(self, effects: list[Effect]) -> None:
+        self.peering.act("handing", effects)
+
     def _members(self) -> tuple[frozenset[str], int]:
-        """The other placers that live by membership, and how many it has heard of."""
+        """The other placers that membership has alive, and the number of members ever known."""
         table = self.peering.membership.table
         return frozenset(each.word.ident for each in table.living()), len(table.members)
 
-    def _acting(self, now_us: int) -> RulesInForce | None:
-        agreement = self.peering.agreement
-        return agreement.rules_in_force(now_us) if agreement is not None else None
+    def _on_agreed_drains(self, rules: RuleSet) -> None:
+        self.drainer.take(calendar_under(rules, self._class_kinds), rules.asked, rules.cancelled)
+
+    def _is_drained_by_agreement(self, machine: str) -> bool:
+        return self.drainer.closes(machine) or self.peering.turn_side.is_closed(machine)
+
+    def _on_machines_closed(self, machines: frozenset[str]) -> None:
+        self.peering.history("closed", machines=sorted(machines))
+
+    # -- what fronts and operators ask
 
     @property
     def ready(self) -> bool:
-        """Whether a list of machines has come."""
+        """Whether a list of machines was received from the source."""
         return self.fleet.ready
 
     def has_complete_view(self, machines: int) -> bool:
-        """Whether the list names at least so many machines and each of them has told what it runs."""
+        """Whether the list names at least `machines` machines and each of them has listed its pods."""
         return self.fleet.has_complete_view(machines)
 
     def unexpected_transitions(self) -> dict[str, int]:
-        """Steps that the state tables lack, and how often each was met; empty unless something is wrong."""
+        """Transitions that the state tables lack, with their counts; empty unless there is a defect."""
         return dict(self.job_store.unexpected_transitions + self.attempts.unexpected_transitions)
 
     def apply_settings(self, fresh: PlacerSettings) -> None:
-        """Use a file's settings that was read again: patience, priorities, restarts and limits of what comes."""
+        """Apply settings that were read again: patience, priorities, restarts, and limits of admission."""
         self.base.settings = fresh
         self.drainer.reload()
         self.job_store.set_limits(
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -21,11 +21,13 @@
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
-LIST_US = 10 * SECOND
-SILENCE_US = 30 * SECOND  # the source sends a bookmark at least this often while anything changes
+LIST_TIMEOUT_US = 10 * SECOND
+MAX_SILENCE_US = (
+    30 * SECOND
+)  # the source sends a bookmark at least this often while anything changes
 WATCH_S = 300
 PAGE = 500
-ASKED_AT_ONCE = 100  # names
+RANKING_BATCH = 100  # names
 
 
 class Reflector:
@@ -38,7 +40,7 @@
         port: int,
         agent: str,
         seed: random.Random,
-        machines_most: int,
+        max_machines: int,
         shift_us: int,
         deliver: Callable[[ListForm, list[NodeEntry], list[str]], None],
         log: Callable[..., None],
@@ -50,19 +52,19 @@
         self._deliver = deliver
         self._log = log
         self._judge = ListJudge()
-        self._pause = Backoff(seed, 100_000, 5 * SECOND)
-        self._most = machines_most
+        self._backoff = Backoff(seed, 100_000, 5 * SECOND)
+        self._max_machines = max_machines
         self._version = ""
-        self._told_failed = False
-        self.wanted: Callable[[str], bool] = (
-            _every  # by name: other entries are passed over, not held
+        self._reported_failure = False
+        self.is_wanted: Callable[[str], bool] = (
+            _accept_all  # by name: other entries are passed over, not held
         )
-        self.passed_over = 0  # entries so far that were not wanted
+        self.skipped_entries = 0  # entries so far that were not wanted
         self.left_out = 0  # machines on the list that are not held
         self.refills = 0
         self.bad_entries = self.relists = self.watches = self.failures = 0
         self.held: dict[str, NodeEntry] = {}
-        self.heard_us: int | None = None  # when the source last said anything
+        self.last_contact_us: int | None = None  # when the source last said anything
         self.version = 0  # of the list as held
         self.on_new_source: Callable[[], None] = lambda: None
 
@@ -78,26 +80,26 @@
             except (CallFailed, ApiError, ValueError) as error:
                 if isinstance(error, ApiError) and error.code == 410:
                     self._version = ""
-                self._failed(error)
-                self._hub.sleep(self._pause.next_us())
+                self._on_failure(error)
+                self._hub.sleep(self._backoff.next_us())
 
-    def _failed(self, error: Exception) -> None:
+    def _on_failure(self, error: Exception) -> None:
         self.failures += 1
         self._log(
             "list-source-failed",
             level="warning",
             why=str(error)[:200],
-            failures=self._pause.failures,
+            failures=self._backoff.failures,
         )
-        if not self._told_failed:
-            self._told_failed = True
+        if not self._reported_failure:
+            self._reported_failure = True
             self._deliver(ListForm.FAILED, [], [])
 
     def _list(self) -> None:
         items, version = list_all(
-            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US
+            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_TIMEOUT_US
         )
-        self._ask_ahead(items)
+        self._prepare_is_wanted(items)
         self.relists += 1
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
@@ -108,9 +110,9 @@
             self._log("list-source-began-anew", level="warning", version=version)
             self.on_new_source()
         entries: dict[str, NodeEntry] = {}
-        wanted = [value for value in items if self._wants(value)]
+        wanted = [value for value in items if self._is_wanted(value)]
         self.left_out = len(items) - len(wanted)
-        for value in wanted[: self._most]:
+        for value in wanted[: self._max_machines]:
             entry = self._read(value)
             if entry is None:
                 name = str(value.get("metadata", {}).get("name", ""))
@@ -120,13 +122,13 @@
                 # An entry of an older version than the one held: the newer news stands.
                 newer = self._judge.judge_entry(entry.name, entry.version)
                 entries[entry.name] = entry if newer else self.held.get(entry.name, entry)
-        if len(wanted) > self._most:
-            self._log("list-too-long", level="error", machines=len(wanted), most=self._most)
+        if len(wanted) > self._max_machines:
+            self._log("list-too-long", level="error", machines=len(wanted), most=self._max_machines)
         gone = [name for name in self.held if name not in entries]
         self.held = entries
         self._judge.forget(set(entries))
         self._version = version
-        self._went_well()
+        self._on_success()
         self._deliver(ListForm.FULL, list(entries.values()), gone)
 
     def refill(self) -> None:
@@ -135,9 +137,9 @@
         Raises CallFailed, ApiError or ValueError where the source gives none, or one older than what was read.
         """
         items, version = list_all(
-            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_US
+            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_TIMEOUT_US
         )
-        self._ask_ahead(items)
+        self._prepare_is_wanted(items)
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
         # Danger (rule 3): the watch may have told of a drain that an older list does not have yet.
@@ -145,7 +147,7 @@
             raise ValueError(f"the list goes back to version {version}")
         self.refills += 1
         added: list[NodeEntry] = []
-        wanted = [value for value in items if self._wants(value)]
+        wanted = [value for value in items if self._is_wanted(value)]
         self.left_out = len(items) - len(wanted)
         for value in wanted:
             if _name(value) in self.held:
@@ -154,8 +156,10 @@
             # An entry that the watch told to be deleted since has a lower version here.
             if entry is None or not self._judge.judge_entry(entry.name, entry.version):
                 continue
-            if len(self.held) >= self._most:
-                self._log("list-too-long", level="error", machines=len(wanted), most=self._most)
+            if len(self.held) >= self._max_machines:
+                self._log(
+                    "list-too-long", level="error", machines=len(wanted), most=self._max_machines
+                )
                 break
             self.held[entry.name] = entry
             added.append(entry)
@@ -167,30 +171,30 @@
         if self.held.pop(name, None) is not None:
             self.left_out += 1
 
-    def _ask_ahead(self, items: list[dict[str, Any]]) -> None:
+    def _prepare_is_wanted(self, items: list[dict[str, Any]]) -> None:
         """Have `wanted` answer for every name, while others run in between: the first answer for a name costs most.
 
         Danger (rule 1): ranking 10,000 machines for 100 placers in one go takes more than a second.
         """
-        if self.wanted is _every:
+        if self.is_wanted is _accept_all:
             return
-        for at in range(0, len(items), ASKED_AT_ONCE):
-            for value in items[at : at + ASKED_AT_ONCE]:
-                self.wanted(_name(value))
+        for at in range(0, len(items), RANKING_BATCH):
+            for value in items[at : at + RANKING_BATCH]:
+                self.is_wanted(_name(value))
             self._hub.checkpoint()
 
-    def _wants(self, value: dict[str, Any]) -> bool:
+    def _is_wanted(self, value: dict[str, Any]) -> bool:
         """Whether an entry is to be read; asked before anything of it is decoded but its name."""
         name = _name(value)
-        if not name or self.wanted(name):
+        if not name or self.is_wanted(name):
             return True
-        self.passed_over += 1
+        self.skipped_entries += 1
         return False
 
-    def _went_well(self) -> None:
-        self.heard_us, self.version = self._hub.now_us(), int(self._version or 0)
-        self._pause.clear()
-        self._told_failed = False
+    def _on_success(self) -> None:
+        self.last_contact_us, self.version = self._hub.now_us(), int(self._version or 0)
+        self._backoff.clear()
+        self._reported_failure = False
 
     def _read(self, value: dict[str, Any]) -> NodeEntry | None:
         try:
@@ -213,16 +217,16 @@
             f"/api/v1/nodes?watch=true&resourceVersion={self._version}&allowWatchBookmarks=true"
             f"&timeoutSeconds={WATCH_S}"
         )
-        until = self._hub.now_us() + LIST_US
-        batches = watch_batches(self._pool, target, until, SILENCE_US)
+        until = self._hub.now_us() + LIST_TIMEOUT_US
+        batches = watch_batches(self._pool, target, until, MAX_SILENCE_US)
         try:
             for batch in batches:
-                self._batch(batch)
-                self._went_well()
+                self._on_batch(batch)
+                self._on_success()
         finally:
             batches.close()  # type: ignore[attr-defined]
 
-    def _batch(self, batch: list[tuple[str, dict[str, Any]]]) -> None:
+    def _on_batch(self, batch: list[tuple[str, dict[str, Any]]]) -> None:
         """Take in what came in one piece at once: the module plans anew after each delivery, not each line."""
         changed: dict[str, NodeEntry] = {}
         gone: dict[str, None] = {}
@@ -231,16 +235,16 @@
             if not isinstance(version, str) or not version.isdigit():
                 raise ValueError("a watch event without a resourceVersion")
             if kind != "BOOKMARK":
-                self._event(kind, value, changed, gone)
+                self._on_event(kind, value, changed, gone)
             if int(version) > int(self._version):
                 self._version = version
         if changed or gone:
             self._deliver(ListForm.CHANGES, list(changed.values()), list(gone))
 
-    def _event(
+    def _on_event(
         self, kind: str, value: dict[str, Any], changed: dict[str, NodeEntry], gone: dict[str, None]
     ) -> None:
-        if not self._wants(value):
+        if not self._is_wanted(value):
             self._judge.passed(int(value["metadata"]["resourceVersion"]))
             self.left_out = max(0, self.left_out + {"ADDED": 1, "DELETED": -1}.get(kind, 0))
             return
@@ -251,14 +255,16 @@
             self.held.pop(entry.name, None)
             changed.pop(entry.name, None)
             gone[entry.name] = None
-        elif entry.name in self.held or len(self.held) < self._most:
+        elif entry.name in self.held or len(self.held) < self._max_machines:
             self.held[entry.name] = changed[entry.name] = entry
             gone.pop(entry.name, None)
         else:
-            self._log("list-too-long", level="error", machines=len(self.held) + 1, most=self._most)
+            self._log(
+                "list-too-long", level="error", machines=len(self.held) + 1, most=self._max_machines
+            )
 
 
-def _every(name: str) -> bool:
+def _accept_all(name: str) -> bool:
     return True
 
 
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -1,14 +1,15 @@
-"""New Jobs that their spec sends to another region, and those that other regions' placers handed over to this one.
+"""Jobs that their federation spec sends to another region, and Jobs that other regions' placers forwarded here.
 
-Where a Job goes is decided in `decide.federation.route`, how it is handed over in `decide.regions.forwarding`; this
-room carries it out. A handed task is in the book of both placers: here, where its owner asked, it is owed an answer;
-there it is a Job of its own, named after its ident, whose answer goes back by mail.
+The region is chosen in `decide.federation.route`, the protocol is `decide.regions.forwarding`; this component carries
+both out. A forwarded task has a record at both placers: the sender owes its client the answer; the receiver keeps a Job
+of its own, named after the forwarding ident, and reports its states back.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
+from functools import partial
+from typing import Any, Protocol
 
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.base import Base
@@ -18,55 +19,66 @@
 from wingbarrow.decide.effects import Effect, Notify
 from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
-from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.regions import forwarding
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
-ANSWER_MARGIN_US = 100_000  # of the owner's patience, kept for the answer's way back
-RECEIVER_MARGIN_US = 250_000  # less for the receiver than for the giver: its answer crosses regions
+ANSWER_MARGIN_US = 100_000  # of the owner's patience, reserved for the answer's way back
+RECEIVER_MARGIN_US = (
+    250_000  # the receiver's patience is shorter by this: its answer crosses regions
+)
+
+
+class ForwardedJobAdmission(Protocol):
+    """Admission as far as forwarded Jobs use it."""
+
+    def submit_forwarded(self, value: dict[str, Any], namespace: str) -> None:
+        """Admit a Job; ApiError where it is rejected."""
+
+    def delete_job(self, key: str) -> dict[str, Any]:
+        """Delete a Job and stop its tasks."""
 
 
 class RemoteRegions:
-    """`act` carries out effects by mail; `submit` takes a handed Job in, within what is left of patience."""
+    """Forwards tasks to placers of other regions, and admits what these forward.
+
+    The placer sets `carry_out` (effects of the protocol, by mail), `region_news`, `targets` (members that are alive, of
+    the names given), `federation` and `admission` while it builds its components.
+    """
 
     def __init__(
-        self, base: Base, book: JobStore, board: ApiObjects, requests: Requests, life: int
+        self, base: Base, jobs: JobStore, objects: ApiObjects, requests: Requests, incarnation: int
     ) -> None:
-        self._base, self._jobs, self._objects, self._requests = base, book, board, requests
-        self.sender, self.receiver = (
-            handing.ForwardSender(base.settings.name, life),
-            handing.ForwardReceiver(life),
-        )
-        self.budget = handing.ForwardBudget()
+        self._base = base
+        self._jobs = jobs
+        self._objects = objects
+        self._requests = requests
+        self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
+        self.receiver = forwarding.ForwardReceiver(incarnation)
+        self.budget = forwarding.ForwardBudget()
         self.region_news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
-        self.targets: Callable[[tuple[str, ...]], list[handing.Target]] = (
-            lambda names: []
-        )  # those that live
+        self.targets: Callable[[tuple[str, ...]], list[forwarding.Target]] = lambda names: []
         self.federation: Callable[[], Federation] = Federation
         self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
-        self.submit: Callable[[dict[str, Any], str], object] = lambda value, namespace: None
-        self.delete: Callable[[str], object] = lambda key: None
+        self.admission: ForwardedJobAdmission | None = None
         self._forwarded: dict[str, TaskRecord] = {}  # by ident
         self._ident_by_task: dict[str, str] = {}  # by the task's name
-        self._ident_by_job: dict[
-            str, str
-        ] = {}  # the ident by the key of the Job that was made of it
-        self._job_by_ident: dict[str, str] = {}  # and the other way
-        self._stopped_early: set[str] = (
-            set()
-        )  # idents whose stop came while their Job was being taken in
-        book.state_listeners.append(self._on_state_change)
-
-    # -- from here to another region
-
-    def route(self, asked: JobRequest, spec: Spec, handed: bool = False) -> str:
+        self._ident_by_job: dict[str, str] = {}  # of received Jobs, by key
+        self._job_by_ident: dict[str, str] = {}
+        # Idents whose stop arrived while their Job was being admitted.
+        self._stopped_early: set[str] = set()
+        jobs.state_listeners.append(self._on_state_change)
+
+    # -- to other regions
+
+    def route(self, request: JobRequest, spec: Spec, is_forwarded: bool) -> str:
         """The region for a new Job; ApiError 503 with the reason where its spec leaves none now.
 
-        One that was handed over (`handed`) stays here, or is refused.
+        One that was forwarded here stays here, or is rejected: no Job is forwarded twice.
         """
         base, federation = self._base, self.federation()
         here = base.settings.region
-        if handed:
+        if is_forwarded:
             if here not in allowed(spec, federation):
                 raise ApiError(
                     503,
@@ -78,7 +90,7 @@
         choice: Choice = choose(
             spec,
             federation,
-            Wanted(asked.cores, asked.memory, asked.task_class.task_class.effect.value, here),
+            Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
             self.region_news(base.hub.now_us()),
             base.random.random(),
         )
@@ -103,23 +115,23 @@
         return choice.region
 
     def forward_job(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
-        """Hand all tasks of a Job over; each is answered by this placer, whatever comes of it."""
+        """Forward all tasks of a Job; those for which no target is known are rejected."""
         for task in job.tasks:
             if not self.forward_task(task, due_us, region, spec):
                 task.last_outcome = f"no placer of region {region} is known"
                 self._requests.reject_or_fail(self._jobs.open_request(task, due_us), Step.REFUSE)
 
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
-        """Hand one over that is asked for; False where nobody there can be asked."""
+        """Forward one task; False where no placer of that region is known to be alive."""
         news, job = self.region_news(self._base.hub.now_us()).get(region), task.job
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
-        harmless = job.request.task_class.task_class.effect.value == "safe"
+        is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         ident, effects = self.sender.begin(
             self._base.hub.now_us(),
             _manifest(job),
             spec,
-            harmless,
+            is_idempotent,
             due_us - ANSWER_MARGIN_US,
             targets,
         )
@@ -131,15 +143,15 @@
         return True
 
     def is_forwarded(self, task: TaskRecord) -> bool:
-        """Whether another region has a task, or is asked for it."""
+        """Whether a task was forwarded and has not ended."""
         return task.name in self._ident_by_task
 
     def is_from_other_region(self, key: str) -> bool:
-        """Whether a Job was handed over to this placer."""
+        """Whether a Job was forwarded to this placer."""
         return key in self._ident_by_job
 
     def withdraw(self, task: TaskRecord) -> bool:
-        """Its owner deleted it; False where it was not handed over."""
+        """Its owner deleted a task: have the other region stop it. False where it was not forwarded."""
         ident = self._ident_by_task.pop(task.name, None)
         if ident is None:
             return False
@@ -153,34 +165,35 @@
         if task is None:
             return
         task.last_outcome = words or task.last_outcome
-        if state == handing.PLACED:
+        if state == forwarding.PLACED:
             task.machine = machine
             self._jobs.close_request(task)
             self._jobs.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
-        elif state in (handing.REFUSED, handing.FAILED) and task.answered:
-            # A run that was to move, and nobody took: its owner has had its answer, and wants it still.
+        elif state in (forwarding.REFUSED, forwarding.FAILED) and task.answered:
+            # A migration that no receiver accepted: its owner has had the answer, so the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
             self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
             return
-        elif state in (handing.REFUSED, handing.FAILED):
+        elif state in (forwarding.REFUSED, forwarding.FAILED):
             self._requests.reject_or_fail(
-                task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL
+                task.request, Step.REFUSE if state == forwarding.REFUSED else Step.FAIL
             )
-        elif state in handing.RAN:
-            self._jobs.transition(task, Step.DONE if state == handing.DONE else Step.LOSE)
-        if state in handing.FINAL:
+        elif state in forwarding.RAN:
+            self._jobs.transition(task, Step.DONE if state == forwarding.DONE else Step.LOSE)
+        if state in forwarding.FINAL:
             del self._forwarded[ident]
             self._ident_by_task.pop(task.name, None)
         self._objects.mark(task.job)
         self._objects.flush()
 
-    # -- from another region to here
+    # -- from other regions
 
     def _receive(self, ident: str, manifest: str, left_us: int) -> None:
-        """Runs in a task of its own: taking a Job in may wait for its keeper."""
+        """Admit a forwarded Job; runs in a task of its own, as admission may wait for a replica."""
+        assert self.admission is not None, "the placer sets it before anything runs"
         now = self._base.hub.now_us()
         try:
             value = names.decode(manifest)
@@ -194,26 +207,29 @@
             namespace = str(meta["namespace"])
             key = f"{namespace}/{meta['name']}"
             self._ident_by_job[key], self._job_by_ident[ident] = ident, key
-            self.submit(value, namespace)
+            self.admission.submit_forwarded(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
-            self.carry_out(self.receiver.report_status(now, ident, handing.REFUSED, "", str(error)))
+            self.carry_out(
+                self.receiver.report_status(now, ident, forwarding.REFUSED, "", str(error))
+            )
             return
         if ident in self._stopped_early:
             self._on_stop(ident)
 
     def _on_stop(self, ident: str) -> None:
+        assert self.admission is not None, "the placer sets it before anything runs"
         key = self._job_by_ident.get(ident)
         if key is None:
             return
         if key not in self._jobs.jobs:
-            self._stopped_early.add(ident)  # it is still being taken in
+            self._stopped_early.add(ident)  # it is still being admitted
             return
         self._forget(ident)
-        self.delete(key)
+        self.admission.delete_job(key)
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, handing.FAILED, "", "stopped"
+                self._base.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
             )
         )
 
@@ -224,22 +240,22 @@
             self._ident_by_job.pop(key, None)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """A task of this placer's book has another state: its giver hears what concerns it."""
+        """A task changed its state: report to the sender of its Job, if it was forwarded here."""
         ident = self._ident_by_job.get(task.job.key)
         if ident is None or task.state is before:
             return
         state = {
-            State.PLACED: handing.PLACED,
-            State.ADOPTED: handing.PLACED,
-            State.REFUSED: handing.REFUSED,
-            State.FAILED: handing.FAILED,
-            State.DONE: handing.DONE,
-            State.LOST: handing.LOST,
-            State.STOPPED: handing.LOST,
+            State.PLACED: forwarding.PLACED,
+            State.ADOPTED: forwarding.PLACED,
+            State.REFUSED: forwarding.REFUSED,
+            State.FAILED: forwarding.FAILED,
+            State.DONE: forwarding.DONE,
+            State.LOST: forwarding.LOST,
+            State.STOPPED: forwarding.LOST,
         }.get(task.state)
-        if state is None or (state == handing.PLACED and before is State.RETRYING):
+        if state is None or (state == forwarding.PLACED and before is State.RETRYING):
             return
-        if state in handing.FINAL:
+        if state in forwarding.FINAL:
             self._forget(ident)
         where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
         self.carry_out(
@@ -248,20 +264,20 @@
             )
         )
 
-    # -- driven by the host of what placers say to each other
+    # -- `peers.host.Machine`
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """A letter about handing over."""
-        if isinstance(message, handing.ForwardStatus):
+        """A message of the forwarding protocol."""
+        if isinstance(message, forwarding.ForwardStatus):
             return self._carry_out_here(self.sender.on_message(now_us, ident, address, message))
         return self._carry_out_here(self.receiver.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """One of the giver's timers."""
+        """One of the sender's timers."""
         return self._carry_out_here(self.sender.on_timer(now_us, key))
 
     def _carry_out_here(self, effects: list[Effect]) -> list[Effect]:
-        """Do here what is told; the rest is the host's."""
+        """Handle notifications; return the other effects for the host."""
         out: list[Effect] = []
         for each in effects:
             if not isinstance(each, Notify):
@@ -269,13 +285,9 @@
             elif each.event == "handed":
                 self._on_forward_status(**each.fields)
             elif each.event == "take":
-                ident, manifest, left = (
-                    each.fields[name] for name in ("ident", "manifest", "left_us")
-                )
+                fields = each.fields
                 self._base.spawn(
-                    lambda ident=ident, manifest=manifest, left=left: self._receive(  # type: ignore[misc]
-                        ident, manifest, left
-                    ),
+                    partial(self._receive, fields["ident"], fields["manifest"], fields["left_us"]),
                     "takes a Job that was handed over",
                 )
             else:
@@ -284,7 +296,7 @@
 
 
 def _manifest(job: JobRecord) -> str:
-    """A Job of one task as its receiver makes its own of it."""
+    """The Job of one task that the receiver is to submit."""
     meta = job.value["metadata"]
     kept = {key: meta[key] for key in ("labels", "annotations") if key in meta}
     spec = {
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -29,29 +29,29 @@
         self._requests, self._stops = requests, stops
         self._retry_timers: dict[str, Timer] = {}
 
-    def on_ended(self, attempt: Attempt, end: again.End, reason: api.Reason, words: str) -> None:
+    def on_ended(self, attempt: Attempt, end: again.RunEnd, reason: api.Reason, words: str) -> None:
         """A placed task's run is over."""
         task, job = attempt.task, attempt.task.job
         if attempt.stage is not Stage.PLACED:
             return
-        if attempt.stopping is again.End.STOPPED:
+        if attempt.stopping is again.RunEnd.STOPPED:
             end = (
-                again.End.STOPPED
+                again.RunEnd.STOPPED
             )  # its owner deleted it: how it ended before the stop came changes nothing
         outcome = (
             api.Outcome.DONE
-            if end is again.End.DONE
+            if end is again.RunEnd.DONE
             else api.Outcome.CANCELLED
-            if end in (again.End.MOVED, again.End.STOPPED)
+            if end in (again.RunEnd.MOVED, again.RunEnd.STOPPED)
             else api.Outcome.BROKEN
         )
         task.last_outcome = words
         if task.request == attempt.request:
             self._requests.close(task)
         self._objects.mark(job)
-        if end is again.End.DONE:
+        if end is again.RunEnd.DONE:
             self._jobs.transition(task, Step.DONE)
-        elif end is not again.End.STOPPED:
+        elif end is not again.RunEnd.STOPPED:
             self._retry_or_lose(task, end, words)
         self._requests.on_attempt_ended(
             attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
@@ -59,12 +59,14 @@
 
     def on_lost(self, attempt: Attempt, words: str) -> None:
         """Its machine holds it no longer, or is gone."""
-        end = attempt.stopping or again.End.LOST
+        end = attempt.stopping or again.RunEnd.LOST
         self.on_ended(attempt, end, api.Reason.UNTOLD, f"{words} ({attempt.link.name})")
 
-    def _retry_or_lose(self, task: TaskRecord, end: again.End, words: str) -> None:
+    def _retry_or_lose(self, task: TaskRecord, end: again.RunEnd, words: str) -> None:
         effect = task.job.request.task_class.task_class.effect
-        verdict = again.judge(end, effect, task.restarts_left, task.losses, self._base.random)
+        verdict = again.decide_retry(
+            end, effect, task.restarts_left, task.losses, self._base.random
+        )
         self._base.counts["run:" + end.value] += 1
         # A task found running in this life had its answer from its owner's point of view: failed, or refused. One of a
         # former life was placed, and its Job still wants it, where it is sure that its owner was told so.
@@ -84,7 +86,7 @@
         self._objects.record_event(
             task.job,
             "Normal",
-            "Moved" if end is again.End.MOVED else "Lost",
+            "Moved" if end is again.RunEnd.MOVED else "Lost",
             f"task {task.index}: {words}; asked for again",
         )
         self.schedule_retry(task, verdict.after_us)
@@ -121,9 +123,9 @@
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["moves"] += 1
-        self.stop(attempt, again.End.MOVED)
+        self.stop(attempt, again.RunEnd.MOVED)
 
-    def stop(self, attempt: Attempt, end: again.End) -> None:
+    def stop(self, attempt: Attempt, end: again.RunEnd) -> None:
         """Have a placed task stopped; its run ends so once the machine says that it is over."""
         attempt.stopping = end
 
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -16,16 +16,16 @@
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.slow_start import Came, ColdShare
+from wingbarrow.decide.slow_start import Arrival, SlowStartShare
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 50_000
 ARRIVALS = {
-    api.Outcome.NOT_SENT: Came.NEVER,
-    api.Outcome.UNREACHABLE: Came.NEVER,
-    api.Outcome.TIMED_OUT: Came.UNKNOWN,
-    api.Outcome.CANCELLED: Came.UNKNOWN,
-    api.Outcome.BROKEN: Came.ALONE,
+    api.Outcome.NOT_SENT: Arrival.NEVER,
+    api.Outcome.UNREACHABLE: Arrival.NEVER,
+    api.Outcome.TIMED_OUT: Arrival.UNKNOWN,
+    api.Outcome.CANCELLED: Arrival.UNKNOWN,
+    api.Outcome.BROKEN: Arrival.ARRIVED,
 }
 
 
@@ -44,7 +44,7 @@
         self._subsets, self._fleet_offers = subsets, offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
-        self._account = ColdShare(
+        self._account = SlowStartShare(
             rules.fall_us * 5 // 4
         )  # a quarter longer, as in the module: offers travel
         self._closed: dict[
@@ -63,7 +63,7 @@
 
     def _left(self, now_us: int, name: str, launched_us: int) -> int:
         share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
-        return self._account.left(now_us, name, launched_us, share)
+        return self._account.remaining(now_us, name, launched_us, share)
 
     def on_chosen(self, link: MachineLink) -> None:
         """The module has chosen a machine for an offer that is under way from now on."""
@@ -87,18 +87,18 @@
         """The first byte of an offer goes out, which the gate allowed."""
         link, now = attempt.link, self._base.hub.now_us()
         if self._is_cold(link.launched_us, now):
-            self._account.sent(
+            self._account.on_sent(
                 link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key
             )
 
     def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
         """How an offer ended; None: its task runs."""
-        came = Came.SPOKE if outcome is None else ARRIVALS.get(outcome, Came.SPOKE)
-        self._account.ended(self._base.hub.now_us(), attempt.link.name, attempt.key, came)
+        came = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
+        self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, came)
 
     def on_contact(self, name: str) -> None:
         """A machine has answered something else: what it was sent and given up before has come."""
-        self._account.ended(self._base.hub.now_us(), name, "", Came.SPOKE)
+        self._account.on_ended(self._base.hub.now_us(), name, "", Arrival.CONTACT)
 
     def _is_cold(self, launched_us: int, now_us: int) -> bool:
         return launched_us > 0 and now_us < launched_us + self._cold_us
--- a/wingbarrow/core/stages.py
+++ b/wingbarrow/core/stages.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any, Generic, Protocol, TypeVar
 
-from wingbarrow.decide.retries import End
+from wingbarrow.decide.retries import RunEnd
 from wingbarrow.transport import CancelScope
 
 
@@ -59,7 +59,7 @@
     stage: Stage = Stage.WAITING
     placed_us: int = 0
     scope: CancelScope | None = None
-    stopping: End | None = None  # why it is being stopped
+    stopping: RunEnd | None = None  # why it is being stopped
     abandoned: bool = False  # nobody waits for its answer any longer
     launched_us: int | None = None  # the machine's last start as known when it was chosen
 
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -83,7 +83,7 @@
         self._retry_at_us: dict[
             str, int
         ] = {}  # lingering machines that could not be released: when to look again
-        fleet.reflector.wanted = self.is_followed
+        fleet.reflector.is_wanted = self.is_followed
         fleet.guards.append(self._guard)
         fleet.closed_locally.append(lambda name: not self.holds(name))
         fleet.on_state_lost = self._on_state_lost
--- a/wingbarrow/decide/gate.py
+++ b/wingbarrow/decide/gate.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Held(Enum):
+class HoldReason(Enum):
     """Why an offer does not go out."""
 
     ENDED = "the request has ended"
@@ -37,7 +37,7 @@
     attempt_out: bool  # this attempt, and no other, is the one out
     machine_runs: bool  # by all that the list has told so far
     launched_us: int  # the machine's last start, 0 for long ago
-    granted: Held | None = None  # what the agreed rules say against it at this moment
+    granted: HoldReason | None = None  # what the agreed rules say against it at this moment
     leased: bool = True  # its Job needs no lease, or this placer's holds, by its own clock
     may_repeat: bool = (
         True  # no earlier attempt may have run, or `decide.idempotency` allows one more now
@@ -58,37 +58,37 @@
         # The module counts offers over a span a quarter longer than the fall's; half of that slack may pass here.
         self._cold_wait_us = fall_us // 8
 
-    def check(self, now_us: int, offer: Offer) -> Held | None:
+    def check(self, now_us: int, offer: Offer) -> HoldReason | None:
         """None lets the offer out."""
         # Rule 1. Danger: a send after the final answer, or one whose answer could only come too late.
         if not offer.request_open:
-            return Held.ENDED
+            return HoldReason.ENDED
         if now_us >= offer.deadline_us:
-            return Held.LATE
+            return HoldReason.LATE
         # Rule 2. Danger: two attempts out, when this one was given up while it waited for its connection.
         if not offer.attempt_out:
-            return Held.NOT_OUT
+            return HoldReason.NOT_OUT
         # Rule 2. Danger: the window in which machines discard a repeat closed while this one waited.
         if not offer.may_repeat:
-            return Held.REPEAT
+            return HoldReason.REPEAT
         # Agreed rules. Danger: this placer stood still, or was cut off, while the others went on to other rules.
         if offer.granted is not None:
             return offer.granted
         # Leases. Danger: this placer stood still, or was cut off, and a successor may start the Job by now. A floor
         # says nothing about that: it never stands in for a lease.
         if not offer.leased:
-            return Held.NO_LEASE
+            return HoldReason.NO_LEASE
         # Rule 3. Danger: the drain was heard while the offer waited; stopped at once, not after the grace.
         if not offer.machine_runs:
-            return Held.DRAINING
+            return HoldReason.DRAINING
         # Rule 4. Danger: offers that waited go out in one burst, more in a span than the module counted.
         cold = offer.launched_us > 0 and now_us < offer.launched_us + self._cold_us
         # Danger: chosen while its former process was warm, so that the module counted it in no cold machine's share.
         if cold and offer.chosen_launched_us not in (None, offer.launched_us):
-            return Held.RESTARTED
+            return HoldReason.RESTARTED
         if cold and now_us - offer.decided_us > self._cold_wait_us:
-            return Held.STALE_COLD
+            return HoldReason.STALE_COLD
         # Danger: placers that disagree on who lives hold a machine in greater number than its offers were dealt to.
         if cold and not offer.cold_share_left:
-            return Held.COLD_SHARE
+            return HoldReason.COLD_SHARE
         return None
--- a/wingbarrow/decide/idempotency.py
+++ b/wingbarrow/decide/idempotency.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Earlier:
+class EarlierAttempt:
     """The first attempt of a request that may have run: where, and when it was decided on (microseconds)."""
 
     decided_us: int
     machine: ListedMachine
 
 
-def place(machine: ListedMachine, group: Place) -> object:
+def group_key(machine: ListedMachine, group: Place) -> object:
     """What machines of one group share; the same for all machines where the group is `ALL` or `NONE`."""
     return {Place.MACHINE: machine.machine, Place.CELL: machine.cell, Place.ZONE: machine.zone}.get(
         group
@@ -27,7 +27,11 @@
 
 
 def may_repeat(
-    now_us: int, cls: TaskClass, earlier: Earlier | None, machine: ListedMachine, slack_us: int
+    now_us: int,
+    cls: TaskClass,
+    earlier: EarlierAttempt | None,
+    machine: ListedMachine,
+    slack_us: int,
 ) -> bool:
     """Whether a send to `machine` at `now_us` is free of a second effect; `slack_us` is kept before a window's end.
 
@@ -38,6 +42,6 @@
         return True
     if cls.effect is Effect.UNSAFE:
         return False
-    return now_us < earlier.decided_us + cls.window_us - slack_us and place(
+    return now_us < earlier.decided_us + cls.window_us - slack_us and group_key(
         earlier.machine, cls.group
-    ) == place(machine, cls.group)
+    ) == group_key(machine, cls.group)
--- a/wingbarrow/decide/learning.py
+++ b/wingbarrow/decide/learning.py
@@ -23,23 +23,25 @@
 
 SECOND = 1_000_000
 HALF_LIFE_US = 8 * SECOND
-USELESS_US = 60 * SECOND  # a figure older than this says nothing that the average does not say
+MAX_USEFUL_AGE_US = (
+    60 * SECOND
+)  # a figure older than this says nothing that the average does not say
 RATIO_HALF_LIFE_US = (
     120 * SECOND
 )  # shares of use belong to programs, which change more slowly than tasks
-RATIO_NOTES_MOST = 100.0  # a peer's shares weigh as much as so many own notes at most
-AGE_MOST_US = 24 * 3600 * SECOND  # beyond, an age is a broken clock
+MAX_RATIO_NOTES = 100.0  # a peer's shares weigh as much as so many own notes at most
+MAX_AGE_US = 24 * 3600 * SECOND  # beyond, an age is a broken clock
 CLOCK_SLACK_US = SECOND  # by which a peer's clock may run otherwise than ours within one exchange
 CLOCK_DRIFT = 0.1
-YOUNG_US = 5 * SECOND  # an instance younger than this knows next to nothing itself
+MIN_UPTIME_US = 5 * SECOND  # an instance younger than this knows next to nothing itself
 LIST_OLD_US = 30 * SECOND
-STRANGERS_MOST = (
+MAX_UNKNOWN_SHARE = (
     0.5  # share of machines that our list lacks, beyond which a peer is of another cluster
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class MachineObservation:
     """A machine as a peer knows it; ages in microseconds, None where it knows nothing of the kind.
 
     `version` is the list's version of the entry that the peer holds; `launched_age_us` tells of the last start.
@@ -73,7 +75,7 @@
 
 
 def order_peers(
-    told: Iterable[Announcement], region: str, cluster: str, own_ident: str
+    announcements: Iterable[Announcement], region: str, cluster: str, own_ident: str
 ) -> list[Announcement]:
     """Whom to ask, best first: who knows something, freshest list first (in steps), then nearest.
 
@@ -81,13 +83,13 @@
     """
     fit = [
         each
-        for each in told
+        for each in announcements
         if each.cluster == cluster
         and each.ident != own_ident
         and each.machines > 0
-        and each.uptime_us >= YOUNG_US
+        and each.uptime_us >= MIN_UPTIME_US
         and each.list_age_us is not None
-        and 0 <= each.list_age_us <= AGE_MOST_US
+        and 0 <= each.list_age_us <= MAX_AGE_US
     ]
 
     def step(age_us: int | None) -> int:
@@ -108,21 +110,21 @@
 
     def __init__(self) -> None:
         self._first: tuple[int, int] | None = None
-        self.broken = False
+        self.is_broken = False
 
-    def page(self, own_us: int, peer_us: int) -> bool:
+    def check_page(self, own_us: int, peer_us: int) -> bool:
         """Whether the page's ages can be believed; once a clock has jumped, none can any longer."""
         if self._first is None:
             self._first = own_us, peer_us
         own, peer = own_us - self._first[0], peer_us - self._first[1]
         if abs(peer - own) > CLOCK_SLACK_US + CLOCK_DRIFT * max(own, 0):
-            self.broken = True
-        return not self.broken
+            self.is_broken = True
+        return not self.is_broken
 
 
-def plausible(age_us: int | None) -> int | None:
+def plausible_age(age_us: int | None) -> int | None:
     """The age, or None where it cannot be one: the figure is useless then, never fresh."""
-    if age_us is None or not isinstance(age_us, int) or not 0 <= age_us <= AGE_MOST_US:
+    if age_us is None or not isinstance(age_us, int) or not 0 <= age_us <= MAX_AGE_US:
         return None
     return age_us
 
@@ -131,7 +133,7 @@
     """How much of a figure of that age is kept."""
     return (
         2.0 ** (-age_us / half_life_us)
-        if age_us < USELESS_US or half_life_us != HALF_LIFE_US
+        if age_us < MAX_USEFUL_AGE_US or half_life_us != HALF_LIFE_US
         else 0.0
     )
 
@@ -142,8 +144,8 @@
     return pair
 
 
-def weigh(
-    sights: Iterable[Sight],
+def learned_machines(
+    observations: Iterable[MachineObservation],
     more_age_us: int,
     sizes: Mapping[str, tuple[float, float]],
     versions: Mapping[str, int],
@@ -157,9 +159,9 @@
     are of the machines on our list, by name; sights of others are passed over. `average`: the share of their size
     that machines are asked for over the fleet (`fleet_average`).
     """
-    sights = [sight for sight in sights if sight.machine in idents]
+    observations = [sight for sight in observations if sight.machine in idents]
     out: list[LearnedMachine] = []
-    for sight in sights:
+    for sight in observations:
         if sight.phase is not Phase.RUNNING:
             continue  # what a peer saw draining is no help; Distrust keeps it out
         name = sight.machine
@@ -174,7 +176,7 @@
             asked = None
         beyond, measured_age = (
             _number(sight.beyond, 10 * max(size)),
-            plausible(sight.measured_age_us),
+            plausible_age(sight.measured_age_us),
         )
         if beyond is not None and measured_age is not None and clock_good:
             measured_age += more_age_us
@@ -193,7 +195,7 @@
             else {
                 service: left - more_age_us
                 for service, left in sight.warm_us.items()
-                if isinstance(left, int) and more_age_us < left <= USELESS_US
+                if isinstance(left, int) and more_age_us < left <= MAX_USEFUL_AGE_US
             }
         )
         rests = (
@@ -202,7 +204,7 @@
             else {
                 key: (strikes, left - more_age_us)
                 for key, (strikes, left) in sight.rests_us.items()
-                if 0 < strikes < 32 and more_age_us < left <= USELESS_US
+                if 0 < strikes < 32 and more_age_us < left <= MAX_USEFUL_AGE_US
             }
         )
         if asked is not None or beyond is not None or warm or rests:
@@ -215,12 +217,14 @@
 
 
 def fleet_average(
-    sights: Iterable[Sight], sizes: Mapping[str, tuple[float, float]], held: tuple[float, float]
+    observations: Iterable[MachineObservation],
+    sizes: Mapping[str, tuple[float, float]],
+    held: tuple[float, float],
 ) -> tuple[float, float]:
     """The share of their size that machines are asked for, over sights that tell it; `held` where few do."""
     told = [
         (each.asked, sizes[each.machine])
-        for each in sights
+        for each in observations
         if each.machine in sizes and _number(each.asked, 1e9) is not None
     ]
     if len(told) < 4:
@@ -239,7 +243,7 @@
     size: tuple[float, float],
     clock_good: bool,
 ) -> tuple[tuple[float, float] | None, int]:
-    asked, age = _number(asked, 100 * max(size)), plausible(age_us)
+    asked, age = _number(asked, 100 * max(size)), plausible_age(age_us)
     if asked is None or age is None or not clock_good:
         return None, 0
     age += more_age_us
@@ -252,31 +256,31 @@
     ), age
 
 
-def weigh_ratio(
+def learned_ratio(
     ratio: float, notes: float, age_us: int | None, clock_good: bool
 ) -> tuple[float, float]:
     """A peer's learned share of use and the own notes that it weighs; (0, 0) where it is not to be believed."""
-    age = plausible(age_us)
+    age = plausible_age(age_us)
     if age is None or not clock_good or not (math.isfinite(ratio) and math.isfinite(notes)):
         return 0.0, 0.0
     if not 0.0 < ratio <= 10.0 or notes <= 0:
         return 0.0, 0.0
-    return ratio, min(notes, RATIO_NOTES_MOST) * weight(age, RATIO_HALF_LIFE_US)
+    return ratio, min(notes, MAX_RATIO_NOTES) * weight(age, RATIO_HALF_LIFE_US)
 
 
-def strangers(sights: Iterable[Sight], idents: Mapping[str, int]) -> bool:
+def is_other_cluster(observations: Iterable[MachineObservation], idents: Mapping[str, int]) -> bool:
     """Whether a peer's machines are so unlike our list that it must be of another cluster."""
-    found = list(sights)
+    found = list(observations)
     if not idents or len(found) < 4:
         return False
-    return sum(sight.machine not in idents for sight in found) > STRANGERS_MOST * len(found)
+    return sum(sight.machine not in idents for sight in found) > MAX_UNKNOWN_SHARE * len(found)
 
 
-class Verdict(Enum):
+class ListTrust(Enum):
     """What a list's entry means in the light of a peer's sight."""
 
     AS_LISTED = "as listed"
-    DRAINING = "seen draining by a peer, and the list is no newer"
+    SEEN_DRAINING = "seen draining by a peer, and the list is no newer"
 
 
 class Distrust:
@@ -286,45 +290,49 @@
     the list, newer than that sight, says that it runs. Versions order the two: both read one source.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_machines: int) -> None:
+        self._max_machines = max_machines
         self._drains: dict[str, int] = {}
         self._starts: dict[str, tuple[int, int]] = {}  # version, launched (our clock)
 
-    def saw(self, sight: Sight, own_version: int | None, now_us: int) -> bool:
+    def on_observation(
+        self, observation: MachineObservation, own_version: int | None, now_us: int
+    ) -> bool:
         """Take in a sight; True where it is newer than our list's entry and so changes what holds now."""
-        if own_version is not None and sight.version < own_version:
+        if own_version is not None and observation.version < own_version:
             return False
-        if sight.phase is not Phase.RUNNING:
-            known = sight.machine in self._drains
-            if not known and len(self._drains) >= self._most:
+        if observation.phase is not Phase.RUNNING:
+            known = observation.machine in self._drains
+            if not known and len(self._drains) >= self._max_machines:
                 return False
-            self._drains[sight.machine] = max(sight.version, self._drains.get(sight.machine, -1))
+            self._drains[observation.machine] = max(
+                observation.version, self._drains.get(observation.machine, -1)
+            )
             return not known
-        age = plausible(sight.launched_age_us)
+        age = plausible_age(observation.launched_age_us)
         if (
             age is not None
             and own_version is not None
-            and sight.version > own_version
-            and (len(self._starts) < self._most)
+            and observation.version > own_version
+            and (len(self._starts) < self._max_machines)
         ):
-            self._starts[sight.machine] = sight.version, now_us - age
+            self._starts[observation.machine] = observation.version, now_us - age
             return True
         return False
 
-    def judge(self, name: str, version: int) -> Verdict:
+    def judge(self, name: str, version: int) -> ListTrust:
         """What to make of an entry of that version that says the machine runs."""
         seen = self._drains.get(name)
         if seen is None:
-            return Verdict.AS_LISTED
+            return ListTrust.AS_LISTED
         if version > seen:
             del self._drains[name]
-            return Verdict.AS_LISTED
-        return Verdict.DRAINING
+            return ListTrust.AS_LISTED
+        return ListTrust.SEEN_DRAINING
 
     def narrow(self, name: str, version: int, listed: ListedMachine) -> ListedMachine:
         """The entry as the module may have it: draining where a peer saw that, cold where one saw a later start."""
-        if listed.phase is Phase.RUNNING and self.judge(name, version) is Verdict.DRAINING:
+        if listed.phase is Phase.RUNNING and self.judge(name, version) is ListTrust.SEEN_DRAINING:
             listed = replace(listed, phase=Phase.DRAINING)
         start = self._starts.get(name)
         if start is not None:
@@ -338,7 +346,7 @@
         """The list's version of the sight by which a machine is distrusted, -1 without one."""
         return self._drains.get(name, -1)
 
-    def new_source(self) -> None:
+    def on_new_source(self) -> None:
         """The list began anew: its versions say nothing of those before, its word counts again."""
         self._drains.clear()
         self._starts.clear()
--- a/wingbarrow/decide/restarts.py
+++ b/wingbarrow/decide/restarts.py
@@ -13,59 +13,59 @@
 _WIDTH = (Place.NONE, Place.MACHINE, Place.CELL, Place.ZONE, Place.ALL)
 
 
-class Rebirth:
+class RestartGuard:
     """Machines first seen until the first list from the source itself; times in microseconds."""
 
     def __init__(self, classes: tuple[TaskClass, ...]) -> None:
         self._scope = max((each.spread for each in classes), key=_WIDTH.index, default=Place.NONE)
-        self._unheard: dict[
+        self._pending: dict[
             str, tuple[object, int]
         ] = {}  # machine: its group, and how long it is waited for
-        self._waiting: dict[object, int] = {}  # group: machines that have not told
+        self._pending_by_group: dict[object, int] = {}  # group: machines that have not told
         self._seen: set[str] = set()
-        self.listed = (
+        self.list_received = (
             False  # the source's own list is in: later machines cannot hold a former life's tasks
         )
-        self._none = self._scope is Place.NONE
+        self._is_disabled = self._scope is Place.NONE
 
-    def saw(self, name: str, listed: ListedMachine, now_us: int) -> None:
+    def on_machine_listed(self, name: str, listed: ListedMachine, now_us: int) -> None:
         """A machine is on the list; only the first sight of each counts."""
-        if self._none or self.listed or name in self._seen:
+        if self._is_disabled or self.list_received or name in self._seen:
             return
         self._seen.add(name)
         group = self._group(listed)
-        self._unheard[name] = group, now_us + WAIT_US
-        self._waiting[group] = self._waiting.get(group, 0) + 1
+        self._pending[name] = group, now_us + WAIT_US
+        self._pending_by_group[group] = self._pending_by_group.get(group, 0) + 1
 
-    def told(self, name: str) -> bool:
+    def on_pods_listed(self, name: str) -> bool:
         """A machine has told what it runs; True where its group may be sent to from now on."""
-        entry = self._unheard.pop(name, None)
+        entry = self._pending.pop(name, None)
         if entry is None:
             return False
-        self._waiting[entry[0]] -= 1
-        if self._waiting[entry[0]]:
+        self._pending_by_group[entry[0]] -= 1
+        if self._pending_by_group[entry[0]]:
             return False
-        del self._waiting[entry[0]]
+        del self._pending_by_group[entry[0]]
         return True
 
-    def give_up(self, now_us: int) -> bool:
+    def expire(self, now_us: int) -> bool:
         """Let go of machines that had their time; True where a group may be sent to from now on."""
-        late = [name for name, (_, until_us) in self._unheard.items() if now_us >= until_us]
-        return any([self.told(name) for name in late])
+        late = [name for name, (_, until_us) in self._pending.items() if now_us >= until_us]
+        return any([self.on_pods_listed(name) for name in late])
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Nothing is waited for any more, and nothing new will be."""
-        return self._none or (self.listed and not self._unheard)
+        return self._is_disabled or (self.list_received and not self._pending)
 
-    def closed(self, listed: ListedMachine) -> bool:
+    def is_closed(self, listed: ListedMachine) -> bool:
         """Whether the machine may not be sent to yet."""
-        return bool(self._waiting) and self._group(listed) in self._waiting
+        return bool(self._pending_by_group) and self._group(listed) in self._pending_by_group
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """Machines that have not told."""
-        return len(self._unheard)
+        return len(self._pending)
 
     def _group(self, listed: ListedMachine) -> object:
         return {
--- a/wingbarrow/decide/retries.py
+++ b/wingbarrow/decide/retries.py
@@ -12,16 +12,18 @@
 
 from wingbarrow.interface import Effect, Reason
 
-MOVED_US = 50_000  # a moved task has been stopped: it may come again at once
-LOST_US = 200_000
-EVICTED_US = (
+MOVED_DELAY_US = 50_000  # a moved task has been stopped: it may come again at once
+LOST_DELAY_US = 200_000
+EVICTED_DELAY_US = (
     1_000_000  # its machine ran out of memory: a short wait keeps it from coming straight back
 )
-DOUBLINGS = 5
-KNOWN_US = 3_000_000  # a start this long before a life's last sign was answered in that life
+MAX_DOUBLINGS = 5
+ANSWER_MARGIN_US = (
+    3_000_000  # a start this long before a life's last sign was answered in that life
+)
 
 
-class End(Enum):
+class RunEnd(Enum):
     """How a placed task's run ended."""
 
     DONE = "done"
@@ -35,38 +37,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class RetryDecision:
     """`after_us` is None where the task is not asked for again; `counts` where it uses up a restart."""
 
     after_us: int | None
     counts: bool
 
 
-def end_of(reason: Reason) -> End:
+def run_end_for(reason: Reason) -> RunEnd:
     """The run's end by the machine's reason for giving it up."""
     return {
-        Reason.EVICTED: End.EVICTED,
-        Reason.PUSHED_OUT: End.PUSHED_OUT,
-        Reason.SENT_AWAY: End.SENT_AWAY,
-    }.get(reason, End.LOST)
+        Reason.EVICTED: RunEnd.EVICTED,
+        Reason.PUSHED_OUT: RunEnd.PUSHED_OUT,
+        Reason.SENT_AWAY: RunEnd.SENT_AWAY,
+    }.get(reason, RunEnd.LOST)
 
 
-def judge(
-    end: End, effect: Effect, restarts_left: int, losses: int, seed: random.Random
-) -> Verdict:
+def decide_retry(
+    end: RunEnd, effect: Effect, restarts_left: int, losses: int, seed: random.Random
+) -> RetryDecision:
     """`losses`: how often this task was lost or evicted already; waits double with them and are spread by half."""
-    if end in (End.DONE, End.STOPPED):
-        return Verdict(None, False)
+    if end in (RunEnd.DONE, RunEnd.STOPPED):
+        return RetryDecision(None, False)
     # Rule 2. Danger: a second start of what may have had its effect already.
     if effect is Effect.UNSAFE:
-        return Verdict(None, False)
-    if end is End.MOVED:
-        return Verdict(MOVED_US, False)
+        return RetryDecision(None, False)
+    if end is RunEnd.MOVED:
+        return RetryDecision(MOVED_DELAY_US, False)
     if restarts_left <= 0:
-        return Verdict(None, True)
-    base = EVICTED_US if end is End.EVICTED else LOST_US
-    wait = base << min(losses, DOUBLINGS)
-    return Verdict(wait // 2 + seed.randrange(wait // 2 + 1), True)
+        return RetryDecision(None, True)
+    base = EVICTED_DELAY_US if end is RunEnd.EVICTED else LOST_DELAY_US
+    wait = base << min(losses, MAX_DOUBLINGS)
+    return RetryDecision(wait // 2 + seed.randrange(wait // 2 + 1), True)
 
 
 def was_answered(started_us: int | None, alive_us: int | None, born_us: int) -> bool:
@@ -78,4 +80,4 @@
     """
     if started_us is None or alive_us is None or alive_us > born_us:
         return False
-    return started_us + KNOWN_US <= alive_us
+    return started_us + ANSWER_MARGIN_US <= alive_us
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -210,7 +210,10 @@
         self._placer.admission.check_overload(request.came_us)
         value = self._body(request)
         made = self._placer.admission.submit(
-            value, namespace, self._dry_run(query.get("dryRun")), request.came_us
+            value,
+            namespace,
+            dry_run=self._dry_run(query.get("dryRun")),
+            arrived_us=request.came_us,
         )
         return Answer(201, names.encode(made))
 
@@ -333,7 +336,7 @@
         (
             "wingbarrow_subset_passed_over",
             "Entries of the list passed over so far",
-            reflector.passed_over,
+            reflector.skipped_entries,
         ),
         (
             "wingbarrow_subset_relists",
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/api.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from wingbarrow.config import PlacerSettings
-from wingbarrow.decide.learning import Sight
+from wingbarrow.decide.learning import MachineObservation
 from wingbarrow.http.listwatch import Query
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer, ChunkWriter
@@ -152,7 +152,7 @@
             self.handovers -= 1
 
 
-def _mark(sight: Sight, now: int) -> object:
+def _mark(sight: MachineObservation, now: int) -> object:
     """What of a sight counts as a change: figures by when they were heard, programs and rests by name."""
     return (
         sight.version,
--- a/wingbarrow/peers/knowledge_pages.py
+++ b/wingbarrow/peers/knowledge_pages.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from wingbarrow.decide.learning import Announcement, Sight
+from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.interface import Phase
 
 FORM = 1
@@ -109,10 +109,10 @@
     snapshot_age_us: int
     clock_us: int
     shares: Shares
-    sights: list[Sight]
+    sights: list[MachineObservation]
 
 
-def to_wire(sight: Sight) -> WireSight:
+def to_wire(sight: MachineObservation) -> WireSight:
     """For a page; of programs the longest trusted are told of."""
     warm = dict(sorted(sight.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[:SERVICES_MOST])
     return WireSight(
@@ -129,7 +129,7 @@
     )
 
 
-def encode_part(sights: Iterable[Sight]) -> tuple[bytes, str]:
+def encode_part(sights: Iterable[MachineObservation]) -> tuple[bytes, str]:
     """The bytes of a page's machines, and their digest."""
     raw = _encode([to_wire(sight) for sight in sights])
     return raw, xxhash.xxh64_hexdigest(raw)
@@ -147,7 +147,7 @@
         self,
         token: str,
         now_us: int,
-        take: Callable[[], tuple[list[Sight], Shares]],
+        take: Callable[[], tuple[list[MachineObservation], Shares]],
         turn: Callable[[], None],
     ) -> bytes:
         """The page of a token, the first one of a fresh or young snapshot without; KeyError past its time.
@@ -189,7 +189,11 @@
         return newest if newest is not None and now_us - newest.taken_us < SHARE_US else None
 
     def _cut(
-        self, now_us: int, sights: list[Sight], shares: Shares, turn: Callable[[], None]
+        self,
+        now_us: int,
+        sights: list[MachineObservation],
+        shares: Shares,
+        turn: Callable[[], None],
     ) -> _Snapshot:
         self._count += 1
         parts: list[tuple[bytes, str, int]] = []
@@ -203,7 +207,7 @@
         return snapshot
 
 
-def changes_line(sights: list[Sight], shares: Shares, now_us: int) -> bytes:
+def changes_line(sights: list[MachineObservation], shares: Shares, now_us: int) -> bytes:
     """One line of the watch: what changed, as a page of its own."""
     raw, digest = encode_part(sights)
     return (
@@ -245,7 +249,7 @@
     try:
         wire = _sights.decode(body)
         sights = [
-            Sight(
+            MachineObservation(
                 each.machine,
                 each.version,
                 Phase(each.phase),
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -12,7 +12,7 @@
 
 from wingbarrow.config.settings import PeerAddress, PlacerSettings
 from wingbarrow.decide import learning
-from wingbarrow.decide.learning import Announcement, ClockCheck, Sight
+from wingbarrow.decide.learning import Announcement, ClockCheck, MachineObservation
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.peers.knowledge_pages import PAGE, BadPage, Page, read_instance, read_page
@@ -31,7 +31,9 @@
 class Taker(Protocol):
     """The placer, as far as learning goes."""
 
-    def take_sights(self, sights: list[Sight], more_age_us: int, clock_good: bool) -> bool:
+    def take_sights(
+        self, sights: list[MachineObservation], more_age_us: int, clock_good: bool
+    ) -> bool:
         """Take in a page's sights; False where they are of another cluster."""
 
     def take_shares(self, page: Page, more_age_us: int, clock_good: bool) -> None:
@@ -171,7 +173,7 @@
 
     def _take(self, page: Page, clock: ClockCheck, asked_us: int) -> bool:
         now = self._hub.now_us()
-        good = clock.page(now, page.clock_us)
+        good = clock.check_page(now, page.clock_us)
         if not good:
             self.counts["clock_jumps"] += 1
         # The answer was written at some time after the question left: the whole exchange counts as age.
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -9,7 +9,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config import PlacerSettings
 from wingbarrow.decide import learning
-from wingbarrow.decide.learning import Sight
+from wingbarrow.decide.learning import MachineObservation
 from wingbarrow.peers.knowledge_pages import Page, Shares
 from wingbarrow.transport import Hub
 
@@ -35,7 +35,7 @@
 class Reflector(Protocol):
     """The list, as far as hearsay goes."""
 
-    heard_us: int | None
+    last_contact_us: int | None
     on_new_source: Callable[[], None]
 
     @property
@@ -121,7 +121,7 @@
             str, int
         ] = {}  # machines that left the list, for peers to hear of
         self._heard: dict[
-            str, tuple[Sight, int, bool]
+            str, tuple[MachineObservation, int, bool]
         ] = {}  # not applied yet: sight, when it was true, clock good
         self._average = (0.5, 0.5)  # asked over size, as peers last told it
         self._shares_taken = False
@@ -131,14 +131,14 @@
             self._note_listed,
             self._apply,
         )
-        fleet.reflector.on_new_source = self._distrust.new_source
+        fleet.reflector.on_new_source = self._distrust.on_new_source
 
     # -- told to others
 
     def announce(self) -> learning.Announcement:
         """What this instance says of itself to others."""
         reflector, now = self._fleet.reflector, self._base.hub.now_us()
-        heard, settings = reflector.heard_us, self._base.settings
+        heard, settings = reflector.last_contact_us, self._base.settings
         return learning.Announcement(
             "",
             settings.name,
@@ -151,11 +151,11 @@
             0,
         )
 
-    def know(self) -> tuple[list[Sight], Shares]:
+    def know(self) -> tuple[list[MachineObservation], Shares]:
         """What this instance knows of machines, for a hand-over."""
         now, known = self._base.hub.now_us(), self._host.knowledge()
         by_ident = {each.machine: each for each in known.machines}
-        sights: list[Sight] = []
+        sights: list[MachineObservation] = []
         for name, entry in self._fleet.held.items():
             link, each = self._machines.links.get(name), by_ident.get(entry.listed.machine)
             if link is None or each is None:
@@ -167,7 +167,7 @@
                 # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
                 phase = self._guard(entry, entry.listed).phase
             sights.append(
-                Sight(
+                MachineObservation(
                     name,
                     max(entry.version, self._distrust.version(name)),
                     phase,
@@ -182,7 +182,9 @@
             )
         for name, version in self._gone_versions.items():
             sights.append(
-                Sight(name, version, api.Phase.GONE, None, None, None, None, None, {}, {})
+                MachineObservation(
+                    name, version, api.Phase.GONE, None, None, None, None, None, {}, {}
+                )
             )
         use_us = self._sightings.last_usage_us
         return sights, Shares(known.ratio, known.notes, None if use_us is None else now - use_us)
@@ -197,19 +199,23 @@
 
     # -- taken in
 
-    def take_sights(self, sights: list[Sight], more_age_us: int, clock_good: bool) -> bool:
+    def take_sights(
+        self, sights: list[MachineObservation], more_age_us: int, clock_good: bool
+    ) -> bool:
         """Take in a page of a peer's sights; False, and none is kept, where they are of another cluster."""
         held = self._fleet.held
         # What is left out here, where placers hold subsets, says nothing of whose cluster it is.
-        sights = [sight for sight in sights if self._fleet.reflector.wanted(sight.machine)]
-        if learning.strangers(sights, {name: entry.listed.machine for name, entry in held.items()}):
+        sights = [sight for sight in sights if self._fleet.reflector.is_wanted(sight.machine)]
+        if learning.is_other_cluster(
+            sights, {name: entry.listed.machine for name, entry in held.items()}
+        ):
             return False
         now, changed = self._base.hub.now_us(), []
         for sight in sights:
             entry = held.get(sight.machine)
             # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
             if (
-                self._distrust.saw(sight, entry.version if entry else None, now)
+                self._distrust.on_observation(sight, entry.version if entry else None, now)
                 and entry is not None
             ):
                 changed.append(entry)
@@ -231,7 +237,7 @@
         shares = page.shares
         age = None if shares.age_us is None else shares.age_us + more_age_us
         weighed = [
-            learning.weigh_ratio(ratio, notes, age, clock_good)
+            learning.learned_ratio(ratio, notes, age, clock_good)
             for ratio, notes in zip(shares.ratio, shares.notes, strict=True)
         ]
         if any(notes > 0 for _, notes in weighed):
@@ -249,7 +255,7 @@
         if not self._heard or self._fleet.reopening:
             return
         now, held = self._base.hub.now_us(), self._fleet.held
-        groups: dict[tuple[int, bool], list[Sight]] = {}
+        groups: dict[tuple[int, bool], list[MachineObservation]] = {}
         for name in [
             name
             for name in self._heard
@@ -263,7 +269,7 @@
             here = [sight.machine for sight in sights]
             sizes = {name: self._fleet.size_of(held[name]) for name in here}
             self._average = learning.fleet_average(sights, sizes, self._average)
-            weighed = learning.weigh(
+            weighed = learning.learned_machines(
                 sights,
                 now - at_us,
                 sizes,
@@ -276,6 +282,8 @@
             if weighed:
                 self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
         for name in [
-            name for name, (_, at_us, _) in self._heard.items() if now - at_us > learning.USELESS_US
+            name
+            for name, (_, at_us, _) in self._heard.items()
+            if now - at_us > learning.MAX_USEFUL_AGE_US
         ]:
             del self._heard[name]
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -7,8 +7,8 @@
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide.crowd import Crowd
-from wingbarrow.decide.overload import Door, TurnedAway
-from wingbarrow.decide.retries import End
+from wingbarrow.decide.overload import OverloadControl, Rejected
+from wingbarrow.decide.retries import RunEnd
 from wingbarrow.relay import setup
 from wingbarrow.relay.links import Attempt, Attempts, Links
 from wingbarrow.relay.message import Cause, Code, Kind, Message, with_cause
@@ -43,7 +43,7 @@
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
         self._bounds = setup.Bounds.of(settings, deadline_us)
-        self._door = Door(settings.tick_us)
+        self._door = OverloadControl(settings.tick_us)
         self._stay_away = b"%d" % max(1, min(stay_away_most_us, 1_000_000) // 1000)
         self.ready = False
         self.owners: Owners
@@ -78,11 +78,11 @@
             self._turn_away(owner, message.task, Cause.ERROR, "id in use", held)
             return
         now, lag, pending = self._life.hub.now_us(), self._life.hub.lag_us(), self._requests.pending
-        due = self._door.on_wait(now, came_us, lag, pending)
+        due = self._door.check_wait(now, came_us, lag, pending)
         due_us = due or self._door.due_us(
             now, came_us, asked.patience_us, lag, pending, self._requests.answered
         )
-        if isinstance(due_us, TurnedAway):
+        if isinstance(due_us, Rejected):
             self._turn_away(owner, message.task, Cause.BUSY, due_us.why.name.lower(), held)
         elif pending >= OPEN_IN_ALL or not self._crowd.may_open(owner.guest, len(owner.tasks)):
             self._turn_away(owner, message.task, Cause.BUSY, "too many open", held)
@@ -176,7 +176,7 @@
         if attempt is None:
             return
         if stood:
-            self._offers.stop(attempt, End.STOPPED, cause)
+            self._offers.stop(attempt, RunEnd.STOPPED, cause)
         else:
             self._offers.abandon(attempt, api.Outcome.CANCELLED)
 
@@ -214,4 +214,4 @@
             return
         self._life.counts["moves"] += 1
         self.owners.told_to_move(task.ident)
-        self._offers.stop(attempt, End.MOVED)
+        self._offers.stop(attempt, RunEnd.MOVED)
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -10,9 +10,9 @@
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide import orphans as strays
-from wingbarrow.decide.gate import Held, Offer, SendGate
-from wingbarrow.decide.idempotency import Earlier, may_repeat
-from wingbarrow.decide.retries import End
+from wingbarrow.decide.gate import HoldReason, Offer, SendGate
+from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
+from wingbarrow.decide.retries import RunEnd
 from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
@@ -127,7 +127,7 @@
     def _may_send(self, attempt: Attempt) -> bool:
         """Every set-up passes here right before its first byte; see decide.gate."""
         task, link, now = attempt.task, attempt.link, self._life.hub.now_us()
-        held: Held | None = self._gate.check(
+        held: HoldReason | None = self._gate.check(
             now,
             Offer(
                 attempt.decided_us,
@@ -220,7 +220,7 @@
         )
         attempt.link.running.pop(attempt.task.ident, None)
         if not placed and outcome not in UNRUN and attempt.task.earlier is None:
-            attempt.task.earlier = Earlier(attempt.decided_us, attempt.link.listed)
+            attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
             attempt.task.owner.guest.errors += 1
         self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
@@ -291,7 +291,7 @@
             # Its owner's connection broke in this very turn: nobody was told that it stands, and nobody would end it.
             self._life.counts["answers_unheard"] += 1
             self._host.feed(api.TaskWithdrawn(task.request))
-            self.stop(attempt, End.STOPPED, Cause.GIVEN_UP)
+            self.stop(attempt, RunEnd.STOPPED, Cause.GIVEN_UP)
 
     def _pass_on(self, attempt: Attempt, description: bytes) -> bool:
         """The final answer: the machine's description goes to the owner in the turn in which it came.
@@ -427,7 +427,7 @@
             if attempt.placed_us < launched_us:
                 self._ended(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
 
-    def stop(self, attempt: Attempt, end: End, cause: int = Cause.CANCELLED) -> None:
+    def stop(self, attempt: Attempt, end: RunEnd, cause: int = Cause.CANCELLED) -> None:
         """Have a running task cut; its attempt is over once the machine says so."""
         attempt.stopping = end
         self._trace(attempt.task.ident, "stopped", machine=attempt.link.name, end=end.value)
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -14,7 +14,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.crowd import Guest
-from wingbarrow.decide.idempotency import Earlier
+from wingbarrow.decide.idempotency import EarlierAttempt
 
 
 class State(Enum):
@@ -78,7 +78,7 @@
     ]  # parameters that go to machines unchanged; empty once no answer is owed
     state: State = State.ASKED
     binds: int = 0
-    earlier: Earlier | None = None  # its first attempt that may have run
+    earlier: EarlierAttempt | None = None  # its first attempt that may have run
 
 
 class RequestTable:
