--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -6,7 +6,7 @@
 the service was made. Each further line, `MACHINES`, is answered with `Figures`; `trace` with `Traced`; `sample N`
 starts the sampler, or with 0 stops it.
 
-What the placer pays for news of its list is the processor time inside `Reflector._batch`, wrapped here: entries read
+What the placer pays for news of its list is the processor time inside `Reflector._on_batch`, wrapped here: entries read
 and guarded, the module's part, Nodes shown; not the reading and decoding of the bytes.
 
 Bytes are counted in `Stream.receive`, `send` and `send_now`, wrapped here before the service is made; of all its
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -276,9 +276,9 @@
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.offered_us
-        assert offered_us is not None and not subset._may_release(link, offered_us + LINGER_US - 1), (
-            "its offer is just over"
-        )
+        assert offered_us is not None and not subset._may_release(
+            link, offered_us + LINGER_US - 1
+        ), "its offer is just over"
         assert subset._may_release(link, offered_us + LINGER_US)
         placer.stops.request(link, "default", "ghost", settled=lambda: False)
         assert not subset._may_release(link, offered_us + LINGER_US), "a stop is owed"
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -1,4 +1,4 @@
-"""What clients see: Jobs and their statuses, Nodes, Events, in one store with one sequence of resourceVersions."""
+"""API objects that clients list and watch: Jobs, Nodes, Events, in one store with one resourceVersion sequence."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class ApiObjects:
-    """Jobs are shown once for all that one event brought about; Nodes as the list and the calendar have them."""
+    """Publishes objects: a Job once per module event, however often it changed; a Node by list and drain calendar."""
 
-    def __init__(self, base: Base, book: JobStore) -> None:
+    def __init__(self, base: Base, job_store: JobStore) -> None:
         self._base = base
-        self._job_store = book
-        # The wall clock lies above every version of an earlier life, at less than a change a microsecond.
+        self._job_store = job_store
+        # The wall clock is above every version of an earlier incarnation, at less than one change a microsecond.
         self.store = Store(base.started_us, base.settings.limits.window)
         self.jobs = self.store.collection("jobs")
         self.nodes = self.store.collection("nodes", _node_fields)
@@ -27,22 +27,24 @@
         self._dirty: dict[str, JobRecord] = {}
         self._shown_versions: dict[
             str, int
-        ] = {}  # the source's version of each Node that clients see
-        self._conditions: dict[str, dict[str, str]] = {}  # by Node: its drain, in words for people
+        ] = {}  # by Node: the source's resourceVersion as published
+        self._conditions: dict[
+            str, dict[str, str]
+        ] = {}  # by Node: the condition that describes its drain
 
     # -- Jobs
 
     def show_new(self, job: JobRecord) -> None:
-        """A Job was accepted."""
+        """Publish a Job that was admitted."""
         write_status(job, self._base.hub.clock.wall_us())
         self.jobs.put(job.key, job.value)
 
     def mark(self, job: JobRecord) -> None:
-        """Something of a Job changed; it is shown with the next flush."""
+        """Have a Job that changed published with the next flush."""
         self._dirty[job.key] = job
 
     def flush(self) -> None:
-        """Show what changed of Jobs, and forget those that ended beyond what is kept."""
+        """Publish the Jobs that changed, and drop finished Jobs beyond the number that is kept."""
         dirty, self._dirty = self._dirty, {}
         for job in dirty.values():
             if not job.deleted:
@@ -54,17 +56,17 @@
             self._base.counts["jobs_forgotten"] += 1
 
     def record_event(self, job: JobRecord, kind: str, reason: str, message: str) -> None:
-        """An Event on a Job."""
+        """Record an Event on a Job."""
         self._events.tell(job, kind, reason, message, self._base.hub.clock.wall_us())
 
     def record_node_event(self, name: str, kind: str, reason: str, message: str) -> None:
-        """An Event on a Node."""
+        """Record an Event on a Node."""
         self._events.tell_node(name, kind, reason, message, self._base.hub.clock.wall_us())
 
     # -- Nodes
 
     def show_node(self, entry: NodeEntry, drained: bool) -> None:
-        """A Node as the list has it, closed where the calendar closed it."""
+        """Publish a Node as the list has it, unschedulable where it is `drained` by the calendar."""
         value = {
             "kind": "Node",
             "apiVersion": "v1",
@@ -89,19 +91,19 @@
         self.nodes.put(entry.name, value)
 
     def show_node_if_changed(self, entry: NodeEntry, drained: bool) -> None:
-        """A Node of the list, where its version is not the one that is shown."""
+        """Publish a Node unless its version is the one published already."""
         if self._shown_versions.get(entry.name) != entry.version:
             self._shown_versions[entry.name] = entry.version
             self.show_node(entry, drained)
 
     def drop_node(self, name: str) -> Stored | None:
-        """A machine left the list; the Node as it last was."""
+        """Withdraw the Node of a machine that left the list; the Node as last published."""
         self._shown_versions.pop(name, None)
         self._conditions.pop(name, None)
         return self.nodes.delete(name)
 
     def set_condition(self, name: str, condition: dict[str, str]) -> None:
-        """What of a drain is shown among a Node's conditions from its next showing on."""
+        """Describe a drain among a Node's conditions, from its next publication on."""
         self._conditions[name] = condition
 
 
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: entries of the list through the guards to the module, to clients and to the machines' own connections."""
+"""The fleet: list entries pass the guards, then go to the module, to API objects and to the machines' connections."""
 
 from __future__ import annotations
 
@@ -27,24 +27,30 @@
 
 
 class Fleet:
-    """Owns which machines are reached and how the module may see them.
+    """Owns the machines' connections, and decides in which phase the module sees each machine.
 
-    `guards` narrow each entry, in order, before the module and the gate have it; `gone`, `listed` and `taken_in` hear
-    of machines that left, of those that are on the list (again), and of each delivery that is taken in.
+    `guards` restrict each entry, in order, for the module and the gate; `slow_start_guard` restricts what the module
+    alone sees, last of all. The callbacks `on_gone`, `on_machine_listed` and `on_delivery_applied` are called for each
+    machine that left the list, for each that is on it, and after each delivery.
     """
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        board: ApiObjects,
+        objects: ApiObjects,
         machines: Machines,
         attempts: Attempts,
         runs: Runs,
-        sightings: Observations,
+        observations: Observations,
     ) -> None:
-        self._base, self._host, self._objects, self._machines = base, host, board, machines
-        self._attempts, self._runs, self._observations = attempts, runs, sightings
+        self._base = base
+        self._host = host
+        self._objects = objects
+        self._machines = machines
+        self._attempts = attempts
+        self._runs = runs
+        self._observations = observations
         self._restart_guard = RestartGuard(base.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
@@ -60,23 +66,20 @@
             self.apply,
             base.log,
         )
-        self.ready = False  # a list of machines has come
+        self.ready = False  # whether a list was received from the source
         self.guards: list[Guard] = []
-        self.slow_start_guard: Guard = (
-            lambda entry, listed: listed
-        )  # narrows what the module alone sees, last of all
+        self.slow_start_guard: Guard = lambda entry, listed: listed
         self.on_gone: Callable[[str], None] = lambda name: None
         self.on_machine_listed: Callable[[str], None] = lambda name: None
         self.on_contact: Callable[[str], None] = lambda name: None  # a machine answered a probe
         self.on_delivery_applied: Callable[[], None] = lambda: None
-        self.is_drained: Callable[[str], bool] = lambda name: False  # closed by the calendar
+        self.is_drained: Callable[[str], bool] = lambda name: False  # by the drain calendar
         self.on_state_lost: Callable[[], None] = (
             lambda: None
         )  # what a former life held cannot be read
-        self.closed_locally: list[
-            Callable[[str], bool]
-        ] = []  # which machines are closed to this placer alone
-        sightings.on_listed = self._on_pods_listed
+        # Predicates on machine names: closed to this placer alone.
+        self.closed_locally: list[Callable[[str], bool]] = []
+        observations.on_listed = self._on_pods_listed
 
     @property
     def held(self) -> dict[str, NodeEntry]:
@@ -85,14 +88,14 @@
 
     @property
     def held_fraction(self) -> float:
-        """The part of the machines on the list that this placer holds; 1.0 where none is left out."""
+        """The fraction of the listed machines that this placer holds; 1.0 where none is left out."""
         held, left_out = len(self.held), self.reflector.left_out
         return held / (held + left_out) if left_out else 1.0
 
     # -- the list
 
     def apply(self, form: api.ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
-        """A delivery of the reflector, or entries that are to pass the guards anew."""
+        """Apply a delivery of the reflector: changed entries and the names of machines that are gone."""
         if form is api.ListForm.FAILED:
             self._host.feed(api.MachineList(form, ()))
             return
@@ -105,12 +108,12 @@
         narrowed = {entry.name: self._narrow(entry) for entry in entries}
         listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
         for name in gone:
-            entry_gone = self._on_gone(name)
-            if form is api.ListForm.CHANGES and entry_gone is not None:
-                listed.append(entry_gone)
-        fresh: list[MachineLink] = []
+            last_entry = self._on_gone(name)
+            if form is api.ListForm.CHANGES and last_entry is not None:
+                listed.append(last_entry)
+        new_links: list[MachineLink] = []
         for entry in entries:
-            link = self._link(entry, fresh)
+            link = self._link(entry, new_links)
             link.phase, link.launched_us = (
                 narrowed[entry.name].phase,
                 narrowed[entry.name].launched_us,
@@ -119,14 +122,14 @@
             self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
         self._restart_guard.list_received |= form is api.ListForm.FULL
-        for link in fresh:
+        for link in new_links:
             self._observations.follow(link)
         for name in gone:
             self._retire(name)
         self.on_delivery_applied()
 
     def reapply(self, entries: Iterable[NodeEntry]) -> None:
-        """Have entries pass the guards anew; their figures of room are no news and count as not told."""
+        """Pass entries through the guards anew; their free capacity is not current and counts as unknown."""
         self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
 
     def reapply_named(self, names: Container[str]) -> None:
@@ -138,7 +141,7 @@
         for guard in self.guards:
             listed = guard(entry, listed)
         if listed.phase is api.Phase.RUNNING and self._restart_guard.is_closed(entry.listed):
-            # Danger (rule 5): a former life's tasks that are not known yet would not count.
+            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not count.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
 
@@ -147,7 +150,7 @@
         return self._remove_node(name)
 
     def _remove_node(self, name: str) -> api.ListedMachine | None:
-        """A machine that is shown no more, and its last entry as the module is to have it; None where it had none."""
+        """Withdraw a machine's Node and mark its link gone; its last entry for the module, None without a link."""
         link = self._machines.links.get(name)
         stored = self._objects.drop_node(name)
         if link is None:
@@ -161,9 +164,9 @@
         return replace(entry, phase=api.Phase.GONE, launched_us=link.launched_us)
 
     def release(self, name: str) -> None:
-        """Let go of a machine that stays on the list: nothing of this placer's is there, and nothing is sent there.
+        """Release a machine that stays on the list: no task of this placer is there, and none will be sent.
 
-        To the module and to clients it is gone; to peers, and to what follows the list, nothing is said.
+        The module and clients see it as gone; peers and the callbacks for the list are not notified.
         """
         self.reflector.drop(name)
         entry = self._remove_node(name)
@@ -177,26 +180,26 @@
     # -- after a start
 
     def is_closed_by_restart(self, entry: NodeEntry) -> bool:
-        """Whether only this placer's own start keeps it from a machine."""
+        """Whether a machine is closed only because this placer has restarted."""
         return self._restart_guard.is_closed(entry.listed)
 
     def is_closed_locally(self, entry: NodeEntry) -> bool:
-        """Whether a machine is closed to this placer for reasons of its own: no drain that others should hear of."""
+        """Whether a machine is closed to this placer alone, so that peers must not take it for draining."""
         return self.is_closed_by_restart(entry) or any(
             closed(entry.name) for closed in self.closed_locally
         )
 
     def is_off_list(self, name: str) -> bool:
-        """Whether a machine that is not held is off the list, and not merely left out."""
+        """Whether a machine that is not held is absent from the list, and not merely outside the subset."""
         return self.ready and self.reflector.is_wanted(name)
 
     @property
     def reopening(self) -> bool:
-        """Whether machines that may be sent to by now are still to be shown to the module."""
+        """Whether machines that were opened are still to be passed to the module."""
         return self._reopening
 
     def run_restart_timeouts(self) -> None:
-        """Machines that cannot be reached hold up their rack for a while only; ends with that."""
+        """Expire the wait for machines that cannot be reached after a restart; returns once none is waited for."""
         while not self._restart_guard.is_over:
             if self._restart_guard.expire(self._base.hub.now_us()):
                 self._reopen()
@@ -204,17 +207,17 @@
                 self._base.hub.sleep(REOPEN_US)
 
     def _on_pods_listed(self, name: str) -> None:
-        """A machine has listed what it runs for this placer."""
+        """A machine has listed its pods of this placer."""
         if self._restart_guard.on_pods_listed(name):
             self._reopen()
 
     def _reopen(self) -> None:
-        """Show the module the machines that may be sent to by now; soon, all that open in a while at once."""
+        """Pass opened machines to the module, after a delay that collects those that open at about the same time."""
         if self._reopening:
             return
         self._reopening = True
 
-        def due() -> None:
+        def on_due() -> None:
             self._reopening = False
             links = self._machines.links
             self.reapply(
@@ -227,10 +230,10 @@
                 ]
             )
 
-        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, due)
+        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, on_due)
 
     def has_complete_view(self, machines: int) -> bool:
-        """Whether the list names at least so many machines and each of them has told what it runs."""
+        """Whether the list names at least `machines` machines and each of them has listed its pods."""
         return (
             len(self.held) + self.reflector.left_out >= machines
             and self._restart_guard.pending_count == 0
@@ -239,10 +242,10 @@
 
     # -- connections
 
-    def _link(self, entry: NodeEntry, fresh: list[MachineLink]) -> MachineLink:
+    def _link(self, entry: NodeEntry, new_links: list[MachineLink]) -> MachineLink:
         link, offered_us = self._machines.links.get(entry.name), None
         if link is not None and (link.host, link.port) != (entry.host, entry.port):
-            # The machine answers at another address: what was there is reached no more.
+            # The machine has another address: the former one is no longer reached.
             link.retired = True
             link.close()
             offered_us, link = link.offered_us, None
@@ -259,11 +262,11 @@
             )
             link.offered_us = offered_us
             self._machines.add(link)
-            fresh.append(link)
+            new_links.append(link)
         return link
 
     def _retire(self, name: str) -> None:
-        """A machine left the list: once it cannot be reached, what ran there is lost."""
+        """A machine left the list: once it cannot be reached, or after 10 minutes, its tasks are lost."""
         link = self._machines.links.get(name)
         if link is None:
             return
@@ -272,8 +275,7 @@
             for _ in range(600):
                 if link.phase is not api.Phase.GONE:
                     return
-                mine = self._attempts.on(link)
-                if not mine or not link.reachable:
+                if not self._attempts.on(link) or not link.reachable:
                     break
                 self._base.hub.sleep(1_000_000)
             if link.phase is not api.Phase.GONE:
@@ -292,7 +294,7 @@
         return self._base.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
 
     def probe(self, machine: int) -> None:
-        """Ask a machine for its own figures."""
+        """Request a machine's load report; dropped while too many probes are out."""
         link = self._machines.of(machine)
         if link is None or self._probes_out >= MAX_PROBES:
             self._base.counts["probes_dropped"] += 1
@@ -315,7 +317,7 @@
 
 
 def without_free_capacity(entry: NodeEntry) -> NodeEntry:
-    """An entry whose figures of room are of an unknown age: they count as not told."""
+    """The entry with unknown free capacity, as its figures are of unknown age."""
     return replace(entry, listed=replace(entry.listed, free_cores=math.nan, free_memory=math.nan))
 
 
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -1,8 +1,9 @@
-"""Runs that go to another region: stopped here first, then handed over; what nobody takes is asked for here again."""
+"""Migration of running tasks to another region: stopped here first, then forwarded; kept here where nobody accepts."""
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass
 
 from wingbarrow.core.attempts import Attempts, Stage
 from wingbarrow.core.base import Base
@@ -11,126 +12,152 @@
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.federation.moving import Run, moves
+from wingbarrow.decide.federation.moving import Move, Run, moves
+from wingbarrow.decide.federation.spec import Federation
 
 SCAN_INTERVAL_US = 1_000_000
-MAX_SCANNED = 512  # runs that are looked at in one turn
-ABANDON_AFTER_US = 30_000_000  # a move that has come to nothing for so long is forgotten
+MAX_SCANNED = 512  # Jobs in one scan
+ABANDON_AFTER_US = 30_000_000  # a migration that was not completed within this is forgotten
+
+
+@dataclass(frozen=True, slots=True)
+class _Migration:
+    """A task on its way: the spec by which it migrates, its target region, and the time of the decision."""
+
+    task: TaskRecord
+    spec: str
+    region: str
+    since_us: int
 
 
 class Migrations:
-    """Owns which tasks are on their way, by name."""
+    """Starts migrations that `decide.federation.moving` finds due; owns those under way, by task name."""
 
     def __init__(
         self,
         base: Base,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
         requests: Requests,
         runs: Runs,
-        holder: LeasedJobs,
-        elsewhere: RemoteRegions,
+        leased_jobs: LeasedJobs,
+        remote_regions: RemoteRegions,
     ) -> None:
-        self._base, self._attempts, self._requests, self._runs = base, attempts, requests, runs
-        self._leased_jobs, self._remote_regions = holder, elsewhere
-        self._migrating: dict[
-            str, tuple[TaskRecord, str, str, int]
-        ] = {}  # task, spec, region, since when
-        self._scan_offset = 0  # where the next look at all runs begins
+        self._base = base
+        self._attempts = attempts
+        self._requests = requests
+        self._runs = runs
+        self._leased_jobs = leased_jobs
+        self._remote_regions = remote_regions
+        self._migrating: dict[str, _Migration] = {}
+        self._scan_offset = 0  # in the list of leased Jobs, of the next scan
         requests.try_forward = self._try_forward
-        book.state_listeners.append(self._on_state_change)
+        jobs.state_listeners.append(self._on_state_change)
 
     def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Scan at intervals until cancelled."""
         while True:
             self._base.hub.sleep(SCAN_INTERVAL_US)
             self.start_due()
 
     def start_due(self) -> None:
-        """Have go what is to go now."""
-        now, federation = self._base.hub.now_us(), self._leased_jobs.federation()
+        """Scan the next leased Jobs, and start the migrations that are due."""
+        now = self._base.hub.now_us()
+        federation = self._leased_jobs.federation()
         self._migrating = {
-            name: each for name, each in self._migrating.items() if now - each[3] < ABANDON_AFTER_US
+            name: each
+            for name, each in self._migrating.items()
+            if now - each.since_us < ABANDON_AFTER_US
         }
-        jobs = list(self._leased_jobs.jobs.values())
-        if not jobs or not any(
-            each.back.when != "never"
-            or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
-            for each in federation.specs
-        ):
+        if not self._leased_jobs.jobs or not _can_migrate(federation):
             return
-        begin = self._scan_offset % len(jobs)
-        some = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
-        self._scan_offset = begin + len(some)
-        standing: list[tuple[TaskRecord, Run]] = []
-        for job in some:
-            if job.leased is None:
-                continue
-            afar = self._remote_regions.is_from_other_region(job.key)
-            for task in job.tasks:
-                if (
-                    task.state in (State.PLACED, State.ADOPTED)
-                    and task.name not in self._migrating
-                    and not task.answer_uncertain
-                ):
-                    standing.append(
-                        (
-                            task,
-                            Run(
-                                task.request,
-                                job.leased.spec,
-                                job.request.cores,
-                                job.request.memory,
-                                job.request.task_class.task_class.effect.value,
-                                afar,
-                            ),
-                        )
-                    )
-        by_number = {run.number: task for task, run in standing}
-        under_way = Counter(spec for _, spec, _, _ in self._migrating.values())
+        task_by_request: dict[int, TaskRecord] = {}
+        runs: list[Run] = []
+        for task, run in self._movable_runs():
+            task_by_request[run.number] = task
+            runs.append(run)
         for move in moves(
-            (run for _, run in standing),
+            runs,
             federation,
             self._base.settings.region,
             self._remote_regions.region_news(now),
-            under_way,
+            Counter(each.spec for each in self._migrating.values()),
         ):
-            task, attempt = by_number[move.number], self._attempts.of(move.number)
-            if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
+            self._start(task_by_request[move.number], move, now)
+
+    def _movable_runs(self) -> list[tuple[TaskRecord, Run]]:
+        """Of the next Jobs in turn: tasks that run, are not migrating, and whose owner is certain of their answer."""
+        jobs = list(self._leased_jobs.jobs.values())
+        begin = self._scan_offset % len(jobs)
+        scanned = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
+        self._scan_offset = begin + len(scanned)
+        movable: list[tuple[TaskRecord, Run]] = []
+        for job in scanned:
+            if job.leased is None:
                 continue
-            leased = task.job.leased
-            self._migrating[task.name] = (
-                task,
-                leased.spec if leased is not None else "",
-                move.region,
-                now,
-            )
-            self._base.counts[f"moved to another region: {move.why}"] += 1
-            self._base.log(
-                "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
-            )
-            self._runs.move(move.number)
+            is_from_other_region = self._remote_regions.is_from_other_region(job.key)
+            movable += [
+                (
+                    task,
+                    Run(
+                        task.request,
+                        job.leased.spec,
+                        job.request.cores,
+                        job.request.memory,
+                        job.request.task_class.task_class.effect.value,
+                        is_from_other_region,
+                    ),
+                )
+                for task in job.tasks
+                if task.state in (State.PLACED, State.ADOPTED)
+                and task.name not in self._migrating
+                and not task.answer_uncertain
+            ]
+        return movable
+
+    def _start(self, task: TaskRecord, move: Move, now_us: int) -> None:
+        attempt = self._attempts.of(move.number)
+        if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
+            return
+        leased = task.job.leased
+        self._migrating[task.name] = _Migration(
+            task, leased.spec if leased is not None else "", move.region, now_us
+        )
+        self._base.counts[f"moved to another region: {move.why}"] += 1
+        self._base.log(
+            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
+        )
+        self._runs.move(move.number)
 
     def _try_forward(self, task: TaskRecord) -> bool:
-        """A task is asked for again: whether it is handed over instead."""
-        bound = self._migrating.get(task.name)
-        if bound is None or task.state is not State.ASKED:
+        """A stopped task is requested again: forward it if it is migrating; whether that was done."""
+        migration = self._migrating.get(task.name)
+        if migration is None or task.state is not State.ASKED:
             return False
-        _, spec, region, _ = bound
-        due = self._base.hub.now_us() + task.job.request.patience_us
-        return self._remote_regions.forward_task(task, due, region, spec)
+        due_us = self._base.hub.now_us() + task.job.request.patience_us
+        return self._remote_regions.forward_task(task, due_us, migration.region, migration.spec)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        if task.name in self._migrating and (
-            task.state not in OPEN or (task.state is State.PLACED and before is State.ASKED)
+        """Forget a migration that ended; release the lease of a Job that runs in another region entirely."""
+        is_placed_again = task.state is State.PLACED and before is State.ASKED
+        if task.name not in self._migrating or (task.state in OPEN and not is_placed_again):
+            return
+        del self._migrating[task.name]
+        if (
+            task.state is State.PLACED
+            and self._remote_regions.is_forwarded(task)
+            and all(
+                self._remote_regions.is_forwarded(each) or each.state not in OPEN
+                for each in task.job.tasks
+            )
         ):
-            del self._migrating[task.name]
-            if (
-                task.state is State.PLACED
-                and self._remote_regions.is_forwarded(task)
-                and all(
-                    self._remote_regions.is_forwarded(each) or each.state not in OPEN
-                    for each in task.job.tasks
-                )
-            ):
-                self._leased_jobs.release(task.job)  # who took it leases it by itself
+            self._leased_jobs.release(task.job)  # the receiver holds a lease of its own
+
+
+def _can_migrate(federation: Federation) -> bool:
+    """Whether any spec has a reason to move running tasks."""
+    return any(
+        each.back.when != "never"
+        or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
+        for each in federation.specs
+    )
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -1,4 +1,4 @@
-"""What machines tell of this placer's tasks: lists when a watch begins, then news, each to the room it concerns."""
+"""Pod lists and watch events of machines, read and passed to the component that owns the task concerned."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Phase, PodStatus, read_pod
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide import retries as again
+from wingbarrow.decide import retries
 
-_USES = {
+_USAGE_KINDS = {
     "cores": api.NoteKind.CORES_USED,
     "memory": api.NoteKind.MEMORY_USED,
     "served": api.NoteKind.SERVED,
@@ -25,7 +25,7 @@
 
 
 class Observations:
-    """`told` is called with a machine's name once it has listed what it runs."""
+    """Follows machines' pods; `on_listed` is called with a machine's name once its list was received."""
 
     def __init__(
         self,
@@ -34,44 +34,50 @@
         attempts: Attempts,
         offers: Offers,
         runs: Runs,
-        strays: Orphans,
+        orphans: Orphans,
     ) -> None:
-        self._base, self._host, self._attempts = base, host, attempts
-        self._offers, self._runs, self._orphans = offers, runs, strays
+        self._base = base
+        self._host = host
+        self._attempts = attempts
+        self._offers = offers
+        self._runs = runs
+        self._orphans = orphans
         self.on_listed: Callable[[str], None] = lambda name: None
-        self.last_usage_us: int | None = None  # when a task last told of its use
+        self.last_usage_us: int | None = None  # when a task's resource usage was last reported
 
     def follow(self, link: MachineLink) -> None:
-        """List and watch one machine for as long as it is reached."""
+        """List and watch one machine's pods until it is retired."""
 
-        def listed(pods: list[dict[str, Any]], asked_us: int) -> None:
+        def on_list(pods: list[dict[str, Any]], requested_us: int) -> None:
             seen = set()
             for value in pods:
-                sight = self._read_pod(link, value)
-                if sight is not None:
-                    seen.add(sight.name)
-                    self._on_pod_status(link, sight)
+                pod_status = self._read_pod(link, value)
+                if pod_status is not None:
+                    seen.add(pod_status.name)
+                    self._on_pod_status(link, pod_status)
             for attempt in self._attempts.on(link):
                 if (
                     attempt.stage is Stage.PLACED
                     and attempt.key not in seen
-                    and attempt.placed_us < asked_us
+                    and attempt.placed_us < requested_us
                 ):
                     self._runs.on_lost(attempt, "the machine no longer holds it")
             self.on_listed(link.name)
 
-        def event(kind: str, value: dict[str, Any]) -> None:
-            sight = self._read_pod(link, value)
-            if sight is None:
+        def on_event(kind: str, value: dict[str, Any]) -> None:
+            pod_status = self._read_pod(link, value)
+            if pod_status is None:
                 return
             if kind == "DELETED":
-                attempt = self._attempts.by_key.get(sight.name)
+                attempt = self._attempts.by_key.get(pod_status.name)
                 if attempt is not None and attempt.stage is Stage.PLACED:
                     self._runs.on_lost(attempt, f"deleted on {link.name}")
             else:
-                self._on_pod_status(link, sight)
+                self._on_pod_status(link, pod_status)
 
-        self._base.spawn(lambda: link.follow(listed, event, self._base.log), f"follow {link.name}")
+        self._base.spawn(
+            lambda: link.follow(on_list, on_event, self._base.log), f"follow {link.name}"
+        )
 
     def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
         try:
@@ -81,40 +87,44 @@
             self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
             return None
 
-    def _on_pod_status(self, link: MachineLink, sight: PodStatus) -> None:
-        attempt = self._attempts.by_key.get(sight.name)
+    def _on_pod_status(self, link: MachineLink, pod_status: PodStatus) -> None:
+        attempt = self._attempts.by_key.get(pod_status.name)
         if attempt is None:
-            self._orphans.on_pod(link, sight)
+            self._orphans.on_pod(link, pod_status)
             return
-        if sight.phase is Phase.PENDING and attempt.stage is Stage.SENT:
+        if pod_status.phase is Phase.PENDING and attempt.stage is Stage.SENT:
             self._host.feed(
                 api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0)
             )
-        if sight.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
+        if pod_status.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
             self._base.counts["placed_by_news"] += 1
             self._offers.on_running(attempt)
             if attempt.scope is not None:
                 attempt.scope.cancel()
         if attempt.stage is not Stage.PLACED:
             return
-        if sight.phase is Phase.SUCCEEDED:
-            self._runs.on_ended(attempt, again.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
-        elif sight.phase is Phase.FAILED:
-            reason = sight.gave_up
-            # A machine that stopped it for want of renewal says nothing against another start, by whoever may then.
+        if pod_status.phase is Phase.SUCCEEDED:
+            self._runs.on_ended(attempt, retries.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
+        elif pod_status.phase is Phase.FAILED:
+            reason = pod_status.gave_up
+            # A machine that stopped it as its lease had lapsed is no fault: the next lease holder may start it again.
             end = attempt.stopping or (
-                again.RunEnd.MOVED if sight.reason == "LeaseLapsed" else again.run_end_for(reason)
+                retries.RunEnd.MOVED
+                if pod_status.reason == "LeaseLapsed"
+                else retries.run_end_for(reason)
             )
-            self._runs.on_ended(attempt, end, reason, f"{link.name}: {sight.reason or 'failed'}")
-        elif sight.use:
-            self._on_usage(attempt, link, sight)
+            self._runs.on_ended(
+                attempt, end, reason, f"{link.name}: {pod_status.reason or 'failed'}"
+            )
+        elif pod_status.use:
+            self._on_usage(attempt, link, pod_status)
 
-    def _on_usage(self, attempt: Attempt, link: MachineLink, sight: PodStatus) -> None:
-        use = tuple(sight.use.get(key, -1.0) for key in _USES)
-        if use == attempt.use:
+    def _on_usage(self, attempt: Attempt, link: MachineLink, pod_status: PodStatus) -> None:
+        usage = tuple(pod_status.use.get(key, -1.0) for key in _USAGE_KINDS)
+        if usage == attempt.use:
             return
-        attempt.use = use
-        for kind, level in zip(_USES.values(), use, strict=True):
+        attempt.use = usage
+        for kind, level in zip(_USAGE_KINDS.values(), usage, strict=True):
             if level >= 0:
                 self._host.feed(
                     api.TaskNote(attempt.request, attempt.number, link.ident, kind, level)
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -16,59 +16,59 @@
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
-from wingbarrow.decide import retries as again
+from wingbarrow.decide import retries
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
-MAX_RESUBMISSIONS = 8  # times that a task is asked for anew
+MAX_RESUBMISSIONS = 8  # of one task
 
 
 class SlowStartLimit(Protocol):
-    """A placer's share of what cold machines may be sent."""
+    """A placer's share of the offers to cold machines (`core.slow_start`)."""
 
     def on_chosen(self, link: MachineLink) -> None:
-        """The module has chosen a machine for an offer that is under way from now on."""
+        """The module has bound a task to a machine; its offer waits from now on."""
 
     def has_share(self, link: MachineLink) -> bool:
-        """Whether one more offer may go to a machine now."""
+        """Whether one more offer may be sent to a machine now."""
 
     def on_sent(self, attempt: Attempt) -> None:
-        """The first byte of an offer goes out."""
+        """The first byte of an offer is about to be sent."""
 
 
 class Offers:
-    """Owns the gate that every offer passes right before its first byte."""
+    """Owns the gate that each offer passes before its first byte; `slow_start` is set where placers hold subsets."""
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
         machines: Machines,
         requests: Requests,
-        strays: Orphans,
-        rulebook: ActiveRules,
-        leaseholder: LeasedJobs | None = None,
+        orphans: Orphans,
+        active_rules: ActiveRules,
+        leased_jobs: LeasedJobs | None = None,
     ) -> None:
-        self._active_rules, self._leased_jobs = rulebook, leaseholder
-        self._base, self._host, self._jobs, self._attempts, self._machines = (
-            base,
-            host,
-            book,
-            attempts,
-            machines,
-        )
-        self._requests, self._orphans = requests, strays
+        self._base = base
+        self._host = host
+        self._jobs = jobs
+        self._attempts = attempts
+        self._machines = machines
+        self._requests = requests
+        self._orphans = orphans
+        self._active_rules = active_rules
+        self._leased_jobs = leased_jobs
         rules = base.settings.scheduler
         self._gate = SendGate(rules.cold_us, rules.fall_us)
-        self.slow_start: SlowStartLimit | None = None  # where placers hold subsets of the machines
+        self.slow_start: SlowStartLimit | None = None
 
     def bind(self, bind: api.Bind) -> None:
-        """The module chose a machine: an attempt begins."""
+        """The module chose a machine for a task: begin an attempt."""
         task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
         if task is None or link is None:
-            # The module binds open requests to listed machines alone; should it not, the offer counts as unsent.
+            # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
             self._base.counts["binds_dropped"] += 1
             self._host.feed(
                 api.AttemptEnded(
@@ -164,15 +164,15 @@
                 )
         attempt.scope = None
         if attempt.stage is Stage.PLACED or attempt.stage is Stage.ENDED:
-            return  # the machine's news was faster than its answer
+            return  # the machine's watch event came before its answer
         if (
             ended is not None
             and attempt.stage is Stage.WAITING
             and ended.outcome is api.Outcome.CANCELLED
         ):
             ended = Ended(api.Outcome.NOT_SENT, ended.reason, ended.words)
-        elif ended is not None and attempt.stopping is again.RunEnd.STOPPED:
-            # Danger: the machine's answer to a stopped offer is not its judgement; it would be rested for that.
+        elif ended is not None and attempt.stopping is retries.RunEnd.STOPPED:
+            # Danger: the machine's answer to a stopped offer is no refusal; the module would back off from the machine.
             ended = Ended(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
         if ended is None:
             self.on_running(attempt)
@@ -183,9 +183,9 @@
             self._on_failed(attempt, ended)
 
     def _may_resubmit(self, attempt: Attempt) -> bool:
-        """Whether an offer was held for want of a share, chosen in one turn with others that used it up.
+        """Whether the gate held an offer because others, chosen in the same module event, used up the share.
 
-        Danger: a few of those would use up all attempts of a task for which no machine was ever asked.
+        Danger: a few of those would use up all attempts of a task that was never offered to any machine.
         """
         task = attempt.task
         return (
@@ -200,10 +200,10 @@
         )
 
     def on_running(self, attempt: Attempt) -> None:
-        """The machine says that the task runs."""
+        """The machine reported that the attempt's task runs."""
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
-            # The request was answered otherwise while the offer was out: what runs now is a stray.
+            # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests: a task asked of the module until its one final answer, and the ends of its attempts."""
+"""Requests: from a task's submission to the module until its one final answer, and the ends of its attempts."""
 
 from __future__ import annotations
 
@@ -14,52 +14,53 @@
 
 
 class Requests:
-    """The way from a task to the module, and of the module's answers back."""
+    """Opens, answers and closes requests; gives each exactly one final answer.
+
+    The callbacks are set by the components that they belong to: slow start, maintenance, leased Jobs and migrations.
+    An outcome of None means that the task runs.
+    """
 
     def __init__(
-        self, base: Base, host: Host, book: JobStore, attempts: Attempts, board: ApiObjects
+        self, base: Base, host: Host, jobs: JobStore, attempts: Attempts, objects: ApiObjects
     ) -> None:
-        self._base, self._host, self._jobs, self._attempts, self._objects = (
-            base,
-            host,
-            book,
-            attempts,
-            board,
-        )
+        self._base = base
+        self._host = host
+        self._jobs = jobs
+        self._attempts = attempts
+        self._objects = objects
         self.waits = Waits(lambda request: attempts.of(request) is not None)
         self.on_start_outcome: Callable[[str, api.Outcome | None], None] = (
             lambda machine, outcome: None
-        )  # None: it runs
+        )
         self.on_attempt_answered: Callable[[Attempt, api.Outcome | None], None] = (
             lambda attempt, outcome: None
-        )  # None: it runs
-        # Of leased Jobs: whether `placed` may be answered at once, what an attempt came to, whether the failure of a
-        # request with an attempt out is answered by who keeps the lease.
+        )
+        # Of leased Jobs: whether `placed` may be answered at once; begin and end of an attempt; whether the final
+        # answer to a request with an attempt in flight is given by `LeasedJobs`.
         self.may_answer_placed: Callable[[Attempt], bool] = lambda attempt: True
         self.on_attempt_began: Callable[[Attempt], None] = lambda attempt: None
         self.on_leased_attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
-            lambda attempt, outcome, words: None
+            lambda attempt, outcome, details: None
         )
         self.is_answered_by_lease: Callable[[Attempt], bool] = lambda attempt: False
-        self.try_forward: Callable[[TaskRecord], bool] = (
-            lambda task: False
-        )  # whether another region is asked instead
+        # Whether a task that migrates was forwarded to another region instead.
+        self.try_forward: Callable[[TaskRecord], bool] = lambda task: False
 
     def submit(self, task: TaskRecord, due_us: int | None = None) -> None:
-        """Ask for a task; its final answer is due then, without a time after its Job's patience."""
+        """Request a task; its final answer is due at `due_us`, by default after its Job's patience from now."""
         if due_us is None and self.try_forward(task):
             return
-        asked = task.job.request
+        job_request = task.job.request
         if due_us is None:
-            due_us = self._base.hub.now_us() + asked.patience_us
+            due_us = self._base.hub.now_us() + job_request.patience_us
         request = self._jobs.open_request(task, due_us)
         self.waits.add(task)
-        self._host.feed(self.arrival(task, request, asked.expected_us))
+        self._host.feed(self.arrival(task, request, job_request.expected_us))
 
     def resubmit(self, attempt: Attempt) -> None:
-        """An offer was held for a reason that lies with its machine alone: ask for its task as if it had not been made.
+        """Request a task anew whose offer the gate held for a reason of its machine alone, as if never offered.
 
-        Only of a task of which nothing was ever sent, as the module forgets that it tried. The answer is due as before.
+        Only for a task of which nothing was ever sent: the module forgets the attempt. The due time stays.
         """
         task, due_us = attempt.task, attempt.task.deadline_us
         task.resubmissions += 1
@@ -68,33 +69,33 @@
         self.submit(task, due_us)
 
     def arrival(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
-        """A task as the module hears of it."""
-        asked = task.job.request
+        """The event by which the module learns of a task."""
+        job_request = task.job.request
         return api.TaskArrived(
             request,
-            asked.task_class.task_class.name,
-            asked.service,
+            job_request.task_class.task_class.name,
+            job_request.service,
             task.name,
-            asked.cores,
-            asked.memory,
+            job_request.cores,
+            job_request.memory,
             task.deadline_us,
             left_us,
         )
 
     def close(self, task: TaskRecord) -> None:
-        """Its request has ended."""
+        """End a task's request: its timer, its wait, its entry in the store."""
         self._host.cancel_timer(task.request)
         self.waits.remove(task, task.request)
         self._jobs.close_request(task)
 
     def withdraw(self, task: TaskRecord) -> None:
-        """Nobody wants the answer any longer."""
+        """End a request without an answer, and tell the module."""
         request = task.request
         self.close(task)
         self._host.feed(api.TaskWithdrawn(request))
 
     def reject_or_fail(self, request: int, step: Step) -> None:
-        """The final answer to a request that is not placed."""
+        """Give the module's final answer, refused or failed; dropped where the request has been answered."""
         task = self._jobs.by_request.get(request)
         if task is None or task.state is not State.ASKED:
             self._base.counts["answers_dropped"] += 1
@@ -105,7 +106,7 @@
         self._answer(task, step, attempt)
 
     def fail(self, task: TaskRecord) -> None:
-        """The final answer is a failure, whatever the module thinks of it."""
+        """Give the final answer `failed` by the core's own decision, and tell the module."""
         request, attempt = task.request, self._attempts.of(task.request)
         self._answer(task, Step.FAIL, attempt)
         self._host.feed(api.TaskWithdrawn(request))
@@ -136,7 +137,7 @@
         )
 
     def on_placed(self, attempt: Attempt) -> None:
-        """A machine runs it: its request ends as placed, with its attempt."""
+        """A machine runs the attempt's task: answer its request with `placed`."""
         task = attempt.task
         task.machine = attempt.link.name
         self.on_start_outcome(attempt.link.name, None)
@@ -157,7 +158,7 @@
         self._host.feed(api.TaskPlaced(attempt.request, attempt.number, attempt.link.ident, waited))
 
     def on_found(self, attempt: Attempt) -> None:
-        """As `placed`, of one that the module has not sent."""
+        """As `on_placed`, for a task found running that the module has not sent."""
         task = attempt.task
         task.machine = attempt.link.name
         self._jobs.transition(task, Step.PLACE)
@@ -173,13 +174,13 @@
         outcome: api.Outcome,
         reason: api.Reason,
         waited_us: int,
-        words: str = "",
+        details: str = "",
     ) -> None:
-        """Tell the module that an attempt is over; the request too, unless its answer is still owed."""
+        """Tell the module that an attempt ended, and with it its request, unless that still awaits its answer."""
         placed = attempt.stage is Stage.PLACED
         if not self._attempts.advance(attempt, Stage.ENDED):
             return
-        self.on_leased_attempt_ended(attempt, outcome, words)
+        self.on_leased_attempt_ended(attempt, outcome, details)
         if not placed:
             self.on_start_outcome(attempt.link.name, outcome)
             self.on_attempt_answered(attempt, outcome)
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -1,4 +1,4 @@
-"""Placed tasks: how their runs end, asking for them again, moves and stops."""
+"""Placed tasks: the end of their runs, retries on their owner's behalf, moves and stops."""
 
 from __future__ import annotations
 
@@ -9,111 +9,116 @@
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide import retries as again
+from wingbarrow.decide import retries
 from wingbarrow.transport import Timer
 
 
 class Runs:
-    """Owns the timers of tasks that will be asked for again."""
+    """Owns the timers of scheduled retries, by task name."""
 
     def __init__(
         self,
         base: Base,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
-        board: ApiObjects,
+        objects: ApiObjects,
         requests: Requests,
         stops: Stops,
     ) -> None:
-        self._base, self._jobs, self._attempts, self._objects = base, book, attempts, board
-        self._requests, self._stops = requests, stops
+        self._base = base
+        self._jobs = jobs
+        self._attempts = attempts
+        self._objects = objects
+        self._requests = requests
+        self._stops = stops
         self._retry_timers: dict[str, Timer] = {}
 
-    def on_ended(self, attempt: Attempt, end: again.RunEnd, reason: api.Reason, words: str) -> None:
-        """A placed task's run is over."""
+    def on_ended(
+        self, attempt: Attempt, end: retries.RunEnd, reason: api.Reason, details: str
+    ) -> None:
+        """A placed task's run ended; `details` is shown to its owner."""
         task, job = attempt.task, attempt.task.job
         if attempt.stage is not Stage.PLACED:
             return
-        if attempt.stopping is again.RunEnd.STOPPED:
-            end = (
-                again.RunEnd.STOPPED
-            )  # its owner deleted it: how it ended before the stop came changes nothing
+        if attempt.stopping is retries.RunEnd.STOPPED:
+            # Its owner deleted it: how the run ended before the stop arrived makes no difference.
+            end = retries.RunEnd.STOPPED
         outcome = (
             api.Outcome.DONE
-            if end is again.RunEnd.DONE
+            if end is retries.RunEnd.DONE
             else api.Outcome.CANCELLED
-            if end in (again.RunEnd.MOVED, again.RunEnd.STOPPED)
+            if end in (retries.RunEnd.MOVED, retries.RunEnd.STOPPED)
             else api.Outcome.BROKEN
         )
-        task.last_outcome = words
+        task.last_outcome = details
         if task.request == attempt.request:
             self._requests.close(task)
         self._objects.mark(job)
-        if end is again.RunEnd.DONE:
+        if end is retries.RunEnd.DONE:
             self._jobs.transition(task, Step.DONE)
-        elif end is not again.RunEnd.STOPPED:
-            self._retry_or_lose(task, end, words)
+        elif end is not retries.RunEnd.STOPPED:
+            self._retry_or_lose(task, end, details)
         self._requests.on_attempt_ended(
             attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
         )
 
-    def on_lost(self, attempt: Attempt, words: str) -> None:
-        """Its machine holds it no longer, or is gone."""
-        end = attempt.stopping or again.RunEnd.LOST
-        self.on_ended(attempt, end, api.Reason.UNTOLD, f"{words} ({attempt.link.name})")
+    def on_lost(self, attempt: Attempt, details: str) -> None:
+        """A placed task is no longer on its machine, or its machine is gone."""
+        end = attempt.stopping or retries.RunEnd.LOST
+        self.on_ended(attempt, end, api.Reason.UNTOLD, f"{details} ({attempt.link.name})")
 
-    def _retry_or_lose(self, task: TaskRecord, end: again.RunEnd, words: str) -> None:
+    def _retry_or_lose(self, task: TaskRecord, end: retries.RunEnd, details: str) -> None:
         effect = task.job.request.task_class.task_class.effect
-        verdict = again.decide_retry(
+        decision = retries.decide_retry(
             end, effect, task.restarts_left, task.losses, self._base.random
         )
         self._base.counts["run:" + end.value] += 1
-        # A task found running in this life had its answer from its owner's point of view: failed, or refused. One of a
-        # former life was placed, and its Job still wants it, where it is sure that its owner was told so.
+        # The owner of a task found running by this incarnation has had another answer: failed, or refused. A task of an
+        # earlier incarnation was placed and is retried, where it is certain that its owner was answered so.
         answered_otherwise = task.state is State.ADOPTED and (
             not task.job.adopted or task.answer_uncertain
         )
-        if verdict.after_us is None or answered_otherwise:
+        if decision.after_us is None or answered_otherwise:
             self._jobs.transition(task, Step.LOSE)
             self._objects.record_event(
-                task.job, "Warning", "Lost", f"task {task.index}: {words}; not asked for again"
+                task.job, "Warning", "Lost", f"task {task.index}: {details}; not asked for again"
             )
             return
-        if verdict.counts:
+        if decision.counts:
             task.restarts_left -= 1
             task.losses += 1
         self._jobs.transition(task, Step.SCHEDULE_RETRY)
         self._objects.record_event(
             task.job,
             "Normal",
-            "Moved" if end is again.RunEnd.MOVED else "Lost",
-            f"task {task.index}: {words}; asked for again",
+            "Moved" if end is retries.RunEnd.MOVED else "Lost",
+            f"task {task.index}: {details}; asked for again",
         )
-        self.schedule_retry(task, verdict.after_us)
+        self.schedule_retry(task, decision.after_us)
 
     def schedule_retry(self, task: TaskRecord, after_us: int) -> None:
-        """Ask for a task that waits, after a while."""
+        """Request a task again after a delay."""
 
-        def due() -> None:
+        def on_due() -> None:
             self._retry_timers.pop(task.name, None)
             if self._jobs.transition(task, Step.RETRY):
                 self._objects.mark(task.job)
                 self._requests.submit(task)
 
         self._retry_timers[task.name] = self._base.hub.call_at(
-            self._base.hub.now_us() + after_us, due
+            self._base.hub.now_us() + after_us, on_due
         )
 
     def cancel_retry(self, task: TaskRecord) -> None:
-        """It will not be asked for again after all."""
+        """Cancel a task's scheduled retry, if it has one."""
         timer = self._retry_timers.pop(task.name, None)
         if timer is not None:
             timer.cancel()
 
     def move(self, request: int) -> None:
-        """Stop a placed task, which is then asked for again."""
+        """Stop a placed task, which is then requested again (a migration within the region)."""
         attempt = self._attempts.of(request)
-        # Danger: a move of what is not asked for again would only stop it.
+        # Danger: a task that is not retried would be stopped by the move, and lost.
         if (
             attempt is None
             or attempt.stage is not Stage.PLACED
@@ -123,13 +128,13 @@
             self._base.counts["moves_dropped"] += 1
             return
         self._base.counts["moves"] += 1
-        self.stop(attempt, again.RunEnd.MOVED)
+        self.stop(attempt, retries.RunEnd.MOVED)
 
-    def stop(self, attempt: Attempt, end: again.RunEnd) -> None:
-        """Have a placed task stopped; its run ends so once the machine says that it is over."""
+    def stop(self, attempt: Attempt, end: retries.RunEnd) -> None:
+        """Have a placed task stopped; its run ends with `end` once the machine confirms the stop."""
         attempt.stopping = end
 
-        def stopped() -> None:
+        def on_stopped() -> None:
             if attempt.stopping is not None:
                 self.on_ended(
                     attempt,
@@ -143,5 +148,5 @@
             attempt.task.job.request.namespace,
             attempt.key,
             wanted=lambda: attempt.stage is Stage.PLACED,
-            done=stopped,
+            done=on_stopped,
         )
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -1,8 +1,8 @@
-"""What this placer may send to cold machines where placers hold subsets: its share by rank, asked at the gate (rule 4).
+"""This placer's share of the offers to cold machines, where placers hold subsets; checked at the gate (rule 4).
 
-A machine is shown to the module as draining, and to nobody else, as soon as the offers under way use up its share,
-until there is some again: the module goes elsewhere, and spends few of a task's attempts on offers that the gate would
-hold (those alone that it chose in one and the same turn). What was chosen before goes out.
+As soon as the offers in flight use up a machine's share, the machine is passed to the module, and to nobody else, as
+draining, until some of the share is free again. The module then chooses other machines, and few of a task's attempts
+are spent on offers that the gate would hold: only those chosen within the same module event.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class SlowStartShares:
-    """`offers`: what all placers together may send to one cold machine within the window, by the rules in force."""
+    """`fleet_offers`: offers of all placers together to one cold machine within the window, by the rules in force."""
 
     def __init__(
         self,
@@ -38,35 +38,36 @@
         fleet: Fleet,
         attempts: Attempts,
         subsets: Subsets,
-        offers: Callable[[], float],
+        fleet_offers: Callable[[], float],
     ) -> None:
-        self._base, self._fleet, self._attempts = base, fleet, attempts
-        self._subsets, self._fleet_offers = subsets, offers
+        self._base = base
+        self._fleet = fleet
+        self._attempts = attempts
+        self._subsets = subsets
+        self._fleet_offers = fleet_offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
-        self._account = SlowStartShare(
-            rules.fall_us * 5 // 4
-        )  # a quarter longer, as in the module: offers travel
-        self._closed: dict[
-            str, None
-        ] = {}  # machines that are shown as draining for want of a share
+        # A quarter longer, as in the module: offers take time to arrive.
+        self._account = SlowStartShare(rules.fall_us * 5 // 4)
+        # Machines passed to the module as draining because their share is used up; in order of closing.
+        self._closed: dict[str, None] = {}
         self._reopening = False
         fleet.slow_start_guard = self._limit
 
     def has_share(self, link: MachineLink) -> bool:
-        """Whether one more offer may go to a machine now; True for any that is not cold."""
+        """Whether one more offer may be sent to a machine now; True for any that is not cold."""
         now = self._base.hub.now_us()
         return (
             not self._is_cold(link.launched_us, now)
-            or self._left(now, link.name, link.launched_us) > 0
+            or self._remaining(now, link.name, link.launched_us) > 0
         )
 
-    def _left(self, now_us: int, name: str, launched_us: int) -> int:
+    def _remaining(self, now_us: int, name: str, launched_us: int) -> int:
         share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
         return self._account.remaining(now_us, name, launched_us, share)
 
     def on_chosen(self, link: MachineLink) -> None:
-        """The module has chosen a machine for an offer that is under way from now on."""
+        """The module has bound a task to a machine; its offer waits from now on."""
         entry = self._fleet.held.get(link.name)
         if (
             entry is not None
@@ -76,15 +77,15 @@
             self._fleet.reapply([entry])
 
     def _is_used_up(self, name: str, launched_us: int) -> bool:
-        """Whether what is under way uses up what is left of a cold machine's share."""
+        """Whether waiting offers use up what remains of a cold machine's share."""
         now = self._base.hub.now_us()
         if not self._is_cold(launched_us, now):
             return False
         waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_named(name))
-        return self._left(now, name, launched_us) <= waiting
+        return self._remaining(now, name, launched_us) <= waiting
 
     def on_sent(self, attempt: Attempt) -> None:
-        """The first byte of an offer goes out, which the gate allowed."""
+        """The gate let an offer out; its first byte is about to be sent."""
         link, now = attempt.link, self._base.hub.now_us()
         if self._is_cold(link.launched_us, now):
             self._account.on_sent(
@@ -92,12 +93,12 @@
             )
 
     def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
-        """How an offer ended; None: its task runs."""
-        came = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
-        self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, came)
+        """An offer ended with this outcome; None: its task runs."""
+        arrival = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
+        self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, arrival)
 
     def on_contact(self, name: str) -> None:
-        """A machine has answered something else: what it was sent and given up before has come."""
+        """A machine has answered a probe: offers to it that were given up before have arrived."""
         self._account.on_ended(self._base.hub.now_us(), name, "", Arrival.CONTACT)
 
     def _is_cold(self, launched_us: int, now_us: int) -> bool:
@@ -116,19 +117,19 @@
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _reopen_machines(self) -> None:
-        """Open machines of which there is some share again, all of a while at once."""
+        """Pass machines with a free share to the module as they are listed, in one delivery each interval."""
         try:
             while self._closed:
                 self._base.hub.sleep(CHECK_INTERVAL_US)
                 held = self._fleet.held
                 for name in [name for name in self._closed if name not in held]:
                     del self._closed[name]
-                again = [
+                reopened = [
                     held[name]
                     for name in self._closed
                     if not self._is_used_up(name, held[name].listed.launched_us)
                 ]
-                if again:
-                    self._fleet.reapply(again)
+                if reopened:
+                    self._fleet.reapply(reopened)
         finally:
             self._reopening = False
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -1,12 +1,12 @@
-"""This placer's subset of its region's machines: which it takes in, which it lets go, and when.
+"""This placer's subset of its region's machines: which machines it holds, when it adds and when it releases them.
 
-A machine that leaves the subset lingers: it is shown to the module as draining, so that nothing new goes there, while
-its entry and its tasks are followed as before. Once nothing of this placer's is there, nor can come to be there, it is
-released, as far as this placer goes. A machine that comes into the subset is read from the list, by one list more,
-each placer at a time of its own, as all hear of a change at about the same time.
+A machine that leaves the subset lingers: the module sees it as draining, so that no task is sent there, while its entry
+and its tasks are followed as before. Once it holds no task of this placer, and none can arrive any more, it is
+released. Machines that enter the subset are read by one further list, which each placer requests after a random delay,
+as all placers learn of a membership change at about the same time.
 
-Where tasks wait long, the subset is widened for a while by `decide.widening`: the machines of one more rank are read at
-once, by a list of this placer alone, and leave the subset later as others do.
+While tasks wait long, the subset is widened by `decide.widening`: the machines of one more rank are read at once, by a
+list of this placer alone, and leave the subset later as others do.
 """
 
 from __future__ import annotations
@@ -29,22 +29,25 @@
 from wingbarrow.decide.widening import Widening
 
 CHECK_INTERVAL_US = 250_000
-ALONE_US = 5_000_000  # after so long without a word of any member, this placer is taken to be alone
-LINGER_US = 10_000_000  # after the last offer to a machine: one that was given up may begin so late
-RELEASE_RETRY_US = 2_000_000  # a machine that could not be released is looked at again
-RELEASE_CONFIRM_US = 1_000_000  # a machine that stood still until just now may take in offers a little after its answer
-MAX_RELEASES = 16  # machines that are asked at a time
-REFILL_EACH_US = (
-    100_000  # lists of all placers are spread over so long for each placer of the roster ...
+ALONE_US = 5_000_000  # without any known member for so long, this placer counts as the only one
+LINGER_US = 10_000_000  # after the last offer to a machine: an abandoned one may start so late
+RELEASE_RETRY_US = 2_000_000  # before a machine that could not be released is checked again
+RELEASE_CONFIRM_US = (
+    1_000_000  # a machine that was stalled may accept offers a little after its answer
+)
+MAX_RELEASES = 16  # at one time
+REFILL_EACH_US = 100_000  # the placers' lists are spread over so long for each placer of the roster
+REFILL_SPREAD_US = 10_000_000  # and at most over this
+WIDEN_SPREAD_US = (
+    200_000  # of a list for widening: other placers may be short of capacity at the same time
 )
-REFILL_SPREAD_US = 10_000_000  # ... and at most over this
-WIDEN_SPREAD_US = 200_000  # of a list that this placer reads for itself: others may be short of room at the same time
 
 
 class Subset:
-    """`members` gives the names of the placers that live by membership, and how many it has ever heard of.
+    """Follows membership and waits; adds and releases machines accordingly.
 
-    `waits_long(now_us)` says whether a task waits long for a machine.
+    `members` gives the names of the placers alive by membership, and the number of members ever known;
+    `waits_long(now_us)` says whether a task has waited long for a machine.
     """
 
     def __init__(
@@ -58,8 +61,12 @@
         members: Callable[[], tuple[frozenset[str], int]],
         waits_long: Callable[[int], bool],
     ) -> None:
-        self._base, self._fleet, self._machines = base, fleet, machines
-        self._attempts, self._stops, self._members = attempts, stops, members
+        self._base = base
+        self._fleet = fleet
+        self._machines = machines
+        self._attempts = attempts
+        self._stops = stops
+        self._members = members
         self._waits_long = waits_long
         self._me = base.settings.name
         self.subsets = Subsets(settings.rules)
@@ -67,54 +74,51 @@
         self._view = LivingView(
             self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
         )
-        self._max_extra, self._widening = settings.widen, Widening(settings.widen)
-        self.extra = (
-            0  # further ranks that this placer holds machines of, as tasks of its own wait long
-        )
+        self._max_extra = settings.widen
+        self._widening = Widening(settings.widen)
+        self.extra = 0  # further ranks whose machines this placer holds while its tasks wait long
         self._begun_us = base.hub.now_us()
         self.living = self._view.living(self._begun_us)
-        self._follows_all = (
-            False  # take in every machine of the first list: what a former life held is not known
-        )
+        # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
+        self._follows_all = False
         self._refills = Refills(base, fleet.reflector, self._spread_us)
-        # Apart from those: what waits for its time among all placers must not hold this up.
+        # Apart from those: a list for widening must not wait for the spread among all placers.
         self._widening_lists = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
         self._releasing = 0
-        self._retry_at_us: dict[
-            str, int
-        ] = {}  # lingering machines that could not be released: when to look again
+        # Lingering machines that could not be released: when to check again.
+        self._retry_at_us: dict[str, int] = {}
         fleet.reflector.is_wanted = self.is_followed
         fleet.guards.append(self._guard)
         fleet.closed_locally.append(lambda name: not self.holds(name))
         fleet.on_state_lost = self._on_state_lost
 
     def holds(self, name: str) -> bool:
-        """Whether a machine is of this placer's subset."""
+        """Whether a machine belongs to this placer's subset."""
         return self.subsets.holds(self._me, name, self.living, self.extra)
 
     def is_followed(self, name: str) -> bool:
-        """Whether a machine's entry is read: it is of the subset, or lingers."""
+        """Whether a machine's entry is read: it belongs to the subset, or lingers."""
         return self._follows_all or name in self._machines.links or self.holds(name)
 
     @property
     def lingering(self) -> list[str]:
-        """Machines that are followed though they are not of the subset."""
+        """Machines that are still followed though they have left the subset."""
         return [name for name in self._machines.links if not self.holds(name)]
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """What is not of the subset gets nothing new; the list's own drains stand."""
+        """No new task goes to a machine outside the subset; drains by the list stay."""
         if listed.phase is not api.Phase.RUNNING or self.holds(entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _on_state_lost(self) -> None:
-        # Danger (rule 5): tasks of a former life would run on machines that are not of the subset, and not count.
+        # Danger (rule 5): tasks of the earlier incarnation on machines outside the subset would not count.
         self._follows_all = True
 
-    # -- who lives
+    # -- membership
 
     def run(self) -> None:
-        """Follow membership and let go of machines until cancelled."""
+        """Follow membership and release machines until cancelled."""
         self._begun_us = self._base.hub.now_us()
         while True:
             now = self._base.hub.now_us()
@@ -150,7 +154,8 @@
             self._refills.ask()
 
     def _check_waits(self, now_us: int) -> None:
-        before, useful = self.extra, len(self.living) - self.subsets.rules.replicas
+        before = self.extra
+        useful = len(self.living) - self.subsets.rules.replicas
         extra = self._widening.look(now_us, self._waits_long(now_us), useful)
         if extra == before:
             return
@@ -161,15 +166,17 @@
             self._widening_lists.ask()
 
     def _change(self, living: frozenset[str], extra: int) -> int:
-        """Hold by these from now on; how many of the machines that are followed come in or leave."""
-        held, before = self._fleet.held, [name for name in self._fleet.held if self.holds(name)]
-        self.living, self.extra = living, extra
+        """Apply a new membership and width; the number of followed machines that enter or leave the subset."""
+        held = self._fleet.held
+        before = [name for name in held if self.holds(name)]
+        self.living = living
+        self.extra = extra
         changed = set(before) ^ {name for name in held if self.holds(name)}
         if changed:
             self._fleet.reapply([held[name] for name in held if name in changed])
         return len(changed)
 
-    # -- machines that go
+    # -- release
 
     def _release_some(self, now_us: int) -> None:
         lingering = self.lingering
@@ -189,7 +196,7 @@
                 self._base.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
 
     def _is_lost(self, link: MachineLink) -> bool:
-        """Of a machine that the saved list alone has: whether it is off the source's list and out of reach."""
+        """Whether a machine known only from the saved list is off the source's list and unreachable."""
         return (
             self._fleet.reflector.relists > 0
             and not link.reachable
@@ -199,7 +206,7 @@
         )
 
     def _may_release(self, link: MachineLink, now_us: int) -> bool:
-        """Whether nothing of this placer's is known to be there, or on its way."""
+        """Whether no task of this placer is known to be there, or can still arrive."""
         return (
             link.phase is not api.Phase.GONE
             and link.reachable
@@ -210,7 +217,7 @@
 
     def _release(self, link: MachineLink) -> None:
         try:
-            # Danger: a start that was given up, or a former life's task, would run on with nobody to stop it.
+            # Danger: a task of an abandoned start or of an earlier incarnation would run on with no placer to stop it.
             holds_any = link.holds_any()
             if holds_any is False:
                 self._base.hub.sleep(RELEASE_CONFIRM_US)
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -1,7 +1,7 @@
-"""Tasks that were asked of the module and are not answered yet: whether one waits long for a machine.
+"""Tasks with an open request: whether one has waited long for a machine.
 
-They are kept apart by patience, to the next power of two: within such a group the first asked has used up most of its
-patience, to a factor of two, so that a look at the first few of each group is enough, however many wait.
+They are grouped by patience, rounded to a power of two. Within a group the oldest request has used up the largest part
+of its patience, to a factor of two, so that checking the first few of each group is enough, however many wait.
 """
 
 from __future__ import annotations
@@ -12,33 +12,30 @@
 from wingbarrow.core.job_store import State, TaskRecord
 from wingbarrow.decide.widening import is_long
 
-MAX_CHECKED_PER_GROUP = (
-    64  # of each group; patience has an upper bound, and so has the number of groups
-)
+MAX_CHECKED_PER_GROUP = 64  # patience is bounded, and with it the number of groups
 
 
 class Waits:
-    """`is_out(request)`: whether an attempt of a request is out."""
+    """Open requests by group; `has_attempt(request)` says whether an attempt of a request is in flight."""
 
-    def __init__(self, is_out: Callable[[int], bool]) -> None:
-        self._is_out = is_out
-        self._groups: dict[
-            int, dict[int, TaskRecord]
-        ] = {}  # by bits of the patience: tasks by request, oldest first
+    def __init__(self, has_attempt: Callable[[int], bool]) -> None:
+        self._has_attempt = has_attempt
+        # By the bit length of the patience: tasks by request, oldest first.
+        self._groups: dict[int, dict[int, TaskRecord]] = {}
 
     def add(self, task: TaskRecord) -> None:
-        """Its present request was asked of the module."""
+        """A task's present request was opened."""
         self._groups.setdefault(_group(task), {})[task.request] = task
 
     def remove(self, task: TaskRecord, request: int) -> None:
-        """A request is answered, withdrawn or closed."""
+        """A request was answered, withdrawn or closed."""
         self._groups.get(_group(task), {}).pop(request, None)
 
     def __len__(self) -> int:
         return sum(len(group) for group in self._groups.values())
 
     def any_long(self, now_us: int) -> bool:
-        """Whether a task without an attempt out has waited long, since its owner or its own loss asked for it."""
+        """Whether a task without an attempt in flight has waited long (`decide.widening.is_long`) for its request."""
         return any(
             self._waits_long(now_us, request, task)
             for group in self._groups.values()
@@ -46,7 +43,7 @@
         )
 
     def _waits_long(self, now_us: int, request: int, task: TaskRecord) -> bool:
-        if task.request != request or task.state is not State.ASKED or self._is_out(request):
+        if task.request != request or task.state is not State.ASKED or self._has_attempt(request):
             return False
         patience_us = task.job.request.patience_us
         return is_long(patience_us - (task.deadline_us - now_us), patience_us)
