--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -6,7 +6,7 @@
 the service was made. Each further line, `MACHINES`, is answered with `Figures`; `trace` with `Traced`; `sample N`
 starts the sampler, or with 0 stops it.
 
-What the placer pays for news of its list is the processor time inside `Reflector._batch`, wrapped here: entries read
+What the placer pays for news of its list is the processor time inside `Reflector._on_batch`, wrapped here: entries read
 and guarded, the module's part, Nodes shown; not the reading and decoding of the bytes.
 
 Bytes are counted in `Stream.receive`, `send` and `send_now`, wrapped here before the service is made; of all its
@@ -135,7 +135,7 @@
 
     def start(self) -> None:
         """Count from now on, by wrapping the reflector's method, which does not wait for anything."""
-        total, take_in = self, Reflector._batch
+        total, take_in = self, Reflector._on_batch
 
         def counted_batch(self: Reflector, batch: list[tuple[str, dict[str, Any]]]) -> None:
             begun_s = time.process_time()
@@ -143,7 +143,7 @@
             total.seconds += time.process_time() - begun_s
             total.entries += sum(kind != "BOOKMARK" for kind, _ in batch)
 
-        Reflector._batch = counted_batch  # type: ignore[method-assign]
+        Reflector._on_batch = counted_batch  # type: ignore[method-assign]
 
 
 class Reporter:
@@ -194,13 +194,13 @@
             time.process_time(),
             placer.host.module_ns / 1e9,
             self._list_processor_s,
-            placer.ready and placer.sees(machines),
+            placer.ready and placer.has_complete_view(machines),
             self._count.received,
             self._count.sent,
             placer.fleet.reflector.version,
             self._news.entries,
             self._news.seconds,
-            placer.book.admission.open,
+            placer.job_store.admission.open,
             placer.base.counts["placed"],
             self._sampler.take(),
         )
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.stage import S, Stage
-from wingbarrow.decide.learning import Announcement, Sight
+from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer, Server
 from wingbarrow.interface import Phase
@@ -27,7 +27,7 @@
     return f'peer "127.0.0.1" port={port}\n'
 
 
-def sight(name: str, **more: Any) -> Sight:
+def sight(name: str, **more: Any) -> MachineObservation:
     fields: dict[str, Any] = {
         "machine": name,
         "version": 5000,
@@ -40,7 +40,7 @@
         "warm_us": {"default/heard": 9 * S},
         "rests_us": {},
     }
-    return Sight(**{**fields, **more})
+    return MachineObservation(**{**fields, **more})
 
 
 class FakePeer:
@@ -49,7 +49,7 @@
     def __init__(
         self,
         stage: Stage,
-        sights: list[Sight],
+        sights: list[MachineObservation],
         ident: str = "fake",
         spoil: Callable[[int, bytes], bytes | None] = lambda _, page: page,
         **announce: Any,
@@ -148,7 +148,9 @@
         assert placer.learner.state == "followed"
         assert placer.learner.source == "placer-1"
         assert {f"default/taught-{number}" for number in range(12)} <= known_warm(placer)
-        assert not [task for task in placer.book.by_request.values() if "taught" in task.job.key]
+        assert not [
+            task for task in placer.job_store.by_request.values() if "taught" in task.job.key
+        ]
         stage.hub.sleep(70 * S)
         assert placer.learner.state == "learned"
         assert placer.learner.counts["followed"] >= 50
@@ -289,7 +291,7 @@
         placer = restarted(stage)
         stage.hub.sleep(S)
         assert slot.service is not None
-        assert placer.hearsay.take_sights(peer.sights, 0, True) is False
+        assert placer.peer_hints.take_sights(peer.sights, 0, True) is False
         assert not known_warm(placer)
         other = FakePeer(stage, [sight("node-0")], "elsewhere", cluster="other")
         placer = restarted(stage, other.server.port)
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -44,7 +44,7 @@
         self._closed: frozenset[str] = frozenset()
         self.is_closed_by_slot: Callable[[str], bool] = _never_closed
         fleet.guards.append(self._guard)
-        fleet.drained = self._is_closed
+        fleet.is_drained = self._is_closed
 
     def _is_closed(self, name: str) -> bool:
         return name in self._closed or self.is_closed_by_slot(name)
@@ -100,7 +100,7 @@
         if closed != self._closed:
             touched = closed ^ self._closed
             self._closed = closed
-            self._fleet.take_again(self._show(touched))
+            self._fleet.reapply(self._show(touched))
 
     def _narrow(self, closing: dict[str, int]) -> None:
         shift_us = self._base.hub.now_us() - self._base.hub.clock.wall_us()
@@ -127,7 +127,7 @@
         """Maintenance slots closed or opened machines: show that, and give them to the module anew."""
         entries = self._show(machines)
         if entries:
-            self._fleet.take_again(entries)
+            self._fleet.reapply(entries)
 
     def move_task(self, request: int, why: str) -> None:
         """Stop a placed task and request it anew; never one that must not start twice."""
@@ -145,7 +145,7 @@
         name = held.drain.machine
         now = names.short_time(self._base.hub.clock.wall_us())
         reason = "Drain" + held.phase.value.title().replace(" ", "")
-        self._board.tell_node(
+        self._board.record_node_event(
             name,
             "Warning" if held.reason else "Normal",
             reason,
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -98,7 +98,7 @@
                 job.lease_lost = True
                 self._give_up_request(task, attempt, words, is_unsafe=is_unsafe)
             elif task.state is State.RETRYING:
-                self._runs.cancel_again(task)
+                self._runs.cancel_retry(task)
                 self._store.transition(task, Step.STOP)
             elif task.state in RUNNING and attempt is not None:
                 if is_unsafe:
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -1,10 +1,10 @@
-"""The fleet: entries of the list through the guards to the module, to clients and to the machines' own connections."""
+"""The fleet: list entries pass the guards, then go to the module, to API objects and to the machines' connections."""
 
 from __future__ import annotations
 
 import math
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Container, Iterable
 from dataclasses import replace
 from typing import Any
 
@@ -19,33 +19,39 @@
 from wingbarrow.core.observations import Observations
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.restarts import Rebirth
+from wingbarrow.decide.restarts import RestartGuard
 
 REOPEN_US = 50_000
-PROBES_OUT = 32
+MAX_PROBES = 32
 Guard = Callable[[NodeEntry, api.ListedMachine], api.ListedMachine]
 
 
 class Fleet:
-    """Owns which machines are reached and how the module may see them.
+    """Owns the machines' connections, and decides in which phase the module sees each machine.
 
-    `guards` narrow each entry, in order, before the module and the gate have it; `gone`, `listed` and `taken_in` hear
-    of machines that left, of those that are on the list (again), and of each delivery that is taken in.
+    `guards` restrict each entry, in order, for the module and the gate; `slow_start_guard` restricts what the module
+    alone sees, last of all. The callbacks `on_gone`, `on_machine_listed` and `on_delivery_applied` are called for each
+    machine that left the list, for each that is on it, and after each delivery.
     """
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        board: ApiObjects,
+        objects: ApiObjects,
         machines: Machines,
         attempts: Attempts,
         runs: Runs,
-        sightings: Observations,
+        observations: Observations,
     ) -> None:
-        self._base, self._host, self._board, self._machines = base, host, board, machines
-        self._attempts, self._runs, self._sightings = attempts, runs, sightings
-        self._rebirth = Rebirth(base.settings.scheduler.classes)
+        self._base = base
+        self._host = host
+        self._objects = objects
+        self._machines = machines
+        self._attempts = attempts
+        self._runs = runs
+        self._observations = observations
+        self._restart_guard = RestartGuard(base.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
         settings = base.settings
@@ -57,24 +63,23 @@
             random.Random(base.random.random()),
             settings.limits.machines,
             base.shift_us,
-            self.take,
+            self.apply,
             base.log,
         )
-        self.ready = False  # a list of machines has come
+        self.ready = False  # whether a list was received from the source
         self.guards: list[Guard] = []
-        self.rationed: Guard = (
-            lambda entry, listed: listed
-        )  # narrows what the module alone sees, last of all
-        self.gone: Callable[[str], None] = lambda name: None
-        self.listed: Callable[[str], None] = lambda name: None
-        self.spoke: Callable[[str], None] = lambda name: None  # a machine answered a probe
-        self.taken_in: Callable[[], None] = lambda: None
-        self.drained: Callable[[str], bool] = lambda name: False  # closed by the calendar
-        self.forgotten: Callable[[], None] = lambda: None  # what a former life held cannot be read
-        self.apart: list[
-            Callable[[str], bool]
-        ] = []  # which machines are closed to this placer alone
-        sightings.told = self._told
+        self.slow_start_guard: Guard = lambda entry, listed: listed
+        self.on_gone: Callable[[str], None] = lambda name: None
+        self.on_machine_listed: Callable[[str], None] = lambda name: None
+        self.on_contact: Callable[[str], None] = lambda name: None  # a machine answered a probe
+        self.on_delivery_applied: Callable[[], None] = lambda: None
+        self.is_drained: Callable[[str], bool] = lambda name: False  # by the drain calendar
+        self.on_state_lost: Callable[[], None] = (
+            lambda: None
+        )  # what a former life held cannot be read
+        # Predicates on machine names: closed to this placer alone.
+        self.closed_locally: list[Callable[[str], bool]] = []
+        observations.on_listed = self._on_pods_listed
 
     @property
     def held(self) -> dict[str, NodeEntry]:
@@ -82,15 +87,15 @@
         return self.reflector.held
 
     @property
-    def part(self) -> float:
-        """The part of the machines on the list that this placer holds; 1.0 where none is left out."""
+    def held_fraction(self) -> float:
+        """The fraction of the listed machines that this placer holds; 1.0 where none is left out."""
         held, left_out = len(self.held), self.reflector.left_out
         return held / (held + left_out) if left_out else 1.0
 
     # -- the list
 
-    def take(self, form: api.ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
-        """A delivery of the reflector, or entries that are to pass the guards anew."""
+    def apply(self, form: api.ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
+        """Apply a delivery of the reflector: changed entries and the names of machines that are gone."""
         if form is api.ListForm.FAILED:
             self._host.feed(api.MachineList(form, ()))
             return
@@ -98,52 +103,56 @@
             self.ready = True
         now = self._base.hub.now_us()
         for entry in entries:
-            self._rebirth.saw(entry.name, entry.listed, now)
+            self._restart_guard.on_machine_listed(entry.name, entry.listed, now)
         # Every entry passes here, and so the guards (rules 3 and 5).
         narrowed = {entry.name: self._narrow(entry) for entry in entries}
-        listed = [self.rationed(entry, narrowed[entry.name]) for entry in entries]
+        listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
         for name in gone:
-            entry_gone = self._leaves(name)
-            if form is api.ListForm.CHANGES and entry_gone is not None:
-                listed.append(entry_gone)
-        fresh: list[MachineLink] = []
+            last_entry = self._on_gone(name)
+            if form is api.ListForm.CHANGES and last_entry is not None:
+                listed.append(last_entry)
+        new_links: list[MachineLink] = []
         for entry in entries:
-            link = self._link(entry, fresh)
+            link = self._link(entry, new_links)
             link.phase, link.launched_us = (
                 narrowed[entry.name].phase,
                 narrowed[entry.name].launched_us,
             )
-            self.listed(entry.name)
-            self._board.show_news(entry, self.drained(entry.name))
+            self.on_machine_listed(entry.name)
+            self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
-        self._rebirth.listed |= form is api.ListForm.FULL
-        for link in fresh:
-            self._sightings.follow(link)
+        self._restart_guard.list_received |= form is api.ListForm.FULL
+        for link in new_links:
+            self._observations.follow(link)
         for name in gone:
             self._retire(name)
-        self.taken_in()
+        self.on_delivery_applied()
 
-    def take_again(self, entries: Iterable[NodeEntry]) -> None:
-        """Have entries pass the guards anew; their figures of room are no news and count as not told."""
-        self.take(api.ListForm.CHANGES, [untold(entry) for entry in entries], [])
+    def reapply(self, entries: Iterable[NodeEntry]) -> None:
+        """Pass entries through the guards anew; their free capacity is not current and counts as unknown."""
+        self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
+
+    def reapply_named(self, names: Container[str]) -> None:
+        """As `reapply`, for the machines of these names that are held."""
+        self.reapply([entry for name, entry in self.held.items() if name in names])
 
     def _narrow(self, entry: NodeEntry) -> api.ListedMachine:
         listed = entry.listed
         for guard in self.guards:
             listed = guard(entry, listed)
-        if listed.phase is api.Phase.RUNNING and self._rebirth.closed(entry.listed):
-            # Danger (rule 5): a former life's tasks that are not known yet would not count.
+        if listed.phase is api.Phase.RUNNING and self._restart_guard.is_closed(entry.listed):
+            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not count.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
 
-    def _leaves(self, name: str) -> api.ListedMachine | None:
-        self.gone(name)
-        return self._as_gone(name)
+    def _on_gone(self, name: str) -> api.ListedMachine | None:
+        self.on_gone(name)
+        return self._remove_node(name)
 
-    def _as_gone(self, name: str) -> api.ListedMachine | None:
-        """A machine that is shown no more, and its last entry as the module is to have it; None where it had none."""
+    def _remove_node(self, name: str) -> api.ListedMachine | None:
+        """Withdraw a machine's Node and mark its link gone; its last entry for the module, None without a link."""
         link = self._machines.links.get(name)
-        stored = self._board.drop_node(name)
+        stored = self._objects.drop_node(name)
         if link is None:
             return None
         link.phase = api.Phase.GONE
@@ -155,12 +164,12 @@
         return replace(entry, phase=api.Phase.GONE, launched_us=link.launched_us)
 
     def release(self, name: str) -> None:
-        """Let go of a machine that stays on the list: nothing of this placer's is there, and nothing is sent there.
+        """Release a machine that stays on the list: no task of this placer is there, and none will be sent.
 
-        To the module and to clients it is gone; to peers, and to what follows the list, nothing is said.
+        The module and clients see it as gone; peers and the callbacks for the list are not notified.
         """
         self.reflector.drop(name)
-        entry = self._as_gone(name)
+        entry = self._remove_node(name)
         link = self._machines.links.get(name)
         if link is not None:
             link.release()
@@ -170,46 +179,48 @@
 
     # -- after a start
 
-    def closed_by_start(self, entry: NodeEntry) -> bool:
-        """Whether only this placer's own start keeps it from a machine."""
-        return self._rebirth.closed(entry.listed)
+    def is_closed_by_restart(self, entry: NodeEntry) -> bool:
+        """Whether a machine is closed only because this placer has restarted."""
+        return self._restart_guard.is_closed(entry.listed)
 
-    def closed_here(self, entry: NodeEntry) -> bool:
-        """Whether a machine is closed to this placer for reasons of its own: no drain that others should hear of."""
-        return self.closed_by_start(entry) or any(closed(entry.name) for closed in self.apart)
+    def is_closed_locally(self, entry: NodeEntry) -> bool:
+        """Whether a machine is closed to this placer alone, so that peers must not take it for draining."""
+        return self.is_closed_by_restart(entry) or any(
+            closed(entry.name) for closed in self.closed_locally
+        )
 
-    def must_tell(self, name: str) -> bool:
-        """Whether a machine that is not held is off the list, and not merely left out."""
-        return self.ready and self.reflector.wanted(name)
+    def is_off_list(self, name: str) -> bool:
+        """Whether a machine that is not held is absent from the list, and not merely outside the subset."""
+        return self.ready and self.reflector.is_wanted(name)
 
     @property
     def reopening(self) -> bool:
-        """Whether machines that may be sent to by now are still to be shown to the module."""
+        """Whether machines that were opened are still to be passed to the module."""
         return self._reopening
 
-    def give_up_waiting(self) -> None:
-        """Machines that cannot be reached hold up their rack for a while only; ends with that."""
-        while not self._rebirth.over:
-            if self._rebirth.give_up(self._base.hub.now_us()):
+    def run_restart_timeouts(self) -> None:
+        """Expire the wait for machines that cannot be reached after a restart; returns once none is waited for."""
+        while not self._restart_guard.is_over:
+            if self._restart_guard.expire(self._base.hub.now_us()):
                 self._reopen()
-            if not self._rebirth.over:
+            if not self._restart_guard.is_over:
                 self._base.hub.sleep(REOPEN_US)
 
-    def _told(self, name: str) -> None:
-        """A machine has listed what it runs for this placer."""
-        if self._rebirth.told(name):
+    def _on_pods_listed(self, name: str) -> None:
+        """A machine has listed its pods of this placer."""
+        if self._restart_guard.on_pods_listed(name):
             self._reopen()
 
     def _reopen(self) -> None:
-        """Show the module the machines that may be sent to by now; soon, all that open in a while at once."""
+        """Pass opened machines to the module, after a delay that collects those that open at about the same time."""
         if self._reopening:
             return
         self._reopening = True
 
-        def due() -> None:
+        def on_due() -> None:
             self._reopening = False
             links = self._machines.links
-            self.take_again(
+            self.reapply(
                 [
                     entry
                     for name, entry in self.held.items()
@@ -219,22 +230,22 @@
                 ]
             )
 
-        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, due)
+        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, on_due)
 
-    def sees(self, machines: int) -> bool:
-        """Whether the list names at least so many machines and each of them has told what it runs."""
+    def has_complete_view(self, machines: int) -> bool:
+        """Whether the list names at least `machines` machines and each of them has listed its pods."""
         return (
             len(self.held) + self.reflector.left_out >= machines
-            and self._rebirth.waiting == 0
+            and self._restart_guard.pending_count == 0
             and all(link.reachable for link in self._machines.links.values())
         )
 
     # -- connections
 
-    def _link(self, entry: NodeEntry, fresh: list[MachineLink]) -> MachineLink:
+    def _link(self, entry: NodeEntry, new_links: list[MachineLink]) -> MachineLink:
         link, offered_us = self._machines.links.get(entry.name), None
         if link is not None and (link.host, link.port) != (entry.host, entry.port):
-            # The machine answers at another address: what was there is reached no more.
+            # The machine has another address: the former one is no longer reached.
             link.retired = True
             link.close()
             offered_us, link = link.offered_us, None
@@ -251,11 +262,11 @@
             )
             link.offered_us = offered_us
             self._machines.add(link)
-            fresh.append(link)
+            new_links.append(link)
         return link
 
     def _retire(self, name: str) -> None:
-        """A machine left the list: once it cannot be reached, what ran there is lost."""
+        """A machine left the list: once it cannot be reached, or after 10 minutes, its tasks are lost."""
         link = self._machines.links.get(name)
         if link is None:
             return
@@ -264,14 +275,13 @@
             for _ in range(600):
                 if link.phase is not api.Phase.GONE:
                     return
-                mine = self._attempts.on(link)
-                if not mine or not link.reachable:
+                if not self._attempts.on(link) or not link.reachable:
                     break
                 self._base.hub.sleep(1_000_000)
             if link.phase is not api.Phase.GONE:
                 return
             for attempt in self._attempts.on(link):
-                self._runs.lost(attempt, "its machine is gone")
+                self._runs.on_lost(attempt, "its machine is gone")
             if not self._attempts.on(link):
                 link.retired = True
                 link.close()
@@ -284,9 +294,9 @@
         return self._base.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
 
     def probe(self, machine: int) -> None:
-        """Ask a machine for its own figures."""
+        """Request a machine's load report; dropped while too many probes are out."""
         link = self._machines.of(machine)
-        if link is None or self._probes_out >= PROBES_OUT:
+        if link is None or self._probes_out >= MAX_PROBES:
             self._base.counts["probes_dropped"] += 1
             return
         size = self.size_of(self.held.get(link.name))
@@ -299,18 +309,18 @@
             finally:
                 self._probes_out -= 1
             if report is not None:
-                self.spoke(link.name)
+                self.on_contact(link.name)
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
             self._host.feed(api.Probed(machine, outcome, report))
 
         self._base.spawn(probe, "probe")
 
 
-def untold(entry: NodeEntry) -> NodeEntry:
-    """An entry whose figures of room are of an unknown age: they count as not told."""
+def without_free_capacity(entry: NodeEntry) -> NodeEntry:
+    """The entry with unknown free capacity, as its figures are of unknown age."""
     return replace(entry, listed=replace(entry.listed, free_cores=math.nan, free_memory=math.nan))
 
 
 def saved_entries(values: list[dict[str, Any]], wall_to_mono_us: int) -> list[NodeEntry]:
     """A saved list's entries; ValueError names the field that cannot be read."""
-    return [untold(read_node(value, wall_to_mono_us)) for value in values]
+    return [without_free_capacity(read_node(value, wall_to_mono_us)) for value in values]
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -81,8 +81,8 @@
         self._store.delete_listeners.append(self._on_delete)
         self._requests.may_answer_placed = self._confirm
         self._requests.is_answered_by_lease = self._on_patience_over
-        self._requests.attempt_began = self._on_attempt_began
-        self._requests.attempt_ended = self._on_attempt_ended
+        self._requests.on_attempt_began = self._on_attempt_began
+        self._requests.on_leased_attempt_ended = self._on_attempt_ended
 
     # -- admission
 
@@ -337,9 +337,9 @@
         attempt.confirming = False
         attempt.abandoned = True
         if attempt.stage is Stage.PLACED:
-            self._runs.stop(attempt, retries.End.STOPPED)
+            self._runs.stop(attempt, retries.RunEnd.STOPPED)
         elif attempt.stage is Stage.SENT:
-            attempt.stopping = retries.End.STOPPED
+            attempt.stopping = retries.RunEnd.STOPPED
             self._stops.request(
                 attempt.link,
                 attempt.task.job.request.namespace,
@@ -358,7 +358,7 @@
         if task.state is State.ASKED:
             self._requests.withdraw(task)
         else:
-            self._runs.cancel_again(task)
+            self._runs.cancel_retry(task)
             self._store.transition(task, Step.RETRY)
             deadline_us = now + task.job.request.patience_us
         request = self._store.open_request(task, deadline_us)
@@ -429,7 +429,7 @@
             pause_us += task_class.window_us
         if not self._store.transition(task, Step.SCHEDULE_RETRY):
             return False
-        self._runs.wait(task, pause_us)
+        self._runs.schedule_retry(task, pause_us)
         return True
 
 
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -1,4 +1,4 @@
-"""What this placer says of its own region: room by its list, and how much of what came lately it turned away."""
+"""This placer's report on its own region: capacity by its list, and recent demand with its rejected part."""
 
 from __future__ import annotations
 
@@ -11,76 +11,82 @@
 from wingbarrow.decide.regions.reports import RegionReport
 from wingbarrow.interface import Phase
 
-LATELY_US = 10_000_000
-EVERY_US = 500_000  # the list is summed up no more often
-TURNED_AWAY = "turned_away"
+DEMAND_WINDOW_US = 10_000_000
+REPORT_INTERVAL_US = 500_000  # between summaries of the list
+REJECTED_COUNTERS = "turned_away"
 
 
-class OwnRegion:
-    """Sums, as of the last look."""
+class LocalRegion:
+    """Builds the report that goes with requests to other regions; `leased` sums what is leased here by spec."""
 
-    def __init__(self, base: Base, book: JobStore, fleet: Fleet) -> None:
-        self._base, self._book, self._fleet = base, book, fleet
-        self._seen: deque[tuple[int, int, int]] = (
-            deque()
-        )  # when, what came in all, what of it was refused
-        self._said: RegionReport | None = None
-        self._at_us = -EVERY_US
+    def __init__(self, base: Base, jobs: JobStore, fleet: Fleet) -> None:
+        self._base = base
+        self._jobs = jobs
+        self._fleet = fleet
+        # Time, tasks and rejections in all until then, what of that was refused.
+        self._samples: deque[tuple[int, int, int]] = deque()
+        self._last_report: RegionReport | None = None
+        self._reported_us = -REPORT_INTERVAL_US
         self.leased: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
 
-    def say(self, now_us: int) -> RegionReport | None:
-        """With an ask; None without a region, machines, or a list of them."""
+    def report(self, now_us: int) -> RegionReport | None:
+        """The report, at most half a second old; None without a region, machines, or a list of them."""
         settings = self._base.settings
         if (
             not settings.region
             or not settings.machines
             or not self._fleet.ready
-            or not self._fleet.part
+            or not self._fleet.held_fraction
         ):
             return None
-        if now_us - self._at_us >= EVERY_US:
-            self._at_us, self._said = now_us, self._sum(now_us)
-        return self._said
+        if now_us - self._reported_us >= REPORT_INTERVAL_US:
+            self._last_report = self._summarise(now_us)
+            self._reported_us = now_us
+        return self._last_report
 
-    def _sum(self, now_us: int) -> RegionReport:
-        """Where this placer holds a part of the machines, what that part has stands for the whole."""
+    def _summarise(self, now_us: int) -> RegionReport:
+        """Where this placer holds a subset of the machines, its capacity is scaled up to the region's."""
         scheduler, sizes = self._base.settings.scheduler, self._base.sizes
-        whole, machines = [0.0, 0.0], 0
+        capacity = [0.0, 0.0]
         free = [0.0, 0.0]
+        machines = 0
         for entry in self._fleet.held.values():
             if entry.listed.phase is not Phase.RUNNING:
                 continue
             cores, memory = sizes.get(entry.listed.kind, (0.0, 0.0))
-            whole[0] += cores * scheduler.booking_cores
-            whole[1] += memory * scheduler.booking_memory
+            capacity[0] += cores * scheduler.booking_cores
+            capacity[1] += memory * scheduler.booking_memory
             free[0] += max(0.0, entry.listed.free_cores)
             free[1] += max(0.0, entry.listed.free_memory)
             machines += 1
-        part = self._fleet.part
-        whole, free = [each / part for each in whole], [each / part for each in free]
-        machines = round(machines / part)
-        came, refused = self._lately(now_us)
+        fraction = self._fleet.held_fraction
+        capacity = [each / fraction for each in capacity]
+        free = [each / fraction for each in free]
+        machines = round(machines / fraction)
+        demanded, refused = self._recent_demand(now_us)
         return RegionReport(
             self._base.settings.region,
-            round(whole[0], 3),
-            round(whole[1], 3),
+            round(capacity[0], 3),
+            round(capacity[1], 3),
             round(free[0], 3),
             round(free[1], 3),
-            whole[0] <= 0,
-            came,
+            capacity[0] <= 0,
+            demanded,
             refused,
             machines,
             self.leased(),
         )
 
-    def _lately(self, now_us: int) -> tuple[int, int]:
-        away = sum(
-            count for what, count in self._base.counts.items() if what.startswith(TURNED_AWAY)
+    def _recent_demand(self, now_us: int) -> tuple[int, int]:
+        """Tasks answered or rejected in the window, and those of them refused or rejected."""
+        rejected = sum(
+            count for name, count in self._base.counts.items() if name.startswith(REJECTED_COUNTERS)
         )
-        answers = self._book.answers
-        came, refused = answers.total() + away, answers[State.REFUSED] + away
-        self._seen.append((now_us, came, refused))
-        while len(self._seen) > 1 and self._seen[1][0] <= now_us - LATELY_US:
-            self._seen.popleft()
-        _, came_then, refused_then = self._seen[0]
-        return came - came_then, refused - refused_then
+        answers = self._jobs.answers
+        demanded = answers.total() + rejected
+        refused = answers[State.REFUSED] + rejected
+        self._samples.append((now_us, demanded, refused))
+        while len(self._samples) > 1 and self._samples[1][0] <= now_us - DEMAND_WINDOW_US:
+            self._samples.popleft()
+        _, demanded_before, refused_before = self._samples[0]
+        return demanded - demanded_before, refused - refused_before
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -16,59 +16,59 @@
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Ended, pod_text
 from wingbarrow.core.requests import Requests
-from wingbarrow.decide import retries as again
-from wingbarrow.decide.gate import Held, Offer, SendGate
+from wingbarrow.decide import retries
+from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
-ANEW_MOST = 8  # times that a task is asked for anew
+MAX_RESUBMISSIONS = 8  # of one task
 
 
-class ColdOffers(Protocol):
-    """A placer's share of what cold machines may be sent."""
+class SlowStartLimit(Protocol):
+    """A placer's share of the offers to cold machines (`core.slow_start`)."""
 
-    def chosen(self, link: MachineLink) -> None:
-        """The module has chosen a machine for an offer that is under way from now on."""
+    def on_chosen(self, link: MachineLink) -> None:
+        """The module has bound a task to a machine; its offer waits from now on."""
 
-    def left(self, link: MachineLink) -> bool:
-        """Whether one more offer may go to a machine now."""
+    def has_share(self, link: MachineLink) -> bool:
+        """Whether one more offer may be sent to a machine now."""
 
-    def sent(self, attempt: Attempt) -> None:
-        """The first byte of an offer goes out."""
+    def on_sent(self, attempt: Attempt) -> None:
+        """The first byte of an offer is about to be sent."""
 
 
 class Offers:
-    """Owns the gate that every offer passes right before its first byte."""
+    """Owns the gate that each offer passes before its first byte; `slow_start` is set where placers hold subsets."""
 
     def __init__(
         self,
         base: Base,
         host: Host,
-        book: JobStore,
+        jobs: JobStore,
         attempts: Attempts,
         machines: Machines,
         requests: Requests,
-        strays: Orphans,
-        rulebook: ActiveRules,
-        leaseholder: LeasedJobs | None = None,
+        orphans: Orphans,
+        active_rules: ActiveRules,
+        leased_jobs: LeasedJobs | None = None,
     ) -> None:
-        self._rulebook, self._leaseholder = rulebook, leaseholder
-        self._base, self._host, self._book, self._attempts, self._machines = (
-            base,
-            host,
-            book,
-            attempts,
-            machines,
-        )
-        self._requests, self._strays = requests, strays
+        self._base = base
+        self._host = host
+        self._jobs = jobs
+        self._attempts = attempts
+        self._machines = machines
+        self._requests = requests
+        self._orphans = orphans
+        self._active_rules = active_rules
+        self._leased_jobs = leased_jobs
         rules = base.settings.scheduler
         self._gate = SendGate(rules.cold_us, rules.fall_us)
-        self.cold: ColdOffers | None = None  # where placers hold subsets of the machines
+        self.slow_start: SlowStartLimit | None = None
 
     def bind(self, bind: api.Bind) -> None:
-        """The module chose a machine: an attempt begins."""
-        task, link = self._book.by_request.get(bind.request), self._machines.of(bind.machine)
+        """The module chose a machine for a task: begin an attempt."""
+        task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
         if task is None or link is None:
-            # The module binds open requests to listed machines alone; should it not, the offer counts as unsent.
+            # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
             self._base.counts["binds_dropped"] += 1
             self._host.feed(
                 api.AttemptEnded(
@@ -90,17 +90,17 @@
         attempt = Attempt(
             bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us
         )
-        attempt.rules, attempt.launched_us = self._rulebook.label, link.launched_us
+        attempt.rules, attempt.launched_us = self._active_rules.label, link.launched_us
         self._attempts.add(attempt)
         self._base.counts["binds"] += 1
-        if self.cold is not None:
-            self.cold.chosen(link)
+        if self.slow_start is not None:
+            self.slow_start.on_chosen(link)
         self._base.spawn(lambda: self._offer(attempt), "offer")
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Every offer passes here right before its first byte; see decide.gate."""
         task, link, now = attempt.task, attempt.link, self._base.hub.now_us()
-        held: Held | None = self._gate.check(
+        held: HoldReason | None = self._gate.check(
             now,
             Offer(
                 attempt.decided_us,
@@ -111,7 +111,7 @@
                 and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING,
                 link.launched_us,
-                self._rulebook.against(
+                self._active_rules.against(
                     now,
                     attempt.rules,
                     task.job.request.task_class.task_class.name,
@@ -119,9 +119,9 @@
                     attempt.decided_us,
                 ),
                 task.job.leased is None
-                or (self._leaseholder is not None and self._leaseholder.may_send(task.job)),
+                or (self._leased_jobs is not None and self._leased_jobs.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
-                cold_share_left=self.cold is None or self.cold.left(link),
+                cold_share_left=self.slow_start is None or self.slow_start.has_share(link),
             ),
         )
         if held is not None:
@@ -130,8 +130,8 @@
             return False
         self._attempts.advance(attempt, Stage.SENT)
         link.offered_us = now
-        if self.cold is not None:
-            self.cold.sent(attempt)
+        if self.slow_start is not None:
+            self.slow_start.on_sent(attempt)
         task.may_have_run = True
         return True
 
@@ -146,7 +146,7 @@
                 link.name,
                 attempt.deadline_us - self._base.hub.now_us(),
                 attempt.rules,
-                self._leaseholder.expiry(attempt) if self._leaseholder is not None else "",
+                self._leased_jobs.expiry(attempt) if self._leased_jobs is not None else "",
             )
 
         ended: Ended | None = Ended(
@@ -155,7 +155,7 @@
         with CancelScope(self._base.hub) as scope:
             attempt.scope = scope
             ended = (
-                self._leaseholder.before_send(attempt) if self._leaseholder is not None else None
+                self._leased_jobs.before_send(attempt) if self._leased_jobs is not None else None
             )
             if ended is None:
                 ended = link.offer(
@@ -166,51 +166,51 @@
                 )
         attempt.scope = None
         if attempt.stage is Stage.PLACED or attempt.stage is Stage.ENDED:
-            return  # the machine's news was faster than its answer
+            return  # the machine's watch event came before its answer
         if (
             ended is not None
             and attempt.stage is Stage.WAITING
             and ended.outcome is api.Outcome.CANCELLED
         ):
             ended = Ended(api.Outcome.NOT_SENT, ended.reason, ended.words)
-        elif ended is not None and attempt.stopping is again.End.STOPPED:
-            # Danger: the machine's answer to a stopped offer is not its judgement; it would be rested for that.
+        elif ended is not None and attempt.stopping is retries.RunEnd.STOPPED:
+            # Danger: the machine's answer to a stopped offer is no refusal; the module would back off from the machine.
             ended = Ended(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
         if ended is None:
-            self.runs(attempt)
-        elif self._costs_nothing(attempt):
+            self.on_running(attempt)
+        elif self._may_resubmit(attempt):
             self._base.counts["asked_anew"] += 1
             self._requests.resubmit(attempt)
         else:
-            self._failed(attempt, ended)
+            self._on_failed(attempt, ended)
 
-    def _costs_nothing(self, attempt: Attempt) -> bool:
-        """Whether an offer was held for want of a share, chosen in one turn with others that used it up.
+    def _may_resubmit(self, attempt: Attempt) -> bool:
+        """Whether the gate held an offer because others, chosen in the same module event, used up the share.
 
-        Danger: a few of those would use up all attempts of a task for which no machine was ever asked.
+        Danger: a few of those would use up all attempts of a task that was never offered to any machine.
         """
         task = attempt.task
         return (
-            attempt.held is Held.COLD_SHARE
+            attempt.held is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
             and task.job.leased is None
-            and task.resubmissions < ANEW_MOST
+            and task.resubmissions < MAX_RESUBMISSIONS
             and task.state is State.ASKED
             and task.request == attempt.request
             and self._base.hub.now_us() < task.deadline_us
         )
 
-    def runs(self, attempt: Attempt) -> None:
-        """The machine says that the task runs."""
+    def on_running(self, attempt: Attempt) -> None:
+        """The machine reported that the attempt's task runs."""
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
-            # The request was answered otherwise while the offer was out: what runs now is a stray.
+            # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
             self._base.counts["answers_late"] += 1
-            self._strays.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
+            self._orphans.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
             return
         if self._requests.may_answer_placed(attempt) and self._attempts.advance(
             attempt, Stage.PLACED
@@ -218,7 +218,7 @@
             attempt.placed_us = now
             self._requests.on_placed(attempt)
 
-    def _failed(self, attempt: Attempt, ended: Ended) -> None:
+    def _on_failed(self, attempt: Attempt, ended: Ended) -> None:
         attempt.task.last_outcome = f"{attempt.link.name}: {ended.words}"[:300]
         self._base.counts[f"offer:{ended.outcome.value}"] += 1
         self._base.log(
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -1,8 +1,8 @@
-"""What this placer may send to cold machines where placers hold subsets: its share by rank, asked at the gate (rule 4).
+"""This placer's share of the offers to cold machines, where placers hold subsets; checked at the gate (rule 4).
 
-A machine is shown to the module as draining, and to nobody else, as soon as the offers under way use up its share,
-until there is some again: the module goes elsewhere, and spends few of a task's attempts on offers that the gate would
-hold (those alone that it chose in one and the same turn). What was chosen before goes out.
+As soon as the offers in flight use up a machine's share, the machine is passed to the module, and to nobody else, as
+draining, until some of the share is free again. The module then chooses other machines, and few of a task's attempts
+are spent on offers that the gate would hold: only those chosen within the same module event.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.decide.slow_start import Came, ColdShare
+from wingbarrow.decide.slow_start import Arrival, SlowStartShare
 from wingbarrow.decide.subsets import Subsets
 
-LOOK_US = 50_000
-CAME = {
-    api.Outcome.NOT_SENT: Came.NEVER,
-    api.Outcome.UNREACHABLE: Came.NEVER,
-    api.Outcome.TIMED_OUT: Came.UNKNOWN,
-    api.Outcome.CANCELLED: Came.UNKNOWN,
-    api.Outcome.BROKEN: Came.ALONE,
+CHECK_INTERVAL_US = 50_000
+ARRIVALS = {
+    api.Outcome.NOT_SENT: Arrival.NEVER,
+    api.Outcome.UNREACHABLE: Arrival.NEVER,
+    api.Outcome.TIMED_OUT: Arrival.UNKNOWN,
+    api.Outcome.CANCELLED: Arrival.UNKNOWN,
+    api.Outcome.BROKEN: Arrival.ARRIVED,
 }
 
 
-class ColdShares:
-    """`offers`: what all placers together may send to one cold machine within the window, by the rules in force."""
+class SlowStartShares:
+    """`fleet_offers`: offers of all placers together to one cold machine within the window, by the rules in force."""
 
     def __init__(
         self,
@@ -38,97 +38,98 @@
         fleet: Fleet,
         attempts: Attempts,
         subsets: Subsets,
-        offers: Callable[[], float],
+        fleet_offers: Callable[[], float],
     ) -> None:
-        self._base, self._fleet, self._attempts = base, fleet, attempts
-        self._subsets, self._offers = subsets, offers
+        self._base = base
+        self._fleet = fleet
+        self._attempts = attempts
+        self._subsets = subsets
+        self._fleet_offers = fleet_offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
-        self._account = ColdShare(
-            rules.fall_us * 5 // 4
-        )  # a quarter longer, as in the module: offers travel
-        self._closed: dict[
-            str, None
-        ] = {}  # machines that are shown as draining for want of a share
-        self._looking = False
-        fleet.rationed = self._ration
-
-    def left(self, link: MachineLink) -> bool:
-        """Whether one more offer may go to a machine now; True for any that is not cold."""
+        # A quarter longer, as in the module: offers take time to arrive.
+        self._account = SlowStartShare(rules.fall_us * 5 // 4)
+        # Machines passed to the module as draining because their share is used up; in order of closing.
+        self._closed: dict[str, None] = {}
+        self._reopening = False
+        fleet.slow_start_guard = self._limit
+
+    def has_share(self, link: MachineLink) -> bool:
+        """Whether one more offer may be sent to a machine now; True for any that is not cold."""
         now = self._base.hub.now_us()
         return (
-            not self._cold(link.launched_us, now)
-            or self._left(now, link.name, link.launched_us) > 0
+            not self._is_cold(link.launched_us, now)
+            or self._remaining(now, link.name, link.launched_us) > 0
         )
 
-    def _left(self, now_us: int, name: str, launched_us: int) -> int:
-        share = self._subsets.cold_most(self._base.settings.name, name, self._offers())
-        return self._account.left(now_us, name, launched_us, share)
+    def _remaining(self, now_us: int, name: str, launched_us: int) -> int:
+        share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
+        return self._account.remaining(now_us, name, launched_us, share)
 
-    def chosen(self, link: MachineLink) -> None:
-        """The module has chosen a machine for an offer that is under way from now on."""
+    def on_chosen(self, link: MachineLink) -> None:
+        """The module has bound a task to a machine; its offer waits from now on."""
         entry = self._fleet.held.get(link.name)
         if (
             entry is not None
             and link.name not in self._closed
-            and self._used_up(link.name, link.launched_us)
+            and self._is_used_up(link.name, link.launched_us)
         ):
-            self._fleet.take_again([entry])
+            self._fleet.reapply([entry])
 
-    def _used_up(self, name: str, launched_us: int) -> bool:
-        """Whether what is under way uses up what is left of a cold machine's share."""
+    def _is_used_up(self, name: str, launched_us: int) -> bool:
+        """Whether waiting offers use up what remains of a cold machine's share."""
         now = self._base.hub.now_us()
-        if not self._cold(launched_us, now):
+        if not self._is_cold(launched_us, now):
             return False
         waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_named(name))
-        return self._left(now, name, launched_us) <= waiting
+        return self._remaining(now, name, launched_us) <= waiting
 
-    def sent(self, attempt: Attempt) -> None:
-        """The first byte of an offer goes out, which the gate allowed."""
+    def on_sent(self, attempt: Attempt) -> None:
+        """The gate let an offer out; its first byte is about to be sent."""
         link, now = attempt.link, self._base.hub.now_us()
-        if self._cold(link.launched_us, now):
-            self._account.sent(
+        if self._is_cold(link.launched_us, now):
+            self._account.on_sent(
                 link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key
             )
 
-    def ended(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
-        """How an offer ended; None: its task runs."""
-        came = Came.SPOKE if outcome is None else CAME.get(outcome, Came.SPOKE)
-        self._account.ended(self._base.hub.now_us(), attempt.link.name, attempt.key, came)
+    def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
+        """An offer ended with this outcome; None: its task runs."""
+        arrival = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
+        self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, arrival)
 
-    def spoke(self, name: str) -> None:
-        """A machine has answered something else: what it was sent and given up before has come."""
-        self._account.ended(self._base.hub.now_us(), name, "", Came.SPOKE)
+    def on_contact(self, name: str) -> None:
+        """A machine has answered a probe: offers to it that were given up before have arrived."""
+        self._account.on_ended(self._base.hub.now_us(), name, "", Arrival.CONTACT)
 
-    def _cold(self, launched_us: int, now_us: int) -> bool:
+    def _is_cold(self, launched_us: int, now_us: int) -> bool:
         return launched_us > 0 and now_us < launched_us + self._cold_us
 
-    def _ration(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        if listed.phase is not api.Phase.RUNNING or not self._used_up(
+    def _limit(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
+        if listed.phase is not api.Phase.RUNNING or not self._is_used_up(
             entry.name, listed.launched_us
         ):
             self._closed.pop(entry.name, None)
             return listed
         self._closed[entry.name] = None
-        if not self._looking:
-            self._looking = True
-            self._base.spawn(self._look, "cold shares")
+        if not self._reopening:
+            self._reopening = True
+            self._base.spawn(self._reopen_machines, "cold shares")
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def _look(self) -> None:
-        """Open machines of which there is some share again, all of a while at once."""
+    def _reopen_machines(self) -> None:
+        """Pass machines with a free share to the module as they are listed, in one delivery each interval."""
         try:
             while self._closed:
-                self._base.hub.sleep(LOOK_US)
+                self._base.hub.sleep(CHECK_INTERVAL_US)
                 held = self._fleet.held
                 for name in [name for name in self._closed if name not in held]:
                     del self._closed[name]
-                again = [
+                reopened = [
                     held[name]
                     for name in self._closed
-                    if not self._used_up(name, held[name].listed.launched_us)
+                    if not self._is_used_up(name, held[name].listed.launched_us)
                 ]
-                if again:
-                    self._fleet.take_again(again)
+                if reopened:
+                    self._fleet.reapply(reopened)
         finally:
-            self._looking = False
+            self._reopening = False
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -23,7 +23,7 @@
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
         """Answer one request; ApiError for what is refused."""
-        failover = self._placer.failover
+        failover = self._placer.job_failover
         if failover is None:
             raise ApiError(
                 404, "no leases are held here: `agree` and a region in its settings", "NotFound"
