--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -140,6 +140,25 @@
     assert [each for each in top if f"`{each}/`" not in readme] == []
 
 
+def test_the_new_names_that_the_changelog_gives_are_there() -> None:
+    _, _, section = (ROOT / "CHANGELOG.md").read_text().partition("### Names\n")
+    section = section.partition("\n## ")[0]
+    assert section.count("| now |") == 2, "a table of modules, one of types"
+    rows = re.findall(r"^\| `([\w.]+)` \| `([\w.]+)` \|$", section, re.M)
+    assert len(rows) > 100
+    assert [old for old, new in rows if not _is_there(new)] == []
+    assert [old for old, _ in rows if _is_there(old) and old not in dict(rows).values()] == []
+
+
+def _is_there(name: str) -> bool:
+    """Whether a module, or something in one, has this name, its package left out."""
+    module, _, last = name.rpartition(".")
+    as_module, holder = (
+        ROOT / "wingbarrow" / f"{each.replace('.', '/')}.py" for each in (name, module)
+    )
+    return as_module.exists() or (holder.exists() and last in names_in(holder))
+
+
 def test_the_readme_names_all_pages() -> None:
     text = (ROOT / "README.md").read_text()
     pages = [path.name for path in sorted((ROOT / "docs").glob("*.md"))]
