--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -12,7 +12,11 @@
 
 ROOT = Path(__file__).parent.parent
 GUIDES = [ROOT / "docs" / "architecture.md", ROOT / "README.md"]
-NAMING = [*GUIDES, ROOT / "docs" / "ROADMAP.md", ROOT / "docs" / "on-call.md"]  # pages that name code alike
+NAMING = [
+    *GUIDES,
+    ROOT / "docs" / "ROADMAP.md",
+    ROOT / "docs" / "on-call.md",
+]  # pages that name code alike
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
 
 CODE = re.compile(r"`([^`\n]+)`")
