--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -17,7 +17,12 @@
 from wingbarrow.decide.sessions import reissue
 from wingbarrow.decide.sessions.failover import MAX_CLAIM_WAIT_US, SessionFailover
 from wingbarrow.decide.sessions.failover_pace import FailoverPace
-from wingbarrow.decide.sessions.leased_job_record import TASK_PHASES, KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.leased_job_record import (
+    EFFECTS,
+    TASK_PHASES,
+    KnownTask,
+    LeasedJobRecord,
+)
 from wingbarrow.decide.sessions.machine_queries import (
     ANSWER_TIMEOUT_US,
     MAX_OUTSTANDING,
@@ -26,10 +31,9 @@
 )
 from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
 from wingbarrow.decide.sessions.reissue import (
-    EVERY,
     REISSUE_TABLE,
-    SAYS,
-    TIMES,
+    KeyWindow,
+    MachineAnswer,
     ReissueDecision,
     ReissueRow,
     RunCopy,
@@ -43,36 +47,36 @@
 
 S = 1_000_000
 GONE = Session("a", 1, 0)
-ALL = list(itertools.product(EVERY, TASK_PHASES, SAYS, TIMES))
+ALL = list(itertools.product(EFFECTS, TASK_PHASES, MachineAnswer, KeyWindow))
 
 
-def plain(effect: str, knows: str, says: str, time: str) -> str:
-    """What must be, written down by itself."""
-    if knows == "over":
+def expected_decision(effect: str, phase: str, answer: str, window: str) -> str:
+    """An independent statement of the table."""
+    if phase == "over":
         return "nothing"
     if effect == "safe":
         return "run"
     if effect == "keyed":
         return (
             "run"
-            if says == "operator"
-            else {"window": "waiting", "past": "run", "open": "unknown"}[time]
+            if answer == "operator"
+            else {"running": "waiting", "past": "run", "unknown": "unknown"}[window]
         )
-    if says == "operator":
+    if answer == "operator":
         return "run"
-    if says == "holds" or knows in ("doubt", "placed"):
+    if answer == "holds" or phase in ("doubt", "placed"):
         return "unknown"
-    if knows == "none" or says == "clear":
+    if phase == "none" or answer == "clear":
         return "run"
-    return "asked" if says == "unasked" else "unknown"
+    return "asked" if answer == "unasked" else "unknown"
 
 
-def astray(table: tuple[ReissueRow, ...]) -> list[tuple[str, ...]]:
-    return [each for each in ALL if decide(*each, table).decision.value != plain(*each)]
+def deviations(table: tuple[ReissueRow, ...]) -> list[tuple[str, ...]]:
+    return [each for each in ALL if decide(*each, table).decision.value != expected_decision(*each)]
 
 
 def test_the_table_is_what_the_plain_reference_says_and_has_no_idle_row() -> None:
-    assert not astray(REISSUE_TABLE)
+    assert not deviations(REISSUE_TABLE)
     assert {id(decide(*each)) for each in ALL} == {id(row) for row in REISSUE_TABLE}
     docs = (Path(__file__).parents[3] / "docs" / "reissue.md").read_text()
     assert all(row.why for row in REISSUE_TABLE)
@@ -83,7 +87,7 @@
     for index, row in enumerate(REISSUE_TABLE):
         for verdict in ReissueDecision:
             if verdict is not row.decision:
-                assert astray(
+                assert deviations(
                     (
                         *REISSUE_TABLE[:index],
                         replace(row, decision=verdict),
@@ -108,7 +112,7 @@
 
 
 @given(
-    st.sampled_from(EVERY),
+    st.sampled_from(EFFECTS),
     st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()),
     st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()),
 )
@@ -116,9 +120,10 @@
     effect: str, one: tuple[int, str, bool], other: tuple[int, str, bool]
 ) -> None:
     a, b = RunCopy(*one), RunCopy(*other)
-    mine, theirs, _ = resolve_copies(effect, a, b)
+    resolution = resolve_copies(effect, a, b)
+    mine, theirs = resolution.mine, resolution.theirs
     if (a.epoch, a.holder) != (b.epoch, b.holder):
-        assert resolve_copies(effect, b, a)[:2] == (theirs, mine)
+        assert resolve_copies(effect, b, a) == replace(resolution, mine=theirs, theirs=mine)
         assert (mine, theirs).count(ReissueDecision.RUN) <= 1 + (
             effect == "unsafe" and a.is_running and b.is_running
         )
--- a/wingbarrow/decide/sessions/failover_pace.py
+++ b/wingbarrow/decide/sessions/failover_pace.py
@@ -1,4 +1,4 @@
-"""How fast a lost region's Jobs come to a successor, and within what time the last safe one is started again."""
+"""How fast the Jobs of a lost region reach a successor, and the bound on when the last safe one is started again."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverPace:
-    """At most so many Jobs are taken over in one turn, and given to the core in one go, every so often."""
+    """Bounds on how many Jobs are claimed by a successor, and started by its core, in one interval each."""
 
     max_starts: int = 32
     start_interval_us: int = 100_000
@@ -18,39 +18,41 @@
     claim_interval_us: int = 5_000
 
     def within_us(self, jobs: int) -> int:
-        """How long so many take where there is room."""
-        return self.start_interval_us * (
-            1 + -(-jobs // self.max_starts)
-        ) + self.claim_interval_us * (1 + jobs // self.max_claims)
-
-
-def reissue_within_us(
-    lease_us: int,
-    max_turn_us: int,
-    after_us: int,
-    request_interval_us: int,
-    election_us: int,
-    jobs: int,
-    pace: FailoverPace,
-    one_way_us: int,
-) -> int:
-    """From a region's loss until the last of its safe Jobs is started elsewhere, where there is room for all.
-
-    The last grant may have been given at the loss: the voters reckon with it (a new leader, once it is elected, from
-    then on), or wait for `after`. Their end is decided with a round; each successor was heard, and hears, with a grant
-    of its own, one of which may be lost: three. A safe Job waits for its keepers' word for `CLAIM_US` at most. Then the
-    pace, at the successor that has the most, `jobs`; and a send with its answer. `far_us`: one way between regions.
+        """Return how long so many Jobs take where there is capacity for them."""
+        start_intervals = 1 + -(-jobs // self.max_starts)
+        claim_intervals = 1 + jobs // self.max_claims
+        return self.start_interval_us * start_intervals + self.claim_interval_us * claim_intervals
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FailoverTimes:
+    """What the bound rests on, in microseconds.
+
+    after_us: of the spec.
+    request_interval_us: between a placer's requests for a lease.
+    election_us: of a new leader, where the present one is lost with the region.
+    one_way_us: latency between regions.
+    """
+
+    lease_us: int
+    max_turn_us: int
+    after_us: int
+    request_interval_us: int
+    election_us: int
+    one_way_us: int
+
+
+def reissue_within_us(times: FailoverTimes, jobs: int, pace: FailoverPace) -> int:
+    """Return the bound from a region's loss until the last of its safe Jobs is started elsewhere, given capacity.
+
+    The last grant may have been given at the loss: the voters count it (a new leader, once elected, from then on), or
+    wait for `after`. The end is decided with a round. Each successor reports, and learns of the end, with a request,
+    one of which may be lost: three. A safe Job waits for its other replica holders for at most `MAX_CLAIM_WAIT_US`.
+    Then comes the pace at the successor with the most Jobs, `jobs`, and one message with its answer.
     """
-    ended = (
-        election_us
-        + max(voter_lease_us(lease_us, max_turn_us), after_us)
-        + 2 * one_way_us
-        + max_turn_us
-    )
-    return (
-        ended
-        + 3 * request_interval_us
-        + MAX_CLAIM_WAIT_US
-        + pace.within_us(jobs)
-        + 2 * (max_turn_us + one_way_us)
-    )
+    lease_us = voter_lease_us(times.lease_us, times.max_turn_us)
+    round_us = 2 * times.one_way_us + times.max_turn_us
+    ended_us = times.election_us + max(lease_us, times.after_us) + round_us
+    claimed_us = ended_us + 3 * times.request_interval_us + MAX_CLAIM_WAIT_US
+    answer_us = 2 * (times.max_turn_us + times.one_way_us)
+    return claimed_us + pace.within_us(jobs) + answer_us
--- a/wingbarrow/decide/sessions/machine_queries.py
+++ b/wingbarrow/decide/sessions/machine_queries.py
@@ -1,7 +1,8 @@
-"""Asking the machines of a lost region what they have of a Job's tasks, through placers of that region.
+"""Queries to the machines of a lost region, sent through placers there: what they have of a Job's tasks.
 
-So many at a time; a machine that did not answer is asked again through another placer, and counts as unreachable after
-`UNREACHED` asks, or while no placer of its region is there; then it is asked now and then, for as long as it matters.
+At most MAX_OUTSTANDING queries are outstanding. One that is not answered is sent again, through another placer; a
+machine counts as unreachable after UNREACHABLE_AFTER attempts, and while no placer of its region is there. It is then
+queried at longer intervals, for as long as the task matters.
 """
 
 from __future__ import annotations
@@ -12,177 +13,198 @@
 
 from wingbarrow.decide.effects import Effect, Send
 from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
-from wingbarrow.decide.sessions.reissue import machine_answer
+from wingbarrow.decide.sessions.reissue import MachineAnswer, machine_answer
 
-ANSWER_TIMEOUT_US = 1_000_000  # until a machine's answer is asked for again
-UNREACHABLE_RETRY_US = 15_000_000  # between asks of a machine that is unreachable
-UNREACHABLE_AFTER = 3
-MAX_OUTSTANDING = 64  # at a time
+ANSWER_TIMEOUT_US = 1_000_000
+UNREACHABLE_RETRY_US = 15_000_000
+UNREACHABLE_AFTER = 3  # attempts
+MAX_OUTSTANDING = 64
+MAX_REMEMBERED_NUMBERS = 16 * MAX_OUTSTANDING
 NUMBERS_PER_EPOCH = (
     1 << 24
-)  # to each epoch its own, so that late mail of another take-over means nothing
+)  # each epoch has its own numbers: late messages of another failover mean nothing
 
 
 @dataclass(slots=True)
 class TaskQuery:
-    """One task; the attempt left after `since_us`, if it did. `word`: what its machine told."""
+    """The query for one task, whose attempt was sent after `since_us`, if it was.
+
+    answer: final unless a machine later reports that it holds the task.
+    is_dropped: the Job does not matter any more.
+    """
 
     uid: str
     index: int
     machine: str
     since_us: int
-    answer: str = ""
+    answer: MachineAnswer | None = None
     number: int = 0
     attempts: int = 0
     due_us: int = 0
     is_outstanding: bool = False
     is_queued: bool = False
+    is_dropped: bool = False
 
 
 class MachineQueries:
-    """All asks of one take-over."""
+    """All queries of one failover."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.placers: tuple[str, ...] = ()
         self.queries: dict[str, dict[int, TaskQuery]] = {}
         self._number = epoch * NUMBERS_PER_EPOCH
-        self._numbers: dict[int, TaskQuery] = {}  # of the latest mails, answered or not
+        self._numbers: dict[int, TaskQuery] = {}  # of the latest messages, answered or not
         self._queue: deque[TaskQuery] = deque()
-        self._due: list[tuple[int, str, int]] = []
-        self._out = 0
-
-    def answer(self, uid: str, index: int) -> str:
-        """As the table takes it."""
-        ask = self.queries.get(uid, {}).get(index)
-        if ask is None:
-            return "unasked"
-        if ask.answer:
-            return ask.answer
-        gone = (
-            not self.placers
-            or ask.attempts > UNREACHABLE_AFTER
-            or (ask.attempts == UNREACHABLE_AFTER and not ask.is_outstanding)
-        )
-        return "unreachable" if gone else "unasked"
+        self._due: list[tuple[int, str, int]] = []  # heap of time, uid and index
+        self._outstanding = 0
+
+    def answer(self, uid: str, index: int) -> MachineAnswer:
+        """Return what is known of a task from its machine."""
+        query = self.queries.get(uid, {}).get(index)
+        if query is None:
+            return MachineAnswer.UNASKED
+        if query.answer is not None:
+            return query.answer
+        if not self.placers or query.attempts > UNREACHABLE_AFTER:
+            return MachineAnswer.UNREACHABLE
+        if query.attempts == UNREACHABLE_AFTER and not query.is_outstanding:
+            return MachineAnswer.UNREACHABLE
+        return MachineAnswer.UNASKED
 
     def add(self, uid: str, index: int, machine: str, since_us: int) -> None:
-        """A task's machine is to be asked from now on."""
+        """Query a task's machine from now on."""
         former = self.queries.setdefault(uid, {}).get(index)
         if former is None or former.machine != machine or since_us < former.since_us:
             if former is not None:
-                self._back(former)
-            ask = self.queries[uid][index] = TaskQuery(uid, index, machine, since_us)
-            self._line_up(ask)
+                self._end_attempt(former)
+            query = TaskQuery(uid, index, machine, since_us)
+            self.queries[uid][index] = query
+            self._enqueue(query)
 
-    def set_answer(self, uid: str, index: int, answer: str) -> None:
-        """Somebody else's word for a task."""
-        ask = self.queries.setdefault(uid, {}).setdefault(index, TaskQuery(uid, index, "", 0))
-        self._back(ask)
-        ask.answer = answer
+    def set_answer(self, uid: str, index: int, answer: MachineAnswer) -> None:
+        """Record an answer that did not come from the machine."""
+        query = self.queries.setdefault(uid, {}).setdefault(index, TaskQuery(uid, index, "", 0))
+        self._end_attempt(query)
+        query.answer = answer
 
     def forget(self, uid: str) -> None:
-        """A Job is no matter any more."""
-        for ask in self.queries.pop(uid, {}).values():
-            self._back(ask)
-            ask.answer = "forgotten"
+        """Drop the queries for a Job."""
+        for query in self.queries.pop(uid, {}).values():
+            self._end_attempt(query)
+            query.is_dropped = True
 
     def set_placers(self, placers: tuple[str, ...]) -> set[str]:
-        """Placers of the region that are there; uids whose word may be another now."""
-        back = set(placers) - set(self.placers)
+        """Replace the live placers of the region; return the uids whose answers may have changed."""
+        new = set(placers) - set(self.placers)
         changed = bool(placers) != bool(self.placers)
         self.placers = placers
-        open_asks = [
-            ask for asks in self.queries.values() for ask in asks.values() if not ask.answer
+        unanswered = [
+            query
+            for queries in self.queries.values()
+            for query in queries.values()
+            if query.answer is None
         ]
-        if back:
-            for ask in open_asks:
-                self._line_up(ask)
-        return {ask.uid for ask in open_asks} if changed else set()
+        if new:
+            for query in unanswered:
+                self._enqueue(query)
+        return {query.uid for query in unanswered} if changed else set()
 
     def on_machine_report(self, now_us: int, message: MachineReport) -> str:
-        """A machine told, late or twice; the uid that it is about, "" for nothing new."""
-        ask = self._numbers.get(message.number)
-        if (
-            ask is None
-            or (message.uid, message.machine) != (ask.uid, ask.machine)
-            or ask.answer == "forgotten"
-        ):
+        """Take in a report, which may be late or a duplicate; return its uid, "" where it changes nothing."""
+        query = self._numbers.get(message.number)
+        if query is None or query.is_dropped:
+            return ""
+        if (message.uid, message.machine) != (query.uid, query.machine):
             return ""
         if not message.reached:
-            if ask.is_outstanding and ask.number == message.number:
-                self._missed(now_us, ask)
-                return ask.uid
+            if query.is_outstanding and query.number == message.number:
+                self._on_unanswered(now_us, query)
+                return query.uid
+            return ""
+        answer = machine_answer(message, now_us - query.since_us)
+        self._end_attempt(query)
+        if not _may_replace(query.answer, answer):
             return ""
-        word = machine_answer(message, now_us - ask.since_us)
-        self._back(ask)
-        # Danger: once a machine took the task, no other word takes that back.
-        if ask.answer in ("", "clear", "anew") and (not ask.answer or word == "holds"):
-            ask.answer = word
-            return ask.uid
-        return ""
+        query.answer = answer
+        return query.uid
 
     def on_timer(self, now_us: int) -> set[str]:
-        """What was not answered in time; uids whose word may be another now."""
-        out = set()
+        """Take in timeouts; return the uids whose answers may have changed."""
+        changed = set()
         while self._due and self._due[0][0] <= now_us:
             _, uid, index = heapq.heappop(self._due)
-            ask = self.queries.get(uid, {}).get(index)
-            if ask is None or ask.answer or ask.is_queued or ask.due_us > now_us:
+            query = self.queries.get(uid, {}).get(index)
+            if query is None or query.answer is not None:
                 continue
-            if ask.is_outstanding:
-                self._missed(now_us, ask)
-                out.add(uid)
+            if query.is_queued or query.due_us > now_us:
+                continue
+            if query.is_outstanding:
+                self._on_unanswered(now_us, query)
+                changed.add(uid)
             else:
-                self._line_up(ask)
-        return out
+                self._enqueue(query)
+        return changed
 
     def next_requests(self, now_us: int) -> list[Effect]:
-        """Asks that go now."""
-        out: list[Effect] = []
-        while self._queue and self._out < MAX_OUTSTANDING and self.placers:
-            ask = self._queue.popleft()
-            ask.is_queued = False
-            if (
-                ask.answer
-                or ask.is_outstanding
-                or self.queries.get(ask.uid, {}).get(ask.index) is not ask
-            ):
-                continue
-            self._number += 1
-            self._numbers[self._number] = ask
-            if len(self._numbers) > 16 * MAX_OUTSTANDING:
-                del self._numbers[next(iter(self._numbers))]
-            ask.number, ask.attempts, ask.is_outstanding = self._number, ask.attempts + 1, True
-            self._out += 1
-            self._wait(ask, now_us + ANSWER_TIMEOUT_US)
-            asker = self.placers[ask.number % len(self.placers)]
-            out.append(Send(asker, "", MachineQuery(ask.number, ask.machine, ask.uid, self.epoch)))
-        return out
+        """Return the messages that are to be sent now."""
+        effects: list[Effect] = []
+        while self._queue and self._outstanding < MAX_OUTSTANDING and self.placers:
+            query = self._queue.popleft()
+            query.is_queued = False
+            if query.answer is None and not query.is_outstanding and self._is_current(query):
+                effects.append(self._begin_attempt(now_us, query))
+        return effects
 
     def next_deadline_us(self) -> int | None:
-        """When to call `on_time`."""
+        """Return when to call `on_timer`."""
         return self._due[0][0] if self._due else None
 
-    # -- inside
-
-    def _line_up(self, ask: TaskQuery) -> None:
-        if not ask.is_queued and not ask.is_outstanding:
-            ask.is_queued = True
-            self._queue.append(ask)
-
-    def _wait(self, ask: TaskQuery, until_us: int) -> None:
-        ask.due_us = until_us
-        heapq.heappush(self._due, (until_us, ask.uid, ask.index))
-
-    def _back(self, ask: TaskQuery) -> None:
-        if ask.is_outstanding:
-            ask.is_outstanding = False
-            self._out -= 1
-
-    def _missed(self, now_us: int, ask: TaskQuery) -> None:
-        self._back(ask)
-        if ask.attempts < UNREACHABLE_AFTER:
-            self._line_up(ask)
+    # -- attempts
+
+    def _is_current(self, query: TaskQuery) -> bool:
+        return self.queries.get(query.uid, {}).get(query.index) is query
+
+    def _begin_attempt(self, now_us: int, query: TaskQuery) -> Send:
+        self._number += 1
+        self._numbers[self._number] = query
+        if len(self._numbers) > MAX_REMEMBERED_NUMBERS:
+            del self._numbers[next(iter(self._numbers))]
+        query.number = self._number
+        query.attempts += 1
+        query.is_outstanding = True
+        self._outstanding += 1
+        self._set_deadline(query, now_us + ANSWER_TIMEOUT_US)
+        placer = self.placers[query.number % len(self.placers)]
+        return Send(placer, "", MachineQuery(query.number, query.machine, query.uid, self.epoch))
+
+    def _end_attempt(self, query: TaskQuery) -> None:
+        if query.is_outstanding:
+            query.is_outstanding = False
+            self._outstanding -= 1
+
+    def _on_unanswered(self, now_us: int, query: TaskQuery) -> None:
+        self._end_attempt(query)
+        if query.attempts < UNREACHABLE_AFTER:
+            self._enqueue(query)
         else:
-            self._wait(ask, now_us + UNREACHABLE_RETRY_US)
+            self._set_deadline(query, now_us + UNREACHABLE_RETRY_US)
+
+    def _enqueue(self, query: TaskQuery) -> None:
+        if not query.is_queued and not query.is_outstanding:
+            query.is_queued = True
+            self._queue.append(query)
+
+    def _set_deadline(self, query: TaskQuery, due_us: int) -> None:
+        query.due_us = due_us
+        heapq.heappush(self._due, (due_us, query.uid, query.index))
+
+
+def _may_replace(known: MachineAnswer | None, answer: MachineAnswer) -> bool:
+    """Danger: once a machine took the task, no later answer withdraws that."""
+    if known is None:
+        return True
+    return answer is MachineAnswer.HOLDS and known in (
+        MachineAnswer.CLEAR,
+        MachineAnswer.RESTARTED,
+    )
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -1,31 +1,31 @@
-"""Whether a Job of a lost region is started again: one table, each row with the danger it guards against.
+"""Whether a task of a Job whose holder's session has ended is started again; and which of two copies of a Job goes on.
 
-A row is looked up by the class's effect, what this keeper knows of the task, what its machine tells, and the time. The
-voters ended the holder's session before anything is asked here, so that its right to send and its machines' word for
-what runs have lapsed by every clock: no old copy of a leased task runs any more where machines keep their word.
+Both questions are answered by a table, each row with the danger that it guards against, or the proof that it rests on.
+`docs/reissue.md` shows both tables. A row of the first is found by the class's effect, what this replica holder knows
+of the task, what its machine answers, and the window of its key.
+
+The voters ended the holder's session before anything is asked here, so that its lease and the machines' lease have
+expired by every clock: no earlier copy of a leased task runs any more where machines observe their lease.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
 
 from wingbarrow.decide.quotas.limits import drifted_us
-from wingbarrow.decide.sessions.leased_job_record import TASK_PHASES, KnownTask, LeasedJobRecord
+from wingbarrow.decide.sessions.leased_job_record import (
+    EFFECTS,
+    TASK_PHASES,
+    KnownTask,
+    LeasedJobRecord,
+)
 from wingbarrow.decide.sessions.messages import MachineReport
 
-EVERY = ("unsafe", "keyed", "safe")
-SAYS = ("unasked", "unreachable", "holds", "clear", "anew", "operator")
-TIMES = (
-    "window",
-    "past",
-    "open",
-)  # of a key: its window runs, has passed, or nobody here knows since when it runs
-ANY: tuple[str, ...] = ()
-
 
 class ReissueDecision(Enum):
-    """What becomes of a task."""
+    """The decision on one task or copy; values as they are notified and sent."""
 
     RUN = "run"
     WAIT = "waiting"
@@ -35,201 +35,212 @@
     NOTHING = "nothing"
 
 
-@dataclass(frozen=True, slots=True)
+class MachineAnswer(StrEnum):
+    """What the machine of a task's latest attempt answered."""
+
+    UNASKED = "unasked"
+    UNREACHABLE = "unreachable"
+    HOLDS = "holds"  # it took the task
+    CLEAR = "clear"  # it never had it, and has been up since before the attempt could be sent
+    RESTARTED = "restarted"  # it does not have it, and has restarted since
+    OPERATOR = "operator"  # an operator confirms that the task never ran
+
+
+class KeyWindow(StrEnum):
+    """Where the window of a key stands."""
+
+    RUNNING = "running"
+    PAST = "past"
+    UNKNOWN = "unknown"  # nobody here knows since when it runs
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ReissueRow:
-    """The first row that fits holds; an empty column fits all. `why` names the danger, or the proof."""
+    """The first row that matches holds; an empty column matches all."""
 
-    effects: tuple[str, ...]
-    phases: tuple[str, ...]
-    answers: tuple[str, ...]
-    windows: tuple[str, ...]
+    effects: tuple[str, ...] = ()
+    phases: tuple[str, ...] = ()
+    answers: tuple[MachineAnswer, ...] = ()
+    windows: tuple[KeyWindow, ...] = ()
     decision: ReissueDecision
     why: str
 
+    def matches(self, effect: str, phase: str, answer: str, window: str) -> bool:
+        """Whether each column matches."""
+        columns = (
+            (self.effects, effect),
+            (self.phases, phase),
+            (self.answers, answer),
+            (self.windows, window),
+        )
+        return all(not column or value in column for column, value in columns)
+
 
 REISSUE_TABLE = (
     ReissueRow(
-        ANY,
-        ("over",),
-        ANY,
-        ANY,
-        ReissueDecision.NOTHING,
-        "it is over: what has ended would be done again",
+        phases=("over",),
+        decision=ReissueDecision.NOTHING,
+        why="it is over: what has ended would be done again",
     ),
     ReissueRow(
-        ("safe",),
-        ANY,
-        ANY,
-        ANY,
-        ReissueDecision.RUN,
-        "it may repeat; a copy that a machine has not stopped yet overlaps until its lease has passed there",
+        effects=("safe",),
+        decision=ReissueDecision.RUN,
+        why="it may repeat; a copy that a machine has not stopped yet overlaps until its lease has passed there",
     ),
     ReissueRow(
-        ("keyed",), ANY, ("operator",), ANY, ReissueDecision.RUN, "the operator answers for it"
+        effects=("keyed",),
+        answers=(MachineAnswer.OPERATOR,),
+        decision=ReissueDecision.RUN,
+        why="the operator answers for it",
     ),
     ReissueRow(
-        ("keyed",),
-        ANY,
-        ANY,
-        ("window",),
-        ReissueDecision.WAIT,
-        "the former holder may have sent the same key just before its right lapsed, within the window and the group",
+        effects=("keyed",),
+        windows=(KeyWindow.RUNNING,),
+        decision=ReissueDecision.WAIT,
+        why="the former holder may have sent the same key just before its right lapsed, "
+        "within the window and the group",
     ),
     ReissueRow(
-        ("keyed",),
-        ANY,
-        ANY,
-        ("open",),
-        ReissueDecision.UNKNOWN,
-        "another may have started it since, or may yet, within the window of a key that holds everywhere",
+        effects=("keyed",),
+        windows=(KeyWindow.UNKNOWN,),
+        decision=ReissueDecision.UNKNOWN,
+        why="another may have started it since, or may yet, within the window of a key that holds everywhere",
     ),
     ReissueRow(
-        ("keyed",),
-        ANY,
-        ANY,
-        ("past",),
-        ReissueDecision.RUN,
-        "no copy runs any more, and the key's window, where its group reaches here, has passed",
+        effects=("keyed",),
+        windows=(KeyWindow.PAST,),
+        decision=ReissueDecision.RUN,
+        why="no copy runs any more, and the key's window, where its group reaches here, has passed",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("none", "about", "placed", "doubt"),
-        ("operator",),
-        ANY,
-        ReissueDecision.RUN,
-        "the operator answers for it that it never ran",
+        effects=("unsafe",),
+        phases=("none", "about", "placed", "doubt"),
+        answers=(MachineAnswer.OPERATOR,),
+        decision=ReissueDecision.RUN,
+        why="the operator answers for it that it never ran",
     ),
     ReissueRow(
-        ("unsafe",),
-        ANY,
-        ("holds",),
-        ANY,
-        ReissueDecision.UNKNOWN,
-        "its machine took it: it had its effect, or may have",
+        effects=("unsafe",),
+        answers=(MachineAnswer.HOLDS,),
+        decision=ReissueDecision.UNKNOWN,
+        why="its machine took it: it had its effect, or may have",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("doubt",),
-        ANY,
-        ANY,
-        ReissueDecision.UNKNOWN,
-        "its holder, or a successor, may have gone on by other keepers than this one",
+        effects=("unsafe",),
+        phases=("doubt",),
+        decision=ReissueDecision.UNKNOWN,
+        why="its holder, or a successor, may have gone on by other keepers than this one",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("none",),
-        ANY,
-        ANY,
-        ReissueDecision.RUN,
-        "nothing of it ever left: every keeper hears of an attempt before its first byte",
+        effects=("unsafe",),
+        phases=("none",),
+        decision=ReissueDecision.RUN,
+        why="nothing of it ever left: every keeper hears of an attempt before its first byte",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("placed",),
-        ANY,
-        ANY,
-        ReissueDecision.UNKNOWN,
-        "it was started: whether it ended well nobody here can prove",
+        effects=("unsafe",),
+        phases=("placed",),
+        decision=ReissueDecision.UNKNOWN,
+        why="it was started: whether it ended well nobody here can prove",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("about",),
-        ("unasked",),
-        ANY,
-        ReissueDecision.QUERY,
-        "the attempt may have left, or may still be on its way: its machine has to refuse it first, and say",
+        effects=("unsafe",),
+        phases=("about",),
+        answers=(MachineAnswer.UNASKED,),
+        decision=ReissueDecision.QUERY,
+        why="the attempt may have left, or may still be on its way: its machine has to refuse it first, and say",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("about",),
-        ("clear",),
-        ANY,
-        ReissueDecision.RUN,
-        "its machine never had it since before it could be sent, and refuses it from now on by its epoch",
+        effects=("unsafe",),
+        phases=("about",),
+        answers=(MachineAnswer.CLEAR,),
+        decision=ReissueDecision.RUN,
+        why="its machine never had it since before it could be sent, and refuses it from now on by its epoch",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("about",),
-        ("anew",),
-        ANY,
-        ReissueDecision.UNKNOWN,
-        "its machine started anew since: what ran there before its start it does not know",
+        effects=("unsafe",),
+        phases=("about",),
+        answers=(MachineAnswer.RESTARTED,),
+        decision=ReissueDecision.UNKNOWN,
+        why="its machine started anew since: what ran there before its start it does not know",
     ),
     ReissueRow(
-        ("unsafe",),
-        ("about",),
-        ("unreachable",),
-        ANY,
-        ReissueDecision.UNKNOWN,
-        "a machine that does not answer may have run it, and is asked again",
+        effects=("unsafe",),
+        phases=("about",),
+        answers=(MachineAnswer.UNREACHABLE,),
+        decision=ReissueDecision.UNKNOWN,
+        why="a machine that does not answer may have run it, and is asked again",
     ),
 )
 
 
 def decide(
-    effect: str, knows: str, says: str, time: str, table: tuple[ReissueRow, ...] = REISSUE_TABLE
+    effect: str,
+    phase: str,
+    answer: str,
+    window: str,
+    table: tuple[ReissueRow, ...] = REISSUE_TABLE,
 ) -> ReissueRow:
-    """The row that holds."""
+    """Return the first row that matches; ValueError where none does."""
     for row in table:
-        if all(
-            not column or figure in column
-            for column, figure in (
-                (row.effects, effect),
-                (row.phases, knows),
-                (row.answers, says),
-                (row.windows, time),
-            )
-        ):
+        if row.matches(effect, phase, answer, window):
             return row
-    raise ValueError(f"no row for {effect}, {knows}, {says}, {time}")
+    raise ValueError(f"no row for {effect}, {phase}, {answer}, {window}")
 
 
-def window_until_us(record: LeasedJobRecord, heard_us: int) -> int:
-    """Until when a keyed Job waits: the last send was before the end of its holder's session was heard of.
+def window_until_us(record: LeasedJobRecord, ended_us: int) -> int:
+    """Return until when a keyed Job waits, given when this placer learned of the end of its holder's session.
 
-    Of a key that holds for all, or where another successor of this region may have started it: the whole window, by
-    any clock. A narrower group ends within the lost region.
+    The holder's last attempt was sent before. A key that holds everywhere, or a Job that another successor may have
+    started, waits for its whole window by any clock; a narrower group ends within the lost region.
     """
-    if record.effect != "keyed" or not (record.group == "all" or _doubt(record)):
-        return heard_us
-    return heard_us + drifted_us(record.window_us)
+    if record.effect != "keyed" or not (record.group == "all" or _is_doubted(record)):
+        return ended_us
+    return ended_us + drifted_us(record.window_us)
 
 
-def key_window(record: LeasedJobRecord, now_us: int, until_us: int) -> str:
-    """As the table takes it."""
-    if record.effect == "keyed" and record.group == "all" and _doubt(record):
-        return "open"
-    return "window" if now_us < until_us else "past"
+def key_window(record: LeasedJobRecord, now_us: int, until_us: int) -> KeyWindow:
+    """Return where the window of a Job's key stands, given the time from `window_until_us`."""
+    if record.effect == "keyed" and record.group == "all" and _is_doubted(record):
+        return KeyWindow.UNKNOWN
+    return KeyWindow.RUNNING if now_us < until_us else KeyWindow.PAST
 
 
-def _doubt(record: LeasedJobRecord) -> bool:
+def _is_doubted(record: LeasedJobRecord) -> bool:
     return any(each.phase == "doubt" for each in record.tasks)
 
 
-def machine_answer(report: MachineReport | None, age_us: int) -> str:
-    """What a machine's answer means for an attempt that could leave `age_us` ago at the earliest.
+def machine_answer(report: MachineReport | None, age_us: int) -> MachineAnswer:
+    """Return what a machine's report means for an attempt that was sent `age_us` ago at the earliest.
 
-    Danger: "never had it" counts only where the machine remembers all of that time, by any clock.
+    Danger: that it never had the task counts only where it has been up for all of that time, by any clock.
     """
     if report is None:
-        return "unasked"
+        return MachineAnswer.UNASKED
     if not report.reached:
-        return "unreachable"
+        return MachineAnswer.UNREACHABLE
     if report.holds:
-        return "holds"
-    return "clear" if report.boot_age_us > drifted_us(age_us) else "anew"
+        return MachineAnswer.HOLDS
+    if report.boot_age_us > drifted_us(age_us):
+        return MachineAnswer.CLEAR
+    return MachineAnswer.RESTARTED
 
 
 def worst_known(mine: KnownTask, theirs: KnownTask) -> KnownTask:
-    """Of two words about one task, the one that says more: a successor goes by the worst that may be."""
-    if TASK_PHASES.index(theirs.phase) != TASK_PHASES.index(mine.phase):
-        return theirs if TASK_PHASES.index(theirs.phase) > TASK_PHASES.index(mine.phase) else mine
+    """Return the more advanced of what two replica holders know of a task, of one phase the older: the worst case."""
+    my_phase = TASK_PHASES.index(mine.phase)
+    their_phase = TASK_PHASES.index(theirs.phase)
+    if their_phase != my_phase:
+        return theirs if their_phase > my_phase else mine
     return theirs if theirs.age_us > mine.age_us else mine
 
 
-@dataclass(frozen=True, slots=True)
+# -- two copies of one Job, after a holder has returned
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
 class RecoveryRow:
-    """What becomes of two copies of one Job that both are believed in: the earlier's and the later's, by epoch."""
+    """What each of two holders does with its copy: the one of the earlier epoch, and the one of the later."""
 
     effects: tuple[str, ...]
     earlier_runs: bool
@@ -241,93 +252,121 @@
 
 RECOVERY_TABLE = (
     RecoveryRow(
-        ("unsafe",),
-        True,
-        True,
-        ReissueDecision.RUN,
-        ReissueDecision.RUN,
-        "what must not start twice is never stopped to tidy up; told as a breach",
+        effects=("unsafe",),
+        earlier_runs=True,
+        later_runs=True,
+        earlier=ReissueDecision.RUN,
+        later=ReissueDecision.RUN,
+        why="what must not start twice is never stopped to tidy up; told as a breach",
     ),
     RecoveryRow(
-        ("unsafe",),
-        True,
-        False,
-        ReissueDecision.RUN,
-        ReissueDecision.NOTHING,
-        "it runs where it ran: a second start, or a stop in its middle, would do harm",
+        effects=("unsafe",),
+        earlier_runs=True,
+        later_runs=False,
+        earlier=ReissueDecision.RUN,
+        later=ReissueDecision.NOTHING,
+        why="it runs where it ran: a second start, or a stop in its middle, would do harm",
     ),
     RecoveryRow(
-        ("keyed", "safe"),
-        True,
-        True,
-        ReissueDecision.STOP,
-        ReissueDecision.RUN,
-        "one copy is enough: the later epoch's",
+        effects=("keyed", "safe"),
+        earlier_runs=True,
+        later_runs=True,
+        earlier=ReissueDecision.STOP,
+        later=ReissueDecision.RUN,
+        why="one copy is enough: the later epoch's",
     ),
     RecoveryRow(
-        ("keyed", "safe"),
-        True,
-        False,
-        ReissueDecision.STOP,
-        ReissueDecision.WAIT,
-        "a holder whose session was ended has no more say; its successor starts it",
+        effects=("keyed", "safe"),
+        earlier_runs=True,
+        later_runs=False,
+        earlier=ReissueDecision.STOP,
+        later=ReissueDecision.WAIT,
+        why="a holder whose session was ended has no more say; its successor starts it",
     ),
     RecoveryRow(
-        EVERY,
-        False,
-        True,
-        ReissueDecision.NOTHING,
-        ReissueDecision.RUN,
-        "the later epoch's goes on",
+        effects=EFFECTS,
+        earlier_runs=False,
+        later_runs=True,
+        earlier=ReissueDecision.NOTHING,
+        later=ReissueDecision.RUN,
+        why="the later epoch's goes on",
     ),
     RecoveryRow(
-        EVERY,
-        False,
-        False,
-        ReissueDecision.NOTHING,
-        ReissueDecision.WAIT,
-        "the later epoch's holder decides",
+        effects=EFFECTS,
+        earlier_runs=False,
+        later_runs=False,
+        earlier=ReissueDecision.NOTHING,
+        later=ReissueDecision.WAIT,
+        why="the later epoch's holder decides",
     ),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class RunCopy:
-    """One side's view of a Job: at which epoch and by whom it is held, and whether a run of it stands there."""
+    """One side's copy of a Job: its epoch and holder, and whether a run of it is there."""
 
     epoch: int
     holder: str
     is_running: bool
 
 
+@dataclass(frozen=True, slots=True)
+class Resolution:
+    """The decisions on both copies, and why."""
+
+    mine: ReissueDecision
+    theirs: ReissueDecision
+    why: str
+
+
 def resolve_copies(
-    effect: str, mine: RunCopy, theirs: RunCopy, table: tuple[RecoveryRow, ...] = RECOVERY_TABLE
-) -> tuple[ReissueDecision, ReissueDecision, str]:
-    """What becomes of mine, of theirs, and why. The greater epoch is the later; of one epoch the lesser name is."""
+    effect: str,
+    mine: RunCopy,
+    theirs: RunCopy,
+    table: tuple[RecoveryRow, ...] = RECOVERY_TABLE,
+) -> Resolution:
+    """Decide on two copies of a Job: the greater epoch is the later one, at one epoch the lesser holder's name is.
+
+    Both holders come to the same decisions. ValueError where no row matches.
+    """
     if (mine.epoch, mine.holder) == (theirs.epoch, theirs.holder):
-        return (
-            (ReissueDecision.RUN if mine.is_running else ReissueDecision.WAIT),
-            ReissueDecision.NOTHING,
-            "they are the same",
-        )
-    later = (mine.epoch, _falling(mine.holder)) > (theirs.epoch, _falling(theirs.holder))
-    first, second = (theirs, mine) if later else (mine, theirs)
+        keep = ReissueDecision.RUN if mine.is_running else ReissueDecision.WAIT
+        return Resolution(keep, ReissueDecision.NOTHING, "they are the same")
+    mine_is_later = (mine.epoch, _descending(mine.holder)) > (
+        theirs.epoch,
+        _descending(theirs.holder),
+    )
+    earlier, later = (theirs, mine) if mine_is_later else (mine, theirs)
     for row in table:
-        if effect in row.effects and (row.earlier_runs, row.later_runs) == (
-            first.is_running,
-            second.is_running,
-        ):
-            return (row.later, row.earlier, row.why) if later else (row.earlier, row.later, row.why)
+        runs = (row.earlier_runs, row.later_runs)
+        if effect in row.effects and runs == (earlier.is_running, later.is_running):
+            if mine_is_later:
+                return Resolution(row.later, row.earlier, row.why)
+            return Resolution(row.earlier, row.later, row.why)
     raise ValueError(f"no row for {effect}")
 
 
-def _falling(name: str) -> tuple[int, ...]:
-    """Lesser names sort later; a name sorts before its own beginning."""
+def _descending(name: str) -> tuple[int, ...]:
+    """Return a key by which lesser names sort later; a name sorts before its own prefixes."""
     return (*(-ord(each) for each in name), 1)
 
 
+# -- for docs/reissue.md
+
+REISSUE_COLUMNS = (
+    "effect",
+    "the replica holder knows",
+    "the machine answers",
+    "key's window",
+    "decision",
+    "why",
+)
+RECOVERY_COLUMNS = ("effect", "earlier runs", "later runs", "the earlier", "the later", "why")
+
+
 def reissue_rows() -> list[tuple[str, ...]]:
-    """The table as text, for docs: effect, what the keeper knows, what machines tell, time, verdict, why."""
+    """Return the table of reissue as text, in the order of REISSUE_COLUMNS."""
     return [
         (
             *(
@@ -342,7 +381,7 @@
 
 
 def recovery_rows() -> list[tuple[str, ...]]:
-    """The table of healing as text: effect, earlier runs, later runs, what becomes of each, why."""
+    """Return the table of recovery as text, in the order of RECOVERY_COLUMNS."""
     return [
         (
             ", ".join(row.effects),
@@ -357,18 +396,12 @@
 
 
 def markdown() -> str:
-    """Both tables, as docs show them."""
+    """Return both tables as the page shows them."""
+    first = _markdown_table(REISSUE_COLUMNS, reissue_rows())
+    second = _markdown_table(RECOVERY_COLUMNS, recovery_rows())
+    return f"{first}\n\n{second}\n"
 
-    def table(head: tuple[str, ...], lines: list[tuple[str, ...]]) -> str:
-        return "\n".join(
-            "| " + " | ".join(each) + " |" for each in (head, ("---",) * len(head), *lines)
-        )
 
-    first = table(
-        ("effect", "the keeper knows", "the machine tells", "time", "verdict", "why"),
-        reissue_rows(),
-    )
-    second = table(
-        ("effect", "earlier runs", "later runs", "the earlier", "the later", "why"), recovery_rows()
-    )
-    return f"{first}\n\n{second}\n"
+def _markdown_table(columns: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
+    lines = (columns, ("---",) * len(columns), *rows)
+    return "\n".join("| " + " | ".join(each) + " |" for each in lines)
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -15,7 +15,7 @@
 from wingbarrow.decide.replication.records import ReplicationLimits, ReplicationTerms
 from wingbarrow.decide.replication.replicator import Replicator, ReplicatorSettings
 from wingbarrow.decide.sessions.failover import StartOrder
-from wingbarrow.decide.sessions.failover_pace import FailoverPace, reissue_within_us
+from wingbarrow.decide.sessions.failover_pace import FailoverPace, FailoverTimes, reissue_within_us
 from wingbarrow.decide.sessions.lease_times import holder_lease_us, voter_lease_us
 from wingbarrow.decide.sessions.leased_job_record import RECORD_FORMAT, KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import MachineReport
@@ -35,9 +35,15 @@
 
 def stated_us(jobs: int) -> int:
     """From a region's loss to the last start of its safe Jobs elsewhere, where there is room, all at one successor."""
-    return reissue_within_us(
-        LEASE_US, TURN_US, AFTER_US, ASK_US, 0, jobs, FailoverPace(), 2 * FAR_US
+    times = FailoverTimes(
+        lease_us=LEASE_US,
+        max_turn_us=TURN_US,
+        after_us=AFTER_US,
+        request_interval_us=ASK_US,
+        election_us=0,
+        one_way_us=2 * FAR_US,
     )
+    return reissue_within_us(times, jobs, FailoverPace())
 
 
 @dataclass(slots=True)
