--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -29,6 +29,7 @@
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
 from wingbarrow.decide.regions.forwarding import (
+    ForwardedJob,
     ForwardReceiver,
     ForwardSender,
     ForwardStatus,
@@ -308,9 +309,8 @@
     for turn in range(40):
         giver = f"g{rng.randrange(2)}"
         targets = [Target(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
-        ident, effects = world.members[giver].giving.begin(
-            world.now_us, "{}", "spec", rng.random() < 0.5, world.now_us + 5 * S, targets
-        )
+        job = ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S)
+        ident, effects = world.members[giver].giving.begin(world.now_us, job, targets)
         history.note("begun", ident)
         world.act(giver, effects)
         if turn % 7 == 3:
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import Counter
+from dataclasses import replace
 from functools import partial
 from typing import Any
 
@@ -12,16 +13,17 @@
 from wingbarrow.decide.effects import Effect, Notify, Send
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.regions.forwarding import (
+    ACCEPTED,
     DONE,
     FAILED,
     FINAL,
     PLACED,
     RAN,
-    REFUSED,
+    REJECTED,
     RETRY_US,
-    TAKEN,
     ForwardBudget,
     ForwardCancel,
+    ForwardedJob,
     ForwardReceiver,
     ForwardRequest,
     ForwardSender,
@@ -56,7 +58,7 @@
     def __init__(self, seed: int, loss: float) -> None:
         self.starts: Counter[str] = Counter()
         self.outcomes: dict[str, list[str]] = {}
-        self.harmless: dict[str, bool] = {}
+        self.repeatable: dict[str, bool] = {}
         self.refused: set[str] = set()
         super().__init__(
             [f"g{index}" for index in range(3)] + [f"t{index}" for index in range(3)],
@@ -87,7 +89,7 @@
         taking = self.members[name].taking
         if self.random.random() < 0.3:
             self.refused.add(ident)
-            self.act(name, taking.report_status(self.now_us, ident, REFUSED))
+            self.act(name, taking.report_status(self.now_us, ident, REJECTED))
             return
         self.starts[ident] += 1
         self.act(name, taking.report_status(self.now_us, ident, PLACED, "node-1"))
@@ -101,11 +103,11 @@
     def hand(self, giver: str) -> None:
         targets = [Target(name, self.lives[name]) for name in self.names if name.startswith("t")]
         self.random.shuffle(targets)
-        harmless = self.random.random() < 0.5
-        ident, effects = self.members[giver].giving.begin(
-            self.now_us, "{}", "spec", harmless, self.now_us + 5 * SECOND, targets
-        )
-        self.outcomes[ident], self.harmless[ident] = [], harmless
+        is_repeatable = self.random.random() < 0.5
+        job = ForwardedJob("{}", "spec", is_repeatable, self.now_us + 5 * SECOND)
+        ident, effects = self.members[giver].giving.begin(self.now_us, job, targets)
+        self.outcomes[ident] = []
+        self.repeatable[ident] = is_repeatable
         self.act(giver, effects)
 
 
@@ -128,10 +130,10 @@
     out = [
         f"{ident} started {count} times"
         for ident, count in play.starts.items()
-        if count > 1 and not play.harmless[ident]
+        if count > 1 and not play.repeatable[ident]
     ]
     for ident, told in play.outcomes.items():
-        firsts = [each for each in told if each != TAKEN]
+        firsts = [each for each in told if each != ACCEPTED]
         if (
             not firsts
             or firsts[0] in RAN
@@ -139,7 +141,7 @@
             or sum(each in FINAL for each in firsts) > 1
         ):
             out.append(f"{ident} was told {told}")
-        if told[-1:] == [REFUSED] and play.starts[ident]:
+        if told[-1:] == [REJECTED] and play.starts[ident]:
             out.append(f"{ident} was told refused, and ran")
     return out
 
@@ -161,18 +163,16 @@
 def test_planted_errors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(handing, "MAX_FINISHED", 0)  # an end is forgotten at once...
     assert not any(breaches(played(seed)) for seed in range(4)), "...which the floor makes good"
-    monkeypatch.setattr(ForwardReceiver, "_finish", lambda self, says: says)
+    monkeypatch.setattr(ForwardReceiver, "_finish", lambda self, status: status)
     assert any(breaches(played(seed)) for seed in range(12))
     monkeypatch.undo()
-    keeps = ForwardSender._strange
-    monkeypatch.setattr(
-        ForwardSender,
-        "_strange",
-        lambda self, now, ident, out: (
-            setattr(out, "harmless", True),
-            keeps(self, now, ident, out),
-        )[1],
-    )
+    real = ForwardSender._on_stranger
+
+    def forward_anew(sender: ForwardSender, now_us: int, ident: str, sent: Any) -> list[Effect]:
+        sent.job = replace(sent.job, is_repeatable=True)
+        return real(sender, now_us, ident, sent)
+
+    monkeypatch.setattr(ForwardSender, "_on_stranger", forward_anew)
     assert any(breaches(played(seed, 0.4)) for seed in range(40)), (
         "a stranger's word is taken for a refusal"
     )
@@ -184,9 +184,9 @@
         each.message.state
         for each in taking.on_message(0, "g", "", ForwardCancel("g/1/1", 7))
         if isinstance(each, Send)
-    ] == [REFUSED]
+    ] == [REJECTED]
     answer = taking.on_message(1, "g", "", ForwardRequest("g/1/1", 7, 1, "s", SECOND, "{}"))
-    assert [each.message.state for each in answer if isinstance(each, Send)] == [REFUSED]
+    assert [each.message.state for each in answer if isinstance(each, Send)] == [REJECTED]
     assert len(answer) == 1
 
 
@@ -198,7 +198,7 @@
     ):
         [says] = taking.on_message(0, "g", "", hand)
         assert isinstance(says, Send)
-        assert says.message.state == REFUSED
+        assert says.message.state == REJECTED
         assert words in says.message.words
     [says] = taking.on_message(0, "g", "", ForwardRequest("g/1/3", 6, 1, "s", SECOND, "{}"))
     assert isinstance(says, Send)
@@ -218,7 +218,7 @@
 
 def test_a_hand_over_that_is_silent_fails_in_time_and_is_stopped() -> None:
     giving = ForwardSender("g", 1)
-    ident, effects = giving.begin(0, "{}", "s", False, SECOND, [Target("t", 1)])
+    ident, effects = giving.begin(0, ForwardedJob("{}", "s", False, SECOND), [Target("t", 1)])
     now = 0
     told: list[tuple[int, str]] = []
     while now < 3 * SECOND:
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -110,10 +110,9 @@
         news, job = self.news(self._base.hub.now_us()).get(region), task.job
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
-        harmless = job.request.task_class.task_class.effect.value == "safe"
-        ident, effects = self.giving.begin(
-            self._base.hub.now_us(), _manifest(job), spec, harmless, due_us - ANSWER_US, targets
-        )
+        repeatable = job.request.task_class.task_class.effect.value == "safe"
+        forwarded = handing.ForwardedJob(_manifest(job), spec, repeatable, due_us - ANSWER_US)
+        ident, effects = self.giving.begin(self._base.hub.now_us(), forwarded, targets)
         if not ident:
             return False
         self._book.open_request(task, due_us)
@@ -149,16 +148,16 @@
             self._book.close_request(task)
             self._book.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
-        elif state in (handing.REFUSED, handing.FAILED) and task.answered:
+        elif state in (handing.REJECTED, handing.FAILED) and task.answered:
             # A run that was to move, and nobody took: its owner has had its answer, and wants it still.
             del self._given[ident]
             del self._idents[task.name]
             self._book.close_request(task)
             self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
             return
-        elif state in (handing.REFUSED, handing.FAILED):
+        elif state in (handing.REJECTED, handing.FAILED):
             self._requests.reject_or_fail(
-                task.request, Step.REFUSE if state == handing.REFUSED else Step.FAIL
+                task.request, Step.REFUSE if state == handing.REJECTED else Step.FAIL
             )
         elif state in handing.RAN:
             self._book.transition(task, Step.DONE if state == handing.DONE else Step.LOSE)
@@ -185,7 +184,7 @@
             self.submit(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
-            self.act(self.taking.report_status(now, ident, handing.REFUSED, "", str(error)))
+            self.act(self.taking.report_status(now, ident, handing.REJECTED, "", str(error)))
             return
         if ident in self._stopped:
             self._stop(ident)
@@ -217,7 +216,7 @@
         state = {
             State.PLACED: handing.PLACED,
             State.ADOPTED: handing.PLACED,
-            State.REFUSED: handing.REFUSED,
+            State.REFUSED: handing.REJECTED,
             State.FAILED: handing.FAILED,
             State.DONE: handing.DONE,
             State.LOST: handing.LOST,
--- a/wingbarrow/decide/regions/forwarding.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -1,16 +1,16 @@
-"""Handing a new Job over to a placer of another region: exactly once, one hop, within a budget, answered by the first.
+"""Forwarding a new Job to a placer of another region: started at most once, one hop, within a budget. No I/O.
 
-The placer that took a Job answers its owner, in its owner's patience, by itself. What it hands over is named by an
-ident, and meant for one life of one placer:
+The placer that accepted a Job answers its owner by itself, within the owner's patience. What it forwards has an ident
+and is addressed to one incarnation of one placer:
 
-- it is sent again, under its ident, to that same life until that answers; who has it answers the same again;
-- it goes to another placer only after a refusal, which says that nothing of it was started and never will be;
-- a later life of the receiver refuses it as a stranger. Danger: it cannot know what its last life did, so what was once
-  sent to that one may run: it goes to nobody else unless a second start does no harm;
-- past its time the first placer answers without it, and has it stopped; that too is said until it is heard, or until
-  the receiver's session must be over.
+- It is sent again, under its ident, to that incarnation until that answers, which it does each time in the same way.
+- It is sent to another placer only after a rejection, which states that nothing of it was started or will be.
+- A later incarnation of the receiver answers as a `stranger`. Danger: it cannot know what the earlier one did, so the
+  Job may run. It is sent to another placer only where a second start does no harm.
+- Past its time the sender answers without the receiver, and cancels the Job. The cancel is repeated until it is
+  confirmed, or until the receiver's session must have ended.
 
-No I/O. Times in microseconds, patience as what is left of it: no clock crosses regions.
+Times in microseconds. Patience is sent as what is left of it: no clock crosses regions.
 """
 
 from __future__ import annotations
@@ -21,34 +21,51 @@
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
 
 MAX_HOPS = 1
-RETRY_US = 300_000  # until a letter without an answer is sent again
-MAX_OPEN = 2048  # hand-overs under way, at either side
-MAX_FINISHED = 8192  # idents remembered after their end, at the receiver
-CANCEL_US = 60_000_000  # for so long a stop is said
+RETRY_US = 300_000  # until a message without an answer is sent again
+POLL_US = 8 * RETRY_US  # until an accepted Job is asked for again: changes are sent unasked
+MAX_OPEN = 2048  # forwarded Jobs under way, at either side
+MAX_FINISHED = 8192  # idents that the receiver remembers after their end
+CANCEL_US = 60_000_000  # for how long a cancel is repeated
 MAX_MANIFEST_CHARS = 16 * 1024
-BUDGET_SHARE = 0.2  # of first tries that may be handed over
+MAX_REASON_CHARS = 300
+BUDGET_SHARE = 0.2  # of first attempts
 BUDGET_BURST = 20.0
 
-TAKEN, REFUSED, PLACED, FAILED, DONE, LOST = "taken", "refused", "placed", "failed", "done", "lost"
+# States of a forwarded Job, as they are sent.
+ACCEPTED = "taken"
+REJECTED = "refused"
+PLACED = "placed"
+FAILED = "failed"
+DONE = "done"
+LOST = "lost"
 RAN = (DONE, LOST)  # it was placed, and has ended well or otherwise
-FINAL = (REFUSED, FAILED, *RAN)
+FINAL = (REJECTED, FAILED, *RAN)
+UNPLACED = ("", ACCEPTED)  # as the sender knows it: not answered, or not placed yet
+
+
+# -- messages; field names are wire names
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Run this for me. `life`: of the placer that it is meant for; `hops` it has gone."""
+    """Run this Job for me.
+
+    life: incarnation of the placer that it is addressed to.
+    hops: how often it was forwarded.
+    left_us: of its owner's patience, when this was sent.
+    """
 
     ident: str
     life: int
     hops: int
     spec: str
-    left_us: int  # of its owner's patience, when this was sent
+    left_us: int
     manifest: str
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardCancel:
-    """Nobody wants it any longer; answered by a `HandSays`."""
+    """Nobody wants the Job any more; answered by a `ForwardStatus`."""
 
     ident: str
     life: int
@@ -56,11 +73,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardStatus:
-    """What became of it so far; `stranger`: another life of the receiver speaks, which knows nothing of it."""
+    """The state of a forwarded Job.
+
+    where: machine. words: reason, or last outcome.
+    stranger: another incarnation of the receiver answers, which knows nothing of the Job.
+    """
 
     ident: str
     state: str
-    where: str = ""  # machine
+    where: str = ""
     words: str = ""
     stranger: bool = False
 
@@ -68,18 +89,23 @@
 Message = ForwardRequest | ForwardCancel | ForwardStatus
 
 
+# -- sender
+
+
 class ForwardBudget:
-    """Hand-overs as a share of first tries, so that regions that are all full do not pass work round in circles."""
+    """Forwarded Jobs as a share of first attempts, so that full regions do not pass Jobs round in circles."""
 
     def __init__(self, share: float = BUDGET_SHARE, burst: float = BUDGET_BURST) -> None:
-        self._share, self._burst, self._left = share, burst, burst
+        self._share = share
+        self._burst = burst
+        self._left = burst
 
     def on_first_attempt(self) -> None:
-        """A Job came for the first time."""
+        """Count a Job that arrived for the first time."""
         self._left = min(self._burst, self._left + self._share)
 
     def try_take(self) -> bool:
-        """Whether one more may be handed over; it counts."""
+        """Whether one more may be forwarded, which then counts."""
         if self._left < 1.0:
             return False
         self._left -= 1.0
@@ -88,289 +114,323 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A placer of the chosen region, in the life in which membership knows it."""
+    """A placer of the chosen region, in the incarnation that membership knows."""
 
     name: str
     life: int
 
 
-@dataclass(slots=True)
-class _Out:
+@dataclass(frozen=True, slots=True)
+class ForwardedJob:
+    """What is forwarded.
+
+    is_repeatable: a second start does no harm.
+    due_us: when the sender answers without it: its owner's patience, less what the answer needs.
+    """
+
     manifest: str
     spec: str
-    harmless: bool  # a second start does no harm
-    due_us: int  # its owner's patience, less what the answer needs
-    targets: list[Target]  # still to be asked; the first is the one that has been
-    state: str = ""  # as told last; "" before any answer
-    said_us: int = 0
-    doubtful: bool = False  # a life that is over may have started it
-    stopping_us: int | None = None  # until when a stop is said
+    is_repeatable: bool
+    due_us: int
+
+
+@dataclass(slots=True)
+class _Sent:
+    """A Job under way at its sender.
+
+    targets: still to be asked; the first one has been.
+    state: as last received, "" before any answer.
+    may_run: an incarnation that is over may have started it.
+    cancel_until_us: until when a cancel is repeated; None where it is not cancelled.
+    """
+
+    job: ForwardedJob
+    targets: list[Target]
+    state: str = ""
+    sent_us: int = 0
+    may_run: bool = False
+    cancel_until_us: int | None = None
 
 
 class ForwardSender:
-    """The first placer's side. Tells `handed` with ident, state, machine and words, each change once."""
+    """The sender's side. Notifies `handed` (ident, state, machine, words), once for each change."""
 
     def __init__(self, me: str, life: int) -> None:
         self._prefix = f"{me}/{life}"
         self._number = 0
-        self._open: dict[str, _Out] = {}
+        self._open: dict[str, _Sent] = {}
         self.counts: Counter[str] = Counter()
 
     def __len__(self) -> int:
         return len(self._open)
 
     def begin(
-        self,
-        now_us: int,
-        manifest: str,
-        spec: str,
-        harmless: bool,
-        due_us: int,
-        targets: list[Target],
+        self, now_us: int, job: ForwardedJob, targets: list[Target]
     ) -> tuple[str, list[Effect]]:
-        """Hand one over to the first of some placers that takes it: its ident, "" where none can be asked."""
+        """Forward a Job to the first of some placers that accepts it.
+
+        Returns its ident, "" where none can be asked, and effects.
+        """
         if (
             not targets
             or len(self._open) >= MAX_OPEN
-            or len(manifest) > MAX_MANIFEST_CHARS
-            or now_us >= due_us
+            or len(job.manifest) > MAX_MANIFEST_CHARS
+            or now_us >= job.due_us
         ):
             self.counts["handing:not begun"] += 1
             return "", []
         self._number += 1
         ident = f"{self._prefix}/{self._number}"
-        self._open[ident] = _Out(manifest, spec, harmless, due_us, list(targets))
+        self._open[ident] = _Sent(job, list(targets))
         self.counts["handing:begun"] += 1
-        return ident, self._say(now_us, ident)
+        return ident, self._send(now_us, ident)
 
     def withdraw(self, now_us: int, ident: str) -> list[Effect]:
-        """Its owner wants it no longer, or has been answered without it."""
-        out = self._open.get(ident)
-        if out is None or out.stopping_us is not None:
+        """Cancel a Job that its owner does not want any more, or that was answered without the receiver."""
+        sent = self._open.get(ident)
+        if sent is None or sent.cancel_until_us is not None:
             return []
-        out.stopping_us = now_us + CANCEL_US
-        return self._say(now_us, ident)
+        sent.cancel_until_us = now_us + CANCEL_US
+        return self._send(now_us, ident)
 
     def on_message(
         self, now_us: int, ident: str, address: str, message: ForwardStatus
     ) -> list[Effect]:
-        """What a receiver says."""
-        out = self._open.get(message.ident)
-        if out is None or not out.targets or out.targets[0].name != ident:
+        """A receiver reports a state."""
+        sent = self._open.get(message.ident)
+        if sent is None or not sent.targets or sent.targets[0].name != ident:
             return []
         if message.stranger:
-            return self._strange(now_us, message.ident, out)
-        if out.stopping_us is not None:
+            return self._on_stranger(now_us, message.ident, sent)
+        if sent.cancel_until_us is not None:
             if message.state in FINAL:
                 del self._open[message.ident]
             return []
-        if message.state == REFUSED and out.state in ("", TAKEN):
-            return self._next(now_us, message.ident, out, message.words)
-        if (
-            message.state == out.state
-            or message.state not in (TAKEN, PLACED, FAILED, *RAN)
-            or (out.state == PLACED and message.state == TAKEN)
-        ):
+        if message.state == REJECTED and sent.state in UNPLACED:
+            return self._try_next(now_us, message.ident, sent, message.words)
+        return self._on_state(sent, message)
+
+    def _on_state(self, sent: _Sent, message: ForwardStatus) -> list[Effect]:
+        """Notify a state that is a new one, with the placement before it where that message was lost."""
+        late = sent.state == PLACED and message.state == ACCEPTED
+        known = message.state in (ACCEPTED, PLACED, FAILED, *RAN)
+        if message.state == sent.state or late or not known:
             return []
-        missed = (
-            message.state in RAN and out.state != PLACED
-        )  # it was placed and has ended; that word was lost
-        out.state = message.state
+        effects: list[Effect] = []
+        if message.state in RAN and sent.state != PLACED:
+            effects.append(_handed(message.ident, PLACED, message.where))
+        sent.state = message.state
         if message.state in FINAL:
             del self._open[message.ident]
-        told = _told(message.ident, message.state, message.where, message.words)
-        return [_told(message.ident, PLACED, message.where, ""), told] if missed else [told]
+        effects.append(_handed(message.ident, message.state, message.where, message.words))
+        return effects
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """Say again what is not answered; give up what is past its time."""
-        out = self._open.get(key)
-        if out is None:
+        """Send again what is not answered; give up what is past its time."""
+        sent = self._open.get(key)
+        if sent is None:
             return []
-        if out.stopping_us is not None and now_us >= out.stopping_us:
+        if sent.cancel_until_us is not None and now_us >= sent.cancel_until_us:
             del self._open[key]
             self.counts["handing:stops never heard"] += 1
             return []
-        if out.stopping_us is None and out.state in ("", TAKEN) and now_us >= out.due_us:
-            sent = out.said_us > 0
-            told = _told(key, FAILED, "", "not placed in time by the region that it was handed to")
-            if not sent:
-                del self._open[key]
-                return [told]
-            out.stopping_us = now_us + CANCEL_US
-            return [told, *self._say(now_us, key)]
-        return self._say(now_us, key)
-
-    def _say(self, now_us: int, ident: str) -> list[Effect]:
-        out = self._open[ident]
-        target = out.targets[0]
-        out.said_us = now_us
-        # What was taken or placed is asked after at a slower pace: each change is told unasked.
-        wait = RETRY_US if out.state == "" or out.stopping_us is not None else 8 * RETRY_US
-        timer = SetTimer(
-            ident,
-            min(now_us + wait, out.due_us)
-            if now_us < out.due_us and out.state in ("", TAKEN)
-            else now_us + wait,
-        )
-        letter = (
-            ForwardCancel(ident, target.life)
-            if out.stopping_us is not None
-            else ForwardRequest(
-                ident, target.life, 1, out.spec, max(0, out.due_us - now_us), out.manifest
-            )
-        )
-        return [Send(target.name, "", letter), timer]
-
-    def _next(self, now_us: int, ident: str, out: _Out, words: str) -> list[Effect]:
-        """The first target has nothing of it, and never will: the next one may have it."""
-        out.targets.pop(0)
-        out.state = ""
-        if out.targets and now_us < out.due_us:
-            return self._say(now_us, ident)
+        is_overdue = sent.state in UNPLACED and now_us >= sent.job.due_us
+        if sent.cancel_until_us is None and is_overdue:
+            return self._give_up(now_us, key, sent)
+        return self._send(now_us, key)
+
+    def _give_up(self, now_us: int, ident: str, sent: _Sent) -> list[Effect]:
+        words = "not placed in time by the region that it was handed to"
+        failed = _handed(ident, FAILED, words=words)
+        if not sent.sent_us:
+            del self._open[ident]
+            return [failed]
+        sent.cancel_until_us = now_us + CANCEL_US
+        return [failed, *self._send(now_us, ident)]
+
+    def _send(self, now_us: int, ident: str) -> list[Effect]:
+        """Send the request, or its cancel, to the present target, and set the timer for the next time."""
+        sent = self._open[ident]
+        job, target = sent.job, sent.targets[0]
+        sent.sent_us = now_us
+        is_cancelled = sent.cancel_until_us is not None
+        next_us = now_us + (RETRY_US if sent.state == "" or is_cancelled else POLL_US)
+        if now_us < job.due_us and sent.state in UNPLACED:
+            next_us = min(next_us, job.due_us)
+        message: Message
+        if is_cancelled:
+            message = ForwardCancel(ident, target.life)
+        else:
+            left_us = max(0, job.due_us - now_us)
+            message = ForwardRequest(ident, target.life, 1, job.spec, left_us, job.manifest)
+        return [Send(target.name, "", message), SetTimer(ident, next_us)]
+
+    def _try_next(self, now_us: int, ident: str, sent: _Sent, words: str) -> list[Effect]:
+        """Ask the next target: the first one has started nothing, and never will."""
+        sent.targets.pop(0)
+        sent.state = ""
+        if sent.targets and now_us < sent.job.due_us:
+            return self._send(now_us, ident)
         del self._open[ident]
-        return [_told(ident, FAILED if out.doubtful else REFUSED, "", words)]
+        return [_handed(ident, FAILED if sent.may_run else REJECTED, words=words)]
 
-    def _strange(self, now_us: int, ident: str, out: _Out) -> list[Effect]:
-        if out.stopping_us is not None:
-            del self._open[ident]  # the life that had it is over, and its session will be
+    def _on_stranger(self, now_us: int, ident: str, sent: _Sent) -> list[Effect]:
+        """The incarnation that had the Job is over."""
+        if sent.cancel_until_us is not None:
+            del self._open[ident]  # so will be its session
             return []
-        if out.state in ("", TAKEN) and out.harmless:
+        if sent.state in UNPLACED and sent.job.is_repeatable:
             self.counts["handing:given anew"] += 1
-            out.doubtful = True
-            return self._next(now_us, ident, out, "the placer that had it is gone")
+            sent.may_run = True
+            return self._try_next(now_us, ident, sent, "the placer that had it is gone")
         del self._open[ident]
         self.counts["handing:lost with their receiver"] += 1
-        if out.state == PLACED:
-            return [_told(ident, LOST, "", "the placer that ran it is gone; its session decides")]
-        return [
-            _told(ident, FAILED, "", "the placer that had it is gone, and it may have been started")
-        ]
+        if sent.state == PLACED:
+            words = "the placer that ran it is gone; its session decides"
+            return [_handed(ident, LOST, words=words)]
+        words = "the placer that had it is gone, and it may have been started"
+        return [_handed(ident, FAILED, words=words)]
+
 
+def _handed(ident: str, state: str, machine: str = "", words: str = "") -> Effect:
+    fields = {"ident": ident, "state": state, "machine": machine, "words": words[:MAX_REASON_CHARS]}
+    return Notify("handed", fields)
 
-def _told(ident: str, state: str, where: str, words: str) -> Effect:
-    return Notify(
-        "handed", {"ident": ident, "state": state, "machine": where, "words": words[:300]}
-    )
+
+# -- receiver
 
 
 @dataclass(slots=True)
-class _In:
-    giver: str
-    state: str = TAKEN
-    where: str = ""
-    words: str = ""
-    untold: bool = True
+class _Received:
+    """A Job under way at its receiver."""
+
+    sender: str
+    state: str = ACCEPTED
+    machine: str = ""
+    reason: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class _Ident:
+    """The parts of an ident, `SENDER/INCARNATION/NUMBER`; the empty sender's where it cannot be read."""
+
+    sender: str
+    position: tuple[int, int]
+
+    @classmethod
+    def parse(cls, text: str) -> _Ident:
+        sender, life, number = [*text.rsplit("/", 2), "", ""][:3]
+        if not (life.isdecimal() and number.isdecimal()):
+            return cls("", (0, 0))
+        return cls(sender, (int(life), int(number)))
 
 
 @dataclass(slots=True)
 class ForwardReceiver:
-    """The receiver's side. Tells `take` (ident, spec, manifest, left_us) once for each ident, and `stop` (ident)."""
+    """The receiver's side. Notifies `take` (ident, spec, manifest, left_us) once for each ident, and `stop` (ident)."""
 
     life: int
-    _open: dict[str, _In] = field(default_factory=dict)
-    _done: dict[str, ForwardStatus] = field(default_factory=dict)
-    _floor: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # by giver: all up to it is over, and forgotten
     counts: Counter[str] = field(default_factory=Counter)
+    _open: dict[str, _Received] = field(default_factory=dict)
+    _finished: dict[str, ForwardStatus] = field(default_factory=dict)
+    # By sender, up to which position all idents are finished, and not remembered any more.
+    _floor: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def on_message(
         self, now_us: int, ident: str, address: str, message: ForwardRequest | ForwardCancel
     ) -> list[Effect]:
-        """A hand-over, or its stop."""
+        """A sender forwards a Job, or cancels it."""
         if message.life != self.life:
-            return [Send(ident, address, ForwardStatus(message.ident, REFUSED, stranger=True))]
-        done, held = self._done.get(message.ident), self._open.get(message.ident)
-        giver, life, number = _parts(message.ident)
-        if giver != ident:
-            return []  # idents carry their giver's name: nobody else speaks for it
-        if done is None and held is None and (life, number) <= self._floor.get(giver, (0, 0)):
-            # Danger: its end is forgotten; a letter that was held up would start it once more.
-            return [
-                Send(
-                    ident,
-                    address,
-                    ForwardStatus(message.ident, FAILED, words="it was over long ago"),
-                )
-            ]
-        if done is not None:
-            return [Send(ident, address, done)]
+            return [Send(ident, address, ForwardStatus(message.ident, REJECTED, stranger=True))]
+        if _Ident.parse(message.ident).sender != ident:
+            return []  # idents carry their sender's name: nobody else speaks for it
+        status = self._known_status(message)
+        if status is not None:
+            return [Send(ident, address, status)]
         if isinstance(message, ForwardCancel):
-            if held is None:
-                # Danger: the hand-over may come after its stop; it is refused then.
-                return [
-                    Send(
-                        ident,
-                        address,
-                        self._finish(ForwardStatus(message.ident, REFUSED, words="stopped before")),
-                    )
-                ]
-            return [
-                Notify("stop", {"ident": message.ident}),
-                Send(ident, address, self._says(message.ident, held)),
-            ]
-        if held is not None:
-            return [Send(ident, address, self._says(message.ident, held))]
-        why = (
-            "too many hops"
-            if message.hops > MAX_HOPS
-            else "no patience is left"
-            if message.left_us <= 0
-            else "too many hand-overs are under way"
-            if len(self._open) >= MAX_OPEN
-            else ""
-        )
-        if why:
-            self.counts["handing:refused, " + why] += 1
-            return [
-                Send(ident, address, self._finish(ForwardStatus(message.ident, REFUSED, words=why)))
-            ]
-        self._open[message.ident] = _In(ident)
+            return self._cancel(ident, address, message)
+        return self._accept(ident, address, message)
+
+    def _known_status(self, message: ForwardRequest | ForwardCancel) -> ForwardStatus | None:
+        """Return the status of a Job for which there is nothing to do; None otherwise."""
+        finished = self._finished.get(message.ident)
+        if finished is not None:
+            return finished
+        received = self._open.get(message.ident)
+        if received is not None:
+            if isinstance(message, ForwardCancel):
+                return None
+            return self._status(message.ident, received)
+        parsed = _Ident.parse(message.ident)
+        if parsed.position <= self._floor.get(parsed.sender, (0, 0)):
+            # Danger: its end is not remembered; a message that was held up would start it once more.
+            return ForwardStatus(message.ident, FAILED, words="it was over long ago")
+        return None
+
+    def _cancel(self, ident: str, address: str, message: ForwardCancel) -> list[Effect]:
+        received = self._open.get(message.ident)
+        if received is None:
+            # Danger: the request may arrive after its cancel; it is rejected then.
+            status = ForwardStatus(message.ident, REJECTED, words="stopped before")
+            return [Send(ident, address, self._finish(status))]
+        stop = Notify("stop", {"ident": message.ident})
+        return [stop, Send(ident, address, self._status(message.ident, received))]
+
+    def _accept(self, ident: str, address: str, message: ForwardRequest) -> list[Effect]:
+        reason = self._rejection(message)
+        if reason:
+            self.counts["handing:refused, " + reason] += 1
+            status = ForwardStatus(message.ident, REJECTED, words=reason)
+            return [Send(ident, address, self._finish(status))]
+        self._open[message.ident] = _Received(ident)
+        fields = {
+            "ident": message.ident,
+            "spec": message.spec,
+            "manifest": message.manifest,
+            "left_us": message.left_us,
+        }
         return [
-            Notify(
-                "take",
-                {
-                    "ident": message.ident,
-                    "spec": message.spec,
-                    "manifest": message.manifest,
-                    "left_us": message.left_us,
-                },
-            ),
-            Send(ident, address, ForwardStatus(message.ident, TAKEN)),
+            Notify("take", fields),
+            Send(ident, address, ForwardStatus(message.ident, ACCEPTED)),
         ]
 
+    def _rejection(self, message: ForwardRequest) -> str:
+        """Return why a request is rejected; "" where it is not."""
+        if message.hops > MAX_HOPS:
+            return "too many hops"
+        if message.left_us <= 0:
+            return "no patience is left"
+        if len(self._open) >= MAX_OPEN:
+            return "too many hand-overs are under way"
+        return ""
+
     def report_status(
         self, now_us: int, ident: str, state: str, machine: str = "", reason: str = ""
     ) -> list[Effect]:
-        """What this placer made of one: placed, refused (nothing was started, nor will be), failed, done, lost."""
-        held = self._open.get(ident)
-        if held is None:
+        """Report a state: placed, rejected (nothing was started, nor will be), failed, done or lost."""
+        received = self._open.get(ident)
+        if received is None:
             return []
-        if held.state == PLACED and state in (REFUSED, FAILED):
+        if received.state == PLACED and state in (REJECTED, FAILED):
             state = LOST
-        held.state, held.where, held.words = state, machine, reason[:300]
-        says = self._says(ident, held)
+        received.state = state
+        received.machine = machine
+        received.reason = reason[:MAX_REASON_CHARS]
+        status = self._status(ident, received)
         if state in FINAL:
             del self._open[ident]
-            self._finish(says)
-        return [Send(held.giver, "", says)]
-
-    def _says(self, ident: str, held: _In) -> ForwardStatus:
-        return ForwardStatus(ident, held.state, held.where, held.words)
-
-    def _finish(self, says: ForwardStatus) -> ForwardStatus:
-        self._done[says.ident] = says
-        while len(self._done) > MAX_FINISHED:
-            oldest = next(iter(self._done))
-            del self._done[oldest]
-            giver, life, number = _parts(oldest)
-            self._floor[giver] = max(self._floor.get(giver, (0, 0)), (life, number))
-        return says
-
-
-def _parts(ident: str) -> tuple[str, int, int]:
-    """Giver, its life, a number; nobody's where it cannot be read."""
-    giver, life, number = (ident.rsplit("/", 2) + ["", ""])[:3]
-    return (
-        (giver, int(life), int(number)) if life.isdecimal() and number.isdecimal() else ("", 0, 0)
-    )
+            self._finish(status)
+        return [Send(received.sender, "", status)]
+
+    def _status(self, ident: str, received: _Received) -> ForwardStatus:
+        return ForwardStatus(ident, received.state, received.machine, received.reason)
+
+    def _finish(self, status: ForwardStatus) -> ForwardStatus:
+        self._finished[status.ident] = status
+        while len(self._finished) > MAX_FINISHED:
+            oldest = next(iter(self._finished))
+            del self._finished[oldest]
+            parsed = _Ident.parse(oldest)
+            floor = self._floor.get(parsed.sender, (0, 0))
+            self._floor[parsed.sender] = max(floor, parsed.position)
+        return status
