--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -309,8 +309,11 @@
     for turn in range(40):
         giver = f"g{rng.randrange(2)}"
         targets = [Target(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
-        job = ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S)
-        ident, effects = world.members[giver].giving.begin(world.now_us, job, targets)
+        ident, effects = world.members[giver].giving.begin(
+            world.now_us,
+            ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S),
+            targets,
+        )
         history.note("begun", ident)
         world.act(giver, effects)
         if turn % 7 == 3:
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -69,7 +69,9 @@
     ) -> None:
         lease = lease or self.leases[name]
         asker = Requester(name, self.lives[name] if life is None else life, 1, self.now)
-        self.sessions.on_report(self.now, asker, lease.report(self.now))
+        report = lease.report(self.now)
+        assert report is not None
+        self.sessions.on_report(self.now, asker, report)
         told = self.sessions.response_for(self.now, asker)
         if not lose:
             self.tell(name, lease.on_response(self.now, self.now, told))
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -1,10 +1,10 @@
-"""News of regions: how loaded each is, what it has free, whether it refuses, since when it is well. News, and no more.
+"""Load reports of regions: how loaded each is, its free capacity, whether it rejects Jobs, since when it is stable.
 
-Each placer tells with its asks what its own region's list says; the leader sums up by region and tells it with grants.
-Nothing of it is in the log: a leader begins with nothing and has heard of every region in touch within one ask. How old
-it may be at a placer in touch: an ask's interval there and one here (`fresh_within_us`); at one that is cut off it gets
-older, tells its age, and counts for nothing past `OLD_US`. A choice that rests on old news sends work where it is
-refused, and costs time; no rule rests on it.
+Each placer reports, with its lease requests, what its own region's list has; the leader summarises by region and
+responds with grants. Nothing of it is in the log: a leader begins with nothing, and has a report of every region in
+touch within one request's interval. How old a summary may be at a placer in touch: one request's interval there and one
+here (`fresh_within_us`). At a placer that is cut off it ages, and is not used past `MAX_AGE_US`. A choice that rests on
+an old summary sends work where it is rejected, and costs time; no safety rule rests on it.
 """
 
 from __future__ import annotations
@@ -21,244 +21,293 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-MAX_AGE_US = 15_000_000  # news beyond this age counts for nothing
+MAX_AGE_US = 15_000_000  # of a summary that is used
 MAX_REGIONS = 64
 MAX_PLACERS = 4096
-MAX_LEASED_SPECS = 256
-RESERVE_INTERVAL_US = 500_000  # what is held back is worked out no more often
-REJECTING_SHARE = 0.5  # of what came lately: from then on a placer counts as refusing
+MAX_PLACERS_PER_SUMMARY = 64
+MAX_LEASED_SPECS = 256  # in one report
+RESERVE_INTERVAL_US = 500_000  # the reserve is computed no more often
+REJECTING_SHARE = 0.5  # of the Jobs that arrived lately: from then on a region counts as rejecting
+NO_RESERVE = (0.0, 0.0)
 
 
 def fresh_within_us(grant_us: int, retry_us: int) -> int:
-    """How old news is at most at a placer in touch: what another told at its last ask, as of this one's last grant."""
+    """Return how old a summary is at most at a placer in touch: 2 (grant / 3 + retry).
+
+    A report is as old as the other placer's last request, a summary as this one's last grant.
+    """
     return 2 * (grant_us // 3 + retry_us)
 
 
+# -- messages; field names are wire names
+
+
 @dataclass(frozen=True, slots=True)
 class RegionReport:
-    """With an ask: what this placer's list says of its own region. Cores; memory in GiB."""
+    """What a placer's list has of its own region. Cores; memory in GiB.
+
+    cores, memory: of all machines that run.
+    free_cores, free_memory: requested by nobody.
+    came, refused: Jobs that arrived lately, and those of them that were rejected.
+    leased: by spec, cores and memory that this placer's leased Jobs use here; at most MAX_LEASED_SPECS.
+    """
 
     region: str
-    cores: float  # of all machines that run
+    cores: float
     memory: float
-    free_cores: float  # that nobody has asked for
+    free_cores: float
     free_memory: float
     closed: bool = False
-    came: int = 0  # Jobs lately, and of them turned away
+    came: int = 0
     refused: int = 0
     machines: int = 0
-    leased: tuple[
-        tuple[str, float, float], ...
-    ] = ()  # by spec: what of it this placer holds here; at most LEASED_MOST
+    leased: tuple[tuple[str, float, float], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RegionSummary:
-    """One region, with a grant; ages and durations as of then."""
+    """One region, as of the response. Ages and durations in microseconds.
+
+    cores, memory: free.
+    held_cores, held_memory: of what is free, the reserve for the loss of other regions.
+    """
 
     region: str
     age_us: int
     load: float
-    cores: float  # free
+    cores: float
     memory: float
     lost: bool
     closed: bool
     refusing_us: int
     stable_us: int
     placers: tuple[str, ...]
-    held_cores: float = 0.0  # of what is free, kept for the loss of other regions
+    held_cores: float = 0.0
     held_memory: float = 0.0
 
 
-@dataclass(slots=True)
-class _Heard:
+# -- leader
+
+
+@dataclass(frozen=True, slots=True)
+class _ReceivedReport:
     at_us: int
-    said: RegionReport
+    report: RegionReport
 
 
 class RegionSubsystem:
-    """The leader's side, a chapter without entries. `named`: the regions of the settings, lost until heard of."""
+    """The leader's side, a subsystem without log entries.
+
+    lost_us: how long after its last report a placer, and with its last placer a region, counts as lost.
+    named: the regions of the settings, which are lost until a placer of theirs reports.
+    """
 
     name = "regions"
 
     def __init__(self, lost_us: int, named: tuple[str, ...] = ()) -> None:
-        self._lost_us, self._named = lost_us, named
-        self._heard: dict[str, _Heard] = {}
-        self._well: dict[str, int] = {}  # since when each region has been heard of without a gap
-        self._refusing: dict[str, int] = {}
-        self._began_us = 0
+        self._lost_us = lost_us
+        self._named = named
         self._federation = Federation()
-        self._held: dict[str, tuple[float, float]] = {}
-        self._held_us = -RESERVE_INTERVAL_US
+        self._reserves: dict[str, tuple[float, float]] = {}
+        self._reserves_us = -RESERVE_INTERVAL_US
+        self._reset_leader(0)
+
+    def _reset_leader(self, now_us: int) -> None:
+        self._leading_since_us = now_us
+        self._reports: dict[str, _ReceivedReport] = {}  # by placer
+        self._stable_since_us: dict[str, int] = {}  # by region: reports without a gap
+        self._rejecting_since_us: dict[str, int] = {}
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """It has no entries."""
+        """There are no entries."""
 
     def snapshot(self) -> str:
-        """Nothing is replicated."""
+        """Return "": nothing is replicated."""
         return ""
 
     def restore(self, text: str) -> None:
-        """Likewise."""
+        """There is no replicated state."""
 
     def on_leadership_change(self, now_us: int, on: bool) -> None:
         """Begin with nothing."""
-        self._heard, self._well, self._refusing, self._began_us = {}, {}, {}, now_us
+        self._reset_leader(now_us)
 
-    def on_report(self, now_us: int, asker: Requester, said: RegionReport) -> None:
-        """What a placer's list says, in place of what it said before."""
-        if len(self._heard) >= MAX_PLACERS and asker.ident not in self._heard:
+    def on_report(self, now_us: int, requester: Requester, report: RegionReport) -> None:
+        """Replace the requester's last report."""
+        if len(self._reports) >= MAX_PLACERS and requester.ident not in self._reports:
             return
-        region = said.region
-        last = max(
-            (each.at_us for each in self._heard.values() if each.said.region == region),
+        region = report.region
+        last_us = max(
+            (each.at_us for each in self._reports.values() if each.report.region == region),
             default=None,
         )
-        if last is None or now_us - last > self._lost_us:
-            self._well[region] = now_us
-        self._heard[asker.ident] = _Heard(now_us, said)
-        lately = [
-            each.said
-            for each in self._heard.values()
-            if each.said.region == region and now_us - each.at_us <= self._lost_us
+        if last_us is None or now_us - last_us > self._lost_us:
+            self._stable_since_us[region] = now_us
+        self._reports[requester.ident] = _ReceivedReport(now_us, report)
+        self._update_rejecting(now_us, region)
+
+    def _update_rejecting(self, now_us: int, region: str) -> None:
+        recent = [
+            each.report
+            for each in self._reports.values()
+            if each.report.region == region and self._is_recent(now_us, each)
         ]
-        came, refused = sum(each.came for each in lately), sum(each.refused for each in lately)
-        if came and refused >= REJECTING_SHARE * came:
-            self._refusing.setdefault(region, now_us)
+        arrived = sum(each.came for each in recent)
+        rejected = sum(each.refused for each in recent)
+        if arrived and rejected >= REJECTING_SHARE * arrived:
+            self._rejecting_since_us.setdefault(region, now_us)
         else:
-            self._refusing.pop(region, None)
-
-    def response_for(self, now_us: int, asker: Requester) -> tuple[RegionSummary, ...]:
-        """All regions, by name."""
-        held = self._held_back(now_us)
-        return tuple(
-            replace(
-                self._one(now_us, region, heard),
-                held_cores=held.get(region, (0.0, 0.0))[0],
-                held_memory=held.get(region, (0.0, 0.0))[1],
-            )
-            for region, heard in self._by_region().items()
-        )
-
-    def _by_region(self) -> dict[str, dict[str, _Heard]]:
-        out: dict[str, dict[str, _Heard]] = {name: {} for name in self._named}
-        for name, heard in self._heard.items():
-            out.setdefault(heard.said.region, {})[name] = heard
-        return dict(sorted(out.items())[:MAX_REGIONS])
-
-    def _held_back(self, now_us: int) -> dict[str, tuple[float, float]]:
-        """What each region in touch keeps free for the loss of another, in cores and GiB."""
-        if now_us - self._held_us < RESERVE_INTERVAL_US:
-            return self._held
-        self._held_us = now_us
-        rooms: dict[str, tuple[float, float]] = {}
+            self._rejecting_since_us.pop(region, None)
+
+    def _is_recent(self, now_us: int, received: _ReceivedReport) -> bool:
+        return now_us - received.at_us <= self._lost_us
+
+    def response_for(self, now_us: int, requester: Requester) -> tuple[RegionSummary, ...]:
+        """Return the summaries of all regions, by name."""
+        reserves = self._current_reserves(now_us)
+        summaries = []
+        for region, reports in self._by_region().items():
+            cores, memory = reserves.get(region, NO_RESERVE)
+            summary = self._summary(now_us, region, reports)
+            summaries.append(replace(summary, held_cores=cores, held_memory=memory))
+        return tuple(summaries)
+
+    def _by_region(self) -> dict[str, dict[str, _ReceivedReport]]:
+        by_region: dict[str, dict[str, _ReceivedReport]] = {name: {} for name in self._named}
+        for name, received in self._reports.items():
+            by_region.setdefault(received.report.region, {})[name] = received
+        return dict(sorted(by_region.items())[:MAX_REGIONS])
+
+    def _current_reserves(self, now_us: int) -> dict[str, tuple[float, float]]:
+        """Return the cores and GiB that each region in touch reserves for the loss of another."""
+        if now_us - self._reserves_us < RESERVE_INTERVAL_US:
+            return self._reserves
+        self._reserves_us = now_us
+        free: dict[str, tuple[float, float]] = {}
         leased: dict[tuple[str, str], tuple[float, float]] = {}
-        for region, heard in self._by_region().items():
-            live = [each for each in heard.values() if now_us - each.at_us <= self._lost_us]
-            if live:
-                newest = max(live, key=lambda each: each.at_us).said
-                rooms[region] = newest.free_cores, newest.free_memory
-            for spec, cores, memory in (part for each in live for part in each.said.leased):
-                before = leased.get((spec, region), (0.0, 0.0))
-                leased[spec, region] = before[0] + cores, before[1] + memory
-        self._held = (
-            held_back(self._federation, rooms, leased).room if self._federation.specs else {}
-        )
-        return self._held
+        for region, reports in self._by_region().items():
+            recent = [each for each in reports.values() if self._is_recent(now_us, each)]
+            if recent:
+                newest = max(recent, key=lambda each: each.at_us).report
+                free[region] = newest.free_cores, newest.free_memory
+            for spec, cores, memory in (part for each in recent for part in each.report.leased):
+                used_cores, used_memory = leased.get((spec, region), (0.0, 0.0))
+                leased[spec, region] = used_cores + cores, used_memory + memory
+        self._reserves = {}
+        if self._federation.specs:
+            self._reserves = held_back(self._federation, free, leased).room
+        return self._reserves
 
     def reserved_machines(self, now_us: int, region: str) -> float:
-        """The same in machines' worth, for what counts machines."""
-        held = self._held_back(now_us).get(region, (0.0, 0.0))
-        said = max(
-            (each for each in self._heard.values() if each.said.region == region),
+        """Return a region's reserve as a number of its machines."""
+        reserved_cores, reserved_memory = self._current_reserves(now_us).get(region, NO_RESERVE)
+        newest = max(
+            (each for each in self._reports.values() if each.report.region == region),
             key=lambda each: each.at_us,
             default=None,
         )
-        if said is None or said.said.cores <= 0 or said.said.memory <= 0:
+        if newest is None or newest.report.cores <= 0 or newest.report.memory <= 0:
             return 0.0
-        return max(held[0] / said.said.cores, held[1] / said.said.memory) * said.said.machines
-
-    def _one(self, now_us: int, region: str, heard: dict[str, _Heard]) -> RegionSummary:
-        live = {name: each for name, each in heard.items() if now_us - each.at_us <= self._lost_us}
-        if not live:
-            # Danger: a leader that has just been elected has heard of nobody, which says nothing of them.
-            lost = now_us - self._began_us > self._lost_us
-            return RegionSummary(
-                region, now_us - self._began_us, 0.0, 0.0, 0.0, lost, False, 0, 0, ()
-            )
-        # All placers of a region read one list; the one that asked last has read it last.
-        newest = max(live.values(), key=lambda each: each.at_us)
-        said = newest.said
-        load = max(
-            (
-                1 - free / whole
-                for free, whole in ((said.free_cores, said.cores), (said.free_memory, said.memory))
-                if whole > 0
-            ),
-            default=1.0,
+        report = newest.report
+        share = max(reserved_cores / report.cores, reserved_memory / report.memory)
+        return share * report.machines
+
+    def _summary(
+        self, now_us: int, region: str, reports: dict[str, _ReceivedReport]
+    ) -> RegionSummary:
+        recent = {name: each for name, each in reports.items() if self._is_recent(now_us, each)}
+        if not recent:
+            return self._summary_without_reports(now_us, region)
+        # All placers of a region read one list; the one that reported last has read it last.
+        newest = max(recent.values(), key=lambda each: each.at_us)
+        return RegionSummary(
+            region=region,
+            age_us=now_us - newest.at_us,
+            load=_load(newest.report),
+            cores=newest.report.free_cores,
+            memory=newest.report.free_memory,
+            lost=False,
+            closed=all(each.report.closed for each in recent.values()),
+            refusing_us=now_us - self._rejecting_since_us.get(region, now_us),
+            stable_us=now_us - self._stable_since_us.get(region, now_us),
+            placers=tuple(sorted(recent))[:MAX_PLACERS_PER_SUMMARY],
         )
+
+    def _summary_without_reports(self, now_us: int, region: str) -> RegionSummary:
+        # Danger: a leader that has just been elected has no reports, which proves nothing.
+        age_us = now_us - self._leading_since_us
         return RegionSummary(
-            region,
-            now_us - newest.at_us,
-            round(load, 4),
-            said.free_cores,
-            said.free_memory,
-            False,
-            all(each.said.closed for each in live.values()),
-            now_us - self._refusing.get(region, now_us),
-            now_us - self._well.get(region, now_us),
-            tuple(sorted(live))[:64],
+            region=region,
+            age_us=age_us,
+            load=0.0,
+            cores=0.0,
+            memory=0.0,
+            lost=age_us > self._lost_us,
+            closed=False,
+            refusing_us=0,
+            stable_us=0,
+            placers=(),
         )
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """Nothing is decided; the specs in force are taken in."""
+        """Take in the federation specs in force; nothing is proposed."""
         self._federation = rules.federation
         return [], None
 
 
+def _load(report: RegionReport) -> float:
+    """Return the used share of the scarcer resource, 1 where there is none."""
+    resources = ((report.free_cores, report.cores), (report.free_memory, report.memory))
+    shares = (1 - free / total for free, total in resources if total > 0)
+    return round(max(shares, default=1.0), 4)
+
+
+# -- every placer
+
+
 class RegionMember:
-    """Every placer's: `own` gives what its list says, None while it has none."""
+    """A placer's side. `read_own` returns what its list has of its own region, None while it has no list."""
 
     name = "regions"
 
     def __init__(self, read_own: Callable[[int], RegionReport | None]) -> None:
         self.read_own = read_own
-        self._told: tuple[RegionSummary, ...] = ()
+        self._summaries: tuple[RegionSummary, ...] = ()
         self._at_us = 0
 
     def report(self, now_us: int) -> RegionReport | None:
-        """With an ask."""
+        """Return the report for the next request."""
         return self.read_own(now_us)
 
     def on_response(
-        self, now_us: int, asked_us: int, told: tuple[RegionSummary, ...] | None
+        self, now_us: int, requested_us: int, response: tuple[RegionSummary, ...] | None
     ) -> list[Effect]:
-        """With a grant; ages count from the ask, so that a slow answer makes nothing younger."""
-        if told:
-            self._told, self._at_us = tuple(told), asked_us
+        """Replace the summaries; ages count from the request, so that a slow response makes none younger."""
+        if response:
+            self._summaries = tuple(response)
+            self._at_us = requested_us
         return []
 
     def news(self, now_us: int) -> dict[str, RegionNews]:
-        """By region, what is not too old; a region that is not there is not known."""
-        since = now_us - self._at_us
-        out = {}
-        for each in self._told:
-            news = RegionNews(
-                each.region,
-                each.age_us + since,
-                each.load,
-                each.cores,
-                each.memory,
-                each.lost,
-                each.closed,
-                each.refusing_us,
-                each.stable_us,
-                each.placers,
-                each.held_cores,
-                each.held_memory,
-            )
-            if news.age_us <= MAX_AGE_US or (each.lost and since <= MAX_AGE_US):
-                out[each.region] = replace(
-                    news, age_us=min(news.age_us, since) if each.lost else news.age_us
+        """Return what is known by region and not too old; a region that is absent is not known."""
+        since_us = now_us - self._at_us
+        known = {}
+        for each in self._summaries:
+            age_us = each.age_us + since_us
+            if age_us <= MAX_AGE_US or (each.lost and since_us <= MAX_AGE_US):
+                # That a region is lost is as old as the summary; its last report may be much older.
+                known[each.region] = RegionNews(
+                    region=each.region,
+                    age_us=min(age_us, since_us) if each.lost else age_us,
+                    load=each.load,
+                    cores=each.cores,
+                    memory=each.memory,
+                    lost=each.lost,
+                    closed=each.closed,
+                    refusing_us=each.refusing_us,
+                    stable_us=each.stable_us,
+                    placers=each.placers,
+                    held_cores=each.held_cores,
+                    held_memory=each.held_memory,
                 )
-        return out
+        return known
--- a/wingbarrow/decide/sessions/session_lease.py
+++ b/wingbarrow/decide/sessions/session_lease.py
@@ -83,24 +83,26 @@
         )
 
     def on_response(
-        self, now_us: int, asked_us: int, told: SessionsResponse | None
+        self, now_us: int, requested_us: int, response: SessionsResponse | None
     ) -> list[Effect]:
         """Apply the leader's response: ends first, then a renewal, or the beginning of a new session."""
-        if told is None:
+        if response is None:
             return []
         self._responded_us = now_us
         effects: list[Effect] = []
-        for ended in told.ended:
+        for ended in response.ended:
             if ended.changed > self.known_epoch:
                 effects += self._on_ended(ended)
-        self.known_epoch = max(self.known_epoch, told.epoch)
-        session = Session(self.me, told.life, told.serial)
-        if told.open and self._may_begin(session):
+        self.known_epoch = max(self.known_epoch, response.epoch)
+        session = Session(self.me, response.life, response.serial)
+        if response.open and self._may_begin(session):
             if self.session is not None and session != self.session:
                 # Nobody remembers the end of this one. It is over all the same, and its successors are not known.
-                end = EndedSession(told.epoch, self.session, self.region, changed=told.epoch)
+                end = EndedSession(
+                    response.epoch, self.session, self.region, changed=response.epoch
+                )
                 effects += self._on_ended(end)
-            self._renew(session, asked_us, told.lease_us)
+            self._renew(session, requested_us, response.lease_us)
         return [*effects, *self.check_expiry(now_us)]
 
     def _may_begin(self, session: Session) -> bool:
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -139,41 +139,43 @@
         """
         self._reset_leader(now_us)
 
-    def on_report(self, now_us: int, asker: Requester, said: SessionsReport | None) -> None:
+    def on_report(self, now_us: int, requester: Requester, report: SessionsReport) -> None:
         """Renew the session of a placer whose request a majority confirmed, or have one opened for it."""
-        if said is None:
-            return
         self._note_activity(now_us)
         renewed: Session | None = None
-        latest = self.log.latest.get(asker.ident)
+        latest = self.log.latest.get(requester.ident)
         if latest is None:
             # Not known, or dropped: the session that it reports is over, and is not opened again.
-            self._request(asker, Session(asker.ident, asker.life, said.serial + 1), said)
-        elif latest.process == asker.life:
+            self._request(
+                requester, Session(requester.ident, requester.life, report.serial + 1), report
+            )
+        elif latest.process == requester.life:
             if latest.session not in self.log.open:
-                serial = max(latest.session.serial, said.serial) + 1
-                self._request(asker, Session(asker.ident, latest.session.life, serial), said)
-            elif self._may_renew(now_us, latest.session, said):
-                self._renew(now_us, latest.session, said)
+                serial = max(latest.session.serial, report.serial) + 1
+                self._request(
+                    requester, Session(requester.ident, latest.session.life, serial), report
+                )
+            elif self._may_renew(now_us, latest.session, report):
+                self._renew(now_us, latest.session, report)
                 renewed = latest.session
-        elif latest.process < asker.life or (
-            said.serial == 0 and self._is_expired(now_us, latest.session)
+        elif latest.process < requester.life or (
+            report.serial == 0 and self._is_expired(now_us, latest.session)
         ):
             # A later incarnation; or, where a wall clock was set back, a process that never had a session while the
             # known one is silent. Danger: an earlier process that wakes up has had one, and renews and opens nothing.
-            life = max(asker.life, latest.session.life + 1)
-            self._request(asker, Session(asker.ident, life, 1), said)
-        self.leader.confirmed[asker.ident] = ConfirmedReport(asker, said, renewed)
+            life = max(requester.life, latest.session.life + 1)
+            self._request(requester, Session(requester.ident, life, 1), report)
+        self.leader.confirmed[requester.ident] = ConfirmedReport(requester, report, renewed)
 
-    def response_for(self, now_us: int, asker: Requester) -> SessionsResponse | None:
+    def response_for(self, now_us: int, requester: Requester) -> SessionsResponse | None:
         """Return the response to the requester's report of this round; None where it has made none."""
-        confirmed = self.leader.confirmed.get(asker.ident)
-        if confirmed is None or confirmed.requester != asker:
+        confirmed = self.leader.confirmed.get(requester.ident)
+        if confirmed is None or confirmed.requester != requester:
             return None
         report = confirmed.report
         ended, epoch = self._changes_after(report.heard)
-        latest = self.log.latest.get(asker.ident)
-        if latest is None or latest.process != asker.life:
+        latest = self.log.latest.get(requester.ident)
+        if latest is None or latest.process != requester.life:
             return SessionsResponse(False, report.serial, self.lease_us, epoch, ended)
         session = latest.session
         terms = self.log.open.get(session)
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -1,12 +1,13 @@
 """Sessions as Kubernetes' `coordination.k8s.io/v1 Lease` objects: GET /apis/wingbarrow.io/v1/leases.
 
-At the leader all that are open, and the ends that are kept; elsewhere this placer's own, and the ends that it heard of.
-`leaseTransitions` is the fencing epoch: of an open session that of the latest change anywhere when it was read, of one
-that has ended that under which whoever succeeds acts.
+At the leader all sessions that are open, and the ends that are kept; elsewhere this placer's own session, and the ends
+that it knows. `leaseTransitions` is the fencing token: for an open session the epoch of the latest change of any
+session, for one that has ended the epoch under which its successors act.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Any
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
@@ -19,15 +20,18 @@
 from wingbarrow.peers.host import Peering
 from wingbarrow.transport import Hub
 
+API_VERSION = "coordination.k8s.io/v1"
+
 
 class LeasesFront:
-    """One route."""
+    """The route's handler."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
-        self._hub, self._peering = hub, peering
+        self._hub = hub
+        self._peering = peering
 
     def handle(self, request: Request) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Return the answer to one request; ApiError 404 without voters in the settings, 405 for another method."""
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
@@ -35,66 +39,58 @@
             )
         if request.method != "GET":
             raise ApiError(405, "GET is allowed here; sessions are opened and ended by the voters")
-        epoch, items = self._of_leader(agreement) if agreement.is_leader else self._own()
-        return Answer(
-            200,
-            names.encode(
-                {
-                    "kind": "LeaseList",
-                    "apiVersion": "coordination.k8s.io/v1",
-                    "metadata": {"resourceVersion": str(epoch)},
-                    "items": items,
-                }
-            ),
-        )
-
-    def _of_leader(self, agreement: Coordinator) -> tuple[int, list[dict[str, Any]]]:
-        sessions, now = agreement.subsystems["sessions"], self._hub.now_us()
+        epoch, items = self._leader_items(agreement) if agreement.is_leader else self._own_items()
+        leases = {
+            "kind": "LeaseList",
+            "apiVersion": API_VERSION,
+            "metadata": {"resourceVersion": str(epoch)},
+            "items": items,
+        }
+        return Answer(200, names.encode(leases))
+
+    def _leader_items(self, agreement: Coordinator) -> tuple[int, list[dict[str, Any]]]:
+        """Return the epoch, and all sessions that are open or whose end is kept."""
+        sessions = agreement.subsystems["sessions"]
         assert isinstance(sessions, SessionSubsystem)
-        log, items = sessions.log, []
-        for session, terms in sorted(log.open.items()):
-            renewed, said = (
-                sessions.leader.renewed_us.get(session),
-                sessions.leader.reports.get(session.placer),
-            )
-            item = self._lease(session, terms.region, "open", terms.lease_us, renewed, log.epoch)
-            item["status"] |= {
-                "lives": sessions.is_live(now, session),
-                "reckonedLeftUs": max(0, sessions.lease_until_us(session) - now),
+        items = [self._open_item(sessions, session) for session in sorted(sessions.log.open)]
+        return sessions.log.epoch, items + self._ended_items(sessions.log.ended)
+
+    def _open_item(self, sessions: SessionSubsystem, session: Session) -> dict[str, Any]:
+        now_us = self._hub.now_us()
+        terms = sessions.log.open[session]
+        renewed_us = sessions.leader.renewed_us.get(session)
+        item = self._item(session, terms.region, "open", sessions.log.epoch)
+        item["spec"] |= self._timing(terms.lease_us, renewed_us)
+        item["status"] |= {
+            "lives": sessions.is_live(now_us, session),
+            "reckonedLeftUs": max(0, sessions.lease_until_us(session) - now_us),
+        }
+        report = sessions.leader.reports.get(session.placer)
+        if report is not None:
+            held = {
+                each.session.text(): {"jobs": each.jobs, "afterUs": each.after_us}
+                for each in report.keeping
             }
-            if said is not None:
-                item["status"] |= {
-                    "leasedJobs": said.leased,
-                    "keepsFor": {
-                        each.session.text(): {"jobs": each.jobs, "afterUs": each.after_us}
-                        for each in said.keeping
-                    },
-                }
-            items.append(item)
-        return log.epoch, items + [
-            self._over(each) for each in sorted(log.ended.values(), key=lambda one: one.epoch)
-        ]
-
-    def _own(self) -> tuple[int, list[dict[str, Any]]]:
-        lease, items = self._peering.lease, []
+            item["status"] |= {"leasedJobs": report.leased, "keepsFor": held}
+        return item
+
+    def _own_items(self) -> tuple[int, list[dict[str, Any]]]:
+        """Return the epoch that this placer knows, its own session, and the ends that it knows."""
+        lease = self._peering.lease
+        items = self._ended_items(lease.ended)
         if lease.session is not None:
             state = "open" if lease.may_send(self._hub.now_us()) else "lapsed"
-            items.append(
-                self._lease(
-                    lease.session,
-                    lease.region,
-                    state,
-                    lease.lease_us,
-                    lease.requested_us,
-                    lease.known_epoch,
-                )
-            )
-        return lease.known_epoch, items + [
-            self._over(each) for each in sorted(lease.ended.values(), key=lambda one: one.epoch)
-        ]
+            item = self._item(lease.session, lease.region, state, lease.known_epoch)
+            item["spec"] |= self._timing(lease.lease_us, lease.requested_us)
+            items.insert(0, item)
+        return lease.known_epoch, items
 
-    def _over(self, ended: EndedSession) -> dict[str, Any]:
-        item = self._lease(ended.session, ended.region, "ended", 0, None, ended.changed)
+    def _ended_items(self, ends: Mapping[Session, EndedSession]) -> list[dict[str, Any]]:
+        by_epoch = sorted(ends.values(), key=lambda ended: ended.epoch)
+        return [self._ended_item(each) for each in by_epoch]
+
+    def _ended_item(self, ended: EndedSession) -> dict[str, Any]:
+        item = self._item(ended.session, ended.region, "ended", ended.changed)
         item["status"] |= {
             "epoch": ended.epoch,
             "batches": [list(each) for each in ended.batches],
@@ -102,29 +98,24 @@
         }
         return item
 
-    def _lease(
-        self,
-        session: Session,
-        region: str,
-        state: str,
-        lease_us: int,
-        renewed_us: int | None,
-        epoch: int,
-    ) -> dict[str, Any]:
-        spec: dict[str, Any] = {"holderIdentity": session.text(), "leaseTransitions": epoch}
+    def _timing(self, lease_us: int, renewed_us: int | None) -> dict[str, Any]:
+        """Return a Lease's duration and the wall clock's time of its renewal, where they are known."""
+        timing: dict[str, Any] = {}
         if lease_us:
-            spec["leaseDurationSeconds"] = max(1, lease_us // 1_000_000)
+            timing["leaseDurationSeconds"] = max(1, lease_us // 1_000_000)
         if renewed_us is not None:
-            spec["renewTime"] = names.time_text(
-                self._hub.clock.wall_us() - (self._hub.now_us() - renewed_us)
-            )
+            age_us = self._hub.now_us() - renewed_us
+            timing["renewTime"] = names.time_text(self._hub.clock.wall_us() - age_us)
+        return timing
+
+    def _item(self, session: Session, region: str, state: str, epoch: int) -> dict[str, Any]:
         return {
             "kind": "Lease",
-            "apiVersion": "coordination.k8s.io/v1",
+            "apiVersion": API_VERSION,
             "metadata": {
                 "name": session.text().replace("/", "."),
                 "labels": {names.PREFIX + "region": region},
             },
-            "spec": spec,
+            "spec": {"holderIdentity": session.text(), "leaseTransitions": epoch},
             "status": {"state": state},
         }
