--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Handing over: exactly once under any loss, delay, doubling and death, and always one outcome for the owner."""
+"""Forwarding: at most one start under loss, delay, duplicates and deaths, and always one outcome for the owner."""
 
 from __future__ import annotations
 
@@ -147,12 +147,12 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_hand_over_starts_once_and_has_one_outcome_whatever_is_lost(seed: int) -> None:
+def test_each_forwarded_job_starts_once_and_has_one_outcome_under_loss(seed: int) -> None:
     play = played(seed)
     assert sum(play.starts.values()) > 10 and not breaches(play), f"seed {seed}"
 
 
-def test_with_whole_links_nothing_is_lost_and_refusals_go_to_the_next() -> None:
+def test_without_loss_a_rejected_job_goes_to_the_next_target() -> None:
     play = played(3, 0.0, False)
     assert not breaches(play)
     placed = sum(PLACED in told for told in play.outcomes.values())
@@ -178,7 +178,7 @@
     )
 
 
-def test_a_stop_that_overtakes_its_hand_over_is_kept() -> None:
+def test_a_cancel_that_overtakes_its_request_is_remembered() -> None:
     taking = ForwardReceiver(7)
     assert [
         each.message.state
@@ -190,7 +190,7 @@
     assert len(answer) == 1
 
 
-def test_what_cannot_be_taken_is_refused_with_its_reason() -> None:
+def test_a_request_that_cannot_be_accepted_is_rejected_with_its_reason() -> None:
     taking = ForwardReceiver(7)
     for hand, words in (
         (ForwardRequest("g/1/1", 7, 2, "s", SECOND, "{}"), "hops"),
@@ -206,7 +206,7 @@
     assert not taking.on_message(0, "another", "", ForwardRequest("g/1/3", 7, 1, "s", SECOND, "{}"))
 
 
-def test_a_budget_is_a_share_of_first_tries() -> None:
+def test_the_budget_is_a_share_of_first_attempts() -> None:
     budget = ForwardBudget(0.2, 3.0)
     assert [budget.try_take() for _ in range(5)] == [True, True, True, False, False]
     for _ in range(100):
@@ -216,7 +216,7 @@
     )
 
 
-def test_a_hand_over_that_is_silent_fails_in_time_and_is_stopped() -> None:
+def test_an_unanswered_request_fails_in_time_and_is_cancelled() -> None:
     giving = ForwardSender("g", 1)
     ident, effects = giving.begin(0, ForwardedJob("{}", "s", False, SECOND), [Target("t", 1)])
     now = 0
--- a/tests/decide/regions/test_reports.py
+++ b/tests/decide/regions/test_reports.py
@@ -1,4 +1,4 @@
-"""News of regions: summed up by the leader, aged by whoever holds it, never taken for more than it is."""
+"""Region reports: summarised by the leader, aged by each placer, never used past their age."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     regions.on_report(now_us, Requester(who, 1, now_us, 1), what)
 
 
-def test_the_newest_word_of_a_region_counts_and_load_is_of_what_is_scarcest() -> None:
+def test_the_newest_report_of_a_region_counts_and_load_is_of_the_scarcer_resource() -> None:
     regions = leader()
     hear(regions, 1 * S, "a", said(free=90.0))
     hear(regions, 2 * S, "b", said(free=30.0))
@@ -40,9 +40,7 @@
     assert not north.lost
 
 
-def test_a_region_is_lost_once_nobody_of_it_was_heard_for_long_and_not_by_a_new_leader_at_once() -> (
-    None
-):
+def test_a_region_is_lost_without_reports_but_not_at_once_by_a_new_leader() -> None:
     regions = leader(10 * S)
     assert not any(each.lost for each in regions.response_for(11 * S, Requester("p", 1, 1, 1)))
     hear(regions, 11 * S, "a", said())
@@ -57,7 +55,7 @@
     assert not back.lost and back.stable_us == 2 * S, "stable since it came back"
 
 
-def test_refusing_lasts_as_long_as_half_of_what_comes_is_turned_away() -> None:
+def test_a_region_is_rejecting_while_half_of_its_jobs_are_rejected() -> None:
     regions = leader()
     hear(regions, 1 * S, "a", said(came=10, refused=6))
     hear(regions, 3 * S, "a", said(came=10, refused=5))
@@ -66,7 +64,7 @@
     assert regions.response_for(5 * S, Requester("p", 1, 1, 1))[0].refusing_us == 0
 
 
-def test_who_holds_news_ages_it_from_its_ask_and_forgets_it() -> None:
+def test_a_summary_ages_from_its_request_and_expires() -> None:
     regions = leader()
     hear(regions, 1 * S, "a", said())
     side = RegionMember(lambda now: said("south"))
@@ -81,7 +79,7 @@
     assert "north" in side.news(10 * S), "a leader that tells nothing takes nothing back"
 
 
-def test_a_lost_region_is_told_as_lost_while_the_word_is_young() -> None:
+def test_a_lost_region_is_known_as_lost_while_the_summary_is_recent() -> None:
     regions = leader()
     side = RegionMember(lambda now: None)
     side.on_response(100 * S, 100 * S, regions.response_for(100 * S, Requester("p", 1, 1, 1)))
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: opened, renewed and ended by rule, over cuts, stops, lives and leaders; nothing is opened a second time."""
+"""Sessions: opened, renewed and ended over cuts, pauses, incarnations and leaders; none is opened twice."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 RULES: RuleSet = rules()
 
 
-class Desk:
-    """A leader alone, and placers that ask it directly; what it proposes is decided at once."""
+class Voters:
+    """A leader alone, with placers that report to it directly; what it proposes is decided at once."""
 
     def __init__(self) -> None:
         self.now, self.sessions = 0, SessionSubsystem(LEASE)
@@ -103,245 +103,239 @@
         return session in self.sessions.log.ended
 
 
-def test_what_lapses_does_so_in_order_and_an_end_waits_for_after_and_names_who_keeps() -> None:
-    desk = Desk()
-    lost, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", lost.session)
+def test_leases_expire_in_order_and_the_end_waits_for_after_and_names_replica_holders() -> None:
+    voters = Voters()
+    lost, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", lost.session)
     assert lost.session == Session("a", 1, 1)
-    assert lost.may_send(desk.now)
+    assert lost.may_send(voters.now)
     assert lost.machine_lease_until_us == LEASE
-    session, last = lost.session, desk.now
-    desk.wait(holder_lease_us(LEASE), "b")
-    assert not lost.may_send(desk.now)
-    assert lost.may_send(desk.now - 1)
-    desk.wait(last + AFTER - desk.now, "b")
-    assert not desk.over(session)
-    desk.wait(last + ended_within_us(LEASE, AFTER) - desk.now, "b")
-    ended = desk.sessions.log.ended[session]
+    session, last = lost.session, voters.now
+    voters.wait(holder_lease_us(LEASE), "b")
+    assert not lost.may_send(voters.now)
+    assert lost.may_send(voters.now - 1)
+    voters.wait(last + AFTER - voters.now, "b")
+    assert not voters.over(session)
+    voters.wait(last + ended_within_us(LEASE, AFTER) - voters.now, "b")
+    ended = voters.sessions.log.ended[session]
     assert (ended.epoch, ended.batches, ended.region) == (1, (("b",),), "of a")
-    assert desk.leases["b"].ended[session].batches[0] == ("b",)
+    assert voters.leases["b"].ended[session].batches[0] == ("b",)
     assert successor_of(ended, ("c", "b")) == "b"
 
 
-def test_after_shorter_than_the_lease_does_not_shorten_the_reckoning() -> None:
-    desk = Desk()
-    lost, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", lost.session, 1)
-    desk.wait(RECKONED - 1, "b")
-    assert not desk.over(Session("a", 1, 1))
-    desk.wait(LEASE // 8 + SECOND, "b")
-    assert desk.over(Session("a", 1, 1))
+def test_after_shorter_than_the_lease_does_not_shorten_the_voters_lease() -> None:
+    voters = Voters()
+    lost, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", lost.session, 1)
+    voters.wait(RECKONED - 1, "b")
+    assert not voters.over(Session("a", 1, 1))
+    voters.wait(LEASE // 8 + SECOND, "b")
+    assert voters.over(Session("a", 1, 1))
 
 
-def test_without_a_keeper_it_ends_later_with_nobody_and_a_late_keeper_joins() -> None:
-    desk = Desk()
-    lost, late = desk.join("a"), desk.join("b")
+def test_without_a_replica_holder_it_ends_later_and_a_late_one_joins_as_successor() -> None:
+    voters = Voters()
+    lost, late = voters.join("a"), voters.join("b")
     session = lost.session
     assert session is not None
-    desk.wait(unreplicated_wait_us(LEASE) - 1, "b")
-    assert not desk.over(session)
-    desk.wait(LEASE // 8 + SECOND, "b")
-    assert desk.sessions.log.ended[session].batches == ()
-    desk.keep("b", session)
-    desk.wait(2 * SECOND, "b")
+    voters.wait(unreplicated_wait_us(LEASE) - 1, "b")
+    assert not voters.over(session)
+    voters.wait(LEASE // 8 + SECOND, "b")
+    assert voters.sessions.log.ended[session].batches == ()
+    voters.keep("b", session)
+    voters.wait(2 * SECOND, "b")
     assert late.ended[session].batches == (("b",),)
     assert late.ended[session].changed == 2
 
 
-def test_who_comes_back_before_the_end_goes_on_and_after_it_begins_anew_with_all_ends_heard() -> (
-    None
-):
-    desk = Desk()
-    lost, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", lost.session)
+def test_a_holder_that_returns_before_its_end_keeps_its_session_and_later_gets_a_new_one() -> None:
+    voters = Voters()
+    lost, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", lost.session)
     first = lost.session
-    desk.wait(AFTER - SECOND, "b")
-    desk.ask("a")
+    voters.wait(AFTER - SECOND, "b")
+    voters.ask("a")
     assert lost.session == first
-    assert lost.may_send(desk.now)
-    desk.wait(AFTER + 5 * SECOND, "b")
-    assert desk.over(first) and lost.session == first, "it does not know yet"
-    desk.told.clear()
-    desk.ask("a")
+    assert lost.may_send(voters.now)
+    voters.wait(AFTER + 5 * SECOND, "b")
+    assert voters.over(first) and lost.session == first, "it does not know yet"
+    voters.told.clear()
+    voters.ask("a")
     assert lost.session is None
-    assert not lost.may_send(desk.now)
-    desk.ask("a")
+    assert not lost.may_send(voters.now)
+    voters.ask("a")
     assert lost.session == Session("a", 1, 2)
-    assert lost.may_send(desk.now)
+    assert lost.may_send(voters.now)
     # Its first session lapsed in silence, so that the last that was told of it was that it is open.
-    assert [(each.event, each.fields.get("open")) for name, each in desk.told if name == "a"] == [
+    assert [(each.event, each.fields.get("open")) for name, each in voters.told if name == "a"] == [
         ("session", False),
         ("session-ended", None),
         ("session", True),
     ]
 
 
-def test_an_end_that_is_proposed_is_not_overtaken_by_a_renewal() -> None:
-    desk = Desk()
-    lost, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", lost.session)
-    desk.undecided = []
-    desk.wait(AFTER + 2 * SECOND, "b")
-    assert [each.kind for each in desk.undecided] == ["ended"]
-    assert not desk.over(lost.session)
-    desk.ask("a")
-    assert not lost.may_send(desk.now)
-    desk.sessions.apply(desk.undecided[0].kind, desk.undecided[0].value)
-    desk.ask("a")
+def test_a_session_whose_end_is_proposed_is_not_renewed() -> None:
+    voters = Voters()
+    lost, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", lost.session)
+    voters.undecided = []
+    voters.wait(AFTER + 2 * SECOND, "b")
+    assert [each.kind for each in voters.undecided] == ["ended"]
+    assert not voters.over(lost.session)
+    voters.ask("a")
+    assert not lost.may_send(voters.now)
+    voters.sessions.apply(voters.undecided[0].kind, voters.undecided[0].value)
+    voters.ask("a")
     assert lost.session is None
 
 
-def test_a_later_process_ends_the_session_of_the_one_before_without_after_and_that_one_renews_nothing() -> (
-    None
-):
-    desk = Desk()
-    old = desk.join("a")
-    desk.wait(5 * SECOND, "a")
-    desk.lives["a"], twin = 2, SessionLease("a", "of a")
-    desk.ask("a", lease=twin)
-    desk.ask("a", lease=twin)
+def test_a_later_incarnation_ends_the_earlier_session_without_after() -> None:
+    voters = Voters()
+    old = voters.join("a")
+    voters.wait(5 * SECOND, "a")
+    voters.lives["a"], twin = 2, SessionLease("a", "of a")
+    voters.ask("a", lease=twin)
+    voters.ask("a", lease=twin)
     assert twin.session == Session("a", 2, 1)
-    assert twin.may_send(desk.now)
-    begun = desk.now
-    while desk.now < begun + RECKONED:
-        desk.now += SECOND // 2
-        desk.ask("a", lease=twin)
-        desk.ask("a", lease=old, life=1)
-    desk.wait(2 * SECOND)
-    assert desk.over(Session("a", 1, 1))
-    assert not old.may_send(desk.now)
-    assert twin.may_send(desk.now)
-    desk.ask("a", lease=old, life=1)
-    desk.wait(SECOND)
-    desk.ask("a", lease=old, life=1)
+    assert twin.may_send(voters.now)
+    begun = voters.now
+    while voters.now < begun + RECKONED:
+        voters.now += SECOND // 2
+        voters.ask("a", lease=twin)
+        voters.ask("a", lease=old, life=1)
+    voters.wait(2 * SECOND)
+    assert voters.over(Session("a", 1, 1))
+    assert not old.may_send(voters.now)
+    assert twin.may_send(voters.now)
+    voters.ask("a", lease=old, life=1)
+    voters.wait(SECOND)
+    voters.ask("a", lease=old, life=1)
     assert old.session is None
-    assert list(desk.sessions.log.open) == [Session("a", 2, 1)]
+    assert list(voters.sessions.log.open) == [Session("a", 2, 1)]
 
 
-def test_a_wall_clock_set_back_between_two_lives_costs_a_session_until_the_former_one_is_silent_and_no_longer() -> (
+def test_an_incarnation_with_a_wall_clock_set_back_waits_until_the_earlier_session_expires() -> (
     None
 ):
-    desk = Desk()
-    desk.join("a", life=9_000)
-    desk.lives["a"], later = 5_000, SessionLease("a", "of a")
-    desk.leases["a"] = later
-    desk.wait(RECKONED - SECOND, "a")
+    voters = Voters()
+    voters.join("a", life=9_000)
+    voters.lives["a"], later = 5_000, SessionLease("a", "of a")
+    voters.leases["a"] = later
+    voters.wait(RECKONED - SECOND, "a")
     assert later.session is None
-    desk.wait(3 * SECOND, "a")
+    voters.wait(3 * SECOND, "a")
     assert later.session == Session("a", 9_001, 1)
-    assert later.may_send(desk.now)
-
-
-def test_one_that_is_heard_and_does_not_hear_ends_and_one_that_hears_again_goes_on() -> None:
-    desk = Desk()
-    deaf, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", deaf.session)
-    session, last = deaf.session, desk.now
-    desk.wait(one_way_renewal_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
-    assert not desk.over(session)
-    desk.wait(
-        last + one_way_renewal_us(LEASE) + ended_within_us(LEASE, AFTER) - desk.now,
+    assert later.may_send(voters.now)
+
+
+def test_a_placer_that_receives_no_grants_loses_its_session_unless_they_arrive_again() -> None:
+    voters = Voters()
+    deaf, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", deaf.session)
+    session, last = deaf.session, voters.now
+    voters.wait(one_way_renewal_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
+    assert not voters.over(session)
+    voters.wait(
+        last + one_way_renewal_us(LEASE) + ended_within_us(LEASE, AFTER) - voters.now,
         "a",
         "b",
         lose=("a",),
     )
-    assert desk.over(session)
-    desk = Desk()
-    deaf = desk.join("a")
-    desk.wait(3 * LEASE, "a", lose=("a",))
-    desk.wait(SECOND, "a")
+    assert voters.over(session)
+    voters = Voters()
+    deaf = voters.join("a")
+    voters.wait(3 * LEASE, "a", lose=("a",))
+    voters.wait(SECOND, "a")
     assert deaf.session == Session("a", 1, 1)
-    assert deaf.may_send(desk.now)
-
-
-def test_a_new_leader_reckons_with_all_that_is_open_from_its_election() -> None:
-    desk = Desk()
-    lost, _ = desk.join("a"), desk.join("b")
-    desk.keep("b", lost.session, 1)
-    desk.wait(RECKONED - 1, "b")
-    desk.sessions.on_leadership_change(desk.now, True)
-    begun = desk.now
-    desk.wait(RECKONED - 1, "b")
-    assert not desk.over(lost.session)
-    assert desk.now == begun + RECKONED - 1
-    desk.wait(LEASE // 8 + SECOND, "b")
-    assert desk.over(lost.session)
-
-
-def test_a_leader_that_stood_still_ends_nobody_whose_asks_lie_unread() -> None:
-    desk = Desk()
-    desk.join("a"), desk.join("b")
-    desk.keep("b", desk.leases["a"].session, 1)
-    desk.now += 20 * LEASE
-    desk.decide()
-    assert not desk.sessions.log.ended
-    desk.wait(LEASE, "a", "b")
-    assert not desk.sessions.log.ended
-    assert desk.leases["a"].session == Session("a", 1, 1)
-
-
-def test_successors_that_are_lost_themselves_are_gone_and_may_join_again_behind_the_others() -> (
-    None
-):
-    desk = Desk()
+    assert deaf.may_send(voters.now)
+
+
+def test_a_new_leader_counts_every_open_session_from_its_election() -> None:
+    voters = Voters()
+    lost, _ = voters.join("a"), voters.join("b")
+    voters.keep("b", lost.session, 1)
+    voters.wait(RECKONED - 1, "b")
+    voters.sessions.on_leadership_change(voters.now, True)
+    begun = voters.now
+    voters.wait(RECKONED - 1, "b")
+    assert not voters.over(lost.session)
+    assert voters.now == begun + RECKONED - 1
+    voters.wait(LEASE // 8 + SECOND, "b")
+    assert voters.over(lost.session)
+
+
+def test_a_leader_after_a_pause_ends_no_session() -> None:
+    voters = Voters()
+    voters.join("a"), voters.join("b")
+    voters.keep("b", voters.leases["a"].session, 1)
+    voters.now += 20 * LEASE
+    voters.decide()
+    assert not voters.sessions.log.ended
+    voters.wait(LEASE, "a", "b")
+    assert not voters.sessions.log.ended
+    assert voters.leases["a"].session == Session("a", 1, 1)
+
+
+def test_lost_successors_are_gone_and_may_join_again_in_a_later_batch() -> None:
+    voters = Voters()
     for name in "abcd":
-        desk.join(name)
-    session = desk.leases["a"].session
+        voters.join(name)
+    session = voters.leases["a"].session
     assert session is not None
-    desk.keep("b", session)
-    desk.keep("c", session)
-    desk.wait(AFTER + 2 * SECOND, "b", "c", "d")
-    assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
-    desk.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "c", "d")
-    ended = desk.sessions.log.ended[session]
+    voters.keep("b", session)
+    voters.keep("c", session)
+    voters.wait(AFTER + 2 * SECOND, "b", "c", "d")
+    assert successor_of(voters.sessions.log.ended[session], ("b", "c")) == "b"
+    voters.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "c", "d")
+    ended = voters.sessions.log.ended[session]
     assert (ended.gone, successor_of(ended, ("b", "c")), successor_of(ended, ("b",))) == (
         ("b",),
         "c",
         "",
     )
-    assert ended.changed > ended.epoch and desk.leases["c"].ended[session] == ended, (
+    assert ended.changed > ended.epoch and voters.leases["c"].ended[session] == ended, (
         "who takes over acts under more"
     )
-    desk.wait(2 * SECOND, "b", "c", "d")  # back, under a new session, and still a keeper
-    again = desk.sessions.log.ended[session]
+    voters.wait(2 * SECOND, "b", "c", "d")  # back, under a new session, and still a keeper
+    again = voters.sessions.log.ended[session]
     assert again.batches == (("c",), ("b",))
     assert not again.gone
     assert successor_of(again, ("b", "c")) == "c"
-    desk.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
-    assert successor_of(desk.sessions.log.ended[session], ("b", "c")) == "b"
+    voters.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
+    assert successor_of(voters.sessions.log.ended[session], ("b", "c")) == "b"
 
 
-def test_a_new_session_waits_until_all_ends_are_heard_so_many_at_a_time() -> None:
-    desk = Desk()
+def test_a_new_session_waits_until_its_holder_knows_all_ends() -> None:
+    voters = Voters()
     for number in range(MAX_ENDED_PER_RESPONSE + 10):
-        _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
+        _over(voters.sessions.log, Session(f"x{number:03d}", 1, 1))
     late = SessionLease("a", "r")
-    desk.leases["a"], desk.lives["a"] = late, 1
-    desk.ask("a")
+    voters.leases["a"], voters.lives["a"] = late, 1
+    voters.ask("a")
     assert late.known_epoch == MAX_ENDED_PER_RESPONSE
     assert late.session is None
-    desk.ask("a")
+    voters.ask("a")
     assert late.known_epoch == MAX_ENDED_PER_RESPONSE + 10 == len(late.ended)
     assert late.session is not None
 
 
-def test_what_is_forgotten_is_over_all_the_same() -> None:
-    desk = Desk()
-    lost = desk.join("a")
+def test_a_session_whose_end_was_dropped_is_not_reopened() -> None:
+    voters = Voters()
+    lost = voters.join("a")
     session = lost.session
     assert session is not None
-    desk.sessions.apply("ended", {"session": session.text(), "successors": []})
+    voters.sessions.apply("ended", {"session": session.text(), "successors": []})
     for number in range(MAX_ENDED_SESSIONS):
-        _over(desk.sessions.log, Session(f"x{number:03d}", 1, 1))
-    assert len(desk.sessions.log.ended) == MAX_ENDED_SESSIONS
-    assert session not in desk.sessions.log.ended
+        _over(voters.sessions.log, Session(f"x{number:03d}", 1, 1))
+    assert len(voters.sessions.log.ended) == MAX_ENDED_SESSIONS
+    assert session not in voters.sessions.log.ended
     for _ in range(8):
-        desk.ask("a")
+        voters.ask("a")
     assert lost.session == Session("a", 1, 2)
-    assert lost.may_send(desk.now)
-    assert [each.fields["session"] for _, each in desk.told if each.event == "session-ended"].count(
-        session.text()
-    ) == 1
+    assert lost.may_send(voters.now)
+    assert [
+        each.fields["session"] for _, each in voters.told if each.event == "session-ended"
+    ].count(session.text()) == 1
 
 
 def _over(log: SessionLog, session: Session) -> None:
@@ -352,7 +346,7 @@
 # -- the log
 
 
-def test_nothing_is_opened_twice_whatever_is_proposed_and_the_state_is_read_back() -> None:
+def test_no_session_is_opened_twice_and_the_state_is_read_back() -> None:
     rng = random.Random(5)
     log, seen = SessionLog(), set[Session]()
     for _ in range(3_000):
@@ -383,7 +377,7 @@
     assert parse_session_log("") == SessionLog()
 
 
-def test_what_is_kept_of_ends_has_a_bound_by_count_and_by_length() -> None:
+def test_kept_ends_are_bounded_by_count_and_by_length() -> None:
     log = SessionLog()
     keepers = [Session("k" * 240 + f"{number:03d}", 1, 1) for number in range(64)]
     for keeper in keepers:
@@ -414,7 +408,7 @@
         ("nonsense", {"session": "a/1/1"}),
     ],
 )
-def test_what_cannot_be_read_changes_nothing(kind: str, value: dict[str, Any]) -> None:
+def test_an_unreadable_entry_changes_nothing(kind: str, value: dict[str, Any]) -> None:
     log = SessionLog()
     before = log.text()
     try:
@@ -424,18 +418,18 @@
     assert log.text() == before
 
 
-def test_lives_that_follow_each_other_fast_wait_for_room_and_it_is_counted() -> None:
-    desk = Desk()
+def test_incarnations_in_quick_succession_wait_for_a_free_session_and_are_counted() -> None:
+    voters = Voters()
     for life in range(1, 4 * MAX_OPEN_SESSIONS_PER_PLACER):
-        desk.join("a", life)
-    assert desk.sessions.log.open_count("a") == MAX_OPEN_SESSIONS_PER_PLACER
-    assert desk.sessions.counts["sessions: no room for another"]
-    desk.wait(RECKONED + 3 * SECOND, "a")
-    assert desk.leases["a"].may_send(desk.now)
-    assert desk.sessions.log.open_count("a") == 1
+        voters.join("a", life)
+    assert voters.sessions.log.open_count("a") == MAX_OPEN_SESSIONS_PER_PLACER
+    assert voters.sessions.counts["sessions: no room for another"]
+    voters.wait(RECKONED + 3 * SECOND, "a")
+    assert voters.leases["a"].may_send(voters.now)
+    assert voters.sessions.log.open_count("a") == 1
 
 
-def test_one_that_stands_in_no_region_has_no_session() -> None:
+def test_a_placer_without_a_region_has_no_session() -> None:
     lease = SessionLease("a", "")
     assert lease.report(5) is None
     assert lease.on_response(5, 5, None) == []
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -33,7 +33,7 @@
     return next(name for name in reversed(held.names) if held.region(name) != held.region(leader))
 
 
-def test_a_cut_that_heals_while_both_believe_changes_nothing() -> None:
+def test_a_cut_shorter_than_the_lease_changes_nothing() -> None:
     held = founded()
     region = held.region(off(held))
     side = {name for name in held.names if held.region(name) == region}
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("wakes", [True, False])
-def test_a_placer_stopped_for_longer_than_lease_and_after_wakes_to_an_ended_session(
+def test_a_placer_paused_for_longer_than_lease_and_after_wakes_to_an_ended_session(
     wakes: bool,
 ) -> None:
     held = founded()
@@ -74,7 +74,7 @@
         assert held.all_open()
 
 
-def test_the_leader_lost_between_lapse_and_end_makes_it_wait_and_happen_once() -> None:
+def test_a_leader_lost_between_expiry_and_end_delays_the_end_which_happens_once() -> None:
     held = founded(9, 5)
     lost, leader = off(held), held.leader()
     assert leader is not None
@@ -89,7 +89,7 @@
     assert held.all_open()
 
 
-def test_a_region_lost_of_sixty_placers_ends_once_for_each_and_the_others_hear_of_it() -> None:
+def test_a_lost_region_of_sixty_placers_ends_each_session_once_and_the_others_know() -> None:
     held = founded(60, 9, 2)
     region = held.region(off(held))
     side = [name for name in held.names if held.region(name) == region]
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_generated_trouble_ends_no_session_too_early_and_none_too_late(seed: int) -> None:
+def test_generated_faults_end_no_session_too_early_or_too_late(seed: int) -> None:
     held = played(6, 3, seed, 12)
     assert not held.faults
     assert held.sends > 1_000
@@ -154,14 +154,14 @@
 
 
 @pytest.mark.parametrize("plant", [_no_reckoning, _forgetful, _floor, _without_after, _late])
-def test_planted_errors_are_found_by_a_play(
+def test_planted_errors_are_found_by_simulation(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
     assert any(played(6, 3, seed, 12).faults for seed in range(1, 6))
 
 
-def test_a_session_that_asks_keep_open_though_nothing_comes_back_is_found(
+def test_a_session_renewed_although_no_grant_arrives_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for planted in (False, True):
--- a/tests/peers/test_handing_path.py
+++ b/tests/peers/test_forwarding_path.py
@@ -39,7 +39,7 @@
         ]
 
 
-def test_a_job_that_its_spec_keeps_out_of_here_runs_there_and_is_answered_here() -> None:
+def test_a_job_that_its_spec_forbids_here_runs_in_another_region_and_is_answered_here() -> None:
     stage = Handing()
 
     def script() -> None:
@@ -65,7 +65,7 @@
     stage.play(script)
 
 
-def test_one_that_is_deleted_here_is_stopped_there() -> None:
+def test_a_forwarded_job_that_is_deleted_here_is_stopped_by_its_receiver() -> None:
     stage = Handing()
 
     def script() -> None:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("task_class", ["web", "settlement"])
-def test_a_cut_in_the_middle_of_a_hand_over_costs_the_answer_and_starts_nothing_twice(
+def test_a_cut_while_forwarding_fails_the_answer_and_starts_nothing_twice(
     task_class: str,
 ) -> None:
     stage = Handing()
@@ -111,7 +111,7 @@
     stage.play(script)
 
 
-def test_one_whose_receiver_dies_runs_by_who_succeeds_it_and_only_what_may_starts_again() -> None:
+def test_a_job_whose_receiver_dies_is_run_by_its_successor_if_it_may_repeat() -> None:
     stage = Handing()
 
     def script() -> None:
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -38,9 +38,7 @@
         }
 
 
-def test_what_must_not_start_twice_starts_elsewhere_once_its_machine_proves_that_it_never_came() -> (
-    None
-):
+def test_an_unsafe_job_starts_elsewhere_once_its_machine_proves_that_it_never_had_it() -> None:
     stage = Lost()
 
     def script() -> None:
@@ -64,9 +62,7 @@
     stage.play(script)
 
 
-def test_a_placer_held_still_past_its_lease_sends_nothing_when_it_wakes_with_an_offer_in_its_hand() -> (
-    None
-):
+def test_a_placer_paused_past_its_lease_sends_nothing_when_it_wakes_with_an_offer() -> None:
     stage = Lost()
 
     def script() -> None:
@@ -96,7 +92,7 @@
     stage.play(script)
 
 
-def test_what_may_have_run_is_kept_until_an_operator_says_what_became_of_it() -> None:
+def test_a_job_that_may_have_run_stays_unknown_until_an_operator_decides() -> None:
     stage = Lost()
 
     def script() -> None:
@@ -126,7 +122,7 @@
     stage.play(script)
 
 
-def test_successors_killed_in_the_middle_are_succeeded_and_every_safe_job_runs_once() -> None:
+def test_successors_killed_during_failover_are_succeeded_and_every_safe_job_runs_once() -> None:
     stage = Lost()
 
     def script() -> None:
@@ -166,7 +162,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["flaps", "deaf", "two of three"])
-def test_through_links_that_fail_one_way_or_in_turn_nothing_starts_twice_that_must_not(
+def test_no_unsafe_job_starts_twice_through_links_that_fail_one_way_or_in_turn(
     trouble: str,
 ) -> None:
     stage = Lost()
@@ -212,7 +208,9 @@
     stage.play(script)
 
 
-def test_a_former_lifes_leased_tasks_are_not_adopted_and_their_jobs_go_elsewhere() -> None:
+def test_leased_tasks_of_an_earlier_incarnation_are_not_adopted_and_their_jobs_run_elsewhere() -> (
+    None
+):
     stage = Lost()
 
     def script() -> None:
@@ -233,7 +231,7 @@
     stage.play(script)
 
 
-def test_what_was_refused_for_want_of_a_keepers_word_is_not_started_from_its_record() -> None:
+def test_a_job_rejected_without_acknowledgement_is_not_started_from_its_record() -> None:
     stage = Lost()
 
     def script() -> None:
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -60,7 +60,7 @@
         return {each["spec"]["holderIdentity"]: each for each in value["items"]}
 
 
-def test_placers_hold_sessions_and_the_end_of_one_reaches_its_keeper_and_the_one_itself() -> None:
+def test_the_end_of_a_session_reaches_its_replica_holder_and_its_holder() -> None:
     stage = Regions(machines=1, placers=5)
     ended: list[tuple[int, EndedSession]] = []
     told: list[tuple[int, Session, bool]] = []
@@ -105,7 +105,7 @@
     stage.play(script)
 
 
-def test_placers_of_no_region_have_no_sessions_and_what_is_not_agreed_on_is_not_found() -> None:
+def test_placers_without_a_region_have_no_sessions_and_without_voters_no_route() -> None:
     stage = Agreeing(machines=1, placers=5)
 
     def script() -> None:
@@ -138,9 +138,7 @@
         return [Notify("custody-timer", {"key": key})]
 
 
-def test_a_machine_that_is_hosted_gets_its_kinds_and_timers_and_without_one_they_are_counted() -> (
-    None
-):
+def test_a_hosted_state_machine_gets_its_messages_and_timers_and_others_are_counted() -> None:
     stage = Agreeing(machines=1, placers=5)
     keeper, holder, session = Echo(), Echo(), Session("placer-0", 1, 1)
 
