--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -29,6 +29,7 @@
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer
 from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
 from wingbarrow.decide.regions.forwarding import (
+    ForwardedJob,
     ForwardReceiver,
     ForwardSender,
     ForwardStatus,
@@ -309,7 +310,9 @@
         giver = f"g{rng.randrange(2)}"
         targets = [Target(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
         ident, effects = world.members[giver].giving.begin(
-            world.now_us, "{}", "spec", rng.random() < 0.5, world.now_us + 5 * S, targets
+            world.now_us,
+            ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S),
+            targets,
         )
         history.note("begun", ident)
         world.act(giver, effects)
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -127,14 +127,10 @@
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
-        ident, effects = self.sender.begin(
-            self._base.hub.now_us(),
-            _manifest(job),
-            spec,
-            is_idempotent,
-            due_us - ANSWER_MARGIN_US,
-            targets,
+        forwarded = forwarding.ForwardedJob(
+            _manifest(job), spec, is_idempotent, due_us - ANSWER_MARGIN_US
         )
+        ident, effects = self.sender.begin(self._base.hub.now_us(), forwarded, targets)
         if not ident:
             return False
         self._jobs.open_request(task, due_us)
@@ -170,16 +166,16 @@
             self._jobs.close_request(task)
             self._jobs.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
-        elif state in (forwarding.REFUSED, forwarding.FAILED) and task.answered:
+        elif state in (forwarding.REJECTED, forwarding.FAILED) and task.answered:
             # A migration that no receiver accepted: its owner has had the answer, so the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
             self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
             return
-        elif state in (forwarding.REFUSED, forwarding.FAILED):
+        elif state in (forwarding.REJECTED, forwarding.FAILED):
             self._requests.reject_or_fail(
-                task.request, Step.REFUSE if state == forwarding.REFUSED else Step.FAIL
+                task.request, Step.REFUSE if state == forwarding.REJECTED else Step.FAIL
             )
         elif state in forwarding.RAN:
             self._jobs.transition(task, Step.DONE if state == forwarding.DONE else Step.LOSE)
@@ -211,7 +207,7 @@
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
             self.carry_out(
-                self.receiver.report_status(now, ident, forwarding.REFUSED, "", str(error))
+                self.receiver.report_status(now, ident, forwarding.REJECTED, "", str(error))
             )
             return
         if ident in self._stopped_early:
@@ -247,7 +243,7 @@
         state = {
             State.PLACED: forwarding.PLACED,
             State.ADOPTED: forwarding.PLACED,
-            State.REFUSED: forwarding.REFUSED,
+            State.REFUSED: forwarding.REJECTED,
             State.FAILED: forwarding.FAILED,
             State.DONE: forwarding.DONE,
             State.LOST: forwarding.LOST,
