--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -202,7 +202,7 @@
             == []
         )
         assert member.on_message(1, "p000", "", NotLeader(number, "p001")) == []
-    assert (member.rules_lease.edition, member.rules_lease.expires_us) == (1, before)
+    assert (member.rules_lease.revision, member.rules_lease.expires_us) == (1, before)
 
 
 def test_a_voter_that_does_not_lead_redirects_requests() -> None:
--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -62,7 +62,7 @@
     shop.run(shop.now_us + 3 * SECOND)
     acting = shop.members["p004"].rules_in_force(shop.clock_us("p004"))
     assert acting is not None
-    assert not acting.edition
+    assert not acting.revision
     bench = shop.benches["r0-m2"]
     for number in range(10**9, 10**9 + 5):
         bench.tasks[number] = "p004", shop.now_us + 10 * SECOND
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -129,7 +129,7 @@
         now, names = self._base.hub.now_us(), {"namespace": namespace, "class": task_class}
         asked = [each for each in self._rules.limits if names.get(each.about) == each.name]
         acting = self.acting(now)
-        if asked and (acting is None or not acting.edition):
+        if asked and (acting is None or not acting.revision):
             return asked[0]  # Danger: on a floor, rights have lapsed: others may hold them by now
         for each in asked:
             if not purse.has_room(now, each.key, count, is_retry=again):
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -251,11 +251,11 @@
         effects: list[Effect] = []
         agreed = self.agreed
         before = (agreed.revision, agreed.version, len(agreed.floors))
-        old_edition = agreed.revision
+        old_revision = agreed.revision
         has_changed = False
         for entry in committed.entries:
             has_changed = self._apply(entry) or has_changed
-        if agreed.revision != old_edition:
+        if agreed.revision != old_revision:
             fields = {"edition": agreed.revision, "version": agreed.version}
             effects.append(Notify("edition", fields))
         if self.raft is not None and self.raft.log.should_compact:
--- a/wingbarrow/decide/coordination/granted_leases.py
+++ b/wingbarrow/decide/coordination/granted_leases.py
@@ -1,4 +1,4 @@
-"""A leader's account of the leases that it has granted: until when somebody may act on an earlier edition, or a floor.
+"""A leader's account of the leases that it has granted: until when somebody may act on an earlier revision, or a floor.
 
 It is not replicated. A new leader, which knows of no leases, reckons with those that any leader before it may have
 granted until its own election. Times are by this leader's clock; `lease_expiry_us` allows for the holder's.
@@ -17,7 +17,7 @@
 class GrantedLease:
     """What a placer may act on, and until when at the latest."""
 
-    edition: int
+    revision: int
     expires_us: int
 
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.by_holder: dict[str, GrantedLease] = {}
         self._floor_expiries_us: dict[int, int] = {}  # by the floor's number
-        # Placers that were granted a later edition, and have not come back with it: until when each may still act on
+        # Placers that were granted a later revision, and have not come back with it: until when each may still act on
         # its last one, as the grant may never reach it.
         self._unacknowledged_us: dict[str, int] = {}
 
@@ -40,12 +40,12 @@
         }
         return len(self.by_holder) < MAX_LEASE_HOLDERS
 
-    def grant(self, holder: str, known_edition: int, lease: GrantedLease) -> None:
-        """Enter a lease for a placer that acts on `known_edition` now."""
+    def grant(self, holder: str, known_revision: int, lease: GrantedLease) -> None:
+        """Enter a lease for a placer that acts on `known_revision` now."""
         last = self.by_holder.get(holder)
-        if known_edition >= lease.edition:
+        if known_revision >= lease.revision:
             self._unacknowledged_us.pop(holder, None)
-        elif last is not None and last.edition < lease.edition:
+        elif last is not None and last.revision < lease.revision:
             expires_us = max(self._unacknowledged_us.get(holder, 0), last.expires_us)
             self._unacknowledged_us[holder] = expires_us
         self.by_holder[holder] = lease
@@ -59,8 +59,10 @@
         granted_us = self._floor_expiries_us.get(number, 0)
         return max(granted_us, lease_expiry_us(elected_at_us, lasts_us))
 
-    def earlier_expire_us(self, edition: int, elected_at_us: int, lasts_us: int) -> int:
-        """When nobody can act on an edition before this one any more."""
-        earlier = [lease.expires_us for lease in self.by_holder.values() if lease.edition < edition]
+    def earlier_expire_us(self, revision: int, elected_at_us: int, lasts_us: int) -> int:
+        """When nobody can act on a revision before this one any more."""
+        earlier = [
+            lease.expires_us for lease in self.by_holder.values() if lease.revision < revision
+        ]
         unknown_us = lease_expiry_us(elected_at_us, lasts_us)
         return max([unknown_us, *earlier, *self._unacknowledged_us.values()])
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -1,8 +1,8 @@
 """The leader's side of coordination: it answers lease requests, and proposes what is due.
 
 Guaranteed: a request is answered only after a majority of the voters has followed this leader since the request came,
-so that no deposed leader grants anything; and a transition between editions is proposed only once no lease of an
-earlier edition can be in force, as `GrantedLeases` reckons. What a leader knows beside the log is its own, and ends
+so that no deposed leader grants anything; and a transition between revisions is proposed only once no lease of an
+earlier revision can be in force, as `GrantedLeases` reckons. What a leader knows beside the log is its own, and ends
 with its term.
 """
 
@@ -257,7 +257,7 @@
     # -- Proposals
 
     def propose_next(self, now_us: int) -> list[Effect]:
-        """Propose what is due, of one kind at a time: a transition to the next edition, the end of a floor, or what
+        """Propose what is due, of one kind at a time: a transition to the next revision, the end of a floor, or what
         subsystems want. Where nothing is due yet, or an entry is uncommitted, `PROPOSAL_TIMER` is set."""
         raft = self._host.raft
         agreed = self._host.agreed
@@ -298,12 +298,12 @@
         return effects
 
     def _earlier_leases_expire_us(self) -> int:
-        """When no placer can act on an edition before the one in force any more."""
+        """When no placer can act on a revision before the one in force any more."""
         raft = self._host.raft
         assert raft is not None
-        edition = self._host.agreed.revision
+        revision = self._host.agreed.revision
         return self._state.leases.earlier_expire_us(
-            edition, raft.elected_at_us, self._timing.grant_us
+            revision, raft.elected_at_us, self._timing.grant_us
         )
 
     def _earlier_floors_expire_us(self) -> int:
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -99,7 +99,7 @@
         evidence, bad, tried = self.health_observer.evidence(now_us, self.ejections.mine)
         return LeaseRequest(
             self._number,
-            self.rules_lease.edition,
+            self.rules_lease.revision,
             self.rules_lease.floor,
             self.local.incarnation,
             max(0, now_us - self.started_us),
@@ -165,15 +165,15 @@
 
     def _renew_rules(self, now_us: int, requested_us: int, grant: LeaseGrant) -> list[Effect]:
         lease = self.rules_lease
-        if not grant.edition or not (grant.rules or grant.edition == lease.edition):
-            return []  # nothing in force yet; or an edition whose rules are not known here
-        old_edition = lease.edition
+        if not grant.edition or not (grant.rules or grant.edition == lease.revision):
+            return []  # nothing in force yet; or a revision whose rules are not known here
+        old_revision = lease.revision
         had_expired = now_us >= lease.expires_us
         rules = grant.rules or lease.rules
         if not lease.renew(requested_us, grant.edition, rules, grant.lasts_us):
             return []
         old_shares = dict(self.quotas.shares)
-        if lease.edition != old_edition:
+        if lease.revision != old_revision:
             self.quotas.on_limits(parse_rule_set(lease.rules).limits)
         if had_expired:
             self.quotas.expire()
@@ -205,7 +205,7 @@
         if rules != self._notified_rules:
             self._notified_rules = rules
             shown = rules or RulesInForce("", 0, "")
-            fields = {"label": shown.label, "edition": shown.edition, "rules": shown.rules}
+            fields = {"label": shown.label, "edition": shown.revision, "rules": shown.rules}
             effects.append(Notify("rules", fields))
         expiries_us = (self.rules_lease.expires_us, self.rules_lease.floor_expires_us)
         next_expiry_us = min((each for each in expiries_us if each > now_us), default=None)
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -22,8 +22,8 @@
 class RulesInForce:
     """What a placer acts on; `rules` is a rule set's text."""
 
-    label: str  # of each offer: `e7` for edition 7, `f2` for floor 2
-    edition: int  # 0 for a floor
+    label: str  # of each offer: `e7` for revision 7, `f2` for floor 2
+    revision: int  # 0 for a floor
     rules: str
 
 
@@ -31,20 +31,20 @@
 class RulesLease:
     """One placer's leases; times by its own clock, expiries of 0 for none."""
 
-    edition: int = 0
+    revision: int = 0
     rules: str = ""
     expires_us: int = 0
     floor: int = 0
     floor_rules: str = ""
     floor_expires_us: int = 0
 
-    def renew(self, requested_us: int, edition: int, rules: str, lasts_us: int) -> bool:
-        """Renew, as requested at that time; False for a grant of an edition before the one held: it has no effect."""
-        if edition < self.edition:
+    def renew(self, requested_us: int, revision: int, rules: str, lasts_us: int) -> bool:
+        """Renew, as requested at that time; False for a grant of a revision before the one held: it has no effect."""
+        if revision < self.revision:
             # Danger: a late grant must not bring back rules whose time has passed.
             return False
-        if edition > self.edition:
-            self.edition, self.rules, self.expires_us = edition, rules, 0
+        if revision > self.revision:
+            self.revision, self.rules, self.expires_us = revision, rules, 0
         self.expires_us = max(self.expires_us, requested_us + lasts_us)
         return True
 
@@ -58,8 +58,8 @@
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
         """What may be acted on at this moment; None for nothing."""
-        if self.edition and now_us < self.expires_us:
-            return RulesInForce(f"e{self.edition}", self.edition, self.rules)
+        if self.revision and now_us < self.expires_us:
+            return RulesInForce(f"e{self.revision}", self.revision, self.rules)
         if self.floor and now_us < self.floor_expires_us:
             return RulesInForce(f"f{self.floor}", 0, self.floor_rules)
         return None
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -22,7 +22,7 @@
     """A placer asks for its lease to be renewed. Rules that it holds already need not come with the grant."""
 
     number: int  # of this request, by its sender
-    edition: int  # that it holds; 0 for none
+    edition: int  # revision of the rule set that it holds; 0 for none
     floor: int  # likewise
     life: int = 0  # incarnation
     up_us: int = 0  # since this incarnation began
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The answer: act on `edition` for `lasts_us` from when you requested it. Rules that you hold are ""."""
+    """The answer: act on revision `edition` for `lasts_us` from when you requested it. Rules that you hold are ""."""
 
     number: int  # of the request
     edition: int
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -97,11 +97,11 @@
                 self.refused += 1
                 continue
             self.acts += 1
-            if not acting.edition:
+            if not acting.revision:
                 self.on_floor += 1
                 continue
-            use = self.uses.setdefault(acting.edition, Use(self.now_us, self.now_us, acting.rules))
-            assert use.rules == acting.rules, f"edition {acting.edition} has two rule sets"
+            use = self.uses.setdefault(acting.revision, Use(self.now_us, self.now_us, acting.rules))
+            assert use.rules == acting.rules, f"edition {acting.revision} has two rule sets"
             use.last_us = self.now_us
         self.at(self.now_us + ACT_US, self._act_all)
 
@@ -163,7 +163,7 @@
         """Whether every placer acts on these rules, by an edition."""
         return all(
             (acting := each.rules_in_force(self.clock_us(name))) is not None
-            and acting.edition > 0
+            and acting.revision > 0
             and acting.rules == rules.text()
             for name, each in self.members.items()
         )
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -90,7 +90,7 @@
         local = self.clock_us(name)
         acting = member.rules_in_force(local)
         self.wanted += 1
-        if acting is None or not acting.edition or not member.quotas.limits:
+        if acting is None or not acting.revision or not member.quotas.limits:
             return
         allowed = [member.quotas.has_room(local, key, 1) for key in (STANDING, RATE)]
         if all(allowed):
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -263,7 +263,7 @@
         acting = self.members[name].rules_in_force(self.clock_us(name))
         if acting is None or self.trouble.random() > 0.3:
             return
-        floor = acting.edition == 0 and self._floor_sends
+        floor = acting.revision == 0 and self._floor_sends
         side, eyes = self.sides[name], self.eyes[name]
         found = [
             each
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -45,7 +45,7 @@
                     "limit": each.key,
                     "most": purse.limits[each.key].most,
                     "windowUs": purse.limits[each.key].window_us,
-                    "share": each.share if acting is not None and acting.edition else 0,
+                    "share": each.share if acting is not None and acting.revision else 0,
                     "uses": each.uses,
                     "wants": each.wants,
                 }
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -174,7 +174,7 @@
             state["holders"] = [
                 {
                     "placer": name,
-                    "edition": lease.edition,
+                    "edition": lease.revision,
                     "leftUs": max(0, lease.expires_us - now),
                     "lapsedUs": max(0, now - lease.expires_us),
                 }
