--- a/wingbarrow/decide/consensus/progress.py
+++ b/wingbarrow/decide/consensus/progress.py
@@ -41,7 +41,7 @@
         for name in [name for name in self.progress if name not in followers]:
             del self.progress[name]
 
-    def heard_since(self, since_us: int) -> int:
+    def responded_since(self, since_us: int) -> int:
         """How many followers have answered after a time."""
         return sum(each.last_response_us > since_us for each in self.progress.values())
 
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -342,7 +342,7 @@
         if not self.is_leader:
             return []
         since_us = now_us - 2 * self._election_timeout_us
-        active = self._own_vote() + self._leading.heard_since(since_us)
+        active = self._own_vote() + self._leading.responded_since(since_us)
         if not self._is_majority(active):
             # Check-quorum (6.2). Danger: a leader that a majority hears no longer would go on answering as one.
             return self._step_down(now_us, self.persistent.term)
