--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -32,7 +32,7 @@
 
 SECOND = 1_000_000
 TURN_US = 10_000  # the hub's longest turn, as in docs/rules-agreed.md
-BLOCK_BYTES = 50  # as in docs/limits.md
+BLOCK_BYTES = 50  # as in docs/quotas.md
 
 MEMBERSHIP, MAIL, AGREEMENT, LIMITS = "Membership", "Mail", "Agreement", "Limits"
 RECORDS, TURNS, DEFAULTS = "Records", "Turns", "Settings, by default"
@@ -133,7 +133,7 @@
             "text of a rule set without federation specs",
             MAX_TEXT_CHARS,
             "bytes",
-            "wingbarrow/decide/rulesets/ruleset.py",
+            "wingbarrow/decide/rulesets/parsing.py",
             AGREEMENT,
         ),
         Bound(
