--- a/tests/core/test_active_rules.py
+++ b/tests/core/test_active_rules.py
@@ -1,4 +1,4 @@
-"""What a placer goes by of the rules that placers agree on."""
+"""The rule set that a placer acts on."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from wingbarrow.peers.ruleset_settings import rules_of
 
 
-def test_a_floor_leaves_the_specs_that_were_known() -> None:
+def test_federation_specs_of_the_last_revision_go_on_under_a_floor() -> None:
     settings = load_text(settings_text(0, 1, 1, 8001, 8080, "/tmp/x"))
     base: Any = SimpleNamespace(
-        settings=settings, hub=SimpleNamespace(), log=lambda *words, **more: None
+        settings=settings, hub=SimpleNamespace(), log=lambda event, **fields: None
     )
-    book = ActiveRules(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
+    active = ActiveRules(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
     federation = Federation((Spec("orders", ("north",)),), (), (("web", "orders"),))
     rules = rules_of(settings)
-    assert book.federation() == settings.federation == Federation()
-    book.take("e1", replace(rules, federation=federation).text())
-    assert book.federation() == federation
-    book.take("f1", rules.text())
-    book.take("", "")
-    assert book.federation() == federation
-    book.take("e2", rules.text())
-    assert book.federation() == Federation()
+    assert active.federation() == settings.federation == Federation()
+    active.on_rules("e1", replace(rules, federation=federation).text())
+    assert active.federation() == federation
+    active.on_rules("f1", rules.text())
+    active.on_rules("", "")
+    assert active.federation() == federation
+    active.on_rules("e2", rules.text())
+    assert active.federation() == Federation()
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -1,4 +1,4 @@
-"""The rules that this placer acts on, where placers agree on them: fed to the module, asked by the gate."""
+"""The rule set that this placer acts on, where placers agree on one: fed to the module, asked before each send."""
 
 from __future__ import annotations
 
@@ -20,167 +20,173 @@
 from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
 from wingbarrow.transport import Signal
 
-RIGHTS_US = 1_000_000  # a Job waits for rights that others may spare for so long, and a third of its patience
-WAITING_MOST = 256  # Jobs that do
-LOOK_US = 100_000  # they look again so often, as tasks that end free rights too
+QUOTA_WAIT_US = 1_000_000  # a Job waits for quota at most so long, and a third of its patience
+QUOTA_CHECK_US = 100_000  # between its attempts, as tasks that end free quota too
+MAX_WAITING = 256  # Jobs that wait for quota
+REVISION_LABEL = "e"  # the prefix of a revision's label; a floor's is "f"
+NO_CONTACT = "this placer is out of touch with the others and may act on no rules now"
 
 
 class ActiveRules:
-    """`acting` tells what may be acted on at a time; None where placers agree on nothing here."""
+    """The rule set in force at this placer, and its quotas.
+
+    The placer's assembly sets the callbacks below where placers agree on rules; without `acting` they agree on none.
+    """
 
     def __init__(self, base: Base, host: Host) -> None:
-        self._base, self._host = base, host
+        self._base = base
+        self._host = host
+        # What may be acted on at a time; None for nothing.
         self.acting: Callable[[int], RulesInForce | None] | None = None
-        self.purse: Callable[[], QuotaAccount | None] = lambda: None
-        self._cold: int | None = (
-            None  # this placer's part of the cold budget, where it is held in parts
-        )
-        self._cold_less_us = 0  # when that became less last
-        self.pass_again: Callable[[set[str]], None] = (
-            lambda names: None
-        )  # has machines pass the fleet's guards anew
+        self.quotas: Callable[[], QuotaAccount | None] = lambda: None
+        self.hurry: Callable[[], None] = lambda: None  # has quota asked for soon
+        self.recheck_machines: Callable[[set[str]], None] = lambda names: None
         self.on_drains: Callable[[RuleSet], None] = lambda rules: None
-        self.drained: Callable[[str], bool] = (
-            lambda machine: False
-        )  # by a drain that placers agree on
-        self.label = ""  # of the rules that the module goes by
+        self.is_drained: Callable[[str], bool] = lambda machine: False  # by an agreed drain
+        self.label = ""  # of the rule set that the module goes by
+        self._text = ""
         self._rules: RuleSet | None = None
+        self._federation = base.settings.federation
         self._classes: frozenset[str] = frozenset()
         self._barred: frozenset[str] = frozenset()
-        self._text, self._by_rights = "", False
-        self._changed = Signal(base.hub)  # other rules or rights
-        self._waiting = 0  # Jobs that wait for those
-        self.hurry: Callable[[], None] = lambda: None  # has rights asked for soon
-        self._federation = base.settings.federation
+        self._is_cold_limited = False  # the cold budget is a limit of the whole fleet
+        self._cold_share: int | None = None  # of that limit, as the module was told last
+        self._cold_reduced_us = 0  # when that became less last
+        self._changed = Signal(base.hub)  # another rule set, or other quotas
+        self._waiting = 0  # Jobs that wait for that
 
-    def federation(self) -> Federation:
-        """The specs in force. A floor speaks of none: those known last go on, so that residency holds behind a cut."""
-        return self._federation
+    # -- what changes
 
-    def take(self, label: str, text: str) -> None:
-        """Other rules are acted on from now on; an empty text: none, and the module keeps those it has."""
+    def on_rules(self, label: str, text: str) -> None:
+        """Act on another rule set; with an empty text on none, and the module keeps the one it has."""
         self.label = label
         self._changed.notify()
         self._base.log("rules", label=label or "none")
         if not text:
             return
-        self._rules, self._text = parse_rule_set(text), text
-        self._by_rights = label.startswith("e") and any(
-            each.about == "cold" for each in self._rules.limits
-        )
-        self._cold = None
-        if self._by_rights:
-            self.take_rights()
+        rules = self._rules = parse_rule_set(text)
+        self._text = text
+        is_revision = label.startswith(REVISION_LABEL)
+        self._is_cold_limited = is_revision and any(each.about == "cold" for each in rules.limits)
+        self._cold_share = None
+        if self._is_cold_limited:
+            self.on_quotas()
         else:
             self._host.feed(scheduler_under(self._base.settings, text))
-        before, self._barred = self._barred, frozenset(self._rules.barred)
-        self._classes = frozenset(each.name for each in self._rules.classes)
-        changed = set(before ^ self._barred)
+        barred_before = self._barred
+        self._barred = frozenset(rules.barred)
+        self._classes = frozenset(each.name for each in rules.classes)
+        changed = set(barred_before ^ self._barred)
         if changed:
-            self.pass_again(changed)
-        if label.startswith("e"):  # a floor speaks of no drains: those known last go on
-            self._federation = self._rules.federation
-            self.on_drains(self._rules)
+            self.recheck_machines(changed)
+        if is_revision:  # a floor has no drains and specs: those known last go on
+            self._federation = rules.federation
+            self.on_drains(rules)
 
-    def take_rights(self) -> None:
-        """Another part of the fleet's limits is held now."""
+    def on_quotas(self) -> None:
+        """Take other shares of the fleet's limits."""
         self._changed.notify()
-        purse = self.purse()
-        if not self._by_rights or purse is None:
+        quotas = self.quotas()
+        if not self._is_cold_limited or quotas is None:
+            return
+        share = quotas.shares.get("cold", 0)
+        if share == self._cold_share:
             return
-        share = purse.shares.get("cold", 0)
-        if share != self._cold:
-            if self._cold is not None and share < self._cold:
-                self._cold_less_us = self._base.hub.now_us()
-            self._cold = share
-            self._host.feed(scheduler_under(self._base.settings, self._text, share))
-
-    def beyond_after(
+        if self._cold_share is not None and share < self._cold_share:
+            self._cold_reduced_us = self._base.hub.now_us()
+        self._cold_share = share
+        self._host.feed(scheduler_under(self._base.settings, self._text, share))
+
+    # -- what is in force
+
+    def in_force(self) -> RuleSet | None:
+        """The rule set that was acted on last; None before there is one."""
+        return self._rules
+
+    def federation(self) -> Federation:
+        """The specs in force. A floor has none: those known last go on, so that residency holds while cut off."""
+        return self._federation
+
+    def cold_offers(self) -> float:
+        """Offers that one cold machine may get within the window, of all placers together."""
+        if self._rules is None:
+            return self._base.settings.scheduler.fresh_offers
+        return float(cold_total(self._rules))
+
+    def check_contact(self) -> None:
+        """Asked for each Job: raises ApiError 503 where this placer may act on no rules."""
+        if self.acting is not None and self.acting(self._base.hub.now_us()) is None:
+            self._base.counts["turned_away:no grant"] += 1
+            raise ApiError(503, NO_CONTACT, "ServiceUnavailable", retry_after_s=1)
+
+    # -- limits of the whole fleet
+
+    def use_quota_or_wait(
         self, namespace: str, task_class: str, count: int, until_us: int
     ) -> FleetLimit | None:
-        """As `beyond`, but rights that others may spare are waited for, until then at the latest.
+        """As `use_quota`, but wait, until `until_us` at the latest, for quota that others may spare.
 
-        Danger: a part that is short here for a moment, while most of the limit lies idle elsewhere, would have a fleet
-        turn work away that it has room for.
+        Danger: a share that is short here for a moment, while most of the limit is idle elsewhere, would have a fleet
+        reject work that it has capacity for.
         """
         hub = self._base.hub
-        until_us = min(until_us, hub.now_us() + RIGHTS_US)
-        found = self.beyond(namespace, task_class, count)
-        if found is None or self._waiting >= WAITING_MOST:
-            return found
+        until_us = min(until_us, hub.now_us() + QUOTA_WAIT_US)
+        exceeded = self.use_quota(namespace, task_class, count)
+        if exceeded is None or self._waiting >= MAX_WAITING:
+            return exceeded
         self._waiting += 1
         try:
-            while found is not None and hub.now_us() < until_us and count <= found.most:
+            while exceeded is not None and hub.now_us() < until_us and count <= exceeded.most:
                 self.hurry()
-                with hub.limit(min(LOOK_US, until_us - hub.now_us())):
+                with hub.limit(min(QUOTA_CHECK_US, until_us - hub.now_us())):
                     self._changed.wait()
-                found = self.beyond(namespace, task_class, count, again=True)
+                exceeded = self.use_quota(namespace, task_class, count, is_retry=True)
         finally:
             self._waiting -= 1
-        return found
+        return exceeded
 
-    def beyond(
-        self, namespace: str, task_class: str, count: int, again: bool = False
+    def use_quota(
+        self, namespace: str, task_class: str, count: int, *, is_retry: bool = False
     ) -> FleetLimit | None:
-        """The limit of the whole fleet that so many more tasks would pass, by what is held here; else they count."""
-        purse = self.purse()
-        if self.acting is None or purse is None or self._rules is None:
+        """The limit that `count` more tasks would exceed, by this placer's shares; None where they are counted."""
+        quotas = self.quotas()
+        if self.acting is None or quotas is None or self._rules is None:
             return None
-        now, names = self._base.hub.now_us(), {"namespace": namespace, "class": task_class}
-        asked = [each for each in self._rules.limits if names.get(each.about) == each.name]
-        acting = self.acting(now)
-        if asked and (acting is None or not acting.edition):
-            return asked[0]  # Danger: on a floor, rights have lapsed: others may hold them by now
-        for each in asked:
-            if not purse.has_room(now, each.key, count, is_retry=again):
-                return each
-        for each in asked:
-            purse.record_use(now, each.key, count)
+        now_us = self._base.hub.now_us()
+        names = {"namespace": namespace, "class": task_class}
+        limits = [each for each in self._rules.limits if names.get(each.about) == each.name]
+        acting = self.acting(now_us)
+        if limits and (acting is None or not acting.edition):
+            return limits[0]  # Danger: on a floor, shares have expired: others may hold them by now
+        for limit in limits:
+            if not quotas.has_room(now_us, limit.key, count, is_retry=is_retry):
+                return limit
+        for limit in limits:
+            quotas.record_use(now_us, limit.key, count)
         return None
 
-    def in_force(self) -> RuleSet | None:
-        """The rules that were acted on last; None before there are any."""
-        return self._rules
-
-    def cold_offers(self) -> float:
-        """Offers that one cold machine may get within the window, of all placers together."""
-        return (
-            self._base.settings.scheduler.fresh_offers
-            if self._rules is None
-            else float(cold_total(self._rules))
-        )
+    # -- machines and offers
 
     def guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
         """A barred machine, or one that is to be drained, gets nothing."""
         if (
-            not (entry.name in self._barred or self.drained(entry.name))
+            not (entry.name in self._barred or self.is_drained(entry.name))
             or listed.phase is not api.Phase.RUNNING
         ):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def against(
+    def objection_to(
         self, now_us: int, label: str, task_class: str, machine: str, decided_us: int
     ) -> Held | None:
-        """What speaks against an offer that was decided under rules of a label, right before its first byte."""
+        """Why an offer that was decided under the rules of a label cannot go, asked right before its first byte."""
         if self.acting is None:
             return None
         acting = self.acting(now_us)
         if acting is None:
             return Held.NO_GRANT
-        if acting.label != label or self._rules is None or decided_us < self._cold_less_us:
+        if acting.label != label or self._rules is None or decided_us < self._cold_reduced_us:
             return Held.OTHER_RULES
-        if machine in self._barred or self.drained(machine) or task_class not in self._classes:
+        if machine in self._barred or self.is_drained(machine) or task_class not in self._classes:
             return Held.FORBIDDEN
         return None
-
-    def look(self) -> None:
-        """Asked of each Job: ApiError 503 where this placer may act on nothing."""
-        if self.acting is not None and self.acting(self._base.hub.now_us()) is None:
-            self._base.counts["turned_away:no grant"] += 1
-            raise ApiError(
-                503,
-                "this placer is out of touch with the others and may act on no rules now",
-                "ServiceUnavailable",
-                retry_after_s=1,
-            )
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -89,7 +89,7 @@
         placer, so that it goes no further.
         """
         base = self._base
-        self._rulebook.look()
+        self._rulebook.check_contact()
         fresh = f"{base.random.randrange(36**5):05x}"[-5:]
         asked = read_job(value, namespace, base.settings.classes, base.settings.limits, fresh)
         key = f"{namespace}/{asked.name}"
@@ -109,7 +109,7 @@
         beyond = (
             None
             if dry_run
-            else self._rulebook.beyond_after(
+            else self._rulebook.use_quota_or_wait(
                 namespace,
                 asked.task_class.task_class.name,
                 asked.count,
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -111,7 +111,7 @@
                 and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING,
                 link.launched_us,
-                self._rulebook.against(
+                self._rulebook.objection_to(
                     now,
                     attempt.rules,
                     task.job.request.task_class.task_class.name,
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -151,13 +151,13 @@
         host.hands = _Hands(offers, requests, runs, fleet, board)
         self._keeper = Checkpoint(base, fleet)
         if settings.agree is not None:
-            rulebook.pass_again = lambda names: fleet.take_again(
+            rulebook.recheck_machines = lambda names: fleet.take_again(
                 [entry for name, entry in fleet.held.items() if name in names]
             )
             fleet.guards.append(rulebook.guard)
             rulebook.acting = self._acting
-            self.peering.on_rules = rulebook.take
-            self.peering.on_rights = rulebook.take_rights
+            self.peering.on_rules = rulebook.on_rules
+            self.peering.on_rights = rulebook.on_quotas
             rulebook.hurry = self.peering.hurry
             self.peering.uses = self._uses
             # Of the cold budget a placer wants as much as waits; how much of that is for cold machines nobody knows.
@@ -173,7 +173,7 @@
             self.peering.on_turns = turns.on_slots_changed
             requests.on_start_outcome = turns.observing(verdicts.note)
             self.peering.zones, self.peering.on_verdicts = verdicts.zones, verdicts.take
-            rulebook.purse = (
+            rulebook.quotas = (
                 lambda: self.peering.agreement.quotas
                 if self.peering.agreement is not None
                 else None
@@ -212,7 +212,7 @@
             rulebook.on_drains = lambda rules: self.drainer.on_agreed(
                 calendar_under(rules, needed), rules.asked, rules.cancelled
             )
-            rulebook.drained = lambda machine: self.drainer.is_closed(
+            rulebook.is_drained = lambda machine: self.drainer.is_closed(
                 machine
             ) or self.peering.turn_side.is_closed(machine)
             self.drainer.may_move = lambda: self._acting(hub.now_us()) is not None
