--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -1,11 +1,11 @@
-"""Three placers and two leaders that take turns, on one clock, with a log of moves: what tests of rights play on."""
+"""Three placers and two voters that lead in turn, on one clock, with a log of moves: a state machine of quotas."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, ClassVar
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -22,10 +22,10 @@
 from wingbarrow.lab.fleet.schedules import rules
 
 S = 1_000_000
-GRANT, WINDOW, STRANDED, MOST = 2 * S, 3 * S, 5 * S, 6
+LEASE, WINDOW, STRANDED, LIMIT = 2 * S, 3 * S, 5 * S, 6
 NAMES = ("a", "b", "c")
-STANDING = FleetLimit("namespace", "shop", "standing", MOST, 0, STRANDED, NAMES)
-RATE = FleetLimit("class", "web", "rate", MOST, WINDOW, STRANDED, NAMES)
+STANDING = FleetLimit("namespace", "shop", "standing", LIMIT, 0, STRANDED, NAMES)
+RATE = FleetLimit("class", "web", "rate", LIMIT, WINDOW, STRANDED, NAMES)
 
 
 def limited(most: int) -> RuleSet:
@@ -36,7 +36,7 @@
 
 @dataclass
 class Placer:
-    """One life of a placer: its holding, and what stands of it."""
+    """One incarnation of a placer: its lease client, and what is in use of its quota."""
 
     holding: LeaseClient
     standing: int = 0
@@ -48,8 +48,8 @@
 
 
 @dataclass(frozen=True)
-class Letter:
-    """An ask on its way to one leader, or a grant on its way back."""
+class Message:
+    """A request on its way to one leader, or a grant on its way back."""
 
     name: str
     life: int
@@ -59,11 +59,11 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Mail is kept, lost, doubled and late at will; an entry that was proposed is decided or lost."""
+    """Messages are delivered, lost, duplicated and late at will; a proposed entry is decided or lost."""
 
-    blocks: type[AllocationLedger] = AllocationLedger
-    holding: type[LeaseClient] = LeaseClient
-    found: Counter[str] = Counter()
+    ledgers: type[AllocationLedger] = AllocationLedger
+    clients: type[LeaseClient] = LeaseClient
+    found: ClassVar[Counter[str]] = Counter()
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,27 +71,27 @@
             100 * S,
             0,
             1,
-            MOST,
+            LIMIT,
             0,
             0,
         )
-        self.voters = [self.blocks(GRANT), self.blocks(GRANT)]
+        self.voters = [self.ledgers(LEASE), self.ledgers(LEASE)]
         self.proposed: list[Proposal] = []
         self.placers: dict[str, Placer] = {}
-        self.mail: list[Letter] = []
+        self.mail: list[Message] = []
         self.orphans: list[
             tuple[int, int]
         ] = []  # tasks of placers that were killed: until when they run, how many
         self.starts: list[int] = []
         for name in NAMES:
-            self.rise(name)
+            self.start_placer(name)
         self.elect(0, True)
 
-    def rise(self, name: str) -> None:
+    def start_placer(self, name: str) -> None:
         self.lives += 1
-        holding = self.holding(
+        holding = self.clients(
             LocalPlacer(name, self.lives),
-            CoordinationSettings(("v",), Timing(GRANT)),
+            CoordinationSettings(("v",), Timing(LEASE)),
             self.lives,
             Timers(),
         )
@@ -117,28 +117,30 @@
         placer = self.placers[name]
         placer.wants = wants
         ask, _, _ = placer.holding.next_request(self.now_us, "v")
-        self.mail.append(Letter(name, placer.holding.local.incarnation, self.leader, ask))
+        self.mail.append(Message(name, placer.holding.local.incarnation, self.leader, ask))
 
     @rule(pick=st.integers(0, 99), keep=st.booleans())
-    def arrive(self, pick: int, keep: bool) -> None:
+    def deliver(self, pick: int, keep: bool) -> None:
         if self.mail:
             at = pick % len(self.mail)
-            letter = self.mail[at] if keep else self.mail.pop(at)
-            self.take_back(letter) if letter.grant is not None else self.hear(letter)
+            message = self.mail[at] if keep else self.mail.pop(at)
+            self.deliver_grant(message) if message.grant is not None else self.deliver_request(
+                message
+            )
 
-    def hear(self, letter: Letter) -> None:
+    def deliver_request(self, message: Message) -> None:
         """Only the leader of the day answers: a majority confirms it first."""
-        if letter.leader != self.leader:
+        if message.leader != self.leader:
             return
-        ask = letter.ask
-        asker = Requester(letter.name, ask.life, ask.up_us, ask.number, ask.reign)
+        ask = message.ask
+        requester = Requester(message.name, ask.life, ask.up_us, ask.number, ask.reign)
         wanted = limited(self.most)
-        rights = self.ledger.grants_for(self.now_us, [(asker, ask.stated)], wanted.limits)[0]
+        rights = self.ledger.grants_for(self.now_us, [(requester, ask.stated)], wanted.limits)[0]
         grant = LeaseGrant(
             ask.number,
             self.edition,
             "" if ask.edition == self.edition else wanted.text(),
-            GRANT,
+            LEASE,
             1,
             0,
             "",
@@ -146,20 +148,20 @@
             rights,
             reign=self.reign,
         )
-        self.mail.append(replace(letter, grant=grant))
+        self.mail.append(replace(message, grant=grant))
 
-    def take_back(self, letter: Letter) -> None:
-        placer = self.placers[letter.name]
-        if placer.holding.local.incarnation == letter.life and letter.grant is not None:
-            placer.holding.on_grant(self.now_us, "v", letter.grant)
+    def deliver_grant(self, message: Message) -> None:
+        placer = self.placers[message.name]
+        if placer.holding.local.incarnation == message.life and message.grant is not None:
+            placer.holding.on_grant(self.now_us, "v", message.grant)
             self.found["given"] += sum(placer.holding.quotas.shares.values())
 
     def get(self, name: str, wants: int, moves: bool = True, to_placer: bool = True) -> None:
         """An ask and its answer without trouble; and what is due is decided."""
         self.ask(name, wants)
-        self.hear(self.mail.pop())
+        self.deliver_request(self.mail.pop())
         if to_placer and self.mail:
-            self.take_back(self.mail.pop())
+            self.deliver_grant(self.mail.pop())
         if moves:
             self.now_us += MOVE_INTERVAL_US
             self.move()
@@ -186,7 +188,7 @@
         self.proposed = []
 
     @rule(rarely=st.integers(0, 3), same=st.booleans(), lost=st.booleans())
-    def may_be_deposed(self, rarely: int, same: bool, lost: bool) -> None:
+    def may_change_leader(self, rarely: int, same: bool, lost: bool) -> None:
         if not rarely:
             self.elect(self.leader if same else 1 - self.leader, lost)
             self.found["leaders"] += 1
@@ -202,7 +204,7 @@
         assert self.ledger.snapshot() == text == self.voters[1 - leader].snapshot()
         self.ledger.on_leadership_change(self.now_us, True, self.reign)
 
-    @rule(rarely=st.integers(0, 5), most=st.sampled_from((3, MOST)))
+    @rule(rarely=st.integers(0, 5), most=st.sampled_from((3, LIMIT)))
     def may_change(self, rarely: int, most: int) -> None:
         if not rarely:
             self.edition, self.most = self.edition + 1, most
@@ -212,13 +214,13 @@
     @rule(name=st.sampled_from(NAMES), count=st.integers(1, 6))
     def start(self, name: str, count: int) -> None:
         placer = self.placers[name]
-        purse = placer.holding.quotas
-        if self.now_us < placer.until_us and purse.limits:
-            if purse.has_room(self.now_us, STANDING.key, count):
+        account = placer.holding.quotas
+        if self.now_us < placer.until_us and account.limits:
+            if account.has_room(self.now_us, STANDING.key, count):
                 placer.standing += count
                 self.found["standing"] += count
-            if purse.has_room(self.now_us, RATE.key, count):
-                purse.record_use(self.now_us, RATE.key, count)
+            if account.has_room(self.now_us, RATE.key, count):
+                account.record_use(self.now_us, RATE.key, count)
                 self.starts += [self.now_us] * count
                 self.found["starts"] += count
 
@@ -241,10 +243,10 @@
         if self.placers[name].standing:
             self.orphans.append((self.now_us + STRANDED - 1, self.placers[name].standing))
         self.found["deaths"] += 1
-        self.rise(name)
+        self.start_placer(name)
 
     @invariant()
-    def nobody_passes_the_whole(self) -> None:
+    def limits_hold(self) -> None:
         # One that is out of touch keeps what it runs, which counts for `stranded` alone.
         lost = [
             each
@@ -254,36 +256,36 @@
         running = sum(each.standing for each in self.placers.values()) + sum(
             count for _, count in self.orphans
         )
-        assert running - sum(each.standing for each in lost) <= MOST, f"{running} stand"
-        assert sum(at > self.now_us - WINDOW for at in self.starts) <= MOST, (
+        assert running - sum(each.standing for each in lost) <= LIMIT, f"{running} stand"
+        assert sum(at > self.now_us - WINDOW for at in self.starts) <= LIMIT, (
             f"{len(self.starts)} within the window"
         )
         for decided in self.ledger.allocations.values():
-            assert sum(size for size, _ in decided.by_holder.values()) <= MOST, (
+            assert sum(size for size, _ in decided.by_holder.values()) <= LIMIT, (
                 "sizes exceed the limit"
             )
 
 
-def has_share(fleet: Fleet) -> None:
+def holds_all(fleet: Fleet) -> None:
     """`a` holds the whole."""
     for name, wants in (("a", 6), ("b", 0), ("c", 0)) * 8:
         fleet.get(name, wants)
     fleet.get("a", 6)
 
 
-def has_all(fleet: Fleet) -> None:
+def uses_all(fleet: Fleet) -> None:
     """`a` uses it too."""
-    has_share(fleet)
+    holds_all(fleet)
     fleet.start("a", 6)
     assert fleet.placers["a"].standing == 6, fleet.ledger.allocations
 
 
-def then_b_takes_what_it_gets(fleet: Fleet) -> None:
+def then_b_uses_its_share(fleet: Fleet) -> None:
     for _ in range(4):
         fleet.get("b", 6)
         fleet.start("b", 1)
         fleet.start("b", 1)
-    fleet.nobody_passes_the_whole()
+    fleet.limits_hold()
 
 
 Story = Callable[[Any], None]
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -1,4 +1,4 @@
-"""Blocks in the log: moves that are worked out on another state, limits that change, what recovery leaves, bounds."""
+"""Allocations in the log: moves computed on another state, limits that change, recovery, bounds."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import pytest
 
 from tests.decide.quotas.escrow_fleet import (
-    GRANT,
-    MOST,
+    LEASE,
+    LIMIT,
     NAMES,
     RATE,
     STANDING,
     STRANDED,
     Fleet,
     S,
-    has_all,
     limited,
+    uses_all,
 )
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas import allocations
@@ -35,7 +35,7 @@
     return fleet.placers[name].holding.quotas.shares.get(STANDING.key, 0)
 
 
-def test_a_new_leader_gives_each_its_own_with_the_first_answer_and_so_after_a_gap() -> None:
+def test_new_leader_grants_each_placer_its_allocation_with_the_first_response() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
         fleet.get(name, 2)
@@ -48,7 +48,7 @@
         assert share(fleet, name) == held[name], "one that is down holds nobody up"
 
 
-def test_one_that_is_unheard_counts_as_its_block_until_nothing_of_it_can_stand() -> None:
+def test_allocation_of_a_silent_placer_is_reclaimed_only_after_lease_and_lag() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
         fleet.get(name, 2)
@@ -57,11 +57,11 @@
     while share(fleet, "a") <= 2:
         fleet.get("a", 6)
         fleet.get("b", 2)
-        assert share(fleet, "a") <= 2 or fleet.now_us >= begun + GRANT + STRANDED
-        assert fleet.now_us < begun + 2 * (GRANT + STRANDED)
+        assert share(fleet, "a") <= 2 or fleet.now_us >= begun + LEASE + STRANDED
+        assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
 
 
-def test_demand_moves_blocks_within_two_asks_of_each() -> None:
+def test_demand_moves_allocations_within_two_requests_of_each() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
         fleet.get(name, 2)
@@ -72,12 +72,12 @@
     assert share(fleet, "b") >= 4
 
 
-def test_a_move_that_was_worked_out_on_another_state_changes_nothing() -> None:
+def test_move_computed_on_another_state_changes_nothing() -> None:
     fleet = Fleet()
     fleet.get("a", 2, moves=False)
     ledger = fleet.voters[1]
     first, second = (
-        fleet.ledger.next_proposals(fleet.now_us + later, limited(MOST))[0][0]
+        fleet.ledger.next_proposals(fleet.now_us + later, limited(LIMIT))[0][0]
         for later in (S, 2 * S)
     )
     ledger.apply(first.kind, json.loads(json.dumps(first.value)))
@@ -103,17 +103,17 @@
         ),
     ],
 )
-def test_what_cannot_be_read_changes_nothing(kind: str, value: Any) -> None:
-    ledger = AllocationLedger(GRANT)
+def test_unreadable_entry_changes_nothing(kind: str, value: Any) -> None:
+    ledger = AllocationLedger(LEASE)
     held = ledger.snapshot()
     with pytest.raises((ValueError, KeyError, TypeError, AttributeError)):
         ledger.apply(kind, value)
     assert ledger.snapshot() == held
 
 
-def test_a_lowered_limit_is_spent_by_nobody_until_enough_has_ended() -> None:
+def test_lowered_limit_is_used_by_nobody_until_enough_has_ended() -> None:
     fleet = Fleet()
-    has_all(fleet)
+    uses_all(fleet)
     fleet.may_change(0, 3)
     for _ in range(4):
         for name, wants in (("b", 6), ("a", 0), ("c", 6)):
@@ -127,16 +127,14 @@
     assert share(fleet, "b") == 1, "one is left of three"
 
 
-def test_a_limit_that_the_rules_lack_keeps_its_blocks_for_as_long_as_any_of_it_can_be_in_use() -> (
-    None
-):
+def test_unlisted_limit_keeps_its_allocations_while_any_can_be_in_use() -> None:
     fleet = Fleet()
-    has_all(fleet)
+    uses_all(fleet)
     bare, held = normalized(rules(3)), fleet.ledger.allocations[STANDING.key].total
     fleet.ledger.next_proposals(fleet.now_us, bare)
     for later in (S, HOUR_US):
         assert fleet.ledger.next_proposals(fleet.now_us + later, bare)[0] == []
-    assert held == MOST
+    assert held == LIMIT
     drop = fleet.ledger.next_proposals(fleet.now_us + HOUR_US + 10 * S, bare)[0]
     assert (
         drop[0].value["drop"]
@@ -147,9 +145,9 @@
     assert fleet.ledger.allocations == {}
 
 
-def test_after_recovery_nobody_gets_anything_until_all_that_was_given_is_over() -> None:
+def test_after_recovery_nothing_is_granted_until_all_earlier_grants_are_over() -> None:
     fleet = Fleet()
-    has_all(fleet)
+    uses_all(fleet)
     for voter in fleet.voters:
         voter.recovered()
     fleet.elect(1, True)
@@ -157,26 +155,28 @@
     while not share(fleet, "b"):
         fleet.get("b", 6)
         fleet.now_us += S // 4
-        assert not share(fleet, "b") or fleet.now_us >= begun + GRANT + STRANDED
-        assert fleet.now_us < begun + 2 * (GRANT + STRANDED)
+        assert not share(fleet, "b") or fleet.now_us >= begun + LEASE + STRANDED
+        assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
 
 
-def test_a_life_of_a_lower_number_is_taken_once_nothing_of_the_known_one_can_stand() -> None:
+def test_incarnation_with_a_lower_number_counts_once_the_known_one_is_over() -> None:
     fleet = Fleet()
-    has_all(fleet)
+    uses_all(fleet)
     ledger, at = fleet.ledger, fleet.now_us
-    asker = Requester("a", 0, 10**9, 1)
-    assert ledger.grants_for(at, [(asker, ())], [STANDING]) == [()]
-    at += GRANT + STRANDED + S // 10
-    ledger.grants_for(at, [(asker, ())], [STANDING])
-    assert ledger.next_proposals(at, limited(MOST))[0][0].value["lives"]["a"] == 0
+    requester = Requester("a", 0, 10**9, 1)
+    assert ledger.grants_for(at, [(requester, ())], [STANDING]) == [()]
+    at += LEASE + STRANDED + S // 10
+    ledger.grants_for(at, [(requester, ())], [STANDING])
+    assert ledger.next_proposals(at, limited(LIMIT))[0][0].value["lives"]["a"] == 0
 
 
-def test_blocks_are_bounded_and_those_beyond_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_allocations_beyond_the_bound_are_rejected_and_counted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(allocations, "MAX_ALLOCATIONS", 4)
     names = tuple(f"p{index}" for index in range(6))
     wanted = normalized(replace(rules(3), limits=(replace(STANDING, among=names),)))
-    ledger = AllocationLedger(GRANT)
+    ledger = AllocationLedger(LEASE)
     ledger.on_leadership_change(S, True, 1)
     for at in (2 * S, 3 * S, 4 * S):
         ledger.grants_for(
@@ -190,11 +190,11 @@
     assert ledger.rejected_allocations > 0
 
 
-def test_accounts_are_told() -> None:
+def test_accounts_show_free_amount_and_use_by_holder() -> None:
     fleet = Fleet()
-    has_all(fleet)
+    uses_all(fleet)
     fleet.get("a", 0)
-    told = fleet.ledger.accounts(fleet.now_us, limited(MOST).limits)
+    told = fleet.ledger.accounts(fleet.now_us, limited(LIMIT).limits)
     assert [each["limit"] for each in told] == [RATE.key, STANDING.key]
     assert told[1]["free"] == 0
     assert {each["placer"]: each["uses"] for each in told[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
@@ -203,7 +203,7 @@
 # -- on the virtual clock: who is in touch with a majority misses no grant
 
 
-def test_a_change_of_leader_costs_hardly_a_grant() -> None:
+def test_leader_change_rarely_costs_a_lease() -> None:
     looks = missed = 0
     for seed in range(1, 13):
         assembly = founded(5, 3, seed=seed)
@@ -221,7 +221,9 @@
 
 
 @pytest.mark.parametrize("one_way", [False, True])
-def test_who_reaches_the_leader_by_way_of_another_voter_alone_misses_nothing(one_way: bool) -> None:
+def test_placer_that_reaches_the_leader_through_another_voter_keeps_its_lease(
+    one_way: bool,
+) -> None:
     assembly = founded(5, 3, seed=3)
     leader = assembly.leader()
     member = "p004"
@@ -240,9 +242,9 @@
     )
 
 
-def test_one_is_not_left_with_far_too_little_where_each_other_has_a_little_too_much() -> None:
+def test_short_holder_is_served_where_others_have_a_little_too_much() -> None:
     names = tuple("abcde")
-    limit, ledger, at = replace(STANDING, most=80, among=names), AllocationLedger(GRANT), S
+    limit, ledger, at = replace(STANDING, most=80, among=names), AllocationLedger(LEASE), S
     ledger.allocations = {
         limit.key: LimitAllocations(
             {"a": Allocation(4, 4), **{name: Allocation(19, 19) for name in "bcde"}}
@@ -266,7 +268,7 @@
     assert min(size for size, _ in ledger.allocations[limit.key].by_holder.values()) >= 13
 
 
-def test_when_the_voter_that_passes_asks_on_loses_the_leader_another_does() -> None:
+def test_another_voter_relays_when_the_relaying_one_loses_the_leader() -> None:
     for seed in (2, 10, 13):
         assembly = founded(5, 3, seed=seed)
         leader = assembly.leader()
@@ -283,5 +285,5 @@
         assert assembly.refused == 0, f"seed {seed}"
 
 
-def test_the_stated_time_is_under_five_seconds() -> None:
+def test_time_without_a_lease_while_in_touch_is_under_five_seconds() -> None:
     assert Timing().reacquire_us() == 4_866_666
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -1,4 +1,4 @@
-"""Rights in escrow: fair parts, and that nobody passes the whole whatever is lost, doubled, late, stopped or reborn."""
+"""Quotas in escrow: fair shares, and limits that hold whatever is lost, duplicated, late, stopped or restarted."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     STRANDED,
     Fleet,
     Story,
-    has_all,
-    has_share,
-    then_b_takes_what_it_gets,
+    holds_all,
+    then_b_uses_its_share,
+    uses_all,
 )
 from wingbarrow.decide.coordination.lease_client import LeaseClient
 from wingbarrow.decide.quotas.allocations import AllocationLedger
@@ -30,7 +30,7 @@
 @given(
     st.integers(0, 50), st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 60), min_size=1)
 )
-def test_parts_are_fair_and_make_the_whole(total: int, wants: dict[str, int]) -> None:
+def test_shares_are_max_min_fair_and_use_up_the_total(total: int, wants: dict[str, int]) -> None:
     parts = max_min_fair(total, wants)
     assert sum(parts.values()) <= total
     assert min(parts.values()) >= 0
@@ -40,13 +40,13 @@
             assert all(other <= part + 1 or other <= wants[who] for who, other in parts.items())
 
 
-def test_one_that_asks_for_all_leaves_to_others_what_they_want() -> None:
+def test_unbounded_demand_leaves_to_others_their_fair_share() -> None:
     assert max_min_fair(100, {"liar": 10**6, "x": 20, "y": 30}) == {"liar": 50, "x": 20, "y": 30}
     assert max_min_fair(100, {"liar": 10**6, "x": 80, "y": 90}) == {"liar": 34, "x": 33, "y": 33}
 
 
 run: Callable[..., None] = stateful.run_state_machine_as_test
-PLAY = settings(
+SETTINGS = settings(
     max_examples=150,
     stateful_step_count=50,
     deadline=None,
@@ -55,9 +55,9 @@
 )
 
 
-def test_whatever_happens_nobody_passes_the_whole() -> None:
+def test_limits_hold_under_any_schedule() -> None:
     Fleet.found = Counter()
-    run(Fleet, settings=PLAY)
+    run(Fleet, settings=SETTINGS)
     assert (
         min(
             Fleet.found[each]
@@ -71,39 +71,41 @@
 
 
 class NoLag(AllocationLedger):
-    """Planted: what has lapsed is free at once."""
+    """Planted: what has expired is free at once."""
 
     def _lease_end_us(self, name: str) -> int:
         return super()._lease_end_us(name) - STRANDED
 
 
-class NoDebt(AllocationLedger):
-    """Planted: what a former life had is free at once."""
+class NoOutstanding(AllocationLedger):
+    """Planted: what a former incarnation had is reclaimed at once."""
 
     def _is_reclaimed(self, *_: Any) -> bool:
         return True
 
 
-class OneLife(AllocationLedger):
-    """Planted: a new life is taken for the one before."""
+class OneIncarnation(AllocationLedger):
+    """Planted: a new incarnation is taken for the one before."""
 
     def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
         return super().grants_for(
             now_us,
             [
-                (replace(asker, life=1, number=asker.life * 10**6 + asker.number), said)
-                for asker, said in asks
+                (replace(requester, life=1, number=requester.life * 10**6 + requester.number), said)
+                for requester, said in asks
             ],
             limits,
         )
 
 
-class AnyWord(AllocationLedger):
-    """Planted: an ask that was sent to an earlier leader proves what its sender holds."""
+class AnyTerm(AllocationLedger):
+    """Planted: a request that was sent to an earlier leader proves what its sender holds."""
 
     def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
         return super().grants_for(
-            now_us, [(replace(asker, reign=self.term), said) for asker, said in asks], limits
+            now_us,
+            [(replace(requester, reign=self.term), said) for requester, said in asks],
+            limits,
         )
 
 
@@ -121,7 +123,7 @@
 
 
 class Forgetful(AllocationLedger):
-    """Planted: a new leader knows nothing of blocks."""
+    """Planted: a new leader knows nothing of allocations."""
 
     def on_leadership_change(self, now_us: int, is_leader: bool, term: int = 0) -> None:
         super().on_leadership_change(now_us, is_leader, term)
@@ -130,7 +132,7 @@
 
 
 class AnyAnswer(LeaseClient):
-    """Planted: a purse takes answers to asks before its latest."""
+    """Planted: a account takes answers to asks before its latest."""
 
     def on_grant(self, now_us: int, ident: str, grant: Any) -> Any:
         self._number, number = grant.number, self._number
@@ -141,7 +143,7 @@
 
 
 class Stale(LeaseClient):
-    """Planted: shares outlive the grant."""
+    """Planted: shares outlive the lease."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -149,26 +151,26 @@
 
 
 def silent(fleet: Fleet) -> None:
-    has_all(fleet)
+    uses_all(fleet)
     fleet.pass_time(1500)
     fleet.pass_time(1500)
 
 
-def reborn(fleet: Fleet) -> None:
-    has_all(fleet)
+def restarted(fleet: Fleet) -> None:
+    uses_all(fleet)
     fleet.die("a")
     fleet.get("a", 0)
 
 
-def reborn_and_works(fleet: Fleet) -> None:
-    has_all(fleet)
+def restarted_and_works(fleet: Fleet) -> None:
+    uses_all(fleet)
     fleet.die("a")
     for _ in range(3):
         fleet.get("a", 6)
     fleet.start("a", 6)
 
 
-def late_word(fleet: Fleet) -> None:
+def late_report(fleet: Fleet) -> None:
     """`a` states little to a first leader, and gets more of a second before the first, elected again, hears of it."""
     for name in NAMES * 3:
         fleet.get(name, 1)
@@ -182,14 +184,14 @@
     fleet.elect(0, True)
     fleet.start("a", 6)
     fleet.get("b", 6)
-    for letter in late:
-        fleet.hear(letter)
+    for message in late:
+        fleet.deliver_request(message)
         fleet.get("b", 6)
 
 
-def wanted_elsewhere(fleet: Fleet) -> None:
+def demanded_elsewhere(fleet: Fleet) -> None:
     """`a` may use all, and does so only after `b` has asked for its part."""
-    has_share(fleet)
+    holds_all(fleet)
     for _ in range(3):
         fleet.get("b", 6)
     fleet.start("b", 3)
@@ -197,7 +199,7 @@
 
 
 def deposed(fleet: Fleet) -> None:
-    has_all(fleet)
+    uses_all(fleet)
     fleet.elect(1, True)
 
 
@@ -215,12 +217,12 @@
         fleet.get("a", 0, to_placer=False)
     fleet.get("b", 6)
     fleet.start("b", fleet.placers["b"].holding.quotas.shares[STANDING.key])
-    fleet.take_back(late)
+    fleet.deliver_grant(late)
     fleet.start("a", 4)
 
 
-def lapsed(fleet: Fleet) -> None:
-    has_all(fleet)
+def expired(fleet: Fleet) -> None:
+    uses_all(fleet)
     fleet.end("a", 6)
     for _ in range(6):
         fleet.pass_time(1500)
@@ -228,10 +230,10 @@
         fleet.get("b", 6)
     fleet.start("b", 4)
     fleet.ask("a", 6)
-    fleet.hear(fleet.mail.pop())
+    fleet.deliver_request(fleet.mail.pop())
     early = fleet.mail.pop()
     fleet.ask("a", 6)
-    fleet.take_back(early)
+    fleet.deliver_grant(early)
     fleet.start("a", 6)
 
 
@@ -239,21 +241,21 @@
     ("planted", "story"),
     [
         (NoLag, silent),
-        (NoDebt, reborn),
-        (OneLife, reborn_and_works),
-        (AnyWord, late_word),
-        (AtOnce, wanted_elsewhere),
+        (NoOutstanding, restarted),
+        (OneIncarnation, restarted_and_works),
+        (AnyTerm, late_report),
+        (AtOnce, demanded_elsewhere),
         (Forgetful, deposed),
         (AnyAnswer, late_answer),
-        (Stale, lapsed),
+        (Stale, expired),
     ],
 )
-def test_a_planted_error_is_found(planted: Any, story: Story) -> None:
+def test_planted_error_exceeds_a_limit(planted: Any, story: Story) -> None:
     def play(fleet: Fleet) -> None:
         story(fleet)
-        then_b_takes_what_it_gets(fleet)
+        then_b_uses_its_share(fleet)
 
     play(Fleet())
-    where = "blocks" if issubclass(planted, AllocationLedger) else "holding"
+    where = "ledgers" if issubclass(planted, AllocationLedger) else "clients"
     with pytest.raises(AssertionError, match="stand"):
         play(type(planted.__name__, (Fleet,), {where: planted})())
--- a/tests/decide/quotas/test_escrow_model.py
+++ b/tests/decide/quotas/test_escrow_model.py
@@ -7,7 +7,7 @@
 from wingbarrow.lab.fleet.model import Plan, explore, explore_floors
 
 
-def test_nothing_that_must_not_happen_can_be_reached_with_two_versions() -> None:
+def test_contradicting_versions_are_never_in_use_together() -> None:
     """With two placers: the leader waits for each of them, so that a third one only makes it wait longer."""
     found = explore(Plan(2))
     print(f"{found.states} states")
@@ -15,7 +15,7 @@
     assert found.states > 50_000
 
 
-def test_nobody_goes_on_by_a_floor_that_allows_what_an_accepted_version_forbids() -> None:
+def test_no_floor_in_use_allows_what_an_accepted_version_forbids() -> None:
     found = explore_floors(Plan(2))
     print(f"{found.states} states")
     assert found.way == ()
@@ -31,7 +31,7 @@
         Plan(2, hasty=True),
     ],
 )
-def test_planted_errors_of_grants_and_steps_are_found(plan: Plan) -> None:
+def test_planted_errors_of_leases_and_steps_are_found(plan: Plan) -> None:
     assert explore(plan).way
 
 
--- a/tests/decide/rulesets/test_canary.py
+++ b/tests/decide/rulesets/test_canary.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_bad_change_is_taken_back_soon_and_a_good_one_kept(seed: int) -> None:
+def test_bad_change_is_rolled_back_soon_and_good_one_kept(seed: int) -> None:
     advice, number = played(0.02, 0.4, seed)
     assert advice is CanaryAdvice.ROLLBACK
     assert MIN_ANSWERS - 1 <= number < 100
@@ -40,12 +40,12 @@
     assert played(0.30, 0.05, seed)[0] is CanaryAdvice.KEEP
 
 
-def test_a_rise_within_the_bound_is_kept_and_chance_seldom_takes_back() -> None:
+def test_rise_within_the_bound_is_rarely_rolled_back() -> None:
     back = sum(played(0.02, 0.05, seed)[0] is CanaryAdvice.ROLLBACK for seed in range(200))
     assert back <= 6, "a rise of 0.03 where 0.05 is the bound"
 
 
-def test_few_answers_say_nothing_and_a_placer_that_began_anew_counts_from_nothing() -> None:
+def test_few_answers_give_no_advice_and_a_restarted_placer_counts_from_zero() -> None:
     trial = CanaryAnalysis(AnswerCounts(100, 0), AnswerCounts(1000, 10), 0.05, 60 * S)
     assert trial.judge(S, AnswerCounts(1010, 20)) is CanaryAdvice.WAIT
     assert trial.judge(S, AnswerCounts(50, 1)) is CanaryAdvice.WAIT
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -89,7 +89,7 @@
 
 
 @given(SETS, SETS, SETS)
-def test_it_is_an_order(a: RuleSet, b: RuleSet, c: RuleSet) -> None:
+def test_allows_is_a_partial_order(a: RuleSet, b: RuleSet, c: RuleSet) -> None:
     assert allows(a, a)
     if allows(a, b) and allows(b, c):
         assert allows(a, c)
@@ -103,17 +103,18 @@
 
 
 @given(SETS, SETS)
-def test_the_meet_allows_only_what_both_allow(a: RuleSet, b: RuleSet) -> None:
+def test_intersection_allows_only_what_both_allow(a: RuleSet, b: RuleSet) -> None:
     met = intersection(a, b)
     assert allows(met, a)
     assert allows(met, b)
     assert intersection(b, a) == met
     if allows(a, b):
-        assert allows(met, a) and allows(a, met), "nothing is lost where one is within the other"
+        assert allows(met, a), "nothing is added"
+        assert allows(a, met), "nothing is lost where one is within the other"
 
 
 @given(SETS, SETS, SETS)
-def test_what_is_within_both_is_within_the_meet_but_where_spreads_differ_by_kind(
+def test_intersection_loses_only_classes_with_different_spread_domains(
     a: RuleSet, b: RuleSet, c: RuleSet
 ) -> None:
     if allows(c, a) and allows(c, b):
@@ -127,12 +128,12 @@
 
 
 @given(SETS)
-def test_the_text_is_read_back(a: RuleSet) -> None:
+def test_text_round_trip(a: RuleSet) -> None:
     assert parse_rule_set(a.text()) == a
     assert not check(a)
 
 
-def test_the_cases_of_the_issue() -> None:
+def test_cold_shares_spreads_and_barred_machines_compare() -> None:
     three = replace(ONE, cold_shares=equal_shares(20, ("a", "b", "c")))
     four = replace(ONE, cold_shares=equal_shares(20, ("a", "b", "c", "d")))
     assert contradict(three, four), "one share grows while others shrink"
@@ -148,7 +149,7 @@
 
 
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
-def test_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
+def test_equal_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
     cut = dict(equal_shares(offers, tuple(names)))
     assert sum(cut.values()) == offers
     assert max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
@@ -171,17 +172,17 @@
         ({"barred": [3]}, "without a name"),
     ],
 )
-def test_what_is_wrong_with_one_is_said(change: dict[str, object], words: str) -> None:
+def test_faults_are_named(change: dict[str, object], words: str) -> None:
     with pytest.raises(RuleSetError, match=words):
         parse_rule_set(json.dumps({**json.loads(ONE.text()), **change}))
 
 
 @given(st.text(max_size=200))
-def test_no_text_brings_about_anything_but_a_refusal(text: str) -> None:
+def test_random_text_raises_rule_set_error(text: str) -> None:
     with pytest.raises(RuleSetError):
         parse_rule_set(text)
 
 
-def test_ten_megabytes_are_refused() -> None:
+def test_oversized_text_is_rejected() -> None:
     with pytest.raises(RuleSetError, match="the most"):
         parse_rule_set(" " * (10 << 20))
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -66,7 +66,7 @@
         return self.ask(self.leader(), "POST", {"ident": ident, "rules": self.changed(**changes)})
 
 
-def test_a_drain_asked_of_one_is_known_to_all_and_taken_back_by_another() -> None:
+def test_drain_requested_at_one_placer_is_agreed_by_all_and_cancelled_at_another() -> None:
     stage = Draining(machines=4, placers=5)
 
     def script() -> None:
@@ -114,7 +114,7 @@
     stage.play(script)
 
 
-def test_a_window_is_everybodys_and_is_taken_back_in_its_last_second_and_given_again() -> None:
+def test_window_removed_at_the_last_second_and_added_again_applies_to_all() -> None:
     stage = Draining(machines=4, placers=3)
 
     def script() -> None:
@@ -141,7 +141,7 @@
     stage.play(script)
 
 
-def test_nothing_is_moved_by_one_that_may_act_on_no_rules() -> None:
+def test_placer_without_rules_moves_no_tasks() -> None:
     stage = Draining(machines=4, placers=5)
 
     def script() -> None:
@@ -166,7 +166,7 @@
     stage.play(script)
 
 
-def test_under_a_floor_a_drain_is_taken_and_told_with_what_it_means() -> None:
+def test_drain_under_a_floor_is_accepted_with_the_floors_time() -> None:
     stage = Draining(machines=4, placers=5)
 
     def script() -> None:
@@ -188,14 +188,13 @@
             slot.kill()
         stage.hub.sleep(4 * S)
         alone = stage.cluster.placers[4]
-        assert stage.label(alone) == "f1" and stage.phase(alone, "node-2") == "draining", (
-            "known before, it goes on"
-        )
+        assert stage.label(alone) == "f1"
+        assert stage.phase(alone, "node-2") == "draining", "known before, it goes on"
 
     stage.play(script)
 
 
-def test_spread_is_lowered_while_services_stand_at_more() -> None:
+def test_spread_is_lowered_while_services_run_at_more() -> None:
     stage = Draining(machines=3, placers=3)
 
     def script() -> None:
@@ -229,7 +228,7 @@
     stage.play(script)
 
 
-def test_one_more_shares_the_cold_budget_while_a_hall_comes_back_cold() -> None:
+def test_placer_joins_the_cold_budget_while_a_zone_warms_up() -> None:
     stage = Draining(machines=4, placers=4)
     offers: list[int] = []
     since: list[int] = []
@@ -266,7 +265,7 @@
             assert 0 < most <= offers[0], f"{machine.name}: {most} offers within the window"
 
 
-def test_a_majority_of_voters_that_is_lost_for_good_is_gone_on_without(tmp_path: Path) -> None:
+def test_fleet_goes_on_without_a_lost_majority_of_voters(tmp_path: Path) -> None:
     stage = Draining(machines=4, placers=5)
     files: dict[str, Path] = {}
 
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -54,7 +54,7 @@
         return taken
 
 
-def test_who_has_the_demand_gets_the_whole_and_nobody_more_than_that() -> None:
+def test_one_placer_with_all_demand_gets_the_whole_limit_and_no_more() -> None:
     stage = Limited('limit "namespace/default" most=20 stranded="5s"\n')
 
     def script() -> None:
@@ -76,14 +76,13 @@
         assert stage.ask(other, path=LIMITS)[1]["items"][0]["wants"] > 0
         for job in stage.jobs_given[:12]:
             assert stage.pool(one.port).request("DELETE", f"{JOBS}/{job}").status == 200
-        assert stage.fill(other, "c", 40) >= 8 and stage.standing() <= 20, (
-            "it goes where it is wanted"
-        )
+        assert stage.fill(other, "c", 40) >= 8, "it goes where it is in demand"
+        assert stage.standing() <= 20
 
     stage.play(script)
 
 
-def test_cut_off_from_the_voters_nothing_more_is_accepted_and_what_is_stranded_comes_free() -> None:
+def test_allocation_of_a_killed_placer_is_reclaimed_after_its_stranded_time() -> None:
     stage = Limited('limit "namespace/default" most=12 stranded="6s"\n')
 
     def script() -> None:
@@ -103,12 +102,13 @@
                 first = stage.hub.now_us() - killed
                 break
             stage.hub.sleep(S // 10)
-        assert first is not None and 4 * S <= first <= 10 * S, "after the grant and the stated time"
+        assert first is not None
+        assert 4 * S <= first <= 10 * S, "after the lease and the stranded time"
 
     stage.play(script)
 
 
-def test_a_rate_of_new_tasks_holds_for_the_whole_fleet_through_a_change_of_leader() -> None:
+def test_rate_limit_holds_through_a_leader_change() -> None:
     stage = Limited('limit "class/web" most=10 per="5s"\n')
     times: list[int] = []
 
@@ -154,7 +154,7 @@
     return sum(S <= at - since[0] < 6 * S for at in sent), stage.audit().cold_overruns
 
 
-def test_the_cold_budget_goes_to_the_one_that_needs_it() -> None:
+def test_cold_budget_follows_demand() -> None:
     parts, over = cold_hall("")
     held, held_over = cold_hall('limit "cold"\n')
     assert (over, held_over) == (0, 0)
@@ -170,7 +170,7 @@
         ('limit "class/web" most=1\nlimit "class/web" most=2', "two limits of the same"),
     ],
 )
-def test_bad_limits_are_told_with_their_line(line: str, words: str) -> None:
+def test_invalid_limit_settings_are_named_with_their_line(line: str, words: str) -> None:
     with pytest.raises(SettingsError, match=words):
         load_text(
             settings_text(0, 1, 1, 1, 0, "/tmp/none")
@@ -178,7 +178,7 @@
         )
 
 
-def test_a_placer_that_agrees_with_nobody_has_no_such_limits() -> None:
+def test_placer_without_agreement_has_no_limits_resource() -> None:
     stage = Limited("")
 
     def script() -> Any:
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -15,7 +15,7 @@
 from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
 
 
-def test_all_act_on_the_first_leaders_rules_and_on_what_is_proposed_and_offers_carry_it() -> None:
+def test_all_placers_act_on_proposed_rules_and_offers_carry_the_revision() -> None:
     stage = Agreeing(machines=4, placers=5)
 
     def script() -> None:
@@ -48,7 +48,8 @@
         assert sent
         assert all(each.data["rules"] == "e2" and each.where != "node-1" for each in sent)
         status, told = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": stage.changed()})
-        assert status == 201 and told["version"] == 2, "sent again: it was taken once"
+        assert status == 201
+        assert told["version"] == 2, "sent again: it was accepted once"
         status, told = stage.ask(
             stage.leader(), "POST", {"ident": "y", "rules": stage.changed(barred=[]), "base": 1}
         )
@@ -59,7 +60,7 @@
     assert stage.audit().clean
 
 
-def test_the_module_goes_by_the_agreed_spread_at_once() -> None:
+def test_agreed_spread_takes_effect_at_once() -> None:
     stage = Agreeing(machines=3, placers=3)
 
     def script() -> None:
@@ -89,7 +90,7 @@
     stage.play(script)
 
 
-def test_a_placer_held_longer_than_its_grant_sends_nothing_under_old_rules() -> None:
+def test_placer_stopped_beyond_its_lease_sends_nothing_under_old_rules() -> None:
     stage = Agreeing(machines=4, placers=5)
 
     def script() -> None:
@@ -127,9 +128,7 @@
     stage.play(script)
 
 
-def test_one_that_hears_of_nobody_turns_owners_away_with_the_reason_and_goes_on_by_a_floor() -> (
-    None
-):
+def test_isolated_placer_rejects_jobs_or_goes_on_by_a_floor() -> None:
     stage = Agreeing(machines=4, placers=5)
 
     def script() -> None:
@@ -185,7 +184,7 @@
     stage.play(script)
 
 
-def test_a_voter_that_lost_its_store_says_so_and_votes_no_more() -> None:
+def test_voter_that_lost_its_store_reports_it_and_does_not_vote() -> None:
     stage = Agreeing(machines=2, placers=3)
     told: list[str] = []
     stage.cluster.log = lambda event, level="info", **fields: told.append(event)
@@ -216,7 +215,7 @@
     stage.play(script)
 
 
-def test_bad_proposals_are_refused_in_words_and_change_nothing() -> None:
+def test_invalid_proposals_are_rejected_with_a_reason_and_change_nothing() -> None:
     stage = Agreeing(machines=2, placers=3)
 
     def script() -> None:
@@ -246,7 +245,7 @@
     stage.play(script)
 
 
-def test_a_placer_without_agree_has_no_rules_to_ask_for() -> None:
+def test_placer_without_agreement_has_no_rules_resource() -> None:
     stage = Stage(machines=1)
 
     def script() -> None:
@@ -268,12 +267,12 @@
         ('agree {\n chief "a"\n}', "unknown node"),
     ],
 )
-def test_bad_settings_are_told_with_their_line(block: str, words: str) -> None:
+def test_invalid_agree_settings_are_named_with_their_line(block: str, words: str) -> None:
     with pytest.raises(SettingsError, match=words):
         load_text(settings_text(0, 1, 1, 1) + block)
 
 
-def test_rules_of_a_file_and_what_the_module_is_told() -> None:
+def test_rule_set_of_a_file_and_module_settings_under_it() -> None:
     settings = load_text(
         settings_text(0, 3, 1, 1, 0, "somewhere") + 'bar "n1"\nagree {\n voter "placer-0"\n'
         ' voter "placer-1"\n voter "placer-2"\n member "placer-3"\n}\n'
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -1,4 +1,4 @@
-"""`wingbarrow rules`: the rules that placers agree on: state, history, proposals, floors, voters."""
+"""`wingbarrow rules`: the agreed rule sets: state, history, proposals with a canary analysis, floors, voters."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from wingbarrow.store.voter_store import load as load_store
 
 SECOND = 1_000_000
-RISKS = (
+RECOVERY_RISKS = (
     "risked: what was decided without this voter is gone, and what was proposed and not decided may come to be;",
     "risked: placers go by rules of the voters that are lost until their grants, and floors, have lapsed;",
     "risked: a lost voter that comes back with its store, out of touch with this one, could decide as before: "
@@ -58,15 +58,15 @@
     return client.exchange("GET", "rules")
 
 
-def _voter(client: Client) -> dict[str, Any]:
-    """The state as a voter has it: this placer, or the leader that it names."""
+def _voter_state(client: Client) -> dict[str, Any]:
+    """The state of a voter: this placer, or the leader that it names."""
     state = _state(client)
     if "versions" in state:
         return state
     return _state(client.leader())
 
 
-def _version(state: dict[str, Any], number: int) -> RuleSet:
+def _rules_of_version(state: dict[str, Any], number: int) -> RuleSet:
     for each in state["versions"]:
         if each["number"] == number and each["rules"] is not None:
             return parse_rule_set(json.dumps(each["rules"]))
@@ -74,36 +74,45 @@
     raise CommandFailed(f"version {number} is not kept; there are {', '.join(kept) or 'none'}")
 
 
-def _back(state: dict[str, Any], number: int) -> RuleSet:
+def _rollback_rules(state: dict[str, Any], number: int) -> RuleSet:
+    """The rules of an earlier version, with the requested and cancelled drains of the latest."""
     return keeping_drains(
-        _version(state, number), parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
+        _rules_of_version(state, number), parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
     )
 
 
 def _propose(
-    client: Client, wanted: RuleSet, base: int, why: str, dry_run: bool, lasts_us: int | None = None
+    client: Client,
+    wanted: RuleSet,
+    base: int,
+    why: str,
+    *,
+    is_dry_run: bool = False,
+    lasts_us: int | None = None,
 ) -> None:
+    """Propose a version, or with `lasts_us` a floor, and print the outcome; CommandFailed where it is rejected."""
     value: dict[str, Any] = {
         "ident": f"cli-{secrets.token_hex(8)}",
         "rules": json.loads(wanted.text()),
         "base": base,
         "by": "an operator",
         "why": why,
-        "dryRun": dry_run,
+        "dryRun": is_dry_run,
     }
     if lasts_us is not None:
         value["lastsUs"] = lasts_us
     try:
-        told = client.at_leader("rules", value)
+        accepted = client.at_leader("rules", value)
     except CommandFailed as error:
         if "Timeout" not in str(error) and "504" not in str(error):
             raise
-        told = client.at_leader("rules", value)  # the same proposal: it is taken once
-    if dry_run:
+        accepted = client.at_leader("rules", value)  # idempotent: the key is the same
+    if is_dry_run:
         click.echo("it would be accepted")
     else:
         click.echo(
-            f"accepted: version {told['version']}; edition {told['edition']} in force, {told['steps']} to come"
+            f"accepted: version {accepted['version']}; edition {accepted['edition']} in force, "
+            f"{accepted['steps']} to come"
         )
 
 
@@ -143,61 +152,68 @@
     url: str,
 ) -> None:
     """Propose the rules that FILE's settings hold; exit 1 where they are not accepted."""
-    asked = _rules_of(file)
+    from_file = _rules_of(file)
 
     def call(client: Client) -> int:
-        state, wanted = _voter(client), asked
+        state = _voter_state(client)
+        wanted = from_file
         if state["versions"]:
-            now = parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
-            wanted = keeping_drains(asked, now)
-            for line in differences(now, wanted):
-                click.echo(line)
-            if contradict(now, wanted):
-                click.echo("it contradicts the version before: the fleet goes by what both allow")
-            elif not allows(now, wanted):
-                click.echo("it forbids some of what the version before allows")
-        fleet = FleetAnswers(client) if watch_s is not None else None
-        begun = fleet.count() if fleet is not None else None
-        if watch_s is not None:
-            client.sleep(watch_s)
+            latest = parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
+            wanted = keeping_drains(from_file, latest)
+            _show_change(latest, wanted)
         version = state["version"] if base is None else base
-        _propose(client, wanted, version, why, dry_run)
-        if fleet is None or begun is None or watch_s is None or dry_run:
+        if watch_s is None:
+            _propose(client, wanted, version, why, is_dry_run=dry_run)
+            return 0
+        fleet = FleetAnswers(client)
+        counts_at_start = fleet.count()
+        client.sleep(watch_s)
+        _propose(client, wanted, version, why, is_dry_run=dry_run)
+        if dry_run:
             return 0
         at = fleet.count()
-        trial = CanaryAnalysis(at.since(begun), at, bound, int(watch_s * SECOND))
-        return _watch(client, fleet, trial, watch_s, version)
+        analysis = CanaryAnalysis(at.since(counts_at_start), at, bound, int(watch_s * SECOND))
+        return _watch(client, fleet, analysis, watch_s, version)
 
     sys.exit(with_client(url, call))
 
 
+def _show_change(latest: RuleSet, wanted: RuleSet) -> None:
+    for line in differences(latest, wanted):
+        click.echo(line)
+    if contradict(latest, wanted):
+        click.echo("it contradicts the version before: the fleet goes by what both allow")
+    elif not allows(latest, wanted):
+        click.echo("it forbids some of what the version before allows")
+
+
 def _watch(
-    client: Client, fleet: FleetAnswers, trial: CanaryAnalysis, seconds: float, before: int
+    client: Client, fleet: FleetAnswers, analysis: CanaryAnalysis, watch_s: float, version: int
 ) -> int:
-    """Keep the change, or take it back: 0 or 3."""
-    passed, step = 0.0, min(1.0, seconds / 5)
+    """Keep the change, or go back to `version`: the exit code, 0 or 3."""
+    elapsed_s = 0.0
+    step_s = min(1.0, watch_s / 5)
     while True:
-        client.sleep(step)
-        passed += step
-        advice = trial.judge(int(passed * SECOND), fleet.count())
+        client.sleep(step_s)
+        elapsed_s += step_s
+        advice = analysis.judge(int(elapsed_s * SECOND), fleet.count())
         if advice is CanaryAdvice.KEEP:
             click.echo(
-                f"kept: of {trial.after.answers} answers of {fleet.placers} placer(s) {trial.after.share:.1%} "
-                f"placed nothing, {trial.rise:+.1%} beside before"
+                f"kept: of {analysis.after.answers} answers of {fleet.placers} placer(s) {analysis.after.share:.1%} "
+                f"placed nothing, {analysis.rise:+.1%} beside before"
             )
             return 0
         if advice is CanaryAdvice.ROLLBACK:
             click.echo(
-                f"of {trial.after.answers} answers {trial.after.share:.1%} placed nothing, {trial.rise:+.1%} "
-                f"beside before: back to version {before}"
+                f"of {analysis.after.answers} answers {analysis.after.share:.1%} placed nothing, {analysis.rise:+.1%} "
+                f"beside before: back to version {version}"
             )
-            state = _voter(client)
+            state = _voter_state(client)
             _propose(
                 client,
-                _back(state, before),
+                _rollback_rules(state, version),
                 state["version"],
-                f"back to version {before}: answers got worse",
-                False,
+                f"back to version {version}: answers got worse",
             )
             return 3
 
@@ -209,8 +225,13 @@
     """Propose an earlier version anew; drains asked for, or taken back, since then stay as they are."""
 
     def call(client: Client) -> None:
-        state = _voter(client)
-        _propose(client, _back(state, number), state["version"], f"back to version {number}", False)
+        state = _voter_state(client)
+        _propose(
+            client,
+            _rollback_rules(state, number),
+            state["version"],
+            f"back to version {number}",
+        )
 
     with_client(url, call)
 
@@ -228,7 +249,7 @@
         lasts_us = parse_duration(lasts)
     except ValueError as error:
         raise click.BadParameter(f"--lasts: {error}") from None
-    with_client(url, lambda client: _propose(client, wanted, 0, "floor", False, lasts_us))
+    with_client(url, lambda client: _propose(client, wanted, 0, "floor", lasts_us=lasts_us))
 
 
 @rules.command()
@@ -269,7 +290,7 @@
     """All versions that are kept."""
 
     def call(client: Client) -> None:
-        for each in _voter(client)["versions"]:
+        for each in _voter_state(client)["versions"]:
             click.echo(
                 f"{each['number']}  {each['digest']}  on {each['base']}  {each['by']}  {each['why']}"
             )
@@ -285,8 +306,8 @@
     """What version OTHER changes of version ONE."""
 
     def call(client: Client) -> None:
-        state = _voter(client)
-        for line in differences(_version(state, one), _version(state, other)):
+        state = _voter_state(client)
+        for line in differences(_rules_of_version(state, one), _rules_of_version(state, other)):
             click.echo(line)
 
     with_client(url, call)
@@ -355,10 +376,11 @@
     for entry in disk.log:
         agreed.apply(entry.kind, entry.body)
     click.echo(
-        f"{settings.name}: term {disk.term}, last entry {disk.last_log_index} of term {disk.term_at(disk.last_log_index)}, "
+        f"{settings.name}: term {disk.term}, last entry {disk.last_log_index} "
+        f"of term {disk.term_at(disk.last_log_index)}, "
         f"version {agreed.version}; voters {', '.join(disk.latest_voters())}"
     )
-    for line in RISKS:
+    for line in RECOVERY_RISKS:
         click.echo(line)
     if not yes:
         click.echo("nothing was done: add --yes")
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -29,6 +29,7 @@
 from wingbarrow.decide.outliers.ejection import OutlierDetector
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaGrant, Requester
+from wingbarrow.decide.rulesets.entries import FloorsExpiredEntry, StepEntry
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import RuleSetState
@@ -270,12 +271,12 @@
         if agreed.steps:
             transition_us = self._earlier_leases_expire_us()
             if now_us >= transition_us:
-                return self._host.propose(now_us, "step", {"from": agreed.revision})
+                return self._host.propose(now_us, "step", StepEntry(agreed.revision).to_entry())
             due_us.append(transition_us)
         if len(agreed.floors) > 1:
             floors_expire_us = self._earlier_floors_expire_us()
             if now_us >= floors_expire_us:
-                latest = {"number": agreed.floors[-1].number}
+                latest = FloorsExpiredEntry(agreed.floors[-1].number).to_entry()
                 return self._host.propose(now_us, "floor-lapsed", latest)
             due_us.append(floors_expire_us)
         effects: list[Effect] = []
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -40,7 +40,7 @@
             )
         if request.method != ("DELETE" if parts else "POST"):
             raise ApiError(405, "DELETE is allowed here" if parts else "GET, POST are allowed here")
-        away = self._rules.away(request) if self._drainer.is_agreed else None
+        away = self._rules.redirect(request) if self._drainer.is_agreed else None
         if away is not None:
             return away
         return self._cancel("/".join(parts)) if parts else self._ask(request)
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -22,6 +22,7 @@
 from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
 from wingbarrow.decide.regions.forwarding import Target
 from wingbarrow.decide.regions.reports import RegionMember
+from wingbarrow.decide.rulesets.entries import ProposalEntry
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.peers.coordinator_setup import (
@@ -348,13 +349,13 @@
                 return
             self.propose(
                 "propose",
-                {
-                    "ident": FOUNDING,
-                    "base": 0,
-                    "rules": text,
-                    "by": self._settings.name,
-                    "why": "the settings of the first leader",
-                },
+                ProposalEntry(
+                    ident=FOUNDING,
+                    base=0,
+                    rules=text,
+                    by=self._settings.name,
+                    why="the settings of the first leader",
+                ).to_entry(),
             )
 
     def propose(self, kind: str, value: dict[str, Any]) -> None:
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -32,7 +32,8 @@
             raise ApiError(405, "GET is allowed here; limits are changed as rules are")
         if what == "verdicts":
             return self._verdicts(agreement)
-        now, purse = self._hub.now_us(), agreement.quotas
+        now = self._hub.now_us()
+        quotas = agreement.quotas
         acting = agreement.rules_in_force(now)
         told: dict[str, object] = {
             "kind": "LimitList",
@@ -43,13 +44,13 @@
             "items": [
                 {
                     "limit": each.key,
-                    "most": purse.limits[each.key].most,
-                    "windowUs": purse.limits[each.key].window_us,
+                    "most": quotas.limits[each.key].most,
+                    "windowUs": quotas.limits[each.key].window_us,
                     "share": each.share if acting is not None and acting.edition else 0,
                     "uses": each.uses,
                     "wants": each.wants,
                 }
-                for each in purse.report(now)
+                for each in quotas.report(now)
             ],
         }
         if agreement.is_leader and agreement.agreed.rules:
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -75,7 +75,7 @@
                 404, "this placer agrees on turns with nobody: `agree` in its settings", "NotFound"
             )
         number = _route(request, parts)
-        away = self._rules.away(request)
+        away = self._rules.redirect(request)
         if away is not None:
             return away
         if request.method == "GET":
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -1,4 +1,4 @@
-"""Between a placer's settings and the rules that placers agree on: what a file says, and what a placer then goes by."""
+"""Between a placer's settings and the agreed rule set: the one a file asks for, and what it changes at the placer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 def rules_of(settings: PlacerSettings) -> RuleSet:
     """The rule set that a file of settings asks for, with its calendars; SettingsError where one cannot be used."""
     calendar = load_calendar(settings.calendars)
-    scheduler, agree = settings.scheduler, settings.agree
+    scheduler = settings.scheduler
+    agree = settings.agree
     members = (
         (settings.name,)
         if agree is None
@@ -24,22 +25,22 @@
     )
     classes = tuple(
         ClassRules(
-            name,
-            each.task_class.effect.name.lower(),
-            each.task_class.spread.name.lower(),
-            each.task_class.spread_most,
+            name=name,
+            effect=each.task_class.effect.name.lower(),
+            spread_by=each.task_class.spread.name.lower(),
+            spread_most=each.task_class.spread_most,
         )
         for name, each in settings.classes.items()
     )
     return normalized(
         RuleSet(
-            classes,
-            scheduler.attempts_most,
-            scheduler.cold_us,
-            scheduler.fall_us,
-            equal_shares(int(scheduler.fresh_offers), members),
-            settings.drain_grace_us,
-            settings.barred,
+            classes=classes,
+            attempts_most=scheduler.attempts_most,
+            cold_us=scheduler.cold_us,
+            cold_window_us=scheduler.fall_us,
+            cold_shares=equal_shares(int(scheduler.fresh_offers), members),
+            drain_grace_us=settings.drain_grace_us,
+            barred=settings.barred,
             windows=tuple(window_of(each) for each in calendar.series),
             plan=plan_of(calendar.rules, calendar.policy),
             limits=agree.limits if agree is not None else (),
@@ -49,7 +50,7 @@
 
 
 def calendar_under(rules: RuleSet, kinds_needed: tuple[str, ...]) -> Calendar:
-    """The calendar that placers agree on; drains that were asked for stand beside it."""
+    """The agreed calendar, without requested drains."""
     return Calendar(
         tuple(series_of(each) for each in rules.windows),
         rules.plan.rules(kinds_needed),
@@ -57,24 +58,26 @@
     )
 
 
-def keeping_drains(wanted: RuleSet, now: RuleSet) -> RuleSet:
-    """Other rules with the drains that were asked for, and taken back, as they stand: no file speaks of those."""
-    return replace(wanted, asked=now.asked, cancelled=now.cancelled)
+def keeping_drains(wanted: RuleSet, in_force: RuleSet) -> RuleSet:
+    """A rule set with the requested and cancelled drains of the one in force, as no file has any."""
+    return replace(wanted, asked=in_force.asked, cancelled=in_force.cancelled)
 
 
 def scheduler_under(
     settings: PlacerSettings, text: str, cold_share: int | None = None
 ) -> api.Settings:
-    """What the module is told while a placer acts on rules; classes that they lack are held at the gate.
+    """The module's settings while a placer acts on a rule set; classes that this lacks are held at the gate.
 
-    `cold_share`: what this placer holds of the cold budget now, where that is a limit of the whole fleet.
+    `cold_share`: the placer's share of the cold budget now, where that is a limit of the whole fleet.
     """
-    rules, scheduler = parse_rule_set(text), module_settings(settings)
-    held = {each.name: each for each in rules.classes}
-    classes = tuple(_class(each, held.get(each.name)) for each in scheduler.classes)
-    told = replace(
+    rules = parse_rule_set(text)
+    scheduler = module_settings(settings)
+    agreed_classes = {each.name: each for each in rules.classes}
+    under_rules = replace(
         scheduler,
-        classes=classes,
+        classes=tuple(
+            _class_under(each, agreed_classes.get(each.name)) for each in scheduler.classes
+        ),
         attempts_most=rules.attempts_most,
         cold_us=rules.cold_us,
         fall_us=rules.cold_window_us,
@@ -82,9 +85,11 @@
     )
     if settings.subset is not None and cold_share is None:
         # Each machine's own holders share what all members have together.
-        return module_settings(settings, replace(told, fresh_offers=float(cold_total(rules))))
+        return module_settings(
+            settings, replace(under_rules, fresh_offers=float(cold_total(rules)))
+        )
     share = rules.cold_share(settings.name) if cold_share is None else cold_share
-    return replace(told, fresh_offers=float(share * told.placers))
+    return replace(under_rules, fresh_offers=float(share * under_rules.placers))
 
 
 def cold_total(rules: RuleSet) -> int:
@@ -92,7 +97,7 @@
     return sum(share for _, share in rules.cold_shares)
 
 
-def _class(mine: api.TaskClass, agreed: ClassRules | None) -> api.TaskClass:
-    if agreed is None or agreed.spread_by == "none" or mine.spread.name.lower() != agreed.spread_by:
-        return mine
-    return replace(mine, spread_most=agreed.spread_most)
+def _class_under(own: api.TaskClass, agreed: ClassRules | None) -> api.TaskClass:
+    if agreed is None or agreed.spread_by == "none" or own.spread.name.lower() != agreed.spread_by:
+        return own
+    return replace(own, spread_most=agreed.spread_most)
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -1,17 +1,20 @@
-"""What operators ask about agreed rules, of any placer: state, proposals, floors, voters.
+"""The REST resource of the agreed rule sets, at any placer: state, proposals, floors, voters.
 
-What only the leader can do is answered elsewhere with 307 and the leader's address; 503 where none is known.
+What only the leader can do gets 307 with the leader's address from the others; 503 where no leader is known.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Self
 
 from wingbarrow.decide.coordination.coordinator import Coordinator
+from wingbarrow.decide.rulesets.entries import FloorEntry, ProposalEntry
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet, RuleSetError, normalized
+from wingbarrow.decide.rulesets.versions import RuleSetState
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
@@ -20,20 +23,61 @@
 from wingbarrow.peers.ruleset_settings import keeping_drains
 from wingbarrow.transport import Hub
 
-DECIDED_US = 5_000_000
-TEXT_MOST = 100
-CHANGE_TRIES = 5
+DECISION_TIMEOUT_US = 5_000_000
+DECISION_POLL_US = 10_000
+MAX_IDENT_CHARS = 100  # of an idempotency key, and of an author's name
+MAX_REASON_CHARS = 500
+MAX_CHANGE_ATTEMPTS = 5
 PATH = "/apis/wingbarrow.io/v1/rules"
 
 
+@dataclass(frozen=True, slots=True)
+class _ProposalRequest:
+    """The body of POST rules: a version, or with `lasts_us` a floor."""
+
+    ident: str  # the proposal's idempotency key
+    rules: str
+    base: int
+    lasts_us: int | None
+    by: str
+    why: str
+    keep_drains: bool
+    is_dry_run: bool
+
+    @classmethod
+    def from_body(cls, value: dict[str, Any], latest_version: int) -> Self:
+        """Read the body; ApiError 422 where it is none."""
+        ident, rules, lasts_us = value.get("ident"), value.get("rules"), value.get("lastsUs")
+        if (
+            not isinstance(ident, str)
+            or not 0 < len(ident) <= MAX_IDENT_CHARS
+            or not isinstance(rules, dict)
+        ):
+            raise ApiError(422, "ident (a name of its own) and rules are wanted", "Invalid")
+        base = value.get("base", latest_version)
+        if not isinstance(base, int) or (lasts_us is not None and not isinstance(lasts_us, int)):
+            raise ApiError(422, "base and lastsUs are whole numbers", "Invalid")
+        return cls(
+            ident=ident,
+            rules=json.dumps(rules),
+            base=base,
+            lasts_us=lasts_us,
+            by=str(value.get("by", ""))[:MAX_IDENT_CHARS],
+            why=str(value.get("why", ""))[:MAX_REASON_CHARS],
+            keep_drains=bool(value.get("keepDrains")),
+            is_dry_run=bool(value.get("dryRun")),
+        )
+
+
 class RulesFront:
     """Routes below /apis/wingbarrow.io/v1/rules."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
-        self._hub, self._peering = hub, peering
+        self._hub = hub
+        self._peering = peering
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Answer one request; raises ApiError for what is rejected."""
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
@@ -43,95 +87,100 @@
             return Answer(200, names.encode(self._state(agreement)))
         if request.method == "POST" and parts in ([], ["voters"]):
             if not agreement.is_leader:
-                return self._elsewhere(agreement, request)
+                return self._redirect_to_leader(agreement, request)
             value = self._body(request)
-            return self._voters(agreement, value) if parts else self._propose(agreement, value)
+            if parts:
+                return self._change_voters(value)
+            return self._propose(agreement, value)
         raise ApiError(
             405 if parts in ([], ["voters"]) else 404, "GET or POST rules, POST rules/voters"
         )
 
-    def _elsewhere(self, agreement: Coordinator, request: Request) -> Answer:
-        address = self._peering.address_of(agreement.leader) if agreement.leader else ""
-        if not address:
-            raise ApiError(
-                503,
-                "no leader is known now: too few voters hear each other",
-                "ServiceUnavailable",
-                retry_after_s=1,
-            )
-        return Answer(
-            307,
-            names.encode({"kind": "Leader", "name": agreement.leader, "address": address}),
-            fields=[("Location", f"http://{address}{request.target}")],
-        )
+    # -- for other resources
 
-    def away(self, request: Request) -> Answer | None:
-        """Where the leader is, for what only that can do; None at the leader. ApiError where nothing is agreed on."""
+    def redirect(self, request: Request) -> Answer | None:
+        """The redirection to the leader, for what only that can do; None at the leader.
+
+        Raises ApiError 503 where this placer agrees with nobody, or knows no leader.
+        """
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
                 503, "this placer takes part in nothing yet", "ServiceUnavailable", retry_after_s=1
             )
-        return None if agreement.is_leader else self._elsewhere(agreement, request)
+        return None if agreement.is_leader else self._redirect_to_leader(agreement, request)
 
     def latest(self) -> RuleSet | None:
         """At the leader: the rules of the latest version; None before there is one."""
         agreement = self._peering.agreement
-        return (
-            parse_rule_set(agreement.agreed.latest)
-            if agreement is not None and agreement.agreed.latest
-            else None
-        )
+        if agreement is None or not agreement.agreed.latest:
+            return None
+        return parse_rule_set(agreement.agreed.latest)
 
     def change(self, edit: Callable[[RuleSet], RuleSet], why: str) -> dict[str, Any]:
-        """At the leader: have the latest rules changed, anew where another change came first; what was accepted.
+        """At the leader: propose the latest rules as `edit` changes them, again where another version came first.
 
-        `floors`: for how long placers that are cut off may go on without hearing of it, where there are floors.
+        Returns the accepted `version`, and `floors`: for how long placers that are cut off may go on without it. Raises
+        ApiError 409 where it is not accepted, 503 where nothing is agreed on, 504 where it is not decided in time.
         """
-        agreement, why_not = self._peering.agreement, ""
+        agreement = self._peering.agreement
         if agreement is None or not agreement.agreed.revision:
             raise ApiError(503, "nothing is agreed on yet", "ServiceUnavailable", retry_after_s=1)
-        for number in range(CHANGE_TRIES):
+        objection = ""
+        for attempt in range(MAX_CHANGE_ATTEMPTS):
             agreed = agreement.agreed
             wanted = normalized(edit(parse_rule_set(agreed.latest))).text()
-            if wanted != agreed.latest:
-                why_not = agreed.objection(agreed.version, wanted)
-                if why_not:
-                    break
-                ident = f"{agreement.name}-{self._hub.now_us()}-{number}"
-                self._peering.propose(
-                    "propose",
-                    {
-                        "ident": ident,
-                        "base": agreed.version,
-                        "rules": wanted,
-                        "by": agreement.name,
-                        "why": why[:500],
-                    },
-                )
-                why_not = self._decided(agreement, ident)
-                if why_not:
-                    continue
-            return {
-                "version": agreed.version,
-                "floors": [
-                    {"number": each.number, "lastsUs": each.lasts_us} for each in agreed.floors
-                ],
-            }
-        raise ApiError(409, why_not, "Conflict")
+            if wanted == agreed.latest:
+                return self._accepted_change(agreed)
+            objection = agreed.objection(agreed.version, wanted)
+            if objection:
+                break
+            proposal = ProposalEntry(
+                ident=f"{agreement.name}-{self._hub.now_us()}-{attempt}",
+                base=agreed.version,
+                rules=wanted,
+                by=agreement.name,
+                why=why[:MAX_REASON_CHARS],
+            )
+            self._peering.propose("propose", proposal.to_entry())
+            objection = self._outcome_of(agreement, proposal.ident)
+            if not objection:
+                return self._accepted_change(agreed)
+        raise ApiError(409, objection, "Conflict")
+
+    def _accepted_change(self, agreed: RuleSetState) -> dict[str, Any]:
+        return {
+            "version": agreed.version,
+            "floors": [{"number": each.number, "lastsUs": each.lasts_us} for each in agreed.floors],
+        }
+
+    def _redirect_to_leader(self, agreement: Coordinator, request: Request) -> Answer:
+        address = self._peering.address_of(agreement.leader) if agreement.leader else ""
+        if not address:
+            raise ApiError(
+                503,
+                "no leader is known now: too few voters hear each other",
+                "ServiceUnavailable",
+                retry_after_s=1,
+            )
+        return Answer(
+            307,
+            names.encode({"kind": "Leader", "name": agreement.leader, "address": address}),
+            fields=[("Location", f"http://{address}{request.target}")],
+        )
 
     def _body(self, request: Request) -> dict[str, Any]:
         try:
             return names.decode(request.body)
         except ValueError as error:
-            raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
+            raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from error
+
+    # -- GET rules
 
     def _state(self, agreement: Coordinator) -> dict[str, Any]:
-        now, acting, raft = (
-            self._hub.now_us(),
-            agreement.rules_in_force(self._hub.now_us()),
-            agreement.raft,
-        )
+        now_us = self._hub.now_us()
+        acting = agreement.rules_in_force(now_us)
+        raft = agreement.raft
         state: dict[str, Any] = {
             "kind": "Rules",
             "apiVersion": "wingbarrow.io/v1",
@@ -140,116 +189,111 @@
             "label": acting.label if acting else "",
             "rules": json.loads(acting.rules) if acting else None,
             "version": max(agreement.version, agreement.agreed.version),
-            "grantLeftUs": max(0, agreement.rules_lease.expires_us - now),
-            "floorLeftUs": max(0, agreement.rules_lease.floor_expires_us - now),
+            "grantLeftUs": max(0, agreement.rules_lease.expires_us - now_us),
+            "floorLeftUs": max(0, agreement.rules_lease.floor_expires_us - now_us),
         }
         if raft is not None and not raft.has_lost_state:
-            agreed = agreement.agreed
-            state |= {
-                "voters": list(raft.voters),
-                "term": raft.persistent.term,
-                "edition": agreed.revision,
-                "steps": len(agreed.steps),
-                "versions": [
-                    {
-                        "number": each.number,
-                        "by": each.by,
-                        "why": each.why,
-                        "base": each.base,
-                        "digest": each.digest,
-                        "rules": json.loads(agreed.text_of(each) or "null"),
-                    }
-                    for each in agreed.versions
-                ],
-                "floors": [
-                    {
-                        "number": each.number,
-                        "lastsUs": each.lasts_us,
-                        "rules": json.loads(each.rules),
-                    }
-                    for each in agreed.floors
-                ],
-            }
+            state |= {"voters": list(raft.voters), "term": raft.persistent.term}
+            state |= self._agreed_state(agreement.agreed)
         if agreement.is_leader:
             state["holders"] = [
                 {
                     "placer": name,
                     "edition": lease.edition,
-                    "leftUs": max(0, lease.expires_us - now),
-                    "lapsedUs": max(0, now - lease.expires_us),
+                    "leftUs": max(0, lease.expires_us - now_us),
+                    "lapsedUs": max(0, now_us - lease.expires_us),
                 }
                 for name, lease in sorted(agreement.lease_holders.items())
             ]
         return state
 
+    def _agreed_state(self, agreed: RuleSetState) -> dict[str, Any]:
+        return {
+            "edition": agreed.revision,
+            "steps": len(agreed.steps),
+            "versions": [
+                {
+                    "number": each.number,
+                    "by": each.by,
+                    "why": each.why,
+                    "base": each.base,
+                    "digest": each.digest,
+                    "rules": json.loads(agreed.text_of(each) or "null"),
+                }
+                for each in agreed.versions
+            ],
+            "floors": [
+                {"number": each.number, "lastsUs": each.lasts_us, "rules": json.loads(each.rules)}
+                for each in agreed.floors
+            ],
+        }
+
+    # -- POST rules
+
     def _propose(self, agreement: Coordinator, value: dict[str, Any]) -> Answer:
-        ident, rules, lasts = value.get("ident"), value.get("rules"), value.get("lastsUs")
-        if (
-            not isinstance(ident, str)
-            or not 0 < len(ident) <= TEXT_MOST
-            or not isinstance(rules, dict)
-        ):
-            raise ApiError(422, "ident (a name of its own) and rules are wanted", "Invalid")
-        text, agreed = json.dumps(rules), agreement.agreed
-        base = value.get("base", agreed.version)
-        if not isinstance(base, int) or (lasts is not None and not isinstance(lasts, int)):
-            raise ApiError(422, "base and lastsUs are whole numbers", "Invalid")
-        if value.get("keepDrains") and agreed.revision:
+        agreed = agreement.agreed
+        request = _ProposalRequest.from_body(value, agreed.version)
+        rules = request.rules
+        if request.keep_drains and agreed.revision:
             try:
-                text = keeping_drains(parse_rule_set(text), parse_rule_set(agreed.latest)).text()
+                rules = keeping_drains(parse_rule_set(rules), parse_rule_set(agreed.latest)).text()
             except RuleSetError as error:
-                raise ApiError(409, str(error), "Conflict") from None
-        held = agreed.outcomes.get(ident)
-        if held is None:
-            why_not = (
-                agreed.objection(base, text)
-                if lasts is None
-                else agreed.floor_objection(text, lasts)
+                raise ApiError(409, str(error), "Conflict") from error
+        outcome = agreed.outcomes.get(request.ident)
+        if outcome is None:
+            objection = (
+                agreed.objection(request.base, rules)
+                if request.lasts_us is None
+                else agreed.floor_objection(rules, request.lasts_us)
             )
-            if why_not or value.get("dryRun"):
-                return self._outcome(agreement, why_not, bool(value.get("dryRun")))
-            told = {
-                "ident": ident,
-                "rules": text,
-                "by": str(value.get("by", ""))[:TEXT_MOST],
-                "why": str(value.get("why", ""))[:500],
-            }
-            if lasts is None:
-                self._peering.propose("propose", {**told, "base": base})
-            else:
-                self._peering.propose("floor", {**told, "lasts_us": lasts})
-            held = self._decided(agreement, ident)
-        return self._outcome(agreement, held, False)
-
-    def _decided(self, agreement: Coordinator, ident: str) -> str:
-        end = self._hub.now_us() + DECIDED_US
+            if objection or request.is_dry_run:
+                return self._answer(agreement, objection, is_dry_run=request.is_dry_run)
+            self._propose_entry(request, rules)
+            outcome = self._outcome_of(agreement, request.ident)
+        return self._answer(agreement, outcome, is_dry_run=False)
+
+    def _propose_entry(self, request: _ProposalRequest, rules: str) -> None:
+        if request.lasts_us is not None:
+            floor = FloorEntry(request.ident, rules, request.by, request.why, request.lasts_us)
+            self._peering.propose("floor", floor.to_entry())
+            return
+        proposal = ProposalEntry(request.ident, request.base, rules, request.by, request.why)
+        entry = proposal.to_entry()
+        entry["base"] = entry.pop("base")  # last, as this resource has always written it
+        self._peering.propose("propose", entry)
+
+    def _outcome_of(self, agreement: Coordinator, ident: str) -> str:
+        """The objection by which a proposal was rejected, "" where it was accepted, once that is decided."""
+        end_us = self._hub.now_us() + DECISION_TIMEOUT_US
         while ident not in agreement.agreed.outcomes:
-            if self._hub.now_us() >= end:
+            if self._hub.now_us() >= end_us:
                 raise ApiError(
                     504,
                     "not decided yet: send it again under the same ident to learn what became of it",
                     "Timeout",
                 )
-            self._hub.sleep(10_000)
+            self._hub.sleep(DECISION_POLL_US)
         return agreement.agreed.outcomes[ident]
 
-    def _outcome(self, agreement: Coordinator, why_not: str, dry: bool) -> Answer:
-        if why_not:
-            raise ApiError(409, why_not, "Conflict")
+    def _answer(self, agreement: Coordinator, objection: str, *, is_dry_run: bool) -> Answer:
+        if objection:
+            raise ApiError(409, objection, "Conflict")
         return Answer(
-            200 if dry else 201,
+            200 if is_dry_run else 201,
             names.encode(
                 {
                     "kind": "Accepted",
                     "version": agreement.agreed.version,
                     "edition": agreement.agreed.revision,
                     "steps": len(agreement.agreed.steps),
-                    "dryRun": dry,
+                    "dryRun": is_dry_run,
                 }
             ),
         )
 
-    def _voters(self, agreement: Coordinator, value: dict[str, Any]) -> Answer:
+    # -- POST rules/voters
+
+    def _change_voters(self, value: dict[str, Any]) -> Answer:
         wanted = value.get("voters")
         if not isinstance(wanted, list) or not all(
             isinstance(each, str) and each for each in wanted
