--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -100,7 +100,7 @@
         is_forwarded: bool,
     ) -> dict[str, Any]:
         base = self._base
-        self._active_rules.look()
+        self._active_rules.check_contact()
         generated_suffix = f"{base.random.randrange(36**5):05x}"[-5:]
         request = read_job(
             value, namespace, base.settings.classes, base.settings.limits, generated_suffix
@@ -198,7 +198,7 @@
 
     def _check_fleet_limits(self, request: JobRequest, now_us: int, due_us: int) -> None:
         """Limits that placers agree on; waits for this placer's quota, up to a third of the time left."""
-        exceeded = self._active_rules.beyond_after(
+        exceeded = self._active_rules.use_quota_or_wait(
             request.namespace,
             request.task_class.task_class.name,
             request.count,
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -263,11 +263,11 @@
     def _build_agreement(self) -> None:
         """What placers agree on: rules, quotas, ejected machines and maintenance slots."""
         peering, active_rules = self.peering, self.active_rules
-        active_rules.pass_again = self.fleet.reapply_named
+        active_rules.recheck_machines = self.fleet.reapply_named
         self.fleet.guards.append(active_rules.guard)
         active_rules.acting = self._rules_in_force
-        peering.on_rules = active_rules.take
-        peering.on_rights = active_rules.take_rights
+        peering.on_rules = active_rules.on_rules
+        peering.on_rights = active_rules.on_quotas
         active_rules.hurry = peering.hurry
         peering.uses = self._quota_in_use
         peering.demand = self._quota_demand
@@ -285,7 +285,7 @@
         self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
         peering.zones = ejections.zones
         peering.on_verdicts = ejections.take
-        active_rules.purse = self._quota_account
+        active_rules.quotas = self._quota_account
 
     def _build_subset(self, settings: SubsetSettings) -> None:
         """The part of the region's machines that this placer holds, and its share of offers to cold ones."""
@@ -324,7 +324,7 @@
         )
         if settings.agree is not None:
             self.active_rules.on_drains = self._on_agreed_drains
-            self.active_rules.drained = self._is_drained_by_agreement
+            self.active_rules.is_drained = self._is_drained_by_agreement
             self.drainer.may_move = self._may_act
             self.drainer.on_closed = self._on_machines_closed
 
