--- a/wingbarrow/decide/maintenance/drain_plan.py
+++ b/wingbarrow/decide/maintenance/drain_plan.py
@@ -100,16 +100,6 @@
 Place = tuple[Scope | str, str]  # a scope's place, or a kind of machines
 
 
-@dataclass(frozen=True, slots=True)
-class _Span:
-    """A machine that is out of service, and by which window."""
-
-    start_us: int
-    end_us: int
-    machine: MachineState
-    window: str
-
-
 @dataclass(frozen=True, slots=True)
 class _Candidate:
     """A machine with the places in which it counts, and the budgets of those that have one."""
@@ -119,6 +109,16 @@
     limits: tuple[tuple[Place, int], ...]
 
 
+@dataclass(slots=True)
+class _Span:
+    """A machine that is out of service, and by which window."""
+
+    start_us: int
+    end_us: int
+    candidate: _Candidate
+    window: str
+
+
 class _Grid:
     """The slots of one occurrence: what is out in each, by place and by size.
 
@@ -137,13 +137,19 @@
             first = max(0, (span.start_us - self.start_us) // self.slot_us)
             last = min(self.slots - 1, (span.end_us - 1 - self.start_us) // self.slot_us)
             for slot in range(first, last + 1):
-                self._count(span.machine, _places(span.machine), slot)
-
-    def _count(self, machine: MachineState, places: tuple[Place, ...], slot: int) -> None:
-        for place in places:
-            self._out.setdefault(place, [0] * self.slots)[slot] += 1
-        self._out_size[slot][0] += machine.size[0]
-        self._out_size[slot][1] += machine.size[1]
+                self._count(span.candidate, slot)
+
+    def _count(self, candidate: _Candidate, slot: int) -> None:
+        cores, memory = candidate.machine.size
+        out_size = self._out_size[slot]
+        out_size[0] += cores
+        out_size[1] += memory
+        for place in candidate.places:
+            out = self._out.get(place)
+            if out is None:
+                out = [0] * self.slots
+                self._out[place] = out
+            out[slot] += 1
 
     def exhausted(self, candidate: _Candidate, slot: int) -> tuple[Place, int] | None:
         """The first of a machine's places whose budget is spent in the slot, with that budget."""
@@ -163,9 +169,9 @@
 
     def take(self, candidate: _Candidate, slot: int, window: str) -> _Span:
         """Put a machine into a slot."""
-        self._count(candidate.machine, candidate.places, slot)
+        self._count(candidate, slot)
         begin_us = self.start_us + slot * self.slot_us
-        span = _Span(begin_us, begin_us + self.slot_us, candidate.machine, window)
+        span = _Span(begin_us, begin_us + self.slot_us, candidate, window)
         self.spans.append(span)
         return span
 
@@ -191,7 +197,11 @@
             grid,
             spare,
             blackout=_blackout(occurrence, rules.blackouts),
-            busy={span.machine.name: span for span in active if span.start_us < occurrence.end_us},
+            busy={
+                span.candidate.machine.name: span
+                for span in active
+                if span.start_us < occurrence.end_us
+            },
         )
         drains += [planner.drain(each) for each in selected[id(series)]]
         active += grid.spans
