--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -74,9 +74,8 @@
         self.on_contact: Callable[[str], None] = lambda name: None  # a machine answered a probe
         self.on_delivery_applied: Callable[[], None] = lambda: None
         self.is_drained: Callable[[str], bool] = lambda name: False  # by the drain calendar
-        self.on_state_lost: Callable[[], None] = (
-            lambda: None
-        )  # what a former life held cannot be read
+        # The checkpoint of the earlier incarnation cannot be read.
+        self.on_state_lost: Callable[[], None] = lambda: None
         # Predicates on machine names: closed to this placer alone.
         self.closed_locally: list[Callable[[str], bool]] = []
         observations.on_listed = self._on_pods_listed
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -1,7 +1,7 @@
-"""The list reflector: list, then watch, the Nodes of the list source, and resume, relist or wait as it breaks.
+"""The reflector: lists, then watches, the Nodes of the list source; resumes, relists or backs off when that fails.
 
-Kubernetes API concepts, "Efficient detection of changes". What counts of the news is decided in
-`decide.listing`; how long to wait, in `decide.backoff`.
+Kubernetes API concepts, "Efficient detection of changes". Which versions are accepted is decided in `decide.listing`;
+how long to wait after a failure, in `decide.backoff`.
 """
 
 from __future__ import annotations
@@ -27,11 +27,14 @@
 )  # the source sends a bookmark at least this often while anything changes
 WATCH_S = 300
 PAGE = 500
-RANKING_BATCH = 100  # names
+RANKING_BATCH = 100  # names between two checkpoints
 
 
 class Reflector:
-    """Tells `deliver(form, entries, gone names)` what the source says; `run` goes on until cancelled."""
+    """Calls `deliver(form, entries, names that are gone)` for each list, watch batch and failure of the source.
+
+    `is_wanted(name)` restricts what is held; other entries are skipped before they are decoded.
+    """
 
     def __init__(
         self,
@@ -45,7 +48,8 @@
         deliver: Callable[[ListForm, list[NodeEntry], list[str]], None],
         log: Callable[..., None],
     ) -> None:
-        self._hub, self._shift_us = hub, shift_us
+        self._hub = hub
+        self._shift_us = shift_us
         self._pool = Pool(
             hub, host, port, PoolLimits(connections=4, message=Limits(body=256 << 20)), agent
         )
@@ -56,21 +60,22 @@
         self._max_machines = max_machines
         self._version = ""
         self._reported_failure = False
-        self.is_wanted: Callable[[str], bool] = (
-            _accept_all  # by name: other entries are passed over, not held
-        )
-        self.skipped_entries = 0  # entries so far that were not wanted
+        self.is_wanted: Callable[[str], bool] = _accept_all
+        self.skipped_entries = 0  # so far
         self.left_out = 0  # machines on the list that are not held
         self.refills = 0
-        self.bad_entries = self.relists = self.watches = self.failures = 0
+        self.bad_entries = 0
+        self.relists = 0
+        self.watches = 0
+        self.failures = 0
         self.held: dict[str, NodeEntry] = {}
-        self.last_contact_us: int | None = None  # when the source last said anything
-        self.version = 0  # of the list as held
+        self.last_contact_us: int | None = None  # when the source last sent anything
+        self.version = 0  # resourceVersion of the list as held
         self.on_new_source: Callable[[], None] = lambda: None
 
     def run(self) -> None:
-        """List and watch for ever."""
-        # Danger (rule 3): after a stall, offers that are ready would go out before the drains told meanwhile are read.
+        """List and watch until cancelled."""
+        # Danger (rule 3): after a stall, ready offers would be sent before the drains announced meanwhile are read.
         self._hub.current().first = True
         while True:
             try:
@@ -119,7 +124,7 @@
                 if name in self.held:
                     entries[name] = self.held[name]
             else:
-                # An entry of an older version than the one held: the newer news stands.
+                # An entry of an older version than the one held: the newer one is kept.
                 newer = self._judge.judge_entry(entry.name, entry.version)
                 entries[entry.name] = entry if newer else self.held.get(entry.name, entry)
         if len(wanted) > self._max_machines:
@@ -132,9 +137,9 @@
         self._deliver(ListForm.FULL, list(entries.values()), gone)
 
     def refill(self) -> None:
-        """Take in machines that are wanted by now and not held, by a list beside the watch, which goes on.
+        """Add machines that are wanted and not held, by a further list while the watch goes on.
 
-        Raises CallFailed, ApiError or ValueError where the source gives none, or one older than what was read.
+        Raises CallFailed, ApiError or ValueError where there is no list, or one older than what was read.
         """
         items, version = list_all(
             self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_TIMEOUT_US
@@ -142,7 +147,7 @@
         self._prepare_is_wanted(items)
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
-        # Danger (rule 3): the watch may have told of a drain that an older list does not have yet.
+        # Danger (rule 3): the watch may have announced a drain that an older list does not contain yet.
         if self._judge.goes_back(int(version)):
             raise ValueError(f"the list goes back to version {version}")
         self.refills += 1
@@ -151,9 +156,9 @@
         self.left_out = len(items) - len(wanted)
         for value in wanted:
             if _name(value) in self.held:
-                continue  # the watch tells of it
+                continue  # the watch keeps it current
             entry = self._read(value)
-            # An entry that the watch told to be deleted since has a lower version here.
+            # An entry that the watch has reported deleted meanwhile has a lower version here.
             if entry is None or not self._judge.judge_entry(entry.name, entry.version):
                 continue
             if len(self.held) >= self._max_machines:
@@ -167,24 +172,24 @@
             self._deliver(ListForm.CHANGES, added, [])
 
     def drop(self, name: str) -> None:
-        """Hold a machine no longer; its further news is passed over unless it is wanted."""
+        """Stop holding a machine; its further events are skipped unless it is wanted again."""
         if self.held.pop(name, None) is not None:
             self.left_out += 1
 
     def _prepare_is_wanted(self, items: list[dict[str, Any]]) -> None:
-        """Have `wanted` answer for every name, while others run in between: the first answer for a name costs most.
+        """Call `is_wanted` for every name, yielding in between: the first call for a name is the expensive one.
 
-        Danger (rule 1): ranking 10,000 machines for 100 placers in one go takes more than a second.
+        Danger (rule 1): ranking 10,000 machines for 100 placers without a yield takes more than a second.
         """
         if self.is_wanted is _accept_all:
             return
-        for at in range(0, len(items), RANKING_BATCH):
-            for value in items[at : at + RANKING_BATCH]:
+        for begin in range(0, len(items), RANKING_BATCH):
+            for value in items[begin : begin + RANKING_BATCH]:
                 self.is_wanted(_name(value))
             self._hub.checkpoint()
 
     def _is_wanted(self, value: dict[str, Any]) -> bool:
-        """Whether an entry is to be read; asked before anything of it is decoded but its name."""
+        """Whether an entry is to be read; only its name is decoded for that. Counts those that are not."""
         name = _name(value)
         if not name or self.is_wanted(name):
             return True
@@ -192,7 +197,8 @@
         return False
 
     def _on_success(self) -> None:
-        self.last_contact_us, self.version = self._hub.now_us(), int(self._version or 0)
+        self.last_contact_us = self._hub.now_us()
+        self.version = int(self._version or 0)
         self._backoff.clear()
         self._reported_failure = False
 
@@ -227,7 +233,7 @@
             batches.close()  # type: ignore[attr-defined]
 
     def _on_batch(self, batch: list[tuple[str, dict[str, Any]]]) -> None:
-        """Take in what came in one piece at once: the module plans anew after each delivery, not each line."""
+        """Apply events that arrived together as one delivery, since the module plans anew after each delivery."""
         changed: dict[str, NodeEntry] = {}
         gone: dict[str, None] = {}
         for kind, value in batch:
@@ -269,7 +275,7 @@
 
 
 def _name(value: dict[str, Any]) -> str:
-    """The name of a listed object; "" where it has none that can be used."""
+    """The name of a listed object; "" without a usable one."""
     meta = value.get("metadata")
     name = meta.get("name") if isinstance(meta, dict) else None
     return name if isinstance(name, str) else ""
--- a/wingbarrow/decide/gate.py
+++ b/wingbarrow/decide/gate.py
@@ -1,7 +1,7 @@
-"""The gate that every offer passes right before its first byte goes out.
+"""The gate that every offer passes right before its first byte is sent.
 
-The module decides on a send; between that and the first byte an offer may wait for a connection. Time passes
-there, so what the rules forbid is asked once more. The gate narrows; it never picks a machine.
+The module decides on an offer; between that and its first byte the offer may wait for a connection. Time passes
+meanwhile, so the rules are checked once more. The gate only holds offers back; it never chooses a machine.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class HoldReason(Enum):
-    """Why an offer does not go out."""
+    """Why an offer is not sent; names are counted in `/metrics` as `held:NAME`."""
 
     ENDED = "the request has ended"
     LATE = "the owner's patience has ended"
@@ -29,66 +29,67 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What the gate looks at; times in microseconds of one clock."""
+    """What the gate checks; times in microseconds of one clock."""
 
     decided_us: int  # when the module chose the machine
     deadline_us: int
-    request_open: bool  # still owed its final answer
-    attempt_out: bool  # this attempt, and no other, is the one out
-    machine_runs: bool  # by all that the list has told so far
+    request_open: bool  # its final answer has not been given
+    attempt_out: bool  # this attempt, and no other, is the request's open one
+    machine_runs: bool  # by the list as received so far
     launched_us: int  # the machine's last start, 0 for long ago
-    granted: HoldReason | None = None  # what the agreed rules say against it at this moment
-    leased: bool = True  # its Job needs no lease, or this placer's holds, by its own clock
-    may_repeat: bool = (
-        True  # no earlier attempt may have run, or `decide.idempotency` allows one more now
+    granted: HoldReason | None = (
+        None  # why the agreed rules forbid it now, None where they allow it
     )
-    chosen_launched_us: int | None = (
-        None  # the machine's last start as known when it was chosen; None: as now
+    leased: bool = True  # its Job needs no lease, or this placer's is valid by its own clock
+    may_repeat: bool = (
+        True  # no earlier attempt can have run, or `decide.idempotency` allows a repeat
     )
+    # The machine's last start as known when it was chosen; None: as now.
+    chosen_launched_us: int | None = None
     cold_share_left: bool = (
         True  # by `decide.slow_start`, where placers hold subsets of the machines
     )
 
 
 class SendGate:
-    """Built from the rules' figures: `cold_us` and `fall_us` as in the module's settings."""
+    """The checks in order; `cold_us` and `fall_us` as in the module's settings."""
 
     def __init__(self, cold_us: int, fall_us: int) -> None:
         self._cold_us = cold_us
-        # The module counts offers over a span a quarter longer than the fall's; half of that slack may pass here.
+        # The module counts offers over a span a quarter longer than `fall_us`; half of that margin may pass here.
         self._cold_wait_us = fall_us // 8
 
     def check(self, now_us: int, offer: Offer) -> HoldReason | None:
-        """None lets the offer out."""
-        # Rule 1. Danger: a send after the final answer, or one whose answer could only come too late.
+        """Why to hold the offer; None to send it."""
+        # Rule 1. Danger: an offer sent after the final answer, or one whose answer could only come too late.
         if not offer.request_open:
             return HoldReason.ENDED
         if now_us >= offer.deadline_us:
             return HoldReason.LATE
-        # Rule 2. Danger: two attempts out, when this one was given up while it waited for its connection.
+        # Rule 2. Danger: two attempts in flight, where this one was given up while it waited for its connection.
         if not offer.attempt_out:
             return HoldReason.NOT_OUT
-        # Rule 2. Danger: the window in which machines discard a repeat closed while this one waited.
+        # Rule 2. Danger: the window in which machines discard a repeat has closed while this one waited.
         if not offer.may_repeat:
             return HoldReason.REPEAT
-        # Agreed rules. Danger: this placer stood still, or was cut off, while the others went on to other rules.
+        # Agreed rules. Danger: this placer was stalled or partitioned while the others moved to another rule set.
         if offer.granted is not None:
             return offer.granted
-        # Leases. Danger: this placer stood still, or was cut off, and a successor may start the Job by now. A floor
-        # says nothing about that: it never stands in for a lease.
+        # Leases. Danger: this placer was stalled or partitioned, and another may start the Job after failover by now.
+        # A floor says nothing about that: it never replaces a lease.
         if not offer.leased:
             return HoldReason.NO_LEASE
-        # Rule 3. Danger: the drain was heard while the offer waited; stopped at once, not after the grace.
+        # Rule 3. Danger: the machine began to drain while the offer waited; held at once, not after the grace period.
         if not offer.machine_runs:
             return HoldReason.DRAINING
-        # Rule 4. Danger: offers that waited go out in one burst, more in a span than the module counted.
+        # Rule 4. Danger: offers that waited are sent in one burst, more within a span than the module counted.
         cold = offer.launched_us > 0 and now_us < offer.launched_us + self._cold_us
-        # Danger: chosen while its former process was warm, so that the module counted it in no cold machine's share.
+        # Danger: chosen while its earlier process was warm, so that the module counted the offer in no cold share.
         if cold and offer.chosen_launched_us not in (None, offer.launched_us):
             return HoldReason.RESTARTED
         if cold and now_us - offer.decided_us > self._cold_wait_us:
             return HoldReason.STALE_COLD
-        # Danger: placers that disagree on who lives hold a machine in greater number than its offers were dealt to.
+        # Danger: placers that disagree on membership hold a machine in greater number than its share was divided by.
         if cold and not offer.cold_share_left:
             return HoldReason.COLD_SHARE
         return None
--- a/wingbarrow/decide/learning.py
+++ b/wingbarrow/decide/learning.py
@@ -1,20 +1,21 @@
-"""What hearsay is worth: how a peer's knowledge of machines fades with age, and when it is not believed.
+"""Peer hints: how a peer's knowledge of machines is discounted with its age, and when it is not believed.
 
-The curve. A task that a peer saw running is still there after an age `a` with a chance of about exp(-a / life),
-where lives have no memory. So a figure that counts tasks keeps the weight w = 2 ** (-a / HALF_LIFE) and the rest is
-the average over the fleet: figure * w + average * (1 - w). HALF_LIFE is short beside the lives seen in service, as
-many short tasks make up most of a machine's change. It does harm where tasks live far shorter than it: a machine that
-emptied looks used for some seconds, until the list or an own offer says otherwise; and where one machine is far from
-the average for a reason that lasts (a machine given over to one service): its figure drifts to the average before
-the list corrects it. Programs kept warm and rests do not fade, they end: each is believed for what is left of it.
+Discount. A task that a peer saw running is still there after an age `a` with a probability of about exp(-a / life),
+where lives are memoryless. So a figure that counts tasks keeps the weight w = 2 ** (-a / HALF_LIFE), and the rest is
+the average over the fleet: figure * w + average * (1 - w). HALF_LIFE is short compared with the lives seen in service,
+as many short tasks make up most of a machine's change. It misleads where tasks live far shorter: a machine that emptied
+looks used for some seconds, until the list or an own offer says otherwise. It also misleads where one machine is far
+from the average for a lasting reason, such as a machine dedicated to one service: its figure drifts to the average
+before the list corrects it. Warm programs and rest periods are not discounted; each is believed for its time left.
 
-What outranks what: own experience, then the newer of list and peer, then hearsay. A sight of a drain outranks
+Precedence: own experience, then the newer of list and peer, then peer hints. An observed drain takes precedence over
 everything that is not newer than it.
 """
 
 from __future__ import annotations
 
 import math
+from bisect import bisect_right
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
@@ -23,28 +24,25 @@
 
 SECOND = 1_000_000
 HALF_LIFE_US = 8 * SECOND
-MAX_USEFUL_AGE_US = (
-    60 * SECOND
-)  # a figure older than this says nothing that the average does not say
-RATIO_HALF_LIFE_US = (
-    120 * SECOND
-)  # shares of use belong to programs, which change more slowly than tasks
-MAX_RATIO_NOTES = 100.0  # a peer's shares weigh as much as so many own notes at most
-MAX_AGE_US = 24 * 3600 * SECOND  # beyond, an age is a broken clock
-CLOCK_SLACK_US = SECOND  # by which a peer's clock may run otherwise than ours within one exchange
+MAX_USEFUL_AGE_US = 60 * SECOND  # an older figure says nothing beyond the average
+RATIO_HALF_LIFE_US = 120 * SECOND  # usage ratios are of programs, which change slower than tasks
+MAX_RATIO = 10.0
+MAX_RATIO_NOTES = 100.0  # a peer's ratios weigh as much as so many own notes at most
+MAX_STRIKES = 31  # of a rest period; more is no valid value
+MAX_AGE_US = 24 * 3600 * SECOND  # a larger age means a broken clock
+CLOCK_SLACK_US = SECOND  # accepted deviation of a peer's clock from ours within one exchange
 CLOCK_DRIFT = 0.1
-MIN_UPTIME_US = 5 * SECOND  # an instance younger than this knows next to nothing itself
-LIST_OLD_US = 30 * SECOND
-MAX_UNKNOWN_SHARE = (
-    0.5  # share of machines that our list lacks, beyond which a peer is of another cluster
-)
+MIN_UPTIME_US = 5 * SECOND  # an instance younger than this knows too little itself
+LIST_AGE_STEPS_US = (2 * SECOND, 10 * SECOND, 30 * SECOND)  # lists within a step are equally fresh
+MAX_UNKNOWN_SHARE = 0.5  # of a peer's machines; beyond it the peer belongs to another cluster
+MIN_OBSERVATIONS = 4  # for an average, and to judge a peer's cluster
 
 
 @dataclass(frozen=True, slots=True)
 class MachineObservation:
-    """A machine as a peer knows it; ages in microseconds, None where it knows nothing of the kind.
+    """A machine as a peer knows it; ages in microseconds, None where it has no such knowledge.
 
-    `version` is the list's version of the entry that the peer holds; `launched_age_us` tells of the last start.
+    `version`: the list's version of the entry that the peer holds; `launched_age_us`: since the last start.
     """
 
     machine: str
@@ -55,13 +53,13 @@
     asked_age_us: int | None
     beyond: tuple[float, float] | None
     measured_age_us: int | None
-    warm_us: Mapping[str, int]  # program: for how long it is trusted to stay
-    rests_us: Mapping[str, tuple[int, int]]  # class or "": strikes, time left
+    warm_us: Mapping[str, int]  # by program: for how long it is expected to stay warm
+    rests_us: Mapping[str, tuple[int, int]]  # by class, or "" for all: strikes, time left
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an instance says of itself before anything is handed over."""
+    """What an instance says about itself before its knowledge is read."""
 
     peer: str  # its address, as configured
     ident: str
@@ -69,7 +67,7 @@
     region: str
     cluster: str
     uptime_us: int
-    list_age_us: int | None  # since its list last spoke; None where it has none
+    list_age_us: int | None  # since the last contact with its list source; None without a list
     machines: int
     rtt_us: int
 
@@ -77,11 +75,11 @@
 def order_peers(
     announcements: Iterable[Announcement], region: str, cluster: str, own_ident: str
 ) -> list[Announcement]:
-    """Whom to ask, best first: who knows something, freshest list first (in steps), then nearest.
+    """The peers to read from, best first: freshest list first (in steps), then own region, then lowest round trip.
 
-    Those that know nothing yet are left out: two new instances that ask each other would learn only echoes.
+    Peers that know nothing yet are left out: two new instances would only learn what they told each other.
     """
-    fit = [
+    suitable = [
         each
         for each in announcements
         if each.cluster == cluster
@@ -91,21 +89,21 @@
         and each.list_age_us is not None
         and 0 <= each.list_age_us <= MAX_AGE_US
     ]
-
-    def step(age_us: int | None) -> int:
-        age = age_us or 0
-        return 0 if age < 2 * SECOND else 1 if age < 10 * SECOND else 2 if age < LIST_OLD_US else 3
-
     return sorted(
-        fit,
-        key=lambda each: (step(each.list_age_us), each.region != region, each.rtt_us, each.ident),
+        suitable,
+        key=lambda each: (
+            bisect_right(LIST_AGE_STEPS_US, each.list_age_us or 0),
+            each.region != region,
+            each.rtt_us,
+            each.ident,
+        ),
     )
 
 
 class ClockCheck:
-    """Compares how fast a peer's clock runs with ours over the pages of one hand-over.
+    """Compares the rate of a peer's clock with ours over the pages of one exchange.
 
-    Only ages cross the wire, so an offset does no harm; a clock that jumps between two pages makes ages wrong.
+    Only ages are transferred, so an offset does no harm; a clock that jumps between two pages makes ages wrong.
     """
 
     def __init__(self) -> None:
@@ -113,24 +111,27 @@
         self.is_broken = False
 
     def check_page(self, own_us: int, peer_us: int) -> bool:
-        """Whether the page's ages can be believed; once a clock has jumped, none can any longer."""
+        """Whether a page's ages can be believed; once a clock has jumped, no later ones can."""
         if self._first is None:
             self._first = own_us, peer_us
-        own, peer = own_us - self._first[0], peer_us - self._first[1]
-        if abs(peer - own) > CLOCK_SLACK_US + CLOCK_DRIFT * max(own, 0):
+        first_own_us, first_peer_us = self._first
+        own_passed_us = own_us - first_own_us
+        peer_passed_us = peer_us - first_peer_us
+        max_deviation_us = CLOCK_SLACK_US + CLOCK_DRIFT * max(own_passed_us, 0)
+        if abs(peer_passed_us - own_passed_us) > max_deviation_us:
             self.is_broken = True
         return not self.is_broken
 
 
 def plausible_age(age_us: int | None) -> int | None:
-    """The age, or None where it cannot be one: the figure is useless then, never fresh."""
+    """The age, or None where the value cannot be one; the figure is then discarded, never taken as fresh."""
     if age_us is None or not isinstance(age_us, int) or not 0 <= age_us <= MAX_AGE_US:
         return None
     return age_us
 
 
 def weight(age_us: int, half_life_us: int = HALF_LIFE_US) -> float:
-    """How much of a figure of that age is kept."""
+    """The part of a figure of that age that is kept."""
     return (
         2.0 ** (-age_us / half_life_us)
         if age_us < MAX_USEFUL_AGE_US or half_life_us != HALF_LIFE_US
@@ -138,8 +139,8 @@
     )
 
 
-def _number(pair: tuple[float, float] | None, most: float) -> tuple[float, float] | None:
-    if pair is None or not all(math.isfinite(each) and abs(each) <= most for each in pair):
+def _valid_pair(pair: tuple[float, float] | None, limit: float) -> tuple[float, float] | None:
+    if pair is None or not all(math.isfinite(each) and abs(each) <= limit for each in pair):
         return None
     return pair
 
@@ -153,141 +154,152 @@
     clock_good: bool,
     average: tuple[float, float],
 ) -> list[LearnedMachine]:
-    """A page's sights as the module may take them: faded by age, what is not to be believed left out.
+    """A page's observations as the module may use them: discounted by age, without what is not believed.
 
     `more_age_us` is added to every age (the snapshot's own age and the exchange). `sizes`, `versions` and `idents`
-    are of the machines on our list, by name; sights of others are passed over. `average`: the share of their size
-    that machines are asked for over the fleet (`fleet_average`).
+    are of the machines on our list, by name; observations of other machines are skipped. `average`: the share of their
+    size that is requested of machines over the fleet (`fleet_average`).
     """
-    observations = [sight for sight in observations if sight.machine in idents]
-    out: list[LearnedMachine] = []
-    for sight in observations:
-        if sight.phase is not Phase.RUNNING:
-            continue  # what a peer saw draining is no help; Distrust keeps it out
-        name = sight.machine
+    learned: list[LearnedMachine] = []
+    for observation in observations:
+        name = observation.machine
+        # What a peer saw draining gives no hint; `Distrust` closes it.
+        if name not in idents or observation.phase is not Phase.RUNNING:
+            continue
         size = sizes[name]
-        older = sight.version < versions.get(
-            name, 0
-        )  # our list has newer word of this machine than the peer's
-        asked, asked_age = _faded(
-            sight.asked, sight.asked_age_us, more_age_us, average, size, clock_good
-        )
-        if older:
+        is_older = observation.version < versions.get(name, 0)  # than our list's entry
+        asked, asked_age_us = _discounted_asked(observation, more_age_us, average, size, clock_good)
+        if is_older:
             asked = None
-        beyond, measured_age = (
-            _number(sight.beyond, 10 * max(size)),
-            plausible_age(sight.measured_age_us),
-        )
-        if beyond is not None and measured_age is not None and clock_good:
-            measured_age += more_age_us
-            kept = weight(measured_age)
-            beyond = (beyond[0] * kept, beyond[1] * kept)
-            if not kept:
-                beyond = None
-        else:
-            beyond = None
-        restarted = (
-            older and sight.launched_age_us is not None
-        )  # its programs may be of a former life
-        warm = (
-            {}
-            if restarted or not clock_good
-            else {
-                service: left - more_age_us
-                for service, left in sight.warm_us.items()
-                if isinstance(left, int) and more_age_us < left <= MAX_USEFUL_AGE_US
-            }
-        )
-        rests = (
-            {}
-            if restarted or not clock_good
-            else {
-                key: (strikes, left - more_age_us)
-                for key, (strikes, left) in sight.rests_us.items()
-                if 0 < strikes < 32 and more_age_us < left <= MAX_USEFUL_AGE_US
-            }
-        )
+        beyond, measured_age_us = _discounted_beyond(observation, more_age_us, size, clock_good)
+        warm: dict[str, int] = {}
+        rests: dict[str, tuple[int, int]] = {}
+        # A start that our list does not have yet: programs and rests may be of the process before it.
+        may_have_restarted = is_older and observation.launched_age_us is not None
+        if clock_good and not may_have_restarted:
+            warm = _still_warm(observation, more_age_us)
+            rests = _still_resting(observation, more_age_us)
         if asked is not None or beyond is not None or warm or rests:
-            out.append(
+            learned.append(
                 LearnedMachine(
-                    idents[name], asked, asked_age, beyond, measured_age or 0, warm, rests
+                    idents[name], asked, asked_age_us, beyond, measured_age_us, warm, rests
                 )
             )
-    return out
+    return learned
 
 
-def fleet_average(
-    observations: Iterable[MachineObservation],
-    sizes: Mapping[str, tuple[float, float]],
-    held: tuple[float, float],
-) -> tuple[float, float]:
-    """The share of their size that machines are asked for, over sights that tell it; `held` where few do."""
-    told = [
-        (each.asked, sizes[each.machine])
-        for each in observations
-        if each.machine in sizes and _number(each.asked, 1e9) is not None
-    ]
-    if len(told) < 4:
-        return held
-    return (
-        sum(asked[0] for asked, _ in told if asked) / sum(size[0] for _, size in told),
-        sum(asked[1] for asked, _ in told if asked) / sum(size[1] for _, size in told),
-    )
-
-
-def _faded(
-    asked: tuple[float, float] | None,
-    age_us: int | None,
+def _discounted_asked(
+    observation: MachineObservation,
     more_age_us: int,
     average: tuple[float, float],
     size: tuple[float, float],
     clock_good: bool,
 ) -> tuple[tuple[float, float] | None, int]:
-    asked, age = _number(asked, 100 * max(size)), plausible_age(age_us)
-    if asked is None or age is None or not clock_good:
+    """What is requested of a machine, drawn to the fleet's average by age, and its age; None where not believed."""
+    asked = _valid_pair(observation.asked, 100 * max(size))
+    age_us = plausible_age(observation.asked_age_us)
+    if asked is None or age_us is None or not clock_good:
         return None, 0
-    age += more_age_us
-    kept = weight(age)
+    age_us += more_age_us
+    kept = weight(age_us)
     if not kept:
         return None, 0
     return (
         asked[0] * kept + average[0] * size[0] * (1 - kept),
         asked[1] * kept + average[1] * size[1] * (1 - kept),
-    ), age
+    ), age_us
+
+
+def _discounted_beyond(
+    observation: MachineObservation, more_age_us: int, size: tuple[float, float], clock_good: bool
+) -> tuple[tuple[float, float] | None, int]:
+    """Use beyond what is requested, drawn to zero by age, and its age; None where not believed."""
+    beyond = _valid_pair(observation.beyond, 10 * max(size))
+    age_us = plausible_age(observation.measured_age_us)
+    if beyond is None or age_us is None or not clock_good:
+        return None, age_us or 0
+    age_us += more_age_us
+    kept = weight(age_us)
+    return (beyond[0] * kept, beyond[1] * kept) if kept else None, age_us
+
+
+def _still_warm(observation: MachineObservation, more_age_us: int) -> dict[str, int]:
+    """Programs that are still warm, with the time left."""
+    return {
+        service: left_us - more_age_us
+        for service, left_us in observation.warm_us.items()
+        if isinstance(left_us, int) and more_age_us < left_us <= MAX_USEFUL_AGE_US
+    }
+
+
+def _still_resting(observation: MachineObservation, more_age_us: int) -> dict[str, tuple[int, int]]:
+    """Rest periods that are not over, with strikes and the time left."""
+    return {
+        key: (strikes, left_us - more_age_us)
+        for key, (strikes, left_us) in observation.rests_us.items()
+        if 0 < strikes <= MAX_STRIKES and more_age_us < left_us <= MAX_USEFUL_AGE_US
+    }
+
+
+def fleet_average(
+    observations: Iterable[MachineObservation],
+    sizes: Mapping[str, tuple[float, float]],
+    held: tuple[float, float],
+) -> tuple[float, float]:
+    """The share of their size that is requested of machines, over observations that say it.
+
+    `held`, the average so far, where fewer than MIN_OBSERVATIONS do.
+    """
+    known = [
+        (each.asked, sizes[each.machine])
+        for each in observations
+        if each.machine in sizes and _valid_pair(each.asked, 1e9) is not None
+    ]
+    if len(known) < MIN_OBSERVATIONS:
+        return held
+    return (
+        sum(asked[0] for asked, _ in known if asked) / sum(size[0] for _, size in known),
+        sum(asked[1] for asked, _ in known if asked) / sum(size[1] for _, size in known),
+    )
 
 
 def learned_ratio(
     ratio: float, notes: float, age_us: int | None, clock_good: bool
 ) -> tuple[float, float]:
-    """A peer's learned share of use and the own notes that it weighs; (0, 0) where it is not to be believed."""
-    age = plausible_age(age_us)
-    if age is None or not clock_good or not (math.isfinite(ratio) and math.isfinite(notes)):
+    """A peer's learned usage ratio and its weight in own notes; (0, 0) where it is not believed."""
+    valid_age_us = plausible_age(age_us)
+    if (
+        valid_age_us is None
+        or not clock_good
+        or not (math.isfinite(ratio) and math.isfinite(notes))
+    ):
         return 0.0, 0.0
-    if not 0.0 < ratio <= 10.0 or notes <= 0:
+    if not 0.0 < ratio <= MAX_RATIO or notes <= 0:
         return 0.0, 0.0
-    return ratio, min(notes, MAX_RATIO_NOTES) * weight(age, RATIO_HALF_LIFE_US)
+    return ratio, min(notes, MAX_RATIO_NOTES) * weight(valid_age_us, RATIO_HALF_LIFE_US)
 
 
 def is_other_cluster(observations: Iterable[MachineObservation], idents: Mapping[str, int]) -> bool:
-    """Whether a peer's machines are so unlike our list that it must be of another cluster."""
+    """Whether a peer's machines differ so much from our list that it must belong to another cluster."""
     found = list(observations)
-    if not idents or len(found) < 4:
+    if not idents or len(found) < MIN_OBSERVATIONS:
         return False
-    return sum(sight.machine not in idents for sight in found) > MAX_UNKNOWN_SHARE * len(found)
+    unknown = sum(each.machine not in idents for each in found)
+    return unknown > MAX_UNKNOWN_SHARE * len(found)
 
 
 class ListTrust(Enum):
-    """What a list's entry means in the light of a peer's sight."""
+    """Whether a list entry that says a machine runs is trusted, given a peer's observation."""
 
     AS_LISTED = "as listed"
     SEEN_DRAINING = "seen draining by a peer, and the list is no newer"
 
 
 class Distrust:
-    """Machines that peers saw draining, gone or restarted, by the list's version of that sight.
+    """Machines that peers saw draining, gone or restarted, by the list's version of that observation.
 
-    Rule 3's danger: a saved or late list shows a machine running that a peer knows to drain. It is not trusted until
-    the list, newer than that sight, says that it runs. Versions order the two: both read one source.
+    Danger (rule 3): a saved or late list has a machine running that a peer knows to be draining. Its entry is not
+    trusted until one newer than the observation says that it runs. Versions order the two: both read one source.
     """
 
     def __init__(self, max_machines: int) -> None:
@@ -298,7 +310,7 @@
     def on_observation(
         self, observation: MachineObservation, own_version: int | None, now_us: int
     ) -> bool:
-        """Take in a sight; True where it is newer than our list's entry and so changes what holds now."""
+        """Record an observation; True where it is newer than our list's entry and changes how that is to be seen."""
         if own_version is not None and observation.version < own_version:
             return False
         if observation.phase is not Phase.RUNNING:
@@ -321,7 +333,7 @@
         return False
 
     def judge(self, name: str, version: int) -> ListTrust:
-        """What to make of an entry of that version that says the machine runs."""
+        """Whether to trust an entry of that version that says the machine runs; a newer one ends the distrust."""
         seen = self._drains.get(name)
         if seen is None:
             return ListTrust.AS_LISTED
@@ -331,7 +343,7 @@
         return ListTrust.SEEN_DRAINING
 
     def narrow(self, name: str, version: int, listed: ListedMachine) -> ListedMachine:
-        """The entry as the module may have it: draining where a peer saw that, cold where one saw a later start."""
+        """The entry for the module: draining where a peer saw that, cold where one saw a later start."""
         if listed.phase is Phase.RUNNING and self.judge(name, version) is ListTrust.SEEN_DRAINING:
             listed = replace(listed, phase=Phase.DRAINING)
         start = self._starts.get(name)
@@ -343,11 +355,11 @@
         return listed
 
     def version(self, name: str) -> int:
-        """The list's version of the sight by which a machine is distrusted, -1 without one."""
+        """The list's version of the observation by which a machine is distrusted, -1 without one."""
         return self._drains.get(name, -1)
 
     def on_new_source(self) -> None:
-        """The list began anew: its versions say nothing of those before, its word counts again."""
+        """The list source began anew: versions no longer compare with the former ones, so the list is trusted again."""
         self._drains.clear()
         self._starts.clear()
 
--- a/wingbarrow/decide/overload.py
+++ b/wingbarrow/decide/overload.py
@@ -1,8 +1,8 @@
-"""The door: whether a Job is taken in, by how long it waited unread and by what is left of its owner's patience.
+"""Overload control: whether a Job is admitted, by how long its request waited unread and by the patience left.
 
-An owner's patience runs from when it asked, not from when the placer came to read it. What waited in a socket, in
-the listen backlog or behind other work has used up part of it; `docs/promptness.md` says how that is known and
-what is promised. Nothing taken in is dropped; what is turned away has left no trace and may come again.
+An owner's patience runs from its request, not from the time at which the placer read it. A request that waited in a
+socket, in the listen backlog or behind other work has used up part of it; `docs/promptness.md` says how that is
+measured and what is promised. An admitted Job is never dropped; a rejected one leaves no trace and may be retried.
 """
 
 from __future__ import annotations
@@ -10,23 +10,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-TARGET_US = 200_000  # waits up to this are no sign of anything
-MAX_LAG_US, MIN_UNANSWERED = (
-    150_000,
-    64,
-)  # later than this, with more answers owed than these: it takes in no more
-NOTICEABLE_LAG_US, RATE_INTERVAL_US = (
-    40_000,
-    250_000,
-)  # a lag that shows; the pace of answers is counted so often
+TARGET_US = 200_000  # CoDel's target: waits up to this are no sign of overload
+# A process that runs later than this admits nothing while more than MIN_UNANSWERED tasks are unanswered.
+MAX_LAG_US = 150_000
+MIN_UNANSWERED = 64
+NOTICEABLE_LAG_US = 40_000
+RATE_INTERVAL_US = 250_000  # between updates of the rate of answers
 INTERVAL_US = (
-    500_000  # waits that were all longer for this time show a load that is too much, not a stall
+    500_000  # CoDel's interval: waits above the target for so long show overload, not a stall
 )
-MAX_RESERVE_DIVISOR = 8  # of the patience, at most, is kept back for a placer that runs late
+MAX_RESERVE_DIVISOR = 8  # at most patience / 8 is reserved for a placer that runs late
 
 
 class RejectReason(Enum):
-    """Why a Job is turned away at the door."""
+    """Why a Job is rejected; the value is shown to clients."""
 
     OVERLOADED = "the placer is behind with what it was asked before"
     OUT_OF_PATIENCE = "its owner's patience ends before it could be answered"
@@ -34,23 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Why, and after how many seconds to try again."""
+    """A rejection: its reason, and after how many seconds to retry."""
 
     why: RejectReason
     retry_after_s: int = 1
 
 
 class OverloadControl:
-    """One placer's door; all times in microseconds of its clock."""
+    """Overload control of one placer; all times in microseconds of its clock."""
 
     def __init__(self, tick_us: int) -> None:
         self._tick_us = tick_us
-        self._above_target_since_us: int | None = (
-            None  # since when every wait was longer than the target
-        )
+        self._above_target_since_us: int | None = None  # since when every wait was above the target
         self._last_check_us = 0
-        self._rate = 0.0  # final answers a second, lately
-        self._rate_updated_us = self._answered_then = 0
+        self._rate = 0.0  # final answers a second, smoothed
+        self._rate_updated_us = 0
+        self._answered_then = 0
 
     def check_wait(
         self, now_us: int, arrived_us: int, lag_us: int, unanswered: int
@@ -59,15 +55,14 @@
 
         `lag_us`: how late the process has lately run; `owed`: tasks that have no final answer yet.
 
-        As CoDel does for packets (RFC 8289): a queue that a stall left is worked off, one that stands is cut.
+        As CoDel for packets (RFC 8289): a queue left by a stall is worked off, a standing queue is cut.
         """
-        # Danger (rule 1): what is taken in waits behind what is owed; where deciding on that makes the process late,
-        # more of it would make every answer late.
+        # Danger (rule 1): an admitted task waits behind all unanswered ones; where deciding on these makes the process
+        # late, further ones would make every answer late.
         if lag_us > MAX_LAG_US and unanswered > MIN_UNANSWERED:
             return Rejected(RejectReason.OVERLOADED)
-        quiet = (
-            now_us - self._last_check_us > INTERVAL_US
-        )  # nothing came for a while: no queue can have stood
+        # No request for an interval: no queue can have been standing.
+        quiet = now_us - self._last_check_us > INTERVAL_US
         self._last_check_us = now_us
         if now_us - arrived_us <= TARGET_US:
             self._above_target_since_us = None
@@ -77,7 +72,7 @@
         if self._above_target_since_us is None:
             self._above_target_since_us = now_us
             return None
-        # Danger (rule 1): taking in more than can be decided makes every answer late, not only the newest.
+        # Danger (rule 1): admitting more than can be decided makes every answer late, not only the newest.
         return (
             Rejected(RejectReason.OVERLOADED)
             if now_us - self._above_target_since_us >= INTERVAL_US
@@ -93,32 +88,34 @@
         unanswered: int = 0,
         answered: int = 0,
     ) -> int | Rejected:
-        """When the final answer is due, or why the Job is turned away; `answered`: final answers given so far.
+        """When the final answer is due, or why the Job is rejected; `answered`: final answers given so far.
 
-        A placer that has lately run `lag_us` late keeps back that much, up to an eighth of the patience.
+        A placer that has lately run `lag_us` late reserves that much, up to an eighth of the patience.
         """
         due = arrived_us + patience_us - min(lag_us, patience_us // MAX_RESERVE_DIVISOR)
-        # Danger (rule 1): what is out of patience when it is read cannot be answered in time, whatever is done.
+        # Danger (rule 1): a request whose patience is used up when it is read cannot be answered in time.
         if now_us >= due - 2 * self._tick_us:
             return Rejected(RejectReason.OUT_OF_PATIENCE)
         self._update_rate(now_us, answered)
-        # Danger (rule 1): at the pace of the answers lately given, what is owed already takes half the time that this
-        # one has, and the process runs late: its turn would come too late. Waiting for room alone is no such sign.
+        # Danger (rule 1): at the present rate of answers, the unanswered tasks take more than half of this one's time,
+        # and the process runs late: its answer would come too late. Tasks that wait for capacity are no such sign.
         slow = lag_us > NOTICEABLE_LAG_US and unanswered > MIN_UNANSWERED and self._rate > 0
         if slow and unanswered / self._rate * 1e6 > (due - now_us) / 2:
             return Rejected(RejectReason.OVERLOADED)
         return due
 
     def _update_rate(self, now_us: int, answered: int) -> None:
-        passed = now_us - self._rate_updated_us
-        if passed >= RATE_INTERVAL_US:
-            fresh = (answered - self._answered_then) * 1e6 / passed
-            # After a quiet while the pace is not known, and nothing is judged by it.
+        passed_us = now_us - self._rate_updated_us
+        if passed_us < RATE_INTERVAL_US:
+            return
+        rate = (answered - self._answered_then) * 1e6 / passed_us
+        if passed_us > 8 * RATE_INTERVAL_US:
             self._rate = (
-                0.0
-                if passed > 8 * RATE_INTERVAL_US
-                else (self._rate + fresh) / 2
-                if self._rate
-                else fresh
+                0.0  # after an idle time the rate is not known, and nothing is rejected for it
             )
-            self._rate_updated_us, self._answered_then = now_us, answered
+        elif self._rate:
+            self._rate = (self._rate + rate) / 2
+        else:
+            self._rate = rate
+        self._rate_updated_us = now_us
+        self._answered_then = answered
--- a/wingbarrow/decide/retries.py
+++ b/wingbarrow/decide/retries.py
@@ -1,7 +1,7 @@
-"""Whether, and after how long, a task that was lost, moved or sent away is asked for again on its owner's behalf.
+"""Whether, and after what delay, a task whose run was lost, moved or evicted is retried on its owner's behalf.
 
-A Job promises its owner that the placer goes on asking, `restarts` times. What must never start twice is left
-to its owner: only the owner can know that a second start does no harm.
+A Job has its placer retry up to `restarts` times. A task that must not start twice is left to its owner, who alone can
+know that a second start does no harm.
 """
 
 from __future__ import annotations
@@ -12,14 +12,12 @@
 
 from wingbarrow.interface import Effect, Reason
 
-MOVED_DELAY_US = 50_000  # a moved task has been stopped: it may come again at once
+MOVED_DELAY_US = 50_000  # a moved task was stopped in order: it may start again at once
 LOST_DELAY_US = 200_000
-EVICTED_DELAY_US = (
-    1_000_000  # its machine ran out of memory: a short wait keeps it from coming straight back
-)
+EVICTED_DELAY_US = 1_000_000  # its machine ran out of memory: not straight back to the same one
 MAX_DOUBLINGS = 5
 ANSWER_MARGIN_US = (
-    3_000_000  # a start this long before a life's last sign was answered in that life
+    3_000_000  # a start this long before an incarnation's last heartbeat was answered by it
 )
 
 
@@ -38,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """`after_us` is None where the task is not asked for again; `counts` where it uses up a restart."""
+    """`after_us`: delay of the retry, None for none; `counts`: whether it uses up one of the Job's restarts."""
 
     after_us: int | None
     counts: bool
 
 
 def run_end_for(reason: Reason) -> RunEnd:
-    """The run's end by the machine's reason for giving it up."""
+    """How a run ended, by the reason that the machine gave."""
     return {
         Reason.EVICTED: RunEnd.EVICTED,
         Reason.PUSHED_OUT: RunEnd.PUSHED_OUT,
@@ -54,29 +52,29 @@
 
 
 def decide_retry(
-    end: RunEnd, effect: Effect, restarts_left: int, losses: int, seed: random.Random
+    end: RunEnd, effect: Effect, restarts_left: int, losses: int, rng: random.Random
 ) -> RetryDecision:
-    """`losses`: how often this task was lost or evicted already; waits double with them and are spread by half."""
+    """`losses`: earlier losses and evictions of this task; the delay doubles with each, with jitter of one half."""
     if end in (RunEnd.DONE, RunEnd.STOPPED):
-        return RetryDecision(None, False)
-    # Rule 2. Danger: a second start of what may have had its effect already.
+        return RetryDecision(None, counts=False)
+    # Rule 2. Danger: a second start of a task that may have had its effect already.
     if effect is Effect.UNSAFE:
-        return RetryDecision(None, False)
+        return RetryDecision(None, counts=False)
     if end is RunEnd.MOVED:
-        return RetryDecision(MOVED_DELAY_US, False)
+        return RetryDecision(MOVED_DELAY_US, counts=False)
     if restarts_left <= 0:
-        return RetryDecision(None, True)
+        return RetryDecision(None, counts=True)
     base = EVICTED_DELAY_US if end is RunEnd.EVICTED else LOST_DELAY_US
     wait = base << min(losses, MAX_DOUBLINGS)
-    return RetryDecision(wait // 2 + seed.randrange(wait // 2 + 1), True)
+    return RetryDecision(wait // 2 + rng.randrange(wait // 2 + 1), counts=True)
 
 
 def was_answered(started_us: int | None, alive_us: int | None, born_us: int) -> bool:
-    """Whether a former life's running task surely had its answer "placed" (wall clock, microseconds).
+    """Whether a running task of the earlier incarnation was certainly answered `placed` (wall clock, microseconds).
 
-    `started_us`: its start by the machine, to a second; `alive_us`: the former life's last sign; `born_us`: this life's
-    start. Danger (rule 1): a task whose owner had no answer is its owner's to ask for again; asked for here too, it
-    would be sent after its end. A clock that went back proves nothing.
+    `started_us`: its start by the machine, to a second; `alive_us`: the earlier incarnation's last heartbeat;
+    `born_us`: this incarnation's start. Danger (rule 1): a task whose owner had no answer is retried by its owner;
+    retried here too, it would be sent after its end. A clock that was set back proves nothing.
     """
     if started_us is None or alive_us is None or alive_us > born_us:
         return False
--- a/wingbarrow/decide/slow_start.py
+++ b/wingbarrow/decide/slow_start.py
@@ -1,11 +1,11 @@
-"""How many offers one placer has lately sent to each cold machine, and whether it may send one more.
+"""Slow start: the offers of one placer to each cold machine within a time span, and whether one more may be sent.
 
-Where placers hold subsets of the machines, more placers than usual may hold one at a time: each side of a cut takes
-the other's machines. What each may send to a cold machine is then said by its rank alone (`subsets.Subsets.cold_most`),
-and this account is what keeps a placer within it, whatever the decision module counts.
+Where placers hold subsets of the machines, more placers than usual may hold a machine at one time: in a partition each
+side takes over the other's machines. A placer's share of the offers to a cold machine then follows from its rank alone
+(`subsets.Subsets.cold_most`), and this account keeps the placer within it, whatever the decision module counts.
 
-An offer counts from its first byte until `span_us` after it is known to have come, as one that lies unread at a machine
-that stands still comes with all others of its kind when the machine goes on. No I/O, no clock: times are microseconds.
+An offer counts from its first byte until `span_us` after it is known to have arrived, because offers that lie unread at
+a stalled machine all arrive together when the machine resumes. No I/O, no clock; times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,30 +14,27 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_MACHINES = (
-    16_384  # machines that are cold and were offered to at one time; beyond it nothing cold is sent
-)
+MAX_MACHINES = 16_384  # accounts at one time; beyond them no further cold machine gets an offer
 
 
 class Arrival(Enum):
-    """What the end of an offer tells of its coming, and of others that were given up before."""
+    """What the end of an offer says about its arrival, and about offers that were given up before."""
 
     NEVER = "no byte of it reached the machine"
-    UNKNOWN = "nobody waits for it, and it may come yet"
-    ARRIVED = "it came, as far as is known; nothing is said of others"
-    CONTACT = "the machine has answered: what it was sent before has come too"
+    UNKNOWN = "given up, and it may still arrive"
+    ARRIVED = "it has arrived; nothing is known of others"
+    CONTACT = "the machine has answered: offers sent before have arrived too"
 
 
 @dataclass(slots=True)
 class _MachineOffers:
-    """One cold machine's."""
+    """The account of one cold machine."""
 
     launched_us: int
     cold_until_us: int = 0
     arrived_us: deque[int] = field(default_factory=deque)
-    not_arrived: dict[str, bool] = field(
-        default_factory=dict
-    )  # offers not known to have come; True: given up
+    # Offers not known to have arrived; True: given up.
+    not_arrived: dict[str, bool] = field(default_factory=dict)
 
     def forget(self, before_us: int) -> None:
         while self.arrived_us and self.arrived_us[0] <= before_us:
@@ -45,65 +42,66 @@
 
 
 class SlowStartShare:
-    """One placer's account; `span_us` as long as the module counts offers, at least the span in which machines do."""
+    """One placer's accounts; `span_us`: as long as the module counts offers, at least as long as machines do."""
 
     def __init__(self, span_us: int, max_machines: int = MAX_MACHINES) -> None:
         if span_us <= 0 or max_machines <= 0:
             raise ValueError("span and machines: above 0")
-        self._span_us, self._max_machines = span_us, max_machines
+        self._span_us = span_us
+        self._max_machines = max_machines
         self._machines: dict[str, _MachineOffers] = {}
 
     def __len__(self) -> int:
         return len(self._machines)
 
     def remaining(self, now_us: int, machine: str, launched_us: int, share: int) -> int:
-        """How many more offers a share of so many allows now; 0 for every new machine while the table is full."""
-        held = self._machines.get(machine)
-        if held is None:
+        """How many more offers a share of `share` allows now; 0 for a new machine while the table is full."""
+        account = self._machines.get(machine)
+        if account is None:
             self._prune(now_us)
             return max(0, share) if len(self._machines) < self._max_machines else 0
-        if held.launched_us != launched_us:
-            # Danger: offers to the former process may reach its successor: they count as come now.
-            held.arrived_us.extend([now_us] * len(held.not_arrived))
-            held.not_arrived.clear()
-            held.launched_us = launched_us
-        held.forget(now_us - self._span_us)
-        return max(0, share - len(held.arrived_us) - len(held.not_arrived))
+        if account.launched_us != launched_us:
+            # Danger: offers to the earlier process may reach its successor: they count as arriving now.
+            account.arrived_us.extend([now_us] * len(account.not_arrived))
+            account.not_arrived.clear()
+            account.launched_us = launched_us
+        account.forget(now_us - self._span_us)
+        return max(0, share - len(account.arrived_us) - len(account.not_arrived))
 
     def on_sent(self, machine: str, launched_us: int, cold_until_us: int, offer: str) -> None:
-        """The first byte of an offer to a cold machine goes out; only right after `left` allowed it."""
-        held = self._machines.get(machine)
-        if held is None:
-            held = self._machines[machine] = _MachineOffers(launched_us)
-        held.cold_until_us = cold_until_us
-        held.not_arrived[offer] = False
+        """The first byte of an offer to a cold machine is about to be sent; only right after `remaining` allowed it."""
+        account = self._machines.get(machine)
+        if account is None:
+            account = self._machines[machine] = _MachineOffers(launched_us)
+        account.cold_until_us = cold_until_us
+        account.not_arrived[offer] = False
 
     def on_ended(self, now_us: int, machine: str, offer: str, arrival: Arrival) -> None:
-        """What is known of an offer's coming; of one that is not on the account nothing changes but what it tells."""
-        held = self._machines.get(machine)
-        if held is None:
+        """An offer ended. One that is not on the account changes nothing but what it says about others."""
+        account = self._machines.get(machine)
+        if account is None:
             return
         if arrival is Arrival.NEVER:
-            held.not_arrived.pop(offer, None)
+            account.not_arrived.pop(offer, None)
         elif arrival is Arrival.UNKNOWN:
-            if offer in held.not_arrived:
-                held.not_arrived[offer] = True
+            if offer in account.not_arrived:
+                account.not_arrived[offer] = True
         else:
             known = [
                 each
-                for each, given_up in held.not_arrived.items()
+                for each, given_up in account.not_arrived.items()
                 if each == offer or (given_up and arrival is Arrival.CONTACT)
             ]
             for each in known:
-                del held.not_arrived[each]
-            held.arrived_us.extend([now_us] * len(known))
+                del account.not_arrived[each]
+            account.arrived_us.extend([now_us] * len(known))
 
     def _prune(self, now_us: int) -> None:
         if len(self._machines) < self._max_machines:
             return
-        for name in [name for name, each in self._machines.items() if self._over(each, now_us)]:
+        for name in [name for name, each in self._machines.items() if self._is_over(each, now_us)]:
             del self._machines[name]
 
-    def _over(self, held: _MachineOffers, now_us: int) -> bool:
-        held.forget(now_us - self._span_us)
-        return now_us >= held.cold_until_us or not (held.arrived_us or held.not_arrived)
+    def _is_over(self, account: _MachineOffers, now_us: int) -> bool:
+        account.forget(now_us - self._span_us)
+        return now_us >= account.cold_until_us or not (account.arrived_us or account.not_arrived)
