--- /dev/null
+++ b/tests/decide/test_admission.py
@@ -0,0 +1,23 @@
+"""Limits on open tasks."""
+
+from __future__ import annotations
+
+from wingbarrow.decide.admission import Admission
+
+
+def test_limits_in_all_and_by_namespace_and_release_of_capacity() -> None:
+    admission = Admission(10, 6)
+    assert admission.check("a", 7) is not None
+    assert admission.check("a", 6) is None
+    admission.add("a", 6)
+    full = admission.check("a", 1)
+    assert full is not None
+    assert full.most == 6
+    assert full.retry_after_s >= 1
+    assert admission.check("b", 5) is not None
+    assert admission.check("b", 4) is None
+    for _ in range(6):
+        admission.remove("a")
+    assert admission.open == 0
+    assert admission.check("a", 6) is None
+    assert not admission._namespaces
