--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -75,7 +75,7 @@
     assert len(stage.seen("start", task_class="settlement")) == 1
 
 
-def test_a_watch_behind_the_window_hears_410_and_is_whole_after_a_relist() -> None:
+def test_a_watch_behind_the_window_gets_410_and_is_complete_after_a_relist() -> None:
     stage = Stage()
 
     def script() -> None:
@@ -127,7 +127,7 @@
     assert stage.audit().placed == 2
 
 
-def test_a_list_that_fails_at_the_start_is_asked_again() -> None:
+def test_a_list_that_fails_at_the_start_is_requested_again() -> None:
     stage = Stage()
 
     def script() -> None:
@@ -184,7 +184,7 @@
     assert audited.placed + audited.failed == 1
 
 
-def test_a_settlement_refused_before_its_start_may_go_elsewhere() -> None:
+def test_a_settlement_refused_before_its_start_may_go_to_another_machine() -> None:
     stage = Stage(machines=4)
 
     def script() -> dict[str, str]:
@@ -201,7 +201,7 @@
     assert stage.audit().clean
 
 
-def test_no_offer_leaves_once_the_drain_is_heard_while_it_waits_for_a_connection() -> None:
+def test_no_offer_is_sent_once_a_drain_is_known_while_it_waits_for_a_connection() -> None:
     stage = Stage(machines=1, build=Build(start_us=2_000_000, setup=1.0))
 
     def script() -> None:
@@ -279,7 +279,7 @@
     assert audited.late_by_stall <= 1
 
 
-def test_deleting_a_job_stops_what_runs_and_what_is_on_its_way() -> None:
+def test_deleting_a_job_stops_its_running_tasks_and_its_offers_in_flight() -> None:
     stage = Stage(machines=2, build=Build(start_us=1_000_000, setup=1.0))
 
     def script() -> None:
@@ -306,7 +306,7 @@
     assert len(stage.seen("start")) == len(stage.seen("end")) + 1
 
 
-def test_a_restarted_placer_takes_in_what_runs_and_starts_nothing_twice() -> None:
+def test_a_restarted_placer_adopts_running_tasks_and_starts_none_twice() -> None:
     stage = Stage(machines=3)
 
     def script() -> None:
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -127,7 +127,7 @@
     assert found.clean and found.refused == found.accepted, found.notes
 
 
-def test_what_is_out_of_patience_when_read_is_turned_away_at_once_and_not_sent_on() -> None:
+def test_a_job_out_of_patience_when_read_is_rejected_at_once_and_not_offered() -> None:
     stage = Stage()
 
     def script() -> None:
@@ -152,7 +152,7 @@
     assert len(stage.seen("offer")) == 1
 
 
-def test_a_drain_told_while_the_placer_stands_still_is_kept_when_it_goes_on() -> None:
+def test_a_drain_announced_during_a_stall_is_respected_when_the_placer_resumes() -> None:
     stage = Stage(machines=4, build=BIG)
 
     def script() -> None:
@@ -198,7 +198,7 @@
         assert len(stage.seen("start", task_class="settlement")) <= 1
 
 
-def test_two_thousand_answers_owed_over_a_stall_come_at_once_and_before_all_else() -> None:
+def test_two_thousand_answers_due_during_a_stall_are_given_first_and_at_once() -> None:
     stage = Stage()
 
     def script() -> None:
@@ -322,7 +322,7 @@
     assert stage.audit().clean
 
 
-def test_a_stop_is_owed_until_a_machine_that_stood_still_confirms_it() -> None:
+def test_a_stop_is_pending_until_a_stalled_machine_confirms_it() -> None:
     stage = Stage(machines=1)
 
     def script() -> None:
@@ -354,7 +354,7 @@
     stage.play(script)
 
 
-def test_stops_that_are_owed_push_back_on_new_jobs() -> None:
+def test_pending_stops_limit_the_admission_of_new_jobs() -> None:
     stage = Stage(machines=1)
 
     def script() -> None:
@@ -375,7 +375,7 @@
     stage.play(script)
 
 
-def test_a_pod_of_this_life_without_a_job_is_nobodys() -> None:
+def test_a_pod_of_this_incarnation_without_a_job_is_stopped() -> None:
     """However long ago its Job was deleted, and however many were deleted since."""
     stage = Stage(machines=1)
 
@@ -402,7 +402,7 @@
     stage.play(script)
 
 
-def test_a_former_lifes_task_that_may_not_have_been_answered_is_not_asked_for_again() -> None:
+def test_a_task_of_an_earlier_incarnation_without_a_certain_answer_is_not_retried() -> None:
     for wait_s, again in ((0.0, False), (5.0, True)):
         stage = Stage(machines=3)
 
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -1,4 +1,4 @@
-"""Whether a task waits long for a machine: which tasks count, and how many are looked at."""
+"""Whether a task waits long for a machine: which tasks count, and how many are checked."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 S = 1_000_000
 
 
-class Asked:
-    """Tasks that are asked for, and those requests of which an attempt is out."""
+class OpenRequests:
+    """Tasks with open requests, and the requests with an attempt in flight."""
 
     def __init__(self) -> None:
-        self.out: set[int] = set()
-        self.looks = 0
-        self.waits = Waits(self._is_out)
+        self.in_flight: set[int] = set()
+        self.checks = 0
+        self.waits = Waits(self._has_attempt)
         self._next = 1
 
-    def _is_out(self, request: int) -> bool:
-        self.looks += 1
-        return request in self.out
+    def _has_attempt(self, request: int) -> bool:
+        self.checks += 1
+        return request in self.in_flight
 
-    def ask(self, now_us: int, patience_us: int) -> TaskRecord:
+    def open(self, now_us: int, patience_us: int) -> TaskRecord:
         job = cast(JobRecord, SimpleNamespace(request=SimpleNamespace(patience_us=patience_us)))
         task = TaskRecord(job, 0, request=self._next, deadline_us=now_us + patience_us)
         self._next += 1
@@ -33,47 +33,45 @@
 
 
 def test_a_task_waits_long_from_a_quarter_of_its_patience_until_it_is_answered() -> None:
-    asked = Asked()
-    task = asked.ask(10 * S, 4 * S)
-    assert not asked.waits.any_long(11 * S - 1)
-    assert asked.waits.any_long(11 * S)
-    asked.waits.remove(task, task.request)
-    assert not asked.waits.any_long(12 * S)
-
-
-def test_what_has_an_attempt_out_does_not_wait_nor_what_was_answered_or_asked_anew() -> None:
-    asked = Asked()
-    one, other, third = (asked.ask(0, 4 * S) for _ in range(3))
-    asked.out = {one.request, other.request, third.request}
-    assert not asked.waits.any_long(3 * S)
-    asked.out.remove(one.request)
-    assert asked.waits.any_long(3 * S)
+    requests = OpenRequests()
+    task = requests.open(10 * S, 4 * S)
+    assert not requests.waits.any_long(11 * S - 1)
+    assert requests.waits.any_long(11 * S)
+    requests.waits.remove(task, task.request)
+    assert not requests.waits.any_long(12 * S)
+
+
+def test_a_task_in_flight_answered_or_requested_anew_does_not_wait() -> None:
+    requests = OpenRequests()
+    one, other, third = (requests.open(0, 4 * S) for _ in range(3))
+    requests.in_flight = {one.request, other.request, third.request}
+    assert not requests.waits.any_long(3 * S)
+    requests.in_flight.remove(one.request)
+    assert requests.waits.any_long(3 * S)
     one.state = State.PLACED
-    assert not asked.waits.any_long(3 * S)
-    asked.out.remove(other.request)
+    assert not requests.waits.any_long(3 * S)
+    requests.in_flight.remove(other.request)
     other.request = 99
-    assert not asked.waits.any_long(3 * S)
+    assert not requests.waits.any_long(3 * S)
 
 
-def test_among_many_whose_attempts_are_out_or_who_are_more_patient_one_that_waits_long_is_found() -> (
-    None
-):
-    asked = Asked()
+def test_a_task_that_waits_long_is_found_among_many_in_flight_or_more_patient() -> None:
+    requests = OpenRequests()
     for _ in range(MAX_CHECKED_PER_GROUP - 1):
-        asked.out.add(asked.ask(0, 5 * S).request)
-    asked.ask(0, 5 * S)
-    assert asked.waits.any_long(2 * S)
-    patient = Asked()
+        requests.in_flight.add(requests.open(0, 5 * S).request)
+    requests.open(0, 5 * S)
+    assert requests.waits.any_long(2 * S)
+    patient = OpenRequests()
     for _ in range(5 * MAX_CHECKED_PER_GROUP):
-        patient.ask(0, 600 * S)
-    patient.ask(S, 4 * S)
+        patient.open(0, 600 * S)
+    patient.open(S, 4 * S)
     assert not patient.waits.any_long(2 * S - 1)
     assert patient.waits.any_long(2 * S)
 
 
-def test_a_look_asks_of_few_tasks_however_many_wait() -> None:
-    asked = Asked()
+def test_a_check_visits_few_tasks_however_many_wait() -> None:
+    requests = OpenRequests()
     for number in range(20_000):
-        asked.out.add(asked.ask(number, (2, 5, 60)[number % 3] * S).request)
-    assert not asked.waits.any_long(40 * S)
-    assert 0 < asked.looks <= 3 * MAX_CHECKED_PER_GROUP
+        requests.in_flight.add(requests.open(number, (2, 5, 60)[number % 3] * S).request)
+    assert not requests.waits.any_long(40 * S)
+    assert 0 < requests.checks <= 3 * MAX_CHECKED_PER_GROUP
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -1,4 +1,4 @@
-"""What hearsay is worth: ages, clocks, versions, drains."""
+"""Peer hints: ages, clocks, versions, drains, and what the module does with them."""
 
 from __future__ import annotations
 
@@ -24,27 +24,29 @@
 from wingbarrow.interface import Phase
 
 S = 1_000_000
-SIGHT = MachineObservation(
+OBSERVATION = MachineObservation(
     "m", 10, Phase.RUNNING, None, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
 )
 SIZES, VERSIONS, IDENTS = {"m": (20.0, 40.0)}, {"m": 10}, {"m": 7}
 
 
 def weigh(
-    sight: MachineObservation, more: int = 0, good: bool = True, version: int = 10
+    observation: MachineObservation, more: int = 0, good: bool = True, version: int = 10
 ) -> list[api.LearnedMachine]:
-    return learning.learned_machines([sight], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5))
+    return learning.learned_machines(
+        [observation], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5)
+    )
 
 
-def test_a_fresh_sight_is_taken_as_it_is() -> None:
-    (found,) = weigh(SIGHT)
+def test_a_fresh_observation_is_used_as_it_is() -> None:
+    (found,) = weigh(OBSERVATION)
     assert found == api.LearnedMachine(
         7, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
     )
 
 
-def test_a_figure_fades_to_the_average_of_the_fleet() -> None:
-    (found,) = weigh(replace(SIGHT, asked=(18.0, 36.0)), more=HALF_LIFE_US)
+def test_a_figure_is_drawn_to_the_average_of_the_fleet_with_age() -> None:
+    (found,) = weigh(replace(OBSERVATION, asked=(18.0, 36.0)), more=HALF_LIFE_US)
     assert found.asked == pytest.approx((14.0, 28.0))
     assert found.asked_age_us == HALF_LIFE_US
     assert found.beyond == pytest.approx((0.5, 1.0))
@@ -52,15 +54,15 @@
 
 
 @given(st.integers(0, 3 * MAX_USEFUL_AGE_US), st.integers(0, MAX_USEFUL_AGE_US))
-def test_more_age_never_weighs_more(age: int, more: int) -> None:
+def test_a_greater_age_never_has_a_greater_weight(age: int, more: int) -> None:
     assert 0 <= learning.weight(age + more) <= learning.weight(age) <= 1
 
 
-def test_what_is_too_old_says_nothing() -> None:
+def test_a_figure_beyond_the_useful_age_is_dropped() -> None:
     assert (
         weigh(
             replace(
-                SIGHT,
+                OBSERVATION,
                 asked_age_us=MAX_USEFUL_AGE_US,
                 measured_age_us=MAX_USEFUL_AGE_US,
                 warm_us={},
@@ -72,34 +74,34 @@
 
 
 @pytest.mark.parametrize("age", [-1, -3600 * S, MAX_AGE_US + 1, 1 << 62])
-def test_an_implausible_age_makes_a_figure_useless_not_fresh(age: int) -> None:
-    (found,) = weigh(replace(SIGHT, asked_age_us=age, measured_age_us=age))
+def test_an_implausible_age_discards_the_figure(age: int) -> None:
+    (found,) = weigh(replace(OBSERVATION, asked_age_us=age, measured_age_us=age))
     assert found.asked is None
     assert found.beyond is None
 
 
 @pytest.mark.parametrize("bad", [(math.nan, 1.0), (math.inf, 1.0), (1e12, 1.0)])
-def test_figures_that_cannot_be_are_dropped(bad: tuple[float, float]) -> None:
-    (found,) = weigh(replace(SIGHT, asked=bad, beyond=bad))
+def test_impossible_figures_are_dropped(bad: tuple[float, float]) -> None:
+    (found,) = weigh(replace(OBSERVATION, asked=bad, beyond=bad))
     assert found.asked is None
     assert found.beyond is None
 
 
-def test_nothing_timed_is_believed_of_a_clock_that_jumped() -> None:
-    assert weigh(SIGHT, good=False) == []
+def test_no_aged_figure_of_a_peer_whose_clock_jumped_is_believed() -> None:
+    assert weigh(OBSERVATION, good=False) == []
 
 
-def test_a_newer_list_outranks_the_peers_count() -> None:
-    (found,) = weigh(SIGHT, version=11)
+def test_a_newer_list_takes_precedence_over_the_peers_figure() -> None:
+    (found,) = weigh(OBSERVATION, version=11)
     assert found.asked is None and found.warm_us, "what the peer itself saw run stays"
 
 
-def test_a_machine_that_drains_or_is_strange_teaches_nothing() -> None:
-    assert weigh(replace(SIGHT, phase=Phase.DRAINING)) == []
-    assert weigh(replace(SIGHT, machine="other")) == []
+def test_a_draining_or_unknown_machine_gives_no_hint() -> None:
+    assert weigh(replace(OBSERVATION, phase=Phase.DRAINING)) == []
+    assert weigh(replace(OBSERVATION, machine="other")) == []
 
 
-def test_clocks_may_differ_but_not_jump() -> None:
+def test_clocks_may_have_an_offset_but_not_jump() -> None:
     check = ClockCheck()
     assert check.check_page(0, 3600 * S)
     assert check.check_page(S, 3601 * S)
@@ -115,7 +117,7 @@
     return replace(Announcement(name, name, 1, "north", "main", 60 * S, 0, 50, 1000), **more)  # type: ignore[arg-type]
 
 
-def test_peers_are_asked_by_freshness_then_distance_and_the_ignorant_not_at_all() -> None:
+def test_peers_are_ordered_by_freshness_then_distance_without_those_that_know_nothing() -> None:
     order = learning.order_peers(
         [
             told("far", region="south"),
@@ -137,9 +139,9 @@
     assert [each.peer for each in order] == ["near", "slow", "far", "old", "older"]
 
 
-def test_a_drain_is_trusted_until_a_newer_list_says_it_runs() -> None:
+def test_an_observed_drain_holds_until_a_newer_list_entry_says_running() -> None:
     distrust = Distrust(10)
-    drained = replace(SIGHT, phase=Phase.DRAINING, version=20)
+    drained = replace(OBSERVATION, phase=Phase.DRAINING, version=20)
     assert distrust.on_observation(drained, 15, 0)
     entry = listed(7)
     for version in (15, 19, 20):
@@ -149,21 +151,21 @@
     assert len(distrust) == 0
 
 
-def test_a_drain_that_the_list_has_outlived_is_no_news() -> None:
+def test_a_drain_older_than_the_list_entry_is_ignored() -> None:
     distrust = Distrust(10)
-    assert not distrust.on_observation(replace(SIGHT, phase=Phase.GONE, version=9), 10, 0)
+    assert not distrust.on_observation(replace(OBSERVATION, phase=Phase.GONE, version=9), 10, 0)
     assert distrust.narrow("m", 10, listed(7)).phase is Phase.RUNNING
 
 
-def test_a_drain_of_a_machine_not_listed_yet_counts_when_it_comes() -> None:
+def test_a_drain_of_a_machine_not_listed_yet_applies_once_it_is_listed() -> None:
     distrust = Distrust(10)
-    distrust.on_observation(replace(SIGHT, phase=Phase.GONE, version=20), None, 0)
+    distrust.on_observation(replace(OBSERVATION, phase=Phase.GONE, version=20), None, 0)
     assert distrust.narrow("m", 12, listed(7)).phase is Phase.DRAINING
 
 
-def test_a_later_start_that_a_peer_saw_makes_the_machine_cold_never_warm() -> None:
+def test_a_later_start_seen_by_a_peer_makes_the_machine_cold_and_never_warm() -> None:
     distrust = Distrust(10)
-    distrust.on_observation(replace(SIGHT, version=20, launched_age_us=2 * S), 15, 100 * S)
+    distrust.on_observation(replace(OBSERVATION, version=20, launched_age_us=2 * S), 15, 100 * S)
     assert distrust.narrow("m", 15, listed(7)).launched_us == 98 * S
     assert distrust.narrow("m", 15, listed(7, launched_us=99 * S)).launched_us == 99 * S
     assert distrust.narrow("m", 20, listed(7)).launched_us == 0
@@ -172,16 +174,18 @@
 def test_distrust_is_bounded_and_a_new_source_clears_it() -> None:
     distrust = Distrust(3)
     for number in range(9):
-        distrust.on_observation(replace(SIGHT, machine=f"m{number}", phase=Phase.GONE), None, 0)
+        distrust.on_observation(
+            replace(OBSERVATION, machine=f"m{number}", phase=Phase.GONE), None, 0
+        )
     assert len(distrust) == 3
     distrust.on_new_source()
     assert len(distrust) == 0
 
 
-def test_strangers_are_told_by_their_machines() -> None:
+def test_a_peer_of_another_cluster_is_recognized_by_its_machines() -> None:
     ours = {f"m{i}": i for i in range(10)}
-    same = [replace(SIGHT, machine=f"m{i}") for i in range(8)]
-    others = [replace(SIGHT, machine=f"x{i}") for i in range(9)]
+    same = [replace(OBSERVATION, machine=f"m{i}") for i in range(8)]
+    others = [replace(OBSERVATION, machine=f"x{i}") for i in range(9)]
     assert not learning.is_other_cluster(same, ours)
     assert learning.is_other_cluster(others, ours)
     assert not learning.is_other_cluster(others, {}), "without a list nothing is strange"
@@ -198,7 +202,7 @@
         (0.7, 5.0, None),
     ],
 )
-def test_shares_that_cannot_be_weigh_nothing(ratio: float, notes: float, age: int | None) -> None:
+def test_impossible_ratios_have_no_weight(ratio: float, notes: float, age: int | None) -> None:
     assert learning.learned_ratio(ratio, notes, age, True) == (0.0, 0.0)
 
 
@@ -210,7 +214,7 @@
     return api.Learned((replace(machine, **more),), (0.0, 0.0), (0.0, 0.0))  # type: ignore[arg-type]
 
 
-def test_the_module_hands_out_what_it_knows_and_takes_it_in_again() -> None:
+def test_the_modules_knowledge_can_be_read_and_learned_again() -> None:
     old = Driver(settings())
     old.listing(listed(1, free=12.0), listed(2))
     old.arrive(1)
@@ -223,7 +227,7 @@
     assert old.scheduler.knowledge(old.now) == value, "reading changes nothing"
 
 
-def test_a_program_heard_to_be_warm_draws_its_service_there() -> None:
+def test_a_program_learned_to_be_warm_attracts_its_service() -> None:
     driver = Driver(settings(), seed=3)
     machines = [listed(number) for number in range(1, 9)]
     driver.listing(*machines)
@@ -236,7 +240,7 @@
     assert binds(fresh.arrive(2, service="t"))
 
 
-def test_own_experience_outranks_hearsay() -> None:
+def test_own_experience_takes_precedence_over_peer_hints() -> None:
     driver = Driver(settings())
     driver.listing(listed(1, free=15.0))
     driver.give(api.Probed(1, api.Outcome.DONE, api.Report(14.0, 30.0)))
@@ -252,14 +256,14 @@
     )
 
 
-def test_a_machine_the_list_calls_gone_is_not_brought_back_by_hearsay() -> None:
+def test_a_machine_gone_from_the_list_is_not_restored_by_peer_hints() -> None:
     driver = Driver(settings())
     driver.listing(listed(1, phase=Phase.DRAINING))
     driver.give(learned(asked=(0.0, 0.0), warm_us={"s": 5 * S}))
     assert not binds(driver.arrive(1))
 
 
-def test_hearsay_never_adds_to_the_cold_budget() -> None:
+def test_peer_hints_never_add_to_the_cold_budget() -> None:
     sent = 0
     for index in range(2):
         driver = Driver(settings(index=index, fresh_offers=6.0))
@@ -272,7 +276,7 @@
     assert sent == 6
 
 
-def test_measures_heard_spare_probes_and_no_more_than_are_owed() -> None:
+def test_learned_measurements_replace_probes_and_no_more_than_are_due() -> None:
     driver = Driver(settings())
     driver.listing(listed(1))
     for _ in range(100):
--- a/tests/decide/test_slow_start.py
+++ b/tests/decide/test_slow_start.py
@@ -15,7 +15,7 @@
 SPAN = FALL * 5 // 4
 
 
-def test_an_offer_counts_until_a_span_after_it_came() -> None:
+def test_an_offer_counts_until_a_span_after_its_arrival() -> None:
     account = SlowStartShare(SPAN)
     assert account.remaining(0, "m", 1, 2) == 2
     account.on_sent("m", 1, 18 * S, "a")
@@ -28,7 +28,7 @@
     assert account.remaining(13 * S, "m", 1, 2) == 2
 
 
-def test_a_given_up_offer_counts_until_the_machine_speaks_or_starts_anew() -> None:
+def test_a_given_up_offer_counts_until_the_machine_answers_or_restarts() -> None:
     account = SlowStartShare(SPAN)
     for offer in ("a", "b", "c"):
         account.on_sent("m", 1, 18 * S, offer)
@@ -49,7 +49,7 @@
     assert account.remaining(13 * S + SPAN, "m", 2, 3) == 3
 
 
-def test_a_smaller_share_is_kept_at_once_and_none_stays_none() -> None:
+def test_a_smaller_share_applies_at_once_and_a_share_of_none_allows_none() -> None:
     account = SlowStartShare(SPAN)
     account.on_sent("m", 1, 18 * S, "a")
     account.on_ended(0, "m", "a", Arrival.CONTACT)
@@ -58,7 +58,7 @@
     assert account.remaining(0, "n", 1, 0) == 0
 
 
-def test_a_full_table_lets_nothing_out_until_a_machine_is_no_longer_cold() -> None:
+def test_a_full_table_allows_no_offer_until_a_machine_is_no_longer_cold() -> None:
     account = SlowStartShare(SPAN, max_machines=2)
     account.on_sent("m", 1, 18 * S, "a")
     account.on_sent("n", 1, 5 * S, "b")
@@ -68,7 +68,7 @@
     assert len(account) == 1
 
 
-def test_figures_out_of_range_are_refused() -> None:
+def test_settings_out_of_range_raise() -> None:
     for span, most in ((0, 1), (1, 0)):
         with pytest.raises(ValueError, match="above 0"):
             SlowStartShare(span, most)
--- a/tests/decide/test_widening.py
+++ b/tests/decide/test_widening.py
@@ -91,7 +91,7 @@
     assert is_long(waited_us, patience_us) is long
 
 
-def test_figures_out_of_range_are_refused() -> None:
+def test_settings_out_of_range_raise() -> None:
     for most, step_us, calm_us in ((-1, 1, 1), (1, 0, 1), (1, 2, 1)):
         with pytest.raises(ValueError, match="widen|step"):
             Widening(most, step_us, calm_us)
--- a/wingbarrow/core/__init__.py
+++ b/wingbarrow/core/__init__.py
@@ -1,4 +1,4 @@
-"""One placer in components, a file a concept; `docs/architecture.md` says who owns what.
+"""One placer in components, one concept a file; `docs/architecture.md` says which component owns what.
 
-Hands out `placer.Placer`: fronts talk to its `desk` and read its `board`. It knows no protocol of clients.
+The entry point is `placer.Placer`: fronts call its `admission` and read its `objects`. It knows no client protocol.
 """
--- a/wingbarrow/decide/__init__.py
+++ b/wingbarrow/decide/__init__.py
@@ -1,5 +1,5 @@
-"""What the program decides beside REM: values in, verdicts out; no sockets, no clock, randomness by seed only.
+"""Decisions beside the decision module (REM): values in, decisions out; no I/O, no clock, randomness by seed only.
 
-Each file is one decision: door, gate, admission, again, strays, rebirth, drains, learning, listing, membership.
-They may narrow what the module may do; none picks a machine.
+Each file or package is one decision, such as overload control, the send gate, retries, restarts, membership, consensus.
+They may restrict what the module may do; none chooses a machine.
 """
