--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -1,4 +1,4 @@
-"""Leases on the whole path, on a virtual clock, judged at the machines' sockets and by what owners are told."""
+"""Leases on the whole path, on a virtual clock, judged at the machines' sockets and by the owners' answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wingbarrow.kube import names
 
 
-def test_a_leased_job_runs_by_its_lease_and_its_machine_stops_it_where_nobody_renews() -> None:
+def test_leased_job_runs_while_it_is_renewed_and_its_machine_stops_it_at_expiry() -> None:
     stage = Regions()
     for index, machine in enumerate(stage.cluster.machines):
         machine.ppm = (500, -500)[index // 3]
@@ -29,7 +29,8 @@
         assert start.data["session"].startswith("placer-0/")
         assert start.data["until_us"] > start.at_us
         stage.hub.sleep(12 * S)
-        assert stage.running(uid) and stage.starts(uid) == 1, "renewed, it runs on"
+        assert stage.running(uid), "renewed, it runs on"
+        assert stage.starts(uid) == 1
         north.kill()
         killed = stage.hub.now_us()
         stage.hub.sleep(4 * S)
@@ -42,7 +43,7 @@
     stage.play(script)
 
 
-def test_the_gate_alone_holds_what_has_no_lease_though_a_floor_allows_it(
+def test_send_gate_alone_blocks_a_send_without_a_lease_that_a_floor_allows(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Regions(machines=3)
@@ -74,7 +75,7 @@
     stage.play(script)
 
 
-def test_a_machine_takes_no_task_whose_lease_has_passed_is_fenced_or_is_of_another_start() -> None:
+def test_machine_rejects_a_task_of_an_expired_lease_a_fenced_epoch_or_a_former_clock() -> None:
     stage = Stage(machines=1)
 
     def script() -> None:
@@ -125,14 +126,15 @@
         stage.hub.sleep(3 * S)
         assert machine.pods["good"].phase == "Running", "renewed"
         assert ask("/leases", session="p/1/1", until=later(S // 10))[0] == 200, (
-            "a late word shortens nothing"
+            "a late renewal shortens nothing"
         )
         stage.hub.sleep(S // 2)
         assert machine.pods["good"].phase == "Running"
         stage.hub.sleep(S)
         assert machine.pods["good"].phase == "Failed"
         told = ask("/fence", uid="u", epoch=3)[1]
-        assert told["holds"] == ["good"] and told["sure"], "what ran and is over had its effect"
+        assert told["holds"] == ["good"], "what ran and is over had its effect"
+        assert told["sure"]
         assert offer("old", later(2 * S), 2) == (409, "Fenced")
         assert offer("new", later(2 * S), 3)[0] == 201
         former = later(2 * S)
@@ -148,7 +150,7 @@
     stage.play(script)
 
 
-def test_without_a_keeper_a_leased_job_hears_503_and_others_wait_for_nothing() -> None:
+def test_leased_job_without_a_replica_is_rejected_with_503_and_delays_no_other() -> None:
     stage = Regions()
 
     def script() -> None:
@@ -157,14 +159,16 @@
         stage.cut(2)
         began = stage.hub.now_us()
         status, value = stage.give(south, "kept", spec="home")
-        assert status == 503 and "keeper" in value["message"] and value["retry-after"], value
+        assert status == 503, value
+        assert "keeper" in value["message"]
+        assert value["retry-after"], value
         assert stage.hub.now_us() - began <= 3 * S, "a bounded wait"
         began = stage.hub.now_us()
         assert stage.give(south, "bare", spec="")[0] == 201
         assert stage.hub.now_us() - began < S // 10
         assert stage.give(south, "none", spec="nowhere")[0] == 422
         assert stage.give(stage.cluster.placers[0], "away", spec="home")[0] == 201, (
-            "elsewhere: it is handed over"
+            "elsewhere: it is forwarded"
         )
         stage.cut(2, False)
         assert stage.wait(lambda: stage.give(south, "kept", spec="home")[0] in (201, 409), 20)
@@ -175,7 +179,7 @@
 
 
 @pytest.mark.parametrize("task_class", ["web", "settlement"])
-def test_where_no_keeper_hears_of_the_placing_the_answer_is_lease_lost_and_the_copy_is_stopped(
+def test_unacknowledged_placement_is_answered_lease_lost_and_its_copy_is_stopped(
     task_class: str,
 ) -> None:
     stage = Regions()
@@ -202,14 +206,13 @@
         assert stage.wait(lambda: not stage.running(uid), 1)
         stage.cut(2, False)
         stage.hub.sleep(20 * S)
-        assert stage.starts(uid) == 1 and not stage.running(uid), "answered: nobody starts it again"
+        assert stage.starts(uid) == 1, "answered: nobody starts it again"
+        assert not stage.running(uid)
 
     stage.play(script)
 
 
-def test_a_lost_regions_safe_work_runs_elsewhere_and_what_must_not_start_twice_is_kept_as_unknown() -> (
-    None
-):
+def test_safe_work_of_a_lost_region_runs_elsewhere_and_unsafe_work_is_listed_as_unknown() -> None:
     stage = Regions()
 
     def script() -> None:
@@ -235,9 +238,8 @@
         stage.cut(0, False)
         assert stage.wait(lambda: stage.may_send(north), 20)
         stage.hub.sleep(10 * S)
-        assert len(stage.running(safe)) == 1 and stage.starts(safe) == 2, (
-            "its successor's copy goes on, alone"
-        )
+        assert len(stage.running(safe)) == 1, "its successor's copy goes on, alone"
+        assert stage.starts(safe) == 2
         assert stage.told(north, "safe").get("wingbarrow.io/TakenOver") == "Run", stage.told(
             north, "safe"
         )
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -121,7 +121,7 @@
             self._leased_jobs.fail_lease_lost(attempt, words)
 
     def on_recovered(self, recovered: RecoveredJob) -> None:
-        """Show the outcome of a Job of an ended session, as a successor told it."""
+        """Show the outcome of a Job of an ended session, as a successor answered it."""
         self._base.counts["healed:" + recovered.outcome] += 1
         if recovered.primary:
             where = f"{recovered.primary} has it at epoch {recovered.epoch}"
@@ -147,40 +147,40 @@
 
     # -- running copies
 
-    def is_stray(self, link: MachineLink, sight: PodStatus) -> bool:
+    def is_stray(self, link: MachineLink, status: PodStatus) -> bool:
         """Whether a running copy is leased and no Job of this placer accounts for it; then it is dealt with here.
 
         It is of a former life, or of a session that has ended. It is never adopted: its machine stops it when its lease
         has expired there, and successors decide about its Job.
         """
-        session = sight.session
+        session = status.session
         if not session:
             return False
         primary = self._replicator.primary
         is_present = session == primary.session.text() and not primary.session_ended
-        if is_present and sight.job_uid in self._leased_jobs.jobs:
+        if is_present and status.job_uid in self._leased_jobs.jobs:
             return False
-        is_unsafe = self._is_unsafe(sight)
+        is_unsafe = self._is_unsafe(status)
         if not is_unsafe and self._leased_jobs.has_ended(session):
-            self._stops.request(link, sight.namespace, sight.name)
+            self._stops.request(link, status.namespace, status.name)
             self._base.counts["leases:strays stopped"] += 1
-        elif (session, sight.name) not in self._logged_strays and (
+        elif (session, status.name) not in self._logged_strays and (
             len(self._logged_strays) < MAX_LOGGED_STRAYS
         ):
-            self._logged_strays.add((session, sight.name))
+            self._logged_strays.add((session, status.name))
             self._base.log(
                 "leased-stray",
                 level="warning",
                 machine=link.name,
-                job=sight.job_key,
-                pod=sight.name,
+                job=status.job_key,
+                pod=status.name,
                 session=session,
                 left="running" if is_unsafe else "until its lease passes",
             )
         return True
 
-    def _is_unsafe(self, sight: PodStatus) -> bool:
+    def _is_unsafe(self, status: PodStatus) -> bool:
         """Whether a copy's class must not start twice; one of an unknown class must not, either."""
-        labels = sight.value["metadata"].get("labels") or {}
+        labels = status.value["metadata"].get("labels") or {}
         settings = self._base.settings.classes.get(str(labels.get(names.CLASS, "")))
         return settings is None or settings.task_class.effect is api.Effect.UNSAFE
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -48,7 +48,7 @@
         self.lease_us = lease_us
         self._clocks: dict[MachineLink, MachineClock] = {}
         self._attempts: dict[str, Counter[str]] = {}  # number by machine, by session
-        self._renewed: dict[str, tuple[int, int]] = {}  # by machine: expiry told last, and when
+        self._renewed: dict[str, tuple[int, int]] = {}  # by machine: the last expiry sent, and when
         self._pending: set[str] = set()  # machines with a renewal under way
 
     @property
@@ -131,7 +131,9 @@
         attempts = Counter[str]()
         if session is not None:
             attempts = self._attempts.get(session.text(), attempts)
-        self._renewed = {name: told for name, told in self._renewed.items() if name in attempts}
+        self._renewed = {
+            name: renewal for name, renewal in self._renewed.items() if name in attempts
+        }
         if session is None:
             return
         for name in list(attempts):
--- a/wingbarrow/decide/replication/orphans.py
+++ b/wingbarrow/decide/replication/orphans.py
@@ -68,7 +68,7 @@
         return out
 
     def on_response(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
-        """A successor told the outcomes of Jobs: discard those it knows, take over those it does not."""
+        """A successor answered with the outcomes of Jobs: discard those it knows, take over those it does not."""
         if self._pending_requests.pop(message.number, "") != ident:
             return []
         out: list[Effect] = []
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -32,7 +32,7 @@
     """Queues by uid, in order: `pending_updates` (records to send) and `pending_removals` (records to remove).
 
     `record_sizes` are the sizes, by uid, of the records that are assigned to this replica. `life` and `serial` are
-    those of the replica's session as last heard. Retries follow an exponential backoff.
+    those of the replica's session as last received. Retries follow an exponential backoff.
     """
 
     def __init__(
--- a/wingbarrow/decide/replication/replicated_job.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -138,8 +138,10 @@
                 continue
             for pending in [each for each in job.pending if each.token == token]:
                 job.pending.remove(pending)
-                asked = (*job.replicas, *sorted(job.former_replicas))
-                silent = [name for name in asked if not job.has_acknowledged(name, pending.version)]
+                required = (*job.replicas, *sorted(job.former_replicas))
+                silent = [
+                    name for name in required if not job.has_acknowledged(name, pending.version)
+                ]
                 named = ", ".join(silent[:MAX_NAMED_REPLICAS])
                 out.append(token_settled(token, f"no word in time from {named}"))
         return out
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -305,23 +305,22 @@
 
     def _on_event(self, now_us: int, event: Notify) -> list[Effect]:
         fields = event.fields
+        out: list[Effect] = [event]
         match event.event:
             case "kept" if fields["token"] in self._claims:
                 uid = self._claims.pop(fields["token"])
-                return self._on_claim_settled(now_us, uid, fields["why"])
+                out = self._on_claim_settled(now_us, uid, fields["why"])
             case "later":
-                return self._on_later_record(now_us, fields["record"])
+                out = self._on_later_record(now_us, fields["record"])
             case "superseded" | "taken":
-                return self._on_superseded(now_us, fields["uid"], fields["by"])
+                out = self._on_superseded(now_us, fields["uid"], fields["by"])
             case "settled":
                 self.primary.former_jobs.pop(fields["uid"], None)
-                if fields["by"]:
-                    return [event]
-                return [event, *self._restart_own(now_us, fields["own"], fields["epoch"])]
+                if not fields["by"]:
+                    out += self._restart_own(now_us, fields["own"], fields["epoch"])
             case "reissue":
-                return self._on_reissue_decided(now_us, event)
-            case _:
-                return [event]
+                out += self._on_reissue_decided(now_us, event)
+        return out
 
     def _on_claim_settled(self, now_us: int, uid: str, why: str) -> list[Effect]:
         """The replication of a Job that is being taken over was acknowledged, or failed: then it is awaited anew."""
@@ -364,13 +363,14 @@
         return [*out, Notify("stop", {"uid": uid, "fate": outcome, "by": primary})]
 
     def _on_reissue_decided(self, now_us: int, event: Notify) -> list[Effect]:
+        """Note a decision on a Job, and queue the Job if it is ready to be started."""
         uid = event.fields["uid"]
         decision = event.fields["verdict"]
         self.replica.set_outcome(uid, decision)
         failover = self._failover_by_uid[uid]
         if decision != ReissueDecision.RUN.value or uid not in failover.ready:
-            return [event]
-        return [event, *self._starts.push(now_us, failover.cases[uid])]
+            return []
+        return self._starts.push(now_us, failover.cases[uid])
 
     # -- failover
 
@@ -460,7 +460,7 @@
     def _on_resolve_response(
         self, now_us: int, ident: str, message: ResolveResponse
     ) -> list[Effect]:
-        """A successor told the outcomes of Jobs: of this placer's own ended session, or of those it is a replica of."""
+        """Handle a successor's outcomes of Jobs: of this placer's own ended session, or of stored records."""
         recovery = self.recoveries.get(message.session)
         if recovery is not None:
             out = self.process(now_us, recovery.on_resolve_response(now_us, ident, message))
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -72,7 +72,7 @@
         self.world, self.name, self.region = world, name, region
         self.session = Session(name, life, 0)
         self.terms = ReplicationTerms(world.allowed, world.copies)
-        self.custodian = Replicator(
+        self.replicator = Replicator(
             self.session,
             region,
             world.random.randrange(1 << 30),
@@ -90,7 +90,7 @@
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """Mail came."""
-        return self._do(now_us, self.custodian.on_message(now_us, ident, address, message))
+        return self._do(now_us, self.replicator.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
         """A timer is due."""
@@ -101,12 +101,12 @@
         if key.startswith("retry/"):
             _, uid, index = key.split("/")
             return self._send(now_us, uid, int(index))
-        return self._do(now_us, self.custodian.on_timer(now_us, key))
+        return self._do(now_us, self.replicator.on_timer(now_us, key))
 
     # -- what it hears of others
 
     def _look(self, now_us: int) -> list[Effect]:
-        out = self._do(now_us, self.custodian.on_membership(now_us, self.world.seen(self.name)))
+        out = self._do(now_us, self.replicator.on_membership(now_us, self.world.seen(self.name)))
         return [*out, SetTimer("look", now_us + SOUGHT_US)]
 
     def _grant(self, now_us: int) -> list[Effect]:
@@ -115,13 +115,13 @@
         if not world.majority(self.name):
             return out
         session, news, self.heard = world.voters.ask(
-            now_us, self.session, len(self.jobs), self.custodian.replica.summary(), self.heard
+            now_us, self.session, len(self.jobs), self.replicator.replica.summary(), self.heard
         )
         for ended in news:
             out += self._over(now_us, ended)
         if session != self.session:
             self.session = session
-            out += self._do(now_us, self.custodian.begin_session(now_us, session))
+            out += self._do(now_us, self.replicator.begin_session(now_us, session))
         self.until_us = now_us + LEASE_US
         world.renew(self)
         return out + self._look_after(now_us)
@@ -148,12 +148,12 @@
         if ended.session == self.session:
             runs = set(self.jobs)
             self.jobs.clear()
-        return self._do(now_us, self.custodian.on_session_ended(now_us, ended, runs))
+        return self._do(now_us, self.replicator.on_session_ended(now_us, ended, runs))
 
     def knows(self) -> set[str]:
         """Jobs that it holds or keeps."""
-        custody = self.custodian.primary
-        return {*self.jobs, *custody.jobs, *custody.former_jobs, *self.custodian.replica.entries}
+        custody = self.replicator.primary
+        return {*self.jobs, *custody.jobs, *custody.former_jobs, *self.replicator.replica.entries}
 
     # -- its work
 
@@ -164,13 +164,13 @@
             if not good:
                 self.world.counts[f"turned away: {why.split(' from ')[0]}"] += 1
                 self.jobs.pop(record.uid, None)
-                return self._do(now, self.custodian.remove(now, record.uid))
+                return self._do(now, self.replicator.remove(now, record.uid))
             self.world.accepted[record.uid] = self.world.now_us, record, self.name
             self.jobs[record.uid].accepted = True
             return self._run(now, record.uid, range(record.count))
 
         self.jobs[record.uid] = Held(record, 0)
-        token, effects = self.custodian.primary.replicate(
+        token, effects = self.replicator.primary.replicate(
             now_us, record, self.terms, now_us + WAIT_US
         )
         self._waiting[token] = kept
@@ -198,7 +198,7 @@
                 return []
             held.tasks[index].phase = "none"
             if good and held.record.effect == "unsafe":  # its keepers believe that it left
-                token, effects = self.custodian.primary.record_not_running(
+                token, effects = self.replicator.primary.record_not_running(
                     now, uid, index, now + WAIT_US
                 )
                 return [*self._do(now, effects), SetTimer(retry.key, now + SECOND)]
@@ -208,7 +208,7 @@
         if held.record.effect != "unsafe" or self.world.careless:
             return go(now_us, True, "")
         known = KnownTask(index, "about", machine.name, f"{uid}-{index}")
-        token, effects = self.custodian.primary.record_send(now_us, uid, known, now_us + WAIT_US)
+        token, effects = self.replicator.primary.record_send(now_us, uid, known, now_us + WAIT_US)
         self._waiting[token] = go
         return self._do(now_us, effects)
 
@@ -219,14 +219,14 @@
             return []
         if why:
             held.tasks[index].phase = "none"
-            token, effects = self.custodian.primary.record_not_running(
+            token, effects = self.replicator.primary.record_not_running(
                 now_us, uid, index, now_us + WAIT_US
             )
             return [*self._do(now_us, effects), SetTimer(f"retry/{uid}/{index}", now_us + SECOND)]
         held.tasks[index].phase = "placed"
         if self.world.careless and held.record.effect == "unsafe":
             return []
-        token, effects = self.custodian.primary.record_placed(
+        token, effects = self.replicator.primary.record_placed(
             now_us,
             uid,
             KnownTask(index, "placed", held.tasks[index].machine, f"{uid}-{index}"),
@@ -250,7 +250,7 @@
                 waiting = self._waiting.pop(said["token"], None)
                 out += waiting(now_us, said["good"], said["why"]) if waiting is not None else []
             elif effect.event == "startable":
-                starts, more = self.custodian.next_starts(now_us, 1e9, 1e9)
+                starts, more = self.replicator.next_starts(now_us, 1e9, 1e9)
                 out += self._do(now_us, more)
                 for start in starts:
                     out += self._began(now_us, start)
@@ -476,5 +476,7 @@
     def unknown(self) -> set[str]:
         """Jobs that somebody has on the operator's list."""
         return {
-            record.uid for core in self.members.values() for record in core.custodian.unknown_jobs()
+            record.uid
+            for core in self.members.values()
+            for record in core.replicator.unknown_jobs()
         }
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -87,7 +87,7 @@
         """Another placer is primary of a Job by a later epoch, or by precedence."""
 
     def on_recovered(self, job: RecoveredJob) -> None:
-        """A successor told the outcome of a Job of this placer's ended session."""
+        """A successor answered with the outcome of a Job of this placer's ended session."""
 
     def on_session_over(self, session: Session) -> None:
         """This placer's session has ended: its successors decide about all Jobs that were leased under it."""
