--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -123,7 +123,8 @@
 
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
-        news, job = self.region_news(self._base.hub.now_us()).get(region), task.job
+        job = task.job
+        news = self.region_news(self._base.hub.now_us()).get(region)
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
@@ -134,7 +135,8 @@
         if not ident:
             return False
         self._jobs.open_request(task, due_us)
-        self._forwarded[ident], self._ident_by_task[task.name] = task, ident
+        self._forwarded[ident] = task
+        self._ident_by_task[task.name] = ident
         self.carry_out(effects)
         return True
 
@@ -195,14 +197,15 @@
             value = names.decode(manifest)
             meta = value["metadata"]
             meta["name"] = f"handed-{names.ident(ident):013x}"
-            notes = meta.setdefault("annotations", {})
-            notes |= {
+            annotations = meta.setdefault("annotations", {})
+            annotations |= {
                 names.HANDED: ident,
                 names.PATIENCE: f"{max(0, left_us - RECEIVER_MARGIN_US) // 1000}ms",
             }
             namespace = str(meta["namespace"])
             key = f"{namespace}/{meta['name']}"
-            self._ident_by_job[key], self._job_by_ident[ident] = ident, key
+            self._ident_by_job[key] = ident
+            self._job_by_ident[ident] = key
             self.admission.submit_forwarded(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._forget(ident)
@@ -294,7 +297,7 @@
 def _manifest(job: JobRecord) -> str:
     """The Job of one task that the receiver is to submit."""
     meta = job.value["metadata"]
-    kept = {key: meta[key] for key in ("labels", "annotations") if key in meta}
+    metadata = {key: meta[key] for key in ("labels", "annotations") if key in meta}
     spec = {
         key: part
         for key, part in job.value["spec"].items()
@@ -304,7 +307,7 @@
         {
             "apiVersion": "batch/v1",
             "kind": "Job",
-            "metadata": {"namespace": job.request.namespace, **kept},
+            "metadata": {"namespace": job.request.namespace, **metadata},
             "spec": spec,
         }
     ).decode()
