--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -15,7 +15,7 @@
 from wingbarrow.core.link import STOP_CONNECTIONS
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.maintenance.slots import MAX_ACTIVE_SLOTS
-from wingbarrow.decide.membership.member_table import MEMBERS_MOST
+from wingbarrow.decide.membership.member_table import MAX_MEMBERS
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.decide.quotas.allocations import MAX_ALLOCATIONS
 from wingbarrow.decide.quotas.limits import MAX_LIMITS, STRANDED_US, FleetLimit
@@ -27,8 +27,8 @@
 from wingbarrow.decide.rulesets.parsing import MAX_TEXT_CHARS
 from wingbarrow.decide.rulesets.versions import MAX_SNAPSHOT_CHARS, MAX_SUBSYSTEMS_CHARS
 from wingbarrow.decide.sessions.leased_job_record import MAX_RECORD_BYTES
-from wingbarrow.peers.mailbox import BOXES_MOST
-from wingbarrow.peers.message import MAIL_MOST
+from wingbarrow.peers.mailbox import MAX_ADDRESSES
+from wingbarrow.peers.message import MAX_ENVELOPE_BYTES
 
 SECOND = 1_000_000
 TURN_US = 10_000  # the hub's longest turn, as in docs/rules-agreed.md
@@ -66,7 +66,7 @@
         Bound(
             "members_most",
             "members that a placer knows",
-            MEMBERS_MOST,
+            MAX_MEMBERS,
             "placers",
             "wingbarrow/decide/membership/member_table.py",
             MEMBERSHIP,
@@ -74,7 +74,7 @@
         Bound(
             "detect_s",
             "a death is known to all within, at the target's placers",
-            rules.detect_us(placers) / SECOND,
+            rules.detection_bound_us(placers) / SECOND,
             "s",
             "wingbarrow/decide/membership/swim.py",
             MEMBERSHIP,
@@ -82,7 +82,7 @@
         Bound(
             "heal_s",
             "all are alive to all after a cut has healed, at the target's placers",
-            rules.heal_us(placers) / SECOND,
+            rules.healing_bound_us(placers) / SECOND,
             "s",
             "wingbarrow/decide/membership/swim.py",
             MEMBERSHIP,
@@ -90,12 +90,19 @@
         Bound(
             "addresses_most",
             "addresses that it sends mail to",
-            BOXES_MOST,
+            MAX_ADDRESSES,
             "addresses",
             "wingbarrow/peers/mailbox.py",
             MAIL,
         ),
-        Bound("mail_most", "one mail", MAIL_MOST, "bytes", "wingbarrow/peers/message.py", MAIL),
+        Bound(
+            "mail_most",
+            "one mail",
+            MAX_ENVELOPE_BYTES,
+            "bytes",
+            "wingbarrow/peers/message.py",
+            MAIL,
+        ),
         Bound(
             "voters_most",
             "voters",
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -29,8 +29,8 @@
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
 from wingbarrow.http.server import ServerLimits
 from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
-from wingbarrow.peers.mailbox import BOXES_MOST, LETTER_MOST
-from wingbarrow.peers.message import BadMail, read_mail, write_letter, write_mail
+from wingbarrow.peers.mailbox import MAX_ADDRESSES, MAX_MESSAGE_BYTES
+from wingbarrow.peers.message import MessageError, decode_envelope, encode_envelope, encode_message
 
 CLUSTER = "main"
 ANSWERS = (
@@ -99,16 +99,16 @@
         """Write and read a message as its sender and receiver would, and count it for both."""
         out, into = self.accounts[sender], self.accounts[receiver]
         begun = time.process_time_ns()
-        letter = write_letter(message)
-        mail = write_mail(CLUSTER, sender, f"{sender}.example:7400", [letter])
+        letter = encode_message(message)
+        mail = encode_envelope(CLUSTER, sender, f"{sender}.example:7400", [letter])
         written = time.process_time_ns()
         try:
-            read_mail(mail, CLUSTER)
-        except BadMail as error:
+            decode_envelope(mail, CLUSTER)
+        except MessageError as error:
             self.refused[f"not read: {error}"] += 1
         out.used_ns[WRITTEN] += written - begun
         into.used_ns[READ] += time.process_time_ns() - written
-        if len(letter) > LETTER_MOST:
+        if len(letter) > MAX_MESSAGE_BYTES:
             self.refused["longer than a mail may be"] += 1
         kind = type(message).__name__
         self.largest[kind] = max(self.largest[kind], len(letter))
@@ -136,7 +136,7 @@
         that others opened is closed after a while without a request.
         """
         since = now_us - ServerLimits().idle_us
-        return min(BOXES_MOST, len(self.called[name])) + sum(
+        return min(MAX_ADDRESSES, len(self.called[name])) + sum(
             at >= since for at in self.callers[name].values()
         )
 
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -1,14 +1,14 @@
 """What grows with the number of placers: membership, and agreement on rules with three fleet limits.
 
-`member`: SWIM alone (measures with ", membership"), and a placer that does not vote (", agreement"); `voter`, `leader`:
-agreement. At rest, for `SPAN_S` of the virtual clock. Over `table.MEMBERS_MOST` other members a table has no room: who
-finds none stays unknown there ("members not known"), while agreement, which goes by the names in rules, takes them all.
-What ends that is the length of a rule set with three limits, which names each placer three times: "placers whose rule
-set with three limits is accepted", for names of four letters.
+`member`: SWIM alone (measures with ", membership"), and a placer that does not vote (", agreement"); `voter`,
+`leader`: agreement. At rest, for `SPAN_S` of the virtual clock. Over `member_table.MAX_MEMBERS` other members a table
+has no room: who finds none stays unknown there ("members not known"), while agreement, which goes by the names in
+rules, takes them all. What ends that is the length of a rule set with three limits, which names each placer three
+times: "placers whose rule set with three limits is accepted", for names of four letters.
 
 Descriptors are those of the first minute after all started together: every voter has then been asked for the leader by
 everybody, and a member has probed as many others as seconds have passed. Later a voter's are fewer, and a member has a
-connection in its pool for each other member, up to `post.BOXES_MOST`.
+connection in its pool for each other member, up to `mailbox.MAX_ADDRESSES`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from benchmarks.capacity.gather import MB, Figure, accounted, repeated
 from benchmarks.capacity.metered import DECISIONS, READ, WRITTEN, Meter, Metered, held_bytes
 from benchmarks.capacity.results import Point
-from wingbarrow.decide.membership.member_table import MEMBERS_MOST
+from wingbarrow.decide.membership.member_table import MAX_MEMBERS
 from wingbarrow.decide.membership.messages import MemberStatus
 from wingbarrow.decide.membership.swim import Membership
 from wingbarrow.decide.rulesets.parsing import length_faults
@@ -45,7 +45,7 @@
         return (
             len(self.members)
             - 1
-            - sum(each.standing is MemberStatus.ALIVE for each in table.members.values())
+            - sum(each.status is MemberStatus.ALIVE for each in table.members.values())
         )
 
     def all_known(self) -> bool:
@@ -56,7 +56,7 @@
 def membership(count: int, seed: int) -> Iterator[Figure]:
     """One swarm: how it joins, what it costs at rest, how it learns of a death."""
     swarm = Members(count, seed)
-    fits = count - 1 <= MEMBERS_MOST
+    fits = count - 1 <= MAX_MEMBERS
     if fits:
         if not swarm.run_until(swarm.all_known, JOIN_MOST_US):
             raise RuntimeError(f"{count} placers, seed {seed}: they do not find each other")
@@ -89,7 +89,7 @@
     """One is killed: until the first holds it for dead, and until all do."""
     gone, begun = swarm.names[seed % len(swarm.names)], swarm.now_us
     swarm.kill(gone)
-    most = 2 * swarm.rules.detect_us(len(swarm.names))
+    most = 2 * swarm.rules.detection_bound_us(len(swarm.names))
     if not swarm.run_until(lambda: swarm.all_think(gone, MemberStatus.DEAD), most):
         raise RuntimeError(f"{len(swarm.names)} placers, seed {seed}: a death is not found")
     times = [
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -43,7 +43,7 @@
 from wingbarrow.decide.rulesets.versions import MAX_SUBSYSTEMS_CHARS
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message
-from wingbarrow.peers.mailbox import LETTER_MOST
+from wingbarrow.peers.mailbox import MAX_MESSAGE_BYTES
 
 DEFAULT_SIZES = (10, 30, 45, 64, 100, 370)
 PLACERS = (16, 64)
@@ -153,7 +153,7 @@
         member.agreed.text(),
         1,
     )
-    yield Figure("voter", "snapshot", "B", len(message.write_letter(install)))
+    yield Figure("voter", "snapshot", "B", len(message.encode_message(install)))
     yield Figure("voter", "snapshot: blocks", "B", mailed(member.allocations.snapshot()))
     yield Figure("voter", "log", "B", sum(len(each.body) for each in disk.log))
     yield Figure(
@@ -206,7 +206,7 @@
         "the chapters' part of a snapshot": lambda teams: blocks_mailed(teams, placers)
         <= MAX_SUBSYSTEMS_CHARS,
         "the size of a mail (blocks alone)": lambda teams: blocks_mailed(teams, placers)
-        <= LETTER_MOST,
+        <= MAX_MESSAGE_BYTES,
     }
     for words, allowed in found.items():
         most = most_allowed(allowed)
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -27,7 +27,7 @@
 from unittest.mock import patch
 
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer
-from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
+from wingbarrow.decide.outliers import detector, ejections, health
 from wingbarrow.decide.regions.forwarding import (
     ForwardedJob,
     ForwardReceiver,
@@ -42,7 +42,7 @@
 from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.record import Recorder
-from wingbarrow.peers.message import write_letter
+from wingbarrow.peers.message import encode_message
 
 S = 1_000_000
 
@@ -105,7 +105,7 @@
 def step_of(history: History, effect: Effect) -> list[Any]:
     """What a state machine asked its host for."""
     if isinstance(effect, Send):
-        return ["send", effect.ident, effect.address, write_letter(effect.message).decode()]
+        return ["send", effect.ident, effect.address, encode_message(effect.message).decode()]
     if isinstance(effect, SetTimer):
         return ["timer", history.word("timer", effect.key), effect.at_us]
     if isinstance(effect, Persist):
@@ -330,27 +330,31 @@
     rng = random.Random(f"outliers/{seed}")
     machines = {f"m{index}": f"zone-{index % 3}" for index in range(30)}
     bad = set(rng.sample(sorted(machines), 5))
-    seen = {f"p{index}": (HealthObserver(), ActiveEjections()) for index in range(6)}
-    bench, now = OutlierDetector(), S
+    seen = {
+        f"p{index}": (health.HealthObserver(), ejections.ActiveEjections()) for index in range(6)
+    }
+    bench, now = detector.OutlierDetector(), S
     for turn in range(160):
         now += rng.randrange(S)
         name = f"p{rng.randrange(6)}"
         experience, closures = seen[name]
         for machine in rng.sample(sorted(machines), 8):
-            if machine not in closures.now(now):
+            if machine not in closures.ejected(now):
                 fails = name == "p5" or (machine in bad and rng.random() < 0.8)
-                experience.note(now, machine, not fails)
-        evidence, bad_count, tried = experience.evidence(now, closures.mine)
-        bench.hear(now, name, f"region-{int(name[1:]) % 3}", evidence, bad_count, tried)
-        bench.judge(now, machines)
-        told = bench.told(now)
-        closures.take(now, name, told)
-        history.note(now, name, leaves(evidence), bad_count, tried, leaves(told))
+                experience.record(now, machine, not fails)
+        seen_now = experience.report(now, closures.probed_here)
+        bench.on_report(now, name, f"region-{int(name[1:]) % 3}", seen_now)
+        bench.evaluate(now, machines)
+        told = bench.active(now)
+        closures.apply(now, name, told)
         history.note(
-            sorted(closures.now(now)),
-            sorted(closures.mine),
-            sorted(bench.spared.items()),
-            closures.again_and_again(now, 1),
+            now, name, leaves(seen_now.reports), seen_now.outliers, seen_now.tried, leaves(told)
+        )
+        history.note(
+            sorted(closures.ejected(now)),
+            sorted(closures.probed_here),
+            sorted(bench.not_ejected.items()),
+            closures.repeatedly_ejected(now, 1),
         )
         if turn % 40 == 39:
             bad = set(rng.sample(sorted(machines), 5))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -48,7 +48,7 @@
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
     if not swarm.run_until(
-        lambda: swarm.all_think(gone, MemberStatus.DEAD), 2 * swarm.rules.detect_us(count)
+        lambda: swarm.all_think(gone, MemberStatus.DEAD), 2 * swarm.rules.detection_bound_us(count)
     ):
         raise SystemExit(f"{count} placers, seed {seed}: a death is not found")
     times = [
@@ -93,7 +93,7 @@
                 {
                     "placers": count,
                     "seeds": asked.seeds,
-                    "detect_stated_s": rules.detect_us(count) / SECOND,
+                    "detect_stated_s": rules.detection_bound_us(count) / SECOND,
                     **figures,
                 }
             ),
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -39,7 +39,7 @@
 
 def test_more_placers_than_a_table_holds_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (table, placers):
-        monkeypatch.setattr(module, "MEMBERS_MOST", 3)
+        monkeypatch.setattr(module, "MAX_MEMBERS", 3)
     monkeypatch.setattr(placers, "BEYOND_S", 5)
     found = values(list(placers.membership(6, 1)))
     assert found["member", "members not known"] == 2
--- a/tests/core/subsetstage.py
+++ b/tests/core/subsetstage.py
@@ -60,7 +60,7 @@
         self.cluster.start()
         assert self.wait(
             lambda: all(
-                len(each.peering.membership.table.living()) == len(self.live()) - 1
+                len(each.peering.membership.table.live_members()) == len(self.live()) - 1
                 for each in self.live()
             )
         ), "they do not know each other"
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -55,9 +55,9 @@
         killed_us = stage.hub.now_us()
         for slot in slots[:2]:
             slot.kill()
-        rules = stage.placer(2).peering.membership.rules
+        rules = stage.placer(2).peering.membership.settings
         stated_us = (
-            rules.detect_us(6)
+            rules.detection_bound_us(6)
             + int((LEAVE_S + SETTLE_S) * S)
             + 2 * CHECK_INTERVAL_US
             + stage.subset(2)._spread_us
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -19,7 +19,7 @@
     RuleSetState,
     from_text,
 )
-from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
+from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, encode_envelope, encode_message
 from wingbarrow.peers.ruleset_settings import rules_of
 
 PLACES = ("eu-north-1", "eu-south-1", "us-east-1", "us-west-2", "ap-south-1", "ap-east-1")
@@ -165,11 +165,11 @@
             ),
         )
     state = agreed.text()
-    letter = write_letter(
+    letter = encode_message(
         consensus.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40)
     )
-    assert len(write_mail("main", "a" * 253, "b" * 300, [letter])) < MAX_SNAPSHOT_CHARS
-    assert MAX_SNAPSHOT_CHARS + MAX_SUBSYSTEMS_CHARS < MAIL_MOST - 4096
+    assert len(encode_envelope("main", "a" * 253, "b" * 300, [letter])) < MAX_SNAPSHOT_CHARS
+    assert MAX_SNAPSHOT_CHARS + MAX_SUBSYSTEMS_CHARS < MAX_ENVELOPE_BYTES - 4096
     back = from_text(state)
     assert back == agreed
     assert back.text() == state
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -7,8 +7,8 @@
 from wingbarrow.decide.effects import Send
 from wingbarrow.decide.membership.messages import Ack, MemberStatus, MemberUpdate, Ping, Sync
 from wingbarrow.decide.membership.swim import (
-    NEWS_MOST,
-    SYNC_MOST,
+    MAX_PIGGYBACKED_UPDATES,
+    MAX_SYNC_UPDATES,
     LocalMember,
     Membership,
     SwimSettings,
@@ -36,7 +36,7 @@
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
     assert swarm.run_until(
-        lambda: swarm.all_think(gone, MemberStatus.DEAD), swarm.rules.detect_us(count)
+        lambda: swarm.all_think(gone, MemberStatus.DEAD), swarm.rules.detection_bound_us(count)
     )
     assert {each.fields["member"] for each in swarm.deaths(begun)} == {gone}
 
@@ -46,13 +46,13 @@
     for life in (3600 * SECOND, 5):
         swarm.kill("p003")
         assert swarm.run_until(
-            lambda: swarm.all_think("p003", MemberStatus.DEAD), swarm.rules.detect_us(5)
+            lambda: swarm.all_think("p003", MemberStatus.DEAD), swarm.rules.detection_bound_us(5)
         )
         swarm.life = life
         swarm.start("p003")
-        assert swarm.run_until(swarm.whole, swarm.rules.heal_us(5))
+        assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(5))
     assert swarm.members["p003"].incarnation > 3600 * SECOND
-    assert not swarm.members["p003"].twins
+    assert not swarm.members["p003"].name_conflicts
     assert [swarm.members[each].table.members["p003"].restarts for each in ("p000", "p001")] == [
         2,
         2,
@@ -74,7 +74,7 @@
     assert all(swarm.standing(a, b) is MemberStatus.ALIVE for a in side for b in side if a != b)
     swarm.cut = lambda a, b: False
     healed = swarm.now_us
-    assert swarm.run_until(swarm.whole, swarm.rules.heal_us(8))
+    assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(8))
     assert not swarm.deaths(healed + SECOND), "nobody is buried by what the other side had thought"
 
 
@@ -104,12 +104,14 @@
     swarm = settled(5)
     swarm.cut = lambda a, b: b == "p004"
     swarm.run(swarm.now_us + 60 * SECOND)
-    assert swarm.members["p004"].health.score >= 4, "none of its probes is answered: it slows down"
+    assert swarm.members["p004"].local_health.score >= 4, (
+        "none of its probes is answered: it slows down"
+    )
     assert all(swarm.standing(a, "p004") is MemberStatus.DEAD for a in swarm.names[:4]), (
         "it answers nobody"
     )
     swarm.cut = lambda a, b: False
-    assert swarm.run_until(swarm.whole, swarm.rules.heal_us(5))
+    assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(5))
 
 
 @pytest.mark.parametrize("seconds", [2, 5, 20, 60])
@@ -121,7 +123,7 @@
         swarm.run(begun + (seconds + 60) * SECOND)
         told = [each for each in swarm.deaths(begun) if each.fields["member"] != "p002"]
         assert not told, "it doubts itself first"
-        assert swarm.run_until(swarm.whole, swarm.rules.heal_us(6))
+        assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(6))
 
 
 def test_a_fifth_of_all_messages_lost_buries_nobody() -> None:
@@ -147,21 +149,21 @@
     swarm = settled(100)
     member = swarm.members["p000"]
     for name in swarm.names[1:]:
-        held = member.table.members[name].word
-        member.table.hear(held.as_standing(MemberStatus.SUSPECTED, "p001"), swarm.now_us)
+        held = member.table.members[name].update
+        member.table.apply(held.with_status(MemberStatus.SUSPECT, "p001"), swarm.now_us)
     sends = [
         each
         for each in member.on_message(swarm.now_us, "p001", "at p001", Ping(7))
         if isinstance(each, Send)
     ]
-    assert len(sends[0].message.news) <= NEWS_MOST
+    assert len(sends[0].message.news) <= MAX_PIGGYBACKED_UPDATES
     assert isinstance(sends[0].message, Ack)
     sends = [
         each
         for each in member.on_message(swarm.now_us, "p001", "at p001", Sync(True))
         if isinstance(each, Send)
     ]
-    assert len(sends[0].message.news) <= SYNC_MOST
+    assert len(sends[0].message.news) <= MAX_SYNC_UPDATES
 
 
 def test_another_placer_under_ones_own_name_is_told() -> None:
@@ -177,11 +179,11 @@
         ]
     assert told[0] == "former-life"
     assert told[-1] == "twin"
-    assert member.twins
+    assert member.name_conflicts
 
 
 def test_the_stated_times_are_formulas_that_grow_with_the_logarithm() -> None:
-    rules = SwimSettings()
-    assert rules.detect_us(5) == 2 * (7 + 1 + 6) * SECOND + 12 * SECOND + 3 * 700_000
-    assert rules.detect_us(170) < 2.5 * rules.detect_us(5)
-    assert rules.heal_us(64) < 2 * rules.heal_us(5)
+    settings = SwimSettings()
+    assert settings.detection_bound_us(5) == 2 * (7 + 1 + 6) * SECOND + 12 * SECOND + 3 * 700_000
+    assert settings.detection_bound_us(170) < 2.5 * settings.detection_bound_us(5)
+    assert settings.healing_bound_us(64) < 2 * settings.healing_bound_us(5)
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -42,16 +42,16 @@
 )
 from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.peers.message import (
-    LETTERS_MOST,
-    MAIL_MOST,
-    BadMail,
-    read_mail,
-    write_letter,
-    write_mail,
+    MAX_ENVELOPE_BYTES,
+    MAX_MESSAGES_PER_ENVELOPE,
+    MessageError,
+    decode_envelope,
+    encode_envelope,
+    encode_message,
 )
-from wingbarrow.peers.message_bounds import RECORDS_MOST, UIDS_MOST
+from wingbarrow.peers.message_bounds import MAX_RECORDS, MAX_UIDS
 
-WORD = MemberUpdate("placer-1", 7, MemberStatus.SUSPECTED, "127.0.0.1:1", "north", 3, "placer-2")
+WORD = MemberUpdate("placer-1", 7, MemberStatus.SUSPECT, "127.0.0.1:1", "north", 3, "placer-2")
 MESSAGES = [
     Ping(1, (WORD,)),
     PingRequest(2, "a", "127.0.0.1:2"),
@@ -63,14 +63,16 @@
 
 def mail(**changes: Any) -> bytes:
     value = json.loads(
-        write_mail("main", "placer-1", "127.0.0.1:1", [write_letter(each) for each in MESSAGES])
+        encode_envelope(
+            "main", "placer-1", "127.0.0.1:1", [encode_message(each) for each in MESSAGES]
+        )
     )
     return json.dumps({**value, **changes}).encode()
 
 
 def test_what_is_written_is_read() -> None:
-    read = read_mail(mail(), "main")
-    assert (read.sender, read.address, read.messages, read.strange) == (
+    read = decode_envelope(mail(), "main")
+    assert (read.sender, read.address, read.messages, read.unknown_kinds) == (
         "placer-1",
         "127.0.0.1:1",
         MESSAGES,
@@ -80,15 +82,15 @@
 
 def test_a_letter_of_an_unknown_kind_is_passed_over_and_the_others_count() -> None:
     letters = json.loads(mail())["letters"]
-    read = read_mail(
+    read = decode_envelope(
         mail(letters=[{"kind": "from-the-future", "body": {"x": [1]}}, *letters]), "main"
     )
     assert read.messages == MESSAGES
-    assert read.strange == 1
+    assert read.unknown_kinds == 1
 
 
 def word(**changes: Any) -> list[dict[str, Any]]:
-    value = json.loads(write_letter(Ping(1, (WORD,))))
+    value = json.loads(encode_message(Ping(1, (WORD,))))
     value["body"]["news"][0].update(changes)
     return [value]
 
@@ -100,7 +102,7 @@
         (b"{", "no mail"),
         (b"\xff\xfe", "no mail"),
         (b"[" * 100_000, "no mail"),
-        (b"x" * (MAIL_MOST + 1), "are the most"),
+        (b"x" * (MAX_ENVELOPE_BYTES + 1), "are the most"),
         (mail(form=2), "form 2"),
         (mail(cluster="other"), "another cluster"),
         (mail(sender=""), "empty"),
@@ -108,7 +110,8 @@
         (mail(address=""), "empty"),
         (
             mail(
-                letters=[{"kind": "ack", "body": {"number": 1, "ident": "a"}}] * (LETTERS_MOST + 1)
+                letters=[{"kind": "ack", "body": {"number": 1, "ident": "a"}}]
+                * (MAX_MESSAGES_PER_ENVELOPE + 1)
             ),
             "are the most",
         ),
@@ -121,14 +124,14 @@
     ],
 )
 def test_what_cannot_be_used_is_refused_in_words(raw: bytes, words: str) -> None:
-    with pytest.raises(BadMail, match=words):
-        read_mail(raw, "main")
+    with pytest.raises(MessageError, match=words):
+        decode_envelope(raw, "main")
 
 
 @given(st.binary(max_size=400))
 def test_no_bytes_bring_about_anything_but_a_refusal(raw: bytes) -> None:
-    with pytest.raises(BadMail):
-        read_mail(raw, "main")
+    with pytest.raises(MessageError):
+        decode_envelope(raw, "main")
 
 
 @given(st.integers(0, 10_000), st.integers(0, 255))
@@ -136,8 +139,8 @@
     raw = bytearray(mail())
     raw[at % len(raw)] = byte
     try:
-        read_mail(bytes(raw), "main")
-    except BadMail:
+        decode_envelope(bytes(raw), "main")
+    except MessageError:
         pass
 
 
@@ -198,11 +201,11 @@
 
 
 def letters(*messages: Any) -> bytes:
-    return write_mail("main", "p", "127.0.0.1:1", [write_letter(each) for each in messages])
+    return encode_envelope("main", "p", "127.0.0.1:1", [encode_message(each) for each in messages])
 
 
 def test_what_is_said_of_leases_is_read_as_it_was_written() -> None:
-    assert read_mail(letters(*LEASING), "main").messages == LEASING
+    assert decode_envelope(letters(*LEASING), "main").messages == LEASING
 
 
 @pytest.mark.parametrize(
@@ -264,8 +267,8 @@
             sessions=SessionsResponse(True, 1, 10, 3, (replace(ENDED, batches=(("k",) * 65,)),)),
         ),
         LeaseGrant(1, 0, "", 1, 0, 0, "", 0, turns=MaintenanceResponse(1, ((-1, "m", "out", ""),))),
-        ReplicateRequest(1, OF, (RECORD,) * (RECORDS_MOST + 1)),
-        ReplicateRequest(1, OF, (), ("u",) * (UIDS_MOST + 1)),
+        ReplicateRequest(1, OF, (RECORD,) * (MAX_RECORDS + 1)),
+        ReplicateRequest(1, OF, (), ("u",) * (MAX_UIDS + 1)),
         ReplicateRequest(-1, OF),
         *(
             ReplicateRequest(1, OF, (replace(RECORD, **change),))
@@ -290,5 +293,5 @@
     ids=lambda each: type(each).__name__,
 )
 def test_what_is_said_of_leases_beyond_its_bounds_is_refused(message: Any) -> None:
-    with pytest.raises(BadMail):
-        read_mail(letters(message), "main")
+    with pytest.raises(MessageError):
+        decode_envelope(letters(message), "main")
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -8,8 +8,8 @@
 from wingbarrow.decide.membership.messages import MemberStatus, MemberUpdate, Sync
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
-from wingbarrow.peers.mailbox import BOXES_MOST, PATH
-from wingbarrow.peers.message import MAIL_MOST, write_letter, write_mail
+from wingbarrow.peers.mailbox import MAX_ADDRESSES, PATH
+from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, encode_envelope, encode_message
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
 
@@ -31,7 +31,7 @@
         service = self.cluster.placers[who].service
         assert service is not None
         held = service.placer.peering.members.get(f"placer-{of}")
-        return held.standing if held is not None else None
+        return held.status if held is not None else None
 
     def wait(self, done: Any, seconds: float) -> bool:
         end = self.hub.now_us() + int(seconds * S)
@@ -89,7 +89,7 @@
         assert stage.wait(stage.whole, 20)
         pool = stage.pool()
         liar = MemberUpdate("placer-1", 1 << 61, MemberStatus.DEAD, "127.0.0.1:9", "", 1, "liar")
-        stranger = write_mail("other", "x", "y:1", [write_letter(Sync(True, (liar,)))])
+        stranger = encode_envelope("other", "x", "y:1", [encode_message(Sync(True, (liar,)))])
         for body in (b"", b"{}", b"\x00" * 300_000, stranger):
             assert pool.request("POST", PATH, body).status in (413, 422)
         assert stage.whole()
@@ -116,13 +116,13 @@
             )
         )
         pool = Pool(stage.hub, "127.0.0.1", stage.cluster.placers[0].port)
-        mail = write_mail("main", "x9", "127.0.0.1:1", [write_letter(Sync(False, words))])
+        mail = encode_envelope("main", "x9", "127.0.0.1:1", [encode_message(Sync(False, words))])
         assert pool.request("POST", PATH, mail).status == 200
         stage.hub.sleep(10 * S)
         peering = service.placer.peering
         assert peering.counts["peers:addresses refused"] >= 2
         assert all(host == "127.0.0.1" and port > 0 for host, port in peering._post._boxes)
-        assert len(peering._post._boxes) <= BOXES_MOST
+        assert len(peering._post._boxes) <= MAX_ADDRESSES
 
     stage.play(script)
 
@@ -136,7 +136,7 @@
         service = stage.cluster.placers[0].service
         assert service is not None
         peering = service.placer.peering
-        for size in (MAIL_MOST // 2 + 1, MAIL_MOST, MAIL_MOST * 3):
+        for size in (MAX_ENVELOPE_BYTES // 2 + 1, MAX_ENVELOPE_BYTES, MAX_ENVELOPE_BYTES * 3):
             peering._post.send(
                 "127.0.0.1", stage.cluster.placers[1].port, b'"' + b"x" * size + b'"'
             )
--- a/tests/peers/test_verdicts_path.py
+++ b/tests/peers/test_verdicts_path.py
@@ -98,7 +98,7 @@
         assert liar.placer.peering.agreement is not None
         for _ in range(20):
             for machine in stage.cluster.machines:
-                liar.placer.peering.agreement.health_observer.note(
+                liar.placer.peering.agreement.health_observer.record(
                     stage.hub.now_us(), machine.name, False
                 )
             stage.hub.sleep(S // 4)
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -54,7 +54,8 @@
     PingRequest,
     Sync,
 )
-from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
+from wingbarrow.decide.outliers.ejections import Ejection
+from wingbarrow.decide.outliers.health import HealthReport
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.entries import (
     Allocation,
@@ -98,7 +99,7 @@
 
 WORDS = (
     MemberUpdate("placer-1", 7, MemberStatus.ALIVE, "127.0.0.1:7001", "north", 3),
-    MemberUpdate("placer-2", 0, MemberStatus.SUSPECTED, "127.0.0.1:7002", "", 0, "placer-1"),
+    MemberUpdate("placer-2", 0, MemberStatus.SUSPECT, "127.0.0.1:7002", "", 0, "placer-1"),
     MemberUpdate("placer-3", 2, MemberStatus.DEAD, "127.0.0.1:7003", "süd", 1, "placer-1"),
     MemberUpdate("placer-4", 9, MemberStatus.LEFT, "[::1]:7004", "north", 1_780_000_000_000_000),
 )
@@ -321,22 +322,22 @@
 
 def letter_kinds() -> dict[str, type[Any]]:
     """All kinds that the program knows, with their types."""
-    return message.KINDS
+    return message.MESSAGE_TYPES
 
 
 def message_types() -> set[type[Any]]:
     """All types of the messages that state machines among placers give to be sent."""
-    unions = (membership.Message, coordination.Message, sessions.Message, forwarding.Message)
+    unions = (membership.SwimMessage, coordination.Message, sessions.Message, forwarding.Message)
     return {kind for union in unions for kind in get_args(union)}
 
 
 def write_mail(letters: tuple[Any, ...]) -> bytes:
-    return message.write_mail(CLUSTER, SENDER, ADDRESS, map(message.write_letter, letters))
+    return message.encode_envelope(CLUSTER, SENDER, ADDRESS, map(message.encode_message, letters))
 
 
 def read_mail(raw: bytes) -> tuple[Any, ...]:
-    mail = message.read_mail(raw, CLUSTER)
-    assert (mail.sender, mail.address, mail.strange) == (SENDER, ADDRESS, 0)
+    mail = message.decode_envelope(raw, CLUSTER)
+    assert (mail.sender, mail.address, mail.unknown_kinds) == (SENDER, ADDRESS, 0)
     return tuple(mail.messages)
 
 
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -160,7 +160,7 @@
         cells = Counter((each.zone, each.cell) for each in self._listed.values())
         now_us = self._base.hub.now_us()
         agreement = self._agreement()
-        ejected = agreement.ejections.now(now_us) if agreement is not None else frozenset()
+        ejected = agreement.ejections.ejected(now_us) if agreement is not None else frozenset()
         lost = [
             (name, each.zone, each.cell)
             for name, each in self._listed.items()
@@ -206,7 +206,7 @@
         agreement = self._agreement()
         if agreement is None:
             return []
-        ejected = agreement.ejections.again_and_again(now_us, EJECTIONS_FOR_REQUEST)
+        ejected = agreement.ejections.repeatedly_ejected(now_us, EJECTIONS_FOR_REQUEST)
         return [
             SlotRequest(
                 ident=f"verdict-{each.name}-{wall_us // LOSS_REMEMBERED_US}",
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -29,7 +29,7 @@
         """What an attempt came to at a machine; None: it runs."""
         agreement = self._agreement()
         if agreement is not None and (outcome is None or outcome in FAULTS):
-            agreement.health_observer.note(self._base.hub.now_us(), machine, outcome is None)
+            agreement.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
 
     def take(self, closed: frozenset[str]) -> None:
         """Verdicts close these machines from now on, and no others."""
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -48,7 +48,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
-from wingbarrow.peers.message_bounds import HANDING
+from wingbarrow.peers.message_bounds import FORWARDING_MESSAGES
 from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.peers.replication import RecordReplication
 from wingbarrow.peers.ruleset_settings import calendar_under
@@ -254,7 +254,7 @@
         remote_regions.region_news = peering.regions.news
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
-        peering.host("handing", remote_regions, HANDING)
+        peering.host("handing", remote_regions, FORWARDING_MESSAGES)
         local_region = LocalRegion(self.base, self.job_store, self.fleet)
         local_region.leased = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
@@ -389,7 +389,7 @@
     def _members(self) -> tuple[frozenset[str], int]:
         """The other placers that membership has alive, and the number of members ever known."""
         table = self.peering.membership.table
-        return frozenset(each.word.ident for each in table.living()), len(table.members)
+        return frozenset(each.update.ident for each in table.live_members()), len(table.members)
 
     def _on_agreed_drains(self, rules: RuleSet) -> None:
         self.drainer.on_agreed(
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -41,7 +41,9 @@
     Timers,
 )
 from wingbarrow.decide.effects import Effect, Notify, Send
-from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver, OutlierDetector
+from wingbarrow.decide.outliers.detector import OutlierDetector
+from wingbarrow.decide.outliers.ejections import ActiveEjections
+from wingbarrow.decide.outliers.health import HealthObserver
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.rulesets.versions import RECOVERED, RuleSetState, from_text
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -26,7 +26,8 @@
 from wingbarrow.decide.coordination.subsystem import AnyReplicatedSubsystem, JsonObject
 from wingbarrow.decide.coordination.timers import BATCH_TIMER, PROPOSAL_TIMER, Timers
 from wingbarrow.decide.effects import Effect, Send
-from wingbarrow.decide.outliers.ejection import OutlierDetector
+from wingbarrow.decide.outliers.detector import OutlierDetector
+from wingbarrow.decide.outliers.health import HealthSummary
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.decide.quotas.escrow import QuotaGrant, Requester
 from wingbarrow.decide.rulesets.entries import FloorsExpiredEntry, StepEntry
@@ -173,7 +174,7 @@
             return []
         if now_us - self._last_outlier_scan_us >= OUTLIER_SCAN_INTERVAL_US:
             self._last_outlier_scan_us = now_us
-            self.outlier_detector.judge(now_us, self._zones())
+            self.outlier_detector.evaluate(now_us, self._zones())
         effects: list[Effect] = []
         if batch and self._host.agreed.revision:
             for each in batch:
@@ -185,8 +186,11 @@
 
     def _take_reports(self, now_us: int, waiting: WaitingRequest) -> None:
         request = waiting.request
-        self.outlier_detector.hear(
-            now_us, waiting.sender, request.region, request.evidence, request.bad, request.tried
+        self.outlier_detector.on_report(
+            now_us,
+            waiting.sender,
+            request.region,
+            HealthSummary(request.evidence, request.bad, request.tried),
         )
         for subsystem in self._subsystems:
             report = getattr(request, subsystem.name)
@@ -238,7 +242,7 @@
             floor.rules if floor and request.floor != floor.number else "",
             floor.lasts_us if floor else 0,
             quotas,
-            self.outlier_detector.told(now_us),
+            self.outlier_detector.active(now_us),
             **{
                 each.name: each.response_for(now_us, waiting.requester) for each in self._subsystems
             },
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -16,7 +16,8 @@
 from wingbarrow.decide.coordination.timers import EXPIRY_TIMER, REQUEST_TIMER, Timers
 from wingbarrow.decide.coordination.voter_selection import Receiver, VoterSelector
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.outliers.ejection import ActiveEjections, HealthObserver
+from wingbarrow.decide.outliers.ejections import ActiveEjections
+from wingbarrow.decide.outliers.health import HealthObserver
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 
@@ -96,7 +97,7 @@
         return request, receiver, effects
 
     def _request(self, now_us: int, *, forward: bool) -> LeaseRequest:
-        evidence, bad, tried = self.health_observer.evidence(now_us, self.ejections.mine)
+        health = self.health_observer.report(now_us, self.ejections.probed_here)
         return LeaseRequest(
             self._number,
             self.rules_lease.revision,
@@ -105,9 +106,9 @@
             max(0, now_us - self.started_us),
             self.quotas.report(now_us),
             self.local.region,
-            evidence,
-            bad,
-            tried,
+            health.reports,
+            health.outliers,
+            health.tried,
             reign=self.term,
             forward=forward,
             **{each.name: each.report(now_us) for each in self._subsystems},
@@ -143,7 +144,7 @@
         effects = self._renew_rules(now_us, request.sent_us, grant)
         self._renew_floor(request.sent_us, grant)
         self.version = max(self.version, grant.version)
-        self.ejections.take(now_us, self.local.name, grant.closed)
+        self.ejections.apply(now_us, self.local.name, grant.closed)
         effects += self._notify_ejections(now_us)
         for each in self._subsystems:
             effects += each.on_response(now_us, request.sent_us, getattr(grant, each.name))
@@ -215,7 +216,7 @@
 
     def _notify_ejections(self, now_us: int) -> list[Effect]:
         """Notify of the machines that are ejected, if they changed; ejections also end without a grant."""
-        ejected = self.ejections.now(now_us)
+        ejected = self.ejections.ejected(now_us)
         if ejected == self._notified_ejections:
             return []
         self._notified_ejections = ejected
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -11,7 +11,8 @@
 from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 from wingbarrow.decide.maintenance.messages import MaintenanceReport, MaintenanceResponse
-from wingbarrow.decide.outliers.ejection import Ejection, HealthReport
+from wingbarrow.decide.outliers.ejections import Ejection
+from wingbarrow.decide.outliers.health import HealthReport
 from wingbarrow.decide.quotas.escrow import QuotaGrant, QuotaReport
 from wingbarrow.decide.regions.reports import RegionReport, RegionSummary
 from wingbarrow.decide.sessions.messages import SessionsReport, SessionsResponse
--- a/wingbarrow/decide/membership/gossip.py
+++ b/wingbarrow/decide/membership/gossip.py
@@ -1,58 +1,77 @@
-"""Gossip that rides on other messages: which news goes next, how often, and when it has gone round.
+"""Dissemination of member updates that ride on other messages (SWIM, section 4.1).
 
-As in SWIM (Das, Gupta, Motivala 2002, section 4.1): each piece is passed on some `REPEAT * log2(n + 1)` times, the
-least often told first, so that news about few members is not starved by news about many.
+Each update is transmitted about `RETRANSMIT_MULTIPLIER * log2(n + 1)` times, the least transmitted first, so that
+updates about few members are not starved by updates about many.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import ceil, log2
 from typing import Generic, Protocol, TypeVar
 
-REPEAT = 3
-HELD_MOST = 512
+RETRANSMIT_MULTIPLIER = 3
+MAX_BUFFERED_UPDATES = 512
 
 
-class About(Protocol):
-    """A piece of news replaces the one about the same member."""
+class MemberKeyed(Protocol):
+    """An update; it replaces an earlier one about the same member."""
 
     @property
     def ident(self) -> str:
-        """The member it is about."""
+        """The name of the member that it is about."""
 
 
-NewsT = TypeVar("NewsT", bound=About)
+UpdateT = TypeVar("UpdateT", bound=MemberKeyed)
 
 
-class Gossip(Generic[NewsT]):
-    """Pieces of news that are still to be told, by member; `others` tells how many there are to tell."""
+@dataclass(slots=True)
+class _Buffered(Generic[UpdateT]):
+    update: UpdateT
+    transmissions: int = 0
 
-    def __init__(self, others: Callable[[], int]) -> None:
-        self._others = others
-        self._held: dict[str, tuple[int, NewsT]] = {}  # how often told, what
+
+class GossipBuffer(Generic[UpdateT]):
+    """Updates that are still to be disseminated, one for each member.
+
+    `peer_count` returns the number of other members, from which the number of transmissions follows.
+    """
+
+    def __init__(self, peer_count: Callable[[], int]) -> None:
+        self._peer_count = peer_count
+        self._buffered: dict[str, _Buffered[UpdateT]] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
-
-    def add(self, news: NewsT) -> None:
-        """Tell it from now on, in place of what was told of its member."""
-        self._held.pop(news.ident, None)
-        self._held[news.ident] = 0, news
-        if len(self._held) > HELD_MOST:
-            oldest = max(self._held, key=lambda ident: self._held[ident][0])
-            del self._held[oldest]
-
-    def take(self, most: int, first: str = "") -> tuple[NewsT, ...]:
-        """News for one message, `first` the member whose news goes before all others; each piece counts as told."""
-        limit = REPEAT * ceil(log2(self._others() + 2))
-        order = sorted(self._held, key=lambda ident: (ident != first, self._held[ident][0]))[:most]
-        out: list[NewsT] = []
+        return len(self._buffered)
+
+    def add(self, update: UpdateT) -> None:
+        """Disseminate `update` in place of an earlier one about its member.
+
+        A full buffer drops the update that was transmitted most often.
+        """
+        self._buffered.pop(update.ident, None)
+        self._buffered[update.ident] = _Buffered(update)
+        if len(self._buffered) > MAX_BUFFERED_UPDATES:
+            most_transmitted = max(
+                self._buffered, key=lambda ident: self._buffered[ident].transmissions
+            )
+            del self._buffered[most_transmitted]
+
+    def next_updates(self, limit: int, first: str = "") -> tuple[UpdateT, ...]:
+        """At most `limit` updates for one message; each counts as transmitted.
+
+        The update about the member `first` goes before all others.
+        """
+        max_transmissions = RETRANSMIT_MULTIPLIER * ceil(log2(self._peer_count() + 2))
+        order = sorted(
+            self._buffered, key=lambda ident: (ident != first, self._buffered[ident].transmissions)
+        )[:limit]
+        updates: list[UpdateT] = []
         for ident in order:
-            told, news = self._held[ident]
-            out.append(news)
-            if told + 1 >= limit:
-                del self._held[ident]
-            else:
-                self._held[ident] = told + 1, news
-        return tuple(out)
+            buffered = self._buffered[ident]
+            updates.append(buffered.update)
+            buffered.transmissions += 1
+            if buffered.transmissions >= max_transmissions:
+                del self._buffered[ident]
+        return tuple(updates)
--- a/wingbarrow/decide/membership/member_table.py
+++ b/wingbarrow/decide/membership/member_table.py
@@ -1,155 +1,182 @@
-"""The table of members of one placer: which word of each counts, suspicions under way, what is to be told on."""
+"""The members that one placer knows: the last update of each, suspicions in progress, updates to disseminate."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wingbarrow.decide.membership.gossip import Gossip
-from wingbarrow.decide.membership.messages import MemberStatus, MemberUpdate, overrides
+from wingbarrow.decide.membership.gossip import GossipBuffer
+from wingbarrow.decide.membership.messages import MemberStatus, MemberUpdate, supersedes
 from wingbarrow.decide.membership.suspicion import Suspicion
 
-MEMBERS_MOST = 256
-ASKS = 3  # of a suspected member itself, before it counts as dead
-FORGET_US = 600_000_000  # after a member was dead for so long
+MAX_MEMBERS = 256
+MAX_DIRECT_CHECKS = 3  # of a suspect, after its suspicion's deadline and before it is declared dead
+DEPARTED_RETENTION_US = 600_000_000
 
-GONE = (MemberStatus.DEAD, MemberStatus.LEFT)
+DEPARTED = (MemberStatus.DEAD, MemberStatus.LEFT)
 
 
 @dataclass(slots=True)
 class Member:
-    """One other placer as it is thought of; times in microseconds of the owner's clock."""
+    """Another placer; times are microseconds of this placer's clock."""
 
-    word: MemberUpdate
-    since_us: int  # of its standing
+    update: MemberUpdate
+    status_since_us: int
     suspicion: Suspicion | None = None
     restarts: int = 0
 
     @property
-    def standing(self) -> MemberStatus:
-        """What is thought of it."""
-        return self.word.standing
+    def status(self) -> MemberStatus:
+        """Its status, by the last update that counts."""
+        return self.update.standing
+
+    @property
+    def has_departed(self) -> bool:
+        """Whether it was declared dead or left."""
+        return self.update.standing in DEPARTED
 
 
-class Change:
-    """How the standing of a member changed: for logs, histories and components that act on it."""
+@dataclass(frozen=True, slots=True)
+class MemberChange:
+    """A member's change of status; `event` names it in logs and the history.
 
-    __slots__ = ("before", "what", "word")
+    It is a value of `MemberStatus`, "joined", "restarted" or "forgotten".
+    """
 
-    def __init__(self, what: str, word: MemberUpdate, before: MemberStatus | None) -> None:
-        self.what, self.word, self.before = what, word, before
+    event: str
+    update: MemberUpdate
+    previous: MemberStatus | None
 
 
 class MemberTable:
-    """All other members; `suspect` makes the suspicion of a member that somebody accuses."""
+    """All other members; `new_suspicion` makes the suspicion of a member that is suspected from a given time on."""
 
-    def __init__(self, ident: str, suspect: Callable[[int], Suspicion]) -> None:
+    def __init__(self, ident: str, new_suspicion: Callable[[int], Suspicion]) -> None:
         self.ident = ident
-        self._suspect = suspect
+        self._new_suspicion = new_suspicion
         self.members: dict[str, Member] = {}
-        self.gossip: Gossip[MemberUpdate] = Gossip(lambda: len(self.members))
-        self.full = 0  # words about new members that found no room
-
-    def living(self) -> list[Member]:
-        """Those that are not gone: alive or suspected."""
-        return [each for each in self.members.values() if each.standing not in GONE]
-
-    def dead(self) -> list[Member]:
-        """Those that count as dead and did not say that they leave."""
-        return [each for each in self.members.values() if each.standing is MemberStatus.DEAD]
-
-    def hear(self, word: MemberUpdate, now_us: int) -> Change | None:
-        """Take a word about another member; the change that it made."""
-        held = self.members.get(word.ident)
-        if held is None:
-            if word.standing in GONE:
-                return None  # nothing is owed to who was never known
-            if len(self.members) >= MEMBERS_MOST and not self._make_room():
-                self.full += 1
-                return None
-            held = self.members[word.ident] = Member(word, now_us)
-            if word.standing is MemberStatus.SUSPECTED:
-                self._begin(held, word, now_us)
-            self.gossip.add(word)
-            return Change("joined", word, None)
-        if not overrides(word, held.word):
-            if (
-                word.standing is MemberStatus.SUSPECTED is held.standing
-                and word.incarnation == held.word.incarnation
-                and held.suspicion is not None
-                and word.by
-                and held.suspicion.confirm(word.by)
-            ):
-                self.gossip.add(
-                    word
-                )  # an independent confirmation makes others' suspicions shorter too
+        self.gossip: GossipBuffer[MemberUpdate] = GossipBuffer(lambda: len(self.members))
+        self.rejected_joins = 0  # updates of unknown members that the full table did not take
+
+    def live_members(self) -> list[Member]:
+        """Members that are alive or suspects."""
+        return [each for each in self.members.values() if not each.has_departed]
+
+    def dead_members(self) -> list[Member]:
+        """Members that were declared dead; those that left are not among them."""
+        return [each for each in self.members.values() if each.status is MemberStatus.DEAD]
+
+    def apply(self, update: MemberUpdate, now_us: int) -> MemberChange | None:
+        """Apply an update about another member; returns the change of its status, if any."""
+        member = self.members.get(update.ident)
+        if member is None:
+            return self._join(update, now_us)
+        if not supersedes(update, member.update):
+            self._confirm_suspicion(member, update)
+            return None
+        previous = member.status
+        has_restarted = update.life != member.update.life
+        member.update = update
+        member.suspicion = None
+        if update.standing is not previous:
+            member.status_since_us = now_us
+        if update.standing is MemberStatus.SUSPECT:
+            self._start_suspicion(member, now_us)
+        self.gossip.add(update)
+        if has_restarted:
+            member.restarts += 1
+            return MemberChange("restarted", update, previous)
+        if update.standing is previous:
             return None
-        before, another = held.standing, word.life != held.word.life
-        held.word, held.suspicion = word, None
-        if word.standing is not before:
-            held.since_us = now_us
-        if word.standing is MemberStatus.SUSPECTED:
-            self._begin(held, word, now_us)
-        self.gossip.add(word)
-        if another and before is not None:
-            held.restarts += 1
-            return Change("restarted", word, before)
-        return Change(word.standing.value, word, before) if word.standing is not before else None
-
-    def _begin(self, member: Member, word: MemberUpdate, now_us: int) -> None:
-        member.suspicion = self._suspect(now_us)
-        member.suspicion.confirm(word.by or "?")
-
-    def accuse(self, ident: str, now_us: int) -> Change | None:
-        """This placer itself could not reach a member."""
-        held = self.members.get(ident)
-        if held is None or held.standing in GONE:
+        return MemberChange(update.standing.value, update, previous)
+
+    def _join(self, update: MemberUpdate, now_us: int) -> MemberChange | None:
+        if update.standing in DEPARTED:
+            return None
+        if len(self.members) >= MAX_MEMBERS and not self._evict_departed():
+            self.rejected_joins += 1
             return None
-        return self.hear(held.word.as_standing(MemberStatus.SUSPECTED, self.ident), now_us)
+        member = self.members[update.ident] = Member(update, now_us)
+        if update.standing is MemberStatus.SUSPECT:
+            self._start_suspicion(member, now_us)
+        self.gossip.add(update)
+        return MemberChange("joined", update, None)
+
+    def _confirm_suspicion(self, member: Member, update: MemberUpdate) -> None:
+        if (
+            update.standing is MemberStatus.SUSPECT is member.status
+            and update.incarnation == member.update.incarnation
+            and member.suspicion is not None
+            and update.by
+            and member.suspicion.confirm(update.by)
+        ):
+            # An independent confirmation shortens the suspicion at other placers too.
+            self.gossip.add(update)
+
+    def _start_suspicion(self, member: Member, now_us: int) -> None:
+        member.suspicion = self._new_suspicion(now_us)
+        member.suspicion.confirm(member.update.by or "?")
+
+    def suspect(self, ident: str, now_us: int) -> MemberChange | None:
+        """Suspect a member that did not acknowledge this placer's pings."""
+        member = self.members.get(ident)
+        if member is None or member.has_departed:
+            return None
+        return self.apply(member.update.with_status(MemberStatus.SUSPECT, self.ident), now_us)
 
-    def bury(self, now_us: int, wait_us: int) -> tuple[list[Change], list[MemberUpdate]]:
-        """Suspicions that are due end in death, the long dead are forgotten; and whom to ask first.
+    def expire(
+        self, now_us: int, check_interval_us: int
+    ) -> tuple[list[MemberChange], list[MemberUpdate]]:
+        """Declare suspects dead whose suspicion ended, and forget members that departed long ago.
 
-        Danger: where many messages are lost, a word against a suspicion may not have come yet when it is due, and at
-        170 placers with a fifth lost seven in ten were buried alive. So nobody is buried before it was asked itself.
+        Returns the changes, and the updates of suspects that are to be checked directly first. Danger: where many
+        messages are lost, a refutation may not have arrived at the deadline (at 170 placers with a fifth of all
+        messages lost, seven in ten were declared dead wrongly). So a suspect is checked `MAX_DIRECT_CHECKS` times,
+        every `check_interval_us`, before it is declared dead.
         """
-        out: list[Change] = []
-        ask: list[MemberUpdate] = []
+        changes: list[MemberChange] = []
+        to_check: list[MemberUpdate] = []
         for ident, member in list(self.members.items()):
             suspicion = member.suspicion
-            if suspicion is not None and now_us >= max(suspicion.due_us, suspicion.again_us):
-                if suspicion.asked < ASKS:
-                    suspicion.asked, suspicion.again_us = suspicion.asked + 1, now_us + wait_us
-                    ask.append(member.word)
+            if suspicion is not None and now_us >= max(
+                suspicion.deadline_us, suspicion.next_check_us
+            ):
+                if suspicion.direct_checks < MAX_DIRECT_CHECKS:
+                    suspicion.direct_checks += 1
+                    suspicion.next_check_us = now_us + check_interval_us
+                    to_check.append(member.update)
                     continue
-                change = self.hear(member.word.as_standing(MemberStatus.DEAD, self.ident), now_us)
+                dead = member.update.with_status(MemberStatus.DEAD, self.ident)
+                change = self.apply(dead, now_us)
                 if change is not None:
-                    out.append(change)
-            elif member.standing in GONE and now_us - member.since_us >= FORGET_US:
+                    changes.append(change)
+            elif member.has_departed and now_us - member.status_since_us >= DEPARTED_RETENTION_US:
                 del self.members[ident]
-                out.append(Change("forgotten", member.word, member.standing))
-        return out, ask
+                changes.append(MemberChange("forgotten", member.update, member.status))
+        return changes, to_check
 
-    def next_due_us(self) -> int | None:
-        """When the next suspicion ends, or its member is to be asked."""
+    def next_deadline_us(self) -> int | None:
+        """When the next suspicion ends, or its member is to be checked directly again."""
         return min(
             (
-                max(each.suspicion.due_us, each.suspicion.again_us)
+                max(each.suspicion.deadline_us, each.suspicion.next_check_us)
                 for each in self.members.values()
                 if each.suspicion is not None
             ),
             default=None,
         )
 
-    def grant_time(self, for_us: int) -> None:
-        """This placer stood still for so long: what it would have heard meanwhile may still come."""
+    def extend_suspicions(self, by_us: int) -> None:
+        """Extend all suspicions after a stall of this placer: refutations may still wait in its sockets."""
         for member in self.members.values():
             if member.suspicion is not None:
-                member.suspicion.since_us += for_us
+                member.suspicion.start_us += by_us
 
-    def _make_room(self) -> bool:
-        gone = [each for each in self.members.values() if each.standing in GONE]
-        if not gone:
+    def _evict_departed(self) -> bool:
+        """Forget the member that departed first; False where none did."""
+        departed = [each for each in self.members.values() if each.has_departed]
+        if not departed:
             return False
-        del self.members[min(gone, key=lambda each: each.since_us).word.ident]
+        oldest = min(departed, key=lambda each: each.status_since_us)
+        del self.members[oldest.update.ident]
         return True
--- a/wingbarrow/decide/membership/messages.py
+++ b/wingbarrow/decide/membership/messages.py
@@ -1,4 +1,7 @@
-"""What is said of members, and the messages of the membership; bounds are the wire's (`peers.message`)."""
+"""Member updates and the messages of SWIM; `peers.message` holds the bounds of the wire.
+
+Fields, and the values of `MemberStatus`, are wire names.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 
 
 class MemberStatus(Enum):
-    """What is thought of a member."""
+    """Status of a member; ordered as `supersedes` compares them."""
 
     ALIVE = "alive"
-    SUSPECTED = "suspected"
+    SUSPECT = "suspected"
     DEAD = "dead"
     LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What somebody says of a member.
+    """The status of a member, as a placer disseminates it.
 
-    `incarnation` orders words about one member; only the member itself raises it. `life` tells one run of a program
-    from the next. `by`: who suspects it.
+    `incarnation` orders updates about one member; only the member itself raises it. `life` tells one run of a program
+    from the next. `standing` is its status, `by` the placer that suspects it or declared it dead.
     """
 
     ident: str
@@ -31,28 +34,32 @@
     life: int
     by: str = ""
 
-    def as_standing(self, standing: MemberStatus, by: str = "") -> MemberUpdate:
-        """The same with another standing."""
+    def with_status(self, standing: MemberStatus, by: str = "") -> MemberUpdate:
+        """The same update with another status."""
         return replace(self, standing=standing, by=by)
 
 
-def overrides(word: MemberUpdate, held: MemberUpdate) -> bool:
-    """Whether a word replaces the one held of the same member (SWIM, section 4.2)."""
-    if word.incarnation != held.incarnation:
-        # A death of long ago does not end a later life, and only a later word of its own ends a death.
-        return word.incarnation > held.incarnation
-    order = {
-        MemberStatus.ALIVE: 0,
-        MemberStatus.SUSPECTED: 1,
-        MemberStatus.DEAD: 2,
-        MemberStatus.LEFT: 3,
-    }
-    return order[word.standing] > order[held.standing]
+_PRECEDENCE = {
+    MemberStatus.ALIVE: 0,
+    MemberStatus.SUSPECT: 1,
+    MemberStatus.DEAD: 2,
+    MemberStatus.LEFT: 3,
+}
+
+
+def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
+    """Whether `update` replaces `current`, the last one of the same member (SWIM, section 4.2).
+
+    Unlike in SWIM, a death does not outlast a higher incarnation: a restarted member has one.
+    """
+    if update.incarnation != current.incarnation:
+        return update.incarnation > current.incarnation
+    return _PRECEDENCE[update.standing] > _PRECEDENCE[current.standing]
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there? Answered by an `Ack` of that number."""
+    """A ping; answered by an `Ack` of the same number."""
 
     number: int
     news: tuple[MemberUpdate, ...] = ()
@@ -60,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Probe another for me: `Ack` where it answers, `Nack` where it has not in time."""
+    """Asks the receiver to ping `ident` (SWIM's ping-req): answered by an `Ack`, or a `Nack` after a time-out."""
 
     number: int
     ident: str
@@ -70,16 +77,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """I am here, or the one you had me probe is."""
+    """Acknowledges a ping, or the indirect ping that a `PingRequest` asked for."""
 
     number: int
-    ident: str  # who is there
+    ident: str  # the member that answered the ping
     news: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """I am here, but the one you had me probe did not answer me."""
+    """The indirect ping was not acknowledged in time; its sender works (Lifeguard)."""
 
     number: int
     news: tuple[MemberUpdate, ...] = ()
@@ -87,10 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """Some of what I hold of all members; `ask`: say the same to me."""
+    """Anti-entropy: updates about a sample of all members; `ask` requests the same in return."""
 
     ask: bool
     news: tuple[MemberUpdate, ...] = ()
 
 
-Message = Ping | PingRequest | Ack | Nack | Sync
+SwimMessage = Ping | PingRequest | Ack | Nack | Sync
--- a/wingbarrow/lab/fleet/judging/burials.py
+++ b/wingbarrow/lab/fleet/judging/burials.py
@@ -12,7 +12,7 @@
 
 def judge_burials(run: Run, out: Verdict) -> None:
     """Burials without cause, and deaths told late."""
-    window = run.rules.detect_us(len(run.names))
+    window = run.rules.detection_bound_us(len(run.names))
     out.detect_stated_ms = window // 1000
     told: dict[tuple[str, str], list[int]] = defaultdict(list)
     for teller, each in run.lines("member-dead"):
@@ -65,7 +65,7 @@
 
 def judge_end(run: Run, out: Verdict) -> None:
     """Whether all that run hold each other for alive, and ended well."""
-    out.heal_stated_ms = run.rules.heal_us(len(run.names)) // 1000
+    out.heal_stated_ms = run.rules.healing_bound_us(len(run.names)) // 1000
     quiet = max((each.end_us for each in run.troubles if each.end_us != NEVER), default=0)
     for teller in run.running():
         thought = _standings(run, teller)
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.outliers.ejection import OutlierSettings
+from wingbarrow.decide.outliers.health import OutlierSettings
 from wingbarrow.lab.fleet.holding import loosest, over, unaccounted, unfounded
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
@@ -36,21 +36,24 @@
     """Whether machines failed at as many placers as a verdict wants."""
     terms = OutlierSettings()
     window = (
-        terms.span_us + 2 * Timing().grant_us + (terms.lasts_us << terms.doublings) + run.slack_us
+        terms.window_us
+        + 2 * Timing().grant_us
+        + (terms.base_ejection_us << terms.max_doublings)
+        + run.slack_us
     )
     first: dict[str, int] = {}  # when a verdict that still holds was heard of first
     for name, each in run.lines("verdicts"):
         at = each["at_us"]
         for machine in each["machines"]:
             out.closures += 1
-            if at - first.get(machine, -NEVER) <= window - terms.span_us:
+            if at - first.get(machine, -NEVER) <= window - terms.window_us:
                 continue  # one that came to others before, or again after its prober's turn
             first[machine] = at
             if unfounded(
                 machine,
                 at,
-                terms.span_us + 2 * Timing().grant_us + run.slack_us,
-                terms.witnesses,
+                terms.window_us + 2 * Timing().grant_us + run.slack_us,
+                terms.min_reporters,
                 run.records,
             ):
                 out.breach(
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -74,7 +74,7 @@
         self.progress("the last fault is over")
         hub.sleep(TAIL_US // 4)
         # The judge holds the fleet to its stated time: the rig waits that long at most, and less where all is well.
-        end = hub.now_us() + SwimSettings().heal_us(len(places.names))
+        end = hub.now_us() + SwimSettings().healing_bound_us(len(places.names))
         while not (commands.whole() and commands.agreed()) and hub.now_us() < end:
             hub.sleep(SECOND // 5)
         hub.sleep(SECOND)
--- a/wingbarrow/lab/fleet/swarm.py
+++ b/wingbarrow/lab/fleet/swarm.py
@@ -237,7 +237,7 @@
     def standing(self, who: str, of: str) -> MemberStatus | None:
         """What one thinks of another."""
         held = self.members[who].table.members.get(of)
-        return held.standing if held is not None else None
+        return held.status if held is not None else None
 
     def all_think(self, of: str, standing: MemberStatus | None) -> bool:
         """Whether every living placer thinks the same of one."""
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/api.py
@@ -17,7 +17,7 @@
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
-from wingbarrow.peers.message import BadMail
+from wingbarrow.peers.message import MessageError
 from wingbarrow.peers.peer_hints import Hearsay
 from wingbarrow.transport import Hub
 
@@ -56,7 +56,7 @@
         if what == ("POST", "peers"):
             try:
                 return Answer(200, self._peering.mail(request.body))
-            except BadMail as error:
+            except MessageError as error:
                 self._peering.counts["peers:bad mail"] += 1
                 self._log(
                     "peer-mail-refused",
@@ -92,14 +92,16 @@
                 "apiVersion": "wingbarrow.io/v1",
                 "items": [
                     {
-                        "ident": each.word.ident,
-                        "incarnation": each.word.incarnation,
-                        "region": each.word.region,
-                        "address": each.word.address,
-                        "standing": each.standing.value,
-                        "sinceUs": now - each.since_us,
+                        "ident": each.update.ident,
+                        "incarnation": each.update.incarnation,
+                        "region": each.update.region,
+                        "address": each.update.address,
+                        "standing": each.status.value,
+                        "sinceUs": now - each.status_since_us,
                         "restarts": each.restarts,
-                        "suspectedBy": sorted(each.suspicion.by) if each.suspicion else [],
+                        "suspectedBy": sorted(each.suspicion.confirmed_by)
+                        if each.suspicion
+                        else [],
                     }
                     for each in self._peering.members.values()
                 ],
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -32,9 +32,15 @@
     replicated_subsystems,
 )
 from wingbarrow.peers.history import History
-from wingbarrow.peers.mailbox import Post
-from wingbarrow.peers.message import BadMail, Mail, read_mail, write_letter, write_mail
-from wingbarrow.peers.message_bounds import LEASING
+from wingbarrow.peers.mailbox import Outbox
+from wingbarrow.peers.message import (
+    Envelope,
+    MessageError,
+    decode_envelope,
+    encode_envelope,
+    encode_message,
+)
+from wingbarrow.peers.message_bounds import SESSION_MESSAGES
 from wingbarrow.peers.ruleset_settings import rules_of
 from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
@@ -98,7 +104,7 @@
         self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
         self._timers: dict[tuple[str, str], Timer] = {}
         self._nursery: Nursery | None = None
-        self._post = Post(
+        self._post = Outbox(
             hub, f"wingbarrow/{settings.name}", self._pack, self._take, self._spawn, self.counts
         )
         self._reply: tuple[str, list[bytes]] | None = (
@@ -184,16 +190,18 @@
 
     def targets(self, names: Iterable[str]) -> list[Target]:
         """Those of some other placers that live, in the life in which they are known."""
-        living = {each.word.ident: each.word.life for each in self.membership.table.living()}
+        living = {
+            each.update.ident: each.update.life for each in self.membership.table.live_members()
+        }
         return [Target(name, living[name]) for name in names if name in living]
 
     # -- mail
 
     def mail(self, raw: bytes) -> bytes:
-        """Take mail in and answer it; BadMail where it cannot be used."""
+        """Take mail in and answer it; MessageError where it cannot be used."""
         if self._nursery is None:
-            raise BadMail("this placer takes part in nothing yet")
-        mail = read_mail(raw, self._settings.cluster)
+            raise MessageError("this placer takes part in nothing yet")
+        mail = decode_envelope(raw, self._settings.cluster)
         before = self._reply
         letters: list[bytes] = []
         self._reply = mail.sender, letters
@@ -204,21 +212,21 @@
         return self._pack(letters)
 
     def _take(self, raw: bytes) -> None:
-        mail = read_mail(raw, self._settings.cluster)
+        mail = decode_envelope(raw, self._settings.cluster)
         self._deliver(mail)
 
-    def _deliver(self, mail: Mail) -> None:
-        if mail.strange:
-            self.counts["peers:letters of unknown kinds"] += mail.strange
+    def _deliver(self, mail: Envelope) -> None:
+        if mail.unknown_kinds:
+            self.counts["peers:letters of unknown kinds"] += mail.unknown_kinds
         for message in mail.messages:
             now = self._hub.now_us()
             hosted = self._kinds.get(type(message), "")
             if hosted:
                 machine = self._hosted[hosted]
                 self.act(hosted, machine.on_message(now, mail.sender, mail.address, message))
-            elif isinstance(message, LEASING):
+            elif isinstance(message, SESSION_MESSAGES):
                 self.counts["peers:letters about custody, which is not kept here"] += 1
-            elif isinstance(message, words.Message):
+            elif isinstance(message, words.SwimMessage):
                 self.act(
                     "members", self.membership.on_message(now, mail.sender, mail.address, message)
                 )
@@ -231,7 +239,7 @@
                 self.counts["peers:letters about rules, which are not agreed on here"] += 1
 
     def _pack(self, letters: list[bytes]) -> bytes:
-        return write_mail(self._settings.cluster, self._settings.name, self.address, letters)
+        return encode_envelope(self._settings.cluster, self._settings.name, self.address, letters)
 
     # -- effects
 
@@ -248,7 +256,7 @@
                 return  # Danger: what follows would be said though it is not on disk
 
     def _send(self, send: Send) -> None:
-        letter = write_letter(send.message)
+        letter = encode_message(send.message)
         if self._reply is not None and send.ident == self._reply[0]:
             self._reply[1].append(letter)
             return
@@ -374,7 +382,7 @@
     def address_of(self, ident: str) -> str:
         """Where another placer says that it can be reached; "" where it is not known."""
         held = self.members.get(ident)
-        return held.word.address if held is not None else ""
+        return held.update.address if held is not None else ""
 
     def _spawn(self, call: Callable[[], None], name: str) -> None:
         if self._nursery is not None and not self._nursery.scope.cancelled:
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -66,35 +66,34 @@
             "apiVersion": "wingbarrow.io/v1",
             "placer": agreement.name,
             "leader": agreement.leader,
-            "closed": sorted(agreement.ejections.now(now)),
+            "closed": sorted(agreement.ejections.ejected(now)),
         }
         if agreement.is_leader:
             bench = agreement.outlier_detector
             told["items"] = [
                 {
                     "machine": machine,
-                    "ageUs": now - each.since_us,
-                    "leftUs": 0 if each.ended else each.until_us - now,
-                    "by": list(each.by),
-                    "strikes": each.strikes,
-                    "ended": each.ended,
+                    "ageUs": now - each.start_us,
+                    "leftUs": 0 if each.end_reason else each.until_us - now,
+                    "by": list(each.reporters),
+                    "strikes": each.doublings,
+                    "ended": each.end_reason,
                     "prober": each.prober,
                 }
-                for machine, each in sorted(bench.verdicts.items())
+                for machine, each in sorted(bench.ejections.items())
             ]
-            told["spared"] = dict(sorted(bench.spared.items()))
+            told["spared"] = dict(sorted(bench.not_ejected.items()))
             told["witnesses"] = [
                 {
                     "placer": name,
                     "region": each.region,
-                    "ageUs": now - each.at_us,
-                    "bad": each.bad,
+                    "ageUs": now - each.received_us,
+                    "bad": each.outliers,
                     "tried": each.tried,
                     "evidence": {
-                        key: [seen.failed, seen.tried]
-                        for key, seen in sorted(each.evidence.items())
+                        key: [seen.failed, seen.tried] for key, seen in sorted(each.reports.items())
                     },
                 }
-                for name, each in sorted(bench.witnesses.items())
+                for name, each in sorted(bench.reporters.items())
             ]
         return Answer(200, names.encode(told))
--- a/wingbarrow/peers/mailbox.py
+++ b/wingbarrow/peers/mailbox.py
@@ -10,18 +10,18 @@
 
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
-from wingbarrow.peers.message import LETTERS_MOST, MAIL_MOST, BadMail
+from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, MAX_MESSAGES_PER_ENVELOPE, MessageError
 from wingbarrow.transport import Hub
 
 PATH = "/apis/wingbarrow.io/v1/peers"
-CALL_US = 1_000_000
-OLD_US = 1_000_000  # a letter that has waited so long is of no use any more
-LETTER_MOST = (
-    MAIL_MOST - 4096
+CALL_TIMEOUT_US = 1_000_000
+MAX_WAIT_US = 1_000_000  # a letter that has waited so long is of no use any more
+MAX_MESSAGE_BYTES = (
+    MAX_ENVELOPE_BYTES - 4096
 )  # one letter, or all of one mail, beside what is said of their sender
-WAITING_MOST = 128  # letters for one address
-CALLS_MOST = 2  # at a time to one address: one that hangs must not hold up the next
-BOXES_MOST = 512
+MAX_QUEUED_MESSAGES = 128  # letters for one address
+MAX_CALLS_PER_ADDRESS = 2  # at a time to one address: one that hangs must not hold up the next
+MAX_ADDRESSES = 512
 
 
 class _Box:
@@ -35,7 +35,7 @@
         self.calls = 0
 
 
-class Post:
+class Outbox:
     """`pack` makes a mail of letters, `take` gets each answer's bytes, `spawn` starts a task of the host's."""
 
     def __init__(
@@ -53,7 +53,7 @@
 
     def send(self, host: str, port: int, letter: bytes) -> None:
         """Put a letter in the box of an address."""
-        if len(letter) > LETTER_MOST:
+        if len(letter) > MAX_MESSAGE_BYTES:
             # Danger: no mail has room for it; left in its box, it would be tried without an end.
             self._counts["peers:letters dropped, too long"] += 1
             return
@@ -66,21 +66,21 @@
                     host,
                     port,
                     PoolLimits(
-                        connections=CALLS_MOST,
+                        connections=MAX_CALLS_PER_ADDRESS,
                         waiting=0,
-                        connect_us=CALL_US,
-                        message=Limits(body=MAIL_MOST),
+                        connect_us=CALL_TIMEOUT_US,
+                        message=Limits(body=MAX_ENVELOPE_BYTES),
                     ),
                     self._agent,
                 )
             )
             self._bound()
         self._boxes.move_to_end(key)
-        if len(box.letters) >= WAITING_MOST:
+        if len(box.letters) >= MAX_QUEUED_MESSAGES:
             box.letters.popleft()
             self._counts["peers:letters dropped, box full"] += 1
         box.letters.append((self._hub.now_us(), letter))
-        if box.calls < CALLS_MOST:
+        if box.calls < MAX_CALLS_PER_ADDRESS:
             box.calls += 1
             self._spawn(lambda: self._empty(box), "mail")
 
@@ -91,7 +91,7 @@
 
     def _bound(self) -> None:
         for key, box in list(self._boxes.items()):
-            if len(self._boxes) <= BOXES_MOST:
+            if len(self._boxes) <= MAX_ADDRESSES:
                 return
             if not box.calls:
                 box.pool.close()
@@ -110,10 +110,12 @@
         now, size = self._hub.now_us(), 0
         out: list[bytes] = []
         while (
-            box.letters and len(out) < LETTERS_MOST and size + len(box.letters[0][1]) <= LETTER_MOST
+            box.letters
+            and len(out) < MAX_MESSAGES_PER_ENVELOPE
+            and size + len(box.letters[0][1]) <= MAX_MESSAGE_BYTES
         ):
             at_us, letter = box.letters.popleft()
-            if now - at_us > OLD_US:
+            if now - at_us > MAX_WAIT_US:
                 self._counts["peers:letters dropped, too old"] += 1
                 continue
             out.append(letter)
@@ -129,7 +131,7 @@
                 PATH,
                 self._pack(letters),
                 [("Content-Type", "application/json")],
-                self._hub.now_us() + CALL_US,
+                self._hub.now_us() + CALL_TIMEOUT_US,
             )
             if response.status == 200:
                 self._take(response.body)
@@ -137,7 +139,7 @@
                 self._counts[f"peers:status {response.status}"] += 1
         except CallFailed as error:
             self._counts["peers:calls failed, " + error.why.name.lower()] += 1
-        except BadMail:
+        except MessageError:
             self._counts["peers:bad answers"] += 1
 
     def close(self) -> None:
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -16,20 +16,21 @@
 from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.coordination import messages as asking
 from wingbarrow.decide.membership import messages as words
-from wingbarrow.decide.outliers.ejection import EVIDENCE_MOST, VERDICTS_MOST
+from wingbarrow.decide.outliers.ejections import MAX_EJECTIONS_PER_GRANT
+from wingbarrow.decide.outliers.health import MAX_REPORTS_PER_REQUEST
 from wingbarrow.decide.quotas.limits import MAX_LIMITS
 from wingbarrow.decide.regions import forwarding as handing
 from wingbarrow.decide.sessions import messages as leasing
 from wingbarrow.peers.message_bounds import fault
 
-FORM = 1
-MAIL_MOST = 1 << 20  # bytes: what a front takes by default
-LETTERS_MOST = 64
-NAME_MOST, ADDRESS_MOST = 253, 300
-WORDS_MOST, ENTRIES_MOST = 64, 64
-INCARNATION_MOST = 1 << 62
+FORMAT_VERSION = 1
+MAX_ENVELOPE_BYTES = 1 << 20  # bytes: what a front takes by default
+MAX_MESSAGES_PER_ENVELOPE = 64
+MAX_NAME_CHARS, MAX_ADDRESS_CHARS = 253, 300
+MAX_MEMBER_UPDATES, MAX_LOG_ENTRIES = 64, 64
+MAX_INCARNATION = 1 << 62
 
-KINDS: dict[str, type[Any]] = {
+MESSAGE_TYPES: dict[str, type[Any]] = {
     "probe": words.Ping,
     "probe-for": words.PingRequest,
     "ack": words.Ack,
@@ -55,10 +56,10 @@
     "ask-for": asking.RelayedRequest,
     "grant-for": asking.RelayedGrant,
 }
-_NAMES = {kind: name for name, kind in KINDS.items()}
+_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
 
 
-class BadMail(ValueError):
+class MessageError(ValueError):
     """Mail that cannot be used; what is wrong in words."""
 
 
@@ -76,32 +77,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mail:
+class Envelope:
     """As read: `strange` counts letters of unknown kinds."""
 
     sender: str
     address: str
     messages: list[Any]
-    strange: int
+    unknown_kinds: int
 
 
 _encode = msgspec.json.Encoder().encode
 _mail: msgspec.json.Decoder[_Mail] = msgspec.json.Decoder(_Mail)
 _bodies: dict[str, msgspec.json.Decoder[Any]] = {
-    name: msgspec.json.Decoder(kind) for name, kind in KINDS.items()
+    name: msgspec.json.Decoder(kind) for name, kind in MESSAGE_TYPES.items()
 }
 
 
-def write_letter(message: Any) -> bytes:
+def encode_message(message: Any) -> bytes:
     """One letter; KeyError for a message of no known kind."""
     return _encode(_Letter(_NAMES[type(message)], msgspec.Raw(_encode(message))))
 
 
-def write_mail(cluster: str, sender: str, address: str, letters: Iterable[bytes]) -> bytes:
+def encode_envelope(cluster: str, sender: str, address: str, letters: Iterable[bytes]) -> bytes:
     """Letters in one mail."""
     return _encode(
         {
-            "form": FORM,
+            "form": FORMAT_VERSION,
             "cluster": cluster,
             "sender": sender,
             "address": address,
@@ -110,22 +111,22 @@
     )
 
 
-def read_mail(raw: bytes, cluster: str) -> Mail:
-    """Mail as it came; BadMail says what is wrong with it, and then nothing of it counts."""
-    if len(raw) > MAIL_MOST:
-        raise BadMail(f"{len(raw)} bytes; {MAIL_MOST} are the most")
+def decode_envelope(raw: bytes, cluster: str) -> Envelope:
+    """Mail as it came; MessageError says what is wrong with it, and then nothing of it counts."""
+    if len(raw) > MAX_ENVELOPE_BYTES:
+        raise MessageError(f"{len(raw)} bytes; {MAX_ENVELOPE_BYTES} are the most")
     try:
         mail = _mail.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise BadMail(f"no mail: {str(error)[:120]}") from None
-    if mail.form != FORM:
-        raise BadMail(f"form {mail.form}; {FORM} is spoken here")
+        raise MessageError(f"no mail: {str(error)[:120]}") from None
+    if mail.form != FORMAT_VERSION:
+        raise MessageError(f"form {mail.form}; {FORMAT_VERSION} is spoken here")
     if mail.cluster != cluster:
-        raise BadMail(f"another cluster: {mail.cluster[:80]}")
-    if not 0 < len(mail.sender) <= NAME_MOST or not 0 < len(mail.address) <= ADDRESS_MOST:
-        raise BadMail("a name or address that is empty or too long")
-    if len(mail.letters) > LETTERS_MOST:
-        raise BadMail(f"{len(mail.letters)} letters; {LETTERS_MOST} are the most")
+        raise MessageError(f"another cluster: {mail.cluster[:80]}")
+    if not 0 < len(mail.sender) <= MAX_NAME_CHARS or not 0 < len(mail.address) <= MAX_ADDRESS_CHARS:
+        raise MessageError("a name or address that is empty or too long")
+    if len(mail.letters) > MAX_MESSAGES_PER_ENVELOPE:
+        raise MessageError(f"{len(mail.letters)} letters; {MAX_MESSAGES_PER_ENVELOPE} are the most")
     messages, strange = [], 0
     for letter in mail.letters:
         decoder = _bodies.get(letter.kind)
@@ -135,53 +136,55 @@
         try:
             message = decoder.decode(letter.body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise BadMail(f"{letter.kind}: {str(error)[:120]}") from None
+            raise MessageError(f"{letter.kind}: {str(error)[:120]}") from None
         _check(message)
         messages.append(message)
-    return Mail(mail.sender, mail.address, messages, strange)
+    return Envelope(mail.sender, mail.address, messages, strange)
 
 
 def _check(message: Any) -> None:
     if isinstance(message, asking.RelayedRequest | asking.RelayedGrant):
-        if not 0 < len(message.ident) <= NAME_MOST:
-            raise BadMail("an ask, or a grant, for nobody")
+        if not 0 < len(message.ident) <= MAX_NAME_CHARS:
+            raise MessageError("an ask, or a grant, for nobody")
         message = message.ask if isinstance(message, asking.RelayedRequest) else message.grant
     news = getattr(message, "news", ())
-    if len(news) > WORDS_MOST:
-        raise BadMail(f"{len(news)} words; {WORDS_MOST} are the most")
+    if len(news) > MAX_MEMBER_UPDATES:
+        raise MessageError(f"{len(news)} words; {MAX_MEMBER_UPDATES} are the most")
     for word in news:
         if (
-            not 0 < len(word.ident) <= NAME_MOST
-            or len(word.by) > NAME_MOST
-            or len(word.region) > NAME_MOST
+            not 0 < len(word.ident) <= MAX_NAME_CHARS
+            or len(word.by) > MAX_NAME_CHARS
+            or len(word.region) > MAX_NAME_CHARS
         ):
-            raise BadMail("a member's name that is empty or too long")
-        if not 0 < len(word.address) <= ADDRESS_MOST:
-            raise BadMail("a member's address that is empty or too long")
-        if not (0 <= word.incarnation < INCARNATION_MOST and 0 <= word.life < INCARNATION_MOST):
-            raise BadMail("an incarnation out of range")
-    if isinstance(message, consensus.AppendRequest) and len(message.entries) > ENTRIES_MOST:
-        raise BadMail(f"{len(message.entries)} entries; {ENTRIES_MOST} are the most")
+            raise MessageError("a member's name that is empty or too long")
+        if not 0 < len(word.address) <= MAX_ADDRESS_CHARS:
+            raise MessageError("a member's address that is empty or too long")
+        if not (0 <= word.incarnation < MAX_INCARNATION and 0 <= word.life < MAX_INCARNATION):
+            raise MessageError("an incarnation out of range")
+    if isinstance(message, consensus.AppendRequest) and len(message.entries) > MAX_LOG_ENTRIES:
+        raise MessageError(f"{len(message.entries)} entries; {MAX_LOG_ENTRIES} are the most")
     if isinstance(message, asking.LeaseRequest) and (
         len(message.stated) > MAX_LIMITS
         or len({each.key for each in message.stated}) < len(message.stated)
         or message.up_us < 0
     ):
-        raise BadMail("more limits than there can be, one twice, or a life of no length")
+        raise MessageError("more limits than there can be, one twice, or a life of no length")
     if isinstance(message, asking.LeaseRequest) and (
-        len(message.evidence) > EVIDENCE_MOST
+        len(message.evidence) > MAX_REPORTS_PER_REQUEST
         or not all(
-            0 <= each.failed <= each.tried and 0 < len(each.machine) <= NAME_MOST
+            0 <= each.failed <= each.tried and 0 < len(each.machine) <= MAX_NAME_CHARS
             for each in message.evidence
         )
     ):
-        raise BadMail("evidence that cannot be")
-    if isinstance(message, asking.LeaseGrant) and len(message.closed) > VERDICTS_MOST:
-        raise BadMail(f"{len(message.closed)} verdicts; {VERDICTS_MOST} are the most")
+        raise MessageError("evidence that cannot be")
+    if isinstance(message, asking.LeaseGrant) and len(message.closed) > MAX_EJECTIONS_PER_GRANT:
+        raise MessageError(
+            f"{len(message.closed)} verdicts; {MAX_EJECTIONS_PER_GRANT} are the most"
+        )
     if isinstance(message, words.PingRequest) and not (
-        0 < len(message.ident) <= NAME_MOST and 0 < len(message.address) <= ADDRESS_MOST
+        0 < len(message.ident) <= MAX_NAME_CHARS and 0 < len(message.address) <= MAX_ADDRESS_CHARS
     ):
-        raise BadMail("a probe for nobody")
+        raise MessageError("a probe for nobody")
     why = fault(message)
     if why:
-        raise BadMail(why)
+        raise MessageError(why)
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -40,13 +40,13 @@
 from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.decide.sessions.session_log import MAX_BATCHES_PER_END, MAX_SUCCESSORS_PER_BATCH
 
-NAME_MOST = 253
-KEY_MOST = 2 * NAME_MOST + 1
-WHY_MOST = 500
-RECORDS_MOST, UIDS_MOST = 64, 256  # in one letter
-TASKS_MOST = 1_000  # of a Job
-FIGURE_MOST = 1 << 62
-LEASING, HANDING = get_args(leasing.Message), get_args(handing.Message)
+MAX_NAME_CHARS = 253
+MAX_KEY_CHARS = 2 * MAX_NAME_CHARS + 1
+MAX_REASON_CHARS = 500
+MAX_RECORDS, MAX_UIDS = 64, 256  # in one letter
+MAX_TASKS_PER_JOB = 1_000  # of a Job
+MAX_FIGURE = 1 << 62
+SESSION_MESSAGES, FORWARDING_MESSAGES = get_args(leasing.Message), get_args(handing.Message)
 
 # A fault goes back to the sender and into logs: on the wire these messages keep their first names.
 _NAMES_IN_FAULTS = {
@@ -83,7 +83,7 @@
             len(message.regions) <= MAX_REGIONS and all(map(_region_told, message.regions))
         ):
             return "regions: more than there can be, a name too long or a figure out of range"
-    elif isinstance(message, HANDING):
+    elif isinstance(message, FORWARDING_MESSAGES):
         return (
             ""
             if _handing(message)
@@ -92,11 +92,9 @@
     elif isinstance(message, leasing.ReplicateRequest):
         if not (_figures(message.number) and _session(message.session) and _uids(message.gone)):
             return "keep: more uids than go with a letter, a name too long or a figure out of range"
-        if len(message.records) > RECORDS_MOST or not all(map(_record, message.records)):
-            return (
-                f"keep: more than {RECORDS_MOST} records, or one with something out of its bounds"
-            )
-    elif isinstance(message, LEASING) and not _leasing(message):
+        if len(message.records) > MAX_RECORDS or not all(map(_record, message.records)):
+            return f"keep: more than {MAX_RECORDS} records, or one with something out of its bounds"
+    elif isinstance(message, SESSION_MESSAGES) and not _leasing(message):
         return (
             f"{_NAMES_IN_FAULTS[type(message)]}: a name or list too long, or a figure out of range"
         )
@@ -104,20 +102,20 @@
 
 
 def _figures(*values: int) -> bool:
-    return all(0 <= value < FIGURE_MOST for value in values)
+    return all(0 <= value < MAX_FIGURE for value in values)
 
 
-def _names(*values: str, most: int = NAME_MOST) -> bool:
+def _names(*values: str, most: int = MAX_NAME_CHARS) -> bool:
     return all(len(value) <= most for value in values)
 
 
 def _session(session: Session) -> bool:
-    return 0 < len(session.placer) <= NAME_MOST and _figures(session.life, session.serial)
+    return 0 < len(session.placer) <= MAX_NAME_CHARS and _figures(session.life, session.serial)
 
 
 def _uids(uids: Iterable[str]) -> bool:
     uids = tuple(uids)
-    return len(uids) <= UIDS_MOST and all(uids) and _names(*uids)
+    return len(uids) <= MAX_UIDS and all(uids) and _names(*uids)
 
 
 def _said(said: SessionsReport) -> bool:
@@ -148,7 +146,7 @@
 def _told(told: SessionsResponse) -> bool:
     return (
         _figures(told.serial, told.epoch, told.life)
-        and 0 < told.lease_us < FIGURE_MOST
+        and 0 < told.lease_us < MAX_FIGURE
         and len(told.ended) <= MAX_ENDED_PER_RESPONSE
         and all(map(_ended, told.ended))
     )
@@ -206,7 +204,7 @@
 
 def _region_said(said: RegionReport) -> bool:
     return (
-        0 < len(said.region) <= NAME_MOST
+        0 < len(said.region) <= MAX_NAME_CHARS
         and _figures(said.came, said.refused, said.machines)
         and len(said.leased) <= MAX_LEASED_SPECS
         and all(
@@ -233,10 +231,10 @@
 
 
 def _handing(message: handing.Message) -> bool:
-    if not 0 < len(message.ident) <= KEY_MOST:
+    if not 0 < len(message.ident) <= MAX_KEY_CHARS:
         return False
     if isinstance(message, handing.ForwardStatus):
-        return _names(message.state, message.where) and len(message.words) <= WHY_MOST
+        return _names(message.state, message.where) and len(message.words) <= MAX_REASON_CHARS
     if isinstance(message, handing.ForwardCancel):
         return _figures(message.life)
     return (
@@ -257,18 +255,18 @@
             record.count,
             record.born_age_us,
         )
-        and 0 < len(record.uid) <= NAME_MOST
-        and 0 < len(record.key) <= KEY_MOST
+        and 0 < len(record.uid) <= MAX_NAME_CHARS
+        and 0 < len(record.key) <= MAX_KEY_CHARS
         and _session(record.session)
         and _names(record.region, record.spec, record.group, record.answered, *record.keepers)
         and len(record.keepers) <= MAX_REPLICAS
         and record.effect in EFFECTS
-        and abs(record.priority) < FIGURE_MOST
+        and abs(record.priority) < MAX_FIGURE
         and 0 <= record.cores < 1e9
         and 0 <= record.memory < 1e9
         and len(record.manifest) <= MAX_RECORD_BYTES
         and len(record.manifest.encode()) <= MAX_RECORD_BYTES
-        and len(record.tasks) <= TASKS_MOST
+        and len(record.tasks) <= MAX_TASKS_PER_JOB
         and all(
             _figures(each.index, each.age_us)
             and each.phase in TASK_PHASES
@@ -284,7 +282,7 @@
         return (
             _figures(message.number)
             and _session(message.session)
-            and _names(message.why, most=WHY_MOST)
+            and _names(message.why, most=MAX_REASON_CHARS)
         )
     if isinstance(message, leasing.ResolveRequest):
         return _figures(message.number) and _session(message.session) and _uids(message.uids)
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -150,9 +150,9 @@
     def refresh_members(self) -> None:
         """Read the membership, and act where it has changed."""
         alive = {
-            each.word.ident: (each.word.region, each.word.life)
-            for each in self._peering.membership.table.living()
-            if each.word.region
+            each.update.ident: (each.update.region, each.update.life)
+            for each in self._peering.membership.table.live_members()
+            if each.update.region
         }
         if alive != self._members:
             self._members = alive
