--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -9,7 +9,7 @@
 
 from tests.core.subsetstage import SETTLE_S, SubsetStage
 from tests.stage import S
-from wingbarrow.core import saved_list as saved
+from wingbarrow.core import saved_list
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.subset import LINGER_US, Subset
 from wingbarrow.decide.subsets import Subsets
@@ -229,7 +229,9 @@
             stage.cluster.source.show(f"more-{number}", value)
             assert stage.wait(lambda name=f"more-{number}": name in placer.fleet.held, 5)
             stage.hub.sleep(S + S // 5)
-            assert f"more-{number}" in {each["metadata"]["name"] for each in saved.load(folder)}
+            assert f"more-{number}" in {
+                each["metadata"]["name"] for each in saved_list.load(folder)
+            }
 
     stage.play(script, start=False)
 
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -11,7 +11,7 @@
 import pytest
 
 from wingbarrow.decide.effects import Effect, Notify, Send
-from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.regions import forwarding
 from wingbarrow.decide.regions.forwarding import (
     ACCEPTED,
     DONE,
@@ -161,7 +161,7 @@
 
 
 def test_planted_errors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(handing, "MAX_FINISHED", 0)  # an end is forgotten at once...
+    monkeypatch.setattr(forwarding, "MAX_FINISHED", 0)  # an end is forgotten at once...
     assert not any(breaches(played(seed)) for seed in range(4)), "...which the floor makes good"
     monkeypatch.setattr(ForwardReceiver, "_finish", lambda self, status: status)
     assert any(breaches(played(seed)) for seed in range(12))
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/link.py
@@ -26,7 +26,7 @@
 STOP_CONNECTIONS = 2
 
 
-class Gone(Enum):
+class DeleteOutcome(Enum):
     """What a machine says of a task that is to be stopped."""
 
     STOPPED = "stopped"
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fenced:
+class FenceReply:
     """What a machine told when a Job was fenced: its tasks that it holds or held since its start, for how long it has
     been up by its clock, and whether it remembers all of that time."""
 
@@ -93,7 +93,7 @@
             return read_failure(error)
         return read_offer(response)
 
-    def delete(self, namespace: str, pod: str) -> Gone | None:
+    def delete(self, namespace: str, pod: str) -> DeleteOutcome | None:
         """Ask once that a task be stopped; None without an answer that says it is gone."""
         try:
             call(
@@ -102,9 +102,9 @@
                 f"/api/v1/namespaces/{quote(namespace)}/pods/{quote(pod)}",
                 until_us=self.hub.now_us() + CALL_US,
             )
-            return Gone.STOPPED
+            return DeleteOutcome.STOPPED
         except ApiError as error:
-            return Gone.WAS_NOT_THERE if error.code == 404 else None
+            return DeleteOutcome.WAS_NOT_THERE if error.code == 404 else None
         except CallFailed:
             return None
 
@@ -148,7 +148,7 @@
         except CallFailed:
             return ""
 
-    def fence(self, uid: str, epoch: int) -> Fenced | None:
+    def fence(self, uid: str, epoch: int) -> FenceReply | None:
         """Have it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
         try:
             value = call(
@@ -159,7 +159,7 @@
                 self.hub.now_us() + CALL_US,
             )
             boot, _, up_us = str(value["clock"]).rpartition(":")
-            return Fenced(
+            return FenceReply(
                 [str(each) for each in value["holds"]], bool(value.get("sure", False)), int(up_us)
             )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -15,7 +15,7 @@
 FAULTS = (api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.UNREACHABLE, api.Outcome.BROKEN)
 
 
-class Verdicts:
+class OutlierEjections:
     """`agreement` gives the state machine that placers agree by, None where there is none."""
 
     def __init__(
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -33,7 +33,7 @@
 from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
-from wingbarrow.core.outlier_ejection import Verdicts
+from wingbarrow.core.outlier_ejection import OutlierEjections
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -49,7 +49,7 @@
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.learner import Learner
 from wingbarrow.peers.message_bounds import FORWARDING_MESSAGES
-from wingbarrow.peers.peer_hints import Hearsay
+from wingbarrow.peers.peer_hints import PeerHints
 from wingbarrow.peers.replication import RecordReplication
 from wingbarrow.peers.ruleset_settings import calendar_under
 from wingbarrow.transport import Hub, Nursery
@@ -201,7 +201,7 @@
             self._runs,
             observations,
         )
-        self.peer_hints = Hearsay(self.base, self.host, self.fleet, self.machines, observations)
+        self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, observations)
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
         """Leased Jobs of ended sessions, other placers' and this one's; fences of machines."""
@@ -271,7 +271,7 @@
         active_rules.hurry = peering.hurry
         peering.uses = self._quota_in_use
         peering.demand = self._quota_demand
-        ejections = Verdicts(self.base, self.fleet, self._coordinator)
+        ejections = OutlierEjections(self.base, self.fleet, self._coordinator)
         self.maintenance = MaintenanceSlots(
             self.base,
             LocalMachines(
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wingbarrow.core.link import Gone, MachineLink
+from wingbarrow.core.link import DeleteOutcome, MachineLink
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.interface import Phase
 from wingbarrow.transport import Hub, Signal
@@ -157,10 +157,10 @@
         if gone is None:
             # Danger: a stop that is forgotten leaves a task running; only a machine that is gone is let go.
             return link.phase is Phase.GONE and not link.reachable
-        if gone is Gone.WAS_NOT_THERE and not stop.is_settled():
+        if gone is DeleteOutcome.WAS_NOT_THERE and not stop.is_settled():
             return False
         self._counts["stops_done"] += 1
-        if gone is Gone.STOPPED:
+        if gone is DeleteOutcome.STOPPED:
             # A pod that was not there is not remembered: its offer may still wait in a socket.
             self._remember(stop.pod)
         stop.on_stopped()
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -17,7 +17,7 @@
 from wingbarrow.http.server import Answer
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, invalid, not_found
-from wingbarrow.peers.rulesets_api import RulesFront
+from wingbarrow.peers.rulesets_api import RuleSetsApi
 from wingbarrow.transport import Hub
 
 API = "wingbarrow.io/v1"
@@ -26,7 +26,7 @@
 class DrainsFront:
     """Routes below /apis/wingbarrow.io/v1/drains."""
 
-    def __init__(self, hub: Hub, drainer: Drainer, rules: RulesFront) -> None:
+    def __init__(self, hub: Hub, drainer: Drainer, rules: RuleSetsApi) -> None:
         self._hub, self._drainer, self._rules = hub, drainer, rules
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -17,11 +17,11 @@
 from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.api import InstancesFront
-from wingbarrow.peers.leases_api import LeasesFront
-from wingbarrow.peers.limits_api import LimitsFront
+from wingbarrow.peers.api import InstancesApi
+from wingbarrow.peers.leases_api import LeasesApi
+from wingbarrow.peers.limits_api import LimitsApi
 from wingbarrow.peers.maintenance_api import MaintenanceApi
-from wingbarrow.peers.rulesets_api import RulesFront
+from wingbarrow.peers.rulesets_api import RuleSetsApi
 from wingbarrow.transport import Hub
 
 _COLLECTIONS = {("batch/v1", "jobs"), ("v1", "nodes"), ("v1", "events")}
@@ -59,7 +59,7 @@
             self._refuse,
         )
         self.port = self.server.port
-        self.instances = InstancesFront(
+        self.instances = InstancesApi(
             hub,
             lambda: placer.base.settings,
             placer.peer_hints,
@@ -67,9 +67,9 @@
             placer.base.started_us,
             log,
         )
-        self.rules = RulesFront(hub, placer.peering)
-        self.limits = LimitsFront(hub, placer.peering)
-        self.leases = LeasesFront(hub, placer.peering)
+        self.rules = RuleSetsApi(hub, placer.peering)
+        self.limits = LimitsApi(hub, placer.peering)
+        self.leases = LeasesApi(hub, placer.peering)
         self.turns = MaintenanceApi(hub, placer.peering, self.rules)
         self.drains = DrainsFront(hub, placer.drainer, self.rules)
         self.unknown = UnknownFront(placer)
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/api.py
@@ -18,7 +18,7 @@
 from wingbarrow.peers.host import Peering
 from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
 from wingbarrow.peers.message import MessageError
-from wingbarrow.peers.peer_hints import Hearsay
+from wingbarrow.peers.peer_hints import PeerHints
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
@@ -27,14 +27,14 @@
 REFUSED_MOST = 256  # addresses remembered as refused, for telling each once
 
 
-class InstancesFront:
+class InstancesApi:
     """Routes below /apis/wingbarrow.io/v1."""
 
     def __init__(
         self,
         hub: Hub,
         settings: Callable[[], PlacerSettings],
-        hearsay: Hearsay,
+        hearsay: PeerHints,
         peering: Peering,
         life: int,
         log: Callable[..., None],
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -17,7 +17,7 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.settings import LocalPlacer, Subsystems
 from wingbarrow.decide.effects import Effect, Notify, Persist, Send, SetTimer
-from wingbarrow.decide.membership import messages as words
+from wingbarrow.decide.membership import messages as membership_messages
 from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
 from wingbarrow.decide.regions.forwarding import Target
@@ -52,7 +52,7 @@
 LOUD = {"twin": "error", "dead": "warning", "suspected": "info"}
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """A state machine among placers."""
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
@@ -100,7 +100,7 @@
         self.on_verdicts: Callable[[frozenset[str]], None] = lambda machines: None
         self.demand: Callable[[str], int] = lambda key: 0  # what would be used beyond that
         self._store: VoterStore | None = None
-        self._hosted: dict[str, Machine] = {}  # by name, beside membership and agreement
+        self._hosted: dict[str, StateMachine] = {}  # by name, beside membership and agreement
         self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
         self._timers: dict[tuple[str, str], Timer] = {}
         self._nursery: Nursery | None = None
@@ -123,7 +123,7 @@
 
     # -- the placer's side
 
-    def host(self, name: str, machine: Machine, kinds: Iterable[type[Any]]) -> None:
+    def host(self, name: str, machine: StateMachine, kinds: Iterable[type[Any]]) -> None:
         """Have a further state machine take part, to which messages of these kinds go; before `run`.
 
         What it is to begin with, or does in answer to a request, it gives to `act` under the same name.
@@ -226,7 +226,7 @@
                 self.act(hosted, machine.on_message(now, mail.sender, mail.address, message))
             elif isinstance(message, SESSION_MESSAGES):
                 self.counts["peers:letters about custody, which is not kept here"] += 1
-            elif isinstance(message, words.SwimMessage):
+            elif isinstance(message, membership_messages.SwimMessage):
                 self.act(
                     "members", self.membership.on_message(now, mail.sender, mail.address, message)
                 )
--- a/wingbarrow/peers/knowledge_pages.py
+++ b/wingbarrow/peers/knowledge_pages.py
@@ -23,11 +23,11 @@
 SERVICES_MOST = 64  # programs told of for one machine
 
 
-class BadPage(ValueError):
+class KnowledgePageError(ValueError):
     """A page that cannot be used; what is wrong in words."""
 
 
-class WireSight(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class WireObservation(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     """A machine in a page: name, version, phase, ages and figures."""
 
     machine: str
@@ -75,7 +75,7 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_sights: msgspec.json.Decoder[list[WireSight]] = msgspec.json.Decoder(list[WireSight])
+_sights: msgspec.json.Decoder[list[WireObservation]] = msgspec.json.Decoder(list[WireObservation])
 _page: msgspec.json.Decoder[WirePage] = msgspec.json.Decoder(WirePage)
 _instance: msgspec.json.Decoder[WireInstance] = msgspec.json.Decoder(WireInstance)
 
@@ -112,10 +112,10 @@
     sights: list[MachineObservation]
 
 
-def to_wire(sight: MachineObservation) -> WireSight:
+def to_wire(sight: MachineObservation) -> WireObservation:
     """For a page; of programs the longest trusted are told of."""
     warm = dict(sorted(sight.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[:SERVICES_MOST])
-    return WireSight(
+    return WireObservation(
         sight.machine,
         sight.version,
         sight.phase.value,
@@ -236,16 +236,18 @@
     try:
         page = _page.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BadPage(f"no page: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"no page: {str(error)[:120]}") from None
     if page.kind != "KnowledgePage" or page.form != FORM or page.api_version != "wingbarrow.io/v1":
-        raise BadPage(f"another form: {page.kind[:40]} {page.api_version[:40]} {page.form}")
+        raise KnowledgePageError(
+            f"another form: {page.kind[:40]} {page.api_version[:40]} {page.form}"
+        )
     body = bytes(page.machines)
     if xxhash.xxh64_hexdigest(body) != page.digest:
-        raise BadPage("the digest is wrong")
+        raise KnowledgePageError("the digest is wrong")
     if not 0 <= page.total <= machines_most or not 0 <= page.first <= page.total:
-        raise BadPage(f"{page.total} machines, {machines_most} are the most")
+        raise KnowledgePageError(f"{page.total} machines, {machines_most} are the most")
     if page.snapshot_age_us < 0:
-        raise BadPage(f"an age of {page.snapshot_age_us}")
+        raise KnowledgePageError(f"an age of {page.snapshot_age_us}")
     try:
         wire = _sights.decode(body)
         sights = [
@@ -264,9 +266,9 @@
             for each in wire
         ]
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        raise BadPage(f"unreadable machines: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"unreadable machines: {str(error)[:120]}") from None
     if len(sights) > max(PAGE, page.total) or page.first + len(sights) > page.total:
-        raise BadPage("more machines than the page says")
+        raise KnowledgePageError("more machines than the page says")
     return Page(
         page.snapshot[:100],
         page.first,
@@ -300,14 +302,14 @@
     try:
         told = _instance.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BadPage(f"no announcement: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"no announcement: {str(error)[:120]}") from None
     if (
         not 0 < len(told.ident) <= 253
         or len(told.region) > 253
         or len(told.cluster) > 253
         or len(told.address) > 300
     ):
-        raise BadPage("a name that is empty or too long")
+        raise KnowledgePageError("a name that is empty or too long")
     return Announcement(
         peer,
         told.ident,
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -15,7 +15,13 @@
 from wingbarrow.decide.learning import Announcement, ClockCheck, MachineObservation
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
-from wingbarrow.peers.knowledge_pages import PAGE, BadPage, Page, read_instance, read_page
+from wingbarrow.peers.knowledge_pages import (
+    PAGE,
+    KnowledgePageError,
+    Page,
+    read_instance,
+    read_page,
+)
 from wingbarrow.transport import Hub, Nursery
 
 SECOND = 1_000_000
@@ -115,9 +121,9 @@
                     "GET", f"{BASE}/instance", until_us=begun + ANNOUNCE_US
                 )
                 if response.status != 200:
-                    raise BadPage(f"status {response.status}")
+                    raise KnowledgePageError(f"status {response.status}")
                 announced, _ = read_instance(response.body, str(peer), self._hub.now_us() - begun)
-            except (CallFailed, BadPage) as error:
+            except (CallFailed, KnowledgePageError) as error:
                 self.counts["no_announcement"] += 1
                 self._log("peer-silent", peer=str(peer), why=str(error)[:200])
                 return
@@ -146,14 +152,16 @@
                     "GET", f"{BASE}/knowledge{query}", until_us=end_us
                 )
                 if response.status != 200:
-                    raise BadPage(f"status {response.status}")
+                    raise KnowledgePageError(f"status {response.status}")
                 page = read_page(response.body, most)
                 if page.first != expected or (snapshot and page.snapshot != snapshot):
-                    raise BadPage(
+                    raise KnowledgePageError(
                         f"page at {page.first} of {page.snapshot}, not at {expected} of {snapshot}"
                     )
-            except (CallFailed, BadPage) as error:
-                self.counts["bad_pages" if isinstance(error, BadPage) else "stalled"] += 1
+            except (CallFailed, KnowledgePageError) as error:
+                self.counts[
+                    "bad_pages" if isinstance(error, KnowledgePageError) else "stalled"
+                ] += 1
                 self._log(
                     "peer-page-unusable", level="warning", peer=str(peer), why=str(error)[:200]
                 )
@@ -201,7 +209,7 @@
             )
             try:
                 if response.status != 200:
-                    raise BadPage(f"status {response.status}")
+                    raise KnowledgePageError(f"status {response.status}")
                 for line in _lines(parts):
                     if self._hub.now_us() >= end:
                         return
@@ -212,7 +220,7 @@
                     self.counts["followed"] += 1
             finally:
                 parts.close()  # type: ignore[attr-defined]
-        except (CallFailed, BadPage) as error:
+        except (CallFailed, KnowledgePageError) as error:
             self.counts["follow_broke"] += 1
             self._log("peer-watch-broke", peer=str(peer), why=str(error)[:200])
 
@@ -223,5 +231,5 @@
         lines = (rest + part).split(b"\n")
         rest = lines.pop()
         if len(rest) > PAGE_BYTES:
-            raise BadPage(f"a line of more than {PAGE_BYTES} bytes")
+            raise KnowledgePageError(f"a line of more than {PAGE_BYTES} bytes")
         yield from lines
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -23,7 +23,7 @@
 API_VERSION = "coordination.k8s.io/v1"
 
 
-class LeasesFront:
+class LeasesApi:
     """The route's handler."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -15,7 +15,7 @@
 from wingbarrow.transport import Hub
 
 
-class LimitsFront:
+class LimitsApi:
     """Two routes."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -29,7 +29,7 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
-from wingbarrow.peers.rulesets_api import RulesFront
+from wingbarrow.peers.rulesets_api import RuleSetsApi
 from wingbarrow.transport import Hub
 
 API_VERSION = "wingbarrow.io/v1"
@@ -61,7 +61,7 @@
 class MaintenanceApi:
     """Routes below /apis/wingbarrow.io/v1/turns."""
 
-    def __init__(self, hub: Hub, peering: Peering, rules: RulesFront) -> None:
+    def __init__(self, hub: Hub, peering: Peering, rules: RuleSetsApi) -> None:
         self._hub = hub
         self._peering = peering
         self._rules = rules
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -14,13 +14,13 @@
 import msgspec
 
 from wingbarrow.decide.consensus import messages as consensus
-from wingbarrow.decide.coordination import messages as asking
-from wingbarrow.decide.membership import messages as words
+from wingbarrow.decide.coordination import messages as coordination_messages
+from wingbarrow.decide.membership import messages as membership_messages
 from wingbarrow.decide.outliers.ejections import MAX_EJECTIONS_PER_GRANT
 from wingbarrow.decide.outliers.health import MAX_REPORTS_PER_REQUEST
 from wingbarrow.decide.quotas.limits import MAX_LIMITS
-from wingbarrow.decide.regions import forwarding as handing
-from wingbarrow.decide.sessions import messages as leasing
+from wingbarrow.decide.regions import forwarding
+from wingbarrow.decide.sessions import messages as session_messages
 from wingbarrow.peers.message_bounds import fault
 
 FORMAT_VERSION = 1
@@ -31,49 +31,49 @@
 MAX_INCARNATION = 1 << 62
 
 MESSAGE_TYPES: dict[str, type[Any]] = {
-    "probe": words.Ping,
-    "probe-for": words.PingRequest,
-    "ack": words.Ack,
-    "nack": words.Nack,
-    "sync": words.Sync,
+    "probe": membership_messages.Ping,
+    "probe-for": membership_messages.PingRequest,
+    "ack": membership_messages.Ack,
+    "nack": membership_messages.Nack,
+    "sync": membership_messages.Sync,
     "vote-ask": consensus.VoteRequest,
     "vote-answer": consensus.VoteResponse,
     "append": consensus.AppendRequest,
     "append-answer": consensus.AppendResponse,
     "install": consensus.InstallSnapshot,
-    "ask": asking.LeaseRequest,
-    "grant": asking.LeaseGrant,
-    "not-leader": asking.NotLeader,
-    "keep": leasing.ReplicateRequest,
-    "keep-answer": leasing.ReplicateResponse,
-    "settle": leasing.ResolveRequest,
-    "settled": leasing.ResolveResponse,
-    "ask-machine": leasing.MachineQuery,
-    "machine-says": leasing.MachineReport,
-    "hand": handing.ForwardRequest,
-    "hand-stop": handing.ForwardCancel,
-    "hand-says": handing.ForwardStatus,
-    "ask-for": asking.RelayedRequest,
-    "grant-for": asking.RelayedGrant,
+    "ask": coordination_messages.LeaseRequest,
+    "grant": coordination_messages.LeaseGrant,
+    "not-leader": coordination_messages.NotLeader,
+    "keep": session_messages.ReplicateRequest,
+    "keep-answer": session_messages.ReplicateResponse,
+    "settle": session_messages.ResolveRequest,
+    "settled": session_messages.ResolveResponse,
+    "ask-machine": session_messages.MachineQuery,
+    "machine-says": session_messages.MachineReport,
+    "hand": forwarding.ForwardRequest,
+    "hand-stop": forwarding.ForwardCancel,
+    "hand-says": forwarding.ForwardStatus,
+    "ask-for": coordination_messages.RelayedRequest,
+    "grant-for": coordination_messages.RelayedGrant,
 }
 _NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
 
 
 class MessageError(ValueError):
-    """Mail that cannot be used; what is wrong in words."""
+    """Mail that cannot be used; what is wrong in membership_messages."""
 
 
-class _Letter(msgspec.Struct):
+class _WireMessage(msgspec.Struct):
     kind: str
     body: msgspec.Raw
 
 
-class _Mail(msgspec.Struct):
+class _WireEnvelope(msgspec.Struct):
     form: int
     cluster: str
     sender: str
     address: str
-    letters: list[_Letter]
+    letters: list[_WireMessage]
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_mail: msgspec.json.Decoder[_Mail] = msgspec.json.Decoder(_Mail)
+_mail: msgspec.json.Decoder[_WireEnvelope] = msgspec.json.Decoder(_WireEnvelope)
 _bodies: dict[str, msgspec.json.Decoder[Any]] = {
     name: msgspec.json.Decoder(kind) for name, kind in MESSAGE_TYPES.items()
 }
@@ -95,7 +95,7 @@
 
 def encode_message(message: Any) -> bytes:
     """One letter; KeyError for a message of no known kind."""
-    return _encode(_Letter(_NAMES[type(message)], msgspec.Raw(_encode(message))))
+    return _encode(_WireMessage(_NAMES[type(message)], msgspec.Raw(_encode(message))))
 
 
 def encode_envelope(cluster: str, sender: str, address: str, letters: Iterable[bytes]) -> bytes:
@@ -143,10 +143,16 @@
 
 
 def _check(message: Any) -> None:
-    if isinstance(message, asking.RelayedRequest | asking.RelayedGrant):
+    if isinstance(
+        message, coordination_messages.RelayedRequest | coordination_messages.RelayedGrant
+    ):
         if not 0 < len(message.ident) <= MAX_NAME_CHARS:
             raise MessageError("an ask, or a grant, for nobody")
-        message = message.ask if isinstance(message, asking.RelayedRequest) else message.grant
+        message = (
+            message.ask
+            if isinstance(message, coordination_messages.RelayedRequest)
+            else message.grant
+        )
     news = getattr(message, "news", ())
     if len(news) > MAX_MEMBER_UPDATES:
         raise MessageError(f"{len(news)} words; {MAX_MEMBER_UPDATES} are the most")
@@ -163,13 +169,13 @@
             raise MessageError("an incarnation out of range")
     if isinstance(message, consensus.AppendRequest) and len(message.entries) > MAX_LOG_ENTRIES:
         raise MessageError(f"{len(message.entries)} entries; {MAX_LOG_ENTRIES} are the most")
-    if isinstance(message, asking.LeaseRequest) and (
+    if isinstance(message, coordination_messages.LeaseRequest) and (
         len(message.stated) > MAX_LIMITS
         or len({each.key for each in message.stated}) < len(message.stated)
         or message.up_us < 0
     ):
         raise MessageError("more limits than there can be, one twice, or a life of no length")
-    if isinstance(message, asking.LeaseRequest) and (
+    if isinstance(message, coordination_messages.LeaseRequest) and (
         len(message.evidence) > MAX_REPORTS_PER_REQUEST
         or not all(
             0 <= each.failed <= each.tried and 0 < len(each.machine) <= MAX_NAME_CHARS
@@ -177,11 +183,14 @@
         )
     ):
         raise MessageError("evidence that cannot be")
-    if isinstance(message, asking.LeaseGrant) and len(message.closed) > MAX_EJECTIONS_PER_GRANT:
+    if (
+        isinstance(message, coordination_messages.LeaseGrant)
+        and len(message.closed) > MAX_EJECTIONS_PER_GRANT
+    ):
         raise MessageError(
             f"{len(message.closed)} verdicts; {MAX_EJECTIONS_PER_GRANT} are the most"
         )
-    if isinstance(message, words.PingRequest) and not (
+    if isinstance(message, membership_messages.PingRequest) and not (
         0 < len(message.ident) <= MAX_NAME_CHARS and 0 < len(message.address) <= MAX_ADDRESS_CHARS
     ):
         raise MessageError("a probe for nobody")
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any, get_args
 
-from wingbarrow.decide.coordination import messages as asking
+from wingbarrow.decide.coordination import messages as coordination_messages
 from wingbarrow.decide.maintenance.entries import MAX_IDENT_CHARACTERS
 from wingbarrow.decide.maintenance.messages import (
     MAX_REPORTED_CELLS,
@@ -16,14 +16,14 @@
     RegionView,
 )
 from wingbarrow.decide.maintenance.slots import MAX_LIVE_SLOTS
-from wingbarrow.decide.regions import forwarding as handing
+from wingbarrow.decide.regions import forwarding
 from wingbarrow.decide.regions.reports import (
     MAX_LEASED_SPECS,
     MAX_REGIONS,
     RegionReport,
     RegionSummary,
 )
-from wingbarrow.decide.sessions import messages as leasing
+from wingbarrow.decide.sessions import messages as session_messages
 from wingbarrow.decide.sessions.leased_job_record import (
     EFFECTS,
     MAX_RECORD_BYTES,
@@ -46,25 +46,28 @@
 MAX_RECORDS, MAX_UIDS = 64, 256  # in one letter
 MAX_TASKS_PER_JOB = 1_000  # of a Job
 MAX_FIGURE = 1 << 62
-SESSION_MESSAGES, FORWARDING_MESSAGES = get_args(leasing.Message), get_args(handing.Message)
+SESSION_MESSAGES, FORWARDING_MESSAGES = (
+    get_args(session_messages.Message),
+    get_args(forwarding.Message),
+)
 
 # A fault goes back to the sender and into logs: on the wire these messages keep their first names.
 _NAMES_IN_FAULTS = {
-    handing.ForwardRequest: "Hand",
-    handing.ForwardCancel: "HandStop",
-    handing.ForwardStatus: "HandSays",
-    leasing.ReplicateRequest: "Keep",
-    leasing.ReplicateResponse: "KeepAnswer",
-    leasing.ResolveRequest: "Settle",
-    leasing.ResolveResponse: "Settled",
-    leasing.MachineQuery: "AskMachine",
-    leasing.MachineReport: "MachineSays",
+    forwarding.ForwardRequest: "Hand",
+    forwarding.ForwardCancel: "HandStop",
+    forwarding.ForwardStatus: "HandSays",
+    session_messages.ReplicateRequest: "Keep",
+    session_messages.ReplicateResponse: "KeepAnswer",
+    session_messages.ResolveRequest: "Settle",
+    session_messages.ResolveResponse: "Settled",
+    session_messages.MachineQuery: "AskMachine",
+    session_messages.MachineReport: "MachineSays",
 }
 
 
 def fault(message: Any) -> str:
     """What is over its bound, in words; "" where nothing is."""
-    if isinstance(message, asking.LeaseRequest):
+    if isinstance(message, coordination_messages.LeaseRequest):
         said = message.sessions
         if said is not None and not _said(said):
             return "sessions: more than can be kept, a name too long or a figure out of range"
@@ -72,7 +75,7 @@
             return "turns: more than there can be, or a number out of range"
         if message.regions is not None and not _region_said(message.regions):
             return "regions: a name too long, or a figure out of range"
-    elif isinstance(message, asking.LeaseGrant):
+    elif isinstance(message, coordination_messages.LeaseGrant):
         if message.sessions is not None and not _told(message.sessions):
             return (
                 "sessions: more ends than go with a grant, a name too long or a figure out of range"
@@ -89,7 +92,7 @@
             if _handing(message)
             else f"{_NAMES_IN_FAULTS[type(message)]}: a text too long, or a figure out of range"
         )
-    elif isinstance(message, leasing.ReplicateRequest):
+    elif isinstance(message, session_messages.ReplicateRequest):
         if not (_figures(message.number) and _session(message.session) and _uids(message.gone)):
             return "keep: more uids than go with a letter, a name too long or a figure out of range"
         if len(message.records) > MAX_RECORDS or not all(map(_record, message.records)):
@@ -230,17 +233,17 @@
     )
 
 
-def _handing(message: handing.Message) -> bool:
+def _handing(message: forwarding.Message) -> bool:
     if not 0 < len(message.ident) <= MAX_KEY_CHARS:
         return False
-    if isinstance(message, handing.ForwardStatus):
+    if isinstance(message, forwarding.ForwardStatus):
         return _names(message.state, message.where) and len(message.words) <= MAX_REASON_CHARS
-    if isinstance(message, handing.ForwardCancel):
+    if isinstance(message, forwarding.ForwardCancel):
         return _figures(message.life)
     return (
         _figures(message.life, message.hops, message.left_us)
         and _names(message.spec)
-        and len(message.manifest) <= handing.MAX_MANIFEST_CHARS
+        and len(message.manifest) <= forwarding.MAX_MANIFEST_CHARS
     )
 
 
@@ -278,21 +281,21 @@
 
 def _leasing(message: Any) -> bool:
     """All but `Keep`."""
-    if isinstance(message, leasing.ReplicateResponse):
+    if isinstance(message, session_messages.ReplicateResponse):
         return (
             _figures(message.number)
             and _session(message.session)
             and _names(message.why, most=MAX_REASON_CHARS)
         )
-    if isinstance(message, leasing.ResolveRequest):
+    if isinstance(message, session_messages.ResolveRequest):
         return _figures(message.number) and _session(message.session) and _uids(message.uids)
-    if isinstance(message, leasing.ResolveResponse):
+    if isinstance(message, session_messages.ResolveResponse):
         return (
             _figures(message.number)
             and _session(message.session)
             and _uids(each[0] for each in message.fates)
             and all(_figures(epoch) and _names(fate) for _, epoch, fate in message.fates)
         )
-    if isinstance(message, leasing.MachineQuery):
+    if isinstance(message, session_messages.MachineQuery):
         return _figures(message.number, message.epoch) and _names(message.machine, message.uid)
     return _figures(message.number, message.boot_age_us) and _names(message.machine, message.uid)
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -92,13 +92,13 @@
         """What it knows of machines."""
 
 
-class Use(Protocol):
+class UseObserver(Protocol):
     """When a task last told of its use."""
 
     last_usage_us: int | None
 
 
-class Life(Protocol):
+class PlacerContext(Protocol):
     """The placer's life."""
 
     hub: Hub
@@ -107,11 +107,16 @@
     started_us: int
 
 
-class Hearsay:
+class PeerHints:
     """Owns what was heard and is not applied yet, and which machines are distrusted for it."""
 
     def __init__(
-        self, base: Life, host: Module, fleet: Fleet, machines: Links, sightings: Use
+        self,
+        base: PlacerContext,
+        host: Module,
+        fleet: Fleet,
+        machines: Links,
+        sightings: UseObserver,
     ) -> None:
         self._base, self._host, self._fleet, self._machines = base, host, fleet, machines
         self._sightings = sightings
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -69,7 +69,7 @@
         )
 
 
-class RulesFront:
+class RuleSetsApi:
     """Routes below /apis/wingbarrow.io/v1/rules."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -9,7 +9,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide import orphans as strays
+from wingbarrow.decide import orphans
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
@@ -189,8 +189,8 @@
             attempt.link.remember_stray(attempt.task.ident)
 
     def _is_stopped(self, attempt: Attempt) -> bool:
-        sight = strays.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
-        return strays.action_for(sight) is strays.OrphanAction.STOP
+        sight = orphans.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
+        return orphans.action_for(sight) is orphans.OrphanAction.STOP
 
     def _line_of(self, attempt: Attempt) -> Line | None:
         ident = attempt.task.ident
