--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -1,8 +1,9 @@
-"""Mail between placers: one form, versioned and bounded; what is in it are the messages of the state machines.
+"""Messages between placers on the wire: one versioned, bounded envelope of typed messages.
 
-A mail is a JSON object of form, cluster, sender, its address, and letters; a letter has a kind and a body, which is the
-kind's dataclass. A letter of an unknown kind is passed over and counted: a later program may know more kinds. A letter
-of a known kind that cannot be read spoils the whole mail: its sender is not what it says.
+An envelope is a JSON object of form, cluster, sender, its address, and messages (`letters` on the wire). A message has a
+kind and a body, which is the kind's dataclass. A message of an unknown kind is skipped and counted, since a later
+version may know more kinds. A message of a known kind that cannot be decoded or is over a bound rejects the whole
+envelope: its sender is not what it claims to be.
 """
 
 from __future__ import annotations
@@ -16,19 +17,17 @@
 from wingbarrow.decide.consensus import messages as consensus
 from wingbarrow.decide.coordination import messages as coordination_messages
 from wingbarrow.decide.membership import messages as membership_messages
-from wingbarrow.decide.outliers.ejections import MAX_EJECTIONS_PER_GRANT
-from wingbarrow.decide.outliers.health import MAX_REPORTS_PER_REQUEST
-from wingbarrow.decide.quotas.limits import MAX_LIMITS
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.decide.sessions import messages as session_messages
-from wingbarrow.peers.message_bounds import fault
+from wingbarrow.peers.message_bounds import (
+    MAX_ADDRESS_CHARS,
+    MAX_NAME_CHARS,
+    check_message,
+)
 
 FORMAT_VERSION = 1
 MAX_ENVELOPE_BYTES = 1 << 20  # bytes: what a front takes by default
 MAX_MESSAGES_PER_ENVELOPE = 64
-MAX_NAME_CHARS, MAX_ADDRESS_CHARS = 253, 300
-MAX_MEMBER_UPDATES, MAX_LOG_ENTRIES = 64, 64
-MAX_INCARNATION = 1 << 62
 
 MESSAGE_TYPES: dict[str, type[Any]] = {
     "probe": membership_messages.Ping,
@@ -60,7 +59,7 @@
 
 
 class MessageError(ValueError):
-    """Mail that cannot be used; what is wrong in membership_messages."""
+    """An envelope that cannot be used; its text says why, and goes back to the sender."""
 
 
 class _WireMessage(msgspec.Struct):
@@ -137,63 +136,8 @@
             message = decoder.decode(letter.body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
             raise MessageError(f"{letter.kind}: {str(error)[:120]}") from None
-        _check(message)
+        why = check_message(message)
+        if why:
+            raise MessageError(why)
         messages.append(message)
     return Envelope(mail.sender, mail.address, messages, strange)
-
-
-def _check(message: Any) -> None:
-    if isinstance(
-        message, coordination_messages.RelayedRequest | coordination_messages.RelayedGrant
-    ):
-        if not 0 < len(message.ident) <= MAX_NAME_CHARS:
-            raise MessageError("an ask, or a grant, for nobody")
-        message = (
-            message.ask
-            if isinstance(message, coordination_messages.RelayedRequest)
-            else message.grant
-        )
-    news = getattr(message, "news", ())
-    if len(news) > MAX_MEMBER_UPDATES:
-        raise MessageError(f"{len(news)} words; {MAX_MEMBER_UPDATES} are the most")
-    for word in news:
-        if (
-            not 0 < len(word.ident) <= MAX_NAME_CHARS
-            or len(word.by) > MAX_NAME_CHARS
-            or len(word.region) > MAX_NAME_CHARS
-        ):
-            raise MessageError("a member's name that is empty or too long")
-        if not 0 < len(word.address) <= MAX_ADDRESS_CHARS:
-            raise MessageError("a member's address that is empty or too long")
-        if not (0 <= word.incarnation < MAX_INCARNATION and 0 <= word.life < MAX_INCARNATION):
-            raise MessageError("an incarnation out of range")
-    if isinstance(message, consensus.AppendRequest) and len(message.entries) > MAX_LOG_ENTRIES:
-        raise MessageError(f"{len(message.entries)} entries; {MAX_LOG_ENTRIES} are the most")
-    if isinstance(message, coordination_messages.LeaseRequest) and (
-        len(message.stated) > MAX_LIMITS
-        or len({each.key for each in message.stated}) < len(message.stated)
-        or message.up_us < 0
-    ):
-        raise MessageError("more limits than there can be, one twice, or a life of no length")
-    if isinstance(message, coordination_messages.LeaseRequest) and (
-        len(message.evidence) > MAX_REPORTS_PER_REQUEST
-        or not all(
-            0 <= each.failed <= each.tried and 0 < len(each.machine) <= MAX_NAME_CHARS
-            for each in message.evidence
-        )
-    ):
-        raise MessageError("evidence that cannot be")
-    if (
-        isinstance(message, coordination_messages.LeaseGrant)
-        and len(message.closed) > MAX_EJECTIONS_PER_GRANT
-    ):
-        raise MessageError(
-            f"{len(message.closed)} verdicts; {MAX_EJECTIONS_PER_GRANT} are the most"
-        )
-    if isinstance(message, membership_messages.PingRequest) and not (
-        0 < len(message.ident) <= MAX_NAME_CHARS and 0 < len(message.address) <= MAX_ADDRESS_CHARS
-    ):
-        raise MessageError("a probe for nobody")
-    why = fault(message)
-    if why:
-        raise MessageError(why)
