--- a/wingbarrow/peers/__init__.py
+++ b/wingbarrow/peers/__init__.py
@@ -1,5 +1,5 @@
-"""What placers say to each other, over the project's own HTTP; what is decided among them is in `decide.peers`.
+"""Messages between placers over the project's own HTTP, and the APIs for operators on what placers agree on.
 
-`host` carries out what the state machines ask for, `front` is the way in, `post` the way out, `message` the form.
-Nothing here is a rule's ground, and the placer works without any of it.
+`host` carries out the effects of the state machines of `decide` in order, `api` receives, `mailbox` sends, `message` is
+the wire form. None of the five rules rests on this package: a placer without peers keeps them alone.
 """
--- a/wingbarrow/store/__init__.py
+++ b/wingbarrow/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a placer has on disk that must survive it: transactions over LMDB, each synced before it counts."""
+"""Persistent state of a voter: transactions over LMDB, each synced before it is acknowledged."""
