--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -1,6 +1,6 @@
 """Hollow placers that are metered: what each sends, receives, computes and holds, on the virtual clock.
 
-Placers share one process; their state machines are the real ones (`wingbarrow.decide.peers`), and every message is
+Placers share one process; their state machines are the real ones (`wingbarrow.decide`), and every message is
 written and read by the real forms of mail (`wingbarrow.peers.message`), each in a mail of its own. What is not there:
 sockets, HTTP heads (some 160 bytes of each request and 70 of each answer), the voters' disk, and what the host packs
 into one mail or into the answer of another. So messages are letters, and bytes are those of mails.
