--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -42,7 +42,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import MAX_SUBSYSTEMS_CHARS
 from wingbarrow.lab.fleet.swarm import SECOND
-from wingbarrow.peers import message
+from wingbarrow.peers import message, message_bounds
 from wingbarrow.peers.mailbox import MAX_MESSAGE_BYTES
 
 DEFAULT_SIZES = (10, 30, 45, 64, 100, 370)
@@ -82,7 +82,7 @@
     """The bounds of limits out of the way, in this process and for the block."""
     places = (
         (limits, "MAX_LIMITS"),
-        (message, "MAX_LIMITS"),
+        (message_bounds, "MAX_LIMITS"),
         (parsing, "MAX_TEXT_CHARS"),
         (parsing, "MAX_ESCAPED_CHARS"),
         (allocations, "MAX_ALLOCATIONS"),
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -157,7 +157,7 @@
         assert teacher.service is not None
         assert teacher.service.rest.instances.handovers == 0
         member = placer.peering.members["placer-1"]
-        assert member.standing.value == "alive"
+        assert member.status.value == "alive"
 
     stage.play(script)
     assert stage.audit().clean
