--- a/benchmarks/capacity/profile.py
+++ b/benchmarks/capacity/profile.py
@@ -8,8 +8,15 @@
 
 SAMPLE_S = 0.002  # of processor time between two samples
 PARTS = ("module", "core", "http", "hub", "other")
-_BY_PACKAGE = {"transport": "hub", "http": "http", "core": "core", "decide": "core", "kube": "core", "fronts": "core",
-               "config": "core"}
+_BY_PACKAGE = {
+    "transport": "hub",
+    "http": "http",
+    "core": "core",
+    "decide": "core",
+    "kube": "core",
+    "fronts": "core",
+    "config": "core",
+}
 
 
 def booked(frame: FrameType | None) -> str:
