--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -22,8 +22,13 @@
 _PATHS = {"jobs": "/apis/batch/v1", "nodes": "/api/v1", "events": "/api/v1"}
 
 
-URL = click.option("--url", default="http://127.0.0.1:8080", envvar="WINGBARROW_URL", show_default=True,
-                   help="A placer's address.")
+URL = click.option(
+    "--url",
+    default="http://127.0.0.1:8080",
+    envvar="WINGBARROW_URL",
+    show_default=True,
+    help="A placer's address.",
+)
 
 
 def need_plots() -> None:
@@ -61,7 +66,9 @@
         except (ApiError, CallFailed) as error:
             raise CommandFailed(str(error)) from None
 
-    def exchange(self, method: str, path: str, value: dict[str, Any] | None = None) -> dict[str, Any]:
+    def exchange(
+        self, method: str, path: str, value: dict[str, Any] | None = None
+    ) -> dict[str, Any]:
         """One call on the project's own resources."""
         body = None if value is None else json.dumps(value).encode()
         try:
@@ -76,9 +83,16 @@
             families = list(text_string_to_metric_families(response.body.decode()))
         except (CallFailed, ValueError) as error:
             raise CommandFailed(str(error)) from None
-        found = {sample.labels["answer"]: int(sample.value) for family in families
-                 if family.name == "wingbarrow_answers" for sample in family.samples if sample.name.endswith("_total")}
-        return Count(sum(found.values()), sum(count for answer, count in found.items() if answer != "placed"))
+        found = {
+            sample.labels["answer"]: int(sample.value)
+            for family in families
+            if family.name == "wingbarrow_answers"
+            for sample in family.samples
+            if sample.name.endswith("_total")
+        }
+        return Count(
+            sum(found.values()), sum(count for answer, count in found.items() if answer != "placed")
+        )
 
     def others(self) -> list[Client]:
         """Clients of the placers that this one knows and holds for alive; none where it does not tell."""
@@ -86,14 +100,20 @@
             members = self.exchange("GET", "members").get("items", [])
         except CommandFailed:
             return []  # it tells its members to `allow-peer` addresses alone
-        found = [str(each.get("address", "")).rpartition(":") for each in members if each.get("standing") == "alive"]
+        found = [
+            str(each.get("address", "")).rpartition(":")
+            for each in members
+            if each.get("standing") == "alive"
+        ]
         return [self.elsewhere(host, int(port)) for host, _, port in found if port.isdecimal()]
 
     def sleep(self, seconds: float) -> None:
         """Let time pass."""
         self._hub.sleep(int(seconds * SECOND))
 
-    def at_leader(self, path: str, value: dict[str, Any] | None, method: str = "POST") -> dict[str, Any]:
+    def at_leader(
+        self, path: str, value: dict[str, Any] | None, method: str = "POST"
+    ) -> dict[str, Any]:
         """A call to whoever leads the voters: this placer, or the one that it names."""
         answer = self.exchange(method, path, value)
         for _ in range(LEADERS_MOST):
@@ -123,8 +143,10 @@
         selector = quote(f"metadata.name={meta['name']}")
         version = ""
         while True:
-            target = (f"{self._path('jobs', meta['namespace'])}?watch=true&fieldSelector={selector}"
-                      + (f"&resourceVersion={version}" if version else ""))
+            target = (
+                f"{self._path('jobs', meta['namespace'])}?watch=true&fieldSelector={selector}"
+                + (f"&resourceVersion={version}" if version else "")
+            )
             try:
                 for kind, value in watch(self._pool, target, self._until()):
                     version = value["metadata"]["resourceVersion"]
@@ -132,7 +154,9 @@
                         return "deleted", ""
                     for each in value.get("status", {}).get("conditions", []):
                         if each["type"] in ("Placed", "Failed"):
-                            answer = "placed" if each["type"] == "Placed" else each["reason"].lower()
+                            answer = (
+                                "placed" if each["type"] == "Placed" else each["reason"].lower()
+                            )
                             return answer, each.get("message", "")
             except ApiError as error:
                 if error.code != 410:
@@ -141,22 +165,39 @@
             except (CallFailed, ValueError) as error:
                 raise CommandFailed(str(error)) from None
 
-    def get(self, kind: str, name: str | None, namespace: str, selector: str, as_json: bool) -> Iterator[str]:
+    def get(
+        self, kind: str, name: str | None, namespace: str, selector: str, as_json: bool
+    ) -> Iterator[str]:
         """Lines about objects."""
         try:
             if name:
-                found = [call(self._pool, "GET", f"{self._path(kind, namespace or 'default')}/{quote(name)}",
-                              until_us=self._until())]
+                found = [
+                    call(
+                        self._pool,
+                        "GET",
+                        f"{self._path(kind, namespace or 'default')}/{quote(name)}",
+                        until_us=self._until(),
+                    )
+                ]
             else:
                 query = f"labelSelector={quote(selector)}" if selector else ""
-                found, _ = list_all(self._pool, self._path(kind, namespace), query, 500, self._until())
+                found, _ = list_all(
+                    self._pool, self._path(kind, namespace), query, 500, self._until()
+                )
         except (ApiError, CallFailed, ValueError) as error:
             raise CommandFailed(str(error)) from None
         for value in found:
             yield json.dumps(value) if as_json else describe(kind, value)
 
-    def watch(self, kind: str, namespace: str, selector: str, seconds: int | None, as_json: bool,
-              show: Callable[[str], Any]) -> None:
+    def watch(
+        self,
+        kind: str,
+        namespace: str,
+        selector: str,
+        seconds: int | None,
+        as_json: bool,
+        show: Callable[[str], Any],
+    ) -> None:
         """Show events until the time is over; resume where a connection breaks, list again after 410."""
         end = None if seconds is None else self._hub.now_us() + seconds * SECOND
         version = ""
@@ -166,11 +207,16 @@
             query += f"&labelSelector={quote(selector)}" if selector else ""
             query += f"&resourceVersion={version}" if version else ""
             try:
-                for event, value in watch(self._pool, f"{self._path(kind, namespace)}?{query}", self._until()):
+                for event, value in watch(
+                    self._pool, f"{self._path(kind, namespace)}?{query}", self._until()
+                ):
                     version = value["metadata"]["resourceVersion"]
                     if event != "BOOKMARK":
-                        show(json.dumps({"type": event, "object": value}) if as_json
-                             else f"{event:<9}{describe(kind, value)}")
+                        show(
+                            json.dumps({"type": event, "object": value})
+                            if as_json
+                            else f"{event:<9}{describe(kind, value)}"
+                        )
             except ApiError as error:
                 if error.code != 410:
                     raise CommandFailed(str(error)) from None
@@ -198,11 +244,17 @@
                 continue
             before = self._last.get(number, Count(0, 0))
             # One that began anew counts from nothing: its former answers stay in the sum.
-            self._last[number] = told if told.answers >= before.answers else Count(
-                before.answers + told.answers, before.bad + told.bad)
+            self._last[number] = (
+                told
+                if told.answers >= before.answers
+                else Count(before.answers + told.answers, before.bad + told.bad)
+            )
         if not self._last and failed is not None:
             raise failed
-        return Count(sum(each.answers for each in self._last.values()), sum(each.bad for each in self._last.values()))
+        return Count(
+            sum(each.answers for each in self._last.values()),
+            sum(each.bad for each in self._last.values()),
+        )
 
     @property
     def placers(self) -> int:
@@ -231,8 +283,12 @@
     name = f"{meta['namespace']}/{meta['name']}" if meta.get("namespace") else str(meta.get("name"))
     if kind == "jobs":
         status = value.get("status", {})
-        words = ",".join(f"{each['type']}({each['reason']})" for each in status.get("conditions", []))
-        figures = " ".join(f"{key}={status.get(key, 0)}" for key in ("active", "ready", "succeeded", "failed"))
+        words = ",".join(
+            f"{each['type']}({each['reason']})" for each in status.get("conditions", [])
+        )
+        figures = " ".join(
+            f"{key}={status.get(key, 0)}" for key in ("active", "ready", "succeeded", "failed")
+        )
         return f"{name}  {figures}  {words or 'asked'}"
     if kind == "nodes":
         state = "draining" if value.get("spec", {}).get("unschedulable") else "running"
--- a/wingbarrow/cli/drains.py
+++ b/wingbarrow/cli/drains.py
@@ -37,12 +37,24 @@
         entry = read_node(value, 0)
         labels = value["metadata"].get("labels") or {}
         capacity = value.get("status", {}).get("allocatable", {})
-        size = parse_size(str(capacity.get("cpu", "1"))), parse_size(str(capacity.get("memory", "1Gi"))) / 2**30
+        size = (
+            parse_size(str(capacity.get("cpu", "1"))),
+            parse_size(str(capacity.get("memory", "1Gi"))) / 2**30,
+        )
         free = entry.listed.free_cores, entry.listed.free_memory
         asked = tuple(max(0.0, size[i] - free[i]) if free[i] == free[i] else 0.0 for i in (0, 1))
-        out.append(MachineState(entry.name, str(labels.get(names.CELL, entry.name)), entry.listed.zone,
-                                entry.listed.kind, labels, size, (asked[0], asked[1]),
-                                entry.listed.phase.value == "running"))
+        out.append(
+            MachineState(
+                entry.name,
+                str(labels.get(names.CELL, entry.name)),
+                entry.listed.zone,
+                entry.listed.kind,
+                labels,
+                size,
+                (asked[0], asked[1]),
+                entry.listed.phase.value == "running",
+            )
+        )
     return out
 
 
@@ -52,7 +64,9 @@
 @click.option("--plot", type=click.Path(path_type=Path), help="Write a timeline here (PNG).")
 @click.option("--from", "begin", help="Plan from this time (RFC 3339) on, not from now.")
 @URL
-def plan_command(calendars: tuple[Path, ...], days: int, plot: Path | None, begin: str | None, url: str) -> None:
+def plan_command(
+    calendars: tuple[Path, ...], days: int, plot: Path | None, begin: str | None, url: str
+) -> None:
     """Show what would happen, before it does: calendars on the machines that a placer sees now."""
     if plot is not None:
         need_plots()
@@ -64,15 +78,21 @@
         sys.exit(2)
     except ValueError:
         raise click.BadParameter(f"not a time: {begin}") from None
-    nodes = with_client(url, lambda client: [json.loads(line) for line in client.get("nodes", None, "", "", True)])
+    nodes = with_client(
+        url, lambda client: [json.loads(line) for line in client.get("nodes", None, "", "", True)]
+    )
     try:
         states = _states(nodes)
     except ValueError as error:
         raise click.ClickException(f"a Node of {url} cannot be read: {error}") from None
-    found = plan(expand_all(calendar.series, start, start + days * 86_400 * SECOND), states, calendar.rules)
+    found = plan(
+        expand_all(calendar.series, start, start + days * 86_400 * SECOND), states, calendar.rules
+    )
     for drain in found:
-        click.echo(f"{drain.machine:<20}{drain.fate.value:<9}{_when(drain.start_us)} to {_when(drain.end_us)}  "
-                   f"{drain.window}{'  ' + drain.reason if drain.reason else ''}")
+        click.echo(
+            f"{drain.machine:<20}{drain.fate.value:<9}{_when(drain.start_us)} to {_when(drain.end_us)}  "
+            f"{drain.window}{'  ' + drain.reason if drain.reason else ''}"
+        )
     if plot is not None:
         timeline(found, plot)
 
@@ -80,16 +100,22 @@
 def timeline(found: list[Drain], path: Path) -> None:
     """A bar for each machine and drain; refused ones hollow."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import dates, pyplot
+
     machines = sorted({drain.machine for drain in found}, reverse=True)
     figure, axes = pyplot.subplots(figsize=(10, 1.5 + 0.22 * len(machines)))
     for drain in found:
         begin = datetime.fromtimestamp(drain.start_us / SECOND, UTC)
         end = datetime.fromtimestamp(drain.end_us / SECOND, UTC)
-        axes.barh(machines.index(drain.machine), dates.date2num(end) - dates.date2num(begin),
-                  left=dates.date2num(begin), color="C0" if drain.fate.value == "planned" else "none",
-                  edgecolor="C0" if drain.fate.value == "planned" else "C3")
+        axes.barh(
+            machines.index(drain.machine),
+            dates.date2num(end) - dates.date2num(begin),
+            left=dates.date2num(begin),
+            color="C0" if drain.fate.value == "planned" else "none",
+            edgecolor="C0" if drain.fate.value == "planned" else "C3",
+        )
     axes.set_yticks(range(len(machines)), machines, fontsize=7)
     axes.xaxis_date()
     axes.set_title("planned drains (hollow: refused)")
@@ -103,10 +129,14 @@
 @URL
 def status(url: str) -> None:
     """Drains that a placer knows, with their phase."""
+
     def call(client: Client) -> None:
         for each in client.exchange("GET", "drains")["items"]:
-            click.echo(f"{each['key']:<44}{each['phase']:<10}{_when(each['startUs'])} to {_when(each['endUs'])}  "
-                       f"moved {each['moved']}{'  late' if each['late'] else ''}  {each['reason']}")
+            click.echo(
+                f"{each['key']:<44}{each['phase']:<10}{_when(each['startUs'])} to {_when(each['endUs'])}  "
+                f"moved {each['moved']}{'  late' if each['late'] else ''}  {each['reason']}"
+            )
+
     with_client(url, call)
 
 
@@ -123,8 +153,11 @@
 def _unheard(told: dict[str, Any]) -> None:
     """Danger, said to whoever asked: who goes by a floor hears of it later."""
     for each in told.get("floors", []):
-        click.echo(f"a placer that is cut off may not hear of it for up to {each['lastsUs'] / SECOND:g} s "
-                   f"(floor {each['number']})", err=True)
+        click.echo(
+            f"a placer that is cut off may not hear of it for up to {each['lastsUs'] / SECOND:g} s "
+            f"(floor {each['number']})",
+            err=True,
+        )
 
 
 @drains.command()
@@ -133,6 +166,8 @@
 @URL
 def now(machine: str, lasts: str, url: str) -> None:
     """Drain a machine from now on, under the same budgets. Where placers agree on rules, at all of them."""
-    made = with_client(url, lambda client: client.at_leader("drains", {"machine": machine, "lasts": lasts}))
+    made = with_client(
+        url, lambda client: client.at_leader("drains", {"machine": machine, "lasts": lasts})
+    )
     click.echo(made["key"])
     _unheard(made)
--- a/wingbarrow/cli/fleet.py
+++ b/wingbarrow/cli/fleet.py
@@ -28,6 +28,7 @@
 @URL
 def limits(as_json: bool, url: str) -> None:
     """Who holds how much of each limit, what of it is used and wanted, and how old that news is."""
+
     def call(client: Client) -> None:
         told = _leaders(client, "limits", "accounts")
         if as_json:
@@ -36,12 +37,17 @@
         if not told.get("accounts"):
             click.echo("the rules have no limits of the whole fleet")
         for each in told.get("accounts", []):
-            click.echo(f"{each['limit']}: {each['most']} in all, {each['free']} with nobody, "
-                       f"{each['owed']} owed by former lives")
+            click.echo(
+                f"{each['limit']}: {each['most']} in all, {each['free']} with nobody, "
+                f"{each['owed']} owed by former lives"
+            )
             for held in each["held"]:
                 state = "lapsed" if held["lapsed"] else f"{held['ageUs'] / 1e6:.1f} s ago"
-                click.echo(f"  {held['placer']}: may {held['share']}, stated {held['uses']}, wants {held['wants']}, "
-                           f"counts as {held['counts']}; {state}")
+                click.echo(
+                    f"  {held['placer']}: may {held['share']}, stated {held['uses']}, wants {held['wants']}, "
+                    f"counts as {held['counts']}; {state}"
+                )
+
     with_client(url, call)
 
 
@@ -51,6 +57,7 @@
 @URL
 def verdicts(machine: str | None, as_json: bool, url: str) -> None:
     """Machines that verdicts close for the whole fleet, and those that were found bad and left open."""
+
     def call(client: Client) -> None:
         told = _leaders(client, "verdicts", "items")
         if as_json:
@@ -58,9 +65,16 @@
             return
         items = [each for each in told["items"] if machine in (None, each["machine"])]
         for each in items:
-            state = f"ended: {each['ended']}" if each["ended"] else (
-                f"for {each['leftUs'] / 1e6:.1f} s more, tried for all by {each['prober'] or 'nobody yet'}")
-            click.echo(f"{each['machine']}: {each['ageUs'] / 1e6:.1f} s old, by {', '.join(each['by'])}; {state}")
+            state = (
+                f"ended: {each['ended']}"
+                if each["ended"]
+                else (
+                    f"for {each['leftUs'] / 1e6:.1f} s more, tried for all by {each['prober'] or 'nobody yet'}"
+                )
+            )
+            click.echo(
+                f"{each['machine']}: {each['ageUs'] / 1e6:.1f} s old, by {', '.join(each['by'])}; {state}"
+            )
         spared = {name: why for name, why in told["spared"].items() if machine in (None, name)}
         for name, why in spared.items():
             click.echo(f"{name}: left open: {why}")
@@ -68,9 +82,12 @@
             if machine is not None and machine in each["evidence"]:
                 failed, tried = each["evidence"][machine]
                 where = f" of {each['region']}" if each["region"] else ""
-                click.echo(f"  {each['placer']}{where}: {failed} of {tried} starts failed; "
-                           f"{each['bad']} of {each['tried']} machines bad; "
-                           f"{each['ageUs'] / 1e6:.1f} s ago")
+                click.echo(
+                    f"  {each['placer']}{where}: {failed} of {tried} starts failed; "
+                    f"{each['bad']} of {each['tried']} machines bad; "
+                    f"{each['ageUs'] / 1e6:.1f} s ago"
+                )
         if not items and not spared:
             click.echo("nothing is held against " + (machine or "any machine"))
+
     with_client(url, call)
--- a/wingbarrow/cli/labfleet.py
+++ b/wingbarrow/cli/labfleet.py
@@ -23,26 +23,72 @@
 @click.command()
 @click.option("--placers", type=click.IntRange(2, 64), default=5, show_default=True)
 @click.option("--machines", type=click.IntRange(3, 1000), default=10, show_default=True)
-@click.option("--regions", type=click.IntRange(2, len(REGIONS)), help="Deal placers and machines out to so many; "
-              "none without it.")
-@click.option("--leases/--no-leases", default=True, show_default=True,
-              help="With regions: classes and federation specs whose work is leased.")
-@click.option("--lease", type=click.FloatRange(1, 300), default=10.0, show_default=True, help="Seconds.")
-@click.option("--after", type=click.FloatRange(1, 3600), default=12.0, show_default=True,
-              help="Seconds until a lost region's work is issued again.")
-@click.option("--subsets", type=click.IntRange(1, 64), help="Have each machine held by so many of its region's "
-              "placers alone.")
-@click.option("--script", type=click.Path(path_type=Path, exists=True), help="Faults in KDL; from the seed without it.")
+@click.option(
+    "--regions",
+    type=click.IntRange(2, len(REGIONS)),
+    help="Deal placers and machines out to so many; none without it.",
+)
+@click.option(
+    "--leases/--no-leases",
+    default=True,
+    show_default=True,
+    help="With regions: classes and federation specs whose work is leased.",
+)
+@click.option(
+    "--lease", type=click.FloatRange(1, 300), default=10.0, show_default=True, help="Seconds."
+)
+@click.option(
+    "--after",
+    type=click.FloatRange(1, 3600),
+    default=12.0,
+    show_default=True,
+    help="Seconds until a lost region's work is issued again.",
+)
+@click.option(
+    "--subsets",
+    type=click.IntRange(1, 64),
+    help="Have each machine held by so many of its region's placers alone.",
+)
+@click.option(
+    "--script",
+    type=click.Path(path_type=Path, exists=True),
+    help="Faults in KDL; from the seed without it.",
+)
 @click.option("--seed", type=click.IntRange(0, 1 << 31), default=1, show_default=True)
 @click.option("--seconds", type=click.FloatRange(5, 3600), default=30.0, show_default=True)
-@click.option("--rate", type=click.FloatRange(0.1, 1000), default=8.0, show_default=True, help="Tasks a second.")
-@click.option("--out", type=click.Path(path_type=Path), help="What the run leaves, to be judged again; a temporary "
-              "folder without it.")
-@click.option("--judge", "again", type=click.Path(path_type=Path, exists=True),
-              help="Judge what a run left; play none.")
-def fleet(placers: int, machines: int, regions: int | None, leases: bool, lease: float, after: float,
-          subsets: int | None, script: Path | None, seed: int, seconds: float, rate: float, out: Path | None,
-          again: Path | None) -> None:
+@click.option(
+    "--rate",
+    type=click.FloatRange(0.1, 1000),
+    default=8.0,
+    show_default=True,
+    help="Tasks a second.",
+)
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    help="What the run leaves, to be judged again; a temporary folder without it.",
+)
+@click.option(
+    "--judge",
+    "again",
+    type=click.Path(path_type=Path, exists=True),
+    help="Judge what a run left; play none.",
+)
+def fleet(
+    placers: int,
+    machines: int,
+    regions: int | None,
+    leases: bool,
+    lease: float,
+    after: float,
+    subsets: int | None,
+    script: Path | None,
+    seed: int,
+    seconds: float,
+    rate: float,
+    out: Path | None,
+    again: Path | None,
+) -> None:
     """Real placers as processes, with faults between them; the last line is the judge's verdict, exit 1 if broken."""
     if again is not None:
         verdict = judge(again)
@@ -53,12 +99,17 @@
             raise click.BadParameter("--regions: each needs a placer and a machine of its own")
         if (subsets or 0) > placers // (regions or 1):
             raise click.BadParameter("--subsets: more than there are placers in a region")
-        size = Size(placers, machines, seconds, seed, rate, regions or 0, leases, lease, after, subsets or 0)
+        size = Size(
+            placers, machines, seconds, seed, rate, regions or 0, leases, lease, after, subsets or 0
+        )
         try:
             verdict = _play(size, _faults(size, script), out)
         except (BadScript, TimeoutError, NotStarted) as error:
-            words = str(error) if isinstance(error, BadScript) else (
-                f"the fleet did not start: {error}; logs: {out or 'see --out'}")
+            words = (
+                str(error)
+                if isinstance(error, BadScript)
+                else (f"the fleet did not start: {error}; logs: {out or 'see --out'}")
+            )
             click.echo(words, err=True)
             sys.exit(2)
     for note in verdict.notes:
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -23,6 +23,7 @@
 from wingbarrow.transport import Hub, Nursery
 from wingbarrow.transport.signals import on_signals
 
+
 @click.group()
 @click.version_option(package_name="wingbarrow")
 def main() -> None:
@@ -61,30 +62,40 @@
     settings = settings_or_exit(file)
     hub = Hub()
     log = Log(hub.now_us)
-    hub.complain = lambda task, error: log("task-failed", level="error", task=task,
-                                           why=f"{type(error).__name__}: {error}")
+    hub.complain = lambda task, error: log(
+        "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
+    )
 
     def run() -> None:
         service = Service(hub, settings, log)
         with Nursery(hub) as nursery:
+
             def reload() -> None:
                 fresh = reload_file(file, service.placer.base.settings, log)
                 if fresh is not None:
                     service.placer.take_settings(fresh)
                     log("settings-taken", file=str(file))
+
             def end() -> None:
                 service.placer.peering.leave()
                 nursery.cancel()
 
             def ask_to_end() -> None:
                 nursery.spawn(end, "end")
-            nursery.spawn(on_signals(hub, {signal.SIGINT: ask_to_end, signal.SIGTERM: ask_to_end,
-                                           signal.SIGHUP: reload}), "signals")
+
+            nursery.spawn(
+                on_signals(
+                    hub,
+                    {signal.SIGINT: ask_to_end, signal.SIGTERM: ask_to_end, signal.SIGHUP: reload},
+                ),
+                "signals",
+            )
             # Danger: who reads this may send a signal at once, which would end a process that hears none yet.
             click.echo(json.dumps({"kind": "placer", "name": settings.name, "url": service.url}))
             sys.stdout.flush()
             service.run()
             nursery.cancel()
+
     try:
         hub.run(run)
     except OSError as error:
@@ -96,7 +107,9 @@
 @click.argument("file", type=click.File("rb"))
 @click.option("--namespace", "-n", default="default", show_default=True)
 @click.option("--dry-run", is_flag=True, help="Check the Job; keep nothing.")
-@click.option("--wait", is_flag=True, help="Wait for the answer; exit 3 where it is refused or failed.")
+@click.option(
+    "--wait", is_flag=True, help="Wait for the answer; exit 3 where it is refused or failed."
+)
 @URL
 def submit(file: Any, namespace: str, dry_run: bool, wait: bool, url: str) -> None:
     """Submit the Job in FILE (JSON; - for standard input)."""
@@ -110,6 +123,7 @@
         answer, words = client.wait_for_answer(job)
         click.echo(f"{answer}{': ' + words if words else ''}")
         return 0 if answer == "placed" else 3
+
     sys.exit(with_client(url, call))
 
 
@@ -120,11 +134,15 @@
 @click.option("--selector", "-l", default="", help="Label selector.")
 @click.option("--json", "as_json", is_flag=True, help="Print the objects.")
 @URL
-def get(kind: str, name: str | None, namespace: str, selector: str, as_json: bool, url: str) -> None:
+def get(
+    kind: str, name: str | None, namespace: str, selector: str, as_json: bool, url: str
+) -> None:
     """List Jobs, Nodes or Events, or show one."""
+
     def call(client: Client) -> None:
         for line in client.get(kind, name, namespace, selector, as_json):
             click.echo(line)
+
     with_client(url, call)
 
 
@@ -135,8 +153,12 @@
 @click.option("--seconds", type=click.IntRange(1, 86400), help="End after so long.")
 @click.option("--json", "as_json", is_flag=True)
 @URL
-def watch(kind: str, namespace: str, selector: str, seconds: int | None, as_json: bool, url: str) -> None:
+def watch(
+    kind: str, namespace: str, selector: str, seconds: int | None, as_json: bool, url: str
+) -> None:
     """Watch Jobs, Nodes or Events; goes on over broken connections."""
+
     def call(client: Client) -> None:
         client.watch(kind, namespace, selector, seconds, as_json, click.echo)
+
     with_client(url, call)
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -28,7 +28,8 @@
     "risked: what was decided without this voter is gone, and what was proposed and not decided may come to be;",
     "risked: placers go by rules of the voters that are lost until their grants, and floors, have lapsed;",
     "risked: a lost voter that comes back with its store, out of touch with this one, could decide as before: "
-    "remove those stores for good")
+    "remove those stores for good",
+)
 
 
 @click.group()
@@ -76,9 +77,17 @@
     return keeping_drains(_version(state, number), read(json.dumps(state["versions"][-1]["rules"])))
 
 
-def _propose(client: Client, wanted: RuleSet, base: int, why: str, dry_run: bool, lasts_us: int | None = None) -> None:
-    value: dict[str, Any] = {"ident": f"cli-{secrets.token_hex(8)}", "rules": json.loads(wanted.text()), "base": base,
-                             "by": "an operator", "why": why, "dryRun": dry_run}
+def _propose(
+    client: Client, wanted: RuleSet, base: int, why: str, dry_run: bool, lasts_us: int | None = None
+) -> None:
+    value: dict[str, Any] = {
+        "ident": f"cli-{secrets.token_hex(8)}",
+        "rules": json.loads(wanted.text()),
+        "base": base,
+        "by": "an operator",
+        "why": why,
+        "dryRun": dry_run,
+    }
     if lasts_us is not None:
         value["lastsUs"] = lasts_us
     try:
@@ -90,21 +99,46 @@
     if dry_run:
         click.echo("it would be accepted")
     else:
-        click.echo(f"accepted: version {told['version']}; edition {told['edition']} in force, {told['steps']} to come")
+        click.echo(
+            f"accepted: version {told['version']}; edition {told['edition']} in force, {told['steps']} to come"
+        )
 
 
 @rules.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--base", type=click.IntRange(0), help="The version that it changes; the present one without it.")
+@click.option(
+    "--base",
+    type=click.IntRange(0),
+    help="The version that it changes; the present one without it.",
+)
 @click.option("--why", default="", help="For the history.")
-@click.option("--dry-run", is_flag=True, help="Say what would change, and whether it would be accepted.")
-@click.option("--watch", "watch_s", type=click.FloatRange(1, 3600), help="Look at all placers' answers for so many "
-              "seconds before and after; take the change back, and exit 3, where they get worse.")
-@click.option("--bound", type=click.FloatRange(0, 1), default=0.05, show_default=True,
-              help="With --watch: by how much the share of answers that place nothing may rise.")
+@click.option(
+    "--dry-run", is_flag=True, help="Say what would change, and whether it would be accepted."
+)
+@click.option(
+    "--watch",
+    "watch_s",
+    type=click.FloatRange(1, 3600),
+    help="Look at all placers' answers for so many "
+    "seconds before and after; take the change back, and exit 3, where they get worse.",
+)
+@click.option(
+    "--bound",
+    type=click.FloatRange(0, 1),
+    default=0.05,
+    show_default=True,
+    help="With --watch: by how much the share of answers that place nothing may rise.",
+)
 @URL
-def propose(file: Path, base: int | None, why: str, dry_run: bool, watch_s: float | None, bound: float,
-            url: str) -> None:
+def propose(
+    file: Path,
+    base: int | None,
+    why: str,
+    dry_run: bool,
+    watch_s: float | None,
+    bound: float,
+    url: str,
+) -> None:
     """Propose the rules that FILE's settings hold; exit 1 where they are not accepted."""
     asked = _rules_of(file)
 
@@ -130,6 +164,7 @@
         at = fleet.count()
         trial = Trial(at.since(begun), at, bound, int(watch_s * SECOND))
         return _watch(client, fleet, trial, watch_s, version)
+
     sys.exit(with_client(url, call))
 
 
@@ -141,15 +176,24 @@
         passed += step
         advice = trial.judge(int(passed * SECOND), fleet.count())
         if advice is Advice.KEEP:
-            click.echo(f"kept: of {trial.after.answers} answers of {fleet.placers} placer(s) {trial.after.share:.1%} "
-                       f"placed nothing, {trial.rise:+.1%} beside before")
+            click.echo(
+                f"kept: of {trial.after.answers} answers of {fleet.placers} placer(s) {trial.after.share:.1%} "
+                f"placed nothing, {trial.rise:+.1%} beside before"
+            )
             return 0
         if advice is Advice.BACK:
-            click.echo(f"of {trial.after.answers} answers {trial.after.share:.1%} placed nothing, {trial.rise:+.1%} "
-                       f"beside before: back to version {before}")
+            click.echo(
+                f"of {trial.after.answers} answers {trial.after.share:.1%} placed nothing, {trial.rise:+.1%} "
+                f"beside before: back to version {before}"
+            )
             state = _voter(client)
-            _propose(client, _back(state, before), state["version"], f"back to version {before}: answers got worse",
-                     False)
+            _propose(
+                client,
+                _back(state, before),
+                state["version"],
+                f"back to version {before}: answers got worse",
+                False,
+            )
             return 3
 
 
@@ -158,15 +202,19 @@
 @URL
 def rollback(number: int, url: str) -> None:
     """Propose an earlier version anew; drains asked for, or taken back, since then stay as they are."""
+
     def call(client: Client) -> None:
         state = _voter(client)
         _propose(client, _back(state, number), state["version"], f"back to version {number}", False)
+
     with_client(url, call)
 
 
 @rules.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--lasts", required=True, help="How long one may go on by it without hearing of anybody, as 1h.")
+@click.option(
+    "--lasts", required=True, help="How long one may go on by it without hearing of anybody, as 1h."
+)
 @URL
 def floor(file: Path, lasts: str, url: str) -> None:
     """Have the rules of FILE's settings be the floor: what a placer that is cut off goes on by."""
@@ -183,21 +231,30 @@
 @URL
 def status(as_json: bool, url: str) -> None:
     """What a placer acts on; at a voter also what was decided, at the leader who holds what."""
+
     def call(client: Client) -> None:
         state = _state(client)
         if as_json:
             click.echo(json.dumps(state))
             return
         left_s = state["grantLeftUs"] / 1e6
-        click.echo(f"{state['placer']} acts on {state['label'] or 'nothing'} for {left_s:.1f} s more; "
-                   f"version {state['version']}, leader {state['leader'] or 'unknown'}")
+        click.echo(
+            f"{state['placer']} acts on {state['label'] or 'nothing'} for {left_s:.1f} s more; "
+            f"version {state['version']}, leader {state['leader'] or 'unknown'}"
+        )
         if "voters" in state:
-            click.echo(f"edition {state['edition']} in force, {state['steps']} steps to come, "
-                       f"{len(state['floors'])} floors; voters {', '.join(state['voters'])}")
+            click.echo(
+                f"edition {state['edition']} in force, {state['steps']} steps to come, "
+                f"{len(state['floors'])} floors; voters {', '.join(state['voters'])}"
+            )
         for each in state.get("holders", []):
-            held = (f"for {each['leftUs'] / 1e6:.1f} s at most" if each["leftUs"] else
-                    f"lapsed {each['lapsedUs'] / 1e6:.1f} s ago: it is stopped, gone or cut off")
+            held = (
+                f"for {each['leftUs'] / 1e6:.1f} s at most"
+                if each["leftUs"]
+                else f"lapsed {each['lapsedUs'] / 1e6:.1f} s ago: it is stopped, gone or cut off"
+            )
             click.echo(f"  {each['placer']}: edition {each['edition']}, {held}")
+
     with_client(url, call)
 
 
@@ -205,9 +262,13 @@
 @URL
 def history(url: str) -> None:
     """All versions that are kept."""
+
     def call(client: Client) -> None:
         for each in _voter(client)["versions"]:
-            click.echo(f"{each['number']}  {each['digest']}  on {each['base']}  {each['by']}  {each['why']}")
+            click.echo(
+                f"{each['number']}  {each['digest']}  on {each['base']}  {each['by']}  {each['why']}"
+            )
+
     with_client(url, call)
 
 
@@ -217,10 +278,12 @@
 @URL
 def diff(one: int, other: int, url: str) -> None:
     """What version OTHER changes of version ONE."""
+
     def call(client: Client) -> None:
         state = _voter(client)
         for line in differences(_version(state, one), _version(state, other)):
             click.echo(line)
+
     with_client(url, call)
 
 
@@ -229,7 +292,12 @@
 @URL
 def voters(names: tuple[str, ...], url: str) -> None:
     """Make NAMES the voters: one more, or one less, than now."""
-    with_client(url, lambda client: click.echo(json.dumps(client.at_leader("rules/voters", {"voters": list(names)}))))
+    with_client(
+        url,
+        lambda client: click.echo(
+            json.dumps(client.at_leader("rules/voters", {"voters": list(names)}))
+        ),
+    )
 
 
 @rules.command()
@@ -240,7 +308,11 @@
     Never for a voter that has lost its store: leave it out (`rules voters`), and take it in under another name.
     """
     settings = _settings(file)
-    if settings.agree is None or settings.name not in settings.agree.voters or settings.state is None:
+    if (
+        settings.agree is None
+        or settings.name not in settings.agree.voters
+        or settings.state is None
+    ):
         click.echo(f"{file}: {settings.name} is no voter with a state folder", err=True)
         sys.exit(2)
     try:
@@ -253,7 +325,11 @@
 
 @rules.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--yes", is_flag=True, help="Do it; without this it is told what the store holds and what is risked.")
+@click.option(
+    "--yes",
+    is_flag=True,
+    help="Do it; without this it is told what the store holds and what is risked.",
+)
 def recover(file: Path, yes: bool) -> None:
     """Make the voter that FILE configures the only one, where a majority of voters is lost for good.
 
@@ -272,11 +348,15 @@
     agreed = from_text(disk.state)
     for entry in disk.log:
         agreed.apply(entry.kind, entry.body)
-    click.echo(f"{settings.name}: term {disk.term}, last entry {disk.last} of term {disk.term_at(disk.last)}, "
-               f"version {agreed.version}; voters {', '.join(disk.voters_now())}")
+    click.echo(
+        f"{settings.name}: term {disk.term}, last entry {disk.last} of term {disk.term_at(disk.last)}, "
+        f"version {agreed.version}; voters {', '.join(disk.voters_now())}"
+    )
     for line in RISKS:
         click.echo(line)
     if not yes:
         click.echo("nothing was done: add --yes")
         sys.exit(3)
-    click.echo(f"{settings.name} decides alone from its next start on; editions go on {EDITIONS_LEFT} further")
+    click.echo(
+        f"{settings.name} decides alone from its next start on; editions go on {EDITIONS_LEFT} further"
+    )
--- a/wingbarrow/config/__init__.py
+++ b/wingbarrow/config/__init__.py
@@ -14,6 +14,13 @@
 )
 
 __all__ = [
-    "ClassSettings", "Limits", "PeerAddress", "PlacerSettings", "SettingsError", "load_file", "load_text",
-    "parse_duration", "parse_size",
+    "ClassSettings",
+    "Limits",
+    "PeerAddress",
+    "PlacerSettings",
+    "SettingsError",
+    "load_file",
+    "load_text",
+    "parse_duration",
+    "parse_size",
 ]
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -30,7 +30,15 @@
 from wingbarrow.config.settings import parse_duration
 from wingbarrow.decide.drains import Budget, Rules, Scope
 from wingbarrow.decide.draining import Policy
-from wingbarrow.decide.windows import Blackout, Selector, Series, UnsafePolicy, check_rule, to_us, zone
+from wingbarrow.decide.windows import (
+    Blackout,
+    Selector,
+    Series,
+    UnsafePolicy,
+    check_rule,
+    to_us,
+    zone,
+)
 
 _FILE_MOST = 4 << 20
 _SERIES_MOST = 10_000
@@ -49,30 +57,62 @@
 
 def _share(value: Any) -> tuple[float, bool]:
     """A number, or a percentage in words; (figure, whether it is a share)."""
-    if isinstance(value, str) and value.endswith("%") and value[:-1].isdigit() and int(value[:-1]) <= 100:
+    if (
+        isinstance(value, str)
+        and value.endswith("%")
+        and value[:-1].isdigit()
+        and int(value[:-1]) <= 100
+    ):
         return int(value[:-1]) / 100, True
     if isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= 1_000_000:
         return float(value), False
-    raise ValueError(f"a whole number or a percentage such as \"25%\" is wanted, not {value!r}")
-
-
-_MACHINES_SHAPE = Shape((), {part: (text, "") for part in ("name", "cell", "zone", "label")}, many=True)
-_SCHEMA = Shape(children={
-    "calendar": Shape((), {"zone": (text, "UTC")}),
-    "window": Shape((text,), {
-        "start": (text, NEEDED), "lasts": (read_duration, NEEDED), "each": (read_duration, 0), "repeats": (text, ""),
-        "zone": (text, ""), "precedence": (number(-1000, 1000, True), 0),
-        "unsafe": (word("wait", "shorten", "give-up"), "wait"),
-    }, {"machines": _MACHINES_SHAPE, "except": Shape((text,), many=True), "also": Shape((text,), many=True)},
-        many=True),
-    "blackout": Shape((text,), {"start": (text, NEEDED), "end": (text, NEEDED), "zone": (text, "")}, many=True),
-    "budget": Shape((), {"by": (word("cell", "zone", "region", "all"), NEEDED), "max-unavailable": (_share, None),
-                         "min-available": (_share, None)}, many=True),
-    "fill": Shape((number(0.05, 1.0),)),
-    "lead": Shape((read_duration,)),
-    "pace": Shape((), {"moves": (number(1, 10_000, True), 4), "every": (read_duration, 1_000_000)}),
-    "hall-failure": Shape((), {"share": (number(0.01, 1.0), 0.5), "take-back": (flag, True)}),
-})
+    raise ValueError(f'a whole number or a percentage such as "25%" is wanted, not {value!r}')
+
+
+_MACHINES_SHAPE = Shape(
+    (), {part: (text, "") for part in ("name", "cell", "zone", "label")}, many=True
+)
+_SCHEMA = Shape(
+    children={
+        "calendar": Shape((), {"zone": (text, "UTC")}),
+        "window": Shape(
+            (text,),
+            {
+                "start": (text, NEEDED),
+                "lasts": (read_duration, NEEDED),
+                "each": (read_duration, 0),
+                "repeats": (text, ""),
+                "zone": (text, ""),
+                "precedence": (number(-1000, 1000, True), 0),
+                "unsafe": (word("wait", "shorten", "give-up"), "wait"),
+            },
+            {
+                "machines": _MACHINES_SHAPE,
+                "except": Shape((text,), many=True),
+                "also": Shape((text,), many=True),
+            },
+            many=True,
+        ),
+        "blackout": Shape(
+            (text,), {"start": (text, NEEDED), "end": (text, NEEDED), "zone": (text, "")}, many=True
+        ),
+        "budget": Shape(
+            (),
+            {
+                "by": (word("cell", "zone", "region", "all"), NEEDED),
+                "max-unavailable": (_share, None),
+                "min-available": (_share, None),
+            },
+            many=True,
+        ),
+        "fill": Shape((number(0.05, 1.0),)),
+        "lead": Shape((read_duration,)),
+        "pace": Shape(
+            (), {"moves": (number(1, 10_000, True), 4), "every": (read_duration, 1_000_000)}
+        ),
+        "hall-failure": Shape((), {"share": (number(0.01, 1.0), 0.5), "take-back": (flag, True)}),
+    }
+)
 
 
 def load_calendar(paths: Iterable[str | Path], kinds_needed: tuple[str, ...] = ()) -> Calendar:
@@ -85,10 +125,15 @@
             out = Calendar((*out.series, *read_ics(raw, str(path))), out.rules, out.policy)
         else:
             out = read_kdl(raw, str(path), out)
-        twice = [series.name for series in out.series[len(before):] if series.name in before]
+        twice = [series.name for series in out.series[len(before) :] if series.name in before]
         if twice:
-            raise SettingsError(str(path), [(_line_of(raw, name), f"window {name!r} stands in an earlier file too")
-                                            for name in twice])
+            raise SettingsError(
+                str(path),
+                [
+                    (_line_of(raw, name), f"window {name!r} stands in an earlier file too")
+                    for name in twice
+                ],
+            )
     if len(out.series) > _SERIES_MOST:
         raise SettingsError("calendar", [(1, f"more than {_SERIES_MOST} windows")])
     return out
@@ -109,7 +154,9 @@
     try:
         return raw.decode("utf-8")
     except UnicodeDecodeError as error:
-        raise SettingsError(str(path), [(raw.count(b"\n", 0, error.start) + 1, "not UTF-8")]) from None
+        raise SettingsError(
+            str(path), [(raw.count(b"\n", 0, error.start) + 1, "not UTF-8")]
+        ) from None
 
 
 def read_kdl(raw: str, name: str, base: Calendar) -> Calendar:
@@ -128,7 +175,12 @@
     seen: dict[str, int] = {}
     for node in top.children.get("window", []):
         if node.args[0] in seen:
-            problems.append((node.line, f"window {node.args[0]!r} was given before, in line {seen[node.args[0]]}"))
+            problems.append(
+                (
+                    node.line,
+                    f"window {node.args[0]!r} was given before, in line {seen[node.args[0]]}",
+                )
+            )
         seen[node.args[0]] = node.line
         try:
             series.append(_window(node, node.props["zone"] or default_zone))
@@ -138,7 +190,10 @@
     for node in top.children.get("blackout", []):
         try:
             tz = node.props["zone"] or default_zone
-            begin, end = to_us(_local(node.props["start"], tz)), to_us(_local(node.props["end"], tz))
+            begin, end = (
+                to_us(_local(node.props["start"], tz)),
+                to_us(_local(node.props["end"], tz)),
+            )
             if end <= begin:
                 raise ValueError("it ends before it starts")
             blackouts.append(Blackout(node.args[0], begin, end))
@@ -148,22 +203,38 @@
     for node in top.children.get("budget", []):
         most, least = node.props["max-unavailable"], node.props["min-available"]
         if (most is None) == (least is None):
-            problems.append((node.line, "budget: one of max-unavailable and min-available is wanted"))
+            problems.append(
+                (node.line, "budget: one of max-unavailable and min-available is wanted")
+            )
             continue
         figure, share = most if most is not None else least
-        budgets.append(Budget(Scope(node.props["by"]), figure if most is not None else None,
-                              figure if most is None else None, share))
+        budgets.append(
+            Budget(
+                Scope(node.props["by"]),
+                figure if most is not None else None,
+                figure if most is None else None,
+                share,
+            )
+        )
     if problems:
         raise SettingsError(name, problems)
     fill, lead, rules, policy = top.one("fill"), top.one("lead"), base.rules, base.policy
     return Calendar(
         (*base.series, *series),
-        Rules(tuple(budgets) or rules.budgets, (*rules.blackouts, *blackouts), fill.args[0] if fill else rules.fill,
-              rules.kinds_needed),
-        Policy(lead.args[0] if lead else policy.lead_us, top.get("pace", "moves", policy.moves),
-               top.get("pace", "every", policy.every_us) or policy.every_us,
-               top.get("hall-failure", "share", policy.failed_share),
-               top.get("hall-failure", "take-back", policy.take_back)))
+        Rules(
+            tuple(budgets) or rules.budgets,
+            (*rules.blackouts, *blackouts),
+            fill.args[0] if fill else rules.fill,
+            rules.kinds_needed,
+        ),
+        Policy(
+            lead.args[0] if lead else policy.lead_us,
+            top.get("pace", "moves", policy.moves),
+            top.get("pace", "every", policy.every_us) or policy.every_us,
+            top.get("hall-failure", "share", policy.failed_share),
+            top.get("hall-failure", "take-back", policy.take_back),
+        ),
+    )
 
 
 def _local(value: str, zone_name: str) -> datetime:
@@ -196,16 +267,30 @@
         key, _, value = label.partition("=")
         if label and not (key and value):
             raise ValueError(f"label: key=value is wanted, not {label[:60]!r}")
-        selectors.append(Selector(machines.props["name"], machines.props["cell"], machines.props["zone"],
-                                  (key, value) if label else None))
+        selectors.append(
+            Selector(
+                machines.props["name"],
+                machines.props["cell"],
+                machines.props["zone"],
+                (key, value) if label else None,
+            )
+        )
         if selectors[-1] == Selector():
             raise ValueError("machines: name=, cell=, zone= or label= is wanted")
     if not selectors:
         raise ValueError("no machines are named")
-    return Series(node.args[0], start, lasts, each or lasts, props["repeats"],
-                  tuple(_day_or_time(each.args[0], zone_name) for each in node.children.get("except", [])),
-                  tuple(_local(each.args[0], zone_name) for each in node.children.get("also", [])),
-                  tuple(selectors), props["precedence"], UnsafePolicy(props["unsafe"]))
+    return Series(
+        node.args[0],
+        start,
+        lasts,
+        each or lasts,
+        props["repeats"],
+        tuple(_day_or_time(each.args[0], zone_name) for each in node.children.get("except", [])),
+        tuple(_local(each.args[0], zone_name) for each in node.children.get("also", [])),
+        tuple(selectors),
+        props["precedence"],
+        UnsafePolicy(props["unsafe"]),
+    )
 
 
 def _check_length(lasts_us: int, each_us: int) -> None:
@@ -252,9 +337,14 @@
     elif "DURATION" in event:
         lasts = int(event["DURATION"].dt.total_seconds() * 1_000_000)
     else:
-        lasts = int(timedelta(days=1).total_seconds() * 1_000_000) if not isinstance(
-            event["DTSTART"].dt, datetime) else 0
-    each = parse_duration(str(event["X-WINGBARROW-EACH"])) if "X-WINGBARROW-EACH" in event else lasts
+        lasts = (
+            int(timedelta(days=1).total_seconds() * 1_000_000)
+            if not isinstance(event["DTSTART"].dt, datetime)
+            else 0
+        )
+    each = (
+        parse_duration(str(event["X-WINGBARROW-EACH"])) if "X-WINGBARROW-EACH" in event else lasts
+    )
     _check_length(lasts, each)
     rule = event["RRULE"].to_ical().decode() if "RRULE" in event else ""
     if rule:
@@ -262,12 +352,21 @@
     fields = dict(part.split("=", 1) for part in str(event[_MACHINES]).split(";") if "=" in part)
     unknown = set(fields) - {"name", "cell", "zone"}
     if unknown or not fields:
-        raise ValueError(f"{_MACHINES}: name=, cell= or zone= is wanted, not {str(event[_MACHINES])[:60]!r}")
-    return Series(ident, start, lasts, each, rule, tuple(_dates(event.get("EXDATE"))),
-                  tuple(_timed(each) for each in _dates(event.get("RDATE"))),
-                  (Selector(fields.get("name", ""), fields.get("cell", ""), fields.get("zone", "")),),
-                  int(str(event.get("X-WINGBARROW-PRECEDENCE", "0"))),
-                  UnsafePolicy(str(event.get("X-WINGBARROW-UNSAFE", "wait")).lower()))
+        raise ValueError(
+            f"{_MACHINES}: name=, cell= or zone= is wanted, not {str(event[_MACHINES])[:60]!r}"
+        )
+    return Series(
+        ident,
+        start,
+        lasts,
+        each,
+        rule,
+        tuple(_dates(event.get("EXDATE"))),
+        tuple(_timed(each) for each in _dates(event.get("RDATE"))),
+        (Selector(fields.get("name", ""), fields.get("cell", ""), fields.get("zone", "")),),
+        int(str(event.get("X-WINGBARROW-PRECEDENCE", "0"))),
+        UnsafePolicy(str(event.get("X-WINGBARROW-UNSAFE", "wait")).lower()),
+    )
 
 
 def _timed(value: datetime | date) -> datetime:
@@ -279,4 +378,6 @@
 def _dates(value: Any) -> list[Any]:
     if value is None:
         return []
-    return [each.dt for group in (value if isinstance(value, list) else [value]) for each in group.dts]
+    return [
+        each.dt for group in (value if isinstance(value, list) else [value]) for each in group.dts
+    ]
