--- a/benchmarks/capacity/module_cost.py
+++ b/benchmarks/capacity/module_cost.py
@@ -21,7 +21,7 @@
 from benchmarks.capacity.processes import InputLines, resident_mb, say
 from wingbarrow import interface as api
 from wingbarrow.config import load_text
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 
 S = 1_000_000
 CHANGES = 40
--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -81,7 +81,7 @@
 def memory_part(path: str) -> str:
     """The part of the program that a source file belongs to: one of `MEMORY_PARTS`, or "other"."""
     name = path.rpartition("/wingbarrow/")[2].removesuffix(".py")
-    if name.startswith("logic"):
+    if name.startswith(("scheduler", "placement", "machine_state")):
         return "module"
     return _PART_BY_FILE.get(name) or _PART_BY_PACKAGE.get(name.partition("/")[0], "other")
 
--- a/benchmarks/capacity/profile.py
+++ b/benchmarks/capacity/profile.py
@@ -23,7 +23,7 @@
     """Which part of the project a stack stands in."""
     while frame is not None:
         name = frame.f_code.co_filename.rpartition("/wingbarrow/")[2]
-        if name.startswith("logic"):
+        if name.startswith(("scheduler", "placement", "machine_state")):
             return "module"
         part = _BY_PACKAGE.get(name.partition("/")[0])
         if part is not None:
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -50,9 +50,9 @@
     ),
     (
         Mechanism(
-            "wingbarrow/logic_choice.py", "chooses among few machines for each task; the cold share"
+            "wingbarrow/placement.py", "chooses among few machines for each task; the cold share"
         ),
-        Mechanism("wingbarrow/logic_machines.py", "what is known of each machine"),
+        Mechanism("wingbarrow/machine_state.py", "what is known of each machine"),
         Mechanism(
             "wingbarrow/core/fleet.py", "the list through its guards to the module and the links"
         ),
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config import load_text
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 
 S = 1_000_000
 
--- a/tests/lab/direct.py
+++ b/tests/lab/direct.py
@@ -9,7 +9,7 @@
 from wingbarrow.kube.names import ident
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.wants import PATIENCE_US, Want
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 
 START_US, S = 120_000, 1_000_000
 
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -14,7 +14,7 @@
 from wingbarrow.lab.days import DAYS, Day, Play, play, run_day
 from wingbarrow.lab.troubles import generate
 from wingbarrow.lab.wants import Mix, draw
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 
 SEED = 11
 SCRIPTED = sorted(set(DAYS) - {"generated"})
--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -11,10 +11,10 @@
 from wingbarrow.core.logs import silent
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer, Server
-from wingbarrow.reader import settings_of
 from wingbarrow.relay.configuration import Address, Configuration
 from wingbarrow.relay.message import Cause, Code, Framer, Kind, Message, encode, with_cause
 from wingbarrow.relay.placer import Placer
+from wingbarrow.settings_parser import settings_of
 from wingbarrow.transport import (
     Hub,
     Listener,
--- a/tests/relay/test_deploy.py
+++ b/tests/relay/test_deploy.py
@@ -59,9 +59,11 @@
         "decide",
         "http",
         "interface",
-        "logic",
-        "reader",
+        "machine",
+        "placement",
         "relay",
+        "scheduler",
+        "settings",
         "transport",
     }
 
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -16,10 +16,10 @@
 from tests.relay.stage import MS, SETTINGS, Machine, S, Stage
 from tests.relay.test_configuration import GOOD, write
 from wingbarrow import interface as api
-from wingbarrow.reader import settings_of
 from wingbarrow.relay import setup
 from wingbarrow.relay.configuration import BadConfiguration, Configuration, load
 from wingbarrow.relay.message import Cause, Code, Kind, Message, with_cause
+from wingbarrow.settings_parser import settings_of
 from wingbarrow.transport import Stream
 
 ROOT = Path(__file__).parents[2]
--- a/tests/test_lint_debt.py
+++ b/tests/test_lint_debt.py
@@ -17,7 +17,8 @@
 WHOLE_TREES = {
     "tests/*": {"D1", "PLR2004"},
     "benchmarks/*": {"D1", "PLR2004"},
-    "wingbarrow/logic_*.py": {"D102"},
+    "wingbarrow/placement.py": {"D102"},
+    "wingbarrow/machine_state.py": {"D102"},
 }
 
 
--- a/tests/test_rem.py
+++ b/tests/test_rem.py
@@ -6,7 +6,7 @@
 
 from tests.conftest import Driver, S, binds, listed, settings, task_class
 from wingbarrow import interface as api
-from wingbarrow import logic_choice, logic_machines
+from wingbarrow import machine_state, placement
 
 
 def moves_at(load: float, refuge: float = 0.0, trials: int = 200) -> float:
@@ -28,14 +28,14 @@
 
 
 def test_the_chance_is_nothing_below_linear_between_and_certain_above() -> None:
-    assert moves_at(logic_choice.R_MIN - 0.02) == 0.0
-    middle = moves_at((logic_choice.R_MIN + logic_choice.R_MAX) / 2)
-    assert abs(middle - logic_choice.P_MAX / 2) < 0.12
-    assert moves_at(logic_choice.R_MAX + 0.02) == 1.0
+    assert moves_at(placement.R_MIN - 0.02) == 0.0
+    middle = moves_at((placement.R_MIN + placement.R_MAX) / 2)
+    assert abs(middle - placement.P_MAX / 2) < 0.12
+    assert moves_at(placement.R_MAX + 0.02) == 1.0
 
 
 def test_no_move_without_a_fitting_machine_below_its_minimum() -> None:
-    assert moves_at(1.2, refuge=logic_choice.R_MIN + 0.05) == 0.0
+    assert moves_at(1.2, refuge=placement.R_MIN + 0.05) == 0.0
 
 
 def test_the_pick_is_among_the_least_loaded_candidates() -> None:
@@ -134,10 +134,7 @@
         for i in range(20)
         for bind in binds(driver.arrive(i, service="shop", cores=0.1))
     ]
-    assert (
-        chosen[: logic_choice.MAX_STARTS * logic_choice.WARM_TIMES]
-        == [inactive.listed.machine] * 16
-    )
+    assert chosen[: placement.MAX_STARTS * placement.WARM_TIMES] == [inactive.listed.machine] * 16
     assert len(chosen) == 20
     assert inactive.listed.machine not in chosen[16:]
 
@@ -161,11 +158,11 @@
             (bind,) = binds(driver.arrive(i, service=f"s{i}", cores=0.1))
             driver.placed(i, bind.machine)
             used[-1].add(bind.machine)
-    assert len(used[1]) == logic_machines.LEAST_LOADED < len(used[0])
+    assert len(used[1]) == machine_state.LEAST_LOADED < len(used[0])
 
 
 def test_a_placer_alone_starts_more_at_a_time_on_a_machine() -> None:
-    for placers, most in ((1, logic_choice.STARTS_SHARED), (4, logic_choice.MAX_STARTS)):
+    for placers, most in ((1, placement.STARTS_SHARED), (4, placement.MAX_STARTS)):
         driver = Driver(settings(placers=placers))
         driver.listing(listed(1))
         assert sum(len(binds(driver.arrive(i, cores=0.1))) for i in range(20)) == most
@@ -176,7 +173,7 @@
     driver.listing(listed(1, free=12.0))
     events: list[tuple[int, float]] = []  # what own binds and ends changed, and when
     bound: dict[int, int] = {}
-    heard, as_of = 8.0, driver.now - logic_machines.VIEW_LAG_US
+    heard, as_of = 8.0, driver.now - machine_state.VIEW_LAG_US
     for step in range(400):
         driver.now += pick.randrange(200_000)
         if pick.random() < 0.5:
@@ -190,7 +187,7 @@
             driver.end(request, 1, api.Outcome.UNREACHABLE if never_ran else api.Outcome.BROKEN)
             events.append((sent if never_ran else driver.now, -0.25))
         else:
-            heard, as_of = pick.choice((4.0, 8.0)), driver.now - logic_machines.VIEW_LAG_US
+            heard, as_of = pick.choice((4.0, 8.0)), driver.now - machine_state.VIEW_LAG_US
             driver.listing(listed(1, free=20.0 - heard), form=api.ListForm.CHANGES)
         anew = heard + sum(cores for at, cores in events if at > as_of)
         assert abs(driver.scheduler._fleet.machines[1].asked[0] - anew) < 1e-9
@@ -231,8 +228,8 @@
     driver.listing(listed(1))
     driver.placed(1, binds(driver.arrive(1, memory=2.0))[0].machine)
     driver.found(2, 1, memory=2.0)
-    driver.now += logic_machines.FOUND_US
+    driver.now += machine_state.FOUND_US
     driver.give(api.TaskNote(1, 0, 1, api.NoteKind.MEMORY_USED, 0.1))
-    assert driver.scheduler._fleet.ratio[1] == logic_machines.USE_PRIOR
+    assert driver.scheduler._fleet.ratio[1] == machine_state.USE_PRIOR
     driver.give(api.TaskNote(2, 0, 1, api.NoteKind.MEMORY_USED, 0.1))
-    assert driver.scheduler._fleet.ratio[1] < logic_machines.USE_PRIOR
+    assert driver.scheduler._fleet.ratio[1] < machine_state.USE_PRIOR
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from wingbarrow.reader import read_settings
+from wingbarrow.settings_parser import read_settings
 from wingbarrow.simhost import serve
 
 SETUP: dict[str, Any] = {
--- a/wingbarrow/__init__.py
+++ b/wingbarrow/__init__.py
@@ -1,5 +1,5 @@
 """wingbarrow: decides for a placer of service instances on shared machines, by Random Early Migration."""
 
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 
 __all__ = ["Scheduler"]
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -12,7 +12,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.life import Life
-from wingbarrow.logic import Scheduler
+from wingbarrow.scheduler import Scheduler
 from wingbarrow.transport import Timer
 
 
--- a/wingbarrow/interface.py
+++ b/wingbarrow/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the scheduler, in scheduling's own terms; decisions are in logic.py.
+"""Settings, events and actions of the scheduler, in scheduling's own terms; decisions are in scheduler.py.
 
 Times are microseconds on the caller's clock. A figure that was not told is None.
 """
--- a/wingbarrow/logic_choice.py
+++ b/wingbarrow/placement.py
@@ -5,7 +5,7 @@
 from itertools import islice
 
 from wingbarrow import interface as api
-from wingbarrow.logic_machines import (
+from wingbarrow.machine_state import (
     FOREVER_US,
     LEAST_LOADED,
     LEFT_UNTOLD_US,
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -11,7 +11,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.descriptors import LEAST
-from wingbarrow.reader import Part, settings_of, shown
+from wingbarrow.settings_parser import Part, settings_of, shown
 
 MAX_FILE_BYTES = 16 << 20
 # Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -13,7 +13,6 @@
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
-from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.outcomes import (
@@ -28,6 +27,7 @@
 from wingbarrow.relay.probes import Probes
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
+from wingbarrow.settings_parser import read_report
 
 # After a start a machine may release a task before its owner has named it here.
 EARLY_US, MAX_EARLY = 8_500_000, 1024
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -5,9 +5,9 @@
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
-from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Link, Links
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
+from wingbarrow.settings_parser import read_report
 
 PROBE_US = 1_000_000  # for a machine's answer
 TEST = 1 << 63  # ids of own tests have the highest bit, and a count below
--- a/wingbarrow/logic.py
+++ b/wingbarrow/scheduler.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.logic_choice import SWEEP_US, Choice
-from wingbarrow.logic_machines import FOREVER_US, WARM_US, WHOLE, Fleet, Machine, Task
+from wingbarrow.machine_state import FOREVER_US, WARM_US, WHOLE, Fleet, Machine, Task
+from wingbarrow.placement import SWEEP_US, Choice
 
 ASK_BACK = 0.25  # longest pause after discovery failed, as a share of the time to be 'deemed told'
 UNRUN = (
--- a/wingbarrow/simhost.py
+++ b/wingbarrow/simhost.py
@@ -7,8 +7,8 @@
 from typing import TextIO
 
 from wingbarrow import interface as api
-from wingbarrow.logic import Scheduler
-from wingbarrow.reader import read_report, read_settings
+from wingbarrow.scheduler import Scheduler
+from wingbarrow.settings_parser import read_report, read_settings
 
 PHASES = {"Running": api.Phase.RUNNING, "Stopping": api.Phase.DRAINING, "Deleted": api.Phase.GONE}
 FORMS = {
