--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -14,7 +14,7 @@
 from wingbarrow.relay.configuration import Address, Configuration
 from wingbarrow.relay.message import Cause, Code, Framer, Kind, Message, encode, with_cause
 from wingbarrow.relay.placer import Placer
-from wingbarrow.settings_parser import settings_of
+from wingbarrow.settings_parser import parse_settings
 from wingbarrow.transport import (
     Hub,
     Listener,
@@ -287,7 +287,7 @@
             sockets=self.sockets,
             journal=Address("127.0.0.1", self.journal.server.port),
             known=self.journal.known(),
-            settings=settings_of(self.settings),
+            settings=parse_settings(self.settings),
             dial_us=250 * MS,
             stay_away_most_us=3 * S,
             patience_us=self.deadline_ms * MS,
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -19,7 +19,7 @@
 from wingbarrow.relay import setup
 from wingbarrow.relay.configuration import BadConfiguration, Configuration, load
 from wingbarrow.relay.message import Cause, Code, Kind, Message, with_cause
-from wingbarrow.settings_parser import settings_of
+from wingbarrow.settings_parser import parse_settings
 from wingbarrow.transport import Stream
 
 ROOT = Path(__file__).parents[2]
@@ -229,11 +229,11 @@
         ("cell", api.Place.CELL),
     ):
         settings = site(["web"], lanes=[{**lane, "dedup_scope": scope}])
-        assert settings_of(settings).classes[0].group is place
+        assert parse_settings(settings).classes[0].group is place
     unfit: tuple[object, ...] = ("off", "rack", None, ABSENT)
     for odd in unfit:
         with pytest.raises(ValueError, match=r"lanes\[0\].dedup_scope: "):
-            settings_of(
+            parse_settings(
                 changed(
                     site(["web"], lanes=[lane | {"dedup_scope": ""}]), "lanes.0.dedup_scope", odd
                 )
@@ -262,7 +262,7 @@
     ],
 )
 def test_any_number_of_names_is_read(settings: dict[str, Any]) -> None:
-    read = settings_of(settings)
+    read = parse_settings(settings)
     assert [each.name for each in read.classes] == [lane["name"] for lane in settings["lanes"]]
     assert [each.name for each in read.kinds] == settings["kinds"]
 
@@ -325,7 +325,8 @@
 
 def test_discovery_is_not_asked_without_end() -> None:
     assert (
-        settings_of(site(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us >= 100 * MS
+        parse_settings(site(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us
+        >= 100 * MS
     )
 
 
@@ -343,7 +344,7 @@
 def test_a_set_up_in_the_sites_own_units_and_names_is_taken(
     figures: str, values: dict[int, bytes]
 ) -> None:
-    cls = settings_of(site(["web"])).classes[0]
+    cls = parse_settings(site(["web"])).classes[0]
     asked = {
         Code.CLASS: b"web",
         Code.PATIENCE: b"50",
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from wingbarrow.settings_parser import read_settings
+from wingbarrow.settings_parser import parse_settings_text
 from wingbarrow.simhost import serve
 
 SETUP: dict[str, Any] = {
@@ -103,11 +103,11 @@
 @pytest.mark.parametrize("key", ["balancers", "me", "discovery", "kinds", "lanes", "quantum_us"])
 def test_a_missing_setting_is_named(key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        read_settings(json.dumps({k: v for k, v in SETUP.items() if k != key}))
+        parse_settings_text(json.dumps({k: v for k, v in SETUP.items() if k != key}))
 
 
 def test_unknown_settings_are_ignored() -> None:
-    assert read_settings(json.dumps({**SETUP, "novel": 1})).placers == 2
+    assert parse_settings_text(json.dumps({**SETUP, "novel": 1})).placers == 2
 
 
 def test_same_actions_whatever_the_hash_seed() -> None:
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -11,7 +11,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.descriptors import LEAST
-from wingbarrow.settings_parser import Part, settings_of, shown
+from wingbarrow.settings_parser import JsonValue, format_value, parse_settings
 
 MAX_FILE_BYTES = 16 << 20
 # Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
@@ -66,12 +66,12 @@
         and len(port) <= 5
         and int(port) < 65536
     ):
-        raise BadConfiguration(f"{what}: not an address: {shown(text)}")
+        raise BadConfiguration(f"{what}: not an address: {format_value(text)}")
     host = host.strip("[]")
     try:
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except (OSError, ValueError):
-        raise BadConfiguration(f"{what}: not a host by number: {shown(text)}") from None
+        raise BadConfiguration(f"{what}: not a host by number: {format_value(text)}") from None
     return Address(host, int(port))
 
 
@@ -96,40 +96,40 @@
     return value
 
 
-def _seed(part: Part) -> int:
+def _seed(part: JsonValue) -> int:
     try:
         return int(str(part.value), 16)
     except ValueError:
-        raise part.wrong("not hex digits") from None
+        raise part.error("not hex digits") from None
 
 
-def _known(part: Part) -> Any:
+def _known(part: JsonValue) -> Any:
     """The journal service's form; what its events hold is judged where they are read."""
     position = part.at("pos")
     if isinstance(position.value, bool) or not isinstance(position.value, int):
-        raise position.wrong("not a position")
+        raise position.error("not a position")
     part.at("entries").items()
     return part.value
 
 
-def _bound(settings: Part, key: str, usual: int) -> int:
+def _bound(settings: JsonValue, key: str, usual: int) -> int:
     """A time of the site's bounds, in microseconds; `usual` where it is absent or 0."""
     part = settings.find(f"bounds.{key}")
-    told = 0 if part is None else part.whole()
+    told = 0 if part is None else part.microseconds()
     return max(MIN_BOUND_US, told) if told else usual
 
 
-def _deadlines(settings: Part) -> list[int]:
-    return [lane.at("deadline_us").whole() for lane in settings.at("lanes").items()]
+def _deadlines(settings: JsonValue) -> list[int]:
+    return [lane.at("deadline_us").microseconds() for lane in settings.at("lanes").items()]
 
 
-def _scheduler(part: Part) -> api.Settings:
+def _scheduler(part: JsonValue) -> api.Settings:
     """The scheduler's settings, with a tick that leaves time before the shortest deadline.
 
     Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here; one as
     long as a deadline would have every set-up of its class turned away, as out of time.
     """
-    settings = settings_of(part.value, part.path)
+    settings = parse_settings(part.value, part.path)
     tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // TICK_PART))
     return replace(settings, tick_us=tick_us)
 
@@ -139,13 +139,13 @@
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
-    whole = Part(_load(path))
+    whole = JsonValue(_load(path))
     listen = environment.get("RELAY_LISTEN")
     name = environment.get("RELAY_NAME")
     try:
         settings, sockets = whole.at("settings"), whole.at("limits.sockets")
         if sockets.count() < LEAST:
-            raise sockets.wrong(f"no fewer than {LEAST} will do")
+            raise sockets.error(f"no fewer than {LEAST} will do")
         return Configuration(
             name=name or whole.at("name").name(),
             listen=read_address(
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -27,7 +27,7 @@
 from wingbarrow.relay.probes import Probes
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
-from wingbarrow.settings_parser import read_report
+from wingbarrow.settings_parser import parse_report
 
 # After a start a machine may release a task before its owner has named it here.
 EARLY_US, MAX_EARLY = 8_500_000, 1024
@@ -312,7 +312,7 @@
     def _released(self, attempt: Attempt, message: Message) -> None:
         cause = message.cause
         reason = reason_of(message)
-        report = read_report(message.text(Code.REPORT) or "-", ";")
+        report = parse_report(message.text(Code.REPORT) or "-", ";")
         self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
             self._ended(attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report)
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -7,7 +7,7 @@
 from wingbarrow.core.life import Life
 from wingbarrow.relay.links import Link, Links
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
-from wingbarrow.settings_parser import read_report
+from wingbarrow.settings_parser import parse_report
 
 PROBE_US = 1_000_000  # for a machine's answer
 TEST = 1 << 63  # ids of own tests have the highest bit, and a count below
@@ -48,6 +48,6 @@
             self._asked.pop(message.task, None)
             return
         del self._asked[message.task]
-        report = read_report(message.text(Code.REPORT) or "-", ";")
+        report = parse_report(message.text(Code.REPORT) or "-", ";")
         outcome = api.Outcome.DONE if message.values.get(Code.CAUSE) != b"\0" else api.Outcome.ERROR
         self._host.feed(api.Probed(link.ident, outcome, report))
--- a/wingbarrow/settings_parser.py
+++ b/wingbarrow/settings_parser.py
@@ -36,7 +36,7 @@
 T = TypeVar("T")
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """A value in a message: on one line, and short. Danger: `repr` of what is nested deeply fails."""
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
@@ -45,108 +45,108 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class JsonValue:
     """A value of a JSON document and its path there; ValueError names the path of what is wrong."""
 
     value: Any
     path: str = ""
 
-    def find(self, path: str) -> Part | None:
+    def find(self, path: str) -> JsonValue | None:
         """The value at a dotted path below this one; None where it is absent."""
         part = self
         for key in path.split("."):
             if not isinstance(part.value, dict) or key not in part.value:
                 return None
-            part = Part(part.value[key], f"{part.path}.{key}" if part.path else key)
+            part = JsonValue(part.value[key], f"{part.path}.{key}" if part.path else key)
         return part
 
-    def at(self, path: str) -> Part:
+    def at(self, path: str) -> JsonValue:
         """The value at a dotted path below this one."""
         found = self.find(path)
         if found is None:
             raise ValueError(f"{self.path}.{path}: missing" if self.path else f"{path}: missing")
         return found
 
-    def wrong(self, why: str) -> ValueError:
+    def error(self, why: str) -> ValueError:
         """What is said of this value."""
-        return ValueError(f"{self.path}: {why}: {shown(self.value)}")
+        return ValueError(f"{self.path}: {why}: {format_value(self.value)}")
 
-    def items(self, least: int = 0) -> list[Part]:
-        """The values of a list; one that runs parallel to another holds at `least` as many."""
+    def items(self, minimum: int = 0) -> list[JsonValue]:
+        """The values of a list; one that runs parallel to another holds at least `minimum` entries."""
         if not isinstance(self.value, list):
-            raise self.wrong("not a list")
-        if len(self.value) < least:
-            raise ValueError(f"{self.path}: {len(self.value)} values for {least}")
-        return [Part(value, f"{self.path}[{i}]") for i, value in enumerate(self.value)]
+            raise self.error("not a list")
+        if len(self.value) < minimum:
+            raise ValueError(f"{self.path}: {len(self.value)} values for {minimum}")
+        return [JsonValue(value, f"{self.path}[{i}]") for i, value in enumerate(self.value)]
 
-    def number(self, least: float = 0.0, above: bool = False) -> float:
-        """A finite number, no less than `least`, or `above` it."""
+    def number(self, minimum: float = 0.0, exclusive: bool = False) -> float:
+        """A finite number, not less than `minimum`, and not equal to it where `exclusive`."""
         if isinstance(self.value, bool) or not isinstance(self.value, (int, float)):
-            raise self.wrong("not a number")
+            raise self.error("not a number")
         try:
             number = float(self.value)
         except OverflowError:
             number = inf
-        if not isfinite(number) or number < least or (above and number == least):
-            raise self.wrong("out of range")
+        if not isfinite(number) or number < minimum or (exclusive and number == minimum):
+            raise self.error("out of range")
         return number
 
-    def whole(self, least: int = 0) -> int:
+    def microseconds(self, minimum: int = 0) -> int:
         """A time in microseconds; a part of one is dropped. Also from 2000.0."""
-        return int(self.number(least))
+        return int(self.number(minimum))
 
-    def count(self, least: int = 0) -> int:
+    def count(self, minimum: int = 0) -> int:
         """A number of things, or a position; ValueError where it is none, such as 2.5."""
-        number = self.number(least)
+        number = self.number(minimum)
         if number != int(number):
-            raise self.wrong("not a whole number")
+            raise self.error("not a whole number")
         return int(number)
 
-    def flag(self) -> bool:
+    def boolean(self) -> bool:
         """A truth value."""
         if not isinstance(self.value, bool):
-            raise self.wrong("neither true nor false")
+            raise self.error("neither true nor false")
         return self.value
 
     def name(self) -> str:
         """Text that is not empty."""
         if not isinstance(self.value, str) or not self.value:
-            raise self.wrong("not a name")
+            raise self.error("not a name")
         return self.value
 
     def choice(self, table: dict[str, T]) -> T:
         """What a table holds for this word."""
         if not isinstance(self.value, str) or self.value not in table:
-            raise self.wrong("unknown")
+            raise self.error("unknown")
         return table[self.value]
 
 
-def read_settings(text: str) -> api.Settings:
+def parse_settings_text(text: str) -> api.Settings:
     """Settings from JSON text; ValueError names what is missing or out of range."""
-    return settings_of(json.loads(text))
+    return parse_settings(json.loads(text))
 
 
-def _names(parts: list[Part]) -> list[str]:
+def _names(parts: list[JsonValue]) -> list[str]:
     names: list[str] = []
     for part in parts:
         if part.name() in names:
-            raise part.wrong("a second one of this name")
+            raise part.error("a second one of this name")
         names.append(part.name())
     return names
 
 
-def _kinds(setup: Part) -> tuple[api.MachineKind, ...]:
+def _kinds(setup: JsonValue) -> tuple[api.MachineKind, ...]:
     """The kinds of machines; none at all is no fault, but of such a site no machine's size is known."""
     names = _names(setup.at("kinds").items())
     cores = setup.at("family_info.cores_by_kind").items(len(names))
     memory = setup.at("family_info.memory_by_kind").items(len(names))
     return tuple(
-        api.MachineKind(name, cores[i].number(above=True), memory[i].number(above=True))
+        api.MachineKind(name, cores[i].number(exclusive=True), memory[i].number(exclusive=True))
         for i, name in enumerate(names)
     )
 
 
-def _classes(setup: Part, kinds: tuple[api.MachineKind, ...]) -> tuple[api.TaskClass, ...]:
+def _classes(setup: JsonValue, kinds: tuple[api.MachineKind, ...]) -> tuple[api.TaskClass, ...]:
     lanes = setup.at("lanes").items()
     if not lanes:
         # Each set-up names its class: without one nothing can ever be placed, and every task would be failed.
@@ -160,9 +160,9 @@
     classes = []
     for i, lane in enumerate(lanes):
         row = {key: column[i] for key, column in columns.items()}
-        needs = row["class_kind"].count(least=-1)
+        needs = row["class_kind"].count(minimum=-1)
         if needs >= len(kinds):
-            raise row["class_kind"].wrong("no such kind")
+            raise row["class_kind"].error("no such kind")
         effect = lane.at("effect").choice(EFFECTS)
         keyed = effect is api.Effect.KEYED
         spread = row["spread_by"].choice(PLACES)
@@ -172,10 +172,10 @@
                 name=names[i],
                 effect=effect,
                 group=lane.at("dedup_scope").choice(GROUPS) if keyed else api.Place.ALL,
-                window_us=lane.at("dedup_window_us").whole() if keyed else 0,
+                window_us=lane.at("dedup_window_us").microseconds() if keyed else 0,
                 worth=lane.at("importance").number(),
                 spread=spread,
-                spread_most=row["class_most"].count(least=1) if bounded else 0,
+                spread_most=row["class_most"].count(minimum=1) if bounded else 0,
                 kind=kinds[needs].name if needs >= 0 else None,
                 calm=row["easy_until"].number(),
                 fade=row["lost_after"].number(),
@@ -184,35 +184,35 @@
     return tuple(classes)
 
 
-def settings_of(value: Any, path: str = "") -> api.Settings:
+def parse_settings(value: Any, path: str = "") -> api.Settings:
     """Settings from the object, found at `path` of its document; ValueError names what is missing or wrong.
 
     Only `costs.fleet` may be absent: no such cost. An interval of 0 counts as the shortest, 1 us.
     """
-    setup = Part(value, path)
+    setup = JsonValue(value, path)
     kinds = _kinds(setup)
-    placers = setup.at("balancers").count(least=1)
+    placers = setup.at("balancers").count(minimum=1)
     me = setup.at("me")
     if me.count() >= placers:
-        raise me.wrong(f"no such one of {placers}")
+        raise me.error(f"no such one of {placers}")
     fleet = setup.find("costs.fleet")
     return api.Settings(
         placers=placers,
         index=me.count(),
         classes=_classes(setup, kinds),
         kinds=kinds,
-        booking_cores=setup.at("family_info.cpu_booking").number(above=True),
-        booking_memory=setup.at("family_info.admit_memory").number(above=True),
-        attempts_most=setup.at("bounds.send_cap").count(least=1),
+        booking_cores=setup.at("family_info.cpu_booking").number(exclusive=True),
+        booking_memory=setup.at("family_info.admit_memory").number(exclusive=True),
+        attempts_most=setup.at("bounds.send_cap").count(minimum=1),
         discovery=setup.at("discovery").choice(DISCOVERY),
-        may_probe=setup.at("bounds.probes").flag(),
+        may_probe=setup.at("bounds.probes").boolean(),
         reports=setup.at("report.how").choice(REPORTS),
         reports_use=setup.at("family_info.report_counts").choice(COUNTED),
-        room_in_list=setup.at("family_info.free_in_list").flag(),
-        tick_us=max(1, setup.at("quantum_us").whole()),
-        ask_every_us=max(MIN_ASK_US, setup.at("rules.ask_every_us").whole()),
-        cold_us=setup.at("rules.cold_us").whole(),
-        fall_us=max(1, setup.at("rules.fall_us").whole()),
+        room_in_list=setup.at("family_info.free_in_list").boolean(),
+        tick_us=max(1, setup.at("quantum_us").microseconds()),
+        ask_every_us=max(MIN_ASK_US, setup.at("rules.ask_every_us").microseconds()),
+        cold_us=setup.at("rules.cold_us").microseconds(),
+        fall_us=max(1, setup.at("rules.fall_us").microseconds()),
         fresh_offers=setup.at("family_info.fresh_offers").number(),
         prices=api.Prices(
             fleet=fleet.number() if fleet is not None else 0.0,
@@ -221,7 +221,7 @@
     )
 
 
-def read_report(text: str, between: str = ",") -> api.Report | None:
+def parse_report(text: str, between: str = ",") -> api.Report | None:
     """A load report; a value that cannot be read counts as not told."""
     if text == "-":
         return None
--- a/wingbarrow/simhost.py
+++ b/wingbarrow/simhost.py
@@ -8,7 +8,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.scheduler import Scheduler
-from wingbarrow.settings_parser import read_report, read_settings
+from wingbarrow.settings_parser import parse_report, parse_settings_text
 
 PHASES = {"Running": api.Phase.RUNNING, "Stopping": api.Phase.DRAINING, "Deleted": api.Phase.GONE}
 FORMS = {
@@ -110,7 +110,7 @@
         REASONS.get(_absent_as_zero(remark), api.Reason.UNTOLD),
         closed == "1",
         _absent_as_zero(waited),
-        read_report(gauge),
+        parse_report(gauge),
     )
 
 
@@ -121,7 +121,7 @@
 
 def _probed(v: list[str]) -> api.Event:
     _waited, verdict, machine, gauge = v
-    return api.Probed(int(machine), OUTCOMES[int(verdict)], read_report(gauge))
+    return api.Probed(int(machine), OUTCOMES[int(verdict)], parse_report(gauge))
 
 
 def _note(v: list[str]) -> api.Event:
@@ -212,7 +212,7 @@
         try:
             if word == "CREATE":
                 seed, _, setup = values.partition(" ")
-                self._schedulers[who] = Scheduler(read_settings(setup), int(seed))
+                self._schedulers[who] = Scheduler(parse_settings_text(setup), int(seed))
             elif word == "TEARDOWN":
                 self._schedulers.pop(who, None)
             elif who not in self._schedulers:
