--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -228,7 +228,7 @@
         scheduler = placer._host._scheduler
         assert len(scheduler._fleet.machines) == 2
         assert not scheduler._tasks
-        assert not scheduler._choice._spread
+        assert not scheduler._selector._spread
 
     Stage().run(play)
 
--- a/tests/test_rem.py
+++ b/tests/test_rem.py
@@ -20,8 +20,8 @@
         driver.give(api.TimerDue("sweep"), after=9 * S)
         for ident, share in ((1, load), (2, refuge)):
             fleet = driver.scheduler._fleet
-            fleet._measure(fleet.machines[ident], 20 * share, 0.0)
-        task = driver.scheduler._choice.move_off(driver.scheduler._fleet.machines[1])
+            fleet._record_measured_use(fleet.machines[ident], 20 * share, 0.0)
+        task = driver.scheduler._selector.select_move(driver.scheduler._fleet.machines[1])
         moved += task is not None
         assert task is None or task.arrival.request == 1
     return moved / trials
@@ -65,12 +65,12 @@
     driver.listing(listed(1))
     driver.arrive(1, cores=4.0)
     machine = driver.scheduler._fleet.machines[1]
-    assert machine.asked[0] == 4.0
+    assert machine.allocated[0] == 4.0
     driver.listing(listed(1), form=api.ListForm.CHANGES)  # tells of an earlier time
-    assert machine.asked[0] == 4.0
+    assert machine.allocated[0] == 4.0
     driver.now += 10 * S
     driver.listing(listed(1, free=16.0), form=api.ListForm.CHANGES)
-    assert machine.asked[0] == 4.0
+    assert machine.allocated[0] == 4.0
 
 
 def test_a_refused_bind_is_taken_back_and_its_reason_believed() -> None:
@@ -134,7 +134,10 @@
         for i in range(20)
         for bind in binds(driver.arrive(i, service="shop", cores=0.1))
     ]
-    assert chosen[: placement.MAX_STARTS * placement.WARM_TIMES] == [inactive.listed.machine] * 16
+    assert (
+        chosen[: placement.START_LIMIT * placement.WARM_START_FACTOR]
+        == [inactive.listed.machine] * 16
+    )
     assert len(chosen) == 20
     assert inactive.listed.machine not in chosen[16:]
 
@@ -158,11 +161,11 @@
             (bind,) = binds(driver.arrive(i, service=f"s{i}", cores=0.1))
             driver.placed(i, bind.machine)
             used[-1].add(bind.machine)
-    assert len(used[1]) == machine_state.LEAST_LOADED < len(used[0])
+    assert len(used[1]) == machine_state.LEAST_LOADED_COUNT < len(used[0])
 
 
 def test_a_placer_alone_starts_more_at_a_time_on_a_machine() -> None:
-    for placers, most in ((1, placement.STARTS_SHARED), (4, placement.MAX_STARTS)):
+    for placers, most in ((1, placement.SHARED_START_LIMIT), (4, placement.START_LIMIT)):
         driver = Driver(settings(placers=placers))
         driver.listing(listed(1))
         assert sum(len(binds(driver.arrive(i, cores=0.1))) for i in range(20)) == most
@@ -173,7 +176,7 @@
     driver.listing(listed(1, free=12.0))
     events: list[tuple[int, float]] = []  # what own binds and ends changed, and when
     bound: dict[int, int] = {}
-    heard, as_of = 8.0, driver.now - machine_state.VIEW_LAG_US
+    heard, as_of = 8.0, driver.now - machine_state.LIST_LAG_US
     for step in range(400):
         driver.now += pick.randrange(200_000)
         if pick.random() < 0.5:
@@ -187,10 +190,10 @@
             driver.end(request, 1, api.Outcome.UNREACHABLE if never_ran else api.Outcome.BROKEN)
             events.append((sent if never_ran else driver.now, -0.25))
         else:
-            heard, as_of = pick.choice((4.0, 8.0)), driver.now - machine_state.VIEW_LAG_US
+            heard, as_of = pick.choice((4.0, 8.0)), driver.now - machine_state.LIST_LAG_US
             driver.listing(listed(1, free=20.0 - heard), form=api.ListForm.CHANGES)
         anew = heard + sum(cores for at, cores in events if at > as_of)
-        assert abs(driver.scheduler._fleet.machines[1].asked[0] - anew) < 1e-9
+        assert abs(driver.scheduler._fleet.machines[1].allocated[0] - anew) < 1e-9
 
 
 def test_an_idle_placer_sets_no_timer() -> None:
@@ -228,8 +231,8 @@
     driver.listing(listed(1))
     driver.placed(1, binds(driver.arrive(1, memory=2.0))[0].machine)
     driver.found(2, 1, memory=2.0)
-    driver.now += machine_state.FOUND_US
+    driver.now += machine_state.FOUND_MEMORY_GROWTH_US
     driver.give(api.TaskNote(1, 0, 1, api.NoteKind.MEMORY_USED, 0.1))
-    assert driver.scheduler._fleet.ratio[1] == machine_state.USE_PRIOR
+    assert driver.scheduler._fleet.use_ratio[1] == machine_state.PRIOR_USE_RATIO
     driver.give(api.TaskNote(2, 0, 1, api.NoteKind.MEMORY_USED, 0.1))
-    assert driver.scheduler._fleet.ratio[1] < machine_state.USE_PRIOR
+    assert driver.scheduler._fleet.use_ratio[1] < machine_state.PRIOR_USE_RATIO
--- a/tests/test_silent_cold.py
+++ b/tests/test_silent_cold.py
@@ -49,11 +49,11 @@
     for request in sent[:3]:
         driver.end(request, 1, api.Outcome.TIMED_OUT, closed=True)
     machine = driver.scheduler._fleet.machines[1]
-    assert len(machine.unsure) == 4
-    assert not machine.offers
+    assert len(machine.unconfirmed_offers) == 4
+    assert not machine.cold_offers
     driver.give(api.TaskNote(sent[3], 0, 1, api.NoteKind.ARRIVED, 0.0))
-    assert not machine.unsure
-    assert len(machine.offers) == 4
+    assert not machine.unconfirmed_offers
+    assert len(machine.cold_offers) == 4
 
 
 def test_an_offer_that_surely_never_left_takes_nothing_from_the_budget() -> None:
@@ -61,8 +61,8 @@
     sent = offers(driver, 1, 2)
     for request, outcome in zip(sent, (api.Outcome.NOT_SENT, api.Outcome.UNREACHABLE), strict=True):
         driver.end(request, 1, outcome, closed=True)
-    assert not driver.scheduler._fleet.machines[1].unsure
-    assert not driver.scheduler._fleet.machines[1].offers
+    assert not driver.scheduler._fleet.machines[1].unconfirmed_offers
+    assert not driver.scheduler._fleet.machines[1].cold_offers
 
 
 def test_a_cold_machine_that_stands_still_is_not_pushed_over_when_it_goes_on() -> None:
--- a/wingbarrow/placement.py
+++ b/wingbarrow/placement.py
@@ -1,4 +1,4 @@
-"""Where a task may go and where it goes: the five rules' bounds, REM's candidates, what REM moves."""
+"""Choice of a machine: the bounds of the five rules, the candidates of REM, and the task that REM moves."""
 
 import random
 from collections import Counter
@@ -6,198 +6,233 @@
 
 from wingbarrow import interface as api
 from wingbarrow.machine_state import (
+    ALL_CLASSES,
+    DEFAULT_REMAINING_US,
     FOREVER_US,
-    LEAST_LOADED,
-    LEFT_UNTOLD_US,
-    WHOLE,
-    Fleet,
+    LEAST_LOADED_COUNT,
+    FleetState,
     Machine,
     Task,
 )
 
-R_MIN, R_MAX, P_MAX = (
-    0.85,
-    1.05,
-    0.8,
-)  # REM's thresholds as shares of L, what a machine can serve; top chance
-FULL_CORES, FULL_MEMORY = (
-    0.9,
-    0.86,
-)  # use a bind may lead to: above, service fades or tasks are evicted
-TIGHT_CORES, TIGHT_FADE, TIGHT_MEMORY = (
-    1.1,
-    0.4,
-    0.93,
-)  # once nothing else fits; part of a fade that is borne
-HOMES = 1  # machines that all placers prefer for a service, so that its program is found warm there
-MAX_STARTS, STARTS_SHARED, WARM_TIMES = (
-    4,
-    8,
-    4,
-)  # own starts out on a machine; few share it; times if warm
-SWEEP_US, MOVE_REST_US = (
-    40_000,
-    4_000_000,
-)  # held are tried again; who began, or ends, so soon stays
-
-
-def _place(at: api.ListedMachine, scope: api.Place) -> object:
-    return {api.Place.MACHINE: at.machine, api.Place.CELL: at.cell, api.Place.ZONE: at.zone}.get(
-        scope
-    )
-
-
-class Choice:
-    """REM's choices over what the fleet is known to be."""
-
-    def __init__(self, fleet: Fleet, chance: random.Random) -> None:
-        self._fleet, self._random, self.born_us = fleet, chance, -1
+# REM's thresholds of the load l, as shares of the limit L that a machine can serve, and its top probability.
+R_MIN = 0.85
+R_MAX = 1.05
+P_MAX = 0.8
+# Highest use that a bind may lead to, as shares of a machine: above, service degrades or tasks are evicted.
+MAX_CORE_USE = 0.9
+MAX_MEMORY_USE = 0.86
+# The same limits where no machine fits within the ones above; a class bears this share of its fade range.
+TIGHT_CORE_USE = 1.1
+TIGHT_FADE_SHARE = 0.4
+TIGHT_MEMORY_USE = 0.93
+# Machines that all placers prefer for a service, so that its program is found warm there.
+PREFERRED_MACHINES = 1
+# Own starts in progress on a machine: at least START_LIMIT, and SHARED_START_LIMIT divided among the placers.
+START_LIMIT = 4
+SHARED_START_LIMIT = 8
+WARM_START_FACTOR = 4  # times as many where the program is warm
+SWEEP_INTERVAL_US = 40_000  # pending tasks are tried again after this interval
+MIN_MOVE_MARGIN_US = 4_000_000  # a task that started, or will end, within this time is not moved
+
+
+def _scope_id(listed: api.ListedMachine, scope: api.Place) -> object:
+    """Which machine, cell or zone of this scope the machine is in; None for a scope that has no parts."""
+    return {
+        api.Place.MACHINE: listed.machine,
+        api.Place.CELL: listed.cell,
+        api.Place.ZONE: listed.zone,
+    }.get(scope)
+
+
+class MachineSelector:
+    """Selects machines for tasks, and tasks to move, from the known state of the fleet."""
+
+    def __init__(self, fleet: FleetState, rng: random.Random) -> None:
+        self._fleet = fleet
+        self._random = rng
+        self.started_us = -1  # when this placer started
         self._spread: Counter[tuple[str, object]] = Counter()
-        self._closes: dict[int, int] = {}  # machines planned to close, and when
-        self._no_room: dict[tuple[str, float, float], int] = {}  # when a shape last found no room
-        self.busy = set[str]()  # classes without a start
-
-    def pick(self, task: Task) -> Machine | None:
-        """REM's ordinary path: a random pick of the three least loaded candidates."""
-        candidates = sorted(self._candidates(task), key=self._fleet.load)[:LEAST_LOADED]
+        self._closing_us: dict[int, int] = {}  # when a machine's work is planned to end
+        # When a shape (class, cores, memory) last fitted on no machine.
+        self._no_fit_us: dict[tuple[str, float, float], int] = {}
+        self.blocked_classes = set[str]()  # classes for which no machine accepts another start
+
+    def select(self, task: Task) -> Machine | None:
+        """REM's choice: a random one of the three least loaded candidates, or None."""
+        candidates = sorted(self._candidates(task), key=self._fleet.load)[:LEAST_LOADED_COUNT]
         return self._random.choice(candidates) if candidates else None
 
     def _candidates(self, task: Task) -> list[Machine]:
-        """The machines among which REM picks: allowed and fitting, narrowed to where the program is warm."""
+        """The machines that REM chooses from: allowed and fitting, those with a warm program preferred."""
         fleet, service = self._fleet, task.arrival.service
-        shape = task.cls.name, task.arrival.cores, task.arrival.memory
-        if fleet.now - self._no_room.get(shape, -SWEEP_US) < SWEEP_US or task.cls.name in self.busy:
+        shape = task.task_class.name, task.arrival.cores, task.arrival.memory
+        if (
+            fleet.now_us - self._no_fit_us.get(shape, -SWEEP_INTERVAL_US) < SWEEP_INTERVAL_US
+            or task.task_class.name in self.blocked_classes
+        ):
             return []
-        starts = max(MAX_STARTS, STARTS_SHARED // fleet.settings.placers)
-        tight = max(TIGHT_CORES, task.cls.calm + TIGHT_FADE * task.cls.fade)
-        full, shut, allowed = (FULL_CORES, FULL_MEMORY), set[int](), False
-
-        def suits(m: Machine, active: bool, cores: float, memory: float, times: int = 1) -> bool:
-            nonlocal allowed
-            if m.gone or m.starts >= starts * times or not self._trusts(m, task.cls.name):
-                shut.add(m.listed.machine)
+        start_limit = max(START_LIMIT, SHARED_START_LIMIT // fleet.settings.placers)
+        tight_core_use = max(
+            TIGHT_CORE_USE, task.task_class.calm + TIGHT_FADE_SHARE * task.task_class.fade
+        )
+        usual = (MAX_CORE_USE, MAX_MEMORY_USE)
+        not_accepting, any_allowed = set[int](), False
+
+        def is_suitable(
+            m: Machine, active_only: bool, core_use: float, memory_use: float, factor: int = 1
+        ) -> bool:
+            nonlocal any_allowed
+            if (
+                m.unavailable
+                or m.pending_starts >= start_limit * factor
+                or not self._backoff_allows(m, task.task_class.name)
+            ):
+                not_accepting.add(m.listed.machine)
             elif self.may_bind(task, m):
-                allowed = True
-                return (m.active or not active) and fleet.fits(task, m, cores, memory)
+                any_allowed = True
+                return (m.active or not active_only) and fleet.fits(task, m, core_use, memory_use)
             return False
 
-        holds = [
+        warm = [
             m
-            for m in map(fleet.machines.get, fleet.warm_at.get(service, ()))
-            if m and m.warm.get(service, 0) > fleet.now
+            for m in map(fleet.machines.get, fleet.warm_machines.get(service, ()))
+            if m and m.warm_until_us.get(service, 0) > fleet.now_us
         ]
-        # Few machines are looked at. Warm ones also beyond what the load needs: a cold start costs more.
-        for tier in ((True, *full), (False, *full), (False, tight, TIGHT_MEMORY)):
-            found = [m for m in holds if suits(m, False, *tier[1:], WARM_TIMES)] or list(
-                islice((m for m in fleet.ranked(service) if suits(m, *tier)), HOMES)
+        # Only few machines are examined. Warm ones also outside the active set: a cold start costs more.
+        for tier in ((True, *usual), (False, *usual), (False, tight_core_use, TIGHT_MEMORY_USE)):
+            found = [
+                m for m in warm if is_suitable(m, False, *tier[1:], WARM_START_FACTOR)
+            ] or list(
+                islice(
+                    (m for m in fleet.ranked_machines(service) if is_suitable(m, *tier)),
+                    PREFERRED_MACHINES,
+                )
             )
             if found:
                 return found
-        if allowed:
-            self._no_room[shape] = fleet.now
-        elif len(shut) == len(fleet.machines):
-            # Danger: past what machines start, each held task would look at all of them at each sweep, and
-            # what is owed would come late. Until a start ends there is nothing to be found.
-            self.busy.add(task.cls.name)
+        if any_allowed:
+            self._no_fit_us[shape] = fleet.now_us
+        elif len(not_accepting) == len(fleet.machines):
+            # Danger: when all machines are at their limit of starts, each pending task would examine all of
+            # them at each sweep, and final answers would be late. Until a start ends, none can be found.
+            self.blocked_classes.add(task.task_class.name)
         return []
 
-    def _trusts(self, machine: Machine, name: str) -> bool:
-        """Whether no rest runs; one just over admits a single task, until it proves itself."""
-        rests = (
-            [machine.rests[key] for key in (WHOLE, name) if key in machine.rests]
-            if machine.rests
+    def _backoff_allows(self, machine: Machine, class_name: str) -> bool:
+        """Whether no backoff runs; after one has expired, one start at a time until one succeeds."""
+        backoffs = (
+            [machine.backoffs[key] for key in (ALL_CLASSES, class_name) if key in machine.backoffs]
+            if machine.backoffs
             else ()
         )
-        return all(self._fleet.now >= until_us and not machine.starts for _, until_us in rests)
+        return all(
+            self._fleet.now_us >= until_us and not machine.pending_starts
+            for _, until_us in backoffs
+        )
 
     def may_bind(self, task: Task, machine: Machine) -> bool:
-        rules, now, cls, listed = self._fleet.settings, self._fleet.now, task.cls, machine.listed
-        # Rule 3. Danger: work sent to a machine that drains or is gone; stopped at once, not after the grace.
-        if machine.gone or cls.kind not in (None, listed.kind):
+        """Whether the five rules, the class's machine kind and planned closings allow an attempt now."""
+        settings, now_us = self._fleet.settings, self._fleet.now_us
+        task_class, listed = task.task_class, machine.listed
+        # Rule 3. Danger: a task bound to a draining or removed machine is stopped at once, without the
+        # grace period.
+        if machine.unavailable or task_class.kind not in (None, listed.kind):
             return False
-        # Danger: a long task would be cut off by a planned window; short ones still end before it.
-        left_us = task.arrival.remaining_us or LEFT_UNTOLD_US
-        if self._closes and now + left_us > self._closes.get(listed.machine, FOREVER_US):
+        # Danger: a planned closing would cut off a long task; short ones still end before it.
+        left_us = task.arrival.remaining_us or DEFAULT_REMAINING_US
+        if self._closing_us and now_us + left_us > self._closing_us.get(listed.machine, FOREVER_US):
             return False
-        # Rule 1. Danger: a send after the end. Rule 2. Danger: a second attempt while one is out.
+        # Rule 1. Danger: an offer after the deadline. Rule 2. Danger: a second attempt while one is open.
         if (
-            task.out is not None
+            task.open_attempt is not None
             or task.placed
-            or task.attempts >= rules.attempts_most
-            or now >= task.due_us
+            or task.attempts >= settings.attempts_most
+            or now_us >= task.answer_due_us
         ):
             return False
-        # Rule 2. Danger: a second start of what may already run.
-        if task.maybe is not None and cls.effect is not api.Effect.SAFE:
-            first_us, first = task.maybe
+        # Rule 2. Danger: a second start of a task that may already be running.
+        if task.possible_run is not None and task_class.effect is not api.Effect.SAFE:
+            first_us, first = task.possible_run
             if (
-                cls.effect is api.Effect.UNSAFE
-                or now >= first_us + cls.window_us - rules.tick_us
-                or _place(first, cls.group) != _place(listed, cls.group)
+                task_class.effect is api.Effect.UNSAFE
+                or now_us >= first_us + task_class.window_us - settings.tick_us
+                or _scope_id(first, task_class.group) != _scope_id(listed, task_class.group)
             ):
                 return False
-        # Rule 4. Danger: all placers together push over a cold machine; each takes its part of the offers.
+        # Rule 4. Danger: all placers together overload a cold machine; each sends its share of the offers.
         if self._fleet.is_cold(machine):
-            span = (
-                rules.fall_us * 5 // 4
-            )  # a quarter longer: offers travel; spent at one's own start
-            while machine.offers and machine.offers[0] <= now - span:
-                machine.offers.popleft()
-            each, over = divmod(int(rules.fresh_offers), rules.placers)
-            turn = (rules.index + listed.machine) % rules.placers
-            # Danger: offers that wait unread at a machine that stands still come all at once when it goes on.
+            # A quarter longer than the rule's window, since offers take time to arrive. For one window after
+            # its own start, a placer counts its share as spent, since it does not know what it sent before.
+            window_us = settings.fall_us * 5 // 4
+            while machine.cold_offers and machine.cold_offers[0] <= now_us - window_us:
+                machine.cold_offers.popleft()
+            share, remainder = divmod(int(settings.fresh_offers), settings.placers)
+            turn = (settings.index + listed.machine) % settings.placers
+            # Danger: offers that wait unread at a stalled machine arrive all at once when it resumes.
             if (
-                len(machine.offers) + len(machine.unsure) >= each + (turn < over)
-                or now < self.born_us + span
+                len(machine.cold_offers) + len(machine.unconfirmed_offers)
+                >= share + (turn < remainder)
+                or now_us < self.started_us + window_us
             ):
                 return False
-        # Rule 5. Danger: too many of one service where a single failure takes them all.
+        # Rule 5. Danger: a single failure takes down too many tasks of one service.
         return (
-            cls.spread is api.Place.NONE
-            or self._spread[self._spot(task, machine)] < cls.spread_most
+            task_class.spread is api.Place.NONE
+            or self._spread[self._spread_key(task, machine)] < task_class.spread_most
         )
 
-    def _spot(self, task: Task, machine: Machine) -> tuple[str, object]:
-        return task.arrival.service, _place(machine.listed, task.cls.spread)
+    def _spread_key(self, task: Task, machine: Machine) -> tuple[str, object]:
+        return task.arrival.service, _scope_id(machine.listed, task.task_class.spread)
 
-    def count(self, task: Task, machine: Machine, change: int) -> None:
-        spot = self._spot(task, machine)
-        self._spread[spot] += change
-        if not self._spread[spot]:  # nothing is kept of services without tasks
-            del self._spread[spot]
+    def count_spread(self, task: Task, machine: Machine, change: int) -> None:
+        """Add `change` to the number of tasks of the service in the machine's spread scope (rule 5)."""
+        key = self._spread_key(task, machine)
+        self._spread[key] += change
+        if not self._spread[key]:  # entries without tasks would accumulate over many services
+            del self._spread[key]
 
-    def move_off(self, machine: Machine) -> Task | None:
-        """REM: with the gated linear chance, an own task to move off the machine that was just bound to."""
+    def select_move(self, machine: Machine) -> Task | None:
+        """REM: the own task to migrate off the machine that was just bound to, or None.
+
+        For the load l over L, the probability is 0 below R_MIN, rises linearly towards P_MAX at R_MAX, and
+        is 1 at and above R_MAX. A task moves only if it fits on another machine whose load is below R_MIN.
+        """
         fleet, load = self._fleet, self._fleet.load(machine)
-        chance = (
+        probability = (
             0.0
             if load < R_MIN
             else 1.0
             if load >= R_MAX
             else P_MAX * (load - R_MIN) / (R_MAX - R_MIN)
         )
-        if self._random.random() >= chance:
+        if self._random.random() >= probability:
             return None
-        # Danger: a move starts its task a second time; what must never start twice stays where it is.
+        # Danger: a move starts its task a second time; a task that must never start twice is not moved.
         movable = [
             task
-            for task in machine.own.values()
+            for task in machine.own_tasks.values()
             if task.placed
-            and task.cls.effect is not api.Effect.UNSAFE
-            and min(task.left_us(fleet.now), fleet.now - task.since_us) >= MOVE_REST_US
+            and task.task_class.effect is not api.Effect.UNSAFE
+            and min(task.estimated_remaining_us(fleet.now_us), fleet.now_us - task.state_since_us)
+            >= MIN_MOVE_MARGIN_US
         ]
-        # Which one: most relief (cores, and for how long) for the least worth that its restart loses.
-        movable.sort(key=lambda t: -t.arrival.cores * t.left_us(fleet.now) / (t.cls.worth + 0.1))
+        # Prefer the task that frees most (cores times time left) for the least worth that its restart loses.
+        movable.sort(
+            key=lambda t: -t.arrival.cores
+            * t.estimated_remaining_us(fleet.now_us)
+            / (t.task_class.worth + 0.1)
+        )
         return next(
             (
                 t
                 for t in movable
                 if any(
                     m is not machine
-                    and not m.gone
-                    and t.cls.kind in (None, m.listed.kind)
+                    and not m.unavailable
+                    and t.task_class.kind in (None, m.listed.kind)
                     and fleet.load(m) < R_MIN
-                    and fleet.fits(t, m, FULL_CORES, FULL_MEMORY)
+                    and fleet.fits(t, m, MAX_CORE_USE, MAX_MEMORY_USE)
                     for m in fleet.machines.values()
                 )
             ),
@@ -205,6 +240,9 @@
         )
 
     def on_planned(self, event: api.Planned) -> None:
-        closes = self._closes | dict(event.closes_us)
-        self._closes = {machine: at_us for machine, at_us in closes.items() if at_us is not None}
-        self._no_room.clear()
+        """Merge planned closings of machines; None takes one back."""
+        closing_us = self._closing_us | dict(event.closes_us)
+        self._closing_us = {
+            machine: at_us for machine, at_us in closing_us.items() if at_us is not None
+        }
+        self._no_fit_us.clear()
