--- a/tests/wire/test_simhost_golden.py
+++ b/tests/wire/test_simhost_golden.py
@@ -10,7 +10,7 @@
 
 from tests.wire.golden import FOLDER, assert_golden
 from wingbarrow import interface as api
-from wingbarrow.simhost import FORMS, NOTES, OUTCOMES, PHASES, READERS, REASONS, serve, write_action
+from wingbarrow.simhost import FORMS, NOTES, OUTCOMES, PARSERS, PHASES, REASONS, serve, write_action
 
 
 def test_a_recorded_exchange() -> None:
@@ -39,4 +39,4 @@
 def test_the_meaning_of_numbers_and_words() -> None:
     tables: list[Mapping[Any, Enum]] = [PHASES, FORMS, OUTCOMES, REASONS, NOTES]
     lines = [json.dumps({key: each.value for key, each in table.items()}) for table in tables]
-    assert_golden("simhost/tables.jsonl", "\n".join([*lines, " ".join(READERS), ""]).encode())
+    assert_golden("simhost/tables.jsonl", "\n".join([*lines, " ".join(PARSERS), ""]).encode())
--- a/wingbarrow/interface.py
+++ b/wingbarrow/interface.py
@@ -1,6 +1,6 @@
-"""Settings, events and actions of the scheduler, in scheduling's own terms; decisions are in scheduler.py.
+"""Settings, events and actions of the scheduler, independent of any protocol; decisions are in scheduler.py.
 
-Times are microseconds on the caller's clock. A figure that was not told is None.
+Times are microseconds on the caller's clock. A figure that is not known is None.
 """
 
 from wingbarrow.interface_actions import (
--- a/wingbarrow/interface_actions.py
+++ b/wingbarrow/interface_actions.py
@@ -1,6 +1,6 @@
-"""Actions that the scheduler answers; part of interface.py.
+"""Actions that the scheduler returns for an event; part of interface.py.
 
-Times are microseconds on the caller's clock. A figure that was not told is None.
+Times are microseconds on the caller's clock. A figure that is not known is None.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused; the owner may try again without harm."""
+    """Final answer: refused; a retry by the owner does no harm."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise as to the effect."""
+    """Final answer: failed; the task may have run, so a retry may do harm."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Stop a placed task; its owner asks for it again."""
+    """Stop a placed task to migrate it; its owner submits it again."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for TimerDue at the given time."""
+    """Request the event TimerDue with this name at the given time."""
 
     at_us: int
     name: str
@@ -49,19 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a machine for its report."""
+    """Request a load report from a machine."""
 
     machine: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Ask discovery for the machines and for their changes from now on."""
+    """Request the full list of machines from discovery, and its changes from then on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the on-call staff."""
+    """A log line for operators."""
 
     text: str
 
--- a/wingbarrow/interface_events.py
+++ b/wingbarrow/interface_events.py
@@ -1,6 +1,6 @@
-"""Events that the scheduler is told, and what it knows of machines; part of interface.py.
+"""Events that the scheduler handles, and its knowledge of machines; part of interface.py.
 
-Times are microseconds on the caller's clock. A figure that was not told is None.
+Times are microseconds on the caller's clock. A figure that is not known is None.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Phase(Enum):
-    """What the list says of a machine."""
+    """The phase of a machine in the list."""
 
     RUNNING = "running"
     DRAINING = "draining"
@@ -22,7 +22,7 @@
 
 
 class ListForm(Enum):
-    """What kind of list event this is."""
+    """The form of a list: changes only, complete, the saved copy read at the start, or a failed request."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -57,7 +57,7 @@
 
 
 class NoteKind(Enum):
-    """What a note on a task tells."""
+    """What a note on a task reports."""
 
     RUNS = "runs"
     CORES_USED = "cores used"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A machine's own figures: cores and memory that are free (not asked for, or not used)."""
+    """A machine's load report: free cores and memory, unallocated or unused (`Settings.reports_use`)."""
 
     free_cores: float | None
     free_memory: float | None
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineList:
-    """Discovery tells of machines."""
+    """A list of machines from discovery."""
 
     form: ListForm
     machines: tuple[ListedMachine, ...]
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskArrived:
-    """A task is to be placed; exactly one final answer is owed by the deadline."""
+    """A task to place; exactly one final answer is due by the deadline."""
 
     request: int
     task_class: str
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskFound:
-    """A task that already runs on a machine comes under this scheduler's care."""
+    """A task that already runs on a machine and is now this scheduler's responsibility."""
 
     arrival: TaskArrived
     machine: int
@@ -121,21 +121,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskWithdrawn:
-    """The request has ended; nothing more is owed for it."""
+    """The request has ended; no answer is due any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set earlier has come due."""
+    """A timer set by SetTimer has expired."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class TaskPlaced:
-    """The machine has taken the task; its end comes as AttemptEnded."""
+    """The machine has started the task; its end is reported by AttemptEnded."""
 
     request: int
     attempt: int
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; `closed` tells that the request has ended with it or before."""
+    """An attempt has ended; `closed` means that the request ended with it or earlier."""
 
     request: int
     attempt: int
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskNote:
-    """News of a task that is still out or runs."""
+    """A note on a task that has an open attempt or is running; `level` is the value for its kind."""
 
     request: int
     attempt: int
@@ -179,10 +179,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedMachine:
-    """A machine as another instance knows it, weighed by its age; figures are (cores, memory).
+    """A machine as another instance knows it, weighted by age; pairs of figures are (cores, memory).
 
-    `warm_us`: programs and for how long they are trusted to stay; `rests_us`: strikes and time left,
-    by class.
+    `asked`: the allocation; `beyond`: measured use in excess of the usual share of it; `warm_us`: for how
+    long each program is expected to stay; `rests_us`: strikes and time left of each backoff, by class.
     """
 
     machine: int
@@ -196,7 +196,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """Another instance's knowledge of machines; shares of use and the own notes that each weighs."""
+    """Another instance's knowledge of machines.
+
+    `ratio`: use per allocation of cores and memory; `notes`: the number of notes that each counts as.
+    """
 
     machines: tuple[LearnedMachine, ...]
     ratio: tuple[float, float]
@@ -205,14 +208,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Planned:
-    """Machines whose work is planned to end: by when, on the caller's clock; None takes the plan back."""
+    """When the work of machines is planned to end; None cancels the plan for a machine."""
 
     closes_us: Mapping[int, int | None]
 
 
 @dataclass(frozen=True, slots=True)
 class MachineKnowledge:
-    """What the scheduler knows of a machine; None where it knows nothing of the kind."""
+    """What the scheduler knows of a machine; None for a figure that it does not know."""
 
     machine: int
     gone: bool
@@ -227,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Knowledge:
-    """All that is known of machines, and never of requests; times are ages."""
+    """All that is known of machines, and nothing of requests; times are ages or times left."""
 
     machines: tuple[MachineKnowledge, ...]
     ratio: tuple[float, float]
--- a/wingbarrow/interface_settings.py
+++ b/wingbarrow/interface_settings.py
@@ -1,6 +1,6 @@
 """Settings of the scheduler: classes of tasks, kinds of machines, bounds; part of interface.py.
 
-Times are microseconds on the caller's clock. A figure that was not told is None.
+Times are microseconds on the caller's clock. A figure that is not known is None.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What a second start of a task does: no harm, none within a group and window, or harm."""
+    """The effect of a second start of a task: no harm, no harm within a group and window, or harm."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class Place(Enum):
-    """A scope of machines: none at all, a single one, a cell (rack), a zone (hall), or the whole fleet."""
+    """A scope of machines: none, a single machine, a cell (rack), a zone (hall), or the whole fleet."""
 
     NONE = "none"
     MACHINE = "machine"
@@ -54,7 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
-    """A class of tasks; `kind`: the machine kind it needs; `calm`, `fade`: its service when busy."""
+    """A class of tasks.
+
+    `group`, `window_us`: where and for how long repeated starts are deduplicated; `kind`: the machine kind
+    that it needs, or None. Its service is full up to a use of `calm` times the machine's cores, and degrades
+    over the next `fade` times the cores.
+    """
 
     name: str
     effect: Effect
@@ -70,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of the result for each unit of what costs."""
+    """Prices, in points of the result: of machines in use, and of one probe."""
 
     fleet: float
     probe: float
@@ -78,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the scheduler is told at its start, and where rules change.
+    """Settings of the scheduler, given at its start and whenever the rules change.
 
-    Figures out of range raise ValueError with the key's name.
+    Raises ValueError naming the key for a figure that is out of range.
     """
 
     placers: int
@@ -101,12 +106,11 @@
     fall_us: int
     fresh_offers: float
     prices: Prices
-    arrivals_told: bool = (
-        False  # an offer has come once its machine says so, by a note, an answer or its end
-    )
+    # Whether an offer counts as arrived only when its machine says so, by a note, an answer or its end.
+    arrivals_told: bool = False
 
     def __post_init__(self) -> None:
-        """Reject figures that no deployment can mean."""
+        """Raise ValueError for figures that are out of range."""
         above_zero = (
             "placers",
             "booking_cores",
--- a/wingbarrow/settings_parser.py
+++ b/wingbarrow/settings_parser.py
@@ -1,7 +1,7 @@
-"""The platform's settings object and load reports as the scheduler's types, for all who are handed them.
+"""Parses the platform's settings object and load reports into the scheduler's types.
 
-Figures, names, counts and orders are whatever the site says; what cannot be used is a ValueError of one line
-that names its key in full, as `lanes[2].effect`. What the page on settings does not name is passed over.
+Figures, names, counts and orders depend on the site. A value that cannot be used raises a ValueError of one
+line that names its key in full, such as `lanes[2].effect`. Keys that are not documented are ignored.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     "zone": api.Place.ZONE,
     "all": api.Place.ALL,
 }
-# Danger (rule 2): machines that discard no repeats at all ("off") would be taken for all machines.
+# Danger (rule 2): "off" (no machine deduplicates) would be treated as deduplication across all machines.
 GROUPS = {name: place for name, place in PLACES.items() if place is not api.Place.NONE}
 DISCOVERY = {"push": api.Discovery.PUSH, "ask": api.Discovery.ASK}
 REPORTS = {
@@ -29,15 +29,15 @@
     "on_probe": api.Reports.ON_PROBES,
     "off": api.Reports.NONE,
 }
-COUNTED = {"asked": False, "used": True}
-# Discovery is asked again after half of `rules.ask_every_us`: were that 0, a placer would do nothing else.
+REPORT_COUNTS_USE = {"asked": False, "used": True}
+# Least `rules.ask_every_us`. Discovery is asked again after half of it: at 0, a placer would do nothing else.
 MIN_ASK_US = 100_000
-MAX_SHOWN = 60
+MAX_SHOWN = 60  # characters of a value in an error message
 T = TypeVar("T")
 
 
 def format_value(value: object) -> str:
-    """A value in a message: on one line, and short. Danger: `repr` of what is nested deeply fails."""
+    """Format a value for an error message: one short line. Danger: `repr` of a deeply nested value fails."""
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
     text = repr(value)
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JsonValue:
-    """A value of a JSON document and its path there; ValueError names the path of what is wrong."""
+    """A value of a JSON document with its path; checks raise ValueError with the path and the value."""
 
     value: Any
     path: str = ""
 
     def find(self, path: str) -> JsonValue | None:
-        """The value at a dotted path below this one; None where it is absent."""
+        """The value at a dotted path below this one; None if it is absent."""
         part = self
         for key in path.split("."):
             if not isinstance(part.value, dict) or key not in part.value:
@@ -61,18 +61,18 @@
         return part
 
     def at(self, path: str) -> JsonValue:
-        """The value at a dotted path below this one."""
+        """The value at a dotted path below this one; ValueError if it is absent."""
         found = self.find(path)
         if found is None:
             raise ValueError(f"{self.path}.{path}: missing" if self.path else f"{path}: missing")
         return found
 
     def error(self, why: str) -> ValueError:
-        """What is said of this value."""
+        """A ValueError for this value, to raise: its path, the reason and the value."""
         return ValueError(f"{self.path}: {why}: {format_value(self.value)}")
 
     def items(self, minimum: int = 0) -> list[JsonValue]:
-        """The values of a list; one that runs parallel to another holds at least `minimum` entries."""
+        """The elements of a list; ValueError for another type or fewer than `minimum` elements."""
         if not isinstance(self.value, list):
             raise self.error("not a list")
         if len(self.value) < minimum:
@@ -92,37 +92,37 @@
         return number
 
     def microseconds(self, minimum: int = 0) -> int:
-        """A time in microseconds; a part of one is dropped. Also from 2000.0."""
+        """A time in microseconds, not less than `minimum`; a fraction is cut off, so that 2000.0 is valid."""
         return int(self.number(minimum))
 
     def count(self, minimum: int = 0) -> int:
-        """A number of things, or a position; ValueError where it is none, such as 2.5."""
+        """A count or a position: a whole number not less than `minimum`; ValueError for one such as 2.5."""
         number = self.number(minimum)
         if number != int(number):
             raise self.error("not a whole number")
         return int(number)
 
     def boolean(self) -> bool:
-        """A truth value."""
+        """True or false."""
         if not isinstance(self.value, bool):
             raise self.error("neither true nor false")
         return self.value
 
     def name(self) -> str:
-        """Text that is not empty."""
+        """A string that is not empty."""
         if not isinstance(self.value, str) or not self.value:
             raise self.error("not a name")
         return self.value
 
     def choice(self, table: dict[str, T]) -> T:
-        """What a table holds for this word."""
+        """The entry of `table` for this word; ValueError if there is none."""
         if not isinstance(self.value, str) or self.value not in table:
             raise self.error("unknown")
         return table[self.value]
 
 
 def parse_settings_text(text: str) -> api.Settings:
-    """Settings from JSON text; ValueError names what is missing or out of range."""
+    """Parse settings from JSON text; ValueError names the key that is missing or invalid."""
     return parse_settings(json.loads(text))
 
 
@@ -136,7 +136,7 @@
 
 
 def _kinds(setup: JsonValue) -> tuple[api.MachineKind, ...]:
-    """The kinds of machines; none at all is no fault, but of such a site no machine's size is known."""
+    """The kinds of machines; there may be none, and then the size of no machine is known."""
     names = _names(setup.at("kinds").items())
     cores = setup.at("family_info.cores_by_kind").items(len(names))
     memory = setup.at("family_info.memory_by_kind").items(len(names))
@@ -149,8 +149,8 @@
 def _classes(setup: JsonValue, kinds: tuple[api.MachineKind, ...]) -> tuple[api.TaskClass, ...]:
     lanes = setup.at("lanes").items()
     if not lanes:
-        # Each set-up names its class: without one nothing can ever be placed, and every task would be failed.
-        # The fault is better seen at the start.
+        # Each task names its class: without classes every task would fail. The fault is easier to see at the
+        # start.
         raise ValueError(f"{setup.at('lanes').path}: at least one is needed")
     names = _names([lane.at("name") for lane in lanes])
     columns = {
@@ -160,13 +160,13 @@
     classes = []
     for i, lane in enumerate(lanes):
         row = {key: column[i] for key, column in columns.items()}
-        needs = row["class_kind"].count(minimum=-1)
-        if needs >= len(kinds):
+        kind_index = row["class_kind"].count(minimum=-1)
+        if kind_index >= len(kinds):
             raise row["class_kind"].error("no such kind")
         effect = lane.at("effect").choice(EFFECTS)
         keyed = effect is api.Effect.KEYED
         spread = row["spread_by"].choice(PLACES)
-        bounded = spread is not api.Place.NONE  # else the figure says nothing, and may be 0 or -1
+        bounded = spread is not api.Place.NONE  # otherwise the bound is unused, and may be 0 or -1
         classes.append(
             api.TaskClass(
                 name=names[i],
@@ -176,7 +176,7 @@
                 worth=lane.at("importance").number(),
                 spread=spread,
                 spread_most=row["class_most"].count(minimum=1) if bounded else 0,
-                kind=kinds[needs].name if needs >= 0 else None,
+                kind=kinds[kind_index].name if kind_index >= 0 else None,
                 calm=row["easy_until"].number(),
                 fade=row["lost_after"].number(),
             )
@@ -185,20 +185,20 @@
 
 
 def parse_settings(value: Any, path: str = "") -> api.Settings:
-    """Settings from the object, found at `path` of its document; ValueError names what is missing or wrong.
+    """Parse settings from an object at `path` of its document; ValueError names the missing or invalid key.
 
-    Only `costs.fleet` may be absent: no such cost. An interval of 0 counts as the shortest, 1 us.
+    Only `costs.fleet` may be absent: it defaults to 0. Intervals of 0 count as 1 us, the shortest.
     """
     setup = JsonValue(value, path)
     kinds = _kinds(setup)
     placers = setup.at("balancers").count(minimum=1)
-    me = setup.at("me")
-    if me.count() >= placers:
-        raise me.error(f"no such one of {placers}")
+    index = setup.at("me")
+    if index.count() >= placers:
+        raise index.error(f"no such one of {placers}")
     fleet = setup.find("costs.fleet")
     return api.Settings(
         placers=placers,
-        index=me.count(),
+        index=index.count(),
         classes=_classes(setup, kinds),
         kinds=kinds,
         booking_cores=setup.at("family_info.cpu_booking").number(exclusive=True),
@@ -207,7 +207,7 @@
         discovery=setup.at("discovery").choice(DISCOVERY),
         may_probe=setup.at("bounds.probes").boolean(),
         reports=setup.at("report.how").choice(REPORTS),
-        reports_use=setup.at("family_info.report_counts").choice(COUNTED),
+        reports_use=setup.at("family_info.report_counts").choice(REPORT_COUNTS_USE),
         room_in_list=setup.at("family_info.free_in_list").boolean(),
         tick_us=max(1, setup.at("quantum_us").microseconds()),
         ask_every_us=max(MIN_ASK_US, setup.at("rules.ask_every_us").microseconds()),
@@ -222,7 +222,7 @@
 
 
 def parse_report(text: str, between: str = ",") -> api.Report | None:
-    """A load report; a value that cannot be read counts as not told."""
+    """Parse a load report of `name:value` pairs; None for "-". A value that is no number is left out."""
     if text == "-":
         return None
     values: dict[str, float] = {}
--- a/wingbarrow/simhost.py
+++ b/wingbarrow/simhost.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's line protocol and the scheduler: wire text to events, actions to text."""
+"""Adapter between the simulator's line protocol and the scheduler: lines to events, actions to lines."""
 
 from __future__ import annotations
 
@@ -46,31 +46,31 @@
 
 
 class FrameError(Exception):
-    """The wire's framing is broken; no sound reply is possible."""
+    """The framing of the input is broken, so that no valid reply is possible."""
 
 
-def _absent_as_zero(text: str) -> int:
+def _int_or_zero(text: str) -> int:
     return 0 if text == "-" else int(text)
 
 
-def _entry(line: str) -> api.ListedMachine:
+def _parse_entry(line: str) -> api.ListedMachine:
     word, memory, cell, condition, kind, launched, cores, machine, _weight, zone = line.split(" ")
     if word != "ITEM":
-        raise FrameError(f"a list entry was due, not {word}")
+        raise FrameError(f"expected a list entry (ITEM), got {word}")
     return api.ListedMachine(
         int(machine),
         kind,
         int(cell),
         zone,
         PHASES[condition],
-        _absent_as_zero(launched),
+        _int_or_zero(launched),
         float(cores),
         float(memory),
     )
 
 
-def _arrived(v: list[str]) -> api.Event:
-    request, service, _flags, lasts, _tenant, memory, deadline, task, kind, cores = v
+def _parse_arrived(fields: list[str]) -> api.Event:
+    request, service, _flags, remaining, _tenant, memory, deadline, task, kind, cores = fields
     return api.TaskArrived(
         int(request),
         kind,
@@ -79,12 +79,14 @@
         float(cores),
         float(memory),
         int(deadline),
-        None if lasts == "-" else int(lasts),
+        None if remaining == "-" else int(remaining),
     )
 
 
-def _found(v: list[str]) -> api.Event:
-    request, kind, _tenant, task, deadline, lasts, service, cores, memory, _flags, machine = v
+def _parse_found(fields: list[str]) -> api.Event:
+    request, kind, _tenant, task, deadline, remaining, service, cores, memory, _flags, machine = (
+        fields
+    )
     return api.TaskFound(
         api.TaskArrived(
             int(request),
@@ -93,156 +95,156 @@
             task,
             float(cores),
             float(memory),
-            _absent_as_zero(deadline),
-            None if lasts == "-" else int(lasts),
+            _int_or_zero(deadline),
+            None if remaining == "-" else int(remaining),
         ),
         int(machine),
     )
 
 
-def _ended(v: list[str]) -> api.Event:
-    request, verdict, closed, leg, remark, machine, waited, gauge = v
+def _parse_ended(fields: list[str]) -> api.Event:
+    request, outcome, closed, attempt, reason, machine, waited, report = fields
     return api.AttemptEnded(
         int(request),
-        int(leg),
+        int(attempt),
         int(machine),
-        OUTCOMES[int(verdict)],
-        REASONS.get(_absent_as_zero(remark), api.Reason.UNTOLD),
+        OUTCOMES[int(outcome)],
+        REASONS.get(_int_or_zero(reason), api.Reason.UNTOLD),
         closed == "1",
-        _absent_as_zero(waited),
-        parse_report(gauge),
+        _int_or_zero(waited),
+        parse_report(report),
     )
 
 
-def _placed(v: list[str]) -> api.Event:
-    request, leg, machine, waited = v
-    return api.TaskPlaced(int(request), int(leg), int(machine), _absent_as_zero(waited))
+def _parse_placed(fields: list[str]) -> api.Event:
+    request, attempt, machine, waited = fields
+    return api.TaskPlaced(int(request), int(attempt), int(machine), _int_or_zero(waited))
 
 
-def _probed(v: list[str]) -> api.Event:
-    _waited, verdict, machine, gauge = v
-    return api.Probed(int(machine), OUTCOMES[int(verdict)], parse_report(gauge))
+def _parse_probed(fields: list[str]) -> api.Event:
+    _waited, outcome, machine, report = fields
+    return api.Probed(int(machine), OUTCOMES[int(outcome)], parse_report(report))
 
 
-def _note(v: list[str]) -> api.Event:
-    request, leg, machine, kind, level = v
-    return api.TaskNote(int(request), int(leg), int(machine), NOTES[int(kind)], float(level))
+def _parse_note(fields: list[str]) -> api.Event:
+    request, attempt, machine, kind, level = fields
+    return api.TaskNote(int(request), int(attempt), int(machine), NOTES[int(kind)], float(level))
 
 
-def _withdrawn(v: list[str]) -> api.Event:
-    (request,) = v
+def _parse_withdrawn(fields: list[str]) -> api.Event:
+    (request,) = fields
     return api.TaskWithdrawn(int(request))
 
 
-READERS: dict[str, Callable[[list[str]], api.Event]] = {
-    "ASK": _arrived,
-    "FOUND": _found,
-    "ATTEMPT_END": _ended,
-    "LANDED": _placed,
-    "CHECKED": _probed,
-    "NOTICE": _note,
-    "VANISHED": _withdrawn,
+PARSERS: dict[str, Callable[[list[str]], api.Event]] = {
+    "ASK": _parse_arrived,
+    "FOUND": _parse_found,
+    "ATTEMPT_END": _parse_ended,
+    "LANDED": _parse_placed,
+    "CHECKED": _parse_probed,
+    "NOTICE": _parse_note,
+    "VANISHED": _parse_withdrawn,
 }
 
 
-def write_action(who: str, action: api.Action) -> str:
-    """The wire's line for an action."""
+def write_action(instance: str, action: api.Action) -> str:
+    """The protocol line for an action of the scheduler `instance`."""
     match action:
         case api.Bind(request, machine, give_up):
-            return f"SEND {who} {request} {machine} {give_up}"
+            return f"SEND {instance} {request} {machine} {give_up}"
         case api.Refuse(request):
-            return f"DECLINE {who} {request} 0"
+            return f"DECLINE {instance} {request} 0"
         case api.Fail(request):
-            return f"END_FAILED {who} {request}"
+            return f"END_FAILED {instance} {request}"
         case api.Move(request):
-            return f"REASSIGN {who} {request}"
+            return f"REASSIGN {instance} {request}"
         case api.SetTimer(at, name):
-            return f"WAKE_AT {who} {at} {name}"
+            return f"WAKE_AT {instance} {at} {name}"
         case api.Probe(machine):
-            return f"CHECK {who} {machine}"
+            return f"CHECK {instance} {machine}"
         case api.WatchList():
-            return f"FOLLOW {who} 1"
+            return f"FOLLOW {instance} 1"
         case api.Log(text):
-            return f"NOTE_DOWN {who} {text}"
+            return f"NOTE_DOWN {instance} {text}"
 
 
 class Host:
-    """Runs many schedulers, which share nothing but the lists' text that the wire gives once for all."""
+    """Runs many schedulers, which share only the lists of machines that the simulator sends once for all."""
 
-    def __init__(self, complain: Callable[[str], None]) -> None:
-        self._complain = complain
+    def __init__(self, report_error: Callable[[str], None]) -> None:
+        self._report_error = report_error
         self._schedulers: dict[str, Scheduler] = {}
-        self._banks: dict[int, tuple[api.ListedMachine, ...] | None] = {}
+        self._lists: dict[int, tuple[api.ListedMachine, ...] | None] = {}
 
     def batch(self, now_us: int, lines: list[str]) -> list[str]:
-        """The reply's lines to one batch of event lines."""
+        """Process one batch of event lines; returns the lines of the reply."""
         reply: list[str] = []
         at = 0
         while at < len(lines):
             word, _, rest = lines[at].partition(" ")
             at += 1
             if word == "POOL":
-                at = self._read_bank(rest, lines, at)
+                at = self._read_list(rest, lines, at)
             else:
-                self._event(now_us, word, rest, reply)
+                self._handle_event(now_us, word, rest, reply)
         return reply
 
-    def _read_bank(self, rest: str, lines: list[str], at: int) -> int:
+    def _read_list(self, rest: str, lines: list[str], at: int) -> int:
         try:
-            bank, count = (int(part) for part in rest.split(" "))
+            list_id, count = (int(part) for part in rest.split(" "))
         except ValueError:
-            raise FrameError(f"POOL is unreadable: {rest}") from None
+            raise FrameError(f"POOL: expected two integers, got {rest}") from None
         entries = lines[at : at + count]
         if len(entries) < count or not all(line.startswith("ITEM ") for line in entries):
-            raise FrameError(f"POOL {bank} does not hold its {count} entries")
+            raise FrameError(f"POOL {list_id}: expected {count} ITEM lines after it")
         try:
-            self._banks[bank] = tuple(_entry(line) for line in entries)
+            self._lists[list_id] = tuple(_parse_entry(line) for line in entries)
         except (ValueError, KeyError) as error:
-            self._complain(f"POOL {bank}: {error}")
-            self._banks[bank] = None
+            self._report_error(f"POOL {list_id}: {error}")
+            self._lists[list_id] = None
         return at + count
 
-    def _event(self, now_us: int, word: str, rest: str, reply: list[str]) -> None:
-        who, _, values = rest.partition(" ")
+    def _handle_event(self, now_us: int, word: str, rest: str, reply: list[str]) -> None:
+        instance, _, values = rest.partition(" ")
         if word == "FROM_PEER":
             return
-        if word not in READERS and word not in ("CREATE", "TEARDOWN", "REGISTRY", "WAKE"):
-            self._complain(f"unknown event passed over: {word}")
+        if word not in PARSERS and word not in ("CREATE", "TEARDOWN", "REGISTRY", "WAKE"):
+            self._report_error(f"unknown event passed over: {word}")
             return
         try:
             if word == "CREATE":
                 seed, _, setup = values.partition(" ")
-                self._schedulers[who] = Scheduler(parse_settings_text(setup), int(seed))
+                self._schedulers[instance] = Scheduler(parse_settings_text(setup), int(seed))
             elif word == "TEARDOWN":
-                self._schedulers.pop(who, None)
-            elif who not in self._schedulers:
-                self._complain(f"{word} for an instance that is not there: {who}")
+                self._schedulers.pop(instance, None)
+            elif instance not in self._schedulers:
+                self._report_error(f"{word} for an instance that is not there: {instance}")
             else:
-                actions = self._schedulers[who].handle(now_us, self._read(word, values))
-                reply.extend(write_action(who, action) for action in actions)
-        except Exception as error:  # whatever failed, only this instance may be given up
+                actions = self._schedulers[instance].handle(now_us, self._parse_event(word, values))
+                reply.extend(write_action(instance, action) for action in actions)
+        except Exception as error:  # any failure ends this scheduler alone, not the process
             reason = " ".join(f"{word}: {type(error).__name__}: {error}".split())
-            self._complain(f"{who}: {reason}")
-            self._schedulers.pop(who, None)
-            reply.append(f"BAIL_OUT {who} {reason}")
+            self._report_error(f"{instance}: {reason}")
+            self._schedulers.pop(instance, None)
+            reply.append(f"BAIL_OUT {instance} {reason}")
 
-    def _read(self, word: str, values: str) -> api.Event:
+    def _parse_event(self, word: str, values: str) -> api.Event:
         if word == "WAKE":
             return api.TimerDue(values)
         if word == "REGISTRY":
-            form, bank, _version = values.split(" ")
+            form, list_id, _version = values.split(" ")
             if FORMS[form] is api.ListForm.FAILED:
                 return api.MachineList(api.ListForm.FAILED, ())
-            machines = self._banks.get(int(bank))
+            machines = self._lists.get(int(list_id))
             if machines is None:
-                raise ValueError(f"list {bank} is unreadable or was never given")
+                raise ValueError(f"list {list_id} is unreadable or was never given")
             return api.MachineList(FORMS[form], machines)
-        return READERS[word](values.split(" "))
+        return PARSERS[word](values.split(" "))
 
 
-def serve(source: TextIO, sink: TextIO, complaints: TextIO) -> int:
-    """Answer batches until the input ends; the exit status."""
-    host = Host(lambda text: print(text, file=complaints, flush=True))
+def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answer batches until the input ends; returns the exit status: 1 if the input is broken."""
+    host = Host(lambda text: print(text, file=errors, flush=True))
     now_us: int | None = None
     lines: list[str] = []
     try:
@@ -251,7 +253,7 @@
             if now_us is None:
                 word, _, clock = line.partition(" ")
                 if word != "TURN" or not clock.isdigit():
-                    raise FrameError(f"a batch was due, not {line[:80]}")
+                    raise FrameError(f"expected TURN and a time, got {line[:80]}")
                 now_us, lines = int(clock), []
             elif line == "END":
                 sink.write("\n".join([*host.batch(now_us, lines), "DONE", ""]))
@@ -262,7 +264,7 @@
         if now_us is not None:
             raise FrameError("the input ended inside a batch")
     except (FrameError, UnicodeDecodeError) as error:
-        print(f"broken input: {error}", file=complaints, flush=True)
+        print(f"broken input: {error}", file=errors, flush=True)
         return 1
     return 0
 
