--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and a small driver for tests of the scheduler; no fleet is simulated."""
+"""Settings and a driver for tests of the scheduler; no fleet is simulated."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wingbarrow import interface as api
 
 S = 1_000_000
-# The same examples in every run: a verdict must not hang on chance. HYPOTHESIS_PROFILE=search looks further.
+# The same examples in every run, so that results are reproducible; HYPOTHESIS_PROFILE=search tries others.
 hypothesis.settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis.settings.register_profile("search", deadline=None)
 hypothesis.settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "fixed"))
@@ -61,7 +61,7 @@
 
 
 class Driver:
-    """Feeds events to one scheduler and keeps what it did."""
+    """Feeds events to one scheduler on a clock of its own; each method returns the actions."""
 
     def __init__(self, config: api.Settings, seed: int = 1) -> None:
         self.scheduler = Scheduler(config, seed)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,4 @@
-"""A small cluster on a virtual clock for full-path tests; what crossed its sockets is in `record`."""
+"""A small cluster on a virtual clock for end-to-end tests; the traffic of its sockets is in `cluster.record`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Stage:
-    """Cluster, a client of the first placer, and shorthands."""
+    """A cluster, a client of its first placer, and helpers."""
 
     def __init__(
         self, machines: int = 2, placers: int = 1, seed: int = 3, build: Build | None = None
@@ -46,7 +46,7 @@
             try:
                 return script()
             finally:
-                # Danger: what stands still at the end would hold its sockets, and later tests find none left.
+                # Danger: a process that is stalled at the end would keep its sockets, and later tests would run out.
                 for domain in [
                     *(slot.domain for slot in self.cluster.placers),
                     *(machine.domain for machine in self.cluster.machines),
@@ -101,7 +101,7 @@
         return call(self.pool(), "GET", f"{JOBS}/{name}")
 
     def post(self, port: int, name: str) -> None:
-        """Submit to a placer by its port, whatever it answers; nothing is recorded."""
+        """Submit a Job to a placer by its port and ignore its answer; nothing is recorded."""
         want = Want(0, name, "web", name, 0.25, 0.25, 5 * S)
         try:
             call(self.pool(port), "POST", JOBS, names.encode(job_value(want, name, 5 * S)))
@@ -118,12 +118,12 @@
         self.cluster.record("owner", "deleted", placer="placer-0", job=name, uid=uid)
 
     def refused(self, name: str) -> tuple[int, str]:
-        """The status and words by which a Job is turned away."""
+        """The status code and message of a Job that is rejected."""
         try:
             self.submit(name)
         except ApiError as error:
             return error.code, error.message
-        raise AssertionError("it was accepted")
+        raise AssertionError(f"Job {name} was accepted")
 
     def conditions(self, name: str) -> dict[str, str]:
         return {
@@ -131,7 +131,7 @@
         }
 
     def settled(self, name: str, within_s: float = 12) -> dict[str, str]:
-        """The Job's conditions as soon as it has an answer, which the recording keeps."""
+        """The Job's conditions as soon as it has a final answer; the answer is recorded."""
         until = self.hub.now_us() + int(within_s * S)
         while True:
             found = self.conditions(name)
@@ -151,7 +151,7 @@
                     failed="",
                 )
                 return found
-            assert self.hub.now_us() < until, f"no answer: {found}"
+            assert self.hub.now_us() < until, f"no answer to Job {name}: {found}"
             self.hub.sleep(5_000)
 
     def seen(self, what: str, **data: Any) -> list[Record]:
--- a/tests/test_crowd.py
+++ b/tests/test_many_clients.py
@@ -1,4 +1,4 @@
-"""Many clients at once on one placer: most of them behave, some read nothing, some send a byte a second."""
+"""Many clients of one placer at once: most are well-behaved, some read nothing, one sends a byte a second."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
         with Nursery(hub) as nursery:
             nursery.spawn(follow)
             big = {"note": "x" * 100_000}
-            for turn in range(120):  # some ten megabytes: more than the socket's buffers hold
+            for turn in range(120):  # about 10 MB: more than the buffers of the sockets hold
                 made = stage.submit(f"t{turn}", runs_s=30, cores=0.1, memory=0.1)
                 job = placer.job_store.jobs[f"default/{made['metadata']['name']}"]
                 job.value["metadata"]["annotations"] = {
@@ -101,7 +101,7 @@
                 }
                 placer.objects.jobs.put(job.key, job.value)
                 hub.sleep(S // 20)
-        assert counts[0] >= 240, "the watcher beside it saw all"
+        assert counts[0] >= 240, "the other watcher saw all changes"
         data = b""
         while b"\r\n0\r\n\r\n" not in data[-4096:]:
             part = slow.receive(1 << 20)
--- a/tests/test_rem.py
+++ b/tests/test_rem.py
@@ -1,4 +1,4 @@
-"""Random Early Migration as the design words it: the chance, its gate, who moves, and the pick."""
+"""Random Early Migration: the probability of a move, its condition, the task to move, and the choice of a machine."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from wingbarrow import machine_state, placement
 
 
-def moves_at(load: float, refuge: float = 0.0, trials: int = 200) -> float:
-    """Share of binds that move a task, at a load (of what the machine can serve) on the machine bound to."""
+def move_share(load: float, other_load: float = 0.0, trials: int = 200) -> float:
+    """Share of binds that move a task, at this load (as a share of L) of the machine bound to."""
     moved = 0
     for seed in range(trials):
         driver = Driver(settings(booking_cores=9.0, booking_memory=9.0), seed)
@@ -18,7 +18,7 @@
         driver.found(1, 1)
         driver.found(2, 1, service="t")
         driver.give(api.TimerDue("sweep"), after=9 * S)
-        for ident, share in ((1, load), (2, refuge)):
+        for ident, share in ((1, load), (2, other_load)):
             fleet = driver.scheduler._fleet
             fleet._record_measured_use(fleet.machines[ident], 20 * share, 0.0)
         task = driver.scheduler._selector.select_move(driver.scheduler._fleet.machines[1])
@@ -27,15 +27,15 @@
     return moved / trials
 
 
-def test_the_chance_is_nothing_below_linear_between_and_certain_above() -> None:
-    assert moves_at(placement.R_MIN - 0.02) == 0.0
-    middle = moves_at((placement.R_MIN + placement.R_MAX) / 2)
+def test_move_probability_is_zero_below_r_min_linear_between_and_one_above_r_max() -> None:
+    assert move_share(placement.R_MIN - 0.02) == 0.0
+    middle = move_share((placement.R_MIN + placement.R_MAX) / 2)
     assert abs(middle - placement.P_MAX / 2) < 0.12
-    assert moves_at(placement.R_MAX + 0.02) == 1.0
+    assert move_share(placement.R_MAX + 0.02) == 1.0
 
 
-def test_no_move_without_a_fitting_machine_below_its_minimum() -> None:
-    assert moves_at(1.2, refuge=placement.R_MIN + 0.05) == 0.0
+def test_no_move_without_a_fitting_machine_below_r_min() -> None:
+    assert move_share(1.2, other_load=placement.R_MIN + 0.05) == 0.0
 
 
 def test_the_pick_is_among_the_least_loaded_candidates() -> None:
@@ -44,13 +44,13 @@
         driver = Driver(settings(), seed)
         driver.listing(*(listed(i, free=20.0 - i) for i in range(8)))
         for i in range(8):
-            driver.found(100 + i, i)  # the service is warm everywhere
+            driver.found(100 + i, i)  # the program is warm everywhere
         (bind,) = binds(driver.arrive(1))
         chosen.add(bind.machine)
     assert chosen == {0, 1, 2}
 
 
-def test_a_machine_not_heard_from_counts_as_average() -> None:
+def test_a_machine_without_a_report_counts_as_average() -> None:
     driver = Driver(settings())
     driver.listing(listed(1, free=20.0), listed(2, free=0.0), listed(3, free=float("nan")))
     load = {
@@ -60,28 +60,28 @@
     assert load[1] < load[3] < load[2]
 
 
-def test_own_binds_count_once_until_the_view_holds_them() -> None:
+def test_own_binds_count_once_until_the_list_contains_them() -> None:
     driver = Driver(settings())
     driver.listing(listed(1))
     driver.arrive(1, cores=4.0)
     machine = driver.scheduler._fleet.machines[1]
     assert machine.allocated[0] == 4.0
-    driver.listing(listed(1), form=api.ListForm.CHANGES)  # tells of an earlier time
+    driver.listing(listed(1), form=api.ListForm.CHANGES)  # refers to an earlier time
     assert machine.allocated[0] == 4.0
     driver.now += 10 * S
     driver.listing(listed(1, free=16.0), form=api.ListForm.CHANGES)
     assert machine.allocated[0] == 4.0
 
 
-def test_a_refused_bind_is_taken_back_and_its_reason_believed() -> None:
+def test_a_refused_bind_is_released_and_its_reason_outranks_the_list() -> None:
     driver = Driver(settings(booking_cores=1.0))
     driver.listing(listed(1), listed(2, free=10.0))
-    driver.found(5, 1)  # warm on the emptier one
+    driver.found(5, 1)  # the program is warm on the emptier machine
     (bind,) = binds(driver.arrive(1, cores=4.0))
     assert bind.machine == 1
-    (again,) = binds(driver.end(1, 1, api.Outcome.REFUSED, reason=api.Reason.NO_CORES))
-    assert again.machine == 2
-    driver.listing(listed(1), form=api.ListForm.CHANGES)  # the stale view repeats itself
+    (second_bind,) = binds(driver.end(1, 1, api.Outcome.REFUSED, reason=api.Reason.NO_CORES))
+    assert second_bind.machine == 2
+    driver.listing(listed(1), form=api.ListForm.CHANGES)  # the stale list is repeated
     assert all(bind.machine == 2 for bind in binds(driver.arrive(2, cores=4.0)))
 
 
@@ -102,7 +102,7 @@
     assert bind.give_up_us == driver.now + 5 * S
 
 
-def test_placers_that_cannot_talk_start_a_service_on_the_same_machine() -> None:
+def test_placers_without_contact_start_a_service_on_the_same_machine() -> None:
     chosen = set()
     for seed in range(20):
         driver = Driver(settings(), seed)
@@ -112,7 +112,7 @@
     assert len(chosen) == 1
 
 
-def test_the_program_is_sought_where_it_is_warm() -> None:
+def test_a_task_goes_where_its_program_is_warm() -> None:
     for warm in range(4):
         driver = Driver(settings())
         driver.listing(*(listed(i) for i in range(4)))
@@ -121,9 +121,7 @@
         assert bind.machine == warm
 
 
-def test_where_the_program_is_warm_more_starts_go_and_though_the_load_needs_no_such_machine() -> (
-    None
-):
+def test_a_warm_machine_takes_more_starts_also_outside_the_active_set() -> None:
     driver = Driver(settings(placers=4, prices=api.Prices(0.2, 0.003)))
     driver.listing(*(listed(i) for i in range(12)))
     driver.arrive(99, service="other", cores=0.1)
@@ -142,7 +140,7 @@
     assert inactive.listed.machine not in chosen[16:]
 
 
-def test_a_silent_machine_rests_then_gets_one_task_at_a_time() -> None:
+def test_an_unreachable_machine_is_backed_off_then_gets_one_start_at_a_time() -> None:
     driver = Driver(settings())
     driver.listing(listed(1))
     (bind,) = binds(driver.arrive(1))
@@ -165,35 +163,35 @@
 
 
 def test_a_placer_alone_starts_more_at_a_time_on_a_machine() -> None:
-    for placers, most in ((1, placement.SHARED_START_LIMIT), (4, placement.START_LIMIT)):
+    for placers, limit in ((1, placement.SHARED_START_LIMIT), (4, placement.START_LIMIT)):
         driver = Driver(settings(placers=placers))
         driver.listing(listed(1))
-        assert sum(len(binds(driver.arrive(i, cores=0.1))) for i in range(20)) == most
+        assert sum(len(binds(driver.arrive(i, cores=0.1))) for i in range(20)) == limit
 
 
-def test_kept_sums_match_sums_taken_anew_after_random_events() -> None:
-    driver, pick = Driver(settings(attempts_most=1)), random.Random(3)
+def test_allocations_match_a_recomputation_after_random_events() -> None:
+    driver, rng = Driver(settings(attempts_most=1)), random.Random(3)
     driver.listing(listed(1, free=12.0))
-    events: list[tuple[int, float]] = []  # what own binds and ends changed, and when
+    events: list[tuple[int, float]] = []  # time and cores of own binds and ends
     bound: dict[int, int] = {}
-    heard, as_of = 8.0, driver.now - machine_state.LIST_LAG_US
+    allocated_cores, as_of = 8.0, driver.now - machine_state.LIST_LAG_US
     for step in range(400):
-        driver.now += pick.randrange(200_000)
-        if pick.random() < 0.5:
+        driver.now += rng.randrange(200_000)
+        if rng.random() < 0.5:
             if binds(driver.arrive(step, cores=0.25)):
                 bound[step] = driver.now
                 events.append((driver.now, 0.25))
-        elif bound and pick.random() < 0.8:
-            request = pick.choice(sorted(bound))
+        elif bound and rng.random() < 0.8:
+            request = rng.choice(sorted(bound))
             sent = bound.pop(request)
-            never_ran = pick.random() < 0.3
+            never_ran = rng.random() < 0.3
             driver.end(request, 1, api.Outcome.UNREACHABLE if never_ran else api.Outcome.BROKEN)
             events.append((sent if never_ran else driver.now, -0.25))
         else:
-            heard, as_of = pick.choice((4.0, 8.0)), driver.now - machine_state.LIST_LAG_US
-            driver.listing(listed(1, free=20.0 - heard), form=api.ListForm.CHANGES)
-        anew = heard + sum(cores for at, cores in events if at > as_of)
-        assert abs(driver.scheduler._fleet.machines[1].allocated[0] - anew) < 1e-9
+            allocated_cores, as_of = rng.choice((4.0, 8.0)), driver.now - machine_state.LIST_LAG_US
+            driver.listing(listed(1, free=20.0 - allocated_cores), form=api.ListForm.CHANGES)
+        expected = allocated_cores + sum(cores for at, cores in events if at > as_of)
+        assert abs(driver.scheduler._fleet.machines[1].allocated[0] - expected) < 1e-9
 
 
 def test_an_idle_placer_sets_no_timer() -> None:
@@ -203,22 +201,22 @@
     assert driver.give(api.TimerDue("sweep"), after=S) == []
 
 
-def silence(driver: Driver, request: int, name: str) -> None:
+def time_out_attempt(driver: Driver, request: int, name: str) -> None:
     (bind,) = binds(driver.arrive(request, name))
     driver.end(request, bind.machine, api.Outcome.TIMED_OUT, closed=True)
 
 
-def test_a_machine_silent_to_one_class_goes_on_serving_the_others() -> None:
+def test_a_timeout_of_one_class_leaves_the_machine_to_the_others() -> None:
     driver = Driver(settings(task_class("web"), task_class("batch")))
     driver.listing(listed(1))
-    silence(driver, 1, "web")
+    time_out_attempt(driver, 1, "web")
     (bind,) = binds(driver.arrive(2, "batch"))
-    driver.placed(2, bind.machine)  # another class's start proves nothing for the silent one
+    driver.placed(2, bind.machine)  # a start of another class does not clear the backoff
     assert not binds(driver.arrive(3, "web"))
-    assert binds(driver.give(api.TimerDue("sweep"), after=4 * S))  # tried again after its rest
+    assert binds(driver.give(api.TimerDue("sweep"), after=4 * S))  # tried again after the backoff
 
 
-def test_a_bare_refusal_marks_no_machine_full() -> None:
+def test_a_refusal_without_a_reason_marks_no_machine_full() -> None:
     driver = Driver(settings(task_class("web"), task_class("batch")))
     driver.listing(listed(1))
     (bind,) = binds(driver.arrive(1, "web"))
@@ -226,7 +224,7 @@
     assert binds(driver.arrive(2, "batch"))
 
 
-def test_a_task_handed_over_tells_its_memory_sooner_than_a_young_one() -> None:
+def test_memory_notes_count_sooner_for_a_found_task_than_for_a_new_one() -> None:
     driver = Driver(settings())
     driver.listing(listed(1))
     driver.placed(1, binds(driver.arrive(1, memory=2.0))[0].machine)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule's guard, and what bad input gets."""
+"""The checks of each of the five rules, and the handling of invalid input."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.conftest import Driver, S, binds, finals, listed, settings, task_class
 from wingbarrow import interface as api
 
-UNPROVEN = [api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.BROKEN, api.Outcome.CANCELLED]
-PROVEN = [api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT]
+MAY_HAVE_RUN = [api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.BROKEN, api.Outcome.CANCELLED]
+NEVER_RAN = [api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT]
 
 
 def test_a_final_answer_comes_by_the_deadline_with_nothing_listed(driver: Driver) -> None:
@@ -29,7 +29,7 @@
     assert finals(actions) == [api.Fail(1)]
 
 
-@pytest.mark.parametrize("outcome", UNPROVEN)
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_an_unsafe_task_that_may_have_run_is_failed_not_resent(outcome: api.Outcome) -> None:
     driver = Driver(settings(task_class("web", api.Effect.UNSAFE)))
     driver.listing(listed(1), listed(2))
@@ -39,9 +39,9 @@
     assert finals(actions) == [api.Fail(1)]
 
 
-@pytest.mark.parametrize("outcome", PROVEN)
+@pytest.mark.parametrize("outcome", NEVER_RAN)
 @pytest.mark.parametrize("effect", list(api.Effect))
-def test_what_is_proven_not_to_have_run_may_go_anywhere(
+def test_a_task_that_never_ran_may_be_bound_anywhere(
     outcome: api.Outcome, effect: api.Effect
 ) -> None:
     driver = Driver(settings(task_class("web", effect, group=api.Place.CELL)))
@@ -50,7 +50,7 @@
     assert binds(driver.end(1, bind.machine, outcome, reason=api.Reason.NO_CORES))
 
 
-@pytest.mark.parametrize("outcome", UNPROVEN)
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 @pytest.mark.parametrize("group", [api.Place.CELL, api.Place.ZONE, api.Place.ALL])
 def test_a_keyed_task_stays_in_its_group(outcome: api.Outcome, group: api.Place) -> None:
     driver = Driver(settings(task_class("web", api.Effect.KEYED, group=group)))
@@ -58,8 +58,8 @@
     driver.listing(*machines.values())
     (bind,) = binds(driver.arrive(1, wait=9 * S))
     first = machines[bind.machine]
-    for again in binds(driver.end(1, bind.machine, outcome)):
-        second = machines[again.machine]
+    for second_bind in binds(driver.end(1, bind.machine, outcome)):
+        second = machines[second_bind.machine]
         assert group is not api.Place.CELL or second.cell == first.cell
         assert group is not api.Place.ZONE or second.zone == first.zone
 
@@ -94,7 +94,7 @@
     assert not binds(driver.arrive(1))
 
 
-def test_where_discovery_is_asked_it_is_asked_again_before_being_deemed_told() -> None:
+def test_discovery_without_push_is_asked_again_before_its_interval_ends() -> None:
     driver = Driver(settings(discovery=api.Discovery.ASK))
     driver.listing(listed(1), form=api.ListForm.SAVED)
     asked: list[int] = []
@@ -120,7 +120,7 @@
 
 
 def cold_offers(placers: int, index: int, offers: float, age: int = 10 * S) -> int:
-    """Offers that one placer makes to a machine that has just come up, within one window."""
+    """Offers that one placer sends to a machine that has just started, within one window."""
     driver = Driver(settings(fresh_offers=offers, placers=placers, index=index))
     driver.listing(listed(7), form=api.ListForm.SAVED)
     driver.now += age
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize(("placers", "offers"), [(1, 6.0), (3, 7.0), (40, 7.9), (12, 12.0)])
-def test_all_placers_together_spend_just_what_a_cold_machine_bears(
+def test_all_placers_together_send_a_cold_machine_exactly_its_offers(
     placers: int, offers: float
 ) -> None:
     sent = [cold_offers(placers, index, offers) for index in range(placers)]
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("level", [math.nan, math.inf, -3.0, 1e30])
-def test_absurd_figures_count_as_not_heard(driver: Driver, level: float) -> None:
+def test_implausible_figures_are_ignored(driver: Driver, level: float) -> None:
     driver.listing(listed(1, free=math.nan, memory=1e30), listed(2, free=math.inf))
     (bind,) = binds(driver.arrive(1))
     driver.placed(1, bind.machine)
@@ -185,7 +185,7 @@
     assert binds(driver.arrive(2))
 
 
-def test_events_that_fit_nothing_are_passed_over(driver: Driver) -> None:
+def test_events_without_a_matching_request_are_ignored(driver: Driver) -> None:
     driver.listing(listed(1))
     (bind,) = binds(driver.arrive(1))
     assert driver.arrive(1) == []
@@ -205,25 +205,25 @@
 
 
 def test_settings_out_of_range_name_their_key() -> None:
-    wrong = {"booking_cores": math.nan, "fall_us": -1, "attempts_most": 0, "placers": 0}
-    for key, value in (("index", 2), ("index", -1), *wrong.items()):
+    out_of_range = {"booking_cores": math.nan, "fall_us": -1, "attempts_most": 0, "placers": 0}
+    for key, value in (("index", 2), ("index", -1), *out_of_range.items()):
         with pytest.raises(ValueError, match=key):
             settings(**{key: value})
 
 
-def test_an_error_at_two_machines_tells_of_the_task_and_rests_neither() -> None:
+def test_errors_of_a_task_on_two_machines_back_off_neither() -> None:
     driver = Driver(settings(task_class("web")))
     driver.listing(listed(1), listed(2), listed(3))
     (first,) = binds(driver.arrive(1))
     (second,) = binds(driver.end(1, first.machine, api.Outcome.ERROR))
-    assert second.machine != first.machine  # the first rests until more is known
+    assert second.machine != first.machine  # the first machine is in backoff until more is known
     driver.end(1, second.machine, api.Outcome.ERROR, attempt=1)
     driver.give(api.TaskWithdrawn(1))
     known = {each.machine: each for each in driver.scheduler.knowledge(driver.now).machines}
     assert not any(each.rests_us for each in known.values())
 
 
-def test_an_error_at_one_machine_alone_has_it_rest() -> None:
+def test_an_error_on_one_machine_alone_backs_it_off() -> None:
     driver = Driver(settings(task_class("web")))
     driver.listing(listed(1), listed(2), listed(3))
     (first,) = binds(driver.arrive(1))
@@ -234,16 +234,16 @@
     assert not known[second.machine].rests_us
 
 
-def test_other_settings_hold_at_once_also_for_tasks_that_are_there_already() -> None:
+def test_new_settings_apply_at_once_also_to_open_tasks() -> None:
     spread = task_class("web", spread=api.Place.ZONE, spread_most=2)
     driver = Driver(settings(spread, attempts_most=4))
     driver.listing(listed(1), listed(2))
     (first,) = binds(driver.arrive(1))
-    assert binds(driver.arrive(2)), "two of one service in the zone"
+    assert binds(driver.arrive(2)), "two tasks of one service in the zone"
     driver.give(settings(task_class("web", spread=api.Place.ZONE, spread_most=1), attempts_most=1))
-    assert not binds(driver.arrive(3)), "two stand already where one is allowed now"
+    assert not binds(driver.arrive(3)), "two tasks are in the zone where one is allowed now"
     assert finals(driver.end(1, first.machine, api.Outcome.REFUSED)) == [api.Refuse(1)], (
-        "one attempt is the most"
+        "one attempt is the maximum"
     )
     driver.give(settings(task_class("web", spread=api.Place.ZONE, spread_most=3), attempts_most=4))
     assert binds(driver.arrive(4))
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and what bad input gets."""
+"""The simulator adapter: the lines it reads and writes, and its handling of invalid input."""
 
 from __future__ import annotations
 
@@ -50,27 +50,27 @@
 ASK = "ASK placer-0 9 svc 1 12000000 - 1.5 8000000 task web 2"
 
 
-def run(*batches: list[str]) -> tuple[int, str, str]:
+def serve_batches(*batches: list[str]) -> tuple[int, str, str]:
     text = "".join(
         "\n".join([f"TURN {1000000 + i}", *lines, "END", ""]) for i, lines in enumerate(batches)
     )
-    sink, complaints = io.StringIO(), io.StringIO()
-    return serve(io.StringIO(text), sink, complaints), sink.getvalue(), complaints.getvalue()
+    sink, errors = io.StringIO(), io.StringIO()
+    return serve(io.StringIO(text), sink, errors), sink.getvalue(), errors.getvalue()
 
 
 def test_a_task_is_placed_and_its_answer_ends_with_done() -> None:
-    status, out, complaints = run([], START, [ASK])
+    status, out, errors = serve_batches([], START, [ASK])
     assert status == 0
-    assert complaints == ""
+    assert errors == ""
     assert "SEND placer-0 9 51 8000000" in out
     assert out.count("DONE\n") == 3
 
 
 def test_an_unknown_event_is_passed_over() -> None:
-    status, out, complaints = run(START, ["WHATEVER placer-0 1"])
+    status, out, errors = serve_batches(START, ["WHATEVER placer-0 1"])
     assert status == 0
     assert "BAIL_OUT" not in out
-    assert complaints.count("\n") == 1
+    assert errors.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -84,20 +84,20 @@
     ],
 )
 def test_unreadable_values_give_up_the_instance_alone(line: str) -> None:
-    status, out, complaints = run(START, [line])
+    status, out, errors = serve_batches(START, [line])
     assert status == 0
     assert out.count("BAIL_OUT placer-") == 1
-    assert complaints.count("\n") == 1
+    assert errors.count("\n") == 1
 
 
 @pytest.mark.parametrize(
     "text", ["HELLO\n", "TURN x\n", "TURN 5\nWAKE placer-0 a\n", "TURN 5\nPOOL 0 2\nEND\n"]
 )
 def test_a_broken_frame_ends_the_adapter(text: str) -> None:
-    sink, complaints = io.StringIO(), io.StringIO()
-    assert serve(io.StringIO(text), sink, complaints) != 0
+    sink, errors = io.StringIO(), io.StringIO()
+    assert serve(io.StringIO(text), sink, errors) != 0
     assert sink.getvalue() == ""
-    assert "broken input" in complaints.getvalue()
+    assert "broken input" in errors.getvalue()
 
 
 @pytest.mark.parametrize("key", ["balancers", "me", "discovery", "kinds", "lanes", "quantum_us"])
--- a/tests/test_silent_cold.py
+++ b/tests/test_stalled_cold_machine.py
@@ -1,4 +1,4 @@
-"""Rule 4 where a cold machine stands still: offers that wait there unread come all at once when it goes on."""
+"""Rule 4 where a cold machine stalls: offers that wait there unread all arrive at once when it resumes."""
 
 from __future__ import annotations
 
@@ -29,20 +29,22 @@
     ]
 
 
-def test_what_a_silent_cold_machine_was_sent_counts_until_it_is_known_to_have_come() -> None:
+def test_offers_to_a_cold_machine_count_until_their_arrival_is_known() -> None:
     driver = cold_driver()
     sent = offers(driver, 1, 4)
-    assert len(sent) == 4, "half of eight, for two placers"
-    driver.now += 4 * S  # longer than the window: by the time of sending they would count no more
+    assert len(sent) == 4, "half of eight offers, as there are two placers"
+    driver.now += (
+        4 * S
+    )  # longer than the window: counted by their time of sending, they would have expired
     assert not offers(driver, 10, 4)
     for request in sent:
         driver.give(api.TaskNote(request, 0, 1, api.NoteKind.ARRIVED, 0.0))
-    assert not offers(driver, 20, 4), "they came just now"
+    assert not offers(driver, 20, 4), "they arrived just now"
     driver.now += 3 * S
     assert offers(driver, 30, 1) or driver.scheduler.handle(driver.now, api.TimerDue("sweep"))
 
 
-def test_an_offer_that_was_given_up_counts_until_the_machine_speaks() -> None:
+def test_an_offer_that_was_given_up_counts_until_the_machine_sends_a_message() -> None:
     driver = cold_driver()
     sent = offers(driver, 1, 4)
     driver.now += 4 * S
@@ -56,7 +58,7 @@
     assert len(machine.cold_offers) == 4
 
 
-def test_an_offer_that_surely_never_left_takes_nothing_from_the_budget() -> None:
+def test_an_offer_that_never_left_takes_nothing_from_the_budget() -> None:
     driver = cold_driver()
     sent = offers(driver, 1, 2)
     for request, outcome in zip(sent, (api.Outcome.NOT_SENT, api.Outcome.UNREACHABLE), strict=True):
@@ -65,8 +67,8 @@
     assert not driver.scheduler._fleet.machines[1].cold_offers
 
 
-def test_a_cold_machine_that_stands_still_is_not_pushed_over_when_it_goes_on() -> None:
-    """Eight placers, judged at the machine's socket."""
+def test_a_stalled_cold_machine_is_not_overloaded_when_it_resumes() -> None:
+    """Eight placers; offers are counted at the machine's socket."""
     stage = Stage(machines=1, placers=8, build=Build(cores=64.0, memory=128.0))
 
     def script() -> None:
