--- a/tests/test_cold_offer_bound.py
+++ b/tests/test_cold_offer_bound.py
@@ -214,9 +214,8 @@
     fleet = cold_fleet(ColdRule(4, 20.0))
     process = fleet.start(MACHINE)
     submit_to_all(fleet, 25, 2 * S)
-    fleet.placers[2].feed(
-        replace(fleet.rule.settings_of(0), placers=1)
-    )  # it takes all twenty offers for itself
+    # The placer takes all twenty offers for itself.
+    fleet.placers[2].feed(replace(fleet.rule.settings_of(0), placers=1))
     run_on(fleet, 2 * S)
     assert count_by_placer(fleet, process)[2] == 20
     assert len(violations(fleet)) == 2, (
--- a/tests/test_stalled_cold_machine.py
+++ b/tests/test_stalled_cold_machine.py
@@ -33,9 +33,8 @@
     driver = cold_driver()
     sent = offers(driver, 1, 4)
     assert len(sent) == 4, "half of eight offers, as there are two placers"
-    driver.now += (
-        4 * S
-    )  # longer than the window: counted by their time of sending, they would have expired
+    # Longer than the window: counted by their time of sending, the offers would have expired.
+    driver.now += 4 * S
     assert not offers(driver, 10, 4)
     for request in sent:
         driver.give(api.TaskNote(request, 0, 1, api.NoteKind.ARRIVED, 0.0))
--- a/wingbarrow/machine_state.py
+++ b/wingbarrow/machine_state.py
@@ -21,25 +21,20 @@
 USE_VALID_US = 3 * SECOND_US  # after this, the usual ratio replaces a measured use
 PRIOR_USE_RATIO = 0.8  # assumed use per allocation before any note
 PRIOR_NOTE_WEIGHT = 10  # number of notes that the assumed ratio counts as
-MIN_NOTE_WEIGHT = (
-    0.01  # least weight of a new note in the ratio, so that it keeps following the use
-)
+MIN_NOTE_WEIGHT = 0.01  # least weight of a new note, so that the ratio keeps following the use
 MEMORY_GROWTH_US = 8 * SECOND_US  # memory of a younger task still grows: its notes are ignored
 FOUND_MEMORY_GROWTH_US = 5 * SECOND_US  # the same for a task found running, since it was found
-BACKOFF_US = 500_000  # first backoff from a machine after a broken attempt
+BACKOFF_US = 500_000  # first backoff from a machine for all classes, after a broken attempt
 MAX_BACKOFF_DOUBLINGS = 4
-CLASS_BACKOFF_US = (
-    3 * SECOND_US
-)  # first backoff for one class, after a timeout or a refusal without a reason
+# First backoff from a machine for one class, after a timeout or a refusal without a reason.
+CLASS_BACKOFF_US = 3 * SECOND_US
 ALL_CLASSES = ""  # key of a backoff that holds for all classes
 MAX_PROBE_CREDIT = 10.0  # probes saved up, or owed for figures that other instances measured
 PROBE_POINTS_PER_ARRIVAL = 0.003  # points of the result that an arrival earns for probes
 MAX_RANKINGS = 512  # services for which the order of machines is cached
-MAX_WARM_SERVICES = 1024  # services whose warm machines are kept before the first clean-up
+MAX_WARM_SERVICES = 1024  # services whose warm machines are recorded before the first clean-up
 DEFAULT_REMAINING_US = 10 * SECOND_US  # assumed time left of a task whose owner gives none
-DELISTED_RETENTION_US = (
-    15 * SECOND_US
-)  # least time that a machine's state is kept after it left the list
+DELISTED_RETENTION_US = 15 * SECOND_US  # least time that the state of a delisted machine is kept
 CHANGE_RETENTION_US = 12 * SECOND_US  # own changes older than this are contained in any list
 
 
--- a/wingbarrow/placement.py
+++ b/wingbarrow/placement.py
@@ -28,7 +28,7 @@
 TIGHT_MEMORY_USE = 0.93
 # Machines that all placers prefer for a service, so that its program is found warm there.
 PREFERRED_MACHINES = 1
-# Own starts in progress on a machine: at least START_LIMIT, and SHARED_START_LIMIT divided among the placers.
+# Limit of own starts in progress on a machine: START_LIMIT, or a placer's part of SHARED_START_LIMIT if more.
 START_LIMIT = 4
 SHARED_START_LIMIT = 8
 WARM_START_FACTOR = 4  # times as many where the program is warm
@@ -51,7 +51,7 @@
     def __init__(self, fleet: FleetState, rng: random.Random) -> None:
         self._fleet = fleet
         self._random = rng
-        self.started_us = -1  # when this placer started
+        self.started_us = -1  # when this placer started; set with the saved list
         self._spread: Counter[tuple[str, object]] = Counter()
         self._closing_us: dict[int, int] = {}  # when a machine's work is planned to end
         # When a shape (class, cores, memory) last fitted on no machine.
