--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -289,7 +289,7 @@
             known=self.journal.known(),
             settings=settings_of(self.settings),
             dial_us=250 * MS,
-            stay_away_most_us=3 * S,
+            max_retry_after_us=3 * S,
             patience_us=self.deadline_ms * MS,
             conn_idle_us=self.settings["bounds"].get("conn_idle_us", 30 * S),
         )
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -14,7 +14,7 @@
 
 from tests.relay.stage import MS, Client, Stage
 from wingbarrow.relay.message import Cause, Kind, Message, encode, with_cause
-from wingbarrow.relay.owners import UNREAD_US
+from wingbarrow.relay.owners import MAX_UNREAD_US
 from wingbarrow.transport import Stream
 
 STALL_MS = 400
@@ -221,4 +221,4 @@
 
 
 def test_the_bound_leaves_room_within_the_platforms_term() -> None:
-    assert UNREAD_US * 2 <= BORNE_MS * MS
+    assert MAX_UNREAD_US * 2 <= BORNE_MS * MS
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -177,7 +177,7 @@
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(stage.machines[0].entry("Terminating"))
-        stage.placer._follower.move_to(Address("127.0.0.1", fresh.server.port))
+        stage.placer._follower.change_address(Address("127.0.0.1", fresh.server.port))
         stage.sleep(100)
         assert fresh.calls
         assert "tail=1&" in fresh.calls[0][1]
@@ -208,7 +208,7 @@
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         told = stage.hub.now_us()
         assert stage.owner.test() == 0
         late = stage.client()
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -70,7 +70,7 @@
 
 
 def move(stage: Stage, journal: Journal) -> None:
-    follower(stage).move_to(Address("127.0.0.1", journal.server.port))
+    follower(stage).change_address(Address("127.0.0.1", journal.server.port))
 
 
 def take_over(stage: Stage, journal: Journal) -> None:
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -36,7 +36,7 @@
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         stage.sleep(600)
         stage.machines[0].on_set_up = answer_after(stage, 1800)
         stage.owner.ask(2, patience_ms=2500, name="2" * 16)
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("after_ms", [0, 200, 400])
 def test_new_connections_for_a_while_after_sigterm_are_served(after_ms: int) -> None:
     def play(stage: Stage) -> None:
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         stage.sleep(after_ms)
         late = stage.client()
         stage.sleep(100)
@@ -73,7 +73,7 @@
         machine.on_set_up = (
             lambda stream, message: goes_on(stream, message) if message.task == 3 else None
         )
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         told = stage.hub.now_us()
         stage.sleep(600)
         stage.owner.ask(2, "settlement", patience_ms=2900, name="2" * 16)  # it hangs to the end
@@ -91,7 +91,7 @@
 def test_sighup_that_moves_discovery_holds_while_a_restart_goes_on(tmp_path: Path) -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1, name="1" * 16)
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         stage.journal.server.close()
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -313,8 +313,8 @@
 
     def play(stage: Stage) -> None:
         told = stage.hub.now_us()
-        stage.placer.finish()
-        stage.placer.finish()  # a second SIGTERM
+        stage.placer.begin_shutdown()
+        stage.placer.begin_shutdown()  # a second SIGTERM
         stage.sleep(400)
         late = stage.client()
         stage.sleep(195)
@@ -346,7 +346,7 @@
         client.ask(1, name="1" * 16)
         stage.sleep(20)
         stage.hub.spawn(talk, "talker")
-        stage.placer.finish()
+        stage.placer.begin_shutdown()
         for _ in range(1000):
             stage.sleep(5)
             if client.ended_us is not None:
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -301,14 +301,14 @@
         read = loaded(
             tmp_path, site(["web"], bounds=SETTINGS["bounds"] | told), limits={"sockets": 256}
         )
-        assert (read.dial_us, read.stay_away_most_us, read.conn_idle_us) == (
+        assert (read.dial_us, read.max_retry_after_us, read.conn_idle_us) == (
             250_000,
             1_000_000,
             30_000_000,
         )
     told = {"dial_timeout_us": 70_000.0, "max_retry_after_us": 3, "conn_idle_us": 4_000_000}
     read = loaded(tmp_path, site(["web"], bounds=SETTINGS["bounds"] | told))
-    assert (read.dial_us, read.stay_away_most_us, read.conn_idle_us) == (70_000, 1_000, 4_000_000)
+    assert (read.dial_us, read.max_retry_after_us, read.conn_idle_us) == (70_000, 1_000, 4_000_000)
 
 
 def test_a_tick_leaves_time_before_the_shortest_deadline(tmp_path: Path) -> None:
--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -84,7 +84,7 @@
         1,
         2,
     )
-    assert (asked.patience_us, asked.hint_us, asked.again, asked.at) == (
+    assert (asked.patience_us, asked.hint_us, asked.is_retry, asked.running_on) == (
         1_500_000,
         8_200_000,
         True,
@@ -97,7 +97,7 @@
     figures = GOOD[Code.FIGURES] + b";at:s-00c41f7a"
     for patience in (None, b"-3100", b"0"):
         asked = read({Code.FIGURES: figures, Code.PATIENCE: patience})
-        assert asked.at == "s-00c41f7a"
+        assert asked.running_on == "s-00c41f7a"
 
 
 @pytest.mark.parametrize(
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -29,8 +29,8 @@
     listen_to_signals = on_signals(
         hub,
         {
-            signal.SIGTERM: placer.finish,
-            signal.SIGINT: placer.finish,
+            signal.SIGTERM: placer.begin_shutdown,
+            signal.SIGINT: placer.begin_shutdown,
             signal.SIGHUP: lambda: placer.reload(path),
         },
     )
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -17,8 +17,8 @@
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
 
-OPEN_IN_ALL = 2048  # set-ups that may wait for their final answer
-MAX_HELD = 8192  # attempts at machines, beyond which no task is taken in as running already
+MAX_PENDING_TASKS = 2048  # set-ups that may wait for their final answer
+MAX_ATTEMPTS = 8192  # attempts at machines, beyond which no task is taken in as running already
 
 
 class Admission:
@@ -34,7 +34,7 @@
         offers: Offers,
         crowd: Crowd,
         settings: api.Settings,
-        stay_away_most_us: int,
+        max_retry_after_us: int,
         deadline_us: int,
         trace: Trace,
     ) -> None:
@@ -43,12 +43,12 @@
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
         self._bounds = setup.Bounds.of(settings, deadline_us)
-        self._door = OverloadControl(settings.tick_us)
-        self._stay_away = b"%d" % max(1, min(stay_away_most_us, 1_000_000) // 1000)
+        self._overload = OverloadControl(settings.tick_us)
+        self._retry_after_ms = b"%d" % max(1, min(max_retry_after_us, 1_000_000) // 1000)
         self.ready = False
         self.owners: Owners
 
-    def take(self, owner: Owner, message: Message, came_us: int) -> None:
+    def on_message(self, owner: Owner, message: Message, came_us: int) -> None:
         """One message of an owner."""
         kind = message.kind
         if owner.retired and kind != Kind.RELEASE:
@@ -58,43 +58,45 @@
         elif kind == Kind.SET_UP:
             self._set_up(owner, message, came_us)
         elif kind == Kind.RELEASE:
-            self._released(owner, message)
+            self._on_release(owner, message)
         elif kind == Kind.TEST:
             owner.write(with_cause(Kind.TESTED, message.task, int(self.ready)))
         # All else wants no answer and means nothing here.
 
     def _set_up(self, owner: Owner, message: Message, came_us: int) -> None:
-        held = self._requests.by_ident.get(message.task)
+        existing = self._requests.by_ident.get(message.task)
         try:
-            asked = setup.read(message, self._classes, self._bounds)
+            set_up = setup.read(message, self._classes, self._bounds)
         except setup.BadSetUp as error:
-            self._turn_away(owner, message.task, Cause.ERROR, f"bad: {error}", held)
+            self._reject(owner, message.task, Cause.ERROR, f"bad: {error}", existing)
             return
-        if asked.at is not None:
-            if held is None:
-                self._found(owner, asked, asked.at)
+        if set_up.running_on is not None:
+            if existing is None:
+                self._adopt(owner, set_up, set_up.running_on)
             return
-        if held is not None:
-            self._turn_away(owner, message.task, Cause.ERROR, "id in use", held)
+        if existing is not None:
+            self._reject(owner, message.task, Cause.ERROR, "id in use", existing)
             return
         now, lag, pending = self._life.hub.now_us(), self._life.hub.lag_us(), self._requests.pending
-        due = self._door.check_wait(now, came_us, lag, pending)
-        due_us = due or self._door.due_us(
-            now, came_us, asked.patience_us, lag, pending, self._requests.answered
+        rejection = self._overload.check_wait(now, came_us, lag, pending)
+        due_us = rejection or self._overload.due_us(
+            now, came_us, set_up.patience_us, lag, pending, self._requests.answered
         )
         if isinstance(due_us, Rejected):
-            self._turn_away(owner, message.task, Cause.BUSY, due_us.why.name.lower(), held)
-        elif pending >= OPEN_IN_ALL or not self._crowd.may_open(owner.guest, len(owner.tasks)):
-            self._turn_away(owner, message.task, Cause.BUSY, "too many open", held)
+            self._reject(owner, message.task, Cause.BUSY, due_us.why.name.lower(), existing)
+        elif pending >= MAX_PENDING_TASKS or not self._crowd.may_open(
+            owner.guest, len(owner.tasks)
+        ):
+            self._reject(owner, message.task, Cause.BUSY, "too many open", existing)
         else:
             request = self._requests.next_request()
             task = Task(
                 request,
-                asked.ident,
-                asked.cls,
-                asked.arrival(request, due_us),
+                set_up.ident,
+                set_up.cls,
+                set_up.arrival(request, due_us),
                 owner,
-                asked.passed_on,
+                set_up.passed_on,
             )
             self._requests.add(task)
             owner.tasks[task.ident] = task
@@ -102,41 +104,50 @@
             self._trace(task.ident, "asked", owner=owner.number, effect=task.cls.effect.value)
             self._host.feed(task.arrival)
 
-    def _turn_away(self, owner: Owner, ident: int, cause: int, why: str, held: Task | None) -> None:
+    def _reject(
+        self, owner: Owner, ident: int, cause: int, why: str, existing: Task | None
+    ) -> None:
         """A refusal or failure that leaves no trace."""
         self._life.counts["turned_away:" + why.partition(":")[0]] += 1
         self._life.log("turned-away", why=why)
-        if held is not None and held.ident in owner.tasks:
+        if existing is not None and existing.ident in owner.tasks:
             # Danger: an answer under this id would end the open set-up in its owner's eyes.
             self.owners.close(owner, "id twice")
             return
-        if held is not None:
-            owner.foreign.append(ident)
-        more = {int(Code.STAY_AWAY): self._stay_away} if cause == Cause.BUSY else None
-        owner.write(refusal(ident, cause, more))
+        if existing is not None:
+            owner.foreign_ids.append(ident)
+        parameters = {int(Code.STAY_AWAY): self._retry_after_ms} if cause == Cause.BUSY else None
+        owner.write(refusal(ident, cause, parameters))
 
-    def _found(self, owner: Owner, asked: setup.SetUp, at: str) -> None:
+    def _adopt(self, owner: Owner, set_up: setup.SetUp, machine_name: str) -> None:
         """A task that a machine holds already comes under this placer's care."""
         request, now = self._requests.next_request(), self._life.hub.now_us()
-        link = self._links.by_name.get(at)
+        link = self._links.by_name.get(machine_name)
         self._life.counts["found" if link else "found_nowhere"] += 1
-        if link is None or link.closed or asked.ident in link.running:
-            self._life.log("found-nowhere", level="warning", machine=at)
+        if link is None or link.closed or set_up.ident in link.running:
+            self._life.log("found-nowhere", level="warning", machine=machine_name)
             if link is None or link.closed:
-                owner.write(refusal(asked.ident, Cause.RESET))
+                owner.write(refusal(set_up.ident, Cause.RESET))
             return
-        if len(self._attempts) >= MAX_HELD:
+        if len(self._attempts) >= MAX_ATTEMPTS:
             # Danger: nobody else bounds them, and only its machine knows whether a task is there at all.
-            self._turn_away(owner, asked.ident, Cause.RESET, "too many held", None)
+            self._reject(owner, set_up.ident, Cause.RESET, "too many held", None)
             return
-        cause = self._offers.ended_early(link, asked.ident)
+        cause = self._offers.ended_early(link, set_up.ident)
         if cause is not None:
-            self._trace(asked.ident, "found ended", owner=owner.number, machine=at)
-            self.owners.proven(owner)
-            self.owners.release(asked.ident, cause)
+            self._trace(set_up.ident, "found ended", owner=owner.number, machine=machine_name)
+            self.owners.mark_proven(owner)
+            self.owners.release(set_up.ident, cause)
             return
         task = Task(
-            request, asked.ident, asked.cls, asked.arrival(request, now), None, {}, State.RUNNING, 1
+            request,
+            set_up.ident,
+            set_up.cls,
+            set_up.arrival(request, now),
+            None,
+            {},
+            State.RUNNING,
+            1,
         )
         self._requests.add(task)
         attempt = Attempt(
@@ -145,17 +156,17 @@
         self._attempts.add(attempt)
         link.strays.pop(task.ident, None)
         link.running[task.ident] = attempt
-        self.owners.proven(owner)
-        self._trace(task.ident, "found", owner=owner.number, machine=at)
+        self.owners.mark_proven(owner)
+        self._trace(task.ident, "found", owner=owner.number, machine=machine_name)
         self._host.feed(api.TaskFound(task.arrival, link.ident))
 
-    def _released(self, owner: Owner, message: Message) -> None:
+    def _on_release(self, owner: Owner, message: Message) -> None:
         task = self._requests.by_ident.get(message.task)
         # Danger: who was turned away under another's id may take it back, and would end the other's task.
         if (
             task is None
             or (task.state is State.ASKED and task.owner is not owner)
-            or task.ident in owner.foreign
+            or task.ident in owner.foreign_ids
         ):
             self._life.counts["releases_unknown"] += 1
             self._trace(message.task, "release unknown", owner=owner.number, cause=message.cause)
@@ -164,7 +175,7 @@
         self._withdraw(task, message.cause)
 
     def _withdraw(self, task: Task, cause: int) -> None:
-        attempt, stood = self._attempts.of(task.request), task.state is State.RUNNING
+        attempt, was_running = self._attempts.of(task.request), task.state is State.RUNNING
         owner = task.owner
         if not self._requests.step(task, Step.WITHDRAW):
             return
@@ -175,12 +186,12 @@
         self._host.feed(api.TaskWithdrawn(task.request))
         if attempt is None:
             return
-        if stood:
+        if was_running:
             self._offers.stop(attempt, RunEnd.STOPPED, cause)
         else:
             self._offers.abandon(attempt, api.Outcome.CANCELLED)
 
-    def left(self, owner: Owner) -> None:
+    def on_disconnect(self, owner: Owner) -> None:
         """Its connection has ended: nobody waits for what was open on it."""
         for task in list(owner.tasks.values()):
             self._trace(task.ident, "its connection ended", owner=owner.number)
@@ -213,5 +224,5 @@
             self._life.counts["moves_dropped"] += 1
             return
         self._life.counts["moves"] += 1
-        self.owners.told_to_move(task.ident)
+        self.owners.send_move(task.ident)
         self._offers.stop(attempt, RunEnd.MOVED)
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -15,12 +15,14 @@
 
 MAX_FILE_BYTES = 16 << 20
 # Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
-DIAL_US = 250_000
-MAX_STAY_AWAY_US = 1_000_000
-CONN_IDLE_US = 30_000_000
-MIN_BOUND_US = 1_000
-TICK_PART = 20  # of the shortest deadline: no more than this part is kept back before a deadline
-MAX_DIGITS = 300  # of a whole number; a longer one is no float, and counts as infinite
+DEFAULT_DIAL_TIMEOUT_US = 250_000
+DEFAULT_MAX_RETRY_AFTER_US = 1_000_000
+DEFAULT_CONN_IDLE_US = 30_000_000
+MIN_INTERVAL_US = 1_000
+MIN_TICKS_PER_DEADLINE = (
+    20  # of the shortest deadline: no more than this part is kept back before a deadline
+)
+MAX_INT_DIGITS = 300  # of a whole number; a longer one is no float, and counts as infinite
 
 
 class BadConfiguration(Exception):
@@ -50,9 +52,9 @@
     known: Any  # of the journal service's form, up to now
     settings: api.Settings
     dial_us: int
-    stay_away_most_us: int
+    max_retry_after_us: int
     patience_us: int  # the longest of any class
-    conn_idle_us: int = CONN_IDLE_US  # idle connections are closed after this interval
+    conn_idle_us: int = DEFAULT_CONN_IDLE_US  # idle connections are closed after this interval
 
 
 def read_address(text: object, what: str) -> Address:
@@ -75,8 +77,8 @@
     return Address(host, int(port))
 
 
-def _whole_number(digits: str) -> int | float:
-    return int(digits) if len(digits) <= MAX_DIGITS else float(digits)
+def _parse_int(digits: str) -> int | float:
+    return int(digits) if len(digits) <= MAX_INT_DIGITS else float(digits)
 
 
 def _load(path: str) -> dict[str, Any]:
@@ -88,7 +90,7 @@
     if len(raw) > MAX_FILE_BYTES:
         raise BadConfiguration(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
-        value = json.loads(raw, parse_int=_whole_number)
+        value = json.loads(raw, parse_int=_parse_int)
     except (ValueError, RecursionError) as error:
         raise BadConfiguration(f"{path}: {error}") from None
     if not isinstance(value, dict):
@@ -112,11 +114,11 @@
     return part.value
 
 
-def _bound(settings: Part, key: str, usual: int) -> int:
+def _interval_us(settings: Part, key: str, usual: int) -> int:
     """A time of the site's bounds, in microseconds; `usual` where it is absent or 0."""
     part = settings.find(f"bounds.{key}")
-    told = 0 if part is None else part.whole()
-    return max(MIN_BOUND_US, told) if told else usual
+    value_us = 0 if part is None else part.whole()
+    return max(MIN_INTERVAL_US, value_us) if value_us else usual
 
 
 def _deadlines(settings: Part) -> list[int]:
@@ -130,7 +132,7 @@
     long as a deadline would have every set-up of its class turned away, as out of time.
     """
     settings = settings_of(part.value, part.path)
-    tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // TICK_PART))
+    tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // MIN_TICKS_PER_DEADLINE))
     return replace(settings, tick_us=tick_us)
 
 
@@ -139,27 +141,29 @@
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
-    whole = Part(_load(path))
+    root = Part(_load(path))
     listen = environment.get("RELAY_LISTEN")
     name = environment.get("RELAY_NAME")
     try:
-        settings, sockets = whole.at("settings"), whole.at("limits.sockets")
+        settings, sockets = root.at("settings"), root.at("limits.sockets")
         if sockets.count() < LEAST:
             raise sockets.wrong(f"no fewer than {LEAST} will do")
         return Configuration(
-            name=name or whole.at("name").name(),
+            name=name or root.at("name").name(),
             listen=read_address(
-                listen or whole.at("listen").value, "RELAY_LISTEN" if listen else "listen"
+                listen or root.at("listen").value, "RELAY_LISTEN" if listen else "listen"
             ),
-            seed=_seed(whole.at("seed")),
+            seed=_seed(root.at("seed")),
             sockets=sockets.count(),
-            journal=read_address(whole.at("journal").value, "journal"),
-            known=_known(whole.at("known")),
+            journal=read_address(root.at("journal").value, "journal"),
+            known=_known(root.at("known")),
             settings=_scheduler(settings),
-            dial_us=_bound(settings, "dial_timeout_us", DIAL_US),
-            stay_away_most_us=_bound(settings, "max_retry_after_us", MAX_STAY_AWAY_US),
+            dial_us=_interval_us(settings, "dial_timeout_us", DEFAULT_DIAL_TIMEOUT_US),
+            max_retry_after_us=_interval_us(
+                settings, "max_retry_after_us", DEFAULT_MAX_RETRY_AFTER_US
+            ),
             patience_us=max(_deadlines(settings)),
-            conn_idle_us=_bound(settings, "conn_idle_us", CONN_IDLE_US),
+            conn_idle_us=_interval_us(settings, "conn_idle_us", DEFAULT_CONN_IDLE_US),
         )
     except (BadConfiguration, ValueError) as error:
         raise BadConfiguration(f"{path}: {error}") from None
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -151,7 +151,7 @@
             self._life.counts["sends_behind_list"] += 1
             self._life.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.is_behind(self._life.hub.now_us()):
+        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
             # Danger: its owner may have gone or given up, unread here; the attempt begins once that is known.
             self._life.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
@@ -306,7 +306,7 @@
             self._trace(task.ident, "answer passed on", owner=owner.number)
             if not owner.write(encode(Kind.ANSWER, task.ident, {Code.DESCRIPTION: description})):
                 return False
-            self._owners.proven(owner)
+            self._owners.mark_proven(owner)
         return True
 
     def _released(self, attempt: Attempt, message: Message) -> None:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -22,12 +22,12 @@
 
 # The platform ends a placer no sooner than so long after SIGTERM: the longest deadline, counted as 3 s where it is
 # longer, and 0.7 s. Until shortly before, what stands is looked after: nobody else tells its owners that it is over.
-MAX_PATIENCE_US, LINGER_US = 3_000_000, 300_000
+MAX_PATIENCE_US, SHUTDOWN_MARGIN_US = 3_000_000, 300_000
 # Connections come until 0.4 s after SIGTERM and their requests 0.2 s more; each of them is owed an answer.
-ARRIVALS_US = 620_000
-FAREWELL_US = 80_000  # at most, for what is written to leave, and for clients to hear that this side has ended
-FORGET_US = 30_000_000  # a machine that is gone is forgotten so long after
-COUNTS_US = 10_000_000
+LATE_ARRIVALS_US = 620_000
+CLOSE_TIMEOUT_US = 80_000  # at most, for what is written to leave, and for clients to hear that this side has ended
+FORGET_GONE_US = 30_000_000  # a machine that is gone is forgotten so long after
+COUNTS_INTERVAL_US = 10_000_000
 
 
 class Placer:
@@ -52,7 +52,12 @@
         )
         crowd = Crowd(table.owners_most)
         self.owners = Owners(
-            life, crowd, self._take, self._left, lambda: self._links.make_room(0), trace
+            life,
+            crowd,
+            self._on_owner_message,
+            self._on_owner_disconnect,
+            lambda: self._links.make_room(0),
+            trace,
         )
         self._offers = Offers(
             life,
@@ -73,15 +78,15 @@
             self._offers,
             crowd,
             settings,
-            configuration.stay_away_most_us,
+            configuration.max_retry_after_us,
             configuration.patience_us,
             trace,
         )
         self.admission.owners = self.owners
         self._host.hands = self
         self._shift_us = hub.clock.now_us() - hub.clock.wall_us()
-        self._gone: dict[str, int] = {}
-        self._ending = False
+        self._gone_since_us: dict[str, int] = {}
+        self._shutting_down = False
         self.port = configuration.listen.port
         position, known = journal.read(
             configuration.known,
@@ -93,12 +98,12 @@
             configuration.journal,
             position,
             self._shift_us,
-            self._on_news,
-            self._on_failed,
+            self._on_list_update,
+            self._on_list_failure,
             known,
         )
-        self._offers.list_behind = self._follower.is_behind
-        self._begin(known)
+        self._offers.list_behind = self._follower.has_stale_input
+        self._load_known(known)
 
     # -- the module's hands
 
@@ -127,15 +132,15 @@
 
     # -- what connections tell
 
-    def _take(self, owner: Owner, message: Message, came_us: int) -> None:
-        self.admission.take(owner, message, came_us)
+    def _on_owner_message(self, owner: Owner, message: Message, came_us: int) -> None:
+        self.admission.on_message(owner, message, came_us)
 
-    def _left(self, owner: Owner) -> None:
-        self.admission.left(owner)
+    def _on_owner_disconnect(self, owner: Owner) -> None:
+        self.admission.on_disconnect(owner)
 
     # -- the list of machines
 
-    def _begin(self, known: list[journal.News]) -> None:
+    def _load_known(self, known: list[journal.News]) -> None:
         entries: dict[str, journal.Entry] = {}
         for news in known:
             if news.whole:
@@ -145,10 +150,10 @@
             each for each in entries.values() if each.listed.phase is not api.Phase.GONE
         )
         for entry in running:
-            self._reach(entry)
+            self._add_link(entry)
         self._host.feed(api.MachineList(api.ListForm.SAVED, tuple(each.listed for each in running)))
 
-    def _reach(self, entry: journal.Entry) -> Link:
+    def _add_link(self, entry: journal.Entry) -> Link:
         link = Link(
             self.life,
             entry.name,
@@ -161,13 +166,13 @@
         self._links.add(link)
         return link
 
-    def _on_news(self, news: journal.News) -> None:
+    def _on_list_update(self, news: journal.News) -> None:
         form = api.ListForm.FULL if news.whole else api.ListForm.CHANGES
         if news.whole:
             names = {each.name for each in news.entries}
             for link in list(self._links.by_name.values()):
                 if link.name not in names:
-                    self._is_gone(link)
+                    self._remove_link(link)
         for entry in news.entries:
             self._on_entry(entry)
         # Links first: what the module decides on hearing the list must find them as it says.
@@ -177,29 +182,29 @@
         link, listed = self._links.by_name.get(entry.name), entry.listed
         if listed.phase is api.Phase.GONE:
             if link is not None:
-                self._is_gone(link)
+                self._remove_link(link)
             return
         for other in self._links.at(entry.address):
             if other.name != entry.name:
-                self._is_gone(other)  # its address is another machine's now
+                self._remove_link(other)  # its address is another machine's now
         if link is not None and (link.closed or link.address != entry.address):
-            self._is_gone(link)
+            self._remove_link(link)
             link = None
         if link is None:
-            link = self._reach(entry)
-            self._gone.pop(entry.name, None)
+            link = self._add_link(entry)
+            self._gone_since_us.pop(entry.name, None)
         elif listed.launched_us > link.launched_us:
             self._offers.restarted(link, listed.launched_us)
         link.phase, link.launched_us = listed.phase, listed.launched_us
 
-    def _is_gone(self, link: Link) -> None:
+    def _remove_link(self, link: Link) -> None:
         if not link.closed:
             link.phase = api.Phase.GONE
             link.close()
             self._offers.lost(link)
-            self._gone[link.name] = self.life.hub.now_us()
+            self._gone_since_us[link.name] = self.life.hub.now_us()
 
-    def _on_failed(self) -> None:
+    def _on_list_failure(self) -> None:
         self._host.feed(api.MachineList(api.ListForm.FAILED, ()))
 
     # -- life
@@ -218,9 +223,9 @@
             self.port = listener.port
             nursery.spawn(lambda: self.owners.serve(listener), "listener")
             nursery.spawn(self.owners.sweep, "owners")
-            nursery.spawn(self._look_after_links, "links")
+            nursery.spawn(self._maintain_links, "links")
             nursery.spawn(self._follower.run, "journal")
-            nursery.spawn(self._tell_counts, "counts")
+            nursery.spawn(self._log_counts_periodically, "counts")
             self.admission.ready = True
             self.life.log(
                 "ready",
@@ -231,7 +236,7 @@
         if self._host.failed is not None:
             raise self._host.failed
 
-    def _look_after_links(self) -> None:
+    def _maintain_links(self) -> None:
         hub = self.life.hub
         while True:
             hub.sleep(SWEEP_US)
@@ -239,19 +244,19 @@
             for link in list(self._links.by_name.values()):
                 if not link.closed:
                     link.look_after(now)
-            for name, since_us in list(self._gone.items()):
-                if now - since_us >= FORGET_US:
-                    del self._gone[name]
-                    link_gone = self._links.by_name.get(name)
-                    if link_gone is not None and link_gone.closed:
-                        self._links.remove(link_gone)
-
-    def _tell_counts(self) -> None:
+            for name, since_us in list(self._gone_since_us.items()):
+                if now - since_us >= FORGET_GONE_US:
+                    del self._gone_since_us[name]
+                    gone_link = self._links.by_name.get(name)
+                    if gone_link is not None and gone_link.closed:
+                        self._links.remove(gone_link)
+
+    def _log_counts_periodically(self) -> None:
         while True:
-            self.life.hub.sleep(COUNTS_US)
-            self.tell_counts()
+            self.life.hub.sleep(COUNTS_INTERVAL_US)
+            self.log_counts()
 
-    def tell_counts(self) -> None:
+    def log_counts(self) -> None:
         """A line with all counters."""
         self.life.log(
             "counts",
@@ -274,25 +279,25 @@
             self.life.log("reload-refused", level="error", why=str(error))
             return
         self.life.log("reloaded", journal=str(address))
-        self._follower.move_to(address)
+        self._follower.change_address(address)
 
-    def finish(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM: tests fail from now on; the end comes when nothing more arrives and nothing is owed."""
-        if not self._ending:
-            self._ending, self.admission.ready = True, False
+        if not self._shutting_down:
+            self._shutting_down, self.admission.ready = True, False
             self.life.log("ending", pending=self._requests.pending, running=len(self._attempts))
-            self.life.spawn(self._wind_up, "end")
+            self.life.spawn(self._shut_down, "end")
 
-    def _wind_up(self) -> None:
+    def _shut_down(self) -> None:
         hub = self.life.hub
         patience_us = min(MAX_PATIENCE_US, self._configuration.patience_us)
-        end_us = hub.now_us() + max(patience_us + LINGER_US, ARRIVALS_US)
+        end_us = hub.now_us() + max(patience_us + SHUTDOWN_MARGIN_US, LATE_ARRIVALS_US)
         while self._requests.pending or hub.now_us() < end_us:
             hub.sleep(20_000)
-        self.tell_counts()
+        self.log_counts()
         # Danger: a connection that is closed with something unread is reset, and an answer on its way is thrown away.
-        self.owners.say_farewell()
-        end_us = hub.now_us() + FAREWELL_US
+        self.owners.retire_all()
+        end_us = hub.now_us() + CLOSE_TIMEOUT_US
         while len(self.owners) and hub.now_us() < end_us:
             hub.sleep(10_000)
         self.life.end()
--- a/wingbarrow/relay/setup.py
+++ b/wingbarrow/relay/setup.py
@@ -9,16 +9,16 @@
 from wingbarrow import interface as api
 from wingbarrow.relay.message import BadMessage, Code, Message
 
-FAR_MS = 1e12  # some thirty years: no owner waits so long, and no task has so long to go
-FAR_TIMES = 100  # what the settings tell, for a bound
-MIN_PATIENCE_MS = 3_600_000  # of patience, as a bound
+MAX_DURATION_MS = 1e12  # some thirty years: no owner waits so long, and no task has so long to go
+BOUND_FACTOR = 100  # what the settings tell, for a bound
+MIN_PATIENCE_BOUND_MS = 3_600_000  # of patience, as a bound
 MAX_SIZE = 1e18  # in whatever unit the site counts cores and memory, bytes too
 MIN_SIZE = 1e-12  # of cores
-MAX_TOKEN = 64  # bytes
+MAX_TOKEN_BYTES = 64  # bytes
 _NAME = re.compile(r"[0-9a-fA-F]{16}")
 # What an owner tells its placer; the rest goes on to the machine as it came, also what this program has no name for:
 # keyed classes bring a parameter by which machines know a repeat, and the page does not list it.
-_OWN = frozenset({Code.PATIENCE, Code.RETRY, Code.HINT, Code.FIGURES})
+_PLACER_CODES = frozenset({Code.PATIENCE, Code.RETRY, Code.HINT, Code.FIGURES})
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
     cores: float = MAX_SIZE
     memory: float = MAX_SIZE
-    patience_ms: float = FAR_MS
+    patience_ms: float = MAX_DURATION_MS
 
     @classmethod
     def of(cls, settings: api.Settings, deadline_us: int) -> Bounds:
@@ -36,13 +36,13 @@
         What is over could never be placed: held until its patience ends, it would wait for nothing.
         """
 
-        def most(sizes: list[float], booking: float) -> float:
-            return FAR_TIMES * max(1.0, booking) * max(sizes) if sizes else MAX_SIZE
+        def maximum(sizes: list[float], booking: float) -> float:
+            return BOUND_FACTOR * max(1.0, booking) * max(sizes) if sizes else MAX_SIZE
 
         return cls(
-            most([kind.cores for kind in settings.kinds], settings.booking_cores),
-            most([kind.memory for kind in settings.kinds], settings.booking_memory),
-            max(MIN_PATIENCE_MS, FAR_TIMES * deadline_us / 1000),
+            maximum([kind.cores for kind in settings.kinds], settings.booking_cores),
+            maximum([kind.memory for kind in settings.kinds], settings.booking_memory),
+            max(MIN_PATIENCE_BOUND_MS, BOUND_FACTOR * deadline_us / 1000),
         )
 
 
@@ -62,8 +62,8 @@
     memory: float
     patience_us: int
     hint_us: int | None
-    again: bool
-    at: str | None
+    is_retry: bool
+    running_on: str | None
     passed_on: dict[int, bytes]
 
     def arrival(self, request: int, deadline_us: int) -> api.TaskArrived:
@@ -81,16 +81,16 @@
 
 
 def _is_token(text: str) -> bool:
-    return text.split() == [text] and len(text.encode()) <= MAX_TOKEN
+    return text.split() == [text] and len(text.encode()) <= MAX_TOKEN_BYTES
 
 
-def _figure(text: str | None, what: str, least: float, most: float) -> float:
+def _number(text: str | None, field: str, minimum: float, maximum: float) -> float:
     try:
         value = float(text or "")
     except ValueError:
-        raise BadSetUp(f"{what} is no number") from None
-    if not (isfinite(value) and least <= value <= most):
-        raise BadSetUp(f"{what} is out of range: {(text or '')[:20]}")
+        raise BadSetUp(f"{field} is no number") from None
+    if not (isfinite(value) and minimum <= value <= maximum):
+        raise BadSetUp(f"{field} is out of range: {(text or '')[:20]}")
     return value
 
 
@@ -100,7 +100,7 @@
         cls = classes.get(message.text(Code.CLASS) or "")
         name = message.text(Code.NAME) or ""
         patience, hint = message.text(Code.PATIENCE), message.text(Code.HINT)
-        again = message.text(Code.RETRY) is not None
+        is_retry = message.text(Code.RETRY) is not None
         figures = dict(
             pair.partition(":")[::2] for pair in (message.text(Code.FIGURES) or "").split(";")
         )
@@ -114,23 +114,25 @@
         raise BadSetUp("no description")
     if not message.task:
         raise BadSetUp("no id")
-    service, at = figures.get("service", ""), figures.get("at")
+    service, running_on = figures.get("service", ""), figures.get("at")
     if not _is_token(service):
         raise BadSetUp("no service")
-    if at == "":  # the list holds machines of any name
+    if running_on == "":  # the list holds machines of any name
         raise BadSetUp("at names no machine")
     # What a machine holds already wants no answer: its patience may be long over.
-    patience_ms = 0.0 if at is not None else _figure(patience, "patience", 0, bounds.patience_ms)
+    patience_ms = (
+        0.0 if running_on is not None else _number(patience, "patience", 0, bounds.patience_ms)
+    )
     return SetUp(
         message.task,
         cls,
         name,
         service,
-        _figure(figures.get("cores"), "cores", MIN_SIZE, bounds.cores),
-        _figure(figures.get("memory"), "memory", 0, bounds.memory),
+        _number(figures.get("cores"), "cores", MIN_SIZE, bounds.cores),
+        _number(figures.get("memory"), "memory", 0, bounds.memory),
         int(patience_ms * 1000),
-        None if hint is None else int(_figure(hint, "hint", 0, FAR_MS) * 1000),
-        again,
-        at,
-        {code: value for code, value in message.values.items() if code not in _OWN},
+        None if hint is None else int(_number(hint, "hint", 0, MAX_DURATION_MS) * 1000),
+        is_retry,
+        running_on,
+        {code: value for code, value in message.values.items() if code not in _PLACER_CODES},
     )
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -57,7 +57,7 @@
     def write(self, data: bytes) -> bool:
         """Send; False where the connection is of no use any more."""
 
-    def is_behind(self, now_us: int) -> bool:
+    def has_stale_input(self, now_us: int) -> bool:
         """Whether something that came a while ago may not have been read: its owner may have gone."""
 
     def when_read(self, call: Callable[[], None]) -> None:
