--- a/wingbarrow/relay/__init__.py
+++ b/wingbarrow/relay/__init__.py
@@ -1,4 +1,5 @@
-"""The platform's protocol as one more way in and out; `python -m wingbarrow.relay` is what the platform starts.
+"""Runs a placer over the platform's binary protocol; the platform starts it as `python -m wingbarrow.relay`.
 
-It decides nothing: the module does, through `core.host`. `docs/relay.md` draws a task's way through the sockets.
+This package makes no scheduling decisions: it passes events to the scheduler through `core.host` and carries out its
+actions. `docs/relay.md` shows a task's path through the sockets.
 """
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wingbarrow.relay`: one placer on the platform, in the foreground; its log is standard error."""
+"""`python -m wingbarrow.relay`: runs one placer on the platform in the foreground, logging to standard error."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Serve until told to end; 2 where the configuration cannot be used."""
+    """Serve until SIGTERM or SIGINT; return the exit status: 0, 1 on a network error, 2 on a bad configuration."""
     hub = Hub()
     log = LineLog(hub.now_us)
     try:
@@ -35,7 +35,7 @@
         },
     )
     gc.collect()
-    gc.freeze()  # what was loaded stays: no need to look through it again
+    gc.freeze()  # loaded modules and settings are permanent: excludes them from later collections
     hub.complain = lambda name, error: log(
         "task-failed", level="error", task=name, why=f"{type(error).__name__}: {error}"
     )
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -1,4 +1,4 @@
-"""From owners' messages to the module: set-ups, what they take back, tests, tasks that stand already."""
+"""Handles owners' messages: admits or rejects set-ups, withdraws tasks, adopts running ones, answers tests."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
 
-MAX_PENDING_TASKS = 2048  # set-ups that may wait for their final answer
-MAX_ATTEMPTS = 8192  # attempts at machines, beyond which no task is taken in as running already
+MAX_PENDING_TASKS = 2048  # set-ups without a final answer, over all connections
+MAX_ATTEMPTS = 8192  # no running task is adopted beyond this number of attempts
 
 
 class Admission:
-    """What owners ask; `ready` is what a test is answered."""
+    """Admission of set-ups; `ready` is the result that TEST messages are answered with."""
 
     def __init__(
         self,
@@ -49,19 +49,17 @@
         self.owners: Owners
 
     def on_message(self, owner: Owner, message: Message, came_us: int) -> None:
-        """One message of an owner."""
+        """Handle a message; at `came_us` (hub's clock) it had certainly not arrived yet. Unknown kinds are ignored."""
         kind = message.kind
         if owner.retired and kind != Kind.RELEASE:
-            self._life.counts["crossed_a_close"] += (
-                1  # nothing can be answered there: its client asks elsewhere
-            )
+            # A retired connection cannot carry an answer; its client retries on another.
+            self._life.counts["crossed_a_close"] += 1
         elif kind == Kind.SET_UP:
             self._set_up(owner, message, came_us)
         elif kind == Kind.RELEASE:
             self._on_release(owner, message)
         elif kind == Kind.TEST:
             owner.write(with_cause(Kind.TESTED, message.task, int(self.ready)))
-        # All else wants no answer and means nothing here.
 
     def _set_up(self, owner: Owner, message: Message, came_us: int) -> None:
         existing = self._requests.by_ident.get(message.task)
@@ -107,11 +105,11 @@
     def _reject(
         self, owner: Owner, ident: int, cause: int, why: str, existing: Task | None
     ) -> None:
-        """A refusal or failure that leaves no trace."""
+        """Answer a set-up with a refusal or failure, without recording a task."""
         self._life.counts["turned_away:" + why.partition(":")[0]] += 1
         self._life.log("turned-away", why=why)
         if existing is not None and existing.ident in owner.tasks:
-            # Danger: an answer under this id would end the open set-up in its owner's eyes.
+            # Danger: the owner would take an answer with this id for the answer to its open set-up.
             self.owners.close(owner, "id twice")
             return
         if existing is not None:
@@ -120,17 +118,17 @@
         owner.write(refusal(ident, cause, parameters))
 
     def _adopt(self, owner: Owner, set_up: setup.SetUp, machine_name: str) -> None:
-        """A task that a machine holds already comes under this placer's care."""
+        """Adopt a task that already runs on a machine: track it and release it when it ends."""
         request, now = self._requests.next_request(), self._life.hub.now_us()
         link = self._links.by_name.get(machine_name)
         self._life.counts["found" if link else "found_nowhere"] += 1
         if link is None or link.closed or set_up.ident in link.running:
-            self._life.log("found-nowhere", level="warning", machine=machine_name)
+            self._life.log("adoption-rejected", level="warning", machine=machine_name)
             if link is None or link.closed:
                 owner.write(refusal(set_up.ident, Cause.RESET))
             return
         if len(self._attempts) >= MAX_ATTEMPTS:
-            # Danger: nobody else bounds them, and only its machine knows whether a task is there at all.
+            # Danger: nothing else bounds adopted tasks, and only the machine knows whether such a task exists.
             self._reject(owner, set_up.ident, Cause.RESET, "too many held", None)
             return
         cause = self._offers.ended_early(link, set_up.ident)
@@ -162,7 +160,7 @@
 
     def _on_release(self, owner: Owner, message: Message) -> None:
         task = self._requests.by_ident.get(message.task)
-        # Danger: who was turned away under another's id may take it back, and would end the other's task.
+        # Danger: a client rejected because another owner holds the id may withdraw it, which must not end that task.
         if (
             task is None
             or (task.state is State.ASKED and task.owner is not owner)
@@ -192,17 +190,17 @@
             self._offers.abandon(attempt, api.Outcome.CANCELLED)
 
     def on_disconnect(self, owner: Owner) -> None:
-        """Its connection has ended: nobody waits for what was open on it."""
+        """Withdraw the open set-ups of a connection that has ended."""
         for task in list(owner.tasks.values()):
             self._trace(task.ident, "its connection ended", owner=owner.number)
             self._withdraw(task, Cause.GIVEN_UP)
 
     def refuse(self, request: int) -> None:
-        """The module's final answer: trying again is harmless."""
+        """Answer a request as refused: it had no effect, so a retry is safe."""
         self._answer(request, Step.REFUSE, Cause.BUSY)
 
     def fail(self, request: int) -> None:
-        """The module's final answer: no promise as to the effect."""
+        """Answer a request as failed: it may have had an effect."""
         self._answer(request, Step.FAIL, Cause.ERROR)
 
     def _answer(self, request: int, step: Step, cause: int) -> None:
@@ -213,7 +211,7 @@
             self._offers.answer(task, step, cause)
 
     def move(self, request: int) -> None:
-        """Stop a running task; its owner comes again."""
+        """Stop a running task and tell its owner to submit it again."""
         task, attempt = self._requests.by_request.get(request), self._attempts.of(request)
         if (
             task is None
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a placer: the environment RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG and the JSON it names."""
+"""Reads a placer's configuration: RELAY_NAME, RELAY_LISTEN, and the JSON file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -14,24 +14,22 @@
 from wingbarrow.reader import Part, settings_of, shown
 
 MAX_FILE_BYTES = 16 << 20
-# Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
+# Defaults for intervals that are absent or 0 in `settings.bounds`.
 DEFAULT_DIAL_TIMEOUT_US = 250_000
 DEFAULT_MAX_RETRY_AFTER_US = 1_000_000
 DEFAULT_CONN_IDLE_US = 30_000_000
-MIN_INTERVAL_US = 1_000
-MIN_TICKS_PER_DEADLINE = (
-    20  # of the shortest deadline: no more than this part is kept back before a deadline
-)
-MAX_INT_DIGITS = 300  # of a whole number; a longer one is no float, and counts as infinite
+MIN_INTERVAL_US = 1_000  # lower bound of configured intervals; nothing finishes within less
+MIN_TICKS_PER_DEADLINE = 20  # the tick, reserved before deadlines, is at most 1/20 of the shortest
+MAX_INT_DIGITS = 300  # longer integers overflow a float and are read as infinite
 
 
 class BadConfiguration(Exception):
-    """The configuration cannot be used; the text names what is wrong."""
+    """The configuration is unusable; the message names the key and the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A host, by number, and a port."""
+    """A numeric IPv4 or IPv6 address and a port."""
 
     host: str
     port: int
@@ -42,23 +40,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that one start is told; times in microseconds."""
+    """The configuration of one process; times in microseconds."""
 
     name: str
     listen: Address
     seed: int
     sockets: int
     journal: Address
-    known: Any  # of the journal service's form, up to now
+    known: Any  # the machine list so far, in the JSON form of the journal service
     settings: api.Settings
     dial_us: int
     max_retry_after_us: int
-    patience_us: int  # the longest of any class
-    conn_idle_us: int = DEFAULT_CONN_IDLE_US  # idle connections are closed after this interval
+    patience_us: int  # longest deadline of any class
+    conn_idle_us: int = (
+        DEFAULT_CONN_IDLE_US  # connections are closed after being idle for this interval
+    )
 
 
 def read_address(text: object, what: str) -> Address:
-    """HOST:PORT; BadConfiguration with `what` otherwise."""
+    """Parse HOST:PORT with a numeric host; raises BadConfiguration, naming `what`, for anything else."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (
         host
@@ -106,7 +106,7 @@
 
 
 def _known(part: Part) -> Any:
-    """The journal service's form; what its events hold is judged where they are read."""
+    """Check the outer form of the known machine list; its events are validated where they are parsed."""
     position = part.at("pos")
     if isinstance(position.value, bool) or not isinstance(position.value, int):
         raise position.wrong("not a position")
@@ -114,11 +114,11 @@
     return part.value
 
 
-def _interval_us(settings: Part, key: str, usual: int) -> int:
-    """A time of the site's bounds, in microseconds; `usual` where it is absent or 0."""
+def _interval_us(settings: Part, key: str, default_us: int) -> int:
+    """An interval from `settings.bounds`, in microseconds; `default_us` if absent or 0."""
     part = settings.find(f"bounds.{key}")
     value_us = 0 if part is None else part.whole()
-    return max(MIN_INTERVAL_US, value_us) if value_us else usual
+    return max(MIN_INTERVAL_US, value_us) if value_us else default_us
 
 
 def _deadlines(settings: Part) -> list[int]:
@@ -126,10 +126,10 @@
 
 
 def _scheduler(part: Part) -> api.Settings:
-    """The scheduler's settings, with a tick that leaves time before the shortest deadline.
+    """The scheduler's settings, with the tick limited to a fraction of the shortest deadline.
 
-    Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here; one as
-    long as a deadline would have every set-up of its class turned away, as out of time.
+    Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here. With a
+    quantum as long as a deadline, every set-up of that class would be rejected as out of time.
     """
     settings = settings_of(part.value, part.path)
     tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // MIN_TICKS_PER_DEADLINE))
@@ -137,7 +137,7 @@
 
 
 def load(environment: Mapping[str, str]) -> Configuration:
-    """Read the environment and the file it names; BadConfiguration says in one line what is wrong, by its key."""
+    """Read the environment and the file it names; raises BadConfiguration with a one-line message naming the key."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
@@ -170,5 +170,5 @@
 
 
 def load_journal(path: str) -> Address:
-    """The journal service's address alone, from a file that was replaced; BadConfiguration where it has none."""
+    """Read only the journal service's address, from a replaced file; raises BadConfiguration if it has none."""
     return read_address(_load(path).get("journal"), "journal")
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -1,4 +1,4 @@
-"""The follower of the machine list: long poll from the last whole event, and what is done about missing ones."""
+"""Follows the machine list of the journal service by long polling, and handles gaps and renumbering of its events."""
 
 from __future__ import annotations
 
@@ -15,28 +15,26 @@
 from wingbarrow.relay.entries import Entry, Event, News, Roster, ident, merge, parse, read
 from wingbarrow.transport import CancelScope
 
-# Danger (rule 3): what a service that fell silent would have told counts as told soon after the wait that was asked
-# for. A short wait has it noticed soon, at the price of a call as often.
+# Danger (rule 3): an event that a silent service withholds counts as delivered soon after the requested wait. A short
+# wait detects a silent service early, at the cost of more frequent polls.
 POLL_WAIT_MS = 1_000
-POLL_GRACE_US = 400_000  # beyond the wait asked for, until it counts as silent
+POLL_GRACE_US = 400_000  # a poll times out this long after the requested wait
 CONNECT_US = 500_000
 MAX_BODY_BYTES = 4 << 20
-MIN_POLL_US = (
-    POLL_WAIT_MS * 500
-)  # an answer without news before that is not the wait that was asked for
-MAX_GAP_POLLS = 3  # for missing events, until they are given up
-# Danger (rule 3): a drain that lies unread after a stall counts as told. Of a grace of 250 ms a fifth may pass.
+MIN_POLL_US = POLL_WAIT_MS * 500  # half the wait; an empty answer before it counts as early
+MAX_GAP_POLLS = 3  # polls for missing events before they are skipped
+# Danger (rule 3): a drain that is unread after a stall counts as delivered. The grace is 250 ms; a fifth is used here.
 MAX_UNREAD_US = 50_000
-MAX_MARKS = 1024  # events remembered, to tell a service that lags from one that numbers anew
-MAX_LOGGED_TEXTS = 64  # texts remembered, so that one fault is not logged over and over
+MAX_MARKS = 1024  # event hashes kept, to distinguish a lagging service from a renumbered one
+MAX_LOGGED_TEXTS = 64  # remembered, so that a repeated fault is logged once
 
 
 class Follower:
-    """Tells `deliver(news)` each event once; `failed()` when the service breaks off or
-    falls silent. `known`: the events of the start, to which `position` belongs.
+    """Passes each event once to `deliver(news)`, and calls `on_failure()` when a poll fails or times out.
 
-    Entries are states, not differences: what comes after a missing event is told at once, and of the missing one, when
-    it comes, what no later event has told of.
+    `known` holds the events from the configuration, up to `position`. Entries are states, not differences, so events
+    after a gap are delivered at once. When a missing event arrives, only its machines without a later event are used.
+    `shift_us` converts the list's wall-clock times to the hub's clock.
     """
 
     def __init__(
@@ -49,20 +47,16 @@
         on_failure: Callable[[], None],
         known: Sequence[News] = (),
     ) -> None:
-        self._shift_us = shift_us  # the same for a whole life: a start is never two times
-        self._life, self._address, self._deliver, self._on_failure = (
-            life,
-            address,
-            deliver,
-            on_failure,
-        )
-        self.position = position  # up to it nothing is missing
-        self._applied_ahead: dict[
-            int, tuple[str, ...]
-        ] = {}  # events taken in beyond a missing one, and their machines
-        self._gap_polls = 0  # in a row that left events missing
-        self._poll_all = False  # the numbers went back: all events are asked for once
-        self._lagging_position: int | None = None  # the last number of a service that lags
+        # Fixed for the life of the process, so that a machine's start time never changes.
+        self._shift_us = shift_us
+        self._life, self._address = life, address
+        self._deliver, self._on_failure = deliver, on_failure
+        self.position = position  # all events up to it were applied or skipped
+        # Events applied beyond a gap, by number, with the names of their machines.
+        self._applied_ahead: dict[int, tuple[str, ...]] = {}
+        self._gap_polls = 0  # consecutive polls after which events were still missing
+        self._refetch_all = False  # the position regressed: the next poll asks for all events
+        self._lagging_position: int | None = None  # highest number of a service known to lag
         self._roster = Roster(known)
         self._marks = OrderedDict((each.position, each.mark) for each in known)
         self._logged: deque[str] = deque(maxlen=MAX_LOGGED_TEXTS)
@@ -71,7 +65,7 @@
         self._backoff = Backoff(random.Random(life.random.random()), 20_000, 500_000)
 
     def change_address(self, address: Address) -> None:
-        """Ask another address from now on; what was asked of the old one is let go."""
+        """Poll another address from now on; a poll of the old one is cancelled."""
         if address != self._address:
             self._address = address
             self._backoff.clear()
@@ -79,15 +73,14 @@
                 self._scope.cancel()
 
     def has_stale_input(self, now_us: int) -> bool:
-        """Whether something that the service told over UNREAD_US ago may lie unread here."""
+        """Whether input of the service older than MAX_UNREAD_US may still be unread."""
         return self._pool is not None and self._pool.has_unread(now_us, MAX_UNREAD_US)
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Poll until cancelled."""
         hub = self._life.hub
-        hub.current().first = (
-            True  # Danger (rule 3): offers that are ready must not go before drains are read
-        )
+        # Danger (rule 3): offers that are ready must not be sent before drains are read.
+        hub.current().first = True
         while True:
             address = self._address
             limits = PoolLimits(
@@ -97,18 +90,18 @@
             try:
                 while address == self._address:
                     if not self._poll(pool, address) and address == self._address:
-                        with CancelScope(hub) as self._scope:  # a move ends the pause too
+                        with CancelScope(hub) as self._scope:  # an address change ends the backoff
                             hub.sleep(self._backoff.next_us())
             finally:
                 pool.close()
 
     def _poll(self, pool: Pool, address: Address) -> bool:
-        """One call and what it tells; whether the next may follow at once."""
+        """Poll once and apply the answer; whether the next poll may follow without backoff."""
         life, started_us = self._life, self._life.hub.now_us()
-        tail = 0 if self._poll_all or self._gap_polls == MAX_GAP_POLLS - 1 else self.position
+        tail = 0 if self._refetch_all or self._gap_polls == MAX_GAP_POLLS - 1 else self.position
         answer: tuple[int, list[Event]] | None = None
         why = ""
-        # The scope ends before anything is delivered: a move never cuts a delivery short.
+        # The scope ends before delivery, so that an address change never interrupts one.
         with CancelScope(life.hub) as scope:
             self._scope = scope
             try:
@@ -116,17 +109,17 @@
             except (CallFailed, ValueError, RecursionError) as error:
                 why = str(error)[:200]
         if answer is None and scope.cancelled:
-            return True  # the old service's failure is not the new one's
+            return True  # cancelled by an address change: not a failure of the new service
         if answer is None:
             life.counts["journal_failures"] += 1
-            life.log("journal-failed", level="warning", address=str(address), why=why)
+            life.log("journal-poll-failed", level="warning", address=str(address), why=why)
             self._on_failure()
             return False
         if self._apply(tail, *answer) or life.hub.now_us() - started_us >= MIN_POLL_US:
             self._backoff.clear()
             return True
         life.counts["journal_early"] += 1
-        self._warn_once("journal-early", "an answer without news before its time")
+        self._warn_once("journal-early", "empty answer before half of the requested wait")
         return False
 
     def _request(self, pool: Pool, tail: int) -> tuple[int, list[Event]]:
@@ -135,14 +128,14 @@
             "GET", f"/journal?tail={tail}&max_wait={POLL_WAIT_MS}", until_us=until_us
         )
         if response.status != 200:
-            raise ValueError(f"status {response.status}")
+            raise ValueError(f"journal service answered status {response.status}, expected 200")
         return parse(json.loads(response.body), self._shift_us)
 
-    # -- what an answer tells
+    # -- applying an answer
 
     def _apply(self, tail: int, last: int, events: list[Event]) -> bool:
-        """Deliver what is new; whether there was anything."""
-        self._poll_all = False
+        """Deliver the new events of an answer; whether there were any."""
+        self._refetch_all = False
         highest = max([last, *(event.position for event in events)])
         if highest < self.position:
             news = self._on_position_regressed(tail, highest, events)
@@ -184,14 +177,17 @@
         return self._roster.take(event, self._report_bad_entry, newer)
 
     def _advance_to(self, number: int) -> None:
-        """Up to this number nothing is missing, or nothing is waited for any more."""
+        """Set the position; missing events up to it are no longer expected."""
         self.position = number
         self._applied_ahead = {
             ahead: names for ahead, names in self._applied_ahead.items() if ahead > number
         }
 
     def _check_for_gap(self, top: int) -> None:
-        """Where an event up to `top` is missing: ask again, the last time for all, and then go on without it."""
+        """Count consecutive polls that leave an event up to number `top` missing, and skip the gap after the last.
+
+        The last of these polls asks for all events, not only those after the position.
+        """
         if top <= self.position:
             self._gap_polls = 0
             return
@@ -202,34 +198,36 @@
         if self._gap_polls > MAX_GAP_POLLS - 1:
             self._gap_polls = 0
             self._life.counts["journal_gaps_given_up"] += 1
-            self._life.log("journal-gap-given-up", level="error", after=self.position, before=top)
+            self._life.log("journal-gap-skipped", level="error", after=self.position, before=top)
             self._advance_to(top)
 
     def _on_position_regressed(self, tail: int, highest: int, events: list[Event]) -> list[News]:
-        """The service's numbers end before ours: it lags, or it numbers anew and then all that it has is new."""
+        """Handle an answer that ends before our position: the service lags, or it has renumbered its events."""
         if highest == self._lagging_position:
             return []
         if tail > 0:
             self._life.counts["journal_went_back"] += 1
-            self._warn_once("journal-went-back", f"to {highest}")
-            self._poll_all = True
+            self._warn_once("journal-went-back", f"highest event number is {highest}")
+            self._refetch_all = True
             return []
-        good = [event for event in events if not event.why]
-        # Danger (rule 3): a list that lags would have machines running that were told to drain since.
-        same = all(self._marks.get(event.position, event.mark) == event.mark for event in good)
-        if not good or (same and good[-1].position in self._marks):
+        readable = [event for event in events if not event.why]
+        # Danger (rule 3): applying a lagging list would mark draining machines as running.
+        hashes_match = all(
+            self._marks.get(event.position, event.mark) == event.mark for event in readable
+        )
+        if not readable or (hashes_match and readable[-1].position in self._marks):
             self._lagging_position = highest
             return []
-        self._life.log("journal-anew", level="warning", ours=self.position, theirs=highest)
+        self._life.log("journal-renumbered", level="warning", ours=self.position, theirs=highest)
         self._marks.clear()
         self._gap_polls = 0
-        # As one: a machine that comes after the first event has not gone in between.
-        news = merge([self._merge_event(event, set()) for event in good])
+        # Merged into one delivery: a machine that only a later event lists must not count as gone in between.
+        news = merge([self._merge_event(event, set()) for event in readable])
         self._applied_ahead.clear()
         self.position = news.position
         return [news]
 
-    # -- telling
+    # -- logging
 
     def _warn_once(self, what: str, why: str) -> None:
         if f"{what} {why}" not in self._logged:
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -1,4 +1,4 @@
-"""The side of owners: listener, connections, what unreadable clients get, and releases until they can be sent."""
+"""Owners' connections: accepting, reading, closing, and delivery of releases until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -12,27 +12,24 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
-MAX_UNSENT_BYTES = 256 * 1024  # bytes that may wait for an owner that reads slowly
+MAX_UNSENT_BYTES = 256 * 1024  # write buffer of one connection
 SWEEP_INTERVAL_US = 250_000
-MAX_ACCEPTS_PER_TURN = (
-    8  # connections accepted before each of them has had its turn, and is counted
-)
-MAX_FOREIGN_IDS = 64  # remembered for one connection
-MAX_MESSAGES_PER_TURN = 32  # messages of one connection before others get a turn
-ACK_TIMEOUT_US = 2_000_000  # a release is sent again where its connection ends so soon without a word that it was heard
-RELEASE_TTL_US, MAX_PENDING_RELEASES = (
-    8_500_000,
-    8192,
-)  # releases that wait for a connection: how long, how many
-# Danger: a client that has closed or given up is gone, though its word lies unread here after a stall or behind other
-# work. The platform bears sends for it up to 100 ms later; half of that may pass before this side looks once more.
+MAX_ACCEPTS_PER_TURN = 8  # new connections are only counted once their task has run
+MAX_FOREIGN_IDS = 64  # per connection
+MAX_MESSAGES_PER_TURN = 32  # of one connection, before it yields to the others
+# A release is resent if its connection ends within this time after sending without an acknowledgement.
+ACK_TIMEOUT_US = 2_000_000
+RELEASE_TTL_US = 8_500_000  # a release that waits for a connection is dropped after this time
+MAX_PENDING_RELEASES = 8192  # waiting for a connection; unacknowledged ones are bounded alike
+# Danger: a client that closed its connection or gave up is gone, even while its message is still unread here after a
+# stall or behind other work. The platform tolerates sends for it up to 100 ms later; input is rechecked after half.
 MAX_UNREAD_US = 50_000
-RETIRE_US = 500_000  # for a client to end its side of a connection that is closed here
-MAX_CLOSE_CANDIDATES = 8  # connections looked at for one that is empty, where room is wanted
+RETIRE_US = 500_000  # for a client to close its side of a connection that is half-closed here
+MAX_CLOSE_CANDIDATES = 8  # connections checked for unread input before one is closed regardless
 
 
 class Owner:
-    """One connection from an owner, the front, or anybody."""
+    """One accepted connection: an owner's, the front's, or an unknown client's."""
 
     __slots__ = (
         "_read_callbacks",
@@ -50,33 +47,31 @@
         self.stream, self.outbox, self.guest, self.number = stream, outbox, guest, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
-        self.foreign_ids: deque[int] = deque(
-            maxlen=MAX_FOREIGN_IDS
-        )  # ids it asked for that were another's
-        self.retired = (
-            False  # closed here; what its client still says is read, and set-ups go elsewhere
-        )
-        self._read_callbacks: list[Callable[[], None]] = []  # one for each attempt that is put off
+        # Ids this client sent a set-up for while another owner had them open.
+        self.foreign_ids: deque[int] = deque(maxlen=MAX_FOREIGN_IDS)
+        # Half-closed by the placer: input is still read, set-ups are no longer accepted.
+        self.retired = False
+        self._read_callbacks: list[Callable[[], None]] = []  # one for each deferred attempt
 
     def write(self, data: bytes) -> bool:
-        """Send; False where the connection is of no use any more."""
+        """Queue `data` for sending; False if the connection is closed, retired, or its buffer is full."""
         self.guest.told = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
     def has_stale_input(self, now_us: int) -> bool:
-        """Whether something that came over UNREAD_US ago may not have been read, the client's end among it."""
+        """Whether input (or the end of stream) older than MAX_UNREAD_US may still be unread."""
         if not self.stream.open:
-            return True  # closed here: what was open on it is taken back as soon as its reader runs
+            return True  # closed here: the reader withdraws its open set-ups when it next runs
         return self.stream.has_unread(now_us, MAX_UNREAD_US) or (
             self.framer.ready and now_us - self.stream.silent_us > MAX_UNREAD_US
         )
 
     def when_read(self, call: Callable[[], None]) -> None:
-        """Call once what has come is read."""
+        """Call `call` once, when all input received so far has been read."""
         self._read_callbacks.append(call)
 
     def run_read_callbacks(self, now_us: int) -> None:
-        """All that was read has been taken: what waited for that goes on, unless more has come."""
+        """Run the callbacks of `when_read`, unless stale input has arrived meanwhile."""
         if self._read_callbacks and not self.has_stale_input(now_us):
             callbacks, self._read_callbacks = self._read_callbacks, []
             for call in callbacks:
@@ -84,7 +79,12 @@
 
 
 class Owners:
-    """All connections of owners; `take` gets each message and when it had surely not come yet."""
+    """All connections of owners.
+
+    `on_message` gets each message with the latest time (in microseconds) at which it had certainly not arrived yet;
+    `on_disconnect` is called when a connection has ended; `free_descriptor` closes other connections if the
+    descriptor budget is exceeded, and returns whether the budget is met.
+    """
 
     def __init__(
         self,
@@ -95,29 +95,21 @@
         free_descriptor: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._crowd, self._on_message, self._on_disconnect = (
-            life,
-            crowd,
-            on_message,
-            on_disconnect,
-        )
-        self._trace, self._accepted = trace, 0
-        self._free_descriptor = (
-            free_descriptor  # makes room for one that has come; whether there is
-        )
-        self._owners: OrderedDict[Owner, None] = OrderedDict()  # least lately heard of first
-        self._pending: deque[tuple[int, bytes]] = (
-            deque()
-        )  # releases without a connection, with their end
-        self._unacknowledged: OrderedDict[int, tuple[int, Owner, bytes]] = (
-            OrderedDict()
-        )  # sent, with their end, by id
+        self._life, self._crowd, self._trace = life, crowd, trace
+        self._on_message, self._on_disconnect = on_message, on_disconnect
+        self._accepted = 0  # connections so far
+        self._free_descriptor = free_descriptor
+        self._owners: OrderedDict[Owner, None] = OrderedDict()  # least recently active first
+        # Releases that wait for a connection: (expiry time, message).
+        self._pending: deque[tuple[int, bytes]] = deque()
+        # Releases sent and not yet acknowledged, by task id: (expiry time, connection, message).
+        self._unacknowledged: OrderedDict[int, tuple[int, Owner, bytes]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._owners)
 
     def serve(self, listener: Listener) -> None:
-        """Accept until cancelled."""
+        """Accept and serve connections until cancelled."""
         listener.serve(self._serve, MAX_ACCEPTS_PER_TURN)
 
     def _serve(self, stream: Stream) -> None:
@@ -129,7 +121,7 @@
         self._owners[owner] = None
         self._make_room()
         try:
-            taken = 0
+            messages_read = 0
             while True:
                 owner.run_read_callbacks(hub.now_us())
                 data = stream.receive()
@@ -147,12 +139,12 @@
                         self._unacknowledged.pop(message.task, None)
                         self._trace(message.task, "release heard", owner=owner.number)
                     self._on_message(owner, message, min(now, stream.silent_us))
-                    taken += 1
-                    if taken % MAX_MESSAGES_PER_TURN == 0:
+                    messages_read += 1
+                    if messages_read % MAX_MESSAGES_PER_TURN == 0:
                         hub.checkpoint()
         except BadMessage as error:
             self._life.counts["owners:unreadable"] += 1
-            self._life.log("unreadable-owner", level="warning", why=str(error))
+            self._life.log("owner-protocol-error", level="warning", why=str(error))
         except PeerGone:
             pass
         finally:
@@ -162,19 +154,19 @@
             self._resend_unacknowledged(owner)
 
     def close(self, owner: Owner, why: str) -> None:
-        """End a connection that cannot go on."""
+        """Close a connection at once; `why` goes to the log and to the counter `owners:<why>`."""
         self._log_closed(why)
         owner.stream.close()
 
     def _log_closed(self, why: str) -> None:
         self._life.counts["owners:" + why] += 1
-        self._life.log("owner-closed", why=why)
+        self._life.log("owner-connection-closed", why=why)
 
     def retire(self, owner: Owner, why: str) -> None:
-        """Close an empty connection: its client reads the end; what it says until it has ended its side is read.
+        """Half-close a connection without open set-ups: its client reads end of stream, and its input is still read.
 
-        Danger: closed outright, a release that crosses the close is lost and its task stands on; the reset that
-        answers it also throws away what is on its way to the client.
+        Danger: with a full close, a release that crosses it would be lost and its task would keep running. The
+        resulting reset would also discard data in flight to the client.
         """
         self._log_closed(why)
         owner.retired = True
@@ -182,7 +174,7 @@
         self._life.hub.call_at(self._life.hub.now_us() + RETIRE_US, owner.stream.close)
 
     def retire_all(self) -> None:
-        """The placer ends: each connection is closed once what was written on it has left and its client has ended."""
+        """Retire all connections whose output has been sent, at the end of the placer."""
         for owner in list(self._owners):
             if owner.stream.open and not owner.retired and not owner.outbox.waiting:
                 self.retire(owner, "farewell")
@@ -191,7 +183,7 @@
         if len(self._owners) <= self._crowd.most and self._free_descriptor():
             return
         guests = {owner.guest: owner for owner in self._owners if owner.stream.open}
-        first: Owner | None = None
+        fallback: Owner | None = None
         for _ in range(MAX_CLOSE_CANDIDATES):
             chosen = self._crowd.whom_to_close(
                 [(each.guest, len(each.tasks)) for each in guests.values()]
@@ -202,14 +194,13 @@
             if owner.stream.is_quiet() and not owner.framer.ready:
                 self.close(owner, "crowded")
                 return
-            first = first or owner
-        if (
-            first is not None
-        ):  # each that was looked at has something unread: its client hears of a reset
-            self.close(first, "crowded")
+            fallback = fallback or owner
+        if fallback is not None:
+            # All candidates have unread input, so closing one resets its connection.
+            self.close(fallback, "crowded")
 
     def sweep(self) -> None:
-        """Close those that say nothing; send what is pending where there is a connection. Goes on for ever."""
+        """Retire idle connections and send pending releases, periodically until cancelled."""
         hub = self._life.hub
         while True:
             hub.sleep(SWEEP_INTERVAL_US)
@@ -226,7 +217,7 @@
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
-        """Tell that a task that stood is over, on any owner's connection, now or as soon as there is one."""
+        """Send a RELEASE for a task that ran, on any owner's connection, now or when one is available."""
         self._send_or_defer(with_cause(Kind.RELEASE, ident, cause))
 
     def _send_or_defer(self, data: bytes) -> None:
@@ -234,7 +225,7 @@
             self._defer(data)
 
     def _resend_unacknowledged(self, closed: Owner) -> None:
-        """Releases that crossed the end of their connection go on another; an owner that heard one passes it over."""
+        """Resend releases that `closed` did not acknowledge on another connection; owners ignore duplicates."""
         now = self._life.hub.now_us()
         while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
             self._unacknowledged.popitem(last=False)
@@ -249,7 +240,7 @@
                     self._defer(data)
 
     def send_move(self, ident: int) -> None:
-        """Tell that a task was stopped and is to come again."""
+        """Send a MOVE: the task was stopped and its owner is to submit it again."""
         self._send_or_defer(encode(Kind.MOVE, ident, {}))
 
     def _defer(self, data: bytes) -> None:
@@ -262,11 +253,11 @@
         self._trace(int.from_bytes(data[3:11], "big"), "release pending")
 
     def send_to_any(self, data: bytes, until_us: int | None = None) -> bool:
-        """Send the end of a task on any connection that has proven to be an owner's; False without one.
+        """Send a RELEASE or MOVE on any proven owner's connection; False if there is none.
 
-        Until then, else for HEARD_US, it goes again where that connection ends before it was heard.
+        It is resent if that connection ends before an acknowledgement, until `until_us` or for ACK_TIMEOUT_US.
         """
-        # Those with an open set-up first: their owner does not close them now. Then the latest heard of.
+        # Connections with open set-ups first, as their owners keep them open; then the most recently active.
         candidates = [
             each
             for each in reversed(self._owners)
@@ -288,7 +279,7 @@
         return True
 
     def mark_proven(self, owner: Asker) -> None:
-        """A task of this connection was answered: it is a usual owner's."""
+        """Mark a connection as an owner's, as a task of it was answered; pending releases may go there."""
         if not owner.guest.proven:
             owner.guest.proven = True
             self._send_pending()
@@ -304,5 +295,5 @@
 
 
 def refusal(ident: int, cause: int = Cause.BUSY, more: dict[int, bytes] | None = None) -> bytes:
-    """The final answer to a set-up that does not stand."""
+    """Encode the RELEASE that answers a set-up which was refused or failed; `more` holds further parameters."""
     return with_cause(Kind.RELEASE, ident, cause, more)
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -1,4 +1,4 @@
-"""One placer on the platform's protocol: its components put together, the list's news, its signals, its end."""
+"""A placer on the platform's protocol: wires its components, applies list updates, handles signals and shutdown."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Hub, Nursery, listen
 
-# The platform ends a placer no sooner than so long after SIGTERM: the longest deadline, counted as 3 s where it is
-# longer, and 0.7 s. Until shortly before, what stands is looked after: nobody else tells its owners that it is over.
-MAX_PATIENCE_US, SHUTDOWN_MARGIN_US = 3_000_000, 300_000
-# Connections come until 0.4 s after SIGTERM and their requests 0.2 s more; each of them is owed an answer.
+# After SIGTERM the platform waits for the longest deadline, at most 3 s, plus 0.7 s before it kills the placer. Running
+# tasks are tracked until shortly before, as no other process tells their owners that they have ended.
+MAX_PATIENCE_US = 3_000_000
+SHUTDOWN_MARGIN_US = 300_000  # of the 0.7 s after the deadline
+# Connections may arrive until 0.4 s after SIGTERM, and their requests 0.2 s later; each must be answered.
 LATE_ARRIVALS_US = 620_000
-CLOSE_TIMEOUT_US = 80_000  # at most, for what is written to leave, and for clients to hear that this side has ended
-FORGET_GONE_US = 30_000_000  # a machine that is gone is forgotten so long after
+CLOSE_TIMEOUT_US = 80_000  # for output to be sent and clients to close their side
+FORGET_GONE_US = 30_000_000  # a removed machine's link is kept for this time
 COUNTS_INTERVAL_US = 10_000_000
 
 
 class Placer:
-    """Serves until cancelled, or until it was told to end and nothing is owed."""
+    """Serves until cancelled, or until `begin_shutdown` was called and all answers are sent."""
 
     def __init__(
         self,
@@ -45,11 +46,9 @@
         life = self.life = Life(hub, log, configuration.seed)
         self._host = Host(life, settings)
         table = self._table = Table(configuration.sockets)
-        self._requests, self._attempts, self._links = (
-            RequestTable(),
-            Attempts(),
-            Links(table, lambda: len(self.owners), configuration.conn_idle_us),
-        )
+        self._requests = RequestTable()
+        self._attempts = Attempts()
+        self._links = Links(table, lambda: len(self.owners), configuration.conn_idle_us)
         crowd = Crowd(table.owners_most)
         self.owners = Owners(
             life,
@@ -105,7 +104,7 @@
         self._offers.list_behind = self._follower.has_stale_input
         self._load_known(known)
 
-    # -- the module's hands
+    # -- actions of the scheduler
 
     def bind(self, bind: api.Bind) -> None:
         """Offer a task to a machine."""
@@ -124,13 +123,13 @@
         self.admission.move(request)
 
     def probe(self, machine: int) -> None:
-        """Ask a machine for its report."""
+        """Request a load report from a machine."""
         self._offers.probes.ask(machine)
 
     def flush(self) -> None:
-        """Everything has been written already."""
+        """Do nothing, as each action is written at once."""
 
-    # -- what connections tell
+    # -- events of connections
 
     def _on_owner_message(self, owner: Owner, message: Message, came_us: int) -> None:
         self.admission.on_message(owner, message, came_us)
@@ -175,7 +174,7 @@
                     self._remove_link(link)
         for entry in news.entries:
             self._on_entry(entry)
-        # Links first: what the module decides on hearing the list must find them as it says.
+        # Links are updated first, because the scheduler's actions on this event use them.
         self._host.feed(api.MachineList(form, tuple(each.listed for each in news.entries)))
 
     def _on_entry(self, entry: journal.Entry) -> None:
@@ -186,7 +185,7 @@
             return
         for other in self._links.at(entry.address):
             if other.name != entry.name:
-                self._remove_link(other)  # its address is another machine's now
+                self._remove_link(other)  # the address now belongs to this entry's machine
         if link is not None and (link.closed or link.address != entry.address):
             self._remove_link(link)
             link = None
@@ -207,10 +206,10 @@
     def _on_list_failure(self) -> None:
         self._host.feed(api.MachineList(api.ListForm.FAILED, ()))
 
-    # -- life
+    # -- lifecycle
 
     def run(self) -> None:
-        """Serve; a failure of the core itself ends it."""
+        """Serve until the end; raises the error if the scheduler's core failed."""
         hub, configuration = self.life.hub, self._configuration
         with Nursery(hub) as nursery:
             self.life.live_in(nursery)
@@ -257,7 +256,7 @@
             self.log_counts()
 
     def log_counts(self) -> None:
-        """A line with all counters."""
+        """Log all counters in one line."""
         self.life.log(
             "counts",
             owners=len(self.owners),
@@ -272,7 +271,7 @@
         )
 
     def reload(self, path: str) -> None:
-        """SIGHUP: use the journal service's address in the file; what cannot be read leaves the old one in force."""
+        """SIGHUP: take the journal service's address from the file; an unusable file is logged and the old one kept."""
         try:
             address = load_journal(path)
         except BadConfiguration as error:
@@ -282,7 +281,7 @@
         self._follower.change_address(address)
 
     def begin_shutdown(self) -> None:
-        """SIGTERM: tests fail from now on; the end comes when nothing more arrives and nothing is owed."""
+        """SIGTERM: fail tests from now on, and end once late requests have arrived and all are answered."""
         if not self._shutting_down:
             self._shutting_down, self.admission.ready = True, False
             self.life.log("ending", pending=self._requests.pending, running=len(self._attempts))
@@ -295,7 +294,7 @@
         while self._requests.pending or hub.now_us() < end_us:
             hub.sleep(20_000)
         self.log_counts()
-        # Danger: a connection that is closed with something unread is reset, and an answer on its way is thrown away.
+        # Danger: closing a connection with unread input resets it and discards an answer in flight.
         self.owners.retire_all()
         end_us = hub.now_us() + CLOSE_TIMEOUT_US
         while len(self.owners) and hub.now_us() < end_us:
--- a/wingbarrow/relay/setup.py
+++ b/wingbarrow/relay/setup.py
@@ -1,4 +1,4 @@
-"""A set-up as the module hears of it; what is wrong with one is named, and it never reaches a machine."""
+"""Parses and validates set-up messages; an invalid one is rejected and never sent to a machine."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from wingbarrow import interface as api
 from wingbarrow.relay.message import BadMessage, Code, Message
 
-MAX_DURATION_MS = 1e12  # some thirty years: no owner waits so long, and no task has so long to go
-BOUND_FACTOR = 100  # what the settings tell, for a bound
-MIN_PATIENCE_BOUND_MS = 3_600_000  # of patience, as a bound
-MAX_SIZE = 1e18  # in whatever unit the site counts cores and memory, bytes too
+MAX_DURATION_MS = 1e12  # about thirty years: limits patience and the expected duration
+BOUND_FACTOR = 100  # bounds are this multiple of the largest value in the settings
+MIN_PATIENCE_BOUND_MS = 3_600_000  # the upper bound of patience is at least one hour
+MAX_SIZE = 1e18  # of cores and memory, in the site's own unit, which may be bytes
 MIN_SIZE = 1e-12  # of cores
-MAX_TOKEN_BYTES = 64  # bytes
+MAX_TOKEN_BYTES = 64
 _NAME = re.compile(r"[0-9a-fA-F]{16}")
-# What an owner tells its placer; the rest goes on to the machine as it came, also what this program has no name for:
-# keyed classes bring a parameter by which machines know a repeat, and the page does not list it.
+# Parameters addressed to the placer. All others are forwarded to the machine unchanged, including unknown codes:
+# keyed classes carry a deduplication parameter that the protocol description does not list.
 _PLACER_CODES = frozenset({Code.PATIENCE, Code.RETRY, Code.HINT, Code.FIGURES})
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a figure may be at most; patience in milliseconds."""
+    """Upper bounds of a set-up's values; cores and memory in the site's units, patience in milliseconds."""
 
     cores: float = MAX_SIZE
     memory: float = MAX_SIZE
@@ -31,9 +31,9 @@
 
     @classmethod
     def of(cls, settings: api.Settings, deadline_us: int) -> Bounds:
-        """Some way over what the site's largest machine has, and over its longest deadline.
+        """Bounds well above the site's largest machine and its longest deadline (`deadline_us`).
 
-        What is over could never be placed: held until its patience ends, it would wait for nothing.
+        A set-up above them could never be placed and would only wait until its patience ends.
         """
 
         def maximum(sizes: list[float], booking: float) -> float:
@@ -47,12 +47,12 @@
 
 
 class BadSetUp(Exception):
-    """The set-up can be read, but not be placed."""
+    """The message is readable, but its set-up is invalid; the message text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """What an owner asks; `at` names the machine that holds the task already."""
+    """A validated set-up; `running_on` names the machine that already runs the task, if any."""
 
     ident: int
     cls: api.TaskClass
@@ -67,7 +67,7 @@
     passed_on: dict[int, bytes]
 
     def arrival(self, request: int, deadline_us: int) -> api.TaskArrived:
-        """The module's event."""
+        """The arrival event for the scheduler; `deadline_us` is an absolute time."""
         return api.TaskArrived(
             request,
             self.cls.name,
@@ -88,14 +88,16 @@
     try:
         value = float(text or "")
     except ValueError:
-        raise BadSetUp(f"{field} is no number") from None
+        raise BadSetUp(f"{field} is not a number: {(text or '')[:20]!r}") from None
     if not (isfinite(value) and minimum <= value <= maximum):
-        raise BadSetUp(f"{field} is out of range: {(text or '')[:20]}")
+        raise BadSetUp(
+            f"{field} is out of range: {(text or '')[:20]}, expected {minimum:g} to {maximum:g}"
+        )
     return value
 
 
 def read(message: Message, classes: dict[str, api.TaskClass], bounds: Bounds = Bounds()) -> SetUp:
-    """A set-up from its message; BadSetUp says what is wrong."""
+    """Parse a SET_UP message; raises BadSetUp naming the invalid field."""
     try:
         cls = classes.get(message.text(Code.CLASS) or "")
         name = message.text(Code.NAME) or ""
@@ -107,19 +109,19 @@
     except BadMessage as error:
         raise BadSetUp(str(error)) from None
     if cls is None:
-        raise BadSetUp("an unknown class")
+        raise BadSetUp("unknown class")
     if not _NAME.fullmatch(name):
-        raise BadSetUp("no name of 16 hex digits")
+        raise BadSetUp("name is not 16 hex digits")
     if Code.DESCRIPTION not in message.values:
-        raise BadSetUp("no description")
+        raise BadSetUp("description is missing")
     if not message.task:
-        raise BadSetUp("no id")
+        raise BadSetUp("task id is missing or 0")
     service, running_on = figures.get("service", ""), figures.get("at")
     if not _is_token(service):
-        raise BadSetUp("no service")
-    if running_on == "":  # the list holds machines of any name
-        raise BadSetUp("at names no machine")
-    # What a machine holds already wants no answer: its patience may be long over.
+        raise BadSetUp(f"service is not a word of 1 to {MAX_TOKEN_BYTES} bytes")
+    if running_on == "":  # any non-empty text may be a machine's name
+        raise BadSetUp("at is empty, expected a machine name")
+    # A task that already runs gets no answer, so its patience may have expired.
     patience_ms = (
         0.0 if running_on is not None else _number(patience, "patience", 0, bounds.patience_ms)
     )
