--- a/tests/relay/test_configuration.py
+++ b/tests/relay/test_configuration.py
@@ -35,7 +35,7 @@
     return {"RELAY_CONFIG": str(path), "RELAY_NAME": "n3", "RELAY_LISTEN": "127.0.0.1:0"}
 
 
-def test_it_is_read_whole(tmp_path: Path) -> None:
+def test_a_valid_configuration_is_read_completely(tmp_path: Path) -> None:
     told = load(write(tmp_path, GOOD))
     assert (told.name, told.sockets, told.seed, str(told.journal)) == (
         "n3",
@@ -62,12 +62,12 @@
         {key: each for key, each in GOOD.items() if key != "known"},
     ],
 )
-def test_what_cannot_be_used_is_named(tmp_path: Path, value: object) -> None:
+def test_an_unusable_configuration_raises_bad_configuration(tmp_path: Path, value: object) -> None:
     with pytest.raises(BadConfiguration):
         load(write(tmp_path, value))
 
 
-def test_a_bad_one_ends_with_one_line_and_status_2(tmp_path: Path) -> None:
+def test_a_bad_configuration_ends_the_process_with_one_line_and_status_2(tmp_path: Path) -> None:
     for environment in (write(tmp_path, "{"), {}):
         ended = subprocess.run(
             [sys.executable, "-m", "wingbarrow.relay"],
@@ -140,7 +140,7 @@
             yield fewer
 
 
-def test_whatever_is_wrong_is_told_in_one_line(tmp_path: Path) -> None:
+def test_any_invalid_value_is_reported_in_one_line(tmp_path: Path) -> None:
     refused = 0
     for value in spoilt({**GOOD, "known": KNOWN}):
         try:
@@ -163,19 +163,21 @@
         ({"journal": "999.1.1.1:1"}, "999.1.1.1:1"),
     ],
 )
-def test_the_line_names_what_is_wrong(tmp_path: Path, change: dict[str, Any], told: str) -> None:
+def test_the_error_names_the_invalid_key_or_value(
+    tmp_path: Path, change: dict[str, Any], told: str
+) -> None:
     with pytest.raises(BadConfiguration, match=told):
         load({**write(tmp_path, {**GOOD, **change}), "RELAY_LISTEN": ""})
 
 
-def test_the_journals_address_alone_is_read_again(tmp_path: Path) -> None:
+def test_reload_reads_only_the_journal_address(tmp_path: Path) -> None:
     path = write(tmp_path, {"journal": "127.0.0.1:77"})["RELAY_CONFIG"]
     assert load_journal(path).port == 77
     with pytest.raises(BadConfiguration):
         load_journal(write(tmp_path, {"journal": 7})["RELAY_CONFIG"])
 
 
-def test_it_imports_little() -> None:
+def test_importing_the_placer_loads_no_optional_packages() -> None:
     code = "import sys, wingbarrow.relay.placer; print(*sorted({name.partition('.')[0] for name in sys.modules}))"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
--- a/tests/relay/test_deploy.py
+++ b/tests/relay/test_deploy.py
@@ -36,7 +36,7 @@
     return {str(name) for name in json.loads(done.stdout)}
 
 
-def test_run_is_one_process_of_this_program() -> None:
+def test_run_and_sim_are_single_exec_commands() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     for line in (deploy["run"], deploy["sim"]):
         assert line.startswith("exec ") and not set(line) & set(";&|`$"), line
@@ -44,7 +44,7 @@
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
 
 
-def test_run_loads_what_it_needs_and_nothing_that_is_refused() -> None:
+def test_run_loads_only_needed_modules_and_none_that_the_platform_refuses() -> None:
     names = loaded()
     assert not REFUSED & names
     assert {name.partition(".")[0] for name in names} - set(sys.stdlib_module_names) == {
@@ -66,7 +66,7 @@
     }
 
 
-def test_what_run_loads_is_named_in_the_deploy_file() -> None:
+def test_every_module_that_run_loads_is_listed_in_the_deploy_file() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     named = [ROOT / path for path in deploy["policy"] + deploy["node"]]
     for name in sorted(loaded()):
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("open_at_once", [1, 12])
 @pytest.mark.parametrize("leaves", WAYS)
-def test_a_held_request_whose_client_left_during_a_stall_is_not_sent(
+def test_a_held_request_is_not_sent_if_its_client_left_during_a_stall(
     leaves: Callable[[Client, list[int]], None], open_at_once: int
 ) -> None:
     def play(stage: Stage) -> None:
@@ -94,9 +94,7 @@
     Stage(1).run(play)
 
 
-def test_a_held_request_whose_connection_was_closed_here_is_not_sent_before_it_is_taken_back() -> (
-    None
-):
+def test_a_held_request_is_not_sent_after_the_placer_closed_its_connection() -> None:
     def play(stage: Stage) -> None:
         hold_then_free(stage)
         client = stage.client()
@@ -113,7 +111,7 @@
 
 
 @pytest.mark.parametrize("leaves", [close, reset, give_up])
-def test_a_further_attempt_does_not_begin_where_the_refusal_and_the_clients_end_come_together(
+def test_no_further_attempt_begins_if_the_refusal_and_the_disconnect_arrive_together(
     leaves: Callable[[Client, list[int]], None],
 ) -> None:
     def play(stage: Stage) -> None:
@@ -147,7 +145,7 @@
     Stage().run(play)
 
 
-def test_a_set_up_and_its_give_up_that_lay_unread_together_are_not_sent() -> None:
+def test_a_set_up_that_was_unread_together_with_its_release_is_not_sent() -> None:
     def play(stage: Stage) -> None:
         client = stage.client()
         client.ask(1)
@@ -169,7 +167,7 @@
     Stage().run(play)
 
 
-def test_a_client_that_stays_is_served_after_a_stall_whatever_else_it_had_said() -> None:
+def test_a_client_that_stays_connected_is_served_after_a_stall() -> None:
     def play(stage: Stage) -> None:
         hold_then_free(stage)
         client = stage.client()
@@ -191,7 +189,7 @@
     Stage(1).run(play)
 
 
-def test_an_answer_whose_owner_broke_in_the_same_turn_leaves_no_task_standing() -> None:
+def test_an_answer_after_the_owner_reset_its_connection_stops_the_task() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         waiting: list[tuple[Stream, Message]] = []
@@ -220,5 +218,5 @@
     Stage(1).run(play)
 
 
-def test_the_bound_leaves_room_within_the_platforms_term() -> None:
+def test_the_unread_limit_is_at_most_half_of_the_platforms_tolerance() -> None:
     assert MAX_UNREAD_US * 2 <= BORNE_MS * MS
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -38,7 +38,7 @@
     }
 
 
-def test_an_entry_is_read_whole() -> None:
+def test_an_entry_is_parsed_completely() -> None:
     last, (news,) = journal.read(form(ENTRY, reset=True), 500, pytest.fail)
     (entry,) = news.entries
     assert (last, news.position, news.whole, entry.name, str(entry.address)) == (
@@ -53,7 +53,7 @@
     )
 
 
-def test_a_cell_told_as_a_float_is_the_same_cell() -> None:
+def test_a_cell_given_as_a_float_is_the_same_cell() -> None:
     _, (news,) = journal.read(form({**ENTRY, "cell": 2.0}), 0, pytest.fail)
     assert news.entries[0].listed.cell == 2
 
@@ -72,7 +72,7 @@
         {"zone": None},
     ],
 )
-def test_a_bad_entry_is_passed_over_and_told(change: dict[str, object]) -> None:
+def test_a_bad_entry_is_skipped_and_reported(change: dict[str, object]) -> None:
     told: list[str] = []
     _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, told.append)
     assert len(news.entries) == 1
@@ -91,12 +91,12 @@
         {"pos": 1, "entries": [{"pos": 1, "hosts": {}}]},
     ],
 )
-def test_what_is_not_of_the_services_form_is_told(value: object) -> None:
+def test_an_answer_of_another_form_raises_value_error(value: object) -> None:
     with pytest.raises(ValueError, match=r".+"):
         journal.read(value, 0, pytest.fail)
 
 
-def test_nothing_goes_to_a_machine_once_its_drain_is_told() -> None:
+def test_nothing_is_sent_to_a_machine_after_its_drain_event() -> None:
     def play(stage: Stage) -> None:
         drained = stage.machines[0]
         stage.journal.add(drained.entry("Terminating"))
@@ -110,7 +110,7 @@
     Stage().run(play)
 
 
-def test_a_drain_told_while_an_offer_waits_for_its_connection_keeps_it_back() -> None:
+def test_a_drain_event_withholds_an_offer_that_waits_for_a_connection() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         fillers = machine.vanish()  # no connection comes up
@@ -130,7 +130,7 @@
     Stage(1).run(play)
 
 
-def test_a_service_that_breaks_off_in_mid_event_is_asked_again_from_the_last_whole_event() -> None:
+def test_a_truncated_answer_is_polled_again_from_the_last_complete_event() -> None:
     def play(stage: Stage) -> None:
         def broken(request: object) -> None:
             request.connection.stream.send(  # type: ignore[attr-defined]
@@ -155,7 +155,7 @@
     Stage().run(play)
 
 
-def test_a_silent_service_is_given_up_soon_after_the_wait_asked_for() -> None:
+def test_a_poll_of_a_silent_service_times_out_soon_after_the_requested_wait() -> None:
     def play(stage: Stage) -> None:
         stage.sleep(1200)
         stage.journal.troubles.append(lambda _: stage.hub.sleep(60 * S))
@@ -170,7 +170,7 @@
     Stage().run(play)
 
 
-def test_after_sighup_the_new_address_is_asked_from_the_last_position() -> None:
+def test_after_sighup_the_new_address_is_polled_from_the_last_position() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
@@ -191,7 +191,7 @@
     Stage().run(play)
 
 
-def test_a_replaced_file_that_cannot_be_read_leaves_the_old_address_in_force() -> None:
+def test_an_unreadable_replaced_file_keeps_the_old_address() -> None:
     def play(stage: Stage) -> None:
         stage.placer.reload("/nowhere/config.json")
         stage.journal.add(stage.machines[0].entry("Terminating"))
@@ -204,7 +204,7 @@
     Stage().run(play)
 
 
-def test_after_sigterm_tests_fail_and_what_arrives_and_stands_is_looked_after() -> None:
+def test_after_sigterm_tests_fail_while_late_requests_and_running_tasks_are_served() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
@@ -229,7 +229,7 @@
     Stage().run(play)
 
 
-def test_a_second_start_is_given_what_stands_and_begins_from_nothing() -> None:
+def test_a_second_placer_adopts_a_running_task_and_starts_empty() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
@@ -270,7 +270,7 @@
 # -- SIGHUP
 
 
-def test_a_move_during_the_pause_after_failures_is_followed_at_once() -> None:
+def test_an_address_change_during_backoff_takes_effect_at_once() -> None:
     def play(stage: Stage) -> None:
         counts = stage.placer.life.counts
         stage.journal.troubles += [say(b"", b"500 Broken")] * 50
@@ -288,7 +288,7 @@
     Stage().run(play)
 
 
-def test_a_move_between_an_answer_and_its_delivery_loses_nothing() -> None:
+def test_an_address_change_between_an_answer_and_its_delivery_loses_no_event() -> None:
     def play(stage: Stage) -> None:
         told, moved = deliveries(stage), []
         first, second = stage.machines
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("end", [say(b"", b"500 Broken"), say(b"{")])
-def test_the_old_services_end_at_a_move_is_no_failure_of_the_new_one(end: Trouble) -> None:
+def test_a_failure_of_the_old_service_at_an_address_change_is_not_counted(end: Trouble) -> None:
     def play(stage: Stage) -> None:
         moved: list[int] = []
         fresh = Journal(stage.hub)
@@ -335,7 +335,7 @@
     Stage().run(play)
 
 
-def test_two_moves_at_once_end_at_the_latter_and_none_to_the_same_address_breaks_the_call() -> None:
+def test_of_two_address_changes_the_last_wins_and_an_unchanged_address_keeps_the_poll() -> None:
     def play(stage: Stage) -> None:
         between, last = Journal(stage.hub), Journal(stage.hub)
         between.events = last.events = list(stage.journal.events)
@@ -360,7 +360,7 @@
     Stage().run(play)
 
 
-def test_what_the_old_service_would_still_tell_is_not_heard() -> None:
+def test_events_of_the_old_service_after_an_address_change_are_ignored() -> None:
     def play(stage: Stage) -> None:
         first, _ = stage.machines
         fresh = Journal(stage.hub)
@@ -380,7 +380,7 @@
 # -- descriptors, and bodies that are no list
 
 
-def test_a_full_descriptor_table_is_waited_out_for_half_a_second_at_most() -> None:
+def test_a_full_descriptor_table_delays_polls_by_half_a_second_at_most() -> None:
     def play(stage: Stage) -> None:
         counts = stage.placer.life.counts
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -454,7 +454,7 @@
         "infinite",
     ],
 )
-def test_a_body_that_is_no_list_is_counted_and_the_next_one_heard(
+def test_an_invalid_body_is_counted_and_the_next_answer_is_applied(
     body: bytes, status: bytes
 ) -> None:
     def play(stage: Stage) -> None:
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -120,7 +120,7 @@
 # -- numbers that are missing
 
 
-def test_an_event_that_never_comes_does_not_end_the_news() -> None:
+def test_an_event_that_never_arrives_does_not_stop_later_events() -> None:
     def play(stage: Stage) -> None:
         journal = Losing(stage.hub)
         journal.lost = frozenset({2})
@@ -141,7 +141,7 @@
     Stage().run(play)
 
 
-def test_a_missing_event_is_asked_for_and_takes_nothing_back_that_was_told_since() -> None:
+def test_a_missing_event_is_polled_for_and_does_not_revert_later_events() -> None:
     def play(stage: Stage) -> None:
         journal = Losing(stage.hub)
         journal.lost, journal.times = frozenset({2}), 1
@@ -161,7 +161,7 @@
     Stage().run(play)
 
 
-def test_a_missing_whole_list_takes_nothing_back_that_was_told_since() -> None:
+def test_a_missing_full_list_does_not_revert_later_events() -> None:
     def play(stage: Stage) -> None:
         journal = Losing(stage.hub)
         journal.lost, journal.times = frozenset({2}), 1
@@ -183,7 +183,7 @@
     Stage().run(play)
 
 
-def test_an_event_that_cannot_be_read_keeps_the_others_from_nobody() -> None:
+def test_an_unreadable_event_does_not_block_the_others() -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
         journal = Journal(stage.hub)
@@ -234,7 +234,7 @@
         {"lifecycle": ["Ready"]},
     ],
 )
-def test_a_drain_in_a_damaged_entry_is_heard(damage: dict[str, Any]) -> None:
+def test_a_drain_in_a_damaged_entry_is_applied(damage: dict[str, Any]) -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
         stage.journal.add({**first.entry("Terminating"), **damage}, second.entry())
@@ -252,7 +252,7 @@
     Stage().run(play)
 
 
-def test_a_damaged_drain_is_heard_of_a_machine_that_an_event_told_of() -> None:
+def test_a_damaged_drain_is_applied_to_a_machine_added_by_an_event() -> None:
     def play(stage: Stage) -> None:
         late = Machine(stage.hub, "s-late")
         stage.journal.add(late.entry())
@@ -279,7 +279,7 @@
         ({"instanceId": None}, api.Phase.DRAINING),
     ],
 )
-def test_a_damaged_entry_of_a_whole_list_ends_nothing_that_stands(
+def test_a_damaged_entry_of_a_full_list_ends_no_running_task(
     damage: dict[str, Any], then: api.Phase
 ) -> None:
     def play(stage: Stage) -> None:
@@ -301,7 +301,7 @@
     [[10**400, 1], [float("nan"), float("inf")], ["much", 7], [[1], 2], {"x": 1}, 7],
     ids=["vast", "nan", "text", "list", "object", "figure"],
 )
-def test_room_that_is_no_number_harms_nothing(room: object) -> None:
+def test_an_invalid_room_does_not_invalidate_the_entry(room: object) -> None:
     def play(stage: Stage) -> None:
         first, late = stage.machines[0], Machine(stage.hub, "s-late")
         stage.journal.add(
@@ -320,7 +320,7 @@
     [10**400, -(10**400), 1e308, float("nan"), float("-inf"), True, "1"],
     ids=["vast", "below", "overflow", "nan", "infinite", "bool", "text"],
 )
-def test_a_start_that_is_no_time_harms_nothing(started: object) -> None:
+def test_an_invalid_start_time_does_not_hide_a_drain(started: object) -> None:
     def play(stage: Stage) -> None:
         first, _ = stage.machines
         stage.journal.add({**first.entry("Terminating"), "startedAtMs": started})
@@ -331,7 +331,7 @@
     Stage().run(play)
 
 
-def test_what_cannot_be_read_is_logged_once_and_counted_each_time() -> None:
+def test_a_repeated_bad_entry_is_logged_once_and_counted_each_time() -> None:
     def play(stage: Stage) -> None:
         lines: list[tuple[str, dict[str, Any]]] = []
         stage.placer.life.log = lambda what, **fields: lines.append((what, fields))
@@ -349,7 +349,7 @@
 # -- silence, trickles, repeats, numbers that go back
 
 
-def test_a_service_that_trickles_is_asked_anew_after_the_bound_of_the_whole_call() -> None:
+def test_a_trickling_answer_is_cut_off_at_the_deadline_of_the_whole_poll() -> None:
     def play(stage: Stage) -> None:
         def trickle(request: Request) -> None:
             for each in b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + b" " * 900:
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize("late_ms", [0, 500, 990])
-def test_a_watch_that_falls_silent_at_a_drain_has_it_known_soon_after_its_wait(
+def test_a_drain_at_a_silent_service_is_known_soon_after_the_requested_wait(
     late_ms: int,
 ) -> None:
     def play(stage: Stage) -> None:
@@ -386,7 +386,7 @@
     Stage().run(play)
 
 
-def test_a_service_that_repeats_all_at_once_is_asked_at_a_bounded_pace() -> None:
+def test_a_service_that_answers_at_once_without_news_is_polled_at_a_bounded_rate() -> None:
     def play(stage: Stage) -> None:
         told = deliveries(stage)
         hasty = Hasty(stage.hub)
@@ -403,7 +403,7 @@
     Stage().run(play)
 
 
-def test_a_service_that_lags_takes_no_drain_back_and_is_heard_when_it_has_caught_up() -> None:
+def test_a_lagging_service_reverts_no_drain_and_is_used_again_once_it_caught_up() -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
         stage.journal.add(second.entry())
@@ -424,7 +424,7 @@
     Stage().run(play)
 
 
-def test_a_list_that_is_numbered_anew_is_taken_in_from_its_beginning() -> None:
+def test_a_renumbered_list_is_applied_from_its_beginning() -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
         stage.journal.events += [event(number, second.entry()) for number in range(2, 7)]
@@ -440,7 +440,7 @@
     Stage().run(play)
 
 
-def test_what_stands_on_a_machine_that_comes_later_in_a_list_numbered_anew_goes_on() -> None:
+def test_a_task_on_a_machine_listed_by_a_later_event_of_a_renumbered_list_goes_on() -> None:
     def play(stage: Stage) -> None:
         stage.journal.events += [event(number, stage.machines[1].entry()) for number in range(2, 7)]
         stage.owner.ask(1)
@@ -458,7 +458,7 @@
     Stage().run(play)
 
 
-def test_a_number_far_too_high_does_not_end_the_news() -> None:
+def test_an_event_number_far_too_high_does_not_stop_later_events() -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
         stage.journal.troubles += [tell(10**9, event(10**9, second.entry()))] * 3
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("ends", [release, move])
-def test_a_stop_that_crosses_the_reset_of_its_connection_is_said_again_on_the_next(
+def test_a_stop_lost_in_a_connection_reset_is_resent_on_the_next_connection(
     ends: Callable[[Stage], None],
 ) -> None:
     """The bytes left here, the connection was reset before the machine read them: the task runs on there."""
@@ -75,7 +75,7 @@
     raise AssertionError("it did not happen")
 
 
-def test_a_move_that_crosses_the_end_of_its_connection_goes_on_another() -> None:
+def test_a_move_lost_with_its_connection_is_resent_on_another() -> None:
     """Nobody else tells the owner: the release that the machine sends of a moved task is not passed on."""
 
     def play(stage: Stage) -> None:
@@ -94,7 +94,7 @@
     Stage(1).run(play)
 
 
-def test_a_release_that_crosses_the_ends_of_two_connections_goes_on_a_third() -> None:
+def test_a_release_lost_with_two_connections_is_resent_on_a_third() -> None:
     def play(stage: Stage) -> None:
         third, second = stage.client(), stage.client()
         prove(third, 3)
@@ -113,7 +113,7 @@
     Stage(1).run(play)
 
 
-def test_a_release_that_waited_for_a_connection_and_crosses_its_end_goes_on_another() -> None:
+def test_a_deferred_release_lost_with_its_connection_is_resent_on_another() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         prove(stage.owner, 1)
@@ -136,9 +136,7 @@
     Stage(1).run(play)
 
 
-def test_a_release_that_comes_before_the_set_up_of_a_task_that_stands_already_is_passed_on() -> (
-    None
-):
+def test_a_release_that_arrives_before_its_task_is_adopted_is_forwarded() -> None:
     """After a start: a connection opened for another task brings the end of one that its owner has yet to name."""
 
     def play(stage: Stage) -> None:
@@ -156,7 +154,7 @@
     Stage(1).run(play)
 
 
-def test_a_flood_of_tasks_that_are_said_to_stand_already_is_bounded() -> None:
+def test_a_flood_of_adopted_tasks_is_bounded() -> None:
     """Nothing shows whether a machine holds them; the memory of a placer is 32 MB at the least."""
 
     def play(stage: Stage) -> None:
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -7,7 +7,9 @@
 from wingbarrow.transport import Stream
 
 
-def test_an_owner_that_gives_up_or_closes_is_owed_nothing_and_the_machine_hears_of_it() -> None:
+def test_a_task_whose_owner_gives_up_or_closes_is_not_answered_and_its_machine_gets_a_release() -> (
+    None
+):
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         machine.on_set_up = lambda stream, message: None
@@ -28,7 +30,7 @@
     Stage(1).run(play)
 
 
-def test_an_owner_that_ends_a_standing_task_has_it_cut_and_gets_no_release() -> None:
+def test_a_task_that_its_owner_releases_is_stopped_and_its_owner_gets_no_release() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
@@ -45,7 +47,7 @@
     Stage(1).run(play)
 
 
-def test_a_task_that_a_machine_holds_already_wants_no_answer_and_is_released() -> None:
+def test_an_adopted_task_gets_no_answer_and_is_released_when_it_ends() -> None:
     def play(stage: Stage) -> None:
         figures = "cores:1;memory:1;service:s1;at:s-00000000"
         stage.owner.ask(5, figures=figures, patience_ms=0)
@@ -62,7 +64,7 @@
     Stage(1).run(play)
 
 
-def test_a_release_waits_until_an_owner_has_a_connection() -> None:
+def test_a_release_is_deferred_until_an_owner_is_connected() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
@@ -79,7 +81,7 @@
     Stage(1).run(play)
 
 
-def test_a_release_that_crosses_the_end_of_its_connection_goes_on_another() -> None:
+def test_a_release_lost_with_its_connection_is_resent_on_another() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         other = stage.client()
@@ -124,7 +126,7 @@
     Stage().run(play)
 
 
-def test_what_cannot_be_read_ends_that_connection_alone() -> None:
+def test_unreadable_data_ends_only_its_own_connection() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         for data in (
@@ -149,7 +151,7 @@
     Stage().run(play)
 
 
-def test_messages_that_want_no_answer_and_tasks_nowhere_are_no_reason_to_stay() -> None:
+def test_unanswered_messages_and_rejected_adoptions_do_not_keep_an_idle_connection() -> None:
     def play(stage: Stage) -> None:
         idle, lost = stage.client(), stage.client()
         began = stage.hub.now_us()
@@ -178,7 +180,7 @@
     Stage(1).run(play)
 
 
-def test_an_open_id_with_another_description_leaves_the_open_one_alone() -> None:
+def test_a_second_set_up_with_an_open_id_does_not_affect_the_open_task() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         held: list[tuple[Stream, Message]] = []
@@ -206,7 +208,7 @@
     Stage(1).run(play)
 
 
-def test_more_connections_than_descriptors_allow_leave_usual_owners_in_place() -> None:
+def test_connections_beyond_the_descriptor_limit_do_not_displace_proven_owners() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -32,7 +32,7 @@
     return later
 
 
-def test_a_request_on_an_open_connection_after_sigterm_is_answered_and_not_closed_under() -> None:
+def test_a_request_on_an_open_connection_after_sigterm_is_answered_before_the_close() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("after_ms", [0, 200, 400])
-def test_new_connections_for_a_while_after_sigterm_are_served(after_ms: int) -> None:
+def test_new_connections_shortly_after_sigterm_are_served(after_ms: int) -> None:
     def play(stage: Stage) -> None:
         stage.placer.begin_shutdown()
         stage.sleep(after_ms)
@@ -62,9 +62,7 @@
     Stage(1).run(play)
 
 
-def test_what_a_hung_machine_leaves_open_is_waited_for_and_answered_before_a_restart_kills() -> (
-    None
-):
+def test_requests_at_a_hung_machine_are_answered_before_a_restart_kills_the_placer() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
@@ -88,7 +86,7 @@
     Stage(1).run(play)
 
 
-def test_sighup_that_moves_discovery_holds_while_a_restart_goes_on(tmp_path: Path) -> None:
+def test_a_discovery_address_changed_by_sighup_is_used_during_shutdown(tmp_path: Path) -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1, name="1" * 16)
         stage.placer.begin_shutdown()
@@ -111,7 +109,7 @@
     Stage().run(play)
 
 
-def test_a_second_answer_some_milliseconds_late_changes_nothing() -> None:
+def test_a_duplicate_answer_changes_nothing() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         ends: list[Stream] = []
@@ -152,7 +150,7 @@
     patched.setattr(links, "connect", late)
 
 
-def test_a_request_whose_connection_comes_up_late_has_not_run_and_goes_again(
+def test_a_request_whose_connection_times_out_is_retried(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def play(stage: Stage) -> None:
@@ -166,7 +164,7 @@
     Stage(1).run(play)
 
 
-def test_what_stands_where_connections_come_up_late_is_not_written_off(
+def test_running_tasks_are_kept_while_reconnecting_is_slow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def play(stage: Stage) -> None:
@@ -186,7 +184,7 @@
     Stage(1).run(play)
 
 
-def test_what_a_watch_that_fell_silent_would_have_told_is_kept_in_time() -> None:
+def test_a_drain_withheld_by_a_silent_service_is_respected_in_time() -> None:
     def play(stage: Stage) -> None:
         drained = stage.machines[0]
         stage.sleep(1200)
@@ -208,7 +206,7 @@
     Stage().run(play)
 
 
-def test_a_placer_that_knows_400_machines_is_ready_before_any_of_them_is_reached() -> None:
+def test_a_placer_with_400_machines_is_ready_before_it_connects_to_any() -> None:
     """The clock here counts no processor time, so what a start costs is counted in calls: some tenths of a second."""
 
     def play(stage: Stage) -> None:
@@ -264,14 +262,14 @@
     return None
 
 
-def test_the_formula_of_the_page() -> None:
+def test_the_overload_formula_of_the_standing_test() -> None:
     assert first_fall([(i, True) for i in range(36)]) is None
     assert first_fall([(i, i % 10 > 0) for i in range(40)]) == 33 / 37
     assert first_fall([(i * 100 * MS, True) for i in range(100)]) is None
 
 
 @pytest.mark.parametrize("late", [0, 4])
-def test_sixteen_placers_told_of_a_cold_machine_do_not_push_it_over(late: int) -> None:
+def test_sixteen_placers_do_not_overload_a_cold_machine(late: int) -> None:
     def play(stage: Stage) -> None:
         (machine,), told_at = stage.machines, [stage.journal] * (PLACERS - late)
         lagging = Journal(stage.hub)  # what these placers are told comes later
@@ -335,7 +333,7 @@
     ]
 
 
-def test_a_replaced_file_that_cannot_be_used_leaves_the_old_one_in_force(tmp_path: Path) -> None:
+def test_an_unusable_replaced_file_keeps_the_old_address(tmp_path: Path) -> None:
     def play(stage: Stage) -> None:
         lines: list[str] = []
         stage.placer.life.log = lambda event, **more: lines.append(event)
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -175,7 +175,7 @@
             self._send()
 
 
-def test_idle_clients_and_machines_fill_the_table_while_discovery_is_away_and_its_first_call_succeeds(
+def test_the_first_poll_after_a_discovery_outage_succeeds_with_a_nearly_full_descriptor_table(
     tmp_path: Path,
 ) -> None:
     def call(hub: Hub) -> None:
@@ -215,9 +215,7 @@
 
 
 @pytest.mark.parametrize("flood", [False, True])
-def test_a_start_is_ready_within_its_time_at_the_least_share_of_a_core(
-    flood: bool, tmp_path: Path
-) -> None:
+def test_a_start_uses_less_than_one_cpu_second_until_ready(flood: bool, tmp_path: Path) -> None:
     """Nine in ten restarted placers are to be ready within 10 s. At a tenth of a core that is 1 s of processor
     time, here with 400 machines listed, discovery away and a flood of set-ups at the door."""
 
@@ -252,7 +250,7 @@
     play(call)
 
 
-def test_signals_in_any_order_end_it_once_and_a_sighup_never(tmp_path: Path) -> None:
+def test_sigterm_ends_the_process_once_and_sighup_never_does(tmp_path: Path) -> None:
     def call(hub: Hub) -> None:
         site = Site(hub, tmp_path)
         with site.run() as process:
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("key", KEYS)
-def test_a_figure_that_is_none_is_named_with_its_key(tmp_path: Path, key: str) -> None:
+def test_an_invalid_number_is_reported_with_its_key(tmp_path: Path, key: str) -> None:
     keyed = {"effect": "dedup", "dedup_scope": "all", "dedup_window_us": 0}
     settings = site(
         ["web", "other"],
@@ -211,11 +211,11 @@
     ],
     ids=lambda value: str(value)[:40],
 )
-def test_the_line_says_key_and_value(tmp_path: Path, path: str, new: Any, told: str) -> None:
+def test_the_error_names_key_and_value(tmp_path: Path, path: str, new: Any, told: str) -> None:
     assert refusal(tmp_path, path, new) == told
 
 
-def test_repeats_that_no_machine_discards_are_not_taken_for_all(tmp_path: Path) -> None:
+def test_a_dedup_class_without_a_valid_scope_is_rejected(tmp_path: Path) -> None:
     lane = {
         "name": "web",
         "effect": "dedup",
@@ -240,7 +240,7 @@
             )
 
 
-def test_what_is_nested_too_deeply_is_told_in_one_line(tmp_path: Path) -> None:
+def test_too_deep_nesting_is_a_bad_configuration(tmp_path: Path) -> None:
     for depth in range(850, 1000, 5):  # some of them can just be read
         text = json.dumps(GOOD).replace('"127.0.0.1:9"', "[" * depth + "]" * depth)
         with pytest.raises(BadConfiguration):
@@ -261,13 +261,13 @@
         site(["web"], novel={"a": [1]}, bounds__novel=None, lanes__0__novel=7),
     ],
 )
-def test_any_number_of_names_is_read(settings: dict[str, Any]) -> None:
+def test_any_number_of_classes_and_kinds_is_read(settings: dict[str, Any]) -> None:
     read = settings_of(settings)
     assert [each.name for each in read.classes] == [lane["name"] for lane in settings["lanes"]]
     assert [each.name for each in read.kinds] == settings["kinds"]
 
 
-def test_floats_and_zeros_are_figures(tmp_path: Path) -> None:
+def test_floats_and_zeros_are_valid_numbers(tmp_path: Path) -> None:
     def floats(value: Any) -> Any:
         if isinstance(value, dict):
             return {key: floats(each) for key, each in value.items()}
@@ -292,7 +292,7 @@
     assert (read.tick_us, read.fall_us, read.cold_us, read.classes[0].spread_most) == (1, 1, 0, 0)
 
 
-def test_bounds_that_are_not_told_or_zero_have_usual_values(tmp_path: Path) -> None:
+def test_absent_or_zero_bounds_have_default_values(tmp_path: Path) -> None:
     untold: tuple[dict[str, float], ...] = (
         {},
         {"dial_timeout_us": 0, "max_retry_after_us": 0, "conn_idle_us": 0},
@@ -323,7 +323,7 @@
         )
 
 
-def test_discovery_is_not_asked_without_end() -> None:
+def test_discovery_is_polled_at_a_bounded_rate() -> None:
     assert (
         settings_of(site(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us >= 100 * MS
     )
@@ -340,7 +340,7 @@
         ("cores:1;memory:1;service:s;at:node 7 – Zürich", {}),
     ],
 )
-def test_a_set_up_in_the_sites_own_units_and_names_is_taken(
+def test_a_set_up_in_the_sites_own_units_and_names_is_accepted(
     figures: str, values: dict[int, bytes]
 ) -> None:
     cls = settings_of(site(["web"])).classes[0]
@@ -382,7 +382,7 @@
         assert "Traceback" not in ended.stderr
 
 
-def test_run_goes_on_where_sighup_finds_what_cannot_be_used(tmp_path: Path) -> None:
+def test_run_continues_after_sighup_with_an_unusable_file(tmp_path: Path) -> None:
     environment = write(tmp_path, GOOD)
     process = subprocess.Popen(
         [sys.executable, "-m", "wingbarrow.relay"],
@@ -530,7 +530,7 @@
     Stage(1, settings=site(["slow"], lanes__0__deadline_us=60 * S)).run(late)
 
 
-def test_fewer_fresh_offers_than_placers_leave_cold_machines_to_others_until_they_are_warm(
+def test_a_placer_without_a_share_of_fresh_offers_waits_until_cold_machines_are_warm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     plain = Machine.entry
