--- a/tests/relay/test_configuration.py
+++ b/tests/relay/test_configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a placer, and what an unreadable configuration gets."""
+"""Reading the configuration, and errors for an invalid one."""
 
 from __future__ import annotations
 
@@ -36,15 +36,20 @@
 
 
 def test_a_valid_configuration_is_read_completely(tmp_path: Path) -> None:
-    told = load(write(tmp_path, GOOD))
-    assert (told.name, told.sockets, told.seed, str(told.journal)) == (
+    configuration = load(write(tmp_path, GOOD))
+    assert (
+        configuration.name,
+        configuration.sockets,
+        configuration.seed,
+        str(configuration.journal),
+    ) == (
         "n3",
         256,
         0x8C1F30D27A5BE964,
         "127.0.0.1:9",
     )
-    assert told.settings.classes[0].name == "web"
-    assert told.patience_us == 5_000_000
+    assert configuration.settings.classes[0].name == "web"
+    assert configuration.patience_us == 5_000_000
 
 
 @pytest.mark.parametrize(
@@ -81,7 +86,7 @@
         assert "Traceback" not in ended.stderr
 
 
-ODD: list[Any] = [
+INVALID_VALUES: list[Any] = [
     None,
     True,
     0,
@@ -126,28 +131,31 @@
 }
 
 
-def spoilt(value: Any) -> Iterator[Any]:
-    """The value with each part of it replaced by what it should not be, or missing."""
-    yield from ODD
+def corruptions(value: Any) -> Iterator[Any]:
+    """Copies of the value with one part replaced by an invalid one, or removed."""
+    yield from INVALID_VALUES
     if isinstance(value, (dict, list)):
         for key, part in value.items() if isinstance(value, dict) else enumerate(value):
-            for odd in spoilt(part):
+            for invalid in corruptions(part):
                 other = value.copy()
-                other[key] = odd
+                other[key] = invalid
                 yield other
-            fewer = value.copy()
-            del fewer[key]
-            yield fewer
+            without = value.copy()
+            del without[key]
+            yield without
 
 
 def test_any_invalid_value_is_reported_in_one_line(tmp_path: Path) -> None:
     refused = 0
-    for value in spoilt({**GOOD, "known": KNOWN}):
+    for value in corruptions({**GOOD, "known": KNOWN}):
         try:
             Placer(
                 Hub(VirtualClock()), load({**write(tmp_path, value), "RELAY_LISTEN": ""}), silent
             )
-        except (BadConfiguration, ValueError) as error:  # what `run` tells, and ends with status 2
+        except (
+            BadConfiguration,
+            ValueError,
+        ) as error:  # `run` prints these and exits with status 2
             refused += 1
             assert str(error)
             assert "\n" not in str(error)
@@ -155,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected"),
     [
         ({"limits": {"sockets": 1e400}}, "limits.sockets"),
         ({"limits": {"sockets": 63}}, "limits.sockets"),
@@ -164,9 +172,9 @@
     ],
 )
 def test_the_error_names_the_invalid_key_or_value(
-    tmp_path: Path, change: dict[str, Any], told: str
+    tmp_path: Path, change: dict[str, Any], expected: str
 ) -> None:
-    with pytest.raises(BadConfiguration, match=told):
+    with pytest.raises(BadConfiguration, match=expected):
         load({**write(tmp_path, {**GOOD, **change}), "RELAY_LISTEN": ""})
 
 
--- a/tests/relay/test_deploy.py
+++ b/tests/relay/test_deploy.py
@@ -1,4 +1,4 @@
-"""What `run` in the deploy file loads: no more than it needs, and nothing that the platform refuses."""
+"""The deploy file's `run` loads only the modules it needs, and none that the platform refuses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def loaded() -> set[str]:
-    """The names of all modules that `run` has loaded once it could begin."""
+    """Names of all modules loaded by importing the entry point."""
     done = subprocess.run(
         [sys.executable, "-c", LOADED], cwd=ROOT, capture_output=True, check=True, timeout=60
     )
@@ -74,5 +74,5 @@
         if name.startswith("wingbarrow.") and not path.is_dir():
             file = path.with_suffix(".py")
             assert any(file == each or each in file.parents for each in named), (
-                f"{name} is not named"
+                f"{name} is not listed in the deploy file"
             )
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -1,7 +1,7 @@
-"""Owners that close, reset or give up: no attempt begins for them once that can be known, whatever stands still.
+"""No attempt begins for an owner that has closed, reset or given up, even after a stall of this process.
 
-A stall is played as the process sees it: within one call of the hub the clock jumps, and what came meanwhile lies
-unread when all that is due runs.
+A stall is simulated as the process experiences it: the clock jumps within one call of the hub, so that input which
+arrived meanwhile is unread when the due timers run.
 """
 
 from __future__ import annotations
@@ -18,13 +18,12 @@
 from wingbarrow.transport import Stream
 
 STALL_MS = 400
-BORNE_MS = 100  # the platform's term: an attempt that begins later than this after its client has gone is a break
+TOLERANCE_MS = 100  # the platform counts an attempt that begins later than this after its client left as a breach
 
 
 def close(client: Client, _: list[int]) -> None:
-    client.stream._socket.shutdown(
-        socket.SHUT_RDWR
-    )  # the end of stream without this hub's knowing of it
+    # Bypasses the hub, which must not see the close before the end of stream arrives.
+    client.stream._socket.shutdown(socket.SHUT_RDWR)
 
 
 def half_close(client: Client, _: list[int]) -> None:
@@ -48,11 +47,11 @@
     client.stream._socket.shutdown(socket.SHUT_RDWR)
 
 
-WAYS = [close, half_close, reset, give_up, half_a_message_and_close]
+WAYS_TO_LEAVE = [close, half_close, reset, give_up, half_a_message_and_close]
 
 
 def stall(stage: Stage, before: Callable[[], None]) -> None:
-    """Among the tasks of one turn, before its timers: something happens out there, and this process stands still."""
+    """Run `before`, then advance the clock, among the tasks of one turn and before its timers."""
 
     def call() -> None:
         before()
@@ -61,32 +60,34 @@
     stage.hub.spawn(call, "stall")
 
 
-def hold_then_free(stage: Stage) -> None:
-    """The only machine is cold; a placer that has just started sends there after its span alone, here 2.5 s."""
+def make_machine_cold(stage: Stage) -> None:
+    """Make the only machine cold: a placer that has just started sends there after an initial delay, here 2.5 s."""
     (machine,) = stage.machines
-    stage.owner.ask(50, name="5" * 16)  # leaves a connection to it that is free
+    stage.owner.ask(50, name="5" * 16)  # leaves an idle connection to the machine
     stage.sleep(20)
     stage.journal.add(machine.entry(started_ms=stage.hub.clock.wall_us() // 1000))
     stage.sleep(50)
 
 
 @pytest.mark.parametrize("open_at_once", [1, 12])
-@pytest.mark.parametrize("leaves", WAYS)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_a_held_request_is_not_sent_if_its_client_left_during_a_stall(
-    leaves: Callable[[Client, list[int]], None], open_at_once: int
+    leave: Callable[[Client, list[int]], None], open_at_once: int
 ) -> None:
     def play(stage: Stage) -> None:
-        hold_then_free(stage)
+        make_machine_cold(stage)
         client, tasks = stage.client(), list(range(1, open_at_once + 1))
         for task in tasks:
             client.ask(task, name=f"{task:016x}", patience_ms=4900)
         stage.sleep(2150)
-        assert len(stage.machines[0].set_ups()) == 1, "held until the placer's first span is over"
-        stall(stage, lambda: leaves(client, tasks))
+        assert len(stage.machines[0].set_ups()) == 1, (
+            "held until the placer's initial delay is over"
+        )
+        stall(stage, lambda: leave(client, tasks))
         stage.sleep(1500)
         assert len(stage.machines[0].set_ups()) == 1
         assert stage.placer.life.counts["withdrawn"] == open_at_once
-        other = stage.client()  # the placer goes on
+        other = stage.client()  # the placer still serves others
         other.ask(99)
         stage.sleep(100)
         assert other.kinds(99) == [Kind.ANSWER]
@@ -96,7 +97,7 @@
 
 def test_a_held_request_is_not_sent_after_the_placer_closed_its_connection() -> None:
     def play(stage: Stage) -> None:
-        hold_then_free(stage)
+        make_machine_cold(stage)
         client = stage.client()
         client.ask(1, patience_ms=4900)
         stage.sleep(2150)
@@ -110,12 +111,12 @@
     Stage(1).run(play)
 
 
-@pytest.mark.parametrize("leaves", [close, reset, give_up])
+@pytest.mark.parametrize("leave", [close, reset, give_up])
 def test_no_further_attempt_begins_if_the_refusal_and_the_disconnect_arrive_together(
-    leaves: Callable[[Client, list[int]], None],
+    leave: Callable[[Client, list[int]], None],
 ) -> None:
     def play(stage: Stage) -> None:
-        for task in range(50, 58):  # each machine has a connection that is free
+        for task in range(50, 58):  # leaves an idle connection to each machine
             stage.owner.ask(
                 task, name=f"{task:016x}", figures=f"cores:0.1;memory:0.1;service:s{task}"
             )
@@ -127,19 +128,18 @@
         client = stage.client()
         client.ask(1)
         stage.sleep(20)
-        client.stream.send(
-            encode(Kind.PROGRESS, 1, {})
-        )  # heard after the machine's connection was last waited for
+        # Read after the machine's connection was last polled.
+        client.stream.send(encode(Kind.PROGRESS, 1, {}))
         stage.sleep(20)
         ((stream, _),) = waiting
 
-        def both() -> None:
+        def refuse_and_leave() -> None:
             stream.send_now(with_cause(Kind.RELEASE, 1, Cause.FULL))
-            leaves(client, [1])
+            leave(client, [1])
 
-        stall(stage, both)
+        stall(stage, refuse_and_leave)
         stage.sleep(1500)
-        assert stage.placer.life.counts["release:sent:34"] == 1, "the refusal was read"
+        assert stage.placer.life.counts["release:sent:34"] == 1, "the refusal was not read"
         assert len(stage.set_ups(1)) == 1
 
     Stage().run(play)
@@ -152,11 +152,11 @@
         stage.sleep(20)
         before = len(stage.set_ups(1))
 
-        def both() -> None:
+        def refuse_and_leave() -> None:
             client.ask(2, name="2" * 16)
             give_up(client, [2])
 
-        stall(stage, both)
+        stall(stage, refuse_and_leave)
         stage.sleep(500)
         assert before == 1
         assert stage.set_ups(2) == []
@@ -169,7 +169,7 @@
 
 def test_a_client_that_stays_connected_is_served_after_a_stall() -> None:
     def play(stage: Stage) -> None:
-        hold_then_free(stage)
+        make_machine_cold(stage)
         client = stage.client()
         client.ask(1, patience_ms=4900)
         stage.sleep(2150)
@@ -199,9 +199,8 @@
         client = stage.client()
         client.ask(1, "settlement")
         stage.sleep(20)
-        client.stream.send(
-            encode(Kind.PROGRESS, 1, {})
-        )  # heard after the machine's connection was last waited for
+        # Read after the machine's connection was last polled.
+        client.stream.send(encode(Kind.PROGRESS, 1, {}))
         stage.sleep(20)
         ((stream, message),) = [each for each in waiting if each[1].task == 1]
         before = len(machine.heard)
@@ -219,4 +218,4 @@
 
 
 def test_the_unread_limit_is_at_most_half_of_the_platforms_tolerance() -> None:
-    assert MAX_UNREAD_US * 2 <= BORNE_MS * MS
+    assert MAX_UNREAD_US * 2 <= TOLERANCE_MS * MS
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -1,4 +1,4 @@
-"""The list of machines as the journal service tells it, and what SIGHUP and SIGTERM change."""
+"""Parsing and following the machine list of the journal service; SIGHUP and SIGTERM."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 import pytest
 
 from tests.relay.stage import MS, Journal, Machine, S, Stage, over
-from tests.relay.test_list import Trouble, deliveries, event, move, phase, say, tails, tell, until
+from tests.relay.test_list import (
+    Fault,
+    answer_with,
+    change_address,
+    deliveries,
+    event,
+    phase,
+    respond,
+    tails,
+    wait_until,
+)
 from wingbarrow import interface as api
 from wingbarrow.http.message import Request
 from wingbarrow.relay import journal
@@ -73,10 +83,10 @@
     ],
 )
 def test_a_bad_entry_is_skipped_and_reported(change: dict[str, object]) -> None:
-    told: list[str] = []
-    _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, told.append)
+    reported: list[str] = []
+    _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, reported.append)
     assert len(news.entries) == 1
-    assert len(told) == 1
+    assert len(reported) == 1
 
 
 @pytest.mark.parametrize(
@@ -113,7 +123,7 @@
 def test_a_drain_event_withholds_an_offer_that_waits_for_a_connection() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
-        fillers = machine.vanish()  # no connection comes up
+        fillers = machine.vanish()  # new connections are not accepted
         stage.owner.ask(1, patience_ms=1500)
         stage.sleep(100)
         fillers[0].close()
@@ -137,12 +147,10 @@
                 b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"pos":2,"ent'
             )
             request.connection.stream.abort()  # type: ignore[attr-defined]
-            raise PeerGone("broken off")
+            raise PeerGone("connection aborted")
 
         stage.journal.troubles += [broken, broken]
-        stage.sleep(
-            1000
-        )  # the call that is under way ends without news; the next two are broken off
+        stage.sleep(1000)  # the poll in progress ends empty; the next two are truncated
         stage.journal.add(stage.machines[0].entry("Terminating"))
         stage.sleep(400)
         tails = [target.partition("&")[0] for _, target in stage.journal.calls]
@@ -209,7 +217,7 @@
         stage.owner.ask(1)
         stage.sleep(50)
         stage.placer.begin_shutdown()
-        told = stage.hub.now_us()
+        signalled_us = stage.hub.now_us()
         assert stage.owner.test() == 0
         late = stage.client()
         late.ask(2, name="8" * 16)
@@ -218,13 +226,13 @@
         ((machine, _),) = stage.set_ups(1)
         machine.tell(over(1))
         stage.sleep(50)
-        news = stage.owner.of(1) + late.of(1)  # on either connection
+        news = stage.owner.of(1) + late.of(1)  # on any connection
         assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
         assert news[1].cause == Cause.OVER
-        while stage.ended_us is None and stage.hub.now_us() < told + 10 * S:
+        while stage.ended_us is None and stage.hub.now_us() < signalled_us + 10 * S:
             stage.sleep(50)
         assert stage.ended_us is not None
-        assert 2 * S <= stage.ended_us - told <= 3_700 * MS
+        assert 2 * S <= stage.ended_us - signalled_us <= 3_700 * MS
 
     Stage().run(play)
 
@@ -250,21 +258,21 @@
     Stage().run(play)
 
 
-def before_its_turn(stage: Stage, answer: Trouble, call: Callable[[], None]) -> Trouble:
-    """A trouble: this answer, and the call once the follower was woken by it and before it runs."""
+def before_follower_resumes(stage: Stage, answer: Fault, call: Callable[[], None]) -> Fault:
+    """A fault that sends this answer, and calls `call` after it woke the follower and before the follower runs."""
 
-    def trouble(request: Request) -> None:
+    def fault(request: Request) -> None:
         (task,) = (each for each in stage.hub._tasks.values() if each.name == "journal")
         with pytest.raises(PeerGone):
             answer(request)
         for _ in range(1000):
             if task.blocked is None:
                 call()
-                raise PeerGone("said")
+                raise PeerGone("answered")
             stage.hub.checkpoint()
-        pytest.fail("the follower was never woken")
+        pytest.fail("the follower was not woken within 1000 turns")
 
-    return trouble
+    return fault
 
 
 # -- SIGHUP
@@ -273,15 +281,18 @@
 def test_an_address_change_during_backoff_takes_effect_at_once() -> None:
     def play(stage: Stage) -> None:
         counts = stage.placer.life.counts
-        stage.journal.troubles += [say(b"", b"500 Broken")] * 50
+        stage.journal.troubles += [respond(b"", b"500 Broken")] * 50
         stage.journal.add(stage.machines[1].entry())
-        until(stage, lambda: counts["journal_failures"] == 7)  # the pause is now 250 ms at least
+        wait_until(
+            stage, lambda: counts["journal_failures"] == 7
+        )  # the backoff is now at least 250 ms
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(stage.machines[0].entry("Terminating"))
-        move(stage, fresh)
+        change_address(stage, fresh)
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 10 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 10 * MS
         )
         assert counts["journal_failures"] == 7
 
@@ -290,7 +301,7 @@
 
 def test_an_address_change_between_an_answer_and_its_delivery_loses_no_event() -> None:
     def play(stage: Stage) -> None:
-        told, moved = deliveries(stage), []
+        delivered, moved = deliveries(stage), []
         first, second = stage.machines
         fresh = Journal(stage.hub)
         fresh.events = [
@@ -300,24 +311,28 @@
         ]
 
         def now() -> None:
-            moved.append(len(told))
-            move(stage, fresh)
+            moved.append(len(delivered))
+            change_address(stage, fresh)
 
-        stage.journal.troubles.append(before_its_turn(stage, tell(3, *fresh.events[1:]), now))
+        stage.journal.troubles.append(
+            before_follower_resumes(stage, answer_with(3, *fresh.events[1:]), now)
+        )
         stage.journal.add(second.entry())
-        until(stage, lambda: bool(fresh.calls))
-        assert tails(fresh)[0] == 3 and moved == [1], "event 2 was told before, 3 is at hand"
+        wait_until(stage, lambda: bool(fresh.calls))
+        assert tails(fresh)[0] == 3 and moved == [1], (
+            "the address changed before event 2 or after event 3 was delivered"
+        )
         fresh.add(second.entry("Terminating"))
         stage.sleep(50)
-        assert [each.position for each in told] == [2, 3, 4]
+        assert [each.position for each in delivered] == [2, 3, 4]
         assert [phase(stage, each) for each in stage.machines] == [api.Phase.DRAINING] * 2
         assert not stage.placer.life.counts["journal_failures"]
 
     Stage().run(play)
 
 
-@pytest.mark.parametrize("end", [say(b"", b"500 Broken"), say(b"{")])
-def test_a_failure_of_the_old_service_at_an_address_change_is_not_counted(end: Trouble) -> None:
+@pytest.mark.parametrize("end", [respond(b"", b"500 Broken"), respond(b"{")])
+def test_a_failure_of_the_old_service_at_an_address_change_is_not_counted(end: Fault) -> None:
     def play(stage: Stage) -> None:
         moved: list[int] = []
         fresh = Journal(stage.hub)
@@ -325,10 +340,10 @@
 
         def now() -> None:
             moved.append(stage.hub.now_us())
-            move(stage, fresh)
+            change_address(stage, fresh)
 
-        stage.journal.troubles.append(before_its_turn(stage, end, now))
-        until(stage, lambda: bool(fresh.calls))
+        stage.journal.troubles.append(before_follower_resumes(stage, end, now))
+        wait_until(stage, lambda: bool(fresh.calls))
         assert fresh.calls[0][0] - moved[0] <= 2 * MS
         assert not stage.placer.life.counts["journal_failures"]
 
@@ -340,16 +355,18 @@
         between, last = Journal(stage.hub), Journal(stage.hub)
         between.events = last.events = list(stage.journal.events)
         calls = len(stage.journal.calls)
-        move(stage, stage.journal)
+        change_address(stage, stage.journal)
         stage.sleep(50)
-        assert len(stage.journal.calls) == calls, "the call goes on"
-        move(stage, between)
-        move(stage, last)
+        assert len(stage.journal.calls) == calls, (
+            "a change to the same address interrupted the poll"
+        )
+        change_address(stage, between)
+        change_address(stage, last)
         stage.sleep(50)
         assert not between.calls
         assert tails(last) == [1]
-        move(stage, between)
-        move(stage, last)  # there and back
+        change_address(stage, between)
+        change_address(stage, last)  # to the other address and back
         stage.sleep(50)
         last.add(stage.machines[0].entry("Terminating"))
         stage.sleep(20)
@@ -366,7 +383,7 @@
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(first.entry("Terminating"))
-        move(stage, fresh)
+        change_address(stage, fresh)
         stage.journal.add(first.entry())
         stage.journal.add(first.entry())
         stage.sleep(1500)
@@ -377,7 +394,7 @@
     Stage().run(play)
 
 
-# -- descriptors, and bodies that are no list
+# -- descriptors, and invalid bodies
 
 
 def test_a_full_descriptor_table_delays_polls_by_half_a_second_at_most() -> None:
@@ -394,15 +411,14 @@
                 assert error.errno == errno.EMFILE
             return counts["journal_failures"] >= 8
 
-        stage.journal.troubles.append(
-            say(b"", b"500 Broken")
-        )  # its descriptors are free then, and filled at once
+        # The failed poll frees its descriptors, and `fill` takes them at once.
+        stage.journal.troubles.append(respond(b"", b"500 Broken"))
         stage.journal.add(stage.machines[1].entry())
         try:
             resource.setrlimit(
                 resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 3, hard)
             )
-            until(stage, fill)
+            wait_until(stage, fill)
             calls = len(stage.journal.calls)
             stage.sleep(4000)
             assert 14 <= counts["journal_failures"] <= 30
@@ -413,7 +429,8 @@
                 os.close(each)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 510 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 510 * MS
         )
 
     Stage().run(play)
@@ -458,12 +475,13 @@
     body: bytes, status: bytes
 ) -> None:
     def play(stage: Stage) -> None:
-        stage.journal.troubles += [say(body, status)] * 2
+        stage.journal.troubles += [respond(body, status)] * 2
         stage.journal.add(stage.machines[1].entry())
         stage.sleep(20)
         stage.journal.add(stage.machines[0].entry("Terminating"))
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 500 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 500 * MS
         )
         counts = stage.placer.life.counts
         assert counts["journal_failures"] + counts["journal_bad_entries"] >= 2
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -1,4 +1,4 @@
-"""The follower of the machine list where two events cross, and where the service tells what it should not."""
+"""The follower of the machine list: gaps, damaged entries, silent, lagging and renumbered services."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from wingbarrow.relay.message import Kind
 from wingbarrow.transport import PeerGone
 
-Trouble = Callable[[Request], None]
+Fault = Callable[[Request], None]
 
 
 def event(number: object, *entries: object, reset: bool = False) -> dict[str, Any]:
     return {"pos": number, "hosts": {"generation": 1, "reset": reset, "instances": list(entries)}}
 
 
-def say(body: bytes, status: bytes = b"200 OK") -> Trouble:
-    """A trouble: this answer, and the end of its connection."""
+def respond(body: bytes, status: bytes = b"200 OK") -> Fault:
+    """A fault that sends this answer and ends its connection."""
 
-    def trouble(request: Request) -> None:
+    def fault(request: Request) -> None:
         request.connection.stream.send(
             b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
         )
-        raise PeerGone("said")
+        raise PeerGone("answered")
 
-    return trouble
+    return fault
 
 
-def tell(last: object, *events: object) -> Trouble:
-    return say(json.dumps({"pos": last, "entries": events}).encode())
+def answer_with(last: object, *events: object) -> Fault:
+    return respond(json.dumps({"pos": last, "entries": events}).encode())
 
 
-class Losing(Journal):
-    """Leaves some numbers out of its answers, for so many answers that would hold one."""
+class LossyJournal(Journal):
+    """Omits the events in `lost` from its answers, from the first `times` answers that would contain one."""
 
     lost: frozenset[int] = frozenset()
     times = 1 << 30
@@ -55,12 +55,14 @@
         return {"pos": len(self.events), "entries": kept}
 
 
-class Hasty(Journal):
-    """Answers at once, always with all it has."""
+class ImmediateJournal(Journal):
+    """Answers at once, always with all events."""
 
     def _answer(self, request: Request) -> Answer:
         self.calls.append((self.hub.now_us(), request.target))
-        if len(self.calls) > 100:  # asked without pause, the virtual clock would stand still
+        if (
+            len(self.calls) > 100
+        ):  # without a pause between polls the virtual clock would not advance
             self.hub.sleep(60 * S)
         return Answer(200, json.dumps(self.known()).encode())
 
@@ -69,14 +71,14 @@
     return stage.placer._follower
 
 
-def move(stage: Stage, journal: Journal) -> None:
+def change_address(stage: Stage, journal: Journal) -> None:
     follower(stage).change_address(Address("127.0.0.1", journal.server.port))
 
 
-def take_over(stage: Stage, journal: Journal) -> None:
-    """The journal goes on with the events of the stage's, and is asked from now on."""
+def switch_to(stage: Stage, journal: Journal) -> None:
+    """Copy the stage's events to this journal, and make the placer poll it from now on."""
     journal.events = list(stage.journal.events)
-    move(stage, journal)
+    change_address(stage, journal)
     stage.sleep(20)
 
 
@@ -85,16 +87,16 @@
 
 
 def deliveries(stage: Stage) -> list[News]:
-    """What is delivered from now on."""
-    told: list[News] = []
+    """A list that collects what is delivered from now on."""
+    delivered: list[News] = []
     deliver = follower(stage)._deliver
 
     def keep(news: News) -> None:
-        told.append(news)
+        delivered.append(news)
         deliver(news)
 
     follower(stage)._deliver = keep
-    return told
+    return delivered
 
 
 def phase(stage: Stage, machine: Machine) -> api.Phase | None:
@@ -102,37 +104,39 @@
     return None if link is None or link.closed else link.phase
 
 
-def until(stage: Stage, holds: Callable[[], bool], most_ms: int = 10_000) -> int:
-    """Let time pass until it holds; how long that was, in microseconds."""
+def wait_until(stage: Stage, holds: Callable[[], bool], max_ms: int = 10_000) -> int:
+    """Advance time until the condition holds; returns the time that passed, in microseconds."""
     begun = stage.hub.now_us()
     while not holds():
-        assert stage.hub.now_us() - begun <= most_ms * MS, "it never came"
+        assert stage.hub.now_us() - begun <= max_ms * MS, (
+            f"the condition did not hold within {max_ms} ms"
+        )
         stage.sleep(1)
     return stage.hub.now_us() - begun
 
 
-def ask_five(stage: Stage, first: int = 101) -> None:
+def submit_five(stage: Stage, first: int = 101) -> None:
     for task in range(first, first + 5):
         stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
     stage.sleep(100)
 
 
-# -- numbers that are missing
+# -- missing events
 
 
 def test_an_event_that_never_arrives_does_not_stop_later_events() -> None:
     def play(stage: Stage) -> None:
-        journal = Losing(stage.hub)
+        journal = LossyJournal(stage.hub)
         journal.lost = frozenset({2})
-        take_over(stage, journal)
+        switch_to(stage, journal)
         first, second = stage.machines
         journal.add(second.entry())
         journal.add(first.entry("Terminating"))
-        assert until(stage, lambda: phase(stage, first) is api.Phase.DRAINING, 500) <= 50 * MS
-        ask_five(stage)
+        assert wait_until(stage, lambda: phase(stage, first) is api.Phase.DRAINING, 500) <= 50 * MS
+        submit_five(stage)
         assert not first.set_ups() and len(second.set_ups()) == 5
         journal.add(second.entry("Terminating"))
-        assert until(stage, lambda: phase(stage, second) is api.Phase.DRAINING, 500) <= 50 * MS
+        assert wait_until(stage, lambda: phase(stage, second) is api.Phase.DRAINING, 500) <= 50 * MS
         stage.sleep(5000)
         assert tails(journal)[:5] == [1, 1, 0, 3, 4] and len(journal.calls) <= 12
         counts = stage.placer.life.counts
@@ -143,9 +147,9 @@
 
 def test_a_missing_event_is_polled_for_and_does_not_revert_later_events() -> None:
     def play(stage: Stage) -> None:
-        journal = Losing(stage.hub)
+        journal = LossyJournal(stage.hub)
         journal.lost, journal.times = frozenset({2}), 1
-        take_over(stage, journal)
+        switch_to(stage, journal)
         first, second = stage.machines
         journal.events += [
             event(2, first.entry(), second.entry("Terminating")),
@@ -163,9 +167,9 @@
 
 def test_a_missing_full_list_does_not_revert_later_events() -> None:
     def play(stage: Stage) -> None:
-        journal = Losing(stage.hub)
+        journal = LossyJournal(stage.hub)
         journal.lost, journal.times = frozenset({2}), 1
-        take_over(stage, journal)
+        switch_to(stage, journal)
         first, second = stage.machines
         late = Machine(stage.hub, "s-late")
         journal.events += [
@@ -187,7 +191,7 @@
     def play(stage: Stage) -> None:
         first, second = stage.machines
         journal = Journal(stage.hub)
-        take_over(stage, journal)
+        switch_to(stage, journal)
         journal.events += [
             event(2, first.entry("Terminating")),
             {"pos": 3, "hosts": {"instances": 7}},
@@ -209,7 +213,7 @@
         stage.sleep(50)
         stage.journal.add(machine.entry("Terminating"))
         stage.sleep(20)
-        stage.owner.ask(2, name="2" * 16)  # waits for a machine
+        stage.owner.ask(2, name="2" * 16)  # waits, as its only machine drains
         stage.sleep(20)
         stage.journal.events += [event(3, machine.entry()), event(4, machine.entry("Terminating"))]
         stage.sleep(100)
@@ -219,7 +223,7 @@
     Stage(1).run(play)
 
 
-# -- entries that are damaged
+# -- damaged entries
 
 
 @pytest.mark.parametrize(
@@ -239,15 +243,15 @@
         first, second = stage.machines
         stage.journal.add({**first.entry("Terminating"), **damage}, second.entry())
         stage.sleep(20)
-        ask_five(stage)
+        submit_five(stage)
         assert not first.set_ups() and len(second.set_ups()) == 5
         assert stage.placer.life.counts["journal_bad_entries"] == 1
         stage.journal.add(first.entry())
         stage.sleep(20)
         stage.journal.add(second.entry("Terminating"))
         stage.sleep(20)
-        ask_five(stage, 201)
-        assert len(first.set_ups()) == 5, "a good entry counts again"
+        submit_five(stage, 201)
+        assert len(first.set_ups()) == 5, "a valid entry did not end the drain"
 
     Stage().run(play)
 
@@ -265,7 +269,7 @@
         assert phase(stage, late) is None
         stage.journal.add({**late.entry(), "cell": None})
         stage.sleep(20)
-        assert phase(stage, late) is None, "no longer known, and not readable: passed over"
+        assert phase(stage, late) is None, "a damaged entry of an unknown machine was not skipped"
         assert stage.placer.life.counts["journal_bad_entries"] == 3
 
     Stage().run(play)
@@ -309,7 +313,7 @@
         )
         stage.sleep(50)
         assert phase(stage, first) is api.Phase.DRAINING
-        assert phase(stage, late) is api.Phase.RUNNING, "a machine that was not known counts too"
+        assert phase(stage, late) is api.Phase.RUNNING, "a new machine was not added"
         assert stage.placer.life.counts["journal_bad_entries"] == 2
 
     Stage().run(play)
@@ -339,14 +343,14 @@
             stage.journal.add({"instanceId": "s-\ud800" + "x" * 10_000})
             stage.sleep(10)
         stage.sleep(50)
-        told = [fields["why"] for what, fields in lines if what == "bad-list-entry"]
-        assert len(told) == 1 and len(told[0]) <= 2000 and told[0].isascii()
+        delivered = [fields["why"] for what, fields in lines if what == "bad-list-entry"]
+        assert len(delivered) == 1 and len(delivered[0]) <= 2000 and delivered[0].isascii()
         assert stage.placer.life.counts["journal_bad_entries"] == 20
 
     Stage().run(play)
 
 
-# -- silence, trickles, repeats, numbers that go back
+# -- silence, trickles, repeats, lower event numbers
 
 
 def test_a_trickling_answer_is_cut_off_at_the_deadline_of_the_whole_poll() -> None:
@@ -361,7 +365,7 @@
         stage.sleep(10)
         begun = stage.journal.calls[-1][0]
         stage.journal.add(stage.machines[0].entry("Terminating"))
-        until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+        wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
         assert 1400 * MS <= stage.hub.now_us() - begun <= 1450 * MS
         assert stage.placer.life.counts["journal_failures"] == 1
 
@@ -379,26 +383,29 @@
         begun = stage.journal.calls[-1][0]
         stage.sleep(late_ms)
         stage.journal.add(stage.machines[0].entry("Terminating"))
-        until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+        wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
         wait_ends = begun + 1000 * MS
-        assert stage.hub.now_us() - wait_ends <= 450 * MS, "it counts as told 2 s after the wait"
+        assert stage.hub.now_us() - wait_ends <= 450 * MS, (
+            "a withheld drain must be known by 450 ms after the requested wait; it counts as delivered 2 s after"
+        )
 
     Stage().run(play)
 
 
 def test_a_service_that_answers_at_once_without_news_is_polled_at_a_bounded_rate() -> None:
     def play(stage: Stage) -> None:
-        told = deliveries(stage)
-        hasty = Hasty(stage.hub)
-        take_over(stage, hasty)
+        delivered = deliveries(stage)
+        hasty = ImmediateJournal(stage.hub)
+        switch_to(stage, hasty)
         stage.sleep(5000)
-        assert len(hasty.calls) <= 30 and not told
+        assert len(hasty.calls) <= 30 and not delivered
         hasty.add(stage.machines[0].entry("Terminating"))
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 501 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 501 * MS
         )
         stage.sleep(3000)
-        assert len(told) == 1 and stage.placer.life.counts["journal_early"] >= 10
+        assert len(delivered) == 1 and stage.placer.life.counts["journal_early"] >= 10
 
     Stage().run(play)
 
@@ -409,17 +416,17 @@
         stage.journal.add(second.entry())
         stage.journal.add(first.entry("Terminating"))
         stage.sleep(50)
-        told = deliveries(stage)
+        delivered = deliveries(stage)
         lagging = Journal(stage.hub)
         lagging.events = stage.journal.events[:2]
-        move(stage, lagging)
+        change_address(stage, lagging)
         stage.sleep(4000)
-        assert phase(stage, first) is api.Phase.DRAINING and not told
+        assert phase(stage, first) is api.Phase.DRAINING and not delivered
         assert len(lagging.calls) <= 10 and tails(lagging).count(0) == 1
         lagging.events = list(stage.journal.events)
         lagging.add(second.entry("Terminating"))
-        assert until(stage, lambda: phase(stage, second) is api.Phase.DRAINING) <= 1010 * MS
-        assert [each.position for each in told] == [4]
+        assert wait_until(stage, lambda: phase(stage, second) is api.Phase.DRAINING) <= 1010 * MS
+        assert [each.position for each in delivered] == [4]
 
     Stage().run(play)
 
@@ -431,10 +438,10 @@
         stage.sleep(50)
         anew = Journal(stage.hub)
         anew.add(first.entry("Terminating"), second.entry(), reset=True)
-        move(stage, anew)
-        assert until(stage, lambda: phase(stage, first) is api.Phase.DRAINING) <= 1100 * MS
+        change_address(stage, anew)
+        assert wait_until(stage, lambda: phase(stage, first) is api.Phase.DRAINING) <= 1100 * MS
         anew.add(second.entry("Terminating"))
-        assert until(stage, lambda: phase(stage, second) is api.Phase.DRAINING) <= 10 * MS
+        assert wait_until(stage, lambda: phase(stage, second) is api.Phase.DRAINING) <= 10 * MS
         assert len(anew.calls) <= 5
 
     Stage().run(play)
@@ -449,9 +456,9 @@
         (other,) = (each for each in stage.machines if each is not holder)
         anew = Journal(stage.hub)
         anew.add(other.entry("Terminating"), reset=True)
-        anew.add(holder.entry())  # as our own event of this number may have been
-        move(stage, anew)
-        until(stage, lambda: phase(stage, other) is api.Phase.DRAINING)
+        anew.add(holder.entry())  # may equal the event of this number before the renumbering
+        change_address(stage, anew)
+        wait_until(stage, lambda: phase(stage, other) is api.Phase.DRAINING)
         stage.sleep(100)
         assert phase(stage, holder) is api.Phase.RUNNING and stage.owner.kinds(1) == [Kind.ANSWER]
 
@@ -461,10 +468,10 @@
 def test_an_event_number_far_too_high_does_not_stop_later_events() -> None:
     def play(stage: Stage) -> None:
         first, second = stage.machines
-        stage.journal.troubles += [tell(10**9, event(10**9, second.entry()))] * 3
+        stage.journal.troubles += [answer_with(10**9, event(10**9, second.entry()))] * 3
         stage.journal.add(second.entry())
         stage.sleep(500)
         stage.journal.add(first.entry("Terminating"))
-        assert until(stage, lambda: phase(stage, first) is api.Phase.DRAINING) <= 2100 * MS
+        assert wait_until(stage, lambda: phase(stage, first) is api.Phase.DRAINING) <= 2100 * MS
 
     Stage().run(play)
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -1,4 +1,4 @@
-"""A stop, a move or a release crosses the end of its connection or the set-up that names its task; floods of such."""
+"""Races of a stop, move or release with the end of its connection or with its task's set-up; floods of adoptions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tests.relay.stage import MS, Client, Machine, S, Stage, over
 from wingbarrow.relay.message import Cause, Kind, with_cause
 
-MANY = 12_000  # more tasks than one placer ever looks after
-AT = "cores:1;memory:1;service:s1;at:s-00000000"
+TASKS_OVER_LIMIT = 12_000  # more tasks than one placer tracks
+RUNNING_ON_FIGURES = "cores:1;memory:1;service:s1;at:s-00000000"
 
 
 def releases(machine: Machine, task: int) -> int:
-    """How often a machine heard that a task is to be cut."""
+    """Number of RELEASE messages that a machine received for a task."""
     return sum(
         each.message.kind == Kind.RELEASE and each.message.task == task for each in machine.heard
     )
@@ -25,24 +25,22 @@
 
 
 def move(stage: Stage) -> None:
-    stage.placer.move(
-        stage.placer._requests.by_ident[1].request
-    )  # as the module's hands are asked to
+    stage.placer.move(stage.placer._requests.by_ident[1].request)  # as the scheduler requests it
 
 
-@pytest.mark.parametrize("ends", [release, move])
+@pytest.mark.parametrize("end_task", [release, move])
 def test_a_stop_lost_in_a_connection_reset_is_resent_on_the_next_connection(
-    ends: Callable[[Stage], None],
+    end_task: Callable[[Stage], None],
 ) -> None:
-    """The bytes left here, the connection was reset before the machine read them: the task runs on there."""
+    """The stop was sent, but the connection was reset before the machine read it, so that the task still runs there."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        machine.silent = True  # what comes now is never read
-        ends(stage)
+        machine.silent = True  # discards its input from now on
+        end_task(stage)
         stage.sleep(20)
         assert stage.placer._requests.by_ident.get(1) is None
         assert releases(machine, 1) == 0
@@ -50,7 +48,7 @@
             stream.abort()
         machine.silent = False
         stage.sleep(3000)
-        assert any(stream.open for stream in machine.streams), "a new connection came up"
+        assert any(stream.open for stream in machine.streams), "no new connection came up"
         assert releases(machine, 1) >= 1
         machine.tell(over(1, Cause.CANCELLED))
         stage.sleep(50)
@@ -60,31 +58,31 @@
 
 
 def prove(client: Client, task: int) -> None:
-    """A task of this connection stands: releases may go there."""
+    """Place a task of this connection, so that releases may be sent there."""
     client.ask(task, name=f"{task:016x}")
     client.hub.sleep(100 * MS)
     assert client.kinds(task) == [Kind.ANSWER]
 
 
-def turns_until(stage: Stage, holds: Callable[[], bool]) -> None:
-    """Let turns pass, and no time, until something has happened here."""
+def run_turns_until(stage: Stage, holds: Callable[[], bool]) -> None:
+    """Run turns of the hub, without advancing time, until the condition holds."""
     for _ in range(1000):
         if holds():
             return
         stage.hub.checkpoint()
-    raise AssertionError("it did not happen")
+    raise AssertionError("the condition did not hold within 1000 turns")
 
 
 def test_a_move_lost_with_its_connection_is_resent_on_another() -> None:
-    """Nobody else tells the owner: the release that the machine sends of a moved task is not passed on."""
+    """The move must be resent, as the machine's release of a moved task is not forwarded."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         other = stage.client()
         prove(other, 2)
-        prove(stage.owner, 1)  # the latest heard of: what is told goes here first
+        prove(stage.owner, 1)  # the most recently active: messages go here first
         move(stage)
-        stage.owner.stream.abort()  # before it was read
+        stage.owner.stream.abort()  # before the move was read
         stage.sleep(50)
         machine.tell(over(1, Cause.CANCELLED))
         stage.sleep(8500)
@@ -103,7 +101,7 @@
         stage.sleep(50)
         stage.placer.owners.release(1, Cause.OVER)
         stage.owner.stream.abort()
-        turns_until(stage, lambda: stage.placer.life.counts["releases_again"] == 1)
+        run_turns_until(stage, lambda: stage.placer.life.counts["releases_again"] == 1)
         second.stream.abort()
         stage.sleep(8500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
@@ -124,8 +122,8 @@
         assert stage.placer.life.counts["releases_waited"] == 1
         fresh = stage.client()
         fresh.ask(2, name="2" * 16)
-        turns_until(stage, lambda: stage.placer._requests.answered == 2)
-        fresh.stream.abort()  # the answer, and with it what waited, had been written
+        run_turns_until(stage, lambda: stage.placer._requests.answered == 2)
+        fresh.stream.abort()  # the answer and the deferred release had been written
         stage.sleep(50)
         last = stage.client()
         prove(last, 3)
@@ -137,14 +135,14 @@
 
 
 def test_a_release_that_arrives_before_its_task_is_adopted_is_forwarded() -> None:
-    """After a start: a connection opened for another task brings the end of one that its owner has yet to name."""
+    """After a restart, a connection opened for another task can bring the release of a task not adopted yet."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         prove(stage.owner, 1)
         machine.tell(over(5))
         stage.sleep(5)
-        stage.owner.ask(5, figures=AT, patience_ms=0)
+        stage.owner.ask(5, figures=RUNNING_ON_FIGURES, patience_ms=0)
         began = stage.hub.now_us()
         stage.sleep(1000)
         assert [each.kind for each in stage.owner.of(5)] == [Kind.RELEASE]
@@ -155,18 +153,18 @@
 
 
 def test_a_flood_of_adopted_tasks_is_bounded() -> None:
-    """Nothing shows whether a machine holds them; the memory of a placer is 32 MB at the least."""
+    """A placer cannot check whether a machine runs adopted tasks, and may have as little as 32 MB of memory."""
 
     def play(stage: Stage) -> None:
         stranger = stage.client()
-        for task in range(1000, 1000 + MANY):
-            stranger.ask(task, figures=AT, patience_ms=0)
+        for task in range(1000, 1000 + TASKS_OVER_LIMIT):
+            stranger.ask(task, figures=RUNNING_ON_FIGURES, patience_ms=0)
             if task % 100 == 0:
                 stage.hub.checkpoint()
         stage.sleep(1000)
-        assert len(stage.placer._attempts) < MANY
-        assert len(stage.placer._requests.by_ident) < MANY
-        usual = stage.client()  # the placer goes on
+        assert len(stage.placer._attempts) < TASKS_OVER_LIMIT
+        assert len(stage.placer._requests.by_ident) < TASKS_OVER_LIMIT
+        usual = stage.client()  # the placer still serves others
         prove(usual, 1)
 
     Stage(1).run(play)
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners' connections, bad clients and releases, judged by what crossed the sockets at the stand-ins."""
+"""Owners' connections, bad clients and releases, checked by the messages at the stand-ins' sockets."""
 
 from __future__ import annotations
 
@@ -35,9 +35,8 @@
         (machine,) = stage.machines
         stage.owner.ask(1)
         stage.sleep(50)
-        stage.client().stream.send(
-            with_cause(Kind.RELEASE, 1, Cause.CANCELLED)
-        )  # on any connection
+        # A release is accepted on any connection.
+        stage.client().stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(50)
         assert [e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE] == [1]
         machine.tell(over(1, Cause.CANCELLED))
@@ -51,13 +50,15 @@
     def play(stage: Stage) -> None:
         figures = "cores:1;memory:1;service:s1;at:s-00000000"
         stage.owner.ask(5, figures=figures, patience_ms=0)
-        stage.owner.ask(5, figures=figures, patience_ms=0)  # it may name what is held already
+        stage.owner.ask(5, figures=figures, patience_ms=0)  # a repeated adoption is ignored
         stage.sleep(300)
         assert stage.owner.of(5) == []
         assert stage.machines[0].set_ups() == []
-        stage.machines[0].tell(over(5))  # a connection is there for its news
+        stage.machines[0].tell(over(5))  # the adoption opened a connection
         stage.sleep(50)
-        stage.client().ask(6, name="e" * 16)  # proves itself an owner: releases can go there
+        stage.client().ask(
+            6, name="e" * 16
+        )  # a placed task makes it a proven owner, which releases can go to
         stage.sleep(400)
         assert stage.placer.life.counts["run:done"] == 1
 
@@ -87,12 +88,12 @@
         other = stage.client()
         other.ask(2, name="e" * 16)
         stage.sleep(100)
-        stage.owner.ask(1)  # the latest heard of: releases go here first
+        stage.owner.ask(1)  # the most recently active: releases go here first
         stage.sleep(50)
         machine.tell(over(1))
         machine.tell(over(2))
         stage.hub.checkpoint()
-        stage.owner.stream.abort()  # nothing was said to be heard
+        stage.owner.stream.abort()  # before any acknowledgement
         stage.sleep(100)
         assert [each.kind for each in other.of(1)] == [Kind.RELEASE]
         assert Kind.RELEASE in other.kinds(2)
@@ -117,11 +118,13 @@
         stage.sleep(2500)
         assert stage.owner.kinds(2) == [Kind.ANSWER]
         answers = [flood.kinds(task) for task in range(1000, 1400)]
-        assert all(each == [Kind.RELEASE] for each in answers), "each got one answer, none 'served'"
+        assert all(each == [Kind.RELEASE] for each in answers), (
+            "a set-up got no answer, several, or was placed"
+        )
         reached = {
             heard.message.task for machine in stage.machines for heard in machine.set_ups()
         } - {1, 2}
-        assert len(reached) <= 32, "what nobody knows reaches machines only as far as it must"
+        assert len(reached) <= 32, "an unproven client reached machines with more than 32 set-ups"
 
     Stage().run(play)
 
@@ -196,9 +199,8 @@
         stage.sleep(20)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert len(held) == 1
-        thief.stream.send(
-            with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP)
-        )  # takes back what it never had
+        # Withdraws a task that is another owner's.
+        thief.stream.send(with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP))
         stage.sleep(50)
         assert not any(each.message.kind == Kind.RELEASE for each in machine.heard)
         machine.tell(over(1))
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -1,4 +1,4 @@
-"""The page of the standing test, sentence by sentence, without its bench."""
+"""The requirements of the platform's standing test, one by one, without its test bench."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from wingbarrow.transport import Stream, connect
 
 
-def tell(stream: Stream, message: Message) -> None:
+def send_answer(stream: Stream, message: Message) -> None:
     stream.send_now(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}))
 
 
 def answer_after(stage: Stage, ms: int) -> Callable[[Stream, Message], None]:
-    """A machine's way to take set-ups: so much later."""
+    """A handler of set-ups that answers after `ms` milliseconds."""
 
     def later(stream: Stream, message: Message) -> None:
-        stage.hub.call_at(stage.hub.now_us() + ms * MS, lambda: tell(stream, message))
+        stage.hub.call_at(stage.hub.now_us() + ms * MS, lambda: send_answer(stream, message))
 
     return later
 
@@ -67,21 +67,25 @@
         (machine,) = stage.machines
         stage.owner.ask(1)
         stage.sleep(50)
-        goes_on = answer_after(stage, 2830)
+        answer_late = answer_after(stage, 2830)
         machine.on_set_up = (
-            lambda stream, message: goes_on(stream, message) if message.task == 3 else None
+            lambda stream, message: answer_late(stream, message) if message.task == 3 else None
         )
         stage.placer.begin_shutdown()
-        told = stage.hub.now_us()
+        signalled_us = stage.hub.now_us()
         stage.sleep(600)
-        stage.owner.ask(2, "settlement", patience_ms=2900, name="2" * 16)  # it hangs to the end
+        stage.owner.ask(
+            2, "settlement", patience_ms=2900, name="2" * 16
+        )  # never answered by the machine
         stage.owner.ask(3, "settlement", patience_ms=2900, name="3" * 16)
         while stage.ended_us is None:
             stage.sleep(20)
         (answer,) = stage.owner.of(2)
-        assert answer.kind == Kind.RELEASE and answer.cause not in (34, 42, 102), "it may have run"
+        assert answer.kind == Kind.RELEASE and answer.cause not in (34, 42, 102), (
+            "the cause claims that it did not run"
+        )
         assert stage.owner.kinds(3) == [Kind.ANSWER]
-        assert stage.ended_us - told <= 3_700 * MS
+        assert stage.ended_us - signalled_us <= 3_700 * MS
 
     Stage(1).run(play)
 
@@ -123,7 +127,7 @@
         for task in range(1, 5):
             stage.owner.ask(task, name=f"{task:016x}")
         stage.sleep(12)
-        machine.tell(over(4))  # its second answer comes after its release
+        machine.tell(over(4))  # its second answer arrives after its release
         stage.sleep(100)
         machine.tell(over(1))
         stage.sleep(50)
@@ -131,14 +135,14 @@
         assert stage.owner.kinds(2) == stage.owner.kinds(3) == [Kind.ANSWER]
         assert not ends
         assert not [each for each in machine.heard if each.message.kind == Kind.RELEASE], (
-            "nothing is stopped"
+            "a task was stopped"
         )
 
     Stage(1).run(play)
 
 
 def late_connections(stage: Stage, patched: pytest.MonkeyPatch, count: int) -> None:
-    """The next so many connections to machines come up after a second."""
+    """Delay the next `count` connections to machines by a second."""
     left = [count]
 
     def late(hub: Any, host: str, port: int) -> Stream:
@@ -189,9 +193,8 @@
         drained = stage.machines[0]
         stage.sleep(1200)
         stage.journal.troubles.append(lambda _: stage.hub.sleep(60 * S))
-        stage.journal.add(
-            stage.machines[1].entry()
-        )  # ends the call that is open: the next one falls silent
+        # Ends the poll in progress; the next one gets no answer.
+        stage.journal.add(stage.machines[1].entry())
         stage.sleep(100)
         stage.journal.add(drained.entry("Terminating"))
         stage.sleep(2000)
@@ -207,7 +210,7 @@
 
 
 def test_a_placer_with_400_machines_is_ready_before_it_connects_to_any() -> None:
-    """The clock here counts no processor time, so what a start costs is counted in calls: some tenths of a second."""
+    """The virtual clock counts no CPU time, so a start (tenths of a second) is counted in function calls."""
 
     def play(stage: Stage) -> None:
         stage.journal.add(
@@ -244,46 +247,53 @@
     Stage(1).run(play)
 
 
-PLACERS, OFFERS = 16, 20.0
+PLACERS = 16
+FRESH_OFFERS = 20.0  # offers that a cold machine takes within `fall_us`
 
 
-def crowd_settings(index: int) -> dict[str, Any]:
-    family = {**SETTINGS["family_info"], "fresh_offers": OFFERS}
+def placer_settings(index: int) -> dict[str, Any]:
+    family = {**SETTINGS["family_info"], "fresh_offers": FRESH_OFFERS}
     return {**SETTINGS, "balancers": PLACERS, "me": index, "family_info": family}
 
 
-def first_fall(offers: list[tuple[int, bool]]) -> float | None:
-    """The page's formula: of the first fall, which part came from placers that had been told; None without one."""
-    most, fall_us = OFFERS + 3 * sqrt(OFFERS) + 3, SETTINGS["rules"]["fall_us"]
+def first_overload_share(offers: list[tuple[int, bool]]) -> float | None:
+    """The standing test's formula: the share of offers from informed placers at the first overload, None without one.
+
+    `offers` holds the time of each offer and whether its placer had the list event by then. An overload is more than
+    FRESH_OFFERS + 3 * sqrt(FRESH_OFFERS) + 3 offers within `fall_us`.
+    """
+    most, fall_us = FRESH_OFFERS + 3 * sqrt(FRESH_OFFERS) + 3, SETTINGS["rules"]["fall_us"]
     for at_us, _ in offers:
-        within = [told for when, told in offers if at_us - fall_us < when <= at_us]
+        within = [informed for when, informed in offers if at_us - fall_us < when <= at_us]
         if len(within) > most:
             return sum(within) / len(within)
     return None
 
 
 def test_the_overload_formula_of_the_standing_test() -> None:
-    assert first_fall([(i, True) for i in range(36)]) is None
-    assert first_fall([(i, i % 10 > 0) for i in range(40)]) == 33 / 37
-    assert first_fall([(i * 100 * MS, True) for i in range(100)]) is None
+    assert first_overload_share([(i, True) for i in range(36)]) is None
+    assert first_overload_share([(i, i % 10 > 0) for i in range(40)]) == 33 / 37
+    assert first_overload_share([(i * 100 * MS, True) for i in range(100)]) is None
 
 
 @pytest.mark.parametrize("late", [0, 4])
 def test_sixteen_placers_do_not_overload_a_cold_machine(late: int) -> None:
     def play(stage: Stage) -> None:
-        (machine,), told_at = stage.machines, [stage.journal] * (PLACERS - late)
-        lagging = Journal(stage.hub)  # what these placers are told comes later
+        (machine,), informed_journals = stage.machines, [stage.journal] * (PLACERS - late)
+        lagging = Journal(stage.hub)  # delivers the event later to its placers
         lagging.events = list(stage.journal.events)
         placers: list[Placer] = []
-        for index, journal in enumerate(told_at + [lagging] * late):
-            stage.journal, stage.settings = journal, crowd_settings(index)
+        for index, journal in enumerate(informed_journals + [lagging] * late):
+            stage.journal, stage.settings = journal, placer_settings(index)
             placer: Placer = stage.make()
             stage.hub.spawn(placer.run, f"placer {index}")
             placers.append(placer)
-        stage.sleep(3000)  # after its own start a placer takes a cold machine's offers as spent
+        stage.sleep(
+            3000
+        )  # a placer that has just started assumes that a cold machine's offers are used up
         owners = [Client(stage.hub, placer.port) for placer in placers]
         entry = machine.entry(started_ms=stage.hub.clock.wall_us() // 1000)
-        told_at[0].add(entry)
+        informed_journals[0].add(entry)
         stage.sleep(100)
         began = stage.hub.now_us()
         for task in range(1, 13):
@@ -303,18 +313,20 @@
             for heard in machine.set_ups()
             if heard.at_us >= began
         ]
-        share = first_fall(offers)
+        share = first_overload_share(offers)
         assert share is None if not late else share is None or share <= 2 / 3
-        from_told = sum(
-            told for at_us, told in offers if at_us < began + SETTINGS["rules"]["fall_us"]
+        from_informed = sum(
+            informed for at_us, informed in offers if at_us < began + SETTINGS["rules"]["fall_us"]
+        )
+        assert PLACERS - late <= from_informed <= FRESH_OFFERS, (
+            "a placer sent less or more than its share"
         )
-        assert PLACERS - late <= from_told <= OFFERS, "each its part, and not less"
 
     Stage(1).run(play)
 
 
-def odd_files() -> list[Any]:
-    """What a replaced file may hold by mistake."""
+def invalid_files() -> list[Any]:
+    """Invalid contents of a replaced configuration file."""
     return [
         "",
         "{",
@@ -337,7 +349,7 @@
     def play(stage: Stage) -> None:
         lines: list[str] = []
         stage.placer.life.log = lambda event, **more: lines.append(event)
-        for index, value in enumerate(odd_files()):
+        for index, value in enumerate(invalid_files()):
             path = tmp_path / f"{index}.json"
             path.write_bytes(
                 value
@@ -348,7 +360,7 @@
             )
             stage.placer.reload(str(path))
         stage.placer.reload(str(tmp_path))  # a folder
-        assert lines == ["reload-refused"] * (len(odd_files()) + 1)
+        assert lines == ["reload-refused"] * (len(invalid_files()) + 1)
         assert stage.placer._follower._address == Address("127.0.0.1", stage.journal.server.port)
         stage.owner.ask(1)
         stage.sleep(50)
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -1,4 +1,4 @@
-"""`run` as the platform starts it: a process with a full descriptor table, a flood at the door, discovery away."""
+"""`run` as a process of its own: a full descriptor table, a flood of set-ups, and a discovery outage."""
 
 from __future__ import annotations
 
@@ -23,19 +23,18 @@
 
 ROOT = Path(__file__).parents[2]
 SOCKETS = 128
-PATIENCE_S = 30.0  # for a condition, on a machine that is busy
+CONDITION_TIMEOUT_S = 30.0  # generous, as the machine may be busy
 
 
 @contextmanager
 def reserved() -> Iterator[int]:
-    """A port that the system chose, refused until somebody listens there.
+    """A port chosen by the system, which refuses connections until someone listens there.
 
-    It stays bound: freed, it may become the own port of any connection that is dialled meanwhile.
+    It stays bound, as a freed port may become the local port of any outgoing connection.
     """
     with socket.socket() as held:
-        held.setsockopt(
-            socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-        )  # others that say so may bind it, and listen
+        # Others that set SO_REUSEADDR can bind the port too, and listen.
+        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         held.bind(("127.0.0.1", 0))
         yield int(held.getsockname()[1])
 
@@ -48,7 +47,7 @@
         self.journal = Journal(hub)
         self.machines = [Machine(hub, f"s-{i:08x}") for i in range(machines)]
         entries = [machine.entry() for machine in self.machines]
-        # Machines that are listed and cannot be reached: nothing listens at port 1.
+        # Listed but unreachable machines: nothing listens at port 1.
         entries += [
             {
                 **entries[0],
@@ -62,7 +61,7 @@
         self.port = 0
 
     def write(self, journal_port: int) -> Path:
-        """The configuration; a file is replaced whole."""
+        """Write the configuration, replacing the file atomically."""
         path = self.folder / "config.json"
         path.with_suffix(".new").write_text(
             json.dumps(
@@ -82,7 +81,7 @@
 
     @contextmanager
     def run(self, journal_port: int | None = None) -> Iterator[subprocess.Popen[bytes]]:
-        """The process, with the descriptors that its configuration names and no more."""
+        """Run the process, limited to the number of descriptors in its configuration."""
         with reserved() as self.port, (self.folder / "log").open("wb") as log:
             path = self.write(journal_port or self.journal.server.port)
             process = subprocess.Popen(
@@ -105,7 +104,7 @@
 
     def until(self, holds: Callable[[], Any], what: str) -> None:
         """Wait for a condition, in real time."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + CONDITION_TIMEOUT_S
         while not holds():
             assert time.monotonic() < end, (
                 f"{what}; log: {(self.folder / 'log').read_text()[-3000:]}"
@@ -113,17 +112,17 @@
             self.hub.sleep(5 * MS)
 
     def client(self) -> Client:
-        """A connection of an owner, as soon as the placer listens."""
+        """Connect as an owner, as soon as the placer listens."""
         found: list[Client] = []
 
-        def try_once() -> bool:
+        def try_connect() -> bool:
             try:
                 found.append(Client(self.hub, self.port))
             except PeerGone:
                 return False
             return True
 
-        self.until(try_once, "nothing listens")
+        self.until(try_connect, "the placer does not listen")
         return found[0]
 
 
@@ -187,7 +186,8 @@
                 each.stream.send(with_cause(Kind.TEST, 1 << 40, 0))
             owner.ask(1000, name=f"{1000:016x}")
             site.until(
-                lambda: owner.kinds(1000) == [Kind.ANSWER], "one is placed: an owner that is known"
+                lambda: owner.kinds(1000) == [Kind.ANSWER],
+                "the first task is not placed, so its owner is not proven",
             )
             fill = Fill(owner, 2 * SOCKETS - 1)  # each machine gets one, and a connection with it
 
@@ -195,18 +195,18 @@
                 fill.retry_rejected()
                 return sum(bool(each.set_ups()) for each in site.machines) >= SOCKETS * 3 // 4
 
-            site.until(are_most_machines_reached, "placed")
+            site.until(are_most_machines_reached, "three quarters of the machines got no task")
             held = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert held >= SOCKETS * 5 // 8, f"{held} descriptors: the table is not nearly full"
             drained = site.machines[0]
             site.journal.add(drained.entry("Terminating"))
-            # The service is back, at the address that was always asked.
+            # The service returns, at the address that was polled all along.
             again = Journal(hub, away)
             again.events = site.journal.events
             began = hub.now_us()
-            site.until(lambda: again.calls, "the list is asked for")
+            site.until(lambda: again.calls, "the list was not polled")
             assert hub.now_us() - began < 2 * S
-            site.until(lambda: len(again.calls) > 1, "its answer is taken, and it is asked again")
+            site.until(lambda: len(again.calls) > 1, "no second poll followed the first answer")
             assert f"tail={len(again.events)}" in again.calls[-1][1]
             assert process.poll() is None
             assert b"EMFILE" not in (tmp_path / "log").read_bytes()
@@ -216,15 +216,17 @@
 
 @pytest.mark.parametrize("flood", [False, True])
 def test_a_start_uses_less_than_one_cpu_second_until_ready(flood: bool, tmp_path: Path) -> None:
-    """Nine in ten restarted placers are to be ready within 10 s. At a tenth of a core that is 1 s of processor
-    time, here with 400 machines listed, discovery away and a flood of set-ups at the door."""
+    """Nine in ten restarted placers must be ready within 10 s, which at a tenth of a core is 1 s of CPU time.
+
+    Here 400 machines are listed, discovery is down, and in one case set-ups flood the placer.
+    """
 
     def call(hub: Hub) -> None:
         site = Site(hub, tmp_path, machines=2, absent=398)
         with reserved() as away, site.run(away) as process:
             ready: list[bool] = []
 
-            def pour() -> None:
+            def send_flood() -> None:
                 client = site.client()
                 try:
                     for task in range(1, 2000):
@@ -235,16 +237,16 @@
                     pass
 
             for _ in range(8 if flood else 0):
-                hub.spawn(pour, "flood")
+                hub.spawn(send_flood, "flood")
             tester = site.client()
 
             def passed() -> bool:
                 ready.append(tester.test() == 1)
                 return ready[-1]
 
-            site.until(passed, "a test passes")
+            site.until(passed, "no test passes")
             used = cpu_s(process.pid)
-            print(f"{used:.2f} s of processor time until ready")
+            print(f"{used:.2f} s of CPU time until ready")
             assert used < 1.0
 
     play(call)
@@ -255,7 +257,7 @@
         site = Site(hub, tmp_path)
         with site.run() as process:
             owner = site.client()
-            site.until(lambda: owner.test() == 1, "it is ready")
+            site.until(lambda: owner.test() == 1, "the placer is not ready")
             owner.ask(1, name="1" * 16)
             for number in (
                 signal.SIGHUP,
@@ -266,13 +268,15 @@
             ):
                 process.send_signal(number)
             owner.ask(2, name="2" * 16)
-            site.until(lambda: owner.kinds(1) and owner.kinds(2), "both are answered")
+            site.until(
+                lambda: owner.kinds(1) and owner.kinds(2), "the first two set-ups are not answered"
+            )
             assert owner.kinds(1) == owner.kinds(2) == [Kind.ANSWER]
             late = site.client()
             late.ask(3, name="3" * 16)
-            site.until(lambda: late.kinds(3), "a late one is answered")
+            site.until(lambda: late.kinds(3), "the late set-up is not answered")
             assert late.kinds(3) == [Kind.ANSWER]
-            site.until(lambda: process.poll() is not None, "it ends")
+            site.until(lambda: process.poll() is not None, "the process does not end")
             assert process.returncode == 0
 
     play(call)
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any site: names, units, counts and orders are its own, and what cannot be used is named by its key."""
+"""Settings of any site, with its own names, units and counts; invalid values are reported by their key."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 ABSENT = object()
 
 
-def site(names: list[str], kinds: list[str] | None = None, **more: Any) -> dict[str, Any]:
-    """Settings with classes and kinds of these names; `more` replaces what stands at a dotted path (with `__`)."""
+def site_settings(names: list[str], kinds: list[str] | None = None, **more: Any) -> dict[str, Any]:
+    """Settings with classes and kinds of these names; `more` replaces values at dotted paths (`__` for the dot)."""
     kinds = ["std"] if kinds is None else kinds
     value = copy.deepcopy(SETTINGS)
     value["lanes"] = [{**SETTINGS["lanes"][0], "name": name} for name in names]
@@ -39,7 +39,7 @@
         "lost_after": 0.2,
         "spread_by": "off",
     }
-    value["family_info"] |= {key: [usual] * len(names) for key, usual in columns.items()}
+    value["family_info"] |= {key: [default] * len(names) for key, default in columns.items()}
     value["family_info"] |= {
         "cores_by_kind": [20] * len(kinds),
         "memory_by_kind": [40.0] * len(kinds),
@@ -50,7 +50,7 @@
 
 
 def changed(value: Any, path: str, new: Any) -> Any:
-    """A copy with another value at a path such as `lanes.0.name`; ABSENT takes it away."""
+    """A copy with another value at a path such as `lanes.0.name`; ABSENT removes it."""
     value = copy.deepcopy(value)
     *above, last = path.split(".")
     at = value
@@ -68,8 +68,8 @@
     return load({**write(folder, {**GOOD, **more, "settings": settings})})
 
 
-def refusal(folder: Path, path: str, new: Any) -> str:
-    """The one line that a configuration with another value at a path gets."""
+def error_line(folder: Path, path: str, new: Any) -> str:
+    """The one-line error for a configuration with another value at a path."""
     with pytest.raises(BadConfiguration) as caught:
         load({**write(folder, changed(GOOD, path, new)), "RELAY_LISTEN": ""})
     line = str(caught.value).removeprefix(f"{folder / 'config.json'}: ")
@@ -78,7 +78,7 @@
     return line
 
 
-# -- what is wrong is named in full
+# -- errors name the full path
 
 KEYS = [
     "balancers",
@@ -106,7 +106,7 @@
     "family_info.easy_until.1",
     "family_info.lost_after.1",
 ]
-NO_FIGURES = [
+INVALID_NUMBERS = [
     -2,
     -0.5,
     float("nan"),
@@ -122,8 +122,8 @@
 ]
 
 
-def in_full(path: str) -> str:
-    """`lanes.1.name` as it is named: `lanes[1].name`."""
+def displayed_path(path: str) -> str:
+    """A path as errors show it: `lanes[1].name` for `lanes.1.name`."""
     return "".join(
         f"[{key}]" if key.isdecimal() else f".{key}" for key in path.split(".")
     ).removeprefix(".")
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("key", KEYS)
 def test_an_invalid_number_is_reported_with_its_key(tmp_path: Path, key: str) -> None:
     keyed = {"effect": "dedup", "dedup_scope": "all", "dedup_window_us": 0}
-    settings = site(
+    settings = site_settings(
         ["web", "other"],
         family_info__spread_by=["cell", "cell"],
         costs__fleet=0.1,
@@ -141,17 +141,17 @@
         bounds__conn_idle_us=1,
     )
     settings["lanes"][1] |= keyed
-    loaded(tmp_path, settings)  # sound as it is
-    for odd in NO_FIGURES:
+    loaded(tmp_path, settings)  # valid before the change
+    for invalid in INVALID_NUMBERS:
         with pytest.raises(BadConfiguration) as caught:
-            loaded(tmp_path, changed(settings, key, odd))
-        assert f": settings.{in_full(key)}: " in str(caught.value) and "\n" not in str(
+            loaded(tmp_path, changed(settings, key, invalid))
+        assert f": settings.{displayed_path(key)}: " in str(caught.value) and "\n" not in str(
             caught.value
-        ), odd
+        ), invalid
 
 
 @pytest.mark.parametrize(
-    ("path", "new", "told"),
+    ("path", "new", "expected"),
     [
         ("settings.lanes", [], "settings.lanes: at least one is needed"),
         (
@@ -195,7 +195,7 @@
         ("settings.costs.probe", ABSENT, "settings.costs.probe: missing"),
         ("settings", ABSENT, "settings: missing"),
         ("limits.sockets", ABSENT, "limits.sockets: missing"),
-        ("limits.sockets", 0, "limits.sockets: no fewer than 64 will do: 0"),
+        ("limits.sockets", 0, "limits.sockets: must be at least 64: 0"),
         ("limits.sockets", 10**400, "limits.sockets: out of range: inf"),
         ("seed", "xyz", "seed: not hex digits: 'xyz'"),
         ("seed", "9" * 4000 + "x", "seed: not hex digits: '" + "9" * 59 + "..."),
@@ -211,8 +211,8 @@
     ],
     ids=lambda value: str(value)[:40],
 )
-def test_the_error_names_key_and_value(tmp_path: Path, path: str, new: Any, told: str) -> None:
-    assert refusal(tmp_path, path, new) == told
+def test_the_error_names_key_and_value(tmp_path: Path, path: str, new: Any, expected: str) -> None:
+    assert error_line(tmp_path, path, new) == expected
 
 
 def test_a_dedup_class_without_a_valid_scope_is_rejected(tmp_path: Path) -> None:
@@ -228,37 +228,39 @@
         ("zone", api.Place.ZONE),
         ("cell", api.Place.CELL),
     ):
-        settings = site(["web"], lanes=[{**lane, "dedup_scope": scope}])
+        settings = site_settings(["web"], lanes=[{**lane, "dedup_scope": scope}])
         assert settings_of(settings).classes[0].group is place
     unfit: tuple[object, ...] = ("off", "rack", None, ABSENT)
-    for odd in unfit:
+    for invalid in unfit:
         with pytest.raises(ValueError, match=r"lanes\[0\].dedup_scope: "):
             settings_of(
                 changed(
-                    site(["web"], lanes=[lane | {"dedup_scope": ""}]), "lanes.0.dedup_scope", odd
+                    site_settings(["web"], lanes=[lane | {"dedup_scope": ""}]),
+                    "lanes.0.dedup_scope",
+                    invalid,
                 )
             )
 
 
 def test_too_deep_nesting_is_a_bad_configuration(tmp_path: Path) -> None:
-    for depth in range(850, 1000, 5):  # some of them can just be read
+    for depth in range(850, 1000, 5):  # the least of these depths can just be parsed
         text = json.dumps(GOOD).replace('"127.0.0.1:9"', "[" * depth + "]" * depth)
         with pytest.raises(BadConfiguration):
             load(write(tmp_path, text))
 
 
-# -- what is sound is taken as it is
+# -- valid settings
 
 
 @pytest.mark.parametrize(
     "settings",
     [
-        site(["einzige Klasse – ∑"]),
-        site([f"class {i}" for i in range(12)], [f"kind/{i}" for i in range(9)]),
-        site(["web"], []),
-        site(["web"], tenants=[]),
-        site(["web"], failure_domains=[], tenants=[{"name": "t"}] * 40),
-        site(["web"], novel={"a": [1]}, bounds__novel=None, lanes__0__novel=7),
+        site_settings(["einzige Klasse – ∑"]),
+        site_settings([f"class {i}" for i in range(12)], [f"kind/{i}" for i in range(9)]),
+        site_settings(["web"], []),
+        site_settings(["web"], tenants=[]),
+        site_settings(["web"], failure_domains=[], tenants=[{"name": "t"}] * 40),
+        site_settings(["web"], novel={"a": [1]}, bounds__novel=None, lanes__0__novel=7),
     ],
 )
 def test_any_number_of_classes_and_kinds_is_read(settings: dict[str, Any]) -> None:
@@ -279,7 +281,7 @@
     assert loaded(tmp_path, floats(SETTINGS), limits=sizes) == loaded(
         tmp_path, SETTINGS, limits={"sockets": 256}
     )
-    none = site(
+    none = site_settings(
         ["web"],
         quantum_us=0,
         rules={"ask_every_us": 0, "cold_us": 0, "fall_us": 0},
@@ -293,21 +295,23 @@
 
 
 def test_absent_or_zero_bounds_have_default_values(tmp_path: Path) -> None:
-    untold: tuple[dict[str, float], ...] = (
+    absent: tuple[dict[str, float], ...] = (
         {},
         {"dial_timeout_us": 0, "max_retry_after_us": 0, "conn_idle_us": 0},
     )
-    for told in untold:
+    for bounds in absent:
         read = loaded(
-            tmp_path, site(["web"], bounds=SETTINGS["bounds"] | told), limits={"sockets": 256}
+            tmp_path,
+            site_settings(["web"], bounds=SETTINGS["bounds"] | bounds),
+            limits={"sockets": 256},
         )
         assert (read.dial_us, read.max_retry_after_us, read.conn_idle_us) == (
             250_000,
             1_000_000,
             30_000_000,
         )
-    told = {"dial_timeout_us": 70_000.0, "max_retry_after_us": 3, "conn_idle_us": 4_000_000}
-    read = loaded(tmp_path, site(["web"], bounds=SETTINGS["bounds"] | told))
+    bounds = {"dial_timeout_us": 70_000.0, "max_retry_after_us": 3, "conn_idle_us": 4_000_000}
+    read = loaded(tmp_path, site_settings(["web"], bounds=SETTINGS["bounds"] | bounds))
     assert (read.dial_us, read.max_retry_after_us, read.conn_idle_us) == (70_000, 1_000, 4_000_000)
 
 
@@ -319,13 +323,14 @@
         read = loaded(tmp_path, {**SETTINGS, "lanes": lanes, "quantum_us": quantum_us})
         assert (read.settings.tick_us, read.patience_us) == (tick_us, 60 * S)
         assert not read.settings.arrivals_told, (
-            "the page counts what is sent, and nothing tells of arrivals"
+            "offers count when sent, as machines do not report their arrival"
         )
 
 
 def test_discovery_is_polled_at_a_bounded_rate() -> None:
     assert (
-        settings_of(site(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us >= 100 * MS
+        settings_of(site_settings(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us
+        >= 100 * MS
     )
 
 
@@ -343,8 +348,8 @@
 def test_a_set_up_in_the_sites_own_units_and_names_is_accepted(
     figures: str, values: dict[int, bytes]
 ) -> None:
-    cls = settings_of(site(["web"])).classes[0]
-    asked = {
+    cls = settings_of(site_settings(["web"])).classes[0]
+    parameters = {
         Code.CLASS: b"web",
         Code.PATIENCE: b"50",
         Code.NAME: b"0123456789abcdef",
@@ -352,20 +357,20 @@
         Code.FIGURES: figures.encode(),
         **values,
     }
-    assert setup.read(Message(Kind.SET_UP, 1, asked), {"web": cls}).cls is cls
+    assert setup.read(Message(Kind.SET_UP, 1, parameters), {"web": cls}).cls is cls
 
 
-# -- run ends, or goes on
+# -- exit status and SIGHUP
 
 
 def test_run_ends_with_one_line_and_status_2(tmp_path: Path) -> None:
-    told = {
+    changes = {
         "settings.lanes": [],
         "settings.costs.fleet": "dear",
         "settings.balancers": 10**400,
         "known": [],
     }
-    for path, new in told.items():
+    for path, new in changes.items():
         ended = subprocess.run(
             [sys.executable, "-m", "wingbarrow.relay"],
             capture_output=True,
@@ -394,21 +399,21 @@
     assert process.stderr is not None
     try:
 
-        def hear(word: str) -> str:
+        def wait_for_line(word: str) -> str:
             assert process.stderr is not None
             return next(line for line in process.stderr if word in line)
 
-        hear("ready")
+        wait_for_line("ready")
         for value, key in (("{", "config.json"), ({**GOOD, "journal": 7}, "journal")):
             write(tmp_path, value)
             process.send_signal(signal.SIGHUP)
-            line = hear("reload")
+            line = wait_for_line("reload")
             assert "reload-refused" in line
             assert key in line
         assert process.poll() is None
         write(tmp_path, {**GOOD, "journal": "127.0.0.1:7"})
         process.send_signal(signal.SIGHUP)
-        assert "reloaded" in hear("reload")
+        assert "reloaded" in wait_for_line("reload")
     finally:
         process.kill()
         process.wait()
@@ -419,7 +424,7 @@
 
 
 def play(settings: dict[str, Any], patience_ms: int = 2000, machines: int = 2) -> None:
-    """One task of each class, each of a service of its own."""
+    """Place one task of each class, each of a service of its own."""
     names = [lane["name"] for lane in settings["lanes"]]
 
     def each(stage: Stage) -> None:
@@ -445,14 +450,17 @@
 @pytest.mark.parametrize(
     ("settings", "patience_ms"),
     [
-        (site(["größte – ∑/%s\u2028{0}: 'x'\t"]), 2000),
-        (site([f"c{i}" for i in range(12)]), 2000),
-        (site(["web"], bounds__send_cap=1), 2000),
-        (site(["quick"], lanes__0__deadline_us=50_000), 50),
-        (site(["slow"], lanes__0__deadline_us=60 * S), 60_000),
-        (site(["web"], balancers=7, me=6, family_info__fresh_offers=2.5), 2000),
-        (site(["web"], balancers=7, me=6, quantum_us=0, rules__fall_us=0), 2000),
-        (site(["web"], family_info__spread_by=["zone"], family_info__class_most=[1.0]), 2000),
+        (site_settings(["größte – ∑/%s\u2028{0}: 'x'\t"]), 2000),
+        (site_settings([f"c{i}" for i in range(12)]), 2000),
+        (site_settings(["web"], bounds__send_cap=1), 2000),
+        (site_settings(["quick"], lanes__0__deadline_us=50_000), 50),
+        (site_settings(["slow"], lanes__0__deadline_us=60 * S), 60_000),
+        (site_settings(["web"], balancers=7, me=6, family_info__fresh_offers=2.5), 2000),
+        (site_settings(["web"], balancers=7, me=6, quantum_us=0, rules__fall_us=0), 2000),
+        (
+            site_settings(["web"], family_info__spread_by=["zone"], family_info__class_most=[1.0]),
+            2000,
+        ),
     ],
 )
 def test_a_task_of_each_class_is_placed(settings: dict[str, Any], patience_ms: int) -> None:
@@ -474,7 +482,7 @@
         }
 
     monkeypatch.setattr(Machine, "entry", entry)
-    settings = site(
+    settings = site_settings(
         ["any", "one", "two"],
         kinds,
         family_info__class_kind=[-1, 1, 2.0],
@@ -493,7 +501,7 @@
         for task in (2, 3):
             ((machine, _),) = stage.set_ups(task)
             assert stage.machines.index(machine) % 3 == task - 1, (
-                "on a machine of the kind that its class needs"
+                "not on a machine of the kind that its class needs"
             )
 
     Stage(6, settings=settings).run(each)
@@ -512,7 +520,7 @@
         assert stage.owner.kinds(1) == [Kind.RELEASE]
         assert stage.owner.of(1)[0].cause == Cause.BUSY
 
-    Stage(settings=site(["web"], bounds__send_cap=1)).run(once)
+    Stage(settings=site_settings(["web"], bounds__send_cap=1)).run(once)
 
 
 def test_an_answer_within_a_deadline_of_a_minute_is_in_time() -> None:
@@ -527,7 +535,7 @@
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert len(held) == 1
 
-    Stage(1, settings=site(["slow"], lanes__0__deadline_us=60 * S)).run(late)
+    Stage(1, settings=site_settings(["slow"], lanes__0__deadline_us=60 * S)).run(late)
 
 
 def test_a_placer_without_a_share_of_fresh_offers_waits_until_cold_machines_are_warm(
@@ -545,11 +553,15 @@
     def cold(stage: Stage) -> None:
         stage.owner.ask(1, patience_ms=3000)
         stage.sleep(900)
-        assert stage.owner.of(1) == [] and not stage.set_ups(1), "no share of so few offers"
+        assert stage.owner.of(1) == [] and not stage.set_ups(1), (
+            "a cold machine was sent an offer without a share of the fresh offers"
+        )
         stage.sleep(1500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
 
     rules = {"ask_every_us": 10 * S, "cold_us": S, "fall_us": 100 * MS}
     Stage(
-        settings=site(["web"], balancers=9, me=4, family_info__fresh_offers=0.9, rules=rules)
+        settings=site_settings(
+            ["web"], balancers=9, me=4, family_info__fresh_offers=0.9, rules=rules
+        )
     ).run(cold)
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -73,7 +73,7 @@
     try:
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except (OSError, ValueError):
-        raise BadConfiguration(f"{what}: not a host by number: {shown(text)}") from None
+        raise BadConfiguration(f"{what}: not a numeric IP address: {shown(text)}") from None
     return Address(host, int(port))
 
 
@@ -147,7 +147,7 @@
     try:
         settings, sockets = root.at("settings"), root.at("limits.sockets")
         if sockets.count() < LEAST:
-            raise sockets.wrong(f"no fewer than {LEAST} will do")
+            raise sockets.wrong(f"must be at least {LEAST}")
         return Configuration(
             name=name or root.at("name").name(),
             listen=read_address(
