--- a/tests/relay/test_deploy.py
+++ b/tests/relay/test_deploy.py
@@ -59,9 +59,11 @@
         "decide",
         "http",
         "interface",
-        "logic",
-        "reader",
+        "machine",
+        "placement",
         "relay",
+        "scheduler",
+        "settings",
         "transport",
     }
 
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -16,10 +16,10 @@
 from tests.relay.stage import MS, SETTINGS, Machine, S, Stage
 from tests.relay.test_configuration import GOOD, write
 from wingbarrow import interface as api
-from wingbarrow.reader import settings_of
 from wingbarrow.relay import setup
 from wingbarrow.relay.configuration import BadConfiguration, Configuration, load
 from wingbarrow.relay.message import Cause, Code, Kind, Message, with_cause
+from wingbarrow.settings_parser import parse_settings
 from wingbarrow.transport import Stream
 
 ROOT = Path(__file__).parents[2]
@@ -229,11 +229,11 @@
         ("cell", api.Place.CELL),
     ):
         settings = site_settings(["web"], lanes=[{**lane, "dedup_scope": scope}])
-        assert settings_of(settings).classes[0].group is place
+        assert parse_settings(settings).classes[0].group is place
     unfit: tuple[object, ...] = ("off", "rack", None, ABSENT)
     for invalid in unfit:
         with pytest.raises(ValueError, match=r"lanes\[0\].dedup_scope: "):
-            settings_of(
+            parse_settings(
                 changed(
                     site_settings(["web"], lanes=[lane | {"dedup_scope": ""}]),
                     "lanes.0.dedup_scope",
@@ -264,7 +264,7 @@
     ],
 )
 def test_any_number_of_classes_and_kinds_is_read(settings: dict[str, Any]) -> None:
-    read = settings_of(settings)
+    read = parse_settings(settings)
     assert [each.name for each in read.classes] == [lane["name"] for lane in settings["lanes"]]
     assert [each.name for each in read.kinds] == settings["kinds"]
 
@@ -329,7 +329,7 @@
 
 def test_discovery_is_polled_at_a_bounded_rate() -> None:
     assert (
-        settings_of(site_settings(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us
+        parse_settings(site_settings(["web"], discovery="ask", rules__ask_every_us=0)).ask_every_us
         >= 100 * MS
     )
 
@@ -348,7 +348,7 @@
 def test_a_set_up_in_the_sites_own_units_and_names_is_accepted(
     figures: str, values: dict[int, bytes]
 ) -> None:
-    cls = settings_of(site_settings(["web"])).classes[0]
+    cls = parse_settings(site_settings(["web"])).classes[0]
     parameters = {
         Code.CLASS: b"web",
         Code.PATIENCE: b"50",
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -11,7 +11,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.descriptors import LEAST
-from wingbarrow.reader import Part, settings_of, shown
+from wingbarrow.settings_parser import JsonValue, format_value, parse_settings
 
 MAX_FILE_BYTES = 16 << 20
 # Defaults for intervals that are absent or 0 in `settings.bounds`.
@@ -68,12 +68,12 @@
         and len(port) <= 5
         and int(port) < 65536
     ):
-        raise BadConfiguration(f"{what}: not an address: {shown(text)}")
+        raise BadConfiguration(f"{what}: not an address: {format_value(text)}")
     host = host.strip("[]")
     try:
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except (OSError, ValueError):
-        raise BadConfiguration(f"{what}: not a numeric IP address: {shown(text)}") from None
+        raise BadConfiguration(f"{what}: not a numeric IP address: {format_value(text)}") from None
     return Address(host, int(port))
 
 
@@ -98,40 +98,40 @@
     return value
 
 
-def _seed(part: Part) -> int:
+def _seed(part: JsonValue) -> int:
     try:
         return int(str(part.value), 16)
     except ValueError:
-        raise part.wrong("not hex digits") from None
+        raise part.error("not hex digits") from None
 
 
-def _known(part: Part) -> Any:
+def _known(part: JsonValue) -> Any:
     """Check the outer form of the known machine list; its events are validated where they are parsed."""
     position = part.at("pos")
     if isinstance(position.value, bool) or not isinstance(position.value, int):
-        raise position.wrong("not a position")
+        raise position.error("not a position")
     part.at("entries").items()
     return part.value
 
 
-def _interval_us(settings: Part, key: str, default_us: int) -> int:
+def _interval_us(settings: JsonValue, key: str, default_us: int) -> int:
     """An interval from `settings.bounds`, in microseconds; `default_us` if absent or 0."""
     part = settings.find(f"bounds.{key}")
-    value_us = 0 if part is None else part.whole()
+    value_us = 0 if part is None else part.microseconds()
     return max(MIN_INTERVAL_US, value_us) if value_us else default_us
 
 
-def _deadlines(settings: Part) -> list[int]:
-    return [lane.at("deadline_us").whole() for lane in settings.at("lanes").items()]
+def _deadlines(settings: JsonValue) -> list[int]:
+    return [lane.at("deadline_us").microseconds() for lane in settings.at("lanes").items()]
 
 
-def _scheduler(part: Part) -> api.Settings:
+def _scheduler(part: JsonValue) -> api.Settings:
     """The scheduler's settings, with the tick limited to a fraction of the shortest deadline.
 
     Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here. With a
     quantum as long as a deadline, every set-up of that class would be rejected as out of time.
     """
-    settings = settings_of(part.value, part.path)
+    settings = parse_settings(part.value, part.path)
     tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // MIN_TICKS_PER_DEADLINE))
     return replace(settings, tick_us=tick_us)
 
@@ -141,13 +141,13 @@
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
-    root = Part(_load(path))
+    root = JsonValue(_load(path))
     listen = environment.get("RELAY_LISTEN")
     name = environment.get("RELAY_NAME")
     try:
         settings, sockets = root.at("settings"), root.at("limits.sockets")
         if sockets.count() < LEAST:
-            raise sockets.wrong(f"must be at least {LEAST}")
+            raise sockets.error(f"must be at least {LEAST}")
         return Configuration(
             name=name or root.at("name").name(),
             listen=read_address(
