--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -283,9 +283,8 @@
         counts = stage.placer.life.counts
         stage.journal.troubles += [respond(b"", b"500 Broken")] * 50
         stage.journal.add(stage.machines[1].entry())
-        wait_until(
-            stage, lambda: counts["journal_failures"] == 7
-        )  # the backoff is now at least 250 ms
+        # After seven failures the backoff is at least 250 ms.
+        wait_until(stage, lambda: counts["journal_failures"] == 7)
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(stage.machines[0].entry("Terminating"))
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -60,9 +60,8 @@
 
     def _answer(self, request: Request) -> Answer:
         self.calls.append((self.hub.now_us(), request.target))
-        if (
-            len(self.calls) > 100
-        ):  # without a pause between polls the virtual clock would not advance
+        # Without a pause between polls the virtual clock would not advance.
+        if len(self.calls) > 100:
             self.hub.sleep(60 * S)
         return Answer(200, json.dumps(self.known()).encode())
 
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -56,9 +56,8 @@
         assert stage.machines[0].set_ups() == []
         stage.machines[0].tell(over(5))  # the adoption opened a connection
         stage.sleep(50)
-        stage.client().ask(
-            6, name="e" * 16
-        )  # a placed task makes it a proven owner, which releases can go to
+        # A placed task makes the connection a proven owner's, which releases can go to.
+        stage.client().ask(6, name="e" * 16)
         stage.sleep(400)
         assert stage.placer.life.counts["run:done"] == 1
 
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -74,9 +74,8 @@
         stage.placer.begin_shutdown()
         signalled_us = stage.hub.now_us()
         stage.sleep(600)
-        stage.owner.ask(
-            2, "settlement", patience_ms=2900, name="2" * 16
-        )  # never answered by the machine
+        # The machine never answers task 2, and answers task 3 late.
+        stage.owner.ask(2, "settlement", patience_ms=2900, name="2" * 16)
         stage.owner.ask(3, "settlement", patience_ms=2900, name="3" * 16)
         while stage.ended_us is None:
             stage.sleep(20)
@@ -288,9 +287,8 @@
             placer: Placer = stage.make()
             stage.hub.spawn(placer.run, f"placer {index}")
             placers.append(placer)
-        stage.sleep(
-            3000
-        )  # a placer that has just started assumes that a cold machine's offers are used up
+        # A placer that has just started assumes that a cold machine's offers are used up.
+        stage.sleep(3000)
         owners = [Client(stage.hub, placer.port) for placer in placers]
         entry = machine.entry(started_ms=stage.hub.clock.wall_us() // 1000)
         informed_journals[0].add(entry)
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -132,21 +132,21 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor seconds of a process so far."""
+    """CPU seconds used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class Fill:
-    """Set-ups of an owner, each for a service of its own; one that is rejected as busy is retried when it may be.
+    """Set-ups of an owner, each for a service of its own; one rejected as busy is retried after its retry delay.
 
-    They come in one burst, of which a placer that the machine's other work holds up sheds a part (by its lag).
+    They are sent in one burst, part of which a placer sheds when its event loop lags on a busy machine.
     """
 
     def __init__(self, owner: Client, count: int) -> None:
         self.owner = owner
         self._next = 2_000
-        self._retries: dict[int, int] = {}  # by the rejected set-up: when it is retried
+        self._retries: dict[int, int] = {}  # retry time of each rejected set-up
         self._read = 0
         for _ in range(count):
             self._send()
@@ -161,7 +161,7 @@
         )
 
     def retry_rejected(self) -> None:
-        """Send anew what was rejected and whose time to stay away is over."""
+        """Resend the rejected set-ups whose retry delay is over."""
         for each in self.owner.heard[self._read :]:
             message = each.message
             if message.kind == Kind.RELEASE and message.cause == Cause.BUSY:
@@ -181,7 +181,9 @@
         site = Site(hub, tmp_path, machines=SOCKETS)
         with reserved() as away, site.run(away) as process:
             owner = site.client()
-            idle = [site.client() for _ in range(SOCKETS // 3)]  # as many as owners may hold
+            idle = [
+                site.client() for _ in range(SOCKETS // 3)
+            ]  # fills the owners' share of descriptors
             for each in idle:
                 each.stream.send(with_cause(Kind.TEST, 1 << 40, 0))
             owner.ask(1000, name=f"{1000:016x}")
@@ -195,7 +197,9 @@
                 fill.retry_rejected()
                 return sum(bool(each.set_ups()) for each in site.machines) >= SOCKETS * 3 // 4
 
-            site.until(are_most_machines_reached, "three quarters of the machines got no task")
+            site.until(
+                are_most_machines_reached, "fewer than three quarters of the machines got a task"
+            )
             held = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert held >= SOCKETS * 5 // 8, f"{held} descriptors: the table is not nearly full"
             drained = site.machines[0]
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -35,7 +35,7 @@
         },
     )
     gc.collect()
-    gc.freeze()  # loaded modules and settings are permanent: excludes them from later collections
+    gc.freeze()  # loaded objects are permanent, so later collections skip them
     hub.complain = lambda name, error: log(
         "task-failed", level="error", task=name, why=f"{type(error).__name__}: {error}"
     )
