--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -1,4 +1,4 @@
-"""The list of machines as the journal service tells it, and what SIGHUP and SIGTERM change."""
+"""Parsing and following the machine list of the journal service; SIGHUP and SIGTERM."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 import pytest
 
 from tests.relay.stage import MS, Journal, Machine, S, Stage, over
-from tests.relay.test_list import Trouble, deliveries, event, move, phase, say, tails, tell, until
+from tests.relay.test_list import (
+    Fault,
+    answer_with,
+    change_address,
+    deliveries,
+    event,
+    phase,
+    respond,
+    tails,
+    wait_until,
+)
 from wingbarrow import interface as api
 from wingbarrow.http.message import Request
 from wingbarrow.relay import journal
@@ -38,7 +48,7 @@
     }
 
 
-def test_an_entry_is_read_whole() -> None:
+def test_an_entry_is_parsed_completely() -> None:
     last, (news,) = journal.read(form(ENTRY, reset=True), 500, pytest.fail)
     (entry,) = news.entries
     assert (last, news.position, news.whole, entry.name, str(entry.address)) == (
@@ -53,7 +63,7 @@
     )
 
 
-def test_a_cell_told_as_a_float_is_the_same_cell() -> None:
+def test_a_cell_given_as_a_float_is_the_same_cell() -> None:
     _, (news,) = journal.read(form({**ENTRY, "cell": 2.0}), 0, pytest.fail)
     assert news.entries[0].listed.cell == 2
 
@@ -72,11 +82,11 @@
         {"zone": None},
     ],
 )
-def test_a_bad_entry_is_passed_over_and_told(change: dict[str, object]) -> None:
-    told: list[str] = []
-    _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, told.append)
+def test_a_bad_entry_is_skipped_and_reported(change: dict[str, object]) -> None:
+    reported: list[str] = []
+    _, (news,) = journal.read(form({**ENTRY, **change}, ENTRY), 0, reported.append)
     assert len(news.entries) == 1
-    assert len(told) == 1
+    assert len(reported) == 1
 
 
 @pytest.mark.parametrize(
@@ -91,12 +101,12 @@
         {"pos": 1, "entries": [{"pos": 1, "hosts": {}}]},
     ],
 )
-def test_what_is_not_of_the_services_form_is_told(value: object) -> None:
+def test_an_answer_of_another_form_raises_value_error(value: object) -> None:
     with pytest.raises(ValueError, match=r".+"):
         journal.read(value, 0, pytest.fail)
 
 
-def test_nothing_goes_to_a_machine_once_its_drain_is_told() -> None:
+def test_nothing_is_sent_to_a_machine_after_its_drain_event() -> None:
     def play(stage: Stage) -> None:
         drained = stage.machines[0]
         stage.journal.add(drained.entry("Terminating"))
@@ -110,10 +120,10 @@
     Stage().run(play)
 
 
-def test_a_drain_told_while_an_offer_waits_for_its_connection_keeps_it_back() -> None:
+def test_a_drain_event_withholds_an_offer_that_waits_for_a_connection() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
-        fillers = machine.vanish()  # no connection comes up
+        fillers = machine.vanish()  # new connections are not accepted
         stage.owner.ask(1, patience_ms=1500)
         stage.sleep(100)
         fillers[0].close()
@@ -130,19 +140,17 @@
     Stage(1).run(play)
 
 
-def test_a_service_that_breaks_off_in_mid_event_is_asked_again_from_the_last_whole_event() -> None:
+def test_a_truncated_answer_is_polled_again_from_the_last_complete_event() -> None:
     def play(stage: Stage) -> None:
         def broken(request: object) -> None:
             request.connection.stream.send(  # type: ignore[attr-defined]
                 b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"pos":2,"ent'
             )
             request.connection.stream.abort()  # type: ignore[attr-defined]
-            raise PeerGone("broken off")
+            raise PeerGone("connection aborted")
 
         stage.journal.troubles += [broken, broken]
-        stage.sleep(
-            1000
-        )  # the call that is under way ends without news; the next two are broken off
+        stage.sleep(1000)  # the poll in progress ends empty; the next two are truncated
         stage.journal.add(stage.machines[0].entry("Terminating"))
         stage.sleep(400)
         tails = [target.partition("&")[0] for _, target in stage.journal.calls]
@@ -155,7 +163,7 @@
     Stage().run(play)
 
 
-def test_a_silent_service_is_given_up_soon_after_the_wait_asked_for() -> None:
+def test_a_poll_of_a_silent_service_times_out_soon_after_the_requested_wait() -> None:
     def play(stage: Stage) -> None:
         stage.sleep(1200)
         stage.journal.troubles.append(lambda _: stage.hub.sleep(60 * S))
@@ -170,14 +178,14 @@
     Stage().run(play)
 
 
-def test_after_sighup_the_new_address_is_asked_from_the_last_position() -> None:
+def test_after_sighup_the_new_address_is_polled_from_the_last_position() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(stage.machines[0].entry("Terminating"))
-        stage.placer._follower.move_to(Address("127.0.0.1", fresh.server.port))
+        stage.placer._follower.change_address(Address("127.0.0.1", fresh.server.port))
         stage.sleep(100)
         assert fresh.calls
         assert "tail=1&" in fresh.calls[0][1]
@@ -191,7 +199,7 @@
     Stage().run(play)
 
 
-def test_a_replaced_file_that_cannot_be_read_leaves_the_old_address_in_force() -> None:
+def test_an_unreadable_replaced_file_keeps_the_old_address() -> None:
     def play(stage: Stage) -> None:
         stage.placer.reload("/nowhere/config.json")
         stage.journal.add(stage.machines[0].entry("Terminating"))
@@ -204,12 +212,12 @@
     Stage().run(play)
 
 
-def test_after_sigterm_tests_fail_and_what_arrives_and_stands_is_looked_after() -> None:
+def test_after_sigterm_tests_fail_while_late_requests_and_running_tasks_are_served() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
-        stage.placer.finish()
-        told = stage.hub.now_us()
+        stage.placer.begin_shutdown()
+        signalled_us = stage.hub.now_us()
         assert stage.owner.test() == 0
         late = stage.client()
         late.ask(2, name="8" * 16)
@@ -218,18 +226,18 @@
         ((machine, _),) = stage.set_ups(1)
         machine.tell(over(1))
         stage.sleep(50)
-        news = stage.owner.of(1) + late.of(1)  # on either connection
+        news = stage.owner.of(1) + late.of(1)  # on any connection
         assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
         assert news[1].cause == Cause.OVER
-        while stage.ended_us is None and stage.hub.now_us() < told + 10 * S:
+        while stage.ended_us is None and stage.hub.now_us() < signalled_us + 10 * S:
             stage.sleep(50)
         assert stage.ended_us is not None
-        assert 2 * S <= stage.ended_us - told <= 3_700 * MS
+        assert 2 * S <= stage.ended_us - signalled_us <= 3_700 * MS
 
     Stage().run(play)
 
 
-def test_a_second_start_is_given_what_stands_and_begins_from_nothing() -> None:
+def test_a_second_placer_adopts_a_running_task_and_starts_empty() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
@@ -250,47 +258,49 @@
     Stage().run(play)
 
 
-def before_its_turn(stage: Stage, answer: Trouble, call: Callable[[], None]) -> Trouble:
-    """A trouble: this answer, and the call once the follower was woken by it and before it runs."""
+def before_follower_resumes(stage: Stage, answer: Fault, call: Callable[[], None]) -> Fault:
+    """A fault that sends this answer, and calls `call` after it woke the follower and before the follower runs."""
 
-    def trouble(request: Request) -> None:
+    def fault(request: Request) -> None:
         (task,) = (each for each in stage.hub._tasks.values() if each.name == "journal")
         with pytest.raises(PeerGone):
             answer(request)
         for _ in range(1000):
             if task.blocked is None:
                 call()
-                raise PeerGone("said")
+                raise PeerGone("answered")
             stage.hub.checkpoint()
-        pytest.fail("the follower was never woken")
+        pytest.fail("the follower was not woken within 1000 turns")
 
-    return trouble
+    return fault
 
 
 # -- SIGHUP
 
 
-def test_a_move_during_the_pause_after_failures_is_followed_at_once() -> None:
+def test_an_address_change_during_backoff_takes_effect_at_once() -> None:
     def play(stage: Stage) -> None:
         counts = stage.placer.life.counts
-        stage.journal.troubles += [say(b"", b"500 Broken")] * 50
+        stage.journal.troubles += [respond(b"", b"500 Broken")] * 50
         stage.journal.add(stage.machines[1].entry())
-        until(stage, lambda: counts["journal_failures"] == 7)  # the pause is now 250 ms at least
+        # After seven failures the backoff is at least 250 ms.
+        wait_until(stage, lambda: counts["journal_failures"] == 7)
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(stage.machines[0].entry("Terminating"))
-        move(stage, fresh)
+        change_address(stage, fresh)
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 10 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 10 * MS
         )
         assert counts["journal_failures"] == 7
 
     Stage().run(play)
 
 
-def test_a_move_between_an_answer_and_its_delivery_loses_nothing() -> None:
+def test_an_address_change_between_an_answer_and_its_delivery_loses_no_event() -> None:
     def play(stage: Stage) -> None:
-        told, moved = deliveries(stage), []
+        delivered, moved = deliveries(stage), []
         first, second = stage.machines
         fresh = Journal(stage.hub)
         fresh.events = [
@@ -300,24 +310,28 @@
         ]
 
         def now() -> None:
-            moved.append(len(told))
-            move(stage, fresh)
+            moved.append(len(delivered))
+            change_address(stage, fresh)
 
-        stage.journal.troubles.append(before_its_turn(stage, tell(3, *fresh.events[1:]), now))
+        stage.journal.troubles.append(
+            before_follower_resumes(stage, answer_with(3, *fresh.events[1:]), now)
+        )
         stage.journal.add(second.entry())
-        until(stage, lambda: bool(fresh.calls))
-        assert tails(fresh)[0] == 3 and moved == [1], "event 2 was told before, 3 is at hand"
+        wait_until(stage, lambda: bool(fresh.calls))
+        assert tails(fresh)[0] == 3 and moved == [1], (
+            "the address changed before event 2 or after event 3 was delivered"
+        )
         fresh.add(second.entry("Terminating"))
         stage.sleep(50)
-        assert [each.position for each in told] == [2, 3, 4]
+        assert [each.position for each in delivered] == [2, 3, 4]
         assert [phase(stage, each) for each in stage.machines] == [api.Phase.DRAINING] * 2
         assert not stage.placer.life.counts["journal_failures"]
 
     Stage().run(play)
 
 
-@pytest.mark.parametrize("end", [say(b"", b"500 Broken"), say(b"{")])
-def test_the_old_services_end_at_a_move_is_no_failure_of_the_new_one(end: Trouble) -> None:
+@pytest.mark.parametrize("end", [respond(b"", b"500 Broken"), respond(b"{")])
+def test_a_failure_of_the_old_service_at_an_address_change_is_not_counted(end: Fault) -> None:
     def play(stage: Stage) -> None:
         moved: list[int] = []
         fresh = Journal(stage.hub)
@@ -325,31 +339,33 @@
 
         def now() -> None:
             moved.append(stage.hub.now_us())
-            move(stage, fresh)
+            change_address(stage, fresh)
 
-        stage.journal.troubles.append(before_its_turn(stage, end, now))
-        until(stage, lambda: bool(fresh.calls))
+        stage.journal.troubles.append(before_follower_resumes(stage, end, now))
+        wait_until(stage, lambda: bool(fresh.calls))
         assert fresh.calls[0][0] - moved[0] <= 2 * MS
         assert not stage.placer.life.counts["journal_failures"]
 
     Stage().run(play)
 
 
-def test_two_moves_at_once_end_at_the_latter_and_none_to_the_same_address_breaks_the_call() -> None:
+def test_of_two_address_changes_the_last_wins_and_an_unchanged_address_keeps_the_poll() -> None:
     def play(stage: Stage) -> None:
         between, last = Journal(stage.hub), Journal(stage.hub)
         between.events = last.events = list(stage.journal.events)
         calls = len(stage.journal.calls)
-        move(stage, stage.journal)
+        change_address(stage, stage.journal)
         stage.sleep(50)
-        assert len(stage.journal.calls) == calls, "the call goes on"
-        move(stage, between)
-        move(stage, last)
+        assert len(stage.journal.calls) == calls, (
+            "a change to the same address interrupted the poll"
+        )
+        change_address(stage, between)
+        change_address(stage, last)
         stage.sleep(50)
         assert not between.calls
         assert tails(last) == [1]
-        move(stage, between)
-        move(stage, last)  # there and back
+        change_address(stage, between)
+        change_address(stage, last)  # to the other address and back
         stage.sleep(50)
         last.add(stage.machines[0].entry("Terminating"))
         stage.sleep(20)
@@ -360,13 +376,13 @@
     Stage().run(play)
 
 
-def test_what_the_old_service_would_still_tell_is_not_heard() -> None:
+def test_events_of_the_old_service_after_an_address_change_are_ignored() -> None:
     def play(stage: Stage) -> None:
         first, _ = stage.machines
         fresh = Journal(stage.hub)
         fresh.events = list(stage.journal.events)
         fresh.add(first.entry("Terminating"))
-        move(stage, fresh)
+        change_address(stage, fresh)
         stage.journal.add(first.entry())
         stage.journal.add(first.entry())
         stage.sleep(1500)
@@ -377,10 +393,10 @@
     Stage().run(play)
 
 
-# -- descriptors, and bodies that are no list
+# -- descriptors, and invalid bodies
 
 
-def test_a_full_descriptor_table_is_waited_out_for_half_a_second_at_most() -> None:
+def test_a_full_descriptor_table_delays_polls_by_half_a_second_at_most() -> None:
     def play(stage: Stage) -> None:
         counts = stage.placer.life.counts
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -394,15 +410,14 @@
                 assert error.errno == errno.EMFILE
             return counts["journal_failures"] >= 8
 
-        stage.journal.troubles.append(
-            say(b"", b"500 Broken")
-        )  # its descriptors are free then, and filled at once
+        # The failed poll frees its descriptors, and `fill` takes them at once.
+        stage.journal.troubles.append(respond(b"", b"500 Broken"))
         stage.journal.add(stage.machines[1].entry())
         try:
             resource.setrlimit(
                 resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 3, hard)
             )
-            until(stage, fill)
+            wait_until(stage, fill)
             calls = len(stage.journal.calls)
             stage.sleep(4000)
             assert 14 <= counts["journal_failures"] <= 30
@@ -413,7 +428,8 @@
                 os.close(each)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 510 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 510 * MS
         )
 
     Stage().run(play)
@@ -454,16 +470,17 @@
         "infinite",
     ],
 )
-def test_a_body_that_is_no_list_is_counted_and_the_next_one_heard(
+def test_an_invalid_body_is_counted_and_the_next_answer_is_applied(
     body: bytes, status: bytes
 ) -> None:
     def play(stage: Stage) -> None:
-        stage.journal.troubles += [say(body, status)] * 2
+        stage.journal.troubles += [respond(body, status)] * 2
         stage.journal.add(stage.machines[1].entry())
         stage.sleep(20)
         stage.journal.add(stage.machines[0].entry("Terminating"))
         assert (
-            until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING) <= 500 * MS
+            wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
+            <= 500 * MS
         )
         counts = stage.placer.life.counts
         assert counts["journal_failures"] + counts["journal_bad_entries"] >= 2
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -1,4 +1,4 @@
-"""One placer on the platform's protocol: its components put together, the list's news, its signals, its end."""
+"""A placer on the platform's protocol: wires its components, applies list updates, handles signals and shutdown."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Hub, Nursery, listen
 
-# The platform ends a placer no sooner than so long after SIGTERM: the longest deadline, counted as 3 s where it is
-# longer, and 0.7 s. Until shortly before, what stands is looked after: nobody else tells its owners that it is over.
-MAX_PATIENCE_US, LINGER_US = 3_000_000, 300_000
-# Connections come until 0.4 s after SIGTERM and their requests 0.2 s more; each of them is owed an answer.
-ARRIVALS_US = 620_000
-FAREWELL_US = 80_000  # at most, for what is written to leave, and for clients to hear that this side has ended
-FORGET_US = 30_000_000  # a machine that is gone is forgotten so long after
-COUNTS_US = 10_000_000
+# After SIGTERM the platform waits for the longest deadline, at most 3 s, plus 0.7 s before it kills the placer. Running
+# tasks are tracked until shortly before, as no other process tells their owners that they have ended.
+MAX_PATIENCE_US = 3_000_000
+SHUTDOWN_MARGIN_US = 300_000  # of the 0.7 s after the deadline
+# Connections may arrive until 0.4 s after SIGTERM, and their requests 0.2 s later; each must be answered.
+LATE_ARRIVALS_US = 620_000
+CLOSE_TIMEOUT_US = 80_000  # for output to be sent and clients to close their side
+FORGET_GONE_US = 30_000_000  # a removed machine's link is kept for this time
+COUNTS_INTERVAL_US = 10_000_000
 
 
 class Placer:
-    """Serves until cancelled, or until it was told to end and nothing is owed."""
+    """Serves until cancelled, or until `begin_shutdown` was called and all answers are sent."""
 
     def __init__(
         self,
@@ -45,14 +46,17 @@
         life = self.life = Life(hub, log, configuration.seed)
         self._host = Host(life, settings)
         table = self._table = Table(configuration.sockets)
-        self._requests, self._attempts, self._links = (
-            RequestTable(),
-            Attempts(),
-            Links(table, lambda: len(self.owners), configuration.conn_idle_us),
-        )
+        self._requests = RequestTable()
+        self._attempts = Attempts()
+        self._links = Links(table, lambda: len(self.owners), configuration.conn_idle_us)
         crowd = Crowd(table.owners_most)
         self.owners = Owners(
-            life, crowd, self._take, self._left, lambda: self._links.make_room(0), trace
+            life,
+            crowd,
+            self._on_owner_message,
+            self._on_owner_disconnect,
+            lambda: self._links.make_room(0),
+            trace,
         )
         self._offers = Offers(
             life,
@@ -73,15 +77,15 @@
             self._offers,
             crowd,
             settings,
-            configuration.stay_away_most_us,
+            configuration.max_retry_after_us,
             configuration.patience_us,
             trace,
         )
         self.admission.owners = self.owners
         self._host.hands = self
         self._shift_us = hub.clock.now_us() - hub.clock.wall_us()
-        self._gone: dict[str, int] = {}
-        self._ending = False
+        self._gone_since_us: dict[str, int] = {}
+        self._shutting_down = False
         self.port = configuration.listen.port
         position, known = journal.read(
             configuration.known,
@@ -93,14 +97,14 @@
             configuration.journal,
             position,
             self._shift_us,
-            self._on_news,
-            self._on_failed,
+            self._on_list_update,
+            self._on_list_failure,
             known,
         )
-        self._offers.list_behind = self._follower.is_behind
-        self._begin(known)
+        self._offers.list_behind = self._follower.has_stale_input
+        self._load_known(known)
 
-    # -- the module's hands
+    # -- actions of the scheduler
 
     def bind(self, bind: api.Bind) -> None:
         """Offer a task to a machine."""
@@ -119,23 +123,23 @@
         self.admission.move(request)
 
     def probe(self, machine: int) -> None:
-        """Ask a machine for its report."""
+        """Request a load report from a machine."""
         self._offers.probes.ask(machine)
 
     def flush(self) -> None:
-        """Everything has been written already."""
+        """Do nothing, as each action is written at once."""
 
-    # -- what connections tell
+    # -- events of connections
 
-    def _take(self, owner: Owner, message: Message, came_us: int) -> None:
-        self.admission.take(owner, message, came_us)
+    def _on_owner_message(self, owner: Owner, message: Message, came_us: int) -> None:
+        self.admission.on_message(owner, message, came_us)
 
-    def _left(self, owner: Owner) -> None:
-        self.admission.left(owner)
+    def _on_owner_disconnect(self, owner: Owner) -> None:
+        self.admission.on_disconnect(owner)
 
     # -- the list of machines
 
-    def _begin(self, known: list[journal.News]) -> None:
+    def _load_known(self, known: list[journal.News]) -> None:
         entries: dict[str, journal.Entry] = {}
         for news in known:
             if news.whole:
@@ -145,10 +149,10 @@
             each for each in entries.values() if each.listed.phase is not api.Phase.GONE
         )
         for entry in running:
-            self._reach(entry)
+            self._add_link(entry)
         self._host.feed(api.MachineList(api.ListForm.SAVED, tuple(each.listed for each in running)))
 
-    def _reach(self, entry: journal.Entry) -> Link:
+    def _add_link(self, entry: journal.Entry) -> Link:
         link = Link(
             self.life,
             entry.name,
@@ -161,51 +165,51 @@
         self._links.add(link)
         return link
 
-    def _on_news(self, news: journal.News) -> None:
+    def _on_list_update(self, news: journal.News) -> None:
         form = api.ListForm.FULL if news.whole else api.ListForm.CHANGES
         if news.whole:
             names = {each.name for each in news.entries}
             for link in list(self._links.by_name.values()):
                 if link.name not in names:
-                    self._is_gone(link)
+                    self._remove_link(link)
         for entry in news.entries:
             self._on_entry(entry)
-        # Links first: what the module decides on hearing the list must find them as it says.
+        # Links are updated first, because the scheduler's actions on this event use them.
         self._host.feed(api.MachineList(form, tuple(each.listed for each in news.entries)))
 
     def _on_entry(self, entry: journal.Entry) -> None:
         link, listed = self._links.by_name.get(entry.name), entry.listed
         if listed.phase is api.Phase.GONE:
             if link is not None:
-                self._is_gone(link)
+                self._remove_link(link)
             return
         for other in self._links.at(entry.address):
             if other.name != entry.name:
-                self._is_gone(other)  # its address is another machine's now
+                self._remove_link(other)  # the address now belongs to this entry's machine
         if link is not None and (link.closed or link.address != entry.address):
-            self._is_gone(link)
+            self._remove_link(link)
             link = None
         if link is None:
-            link = self._reach(entry)
-            self._gone.pop(entry.name, None)
+            link = self._add_link(entry)
+            self._gone_since_us.pop(entry.name, None)
         elif listed.launched_us > link.launched_us:
             self._offers.restarted(link, listed.launched_us)
         link.phase, link.launched_us = listed.phase, listed.launched_us
 
-    def _is_gone(self, link: Link) -> None:
+    def _remove_link(self, link: Link) -> None:
         if not link.closed:
             link.phase = api.Phase.GONE
             link.close()
             self._offers.lost(link)
-            self._gone[link.name] = self.life.hub.now_us()
+            self._gone_since_us[link.name] = self.life.hub.now_us()
 
-    def _on_failed(self) -> None:
+    def _on_list_failure(self) -> None:
         self._host.feed(api.MachineList(api.ListForm.FAILED, ()))
 
-    # -- life
+    # -- lifecycle
 
     def run(self) -> None:
-        """Serve; a failure of the core itself ends it."""
+        """Serve until the end; raises the error if the scheduler's core failed."""
         hub, configuration = self.life.hub, self._configuration
         with Nursery(hub) as nursery:
             self.life.live_in(nursery)
@@ -218,9 +222,9 @@
             self.port = listener.port
             nursery.spawn(lambda: self.owners.serve(listener), "listener")
             nursery.spawn(self.owners.sweep, "owners")
-            nursery.spawn(self._look_after_links, "links")
+            nursery.spawn(self._maintain_links, "links")
             nursery.spawn(self._follower.run, "journal")
-            nursery.spawn(self._tell_counts, "counts")
+            nursery.spawn(self._log_counts_periodically, "counts")
             self.admission.ready = True
             self.life.log(
                 "ready",
@@ -231,7 +235,7 @@
         if self._host.failed is not None:
             raise self._host.failed
 
-    def _look_after_links(self) -> None:
+    def _maintain_links(self) -> None:
         hub = self.life.hub
         while True:
             hub.sleep(SWEEP_US)
@@ -239,20 +243,20 @@
             for link in list(self._links.by_name.values()):
                 if not link.closed:
                     link.look_after(now)
-            for name, since_us in list(self._gone.items()):
-                if now - since_us >= FORGET_US:
-                    del self._gone[name]
-                    link_gone = self._links.by_name.get(name)
-                    if link_gone is not None and link_gone.closed:
-                        self._links.remove(link_gone)
-
-    def _tell_counts(self) -> None:
+            for name, since_us in list(self._gone_since_us.items()):
+                if now - since_us >= FORGET_GONE_US:
+                    del self._gone_since_us[name]
+                    gone_link = self._links.by_name.get(name)
+                    if gone_link is not None and gone_link.closed:
+                        self._links.remove(gone_link)
+
+    def _log_counts_periodically(self) -> None:
         while True:
-            self.life.hub.sleep(COUNTS_US)
-            self.tell_counts()
+            self.life.hub.sleep(COUNTS_INTERVAL_US)
+            self.log_counts()
 
-    def tell_counts(self) -> None:
-        """A line with all counters."""
+    def log_counts(self) -> None:
+        """Log all counters in one line."""
         self.life.log(
             "counts",
             owners=len(self.owners),
@@ -267,32 +271,32 @@
         )
 
     def reload(self, path: str) -> None:
-        """SIGHUP: use the journal service's address in the file; what cannot be read leaves the old one in force."""
+        """SIGHUP: take the journal service's address from the file; an unusable file is logged and the old one kept."""
         try:
             address = load_journal(path)
         except BadConfiguration as error:
             self.life.log("reload-refused", level="error", why=str(error))
             return
         self.life.log("reloaded", journal=str(address))
-        self._follower.move_to(address)
+        self._follower.change_address(address)
 
-    def finish(self) -> None:
-        """SIGTERM: tests fail from now on; the end comes when nothing more arrives and nothing is owed."""
-        if not self._ending:
-            self._ending, self.admission.ready = True, False
+    def begin_shutdown(self) -> None:
+        """SIGTERM: fail tests from now on, and end once late requests have arrived and all are answered."""
+        if not self._shutting_down:
+            self._shutting_down, self.admission.ready = True, False
             self.life.log("ending", pending=self._requests.pending, running=len(self._attempts))
-            self.life.spawn(self._wind_up, "end")
+            self.life.spawn(self._shut_down, "end")
 
-    def _wind_up(self) -> None:
+    def _shut_down(self) -> None:
         hub = self.life.hub
         patience_us = min(MAX_PATIENCE_US, self._configuration.patience_us)
-        end_us = hub.now_us() + max(patience_us + LINGER_US, ARRIVALS_US)
+        end_us = hub.now_us() + max(patience_us + SHUTDOWN_MARGIN_US, LATE_ARRIVALS_US)
         while self._requests.pending or hub.now_us() < end_us:
             hub.sleep(20_000)
-        self.tell_counts()
-        # Danger: a connection that is closed with something unread is reset, and an answer on its way is thrown away.
-        self.owners.say_farewell()
-        end_us = hub.now_us() + FAREWELL_US
+        self.log_counts()
+        # Danger: closing a connection with unread input resets it and discards an answer in flight.
+        self.owners.retire_all()
+        end_us = hub.now_us() + CLOSE_TIMEOUT_US
         while len(self.owners) and hub.now_us() < end_us:
             hub.sleep(10_000)
         self.life.end()
