--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -109,7 +109,7 @@
     ),
     (
         Mechanism("wingbarrow/core/reflector.py", "list and watch, with pages and versions"),
-        Mechanism("wingbarrow/decide/listing.py", "keeps older lists out"),
+        Mechanism("wingbarrow/decide/list_versions.py", "keeps older lists out"),
         Mechanism("wingbarrow/http/watching.py", "the client's side of a watch"),
     ),
     (
@@ -160,7 +160,9 @@
         Mechanism("wingbarrow/core/link.py", "what a placer opens to one machine"),
         Mechanism("wingbarrow/core/stops.py", "stops that are owed, by machine"),
         Mechanism("wingbarrow/core/machine_leases.py", "renewals of what may run"),
-        Mechanism("wingbarrow/decide/descriptors.py", "whose descriptor goes, on the platform"),
+        Mechanism(
+            "wingbarrow/decide/descriptor_budget.py", "whose descriptor goes, on the platform"
+        ),
     ),
     (
         Missing(
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -27,6 +27,7 @@
 from unittest.mock import patch
 
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer
+from wingbarrow.decide.membership_damping import LivingView
 from wingbarrow.decide.outliers import detector, ejections, health
 from wingbarrow.decide.regions.forwarding import (
     ForwardedJob,
@@ -35,9 +36,8 @@
     ForwardStatus,
     Target,
 )
-from wingbarrow.decide.subset_view import LivingView
+from wingbarrow.decide.subset_widening import Widening, is_long
 from wingbarrow.decide.subsets import SubsetRules, Subsets, placers_wanted, subset_most_expected
-from wingbarrow.decide.widening import Widening, is_long
 from wingbarrow.lab.days import Play, play
 from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
 from wingbarrow.lab.fleet.assembly import Assembly
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -10,7 +10,7 @@
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_text
 from wingbarrow.config.subsetting import module_settings
-from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
+from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -189,7 +189,7 @@
         assert listing.wait(lambda: (ListForm.CHANGES, 0, 1) in listing.delivered), (
             "its end was read"
         )
-        assert not listing.reflector._judge.judge_entry(
+        assert not listing.reflector._versions.accept_entry(
             other, int(entry["metadata"]["resourceVersion"])
         )
         listing.reflector.refill()
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -9,7 +9,7 @@
 from tests.stage import S
 from wingbarrow.core.placer import Placer
 from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDEN_SPREAD_US
-from wingbarrow.decide.widening import CALM_US, STEP_US
+from wingbarrow.decide.subset_widening import CALM_US, STEP_US
 from wingbarrow.interface import Phase
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import PlacerSlot
--- a/tests/decide/test_subset_view.py
+++ b/tests/decide/test_membership_damping.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US, LivingView
+from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US, LivingView
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
--- a/tests/decide/test_subset_cold.py
+++ b/tests/decide/test_subset_cold.py
@@ -13,7 +13,7 @@
 
 from tests.conftest import Driver, binds, listed, settings, task_class
 from wingbarrow import interface as api
-from wingbarrow.decide.subset_view import LivingView
+from wingbarrow.decide.membership_damping import LivingView
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
--- a/tests/decide/test_widening.py
+++ b/tests/decide/test_subset_widening.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.widening import CALM_US, STEP_US, Widening, is_long
+from wingbarrow.decide.subset_widening import CALM_US, STEP_US, Widening, is_long
 
 S = 1_000_000
 looks = st.lists(
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.relay.stage import SETTINGS, Client, Machine, S, Stage, over
-from wingbarrow.decide.descriptors import Table
+from wingbarrow.decide.descriptor_budget import DescriptorBudget
 from wingbarrow.relay.message import Kind
 from wingbarrow.transport import Stream
 
@@ -85,7 +85,7 @@
         for machine in with_tasks:
             machine.end_all()
         stage.sleep(8000)
-        assert stage.held_most <= Table(sockets).most
+        assert stage.held_most <= DescriptorBudget(sockets).total
         heard = {
             each.message.task: each.at_us
             for each in stage.owner.heard
@@ -141,7 +141,7 @@
             for task, client in zip(range(1001, 1021), more, strict=True)
         )
         assert answers >= 15
-        assert stage.held_most <= Table(96).most
+        assert stage.held_most <= DescriptorBudget(96).total
 
     Crowded(0, settings=MANY, sockets=96).run(play)
 
--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.relay.stage import Machine, S, Stage, over
-from wingbarrow.decide.descriptors import Table
+from wingbarrow.decide.descriptor_budget import DescriptorBudget
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Kind, Message, with_cause
 from wingbarrow.transport import PeerGone, Stream
@@ -121,7 +121,7 @@
         link = stage.placer._links.by_name[gone.name]
         for _ in range(1000):
             stage.sleep(5)
-            if link.liveness.doubts(stage.hub.now_us()):
+            if link.liveness.failed_recently(stage.hub.now_us()):
                 break
         began = stage.hub.now_us()
         assert link.line_for_offer() is None and stage.hub.now_us() == began, (
@@ -285,6 +285,6 @@
         )
         held = [link.held for link in stage.placer._links.by_name.values()]
         assert max(held) > 1
-        assert sum(held) <= Table(48).extras_most
+        assert sum(held) <= DescriptorBudget(48).max_with_extras
 
     Stage(8, sockets=48).run(play)
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.relay.stage import DESCRIPTION, MS, SETTINGS, Machine, S, Stage
-from wingbarrow.decide.crowd import IDLE_US, SILENT_US
+from wingbarrow.decide.connection_limits import FIRST_MESSAGE_TIMEOUT_US, IDLE_TIMEOUT_US
 from wingbarrow.http.message import Request
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
@@ -211,7 +211,7 @@
 def test_a_set_up_that_lies_unread_as_its_connection_is_swept_is_answered() -> None:
     def play(stage: Stage) -> None:
         proven_and_idle(stage)
-        stage.sleep((IDLE_US - 300 * MS) // MS)
+        stage.sleep((IDLE_TIMEOUT_US - 300 * MS) // MS)
 
         def at_once() -> None:
             # All that is due runs before what came is read: the sweep finds the connection idle for too long.
@@ -265,9 +265,9 @@
     def play(stage: Stage) -> None:
         owners = stage.placer.owners
         stage.sleep(20)
-        clients = [stage.client() for _ in range(owners._crowd.most - 1)]
+        clients = [stage.client() for _ in range(owners._limits.max_connections - 1)]
         stage.sleep(20)
-        assert len(owners) == owners._crowd.most
+        assert len(owners) == owners._limits.max_connections
         assert stage.placer.life.counts["owners:crowded"] == 0
         make_room = owners._make_room
 
@@ -294,7 +294,7 @@
         clients[0].stream.send(
             encode(Kind.SET_UP, 5, {Code.DESCRIPTION: DESCRIPTION})[:9]
         )  # half a message
-        stage.sleep((SILENT_US + 300 * MS) // MS)
+        stage.sleep((FIRST_MESSAGE_TIMEOUT_US + 300 * MS) // MS)
         assert all(client.ended_us is not None for client in clients)
         stage.sleep(600)
         assert len(stage.placer.owners) == 0
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -9,8 +9,8 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.federation.spec import Federation
+from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import SubsetRules
 
 _DURATION = re.compile(r"(?:(\d+(?:\.\d+)?)(us|ms|s|m|h))")
--- a/wingbarrow/config/subsetting.py
+++ b/wingbarrow/config/subsetting.py
@@ -10,7 +10,8 @@
 than those (0 to 1). `widen`: further ranks (0 to 8) whose machines a placer holds for a while where tasks of its own
 wait long. `machines` and `cells`: the region's size; where they are told, subsets too small are refused.
 `roster`: every placer that may ever hold machines of this region, the same in the files of all; without it, the members
-by `agree` that stand in this placer's region and have machines. `leave-after` and `settle`: see `decide.subset_view`.
+by `agree` that stand in this placer's region and have machines. `leave-after` and `settle`: see
+`decide.membership_damping`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config.settings import Agree, ClassSettings, Limits, PlacerSettings, SubsetSettings
 from wingbarrow.config.shapes import NEEDED, Node, Shape, number, read_duration, text
-from wingbarrow.decide.subset_view import LEAVE_AFTER_US, SETTLE_US
+from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import ROSTER_MOST, SubsetRules, Subsets, subset_size
 
 MAX_WIDEN = 8
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -1,7 +1,7 @@
 """The reflector: lists, then watches, the Nodes of the list source; resumes, relists or backs off when that fails.
 
-Kubernetes API concepts, "Efficient detection of changes". Which versions are accepted is decided in `decide.listing`;
-how long to wait after a failure, in `decide.backoff`.
+Kubernetes API concepts, "Efficient detection of changes". Which versions are accepted is decided in
+`decide.list_versions`; how long to wait after a failure, in `decide.backoff`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from wingbarrow.core.nodes import NodeEntry, read_node
 from wingbarrow.decide.backoff import Backoff
-from wingbarrow.decide.listing import ListJudge, Take
+from wingbarrow.decide.list_versions import ListDecision, ListVersionCheck
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.http.watching import list_all, watch_batches
@@ -55,7 +55,7 @@
         )
         self._deliver = deliver
         self._log = log
-        self._judge = ListJudge()
+        self._versions = ListVersionCheck()
         self._backoff = Backoff(seed, 100_000, 5 * SECOND)
         self._max_machines = max_machines
         self._version = ""
@@ -108,10 +108,10 @@
         self.relists += 1
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
-        take = self._judge.judge_list(int(version), self._hub.now_us())
-        if take is Take.TOO_OLD:
+        decision = self._versions.check_list(int(version), self._hub.now_us())
+        if decision is ListDecision.REJECT_STALE:
             raise ValueError(f"the list goes back to version {version}; the newer one held is kept")
-        if take is Take.NEW_SOURCE:
+        if decision is ListDecision.ACCEPT_NEW_SOURCE:
             self._log("list-source-began-anew", level="warning", version=version)
             self.on_new_source()
         entries: dict[str, NodeEntry] = {}
@@ -125,13 +125,13 @@
                     entries[name] = self.held[name]
             else:
                 # An entry of an older version than the one held: the newer one is kept.
-                newer = self._judge.judge_entry(entry.name, entry.version)
+                newer = self._versions.accept_entry(entry.name, entry.version)
                 entries[entry.name] = entry if newer else self.held.get(entry.name, entry)
         if len(wanted) > self._max_machines:
             self._log("list-too-long", level="error", machines=len(wanted), most=self._max_machines)
         gone = [name for name in self.held if name not in entries]
         self.held = entries
-        self._judge.forget(set(entries))
+        self._versions.prune(set(entries))
         self._version = version
         self._on_success()
         self._deliver(ListForm.FULL, list(entries.values()), gone)
@@ -148,7 +148,7 @@
         if not version.isascii() or not version.isdigit():
             raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
         # Danger (rule 3): the watch may have announced a drain that an older list does not contain yet.
-        if self._judge.goes_back(int(version)):
+        if self._versions.is_stale(int(version)):
             raise ValueError(f"the list goes back to version {version}")
         self.refills += 1
         added: list[NodeEntry] = []
@@ -159,7 +159,7 @@
                 continue  # the watch keeps it current
             entry = self._read(value)
             # An entry that the watch has reported deleted meanwhile has a lower version here.
-            if entry is None or not self._judge.judge_entry(entry.name, entry.version):
+            if entry is None or not self._versions.accept_entry(entry.name, entry.version):
                 continue
             if len(self.held) >= self._max_machines:
                 self._log(
@@ -251,11 +251,11 @@
         self, kind: str, value: dict[str, Any], changed: dict[str, NodeEntry], gone: dict[str, None]
     ) -> None:
         if not self._is_wanted(value):
-            self._judge.passed(int(value["metadata"]["resourceVersion"]))
+            self._versions.observe_version(int(value["metadata"]["resourceVersion"]))
             self.left_out = max(0, self.left_out + {"ADDED": 1, "DELETED": -1}.get(kind, 0))
             return
         entry = self._read(value)
-        if entry is None or not self._judge.judge_entry(entry.name, entry.version):
+        if entry is None or not self._versions.accept_entry(entry.name, entry.version):
             return
         if kind == "DELETED":
             self.held.pop(entry.name, None)
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -5,8 +5,8 @@
 released. Machines that enter the subset are read by one further list, which each placer requests after a random delay,
 as all placers learn of a membership change at about the same time.
 
-While tasks wait long, the subset is widened by `decide.widening`: the machines of one more rank are read at once, by a
-list of this placer alone, and leave the subset later as others do.
+While tasks wait long, the subset is widened by `decide.subset_widening`: the machines of one more rank are read at once, by
+a list of this placer alone, and leave the subset later as others do.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.refills import Refills
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide.subset_view import LivingView
+from wingbarrow.decide.membership_damping import LivingView
+from wingbarrow.decide.subset_widening import Widening
 from wingbarrow.decide.subsets import Subsets
-from wingbarrow.decide.widening import Widening
 
 CHECK_INTERVAL_US = 250_000
 ALONE_US = 5_000_000  # without any known member for so long, this placer counts as the only one
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from wingbarrow.core.job_store import State, TaskRecord
-from wingbarrow.decide.widening import is_long
+from wingbarrow.decide.subset_widening import is_long
 
 MAX_CHECKED_PER_GROUP = 64  # patience is bounded, and with it the number of groups
 
@@ -35,7 +35,7 @@
         return sum(len(group) for group in self._groups.values())
 
     def any_long(self, now_us: int) -> bool:
-        """Whether a task without an attempt in flight has waited long (`decide.widening.is_long`) for its request."""
+        """Whether a task without an attempt in flight has waited long: `decide.subset_widening.is_long`."""
         return any(
             self._waits_long(now_us, request, task)
             for group in self._groups.values()
--- /dev/null
+++ b/wingbarrow/decide/connection_limits.py
@@ -0,0 +1,86 @@
+"""Limits on connections from owners: open set-ups per connection, idle timeouts, and which connection to close first.
+
+A connection is proven once a task of it was placed or found running; proven connections are kept in preference to
+others. A connection with open set-ups is closed only when no other is left, because its owner would have to send them
+again.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+
+# From connecting to the first message that was answered.
+FIRST_MESSAGE_TIMEOUT_US = 1_800_000
+# Without an open set-up, on a proven connection.
+IDLE_TIMEOUT_US = 30_000_000
+# Without an open set-up, on an unproven connection.
+UNPROVEN_IDLE_TIMEOUT_US = 5_000_000
+MAX_OPEN_SET_UPS = 256  # on one proven connection
+MAX_UNPROVEN_SET_UPS = (
+    16  # on one unproven connection: enough for the first tasks of a regular owner
+)
+MAX_UNPROVEN_ERRORS = 2  # set-ups of an unproven connection that machines could not use
+
+
+@dataclass(slots=True, eq=False)
+class OwnerConnection:
+    """What the limits need to know of one connection; times in microseconds."""
+
+    connected_us: int
+    last_message_us: int | None = None  # when the latest complete message was read
+    proven: bool = False  # one of its tasks was placed, or found running
+    was_written_to: bool = False  # at least one message was sent to it
+    errors: int = 0  # set-ups of it that machines could not use
+
+
+class ConnectionLimits:
+    """`max_connections`: connections from owners that this process may hold."""
+
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+
+    def may_open_set_up(self, connection: OwnerConnection, open_set_ups: int) -> bool:
+        """Whether a connection with `open_set_ups` open set-ups may open one more.
+
+        Danger: hundreds of concurrent set-ups that no machine can use would each cost machine time while regular owners
+        wait. Only a machine can tell whether it can use a set-up, so an unproven connection gets few.
+        """
+        if connection.proven:
+            return open_set_ups < MAX_OPEN_SET_UPS
+        return open_set_ups < MAX_UNPROVEN_SET_UPS and connection.errors < MAX_UNPROVEN_ERRORS
+
+    def is_idle(self, now_us: int, connection: OwnerConnection, open_set_ups: int) -> bool:
+        """Whether a connection has sent no message for longer than its idle timeout."""
+        if open_set_ups:
+            return False
+        # A client whose messages need no answer gets the same short timeout as one that sends nothing at all.
+        if connection.last_message_us is None or not (
+            connection.was_written_to or connection.proven
+        ):
+            return now_us - connection.connected_us >= FIRST_MESSAGE_TIMEOUT_US
+        return now_us - connection.last_message_us >= (
+            IDLE_TIMEOUT_US if connection.proven else UNPROVEN_IDLE_TIMEOUT_US
+        )
+
+    def connection_to_close(
+        self, connections: list[tuple[OwnerConnection, int]]
+    ) -> OwnerConnection | None:
+        """The connection to close when there are too many, from pairs of connection and number of open set-ups.
+
+        In this order: one that sent no message, an unproven one, a proven one, one with open set-ups; among equals the
+        one whose latest message is oldest. None for an empty list.
+        """
+
+        def order(each: tuple[OwnerConnection, int]) -> tuple[bool, bool, bool, float]:
+            connection, open_set_ups = each
+            return (
+                open_set_ups > 0,
+                connection.proven,
+                connection.last_message_us is not None,
+                connection.connected_us
+                if connection.last_message_us is None
+                else connection.last_message_us,
+            )
+
+        return min(connections, key=order, default=(None, inf))[0]
--- a/wingbarrow/decide/liveness.py
+++ b/wingbarrow/decide/liveness.py
@@ -1,89 +1,116 @@
-"""Whether a machine that says nothing is still there, judged by whether new connections come up.
+"""Health checks of machines that have gone silent, by whether new connections to them are established.
 
-A machine that vanished, or is cut off, leaves its connections open and silent; one that stands still, or only has
-nothing to tell, still takes connections, as its system does that for it. So a new connection is asked for, not a
-test: it costs the machine no work. Offers are given up sooner than what stands: an offer that is given up is tried
-elsewhere, a standing task that is written off too early is lost to its owner though it runs.
+A machine that vanished, or is partitioned, leaves its connections open and silent. One whose process is stalled, or
+that merely has nothing to report, still accepts connections, as its operating system does that for it. A new connection
+is therefore the probe: it costs the machine's process no work. Offers are given up sooner than running tasks: an
+offer that is given up is tried elsewhere, whereas a running task that is written off too early is lost to its owner
+though it still runs.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-LOOK_OFFER_US = 400_000  # silence with an offer out before a look
-LOOK_US = 1_500_000  # silence with tasks standing before a look
-AGAIN_US = 2_000_000  # looks that went well are repeated no sooner
-CUT_LOOKS = 2  # looks in a row that did not come up: offers are given up
-LOST_US = 4_000_000  # and so long after the first of them, what stands is written off,
-LOST_LOOKS = 4  # by so many looks in a row: one that did not come up, and a long time without another, prove nothing
-APART_US = 50_000  # dials that began within it count as one look
-RETRY_US = 300_000  # between looks while none comes up
+OFFER_SILENCE_US = 400_000  # silence after which a machine with an offer in flight is probed
+TASK_SILENCE_US = 1_500_000  # silence after which a machine with running tasks is probed
+PROBE_INTERVAL_US = 2_000_000  # least time between probes that succeed
+FAILED_PROBE_INTERVAL_US = 300_000  # least time between probes while they fail
+UNREACHABLE_FAILURES = 2  # consecutive failed probes after which offers are given up
+# Running tasks are written off this long after the first failed probe, and only after LOST_FAILURES consecutive
+# failures: a single failure followed by a long time without a probe proves nothing.
+LOST_AFTER_US = 4_000_000
+LOST_FAILURES = 4
+SAME_PROBE_US = 50_000  # connection attempts that began within this time count as one probe
 
 
-class Verdict(Enum):
-    """What to do now."""
+class HealthAction(Enum):
+    """What to do about a machine now."""
 
-    FINE = "fine"
-    LOOK = "open a connection to see whether it comes up"
-    CUT = "offers will not be answered"
-    LOST = "what stood there is over"
+    NONE = "none"
+    PROBE = "open a connection to probe the machine"
+    FAIL_OFFERS = "give up its offers in flight: they will not be answered"
+    FAIL_TASKS = "write off its running tasks"
 
 
 class Liveness:
-    """One machine, as its connections show it; all times in microseconds of one clock."""
+    """The health of one machine, as its connections show it; all times in microseconds of one clock."""
 
-    __slots__ = ("_began_us", "_failed_since_us", "_fails", "_looked_us", "heard_us")
+    __slots__ = (
+        "_failed_probe_us",
+        "_failed_since_us",
+        "_failures",
+        "_probed_us",
+        "last_received_us",
+    )
 
     def __init__(self, now_us: int) -> None:
-        self.heard_us = now_us
-        self._looked_us = now_us - AGAIN_US
+        self.last_received_us = now_us
+        self._probed_us = now_us - PROBE_INTERVAL_US
         self._failed_since_us: int | None = None
-        self._began_us = now_us  # the latest look that failed
-        self._fails = 0
+        self._failed_probe_us = now_us  # when the latest failed probe began
+        self._failures = 0  # consecutive failed probes
 
-    def on_heard(self, now_us: int) -> None:
-        """It said something."""
-        self.heard_us = now_us
-        self._failed_since_us, self._fails = None, 0
+    def on_data_received(self, now_us: int) -> None:
+        """The machine sent data."""
+        self.last_received_us = now_us
+        self._failed_since_us, self._failures = None, 0
 
-    def on_came_up(self, now_us: int) -> None:
-        """A new connection came up: its system is there, whatever the program does."""
-        self._looked_us = now_us
-        self._failed_since_us, self._fails = None, 0
+    def on_connected(self, now_us: int) -> None:
+        """A new connection was established: the machine is up, whatever its process does."""
+        self._probed_us = now_us
+        self._failed_since_us, self._failures = None, 0
 
     def on_refused(self, now_us: int) -> None:
-        """A new connection was refused: its system is there, though nothing listens; old connections go on."""
-        self.on_came_up(now_us)
+        """A new connection was refused: the machine is up, though nothing listens; its open connections stay in use."""
+        self.on_connected(now_us)
 
-    def on_no_show(self, now_us: int, began_us: int) -> None:
-        """A connection asked for at `began_us` did not come up in its time."""
-        self._looked_us = now_us
+    def on_connect_timeout(self, now_us: int, started_us: int) -> None:
+        """A connection attempt that began at `started_us` timed out."""
+        self._probed_us = now_us
         if self._failed_since_us is None:
-            self._failed_since_us = began_us
-        elif began_us - self._began_us < APART_US:
-            return  # Danger: dials asked for together, as offers ask, are one look and not several in a row
-        self._began_us = began_us
-        self._fails += 1
+            self._failed_since_us = started_us
+        elif started_us - self._failed_probe_us < SAME_PROBE_US:
+            # Danger: concurrent connection attempts, as several offers start them, are one probe, not several in a row.
+            return
+        self._failed_probe_us = started_us
+        self._failures += 1
 
     @property
-    def doubtful(self) -> bool:
-        """Whether the latest look failed: what is written on an old connection may never arrive."""
-        return self._fails > 0
+    def is_suspect(self) -> bool:
+        """Whether the latest probe failed: data written to an open connection may never arrive."""
+        return self._failures > 0
 
-    def doubts(self, now_us: int) -> bool:
-        """Whether a look failed so lately that another now would tell no more."""
-        return self._fails > 0 and now_us - self._looked_us < RETRY_US
+    def failed_recently(self, now_us: int) -> bool:
+        """Whether a probe failed so recently that another one now would show nothing new."""
+        return self._failures > 0 and now_us - self._probed_us < FAILED_PROBE_INTERVAL_US
 
-    def judge(self, now_us: int, offers: bool, standing: bool) -> Verdict:
-        """Asked now and then, as often as it may matter."""
-        if self._fails:
+    def next_action(self, now_us: int, offers: bool, running: bool) -> HealthAction:
+        """What to do now; to be called periodically.
+
+        `offers`: the machine has offers in flight; `running`: it has running tasks.
+        """
+        if self._failures:
             since_us = self._failed_since_us
-            if since_us is not None and now_us - since_us >= LOST_US and self._fails >= LOST_LOOKS:
-                return Verdict.LOST
-            if offers and self._fails >= CUT_LOOKS:
-                return Verdict.CUT
-            due = offers or standing
-            return Verdict.LOOK if due and now_us - self._looked_us >= RETRY_US else Verdict.FINE
-        silent_us = now_us - self.heard_us
-        due = (offers and silent_us >= LOOK_OFFER_US) or (standing and silent_us >= LOOK_US)
-        return Verdict.LOOK if due and now_us - self._looked_us >= AGAIN_US else Verdict.FINE
+            if (
+                since_us is not None
+                and now_us - since_us >= LOST_AFTER_US
+                and self._failures >= LOST_FAILURES
+            ):
+                return HealthAction.FAIL_TASKS
+            if offers and self._failures >= UNREACHABLE_FAILURES:
+                return HealthAction.FAIL_OFFERS
+            due = offers or running
+            return (
+                HealthAction.PROBE
+                if due and now_us - self._probed_us >= FAILED_PROBE_INTERVAL_US
+                else HealthAction.NONE
+            )
+        silent_us = now_us - self.last_received_us
+        due = (offers and silent_us >= OFFER_SILENCE_US) or (
+            running and silent_us >= TASK_SILENCE_US
+        )
+        return (
+            HealthAction.PROBE
+            if due and now_us - self._probed_us >= PROBE_INTERVAL_US
+            else HealthAction.NONE
+        )
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -6,7 +6,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide.crowd import Crowd
+from wingbarrow.decide.connection_limits import ConnectionLimits
 from wingbarrow.decide.overload import OverloadControl, Rejected
 from wingbarrow.decide.retries import RunEnd
 from wingbarrow.relay import setup
@@ -32,14 +32,14 @@
         attempts: Attempts,
         links: Links,
         offers: Offers,
-        crowd: Crowd,
+        limits: ConnectionLimits,
         settings: api.Settings,
         stay_away_most_us: int,
         deadline_us: int,
         trace: Trace,
     ) -> None:
         self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
-        self._links, self._offers, self._crowd = links, offers, crowd
+        self._links, self._offers, self._limits = links, offers, limits
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
         self._bounds = setup.Bounds.of(settings, deadline_us)
@@ -84,7 +84,9 @@
         )
         if isinstance(due_us, Rejected):
             self._turn_away(owner, message.task, Cause.BUSY, due_us.why.name.lower(), held)
-        elif pending >= OPEN_IN_ALL or not self._crowd.may_open(owner.guest, len(owner.tasks)):
+        elif pending >= OPEN_IN_ALL or not self._limits.may_open_set_up(
+            owner.connection, len(owner.tasks)
+        ):
             self._turn_away(owner, message.task, Cause.BUSY, "too many open", held)
         else:
             request = self._requests.next_request()
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.decide.descriptors import LEAST
+from wingbarrow.decide.descriptor_budget import MIN_DESCRIPTORS
 from wingbarrow.reader import Part, settings_of, shown
 
 MAX_FILE_BYTES = 16 << 20
@@ -144,8 +144,8 @@
     name = environment.get("RELAY_NAME")
     try:
         settings, sockets = whole.at("settings"), whole.at("limits.sockets")
-        if sockets.count() < LEAST:
-            raise sockets.wrong(f"no fewer than {LEAST} will do")
+        if sockets.count() < MIN_DESCRIPTORS:
+            raise sockets.wrong(f"no fewer than {MIN_DESCRIPTORS} will do")
         return Configuration(
             name=name or whole.at("name").name(),
             listen=read_address(
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -12,8 +12,8 @@
 
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import AttemptRecord, AttemptTable
-from wingbarrow.decide.descriptors import Rank, Table
-from wingbarrow.decide.liveness import Liveness, Verdict
+from wingbarrow.decide.descriptor_budget import CloseCost, DescriptorBudget
+from wingbarrow.decide.liveness import HealthAction, Liveness
 from wingbarrow.interface import ListedMachine, Phase
 from wingbarrow.relay.configuration import Address
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, with_cause
@@ -64,16 +64,16 @@
         self.out: dict[int, Attempt] = {}
 
     @property
-    def rank(self) -> Rank:
+    def close_cost(self) -> CloseCost:
         """What its end would cost now."""
         lines = self.link.lines
         if self not in lines:
-            return Rank.RETIRING
+            return CloseCost.RETIRING
         if self.out:
-            return Rank.BUSY
+            return CloseCost.BUSY
         if len(lines) > 1:
-            return Rank.SPARE
-        return Rank.NEWS if self.link.running else Rank.IDLE
+            return CloseCost.SPARE
+        return CloseCost.NEWS if self.link.running else CloseCost.IDLE
 
     def write(self, data: bytes) -> bool:
         """Send; False where not all of it can have left."""
@@ -179,8 +179,8 @@
 
     def line_for_offer(self) -> Line | None:
         """A new connection, else the least used one; None where none comes up in its time."""
-        if self.liveness.doubts(self._life.hub.now_us()) or (
-            self.liveness.doubtful and self._dials
+        if self.liveness.failed_recently(self._life.hub.now_us()) or (
+            self.liveness.is_suspect and self._dials
         ):
             self._life.counts["doubted"] += 1
             return None
@@ -188,7 +188,7 @@
         # Danger: with no connection yet and all dials under way, an offer would count its machine as out of reach.
         while line is None and self._dials and self.shared_line() is None:
             self._dialled.wait()
-        return line or (None if self.liveness.doubtful else self.shared_line())
+        return line or (None if self.liveness.is_suspect else self.shared_line())
 
     def dial(self) -> Line | None:
         """A new connection; None where it is refused or does not come up in its time."""
@@ -220,7 +220,7 @@
                 # Danger: a full descriptor table here would look as if every machine were gone.
                 self._life.log("no-descriptor", level="error", machine=self.name, why=why)
             elif why != "ECONNREFUSED":
-                self.liveness.on_no_show(hub.now_us(), began)
+                self.liveness.on_connect_timeout(hub.now_us(), began)
             elif not any(line.stream.open for line in self.lines):
                 # Nothing listens and nothing is open: the process is gone, and with it what stood there.
                 self._releases.clear()
@@ -235,7 +235,7 @@
                 MAX_REDIAL_US, REDIAL_US << min(self._refusals, 10)
             )
             return None
-        self.liveness.on_came_up(hub.now_us())
+        self.liveness.on_connected(hub.now_us())
         self._refusals = 0
         self._missed, self._visit_us = False, None
         line = Line(self, stream, Outbox(hub, stream, MAX_UNSENT_BYTES), hub.now_us())
@@ -255,7 +255,7 @@
         why = "end of stream"
         try:
             while data := line.stream.receive():
-                self.liveness.on_heard(self._life.hub.now_us())
+                self.liveness.on_data_received(self._life.hub.now_us())
                 line.framer.feed(data)
                 while line.stream.open and (message := line.framer.next()) is not None:
                     self._news.message(self, line, message)
@@ -305,7 +305,7 @@
 
     def give_up(self, line: Line) -> None:
         """Close a connection on which nothing is open, to make room for another; what it missed is asked for soon."""
-        self._life.counts["given_up:" + line.rank.name.lower()] += 1
+        self._life.counts["given_up:" + line.close_cost.name.lower()] += 1
         if line in self.lines:
             self.lines.remove(line)
         self._close(line)
@@ -364,13 +364,15 @@
     def look_after(self, now_us: int) -> None:
         """Judge silence, close what is not in use, keep a connection where tasks stand."""
         offers = any(line.out for line in self.lines)
-        verdict = self.liveness.judge(now_us, offers, bool(self.running))
-        if verdict is Verdict.LOOK:
-            if self._dials < MAX_DIALS and (not self.liveness.doubtful or self._links.may_look()):
+        verdict = self.liveness.next_action(now_us, offers, bool(self.running))
+        if verdict is HealthAction.PROBE:
+            if self._dials < MAX_DIALS and (
+                not self.liveness.is_suspect or self._links.may_probe()
+            ):
                 self._life.spawn(self._look, f"look at {self.name}")
-        elif verdict is Verdict.CUT:
+        elif verdict is HealthAction.FAIL_OFFERS:
             self._news.cut(self)
-        elif verdict is Verdict.LOST:
+        elif verdict is HealthAction.FAIL_TASKS:
             self._news.lost(self, may_return=True)
         if (self.running or self._releases) and self._wants_news(now_us):
             self._life.spawn(self._renew, f"news of {self.name}")
@@ -386,11 +388,11 @@
 class Links:
     """All machines that this placer reaches, by name and by the module's number.
 
-    Together with owners' connections, theirs stay within the budget of `decide.descriptors`.
+    Together with owners' connections, theirs stay within the budget of `decide.descriptor_budget`.
     """
 
-    def __init__(self, table: Table, owners: Callable[[], int], idle_us: int) -> None:
-        self._table, self._owners = table, owners
+    def __init__(self, budget: DescriptorBudget, owners: Callable[[], int], idle_us: int) -> None:
+        self._budget, self._owners = budget, owners
         self.fresh_us = idle_us - min(
             IDLE_MARGIN_US, idle_us // 4
         )  # an offer uses no connection idle for longer
@@ -408,16 +410,16 @@
 
     def may_add_extra(self) -> bool:
         """Whether one more connection, beyond a machine's first, is within the budget."""
-        return self._table.may_add_extra(self._owners(), self.held)
+        return self._budget.may_add_extra(self._owners(), self.held)
 
-    def may_look(self) -> bool:
+    def may_probe(self) -> bool:
         """Whether one more machine that does not answer may be asked for a connection."""
-        return self.dials < self._table.looks_most
+        return self.dials < self._budget.max_probes
 
     def make_room(self, wanted: int = 1) -> bool:
         """Close what costs least until `wanted` more descriptors fit; False where what is left is in use."""
-        while self._table.over(self._owners(), self.held + wanted):
-            line = self._table.whom_to_close(self.lines, Rank.NEWS)
+        while self._budget.excess(self._owners(), self.held + wanted):
+            line = self._budget.connection_to_close(self.lines, CloseCost.NEWS)
             if line is None:
                 return False
             line.link.give_up(line)
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -108,7 +108,7 @@
         link = attempt.link
         if attempt.stage is not Stage.WAITING:
             return
-        line = None if link.liveness.doubtful else link.free_line()
+        line = None if link.liveness.is_suspect else link.free_line()
         if line is not None:
             self._send(attempt, line)
         else:
@@ -222,7 +222,7 @@
         if not placed and outcome not in UNRUN and attempt.task.earlier is None:
             attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
-            attempt.task.owner.guest.errors += 1
+            attempt.task.owner.connection.errors += 1
         self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
         closed = placed or attempt.task.state is not State.ASKED
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from wingbarrow.core.life import Life
-from wingbarrow.decide.crowd import Crowd, Guest
+from wingbarrow.decide.connection_limits import ConnectionLimits, OwnerConnection
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
 from wingbarrow.relay.tasks import Asker, Task
 from wingbarrow.relay.trace import Trace
@@ -34,9 +34,9 @@
 
     __slots__ = (
         "_waiting",
+        "connection",
         "foreign",
         "framer",
-        "guest",
         "number",
         "outbox",
         "retired",
@@ -44,8 +44,10 @@
         "tasks",
     )
 
-    def __init__(self, stream: Stream, outbox: Outbox, guest: Guest, number: int) -> None:
-        self.stream, self.outbox, self.guest, self.number = stream, outbox, guest, number
+    def __init__(
+        self, stream: Stream, outbox: Outbox, connection: OwnerConnection, number: int
+    ) -> None:
+        self.stream, self.outbox, self.connection, self.number = stream, outbox, connection, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
         self.foreign: deque[int] = deque(maxlen=MAX_FOREIGN)  # ids it asked for that were another's
@@ -56,7 +58,7 @@
 
     def write(self, data: bytes) -> bool:
         """Send; False where the connection is of no use any more."""
-        self.guest.told = True
+        self.connection.was_written_to = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
     def is_behind(self, now_us: int) -> bool:
@@ -85,13 +87,13 @@
     def __init__(
         self,
         life: Life,
-        crowd: Crowd,
+        limits: ConnectionLimits,
         take: Callable[[Owner, Message, int], None],
         left: Callable[[Owner], None],
         fits: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._crowd, self._take, self._left = life, crowd, take, left
+        self._life, self._limits, self._take, self._left = life, limits, take, left
         self._trace, self._accepted = trace, 0
         self._fits = fits  # makes room for one that has come; whether there is
         self._owners: OrderedDict[Owner, None] = OrderedDict()  # least lately heard of first
@@ -113,7 +115,10 @@
         hub = self._life.hub
         self._accepted += 1
         owner = Owner(
-            stream, Outbox(hub, stream, MAX_UNSENT_BYTES), Guest(hub.now_us()), self._accepted
+            stream,
+            Outbox(hub, stream, MAX_UNSENT_BYTES),
+            OwnerConnection(hub.now_us()),
+            self._accepted,
         )
         self._owners[owner] = None
         self._make_room()
@@ -130,7 +135,7 @@
                     if message is None:
                         break
                     now = hub.now_us()
-                    owner.guest.heard_us = now
+                    owner.connection.last_message_us = now
                     self._owners.move_to_end(owner)
                     if message.kind == Kind.RELEASE_HEARD:
                         self._unheard.pop(message.task, None)
@@ -177,17 +182,17 @@
                 self.retire(owner, "farewell")
 
     def _make_room(self) -> None:
-        if len(self._owners) <= self._crowd.most and self._fits():
+        if len(self._owners) <= self._limits.max_connections and self._fits():
             return
-        guests = {owner.guest: owner for owner in self._owners if owner.stream.open}
+        connections = {owner.connection: owner for owner in self._owners if owner.stream.open}
         first: Owner | None = None
         for _ in range(CROWDED_TRIES):
-            chosen = self._crowd.whom_to_close(
-                [(each.guest, len(each.tasks)) for each in guests.values()]
+            chosen = self._limits.connection_to_close(
+                [(each.connection, len(each.tasks)) for each in connections.values()]
             )
             if chosen is None:
                 break
-            owner = guests.pop(chosen)
+            owner = connections.pop(chosen)
             if owner.stream.is_quiet() and not owner.framer.ready:
                 self.close(owner, "crowded")
                 return
@@ -207,11 +212,11 @@
                 if (
                     owner.stream.open
                     and not owner.retired
-                    and self._crowd.is_idle(now, owner.guest, len(owner.tasks))
+                    and self._limits.is_idle(now, owner.connection, len(owner.tasks))
                     and owner.stream.is_quiet()
                     and not owner.framer.ready
                 ):
-                    self.retire(owner, "idle" if owner.guest.proven else "silent")
+                    self.retire(owner, "idle" if owner.connection.proven else "silent")
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
@@ -227,7 +232,7 @@
         now = self._life.hub.now_us()
         while self._unheard and next(iter(self._unheard.values()))[0] <= now:
             self._unheard.popitem(last=False)
-        if gone.guest.proven:
+        if gone.connection.proven:
             for ident in [ident for ident, (_, owner, _) in self._unheard.items() if owner is gone]:
                 until_us, _, data = self._unheard.pop(ident)
                 self._life.counts["releases_again"] += 1
@@ -257,7 +262,7 @@
         known = [
             each
             for each in reversed(self._owners)
-            if each.guest.proven and each.stream.open and not each.retired
+            if each.connection.proven and each.stream.open and not each.retired
         ]
         known.sort(key=lambda each: not each.tasks)
         owner = next((each for each in known if each.write(data)), None)
@@ -272,8 +277,8 @@
 
     def proven(self, owner: Asker) -> None:
         """A task of this connection was answered: it is a usual owner's."""
-        if not owner.guest.proven:
-            owner.guest.proven = True
+        if not owner.connection.proven:
+            owner.connection.proven = True
             self._send_pending()
 
     def _send_pending(self) -> None:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -7,8 +7,8 @@
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
-from wingbarrow.decide.crowd import Crowd
-from wingbarrow.decide.descriptors import Table
+from wingbarrow.decide.connection_limits import ConnectionLimits
+from wingbarrow.decide.descriptor_budget import DescriptorBudget
 from wingbarrow.relay import journal
 from wingbarrow.relay.admission import Admission
 from wingbarrow.relay.configuration import BadConfiguration, Configuration, load_journal
@@ -44,15 +44,15 @@
         settings = configuration.settings
         life = self.life = Life(hub, log, configuration.seed)
         self._host = Host(life, settings)
-        table = self._table = Table(configuration.sockets)
+        budget = self._budget = DescriptorBudget(configuration.sockets)
         self._requests, self._attempts, self._links = (
             RequestTable(),
             Attempts(),
-            Links(table, lambda: len(self.owners), configuration.conn_idle_us),
+            Links(budget, lambda: len(self.owners), configuration.conn_idle_us),
         )
-        crowd = Crowd(table.owners_most)
+        limits = ConnectionLimits(budget.max_owners)
         self.owners = Owners(
-            life, crowd, self._take, self._left, lambda: self._links.make_room(0), trace
+            life, limits, self._take, self._left, lambda: self._links.make_room(0), trace
         )
         self._offers = Offers(
             life,
@@ -71,7 +71,7 @@
             self._attempts,
             self._links,
             self._offers,
-            crowd,
+            limits,
             settings,
             configuration.stay_away_most_us,
             configuration.patience_us,
@@ -257,7 +257,7 @@
             "counts",
             owners=len(self.owners),
             machines=self._links.held,
-            descriptors_most=self._table.most,
+            descriptors_most=self._budget.total,
             running=len(self._attempts),
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -31,7 +31,7 @@
         self._life.spawn(lambda: self._ask(link), "probe")
 
     def _ask(self, link: Link) -> None:
-        line = (None if link.liveness.doubtful else link.shared_line()) or link.line_for_offer()
+        line = (None if link.liveness.is_suspect else link.shared_line()) or link.line_for_offer()
         self._tests += 1
         ident = TEST + self._tests
         if line is None or not line.write(with_cause(Kind.TEST, ident, 1)):
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
-from wingbarrow.decide.crowd import Guest
+from wingbarrow.decide.connection_limits import OwnerConnection
 from wingbarrow.decide.idempotency import EarlierAttempt
 
 
@@ -50,7 +50,7 @@
 class Asker(Protocol):
     """The connection that a set-up came on, as far as the task needs it."""
 
-    guest: Guest
+    connection: OwnerConnection
     number: int  # of the connection, for logs
     tasks: dict[int, Task]  # open set-ups, by id
 
