--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -200,7 +200,7 @@
             placer.fleet.reflector.version,
             self._news.entries,
             self._news.seconds,
-            placer.job_store.admission.open,
+            placer.job_store.admission.open_tasks,
             placer.base.counts["placed"],
             self._sampler.take(),
         )
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -27,7 +27,7 @@
 from unittest.mock import patch
 
 from wingbarrow.decide.effects import Effect, Persist, Send, SetTimer
-from wingbarrow.decide.membership_damping import LivingView
+from wingbarrow.decide.membership_damping import DampedMembership
 from wingbarrow.decide.outliers import detector, ejections, health
 from wingbarrow.decide.regions.forwarding import (
     ForwardedJob,
@@ -36,8 +36,8 @@
     ForwardStatus,
     Target,
 )
-from wingbarrow.decide.subset_widening import Widening, is_long
-from wingbarrow.decide.subsets import SubsetRules, Subsets, placers_wanted, subset_most_expected
+from wingbarrow.decide.subset_widening import SubsetWidening, is_long_wait
+from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
 from wingbarrow.lab.days import Play, play
 from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
 from wingbarrow.lab.fleet.assembly import Assembly
@@ -366,27 +366,29 @@
     roster = tuple(f"placer-{index}" for index in range(rng.randrange(3, 40)))
     rules = SubsetRules(roster, rng.randrange(1, min(6, len(roster))), rng.choice((0.0, 0.25, 1.0)))
     held = Subsets(rules)
-    view = LivingView(roster[0], roster, rng.randrange(10 * S), rng.randrange(2 * S))
-    widening, now = Widening(rng.randrange(5)), 0
+    view = DampedMembership(roster[0], roster, rng.randrange(10 * S), rng.randrange(2 * S))
+    widening, now = SubsetWidening(rng.randrange(5)), 0
     machines = [f"node-{seed}-{index:04}" for index in range(60)]
     for machine in machines:
         offers = rng.uniform(0, 40)
-        shares = [held.cold_most(name, machine, offers) for name in roster]
-        history.note(machine, held.order(machine), offers, shares)
+        shares = [held.max_cold_offers(name, machine, offers) for name in roster]
+        history.note(machine, held.ranking(machine), offers, shares)
     for _ in range(150):
         now += rng.randrange(3 * S)
         if rng.random() < 0.5:
             view.on_members(now, frozenset(rng.sample(roster, rng.randrange(len(roster) + 1))))
-        living = view.living(now)
-        long = is_long(rng.randrange(3 * S), rng.choice((S // 2, 5 * S))) and rng.random() < 0.8
-        extra = widening.look(now, long, rng.randrange(6))
+        living = view.live_members(now)
+        long = (
+            is_long_wait(rng.randrange(3 * S), rng.choice((S // 2, 5 * S))) and rng.random() < 0.8
+        )
+        extra = widening.update(now, long, rng.randrange(6))
         mine = [each for each in machines if held.holds(roster[0], each, living, extra)]
-        history.note(now, sorted(living), view.next_us(), long, extra, mine)
+        history.note(now, sorted(living), view.next_change_us(), long, extra, mine)
         machine = rng.choice(machines)
         history.note(machine, held.holders(machine, living))
     for most in (30, 100, 400):
         history.note(
-            most, (placers_wanted(4000, most, rules.replicas), subset_most_expected(4000, 48, 3))
+            most, (placers_needed(4000, most, rules.replicas), expected_max_subset(4000, 48, 3))
         )
 
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -24,7 +24,7 @@
 from heapq import nsmallest
 from math import ceil
 
-from wingbarrow.decide.subsets import SubsetRules, Subsets, subset_most_expected
+from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset
 
 RACK_MACHINES, ZONES = 20, 4
 CORES = (16.0, 16.0, 16.0, 32.0, 32.0, 64.0)  # of one rack's machines; the last is the rarest kind
@@ -132,7 +132,7 @@
     mean: float  # machines of a placer
     least: int
     most: int
-    over_bound: int  # placers above `subset_most_expected`
+    over_bound: int  # placers above `expected_max_subset`
     size_cv: float
     cores_cv: float
     zone_off: float  # worst of all placers and zones: |part of the zone in the subset / part in the fleet - 1|
@@ -161,7 +161,7 @@
     entries = sum(map(len, old))
     more = made.holders((*fleet.names, "node-joining"), roster)[:-1]
     sizes = Counter(placer for holders in old for placer in holders)
-    bound = subset_most_expected(machines, placers, replicas)
+    bound = expected_max_subset(machines, placers, replicas)
     return Measured(
         way,
         machines,
@@ -242,7 +242,7 @@
 def row(found: Sequence[Measured]) -> str:
     """Over the seeds: extremes of sizes and of what is off, means of the rest, medians of times."""
     one = found[0]
-    bound = subset_most_expected(one.machines, one.placers, one.replicas)
+    bound = expected_max_subset(one.machines, one.placers, one.replicas)
 
     def part(name: str) -> str:
         return f"{100 * statistics.fmean(getattr(each, name) for each in found):.1f}%"
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -212,7 +212,13 @@
             "what placers share beside that, such as moves, they share as before"
         )
         subsets = Subsets(settings.subset.rules)
-        assert [subsets.cold_most(each, "m", 20) for each in subsets.order("m")] == [5, 5, 5, 3, 2]
+        assert [subsets.max_cold_offers(each, "m", 20) for each in subsets.ranking("m")] == [
+            5,
+            5,
+            5,
+            3,
+            2,
+        ]
 
 
 def test_under_agreed_rules_the_budget_of_all_members_is_dealt_by_rank() -> None:
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -297,7 +297,7 @@
             for machine in stage.cluster.machines
             for pod in machine.pods.values()
         )
-        assert stage.cluster.placers[0].service.placer.job_store.admission.open == 0  # type: ignore[union-attr]
+        assert stage.cluster.placers[0].service.placer.job_store.admission.open_tasks == 0  # type: ignore[union-attr]
         stage.submit("running", runs_s=1)  # the name is free again
         stage.settled("running")
 
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -52,7 +52,9 @@
     assert job.unanswered == sum(not task.answered for task in job.tasks)
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
-    assert book.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
+    assert (
+        book.admission.open_tasks == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
+    )
     write_status(job, 1)
 
 
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -80,7 +80,7 @@
         subsets = stage.subset(0).subsets
         found = most_within(stage, fallen)
         assert found and all(
-            most <= subsets.cold_most(placer, machine, OFFERS)
+            most <= subsets.max_cold_offers(placer, machine, OFFERS)
             for (placer, machine), most in found.items()
         ), found
         assert answers["placed"] == 160
@@ -106,7 +106,8 @@
         answers = burst(stage, [0], 60, pace_s=0.05)
         found = most_within(stage, fallen)
         shares = {
-            machine.name: subsets.cold_most("placer-0", machine.name, OFFERS) for machine in fallen
+            machine.name: subsets.max_cold_offers("placer-0", machine.name, OFFERS)
+            for machine in fallen
         }
         print(
             "shares",
@@ -134,7 +135,7 @@
         stage.begin()
         subsets = stage.subset(0).subsets
         machine = stage.cluster.machines[0]
-        order = subsets.order(machine.name)
+        order = subsets.ranking(machine.name)
         slot = next(each for each in stage.cluster.placers if each.name == order[-1])
         index = stage.cluster.placers.index(slot)
         for other in stage.cluster.placers:
@@ -146,7 +147,7 @@
         cold._fleet_offers = (
             lambda: 2.0
         )  # two for the whole region: ranks beyond the second have none
-        assert subsets.cold_most(slot.name, machine.name, 2.0) == 0
+        assert subsets.max_cold_offers(slot.name, machine.name, 2.0) == 0
         begun_us = stage.hub.now_us()
         zone_falls(stage)
         assert set(cold._closed) == {machine.name}
@@ -187,7 +188,7 @@
         subsets = stage.subset(0).subsets
         found = most_within(stage, fallen)
         assert found and all(
-            most <= subsets.cold_most(placer, machine, OFFERS)
+            most <= subsets.max_cold_offers(placer, machine, OFFERS)
             for (placer, machine), most in found.items()
         ), found
         assert sum(each.base.counts["held:cold_share"] for each in stage.live()) > 0
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -367,6 +367,6 @@
         stage.begin()
         rules = stage.subset(0).subsets.rules
         assert all(stage.subset(index).subsets.rules == rules for index in range(3))
-        assert Subsets(rules).order("node-1") == stage.subset(1).subsets.order("node-1")
+        assert Subsets(rules).ranking("node-1") == stage.subset(1).subsets.ranking("node-1")
 
     stage.play(script, start=False)
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -9,7 +9,7 @@
 from tests.stage import S
 from wingbarrow.core.placer import Placer
 from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDEN_SPREAD_US
-from wingbarrow.decide.subset_widening import CALM_US, STEP_US
+from wingbarrow.decide.subset_widening import CALM_PERIOD_US, MIN_STEP_INTERVAL_US
 from wingbarrow.interface import Phase
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import PlacerSlot
@@ -62,7 +62,9 @@
         assert machine not in held
         assert subset.holds(machine)
         assert subset.extra == 1
-        first_two = {name for name in stage.names() if slot.name in subset.subsets.order(name)[:2]}
+        first_two = {
+            name for name in stage.names() if slot.name in subset.subsets.ranking(name)[:2]
+        }
         assert set(placer.fleet.held) == first_two, "one rank more"
         assert placer.fleet.reflector.refills == refills + 1
         told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
@@ -109,10 +111,10 @@
         assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
         assert not len(placer.waits)
         assert subset.extra == 2 == placer.base.counts["subset:widened"]
-        assert steps_us[2] - steps_us[1] >= STEP_US - 10_000
+        assert steps_us[2] - steps_us[1] >= MIN_STEP_INTERVAL_US - 10_000
         assert steps_us[1] - asked_us >= 2 * S
         assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
-        out = [name for name in stage.names() if slot.name not in subset.subsets.order(name)[:3]]
+        out = [name for name in stage.names() if slot.name not in subset.subsets.ranking(name)[:3]]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
 
     stage.play(script, start=False)
@@ -132,7 +134,7 @@
         others, refills = set(placer.fleet.held) - held - {machine}, placer.fleet.reflector.refills
         assert others, "the further rank brought more than one machine"
         assert stage.wait(lambda: subset.extra == 0, 40)
-        assert CALM_US - S <= stage.hub.now_us() - placed_us <= CALM_US + S
+        assert CALM_PERIOD_US - S <= stage.hub.now_us() - placed_us <= CALM_PERIOD_US + S
         link = placer.machines.links[machine]
         assert link.phase is Phase.DRAINING
         assert set(subset.lingering) == others | {machine}
@@ -172,7 +174,7 @@
         answers = burst(stage, [INDEX], 30, pace_s=0.05)
         assert subset.extra >= 1 and answers["placed"] > 0, answers
         shares = {
-            machine.name: subset.subsets.cold_most(slot.name, machine.name, OFFERS)
+            machine.name: subset.subsets.max_cold_offers(slot.name, machine.name, OFFERS)
             for machine in others
         }
         assert max(shares.values()) <= 2, "the ranks after the first share a quarter"
--- a/tests/decide/test_admission.py
+++ b/tests/decide/test_admission.py
@@ -12,12 +12,12 @@
     admission.add("a", 6)
     full = admission.check("a", 1)
     assert full is not None
-    assert full.most == 6
+    assert full.limit == 6
     assert full.retry_after_s >= 1
     assert admission.check("b", 5) is not None
     assert admission.check("b", 4) is None
     for _ in range(6):
         admission.remove("a")
-    assert admission.open == 0
+    assert admission.open_tasks == 0
     assert admission.check("a", 6) is None
-    assert not admission._namespaces
+    assert not admission._open_by_namespace
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -12,10 +12,10 @@
 
 @given(st.integers(), st.integers(1, 60))
 def test_backoff_doubles_within_a_bound(seed: int, count: int) -> None:
-    pause = Backoff(random.Random(seed), 100, 6400)
-    waits = [pause.next_us() for _ in range(count)]
-    assert all(50 <= wait <= 6400 for wait in waits)
-    assert waits[0] <= 100
-    assert all(wait >= 3200 for wait in waits[7:])
-    pause.clear()
-    assert pause.next_us() <= 100
+    backoff = Backoff(random.Random(seed), 100, 6400)
+    delays = [backoff.next_delay_us() for _ in range(count)]
+    assert all(50 <= delay <= 6400 for delay in delays)
+    assert delays[0] <= 100
+    assert all(delay >= 3200 for delay in delays[7:])
+    backoff.reset()
+    assert backoff.next_delay_us() <= 100
--- a/tests/decide/test_gate.py
+++ b/tests/decide/test_gate.py
@@ -15,9 +15,9 @@
 OFFER = Offer(
     decided_us=10 * S,
     deadline_us=20 * S,
-    request_open=True,
-    attempt_out=True,
-    machine_runs=True,
+    request_is_open=True,
+    is_current_attempt=True,
+    machine_is_running=True,
     launched_us=0,
 )
 
@@ -29,11 +29,11 @@
     ("change", "now", "held"),
     [
         ({}, 11 * S, None),
-        ({"request_open": False}, 11 * S, HoldReason.ENDED),
+        ({"request_is_open": False}, 11 * S, HoldReason.ENDED),
         ({}, 20 * S, HoldReason.LATE),
         ({}, 20 * S - 1, None),
-        ({"attempt_out": False}, 11 * S, HoldReason.NOT_OUT),
-        ({"machine_runs": False}, 10 * S, HoldReason.DRAINING),
+        ({"is_current_attempt": False}, 11 * S, HoldReason.NOT_OUT),
+        ({"machine_is_running": False}, 10 * S, HoldReason.DRAINING),
         ({"leased": False}, 11 * S, HoldReason.NO_LEASE),
         ({"launched_us": 5 * S}, 10 * S + S // 4, None),
         ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, HoldReason.STALE_COLD),
--- a/tests/decide/test_membership_damping.py
+++ b/tests/decide/test_membership_damping.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US, LivingView
+from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US, DampedMembership
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
@@ -22,8 +22,8 @@
 LEAVE_US, SPAN_US = 10 * S, 2 * S
 
 
-def view_of(name: str = ME) -> LivingView:
-    return LivingView(name, ROSTER, LEAVE_US, SPAN_US)
+def view_of(name: str = ME) -> DampedMembership:
+    return DampedMembership(name, ROSTER, LEAVE_US, SPAN_US)
 
 
 # -- one view
@@ -31,51 +31,51 @@
 
 def test_at_the_start_everybody_lives() -> None:
     view = view_of()
-    assert view.living(0) == ALL
-    assert view.next_us() is None
+    assert view.live_members(0) == ALL
+    assert view.next_change_us() is None
 
 
 @pytest.mark.parametrize("nobody", [frozenset(), frozenset({"stranger"})])
 def test_where_nobody_is_known_everybody_lives(nobody: frozenset[str]) -> None:
     view = view_of()
     view.on_members(0, nobody)
-    assert view.next_us() is None
-    assert view.living(100 * S) == ALL
+    assert view.next_change_us() is None
+    assert view.live_members(100 * S) == ALL
     view.on_members(100 * S, ALL - {ROSTER[1]})
-    assert view.living(110 * S) == ALL - {ROSTER[1]}
+    assert view.live_members(110 * S) == ALL - {ROSTER[1]}
     view.on_members(120 * S, nobody)
-    assert view.next_us() == 112 * S
-    assert view.living(120 * S) == ALL
+    assert view.next_change_us() == 112 * S
+    assert view.live_members(120 * S) == ALL
 
 
 def test_one_that_is_dead_leaves_after_its_time_and_is_back_at_once() -> None:
     view = view_of()
     view.on_members(5 * S, ALL - {ROSTER[1]})
-    assert view.next_us() == 15 * S
-    assert view.living(15 * S - 1) == ALL
-    assert view.living(15 * S) == ALL - {ROSTER[1]}
-    assert view.next_us() is None
+    assert view.next_change_us() == 15 * S
+    assert view.live_members(15 * S - 1) == ALL
+    assert view.live_members(15 * S) == ALL - {ROSTER[1]}
+    assert view.next_change_us() is None
     view.on_members(60 * S, ALL)
-    assert view.living(60 * S) == ALL
-    assert view.next_us() is None
+    assert view.live_members(60 * S) == ALL
+    assert view.next_change_us() is None
 
 
 def test_news_that_repeats_itself_puts_nothing_off() -> None:
     view = view_of()
     for now_us in range(0, 10 * S, S):
         view.on_members(now_us, ALL - {ROSTER[1]})
-    assert view.next_us() == 10 * S
-    assert view.living(10 * S) == ALL - {ROSTER[1]}
+    assert view.next_change_us() == 10 * S
+    assert view.live_members(10 * S) == ALL - {ROSTER[1]}
 
 
 def test_a_flap_shorter_than_its_time_moves_nothing() -> None:
     view = view_of()
     for now_us in range(0, 300 * S, 12 * S):
         view.on_members(now_us, ALL - {ROSTER[1]})
-        assert view.living(now_us + 9 * S) == ALL
+        assert view.live_members(now_us + 9 * S) == ALL
         view.on_members(now_us + 10 * S, ALL)  # told before the change that is due was made
-        assert view.living(now_us + 10 * S) == ALL
-        assert view.next_us() is None
+        assert view.live_members(now_us + 10 * S) == ALL
+        assert view.next_change_us() is None
 
 
 def test_changes_of_one_span_are_made_together() -> None:
@@ -84,56 +84,58 @@
     for index in range(1, 9):
         gone.add(ROSTER[index])
         view.on_members(index * S // 4, ALL - gone)
-    assert view.next_us() == S // 4 + LEAVE_US
-    first = view.living(S // 4 + LEAVE_US)
+    assert view.next_change_us() == S // 4 + LEAVE_US
+    first = view.live_members(S // 4 + LEAVE_US)
     assert first == ALL - {ROSTER[1]}
-    assert view.next_us() == S // 4 + LEAVE_US + SPAN_US, "the others wait for the span's end"
-    assert view.living(S // 4 + LEAVE_US + SPAN_US - 1) == first
-    assert view.living(S // 4 + LEAVE_US + SPAN_US) == ALL - gone
-    assert view.next_us() is None
+    assert view.next_change_us() == S // 4 + LEAVE_US + SPAN_US, (
+        "the others wait for the span's end"
+    )
+    assert view.live_members(S // 4 + LEAVE_US + SPAN_US - 1) == first
+    assert view.live_members(S // 4 + LEAVE_US + SPAN_US) == ALL - gone
+    assert view.next_change_us() is None
 
 
 def test_the_first_change_waits_for_no_span() -> None:
-    view = LivingView(ME, ROSTER, 0, SPAN_US)
+    view = DampedMembership(ME, ROSTER, 0, SPAN_US)
     view.on_members(S, ALL - {ROSTER[1]})
-    assert view.next_us() == S
-    assert view.living(S) == ALL - {ROSTER[1]}
+    assert view.next_change_us() == S
+    assert view.live_members(S) == ALL - {ROSTER[1]}
 
 
 def test_one_that_comes_back_waits_for_the_spans_end_only() -> None:
     view = view_of()
     view.on_members(0, ALL - {ROSTER[1]})
-    without = view.living(10 * S)
+    without = view.live_members(10 * S)
     view.on_members(11 * S, ALL)
-    assert view.next_us() == 12 * S
-    assert view.living(12 * S - 1) == without
-    assert view.living(12 * S) == ALL
+    assert view.next_change_us() == 12 * S
+    assert view.live_members(12 * S - 1) == without
+    assert view.live_members(12 * S) == ALL
 
 
 def test_one_that_came_back_and_went_again_before_the_spans_end_stays_out() -> None:
     view = view_of()
     view.on_members(0, ALL - {ROSTER[1]})
-    without = view.living(10 * S)
+    without = view.live_members(10 * S)
     view.on_members(10 * S + 1, ALL)
     view.on_members(10 * S + 2, ALL - {ROSTER[1]})
-    assert view.next_us() is None
-    assert view.living(12 * S) == without
-    assert view.living(60 * S) == without
+    assert view.next_change_us() is None
+    assert view.live_members(12 * S) == without
+    assert view.live_members(60 * S) == without
 
 
 def test_ones_own_name_is_always_in() -> None:
     view = view_of()
     view.on_members(0, ALL - {ME})
-    assert view.living(60 * S) == ALL
+    assert view.live_members(60 * S) == ALL
     view.on_members(60 * S, frozenset({ME}))
-    assert view.living(100 * S) == {ME}, "one that knows that it is alone"
+    assert view.live_members(100 * S) == {ME}, "one that knows that it is alone"
 
 
 def test_strangers_are_passed_over() -> None:
     view = view_of()
     view.on_members(0, ALL | {"stranger"})
-    assert view.living(60 * S) == ALL
-    assert view.next_us() is None
+    assert view.live_members(60 * S) == ALL
+    assert view.next_change_us() is None
 
 
 def test_state_grows_with_the_roster_alone() -> None:
@@ -142,9 +144,9 @@
     for turn in range(2000):
         strangers = {f"stranger-{turn}-{index}" for index in range(5)}
         view.on_members(turn * S, frozenset(rng.sample(ROSTER, 12)) | strangers)
-        assert view.living(turn * S) <= ALL
-    assert len(view._missing_us) <= len(ROSTER)
-    assert set(view._missing_us) <= ALL
+        assert view.live_members(turn * S) <= ALL
+    assert len(view._dead_since_us) <= len(ROSTER)
+    assert set(view._dead_since_us) <= ALL
 
 
 @pytest.mark.parametrize(
@@ -153,13 +155,13 @@
 )
 def test_what_cannot_be_is_refused(me: str, leave_us: int, span_us: int, key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        LivingView(me, ROSTER, leave_us, span_us)
+        DampedMembership(me, ROSTER, leave_us, span_us)
 
 
 def test_the_usual_times() -> None:
-    view = LivingView(ME, ROSTER)
+    view = DampedMembership(ME, ROSTER)
     view.on_members(0, ALL - {ROSTER[1]})
-    assert view.next_us() == LEAVE_AFTER_US == 10 * S
+    assert view.next_change_us() == LEAVE_AFTER_US == 10 * S
     assert SETTLE_US == 2 * S
 
 
@@ -177,13 +179,13 @@
 def test_any_news(events: News) -> None:
     """Asked at each tick: changes at most once a span, in the stated time, and never but as `next_us` said."""
     roster = ROSTER[:6]
-    view = LivingView(ME, roster, LEAVE_US, SPAN_US)
+    view = DampedMembership(ME, roster, LEAVE_US, SPAN_US)
     now_us, changed_us, held, told = 0, -SPAN_US, frozenset(roster), frozenset(roster)
     told_us = dict.fromkeys(roster, 0)  # since when each has been told of as it is now
     for ticks, members in [*events, (0, frozenset(roster)), (400, frozenset(roster))]:
         for _ in range(ticks):
-            due_us = view.next_us()
-            living = view.living(now_us)
+            due_us = view.next_change_us()
+            living = view.live_members(now_us)
             assert ME in living
             assert living <= frozenset(roster)
             if living != held:
@@ -235,7 +237,7 @@
             for index, name in enumerate(sees):
                 if at_us == self.DETECTED_US + index % 5 * TICK_US:
                     self.views[name].on_members(self.now_us, sees[name])
-                living = self.views[name].living(self.now_us)
+                living = self.views[name].live_members(self.now_us)
                 self.changes[name] += living != self.held[name]
                 self.held[name] = living
             if check is not None:
@@ -310,4 +312,4 @@
             },
         )
         for machine in MACHINES[:40]:
-            assert set(region.subsets.order(machine)[:3]) & up <= region.holders(machine, up)
+            assert set(region.subsets.ranking(machine)[:3]) & up <= region.holders(machine, up)
--- a/tests/decide/test_slow_start.py
+++ b/tests/decide/test_slow_start.py
@@ -113,7 +113,10 @@
         now += wait_us
         name = names[which]
         for _ in range(3):
-            if accounts[name].remaining(now, "m", 1, subsets.cold_most(name, "m", offers)) > 0:
+            if (
+                accounts[name].remaining(now, "m", 1, subsets.max_cold_offers(name, "m", offers))
+                > 0
+            ):
                 count += 1
                 accounts[name].on_sent("m", 1, 1 << 60, f"o{count}")
                 unread.append((name, f"o{count}"))
--- a/tests/decide/test_subset_cold.py
+++ b/tests/decide/test_subset_cold.py
@@ -13,7 +13,7 @@
 
 from tests.conftest import Driver, binds, listed, settings, task_class
 from wingbarrow import interface as api
-from wingbarrow.decide.membership_damping import LivingView
+from wingbarrow.decide.membership_damping import DampedMembership
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
@@ -38,7 +38,7 @@
 
 def shares(subsets: Subsets, machine: str, offers: float) -> list[int]:
     """By rank."""
-    return [subsets.cold_most(placer, machine, offers) for placer in subsets.order(machine)]
+    return [subsets.max_cold_offers(placer, machine, offers) for placer in subsets.ranking(machine)]
 
 
 # -- the deal
@@ -85,13 +85,13 @@
 
 
 def test_a_placer_outside_the_roster_has_no_share() -> None:
-    assert Subsets(SubsetRules(ROSTER, 3)).cold_most("stranger", "node-1", OFFERS) == 0
+    assert Subsets(SubsetRules(ROSTER, 3)).max_cold_offers("stranger", "node-1", OFFERS) == 0
 
 
 @pytest.mark.parametrize("offers", [-0.5, -1.0, math.nan, math.inf, -math.inf])
 def test_offers_that_cannot_be_are_refused(offers: float) -> None:
     with pytest.raises(ValueError, match="offers"):
-        Subsets(SubsetRules(ROSTER, 3)).cold_most(ROSTER[0], "node-1", offers)
+        Subsets(SubsetRules(ROSTER, 3)).max_cold_offers(ROSTER[0], "node-1", offers)
 
 
 # -- placers whose views differ
@@ -102,7 +102,7 @@
 
 def by_roster(subsets: Subsets) -> Deal:
     """What the gate asks."""
-    return lambda placer, machine, view: subsets.cold_most(placer, machine, OFFERS)
+    return lambda placer, machine, view: subsets.max_cold_offers(placer, machine, OFFERS)
 
 
 def by_living(subsets: Subsets) -> Deal:
@@ -110,7 +110,7 @@
 
     def share(placer: str, machine: str, view: frozenset[str]) -> int:
         alive = Subsets(SubsetRules(tuple(view), min(3, len(view))))
-        return alive.cold_most(placer, machine, OFFERS)
+        return alive.max_cold_offers(placer, machine, OFFERS)
 
     return share
 
@@ -208,8 +208,8 @@
 
 def test_one_that_stood_still_wakes_with_its_old_view_and_keeps_to_it() -> None:
     subsets = Subsets(SubsetRules(ROSTER, 3))
-    sleeper = subsets.order(COLD[0])[0]
-    views = {name: LivingView(name, ROSTER, 2 * S, S) for name in ROSTER}
+    sleeper = subsets.ranking(COLD[0])[0]
+    views = {name: DampedMembership(name, ROSTER, 2 * S, S) for name in ROSTER}
     senders = Senders(subsets, by_roster(subsets))
     believed: Views = {}
     successors = set[str]()
@@ -222,11 +222,13 @@
         for name, view in views.items():
             if name not in senders.asleep:
                 view.on_members(now_us, told | {name})
-                believed[name] = view.living(now_us)
+                believed[name] = view.live_members(now_us)
         senders.step(now_us, believed, lambda: False)
         successors |= {name for name, machine in senders.held if machine == COLD[0]}
         assert senders.most(now_us) <= OFFERS
-    assert successors == set(subsets.order(COLD[0])[:4]), "the next rank stood in while it was away"
+    assert successors == set(subsets.ranking(COLD[0])[:4]), (
+        "the next rank stood in while it was away"
+    )
     assert believed[sleeper] == frozenset(ROSTER)
 
 
--- a/tests/decide/test_subset_widening.py
+++ b/tests/decide/test_subset_widening.py
@@ -6,7 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.subset_widening import CALM_US, STEP_US, Widening, is_long
+from wingbarrow.decide.subset_widening import (
+    CALM_PERIOD_US,
+    MIN_STEP_INTERVAL_US,
+    SubsetWidening,
+    is_long_wait,
+)
 
 S = 1_000_000
 looks = st.lists(
@@ -18,24 +23,24 @@
 def test_whatever_waits_the_number_stays_within_its_bounds_and_goes_by_one_step_in_a_span(
     most: int, times: list[tuple[int, bool, int]]
 ) -> None:
-    widening, now_us = Widening(most), 0
-    stepped_us = long_us = fell_us = -CALM_US
+    widening, now_us = SubsetWidening(most), 0
+    stepped_us = long_us = fell_us = -CALM_PERIOD_US
     for later_us, waits, useful in times:
         now_us += later_us
         before = widening.extra
-        after = widening.look(now_us, waits, useful)
+        after = widening.update(now_us, waits, useful)
         assert after == widening.extra
         assert 0 <= after <= most
         if after != before:
             assert abs(after - before) == 1
-            assert now_us - stepped_us >= STEP_US
+            assert now_us - stepped_us >= MIN_STEP_INTERVAL_US
             stepped_us = now_us
         if after > before:
             assert waits
             assert after <= useful
         elif after < before:
             assert not waits
-            assert now_us - max(long_us, fell_us) >= CALM_US
+            assert now_us - max(long_us, fell_us) >= CALM_PERIOD_US
             fell_us = now_us
         long_us = now_us if waits else long_us
 
@@ -44,10 +49,10 @@
 def test_long_waits_that_go_on_widen_to_the_most_by_a_step_a_second_and_calm_takes_all_back(
     most: int, every_us: int
 ) -> None:
-    widening, now_us, up_us = Widening(most), 0, []
+    widening, now_us, up_us = SubsetWidening(most), 0, []
     while widening.extra < most and now_us < 20 * S:
         before = widening.extra
-        if widening.look(now_us, True, most) > before:
+        if widening.update(now_us, True, most) > before:
             up_us.append(now_us)
         now_us += every_us if now_us % S >= S - 2 * every_us or not up_us else S // 4
     assert len(up_us) == most
@@ -55,21 +60,23 @@
     last_us, downs = now_us, 0
     for look in range(1, 4 * 31 * most):
         before = widening.extra
-        downs += widening.look(last_us + look * S // 4, False, most) < before
+        downs += widening.update(last_us + look * S // 4, False, most) < before
     assert downs == most
     assert widening.extra == 0
 
 
 def test_one_long_wait_within_the_calm_begins_it_anew() -> None:
-    widening = Widening(2)
-    assert [widening.look(at * S, True, 2) for at in (0, 1)] == [1, 2]
-    assert widening.look(30 * S, True, 2) == 2
-    assert widening.look(59 * S, False, 2) == 2
-    assert widening.look(60 * S, False, 2) == 1
-    assert widening.look(89 * S, False, 2) == 1, "each step down takes a calm of its own"
-    assert widening.look(90 * S, False, 2) == 0
-    assert widening.look(90 * S + STEP_US - 1, True, 2) == 0, "no step so soon after one down"
-    assert widening.look(91 * S, True, 2) == 1
+    widening = SubsetWidening(2)
+    assert [widening.update(at * S, True, 2) for at in (0, 1)] == [1, 2]
+    assert widening.update(30 * S, True, 2) == 2
+    assert widening.update(59 * S, False, 2) == 2
+    assert widening.update(60 * S, False, 2) == 1
+    assert widening.update(89 * S, False, 2) == 1, "each step down takes a calm of its own"
+    assert widening.update(90 * S, False, 2) == 0
+    assert widening.update(90 * S + MIN_STEP_INTERVAL_US - 1, True, 2) == 0, (
+        "no step so soon after one down"
+    )
+    assert widening.update(91 * S, True, 2) == 1
 
 
 @pytest.mark.parametrize(
@@ -88,10 +95,10 @@
 def test_a_wait_is_long_from_a_quarter_of_the_patience_on_and_never_below_a_fifth_of_a_second(
     waited_us: int, patience_us: int, long: bool
 ) -> None:
-    assert is_long(waited_us, patience_us) is long
+    assert is_long_wait(waited_us, patience_us) is long
 
 
 def test_settings_out_of_range_raise() -> None:
     for most, step_us, calm_us in ((-1, 1, 1), (1, 0, 1), (1, 2, 1)):
         with pytest.raises(ValueError, match="widen|step"):
-            Widening(most, step_us, calm_us)
+            SubsetWidening(most, step_us, calm_us)
--- a/tests/decide/test_subsets.py
+++ b/tests/decide/test_subsets.py
@@ -16,11 +16,11 @@
 
 from wingbarrow.decide import subsets as module
 from wingbarrow.decide.subsets import (
-    ROSTER_MOST,
+    MAX_ROSTER,
     SubsetRules,
     Subsets,
-    placers_wanted,
-    subset_most_expected,
+    expected_max_subset,
+    placers_needed,
     subset_size,
 )
 
@@ -48,7 +48,7 @@
 
 
 def digest_of_orders(subsets: Subsets) -> str:
-    text = "".join(" ".join(subsets.order(machine)) + "\n" for machine in MACHINES[:200])
+    text = "".join(" ".join(subsets.ranking(machine)) + "\n" for machine in MACHINES[:200])
     return hashlib.sha256(text.encode()).hexdigest()
 
 
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("machine", ORDERS)
 def test_the_order_is_pinned(machine: str) -> None:
-    assert Subsets(SubsetRules(TREES, 3)).order(machine) == ORDERS[machine]
+    assert Subsets(SubsetRules(TREES, 3)).ranking(machine) == ORDERS[machine]
 
 
 def test_the_order_of_many_is_pinned(subsets: Subsets) -> None:
@@ -93,10 +93,10 @@
     other = Subsets(SubsetRules(tuple(shuffled), 3))
     living = frozenset(shuffled[:20])
     for machine in MACHINES[:300]:
-        assert other.order(machine) == subsets.order(machine)
+        assert other.ranking(machine) == subsets.ranking(machine)
         assert other.holders(machine, living) == subsets.holders(machine, living)
         for placer in ROSTER[:6]:
-            assert other.cold_most(placer, machine, 20.0) == subsets.cold_most(
+            assert other.max_cold_offers(placer, machine, 20.0) == subsets.max_cold_offers(
                 placer, machine, 20.0
             )
 
@@ -106,26 +106,26 @@
         module, "SCORE_BYTES", 1
     )  # 48 scores of 256: most machines have two that are equal
     one, other = Subsets(SubsetRules(ROSTER, 3)), Subsets(SubsetRules(ROSTER[::-1], 3))
-    assert all(one.order(machine) == other.order(machine) for machine in MACHINES[:100])
+    assert all(one.ranking(machine) == other.ranking(machine) for machine in MACHINES[:100])
 
 
 def test_what_was_asked_before_changes_no_answer() -> None:
     asked = Subsets(SubsetRules(ROSTER, 3))
     for machine in reversed(MACHINES[:50]):
         asked.holds(ROSTER[1], machine, frozenset(ROSTER[:2]))
-        asked.cold_most(ROSTER[1], machine, 3.0)
+        asked.max_cold_offers(ROSTER[1], machine, 3.0)
     fresh = Subsets(SubsetRules(ROSTER, 3))
-    assert [asked.order(machine) for machine in MACHINES[:60]] == [
-        fresh.order(machine) for machine in MACHINES[:60]
+    assert [asked.ranking(machine) for machine in MACHINES[:60]] == [
+        fresh.ranking(machine) for machine in MACHINES[:60]
     ]
 
 
 def test_ranks_are_kept_for_so_many_machines_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "ORDERS_MOST", 10)
+    monkeypatch.setattr(module, "MAX_CACHED_RANKINGS", 10)
     small = Subsets(SubsetRules(TREES, 3))
-    first = [small.order(machine) for machine in MACHINES[:100]]
-    assert len(small._orders) == 10
-    assert [small.order(machine) for machine in MACHINES[:100]] == first
+    first = [small.ranking(machine) for machine in MACHINES[:100]]
+    assert len(small._rankings) == 10
+    assert [small.ranking(machine) for machine in MACHINES[:100]] == first
 
 
 def test_names_that_run_together_are_kept_apart() -> None:
@@ -163,7 +163,7 @@
     living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
     for machine in ("m", "node-1", "node-2"):
-        order, holders = subsets.order(machine), subsets.holders(machine, living | {"stranger"})
+        order, holders = subsets.ranking(machine), subsets.holders(machine, living | {"stranger"})
         assert sorted(order) == sorted(roster)
         assert holders == tuple(name for name in order if name in living)[:replicas]
         assert len(holders) == min(replicas, len(living))
@@ -195,15 +195,15 @@
     assert all(after[machine] - before[machine] == {ROSTER[-1]} for machine in gained)
     assert 0.6 / 48 < len(gained) / (3 * len(MACHINES)) < 1.4 / 48
     for machine in MACHINES[:200]:
-        assert tuple(name for name in large.order(machine) if name != ROSTER[-1]) == small.order(
-            machine
-        )
+        assert tuple(
+            name for name in large.ranking(machine) if name != ROSTER[-1]
+        ) == small.ranking(machine)
 
 
 def test_a_placer_of_the_first_ranks_holds_whatever_it_believes(subsets: Subsets) -> None:
     rng = random.Random(7)
     for machine in MACHINES[:200]:
-        for placer in subsets.order(machine)[:3]:
+        for placer in subsets.ranking(machine)[:3]:
             view = frozenset(rng.sample(ROSTER, rng.randrange(48))) | {placer}
             assert subsets.holds(placer, machine, view)
 
@@ -215,7 +215,7 @@
             sum(subsets.holds(placer, machine, ALL) for machine in MACHINES) for placer in roster
         ]
         mean = subset_size(len(MACHINES), len(roster), replicas)
-        most = subset_most_expected(len(MACHINES), len(roster), replicas)
+        most = expected_max_subset(len(MACHINES), len(roster), replicas)
         assert sum(sizes) == replicas * len(MACHINES)
         assert max(sizes) <= most
         assert min(sizes) >= 2 * mean - most
@@ -240,7 +240,7 @@
         ({"roster": ()}, "roster"),
         ({"roster": ("a", "")}, "roster"),
         ({"roster": ("a", "b", "a")}, "roster"),
-        ({"roster": tuple(map(str, range(ROSTER_MOST + 1)))}, "roster"),
+        ({"roster": tuple(map(str, range(MAX_ROSTER + 1)))}, "roster"),
         ({"replicas": 0}, "replicas"),
         ({"replicas": 6}, "replicas"),
         ({"spare_part": -0.01}, "spare"),
@@ -254,9 +254,9 @@
 
 
 def test_the_largest_roster_works() -> None:
-    roster = tuple(map(str, range(ROSTER_MOST)))
+    roster = tuple(map(str, range(MAX_ROSTER)))
     subsets = Subsets(SubsetRules(roster, 3))
-    assert sorted(subsets.order("m")) == sorted(roster)
+    assert sorted(subsets.ranking("m")) == sorted(roster)
 
 
 # -- sizes
@@ -264,24 +264,24 @@
 
 def test_sizes_of_the_stated_fleets() -> None:
     assert subset_size(13_000, 48, 3) == 812.5
-    assert subset_most_expected(13_000, 48, 3) == 951  # 812.5 + 5 * sqrt(812.5 * 45 / 48)
-    assert subset_size(10, 2, 3) == 10 and subset_most_expected(10, 2, 3) == 10, (
+    assert expected_max_subset(13_000, 48, 3) == 951  # 812.5 + 5 * sqrt(812.5 * 45 / 48)
+    assert subset_size(10, 2, 3) == 10 and expected_max_subset(10, 2, 3) == 10, (
         "few placers hold all"
     )
-    assert subset_most_expected(0, 4, 3) == 0
+    assert expected_max_subset(0, 4, 3) == 0
 
 
 @given(st.integers(0, 20_000), st.integers(1, 2_000), st.integers(1, 8))
 def test_the_fewest_placers_that_do(machines: int, most: int, replicas: int) -> None:
-    wanted = placers_wanted(machines, most, replicas)
+    wanted = placers_needed(machines, most, replicas)
     assert wanted >= replicas
-    assert subset_most_expected(machines, wanted, replicas) <= most
-    assert wanted == replicas or subset_most_expected(machines, wanted - 1, replicas) > most
+    assert expected_max_subset(machines, wanted, replicas) <= most
+    assert wanted == replicas or expected_max_subset(machines, wanted - 1, replicas) > most
 
 
 @given(st.integers(0, 5_000), st.integers(1, 8))
 def test_more_placers_never_have_larger_subsets(machines: int, replicas: int) -> None:
-    sizes = [subset_most_expected(machines, placers, replicas) for placers in range(1, 60)]
+    sizes = [expected_max_subset(machines, placers, replicas) for placers in range(1, 60)]
     assert sizes == sorted(sizes, reverse=True)
 
 
@@ -290,9 +290,9 @@
     with pytest.raises(ValueError):
         subset_size(machines, placers, replicas)
     with pytest.raises(ValueError):
-        subset_most_expected(machines, placers, replicas)
+        expected_max_subset(machines, placers, replicas)
     with pytest.raises(ValueError):
-        placers_wanted(machines, placers, replicas)
+        placers_needed(machines, placers, replicas)
 
 
 # -- further ranks
@@ -307,7 +307,7 @@
     living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
     for machine in MACHINES[:5]:
-        wanted = [name for name in subsets.order(machine) if name in living][: replicas + extra]
+        wanted = [name for name in subsets.ranking(machine) if name in living][: replicas + extra]
         assert {name for name in roster if subsets.holds(name, machine, living, extra)} == set(
             wanted
         )
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -41,7 +41,7 @@
 
     def standing(self) -> int:
         return sum(
-            slot.service.placer.job_store.admission.open
+            slot.service.placer.job_store.admission.open_tasks
             for slot in self.cluster.placers
             if slot.service is not None
         )
--- a/wingbarrow/config/subsetting.py
+++ b/wingbarrow/config/subsetting.py
@@ -22,7 +22,7 @@
 from wingbarrow.config.settings import Agree, ClassSettings, Limits, PlacerSettings, SubsetSettings
 from wingbarrow.config.shapes import NEEDED, Node, Shape, number, read_duration, text
 from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
-from wingbarrow.decide.subsets import ROSTER_MOST, SubsetRules, Subsets, subset_size
+from wingbarrow.decide.subsets import MAX_ROSTER, SubsetRules, Subsets, subset_size
 
 MAX_WIDEN = 8
 MIN_MACHINES = (
@@ -32,7 +32,7 @@
 SHAPE = Shape(
     (),
     {
-        "replicas": (number(1, ROSTER_MOST, True), NEEDED),
+        "replicas": (number(1, MAX_ROSTER, True), NEEDED),
         "spare": (number(0, 1), 0.25),
         "widen": (number(0, MAX_WIDEN, True), 0),
         "machines": (number(1, 10_000_000, True), None),
@@ -71,8 +71,8 @@
         )
     for name in sorted({name for name in roster if roster.count(name) > 1}):
         found.append((line, f"{name!r} is named twice in the roster"))
-    if len(roster) > ROSTER_MOST:
-        found.append((line, f"more than {ROSTER_MOST} placers in the roster"))
+    if len(roster) > MAX_ROSTER:
+        found.append((line, f"more than {MAX_ROSTER} placers in the roster"))
     if roster and placer.args[0] not in roster:
         found.append((line, f"{placer.args[0]!r} is not in the roster"))
     if roster and node.props["replicas"] > len(roster):
@@ -145,7 +145,7 @@
     """What the decision module is told, `scheduler` or the settings' own: with subsets, its deal among the holders.
 
     Only a first bound (rule 4): the module deals what the first ranks have of a cold machine's offers to as many
-    placers as there are replicas; what each may send is asked at the gate, by `Subsets.cold_most`.
+    placers as there are replicas; what each may send is asked at the gate, by `Subsets.max_cold_offers`.
     """
     told = scheduler or settings.scheduler
     if settings.subset is None:
@@ -153,7 +153,8 @@
     rules = settings.subset.rules
     subsets, replicas = Subsets(rules), rules.replicas
     offers = sum(
-        subsets.cold_most(name, "", told.fresh_offers) for name in subsets.order("")[:replicas]
+        subsets.max_cold_offers(name, "", told.fresh_offers)
+        for name in subsets.ranking("")[:replicas]
     )
     return replace(
         told,
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -184,16 +184,16 @@
 
     def _check_limits(self, namespace: str, count: int) -> None:
         """This placer's own limits on open tasks and pending stops."""
-        too_many = self._jobs.admission.check(namespace, count, self._stops.pending)
-        if too_many is not None:
+        exceeded = self._jobs.admission.check(namespace, count, self._stops.pending)
+        if exceeded is not None:
             self._base.counts["turned_away"] += 1
             self._base.log(
-                "job-turned-away", level="warning", what=too_many.what, most=too_many.most
+                "job-turned-away", level="warning", what=exceeded.what, most=exceeded.limit
             )
             raise ApiError(
                 429,
-                f"more than {too_many.most} {too_many.what}",
-                retry_after_s=too_many.retry_after_s,
+                f"more than {exceeded.limit} {exceeded.what}",
+                retry_after_s=exceeded.retry_after_s,
             )
 
     def _check_fleet_limits(self, request: JobRequest, now_us: int, due_us: int) -> None:
--- a/wingbarrow/core/job_store.py
+++ b/wingbarrow/core/job_store.py
@@ -163,7 +163,7 @@
     def set_limits(self, max_ended_jobs: int, tasks_open: int, per_namespace: int) -> None:
         """Replace the bounds; what was accepted before stays."""
         self._max_ended_jobs = max_ended_jobs
-        self.admission.take_limits(tasks_open, per_namespace)
+        self.admission.set_limits(tasks_open, per_namespace)
 
     def add(
         self, key: str, uid: str, asked: JobRequest, value: dict[str, Any], adopted: bool = False
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/link.py
@@ -239,7 +239,7 @@
                 for kind, value in self._events(version):
                     version = str(value.get("metadata", {}).get("resourceVersion") or version)
                     self.reachable = True
-                    self._pause.clear()
+                    self._pause.reset()
                     if kind != "BOOKMARK":
                         event(kind, value)
             except (CallFailed, ApiError, ValueError) as error:
@@ -247,7 +247,7 @@
                 # Whatever broke it, a list of what runs is cheap and misses nothing.
                 version = ""
                 log("machine-watch-broke", machine=self.name, why=str(error)[:200])
-                self.hub.sleep(self._pause.next_us())
+                self.hub.sleep(self._pause.next_delay_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
         target = (
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -377,7 +377,7 @@
     def _quota_in_use(self, key: str) -> int:
         """Open tasks under a standing limit, for the report to the voters' leader."""
         about, _, rest = key.partition("/")
-        return self.job_store.admission.standing(about, rest.rpartition("/")[0])
+        return self.job_store.admission.open_count(about, rest.rpartition("/")[0])
 
     def _quota_demand(self, key: str) -> int:
         """What would be used beyond that. Of the cold budget: as much as waits, as the part of it is not known."""
--- a/wingbarrow/core/refills.py
+++ b/wingbarrow/core/refills.py
@@ -35,7 +35,7 @@
                 hub.sleep(int(self._base.random.random() * self._spread_us))
                 # A list that the reflector took in meanwhile has all that is wanted.
                 while self._reflector.relists == lists and not self._refilled():
-                    hub.sleep(pause.next_us())
+                    hub.sleep(pause.next_delay_us())
         finally:
             self.going = False
 
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -86,7 +86,7 @@
                 if isinstance(error, ApiError) and error.code == 410:
                     self._version = ""
                 self._on_failure(error)
-                self._hub.sleep(self._backoff.next_us())
+                self._hub.sleep(self._backoff.next_delay_us())
 
     def _on_failure(self, error: Exception) -> None:
         self.failures += 1
@@ -199,7 +199,7 @@
     def _on_success(self) -> None:
         self.last_contact_us = self._hub.now_us()
         self.version = int(self._version or 0)
-        self._backoff.clear()
+        self._backoff.reset()
         self._reported_failure = False
 
     def _read(self, value: dict[str, Any]) -> NodeEntry | None:
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -63,7 +63,7 @@
         )
 
     def _remaining(self, now_us: int, name: str, launched_us: int) -> int:
-        share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
+        share = self._subsets.max_cold_offers(self._base.settings.name, name, self._fleet_offers())
         return self._account.remaining(now_us, name, launched_us, share)
 
     def on_chosen(self, link: MachineLink) -> None:
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -141,7 +141,8 @@
                 machine.pods.discard(stop.pod)
             else:
                 heapq.heappush(
-                    machine.retries, (self._hub.now_us() + stop.backoff.next_us(), stop.pod, stop)
+                    machine.retries,
+                    (self._hub.now_us() + stop.backoff.next_delay_us(), stop.pod, stop),
                 )
         machine.workers -= 1
         if not machine.pods and not machine.workers and self._machines.get(link) is machine:
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -5,8 +5,8 @@
 released. Machines that enter the subset are read by one further list, which each placer requests after a random delay,
 as all placers learn of a membership change at about the same time.
 
-While tasks wait long, the subset is widened by `decide.subset_widening`: the machines of one more rank are read at once, by
-a list of this placer alone, and leave the subset later as others do.
+While tasks wait long, the subset is widened by `decide.subset_widening`: the machines of one more rank are read at
+once, by a list of this placer alone, and leave the subset later as others do.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.refills import Refills
 from wingbarrow.core.stops import Stops
-from wingbarrow.decide.membership_damping import LivingView
-from wingbarrow.decide.subset_widening import Widening
+from wingbarrow.decide.membership_damping import DampedMembership
+from wingbarrow.decide.subset_widening import SubsetWidening
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 250_000
@@ -71,14 +71,14 @@
         self._me = base.settings.name
         self.subsets = Subsets(settings.rules)
         self._spread_us = min(REFILL_SPREAD_US, REFILL_EACH_US * len(settings.rules.roster))
-        self._view = LivingView(
+        self._view = DampedMembership(
             self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
         )
         self._max_extra = settings.widen
-        self._widening = Widening(settings.widen)
+        self._widening = SubsetWidening(settings.widen)
         self.extra = 0  # further ranks whose machines this placer holds while its tasks wait long
         self._begun_us = base.hub.now_us()
-        self.living = self._view.living(self._begun_us)
+        self.living = self._view.live_members(self._begun_us)
         # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
         self._follows_all = False
         self._refills = Refills(base, fleet.reflector, self._spread_us)
@@ -135,7 +135,7 @@
         if known or now_us - self._begun_us >= ALONE_US:
             living |= {self._me}
         self._view.on_members(now_us, living)
-        living = self._view.living(now_us)
+        living = self._view.live_members(now_us)
         if living != self.living:
             self._follow(living)
 
@@ -156,7 +156,7 @@
     def _check_waits(self, now_us: int) -> None:
         before = self.extra
         useful = len(self.living) - self.subsets.rules.replicas
-        extra = self._widening.look(now_us, self._waits_long(now_us), useful)
+        extra = self._widening.update(now_us, self._waits_long(now_us), useful)
         if extra == before:
             return
         moved = self._change(self.living, extra)
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from wingbarrow.core.job_store import State, TaskRecord
-from wingbarrow.decide.subset_widening import is_long
+from wingbarrow.decide.subset_widening import is_long_wait
 
 MAX_CHECKED_PER_GROUP = 64  # patience is bounded, and with it the number of groups
 
@@ -35,7 +35,7 @@
         return sum(len(group) for group in self._groups.values())
 
     def any_long(self, now_us: int) -> bool:
-        """Whether a task without an attempt in flight has waited long: `decide.subset_widening.is_long`."""
+        """Whether a task without an attempt in flight has waited long: `decide.subset_widening.is_long_wait`."""
         return any(
             self._waits_long(now_us, request, task)
             for group in self._groups.values()
@@ -46,7 +46,7 @@
         if task.request != request or task.state is not State.ASKED or self._has_attempt(request):
             return False
         patience_us = task.job.request.patience_us
-        return is_long(patience_us - (task.deadline_us - now_us), patience_us)
+        return is_long_wait(patience_us - (task.deadline_us - now_us), patience_us)
 
 
 def _group(task: TaskRecord) -> int:
--- a/wingbarrow/decide/backoff.py
+++ b/wingbarrow/decide/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between repeated calls to something that fails: doubling, bounded, spread by a seed."""
+"""Exponential backoff with a bound and jitter."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Backoff:
-    """Pauses from `first_us` doubling to `most_us`, each spread over its upper half."""
+    """Delays that double from `initial_us` up to `max_us`; jitter draws each from its upper half."""
 
     def __init__(
-        self, seed: random.Random, first_us: int = 100_000, most_us: int = 10_000_000
+        self, rng: random.Random, initial_us: int = 100_000, max_us: int = 10_000_000
     ) -> None:
-        self._seed = seed
-        self._first, self._most = first_us, most_us
+        self._rng = rng
+        self._initial_us, self._max_us = initial_us, max_us
         self.failures = 0
 
-    def next_us(self) -> int:
-        """The pause after one more failure."""
-        pause = min(self._most, self._first << min(self.failures, 20))
+    def next_delay_us(self) -> int:
+        """Count one more failure and return the delay before the next attempt."""
+        delay = min(self._max_us, self._initial_us << min(self.failures, 20))
         self.failures += 1
-        return pause // 2 + self._seed.randrange(pause // 2 + 1)
+        return delay // 2 + self._rng.randrange(delay // 2 + 1)
 
-    def clear(self) -> None:
-        """A call went well."""
+    def reset(self) -> None:
+        """Start again from the initial delay, after a success."""
         self.failures = 0
--- a/wingbarrow/decide/gate.py
+++ b/wingbarrow/decide/gate.py
@@ -33,11 +33,11 @@
 
     decided_us: int  # when the module chose the machine
     deadline_us: int
-    request_open: bool  # its final answer has not been given
-    attempt_out: bool  # this attempt, and no other, is the request's open one
-    machine_runs: bool  # by the list as received so far
+    request_is_open: bool  # its final answer has not been given
+    is_current_attempt: bool  # this attempt, and no other, is the request's open one
+    machine_is_running: bool  # by the list as received so far
     launched_us: int  # the machine's last start, 0 for long ago
-    granted: HoldReason | None = (
+    rules_hold: HoldReason | None = (
         None  # why the agreed rules forbid it now, None where they allow it
     )
     leased: bool = True  # its Job needs no lease, or this placer's is valid by its own clock
@@ -62,25 +62,25 @@
     def check(self, now_us: int, offer: Offer) -> HoldReason | None:
         """Why to hold the offer; None to send it."""
         # Rule 1. Danger: an offer sent after the final answer, or one whose answer could only come too late.
-        if not offer.request_open:
+        if not offer.request_is_open:
             return HoldReason.ENDED
         if now_us >= offer.deadline_us:
             return HoldReason.LATE
         # Rule 2. Danger: two attempts in flight, where this one was given up while it waited for its connection.
-        if not offer.attempt_out:
+        if not offer.is_current_attempt:
             return HoldReason.NOT_OUT
         # Rule 2. Danger: the window in which machines discard a repeat has closed while this one waited.
         if not offer.may_repeat:
             return HoldReason.REPEAT
         # Agreed rules. Danger: this placer was stalled or partitioned while the others moved to another rule set.
-        if offer.granted is not None:
-            return offer.granted
+        if offer.rules_hold is not None:
+            return offer.rules_hold
         # Leases. Danger: this placer was stalled or partitioned, and another may start the Job after failover by now.
         # A floor says nothing about that: it never replaces a lease.
         if not offer.leased:
             return HoldReason.NO_LEASE
         # Rule 3. Danger: the machine began to drain while the offer waited; held at once, not after the grace period.
-        if not offer.machine_runs:
+        if not offer.machine_is_running:
             return HoldReason.DRAINING
         # Rule 4. Danger: offers that waited are sent in one burst, more within a span than the module counted.
         cold = offer.launched_us > 0 and now_us < offer.launched_us + self._cold_us
--- a/wingbarrow/decide/membership_damping.py
+++ b/wingbarrow/decide/membership_damping.py
@@ -24,7 +24,7 @@
 SETTLE_US = 2_000_000  # news of several deaths with one cause come within it, or little later
 
 
-class LivingView:
+class DampedMembership:
     """One placer's set, driven by what membership tells it.
 
     `me` must be in `roster`; times below zero, or another name, raise ValueError. At the start everybody is in, as
@@ -46,41 +46,43 @@
         self._roster = frozenset(roster)
         self._leave_after_us = leave_after_us
         self._settle_us = settle_us
-        self._living = self._roster
-        self._missing_us: dict[str, int] = {}  # since when membership has told of a member as dead
+        self._live = self._roster
+        self._dead_since_us: dict[
+            str, int
+        ] = {}  # since when membership has told of a member as dead
         self._changed_us: int | None = None  # the latest change of the set
 
-    def on_members(self, now_us: int, living: frozenset[str]) -> None:
+    def on_members(self, now_us: int, live: frozenset[str]) -> None:
         """Membership's present view: all that it holds for living, this placer or not.
 
         Names outside the roster are passed over. Where nobody of the roster is named, nothing is known yet, and
         everybody counts as living; a placer that knows that it is alone names itself.
         """
-        told = living & self._roster
-        present = told | {self._me} if told else self._roster
+        reported = live & self._roster
+        present = reported | {self._me} if reported else self._roster
         # Nothing is applied here first: a placer that stood still hears the news before it acts on what became due.
         for name in self._roster:
             if name in present:
-                self._missing_us.pop(name, None)
+                self._dead_since_us.pop(name, None)
             else:
-                self._missing_us.setdefault(name, now_us)
+                self._dead_since_us.setdefault(name, now_us)
 
-    def living(self, now_us: int) -> frozenset[str]:
+    def live_members(self, now_us: int) -> frozenset[str]:
         """The set by which machines are held now; makes the change that is due."""
         wanted = self._wanted(now_us)
-        if wanted != self._living and self._may_change(now_us):
-            self._living = wanted
+        if wanted != self._live and self._may_change(now_us):
+            self._live = wanted
             self._changed_us = now_us
-        return self._living
+        return self._live
 
-    def next_us(self) -> int | None:
+    def next_change_us(self) -> int | None:
         """When the set is to be asked for again, without further news; None: no change is coming up."""
         due_us = [
             since_us + self._leave_after_us
-            for name, since_us in self._missing_us.items()
-            if name in self._living
+            for name, since_us in self._dead_since_us.items()
+            if name in self._live
         ]
-        if any(name not in self._missing_us for name in self._roster - self._living):
+        if any(name not in self._dead_since_us for name in self._roster - self._live):
             due_us.append(0)  # somebody is back: as soon as a change is allowed
         if not due_us:
             return None
@@ -92,10 +94,10 @@
         return frozenset(name for name in self._roster if self._belongs(name, now_us))
 
     def _belongs(self, name: str, now_us: int) -> bool:
-        since_us = self._missing_us.get(name)
+        since_us = self._dead_since_us.get(name)
         if since_us is None:
             return True
-        return name in self._living and now_us - since_us < self._leave_after_us
+        return name in self._live and now_us - since_us < self._leave_after_us
 
     def _may_change(self, now_us: int) -> bool:
         return self._changed_us is None or now_us - self._changed_us >= self._settle_us
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -94,7 +94,7 @@
     def cancel_pending(self) -> None:
         """Forget the pending request: a later response to it is ignored."""
         self.pending = None
-        self._backoff.clear()
+        self._backoff.reset()
 
     def due_request(
         self, now_us: int, session: Session, read_record: ReadRecord
@@ -120,14 +120,14 @@
         request = ReplicateRequest(
             self._next_number(), session, tuple(records), removals, self.life, self.serial
         )
-        self._backoff.clear()
-        self.pending = PendingRequest(request, now_us, now_us + self._backoff.next_us())
+        self._backoff.reset()
+        self.pending = PendingRequest(request, now_us, now_us + self._backoff.next_delay_us())
         return request
 
     def _retry(self, now_us: int, pending: PendingRequest) -> ReplicateRequest:
         """The pending request with the ages of now."""
         elapsed_us = now_us - pending.sent_us
-        pending.retry_us = now_us + self._backoff.next_us()
+        pending.retry_us = now_us + self._backoff.next_delay_us()
         request = pending.request
         records = tuple(with_ages_advanced(each, elapsed_us) for each in request.records)
         return replace(request, records=records)
--- a/wingbarrow/decide/slow_start.py
+++ b/wingbarrow/decide/slow_start.py
@@ -2,7 +2,7 @@
 
 Where placers hold subsets of the machines, more placers than usual may hold a machine at one time: in a partition each
 side takes over the other's machines. A placer's share of the offers to a cold machine then follows from its rank alone
-(`subsets.Subsets.cold_most`), and this account keeps the placer within it, whatever the decision module counts.
+(`subsets.Subsets.max_cold_offers`), and this account keeps the placer within it, whatever the decision module counts.
 
 An offer counts from its first byte until `span_us` after it is known to have arrived, because offers that lie unread at
 a stalled machine all arrive together when the machine resumes. No I/O, no clock; times are microseconds.
--- a/wingbarrow/decide/subsets.py
+++ b/wingbarrow/decide/subsets.py
@@ -9,7 +9,7 @@
 whole roster, which is the same at all placers whatever they believe: the shares add up to no more than the machine's
 offers in every view.
 
-No I/O, no clock. The ranks of machines that were asked for are kept, up to `ORDERS_MOST` machines.
+No I/O, no clock. The ranks of machines that were asked for are kept, up to `MAX_CACHED_RANKINGS` machines.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from hashlib import blake2b
 from math import ceil, floor, isfinite, sqrt
 
-ROSTER_MOST = 256  # as many as membership knows; a rank fits one byte
-ORDERS_MOST = (
+MAX_ROSTER = 256  # as many as membership knows; a rank fits one byte
+MAX_CACHED_RANKINGS = (
     32_768  # machines whose ranks are kept, at most 256 bytes each and some 70 around them
 )
 PLACER_KEY_BYTES = 16
 SCORE_BYTES = 8
 MARGIN_DEVIATIONS = (
-    5.0  # of `subset_most_expected`: one subset in 3 million is larger, by the normal approximation
+    5.0  # of `expected_max_subset`: one subset in 3 million is larger, by the normal approximation
 )
 
 
@@ -46,8 +46,8 @@
             raise ValueError("roster: at least one placer, and no empty name")
         if len(set(self.roster)) < len(self.roster):
             raise ValueError("roster: a placer is named twice")
-        if len(self.roster) > ROSTER_MOST:
-            raise ValueError(f"roster: more than {ROSTER_MOST} placers")
+        if len(self.roster) > MAX_ROSTER:
+            raise ValueError(f"roster: more than {MAX_ROSTER} placers")
         if not 1 <= self.replicas <= len(self.roster):
             raise ValueError("replicas: from 1 to the number of placers in the roster")
         if not 0 <= self.spare_part <= 1:
@@ -62,11 +62,11 @@
         self._names = tuple(sorted(rules.roster))
         self._known = frozenset(self._names)
         self._keys = tuple(_placer_key(name) for name in self._names)
-        self._orders: dict[
+        self._rankings: dict[
             str, bytes
         ] = {}  # by machine: indexes into `_names`, the first rank first
 
-    def order(self, machine: str) -> tuple[str, ...]:
+    def ranking(self, machine: str) -> tuple[str, ...]:
         """The roster by rank for a machine, whoever lives."""
         return tuple(self._names[index] for index in self._ranked(machine))
 
@@ -100,7 +100,7 @@
                     return False
         return False
 
-    def cold_most(self, placer: str, machine: str, offers: float) -> int:
+    def max_cold_offers(self, placer: str, machine: str, offers: float) -> int:
         """Most offers that `placer` may have out to a machine that is cold and stands `offers` of them in all.
 
         Over the whole roster this adds up to at most `floor(offers)`, as it depends on no belief about who lives. A
@@ -110,7 +110,7 @@
             raise ValueError("offers: a finite number from 0")
         if placer not in self._known:
             return 0
-        return self._share(self.order(machine).index(placer), floor(offers))
+        return self._share(self.ranking(machine).index(placer), floor(offers))
 
     def _share(self, rank: int, total: int) -> int:
         """The deal of `total` by rank: never less for a lower rank than for a higher one."""
@@ -125,12 +125,12 @@
 
     def _ranked(self, machine: str) -> bytes:
         """Indexes into `_names` by rank, computed once for each machine while it is kept."""
-        found = self._orders.get(machine)
+        found = self._rankings.get(machine)
         if found is None:
             found = self._rank(machine)
-            if len(self._orders) >= ORDERS_MOST:
-                del self._orders[next(iter(self._orders))]
-            self._orders[machine] = found
+            if len(self._rankings) >= MAX_CACHED_RANKINGS:
+                del self._rankings[next(iter(self._rankings))]
+            self._rankings[machine] = found
         return found
 
     def _rank(self, machine: str) -> bytes:
@@ -146,7 +146,7 @@
     return machines * min(replicas, placers) / placers
 
 
-def subset_most_expected(machines: int, placers: int, replicas: int) -> int:
+def expected_max_subset(machines: int, placers: int, replicas: int) -> int:
     """A bound on the machines of one placer: mean + 5 standard deviations of the binomial, and never above `machines`.
 
     Each machine is held by a placer with chance `replicas / placers`, independently of the other machines, as far as
@@ -158,7 +158,7 @@
     return min(machines, ceil(mean + MARGIN_DEVIATIONS * deviation))
 
 
-def placers_wanted(machines: int, subset_most: int, replicas: int) -> int:
+def placers_needed(machines: int, subset_most: int, replicas: int) -> int:
     """The fewest placers whose subsets are expected to stay within `subset_most` machines; at least `replicas`.
 
     To bear the loss of k placers without going over, run k more.
@@ -168,11 +168,11 @@
         raise ValueError("subset-most: at least 1")
     low = replicas  # the bound never grows with the number of placers, so the answer is found by bisection
     high = max(replicas, 1)
-    while subset_most_expected(machines, high, replicas) > subset_most:
+    while expected_max_subset(machines, high, replicas) > subset_most:
         low, high = high + 1, high * 2
     while low < high:
         middle = (low + high) // 2
-        if subset_most_expected(machines, middle, replicas) > subset_most:
+        if expected_max_subset(machines, middle, replicas) > subset_most:
             low = middle + 1
         else:
             high = middle
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -273,7 +273,11 @@
             requests.add_metric([str(status)], count)
         yield requests
         for name, help_text, value in (
-            ("wingbarrow_open_tasks", "Tasks that are not over", placer.job_store.admission.open),
+            (
+                "wingbarrow_open_tasks",
+                "Tasks that are not over",
+                placer.job_store.admission.open_tasks,
+            ),
             (
                 "wingbarrow_answers_owed",
                 "Tasks that wait for a final answer",
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -67,7 +67,7 @@
         """Ask another address from now on; what was asked of the old one is let go."""
         if address != self._address:
             self._address = address
-            self._pause.clear()
+            self._pause.reset()
             if self._scope is not None:
                 self._scope.cancel()
 
@@ -91,7 +91,7 @@
                 while address == self._address:
                     if not self._turn(pool, address) and address == self._address:
                         with CancelScope(hub) as self._scope:  # a move ends the pause too
-                            hub.sleep(self._pause.next_us())
+                            hub.sleep(self._pause.next_delay_us())
             finally:
                 pool.close()
 
@@ -116,7 +116,7 @@
             self._failed()
             return False
         if self._take_in(tail, *answer) or life.hub.now_us() - begun_us >= EARLY_US:
-            self._pause.clear()
+            self._pause.reset()
             return True
         life.counts["journal_early"] += 1
         self._tell("journal-early", "an answer without news before its time")
