--- a/wingbarrow/decide/__init__.py
+++ b/wingbarrow/decide/__init__.py
@@ -1,5 +1,6 @@
-"""Decisions beside the decision module (REM): values in, decisions out; no I/O, no clock, randomness by seed only.
+"""Decisions other than the choice of machines (REM): pure functions and state machines.
 
-Each file or package is one decision, such as overload control, the send gate, retries, restarts, membership, consensus.
-They may restrict what the module may do; none chooses a machine.
+They do no I/O, read no clock, and draw randomness from a seed alone. Each file or package makes one kind of decision,
+such as overload control, the send gate, retries, restarts, membership or consensus. They may restrict what the decision
+module does; none chooses a machine.
 """
--- a/wingbarrow/decide/effects.py
+++ b/wingbarrow/decide/effects.py
@@ -1,4 +1,4 @@
-"""What the state machines among placers ask of their host. A host carries out a list of effects in its order."""
+"""Effects that the state machines between placers request from their host, which applies a list of them in order."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 class Send:
     """Send a message to another placer, at most once: it may be lost, delayed or duplicated.
 
-    `ident` is the receiver's name, "" where only its address is known; `address` is "" where the host is to look it up.
+    `ident` is the receiver's name, "" where only its address is known; `address` is "" where the host must resolve it.
     """
 
     ident: str
     address: str
-    message: Any  # one of `wingbarrow.peers.message.KINDS`: each package has a union of its own
+    message: (
+        Any  # one of `wingbarrow.peers.message.KINDS`; each package defines its own union of them
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call `on_timer(now_us, key)` at `at_us` of the host's clock, or later; a key that is set again is moved."""
+    """Call `on_timer(now_us, key)` at `at_us` of the host's clock, or later; setting a key again reschedules it."""
 
     key: str
     at_us: int
@@ -30,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify:
-    """An event for the placer's other components, its log and its history; `fields` by the event's name."""
+    """An event for the placer's other components, its log and its history; `event` determines the keys of `fields`."""
 
     event: str
     fields: dict[str, Any]
@@ -40,8 +42,8 @@
 class Persist:
     """Write a voter's state to disk, durably, before any later effect of the list is carried out.
 
-    `entries` replace the log from `first_index` on (None: the log is unchanged). `snapshot` replaces the one before,
-    and all entries up to its index with it (None: unchanged).
+    `entries` replace the log from `first_index` on (None: the log is unchanged). `snapshot` replaces the previous one
+    and all entries up to its index (None: unchanged).
     """
 
     term: int
--- a/wingbarrow/decide/idempotency.py
+++ b/wingbarrow/decide/idempotency.py
@@ -1,7 +1,7 @@
 """Whether a task that may already have run may be sent again, checked right before the first byte (rule 2).
 
-The module checks the same when it decides. Between that and the first byte an offer may wait for a connection, and the
-short deduplication window of a class with idempotency keys may close meanwhile.
+The decision module makes the same check when it chooses a machine. An offer may then wait for a connection, and the
+short deduplication window of a class with idempotency keys may close during that wait.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """The first attempt of a request that may have run: its machine, and when it was decided on (microseconds)."""
+    """The first attempt of a request that may have run: when it was decided on (microseconds), and its machine."""
 
     decided_us: int
     machine: ListedMachine
 
 
 def group_key(machine: ListedMachine, group: Place) -> object:
-    """The key that machines of one deduplication group share; equal for all machines where it is `ALL` or `NONE`."""
+    """The key that machines of one deduplication group share; equal for all machines if `group` is `ALL` or `NONE`."""
     return {Place.MACHINE: machine.machine, Place.CELL: machine.cell, Place.ZONE: machine.zone}.get(
         group
     )
@@ -33,10 +33,11 @@
     machine: ListedMachine,
     slack_us: int,
 ) -> bool:
-    """Whether an offer to `machine` at `now_us` cannot have a second effect; `slack_us`: margin before a window's end.
+    """Whether an offer to `machine` at `now_us` cannot have its effect twice.
 
-    A window runs from the earlier attempt's first byte, which is not before its decision. As it is counted from the
-    decision here, this ends no later than the window of the machines.
+    `slack_us` is a margin before the end of the deduplication window. On machines the window starts at the earlier
+    attempt's first byte, which is never before its decision. Here it is counted from the decision, so it ends no later
+    than on the machines.
     """
     if earlier is None or cls.effect is Effect.SAFE:
         return True
--- a/wingbarrow/decide/learning.py
+++ b/wingbarrow/decide/learning.py
@@ -1,12 +1,13 @@
-"""Peer hints: how a peer's knowledge of machines is discounted with its age, and when it is not believed.
+"""Peer hints: how a peer's knowledge of machines is discounted with its age, and when it is not trusted.
 
-Discount. A task that a peer saw running is still there after an age `a` with a probability of about exp(-a / life),
-where lives are memoryless. So a figure that counts tasks keeps the weight w = 2 ** (-a / HALF_LIFE), and the rest is
-the average over the fleet: figure * w + average * (1 - w). HALF_LIFE is short compared with the lives seen in service,
-as many short tasks make up most of a machine's change. It misleads where tasks live far shorter: a machine that emptied
-looks used for some seconds, until the list or an own offer says otherwise. It also misleads where one machine is far
-from the average for a lasting reason, such as a machine dedicated to one service: its figure drifts to the average
-before the list corrects it. Warm programs and rest periods are not discounted; each is believed for its time left.
+Discount. If lifetimes of tasks are memoryless, a task that a peer saw running still runs after an age `a` with a
+probability of about exp(-a / lifetime). A value that counts tasks therefore keeps the weight w = 2 ** (-a / HALF_LIFE),
+and the rest is the average over the fleet: value * w + average * (1 - w). HALF_LIFE is short compared with lifetimes
+observed in service, as short tasks cause most of the change on a machine. The discount misleads where tasks live far
+shorter: an emptied machine appears used for some seconds, until the list or an own offer shows otherwise. It also
+misleads where one machine differs from the average for a lasting reason, such as a machine dedicated to one service:
+its value drifts to the average before the list corrects it. Warm programs and rest periods are not discounted; each is
+trusted for its time left.
 
 Precedence: own experience, then the newer of list and peer, then peer hints. An observed drain takes precedence over
 everything that is not newer than it.
@@ -23,26 +24,34 @@
 from wingbarrow.interface import LearnedMachine, ListedMachine, Phase
 
 SECOND = 1_000_000
-HALF_LIFE_US = 8 * SECOND
-MAX_USEFUL_AGE_US = 60 * SECOND  # an older figure says nothing beyond the average
-RATIO_HALF_LIFE_US = 120 * SECOND  # usage ratios are of programs, which change slower than tasks
-MAX_RATIO = 10.0
-MAX_RATIO_NOTES = 100.0  # a peer's ratios weigh as much as so many own notes at most
-MAX_STRIKES = 31  # of a rest period; more is no valid value
-MAX_AGE_US = 24 * 3600 * SECOND  # a larger age means a broken clock
+HALF_LIFE_US = 8 * SECOND  # of values that count tasks
+MAX_USEFUL_AGE_US = 60 * SECOND  # an older value adds nothing to the average
+RATIO_HALF_LIFE_US = (
+    120 * SECOND
+)  # of usage ratios: they belong to programs, which change slower than tasks
+MAX_RATIO = 10.0  # a larger usage ratio is not valid
+MAX_RATIO_NOTES = 100.0  # a peer's ratio weighs at most as much as this many own samples
+MAX_STRIKES = 31  # a rest period with more is not valid
+MAX_AGE_US = 24 * 3600 * SECOND  # a larger age indicates a broken clock
 CLOCK_SLACK_US = SECOND  # accepted deviation of a peer's clock from ours within one exchange
-CLOCK_DRIFT = 0.1
-MIN_UPTIME_US = 5 * SECOND  # an instance younger than this knows too little itself
-LIST_AGE_STEPS_US = (2 * SECOND, 10 * SECOND, 30 * SECOND)  # lists within a step are equally fresh
-MAX_UNKNOWN_SHARE = 0.5  # of a peer's machines; beyond it the peer belongs to another cluster
-MIN_OBSERVATIONS = 4  # for an average, and to judge a peer's cluster
+CLOCK_DRIFT = 0.1  # accepted deviation of the clocks' rates, in addition to the slack
+MIN_UPTIME_US = 5 * SECOND  # a younger instance knows too little itself
+LIST_AGE_STEPS_US = (
+    2 * SECOND,
+    10 * SECOND,
+    30 * SECOND,
+)  # lists within a step count as equally fresh
+MAX_UNKNOWN_SHARE = 0.5  # of a peer's machines; with more, the peer belongs to another cluster
+MIN_OBSERVATIONS = (
+    4  # for an average over the fleet, and to tell whether a peer's cluster is another
+)
 
 
 @dataclass(frozen=True, slots=True)
 class MachineObservation:
-    """A machine as a peer knows it; ages in microseconds, None where it has no such knowledge.
+    """A machine as a peer knows it; ages in microseconds, None where the peer does not know them.
 
-    `version`: the list's version of the entry that the peer holds; `launched_age_us`: since the last start.
+    `version`: the list version of the peer's entry; `launched_age_us`: time since the machine's last start.
     """
 
     machine: str
@@ -53,13 +62,13 @@
     asked_age_us: int | None
     beyond: tuple[float, float] | None
     measured_age_us: int | None
-    warm_us: Mapping[str, int]  # by program: for how long it is expected to stay warm
+    warm_us: Mapping[str, int]  # by program: how much longer it is expected to stay warm
     rests_us: Mapping[str, tuple[int, int]]  # by class, or "" for all: strikes, time left
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an instance says about itself before its knowledge is read."""
+    """What an instance reports about itself before its knowledge is read."""
 
     peer: str  # its address, as configured
     ident: str
@@ -75,9 +84,9 @@
 def order_peers(
     announcements: Iterable[Announcement], region: str, cluster: str, own_ident: str
 ) -> list[Announcement]:
-    """The peers to read from, best first: freshest list first (in steps), then own region, then lowest round trip.
+    """The peers to read from, best first: by list age (in steps), then own region, then round-trip time.
 
-    Peers that know nothing yet are left out: two new instances would only learn what they told each other.
+    Peers that know nothing yet are excluded: two new instances would only learn what they sent to each other.
     """
     suitable = [
         each
@@ -103,7 +112,7 @@
 class ClockCheck:
     """Compares the rate of a peer's clock with ours over the pages of one exchange.
 
-    Only ages are transferred, so an offset does no harm; a clock that jumps between two pages makes ages wrong.
+    Only ages are transferred, so a constant offset is harmless; a clock that jumps between two pages falsifies ages.
     """
 
     def __init__(self) -> None:
@@ -111,27 +120,27 @@
         self.is_broken = False
 
     def check_page(self, own_us: int, peer_us: int) -> bool:
-        """Whether a page's ages can be believed; once a clock has jumped, no later ones can."""
+        """Whether a page's ages can be trusted; after a jump of the clock, none of the later pages' can."""
         if self._first is None:
             self._first = own_us, peer_us
         first_own_us, first_peer_us = self._first
-        own_passed_us = own_us - first_own_us
-        peer_passed_us = peer_us - first_peer_us
-        max_deviation_us = CLOCK_SLACK_US + CLOCK_DRIFT * max(own_passed_us, 0)
-        if abs(peer_passed_us - own_passed_us) > max_deviation_us:
+        own_elapsed_us = own_us - first_own_us
+        peer_elapsed_us = peer_us - first_peer_us
+        max_deviation_us = CLOCK_SLACK_US + CLOCK_DRIFT * max(own_elapsed_us, 0)
+        if abs(peer_elapsed_us - own_elapsed_us) > max_deviation_us:
             self.is_broken = True
         return not self.is_broken
 
 
 def plausible_age(age_us: int | None) -> int | None:
-    """The age, or None where the value cannot be one; the figure is then discarded, never taken as fresh."""
+    """The age, or None if it is not plausible; the value with that age must then be discarded, not taken as fresh."""
     if age_us is None or not isinstance(age_us, int) or not 0 <= age_us <= MAX_AGE_US:
         return None
     return age_us
 
 
 def weight(age_us: int, half_life_us: int = HALF_LIFE_US) -> float:
-    """The part of a figure of that age that is kept."""
+    """The weight of a value of that age, from 0 to 1."""
     return (
         2.0 ** (-age_us / half_life_us)
         if age_us < MAX_USEFUL_AGE_US or half_life_us != HALF_LIFE_US
@@ -154,27 +163,28 @@
     clock_good: bool,
     average: tuple[float, float],
 ) -> list[LearnedMachine]:
-    """A page's observations as the module may use them: discounted by age, without what is not believed.
+    """A page's observations as the decision module may use them: discounted by age, without what is not trusted.
 
-    `more_age_us` is added to every age (the snapshot's own age and the exchange). `sizes`, `versions` and `idents`
-    are of the machines on our list, by name; observations of other machines are skipped. `average`: the share of their
-    size that is requested of machines over the fleet (`fleet_average`).
+    `more_age_us` is added to every age (the age of the snapshot and the duration of the exchange). `sizes`, `versions`
+    and `idents` hold the machines on our list by name; observations of other machines are skipped. `average`: the
+    fraction of their size that is requested of machines over the fleet (`fleet_average`).
     """
     learned: list[LearnedMachine] = []
     for observation in observations:
         name = observation.machine
-        # What a peer saw draining gives no hint; `Distrust` closes it.
+        # A machine that a peer saw draining yields no hint; `Distrust` closes it.
         if name not in idents or observation.phase is not Phase.RUNNING:
             continue
         size = sizes[name]
-        is_older = observation.version < versions.get(name, 0)  # than our list's entry
+        # Whether the observation is older than our list's entry.
+        is_older = observation.version < versions.get(name, 0)
         asked, asked_age_us = _discounted_asked(observation, more_age_us, average, size, clock_good)
         if is_older:
             asked = None
         beyond, measured_age_us = _discounted_beyond(observation, more_age_us, size, clock_good)
         warm: dict[str, int] = {}
         rests: dict[str, tuple[int, int]] = {}
-        # A start that our list does not have yet: programs and rests may be of the process before it.
+        # Our list's entry is newer, so programs and rest periods may belong to a process before a restart.
         may_have_restarted = is_older and observation.launched_age_us is not None
         if clock_good and not may_have_restarted:
             warm = _still_warm(observation, more_age_us)
@@ -195,7 +205,7 @@
     size: tuple[float, float],
     clock_good: bool,
 ) -> tuple[tuple[float, float] | None, int]:
-    """What is requested of a machine, drawn to the fleet's average by age, and its age; None where not believed."""
+    """What is requested of a machine, moved to the fleet's average by age, and its age; None if it is not trusted."""
     asked = _valid_pair(observation.asked, 100 * max(size))
     age_us = plausible_age(observation.asked_age_us)
     if asked is None or age_us is None or not clock_good:
@@ -213,7 +223,7 @@
 def _discounted_beyond(
     observation: MachineObservation, more_age_us: int, size: tuple[float, float], clock_good: bool
 ) -> tuple[tuple[float, float] | None, int]:
-    """Use beyond what is requested, drawn to zero by age, and its age; None where not believed."""
+    """Use beyond what is requested, moved to zero by age, and its age; None if it is not trusted."""
     beyond = _valid_pair(observation.beyond, 10 * max(size))
     age_us = plausible_age(observation.measured_age_us)
     if beyond is None or age_us is None or not clock_good:
@@ -224,7 +234,7 @@
 
 
 def _still_warm(observation: MachineObservation, more_age_us: int) -> dict[str, int]:
-    """Programs that are still warm, with the time left."""
+    """Programs that are still warm, with their time left."""
     return {
         service: left_us - more_age_us
         for service, left_us in observation.warm_us.items()
@@ -233,7 +243,7 @@
 
 
 def _still_resting(observation: MachineObservation, more_age_us: int) -> dict[str, tuple[int, int]]:
-    """Rest periods that are not over, with strikes and the time left."""
+    """Rest periods that are not over, with their strikes and time left."""
     return {
         key: (strikes, left_us - more_age_us)
         for key, (strikes, left_us) in observation.rests_us.items()
@@ -244,11 +254,11 @@
 def fleet_average(
     observations: Iterable[MachineObservation],
     sizes: Mapping[str, tuple[float, float]],
-    held: tuple[float, float],
+    previous: tuple[float, float],
 ) -> tuple[float, float]:
-    """The share of their size that is requested of machines, over observations that say it.
+    """The fraction of their size that is requested of machines, over observations that know it.
 
-    `held`, the average so far, where fewer than MIN_OBSERVATIONS do.
+    Returns `previous`, the average so far, with fewer than MIN_OBSERVATIONS of them.
     """
     known = [
         (each.asked, sizes[each.machine])
@@ -256,7 +266,7 @@
         if each.machine in sizes and _valid_pair(each.asked, 1e9) is not None
     ]
     if len(known) < MIN_OBSERVATIONS:
-        return held
+        return previous
     return (
         sum(asked[0] for asked, _ in known if asked) / sum(size[0] for _, size in known),
         sum(asked[1] for asked, _ in known if asked) / sum(size[1] for _, size in known),
@@ -266,7 +276,10 @@
 def learned_ratio(
     ratio: float, notes: float, age_us: int | None, clock_good: bool
 ) -> tuple[float, float]:
-    """A peer's learned usage ratio and its weight in own notes; (0, 0) where it is not believed."""
+    """A peer's usage ratio and its weight as a number of own samples; (0, 0) if it is not trusted.
+
+    `notes`: the number of samples behind the ratio.
+    """
     valid_age_us = plausible_age(age_us)
     if (
         valid_age_us is None
@@ -280,7 +293,7 @@
 
 
 def is_other_cluster(observations: Iterable[MachineObservation], idents: Mapping[str, int]) -> bool:
-    """Whether a peer's machines differ so much from our list that it must belong to another cluster."""
+    """Whether so many of a peer's machines are missing from our list that it must belong to another cluster."""
     found = list(observations)
     if not idents or len(found) < MIN_OBSERVATIONS:
         return False
@@ -289,28 +302,31 @@
 
 
 class ListTrust(Enum):
-    """Whether a list entry that says a machine runs is trusted, given a peer's observation."""
+    """Whether to trust a list entry that shows a machine running, given a peer's observation."""
 
     AS_LISTED = "as listed"
     SEEN_DRAINING = "seen draining by a peer, and the list is no newer"
 
 
 class Distrust:
-    """Machines that peers saw draining, gone or restarted, by the list's version of that observation.
+    """Machines that peers saw draining, gone or restarted, with the list version of that observation.
 
     Danger (rule 3): a saved or late list has a machine running that a peer knows to be draining. Its entry is not
-    trusted until one newer than the observation says that it runs. Versions order the two: both read one source.
+    trusted until a newer one than the observation shows it running. Versions are comparable: both read one source.
     """
 
     def __init__(self, max_machines: int) -> None:
         self._max_machines = max_machines
         self._drains: dict[str, int] = {}
-        self._starts: dict[str, tuple[int, int]] = {}  # version, launched (our clock)
+        self._starts: dict[str, tuple[int, int]] = {}  # version, time of the start (our clock)
 
     def on_observation(
         self, observation: MachineObservation, own_version: int | None, now_us: int
     ) -> bool:
-        """Record an observation; True where it is newer than our list's entry and changes how that is to be seen."""
+        """Record an observation; True if it is newer than our list's entry and changes whether that is trusted.
+
+        `own_version`: of our list's entry, None without one.
+        """
         if own_version is not None and observation.version < own_version:
             return False
         if observation.phase is not Phase.RUNNING:
@@ -321,19 +337,22 @@
                 observation.version, self._drains.get(observation.machine, -1)
             )
             return not known
-        age = plausible_age(observation.launched_age_us)
+        age_us = plausible_age(observation.launched_age_us)
         if (
-            age is not None
+            age_us is not None
             and own_version is not None
             and observation.version > own_version
             and (len(self._starts) < self._max_machines)
         ):
-            self._starts[observation.machine] = observation.version, now_us - age
+            self._starts[observation.machine] = observation.version, now_us - age_us
             return True
         return False
 
     def judge(self, name: str, version: int) -> ListTrust:
-        """Whether to trust an entry of that version that says the machine runs; a newer one ends the distrust."""
+        """Whether to trust an entry of that version that shows the machine running.
+
+        An entry newer than the observation is trusted and ends the distrust.
+        """
         seen = self._drains.get(name)
         if seen is None:
             return ListTrust.AS_LISTED
@@ -343,7 +362,7 @@
         return ListTrust.SEEN_DRAINING
 
     def narrow(self, name: str, version: int, listed: ListedMachine) -> ListedMachine:
-        """The entry for the module: draining where a peer saw that, cold where one saw a later start."""
+        """The entry for the decision module: draining if a peer saw that, with the later start if a peer saw one."""
         if listed.phase is Phase.RUNNING and self.judge(name, version) is ListTrust.SEEN_DRAINING:
             listed = replace(listed, phase=Phase.DRAINING)
         start = self._starts.get(name)
@@ -355,11 +374,11 @@
         return listed
 
     def version(self, name: str) -> int:
-        """The list's version of the observation by which a machine is distrusted, -1 without one."""
+        """The list version of the observation due to which a machine is distrusted, -1 without one."""
         return self._drains.get(name, -1)
 
     def on_new_source(self) -> None:
-        """The list source began anew: versions no longer compare with the former ones, so the list is trusted again."""
+        """The list source has restarted: its versions cannot be compared with earlier ones, so the list is trusted."""
         self._drains.clear()
         self._starts.clear()
 
--- a/wingbarrow/decide/liveness.py
+++ b/wingbarrow/decide/liveness.py
@@ -14,13 +14,13 @@
 OFFER_SILENCE_US = 400_000  # silence after which a machine with an offer in flight is probed
 TASK_SILENCE_US = 1_500_000  # silence after which a machine with running tasks is probed
 PROBE_INTERVAL_US = 2_000_000  # least time between probes that succeed
-FAILED_PROBE_INTERVAL_US = 300_000  # least time between probes while they fail
 UNREACHABLE_FAILURES = 2  # consecutive failed probes after which offers are given up
 # Running tasks are written off this long after the first failed probe, and only after LOST_FAILURES consecutive
 # failures: a single failure followed by a long time without a probe proves nothing.
 LOST_AFTER_US = 4_000_000
 LOST_FAILURES = 4
 SAME_PROBE_US = 50_000  # connection attempts that began within this time count as one probe
+FAILED_PROBE_INTERVAL_US = 300_000  # least time between probes while they fail
 
 
 class HealthAction(Enum):
--- a/wingbarrow/decide/restarts.py
+++ b/wingbarrow/decide/restarts.py
@@ -1,33 +1,35 @@
-"""After a start: which machines are closed because the pods of this placer's earlier incarnation are not known yet.
+"""After a restart: which machines are closed because pods of this placer's earlier incarnation may run there unknown.
 
-Rule 5 counts the tasks that a placer has placed, and those of its earlier incarnation run on. Only the machines know of
-them, so a group of machines stays closed until each of them has listed its pods, or has had its time to. The group is
-the widest scope by which a class is spread: machine, cell or zone.
+Rule 5 counts the tasks that a placer has placed, and those of its earlier incarnation keep running. Only the machines
+know them, so a group of machines stays closed until each of them has listed its pods or timed out. The group is the
+widest scope by which a class is spread: machine, cell or zone.
 """
 
 from __future__ import annotations
 
 from wingbarrow.interface import ListedMachine, Place, TaskClass
 
-WAIT_US = 3_000_000  # a machine that cannot be reached is waited for so long
-_WIDTH = (Place.NONE, Place.MACHINE, Place.CELL, Place.ZONE, Place.ALL)
+WAIT_US = 3_000_000  # how long an unreachable machine keeps its group closed
+_SCOPES_BY_WIDTH = (Place.NONE, Place.MACHINE, Place.CELL, Place.ZONE, Place.ALL)
 
 
 class RestartGuard:
-    """Follows the machines seen until the first full list from the source; times in microseconds."""
+    """Tracks the machines listed up to the first complete list from the source; times in microseconds."""
 
     def __init__(self, classes: tuple[TaskClass, ...]) -> None:
-        self._scope = max((each.spread for each in classes), key=_WIDTH.index, default=Place.NONE)
-        # Machines that have not listed their pods: group, and until when they are waited for.
+        self._scope = max(
+            (each.spread for each in classes), key=_SCOPES_BY_WIDTH.index, default=Place.NONE
+        )
+        # Machines that have not listed their pods, by name: group, and when they time out.
         self._pending: dict[str, tuple[object, int]] = {}
-        self._pending_by_group: dict[object, int] = {}  # how many
+        self._pending_by_group: dict[object, int] = {}  # number of machines
         self._seen: set[str] = set()
-        # The source's own list is in: machines that appear later cannot run pods of the earlier incarnation.
+        # The first complete list was received: machines listed later cannot run pods of the earlier incarnation.
         self.list_received = False
         self._is_disabled = self._scope is Place.NONE
 
     def on_machine_listed(self, name: str, listed: ListedMachine, now_us: int) -> None:
-        """A machine is on the list; only its first appearance counts."""
+        """A machine is on the list; calls for a name seen before are ignored."""
         if self._is_disabled or self.list_received or name in self._seen:
             return
         self._seen.add(name)
@@ -48,17 +50,17 @@
         return True
 
     def expire(self, now_us: int) -> bool:
-        """Stop waiting for machines whose time is over; True where that opens a group."""
-        late = [name for name, (_, until_us) in self._pending.items() if now_us >= until_us]
-        return any([self.on_pods_listed(name) for name in late])
+        """Stop waiting for machines that have timed out; True where that opens a group."""
+        timed_out = [name for name, (_, until_us) in self._pending.items() if now_us >= until_us]
+        return any([self.on_pods_listed(name) for name in timed_out])
 
     @property
     def is_over(self) -> bool:
-        """Whether no machine is waited for, and none will be."""
+        """Whether no machine is pending, and none will be."""
         return self._is_disabled or (self.list_received and not self._pending)
 
     def is_closed(self, listed: ListedMachine) -> bool:
-        """Whether a machine is closed, as one of its group is waited for."""
+        """Whether a machine is closed because one of its group is pending."""
         return bool(self._pending_by_group) and self._group(listed) in self._pending_by_group
 
     @property
--- a/wingbarrow/decide/retries.py
+++ b/wingbarrow/decide/retries.py
@@ -1,7 +1,7 @@
 """Whether, and after what delay, a task whose run was lost, moved or evicted is retried on its owner's behalf.
 
-A Job has its placer retry up to `restarts` times. A task that must not start twice is left to its owner, who alone can
-know that a second start does no harm.
+A placer retries each task up to the `restarts` of its Job. A task that must not start twice is left to its owner, as
+only the owner can know that a second start is harmless.
 """
 
 from __future__ import annotations
@@ -12,13 +12,12 @@
 
 from wingbarrow.interface import Effect, Reason
 
-MOVED_DELAY_US = 50_000  # a moved task was stopped in order: it may start again at once
+MOVED_DELAY_US = 50_000  # short, as a moved task was stopped cleanly
 LOST_DELAY_US = 200_000
-EVICTED_DELAY_US = 1_000_000  # its machine ran out of memory: not straight back to the same one
+EVICTED_DELAY_US = 1_000_000  # long, to not return at once to a machine that ran out of memory
 MAX_DOUBLINGS = 5
-ANSWER_MARGIN_US = (
-    3_000_000  # a start this long before an incarnation's last heartbeat was answered by it
-)
+# A task that started at least this long before an incarnation's last heartbeat was answered by that incarnation.
+ANSWER_MARGIN_US = 3_000_000
 
 
 class RunEnd(Enum):
@@ -36,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """`after_us`: delay of the retry, None for none; `counts`: whether it uses up one of the Job's restarts."""
+    """`after_us`: delay of the retry, None for no retry; `counts`: whether it uses one of the Job's restarts."""
 
     after_us: int | None
     counts: bool
 
 
 def run_end_for(reason: Reason) -> RunEnd:
-    """How a run ended, by the reason that the machine gave."""
+    """How a run ended, by the machine's reason; every other reason counts as lost."""
     return {
         Reason.EVICTED: RunEnd.EVICTED,
         Reason.PUSHED_OUT: RunEnd.PUSHED_OUT,
@@ -54,7 +53,11 @@
 def decide_retry(
     end: RunEnd, effect: Effect, restarts_left: int, losses: int, rng: random.Random
 ) -> RetryDecision:
-    """`losses`: earlier losses and evictions of this task; the delay doubles with each, with jitter of one half."""
+    """Whether and when to retry a task whose run ended with `end`.
+
+    `losses`: earlier losses and evictions of this task. The delay doubles with each, up to MAX_DOUBLINGS times; jitter
+    draws it from its upper half.
+    """
     if end in (RunEnd.DONE, RunEnd.STOPPED):
         return RetryDecision(None, counts=False)
     # Rule 2. Danger: a second start of a task that may have had its effect already.
@@ -69,13 +72,15 @@
     return RetryDecision(wait // 2 + rng.randrange(wait // 2 + 1), counts=True)
 
 
-def was_answered(started_us: int | None, alive_us: int | None, born_us: int) -> bool:
+def was_answered(
+    started_us: int | None, last_heartbeat_us: int | None, incarnation_start_us: int
+) -> bool:
     """Whether a running task of the earlier incarnation was certainly answered `placed` (wall clock, microseconds).
 
-    `started_us`: its start by the machine, to a second; `alive_us`: the earlier incarnation's last heartbeat;
-    `born_us`: this incarnation's start. Danger (rule 1): a task whose owner had no answer is retried by its owner;
-    retried here too, it would be sent after its end. A clock that was set back proves nothing.
+    `started_us`: its start as the machine reports it, to a second; `last_heartbeat_us`: of the earlier incarnation;
+    `incarnation_start_us`: of this one. Danger (rule 1): a task whose owner got no answer is retried by its owner; if
+    it were retried here too, it would be sent after its end. A clock that was set back proves nothing.
     """
-    if started_us is None or alive_us is None or alive_us > born_us:
+    if started_us is None or last_heartbeat_us is None or last_heartbeat_us > incarnation_start_us:
         return False
-    return started_us + ANSWER_MARGIN_US <= alive_us
+    return started_us + ANSWER_MARGIN_US <= last_heartbeat_us
