--- a/tests/decide/test_admission.py
+++ b/tests/decide/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits on open tasks."""
+"""Limits on open tasks, in total and per namespace."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     assert admission.check("a", 7) is not None
     assert admission.check("a", 6) is None
     admission.add("a", 6)
-    full = admission.check("a", 1)
-    assert full is not None
-    assert full.limit == 6
-    assert full.retry_after_s >= 1
+    exceeded = admission.check("a", 1)
+    assert exceeded is not None
+    assert exceeded.limit == 6
+    assert exceeded.retry_after_s >= 1
     assert admission.check("b", 5) is not None
     assert admission.check("b", 4) is None
     for _ in range(6):
--- /dev/null
+++ b/tests/decide/test_connection_limits.py
@@ -0,0 +1,36 @@
+"""Connections from owners: idle timeouts, and the order in which they are closed."""
+
+from __future__ import annotations
+
+from wingbarrow.decide.connection_limits import (
+    FIRST_MESSAGE_TIMEOUT_US,
+    IDLE_TIMEOUT_US,
+    ConnectionLimits,
+    OwnerConnection,
+)
+
+
+def test_a_silent_connection_times_out_and_a_proven_one_much_later() -> None:
+    limits = ConnectionLimits(4)
+    silent = OwnerConnection(0)
+    assert not limits.is_idle(FIRST_MESSAGE_TIMEOUT_US - 1, silent, 0)
+    assert limits.is_idle(FIRST_MESSAGE_TIMEOUT_US, silent, 0)
+    proven_one = OwnerConnection(0, last_message_us=0, proven=True)
+    assert not limits.is_idle(IDLE_TIMEOUT_US - 1, proven_one, 0)
+    assert limits.is_idle(IDLE_TIMEOUT_US, proven_one, 0)
+    assert not limits.is_idle(100 * IDLE_TIMEOUT_US, proven_one, 1)
+
+
+def test_unused_connections_are_closed_before_useful_ones() -> None:
+    limits = ConnectionLimits(4)
+    open_set_up = OwnerConnection(0, last_message_us=1)
+    proven_one, unproven, silent = (
+        OwnerConnection(0, last_message_us=2, proven=True),
+        OwnerConnection(0, last_message_us=9),
+        OwnerConnection(5),
+    )
+    connections = [(open_set_up, 1), (proven_one, 0), (unproven, 0), (silent, 0)]
+    for closed in (silent, unproven, proven_one, open_set_up):
+        assert limits.connection_to_close(connections) is closed
+        connections = [each for each in connections if each[0] is not closed]
+    assert limits.connection_to_close([]) is None
--- a/tests/decide/test_descriptor_budget.py
+++ b/tests/decide/test_descriptor_budget.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("limit", [128, 256, 784, 1024])
-def test_owners_machines_and_what_is_kept_fit_the_table(limit: int) -> None:
+def test_owners_machines_and_the_reserve_fit_the_limit(limit: int) -> None:
     budget = DescriptorBudget(limit)
     assert budget.max_owners >= limit / 3 or limit < 256, "owners may hold a third of the limit"
     assert budget.total + RESERVED_DESCRIPTORS == limit
@@ -27,7 +27,7 @@
     assert budget.excess(budget.max_owners, budget.total - budget.max_owners + 3) == 3
 
 
-def test_the_cheapest_end_goes_first_and_of_alike_ones_the_least_lately_used() -> None:
+def test_the_cheapest_connection_is_closed_first_then_the_least_recently_used() -> None:
     held = [
         Held(CloseCost.BUSY, 1),
         Held(CloseCost.NEWS, 2),
@@ -36,9 +36,9 @@
         Held(CloseCost.SPARE, 7),
     ]
     budget, order = DescriptorBudget(256), []
-    while (gone := budget.connection_to_close(held, CloseCost.NEWS)) is not None:
-        order.append((gone.close_cost, gone.used_us))
-        held.remove(gone)
+    while (chosen := budget.connection_to_close(held, CloseCost.NEWS)) is not None:
+        order.append((chosen.close_cost, chosen.used_us))
+        held.remove(chosen)
     assert order == [
         (CloseCost.SPARE, 7),
         (CloseCost.IDLE, 8),
@@ -46,11 +46,11 @@
         (CloseCost.NEWS, 9),
     ]
     assert [each.close_cost for each in held] == [CloseCost.BUSY], (
-        "what has a set-up open never goes"
+        "a connection with an open set-up is never closed"
     )
 
 
-def test_a_second_connection_to_a_machine_takes_none_of_the_last_eighth() -> None:
+def test_second_connections_leave_an_eighth_of_the_budget_free() -> None:
     budget = DescriptorBudget(784)
     assert budget.may_add_extra(100, budget.max_with_extras - 101)
     assert not budget.may_add_extra(100, budget.max_with_extras - 100)
@@ -61,12 +61,12 @@
     st.lists(st.tuples(st.sampled_from(list(CloseCost)), st.integers(0, 50))),
     st.sampled_from(list(CloseCost)),
 )
-def test_nothing_goes_that_costs_more_than_asked(
+def test_no_connection_is_closed_that_costs_more_than_allowed(
     held: list[tuple[CloseCost, int]], worst: CloseCost
 ) -> None:
-    gone = DescriptorBudget(256).connection_to_close([Held(*each) for each in held], worst)
-    if gone is None:
+    chosen = DescriptorBudget(256).connection_to_close([Held(*each) for each in held], worst)
+    if chosen is None:
         assert all(close_cost > worst for close_cost, _ in held)
     else:
-        assert gone.close_cost <= worst
-        assert (gone.close_cost, gone.used_us) == min(held)
+        assert chosen.close_cost <= worst
+        assert (chosen.close_cost, chosen.used_us) == min(held)
--- a/tests/decide/test_gate.py
+++ b/tests/decide/test_gate.py
@@ -1,4 +1,4 @@
-"""The send gate: each rule, and the budget of cold machines over any window."""
+"""The send gate: each rule, and the limit of offers to a cold machine within any window."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_delayed_offers_to_a_cold_machine_stay_within_the_budget_of_any_window() -> None:
-    """What the module counts over 2.5 s and the gate lets wait 0.25 s stays in budget over any 2 s."""
+    """Offers that the module counts over 2.5 s and that wait up to 0.25 s stay within the budget of any 2 s."""
     rng, budget = random.Random(4), 5
     decided: list[int] = []
     sent: list[int] = []
--- a/tests/decide/test_idempotency.py
+++ b/tests/decide/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Repeats of a task that may have run."""
+"""Whether a task that may have run may be sent again."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_a_repeat_is_allowed_only_within_the_window_and_group(
     effect: Effect, group: Place, cell: int, zone: str, now: int, allowed: bool
 ) -> None:
-    """One window of 1.5 s, from a decision at 0.5 s, with 1 ms kept back."""
+    """A window of 1.5 s that starts at a decision at 0.5 s, with a margin of 1 ms."""
     cls = TaskClass("k", effect, group, 1_500_000, 1.0, Place.NONE, 0, None, 1.0, 1.0)
     first, second = (
         ListedMachine(i, "std", c, z, Phase.RUNNING, 0, 1.0, 1.0)
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -1,4 +1,4 @@
-"""Peer hints: ages, clocks, versions, drains, and what the module does with them."""
+"""Peer hints: ages, clocks, versions, drains, and how the decision module uses them."""
 
 from __future__ import annotations
 
@@ -30,27 +30,27 @@
 SIZES, VERSIONS, IDENTS = {"m": (20.0, 40.0)}, {"m": 10}, {"m": 7}
 
 
-def weigh(
-    observation: MachineObservation, more: int = 0, good: bool = True, version: int = 10
+def learn_from(
+    observation: MachineObservation, more: int = 0, clock_good: bool = True, version: int = 10
 ) -> list[api.LearnedMachine]:
     return learning.learned_machines(
-        [observation], more, SIZES, {"m": version}, IDENTS, good, (0.5, 0.5)
+        [observation], more, SIZES, {"m": version}, IDENTS, clock_good, (0.5, 0.5)
     )
 
 
 def test_a_fresh_observation_is_used_as_it_is() -> None:
-    (found,) = weigh(OBSERVATION)
+    (found,) = learn_from(OBSERVATION)
     assert found == api.LearnedMachine(
         7, (10.0, 20.0), 0, (1.0, 2.0), 0, {"web": 5 * S}, {"": (1, 2 * S)}
     )
 
 
-def test_a_figure_is_drawn_to_the_average_of_the_fleet_with_age() -> None:
-    (found,) = weigh(replace(OBSERVATION, asked=(18.0, 36.0)), more=HALF_LIFE_US)
+def test_a_value_moves_to_the_average_of_the_fleet_with_age() -> None:
+    (found,) = learn_from(replace(OBSERVATION, asked=(18.0, 36.0)), more=HALF_LIFE_US)
     assert found.asked == pytest.approx((14.0, 28.0))
     assert found.asked_age_us == HALF_LIFE_US
     assert found.beyond == pytest.approx((0.5, 1.0))
-    assert not found.warm_us and not found.rests_us, "what is over by now is not told"
+    assert not found.warm_us and not found.rests_us, "expired warmth and rest periods are dropped"
 
 
 @given(st.integers(0, 3 * MAX_USEFUL_AGE_US), st.integers(0, MAX_USEFUL_AGE_US))
@@ -60,7 +60,7 @@
 
 def test_a_figure_beyond_the_useful_age_is_dropped() -> None:
     assert (
-        weigh(
+        learn_from(
             replace(
                 OBSERVATION,
                 asked_age_us=MAX_USEFUL_AGE_US,
@@ -75,30 +75,30 @@
 
 @pytest.mark.parametrize("age", [-1, -3600 * S, MAX_AGE_US + 1, 1 << 62])
 def test_an_implausible_age_discards_the_figure(age: int) -> None:
-    (found,) = weigh(replace(OBSERVATION, asked_age_us=age, measured_age_us=age))
+    (found,) = learn_from(replace(OBSERVATION, asked_age_us=age, measured_age_us=age))
     assert found.asked is None
     assert found.beyond is None
 
 
 @pytest.mark.parametrize("bad", [(math.nan, 1.0), (math.inf, 1.0), (1e12, 1.0)])
 def test_impossible_figures_are_dropped(bad: tuple[float, float]) -> None:
-    (found,) = weigh(replace(OBSERVATION, asked=bad, beyond=bad))
+    (found,) = learn_from(replace(OBSERVATION, asked=bad, beyond=bad))
     assert found.asked is None
     assert found.beyond is None
 
 
-def test_no_aged_figure_of_a_peer_whose_clock_jumped_is_believed() -> None:
-    assert weigh(OBSERVATION, good=False) == []
+def test_no_aged_value_of_a_peer_whose_clock_jumped_is_trusted() -> None:
+    assert learn_from(OBSERVATION, clock_good=False) == []
 
 
 def test_a_newer_list_takes_precedence_over_the_peers_figure() -> None:
-    (found,) = weigh(OBSERVATION, version=11)
-    assert found.asked is None and found.warm_us, "what the peer itself saw run stays"
+    (found,) = learn_from(OBSERVATION, version=11)
+    assert found.asked is None and found.warm_us, "programs that the peer saw running stay"
 
 
 def test_a_draining_or_unknown_machine_gives_no_hint() -> None:
-    assert weigh(replace(OBSERVATION, phase=Phase.DRAINING)) == []
-    assert weigh(replace(OBSERVATION, machine="other")) == []
+    assert learn_from(replace(OBSERVATION, phase=Phase.DRAINING)) == []
+    assert learn_from(replace(OBSERVATION, machine="other")) == []
 
 
 def test_clocks_may_have_an_offset_but_not_jump() -> None:
@@ -107,30 +107,30 @@
     assert check.check_page(S, 3601 * S)
     assert check.check_page(2 * S, 3602 * S + S // 2)
     assert not check.check_page(3 * S, 7200 * S)
-    assert not check.check_page(4 * S, 3604 * S), "once it jumped it is not believed again"
+    assert not check.check_page(4 * S, 3604 * S), "a clock that has jumped is not trusted again"
     back = ClockCheck()
     assert back.check_page(0, 100 * S)
     assert not back.check_page(S, 90 * S)
 
 
-def told(name: str, **more: object) -> Announcement:
+def announcement(name: str, **more: object) -> Announcement:
     return replace(Announcement(name, name, 1, "north", "main", 60 * S, 0, 50, 1000), **more)  # type: ignore[arg-type]
 
 
 def test_peers_are_ordered_by_freshness_then_distance_without_those_that_know_nothing() -> None:
     order = learning.order_peers(
         [
-            told("far", region="south"),
-            told("near"),
-            told("slow", rtt_us=9000),
-            told("old", list_age_us=20 * S),
-            told("older", list_age_us=300 * S),
-            told("new", uptime_us=S),
-            told("empty", machines=0),
-            told("blind", list_age_us=None),
-            told("strange", cluster="other"),
-            told("me"),
-            told("broken", list_age_us=-5),
+            announcement("far", region="south"),
+            announcement("near"),
+            announcement("slow", rtt_us=9000),
+            announcement("old", list_age_us=20 * S),
+            announcement("older", list_age_us=300 * S),
+            announcement("new", uptime_us=S),
+            announcement("empty", machines=0),
+            announcement("blind", list_age_us=None),
+            announcement("strange", cluster="other"),
+            announcement("me"),
+            announcement("broken", list_age_us=-5),
         ],
         "north",
         "main",
@@ -188,7 +188,9 @@
     others = [replace(OBSERVATION, machine=f"x{i}") for i in range(9)]
     assert not learning.is_other_cluster(same, ours)
     assert learning.is_other_cluster(others, ours)
-    assert not learning.is_other_cluster(others, {}), "without a list nothing is strange"
+    assert not learning.is_other_cluster(others, {}), (
+        "without an own list no peer is of another cluster"
+    )
 
 
 @pytest.mark.parametrize(
@@ -206,7 +208,7 @@
     assert learning.learned_ratio(ratio, notes, age, True) == (0.0, 0.0)
 
 
-# -- the module's side
+# -- the decision module's use of hints
 
 
 def learned(**more: object) -> api.Learned:
@@ -252,7 +254,7 @@
     driver.found(5, 1)
     driver.give(learned(rests_us={"": (3, 60 * S)}))
     assert binds(driver.arrive(6)), (
-        "a peer's quarrel does not keep one from a machine that serves it"
+        "a peer's rest period does not exclude a machine that served this placer"
     )
 
 
--- a/tests/decide/test_orphans.py
+++ b/tests/decide/test_orphans.py
@@ -1,4 +1,4 @@
-"""Actions on pods without an open attempt."""
+"""Actions on tasks that run without an open attempt."""
 
 from __future__ import annotations
 
--- a/tests/decide/test_overload.py
+++ b/tests/decide/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload control: deadlines, stalls, standing queues, and the lag they are judged by."""
+"""Overload control: deadlines, stalls, standing queues, rates of answers, and the measure of lag."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert isinstance(rejected, Rejected)
     assert rejected.why is RejectReason.OUT_OF_PATIENCE
     assert isinstance(overload.due_us(10 * S, 10 * S - 100_000, 130_000, 0), Rejected), (
-        "too little is left"
+        "too little patience is left"
     )
 
 
@@ -33,11 +33,11 @@
 
 def test_a_queue_left_by_a_stall_is_worked_off_and_a_standing_queue_is_cut() -> None:
     overload, now = OverloadControl(20_000), 100 * S
-    for turn in range(
-        40
-    ):  # what a stall of a second left: read one after the other, newer ones waited less
+    # A queue left by a stall of one second: requests are read one by one, and later ones waited less.
+    for turn in range(40):
         assert overload.check_wait(now + turn * 10_000, now - S + turn * 25_000, 0, 0) is None
-    for turn in range(100):  # waits that stay long
+    # A standing queue: the wait stays above the target.
+    for turn in range(100):
         arrived_us = now + 2 * S + turn * 10_000
         rejected = overload.check_wait(arrived_us + TARGET_US + 50_000, arrived_us, 0, 0)
         assert (rejected is not None) == (turn * 10_000 >= INTERVAL_US)
@@ -46,7 +46,7 @@
         )
     assert overload.check_wait(now + 9 * S, now + 9 * S - 1000, 0, 0) is None
     assert overload.check_wait(now + 9 * S + 300_000, now + 9 * S, 0, 0) is None, (
-        "one short wait ends it"
+        "one short wait ends the overload"
     )
 
 
@@ -69,13 +69,13 @@
     assert isinstance(rejected, Rejected)
     assert rejected.why is RejectReason.OVERLOADED
     assert isinstance(overload.due_us(now, now, 20 * S, 100_000, 210, answered), int), (
-        "it has the time"
+        "its patience suffices"
     )
     assert isinstance(overload.due_us(now, now, 4 * S, 0, 210, answered), int), (
-        "waiting for capacity is no overload"
+        "without lag, waiting for capacity is not overload"
     )
     assert isinstance(overload.due_us(now, now, S, 100_000, 60, answered), int), (
-        "a few are always admitted"
+        "with few unanswered tasks a Job is always admitted"
     )
 
 
--- a/tests/decide/test_restarts.py
+++ b/tests/decide/test_restarts.py
@@ -1,4 +1,4 @@
-"""Machines closed after a restart, by group."""
+"""Machines that are closed after a restart, by group."""
 
 from __future__ import annotations
 
--- a/tests/decide/test_retries.py
+++ b/tests/decide/test_retries.py
@@ -47,4 +47,6 @@
     assert not was_answered(10 * S, 12 * S, 20 * S)
     assert not was_answered(None, 13 * S, 20 * S)
     assert not was_answered(10 * S, None, 20 * S)
-    assert not was_answered(10 * S, 21 * S, 20 * S), "the clock went back: the stamp proves nothing"
+    assert not was_answered(10 * S, 21 * S, 20 * S), (
+        "the clock was set back: the heartbeat proves nothing"
+    )
--- a/tests/decide/test_slow_start.py
+++ b/tests/decide/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The account of offers to cold machines: what a share allows, when it is given back, and that nothing gets past it."""
+"""The account of offers to cold machines: what a share allows, when an offer stops counting, and the joint limit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert account.remaining(0, "m", 1, 2) == 2
     account.on_sent("m", 1, 18 * S, "a")
     account.on_sent("m", 1, 18 * S, "b")
-    assert account.remaining(10 * S, "m", 1, 2) == 0, "nobody knows yet whether they came"
+    assert account.remaining(10 * S, "m", 1, 2) == 0, "neither is known to have arrived"
     account.on_ended(10 * S, "m", "a", Arrival.CONTACT)
     assert account.remaining(10 * S + SPAN - 1, "m", 1, 2) == 0
     assert account.remaining(10 * S + SPAN, "m", 1, 2) == 1
@@ -36,7 +36,7 @@
     assert account.remaining(9 * S, "m", 1, 3) == 0
     account.on_ended(9 * S, "m", "d", Arrival.ARRIVED)
     assert account.remaining(9 * S + SPAN, "m", 1, 3) == 0, (
-        "a broken connection says nothing of others"
+        "a broken connection shows nothing of other offers"
     )
     account.on_ended(9 * S, "m", "", Arrival.CONTACT)
     assert account.remaining(9 * S + SPAN - 1, "m", 1, 3) == 0
@@ -44,7 +44,7 @@
     account.on_sent("m", 1, 18 * S, "e")
     account.on_ended(12 * S, "m", "e", Arrival.UNKNOWN)
     assert account.remaining(13 * S, "m", 2, 3) == 2, (
-        "to its former process: it counts as come at the new start"
+        "sent to the earlier process: it counts as arriving now"
     )
     assert account.remaining(13 * S + SPAN, "m", 2, 3) == 3
 
@@ -85,7 +85,7 @@
 
     assert held(False, 10 * S) is HoldReason.COLD_SHARE
     assert held(True, 10 * S) is None
-    assert held(False, 1 * S) is None, "it is not cold any more"
+    assert held(False, 1 * S) is None, "the machine is no longer cold"
     assert held(False, 0) is None
 
 
@@ -99,9 +99,9 @@
 def test_all_placers_together_stay_within_the_offers_whoever_holds_the_machine(
     events: list[tuple[int, int, bool]], replicas: int, offers: int
 ) -> None:
-    """Every placer of the roster sends as much as its own account lets it, as in a cut where each is alone.
+    """Every placer of the roster sends as much as its own account allows, as in a partition that isolates each.
 
-    What the machine reads may lie unread until a later event; then all that was sent is read at that moment.
+    Offers may stay unread at the machine until a later event, at which all of them are read at once.
     """
     names = tuple(f"p{index}" for index in range(7))
     subsets = Subsets(SubsetRules(names, replicas))
--- a/tests/decide/test_subset_cold.py
+++ b/tests/decide/test_subset_cold.py
@@ -1,4 +1,4 @@
-"""A cold machine's offers add up, whatever placers believe of each other; and what spread is with subsets."""
+"""Shares of a cold machine's offers stay within them in any views of membership; spread with subsets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from wingbarrow.decide.subsets import SubsetRules, Subsets
 
 S = 1_000_000
-SPAN_US = 5 * S  # within which a cold machine's offers are counted
+SPAN_US = 5 * S  # in which the offers of a cold machine are counted
 TICK_US = 500_000
 ROSTER = tuple(f"placer-{index:02}" for index in range(12))
 COLD = ("node-1", "node-2", "node-3")
@@ -37,11 +37,11 @@
 
 
 def shares(subsets: Subsets, machine: str, offers: float) -> list[int]:
-    """By rank."""
+    """All shares, by rank."""
     return [subsets.max_cold_offers(placer, machine, offers) for placer in subsets.ranking(machine)]
 
 
-# -- the deal
+# -- shares
 
 
 @given(rosters, st.data())
@@ -49,20 +49,20 @@
     replicas = data.draw(st.integers(1, len(roster)))
     subsets = Subsets(SubsetRules(tuple(roster), replicas, data.draw(st.floats(0, 1))))
     offers, machine = data.draw(offers_any), data.draw(st.text(max_size=5))
-    dealt = shares(subsets, machine, offers)
-    assert sum(dealt) == floor(offers), "and nothing of them is lost"
-    assert min(dealt) >= 0
-    assert dealt == sorted(dealt, reverse=True), (
-        "the first ranks get at least as much as later ones"
+    by_rank = shares(subsets, machine, offers)
+    assert sum(by_rank) == floor(offers), "the shares use all offers"
+    assert min(by_rank) >= 0
+    assert by_rank == sorted(by_rank, reverse=True), (
+        "earlier ranks get at least as much as later ones"
     )
     more = shares(subsets, machine, min(offers + 1, 1e308))
-    assert all(after >= before for before, after in zip(dealt, more, strict=True)), (
-        "more offers take from nobody"
+    assert all(after >= before for before, after in zip(by_rank, more, strict=True)), (
+        "more offers reduce no share"
     )
 
 
 @pytest.mark.parametrize(
-    ("offers", "spare_part", "dealt"),
+    ("offers", "spare_part", "by_rank"),
     [
         (20.0, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
         (20.9, 0.25, [5, 5, 5, 1, 1, 1, 1, 1, 0, 0, 0, 0]),
@@ -75,11 +75,11 @@
         (20.0, 1.0, [2, 2, 2, 2, 2, 2, 2, 2, 1, 1, 1, 1]),
     ],
 )
-def test_what_each_rank_gets(offers: float, spare_part: float, dealt: list[int]) -> None:
-    assert shares(Subsets(SubsetRules(ROSTER, 3, spare_part)), "node-1", offers) == dealt
+def test_shares_by_rank(offers: float, spare_part: float, by_rank: list[int]) -> None:
+    assert shares(Subsets(SubsetRules(ROSTER, 3, spare_part)), "node-1", offers) == by_rank
 
 
-def test_all_is_dealt_where_all_are_holders() -> None:
+def test_all_offers_are_shared_out_where_all_placers_are_holders() -> None:
     assert shares(Subsets(SubsetRules(("a", "b", "c"), 3)), "m", 8.0) == [3, 3, 2]
     assert shares(Subsets(SubsetRules(("a",), 1)), "m", 8.0) == [8]
 
@@ -89,24 +89,24 @@
 
 
 @pytest.mark.parametrize("offers", [-0.5, -1.0, math.nan, math.inf, -math.inf])
-def test_offers_that_cannot_be_are_refused(offers: float) -> None:
+def test_invalid_offers_raise(offers: float) -> None:
     with pytest.raises(ValueError, match="offers"):
         Subsets(SubsetRules(ROSTER, 3)).max_cold_offers(ROSTER[0], "node-1", offers)
 
 
-# -- placers whose views differ
+# -- placers with different views of membership
 
 Views = dict[str, frozenset[str]]
-Deal = Callable[[str, str, frozenset[str]], int]  # placer, machine, its view -> its share
+ShareOf = Callable[[str, str, frozenset[str]], int]  # placer, machine, its view -> its share
 
 
-def by_roster(subsets: Subsets) -> Deal:
-    """What the gate asks."""
+def by_roster(subsets: Subsets) -> ShareOf:
+    """The share as the gate uses it."""
     return lambda placer, machine, view: subsets.max_cold_offers(placer, machine, OFFERS)
 
 
-def by_living(subsets: Subsets) -> Deal:
-    """A wrong deal: by the rank among those that the placer believes to live."""
+def by_live(subsets: Subsets) -> ShareOf:
+    """A wrong share: by the rank among the placers that are live in its view."""
 
     def share(placer: str, machine: str, view: frozenset[str]) -> int:
         alive = Subsets(SubsetRules(tuple(view), min(3, len(view))))
@@ -115,26 +115,26 @@
     return share
 
 
-def by_equal_parts(subsets: Subsets) -> Deal:
-    """A wrong deal: in equal parts among the holders that the placer believes in."""
+def by_equal_parts(subsets: Subsets) -> ShareOf:
+    """A wrong share: equal parts among the holders in its view."""
     return lambda placer, machine, view: int(OFFERS) // max(1, len(subsets.holders(machine, view)))
 
 
 class Senders:
-    """Placers that send all that they may to each cold machine that they hold, or held once."""
+    """Placers that send as many offers as allowed to each cold machine that they hold or held."""
 
-    def __init__(self, subsets: Subsets, deal: Deal) -> None:
-        self.subsets, self.deal = subsets, deal
+    def __init__(self, subsets: Subsets, share_of: ShareOf) -> None:
+        self.subsets, self.share_of = subsets, share_of
         self.sent_us: dict[tuple[str, str], list[int]] = {
             (name, machine): [] for name in ROSTER for machine in COLD
         }
         self.held = set[tuple[str, str]]()
-        self.asleep = frozenset[str]()
+        self.stalled = frozenset[str]()
 
     def step(self, now_us: int, views: Views, keep: Callable[[], bool]) -> None:
-        """Each placer that is awake sends; `keep`: whether an old holder goes on for another step."""
+        """Each placer that is not stalled sends; `keep`: whether a former holder continues for another step."""
         for placer, machine in self.sent_us:
-            if placer in self.asleep:
+            if placer in self.stalled:
                 continue
             if self.subsets.holds(placer, machine, views[placer]):
                 self.held.add((placer, machine))
@@ -143,10 +143,10 @@
             if (placer, machine) in self.held:
                 sent = self.sent_us[placer, machine]
                 lately = sum(now_us - at_us < SPAN_US for at_us in sent)
-                sent += [now_us] * max(0, self.deal(placer, machine, views[placer]) - lately)
+                sent += [now_us] * max(0, self.share_of(placer, machine, views[placer]) - lately)
 
     def most(self, now_us: int) -> int:
-        """The most that any cold machine was sent within the span that ends now."""
+        """The largest number of offers sent to one cold machine within the span that ends now."""
         return max(
             sum(
                 now_us - at_us < SPAN_US
@@ -161,11 +161,13 @@
         return sum(map(len, self.sent_us.values()))
 
 
-def worst_of_random_views(make_deal: Callable[[Subsets], Deal], seed: int) -> tuple[int, int]:
-    """The most in any span, and all that was sent, while views are whatever they like."""
+def worst_of_random_views(
+    make_share_of: Callable[[Subsets], ShareOf], seed: int
+) -> tuple[int, int]:
+    """The largest number of offers in any span, and their total, with random views."""
     rng = random.Random(seed)
     subsets = Subsets(SubsetRules(ROSTER, 3))
-    senders = Senders(subsets, make_deal(subsets))
+    senders = Senders(subsets, make_share_of(subsets))
     views: Views = {name: frozenset(ROSTER) for name in ROSTER}
     worst = 0
     for now_us in range(0, 40 * S, TICK_US):
@@ -178,66 +180,69 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_views_bring_a_cold_machine_more_than_its_offers(seed: int) -> None:
+def test_no_views_exceed_the_offers_of_a_cold_machine(seed: int) -> None:
     worst, total = worst_of_random_views(by_roster, seed)
     assert 0.75 * OFFERS <= worst <= OFFERS, worst
     assert total > 200
 
 
-@pytest.mark.parametrize("wrong", [by_living, by_equal_parts])
-def test_a_deal_by_who_lives_would_break_it(wrong: Callable[[Subsets], Deal]) -> None:
+@pytest.mark.parametrize("wrong", [by_live, by_equal_parts])
+def test_shares_by_live_placers_would_exceed_the_offers(
+    wrong: Callable[[Subsets], ShareOf],
+) -> None:
     assert all(worst_of_random_views(wrong, seed)[0] > OFFERS for seed in range(6))
 
 
-def test_all_that_believe_themselves_alone_keep_to_it() -> None:
+def test_placers_that_consider_themselves_alone_stay_within_the_offers() -> None:
     subsets = Subsets(SubsetRules(ROSTER, 3))
     alone: Views = {name: frozenset({name}) for name in ROSTER}
-    for deal, kept in ((by_roster, True), (by_living, False)):
-        senders = Senders(subsets, deal(subsets))
+    for share_of, kept in ((by_roster, True), (by_live, False)):
+        senders = Senders(subsets, share_of(subsets))
         senders.step(0, alone, lambda: False)
-        assert senders.held == set(senders.sent_us), "each of them holds all"
+        assert senders.held == set(senders.sent_us), "each placer holds every machine"
         assert senders.most(0) == OFFERS if kept else senders.most(0) == len(ROSTER) * OFFERS
 
 
-def test_with_all_there_the_holders_use_all_but_the_spare() -> None:
+def test_with_all_placers_live_the_holders_use_all_but_the_spare_part() -> None:
     subsets = Subsets(SubsetRules(ROSTER, 3))
     senders = Senders(subsets, by_roster(subsets))
     senders.step(0, {name: frozenset(ROSTER) for name in ROSTER}, lambda: False)
     assert senders.most(0) == 15
 
 
-def test_one_that_stood_still_wakes_with_its_old_view_and_keeps_to_it() -> None:
+def test_a_placer_that_resumes_with_an_old_view_stays_within_the_offers() -> None:
     subsets = Subsets(SubsetRules(ROSTER, 3))
-    sleeper = subsets.ranking(COLD[0])[0]
+    stalled_placer = subsets.ranking(COLD[0])[0]
     views = {name: DampedMembership(name, ROSTER, 2 * S, S) for name in ROSTER}
     senders = Senders(subsets, by_roster(subsets))
-    believed: Views = {}
+    views_by_placer: Views = {}
     successors = set[str]()
     for now_us in range(0, 40 * S, TICK_US):
-        asleep = (
-            5 * S <= now_us < 15 * S
-        )  # told of as dead a second later, and as there a second after it woke
-        senders.asleep = frozenset({sleeper}) if asleep else frozenset()
-        told = frozenset(ROSTER) - ({sleeper} if 6 * S <= now_us < 16 * S else frozenset())
+        # Reported as dead one second after the stall began, and as live one second after it ended.
+        stalled = 5 * S <= now_us < 15 * S
+        senders.stalled = frozenset({stalled_placer}) if stalled else frozenset()
+        reported = frozenset(ROSTER) - (
+            {stalled_placer} if 6 * S <= now_us < 16 * S else frozenset()
+        )
         for name, view in views.items():
-            if name not in senders.asleep:
-                view.on_members(now_us, told | {name})
-                believed[name] = view.live_members(now_us)
-        senders.step(now_us, believed, lambda: False)
+            if name not in senders.stalled:
+                view.on_members(now_us, reported | {name})
+                views_by_placer[name] = view.live_members(now_us)
+        senders.step(now_us, views_by_placer, lambda: False)
         successors |= {name for name, machine in senders.held if machine == COLD[0]}
         assert senders.most(now_us) <= OFFERS
     assert successors == set(subsets.ranking(COLD[0])[:4]), (
-        "the next rank stood in while it was away"
+        "the next rank took over during the stall"
     )
-    assert believed[sleeper] == frozenset(ROSTER)
+    assert views_by_placer[stalled_placer] == frozenset(ROSTER)
 
 
 # -- rule 5
 
 
-def test_spread_is_kept_by_each_placer_over_what_it_placed_itself() -> None:
-    # Two placers with other halves of a rack: each keeps to the bound, and together they come to two times it, as two
-    # that see the whole rack do. Subsets change nothing here.
+def test_spread_is_kept_by_each_placer_over_its_own_tasks() -> None:
+    # Two placers that hold different halves of a cell: each stays within the bound, and together they place twice as
+    # many, like two placers that hold the whole cell. Subsets do not change that.
     def placed(machines: range) -> int:
         driver = Driver(settings(task_class("web", spread=api.Place.CELL, spread_most=2)))
         driver.listing(*(listed(machine, cell=1) for machine in machines))
--- a/tests/decide/test_subsets.py
+++ b/tests/decide/test_subsets.py
@@ -1,4 +1,4 @@
-"""Which placers hold which machines: the pinned order, agreement, movement, sizes."""
+"""Subsets: pinned rankings, agreement between placers, movement of machines, sizes."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 ROSTER = tuple(f"placer-{index:02}" for index in range(48))
 MACHINES = tuple(f"node-{index:05}" for index in range(2000))
 TREES = ("ash", "birch", "cedar", "elm", "fir")
-# Pinned: a program that ranks otherwise would agree with no placer of the version before.
-ORDERS = {
+# Pinned: a placer with another ranking would disagree with all placers of the previous version.
+RANKINGS = {
     "m-1": ("fir", "ash", "birch", "elm", "cedar"),
     "m-2": ("elm", "cedar", "birch", "fir", "ash"),
     "node-00001": ("birch", "ash", "elm", "cedar", "fir"),
     "größe": ("elm", "cedar", "fir", "birch", "ash"),
     "": ("elm", "fir", "birch", "ash", "cedar"),
 }
-ORDERS_OF_48 = "663ca0054d45c74273ab11fbf4d80702d2bf16e0ae9178e10f49ceed6af63000"
+DIGEST_OF_48 = "663ca0054d45c74273ab11fbf4d80702d2bf16e0ae9178e10f49ceed6af63000"
 ALL = frozenset(ROSTER)
 
 names = st.lists(st.text("abcxyz-09", min_size=1, max_size=4), min_size=1, max_size=12, unique=True)
@@ -47,32 +47,32 @@
     return Subsets(SubsetRules(ROSTER, 3))
 
 
-def digest_of_orders(subsets: Subsets) -> str:
+def digest_of_rankings(subsets: Subsets) -> str:
     text = "".join(" ".join(subsets.ranking(machine)) + "\n" for machine in MACHINES[:200])
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def held(subsets: Subsets, living: frozenset[str]) -> dict[str, frozenset[str]]:
-    return {machine: frozenset(subsets.holders(machine, living)) for machine in MACHINES}
+def held(subsets: Subsets, live: frozenset[str]) -> dict[str, frozenset[str]]:
+    return {machine: frozenset(subsets.holders(machine, live)) for machine in MACHINES}
 
 
-# -- the order
+# -- rankings
 
 
-@pytest.mark.parametrize("machine", ORDERS)
-def test_the_order_is_pinned(machine: str) -> None:
-    assert Subsets(SubsetRules(TREES, 3)).ranking(machine) == ORDERS[machine]
+@pytest.mark.parametrize("machine", RANKINGS)
+def test_the_ranking_is_pinned(machine: str) -> None:
+    assert Subsets(SubsetRules(TREES, 3)).ranking(machine) == RANKINGS[machine]
 
 
-def test_the_order_of_many_is_pinned(subsets: Subsets) -> None:
-    assert digest_of_orders(subsets) == ORDERS_OF_48
+def test_the_rankings_of_many_machines_are_pinned(subsets: Subsets) -> None:
+    assert digest_of_rankings(subsets) == DIGEST_OF_48
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "4711"])
-def test_a_fresh_process_ranks_alike_whatever_its_hash_seed(hash_seed: str) -> None:
+def test_the_ranking_does_not_depend_on_the_hash_seed(hash_seed: str) -> None:
     text = (
         "from tests.decide.test_subsets import *\n"
-        "print(digest_of_orders(Subsets(SubsetRules(ROSTER, 3))))"
+        "print(digest_of_rankings(Subsets(SubsetRules(ROSTER, 3))))"
     )
     env = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
     done = subprocess.run(
@@ -84,43 +84,44 @@
         check=True,
         env=env,
     )
-    assert done.stdout.strip() == ORDERS_OF_48
+    assert done.stdout.strip() == DIGEST_OF_48
 
 
-def test_the_order_in_which_the_roster_is_written_means_nothing(subsets: Subsets) -> None:
+def test_the_order_of_the_roster_does_not_matter(subsets: Subsets) -> None:
     shuffled = list(ROSTER)
     random.Random(5).shuffle(shuffled)
     other = Subsets(SubsetRules(tuple(shuffled), 3))
-    living = frozenset(shuffled[:20])
+    live = frozenset(shuffled[:20])
     for machine in MACHINES[:300]:
         assert other.ranking(machine) == subsets.ranking(machine)
-        assert other.holders(machine, living) == subsets.holders(machine, living)
+        assert other.holders(machine, live) == subsets.holders(machine, live)
         for placer in ROSTER[:6]:
             assert other.max_cold_offers(placer, machine, 20.0) == subsets.max_cold_offers(
                 placer, machine, 20.0
             )
 
 
-def test_nor_does_it_where_scores_are_equal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        module, "SCORE_BYTES", 1
-    )  # 48 scores of 256: most machines have two that are equal
+def test_the_order_of_the_roster_does_not_matter_where_scores_are_equal(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # With 48 scores out of 256 values, most machines have two that are equal.
+    monkeypatch.setattr(module, "SCORE_BYTES", 1)
     one, other = Subsets(SubsetRules(ROSTER, 3)), Subsets(SubsetRules(ROSTER[::-1], 3))
     assert all(one.ranking(machine) == other.ranking(machine) for machine in MACHINES[:100])
 
 
-def test_what_was_asked_before_changes_no_answer() -> None:
-    asked = Subsets(SubsetRules(ROSTER, 3))
+def test_earlier_queries_change_no_answer() -> None:
+    used = Subsets(SubsetRules(ROSTER, 3))
     for machine in reversed(MACHINES[:50]):
-        asked.holds(ROSTER[1], machine, frozenset(ROSTER[:2]))
-        asked.max_cold_offers(ROSTER[1], machine, 3.0)
+        used.holds(ROSTER[1], machine, frozenset(ROSTER[:2]))
+        used.max_cold_offers(ROSTER[1], machine, 3.0)
     fresh = Subsets(SubsetRules(ROSTER, 3))
-    assert [asked.ranking(machine) for machine in MACHINES[:60]] == [
+    assert [used.ranking(machine) for machine in MACHINES[:60]] == [
         fresh.ranking(machine) for machine in MACHINES[:60]
     ]
 
 
-def test_ranks_are_kept_for_so_many_machines_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_ranking_cache_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_CACHED_RANKINGS", 10)
     small = Subsets(SubsetRules(TREES, 3))
     first = [small.ranking(machine) for machine in MACHINES[:100]]
@@ -128,52 +129,50 @@
     assert [small.ranking(machine) for machine in MACHINES[:100]] == first
 
 
-def test_names_that_run_together_are_kept_apart() -> None:
-    # Were the two names hashed as one text, "a" with "bc" and "ab" with "c" would have one score.
+def test_placer_keys_are_distinct_and_of_one_length() -> None:
+    # If the two names were hashed as one text, "a" with "bc" and "ab" with "c" would have the same score.
     keys = {module._placer_key(name) for name in ("a", "ab", "abc", "")}
     assert len(keys) == 4
     assert {len(key) for key in keys} == {module.PLACER_KEY_BYTES}
 
 
-class Counted(frozenset[str]):
-    """Counts what it is asked."""
+class CountingSet(frozenset[str]):
+    """Counts membership tests."""
 
-    asked = 0
+    queries = 0
 
     def __contains__(self, name: object) -> bool:
-        self.asked += 1
+        self.queries += 1
         return super().__contains__(name)
 
 
-def test_whether_one_holds_takes_a_look_at_few_ranks(subsets: Subsets) -> None:
+def test_holds_visits_few_ranks(subsets: Subsets) -> None:
     for machine in MACHINES[:200]:
-        living = Counted(ROSTER)
-        subsets.holds(ROSTER[0], machine, living)
-        assert living.asked <= 1 + 3
+        live = CountingSet(ROSTER)
+        subsets.holds(ROSTER[0], machine, live)
+        assert live.queries <= 1 + 3
 
 
-# -- who holds
+# -- holders
 
 
 @given(names, st.data())
-def test_each_machine_is_at_as_many_as_there_should_be(
-    roster: list[str], data: st.DataObject
-) -> None:
+def test_the_holders_are_the_first_live_ranks(roster: list[str], data: st.DataObject) -> None:
     replicas = data.draw(st.integers(1, len(roster)))
-    living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
+    live = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
     for machine in ("m", "node-1", "node-2"):
-        order, holders = subsets.ranking(machine), subsets.holders(machine, living | {"stranger"})
+        order, holders = subsets.ranking(machine), subsets.holders(machine, live | {"stranger"})
         assert sorted(order) == sorted(roster)
-        assert holders == tuple(name for name in order if name in living)[:replicas]
-        assert len(holders) == min(replicas, len(living))
+        assert holders == tuple(name for name in order if name in live)[:replicas]
+        assert len(holders) == min(replicas, len(live))
         assert {
-            name for name in roster if subsets.holds(name, machine, living | {"stranger"})
+            name for name in roster if subsets.holds(name, machine, live | {"stranger"})
         } == set(holders)
-        assert not subsets.holds("stranger", machine, living | {"stranger"})
+        assert not subsets.holds("stranger", machine, live | {"stranger"})
 
 
-def test_a_leave_moves_the_leavers_entries_and_no_others(subsets: Subsets) -> None:
+def test_a_leave_moves_only_the_leavers_machines(subsets: Subsets) -> None:
     before = held(subsets, ALL)
     for leaver in ROSTER[:5]:
         after = held(subsets, ALL - {leaver})
@@ -185,10 +184,10 @@
         )
         part = len(moved) / (3 * len(MACHINES))
         assert 0.6 / 48 < part < 1.4 / 48, part
-        assert held(subsets, ALL) == before, "and its return puts all back"
+        assert held(subsets, ALL) == before, "the placer's return restores all holders"
 
 
-def test_a_joiner_in_the_roster_takes_about_its_part_and_nothing_moves_among_others() -> None:
+def test_a_join_takes_about_its_share_and_moves_nothing_among_others() -> None:
     small, large = Subsets(SubsetRules(ROSTER[:-1], 3)), Subsets(SubsetRules(ROSTER, 3))
     before, after = held(small, ALL), held(large, ALL)
     gained = [machine for machine in MACHINES if before[machine] != after[machine]]
@@ -200,7 +199,7 @@
         ) == small.ranking(machine)
 
 
-def test_a_placer_of_the_first_ranks_holds_whatever_it_believes(subsets: Subsets) -> None:
+def test_a_placer_of_the_first_ranks_holds_in_any_view(subsets: Subsets) -> None:
     rng = random.Random(7)
     for machine in MACHINES[:200]:
         for placer in subsets.ranking(machine)[:3]:
@@ -208,7 +207,7 @@
             assert subsets.holds(placer, machine, view)
 
 
-def test_no_placer_goes_by_many_more_than_the_mean() -> None:
+def test_subset_sizes_stay_within_the_bound_around_the_mean() -> None:
     for roster, replicas in ((ROSTER, 3), (ROSTER[:16], 4), (ROSTER[:5], 3)):
         subsets = Subsets(SubsetRules(roster, replicas))
         sizes = [
@@ -221,8 +220,8 @@
         assert min(sizes) >= 2 * mean - most
 
 
-def test_two_placers_share_no_more_machines_than_chance_has_it(subsets: Subsets) -> None:
-    # For a pair, chance is 3/48 * 2/47 of 2,000 machines: 5.3, with a standard deviation of 2.3.
+def test_two_placers_share_about_as_many_machines_as_chance_predicts(subsets: Subsets) -> None:
+    # Expected for a pair: 3/48 * 2/47 of 2,000 machines, 5.3, with a standard deviation of 2.3.
     both = [
         sum({one, other} <= set(subsets.holders(machine, ALL)) for machine in MACHINES)
         for one, other in zip(ROSTER, ROSTER[1:], strict=False)
@@ -231,7 +230,7 @@
     assert 3.5 <= sum(both) / len(both) <= 7.1
 
 
-# -- bad rules
+# -- invalid rules
 
 
 @pytest.mark.parametrize(
@@ -248,7 +247,7 @@
         ({"spare_part": float("nan")}, "spare"),
     ],
 )
-def test_rules_that_cannot_be_are_refused(more: dict[str, object], key: str) -> None:
+def test_invalid_rules_raise(more: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         replace(SubsetRules(TREES, 3), **more)  # type: ignore[arg-type]
 
@@ -266,13 +265,13 @@
     assert subset_size(13_000, 48, 3) == 812.5
     assert expected_max_subset(13_000, 48, 3) == 951  # 812.5 + 5 * sqrt(812.5 * 45 / 48)
     assert subset_size(10, 2, 3) == 10 and expected_max_subset(10, 2, 3) == 10, (
-        "few placers hold all"
+        "with fewer placers than replicas, each holds all"
     )
     assert expected_max_subset(0, 4, 3) == 0
 
 
 @given(st.integers(0, 20_000), st.integers(1, 2_000), st.integers(1, 8))
-def test_the_fewest_placers_that_do(machines: int, most: int, replicas: int) -> None:
+def test_placers_needed_is_the_minimum(machines: int, most: int, replicas: int) -> None:
     wanted = placers_needed(machines, most, replicas)
     assert wanted >= replicas
     assert expected_max_subset(machines, wanted, replicas) <= most
@@ -286,7 +285,7 @@
 
 
 @pytest.mark.parametrize(("machines", "placers", "replicas"), [(-1, 1, 1), (1, 0, 1), (1, 1, 0)])
-def test_sizes_of_nothing_are_refused(machines: int, placers: int, replicas: int) -> None:
+def test_invalid_sizes_raise(machines: int, placers: int, replicas: int) -> None:
     with pytest.raises(ValueError):
         subset_size(machines, placers, replicas)
     with pytest.raises(ValueError):
@@ -295,20 +294,16 @@
         placers_needed(machines, placers, replicas)
 
 
-# -- further ranks
+# -- extra ranks
 
 
 @given(names, st.data())
-def test_with_further_ranks_the_first_living_of_so_many_hold_a_machine(
-    roster: list[str], data: st.DataObject
-) -> None:
+def test_extra_ranks_add_the_next_live_placers(roster: list[str], data: st.DataObject) -> None:
     replicas = data.draw(st.integers(1, len(roster)))
     extra = data.draw(st.integers(0, 8))
-    living = frozenset(data.draw(st.sets(st.sampled_from(roster))))
+    live = frozenset(data.draw(st.sets(st.sampled_from(roster))))
     subsets = Subsets(SubsetRules(tuple(roster), replicas))
     for machine in MACHINES[:5]:
-        wanted = [name for name in subsets.ranking(machine) if name in living][: replicas + extra]
-        assert {name for name in roster if subsets.holds(name, machine, living, extra)} == set(
-            wanted
-        )
-        assert tuple(wanted[:replicas]) == subsets.holders(machine, living)
+        wanted = [name for name in subsets.ranking(machine) if name in live][: replicas + extra]
+        assert {name for name in roster if subsets.holds(name, machine, live, extra)} == set(wanted)
+        assert tuple(wanted[:replicas]) == subsets.holders(machine, live)
