--- a/tests/decide/test_gate.py
+++ b/tests/decide/test_gate.py
@@ -34,7 +34,7 @@
         ({}, 20 * S - 1, None),
         ({"is_current_attempt": False}, 11 * S, HoldReason.NOT_OUT),
         ({"machine_is_running": False}, 10 * S, HoldReason.DRAINING),
-        ({"leased": False}, 11 * S, HoldReason.NO_LEASE),
+        ({"lease_is_valid": False}, 11 * S, HoldReason.NO_LEASE),
         ({"launched_us": 5 * S}, 10 * S + S // 4, None),
         ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, HoldReason.STALE_COLD),
         ({"launched_us": 5 * S, "deadline_us": 90 * S}, 23 * S, None),
--- a/tests/decide/test_learning.py
+++ b/tests/decide/test_learning.py
@@ -31,10 +31,10 @@
 
 
 def learn_from(
-    observation: MachineObservation, more: int = 0, clock_good: bool = True, version: int = 10
+    observation: MachineObservation, more: int = 0, clock_is_good: bool = True, version: int = 10
 ) -> list[api.LearnedMachine]:
     return learning.learned_machines(
-        [observation], more, SIZES, {"m": version}, IDENTS, clock_good, (0.5, 0.5)
+        [observation], more, SIZES, {"m": version}, IDENTS, clock_is_good, (0.5, 0.5)
     )
 
 
@@ -88,7 +88,7 @@
 
 
 def test_no_aged_value_of_a_peer_whose_clock_jumped_is_trusted() -> None:
-    assert learn_from(OBSERVATION, clock_good=False) == []
+    assert learn_from(OBSERVATION, clock_is_good=False) == []
 
 
 def test_a_newer_list_takes_precedence_over_the_peers_figure() -> None:
--- a/tests/decide/test_restarts.py
+++ b/tests/decide/test_restarts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.conftest import task_class
-from wingbarrow.decide.restarts import WAIT_US, RestartGuard
+from wingbarrow.decide.restarts import POD_LIST_TIMEOUT_US, RestartGuard
 from wingbarrow.interface import ListedMachine, Phase, Place
 
 S = 1_000_000
@@ -28,9 +28,9 @@
     assert not guard.on_pods_listed("a") and guard.is_closed(a) and not guard.on_pods_listed("a"), (
         "b has not listed its pods"
     )
-    assert not guard.expire(WAIT_US - 1)
+    assert not guard.expire(POD_LIST_TIMEOUT_US - 1)
     assert guard.is_closed(b)
-    assert guard.expire(WAIT_US)
+    assert guard.expire(POD_LIST_TIMEOUT_US)
     assert not guard.is_closed(b)
     assert guard.is_over
     guard.on_machine_listed("d", machine(4, 1), S)
--- a/tests/decide/test_retries.py
+++ b/tests/decide/test_retries.py
@@ -17,7 +17,7 @@
 @given(st.sampled_from(RunEnd), st.integers(0, 9), st.integers(0, 50), st.integers())
 def test_an_unsafe_task_is_never_retried(end: RunEnd, left: int, losses: int, seed: int) -> None:
     assert (
-        retries.decide_retry(end, Effect.UNSAFE, left, losses, random.Random(seed)).after_us is None
+        retries.decide_retry(end, Effect.UNSAFE, left, losses, random.Random(seed)).delay_us is None
     )
 
 
@@ -28,18 +28,18 @@
 )
 def test_retry_delay_grows_with_losses_within_a_bound(end: RunEnd, losses: int, seed: int) -> None:
     decision = retries.decide_retry(end, Effect.SAFE, 1, losses, random.Random(seed))
-    assert decision.counts
-    assert decision.after_us is not None
-    assert 100_000 <= decision.after_us <= retries.EVICTED_DELAY_US << retries.MAX_DOUBLINGS
-    assert retries.decide_retry(end, Effect.SAFE, 0, losses, random.Random(seed)).after_us is None
+    assert decision.uses_restart
+    assert decision.delay_us is not None
+    assert 100_000 <= decision.delay_us <= retries.EVICTED_DELAY_US << retries.MAX_DOUBLINGS
+    assert retries.decide_retry(end, Effect.SAFE, 0, losses, random.Random(seed)).delay_us is None
 
 
 def test_a_move_uses_up_no_restart_and_a_finished_task_is_not_retried() -> None:
     moved = retries.decide_retry(RunEnd.MOVED, Effect.SAFE, 0, 9, random.Random(1))
-    assert moved.after_us == retries.MOVED_DELAY_US
-    assert not moved.counts
+    assert moved.delay_us == retries.MOVED_DELAY_US
+    assert not moved.uses_restart
     for end in (RunEnd.DONE, RunEnd.STOPPED):
-        assert retries.decide_retry(end, Effect.SAFE, 9, 0, random.Random(1)).after_us is None
+        assert retries.decide_retry(end, Effect.SAFE, 9, 0, random.Random(1)).delay_us is None
 
 
 def test_only_a_start_well_before_the_last_heartbeat_was_certainly_answered() -> None:
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -78,13 +78,13 @@
         answered_otherwise = task.state is State.ADOPTED and (
             not task.job.adopted or task.answer_uncertain
         )
-        if decision.after_us is None or answered_otherwise:
+        if decision.delay_us is None or answered_otherwise:
             self._jobs.transition(task, Step.LOSE)
             self._objects.record_event(
                 task.job, "Warning", "Lost", f"task {task.index}: {details}; not asked for again"
             )
             return
-        if decision.counts:
+        if decision.uses_restart:
             task.restarts_left -= 1
             task.losses += 1
         self._jobs.transition(task, Step.SCHEDULE_RETRY)
@@ -94,7 +94,7 @@
             "Moved" if end is retries.RunEnd.MOVED else "Lost",
             f"task {task.index}: {details}; asked for again",
         )
-        self.schedule_retry(task, decision.after_us)
+        self.schedule_retry(task, decision.delay_us)
 
     def schedule_retry(self, task: TaskRecord, after_us: int) -> None:
         """Request a task again after a delay."""
--- a/wingbarrow/decide/connection_limits.py
+++ b/wingbarrow/decide/connection_limits.py
@@ -17,9 +17,8 @@
 # Without an open set-up, on an unproven connection.
 UNPROVEN_IDLE_TIMEOUT_US = 5_000_000
 MAX_OPEN_SET_UPS = 256  # on one proven connection
-MAX_UNPROVEN_SET_UPS = (
-    16  # on one unproven connection: enough for the first tasks of a regular owner
-)
+# On one unproven connection: enough for the first tasks of a regular owner.
+MAX_UNPROVEN_SET_UPS = 16
 MAX_UNPROVEN_ERRORS = 2  # set-ups of an unproven connection that machines could not use
 
 
--- a/wingbarrow/decide/descriptor_budget.py
+++ b/wingbarrow/decide/descriptor_budget.py
@@ -25,14 +25,13 @@
 
 
 class CloseCost(IntEnum):
-    """What closing a connection to a machine costs, cheapest first. Names in lower case are counted as given up."""
+    """What closing a connection to a machine costs, cheapest first; lower-case names are counted as `given_up:NAME`."""
 
     RETIRING = 0  # closed here already and read to its end: the machine repeats what it was sending on the next one
     SPARE = 1  # not the only one: costs a handshake when many offers come at once
     IDLE = 2  # the only one, and no task runs: costs a handshake before the next offer
-    NEWS = (
-        3  # the only one, and tasks run: their reports wait until the machine is connected to again
-    )
+    # The only one, and tasks run: their reports wait until the machine is connected to again.
+    NEWS = 3
     BUSY = 4  # has an open set-up, which would be lost; never closed
 
 
--- a/wingbarrow/decide/gate.py
+++ b/wingbarrow/decide/gate.py
@@ -45,7 +45,7 @@
     # Why the agreed rules forbid the offer now; None where they allow it.
     rules_hold: HoldReason | None = None
     # The Job needs no lease, or this placer's lease of it is valid by this placer's clock.
-    leased: bool = True
+    lease_is_valid: bool = True
     # No earlier attempt can have run, or `decide.idempotency` allows a repeat.
     may_repeat: bool = True
     # The machine's latest start as known when it was chosen; None: the same as now.
@@ -80,7 +80,7 @@
             return offer.rules_hold
         # Leases. Danger: this placer was stalled or partitioned, and another may have started the Job after failover.
         # The floor of the agreed rules does not cover that: it never replaces a lease.
-        if not offer.leased:
+        if not offer.lease_is_valid:
             return HoldReason.NO_LEASE
         # Rule 3. Danger: the machine began to drain while the offer waited. It is held even in the grace period.
         if not offer.machine_is_running:
--- a/wingbarrow/decide/learning.py
+++ b/wingbarrow/decide/learning.py
@@ -26,9 +26,8 @@
 SECOND = 1_000_000
 HALF_LIFE_US = 8 * SECOND  # of values that count tasks
 MAX_USEFUL_AGE_US = 60 * SECOND  # an older value adds nothing to the average
-RATIO_HALF_LIFE_US = (
-    120 * SECOND
-)  # of usage ratios: they belong to programs, which change slower than tasks
+# Of usage ratios: they belong to programs, which change slower than tasks.
+RATIO_HALF_LIFE_US = 120 * SECOND
 MAX_RATIO = 10.0  # a larger usage ratio is not valid
 MAX_RATIO_NOTES = 100.0  # a peer's ratio weighs at most as much as this many own samples
 MAX_STRIKES = 31  # a rest period with more is not valid
@@ -36,15 +35,11 @@
 CLOCK_SLACK_US = SECOND  # accepted deviation of a peer's clock from ours within one exchange
 CLOCK_DRIFT = 0.1  # accepted deviation of the clocks' rates, in addition to the slack
 MIN_UPTIME_US = 5 * SECOND  # a younger instance knows too little itself
-LIST_AGE_STEPS_US = (
-    2 * SECOND,
-    10 * SECOND,
-    30 * SECOND,
-)  # lists within a step count as equally fresh
+# Lists within a step count as equally fresh.
+LIST_AGE_STEPS_US = (2 * SECOND, 10 * SECOND, 30 * SECOND)
 MAX_UNKNOWN_SHARE = 0.5  # of a peer's machines; with more, the peer belongs to another cluster
-MIN_OBSERVATIONS = (
-    4  # for an average over the fleet, and to tell whether a peer's cluster is another
-)
+# For an average over the fleet, and to tell whether a peer's cluster is another.
+MIN_OBSERVATIONS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +155,7 @@
     sizes: Mapping[str, tuple[float, float]],
     versions: Mapping[str, int],
     idents: Mapping[str, int],
-    clock_good: bool,
+    clock_is_good: bool,
     average: tuple[float, float],
 ) -> list[LearnedMachine]:
     """A page's observations as the decision module may use them: discounted by age, without what is not trusted.
@@ -178,15 +173,17 @@
         size = sizes[name]
         # Whether the observation is older than our list's entry.
         is_older = observation.version < versions.get(name, 0)
-        asked, asked_age_us = _discounted_asked(observation, more_age_us, average, size, clock_good)
+        asked, asked_age_us = _discounted_asked(
+            observation, more_age_us, average, size, clock_is_good
+        )
         if is_older:
             asked = None
-        beyond, measured_age_us = _discounted_beyond(observation, more_age_us, size, clock_good)
+        beyond, measured_age_us = _discounted_beyond(observation, more_age_us, size, clock_is_good)
         warm: dict[str, int] = {}
         rests: dict[str, tuple[int, int]] = {}
         # Our list's entry is newer, so programs and rest periods may belong to a process before a restart.
         may_have_restarted = is_older and observation.launched_age_us is not None
-        if clock_good and not may_have_restarted:
+        if clock_is_good and not may_have_restarted:
             warm = _still_warm(observation, more_age_us)
             rests = _still_resting(observation, more_age_us)
         if asked is not None or beyond is not None or warm or rests:
@@ -203,12 +200,12 @@
     more_age_us: int,
     average: tuple[float, float],
     size: tuple[float, float],
-    clock_good: bool,
+    clock_is_good: bool,
 ) -> tuple[tuple[float, float] | None, int]:
     """What is requested of a machine, moved to the fleet's average by age, and its age; None if it is not trusted."""
     asked = _valid_pair(observation.asked, 100 * max(size))
     age_us = plausible_age(observation.asked_age_us)
-    if asked is None or age_us is None or not clock_good:
+    if asked is None or age_us is None or not clock_is_good:
         return None, 0
     age_us += more_age_us
     kept = weight(age_us)
@@ -221,12 +218,15 @@
 
 
 def _discounted_beyond(
-    observation: MachineObservation, more_age_us: int, size: tuple[float, float], clock_good: bool
+    observation: MachineObservation,
+    more_age_us: int,
+    size: tuple[float, float],
+    clock_is_good: bool,
 ) -> tuple[tuple[float, float] | None, int]:
     """Use beyond what is requested, moved to zero by age, and its age; None if it is not trusted."""
     beyond = _valid_pair(observation.beyond, 10 * max(size))
     age_us = plausible_age(observation.measured_age_us)
-    if beyond is None or age_us is None or not clock_good:
+    if beyond is None or age_us is None or not clock_is_good:
         return None, age_us or 0
     age_us += more_age_us
     kept = weight(age_us)
@@ -274,7 +274,7 @@
 
 
 def learned_ratio(
-    ratio: float, notes: float, age_us: int | None, clock_good: bool
+    ratio: float, notes: float, age_us: int | None, clock_is_good: bool
 ) -> tuple[float, float]:
     """A peer's usage ratio and its weight as a number of own samples; (0, 0) if it is not trusted.
 
@@ -283,7 +283,7 @@
     valid_age_us = plausible_age(age_us)
     if (
         valid_age_us is None
-        or not clock_good
+        or not clock_is_good
         or not (math.isfinite(ratio) and math.isfinite(notes))
     ):
         return 0.0, 0.0
--- a/wingbarrow/decide/overload.py
+++ b/wingbarrow/decide/overload.py
@@ -43,9 +43,8 @@
 
     def __init__(self, tick_us: int) -> None:
         self._tick_us = tick_us
-        self._above_target_since_us: int | None = (
-            None  # since when every wait has been above the target
-        )
+        # Since when every wait has been above the target.
+        self._above_target_since_us: int | None = None
         self._last_check_us = 0
         self._rate = 0.0  # final answers a second, smoothed
         self._rate_updated_us = 0
--- a/wingbarrow/decide/restarts.py
+++ b/wingbarrow/decide/restarts.py
@@ -9,7 +9,7 @@
 
 from wingbarrow.interface import ListedMachine, Place, TaskClass
 
-WAIT_US = 3_000_000  # how long an unreachable machine keeps its group closed
+POD_LIST_TIMEOUT_US = 3_000_000  # how long an unreachable machine keeps its group closed
 _SCOPES_BY_WIDTH = (Place.NONE, Place.MACHINE, Place.CELL, Place.ZONE, Place.ALL)
 
 
@@ -34,7 +34,7 @@
             return
         self._seen.add(name)
         group = self._group(listed)
-        self._pending[name] = group, now_us + WAIT_US
+        self._pending[name] = group, now_us + POD_LIST_TIMEOUT_US
         self._pending_by_group[group] = self._pending_by_group.get(group, 0) + 1
 
     def on_pods_listed(self, name: str) -> bool:
--- a/wingbarrow/decide/retries.py
+++ b/wingbarrow/decide/retries.py
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """`after_us`: delay of the retry, None for no retry; `counts`: whether it uses one of the Job's restarts."""
+    """`delay_us`: delay of the retry, None for no retry; `uses_restart`: whether it uses one of the Job's restarts."""
 
-    after_us: int | None
-    counts: bool
+    delay_us: int | None
+    uses_restart: bool
 
 
 def run_end_for(reason: Reason) -> RunEnd:
@@ -59,17 +59,17 @@
     draws it from its upper half.
     """
     if end in (RunEnd.DONE, RunEnd.STOPPED):
-        return RetryDecision(None, counts=False)
+        return RetryDecision(None, uses_restart=False)
     # Rule 2. Danger: a second start of a task that may have had its effect already.
     if effect is Effect.UNSAFE:
-        return RetryDecision(None, counts=False)
+        return RetryDecision(None, uses_restart=False)
     if end is RunEnd.MOVED:
-        return RetryDecision(MOVED_DELAY_US, counts=False)
+        return RetryDecision(MOVED_DELAY_US, uses_restart=False)
     if restarts_left <= 0:
-        return RetryDecision(None, counts=True)
+        return RetryDecision(None, uses_restart=True)
     base = EVICTED_DELAY_US if end is RunEnd.EVICTED else LOST_DELAY_US
     wait = base << min(losses, MAX_DOUBLINGS)
-    return RetryDecision(wait // 2 + rng.randrange(wait // 2 + 1), counts=True)
+    return RetryDecision(wait // 2 + rng.randrange(wait // 2 + 1), uses_restart=True)
 
 
 def was_answered(
--- a/wingbarrow/decide/slow_start.py
+++ b/wingbarrow/decide/slow_start.py
@@ -14,9 +14,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_MACHINES = (
-    16_384  # accounts at one time; while there are so many, no further cold machine gets an offer
-)
+# Accounts at one time; while there are so many, no further cold machine gets an offer.
+MAX_MACHINES = 16_384
 
 
 class Arrival(Enum):
