--- a/tests/relay/test_configuration.py
+++ b/tests/relay/test_configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a placer, and what an unreadable configuration gets."""
+"""Reading the configuration, and errors for an invalid one."""
 
 from __future__ import annotations
 
@@ -35,16 +35,21 @@
     return {"RELAY_CONFIG": str(path), "RELAY_NAME": "n3", "RELAY_LISTEN": "127.0.0.1:0"}
 
 
-def test_it_is_read_whole(tmp_path: Path) -> None:
-    told = load(write(tmp_path, GOOD))
-    assert (told.name, told.sockets, told.seed, str(told.journal)) == (
+def test_a_valid_configuration_is_read_completely(tmp_path: Path) -> None:
+    configuration = load(write(tmp_path, GOOD))
+    assert (
+        configuration.name,
+        configuration.sockets,
+        configuration.seed,
+        str(configuration.journal),
+    ) == (
         "n3",
         256,
         0x8C1F30D27A5BE964,
         "127.0.0.1:9",
     )
-    assert told.settings.classes[0].name == "web"
-    assert told.patience_us == 5_000_000
+    assert configuration.settings.classes[0].name == "web"
+    assert configuration.patience_us == 5_000_000
 
 
 @pytest.mark.parametrize(
@@ -62,12 +67,12 @@
         {key: each for key, each in GOOD.items() if key != "known"},
     ],
 )
-def test_what_cannot_be_used_is_named(tmp_path: Path, value: object) -> None:
+def test_an_unusable_configuration_raises_bad_configuration(tmp_path: Path, value: object) -> None:
     with pytest.raises(BadConfiguration):
         load(write(tmp_path, value))
 
 
-def test_a_bad_one_ends_with_one_line_and_status_2(tmp_path: Path) -> None:
+def test_a_bad_configuration_ends_the_process_with_one_line_and_status_2(tmp_path: Path) -> None:
     for environment in (write(tmp_path, "{"), {}):
         ended = subprocess.run(
             [sys.executable, "-m", "wingbarrow.relay"],
@@ -81,7 +86,7 @@
         assert "Traceback" not in ended.stderr
 
 
-ODD: list[Any] = [
+INVALID_VALUES: list[Any] = [
     None,
     True,
     0,
@@ -126,28 +131,31 @@
 }
 
 
-def spoilt(value: Any) -> Iterator[Any]:
-    """The value with each part of it replaced by what it should not be, or missing."""
-    yield from ODD
+def corruptions(value: Any) -> Iterator[Any]:
+    """Copies of the value with one part replaced by an invalid one, or removed."""
+    yield from INVALID_VALUES
     if isinstance(value, (dict, list)):
         for key, part in value.items() if isinstance(value, dict) else enumerate(value):
-            for odd in spoilt(part):
+            for invalid in corruptions(part):
                 other = value.copy()
-                other[key] = odd
+                other[key] = invalid
                 yield other
-            fewer = value.copy()
-            del fewer[key]
-            yield fewer
+            without = value.copy()
+            del without[key]
+            yield without
 
 
-def test_whatever_is_wrong_is_told_in_one_line(tmp_path: Path) -> None:
+def test_any_invalid_value_is_reported_in_one_line(tmp_path: Path) -> None:
     refused = 0
-    for value in spoilt({**GOOD, "known": KNOWN}):
+    for value in corruptions({**GOOD, "known": KNOWN}):
         try:
             Placer(
                 Hub(VirtualClock()), load({**write(tmp_path, value), "RELAY_LISTEN": ""}), silent
             )
-        except (BadConfiguration, ValueError) as error:  # what `run` tells, and ends with status 2
+        except (
+            BadConfiguration,
+            ValueError,
+        ) as error:  # `run` prints these and exits with status 2
             refused += 1
             assert str(error)
             assert "\n" not in str(error)
@@ -155,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected"),
     [
         ({"limits": {"sockets": 1e400}}, "limits.sockets"),
         ({"limits": {"sockets": 63}}, "limits.sockets"),
@@ -163,19 +171,21 @@
         ({"journal": "999.1.1.1:1"}, "999.1.1.1:1"),
     ],
 )
-def test_the_line_names_what_is_wrong(tmp_path: Path, change: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadConfiguration, match=told):
+def test_the_error_names_the_invalid_key_or_value(
+    tmp_path: Path, change: dict[str, Any], expected: str
+) -> None:
+    with pytest.raises(BadConfiguration, match=expected):
         load({**write(tmp_path, {**GOOD, **change}), "RELAY_LISTEN": ""})
 
 
-def test_the_journals_address_alone_is_read_again(tmp_path: Path) -> None:
+def test_reload_reads_only_the_journal_address(tmp_path: Path) -> None:
     path = write(tmp_path, {"journal": "127.0.0.1:77"})["RELAY_CONFIG"]
     assert load_journal(path).port == 77
     with pytest.raises(BadConfiguration):
         load_journal(write(tmp_path, {"journal": 7})["RELAY_CONFIG"])
 
 
-def test_it_imports_little() -> None:
+def test_importing_the_placer_loads_no_optional_packages() -> None:
     code = "import sys, wingbarrow.relay.placer; print(*sorted({name.partition('.')[0] for name in sys.modules}))"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -1,4 +1,4 @@
-"""The side of owners: listener, connections, what unreadable clients get, and releases until they can be sent."""
+"""Owners' connections: accepting, reading, closing, and delivery of releases until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -12,30 +12,29 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
-MAX_UNSENT_BYTES = 256 * 1024  # bytes that may wait for an owner that reads slowly
-SWEEP_US = 250_000
-MAX_ACCEPTED = 8  # connections accepted before each of them has had its turn, and is counted
-MAX_FOREIGN = 64  # remembered for one connection
-BURST = 32  # messages of one connection before others get a turn
-HEARD_US = 2_000_000  # a release is sent again where its connection ends so soon without a word that it was heard
-PENDING_US, MAX_PENDING = (
-    8_500_000,
-    8192,
-)  # releases that wait for a connection: how long, how many
-# Danger: a client that has closed or given up is gone, though its word lies unread here after a stall or behind other
-# work. The platform bears sends for it up to 100 ms later; half of that may pass before this side looks once more.
-UNREAD_US = 50_000
-RETIRE_US = 500_000  # for a client to end its side of a connection that is closed here
-CROWDED_TRIES = 8  # connections looked at for one that is empty, where room is wanted
+MAX_UNSENT_BYTES = 256 * 1024  # write buffer of one connection
+SWEEP_INTERVAL_US = 250_000
+MAX_ACCEPTS_PER_TURN = 8  # new connections are only counted once their task has run
+MAX_FOREIGN_IDS = 64  # per connection
+MAX_MESSAGES_PER_TURN = 32  # of one connection, before it yields to the others
+# A release is resent if its connection ends within this time after sending without an acknowledgement.
+ACK_TIMEOUT_US = 2_000_000
+RELEASE_TTL_US = 8_500_000  # a release that waits for a connection is dropped after this time
+MAX_PENDING_RELEASES = 8192  # waiting for a connection; unacknowledged ones are bounded alike
+# Danger: a client that closed its connection or gave up is gone, even while its message is still unread here after a
+# stall or behind other work. The platform tolerates sends for it up to 100 ms later; input is rechecked after half.
+MAX_UNREAD_US = 50_000
+RETIRE_US = 500_000  # for a client to close its side of a connection that is half-closed here
+MAX_CLOSE_CANDIDATES = 8  # connections checked for unread input before one is closed regardless
 
 
 class Owner:
-    """One connection from an owner, the front, or anybody."""
+    """One accepted connection: an owner's, the front's, or an unknown client's."""
 
     __slots__ = (
-        "_waiting",
+        "_read_callbacks",
         "connection",
-        "foreign",
+        "foreign_ids",
         "framer",
         "number",
         "outbox",
@@ -50,66 +49,70 @@
         self.stream, self.outbox, self.connection, self.number = stream, outbox, connection, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
-        self.foreign: deque[int] = deque(maxlen=MAX_FOREIGN)  # ids it asked for that were another's
-        self.retired = (
-            False  # closed here; what its client still says is read, and set-ups go elsewhere
-        )
-        self._waiting: list[Callable[[], None]] = []  # one for each attempt that is put off
+        # Ids this client sent a set-up for while another owner had them open.
+        self.foreign_ids: deque[int] = deque(maxlen=MAX_FOREIGN_IDS)
+        # Half-closed by the placer: input is still read, set-ups are no longer accepted.
+        self.retired = False
+        self._read_callbacks: list[Callable[[], None]] = []  # one for each deferred attempt
 
     def write(self, data: bytes) -> bool:
-        """Send; False where the connection is of no use any more."""
+        """Queue `data` for sending; False if the connection is closed, retired, or its buffer is full."""
         self.connection.was_written_to = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
-    def is_behind(self, now_us: int) -> bool:
-        """Whether something that came over UNREAD_US ago may not have been read, the client's end among it."""
+    def has_stale_input(self, now_us: int) -> bool:
+        """Whether input (or the end of stream) older than MAX_UNREAD_US may still be unread."""
         if not self.stream.open:
-            return True  # closed here: what was open on it is taken back as soon as its reader runs
-        return self.stream.has_unread(now_us, UNREAD_US) or (
-            self.framer.ready and now_us - self.stream.silent_us > UNREAD_US
+            return True  # closed here: the reader withdraws its open set-ups when it next runs
+        return self.stream.has_unread(now_us, MAX_UNREAD_US) or (
+            self.framer.ready and now_us - self.stream.silent_us > MAX_UNREAD_US
         )
 
     def when_read(self, call: Callable[[], None]) -> None:
-        """Call once what has come is read."""
-        self._waiting.append(call)
-
-    def go_on(self, now_us: int) -> None:
-        """All that was read has been taken: what waited for that goes on, unless more has come."""
-        if self._waiting and not self.is_behind(now_us):
-            waiting, self._waiting = self._waiting, []
-            for call in waiting:
+        """Call `call` once, when all input received so far has been read."""
+        self._read_callbacks.append(call)
+
+    def run_read_callbacks(self, now_us: int) -> None:
+        """Run the callbacks of `when_read`, unless stale input has arrived meanwhile."""
+        if self._read_callbacks and not self.has_stale_input(now_us):
+            callbacks, self._read_callbacks = self._read_callbacks, []
+            for call in callbacks:
                 call()
 
 
 class Owners:
-    """All connections of owners; `take` gets each message and when it had surely not come yet."""
+    """All connections of owners.
+
+    `on_message` gets each message with the latest time (in microseconds) at which it had certainly not arrived yet;
+    `on_disconnect` is called when a connection has ended; `free_descriptor` closes other connections if the
+    descriptor budget is exceeded, and returns whether the budget is met.
+    """
 
     def __init__(
         self,
         life: Life,
         limits: ConnectionLimits,
-        take: Callable[[Owner, Message, int], None],
-        left: Callable[[Owner], None],
-        fits: Callable[[], bool],
+        on_message: Callable[[Owner, Message, int], None],
+        on_disconnect: Callable[[Owner], None],
+        free_descriptor: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._limits, self._take, self._left = life, limits, take, left
-        self._trace, self._accepted = trace, 0
-        self._fits = fits  # makes room for one that has come; whether there is
-        self._owners: OrderedDict[Owner, None] = OrderedDict()  # least lately heard of first
-        self._pending: deque[tuple[int, bytes]] = (
-            deque()
-        )  # releases without a connection, with their end
-        self._unheard: OrderedDict[int, tuple[int, Owner, bytes]] = (
-            OrderedDict()
-        )  # sent, with their end, by id
+        self._life, self._limits, self._trace = life, limits, trace
+        self._on_message, self._on_disconnect = on_message, on_disconnect
+        self._accepted = 0  # connections so far
+        self._free_descriptor = free_descriptor
+        self._owners: OrderedDict[Owner, None] = OrderedDict()  # least recently active first
+        # Releases that wait for a connection: (expiry time, message).
+        self._pending: deque[tuple[int, bytes]] = deque()
+        # Releases sent and not yet acknowledged, by task id: (expiry time, connection, message).
+        self._unacknowledged: OrderedDict[int, tuple[int, Owner, bytes]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._owners)
 
     def serve(self, listener: Listener) -> None:
-        """Accept until cancelled."""
-        listener.serve(self._serve, MAX_ACCEPTED)
+        """Accept and serve connections until cancelled."""
+        listener.serve(self._serve, MAX_ACCEPTS_PER_TURN)
 
     def _serve(self, stream: Stream) -> None:
         hub = self._life.hub
@@ -123,9 +126,9 @@
         self._owners[owner] = None
         self._make_room()
         try:
-            taken = 0
+            messages_read = 0
             while True:
-                owner.go_on(hub.now_us())
+                owner.run_read_callbacks(hub.now_us())
                 data = stream.receive()
                 if not data:
                     return
@@ -138,55 +141,55 @@
                     owner.connection.last_message_us = now
                     self._owners.move_to_end(owner)
                     if message.kind == Kind.RELEASE_HEARD:
-                        self._unheard.pop(message.task, None)
+                        self._unacknowledged.pop(message.task, None)
                         self._trace(message.task, "release heard", owner=owner.number)
-                    self._take(owner, message, min(now, stream.silent_us))
-                    taken += 1
-                    if taken % BURST == 0:
+                    self._on_message(owner, message, min(now, stream.silent_us))
+                    messages_read += 1
+                    if messages_read % MAX_MESSAGES_PER_TURN == 0:
                         hub.checkpoint()
         except BadMessage as error:
             self._life.counts["owners:unreadable"] += 1
-            self._life.log("unreadable-owner", level="warning", why=str(error))
+            self._life.log("owner-protocol-error", level="warning", why=str(error))
         except PeerGone:
             pass
         finally:
             self._owners.pop(owner, None)
             stream.close()
-            self._left(owner)
-            self._send_again(owner)
+            self._on_disconnect(owner)
+            self._resend_unacknowledged(owner)
 
     def close(self, owner: Owner, why: str) -> None:
-        """End a connection that cannot go on."""
-        self._tell_closed(why)
+        """Close a connection at once; `why` goes to the log and to the counter `owners:<why>`."""
+        self._log_closed(why)
         owner.stream.close()
 
-    def _tell_closed(self, why: str) -> None:
+    def _log_closed(self, why: str) -> None:
         self._life.counts["owners:" + why] += 1
-        self._life.log("owner-closed", why=why)
+        self._life.log("owner-connection-closed", why=why)
 
     def retire(self, owner: Owner, why: str) -> None:
-        """Close an empty connection: its client reads the end; what it says until it has ended its side is read.
+        """Half-close a connection without open set-ups: its client reads end of stream, and its input is still read.
 
-        Danger: closed outright, a release that crosses the close is lost and its task stands on; the reset that
-        answers it also throws away what is on its way to the client.
+        Danger: with a full close, a release that crosses it would be lost and its task would keep running. The
+        resulting reset would also discard data in flight to the client.
         """
-        self._tell_closed(why)
+        self._log_closed(why)
         owner.retired = True
         owner.stream.end_writing()
         self._life.hub.call_at(self._life.hub.now_us() + RETIRE_US, owner.stream.close)
 
-    def say_farewell(self) -> None:
-        """The placer ends: each connection is closed once what was written on it has left and its client has ended."""
+    def retire_all(self) -> None:
+        """Retire all connections whose output has been sent, at the end of the placer."""
         for owner in list(self._owners):
             if owner.stream.open and not owner.retired and not owner.outbox.waiting:
                 self.retire(owner, "farewell")
 
     def _make_room(self) -> None:
-        if len(self._owners) <= self._limits.max_connections and self._fits():
+        if len(self._owners) <= self._limits.max_connections and self._free_descriptor():
             return
         connections = {owner.connection: owner for owner in self._owners if owner.stream.open}
-        first: Owner | None = None
-        for _ in range(CROWDED_TRIES):
+        fallback: Owner | None = None
+        for _ in range(MAX_CLOSE_CANDIDATES):
             chosen = self._limits.connection_to_close(
                 [(each.connection, len(each.tasks)) for each in connections.values()]
             )
@@ -196,17 +199,16 @@
             if owner.stream.is_quiet() and not owner.framer.ready:
                 self.close(owner, "crowded")
                 return
-            first = first or owner
-        if (
-            first is not None
-        ):  # each that was looked at has something unread: its client hears of a reset
-            self.close(first, "crowded")
+            fallback = fallback or owner
+        if fallback is not None:
+            # All candidates have unread input, so closing one resets its connection.
+            self.close(fallback, "crowded")
 
     def sweep(self) -> None:
-        """Close those that say nothing; send what is pending where there is a connection. Goes on for ever."""
+        """Retire idle connections and send pending releases, periodically until cancelled."""
         hub = self._life.hub
         while True:
-            hub.sleep(SWEEP_US)
+            hub.sleep(SWEEP_INTERVAL_US)
             now = hub.now_us()
             for owner in list(self._owners):
                 if (
@@ -220,63 +222,69 @@
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
-        """Tell that a task that stood is over, on any owner's connection, now or as soon as there is one."""
-        self._tell_or_defer(with_cause(Kind.RELEASE, ident, cause))
+        """Send a RELEASE for a task that ran, on any owner's connection, now or when one is available."""
+        self._send_or_defer(with_cause(Kind.RELEASE, ident, cause))
 
-    def _tell_or_defer(self, data: bytes) -> None:
-        if not self.tell(data):
+    def _send_or_defer(self, data: bytes) -> None:
+        if not self.send_to_any(data):
             self._defer(data)
 
-    def _send_again(self, gone: Owner) -> None:
-        """Releases that crossed the end of their connection go on another; an owner that heard one passes it over."""
+    def _resend_unacknowledged(self, closed: Owner) -> None:
+        """Resend releases that `closed` did not acknowledge on another connection; owners ignore duplicates."""
         now = self._life.hub.now_us()
-        while self._unheard and next(iter(self._unheard.values()))[0] <= now:
-            self._unheard.popitem(last=False)
-        if gone.connection.proven:
-            for ident in [ident for ident, (_, owner, _) in self._unheard.items() if owner is gone]:
-                until_us, _, data = self._unheard.pop(ident)
+        while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
+            self._unacknowledged.popitem(last=False)
+        if closed.connection.proven:
+            for ident in [
+                ident for ident, (_, owner, _) in self._unacknowledged.items() if owner is closed
+            ]:
+                until_us, _, data = self._unacknowledged.pop(ident)
                 self._life.counts["releases_again"] += 1
-                self._trace(ident, "release again", gone=gone.number)
-                if not self.tell(data, until_us):
+                self._trace(ident, "release again", gone=closed.number)
+                if not self.send_to_any(data, until_us):
                     self._defer(data)
 
-    def told_to_move(self, ident: int) -> None:
-        """Tell that a task was stopped and is to come again."""
-        self._tell_or_defer(encode(Kind.MOVE, ident, {}))
+    def send_move(self, ident: int) -> None:
+        """Send a MOVE: the task was stopped and its owner is to submit it again."""
+        self._send_or_defer(encode(Kind.MOVE, ident, {}))
 
     def _defer(self, data: bytes) -> None:
-        if len(self._pending) >= MAX_PENDING:
+        if len(self._pending) >= MAX_PENDING_RELEASES:
             _, lost = self._pending.popleft()
             self._trace(int.from_bytes(lost[3:11], "big"), "release dropped")
             self._life.counts["releases_dropped"] += 1
-        self._pending.append((self._life.hub.now_us() + PENDING_US, data))
+        self._pending.append((self._life.hub.now_us() + RELEASE_TTL_US, data))
         self._life.counts["releases_waited"] += 1
         self._trace(int.from_bytes(data[3:11], "big"), "release pending")
 
-    def tell(self, data: bytes, until_us: int | None = None) -> bool:
-        """Send the end of a task on any connection that has proven to be an owner's; False without one.
+    def send_to_any(self, data: bytes, until_us: int | None = None) -> bool:
+        """Send a RELEASE or MOVE on any proven owner's connection; False if there is none.
 
-        Until then, else for HEARD_US, it goes again where that connection ends before it was heard.
+        It is resent if that connection ends before an acknowledgement, until `until_us` or for ACK_TIMEOUT_US.
         """
-        # Those with an open set-up first: their owner does not close them now. Then the latest heard of.
-        known = [
+        # Connections with open set-ups first, as their owners keep them open; then the most recently active.
+        candidates = [
             each
             for each in reversed(self._owners)
             if each.connection.proven and each.stream.open and not each.retired
         ]
-        known.sort(key=lambda each: not each.tasks)
-        owner = next((each for each in known if each.write(data)), None)
+        candidates.sort(key=lambda each: not each.tasks)
+        owner = next((each for each in candidates if each.write(data)), None)
         if owner is None:
             return False
         ident = int.from_bytes(data[3:11], "big")
         self._trace(ident, "release told", owner=owner.number)
-        self._unheard[ident] = until_us or self._life.hub.now_us() + HEARD_US, owner, data
-        if len(self._unheard) > MAX_PENDING:
-            self._unheard.popitem(last=False)
+        self._unacknowledged[ident] = (
+            until_us or self._life.hub.now_us() + ACK_TIMEOUT_US,
+            owner,
+            data,
+        )
+        if len(self._unacknowledged) > MAX_PENDING_RELEASES:
+            self._unacknowledged.popitem(last=False)
         return True
 
-    def proven(self, owner: Asker) -> None:
-        """A task of this connection was answered: it is a usual owner's."""
+    def mark_proven(self, owner: Asker) -> None:
+        """Mark a connection as an owner's, as a task of it was answered; pending releases may go there."""
         if not owner.connection.proven:
             owner.connection.proven = True
             self._send_pending()
@@ -287,10 +295,10 @@
             until_us, data = self._pending.popleft()
             if now >= until_us:
                 self._trace(int.from_bytes(data[3:11], "big"), "release expired")
-            elif not self.tell(data):
+            elif not self.send_to_any(data):
                 self._pending.append((until_us, data))
 
 
 def refusal(ident: int, cause: int = Cause.BUSY, more: dict[int, bytes] | None = None) -> bytes:
-    """The final answer to a set-up that does not stand."""
+    """Encode the RELEASE that answers a set-up which was refused or failed; `more` holds further parameters."""
     return with_cause(Kind.RELEASE, ident, cause, more)
