--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from wingbarrow import interface as api
-from wingbarrow.decide.descriptors import LEAST
+from wingbarrow.decide.descriptor_budget import MIN_DESCRIPTORS
 from wingbarrow.settings_parser import JsonValue, format_value, parse_settings
 
 MAX_FILE_BYTES = 16 << 20
@@ -146,8 +146,8 @@
     name = environment.get("RELAY_NAME")
     try:
         settings, sockets = root.at("settings"), root.at("limits.sockets")
-        if sockets.count() < LEAST:
-            raise sockets.error(f"must be at least {LEAST}")
+        if sockets.count() < MIN_DESCRIPTORS:
+            raise sockets.error(f"must be at least {MIN_DESCRIPTORS}")
         return Configuration(
             name=name or root.at("name").name(),
             listen=read_address(
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -68,7 +68,7 @@
         """Poll another address from now on; a poll of the old one is cancelled."""
         if address != self._address:
             self._address = address
-            self._backoff.clear()
+            self._backoff.reset()
             if self._scope is not None:
                 self._scope.cancel()
 
@@ -91,7 +91,7 @@
                 while address == self._address:
                     if not self._poll(pool, address) and address == self._address:
                         with CancelScope(hub) as self._scope:  # an address change ends the backoff
-                            hub.sleep(self._backoff.next_us())
+                            hub.sleep(self._backoff.next_delay_us())
             finally:
                 pool.close()
 
@@ -116,7 +116,7 @@
             self._on_failure()
             return False
         if self._apply(tail, *answer) or life.hub.now_us() - started_us >= MIN_POLL_US:
-            self._backoff.clear()
+            self._backoff.reset()
             return True
         life.counts["journal_early"] += 1
         self._warn_once("journal-early", "empty answer before half of the requested wait")
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from wingbarrow.core.life import Life
-from wingbarrow.decide.crowd import Crowd, Guest
+from wingbarrow.decide.connection_limits import ConnectionLimits, OwnerConnection
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
 from wingbarrow.relay.tasks import Asker, Task
 from wingbarrow.relay.trace import Trace
@@ -33,9 +33,9 @@
 
     __slots__ = (
         "_read_callbacks",
+        "connection",
         "foreign_ids",
         "framer",
-        "guest",
         "number",
         "outbox",
         "retired",
@@ -43,8 +43,10 @@
         "tasks",
     )
 
-    def __init__(self, stream: Stream, outbox: Outbox, guest: Guest, number: int) -> None:
-        self.stream, self.outbox, self.guest, self.number = stream, outbox, guest, number
+    def __init__(
+        self, stream: Stream, outbox: Outbox, connection: OwnerConnection, number: int
+    ) -> None:
+        self.stream, self.outbox, self.connection, self.number = stream, outbox, connection, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
         # Ids this client sent a set-up for while another owner had them open.
@@ -55,7 +57,7 @@
 
     def write(self, data: bytes) -> bool:
         """Queue `data` for sending; False if the connection is closed, retired, or its buffer is full."""
-        self.guest.told = True
+        self.connection.was_written_to = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
     def has_stale_input(self, now_us: int) -> bool:
@@ -89,13 +91,13 @@
     def __init__(
         self,
         life: Life,
-        crowd: Crowd,
+        limits: ConnectionLimits,
         on_message: Callable[[Owner, Message, int], None],
         on_disconnect: Callable[[Owner], None],
         free_descriptor: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._crowd, self._trace = life, crowd, trace
+        self._life, self._limits, self._trace = life, limits, trace
         self._on_message, self._on_disconnect = on_message, on_disconnect
         self._accepted = 0  # connections so far
         self._free_descriptor = free_descriptor
@@ -116,7 +118,10 @@
         hub = self._life.hub
         self._accepted += 1
         owner = Owner(
-            stream, Outbox(hub, stream, MAX_UNSENT_BYTES), Guest(hub.now_us()), self._accepted
+            stream,
+            Outbox(hub, stream, MAX_UNSENT_BYTES),
+            OwnerConnection(hub.now_us()),
+            self._accepted,
         )
         self._owners[owner] = None
         self._make_room()
@@ -133,7 +138,7 @@
                     if message is None:
                         break
                     now = hub.now_us()
-                    owner.guest.heard_us = now
+                    owner.connection.last_message_us = now
                     self._owners.move_to_end(owner)
                     if message.kind == Kind.RELEASE_HEARD:
                         self._unacknowledged.pop(message.task, None)
@@ -180,17 +185,17 @@
                 self.retire(owner, "farewell")
 
     def _make_room(self) -> None:
-        if len(self._owners) <= self._crowd.most and self._free_descriptor():
+        if len(self._owners) <= self._limits.max_connections and self._free_descriptor():
             return
-        guests = {owner.guest: owner for owner in self._owners if owner.stream.open}
+        connections = {owner.connection: owner for owner in self._owners if owner.stream.open}
         fallback: Owner | None = None
         for _ in range(MAX_CLOSE_CANDIDATES):
-            chosen = self._crowd.whom_to_close(
-                [(each.guest, len(each.tasks)) for each in guests.values()]
+            chosen = self._limits.connection_to_close(
+                [(each.connection, len(each.tasks)) for each in connections.values()]
             )
             if chosen is None:
                 break
-            owner = guests.pop(chosen)
+            owner = connections.pop(chosen)
             if owner.stream.is_quiet() and not owner.framer.ready:
                 self.close(owner, "crowded")
                 return
@@ -209,11 +214,11 @@
                 if (
                     owner.stream.open
                     and not owner.retired
-                    and self._crowd.is_idle(now, owner.guest, len(owner.tasks))
+                    and self._limits.is_idle(now, owner.connection, len(owner.tasks))
                     and owner.stream.is_quiet()
                     and not owner.framer.ready
                 ):
-                    self.retire(owner, "idle" if owner.guest.proven else "silent")
+                    self.retire(owner, "idle" if owner.connection.proven else "silent")
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
@@ -229,7 +234,7 @@
         now = self._life.hub.now_us()
         while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
             self._unacknowledged.popitem(last=False)
-        if closed.guest.proven:
+        if closed.connection.proven:
             for ident in [
                 ident for ident, (_, owner, _) in self._unacknowledged.items() if owner is closed
             ]:
@@ -261,7 +266,7 @@
         candidates = [
             each
             for each in reversed(self._owners)
-            if each.guest.proven and each.stream.open and not each.retired
+            if each.connection.proven and each.stream.open and not each.retired
         ]
         candidates.sort(key=lambda each: not each.tasks)
         owner = next((each for each in candidates if each.write(data)), None)
@@ -280,8 +285,8 @@
 
     def mark_proven(self, owner: Asker) -> None:
         """Mark a connection as an owner's, as a task of it was answered; pending releases may go there."""
-        if not owner.guest.proven:
-            owner.guest.proven = True
+        if not owner.connection.proven:
+            owner.connection.proven = True
             self._send_pending()
 
     def _send_pending(self) -> None:
