--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -41,7 +41,7 @@
 def test_an_entry_is_read_whole() -> None:
     last, (news,) = journal.read(form(ENTRY, reset=True), 500, pytest.fail)
     (entry,) = news.entries
-    assert (last, news.position, news.whole, entry.name, str(entry.address)) == (
+    assert (last, news.position, news.full, entry.name, str(entry.address)) == (
         1,
         1,
         True,
@@ -49,7 +49,7 @@
         "10.1.0.9:3868",
     )
     assert entry.listed == api.ListedMachine(
-        journal.ident("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
+        journal.machine_id("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
     )
 
 
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -13,7 +13,7 @@
 from wingbarrow.http.message import Request
 from wingbarrow.http.server import Answer
 from wingbarrow.relay.configuration import Address
-from wingbarrow.relay.entries import News
+from wingbarrow.relay.entries import ListUpdate
 from wingbarrow.relay.journal import Follower
 from wingbarrow.relay.message import Kind
 from wingbarrow.transport import PeerGone
@@ -84,12 +84,12 @@
     return [int(target.partition("tail=")[2].partition("&")[0]) for _, target in journal.calls]
 
 
-def deliveries(stage: Stage) -> list[News]:
+def deliveries(stage: Stage) -> list[ListUpdate]:
     """What is delivered from now on."""
-    told: list[News] = []
+    told: list[ListUpdate] = []
     deliver = follower(stage)._deliver
 
-    def keep(news: News) -> None:
+    def keep(news: ListUpdate) -> None:
         told.append(news)
         deliver(news)
 
--- a/wingbarrow/relay/entries.py
+++ b/wingbarrow/relay/entries.py
@@ -13,11 +13,11 @@
 
 PHASES = {"Ready": api.Phase.RUNNING, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
 MAX_STARTED_MS = 10**14  # beyond it is no time of a start
-MAX_NUMBER = 1 << 62
+MAX_INTEGER = 1 << 62
 MAX_REASON_CHARS = 200
 
 
-def ident(name: str) -> int:
+def machine_id(name: str) -> int:
     """The number by which the module knows a machine: the same at every placer, without talk."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Damaged:
+class DamagedEntry:
     """An entry that cannot be read whole; `name` is empty and `phase` None where they cannot be read either."""
 
     name: str
@@ -50,16 +50,16 @@
     """One numbered event as it was read; `why` says what is wrong where it has no list (number 0: no number)."""
 
     position: int
-    whole: bool
-    entries: tuple[Entry | Damaged, ...]
+    full: bool
+    entries: tuple[Entry | DamagedEntry, ...]
     why: str = ""
 
     @property
-    def mark(self) -> int:
+    def digest(self) -> int:
         """A hash of what the event says of machines, without their room: two events under one number differ in it."""
         return hash(
             (
-                self.whole,
+                self.full,
                 tuple(
                     (each.name, each.address, each.listed.phase, each.listed.launched_us)
                     if isinstance(each, Entry)
@@ -71,20 +71,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """What one event, or several in their order, say; `whole` where it holds the complete list."""
 
     position: int
-    whole: bool
+    full: bool
     entries: tuple[Entry, ...]
-    mark: int = 0  # of the event
+    digest: int = 0  # of the event
 
 
-def _plain(text: str) -> str:
+def _to_ascii(text: str) -> str:
     return text[:MAX_REASON_CHARS].encode("ascii", "backslashreplace").decode()
 
 
-def _room(value: Any) -> tuple[float, float]:
+def _read_room(value: Any) -> tuple[float, float]:
     """Free cores and memory; not a number where they are none: the rest of the entry counts all the same."""
     try:
         cores, memory = (float(figure) for figure in value)
@@ -95,7 +95,7 @@
     return float("nan"), float("nan")
 
 
-def _whole_entry(name: str, phase: api.Phase | None, value: dict[str, Any], shift_us: int) -> Entry:
+def _read_entry(name: str, phase: api.Phase | None, value: dict[str, Any], shift_us: int) -> Entry:
     zone, kind, cell, started = (
         value.get(key) for key in ("zone", "machineType", "cell", "startedAtMs")
     )
@@ -106,7 +106,7 @@
     (zone + kind).encode()  # lone surrogates are a ValueError
     if isinstance(cell, float) and cell.is_integer():
         cell = int(cell)  # some services write each figure as a float
-    if not isinstance(cell, int) or abs(cell) > MAX_NUMBER:
+    if not isinstance(cell, int) or abs(cell) > MAX_INTEGER:
         raise ValueError("cell")
     started = 0 if "startedAtMs" not in value else started
     if (
@@ -121,42 +121,42 @@
     except BadConfiguration as error:
         raise ValueError(str(error)) from None
     launched_us = max(1, int(started * 1000) + shift_us) if started > 0 else 0
-    room = _room(value.get("room"))
+    room = _read_room(value.get("room"))
     return Entry(
         name,
         address,
-        api.ListedMachine(ident(name), kind, cell, zone, phase, launched_us, *room),
-        "" if room[0] == room[0] or value.get("room") is None else _plain(f"{name[:64]}: room"),
+        api.ListedMachine(machine_id(name), kind, cell, zone, phase, launched_us, *room),
+        "" if room[0] == room[0] or value.get("room") is None else _to_ascii(f"{name[:64]}: room"),
     )
 
 
-def _entry(value: Any, shift_us: int) -> Entry | Damaged:
+def _entry_or_damaged(value: Any, shift_us: int) -> Entry | DamagedEntry:
     name, word = (
         (value.get("instanceId"), value.get("lifecycle"))
         if isinstance(value, dict)
         else (None, None)
     )
     if not isinstance(name, str) or not name:
-        return Damaged("", None, "an entry without id")
+        return DamagedEntry("", None, "an entry without id")
     phase = PHASES.get(word) if isinstance(word, str) else None
     try:
-        return _whole_entry(name, phase, value, shift_us)
+        return _read_entry(name, phase, value, shift_us)
     except (
         ValueError,
         TypeError,
         ArithmeticError,
     ) as error:  # the last: an integer below any float
-        return Damaged(name, phase, _plain(f"{name[:64]}: {error}"))
+        return DamagedEntry(name, phase, _to_ascii(f"{name[:64]}: {error}"))
 
 
-def _event(value: Any, shift_us: int) -> Event:
+def _read_event(value: Any, shift_us: int) -> Event:
     position, hosts = (
         (value.get("pos"), value.get("hosts")) if isinstance(value, dict) else (None, None)
     )
     if (
         isinstance(position, bool)
         or not isinstance(position, int)
-        or not 0 < position <= MAX_NUMBER
+        or not 0 < position <= MAX_INTEGER
     ):
         return Event(0, False, (), "an event without position")
     if not isinstance(hosts, dict) or not isinstance(hosts.get("instances"), list):
@@ -164,7 +164,7 @@
     return Event(
         position,
         hosts.get("reset") is True,
-        tuple(_entry(each, shift_us) for each in hosts["instances"]),
+        tuple(_entry_or_damaged(each, shift_us) for each in hosts["instances"]),
     )
 
 
@@ -179,20 +179,20 @@
     if isinstance(last, bool) or not isinstance(last, int):
         raise ValueError("no position")
     return last, sorted(
-        (_event(each, shift_us) for each in value["entries"]), key=lambda event: event.position
+        (_read_event(each, shift_us) for each in value["entries"]), key=lambda event: event.position
     )
 
 
-class Roster:
+class ListState:
     """The machines as they were last told, by name; what has gone is left out."""
 
-    def __init__(self, known: Sequence[News] = ()) -> None:
+    def __init__(self, known: Sequence[ListUpdate] = ()) -> None:
         self.machines: dict[str, Entry] = {}
         for news in known:
-            self._keep(news)
+            self._merge(news)
 
-    def _keep(self, news: News) -> None:
-        if news.whole:
+    def _merge(self, news: ListUpdate) -> None:
+        if news.full:
             self.machines.clear()
         for entry in news.entries:
             if entry.listed.phase is api.Phase.GONE:
@@ -200,64 +200,74 @@
             else:
                 self.machines[entry.name] = entry
 
-    def _mend(self, damaged: Damaged, last: Entry | None) -> Entry | None:
+    def _repair(self, damaged: DamagedEntry, last: Entry | None) -> Entry | None:
         """What a damaged entry says of a machine that is known, with the rest as it was; None of another."""
         if last is None:
             return None
         # Danger (rule 3): a lifecycle that cannot be read may be a drain, and nobody tells it again.
         return last.at(damaged.phase or api.Phase.DRAINING)
 
-    def take(
-        self, event: Event, complain: Callable[[str], None], newer: Container[str] = ()
-    ) -> News:
+    def apply(
+        self, event: Event, warn: Callable[[str], None], newer: Container[str] = ()
+    ) -> ListUpdate:
         """Take in an event; `newer`: machines of which a later event has told already."""
         found: dict[str, Entry] = {}
         nameless = False
         for each in event.entries:
             entry = each if isinstance(each, Entry) else None
             if each.why:
-                complain(each.why)
-            if isinstance(each, Damaged):
+                warn(each.why)
+            if isinstance(each, DamagedEntry):
                 nameless = nameless or not each.name
-                entry = self._mend(each, found.get(each.name) or self.machines.get(each.name))
+                entry = self._repair(each, found.get(each.name) or self.machines.get(each.name))
             if entry is not None and entry.name not in newer:
                 found.pop(entry.name, None)
                 found[entry.name] = entry
-        if event.whole:
+        if event.full:
             for name, entry in self.machines.items():
                 if name in newer:
                     found[name] = entry
                 elif nameless and name not in found:
                     # Danger (rule 3): one of those not found is the one without a name; which, nobody can say.
                     found[name] = entry.at(api.Phase.DRAINING)
-        news = News(event.position, event.whole, tuple(found.values()), event.mark)
-        self._keep(news)
+        news = ListUpdate(event.position, event.full, tuple(found.values()), event.digest)
+        self._merge(news)
         return news
 
 
-def merge(news: Sequence[News]) -> News:
+def merge(news: Sequence[ListUpdate]) -> ListUpdate:
     """Several events, in their order, as one: of each machine what was told last."""
     entries: dict[str, Entry] = {}
     for each in news:
-        if each.whole:
+        if each.full:
             entries.clear()
         for entry in each.entries:
             entries.pop(entry.name, None)
             entries[entry.name] = entry
-    return News(news[-1].position, any(each.whole for each in news), tuple(entries.values()))
+    return ListUpdate(news[-1].position, any(each.full for each in news), tuple(entries.values()))
 
 
-def read(value: Any, shift_us: int, complain: Callable[[str], None]) -> tuple[int, list[News]]:
+def read(value: Any, shift_us: int, warn: Callable[[str], None]) -> tuple[int, list[ListUpdate]]:
     """The last position and the events of the service's form; ValueError where it is not of that form.
 
     Damaged entries go to `complain` and count as far as they can be read, see `Roster`.
     """
     last, events = parse(value, shift_us)
-    roster = Roster()
+    state = ListState()
     for event in events:
         if event.why:
             raise ValueError(event.why)
-    return last, [roster.take(event, complain) for event in events]
-
-
-__all__ = ["Damaged", "Entry", "Event", "News", "Roster", "ident", "merge", "parse", "read"]
+    return last, [state.apply(event, warn) for event in events]
+
+
+__all__ = [
+    "DamagedEntry",
+    "Entry",
+    "Event",
+    "ListState",
+    "ListUpdate",
+    "machine_id",
+    "merge",
+    "parse",
+    "read",
+]
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -12,7 +12,16 @@
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.relay.configuration import Address
-from wingbarrow.relay.entries import Entry, Event, News, Roster, ident, merge, parse, read
+from wingbarrow.relay.entries import (
+    Entry,
+    Event,
+    ListState,
+    ListUpdate,
+    machine_id,
+    merge,
+    parse,
+    read,
+)
 from wingbarrow.transport import CancelScope
 
 # Danger (rule 3): what a service that fell silent would have told counts as told soon after the wait that was asked
@@ -43,9 +52,9 @@
         address: Address,
         position: int,
         shift_us: int,
-        deliver: Callable[[News], None],
+        deliver: Callable[[ListUpdate], None],
         failed: Callable[[], None],
-        known: Sequence[News] = (),
+        known: Sequence[ListUpdate] = (),
     ) -> None:
         self._shift_us = shift_us  # the same for a whole life: a start is never two times
         self._life, self._address, self._deliver, self._failed = life, address, deliver, failed
@@ -56,8 +65,8 @@
         self._asks = 0  # in a row that left events missing
         self._from_start = False  # the numbers went back: all events are asked for once
         self._behind: int | None = None  # the last number of a service that lags
-        self._roster = Roster(known)
-        self._marks = OrderedDict((each.position, each.mark) for each in known)
+        self._list_state = ListState(known)
+        self._marks = OrderedDict((each.position, each.digest) for each in known)
         self._told: deque[str] = deque(maxlen=MAX_REPORTED)
         self._scope: CancelScope | None = None
         self._pool: Pool | None = None
@@ -146,32 +155,32 @@
             self._deliver(each)
         return bool(news)
 
-    def _new_of(self, events: list[Event]) -> list[News]:
-        news: list[News] = []
+    def _new_of(self, events: list[Event]) -> list[ListUpdate]:
+        news: list[ListUpdate] = []
         top = 0
         for event in events:
             number = event.position
             if event.why:
                 self._complain(event.why)
                 top = max(top, number)
-            elif number > self.position and (number not in self._ahead or event.whole):
+            elif number > self.position and (number not in self._ahead or event.full):
                 newer = {
                     name for later, names in self._ahead.items() if later > number for name in names
                 }
                 news.append(self._take(event, newer))
                 self._ahead[number] = tuple(entry.name for entry in news[-1].entries)
-                if event.whole:
+                if event.full:
                     self._pass(number)
                 while self.position + 1 in self._ahead:
                     self._pass(self.position + 1)
         self._look_for_missing(max([top, *self._ahead]))
         return news
 
-    def _take(self, event: Event, newer: set[str]) -> News:
-        self._marks[event.position] = event.mark
+    def _take(self, event: Event, newer: set[str]) -> ListUpdate:
+        self._marks[event.position] = event.digest
         if len(self._marks) > MAX_MARKS:
             self._marks.popitem(last=False)
-        return self._roster.take(event, self._complain, newer)
+        return self._list_state.apply(event, self._complain, newer)
 
     def _pass(self, number: int) -> None:
         """Up to this number nothing is missing, or nothing is waited for any more."""
@@ -193,7 +202,7 @@
             self._life.log("journal-gap-given-up", level="error", after=self.position, before=top)
             self._pass(top)
 
-    def _gone_back(self, tail: int, highest: int, events: list[Event]) -> list[News]:
+    def _gone_back(self, tail: int, highest: int, events: list[Event]) -> list[ListUpdate]:
         """The service's numbers end before ours: it lags, or it numbers anew and then all that it has is new."""
         if highest == self._behind:
             return []
@@ -204,7 +213,7 @@
             return []
         good = [event for event in events if not event.why]
         # Danger (rule 3): a list that lags would have machines running that were told to drain since.
-        same = all(self._marks.get(event.position, event.mark) == event.mark for event in good)
+        same = all(self._marks.get(event.position, event.digest) == event.digest for event in good)
         if not good or (same and good[-1].position in self._marks):
             self._behind = highest
             return []
@@ -229,4 +238,4 @@
         self._tell("bad-list-entry", why)
 
 
-__all__ = ["Entry", "Follower", "News", "ident", "read"]
+__all__ = ["Entry", "Follower", "ListUpdate", "machine_id", "read"]
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -135,10 +135,10 @@
 
     # -- the list of machines
 
-    def _begin(self, known: list[journal.News]) -> None:
+    def _begin(self, known: list[journal.ListUpdate]) -> None:
         entries: dict[str, journal.Entry] = {}
         for news in known:
-            if news.whole:
+            if news.full:
                 entries.clear()
             entries.update((each.name, each) for each in news.entries)
         running = tuple(
@@ -161,9 +161,9 @@
         self._links.add(link)
         return link
 
-    def _on_news(self, news: journal.News) -> None:
-        form = api.ListForm.FULL if news.whole else api.ListForm.CHANGES
-        if news.whole:
+    def _on_news(self, news: journal.ListUpdate) -> None:
+        form = api.ListForm.FULL if news.full else api.ListForm.CHANGES
+        if news.full:
             names = {each.name for each in news.entries}
             for link in list(self._links.by_name.values()):
                 if link.name not in names:
