--- a/tests/relay/test_machine_races.py
+++ b/tests/relay/test_machine_races.py
@@ -178,7 +178,7 @@
             if not crossed:
                 crossed.append(stream)
                 stream.send(over(1))
-                stage.hub.clock.jump(stage.hub.now_us() + links.RETIRE_US + 100 * MS)
+                stage.hub.clock.jump(stage.hub.now_us() + links.CLOSE_TIMEOUT_US + 100 * MS)
 
         machine.on_end = crossing
         for task in (1, 2, 3):
--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -124,7 +124,7 @@
             if link.liveness.doubts(stage.hub.now_us()):
                 break
         began = stage.hub.now_us()
-        assert link.line_for_offer() is None and stage.hub.now_us() == began, (
+        assert link.connection_for_offer() is None and stage.hub.now_us() == began, (
             "no second wait for the same news"
         )
         for filler in fillers:
--- a/tests/relay/test_message.py
+++ b/tests/relay/test_message.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from wingbarrow.relay.message import (
-    LEAST,
-    MOST,
+    MAX_BODY_BYTES,
+    MIN_BODY_BYTES,
     BadMessage,
     Code,
     Framer,
@@ -58,7 +58,7 @@
         with pytest.raises(BadMessage):
             framer.next()
         return
-    assert framer.buffered <= max(len(data), MOST + 2)
+    assert framer.buffered <= max(len(data), MAX_BODY_BYTES + 2)
 
 
 def head(length: int, kind: int = 1) -> bytes:
@@ -69,13 +69,13 @@
     "data",
     [
         head(0),
-        head(LEAST - 1),
-        head(MOST + 1),
+        head(MIN_BODY_BYTES - 1),
+        head(MAX_BODY_BYTES + 1),
         head(65535),
         head(20, 99),
-        head(LEAST + 2) + b"\x03\x00",  # a parameter cut short
-        head(LEAST + 4) + b"\x03\x00\x05a",  # longer than its message
-        head(LEAST + 8) + b"\x03\x00\x01a\x03\x00\x01b",  # twice
+        head(MIN_BODY_BYTES + 2) + b"\x03\x00",  # a parameter cut short
+        head(MIN_BODY_BYTES + 4) + b"\x03\x00\x05a",  # longer than its message
+        head(MIN_BODY_BYTES + 8) + b"\x03\x00\x01a\x03\x00\x01b",  # twice
     ],
 )
 def test_what_is_no_message_is_told_at_once(data: bytes) -> None:
@@ -95,7 +95,7 @@
 
 def test_a_message_longer_than_allowed_is_not_written() -> None:
     with pytest.raises(ValueError, match="bytes"):
-        encode(Kind.ANSWER, 1, {Code.DESCRIPTION: bytes(MOST)})
+        encode(Kind.ANSWER, 1, {Code.DESCRIPTION: bytes(MAX_BODY_BYTES)})
 
 
 def test_a_cause_is_one_byte_and_text_is_text() -> None:
--- a/tests/relay/test_overtaken.py
+++ b/tests/relay/test_overtaken.py
@@ -8,11 +8,11 @@
 
 from tests.relay.stage import MADE, Heard, Machine, Stage, over
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
-from wingbarrow.relay.offers import TOLD_US
+from wingbarrow.relay.offers import END_NOTICE_DELAY_US
 from wingbarrow.transport import Stream
 
-TOLD_MS = 1_000  # the platform's own bound, from the machine's release
-assert TOLD_US < TOLD_MS * 1_000
+MAX_END_NOTICE_MS = 1_000  # the platform's own bound, from the machine's release
+assert END_NOTICE_DELAY_US < MAX_END_NOTICE_MS * 1_000
 
 
 def releases_first(stage: Stage, release: Callable[[int], bytes]) -> None:
@@ -85,7 +85,7 @@
         told = heard_of(stage, 1)
         assert [each.message.kind for each in told] == [Kind.RELEASE]
         first = min(each.at_us for _, each in stage.set_ups(1))
-        assert told[0].at_us - (first + 300_000) <= TOLD_MS * 1_000
+        assert told[0].at_us - (first + 300_000) <= MAX_END_NOTICE_MS * 1_000
         given_up = [
             each.message
             for machine in stage.machines
--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -13,7 +13,7 @@
 WEB = task_class("web")
 
 
-def task(requests: RequestTable, ident: int = 7, state: State = State.ASKED) -> Task:
+def task(requests: RequestTable, ident: int = 7, state: State = State.PENDING) -> Task:
     request = requests.next_request()
     arrival = api.TaskArrived(request, "web", "s", "t", 1, 1, 0, None)
     made = Task(request, ident, WEB, arrival, None, {3: b"web"}, state)
@@ -32,7 +32,7 @@
     again = requests.step(asked, late)
     assert again is (final is Step.START and late in (Step.WITHDRAW, Step.END, Step.MOVE))
     assert requests.pending == 0
-    assert bool(requests.odd) is not again
+    assert bool(requests.unexpected_transitions) is not again
     assert not asked.passed_on  # what was only for machines is not kept
 
 
--- a/tests/relay/test_trace.py
+++ b/tests/relay/test_trace.py
@@ -7,7 +7,7 @@
 from tests.relay.stage import MS, Stage, over
 from wingbarrow.core.logs import silent
 from wingbarrow.relay.placer import Placer
-from wingbarrow.relay.trace import VARIABLE, Trace, from_environment
+from wingbarrow.relay.trace import ENVIRONMENT_VARIABLE, Trace, from_environment
 
 
 class Lines:
@@ -51,11 +51,11 @@
 
 def test_it_writes_no_more_than_was_asked_for_and_nothing_unasked() -> None:
     lines = Lines()
-    trace = from_environment({VARIABLE: "2"}, lines.write)
+    trace = from_environment({ENVIRONMENT_VARIABLE: "2"}, lines.write)
     for number in range(5):
         trace(number, "asked")
     assert len(lines.fields) == 2
     for text in ("", "-1", "many", "1.5"):
-        from_environment({VARIABLE: text}, lines.write)(9, "asked")
+        from_environment({ENVIRONMENT_VARIABLE: text}, lines.write)(9, "asked")
     from_environment({}, lines.write)(9, "asked")
     assert len(lines.fields) == 2
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -129,7 +129,7 @@
             # Danger: nobody else bounds them, and only its machine knows whether a task is there at all.
             self._turn_away(owner, asked.ident, Cause.RESET, "too many held", None)
             return
-        cause = self._offers.ended_early(link, asked.ident)
+        cause = self._offers.take_early_release(link, asked.ident)
         if cause is not None:
             self._trace(asked.ident, "found ended", owner=owner.number, machine=at)
             self.owners.proven(owner)
@@ -143,7 +143,7 @@
             request, 0, task, link, f"{task.ident:016x}/0", now, now, Stage.PLACED, now
         )
         self._attempts.add(attempt)
-        link.strays.pop(task.ident, None)
+        link.orphans.pop(task.ident, None)
         link.running[task.ident] = attempt
         self.owners.proven(owner)
         self._trace(task.ident, "found", owner=owner.number, machine=at)
@@ -154,7 +154,7 @@
         # Danger: who was turned away under another's id may take it back, and would end the other's task.
         if (
             task is None
-            or (task.state is State.ASKED and task.owner is not owner)
+            or (task.state is State.PENDING and task.owner is not owner)
             or task.ident in owner.foreign
         ):
             self._life.counts["releases_unknown"] += 1
--- a/wingbarrow/relay/entries.py
+++ b/wingbarrow/relay/entries.py
@@ -31,7 +31,7 @@
     listed: api.ListedMachine
     why: str = ""
 
-    def at(self, phase: api.Phase) -> Entry:
+    def with_phase(self, phase: api.Phase) -> Entry:
         """The same in another phase."""
         return replace(self, listed=replace(self.listed, phase=phase))
 
@@ -205,7 +205,7 @@
         if last is None:
             return None
         # Danger (rule 3): a lifecycle that cannot be read may be a drain, and nobody tells it again.
-        return last.at(damaged.phase or api.Phase.DRAINING)
+        return last.with_phase(damaged.phase or api.Phase.DRAINING)
 
     def apply(
         self, event: Event, warn: Callable[[str], None], newer: Container[str] = ()
@@ -229,7 +229,7 @@
                     found[name] = entry
                 elif nameless and name not in found:
                     # Danger (rule 3): one of those not found is the one without a name; which, nobody can say.
-                    found[name] = entry.at(api.Phase.DRAINING)
+                    found[name] = entry.with_phase(api.Phase.DRAINING)
         news = ListUpdate(event.position, event.full, tuple(found.values()), event.digest)
         self._merge(news)
         return news
--- a/wingbarrow/relay/message.py
+++ b/wingbarrow/relay/message.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MOST = 16 * 1024  # bytes of a message behind its length
-LEAST = 9  # a type and a task
+MAX_BODY_BYTES = 16 * 1024  # bytes of a message behind its length
+MIN_BODY_BYTES = 9  # a type and a task
 MAX_PARAMETERS = 64
 
 
@@ -99,9 +99,14 @@
         code.to_bytes(1, "big") + len(value).to_bytes(2, "big") + value
         for code, value in values.items()
     )
-    if LEAST + len(body) > MOST:
-        raise ValueError(f"a message of {LEAST + len(body)} bytes")
-    return (LEAST + len(body)).to_bytes(2, "big") + bytes((kind,)) + task.to_bytes(8, "big") + body
+    if MIN_BODY_BYTES + len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a message of {MIN_BODY_BYTES + len(body)} bytes")
+    return (
+        (MIN_BODY_BYTES + len(body)).to_bytes(2, "big")
+        + bytes((kind,))
+        + task.to_bytes(8, "big")
+        + body
+    )
 
 
 def with_cause(kind: int, task: int, cause: int, more: Mapping[int, bytes] | None = None) -> bytes:
@@ -114,7 +119,7 @@
     if body[0] not in _KINDS:
         raise BadMessage(f"an unknown type: {body[0]}")
     values: dict[int, bytes] = {}
-    at, end = LEAST, len(body)
+    at, end = MIN_BODY_BYTES, len(body)
     while at < end:
         if end - at < 3:
             raise BadMessage("a parameter is cut short")
@@ -164,7 +169,7 @@
         length = int.from_bytes(buffer[:2], "big")
         try:
             # Danger: an impossible length would have the connection wait for what never comes.
-            if not LEAST <= length <= MOST:
+            if not MIN_BODY_BYTES <= length <= MAX_BODY_BYTES:
                 raise BadMessage(f"a length of {length}")
             if len(buffer) >= 3 and buffer[2] not in _KINDS:
                 raise BadMessage(f"an unknown type: {buffer[2]}")
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -14,15 +14,15 @@
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
 from wingbarrow.reader import read_report
-from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
+from wingbarrow.relay.links import Attempt, Attempts, Connection, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.outcomes import (
     AFTER_ANSWER,
     BEFORE_ANSWER,
     NOTES,
-    Unanswered,
+    EarlyRelease,
+    classify_early_release,
     reason_of,
-    unanswered,
 )
 from wingbarrow.relay.owners import Owners, refusal
 from wingbarrow.relay.probes import Probes
@@ -30,10 +30,10 @@
 from wingbarrow.relay.trace import Trace
 
 # After a start a machine may release a task before its owner has named it here.
-EARLY_US, MAX_EARLY = 8_500_000, 1024
+EARLY_RELEASE_TTL_US, MAX_EARLY_RELEASES = 8_500_000, 1024
 # What has stood and is over is told to its owner within 1 s of the machine's release ("The rules on sockets").
-TOLD_US = 800_000
-UNRUN = (
+END_NOTICE_DELAY_US = 800_000
+NEVER_RAN = (
     api.Outcome.REFUSED,
     api.Outcome.UNREACHABLE,
     api.Outcome.NOT_SENT,
@@ -59,11 +59,11 @@
         self._links, self._owners = links, owners
         self._gate, self._slack_us = SendGate(settings.cold_us, settings.fall_us), settings.tick_us
         self.probes = Probes(life, host, links)
-        self.list_behind: Callable[[int], bool] = (
+        self.is_list_behind: Callable[[int], bool] = (
             lambda now_us: False
         )  # whether news of machines may lie unread
         # Releases of what nobody here knew, by machine and id: their cause, and until when they are remembered.
-        self._early: OrderedDict[tuple[int, int], tuple[int, int]] = OrderedDict()
+        self._early_releases: OrderedDict[tuple[int, int], tuple[int, int]] = OrderedDict()
 
     # -- what the module decides
 
@@ -108,45 +108,47 @@
         link = attempt.link
         if attempt.stage is not Stage.WAITING:
             return
-        line = None if link.liveness.doubtful else link.free_line()
-        if line is not None:
-            self._send(attempt, line)
+        connection = None if link.liveness.doubtful else link.idle_connection()
+        if connection is not None:
+            self._send(attempt, connection)
         else:
             self._life.spawn(lambda: self._dial_and_send(attempt), "offer")
 
     def _dial_and_send(self, attempt: Attempt) -> None:
         link = attempt.link
-        line = link.line_for_offer()
+        connection = link.connection_for_offer()
         if attempt.stage is not Stage.WAITING:
             return
-        if line is None:
-            self._over(attempt, api.Outcome.UNREACHABLE)
+        if connection is None:
+            self._end_attempt(attempt, api.Outcome.UNREACHABLE)
         else:
-            self._send(attempt, line)
+            self._send(attempt, connection)
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Every set-up passes here right before its first byte; see decide.gate."""
         task, link, now = attempt.task, attempt.link, self._life.hub.now_us()
-        held: HoldReason | None = self._gate.check(
+        hold_reason: HoldReason | None = self._gate.check(
             now,
             Offer(
                 attempt.decided_us,
                 attempt.deadline_us,
-                task.state is State.ASKED,
+                task.state is State.PENDING,
                 attempt.stage is Stage.WAITING and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING and not link.closed,
                 link.launched_us,
-                may_repeat=may_repeat(now, task.cls, task.earlier, link.listed, self._slack_us),
+                may_repeat=may_repeat(
+                    now, task.cls, task.earlier_attempt, link.listed, self._slack_us
+                ),
                 chosen_launched_us=attempt.launched_us,
             ),
         )
-        if held is not None:
-            self._life.counts["held:" + held.name.lower()] += 1
-        return held is None
+        if hold_reason is not None:
+            self._life.counts["held:" + hold_reason.name.lower()] += 1
+        return hold_reason is None
 
-    def _send(self, attempt: Attempt, line: Line) -> None:
+    def _send(self, attempt: Attempt, connection: Connection) -> None:
         task, link = attempt.task, attempt.link
-        if self.list_behind(self._life.hub.now_us()):
+        if self.is_list_behind(self._life.hub.now_us()):
             # Danger (rule 3): a drain may lie unread; it is read before whatever is ready in the next turn.
             self._life.counts["sends_behind_list"] += 1
             self._life.spawn(lambda: self._begin(attempt), "offer")
@@ -157,46 +159,55 @@
             task.owner.when_read(lambda: self._begin(attempt))
             return
         if not self._may_send(attempt):
-            self._over(attempt, api.Outcome.NOT_SENT)
+            self._end_attempt(attempt, api.Outcome.NOT_SENT)
             return
         left_ms = max(1, (attempt.deadline_us - self._life.hub.now_us()) // 1000)
         values = {**task.passed_on, int(Code.PATIENCE): b"%d" % left_ms}
         self._attempts.advance(attempt, Stage.SENT)
-        link.strays.pop(task.ident, None)
-        line.out[task.ident] = attempt
-        line.used_us = self._life.hub.now_us()
-        self._trace(task.ident, "sent", attempt=attempt.number, machine=link.name, line=line.number)
-        if not line.write(encode(Kind.SET_UP, task.ident, values)):
+        link.orphans.pop(task.ident, None)
+        connection.open_attempts[task.ident] = attempt
+        connection.used_us = self._life.hub.now_us()
+        self._trace(
+            task.ident, "sent", attempt=attempt.number, machine=link.name, line=connection.number
+        )
+        if not connection.write(encode(Kind.SET_UP, task.ident, values)):
             # Not wholly written: it cannot have come whole to the machine.
-            line.out.pop(task.ident, None)
-            self._over(attempt, api.Outcome.UNREACHABLE)
+            connection.open_attempts.pop(task.ident, None)
+            self._end_attempt(attempt, api.Outcome.UNREACHABLE)
 
     def abandon(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """Nobody waits for its answer any longer: given up on the wire, and over."""
-        line = self._line_of(attempt)
+        connection = self._connection_of(attempt)
         if attempt.stage is Stage.SENT:
-            self._may_run(attempt)
+            self._remember_orphan(attempt)
             data = with_cause(Kind.RELEASE, attempt.task.ident, Cause.GIVEN_UP)
-            if line is not None:
-                line.write(data)
+            if connection is not None:
+                connection.write(data)
         elif attempt.stage is Stage.WAITING:
             outcome = api.Outcome.NOT_SENT
-        self._over(attempt, outcome)
+        self._end_attempt(attempt, outcome)
 
-    def _may_run(self, attempt: Attempt) -> None:
+    def _remember_orphan(self, attempt: Attempt) -> None:
         """An offer that nobody waits for may run all the same: should it show up, do what `decide.orphans` says."""
-        if self._is_stopped(attempt):
-            attempt.link.remember_stray(attempt.task.ident)
+        if self._must_stop_orphan(attempt):
+            attempt.link.remember_orphan(attempt.task.ident)
 
-    def _is_stopped(self, attempt: Attempt) -> bool:
+    def _must_stop_orphan(self, attempt: Attempt) -> bool:
         sight = orphans.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
         return orphans.action_for(sight) is orphans.OrphanAction.STOP
 
-    def _line_of(self, attempt: Attempt) -> Line | None:
+    def _connection_of(self, attempt: Attempt) -> Connection | None:
         ident = attempt.task.ident
-        return next((line for line in attempt.link.lines if line.out.get(ident) is attempt), None)
+        return next(
+            (
+                connection
+                for connection in attempt.link.connections
+                if connection.open_attempts.get(ident) is attempt
+            ),
+            None,
+        )
 
-    def _over(
+    def _end_attempt(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
@@ -205,10 +216,10 @@
     ) -> None:
         """Tell the module that an attempt is over; the request too, unless its answer is still pending."""
         placed, now = attempt.stage is Stage.PLACED, self._life.hub.now_us()
-        line = self._line_of(attempt)
-        if line is not None:
-            del line.out[attempt.task.ident]
-            line.used_us = now
+        connection = self._connection_of(attempt)
+        if connection is not None:
+            del connection.open_attempts[attempt.task.ident]
+            connection.used_us = now
         if not self._attempts.advance(attempt, Stage.ENDED):
             return
         self._trace(
@@ -219,12 +230,12 @@
             placed=placed,
         )
         attempt.link.running.pop(attempt.task.ident, None)
-        if not placed and outcome not in UNRUN and attempt.task.earlier is None:
-            attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
+        if not placed and outcome not in NEVER_RAN and attempt.task.earlier_attempt is None:
+            attempt.task.earlier_attempt = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
             attempt.task.owner.guest.errors += 1
         self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
-        closed = placed or attempt.task.state is not State.ASKED
+        closed = placed or attempt.task.state is not State.PENDING
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
         self._host.feed(
             api.AttemptEnded(
@@ -241,44 +252,44 @@
 
     # -- what machines say
 
-    def message(self, link: Link, line: Line, message: Message) -> None:
+    def on_message(self, link: Link, connection: Connection, message: Message) -> None:
         """A machine's message; what is not expected changes nothing."""
         kind, ident = message.kind, message.task
-        if self._trace.on and kind in (Kind.ANSWER, Kind.RELEASE):
+        if self._trace.enabled and kind in (Kind.ANSWER, Kind.RELEASE):
             self._trace(
                 ident,
                 "machine said",
                 kind=int(kind),
                 machine=link.name,
-                line=line.number,
+                line=connection.number,
                 cause=int.from_bytes(message.values.get(Code.CAUSE, b""), "big"),
                 codes=sorted(message.values),
             )
-        attempt = line.out.get(ident) or link.running.get(ident)
+        attempt = connection.open_attempts.get(ident) or link.running.get(ident)
         if kind == Kind.TESTED:
-            self.probes.answered(link, message)
+            self.probes.on_answer(link, message)
         elif attempt is None:
-            self._stray(link, message)
+            self._on_unknown_task(link, message)
         elif kind == Kind.ANSWER:
-            self._answered(attempt, line, message)
+            self._on_answer(attempt, connection, message)
         elif kind == Kind.RELEASE:
-            self._released(attempt, message)
+            self._on_release(attempt, message)
         elif kind == Kind.NOTE:
-            self._note(attempt, message)
+            self._on_note(attempt, message)
 
-    def _answered(self, attempt: Attempt, line: Line, message: Message) -> None:
+    def _on_answer(self, attempt: Attempt, connection: Connection, message: Message) -> None:
         if attempt.stage is not Stage.SENT:
             self._life.counts["answers_doubled"] += 1
             return
         description, task = message.values.get(Code.DESCRIPTION), attempt.task
         if description is None:
             raise BadMessage("an answer without a description")
-        del line.out[task.ident]
-        line.used_us = self._life.hub.now_us()
+        del connection.open_attempts[task.ident]
+        connection.used_us = self._life.hub.now_us()
         self._attempts.advance(attempt, Stage.PLACED)
-        attempt.placed_us = line.used_us
+        attempt.placed_us = connection.used_us
         attempt.link.running[task.ident] = attempt
-        reached = self._pass_on(attempt, description)
+        reached = self._forward_answer(attempt, description)
         self._host.feed(
             api.TaskPlaced(
                 task.request,
@@ -293,7 +304,7 @@
             self._host.feed(api.TaskWithdrawn(task.request))
             self.stop(attempt, RunEnd.STOPPED, Cause.GIVEN_UP)
 
-    def _pass_on(self, attempt: Attempt, description: bytes) -> bool:
+    def _forward_answer(self, attempt: Attempt, description: bytes) -> bool:
         """The final answer: the machine's description goes to the owner in the turn in which it came.
 
         False where it cannot have come whole to its owner.
@@ -309,46 +320,48 @@
             self._owners.proven(owner)
         return True
 
-    def _released(self, attempt: Attempt, message: Message) -> None:
+    def _on_release(self, attempt: Attempt, message: Message) -> None:
         cause = message.cause
         reason = reason_of(message)
         report = read_report(message.text(Code.REPORT) or "-", ";")
         self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
-            self._ended(attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report)
+            self._end_run(
+                attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report
+            )
             return
-        task, meaning = attempt.task, unanswered(message)
-        if meaning is Unanswered.ENDED_WITH_ANSWER:
+        task, meaning = attempt.task, classify_early_release(message)
+        if meaning is EarlyRelease.ENDED_WITH_ANSWER:
             # It is the simulator's outcome "the task has ended", which closes the request.
-            if task.state is State.ASKED:
-                self._pass_on(attempt, message.values[Code.DESCRIPTION])
+            if task.state is State.PENDING:
+                self._forward_answer(attempt, message.values[Code.DESCRIPTION])
                 self._requests.step(task, Step.END)
                 self._owners.release(task.ident, cause)
-            self._over(attempt, api.Outcome.DONE, reason, report)
+            self._end_attempt(attempt, api.Outcome.DONE, reason, report)
             return
-        if meaning is Unanswered.CUT:
+        if meaning is EarlyRelease.CUT:
             self._life.counts["answers_overtaken"] += 1
-            self._close(task, Step.FAIL, cause)
-        elif meaning is Unanswered.ENDED:
+            self._send_final_rejection(task, Step.FAIL, cause)
+        elif meaning is EarlyRelease.ENDED:
             self._life.counts["answers_overtaken"] += 1
-            self._tell_end_in_time(task)
-        self._over(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
+            self._schedule_end_notice(task)
+        self._end_attempt(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
 
-    def _tell_end_in_time(self, task: Task) -> None:
+    def _schedule_end_notice(self, task: Task) -> None:
         """Another machine may say that the task has come to its end, until the owner has to be told of it."""
 
         def due() -> None:
             attempt = self._attempts.of(task.request)
-            if task.state is not State.ASKED:
+            if task.state is not State.PENDING:
                 return
-            self._close(task, Step.FAIL, Cause.RESET)
+            self._send_final_rejection(task, Step.FAIL, Cause.RESET)
             self._host.feed(api.TaskWithdrawn(task.request))
             if attempt is not None:
                 self.abandon(attempt, api.Outcome.CANCELLED)
 
-        self._life.hub.call_at(self._life.hub.now_us() + TOLD_US, due)
+        self._life.hub.call_at(self._life.hub.now_us() + END_NOTICE_DELAY_US, due)
 
-    def _ended(
+    def _end_run(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
@@ -362,9 +375,9 @@
             outcome = api.Outcome.CANCELLED
         elif self._requests.step(task, Step.END):
             self._owners.release(task.ident, cause)
-        self._over(attempt, outcome, reason, report)
+        self._end_attempt(attempt, outcome, reason, report)
 
-    def _note(self, attempt: Attempt, message: Message) -> None:
+    def _on_note(self, attempt: Attempt, message: Message) -> None:
         kind = NOTES.get(message.text(Code.REMARK) or "")
         try:
             level = float(message.text(Code.LEVEL) or "0")
@@ -375,57 +388,60 @@
                 api.TaskNote(attempt.request, attempt.number, attempt.link.ident, kind, level)
             )
 
-    def _stray(self, link: Link, message: Message) -> None:
+    def _on_unknown_task(self, link: Link, message: Message) -> None:
         """News of what nobody here waits for: a safe task that was given up only takes room."""
         ident = message.task
         if message.kind == Kind.RELEASE:
-            link.strays.pop(ident, None)
+            link.orphans.pop(ident, None)
             now = self._life.hub.now_us()
             cause = (message.values.get(Code.CAUSE) or bytes((Cause.RESET,)))[0]
-            self._early[link.ident, ident] = cause, now + EARLY_US
-            while len(self._early) > MAX_EARLY or next(iter(self._early.values()))[1] <= now:
-                self._early.popitem(last=False)
-        elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.strays.pop(ident, False) is None:
+            self._early_releases[link.ident, ident] = cause, now + EARLY_RELEASE_TTL_US
+            while (
+                len(self._early_releases) > MAX_EARLY_RELEASES
+                or next(iter(self._early_releases.values()))[1] <= now
+            ):
+                self._early_releases.popitem(last=False)
+        elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.orphans.pop(ident, False) is None:
             self._life.counts["strays_stopped"] += 1
             link.release(ident, Cause.CANCELLED)
 
-    def ended_early(self, link: Link, ident: int) -> int | None:
+    def take_early_release(self, link: Link, ident: int) -> int | None:
         """The cause with which a machine released a task before this placer heard of it; None where it did not."""
-        cause, until_us = self._early.pop((link.ident, ident), (0, 0))
+        cause, until_us = self._early_releases.pop((link.ident, ident), (0, 0))
         return cause if self._life.hub.now_us() < until_us else None
 
     # -- what connections tell
 
-    def unanswered(self, attempt: Attempt, why: str) -> None:
+    def on_unanswered(self, attempt: Attempt, why: str) -> None:
         """Its connection ended before its answer: it may have run."""
-        self._may_run(attempt)
+        self._remember_orphan(attempt)
         self._life.counts["cut:" + why.partition(":")[0]] += 1
-        self._over(attempt, api.Outcome.BROKEN)
+        self._end_attempt(attempt, api.Outcome.BROKEN)
 
-    def cut(self, link: Link) -> None:
+    def on_unresponsive(self, link: Link) -> None:
         """Offers out there will not be answered; what stands may yet be heard of."""
         self._life.log("machine-cut", level="warning", machine=link.name)
-        for line in list(link.lines):
-            link.drop(line, "no connection comes up")
+        for connection in list(link.connections):
+            link.drop(connection, "no connection comes up")
 
-    def lost(self, link: Link, may_return: bool = False) -> None:
+    def on_lost(self, link: Link, may_return: bool = False) -> None:
         """What stood there is over; where the machine may come back, safe tasks are cut then."""
         if link.running:
             self._life.log(
                 "machine-lost", level="warning", machine=link.name, running=len(link.running)
             )
-        for line in list(link.lines):
-            link.drop(line, "lost")
+        for connection in list(link.connections):
+            link.drop(connection, "lost")
         for attempt in list(link.running.values()):
-            self._ended(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
-            if may_return and (attempt.stopping is not None or self._is_stopped(attempt)):
+            self._end_run(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
+            if may_return and (attempt.stopping is not None or self._must_stop_orphan(attempt)):
                 link.release(attempt.task.ident, Cause.CANCELLED)
 
-    def restarted(self, link: Link, launched_us: int) -> None:
+    def on_restarted(self, link: Link, launched_us: int) -> None:
         """The machine has started anew: what stood there before is over."""
         for attempt in list(link.running.values()):
             if attempt.placed_us < launched_us:
-                self._ended(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
+                self._end_run(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
 
     def stop(self, attempt: Attempt, end: RunEnd, cause: int = Cause.CANCELLED) -> None:
         """Have a running task cut; its attempt is over once the machine says so."""
@@ -436,10 +452,10 @@
     def answer(self, task: Task, step: Step, cause: int) -> None:
         """The final answer to a set-up that does not stand, at once."""
         attempt = self._attempts.of(task.request)
-        if self._close(task, step, cause) and attempt is not None:
+        if self._send_final_rejection(task, step, cause) and attempt is not None:
             self.abandon(attempt, api.Outcome.TIMED_OUT)
 
-    def _close(self, task: Task, step: Step, cause: int) -> bool:
+    def _send_final_rejection(self, task: Task, step: Step, cause: int) -> bool:
         """Give the final answer to a set-up that does not stand; False where it has had one."""
         owner = task.owner
         if not self._requests.step(task, step):
--- a/wingbarrow/relay/outcomes.py
+++ b/wingbarrow/relay/outcomes.py
@@ -37,13 +37,13 @@
     Cause.CANCELLED: api.Outcome.CANCELLED,
 }
 # Given only for a task that stood.
-REASONS_OF_RUNNING = (api.Reason.EVICTED, api.Reason.PUSHED_OUT, api.Reason.SENT_AWAY)
+REASONS_AFTER_PLACEMENT = (api.Reason.EVICTED, api.Reason.PUSHED_OUT, api.Reason.SENT_AWAY)
 
 
-class Unanswered(Enum):
+class EarlyRelease(Enum):
     """What a release means for a task whose answer has not come."""
 
-    NEVER_STOOD = "it did not stand, or nobody can tell"
+    NOT_PLACED = "it did not stand, or nobody can tell"
     ENDED_WITH_ANSWER = "it came to its end; the release brings the answer's description"
     ENDED = "it came to its end; its answer is late or lost"
     CUT = "it stood and was cut; its answer is late or lost"
@@ -54,14 +54,16 @@
     return REASONS.get(message.text(Code.REMARK) or "", api.Reason.UNTOLD)
 
 
-def unanswered(message: Message) -> Unanswered:
+def classify_early_release(message: Message) -> EarlyRelease:
     """What a release says that came before its task's answer."""
     if message.cause == Cause.OVER:
         return (
-            Unanswered.ENDED_WITH_ANSWER if Code.DESCRIPTION in message.values else Unanswered.ENDED
+            EarlyRelease.ENDED_WITH_ANSWER
+            if Code.DESCRIPTION in message.values
+            else EarlyRelease.ENDED
         )
     # Danger: taken for a set-up that broke on its way, the task would be sent out again after its end, and its owner be
     # told that it stands, though what it is owed is the release.
-    if message.cause == Cause.RESET and reason_of(message) in REASONS_OF_RUNNING:
-        return Unanswered.CUT
-    return Unanswered.NEVER_STOOD
+    if message.cause == Cause.RESET and reason_of(message) in REASONS_AFTER_PLACEMENT:
+        return EarlyRelease.CUT
+    return EarlyRelease.NOT_PLACED
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -8,7 +8,7 @@
 from wingbarrow.core.life import Life
 from wingbarrow.decide.crowd import Crowd, Guest
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
-from wingbarrow.relay.tasks import Asker, Task
+from wingbarrow.relay.tasks import OwnerConnection, Task
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
@@ -270,7 +270,7 @@
             self._unheard.popitem(last=False)
         return True
 
-    def proven(self, owner: Asker) -> None:
+    def proven(self, owner: OwnerConnection) -> None:
         """A task of this connection was answered: it is a usual owner's."""
         if not owner.guest.proven:
             owner.guest.proven = True
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -97,7 +97,7 @@
             self._on_failed,
             known,
         )
-        self._offers.list_behind = self._follower.is_behind
+        self._offers.is_list_behind = self._follower.is_behind
         self._begin(known)
 
     # -- the module's hands
@@ -179,7 +179,7 @@
             if link is not None:
                 self._is_gone(link)
             return
-        for other in self._links.at(entry.address):
+        for other in self._links.at_address(entry.address):
             if other.name != entry.name:
                 self._is_gone(other)  # its address is another machine's now
         if link is not None and (link.closed or link.address != entry.address):
@@ -189,14 +189,14 @@
             link = self._reach(entry)
             self._gone.pop(entry.name, None)
         elif listed.launched_us > link.launched_us:
-            self._offers.restarted(link, listed.launched_us)
+            self._offers.on_restarted(link, listed.launched_us)
         link.phase, link.launched_us = listed.phase, listed.launched_us
 
     def _is_gone(self, link: Link) -> None:
         if not link.closed:
             link.phase = api.Phase.GONE
             link.close()
-            self._offers.lost(link)
+            self._offers.on_lost(link)
             self._gone[link.name] = self.life.hub.now_us()
 
     def _on_failed(self) -> None:
@@ -238,7 +238,7 @@
             now = hub.now_us()
             for link in list(self._links.by_name.values()):
                 if not link.closed:
-                    link.look_after(now)
+                    link.supervise(now)
             for name, since_us in list(self._gone.items()):
                 if now - since_us >= FORGET_US:
                     del self._gone[name]
@@ -262,7 +262,7 @@
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
             lag_worst_us=self.life.hub.lag.worst_us,
-            odd=dict(self._requests.odd + self._attempts.unexpected_transitions),
+            odd=dict(self._requests.unexpected_transitions + self._attempts.unexpected_transitions),
             **self.life.counts,
         )
 
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -10,7 +10,7 @@
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
 
 PROBE_US = 1_000_000  # for a machine's answer
-TEST = 1 << 63  # ids of own tests have the highest bit, and a count below
+TEST_ID_BIT = 1 << 63  # ids of own tests have the highest bit, and a count below
 
 
 class Probes:
@@ -18,8 +18,8 @@
 
     def __init__(self, life: Life, host: Host, links: Links) -> None:
         self._life, self._host, self._links = life, host, links
-        self._asked: dict[int, Link] = {}  # by the test's id
-        self._tests = 0
+        self._pending: dict[int, Link] = {}  # by the test's id
+        self._sent = 0
 
     def ask(self, machine: int) -> None:
         """Ask a machine for its report."""
@@ -28,26 +28,28 @@
             self._host.feed(api.Probed(machine, api.Outcome.UNREACHABLE, None))
             return
         self._life.counts["probes"] += 1
-        self._life.spawn(lambda: self._ask(link), "probe")
-
-    def _ask(self, link: Link) -> None:
-        line = (None if link.liveness.doubtful else link.shared_line()) or link.line_for_offer()
-        self._tests += 1
-        ident = TEST + self._tests
-        if line is None or not line.write(with_cause(Kind.TEST, ident, 1)):
+        self._life.spawn(lambda: self._send_and_wait(link), "probe")
+
+    def _send_and_wait(self, link: Link) -> None:
+        connection = (
+            None if link.liveness.doubtful else link.least_loaded_connection()
+        ) or link.connection_for_offer()
+        self._sent += 1
+        ident = TEST_ID_BIT + self._sent
+        if connection is None or not connection.write(with_cause(Kind.TEST, ident, 1)):
             self._host.feed(api.Probed(link.ident, api.Outcome.UNREACHABLE, None))
             return
-        self._asked[ident] = link
+        self._pending[ident] = link
         self._life.hub.sleep(PROBE_US)
-        if self._asked.pop(ident, None) is not None:
+        if self._pending.pop(ident, None) is not None:
             self._host.feed(api.Probed(link.ident, api.Outcome.TIMED_OUT, None))
 
-    def answered(self, link: Link, message: Message) -> None:
+    def on_answer(self, link: Link, message: Message) -> None:
         """A machine's answer to a test; one that nobody waits for changes nothing."""
-        if self._asked.get(message.task) is not link:
-            self._asked.pop(message.task, None)
+        if self._pending.get(message.task) is not link:
+            self._pending.pop(message.task, None)
             return
-        del self._asked[message.task]
+        del self._pending[message.task]
         report = read_report(message.text(Code.REPORT) or "-", ";")
         outcome = api.Outcome.DONE if message.values.get(Code.CAUSE) != b"\0" else api.Outcome.ERROR
         self._host.feed(api.Probed(link.ident, outcome, report))
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -20,7 +20,7 @@
 class State(Enum):
     """Where a task stands."""
 
-    ASKED = "asked"  # a final answer is owed
+    PENDING = "asked"  # a final answer is owed
     RUNNING = "running"  # a release is owed once it is over
     OVER = "over"
 
@@ -37,17 +37,17 @@
 
 
 _TABLE: dict[tuple[State, Step], State] = {
-    (State.ASKED, Step.START): State.RUNNING,
-    (State.ASKED, Step.REFUSE): State.OVER,
-    (State.ASKED, Step.FAIL): State.OVER,
-    (State.ASKED, Step.WITHDRAW): State.OVER,
+    (State.PENDING, Step.START): State.RUNNING,
+    (State.PENDING, Step.REFUSE): State.OVER,
+    (State.PENDING, Step.FAIL): State.OVER,
+    (State.PENDING, Step.WITHDRAW): State.OVER,
     (State.RUNNING, Step.WITHDRAW): State.OVER,
     (State.RUNNING, Step.END): State.OVER,
     (State.RUNNING, Step.MOVE): State.OVER,
 }
 
 
-class Asker(Protocol):
+class OwnerConnection(Protocol):
     """The connection that a set-up came on, as far as the task needs it."""
 
     guest: Guest
@@ -72,13 +72,13 @@
     ident: int
     cls: api.TaskClass
     arrival: api.TaskArrived
-    owner: Asker | None  # the connection it came on, as long as a final answer is owed
+    owner: OwnerConnection | None  # the connection it came on, as long as a final answer is owed
     passed_on: dict[
         int, bytes
     ]  # parameters that go to machines unchanged; empty once no answer is owed
-    state: State = State.ASKED
+    state: State = State.PENDING
     binds: int = 0
-    earlier: EarlierAttempt | None = None  # its first attempt that may have run
+    earlier_attempt: EarlierAttempt | None = None  # its first attempt that may have run
 
 
 class RequestTable:
@@ -90,7 +90,7 @@
         self._next = 1
         self.pending = 0  # tasks that wait for a final answer
         self.answered = 0  # final answers so far
-        self.odd: Counter[str] = Counter()
+        self.unexpected_transitions: Counter[str] = Counter()
 
     def next_request(self) -> int:
         """A number for the module that no task of this life had."""
@@ -100,15 +100,15 @@
     def add(self, task: Task) -> None:
         """Take a task in; the caller has seen that its id is not open."""
         self.by_ident[task.ident] = self.by_request[task.request] = task
-        self.pending += task.state is State.ASKED
+        self.pending += task.state is State.PENDING
 
     def step(self, task: Task, step: Step) -> bool:
         """Change a task's state; False, and counted, where the table lacks the step."""
         after = _TABLE.get((task.state, step))
         if after is None:
-            self.odd[f"{step.value} while {task.state.value}"] += 1
+            self.unexpected_transitions[f"{step.value} while {task.state.value}"] += 1
             return False
-        if task.state is State.ASKED:
+        if task.state is State.PENDING:
             self.pending -= 1
             self.answered += step is not Step.WITHDRAW
             task.passed_on, task.owner = {}, None
--- a/wingbarrow/relay/trace.py
+++ b/wingbarrow/relay/trace.py
@@ -9,27 +9,27 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-VARIABLE = "RELAY_TRACE"
-MAX_LINES = 1_000_000
+ENVIRONMENT_VARIABLE = "RELAY_TRACE"
+MAX_EVENTS = 1_000_000
 
 
 class Trace:
     """Writes at most `lines` events by `write(event, level, fields)`."""
 
     def __init__(
-        self, lines: int = 0, write: Callable[[str, str, dict[str, Any]], None] | None = None
+        self, max_events: int = 0, write: Callable[[str, str, dict[str, Any]], None] | None = None
     ) -> None:
-        self._left = min(lines, MAX_LINES) if write is not None else 0
+        self._left = min(max_events, MAX_EVENTS) if write is not None else 0
         self._write = write
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Whether one more event would be written: asked before fields are worked out that cost something."""
         return self._left > 0
 
     def __call__(self, ident: int, what: str, **fields: Any) -> None:
         """One event of the task with this id on the wire."""
-        if not self.on or self._write is None:
+        if not self.enabled or self._write is None:
             return
         self._left -= 1
         self._write("task", "info", {"id": f"{ident:016x}", "what": what, **fields})
@@ -39,5 +39,5 @@
     environment: Mapping[str, str], write: Callable[[str, str, dict[str, Any]], None]
 ) -> Trace:
     """As the environment asks; what is no number asks for nothing."""
-    text = environment.get(VARIABLE, "")
+    text = environment.get(ENVIRONMENT_VARIABLE, "")
     return Trace(int(text), write) if text.isascii() and text.isdigit() else Trace()
