--- a/benchmarks/relay_soak.py
+++ b/benchmarks/relay_soak.py
@@ -18,7 +18,7 @@
 import time
 from typing import Any
 
-from tests.relay.stage import Machine, S, Stage, over
+from tests.relay.stage import Machine, S, Stage, release_message
 
 EVERY_S = 9  # a machine is replaced so often
 
@@ -46,7 +46,7 @@
             for machine in stage.machines:
                 if ended in machine.holds and any(stream.open for stream in machine.streams):  # type: ignore[attr-defined]
                     machine.holds.discard(ended)  # type: ignore[attr-defined]
-                    machine.tell(over(ended))
+                    machine.tell(release_message(ended))
         owner.stream.close()
         if second % EVERY_S == EVERY_S - 1:
             number += 1
@@ -56,7 +56,7 @@
             stage.journal.add(fresh.entry(), old.entry("Gone"))
             old.die()
         for machine in stage.machines:
-            machine.heard.clear()
+            machine.received.clear()
             machine.streams[:] = [stream for stream in machine.streams if stream.open]
         stage.journal.calls.clear()
         if (second + 1) % max(1, seconds // 8) == 0:
--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -57,11 +57,11 @@
     "rules": {"ask_every_us": 10_000_000, "cold_us": 18_000_000, "fall_us": 2_000_000},
 }
 DESCRIPTION = b"from the owner"
-MADE = b"made by a machine"
+MACHINE_DESCRIPTION = b"made by a machine"
 
 
 @dataclass
-class Heard:
+class ReceivedMessage:
     """A message as it crossed a socket."""
 
     at_us: int
@@ -75,7 +75,7 @@
         self.hub, self.name = hub, name
         self.listener = listen(hub, "127.0.0.1", port, print)
         self.port = self.listener.port
-        self.heard: list[Heard] = []
+        self.received: list[ReceivedMessage] = []
         self.streams: list[Stream] = []
         self.on_set_up: Callable[[Stream, Message], None] = self.take
         self.on_end: Callable[[Stream], None] = lambda stream: None
@@ -90,14 +90,14 @@
                 continue
             framer.feed(data)
             while (message := framer.next()) is not None:
-                self.heard.append(Heard(self.hub.now_us(), message))
+                self.received.append(ReceivedMessage(self.hub.now_us(), message))
                 if message.kind == Kind.SET_UP:
                     self.on_set_up(stream, message)
         self.on_end(stream)
 
     def take(self, stream: Stream, message: Message) -> None:
         """The task stands."""
-        stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}))
+        stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}))
 
     def tell(self, data: bytes) -> None:
         """Send on any open connection."""
@@ -125,11 +125,11 @@
             fillers.append(filler)
         return fillers
 
-    def set_ups(self, task: int | None = None) -> list[Heard]:
+    def set_ups(self, task: int | None = None) -> list[ReceivedMessage]:
         """Set-ups heard."""
         return [
             each
-            for each in self.heard
+            for each in self.received
             if each.message.kind == Kind.SET_UP and task in (None, each.message.task)
         ]
 
@@ -189,7 +189,7 @@
     def __init__(self, hub: Hub, port: int) -> None:
         self.hub = hub
         self.stream = connect(hub, "127.0.0.1", port)
-        self.heard: list[Heard] = []
+        self.received: list[ReceivedMessage] = []
         self.ended_us: int | None = None
         hub.spawn(self._read, "stand-in owner")
 
@@ -199,7 +199,7 @@
             while data := self.stream.receive():
                 framer.feed(data)
                 while (message := framer.next()) is not None:
-                    self.heard.append(Heard(self.hub.now_us(), message))
+                    self.received.append(ReceivedMessage(self.hub.now_us(), message))
         except PeerGone:
             pass
         self.ended_us = self.hub.now_us()
@@ -229,7 +229,7 @@
 
     def of(self, task: int) -> list[Message]:
         """What was heard of a task."""
-        return [each.message for each in self.heard if each.message.task == task]
+        return [each.message for each in self.received if each.message.task == task]
 
     def kinds(self, task: int) -> list[int]:
         """The types of what was heard of a task."""
@@ -237,7 +237,7 @@
 
     def test(self) -> int | None:
         """A test's result, None without one within a second."""
-        ident = 1 << 40 | len(self.heard)
+        ident = 1 << 40 | len(self.received)
         self.stream.send(with_cause(Kind.TEST, ident, 0))
         for _ in range(100):
             self.hub.sleep(10 * MS)
@@ -250,7 +250,7 @@
 class Stage:
     """A placer with its surroundings, all on one hub with a virtual clock."""
 
-    machines_wanted: int = 2
+    machine_count: int = 2
     settings: dict[str, Any] = field(default_factory=lambda: SETTINGS)
     sockets: int = 256
     deadline_ms: int = 5000  # the longest of any class
@@ -264,10 +264,10 @@
     def _play(self, play: Callable[[Stage], None]) -> None:
         hub = self.hub
         self.journal = Journal(hub)
-        self.machines = [Machine(hub, f"s-{i:08x}") for i in range(self.machines_wanted)]
+        self.machines = [Machine(hub, f"s-{i:08x}") for i in range(self.machine_count)]
         self.journal.add(*(machine.entry() for machine in self.machines), reset=True)
         with Nursery(hub) as nursery:
-            self.placer, self.placer_born_us = self.make(), hub.now_us()
+            self.placer, self.placer_started_us = self.make(), hub.now_us()
             nursery.spawn(self._serve, "placer")
             hub.sleep(10 * MS)
             self.owner = self.client()
@@ -303,20 +303,22 @@
         """Let time pass."""
         self.hub.sleep(ms * MS)
 
-    def set_ups(self, task: int) -> list[tuple[Machine, Heard]]:
+    def set_ups(self, task: int) -> list[tuple[Machine, ReceivedMessage]]:
         """Set-ups of a task at any machine, in order."""
-        found = [(machine, heard) for machine in self.machines for heard in machine.set_ups(task)]
+        found = [
+            (machine, received) for machine in self.machines for received in machine.set_ups(task)
+        ]
         return sorted(found, key=lambda each: each[1].at_us)
 
 
-def over(task: int, cause: int = Cause.OVER) -> bytes:
+def release_message(task: int, cause: int = Cause.OVER) -> bytes:
     """A machine's release."""
     return with_cause(Kind.RELEASE, task, cause)
 
 
 __all__ = [
     "DESCRIPTION",
-    "MADE",
+    "MACHINE_DESCRIPTION",
     "MS",
     "SETTINGS",
     "Client",
@@ -325,5 +327,5 @@
     "Machine",
     "S",
     "Stage",
-    "over",
+    "release_message",
 ]
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.relay.stage import SETTINGS, Client, Machine, S, Stage, over
+from tests.relay.stage import SETTINGS, Client, Machine, S, Stage, release_message
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay.message import Kind
 from wingbarrow.transport import Stream
@@ -26,8 +26,8 @@
 
     def end_all(self) -> None:
         """Every task that stands here comes to its end."""
-        for heard in self.set_ups():
-            self.ended.setdefault(heard.message.task, self.hub.now_us())
+        for received in self.set_ups():
+            self.ended.setdefault(received.message.task, self.hub.now_us())
         for stream in self.streams:
             if stream.open:
                 self._tell_all(stream)
@@ -35,7 +35,7 @@
 
     def _tell_all(self, stream: Stream) -> None:
         for task in self.ended:
-            stream.send_now(over(task))
+            stream.send_now(release_message(task))
 
     def _serve(self, stream: Stream) -> None:
         self._tell_all(stream)
@@ -52,7 +52,7 @@
         machines = [Telling(self.hub, f"m-{i:08x}") for i in range(count)]
         self.journal.add(*(each.entry() for each in machines))
         self.sleep(200)
-        self.held_most = 0
+        self.max_held = 0
         self.hub.spawn(lambda: self._watch(machines), "watch")
         for task in range(1, int(count * self.a_machine) + 1):
             self.owner.ask(
@@ -68,7 +68,7 @@
     def _watch(self, machines: list[Telling]) -> None:
         while True:
             at_machines = sum(stream.open for each in machines for stream in each.streams)
-            self.held_most = max(self.held_most, len(self.placer.owners) + at_machines)
+            self.max_held = max(self.max_held, len(self.placer.owners) + at_machines)
             self.sleep(5)
 
 
@@ -85,14 +85,14 @@
         for machine in with_tasks:
             machine.end_all()
         stage.sleep(8000)
-        assert stage.held_most <= Table(sockets).most
-        heard = {
+        assert stage.max_held <= Table(sockets).most
+        received = {
             each.message.task: each.at_us
-            for each in stage.owner.heard
+            for each in stage.owner.received
             if each.message.kind == Kind.RELEASE
         }
         answered = {
-            each.message.task for each in stage.owner.heard if each.message.kind == Kind.ANSWER
+            each.message.task for each in stage.owner.received if each.message.kind == Kind.ANSWER
         }
         ended = {
             task: at_us
@@ -100,9 +100,9 @@
             for task, at_us in each.ended.items()
             if task in answered
         }
-        missing = [task for task in ended if task not in heard]
+        missing = [task for task in ended if task not in received]
         assert not missing, f"{len(missing)} of {len(ended)} releases never came"
-        assert max(heard[task] - at_us for task, at_us in ended.items()) <= 8 * S
+        assert max(received[task] - at_us for task, at_us in ended.items()) <= 8 * S
 
     Crowded(0, settings=MANY, sockets=sockets).run(play)
 
@@ -141,7 +141,7 @@
             for task, client in zip(range(1001, 1021), more, strict=True)
         )
         assert answers >= 15
-        assert stage.held_most <= Table(96).most
+        assert stage.max_held <= Table(96).most
 
     Crowded(0, settings=MANY, sockets=96).run(play)
 
@@ -166,7 +166,7 @@
         refused = counts["dials_failed:ECONNREFUSED"]
         assert 1 <= refused <= 24, f"{refused} times in 10 s"
         assert stage.owner.kinds(2) == [Kind.ANSWER], "what stands there stands"
-        machine.tell(over(2))
+        machine.tell(release_message(2))
         stage.sleep(100)
         assert stage.owner.kinds(2) == [Kind.ANSWER, Kind.RELEASE]
 
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -206,13 +206,13 @@
         )  # heard after the machine's connection was last waited for
         stage.sleep(20)
         ((stream, message),) = [each for each in waiting if each[1].task == 1]
-        before = len(machine.heard)
+        before = len(machine.received)
         reset(client, [1])
         machine.take(stream, message)
         stage.sleep(50)
-        assert len(machine.heard) == before + 1
+        assert len(machine.received) == before + 1
         assert [
-            each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE
+            each.message.task for each in machine.received if each.message.kind == Kind.RELEASE
         ] == [1]
         assert stage.placer.life.counts["answers_unheard"] == 1
         assert stage.placer._requests.by_ident.get(1) is None
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, Journal, Machine, S, Stage, over
+from tests.relay.stage import MS, Journal, Machine, S, Stage, release_message
 from tests.relay.test_list import Trouble, deliveries, event, move, phase, say, tails, tell, until
 from wingbarrow import interface as api
 from wingbarrow.http.message import Request
@@ -216,7 +216,7 @@
         stage.sleep(500)
         assert late.kinds(2) == [Kind.ANSWER]
         ((machine, _),) = stage.set_ups(1)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         news = stage.owner.of(1) + late.of(1)  # on either connection
         assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
@@ -242,7 +242,7 @@
         owner.ask(1, figures=f"cores:1;memory:1;service:s1;at:{machine.name}")
         owner.ask(9, name="7" * 16)
         stage.sleep(400)
-        machine.streams[-1].send(over(1))
+        machine.streams[-1].send(release_message(1))
         stage.sleep(50)
         assert owner.kinds(1) == [Kind.RELEASE]
         second.life.end()
--- a/tests/relay/test_machine_races.py
+++ b/tests/relay/test_machine_races.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, S, Stage, over
+from tests.relay.stage import MS, S, Stage, release_message
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream, connect
@@ -17,7 +17,9 @@
 def releases(stage: Stage) -> list[int]:
     """Tasks for which the only machine has read a release."""
     return [
-        each.message.task for each in stage.machines[0].heard if each.message.kind == Kind.RELEASE
+        each.message.task
+        for each in stage.machines[0].received
+        if each.message.kind == Kind.RELEASE
     ]
 
 
@@ -159,7 +161,7 @@
         assert stage.owner.kinds(2) == [], (
             "it stands there: its machine is there, and no second look has failed"
         )
-        machine.tell(over(2))
+        machine.tell(release_message(2))
         stage.sleep(100)
         assert stage.owner.kinds(2) == [Kind.RELEASE]
         assert stage.owner.of(2)[0].cause == Cause.OVER
@@ -177,7 +179,7 @@
         def crossing(stream: Stream) -> None:
             if not crossed:
                 crossed.append(stream)
-                stream.send(over(1))
+                stream.send(release_message(1))
                 stage.hub.clock.jump(stage.hub.now_us() + links.CLOSE_TIMEOUT_US + 100 * MS)
 
         machine.on_end = crossing
--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.relay.stage import Machine, S, Stage, over
+from tests.relay.stage import Machine, S, Stage, release_message
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay import links
 from wingbarrow.relay.message import Cause, Kind, Message, with_cause
@@ -39,7 +39,9 @@
         def crossing(stream: Stream) -> None:
             ended.append(stream)
             if len(ended) <= 2:
-                stream.send(over(len(ended)))  # it had left before the machine heard of the end
+                stream.send(
+                    release_message(len(ended))
+                )  # it had left before the machine heard of the end
 
         machine.on_end = crossing
         for task in (1, 2, 3):
@@ -61,7 +63,7 @@
         machine.die()
         stage.sleep(900)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
-        assert stage.owner.heard[-1].at_us - died <= S
+        assert stage.owner.received[-1].at_us - died <= S
         assert stage.owner.of(1)[1].cause == Cause.RESET
 
     Stage(1).run(play)
@@ -76,7 +78,7 @@
             stream.abort()
         stage.sleep(400)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        machine.tell(over(1))  # on the connection that has come up since
+        machine.tell(release_message(1))  # on the connection that has come up since
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
@@ -96,11 +98,11 @@
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
         released = next(
             e.at_us
-            for e in stage.owner.heard
+            for e in stage.owner.received
             if e.message.task == 1 and e.message.kind == Kind.RELEASE
         )
         assert 3 * S <= released - vanished <= 8 * S
-        assert not any(each.message.kind == Kind.TEST for each in machine.heard)
+        assert not any(each.message.kind == Kind.TEST for each in machine.received)
         for filler in fillers:
             filler.close()
 
@@ -146,7 +148,7 @@
             filler.close()
         back = Machine(stage.hub, machine.name, machine.port)
         stage.sleep(2000)
-        cut = [each.message.task for each in back.heard if each.message.kind == Kind.RELEASE]
+        cut = [each.message.task for each in back.received if each.message.kind == Kind.RELEASE]
         assert cut == [1], (
             "a second copy of a safe task is not left running; of others the owner decides"
         )
@@ -214,7 +216,7 @@
             )
             stage.sleep(200)
             for machine, _ in stage.set_ups(100 + turn):
-                machine.tell(over(100 + turn))
+                machine.tell(release_message(100 + turn))
             stage.journal.add(fresh.entry("Gone"))
             stage.sleep(3000)
             fresh.die()
@@ -262,7 +264,7 @@
             stage.sleep(1500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         stage.sleep(500)
-        machine.tell(over(1))  # a connection is there again
+        machine.tell(release_message(1))  # a connection is there again
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
--- a/tests/relay/test_offers.py
+++ b/tests/relay/test_offers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.relay.stage import DESCRIPTION, MADE, MS, Stage, over
+from tests.relay.stage import DESCRIPTION, MACHINE_DESCRIPTION, MS, Stage, release_message
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream
 
@@ -12,8 +12,8 @@
         assert stage.owner.test() == 1
         stage.owner.ask(7, patience_ms=1500)
         stage.sleep(50)
-        ((machine, heard),) = stage.set_ups(7)
-        values = dict(heard.message.values)
+        ((machine, received),) = stage.set_ups(7)
+        values = dict(received.message.values)
         assert 1300 <= int(values.pop(Code.PATIENCE)) <= 1500
         assert values == {
             Code.CLASS: b"web",
@@ -22,9 +22,9 @@
         }
         (answer,) = stage.owner.of(7)
         assert answer.kind == Kind.ANSWER
-        assert answer.values == {Code.DESCRIPTION: MADE}
-        machine.tell(over(7))
-        machine.tell(over(7))  # the machine says it twice, on the next connection too
+        assert answer.values == {Code.DESCRIPTION: MACHINE_DESCRIPTION}
+        machine.tell(release_message(7))
+        machine.tell(release_message(7))  # the machine says it twice, on the next connection too
         stage.sleep(50)
         assert stage.owner.kinds(7) == [Kind.ANSWER, Kind.RELEASE]
         assert stage.owner.of(7)[1].cause == Cause.OVER
@@ -50,8 +50,8 @@
         }
         client.stream.send(encode(Kind.SET_UP, 7, values))
         stage.sleep(50)
-        ((_, heard),) = stage.set_ups(7)
-        passed_on = dict(heard.message.values)
+        ((_, received),) = stage.set_ups(7)
+        passed_on = dict(received.message.values)
         assert int(passed_on.pop(Code.PATIENCE)) <= 1500
         assert passed_on == {
             Code.CLASS: b"web",
@@ -88,14 +88,16 @@
     def play(stage: Stage) -> None:
         for machine in stage.machines:
             machine.on_set_up = lambda stream, message: stream.send(
-                with_cause(Kind.RELEASE, message.task, Cause.OVER, {Code.DESCRIPTION: MADE})
+                with_cause(
+                    Kind.RELEASE, message.task, Cause.OVER, {Code.DESCRIPTION: MACHINE_DESCRIPTION}
+                )
             )
         stage.owner.ask(1)
         stage.sleep(300)
         assert len(stage.set_ups(1)) == 1
         answer, released = stage.owner.of(1)
         assert answer.kind == Kind.ANSWER
-        assert answer.values == {Code.DESCRIPTION: MADE}
+        assert answer.values == {Code.DESCRIPTION: MACHINE_DESCRIPTION}
         assert released.kind == Kind.RELEASE
         assert released.cause == Cause.OVER
 
@@ -142,7 +144,9 @@
 
         def odd(stream: Stream, message: Message) -> None:
             stream.send(encode(Kind.ANSWER, 999, {Code.DESCRIPTION: b"ahead"}))
-            stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}) * 2)
+            stream.send(
+                encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}) * 2
+            )
 
         machine.on_set_up = odd
         stage.owner.ask(1)
@@ -169,13 +173,15 @@
         stage.sleep(600)
         assert [stage.owner.kinds(task) for task in (1, 2)] == [[Kind.RELEASE]] * 2
         given_up = [
-            each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE
+            each.message.task for each in machine.received if each.message.kind == Kind.RELEASE
         ]
         assert sorted(given_up) == [1, 2]
         for stream, message in held:
             machine.take(stream, message)
         stage.sleep(100)
-        cut = [each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE][2:]
+        cut = [each.message.task for each in machine.received if each.message.kind == Kind.RELEASE][
+            2:
+        ]
         assert cut == [1]
         assert [len(stage.owner.of(task)) for task in (1, 2)] == [1, 1]
 
@@ -187,7 +193,7 @@
         stage.owner.ask(1, patience_ms=1000, figures="cores:500;memory:1;service:s")
         asked = stage.hub.now_us()
         stage.sleep(1500)
-        (answer,) = stage.owner.heard
+        (answer,) = stage.owner.received
         assert answer.message.kind == Kind.RELEASE
         assert answer.at_us - asked <= 1000 * MS
 
--- a/tests/relay/test_overtaken.py
+++ b/tests/relay/test_overtaken.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.relay.stage import MADE, Heard, Machine, Stage, over
+from tests.relay.stage import MACHINE_DESCRIPTION, Machine, ReceivedMessage, Stage, release_message
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.offers import END_NOTICE_DELAY_US
 from wingbarrow.transport import Stream
@@ -28,7 +28,7 @@
             stage.sleep(300)
             stream.send(release(message.task))
             stage.sleep(2_000)
-            stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}))
+            stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}))
 
         return on_set_up
 
@@ -51,11 +51,11 @@
         stage.owner.ask(1, task_class, patience_ms=5_000)
         stage.sleep(4_000)
         ((machine, asked),) = stage.set_ups(1)
-        (told,) = [each for each in stage.owner.heard if each.message.task == 1]
+        (told,) = [each for each in stage.owner.received if each.message.task == 1]
         assert told.message.kind == Kind.RELEASE
         assert told.message.cause == Cause.RESET
         assert told.at_us - asked.at_us <= 300_000 + 50_000
-        assert [each for each in machine.heard if each.message.kind == Kind.RELEASE] == []
+        assert [each for each in machine.received if each.message.kind == Kind.RELEASE] == []
         assert stage.placer.life.counts["answers_overtaken"] == 1
 
     Stage().run(play)
@@ -65,7 +65,7 @@
     None
 ):
     def play(stage: Stage) -> None:
-        releases_first(stage, lambda task: over(task, Cause.RESET))
+        releases_first(stage, lambda task: release_message(task, Cause.RESET))
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(1_000)
         assert len(stage.set_ups(1)) == 2
@@ -78,7 +78,7 @@
     None
 ):
     def play(stage: Stage) -> None:
-        releases_first(stage, over)
+        releases_first(stage, release_message)
         quiet(stage)
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(4_500)
@@ -89,7 +89,7 @@
         given_up = [
             each.message
             for machine in stage.machines
-            for each in machine.heard
+            for each in machine.received
             if each.message.kind == Kind.RELEASE and each.message.task == 1
         ]
         assert [each.cause for each in given_up] == [Cause.GIVEN_UP]
@@ -99,7 +99,7 @@
 
 def test_an_end_that_overtakes_its_answer_is_answered_by_the_next_machine_that_knows_it() -> None:
     def play(stage: Stage) -> None:
-        releases_first(stage, over)
+        releases_first(stage, release_message)
         knows(stage)
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(3_000)
@@ -111,9 +111,9 @@
     Stage().run(play)
 
 
-def heard_of(stage: Stage, task: int) -> list[Heard]:
+def heard_of(stage: Stage, task: int) -> list[ReceivedMessage]:
     """What the owner heard of a task, with times."""
-    return [each for each in stage.owner.heard if each.message.task == task]
+    return [each for each in stage.owner.received if each.message.task == task]
 
 
 def quiet(stage: Stage) -> None:
@@ -126,5 +126,7 @@
     """Every machine but the one asked first says that the task has come to its end."""
     for machine in stage.machines:
         machine.take = lambda stream, message: stream.send(  # type: ignore[method-assign]
-            with_cause(Kind.RELEASE, message.task, Cause.OVER, {Code.DESCRIPTION: MADE})
+            with_cause(
+                Kind.RELEASE, message.task, Cause.OVER, {Code.DESCRIPTION: MACHINE_DESCRIPTION}
+            )
         )
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, Client, Machine, S, Stage, over
+from tests.relay.stage import MS, Client, Machine, S, Stage, release_message
 from wingbarrow.relay.message import Cause, Kind, with_cause
 
 MANY = 12_000  # more tasks than one placer ever looks after
@@ -16,7 +16,7 @@
 def releases(machine: Machine, task: int) -> int:
     """How often a machine heard that a task is to be cut."""
     return sum(
-        each.message.kind == Kind.RELEASE and each.message.task == task for each in machine.heard
+        each.message.kind == Kind.RELEASE and each.message.task == task for each in machine.received
     )
 
 
@@ -52,7 +52,7 @@
         stage.sleep(3000)
         assert any(stream.open for stream in machine.streams), "a new connection came up"
         assert releases(machine, 1) >= 1
-        machine.tell(over(1, Cause.CANCELLED))
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(50)
         assert len(stage.placer._attempts) == 0
 
@@ -86,7 +86,7 @@
         move(stage)
         stage.owner.stream.abort()  # before it was read
         stage.sleep(50)
-        machine.tell(over(1, Cause.CANCELLED))
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(8500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert [each.kind for each in other.of(1)] == [Kind.MOVE]
@@ -119,7 +119,7 @@
         prove(stage.owner, 1)
         stage.owner.stream.close()
         stage.sleep(20)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(20)
         assert stage.placer.life.counts["releases_waited"] == 1
         fresh = stage.client()
@@ -144,13 +144,13 @@
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         prove(stage.owner, 1)
-        machine.tell(over(5))
+        machine.tell(release_message(5))
         stage.sleep(5)
         stage.owner.ask(5, figures=AT, patience_ms=0)
         began = stage.hub.now_us()
         stage.sleep(1000)
         assert [each.kind for each in stage.owner.of(5)] == [Kind.RELEASE]
-        assert stage.owner.heard[-1].at_us - began <= S
+        assert stage.owner.received[-1].at_us - began <= S
         assert stage.placer._requests.by_ident.get(5) is None
 
     Stage(1).run(play)
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.relay.stage import MADE, S, Stage, over
+from tests.relay.stage import MACHINE_DESCRIPTION, S, Stage, release_message
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream
 
@@ -18,7 +18,9 @@
         leaver.stream.close()
         stage.owner.stream.send(with_cause(Kind.RELEASE, 2, Cause.GIVEN_UP))
         stage.sleep(50)
-        assert sorted(e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE) == [
+        assert sorted(
+            e.message.task for e in machine.received if e.message.kind == Kind.RELEASE
+        ) == [
             1,
             2,
         ]
@@ -37,8 +39,8 @@
             with_cause(Kind.RELEASE, 1, Cause.CANCELLED)
         )  # on any connection
         stage.sleep(50)
-        assert [e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE] == [1]
-        machine.tell(over(1, Cause.CANCELLED))
+        assert [e.message.task for e in machine.received if e.message.kind == Kind.RELEASE] == [1]
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
 
@@ -53,7 +55,7 @@
         stage.sleep(300)
         assert stage.owner.of(5) == []
         assert stage.machines[0].set_ups() == []
-        stage.machines[0].tell(over(5))  # a connection is there for its news
+        stage.machines[0].tell(release_message(5))  # a connection is there for its news
         stage.sleep(50)
         stage.client().ask(6, name="e" * 16)  # proves itself an owner: releases can go there
         stage.sleep(400)
@@ -69,7 +71,7 @@
         stage.sleep(50)
         stage.owner.stream.close()
         stage.sleep(20)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(500)
         fresh = stage.client()
         fresh.ask(2, name="d" * 16)
@@ -87,8 +89,8 @@
         stage.sleep(100)
         stage.owner.ask(1)  # the latest heard of: releases go here first
         stage.sleep(50)
-        machine.tell(over(1))
-        machine.tell(over(2))
+        machine.tell(release_message(1))
+        machine.tell(release_message(2))
         stage.hub.checkpoint()
         stage.owner.stream.abort()  # nothing was said to be heard
         stage.sleep(100)
@@ -104,7 +106,7 @@
             machine.on_set_up = lambda stream, message: stream.send(
                 with_cause(Kind.RELEASE, message.task, Cause.ERROR)
                 if message.values[Code.NAME][:1] == b"f"
-                else encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE})
+                else encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION})
             )
         stage.owner.ask(1)
         stage.sleep(50)
@@ -198,8 +200,8 @@
             with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP)
         )  # takes back what it never had
         stage.sleep(50)
-        assert not any(each.message.kind == Kind.RELEASE for each in machine.heard)
-        machine.tell(over(1))
+        assert not any(each.message.kind == Kind.RELEASE for each in machine.received)
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -11,7 +11,16 @@
 
 import pytest
 
-from tests.relay.stage import MADE, MS, SETTINGS, Client, Journal, S, Stage, over
+from tests.relay.stage import (
+    MACHINE_DESCRIPTION,
+    MS,
+    SETTINGS,
+    Client,
+    Journal,
+    S,
+    Stage,
+    release_message,
+)
 from wingbarrow.relay import links
 from wingbarrow.relay.configuration import Address
 from wingbarrow.relay.message import Code, Kind, Message, encode
@@ -20,7 +29,7 @@
 
 
 def tell(stream: Stream, message: Message) -> None:
-    stream.send_now(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}))
+    stream.send_now(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}))
 
 
 def answer_after(stage: Stage, ms: int) -> Callable[[Stream, Message], None]:
@@ -125,14 +134,14 @@
         for task in range(1, 5):
             stage.owner.ask(task, name=f"{task:016x}")
         stage.sleep(12)
-        machine.tell(over(4))  # its second answer comes after its release
+        machine.tell(release_message(4))  # its second answer comes after its release
         stage.sleep(100)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == stage.owner.kinds(4) == [Kind.ANSWER, Kind.RELEASE]
         assert stage.owner.kinds(2) == stage.owner.kinds(3) == [Kind.ANSWER]
         assert not ends
-        assert not [each for each in machine.heard if each.message.kind == Kind.RELEASE], (
+        assert not [each for each in machine.received if each.message.kind == Kind.RELEASE], (
             "nothing is stopped"
         )
 
@@ -179,7 +188,7 @@
                 stream.abort()
             stage.sleep(3000)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
--- a/tests/relay/test_process.py
+++ b/tests/relay/test_process.py
@@ -163,12 +163,12 @@
 
     def retry_rejected(self) -> None:
         """Send anew what was rejected and whose time to stay away is over."""
-        for each in self.owner.heard[self._read :]:
+        for each in self.owner.received[self._read :]:
             message = each.message
             if message.kind == Kind.RELEASE and message.cause == Cause.BUSY:
                 stay_away_us = int(message.values.get(Code.STAY_AWAY, b"0")) * MS
                 self._retries[message.task] = each.at_us + stay_away_us
-        self._read = len(self.owner.heard)
+        self._read = len(self.owner.received)
         due = [task for task, at_us in self._retries.items() if at_us <= self.owner.hub.now_us()]
         for task in due:
             del self._retries[task]
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -152,7 +152,7 @@
         stage.journal.troubles.append(told_and_stands_still)
         while stage.journal.troubles:
             stage.sleep(5)
-        while stage.hub.now_us() - stage.placer_born_us < 2250 * MS:
+        while stage.hub.now_us() - stage.placer_started_us < 2250 * MS:
             stage.sleep(5)
         assert len(machine.set_ups()) == 1
         now_is_the_time.append(True)
@@ -189,7 +189,7 @@
         for stream, message in waiting:
             machine.take(stream, message)
         stage.sleep(5200)
-        sent = [heard.at_us for heard in machine.set_ups()]
+        sent = [received.at_us for received in machine.set_ups()]
         assert len(sent) == 16
         assert all(owner.kinds(task) == [Kind.ANSWER] for task in range(1, 17))
         assert max(sum(at <= other < at + 2 * S for other in sent) for at in sent) == 4
@@ -236,7 +236,7 @@
         stage.owner.stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(50)
         assert [
-            each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE
+            each.message.task for each in machine.received if each.message.kind == Kind.RELEASE
         ] == [1]
 
     Stage(1).run(play)
--- a/tests/relay/test_trace.py
+++ b/tests/relay/test_trace.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.relay.stage import MS, Stage, over
+from tests.relay.stage import MS, Stage, release_message
 from wingbarrow.core.logs import silent
 from wingbarrow.relay.placer import Placer
 from wingbarrow.relay.trace import ENVIRONMENT_VARIABLE, Trace, from_environment
@@ -33,7 +33,7 @@
         stage.owner.ask(7)
         stage.sleep(50)
         ((machine, _),) = stage.set_ups(7)
-        machine.tell(over(7))
+        machine.tell(release_message(7))
         stage.hub.sleep(50 * MS)
 
     Traced().run(play)
--- a/tests/wire/test_relay_golden.py
+++ b/tests/wire/test_relay_golden.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.relay.stage import Client, Machine, Stage, over
+from tests.relay.stage import Client, Machine, Stage, release_message
 from tests.relay.test_owner_races import move
 from tests.wire.golden import assert_golden
 from wingbarrow.relay import message as wire
@@ -146,7 +146,7 @@
         machine = exchange.machine_of(7)
         machine.tell(encode(44, 7, {39: b"0.5", 24: b"cores"}))
         machine.tell(encode(6, 7, {24: b"on its way"}))
-        machine.tell(over(7))
+        machine.tell(release_message(7))
         exchange.section("with all parameters")
         stage.owner.ask(8, RETRY=b"1", REMARK=b"words", LEVEL=b"3")
         stage.sleep(300)
