--- a/tests/relay/stage.py
+++ b/tests/relay/stage.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of owner, machine and journal service, written from the protocol; what crosses sockets is kept."""
+"""Fake owner, machine and journal service, written from the protocol; they record every message they receive."""
 
 from __future__ import annotations
 
@@ -62,14 +62,14 @@
 
 @dataclass
 class ReceivedMessage:
-    """A message as it crossed a socket."""
+    """A message received from a socket, with the time of its receipt."""
 
     at_us: int
     message: Message
 
 
 class Machine:
-    """Takes every set-up unless `on_set_up` does otherwise."""
+    """A fake machine: accepts every set-up unless `on_set_up` is replaced."""
 
     def __init__(self, hub: Hub, name: str, port: int = 0) -> None:
         self.hub, self.name = hub, name
@@ -96,21 +96,24 @@
         self.on_end(stream)
 
     def take(self, stream: Stream, message: Message) -> None:
-        """The task stands."""
+        """Answer that the task is placed."""
         stream.send(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}))
 
     def tell(self, data: bytes) -> None:
-        """Send on any open connection."""
+        """Send bytes on any open connection."""
         next(stream for stream in self.streams if stream.open).send(data)
 
     def die(self) -> None:
-        """The process ends: its connections are reset, nothing listens any more."""
+        """Simulate a process crash: its connections are reset and new ones refused."""
         self.listener.close()
         for stream in self.streams:
             stream.abort()
 
     def vanish(self) -> list[socket.socket]:
-        """Its connections stay open and silent, new ones never come up: the line of those waiting is full."""
+        """Simulate a lost host: connections stay open and silent, and dials time out as the listen backlog is full.
+
+        Returns the sockets that fill the backlog, for the test to close.
+        """
         self.silent = True
         self.listener.close()
         full = socket.socket()
@@ -126,7 +129,7 @@
         return fillers
 
     def set_ups(self, task: int | None = None) -> list[ReceivedMessage]:
-        """Set-ups heard."""
+        """Set-ups received, of one task or of all."""
         return [
             each
             for each in self.received
@@ -134,7 +137,7 @@
         ]
 
     def entry(self, lifecycle: str = "Ready", started_ms: int = 0) -> dict[str, Any]:
-        """Its entry in the list."""
+        """The machine's entry in the machine list."""
         return {
             "instanceId": self.name,
             "hostPort": f"127.0.0.1:{self.port}",
@@ -149,7 +152,7 @@
 
 
 class Journal:
-    """Numbered events over a long poll; `trouble`, where set, does with the next calls what it likes."""
+    """A fake journal service: numbered events over a long poll; each of `troubles` handles one call instead."""
 
     def __init__(self, hub: Hub, port: int = 0) -> None:
         self.hub = hub
@@ -160,7 +163,7 @@
         hub.spawn(self.server.serve, "stand-in journal")
 
     def add(self, *entries: dict[str, Any], reset: bool = False) -> None:
-        """One more event."""
+        """Append an event."""
         self.events.append(
             {
                 "pos": len(self.events) + 1,
@@ -169,7 +172,7 @@
         )
 
     def known(self, after: int = 0) -> dict[str, Any]:
-        """The service's form."""
+        """The service's response with all events after a position."""
         return {"pos": len(self.events), "entries": self.events[after:]}
 
     def _answer(self, request: Request) -> Answer:
@@ -184,7 +187,7 @@
 
 
 class Client:
-    """One connection of an owner."""
+    """A fake owner's connection to the placer."""
 
     def __init__(self, hub: Hub, port: int) -> None:
         self.hub = hub
@@ -213,7 +216,7 @@
         figures: str = "cores:1;memory:1;service:s1",
         **changes: Any,
     ) -> None:
-        """Send a set-up; `changes` replaces parameters, None leaves one out."""
+        """Send a set-up; `changes` replaces parameters by code name, and None omits one."""
         values: dict[int, bytes | None] = {
             Code.CLASS: cls.encode(),
             Code.PATIENCE: b"%d" % patience_ms,
@@ -228,15 +231,15 @@
         )
 
     def of(self, task: int) -> list[Message]:
-        """What was heard of a task."""
+        """All messages received for a task."""
         return [each.message for each in self.received if each.message.task == task]
 
     def kinds(self, task: int) -> list[int]:
-        """The types of what was heard of a task."""
+        """The types of all messages received for a task."""
         return [each.kind for each in self.of(task)]
 
     def test(self) -> int | None:
-        """A test's result, None without one within a second."""
+        """Send a test; its result, or None without one within a second."""
         ident = 1 << 40 | len(self.received)
         self.stream.send(with_cause(Kind.TEST, ident, 0))
         for _ in range(100):
@@ -248,16 +251,16 @@
 
 @dataclass
 class Stage:
-    """A placer with its surroundings, all on one hub with a virtual clock."""
+    """A placer with fake machines, owner and journal service, all on one hub with a virtual clock."""
 
     machine_count: int = 2
     settings: dict[str, Any] = field(default_factory=lambda: SETTINGS)
     sockets: int = 256
-    deadline_ms: int = 5000  # the longest of any class
-    ended_us: int | None = None  # when the placer ended by itself
+    deadline_ms: int = 5000  # the longest deadline of any class
+    ended_us: int | None = None  # when the placer exited by itself
 
     def run(self, play: Callable[[Stage], None]) -> None:
-        """Set up, play, take down."""
+        """Start everything, run `play`, and stop it."""
         self.hub = Hub(VirtualClock())
         self.hub.run(lambda: self._play(play))
 
@@ -279,7 +282,7 @@
         self.ended_us = self.hub.now_us()
 
     def make(self, log: Callable[..., None] = silent) -> Placer:
-        """A placer as the platform would start it now."""
+        """A placer configured as the platform would start it now."""
         configuration = Configuration(
             name="n0",
             listen=Address("127.0.0.1", 0),
@@ -296,15 +299,15 @@
         return Placer(self.hub, configuration, log)
 
     def client(self) -> Client:
-        """One more connection of an owner."""
+        """Open another owner connection."""
         return Client(self.hub, self.placer.port)
 
     def sleep(self, ms: int) -> None:
-        """Let time pass."""
+        """Advance the virtual clock by `ms`."""
         self.hub.sleep(ms * MS)
 
     def set_ups(self, task: int) -> list[tuple[Machine, ReceivedMessage]]:
-        """Set-ups of a task at any machine, in order."""
+        """Set-ups of a task received by any machine, in order of time."""
         found = [
             (machine, received) for machine in self.machines for received in machine.set_ups(task)
         ]
@@ -312,7 +315,7 @@
 
 
 def release_message(task: int, cause: int = Cause.OVER) -> bytes:
-    """A machine's release."""
+    """A machine's release of a task, as bytes."""
     return with_cause(Kind.RELEASE, task, cause)
 
 
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -1,4 +1,4 @@
-"""More machines than the descriptor table has room for: the budget holds, and nobody is looked after the less."""
+"""More machines than descriptors: the budget holds, and every machine's releases still arrive in time."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 }
 
 
-class Telling(Machine):
-    """Says what is over on any open connection and again on the next that opens, as the protocol has it."""
+class RepeatingMachine(Machine):
+    """Sends releases on any open connection and repeats them on the next one, as the protocol requires."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.ended: dict[int, int] = {}  # tasks that are over here, and when
+        self.ended: dict[int, int] = {}  # when each task ended here, by task
 
     def end_all(self) -> None:
-        """Every task that stands here comes to its end."""
+        """End every task that runs here."""
         for received in self.set_ups():
             self.ended.setdefault(received.message.task, self.hub.now_us())
         for stream in self.streams:
             if stream.open:
-                self._tell_all(stream)
+                self._send_releases(stream)
                 return
 
-    def _tell_all(self, stream: Stream) -> None:
+    def _send_releases(self, stream: Stream) -> None:
         for task in self.ended:
             stream.send_now(release_message(task))
 
     def _serve(self, stream: Stream) -> None:
-        self._tell_all(stream)
+        self._send_releases(stream)
         super()._serve(stream)
 
 
-class Crowded(Stage):
-    """A stage whose machines come later, and so many tasks for each."""
+class CrowdedStage(Stage):
+    """A stage whose machines are added by `fill`, with `tasks_per_machine` tasks for each."""
 
-    a_machine = 3.0
+    tasks_per_machine = 3.0
 
-    def fill(self, count: int) -> list[Telling]:
-        """So many machines, and a task running on each."""
-        machines = [Telling(self.hub, f"m-{i:08x}") for i in range(count)]
+    def fill(self, count: int) -> list[RepeatingMachine]:
+        """Add `count` machines and submit `tasks_per_machine` tasks for each."""
+        machines = [RepeatingMachine(self.hub, f"m-{i:08x}") for i in range(count)]
         self.journal.add(*(each.entry() for each in machines))
         self.sleep(200)
         self.max_held = 0
         self.hub.spawn(lambda: self._watch(machines), "watch")
-        for task in range(1, int(count * self.a_machine) + 1):
+        for task in range(1, int(count * self.tasks_per_machine) + 1):
             self.owner.ask(
                 task,
                 name=f"{task:016x}",
@@ -65,7 +65,7 @@
         self.sleep(500)
         return machines
 
-    def _watch(self, machines: list[Telling]) -> None:
+    def _watch(self, machines: list[RepeatingMachine]) -> None:
         while True:
             at_machines = sum(stream.open for each in machines for stream in each.streams)
             self.max_held = max(self.max_held, len(self.placer.owners) + at_machines)
@@ -75,13 +75,13 @@
 @pytest.mark.parametrize(("sockets", "count"), [(96, 120), (192, 250)])
 def test_more_machines_than_the_table_holds_are_all_heard_in_time(sockets: int, count: int) -> None:
     def play(stage: Stage) -> None:
-        assert isinstance(stage, Crowded)
+        assert isinstance(stage, CrowdedStage)
         machines = stage.fill(count)
         with_tasks = [each for each in machines if each.set_ups()]
         assert len(with_tasks) > min(count * 0.8, sockets * 0.6), (
-            "tasks stand on more machines than half the table"
+            "tasks run on more machines than half the descriptor table"
         )
-        stage.sleep(6000)  # looks go round meanwhile
+        stage.sleep(6000)  # liveness dials take place meanwhile
         for machine in with_tasks:
             machine.end_all()
         stage.sleep(8000)
@@ -104,19 +104,19 @@
         assert not missing, f"{len(missing)} of {len(ended)} releases never came"
         assert max(received[task] - at_us for task, at_us in ended.items()) <= 8 * S
 
-    Crowded(0, settings=MANY, sockets=sockets).run(play)
+    CrowdedStage(0, settings=MANY, sockets=sockets).run(play)
 
 
-def test_looks_at_machines_that_have_nothing_to_say_pile_up_no_connections() -> None:
+def test_liveness_dials_to_silent_machines_do_not_accumulate_connections() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
-        two = 0
+        double_samples = 0
         for _ in range(200):
             stage.sleep(50)
-            two += sum(stream.open for stream in machine.streams) > 1
-        assert len(machine.streams) >= 4, "it was looked at"
-        assert two <= 10, "each took the place of the one before"
+            double_samples += sum(stream.open for stream in machine.streams) > 1
+        assert len(machine.streams) >= 4, "liveness dials took place"
+        assert double_samples <= 10, "each new connection replaced the previous one"
         assert stage.owner.kinds(1) == [Kind.ANSWER]
 
     Stage(1).run(play)
@@ -124,7 +124,7 @@
 
 def test_owners_get_room_from_machines_as_long_as_they_hold_less_than_their_part() -> None:
     def play(stage: Stage) -> None:
-        assert isinstance(stage, Crowded)
+        assert isinstance(stage, CrowdedStage)
         stage.fill(110)
         usual = stage.owner
         more: list[Client] = []
@@ -134,7 +134,7 @@
             stage.sleep(20)
         stage.sleep(300)
         assert all(client.stream.open for client in [usual, *more]), (
-            "none of them is closed for a machine's sake"
+            "no owner connection is closed to make room for a machine's"
         )
         answers = sum(
             client.kinds(task) == [Kind.ANSWER]
@@ -143,14 +143,14 @@
         assert answers >= 15
         assert stage.max_held <= Table(96).most
 
-    Crowded(0, settings=MANY, sockets=96).run(play)
+    CrowdedStage(0, settings=MANY, sockets=96).run(play)
 
 
 @pytest.mark.parametrize("broken", [0, 1])
 def test_a_machine_that_takes_no_new_connections_and_keeps_the_old_is_asked_at_a_bounded_pace(
     broken: int,
 ) -> None:
-    """As on a drain: its process lives and has closed its door. `broken`: one of its old connections was reset too."""
+    """A draining machine refuses new connections. With `broken`, one of its open connections was reset, too."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
@@ -165,7 +165,7 @@
         stage.sleep(10_000)
         refused = counts["dials_failed:ECONNREFUSED"]
         assert 1 <= refused <= 24, f"{refused} times in 10 s"
-        assert stage.owner.kinds(2) == [Kind.ANSWER], "what stands there stands"
+        assert stage.owner.kinds(2) == [Kind.ANSWER], "the task continues to run"
         machine.tell(release_message(2))
         stage.sleep(100)
         assert stage.owner.kinds(2) == [Kind.ANSWER, Kind.RELEASE]
--- a/tests/relay/test_machine_races.py
+++ b/tests/relay/test_machine_races.py
@@ -1,4 +1,4 @@
-"""What crosses on the side of machines: a stop and its connection's end, a dial and a stall, a look and what stands."""
+"""Races on machine connections: a stop with the connection's end, a dial with a stall, a close with a release."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def releases(stage: Stage) -> list[int]:
-    """Tasks for which the only machine has read a release."""
+    """Tasks for which the only machine has received a release."""
     return [
         each.message.task
         for each in stage.machines[0].received
@@ -24,7 +24,7 @@
 
 
 def stall_at_dial(stage: Stage, patch: pytest.MonkeyPatch, nth: int, for_ms: int) -> None:
-    """The process stands still right after the SYN of its nth dial from now: the system answers it meanwhile."""
+    """Stall the process right after the SYN of its nth dial from now, while the kernel completes the handshake."""
     wait, dials = stage.hub.wait, [0]
 
     def stalled(fd: int, what: int) -> int:
@@ -36,15 +36,15 @@
     patch.setattr(stage.hub, "wait", stalled)
 
 
-def never_up(patch: pytest.MonkeyPatch, when: Callable[[], bool]) -> None:
-    """Connections asked for meanwhile never come up."""
+def time_out_dials(patch: pytest.MonkeyPatch, when: Callable[[], bool]) -> None:
+    """Make dials time out while `when` holds."""
 
-    def lost(hub: Any, host: str, port: int) -> Stream:
+    def connect_or_time_out(hub: Any, host: str, port: int) -> Stream:
         if when():
             hub.sleep(60 * S)
         return connect(hub, host, port)
 
-    patch.setattr(links, "connect", lost)
+    patch.setattr(links, "connect", connect_or_time_out)
 
 
 @pytest.mark.parametrize("cls", ["web", "settlement"])
@@ -55,13 +55,13 @@
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         (stream,) = machine.streams
-        machine.silent = True  # what comes now is never read: the connection is reset over it
+        machine.silent = True  # data sent now stays unread, so that the close becomes a reset
         stage.owner.stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(20)
         stream.abort()
         machine.silent = False
         stage.sleep(3000)
-        assert len(machine.streams) >= 2, "a new connection has come up"
+        assert len(machine.streams) >= 2, "a new connection was established"
         assert 1 in releases(stage), "its owner has ended it: it must not run on"
 
     Stage(1).run(play)
@@ -95,7 +95,7 @@
 def test_two_dials_at_once_that_run_out_of_time_end_no_offer_that_is_out(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A third connection carries an offer that must not be repeated; the machine answers it in its time."""
+    """Another connection carries an offer that must not be repeated, and the machine answers it in time."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
@@ -109,11 +109,13 @@
             stall_at_dial(stage, monkeypatch, 2, 300)
         else:
             two = [2, 1]
-            never_up(monkeypatch, lambda: bool(two) and two.pop() > 0)
+            time_out_dials(monkeypatch, lambda: bool(two) and two.pop() > 0)
         for task in (2, 3):
             stage.owner.ask(task, name=f"{task:016x}", patience_ms=4000)
         stage.sleep(900)
-        assert stage.owner.kinds(1) == [], "its connection is whole, and its machine takes new ones"
+        assert stage.owner.kinds(1) == [], (
+            "its connection is open, and its machine accepts new ones"
+        )
         machine.take(stream, message)
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
@@ -136,12 +138,12 @@
 def test_one_connection_that_never_came_up_writes_off_nothing(
     then: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The next look would come up; it comes late, as nothing called for it or as this process stood still."""
+    """The next dial would succeed, but it is late: no offer needed one, or this process stalled."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
-        lost = [1]
-        never_up(monkeypatch, lambda: bool(lost) and lost.pop() == 1)
+        failing_dials = [1]
+        time_out_dials(monkeypatch, lambda: bool(failing_dials) and failing_dials.pop() == 1)
         found = "cores:1;memory:1;service:s1;at:" + machine.name
         if then == "quiet":
             stage.owner.ask(1, patience_ms=200)
@@ -159,7 +161,7 @@
             stage.hub.clock.jump(stage.hub.now_us() + 5 * S)
         stage.sleep(2000)
         assert stage.owner.kinds(2) == [], (
-            "it stands there: its machine is there, and no second look has failed"
+            "the task runs, its machine is reachable, and no second dial has failed"
         )
         machine.tell(release_message(2))
         stage.sleep(100)
@@ -170,7 +172,7 @@
 
 
 def test_a_release_on_a_connection_that_is_retired_is_read_after_a_stall() -> None:
-    """It had left before the machine heard of the end; this process then stands still beyond the time for that."""
+    """The release was sent before the machine saw the close; this process then stalls beyond CLOSE_TIMEOUT_US."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
@@ -188,7 +190,9 @@
         stage.sleep(50)
         assert len(machine.streams) > 1
         note = encode(Kind.NOTE, 2, {Code.REMARK: b"c", Code.LEVEL: b"0.5"})
-        for _ in range(40):  # the machine speaks, so that no look at it is due
+        for _ in range(
+            40
+        ):  # notes keep the machine from being silent, so that no liveness dial is due
             stage.sleep(300)
             open_ones = [each for each in machine.streams if each.open and each not in crossed]
             open_ones[-1].send_now(note)
--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -1,4 +1,4 @@
-"""Machines lost, cut, silent and new, and connections to them, judged at the stand-ins."""
+"""Machines that crash, are cut off, are silent, restart or are replaced, and the placer's connections to them."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
         stage.owner.ask(1)
         stage.sleep(20)
         machine.on_set_up = lambda stream, message: held.append((stream, message))
-        stage.owner.ask(2, name="f" * 16)  # goes on the free connection, and keeps it in use
-        stage.owner.ask(3, name="e" * 16)  # on a second one
+        stage.owner.ask(2, name="f" * 16)  # uses the idle connection and keeps it busy
+        stage.owner.ask(3, name="e" * 16)  # opens a second connection
         stage.sleep(50)
         first, second = [stream for stream in machine.streams if stream.open]
         count = len(machine.streams)
-        first.abort()  # with it a release may be lost, though another connection is open
+        first.abort()  # a release on it may be lost, although another connection is open
         stage.sleep(300)
         assert second.open
         assert len(machine.streams) > count
@@ -39,14 +39,12 @@
         def crossing(stream: Stream) -> None:
             ended.append(stream)
             if len(ended) <= 2:
-                stream.send(
-                    release_message(len(ended))
-                )  # it had left before the machine heard of the end
+                stream.send(release_message(len(ended)))  # sent before the machine saw the close
 
         machine.on_end = crossing
         for task in (1, 2, 3):
             stage.owner.ask(task, name=f"{task:016x}")
-        stage.sleep(3500)  # all but one of the connections are spare by then
+        stage.sleep(3500)  # all connections but one have exceeded the spare idle timeout
         assert len(ended) >= 2
         assert [stage.owner.kinds(task) for task in (1, 2)] == [[Kind.ANSWER, Kind.RELEASE]] * 2
         assert stage.owner.kinds(3) == [Kind.ANSWER]
@@ -78,7 +76,7 @@
             stream.abort()
         stage.sleep(400)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        machine.tell(release_message(1))  # on the connection that has come up since
+        machine.tell(release_message(1))  # on the new connection
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
@@ -93,7 +91,9 @@
         vanished, fillers = stage.hub.now_us(), machine.vanish()
         stage.owner.ask(2, "settlement", patience_ms=4000, name="c" * 16)
         stage.sleep(2500)
-        assert stage.owner.kinds(2) == [Kind.RELEASE], "its offer is given up long before its time"
+        assert stage.owner.kinds(2) == [Kind.RELEASE], (
+            "the offer is abandoned long before its deadline"
+        )
         stage.sleep(5500)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
         released = next(
@@ -109,7 +109,7 @@
     Stage(1).run(play)
 
 
-def test_an_offer_does_not_wait_for_a_machine_whose_look_has_just_failed() -> None:
+def test_an_offer_does_not_wait_for_a_machine_whose_last_dial_has_just_failed() -> None:
     def play(stage: Stage) -> None:
         gone, other = stage.machines
         other.on_set_up = lambda stream, message: stream.send(
@@ -127,7 +127,7 @@
                 break
         began = stage.hub.now_us()
         assert link.connection_for_offer() is None and stage.hub.now_us() == began, (
-            "no second wait for the same news"
+            "the offer does not wait for a second dial timeout"
         )
         for filler in fillers:
             filler.close()
@@ -150,7 +150,7 @@
         stage.sleep(2000)
         cut = [each.message.task for each in back.received if each.message.kind == Kind.RELEASE]
         assert cut == [1], (
-            "a second copy of a safe task is not left running; of others the owner decides"
+            "a second copy of a safe task is stopped; for other classes the owner decides"
         )
 
     Stage(1).run(play)
@@ -181,7 +181,7 @@
         stage.machines.append(new)
         stage.journal.add(new.entry())
         stage.sleep(900)
-        assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]  # it stood at the old one
+        assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]  # it ran on the old machine
         stage.journal.add(old.entry("Gone"))
         stage.sleep(100)
         stage.owner.ask(2, name="b" * 16)
@@ -241,7 +241,7 @@
             stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(200)
         assert all(stage.owner.kinds(task) == [Kind.ANSWER] for task in range(1, 9))
-        assert len(stage.machines[0].set_ups()) == 8, "none was counted as out of reach"
+        assert len(stage.machines[0].set_ups()) == 8, "no offer was counted as unreachable"
 
     Stage(1).run(play)
 
@@ -264,7 +264,7 @@
             stage.sleep(1500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         stage.sleep(500)
-        machine.tell(release_message(1))  # a connection is there again
+        machine.tell(release_message(1))  # a connection has been established again
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
@@ -273,7 +273,9 @@
 
 def test_connections_to_machines_are_bounded_in_all() -> None:
     def play(stage: Stage) -> None:
-        stage.owner.ask(100, name="f" * 16)  # a usual owner: it may have many open
+        stage.owner.ask(
+            100, name="f" * 16
+        )  # an owner with a placed task may have many open set-ups
         stage.sleep(50)
         for machine in stage.machines:
             machine.on_set_up = lambda stream, message: None
@@ -283,7 +285,7 @@
             )
             stage.sleep(10)
         assert sum(bool(stage.set_ups(task)) for task in range(1, 61)) >= 50, (
-            "they share what there is"
+            "offers share the available connections"
         )
         held = [link.held for link in stage.placer._links.by_name.values()]
         assert max(held) > 1
--- a/tests/relay/test_message.py
+++ b/tests/relay/test_message.py
@@ -1,4 +1,4 @@
-"""The codec: both ways, cut at any place, every malformed kind, a bound on what is buffered."""
+"""The codec: round trips, data split at any position, every kind of malformed message, and a bound on the buffer."""
 
 from __future__ import annotations
 
@@ -73,12 +73,12 @@
         head(MAX_BODY_BYTES + 1),
         head(65535),
         head(20, 99),
-        head(MIN_BODY_BYTES + 2) + b"\x03\x00",  # a parameter cut short
-        head(MIN_BODY_BYTES + 4) + b"\x03\x00\x05a",  # longer than its message
-        head(MIN_BODY_BYTES + 8) + b"\x03\x00\x01a\x03\x00\x01b",  # twice
+        head(MIN_BODY_BYTES + 2) + b"\x03\x00",  # a truncated parameter
+        head(MIN_BODY_BYTES + 4) + b"\x03\x00\x05a",  # a parameter longer than its message
+        head(MIN_BODY_BYTES + 8) + b"\x03\x00\x01a\x03\x00\x01b",  # a duplicate parameter
     ],
 )
-def test_what_is_no_message_is_told_at_once(data: bytes) -> None:
+def test_a_malformed_message_is_reported_at_once(data: bytes) -> None:
     framer = Framer()
     framer.feed(data)
     with pytest.raises(BadMessage):
@@ -86,7 +86,7 @@
     assert framer.buffered == 0
 
 
-def test_an_impossible_length_is_told_before_what_it_announces_has_come() -> None:
+def test_an_invalid_length_is_reported_before_the_body_arrives() -> None:
     framer = Framer()
     framer.feed(b"\xff\xff")
     with pytest.raises(BadMessage):
--- a/tests/relay/test_offers.py
+++ b/tests/relay/test_offers.py
@@ -1,4 +1,4 @@
-"""Offers, answers and refusals, judged by what crossed the sockets at the stand-ins."""
+"""Offers, answers and refusals, checked by the messages that the fake owner and machines received."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         assert answer.kind == Kind.ANSWER
         assert answer.values == {Code.DESCRIPTION: MACHINE_DESCRIPTION}
         machine.tell(release_message(7))
-        machine.tell(release_message(7))  # the machine says it twice, on the next connection too
+        machine.tell(release_message(7))  # a machine may repeat a release
         stage.sleep(50)
         assert stage.owner.kinds(7) == [Kind.ANSWER, Kind.RELEASE]
         assert stage.owner.of(7)[1].cause == Cause.OVER
@@ -33,7 +33,10 @@
 
 
 def test_parameters_that_the_page_does_not_name_go_on_as_they_came() -> None:
-    """Keyed classes bring one by which machines know a repeat; what is the placer's own stays here."""
+    """Unknown parameters are forwarded unchanged: keyed classes have one by which machines detect a repeated offer.
+
+    Parameters addressed to the placer are not forwarded.
+    """
 
     def play(stage: Stage) -> None:
         client, key = stage.client(), b"19ec28eaa14f2143824331079fb2de33"
@@ -77,7 +80,9 @@
             stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(500)
         assert all(stage.owner.kinds(task) == [Kind.ANSWER] for task in range(1, 9))
-        assert 1 <= len(stage.machines[1].set_ups()) <= 4  # believed once told
+        assert (
+            1 <= len(stage.machines[1].set_ups()) <= 4
+        )  # the refusal's reason keeps further offers away
 
     Stage().run(play)
 
@@ -125,9 +130,9 @@
 
 def test_a_spoilt_answer_costs_its_own_task_alone() -> None:
     def play(stage: Stage) -> None:
-        spoilt = stage.machines[0]
-        spoilt.on_set_up = lambda stream, message: (
-            stream.send(b"\xff\xffnoise") if message.task == 1 else spoilt.take(stream, message)
+        malformed = stage.machines[0]
+        malformed.on_set_up = lambda stream, message: (
+            stream.send(b"\xff\xffnoise") if message.task == 1 else malformed.take(stream, message)
         )
         for task in (1, 2, 3):
             stage.owner.ask(task, name=f"{task:016x}", cls="settlement" if task == 1 else "web")
@@ -142,13 +147,13 @@
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
 
-        def odd(stream: Stream, message: Message) -> None:
+        def answer_oddly(stream: Stream, message: Message) -> None:
             stream.send(encode(Kind.ANSWER, 999, {Code.DESCRIPTION: b"ahead"}))
             stream.send(
                 encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}) * 2
             )
 
-        machine.on_set_up = odd
+        machine.on_set_up = answer_oddly
         stage.owner.ask(1)
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
--- a/tests/relay/test_overtaken.py
+++ b/tests/relay/test_overtaken.py
@@ -1,4 +1,4 @@
-"""A machine's release that overtakes its answer: the answer, delayed on its way, comes after it or never."""
+"""A machine's release that overtakes its answer: the delayed answer arrives later or never."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from wingbarrow.relay.offers import END_NOTICE_DELAY_US
 from wingbarrow.transport import Stream
 
-MAX_END_NOTICE_MS = 1_000  # the platform's own bound, from the machine's release
+MAX_END_NOTICE_MS = 1_000  # the platform's bound, from the machine's release
 assert END_NOTICE_DELAY_US < MAX_END_NOTICE_MS * 1_000
 
 
-def releases_first(stage: Stage, release: Callable[[int], bytes]) -> None:
-    """Whichever machine is asked first ends the task 300 ms later, with its answer 2 s after that."""
-    asked: list[Stream] = []
+def release_before_answer(stage: Stage, release: Callable[[int], bytes]) -> None:
+    """Make the machine that gets the first offer release the task after 300 ms and answer 2 s after that."""
+    first_offer: list[Stream] = []
 
     def take(machine: Machine) -> Callable[[Stream, Message], None]:
         def on_set_up(stream: Stream, message: Message) -> None:
-            if asked:
+            if first_offer:
                 machine.take(stream, message)
                 return
-            asked.append(stream)
+            first_offer.append(stream)
             stage.sleep(300)
             stream.send(release(message.task))
             stage.sleep(2_000)
@@ -36,8 +36,8 @@
         machine.on_set_up = take(machine)
 
 
-def sent_away(remark: bytes) -> Callable[[int], bytes]:
-    """A cut of a task that stood, with the reason that only such a task can have."""
+def eviction_release(remark: bytes) -> Callable[[int], bytes]:
+    """A release of a placed task, with a reason that is given for placed tasks only."""
     return lambda task: with_cause(Kind.RELEASE, task, Cause.RESET, {Code.REMARK: remark})
 
 
@@ -47,14 +47,14 @@
     remark: bytes, task_class: str
 ) -> None:
     def play(stage: Stage) -> None:
-        releases_first(stage, sent_away(remark))
+        release_before_answer(stage, eviction_release(remark))
         stage.owner.ask(1, task_class, patience_ms=5_000)
         stage.sleep(4_000)
-        ((machine, asked),) = stage.set_ups(1)
-        (told,) = [each for each in stage.owner.received if each.message.task == 1]
-        assert told.message.kind == Kind.RELEASE
-        assert told.message.cause == Cause.RESET
-        assert told.at_us - asked.at_us <= 300_000 + 50_000
+        ((machine, first_offer),) = stage.set_ups(1)
+        (notice,) = [each for each in stage.owner.received if each.message.task == 1]
+        assert notice.message.kind == Kind.RELEASE
+        assert notice.message.cause == Cause.RESET
+        assert notice.at_us - first_offer.at_us <= 300_000 + 50_000
         assert [each for each in machine.received if each.message.kind == Kind.RELEASE] == []
         assert stage.placer.life.counts["answers_overtaken"] == 1
 
@@ -65,7 +65,7 @@
     None
 ):
     def play(stage: Stage) -> None:
-        releases_first(stage, lambda task: release_message(task, Cause.RESET))
+        release_before_answer(stage, lambda task: release_message(task, Cause.RESET))
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(1_000)
         assert len(stage.set_ups(1)) == 2
@@ -78,14 +78,14 @@
     None
 ):
     def play(stage: Stage) -> None:
-        releases_first(stage, release_message)
-        quiet(stage)
+        release_before_answer(stage, release_message)
+        silence_others(stage)
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(4_500)
-        told = heard_of(stage, 1)
-        assert [each.message.kind for each in told] == [Kind.RELEASE]
+        notices = received_of(stage, 1)
+        assert [each.message.kind for each in notices] == [Kind.RELEASE]
         first = min(each.at_us for _, each in stage.set_ups(1))
-        assert told[0].at_us - (first + 300_000) <= MAX_END_NOTICE_MS * 1_000
+        assert notices[0].at_us - (first + 300_000) <= MAX_END_NOTICE_MS * 1_000
         given_up = [
             each.message
             for machine in stage.machines
@@ -99,8 +99,8 @@
 
 def test_an_end_that_overtakes_its_answer_is_answered_by_the_next_machine_that_knows_it() -> None:
     def play(stage: Stage) -> None:
-        releases_first(stage, release_message)
-        knows(stage)
+        release_before_answer(stage, release_message)
+        others_report_end(stage)
         stage.owner.ask(1, patience_ms=5_000)
         stage.sleep(3_000)
         answer, release = stage.owner.of(1)
@@ -111,19 +111,19 @@
     Stage().run(play)
 
 
-def heard_of(stage: Stage, task: int) -> list[ReceivedMessage]:
-    """What the owner heard of a task, with times."""
+def received_of(stage: Stage, task: int) -> list[ReceivedMessage]:
+    """Messages that the owner received for a task, with times."""
     return [each for each in stage.owner.received if each.message.task == task]
 
 
-def quiet(stage: Stage) -> None:
-    """Every machine but the one asked first says nothing."""
+def silence_others(stage: Stage) -> None:
+    """Make every machine but the first one asked ignore the set-up."""
     for machine in stage.machines:
         machine.take = lambda stream, message: None  # type: ignore[method-assign]
 
 
-def knows(stage: Stage) -> None:
-    """Every machine but the one asked first says that the task has come to its end."""
+def others_report_end(stage: Stage) -> None:
+    """Make every machine but the first one asked release the task as ended, with a description."""
     for machine in stage.machines:
         machine.take = lambda stream, message: stream.send(  # type: ignore[method-assign]
             with_cause(
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross: between the module's choice and the first byte, at the close of a connection, at the end."""
+"""Races between a decision and the offer's first byte, at the close of a connection, and at shutdown."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     return changed
 
 
-def late_dials(
+def delay_dials(
     monkeypatch: pytest.MonkeyPatch, by_ms: int, when: Callable[[], bool] = lambda: True
 ) -> None:
-    """Connections to machines come up so much later."""
+    """Delay dials to machines by `by_ms` while `when` holds."""
 
     def late(hub: Any, host: str, port: int) -> Stream:
         if when():
@@ -37,14 +37,14 @@
     monkeypatch.setattr(links, "connect", late)
 
 
-# -- between the module's choice and the first byte
+# -- between a decision and the offer's first byte
 
 
 @pytest.mark.parametrize(("window_ms", "sends"), [(150, 1), (5000, 2)])
 def test_a_repeat_whose_window_closes_while_its_connection_comes_up_is_not_sent(
     window_ms: int, sends: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first attempt may have run at 0; the second is decided soon after, and its connection takes 200 ms."""
+    """The first attempt may have run at 0; the second is decided soon after, and its dial takes 200 ms."""
 
     def play(stage: Stage) -> None:
         first: list[Machine] = []
@@ -55,7 +55,7 @@
                     machine.take(stream, message)
                 else:
                     first.append(machine)
-                    late_dials(monkeypatch, 200)
+                    delay_dials(monkeypatch, 200)
                     stream.abort()
 
             return on_set_up
@@ -71,7 +71,7 @@
             stage.sleep(1000)
             (refused,) = stage.owner.of(1)
             assert refused.kind == Kind.RELEASE and refused.cause in (34, 42, 102), (
-                "harmless: the group is all"
+                "a retry is safe: the deduplication scope is all machines"
             )
         else:
             assert sent[1][1].at_us - sent[0][1].at_us >= 200 * MS
@@ -89,7 +89,7 @@
         (machine,) = stage.machines
         stage.sleep(3000)  # past the span after the placer's own start
         owner = stage.client()
-        late_dials(monkeypatch, 200)
+        delay_dials(monkeypatch, 200)
         for task in range(1, 4):
             owner.ask(task, name=f"{task:016x}", patience_ms=1500)
         stage.sleep(50)
@@ -98,14 +98,14 @@
         monkeypatch.undo()
         assert stage.placer.life.counts["held:restarted"] == 3
         stage.sleep(300)
-        # They go all the same, decided anew and counted in the cold machine's share.
+        # They are sent after a new decision, and count toward the cold machine's share.
         assert [owner.kinds(task) for task in (1, 2, 3)] == [[Kind.ANSWER]] * 3
 
     Stage(1).run(play)
 
 
 def test_an_offer_takes_no_connection_that_its_machine_may_be_closing_as_idle() -> None:
-    """The settings close idle connections after 2 s; the machine does, just as an offer could be written."""
+    """The idle timeout is 2 s, and the machine closes the connection just when an offer could be written."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
@@ -115,7 +115,7 @@
         assert machine.streams[0].open
         other = stage.client()
         other.ask(2, "settlement", name="2" * 16)
-        machine.streams[0].end_writing()  # its end crosses the offer
+        machine.streams[0].end_writing()  # the close crosses the offer
         stage.sleep(100)
         assert other.kinds(2) == [Kind.ANSWER]
         assert len(machine.streams) == 2
@@ -130,32 +130,32 @@
 def test_a_drain_that_lies_unread_after_a_stall_is_read_before_anything_is_sent() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
-        stage.owner.ask(50, name="5" * 16)  # leaves a connection to it that is free
+        stage.owner.ask(50, name="5" * 16)  # leaves an idle connection to it
         stage.sleep(20)
         stage.journal.add(machine.entry(started_ms=stage.hub.clock.wall_us() // 1000))
         client = stage.client()
         client.ask(1, patience_ms=4900)  # held until 2.5 s after the placer's start
-        now_is_the_time: list[bool] = []
+        may_send_drain: list[bool] = []
 
-        def told_and_stands_still(request: Request) -> None:
-            while not now_is_the_time:
+        def send_drain_then_stall(request: Request) -> None:
+            while not may_send_drain:
                 stage.hub.sleep(5 * MS)
             stage.journal.add(machine.entry("Terminating"))
             body = json.dumps(stage.journal.known(2)).encode()
             request.connection.stream.send(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             )
-            stage.hub.clock.jump(stage.hub.now_us() + 400 * MS)  # longer than the grace
+            stage.hub.clock.jump(stage.hub.now_us() + 400 * MS)  # longer than the grace period
             raise PeerGone("said")
 
         stage.sleep(1500)
-        stage.journal.troubles.append(told_and_stands_still)
+        stage.journal.troubles.append(send_drain_then_stall)
         while stage.journal.troubles:
             stage.sleep(5)
         while stage.hub.now_us() - stage.placer_started_us < 2250 * MS:
             stage.sleep(5)
         assert len(machine.set_ups()) == 1
-        now_is_the_time.append(True)
+        may_send_drain.append(True)
         stage.sleep(1500)
         assert len(machine.set_ups()) == 1
         assert stage.placer.life.counts["sends_behind_list"] > 0
@@ -164,7 +164,7 @@
 
 
 def test_a_cold_machine_that_stands_still_is_sent_one_share_in_any_span() -> None:
-    """The page counts what is sent within any span; the second share may lie unread beside the first."""
+    """The rule counts the offers sent within any span of time; two shares may be unread at the machine at once."""
 
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
@@ -183,7 +183,7 @@
             )
         stage.sleep(6000)
         assert len(waiting) == 8, (
-            "held back by the shares alone, until the module's starts are all out"
+            "only the shares hold offers back, until all of the module's starts are sent"
         )
         machine.on_set_up = machine.take
         for stream, message in waiting:
@@ -201,7 +201,7 @@
 # -- the close of a connection
 
 
-def proven_and_idle(stage: Stage) -> None:
+def leave_idle_owner(stage: Stage) -> None:
     stage.owner.ask(1, name="1" * 16)
     stage.sleep(20)
     stage.machines[0].tell(with_cause(Kind.RELEASE, 1, Cause.OVER))
@@ -210,15 +210,15 @@
 
 def test_a_set_up_that_lies_unread_as_its_connection_is_swept_is_answered() -> None:
     def play(stage: Stage) -> None:
-        proven_and_idle(stage)
+        leave_idle_owner(stage)
         stage.sleep((IDLE_US - 300 * MS) // MS)
 
-        def at_once() -> None:
-            # All that is due runs before what came is read: the sweep finds the connection idle for too long.
+        def send_then_stall() -> None:
+            # Due timers run before received data is read, so the sweep finds the connection idle for too long.
             stage.owner.ask(2, name="2" * 16)
             stage.hub.clock.jump(stage.hub.now_us() + 700 * MS)
 
-        stage.hub.spawn(at_once, "stall")
+        stage.hub.spawn(send_then_stall, "stall")
         stage.sleep(1200)
         assert Kind.ANSWER in stage.owner.kinds(2)
         assert stage.owner.ended_us is None
@@ -232,7 +232,7 @@
         stage.owner.ask(1, name="1" * 16)
         stage.sleep(20)
         while stage.owner.ended_us is None:
-            stage.sleep(20)  # idle: closed here
+            stage.sleep(20)  # until the placer closes the idle connection
         stage.owner.stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(50)
         assert [
@@ -244,7 +244,7 @@
 
 def test_a_set_up_that_crosses_the_close_is_neither_taken_nor_reset_and_can_go_again() -> None:
     def play(stage: Stage) -> None:
-        proven_and_idle(stage)
+        leave_idle_owner(stage)
         while stage.owner.ended_us is None:
             stage.sleep(20)
         stage.owner.ask(2, name="2" * 16)
@@ -272,9 +272,7 @@
         make_room = owners._make_room
 
         def ask_first() -> None:
-            stage.owner.ask(
-                1
-            )  # the oldest silent one, which would go: unread as the next one is counted
+            stage.owner.ask(1)  # the longest silent connection, next to be closed, has unread data
             make_room()
 
         owners._make_room = ask_first  # type: ignore[method-assign]
@@ -293,7 +291,7 @@
         clients = [stage.client() for _ in range(8)]
         clients[0].stream.send(
             encode(Kind.SET_UP, 5, {Code.DESCRIPTION: DESCRIPTION})[:9]
-        )  # half a message
+        )  # a partial message
         stage.sleep((SILENT_US + 300 * MS) // MS)
         assert all(client.ended_us is not None for client in clients)
         stage.sleep(600)
@@ -309,10 +307,10 @@
 def test_what_comes_within_its_time_after_sigterm_is_answered_whatever_the_longest_deadline(
     deadline_ms: int,
 ) -> None:
-    """New connections come until 0.4 s and requests 0.2 s more; SIGKILL no sooner than the deadline and 0.7 s."""
+    """Connections arrive until 0.4 s and requests until 0.6 s; SIGKILL comes no sooner than the deadline plus 0.7 s."""
 
     def play(stage: Stage) -> None:
-        told = stage.hub.now_us()
+        sigterm_us = stage.hub.now_us()
         stage.placer.finish()
         stage.placer.finish()  # a second SIGTERM
         stage.sleep(400)
@@ -323,13 +321,13 @@
         assert late.kinds(1) == [Kind.ANSWER]
         while stage.ended_us is None:
             stage.sleep(10)
-        assert (stage.ended_us - told) // MS <= min(3000, deadline_ms) + 700
+        assert (stage.ended_us - sigterm_us) // MS <= min(3000, deadline_ms) + 700
 
     Stage(1, deadline_ms=deadline_ms).run(play)
 
 
 def test_at_its_end_a_placer_resets_no_answer_away() -> None:
-    """A client that talks on as the placer ends reads its answer and then an end, not a reset."""
+    """A client that keeps sending while the placer exits reads its answer and then end of stream, not a reset."""
 
     def play(stage: Stage) -> None:
         ends: list[int] = []
@@ -353,6 +351,6 @@
                 break
         assert client.ended_us is not None
         assert client.kinds(1) == [Kind.ANSWER]
-        assert not ends or ends[0] > client.ended_us, "its end was read before any reset"
+        assert not ends or ends[0] > client.ended_us, "end of stream was read before any reset"
 
     Stage(1).run(play)
--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -1,4 +1,4 @@
-"""The request requests's table, and what is wrong with a set-up."""
+"""The request table's transitions, and the validation of set-ups."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 @pytest.mark.parametrize("late", list(Step))
 def test_a_final_answer_is_given_once_whatever_comes_late(final: Step, late: Step) -> None:
     requests = RequestTable()
-    asked = task(requests)
+    requested = task(requests)
     assert requests.pending == 1
-    assert requests.step(asked, final)
+    assert requests.step(requested, final)
     assert requests.pending == 0
-    again = requests.step(asked, late)
-    assert again is (final is Step.START and late in (Step.WITHDRAW, Step.END, Step.MOVE))
+    changed = requests.step(requested, late)
+    assert changed is (final is Step.START and late in (Step.WITHDRAW, Step.END, Step.MOVE))
     assert requests.pending == 0
-    assert bool(requests.unexpected_transitions) is not again
-    assert not asked.passed_on  # what was only for machines is not kept
+    assert bool(requests.unexpected_transitions) is not changed
+    assert not requested.passed_on  # parameters for machines are not kept after the final answer
 
 
 @pytest.mark.parametrize("end", [Step.END, Step.MOVE, Step.WITHDRAW])
@@ -77,27 +77,27 @@
 
 
 def test_a_set_up_is_read_whole() -> None:
-    asked = read({Code.RETRY: b"1"})
-    assert (asked.name, asked.service, asked.cores, asked.memory) == (
+    set_up = read({Code.RETRY: b"1"})
+    assert (set_up.name, set_up.service, set_up.cores, set_up.memory) == (
         "7f3a9c21e0b4d655",
         "00000000b4d65521",
         1,
         2,
     )
-    assert (asked.patience_us, asked.hint_us, asked.again, asked.at) == (
+    assert (set_up.patience_us, set_up.hint_us, set_up.again, set_up.at) == (
         1_500_000,
         8_200_000,
         True,
         None,
     )
-    assert set(asked.passed_on) == {Code.CLASS, Code.NAME, Code.DESCRIPTION}
+    assert set(set_up.passed_on) == {Code.CLASS, Code.NAME, Code.DESCRIPTION}
 
 
 def test_what_a_machine_holds_already_needs_no_patience() -> None:
     figures = GOOD[Code.FIGURES] + b";at:s-00c41f7a"
     for patience in (None, b"-3100", b"0"):
-        asked = read({Code.FIGURES: figures, Code.PATIENCE: patience})
-        assert asked.at == "s-00c41f7a"
+        set_up = read({Code.FIGURES: figures, Code.PATIENCE: patience})
+        assert set_up.at == "s-00c41f7a"
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_trace.py
+++ b/tests/relay/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of tasks: bounded, off unless asked for, and complete enough to follow a release by its id."""
+"""The trace of tasks: bounded, off by default, and complete enough to follow a release by its task id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Lines:
-    """What a trace wrote."""
+    """Records the fields of each event that a trace writes."""
 
     def __init__(self) -> None:
         self.fields: list[dict[str, Any]] = []
