--- a/tests/relay/test_machines.py
+++ b/tests/relay/test_machines.py
@@ -273,9 +273,8 @@
 
 def test_connections_to_machines_are_bounded_in_all() -> None:
     def play(stage: Stage) -> None:
-        stage.owner.ask(
-            100, name="f" * 16
-        )  # an owner with a placed task may have many open set-ups
+        # An owner with a placed task may have many open set-ups.
+        stage.owner.ask(100, name="f" * 16)
         stage.sleep(50)
         for machine in stage.machines:
             machine.on_set_up = lambda stream, message: None
--- a/tests/relay/test_offers.py
+++ b/tests/relay/test_offers.py
@@ -80,9 +80,8 @@
             stage.owner.ask(task, name=f"{task:016x}", figures=f"cores:1;memory:1;service:s{task}")
         stage.sleep(500)
         assert all(stage.owner.kinds(task) == [Kind.ANSWER] for task in range(1, 9))
-        assert (
-            1 <= len(stage.machines[1].set_ups()) <= 4
-        )  # the refusal's reason keeps further offers away
+        # The refusal's reason keeps further offers away.
+        assert 1 <= len(stage.machines[1].set_ups()) <= 4
 
     Stage().run(play)
 
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -272,7 +272,8 @@
         make_room = owners._make_room
 
         def ask_first() -> None:
-            stage.owner.ask(1)  # the longest silent connection, next to be closed, has unread data
+            # The longest silent connection would be closed next, but now has unread data.
+            stage.owner.ask(1)
             make_room()
 
         owners._make_room = ask_first  # type: ignore[method-assign]
@@ -289,9 +290,8 @@
 def test_silent_connections_are_closed_within_their_time_and_their_descriptors_come_back() -> None:
     def play(stage: Stage) -> None:
         clients = [stage.client() for _ in range(8)]
-        clients[0].stream.send(
-            encode(Kind.SET_UP, 5, {Code.DESCRIPTION: DESCRIPTION})[:9]
-        )  # a partial message
+        # A partial message.
+        clients[0].stream.send(encode(Kind.SET_UP, 5, {Code.DESCRIPTION: DESCRIPTION})[:9])
         stage.sleep((SILENT_US + 300 * MS) // MS)
         assert all(client.ended_us is not None for client in clients)
         stage.sleep(600)
--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -39,10 +39,10 @@
 @pytest.mark.parametrize("end", [Step.END, Step.MOVE, Step.WITHDRAW])
 def test_a_task_that_stands_ends_once_and_is_forgotten(end: Step) -> None:
     requests = RequestTable()
-    stands = task(requests, state=State.RUNNING)
+    running = task(requests, state=State.RUNNING)
     assert requests.pending == 0
-    assert requests.step(stands, end)
-    assert not requests.step(stands, Step.END)
+    assert requests.step(running, end)
+    assert not requests.step(running, Step.END)
     assert not requests.by_ident
     assert not requests.by_request
 
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -22,7 +22,7 @@
 
     PENDING = "asked"  # its owner awaits the final answer
     RUNNING = "running"  # its owner must be sent a release when it ends
-    OVER = "over"
+    ENDED = "over"
 
 
 class Step(Enum):
@@ -38,12 +38,12 @@
 
 _TRANSITIONS: dict[tuple[State, Step], State] = {
     (State.PENDING, Step.START): State.RUNNING,
-    (State.PENDING, Step.REFUSE): State.OVER,
-    (State.PENDING, Step.FAIL): State.OVER,
-    (State.PENDING, Step.WITHDRAW): State.OVER,
-    (State.RUNNING, Step.WITHDRAW): State.OVER,
-    (State.RUNNING, Step.END): State.OVER,
-    (State.RUNNING, Step.MOVE): State.OVER,
+    (State.PENDING, Step.REFUSE): State.ENDED,
+    (State.PENDING, Step.FAIL): State.ENDED,
+    (State.PENDING, Step.WITHDRAW): State.ENDED,
+    (State.RUNNING, Step.WITHDRAW): State.ENDED,
+    (State.RUNNING, Step.END): State.ENDED,
+    (State.RUNNING, Step.MOVE): State.ENDED,
 }
 
 
@@ -73,9 +73,8 @@
     cls: api.TaskClass
     arrival: api.TaskArrived
     owner: OwnerConnection | None  # the connection it arrived on, until the final answer
-    passed_on: dict[
-        int, bytes
-    ]  # parameters forwarded unchanged to machines, until the final answer
+    # Parameters that are forwarded unchanged to machines; emptied by the final answer.
+    passed_on: dict[int, bytes]
     state: State = State.PENDING
     binds: int = 0  # number of Binds, including dropped ones
     earlier_attempt: EarlierAttempt | None = None  # the first attempt that may have run
@@ -113,7 +112,7 @@
             self.answered += step is not Step.WITHDRAW
             task.passed_on, task.owner = {}, None
         task.state = after
-        if after is State.OVER:
+        if after is State.ENDED:
             if self.by_ident.get(task.ident) is task:
                 del self.by_ident[task.ident]
             self.by_request.pop(task.request, None)
