--- a/tests/relay/test_tasks.py
+++ b/tests/relay/test_tasks.py
@@ -84,7 +84,7 @@
         1,
         2,
     )
-    assert (set_up.patience_us, set_up.hint_us, set_up.again, set_up.at) == (
+    assert (set_up.patience_us, set_up.hint_us, set_up.is_retry, set_up.running_on) == (
         1_500_000,
         8_200_000,
         True,
@@ -97,7 +97,7 @@
     figures = GOOD[Code.FIGURES] + b";at:s-00c41f7a"
     for patience in (None, b"-3100", b"0"):
         set_up = read({Code.FIGURES: figures, Code.PATIENCE: patience})
-        assert set_up.at == "s-00c41f7a"
+        assert set_up.running_on == "s-00c41f7a"
 
 
 @pytest.mark.parametrize(
--- a/wingbarrow/relay/configuration.py
+++ b/wingbarrow/relay/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a placer: the environment RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG and the JSON it names."""
+"""Reads a placer's configuration: RELAY_NAME, RELAY_LISTEN, and the JSON file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from wingbarrow import interface as api
 from wingbarrow.decide.descriptors import LEAST
-from wingbarrow.reader import Part, settings_of, shown
+from wingbarrow.settings_parser import JsonValue, format_value, parse_settings
 
 MAX_FILE_BYTES = 16 << 20
-# Bounds that are absent or 0: nothing is told, and these hold. Below the shortest, nothing could be done in time.
-DIAL_US = 250_000
-MAX_STAY_AWAY_US = 1_000_000
-CONN_IDLE_US = 30_000_000
-MIN_BOUND_US = 1_000
-TICK_PART = 20  # of the shortest deadline: no more than this part is kept back before a deadline
-MAX_DIGITS = 300  # of a whole number; a longer one is no float, and counts as infinite
+# Defaults for intervals that are absent or 0 in `settings.bounds`.
+DEFAULT_DIAL_TIMEOUT_US = 250_000
+DEFAULT_MAX_RETRY_AFTER_US = 1_000_000
+DEFAULT_CONN_IDLE_US = 30_000_000
+MIN_INTERVAL_US = 1_000  # lower bound of configured intervals; nothing finishes within less
+MIN_TICKS_PER_DEADLINE = 20  # the tick, reserved before deadlines, is at most 1/20 of the shortest
+MAX_INT_DIGITS = 300  # longer integers overflow a float and are read as infinite
 
 
 class BadConfiguration(Exception):
-    """The configuration cannot be used; the text names what is wrong."""
+    """The configuration is unusable; the message names the key and the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A host, by number, and a port."""
+    """A numeric IPv4 or IPv6 address and a port."""
 
     host: str
     port: int
@@ -40,23 +40,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that one start is told; times in microseconds."""
+    """The configuration of one process; times in microseconds."""
 
     name: str
     listen: Address
     seed: int
     sockets: int
     journal: Address
-    known: Any  # of the journal service's form, up to now
+    known: Any  # the machine list so far, in the JSON form of the journal service
     settings: api.Settings
     dial_us: int
-    stay_away_most_us: int
-    patience_us: int  # the longest of any class
-    conn_idle_us: int = CONN_IDLE_US  # idle connections are closed after this interval
+    max_retry_after_us: int
+    patience_us: int  # longest deadline of any class
+    conn_idle_us: int = (
+        DEFAULT_CONN_IDLE_US  # connections are closed after being idle for this interval
+    )
 
 
 def read_address(text: object, what: str) -> Address:
-    """HOST:PORT; BadConfiguration with `what` otherwise."""
+    """Parse HOST:PORT with a numeric host; raises BadConfiguration, naming `what`, for anything else."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (
         host
@@ -66,17 +68,17 @@
         and len(port) <= 5
         and int(port) < 65536
     ):
-        raise BadConfiguration(f"{what}: not an address: {shown(text)}")
+        raise BadConfiguration(f"{what}: not an address: {format_value(text)}")
     host = host.strip("[]")
     try:
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except (OSError, ValueError):
-        raise BadConfiguration(f"{what}: not a host by number: {shown(text)}") from None
+        raise BadConfiguration(f"{what}: not a numeric IP address: {format_value(text)}") from None
     return Address(host, int(port))
 
 
-def _whole_number(digits: str) -> int | float:
-    return int(digits) if len(digits) <= MAX_DIGITS else float(digits)
+def _parse_int(digits: str) -> int | float:
+    return int(digits) if len(digits) <= MAX_INT_DIGITS else float(digits)
 
 
 def _load(path: str) -> dict[str, Any]:
@@ -88,7 +90,7 @@
     if len(raw) > MAX_FILE_BYTES:
         raise BadConfiguration(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
-        value = json.loads(raw, parse_int=_whole_number)
+        value = json.loads(raw, parse_int=_parse_int)
     except (ValueError, RecursionError) as error:
         raise BadConfiguration(f"{path}: {error}") from None
     if not isinstance(value, dict):
@@ -96,75 +98,77 @@
     return value
 
 
-def _seed(part: Part) -> int:
+def _seed(part: JsonValue) -> int:
     try:
         return int(str(part.value), 16)
     except ValueError:
-        raise part.wrong("not hex digits") from None
+        raise part.error("not hex digits") from None
 
 
-def _known(part: Part) -> Any:
-    """The journal service's form; what its events hold is judged where they are read."""
+def _known(part: JsonValue) -> Any:
+    """Check the outer form of the known machine list; its events are validated where they are parsed."""
     position = part.at("pos")
     if isinstance(position.value, bool) or not isinstance(position.value, int):
-        raise position.wrong("not a position")
+        raise position.error("not a position")
     part.at("entries").items()
     return part.value
 
 
-def _bound(settings: Part, key: str, usual: int) -> int:
-    """A time of the site's bounds, in microseconds; `usual` where it is absent or 0."""
+def _interval_us(settings: JsonValue, key: str, default_us: int) -> int:
+    """An interval from `settings.bounds`, in microseconds; `default_us` if absent or 0."""
     part = settings.find(f"bounds.{key}")
-    told = 0 if part is None else part.whole()
-    return max(MIN_BOUND_US, told) if told else usual
+    value_us = 0 if part is None else part.microseconds()
+    return max(MIN_INTERVAL_US, value_us) if value_us else default_us
 
 
-def _deadlines(settings: Part) -> list[int]:
-    return [lane.at("deadline_us").whole() for lane in settings.at("lanes").items()]
+def _deadlines(settings: JsonValue) -> list[int]:
+    return [lane.at("deadline_us").microseconds() for lane in settings.at("lanes").items()]
 
 
-def _scheduler(part: Part) -> api.Settings:
-    """The scheduler's settings, with a tick that leaves time before the shortest deadline.
+def _scheduler(part: JsonValue) -> api.Settings:
+    """The scheduler's settings, with the tick limited to a fraction of the shortest deadline.
 
-    Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here; one as
-    long as a deadline would have every set-up of its class turned away, as out of time.
+    Danger (rule 1): `quantum_us` is the interval between the simulator's batches, which do not exist here. With a
+    quantum as long as a deadline, every set-up of that class would be rejected as out of time.
     """
-    settings = settings_of(part.value, part.path)
-    tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // TICK_PART))
+    settings = parse_settings(part.value, part.path)
+    tick_us = max(1, min(settings.tick_us, min(_deadlines(part)) // MIN_TICKS_PER_DEADLINE))
     return replace(settings, tick_us=tick_us)
 
 
 def load(environment: Mapping[str, str]) -> Configuration:
-    """Read the environment and the file it names; BadConfiguration says in one line what is wrong, by its key."""
+    """Read the environment and the file it names; raises BadConfiguration with a one-line message naming the key."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
-    whole = Part(_load(path))
+    root = JsonValue(_load(path))
     listen = environment.get("RELAY_LISTEN")
     name = environment.get("RELAY_NAME")
     try:
-        settings, sockets = whole.at("settings"), whole.at("limits.sockets")
+        settings, sockets = root.at("settings"), root.at("limits.sockets")
         if sockets.count() < LEAST:
-            raise sockets.wrong(f"no fewer than {LEAST} will do")
+            raise sockets.error(f"must be at least {LEAST}")
         return Configuration(
-            name=name or whole.at("name").name(),
+            name=name or root.at("name").name(),
             listen=read_address(
-                listen or whole.at("listen").value, "RELAY_LISTEN" if listen else "listen"
+                listen or root.at("listen").value, "RELAY_LISTEN" if listen else "listen"
             ),
-            seed=_seed(whole.at("seed")),
+            seed=_seed(root.at("seed")),
             sockets=sockets.count(),
-            journal=read_address(whole.at("journal").value, "journal"),
-            known=_known(whole.at("known")),
+            journal=read_address(root.at("journal").value, "journal"),
+            known=_known(root.at("known")),
             settings=_scheduler(settings),
-            dial_us=_bound(settings, "dial_timeout_us", DIAL_US),
-            stay_away_most_us=_bound(settings, "max_retry_after_us", MAX_STAY_AWAY_US),
+            dial_us=_interval_us(settings, "dial_timeout_us", DEFAULT_DIAL_TIMEOUT_US),
+            max_retry_after_us=_interval_us(
+                settings, "max_retry_after_us", DEFAULT_MAX_RETRY_AFTER_US
+            ),
             patience_us=max(_deadlines(settings)),
-            conn_idle_us=_bound(settings, "conn_idle_us", CONN_IDLE_US),
+            conn_idle_us=_interval_us(settings, "conn_idle_us", DEFAULT_CONN_IDLE_US),
         )
     except (BadConfiguration, ValueError) as error:
         raise BadConfiguration(f"{path}: {error}") from None
 
 
 def load_journal(path: str) -> Address:
-    """The journal service's address alone, from a file that was replaced; BadConfiguration where it has none."""
+    """Read only the journal service's address, from a replaced file; raises BadConfiguration if it has none."""
     return read_address(_load(path).get("journal"), "journal")
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -13,7 +13,6 @@
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
-from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Connection, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.outcomes import (
@@ -28,6 +27,7 @@
 from wingbarrow.relay.probes import Probes
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
+from wingbarrow.settings_parser import parse_report
 
 # After a restart of the placer, a machine may release a task before its owner has reported it here.
 EARLY_RELEASE_TTL_US = 8_500_000
@@ -58,7 +58,7 @@
         self._gate, self._slack_us = SendGate(settings.cold_us, settings.fall_us), settings.tick_us
         self.probes = Probes(life, host, links)
         # Whether updates of the machine list may have arrived and not been read.
-        self.is_list_behind: Callable[[int], bool] = lambda now_us: False
+        self.list_has_stale_input: Callable[[int], bool] = lambda now_us: False
         # Cause and expiry time of releases of unknown tasks, by machine and task id.
         self._early_releases: OrderedDict[tuple[int, int], tuple[int, int]] = OrderedDict()
 
@@ -145,12 +145,12 @@
 
     def _send(self, attempt: Attempt, connection: Connection) -> None:
         task, link = attempt.task, attempt.link
-        if self.is_list_behind(self._life.hub.now_us()):
+        if self.list_has_stale_input(self._life.hub.now_us()):
             # Danger (rule 3): a drain may have arrived unread. The next turn of the event loop reads the list first.
             self._life.counts["sends_behind_list"] += 1
             self._life.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.is_behind(self._life.hub.now_us()):
+        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
             # Danger: the owner's close or release may have arrived unread. The attempt starts once that data is read.
             self._life.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
@@ -315,13 +315,13 @@
             self._trace(task.ident, "answer passed on", owner=owner.number)
             if not owner.write(encode(Kind.ANSWER, task.ident, {Code.DESCRIPTION: description})):
                 return False
-            self._owners.proven(owner)
+            self._owners.mark_proven(owner)
         return True
 
     def _on_release(self, attempt: Attempt, message: Message) -> None:
         cause = message.cause
         reason = reason_of(message)
-        report = read_report(message.text(Code.REPORT) or "-", ";")
+        report = parse_report(message.text(Code.REPORT) or "-", ";")
         self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
             self._end_run(
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -5,9 +5,9 @@
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
-from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Link, Links
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
+from wingbarrow.settings_parser import parse_report
 
 PROBE_TIMEOUT_US = 1_000_000
 TEST_ID_BIT = 1 << 63  # set in the ids of this placer's tests, with a counter in the bits below
@@ -50,6 +50,6 @@
             self._pending.pop(message.task, None)
             return
         del self._pending[message.task]
-        report = read_report(message.text(Code.REPORT) or "-", ";")
+        report = parse_report(message.text(Code.REPORT) or "-", ";")
         outcome = api.Outcome.DONE if message.values.get(Code.CAUSE) != b"\0" else api.Outcome.ERROR
         self._host.feed(api.Probed(link.ident, outcome, report))
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -57,7 +57,7 @@
     def write(self, data: bytes) -> bool:
         """Send `data`; False if the connection can no longer be used."""
 
-    def is_behind(self, now_us: int) -> bool:
+    def has_stale_input(self, now_us: int) -> bool:
         """Whether data that arrived a while ago may be unread, such as the owner's close or release."""
 
     def when_read(self, call: Callable[[], None]) -> None:
