--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -260,7 +260,7 @@
             why = f"unreadable: {error}"
             self._life.counts["machines:unreadable"] += 1
             self._life.log(
-                "malformed-machine-message", level="warning", machine=self.name, why=str(error)
+                "machine-protocol-error", level="warning", machine=self.name, why=str(error)
             )
         except PeerGone as error:
             why = str(error)
