--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from wingbarrow.core.life import Life
-from wingbarrow.decide.connection_limits import ConnectionLimits, OwnerConnection
+from wingbarrow.decide.connection_limits import ConnectionActivity, ConnectionLimits
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
-from wingbarrow.relay.tasks import Asker, Task
+from wingbarrow.relay.tasks import OwnerConnection, Task
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
@@ -33,7 +33,7 @@
 
     __slots__ = (
         "_read_callbacks",
-        "connection",
+        "activity",
         "foreign_ids",
         "framer",
         "number",
@@ -44,9 +44,9 @@
     )
 
     def __init__(
-        self, stream: Stream, outbox: Outbox, connection: OwnerConnection, number: int
+        self, stream: Stream, outbox: Outbox, activity: ConnectionActivity, number: int
     ) -> None:
-        self.stream, self.outbox, self.connection, self.number = stream, outbox, connection, number
+        self.stream, self.outbox, self.activity, self.number = stream, outbox, activity, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
         # Ids this client sent a set-up for while another owner had them open.
@@ -57,7 +57,7 @@
 
     def write(self, data: bytes) -> bool:
         """Queue `data` for sending; False if the connection is closed, retired, or its buffer is full."""
-        self.connection.was_written_to = True
+        self.activity.was_written_to = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
     def has_stale_input(self, now_us: int) -> bool:
@@ -120,7 +120,7 @@
         owner = Owner(
             stream,
             Outbox(hub, stream, MAX_UNSENT_BYTES),
-            OwnerConnection(hub.now_us()),
+            ConnectionActivity(hub.now_us()),
             self._accepted,
         )
         self._owners[owner] = None
@@ -138,7 +138,7 @@
                     if message is None:
                         break
                     now = hub.now_us()
-                    owner.connection.last_message_us = now
+                    owner.activity.last_message_us = now
                     self._owners.move_to_end(owner)
                     if message.kind == Kind.RELEASE_HEARD:
                         self._unacknowledged.pop(message.task, None)
@@ -187,11 +187,11 @@
     def _make_room(self) -> None:
         if len(self._owners) <= self._limits.max_connections and self._free_descriptor():
             return
-        connections = {owner.connection: owner for owner in self._owners if owner.stream.open}
+        connections = {owner.activity: owner for owner in self._owners if owner.stream.open}
         fallback: Owner | None = None
         for _ in range(MAX_CLOSE_CANDIDATES):
             chosen = self._limits.connection_to_close(
-                [(each.connection, len(each.tasks)) for each in connections.values()]
+                [(each.activity, len(each.tasks)) for each in connections.values()]
             )
             if chosen is None:
                 break
@@ -214,11 +214,11 @@
                 if (
                     owner.stream.open
                     and not owner.retired
-                    and self._limits.is_idle(now, owner.connection, len(owner.tasks))
+                    and self._limits.is_idle(now, owner.activity, len(owner.tasks))
                     and owner.stream.is_quiet()
                     and not owner.framer.ready
                 ):
-                    self.retire(owner, "idle" if owner.connection.proven else "silent")
+                    self.retire(owner, "idle" if owner.activity.proven else "silent")
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
@@ -234,7 +234,7 @@
         now = self._life.hub.now_us()
         while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
             self._unacknowledged.popitem(last=False)
-        if closed.connection.proven:
+        if closed.activity.proven:
             for ident in [
                 ident for ident, (_, owner, _) in self._unacknowledged.items() if owner is closed
             ]:
@@ -266,7 +266,7 @@
         candidates = [
             each
             for each in reversed(self._owners)
-            if each.connection.proven and each.stream.open and not each.retired
+            if each.activity.proven and each.stream.open and not each.retired
         ]
         candidates.sort(key=lambda each: not each.tasks)
         owner = next((each for each in candidates if each.write(data)), None)
@@ -283,10 +283,10 @@
             self._unacknowledged.popitem(last=False)
         return True
 
-    def mark_proven(self, owner: Asker) -> None:
+    def mark_proven(self, owner: OwnerConnection) -> None:
         """Mark a connection as an owner's, as a task of it was answered; pending releases may go there."""
-        if not owner.connection.proven:
-            owner.connection.proven = True
+        if not owner.activity.proven:
+            owner.activity.proven = True
             self._send_pending()
 
     def _send_pending(self) -> None:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -101,7 +101,7 @@
             self._on_list_failure,
             known,
         )
-        self._offers.list_behind = self._follower.has_stale_input
+        self._offers.list_has_stale_input = self._follower.has_stale_input
         self._load_known(known)
 
     # -- actions of the scheduler
@@ -139,10 +139,10 @@
 
     # -- the list of machines
 
-    def _load_known(self, known: list[journal.News]) -> None:
+    def _load_known(self, known: list[journal.ListUpdate]) -> None:
         entries: dict[str, journal.Entry] = {}
         for news in known:
-            if news.whole:
+            if news.full:
                 entries.clear()
             entries.update((each.name, each) for each in news.entries)
         running = tuple(
@@ -165,9 +165,9 @@
         self._links.add(link)
         return link
 
-    def _on_list_update(self, news: journal.News) -> None:
-        form = api.ListForm.FULL if news.whole else api.ListForm.CHANGES
-        if news.whole:
+    def _on_list_update(self, news: journal.ListUpdate) -> None:
+        form = api.ListForm.FULL if news.full else api.ListForm.CHANGES
+        if news.full:
             names = {each.name for each in news.entries}
             for link in list(self._links.by_name.values()):
                 if link.name not in names:
@@ -183,7 +183,7 @@
             if link is not None:
                 self._remove_link(link)
             return
-        for other in self._links.at(entry.address):
+        for other in self._links.at_address(entry.address):
             if other.name != entry.name:
                 self._remove_link(other)  # the address now belongs to this entry's machine
         if link is not None and (link.closed or link.address != entry.address):
@@ -193,14 +193,14 @@
             link = self._add_link(entry)
             self._gone_since_us.pop(entry.name, None)
         elif listed.launched_us > link.launched_us:
-            self._offers.restarted(link, listed.launched_us)
+            self._offers.on_restarted(link, listed.launched_us)
         link.phase, link.launched_us = listed.phase, listed.launched_us
 
     def _remove_link(self, link: Link) -> None:
         if not link.closed:
             link.phase = api.Phase.GONE
             link.close()
-            self._offers.lost(link)
+            self._offers.on_lost(link)
             self._gone_since_us[link.name] = self.life.hub.now_us()
 
     def _on_list_failure(self) -> None:
@@ -242,7 +242,7 @@
             now = hub.now_us()
             for link in list(self._links.by_name.values()):
                 if not link.closed:
-                    link.look_after(now)
+                    link.supervise(now)
             for name, since_us in list(self._gone_since_us.items()):
                 if now - since_us >= FORGET_GONE_US:
                     del self._gone_since_us[name]
@@ -266,7 +266,7 @@
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
             lag_worst_us=self.life.hub.lag.worst_us,
-            odd=dict(self._requests.odd + self._attempts.unexpected_transitions),
+            odd=dict(self._requests.unexpected_transitions + self._attempts.unexpected_transitions),
             **self.life.counts,
         )
 
