--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -201,7 +201,7 @@
             self._news.entries,
             self._news.seconds,
             placer.job_store.admission.open,
-            placer.base.counts["placed"],
+            placer.context.counts["placed"],
             self._sampler.take(),
         )
 
--- a/benchmarks/placements.py
+++ b/benchmarks/placements.py
@@ -100,7 +100,7 @@
                         "samples": sampler.take(),
                         "cpu_s": usage,
                         "ready": service.placer.ready,
-                        "counts": dict(service.placer.base.counts),
+                        "counts": dict(service.placer.context.counts),
                         "module_s": service.placer.host.module_ns / 1e9,
                     }
                 )
--- a/tests/core/subsetstage.py
+++ b/tests/core/subsetstage.py
@@ -107,9 +107,9 @@
 
     def settled_subsets(self) -> bool:
         """Whether each placer that runs reaches just what it is to hold while these live, and all of it."""
-        wanted = self.wanted([each.base.settings.name for each in self.live()])
+        wanted = self.wanted([each.context.settings.name for each in self.live()])
         return all(
-            set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
+            set(each.machines.links) == wanted[each.context.settings.name] == set(each.fleet.held)
             and all(link.reachable for link in each.machines.links.values())
             for each in self.live()
         )
--- a/tests/core/test_active_rules.py
+++ b/tests/core/test_active_rules.py
@@ -15,10 +15,10 @@
 
 def test_federation_specs_of_the_last_revision_go_on_under_a_floor() -> None:
     settings = load_text(settings_text(0, 1, 1, 8001, 8080, "/tmp/x"))
-    base: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         settings=settings, hub=SimpleNamespace(), log=lambda event, **fields: None
     )
-    active = ActiveRules(base, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
+    active = ActiveRules(context, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
     federation = Federation((Spec("orders", ("north",)),), (), (("web", "orders"),))
     rules = rules_of(settings)
     assert active.federation() == settings.federation == Federation()
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -118,7 +118,7 @@
         assert {record.where for record in stage.seen("start")} == {"node-0"}
         for machine in stage.cluster.machines[1:]:
             machine.draining = False
-        stage.cluster.placers[0].service.placer.base.counts.clear()  # type: ignore[union-attr]
+        stage.cluster.placers[0].service.placer.context.counts.clear()  # type: ignore[union-attr]
         placer = restarted(stage, calendar(stage, tmp_path, 10))
         stage.hub.sleep(30 * S)
         moved = [record for record in stage.seen("end", why="Terminated")]
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -220,7 +220,7 @@
         stage.cluster.source.show(machine.name, node_value(machine))
         assert "Placed" in stage.settled("first")
         assert "Failed" in stage.settled("second")
-        counts = slot.service.placer.base.counts  # type: ignore[union-attr]
+        counts = slot.service.placer.context.counts  # type: ignore[union-attr]
         assert counts["held:draining"] == 1
 
     stage.play(script)
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from wingbarrow.config import load_text
-from wingbarrow.core.intake import read_job
+from wingbarrow.core.job_manifest import read_job
 from wingbarrow.core.job_store import MAX_TOMBSTONES, OPEN, JobStore, State, Step
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -145,7 +145,7 @@
         status, value = answer(stream, kept)
         assert status == 201
         stage.hub.sleep(2 * S)
-        assert placer.base.counts["turned_away:out_of_patience"] == 1
+        assert placer.context.counts["turned_away:out_of_patience"] == 1
         assert [each["metadata"]["name"] for each in stage.jobs()] == ["long"]
 
     stage.play(script)
@@ -292,7 +292,7 @@
             stage.submit(f"j{turn}")
             stage.delete(f"j{turn}")
         stage.hub.sleep(S)
-        assert placer.base.counts["stops_owed"] == 0 and placer.stops.pending == 0
+        assert placer.context.counts["stops_owed"] == 0 and placer.stops.pending == 0
 
     stage.play(script)
     assert not stage.seen("offer")
@@ -309,7 +309,9 @@
             stage.delete(f"j{turn}")
         stage.hub.sleep(10 * S)
         assert not stage.jobs() and placer.stops.pending == 0
-        assert placer.base.counts["stops_sent"] <= 40 and placer.base.counts["jobs_adopted"] == 0
+        assert (
+            placer.context.counts["stops_sent"] <= 40 and placer.context.counts["jobs_adopted"] == 0
+        )
         assert not any(
             pod.phase == "Running"
             for machine in stage.cluster.machines
--- a/tests/core/test_reflector.py
+++ b/tests/core/test_reflector.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wingbarrow.config import load_text
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.logs import silent
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.lab.cluster import settings_text
@@ -42,7 +42,7 @@
 def test_a_start_is_the_same_time_at_each_reading() -> None:
     """A later one would be another start: the module forgets what it knew, offers without an answer among it."""
     hub = Hub(Jittering())
-    base = Base(hub, load_text(settings_text(0, 1, 1, 1)), silent)
+    context = CoreContext(hub, load_text(settings_text(0, 1, 1, 1)), silent)
     reflector = Reflector(
         hub,
         "127.0.0.1",
@@ -50,7 +50,7 @@
         "wingbarrow/p0",
         random.Random(1),
         10,
-        base.shift_us,
+        context.shift_us,
         lambda form, entries, gone: None,
         silent,
     )
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -77,7 +77,7 @@
         assert stage.wait(stage.settled_subsets, 90), "they are not back to what they held"
         assert stage.wanted([slot.name for slot in slots]) == before
         assert all(not each.subset.lingering for each in stage.live() if each.subset)
-        assert sum(each.base.counts["subset:released"] for each in stage.live()) > 0
+        assert sum(each.context.counts["subset:released"] for each in stage.live()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -139,7 +139,7 @@
         assert [set(each.machines.links) for each in stage.live()] == before
         assert (
             sum(
-                each.base.counts["subset:changes"] + each.fleet.reflector.refills
+                each.context.counts["subset:changes"] + each.fleet.reflector.refills
                 for each in stage.live()
             )
             == 0
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -31,10 +31,10 @@
         slot = stage.cluster.placers[0]
         assert slot.service is not None
         placer = slot.service.placer
-        whole = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
+        whole = LocalRegion(placer.context, placer.job_store, placer.fleet)._summarise(0)
         for name in list(placer.fleet.held)[:9]:
             placer.fleet.reflector.drop(name)
-        part = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
+        part = LocalRegion(placer.context, placer.job_store, placer.fleet)._summarise(0)
         assert (placer.fleet.held_fraction, part.machines, part.cores, part.memory) == (
             0.25,
             12,
@@ -44,7 +44,7 @@
         for name in list(placer.fleet.held):
             placer.fleet.reflector.drop(name)
         assert placer.fleet.held_fraction == 0.0
-        assert LocalRegion(placer.base, placer.job_store, placer.fleet).report(0) is None
+        assert LocalRegion(placer.context, placer.job_store, placer.fleet).report(0) is None
 
     stage.play(script)
 
@@ -72,7 +72,7 @@
             stage.post(slot.port, f"t{turn}")
             stage.hub.sleep(S // 20)
         stage.hub.sleep(8 * S)
-        placed = sum(each.base.counts["placed"] for each in live)
+        placed = sum(each.context.counts["placed"] for each in live)
         assert placed >= 50
         fewer = stage.changed(cold_shares=[["placer-0", 5]])
         status, _ = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": fewer})
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -102,7 +102,7 @@
         assert stage.wait(stage.settled_subsets, 60)
         fallen = zone_falls(stage)
         placer, subsets = stage.placer(0), stage.subset(0).subsets
-        before = placer.base.counts["binds"]
+        before = placer.context.counts["binds"]
         answers = burst(stage, [0], 60, pace_s=0.05)
         found = most_within(stage, fallen)
         shares = {
@@ -114,11 +114,13 @@
             "answers",
             dict(answers),
             "held",
-            placer.base.counts["held:cold_share"],
+            placer.context.counts["held:cold_share"],
         )
         assert min(shares.values()) < OFFERS // 2
         assert all(most <= shares[machine] for (_, machine), most in found.items())
-        assert placer.base.counts["binds"] - before <= 60 * 2, "offers are chosen again and again"
+        assert placer.context.counts["binds"] - before <= 60 * 2, (
+            "offers are chosen again and again"
+        )
         stage.hub.sleep(18 * S)
         assert not cold_shares(placer)._closed
         assert burst(stage, [0], 12, "warm")["placed"] == 12
@@ -190,11 +192,11 @@
             most <= subsets.cold_most(placer, machine, OFFERS)
             for (placer, machine), most in found.items()
         ), found
-        assert sum(each.base.counts["held:cold_share"] for each in stage.live()) > 0
+        assert sum(each.context.counts["held:cold_share"] for each in stage.live()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
 
 def _generous(placer: Placer) -> Settings:
-    return replace(placer.base.settings.scheduler, placers=1, index=0, fresh_offers=1000.0)
+    return replace(placer.context.settings.scheduler, placers=1, index=0, fresh_offers=1000.0)
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -255,7 +255,7 @@
             stage.hub.sleep(10 * S)
             taken = {name for each in stage.live() for name in each.fleet.held}
             assert len(taken) < 8, "nothing is taken in from a list that goes back"
-            assert sum(each.base.counts["subset:relists failed"] for each in stage.live()) > 0
+            assert sum(each.context.counts["subset:relists failed"] for each in stage.live()) > 0
         for turn in range(6):
             stage.submit_to(stage.cluster.placers[turn % 2], f"t{turn}", runs_s=2)
             stage.answer_of(stage.cluster.placers[turn % 2], f"t{turn}")
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -83,7 +83,7 @@
         assert stage.answer_of(slot, "more") == "refused"
         assert set(placer.fleet.held) == held
         assert placer.fleet.reflector.refills == 0
-        assert not placer.base.counts["subset:widened"]
+        assert not placer.context.counts["subset:widened"]
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -108,7 +108,7 @@
         assert [stage.answer_of(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
         assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
         assert not len(placer.waits)
-        assert subset.extra == 2 == placer.base.counts["subset:widened"]
+        assert subset.extra == 2 == placer.context.counts["subset:widened"]
         assert steps_us[2] - steps_us[1] >= STEP_US - 10_000
         assert steps_us[1] - asked_us >= 2 * S
         assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
@@ -137,7 +137,7 @@
         assert link.phase is Phase.DRAINING
         assert set(subset.lingering) == others | {machine}
         assert stage.wait(lambda: subset.lingering == [machine], (LINGER_US + 5 * S) / S)
-        assert placer.base.counts["subset:narrowed"] == 1
+        assert placer.context.counts["subset:narrowed"] == 1
         assert placer.fleet.reflector.refills == refills, "a step down reads no list"
         # It waits long again: the machine that is followed still is open at once.
         stage.submit_to(slot, "again", runs_s=1)
@@ -149,7 +149,7 @@
             "it was followed"
         )
         assert stage.wait(stage.settled_subsets, 60), "all are let go in the end"
-        assert placer.base.counts["subset:narrowed"] == 2
+        assert placer.context.counts["subset:narrowed"] == 2
 
     stage.play(script, start=False)
     assert stage.audit().clean
--- a/tests/lab/test_subset_days.py
+++ b/tests/lab/test_subset_days.py
@@ -51,9 +51,9 @@
     placers = [slot.service.placer for slot in outcome.cluster.placers if slot.service]
     assert not any(each.unexpected_transitions() for each in placers), "steps that the tables lack"
     told = {
-        "changes": sum(each.base.counts["subset:changes"] for each in placers),
+        "changes": sum(each.context.counts["subset:changes"] for each in placers),
         "refills": sum(each.fleet.reflector.refills for each in placers),
-        "released": sum(each.base.counts["subset:released"] for each in placers),
+        "released": sum(each.context.counts["subset:released"] for each in placers),
         "most held": max(len(each.machines.links) for each in placers),
     }
     return outcome.audit, told
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -157,10 +157,10 @@
         for slot in stage.cluster.placers[:3]:
             slot.kill()
         assert stage.wait(lambda: stage.label(alone) == "", 10)
-        moved = alone.service.placer.base.counts["drain_moves"]
+        moved = alone.service.placer.context.counts["drain_moves"]
         stage.hub.sleep(15 * S)
         assert stage.label(alone) == ""
-        assert alone.service.placer.base.counts["drain_moves"] == moved
+        assert alone.service.placer.context.counts["drain_moves"] == moved
         assert stage.phase(alone, "node-1") == "draining"
 
     stage.play(script)
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -68,7 +68,7 @@
         assert stage.label(north) == "f1"
         assert stage.give(north, "bare", spec="")[0] == 201
         stage.hub.sleep(S)
-        assert placer.base.counts["held:no_lease"]
+        assert placer.context.counts["held:no_lease"]
         assert len(stage.seen("offer", uid=uid)) == 1
         assert len(stage.seen("offer", rules="f1")) == 1, "what needs no lease goes on"
 
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -81,7 +81,7 @@
         assert not stage.offered(uid, 0)
         assert stage.starts(uid) == 1
         assert stage.north.service is not None
-        counts = stage.north.service.placer.base.counts
+        counts = stage.north.service.placer.context.counts
         assert counts["held:no_lease"] >= 1, counts
         assert stage.told(stage.north, "held")["Failed"] == "LeaseLost", (
             "its owner is answered by who took it"
@@ -221,7 +221,7 @@
         stage.north.start()
         assert stage.wait(lambda: stage.starts(uid) == 2, 25)
         assert stage.north.service is not None
-        assert stage.north.service.placer.base.counts["jobs_adopted"] == 0
+        assert stage.north.service.placer.context.counts["jobs_adopted"] == 0
         first, second = stage.seen("start", uid=uid)
         assert second.at_us >= first.data["until_us"]
         assert len(stage.running(uid)) == 1
--- a/tests/wire/test_status_golden.py
+++ b/tests/wire/test_status_golden.py
@@ -6,8 +6,8 @@
 
 from tests.wire.golden import assert_golden
 from wingbarrow.config import load_text
-from wingbarrow.core.events import Events, event_fields
-from wingbarrow.core.intake import job_value, read_job
+from wingbarrow.core.event_recorder import EventRecorder, event_fields
+from wingbarrow.core.job_manifest import job_value, read_job
 from wingbarrow.core.job_store import JobRecord, JobStore, Step
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
@@ -99,11 +99,11 @@
 def test_events() -> None:
     store = Store(WALL_US, 100)
     collection = store.collection("events")
-    events = Events(collection, "placer-0")
+    events = EventRecorder(collection, "placer-0")
     _, job = job_of("one", 1)
-    events.tell(job, "Warning", "Refused", "x" * 2000, WALL_US)
-    events.tell(job, "Normal", "Moved", "words", WALL_US + 1)
-    events.tell_node("node-1", "Normal", "DrainBegun", "words", WALL_US + 2)
+    events.record_for_job(job, "Warning", "Refused", "x" * 2000, WALL_US)
+    events.record_for_job(job, "Normal", "Moved", "words", WALL_US + 1)
+    events.record_for_node("node-1", "Normal", "DrainBegun", "words", WALL_US + 2)
     found = [each.raw for each in collection.objects.values()]
     fields = [names.encode(event_fields(names.decode(raw))) for raw in found]
     assert_golden("rest/events.jsonl", b"\n".join([*found, *fields, b""]))
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -71,7 +71,7 @@
         with Nursery(hub) as nursery:
 
             def reload() -> None:
-                fresh = reload_file(file, service.placer.base.settings, log)
+                fresh = reload_file(file, service.placer.context.settings, log)
                 if fresh is not None:
                     service.placer.apply_settings(fresh)
                     log("settings-taken", file=str(file))
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.leases import RulesInForce
@@ -33,8 +33,8 @@
     The placer's assembly sets the callbacks below where placers agree on rules; without `acting` they agree on none.
     """
 
-    def __init__(self, base: Base, host: Host) -> None:
-        self._base = base
+    def __init__(self, context: CoreContext, host: Host) -> None:
+        self._context = context
         self._host = host
         # What may be acted on at a time; None for nothing.
         self.acting: Callable[[int], RulesInForce | None] | None = None
@@ -46,13 +46,13 @@
         self.label = ""  # of the rule set that the module goes by
         self._text = ""
         self._rules: RuleSet | None = None
-        self._federation = base.settings.federation
+        self._federation = context.settings.federation
         self._classes: frozenset[str] = frozenset()
         self._barred: frozenset[str] = frozenset()
         self._is_cold_limited = False  # the cold budget is a limit of the whole fleet
         self._cold_share: int | None = None  # of that limit, as the module was told last
         self._cold_reduced_us = 0  # when that became less last
-        self._changed = Signal(base.hub)  # another rule set, or other quotas
+        self._changed = Signal(context.hub)  # another rule set, or other quotas
         self._waiting = 0  # Jobs that wait for that
 
     # -- what changes
@@ -61,7 +61,7 @@
         """Act on another rule set; with an empty text on none, and the module keeps the one it has."""
         self.label = label
         self._changed.notify()
-        self._base.log("rules", label=label or "none")
+        self._context.log("rules", label=label or "none")
         if not text:
             return
         rules = self._rules = parse_rule_set(text)
@@ -72,7 +72,7 @@
         if self._is_cold_limited:
             self.on_quotas()
         else:
-            self._host.feed(scheduler_under(self._base.settings, text))
+            self._host.feed(scheduler_under(self._context.settings, text))
         barred_before = self._barred
         self._barred = frozenset(rules.barred)
         self._classes = frozenset(each.name for each in rules.classes)
@@ -93,9 +93,9 @@
         if share == self._cold_share:
             return
         if self._cold_share is not None and share < self._cold_share:
-            self._cold_reduced_us = self._base.hub.now_us()
+            self._cold_reduced_us = self._context.hub.now_us()
         self._cold_share = share
-        self._host.feed(scheduler_under(self._base.settings, self._text, share))
+        self._host.feed(scheduler_under(self._context.settings, self._text, share))
 
     # -- what is in force
 
@@ -110,13 +110,13 @@
     def cold_offers(self) -> float:
         """Offers that one cold machine may get within the window, of all placers together."""
         if self._rules is None:
-            return self._base.settings.scheduler.fresh_offers
+            return self._context.settings.scheduler.fresh_offers
         return float(cold_total(self._rules))
 
     def check_contact(self) -> None:
         """Asked for each Job: raises ApiError 503 where this placer may act on no rules."""
-        if self.acting is not None and self.acting(self._base.hub.now_us()) is None:
-            self._base.counts["turned_away:no grant"] += 1
+        if self.acting is not None and self.acting(self._context.hub.now_us()) is None:
+            self._context.counts["turned_away:no grant"] += 1
             raise ApiError(503, NO_CONTACT, "ServiceUnavailable", retry_after_s=1)
 
     # -- limits of the whole fleet
@@ -129,7 +129,7 @@
         Danger: a share that is short here for a moment, while most of the limit is idle elsewhere, would have a fleet
         reject work that it has capacity for.
         """
-        hub = self._base.hub
+        hub = self._context.hub
         until_us = min(until_us, hub.now_us() + QUOTA_WAIT_US)
         exceeded = self.use_quota(namespace, task_class, count)
         if exceeded is None or self._waiting >= MAX_WAITING:
@@ -152,7 +152,7 @@
         quotas = self.quotas()
         if self.acting is None or quotas is None or self._rules is None:
             return None
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         names = {"namespace": namespace, "class": task_class}
         limits = [each for each in self._rules.limits if names.get(each.about) == each.name]
         acting = self.acting(now_us)
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from wingbarrow.core.base import Base
-from wingbarrow.core.events import Events, event_fields
+from wingbarrow.core.context import CoreContext
+from wingbarrow.core.event_recorder import EventRecorder, event_fields
 from wingbarrow.core.job_store import JobRecord, JobStore
 from wingbarrow.core.jobstatus import write_status
 from wingbarrow.core.nodes import NodeEntry
@@ -16,14 +16,16 @@
 class ApiObjects:
     """Publishes objects: a Job once per module event, however often it changed; a Node by list and drain calendar."""
 
-    def __init__(self, base: Base, job_store: JobStore) -> None:
-        self._base = base
+    def __init__(self, context: CoreContext, job_store: JobStore) -> None:
+        self._context = context
         self._job_store = job_store
         # The wall clock is above every version of an earlier incarnation, at less than one change a microsecond.
-        self.store = Store(base.started_us, base.settings.limits.window)
+        self.store = Store(context.started_us, context.settings.limits.window)
         self.jobs = self.store.collection("jobs")
         self.nodes = self.store.collection("nodes", _node_fields)
-        self._events = Events(self.store.collection("events", event_fields), base.settings.name)
+        self._events = EventRecorder(
+            self.store.collection("events", event_fields), context.settings.name
+        )
         self._dirty: dict[str, JobRecord] = {}
         self._shown_versions: dict[
             str, int
@@ -36,7 +38,7 @@
 
     def show_new(self, job: JobRecord) -> None:
         """Publish a Job that was admitted."""
-        write_status(job, self._base.hub.clock.wall_us())
+        write_status(job, self._context.hub.clock.wall_us())
         self.jobs.put(job.key, job.value)
 
     def mark(self, job: JobRecord) -> None:
@@ -48,20 +50,20 @@
         dirty, self._dirty = self._dirty, {}
         for job in dirty.values():
             if not job.deleted:
-                write_status(job, self._base.hub.clock.wall_us())
+                write_status(job, self._context.hub.clock.wall_us())
                 self.jobs.put(job.key, job.value)
         for job in self._job_store.expired_jobs():
             self._job_store.delete(job)
             self.jobs.delete(job.key)
-            self._base.counts["jobs_forgotten"] += 1
+            self._context.counts["jobs_forgotten"] += 1
 
     def record_event(self, job: JobRecord, kind: str, reason: str, message: str) -> None:
         """Record an Event on a Job."""
-        self._events.tell(job, kind, reason, message, self._base.hub.clock.wall_us())
+        self._events.record_for_job(job, kind, reason, message, self._context.hub.clock.wall_us())
 
     def record_node_event(self, name: str, kind: str, reason: str, message: str) -> None:
         """Record an Event on a Node."""
-        self._events.tell_node(name, kind, reason, message, self._base.hub.clock.wall_us())
+        self._events.record_for_node(name, kind, reason, message, self._context.hub.clock.wall_us())
 
     # -- Nodes
 
--- a/wingbarrow/core/checkpoint.py
+++ b/wingbarrow/core/checkpoint.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from wingbarrow.core import saved_list
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet, saved_entries
 from wingbarrow.interface import ListForm
 
@@ -16,52 +16,52 @@
 class Checkpoint:
     """Loads the checkpoint at a start and keeps it up to date; does nothing without a state folder."""
 
-    def __init__(self, base: Base, fleet: Fleet) -> None:
-        self._base, self._fleet = base, fleet
+    def __init__(self, context: CoreContext, fleet: Fleet) -> None:
+        self._context, self._fleet = context, fleet
 
     def load(self) -> None:
         """Give the fleet the saved list, or an empty one where there is none or it cannot be used (logged)."""
         entries = []
-        if self._base.settings.state:
+        if self._context.settings.state:
             try:
                 entries = saved_entries(
-                    saved_list.load(Path(self._base.settings.state)), self._base.shift_us
+                    saved_list.load(Path(self._context.settings.state)), self._context.shift_us
                 )
             except ValueError as error:  # the file, or an entry of it
-                self._base.log("saved-list-unusable", level="error", why=str(error))
+                self._context.log("saved-list-unusable", level="error", why=str(error))
                 self._fleet.on_state_lost()
         self._fleet.apply(ListForm.SAVED, entries, [])
 
     def run(self) -> None:
         """Write heartbeat and list until cancelled."""
         saved_versions: dict[str, int] = {}
-        folder = Path(self._base.settings.state or ".")
-        saved_us = self._base.hub.now_us()
+        folder = Path(self._context.settings.state or ".")
+        saved_us = self._context.hub.now_us()
         while True:
             self._write_heartbeat(folder)
-            self._base.hub.sleep(HEARTBEAT_INTERVAL_US)
+            self._context.hub.sleep(HEARTBEAT_INTERVAL_US)
             # Danger (rule 5): the next incarnation may have another subset of the machines, and learns only from this
             # list of machines that are no longer in it. New ones are therefore saved at once.
             has_new_machines = (
-                self._base.settings.subset is not None
+                self._context.settings.subset is not None
                 and not self._fleet.held.keys() <= saved_versions.keys()
             )
-            is_due = self._base.hub.now_us() - saved_us >= SAVE_INTERVAL_US
+            is_due = self._context.hub.now_us() - saved_us >= SAVE_INTERVAL_US
             if not is_due and not has_new_machines:
                 continue
-            saved_us = self._base.hub.now_us()
+            saved_us = self._context.hub.now_us()
             versions = {name: entry.version for name, entry in self._fleet.held.items()}
             if versions and versions != saved_versions:
                 try:
                     saved_list.save(folder, [entry.value for entry in self._fleet.held.values()])
                     saved_versions = versions
                 except OSError as error:
-                    self._base.log("list-not-saved", level="error", why=str(error))
+                    self._context.log("list-not-saved", level="error", why=str(error))
 
     def _write_heartbeat(self, folder: Path) -> None:
         try:
-            saved_list.write_heartbeat(folder, self._base.hub.clock.wall_us())
+            saved_list.write_heartbeat(folder, self._context.hub.clock.wall_us())
         except OSError as error:
-            self._base.counts["stamps_failed"] += 1
-            if self._base.counts["stamps_failed"] == 1:
-                self._base.log("stamp-not-saved", level="error", why=str(error))
+            self._context.counts["stamps_failed"] += 1
+            if self._context.counts["stamps_failed"] == 1:
+                self._context.log("stamp-not-saved", level="error", why=str(error))
--- a/wingbarrow/core/base.py
+++ b/wingbarrow/core/context.py
@@ -10,7 +10,7 @@
 from wingbarrow.transport import Hub
 
 
-class Base(Life):
+class CoreContext(Life):
     """One placer's life; `settings` are replaced when the file is read again."""
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -8,7 +8,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.host import Host
 from wingbarrow.core.nodes import NodeEntry
@@ -25,14 +25,14 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         fleet: Fleet,
         attempts: Attempts,
         runs: Runs,
         board: ApiObjects,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._fleet = fleet
         self._attempts = attempts
@@ -78,7 +78,7 @@
     def own_running(self) -> dict[str, list[RunningTask]]:
         """Own tasks by machine, placed or offered, with when they end by their owner's hint."""
         running: dict[str, list[RunningTask]] = {}
-        wall_shift_us = self._base.hub.clock.wall_us() - self._base.hub.now_us()
+        wall_shift_us = self._context.hub.clock.wall_us() - self._context.hub.now_us()
         for attempt in self._attempts.by_key.values():
             if attempt.stage is Stage.ENDED or attempt.stopping is not None:
                 continue
@@ -103,7 +103,7 @@
             self._fleet.reapply(self._show(touched))
 
     def _narrow(self, closing: dict[str, int]) -> None:
-        shift_us = self._base.hub.now_us() - self._base.hub.clock.wall_us()
+        shift_us = self._context.hub.now_us() - self._context.hub.clock.wall_us()
         fresh = {name: at_us + shift_us for name, at_us in closing.items()}
         changes: dict[int, int | None] = {
             names.ident(name): at_us
@@ -133,17 +133,17 @@
         """Stop a placed task and request it anew; never one that must not start twice."""
         attempt = self._attempts.of(request)
         if attempt is None or _is_unsafe(attempt):
-            self._base.counts["moves_dropped"] += 1
+            self._context.counts["moves_dropped"] += 1
             return
-        self._base.counts["drain_moves"] += 1
+        self._context.counts["drain_moves"] += 1
         attempt.task.last_outcome = why
         self._runs.move(request)
 
     def report_drain(self, held: TrackedDrain) -> None:
         """Report a drain's phase to operators: a line in the log, an Event and a condition of its Node."""
-        self._base.counts["drains:" + held.phase.value] += 1
+        self._context.counts["drains:" + held.phase.value] += 1
         name = held.drain.machine
-        now = names.short_time(self._base.hub.clock.wall_us())
+        now = names.short_time(self._context.hub.clock.wall_us())
         reason = "Drain" + held.phase.value.title().replace(" ", "")
         self._board.record_node_event(
             name,
@@ -166,7 +166,7 @@
         entry = self._fleet.held.get(name)
         if entry is not None:
             self._board.show_node(entry, self._is_closed(name))
-        self._base.log(
+        self._context.log(
             "drain",
             window=held.drain.window,
             machine=held.drain.machine,
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -40,7 +40,7 @@
     """Gives up Jobs whose lease is lost, and shows what became of them."""
 
     def __init__(self, components: JobComponents, leased_jobs: LeasedJobs) -> None:
-        self._base = components.base
+        self._context = components.context
         self._store = components.store
         self._attempts = components.attempts
         self._objects = components.objects
@@ -55,7 +55,7 @@
 
     def own_jobs(self, session: Session) -> Mapping[str, OwnJob]:
         """The Jobs, by uid, that were leased under a session of this placer's; remembered from then on."""
-        if session.placer != self._base.settings.name:
+        if session.placer != self._context.settings.name:
             return {}
         text = session.text()
         given_up = self._given_up.setdefault(text, {})
@@ -102,7 +102,7 @@
                 self._store.transition(task, Step.STOP)
             elif task.state in RUNNING and attempt is not None:
                 if is_unsafe:
-                    self._base.counts["leases:left running"] += 1
+                    self._context.counts["leases:left running"] += 1
                 else:
                     self._store.transition(task, Step.LOSE)
                     self._leased_jobs.stop(attempt)
@@ -116,13 +116,13 @@
             self._requests.fail(task)
         elif is_unsafe and attempt.stage is Stage.SENT and not attempt.confirming:
             self._requests.fail(task)
-            self._base.counts["leases:left in doubt"] += 1
+            self._context.counts["leases:left in doubt"] += 1
         else:
             self._leased_jobs.fail_lease_lost(attempt, words)
 
     def on_recovered(self, recovered: RecoveredJob) -> None:
         """Show the outcome of a Job of an ended session, as a successor answered it."""
-        self._base.counts["healed:" + recovered.outcome] += 1
+        self._context.counts["healed:" + recovered.outcome] += 1
         if recovered.primary:
             where = f"{recovered.primary} has it at epoch {recovered.epoch}"
         else:
@@ -139,7 +139,7 @@
         """Show together the outcomes of a batch."""
         if not self._flush_is_due:
             self._flush_is_due = True
-            self._base.hub.call_at(self._base.hub.now_us() + FLUSH_DELAY_US, self._flush)
+            self._context.hub.call_at(self._context.hub.now_us() + FLUSH_DELAY_US, self._flush)
 
     def _flush(self) -> None:
         self._flush_is_due = False
@@ -163,12 +163,12 @@
         is_unsafe = self._is_unsafe(status)
         if not is_unsafe and self._leased_jobs.has_ended(session):
             self._stops.request(link, status.namespace, status.name)
-            self._base.counts["leases:strays stopped"] += 1
+            self._context.counts["leases:strays stopped"] += 1
         elif (session, status.name) not in self._logged_strays and (
             len(self._logged_strays) < MAX_LOGGED_STRAYS
         ):
             self._logged_strays.add((session, status.name))
-            self._base.log(
+            self._context.log(
                 "leased-stray",
                 level="warning",
                 machine=link.name,
@@ -182,5 +182,5 @@
     def _is_unsafe(self, status: PodStatus) -> bool:
         """Whether a copy's class must not start twice; one of an unknown class must not, either."""
         labels = status.value["metadata"].get("labels") or {}
-        settings = self._base.settings.classes.get(str(labels.get(names.CLASS, "")))
+        settings = self._context.settings.classes.get(str(labels.get(names.CLASS, "")))
         return settings is None or settings.task_class.effect is api.Effect.UNSAFE
--- a/wingbarrow/core/events.py
+++ b/wingbarrow/core/event_recorder.py
@@ -11,7 +11,7 @@
 KEPT = 4096
 
 
-class Events:
+class EventRecorder:
     """Writes Events into their collection; the oldest leave first."""
 
     def __init__(self, collection: Collection, source: str) -> None:
@@ -20,7 +20,9 @@
         self._keys: deque[str] = deque()
         self._count = 0
 
-    def tell(self, job: JobRecord, kind: str, reason: str, message: str, wall_us: int) -> None:
+    def record_for_job(
+        self, job: JobRecord, kind: str, reason: str, message: str, wall_us: int
+    ) -> None:
         """One Event about a Job; `kind` is Normal or Warning."""
         self._tell(
             {
@@ -37,7 +39,9 @@
             wall_us,
         )
 
-    def tell_node(self, node: str, kind: str, reason: str, message: str, wall_us: int) -> None:
+    def record_for_node(
+        self, node: str, kind: str, reason: str, message: str, wall_us: int
+    ) -> None:
         """One Event about a Node, in the namespace `default` as is usual for them."""
         self._tell(
             {"kind": "Node", "apiVersion": "v1", "name": node, "uid": names.uid("node", node)},
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -14,8 +14,8 @@
 from wingbarrow import interface as api
 from wingbarrow.core.ended_session import TAKEN_OVER, EndedSessionJobs
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.intake import JobRequest, read_job
 from wingbarrow.core.job_components import JobComponents
+from wingbarrow.core.job_manifest import JobRequest, read_job
 from wingbarrow.core.job_store import JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import UNKNOWN, LeasedJobs
 from wingbarrow.core.machine_fences import MachineFences
@@ -41,7 +41,7 @@
     """Starts the Jobs that this placer takes over, and lists those that are unknown."""
 
     def __init__(self, components: JobComponents, fleet: Fleet, leased_jobs: LeasedJobs) -> None:
-        self._base = components.base
+        self._context = components.context
         self._store = components.store
         self._objects = components.objects
         self._requests = components.requests
@@ -64,7 +64,7 @@
     def _may_start(self, record: LeasedJobRecord, free: tuple[float, float]) -> bool:
         """Whether its spec, as it is now, has it run here after its region's loss, within its part of `free`."""
         federation = self._leased_jobs.federation()
-        here = self._base.settings.region
+        here = self._context.settings.region
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None or "lost" not in spec.failover.on:
             return False
@@ -127,7 +127,7 @@
             job.conditions[UNKNOWN] = "Released", "an operator said that it never ran"
         job.conditions[TAKEN_OVER] = "Run", f"run here at epoch {start.epoch}; {former} held it"
         self._leased_jobs.jobs[record.uid] = job
-        self._base.counts["taken over"] += 1
+        self._context.counts["taken over"] += 1
         for index in start.indexes:
             task = job.tasks[index]
             task.last_outcome = ""
@@ -148,8 +148,8 @@
                 value["metadata"]["name"] = name
             request = self._read(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError) as error:
-            self._base.counts["taken over:unreadable"] += 1
-            self._base.log(
+            self._context.counts["taken over:unreadable"] += 1
+            self._context.log(
                 "taken-over-unreadable",
                 level="error",
                 job=record.key,
@@ -162,20 +162,20 @@
             **(metadata.get("annotations") or {}),
             FORMER_SESSION: record.session.text(),
         }
-        value["status"] = {"startTime": names.short_time(self._base.hub.clock.wall_us())}
+        value["status"] = {"startTime": names.short_time(self._context.hub.clock.wall_us())}
         job = self._store.add(f"{namespace}/{name}", record.uid, request, value, adopted=True)
         self._objects.show_new(job)
         return job
 
     def _read(self, value: dict[str, Any], namespace: str) -> JobRequest:
-        settings = self._base.settings
+        settings = self._context.settings
         return read_job(value, namespace, settings.classes, settings.limits, "")
 
     # -- decisions
 
     def on_reissue(self, event: ReissueEvent) -> None:
         """Log a decision, show an unknown Job, and remove one that is over."""
-        self._base.log(
+        self._context.log(
             "reissue",
             job=event.key,
             uid=event.uid,
@@ -183,7 +183,7 @@
             epoch=event.epoch,
             why=event.why,
         )
-        self._base.counts["reissue:" + event.verdict] += 1
+        self._context.counts["reissue:" + event.verdict] += 1
         replicator = self._records.replicator
         if event.verdict == ReissueDecision.UNKNOWN.value:
             record = replicator.failover_record(event.uid)
@@ -193,7 +193,9 @@
             event.verdict == ReissueDecision.NOTHING.value
             and replicator.failover_outcome(event.uid) == event.verdict
         ):
-            self._base.spawn(lambda: self._records.remove(event.uid), "lets a Job go that is over")
+            self._context.spawn(
+                lambda: self._records.remove(event.uid), "lets a Job go that is over"
+            )
 
     def _show_unknown(self, record: LeasedJobRecord, why: str) -> None:
         job = self._shown_job(record)
@@ -238,7 +240,7 @@
         record = next((each for each in unknown if each.key == key), None)
         if record is None:
             raise not_found("unknown", key)
-        self._base.log("unknown-released", level="warning", job=key, uid=record.uid, ran=ran)
+        self._context.log("unknown-released", level="warning", job=key, uid=record.uid, ran=ran)
         if not ran:
             self._records.confirm_never_ran(record.uid)
             return
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -11,7 +11,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         objects: ApiObjects,
         machines: Machines,
@@ -44,27 +44,27 @@
         runs: Runs,
         observations: Observations,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._objects = objects
         self._machines = machines
         self._attempts = attempts
         self._runs = runs
         self._observations = observations
-        self._restart_guard = RestartGuard(base.settings.scheduler.classes)
+        self._restart_guard = RestartGuard(context.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
-        settings = base.settings
+        settings = context.settings
         self.reflector = Reflector(
-            base.hub,
+            context.hub,
             settings.source_host,
             settings.source_port,
             f"wingbarrow/{settings.name}",
-            random.Random(base.random.random()),
+            random.Random(context.random.random()),
             settings.limits.machines,
-            base.shift_us,
+            context.shift_us,
             self.apply,
-            base.log,
+            context.log,
         )
         self.ready = False  # whether a list was received from the source
         self.guards: list[Guard] = []
@@ -100,7 +100,7 @@
             return
         if form is not api.ListForm.SAVED:
             self.ready = True
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         for entry in entries:
             self._restart_guard.on_machine_listed(entry.name, entry.listed, now)
         # Every entry passes here, and so the guards (rules 3 and 5).
@@ -159,7 +159,7 @@
             return api.ListedMachine(
                 link.ident, "", 0, "", api.Phase.GONE, link.launched_us, 0.0, 0.0
             )
-        entry = read_node(stored.value, self._base.shift_us).listed
+        entry = read_node(stored.value, self._context.shift_us).listed
         return replace(entry, phase=api.Phase.GONE, launched_us=link.launched_us)
 
     def release(self, name: str) -> None:
@@ -200,10 +200,10 @@
     def run_restart_timeouts(self) -> None:
         """Expire the wait for machines that cannot be reached after a restart; returns once none is waited for."""
         while not self._restart_guard.is_over:
-            if self._restart_guard.expire(self._base.hub.now_us()):
+            if self._restart_guard.expire(self._context.hub.now_us()):
                 self._reopen()
             if not self._restart_guard.is_over:
-                self._base.hub.sleep(REOPEN_US)
+                self._context.hub.sleep(REOPEN_US)
 
     def _on_pods_listed(self, name: str) -> None:
         """A machine has listed its pods of this placer."""
@@ -229,7 +229,7 @@
                 ]
             )
 
-        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, on_due)
+        self._context.hub.call_at(self._context.hub.now_us() + REOPEN_US, on_due)
 
     def has_complete_view(self, machines: int) -> bool:
         """Whether the list names at least `machines` machines and each of them has listed its pods."""
@@ -249,15 +249,15 @@
             link.close()
             offered_us, link = link.offered_us, None
         if link is None:
-            settings = self._base.settings
+            settings = self._context.settings
             link = MachineLink(
-                self._base.hub,
+                self._context.hub,
                 entry.name,
                 entry.host,
                 entry.port,
                 settings.name,
                 settings.limits.per_machine,
-                random.Random(self._base.random.random()),
+                random.Random(self._context.random.random()),
             )
             link.offered_us = offered_us
             self._machines.add(link)
@@ -276,7 +276,7 @@
                     return
                 if not self._attempts.on(link) or not link.reachable:
                     break
-                self._base.hub.sleep(1_000_000)
+                self._context.hub.sleep(1_000_000)
             if link.phase is not api.Phase.GONE:
                 return
             for attempt in self._attempts.on(link):
@@ -286,20 +286,20 @@
                 link.close()
                 self._machines.remove(link)
 
-        self._base.spawn(wait, "retire")
+        self._context.spawn(wait, "retire")
 
     def size_of(self, entry: NodeEntry | None) -> tuple[float, float]:
         """Cores and memory of a machine by its kind."""
-        return self._base.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
+        return self._context.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
 
     def probe(self, machine: int) -> None:
         """Request a machine's load report; dropped while too many probes are out."""
         link = self._machines.of(machine)
         if link is None or self._probes_out >= MAX_PROBES:
-            self._base.counts["probes_dropped"] += 1
+            self._context.counts["probes_dropped"] += 1
             return
         size = self.size_of(self.held.get(link.name))
-        self._base.counts["probes"] += 1
+        self._context.counts["probes"] += 1
         self._probes_out += 1
 
         def probe() -> None:
@@ -312,7 +312,7 @@
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
             self._host.feed(api.Probed(machine, outcome, report))
 
-        self._base.spawn(probe, "probe")
+        self._context.spawn(probe, "probe")
 
 
 def without_free_capacity(entry: NodeEntry) -> NodeEntry:
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -16,7 +16,7 @@
 from wingbarrow.transport import Timer
 
 
-class Hands(Protocol):
+class ActionHandler(Protocol):
     """Who carries out what the module decides."""
 
     def bind(self, bind: api.Bind) -> None:
@@ -47,7 +47,7 @@
         self._queue: deque[api.Event] = deque()
         self._timers: dict[str, Timer] = {}
         self._pumping = False
-        self.hands: Hands | None = None
+        self.action_handler: ActionHandler | None = None
         self.module_ns = 0  # processor time spent in the module
         self.failed: Exception | None = None
 
@@ -56,8 +56,10 @@
         self._queue.append(event)
         if self._pumping:
             return
-        hands = self.hands
-        assert hands is not None, "the placer puts the components together before anything happens"
+        action_handler = self.action_handler
+        assert action_handler is not None, (
+            "the placer puts the components together before anything happens"
+        )
         self._pumping = True
         try:
             while self._queue:
@@ -66,7 +68,7 @@
                 actions = self._scheduler.handle(self._life.hub.now_us(), happened)
                 self.module_ns += time.perf_counter_ns() - begun
                 for action in actions:
-                    self._carry_out(action, hands)
+                    self._carry_out(action, action_handler)
         except Exception as error:
             # A core that failed halfway through an event must not go on placing: the whole placer ends.
             self.failed = error
@@ -75,22 +77,22 @@
             raise
         finally:
             self._pumping = False
-        hands.flush()
+        action_handler.flush()
 
-    def _carry_out(self, action: api.Action, hands: Hands) -> None:
+    def _carry_out(self, action: api.Action, action_handler: ActionHandler) -> None:
         match action:
             case api.Bind():
-                hands.bind(action)
+                action_handler.bind(action)
             case api.Refuse(request):
-                hands.refuse(request)
+                action_handler.refuse(request)
             case api.Fail(request):
-                hands.fail(request)
+                action_handler.fail(request)
             case api.Move(request):
-                hands.move(request)
+                action_handler.move(request)
             case api.SetTimer(at_us, name):
                 self._set_timer(at_us, name)
             case api.Probe(machine):
-                hands.probe(machine)
+                action_handler.probe(machine)
             case api.WatchList():
                 self._life.counts["watch_list"] += (
                     1  # the list is followed for as long as the placer lives
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -13,9 +13,9 @@
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
-from wingbarrow.core.intake import JobRequest, job_value, read_job
+from wingbarrow.core.job_manifest import JobRequest, job_value, read_job
 from wingbarrow.core.job_store import OPEN, JobLease, JobStore, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeaseCandidate, LeasedJobs
 from wingbarrow.core.remote_regions import RemoteRegions
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         jobs: JobStore,
         attempts: Attempts,
         objects: ApiObjects,
@@ -51,7 +51,7 @@
         leased_jobs: LeasedJobs | None = None,
         remote_regions: RemoteRegions | None = None,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._attempts = attempts
         self._objects = objects
@@ -62,12 +62,15 @@
         self._active_rules = active_rules
         self._leased_jobs = leased_jobs
         self._remote_regions = remote_regions
-        self._overload = OverloadControl(base.settings.scheduler.tick_us)
+        self._overload = OverloadControl(context.settings.scheduler.tick_us)
 
     def check_overload(self, arrived_us: int) -> None:
         """Called for each Job before its body is read; raises ApiError 429 where the placer is overloaded."""
         rejected = self._overload.check_wait(
-            self._base.hub.now_us(), arrived_us, self._base.hub.lag_us(), self._jobs.unanswered
+            self._context.hub.now_us(),
+            arrived_us,
+            self._context.hub.lag_us(),
+            self._jobs.unanswered,
         )
         if rejected is not None:
             raise self._overload_error(rejected)
@@ -99,39 +102,39 @@
         arrived_us: int | None,
         is_forwarded: bool,
     ) -> dict[str, Any]:
-        base = self._base
+        context = self._context
         self._active_rules.check_contact()
-        generated_suffix = f"{base.random.randrange(36**5):05x}"[-5:]
+        generated_suffix = f"{context.random.randrange(36**5):05x}"[-5:]
         request = read_job(
-            value, namespace, base.settings.classes, base.settings.limits, generated_suffix
+            value, namespace, context.settings.classes, context.settings.limits, generated_suffix
         )
         key = f"{namespace}/{request.name}"
         self._check_name(key, request.name)
-        now = base.hub.now_us()
+        now = context.hub.now_us()
         due_us = self._due_us(request, now, now if arrived_us is None else arrived_us)
         self._check_limits(namespace, request.count)
         if not dry_run:
             self._check_fleet_limits(request, now, due_us)
-        if base.hub.now_us() > now:  # it waited for a quota: other Jobs may have been admitted
+        if context.hub.now_us() > now:  # it waited for a quota: other Jobs may have been admitted
             self._check_name(key, request.name)
             self._check_limits(namespace, request.count)
         spec = None
         if self._leased_jobs is not None:
             spec = self._leased_jobs.spec_for(request, _named_spec(value))
-        region = base.settings.region
+        region = context.settings.region
         if spec is not None and self._remote_regions is not None and not dry_run:
             region = self._remote_regions.route(request, spec, is_forwarded)
         uid = names.uid(
-            base.settings.name,
-            base.incarnation,
+            context.settings.name,
+            context.incarnation,
             key,
             self._objects.store.version,
-            base.random.random(),
+            context.random.random(),
         )
-        shown = job_value(value, request, uid, base.hub.clock.wall_us())
+        shown = job_value(value, request, uid, context.hub.clock.wall_us())
         if dry_run:
             return shown
-        is_local = region == base.settings.region
+        is_local = region == context.settings.region
         lease = None
         if spec is not None and is_local:
             lease = self._lease(key, uid, request, spec, shown, due_us)
@@ -162,7 +165,7 @@
             now_us,
             arrived_us,
             request.patience_us,
-            self._base.hub.lag_us(),
+            self._context.hub.lag_us(),
             self._jobs.unanswered,
             self._jobs.answers.total(),
         )
@@ -172,13 +175,13 @@
 
     def _overload_error(self, rejected: Rejected) -> ApiError:
         counter = "turned_away:" + rejected.why.name.lower()
-        self._base.counts[counter] += 1
-        if self._base.counts[counter] % 1000 == 1:
-            self._base.log(
+        self._context.counts[counter] += 1
+        if self._context.counts[counter] % 1000 == 1:
+            self._context.log(
                 "job-turned-away",
                 level="warning",
                 why=rejected.why.value,
-                so_far=self._base.counts[counter],
+                so_far=self._context.counts[counter],
             )
         return ApiError(429, rejected.why.value, retry_after_s=rejected.retry_after_s)
 
@@ -186,8 +189,8 @@
         """This placer's own limits on open tasks and pending stops."""
         too_many = self._jobs.admission.check(namespace, count, self._stops.pending)
         if too_many is not None:
-            self._base.counts["turned_away"] += 1
-            self._base.log(
+            self._context.counts["turned_away"] += 1
+            self._context.log(
                 "job-turned-away", level="warning", what=too_many.what, most=too_many.most
             )
             raise ApiError(
@@ -206,13 +209,13 @@
         )
         if exceeded is None:
             return
-        self._base.counts["turned_away:limit"] += 1
+        self._context.counts["turned_away:limit"] += 1
         # Random, so that clients rejected at one time do not retry at one time.
         raise ApiError(
             429,
             f"limit {exceeded.key} of the whole fleet: {exceeded.most}"
             + (f" in {exceeded.window_us / 1e6:g} s" if exceeded.window_us else " at once"),
-            retry_after_s=self._base.random.randrange(1, 5),
+            retry_after_s=self._context.random.randrange(1, 5),
         )
 
     def _lease(
@@ -242,7 +245,7 @@
         for task in job.tasks:
             self._withdraw(task)
         last = self._objects.jobs.delete(key)
-        self._base.counts["jobs_deleted"] += 1
+        self._context.counts["jobs_deleted"] += 1
         return last.value if last else job.value
 
     def _withdraw(self, task: TaskRecord) -> None:
--- a/wingbarrow/core/job_components.py
+++ b/wingbarrow/core/job_components.py
@@ -6,7 +6,7 @@
 
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.job_store import JobStore
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -17,7 +17,7 @@
 class JobComponents:
     """One placer's."""
 
-    base: Base
+    context: CoreContext
     store: JobStore
     attempts: Attempts
     objects: ApiObjects
--- a/wingbarrow/core/job_store.py
+++ b/wingbarrow/core/job_store.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.job_manifest import JobRequest
 from wingbarrow.decide.admission import Admission
 
 MAX_TOMBSTONES = 65_536
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -12,8 +12,8 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Stage
-from wingbarrow.core.intake import JobRequest
 from wingbarrow.core.job_components import JobComponents
+from wingbarrow.core.job_manifest import JobRequest
 from wingbarrow.core.job_store import OPEN, JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machine_leases import MachineLeases
@@ -65,7 +65,7 @@
         records: RecordReplication,
         federation: Callable[[], Federation],
     ) -> None:
-        self._base = components.base
+        self._context = components.context
         self._store = components.store
         self._attempts = components.attempts
         self._requests = components.requests
@@ -119,7 +119,7 @@
 
         ApiError 503 where none comes in time; then no replica has the Job.
         """
-        base = self._base
+        context = self._context
         session = self._leases.session
         if session is None or not self._leases.may_send(session.text()):
             raise self._unavailable("no lease", "this placer's lease does not hold now")
@@ -131,7 +131,7 @@
         request = candidate.request
         assert spec.failover is not None
         record = self._new_record(candidate)
-        now = base.hub.now_us()
+        now = context.hub.now_us()
         deadline_us = min(now + MAX_REPLICATION_WAIT_US, now + max(0, due_us - now) // 2)
         terms = ReplicationTerms(allowed(spec, self.federation()), spec.failover.copies)
         class_name = request.task_class.task_class.name
@@ -185,7 +185,7 @@
             session=session,
             epoch=0,
             version=0,
-            region=self._base.settings.region,
+            region=self._context.settings.region,
             spec=spec.name,
             effect=task_class.effect.value,
             group=task_class.group.value,
@@ -202,12 +202,12 @@
         )
 
     def _unavailable(self, what: str, why: str) -> ApiError:
-        self._base.counts["turned_away:" + what] += 1
+        self._context.counts["turned_away:" + what] += 1
         return ApiError(
             503,
             f"a Job whose federation spec has a failover is accepted once a keeper has it: {why}",
             "ServiceUnavailable",
-            retry_after_s=self._base.random.randrange(1, 4),
+            retry_after_s=self._context.random.randrange(1, 4),
         )
 
     # -- before an attempt is sent
@@ -242,7 +242,7 @@
         return self._not_sent(f"its keeper does not know of it: {why}") if why else None
 
     def _not_sent(self, why: str) -> Ended:
-        self._base.counts["held:no_lease"] += 1
+        self._context.counts["held:no_lease"] += 1
         return Ended(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
 
     def expiry(self, attempt: Attempt) -> str:
@@ -283,11 +283,11 @@
             self.records.record_placed(task.job.uid, known, task.deadline_us, _ignore)
             return True
         attempt.confirming = True
-        deadline_us = max(self._base.hub.now_us(), task.deadline_us - ANSWER_MARGIN_US)
+        deadline_us = max(self._context.hub.now_us(), task.deadline_us - ANSWER_MARGIN_US)
 
         def on_settled(why: str) -> None:
             # Called by the task of the peers' host, which must not be delayed by what follows.
-            self._base.spawn(
+            self._context.spawn(
                 lambda: self._on_placement_settled(attempt, why), "answers a leased Job"
             )
 
@@ -305,7 +305,7 @@
 
     def _mark_placed(self, attempt: Attempt) -> None:
         if self._attempts.advance(attempt, Stage.PLACED):
-            attempt.placed_us = self._base.hub.now_us()
+            attempt.placed_us = self._context.hub.now_us()
             if attempt.found:
                 self._requests.on_found(attempt)
             else:
@@ -326,14 +326,14 @@
         task = attempt.task
         task.last_outcome = f"LeaseLost: {why}"[:300]
         task.job.lease_lost = True
-        self._base.counts["leases:lost answers"] += 1
+        self._context.counts["leases:lost answers"] += 1
         self._requests.fail(task)
         self.stop(attempt)
 
     def stop(self, attempt: Attempt) -> None:
         """Stop a copy that was sent, or runs, and whose request is over."""
         if attempt.confirming and self._attempts.advance(attempt, Stage.PLACED):
-            attempt.placed_us = self._base.hub.now_us()
+            attempt.placed_us = self._context.hub.now_us()
         attempt.confirming = False
         attempt.abandoned = True
         if attempt.stage is Stage.PLACED:
@@ -353,7 +353,7 @@
         """Adopt a running copy that was found for an open request; False where its Job is not leased."""
         if task.job.leased is None:
             return False
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         deadline_us = task.deadline_us
         if task.state is State.ASKED:
             self._requests.withdraw(task)
@@ -424,7 +424,7 @@
             return False
         pause_us = min(MAX_RETRY_US, MIN_RETRY_US << min(task.losses, MAX_RETRY_DOUBLINGS))
         task.losses += 1
-        pause_us = pause_us // 2 + self._base.random.randrange(pause_us // 2 + 1)
+        pause_us = pause_us // 2 + self._context.random.randrange(pause_us // 2 + 1)
         if may_have_started and task_class.effect is api.Effect.KEYED:
             pause_us += task_class.window_us
         if not self._store.transition(task, Step.SCHEDULE_RETRY):
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.decide.regions.reports import RegionReport
@@ -19,8 +19,8 @@
 class LocalRegion:
     """Builds the report that goes with requests to other regions; `leased` sums what is leased here by spec."""
 
-    def __init__(self, base: Base, jobs: JobStore, fleet: Fleet) -> None:
-        self._base = base
+    def __init__(self, context: CoreContext, jobs: JobStore, fleet: Fleet) -> None:
+        self._context = context
         self._jobs = jobs
         self._fleet = fleet
         # Time, tasks and rejections in all until then, what of that was refused.
@@ -31,7 +31,7 @@
 
     def report(self, now_us: int) -> RegionReport | None:
         """The report, at most half a second old; None without a region, machines, or a list of them."""
-        settings = self._base.settings
+        settings = self._context.settings
         if (
             not settings.region
             or not settings.machines
@@ -46,7 +46,7 @@
 
     def _summarise(self, now_us: int) -> RegionReport:
         """Where this placer holds a subset of the machines, its capacity is scaled up to the region's."""
-        scheduler, sizes = self._base.settings.scheduler, self._base.sizes
+        scheduler, sizes = self._context.settings.scheduler, self._context.sizes
         capacity = [0.0, 0.0]
         free = [0.0, 0.0]
         machines = 0
@@ -65,7 +65,7 @@
         machines = round(machines / fraction)
         demanded, refused = self._recent_demand(now_us)
         return RegionReport(
-            self._base.settings.region,
+            self._context.settings.region,
             round(capacity[0], 3),
             round(capacity[1], 3),
             round(free[0], 3),
@@ -80,7 +80,9 @@
     def _recent_demand(self, now_us: int) -> tuple[int, int]:
         """Tasks answered or rejected in the window, and those of them refused or rejected."""
         rejected = sum(
-            count for name, count in self._base.counts.items() if name.startswith(REJECTED_COUNTERS)
+            count
+            for name, count in self._context.counts.items()
+            if name.startswith(REJECTED_COUNTERS)
         )
         answers = self._jobs.answers
         demanded = answers.total() + rejected
--- a/wingbarrow/core/machine_fences.py
+++ b/wingbarrow/core/machine_fences.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.machines import Machines
 from wingbarrow.decide.sessions.messages import MachineQuery, MachineReport
 from wingbarrow.peers.replication import RecordReplication
@@ -16,8 +16,10 @@
 class MachineFences:
     """Answers machine queries, each by a task of its own."""
 
-    def __init__(self, base: Base, machines: Machines, records: RecordReplication) -> None:
-        self._base = base
+    def __init__(
+        self, context: CoreContext, machines: Machines, records: RecordReplication
+    ) -> None:
+        self._context = context
         self._machines = machines
         self._records = records
         self._pending = 0
@@ -25,7 +27,7 @@
     def on_machine_query(self, ident: str, query: MachineQuery) -> None:
         """Fence a Job at a machine, and report to `ident`; a query beyond the limit is dropped, and will be retried."""
         if self._pending >= MAX_PENDING_QUERIES:
-            self._base.counts["fences dropped"] += 1
+            self._context.counts["fences dropped"] += 1
             return
         link = self._machines.links.get(query.machine)
         self._pending += 1
@@ -46,4 +48,4 @@
             )
             self._records.send_machine_report(ident, report)
 
-        self._base.spawn(fence, "asks a machine")
+        self._context.spawn(fence, "asks a machine")
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from wingbarrow.core.attempts import Attempt
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.decide.sessions.session import Session
@@ -41,8 +41,10 @@
 class MachineLeases:
     """Owns the readings of machines' clocks, and the numbers of leased attempts on each machine."""
 
-    def __init__(self, base: Base, machines: Machines, lease: SessionLease, lease_us: int) -> None:
-        self._base = base
+    def __init__(
+        self, context: CoreContext, machines: Machines, lease: SessionLease, lease_us: int
+    ) -> None:
+        self._context = context
         self._machines = machines
         self.lease = lease
         self.lease_us = lease_us
@@ -62,7 +64,7 @@
         return (
             present is not None
             and present.text() == session
-            and self.lease.may_send(self._base.hub.now_us())
+            and self.lease.may_send(self._context.hub.now_us())
         )
 
     # -- clocks
@@ -70,7 +72,7 @@
     def has_recent_clock(self, link: MachineLink) -> bool:
         """Whether its clock was read within the last lease. Danger: for so long may the two clocks drift apart."""
         clock = self._clocks.get(link)
-        return clock is not None and self._base.hub.now_us() - clock.received_us <= self.lease_us
+        return clock is not None and self._context.hub.now_us() - clock.received_us <= self.lease_us
 
     def read_clock(self, link: MachineLink) -> bool:
         """Read a machine's clock, and wait for its response; False where it has none."""
@@ -81,7 +83,7 @@
         boot, _, figure = text.rpartition(":")
         if not boot or not figure.isdecimal():
             return False
-        self._clocks[link] = MachineClock(boot, int(figure), self._base.hub.now_us())
+        self._clocks[link] = MachineClock(boot, int(figure), self._context.hub.now_us())
         return True
 
     def forget_clock(self, link: MachineLink) -> None:
@@ -117,11 +119,11 @@
     def run(self) -> None:
         """Renew until cancelled."""
         while True:
-            self._base.hub.sleep(self.lease_us // (RENEWALS_PER_LEASE * CHECKS_PER_RENEWAL))
+            self._context.hub.sleep(self.lease_us // (RENEWALS_PER_LEASE * CHECKS_PER_RENEWAL))
             self._renew_due()
 
     def _renew_due(self) -> None:
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         session = self.lease.session
         self._clocks = {
             link: clock
@@ -144,12 +146,12 @@
             due_us = renewed_us + self.lease_us // RENEWALS_PER_LEASE
             if expiry_us < self.lease.machine_lease_until_us and now >= due_us:
                 self._pending.add(name)
-                self._base.spawn(partial(self._renew, link, session.text()), f"renews on {name}")
+                self._context.spawn(partial(self._renew, link, session.text()), f"renews on {name}")
 
     def _renew(self, link: MachineLink, session: str) -> None:
         try:
             if not self.has_recent_clock(link) and not self.read_clock(link):
-                self._base.counts["leases:no clock"] += 1
+                self._context.counts["leases:no clock"] += 1
                 return
             if self.lease.session is None or self.lease.session.text() != session:
                 return  # Danger: it has ended while the clock was read.
@@ -158,9 +160,9 @@
             if reading is None:
                 self.forget_clock(link)  # it has restarted: what ran there is gone
             elif self.on_clock(link, reading):
-                self._renewed[link.name] = expiry_us, self._base.hub.now_us()
-                self._base.counts["leases:renewed"] += 1
+                self._renewed[link.name] = expiry_us, self._context.hub.now_us()
+                self._context.counts["leases:renewed"] += 1
                 return
-            self._base.counts["leases:not renewed"] += 1
+            self._context.counts["leases:not renewed"] += 1
         finally:
             self._pending.discard(link.name)
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -12,7 +12,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
@@ -90,13 +90,13 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         local: LocalMachines,
         member: MaintenanceMember,
         agreement: Callable[[], Coordinator | None],
         rules: Callable[[], RuleSet | None],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = local.fleet
         self._machines = local.machines
         self._attempts = local.attempts
@@ -111,7 +111,7 @@
         self._requests: list[SlotRequest] = []
         self._requests_us = -REQUESTS_INTERVAL_US
         self._move_allowance = 0.0
-        self._allowance_us = base.hub.now_us()
+        self._allowance_us = context.hub.now_us()
         self._calls = 0
         member.observe_by(self)
         local.drain_schedule.is_closed_by_slot = member.is_closed
@@ -143,7 +143,7 @@
     def reply_for(self, number: int) -> MachineReply:
         """The machine's last reply, for REPLY_VALID_US."""
         dialogue = self._dialogues.get(number)
-        if dialogue is None or self._base.hub.now_us() - dialogue.replied_us >= REPLY_VALID_US:
+        if dialogue is None or self._context.hub.now_us() - dialogue.replied_us >= REPLY_VALID_US:
             return MachineReply.NONE
         return dialogue.reply
 
@@ -158,7 +158,7 @@
             return None
         states = {each.name: each for each in self._drain_schedule.machine_states()}
         cells = Counter((each.zone, each.cell) for each in self._listed.values())
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         agreement = self._agreement()
         ejected = agreement.ejections.ejected(now_us) if agreement is not None else frozenset()
         lost = [
@@ -188,12 +188,12 @@
 
     def slot_requests(self) -> Sequence[SlotRequest]:
         """Requests of windows that are due, and of machines that were ejected repeatedly; made anew now and then."""
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         rules = self._rules()
         if rules is None or now_us - self._requests_us < REQUESTS_INTERVAL_US:
             return self._requests
         states = self._drain_schedule.machine_states()
-        wall_us = self._base.hub.clock.wall_us()
+        wall_us = self._context.hub.clock.wall_us()
         found = calendar_requests(rules, states, wall_us)
         found += self._ejection_requests(now_us, wall_us, states)
         self._requests = found
@@ -262,10 +262,10 @@
         """Scan slots and machines until cancelled."""
         while True:
             self._scan()
-            self._base.hub.sleep(SCAN_INTERVAL_US)
+            self._context.hub.sleep(SCAN_INTERVAL_US)
 
     def _scan(self) -> None:
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         if self._fleet.ready:
             self._scan_list(now_us)
         if self._closed != self._member.closed_machines:
@@ -313,7 +313,7 @@
         dialogue.called_us = now_us
         dialogue.is_calling = True
         self._calls += 1
-        self._base.spawn(lambda: self._call(link, slot, dialogue), f"turn {slot.number}")
+        self._context.spawn(lambda: self._call(link, slot, dialogue), f"turn {slot.number}")
 
     def _call(self, link: MachineLink, slot: KnownSlot, dialogue: _Dialogue) -> None:
         try:
@@ -323,9 +323,9 @@
             dialogue.is_calling = False
         if reply:
             dialogue.reply = MachineReply(reply)
-            dialogue.replied_us = self._base.hub.now_us()
+            dialogue.replied_us = self._context.hub.now_us()
         else:
-            self._base.counts["turns:no word"] += 1
+            self._context.counts["turns:no word"] += 1
 
     def _move_tasks(self, now_us: int) -> None:
         """Move own tasks off closed machines, at this placer's share of the calendar's pace."""
@@ -348,7 +348,7 @@
 
     def _earn_moves(self, now_us: int, rules: RuleSet) -> None:
         """A token bucket: `plan.moves` every `plan.every_us` for all placers, at least one token deep."""
-        share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
+        share = rules.plan.moves / max(1, self._context.settings.scheduler.placers)
         passed_us = max(0, now_us - self._allowance_us)
         self._allowance_us = now_us
         earned = self._move_allowance + share * passed_us / rules.plan.every_us
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.core.attempts import Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.job_store import OPEN, JobStore, State, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.remote_regions import RemoteRegions
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         jobs: JobStore,
         attempts: Attempts,
         requests: Requests,
@@ -43,7 +43,7 @@
         leased_jobs: LeasedJobs,
         remote_regions: RemoteRegions,
     ) -> None:
-        self._base = base
+        self._context = context
         self._attempts = attempts
         self._requests = requests
         self._runs = runs
@@ -57,12 +57,12 @@
     def run(self) -> None:
         """Scan at intervals until cancelled."""
         while True:
-            self._base.hub.sleep(SCAN_INTERVAL_US)
+            self._context.hub.sleep(SCAN_INTERVAL_US)
             self.start_due()
 
     def start_due(self) -> None:
         """Scan the next leased Jobs, and start the migrations that are due."""
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         federation = self._leased_jobs.federation()
         self._migrating = {
             name: each
@@ -79,7 +79,7 @@
         for move in moves(
             runs,
             federation,
-            self._base.settings.region,
+            self._context.settings.region,
             self._remote_regions.region_news(now),
             Counter(each.spec for each in self._migrating.values()),
         ):
@@ -123,8 +123,8 @@
         self._migrating[task.name] = _Migration(
             task, leased.spec if leased is not None else "", move.region, now_us
         )
-        self._base.counts[f"moved to another region: {move.why}"] += 1
-        self._base.log(
+        self._context.counts[f"moved to another region: {move.why}"] += 1
+        self._context.log(
             "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
         )
         self._runs.move(move.number)
@@ -134,7 +134,7 @@
         migration = self._migrating.get(task.name)
         if migration is None or task.state is not State.ASKED:
             return False
-        due_us = self._base.hub.now_us() + task.job.request.patience_us
+        due_us = self._context.hub.now_us() + task.job.request.patience_us
         return self._remote_regions.forward_task(task, due_us, migration.region, migration.spec)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -7,7 +7,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.offers import Offers
@@ -29,14 +29,14 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         attempts: Attempts,
         offers: Offers,
         runs: Runs,
         orphans: Orphans,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._attempts = attempts
         self._offers = offers
@@ -75,16 +75,16 @@
             else:
                 self._on_pod_status(link, pod_status)
 
-        self._base.spawn(
-            lambda: link.follow(on_list, on_event, self._base.log), f"follow {link.name}"
+        self._context.spawn(
+            lambda: link.follow(on_list, on_event, self._context.log), f"follow {link.name}"
         )
 
     def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
         try:
             return read_pod(value)
         except ValueError as error:
-            self._base.counts["bad_pods"] += 1
-            self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._context.counts["bad_pods"] += 1
+            self._context.log("bad-pod", level="warning", machine=link.name, field=str(error))
             return None
 
     def _on_pod_status(self, link: MachineLink, pod_status: PodStatus) -> None:
@@ -97,7 +97,7 @@
                 api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0)
             )
         if pod_status.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
-            self._base.counts["placed_by_news"] += 1
+            self._context.counts["placed_by_news"] += 1
             self._offers.on_running(attempt)
             if attempt.scope is not None:
                 attempt.scope.cancel()
@@ -129,4 +129,4 @@
                 self._host.feed(
                     api.TaskNote(attempt.request, attempt.number, link.ident, kind, level)
                 )
-        self.last_usage_us = self._base.hub.now_us()
+        self.last_usage_us = self._context.hub.now_us()
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -7,7 +7,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.core.leased_jobs import LeasedJobs
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         jobs: JobStore,
         attempts: Attempts,
@@ -51,7 +51,7 @@
         active_rules: ActiveRules,
         leased_jobs: LeasedJobs | None = None,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._jobs = jobs
         self._attempts = attempts
@@ -60,7 +60,7 @@
         self._orphans = orphans
         self._active_rules = active_rules
         self._leased_jobs = leased_jobs
-        rules = base.settings.scheduler
+        rules = context.settings.scheduler
         self._gate = SendGate(rules.cold_us, rules.fall_us)
         self.slow_start: SlowStartLimit | None = None
 
@@ -69,7 +69,7 @@
         task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
         if task is None or link is None:
             # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
-            self._base.counts["binds_dropped"] += 1
+            self._context.counts["binds_dropped"] += 1
             self._host.feed(
                 api.AttemptEnded(
                     bind.request,
@@ -86,20 +86,20 @@
                 task.attempts_made += 1
             return
         number, task.attempts_made = task.attempts_made, task.attempts_made + 1
-        pod = f"t{self._base.incarnation}-{bind.request}-{number}"
+        pod = f"t{self._context.incarnation}-{bind.request}-{number}"
         attempt = Attempt(
-            bind.request, number, task, link, pod, self._base.hub.now_us(), bind.give_up_us
+            bind.request, number, task, link, pod, self._context.hub.now_us(), bind.give_up_us
         )
         attempt.rules, attempt.launched_us = self._active_rules.label, link.launched_us
         self._attempts.add(attempt)
-        self._base.counts["binds"] += 1
+        self._context.counts["binds"] += 1
         if self.slow_start is not None:
             self.slow_start.on_chosen(link)
-        self._base.spawn(lambda: self._offer(attempt), "offer")
+        self._context.spawn(lambda: self._offer(attempt), "offer")
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Every offer passes here right before its first byte; see decide.gate."""
-        task, link, now = attempt.task, attempt.link, self._base.hub.now_us()
+        task, link, now = attempt.task, attempt.link, self._context.hub.now_us()
         held: HoldReason | None = self._gate.check(
             now,
             Offer(
@@ -125,7 +125,7 @@
             ),
         )
         if held is not None:
-            self._base.counts["held:" + held.name.lower()] += 1
+            self._context.counts["held:" + held.name.lower()] += 1
             attempt.held = held
             return False
         self._attempts.advance(attempt, Stage.SENT)
@@ -142,9 +142,9 @@
             return pod_text(
                 task,
                 attempt.key,
-                self._base.settings.name,
+                self._context.settings.name,
                 link.name,
-                attempt.deadline_us - self._base.hub.now_us(),
+                attempt.deadline_us - self._context.hub.now_us(),
                 attempt.rules,
                 self._leased_jobs.expiry(attempt) if self._leased_jobs is not None else "",
             )
@@ -152,7 +152,7 @@
         ended: Ended | None = Ended(
             api.Outcome.CANCELLED, api.Reason.UNTOLD, "withdrawn by its owner"
         )
-        with CancelScope(self._base.hub) as scope:
+        with CancelScope(self._context.hub) as scope:
             attempt.scope = scope
             ended = (
                 self._leased_jobs.before_send(attempt) if self._leased_jobs is not None else None
@@ -179,7 +179,7 @@
         if ended is None:
             self.on_running(attempt)
         elif self._may_resubmit(attempt):
-            self._base.counts["asked_anew"] += 1
+            self._context.counts["asked_anew"] += 1
             self._requests.resubmit(attempt)
         else:
             self._on_failed(attempt, ended)
@@ -198,18 +198,18 @@
             and task.resubmissions < MAX_RESUBMISSIONS
             and task.state is State.ASKED
             and task.request == attempt.request
-            and self._base.hub.now_us() < task.deadline_us
+            and self._context.hub.now_us() < task.deadline_us
         )
 
     def on_running(self, attempt: Attempt) -> None:
         """The machine reported that the attempt's task runs."""
-        task, now = attempt.task, self._base.hub.now_us()
+        task, now = attempt.task, self._context.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
             # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
-            self._base.counts["answers_late"] += 1
+            self._context.counts["answers_late"] += 1
             self._orphans.resolve(attempt.link, attempt.key, task.job.request.namespace, task, None)
             return
         if self._requests.may_answer_placed(attempt) and self._attempts.advance(
@@ -220,8 +220,8 @@
 
     def _on_failed(self, attempt: Attempt, ended: Ended) -> None:
         attempt.task.last_outcome = f"{attempt.link.name}: {ended.words}"[:300]
-        self._base.counts[f"offer:{ended.outcome.value}"] += 1
-        self._base.log(
+        self._context.counts[f"offer:{ended.outcome.value}"] += 1
+        self._context.log(
             "offer-ended",
             level="debug",
             request=attempt.request,
@@ -234,6 +234,6 @@
             attempt,
             ended.outcome,
             ended.reason,
-            self._base.hub.now_us() - attempt.decided_us,
+            self._context.hub.now_us() - attempt.decided_us,
             ended.words,
         )
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -14,9 +14,9 @@
 from wingbarrow.core import saved_list
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
-from wingbarrow.core.intake import JobRequest, job_value
+from wingbarrow.core.job_manifest import JobRequest, job_value
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.pods import Phase, PodStatus, expected_left_us, pod_resources
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         jobs: JobStore,
         attempts: Attempts,
@@ -41,7 +41,7 @@
         runs: Runs,
         stops: Stops,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._jobs = jobs
         self._attempts = attempts
@@ -55,7 +55,7 @@
         self.place_leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = (
             lambda link, pod, task, left: False
         )
-        state = base.settings.state
+        state = context.settings.state
         self._last_heartbeat_us = saved_list.read_heartbeat(Path(state)) if state else None
 
     def on_pod(self, link: MachineLink, pod_status: PodStatus) -> None:
@@ -67,7 +67,7 @@
             self.resolve(
                 link, pod_status.name, pod_status.namespace, job.tasks[pod_status.index], pod_status
             )
-        elif pod_status.name.startswith(f"t{self._base.incarnation}-") or self._jobs.was_deleted(
+        elif pod_status.name.startswith(f"t{self._context.incarnation}-") or self._jobs.was_deleted(
             pod_status.job_uid
         ):
             # Danger: a deleted Job would come back. A pod of this incarnation without a Job has no owner; for those of
@@ -99,8 +99,8 @@
                 state in (State.DONE, State.STOPPED) and not job.adopted,
             )
         )
-        self._base.counts["stray:" + action.value] += 1
-        self._base.log(
+        self._context.counts["stray:" + action.value] += 1
+        self._context.log(
             "stray",
             level="warning",
             job=job.key,
@@ -117,7 +117,7 @@
 
     def _stop(self, link: MachineLink, namespace: str, pod: str) -> None:
         if not self._stops.is_pending(link, pod):
-            self._base.counts["strays_stopped"] += 1
+            self._context.counts["strays_stopped"] += 1
             self._stops.request(link, namespace, pod)
 
     def _place_late(
@@ -148,7 +148,7 @@
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
         """Give a running task to the decision module as found; it counts as attempt 0."""
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         request = self._jobs.open_request(task, now)
         task.attempts_made, task.machine = 1, link.name
         attempt = Attempt(request, 0, task, link, pod, now, now, Stage.PLACED, now)
@@ -162,8 +162,10 @@
         """A pod of an earlier incarnation: its Job is recreated from the pod."""
         asked = self._recreate_request(link, pod_status)
         if asked is None or pod_status.job_key in self._jobs.jobs:
-            self._base.counts["not_adopted"] += 1
-            self._base.log("not-adopted", level="error", machine=link.name, job=pod_status.job_key)
+            self._context.counts["not_adopted"] += 1
+            self._context.log(
+                "not-adopted", level="error", machine=link.name, job=pod_status.job_key
+            )
             return
         job = self._jobs.add(
             pod_status.job_key,
@@ -172,23 +174,23 @@
             self._recreate_job(pod_status, asked),
             adopted=True,
         )
-        self._base.counts["jobs_adopted"] += 1
+        self._context.counts["jobs_adopted"] += 1
         task = job.tasks[pod_status.index]
         task.answer_uncertain = not retries.was_answered(
-            pod_status.started_us, self._last_heartbeat_us, self._base.started_us
+            pod_status.started_us, self._last_heartbeat_us, self._context.started_us
         )
-        self._base.counts["adopted_in_doubt"] += task.answer_uncertain
+        self._context.counts["adopted_in_doubt"] += task.answer_uncertain
         self._adopt(link, pod_status.name, task, pod_status)
 
     def _recreate_request(self, link: MachineLink, pod_status: PodStatus) -> JobRequest | None:
         value = pod_status.value
         labels, notes = value["metadata"].get("labels") or {}, value["metadata"]["annotations"]
-        settings = self._base.settings.classes.get(labels.get(names.CLASS, ""))
+        settings = self._context.settings.classes.get(labels.get(names.CLASS, ""))
         namespace, _, name = pod_status.job_key.partition("/")
         try:
             cores, memory = pod_resources(value)
         except ValueError as error:
-            self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._context.log("bad-pod", level="warning", machine=link.name, field=str(error))
             return None
         if settings is None:
             return None
@@ -224,5 +226,5 @@
             },
             asked,
             pod_status.job_uid,
-            self._base.hub.clock.wall_us(),
+            self._context.hub.clock.wall_us(),
         )
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.coordinator import Coordinator
@@ -19,9 +19,9 @@
     """`agreement` gives the state machine that placers agree by, None where there is none."""
 
     def __init__(
-        self, base: Base, fleet: Fleet, agreement: Callable[[], Coordinator | None]
+        self, context: CoreContext, fleet: Fleet, agreement: Callable[[], Coordinator | None]
     ) -> None:
-        self._base, self._fleet, self._agreement = base, fleet, agreement
+        self._context, self._fleet, self._agreement = context, fleet, agreement
         self._closed: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
 
@@ -29,14 +29,14 @@
         """What an attempt came to at a machine; None: it runs."""
         agreement = self._agreement()
         if agreement is not None and (outcome is None or outcome in FAULTS):
-            agreement.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
+            agreement.health_observer.record(self._context.hub.now_us(), machine, outcome is None)
 
     def take(self, closed: frozenset[str]) -> None:
         """Verdicts close these machines from now on, and no others."""
         changed, self._closed = self._closed ^ closed, closed
         for name in sorted(changed):
-            self._base.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
-            self._base.log("verdict", machine=name, closed=name in closed)
+            self._context.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
+            self._context.log("verdict", machine=name, closed=name in closed)
         held = self._fleet.held
         self._fleet.reapply([held[name] for name in sorted(changed) if name in held])
 
@@ -57,7 +57,7 @@
             or agreement is None
         ):
             return listed
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         if listed.launched_us > now - agreement.ejections.age_us(now, entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -12,8 +12,8 @@
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
 from wingbarrow.core.checkpoint import Checkpoint
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.drainer import Drainer
 from wingbarrow.core.ended_session import EndedSessionJobs
@@ -56,7 +56,7 @@
 
 
 class _ModuleActions:
-    """Carries out the module's actions (`core.host.Hands`), each by the component that owns it."""
+    """Carries out the module's actions (`core.host.ActionHandler`), each by the component that owns it."""
 
     def __init__(
         self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, objects: ApiObjects
@@ -90,17 +90,17 @@
     """The core of the program; fronts call `admission` and read `objects`.
 
     The order in which components are built is part of the behaviour: it is the order of their random draws from
-    `base.random`, of the fleet's guards and of the Job store's listeners.
+    `context.random`, of the fleet's guards and of the Job store's listeners.
     """
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
-        self.base = Base(hub, settings, log)
+        self.context = CoreContext(hub, settings, log)
         self._class_kinds = tuple(
             each.task_class.kind for each in settings.classes.values() if each.task_class.kind
         )
         self._build_core(settings)
-        self.active_rules = ActiveRules(self.base, self.host)
-        self.peering = Peering(hub, settings, self.base.started_us, log)
+        self.active_rules = ActiveRules(self.context, self.host)
+        self.peering = Peering(hub, settings, self.context.started_us, log)
         self.leases: MachineLeases | None = None
         self.leased_jobs: LeasedJobs | None = None
         if settings.agree is not None and settings.region:
@@ -110,43 +110,45 @@
         if self.leased_jobs is not None:
             self._build_failover(self.leased_jobs)
         self._drain_schedule = DrainSchedule(
-            self.base, self.host, self.fleet, self.attempts, self._runs, self.objects
+            self.context, self.host, self.fleet, self.attempts, self._runs, self.objects
         )
         self._build_admission()
-        self.host.hands = _ModuleActions(
+        self.host.action_handler = _ModuleActions(
             self.offers, self._requests, self._runs, self.fleet, self.objects
         )
-        self._checkpoint = Checkpoint(self.base, self.fleet)
+        self._checkpoint = Checkpoint(self.context, self.fleet)
         self.maintenance: MaintenanceSlots | None = None
         if settings.agree is not None:
             self._build_agreement()
         self.subset: Subset | None = None
         if settings.subset is not None:
             self._build_subset(settings.subset)
-        self.learner = Learner(hub, settings, self.peer_hints, self.base.started_us, log)
+        self.learner = Learner(hub, settings, self.peer_hints, self.context.started_us, log)
         self._build_drains(settings, log)
 
     # -- building
 
     def _build_core(self, settings: PlacerSettings) -> None:
         """The module, and what a task passes on every placer."""
-        base = self.base
+        context = self.context
         limits = settings.limits
         self.job_store = JobStore(
             Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
         )
         self.attempts = Attempts()
         self.machines = Machines()
-        self.host = Host(base, module_settings(settings))
-        self.objects = ApiObjects(base, self.job_store)
-        self._requests = Requests(base, self.host, self.job_store, self.attempts, self.objects)
+        self.host = Host(context, module_settings(settings))
+        self.objects = ApiObjects(context, self.job_store)
+        self._requests = Requests(context, self.host, self.job_store, self.attempts, self.objects)
         self.waits = self._requests.waits
-        self.stops = Stops(base.hub, random.Random(base.random.random()), base.spawn, base.counts)
+        self.stops = Stops(
+            context.hub, random.Random(context.random.random()), context.spawn, context.counts
+        )
         self._runs = Runs(
-            base, self.job_store, self.attempts, self.objects, self._requests, self.stops
+            context, self.job_store, self.attempts, self.objects, self._requests, self.stops
         )
         self._orphans = Orphans(
-            base,
+            context,
             self.host,
             self.job_store,
             self.attempts,
@@ -158,8 +160,10 @@
 
     def _build_leases(self, settings: PlacerSettings, lease_us: int) -> None:
         """Leased Jobs: machines told of this placer's session, records held by replicas."""
-        self.leases = MachineLeases(self.base, self.machines, self.peering.lease, lease_us)
-        records = RecordReplication(self.base.hub, settings, self.base.started_us, self.peering)
+        self.leases = MachineLeases(self.context, self.machines, self.peering.lease, lease_us)
+        records = RecordReplication(
+            self.context.hub, settings, self.context.started_us, self.peering
+        )
         self.leased_jobs = LeasedJobs(
             self._job_components(), self.leases, records, self.active_rules.federation
         )
@@ -167,7 +171,7 @@
 
     def _job_components(self) -> JobComponents:
         return JobComponents(
-            self.base,
+            self.context,
             self.job_store,
             self.attempts,
             self.objects,
@@ -179,7 +183,7 @@
     def _build_machines(self) -> None:
         """The machines: the list, offers, what machines report, and peers' hints on them."""
         self.offers = Offers(
-            self.base,
+            self.context,
             self.host,
             self.job_store,
             self.attempts,
@@ -190,10 +194,10 @@
             self.leased_jobs,
         )
         observations = Observations(
-            self.base, self.host, self.attempts, self.offers, self._runs, self._orphans
+            self.context, self.host, self.attempts, self.offers, self._runs, self._orphans
         )
         self.fleet = Fleet(
-            self.base,
+            self.context,
             self.host,
             self.objects,
             self.machines,
@@ -201,7 +205,9 @@
             self._runs,
             observations,
         )
-        self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, observations)
+        self.peer_hints = PeerHints(
+            self.context, self.host, self.fleet, self.machines, observations
+        )
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
         """Leased Jobs of ended sessions, other placers' and this one's; fences of machines."""
@@ -209,7 +215,7 @@
         records = leased_jobs.records
         self.job_failover = JobFailover(components, self.fleet, leased_jobs)
         ended_jobs = EndedSessionJobs(components, leased_jobs)
-        fences = MachineFences(self.base, self.machines, records)
+        fences = MachineFences(self.context, self.machines, records)
         records.connect(FailoverListener(self.job_failover, ended_jobs, fences))
         self._orphans.is_foreign = ended_jobs.is_stray
 
@@ -219,7 +225,7 @@
         if self.leased_jobs is not None:
             remote_regions = self._build_remote_regions(self.leased_jobs)
         self.admission = JobAdmission(
-            self.base,
+            self.context,
             self.job_store,
             self.attempts,
             self.objects,
@@ -235,7 +241,7 @@
         if remote_regions is not None and self.leased_jobs is not None:
             remote_regions.admission = self.admission
             self.migrations = Migrations(
-                self.base,
+                self.context,
                 self.job_store,
                 self.attempts,
                 self._requests,
@@ -248,14 +254,14 @@
         """Forwarding between regions, and this region's own report to the others."""
         peering = self.peering
         remote_regions = RemoteRegions(
-            self.base, self.job_store, self.objects, self._requests, self.base.started_us
+            self.context, self.job_store, self.objects, self._requests, self.context.started_us
         )
         remote_regions.federation = self.active_rules.federation
         remote_regions.region_news = peering.regions.news
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
-        local_region = LocalRegion(self.base, self.job_store, self.fleet)
+        local_region = LocalRegion(self.context, self.job_store, self.fleet)
         local_region.leased = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
         return remote_regions
@@ -271,9 +277,9 @@
         active_rules.hurry = peering.hurry
         peering.uses = self._quota_in_use
         peering.demand = self._quota_demand
-        ejections = OutlierEjections(self.base, self.fleet, self._coordinator)
+        ejections = OutlierEjections(self.context, self.fleet, self._coordinator)
         self.maintenance = MaintenanceSlots(
-            self.base,
+            self.context,
             LocalMachines(
                 self.fleet, self.machines, self.attempts, self.stops, self._drain_schedule
             ),
@@ -290,7 +296,7 @@
     def _build_subset(self, settings: SubsetSettings) -> None:
         """The part of the region's machines that this placer holds, and its share of offers to cold ones."""
         self.subset = Subset(
-            self.base,
+            self.context,
             settings,
             self.fleet,
             self.machines,
@@ -300,7 +306,7 @@
             self.waits.any_long,
         )
         shares = SlowStartShares(
-            self.base,
+            self.context,
             self.fleet,
             self.attempts,
             self.subset.subsets,
@@ -313,7 +319,7 @@
     def _build_drains(self, settings: PlacerSettings, log: Callable[..., None]) -> None:
         """Calendar drains, by this placer's own calendar or by the rules that placers agree on."""
         self.drainer = Drainer(
-            self.base.hub,
+            self.context.hub,
             settings.calendars,
             self._class_kinds,
             settings.scheduler.placers,
@@ -332,14 +338,14 @@
 
     def run(self) -> None:
         """Work until cancelled; raises the error where the core itself failed."""
-        base = self.base
-        with Nursery(base.hub) as nursery:
-            base.live_in(nursery)
+        context = self.context
+        with Nursery(context.hub) as nursery:
+            context.live_in(nursery)
             self._checkpoint.load()
             nursery.spawn(self.fleet.reflector.run, "reflector")
             nursery.spawn(self.fleet.run_restart_timeouts, "rebirth")
             nursery.spawn(self.learner.run, "learner")
-            if base.settings.calendars or self.drainer.is_agreed:
+            if context.settings.calendars or self.drainer.is_agreed:
                 nursery.spawn(self.drainer.run, "drainer")
             nursery.spawn(self.peering.run, "peers")
             if self.subset is not None:
@@ -351,7 +357,7 @@
             if self.leases is not None and self.leased_jobs is not None:
                 nursery.spawn(self.leases.run, "leases")
                 nursery.spawn(self.leased_jobs.records.run, "custody")
-            if base.settings.state:
+            if context.settings.state:
                 nursery.spawn(self._checkpoint.run, "saving")
         if self.host.failed is not None:
             raise self.host.failed
@@ -368,7 +374,7 @@
 
     def _may_act(self) -> bool:
         """Whether this placer may act on agreed rules now."""
-        return self._rules_in_force(self.base.hub.now_us()) is not None
+        return self._rules_in_force(self.context.hub.now_us()) is not None
 
     def _quota_account(self) -> QuotaAccount | None:
         agreement = self.peering.agreement
@@ -419,7 +425,7 @@
 
     def apply_settings(self, fresh: PlacerSettings) -> None:
         """Apply settings that were read again: patience, priorities, restarts, and limits of admission."""
-        self.base.settings = fresh
+        self.context.settings = fresh
         self.drainer.reload()
         self.job_store.set_limits(
             fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -12,8 +12,8 @@
 from typing import Any, Protocol
 
 from wingbarrow.core.api_objects import ApiObjects
-from wingbarrow.core.base import Base
-from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.context import CoreContext
+from wingbarrow.core.job_manifest import JobRequest
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
@@ -47,13 +47,18 @@
     """
 
     def __init__(
-        self, base: Base, jobs: JobStore, objects: ApiObjects, requests: Requests, incarnation: int
+        self,
+        context: CoreContext,
+        jobs: JobStore,
+        objects: ApiObjects,
+        requests: Requests,
+        incarnation: int,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._objects = objects
         self._requests = requests
-        self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
+        self.sender = forwarding.ForwardSender(context.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
         self.region_news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
@@ -76,8 +81,8 @@
 
         One that was forwarded here stays here, or is rejected: no Job is forwarded twice.
         """
-        base, federation = self._base, self.federation()
-        here = base.settings.region
+        context, federation = self._context, self.federation()
+        here = context.settings.region
         if is_forwarded:
             if here not in allowed(spec, federation):
                 raise ApiError(
@@ -91,26 +96,26 @@
             spec,
             federation,
             Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
-            self.region_news(base.hub.now_us()),
-            base.random.random(),
+            self.region_news(context.hub.now_us()),
+            context.random.random(),
         )
         if not choice.region:
-            base.counts["turned_away:no region"] += 1
+            context.counts["turned_away:no region"] += 1
             raise ApiError(
                 503,
                 f"federation {spec.name!r} leaves no region now: {choice.reason}",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         if choice.region != here and not self.budget.try_take():
-            base.counts["handing:over the budget"] += 1
+            context.counts["handing:over the budget"] += 1
             if here in allowed(spec, federation):
                 return here
             raise ApiError(
                 503,
                 "too many Jobs are handed over to other regions now",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         return choice.region
 
@@ -124,14 +129,14 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        news = self.region_news(self._base.hub.now_us()).get(region)
+        news = self.region_news(self._context.hub.now_us()).get(region)
         targets = self.targets(news.placers if news is not None else ())
-        self._base.random.shuffle(targets)
+        self._context.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
             _manifest(job), spec, is_idempotent, due_us - ANSWER_MARGIN_US
         )
-        ident, effects = self.sender.begin(self._base.hub.now_us(), forwarded, targets)
+        ident, effects = self.sender.begin(self._context.hub.now_us(), forwarded, targets)
         if not ident:
             return False
         self._jobs.open_request(task, due_us)
@@ -155,7 +160,7 @@
             return False
         self._forwarded.pop(ident, None)
         self._jobs.close_request(task)
-        self.carry_out(self.sender.withdraw(self._base.hub.now_us(), ident))
+        self.carry_out(self.sender.withdraw(self._context.hub.now_us(), ident))
         return True
 
     def _on_forward_status(self, ident: str, state: str, machine: str, words: str) -> None:
@@ -167,13 +172,13 @@
             task.machine = machine
             self._jobs.close_request(task)
             self._jobs.transition(task, Step.PLACE)
-            self._base.counts["placed_elsewhere"] += 1
+            self._context.counts["placed_elsewhere"] += 1
         elif state in (forwarding.REJECTED, forwarding.FAILED) and task.answered:
             # A migration that no receiver accepted: its owner has had the answer, so the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
-            self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
+            self._requests.submit(task, self._context.hub.now_us() + task.job.request.patience_us)
             return
         elif state in (forwarding.REJECTED, forwarding.FAILED):
             self._requests.reject_or_fail(
@@ -192,7 +197,7 @@
     def _receive(self, ident: str, manifest: str, left_us: int) -> None:
         """Admit a forwarded Job; runs in a task of its own, as admission may wait for a replica."""
         assert self.admission is not None, "the placer sets it before anything runs"
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         try:
             value = names.decode(manifest)
             meta = value["metadata"]
@@ -228,7 +233,7 @@
         self.admission.delete_job(key)
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
+                self._context.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
             )
         )
 
@@ -256,10 +261,10 @@
             return
         if state in forwarding.FINAL:
             self._forget(ident)
-        where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
+        where = f"{self._context.settings.region}/{task.machine}" if task.machine else ""
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, state, where, task.last_outcome
+                self._context.hub.now_us(), ident, state, where, task.last_outcome
             )
         )
 
@@ -285,7 +290,7 @@
                 self._on_forward_status(**each.fields)
             elif each.event == "take":
                 fields = each.fields
-                self._base.spawn(
+                self._context.spawn(
                     partial(self._receive, fields["ident"], fields["manifest"], fields["left_us"]),
                     "takes a Job that was handed over",
                 )
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -7,7 +7,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.waits import Waits
@@ -21,9 +21,14 @@
     """
 
     def __init__(
-        self, base: Base, host: Host, jobs: JobStore, attempts: Attempts, objects: ApiObjects
+        self,
+        context: CoreContext,
+        host: Host,
+        jobs: JobStore,
+        attempts: Attempts,
+        objects: ApiObjects,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._jobs = jobs
         self._attempts = attempts
@@ -52,7 +57,7 @@
             return
         job_request = task.job.request
         if due_us is None:
-            due_us = self._base.hub.now_us() + job_request.patience_us
+            due_us = self._context.hub.now_us() + job_request.patience_us
         request = self._jobs.open_request(task, due_us)
         self.waits.add(task)
         self._host.feed(self.arrival(task, request, job_request.expected_us))
@@ -98,7 +103,7 @@
         """Give the module's final answer, refused or failed; dropped where the request has been answered."""
         task = self._jobs.by_request.get(request)
         if task is None or task.state is not State.ASKED:
-            self._base.counts["answers_dropped"] += 1
+            self._context.counts["answers_dropped"] += 1
             return
         attempt = self._attempts.of(request)
         if attempt is not None and self.is_answered_by_lease(attempt):
@@ -128,7 +133,7 @@
         self._objects.record_event(
             task.job, "Warning", reason, f"task {task.index}: {task.last_outcome}"
         )
-        self._base.log(
+        self._context.log(
             "task-" + reason.lower(),
             request=request,
             job=task.job.key,
@@ -145,9 +150,9 @@
         self._host.cancel_timer(attempt.request)
         self.waits.remove(task, attempt.request)
         self._jobs.transition(task, Step.PLACE)
-        self._base.counts["placed"] += 1
+        self._context.counts["placed"] += 1
         self._objects.mark(task.job)
-        self._base.log(
+        self._context.log(
             "task-placed",
             level="debug",
             request=attempt.request,
@@ -162,7 +167,7 @@
         task = attempt.task
         task.machine = attempt.link.name
         self._jobs.transition(task, Step.PLACE)
-        self._base.counts["placed"] += 1
+        self._context.counts["placed"] += 1
         self._objects.mark(task.job)
         self._host.feed(
             api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -5,7 +5,7 @@
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.stops import Stops
@@ -18,14 +18,14 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         jobs: JobStore,
         attempts: Attempts,
         objects: ApiObjects,
         requests: Requests,
         stops: Stops,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._attempts = attempts
         self._objects = objects
@@ -59,7 +59,7 @@
         elif end is not retries.RunEnd.STOPPED:
             self._retry_or_lose(task, end, details)
         self._requests.on_attempt_ended(
-            attempt, outcome, reason, self._base.hub.now_us() - attempt.placed_us
+            attempt, outcome, reason, self._context.hub.now_us() - attempt.placed_us
         )
 
     def on_lost(self, attempt: Attempt, details: str) -> None:
@@ -70,9 +70,9 @@
     def _retry_or_lose(self, task: TaskRecord, end: retries.RunEnd, details: str) -> None:
         effect = task.job.request.task_class.task_class.effect
         decision = retries.decide_retry(
-            end, effect, task.restarts_left, task.losses, self._base.random
+            end, effect, task.restarts_left, task.losses, self._context.random
         )
-        self._base.counts["run:" + end.value] += 1
+        self._context.counts["run:" + end.value] += 1
         # The owner of a task found running by this incarnation has had another answer: failed, or refused. A task of an
         # earlier incarnation was placed and is retried, where it is certain that its owner was answered so.
         answered_otherwise = task.state is State.ADOPTED and (
@@ -105,8 +105,8 @@
                 self._objects.mark(task.job)
                 self._requests.submit(task)
 
-        self._retry_timers[task.name] = self._base.hub.call_at(
-            self._base.hub.now_us() + after_us, on_due
+        self._retry_timers[task.name] = self._context.hub.call_at(
+            self._context.hub.now_us() + after_us, on_due
         )
 
     def cancel_retry(self, task: TaskRecord) -> None:
@@ -125,9 +125,9 @@
             or attempt.stopping is not None
             or attempt.task.answer_uncertain
         ):
-            self._base.counts["moves_dropped"] += 1
+            self._context.counts["moves_dropped"] += 1
             return
-        self._base.counts["moves"] += 1
+        self._context.counts["moves"] += 1
         self.stop(attempt, retries.RunEnd.MOVED)
 
     def stop(self, attempt: Attempt, end: retries.RunEnd) -> None:
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -12,7 +12,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.nodes import NodeEntry
@@ -34,18 +34,18 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         fleet: Fleet,
         attempts: Attempts,
         subsets: Subsets,
         fleet_offers: Callable[[], float],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = fleet
         self._attempts = attempts
         self._subsets = subsets
         self._fleet_offers = fleet_offers
-        rules = base.settings.scheduler
+        rules = context.settings.scheduler
         self._cold_us = rules.cold_us
         # A quarter longer, as in the module: offers take time to arrive.
         self._account = SlowStartShare(rules.fall_us * 5 // 4)
@@ -56,14 +56,14 @@
 
     def has_share(self, link: MachineLink) -> bool:
         """Whether one more offer may be sent to a machine now; True for any that is not cold."""
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         return (
             not self._is_cold(link.launched_us, now)
             or self._remaining(now, link.name, link.launched_us) > 0
         )
 
     def _remaining(self, now_us: int, name: str, launched_us: int) -> int:
-        share = self._subsets.cold_most(self._base.settings.name, name, self._fleet_offers())
+        share = self._subsets.cold_most(self._context.settings.name, name, self._fleet_offers())
         return self._account.remaining(now_us, name, launched_us, share)
 
     def on_chosen(self, link: MachineLink) -> None:
@@ -78,7 +78,7 @@
 
     def _is_used_up(self, name: str, launched_us: int) -> bool:
         """Whether waiting offers use up what remains of a cold machine's share."""
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         if not self._is_cold(launched_us, now):
             return False
         waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_named(name))
@@ -86,7 +86,7 @@
 
     def on_sent(self, attempt: Attempt) -> None:
         """The gate let an offer out; its first byte is about to be sent."""
-        link, now = attempt.link, self._base.hub.now_us()
+        link, now = attempt.link, self._context.hub.now_us()
         if self._is_cold(link.launched_us, now):
             self._account.on_sent(
                 link.name, link.launched_us, link.launched_us + self._cold_us, attempt.key
@@ -95,11 +95,11 @@
     def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
         """An offer ended with this outcome; None: its task runs."""
         arrival = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
-        self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, arrival)
+        self._account.on_ended(self._context.hub.now_us(), attempt.link.name, attempt.key, arrival)
 
     def on_contact(self, name: str) -> None:
         """A machine has answered a probe: offers to it that were given up before have arrived."""
-        self._account.on_ended(self._base.hub.now_us(), name, "", Arrival.CONTACT)
+        self._account.on_ended(self._context.hub.now_us(), name, "", Arrival.CONTACT)
 
     def _is_cold(self, launched_us: int, now_us: int) -> bool:
         return launched_us > 0 and now_us < launched_us + self._cold_us
@@ -113,14 +113,14 @@
         self._closed[entry.name] = None
         if not self._reopening:
             self._reopening = True
-            self._base.spawn(self._reopen_machines, "cold shares")
+            self._context.spawn(self._reopen_machines, "cold shares")
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _reopen_machines(self) -> None:
         """Pass machines with a free share to the module as they are listed, in one delivery each interval."""
         try:
             while self._closed:
-                self._base.hub.sleep(CHECK_INTERVAL_US)
+                self._context.hub.sleep(CHECK_INTERVAL_US)
                 held = self._fleet.held
                 for name in [name for name in self._closed if name not in held]:
                     del self._closed[name]
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -17,7 +17,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config.settings import SubsetSettings
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         settings: SubsetSettings,
         fleet: Fleet,
         machines: Machines,
@@ -61,14 +61,14 @@
         members: Callable[[], tuple[frozenset[str], int]],
         waits_long: Callable[[int], bool],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = fleet
         self._machines = machines
         self._attempts = attempts
         self._stops = stops
         self._members = members
         self._waits_long = waits_long
-        self._me = base.settings.name
+        self._me = context.settings.name
         self.subsets = Subsets(settings.rules)
         self._spread_us = min(REFILL_SPREAD_US, REFILL_EACH_US * len(settings.rules.roster))
         self._view = LivingView(
@@ -77,13 +77,13 @@
         self._max_extra = settings.widen
         self._widening = Widening(settings.widen)
         self.extra = 0  # further ranks whose machines this placer holds while its tasks wait long
-        self._begun_us = base.hub.now_us()
+        self._begun_us = context.hub.now_us()
         self.living = self._view.living(self._begun_us)
         # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
         self._follows_all = False
-        self._refills = Refills(base, fleet.reflector, self._spread_us)
+        self._refills = Refills(context, fleet.reflector, self._spread_us)
         # Apart from those: a list for widening must not wait for the spread among all placers.
-        self._widening_lists = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
+        self._widening_lists = Refills(context, fleet.reflector, WIDEN_SPREAD_US)
         self._releasing = 0
         # Lingering machines that could not be released: when to check again.
         self._retry_at_us: dict[str, int] = {}
@@ -119,16 +119,16 @@
 
     def run(self) -> None:
         """Follow membership and release machines until cancelled."""
-        self._begun_us = self._base.hub.now_us()
+        self._begun_us = self._context.hub.now_us()
         while True:
-            now = self._base.hub.now_us()
+            now = self._context.hub.now_us()
             self._check_membership(now)
             if self._max_extra:
                 self._check_waits(now)
             self._release_some(now)
             if self._fleet.reflector.relists:
                 self._follows_all = False
-            self._base.hub.sleep(CHECK_INTERVAL_US)
+            self._context.hub.sleep(CHECK_INTERVAL_US)
 
     def _check_membership(self, now_us: int) -> None:
         living, known = self._members()
@@ -142,8 +142,8 @@
     def _follow(self, living: frozenset[str]) -> None:
         before = self.living
         moved = self._change(living, self.extra)
-        self._base.counts["subset:changes"] += 1
-        self._base.log(
+        self._context.counts["subset:changes"] += 1
+        self._context.log(
             "subset",
             living=len(living),
             moved=moved,
@@ -160,8 +160,8 @@
         if extra == before:
             return
         moved = self._change(self.living, extra)
-        self._base.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
-        self._base.log("subset-width", extra=extra, moved=moved)
+        self._context.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
+        self._context.log("subset-width", extra=extra, moved=moved)
         if extra > before:
             self._widening_lists.ask()
 
@@ -193,7 +193,7 @@
             elif self._retry_at_us.get(name, 0) <= now_us and self._may_release(link, now_us):
                 self._retry_at_us[name] = now_us + RELEASE_RETRY_US
                 self._releasing += 1
-                self._base.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
+                self._context.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
 
     def _is_lost(self, link: MachineLink) -> bool:
         """Whether a machine known only from the saved list is off the source's list and unreachable."""
@@ -220,7 +220,7 @@
             # Danger: a task of an abandoned start or of an earlier incarnation would run on with no placer to stop it.
             holds_any = link.holds_any()
             if holds_any is False:
-                self._base.hub.sleep(RELEASE_CONFIRM_US)
+                self._context.hub.sleep(RELEASE_CONFIRM_US)
         finally:
             self._releasing -= 1
         name = link.name
@@ -228,7 +228,7 @@
             holds_any is False
             and not self.holds(name)
             and self._machines.links.get(name) is link
-            and self._may_release(link, self._base.hub.now_us())
+            and self._may_release(link, self._context.hub.now_us())
         ):
-            self._base.counts["subset:released"] += 1
+            self._context.counts["subset:released"] += 1
             self._fleet.release(name)
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -34,9 +34,9 @@
         self._placer = placer
         self._log = log
         limits, store, seed = (
-            placer.base.settings.limits,
+            placer.context.settings.limits,
             placer.objects.store,
-            placer.base.settings.seed,
+            placer.context.settings.seed,
         )
         self.resources = {
             "jobs": ListWatch(
@@ -51,8 +51,8 @@
         }
         self.server = Server(
             hub,
-            placer.base.settings.host,
-            placer.base.settings.port,
+            placer.context.settings.host,
+            placer.context.settings.port,
             self.handle,
             self._say,
             ServerLimits(connections=limits.connections, message=Limits(body=limits.body)),
@@ -61,10 +61,10 @@
         self.port = self.server.port
         self.instances = InstancesApi(
             hub,
-            lambda: placer.base.settings,
+            lambda: placer.context.settings,
             placer.peer_hints,
             placer.peering,
-            placer.base.started_us,
+            placer.context.started_us,
             log,
         )
         self.rules = RuleSetsApi(hub, placer.peering)
@@ -73,7 +73,7 @@
         self.turns = MaintenanceApi(hub, placer.peering, self.rules)
         self.drains = DrainsFront(hub, placer.drainer, self.rules)
         self.unknown = UnknownFront(placer)
-        placer.peering.address = f"{placer.base.settings.host}:{self.port}"
+        placer.peering.address = f"{placer.context.settings.host}:{self.port}"
         self._registry = CollectorRegistry()
         self._registry.register(self)
         self.statuses: dict[int, int] = {}
@@ -250,7 +250,7 @@
         events = CounterMetricFamily(
             "wingbarrow_happenings", "What the placer did and met", labels=["what"]
         )
-        for what, count in placer.base.counts.items():
+        for what, count in placer.context.counts.items():
             events.add_metric([what], count)
         for what, count in placer.peering.counts.items():
             events.add_metric([what], count)
@@ -287,13 +287,13 @@
             (
                 "wingbarrow_lag_seconds",
                 "How late the process has lately run; fades by half a second by second",
-                placer.base.hub.lag_us() / 1e6,
+                placer.context.hub.lag_us() / 1e6,
             ),
-            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.base.hub.lag.times),
+            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.context.hub.lag.times),
             (
                 "wingbarrow_lag_worst_seconds",
                 "The longest lag of this process",
-                placer.base.hub.lag.worst_us / 1e6,
+                placer.context.hub.lag.worst_us / 1e6,
             ),
             ("wingbarrow_machines", "Machines on the list", len(placer.fleet.reflector.held)),
             *_subset_figures(placer),
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -112,16 +112,16 @@
 
     def __init__(
         self,
-        base: PlacerContext,
+        context: PlacerContext,
         host: Module,
         fleet: Fleet,
         machines: Links,
         sightings: UseObserver,
     ) -> None:
-        self._base, self._host, self._fleet, self._machines = base, host, fleet, machines
+        self._context, self._host, self._fleet, self._machines = context, host, fleet, machines
         self._sightings = sightings
-        self._begun_us = base.hub.now_us()
-        self._distrust = learning.Distrust(base.settings.limits.machines)
+        self._begun_us = context.hub.now_us()
+        self._distrust = learning.Distrust(context.settings.limits.machines)
         self._gone_versions: dict[
             str, int
         ] = {}  # machines that left the list, for peers to hear of
@@ -142,12 +142,12 @@
 
     def announce(self) -> learning.Announcement:
         """What this instance says of itself to others."""
-        reflector, now = self._fleet.reflector, self._base.hub.now_us()
-        heard, settings = reflector.last_contact_us, self._base.settings
+        reflector, now = self._fleet.reflector, self._context.hub.now_us()
+        heard, settings = reflector.last_contact_us, self._context.settings
         return learning.Announcement(
             "",
             settings.name,
-            self._base.started_us,
+            self._context.started_us,
             settings.region,
             settings.cluster,
             now - self._begun_us,
@@ -158,7 +158,7 @@
 
     def know(self) -> tuple[list[MachineObservation], Shares]:
         """What this instance knows of machines, for a hand-over."""
-        now, known = self._base.hub.now_us(), self._host.knowledge()
+        now, known = self._context.hub.now_us(), self._host.knowledge()
         by_ident = {each.machine: each for each in known.machines}
         sights: list[MachineObservation] = []
         for name, entry in self._fleet.held.items():
@@ -168,7 +168,7 @@
             launched = now - link.launched_us if link.launched_us > 0 else None
             # What is closed for this placer's own reasons is no drain that others should hear of.
             phase = entry.listed.phase if self._fleet.is_closed_locally(entry) else link.phase
-            if self._base.settings.agree is not None:
+            if self._context.settings.agree is not None:
                 # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
                 phase = self._guard(entry, entry.listed).phase
             sights.append(
@@ -215,7 +215,7 @@
             sights, {name: entry.listed.machine for name, entry in held.items()}
         ):
             return False
-        now, changed = self._base.hub.now_us(), []
+        now, changed = self._context.hub.now_us(), []
         for sight in sights:
             entry = held.get(sight.machine)
             # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
@@ -225,7 +225,7 @@
             ):
                 changed.append(entry)
             if (
-                len(self._heard) < self._base.settings.limits.machines
+                len(self._heard) < self._context.settings.limits.machines
                 or sight.machine in self._heard
             ):
                 self._heard[sight.machine] = sight, now - more_age_us, clock_good
@@ -259,7 +259,7 @@
         """Give the module what was heard of machines that our list has by now, and that it may send to."""
         if not self._heard or self._fleet.reopening:
             return
-        now, held = self._base.hub.now_us(), self._fleet.held
+        now, held = self._context.hub.now_us(), self._fleet.held
         groups: dict[tuple[int, bool], list[MachineObservation]] = {}
         for name in [
             name
@@ -283,7 +283,7 @@
                 good,
                 self._average,
             )
-            self._base.counts["machines_learned"] += len(weighed)
+            self._context.counts["machines_learned"] += len(weighed)
             if weighed:
                 self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
         for name in [
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -78,7 +78,7 @@
             trace,
         )
         self.admission.owners = self.owners
-        self._host.hands = self
+        self._host.action_handler = self
         self._shift_us = hub.clock.now_us() - hub.clock.wall_us()
         self._gone: dict[str, int] = {}
         self._ending = False
