--- a/tests/peers/stage.py
+++ b/tests/peers/stage.py
@@ -45,7 +45,7 @@
     def label(self, slot: PlacerSlot) -> str:
         if slot.service is None:
             return ""
-        acting = slot.service.placer.active_rules.acting
+        acting = slot.service.placer.active_rules.permitted_rules
         now = acting(self.hub.now_us()) if acting is not None else None
         return now.label if now is not None else ""
 
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -37,11 +37,11 @@
         self._context = context
         self._host = host
         # What may be acted on at a time; None for nothing.
-        self.acting: Callable[[int], RulesInForce | None] | None = None
+        self.permitted_rules: Callable[[int], RulesInForce | None] | None = None
         self.quotas: Callable[[], QuotaAccount | None] = lambda: None
-        self.hurry: Callable[[], None] = lambda: None  # has quota asked for soon
+        self.request_quota_soon: Callable[[], None] = lambda: None  # has quota asked for soon
         self.recheck_machines: Callable[[set[str]], None] = lambda names: None
-        self.on_drains: Callable[[RuleSet], None] = lambda rules: None
+        self.on_agreed_drains: Callable[[RuleSet], None] = lambda rules: None
         self.is_drained: Callable[[str], bool] = lambda machine: False  # by an agreed drain
         self.label = ""  # of the rule set that the module goes by
         self._text = ""
@@ -81,7 +81,7 @@
             self.recheck_machines(changed)
         if is_revision:  # a floor has no drains and specs: those known last go on
             self._federation = rules.federation
-            self.on_drains(rules)
+            self.on_agreed_drains(rules)
 
     def on_quotas(self) -> None:
         """Take other shares of the fleet's limits."""
@@ -113,9 +113,12 @@
             return self._context.settings.scheduler.fresh_offers
         return float(cold_total(self._rules))
 
-    def check_contact(self) -> None:
+    def check_rules_permitted(self) -> None:
         """Asked for each Job: raises ApiError 503 where this placer may act on no rules."""
-        if self.acting is not None and self.acting(self._context.hub.now_us()) is None:
+        if (
+            self.permitted_rules is not None
+            and self.permitted_rules(self._context.hub.now_us()) is None
+        ):
             self._context.counts["turned_away:no grant"] += 1
             raise ApiError(503, NO_CONTACT, "ServiceUnavailable", retry_after_s=1)
 
@@ -137,7 +140,7 @@
         self._waiting += 1
         try:
             while exceeded is not None and hub.now_us() < until_us and count <= exceeded.most:
-                self.hurry()
+                self.request_quota_soon()
                 with hub.limit(min(QUOTA_CHECK_US, until_us - hub.now_us())):
                     self._changed.wait()
                 exceeded = self.use_quota(namespace, task_class, count, is_retry=True)
@@ -150,12 +153,12 @@
     ) -> FleetLimit | None:
         """The limit that `count` more tasks would exceed, by this placer's shares; None where they are counted."""
         quotas = self.quotas()
-        if self.acting is None or quotas is None or self._rules is None:
+        if self.permitted_rules is None or quotas is None or self._rules is None:
             return None
         now_us = self._context.hub.now_us()
         names = {"namespace": namespace, "class": task_class}
         limits = [each for each in self._rules.limits if names.get(each.about) == each.name]
-        acting = self.acting(now_us)
+        acting = self.permitted_rules(now_us)
         if limits and (acting is None or not acting.revision):
             return limits[0]  # Danger: on a floor, shares have expired: others may hold them by now
         for limit in limits:
@@ -176,13 +179,13 @@
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
-    def objection_to(
+    def hold_reason(
         self, now_us: int, label: str, task_class: str, machine: str, decided_us: int
     ) -> HoldReason | None:
         """Why an offer that was decided under the rules of a label cannot go, asked right before its first byte."""
-        if self.acting is None:
+        if self.permitted_rules is None:
             return None
-        acting = self.acting(now_us)
+        acting = self.permitted_rules(now_us)
         if acting is None:
             return HoldReason.NO_GRANT
         if acting.label != label or self._rules is None or decided_us < self._cold_reduced_us:
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -27,7 +27,7 @@
             self.store.collection("events", event_fields), context.settings.name
         )
         self._dirty: dict[str, JobRecord] = {}
-        self._shown_versions: dict[
+        self._published_versions: dict[
             str, int
         ] = {}  # by Node: the source's resourceVersion as published
         self._conditions: dict[
@@ -36,12 +36,12 @@
 
     # -- Jobs
 
-    def show_new(self, job: JobRecord) -> None:
+    def publish_new_job(self, job: JobRecord) -> None:
         """Publish a Job that was admitted."""
         write_status(job, self._context.hub.clock.wall_us())
         self.jobs.put(job.key, job.value)
 
-    def mark(self, job: JobRecord) -> None:
+    def mark_changed(self, job: JobRecord) -> None:
         """Have a Job that changed published with the next flush."""
         self._dirty[job.key] = job
 
@@ -67,7 +67,7 @@
 
     # -- Nodes
 
-    def show_node(self, entry: NodeEntry, drained: bool) -> None:
+    def publish_node(self, entry: NodeEntry, drained: bool) -> None:
         """Publish a Node as the list has it, unschedulable where it is `drained` by the calendar."""
         value = {
             "kind": "Node",
@@ -92,19 +92,19 @@
             }
         self.nodes.put(entry.name, value)
 
-    def show_node_if_changed(self, entry: NodeEntry, drained: bool) -> None:
+    def publish_node_if_changed(self, entry: NodeEntry, drained: bool) -> None:
         """Publish a Node unless its version is the one published already."""
-        if self._shown_versions.get(entry.name) != entry.version:
-            self._shown_versions[entry.name] = entry.version
-            self.show_node(entry, drained)
+        if self._published_versions.get(entry.name) != entry.version:
+            self._published_versions[entry.name] = entry.version
+            self.publish_node(entry, drained)
 
-    def drop_node(self, name: str) -> Stored | None:
+    def withdraw_node(self, name: str) -> Stored | None:
         """Withdraw the Node of a machine that left the list; the Node as last published."""
-        self._shown_versions.pop(name, None)
+        self._published_versions.pop(name, None)
         self._conditions.pop(name, None)
         return self.nodes.delete(name)
 
-    def set_condition(self, name: str, condition: dict[str, str]) -> None:
+    def set_node_condition(self, name: str, condition: dict[str, str]) -> None:
         """Describe a drain among a Node's conditions, from its next publication on."""
         self._conditions[name] = condition
 
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -14,15 +14,17 @@
 class Attempt(AttemptRecord[TaskRecord, MachineLink]):
     """One offer of one request to one machine; its key is the pod's name."""
 
-    use: tuple[float, ...] = ()
-    confirming: bool = (
+    usage: tuple[float, ...] = ()
+    awaiting_confirmation: bool = (
         False  # a machine runs it, and a keeper is to know that before its owner does
     )
     session: str = ""  # by whose lease it runs, where its Job is leased
-    found: bool = False  # it was found running, and the module knows nothing of it
-    left_us: int | None = None  # of its run, where it was found
-    held: HoldReason | None = None  # why the gate held it
-    rules: str = ""  # the label of the agreed rules that it was decided under; empty where none are
+    adopted: bool = False  # it was found running, and the module knows nothing of it
+    remaining_us: int | None = None  # of its run, where it was found
+    hold_reason: HoldReason | None = None  # why the gate held it
+    rules_label: str = (
+        ""  # the label of the agreed rules that it was decided under; empty where none are
+    )
 
 
 class Attempts(AttemptTable[Attempt]):
--- a/wingbarrow/core/checkpoint.py
+++ b/wingbarrow/core/checkpoint.py
@@ -56,7 +56,7 @@
                     saved_list.save(folder, [entry.value for entry in self._fleet.held.values()])
                     saved_versions = versions
                 except OSError as error:
-                    self._context.log("list-not-saved", level="error", why=str(error))
+                    self._context.log("machine-list-not-saved", level="error", why=str(error))
 
     def _write_heartbeat(self, folder: Path) -> None:
         try:
@@ -64,4 +64,4 @@
         except OSError as error:
             self._context.counts["stamps_failed"] += 1
             if self._context.counts["stamps_failed"] == 1:
-                self._context.log("stamp-not-saved", level="error", why=str(error))
+                self._context.log("heartbeat-not-saved", level="error", why=str(error))
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -120,10 +120,10 @@
         held = self._fleet.held
         entries = [held[name] for name in sorted(machines) if name in held]
         for entry in entries:
-            self._board.show_node(entry, self._is_closed(entry.name))
+            self._board.publish_node(entry, self._is_closed(entry.name))
         return entries
 
-    def refresh(self, machines: Iterable[str]) -> None:
+    def on_slots_changed(self, machines: Iterable[str]) -> None:
         """Maintenance slots closed or opened machines: show that, and give them to the module anew."""
         entries = self._show(machines)
         if entries:
@@ -152,7 +152,7 @@
             f"window {held.drain.window}: {held.reason or held.phase.value}, "
             f"{held.moved} task(s) moved",
         )
-        self._board.set_condition(
+        self._board.set_node_condition(
             name,
             {
                 "type": "wingbarrow.io/Drain",
@@ -165,7 +165,7 @@
         )
         entry = self._fleet.held.get(name)
         if entry is not None:
-            self._board.show_node(entry, self._is_closed(name))
+            self._board.publish_node(entry, self._is_closed(name))
         self._context.log(
             "drain",
             window=held.drain.window,
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -132,7 +132,7 @@
         """Read the calendar again; False, with the problems in the log, if it is invalid: then nothing changed."""
         if self.is_agreed:
             self._log(
-                "calendar-agreed",
+                "calendar-reload-ignored",
                 what="a calendar read again changes nothing: `wingbarrow rules propose`",
             )
             return True
@@ -141,7 +141,7 @@
         except SettingsError as error:
             for line, problem in error.problems[:MAX_LOGGED_PROBLEMS]:
                 self._log(
-                    "calendar-refused", level="error", file=error.name, line=line, why=problem
+                    "calendar-rejected", level="error", file=error.name, line=line, why=problem
                 )
             return False
         self.calendar = fresh
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -106,7 +106,7 @@
                 else:
                     self._store.transition(task, Step.LOSE)
                     self._leased_jobs.stop(attempt)
-        self._objects.mark(job)
+        self._objects.mark_changed(job)
 
     def _give_up_request(
         self, task: TaskRecord, attempt: Attempt | None, words: str, *, is_unsafe: bool
@@ -114,7 +114,7 @@
         """Answer a task's open request as failed."""
         if attempt is None:
             self._requests.fail(task)
-        elif is_unsafe and attempt.stage is Stage.SENT and not attempt.confirming:
+        elif is_unsafe and attempt.stage is Stage.SENT and not attempt.awaiting_confirmation:
             self._requests.fail(task)
             self._context.counts["leases:left in doubt"] += 1
         else:
@@ -132,7 +132,7 @@
             if given_up is not None and not given_up.job.deleted:
                 reason = recovered.outcome.title().replace(" ", "")
                 given_up.job.conditions[TAKEN_OVER] = reason, f"{where}; {recovered.why}"
-                self._objects.mark(given_up.job)
+                self._objects.mark_changed(given_up.job)
         self._flush_soon()
 
     def _flush_soon(self) -> None:
@@ -147,7 +147,7 @@
 
     # -- running copies
 
-    def is_stray(self, link: MachineLink, status: PodStatus) -> bool:
+    def is_leased_orphan(self, link: MachineLink, status: PodStatus) -> bool:
         """Whether a running copy is leased and no Job of this placer accounts for it; then it is dealt with here.
 
         It is of a former life, or of a session that has ended. It is never adopted: its machine stops it when its lease
@@ -169,7 +169,7 @@
         ):
             self._logged_strays.add((session, status.name))
             self._context.log(
-                "leased-stray",
+                "leased-orphan",
                 level="warning",
                 machine=link.name,
                 job=status.job_key,
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -133,7 +133,7 @@
             task.last_outcome = ""
             if self._store.transition(task, Step.TAKE_OVER):
                 self._requests.submit(task)
-        self._objects.mark(job)
+        self._objects.mark_changed(job)
 
     def _shown_job(self, record: LeasedJobRecord) -> JobRecord | None:
         """A Job in the store, as its record has it; None, and logged, where its manifest cannot be read here."""
@@ -150,7 +150,7 @@
         except (ApiError, ValueError, KeyError, TypeError) as error:
             self._context.counts["taken over:unreadable"] += 1
             self._context.log(
-                "taken-over-unreadable",
+                "failover-manifest-unreadable",
                 level="error",
                 job=record.key,
                 uid=record.uid,
@@ -164,7 +164,7 @@
         }
         value["status"] = {"startTime": names.short_time(self._context.hub.clock.wall_us())}
         job = self._store.add(f"{namespace}/{name}", record.uid, request, value, adopted=True)
-        self._objects.show_new(job)
+        self._objects.publish_new_job(job)
         return job
 
     def _read(self, value: dict[str, Any], namespace: str) -> JobRequest:
@@ -206,12 +206,12 @@
             f"{why}; {record.session.text()} held it; neither started nor "
             "given up until an operator says that it never ran, or did",
         )
-        self._objects.mark(job)
+        self._objects.mark_changed(job)
         self._objects.flush()
 
     # -- the operator's list
 
-    def unknown(self) -> list[dict[str, Any]]:
+    def unknown_jobs(self) -> list[dict[str, Any]]:
         """Jobs that must not start twice, and of which nobody knows whether they did, as the API lists them."""
         return [
             {
@@ -234,20 +234,20 @@
             for record in self._records.replicator.unknown_jobs()
         ]
 
-    def release(self, key: str, ran: bool) -> None:
+    def resolve_unknown_job(self, key: str, ran: bool) -> None:
         """An operator's answer: the Job never ran, and is started; or it did, and is removed. ApiError 404."""
         unknown = self._records.replicator.unknown_jobs()
         record = next((each for each in unknown if each.key == key), None)
         if record is None:
             raise not_found("unknown", key)
-        self._context.log("unknown-released", level="warning", job=key, uid=record.uid, ran=ran)
+        self._context.log("unknown-job-resolved", level="warning", job=key, uid=record.uid, ran=ran)
         if not ran:
             self._records.confirm_never_ran(record.uid)
             return
         self._records.remove(record.uid)
         for job in [each for each in self._store.jobs.values() if each.uid == record.uid]:
             job.conditions[TAKEN_OVER] = "Ran", "an operator said that it ran"
-            self._objects.mark(job)
+            self._objects.mark_changed(job)
         self._objects.flush()
 
 
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -118,7 +118,7 @@
                 narrowed[entry.name].launched_us,
             )
             self.on_machine_listed(entry.name)
-            self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
+            self._objects.publish_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
         self._restart_guard.list_received |= form is api.ListForm.FULL
         for link in new_links:
@@ -151,7 +151,7 @@
     def _remove_node(self, name: str) -> api.ListedMachine | None:
         """Withdraw a machine's Node and mark its link gone; its last entry for the module, None without a link."""
         link = self._machines.links.get(name)
-        stored = self._objects.drop_node(name)
+        stored = self._objects.withdraw_node(name)
         if link is None:
             return None
         link.phase = api.Phase.GONE
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -103,7 +103,7 @@
         is_forwarded: bool,
     ) -> dict[str, Any]:
         context = self._context
-        self._active_rules.check_contact()
+        self._active_rules.check_rules_permitted()
         generated_suffix = f"{context.random.randrange(36**5):05x}"[-5:]
         request = read_job(
             value, namespace, context.settings.classes, context.settings.limits, generated_suffix
@@ -141,7 +141,7 @@
         job = self._jobs.add(key, uid, request, shown)
         if lease is not None and self._leased_jobs is not None:
             self._leased_jobs.accept(job, lease)
-        self._objects.show_new(job)
+        self._objects.publish_new_job(job)
         if spec is not None and not is_local and self._remote_regions is not None:
             self._remote_regions.forward_job(job, due_us, region, spec.name)
             return shown
@@ -178,7 +178,7 @@
         self._context.counts[counter] += 1
         if self._context.counts[counter] % 1000 == 1:
             self._context.log(
-                "job-turned-away",
+                "job-rejected",
                 level="warning",
                 why=rejected.why.value,
                 so_far=self._context.counts[counter],
@@ -191,7 +191,7 @@
         if too_many is not None:
             self._context.counts["turned_away"] += 1
             self._context.log(
-                "job-turned-away", level="warning", what=too_many.what, most=too_many.most
+                "job-rejected", level="warning", what=too_many.what, most=too_many.most
             )
             raise ApiError(
                 429,
@@ -263,7 +263,7 @@
             if attempt is None:
                 return
             attempt.abandoned = True
-            if attempt.confirming and self._leased_jobs is not None:
+            if attempt.awaiting_confirmation and self._leased_jobs is not None:
                 self._leased_jobs.stop(attempt)
             elif attempt.stage is Stage.SENT:
                 # Danger: the offer is in flight; without a stop the pod that it starts would run without an owner. One
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -275,14 +275,14 @@
         task = attempt.task
         if task.job.leased is None:
             return True
-        if attempt.confirming:
+        if attempt.awaiting_confirmation:
             return False
         known = KnownTask(task.index, "placed", attempt.link.name, attempt.key)
         if task.answered:
             # Nobody is owed an answer: the run is not stopped for want of an acknowledgement.
             self.records.record_placed(task.job.uid, known, task.deadline_us, _ignore)
             return True
-        attempt.confirming = True
+        attempt.awaiting_confirmation = True
         deadline_us = max(self._context.hub.now_us(), task.deadline_us - ANSWER_MARGIN_US)
 
         def on_settled(why: str) -> None:
@@ -295,25 +295,25 @@
         return False
 
     def _on_placement_settled(self, attempt: Attempt, why: str) -> None:
-        if not attempt.confirming or attempt.stage is not Stage.SENT:
+        if not attempt.awaiting_confirmation or attempt.stage is not Stage.SENT:
             return  # it has ended meanwhile, or its stop is under way
         if why:
             self.fail_lease_lost(attempt, f"no keeper knows that it was placed: {why}")
             return
-        attempt.confirming = False
+        attempt.awaiting_confirmation = False
         self._mark_placed(attempt)
 
     def _mark_placed(self, attempt: Attempt) -> None:
         if self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._context.hub.now_us()
-            if attempt.found:
+            if attempt.adopted:
                 self._requests.on_found(attempt)
             else:
                 self._requests.on_placed(attempt)
 
     def _on_patience_over(self, attempt: Attempt) -> bool:
         """The owner's patience is over: True where a copy runs that no replica has acknowledged."""
-        if not attempt.confirming:
+        if not attempt.awaiting_confirmation:
             return False
         self.fail_lease_lost(attempt, "no keeper knew in time that it was placed")
         return True
@@ -332,9 +332,9 @@
 
     def stop(self, attempt: Attempt) -> None:
         """Stop a copy that was sent, or runs, and whose request is over."""
-        if attempt.confirming and self._attempts.advance(attempt, Stage.PLACED):
+        if attempt.awaiting_confirmation and self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._context.hub.now_us()
-        attempt.confirming = False
+        attempt.awaiting_confirmation = False
         attempt.abandoned = True
         if attempt.stage is Stage.PLACED:
             self._runs.stop(attempt, retries.RunEnd.STOPPED)
@@ -371,8 +371,8 @@
             now,
             deadline_us,
             Stage.SENT,
-            found=True,
-            left_us=left_us,
+            adopted=True,
+            remaining_us=left_us,
         )
         task.attempts_made = 1
         self._attempts.add(attempt)
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -252,7 +252,7 @@
         """A grant named other slots: close and open machines at once."""
         before = self._closed
         self._closed = self._member.closed_machines
-        self._drain_schedule.refresh(before ^ self._closed)
+        self._drain_schedule.on_slots_changed(before ^ self._closed)
         known = self._member.slots
         self._dialogues = {
             number: each for number, each in self._dialogues.items() if number in known
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -121,9 +121,9 @@
 
     def _on_usage(self, attempt: Attempt, link: MachineLink, pod_status: PodStatus) -> None:
         usage = tuple(pod_status.use.get(key, -1.0) for key in _USAGE_KINDS)
-        if usage == attempt.use:
+        if usage == attempt.usage:
             return
-        attempt.use = usage
+        attempt.usage = usage
         for kind, level in zip(_USAGE_KINDS.values(), usage, strict=True):
             if level >= 0:
                 self._host.feed(
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -90,7 +90,7 @@
         attempt = Attempt(
             bind.request, number, task, link, pod, self._context.hub.now_us(), bind.give_up_us
         )
-        attempt.rules, attempt.launched_us = self._active_rules.label, link.launched_us
+        attempt.rules_label, attempt.launched_us = self._active_rules.label, link.launched_us
         self._attempts.add(attempt)
         self._context.counts["binds"] += 1
         if self.slow_start is not None:
@@ -111,9 +111,9 @@
                 and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING,
                 link.launched_us,
-                self._active_rules.objection_to(
+                self._active_rules.hold_reason(
                     now,
-                    attempt.rules,
+                    attempt.rules_label,
                     task.job.request.task_class.task_class.name,
                     link.name,
                     attempt.decided_us,
@@ -126,7 +126,7 @@
         )
         if held is not None:
             self._context.counts["held:" + held.name.lower()] += 1
-            attempt.held = held
+            attempt.hold_reason = held
             return False
         self._attempts.advance(attempt, Stage.SENT)
         link.offered_us = now
@@ -145,7 +145,7 @@
                 self._context.settings.name,
                 link.name,
                 attempt.deadline_us - self._context.hub.now_us(),
-                attempt.rules,
+                attempt.rules_label,
                 self._leased_jobs.expiry(attempt) if self._leased_jobs is not None else "",
             )
 
@@ -191,7 +191,7 @@
         """
         task = attempt.task
         return (
-            attempt.held is HoldReason.COLD_SHARE
+            attempt.hold_reason is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
             and task.job.leased is None
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -154,7 +154,7 @@
         attempt = Attempt(request, 0, task, link, pod, now, now, Stage.PLACED, now)
         self._attempts.add(attempt)
         self._requests.on_attempt_began(attempt)
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
         self._host.feed(api.TaskFound(self._requests.arrival(task, request, left), link.ident))
 
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -217,7 +217,7 @@
         ended_jobs = EndedSessionJobs(components, leased_jobs)
         fences = MachineFences(self.context, self.machines, records)
         records.connect(FailoverListener(self.job_failover, ended_jobs, fences))
-        self._orphans.is_foreign = ended_jobs.is_stray
+        self._orphans.is_foreign = ended_jobs.is_leased_orphan
 
     def _build_admission(self) -> None:
         """What fronts ask for; with leases also Jobs to and from other regions."""
@@ -271,10 +271,10 @@
         peering, active_rules = self.peering, self.active_rules
         active_rules.recheck_machines = self.fleet.reapply_named
         self.fleet.guards.append(active_rules.guard)
-        active_rules.acting = self._rules_in_force
+        active_rules.permitted_rules = self._rules_in_force
         peering.on_rules = active_rules.on_rules
         peering.on_rights = active_rules.on_quotas
-        active_rules.hurry = peering.hurry
+        active_rules.request_quota_soon = peering.hurry
         peering.uses = self._quota_in_use
         peering.demand = self._quota_demand
         ejections = OutlierEjections(self.context, self.fleet, self._coordinator)
@@ -329,7 +329,7 @@
             is_agreed=settings.agree is not None,
         )
         if settings.agree is not None:
-            self.active_rules.on_drains = self._on_agreed_drains
+            self.active_rules.on_agreed_drains = self._on_agreed_drains
             self.active_rules.is_drained = self._is_drained_by_agreement
             self.drainer.may_move = self._may_act
             self.drainer.on_closed = self._on_machines_closed
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -189,7 +189,7 @@
         if state in forwarding.FINAL:
             del self._forwarded[ident]
             self._ident_by_task.pop(task.name, None)
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         self._objects.flush()
 
     # -- from other regions
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -128,7 +128,7 @@
         if attempt is not None:
             attempt.abandoned = True
         self._jobs.transition(task, step)
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         reason = "Refused" if step is Step.REFUSE else "Failed"
         self._objects.record_event(
             task.job, "Warning", reason, f"task {task.index}: {task.last_outcome}"
@@ -151,7 +151,7 @@
         self.waits.remove(task, attempt.request)
         self._jobs.transition(task, Step.PLACE)
         self._context.counts["placed"] += 1
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         self._context.log(
             "task-placed",
             level="debug",
@@ -168,9 +168,11 @@
         task.machine = attempt.link.name
         self._jobs.transition(task, Step.PLACE)
         self._context.counts["placed"] += 1
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         self._host.feed(
-            api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
+            api.TaskFound(
+                self.arrival(task, attempt.request, attempt.remaining_us), attempt.link.ident
+            )
         )
 
     def on_attempt_ended(
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -53,7 +53,7 @@
         task.last_outcome = details
         if task.request == attempt.request:
             self._requests.close(task)
-        self._objects.mark(job)
+        self._objects.mark_changed(job)
         if end is retries.RunEnd.DONE:
             self._jobs.transition(task, Step.DONE)
         elif end is not retries.RunEnd.STOPPED:
@@ -102,7 +102,7 @@
         def on_due() -> None:
             self._retry_timers.pop(task.name, None)
             if self._jobs.transition(task, Step.RETRY):
-                self._objects.mark(task.job)
+                self._objects.mark_changed(task.job)
                 self._requests.submit(task)
 
         self._retry_timers[task.name] = self._context.hub.call_at(
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -34,7 +34,7 @@
             return Answer(
                 200,
                 names.encode(
-                    {"kind": "UnknownList", "apiVersion": API, "items": failover.unknown()}
+                    {"kind": "UnknownList", "apiVersion": API, "items": failover.unknown_jobs()}
                 ),
             )
         if request.method != "POST" or len(parts) != 2:
@@ -45,7 +45,7 @@
             raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
         if not isinstance(ran, bool):
             raise ApiError(422, 'a word is wanted: {"ran": true} or {"ran": false}', "Invalid")
-        failover.release("/".join(parts), ran)
+        failover.resolve_unknown_job("/".join(parts), ran)
         return Answer(
             200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
         )
