--- a/tests/core/test_active_rules.py
+++ b/tests/core/test_active_rules.py
@@ -1,4 +1,4 @@
-"""The rule set that a placer acts on."""
+"""The agreed rule set in force at a placer."""
 
 from __future__ import annotations
 
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -1,4 +1,4 @@
-"""Calendar drains with complete placers and a compressed clock, judged at the sockets."""
+"""Calendar drains with complete placers on a virtual clock, checked by what crosses their sockets."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
     starts_s: float,
     duration: str = "20s",
     machines: str = 'name="node-0"',
-    more: str = "",
+    extra_lines: str = "",
     unsafe: str = "wait",
 ) -> str:
-    """A calendar file with one window that starts so many seconds after the virtual clock's present; its node."""
+    """Write a calendar file with one window that starts in `starts_s` seconds; returns the settings that name it."""
     start = datetime.fromtimestamp(stage.hub.clock.wall_us() / S, UTC) + timedelta(seconds=starts_s)
     path = folder / "windows.kdl"
     path.write_text(
         f'window "patch" start="{start.isoformat()}" lasts="{duration}" unsafe="{unsafe}" {{ '
-        f'machines {machines}; }}\nlead "4s"\npace moves=4 every="1s"\n{more}\n'
+        f'machines {machines}; }}\nlead "4s"\npace moves=4 every="1s"\n{extra_lines}\n'
     )
     return f'\ncalendar "{path}"\n'
 
 
-def restarted(stage: Stage, extra: str, index: int = 0) -> Any:
+def restart_with_settings(stage: Stage, extra: str, index: int = 0) -> Any:
     slot = stage.cluster.placers[index]
     slot.kill()
     slot.extra = extra
@@ -56,7 +56,7 @@
     stage = Stage(machines=3)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 30))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 30))
         begun = stage.hub.now_us()
         window = begun + 29 * S
         for turn in range(100):
@@ -69,7 +69,7 @@
         longs = [record for record in sent if record.data["service"].endswith("-40")]
         shorts = [record for record in sent if record.data["service"].endswith("-3")]
         assert not longs and shorts, (
-            "a task that would outlive the window is kept off, others are not"
+            "only tasks that would run into the window are kept off the machine"
         )
         closed = window - 4 * S
         assert max(record.at_us for record in shorts) <= closed + S // 2 + 250_000
@@ -96,7 +96,7 @@
         for turn in range(20):
             stage.submit(f"again{turn}", service=f"n{turn}", runs_s=1)
         stage.hub.sleep(3 * S)
-        assert offers_after(stage, "node-0", last), "it is used again"
+        assert offers_after(stage, "node-0", last), "the machine gets offers again after its window"
 
     stage.play(script)
 
@@ -114,12 +114,13 @@
             stage.settled(f"t{turn}")
         stage.submit("pay", "settlement", runs_s=44, patience_s=10)
         stage.settled("pay")
-        stage.hub.sleep(4 * S)  # what started just before a restart is in doubt, and is not moved
+        # A task started just before a restart may be unanswered, and is not moved.
+        stage.hub.sleep(4 * S)
         assert {record.where for record in stage.seen("start")} == {"node-0"}
         for machine in stage.cluster.machines[1:]:
             machine.draining = False
         stage.cluster.placers[0].service.placer.context.counts.clear()  # type: ignore[union-attr]
-        placer = restarted(stage, calendar(stage, tmp_path, 10))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 10))
         stage.hub.sleep(30 * S)
         moved = [record for record in stage.seen("end", why="Terminated")]
         assert len(moved) == 10
@@ -127,7 +128,9 @@
         assert placer.drainer.describe()[0]["phase"] == "closed"
         assert placer.drainer.describe()[0]["late"]
         stage.hub.sleep(15 * S)
-        assert placer.drainer.describe()[0]["phase"] == "out", "the window waited for the batch run"
+        assert placer.drainer.describe()[0]["phase"] == "out", (
+            "the machine is out once the unsafe task has ended"
+        )
         assert stage.conditions("pay")["Complete"]
         running = {
             machine.name: sum(pod.phase == "Running" for pod in machine.pods.values())
@@ -148,10 +151,10 @@
 
     def script() -> None:
         extra = calendar(stage, tmp_path, 10, duration="60s")
-        restarted(stage, extra)
+        restart_with_settings(stage, extra)
         stage.hub.sleep(8 * S)
         stage.hub.clock._wall -= back_s * S  # type: ignore[attr-defined]
-        placer = restarted(stage, extra)
+        placer = restart_with_settings(stage, extra)
         begun = stage.hub.now_us()
         assert placer.drainer.describe()[0]["phase"] in ("closed", "out")
         for turn in range(12):
@@ -167,7 +170,7 @@
     stage = Stage(machines=6)
 
     def script() -> None:
-        placer = restarted(
+        placer = restart_with_settings(
             stage,
             calendar(
                 stage,
@@ -175,7 +178,7 @@
                 20,
                 machines='zone="hall-a"',
                 duration="30s",
-                more='budget by="cell" max-unavailable=1',
+                extra_lines='budget by="cell" max-unavailable=1',
             ),
         )
         stage.hub.sleep(3 * S)
@@ -195,7 +198,9 @@
     stage = Stage(machines=4)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 40, machines='name="node-0"'))
+        placer = restart_with_settings(
+            stage, calendar(stage, tmp_path, 40, machines='name="node-0"')
+        )
         for machine in stage.cluster.machines[2:4]:
             stage.hub.spawn(lambda machine=machine: stage.cluster.replace(machine))
         stage.hub.sleep(42 * S)
@@ -238,13 +243,13 @@
             machine.draining = False
         extra = calendar(stage, tmp_path, 12)
         for index in range(2):
-            restarted(stage, extra, index)
+            restart_with_settings(stage, extra, index)
         stage.hub.sleep(20 * S)
         ends = sorted(record.at_us for record in stage.seen("end", why="Terminated"))
         assert len(ends) == 16
         for begin in ends:
             assert sum(begin <= at < begin + S for at in ends) <= 4 + 2, (
-                "four a second, both together"
+                "four moves a second by both placers together"
             )
 
     stage.play(script)
@@ -254,7 +259,7 @@
     stage = Stage(machines=4)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 10, duration="60s"))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 10, duration="60s"))
         pool = stage.pool()
 
         def items() -> list[dict[str, Any]]:
@@ -312,7 +317,7 @@
     stage = Stage(machines=2)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 600))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 600))
         (tmp_path / "windows.kdl").write_text('window "patch" start="never" lasts="1h"\n')
         assert placer.drainer.reload() is False
         stage.hub.sleep(2 * S)
@@ -327,7 +332,7 @@
     stage = Stage(machines=3)
 
     def script() -> None:
-        placer = restarted(stage, calendar(stage, tmp_path, 12, duration="30s"))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 12, duration="30s"))
         for turn in range(12):
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=5)
         stage.hub.sleep(3 * S)
@@ -355,7 +360,7 @@
     stage = Stage(machines=2)
 
     def script() -> None:
-        restarted(stage, calendar(stage, tmp_path, 6, duration="10s"))
+        restart_with_settings(stage, calendar(stage, tmp_path, 6, duration="10s"))
         stage.hub.sleep(4 * S)
         within = stage.hub.now_us()
         for turn in range(8):
@@ -380,14 +385,13 @@
 
     def script() -> None:
         stage.cluster.machines[1].begin_drain()
-        placer = restarted(stage, calendar(stage, tmp_path, 100))
+        placer = restart_with_settings(stage, calendar(stage, tmp_path, 100))
         begun = stage.hub.now_us()
         stage.submit("edge", service="edge", runs_s=runs_s, patience_s=9)
         stage.hub.sleep(S)
         assert stage.seen("offer")[-1].where == "node-0"
-        calendar(
-            stage, tmp_path, 4.2
-        )  # the window is put forward: the machine closes at once, the offer is out
+        # The window is moved forward: the machine closes at once, while the offer is in flight.
+        calendar(stage, tmp_path, 4.2)
         assert placer.drainer.reload()
         stage.hub.sleep(S * 3 // 2)
         assert placer.machines.links["node-0"].phase.value == "draining"
@@ -407,7 +411,7 @@
     stage = Stage(machines=6)
 
     def script() -> None:
-        placer = restarted(
+        placer = restart_with_settings(
             stage, calendar(stage, tmp_path, 12, machines='name="node-0"', duration="40s")
         )
         for machine in stage.cluster.machines[3:]:
@@ -420,7 +424,7 @@
             stage.cluster.source.show(machine.name, node_value(machine))
         stage.hub.sleep(3 * S)
         assert placer.drainer.describe()[0]["phase"] == "out"
-        for turn in range(40):  # a rush while that hall is cold
+        for turn in range(40):  # a burst of Jobs while the machines of the other zone are cold
             stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
         stage.hub.sleep(8 * S)
 
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of the working placer, brought about on the whole path and judged at the sockets."""
+"""Hard cases of a placer, provoked end to end and checked by what crosses its sockets."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def follow(stage: Stage, proxy: Proxy, until_us: int) -> tuple[list[tuple[str, str, int]], int]:
-    """Watch Jobs through a proxy as a client does, resuming at every break; the events seen, and relists."""
+    """Watch Jobs through a proxy, resuming after every break; returns the events seen and the number of lists read."""
     seen: list[tuple[str, str, int]] = []
-    pool, relists = stage.pool(proxy.port), 0
+    pool, lists_read = stage.pool(proxy.port), 0
     version = ""
     while stage.hub.now_us() < until_us:
         try:
             if not version:
-                relists += 1
+                lists_read += 1
                 items, version = list_all(pool, JOBS, "", 100, stage.hub.now_us() + 5 * S)
                 seen += [
                     ("LIST", item["metadata"]["name"], int(item["metadata"]["resourceVersion"]))
@@ -43,7 +43,7 @@
         except ApiError as error:
             assert error.code == 410
             version = ""
-    return seen, relists
+    return seen, lists_read
 
 
 @pytest.mark.parametrize("cut", [1, 40, 333, 700, 1500])
@@ -63,10 +63,10 @@
                 stage.hub.sleep(S // 2)
                 if proxy.cut_after is None:
                     proxy.cut_after = cut
-        seen, relists = results[0]
+        seen, lists_read = results[0]
         versions = [version for _, _, version in seen]
         assert proxy.cuts >= 3
-        assert relists == 1
+        assert lists_read == 1
         assert versions == sorted(set(versions)), "an event came twice or out of order"
         window = stage.cluster.placers[0].service.placer.objects.jobs.window  # type: ignore[union-attr]
         assert [change.version for change in window] == versions, "an event was missed"
@@ -92,8 +92,8 @@
                 stage.submit(f"web-{turn}", runs_s=1)
             stage.hub.sleep(3 * S)
             proxy.heal()
-        seen, relists = results[0]
-        assert relists == 2
+        seen, lists_read = results[0]
+        assert lists_read == 2
         last = {name: version for _, name, version in seen}
         assert last == {
             key.partition("/")[2]: stored.version
@@ -177,7 +177,8 @@
     assert len(stage.seen("offer")) == 1
     assert starts == (0 if fault.name.endswith("BEFORE") else 1)
     assert found.get("Failed") != "Refused"
-    if starts and "Placed" not in found:  # found running later: told, and counted once
+    # Found running later: published as a condition, and counted once.
+    if starts and "Placed" not in found:
         assert found["wingbarrow.io/FoundRunning"] == "FoundRunning"
     audited = stage.audit()
     assert audited.clean
@@ -216,7 +217,7 @@
         stage.hub.sleep(S // 10)
         assert len(stage.seen("offer")) == 1
         machine = stage.cluster.machines[0]
-        machine.draining = True  # it says so, and goes on with what it has
+        machine.draining = True  # the machine announces it, and completes what it has accepted
         stage.cluster.source.show(machine.name, node_value(machine))
         assert "Placed" in stage.settled("first")
         assert "Failed" in stage.settled("second")
@@ -254,7 +255,7 @@
     ran = len(stage.seen("start"))
     ended = len(stage.seen("end"))
     if task_class == "web" and "Failed" in found:
-        assert ran == ended, "a copy that nobody waits for runs on"
+        assert ran == ended, "a copy whose owner was answered otherwise is still running"
     if task_class == "settlement" and ran and "Failed" in found:
         assert found["wingbarrow.io/FoundRunning"]
 
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -1,4 +1,4 @@
-"""Placers that stand still, and Jobs that wait unread: judged by what crossed the sockets."""
+"""Stalled placers, and Jobs that wait unread in the socket meanwhile: checked by what crosses the sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 BIG = Build(cores=64.0, memory=128.0)
 
 
-def request(name: str, patience_s: float, cores: float = 1.0) -> bytes:
+def job_request(name: str, patience_s: float, cores: float = 1.0) -> bytes:
     value = job_value(Want(0, name, "web", name, cores, 1.0, 5 * S), name, int(patience_s * S))
     body = names.encode(value)
     return (
@@ -28,10 +28,10 @@
     )
 
 
-def answer(stream: Stream, kept: bytearray) -> tuple[int, dict[str, Any]]:
-    """The next response of a connection; what came beyond it stays in `kept`."""
+def read_response(stream: Stream, buffered: bytearray) -> tuple[int, dict[str, Any]]:
+    """Read the next response of a connection; bytes received beyond it stay in `buffered`."""
     while True:
-        head, mark, rest = bytes(kept).partition(b"\r\n\r\n")
+        head, mark, rest = bytes(buffered).partition(b"\r\n\r\n")
         if mark:
             length = int(
                 next(
@@ -41,14 +41,14 @@
                 )
             )
             if len(rest) >= length:
-                kept[:] = rest[length:]
+                buffered[:] = rest[length:]
                 return int(head.split()[1]), json.loads(rest[:length])
         part = stream.receive()
         assert part, "closed"
-        kept += part
+        buffered += part
 
 
-def told(stage: Stage, name: str, sent_us: int, patience_s: float, uid: str) -> None:
+def record_accepted(stage: Stage, name: str, sent_us: int, patience_s: float, uid: str) -> None:
     stage.cluster.record(
         "owner",
         "accepted",
@@ -62,13 +62,13 @@
     )
 
 
-def held(stage: Stage, for_s: float) -> Any:
+def stall_placer(stage: Stage, for_s: float) -> Any:
     slot = stage.cluster.placers[0]
     slot.hold(int(for_s * S))
     return slot.service.placer  # type: ignore[union-attr]
 
 
-def nothing_fits(stage: Stage) -> None:
+def drain_all_machines(stage: Stage) -> None:
     for machine in stage.cluster.machines:
         stage.cluster.source.show(
             machine.name, {**node_value(machine), "spec": {"unschedulable": True}}
@@ -80,26 +80,26 @@
     "how", ["open connection", "new connection", "half before, half after", "pipelined"]
 )
 def test_an_owners_patience_runs_while_its_placer_stands_still(stall_s: float, how: str) -> None:
-    """No machine takes anything, so the answer comes by the placer's own timer: it is in time for when it was sent."""
+    """No machine accepts offers, so the placer's own timer answers: within the patience, counted from the sending."""
     stage = Stage()
 
     def script() -> None:
-        nothing_fits(stage)
+        drain_all_machines(stage)
         stage.hub.sleep(S)
         port = stage.cluster.placers[0].port
-        stream, kept = connect(stage.hub, "127.0.0.1", port), bytearray()
+        stream, buffered = connect(stage.hub, "127.0.0.1", port), bytearray()
         if how != "new connection":
             stream.send(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-            while b"ok" not in kept:
-                kept += stream.receive()
-            kept.clear()
-        text = request("late", 5.0)
+            while b"ok" not in buffered:
+                buffered += stream.receive()
+            buffered.clear()
+        text = job_request("late", 5.0)
         first_us = stage.hub.now_us()
         if how == "half before, half after":
             stream.send(text[:200])
             stage.hub.sleep(50_000)
         begun = stage.hub.now_us()
-        held(stage, stall_s)
+        stall_placer(stage, stall_s)
         if how == "half before, half after":
             stage.hub.sleep(int(stall_s * S) + 100_000)
             stream.send(text[200:])
@@ -110,14 +110,14 @@
             if how == "new connection":
                 stream.close()
                 stream = connect(stage.hub, "127.0.0.1", port)
-            stream.send(text + (request("second", 5.0) if how == "pipelined" else b""))
-        status, value = answer(stream, kept)
+            stream.send(text + (job_request("second", 5.0) if how == "pipelined" else b""))
+        status, value = read_response(stream, buffered)
         assert status == 201 and stage.hub.now_us() >= begun + int(stall_s * S)
-        told(stage, "late", sent, 5.0, value["metadata"]["uid"])
+        record_accepted(stage, "late", sent, 5.0, value["metadata"]["uid"])
         if how == "pipelined":
-            status, value = answer(stream, kept)
+            status, value = read_response(stream, buffered)
             assert status == 201
-            told(stage, "second", sent, 5.0, value["metadata"]["uid"])
+            record_accepted(stage, "second", sent, 5.0, value["metadata"]["uid"])
             stage.settled("second")
         assert stage.settled("late")["Failed"] == "Refused"
         assert stage.hub.now_us() <= sent + 5 * S
@@ -131,18 +131,21 @@
     stage = Stage()
 
     def script() -> None:
-        stream, kept = connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port), bytearray()
+        stream, buffered = (
+            connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port),
+            bytearray(),
+        )
         stage.hub.sleep(10_000)
-        placer = held(stage, 4.0)
-        stream.send(request("short", 2.0) + request("long", 30.0))
+        placer = stall_placer(stage, 4.0)
+        stream.send(job_request("short", 2.0) + job_request("long", 30.0))
         stage.hub.sleep(4 * S + 50_000)
-        status, value = answer(stream, kept)
+        status, value = read_response(stream, buffered)
         assert (
             status == 429
             and value["details"]["retryAfterSeconds"] >= 1
             and "patience" in value["message"]
         )
-        status, value = answer(stream, kept)
+        status, value = read_response(stream, buffered)
         assert status == 201
         stage.hub.sleep(2 * S)
         assert placer.context.counts["turned_away:out_of_patience"] == 1
@@ -156,7 +159,7 @@
     stage = Stage(machines=4, build=BIG)
 
     def script() -> None:
-        held(stage, 2.0)
+        stall_placer(stage, 2.0)
         stage.hub.sleep(S)
         for machine in stage.cluster.machines[:3]:
             stage.cluster.set_drain(machine, True)
@@ -164,7 +167,7 @@
             connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port) for _ in range(30)
         ]
         for turn, stream in enumerate(streams):
-            stream.send(request(f"j{turn}", 5.0, 0.5))
+            stream.send(job_request(f"j{turn}", 5.0, 0.5))
         stage.hub.sleep(3 * S)
 
     stage.play(script)
@@ -187,7 +190,7 @@
             stage.submit("a", "settlement", patience_s=5)
             stage.submit("b", patience_s=5)
             stage.hub.sleep(int(stall_at_s * S))
-            held(stage, 1.0)
+            stall_placer(stage, 1.0)
             for name in ("a", "b"):
                 assert stage.settled(name)
             stage.hub.sleep(5 * S)
@@ -202,7 +205,7 @@
     stage = Stage()
 
     def script() -> None:
-        nothing_fits(stage)
+        drain_all_machines(stage)
         stage.hub.sleep(S)
         for turn in range(20):
             stage.submit(f"many{turn}", parallelism=100, completions=100, patience_s=3)
@@ -217,9 +220,11 @@
         before = placer.job_store.answers.copy()
         assert not before
         stage.hub.sleep(S // 2)
-        held(stage, 4.0)
+        stall_placer(stage, 4.0)
         stage.hub.sleep(4 * S)
-        assert answered == [2000] * 50, "whatever else was due ran before an answer that was owed"
+        assert answered == [2000] * 50, (
+            "another timer that was due ran before an answer that was owed"
+        )
         for turn in range(20):
             assert stage.settled(f"many{turn}")["Failed"] == "Refused"
 
@@ -250,7 +255,7 @@
 
 @pytest.mark.parametrize("vanish", [False, True])
 def test_a_service_at_its_spread_limit_keeps_it_over_a_restart(vanish: bool) -> None:
-    """Two racks of three; a service has all the tasks that its racks may hold, half the machines go, the placer too."""
+    """Two racks of three machines; a service is at its spread limit, half the machines crash, the placer restarts."""
     stage = Stage(machines=6, build=BIG)
 
     def script() -> None:
@@ -285,7 +290,7 @@
     stage = Stage()
 
     def script() -> None:
-        nothing_fits(stage)
+        drain_all_machines(stage)
         stage.hub.sleep(S)
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
         for turn in range(20):
@@ -318,7 +323,9 @@
             for pod in machine.pods.values()
         )
         stage.submit("next")
-        assert "Placed" in stage.settled("next"), "no machine is rested for what owners withdrew"
+        assert "Placed" in stage.settled("next"), (
+            "no machine is avoided because owners deleted Jobs"
+        )
 
     stage.play(script)
     assert stage.audit().clean
@@ -378,7 +385,7 @@
 
 
 def test_a_pod_of_this_incarnation_without_a_job_is_stopped() -> None:
-    """However long ago its Job was deleted, and however many were deleted since."""
+    """No matter how long ago its Job was deleted, and how many Jobs were deleted since."""
     stage = Stage(machines=1)
 
     def script() -> None:
@@ -393,7 +400,7 @@
         stage.delete("a")
         stage.hub.sleep(S)
         assert not machine.pods
-        # An offer that had lain in the machine's socket: its Job is unknown, its name is of this life.
+        # A delayed offer from the machine's socket: its Job is unknown, its name is of this incarnation.
         call(
             stage.pool(machine.port), "POST", "/api/v1/namespaces/default/pods", names.encode(value)
         )
@@ -405,10 +412,12 @@
 
 
 def test_a_task_of_an_earlier_incarnation_without_a_certain_answer_is_not_retried() -> None:
-    for wait_s, again in ((0.0, False), (5.0, True)):
+    for wait_s, is_retried in ((0.0, False), (5.0, True)):
         stage = Stage(machines=3)
 
-        def script(stage: Stage = stage, wait_s: float = wait_s, again: bool = again) -> None:
+        def script(
+            stage: Stage = stage, wait_s: float = wait_s, is_retried: bool = is_retried
+        ) -> None:
             stage.submit("a", runs_s=100)
             stage.hub.sleep(700_000)
             stage.hub.sleep(int(wait_s * S))
@@ -419,9 +428,9 @@
             before = len(stage.seen("offer"))
             stage.cluster.hub.spawn(lambda: stage.cluster.crash(where, None))
             stage.hub.sleep(8 * S)
-            assert (len(stage.seen("offer")) > before) is again
+            assert (len(stage.seen("offer")) > before) is is_retried
             conditions = stage.conditions("a")
-            assert again or conditions["Failed"] == "Lost"
+            assert is_retried or conditions["Failed"] == "Lost"
 
         stage.play(script)
 
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -14,12 +14,12 @@
 
 
 class ApiObjects:
-    """Publishes objects: a Job once per module event, however often it changed; a Node by list and drain calendar."""
+    """Publishes objects: a changed Job once per module event, a Node when the machine list or a drain changes it."""
 
     def __init__(self, context: CoreContext, job_store: JobStore) -> None:
         self._context = context
         self._job_store = job_store
-        # The wall clock is above every version of an earlier incarnation, at less than one change a microsecond.
+        # The wall clock exceeds every version of an earlier incarnation, at less than one change per microsecond.
         self.store = Store(context.started_us, context.settings.limits.window)
         self.jobs = self.store.collection("jobs")
         self.nodes = self.store.collection("nodes", _node_fields)
@@ -27,12 +27,10 @@
             self.store.collection("events", event_fields), context.settings.name
         )
         self._dirty: dict[str, JobRecord] = {}
-        self._published_versions: dict[
-            str, int
-        ] = {}  # by Node: the source's resourceVersion as published
-        self._conditions: dict[
-            str, dict[str, str]
-        ] = {}  # by Node: the condition that describes its drain
+        # By Node: the list source's resourceVersion that was published last.
+        self._published_versions: dict[str, int] = {}
+        # By Node: the condition that describes its drain.
+        self._conditions: dict[str, dict[str, str]] = {}
 
     # -- Jobs
 
@@ -42,11 +40,11 @@
         self.jobs.put(job.key, job.value)
 
     def mark_changed(self, job: JobRecord) -> None:
-        """Have a Job that changed published with the next flush."""
+        """Publish a changed Job with the next flush."""
         self._dirty[job.key] = job
 
     def flush(self) -> None:
-        """Publish the Jobs that changed, and drop finished Jobs beyond the number that is kept."""
+        """Publish the changed Jobs, and delete ended Jobs beyond the number that is kept."""
         dirty, self._dirty = self._dirty, {}
         for job in dirty.values():
             if not job.deleted:
@@ -68,7 +66,7 @@
     # -- Nodes
 
     def publish_node(self, entry: NodeEntry, drained: bool) -> None:
-        """Publish a Node as the list has it, unschedulable where it is `drained` by the calendar."""
+        """Publish a Node as listed; as unschedulable if it is `drained` by the calendar."""
         value = {
             "kind": "Node",
             "apiVersion": "v1",
@@ -99,13 +97,13 @@
             self.publish_node(entry, drained)
 
     def withdraw_node(self, name: str) -> Stored | None:
-        """Withdraw the Node of a machine that left the list; the Node as last published."""
+        """Withdraw the Node of a machine that left the list. Returns it as last published; None if it was not."""
         self._published_versions.pop(name, None)
         self._conditions.pop(name, None)
         return self.nodes.delete(name)
 
     def set_node_condition(self, name: str, condition: dict[str, str]) -> None:
-        """Describe a drain among a Node's conditions, from its next publication on."""
+        """Set the condition that describes a Node's drain; it is shown from the next publication on."""
         self._conditions[name] = condition
 
 
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -15,20 +15,18 @@
     """One offer of one request to one machine; its key is the pod's name."""
 
     usage: tuple[float, ...] = ()
-    awaiting_confirmation: bool = (
-        False  # a machine runs it, and a keeper is to know that before its owner does
-    )
-    session: str = ""  # by whose lease it runs, where its Job is leased
-    adopted: bool = False  # it was found running, and the module knows nothing of it
-    remaining_us: int | None = None  # of its run, where it was found
-    hold_reason: HoldReason | None = None  # why the gate held it
-    rules_label: str = (
-        ""  # the label of the agreed rules that it was decided under; empty where none are
-    )
+    # Runs on a machine, and a replica must acknowledge that before its owner is answered.
+    awaiting_confirmation: bool = False
+    session: str = ""  # whose lease it runs under, if its Job is leased
+    adopted: bool = False  # found running; unknown to the module until then
+    remaining_us: int | None = None  # expected rest of its run, if it was adopted
+    hold_reason: HoldReason | None = None  # why the send gate held it back
+    # The label of the agreed rules that it was decided under; empty if placers agree on none.
+    rules_label: str = ""
 
 
 class Attempts(AttemptTable[Attempt]):
-    """All attempts that are not over; by key is by pod."""
+    """All attempts that have not ended; their keys are names of pods."""
 
 
 __all__ = ["Attempt", "Attempts", "Stage"]
--- a/wingbarrow/core/checkpoint.py
+++ b/wingbarrow/core/checkpoint.py
@@ -14,20 +14,20 @@
 
 
 class Checkpoint:
-    """Loads the checkpoint at a start and keeps it up to date; does nothing without a state folder."""
+    """Loads the checkpoint at startup and keeps it up to date; does nothing without a state folder."""
 
     def __init__(self, context: CoreContext, fleet: Fleet) -> None:
         self._context, self._fleet = context, fleet
 
     def load(self) -> None:
-        """Give the fleet the saved list, or an empty one where there is none or it cannot be used (logged)."""
+        """Pass the saved list to the fleet; an empty one if there is none, or if it is unusable (logged)."""
         entries = []
         if self._context.settings.state:
             try:
                 entries = saved_entries(
                     saved_list.load(Path(self._context.settings.state)), self._context.shift_us
                 )
-            except ValueError as error:  # the file, or an entry of it
+            except ValueError as error:  # the file or one of its entries is invalid
                 self._context.log("saved-list-unusable", level="error", why=str(error))
                 self._fleet.on_state_lost()
         self._fleet.apply(ListForm.SAVED, entries, [])
@@ -40,8 +40,8 @@
         while True:
             self._write_heartbeat(folder)
             self._context.hub.sleep(HEARTBEAT_INTERVAL_US)
-            # Danger (rule 5): the next incarnation may have another subset of the machines, and learns only from this
-            # list of machines that are no longer in it. New ones are therefore saved at once.
+            # Danger (rule 5): the next incarnation may have another subset of the machines, and only this list tells it
+            # of machines that are no longer in its subset. New machines are therefore saved at once.
             has_new_machines = (
                 self._context.settings.subset is not None
                 and not self._fleet.held.keys() <= saved_versions.keys()
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -1,4 +1,4 @@
-"""Closed machines and moves of tasks: what drains and maintenance slots do to the core; `core.drainer` says when."""
+"""Effects of drains and maintenance slots: closed machines and moved tasks. `core.drainer` decides when."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from wingbarrow.decide.maintenance.drain_progress import RunningTask, TrackedDrain
 from wingbarrow.kube import names
 
-CLOCK_JITTER_US = 1_000  # closing times that differ by less are the same
+CLOCK_JITTER_US = 1_000  # closing times that differ by less count as equal
 
 
 class DrainSchedule:
-    """Owns which machines are closed to new tasks, or close for long ones."""
+    """Owns which machines are closed to new tasks, and which close to long ones and when."""
 
     def __init__(
         self,
@@ -38,9 +38,8 @@
         self._attempts = attempts
         self._runs = runs
         self._board = board
-        self._closing: dict[
-            str, int
-        ] = {}  # machines that close for long tasks: when, by the module's clock
+        # Machines that close to long tasks: the closing time by the module's clock.
+        self._closing: dict[str, int] = {}
         self._closed: frozenset[str] = frozenset()
         self.is_closed_by_slot: Callable[[str], bool] = _never_closed
         fleet.guards.append(self._guard)
@@ -50,13 +49,13 @@
         return name in self._closed or self.is_closed_by_slot(name)
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """A drain can only take from what the list says (rule 3)."""
+        """Present a closed machine as draining; a drain can only restrict what the list allows (rule 3)."""
         if self._is_closed(entry.name) and listed.phase is api.Phase.RUNNING:
             return replace(listed, phase=api.Phase.DRAINING)
         return listed
 
     def machine_states(self) -> list[MachineState]:
-        """The machines of the list as the planner sees them; those that the list itself drains do not run."""
+        """The listed machines as the drain planner sees them; those that the list itself drains are not `running`."""
         requested = {each.machine: each.asked for each in self._host.knowledge().machines}
         states = []
         for name, entry in self._fleet.held.items():
@@ -76,7 +75,7 @@
         return states
 
     def own_running(self) -> dict[str, list[RunningTask]]:
-        """Own tasks by machine, placed or offered, with when they end by their owner's hint."""
+        """This placer's placed and offered tasks by machine, with their ends (wall clock) by their owners' hints."""
         running: dict[str, list[RunningTask]] = {}
         wall_shift_us = self._context.hub.clock.wall_us() - self._context.hub.now_us()
         for attempt in self._attempts.by_key.values():
@@ -95,28 +94,28 @@
         return running
 
     def on_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
-        """Narrow the module: long tasks off machines that close, everything off those that are closed."""
-        self._narrow(closing)
+        """Restrict the module: no long tasks on machines in `closing`, no tasks at all on those in `closed`."""
+        self._restrict_long_tasks(closing)
         if closed != self._closed:
-            touched = closed ^ self._closed
+            changed = closed ^ self._closed
             self._closed = closed
-            self._fleet.reapply(self._show(touched))
+            self._fleet.reapply(self._publish(changed))
 
-    def _narrow(self, closing: dict[str, int]) -> None:
+    def _restrict_long_tasks(self, closing: dict[str, int]) -> None:
         shift_us = self._context.hub.now_us() - self._context.hub.clock.wall_us()
-        fresh = {name: at_us + shift_us for name, at_us in closing.items()}
+        closing_us = {name: at_us + shift_us for name, at_us in closing.items()}
         changes: dict[int, int | None] = {
             names.ident(name): at_us
-            for name, at_us in fresh.items()
+            for name, at_us in closing_us.items()
             if abs(self._closing.get(name, 0) - at_us) > CLOCK_JITTER_US
         }
-        changes |= {names.ident(name): None for name in self._closing if name not in fresh}
-        self._closing = fresh
+        changes |= {names.ident(name): None for name in self._closing if name not in closing_us}
+        self._closing = closing_us
         if changes:
             self._host.feed(api.Planned(changes))
 
-    def _show(self, machines: Iterable[str]) -> list[NodeEntry]:
-        """Show the machines of the list anew, by name; their entries."""
+    def _publish(self, machines: Iterable[str]) -> list[NodeEntry]:
+        """Publish the Nodes of listed machines again, in order of name; returns their entries."""
         held = self._fleet.held
         entries = [held[name] for name in sorted(machines) if name in held]
         for entry in entries:
@@ -124,13 +123,13 @@
         return entries
 
     def on_slots_changed(self, machines: Iterable[str]) -> None:
-        """Maintenance slots closed or opened machines: show that, and give them to the module anew."""
-        entries = self._show(machines)
+        """Publish machines that maintenance slots closed or opened, and pass them to the module again."""
+        entries = self._publish(machines)
         if entries:
             self._fleet.reapply(entries)
 
     def move_task(self, request: int, why: str) -> None:
-        """Stop a placed task and request it anew; never one that must not start twice."""
+        """Stop a placed task and request it again; one that must not start twice is never moved."""
         attempt = self._attempts.of(request)
         if attempt is None or _is_unsafe(attempt):
             self._context.counts["moves_dropped"] += 1
@@ -140,7 +139,7 @@
         self._runs.move(request)
 
     def report_drain(self, held: TrackedDrain) -> None:
-        """Report a drain's phase to operators: a line in the log, an Event and a condition of its Node."""
+        """Report a drain's phase to operators: by a log line, an Event and a condition of its Node."""
         self._context.counts["drains:" + held.phase.value] += 1
         name = held.drain.machine
         now = names.short_time(self._context.hub.clock.wall_us())
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -1,8 +1,8 @@
-"""Calendar drains of one placer: plan them, narrow the placement module, move own tasks at its share of the pace.
+"""Calendar drains of one placer: plans them, restricts placement and moves its own tasks at its share of the pace.
 
-What is out when is decided in `decide.maintenance.drain_plan`, what may be done next in
-`decide.maintenance.drain_progress`; where a moved task goes, by the placement module. The state of drains is kept on
-disk: after a restart, or when the clock is set back, they go on from there.
+`decide.maintenance.drain_plan` decides which machines are drained and when, `decide.maintenance.drain_progress` what
+may be done next, and the placement module where a moved task goes. The state of drains is kept on disk, so that they
+continue after a restart, and when the clock is set back.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
 from wingbarrow.transport import Hub
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 STEP_INTERVAL_US = 500_000
-PLAN_INTERVAL_US = 60 * SECOND
-HORIZON_US = 8 * 86_400 * SECOND  # how far ahead drains are planned
-PAST_US = 86_400 * SECOND  # how far back, for windows that have begun
-LOSS_REMEMBERED_US = 600 * SECOND  # a machine that vanished counts for its zone's failure so long
-FORMAT = 1  # of the state file
+PLAN_INTERVAL_US = 60 * SECOND_US
+HORIZON_US = 8 * 86_400 * SECOND_US  # how far ahead drains are planned
+LOOKBACK_US = 86_400 * SECOND_US  # how far back the starts of present windows are sought
+LOSS_MEMORY_US = 600 * SECOND_US  # how long a vanished machine counts towards a failure of its zone
+STATE_FORMAT = 1  # of the state file
 MAX_REQUESTED_DRAINS = 64
 MAX_LOGGED_PROBLEMS = 20
 MAX_LOGGED_CHARACTERS = 200
@@ -78,19 +78,19 @@
     """What the drainer needs of its placer."""
 
     def machine_states(self) -> list[MachineState]:
-        """The machines of the list; those that the list itself drains do not run."""
+        """The listed machines; those that the list itself drains are not `running`."""
 
     def own_running(self) -> dict[str, list[RunningTask]]:
-        """Own placed tasks by machine."""
+        """This placer's placed and offered tasks by machine."""
 
     def on_planned(self, closing: dict[str, int], closed: frozenset[str]) -> None:
-        """Machines that close for long tasks, with the wall time from which on; and those that are closed."""
+        """Apply the machines that close to long tasks, with their closing times (wall clock), and the closed ones."""
 
     def move_task(self, request: int, why: str) -> None:
-        """Stop a task here and request it anew."""
+        """Stop a task here and request it again."""
 
     def report_drain(self, held: TrackedDrain) -> None:
-        """A drain is in a new phase."""
+        """Report that a drain entered a new phase."""
 
 
 class Drainer:
@@ -125,34 +125,34 @@
         self._requested: list[Series] = []  # drains that operators requested
         self._planned_us: int | None = None
         self._planned_for: frozenset[str] = frozenset()
-        # Machines that ran, with their zone and when they ran last: a zone that failed is known by them.
+        # By name, the zone of each machine and when it last ran: failed zones are detected from these.
         self._last_running: dict[str, tuple[str, int]] = {}
 
     def reload(self) -> bool:
-        """Read the calendar again; False, with the problems in the log, if it is invalid: then nothing changed."""
+        """Reload the calendar. False, with the problems logged, if it is invalid; the present one then stays."""
         if self.is_agreed:
             self._log(
                 "calendar-reload-ignored",
-                what="a calendar read again changes nothing: `wingbarrow rules propose`",
+                what="placers agree on the calendar; change it by `wingbarrow rules propose`",
             )
             return True
         try:
-            fresh = load_calendar(self._paths, self._kinds_needed)
+            calendar = load_calendar(self._paths, self._kinds_needed)
         except SettingsError as error:
             for line, problem in error.problems[:MAX_LOGGED_PROBLEMS]:
                 self._log(
                     "calendar-rejected", level="error", file=error.name, line=line, why=problem
                 )
             return False
-        self.calendar = fresh
-        self.drains.on_policy(fresh.policy)
+        self.calendar = calendar
+        self.drains.on_policy(calendar.policy)
         self._planned_us = None
         return True
 
     def on_agreed(
         self, calendar: Calendar, asked: tuple[AskedDrain, ...], cancelled: tuple[str, ...]
     ) -> None:
-        """Take the windows and drains on which placers agree; they are in force when this returns."""
+        """Apply the windows and drains on which placers agree; they are in force when this returns."""
         now_us = self._hub.clock.wall_us()
         self.calendar = calendar
         self._requested = [each.series() for each in asked]
@@ -173,23 +173,23 @@
         now_us = self._hub.clock.wall_us()
         if not asked.start_us <= now_us < asked.start_us + asked.lasts_us:
             return False
-        held = self.drains.tracked.get(asked.key)
-        return held is None or held.phase not in ENDED_PHASES
+        tracked = self.drains.tracked.get(asked.key)
+        return tracked is None or tracked.phase not in ENDED_PHASES
 
     def run(self) -> None:
-        """Follow the calendar until cancelled."""
+        """Restore the saved drains and follow the calendar until cancelled."""
         self._restore()
         while True:
             self.step()
             self._hub.sleep(STEP_INTERVAL_US)
 
     def step(self) -> None:
-        """Plan if that is due, then take every drain as far as it goes."""
+        """Plan if that is due, then advance every drain as far as possible."""
         if not (self.calendar.series or self._requested or self.drains.tracked):
             return
         now_us = self._hub.clock.wall_us()
         machines = self._host.machine_states()
-        self._watch_machines(now_us, machines)
+        self._record_running(now_us, machines)
         self._plan(now_us, machines)
         running = self._host.own_running()
         drained = {
@@ -204,34 +204,34 @@
             failed=self._failed_zones(machines, drained),
             has_capacity=self._has_capacity(machines, drained),
         )
-        self._take_effect(step)
+        self._apply(step)
 
-    def _take_effect(self, step: DrainStep) -> None:
+    def _apply(self, step: DrainStep) -> None:
         self._host.on_planned(step.closing, step.closed)
         for each in step.changed:
             self._host.report_drain(each)
         if step.closed != self._closed:
             self._closed = step.closed
             self.on_closed(step.closed)
-        # Danger: what is stopped while this placer may act on no rules could not be started elsewhere.
+        # Danger: a task that is stopped while this placer may act on no rules could not be started elsewhere.
         for request in step.moves if self.may_move() else ():
             self._host.move_task(request, "its machine is drained by the calendar")
         if step.changed:
             self._save()
 
-    def _watch_machines(self, now_us: int, machines: list[MachineState]) -> None:
-        """A machine that the list drained has left by intent; one that vanished counts as lost for a while."""
+    def _record_running(self, now_us: int, machines: list[MachineState]) -> None:
+        """Record when machines last ran. One that the list drained left on purpose; one that vanished is lost."""
         for machine in machines:
             if machine.running:
                 self._last_running[machine.name] = (machine.zone, now_us)
             else:
                 self._last_running.pop(machine.name, None)
-        forgotten = [
+        expired = [
             name
             for name, (_, at_us) in self._last_running.items()
-            if not 0 <= now_us - at_us <= LOSS_REMEMBERED_US
+            if not 0 <= now_us - at_us <= LOSS_MEMORY_US
         ]
-        for name in forgotten:
+        for name in expired:
             del self._last_running[name]
 
     def _failed_zones(self, machines: list[MachineState], drained: set[str]) -> frozenset[str]:
@@ -245,7 +245,7 @@
         )
 
     def _plan(self, now_us: int, machines: list[MachineState]) -> None:
-        """Plan anew every PLAN_INTERVAL_US, and when other machines run than at the last time."""
+        """Plan again every PLAN_INTERVAL_US, and whenever the set of running machines has changed."""
         running = frozenset(machine.name for machine in machines if machine.running)
         is_due = self._planned_us is None or not 0 <= now_us - self._planned_us < PLAN_INTERVAL_US
         if not machines or not (is_due or running != self._planned_for):
@@ -256,7 +256,7 @@
             each for each in self._requested if to_us(each.start) + each.duration_us > now_us
         ]
         occurrences = expand_all(
-            [*self._requested, *self.calendar.series], now_us - PAST_US, now_us + HORIZON_US
+            [*self._requested, *self.calendar.series], now_us - LOOKBACK_US, now_us + HORIZON_US
         )
         unsafe = {occurrence.ident: occurrence.series.unsafe for occurrence in occurrences}
         drains = plan(occurrences, machines, self.calendar.rules)
@@ -269,7 +269,7 @@
         ]
 
     def _with_agreed_planned(self, drains: list[Drain]) -> list[Drain]:
-        """Requested drains were planned when placers agreed: one that sees other machines now keeps them."""
+        """Keep requested drains planned: placers agreed on them, even if this placer now sees other machines."""
         windows = {each.name for each in self._requested}
         return [
             replace(each, outcome=PlanOutcome.PLANNED, reason="")
@@ -279,7 +279,7 @@
         ]
 
     def _has_capacity(self, machines: list[MachineState], drained: set[str]) -> dict[str, bool]:
-        """Whether what is requested on a machine would fit on those that stay, by what is requested now."""
+        """By machine: whether the resources requested on it would fit on those that stay, by present requests."""
         fill = self.calendar.rules.fill
         staying = [
             machine for machine in machines if machine.running and machine.name not in drained
@@ -298,7 +298,7 @@
             )
         return has_capacity
 
-    # State on disk
+    # -- state on disk
 
     def _save(self) -> None:
         if self._file is None:
@@ -309,7 +309,9 @@
             if each.phase is not Phase.PLANNED
         ]
         raw = msgspec.json.encode(stored)
-        data = msgspec.json.encode(_File(FORMAT, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw)))
+        data = msgspec.json.encode(
+            _File(STATE_FORMAT, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))
+        )
         try:
             write_atomically(self._file, data)
         except OSError as error:
@@ -328,10 +330,10 @@
                 why=str(error)[:MAX_LOGGED_CHARACTERS],
             )
 
-    # Operators
+    # -- requests of operators
 
     def cancel(self, key: str) -> bool:
-        """Cancel a drain; False if there is none that has not ended."""
+        """Cancel the drain of that key; False if there is none that has not ended."""
         is_cancelled = self.drains.cancel(key, self._hub.clock.wall_us())
         if is_cancelled:
             self._host.report_drain(self.drains.tracked[key])
@@ -340,7 +342,7 @@
         return is_cancelled
 
     def drain_now(self, machine: str, duration_us: int) -> Drain:
-        """Drain a machine from now on, under the same budgets; the drain as planned, or refused with the reason."""
+        """Drain a machine from now on, under the same budgets. Returns the drain, planned or refused with a reason."""
         request, drain = self.plan_drain(machine, duration_us)
         if drain.outcome is PlanOutcome.PLANNED:
             self._requested = [*self._requested[-MAX_REQUESTED_DRAINS:], request.series()]
@@ -349,12 +351,12 @@
         return drain
 
     def plan_drain(self, machine: str, duration_us: int) -> tuple[AskedDrain, Drain]:
-        """A drain from now on as it would be planned; nothing changes."""
+        """The request for a drain from now on, and the drain as it would be planned; nothing changes."""
         now_us = self._hub.clock.wall_us()
-        request = AskedDrain(machine, now_us // SECOND * SECOND, duration_us)
+        request = AskedDrain(machine, now_us // SECOND_US * SECOND_US, duration_us)
         series = [request.series(), *self._requested, *self.calendar.series]
         drains = plan(
-            expand_all(series, now_us - PAST_US, now_us + HORIZON_US),
+            expand_all(series, now_us - LOOKBACK_US, now_us + HORIZON_US),
             self._host.machine_states(),
             self.calendar.rules,
         )
@@ -373,7 +375,7 @@
         return request, unknown
 
     def describe(self) -> list[dict[str, Any]]:
-        """All drains by their start, refused ones with their reason, as the REST API shows them."""
+        """All drains in order of start, refused ones with their reason, in the form of the REST API."""
         shown = [
             {
                 "key": each.drain.key,
@@ -408,26 +410,26 @@
 def _read(path: Path) -> list[_StoredDrain]:
     """The drains of a state file; OSError, ValueError or MsgspecError if it cannot be used."""
     file: _File = msgspec.json.decode(path.read_bytes(), type=_File)
-    if file.form != FORMAT or xxhash.xxh64_hexdigest(bytes(file.drains)) != file.digest:
-        raise ValueError("its digest or form is wrong")
+    if file.form != STATE_FORMAT or xxhash.xxh64_hexdigest(bytes(file.drains)) != file.digest:
+        raise ValueError(f"state file has a wrong digest, or is not of form {STATE_FORMAT}")
     drains: list[_StoredDrain] = msgspec.json.decode(file.drains, type=list[_StoredDrain])
     return drains
 
 
-def _to_stored(held: TrackedDrain) -> _StoredDrain:
+def _to_stored(tracked: TrackedDrain) -> _StoredDrain:
     return _StoredDrain(
-        key=held.drain.key,
-        window=held.drain.window,
-        occurrence=held.drain.occurrence,
-        machine=held.drain.machine,
-        start_us=held.drain.start_us,
-        end_us=held.drain.end_us,
-        phase=held.phase.value,
-        unsafe=held.unsafe.value,
-        since_us=held.since_us,
-        moved=held.moved,
-        late=held.late,
-        reason=held.reason,
+        key=tracked.drain.key,
+        window=tracked.drain.window,
+        occurrence=tracked.drain.occurrence,
+        machine=tracked.drain.machine,
+        start_us=tracked.drain.start_us,
+        end_us=tracked.drain.end_us,
+        phase=tracked.phase.value,
+        unsafe=tracked.unsafe.value,
+        since_us=tracked.since_us,
+        moved=tracked.moved,
+        late=tracked.late,
+        reason=tracked.reason,
     )
 
 
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -1,7 +1,7 @@
-"""This placer's own Jobs after its session has ended, and running copies that were leased under no present session.
+"""This placer's Jobs after their session has ended, and running copies whose lease is not of the present session.
 
-Successors decide about the Jobs of an ended session. Their copies here are stopped, but for those of work that must not
-start twice: a stop in the middle of that does harm, too.
+Successors decide about the Jobs of an ended session. Their copies here are stopped, except those of work that must not
+start twice: stopping such work midway does harm too.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from wingbarrow.kube import names
 from wingbarrow.peers.replication import RecoveredJob
 
-MAX_ENDED_SESSIONS = 8  # of this placer's own whose Jobs it remembers
-MAX_LOGGED_STRAYS = 4096
-FLUSH_DELAY_US = 20_000  # outcomes that come within it are shown together
+MAX_REMEMBERED_SESSIONS = 8  # ended sessions of this placer whose Jobs are remembered
+MAX_LOGGED_ORPHANS = 4096
+FLUSH_DELAY_US = 20_000  # outcomes within this delay are published together
 TAKEN_OVER = names.PREFIX + "TakenOver"  # conditions of Jobs
 LEASE_ENDED = names.PREFIX + "LeaseEnded"
 
 
 @dataclass(frozen=True, slots=True)
 class GivenUpJob:
-    """A Job as its session's end found it."""
+    """A Job as it was when its session ended."""
 
     own: OwnJob
     job: JobRecord
 
 
 class EndedSessionJobs:
-    """Gives up Jobs whose lease is lost, and shows what became of them."""
+    """Gives up Jobs whose lease is lost, and publishes their outcomes."""
 
     def __init__(self, components: JobComponents, leased_jobs: LeasedJobs) -> None:
         self._context = components.context
@@ -50,11 +50,11 @@
         self._leased_jobs = leased_jobs
         self._replicator = leased_jobs.records.replicator
         self._given_up: dict[str, dict[str, GivenUpJob]] = {}  # by session and uid
-        self._logged_strays: set[tuple[str, str]] = set()  # session and pod
+        self._logged_orphans: set[tuple[str, str]] = set()  # session and pod
         self._flush_is_due = False
 
     def own_jobs(self, session: Session) -> Mapping[str, OwnJob]:
-        """The Jobs, by uid, that were leased under a session of this placer's; remembered from then on."""
+        """The Jobs by uid that are leased under `session`, if it is this placer's; they are remembered from then on."""
         if session.placer != self._context.settings.name:
             return {}
         text = session.text()
@@ -65,38 +65,38 @@
             if job.leased is not None and job.leased.session == text and replicated is not None:
                 runs = any(task.state in RUNNING for task in job.tasks)
                 given_up[job.uid] = GivenUpJob(OwnJob(replicated.record, runs), job)
-        while len(self._given_up) > MAX_ENDED_SESSIONS:
+        while len(self._given_up) > MAX_REMEMBERED_SESSIONS:
             del self._given_up[next(iter(self._given_up))]
         return {uid: each.own for uid, each in given_up.items()}
 
     def on_session_over(self, session: Session) -> None:
-        """This placer's session has ended: give up all its Jobs."""
+        """Give up all Jobs, as this placer's session has ended."""
         self.own_jobs(session)
-        words = f"the lease {session.text()} was ended, others may run it by now"
+        message = f"the lease {session.text()} was ended, others may run it by now"
         for job in list(self._leased_jobs.jobs.values()):
-            self._give_up(job, LEASE_ENDED, "SessionEnded", words)
+            self._give_up(job, LEASE_ENDED, "SessionEnded", message)
         self._objects.flush()
 
     def on_superseded(self, uid: str, primary: str) -> None:
-        """Another placer is primary of a Job: give it up."""
+        """Give up a Job that has another placer as its primary."""
         job = self._leased_jobs.jobs.get(uid)
         if job is not None:
             self._give_up(job, TAKEN_OVER, "TakenOver", f"{primary} holds it by now")
             self._objects.flush()
 
-    def _give_up(self, job: JobRecord, condition: str, reason: str, words: str) -> None:
-        """Send nothing more of a Job, and stop its copies, unless it must not start twice."""
+    def _give_up(self, job: JobRecord, condition: str, reason: str, message: str) -> None:
+        """Send no more offers of a Job, and stop its copies unless it must not start twice."""
         is_unsafe = job.request.task_class.task_class.effect is api.Effect.UNSAFE
         self._leased_jobs.jobs.pop(job.uid, None)
         if job.leased is not None:
             job.leased = replace(job.leased, session="")
-        job.conditions[condition] = reason, words
+        job.conditions[condition] = reason, message
         for task in job.tasks:
             attempt = self._attempts.of(task.request) if task.request else None
-            task.last_outcome = words
+            task.last_outcome = message
             if task.state is State.ASKED:
                 job.lease_lost = True
-                self._give_up_request(task, attempt, words, is_unsafe=is_unsafe)
+                self._give_up_request(task, attempt, message, is_unsafe=is_unsafe)
             elif task.state is State.RETRYING:
                 self._runs.cancel_retry(task)
                 self._store.transition(task, Step.STOP)
@@ -109,7 +109,7 @@
         self._objects.mark_changed(job)
 
     def _give_up_request(
-        self, task: TaskRecord, attempt: Attempt | None, words: str, *, is_unsafe: bool
+        self, task: TaskRecord, attempt: Attempt | None, message: str, *, is_unsafe: bool
     ) -> None:
         """Answer a task's open request as failed."""
         if attempt is None:
@@ -118,10 +118,10 @@
             self._requests.fail(task)
             self._context.counts["leases:left in doubt"] += 1
         else:
-            self._leased_jobs.fail_lease_lost(attempt, words)
+            self._leased_jobs.fail_lease_lost(attempt, message)
 
     def on_recovered(self, recovered: RecoveredJob) -> None:
-        """Show the outcome of a Job of an ended session, as a successor answered it."""
+        """Publish the outcome of a Job of an ended session, as its successor reported it."""
         self._context.counts["healed:" + recovered.outcome] += 1
         if recovered.primary:
             where = f"{recovered.primary} has it at epoch {recovered.epoch}"
@@ -136,7 +136,7 @@
         self._flush_soon()
 
     def _flush_soon(self) -> None:
-        """Show together the outcomes of a batch."""
+        """Publish the outcomes of a batch together."""
         if not self._flush_is_due:
             self._flush_is_due = True
             self._context.hub.call_at(self._context.hub.now_us() + FLUSH_DELAY_US, self._flush)
@@ -148,26 +148,26 @@
     # -- running copies
 
     def is_leased_orphan(self, link: MachineLink, status: PodStatus) -> bool:
-        """Whether a running copy is leased and no Job of this placer accounts for it; then it is dealt with here.
+        """Whether a running copy is leased and belongs to no Job of this placer; it is then stopped, or logged once.
 
-        It is of a former life, or of a session that has ended. It is never adopted: its machine stops it when its lease
-        has expired there, and successors decide about its Job.
+        Such a copy is of an earlier incarnation or of an ended session. It is never adopted: its machine stops it when
+        its lease expires there, and successors decide about its Job.
         """
         session = status.session
         if not session:
             return False
         primary = self._replicator.primary
-        is_present = session == primary.session.text() and not primary.session_ended
-        if is_present and status.job_uid in self._leased_jobs.jobs:
+        is_current = session == primary.session.text() and not primary.session_ended
+        if is_current and status.job_uid in self._leased_jobs.jobs:
             return False
         is_unsafe = self._is_unsafe(status)
         if not is_unsafe and self._leased_jobs.has_ended(session):
             self._stops.request(link, status.namespace, status.name)
             self._context.counts["leases:strays stopped"] += 1
-        elif (session, status.name) not in self._logged_strays and (
-            len(self._logged_strays) < MAX_LOGGED_STRAYS
+        elif (session, status.name) not in self._logged_orphans and (
+            len(self._logged_orphans) < MAX_LOGGED_ORPHANS
         ):
-            self._logged_strays.add((session, status.name))
+            self._logged_orphans.add((session, status.name))
             self._context.log(
                 "leased-orphan",
                 level="warning",
@@ -175,12 +175,12 @@
                 job=status.job_key,
                 pod=status.name,
                 session=session,
-                left="running" if is_unsafe else "until its lease passes",
+                left="running" if is_unsafe else "until its lease expires",
             )
         return True
 
     def _is_unsafe(self, status: PodStatus) -> bool:
-        """Whether a copy's class must not start twice; one of an unknown class must not, either."""
+        """Whether a copy must not start twice; one of an unknown class counts as such."""
         labels = status.value["metadata"].get("labels") or {}
         settings = self._context.settings.classes.get(str(labels.get(names.CLASS, "")))
         return settings is None or settings.task_class.effect is api.Effect.UNSAFE
--- a/wingbarrow/core/event_recorder.py
+++ b/wingbarrow/core/event_recorder.py
@@ -1,4 +1,4 @@
-"""Events (v1 Event) that tell why a task was refused, moved or lost; a bounded number is kept."""
+"""Events (v1 Event) that state why a task was refused, moved or lost; a bounded number is kept."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.store import Collection
 
-KEPT = 4096
+MAX_EVENTS = 4096
 
 
 class EventRecorder:
-    """Writes Events into their collection; the oldest leave first."""
+    """Writes Events into their collection, and deletes the oldest beyond MAX_EVENTS."""
 
     def __init__(self, collection: Collection, source: str) -> None:
         self._collection = collection
         self._source = source
         self._keys: deque[str] = deque()
-        self._count = 0
+        self._recorded = 0
 
     def record_for_job(
         self, job: JobRecord, kind: str, reason: str, message: str, wall_us: int
     ) -> None:
-        """One Event about a Job; `kind` is Normal or Warning."""
-        self._tell(
+        """Record an Event about a Job; `kind` is Normal or Warning."""
+        self._record(
             {
                 "kind": "Job",
                 "apiVersion": "batch/v1",
@@ -42,8 +42,8 @@
     def record_for_node(
         self, node: str, kind: str, reason: str, message: str, wall_us: int
     ) -> None:
-        """One Event about a Node, in the namespace `default` as is usual for them."""
-        self._tell(
+        """Record an Event about a Node, in the namespace `default` as is usual for Nodes."""
+        self._record(
             {"kind": "Node", "apiVersion": "v1", "name": node, "uid": names.uid("node", node)},
             "default",
             kind,
@@ -52,18 +52,18 @@
             wall_us,
         )
 
-    def _tell(
+    def _record(
         self,
-        about: dict[str, str],
+        involved_object: dict[str, str],
         namespace: str,
         kind: str,
         reason: str,
         message: str,
         wall_us: int,
     ) -> None:
-        self._count += 1
-        name = f"{about['name']}.{wall_us:x}{self._count:x}"
-        stamp = names.short_time(wall_us)
+        self._recorded += 1
+        name = f"{involved_object['name']}.{wall_us:x}{self._recorded:x}"
+        timestamp = names.short_time(wall_us)
         key = f"{namespace}/{name}"
         self._collection.put(
             key,
@@ -74,36 +74,36 @@
                     "name": name,
                     "namespace": namespace,
                     "uid": names.uid(self._source, name),
-                    "creationTimestamp": stamp,
+                    "creationTimestamp": timestamp,
                 },
-                "involvedObject": about,
+                "involvedObject": involved_object,
                 "reason": reason,
                 "message": message[:1024],
                 "type": kind,
                 "count": 1,
                 "source": {"component": "wingbarrow", "host": self._source},
-                "firstTimestamp": stamp,
-                "lastTimestamp": stamp,
+                "firstTimestamp": timestamp,
+                "lastTimestamp": timestamp,
                 "eventTime": None,
                 "reportingComponent": "wingbarrow",
                 "reportingInstance": self._source,
             },
         )
         self._keys.append(key)
-        if len(self._keys) > KEPT:
+        if len(self._keys) > MAX_EVENTS:
             self._collection.delete(self._keys.popleft())
 
 
 def event_fields(value: dict[str, object]) -> dict[str, str]:
-    """What Events can be selected by."""
-    meta, about = value["metadata"], value["involvedObject"]
+    """The fields by which Events can be selected."""
+    meta, involved_object = value["metadata"], value["involvedObject"]
     assert isinstance(meta, dict)
-    assert isinstance(about, dict)
+    assert isinstance(involved_object, dict)
     return {
         "metadata.name": meta["name"],
         "metadata.namespace": meta["namespace"],
-        "involvedObject.name": about["name"],
-        "involvedObject.kind": about["kind"],
+        "involvedObject.name": involved_object["name"],
+        "involvedObject.kind": involved_object["kind"],
         "reason": str(value["reason"]),
         "type": str(value["type"]),
     }
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -1,8 +1,8 @@
-"""Jobs of other placers' ended sessions that are run here, as `decide.replication.replicator` decides.
+"""Jobs of other placers' ended sessions that this placer runs, as `decide.replication.replicator` decides.
 
-A Job that is taken over is run like wanted work without a request: its owner was answered by the placer that accepted
-it, or was not; no answer is owed here. It is shown under its name, with the session that it was leased under, and
-requested of the module like a lost task, within the free capacity of this region, until it is placed.
+This placer owes no answer for a Job that it takes over: only the placer that accepted the Job may have answered its
+owner. The Job is published under its name, with the session that it was leased under. Its tasks are requested of the
+module like lost tasks, within the free capacity of this region, until they are placed.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 from wingbarrow.kube.status import ApiError, not_found
 from wingbarrow.peers.replication import RecoveredJob, ReissueEvent
 
-MAX_PENDING_RUNS = 64  # that were taken over and are not placed yet
-FORMER_SESSION = names.PREFIX + "taken-over-from"  # annotation
-MAX_NAME_PREFIX = 50  # characters of a Job's name where that is taken
+MAX_PENDING_TASKS = 64  # tasks that were taken over and are not placed yet
+FORMER_SESSION_ANNOTATION = names.PREFIX + "taken-over-from"
+MAX_NAME_PREFIX_CHARS = 50  # kept of a Job's name if that is in use already
 PERCENT = 100
 
 
 class JobFailover:
-    """Starts the Jobs that this placer takes over, and lists those that are unknown."""
+    """Starts the Jobs that this placer takes over, and lists those that may or may not have run."""
 
     def __init__(self, components: JobComponents, fleet: Fleet, leased_jobs: LeasedJobs) -> None:
         self._context = components.context
@@ -49,12 +49,12 @@
         self._leased_jobs = leased_jobs
         self._records = leased_jobs.records
         self._pending: dict[str, TaskRecord] = {}  # taken over and not placed yet, by name
-        self._store.state_listeners.append(self._on_step)
+        self._store.state_listeners.append(self._on_transition)
 
     # -- federation specs
 
     def terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
-        """What a Job's spec asks for now; no regions where it has no failover."""
+        """The replication that a Job's present spec asks for; no regions if the spec has no failover."""
         federation = self._leased_jobs.federation()
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None:
@@ -62,7 +62,7 @@
         return ReplicationTerms(allowed(spec, federation), spec.failover.copies)
 
     def _may_start(self, record: LeasedJobRecord, free: tuple[float, float]) -> bool:
-        """Whether its spec, as it is now, has it run here after its region's loss, within its part of `free`."""
+        """Whether a Job's present spec lets it run here after its region is lost, within the spec's part of `free`."""
         federation = self._leased_jobs.federation()
         here = self._context.settings.region
         spec = _spec_of(record, federation)
@@ -79,7 +79,7 @@
             and self._store.admission.check(namespace, record.count) is None
         )
 
-    # -- starts
+    # -- start of Jobs that are taken over
 
     def _free_capacity(self) -> tuple[float, float]:
         """The free cores and GiB of this region's machines, as its list reports them."""
@@ -93,14 +93,14 @@
         return cores, memory
 
     def on_startable(self) -> None:
-        """Start what is ready, within the free capacity less that of runs which are not placed yet."""
+        """Start ready Jobs, within the free capacity minus that of tasks taken over but not placed yet."""
         free = self._free_capacity()
         cores, memory = free
         for task in self._pending.values():
             cores -= task.job.request.cores
             memory -= task.job.request.memory
-        if len(self._pending) >= MAX_PENDING_RUNS:
-            cores = memory = 0.0  # what is ready comes by a later call
+        if len(self._pending) >= MAX_PENDING_TASKS:
+            cores = memory = 0.0  # a later call starts what is ready
         starts = self._records.next_starts(
             cores, memory, lambda record: self._may_start(record, free)
         )
@@ -108,7 +108,7 @@
             self._start(start)
         self._objects.flush()
 
-    def _on_step(self, task: TaskRecord, before: State) -> None:
+    def _on_transition(self, task: TaskRecord, before: State) -> None:
         if task.job.leased is not None and task.job.leased.previous_session:
             if task.state in (State.ASKED, State.RETRYING):
                 self._pending[task.name] = task
@@ -119,7 +119,7 @@
         record = start.record
         session = self._records.replicator.primary.session
         former = record.session.text()
-        job = self._shown_job(record)
+        job = self._add_job(record)
         if job is None:
             return
         job.leased = JobLease(record.spec, session.text(), start.epoch, former)
@@ -135,16 +135,16 @@
                 self._requests.submit(task)
         self._objects.mark_changed(job)
 
-    def _shown_job(self, record: LeasedJobRecord) -> JobRecord | None:
-        """A Job in the store, as its record has it; None, and logged, where its manifest cannot be read here."""
+    def _add_job(self, record: LeasedJobRecord) -> JobRecord | None:
+        """The Job of a record, added to the store if absent; None, and logged, if its manifest cannot be read here."""
         present = self._store.jobs.get(record.key)
         if present is not None and present.uid == record.uid:
             return present
         namespace, _, name = record.key.partition("/")
         try:
             value = names.decode(record.manifest)
-            if present is not None:  # an owner of this region has a Job of that name
-                name = f"{name[:MAX_NAME_PREFIX]}-{record.uid[:8]}"
+            if present is not None:  # another Job here has that name
+                name = f"{name[:MAX_NAME_PREFIX_CHARS]}-{record.uid[:8]}"
                 value["metadata"]["name"] = name
             request = self._read(value, namespace)
         except (ApiError, ValueError, KeyError, TypeError) as error:
@@ -160,7 +160,7 @@
         metadata = value["metadata"]
         metadata["annotations"] = {
             **(metadata.get("annotations") or {}),
-            FORMER_SESSION: record.session.text(),
+            FORMER_SESSION_ANNOTATION: record.session.text(),
         }
         value["status"] = {"startTime": names.short_time(self._context.hub.clock.wall_us())}
         job = self._store.add(f"{namespace}/{name}", record.uid, request, value, adopted=True)
@@ -171,10 +171,10 @@
         settings = self._context.settings
         return read_job(value, namespace, settings.classes, settings.limits, "")
 
-    # -- decisions
+    # -- decisions on Jobs of ended sessions
 
     def on_reissue(self, event: ReissueEvent) -> None:
-        """Log a decision, show an unknown Job, and remove one that is over."""
+        """Log a decision, publish a Job that is kept as unknown, and remove the record of one that has ended."""
         self._context.log(
             "reissue",
             job=event.key,
@@ -188,17 +188,17 @@
         if event.verdict == ReissueDecision.UNKNOWN.value:
             record = replicator.failover_record(event.uid)
             if record is not None:
-                self._show_unknown(record, event.why)
+                self._publish_unknown(record, event.why)
         elif (
             event.verdict == ReissueDecision.NOTHING.value
             and replicator.failover_outcome(event.uid) == event.verdict
         ):
             self._context.spawn(
-                lambda: self._records.remove(event.uid), "lets a Job go that is over"
+                lambda: self._records.remove(event.uid), "remove the record of an ended Job"
             )
 
-    def _show_unknown(self, record: LeasedJobRecord, why: str) -> None:
-        job = self._shown_job(record)
+    def _publish_unknown(self, record: LeasedJobRecord, why: str) -> None:
+        job = self._add_job(record)
         if job is None:
             return
         job.conditions[UNKNOWN] = (
@@ -209,10 +209,10 @@
         self._objects.mark_changed(job)
         self._objects.flush()
 
-    # -- the operator's list
+    # -- unknown Jobs, for operators
 
     def unknown_jobs(self) -> list[dict[str, Any]]:
-        """Jobs that must not start twice, and of which nobody knows whether they did, as the API lists them."""
+        """Jobs that must not start twice and may have started already, in the form of the API."""
         return [
             {
                 "job": record.key,
@@ -235,7 +235,7 @@
         ]
 
     def resolve_unknown_job(self, key: str, ran: bool) -> None:
-        """An operator's answer: the Job never ran, and is started; or it did, and is removed. ApiError 404."""
+        """Apply an operator's decision: start a Job that never ran, remove one that ran. ApiError 404 if not listed."""
         unknown = self._records.replicator.unknown_jobs()
         record = next((each for each in unknown if each.key == key), None)
         if record is None:
@@ -252,7 +252,7 @@
 
 
 class FailoverListener:
-    """Gives the events of replication (`peers.replication.ReplicationListener`) to the components they concern."""
+    """Passes replication events (`peers.replication.ReplicationListener`) to the components that handle them."""
 
     def __init__(
         self, failover: JobFailover, own_jobs: EndedSessionJobs, fences: MachineFences
@@ -266,7 +266,7 @@
         self._failover.on_startable()
 
     def on_reissue(self, event: ReissueEvent) -> None:
-        """A decision on a Job that is taken over."""
+        """Handle a decision on a Job of an ended session."""
         self._failover.on_reissue(event)
 
     def on_machine_query(self, ident: str, query: MachineQuery) -> None:
@@ -278,7 +278,7 @@
         self._own_jobs.on_superseded(uid, primary)
 
     def on_recovered(self, job: RecoveredJob) -> None:
-        """Show the outcome of a Job of an ended session."""
+        """Publish the outcome of a Job of an ended session."""
         self._own_jobs.on_recovered(job)
 
     def on_session_over(self, session: Session) -> None:
@@ -286,23 +286,23 @@
         self._own_jobs.on_session_over(session)
 
     def own_jobs(self, session: Session) -> Mapping[str, OwnJob]:
-        """The Jobs that were leased under a session of this placer's."""
+        """The Jobs by uid that were leased under `session`, if it is this placer's."""
         return self._own_jobs.own_jobs(session)
 
     def terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
-        """What a Job's spec asks for now."""
+        """The replication that a Job's present spec asks for."""
         return self._failover.terms_of(record)
 
 
 def _spec_of(record: LeasedJobRecord, federation: Federation) -> Spec | None:
-    """A record's spec as it is now; one whose name is gone is found by the Job's annotation and class."""
-    found = federation.named.get(record.spec)
-    if found is not None:
-        return found
+    """The present spec of a record. If none has its name any longer, the one for the Job's annotation and class."""
+    spec = federation.named.get(record.spec)
+    if spec is not None:
+        return spec
     try:
         metadata = names.decode(record.manifest)["metadata"]
-        named = str((metadata.get("annotations") or {}).get(names.FEDERATION, ""))
+        spec_name = str((metadata.get("annotations") or {}).get(names.FEDERATION, ""))
         class_name = str((metadata.get("labels") or {}).get(names.CLASS, ""))
-        return federation.spec_for(class_name, named)
+        return federation.spec_for(class_name, spec_name)
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: list entries pass the guards, then go to the module, to API objects and to the machines' connections."""
+"""The fleet: list entries pass the guards, then go to the module, the API objects and the machine connections."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.restarts import RestartGuard
 
-REOPEN_US = 50_000
-MAX_PROBES = 32
+REOPEN_DELAY_US = 50_000  # machines that open within it are passed to the module together
+MAX_OPEN_PROBES = 32
 Guard = Callable[[NodeEntry, api.ListedMachine], api.ListedMachine]
 
 
@@ -53,7 +53,7 @@
         self._observations = observations
         self._restart_guard = RestartGuard(context.settings.scheduler.classes)
         self._reopening = False
-        self._probes_out = 0
+        self._open_probes = 0
         settings = context.settings
         self.reflector = Reflector(
             context.hub,
@@ -76,7 +76,7 @@
         self.is_drained: Callable[[str], bool] = lambda name: False  # by the drain calendar
         # The checkpoint of the earlier incarnation cannot be read.
         self.on_state_lost: Callable[[], None] = lambda: None
-        # Predicates on machine names: closed to this placer alone.
+        # Predicates on machine names: whether a machine is closed to this placer alone.
         self.closed_locally: list[Callable[[str], bool]] = []
         observations.on_listed = self._on_pods_listed
 
@@ -103,9 +103,9 @@
         now = self._context.hub.now_us()
         for entry in entries:
             self._restart_guard.on_machine_listed(entry.name, entry.listed, now)
-        # Every entry passes here, and so the guards (rules 3 and 5).
-        narrowed = {entry.name: self._narrow(entry) for entry in entries}
-        listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
+        # Every entry passes the guards here (rules 3 and 5).
+        restricted = {entry.name: self._restrict(entry) for entry in entries}
+        listed = [self.slow_start_guard(entry, restricted[entry.name]) for entry in entries]
         for name in gone:
             last_entry = self._on_gone(name)
             if form is api.ListForm.CHANGES and last_entry is not None:
@@ -113,10 +113,8 @@
         new_links: list[MachineLink] = []
         for entry in entries:
             link = self._link(entry, new_links)
-            link.phase, link.launched_us = (
-                narrowed[entry.name].phase,
-                narrowed[entry.name].launched_us,
-            )
+            link.phase = restricted[entry.name].phase
+            link.launched_us = restricted[entry.name].launched_us
             self.on_machine_listed(entry.name)
             self._objects.publish_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
@@ -128,19 +126,19 @@
         self.on_delivery_applied()
 
     def reapply(self, entries: Iterable[NodeEntry]) -> None:
-        """Pass entries through the guards anew; their free capacity is not current and counts as unknown."""
+        """Pass entries through the guards again; their free capacity is not current and counts as unknown."""
         self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
 
     def reapply_named(self, names: Container[str]) -> None:
         """As `reapply`, for the machines of these names that are held."""
         self.reapply([entry for name, entry in self.held.items() if name in names])
 
-    def _narrow(self, entry: NodeEntry) -> api.ListedMachine:
+    def _restrict(self, entry: NodeEntry) -> api.ListedMachine:
         listed = entry.listed
         for guard in self.guards:
             listed = guard(entry, listed)
         if listed.phase is api.Phase.RUNNING and self._restart_guard.is_closed(entry.listed):
-            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not count.
+            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not be counted.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
 
@@ -149,7 +147,7 @@
         return self._remove_node(name)
 
     def _remove_node(self, name: str) -> api.ListedMachine | None:
-        """Withdraw a machine's Node and mark its link gone; its last entry for the module, None without a link."""
+        """Withdraw a machine's Node and mark its link as gone. Its last entry for the module; None without a link."""
         link = self._machines.links.get(name)
         stored = self._objects.withdraw_node(name)
         if link is None:
@@ -176,7 +174,7 @@
         if entry is not None:
             self._host.feed(api.MachineList(api.ListForm.CHANGES, (entry,)))
 
-    # -- after a start
+    # -- after a restart
 
     def is_closed_by_restart(self, entry: NodeEntry) -> bool:
         """Whether a machine is closed only because this placer has restarted."""
@@ -203,10 +201,10 @@
             if self._restart_guard.expire(self._context.hub.now_us()):
                 self._reopen()
             if not self._restart_guard.is_over:
-                self._context.hub.sleep(REOPEN_US)
+                self._context.hub.sleep(REOPEN_DELAY_US)
 
     def _on_pods_listed(self, name: str) -> None:
-        """A machine has listed its pods of this placer."""
+        """Open a machine that has listed its pods of this placer."""
         if self._restart_guard.on_pods_listed(name):
             self._reopen()
 
@@ -229,7 +227,7 @@
                 ]
             )
 
-        self._context.hub.call_at(self._context.hub.now_us() + REOPEN_US, on_due)
+        self._context.hub.call_at(self._context.hub.now_us() + REOPEN_DELAY_US, on_due)
 
     def has_complete_view(self, machines: int) -> bool:
         """Whether the list names at least `machines` machines and each of them has listed its pods."""
@@ -242,12 +240,14 @@
     # -- connections
 
     def _link(self, entry: NodeEntry, new_links: list[MachineLink]) -> MachineLink:
-        link, offered_us = self._machines.links.get(entry.name), None
+        link = self._machines.links.get(entry.name)
+        offered_us = None
         if link is not None and (link.host, link.port) != (entry.host, entry.port):
-            # The machine has another address: the former one is no longer reached.
+            # The machine has another address: close the connections to the former one.
             link.retired = True
             link.close()
-            offered_us, link = link.offered_us, None
+            offered_us = link.offered_us
+            link = None
         if link is None:
             settings = self._context.settings
             link = MachineLink(
@@ -265,7 +265,7 @@
         return link
 
     def _retire(self, name: str) -> None:
-        """A machine left the list: once it cannot be reached, or after 10 minutes, its tasks are lost."""
+        """Declare the tasks of a machine that left the list lost, once it is unreachable or after 10 minutes."""
         link = self._machines.links.get(name)
         if link is None:
             return
@@ -289,24 +289,24 @@
         self._context.spawn(wait, "retire")
 
     def size_of(self, entry: NodeEntry | None) -> tuple[float, float]:
-        """Cores and memory of a machine by its kind."""
+        """Cores and memory of a machine by its kind; (1.0, 1.0) if the kind is unknown."""
         return self._context.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
 
     def probe(self, machine: int) -> None:
-        """Request a machine's load report; dropped while too many probes are out."""
+        """Request a machine's load report; dropped, and counted, while MAX_OPEN_PROBES are open."""
         link = self._machines.of(machine)
-        if link is None or self._probes_out >= MAX_PROBES:
+        if link is None or self._open_probes >= MAX_OPEN_PROBES:
             self._context.counts["probes_dropped"] += 1
             return
         size = self.size_of(self.held.get(link.name))
         self._context.counts["probes"] += 1
-        self._probes_out += 1
+        self._open_probes += 1
 
         def probe() -> None:
             try:
                 report = link.probe(size)
             finally:
-                self._probes_out -= 1
+                self._open_probes -= 1
             if report is not None:
                 self.on_contact(link.name)
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
@@ -316,7 +316,7 @@
 
 
 def without_free_capacity(entry: NodeEntry) -> NodeEntry:
-    """The entry with unknown free capacity, as its figures are of unknown age."""
+    """The entry with unknown free capacity, because the age of its figures is unknown."""
     return replace(entry, listed=replace(entry.listed, free_cores=math.nan, free_memory=math.nan))
 
 
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -1,7 +1,7 @@
-"""The host of the decision module: events in, in order; actions out, each to the component that carries it out.
+"""Host of the decision module: passes it events in order, and each of its actions to the component that acts on it.
 
-It is the only caller of `Scheduler.handle`. A component that has something to tell feeds an event; what the module then
-decides is carried out before the next event is taken, and what that brings about waits in the queue.
+It is the only caller of `Scheduler.handle`. Components report events by `Host.feed`. All actions that follow from one
+event are carried out before the next event is handled; events that these actions cause wait in the queue.
 """
 
 from __future__ import annotations
@@ -17,66 +17,66 @@
 
 
 class ActionHandler(Protocol):
-    """Who carries out what the module decides."""
+    """Carries out the actions of the decision module."""
 
     def bind(self, bind: api.Bind) -> None:
         """Offer a task to a machine."""
 
     def refuse(self, request: int) -> None:
-        """Give the final answer: refused, trying again is harmless."""
+        """Give the final answer "refused": a retry by the owner is safe."""
 
     def fail(self, request: int) -> None:
-        """Give the final answer: failed, with no promise as to the effect."""
+        """Give the final answer "failed": the task may or may not have taken effect."""
 
     def move(self, request: int) -> None:
-        """Stop a placed task and ask for it again."""
+        """Stop a placed task and request it again."""
 
     def probe(self, machine: int) -> None:
-        """Ask a machine for its report."""
+        """Request a machine's load report."""
 
     def flush(self) -> None:
-        """All that one event brought about is done: show it."""
+        """Publish the results; called once the queue of events is empty."""
 
 
 class Host:
-    """The module with its queue and its timers."""
+    """The decision module with its event queue and its timers."""
 
     def __init__(self, life: Life, settings: api.Settings) -> None:
         self._life = life
         self._scheduler = Scheduler(settings, life.random.randrange(1 << 48))
         self._queue: deque[api.Event] = deque()
         self._timers: dict[str, Timer] = {}
-        self._pumping = False
+        self._is_handling = False
         self.action_handler: ActionHandler | None = None
         self.module_ns = 0  # processor time spent in the module
         self.failed: Exception | None = None
 
     def feed(self, event: api.Event) -> None:
-        """Tell the module of an event, in order, and carry out what it answers."""
+        """Queue an event; unless events are being handled already, handle all queued events and their actions."""
         self._queue.append(event)
-        if self._pumping:
+        if self._is_handling:
             return
         action_handler = self.action_handler
         assert action_handler is not None, (
-            "the placer puts the components together before anything happens"
+            "the placer sets the action handler before the first event"
         )
-        self._pumping = True
+        self._is_handling = True
         try:
             while self._queue:
-                happened = self._queue.popleft()
-                begun = time.perf_counter_ns()
-                actions = self._scheduler.handle(self._life.hub.now_us(), happened)
-                self.module_ns += time.perf_counter_ns() - begun
+                next_event = self._queue.popleft()
+                started_ns = time.perf_counter_ns()
+                actions = self._scheduler.handle(self._life.hub.now_us(), next_event)
+                self.module_ns += time.perf_counter_ns() - started_ns
                 for action in actions:
                     self._carry_out(action, action_handler)
         except Exception as error:
-            # A core that failed halfway through an event must not go on placing: the whole placer ends.
+            # A core that failed halfway through an event must not place any more tasks: the whole placer ends.
             self.failed = error
             self._life.log("core-failed", level="error", why=f"{type(error).__name__}: {error}")
             self._life.end()
             raise
         finally:
-            self._pumping = False
+            self._is_handling = False
         action_handler.flush()
 
     def _carry_out(self, action: api.Action, action_handler: ActionHandler) -> None:
@@ -94,28 +94,27 @@
             case api.Probe(machine):
                 action_handler.probe(machine)
             case api.WatchList():
-                self._life.counts["watch_list"] += (
-                    1  # the list is followed for as long as the placer lives
-                )
+                # The list is watched for the placer's whole lifetime, so that there is nothing more to do.
+                self._life.counts["watch_list"] += 1
             case api.Log(text):
                 self._life.log("module", text=text)
 
     def _set_timer(self, at_us: int, name: str) -> None:
-        def due() -> None:
+        def on_due() -> None:
             self._timers.pop(name, None)
             self.feed(api.TimerDue(name))
 
-        # A request's own timer gives the final answer that is owed: it runs before all else that is due.
-        timer = self._life.hub.call_at(at_us, due, owed=name.isdecimal())
+        # A request's own timer gives the final answer that its owner is owed: it runs before other timers that are due.
+        timer = self._life.hub.call_at(at_us, on_due, owed=name.isdecimal())
         if name.isdecimal():
             self._timers[name] = timer
 
     def cancel_timer(self, request: int) -> None:
-        """A request's own timer is not needed any more."""
+        """Cancel a request's own timer, if it is set."""
         timer = self._timers.pop(str(request), None)
         if timer is not None:
             timer.cancel()
 
     def knowledge(self) -> api.Knowledge:
-        """What the module knows of machines."""
+        """The module's knowledge of machines."""
         return self._scheduler.knowledge(self._life.hub.now_us())
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -1,8 +1,8 @@
-"""Admission of Jobs, and what else clients ask of the core by whatever protocol: deletion, eviction, names.
+"""Admission, deletion and eviction of Jobs, independent of the client protocol.
 
-A Job is admitted after these checks, in this order: form, name, overload and deadline, limits of this placer, limits of
-the whole fleet (which may wait), federation spec, and for a leased Job a replica that holds its record (which may
-wait). Until the last has passed nothing of the Job is kept.
+A Job is admitted after these checks, in this order: manifest, name, overload and deadline, limits of this placer,
+limits of the whole fleet (which may wait), federation spec, and for a leased Job a replica that holds its record (which
+may wait). Nothing of the Job is kept until the last check has passed.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def _named_spec(value: dict[str, Any]) -> str:
-    """The federation spec that a Job names, "" for none."""
+    """The federation spec that a Job names; "" if it names none."""
     return str((value["metadata"].get("annotations") or {}).get(names.FEDERATION, ""))
 
 
@@ -83,10 +83,9 @@
         dry_run: bool = False,
         arrived_us: int | None = None,
     ) -> dict[str, Any]:
-        """Admit a Job and return its value as clients see it; ApiError says why it is rejected, without a trace of it.
+        """Admit a Job and return it as published. ApiError gives the reason for a rejection, which leaves no trace.
 
-        The owner's patience runs from `arrived_us`, a time at which the request had not arrived yet; by default from
-        now.
+        The owner's patience starts at `arrived_us`, a time no later than the request's arrival; by default now.
         """
         return self._admit(value, namespace, dry_run, arrived_us, is_forwarded=False)
 
@@ -115,7 +114,7 @@
         self._check_limits(namespace, request.count)
         if not dry_run:
             self._check_fleet_limits(request, now, due_us)
-        if context.hub.now_us() > now:  # it waited for a quota: other Jobs may have been admitted
+        if context.hub.now_us() > now:  # waited for quota: other Jobs may have been admitted
             self._check_name(key, request.name)
             self._check_limits(namespace, request.count)
         spec = None
@@ -131,23 +130,23 @@
             self._objects.store.version,
             context.random.random(),
         )
-        shown = job_value(value, request, uid, context.hub.clock.wall_us())
+        published = job_value(value, request, uid, context.hub.clock.wall_us())
         if dry_run:
-            return shown
+            return published
         is_local = region == context.settings.region
         lease = None
         if spec is not None and is_local:
-            lease = self._lease(key, uid, request, spec, shown, due_us)
-        job = self._jobs.add(key, uid, request, shown)
+            lease = self._lease(key, uid, request, spec, published, due_us)
+        job = self._jobs.add(key, uid, request, published)
         if lease is not None and self._leased_jobs is not None:
             self._leased_jobs.accept(job, lease)
         self._objects.publish_new_job(job)
         if spec is not None and not is_local and self._remote_regions is not None:
             self._remote_regions.forward_job(job, due_us, region, spec.name)
-            return shown
+            return published
         for task in job.tasks:
             self._requests.submit(task, due_us)
-        return shown
+        return published
 
     # -- steps of admission; each raises ApiError where the Job is rejected
 
@@ -160,7 +159,7 @@
             )
 
     def _due_us(self, request: JobRequest, now_us: int, arrived_us: int) -> int:
-        """When the final answer is due."""
+        """The time at which the final answer is due."""
         due_us = self._overload.due_us(
             now_us,
             arrived_us,
@@ -186,7 +185,7 @@
         return ApiError(429, rejected.why.value, retry_after_s=rejected.retry_after_s)
 
     def _check_limits(self, namespace: str, count: int) -> None:
-        """This placer's own limits on open tasks and pending stops."""
+        """Check this placer's own limits on open tasks and pending stops."""
         too_many = self._jobs.admission.check(namespace, count, self._stops.pending)
         if too_many is not None:
             self._context.counts["turned_away"] += 1
@@ -200,7 +199,7 @@
             )
 
     def _check_fleet_limits(self, request: JobRequest, now_us: int, due_us: int) -> None:
-        """Limits that placers agree on; waits for this placer's quota, up to a third of the time left."""
+        """Check the limits that placers agree on; waits for quota up to a third of the time that is left."""
         exceeded = self._active_rules.use_quota_or_wait(
             request.namespace,
             request.task_class.task_class.name,
@@ -210,7 +209,7 @@
         if exceeded is None:
             return
         self._context.counts["turned_away:limit"] += 1
-        # Random, so that clients rejected at one time do not retry at one time.
+        # Random, so that clients that are rejected together do not retry together.
         raise ApiError(
             429,
             f"limit {exceeded.key} of the whole fleet: {exceeded.most}"
@@ -224,17 +223,17 @@
         uid: str,
         request: JobRequest,
         spec: Spec,
-        shown: dict[str, Any],
+        published: dict[str, Any],
         due_us: int,
     ) -> JobLease | None:
-        """Have replicas hold the record of a Job whose spec asks for failover; waits. None where it asks for none."""
+        """Replicate the record of a Job whose spec asks for failover, and wait for that. None if it asks for none."""
         if spec.failover is None or self._leased_jobs is None:
             return None
-        manifest = {name: part for name, part in shown.items() if name != "status"}
+        manifest = {name: part for name, part in published.items() if name != "status"}
         candidate = LeaseCandidate(key, uid, request, spec, names.encode(manifest).decode())
         return self._leased_jobs.replicate(candidate, due_us)
 
-    # -- what ends tasks
+    # -- deletion and eviction
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job, stop its tasks, and return its last value; ApiError 404 where there is none."""
@@ -266,8 +265,8 @@
             if attempt.awaiting_confirmation and self._leased_jobs is not None:
                 self._leased_jobs.stop(attempt)
             elif attempt.stage is Stage.SENT:
-                # Danger: the offer is in flight; without a stop the pod that it starts would run without an owner. One
-                # stop ends it on the machine, and the offer is answered by that.
+                # Danger: the offer is in flight; without a stop, the pod that it starts would run without an owner. One
+                # stop ends the pod on the machine, and that settles the offer.
                 attempt.stopping = retries.RunEnd.STOPPED
                 self._stops.request(
                     attempt.link,
@@ -294,10 +293,10 @@
         self._drain_schedule.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
-        """The namespaces of present Jobs, and `default`."""
+        """The namespaces of all stored Jobs, and `default`."""
         return sorted({"default", *(job.request.namespace for job in self._jobs.jobs.values())})
 
     def uid_of(self, key: str) -> str | None:
-        """The uid of the Job of that key, None without one."""
+        """The uid of the Job of that key; None if there is none."""
         job = self._jobs.jobs.get(key)
         return job.uid if job is not None else None
--- a/wingbarrow/core/job_manifest.py
+++ b/wingbarrow/core/job_manifest.py
@@ -1,4 +1,4 @@
-"""Intake: a submitted Job (batch/v1) to what the core needs; every fault with its field's path."""
+"""Validates a submitted Job (batch/v1) and converts it to a `JobRequest`; every error names its field's path."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wingbarrow.kube.status import Cause, invalid
 
 _NAME = re.compile(r"[a-z0-9](?:[-a-z0-9]*[a-z0-9])?(?:\.[a-z0-9](?:[-a-z0-9]*[a-z0-9])?)*")
-_ANNOTATIONS_MOST = 262_144  # bytes of all annotations together (apimachinery's limit)
+_MAX_ANNOTATIONS_BYTES = 262_144  # of all annotations together (apimachinery's limit)
 
 
 class _Meta(msgspec.Struct, rename="camel"):
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """What a Job asks for: `count` tasks of one service; memory in GiB, times in microseconds."""
+    """What a Job requests: `count` tasks of one service; `memory` in GiB, times in microseconds."""
 
     namespace: str
     name: str
@@ -88,56 +88,58 @@
     namespace: str,
     classes: Mapping[str, ClassSettings],
     limits: Limits,
-    fresh_name: str,
+    generated_suffix: str,
 ) -> JobRequest:
-    """Check a Job; ApiError 422 names all faults that were found. `fresh_name` ends a generated name."""
+    """Validate a Job; ApiError 422 names up to 32 errors. `generated_suffix` is appended to `generateName`."""
     try:
         job = msgspec.convert(value, _Job)
     except msgspec.ValidationError as error:
-        words, _, path = str(error).partition(" - at `$.")
-        field = path.rstrip("`") if path else _missing_field(words)
+        message, _, path = str(error).partition(" - at `$.")
+        field = path.rstrip("`") if path else _missing_field(message)
         raise invalid(
-            "Job", _shown_name(value), [Cause(field, "FieldValueInvalid", words)]
+            "Job", _name_in_error(value), [Cause(field, "FieldValueInvalid", message)]
         ) from None
-    faults = _Faults()
+    errors = _FieldErrors()
     meta, spec = job.metadata, job.spec
     if job.api_version not in (None, "batch/v1"):
-        faults.add("apiVersion", "batch/v1 is served here", "FieldValueNotSupported")
+        errors.add("apiVersion", "batch/v1 is served here", "FieldValueNotSupported")
     if job.kind not in (None, "Job"):
-        faults.add("kind", "a Job is wanted here", "FieldValueNotSupported")
-    name = meta.name or ((meta.generate_name or "")[:58] + fresh_name if meta.generate_name else "")
+        errors.add("kind", "a Job is wanted here", "FieldValueNotSupported")
+    name = meta.name or (
+        (meta.generate_name or "")[:58] + generated_suffix if meta.generate_name else ""
+    )
     if not name:
-        faults.add("metadata.name", "name or generateName is required", "FieldValueRequired")
+        errors.add("metadata.name", "name or generateName is required", "FieldValueRequired")
     elif len(name) > 63 or not _NAME.fullmatch(name):
-        faults.add("metadata.name", "not a lower-case DNS name of at most 63 characters")
+        errors.add("metadata.name", "not a lower-case DNS name of at most 63 characters")
     if meta.namespace not in (None, "", namespace):
-        faults.add(
+        errors.add(
             "metadata.namespace", f"does not match the namespace of the request: {namespace}"
         )
     if len(namespace) > 63 or not _NAME.fullmatch(namespace):
-        faults.add("metadata.namespace", "not a lower-case DNS label of at most 63 characters")
-    _check_maps(meta, "metadata", faults)
+        errors.add("metadata.namespace", "not a lower-case DNS label of at most 63 characters")
+    _check_labels_and_annotations(meta, "metadata", errors)
     if spec.template.metadata is not None:
-        _check_maps(spec.template.metadata, "spec.template.metadata", faults)
+        _check_labels_and_annotations(spec.template.metadata, "spec.template.metadata", errors)
     labels = {
         **((spec.template.metadata.labels if spec.template.metadata else None) or {}),
         **(meta.labels or {}),
     }
-    notes = {
+    annotations = {
         **((spec.template.metadata.annotations if spec.template.metadata else None) or {}),
         **(meta.annotations or {}),
     }
     settings = classes.get(labels.get(names.CLASS, next(iter(classes))))
     if settings is None:
-        faults.add(
+        errors.add(
             f"metadata.labels[{names.CLASS}]",
             f"no such class; the classes are {', '.join(classes)}",
             "FieldValueNotSupported",
         )
-    count = _count(spec, limits, faults)
-    cores, memory = _asked(spec.template.spec, faults)
+    count = _task_count(spec, limits, errors)
+    cores, memory = _requested_resources(spec.template.spec, errors)
     if spec.template.spec.restart_policy not in (None, "Never", "OnFailure"):
-        faults.add(
+        errors.add(
             "spec.template.spec.restartPolicy",
             'must be "OnFailure" or "Never"',
             "FieldValueNotSupported",
@@ -147,29 +149,28 @@
         if 0 <= spec.backoff_limit <= 1000:
             restarts = spec.backoff_limit
         else:
-            faults.add("spec.backoffLimit", "between 0 and 1000 is wanted")
+            errors.add("spec.backoffLimit", "between 0 and 1000 is wanted")
     if spec.suspend:
-        faults.add("spec.suspend", "suspended Jobs are not supported", "FieldValueNotSupported")
+        errors.add("spec.suspend", "suspended Jobs are not supported", "FieldValueNotSupported")
     if spec.active_deadline_seconds is not None:
-        faults.add(
+        errors.add(
             "spec.activeDeadlineSeconds",
             "not supported; a machine ends a task by itself",
             "FieldValueNotSupported",
         )
-    patience = _duration(notes, names.PATIENCE, faults)
+    patience = _duration_us(annotations, names.PATIENCE, errors)
     if patience is not None and not 100_000 <= patience <= limits.patience_us:
-        faults.add(
+        errors.add(
             f"metadata.annotations[{names.PATIENCE}]",
             f"between 100ms and {limits.patience_us // 1_000_000}s is wanted",
         )
-    expected = _duration(notes, names.EXPECTED, faults)
+    expected = _duration_us(annotations, names.EXPECTED, errors)
     service = labels.get(names.SERVICE) or name
-    if faults.causes or settings is None:
-        raise invalid("Job", _shown_name(value), faults.causes)
+    if errors.causes or settings is None:
+        raise invalid("Job", _name_in_error(value), errors.causes)
     if settings.task_class.effect.value == "unsafe":
-        restarts = (
-            0  # rule 2: what must not start twice is never asked for again on the owner's behalf
-        )
+        # Rule 2: a task that must not start twice is never retried on its owner's behalf.
+        restarts = 0
     return JobRequest(
         namespace,
         name,
@@ -184,18 +185,18 @@
     )
 
 
-def job_value(value: dict[str, Any], asked: JobRequest, uid: str, wall_us: int) -> dict[str, Any]:
-    """The Job as it is shown: what was submitted, with what a server fills in."""
+def job_value(value: dict[str, Any], request: JobRequest, uid: str, wall_us: int) -> dict[str, Any]:
+    """The Job as it is published: the submitted value with the fields that a server sets."""
     meta = {
         key: part
         for key, part in value["metadata"].items()
         if key in ("labels", "annotations", "generateName")
     }
-    stamp = names.short_time(wall_us)
+    timestamp = names.short_time(wall_us)
     spec = {
-        "parallelism": asked.count,
-        "completions": asked.count,
-        "backoffLimit": asked.restarts,
+        "parallelism": request.count,
+        "completions": request.count,
+        "backoffLimit": request.restarts,
         "completionMode": "NonIndexed",
         "suspend": False,
         **value["spec"],
@@ -204,19 +205,19 @@
         "kind": "Job",
         "apiVersion": "batch/v1",
         "metadata": {
-            "name": asked.name,
-            "namespace": asked.namespace,
+            "name": request.name,
+            "namespace": request.namespace,
             "uid": uid,
             "generation": 1,
-            "creationTimestamp": stamp,
+            "creationTimestamp": timestamp,
             **meta,
         },
         "spec": spec,
-        "status": {"startTime": stamp},
+        "status": {"startTime": timestamp},
     }
 
 
-class _Faults:
+class _FieldErrors:
     def __init__(self) -> None:
         self.causes: list[Cause] = []
 
@@ -225,62 +226,62 @@
             self.causes.append(Cause(field, reason, message))
 
 
-def _shown_name(value: dict[str, Any]) -> str:
+def _name_in_error(value: dict[str, Any]) -> str:
     meta = value.get("metadata")
     return str(meta.get("name", ""))[:63] if isinstance(meta, dict) else ""
 
 
-def _missing_field(words: str) -> str:
-    return words.rpartition("`")[0].rpartition("`")[2] if "required field" in words else "$"
+def _missing_field(message: str) -> str:
+    return message.rpartition("`")[0].rpartition("`")[2] if "required field" in message else "$"
 
 
-def _check_maps(meta: _Meta, path: str, faults: _Faults) -> None:
+def _check_labels_and_annotations(meta: _Meta, path: str, errors: _FieldErrors) -> None:
     for key, value in (meta.labels or {}).items():
         if not is_label_key(key):
-            faults.add(f"{path}.labels", f"not a label's key: {key[:80]!r}")
+            errors.add(f"{path}.labels", f"not a label's key: {key[:80]!r}")
         elif not is_label_value(value):
-            faults.add(f"{path}.labels[{key}]", "not a label's value of at most 63 characters")
+            errors.add(f"{path}.labels[{key}]", "not a label's value of at most 63 characters")
     if (
         sum(len(key) + len(value) for key, value in (meta.annotations or {}).items())
-        > _ANNOTATIONS_MOST
+        > _MAX_ANNOTATIONS_BYTES
     ):
-        faults.add(
-            f"{path}.annotations", f"more than {_ANNOTATIONS_MOST} bytes", "FieldValueTooLong"
+        errors.add(
+            f"{path}.annotations", f"more than {_MAX_ANNOTATIONS_BYTES} bytes", "FieldValueTooLong"
         )
 
 
-def _count(spec: _Spec, limits: Limits, faults: _Faults) -> int:
+def _task_count(spec: _Spec, limits: Limits, errors: _FieldErrors) -> int:
     count = 1 if spec.parallelism is None else spec.parallelism
     if not 1 <= count <= limits.tasks_per_job:
-        faults.add("spec.parallelism", f"between 1 and {limits.tasks_per_job} is wanted")
+        errors.add("spec.parallelism", f"between 1 and {limits.tasks_per_job} is wanted")
     if spec.completions is not None and spec.completions != count:
-        faults.add("spec.completions", "must equal parallelism: a Job's tasks run side by side")
+        errors.add("spec.completions", "must equal parallelism: a Job's tasks run side by side")
     return count
 
 
-def _asked(pod: _PodSpec, faults: _Faults) -> tuple[float, float]:
+def _requested_resources(pod: _PodSpec, errors: _FieldErrors) -> tuple[float, float]:
     path = "spec.template.spec.containers"
     if not 1 <= len(pod.containers) <= 16:
-        faults.add(path, "between 1 and 16 containers are wanted", "FieldValueRequired")
+        errors.add(path, "between 1 and 16 containers are wanted", "FieldValueRequired")
     total = {"cpu": 0.0, "memory": 0.0}
     for i, container in enumerate(pod.containers):
-        asked = (container.resources.requests if container.resources else None) or {}
+        requests = (container.resources.requests if container.resources else None) or {}
         for key in total:
             field = f"{path}[{i}].resources.requests.{key}"
-            if key not in asked:
+            if key not in requests:
                 continue
             try:
-                amount = parse_size(str(asked[key]))
+                amount = parse_size(str(requests[key]))
             except ValueError as error:
-                faults.add(field, str(error))
+                errors.add(field, str(error))
                 continue
             if not math.isfinite(amount) or amount < 0:
-                faults.add(field, "must be at least 0")
+                errors.add(field, "must be at least 0")
             else:
                 total[key] += amount
     for key, amount in total.items():
-        if amount <= 0 and not faults.causes:
-            faults.add(
+        if amount <= 0 and not errors.causes:
+            errors.add(
                 f"{path}[0].resources.requests.{key}",
                 "a positive quantity is required",
                 "FieldValueRequired",
@@ -288,11 +289,11 @@
     return total["cpu"], total["memory"] / 2**30
 
 
-def _duration(notes: Mapping[str, str], key: str, faults: _Faults) -> int | None:
-    if key not in notes:
+def _duration_us(annotations: Mapping[str, str], key: str, errors: _FieldErrors) -> int | None:
+    if key not in annotations:
         return None
     try:
-        return parse_duration(notes[key])
+        return parse_duration(annotations[key])
     except ValueError as error:
-        faults.add(f"metadata.annotations[{key}]", str(error))
+        errors.add(f"metadata.annotations[{key}]", str(error))
         return None
