--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -59,10 +59,10 @@
         placer = restart_with_settings(stage, calendar(stage, tmp_path, 30))
         begun = stage.hub.now_us()
         window = begun + 29 * S
-        for turn in range(100):
-            runs = (40, 3)[turn % 2]
+        for number in range(100):
+            runs = (40, 3)[number % 2]
             stage.submit(
-                f"t{turn}", runs_s=runs, service=f"s{turn % 7}-{runs}", cores=0.2, memory=0.2
+                f"t{number}", runs_s=runs, service=f"s{number % 7}-{runs}", cores=0.2, memory=0.2
             )
             stage.hub.sleep(S * 35 // 100)
         sent = [record for record in stage.seen("offer") if record.where == "node-0"]
@@ -93,8 +93,8 @@
             "DrainDone",
         ]
         last = stage.hub.now_us() - 1
-        for turn in range(20):
-            stage.submit(f"again{turn}", service=f"n{turn}", runs_s=1)
+        for number in range(20):
+            stage.submit(f"again{number}", service=f"n{number}", runs_s=1)
         stage.hub.sleep(3 * S)
         assert offers_after(stage, "node-0", last), "the machine gets offers again after its window"
 
@@ -109,9 +109,9 @@
     def script() -> None:
         stage.cluster.machines[1].begin_drain()
         stage.cluster.machines[2].begin_drain()
-        for turn in range(10):
-            stage.submit(f"t{turn}", runs_s=300, service=f"s{turn}")
-            stage.settled(f"t{turn}")
+        for number in range(10):
+            stage.submit(f"t{number}", runs_s=300, service=f"s{number}")
+            stage.settled(f"t{number}")
         stage.submit("pay", "settlement", runs_s=44, patience_s=10)
         stage.settled("pay")
         # A task started just before a restart may be unanswered, and is not moved.
@@ -157,8 +157,8 @@
         placer = restart_with_settings(stage, extra)
         begun = stage.hub.now_us()
         assert placer.drainer.describe()[0]["phase"] in ("closed", "out")
-        for turn in range(12):
-            stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
+        for number in range(12):
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=2)
         stage.hub.sleep(3 * S)
         assert offers_after(stage, "node-0", begun) == 0
         assert len(stage.seen("start")) == 12
@@ -187,9 +187,9 @@
         stage.hub.sleep(20 * S)
         assert all(each["phase"] in ("planned", "refused") for each in placer.drainer.describe())
         assert "has failed" in placer.drainer.describe()[0]["reason"]
-        for turn in range(6):
-            stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
-            assert "Placed" in stage.settled(f"t{turn}")
+        for number in range(6):
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=2)
+            assert "Placed" in stage.settled(f"t{number}")
 
     stage.play(script)
 
@@ -217,10 +217,10 @@
             machine.begin_drain()
         for index in range(2):
             pool = stage.pool(stage.cluster.placers[index].port)
-            for turn in range(8):
+            for number in range(8):
                 value = {
                     "metadata": {
-                        "name": f"p{index}-{turn}",
+                        "name": f"p{index}-{number}",
                         "annotations": {names.RUNS_FOR: "300s"},
                     },
                     "spec": {
@@ -333,8 +333,8 @@
 
     def script() -> None:
         placer = restart_with_settings(stage, calendar(stage, tmp_path, 12, duration="30s"))
-        for turn in range(12):
-            stage.submit(f"t{turn}", service=f"s{turn}", runs_s=5)
+        for number in range(12):
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=5)
         stage.hub.sleep(3 * S)
         machine = stage.cluster.machines[0]
         held = [pod.task for pod in machine.pods.values() if pod.phase == "Running"]
@@ -343,8 +343,8 @@
         for task in held:
             assert "Placed" in stage.settled(task)
         returned = stage.hub.now_us()
-        for turn in range(12):
-            stage.submit(f"u{turn}", service=f"s{turn}", runs_s=2)
+        for number in range(12):
+            stage.submit(f"u{number}", service=f"s{number}", runs_s=2)
         stage.hub.sleep(4 * S)
         assert placer.drainer.describe()[0]["phase"] == "out"
         assert offers_after(stage, "node-0", returned) == 0
@@ -363,14 +363,14 @@
         restart_with_settings(stage, calendar(stage, tmp_path, 6, duration="10s"))
         stage.hub.sleep(4 * S)
         within = stage.hub.now_us()
-        for turn in range(8):
-            stage.submit(f"t{turn}", service=f"s{turn}", runs_s=1)
+        for number in range(8):
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=1)
             stage.hub.sleep(S)
         assert offers_after(stage, "node-0", within) == 0
         stage.hub.sleep(5 * S)
         after = stage.hub.now_us() - 1
-        for turn in range(20):
-            stage.submit(f"u{turn}", service=f"v{turn}", runs_s=1)
+        for number in range(20):
+            stage.submit(f"u{number}", service=f"v{number}", runs_s=1)
         stage.hub.sleep(2 * S)
         assert offers_after(stage, "node-0", after) > 0
 
@@ -424,8 +424,8 @@
             stage.cluster.source.show(machine.name, node_value(machine))
         stage.hub.sleep(3 * S)
         assert placer.drainer.describe()[0]["phase"] == "out"
-        for turn in range(40):  # a burst of Jobs while the machines of the other zone are cold
-            stage.submit(f"t{turn}", service=f"s{turn}", runs_s=2)
+        for number in range(40):  # a burst of Jobs while the machines of the other zone are cold
+            stage.submit(f"t{number}", service=f"s{number}", runs_s=2)
         stage.hub.sleep(8 * S)
 
     stage.play(script)
--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -58,8 +58,8 @@
             stage.hub.sleep(S)
             stage.submit("pay", "settlement", runs_s=6, patience_s=10)
             proxy.cut_after = cut
-            for turn in range(6):
-                stage.submit(f"web-{turn}", runs_s=3)
+            for number in range(6):
+                stage.submit(f"web-{number}", runs_s=3)
                 stage.hub.sleep(S // 2)
                 if proxy.cut_after is None:
                     proxy.cut_after = cut
@@ -88,8 +88,8 @@
             nursery.spawn(lambda: results.append(follow(stage, proxy, stage.hub.now_us() + 15 * S)))
             stage.hub.sleep(S)
             proxy.sever()
-            for turn in range(6):
-                stage.submit(f"web-{turn}", runs_s=1)
+            for number in range(6):
+                stage.submit(f"web-{number}", runs_s=1)
             stage.hub.sleep(3 * S)
             proxy.heal()
         seen, lists_read = results[0]
@@ -191,10 +191,11 @@
     def script() -> dict[str, str]:
         for machine in stage.cluster.machines[:3]:
             machine.faults.rules.append(FaultRule(Fault.REFUSE, 1.0, classes=("settlement",)))
-        for turn in range(4):
-            stage.submit(f"pay-{turn}", "settlement", runs_s=15, patience_s=9)
+        for number in range(4):
+            stage.submit(f"pay-{number}", "settlement", runs_s=15, patience_s=9)
         return {
-            f"pay-{turn}": next(iter(stage.settled(f"pay-{turn}").values())) for turn in range(4)
+            f"pay-{number}": next(iter(stage.settled(f"pay-{number}").values()))
+            for number in range(4)
         }
 
     stage.play(script)
@@ -265,13 +266,13 @@
 
     def script() -> None:
         stage.cluster.machines[0].faults.rules.append(FaultRule(Fault.SILENT_BEFORE, 1.0))
-        for turn in range(8):
-            stage.submit(f"t-{turn}", patience_s=3 + turn / 4)
+        for number in range(8):
+            stage.submit(f"t-{number}", patience_s=3 + number / 4)
         stage.hub.sleep(2 * S)
         stage.cluster.placers[0].hold(S)
         stage.hub.sleep(S)
-        for turn in range(8):
-            stage.settled(f"t-{turn}")
+        for number in range(8):
+            stage.settled(f"t-{number}")
 
     stage.play(script)
     audited = stage.audit()
@@ -311,9 +312,9 @@
     stage = Stage(machines=3)
 
     def script() -> None:
-        for turn in range(6):
-            stage.submit(f"web-{turn}", runs_s=20)
-            stage.settled(f"web-{turn}")
+        for number in range(6):
+            stage.submit(f"web-{number}", runs_s=20)
+            stage.settled(f"web-{number}")
         stage.submit("pay", "settlement", runs_s=20, patience_s=10)
         stage.settled("pay")
         stage.cluster.restart_placer(stage.cluster.placers[0], 2.0)
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -166,8 +166,8 @@
         streams = [
             connect(stage.hub, "127.0.0.1", stage.cluster.placers[0].port) for _ in range(30)
         ]
-        for turn, stream in enumerate(streams):
-            stream.send(job_request(f"j{turn}", 5.0, 0.5))
+        for number, stream in enumerate(streams):
+            stream.send(job_request(f"j{number}", 5.0, 0.5))
         stage.hub.sleep(3 * S)
 
     stage.play(script)
@@ -207,8 +207,8 @@
     def script() -> None:
         drain_all_machines(stage)
         stage.hub.sleep(S)
-        for turn in range(20):
-            stage.submit(f"many{turn}", parallelism=100, completions=100, patience_s=3)
+        for number in range(20):
+            stage.submit(f"many{number}", parallelism=100, completions=100, patience_s=3)
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
         hub, answered = stage.hub, list[int]()
         for _ in range(50):
@@ -225,8 +225,8 @@
         assert answered == [2000] * 50, (
             "another timer that was due ran before an answer that was owed"
         )
-        for turn in range(20):
-            assert stage.settled(f"many{turn}")["Failed"] == "Refused"
+        for number in range(20):
+            assert stage.settled(f"many{number}")["Failed"] == "Refused"
 
     stage.play(script)
 
@@ -243,10 +243,10 @@
         stage.cluster.hub.spawn(lambda: stage.cluster.crash(stage.cluster.machines[1], 0.5))
         stage.hub.sleep(int(1.2 * S))
         with Nursery(stage.hub) as nursery:
-            for turn in range(12):
-                nursery.spawn(lambda turn=turn: stage.submit(f"j{turn}"))
-        for turn in range(12):
-            assert stage.settled(f"j{turn}")
+            for number in range(12):
+                nursery.spawn(lambda number=number: stage.submit(f"j{number}"))
+        for number in range(12):
+            assert stage.settled(f"j{number}")
         stage.hub.sleep(3 * S)
 
     stage.play(script)
@@ -259,18 +259,18 @@
     stage = Stage(machines=6, build=BIG)
 
     def script() -> None:
-        for turn in range(6):
-            stage.submit(f"s{turn}", service="crowd", runs_s=60)
-            assert "Placed" in stage.settled(f"s{turn}")
+        for number in range(6):
+            stage.submit(f"s{number}", service="crowd", runs_s=60)
+            assert "Placed" in stage.settled(f"s{number}")
         stage.hub.sleep(4 * S)
         if vanish:
             for machine in stage.cluster.machines[::2]:
                 stage.cluster.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.cluster.restart_placer(stage.cluster.placers[0], 0.5)
-        for turn in range(8):
-            stage.submit(f"t{turn}", service="crowd", runs_s=60, patience_s=3)
-        for turn in range(8):
-            stage.settled(f"t{turn}")
+        for number in range(8):
+            stage.submit(f"t{number}", service="crowd", runs_s=60, patience_s=3)
+        for number in range(8):
+            stage.settled(f"t{number}")
         stage.hub.sleep(2 * S)
         running: dict[str, int] = {}
         for machine in stage.cluster.machines:
@@ -293,9 +293,9 @@
         drain_all_machines(stage)
         stage.hub.sleep(S)
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        for turn in range(20):
-            stage.submit(f"j{turn}")
-            stage.delete(f"j{turn}")
+        for number in range(20):
+            stage.submit(f"j{number}")
+            stage.delete(f"j{number}")
         stage.hub.sleep(S)
         assert placer.context.counts["stops_owed"] == 0 and placer.stops.pending == 0
 
@@ -308,10 +308,10 @@
 
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        for turn in range(40):
-            stage.submit(f"j{turn}", runs_s=100)
-            stage.hub.sleep(turn * 4_000)
-            stage.delete(f"j{turn}")
+        for number in range(40):
+            stage.submit(f"j{number}", runs_s=100)
+            stage.hub.sleep(number * 4_000)
+            stage.delete(f"j{number}")
         stage.hub.sleep(10 * S)
         assert not stage.jobs() and placer.stops.pending == 0
         assert (
@@ -369,12 +369,12 @@
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
         placer.job_store.set_limits(20_000, 4, 4)
-        for turn in range(4):
-            stage.submit(f"j{turn}", runs_s=1000, cores=0.25)
-            stage.settled(f"j{turn}")
+        for number in range(4):
+            stage.submit(f"j{number}", runs_s=1000, cores=0.25)
+            stage.settled(f"j{number}")
         stage.cluster.hold_machine(stage.cluster.machines[0], 5.0)
-        for turn in range(4):
-            stage.delete(f"j{turn}")
+        for number in range(4):
+            stage.delete(f"j{number}")
         status, value = stage.refused("more")
         assert status == 429 and "open tasks" in value
         stage.hub.sleep(8 * S)
@@ -442,11 +442,11 @@
         for machine in stage.cluster.machines[:2]:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.hub.sleep(S + S // 2)
-        for turn, slot in enumerate(stage.cluster.placers):
-            stage.hub._at(stage.hub.now_us() + turn * S, lambda slot=slot: slot.hold(S), None)
-        for turn in range(80):
-            port = stage.cluster.placers[turn % 2].port
-            stage.hub.spawn(lambda turn=turn, port=port: stage.post(port, f"c{turn}"))
+        for number, slot in enumerate(stage.cluster.placers):
+            stage.hub._at(stage.hub.now_us() + number * S, lambda slot=slot: slot.hold(S), None)
+        for number in range(80):
+            port = stage.cluster.placers[number % 2].port
+            stage.hub.spawn(lambda number=number, port=port: stage.post(port, f"c{number}"))
             stage.hub.sleep(50_000)
         stage.hub.sleep(8 * S)
         assert not any(machine.fallen for machine in stage.cluster.machines)
--- a/wingbarrow/core/drain_schedule.py
+++ b/wingbarrow/core/drain_schedule.py
@@ -30,14 +30,14 @@
         fleet: Fleet,
         attempts: Attempts,
         runs: Runs,
-        board: ApiObjects,
+        objects: ApiObjects,
     ) -> None:
         self._context = context
         self._host = host
         self._fleet = fleet
         self._attempts = attempts
         self._runs = runs
-        self._board = board
+        self._objects = objects
         # Machines that close to long tasks: the closing time by the module's clock.
         self._closing: dict[str, int] = {}
         self._closed: frozenset[str] = frozenset()
@@ -119,7 +119,7 @@
         held = self._fleet.held
         entries = [held[name] for name in sorted(machines) if name in held]
         for entry in entries:
-            self._board.publish_node(entry, self._is_closed(entry.name))
+            self._objects.publish_node(entry, self._is_closed(entry.name))
         return entries
 
     def on_slots_changed(self, machines: Iterable[str]) -> None:
@@ -144,14 +144,14 @@
         name = held.drain.machine
         now = names.short_time(self._context.hub.clock.wall_us())
         reason = "Drain" + held.phase.value.title().replace(" ", "")
-        self._board.record_node_event(
+        self._objects.record_node_event(
             name,
             "Warning" if held.reason else "Normal",
             reason,
             f"window {held.drain.window}: {held.reason or held.phase.value}, "
             f"{held.moved} task(s) moved",
         )
-        self._board.set_node_condition(
+        self._objects.set_node_condition(
             name,
             {
                 "type": "wingbarrow.io/Drain",
@@ -164,7 +164,7 @@
         )
         entry = self._fleet.held.get(name)
         if entry is not None:
-            self._board.publish_node(entry, self._is_closed(name))
+            self._objects.publish_node(entry, self._is_closed(name))
         self._context.log(
             "drain",
             window=held.drain.window,
