--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -13,7 +13,6 @@
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
-from wingbarrow.reader import read_report
 from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.outcomes import (
@@ -28,6 +27,7 @@
 from wingbarrow.relay.probes import Probes
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
+from wingbarrow.settings_parser import parse_report
 
 # After a start a machine may release a task before its owner has named it here.
 EARLY_US, MAX_EARLY = 8_500_000, 1024
@@ -312,7 +312,7 @@
     def _released(self, attempt: Attempt, message: Message) -> None:
         cause = message.cause
         reason = reason_of(message)
-        report = read_report(message.text(Code.REPORT) or "-", ";")
+        report = parse_report(message.text(Code.REPORT) or "-", ";")
         self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
             self._ended(attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report)
