--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -121,8 +121,8 @@
         stage.hub.sleep(10 * S)
         peering = service.placer.peering
         assert peering.counts["peers:addresses refused"] >= 2
-        assert all(host == "127.0.0.1" and port > 0 for host, port in peering._post._boxes)
-        assert len(peering._post._boxes) <= MAX_ADDRESSES
+        assert all(host == "127.0.0.1" and port > 0 for host, port in peering._outbox._boxes)
+        assert len(peering._outbox._boxes) <= MAX_ADDRESSES
 
     stage.play(script)
 
@@ -137,7 +137,7 @@
         assert service is not None
         peering = service.placer.peering
         for size in (MAX_ENVELOPE_BYTES // 2 + 1, MAX_ENVELOPE_BYTES, MAX_ENVELOPE_BYTES * 3):
-            peering._post.send(
+            peering._outbox.send(
                 "127.0.0.1", stage.cluster.placers[1].port, b'"' + b"x" * size + b'"'
             )
         assert peering.counts["peers:letters dropped, too long"] == 2
@@ -153,7 +153,7 @@
     def script() -> None:
         service = stage.cluster.placers[0].service
         assert service is not None
-        assert not service.placer.peering.on
+        assert not service.placer.peering.is_enabled
         stage.hub.sleep(10 * S)
         assert not service.placer.peering.counts
 
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -73,7 +73,9 @@
         assert session is not None
         stage.peering(3).lease.report_jobs(held_records=lambda: (HeldRecords(session, 7, 5 * S),))
         for index in (3, 4):
-            stage.peering(index).on_ended = lambda each, index=index: ended.append((index, each))
+            stage.peering(index).on_session_ended = lambda each, index=index: ended.append(
+                (index, each)
+            )
             stage.peering(index).on_session = lambda session, may, epoch, index=index: told.append(
                 (index, session, may)
             )
@@ -150,16 +152,18 @@
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        peering(1).host("custody", keeper, (ReplicateRequest, ReplicateResponse))
-        peering(0).host("custody", holder, (ReplicateRequest, ReplicateResponse))
+        peering(1).register("custody", keeper, (ReplicateRequest, ReplicateResponse))
+        peering(0).register("custody", holder, (ReplicateRequest, ReplicateResponse))
         for other in (1, 2):
-            peering(0).act("custody", [Send(f"placer-{other}", "", ReplicateRequest(9, session))])
+            peering(0).perform(
+                "custody", [Send(f"placer-{other}", "", ReplicateRequest(9, session))]
+            )
         stage.hub.sleep(3 * S)
         assert keeper.heard == [("placer-0", ReplicateRequest(9, session)), ("timer", "one")]
         assert holder.heard == [("placer-1", ReplicateResponse(9, session, True))]
         assert peering(2).counts["peers:letters about custody, which is not kept here"] == 1
         for name in ("custody", "rules", "members"):
             with pytest.raises(ValueError, match=name):
-                peering(0).host(name, holder, ())
+                peering(0).register(name, holder, ())
 
     stage.play(script)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -260,7 +260,7 @@
         remote_regions.region_news = peering.regions.news
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
-        peering.host("handing", remote_regions, FORWARDING_MESSAGES)
+        peering.register("handing", remote_regions, FORWARDING_MESSAGES)
         local_region = LocalRegion(self.context, self.job_store, self.fleet)
         local_region.leased = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
@@ -273,24 +273,24 @@
         self.fleet.guards.append(active_rules.guard)
         active_rules.permitted_rules = self._rules_in_force
         peering.on_rules = active_rules.on_rules
-        peering.on_rights = active_rules.on_quotas
-        active_rules.request_quota_soon = peering.hurry
-        peering.uses = self._quota_in_use
-        peering.demand = self._quota_demand
+        peering.on_quotas_changed = active_rules.on_quotas
+        active_rules.request_quota_soon = peering.request_quotas_soon
+        peering.quotas_in_use = self._quota_in_use
+        peering.quota_demand = self._quota_demand
         ejections = OutlierEjections(self.context, self.fleet, self._coordinator)
         self.maintenance = MaintenanceSlots(
             self.context,
             LocalMachines(
                 self.fleet, self.machines, self.attempts, self.stops, self._drain_schedule
             ),
-            peering.turn_side,
+            peering.maintenance_member,
             self._coordinator,
             active_rules.in_force,
         )
-        peering.on_turns = self.maintenance.on_slots_changed
+        peering.on_slots_changed = self.maintenance.on_slots_changed
         self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
-        peering.zones = ejections.zones
-        peering.on_verdicts = ejections.take
+        peering.machine_zones = ejections.zones
+        peering.on_ejections_changed = ejections.take
         active_rules.quotas = self._quota_account
 
     def _build_subset(self, settings: SubsetSettings) -> None:
@@ -390,7 +390,7 @@
         return self.job_store.unanswered if key == "cold" else 0
 
     def _carry_out_forwarding(self, effects: list[Effect]) -> None:
-        self.peering.act("handing", effects)
+        self.peering.perform("handing", effects)
 
     def _members(self) -> tuple[frozenset[str], int]:
         """The other placers that membership has alive, and the number of members ever known."""
@@ -403,7 +403,7 @@
         )
 
     def _is_drained_by_agreement(self, machine: str) -> bool:
-        return self.drainer.is_closed(machine) or self.peering.turn_side.is_closed(machine)
+        return self.drainer.is_closed(machine) or self.peering.maintenance_member.is_closed(machine)
 
     def _on_machines_closed(self, machines: frozenset[str]) -> None:
         self.peering.history("closed", machines=sorted(machines))
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/api.py
@@ -55,7 +55,7 @@
             return Answer(200, write_instance(self._hearsay.announce(), self._peering.address))
         if what == ("POST", "peers"):
             try:
-                return Answer(200, self._peering.mail(request.body))
+                return Answer(200, self._peering.receive(request.body))
             except MessageError as error:
                 self._peering.counts["peers:bad mail"] += 1
                 self._log(
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -45,11 +45,11 @@
 from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
 
-LEAVE_US = 300_000
-FOUNDING = (
+LEAVE_TIMEOUT_US = 300_000
+INITIAL_PROPOSAL_IDENT = (
     "founding"  # the first proposal's name: whoever leads first makes it, and it is taken once
 )
-LOUD = {"twin": "error", "dead": "warning", "suspected": "info"}
+EVENT_LOG_LEVELS = {"twin": "error", "dead": "warning", "suspected": "info"}
 
 
 class StateMachine(Protocol):
@@ -69,17 +69,17 @@
         self,
         hub: Hub,
         settings: PlacerSettings,
-        life: int,
+        incarnation: int,
         log: Callable[..., None],
-        rules: SwimSettings = SwimSettings(),
+        swim_settings: SwimSettings = SwimSettings(),
     ) -> None:
         self._hub, self._settings, self._log = hub, settings, log
         self.counts: Counter[str] = Counter()
         self.address = ""  # this instance's front, once it listens
         self.history = History(settings.history, hub.now_us, log)
         self._routes = {peer.name: str(peer) for peer in settings.peers if peer.name}
-        self._life, self._rules = life, rules
-        self.on = (
+        self._incarnation, self._swim_settings = incarnation, swim_settings
+        self.is_enabled = (
             bool(settings.peers) or settings.peers_allowed.size > 0 or settings.agree is not None
         )
         self.membership = self._member()
@@ -87,43 +87,48 @@
         self.lease = SessionLease(settings.name, settings.region)
         self.lease.counts = self.counts
         self.regions = RegionMember(lambda now_us: None)
-        self.turns, self.turn_side = maintenance_for(
+        self.maintenance_scheduler, self.maintenance_member = maintenance_for(
             settings, lambda now: now + hub.clock.wall_us() - hub.now_us()
         )
-        self.on_turns: Callable[[], None] = lambda: None
+        self.on_slots_changed: Callable[[], None] = lambda: None
         self.on_session: Callable[[Session, bool, int], None] = lambda session, may, epoch: None
-        self.on_ended: Callable[[EndedSession], None] = lambda ended: None
+        self.on_session_ended: Callable[[EndedSession], None] = lambda ended: None
         self.on_rules: Callable[[str, str], None] = lambda label, text: None
-        self.on_rights: Callable[[], None] = lambda: None
-        self.uses: Callable[[str], int] = lambda key: 0  # of a standing limit, by its key
-        self.zones: Callable[[], Mapping[str, str]] = dict  # of each machine of the list
-        self.on_verdicts: Callable[[frozenset[str]], None] = lambda machines: None
-        self.demand: Callable[[str], int] = lambda key: 0  # what would be used beyond that
+        self.on_quotas_changed: Callable[[], None] = lambda: None
+        self.quotas_in_use: Callable[[str], int] = lambda key: 0  # of a standing limit, by its key
+        self.machine_zones: Callable[[], Mapping[str, str]] = dict  # of each machine of the list
+        self.on_ejections_changed: Callable[[frozenset[str]], None] = lambda machines: None
+        self.quota_demand: Callable[[str], int] = lambda key: 0  # what would be used beyond that
         self._store: VoterStore | None = None
         self._hosted: dict[str, StateMachine] = {}  # by name, beside membership and agreement
         self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
         self._timers: dict[tuple[str, str], Timer] = {}
         self._nursery: Nursery | None = None
-        self._post = Outbox(
-            hub, f"wingbarrow/{settings.name}", self._pack, self._take, self._spawn, self.counts
+        self._outbox = Outbox(
+            hub,
+            f"wingbarrow/{settings.name}",
+            self._encode,
+            self._on_response,
+            self._spawn,
+            self.counts,
         )
-        self._reply: tuple[str, list[bytes]] | None = (
+        self._response: tuple[str, list[bytes]] | None = (
             None  # to whom mail is being answered, and with what so far
         )
 
     def _member(self) -> Membership:
         settings = self._settings
-        me = LocalMember(settings.name, self.address or "?", settings.region, self._life)
+        me = LocalMember(settings.name, self.address or "?", settings.region, self._incarnation)
         return Membership(
             me,
             tuple(Seed(each.name, str(each)) for each in settings.peers if each.seed),
-            settings.seed * 7919 + self._life,
-            self._rules,
+            settings.seed * 7919 + self._incarnation,
+            self._swim_settings,
         )
 
     # -- the placer's side
 
-    def host(self, name: str, machine: StateMachine, kinds: Iterable[type[Any]]) -> None:
+    def register(self, name: str, machine: StateMachine, kinds: Iterable[type[Any]]) -> None:
         """Have a further state machine take part, to which messages of these kinds go; before `run`.
 
         What it is to begin with, or does in answer to a request, it gives to `act` under the same name.
@@ -135,36 +140,39 @@
 
     def run(self) -> None:
         """Take part until cancelled; others hear of an end by cancellation as far as one mail goes."""
-        if not self.on:
+        if not self.is_enabled:
             return
         settings = self._settings
         self.membership = self._member()  # the address is known by now
-        self.history("start", name=settings.name, life=self._life, address=self.address)
+        self.history("start", name=settings.name, life=self._incarnation, address=self.address)
         if settings.agree is not None:
             self._store, disk = open_voter_store(settings, self._log)
             self.agreement = coordinator_for(
                 settings,
                 disk,
-                LocalPlacer(settings.name, self._life, settings.region, self.zones),
+                LocalPlacer(settings.name, self._incarnation, settings.region, self.machine_zones),
                 Subsystems(
-                    replicated_subsystems(settings, self.turns, self.counts),
-                    (self.lease, self.regions, self.turn_side),
+                    replicated_subsystems(settings, self.maintenance_scheduler, self.counts),
+                    (self.lease, self.regions, self.maintenance_member),
                 ),
             )
-            self.agreement.quotas.in_use, self.agreement.quotas.demand = self.uses, self.demand
+            self.agreement.quotas.in_use, self.agreement.quotas.demand = (
+                self.quotas_in_use,
+                self.quota_demand,
+            )
         try:
             with Nursery(self._hub) as nursery:
                 self._nursery = nursery
-                self.act("members", self.membership.start(self._hub.now_us()))
+                self.perform("members", self.membership.start(self._hub.now_us()))
                 if self.agreement is not None:
-                    self.act("rules", self.agreement.start(self._hub.now_us()))
+                    self.perform("rules", self.agreement.start(self._hub.now_us()))
                 while True:
                     self._hub.sleep(3_600_000_000)
         finally:
             self._nursery = None
             for timer in self._timers.values():
                 timer.cancel()
-            self._post.close()
+            self._outbox.close()
             if self._store is not None:
                 self._store.close()
             self.history("end")
@@ -173,9 +181,9 @@
     def leave(self) -> None:
         """Say to a few others that this placer ends by itself; returns soon, whether they heard it or not."""
         if self._nursery is not None:
-            self.act("members", self.membership.leave(self._hub.now_us()))
-            with self._hub.limit(LEAVE_US):
-                while self._post.busy:
+            self.perform("members", self.membership.leave(self._hub.now_us()))
+            with self._hub.limit(LEAVE_TIMEOUT_US):
+                while self._outbox.busy:
                     self._hub.sleep(5_000)
 
     @property
@@ -183,10 +191,10 @@
         """All other placers that are known, by name."""
         return self.membership.table.members
 
-    def hurry(self) -> None:
+    def request_quotas_soon(self) -> None:
         """Somebody waits for rights: have them asked for soon."""
         if self.agreement is not None:
-            self.act("rules", self.agreement.request_soon(self._hub.now_us()))
+            self.perform("rules", self.agreement.request_soon(self._hub.now_us()))
 
     def targets(self, names: Iterable[str]) -> list[Target]:
         """Those of some other placers that live, in the life in which they are known."""
@@ -197,25 +205,25 @@
 
     # -- mail
 
-    def mail(self, raw: bytes) -> bytes:
+    def receive(self, raw: bytes) -> bytes:
         """Take mail in and answer it; MessageError where it cannot be used."""
         if self._nursery is None:
             raise MessageError("this placer takes part in nothing yet")
         mail = decode_envelope(raw, self._settings.cluster)
-        before = self._reply
+        before = self._response
         letters: list[bytes] = []
-        self._reply = mail.sender, letters
+        self._response = mail.sender, letters
         try:
-            self._deliver(mail)
+            self._dispatch(mail)
         finally:
-            self._reply = before
-        return self._pack(letters)
+            self._response = before
+        return self._encode(letters)
 
-    def _take(self, raw: bytes) -> None:
+    def _on_response(self, raw: bytes) -> None:
         mail = decode_envelope(raw, self._settings.cluster)
-        self._deliver(mail)
+        self._dispatch(mail)
 
-    def _deliver(self, mail: Envelope) -> None:
+    def _dispatch(self, mail: Envelope) -> None:
         if mail.unknown_kinds:
             self.counts["peers:letters of unknown kinds"] += mail.unknown_kinds
         for message in mail.messages:
@@ -223,27 +231,27 @@
             hosted = self._kinds.get(type(message), "")
             if hosted:
                 machine = self._hosted[hosted]
-                self.act(hosted, machine.on_message(now, mail.sender, mail.address, message))
+                self.perform(hosted, machine.on_message(now, mail.sender, mail.address, message))
             elif isinstance(message, SESSION_MESSAGES):
                 self.counts["peers:letters about custody, which is not kept here"] += 1
             elif isinstance(message, membership_messages.SwimMessage):
-                self.act(
+                self.perform(
                     "members", self.membership.on_message(now, mail.sender, mail.address, message)
                 )
             elif self.agreement is not None:
-                self.act(
+                self.perform(
                     "rules", self.agreement.on_message(now, mail.sender, mail.address, message)
                 )
-                self.act("rules", self.lease.check_expiry(now))
+                self.perform("rules", self.lease.check_expiry(now))
             else:
                 self.counts["peers:letters about rules, which are not agreed on here"] += 1
 
-    def _pack(self, letters: list[bytes]) -> bytes:
+    def _encode(self, letters: list[bytes]) -> bytes:
         return encode_envelope(self._settings.cluster, self._settings.name, self.address, letters)
 
     # -- effects
 
-    def act(self, machine: str, effects: Iterable[Effect]) -> None:
+    def perform(self, machine: str, effects: Iterable[Effect]) -> None:
         """Carry out what a machine asked for; only from a task of this placer's own."""
         for effect in effects:
             if isinstance(effect, Send):
@@ -251,21 +259,21 @@
             elif isinstance(effect, SetTimer):
                 self._set_timer(machine, effect)
             elif isinstance(effect, Notify):
-                self._tell(machine, effect)
+                self._handle_notify(machine, effect)
             elif not self._persist(effect):
                 return  # Danger: what follows would be said though it is not on disk
 
     def _send(self, send: Send) -> None:
         letter = encode_message(send.message)
-        if self._reply is not None and send.ident == self._reply[0]:
-            self._reply[1].append(letter)
+        if self._response is not None and send.ident == self._response[0]:
+            self._response[1].append(letter)
             return
         address = self._routes.get(send.ident) or send.address or self.address_of(send.ident)
         host, _, port = address.rpartition(":")
         if not port.isdecimal() or not 0 < int(port) < 65536 or not self._may_ask(host, address):
             self.counts["peers:addresses refused"] += 1
             return
-        self._post.send(host, int(port), letter)
+        self._outbox.send(host, int(port), letter)
 
     def _may_ask(self, host: str, address: str) -> bool:
         """Danger: an address that gossip brought could have this placer call anything; the settings bound it."""
@@ -291,18 +299,22 @@
     def _on_timer(self, machine: str, key: str) -> None:
         now = self._hub.now_us()
         if machine == "members":
-            self.act(machine, self.membership.on_timer(now, key))
+            self.perform(machine, self.membership.on_timer(now, key))
         elif machine in self._hosted:
-            self.act(machine, self._hosted[machine].on_timer(now, key))
+            self.perform(machine, self._hosted[machine].on_timer(now, key))
         elif self.agreement is not None:
-            self.act(machine, self.agreement.on_timer(now, key))
-            self.act(machine, self.lease.check_expiry(now))
+            self.perform(machine, self.agreement.on_timer(now, key))
+            self.perform(machine, self.lease.check_expiry(now))
 
-    def _tell(self, machine: str, tell: Notify) -> None:
+    def _handle_notify(self, machine: str, tell: Notify) -> None:
         if machine == "members":
             self.counts["peers:" + tell.event] += 1
             self.history("member-" + tell.event, **tell.fields)
-            self._log("member-" + tell.event, level=LOUD.get(tell.event, "info"), **tell.fields)
+            self._log(
+                "member-" + tell.event,
+                level=EVENT_LOG_LEVELS.get(tell.event, "info"),
+                **tell.fields,
+            )
             return
         self.history(tell.event, **tell.fields)
         if machine in self._hosted:
@@ -316,18 +328,18 @@
                 int(tell.fields["epoch"]),
             )
         elif tell.event == "session-ended":
-            self.on_ended(self.lease.ended[parse_session(tell.fields["session"])])
+            self.on_session_ended(self.lease.ended[parse_session(tell.fields["session"])])
         elif tell.event == "rights":
-            self.on_rights()
+            self.on_quotas_changed()
         elif tell.event == "verdicts":
-            self.on_verdicts(frozenset(tell.fields["machines"]))
+            self.on_ejections_changed(frozenset(tell.fields["machines"]))
         elif tell.event == "turn":
-            self.on_turns()
+            self.on_slots_changed()
             self._log("turn", **tell.fields)
         else:
             self._log("rules-" + tell.event, **tell.fields)
         if tell.event == "leads":
-            self._spawn(self._found, "founds")
+            self._spawn(self._propose_initial_rules, "founds")
 
     # -- rules
 
@@ -346,7 +358,7 @@
             self._store = None
             return False
 
-    def _found(self) -> None:
+    def _propose_initial_rules(self) -> None:
         """The first leader proposes what its own settings say, once."""
         agreement = self.agreement
         if agreement is not None and agreement.is_leader and not agreement.agreed.version:
@@ -358,7 +370,7 @@
             self.propose(
                 "propose",
                 ProposalEntry(
-                    ident=FOUNDING,
+                    ident=INITIAL_PROPOSAL_IDENT,
                     base=0,
                     rules=text,
                     by=self._settings.name,
@@ -369,14 +381,14 @@
     def propose(self, kind: str, value: dict[str, Any]) -> None:
         """At the leader: have something decided."""
         if self.agreement is not None:
-            self.act("rules", self.agreement.propose(self._hub.now_us(), kind, value))
+            self.perform("rules", self.agreement.propose(self._hub.now_us(), kind, value))
 
     def change_voters(self, names: tuple[str, ...]) -> bool:
         """At the leader: take one voter in, or leave one out."""
         if self.agreement is None:
             return False
         possible, effects = self.agreement.change_voters(self._hub.now_us(), names)
-        self.act("rules", effects)
+        self.perform("rules", effects)
         return possible
 
     def address_of(self, ident: str) -> str:
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -88,7 +88,7 @@
     # Reading
 
     def _slot(self, number: int) -> Slot:
-        slot = self._peering.turns.queue.slots.get(number)
+        slot = self._peering.maintenance_scheduler.queue.slots.get(number)
         if slot is None:
             raise ApiError(404, f"no turn {number}, or it ended long ago", "NotFound")
         return slot
@@ -97,7 +97,7 @@
         return Answer(status, names.encode(self._shown(slot)))
 
     def _shown(self, slot: Slot) -> dict[str, Any]:
-        scheduler = self._peering.turns
+        scheduler = self._peering.maintenance_scheduler
         now_us = self._hub.now_us()
         shown = {key: value for key, value in asdict(slot).items() if key in SLOT_FIELDS}
         shown |= {
@@ -123,7 +123,7 @@
 
     def _list(self, agreement: Coordinator) -> Answer:
         """Active slots, then queued ones in their order, then those that ended."""
-        slots = sorted(self._peering.turns.queue.slots.values(), key=_list_rank)
+        slots = sorted(self._peering.maintenance_scheduler.queue.slots.values(), key=_list_rank)
         value = {
             "kind": "TurnList",
             "apiVersion": API_VERSION,
@@ -135,7 +135,7 @@
     # Requests
 
     def _request_slot(self, agreement: Coordinator, body: dict[str, Any]) -> Answer:
-        queue = self._peering.turns.queue
+        queue = self._peering.maintenance_scheduler.queue
         value = self._request_value(agreement, body, self._hub.clock.wall_us())
         ident = value["ident"]
         if ident not in queue.outcomes:
@@ -218,7 +218,9 @@
         """Whether an operator other than the sender holds the slot by a lease that has not lapsed."""
         if slot.state != SlotState.OUT or not slot.worker or worker == slot.worker:
             return False
-        return slot.number not in list(self._peering.turns.silent(self._hub.now_us()))
+        return slot.number not in list(
+            self._peering.maintenance_scheduler.silent(self._hub.now_us())
+        )
 
     def _transition(
         self, entry_type: type[SlotTransition], slot: Slot, body: dict[str, Any]
@@ -235,7 +237,7 @@
 
     def _renew(self, agreement: Coordinator, number: int) -> Answer:
         """Renew the operator's lease and wait until a majority has followed this leader since."""
-        scheduler = self._peering.turns
+        scheduler = self._peering.maintenance_scheduler
         asked_us = self._hub.now_us()
         slot = self._slot(number)
         if slot.state == SlotState.OUT:
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -125,13 +125,13 @@
         """
         self._listener = listener
         peering = self._peering
-        peering.host(NAME, self, MESSAGE_TYPES)
+        peering.register(NAME, self, MESSAGE_TYPES)
         peering.lease.report_jobs(
             count_leased=lambda: len(self.replicator.primary.jobs),
             held_records=self.replicator.replica.summary,
         )
         peering.on_session = self._on_session
-        peering.on_ended = self._on_session_ended
+        peering.on_session_ended = self._on_session_ended
 
     def _terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
         return self._connected().terms_of(record)
@@ -267,7 +267,7 @@
 
     def perform(self, effects: Iterable[Effect]) -> None:
         """Perform the effects of a call on the replicator."""
-        self._peering.act(NAME, self._dispatch(effects))
+        self._peering.perform(NAME, self._dispatch(effects))
 
     def _perform_primary(self, effects: list[Effect]) -> None:
         """Perform the effects of a call on the primary, once the replicator's other parts have handled its events."""
