--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -27,8 +27,8 @@
 from wingbarrow.decide.rulesets.parsing import MAX_TEXT_CHARS
 from wingbarrow.decide.rulesets.versions import MAX_SNAPSHOT_CHARS, MAX_SUBSYSTEMS_CHARS
 from wingbarrow.decide.sessions.leased_job_record import MAX_RECORD_BYTES
-from wingbarrow.peers.mailbox import MAX_ADDRESSES
 from wingbarrow.peers.message import MAX_ENVELOPE_BYTES
+from wingbarrow.peers.outbox import MAX_ADDRESSES
 
 SECOND = 1_000_000
 TURN_US = 10_000  # the hub's longest turn, as in docs/rules-agreed.md
@@ -92,7 +92,7 @@
             "addresses that it sends mail to",
             MAX_ADDRESSES,
             "addresses",
-            "wingbarrow/peers/mailbox.py",
+            "wingbarrow/peers/outbox.py",
             MAIL,
         ),
         Bound(
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -29,8 +29,8 @@
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
 from wingbarrow.http.server import ServerLimits
 from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
-from wingbarrow.peers.mailbox import MAX_ADDRESSES, MAX_MESSAGE_BYTES
 from wingbarrow.peers.message import MessageError, decode_envelope, encode_envelope, encode_message
+from wingbarrow.peers.outbox import MAX_ADDRESSES, MAX_MESSAGE_BYTES
 
 CLUSTER = "main"
 ANSWERS = (
--- a/benchmarks/capacity/roles_control.py
+++ b/benchmarks/capacity/roles_control.py
@@ -72,7 +72,7 @@
             "asks for grants, holds what they bring",
         ),
         Mechanism("wingbarrow/decide/quotas/escrow.py", "spends its parts of limits"),
-        Mechanism("wingbarrow/peers/mailbox.py", "mail: batches, bounds"),
+        Mechanism("wingbarrow/peers/outbox.py", "mail: batches, bounds"),
     ),
     (
         Missing("membership by region: more members than a placer keeps", "members_most / placers"),
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -44,7 +44,7 @@
 from wingbarrow.decide.rulesets.versions import MAX_SUBSYSTEMS_CHARS
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.peers import message, message_bounds
-from wingbarrow.peers.mailbox import MAX_MESSAGE_BYTES
+from wingbarrow.peers.outbox import MAX_MESSAGE_BYTES
 
 DEFAULT_SIZES = (10, 30, 45, 64, 100, 370)
 PLACERS = (16, 64)
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -153,7 +153,7 @@
         begun_us = stage.hub.now_us()
         zone_falls(stage)
         assert set(cold._closed) == {machine.name}
-        sights, _ = placer.peer_hints.know()
+        sights, _ = placer.peer_hints.knowledge()
         assert {sight.machine: sight.phase for sight in sights}[machine.name] is Phase.RUNNING, (
             "peers hear of no drain"
         )
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -330,14 +330,14 @@
         members_say(stage, subset, set(subset.living) | {other.name})
         assert phase_of(link) is Phase.DRAINING
         assert machine in subset.lingering
-        sights = placer.peer_hints.know()[0]
+        sights = placer.peer_hints.knowledge()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
         for each in stage.live():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
-            assert each.peer_hints.take_sights(others * 4, 0, True), "taken for a stranger"
-            assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._heard)
+            assert each.peer_hints.on_observations(others * 4, 0, True), "taken for a stranger"
+            assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._pending)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
-        assert machine not in {sight.machine for sight in placer.peer_hints.know()[0]}, (
+        assert machine not in {sight.machine for sight in placer.peer_hints.knowledge()[0]}, (
             "it is not told to be gone"
         )
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -16,8 +16,13 @@
 from wingbarrow.kube import names
 from wingbarrow.lab.fleet.link import Proxy
 from wingbarrow.lab.node import node_value
-from wingbarrow.peers.knowledge_pages import PAGE, Snapshots, read_page, write_instance
-from wingbarrow.peers.knowledge_pages import Shares as HandedShares
+from wingbarrow.peers.knowledge_pages import (
+    MACHINES_PER_PAGE,
+    Snapshots,
+    UsageRatios,
+    decode_page,
+    encode_instance,
+)
 from wingbarrow.transport import Nursery
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
@@ -27,7 +32,7 @@
     return f'peer "127.0.0.1" port={port}\n'
 
 
-def sight(name: str, **more: Any) -> MachineObservation:
+def observation(name: str, **more: Any) -> MachineObservation:
     fields: dict[str, Any] = {
         "machine": name,
         "version": 5000,
@@ -49,12 +54,12 @@
     def __init__(
         self,
         stage: Stage,
-        sights: list[MachineObservation],
+        observations: list[MachineObservation],
         ident: str = "fake",
         spoil: Callable[[int, bytes], bytes | None] = lambda _, page: page,
         **announce: Any,
     ) -> None:
-        self.stage, self.sights, self.spoil = stage, sights, spoil
+        self.stage, self.observations, self.spoil = stage, observations, spoil
         self.ident, self.announce = ident, announce
         self.pages = 0
         self.clock_us = 0
@@ -73,14 +78,17 @@
                 **self.announce,
             }
             return Answer(
-                200, write_instance(Announcement("", self.ident, 1, rtt_us=0, **fields), "")
+                200, encode_instance(Announcement("", self.ident, 1, rtt_us=0, **fields), "")
             )
         if "knowledge" not in request.target or "watch" in request.target:
             return Answer(404)
         token = request.target.partition("continue=")[2]
         now = self.stage.hub.now_us() + self.clock_us
         page = self.snapshots.page(
-            token, now, lambda: (self.sights, HandedShares((0.6, 0.7), (50, 50), 0)), lambda: None
+            token,
+            now,
+            lambda: (self.observations, UsageRatios((0.6, 0.7), (50, 50), 0)),
+            lambda: None,
         )
         self.pages += 1
         spoiled = self.spoil(self.pages, page)
@@ -155,7 +163,7 @@
         assert placer.learner.state == "learned"
         assert placer.learner.counts["followed"] >= 50
         assert teacher.service is not None
-        assert teacher.service.rest.instances.handovers == 0
+        assert teacher.service.rest.instances.active_transfers == 0
         member = placer.peering.members["placer-1"]
         assert member.status.value == "alive"
 
@@ -186,14 +194,14 @@
     stage = Stage(machines=4)
 
     def script() -> None:
-        sights = [sight(f"node-{i}") for i in range(4)]
+        observations = [observation(f"node-{i}") for i in range(4)]
         bad = FakePeer(
             stage,
-            [sight(f"node-{i}", warm_us={"default/bad": 9 * S}) for i in range(4)],
+            [observation(f"node-{i}", warm_us={"default/bad": 9 * S}) for i in range(4)],
             "a-bad",
             spoil,
         )
-        good = FakePeer(stage, sights, "b-good")
+        good = FakePeer(stage, observations, "b-good")
         placer = restarted(stage, bad.server.port, good.server.port)
         stage.hub.sleep(3 * S)
         assert known_warm(placer) == {"default/heard"}
@@ -210,15 +218,17 @@
     stage = Stage(machines=4)
 
     def script() -> None:
-        sights = [sight(f"node-{i}") for i in range(4)] + [
-            sight(f"other-{i}") for i in range(2 * PAGE)
+        observations = [observation(f"node-{i}") for i in range(4)] + [
+            observation(f"other-{i}") for i in range(2 * MACHINES_PER_PAGE)
         ]
         stuck = FakePeer(
-            stage, sights, spoil=lambda number, page: None if number == stall_at else page
+            stage, observations, spoil=lambda number, page: None if number == stall_at else page
         )
         # Machines the list lacks make it a stranger: here they are few on the first page only.
-        stuck.sights = list(
-            itertools.chain(*([sight(f"node-{i % 4}")] * 1 for i in range(2 * PAGE + 8)))
+        stuck.observations = list(
+            itertools.chain(
+                *([observation(f"node-{i % 4}")] * 1 for i in range(2 * MACHINES_PER_PAGE + 8))
+            )
         )
         begun = stage.hub.now_us()
         placer = restarted(stage, stuck.server.port)
@@ -238,7 +248,7 @@
     stage = Stage(machines=4)
 
     def script() -> None:
-        peer = FakePeer(stage, [sight(f"node-{i}") for i in range(4)])
+        peer = FakePeer(stage, [observation(f"node-{i}") for i in range(4)])
         proxy = Proxy(stage.hub, peer.server.port)
         original = peer.answer
 
@@ -271,7 +281,11 @@
                     else (page.replace(b'"first":200', b'"first":400') if number == 2 else page)
                 )
 
-            peer = FakePeer(stage, [sight(f"node-{i % 4}") for i in range(3 * PAGE)], spoil=spoil)
+            peer = FakePeer(
+                stage,
+                [observation(f"node-{i % 4}") for i in range(3 * MACHINES_PER_PAGE)],
+                spoil=spoil,
+            )
             placer = restarted(stage, peer.server.port)
             stage.hub.sleep(3 * S)
             assert placer.learner.counts["bad_pages"] == 1
@@ -285,15 +299,17 @@
 
     def script() -> None:
         peer = FakePeer(
-            stage, [sight(f"node-{i}") for i in range(2)] + [sight(f"far-{i}") for i in range(30)]
+            stage,
+            [observation(f"node-{i}") for i in range(2)]
+            + [observation(f"far-{i}") for i in range(30)],
         )
         slot = stage.cluster.placers[0]
         placer = restarted(stage)
         stage.hub.sleep(S)
         assert slot.service is not None
-        assert placer.peer_hints.take_sights(peer.sights, 0, True) is False
+        assert placer.peer_hints.on_observations(peer.observations, 0, True) is False
         assert not known_warm(placer)
-        other = FakePeer(stage, [sight("node-0")], "elsewhere", cluster="other")
+        other = FakePeer(stage, [observation("node-0")], "elsewhere", cluster="other")
         placer = restarted(stage, other.server.port)
         stage.hub.sleep(2 * S)
         assert other.pages == 0
@@ -311,8 +327,10 @@
                 peer.clock_us += jump if number == 1 else 0
                 return page
 
-            first = [sight(f"node-{i % 4}", warm_us={}) for i in range(PAGE)]
-            peer = FakePeer(stage, [*first, *(sight(f"node-{i}") for i in range(4))], spoil=spoil)
+            first = [observation(f"node-{i % 4}", warm_us={}) for i in range(MACHINES_PER_PAGE)]
+            peer = FakePeer(
+                stage, [*first, *(observation(f"node-{i}") for i in range(4))], spoil=spoil
+            )
             peer.clock_us = 3600 * S
             placer = restarted(stage, peer.server.port)
             stage.hub.sleep(3 * S)
@@ -328,7 +346,7 @@
         liar = FakePeer(
             stage,
             [
-                sight(f"node-{i}", version=1, asked=(23.9, 47.9), asked_age_us=0, warm_us={})
+                observation(f"node-{i}", version=1, asked=(23.9, 47.9), asked_age_us=0, warm_us={})
                 for i in range(4)
             ],
         )
@@ -353,10 +371,10 @@
         peer = FakePeer(
             stage,
             [
-                sight(
+                observation(
                     "node-0", version=version + (5 if seen_after_list else -1), phase=Phase.DRAINING
                 ),
-                sight("node-1", version=1),
+                observation("node-1", version=1),
             ],
         )
         placer = restarted(stage, peer.server.port)
@@ -440,10 +458,10 @@
             stage.hub.sleep(S)
             stage.submit("meanwhile")
             assert "Placed" in stage.settled("meanwhile", 2)
-            assert front.handovers == 4
+            assert front.active_transfers == 4
         assert sorted(answers) == [200] * 4 + [429] * 6
         stage.hub.sleep(2 * S)
-        assert front.handovers == 0
+        assert front.active_transfers == 0
 
     stage.play(script)
 
@@ -465,20 +483,21 @@
 
 def test_a_snapshot_is_resumed_within_its_time_and_gone_after_it() -> None:
     snapshots = Snapshots(7)
-    sights = [sight(f"m{i}") for i in range(450)]
-    first = read_page(
-        snapshots.page("", 0, lambda: (sights, HandedShares((1, 1), (1, 1), 0)), lambda: None), 1000
+    observations = [observation(f"m{i}") for i in range(450)]
+    first = decode_page(
+        snapshots.page("", 0, lambda: (observations, UsageRatios((1, 1), (1, 1), 0)), lambda: None),
+        1000,
     )
-    assert (first.first, first.total, len(first.sights)) == (0, 450, PAGE)
-    second = read_page(
-        snapshots.page(first.next, 5 * S, lambda: ([], first.shares), lambda: None), 1000
+    assert (first.first, first.total, len(first.observations)) == (0, 450, MACHINES_PER_PAGE)
+    second = decode_page(
+        snapshots.page(first.next, 5 * S, lambda: ([], first.usage), lambda: None), 1000
     )
     assert (second.first, second.snapshot_age_us) == (200, 5 * S)
     with pytest.raises(KeyError):
-        snapshots.page(first.next, 40 * S, lambda: ([], first.shares), lambda: None)
+        snapshots.page(first.next, 40 * S, lambda: ([], first.usage), lambda: None)
     for bad in ("nonsense", "7-1.x", "7-1.99", "7-1.-1"):
         with pytest.raises(KeyError):
-            snapshots.page(bad, 5 * S, lambda: ([], first.shares), lambda: None)
+            snapshots.page(bad, 5 * S, lambda: ([], first.usage), lambda: None)
 
 
 def test_a_mass_restart_with_nobody_to_learn_from_starts_cold_and_keeps_the_rules() -> None:
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -8,8 +8,8 @@
 from wingbarrow.decide.membership.messages import MemberStatus, MemberUpdate, Sync
 from wingbarrow.http.client import Pool
 from wingbarrow.lab.cluster import PlacerSlot
-from wingbarrow.peers.mailbox import MAX_ADDRESSES, PATH
 from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, encode_envelope, encode_message
+from wingbarrow.peers.outbox import MAX_ADDRESSES, PATH
 
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
 
@@ -121,8 +121,8 @@
         stage.hub.sleep(10 * S)
         peering = service.placer.peering
         assert peering.counts["peers:addresses refused"] >= 2
-        assert all(host == "127.0.0.1" and port > 0 for host, port in peering._outbox._boxes)
-        assert len(peering._outbox._boxes) <= MAX_ADDRESSES
+        assert all(host == "127.0.0.1" and port > 0 for host, port in peering._outbox._queues)
+        assert len(peering._outbox._queues) <= MAX_ADDRESSES
 
     stage.play(script)
 
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -89,7 +89,7 @@
 from wingbarrow.decide.sessions.session_log import LatestSession, OpenSession, SessionLog
 from wingbarrow.interface import Phase
 from wingbarrow.peers import knowledge_pages, message
-from wingbarrow.peers.knowledge_pages import Page, Shares
+from wingbarrow.peers.knowledge_pages import Page, UsageRatios
 
 DATA = Path(__file__).parent.parent / "data"
 S = 1_000_000
@@ -620,36 +620,36 @@
     ),
     MachineObservation("node-2", 0, Phase.DRAINING, None, None, None, None, None, {}, {}),
 )
-PAGE = Page("1f-1", 0, 2, "", 5, 3 * S, Shares((0.5, 0.75), (3.0, 4.0), 6), list(SIGHTS))
+PAGE = Page("1f-1", 0, 2, "", 5, 3 * S, UsageRatios((0.5, 0.75), (3.0, 4.0), 6), list(SIGHTS))
 ANNOUNCED = (Announcement("peer:1", "placer-0", 7, "north", "main", 6, 5, 4, 3), "127.0.0.1:7000")
 ANNOUNCED_LEAST = (Announcement("peer:1", "placer-0", 0, "", "", 0, None, 0, 3), "")
 
 
-CHANGE = Page("", 0, 1, "", 0, 3 * S, PAGE.shares, list(SIGHTS[:1]))
+CHANGE = Page("", 0, 1, "", 0, 3 * S, PAGE.usage, list(SIGHTS[:1]))
 INSTANCES = {"instance.json": ANNOUNCED, "instance-least.json": ANNOUNCED_LEAST}
 
 
 def write_page() -> bytes:
     pages = knowledge_pages.Snapshots(0x1F)
-    pages.page("", 3 * S - 5, lambda: (list(SIGHTS), PAGE.shares), lambda: None)
-    return pages.page("", 3 * S, lambda: ([], PAGE.shares), lambda: None)
+    pages.page("", 3 * S - 5, lambda: (list(SIGHTS), PAGE.usage), lambda: None)
+    return pages.page("", 3 * S, lambda: ([], PAGE.usage), lambda: None)
 
 
 def write_change() -> bytes:
     """A line of what follows the pages: one machine that changed."""
-    return knowledge_pages.changes_line(list(SIGHTS[:1]), PAGE.shares, 3 * S)
+    return knowledge_pages.encode_changes(list(SIGHTS[:1]), PAGE.usage, 3 * S)
 
 
 def write_announced(value: tuple[Announcement, str]) -> bytes:
-    return knowledge_pages.write_instance(*value)
+    return knowledge_pages.encode_instance(*value)
 
 
 def read_announced(raw: bytes) -> tuple[Announcement, str]:
-    return knowledge_pages.read_instance(raw, "peer:1", 3)
+    return knowledge_pages.decode_instance(raw, "peer:1", 3)
 
 
 def read_page(raw: bytes) -> Page:
-    return knowledge_pages.read_page(raw, 10)
+    return knowledge_pages.decode_page(raw, 10)
 
 
 # -- which kinds of entries there are
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -17,7 +17,7 @@
 from wingbarrow.http.server import Answer, Server, ServerLimits
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.api import InstancesApi
+from wingbarrow.peers.instances_api import InstancesApi
 from wingbarrow.peers.leases_api import LeasesApi
 from wingbarrow.peers.limits_api import LimitsApi
 from wingbarrow.peers.maintenance_api import MaintenanceApi
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -32,7 +32,6 @@
     replicated_subsystems,
 )
 from wingbarrow.peers.history import History
-from wingbarrow.peers.mailbox import Outbox
 from wingbarrow.peers.message import (
     Envelope,
     MessageError,
@@ -41,6 +40,7 @@
     encode_message,
 )
 from wingbarrow.peers.message_bounds import SESSION_MESSAGES
+from wingbarrow.peers.outbox import Outbox
 from wingbarrow.peers.ruleset_settings import rules_of
 from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
--- a/wingbarrow/peers/api.py
+++ b/wingbarrow/peers/instances_api.py
@@ -16,15 +16,15 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
-from wingbarrow.peers.knowledge_pages import Snapshots, changes_line, write_instance
+from wingbarrow.peers.knowledge_pages import Snapshots, encode_changes, encode_instance
 from wingbarrow.peers.message import MessageError
 from wingbarrow.peers.peer_hints import PeerHints
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
-HANDOVERS_MOST = 4  # pages and watches served at once; others hear 429 and ask elsewhere
-FOLLOW_US = 60 * SECOND
-REFUSED_MOST = 256  # addresses remembered as refused, for telling each once
+MAX_TRANSFERS = 4  # pages and watches served at once; others hear 429 and ask elsewhere
+WATCH_DURATION_US = 60 * SECOND
+MAX_LOGGED_ADDRESSES = 256  # addresses remembered as refused, for telling each once
 
 
 class InstancesApi:
@@ -34,26 +34,26 @@
         self,
         hub: Hub,
         settings: Callable[[], PlacerSettings],
-        hearsay: PeerHints,
+        peer_hints: PeerHints,
         peering: Peering,
-        life: int,
+        incarnation: int,
         log: Callable[..., None],
     ) -> None:
         self._hub, self._settings = hub, settings
-        self._hearsay, self._peering = hearsay, peering
+        self._peer_hints, self._peering = peer_hints, peering
         self._log = log
-        self._snapshots = Snapshots(life)
+        self._snapshots = Snapshots(incarnation)
         self._refused: OrderedDict[str, None] = OrderedDict()
-        self.handovers = 0
-        self.turned_away = 0
+        self.active_transfers = 0
+        self.rejected_transfers = 0
 
     def handle(self, request: Request, parts: list[str], query: Query) -> Answer:
         """Answer one request; ApiError for what is refused."""
-        self._check_sender(request)
-        what = (request.method, *parts)
-        if what == ("GET", "instance"):
-            return Answer(200, write_instance(self._hearsay.announce(), self._peering.address))
-        if what == ("POST", "peers"):
+        self._check_peer(request)
+        route = (request.method, *parts)
+        if route == ("GET", "instance"):
+            return Answer(200, encode_instance(self._peer_hints.announce(), self._peering.address))
+        if route == ("POST", "peers"):
             try:
                 return Answer(200, self._peering.receive(request.body))
             except MessageError as error:
@@ -65,19 +65,19 @@
                     why=str(error),
                 )
                 raise ApiError(422, str(error)) from None
-        if what == ("GET", "members"):
+        if route == ("GET", "members"):
             return Answer(200, self._members())
-        if what == ("GET", "knowledge"):
+        if route == ("GET", "knowledge"):
             return self._knowledge(query)
         raise ApiError(404, "the server could not find the requested resource", "NotFound")
 
-    def _check_sender(self, request: Request) -> None:
+    def _check_peer(self, request: Request) -> None:
         peer = request.connection.stream.peer
         if peer and peer in self._settings().peers_allowed:
             return
         if peer not in self._refused:
             self._refused[peer] = None
-            if len(self._refused) > REFUSED_MOST:
+            if len(self._refused) > MAX_LOGGED_ADDRESSES:
                 self._refused.popitem(last=False)
             self._log("peer-refused", level="warning", address=peer)
         raise ApiError(
@@ -109,58 +109,56 @@
         )
 
     def _knowledge(self, query: Query) -> Answer:
-        if self.handovers >= HANDOVERS_MOST:
-            self.turned_away += 1
-            raise ApiError(
-                429, f"{HANDOVERS_MOST} hand-overs at once are the most", retry_after_s=1
-            )
+        if self.active_transfers >= MAX_TRANSFERS:
+            self.rejected_transfers += 1
+            raise ApiError(429, f"{MAX_TRANSFERS} hand-overs at once are the most", retry_after_s=1)
         if query.get("watch") is not None and query.flag("watch"):
-            return Answer(200, stream=self._follow)
-        self.handovers += 1
+            return Answer(200, stream=self._watch)
+        self.active_transfers += 1
         try:
             page = self._snapshots.page(
                 query.get("continue") or "",
                 self._hub.now_us(),
-                self._hearsay.know,
+                self._peer_hints.knowledge,
                 self._hub.checkpoint,
             )
         except KeyError:
             raise ApiError(410, "that snapshot is past its time; begin again", "Expired") from None
         finally:
-            self.handovers -= 1
+            self.active_transfers -= 1
         return Answer(200, page)
 
-    def _follow(self, writer: ChunkWriter) -> None:
+    def _watch(self, writer: ChunkWriter) -> None:
         """What changed, once a second, for a minute."""
-        self.handovers += 1
+        self.active_transfers += 1
         try:
-            end = self._hub.now_us() + FOLLOW_US
-            told: dict[str, object] = {}
+            end = self._hub.now_us() + WATCH_DURATION_US
+            sent_keys: dict[str, object] = {}
             first = True
             while self._hub.now_us() < end and not writer.gone:
-                sights, shares = self._hearsay.know()
+                observations, usage = self._peer_hints.knowledge()
                 now = self._hub.now_us()
-                marks = {each.machine: _mark(each, now) for each in sights}
+                keys = {each.machine: _change_key(each, now) for each in observations}
                 changed = [
                     each
-                    for each in sights
-                    if first or marks[each.machine] != told.get(each.machine)
+                    for each in observations
+                    if first or keys[each.machine] != sent_keys.get(each.machine)
                 ]
                 # The pages were read just before: the first line only sets what later ones are compared with.
-                writer.write(changes_line([] if first else changed, shares, now))
-                told, first = marks, False
+                writer.write(encode_changes([] if first else changed, usage, now))
+                sent_keys, first = keys, False
                 self._hub.sleep(SECOND)
         finally:
-            self.handovers -= 1
+            self.active_transfers -= 1
 
 
-def _mark(sight: MachineObservation, now: int) -> object:
+def _change_key(observation: MachineObservation, now: int) -> object:
     """What of a sight counts as a change: figures by when they were heard, programs and rests by name."""
     return (
-        sight.version,
-        sight.phase,
-        sight.asked,
-        None if sight.measured_age_us is None else now - sight.measured_age_us,
-        frozenset(sight.warm_us),
-        frozenset(sight.rests_us),
+        observation.version,
+        observation.phase,
+        observation.asked,
+        None if observation.measured_age_us is None else now - observation.measured_age_us,
+        frozenset(observation.warm_us),
+        frozenset(observation.rests_us),
     )
--- a/wingbarrow/peers/knowledge_pages.py
+++ b/wingbarrow/peers/knowledge_pages.py
@@ -15,12 +15,12 @@
 from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.interface import Phase
 
-FORM = 1
-PAGE = 200  # machines
-SNAPSHOTS = 4
-KEEP_US = 30_000_000
-SHARE_US = 1_000_000  # a snapshot this young serves further askers
-SERVICES_MOST = 64  # programs told of for one machine
+FORMAT_VERSION = 1
+MACHINES_PER_PAGE = 200  # machines
+MAX_SNAPSHOTS = 4
+SNAPSHOT_TTL_US = 30_000_000
+SNAPSHOT_REUSE_US = 1_000_000  # a snapshot this young serves further askers
+MAX_SERVICES_PER_MACHINE = 64  # programs told of for one machine
 
 
 class KnowledgePageError(ValueError):
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class UsageRatios:
     """Learned shares of use, the notes behind them, and the age of the last note."""
 
     ratio: tuple[float, float]
@@ -93,7 +93,7 @@
 class _Snapshot:
     ident: str
     taken_us: int
-    shares: Shares
+    usage: UsageRatios
     parts: list[tuple[bytes, str, int]]  # bytes, digest, machines before it
     total: int
 
@@ -108,30 +108,34 @@
     next: str
     snapshot_age_us: int
     clock_us: int
-    shares: Shares
-    sights: list[MachineObservation]
+    usage: UsageRatios
+    observations: list[MachineObservation]
 
 
-def to_wire(sight: MachineObservation) -> WireObservation:
+def to_wire(observation: MachineObservation) -> WireObservation:
     """For a page; of programs the longest trusted are told of."""
-    warm = dict(sorted(sight.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[:SERVICES_MOST])
+    warm = dict(
+        sorted(observation.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[
+            :MAX_SERVICES_PER_MACHINE
+        ]
+    )
     return WireObservation(
-        sight.machine,
-        sight.version,
-        sight.phase.value,
-        sight.launched_age_us,
-        sight.asked,
-        sight.asked_age_us,
-        sight.beyond,
-        sight.measured_age_us,
+        observation.machine,
+        observation.version,
+        observation.phase.value,
+        observation.launched_age_us,
+        observation.asked,
+        observation.asked_age_us,
+        observation.beyond,
+        observation.measured_age_us,
         warm,
-        dict(sight.rests_us),
+        dict(observation.rests_us),
     )
 
 
-def encode_part(sights: Iterable[MachineObservation]) -> tuple[bytes, str]:
+def encode_part(observations: Iterable[MachineObservation]) -> tuple[bytes, str]:
     """The bytes of a page's machines, and their digest."""
-    raw = _encode([to_wire(sight) for sight in sights])
+    raw = _encode([to_wire(observation) for observation in observations])
     return raw, xxhash.xxh64_hexdigest(raw)
 
 
@@ -141,13 +145,13 @@
     def __init__(self, incarnation: int) -> None:
         self._held: OrderedDict[str, _Snapshot] = OrderedDict()
         self._count = 0
-        self._life = f"{incarnation:x}"
+        self._incarnation = f"{incarnation:x}"
 
     def page(
         self,
         token: str,
         now_us: int,
-        take: Callable[[], tuple[list[MachineObservation], Shares]],
+        take: Callable[[], tuple[list[MachineObservation], UsageRatios]],
         turn: Callable[[], None],
     ) -> bytes:
         """The page of a token, the first one of a fresh or young snapshot without; KeyError past its time.
@@ -155,7 +159,7 @@
         `turn` is called between parts: cutting many machines into pages must not hold up placing.
         """
         for ident in [
-            each.ident for each in self._held.values() if now_us - each.taken_us > KEEP_US
+            each.ident for each in self._held.values() if now_us - each.taken_us > SNAPSHOT_TTL_US
         ]:
             del self._held[ident]
         if token:
@@ -164,12 +168,12 @@
             if not 0 <= index < len(snapshot.parts):
                 raise KeyError(token)
         else:
-            snapshot, index = self._young(now_us) or self._cut(now_us, *take(), turn), 0
+            snapshot, index = self._recent(now_us) or self._create(now_us, *take(), turn), 0
         raw, digest, first = snapshot.parts[index]
         more = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
         return _encode(
             WirePage(
-                FORM,
+                FORMAT_VERSION,
                 snapshot.ident,
                 first,
                 snapshot.total,
@@ -177,53 +181,59 @@
                 now_us - snapshot.taken_us,
                 now_us,
                 digest,
-                snapshot.shares.ratio,
-                snapshot.shares.notes,
-                snapshot.shares.age_us,
+                snapshot.usage.ratio,
+                snapshot.usage.notes,
+                snapshot.usage.age_us,
                 msgspec.Raw(raw),
             )
         )
 
-    def _young(self, now_us: int) -> _Snapshot | None:
+    def _recent(self, now_us: int) -> _Snapshot | None:
         newest = next(reversed(self._held.values()), None)
-        return newest if newest is not None and now_us - newest.taken_us < SHARE_US else None
+        return (
+            newest if newest is not None and now_us - newest.taken_us < SNAPSHOT_REUSE_US else None
+        )
 
-    def _cut(
+    def _create(
         self,
         now_us: int,
-        sights: list[MachineObservation],
-        shares: Shares,
+        observations: list[MachineObservation],
+        usage: UsageRatios,
         turn: Callable[[], None],
     ) -> _Snapshot:
         self._count += 1
         parts: list[tuple[bytes, str, int]] = []
-        for first in range(0, max(1, len(sights)), PAGE):
-            parts.append((*encode_part(sights[first : first + PAGE]), first))
+        for first in range(0, max(1, len(observations)), MACHINES_PER_PAGE):
+            parts.append((*encode_part(observations[first : first + MACHINES_PER_PAGE]), first))
             turn()
-        snapshot = _Snapshot(f"{self._life}-{self._count}", now_us, shares, parts, len(sights))
+        snapshot = _Snapshot(
+            f"{self._incarnation}-{self._count}", now_us, usage, parts, len(observations)
+        )
         self._held[snapshot.ident] = snapshot
-        while len(self._held) > SNAPSHOTS:
+        while len(self._held) > MAX_SNAPSHOTS:
             self._held.popitem(last=False)
         return snapshot
 
 
-def changes_line(sights: list[MachineObservation], shares: Shares, now_us: int) -> bytes:
+def encode_changes(
+    observations: list[MachineObservation], usage: UsageRatios, now_us: int
+) -> bytes:
     """One line of the watch: what changed, as a page of its own."""
-    raw, digest = encode_part(sights)
+    raw, digest = encode_part(observations)
     return (
         _encode(
             WirePage(
-                FORM,
+                FORMAT_VERSION,
                 "",
                 0,
-                len(sights),
+                len(observations),
                 "",
                 0,
                 now_us,
                 digest,
-                shares.ratio,
-                shares.notes,
-                shares.age_us,
+                usage.ratio,
+                usage.notes,
+                usage.age_us,
                 msgspec.Raw(raw),
             )
         )
@@ -231,13 +241,17 @@
     )
 
 
-def read_page(raw: bytes, machines_most: int) -> Page:
+def decode_page(raw: bytes, machines_most: int) -> Page:
     """Take a page apart; BadPage says what is wrong with it, and then nothing of it counts."""
     try:
         page = _page.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise KnowledgePageError(f"no page: {str(error)[:120]}") from None
-    if page.kind != "KnowledgePage" or page.form != FORM or page.api_version != "wingbarrow.io/v1":
+    if (
+        page.kind != "KnowledgePage"
+        or page.form != FORMAT_VERSION
+        or page.api_version != "wingbarrow.io/v1"
+    ):
         raise KnowledgePageError(
             f"another form: {page.kind[:40]} {page.api_version[:40]} {page.form}"
         )
@@ -250,7 +264,7 @@
         raise KnowledgePageError(f"an age of {page.snapshot_age_us}")
     try:
         wire = _sights.decode(body)
-        sights = [
+        observations = [
             MachineObservation(
                 each.machine,
                 each.version,
@@ -267,7 +281,10 @@
         ]
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
         raise KnowledgePageError(f"unreadable machines: {str(error)[:120]}") from None
-    if len(sights) > max(PAGE, page.total) or page.first + len(sights) > page.total:
+    if (
+        len(observations) > max(MACHINES_PER_PAGE, page.total)
+        or page.first + len(observations) > page.total
+    ):
         raise KnowledgePageError("more machines than the page says")
     return Page(
         page.snapshot[:100],
@@ -276,12 +293,12 @@
         page.next[:200],
         page.snapshot_age_us,
         page.clock_us,
-        Shares(page.ratio, page.notes, page.ratio_age_us),
-        sights,
+        UsageRatios(page.ratio, page.notes, page.ratio_age_us),
+        observations,
     )
 
 
-def write_instance(announcement: Announcement, address: str) -> bytes:
+def encode_instance(announcement: Announcement, address: str) -> bytes:
     """What an instance says of itself."""
     return _encode(
         WireInstance(
@@ -297,27 +314,27 @@
     )
 
 
-def read_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
+def decode_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
     """An announcement and the address it names; BadPage where it cannot be used."""
     try:
-        told = _instance.decode(raw)
+        announced = _instance.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise KnowledgePageError(f"no announcement: {str(error)[:120]}") from None
     if (
-        not 0 < len(told.ident) <= 253
-        or len(told.region) > 253
-        or len(told.cluster) > 253
-        or len(told.address) > 300
+        not 0 < len(announced.ident) <= 253
+        or len(announced.region) > 253
+        or len(announced.cluster) > 253
+        or len(announced.address) > 300
     ):
         raise KnowledgePageError("a name that is empty or too long")
     return Announcement(
         peer,
-        told.ident,
-        told.incarnation,
-        told.region,
-        told.cluster,
-        told.uptime_us,
-        told.list_age_us,
-        told.machines,
+        announced.ident,
+        announced.incarnation,
+        announced.region,
+        announced.cluster,
+        announced.uptime_us,
+        announced.list_age_us,
+        announced.machines,
         rtt_us,
-    ), told.address
+    ), announced.address
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -16,33 +16,33 @@
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.peers.knowledge_pages import (
-    PAGE,
+    MACHINES_PER_PAGE,
     KnowledgePageError,
     Page,
-    read_instance,
-    read_page,
+    decode_instance,
+    decode_page,
 )
 from wingbarrow.transport import Hub, Nursery
 
 SECOND = 1_000_000
-ANNOUNCE_US = 600_000  # for the announcements of all peers together
-PEER_US = 2 * SECOND  # for one peer's pages
-BUDGET_US = 5 * SECOND  # for all peers
-FOLLOW_US = 60 * SECOND
-SILENCE_US = 5 * SECOND  # a followed peer says something every second
-PAGE_BYTES = 4 << 20
-BASE = "/apis/wingbarrow.io/v1"
+ANNOUNCE_TIMEOUT_US = 600_000  # for the announcements of all peers together
+PEER_TIMEOUT_US = 2 * SECOND  # for one peer's pages
+TOTAL_TIMEOUT_US = 5 * SECOND  # for all peers
+WATCH_DURATION_US = 60 * SECOND
+WATCH_SILENCE_US = 5 * SECOND  # a followed peer says something every second
+MAX_PAGE_BYTES = 4 << 20
+API_ROOT = "/apis/wingbarrow.io/v1"
 
 
-class Taker(Protocol):
+class ObservationSink(Protocol):
     """The placer, as far as learning goes."""
 
-    def take_sights(
-        self, sights: list[MachineObservation], more_age_us: int, clock_good: bool
+    def on_observations(
+        self, observations: list[MachineObservation], more_age_us: int, clock_good: bool
     ) -> bool:
         """Take in a page's sights; False where they are of another cluster."""
 
-    def take_shares(self, page: Page, more_age_us: int, clock_good: bool) -> None:
+    def on_usage_ratios(self, page: Page, more_age_us: int, clock_good: bool) -> None:
         """Take in a page's learned shares."""
 
 
@@ -53,13 +53,13 @@
         self,
         hub: Hub,
         settings: PlacerSettings,
-        taker: Taker,
+        taker: ObservationSink,
         incarnation: int,
         log: Callable[..., None],
     ) -> None:
         self._hub = hub
         self._settings = settings
-        self._taker = taker
+        self._sink = taker
         self._incarnation = incarnation
         self._log = log
         self._pools: dict[PeerAddress, Pool] = {}
@@ -74,7 +74,11 @@
                 self._hub,
                 peer.host,
                 peer.port,
-                PoolLimits(connections=4, connect_us=ANNOUNCE_US, message=Limits(body=PAGE_BYTES)),
+                PoolLimits(
+                    connections=4,
+                    connect_us=ANNOUNCE_TIMEOUT_US,
+                    message=Limits(body=MAX_PAGE_BYTES),
+                ),
                 f"wingbarrow/{self._settings.name}",
             )
         return self._pools[peer]
@@ -83,7 +87,7 @@
         """Learn once; returns when there is nothing more to learn."""
         if not self._peers:
             return
-        end = self._hub.now_us() + BUDGET_US
+        end = self._hub.now_us() + TOTAL_TIMEOUT_US
         announced = self._announcements()
         order = learning.order_peers(
             announced, self._settings.region, self._settings.cluster, self._settings.name
@@ -93,10 +97,10 @@
             peer = by_name[announcement.peer]
             if self._hub.now_us() >= end:
                 break
-            if self._take_all(peer, announcement, min(end, self._hub.now_us() + PEER_US)):
+            if self._read_pages(peer, announcement, min(end, self._hub.now_us() + PEER_TIMEOUT_US)):
                 self.state, self.source = "followed", announcement.ident
                 self._log("learned", peer=announcement.ident, machines=announcement.machines)
-                self._follow(peer, announcement)
+                self._watch(peer, announcement)
                 self.state = "learned"
                 return
             self.counts["fell_back"] += 1
@@ -118,25 +122,25 @@
             begun = self._hub.now_us()
             try:
                 response = self._pool(peer).request(
-                    "GET", f"{BASE}/instance", until_us=begun + ANNOUNCE_US
+                    "GET", f"{API_ROOT}/instance", until_us=begun + ANNOUNCE_TIMEOUT_US
                 )
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
-                announced, _ = read_instance(response.body, str(peer), self._hub.now_us() - begun)
+                announced, _ = decode_instance(response.body, str(peer), self._hub.now_us() - begun)
             except (CallFailed, KnowledgePageError) as error:
                 self.counts["no_announcement"] += 1
                 self._log("peer-silent", peer=str(peer), why=str(error)[:200])
                 return
             out.append(announced)
 
-        with self._hub.limit(ANNOUNCE_US), Nursery(self._hub) as nursery:
+        with self._hub.limit(ANNOUNCE_TIMEOUT_US), Nursery(self._hub) as nursery:
             for peer in self._peers:
                 nursery.spawn(lambda peer=peer: ask(peer), "asks a peer")  # type: ignore[misc]
         return out
 
     # -- pages
 
-    def _take_all(self, peer: PeerAddress, announcement: Announcement, end_us: int) -> bool:
+    def _read_pages(self, peer: PeerAddress, announcement: Announcement, end_us: int) -> bool:
         """All pages of one peer, each taken in as it comes; False where it stalls, errs or is not believed."""
         token, expected, snapshot = "", 0, ""
         clock = ClockCheck()
@@ -146,14 +150,14 @@
             if begun >= end_us:
                 self.counts["stalled"] += 1
                 return False
-            query = f"?limit={PAGE}" + (f"&continue={quote(token)}" if token else "")
+            query = f"?limit={MACHINES_PER_PAGE}" + (f"&continue={quote(token)}" if token else "")
             try:
                 response = self._pool(peer).request(
-                    "GET", f"{BASE}/knowledge{query}", until_us=end_us
+                    "GET", f"{API_ROOT}/knowledge{query}", until_us=end_us
                 )
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
-                page = read_page(response.body, most)
+                page = decode_page(response.body, most)
                 if page.first != expected or (snapshot and page.snapshot != snapshot):
                     raise KnowledgePageError(
                         f"page at {page.first} of {page.snapshot}, not at {expected} of {snapshot}"
@@ -166,20 +170,20 @@
                     "peer-page-unusable", level="warning", peer=str(peer), why=str(error)[:200]
                 )
                 return False
-            if not self._take(page, clock, begun):
+            if not self._apply_page(page, clock, begun):
                 return False
-            snapshot, expected = page.snapshot, page.first + len(page.sights)
+            snapshot, expected = page.snapshot, page.first + len(page.observations)
             if not page.next:
                 if expected != page.total:
                     self.counts["bad_pages"] += 1
                     return False
                 return True
-            if not page.sights or page.next == token:
+            if not page.observations or page.next == token:
                 self.counts["bad_pages"] += 1
                 return False
             token = page.next
 
-    def _take(self, page: Page, clock: ClockCheck, asked_us: int) -> bool:
+    def _apply_page(self, page: Page, clock: ClockCheck, asked_us: int) -> bool:
         now = self._hub.now_us()
         good = clock.check_page(now, page.clock_us)
         if not good:
@@ -187,34 +191,34 @@
         # The answer was written at some time after the question left: the whole exchange counts as age.
         more = page.snapshot_age_us + (now - asked_us)
         self.counts["pages"] += 1
-        if not self._taker.take_sights(page.sights, more, good):
+        if not self._sink.on_observations(page.observations, more, good):
             self.counts["strangers"] += 1
             self._log("peer-of-another-cluster", level="warning")
             return False
-        self._taker.take_shares(page, more, good)
+        self._sink.on_usage_ratios(page, more, good)
         return True
 
     # -- following
 
-    def _follow(self, peer: PeerAddress, announcement: Announcement) -> None:
+    def _watch(self, peer: PeerAddress, announcement: Announcement) -> None:
         """Changes of the first minute; however it ends, what was learned stays."""
-        end = self._hub.now_us() + FOLLOW_US
+        end = self._hub.now_us() + WATCH_DURATION_US
         clock = ClockCheck()
         try:
             response, parts = self._pool(peer).stream(
                 "GET",
-                f"{BASE}/knowledge?watch=true",
-                until_us=self._hub.now_us() + PEER_US,
-                silence_us=SILENCE_US,
+                f"{API_ROOT}/knowledge?watch=true",
+                until_us=self._hub.now_us() + PEER_TIMEOUT_US,
+                silence_us=WATCH_SILENCE_US,
             )
             try:
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
-                for line in _lines(parts):
+                for line in _split_lines(parts):
                     if self._hub.now_us() >= end:
                         return
-                    if not self._take(
-                        read_page(line, self._settings.limits.machines), clock, self._hub.now_us()
+                    if not self._apply_page(
+                        decode_page(line, self._settings.limits.machines), clock, self._hub.now_us()
                     ):
                         return
                     self.counts["followed"] += 1
@@ -225,11 +229,11 @@
             self._log("peer-watch-broke", peer=str(peer), why=str(error)[:200])
 
 
-def _lines(parts: Iterable[bytes]) -> Iterable[bytes]:
+def _split_lines(parts: Iterable[bytes]) -> Iterable[bytes]:
     rest = b""
     for part in parts:
         lines = (rest + part).split(b"\n")
         rest = lines.pop()
-        if len(rest) > PAGE_BYTES:
-            raise KnowledgePageError(f"a line of more than {PAGE_BYTES} bytes")
+        if len(rest) > MAX_PAGE_BYTES:
+            raise KnowledgePageError(f"a line of more than {MAX_PAGE_BYTES} bytes")
         yield from lines
--- a/wingbarrow/peers/mailbox.py
+++ b/wingbarrow/peers/outbox.py
@@ -24,7 +24,7 @@
 MAX_ADDRESSES = 512
 
 
-class _Box:
+class _Queue:
     """What waits for one address."""
 
     __slots__ = ("calls", "letters", "pool")
@@ -49,7 +49,7 @@
     ) -> None:
         self._hub, self._agent, self._pack, self._take = hub, agent, pack, take
         self._spawn, self._counts = spawn, counts
-        self._boxes: OrderedDict[tuple[str, int], _Box] = OrderedDict()
+        self._queues: OrderedDict[tuple[str, int], _Queue] = OrderedDict()
 
     def send(self, host: str, port: int, letter: bytes) -> None:
         """Put a letter in the box of an address."""
@@ -58,9 +58,9 @@
             self._counts["peers:letters dropped, too long"] += 1
             return
         key = host, port
-        box = self._boxes.get(key)
+        box = self._queues.get(key)
         if box is None:
-            box = self._boxes[key] = _Box(
+            box = self._queues[key] = _Queue(
                 Pool(
                     self._hub,
                     host,
@@ -74,39 +74,39 @@
                     self._agent,
                 )
             )
-            self._bound()
-        self._boxes.move_to_end(key)
+            self._evict_idle_queues()
+        self._queues.move_to_end(key)
         if len(box.letters) >= MAX_QUEUED_MESSAGES:
             box.letters.popleft()
             self._counts["peers:letters dropped, box full"] += 1
         box.letters.append((self._hub.now_us(), letter))
         if box.calls < MAX_CALLS_PER_ADDRESS:
             box.calls += 1
-            self._spawn(lambda: self._empty(box), "mail")
+            self._spawn(lambda: self._drain_queue(box), "mail")
 
     @property
     def busy(self) -> bool:
         """Whether a call is under way."""
-        return any(box.calls for box in self._boxes.values())
+        return any(box.calls for box in self._queues.values())
 
-    def _bound(self) -> None:
-        for key, box in list(self._boxes.items()):
-            if len(self._boxes) <= MAX_ADDRESSES:
+    def _evict_idle_queues(self) -> None:
+        for key, box in list(self._queues.items()):
+            if len(self._queues) <= MAX_ADDRESSES:
                 return
             if not box.calls:
                 box.pool.close()
-                del self._boxes[key]
+                del self._queues[key]
 
-    def _empty(self, box: _Box) -> None:
+    def _drain_queue(self, box: _Queue) -> None:
         try:
             while box.letters:
-                letters = self._next(box)
+                letters = self._next_batch(box)
                 if letters:
-                    self._call(box, letters)
+                    self._send_batch(box, letters)
         finally:
             box.calls -= 1
 
-    def _next(self, box: _Box) -> list[bytes]:
+    def _next_batch(self, box: _Queue) -> list[bytes]:
         now, size = self._hub.now_us(), 0
         out: list[bytes] = []
         while (
@@ -122,7 +122,7 @@
             size += len(letter)
         return out
 
-    def _call(self, box: _Box, letters: list[bytes]) -> None:
+    def _send_batch(self, box: _Queue, letters: list[bytes]) -> None:
         self._counts["peers:calls"] += 1
         self._counts["peers:letters"] += len(letters)
         try:
@@ -144,6 +144,6 @@
 
     def close(self) -> None:
         """Let all connections go."""
-        for box in self._boxes.values():
+        for box in self._queues.values():
             box.pool.close()
-        self._boxes.clear()
+        self._queues.clear()
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -10,10 +10,10 @@
 from wingbarrow.config import PlacerSettings
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import MachineObservation
-from wingbarrow.peers.knowledge_pages import Page, Shares
+from wingbarrow.peers.knowledge_pages import Page, UsageRatios
 from wingbarrow.transport import Hub
 
-GONE_KEPT = 1024
+MAX_GONE_MACHINES = 1024
 
 
 class Entry(Protocol):
@@ -125,7 +125,7 @@
         self._gone_versions: dict[
             str, int
         ] = {}  # machines that left the list, for peers to hear of
-        self._heard: dict[
+        self._pending: dict[
             str, tuple[MachineObservation, int, bool]
         ] = {}  # not applied yet: sight, when it was true, clock good
         self._average = (0.5, 0.5)  # asked over size, as peers last told it
@@ -156,11 +156,11 @@
             0,
         )
 
-    def know(self) -> tuple[list[MachineObservation], Shares]:
+    def knowledge(self) -> tuple[list[MachineObservation], UsageRatios]:
         """What this instance knows of machines, for a hand-over."""
         now, known = self._context.hub.now_us(), self._host.knowledge()
         by_ident = {each.machine: each for each in known.machines}
-        sights: list[MachineObservation] = []
+        observations: list[MachineObservation] = []
         for name, entry in self._fleet.held.items():
             link, each = self._machines.links.get(name), by_ident.get(entry.listed.machine)
             if link is None or each is None:
@@ -171,7 +171,7 @@
             if self._context.settings.agree is not None:
                 # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
                 phase = self._guard(entry, entry.listed).phase
-            sights.append(
+            observations.append(
                 MachineObservation(
                     name,
                     max(entry.version, self._distrust.version(name)),
@@ -186,17 +186,19 @@
                 )
             )
         for name, version in self._gone_versions.items():
-            sights.append(
+            observations.append(
                 MachineObservation(
                     name, version, api.Phase.GONE, None, None, None, None, None, {}, {}
                 )
             )
         use_us = self._sightings.last_usage_us
-        return sights, Shares(known.ratio, known.notes, None if use_us is None else now - use_us)
+        return observations, UsageRatios(
+            known.ratio, known.notes, None if use_us is None else now - use_us
+        )
 
     def _note_gone(self, name: str) -> None:
         self._gone_versions[name] = self._fleet.reflector.version
-        if len(self._gone_versions) > GONE_KEPT:
+        if len(self._gone_versions) > MAX_GONE_MACHINES:
             del self._gone_versions[next(iter(self._gone_versions))]
 
     def _note_listed(self, name: str) -> None:
@@ -204,46 +206,50 @@
 
     # -- taken in
 
-    def take_sights(
-        self, sights: list[MachineObservation], more_age_us: int, clock_good: bool
+    def on_observations(
+        self, observations: list[MachineObservation], more_age_us: int, clock_good: bool
     ) -> bool:
         """Take in a page of a peer's sights; False, and none is kept, where they are of another cluster."""
         held = self._fleet.held
         # What is left out here, where placers hold subsets, says nothing of whose cluster it is.
-        sights = [sight for sight in sights if self._fleet.reflector.is_wanted(sight.machine)]
+        observations = [
+            observation
+            for observation in observations
+            if self._fleet.reflector.is_wanted(observation.machine)
+        ]
         if learning.is_other_cluster(
-            sights, {name: entry.listed.machine for name, entry in held.items()}
+            observations, {name: entry.listed.machine for name, entry in held.items()}
         ):
             return False
         now, changed = self._context.hub.now_us(), []
-        for sight in sights:
-            entry = held.get(sight.machine)
+        for observation in observations:
+            entry = held.get(observation.machine)
             # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
             if (
-                self._distrust.on_observation(sight, entry.version if entry else None, now)
+                self._distrust.on_observation(observation, entry.version if entry else None, now)
                 and entry is not None
             ):
                 changed.append(entry)
             if (
-                len(self._heard) < self._context.settings.limits.machines
-                or sight.machine in self._heard
+                len(self._pending) < self._context.settings.limits.machines
+                or observation.machine in self._pending
             ):
-                self._heard[sight.machine] = sight, now - more_age_us, clock_good
+                self._pending[observation.machine] = observation, now - more_age_us, clock_good
         if changed:
             self._fleet.reapply(changed)
         else:
             self._apply()
         return True
 
-    def take_shares(self, page: Page, more_age_us: int, clock_good: bool) -> None:
+    def on_usage_ratios(self, page: Page, more_age_us: int, clock_good: bool) -> None:
         """Take in a peer's learned shares of use, once: later pages of the same peer repeat them."""
         if self._shares_taken:
             return
-        shares = page.shares
-        age = None if shares.age_us is None else shares.age_us + more_age_us
+        usage = page.usage
+        age = None if usage.age_us is None else usage.age_us + more_age_us
         weighed = [
             learning.learned_ratio(ratio, notes, age, clock_good)
-            for ratio, notes in zip(shares.ratio, shares.notes, strict=True)
+            for ratio, notes in zip(usage.ratio, usage.notes, strict=True)
         ]
         if any(notes > 0 for _, notes in weighed):
             self._shares_taken = True
@@ -257,25 +263,25 @@
 
     def _apply(self) -> None:
         """Give the module what was heard of machines that our list has by now, and that it may send to."""
-        if not self._heard or self._fleet.reopening:
+        if not self._pending or self._fleet.reopening:
             return
         now, held = self._context.hub.now_us(), self._fleet.held
         groups: dict[tuple[int, bool], list[MachineObservation]] = {}
         for name in [
             name
-            for name in self._heard
+            for name in self._pending
             if name in held
             and name in self._machines.links
             and not self._fleet.is_closed_locally(held[name])
         ]:
-            sight, at_us, good = self._heard.pop(name)
-            groups.setdefault((at_us, good), []).append(sight)
-        for (at_us, good), sights in groups.items():
-            here = [sight.machine for sight in sights]
+            observation, at_us, good = self._pending.pop(name)
+            groups.setdefault((at_us, good), []).append(observation)
+        for (at_us, good), observations in groups.items():
+            here = [observation.machine for observation in observations]
             sizes = {name: self._fleet.size_of(held[name]) for name in here}
-            self._average = learning.fleet_average(sights, sizes, self._average)
+            self._average = learning.fleet_average(observations, sizes, self._average)
             weighed = learning.learned_machines(
-                sights,
+                observations,
                 now - at_us,
                 sizes,
                 {name: held[name].version for name in here},
@@ -288,7 +294,7 @@
                 self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
         for name in [
             name
-            for name, (_, at_us, _) in self._heard.items()
+            for name, (_, at_us, _) in self._pending.items()
             if now - at_us > learning.MAX_USEFUL_AGE_US
         ]:
-            del self._heard[name]
+            del self._pending[name]
