--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -11,7 +11,7 @@
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_file
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 FILES = Path(__file__).parent.parent / "data" / "federation"
 BAD, GOOD = (sorted((FILES / kind).glob("*.kdl")) for kind in ("bad", "good"))
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
 def test_good_files_load_and_read_back_as_rules(path: Path) -> None:
-    rules = rules_of(load_file(path))
+    rules = requested_rule_set(load_file(path))
     assert parse_rule_set(rules.text()) == rules
 
 
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subsetting.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
+from wingbarrow.peers.ruleset_settings import agreed_scheduler_settings, requested_rule_set
 
 S = 1_000_000
 ROSTER = ("placer-0", "placer-1", "placer-2", "placer-3", "placer-4")
@@ -226,10 +226,10 @@
     settings = load_text(
         text(f"subset replicas=3 {{ roster {' '.join(NAMED.split()[:4])} }}", ALLOWED + members)
     )
-    rules = rules_of(settings)
-    told = scheduler_under(settings, rules.text())
+    rules = requested_rule_set(settings)
+    told = agreed_scheduler_settings(settings, rules.text())
     assert (told.placers, told.fresh_offers) == (3, 15.0)
-    held = scheduler_under(settings, rules.text(), 2)
+    held = agreed_scheduler_settings(settings, rules.text(), 2)
     assert (held.placers, held.fresh_offers) == (3, 6.0), (
         "a part that is held: two offers at this placer"
     )
--- a/tests/core/test_active_rules.py
+++ b/tests/core/test_active_rules.py
@@ -10,7 +10,7 @@
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.decide.federation.spec import Federation, Spec
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 
 def test_federation_specs_of_the_last_revision_go_on_under_a_floor() -> None:
@@ -20,7 +20,7 @@
     )
     active = ActiveRules(context, cast(Any, SimpleNamespace(feed=lambda scheduler: None)))
     federation = Federation((Spec("orders", ("north",)),), (), (("web", "orders"),))
-    rules = rules_of(settings)
+    rules = requested_rule_set(settings)
     assert active.federation() == settings.federation == Federation()
     active.on_rules("e1", replace(rules, federation=federation).text())
     assert active.federation() == federation
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -20,7 +20,7 @@
     from_text,
 )
 from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, encode_envelope, encode_message
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 PLACES = ("eu-north-1", "eu-south-1", "us-east-1", "us-west-2", "ap-south-1", "ap-east-1")
 
@@ -67,7 +67,7 @@
 
 
 def test_the_most_specs_and_data_sets_are_checked_and_agreed_on() -> None:
-    rules = rules_of(load_text(whole_file()))
+    rules = requested_rule_set(load_text(whole_file()))
     assert (len(rules.federation.specs), len(rules.federation.datasets)) == (
         s.MAX_SPECS,
         s.MAX_DATASETS,
--- a/tests/lab/made.py
+++ b/tests/lab/made.py
@@ -8,7 +8,7 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 S = 1_000_000
 AGREE = """agree {
@@ -42,7 +42,7 @@
         )
         text = settings_text(0, placers, 1, 1, 0, str(folder)) + more
         (folder / "placer-0.kdl").write_text(text)
-        self.rules = rules_of(load_text(text)).text()
+        self.rules = requested_rule_set(load_text(text)).text()
         self.events = [
             {"at_us": 0, "what": "started", "who": name, "life": 1} for name in self.names
         ]
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -12,7 +12,7 @@
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.wants import Want, job_value
-from wingbarrow.peers.ruleset_settings import rules_of, scheduler_under
+from wingbarrow.peers.ruleset_settings import agreed_scheduler_settings, requested_rule_set
 
 
 def test_all_placers_act_on_proposed_rules_and_offers_carry_the_revision() -> None:
@@ -277,9 +277,9 @@
         settings_text(0, 3, 1, 1, 0, "somewhere") + 'bar "n1"\nagree {\n voter "placer-0"\n'
         ' voter "placer-1"\n voter "placer-2"\n member "placer-3"\n}\n'
     )
-    rules = rules_of(settings)
+    rules = requested_rule_set(settings)
     assert dict(rules.cold_shares) == {f"placer-{i}": 5 for i in range(4)}
     assert rules.barred == ("n1",)
-    told = scheduler_under(settings, rules.text())
+    told = agreed_scheduler_settings(settings, rules.text())
     assert divmod(int(told.fresh_offers), told.placers) == (5, 0)
     assert told.attempts_most == 4
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import RECOVERED, REVISIONS_SKIPPED_AT_RECOVERY, from_text
-from wingbarrow.peers.ruleset_settings import keeping_drains, rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set, with_current_drains
 from wingbarrow.store.voter_store import StoreError, become_sole_voter, create
 from wingbarrow.store.voter_store import load as load_store
 
@@ -48,7 +48,7 @@
 
 def _rules_of(path: Path) -> RuleSet:
     try:
-        return rules_of(_settings(path))
+        return requested_rule_set(_settings(path))
     except SettingsError as error:  # one of its calendars
         click.echo(str(error), err=True)
         sys.exit(2)
@@ -76,7 +76,7 @@
 
 def _rollback_rules(state: dict[str, Any], number: int) -> RuleSet:
     """The rules of an earlier version, with the requested and cancelled drains of the latest."""
-    return keeping_drains(
+    return with_current_drains(
         _rules_of_version(state, number), parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
     )
 
@@ -159,7 +159,7 @@
         wanted = from_file
         if state["versions"]:
             latest = parse_rule_set(json.dumps(state["versions"][-1]["rules"]))
-            wanted = keeping_drains(from_file, latest)
+            wanted = with_current_drains(from_file, latest)
             _show_change(latest, wanted)
         version = state["version"] if base is None else base
         if watch_s is None:
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -17,7 +17,7 @@
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.kube.status import ApiError
-from wingbarrow.peers.ruleset_settings import cold_total, scheduler_under
+from wingbarrow.peers.ruleset_settings import agreed_scheduler_settings, total_cold_offers
 from wingbarrow.transport import Signal
 
 MAX_QUOTA_WAIT_US = 1_000_000  # of one Job; a third of its patience is a further bound
@@ -73,7 +73,7 @@
         if self._is_cold_limited:
             self.on_quotas()
         else:
-            self._host.feed(scheduler_under(self._context.settings, text))
+            self._host.feed(agreed_scheduler_settings(self._context.settings, text))
         barred_before = self._barred
         self._barred = frozenset(rules.barred)
         self._classes = frozenset(each.name for each in rules.classes)
@@ -96,7 +96,7 @@
         if self._cold_share is not None and share < self._cold_share:
             self._cold_reduced_us = self._context.hub.now_us()
         self._cold_share = share
-        self._host.feed(scheduler_under(self._context.settings, self._text, share))
+        self._host.feed(agreed_scheduler_settings(self._context.settings, self._text, share))
 
     # -- what is in force
 
@@ -112,7 +112,7 @@
         """Number of offers that all placers together may send to one cold machine within the window."""
         if self._rules is None:
             return self._context.settings.scheduler.fresh_offers
-        return float(cold_total(self._rules))
+        return float(total_cold_offers(self._rules))
 
     def check_rules_permitted(self) -> None:
         """Called for each Job: raises ApiError 503 while this placer may act on no rules."""
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -51,7 +51,7 @@
 from wingbarrow.peers.message_bounds import FORWARDING_MESSAGES
 from wingbarrow.peers.peer_hints import PeerHints
 from wingbarrow.peers.replication import RecordReplication
-from wingbarrow.peers.ruleset_settings import calendar_under
+from wingbarrow.peers.ruleset_settings import agreed_calendar
 from wingbarrow.transport import Hub, Nursery
 
 
@@ -399,7 +399,7 @@
 
     def _on_agreed_drains(self, rules: RuleSet) -> None:
         self.drainer.on_agreed(
-            calendar_under(rules, self._class_kinds), rules.asked, rules.cancelled
+            agreed_calendar(rules, self._class_kinds), rules.asked, rules.cancelled
         )
 
     def _is_drained_by_agreement(self, machine: str) -> bool:
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -20,7 +20,7 @@
 from wingbarrow.lab.fleet.places import Places, Slot
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 TRIES = 20
 API = "/apis/wingbarrow.io/v1"
@@ -110,7 +110,7 @@
     def propose(self, number: int, slot: Slot) -> bool:
         """Propose a variant; whether it was accepted."""
         text, sharers = self.variant(number)
-        wanted = rules_of(load_text(text))
+        wanted = requested_rule_set(load_text(text))
         offers = sum(share for _, share in wanted.cold_shares)
         wanted = normalized(replace(wanted, cold_shares=equal_shares(offers, tuple(sharers))))
         body = {
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -37,7 +37,7 @@
             store = open_existing(Path(settings.state) / STORE_FOLDER)
             persistent = store.load() if store is not None else None
         except StoreError as error:
-            log("rules-store-failed", level="error", why=str(error))
+            log("voter-store-failed", level="error", why=str(error))
     is_voter = settings.agree is not None and settings.name in settings.agree.voters
     if persistent is None and is_voter:
         # Danger: a voter that lost its store may have cast votes that it does not know of; it votes no more.
--- a/wingbarrow/peers/history.py
+++ b/wingbarrow/peers/history.py
@@ -31,7 +31,7 @@
             try:
                 self._file = Path(path).open("ab", buffering=0)  # noqa: SIM115 - open for the whole life
             except OSError as error:
-                log("history-refused", level="error", file=path, why=error.strerror)
+                log("history-open-failed", level="error", file=path, why=error.strerror)
 
     def __call__(self, what: str, **fields: Any) -> None:
         """Add a line of now."""
@@ -50,7 +50,7 @@
                 else line
             )
         except OSError as error:
-            self._log("history-ended", level="error", why=error.strerror)
+            self._log("history-write-failed", level="error", why=error.strerror)
             full = True
         self._written += len(line)
         if full:
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -41,7 +41,7 @@
 )
 from wingbarrow.peers.message_bounds import SESSION_MESSAGES
 from wingbarrow.peers.outbox import Outbox
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
 
@@ -351,7 +351,7 @@
             return True
         except StoreError as error:
             self.counts["rules:store failed"] += 1
-            self._log("rules-store-failed", level="error", why=str(error))
+            self._log("voter-store-failed", level="error", why=str(error))
             if self.agreement is not None and self.agreement.raft is not None:
                 self.agreement.raft.on_storage_failure()  # its leases go on
             self._store.close()
@@ -363,9 +363,9 @@
         agreement = self.agreement
         if agreement is not None and agreement.is_leader and not agreement.agreed.version:
             try:
-                text = rules_of(self._settings).text()
+                text = requested_rule_set(self._settings).text()
             except SettingsError as error:
-                self._log("rules-not-founded", level="error", why=str(error)[:500])
+                self._log("initial-rules-invalid", level="error", why=str(error)[:500])
                 return
             self.propose(
                 "propose",
--- a/wingbarrow/peers/instances_api.py
+++ b/wingbarrow/peers/instances_api.py
@@ -59,7 +59,7 @@
             except MessageError as error:
                 self._peering.counts["peers:bad mail"] += 1
                 self._log(
-                    "peer-mail-refused",
+                    "peer-message-rejected",
                     level="warning",
                     address=request.connection.stream.peer,
                     why=str(error),
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -129,7 +129,7 @@
                 announced, _ = decode_instance(response.body, str(peer), self._hub.now_us() - begun)
             except (CallFailed, KnowledgePageError) as error:
                 self.counts["no_announcement"] += 1
-                self._log("peer-silent", peer=str(peer), why=str(error)[:200])
+                self._log("peer-announcement-failed", peer=str(peer), why=str(error)[:200])
                 return
             out.append(announced)
 
@@ -167,7 +167,7 @@
                     "bad_pages" if isinstance(error, KnowledgePageError) else "stalled"
                 ] += 1
                 self._log(
-                    "peer-page-unusable", level="warning", peer=str(peer), why=str(error)[:200]
+                    "peer-page-invalid", level="warning", peer=str(peer), why=str(error)[:200]
                 )
                 return False
             if not self._apply_page(page, clock, begun):
@@ -226,7 +226,7 @@
                 parts.close()  # type: ignore[attr-defined]
         except (CallFailed, KnowledgePageError) as error:
             self.counts["follow_broke"] += 1
-            self._log("peer-watch-broke", peer=str(peer), why=str(error)[:200])
+            self._log("peer-watch-failed", peer=str(peer), why=str(error)[:200])
 
 
 def _split_lines(parts: Iterable[bytes]) -> Iterable[bytes]:
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -59,7 +59,7 @@
 MAX_RECORDS = 64  # in one message
 MAX_UIDS = 256
 MAX_TASKS_PER_JOB = 1_000
-MAX_FIGURE = 1 << 62
+MAX_INTEGER = 1 << 62
 SESSION_MESSAGES = get_args(session_messages.Message)
 FORWARDING_MESSAGES = get_args(forwarding.Message)
 
@@ -132,9 +132,9 @@
 
 
 def _check_ping_request(request: membership_messages.PingRequest) -> str:
-    why = _check_gossip(request)
-    if why:
-        return why
+    error = _check_gossip(request)
+    if error:
+        return error
     if 0 < len(request.ident) <= MAX_NAME_CHARS and 0 < len(request.address) <= MAX_ADDRESS_CHARS:
         return ""
     return "a probe for nobody"
@@ -147,7 +147,7 @@
 
 
 def _check_replicate_request(request: session_messages.ReplicateRequest) -> str:
-    is_addressed = _are_figures(request.number) and _is_session(request.session)
+    is_addressed = _are_in_range(request.number) and _is_session(request.session)
     if not is_addressed or not _are_uids(request.gone):
         return "keep: more uids than go with a letter, a name too long or a figure out of range"
     if len(request.records) > MAX_RECORDS or not all(map(_is_record, request.records)):
@@ -155,17 +155,17 @@
     return ""
 
 
-def _check_by(is_within: Callable[[Any], bool], name: str, fault: str) -> Callable[[Any], str]:
+def _check_by(is_within: Callable[[Any], bool], name: str, error: str) -> Callable[[Any], str]:
     """A check by one predicate; `name` is the message's on the wire."""
-    return lambda message: "" if is_within(message) else f"{name}: {fault}"
+    return lambda message: "" if is_within(message) else f"{name}: {error}"
 
 
-def _are_figures(*values: int) -> bool:
-    return all(0 <= value < MAX_FIGURE for value in values)
+def _are_in_range(*values: int) -> bool:
+    return all(0 <= value < MAX_INTEGER for value in values)
 
 
-def _are_names(*values: str, most: int = MAX_NAME_CHARS) -> bool:
-    return all(len(value) <= most for value in values)
+def _are_names(*values: str, max_chars: int = MAX_NAME_CHARS) -> bool:
+    return all(len(value) <= max_chars for value in values)
 
 
 def _is_health_report(report: HealthReport) -> bool:
@@ -178,7 +178,7 @@
 
 
 def _is_session(session: Session) -> bool:
-    return 0 < len(session.placer) <= MAX_NAME_CHARS and _are_figures(session.life, session.serial)
+    return 0 < len(session.placer) <= MAX_NAME_CHARS and _are_in_range(session.life, session.serial)
 
 
 def _are_uids(uids: Iterable[str]) -> bool:
@@ -189,11 +189,11 @@
 def _is_sessions_report(report: SessionsReport) -> bool:
     return (
         _are_names(report.region)
-        and _are_figures(report.serial, report.leased, report.heard)
+        and _are_in_range(report.serial, report.leased, report.heard)
         and len(report.keeping) <= MAX_HELD_SESSIONS
         and len({each.session for each in report.keeping}) == len(report.keeping)
         and all(
-            _is_session(each.session) and _are_figures(each.jobs, each.after_us)
+            _is_session(each.session) and _are_in_range(each.jobs, each.after_us)
             for each in report.keeping
         )
     )
@@ -201,7 +201,7 @@
 
 def _is_ended_session(ended: EndedSession) -> bool:
     return (
-        _are_figures(ended.epoch, ended.changed)
+        _are_in_range(ended.epoch, ended.changed)
         and _is_session(ended.session)
         and _are_names(ended.region, *ended.gone)
         and len(ended.batches) <= MAX_BATCHES_PER_END
@@ -214,8 +214,8 @@
 
 def _is_sessions_response(response: SessionsResponse) -> bool:
     return (
-        _are_figures(response.serial, response.epoch, response.life)
-        and 0 < response.lease_us < MAX_FIGURE
+        _are_in_range(response.serial, response.epoch, response.life)
+        and 0 < response.lease_us < MAX_INTEGER
         and len(response.ended) <= MAX_ENDED_PER_RESPONSE
         and all(map(_is_ended_session, response.ended))
     )
@@ -233,19 +233,19 @@
         tuple(count for _, count in report.tasks),
     )
     return (
-        all(len(each) <= MAX_LIVE_SLOTS and _are_figures(*each) for each in numbers)
-        and _are_figures(report.at_us)
+        all(len(each) <= MAX_LIVE_SLOTS and _are_in_range(*each) for each in numbers)
+        and _are_in_range(report.at_us)
         and len(report.places) <= MAX_LIVE_SLOTS
         and all(
-            _are_figures(number) and _are_names(zone, cell) for number, zone, cell in report.places
+            _are_in_range(number) and _are_names(zone, cell) for number, zone, cell in report.places
         )
         and _are_names(report.region)
         and (report.view is None or _is_region_view(report.view))
         and len(report.wants) <= MAX_REPORTED_REQUESTS
         and all(
-            _are_names(each.ident, most=MAX_IDENT_CHARACTERS)
+            _are_names(each.ident, max_chars=MAX_IDENT_CHARACTERS)
             and _are_names(each.machine, each.zone, each.cell, each.why, each.unsafe)
-            and _are_figures(
+            and _are_in_range(
                 each.urgency, each.latest_us, each.lasts_us, each.ends_us, each.from_us
             )
             for each in report.wants
@@ -265,11 +265,11 @@
 
 def _is_maintenance_response(response: MaintenanceResponse) -> bool:
     return (
-        _are_figures(response.version, *response.silent)
+        _are_in_range(response.version, *response.silent)
         and len(response.turns) <= MAX_LIVE_SLOTS
         and len(response.silent) <= MAX_LIVE_SLOTS
         and all(
-            _are_figures(number) and _are_names(machine, state, who)
+            _are_in_range(number) and _are_names(machine, state, who)
             for number, machine, state, who in response.turns
         )
     )
@@ -278,7 +278,7 @@
 def _is_region_report(report: RegionReport) -> bool:
     return (
         0 < len(report.region) <= MAX_NAME_CHARS
-        and _are_figures(report.came, report.refused, report.machines)
+        and _are_in_range(report.came, report.refused, report.machines)
         and len(report.leased) <= MAX_LEASED_SPECS
         and all(
             _are_names(spec) and 0 <= cores < 1e12 and 0 <= memory < 1e12
@@ -295,7 +295,7 @@
     return (
         _are_names(summary.region, *summary.placers)
         and len(summary.placers) <= MAX_REGIONS
-        and _are_figures(summary.age_us, summary.refusing_us, summary.stable_us)
+        and _are_in_range(summary.age_us, summary.refusing_us, summary.stable_us)
         and all(
             -1e12 < figure < 1e12
             for figure in (
@@ -312,14 +312,14 @@
 def _is_forward_request(request: forwarding.ForwardRequest) -> bool:
     return (
         _is_key(request.ident)
-        and _are_figures(request.life, request.hops, request.left_us)
+        and _are_in_range(request.life, request.hops, request.left_us)
         and _are_names(request.spec)
         and len(request.manifest) <= forwarding.MAX_MANIFEST_CHARS
     )
 
 
 def _is_forward_cancel(cancel: forwarding.ForwardCancel) -> bool:
-    return _is_key(cancel.ident) and _are_figures(cancel.life)
+    return _is_key(cancel.ident) and _are_in_range(cancel.life)
 
 
 def _is_forward_status(status: forwarding.ForwardStatus) -> bool:
@@ -336,7 +336,7 @@
 
 def _is_record(record: LeasedJobRecord) -> bool:
     return (
-        _are_figures(
+        _are_in_range(
             record.form,
             record.epoch,
             record.version,
@@ -351,14 +351,14 @@
         and _are_names(record.region, record.spec, record.group, record.answered, *record.keepers)
         and len(record.keepers) <= MAX_REPLICAS
         and record.effect in EFFECTS
-        and abs(record.priority) < MAX_FIGURE
+        and abs(record.priority) < MAX_INTEGER
         and 0 <= record.cores < 1e9
         and 0 <= record.memory < 1e9
         and len(record.manifest) <= MAX_RECORD_BYTES
         and len(record.manifest.encode()) <= MAX_RECORD_BYTES
         and len(record.tasks) <= MAX_TASKS_PER_JOB
         and all(
-            _are_figures(each.index, each.age_us)
+            _are_in_range(each.index, each.age_us)
             and each.phase in TASK_PHASES
             and _are_names(each.machine, each.attempt)
             for each in record.tasks
@@ -368,37 +368,39 @@
 
 def _is_replicate_response(response: session_messages.ReplicateResponse) -> bool:
     return (
-        _are_figures(response.number)
+        _are_in_range(response.number)
         and _is_session(response.session)
-        and _are_names(response.why, most=MAX_REASON_CHARS)
+        and _are_names(response.why, max_chars=MAX_REASON_CHARS)
     )
 
 
 def _is_resolve_request(request: session_messages.ResolveRequest) -> bool:
-    return _are_figures(request.number) and _is_session(request.session) and _are_uids(request.uids)
+    return (
+        _are_in_range(request.number) and _is_session(request.session) and _are_uids(request.uids)
+    )
 
 
 def _is_resolve_response(response: session_messages.ResolveResponse) -> bool:
     return (
-        _are_figures(response.number)
+        _are_in_range(response.number)
         and _is_session(response.session)
         and _are_uids(each[0] for each in response.fates)
-        and all(_are_figures(epoch) and _are_names(fate) for _, epoch, fate in response.fates)
+        and all(_are_in_range(epoch) and _are_names(fate) for _, epoch, fate in response.fates)
     )
 
 
 def _is_machine_query(query: session_messages.MachineQuery) -> bool:
-    return _are_figures(query.number, query.epoch) and _are_names(query.machine, query.uid)
+    return _are_in_range(query.number, query.epoch) and _are_names(query.machine, query.uid)
 
 
 def _is_machine_report(report: session_messages.MachineReport) -> bool:
-    return _are_figures(report.number, report.boot_age_us) and _are_names(
+    return _are_in_range(report.number, report.boot_age_us) and _are_names(
         report.machine, report.uid
     )
 
 
-_FORWARD_FAULT = "a text too long, or a figure out of range"
-_SESSION_FAULT = "a name or list too long, or a figure out of range"
+_FORWARD_ERROR = "a text too long, or a figure out of range"
+_SESSION_ERROR = "a name or list too long, or a figure out of range"
 
 # A fault goes back to the sender and into logs: there, messages keep their first names.
 _CHECKS: dict[type[Any], Callable[[Any], str]] = {
@@ -414,13 +416,13 @@
     coordination_messages.RelayedGrant: _check_relayed,
     session_messages.ReplicateRequest: _check_replicate_request,
     session_messages.ReplicateResponse: _check_by(
-        _is_replicate_response, "KeepAnswer", _SESSION_FAULT
+        _is_replicate_response, "KeepAnswer", _SESSION_ERROR
     ),
-    session_messages.ResolveRequest: _check_by(_is_resolve_request, "Settle", _SESSION_FAULT),
-    session_messages.ResolveResponse: _check_by(_is_resolve_response, "Settled", _SESSION_FAULT),
-    session_messages.MachineQuery: _check_by(_is_machine_query, "AskMachine", _SESSION_FAULT),
-    session_messages.MachineReport: _check_by(_is_machine_report, "MachineSays", _SESSION_FAULT),
-    forwarding.ForwardRequest: _check_by(_is_forward_request, "Hand", _FORWARD_FAULT),
-    forwarding.ForwardCancel: _check_by(_is_forward_cancel, "HandStop", _FORWARD_FAULT),
-    forwarding.ForwardStatus: _check_by(_is_forward_status, "HandSays", _FORWARD_FAULT),
+    session_messages.ResolveRequest: _check_by(_is_resolve_request, "Settle", _SESSION_ERROR),
+    session_messages.ResolveResponse: _check_by(_is_resolve_response, "Settled", _SESSION_ERROR),
+    session_messages.MachineQuery: _check_by(_is_machine_query, "AskMachine", _SESSION_ERROR),
+    session_messages.MachineReport: _check_by(_is_machine_report, "MachineSays", _SESSION_ERROR),
+    forwarding.ForwardRequest: _check_by(_is_forward_request, "Hand", _FORWARD_ERROR),
+    forwarding.ForwardCancel: _check_by(_is_forward_cancel, "HandStop", _FORWARD_ERROR),
+    forwarding.ForwardStatus: _check_by(_is_forward_status, "HandSays", _FORWARD_ERROR),
 }
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
 
 
-def rules_of(settings: PlacerSettings) -> RuleSet:
+def requested_rule_set(settings: PlacerSettings) -> RuleSet:
     """The rule set that a file of settings asks for, with its calendars; SettingsError where one cannot be used."""
     calendar = load_calendar(settings.calendars)
     scheduler = settings.scheduler
@@ -49,7 +49,7 @@
     )
 
 
-def calendar_under(rules: RuleSet, kinds_needed: tuple[str, ...]) -> Calendar:
+def agreed_calendar(rules: RuleSet, kinds_needed: tuple[str, ...]) -> Calendar:
     """The agreed calendar, without requested drains."""
     return Calendar(
         tuple(series_of(each) for each in rules.windows),
@@ -58,12 +58,12 @@
     )
 
 
-def keeping_drains(wanted: RuleSet, in_force: RuleSet) -> RuleSet:
+def with_current_drains(wanted: RuleSet, in_force: RuleSet) -> RuleSet:
     """A rule set with the requested and cancelled drains of the one in force, as no file has any."""
     return replace(wanted, asked=in_force.asked, cancelled=in_force.cancelled)
 
 
-def scheduler_under(
+def agreed_scheduler_settings(
     settings: PlacerSettings, text: str, cold_share: int | None = None
 ) -> api.Settings:
     """The module's settings while a placer acts on a rule set; classes that this lacks are held at the gate.
@@ -86,13 +86,13 @@
     if settings.subset is not None and cold_share is None:
         # Each machine's own holders share what all members have together.
         return module_settings(
-            settings, replace(under_rules, fresh_offers=float(cold_total(rules)))
+            settings, replace(under_rules, fresh_offers=float(total_cold_offers(rules)))
         )
     share = rules.cold_share(settings.name) if cold_share is None else cold_share
     return replace(under_rules, fresh_offers=float(share * under_rules.placers))
 
 
-def cold_total(rules: RuleSet) -> int:
+def total_cold_offers(rules: RuleSet) -> int:
     """Offers to one cold machine within the window, by all members together."""
     return sum(share for _, share in rules.cold_shares)
 
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -20,7 +20,7 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.peers.host import Peering
-from wingbarrow.peers.ruleset_settings import keeping_drains
+from wingbarrow.peers.ruleset_settings import with_current_drains
 from wingbarrow.transport import Hub
 
 DECISION_TIMEOUT_US = 5_000_000
@@ -236,7 +236,9 @@
         rules = request.rules
         if request.keep_drains and agreed.revision:
             try:
-                rules = keeping_drains(parse_rule_set(rules), parse_rule_set(agreed.latest)).text()
+                rules = with_current_drains(
+                    parse_rule_set(rules), parse_rule_set(agreed.latest)
+                ).text()
             except RuleSetError as error:
                 raise ApiError(409, str(error), "Conflict") from error
         outcome = agreed.outcomes.get(request.ident)
