--- a/wingbarrow/peers/__init__.py
+++ b/wingbarrow/peers/__init__.py
@@ -1,5 +1,6 @@
-"""Messages between placers over the project's own HTTP, and the APIs for operators on what placers agree on.
+"""Messages between placers over the project's own HTTP, and the operators' APIs for the state that placers agree on.
 
-`host` carries out the effects of the state machines of `decide` in order, `api` receives, `mailbox` sends, `message` is
-the wire form. None of the five rules rests on this package: a placer without peers keeps them alone.
+`host` applies the effects of the state machines of `decide` in order, `instances_api` receives messages, `outbox` sends
+them, and `message` defines their wire format. None of the five rules depends on this package: a placer without peers
+keeps them by itself.
 """
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -1,4 +1,4 @@
-"""How a placer's `Coordinator` is made from its settings: its store as a voter, and the subsystems of every voter."""
+"""Construction of a placer's `Coordinator` from its settings: its voter store and the subsystems of every voter."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from wingbarrow.store.voter_store import StoreError, VoterStore, open_existing
 
 STORE_FOLDER = "rules"  # within the state folder
-SEED_STRIDE = 104_729  # sets placers' seeds apart, so that incarnations of two do not share one
+SEED_STRIDE = 104_729  # separates the seeds of placers, so that incarnations of two placers do not share a seed
 
 
 def open_voter_store(
     settings: PlacerSettings, log: Callable[..., None]
 ) -> tuple[VoterStore | None, PersistentState | None]:
-    """This placer's store as a voter, and what it holds; the latter is None where there is none, or it cannot be read.
+    """Open this placer's voter store and load its state; the state is None without a store, or if it is unreadable.
 
-    Either is logged as an error for a placer that the settings name as a voter.
+    A missing state is logged as an error if the settings name this placer as a voter.
     """
     store: VoterStore | None = None
     persistent: PersistentState | None = None
@@ -40,7 +40,7 @@
             log("voter-store-failed", level="error", why=str(error))
     is_voter = settings.agree is not None and settings.name in settings.agree.voters
     if persistent is None and is_voter:
-        # Danger: a voter that lost its store may have cast votes that it does not know of; it votes no more.
+        # Danger: a voter that lost its store may have cast votes that it no longer knows; it must not vote again.
         log(
             "rules-voter-without-store",
             level="error",
@@ -53,7 +53,7 @@
 def maintenance_for(
     settings: PlacerSettings, wall_us: Callable[[int], int]
 ) -> tuple[MaintenanceScheduler, MaintenanceMember]:
-    """A voter's and a placer's part of maintenance; the latter observes nothing yet."""
+    """The maintenance scheduler of a voter and the maintenance member of a placer, still without observations."""
     grant_us = MaintenanceTiming().grant_us
     if settings.agree is not None:
         grant_us = settings.agree.grant_us
@@ -66,7 +66,7 @@
 def replicated_subsystems(
     settings: PlacerSettings, maintenance: MaintenanceScheduler, counts: Counter[str]
 ) -> tuple[AnyReplicatedSubsystem, ...]:
-    """The subsystems of a voter: all voters have the same. `counts` takes what sessions refuse."""
+    """The replicated subsystems, which are the same at all voters. `counts` counts requests that sessions reject."""
     agree = settings.agree
     assert agree is not None
     regions_of_placers = {region for name, region in agree.regions if name not in agree.bare}
@@ -83,7 +83,7 @@
     local: LocalPlacer,
     subsystems: Subsystems,
 ) -> Coordinator:
-    """The coordinator of a placer whose settings have `agree`."""
+    """Create the coordinator of a placer whose settings have an `agree` block."""
     agree = settings.agree
     assert agree is not None
     return Coordinator(
--- a/wingbarrow/peers/history.py
+++ b/wingbarrow/peers/history.py
@@ -1,7 +1,7 @@
-"""A placer's history: what it did and learned, a JSON object a line, for judges that come later.
+"""A placer's history: its actions and the events that it received, as JSON lines for later verification.
 
-Times are the host's monotonic microseconds, the same for all processes of one machine. Past its bound the file ends
-with a line that says so; a disk that cannot be written ends it too, and the placer goes on.
+Times are microseconds of the host's monotonic clock, which all processes of one machine share. At the size limit, a
+last line `full` is written and the file is closed. A write error also closes it; the placer continues without history.
 """
 
 from __future__ import annotations
@@ -11,39 +11,39 @@
 from pathlib import Path
 from typing import Any
 
-BYTES_MOST = 64 << 20
+MAX_FILE_BYTES = 64 << 20
 
 
 class History:
-    """Appends to a file; without a path it does nothing."""
+    """Appends events to a file; does nothing without a path."""
 
     def __init__(
         self,
         path: str | None,
         now_us: Callable[[], int],
         log: Callable[..., None],
-        most: int = BYTES_MOST,
+        max_bytes: int = MAX_FILE_BYTES,
     ) -> None:
-        self._now_us, self._log, self._most = now_us, log, most
+        self._now_us, self._log, self._max_bytes = now_us, log, max_bytes
         self._written = 0
         self._file = None
         if path is not None:
             try:
-                self._file = Path(path).open("ab", buffering=0)  # noqa: SIM115 - open for the whole life
+                self._file = Path(path).open("ab", buffering=0)  # noqa: SIM115 - open until close()
             except OSError as error:
                 log("history-open-failed", level="error", file=path, why=error.strerror)
 
     def __call__(self, what: str, **fields: Any) -> None:
-        """Add a line of now."""
+        """Append an event with the current time."""
         if self._file is None:
             return
         line = (
             json.dumps({"at_us": self._now_us(), "what": what, **fields}, default=str).encode()
             + b"\n"
         )
-        full = self._written + len(line) > self._most
+        full = self._written + len(line) > self._max_bytes
         try:
-            # One write a line: a process that is killed leaves whole lines, and at most one torn one at the end.
+            # One write per line: a killed process leaves complete lines, and at most one partial line at the end.
             self._file.write(
                 json.dumps({"at_us": self._now_us(), "what": "full"}).encode() + b"\n"
                 if full
@@ -57,7 +57,7 @@
             self.close()
 
     def close(self) -> None:
-        """End the file."""
+        """Close the file; later events are ignored."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -1,7 +1,7 @@
-"""The host of what is decided among placers: mail in, effects out, timers, the log and the history told.
+"""The host of the state machines between placers: it delivers messages and timers to them, and applies their effects.
 
-A state machine that it hosts is called with the time and a message or a timer's key, and returns what is to happen, in
-order. What a message makes it send to the very sender goes back in the answer to that mail.
+A state machine is called with the time and a message or a timer's key, and returns effects, which are applied in order.
+Messages to the sender of the envelope that is being handled are returned in the response to its request.
 """
 
 from __future__ import annotations
@@ -45,25 +45,28 @@
 from wingbarrow.store.voter_store import StoreError, VoterStore
 from wingbarrow.transport import Hub, Nursery, Timer
 
-LEAVE_TIMEOUT_US = 300_000
-INITIAL_PROPOSAL_IDENT = (
-    "founding"  # the first proposal's name: whoever leads first makes it, and it is taken once
-)
-EVENT_LOG_LEVELS = {"twin": "error", "dead": "warning", "suspected": "info"}
+LEAVE_TIMEOUT_US = 300_000  # for sending the messages of a leaving placer
+# Idempotency key of the first rule set: the first leader proposes it, and it is accepted once.
+INITIAL_PROPOSAL_IDENT = "founding"
+EVENT_LOG_LEVELS = {  # of membership events; "info" for others
+    "twin": "error",
+    "dead": "warning",
+    "suspected": "info",
+}
 
 
 class StateMachine(Protocol):
-    """A state machine among placers."""
+    """A state machine that exchanges messages with other placers."""
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """Mail came."""
+        """Handle a message from the placer `ident` at `address`; return the effects to apply."""
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """A timer that it set is due."""
+        """Handle a timer that the state machine set; return the effects to apply."""
 
 
 class Peering:
-    """One placer's side of what placers say to each other; does nothing where the settings name no other placer."""
+    """One placer's communication with the others; disabled if the settings name neither peers nor voters."""
 
     def __init__(
         self,
@@ -75,7 +78,7 @@
     ) -> None:
         self._hub, self._settings, self._log = hub, settings, log
         self.counts: Counter[str] = Counter()
-        self.address = ""  # this instance's front, once it listens
+        self.address = ""  # of this instance's front, set once it listens
         self.history = History(settings.history, hub.now_us, log)
         self._routes = {peer.name: str(peer) for peer in settings.peers if peer.name}
         self._incarnation, self._swim_settings = incarnation, swim_settings
@@ -95,13 +98,14 @@
         self.on_session_ended: Callable[[EndedSession], None] = lambda ended: None
         self.on_rules: Callable[[str, str], None] = lambda label, text: None
         self.on_quotas_changed: Callable[[], None] = lambda: None
-        self.quotas_in_use: Callable[[str], int] = lambda key: 0  # of a standing limit, by its key
-        self.machine_zones: Callable[[], Mapping[str, str]] = dict  # of each machine of the list
+        # By the key of a limit: current use, and demand beyond that use.
+        self.quotas_in_use: Callable[[str], int] = lambda key: 0
+        self.quota_demand: Callable[[str], int] = lambda key: 0
+        self.machine_zones: Callable[[], Mapping[str, str]] = dict  # by name of the listed machines
         self.on_ejections_changed: Callable[[frozenset[str]], None] = lambda machines: None
-        self.quota_demand: Callable[[str], int] = lambda key: 0  # what would be used beyond that
         self._store: VoterStore | None = None
-        self._hosted: dict[str, StateMachine] = {}  # by name, beside membership and agreement
-        self._kinds: dict[type[Any], str] = {}  # which of them takes messages of a kind
+        self._hosted: dict[str, StateMachine] = {}  # by name, without membership and agreement
+        self._kinds: dict[type[Any], str] = {}  # name of the state machine by message type
         self._timers: dict[tuple[str, str], Timer] = {}
         self._nursery: Nursery | None = None
         self._outbox = Outbox(
@@ -112,9 +116,8 @@
             self._spawn,
             self.counts,
         )
-        self._response: tuple[str, list[bytes]] | None = (
-            None  # to whom mail is being answered, and with what so far
-        )
+        # The sender of the request that is being handled, and the encoded messages of its response.
+        self._response: tuple[str, list[bytes]] | None = None
 
     def _member(self) -> Membership:
         settings = self._settings
@@ -126,30 +129,33 @@
             self._swim_settings,
         )
 
-    # -- the placer's side
+    # -- calls of the placer
 
-    def register(self, name: str, machine: StateMachine, kinds: Iterable[type[Any]]) -> None:
-        """Have a further state machine take part, to which messages of these kinds go; before `run`.
+    def register(
+        self, name: str, state_machine: StateMachine, message_types: Iterable[type[Any]]
+    ) -> None:
+        """Add a state machine that handles messages of these types; call before `run`.
 
-        What it is to begin with, or does in answer to a request, it gives to `act` under the same name.
+        Effects that arise outside `on_message` and `on_timer` are passed to `perform` under the same name. Raises
+        ValueError if the name is taken.
         """
         if name in ("members", "rules") or name in self._hosted:
-            raise ValueError(f"there is a machine named {name}")
-        self._hosted[name] = machine
-        self._kinds |= {kind: name for kind in kinds}
+            raise ValueError(f"a state machine named {name} is registered already")
+        self._hosted[name] = state_machine
+        self._kinds |= {message_type: name for message_type in message_types}
 
     def run(self) -> None:
-        """Take part until cancelled; others hear of an end by cancellation as far as one mail goes."""
+        """Run membership and agreement until cancelled; on cancellation, connections, store and history are closed."""
         if not self.is_enabled:
             return
         settings = self._settings
-        self.membership = self._member()  # the address is known by now
+        self.membership = self._member()  # with the address, which is known now
         self.history("start", name=settings.name, life=self._incarnation, address=self.address)
         if settings.agree is not None:
-            self._store, disk = open_voter_store(settings, self._log)
+            self._store, persistent = open_voter_store(settings, self._log)
             self.agreement = coordinator_for(
                 settings,
-                disk,
+                persistent,
                 LocalPlacer(settings.name, self._incarnation, settings.region, self.machine_zones),
                 Subsystems(
                     replicated_subsystems(settings, self.maintenance_scheduler, self.counts),
@@ -179,7 +185,7 @@
             self.history.close()
 
     def leave(self) -> None:
-        """Say to a few others that this placer ends by itself; returns soon, whether they heard it or not."""
+        """Announce to a few other placers that this one leaves; waits `LEAVE_TIMEOUT_US` at most."""
         if self._nursery is not None:
             self.perform("members", self.membership.leave(self._hub.now_us()))
             with self._hub.limit(LEAVE_TIMEOUT_US):
@@ -188,95 +194,99 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """All other placers that are known, by name."""
+        """All other known placers by name."""
         return self.membership.table.members
 
     def request_quotas_soon(self) -> None:
-        """Somebody waits for rights: have them asked for soon."""
+        """Request quota allocations soon, as tasks wait for them."""
         if self.agreement is not None:
             self.perform("rules", self.agreement.request_soon(self._hub.now_us()))
 
     def targets(self, names: Iterable[str]) -> list[Target]:
-        """Those of some other placers that live, in the life in which they are known."""
-        living = {
+        """The live placers among `names`, each with its known incarnation."""
+        incarnations = {
             each.update.ident: each.update.life for each in self.membership.table.live_members()
         }
-        return [Target(name, living[name]) for name in names if name in living]
+        return [Target(name, incarnations[name]) for name in names if name in incarnations]
 
-    # -- mail
+    # -- messages
 
     def receive(self, raw: bytes) -> bytes:
-        """Take mail in and answer it; MessageError where it cannot be used."""
+        """Handle an envelope and return the encoded response; raises MessageError if the envelope is invalid."""
         if self._nursery is None:
             raise MessageError("this placer takes part in nothing yet")
-        mail = decode_envelope(raw, self._settings.cluster)
-        before = self._response
-        letters: list[bytes] = []
-        self._response = mail.sender, letters
+        envelope = decode_envelope(raw, self._settings.cluster)
+        outer_response = self._response
+        messages: list[bytes] = []
+        self._response = envelope.sender, messages
         try:
-            self._dispatch(mail)
+            self._dispatch(envelope)
         finally:
-            self._response = before
-        return self._encode(letters)
+            self._response = outer_response
+        return self._encode(messages)
 
     def _on_response(self, raw: bytes) -> None:
-        mail = decode_envelope(raw, self._settings.cluster)
-        self._dispatch(mail)
+        envelope = decode_envelope(raw, self._settings.cluster)
+        self._dispatch(envelope)
 
-    def _dispatch(self, mail: Envelope) -> None:
-        if mail.unknown_kinds:
-            self.counts["peers:letters of unknown kinds"] += mail.unknown_kinds
-        for message in mail.messages:
+    def _dispatch(self, envelope: Envelope) -> None:
+        if envelope.unknown_kinds:
+            self.counts["peers:letters of unknown kinds"] += envelope.unknown_kinds
+        for message in envelope.messages:
             now = self._hub.now_us()
-            hosted = self._kinds.get(type(message), "")
-            if hosted:
-                machine = self._hosted[hosted]
-                self.perform(hosted, machine.on_message(now, mail.sender, mail.address, message))
+            name = self._kinds.get(type(message), "")
+            if name:
+                state_machine = self._hosted[name]
+                self.perform(
+                    name, state_machine.on_message(now, envelope.sender, envelope.address, message)
+                )
             elif isinstance(message, SESSION_MESSAGES):
                 self.counts["peers:letters about custody, which is not kept here"] += 1
             elif isinstance(message, membership_messages.SwimMessage):
                 self.perform(
-                    "members", self.membership.on_message(now, mail.sender, mail.address, message)
+                    "members",
+                    self.membership.on_message(now, envelope.sender, envelope.address, message),
                 )
             elif self.agreement is not None:
                 self.perform(
-                    "rules", self.agreement.on_message(now, mail.sender, mail.address, message)
+                    "rules",
+                    self.agreement.on_message(now, envelope.sender, envelope.address, message),
                 )
                 self.perform("rules", self.lease.check_expiry(now))
             else:
                 self.counts["peers:letters about rules, which are not agreed on here"] += 1
 
-    def _encode(self, letters: list[bytes]) -> bytes:
-        return encode_envelope(self._settings.cluster, self._settings.name, self.address, letters)
+    def _encode(self, messages: list[bytes]) -> bytes:
+        return encode_envelope(self._settings.cluster, self._settings.name, self.address, messages)
 
     # -- effects
 
-    def perform(self, machine: str, effects: Iterable[Effect]) -> None:
-        """Carry out what a machine asked for; only from a task of this placer's own."""
+    def perform(self, name: str, effects: Iterable[Effect]) -> None:
+        """Apply the effects of the state machine `name` in order; call only from a task of this placer."""
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(effect)
             elif isinstance(effect, SetTimer):
-                self._set_timer(machine, effect)
+                self._set_timer(name, effect)
             elif isinstance(effect, Notify):
-                self._handle_notify(machine, effect)
+                self._handle_notify(name, effect)
             elif not self._persist(effect):
-                return  # Danger: what follows would be said though it is not on disk
+                return  # Danger: later effects would announce state that is not on disk
 
     def _send(self, send: Send) -> None:
-        letter = encode_message(send.message)
+        message = encode_message(send.message)
         if self._response is not None and send.ident == self._response[0]:
-            self._response[1].append(letter)
+            self._response[1].append(message)
             return
         address = self._routes.get(send.ident) or send.address or self.address_of(send.ident)
         host, _, port = address.rpartition(":")
-        if not port.isdecimal() or not 0 < int(port) < 65536 or not self._may_ask(host, address):
+        if not port.isdecimal() or not 0 < int(port) < 65536 or not self._is_allowed(host, address):
             self.counts["peers:addresses refused"] += 1
             return
-        self._outbox.send(host, int(port), letter)
+        self._outbox.send(host, int(port), message)
 
-    def _may_ask(self, host: str, address: str) -> bool:
-        """Danger: an address that gossip brought could have this placer call anything; the settings bound it."""
+    def _is_allowed(self, host: str, address: str) -> bool:
+        """Danger: an address from gossip could direct this placer to any host; it must be allowed by the settings."""
         if any(str(peer) == address for peer in self._settings.peers):
             return True
         try:
@@ -284,82 +294,82 @@
         except (AddrFormatError, ValueError):
             return False
 
-    def _set_timer(self, machine: str, wanted: SetTimer) -> None:
-        key = machine, wanted.key
-        held = self._timers.pop(key, None)
-        if held is not None:
-            held.cancel()
+    def _set_timer(self, name: str, timer: SetTimer) -> None:
+        key = name, timer.key
+        previous = self._timers.pop(key, None)
+        if previous is not None:
+            previous.cancel()
 
-        def due() -> None:
+        def on_due() -> None:
             self._timers.pop(key, None)
-            self._spawn(lambda: self._on_timer(machine, wanted.key), "peers' timer")
+            self._spawn(lambda: self._on_timer(name, timer.key), "peers' timer")
 
-        self._timers[key] = self._hub.call_at(wanted.at_us, due)
+        self._timers[key] = self._hub.call_at(timer.at_us, on_due)
 
-    def _on_timer(self, machine: str, key: str) -> None:
+    def _on_timer(self, name: str, key: str) -> None:
         now = self._hub.now_us()
-        if machine == "members":
-            self.perform(machine, self.membership.on_timer(now, key))
-        elif machine in self._hosted:
-            self.perform(machine, self._hosted[machine].on_timer(now, key))
+        if name == "members":
+            self.perform(name, self.membership.on_timer(now, key))
+        elif name in self._hosted:
+            self.perform(name, self._hosted[name].on_timer(now, key))
         elif self.agreement is not None:
-            self.perform(machine, self.agreement.on_timer(now, key))
-            self.perform(machine, self.lease.check_expiry(now))
+            self.perform(name, self.agreement.on_timer(now, key))
+            self.perform(name, self.lease.check_expiry(now))
 
-    def _handle_notify(self, machine: str, tell: Notify) -> None:
-        if machine == "members":
-            self.counts["peers:" + tell.event] += 1
-            self.history("member-" + tell.event, **tell.fields)
+    def _handle_notify(self, name: str, notify: Notify) -> None:
+        if name == "members":
+            self.counts["peers:" + notify.event] += 1
+            self.history("member-" + notify.event, **notify.fields)
             self._log(
-                "member-" + tell.event,
-                level=EVENT_LOG_LEVELS.get(tell.event, "info"),
-                **tell.fields,
+                "member-" + notify.event,
+                level=EVENT_LOG_LEVELS.get(notify.event, "info"),
+                **notify.fields,
             )
             return
-        self.history(tell.event, **tell.fields)
-        if machine in self._hosted:
+        self.history(notify.event, **notify.fields)
+        if name in self._hosted:
             return
-        if tell.event == "rules":
-            self.on_rules(str(tell.fields["label"]), str(tell.fields["rules"]))
-        elif tell.event == "session":
+        if notify.event == "rules":
+            self.on_rules(str(notify.fields["label"]), str(notify.fields["rules"]))
+        elif notify.event == "session":
             self.on_session(
-                parse_session(tell.fields["session"]),
-                bool(tell.fields["open"]),
-                int(tell.fields["epoch"]),
+                parse_session(notify.fields["session"]),
+                bool(notify.fields["open"]),
+                int(notify.fields["epoch"]),
             )
-        elif tell.event == "session-ended":
-            self.on_session_ended(self.lease.ended[parse_session(tell.fields["session"])])
-        elif tell.event == "rights":
+        elif notify.event == "session-ended":
+            self.on_session_ended(self.lease.ended[parse_session(notify.fields["session"])])
+        elif notify.event == "rights":
             self.on_quotas_changed()
-        elif tell.event == "verdicts":
-            self.on_ejections_changed(frozenset(tell.fields["machines"]))
-        elif tell.event == "turn":
+        elif notify.event == "verdicts":
+            self.on_ejections_changed(frozenset(notify.fields["machines"]))
+        elif notify.event == "turn":
             self.on_slots_changed()
-            self._log("turn", **tell.fields)
+            self._log("turn", **notify.fields)
         else:
-            self._log("rules-" + tell.event, **tell.fields)
-        if tell.event == "leads":
+            self._log("rules-" + notify.event, **notify.fields)
+        if notify.event == "leads":
             self._spawn(self._propose_initial_rules, "founds")
 
     # -- rules
 
-    def _persist(self, what: Persist) -> bool:
+    def _persist(self, update: Persist) -> bool:
         if self._store is None:
             return False
         try:
-            self._store.persist(what)
+            self._store.persist(update)
             return True
         except StoreError as error:
             self.counts["rules:store failed"] += 1
             self._log("voter-store-failed", level="error", why=str(error))
             if self.agreement is not None and self.agreement.raft is not None:
-                self.agreement.raft.on_storage_failure()  # its leases go on
+                self.agreement.raft.on_storage_failure()  # this placer's own leases continue
             self._store.close()
             self._store = None
             return False
 
     def _propose_initial_rules(self) -> None:
-        """The first leader proposes what its own settings say, once."""
+        """As the first leader, propose the rule set of the own settings, if none has been accepted yet."""
         agreement = self.agreement
         if agreement is not None and agreement.is_leader and not agreement.agreed.version:
             try:
@@ -379,22 +389,22 @@
             )
 
     def propose(self, kind: str, value: dict[str, Any]) -> None:
-        """At the leader: have something decided."""
+        """At the leader: propose an entry of the replicated log; without voters in the settings, do nothing."""
         if self.agreement is not None:
             self.perform("rules", self.agreement.propose(self._hub.now_us(), kind, value))
 
     def change_voters(self, names: tuple[str, ...]) -> bool:
-        """At the leader: take one voter in, or leave one out."""
+        """At the leader: add or remove one voter; False if the change is not possible now."""
         if self.agreement is None:
             return False
-        possible, effects = self.agreement.change_voters(self._hub.now_us(), names)
+        is_possible, effects = self.agreement.change_voters(self._hub.now_us(), names)
         self.perform("rules", effects)
-        return possible
+        return is_possible
 
     def address_of(self, ident: str) -> str:
-        """Where another placer says that it can be reached; "" where it is not known."""
-        held = self.members.get(ident)
-        return held.update.address if held is not None else ""
+        """The address that another placer announced; "" if the placer is unknown."""
+        member = self.members.get(ident)
+        return member.update.address if member is not None else ""
 
     def _spawn(self, call: Callable[[], None], name: str) -> None:
         if self._nursery is not None and not self._nursery.scope.cancelled:
--- a/wingbarrow/peers/instances_api.py
+++ b/wingbarrow/peers/instances_api.py
@@ -1,6 +1,6 @@
-"""What instances ask of each other: announcement, knowledge in pages and as a watch, mail, members.
+"""The API between instances: announcement, knowledge of machines in pages and as a watch, messages, members.
 
-Only addresses that the settings allow are answered; what is handed over is read-only.
+Requests are answered only for client addresses that the settings allow. Transferred knowledge is read-only.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
-MAX_TRANSFERS = 4  # pages and watches served at once; others hear 429 and ask elsewhere
+MAX_TRANSFERS = 4  # concurrent pages and watches; further clients get 429 and ask another instance
 WATCH_DURATION_US = 60 * SECOND
-MAX_LOGGED_ADDRESSES = 256  # addresses remembered as refused, for telling each once
+MAX_LOGGED_ADDRESSES = 256  # refused addresses that are remembered, to log each once
 
 
 class InstancesApi:
@@ -48,7 +48,7 @@
         self.rejected_transfers = 0
 
     def handle(self, request: Request, parts: list[str], query: Query) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Answer one request to the path `parts` below the API's root; raises ApiError if it is refused."""
         self._check_peer(request)
         route = (request.method, *parts)
         if route == ("GET", "instance"):
@@ -129,7 +129,7 @@
         return Answer(200, page)
 
     def _watch(self, writer: ChunkWriter) -> None:
-        """What changed, once a second, for a minute."""
+        """Write the machines that changed, once a second for `WATCH_DURATION_US`."""
         self.active_transfers += 1
         try:
             end = self._hub.now_us() + WATCH_DURATION_US
@@ -144,7 +144,7 @@
                     for each in observations
                     if first or keys[each.machine] != sent_keys.get(each.machine)
                 ]
-                # The pages were read just before: the first line only sets what later ones are compared with.
+                # The client has just read the pages: the first line is empty and only sets the base of later changes.
                 writer.write(encode_changes([] if first else changed, usage, now))
                 sent_keys, first = keys, False
                 self._hub.sleep(SECOND)
@@ -153,7 +153,10 @@
 
 
 def _change_key(observation: MachineObservation, now: int) -> object:
-    """What of a sight counts as a change: figures by when they were heard, programs and rests by name."""
+    """A key that changes with the version, phase, requested resources, measurement time, warm programs or rest periods.
+
+    Ages and remaining times are left out: they differ from second to second without any change.
+    """
     return (
         observation.version,
         observation.phase,
--- a/wingbarrow/peers/knowledge_pages.py
+++ b/wingbarrow/peers/knowledge_pages.py
@@ -1,6 +1,7 @@
-"""Knowledge of machines on the wire: pages with a digest, read with bounds; ages cross it, never times.
+"""Wire format of the knowledge of machines: pages with a digest, decoded with bounds on their content.
 
-Both sides are here: `Snapshots` cuts what a running instance knows into pages, `read_page` takes one apart.
+`Snapshots` divides the knowledge of a running instance into pages, `decode_page` decodes one. Pages contain ages and
+never absolute times, as the clocks of instances may differ.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from wingbarrow.interface import Phase
 
 FORMAT_VERSION = 1
-MACHINES_PER_PAGE = 200  # machines
+MACHINES_PER_PAGE = 200
 MAX_SNAPSHOTS = 4
 SNAPSHOT_TTL_US = 30_000_000
-SNAPSHOT_REUSE_US = 1_000_000  # a snapshot this young serves further askers
-MAX_SERVICES_PER_MACHINE = 64  # programs told of for one machine
+SNAPSHOT_REUSE_US = 1_000_000  # a younger snapshot also serves new readers
+MAX_SERVICES_PER_MACHINE = 64  # warm programs that a page contains for one machine
 
 
 class KnowledgePageError(ValueError):
-    """A page that cannot be used; what is wrong in words."""
+    """An invalid page or announcement; the text has the reason."""
 
 
 class WireObservation(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A machine in a page: name, version, phase, ages and figures."""
+    """A machine in a page, encoded as an array: the fields of `MachineObservation` in their order."""
 
     machine: str
     version: int
@@ -43,7 +44,7 @@
 
 
 class WireInstance(msgspec.Struct, rename="camel"):
-    """What an instance says of itself."""
+    """An instance's announcement."""
 
     ident: str
     incarnation: int
@@ -56,7 +57,7 @@
 
 
 class WirePage(msgspec.Struct, rename="camel"):
-    """A page; `digest` is over the bytes of `machines`."""
+    """A page; `digest` is the xxHash64 of the bytes of `machines`, in hexadecimal."""
 
     form: int
     snapshot: str
@@ -75,14 +76,16 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_sights: msgspec.json.Decoder[list[WireObservation]] = msgspec.json.Decoder(list[WireObservation])
-_page: msgspec.json.Decoder[WirePage] = msgspec.json.Decoder(WirePage)
-_instance: msgspec.json.Decoder[WireInstance] = msgspec.json.Decoder(WireInstance)
+_observations_decoder: msgspec.json.Decoder[list[WireObservation]] = msgspec.json.Decoder(
+    list[WireObservation]
+)
+_page_decoder: msgspec.json.Decoder[WirePage] = msgspec.json.Decoder(WirePage)
+_instance_decoder: msgspec.json.Decoder[WireInstance] = msgspec.json.Decoder(WireInstance)
 
 
 @dataclass(frozen=True, slots=True)
 class UsageRatios:
-    """Learned shares of use, the notes behind them, and the age of the last note."""
+    """Ratios of used to requested resources (cores, memory), their sample counts, and the age of the last sample."""
 
     ratio: tuple[float, float]
     notes: tuple[float, float]
@@ -94,13 +97,13 @@
     ident: str
     taken_us: int
     usage: UsageRatios
-    parts: list[tuple[bytes, str, int]]  # bytes, digest, machines before it
+    parts: list[tuple[bytes, str, int]]  # encoded machines, digest, index of the first machine
     total: int
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A page as read: sights whose ages are as of `snapshot_age_us` before it was sent."""
+    """A decoded page; ages in its observations refer to its snapshot, taken `snapshot_age_us` before it was sent."""
 
     snapshot: str
     first: int
@@ -113,7 +116,7 @@
 
 
 def to_wire(observation: MachineObservation) -> WireObservation:
-    """For a page; of programs the longest trusted are told of."""
+    """Convert an observation for a page; of warm programs, those that stay warm the longest are included."""
     warm = dict(
         sorted(observation.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[
             :MAX_SERVICES_PER_MACHINE
@@ -134,13 +137,13 @@
 
 
 def encode_part(observations: Iterable[MachineObservation]) -> tuple[bytes, str]:
-    """The bytes of a page's machines, and their digest."""
+    """The encoded machines of a page, and their digest."""
     raw = _encode([to_wire(observation) for observation in observations])
     return raw, xxhash.xxh64_hexdigest(raw)
 
 
 class Snapshots:
-    """A bounded number of moments of one instance's knowledge, each cut into pages once."""
+    """A bounded number of snapshots of one instance's knowledge, each divided into pages once."""
 
     def __init__(self, incarnation: int) -> None:
         self._held: OrderedDict[str, _Snapshot] = OrderedDict()
@@ -151,12 +154,13 @@
         self,
         token: str,
         now_us: int,
-        take: Callable[[], tuple[list[MachineObservation], UsageRatios]],
-        turn: Callable[[], None],
+        read_knowledge: Callable[[], tuple[list[MachineObservation], UsageRatios]],
+        checkpoint: Callable[[], None],
     ) -> bytes:
-        """The page of a token, the first one of a fresh or young snapshot without; KeyError past its time.
+        """The encoded page of a continue token; without a token, the first page of a new or recent snapshot.
 
-        `turn` is called between parts: cutting many machines into pages must not hold up placing.
+        `read_knowledge` is called for a new snapshot. `checkpoint` is called between pages: encoding many machines must
+        not delay placing. Raises KeyError for an invalid token and for an expired snapshot.
         """
         for ident in [
             each.ident for each in self._held.values() if now_us - each.taken_us > SNAPSHOT_TTL_US
@@ -168,16 +172,19 @@
             if not 0 <= index < len(snapshot.parts):
                 raise KeyError(token)
         else:
-            snapshot, index = self._recent(now_us) or self._create(now_us, *take(), turn), 0
+            snapshot, index = (
+                self._recent(now_us) or self._create(now_us, *read_knowledge(), checkpoint),
+                0,
+            )
         raw, digest, first = snapshot.parts[index]
-        more = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
+        next_token = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
         return _encode(
             WirePage(
                 FORMAT_VERSION,
                 snapshot.ident,
                 first,
                 snapshot.total,
-                more,
+                next_token,
                 now_us - snapshot.taken_us,
                 now_us,
                 digest,
@@ -199,13 +206,13 @@
         now_us: int,
         observations: list[MachineObservation],
         usage: UsageRatios,
-        turn: Callable[[], None],
+        checkpoint: Callable[[], None],
     ) -> _Snapshot:
         self._count += 1
         parts: list[tuple[bytes, str, int]] = []
         for first in range(0, max(1, len(observations)), MACHINES_PER_PAGE):
             parts.append((*encode_part(observations[first : first + MACHINES_PER_PAGE]), first))
-            turn()
+            checkpoint()
         snapshot = _Snapshot(
             f"{self._incarnation}-{self._count}", now_us, usage, parts, len(observations)
         )
@@ -218,7 +225,7 @@
 def encode_changes(
     observations: list[MachineObservation], usage: UsageRatios, now_us: int
 ) -> bytes:
-    """One line of the watch: what changed, as a page of its own."""
+    """One line of the watch: the changed machines as a page of their own."""
     raw, digest = encode_part(observations)
     return (
         _encode(
@@ -241,29 +248,31 @@
     )
 
 
-def decode_page(raw: bytes, machines_most: int) -> Page:
-    """Take a page apart; BadPage says what is wrong with it, and then nothing of it counts."""
+def decode_page(raw: bytes, max_machines: int) -> Page:
+    """Decode a page of at most `max_machines` in total; raises KnowledgePageError if any part of it is invalid."""
     try:
-        page = _page.decode(raw)
+        page = _page_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise KnowledgePageError(f"no page: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"invalid page: {str(error)[:120]}") from None
     if (
         page.kind != "KnowledgePage"
         or page.form != FORMAT_VERSION
         or page.api_version != "wingbarrow.io/v1"
     ):
         raise KnowledgePageError(
-            f"another form: {page.kind[:40]} {page.api_version[:40]} {page.form}"
+            f"unsupported kind, API version or format: {page.kind[:40]} {page.api_version[:40]} {page.form}"
         )
     body = bytes(page.machines)
     if xxhash.xxh64_hexdigest(body) != page.digest:
-        raise KnowledgePageError("the digest is wrong")
-    if not 0 <= page.total <= machines_most or not 0 <= page.first <= page.total:
-        raise KnowledgePageError(f"{page.total} machines, {machines_most} are the most")
+        raise KnowledgePageError("the digest does not match the machines")
+    if not 0 <= page.total <= max_machines or not 0 <= page.first <= page.total:
+        raise KnowledgePageError(
+            f"page at {page.first} of {page.total} machines; at most {max_machines} are accepted"
+        )
     if page.snapshot_age_us < 0:
-        raise KnowledgePageError(f"an age of {page.snapshot_age_us}")
+        raise KnowledgePageError(f"negative snapshot age: {page.snapshot_age_us} us")
     try:
-        wire = _sights.decode(body)
+        wire = _observations_decoder.decode(body)
         observations = [
             MachineObservation(
                 each.machine,
@@ -280,12 +289,14 @@
             for each in wire
         ]
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        raise KnowledgePageError(f"unreadable machines: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"invalid machines: {str(error)[:120]}") from None
     if (
         len(observations) > max(MACHINES_PER_PAGE, page.total)
         or page.first + len(observations) > page.total
     ):
-        raise KnowledgePageError("more machines than the page says")
+        raise KnowledgePageError(
+            f"{len(observations)} machines at {page.first}, more than the page's total of {page.total} allows"
+        )
     return Page(
         page.snapshot[:100],
         page.first,
@@ -299,7 +310,7 @@
 
 
 def encode_instance(announcement: Announcement, address: str) -> bytes:
-    """What an instance says of itself."""
+    """Encode an announcement with the address of the instance's front."""
     return _encode(
         WireInstance(
             announcement.ident,
@@ -315,18 +326,23 @@
 
 
 def decode_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
-    """An announcement and the address it names; BadPage where it cannot be used."""
+    """Decode an announcement and its address; raises KnowledgePageError if it is invalid.
+
+    `peer` is the address that was asked, `rtt_us` the duration of the request.
+    """
     try:
-        announced = _instance.decode(raw)
+        announced = _instance_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise KnowledgePageError(f"no announcement: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"invalid announcement: {str(error)[:120]}") from None
     if (
         not 0 < len(announced.ident) <= 253
         or len(announced.region) > 253
         or len(announced.cluster) > 253
         or len(announced.address) > 300
     ):
-        raise KnowledgePageError("a name that is empty or too long")
+        raise KnowledgePageError(
+            "announcement: ident is empty, or ident, region, cluster or address is too long"
+        )
     return Announcement(
         peer,
         announced.ident,
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -1,6 +1,6 @@
-"""Learning from running instances at a start: ask all peers what they know, take from the best, then follow it.
+"""Learning from running instances at a start: announcements of all seed peers, pages of the best one, then its changes.
 
-Placing begins at once and never waits for this. What a peer's word is worth is decided in `decide.learning`.
+Placing begins at once and never waits for this. `decide.learning` decides how far a peer's knowledge is trusted.
 """
 
 from __future__ import annotations
@@ -25,29 +25,35 @@
 from wingbarrow.transport import Hub, Nursery
 
 SECOND = 1_000_000
-ANNOUNCE_TIMEOUT_US = 600_000  # for the announcements of all peers together
+ANNOUNCE_TIMEOUT_US = 600_000  # for the concurrent requests of all announcements
 PEER_TIMEOUT_US = 2 * SECOND  # for one peer's pages
-TOTAL_TIMEOUT_US = 5 * SECOND  # for all peers
+TOTAL_TIMEOUT_US = 5 * SECOND  # for announcements and pages of all peers
 WATCH_DURATION_US = 60 * SECOND
-WATCH_SILENCE_US = 5 * SECOND  # a followed peer says something every second
-MAX_PAGE_BYTES = 4 << 20
+WATCH_SILENCE_US = 5 * SECOND  # a watched peer writes a line every second
+MAX_PAGE_BYTES = 4 << 20  # of a page, and of a line of the watch
 API_ROOT = "/apis/wingbarrow.io/v1"
 
 
 class ObservationSink(Protocol):
-    """The placer, as far as learning goes."""
+    """The part of the placer that uses what a peer knows.
+
+    `more_age_us`: time to add to all ages; `clock_good`: whether the ages can be trusted.
+    """
 
     def on_observations(
         self, observations: list[MachineObservation], more_age_us: int, clock_good: bool
     ) -> bool:
-        """Take in a page's sights; False where they are of another cluster."""
+        """Handle the observations of a page; False if they belong to another cluster."""
 
     def on_usage_ratios(self, page: Page, more_age_us: int, clock_good: bool) -> None:
-        """Take in a page's learned shares."""
+        """Handle the usage ratios of a page."""
 
 
 class Learner:
-    """One start's learning; `state` tells how it went: asking, followed, learned, cold."""
+    """Learns once after a start.
+
+    `state`: "asking", "followed" while the watch runs, "learned" at its end or after some pages, "cold" without any.
+    """
 
     def __init__(
         self,
@@ -65,7 +71,7 @@
         self._pools: dict[PeerAddress, Pool] = {}
         self._peers = [peer for peer in settings.peers if peer.seed]
         self.state = "asking" if self._peers else "cold"
-        self.source = ""  # the peer that was learned from
+        self.source = ""  # the ident of the peer whose pages were read
         self.counts: Counter[str] = Counter()
 
     def _pool(self, peer: PeerAddress) -> Pool:
@@ -84,16 +90,16 @@
         return self._pools[peer]
 
     def run(self) -> None:
-        """Learn once; returns when there is nothing more to learn."""
+        """Read announcements and pages, then watch the peer; returns when the watch ends or no peer can be read."""
         if not self._peers:
             return
         end = self._hub.now_us() + TOTAL_TIMEOUT_US
         announced = self._announcements()
-        order = learning.order_peers(
+        candidates = learning.order_peers(
             announced, self._settings.region, self._settings.cluster, self._settings.name
         )
         by_name = {str(peer): peer for peer in self._peers}
-        for announcement in order:
+        for announcement in candidates:
             peer = by_name[announcement.peer]
             if self._hub.now_us() >= end:
                 break
@@ -113,10 +119,10 @@
                 pages=self.counts["pages"],
             )
 
-    # -- whom to ask
+    # -- announcements
 
     def _announcements(self) -> list[Announcement]:
-        out: list[Announcement] = []
+        announcements: list[Announcement] = []
 
         def ask(peer: PeerAddress) -> None:
             begun = self._hub.now_us()
@@ -126,25 +132,27 @@
                 )
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
-                announced, _ = decode_instance(response.body, str(peer), self._hub.now_us() - begun)
+                announcement, _ = decode_instance(
+                    response.body, str(peer), self._hub.now_us() - begun
+                )
             except (CallFailed, KnowledgePageError) as error:
                 self.counts["no_announcement"] += 1
                 self._log("peer-announcement-failed", peer=str(peer), why=str(error)[:200])
                 return
-            out.append(announced)
+            announcements.append(announcement)
 
         with self._hub.limit(ANNOUNCE_TIMEOUT_US), Nursery(self._hub) as nursery:
             for peer in self._peers:
                 nursery.spawn(lambda peer=peer: ask(peer), "asks a peer")  # type: ignore[misc]
-        return out
+        return announcements
 
     # -- pages
 
     def _read_pages(self, peer: PeerAddress, announcement: Announcement, end_us: int) -> bool:
-        """All pages of one peer, each taken in as it comes; False where it stalls, errs or is not believed."""
+        """Read all pages of one peer and handle each at once; False on a timeout, an error, or another cluster."""
         token, expected, snapshot = "", 0, ""
         clock = ClockCheck()
-        most = self._settings.limits.machines
+        max_machines = self._settings.limits.machines
         while True:
             begun = self._hub.now_us()
             if begun >= end_us:
@@ -157,7 +165,7 @@
                 )
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
-                page = decode_page(response.body, most)
+                page = decode_page(response.body, max_machines)
                 if page.first != expected or (snapshot and page.snapshot != snapshot):
                     raise KnowledgePageError(
                         f"page at {page.first} of {page.snapshot}, not at {expected} of {snapshot}"
@@ -183,25 +191,25 @@
                 return False
             token = page.next
 
-    def _apply_page(self, page: Page, clock: ClockCheck, asked_us: int) -> bool:
+    def _apply_page(self, page: Page, clock: ClockCheck, requested_us: int) -> bool:
         now = self._hub.now_us()
-        good = clock.check_page(now, page.clock_us)
-        if not good:
+        clock_good = clock.check_page(now, page.clock_us)
+        if not clock_good:
             self.counts["clock_jumps"] += 1
-        # The answer was written at some time after the question left: the whole exchange counts as age.
-        more = page.snapshot_age_us + (now - asked_us)
+        # The response was written at an unknown time after the request was sent: all of the exchange counts as age.
+        more_age_us = page.snapshot_age_us + (now - requested_us)
         self.counts["pages"] += 1
-        if not self._sink.on_observations(page.observations, more, good):
+        if not self._sink.on_observations(page.observations, more_age_us, clock_good):
             self.counts["strangers"] += 1
             self._log("peer-of-another-cluster", level="warning")
             return False
-        self._sink.on_usage_ratios(page, more, good)
+        self._sink.on_usage_ratios(page, more_age_us, clock_good)
         return True
 
-    # -- following
+    # -- watch
 
     def _watch(self, peer: PeerAddress, announcement: Announcement) -> None:
-        """Changes of the first minute; however it ends, what was learned stays."""
+        """Watch the peer's changes for `WATCH_DURATION_US`; however the watch ends, what was learned is kept."""
         end = self._hub.now_us() + WATCH_DURATION_US
         clock = ClockCheck()
         try:
--- a/wingbarrow/peers/leases_api.py
+++ b/wingbarrow/peers/leases_api.py
@@ -1,8 +1,8 @@
 """Sessions as Kubernetes' `coordination.k8s.io/v1 Lease` objects: GET /apis/wingbarrow.io/v1/leases.
 
-At the leader all sessions that are open, and the ends that are kept; elsewhere this placer's own session, and the ends
-that it knows. `leaseTransitions` is the fencing token: for an open session the epoch of the latest change of any
-session, for one that has ended the epoch under which its successors act.
+The leader lists all open sessions and the ended ones that are retained. Other placers list their own session and the
+ended ones that they know. `leaseTransitions` is the fencing token: for an open session the epoch of the latest change
+of any session, for an ended one the epoch under which its successors act.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class LeasesApi:
-    """The route's handler."""
+    """Handler of GET /apis/wingbarrow.io/v1/leases."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
         self._hub = hub
@@ -49,7 +49,7 @@
         return Answer(200, names.encode(leases))
 
     def _leader_items(self, agreement: Coordinator) -> tuple[int, list[dict[str, Any]]]:
-        """Return the epoch, and all sessions that are open or whose end is kept."""
+        """Return the epoch, and all sessions that are open, or ended and retained."""
         sessions = agreement.subsystems["sessions"]
         assert isinstance(sessions, SessionSubsystem)
         items = [self._open_item(sessions, session) for session in sorted(sessions.log.open)]
@@ -75,7 +75,7 @@
         return item
 
     def _own_items(self) -> tuple[int, list[dict[str, Any]]]:
-        """Return the epoch that this placer knows, its own session, and the ends that it knows."""
+        """Return the epoch that this placer knows, its own session, and the ended sessions that it knows."""
         lease = self._peering.lease
         items = self._ended_items(lease.ended)
         if lease.session is not None:
@@ -99,7 +99,7 @@
         return item
 
     def _timing(self, lease_us: int, renewed_us: int | None) -> dict[str, Any]:
-        """Return a Lease's duration and the wall clock's time of its renewal, where they are known."""
+        """Return a Lease's duration and the wall-clock time of its renewal, as far as they are known."""
         timing: dict[str, Any] = {}
         if lease_us:
             timing["leaseDurationSeconds"] = max(1, lease_us // 1_000_000)
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -1,6 +1,6 @@
-"""What holds for the whole fleet, as a placer sees it: GET /apis/wingbarrow.io/v1/limits and .../verdicts.
+"""Fleet-wide quotas and ejections as a placer sees them: GET /apis/wingbarrow.io/v1/limits and .../verdicts.
 
-At the leader also who holds what of each limit, and who said what about each machine.
+The leader also reports the allocations of each limit by placer, and the health reports on each machine.
 """
 
 from __future__ import annotations
@@ -16,13 +16,16 @@
 
 
 class LimitsApi:
-    """Two routes."""
+    """Handler of the routes `limits` and `verdicts`."""
 
     def __init__(self, hub: Hub, peering: Peering) -> None:
         self._hub, self._peering = hub, peering
 
-    def handle(self, request: Request, what: str) -> Answer:
-        """Answer one request for `limits` or `verdicts`; ApiError for what is refused."""
+    def handle(self, request: Request, resource: str) -> Answer:
+        """Answer one request for `limits` or `verdicts`.
+
+        Raises ApiError 404 without voters in the settings, 405 for a method other than GET.
+        """
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
@@ -30,12 +33,12 @@
             )
         if request.method != "GET":
             raise ApiError(405, "GET is allowed here; limits are changed as rules are")
-        if what == "verdicts":
+        if resource == "verdicts":
             return self._verdicts(agreement)
         now = self._hub.now_us()
         quotas = agreement.quotas
         acting = agreement.rules_in_force(now)
-        told: dict[str, object] = {
+        limits: dict[str, object] = {
             "kind": "LimitList",
             "apiVersion": "wingbarrow.io/v1",
             "placer": agreement.name,
@@ -54,14 +57,14 @@
             ],
         }
         if agreement.is_leader and agreement.agreed.rules:
-            told["accounts"] = agreement.allocations.accounts(
+            limits["accounts"] = agreement.allocations.accounts(
                 now, parse_rule_set(agreement.agreed.rules).limits
             )
-        return Answer(200, names.encode(told))
+        return Answer(200, names.encode(limits))
 
     def _verdicts(self, agreement: Coordinator) -> Answer:
         now = self._hub.now_us()
-        told: dict[str, object] = {
+        verdicts: dict[str, object] = {
             "kind": "VerdictList",
             "apiVersion": "wingbarrow.io/v1",
             "placer": agreement.name,
@@ -69,8 +72,8 @@
             "closed": sorted(agreement.ejections.ejected(now)),
         }
         if agreement.is_leader:
-            bench = agreement.outlier_detector
-            told["items"] = [
+            detector = agreement.outlier_detector
+            verdicts["items"] = [
                 {
                     "machine": machine,
                     "ageUs": now - each.start_us,
@@ -80,10 +83,10 @@
                     "ended": each.end_reason,
                     "prober": each.prober,
                 }
-                for machine, each in sorted(bench.ejections.items())
+                for machine, each in sorted(detector.ejections.items())
             ]
-            told["spared"] = dict(sorted(bench.not_ejected.items()))
-            told["witnesses"] = [
+            verdicts["spared"] = dict(sorted(detector.not_ejected.items()))
+            verdicts["witnesses"] = [
                 {
                     "placer": name,
                     "region": each.region,
@@ -91,9 +94,10 @@
                     "bad": each.outliers,
                     "tried": each.tried,
                     "evidence": {
-                        key: [seen.failed, seen.tried] for key, seen in sorted(each.reports.items())
+                        key: [report.failed, report.tried]
+                        for key, report in sorted(each.reports.items())
                     },
                 }
-                for name, each in sorted(bench.reporters.items())
+                for name, each in sorted(detector.reporters.items())
             ]
-        return Answer(200, names.encode(told))
+        return Answer(200, names.encode(verdicts))
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -1,9 +1,9 @@
 """The REST API of maintenance slots, at any placer: /apis/wingbarrow.io/v1/turns.
 
 GET lists slots, GET .../N shows one; POST requests one; POST .../N/renew renews an operator's lease, .../N/out-done and
-.../N/back give the machine back, .../N/give-back takes the slot back. Placers that do not lead answer 307 with the
-leader's address. Only the answer to `renew` lets an operator work: a leader gives it once a majority has followed it
-since the request came.
+.../N/back return the machine, .../N/give-back cancels the slot. Placers other than the leader answer 307 with the
+leader's address. Only the answer to `renew` permits an operator to work: the leader sends it once a majority has
+confirmed its leadership since the request arrived.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 from wingbarrow.transport import Hub
 
 API_VERSION = "wingbarrow.io/v1"
-DECISION_TIMEOUT_US = 5_000_000
-CONFIRMATION_TIMEOUT_US = 3_000_000
+DECISION_TIMEOUT_US = 5_000_000  # for an entry of the log to be applied
+CONFIRMATION_TIMEOUT_US = 3_000_000  # for a majority to confirm the leader
 POLL_INTERVAL_US = 10_000
-MAX_NUMBER_DIGITS = 15
-FULL_RETRY_S = 60
+MAX_NUMBER_DIGITS = 15  # of a slot's number in a path
+FULL_RETRY_S = 60  # Retry-After while the queue is full
 GIVE_BACK = "give-back"
 ACTIONS = ("renew", "out-done", "back", GIVE_BACK)
 RETURNED_STATES = (SlotState.BACK, SlotState.DONE, SlotState.GIVEN_BACK)
@@ -68,16 +68,16 @@
         self._requests = 0
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer a request by the path's parts below the API's root; ApiError for what is rejected."""
+        """Answer a request to the path `parts` below the API's root; raises ApiError if it is rejected."""
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
                 404, "this placer agrees on turns with nobody: `agree` in its settings", "NotFound"
             )
         number = _route(request, parts)
-        away = self._rules.redirect(request)
-        if away is not None:
-            return away
+        redirect = self._rules.redirect(request)
+        if redirect is not None:
+            return redirect
         if request.method == "GET":
             return self._list(agreement) if number is None else self._answer(self._slot(number))
         body = _body(request)
@@ -94,13 +94,13 @@
         return slot
 
     def _answer(self, slot: Slot, status: int = 200) -> Answer:
-        return Answer(status, names.encode(self._shown(slot)))
+        return Answer(status, names.encode(self._to_json(slot)))
 
-    def _shown(self, slot: Slot) -> dict[str, Any]:
+    def _to_json(self, slot: Slot) -> dict[str, Any]:
         scheduler = self._peering.maintenance_scheduler
         now_us = self._hub.now_us()
-        shown = {key: value for key, value in asdict(slot).items() if key in SLOT_FIELDS}
-        shown |= {
+        value = {key: field for key, field in asdict(slot).items() if key in SLOT_FIELDS}
+        value |= {
             "state": slot.state.value,
             "kind": "Turn",
             "apiVersion": API_VERSION,
@@ -112,23 +112,23 @@
         }
         reason = scheduler.blocked.get(slot.number)
         if reason and slot.state in BLOCKABLE_STATES:
-            shown["blocked"] = reason
+            value["blocked"] = reason
         if slot.state == SlotState.CLOSING:
-            shown["unproved"] = scheduler.unproved(now_us, slot)
+            value["unproved"] = scheduler.unproved(now_us, slot)
         if slot.state == SlotState.OUT:
-            shown["silent"] = slot.number in list(scheduler.silent(now_us))
+            value["silent"] = slot.number in list(scheduler.silent(now_us))
             renewed_us = scheduler.renewed_us(slot.number)
-            shown["renewedAgeUs"] = now_us - renewed_us if renewed_us else None
-        return shown
+            value["renewedAgeUs"] = now_us - renewed_us if renewed_us else None
+        return value
 
     def _list(self, agreement: Coordinator) -> Answer:
-        """Active slots, then queued ones in their order, then those that ended."""
+        """List active slots, then queued ones in their order, then ended ones."""
         slots = sorted(self._peering.maintenance_scheduler.queue.slots.values(), key=_list_rank)
         value = {
             "kind": "TurnList",
             "apiVersion": API_VERSION,
             "leader": agreement.name,
-            "items": [self._shown(each) for each in slots],
+            "items": [self._to_json(each) for each in slots],
         }
         return Answer(200, names.encode(value))
 
@@ -153,7 +153,7 @@
     def _request_value(
         self, agreement: Coordinator, body: dict[str, Any], wall_us: int
     ) -> dict[str, Any]:
-        """The request as an entry's JSON form, its names and figures as the sender gave them."""
+        """The request in the JSON form of a log entry; names and numbers are as the client sent them, unchecked."""
         try:
             latest = str(body.get("latest", ""))
             latest_us = _wall_us(latest, wall_us) if latest else 0
@@ -205,7 +205,7 @@
         if slot.state in RETURNED_STATES:
             raise ApiError(409, f"turn {slot.number} is {slot.state} already", "Conflict")
         if self._is_held_by_other(slot, body.get("worker")) and not body.get("force"):
-            # Danger: its operator may work until its lease lapses, beside the next one.
+            # Danger: its operator may still work until the lease expires, at the same time as the next one.
             raise ApiError(
                 409,
                 f"turn {slot.number} is held by {slot.worker}, who is heard of: its word, or force, is "
@@ -215,7 +215,7 @@
         return self._transition(SlotGivenBack, slot, body)
 
     def _is_held_by_other(self, slot: Slot, worker: object) -> bool:
-        """Whether an operator other than the sender holds the slot by a lease that has not lapsed."""
+        """Whether an operator other than the sender holds the slot under a lease that has not expired."""
         if slot.state != SlotState.OUT or not slot.worker or worker == slot.worker:
             return False
         return slot.number not in list(
@@ -225,7 +225,7 @@
     def _transition(
         self, entry_type: type[SlotTransition], slot: Slot, body: dict[str, Any]
     ) -> Answer:
-        """Propose a transition and wait until it is decided."""
+        """Propose a transition and wait until the slot's state changes."""
         entry = entry_type(
             number=slot.number,
             at_us=self._hub.clock.wall_us(),
@@ -236,7 +236,7 @@
         return self._answer(self._slot(slot.number))
 
     def _renew(self, agreement: Coordinator, number: int) -> Answer:
-        """Renew the operator's lease and wait until a majority has followed this leader since."""
+        """Renew the operator's lease and wait until a majority has confirmed this leader since the request."""
         scheduler = self._peering.maintenance_scheduler
         asked_us = self._hub.now_us()
         slot = self._slot(number)
@@ -274,7 +274,7 @@
 
 
 def _route(request: Request, parts: list[str]) -> int | None:
-    """The slot's number in a path, None for all slots; ApiError for unknown paths and methods."""
+    """The slot's number in a path, None for all slots; raises ApiError for unknown paths and methods."""
     number = None
     if parts and parts[0].isdecimal() and len(parts[0]) <= MAX_NUMBER_DIGITS:
         number = int(parts[0])
@@ -302,12 +302,12 @@
 
 
 def _refused(refusal: str) -> ApiError:
-    """429 while the queue is full, 409 where the machine has a slot, 422 for an invalid request."""
+    """The error for a refusal: 429 if the queue is full, 409 if the machine has a slot, 422 for an invalid request."""
     if "more are not taken" in refusal:
         return ApiError(429, refusal, retry_after_s=FULL_RETRY_S)
     return ApiError(409 if "already" in refusal else 422, refusal)
 
 
 def _wall_us(text: str, wall_us: int) -> int:
-    """A time (RFC 3339), or a duration from now on; ValueError for anything else."""
+    """A time (RFC 3339), or a duration from now, as wall-clock microseconds; raises ValueError for anything else."""
     return names.read_time(text) if "T" in text else wall_us + parse_duration(text)
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -3,7 +3,7 @@
 An envelope is a JSON object of form, cluster, sender, its address, and messages (`letters` on the wire). A message has a
 kind and a body, which is the kind's dataclass. A message of an unknown kind is skipped and counted, since a later
 version may know more kinds. A message of a known kind that cannot be decoded or is over a bound rejects the whole
-envelope: its sender is not what it claims to be.
+envelope: its sender does not speak this protocol.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 
 FORMAT_VERSION = 1
-MAX_ENVELOPE_BYTES = 1 << 20  # bytes: what a front takes by default
+MAX_ENVELOPE_BYTES = 1 << 20  # default limit of a front for a request body
 MAX_MESSAGES_PER_ENVELOPE = 64
 
 MESSAGE_TYPES: dict[str, type[Any]] = {
@@ -55,11 +55,11 @@
     "ask-for": coordination_messages.RelayedRequest,
     "grant-for": coordination_messages.RelayedGrant,
 }
-_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
+_KINDS = {kind: name for name, kind in MESSAGE_TYPES.items()}
 
 
 class MessageError(ValueError):
-    """An envelope that cannot be used; its text says why, and goes back to the sender."""
+    """An invalid envelope; the text with the reason is returned to the sender."""
 
 
 class _WireMessage(msgspec.Struct):
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """As read: `strange` counts letters of unknown kinds."""
+    """A decoded envelope; `unknown_kinds` counts the messages that were skipped."""
 
     sender: str
     address: str
@@ -86,58 +86,63 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_mail: msgspec.json.Decoder[_WireEnvelope] = msgspec.json.Decoder(_WireEnvelope)
-_bodies: dict[str, msgspec.json.Decoder[Any]] = {
+_envelope_decoder: msgspec.json.Decoder[_WireEnvelope] = msgspec.json.Decoder(_WireEnvelope)
+_body_decoders: dict[str, msgspec.json.Decoder[Any]] = {
     name: msgspec.json.Decoder(kind) for name, kind in MESSAGE_TYPES.items()
 }
 
 
 def encode_message(message: Any) -> bytes:
-    """One letter; KeyError for a message of no known kind."""
-    return _encode(_WireMessage(_NAMES[type(message)], msgspec.Raw(_encode(message))))
+    """Encode one message; raises KeyError for a type that `MESSAGE_TYPES` lacks."""
+    return _encode(_WireMessage(_KINDS[type(message)], msgspec.Raw(_encode(message))))
 
 
-def encode_envelope(cluster: str, sender: str, address: str, letters: Iterable[bytes]) -> bytes:
-    """Letters in one mail."""
+def encode_envelope(cluster: str, sender: str, address: str, messages: Iterable[bytes]) -> bytes:
+    """Put encoded messages into one envelope."""
     return _encode(
         {
             "form": FORMAT_VERSION,
             "cluster": cluster,
             "sender": sender,
             "address": address,
-            "letters": [msgspec.Raw(each) for each in letters],
+            "letters": [msgspec.Raw(each) for each in messages],
         }
     )
 
 
 def decode_envelope(raw: bytes, cluster: str) -> Envelope:
-    """Mail as it came; MessageError says what is wrong with it, and then nothing of it counts."""
+    """Decode an envelope; raises MessageError with the reason if any part of it is invalid."""
     if len(raw) > MAX_ENVELOPE_BYTES:
         raise MessageError(f"{len(raw)} bytes; {MAX_ENVELOPE_BYTES} are the most")
     try:
-        mail = _mail.decode(raw)
+        envelope = _envelope_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise MessageError(f"no mail: {str(error)[:120]}") from None
-    if mail.form != FORMAT_VERSION:
-        raise MessageError(f"form {mail.form}; {FORMAT_VERSION} is spoken here")
-    if mail.cluster != cluster:
-        raise MessageError(f"another cluster: {mail.cluster[:80]}")
-    if not 0 < len(mail.sender) <= MAX_NAME_CHARS or not 0 < len(mail.address) <= MAX_ADDRESS_CHARS:
+    if envelope.form != FORMAT_VERSION:
+        raise MessageError(f"form {envelope.form}; {FORMAT_VERSION} is spoken here")
+    if envelope.cluster != cluster:
+        raise MessageError(f"another cluster: {envelope.cluster[:80]}")
+    if (
+        not 0 < len(envelope.sender) <= MAX_NAME_CHARS
+        or not 0 < len(envelope.address) <= MAX_ADDRESS_CHARS
+    ):
         raise MessageError("a name or address that is empty or too long")
-    if len(mail.letters) > MAX_MESSAGES_PER_ENVELOPE:
-        raise MessageError(f"{len(mail.letters)} letters; {MAX_MESSAGES_PER_ENVELOPE} are the most")
-    messages, strange = [], 0
-    for letter in mail.letters:
-        decoder = _bodies.get(letter.kind)
+    if len(envelope.letters) > MAX_MESSAGES_PER_ENVELOPE:
+        raise MessageError(
+            f"{len(envelope.letters)} letters; {MAX_MESSAGES_PER_ENVELOPE} are the most"
+        )
+    messages, unknown_kinds = [], 0
+    for wire_message in envelope.letters:
+        decoder = _body_decoders.get(wire_message.kind)
         if decoder is None:
-            strange += 1
+            unknown_kinds += 1
             continue
         try:
-            message = decoder.decode(letter.body)
+            message = decoder.decode(wire_message.body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise MessageError(f"{letter.kind}: {str(error)[:120]}") from None
-        why = check_message(message)
-        if why:
-            raise MessageError(why)
+            raise MessageError(f"{wire_message.kind}: {str(error)[:120]}") from None
+        problem = check_message(message)
+        if problem:
+            raise MessageError(problem)
         messages.append(message)
-    return Envelope(mail.sender, mail.address, messages, strange)
+    return Envelope(envelope.sender, envelope.address, messages, unknown_kinds)
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -1,6 +1,6 @@
-"""Bounds on the content of messages among placers, checked after decoding.
+"""Bounds on the content of messages between placers, checked after decoding.
 
-A decoder checks a message's form alone. Here each type has one check of its lengths, counts and ranges, in `_CHECKS`.
+A decoder checks only the structure of a message. `_CHECKS` has one check per type for lengths, counts and ranges.
 A type without an entry has no bounds beyond those of its envelope (`peers.message`).
 """
 
@@ -51,21 +51,21 @@
 
 MAX_NAME_CHARS = 253
 MAX_ADDRESS_CHARS = 300
-MAX_MEMBER_UPDATES = 64  # in one message
-MAX_LOG_ENTRIES = 64
+MAX_MEMBER_UPDATES = 64  # per message
+MAX_LOG_ENTRIES = 64  # per message
 MAX_INCARNATION = 1 << 62
-MAX_KEY_CHARS = 2 * MAX_NAME_CHARS + 1
+MAX_KEY_CHARS = 2 * MAX_NAME_CHARS + 1  # namespace/name
 MAX_REASON_CHARS = 500
-MAX_RECORDS = 64  # in one message
-MAX_UIDS = 256
+MAX_RECORDS = 64  # per message
+MAX_UIDS = 256  # per message
 MAX_TASKS_PER_JOB = 1_000
-MAX_INTEGER = 1 << 62
+MAX_INTEGER = 1 << 62  # exclusive
 SESSION_MESSAGES = get_args(session_messages.Message)
 FORWARDING_MESSAGES = get_args(forwarding.Message)
 
 
 def check_message(message: Any) -> str:
-    """What of a message is over its bound, as the sender is told; "" where nothing is."""
+    """The bound that a message exceeds, as a text for its sender; "" if it is within all bounds."""
     check = _CHECKS.get(type(message))
     return check(message) if check is not None else ""
 
@@ -156,7 +156,7 @@
 
 
 def _check_by(is_within: Callable[[Any], bool], name: str, error: str) -> Callable[[Any], str]:
-    """A check by one predicate; `name` is the message's on the wire."""
+    """Make a check of a predicate; `name` is the message's name in error texts."""
     return lambda message: "" if is_within(message) else f"{name}: {error}"
 
 
@@ -402,7 +402,7 @@
 _FORWARD_ERROR = "a text too long, or a figure out of range"
 _SESSION_ERROR = "a name or list too long, or a figure out of range"
 
-# A fault goes back to the sender and into logs: there, messages keep their first names.
+# Error texts are returned to the sender and logged; they use the message names of the first protocol version.
 _CHECKS: dict[type[Any], Callable[[Any], str]] = {
     membership_messages.Ping: _check_gossip,
     membership_messages.PingRequest: _check_ping_request,
--- a/wingbarrow/peers/outbox.py
+++ b/wingbarrow/peers/outbox.py
@@ -1,6 +1,6 @@
-"""Mail on its way out: a bounded box for each address, emptied by at most two calls at a time; nothing waits for long.
+"""Outgoing messages: a bounded queue for each address, sent in batches by at most two concurrent calls.
 
-What cannot be sent in its time is dropped and counted: the state machines send again what matters to them.
+Messages that cannot be sent in time are dropped and counted: the state machines retransmit what they need.
 """
 
 from __future__ import annotations
@@ -15,52 +15,55 @@
 
 PATH = "/apis/wingbarrow.io/v1/peers"
 CALL_TIMEOUT_US = 1_000_000
-MAX_WAIT_US = 1_000_000  # a letter that has waited so long is of no use any more
-MAX_MESSAGE_BYTES = (
-    MAX_ENVELOPE_BYTES - 4096
-)  # one letter, or all of one mail, beside what is said of their sender
-MAX_QUEUED_MESSAGES = 128  # letters for one address
-MAX_CALLS_PER_ADDRESS = 2  # at a time to one address: one that hangs must not hold up the next
+MAX_WAIT_US = 1_000_000  # an older message is out of date
+# Of one message, and of all messages of an envelope; the rest is left for the sender's fields.
+MAX_MESSAGE_BYTES = MAX_ENVELOPE_BYTES - 4096
+MAX_QUEUED_MESSAGES = 128  # per address
+MAX_CALLS_PER_ADDRESS = 2  # concurrent: a call that hangs must not delay the next
 MAX_ADDRESSES = 512
 
 
 class _Queue:
-    """What waits for one address."""
+    """The messages that wait for one address, each with the time of its arrival in microseconds."""
 
-    __slots__ = ("calls", "letters", "pool")
+    __slots__ = ("calls", "messages", "pool")
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
-        self.letters: deque[tuple[int, bytes]] = deque()
+        self.messages: deque[tuple[int, bytes]] = deque()
         self.calls = 0
 
 
 class Outbox:
-    """`pack` makes a mail of letters, `take` gets each answer's bytes, `spawn` starts a task of the host's."""
+    """Sends messages to placers.
+
+    `encode` makes an envelope of encoded messages, `on_response` receives the body of each response and may raise
+    MessageError, `spawn` starts a task of the host.
+    """
 
     def __init__(
         self,
         hub: Hub,
         agent: str,
-        pack: Callable[[list[bytes]], bytes],
-        take: Callable[[bytes], None],
+        encode: Callable[[list[bytes]], bytes],
+        on_response: Callable[[bytes], None],
         spawn: Callable[[Callable[[], None], str], None],
         counts: Counter[str],
     ) -> None:
-        self._hub, self._agent, self._pack, self._take = hub, agent, pack, take
+        self._hub, self._agent, self._encode, self._on_response = hub, agent, encode, on_response
         self._spawn, self._counts = spawn, counts
         self._queues: OrderedDict[tuple[str, int], _Queue] = OrderedDict()
 
-    def send(self, host: str, port: int, letter: bytes) -> None:
-        """Put a letter in the box of an address."""
-        if len(letter) > MAX_MESSAGE_BYTES:
-            # Danger: no mail has room for it; left in its box, it would be tried without an end.
+    def send(self, host: str, port: int, message: bytes) -> None:
+        """Queue an encoded message for an address; if the queue is full, the oldest one is dropped."""
+        if len(message) > MAX_MESSAGE_BYTES:
+            # Danger: it fits into no envelope; in the queue, it would block all later messages forever.
             self._counts["peers:letters dropped, too long"] += 1
             return
         key = host, port
-        box = self._queues.get(key)
-        if box is None:
-            box = self._queues[key] = _Queue(
+        queue = self._queues.get(key)
+        if queue is None:
+            queue = self._queues[key] = _Queue(
                 Pool(
                     self._hub,
                     host,
@@ -76,65 +79,65 @@
             )
             self._evict_idle_queues()
         self._queues.move_to_end(key)
-        if len(box.letters) >= MAX_QUEUED_MESSAGES:
-            box.letters.popleft()
+        if len(queue.messages) >= MAX_QUEUED_MESSAGES:
+            queue.messages.popleft()
             self._counts["peers:letters dropped, box full"] += 1
-        box.letters.append((self._hub.now_us(), letter))
-        if box.calls < MAX_CALLS_PER_ADDRESS:
-            box.calls += 1
-            self._spawn(lambda: self._drain_queue(box), "mail")
+        queue.messages.append((self._hub.now_us(), message))
+        if queue.calls < MAX_CALLS_PER_ADDRESS:
+            queue.calls += 1
+            self._spawn(lambda: self._drain_queue(queue), "mail")
 
     @property
     def busy(self) -> bool:
-        """Whether a call is under way."""
-        return any(box.calls for box in self._queues.values())
+        """Whether a call is in progress."""
+        return any(queue.calls for queue in self._queues.values())
 
     def _evict_idle_queues(self) -> None:
-        for key, box in list(self._queues.items()):
+        for key, queue in list(self._queues.items()):
             if len(self._queues) <= MAX_ADDRESSES:
                 return
-            if not box.calls:
-                box.pool.close()
+            if not queue.calls:
+                queue.pool.close()
                 del self._queues[key]
 
-    def _drain_queue(self, box: _Queue) -> None:
+    def _drain_queue(self, queue: _Queue) -> None:
         try:
-            while box.letters:
-                letters = self._next_batch(box)
-                if letters:
-                    self._send_batch(box, letters)
+            while queue.messages:
+                messages = self._next_batch(queue)
+                if messages:
+                    self._send_batch(queue, messages)
         finally:
-            box.calls -= 1
+            queue.calls -= 1
 
-    def _next_batch(self, box: _Queue) -> list[bytes]:
+    def _next_batch(self, queue: _Queue) -> list[bytes]:
         now, size = self._hub.now_us(), 0
-        out: list[bytes] = []
+        batch: list[bytes] = []
         while (
-            box.letters
-            and len(out) < MAX_MESSAGES_PER_ENVELOPE
-            and size + len(box.letters[0][1]) <= MAX_MESSAGE_BYTES
+            queue.messages
+            and len(batch) < MAX_MESSAGES_PER_ENVELOPE
+            and size + len(queue.messages[0][1]) <= MAX_MESSAGE_BYTES
         ):
-            at_us, letter = box.letters.popleft()
-            if now - at_us > MAX_WAIT_US:
+            queued_us, message = queue.messages.popleft()
+            if now - queued_us > MAX_WAIT_US:
                 self._counts["peers:letters dropped, too old"] += 1
                 continue
-            out.append(letter)
-            size += len(letter)
-        return out
+            batch.append(message)
+            size += len(message)
+        return batch
 
-    def _send_batch(self, box: _Queue, letters: list[bytes]) -> None:
+    def _send_batch(self, queue: _Queue, messages: list[bytes]) -> None:
         self._counts["peers:calls"] += 1
-        self._counts["peers:letters"] += len(letters)
+        self._counts["peers:letters"] += len(messages)
         try:
-            response = box.pool.request(
+            response = queue.pool.request(
                 "POST",
                 PATH,
-                self._pack(letters),
+                self._encode(messages),
                 [("Content-Type", "application/json")],
                 self._hub.now_us() + CALL_TIMEOUT_US,
             )
             if response.status == 200:
-                self._take(response.body)
+                self._on_response(response.body)
             else:
                 self._counts[f"peers:status {response.status}"] += 1
         except CallFailed as error:
@@ -143,7 +146,7 @@
             self._counts["peers:bad answers"] += 1
 
     def close(self) -> None:
-        """Let all connections go."""
-        for box in self._queues.values():
-            box.pool.close()
+        """Close all connections and drop all queued messages."""
+        for queue in self._queues.values():
+            queue.pool.close()
         self._queues.clear()
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -1,4 +1,4 @@
-"""What other instances know of machines: told to them, and taken in from them; never requests, never tasks."""
+"""Peer hints: the knowledge of machines that instances exchange. Requests and tasks are never exchanged."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wingbarrow.peers.knowledge_pages import Page, UsageRatios
 from wingbarrow.transport import Hub
 
-MAX_GONE_MACHINES = 1024
+MAX_GONE_MACHINES = 1024  # machines removed from the list that peers are still informed of
 
 
 class Entry(Protocol):
@@ -29,11 +29,11 @@
 
     @property
     def listed(self) -> api.ListedMachine:
-        """As the module has it."""
+        """The listed machine in the form of the decision module's interface."""
 
 
 class Reflector(Protocol):
-    """The list, as far as hearsay goes."""
+    """The part of the machine list that peer hints use."""
 
     last_contact_us: int | None
     on_new_source: Callable[[], None]
@@ -44,11 +44,11 @@
 
     @property
     def version(self) -> int:
-        """Of the list."""
+        """The list's version."""
 
 
 class Fleet(Protocol):
-    """The placer's machines; `guards` narrow what the module is told, the calls hear of what comes and goes."""
+    """The placer's machines; `guards` restrict what the decision module is told, the `on_` attributes are callbacks."""
 
     guards: list[Any]
     on_gone: Callable[[str], None]
@@ -62,44 +62,44 @@
 
     @property
     def reopening(self) -> bool:
-        """Whether closed machines are being opened right now."""
+        """Whether closed machines are being reopened now."""
 
     def is_closed_locally(self, entry: Any) -> bool:
-        """Whether a machine is closed to this placer for reasons of its own, such as its start."""
+        """Whether a machine is closed for a reason of this placer alone, such as the placer's start."""
 
     def size_of(self, entry: Any) -> tuple[float, float]:
-        """Cores and memory."""
+        """Cores and memory of a machine."""
 
     def reapply(self, entries: Iterable[Any]) -> None:
-        """Have entries pass the guards anew."""
+        """Pass entries through the guards again."""
 
 
 class Links(Protocol):
-    """The machines that are reached, by name."""
+    """The connected machines."""
 
     @property
     def links(self) -> Mapping[str, Any]:
-        """Each has `launched_us` and `phase`."""
+        """Links by machine name; each has `launched_us` and `phase`."""
 
 
 class Module(Protocol):
     """The host of the decision module."""
 
     def feed(self, event: api.Event) -> None:
-        """Tell it of an event."""
+        """Pass it an event."""
 
     def knowledge(self) -> api.Knowledge:
         """What it knows of machines."""
 
 
 class UseObserver(Protocol):
-    """When a task last told of its use."""
+    """The time of the last report on a task's resource use; None without any."""
 
     last_usage_us: int | None
 
 
 class PlacerContext(Protocol):
-    """The placer's life."""
+    """The placer's shared context."""
 
     hub: Hub
     settings: PlacerSettings
@@ -108,7 +108,7 @@
 
 
 class PeerHints:
-    """Owns what was heard and is not applied yet, and which machines are distrusted for it."""
+    """Holds observations of peers until they can be applied, and the machines that are distrusted due to them."""
 
     def __init__(
         self,
@@ -116,20 +116,19 @@
         host: Module,
         fleet: Fleet,
         machines: Links,
-        sightings: UseObserver,
+        use_observer: UseObserver,
     ) -> None:
         self._context, self._host, self._fleet, self._machines = context, host, fleet, machines
-        self._sightings = sightings
+        self._use_observer = use_observer
         self._begun_us = context.hub.now_us()
         self._distrust = learning.Distrust(context.settings.limits.machines)
-        self._gone_versions: dict[
-            str, int
-        ] = {}  # machines that left the list, for peers to hear of
-        self._pending: dict[
-            str, tuple[MachineObservation, int, bool]
-        ] = {}  # not applied yet: sight, when it was true, clock good
-        self._average = (0.5, 0.5)  # asked over size, as peers last told it
-        self._shares_taken = False
+        # List version at the removal of machines from the list, which is reported to peers.
+        self._gone_versions: dict[str, int] = {}
+        # Not applied yet, by machine: observation, time to which its ages refer, whether its clock is good.
+        self._pending: dict[str, tuple[MachineObservation, int, bool]] = {}
+        # Requested share of cores and of memory, averaged over the observations of peers.
+        self._average = (0.5, 0.5)
+        self._has_usage_ratios = False
         fleet.guards.append(self._guard)
         fleet.on_gone, fleet.on_machine_listed, fleet.on_delivery_applied = (
             self._note_gone,
@@ -138,12 +137,12 @@
         )
         fleet.reflector.on_new_source = self._distrust.on_new_source
 
-    # -- told to others
+    # -- knowledge for peers
 
     def announce(self) -> learning.Announcement:
-        """What this instance says of itself to others."""
+        """This instance's announcement."""
         reflector, now = self._fleet.reflector, self._context.hub.now_us()
-        heard, settings = reflector.last_contact_us, self._context.settings
+        last_contact_us, settings = reflector.last_contact_us, self._context.settings
         return learning.Announcement(
             "",
             settings.name,
@@ -151,13 +150,13 @@
             settings.region,
             settings.cluster,
             now - self._begun_us,
-            None if heard is None else now - heard,
+            None if last_contact_us is None else now - last_contact_us,
             len(reflector.held),
             0,
         )
 
     def knowledge(self) -> tuple[list[MachineObservation], UsageRatios]:
-        """What this instance knows of machines, for a hand-over."""
+        """This instance's observations of machines and its usage ratios, for a transfer to peers."""
         now, known = self._context.hub.now_us(), self._host.knowledge()
         by_ident = {each.machine: each for each in known.machines}
         observations: list[MachineObservation] = []
@@ -166,10 +165,10 @@
             if link is None or each is None:
                 continue
             launched = now - link.launched_us if link.launched_us > 0 else None
-            # What is closed for this placer's own reasons is no drain that others should hear of.
+            # A machine that is closed only for this placer's own reasons does not drain: peers get its listed phase.
             phase = entry.listed.phase if self._fleet.is_closed_locally(entry) else link.phase
             if self._context.settings.agree is not None:
-                # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
+                # Agreed drains reach each placer by the rules; an observed drain would outlive its cancellation.
                 phase = self._guard(entry, entry.listed).phase
             observations.append(
                 MachineObservation(
@@ -191,7 +190,7 @@
                     name, version, api.Phase.GONE, None, None, None, None, None, {}, {}
                 )
             )
-        use_us = self._sightings.last_usage_us
+        use_us = self._use_observer.last_usage_us
         return observations, UsageRatios(
             known.ratio, known.notes, None if use_us is None else now - use_us
         )
@@ -204,14 +203,17 @@
     def _note_listed(self, name: str) -> None:
         self._gone_versions.pop(name, None)
 
-    # -- taken in
+    # -- knowledge from peers
 
     def on_observations(
         self, observations: list[MachineObservation], more_age_us: int, clock_good: bool
     ) -> bool:
-        """Take in a page of a peer's sights; False, and none is kept, where they are of another cluster."""
+        """Handle the observations of a page; False if they belong to another cluster, and then none is kept.
+
+        `more_age_us` is added to all ages; without `clock_good`, ages are not trusted.
+        """
         held = self._fleet.held
-        # What is left out here, where placers hold subsets, says nothing of whose cluster it is.
+        # With subsets, machines outside this placer's subset must not count as unknown in the check of the cluster.
         observations = [
             observation
             for observation in observations
@@ -224,7 +226,7 @@
         now, changed = self._context.hub.now_us(), []
         for observation in observations:
             entry = held.get(observation.machine)
-            # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
+            # An observed drain counts even if the peer's clock is broken: it is ordered by versions, not by ages.
             if (
                 self._distrust.on_observation(observation, entry.version if entry else None, now)
                 and entry is not None
@@ -242,27 +244,27 @@
         return True
 
     def on_usage_ratios(self, page: Page, more_age_us: int, clock_good: bool) -> None:
-        """Take in a peer's learned shares of use, once: later pages of the same peer repeat them."""
-        if self._shares_taken:
+        """Handle a peer's usage ratios, once: later pages of the same peer repeat them."""
+        if self._has_usage_ratios:
             return
         usage = page.usage
-        age = None if usage.age_us is None else usage.age_us + more_age_us
-        weighed = [
-            learning.learned_ratio(ratio, notes, age, clock_good)
+        age_us = None if usage.age_us is None else usage.age_us + more_age_us
+        learned = [
+            learning.learned_ratio(ratio, notes, age_us, clock_good)
             for ratio, notes in zip(usage.ratio, usage.notes, strict=True)
         ]
-        if any(notes > 0 for _, notes in weighed):
-            self._shares_taken = True
+        if any(notes > 0 for _, notes in learned):
+            self._has_usage_ratios = True
             self._host.feed(
-                api.Learned((), (weighed[0][0], weighed[1][0]), (weighed[0][1], weighed[1][1]))
+                api.Learned((), (learned[0][0], learned[1][0]), (learned[0][1], learned[1][1]))
             )
 
     def _guard(self, entry: Entry, listed: api.ListedMachine) -> api.ListedMachine:
-        """A machine that a peer saw draining is not trusted before a newer list says that it runs (rule 3)."""
+        """Do not trust a machine that a peer saw draining until a newer list version shows it running (rule 3)."""
         return self._distrust.narrow(entry.name, entry.version, listed)
 
     def _apply(self) -> None:
-        """Give the module what was heard of machines that our list has by now, and that it may send to."""
+        """Feed the module with pending observations of machines that are listed, connected and not closed locally."""
         if not self._pending or self._fleet.reopening:
             return
         now, held = self._context.hub.now_us(), self._fleet.held
@@ -277,21 +279,21 @@
             observation, at_us, good = self._pending.pop(name)
             groups.setdefault((at_us, good), []).append(observation)
         for (at_us, good), observations in groups.items():
-            here = [observation.machine for observation in observations]
-            sizes = {name: self._fleet.size_of(held[name]) for name in here}
+            names = [observation.machine for observation in observations]
+            sizes = {name: self._fleet.size_of(held[name]) for name in names}
             self._average = learning.fleet_average(observations, sizes, self._average)
-            weighed = learning.learned_machines(
+            learned = learning.learned_machines(
                 observations,
                 now - at_us,
                 sizes,
-                {name: held[name].version for name in here},
-                {name: held[name].listed.machine for name in here},
+                {name: held[name].version for name in names},
+                {name: held[name].listed.machine for name in names},
                 good,
                 self._average,
             )
-            self._context.counts["machines_learned"] += len(weighed)
-            if weighed:
-                self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
+            self._context.counts["machines_learned"] += len(learned)
+            if learned:
+                self._host.feed(api.Learned(tuple(learned), (0.0, 0.0), (0.0, 0.0)))
         for name in [
             name
             for name, (_, at_us, _) in self._pending.items()
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -1,7 +1,8 @@
 """Replication of job records: this placer as primary, as replica of other regions' records, and as successor.
 
-`decide.replication.replicator` decides; this performs its effects: messages and timers by the peers' host, tokens as
-waits of bounded time, membership and ends of sessions as they come from the peers, and events to a listener.
+`decide.replication.replicator` makes the decisions. This module applies its effects: messages and timers through the
+peers' host, tokens as bounded waits, and events as calls of a listener. It passes changes of membership and ended
+sessions to the replicator.
 """
 
 from __future__ import annotations
@@ -40,15 +41,17 @@
     MachineReport,
 )
 MEMBERS_INTERVAL_US = 200_000  # between reads of the membership
-# A batch occupies the hub until it is done: 0.6 ms for a start, 0.4 ms for a Job that is taken over.
+# A batch blocks the hub until it is complete: 0.6 ms per start, 0.4 ms per Job that is taken over.
 FAILOVER_PACE = FailoverPace(8, 25_000, 16, 5_000)
-WAIT_GRACE_US = 2_000_000  # after its deadline, until a wait ends without its token being settled
-OnSettled = Callable[[str], None]  # receives "" for an acknowledgement, else why there is none
+WAIT_GRACE_US = 2_000_000  # added to a deadline until a wait is given up without a settled token
+OnSettled = Callable[
+    [str], None
+]  # receives "" for an acknowledgement, otherwise the reason of the failure
 
 
 @dataclass(frozen=True, slots=True)
 class ReissueEvent:
-    """A decision on tasks of a Job that is taken over; its `verdict` is a `ReissueDecision`'s value."""
+    """A decision on tasks of a Job that is taken over; `verdict` is the value of a `ReissueDecision`."""
 
     uid: str
     key: str  # namespace/name
@@ -59,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredJob:
-    """The outcome of a Job of this placer's ended session; `primary` is "" where no successor knows it."""
+    """The outcome of a Job of this placer's ended session; `primary` is "" if no successor knows the Job."""
 
     uid: str
     outcome: str
@@ -69,40 +72,40 @@
 
 
 class ReplicationListener(Protocol):
-    """What the core does with the events of replication, and what replication reads of it.
+    """The core's handlers of replication events, and the state of the core that replication reads.
 
     Called synchronously, within a call of `RecordReplication` or by the task of the peers' host: no method may block.
     """
 
     def on_startable(self) -> None:
-        """Jobs that were taken over are ready: start what `next_starts` returns."""
+        """Jobs that were taken over are ready: start those that `next_starts` returns."""
 
     def on_reissue(self, event: ReissueEvent) -> None:
-        """A decision was taken on tasks of a Job; those to be run come by `on_startable`."""
+        """A decision on tasks of a Job was made; tasks to run are announced by `on_startable`."""
 
     def on_machine_query(self, ident: str, query: MachineQuery) -> None:
-        """Fence a Job at a machine of this region, and send what it says by `send_machine_report`."""
+        """Fence a Job at a machine of this region, and send the machine's answer by `send_machine_report`."""
 
     def on_superseded(self, uid: str, primary: str) -> None:
-        """Another placer is primary of a Job by a later epoch, or by precedence."""
+        """Another placer is the primary of a Job, by a later epoch or by precedence."""
 
     def on_recovered(self, job: RecoveredJob) -> None:
         """A successor answered with the outcome of a Job of this placer's ended session."""
 
     def on_session_over(self, session: Session) -> None:
-        """This placer's session has ended: its successors decide about all Jobs that were leased under it."""
+        """This placer's session has ended: successors decide on all Jobs that were leased under it."""
 
     def own_jobs(self, session: Session) -> Mapping[str, OwnJob]:
         """The Jobs, by uid, that this placer had leased under a session of its own; empty for any other."""
         ...
 
     def terms_of(self, record: LeasedJobRecord) -> ReplicationTerms:
-        """What a Job's federation spec asks for now."""
+        """The replication terms that a Job's federation spec requires now."""
         ...
 
 
 class RecordReplication:
-    """Replicates records for the core, and gives its events to the listener that `connect` sets."""
+    """Replicates records for the core, and passes events to the listener that `connect` sets."""
 
     def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
         self._hub = hub
@@ -116,12 +119,12 @@
             ReplicatorSettings(pace=FAILOVER_PACE),
         )
         self._waiting: dict[int, OnSettled] = {}  # by token
-        self._members: dict[str, tuple[str, int]] = {}  # region and life by name
+        self._members: dict[str, tuple[str, int]] = {}  # region and incarnation by name
 
     def connect(self, listener: ReplicationListener) -> None:
-        """Take part among the peers, with this listener; once, before any other call.
+        """Register with the peers' host and set the listener; call once, before any other method.
 
-        Apart from the constructor, as the listener itself replicates records by this object.
+        Separate from the constructor, as the listener itself needs this object to replicate records.
         """
         self._listener = listener
         peering = self._peering
@@ -142,13 +145,13 @@
         return self._listener
 
     def run(self) -> None:
-        """Follow the membership, until cancelled."""
+        """Poll the membership until cancelled."""
         while True:
             self.refresh_members()
             self._hub.sleep(MEMBERS_INTERVAL_US)
 
     def refresh_members(self) -> None:
-        """Read the membership, and act where it has changed."""
+        """Read the membership, and pass a change to the replicator."""
         alive = {
             each.update.ident: (each.update.region, each.update.life)
             for each in self._peering.membership.table.live_members()
@@ -158,7 +161,7 @@
             self._members = alive
             self.perform(self.replicator.on_membership(self._hub.now_us(), alive))
 
-    # -- changes by the core; `on_settled` is called once, within the call or later
+    # -- changes by the core; `on_settled` is called once, during the call or later
 
     def replicate(
         self,
@@ -167,53 +170,53 @@
         deadline_us: int,
         on_settled: OnSettled,
     ) -> None:
-        """Replicate a new Job's record; where that fails, the caller has to `remove` it."""
+        """Replicate a new Job's record until `deadline_us`; if that fails, the caller must `remove` it."""
         now = self._hub.now_us()
         self._await(self.replicator.primary.replicate(now, record, terms, deadline_us), on_settled)
 
     def record_send(
         self, uid: str, known: KnownTask, deadline_us: int, on_settled: OnSettled
     ) -> None:
-        """An attempt is about to be sent."""
+        """Record that an attempt is about to be sent."""
         now = self._hub.now_us()
         self._await(self.replicator.primary.record_send(now, uid, known, deadline_us), on_settled)
 
     def record_placed(
         self, uid: str, known: KnownTask, deadline_us: int, on_settled: OnSettled
     ) -> None:
-        """A machine runs a task."""
+        """Record that a machine runs a task."""
         now = self._hub.now_us()
         self._await(self.replicator.primary.record_placed(now, uid, known, deadline_us), on_settled)
 
     def record_not_running(self, uid: str, index: int) -> None:
-        """An attempt is proven not to run."""
+        """Record that an attempt is proven not to run."""
         now = self._hub.now_us()
         if uid in self.replicator.primary.jobs:
             _, effects = self.replicator.primary.record_not_running(now, uid, index, now)
             self._perform_primary(effects)
 
     def record_task_ended(self, uid: str, index: int) -> None:
-        """A task is over."""
+        """Record that a task has ended."""
         now = self._hub.now_us()
         if uid in self.replicator.primary.jobs:
             _, effects = self.replicator.primary.record_task_ended(now, uid, index, now)
             self._perform_primary(effects)
 
     def record_answer(self, uid: str, answer: str) -> None:
-        """The answer that the Job's owner was given."""
+        """Record the answer that the Job's owner received."""
         now = self._hub.now_us()
         if uid in self.replicator.primary.jobs:
             _, effects = self.replicator.primary.record_answer(now, uid, answer, now)
             self._perform_primary(effects)
 
     def remove(self, uid: str) -> None:
-        """A Job is over, deleted, or was never accepted: no replica needs its record."""
+        """Remove the record of a Job that has ended, was deleted or was never accepted; no replica needs it."""
         self.perform(self.replicator.remove(self._hub.now_us(), uid))
 
     def wait_for(self, change: Callable[[OnSettled], None], deadline_us: int) -> str:
-        """Make a change, and wait until its token is settled: "" if acknowledged, else why not.
+        """Make a change and wait until its token is settled; returns "" if acknowledged, otherwise the reason.
 
-        Ends `WAIT_GRACE_US` after the deadline at the latest, whatever delays the token.
+        Returns `WAIT_GRACE_US` after the deadline at the latest, even if the token is never settled.
         """
         results: list[str] = []
         settled = Signal(self._hub)
@@ -238,7 +241,7 @@
     def next_starts(
         self, cores: float, memory: float, may_start: Callable[[LeasedJobRecord], bool]
     ) -> list[StartOrder]:
-        """The Jobs to be started now, in order, within this capacity (cores, GiB)."""
+        """The Jobs to start now, in order, within this capacity (cores, GiB of memory)."""
         now = self._hub.now_us()
         starts, effects = self.replicator.next_starts(now, cores, memory, may_start)
         self.perform(effects)
@@ -257,7 +260,7 @@
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
         """Handle another placer's message."""
         if isinstance(message, ReplicateResponse) and message.over:
-            # The answer ends the session: the core has to note its Jobs of it before they are gone.
+            # The response ends the session: the core must record its Jobs before the replicator drops them.
             self._connected().own_jobs(self.replicator.primary.session)
         return self._dispatch(self.replicator.on_message(now_us, ident, address, message))
 
@@ -274,7 +277,7 @@
         self.perform(self.replicator.process(self._hub.now_us(), effects))
 
     def _dispatch(self, effects: Iterable[Effect]) -> list[Effect]:
-        """Settle waits, and call the listener; return the effects for the peers' host."""
+        """Settle tokens and call the listener; return the effects that the peers' host must apply."""
         out: list[Effect] = []
         for effect in effects:
             if isinstance(effect, Notify) and effect.event == "kept":
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -1,4 +1,4 @@
-"""Between a placer's settings and the agreed rule set: the one a file asks for, and what it changes at the placer."""
+"""Conversion between settings and rule sets: the rule set that a file requests, and the settings under agreed rules."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def requested_rule_set(settings: PlacerSettings) -> RuleSet:
-    """The rule set that a file of settings asks for, with its calendars; SettingsError where one cannot be used."""
+    """The rule set that a settings file requests, with its calendars; raises SettingsError for an invalid calendar."""
     calendar = load_calendar(settings.calendars)
     scheduler = settings.scheduler
     agree = settings.agree
@@ -59,16 +59,16 @@
 
 
 def with_current_drains(wanted: RuleSet, in_force: RuleSet) -> RuleSet:
-    """A rule set with the requested and cancelled drains of the one in force, as no file has any."""
+    """A rule set with the requested and cancelled drains of the one in force: settings files contain neither."""
     return replace(wanted, asked=in_force.asked, cancelled=in_force.cancelled)
 
 
 def agreed_scheduler_settings(
     settings: PlacerSettings, text: str, cold_share: int | None = None
 ) -> api.Settings:
-    """The module's settings while a placer acts on a rule set; classes that this lacks are held at the gate.
+    """The decision module's settings under an agreed rule set; the send gate holds tasks of classes that it lacks.
 
-    `cold_share`: the placer's share of the cold budget now, where that is a limit of the whole fleet.
+    `cold_share`: the placer's current share of the cold budget, if that is a fleet-wide limit.
     """
     rules = parse_rule_set(text)
     scheduler = module_settings(settings)
@@ -84,7 +84,7 @@
         placers=max(1, scheduler.placers),
     )
     if settings.subset is not None and cold_share is None:
-        # Each machine's own holders share what all members have together.
+        # The placers that hold a machine in their subsets share the total budget of all members.
         return module_settings(
             settings, replace(under_rules, fresh_offers=float(total_cold_offers(rules)))
         )
@@ -93,7 +93,7 @@
 
 
 def total_cold_offers(rules: RuleSet) -> int:
-    """Offers to one cold machine within the window, by all members together."""
+    """The number of offers that all members together may send to one cold machine within the window."""
     return sum(share for _, share in rules.cold_shares)
 
 
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -1,6 +1,7 @@
 """The REST resource of the agreed rule sets, at any placer: state, proposals, floors, voters.
 
-What only the leader can do gets 307 with the leader's address from the others; 503 where no leader is known.
+Other placers answer requests that only the leader can process with 307 and the leader's address, or 503 without a
+known leader.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from wingbarrow.peers.ruleset_settings import with_current_drains
 from wingbarrow.transport import Hub
 
-DECISION_TIMEOUT_US = 5_000_000
+DECISION_TIMEOUT_US = 5_000_000  # for a proposal to be decided
 DECISION_POLL_US = 10_000
 MAX_IDENT_CHARS = 100  # of an idempotency key, and of an author's name
 MAX_REASON_CHARS = 500
@@ -46,7 +47,7 @@
 
     @classmethod
     def from_body(cls, value: dict[str, Any], latest_version: int) -> Self:
-        """Read the body; ApiError 422 where it is none."""
+        """Read the body; raises ApiError 422 if it is invalid."""
         ident, rules, lasts_us = value.get("ident"), value.get("rules"), value.get("lastsUs")
         if (
             not isinstance(ident, str)
@@ -77,7 +78,7 @@
         self._peering = peering
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer one request; raises ApiError for what is rejected."""
+        """Answer one request to the path `parts` below the API's root; raises ApiError if it is rejected."""
         agreement = self._peering.agreement
         if agreement is None:
             raise ApiError(
@@ -96,12 +97,12 @@
             405 if parts in ([], ["voters"]) else 404, "GET or POST rules, POST rules/voters"
         )
 
-    # -- for other resources
+    # -- used by other resources
 
     def redirect(self, request: Request) -> Answer | None:
-        """The redirection to the leader, for what only that can do; None at the leader.
+        """The redirection of a request that only the leader can process; None at the leader.
 
-        Raises ApiError 503 where this placer agrees with nobody, or knows no leader.
+        Raises ApiError 503 without voters in the settings, or without a known leader.
         """
         agreement = self._peering.agreement
         if agreement is None:
@@ -111,17 +112,17 @@
         return None if agreement.is_leader else self._redirect_to_leader(agreement, request)
 
     def latest(self) -> RuleSet | None:
-        """At the leader: the rules of the latest version; None before there is one."""
+        """At the leader: the rules of the latest version; None before the first one."""
         agreement = self._peering.agreement
         if agreement is None or not agreement.agreed.latest:
             return None
         return parse_rule_set(agreement.agreed.latest)
 
     def change(self, edit: Callable[[RuleSet], RuleSet], why: str) -> dict[str, Any]:
-        """At the leader: propose the latest rules as `edit` changes them, again where another version came first.
+        """At the leader: propose the latest rules as changed by `edit`; retried if another version is accepted first.
 
-        Returns the accepted `version`, and `floors`: for how long placers that are cut off may go on without it. Raises
-        ApiError 409 where it is not accepted, 503 where nothing is agreed on, 504 where it is not decided in time.
+        Returns the accepted `version`, and `floors`: for how long isolated placers may continue without it. Raises
+        ApiError 409 if it is rejected, 503 before the first version, 504 if it is not decided in time.
         """
         agreement = self._peering.agreement
         if agreement is None or not agreement.agreed.revision:
@@ -261,11 +262,16 @@
             return
         proposal = ProposalEntry(request.ident, request.base, rules, request.by, request.why)
         entry = proposal.to_entry()
-        entry["base"] = entry.pop("base")  # last, as this resource has always written it
+        entry["base"] = entry.pop(
+            "base"
+        )  # last: the order in which this resource has always encoded entries
         self._peering.propose("propose", entry)
 
     def _outcome_of(self, agreement: Coordinator, ident: str) -> str:
-        """The objection by which a proposal was rejected, "" where it was accepted, once that is decided."""
+        """Wait until a proposal is decided; returns the objection, or "" if it was accepted.
+
+        Raises ApiError 504 after `DECISION_TIMEOUT_US`.
+        """
         end_us = self._hub.now_us() + DECISION_TIMEOUT_US
         while ident not in agreement.agreed.outcomes:
             if self._hub.now_us() >= end_us:
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -1,4 +1,4 @@
-"""A voter's persistent state in one LMDB environment; what `persist` was given is on disk when it returns.
+"""A voter's persistent state in one LMDB environment; an update is on disk when `persist` returns.
 
 Layout, version `FORMAT`: all values are JSON.
 
@@ -6,8 +6,8 @@
     snapshot                  [index, term, voters with spaces between, state]
     entry/ + index, 8 bytes   [term, kind, body]
 
-An operator makes a store once (`create`). A voter that finds none where there was one must not begin anew by itself: it
-has lost the votes that it cast (Raft, 3.8).
+An operator creates a store once (`create`). A voter whose store is missing must not create a new one by itself: it has
+lost the votes that it cast (Raft, 3.8).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MAP_SIZE_BYTES = 256 << 20
 FORMAT = 1
-DATA_FILE = "data.mdb"  # LMDB's own name
+DATA_FILE = "data.mdb"  # name set by LMDB
 OWNER_FILE = "owner"  # locked by the process that has the store open
 
 _META_KEY = b"meta"
@@ -36,7 +36,7 @@
 
 
 class StoreError(Exception):
-    """A store could not be used: its folder, the operation ("open", "load", "persist", "create"), and why."""
+    """An operation on the store in `folder` failed: "open", "load", "persist" or "create"; `reason` says why."""
 
     def __init__(self, folder: Path, *, operation: str, reason: str) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -50,14 +50,14 @@
 
 
 def _entry_index(key: bytes) -> int | None:
-    """The index of an entry's key; None for other keys."""
+    """The log index in an entry's key; None for other keys."""
     if not key.startswith(_ENTRY_PREFIX):
         return None
     return int.from_bytes(key[len(_ENTRY_PREFIX) :], "big")
 
 
 def _lock(folder: Path) -> TextIO:
-    """Own a store until the file is closed; LMDB itself would let several processes write."""
+    """Lock a store until the returned file is closed; LMDB itself permits several processes to write."""
     try:
         file = (folder / OWNER_FILE).open("a", encoding="utf-8")
     except OSError as error:
@@ -71,9 +71,9 @@
 
 
 class VoterStore:
-    """A store that `create` has made, open until `close` or the end of a `with`; one process at a time.
+    """An open store that `create` made; close it by `close` or a `with` block. Only one process can open it at a time.
 
-    Raises StoreError where it cannot be opened.
+    The constructor raises StoreError if the store cannot be opened.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -104,12 +104,12 @@
         self.close()
 
     def close(self) -> None:
-        """Close the environment, and let other processes open it."""
+        """Close the environment and release the lock."""
         self._environment.close()
         self._owner.close()
 
     def load(self) -> PersistentState:
-        """All that is stored. Raises StoreError where it cannot be read, or cannot be what `persist` has written."""
+        """Load the state. Raises StoreError if it is unreadable, or inconsistent with what `persist` writes."""
         try:
             with self._environment.begin() as transaction:
                 return self._load(transaction)
@@ -121,7 +121,7 @@
         meta: dict[str, Any] = json.loads(transaction.get(_META_KEY) or b"{}")
         index, term, voters, state = json.loads(transaction.get(_SNAPSHOT_KEY) or b"null")
         if meta.get("form") != FORMAT:
-            reason = f"form {meta.get('form')}; {FORMAT} is read here"
+            reason = f"unsupported format version {meta.get('form')}, expected {FORMAT}"
             raise StoreError(self.folder, operation="load", reason=reason)
         persistent = PersistentState(
             tuple(voters.split()), meta["term"], meta["vote"], index, term, state
@@ -131,13 +131,13 @@
             if entry_index is None or entry_index <= persistent.snapshot_index:
                 continue
             if entry_index != persistent.last_log_index + 1:
-                reason = f"entry {entry_index} after {persistent.last_log_index}"
+                reason = f"gap in the log: entry {entry_index} after {persistent.last_log_index}"
                 raise StoreError(self.folder, operation="load", reason=reason)
             persistent.log.append(LogEntry(*json.loads(value)))
         return persistent
 
     def persist(self, update: Persist) -> None:
-        """Write an update in one transaction and sync it. Raises StoreError where none of it was written."""
+        """Write an update in one transaction and sync it. Raises StoreError if that fails; then nothing was written."""
         try:
             with self._environment.begin(write=True) as transaction:
                 self._write_meta(transaction, update)
@@ -167,7 +167,7 @@
             transaction.put(_entry_key(index), json.dumps(value).encode())
 
     def _delete_entries(self, transaction: Any, first_index: int, end_index: int | None) -> None:
-        """Delete entries from an index on, up to `end_index` (exclusive; None: all)."""
+        """Delete entries from `first_index` up to `end_index` (exclusive; None: to the end)."""
         with transaction.cursor() as cursor:
             found = cursor.set_range(_entry_key(first_index))
             while found:
@@ -178,7 +178,7 @@
 
 
 def create(folder: Path, voters: tuple[str, ...]) -> None:
-    """Make the store of a voter that has never voted. Raises StoreError where there is one already."""
+    """Create the store of a voter that has never voted. Raises StoreError if it exists or cannot be created."""
     if (folder / DATA_FILE).exists():
         raise StoreError(folder, operation="create", reason="there is one already")
     try:
@@ -191,13 +191,13 @@
 
 
 def load(folder: Path) -> PersistentState:
-    """What a store holds, whose placer does not run."""
+    """Load the state of a store whose placer is stopped. Raises StoreError."""
     with VoterStore(folder) as store:
         return store.load()
 
 
 def become_sole_voter(folder: Path, name: str, recovery_kind: str) -> PersistentState:
-    """Make a voter the only one (`sole_voter_update`), whose placer does not run: what its store held before."""
+    """Make a voter the only one (`sole_voter_update`) while its placer is stopped; returns the previous state."""
     with VoterStore(folder) as store:
         persistent = store.load()
         store.persist(sole_voter_update(name, persistent, recovery_kind))
@@ -205,5 +205,5 @@
 
 
 def open_existing(folder: Path) -> VoterStore | None:
-    """The store of a folder, opened; None where none was made."""
+    """Open the store in a folder; None if there is none."""
     return VoterStore(folder) if (folder / DATA_FILE).exists() else None
