--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -12,11 +12,11 @@
 import multiprocessing
 import statistics
 
-from tests.peers.test_verdicts_path import wasted
+from tests.peers.test_ejections_path import starts_on_bad_machine
 
 
 def one(asked: tuple[int, bool, int]) -> int:
-    return wasted(*asked)
+    return starts_on_bad_machine(*asked)
 
 
 def main() -> None:
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S, Stage
 from wingbarrow.core.local_region import LocalRegion
 from wingbarrow.core.slow_start import SlowStartShares
 from wingbarrow.lab.build import Build
 
 
-class AgreeingSubsets(Agreeing):
+class AgreeingSubsets(AgreementStage):
     """Each machine is held by two of the members; the roster is theirs."""
 
     def join(self) -> None:
@@ -74,7 +74,7 @@
         stage.hub.sleep(8 * S)
         placed = sum(each.context.counts["placed"] for each in live)
         assert placed >= 50
-        fewer = stage.changed(cold_shares=[["placer-0", 5]])
+        fewer = stage.latest_rules(cold_shares=[["placer-0", 5]])
         status, _ = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": fewer})
         assert status == 201 and stage.wait(lambda: stage.all_on("e3"), 20), (
             "by way of what both allow"
--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import JOBS, S
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import PlacerSlot
@@ -30,7 +30,7 @@
 """
 
 
-class Regions(Agreeing):
+class Regions(AgreementStage):
     """Placer `i` stands in region `i % 3`, machine `j` in `j % 3`; the first of each region votes."""
 
     lease_s = 3
@@ -106,7 +106,7 @@
             return True
         return slot.service.placer.peering.lease.may_send(self.hub.now_us())
 
-    def give(
+    def submit_to(
         self,
         slot: PlacerSlot,
         name: str,
@@ -127,14 +127,18 @@
             "retry-after": response.get("retry-after"),
         }
 
-    def taken(self, slot: PlacerSlot, name: str, task_class: str = "web", **more: Any) -> str:
+    def submit_placed(
+        self, slot: PlacerSlot, name: str, task_class: str = "web", **more: Any
+    ) -> str:
         """Have it accepted and placed: its uid."""
-        status, value = self.give(slot, name, task_class, **more)
+        status, value = self.submit_to(slot, name, task_class, **more)
         assert status == 201, value
-        assert self.wait(lambda: "Placed" in self.told(slot, name), 6), self.told(slot, name)
+        assert self.wait(lambda: "Placed" in self.job_conditions(slot, name), 6), (
+            self.job_conditions(slot, name)
+        )
         return str(value["metadata"]["uid"])
 
-    def told(self, slot: PlacerSlot, name: str) -> dict[str, str]:
+    def job_conditions(self, slot: PlacerSlot, name: str) -> dict[str, str]:
         status, value = self.ask(slot, path=f"{JOBS}/{name}")
         conditions = value["status"].get("conditions", ()) if status == 200 else ()
         return {each["type"]: each["reason"] for each in conditions}
--- a/tests/peers/stage.py
+++ b/tests/peers/stage.py
@@ -14,7 +14,7 @@
 RULES = "/apis/wingbarrow.io/v1/rules"
 
 
-class Agreeing(Stage):
+class AgreementStage(Stage):
     """Five placers, three of them voters, that know each other by the first one."""
 
     limits = ""  # in KDL, within `agree`
@@ -42,7 +42,7 @@
         for slot in slots:
             slot.start()
 
-    def label(self, slot: PlacerSlot) -> str:
+    def rules_label(self, slot: PlacerSlot) -> str:
         if slot.service is None:
             return ""
         acting = slot.service.placer.active_rules.permitted_rules
@@ -57,7 +57,9 @@
 
     def all_on(self, label: str) -> bool:
         return all(
-            self.label(slot) == label for slot in self.cluster.placers if slot.service is not None
+            self.rules_label(slot) == label
+            for slot in self.cluster.placers
+            if slot.service is not None
         )
 
     def leader(self) -> PlacerSlot:
@@ -82,6 +84,6 @@
         )
         return response.status, json.loads(response.body)
 
-    def changed(self, **changes: Any) -> dict[str, Any]:
+    def latest_rules(self, **changes: Any) -> dict[str, Any]:
         state = self.ask(self.leader())[1]
         return {**state["versions"][-1]["rules"], **changes}
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers.stage import RULES, Agreeing
+from tests.peers.stage import RULES, AgreementStage
 from tests.stage import S
 from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
@@ -18,7 +18,7 @@
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
 
-class Draining(Agreeing):
+class DrainStage(AgreementStage):
     """With work at all placers."""
 
     def phase(self, slot: PlacerSlot, machine: str) -> str:
@@ -63,26 +63,28 @@
         }
 
     def propose(self, ident: str, **changes: Any) -> tuple[int, dict[str, Any]]:
-        return self.ask(self.leader(), "POST", {"ident": ident, "rules": self.changed(**changes)})
+        return self.ask(
+            self.leader(), "POST", {"ident": ident, "rules": self.latest_rules(**changes)}
+        )
 
 
 def test_drain_requested_at_one_placer_is_agreed_by_all_and_cancelled_at_another() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         other = next(slot for slot in stage.cluster.placers if slot is not stage.leader())
         wanted = {"machine": "node-2", "lasts": "10m"}
-        status, told = stage.ask(other, "POST", wanted, DRAINS)
-        assert (status, told["name"]) == (307, stage.leader().name)
-        status, told = stage.ask(stage.leader(), "POST", wanted, DRAINS)
+        status, answer = stage.ask(other, "POST", wanted, DRAINS)
+        assert (status, answer["name"]) == (307, stage.leader().name)
+        status, answer = stage.ask(stage.leader(), "POST", wanted, DRAINS)
         assert status == 201
-        assert told["version"] == 2
-        assert told["floors"] == []
+        assert answer["version"] == 2
+        assert answer["floors"] == []
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         again = stage.ask(stage.leader(), "POST", wanted, DRAINS)
-        assert (again[0], again[1]["key"]) == (200, told["key"]), (
+        assert (again[0], again[1]["key"]) == (200, answer["key"]), (
             "its answer may be lost: it is taken once"
         )
         assert stage.ask(stage.leader())[1]["version"] == 2
@@ -115,7 +117,7 @@
 
 
 def test_window_removed_at_the_last_second_and_added_again_applies_to_all() -> None:
-    stage = Draining(machines=4, placers=3)
+    stage = DrainStage(machines=4, placers=3)
 
     def script() -> None:
         stage.join()
@@ -142,7 +144,7 @@
 
 
 def test_placer_without_rules_moves_no_tasks() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
@@ -156,10 +158,10 @@
         assert stage.wait(lambda: stage.phase(alone, "node-1") == "draining", 15)
         for slot in stage.cluster.placers[:3]:
             slot.kill()
-        assert stage.wait(lambda: stage.label(alone) == "", 10)
+        assert stage.wait(lambda: stage.rules_label(alone) == "", 10)
         moved = alone.service.placer.context.counts["drain_moves"]
         stage.hub.sleep(15 * S)
-        assert stage.label(alone) == ""
+        assert stage.rules_label(alone) == ""
         assert alone.service.placer.context.counts["drain_moves"] == moved
         assert stage.phase(alone, "node-1") == "draining"
 
@@ -167,35 +169,35 @@
 
 
 def test_drain_under_a_floor_is_accepted_with_the_floors_time() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        floor = {**stage.changed(), "cold_shares": [], "attempts_most": 2}
+        floor = {**stage.latest_rules(), "cold_shares": [], "attempts_most": 2}
         assert (
             stage.ask(stage.leader(), "POST", {"ident": "f", "rules": floor, "lastsUs": 60 * S})[0]
             == 201
         )
         stage.hub.sleep(2 * S)
-        status, told = stage.ask(
+        status, answer = stage.ask(
             stage.leader(), "POST", {"machine": "node-2", "lasts": "10m"}, DRAINS
         )
         assert status == 201
-        assert told["floors"] == [{"number": 1, "lastsUs": 60 * S}]
+        assert answer["floors"] == [{"number": 1, "lastsUs": 60 * S}]
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         for slot in stage.cluster.placers[:3]:
             slot.kill()
         stage.hub.sleep(4 * S)
         alone = stage.cluster.placers[4]
-        assert stage.label(alone) == "f1"
+        assert stage.rules_label(alone) == "f1"
         assert stage.phase(alone, "node-2") == "draining", "known before, it goes on"
 
     stage.play(script)
 
 
 def test_spread_is_lowered_while_services_run_at_more() -> None:
-    stage = Draining(machines=3, placers=3)
+    stage = DrainStage(machines=3, placers=3)
 
     def script() -> None:
         stage.join()
@@ -207,7 +209,7 @@
         assert stood >= 3
         classes = [
             {**each, "spread_most": 2} if each["name"] == "web" else each
-            for each in stage.changed()["classes"]
+            for each in stage.latest_rules()["classes"]
         ]
         assert stage.propose("t", classes=classes)[0] == 201
         assert stage.wait(lambda: stage.all_on("e2"), 5)
@@ -229,14 +231,14 @@
 
 
 def test_placer_joins_the_cold_budget_while_a_zone_warms_up() -> None:
-    stage = Draining(machines=4, placers=4)
+    stage = DrainStage(machines=4, placers=4)
     offers: list[int] = []
     since: list[int] = []
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        offers.append(sum(share for _, share in stage.changed()["cold_shares"]))
+        offers.append(sum(share for _, share in stage.latest_rules()["cold_shares"]))
         three = [[f"placer-{index}", offers[0] // 3] for index in range(3)]
         assert stage.propose("three", cold_shares=three)[0] == 201
         assert stage.wait(lambda: stage.all_on("e3"), 8), "by what both allow"
@@ -266,7 +268,7 @@
 
 
 def test_fleet_goes_on_without_a_lost_majority_of_voters(tmp_path: Path) -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
     files: dict[str, Path] = {}
 
     def script() -> None:
@@ -306,7 +308,7 @@
         # One of the lost comes back with its store after all: it hears of a later term and decides nothing.
         stage.cluster.placers[0].start()
         stage.hub.sleep(8 * S)
-        assert stage.label(stage.cluster.placers[0]) == "e1004"
+        assert stage.rules_label(stage.cluster.placers[0]) == "e1004"
         assert stage.leader() in (
             left,
             taken_in,
--- a/tests/peers/test_verdicts_path.py
+++ b/tests/peers/test_ejections_path.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S, Stage
 from wingbarrow.lab.cluster import PlacerSlot
 
 VERDICTS = "/apis/wingbarrow.io/v1/verdicts"
 
 
-class Judged(Agreeing):
+class EjectionStage(AgreementStage):
     """Placers with work, and machines that may fail every start."""
 
     def work(self, seconds: float, tag: str) -> None:
@@ -31,9 +31,9 @@
         ]
 
 
-def wasted(placers: int, agree: bool, seed: int = 3) -> int:
+def starts_on_bad_machine(placers: int, agree: bool, seed: int = 3) -> int:
     """Starts that one bad machine in eight costs in 12 s."""
-    stage = Judged(machines=8, placers=placers, seed=seed)
+    stage = EjectionStage(machines=8, placers=placers, seed=seed)
     begun: list[int] = []
 
     def script() -> None:
@@ -49,10 +49,10 @@
     return len(stage.offers("node-3", begun[0]))
 
 
-def test_two_witnesses_close_a_bad_machine_to_all_one_tries_it_and_good_experience_opens_it() -> (
+def test_two_reporters_eject_a_bad_machine_one_placer_probes_it_and_successes_reinstate_it() -> (
     None
 ):
-    stage = Judged(machines=8, placers=5)
+    stage = EjectionStage(machines=8, placers=5)
 
     def script() -> None:
         stage.join()
@@ -63,12 +63,12 @@
         stage.work(5, "a")
         slots = stage.cluster.placers
         assert sum(stage.closed(slot, "node-3") for slot in slots) >= 4
-        told = stage.ask(stage.leader(), path=VERDICTS)[1]
-        (verdict,) = told["items"]
+        answer = stage.ask(stage.leader(), path=VERDICTS)[1]
+        (verdict,) = answer["items"]
         assert verdict["machine"] == "node-3"
         assert len(verdict["by"]) >= 2
         assert not verdict["ended"]
-        assert any("node-3" in each["evidence"] for each in told["witnesses"])
+        assert any("node-3" in each["evidence"] for each in answer["witnesses"])
         assert stage.ask(slots[4], path=VERDICTS)[1]["closed"] in ([], ["node-3"])
         since = stage.hub.now_us()
         stage.work(3, "b")
@@ -81,14 +81,12 @@
     stage.play(script)
 
 
-def test_a_bad_machine_costs_a_fleet_that_agrees_less_than_one_whose_placers_find_out_alone() -> (
-    None
-):
-    assert wasted(8, True) * 2 < wasted(8, False)
+def test_a_bad_machine_wastes_fewer_starts_with_agreed_ejections_than_without() -> None:
+    assert starts_on_bad_machine(8, True) * 2 < starts_on_bad_machine(8, False)
 
 
-def test_one_liar_closes_nothing() -> None:
-    stage = Judged(machines=8, placers=5)
+def test_false_reports_of_one_placer_eject_nothing() -> None:
+    stage = EjectionStage(machines=8, placers=5)
 
     def script() -> None:
         stage.join()
@@ -102,9 +100,9 @@
                     stage.hub.now_us(), machine.name, False
                 )
             stage.hub.sleep(S // 4)
-        told = stage.ask(stage.leader(), path=VERDICTS)[1]
-        assert not told["items"]
-        assert any(each["bad"] == 8 for each in told["witnesses"])
+        answer = stage.ask(stage.leader(), path=VERDICTS)[1]
+        assert not answer["items"]
+        assert any(each["bad"] == 8 for each in answer["witnesses"])
         assert not any(
             stage.closed(slot, machine.name)
             for slot in stage.cluster.placers
@@ -114,7 +112,7 @@
     stage.play(script)
 
 
-def test_a_placer_that_agrees_with_nobody_gives_no_verdicts() -> None:
+def test_placer_without_agreement_has_no_verdicts_resource() -> None:
     stage = Stage(machines=2)
 
     def script() -> int:
--- a/tests/peers/test_forwarding_path.py
+++ b/tests/peers/test_forwarding_path.py
@@ -8,7 +8,7 @@
 from tests.stage import JOBS, S
 
 
-class Handing(Regions):
+class ForwardingStage(Regions):
     """What is asked of the north goes by `home`: to the south, else to the east."""
 
     def where(self, uid_of: str) -> set[str]:
@@ -40,15 +40,18 @@
 
 
 def test_a_job_that_its_spec_forbids_here_runs_in_another_region_and_is_answered_here() -> None:
-    stage = Handing()
+    stage = ForwardingStage()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
         for number in range(4):
-            assert stage.give(north, f"job-{number}", spec="home", runs_s=4)[0] == 201
+            assert stage.submit_to(north, f"job-{number}", spec="home", runs_s=4)[0] == 201
         assert stage.wait(
-            lambda: all("Placed" in stage.told(north, f"job-{number}") for number in range(4)), 6
+            lambda: all(
+                "Placed" in stage.job_conditions(north, f"job-{number}") for number in range(4)
+            ),
+            6,
         )
         assert all(
             stage.where(f"job-{number}") <= {"south", "east"}
@@ -56,7 +59,10 @@
             for number in range(4)
         )
         assert stage.wait(
-            lambda: all("Complete" in stage.told(north, f"job-{number}") for number in range(4)), 12
+            lambda: all(
+                "Complete" in stage.job_conditions(north, f"job-{number}") for number in range(4)
+            ),
+            12,
         )
         assert north.service is not None
         assert not north.service.placer.unexpected_transitions()
@@ -66,13 +72,13 @@
 
 
 def test_a_forwarded_job_that_is_deleted_here_is_stopped_by_its_receiver() -> None:
-    stage = Handing()
+    stage = ForwardingStage()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        assert stage.give(north, "gone", spec="home")[0] == 201
-        assert stage.wait(lambda: "Placed" in stage.told(north, "gone"), 6)
+        assert stage.submit_to(north, "gone", spec="home")[0] == 201
+        assert stage.wait(lambda: "Placed" in stage.job_conditions(north, "gone"), 6)
         stage.pool(north.port).request("DELETE", f"{JOBS}/gone", b"")
         assert stage.wait(lambda: len(stage.ended("gone")) == 1, 10), "stopped by its receiver"
 
@@ -83,22 +89,24 @@
 def test_a_cut_while_forwarding_fails_the_answer_and_starts_nothing_twice(
     task_class: str,
 ) -> None:
-    stage = Handing()
+    stage = ForwardingStage()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
         for machine in stage.machines_of(1) + stage.machines_of(2):
             machine.slowness = 3.0
-        assert stage.give(north, "cut", task_class, "home", patience_s=3)[0] == 201
+        assert stage.submit_to(north, "cut", task_class, "home", patience_s=3)[0] == 201
         assert stage.wait(lambda: len(stage.seen("offer")) > 0, 2)
         stage.cut(0)
         asked_us = stage.hub.now_us()
-        assert stage.wait(lambda: bool({"Failed", "Placed"} & set(stage.told(north, "cut"))), 5)
+        assert stage.wait(
+            lambda: bool({"Failed", "Placed"} & set(stage.job_conditions(north, "cut"))), 5
+        )
         assert stage.hub.now_us() - asked_us <= 3 * S + S // 5, (
             "answered in its patience, by who was asked"
         )
-        answer = stage.told(north, "cut")
+        answer = stage.job_conditions(north, "cut")
         assert answer.get("Failed") == "Failed", answer
         stage.cut(0, False)
         stage.hub.sleep(20 * S)
@@ -106,21 +114,22 @@
         assert len(stage.ended("cut")) == stage.started("cut"), (
             "what ran on was stopped once the cut was over"
         )
-        assert stage.told(north, "cut") == answer
+        assert stage.job_conditions(north, "cut") == answer
 
     stage.play(script)
 
 
 def test_a_job_whose_receiver_dies_is_run_by_its_successor_if_it_may_repeat() -> None:
-    stage = Handing()
+    stage = ForwardingStage()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        assert stage.give(north, "safe", spec="home")[0] == 201
-        assert stage.give(north, "once", "settlement", "home", patience_s=10)[0] == 201
+        assert stage.submit_to(north, "safe", spec="home")[0] == 201
+        assert stage.submit_to(north, "once", "settlement", "home", patience_s=10)[0] == 201
         assert stage.wait(
-            lambda: all("Placed" in stage.told(north, name) for name in ("safe", "once")), 12
+            lambda: all("Placed" in stage.job_conditions(north, name) for name in ("safe", "once")),
+            12,
         )
         for slot in stage.cluster.placers:
             if slot.index % 3 == 1:
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("spoil", [spoil_digest, garbage, another_form, too_many])
-def test_an_unusable_page_counts_for_nothing_and_the_next_peer_is_asked(
+def test_an_invalid_page_is_ignored_and_the_next_peer_is_asked(
     spoil: Callable[[int, bytes], bytes],
 ) -> None:
     stage = Stage(machines=4)
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("stall_at", [1, 2, 3])
-def test_a_peer_that_stalls_at_any_page_leaves_what_came_and_costs_a_bounded_time(
+def test_pages_before_a_stall_are_kept_and_the_delay_is_bounded(
     stall_at: int,
 ) -> None:
     stage = Stage(machines=4)
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("cut", [10, 200, 500])
-def test_a_hand_over_cut_inside_a_page_takes_nothing_of_it(cut: int) -> None:
+def test_a_transfer_cut_inside_a_page_applies_nothing_of_it(cut: int) -> None:
     stage = Stage(machines=4)
 
     def script() -> None:
@@ -266,7 +266,7 @@
     stage.play(script)
 
 
-def test_pages_twice_or_out_of_order_end_the_hand_over() -> None:
+def test_repeated_or_reordered_pages_end_the_transfer() -> None:
     for again in (1, 3):
         stage = Stage(machines=4)
 
@@ -294,7 +294,7 @@
         stage.play(script)
 
 
-def test_another_clusters_machines_are_refused_whole() -> None:
+def test_observations_of_another_cluster_are_rejected_as_a_whole() -> None:
     stage = Stage(machines=6)
 
     def script() -> None:
@@ -318,7 +318,7 @@
     stage.play(script)
 
 
-def test_a_clock_an_hour_off_does_no_harm_and_one_that_jumps_is_not_believed() -> None:
+def test_a_constant_clock_offset_is_harmless_and_a_clock_jump_is_not_trusted() -> None:
     for jump, believed in ((0, True), (1800 * S, False)):
         stage = Stage(machines=4)
 
@@ -339,7 +339,7 @@
         stage.play(script)
 
 
-def test_stale_knowledge_that_calls_itself_fresh_loses_to_a_newer_list() -> None:
+def test_stale_knowledge_with_a_fresh_age_is_overridden_by_a_newer_list() -> None:
     stage = Stage(machines=4)
 
     def script() -> None:
@@ -408,7 +408,7 @@
     return {name: getattr(build, name) for name in build.__slots__}
 
 
-def test_two_new_instances_that_ask_each_other_learn_no_echo() -> None:
+def test_two_new_instances_learn_nothing_from_each_other() -> None:
     stage = Stage(machines=3, placers=2)
 
     def script() -> None:
@@ -431,7 +431,7 @@
     stage.play(script)
 
 
-def test_ten_that_ask_at_once_are_served_within_bounds_and_placing_goes_on() -> None:
+def test_ten_concurrent_watches_are_bounded_and_placing_continues() -> None:
     stage = Stage(machines=6)
 
     def script() -> None:
@@ -466,10 +466,10 @@
     stage.play(script)
 
 
-def test_who_may_not_ask_is_refused_and_told_once() -> None:
-    told: list[str] = []
+def test_a_client_that_is_not_allowed_gets_403_and_is_logged_once() -> None:
+    events: list[str] = []
     stage = Stage(machines=1)
-    stage.cluster.log = lambda event, level="info", **fields: told.append(event)
+    stage.cluster.log = lambda event, level="info", **fields: events.append(event)
 
     def script() -> None:
         pool = stage.pool()
@@ -478,10 +478,10 @@
         assert pool.request("POST", "/apis/wingbarrow.io/v1/peers", b"{}").status == 403
 
     stage.play(script)
-    assert told.count("peer-refused") == 1
+    assert events.count("peer-refused") == 1
 
 
-def test_a_snapshot_is_resumed_within_its_time_and_gone_after_it() -> None:
+def test_a_snapshot_is_resumed_until_it_expires() -> None:
     snapshots = Snapshots(7)
     observations = [observation(f"m{i}") for i in range(450)]
     first = decode_page(
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -20,8 +20,8 @@
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        uid = stage.taken(north, "one")
-        other = stage.taken(north, "two")
+        uid = stage.submit_placed(north, "one")
+        other = stage.submit_placed(north, "two")
         assert stage.running(uid) != stage.running(other), (
             "one machine's clock is fast, the other's slow"
         )
@@ -52,21 +52,21 @@
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        floor = {**stage.changed(), "cold_shares": [], "attempts_most": 4}
-        status, told = stage.ask(
+        floor = {**stage.latest_rules(), "cold_shares": [], "attempts_most": 4}
+        status, answer = stage.ask(
             stage.leader(), "POST", {"ident": "f", "rules": floor, "lastsUs": 60 * S}
         )
-        assert status == 201, told
+        assert status == 201, answer
         assert north.service is not None
         placer = north.service.placer
         assert placer.leases is not None
         assert placer.leases.read_clock(placer.fleet._machines.links["node-0"])
-        uid = stage.taken(north, "one")
+        uid = stage.submit_placed(north, "one")
         stage.cut(0)
         stage.hub.sleep(6 * S)
         assert not stage.running(uid), "its machine stopped it, and it is asked for again"
-        assert stage.label(north) == "f1"
-        assert stage.give(north, "bare", spec="")[0] == 201
+        assert stage.rules_label(north) == "f1"
+        assert stage.submit_to(north, "bare", spec="")[0] == 201
         stage.hub.sleep(S)
         assert placer.context.counts["held:no_lease"]
         assert len(stage.seen("offer", uid=uid)) == 1
@@ -132,9 +132,9 @@
         assert machine.pods["good"].phase == "Running"
         stage.hub.sleep(S)
         assert machine.pods["good"].phase == "Failed"
-        told = ask("/fence", uid="u", epoch=3)[1]
-        assert told["holds"] == ["good"], "what ran and is over had its effect"
-        assert told["sure"]
+        answer = ask("/fence", uid="u", epoch=3)[1]
+        assert answer["holds"] == ["good"], "what ran and is over had its effect"
+        assert answer["sure"]
         assert offer("old", later(2 * S), 2) == (409, "Fenced")
         assert offer("new", later(2 * S), 3)[0] == 201
         former = later(2 * S)
@@ -158,20 +158,20 @@
         south = stage.cluster.placers[1]
         stage.cut(2)
         began = stage.hub.now_us()
-        status, value = stage.give(south, "kept", spec="home")
+        status, value = stage.submit_to(south, "kept", spec="home")
         assert status == 503, value
         assert "keeper" in value["message"]
         assert value["retry-after"], value
         assert stage.hub.now_us() - began <= 3 * S, "a bounded wait"
         began = stage.hub.now_us()
-        assert stage.give(south, "bare", spec="")[0] == 201
+        assert stage.submit_to(south, "bare", spec="")[0] == 201
         assert stage.hub.now_us() - began < S // 10
-        assert stage.give(south, "none", spec="nowhere")[0] == 422
-        assert stage.give(stage.cluster.placers[0], "away", spec="home")[0] == 201, (
+        assert stage.submit_to(south, "none", spec="nowhere")[0] == 422
+        assert stage.submit_to(stage.cluster.placers[0], "away", spec="home")[0] == 201, (
             "elsewhere: it is forwarded"
         )
         stage.cut(2, False)
-        assert stage.wait(lambda: stage.give(south, "kept", spec="home")[0] in (201, 409), 20)
+        assert stage.wait(lambda: stage.submit_to(south, "kept", spec="home")[0] in (201, 409), 20)
         assert south.service is not None
         assert not south.service.placer.unexpected_transitions()
 
@@ -189,7 +189,7 @@
         south = stage.cluster.placers[1]
         for machine in stage.machines_of(1):
             machine.slowness = 6.0
-        status, value = stage.give(south, "lost", task_class, "home", patience_s=5)
+        status, value = stage.submit_to(south, "lost", task_class, "home", patience_s=5)
         assert status == 201
         due = stage.hub.now_us() + 5 * S
         uid = value["metadata"]["uid"]
@@ -200,7 +200,9 @@
             3,
         )
         stage.cut(2)
-        assert stage.wait(lambda: stage.told(south, "lost").get("Failed") == "LeaseLost", 6)
+        assert stage.wait(
+            lambda: stage.job_conditions(south, "lost").get("Failed") == "LeaseLost", 6
+        )
         assert stage.hub.now_us() <= due + S // 10, "in its owner's patience"
         assert stage.starts(uid) == 1
         assert stage.wait(lambda: not stage.running(uid), 1)
@@ -218,7 +220,10 @@
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        safe, never = stage.taken(north, "safe"), stage.taken(north, "never", "settlement")
+        safe, never = (
+            stage.submit_placed(north, "safe"),
+            stage.submit_placed(north, "never", "settlement"),
+        )
         stage.cut(0)
         assert stage.wait(lambda: len(stage.running(safe)) == 1 and stage.starts(safe) == 2, 25), (
             stage.running(safe)
@@ -232,7 +237,7 @@
         holders = [
             slot
             for slot in stage.cluster.placers
-            if slot.index % 3 and stage.told(slot, "never").get("wingbarrow.io/Unknown")
+            if slot.index % 3 and stage.job_conditions(slot, "never").get("wingbarrow.io/Unknown")
         ]
         assert len(holders) == 1, "nor lost: one placer tells of it"
         stage.cut(0, False)
@@ -240,10 +245,12 @@
         stage.hub.sleep(10 * S)
         assert len(stage.running(safe)) == 1, "its successor's copy goes on, alone"
         assert stage.starts(safe) == 2
-        assert stage.told(north, "safe").get("wingbarrow.io/TakenOver") == "Run", stage.told(
-            north, "safe"
+        assert stage.job_conditions(north, "safe").get("wingbarrow.io/TakenOver") == "Run", (
+            stage.job_conditions(north, "safe")
         )
         assert stage.starts(never) == 1
-        assert stage.give(north, "fresh")[0] == 201, "it starts as holder of nothing, and works"
+        assert stage.submit_to(north, "fresh")[0] == 201, (
+            "it starts as holder of nothing, and works"
+        )
 
     stage.play(script)
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import JOBS, S
 from wingbarrow.config import SettingsError, load_text
 from wingbarrow.kube import names
@@ -16,15 +16,15 @@
 LIMITS = "/apis/wingbarrow.io/v1/limits"
 
 
-class Limited(Agreeing):
+class LimitStage(AgreementStage):
     """Placers that share limits."""
 
     def __init__(self, limits: str, machines: int = 4, placers: int = 5) -> None:
         super().__init__(machines, placers)
-        self.limits, self.turned_away = limits, list[tuple[int, str, str]]()
+        self.limits, self.rejected = limits, list[tuple[int, str, str]]()
         self.jobs_given: list[str] = []
 
-    def give(self, slot: PlacerSlot, name: str, runs_s: float = 60, service: str = "") -> bool:
+    def submit_to(self, slot: PlacerSlot, name: str, runs_s: float = 60, service: str = "") -> bool:
         """Ask a placer to run something; whether it accepted."""
         want = Want(0, name, "web", service or name, 0.25, 0.25, int(runs_s * S))
         response = self.pool(slot.port).request(
@@ -34,7 +34,7 @@
         )
         if response.status != 201:
             message = names.decode(response.body)["message"]
-            self.turned_away.append((response.status, message, response.get("retry-after") or ""))
+            self.rejected.append((response.status, message, response.get("retry-after") or ""))
         else:
             self.jobs_given.append(names.decode(response.body)["metadata"]["name"])
         return response.status == 201
@@ -49,13 +49,13 @@
     def fill(self, slot: PlacerSlot, tag: str, tries: int, pause_s: float = 0.2) -> int:
         taken = 0
         for number in range(tries):
-            taken += self.give(slot, f"{tag}-{number}")
+            taken += self.submit_to(slot, f"{tag}-{number}")
             self.hub.sleep(int(pause_s * S))
         return taken
 
 
 def test_one_placer_with_all_demand_gets_the_whole_limit_and_no_more() -> None:
-    stage = Limited('limit "namespace/default" most=20 stranded="5s"\n')
+    stage = LimitStage('limit "namespace/default" most=20 stranded="5s"\n')
 
     def script() -> None:
         stage.join()
@@ -63,15 +63,15 @@
         stage.hub.sleep(3 * S)
         one, other = stage.cluster.placers[4], stage.cluster.placers[3]
         assert stage.fill(one, "a", 26) == 20, "parts of those without demand are not left unused"
-        status, words, retry = stage.turned_away[-1]
+        status, words, retry = stage.rejected[-1]
         assert status == 429
         assert "limit namespace/default/standing of the whole fleet: 20 at once" in words
         assert 1 <= int(retry) <= 4
         assert stage.fill(other, "b", 6) == 0
         assert stage.standing() == 20
-        told = stage.ask(stage.leader(), path=LIMITS)[1]
-        assert told["accounts"][0]["free"] == 0
-        mine = next(each for each in told["accounts"][0]["held"] if each["placer"] == one.name)
+        answer = stage.ask(stage.leader(), path=LIMITS)[1]
+        assert answer["accounts"][0]["free"] == 0
+        mine = next(each for each in answer["accounts"][0]["held"] if each["placer"] == one.name)
         assert mine["uses"] == 20
         assert stage.ask(other, path=LIMITS)[1]["items"][0]["wants"] > 0
         for job in stage.jobs_given[:12]:
@@ -83,7 +83,7 @@
 
 
 def test_allocation_of_a_killed_placer_is_reclaimed_after_its_stranded_time() -> None:
-    stage = Limited('limit "namespace/default" most=12 stranded="6s"\n')
+    stage = LimitStage('limit "namespace/default" most=12 stranded="6s"\n')
 
     def script() -> None:
         stage.join()
@@ -98,7 +98,7 @@
         killed = stage.hub.now_us()
         first = None
         for number in range(200):
-            if stage.give(other, f"c-{number}"):
+            if stage.submit_to(other, f"c-{number}"):
                 first = stage.hub.now_us() - killed
                 break
             stage.hub.sleep(S // 10)
@@ -109,7 +109,7 @@
 
 
 def test_rate_limit_holds_through_a_leader_change() -> None:
-    stage = Limited('limit "class/web" most=10 per="5s"\n')
+    stage = LimitStage('limit "class/web" most=10 per="5s"\n')
     times: list[int] = []
 
     def script() -> None:
@@ -118,7 +118,7 @@
         stage.hub.sleep(3 * S)
         for number in range(120):
             slot = stage.cluster.placers[(3, 4)[number // 40 % 2]]
-            if stage.give(slot, f"r-{number}", 3):
+            if stage.submit_to(slot, f"r-{number}", 3):
                 times.append(stage.hub.now_us())
             if number == 60:
                 stage.leader().kill()
@@ -129,9 +129,9 @@
     assert len(times) >= 30, "and most of it is used"
 
 
-def cold_hall(limits: str) -> tuple[int, int]:
+def run_cold_hall(limits: str) -> tuple[int, int]:
     """One placer has all the work as a hall comes back cold: offers in its second to sixth second, and overruns."""
-    stage = Limited(limits)
+    stage = LimitStage(limits)
     since: list[int] = []
 
     def script() -> None:
@@ -145,7 +145,7 @@
             machine.launch(cold=True)
         since.append(stage.hub.now_us())
         for number in range(240):
-            stage.give(stage.cluster.placers[4], f"cold-{number}", 30)
+            stage.submit_to(stage.cluster.placers[4], f"cold-{number}", 30)
             stage.hub.sleep(S // 40)
         stage.hub.sleep(3 * S)
 
@@ -155,8 +155,8 @@
 
 
 def test_cold_budget_follows_demand() -> None:
-    parts, over = cold_hall("")
-    held, held_over = cold_hall('limit "cold"\n')
+    parts, over = run_cold_hall("")
+    held, held_over = run_cold_hall('limit "cold"\n')
     assert (over, held_over) == (0, 0)
     assert held >= 2 * parts, f"{held} offers where equal parts allow {parts}"
 
@@ -179,7 +179,7 @@
 
 
 def test_placer_without_agreement_has_no_limits_resource() -> None:
-    stage = Limited("")
+    stage = LimitStage("")
 
     def script() -> Any:
         return stage.ask(stage.cluster.placers[0], path=LIMITS)[0]
--- a/tests/peers/test_maintenance_path.py
+++ b/tests/peers/test_maintenance_path.py
@@ -6,8 +6,8 @@
 from dataclasses import asdict
 from typing import Any
 
-from tests.peers.stage import Agreeing
-from tests.peers.test_drains_agreed import Draining
+from tests.peers.stage import AgreementStage
+from tests.peers.test_drains_agreed import DrainStage
 from tests.stage import S
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.lab.cluster import PlacerSlot
@@ -16,7 +16,7 @@
 SLOTS_PATH = "/apis/wingbarrow.io/v1/turns"
 
 
-class MaintenanceStage(Draining):
+class MaintenanceStage(DrainStage):
     """With maintenance slots, requested of the leader."""
 
     def slot(self, number: int) -> dict[str, Any]:
@@ -110,7 +110,11 @@
         stage.ready()
         machines = [["node-1", "", "", ""], ["node-3", "", "", ""]]
         window = {**stage.window(8, 100), "each_us": 20 * S, "machines": machines}
-        budgets = {**read_plan(stage.changed()), "budgets": [["all", "max", 1.0]], "lead_us": 5 * S}
+        budgets = {
+            **read_plan(stage.latest_rules()),
+            "budgets": [["all", "max", 1.0]],
+            "lead_us": 5 * S,
+        }
         assert stage.propose("w", windows=[window], plan=budgets)[0] == 201
         seen: dict[str, set[str]] = {"node-1": set(), "node-3": set()}
         for step in range(110):
@@ -171,7 +175,7 @@
     stage.play(script)
 
 
-def leads(stage: Agreeing) -> bool:
+def leads(stage: AgreementStage) -> bool:
     def one(slot: PlacerSlot) -> bool:
         service = slot.service
         return (
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -70,7 +70,7 @@
     return json.dumps({**value, **changes}).encode()
 
 
-def test_what_is_written_is_read() -> None:
+def test_an_envelope_survives_encoding_and_decoding() -> None:
     read = decode_envelope(mail(), "main")
     assert (read.sender, read.address, read.messages, read.unknown_kinds) == (
         "placer-1",
@@ -80,7 +80,7 @@
     )
 
 
-def test_a_letter_of_an_unknown_kind_is_passed_over_and_the_others_count() -> None:
+def test_a_message_of_an_unknown_kind_is_skipped() -> None:
     letters = json.loads(mail())["letters"]
     read = decode_envelope(
         mail(letters=[{"kind": "from-the-future", "body": {"x": [1]}}, *letters]), "main"
@@ -123,19 +123,19 @@
         (mail(letters=word(address="x" * 301)), "address"),
     ],
 )
-def test_what_cannot_be_used_is_refused_in_words(raw: bytes, words: str) -> None:
+def test_an_invalid_envelope_is_rejected_with_a_reason(raw: bytes, words: str) -> None:
     with pytest.raises(MessageError, match=words):
         decode_envelope(raw, "main")
 
 
 @given(st.binary(max_size=400))
-def test_no_bytes_bring_about_anything_but_a_refusal(raw: bytes) -> None:
+def test_arbitrary_bytes_raise_only_message_error(raw: bytes) -> None:
     with pytest.raises(MessageError):
         decode_envelope(raw, "main")
 
 
 @given(st.integers(0, 10_000), st.integers(0, 255))
-def test_one_byte_changed_is_read_or_refused(at: int, byte: int) -> None:
+def test_an_envelope_with_one_changed_byte_is_decoded_or_rejected(at: int, byte: int) -> None:
     raw = bytearray(mail())
     raw[at % len(raw)] = byte
     try:
@@ -204,7 +204,7 @@
     return encode_envelope("main", "p", "127.0.0.1:1", [encode_message(each) for each in messages])
 
 
-def test_what_is_said_of_leases_is_read_as_it_was_written() -> None:
+def test_lease_messages_survive_encoding_and_decoding() -> None:
     assert decode_envelope(letters(*LEASING), "main").messages == LEASING
 
 
@@ -292,6 +292,6 @@
     ],
     ids=lambda each: type(each).__name__,
 )
-def test_what_is_said_of_leases_beyond_its_bounds_is_refused(message: Any) -> None:
+def test_lease_messages_over_a_bound_are_rejected(message: Any) -> None:
     with pytest.raises(MessageError):
         decode_envelope(letters(message), "main")
--- a/tests/peers/test_moving_path.py
+++ b/tests/peers/test_moving_path.py
@@ -6,7 +6,7 @@
 from tests.stage import S
 
 
-class Returning(Regions):
+class ReturningRegions(Regions):
     """What prefers the north goes back there once it has been well for a while."""
 
     specs = (
@@ -21,15 +21,13 @@
     )
 
 
-def test_runs_of_a_lost_region_go_back_once_it_is_well_few_at_a_time_and_never_what_must_not_move() -> (
-    None
-):
-    stage = Returning()
+def test_runs_of_a_lost_region_return_once_it_is_stable_and_each_runs_once() -> None:
+    stage = ReturningRegions()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        uids = [stage.taken(north, f"safe-{number}", spec="roams") for number in range(5)]
+        uids = [stage.submit_placed(north, f"safe-{number}", spec="roams") for number in range(5)]
         names = {machine.name for machine in stage.machines_of(0)}
         assert all(set(stage.running(uid)) <= names for uid in uids)
         stage.cut(0)
@@ -65,13 +63,13 @@
     stage.play(script)
 
 
-def test_without_a_word_about_returning_what_went_over_stays() -> None:
+def test_runs_stay_after_failover_without_a_return_policy() -> None:
     stage = Regions()
 
     def script() -> None:
         stage.join()
         north = stage.cluster.placers[0]
-        uid = stage.taken(north, "stays")
+        uid = stage.submit_placed(north, "stays")
         names = {machine.name for machine in stage.machines_of(0)}
         stage.cut(0)
         assert stage.wait(
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -14,7 +14,7 @@
 ALLOW = '\nallow-peer "127.0.0.0/8"\n'
 
 
-class Peers(Stage):
+class PeerStage(Stage):
     """All placers have the first one as their seed."""
 
     def join(self) -> None:
@@ -27,7 +27,7 @@
         for slot in self.cluster.placers:
             slot.start()
 
-    def standing(self, who: int, of: int) -> MemberStatus | None:
+    def status(self, who: int, of: int) -> MemberStatus | None:
         service = self.cluster.placers[who].service
         assert service is not None
         held = service.placer.peering.members.get(f"placer-{of}")
@@ -39,74 +39,74 @@
             self.hub.sleep(S // 10)
         return bool(done())
 
-    def whole(self) -> bool:
+    def all_see_all_alive(self) -> bool:
         live = [slot.index for slot in self.cluster.placers if slot.service is not None]
-        return all(self.standing(a, b) is MemberStatus.ALIVE for a in live for b in live if a != b)
+        return all(self.status(a, b) is MemberStatus.ALIVE for a in live for b in live if a != b)
 
 
-def test_placers_that_have_one_seed_learn_of_all_others_and_of_deaths_and_returns() -> None:
-    stage = Peers(machines=1, placers=5)
+def test_placers_with_one_seed_discover_all_others_failures_and_returns() -> None:
+    stage = PeerStage(machines=1, placers=5)
 
     def script() -> None:
         stage.join()
-        assert stage.wait(stage.whole, 20)
+        assert stage.wait(stage.all_see_all_alive, 20)
         gone: PlacerSlot = stage.cluster.placers[3]
         gone.kill()
         assert stage.wait(
-            lambda: all(stage.standing(a, 3) is MemberStatus.DEAD for a in (0, 1, 2, 4)), 40
+            lambda: all(stage.status(a, 3) is MemberStatus.DEAD for a in (0, 1, 2, 4)), 40
         )
         gone.start()
-        assert stage.wait(stage.whole, 51)
+        assert stage.wait(stage.all_see_all_alive, 51)
 
     stage.play(script)
 
 
-def test_a_placer_held_still_is_back_without_a_word_against_anybody_else() -> None:
-    stage = Peers(machines=1, placers=4)
-    told: list[tuple[str, str]] = []
+def test_a_paused_placer_rejoins_and_no_other_is_reported_dead() -> None:
+    stage = PeerStage(machines=1, placers=4)
+    events: list[tuple[str, str]] = []
 
     def script() -> None:
         stage.join()
-        assert stage.wait(stage.whole, 20)
-        stage.cluster.log = lambda event, level="info", **fields: told.append(
+        assert stage.wait(stage.all_see_all_alive, 20)
+        stage.cluster.log = lambda event, level="info", **fields: events.append(
             (event, fields.get("member", ""))
         )
         for slot in stage.cluster.placers:
             slot.service.placer.peering._log = stage.cluster.log  # type: ignore[union-attr]
         stage.cluster.placers[2].hold(6 * S)
         stage.hub.sleep(40 * S)
-        assert stage.whole()
-        assert {member for event, member in told if event == "member-dead"} <= {"placer-2"}
+        assert stage.all_see_all_alive()
+        assert {member for event, member in events if event == "member-dead"} <= {"placer-2"}
 
     stage.play(script)
 
 
-def test_rubbish_and_strangers_are_refused_and_change_nothing() -> None:
-    stage = Peers(machines=1, placers=2)
+def test_invalid_and_foreign_envelopes_are_rejected_without_effect() -> None:
+    stage = PeerStage(machines=1, placers=2)
 
     def script() -> None:
         stage.join()
-        assert stage.wait(stage.whole, 20)
+        assert stage.wait(stage.all_see_all_alive, 20)
         pool = stage.pool()
         liar = MemberUpdate("placer-1", 1 << 61, MemberStatus.DEAD, "127.0.0.1:9", "", 1, "liar")
         stranger = encode_envelope("other", "x", "y:1", [encode_message(Sync(True, (liar,)))])
         for body in (b"", b"{}", b"\x00" * 300_000, stranger):
             assert pool.request("POST", PATH, body).status in (413, 422)
-        assert stage.whole()
+        assert stage.all_see_all_alive()
         stage.hub.sleep(20 * S)
-        assert stage.whole()
+        assert stage.all_see_all_alive()
         stage.submit("works")
         assert "Placed" in stage.settled("works")
 
     stage.play(script)
 
 
-def test_gossip_cannot_have_a_placer_call_addresses_that_its_settings_do_not_allow() -> None:
-    stage = Peers(machines=1, placers=2)
+def test_gossip_cannot_direct_a_placer_to_addresses_that_its_settings_do_not_allow() -> None:
+    stage = PeerStage(machines=1, placers=2)
 
     def script() -> None:
         stage.join()
-        assert stage.wait(stage.whole, 20)
+        assert stage.wait(stage.all_see_all_alive, 20)
         service = stage.cluster.placers[0].service
         assert service is not None
         words = tuple(
@@ -127,12 +127,12 @@
     stage.play(script)
 
 
-def test_a_letter_that_no_mail_has_room_for_is_dropped_and_holds_up_nothing() -> None:
-    stage = Peers(machines=1, placers=2)
+def test_a_message_too_long_for_an_envelope_is_dropped_and_blocks_nothing() -> None:
+    stage = PeerStage(machines=1, placers=2)
 
     def script() -> None:
         stage.join()
-        assert stage.wait(stage.whole, 20)
+        assert stage.wait(stage.all_see_all_alive, 20)
         service = stage.cluster.placers[0].service
         assert service is not None
         peering = service.placer.peering
@@ -142,12 +142,12 @@
             )
         assert peering.counts["peers:letters dropped, too long"] == 2
         stage.hub.sleep(5 * S)
-        assert stage.whole()
+        assert stage.all_see_all_alive()
 
     stage.play(script)
 
 
-def test_a_placer_without_peers_takes_no_part_and_costs_nothing() -> None:
+def test_peering_is_disabled_without_peers() -> None:
     stage = Stage(machines=1)
 
     def script() -> None:
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -11,14 +11,14 @@
 UNKNOWN = "/apis/wingbarrow.io/v1/unknown"
 
 
-class Lost(Regions):
+class LostPlacer(Regions):
     """The first placer of the first region is lost, one way or another."""
 
     @property
     def north(self) -> PlacerSlot:
         return self.cluster.placers[0]
 
-    def late_words(self, delay_us: int) -> None:
+    def delay_messages(self, delay_us: int) -> None:
         """What other regions say to the first placer comes late."""
         for slot in self.cluster.placers:
             if slot.index % 3:
@@ -39,12 +39,12 @@
 
 
 def test_an_unsafe_job_starts_elsewhere_once_its_machine_proves_that_it_never_had_it() -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        stage.late_words(3 * S // 10)
-        status, value = stage.give(stage.north, "about", "settlement")
+        stage.delay_messages(3 * S // 10)
+        status, value = stage.submit_to(stage.north, "about", "settlement")
         assert status == 201
         uid = value["metadata"]["uid"]
         stage.hub.sleep(S // 10)
@@ -63,17 +63,17 @@
 
 
 def test_a_placer_paused_past_its_lease_sends_nothing_when_it_wakes_with_an_offer() -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        stage.late_words(3 * S // 10)
-        status, value = stage.give(stage.north, "held", "settlement", patience_s=60)
+        stage.delay_messages(3 * S // 10)
+        status, value = stage.submit_to(stage.north, "held", "settlement", patience_s=60)
         assert status == 201
         uid = value["metadata"]["uid"]
         stage.hub.sleep(S // 10)
         stage.north.hold(25 * S)
-        stage.late_words(0)
+        stage.delay_messages(0)
         assert stage.wait(lambda: stage.starts(uid) == 1, 24), (
             "its successor had proof, and started it"
         )
@@ -83,21 +83,23 @@
         assert stage.north.service is not None
         counts = stage.north.service.placer.context.counts
         assert counts["held:no_lease"] >= 1, counts
-        assert stage.told(stage.north, "held")["Failed"] == "LeaseLost", (
+        assert stage.job_conditions(stage.north, "held")["Failed"] == "LeaseLost", (
             "its owner is answered by who took it"
         )
         assert stage.may_send(stage.north)
-        assert stage.give(stage.north, "fresh")[0] == 201
+        assert stage.submit_to(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
 
 def test_a_job_that_may_have_run_stays_unknown_until_an_operator_decides() -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        uids = {name: stage.taken(stage.north, name, "settlement") for name in ("ran", "never")}
+        uids = {
+            name: stage.submit_placed(stage.north, name, "settlement") for name in ("ran", "never")
+        }
         stage.north.kill()
         assert stage.wait(lambda: len(stage.unknown()) == 2, 25)
         stage.hub.sleep(10 * S)
@@ -106,7 +108,7 @@
             key.rpartition("/")[2]: stage.cluster.placers[index]
             for key, index in stage.unknown().items()
         }
-        assert "wingbarrow.io/Unknown" in stage.told(at["ran"], "ran")
+        assert "wingbarrow.io/Unknown" in stage.job_conditions(at["ran"], "ran")
         for name in uids:
             assert stage.ask(at[name], "POST", {}, f"{UNKNOWN}/default/{name}")[0] == 422
             assert (
@@ -123,11 +125,11 @@
 
 
 def test_successors_killed_during_failover_are_succeeded_and_every_safe_job_runs_once() -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        uids = [stage.taken(stage.north, f"safe-{index}") for index in range(8)]
+        uids = [stage.submit_placed(stage.north, f"safe-{index}") for index in range(8)]
         stage.cut(0)
         for index in (4, 5):
             victim = stage.cluster.placers[index]
@@ -165,12 +167,14 @@
 def test_no_unsafe_job_starts_twice_through_links_that_fail_one_way_or_in_turn(
     trouble: str,
 ) -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        safe = [stage.taken(stage.north, f"safe-{index}") for index in range(3)]
-        never = [stage.taken(stage.north, f"never-{index}", "settlement") for index in range(3)]
+        safe = [stage.submit_placed(stage.north, f"safe-{index}") for index in range(3)]
+        never = [
+            stage.submit_placed(stage.north, f"never-{index}", "settlement") for index in range(3)
+        ]
         pairs = [
             (one.name, other.name)
             for one in stage.cluster.placers
@@ -187,7 +191,7 @@
                 elif trouble == "deaf":
                     stage.network.set(other, north, cut=True)
             stage.hub.sleep(7 * S // 10)
-            status, value = stage.give(stage.north, f"more-{turn}", "settlement", patience_s=2)
+            status, value = stage.submit_to(stage.north, f"more-{turn}", "settlement", patience_s=2)
             if status == 201:
                 never.append(str(value["metadata"]["uid"]))
         for north, other in pairs:
@@ -203,7 +207,7 @@
             for slot in stage.cluster.placers
         )
         assert stage.may_send(stage.north)
-        assert stage.give(stage.north, "fresh")[0] == 201
+        assert stage.submit_to(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
@@ -211,11 +215,11 @@
 def test_leased_tasks_of_an_earlier_incarnation_are_not_adopted_and_their_jobs_run_elsewhere() -> (
     None
 ):
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
-        uid = stage.taken(stage.north, "former")
+        uid = stage.submit_placed(stage.north, "former")
         stage.north.kill()
         stage.hub.sleep(S // 2)
         stage.north.start()
@@ -226,18 +230,18 @@
         assert second.at_us >= first.data["until_us"]
         assert len(stage.running(uid)) == 1
         assert stage.may_send(stage.north)
-        assert stage.give(stage.north, "fresh")[0] == 201
+        assert stage.submit_to(stage.north, "fresh")[0] == 201
 
     stage.play(script)
 
 
 def test_a_job_rejected_without_acknowledgement_is_not_started_from_its_record() -> None:
-    stage = Lost()
+    stage = LostPlacer()
 
     def script() -> None:
         stage.join()
         south = stage.cluster.placers[1]
-        stage.taken(south, "before", spec="home", runs_s=1)
+        stage.submit_placed(south, "before", spec="home", runs_s=1)
         others = [slot.name for slot in stage.cluster.placers if slot is not south]
         for name in others:  # what they say does not come
             stage.network.set(name, south.name, cut=True)
@@ -249,7 +253,7 @@
                 stage.network.set(south.name, name, cut=True)
 
         stage.hub.call_at(stage.hub.now_us() + S // 5, silence)
-        status, value = stage.give(south, "refused", "settlement", "home")
+        status, value = stage.submit_to(south, "refused", "settlement", "home")
         assert status == 503 and "keeper" in value["message"], value
         stage.hub.sleep(30 * S)
         assert not [each for each in stage.seen("start") if each.data["task"] == "refused"], (
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.peers.stage import RULES, Agreeing
+from tests.peers.stage import RULES, AgreementStage
 from tests.stage import S, Stage
 from wingbarrow.config import SettingsError, load_text
 from wingbarrow.kube import names
@@ -16,7 +16,7 @@
 
 
 def test_all_placers_act_on_proposed_rules_and_offers_carry_the_revision() -> None:
-    stage = Agreeing(machines=4, placers=5)
+    stage = AgreementStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
@@ -24,16 +24,16 @@
         stage.submit("first")
         assert "Placed" in stage.settled("first")
         other = next(slot for slot in stage.cluster.placers[3:])
-        status, told = stage.ask(
-            other, "POST", {"ident": "x", "rules": stage.changed(barred=["node-1"])}
+        status, answer = stage.ask(
+            other, "POST", {"ident": "x", "rules": stage.latest_rules(barred=["node-1"])}
         )
         assert status == 307
-        assert told["name"] == stage.leader().name
-        status, told = stage.ask(
-            stage.leader(), "POST", {"ident": "x", "rules": stage.changed(barred=["node-1"])}
+        assert answer["name"] == stage.leader().name
+        status, answer = stage.ask(
+            stage.leader(), "POST", {"ident": "x", "rules": stage.latest_rules(barred=["node-1"])}
         )
         assert status == 201
-        assert told["version"] == 2
+        assert answer["version"] == 2
         assert stage.wait(lambda: stage.all_on("e2"), 5)
         since = stage.hub.now_us()
         for number in range(12):
@@ -47,32 +47,36 @@
         ]
         assert sent
         assert all(each.data["rules"] == "e2" and each.where != "node-1" for each in sent)
-        status, told = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": stage.changed()})
+        status, answer = stage.ask(
+            stage.leader(), "POST", {"ident": "x", "rules": stage.latest_rules()}
+        )
         assert status == 201
-        assert told["version"] == 2, "sent again: it was accepted once"
-        status, told = stage.ask(
-            stage.leader(), "POST", {"ident": "y", "rules": stage.changed(barred=[]), "base": 1}
+        assert answer["version"] == 2, "sent again: it was accepted once"
+        status, answer = stage.ask(
+            stage.leader(),
+            "POST",
+            {"ident": "y", "rules": stage.latest_rules(barred=[]), "base": 1},
         )
         assert status == 409
-        assert "has been accepted since" in told["message"]
+        assert "has been accepted since" in answer["message"]
 
     stage.play(script)
     assert stage.audit().clean
 
 
 def test_agreed_spread_takes_effect_at_once() -> None:
-    stage = Agreeing(machines=3, placers=3)
+    stage = AgreementStage(machines=3, placers=3)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         classes = [
             {**each, "spread_most": 1} if each["name"] == "web" else each
-            for each in stage.changed()["classes"]
+            for each in stage.latest_rules()["classes"]
         ]
         assert (
             stage.ask(
-                stage.leader(), "POST", {"ident": "t", "rules": stage.changed(classes=classes)}
+                stage.leader(), "POST", {"ident": "t", "rules": stage.latest_rules(classes=classes)}
             )[0]
             == 201
         )
@@ -91,7 +95,7 @@
 
 
 def test_placer_stopped_beyond_its_lease_sends_nothing_under_old_rules() -> None:
-    stage = Agreeing(machines=4, placers=5)
+    stage = AgreementStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
@@ -109,7 +113,9 @@
         held.hold(6 * S)
         assert (
             stage.ask(
-                stage.leader(), "POST", {"ident": "n", "rules": stage.changed(barred=["node-0"])}
+                stage.leader(),
+                "POST",
+                {"ident": "n", "rules": stage.latest_rules(barred=["node-0"])},
             )[0]
             == 201
         )
@@ -129,7 +135,7 @@
 
 
 def test_isolated_placer_rejects_jobs_or_goes_on_by_a_floor() -> None:
-    stage = Agreeing(machines=4, placers=5)
+    stage = AgreementStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
@@ -149,7 +155,7 @@
             slot.start()
         assert stage.wait(lambda: stage.all_on("e1"))
         floor = {
-            **stage.changed(),
+            **stage.latest_rules(),
             "cold_shares": [],
             "barred": ["node-0", "node-1"],
             "attempts_most": 2,
@@ -162,7 +168,7 @@
         for slot in stage.cluster.placers[:3]:
             slot.kill()
         stage.hub.sleep(4 * S)
-        assert stage.label(alone) == "f1"
+        assert stage.rules_label(alone) == "f1"
         since = stage.hub.now_us()
         assert (
             stage.pool(alone.port)
@@ -185,9 +191,9 @@
 
 
 def test_voter_that_lost_its_store_reports_it_and_does_not_vote() -> None:
-    stage = Agreeing(machines=2, placers=3)
-    told: list[str] = []
-    stage.cluster.log = lambda event, level="info", **fields: told.append(event)
+    stage = AgreementStage(machines=2, placers=3)
+    events: list[str] = []
+    stage.cluster.log = lambda event, level="info", **fields: events.append(event)
 
     def script() -> None:
         stage.join()
@@ -200,7 +206,7 @@
         (Path(lost.state) / "rules").rmdir()
         lost.start()
         stage.hub.sleep(8 * S)
-        assert "rules-voter-without-store" in told
+        assert "rules-voter-without-store" in events
         assert stage.all_on("e1")
         other = next(
             slot
@@ -209,19 +215,19 @@
         )
         other.kill()
         stage.hub.sleep(8 * S)
-        assert stage.label(stage.cluster.placers[0]) in ("", "e1")
+        assert stage.rules_label(stage.cluster.placers[0]) in ("", "e1")
         assert not stage.all_on("e1")
 
     stage.play(script)
 
 
 def test_invalid_proposals_are_rejected_with_a_reason_and_change_nothing() -> None:
-    stage = Agreeing(machines=2, placers=3)
+    stage = AgreementStage(machines=2, placers=3)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        leader, good = stage.leader(), stage.changed(attempts_most=2)
+        leader, good = stage.leader(), stage.latest_rules(attempts_most=2)
         for value, status in (
             ({}, 422),
             ({"ident": "a"}, 422),
@@ -230,9 +236,9 @@
             ({"ident": "a", "rules": {**good, "attempts_most": 0}}, 409),
             ({"ident": "a", "rules": {}}, 409),
             ({"ident": "a", "rules": good, "base": "one"}, 422),
-            ({"ident": "a", "rules": stage.changed()}, 409),
+            ({"ident": "a", "rules": stage.latest_rules()}, 409),
             ({"ident": "a", "rules": good, "lastsUs": 5}, 201),
-            ({"ident": "b", "rules": stage.changed(attempts_most=9), "lastsUs": 5}, 409),
+            ({"ident": "b", "rules": stage.latest_rules(attempts_most=9), "lastsUs": 5}, 409),
             ({"ident": "c", "rules": good, "dryRun": True}, 200),
         ):
             assert stage.ask(leader, "POST", value)[0] == status, value
@@ -280,6 +286,6 @@
     rules = requested_rule_set(settings)
     assert dict(rules.cold_shares) == {f"placer-{i}": 5 for i in range(4)}
     assert rules.barred == ("n1",)
-    told = agreed_scheduler_settings(settings, rules.text())
-    assert divmod(int(told.fresh_offers), told.placers) == (5, 0)
-    assert told.attempts_most == 4
+    scheduler = agreed_scheduler_settings(settings, rules.text())
+    assert divmod(int(scheduler.fresh_offers), scheduler.placers) == (5, 0)
+    assert scheduler.attempts_most == 4
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S
 from wingbarrow.config.settings import PlacerSettings
 from wingbarrow.decide.effects import Effect, Notify, Send, SetTimer
@@ -26,14 +26,14 @@
     made = slot._settings
 
     def settings() -> PlacerSettings:
-        told = made()
-        agree = replace(told.agree, lease_us=LEASE_US) if told.agree is not None else None
-        return replace(told, region=region, agree=agree)
+        original = made()
+        agree = replace(original.agree, lease_us=LEASE_US) if original.agree is not None else None
+        return replace(original, region=region, agree=agree)
 
     slot._settings = settings  # type: ignore[method-assign]
 
 
-class Regions(Agreeing):
+class Regions(AgreementStage):
     """Five placers in three regions."""
 
     def join(self) -> None:
@@ -63,7 +63,7 @@
 def test_the_end_of_a_session_reaches_its_replica_holder_and_its_holder() -> None:
     stage = Regions(machines=1, placers=5)
     ended: list[tuple[int, EndedSession]] = []
-    told: list[tuple[int, Session, bool]] = []
+    session_changes: list[tuple[int, Session, bool]] = []
 
     def script() -> None:
         stage.join()
@@ -76,8 +76,10 @@
             stage.peering(index).on_session_ended = lambda each, index=index: ended.append(
                 (index, each)
             )
-            stage.peering(index).on_session = lambda session, may, epoch, index=index: told.append(
-                (index, session, may)
+            stage.peering(index).on_session = (
+                lambda session, may, epoch, index=index: session_changes.append(
+                    (index, session, may)
+                )
             )
         stage.hub.sleep(2 * S)
         leader = stage.leader()
@@ -98,8 +100,8 @@
             "ended",
             ended[0][1].changed,
         )
-        assert stage.wait(lambda: (4, replace(session, serial=2), True) in told, 30)
-        assert told[0] == (4, session, False)
+        assert stage.wait(lambda: (4, replace(session, serial=2), True) in session_changes, 30)
+        assert session_changes[0] == (4, session, False)
         assert (4, ended[0][1]) in ended
         assert stage.items(stage.cluster.placers[3])[session.text()]["status"]["state"] == "ended"
         assert stage.ask(leader, "DELETE", path=LEASES)[0] == 405
@@ -108,7 +110,7 @@
 
 
 def test_placers_without_a_region_have_no_sessions_and_without_voters_no_route() -> None:
-    stage = Agreeing(machines=1, placers=5)
+    stage = AgreementStage(machines=1, placers=5)
 
     def script() -> None:
         assert stage.ask(stage.cluster.placers[0], path=LEASES)[0] == 404
@@ -141,7 +143,7 @@
 
 
 def test_a_hosted_state_machine_gets_its_messages_and_timers_and_others_are_counted() -> None:
-    stage = Agreeing(machines=1, placers=5)
+    stage = AgreementStage(machines=1, placers=5)
     keeper, holder, session = Echo(), Echo(), Session("placer-0", 1, 1)
 
     def peering(index: int) -> Peering:
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -106,7 +106,7 @@
         assert store.load() == before
 
 
-def test_a_second_process_is_refused_by_a_named_operation(folder: Path) -> None:
+def test_opening_an_open_store_fails_with_the_operation_in_the_error(folder: Path) -> None:
     with VoterStore(folder), pytest.raises(StoreError, match="another process") as caught:
         VoterStore(folder)
     assert (caught.value.folder, caught.value.operation) == (folder, "open")
--- a/tests/stored/make.py
+++ b/tests/stored/make.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S, Stage
 from tests.stored import scenario, state
 from tests.wire import samples
@@ -84,13 +84,13 @@
 
 def write_cluster(folder: Path, scratch: Path) -> None:
     """What three voters left after two versions of rules."""
-    stage = Agreeing(machines=2, placers=3)
+    stage = AgreementStage(machines=2, placers=3)
     stage.limits = LIMITS
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        value = {"ident": "x", "rules": stage.changed(barred=["node-1"])}
+        value = {"ident": "x", "rules": stage.latest_rules(barred=["node-1"])}
         assert stage.ask(stage.leader(), "POST", value)[0] == 201
         assert stage.wait(lambda: stage.all_on("e2"), 10)
         stage.hub.sleep(S)
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S, Stage
 from tests.stored import make, state
 from tests.wire import samples
@@ -75,7 +75,7 @@
 
 
 def test_voters_go_on_with_rules_that_were_agreed_on() -> None:
-    stage = Agreeing(machines=2, placers=3)
+    stage = AgreementStage(machines=2, placers=3)
     stage.limits = make.LIMITS
 
     def script() -> None:
@@ -95,7 +95,7 @@
         told = stage.ask(stage.leader())[1]
         assert [each["number"] for each in told["versions"]] == [1, 2]
         assert told["versions"][-1]["rules"]["barred"] == ["node-1"]
-        value = {"ident": "y", "rules": stage.changed(barred=["node-1", "node-5"])}
+        value = {"ident": "y", "rules": stage.latest_rules(barred=["node-1", "node-5"])}
         status, told = stage.ask(stage.leader(), "POST", value)
         assert (status, told["version"]) == (201, 3)
         assert stage.wait(lambda: stage.all_on("e3"), 30)
--- a/tests/wire/test_agreed_golden.py
+++ b/tests/wire/test_agreed_golden.py
@@ -9,7 +9,7 @@
 
 from tests.core.subsetstage import SubsetStage
 from tests.peers.regions import Regions
-from tests.peers.stage import RULES, Agreeing
+from tests.peers.stage import RULES, AgreementStage
 from tests.stage import JOBS, S, Stage
 from tests.wire.exchange import Transcript, exchange, json_of
 from tests.wire.golden import assert_golden
@@ -27,11 +27,11 @@
 )
 
 
-class Limited(Agreeing):
+class Limited(AgreementStage):
     limits = LIMITS
 
 
-def agreed(stage: Agreeing) -> tuple[PlacerSlot, PlacerSlot]:
+def agreed(stage: AgreementStage) -> tuple[PlacerSlot, PlacerSlot]:
     """The leader, and a placer that does not vote, once all act on the first edition."""
     stage.join()
     assert stage.wait(lambda: stage.all_on("e1"))
@@ -64,7 +64,7 @@
         for slot, note in ((leader, "leader"), (member, "member")):
             for what in ("rules", "limits", "verdicts", "leases", "members", "instance", "drains"):
                 transcript.ask(slot.port, f"{API}/{what}", note=note)
-        changed = stage.changed(attempts_most=3)
+        changed = stage.latest_rules(attempts_most=3)
         wanted: dict[str, Any] = {"ident": "a", "rules": changed, "by": "x", "why": "fewer tries"}
         transcript.ask(member.port, RULES, "POST", wanted, note="member")
         transcript.ask(leader.port, RULES, "POST", {**wanted, "dryRun": True})
@@ -91,7 +91,7 @@
 
 
 def test_a_verdict_closes_a_machine() -> None:
-    stage = Agreeing(8, 5)
+    stage = AgreementStage(8, 5)
     transcript = Transcript(stage.hub)
 
     def script() -> None:
@@ -109,7 +109,7 @@
 
 
 def test_turns() -> None:
-    stage = Agreeing(8, 4)
+    stage = AgreementStage(8, 4)
     transcript = Transcript(stage.hub)
     turns = f"{API}/turns"
 
@@ -158,8 +158,8 @@
     def script() -> None:
         stage.join()
         north, south, east = stage.cluster.placers[:3]
-        stage.taken(north, "one")
-        stage.taken(north, "settled", "settlement")
+        stage.submit_placed(north, "one")
+        stage.submit_placed(north, "settled", "settlement")
         transcript.ask(north.port, f"{JOBS}/one", note="leased")
         transcript.ask(south.port, f"{API}/leases", note="open")
         transcript.ask(north.port, f"{API}/leases", note="open")
