--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -1,4 +1,4 @@
-"""Three regions of two placers and two machines each, on a virtual clock: own list sources, links that can be cut."""
+"""Three regions of two placers and two machines each, on a virtual clock, with own list sources and links to cut."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Regions(AgreementStage):
-    """Placer `i` stands in region `i % 3`, machine `j` in `j % 3`; the first of each region votes."""
+    """Placer `i` is in region `i % 3`, machine `j` in region `j % 3`; the first placer of each region is a voter."""
 
     lease_s = 3
     specs = SPECS
@@ -95,7 +95,7 @@
         self.hub.sleep(S)
 
     def cut(self, region: int, on: bool = True) -> None:
-        """Nothing passes between a region and the others, or all does again."""
+        """Cut a region off from the others, or reconnect it."""
         for one in self.cluster.placers:
             for other in self.cluster.placers:
                 if one is not other and (one.index % 3 == region) != (other.index % 3 == region):
@@ -115,7 +115,7 @@
         runs_s: float = 600,
         patience_s: float = 5,
     ) -> tuple[int, dict[str, Any]]:
-        """Ask a placer to run something: status and answer."""
+        """Submit a Job to a placer; returns the status and the body with the Retry-After header."""
         value = job_value(
             Want(0, name, task_class, name, 1.0, 1.0, int(runs_s * S)), name, int(patience_s * S)
         )
@@ -130,7 +130,7 @@
     def submit_placed(
         self, slot: PlacerSlot, name: str, task_class: str = "web", **more: Any
     ) -> str:
-        """Have it accepted and placed: its uid."""
+        """Submit a Job that must be accepted and placed; returns its uid."""
         status, value = self.submit_to(slot, name, task_class, **more)
         assert status == 201, value
         assert self.wait(lambda: "Placed" in self.job_conditions(slot, name), 6), (
@@ -144,7 +144,7 @@
         return {each["type"]: each["reason"] for each in conditions}
 
     def running(self, uid: str) -> list[str]:
-        """Machines on which a Job runs."""
+        """The names of the machines on which a Job runs, one for each Pod."""
         return [
             machine.name
             for machine in self.cluster.machines
@@ -156,10 +156,10 @@
         return len(self.seen("start", uid=uid))
 
     def play(self, script: Callable[[], Any], start: bool = True) -> Any:
-        def whole() -> Any:
+        def run_script() -> Any:
             try:
                 return script()
             finally:
                 self.network.close()
 
-        return super().play(whole, start)
+        return super().play(run_script, start)
--- a/tests/peers/stage.py
+++ b/tests/peers/stage.py
@@ -15,9 +15,9 @@
 
 
 class AgreementStage(Stage):
-    """Five placers, three of them voters, that know each other by the first one."""
+    """Placers, the first three of them voters, with the first two as their peers."""
 
-    limits = ""  # in KDL, within `agree`
+    limits = ""  # KDL lines of the `agree` block
 
     def join(self) -> None:
         slots = self.cluster.placers
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -1,4 +1,4 @@
-"""Windows and drains on which placers agree, and hard changes of rules, on a virtual clock, judged at the sockets."""
+"""Agreed windows, drains and changes of rules under load, on a virtual clock, checked at the sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DrainStage(AgreementStage):
-    """With work at all placers."""
+    """A fleet with work at all placers."""
 
     def phase(self, slot: PlacerSlot, machine: str) -> str:
         assert slot.service is not None
@@ -85,14 +85,14 @@
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         again = stage.ask(stage.leader(), "POST", wanted, DRAINS)
         assert (again[0], again[1]["key"]) == (200, answer["key"]), (
-            "its answer may be lost: it is taken once"
+            "a repeated request is accepted once, as its first answer may be lost"
         )
         assert stage.ask(stage.leader())[1]["version"] == 2
         assert stage.ask(stage.leader(), "POST", {**wanted, "machine": "none"}, DRAINS)[0] == 409
         since = stage.hub.now_us()
         stage.work(4, "drained")
         assert not stage.sent("node-2", since)
-        # One that comes back without what it had saved closes it before anything is sent.
+        # A placer that restarts without its saved drains must close the machine before it sends an offer.
         back = stage.cluster.placers[4]
         back.kill()
         stage.hub.sleep(S)
@@ -101,7 +101,7 @@
         stage.work(4, "back")
         assert stage.phase(back, "node-2") == "draining"
         assert not stage.sent("node-2", since)
-        # A proposal from a file says nothing of drains that were asked for; a change by hand keeps them too.
+        # A proposal from a file contains no requested drains; they must be kept nevertheless.
         assert stage.propose("bars", barred=["node-0"])[0] == 201
         stage.hub.sleep(4 * S)
         assert stage.everywhere("node-2", "draining")
@@ -133,7 +133,7 @@
         assert stage.wait(lambda: stage.everywhere("node-1", "running"), 5)
         stage.hub.sleep(20 * S)
         assert stage.everywhere("node-1", "running"), (
-            "one that planned it later than it was taken back leaves it too"
+            "a placer that plans the drain after its cancellation must not apply it"
         )
         assert stage.propose("again", cancelled=[])[0] == 201
         assert stage.wait(lambda: stage.everywhere("node-1", "draining"), 5)
@@ -191,7 +191,7 @@
         stage.hub.sleep(4 * S)
         alone = stage.cluster.placers[4]
         assert stage.rules_label(alone) == "f1"
-        assert stage.phase(alone, "node-2") == "draining", "known before, it goes on"
+        assert stage.phase(alone, "node-2") == "draining", "a drain known before the loss continues"
 
     stage.play(script)
 
@@ -205,8 +205,8 @@
         for number in range(6):
             stage.submit(f"stands-{number}", service="one", runs_s=60, patience_s=5)
         stage.hub.sleep(2 * S)
-        stood = len(stage.seen("offer"))
-        assert stood >= 3
+        offers = len(stage.seen("offer"))
+        assert offers >= 3
         classes = [
             {**each, "spread_most": 2} if each["name"] == "web" else each
             for each in stage.latest_rules()["classes"]
@@ -218,14 +218,14 @@
             stage.submit(f"more-{number}", service="one", runs_s=60, patience_s=2)
         stage.hub.sleep(4 * S)
         assert not [each for each in stage.seen("offer") if each.at_us > since], (
-            "no cell has room under the new most"
+            "no cell has capacity under the new limit"
         )
-        standing = [
+        running = [
             each
             for each in stage.jobs()
             if each["metadata"]["name"].startswith("stands") and each["status"].get("ready")
         ]
-        assert len(standing) == 6, "what stands is not stopped"
+        assert len(running) == 6, "running tasks are not stopped"
 
     stage.play(script)
 
@@ -241,7 +241,7 @@
         offers.append(sum(share for _, share in stage.latest_rules()["cold_shares"]))
         three = [[f"placer-{index}", offers[0] // 3] for index in range(3)]
         assert stage.propose("three", cold_shares=three)[0] == 201
-        assert stage.wait(lambda: stage.all_on("e3"), 8), "by what both allow"
+        assert stage.wait(lambda: stage.all_on("e3"), 8), "after the step that both rule sets allow"
         hall = [machine for machine in stage.cluster.machines if machine.build.zone == "hall-a"]
         for machine in hall:
             machine.die()
@@ -288,9 +288,9 @@
         before = load(folder)
         assert (
             become_sole_voter(folder, left.name, RECOVERED).last_log_index == before.last_log_index
-        ), "to look changes nothing"
+        ), "loading a store does not change it"
         left.start()
-        assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules that it knew"
+        assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules of its store"
         create(Path(stage.cluster.placers[3].state) / "rules", (left.name,))
         files["new"] = Path(stage.cluster.placers[3].state)
         taken_in = stage.cluster.placers[3]
@@ -298,14 +298,14 @@
         stage.hub.sleep(S)
         taken_in.start()
         assert left.service is not None
-        # Both seeds are down: the two find each other by those that asked who was thought dead.
+        # Both seeds are down: the two discover each other through placers that still probe dead members.
         assert stage.wait(lambda: taken_in.name in left.service.placer.peering.members, 40)
         wanted = {"voters": [left.name, taken_in.name]}
         assert stage.ask(stage.leader(), "POST", wanted, f"{RULES}/voters")[0] == 202
         assert stage.propose("c", barred=["node-1"])[0] == 201
         assert stage.wait(lambda: stage.all_on("e1004"), 20)
         assert stage.ask(taken_in)[1]["voters"] == [left.name, taken_in.name]
-        # One of the lost comes back with its store after all: it hears of a later term and decides nothing.
+        # A lost voter returns with its store: it receives a later term and must not decide anything.
         stage.cluster.placers[0].start()
         stage.hub.sleep(8 * S)
         assert stage.rules_label(stage.cluster.placers[0]) == "e1004"
--- a/tests/peers/test_ejections_path.py
+++ b/tests/peers/test_ejections_path.py
@@ -1,4 +1,4 @@
-"""Verdicts on the whole path, on a virtual clock: one bad machine costs the fleet little, and is tried by one alone."""
+"""Agreed ejections end to end on a virtual clock: a bad machine wastes few starts, and only one placer probes it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EjectionStage(AgreementStage):
-    """Placers with work, and machines that may fail every start."""
+    """Placers with work, and machines that can be made to fail every start."""
 
     def work(self, seconds: float, tag: str) -> None:
         for number in range(int(seconds * 25)):
@@ -19,7 +19,7 @@
                 self.post(slot.port, f"{tag}-{number}")
             self.hub.sleep(S // 25)
 
-    def closed(self, slot: PlacerSlot, machine: str) -> bool:
+    def is_closed(self, slot: PlacerSlot, machine: str) -> bool:
         assert slot.service is not None
         return bool(slot.service.placer.machines.links[machine].phase.value == "draining")
 
@@ -32,7 +32,7 @@
 
 
 def starts_on_bad_machine(placers: int, agree: bool, seed: int = 3) -> int:
-    """Starts that one bad machine in eight costs in 12 s."""
+    """The number of offers that one bad machine of eight gets in 12 s."""
     stage = EjectionStage(machines=8, placers=placers, seed=seed)
     begun: list[int] = []
 
@@ -62,7 +62,7 @@
         begun = stage.hub.now_us()
         stage.work(5, "a")
         slots = stage.cluster.placers
-        assert sum(stage.closed(slot, "node-3") for slot in slots) >= 4
+        assert sum(stage.is_closed(slot, "node-3") for slot in slots) >= 4
         answer = stage.ask(stage.leader(), path=VERDICTS)[1]
         (verdict,) = answer["items"]
         assert verdict["machine"] == "node-3"
@@ -72,11 +72,13 @@
         assert stage.ask(slots[4], path=VERDICTS)[1]["closed"] in ([], ["node-3"])
         since = stage.hub.now_us()
         stage.work(3, "b")
-        assert len(set(stage.offers("node-3", since))) <= 1, "one placer tries it for all"
+        assert len(set(stage.offers("node-3", since))) <= 1, (
+            "at most one placer probes the ejected machine"
+        )
         bad.faulty = False
         stage.work(10, "c")
-        assert not any(stage.closed(slot, "node-3") for slot in slots)
-        assert len(set(stage.offers("node-3", begun))) >= 4, "and it is used again"
+        assert not any(stage.is_closed(slot, "node-3") for slot in slots)
+        assert len(set(stage.offers("node-3", begun))) >= 4, "the reinstated machine is used again"
 
     stage.play(script)
 
@@ -104,7 +106,7 @@
         assert not answer["items"]
         assert any(each["bad"] == 8 for each in answer["witnesses"])
         assert not any(
-            stage.closed(slot, machine.name)
+            stage.is_closed(slot, machine.name)
             for slot in stage.cluster.placers
             for machine in stage.cluster.machines
         )
--- a/tests/peers/test_forwarding_path.py
+++ b/tests/peers/test_forwarding_path.py
@@ -1,4 +1,4 @@
-"""Jobs that another region runs, on the whole path on a virtual clock: one start, one answer, from who was asked."""
+"""Jobs forwarded to another region, end to end on a virtual clock: one start, one answer by the first receiver."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ForwardingStage(Regions):
-    """What is asked of the north goes by `home`: to the south, else to the east."""
+    """Jobs of spec `home` that are submitted in the north run in the south, otherwise in the east."""
 
     def where(self, uid_of: str) -> set[str]:
-        """Regions in which anything of a task ran."""
+        """Regions in which a Pod of a task was started."""
         names = {
             each.where
             for each in self.cluster.record.records
@@ -104,7 +104,7 @@
             lambda: bool({"Failed", "Placed"} & set(stage.job_conditions(north, "cut"))), 5
         )
         assert stage.hub.now_us() - asked_us <= 3 * S + S // 5, (
-            "answered in its patience, by who was asked"
+            "answered within its patience by the placer that it was submitted to"
         )
         answer = stage.job_conditions(north, "cut")
         assert answer.get("Failed") == "Failed", answer
@@ -112,7 +112,7 @@
         stage.hub.sleep(20 * S)
         assert stage.started("cut") <= 1
         assert len(stage.ended("cut")) == stage.started("cut"), (
-            "what ran on was stopped once the cut was over"
+            "the forwarded run was stopped after the cut"
         )
         assert stage.job_conditions(north, "cut") == answer
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -1,4 +1,4 @@
-"""Learning over sockets: peers that stall, err, lie, belong elsewhere; two new ones; ten at once; drains."""
+"""Learning over sockets from peers that stall, send invalid or false pages, or belong to another cluster."""
 
 from __future__ import annotations
 
@@ -49,7 +49,10 @@
 
 
 class FakePeer:
-    """A scripted instance: it announces itself and answers for its knowledge as told."""
+    """A scripted instance: it sends an announcement, and pages of its observations as changed by `spoil`.
+
+    `spoil` gets the number and bytes of a page; for None, the request is never answered.
+    """
 
     def __init__(
         self,
@@ -98,7 +101,7 @@
 
 
 def restarted(stage: Stage, *peers: int) -> Any:
-    """The stage's placer started anew, with peers; its core."""
+    """Restart the stage's first placer with an empty state and these peer ports; returns its core."""
     slot = stage.cluster.placers[0]
     slot.kill()
     slot.state = ""
@@ -224,7 +227,7 @@
         stuck = FakePeer(
             stage, observations, spoil=lambda number, page: None if number == stall_at else page
         )
-        # Machines the list lacks make it a stranger: here they are few on the first page only.
+        # Too many unlisted machines would make it a peer of another cluster: here all observed machines are listed.
         stuck.observations = list(
             itertools.chain(
                 *([observation(f"node-{i % 4}")] * 1 for i in range(2 * MACHINES_PER_PAGE + 8))
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -1,4 +1,4 @@
-"""Leases on the whole path, on a virtual clock, judged at the machines' sockets and by the owners' answers."""
+"""Leases end to end on a virtual clock, checked at the machines' sockets and by the owners' answers."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
         uid = stage.submit_placed(north, "one")
         other = stage.submit_placed(north, "two")
         assert stage.running(uid) != stage.running(other), (
-            "one machine's clock is fast, the other's slow"
+            "one task must run on the machine with the fast clock, the other on the slow one"
         )
         start = stage.seen("start", uid=uid)[0]
         assert start.data["session"].startswith("placer-0/")
         assert start.data["until_us"] > start.at_us
         stage.hub.sleep(12 * S)
-        assert stage.running(uid), "renewed, it runs on"
+        assert stage.running(uid), "a renewed Job must continue"
         assert stage.starts(uid) == 1
         north.kill()
         killed = stage.hub.now_us()
@@ -64,13 +64,15 @@
         uid = stage.submit_placed(north, "one")
         stage.cut(0)
         stage.hub.sleep(6 * S)
-        assert not stage.running(uid), "its machine stopped it, and it is asked for again"
+        assert not stage.running(uid), (
+            "its machine must stop it; the placer tries to start it again"
+        )
         assert stage.rules_label(north) == "f1"
         assert stage.submit_to(north, "bare", spec="")[0] == 201
         stage.hub.sleep(S)
         assert placer.context.counts["held:no_lease"]
         assert len(stage.seen("offer", uid=uid)) == 1
-        assert len(stage.seen("offer", rules="f1")) == 1, "what needs no lease goes on"
+        assert len(stage.seen("offer", rules="f1")) == 1, "Jobs without a lease must continue"
 
     stage.play(script)
 
@@ -82,17 +84,17 @@
         machine = stage.cluster.machines[0]
         pool = stage.pool(machine.port)
 
-        def ask(path: str, **said: Any) -> tuple[int, dict[str, Any]]:
+        def request(path: str, **body: Any) -> tuple[int, dict[str, Any]]:
             response = pool.request(
-                "POST" if said else "GET",
+                "POST" if body else "GET",
                 path,
-                names.encode(said) if said else None,
+                names.encode(body) if body else None,
                 [("Content-Type", "application/json")],
             )
             return response.status, names.decode(response.body)
 
         def offer(name: str, until: str, epoch: int = 0) -> tuple[int, str]:
-            status, value = ask(
+            status, value = request(
                 "/api/v1/namespaces/default/pods",
                 metadata={
                     "name": name,
@@ -114,7 +116,7 @@
             return status, str(value.get("reason", ""))
 
         def later(us: int) -> str:
-            boot, _, now = ask("/leases")[1]["clock"].rpartition(":")
+            boot, _, now = request("/leases")[1]["clock"].rpartition(":")
             return f"{boot}:{int(now) + us}"
 
         past = later(0)
@@ -122,30 +124,30 @@
         assert offer("late", past) == (409, "LeaseLapsed")
         assert offer("strange", "7-x:99999999999") == (409, "LeaseLapsed")
         assert offer("good", later(2 * S))[0] == 201
-        assert ask("/leases", session="p/1/1", until=later(4 * S))[0] == 200
+        assert request("/leases", session="p/1/1", until=later(4 * S))[0] == 200
         stage.hub.sleep(3 * S)
-        assert machine.pods["good"].phase == "Running", "renewed"
-        assert ask("/leases", session="p/1/1", until=later(S // 10))[0] == 200, (
-            "a late renewal shortens nothing"
+        assert machine.pods["good"].phase == "Running", "a renewed task must continue"
+        assert request("/leases", session="p/1/1", until=later(S // 10))[0] == 200, (
+            "a renewal with an earlier end must not shorten the lease"
         )
         stage.hub.sleep(S // 2)
         assert machine.pods["good"].phase == "Running"
         stage.hub.sleep(S)
         assert machine.pods["good"].phase == "Failed"
-        answer = ask("/fence", uid="u", epoch=3)[1]
-        assert answer["holds"] == ["good"], "what ran and is over had its effect"
+        answer = request("/fence", uid="u", epoch=3)[1]
+        assert answer["holds"] == ["good"], "an ended run is reported too: it had its effect"
         assert answer["sure"]
         assert offer("old", later(2 * S), 2) == (409, "Fenced")
         assert offer("new", later(2 * S), 3)[0] == 201
         former = later(2 * S)
         machine.die()
         machine.launch(cold=False)
-        assert ask("/leases", session="p/1/1", until=former)[0] == 409
+        assert request("/leases", session="p/1/1", until=former)[0] == 409
         assert offer("former", former, 3) == (409, "LeaseLapsed")
-        assert ask("/fence", uid="u", epoch=3)[1]["holds"] == [], (
-            "it remembers nothing, and its clock says since when"
+        assert request("/fence", uid="u", epoch=3)[1]["holds"] == [], (
+            "a restarted machine has no record of runs, and its clock shows since when"
         )
-        assert int(ask("/leases")[1]["clock"].rpartition(":")[2]) < S
+        assert int(request("/leases")[1]["clock"].rpartition(":")[2]) < S
 
     stage.play(script)
 
@@ -162,13 +164,13 @@
         assert status == 503, value
         assert "keeper" in value["message"]
         assert value["retry-after"], value
-        assert stage.hub.now_us() - began <= 3 * S, "a bounded wait"
+        assert stage.hub.now_us() - began <= 3 * S, "the wait must be bounded"
         began = stage.hub.now_us()
         assert stage.submit_to(south, "bare", spec="")[0] == 201
         assert stage.hub.now_us() - began < S // 10
         assert stage.submit_to(south, "none", spec="nowhere")[0] == 422
         assert stage.submit_to(stage.cluster.placers[0], "away", spec="home")[0] == 201, (
-            "elsewhere: it is forwarded"
+            "the spec allows other regions: the Job is forwarded"
         )
         stage.cut(2, False)
         assert stage.wait(lambda: stage.submit_to(south, "kept", spec="home")[0] in (201, 409), 20)
@@ -203,12 +205,12 @@
         assert stage.wait(
             lambda: stage.job_conditions(south, "lost").get("Failed") == "LeaseLost", 6
         )
-        assert stage.hub.now_us() <= due + S // 10, "in its owner's patience"
+        assert stage.hub.now_us() <= due + S // 10, "answered within the owner's patience"
         assert stage.starts(uid) == 1
         assert stage.wait(lambda: not stage.running(uid), 1)
         stage.cut(2, False)
         stage.hub.sleep(20 * S)
-        assert stage.starts(uid) == 1, "answered: nobody starts it again"
+        assert stage.starts(uid) == 1, "an answered Job must not be started again"
         assert not stage.running(uid)
 
     stage.play(script)
@@ -233,24 +235,24 @@
         assert second.data["epoch"] > first.data["epoch"]
         assert not second.data["session"].startswith("placer-0/")
         stage.hub.sleep(5 * S)
-        assert stage.starts(never) == 1, "it is neither started again"
+        assert stage.starts(never) == 1, "an unsafe Job must not be started again"
         holders = [
             slot
             for slot in stage.cluster.placers
             if slot.index % 3 and stage.job_conditions(slot, "never").get("wingbarrow.io/Unknown")
         ]
-        assert len(holders) == 1, "nor lost: one placer tells of it"
+        assert len(holders) == 1, "one placer must report the unsafe Job as unknown"
         stage.cut(0, False)
         assert stage.wait(lambda: stage.may_send(north), 20)
         stage.hub.sleep(10 * S)
-        assert len(stage.running(safe)) == 1, "its successor's copy goes on, alone"
+        assert len(stage.running(safe)) == 1, "only the successor's run continues"
         assert stage.starts(safe) == 2
         assert stage.job_conditions(north, "safe").get("wingbarrow.io/TakenOver") == "Run", (
             stage.job_conditions(north, "safe")
         )
         assert stage.starts(never) == 1
         assert stage.submit_to(north, "fresh")[0] == 201, (
-            "it starts as holder of nothing, and works"
+            "the placer of the lost region must accept new Jobs"
         )
 
     stage.play(script)
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -1,4 +1,4 @@
-"""Limits of the whole fleet on the whole path, on a virtual clock, judged at the sockets."""
+"""Fleet-wide limits end to end on a virtual clock, checked at the sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LimitStage(AgreementStage):
-    """Placers that share limits."""
+    """Placers that agree on limits."""
 
     def __init__(self, limits: str, machines: int = 4, placers: int = 5) -> None:
         super().__init__(machines, placers)
@@ -25,7 +25,7 @@
         self.jobs_given: list[str] = []
 
     def submit_to(self, slot: PlacerSlot, name: str, runs_s: float = 60, service: str = "") -> bool:
-        """Ask a placer to run something; whether it accepted."""
+        """Submit a Job to a placer; returns whether it was accepted."""
         want = Want(0, name, "web", service or name, 0.25, 0.25, int(runs_s * S))
         response = self.pool(slot.port).request(
             "POST",
@@ -62,7 +62,9 @@
         assert stage.wait(lambda: stage.all_on("e1"))
         stage.hub.sleep(3 * S)
         one, other = stage.cluster.placers[4], stage.cluster.placers[3]
-        assert stage.fill(one, "a", 26) == 20, "parts of those without demand are not left unused"
+        assert stage.fill(one, "a", 26) == 20, (
+            "allocations of placers without demand must not stay unused"
+        )
         status, words, retry = stage.rejected[-1]
         assert status == 429
         assert "limit namespace/default/standing of the whole fleet: 20 at once" in words
@@ -76,7 +78,7 @@
         assert stage.ask(other, path=LIMITS)[1]["items"][0]["wants"] > 0
         for job in stage.jobs_given[:12]:
             assert stage.pool(one.port).request("DELETE", f"{JOBS}/{job}").status == 200
-        assert stage.fill(other, "c", 40) >= 8, "it goes where it is in demand"
+        assert stage.fill(other, "c", 40) >= 8, "the allocation moves to the placer with demand"
         assert stage.standing() <= 20
 
     stage.play(script)
@@ -92,7 +94,9 @@
         one, other = stage.cluster.placers[4], stage.cluster.placers[3]
         assert stage.fill(one, "a", 16) == 12
         one.hold(4 * S)
-        assert stage.fill(other, "b", 3, 0.1) == 0, "stopped, it may have all of them in use"
+        assert stage.fill(other, "b", 3, 0.1) == 0, (
+            "a paused placer may have its whole allocation in use"
+        )
         assert stage.standing() == 12
         one.kill()
         killed = stage.hub.now_us()
@@ -103,7 +107,7 @@
                 break
             stage.hub.sleep(S // 10)
         assert first is not None
-        assert 4 * S <= first <= 10 * S, "after the lease and the stranded time"
+        assert 4 * S <= first <= 10 * S, "reclaimed after the lease and the stranded time"
 
     stage.play(script)
 
@@ -126,11 +130,11 @@
 
     stage.play(script)
     assert max(sum(at <= other < at + 5 * S for other in times) for at in times) <= 10
-    assert len(times) >= 30, "and most of it is used"
+    assert len(times) >= 30, "most of the limit is used"
 
 
 def run_cold_hall(limits: str) -> tuple[int, int]:
-    """One placer has all the work as a hall comes back cold: offers in its second to sixth second, and overruns."""
+    """All work is at one placer while a hall restarts cold; returns offers in seconds 1 to 6, and budget overruns."""
     stage = LimitStage(limits)
     since: list[int] = []
 
@@ -158,7 +162,7 @@
     parts, over = run_cold_hall("")
     held, held_over = run_cold_hall('limit "cold"\n')
     assert (over, held_over) == (0, 0)
-    assert held >= 2 * parts, f"{held} offers where equal parts allow {parts}"
+    assert held >= 2 * parts, f"{held} offers; equal shares allow {parts}"
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_maintenance_path.py
+++ b/tests/peers/test_maintenance_path.py
@@ -1,4 +1,4 @@
-"""Maintenance slots with complete placers: requested over REST, confirmed, refused by the machine, tried again."""
+"""Maintenance slots end to end: requested over REST, confirmed by placers, enforced by the machine, done."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MaintenanceStage(DrainStage):
-    """With maintenance slots, requested of the leader."""
+    """A fleet whose maintenance slots are requested at the leader."""
 
     def slot(self, number: int) -> dict[str, Any]:
         return self.ask(self.leader(), path=f"{SLOTS_PATH}/{number}")[1]
@@ -35,7 +35,7 @@
     def act(self, number: int, action: str, **more: Any) -> tuple[int, dict[str, Any]]:
         return self.ask(self.leader(), "POST", more, f"{SLOTS_PATH}/{number}/{action}")
 
-    def holds(self, machine: str) -> int:
+    def live_pods(self, machine: str) -> int:
         found = next(each for each in self.cluster.machines if each.name == machine)
         return sum(pod.phase in ("Pending", "Running") for pod in found.pods.values())
 
@@ -57,7 +57,7 @@
         status, answer = stage.ask(other, "POST", {"machine": "node-2"}, SLOTS_PATH)
         assert (status, answer["name"]) == (307, stage.leader().name)
         stage.work(3, "before")
-        assert stage.holds("node-2") > 0
+        assert stage.live_pods("node-2") > 0
         number = stage.request_slot("node-2", urgency=7, ident="once", lasts="5m")["number"]
         resent = stage.ask(
             stage.leader(),
@@ -74,16 +74,16 @@
         assert slot["cell"]
         assert slot["zone"]
         assert slot["tasks"] > 0
-        assert stage.holds("node-2") == 0
+        assert stage.live_pods("node-2") == 0
         assert stage.guard("node-2").refuses()
         assert stage.everywhere("node-2", "draining")
         since = stage.hub.now_us()
         for round_ in range(4):
             stage.work(2, f"out-{round_}")
             assert stage.act(number, "renew", worker="w")[0] == 200
-            assert stage.holds("node-2") == 0
+            assert stage.live_pods("node-2") == 0
         assert stage.act(number, "renew", worker="another")[0] == 409
-        assert stage.act(number, "give-back")[0] == 409, "its worker is heard of"
+        assert stage.act(number, "give-back")[0] == 409, "the worker's lease has not expired"
         assert stage.act(number, "out-done", worker="w")[1]["state"] == "back"
         assert stage.act(number, "renew", worker="w")[0] == 409
         stage.work(6, "back")
@@ -124,7 +124,7 @@
             items = stage.ask(stage.leader(), path=SLOTS_PATH)[1]["items"]
             out = [each for each in items if each["state"] == "out"]
             assert len(out) <= 1
-            assert all(stage.holds(each["machine"]) == 0 for each in out)
+            assert all(stage.live_pods(each["machine"]) == 0 for each in out)
             for each in items:
                 seen[each["machine"]].add(each["state"])
         assert len(items) == 2 and {each["state"] for each in items} == {"done"}, items
@@ -150,7 +150,7 @@
         assert stage.wait(lambda: stage.state(number) in ("closing", "empty", "out"), 10)
         killed = stage.leader()
         killed.kill()
-        assert stage.wait(lambda: leads(stage), 20)
+        assert stage.wait(lambda: has_leader(stage), 20)
         assert stage.wait(lambda: stage.state(number) == "out", 30), stage.slot(number)
         answer = stage.slot(unknown["number"])
         assert answer["state"] == "asked"
@@ -160,7 +160,7 @@
         killed.start()
         assert stage.wait(lambda: killed.service is not None and killed.service.placer.ready, 20)
         assert stage.wait(lambda: stage.phase(killed, "node-5") == "draining", 10), (
-            "one that comes back hears of it"
+            "a restarted placer must learn of the slot"
         )
         for wrong in (
             {"machine": "node-1", "urgency": 11},
@@ -175,8 +175,8 @@
     stage.play(script)
 
 
-def leads(stage: AgreementStage) -> bool:
-    def one(slot: PlacerSlot) -> bool:
+def has_leader(stage: AgreementStage) -> bool:
+    def is_leader(slot: PlacerSlot) -> bool:
         service = slot.service
         return (
             service is not None
@@ -184,4 +184,4 @@
             and (service.placer.peering.agreement.is_leader)
         )
 
-    return any(map(one, stage.cluster.placers))
+    return any(map(is_leader, stage.cluster.placers))
--- a/tests/peers/test_message.py
+++ b/tests/peers/test_message.py
@@ -1,4 +1,4 @@
-"""Mail: what is written is read; rubbish, other forms and clusters, and what is over a bound are refused in words."""
+"""Envelopes: encoding and decoding; invalid bytes, other formats or clusters and exceeded bounds raise MessageError."""
 
 from __future__ import annotations
 
@@ -51,80 +51,80 @@
 )
 from wingbarrow.peers.message_bounds import MAX_RECORDS, MAX_UIDS
 
-WORD = MemberUpdate("placer-1", 7, MemberStatus.SUSPECT, "127.0.0.1:1", "north", 3, "placer-2")
-MESSAGES = [
-    Ping(1, (WORD,)),
+UPDATE = MemberUpdate("placer-1", 7, MemberStatus.SUSPECT, "127.0.0.1:1", "north", 3, "placer-2")
+GOSSIP_MESSAGES = [
+    Ping(1, (UPDATE,)),
     PingRequest(2, "a", "127.0.0.1:2"),
-    Ack(3, "a", (WORD, WORD)),
+    Ack(3, "a", (UPDATE, UPDATE)),
     Nack(4),
-    Sync(True, (WORD,)),
+    Sync(True, (UPDATE,)),
 ]
 
 
-def mail(**changes: Any) -> bytes:
+def envelope(**changes: Any) -> bytes:
     value = json.loads(
         encode_envelope(
-            "main", "placer-1", "127.0.0.1:1", [encode_message(each) for each in MESSAGES]
+            "main", "placer-1", "127.0.0.1:1", [encode_message(each) for each in GOSSIP_MESSAGES]
         )
     )
     return json.dumps({**value, **changes}).encode()
 
 
 def test_an_envelope_survives_encoding_and_decoding() -> None:
-    read = decode_envelope(mail(), "main")
-    assert (read.sender, read.address, read.messages, read.unknown_kinds) == (
+    decoded = decode_envelope(envelope(), "main")
+    assert (decoded.sender, decoded.address, decoded.messages, decoded.unknown_kinds) == (
         "placer-1",
         "127.0.0.1:1",
-        MESSAGES,
+        GOSSIP_MESSAGES,
         0,
     )
 
 
 def test_a_message_of_an_unknown_kind_is_skipped() -> None:
-    letters = json.loads(mail())["letters"]
-    read = decode_envelope(
-        mail(letters=[{"kind": "from-the-future", "body": {"x": [1]}}, *letters]), "main"
+    letters = json.loads(envelope())["letters"]
+    decoded = decode_envelope(
+        envelope(letters=[{"kind": "from-the-future", "body": {"x": [1]}}, *letters]), "main"
     )
-    assert read.messages == MESSAGES
-    assert read.unknown_kinds == 1
+    assert decoded.messages == GOSSIP_MESSAGES
+    assert decoded.unknown_kinds == 1
 
 
-def word(**changes: Any) -> list[dict[str, Any]]:
-    value = json.loads(encode_message(Ping(1, (WORD,))))
+def update_with(**changes: Any) -> list[dict[str, Any]]:
+    value = json.loads(encode_message(Ping(1, (UPDATE,))))
     value["body"]["news"][0].update(changes)
     return [value]
 
 
 @pytest.mark.parametrize(
-    ("raw", "words"),
+    ("raw", "reason"),
     [
         (b"", "no mail"),
         (b"{", "no mail"),
         (b"\xff\xfe", "no mail"),
         (b"[" * 100_000, "no mail"),
         (b"x" * (MAX_ENVELOPE_BYTES + 1), "are the most"),
-        (mail(form=2), "form 2"),
-        (mail(cluster="other"), "another cluster"),
-        (mail(sender=""), "empty"),
-        (mail(sender="x" * 254), "too long"),
-        (mail(address=""), "empty"),
+        (envelope(form=2), "form 2"),
+        (envelope(cluster="other"), "another cluster"),
+        (envelope(sender=""), "empty"),
+        (envelope(sender="x" * 254), "too long"),
+        (envelope(address=""), "empty"),
         (
-            mail(
+            envelope(
                 letters=[{"kind": "ack", "body": {"number": 1, "ident": "a"}}]
                 * (MAX_MESSAGES_PER_ENVELOPE + 1)
             ),
             "are the most",
         ),
-        (mail(letters=[{"kind": "probe", "body": {"number": "one"}}]), "probe:"),
-        (mail(letters=word(standing="asleep")), "probe:"),
-        (mail(letters=word(ident="")), "name"),
-        (mail(letters=word(incarnation=-1)), "out of range"),
-        (mail(letters=word(life=1 << 62)), "out of range"),
-        (mail(letters=word(address="x" * 301)), "address"),
+        (envelope(letters=[{"kind": "probe", "body": {"number": "one"}}]), "probe:"),
+        (envelope(letters=update_with(standing="asleep")), "probe:"),
+        (envelope(letters=update_with(ident="")), "name"),
+        (envelope(letters=update_with(incarnation=-1)), "out of range"),
+        (envelope(letters=update_with(life=1 << 62)), "out of range"),
+        (envelope(letters=update_with(address="x" * 301)), "address"),
     ],
 )
-def test_an_invalid_envelope_is_rejected_with_a_reason(raw: bytes, words: str) -> None:
-    with pytest.raises(MessageError, match=words):
+def test_an_invalid_envelope_is_rejected_with_a_reason(raw: bytes, reason: str) -> None:
+    with pytest.raises(MessageError, match=reason):
         decode_envelope(raw, "main")
 
 
@@ -136,7 +136,7 @@
 
 @given(st.integers(0, 10_000), st.integers(0, 255))
 def test_an_envelope_with_one_changed_byte_is_decoded_or_rejected(at: int, byte: int) -> None:
-    raw = bytearray(mail())
+    raw = bytearray(envelope())
     raw[at % len(raw)] = byte
     try:
         decode_envelope(bytes(raw), "main")
@@ -146,12 +146,12 @@
 
 # -- leases
 
-OF = Session("p", 1, 2)
+SESSION = Session("p", 1, 2)
 RECORD = LeasedJobRecord(
     1,
     "u",
     "default/j",
-    OF,
+    SESSION,
     0,
     1,
     "north",
@@ -170,13 +170,13 @@
     0,
     (KnownTask(0, "about", "m", "pod", 3),),
 )
-ENDED = EndedSession(1, OF, "north", (("k", "l"), ("m",)), ("k",), 3)
-LEASING = [
+ENDED = EndedSession(1, SESSION, "north", (("k", "l"), ("m",)), ("k",), 3)
+LEASE_MESSAGES = [
     LeaseRequest(
         1,
         0,
         0,
-        sessions=SessionsReport("north", 1, 2, (HeldRecords(OF, 3, 4),), 5, True),
+        sessions=SessionsReport("north", 1, 2, (HeldRecords(SESSION, 3, 4),), 5, True),
         turns=MaintenanceReport((1,), (2,), (3,)),
     ),
     LeaseGrant(
@@ -191,21 +191,21 @@
         sessions=SessionsResponse(True, 1, 10, 3, (ENDED,), 9),
         turns=MaintenanceResponse(1, ((1, "m", "out", ""),)),
     ),
-    ReplicateRequest(1, OF, (RECORD,), ("u",)),
-    ReplicateResponse(1, OF, False, "full", True),
-    ResolveRequest(1, OF, ("u",)),
-    ResolveResponse(1, OF, (("u", 3, "run"),)),
+    ReplicateRequest(1, SESSION, (RECORD,), ("u",)),
+    ReplicateResponse(1, SESSION, False, "full", True),
+    ResolveRequest(1, SESSION, ("u",)),
+    ResolveResponse(1, SESSION, (("u", 3, "run"),)),
     MachineQuery(1, "m", "u", 3),
     MachineReport(1, "m", "u", True, False, 9),
 ]
 
 
-def letters(*messages: Any) -> bytes:
+def envelope_of(*messages: Any) -> bytes:
     return encode_envelope("main", "p", "127.0.0.1:1", [encode_message(each) for each in messages])
 
 
 def test_lease_messages_survive_encoding_and_decoding() -> None:
-    assert decode_envelope(letters(*LEASING), "main").messages == LEASING
+    assert decode_envelope(envelope_of(*LEASE_MESSAGES), "main").messages == LEASE_MESSAGES
 
 
 @pytest.mark.parametrize(
@@ -213,7 +213,9 @@
     [
         LeaseRequest(1, 0, 0, sessions=SessionsReport("x" * 254, 1, 2)),
         LeaseRequest(1, 0, 0, sessions=SessionsReport("r", -1, 2)),
-        LeaseRequest(1, 0, 0, sessions=SessionsReport("r", 1, 2, (HeldRecords(OF, 1, 1),) * 2)),
+        LeaseRequest(
+            1, 0, 0, sessions=SessionsReport("r", 1, 2, (HeldRecords(SESSION, 1, 1),) * 2)
+        ),
         LeaseRequest(
             1,
             0,
@@ -229,7 +231,7 @@
             1,
             0,
             0,
-            sessions=SessionsReport("r", 1, 2, (HeldRecords(replace(OF, placer=""), 1, 1),)),
+            sessions=SessionsReport("r", 1, 2, (HeldRecords(replace(SESSION, placer=""), 1, 1),)),
         ),
         LeaseRequest(1, 0, 0, turns=MaintenanceReport(tuple(range(MAX_LIVE_SLOTS + 1)))),
         LeaseGrant(1, 0, "", 1, 0, 0, "", 0, sessions=SessionsResponse(True, 1, 0, 3)),
@@ -267,11 +269,11 @@
             sessions=SessionsResponse(True, 1, 10, 3, (replace(ENDED, batches=(("k",) * 65,)),)),
         ),
         LeaseGrant(1, 0, "", 1, 0, 0, "", 0, turns=MaintenanceResponse(1, ((-1, "m", "out", ""),))),
-        ReplicateRequest(1, OF, (RECORD,) * (MAX_RECORDS + 1)),
-        ReplicateRequest(1, OF, (), ("u",) * (MAX_UIDS + 1)),
-        ReplicateRequest(-1, OF),
+        ReplicateRequest(1, SESSION, (RECORD,) * (MAX_RECORDS + 1)),
+        ReplicateRequest(1, SESSION, (), ("u",) * (MAX_UIDS + 1)),
+        ReplicateRequest(-1, SESSION),
         *(
-            ReplicateRequest(1, OF, (replace(RECORD, **change),))
+            ReplicateRequest(1, SESSION, (replace(RECORD, **change),))
             for change in (
                 {"manifest": "x" * (MAX_RECORD_BYTES + 1)},
                 {"manifest": "ä" * (MAX_RECORD_BYTES // 2 + 1)},
@@ -284,9 +286,9 @@
                 {"tasks": (KnownTask(-1, "about"),)},
             )
         ),
-        ReplicateResponse(1, OF, False, "x" * 501),
-        ResolveRequest(1, OF, ("",)),
-        ResolveResponse(1, OF, (("u", -3, "run"),)),
+        ReplicateResponse(1, SESSION, False, "x" * 501),
+        ResolveRequest(1, SESSION, ("",)),
+        ResolveResponse(1, SESSION, (("u", -3, "run"),)),
         MachineQuery(1, "m" * 254, "u", 3),
         MachineReport(1, "m", "u", True, False, -9),
     ],
@@ -294,4 +296,4 @@
 )
 def test_lease_messages_over_a_bound_are_rejected(message: Any) -> None:
     with pytest.raises(MessageError):
-        decode_envelope(letters(message), "main")
+        decode_envelope(envelope_of(message), "main")
--- a/tests/peers/test_moving_path.py
+++ b/tests/peers/test_moving_path.py
@@ -1,4 +1,4 @@
-"""Runs that go back to the region that they prefer, on the whole path on a virtual clock."""
+"""Runs that return to their preferred region after a failover, end to end on a virtual clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ReturningRegions(Regions):
-    """What prefers the north goes back there once it has been well for a while."""
+    """Jobs of spec `roams` prefer the north and return there once it has been stable for 5 s, 2 at a time."""
 
     specs = (
         SPECS
@@ -33,32 +33,35 @@
         stage.cut(0)
         tasks = [f"safe-{number}" for number in range(5)]
 
-        def there(home: bool) -> list[str]:
+        def running(in_north: bool) -> list[str]:
             """Tasks that run in the north, or elsewhere."""
             return sorted(
                 pod.task
                 for machine in stage.cluster.machines
                 for pod in machine.pods.values()
-                if pod.phase == "Running" and (machine.name in names) is home
+                if pod.phase == "Running" and (machine.name in names) is in_north
             )
 
-        def back() -> list[str]:
-            return there(True)
+        def returned() -> list[str]:
+            return running(True)
 
-        assert stage.wait(lambda: there(False) == tasks and not back(), 40), (there(False), back())
+        assert stage.wait(lambda: running(False) == tasks and not returned(), 40), (
+            running(False),
+            returned(),
+        )
         stage.cut(0, False)
         healed = stage.hub.now_us()
-        assert stage.wait(lambda: back() == tasks, 60), (back(), there(False))
+        assert stage.wait(lambda: returned() == tasks, 60), (returned(), running(False))
         first = min(
             each.at_us
             for each in stage.cluster.record.records
             if each.what == "start" and each.where in names and each.at_us > healed
         )
         assert first - healed >= 5 * S, (
-            "not before the north had been well for as long as the spec says"
+            "no run may return before the north was stable for the spec's time"
         )
         stage.hub.sleep(10 * S)
-        assert back() == tasks and not there(False), "each runs once, in the region that it prefers"
+        assert returned() == tasks and not running(False), "each runs once, in its preferred region"
 
     stage.play(script)
 
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -1,4 +1,4 @@
-"""Placers that know each other over their fronts, on a virtual clock: joins, kills, stalls, rubbish, strangers."""
+"""Membership over the placers' fronts, on a virtual clock: joins, kills, pauses, invalid and foreign envelopes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PeerStage(Stage):
-    """All placers have the first one as their seed."""
+    """Placers whose only seed is the first one."""
 
     def join(self) -> None:
         first = self.cluster.placers[0]
--- a/tests/peers/test_reissue_path.py
+++ b/tests/peers/test_reissue_path.py
@@ -1,4 +1,4 @@
-"""Jobs of a lost placer or region on the whole path, on a virtual clock: what starts elsewhere, and what must not."""
+"""Jobs of a lost placer or region, end to end on a virtual clock: which start elsewhere, and which must not."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LostPlacer(Regions):
-    """The first placer of the first region is lost, one way or another."""
+    """The first placer of the first region, `north`, fails."""
 
     @property
     def north(self) -> PlacerSlot:
         return self.cluster.placers[0]
 
     def delay_messages(self, delay_us: int) -> None:
-        """What other regions say to the first placer comes late."""
+        """Delay messages of other regions to the first placer."""
         for slot in self.cluster.placers:
             if slot.index % 3:
                 self.network.set(slot.name, self.north.name, delay_us=delay_us)
@@ -29,7 +29,7 @@
         return sum(each.where in names for each in self.seen("offer", uid=uid))
 
     def unknown(self) -> dict[str, int]:
-        """Jobs on operators' lists, and at which placer."""
+        """The Jobs in unknown state, each with the index of the placer that lists it."""
         return {
             each["job"]: slot.index
             for slot in self.cluster.placers
@@ -50,10 +50,12 @@
         stage.hub.sleep(S // 10)
         stage.north.kill()
         assert not stage.offered(uid, 0), (
-            "its keeper knows that it was about to leave, and it never did"
+            "the replica has recorded the coming send, which never happened"
         )
         assert stage.wait(lambda: stage.starts(uid) == 1, 25)
-        assert len(stage.seen("fence", uid=uid)) >= 1, "its region's other placer asked the machine"
+        assert len(stage.seen("fence", uid=uid)) >= 1, (
+            "the other placer of the region must fence the Job at the machine"
+        )
         assert not stage.offered(uid, 0)
         stage.hub.sleep(10 * S)
         assert stage.starts(uid) == 1
@@ -75,7 +77,7 @@
         stage.north.hold(25 * S)
         stage.delay_messages(0)
         assert stage.wait(lambda: stage.starts(uid) == 1, 24), (
-            "its successor had proof, and started it"
+            "its successor has proof that it never ran, and starts it"
         )
         stage.hub.sleep(25 * S)
         assert not stage.offered(uid, 0)
@@ -84,7 +86,7 @@
         counts = stage.north.service.placer.context.counts
         assert counts["held:no_lease"] >= 1, counts
         assert stage.job_conditions(stage.north, "held")["Failed"] == "LeaseLost", (
-            "its owner is answered by who took it"
+            "the successor answers the owner; here the Job has failed"
         )
         assert stage.may_send(stage.north)
         assert stage.submit_to(stage.north, "fresh")[0] == 201
@@ -115,7 +117,9 @@
                 stage.ask(at[name], "POST", {"ran": name == "ran"}, f"{UNKNOWN}/default/{name}")[0]
                 == 200
             )
-        assert stage.wait(lambda: stage.starts(uids["never"]) == 2, 5), "on the operator's word"
+        assert stage.wait(lambda: stage.starts(uids["never"]) == 2, 5), (
+            "started after the operator's decision"
+        )
         stage.hub.sleep(5 * S)
         assert stage.starts(uids["ran"]) == 1
         assert not stage.unknown()
@@ -140,11 +144,10 @@
                 ),
                 30,
             )
-            stage.hub.sleep(4 * S)  # each is held anew, by keepers that are reached
+            stage.hub.sleep(4 * S)  # until each record has reachable replicas again
             victim.kill()
-            stage.hub.sleep(
-                14 * S
-            )  # two at once could be a holder and its keeper: then nobody knows the Job
+            # A primary and its replica must not fail at the same time: no placer would know the Job.
+            stage.hub.sleep(14 * S)
         assert stage.wait(lambda: all(len(stage.running(uid)) == 1 for uid in uids), 60), [
             stage.running(uid) for uid in uids
         ]
@@ -152,12 +155,12 @@
         assert all(len(stage.running(uid)) == 1 for uid in uids)
         north = {machine.name for machine in stage.machines_of(0)}
         assert not any(set(stage.running(uid)) & north for uid in uids), (
-            "its machines stopped their copies themselves"
+            "the machines of the lost region must stop their runs"
         )
         stage.cut(0, False)
         stage.hub.sleep(8 * S)
         assert all(len(stage.running(uid)) == 1 for uid in uids), (
-            "and healing starts and stops nothing more"
+            "the reconnection must not start or stop anything"
         )
 
     stage.play(script)
@@ -243,13 +246,12 @@
         south = stage.cluster.placers[1]
         stage.submit_placed(south, "before", spec="home", runs_s=1)
         others = [slot.name for slot in stage.cluster.placers if slot is not south]
-        for name in others:  # what they say does not come
+        for name in others:  # messages to the south are lost
             stage.network.set(name, south.name, cut=True)
 
         def silence() -> None:
-            for (
-                name
-            ) in others:  # and then nothing passes: nor do they hear that it was not accepted
+            # Then messages from the south are lost too: replicas do not learn that the Job was rejected.
+            for name in others:
                 stage.network.set(south.name, name, cut=True)
 
         stage.hub.call_at(stage.hub.now_us() + S // 5, silence)
@@ -257,10 +259,10 @@
         assert status == 503 and "keeper" in value["message"], value
         stage.hub.sleep(30 * S)
         assert not [each for each in stage.seen("start") if each.data["task"] == "refused"], (
-            "its owner asks elsewhere"
+            "its owner submits it elsewhere"
         )
         assert stage.wait(lambda: "default/refused" in stage.unknown(), 90), (
-            "an operator is told of it"
+            "it must be listed for an operator"
         )
 
     stage.play(script)
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -1,4 +1,4 @@
-"""Agreed rules on the whole path, on a virtual clock: fronts, voters' stores, the gate, the module, the commands."""
+"""Agreed rules end to end on a virtual clock: fronts, voters' stores, the send gate, the module, settings."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             stage.leader(), "POST", {"ident": "x", "rules": stage.latest_rules()}
         )
         assert status == 201
-        assert answer["version"] == 2, "sent again: it was accepted once"
+        assert answer["version"] == 2, "a repeated proposal is accepted once"
         status, answer = stage.ask(
             stage.leader(),
             "POST",
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -1,4 +1,4 @@
-"""Sessions on the whole path, on a virtual clock: placers of three regions, their leases as objects, ends told."""
+"""Sessions end to end on a virtual clock: placers of three regions, Lease objects, and notices of ended sessions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def in_region(slot: PlacerSlot, region: str) -> None:
-    """As its settings would say it."""
+    """Set a placer's region and the lease duration in its settings."""
     made = slot._settings
 
     def settings() -> PlacerSettings:
@@ -33,7 +33,7 @@
     slot._settings = settings  # type: ignore[method-assign]
 
 
-class Regions(AgreementStage):
+class SessionStage(AgreementStage):
     """Five placers in three regions."""
 
     def join(self) -> None:
@@ -61,7 +61,7 @@
 
 
 def test_the_end_of_a_session_reaches_its_replica_holder_and_its_holder() -> None:
-    stage = Regions(machines=1, placers=5)
+    stage = SessionStage(machines=1, placers=5)
     ended: list[tuple[int, EndedSession]] = []
     session_changes: list[tuple[int, Session, bool]] = []
 
@@ -89,7 +89,7 @@
         assert held[session.text()]["spec"]["leaseDurationSeconds"] == 4
         keeper = next(each for each in held.values() if each["status"].get("keepsFor"))
         assert keeper["status"]["keepsFor"] == {session.text(): {"jobs": 7, "afterUs": 5 * S}}
-        assert list(stage.items(lost)) == [session.text()], "its own alone"
+        assert list(stage.items(lost)) == [session.text()], "only its own session"
         lost.hold(ended_within_us(LEASE_US, 5 * S) + 5 * S)
         assert stage.wait(lambda: bool(ended), 30)
         assert ended[0][0] == 3
@@ -122,14 +122,14 @@
     stage.play(script)
 
 
-class Echo:
-    """A machine that answers each `Keep`, and tells of a timer."""
+class EchoMachine:
+    """A state machine that answers each ReplicateRequest, sets a timer and records its calls."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[str, Any]] = []
+        self.calls: list[tuple[str, Any]] = []
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        self.heard.append((ident, message))
+        self.calls.append((ident, message))
         if not isinstance(message, ReplicateRequest):
             return []
         return [
@@ -138,13 +138,13 @@
         ]
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        self.heard.append(("timer", key))
+        self.calls.append(("timer", key))
         return [Notify("custody-timer", {"key": key})]
 
 
 def test_a_hosted_state_machine_gets_its_messages_and_timers_and_others_are_counted() -> None:
     stage = AgreementStage(machines=1, placers=5)
-    keeper, holder, session = Echo(), Echo(), Session("placer-0", 1, 1)
+    replica, primary, session = EchoMachine(), EchoMachine(), Session("placer-0", 1, 1)
 
     def peering(index: int) -> Peering:
         service = stage.cluster.placers[index].service
@@ -154,18 +154,18 @@
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        peering(1).register("custody", keeper, (ReplicateRequest, ReplicateResponse))
-        peering(0).register("custody", holder, (ReplicateRequest, ReplicateResponse))
+        peering(1).register("custody", replica, (ReplicateRequest, ReplicateResponse))
+        peering(0).register("custody", primary, (ReplicateRequest, ReplicateResponse))
         for other in (1, 2):
             peering(0).perform(
                 "custody", [Send(f"placer-{other}", "", ReplicateRequest(9, session))]
             )
         stage.hub.sleep(3 * S)
-        assert keeper.heard == [("placer-0", ReplicateRequest(9, session)), ("timer", "one")]
-        assert holder.heard == [("placer-1", ReplicateResponse(9, session, True))]
+        assert replica.calls == [("placer-0", ReplicateRequest(9, session)), ("timer", "one")]
+        assert primary.calls == [("placer-1", ReplicateResponse(9, session, True))]
         assert peering(2).counts["peers:letters about custody, which is not kept here"] == 1
         for name in ("custody", "rules", "members"):
             with pytest.raises(ValueError, match=name):
-                peering(0).register(name, holder, ())
+                peering(0).register(name, primary, ())
 
     stage.play(script)
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A store that was created, and is not open."""
+    """The folder of a created store that is not open."""
     create(tmp_path / "rules", VOTERS)
     return tmp_path / "rules"
 
@@ -38,7 +38,7 @@
 
 
 def generated_update(rng: random.Random, expected: PersistentState) -> Persist:
-    """New entries, a new term, or a snapshot; `expected` is changed likewise, without `PersistentState.persist`."""
+    """Generate entries, a term or a snapshot; also applied to `expected`, without `PersistentState.persist`."""
     choice = rng.random()
     term, vote = expected.term, expected.vote
     if choice < 0.5:
