--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -161,7 +161,7 @@
         machine.listener.close()
         for stream in machine.streams[:broken]:
             stream.abort()
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         stage.sleep(10_000)
         refused = counts["dials_failed:ECONNREFUSED"]
         assert 1 <= refused <= 24, f"{refused} times in 10 s"
--- a/tests/relay/test_gone_owners.py
+++ b/tests/relay/test_gone_owners.py
@@ -86,7 +86,7 @@
         stall(stage, lambda: leave(client, tasks))
         stage.sleep(1500)
         assert len(stage.machines[0].set_ups()) == 1
-        assert stage.placer.life.counts["withdrawn"] == open_at_once
+        assert stage.placer.runtime.counts["withdrawn"] == open_at_once
         other = stage.client()  # the placer still serves others
         other.ask(99)
         stage.sleep(100)
@@ -106,7 +106,7 @@
         stall(stage, lambda: owners.close(owner, "id twice"))
         stage.sleep(1500)
         assert len(stage.machines[0].set_ups()) == 1
-        assert stage.placer.life.counts["withdrawn"] == 1
+        assert stage.placer.runtime.counts["withdrawn"] == 1
 
     Stage(1).run(play)
 
@@ -139,7 +139,7 @@
 
         stall(stage, refuse_and_leave)
         stage.sleep(1500)
-        assert stage.placer.life.counts["release:sent:34"] == 1, "the refusal was not read"
+        assert stage.placer.runtime.counts["release:sent:34"] == 1, "the refusal was not read"
         assert len(stage.set_ups(1)) == 1
 
     Stage().run(play)
@@ -184,7 +184,7 @@
         assert [client.kinds(task) for task in (1, 2, 3, 5)] == [[Kind.ANSWER]] * 4
         assert client.kinds(4) == []
         assert stage.set_ups(4) == []
-        assert stage.placer.life.counts["sends_behind"] > 0
+        assert stage.placer.runtime.counts["sends_behind"] > 0
 
     Stage(1).run(play)
 
@@ -211,7 +211,7 @@
         assert [
             each.message.task for each in machine.heard if each.message.kind == Kind.RELEASE
         ] == [1]
-        assert stage.placer.life.counts["answers_unheard"] == 1
+        assert stage.placer.runtime.counts["answers_unheard"] == 1
         assert stage.placer._requests.by_ident.get(1) is None
 
     Stage(1).run(play)
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -253,7 +253,7 @@
         machine.streams[-1].send(over(1))
         stage.sleep(50)
         assert owner.kinds(1) == [Kind.RELEASE]
-        second.life.end()
+        second.runtime.shut_down()
 
     Stage().run(play)
 
@@ -280,7 +280,7 @@
 
 def test_an_address_change_during_backoff_takes_effect_at_once() -> None:
     def play(stage: Stage) -> None:
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         stage.journal.troubles += [respond(b"", b"500 Broken")] * 50
         stage.journal.add(stage.machines[1].entry())
         # After seven failures the backoff is at least 250 ms.
@@ -325,7 +325,7 @@
         stage.sleep(50)
         assert [each.position for each in delivered] == [2, 3, 4]
         assert [phase(stage, each) for each in stage.machines] == [api.Phase.DRAINING] * 2
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -344,7 +344,7 @@
         stage.journal.troubles.append(before_follower_resumes(stage, end, now))
         wait_until(stage, lambda: bool(fresh.calls))
         assert fresh.calls[0][0] - moved[0] <= 2 * MS
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -371,7 +371,7 @@
         stage.sleep(20)
         assert phase(stage, stage.machines[0]) is api.Phase.DRAINING
         assert len(last.calls) <= 3
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -388,7 +388,7 @@
         stage.sleep(1500)
         assert phase(stage, first) is api.Phase.DRAINING
         assert tails(fresh)[-1] == 2
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -398,7 +398,7 @@
 
 def test_a_full_descriptor_table_delays_polls_by_half_a_second_at_most() -> None:
     def play(stage: Stage) -> None:
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         held: list[int] = []
 
@@ -482,7 +482,7 @@
             wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
             <= 500 * MS
         )
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         assert counts["journal_failures"] + counts["journal_bad_entries"] >= 2
         assert stage.ended_us is None
 
--- a/tests/relay/test_list.py
+++ b/tests/relay/test_list.py
@@ -138,7 +138,7 @@
         assert wait_until(stage, lambda: phase(stage, second) is api.Phase.DRAINING, 500) <= 50 * MS
         stage.sleep(5000)
         assert tails(journal)[:5] == [1, 1, 0, 3, 4] and len(journal.calls) <= 12
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         assert counts["journal_gaps"] == counts["journal_gaps_given_up"] == 1
 
     Stage().run(play)
@@ -158,7 +158,7 @@
         assert [phase(stage, each) for each in stage.machines] == [api.Phase.DRAINING] * 2
         assert (
             tails(journal)[:3] == [1, 1, 3]
-            and not stage.placer.life.counts["journal_gaps_given_up"]
+            and not stage.placer.runtime.counts["journal_gaps_given_up"]
         )
 
     Stage().run(play)
@@ -200,7 +200,7 @@
         journal.add(second.entry("Terminating"))
         stage.sleep(500)
         assert phase(stage, second) is api.Phase.DRAINING
-        assert stage.placer.life.counts["journal_bad_entries"] >= 1 and len(journal.calls) <= 8
+        assert stage.placer.runtime.counts["journal_bad_entries"] >= 1 and len(journal.calls) <= 8
 
     Stage().run(play)
 
@@ -244,7 +244,7 @@
         stage.sleep(20)
         submit_five(stage)
         assert not first.set_ups() and len(second.set_ups()) == 5
-        assert stage.placer.life.counts["journal_bad_entries"] == 1
+        assert stage.placer.runtime.counts["journal_bad_entries"] == 1
         stage.journal.add(first.entry())
         stage.sleep(20)
         stage.journal.add(second.entry("Terminating"))
@@ -269,7 +269,7 @@
         stage.journal.add({**late.entry(), "cell": None})
         stage.sleep(20)
         assert phase(stage, late) is None, "a damaged entry of an unknown machine was not skipped"
-        assert stage.placer.life.counts["journal_bad_entries"] == 3
+        assert stage.placer.runtime.counts["journal_bad_entries"] == 3
 
     Stage().run(play)
 
@@ -313,7 +313,7 @@
         stage.sleep(50)
         assert phase(stage, first) is api.Phase.DRAINING
         assert phase(stage, late) is api.Phase.RUNNING, "a new machine was not added"
-        assert stage.placer.life.counts["journal_bad_entries"] == 2
+        assert stage.placer.runtime.counts["journal_bad_entries"] == 2
 
     Stage().run(play)
 
@@ -329,7 +329,7 @@
         stage.journal.add({**first.entry("Terminating"), "startedAtMs": started})
         stage.sleep(50)
         assert phase(stage, first) is api.Phase.DRAINING
-        assert stage.placer.life.counts["journal_bad_entries"] == 1
+        assert stage.placer.runtime.counts["journal_bad_entries"] == 1
 
     Stage().run(play)
 
@@ -337,14 +337,14 @@
 def test_a_repeated_bad_entry_is_logged_once_and_counted_each_time() -> None:
     def play(stage: Stage) -> None:
         lines: list[tuple[str, dict[str, Any]]] = []
-        stage.placer.life.log = lambda what, **fields: lines.append((what, fields))
+        stage.placer.runtime.log = lambda what, **fields: lines.append((what, fields))
         for _ in range(20):
             stage.journal.add({"instanceId": "s-\ud800" + "x" * 10_000})
             stage.sleep(10)
         stage.sleep(50)
         delivered = [fields["why"] for what, fields in lines if what == "bad-list-entry"]
         assert len(delivered) == 1 and len(delivered[0]) <= 2000 and delivered[0].isascii()
-        assert stage.placer.life.counts["journal_bad_entries"] == 20
+        assert stage.placer.runtime.counts["journal_bad_entries"] == 20
 
     Stage().run(play)
 
@@ -366,7 +366,7 @@
         stage.journal.add(stage.machines[0].entry("Terminating"))
         wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
         assert 1400 * MS <= stage.hub.now_us() - begun <= 1450 * MS
-        assert stage.placer.life.counts["journal_failures"] == 1
+        assert stage.placer.runtime.counts["journal_failures"] == 1
 
     Stage().run(play)
 
@@ -404,7 +404,7 @@
             <= 501 * MS
         )
         stage.sleep(3000)
-        assert len(delivered) == 1 and stage.placer.life.counts["journal_early"] >= 10
+        assert len(delivered) == 1 and stage.placer.runtime.counts["journal_early"] >= 10
 
     Stage().run(play)
 
--- a/tests/relay/test_machine_races.py
+++ b/tests/relay/test_machine_races.py
@@ -125,7 +125,7 @@
         stage.owner.ask(1, patience_ms=4000)
         stage.sleep(400)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        assert stage.placer.life.counts["dials_failed:silent"] == 0
+        assert stage.placer.runtime.counts["dials_failed:silent"] == 0
 
     Stage(1).run(play)
 
@@ -144,16 +144,16 @@
         if then == "quiet":
             stage.owner.ask(1, patience_ms=200)
             stage.sleep(5000)
-            assert stage.placer.life.counts["dials_failed:silent"] == 1
+            assert stage.placer.runtime.counts["dials_failed:silent"] == 1
             assert not stage.set_ups(1)
             stage.owner.ask(2, "settlement", name="2" * 16, figures=found)
         else:
             stage.owner.ask(2, "settlement", name="2" * 16, figures=found)
             for _ in range(400):
                 stage.sleep(10)
-                if stage.placer.life.counts["dials_failed:silent"]:
+                if stage.placer.runtime.counts["dials_failed:silent"]:
                     break
-            assert stage.placer.life.counts["dials_failed:silent"] == 1
+            assert stage.placer.runtime.counts["dials_failed:silent"] == 1
             stage.hub.clock.jump(stage.hub.now_us() + 5 * S)
         stage.sleep(2000)
         assert stage.owner.kinds(2) == [], (
--- a/tests/relay/test_overtaken.py
+++ b/tests/relay/test_overtaken.py
@@ -56,7 +56,7 @@
         assert told.message.cause == Cause.RESET
         assert told.at_us - asked.at_us <= 300_000 + 50_000
         assert [each for each in machine.heard if each.message.kind == Kind.RELEASE] == []
-        assert stage.placer.life.counts["answers_overtaken"] == 1
+        assert stage.placer.runtime.counts["answers_overtaken"] == 1
 
     Stage().run(play)
 
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -101,7 +101,7 @@
         stage.sleep(50)
         stage.placer.owners.release(1, Cause.OVER)
         stage.owner.stream.abort()
-        run_turns_until(stage, lambda: stage.placer.life.counts["releases_again"] == 1)
+        run_turns_until(stage, lambda: stage.placer.runtime.counts["releases_again"] == 1)
         second.stream.abort()
         stage.sleep(8500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
@@ -119,7 +119,7 @@
         stage.sleep(20)
         machine.tell(over(1))
         stage.sleep(20)
-        assert stage.placer.life.counts["releases_waited"] == 1
+        assert stage.placer.runtime.counts["releases_waited"] == 1
         fresh = stage.client()
         fresh.ask(2, name="2" * 16)
         run_turns_until(stage, lambda: stage.placer._requests.answered == 2)
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -59,7 +59,7 @@
         # A placed task makes the connection a proven owner's, which releases can go to.
         stage.client().ask(6, name="e" * 16)
         stage.sleep(400)
-        assert stage.placer.life.counts["run:done"] == 1
+        assert stage.placer.runtime.counts["run:done"] == 1
 
     Stage(1).run(play)
 
--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -241,7 +241,7 @@
         assert stage.hub.now_us() - began <= 100 * MS
         assert calls[0] <= 400 * 500
         assert placer._links.held == 0
-        placer.life.end()
+        placer.runtime.shut_down()
 
     Stage(1).run(play)
 
@@ -346,7 +346,7 @@
 def test_an_unusable_replaced_file_keeps_the_old_address(tmp_path: Path) -> None:
     def play(stage: Stage) -> None:
         lines: list[str] = []
-        stage.placer.life.log = lambda event, **more: lines.append(event)
+        stage.placer.runtime.log = lambda event, **more: lines.append(event)
         for index, value in enumerate(invalid_files()):
             path = tmp_path / f"{index}.json"
             path.write_bytes(
--- a/tests/relay/test_races.py
+++ b/tests/relay/test_races.py
@@ -67,7 +67,7 @@
         sent = stage.set_ups(1)
         assert len(sent) == sends
         if sends == 1:
-            assert stage.placer.life.counts["held:repeat"] >= 1
+            assert stage.placer.runtime.counts["held:repeat"] >= 1
             stage.sleep(1000)
             (refused,) = stage.owner.of(1)
             assert refused.kind == Kind.RELEASE and refused.cause in (34, 42, 102), (
@@ -96,7 +96,7 @@
         stage.journal.add(machine.entry(started_ms=stage.hub.clock.wall_us() // 1000))
         stage.sleep(170)
         monkeypatch.undo()
-        assert stage.placer.life.counts["held:restarted"] == 3
+        assert stage.placer.runtime.counts["held:restarted"] == 3
         stage.sleep(300)
         # They go all the same, decided anew and counted in the cold machine's share.
         assert [owner.kinds(task) for task in (1, 2, 3)] == [[Kind.ANSWER]] * 3
@@ -158,7 +158,7 @@
         now_is_the_time.append(True)
         stage.sleep(1500)
         assert len(machine.set_ups()) == 1
-        assert stage.placer.life.counts["sends_behind_list"] > 0
+        assert stage.placer.runtime.counts["sends_behind_list"] > 0
 
     Stage(1).run(play)
 
@@ -256,7 +256,7 @@
         stage.sleep(50)
         assert again.kinds(2) == [Kind.ANSWER]
         assert len(stage.set_ups(2)) == 1
-        assert stage.placer.life.counts["crossed_a_close"] == 1
+        assert stage.placer.runtime.counts["crossed_a_close"] == 1
 
     Stage(1).run(play)
 
@@ -268,7 +268,7 @@
         clients = [stage.client() for _ in range(owners._crowd.most - 1)]
         stage.sleep(20)
         assert len(owners) == owners._crowd.most
-        assert stage.placer.life.counts["owners:crowded"] == 0
+        assert stage.placer.runtime.counts["owners:crowded"] == 0
         make_room = owners._make_room
 
         def ask_first() -> None:
@@ -282,7 +282,7 @@
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert one_more.ended_us is None
-        assert stage.placer.life.counts["owners:crowded"] == 1
+        assert stage.placer.runtime.counts["owners:crowded"] == 1
         assert [client.ended_us is not None for client in clients].count(True) == 1
 
     Stage(1, sockets=96).run(play)
--- a/wingbarrow/core/base.py
+++ b/wingbarrow/core/base.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from wingbarrow.config import PlacerSettings
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.kube import names
 from wingbarrow.transport import Hub
 
 
-class Base(Life):
+class Base(PlacerRuntime):
     """One placer's life; `settings` are replaced when the file is read again."""
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.scheduler import Scheduler
 from wingbarrow.transport import Timer
 
@@ -41,9 +41,9 @@
 class Host:
     """The module with its queue and its timers."""
 
-    def __init__(self, life: Life, settings: api.Settings) -> None:
-        self._life = life
-        self._scheduler = Scheduler(settings, life.random.randrange(1 << 48))
+    def __init__(self, runtime: PlacerRuntime, settings: api.Settings) -> None:
+        self._runtime = runtime
+        self._scheduler = Scheduler(settings, runtime.random.randrange(1 << 48))
         self._queue: deque[api.Event] = deque()
         self._timers: dict[str, Timer] = {}
         self._pumping = False
@@ -63,15 +63,15 @@
             while self._queue:
                 happened = self._queue.popleft()
                 begun = time.perf_counter_ns()
-                actions = self._scheduler.handle(self._life.hub.now_us(), happened)
+                actions = self._scheduler.handle(self._runtime.hub.now_us(), happened)
                 self.module_ns += time.perf_counter_ns() - begun
                 for action in actions:
                     self._carry_out(action, hands)
         except Exception as error:
             # A core that failed halfway through an event must not go on placing: the whole placer ends.
             self.failed = error
-            self._life.log("core-failed", level="error", why=f"{type(error).__name__}: {error}")
-            self._life.end()
+            self._runtime.log("core-failed", level="error", why=f"{type(error).__name__}: {error}")
+            self._runtime.shut_down()
             raise
         finally:
             self._pumping = False
@@ -92,11 +92,11 @@
             case api.Probe(machine):
                 hands.probe(machine)
             case api.WatchList():
-                self._life.counts["watch_list"] += (
+                self._runtime.counts["watch_list"] += (
                     1  # the list is followed for as long as the placer lives
                 )
             case api.Log(text):
-                self._life.log("module", text=text)
+                self._runtime.log("module", text=text)
 
     def _set_timer(self, at_us: int, name: str) -> None:
         def due() -> None:
@@ -104,7 +104,7 @@
             self.feed(api.TimerDue(name))
 
         # A request's own timer gives the final answer that is owed: it runs before all else that is due.
-        timer = self._life.hub.call_at(at_us, due, owed=name.isdecimal())
+        timer = self._runtime.hub.call_at(at_us, due, owed=name.isdecimal())
         if name.isdecimal():
             self._timers[name] = timer
 
@@ -116,4 +116,4 @@
 
     def knowledge(self) -> api.Knowledge:
         """What the module knows of machines."""
-        return self._scheduler.knowledge(self._life.hub.now_us())
+        return self._scheduler.knowledge(self._runtime.hub.now_us())
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -334,7 +334,7 @@
         """Work until cancelled; raises the error where the core itself failed."""
         base = self.base
         with Nursery(base.hub) as nursery:
-            base.live_in(nursery)
+            base.attach_nursery(nursery)
             self._checkpoint.load()
             nursery.spawn(self.fleet.reflector.run, "reflector")
             nursery.spawn(self.fleet.run_restart_timeouts, "rebirth")
--- a/wingbarrow/core/life.py
+++ b/wingbarrow/core/placer_runtime.py
@@ -10,7 +10,7 @@
 from wingbarrow.transport import Hub, Nursery
 
 
-class Life:
+class PlacerRuntime:
     """What every component of a placer shares; it ends when something in it fails."""
 
     def __init__(self, hub: Hub, log: Callable[..., None], seed: int) -> None:
@@ -20,7 +20,7 @@
         self.random = random.Random(seed)
         self._nursery: Nursery | None = None
 
-    def live_in(self, nursery: Nursery) -> None:
+    def attach_nursery(self, nursery: Nursery) -> None:
         """Background tasks belong to this nursery from now on; without one they are not started."""
         self._nursery = nursery
 
@@ -29,7 +29,7 @@
         if self._nursery is not None and not self._nursery.scope.cancelled:
             self._nursery.spawn(call, name)
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """End the placer: what failed must not go on."""
         if self._nursery is not None:
             self._nursery.cancel()
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -4,7 +4,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide.crowd import Crowd
 from wingbarrow.decide.overload import OverloadControl, Rejected
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         host: Host,
         requests: RequestTable,
         attempts: Attempts,
@@ -38,7 +38,12 @@
         deadline_us: int,
         trace: Trace,
     ) -> None:
-        self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
+        self._runtime, self._host, self._requests, self._attempts = (
+            runtime,
+            host,
+            requests,
+            attempts,
+        )
         self._links, self._offers, self._crowd = links, offers, crowd
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
@@ -53,7 +58,7 @@
         kind = message.kind
         if owner.retired and kind != Kind.RELEASE:
             # A retired connection cannot carry an answer; its client retries on another.
-            self._life.counts["crossed_a_close"] += 1
+            self._runtime.counts["crossed_a_close"] += 1
         elif kind == Kind.SET_UP:
             self._set_up(owner, message, came_us)
         elif kind == Kind.RELEASE:
@@ -75,7 +80,11 @@
         if existing is not None:
             self._reject(owner, message.task, Cause.ERROR, "id in use", existing)
             return
-        now, lag, pending = self._life.hub.now_us(), self._life.hub.lag_us(), self._requests.pending
+        now, lag, pending = (
+            self._runtime.hub.now_us(),
+            self._runtime.hub.lag_us(),
+            self._requests.pending,
+        )
         rejection = self._overload.check_wait(now, came_us, lag, pending)
         due_us = rejection or self._overload.due_us(
             now, came_us, set_up.patience_us, lag, pending, self._requests.answered
@@ -98,7 +107,7 @@
             )
             self._requests.add(task)
             owner.tasks[task.ident] = task
-            self._life.counts["set_ups"] += 1
+            self._runtime.counts["set_ups"] += 1
             self._trace(task.ident, "asked", owner=owner.number, effect=task.cls.effect.value)
             self._host.feed(task.arrival)
 
@@ -106,8 +115,8 @@
         self, owner: Owner, ident: int, cause: int, why: str, existing: Task | None
     ) -> None:
         """Answer a set-up with a refusal or failure, without recording a task."""
-        self._life.counts["turned_away:" + why.partition(":")[0]] += 1
-        self._life.log("turned-away", why=why)
+        self._runtime.counts["turned_away:" + why.partition(":")[0]] += 1
+        self._runtime.log("turned-away", why=why)
         if existing is not None and existing.ident in owner.tasks:
             # Danger: the owner would take an answer with this id for the answer to its open set-up.
             self.owners.close(owner, "id twice")
@@ -119,11 +128,11 @@
 
     def _adopt(self, owner: Owner, set_up: setup.SetUp, machine_name: str) -> None:
         """Adopt a task that already runs on a machine: track it and release it when it ends."""
-        request, now = self._requests.next_request(), self._life.hub.now_us()
+        request, now = self._requests.next_request(), self._runtime.hub.now_us()
         link = self._links.by_name.get(machine_name)
-        self._life.counts["found" if link else "found_nowhere"] += 1
+        self._runtime.counts["found" if link else "found_nowhere"] += 1
         if link is None or link.closed or set_up.ident in link.running:
-            self._life.log("adoption-rejected", level="warning", machine=machine_name)
+            self._runtime.log("adoption-rejected", level="warning", machine=machine_name)
             if link is None or link.closed:
                 owner.write(refusal(set_up.ident, Cause.RESET))
             return
@@ -166,7 +175,7 @@
             or (task.state is State.ASKED and task.owner is not owner)
             or task.ident in owner.foreign_ids
         ):
-            self._life.counts["releases_unknown"] += 1
+            self._runtime.counts["releases_unknown"] += 1
             self._trace(message.task, "release unknown", owner=owner.number, cause=message.cause)
             return
         self._trace(message.task, "released by its owner", owner=owner.number, cause=message.cause)
@@ -179,7 +188,7 @@
             return
         if owner is not None:
             owner.tasks.pop(task.ident, None)
-        self._life.counts["withdrawn"] += 1
+        self._runtime.counts["withdrawn"] += 1
         self._host.cancel_timer(task.request)
         self._host.feed(api.TaskWithdrawn(task.request))
         if attempt is None:
@@ -206,7 +215,7 @@
     def _answer(self, request: int, step: Step, cause: int) -> None:
         task = self._requests.by_request.get(request)
         if task is None:
-            self._life.counts["answers_dropped"] += 1
+            self._runtime.counts["answers_dropped"] += 1
         else:
             self._offers.answer(task, step, cause)
 
@@ -219,8 +228,8 @@
             or attempt.stopping is not None
             or not self._requests.step(task, Step.MOVE)
         ):
-            self._life.counts["moves_dropped"] += 1
+            self._runtime.counts["moves_dropped"] += 1
             return
-        self._life.counts["moves"] += 1
+        self._runtime.counts["moves"] += 1
         self.owners.send_move(task.ident)
         self._offers.stop(attempt, RunEnd.MOVED)
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Sequence
 
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         address: Address,
         position: int,
         shift_us: int,
@@ -49,7 +49,7 @@
     ) -> None:
         # Fixed for the life of the process, so that a machine's start time never changes.
         self._shift_us = shift_us
-        self._life, self._address = life, address
+        self._runtime, self._address = runtime, address
         self._deliver, self._on_failure = deliver, on_failure
         self.position = position  # all events up to it were applied or skipped
         # Events applied beyond a gap, by number, with the names of their machines.
@@ -62,7 +62,7 @@
         self._logged: deque[str] = deque(maxlen=MAX_LOGGED_TEXTS)
         self._scope: CancelScope | None = None
         self._pool: Pool | None = None
-        self._backoff = Backoff(random.Random(life.random.random()), 20_000, 500_000)
+        self._backoff = Backoff(random.Random(runtime.random.random()), 20_000, 500_000)
 
     def change_address(self, address: Address) -> None:
         """Poll another address from now on; a poll of the old one is cancelled."""
@@ -78,7 +78,7 @@
 
     def run(self) -> None:
         """Poll until cancelled."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         # Danger (rule 3): offers that are ready must not be sent before drains are read.
         hub.current().first = True
         while True:
@@ -97,12 +97,12 @@
 
     def _poll(self, pool: Pool, address: Address) -> bool:
         """Poll once and apply the answer; whether the next poll may follow without backoff."""
-        life, started_us = self._life, self._life.hub.now_us()
+        runtime, started_us = self._runtime, self._runtime.hub.now_us()
         tail = 0 if self._refetch_all or self._gap_polls == MAX_GAP_POLLS - 1 else self.position
         answer: tuple[int, list[Event]] | None = None
         why = ""
         # The scope ends before delivery, so that an address change never interrupts one.
-        with CancelScope(life.hub) as scope:
+        with CancelScope(runtime.hub) as scope:
             self._scope = scope
             try:
                 answer = self._request(pool, tail)
@@ -111,19 +111,19 @@
         if answer is None and scope.cancelled:
             return True  # cancelled by an address change: not a failure of the new service
         if answer is None:
-            life.counts["journal_failures"] += 1
-            life.log("journal-poll-failed", level="warning", address=str(address), why=why)
+            runtime.counts["journal_failures"] += 1
+            runtime.log("journal-poll-failed", level="warning", address=str(address), why=why)
             self._on_failure()
             return False
-        if self._apply(tail, *answer) or life.hub.now_us() - started_us >= MIN_POLL_US:
+        if self._apply(tail, *answer) or runtime.hub.now_us() - started_us >= MIN_POLL_US:
             self._backoff.clear()
             return True
-        life.counts["journal_early"] += 1
+        runtime.counts["journal_early"] += 1
         self._warn_once("journal-early", "empty answer before half of the requested wait")
         return False
 
     def _request(self, pool: Pool, tail: int) -> tuple[int, list[Event]]:
-        until_us = self._life.hub.now_us() + POLL_WAIT_MS * 1000 + POLL_GRACE_US
+        until_us = self._runtime.hub.now_us() + POLL_WAIT_MS * 1000 + POLL_GRACE_US
         response = pool.request(
             "GET", f"/journal?tail={tail}&max_wait={POLL_WAIT_MS}", until_us=until_us
         )
@@ -193,12 +193,12 @@
             return
         self._gap_polls += 1
         if self._gap_polls == 1:
-            self._life.counts["journal_gaps"] += 1
-            self._life.log("journal-gap", level="warning", after=self.position, before=top)
+            self._runtime.counts["journal_gaps"] += 1
+            self._runtime.log("journal-gap", level="warning", after=self.position, before=top)
         if self._gap_polls > MAX_GAP_POLLS - 1:
             self._gap_polls = 0
-            self._life.counts["journal_gaps_given_up"] += 1
-            self._life.log("journal-gap-skipped", level="error", after=self.position, before=top)
+            self._runtime.counts["journal_gaps_given_up"] += 1
+            self._runtime.log("journal-gap-skipped", level="error", after=self.position, before=top)
             self._advance_to(top)
 
     def _on_position_regressed(self, tail: int, highest: int, events: list[Event]) -> list[News]:
@@ -206,7 +206,7 @@
         if highest == self._lagging_position:
             return []
         if tail > 0:
-            self._life.counts["journal_went_back"] += 1
+            self._runtime.counts["journal_went_back"] += 1
             self._warn_once("journal-went-back", f"highest event number is {highest}")
             self._refetch_all = True
             return []
@@ -218,7 +218,7 @@
         if not readable or (hashes_match and readable[-1].position in self._marks):
             self._lagging_position = highest
             return []
-        self._life.log("journal-renumbered", level="warning", ours=self.position, theirs=highest)
+        self._runtime.log("journal-renumbered", level="warning", ours=self.position, theirs=highest)
         self._marks.clear()
         self._gap_polls = 0
         # Merged into one delivery: a machine that only a later event lists must not count as gone in between.
@@ -232,10 +232,10 @@
     def _warn_once(self, what: str, why: str) -> None:
         if f"{what} {why}" not in self._logged:
             self._logged.append(f"{what} {why}")
-            self._life.log(what, level="warning", why=why)
+            self._runtime.log(what, level="warning", why=why)
 
     def _report_bad_entry(self, why: str) -> None:
-        self._life.counts["journal_bad_entries"] += 1
+        self._runtime.counts["journal_bad_entries"] += 1
         self._warn_once("bad-list-entry", why)
 
 
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import AttemptRecord, AttemptTable
 from wingbarrow.decide.descriptors import Rank, Table
 from wingbarrow.decide.liveness import Liveness, Verdict
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         name: str,
         address: Address,
         listed: ListedMachine,
@@ -118,12 +118,12 @@
         self.strays: OrderedDict[int, None] = (
             OrderedDict()
         )  # ids whose offers were given up and may run
-        self.liveness = Liveness(life.hub.now_us())
-        self._life, self._news, self._links, self._dial_us = life, news, links, dial_us
+        self.liveness = Liveness(runtime.hub.now_us())
+        self._runtime, self._news, self._links, self._dial_us = runtime, news, links, dial_us
         self._dials = 0
         self._missed = False  # a connection broke while tasks stood, and none has come up since
         self._visit_us: int | None = None  # a connection had to go: a new one is due then
-        self._dialled = Signal(life.hub)
+        self._dialled = Signal(runtime.hub)
         self._redial_us = 0
         self._refusals = 0  # in a row, while old connections stood
         self._releases: OrderedDict[int, int] = (
@@ -143,7 +143,7 @@
         """One on which no set-up is open."""
         # Danger: near the time at which idle connections are closed there, an offer crosses the close, and a task that
         # must never start twice is in doubt. What waits to be sent before it would put its first byte off, too.
-        since_us = self._life.hub.now_us() - self._links.fresh_us
+        since_us = self._runtime.hub.now_us() - self._links.fresh_us
         return next(
             (
                 line
@@ -179,10 +179,10 @@
 
     def line_for_offer(self) -> Line | None:
         """A new connection, else the least used one; None where none comes up in its time."""
-        if self.liveness.doubts(self._life.hub.now_us()) or (
+        if self.liveness.doubts(self._runtime.hub.now_us()) or (
             self.liveness.doubtful and self._dials
         ):
-            self._life.counts["doubted"] += 1
+            self._runtime.counts["doubted"] += 1
             return None
         line = self.dial() if self.may_dial else None
         # Danger: with no connection yet and all dials under way, an offer would count its machine as out of reach.
@@ -192,10 +192,10 @@
 
     def dial(self) -> Line | None:
         """A new connection; None where it is refused or does not come up in its time."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         if not self._links.make_room():
-            self._life.counts["dials_without_room"] += 1
-            self._life.log("no-room", level="warning", machine=self.name)
+            self._runtime.counts["dials_without_room"] += 1
+            self._runtime.log("no-room", level="warning", machine=self.name)
             self._redial_us = hub.now_us() + REDIAL_US
             return None
         began, stream, why = hub.now_us(), None, "silent"
@@ -215,10 +215,10 @@
                 stream.close()
             return None
         if stream is None:
-            self._life.counts["dials_failed:" + why] += 1
+            self._runtime.counts["dials_failed:" + why] += 1
             if why in OWN_FAULTS:
                 # Danger: a full descriptor table here would look as if every machine were gone.
-                self._life.log("no-descriptor", level="error", machine=self.name, why=why)
+                self._runtime.log("no-descriptor", level="error", machine=self.name, why=why)
             elif why != "ECONNREFUSED":
                 self.liveness.on_no_show(hub.now_us(), began)
             elif not any(line.stream.open for line in self.lines):
@@ -241,7 +241,7 @@
         line = Line(self, stream, Outbox(hub, stream, MAX_UNSENT_BYTES), hub.now_us())
         self.lines.append(line)
         self._links.lines[line] = None
-        self._life.spawn(lambda: self._read(line), f"line to {self.name}")
+        self._runtime.spawn(lambda: self._read(line), f"line to {self.name}")
         while self._releases and line.stream.open:
             ident, cause = self._releases.popitem(last=False)
             line.write(with_cause(Kind.RELEASE, ident, cause))
@@ -255,14 +255,16 @@
         why = "end of stream"
         try:
             while data := line.stream.receive():
-                self.liveness.on_heard(self._life.hub.now_us())
+                self.liveness.on_heard(self._runtime.hub.now_us())
                 line.framer.feed(data)
                 while line.stream.open and (message := line.framer.next()) is not None:
                     self._news.message(self, line, message)
         except BadMessage as error:
             why = f"unreadable: {error}"
-            self._life.counts["machines:unreadable"] += 1
-            self._life.log("unreadable-machine", level="warning", machine=self.name, why=str(error))
+            self._runtime.counts["machines:unreadable"] += 1
+            self._runtime.log(
+                "unreadable-machine", level="warning", machine=self.name, why=str(error)
+            )
         except PeerGone as error:
             why = str(error)
         finally:
@@ -284,7 +286,7 @@
         if broke and self.running and not self.closed:
             # Danger: a release that was on its way there is lost, and said again only on the next connection.
             self._missed = True
-            self._life.spawn(self._renew, f"news of {self.name}")
+            self._runtime.spawn(self._renew, f"news of {self.name}")
 
     def retire(self, line: Line) -> None:
         """Close a connection that is not in use: what the machine has sent on it is read to its end."""
@@ -301,17 +303,17 @@
             else:
                 self._close(line)
 
-        self._life.hub.call_at(self._life.hub.now_us() + RETIRE_US, close)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + RETIRE_US, close)
 
     def give_up(self, line: Line) -> None:
         """Close a connection on which nothing is open, to make room for another; what it missed is asked for soon."""
-        self._life.counts["given_up:" + line.rank.name.lower()] += 1
+        self._runtime.counts["given_up:" + line.rank.name.lower()] += 1
         if line in self.lines:
             self.lines.remove(line)
         self._close(line)
         if self.running and self._visit_us is None:
             # Danger: what the machine had sent on it, or would have, comes again only on the next connection.
-            self._visit_us = self._life.hub.now_us() + VISIT_US
+            self._visit_us = self._runtime.hub.now_us() + VISIT_US
 
     def _look(self) -> None:
         """A new connection shows whether the machine is there and brings what was missed; it takes an old one's place.
@@ -325,7 +327,7 @@
 
     def _renew(self) -> None:
         """A new connection for what may have been missed, or where there is none."""
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         if self._wants_news(now) and not self._dials and not self.closed and now >= self._redial_us:
             self._redial_us = now + REDIAL_US  # put off further where it is refused
             self._look()
@@ -367,13 +369,13 @@
         verdict = self.liveness.judge(now_us, offers, bool(self.running))
         if verdict is Verdict.LOOK:
             if self._dials < MAX_DIALS and (not self.liveness.doubtful or self._links.may_look()):
-                self._life.spawn(self._look, f"look at {self.name}")
+                self._runtime.spawn(self._look, f"look at {self.name}")
         elif verdict is Verdict.CUT:
             self._news.cut(self)
         elif verdict is Verdict.LOST:
             self._news.lost(self, may_return=True)
         if (self.running or self._releases) and self._wants_news(now_us):
-            self._life.spawn(self._renew, f"news of {self.name}")
+            self._runtime.spawn(self._renew, f"news of {self.name}")
         idle = [line for line in self.lines if not line.out]
         for line in idle:
             last = len(self.lines) == 1
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -7,7 +7,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide import orphans
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         host: Host,
         requests: RequestTable,
         attempts: Attempts,
@@ -55,10 +55,15 @@
         trace: Trace,
     ) -> None:
         self._trace = trace
-        self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
+        self._runtime, self._host, self._requests, self._attempts = (
+            runtime,
+            host,
+            requests,
+            attempts,
+        )
         self._links, self._owners = links, owners
         self._gate, self._slack_us = SendGate(settings.cold_us, settings.fall_us), settings.tick_us
-        self.probes = Probes(life, host, links)
+        self.probes = Probes(runtime, host, links)
         self.list_behind: Callable[[int], bool] = (
             lambda now_us: False
         )  # whether news of machines may lie unread
@@ -72,7 +77,7 @@
         task, link = self._requests.by_request.get(bind.request), self._links.of(bind.machine)
         number = task.binds if task else 0
         if task is None or link is None or link.closed:
-            self._life.counts["binds_dropped"] += 1
+            self._runtime.counts["binds_dropped"] += 1
             if task is not None:
                 task.binds += 1
             # Out of reach, not just unsent: the module lets such a machine rest until the list tells more of it.
@@ -96,12 +101,12 @@
             task,
             link,
             f"{task.ident:016x}/{number}",
-            self._life.hub.now_us(),
+            self._runtime.hub.now_us(),
             bind.give_up_us,
             launched_us=link.launched_us,
         )
         self._attempts.add(attempt)
-        self._life.counts["binds"] += 1
+        self._runtime.counts["binds"] += 1
         self._begin(attempt)
 
     def _begin(self, attempt: Attempt) -> None:
@@ -112,7 +117,7 @@
         if line is not None:
             self._send(attempt, line)
         else:
-            self._life.spawn(lambda: self._dial_and_send(attempt), "offer")
+            self._runtime.spawn(lambda: self._dial_and_send(attempt), "offer")
 
     def _dial_and_send(self, attempt: Attempt) -> None:
         link = attempt.link
@@ -126,7 +131,7 @@
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Every set-up passes here right before its first byte; see decide.gate."""
-        task, link, now = attempt.task, attempt.link, self._life.hub.now_us()
+        task, link, now = attempt.task, attempt.link, self._runtime.hub.now_us()
         held: HoldReason | None = self._gate.check(
             now,
             Offer(
@@ -141,30 +146,30 @@
             ),
         )
         if held is not None:
-            self._life.counts["held:" + held.name.lower()] += 1
+            self._runtime.counts["held:" + held.name.lower()] += 1
         return held is None
 
     def _send(self, attempt: Attempt, line: Line) -> None:
         task, link = attempt.task, attempt.link
-        if self.list_behind(self._life.hub.now_us()):
+        if self.list_behind(self._runtime.hub.now_us()):
             # Danger (rule 3): a drain may lie unread; it is read before whatever is ready in the next turn.
-            self._life.counts["sends_behind_list"] += 1
-            self._life.spawn(lambda: self._begin(attempt), "offer")
+            self._runtime.counts["sends_behind_list"] += 1
+            self._runtime.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
+        if task.owner is not None and task.owner.has_stale_input(self._runtime.hub.now_us()):
             # Danger: its owner may have gone or given up, unread here; the attempt begins once that is known.
-            self._life.counts["sends_behind"] += 1
+            self._runtime.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
             return
         if not self._may_send(attempt):
             self._over(attempt, api.Outcome.NOT_SENT)
             return
-        left_ms = max(1, (attempt.deadline_us - self._life.hub.now_us()) // 1000)
+        left_ms = max(1, (attempt.deadline_us - self._runtime.hub.now_us()) // 1000)
         values = {**task.passed_on, int(Code.PATIENCE): b"%d" % left_ms}
         self._attempts.advance(attempt, Stage.SENT)
         link.strays.pop(task.ident, None)
         line.out[task.ident] = attempt
-        line.used_us = self._life.hub.now_us()
+        line.used_us = self._runtime.hub.now_us()
         self._trace(task.ident, "sent", attempt=attempt.number, machine=link.name, line=line.number)
         if not line.write(encode(Kind.SET_UP, task.ident, values)):
             # Not wholly written: it cannot have come whole to the machine.
@@ -204,7 +209,7 @@
         report: api.Report | None = None,
     ) -> None:
         """Tell the module that an attempt is over; the request too, unless its answer is still pending."""
-        placed, now = attempt.stage is Stage.PLACED, self._life.hub.now_us()
+        placed, now = attempt.stage is Stage.PLACED, self._runtime.hub.now_us()
         line = self._line_of(attempt)
         if line is not None:
             del line.out[attempt.task.ident]
@@ -223,7 +228,7 @@
             attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
             attempt.task.owner.guest.errors += 1
-        self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
+        self._runtime.counts[("run:" if placed else "offer:") + outcome.value] += 1
         closed = placed or attempt.task.state is not State.ASKED
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
         self._host.feed(
@@ -268,13 +273,13 @@
 
     def _answered(self, attempt: Attempt, line: Line, message: Message) -> None:
         if attempt.stage is not Stage.SENT:
-            self._life.counts["answers_doubled"] += 1
+            self._runtime.counts["answers_doubled"] += 1
             return
         description, task = message.values.get(Code.DESCRIPTION), attempt.task
         if description is None:
             raise BadMessage("an answer without a description")
         del line.out[task.ident]
-        line.used_us = self._life.hub.now_us()
+        line.used_us = self._runtime.hub.now_us()
         self._attempts.advance(attempt, Stage.PLACED)
         attempt.placed_us = line.used_us
         attempt.link.running[task.ident] = attempt
@@ -289,7 +294,7 @@
         )
         if not reached and self._requests.step(task, Step.WITHDRAW):
             # Its owner's connection broke in this very turn: nobody was told that it stands, and nobody would end it.
-            self._life.counts["answers_unheard"] += 1
+            self._runtime.counts["answers_unheard"] += 1
             self._host.feed(api.TaskWithdrawn(task.request))
             self.stop(attempt, RunEnd.STOPPED, Cause.GIVEN_UP)
 
@@ -313,7 +318,7 @@
         cause = message.cause
         reason = reason_of(message)
         report = parse_report(message.text(Code.REPORT) or "-", ";")
-        self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
+        self._runtime.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
             self._ended(attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report)
             return
@@ -327,10 +332,10 @@
             self._over(attempt, api.Outcome.DONE, reason, report)
             return
         if meaning is Unanswered.CUT:
-            self._life.counts["answers_overtaken"] += 1
+            self._runtime.counts["answers_overtaken"] += 1
             self._close(task, Step.FAIL, cause)
         elif meaning is Unanswered.ENDED:
-            self._life.counts["answers_overtaken"] += 1
+            self._runtime.counts["answers_overtaken"] += 1
             self._tell_end_in_time(task)
         self._over(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
 
@@ -346,7 +351,7 @@
             if attempt is not None:
                 self.abandon(attempt, api.Outcome.CANCELLED)
 
-        self._life.hub.call_at(self._life.hub.now_us() + TOLD_US, due)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + TOLD_US, due)
 
     def _ended(
         self,
@@ -380,38 +385,38 @@
         ident = message.task
         if message.kind == Kind.RELEASE:
             link.strays.pop(ident, None)
-            now = self._life.hub.now_us()
+            now = self._runtime.hub.now_us()
             cause = (message.values.get(Code.CAUSE) or bytes((Cause.RESET,)))[0]
             self._early[link.ident, ident] = cause, now + EARLY_US
             while len(self._early) > MAX_EARLY or next(iter(self._early.values()))[1] <= now:
                 self._early.popitem(last=False)
         elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.strays.pop(ident, False) is None:
-            self._life.counts["strays_stopped"] += 1
+            self._runtime.counts["strays_stopped"] += 1
             link.release(ident, Cause.CANCELLED)
 
     def ended_early(self, link: Link, ident: int) -> int | None:
         """The cause with which a machine released a task before this placer heard of it; None where it did not."""
         cause, until_us = self._early.pop((link.ident, ident), (0, 0))
-        return cause if self._life.hub.now_us() < until_us else None
+        return cause if self._runtime.hub.now_us() < until_us else None
 
     # -- what connections tell
 
     def unanswered(self, attempt: Attempt, why: str) -> None:
         """Its connection ended before its answer: it may have run."""
         self._may_run(attempt)
-        self._life.counts["cut:" + why.partition(":")[0]] += 1
+        self._runtime.counts["cut:" + why.partition(":")[0]] += 1
         self._over(attempt, api.Outcome.BROKEN)
 
     def cut(self, link: Link) -> None:
         """Offers out there will not be answered; what stands may yet be heard of."""
-        self._life.log("machine-cut", level="warning", machine=link.name)
+        self._runtime.log("machine-cut", level="warning", machine=link.name)
         for line in list(link.lines):
             link.drop(line, "no connection comes up")
 
     def lost(self, link: Link, may_return: bool = False) -> None:
         """What stood there is over; where the machine may come back, safe tasks are cut then."""
         if link.running:
-            self._life.log(
+            self._runtime.log(
                 "machine-lost", level="warning", machine=link.name, running=len(link.running)
             )
         for line in list(link.lines):
@@ -448,6 +453,6 @@
         if owner is not None:
             owner.tasks.pop(task.ident, None)
             owner.write(refusal(task.ident, cause))
-        self._life.counts["answer:" + step.value] += 1
+        self._runtime.counts["answer:" + step.value] += 1
         self._trace(task.ident, "answer", step=step.value)
         return True
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.decide.crowd import Crowd, Guest
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
 from wingbarrow.relay.tasks import Asker, Task
@@ -88,14 +88,14 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         crowd: Crowd,
         on_message: Callable[[Owner, Message, int], None],
         on_disconnect: Callable[[Owner], None],
         free_descriptor: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._crowd, self._trace = life, crowd, trace
+        self._runtime, self._crowd, self._trace = runtime, crowd, trace
         self._on_message, self._on_disconnect = on_message, on_disconnect
         self._accepted = 0  # connections so far
         self._free_descriptor = free_descriptor
@@ -113,7 +113,7 @@
         listener.serve(self._serve, MAX_ACCEPTS_PER_TURN)
 
     def _serve(self, stream: Stream) -> None:
-        hub = self._life.hub
+        hub = self._runtime.hub
         self._accepted += 1
         owner = Owner(
             stream, Outbox(hub, stream, MAX_UNSENT_BYTES), Guest(hub.now_us()), self._accepted
@@ -143,8 +143,8 @@
                     if messages_read % MAX_MESSAGES_PER_TURN == 0:
                         hub.checkpoint()
         except BadMessage as error:
-            self._life.counts["owners:unreadable"] += 1
-            self._life.log("owner-protocol-error", level="warning", why=str(error))
+            self._runtime.counts["owners:unreadable"] += 1
+            self._runtime.log("owner-protocol-error", level="warning", why=str(error))
         except PeerGone:
             pass
         finally:
@@ -159,8 +159,8 @@
         owner.stream.close()
 
     def _log_closed(self, why: str) -> None:
-        self._life.counts["owners:" + why] += 1
-        self._life.log("owner-connection-closed", why=why)
+        self._runtime.counts["owners:" + why] += 1
+        self._runtime.log("owner-connection-closed", why=why)
 
     def retire(self, owner: Owner, why: str) -> None:
         """Half-close a connection without open set-ups: its client reads end of stream, and its input is still read.
@@ -171,7 +171,7 @@
         self._log_closed(why)
         owner.retired = True
         owner.stream.end_writing()
-        self._life.hub.call_at(self._life.hub.now_us() + RETIRE_US, owner.stream.close)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + RETIRE_US, owner.stream.close)
 
     def retire_all(self) -> None:
         """Retire all connections whose output has been sent, at the end of the placer."""
@@ -201,7 +201,7 @@
 
     def sweep(self) -> None:
         """Retire idle connections and send pending releases, periodically until cancelled."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         while True:
             hub.sleep(SWEEP_INTERVAL_US)
             now = hub.now_us()
@@ -226,7 +226,7 @@
 
     def _resend_unacknowledged(self, closed: Owner) -> None:
         """Resend releases that `closed` did not acknowledge on another connection; owners ignore duplicates."""
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
             self._unacknowledged.popitem(last=False)
         if closed.guest.proven:
@@ -234,7 +234,7 @@
                 ident for ident, (_, owner, _) in self._unacknowledged.items() if owner is closed
             ]:
                 until_us, _, data = self._unacknowledged.pop(ident)
-                self._life.counts["releases_again"] += 1
+                self._runtime.counts["releases_again"] += 1
                 self._trace(ident, "release again", gone=closed.number)
                 if not self.send_to_any(data, until_us):
                     self._defer(data)
@@ -247,9 +247,9 @@
         if len(self._pending) >= MAX_PENDING_RELEASES:
             _, lost = self._pending.popleft()
             self._trace(int.from_bytes(lost[3:11], "big"), "release dropped")
-            self._life.counts["releases_dropped"] += 1
-        self._pending.append((self._life.hub.now_us() + RELEASE_TTL_US, data))
-        self._life.counts["releases_waited"] += 1
+            self._runtime.counts["releases_dropped"] += 1
+        self._pending.append((self._runtime.hub.now_us() + RELEASE_TTL_US, data))
+        self._runtime.counts["releases_waited"] += 1
         self._trace(int.from_bytes(data[3:11], "big"), "release pending")
 
     def send_to_any(self, data: bytes, until_us: int | None = None) -> bool:
@@ -270,7 +270,7 @@
         ident = int.from_bytes(data[3:11], "big")
         self._trace(ident, "release told", owner=owner.number)
         self._unacknowledged[ident] = (
-            until_us or self._life.hub.now_us() + ACK_TIMEOUT_US,
+            until_us or self._runtime.hub.now_us() + ACK_TIMEOUT_US,
             owner,
             data,
         )
@@ -285,7 +285,7 @@
             self._send_pending()
 
     def _send_pending(self) -> None:
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         for _ in range(len(self._pending)):
             until_us, data = self._pending.popleft()
             if now >= until_us:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -6,7 +6,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.decide.crowd import Crowd
 from wingbarrow.decide.descriptors import Table
 from wingbarrow.relay import journal
@@ -43,15 +43,15 @@
     ) -> None:
         self._configuration, trace = configuration, trace or Trace()
         settings = configuration.settings
-        life = self.life = Life(hub, log, configuration.seed)
-        self._host = Host(life, settings)
+        runtime = self.runtime = PlacerRuntime(hub, log, configuration.seed)
+        self._host = Host(runtime, settings)
         table = self._table = Table(configuration.sockets)
         self._requests = RequestTable()
         self._attempts = Attempts()
         self._links = Links(table, lambda: len(self.owners), configuration.conn_idle_us)
         crowd = Crowd(table.owners_most)
         self.owners = Owners(
-            life,
+            runtime,
             crowd,
             self._on_owner_message,
             self._on_owner_disconnect,
@@ -59,7 +59,7 @@
             trace,
         )
         self._offers = Offers(
-            life,
+            runtime,
             self._host,
             self._requests,
             self._attempts,
@@ -69,7 +69,7 @@
             trace,
         )
         self.admission = Admission(
-            life,
+            runtime,
             self._host,
             self._requests,
             self._attempts,
@@ -93,7 +93,7 @@
             lambda why: log("bad-list-entry", level="warning", why=why),
         )
         self._follower = journal.Follower(
-            life,
+            runtime,
             configuration.journal,
             position,
             self._shift_us,
@@ -154,7 +154,7 @@
 
     def _add_link(self, entry: journal.Entry) -> Link:
         link = Link(
-            self.life,
+            self.runtime,
             entry.name,
             entry.address,
             entry.listed,
@@ -201,7 +201,7 @@
             link.phase = api.Phase.GONE
             link.close()
             self._offers.lost(link)
-            self._gone_since_us[link.name] = self.life.hub.now_us()
+            self._gone_since_us[link.name] = self.runtime.hub.now_us()
 
     def _on_list_failure(self) -> None:
         self._host.feed(api.MachineList(api.ListForm.FAILED, ()))
@@ -210,14 +210,14 @@
 
     def run(self) -> None:
         """Serve until the end; raises the error if the scheduler's core failed."""
-        hub, configuration = self.life.hub, self._configuration
+        hub, configuration = self.runtime.hub, self._configuration
         with Nursery(hub) as nursery:
-            self.life.live_in(nursery)
+            self.runtime.attach_nursery(nursery)
             listener = listen(
                 hub,
                 configuration.listen.host,
                 configuration.listen.port,
-                lambda text: self.life.log("listener", level="warning", why=text),
+                lambda text: self.runtime.log("listener", level="warning", why=text),
             )
             self.port = listener.port
             nursery.spawn(lambda: self.owners.serve(listener), "listener")
@@ -226,7 +226,7 @@
             nursery.spawn(self._follower.run, "journal")
             nursery.spawn(self._log_counts_periodically, "counts")
             self.admission.ready = True
-            self.life.log(
+            self.runtime.log(
                 "ready",
                 name=configuration.name,
                 listen=str(configuration.listen),
@@ -236,7 +236,7 @@
             raise self._host.failed
 
     def _maintain_links(self) -> None:
-        hub = self.life.hub
+        hub = self.runtime.hub
         while True:
             hub.sleep(SWEEP_US)
             now = hub.now_us()
@@ -252,12 +252,12 @@
 
     def _log_counts_periodically(self) -> None:
         while True:
-            self.life.hub.sleep(COUNTS_INTERVAL_US)
+            self.runtime.hub.sleep(COUNTS_INTERVAL_US)
             self.log_counts()
 
     def log_counts(self) -> None:
         """Log all counters in one line."""
-        self.life.log(
+        self.runtime.log(
             "counts",
             owners=len(self.owners),
             machines=self._links.held,
@@ -265,9 +265,9 @@
             running=len(self._attempts),
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
-            lag_worst_us=self.life.hub.lag.worst_us,
+            lag_worst_us=self.runtime.hub.lag.worst_us,
             odd=dict(self._requests.odd + self._attempts.unexpected_transitions),
-            **self.life.counts,
+            **self.runtime.counts,
         )
 
     def reload(self, path: str) -> None:
@@ -275,20 +275,20 @@
         try:
             address = load_journal(path)
         except BadConfiguration as error:
-            self.life.log("reload-refused", level="error", why=str(error))
+            self.runtime.log("reload-refused", level="error", why=str(error))
             return
-        self.life.log("reloaded", journal=str(address))
+        self.runtime.log("reloaded", journal=str(address))
         self._follower.change_address(address)
 
     def begin_shutdown(self) -> None:
         """SIGTERM: fail tests from now on, and end once late requests have arrived and all are answered."""
         if not self._shutting_down:
             self._shutting_down, self.admission.ready = True, False
-            self.life.log("ending", pending=self._requests.pending, running=len(self._attempts))
-            self.life.spawn(self._shut_down, "end")
+            self.runtime.log("ending", pending=self._requests.pending, running=len(self._attempts))
+            self.runtime.spawn(self._shut_down, "end")
 
     def _shut_down(self) -> None:
-        hub = self.life.hub
+        hub = self.runtime.hub
         patience_us = min(MAX_PATIENCE_US, self._configuration.patience_us)
         end_us = hub.now_us() + max(patience_us + SHUTDOWN_MARGIN_US, LATE_ARRIVALS_US)
         while self._requests.pending or hub.now_us() < end_us:
@@ -299,4 +299,4 @@
         end_us = hub.now_us() + CLOSE_TIMEOUT_US
         while len(self.owners) and hub.now_us() < end_us:
             hub.sleep(10_000)
-        self.life.end()
+        self.runtime.shut_down()
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -4,7 +4,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.relay.links import Link, Links
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
 from wingbarrow.settings_parser import parse_report
@@ -16,8 +16,8 @@
 class Probes:
     """Each probe ends within PROBE_US, answered or not; the module hears of its end once."""
 
-    def __init__(self, life: Life, host: Host, links: Links) -> None:
-        self._life, self._host, self._links = life, host, links
+    def __init__(self, runtime: PlacerRuntime, host: Host, links: Links) -> None:
+        self._runtime, self._host, self._links = runtime, host, links
         self._asked: dict[int, Link] = {}  # by the test's id
         self._tests = 0
 
@@ -27,8 +27,8 @@
         if link is None or link.closed:
             self._host.feed(api.Probed(machine, api.Outcome.UNREACHABLE, None))
             return
-        self._life.counts["probes"] += 1
-        self._life.spawn(lambda: self._ask(link), "probe")
+        self._runtime.counts["probes"] += 1
+        self._runtime.spawn(lambda: self._ask(link), "probe")
 
     def _ask(self, link: Link) -> None:
         line = (None if link.liveness.doubtful else link.shared_line()) or link.line_for_offer()
@@ -38,7 +38,7 @@
             self._host.feed(api.Probed(link.ident, api.Outcome.UNREACHABLE, None))
             return
         self._asked[ident] = link
-        self._life.hub.sleep(PROBE_US)
+        self._runtime.hub.sleep(PROBE_US)
         if self._asked.pop(ident, None) is not None:
             self._host.feed(api.Probed(link.ident, api.Outcome.TIMED_OUT, None))
 
