--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.target import figures
 from wingbarrow.config.agreeing import _VOTERS
 from wingbarrow.config.settings import Limits
-from wingbarrow.core.link import STOP_CONNECTIONS
+from wingbarrow.core.machine_link import STOP_CONNECTIONS
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.maintenance.slots import MAX_ACTIVE_SLOTS
 from wingbarrow.decide.membership.member_table import MAX_MEMBERS
@@ -260,7 +260,7 @@
             "and for stops",
             STOP_CONNECTIONS,
             "connections",
-            "wingbarrow/core/link.py",
+            "wingbarrow/core/machine_link.py",
             DEFAULTS,
         ),
     )
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -56,7 +56,7 @@
         Mechanism(
             "wingbarrow/core/fleet.py", "the list through its guards to the module and the links"
         ),
-        Mechanism("wingbarrow/core/link.py", "connections, offers and news of one machine"),
+        Mechanism("wingbarrow/core/machine_link.py", "connections, offers and news of one machine"),
         Mechanism(
             "wingbarrow/decide/subsets.py",
             "with subsets: which machines a placer holds, its cold shares",
@@ -157,7 +157,7 @@
         ),
     ),
     (
-        Mechanism("wingbarrow/core/link.py", "what a placer opens to one machine"),
+        Mechanism("wingbarrow/core/machine_link.py", "what a placer opens to one machine"),
         Mechanism("wingbarrow/core/stops.py", "stops that are owed, by machine"),
         Mechanism("wingbarrow/core/machine_leases.py", "renewals of what may run"),
         Mechanism("wingbarrow/decide/descriptors.py", "whose descriptor goes, on the platform"),
--- a/benchmarks/plumbing.py
+++ b/benchmarks/plumbing.py
@@ -22,8 +22,8 @@
 import msgspec
 import prometheus_client
 
-from wingbarrow.core.lines import LineLog
 from wingbarrow.core.logs import Log
+from wingbarrow.core.stdlib_log import StdlibLog
 
 RUN = "import wingbarrow.relay.__main__"
 LIBRARIES = ("msgspec", "click", "structlog", "prometheus_client", "h11", "http.client", "netaddr")
@@ -100,7 +100,7 @@
     one, all_of_them = answer(1), answer(400)
     times = itertools.count(0, 60_000_000)  # each line in a span of its own
     lines, log = (
-        LineLog(lambda: next(times), io.StringIO()),
+        StdlibLog(lambda: next(times), io.StringIO()),
         Log(lambda: next(times), io.StringIO()),
     )
     counts: Counter[str] = Counter()
@@ -110,7 +110,7 @@
         ("list of 400 by msgspec", lambda: msgspec.json.decode(all_of_them), 50),
         ("one event by json", lambda: json.loads(one), 3000),
         ("one event by msgspec", lambda: msgspec.json.decode(one), 3000),
-        ("line by LineLog", lambda: lines("x", machine="m", n=3), 3000),
+        ("line by StdlibLog", lambda: lines("x", machine="m", n=3), 3000),
         ("line by structlog", lambda: log("x", machine="m", n=3), 3000),
         ("count by Counter", lambda: counts.update(("x",)), 20_000),
         ("count by prometheus_client", lambda: metric.labels("x").inc(), 20_000),
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -12,8 +12,8 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.core.intake import read_job
+from wingbarrow.core.job_status import update_job_status
 from wingbarrow.core.job_store import MAX_TOMBSTONES, OPEN, JobStore, State, Step
-from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
 from wingbarrow.lab.cluster import settings_text
@@ -53,7 +53,7 @@
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
     assert book.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
-    write_status(job, 1)
+    update_job_status(job, 1)
 
 
 def test_late_and_doubled_steps_are_counted_and_change_nothing() -> None:
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -10,7 +10,7 @@
 from tests.core.subsetstage import SETTLE_S, SubsetStage
 from tests.stage import S
 from wingbarrow.core import saved_list
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.subset import LINGER_US, Subset
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.interface import ListedMachine, Phase
@@ -273,11 +273,11 @@
         assert subset._may_release(link, stage.hub.now_us())
         stage.submit_to(slot, "out", runs_s=4)
         assert placer.attempts.on(link)
-        assert link.offered_us is None
+        assert link.last_offer_us is None
         assert not subset._may_release(link, stage.hub.now_us()), "an attempt is out"
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
-        offered_us = link.offered_us
+        offered_us = link.last_offer_us
         assert offered_us is not None and not subset._may_release(
             link, offered_us + LINGER_US - 1
         ), "its offer is just over"
@@ -303,7 +303,7 @@
         subset = placer.subset
         assert subset is not None
         answers: list[bool | None] = [None, True, True, False]
-        link.holds_any = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
+        link.has_tasks = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
         members_say(stage, subset, set(subset.living) | {other.name})
         while answers:
             assert placer.machines.links.get(machine) is link, answers
--- a/tests/wire/test_status_golden.py
+++ b/tests/wire/test_status_golden.py
@@ -8,8 +8,8 @@
 from wingbarrow.config import load_text
 from wingbarrow.core.events import Events, event_fields
 from wingbarrow.core.intake import job_value, read_job
+from wingbarrow.core.job_status import update_job_status
 from wingbarrow.core.job_store import JobRecord, JobStore, Step
-from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError, Cause, expired, invalid, not_found
@@ -57,12 +57,12 @@
     lines = []
     for name, rows in STEPS.items():
         store, job = job_of(name, len(rows))
-        write_status(job, WALL_US)
+        update_job_status(job, WALL_US)
         for task, steps in zip(job.tasks, rows, strict=True):
             for number, step in enumerate(steps):
                 task.last_outcome = f"words on {step.value}"
                 assert store.transition(task, step), (name, step)
-                write_status(job, WALL_US + (number + 1) * 1_000_000)
+                update_job_status(job, WALL_US + (number + 1) * 1_000_000)
         lines.append(names.encode(job.value))
     assert_golden("rest/job-status.jsonl", b"\n".join([*lines, b""]))
 
@@ -80,18 +80,18 @@
         for step in steps:
             job.tasks[0].last_outcome = "its words"
             assert store.transition(job.tasks[0], step), step
-            write_status(job, WALL_US)
+            update_job_status(job, WALL_US)
         lines.append(names.encode(job.value))
     store, job = job_of("lease-lost", 1)
     job.lease_lost = True
     job.tasks[0].last_outcome = "no keeper said so in time"
     assert store.transition(job.tasks[0], Step.FAIL)
-    write_status(job, WALL_US)
+    update_job_status(job, WALL_US)
     lines.append(names.encode(job.value))
     job.conditions["wingbarrow.io/Unknown"] = ("First", "words")
-    write_status(job, WALL_US)
+    update_job_status(job, WALL_US)
     job.conditions["wingbarrow.io/Unknown"] = ("Second", "other words")
-    write_status(job, WALL_US + 5_000_000)
+    update_job_status(job, WALL_US + 5_000_000)
     lines.append(names.encode(job.value))
     assert_golden("rest/job-status-former.jsonl", b"\n".join([*lines, b""]))
 
--- a/wingbarrow/core/api_objects.py
+++ b/wingbarrow/core/api_objects.py
@@ -6,8 +6,8 @@
 
 from wingbarrow.core.base import Base
 from wingbarrow.core.events import Events, event_fields
+from wingbarrow.core.job_status import update_job_status
 from wingbarrow.core.job_store import JobRecord, JobStore
-from wingbarrow.core.jobstatus import write_status
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.kube import names
 from wingbarrow.kube.store import Store, Stored
@@ -36,7 +36,7 @@
 
     def show_new(self, job: JobRecord) -> None:
         """Publish a Job that was admitted."""
-        write_status(job, self._base.hub.clock.wall_us())
+        update_job_status(job, self._base.hub.clock.wall_us())
         self.jobs.put(job.key, job.value)
 
     def mark(self, job: JobRecord) -> None:
@@ -48,7 +48,7 @@
         dirty, self._dirty = self._dirty, {}
         for job in dirty.values():
             if not job.deleted:
-                write_status(job, self._base.hub.clock.wall_us())
+                update_job_status(job, self._base.hub.clock.wall_us())
                 self.jobs.put(job.key, job.value)
         for job in self._job_store.expired_jobs():
             self._job_store.delete(job)
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.core.job_store import TaskRecord
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.stages import AttemptRecord, AttemptTable, Stage
 from wingbarrow.decide.gate import HoldReason
 
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -14,7 +14,7 @@
 from wingbarrow.core.job_components import JobComponents
 from wingbarrow.core.job_store import RUNNING, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import PodStatus
 from wingbarrow.decide.sessions.recovery import OwnJob
 from wingbarrow.decide.sessions.session import Session
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -13,10 +13,10 @@
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry, read_node
-from wingbarrow.core.observations import Observations
+from wingbarrow.core.pod_observer import PodObserver
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.restarts import RestartGuard
@@ -42,7 +42,7 @@
         machines: Machines,
         attempts: Attempts,
         runs: Runs,
-        observations: Observations,
+        pod_observer: PodObserver,
     ) -> None:
         self._base = base
         self._host = host
@@ -50,7 +50,7 @@
         self._machines = machines
         self._attempts = attempts
         self._runs = runs
-        self._observations = observations
+        self._pod_observer = pod_observer
         self._restart_guard = RestartGuard(base.settings.scheduler.classes)
         self._reopening = False
         self._probes_out = 0
@@ -78,7 +78,7 @@
         self.on_state_lost: Callable[[], None] = lambda: None
         # Predicates on machine names: closed to this placer alone.
         self.closed_locally: list[Callable[[str], bool]] = []
-        observations.on_listed = self._on_pods_listed
+        pod_observer.on_listed = self._on_pods_listed
 
     @property
     def held(self) -> dict[str, NodeEntry]:
@@ -122,7 +122,7 @@
         self._host.feed(api.MachineList(form, tuple(listed)))
         self._restart_guard.list_received |= form is api.ListForm.FULL
         for link in new_links:
-            self._observations.follow(link)
+            self._pod_observer.follow(link)
         for name in gone:
             self._retire(name)
         self.on_delivery_applied()
@@ -171,7 +171,7 @@
         entry = self._remove_node(name)
         link = self._machines.links.get(name)
         if link is not None:
-            link.release()
+            link.disconnect()
             self._machines.remove(link)
         if entry is not None:
             self._host.feed(api.MachineList(api.ListForm.CHANGES, (entry,)))
@@ -247,7 +247,7 @@
             # The machine has another address: the former one is no longer reached.
             link.retired = True
             link.close()
-            offered_us, link = link.offered_us, None
+            offered_us, link = link.last_offer_us, None
         if link is None:
             settings = self._base.settings
             link = MachineLink(
@@ -259,7 +259,7 @@
                 settings.limits.per_machine,
                 random.Random(self._base.random.random()),
             )
-            link.offered_us = offered_us
+            link.last_offer_us = offered_us
             self._machines.add(link)
             new_links.append(link)
         return link
@@ -294,7 +294,7 @@
 
     def probe(self, machine: int) -> None:
         """Request a machine's load report; dropped while too many probes are out."""
-        link = self._machines.of(machine)
+        link = self._machines.by_ident(machine)
         if link is None or self._probes_out >= MAX_PROBES:
             self._base.counts["probes_dropped"] += 1
             return
--- a/wingbarrow/core/jobstatus.py
+++ b/wingbarrow/core/job_status.py
@@ -8,7 +8,7 @@
 from wingbarrow.kube.names import short_time
 
 
-def write_status(job: JobRecord, wall_us: int) -> None:
+def update_job_status(job: JobRecord, wall_us: int) -> None:
     """Bring `job.value["status"]` up to date; conditions are added once and stay."""
     counts, status = job.counts, job.value.setdefault("status", {})
     figures = {
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -15,8 +15,8 @@
 from wingbarrow.core.intake import JobRequest
 from wingbarrow.core.job_components import JobComponents
 from wingbarrow.core.job_store import OPEN, JobLease, JobRecord, State, Step, TaskRecord
-from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machine_leases import MachineLeases
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import Ended
 from wingbarrow.decide import retries
 from wingbarrow.decide.federation.faults import unfit
--- a/wingbarrow/core/logs.py
+++ b/wingbarrow/core/logs.py
@@ -8,14 +8,14 @@
 
 import structlog
 
-from wingbarrow.core.lines import Ration
+from wingbarrow.core.stdlib_log import LogRateLimiter
 
 
 class Log:
     """`log("offer-refused", machine=..., request=...)` writes a line unless its kind is over its ration."""
 
     def __init__(self, now_us: Callable[[], int], sink: TextIO | None = None, **bound: Any) -> None:
-        self._ration = Ration(now_us)
+        self._rate_limiter = LogRateLimiter(now_us)
         self._out = structlog.wrap_logger(
             structlog.PrintLogger(sink or sys.stderr),
             processors=[
@@ -28,7 +28,7 @@
 
     def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
         """Write one line."""
-        left_out = self._ration.admit(event)
+        left_out = self._rate_limiter.admit(event)
         if left_out is not None:
             if left_out:
                 fields["left_out"] = left_out
--- a/wingbarrow/core/machine_fences.py
+++ b/wingbarrow/core/machine_fences.py
@@ -41,8 +41,8 @@
                 query.machine,
                 query.uid,
                 fenced is not None,
-                fenced is not None and bool(fenced.holds),
-                fenced.up_us if fenced is not None and fenced.sure else 0,
+                fenced is not None and bool(fenced.pods),
+                fenced.uptime_us if fenced is not None and fenced.is_complete else 0,
             )
             self._records.send_machine_report(ident, report)
 
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -14,7 +14,7 @@
 
 from wingbarrow.core.attempts import Attempt
 from wingbarrow.core.base import Base
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.decide.sessions.session import Session
 from wingbarrow.decide.sessions.session_lease import SessionLease
@@ -74,7 +74,7 @@
 
     def read_clock(self, link: MachineLink) -> bool:
         """Read a machine's clock, and wait for its response; False where it has none."""
-        return self.on_clock(link, link.clock())
+        return self.on_clock(link, link.read_clock())
 
     def on_clock(self, link: MachineLink, text: str) -> bool:
         """Take a reading that was received just now; False for "" and what is no reading."""
@@ -154,7 +154,7 @@
             if self.lease.session is None or self.lease.session.text() != session:
                 return  # Danger: it has ended while the clock was read.
             expiry_us = self.lease.machine_lease_until_us
-            reading = link.renew(session, self.expiry(link))
+            reading = link.renew_lease(session, self.expiry(link))
             if reading is None:
                 self.forget_clock(link)  # it has restarted: what ran there is gone
             elif self.on_clock(link, reading):
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/machine_link.py
@@ -19,10 +19,10 @@
 from wingbarrow.transport import CancelScope, Hub
 
 SECOND = 1_000_000
-PROBE_US = 2 * SECOND
-CALL_US = 3 * SECOND
-WATCH_S = 600
-SILENCE_US = 30 * SECOND
+PROBE_TIMEOUT_US = 2 * SECOND
+CALL_TIMEOUT_US = 3 * SECOND
+WATCH_DURATION_S = 600
+WATCH_SILENCE_TIMEOUT_US = 30 * SECOND
 STOP_CONNECTIONS = 2
 
 
@@ -30,7 +30,7 @@
     """What a machine says of a task that is to be stopped."""
 
     STOPPED = "stopped"
-    WAS_NOT_THERE = "was not there"
+    NOT_FOUND = "was not there"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,9 +38,9 @@
     """What a machine told when a Job was fenced: its tasks that it holds or held since its start, for how long it has
     been up by its clock, and whether it remembers all of that time."""
 
-    holds: list[str]
-    sure: bool
-    up_us: int
+    pods: list[str]
+    is_complete: bool
+    uptime_us: int
 
 
 class MachineLink:
@@ -71,10 +71,10 @@
             hub, host, port, PoolLimits(connections=STOP_CONNECTIONS), f"wingbarrow/{placer}"
         )
         self._lease_pool = Pool(hub, host, port, PoolLimits(connections=1), f"wingbarrow/{placer}")
-        self._pause = Backoff(seed, 200_000, 5 * SECOND)
-        self._following: CancelScope | None = None
+        self._watch_backoff = Backoff(seed, 200_000, 5 * SECOND)
+        self._watch_scope: CancelScope | None = None
         self.reachable = False  # the watch on its tasks runs
-        self.offered_us: int | None = None  # when the first byte of an offer last went out
+        self.last_offer_us: int | None = None  # when the first byte of an offer last went out
 
     def offer(
         self, namespace: str, body: Callable[[], bytes], until_us: int, may_send: Callable[[], bool]
@@ -100,18 +100,20 @@
                 self._stop_pool,
                 "DELETE",
                 f"/api/v1/namespaces/{quote(namespace)}/pods/{quote(pod)}",
-                until_us=self.hub.now_us() + CALL_US,
+                until_us=self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return DeleteOutcome.STOPPED
         except ApiError as error:
-            return DeleteOutcome.WAS_NOT_THERE if error.code == 404 else None
+            return DeleteOutcome.NOT_FOUND if error.code == 404 else None
         except CallFailed:
             return None
 
     def probe(self, size: tuple[float, float]) -> Report | None:
         """The machine's own figures (kubelet's /stats/summary); None without a readable answer."""
         try:
-            value = call(self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_US)
+            value = call(
+                self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_TIMEOUT_US
+            )
             node = value["node"]
             return Report(
                 size[0] - float(node["cpu"]["usageNanoCores"]) / 1e9,
@@ -122,25 +124,25 @@
 
     # -- leases: a connection of their own, so that a renewal waits for no offer
 
-    def clock(self) -> str:
+    def read_clock(self) -> str:
         """The machine's clock, "BOOT:MICROSECONDS"; "" without an answer."""
         return self._lease("GET", "/leases") or ""
 
-    def renew(self, session: str, until: str) -> str | None:
+    def renew_lease(self, session: str, until: str) -> str | None:
         """Have its tasks of a session run until then, by its own clock; its clock, "" without an answer.
 
         None where it goes by another clock by now.
         """
         return self._lease("POST", "/leases", {"session": session, "until": until})
 
-    def _lease(self, method: str, path: str, said: dict[str, Any] | None = None) -> str | None:
+    def _lease(self, method: str, path: str, body: dict[str, Any] | None = None) -> str | None:
         try:
             value = call(
                 self._lease_pool,
                 method,
                 path,
-                names.encode(said) if said is not None else None,
-                self.hub.now_us() + CALL_US,
+                names.encode(body) if body is not None else None,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return str(value.get("clock", ""))
         except ApiError as error:
@@ -156,16 +158,18 @@
                 "POST",
                 "/fence",
                 names.encode({"uid": uid, "epoch": epoch}),
-                self.hub.now_us() + CALL_US,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
-            boot, _, up_us = str(value["clock"]).rpartition(":")
+            boot, _, uptime_us = str(value["clock"]).rpartition(":")
             return FenceReply(
-                [str(each) for each in value["holds"]], bool(value.get("sure", False)), int(up_us)
+                [str(each) for each in value["holds"]],
+                bool(value.get("sure", False)),
+                int(uptime_us),
             )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
-    def turn(self, number: int, shut: bool) -> str:
+    def set_closed(self, number: int, closed: bool) -> str:
         """Have it refuse new work, or take it again, under a turn's number: shut, empty (and shut), or open.
 
         "" without a readable answer, and where it goes by a later number.
@@ -175,8 +179,8 @@
                 self._lease_pool,
                 "POST",
                 "/turn",
-                names.encode({"number": number, "shut": shut}),
-                self.hub.now_us() + CALL_US,
+                names.encode({"number": number, "shut": closed}),
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             if value["number"] != number:
                 return ""
@@ -188,8 +192,8 @@
 
     def follow(
         self,
-        listed: Callable[[list[dict[str, Any]], int], None],
-        event: Callable[[str, dict[str, Any]], None],
+        on_list: Callable[[list[dict[str, Any]], int], None],
+        on_event: Callable[[str, dict[str, Any]], None],
         log: Callable[..., None],
     ) -> None:
         """List this placer's tasks on the machine, then watch them; again and again until retired.
@@ -197,21 +201,25 @@
         `listed` gets the pods and the time at which the list was asked for.
         """
         with CancelScope(self.hub) as scope:
-            self._following = scope
-            self._follow(listed, event, log)
+            self._watch_scope = scope
+            self._follow(on_list, on_event, log)
 
-    def release(self) -> None:
+    def disconnect(self) -> None:
         """Reach the machine no more, though it is there: every connection is closed, that of the watch too."""
         self.retired, self.reachable = True, False
-        if self._following is not None:
-            self._following.cancel()
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
         self.close()
 
-    def holds_any(self) -> bool | None:
+    def has_tasks(self) -> bool | None:
         """Whether tasks of this placer wait or run there; None without a readable answer."""
         try:
             pods, _ = list_all(
-                self._pool, "/api/v1/pods", self._selector(), 500, self.hub.now_us() + CALL_US
+                self._pool,
+                "/api/v1/pods",
+                self._selector(),
+                500,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return any(pod["status"]["phase"] in ("Pending", "Running") for pod in pods)
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
@@ -222,8 +230,8 @@
 
     def _follow(
         self,
-        listed: Callable[[list[dict[str, Any]], int], None],
-        event: Callable[[str, dict[str, Any]], None],
+        on_list: Callable[[list[dict[str, Any]], int], None],
+        on_event: Callable[[str, dict[str, Any]], None],
         log: Callable[..., None],
     ) -> None:
         version = ""
@@ -232,29 +240,35 @@
                 if not version:
                     asked_us = self.hub.now_us()
                     pods, version = list_all(
-                        self._pool, "/api/v1/pods", self._selector(), 500, asked_us + CALL_US
+                        self._pool,
+                        "/api/v1/pods",
+                        self._selector(),
+                        500,
+                        asked_us + CALL_TIMEOUT_US,
                     )
-                    listed(pods, asked_us)
+                    on_list(pods, asked_us)
                     self.reachable = True
                 for kind, value in self._events(version):
                     version = str(value.get("metadata", {}).get("resourceVersion") or version)
                     self.reachable = True
-                    self._pause.clear()
+                    self._watch_backoff.clear()
                     if kind != "BOOKMARK":
-                        event(kind, value)
+                        on_event(kind, value)
             except (CallFailed, ApiError, ValueError) as error:
                 self.reachable = False
                 # Whatever broke it, a list of what runs is cheap and misses nothing.
                 version = ""
                 log("machine-watch-broke", machine=self.name, why=str(error)[:200])
-                self.hub.sleep(self._pause.next_us())
+                self.hub.sleep(self._watch_backoff.next_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
         target = (
             f"/api/v1/pods?watch=true&{self._selector()}&resourceVersion={version}"
-            f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_S}"
+            f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_DURATION_S}"
+        )
+        return watch(
+            self._pool, target, self.hub.now_us() + CALL_TIMEOUT_US, WATCH_SILENCE_TIMEOUT_US
         )
-        return watch(self._pool, target, self.hub.now_us() + CALL_US, SILENCE_US)
 
     def close(self) -> None:
         """Let go of the idle connections."""
--- a/wingbarrow/core/machines.py
+++ b/wingbarrow/core/machines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 
 
 class Machines:
@@ -12,7 +12,7 @@
         self.links: dict[str, MachineLink] = {}
         self._names: dict[int, str] = {}
 
-    def of(self, ident: int) -> MachineLink | None:
+    def by_ident(self, ident: int) -> MachineLink | None:
         """The machine by its number with the module."""
         return self.links.get(self._names.get(ident, ""))
 
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -15,7 +15,7 @@
 from wingbarrow.core.base import Base
 from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.outlier_ejection import FAULTS
 from wingbarrow.core.stops import Stops
@@ -317,7 +317,7 @@
 
     def _call(self, link: MachineLink, slot: KnownSlot, dialogue: _Dialogue) -> None:
         try:
-            reply = link.turn(slot.number, slot.state != SlotState.BACK)
+            reply = link.set_closed(slot.number, slot.state != SlotState.BACK)
         finally:
             self._calls -= 1
             dialogue.is_calling = False
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -11,7 +11,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Ended, pod_text
@@ -66,7 +66,7 @@
 
     def bind(self, bind: api.Bind) -> None:
         """The module chose a machine for a task: begin an attempt."""
-        task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
+        task, link = self._jobs.by_request.get(bind.request), self._machines.by_ident(bind.machine)
         if task is None or link is None:
             # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
             self._base.counts["binds_dropped"] += 1
@@ -129,7 +129,7 @@
             attempt.held = held
             return False
         self._attempts.advance(attempt, Stage.SENT)
-        link.offered_us = now
+        link.last_offer_us = now
         if self.slow_start is not None:
             self.slow_start.on_sent(attempt)
         task.may_have_run = True
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -18,7 +18,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.intake import JobRequest, job_value
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import Phase, PodStatus, expected_left_us, pod_resources
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -30,10 +30,10 @@
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
 from wingbarrow.core.migrations import Migrations
-from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.outlier_ejection import OutlierEjections
+from wingbarrow.core.pod_observer import PodObserver
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -189,7 +189,7 @@
             self.active_rules,
             self.leased_jobs,
         )
-        observations = Observations(
+        pod_observer = PodObserver(
             self.base, self.host, self.attempts, self.offers, self._runs, self._orphans
         )
         self.fleet = Fleet(
@@ -199,9 +199,9 @@
             self.machines,
             self.attempts,
             self._runs,
-            observations,
+            pod_observer,
         )
-        self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, observations)
+        self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, pod_observer)
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
         """Leased Jobs of ended sessions, other placers' and this one's; fences of machines."""
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/pod_observer.py
@@ -9,7 +9,7 @@
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.host import Host
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Phase, PodStatus, read_pod
@@ -24,7 +24,7 @@
 }
 
 
-class Observations:
+class PodObserver:
     """Follows machines' pods; `on_listed` is called with a machine's name once its list was received."""
 
     def __init__(
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -14,7 +14,7 @@
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.slow_start import Arrival, SlowStartShare
 from wingbarrow.decide.subsets import Subsets
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wingbarrow.core.link import DeleteOutcome, MachineLink
+from wingbarrow.core.machine_link import DeleteOutcome, MachineLink
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.interface import Phase
 from wingbarrow.transport import Hub, Signal
@@ -157,7 +157,7 @@
         if gone is None:
             # Danger: a stop that is forgotten leaves a task running; only a machine that is gone is let go.
             return link.phase is Phase.GONE and not link.reachable
-        if gone is DeleteOutcome.WAS_NOT_THERE and not stop.is_settled():
+        if gone is DeleteOutcome.NOT_FOUND and not stop.is_settled():
             return False
         self._counts["stops_done"] += 1
         if gone is DeleteOutcome.STOPPED:
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.attempts import Attempts
 from wingbarrow.core.base import Base
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.core.refills import Refills
@@ -212,20 +212,20 @@
             and link.reachable
             and not self._attempts.on(link)
             and not self._stops.pending_on(link)
-            and (link.offered_us is None or now_us - link.offered_us >= LINGER_US)
+            and (link.last_offer_us is None or now_us - link.last_offer_us >= LINGER_US)
         )
 
     def _release(self, link: MachineLink) -> None:
         try:
             # Danger: a task of an abandoned start or of an earlier incarnation would run on with no placer to stop it.
-            holds_any = link.holds_any()
-            if holds_any is False:
+            has_tasks = link.has_tasks()
+            if has_tasks is False:
                 self._base.hub.sleep(RELEASE_CONFIRM_US)
         finally:
             self._releasing -= 1
         name = link.name
         if (
-            holds_any is False
+            has_tasks is False
             and not self.holds(name)
             and self._machines.links.get(name) is link
             and self._may_release(link, self._base.hub.now_us())
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-from wingbarrow.core.lines import LineLog
+from wingbarrow.core.stdlib_log import StdlibLog
 from wingbarrow.relay import trace
 from wingbarrow.relay.configuration import BadConfiguration, load
 from wingbarrow.relay.placer import Placer
@@ -18,7 +18,7 @@
 def main() -> int:
     """Serve until SIGTERM or SIGINT; return the exit status: 0, 1 on a network error, 2 on a bad configuration."""
     hub = Hub()
-    log = LineLog(hub.now_us)
+    log = StdlibLog(hub.now_us)
     try:
         configuration = load(os.environ)
         placer = Placer(hub, configuration, log, trace.from_environment(os.environ, log.write))
