--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -62,7 +62,7 @@
         primary = self._replicator.primary
         for job in self._leased_jobs.jobs.values():
             replicated = primary.jobs.get(job.uid) or primary.former_jobs.get(job.uid)
-            if job.leased is not None and job.leased.session == text and replicated is not None:
+            if job.lease is not None and job.lease.session == text and replicated is not None:
                 runs = any(task.state in RUNNING for task in job.tasks)
                 given_up[job.uid] = GivenUpJob(OwnJob(replicated.record, runs), job)
         while len(self._given_up) > MAX_ENDED_SESSIONS:
@@ -88,8 +88,8 @@
         """Send nothing more of a Job, and stop its copies, unless it must not start twice."""
         is_unsafe = job.request.task_class.task_class.effect is api.Effect.UNSAFE
         self._leased_jobs.jobs.pop(job.uid, None)
-        if job.leased is not None:
-            job.leased = replace(job.leased, session="")
+        if job.lease is not None:
+            job.lease = replace(job.lease, session="")
         job.conditions[condition] = reason, words
         for task in job.tasks:
             attempt = self._attempts.of(task.request) if task.request else None
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -109,7 +109,7 @@
         self._objects.flush()
 
     def _on_step(self, task: TaskRecord, before: State) -> None:
-        if task.job.leased is not None and task.job.leased.previous_session:
+        if task.job.lease is not None and task.job.lease.previous_session:
             if task.state in (State.ASKED, State.RETRYING):
                 self._pending[task.name] = task
             else:
@@ -122,7 +122,7 @@
         job = self._shown_job(record)
         if job is None:
             return
-        job.leased = JobLease(record.spec, session.text(), start.epoch, former)
+        job.lease = JobLease(record.spec, session.text(), start.epoch, former)
         if UNKNOWN in job.conditions:
             job.conditions[UNKNOWN] = "Released", "an operator said that it never ran"
         job.conditions[TAKEN_OVER] = "Run", f"run here at epoch {start.epoch}; {former} held it"
--- a/wingbarrow/core/job_status.py
+++ b/wingbarrow/core/job_status.py
@@ -61,7 +61,7 @@
     if (
         job.open_tasks
         or _has(status, "Failed")
-        or (job.leased is not None and not job.leased.session)
+        or (job.lease is not None and not job.lease.session)
     ):
         return  # of a Job whose lease was ended, its notes tell what became of it
     if counts[State.DONE] == job.request.count:
--- a/wingbarrow/core/job_store.py
+++ b/wingbarrow/core/job_store.py
@@ -128,7 +128,7 @@
     unanswered: int = 0
     adopted: bool = False
     deleted: bool = False
-    leased: JobLease | None = None
+    lease: JobLease | None = None
     lease_lost: bool = False  # answered as failed: no replica acknowledged a placement in time
     causes: dict[State, str] = field(default_factory=dict)  # of the first task to reach a state
     conditions: dict[str, Condition] = field(default_factory=dict)  # beside the usual ones, by type
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -106,8 +106,8 @@
         """The cores and GiB that are leased here by each spec, the largest first."""
         sums: dict[str, list[float]] = {}
         for job in self.jobs.values():
-            if job.leased is not None:
-                capacity = sums.setdefault(job.leased.spec, [0.0, 0.0])
+            if job.lease is not None:
+                capacity = sums.setdefault(job.lease.spec, [0.0, 0.0])
                 capacity[0] += job.request.cores * job.open_tasks
                 capacity[1] += job.request.memory * job.open_tasks
         rows = [(name, round(cores, 3), round(memory, 3)) for name, (cores, memory) in sums.items()]
@@ -155,15 +155,15 @@
             )
         return JobLease(spec.name, session.text())
 
-    def accept(self, job: JobRecord, leased: JobLease) -> None:
+    def accept(self, job: JobRecord, lease: JobLease) -> None:
         """Accept a Job that is replicated."""
-        job.leased = leased
+        job.lease = lease
         self.jobs[job.uid] = job
         self.records.record_answer(job.uid, "")  # it is accepted from now on
 
     def release(self, job: JobRecord) -> None:
         """Another placer runs it by a lease of its own."""
-        job.leased = None
+        job.lease = None
         self.jobs.pop(job.uid, None)
         self.records.remove(job.uid)
 
@@ -214,13 +214,13 @@
 
     def may_send(self, job: JobRecord) -> bool:
         """Whether its first byte may be sent at this moment, by its lease."""
-        return job.leased is None or self._leases.may_send(job.leased.session)
+        return job.lease is None or self._leases.may_send(job.lease.session)
 
     def before_send(self, attempt: Attempt) -> Ended | None:
         """Have recorded what must be before a leased Job's attempt is sent, and wait; why it cannot be, or None."""
         job = attempt.task.job
         link = attempt.link
-        if job.leased is None:
+        if job.lease is None:
             return None
         self._on_attempt_began(attempt)
         if not self.may_send(job):
@@ -247,11 +247,11 @@
 
     def expiry(self, attempt: Attempt) -> str:
         """Until when an attempt may run, in its machine's clock; "" where it is not leased."""
-        return self._leases.expiry(attempt.link) if attempt.task.job.leased is not None else ""
+        return self._leases.expiry(attempt.link) if attempt.task.job.lease is not None else ""
 
     def _on_attempt_began(self, attempt: Attempt) -> None:
-        if attempt.task.job.leased is not None:
-            attempt.session = attempt.task.job.leased.session
+        if attempt.task.job.lease is not None:
+            attempt.session = attempt.task.job.lease.session
             self._leases.on_attempt_began(attempt, attempt.session)
 
     def _on_attempt_ended(self, attempt: Attempt, outcome: api.Outcome, words: str) -> None:
@@ -273,7 +273,7 @@
     def _confirm(self, attempt: Attempt) -> bool:
         """A machine runs it: False where a replica must acknowledge that first; the answer follows by itself."""
         task = attempt.task
-        if task.job.leased is None:
+        if task.job.lease is None:
             return True
         if attempt.confirming:
             return False
@@ -351,7 +351,7 @@
 
     def adopt(self, link: MachineLink, pod: str, task: TaskRecord, left_us: int | None) -> bool:
         """Adopt a running copy that was found for an open request; False where its Job is not leased."""
-        if task.job.leased is None:
+        if task.job.lease is None:
             return False
         now = self._base.hub.now_us()
         deadline_us = task.deadline_us
@@ -384,13 +384,13 @@
     # -- changes that replicas receive afterwards
 
     def _on_delete(self, job: JobRecord) -> None:
-        if not job.open_tasks and (job.leased is not None or job.conditions):
+        if not job.open_tasks and (job.lease is not None or job.conditions):
             self.jobs.pop(job.uid, None)
             self.records.remove(job.uid)
 
     def _on_step(self, task: TaskRecord, before: State) -> None:
         job = task.job
-        if job.leased is None or not job.leased.session:
+        if job.lease is None or not job.lease.session:
             return
         if task.state in (State.REFUSED, State.FAILED) and self._retry_run(task):
             return
@@ -409,9 +409,9 @@
     def _retry_run(self, task: TaskRecord) -> bool:
         """Whether a failed run is retried: one that was taken over, or was stopped as its lease lapsed."""
         job = task.job
-        if job.leased is None:
+        if job.lease is None:
             return False
-        if not job.leased.previous_session and (not task.was_placed or self.may_send(job)):
+        if not job.lease.previous_session and (not task.was_placed or self.may_send(job)):
             return False
         task_class = job.request.task_class.task_class
         may_have_started = task.state is State.FAILED and task.may_have_run
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -13,11 +13,14 @@
 
 DEMAND_WINDOW_US = 10_000_000
 REPORT_INTERVAL_US = 500_000  # between summaries of the list
-REJECTED_COUNTERS = "turned_away"
+REJECTED_COUNTER_PREFIX = "turned_away"
 
 
 class LocalRegion:
-    """Builds the report that goes with requests to other regions; `leased` sums what is leased here by spec."""
+    """Builds the report that is sent with requests to other regions.
+
+    `leased_by_spec` returns the capacity that is leased in this region: per federation spec its name, cores and GiB.
+    """
 
     def __init__(self, base: Base, jobs: JobStore, fleet: Fleet) -> None:
         self._base = base
@@ -27,7 +30,7 @@
         self._samples: deque[tuple[int, int, int]] = deque()
         self._last_report: RegionReport | None = None
         self._reported_us = -REPORT_INTERVAL_US
-        self.leased: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
+        self.leased_by_spec: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
 
     def report(self, now_us: int) -> RegionReport | None:
         """The report, at most half a second old; None without a region, machines, or a list of them."""
@@ -74,13 +77,15 @@
             demanded,
             refused,
             machines,
-            self.leased(),
+            self.leased_by_spec(),
         )
 
     def _recent_demand(self, now_us: int) -> tuple[int, int]:
         """Tasks answered or rejected in the window, and those of them refused or rejected."""
         rejected = sum(
-            count for name, count in self._base.counts.items() if name.startswith(REJECTED_COUNTERS)
+            count
+            for name, count in self._base.counts.items()
+            if name.startswith(REJECTED_COUNTER_PREFIX)
         )
         answers = self._jobs.answers
         demanded = answers.total() + rejected
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -224,7 +224,7 @@
 
     # Outcomes of attempts
 
-    def observing(self, listener: OutcomeListener) -> OutcomeListener:
+    def forwarding_to(self, listener: OutcomeListener) -> OutcomeListener:
         """A listener for outcomes of attempts that notes them here and passes them on to another."""
 
         def on_outcome(machine: str, outcome: api.Outcome | None) -> None:
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -93,7 +93,7 @@
         self._scan_offset = begin + len(scanned)
         movable: list[tuple[TaskRecord, Run]] = []
         for job in scanned:
-            if job.leased is None:
+            if job.lease is None:
                 continue
             is_from_other_region = self._remote_regions.is_from_other_region(job.key)
             movable += [
@@ -101,7 +101,7 @@
                     task,
                     Run(
                         task.request,
-                        job.leased.spec,
+                        job.lease.spec,
                         job.request.cores,
                         job.request.memory,
                         job.request.task_class.task_class.effect.value,
@@ -119,9 +119,9 @@
         attempt = self._attempts.of(move.number)
         if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
             return
-        leased = task.job.leased
+        lease = task.job.lease
         self._migrating[task.name] = _Migration(
-            task, leased.spec if leased is not None else "", move.region, now_us
+            task, lease.spec if lease is not None else "", move.region, now_us
         )
         self._base.counts[f"moved to another region: {move.why}"] += 1
         self._base.log(
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -118,7 +118,7 @@
                     link.name,
                     attempt.decided_us,
                 ),
-                task.job.leased is None
+                task.job.lease is None
                 or (self._leased_jobs is not None and self._leased_jobs.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
                 cold_share_left=self.slow_start is None or self.slow_start.has_share(link),
@@ -194,7 +194,7 @@
             attempt.held is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
-            and task.job.leased is None
+            and task.job.lease is None
             and task.resubmissions < MAX_RESUBMISSIONS
             and task.state is State.ASKED
             and task.request == attempt.request
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -86,7 +86,7 @@
     ) -> None:
         """Carry out what `decide.orphans` says of an orphan whose task is known."""
         job, state = task.job, task.state
-        if job.leased is not None and not job.leased.session:
+        if job.lease is not None and not job.lease.session:
             return  # Danger: its session has ended. Its machine stops it, or a stop is under way
         action = orphans.action_for(
             orphans.Orphan(
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -256,7 +256,7 @@
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
         local_region = LocalRegion(self.base, self.job_store, self.fleet)
-        local_region.leased = leased_jobs.leased_by_spec
+        local_region.leased_by_spec = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
         return remote_regions
 
@@ -282,7 +282,7 @@
             active_rules.in_force,
         )
         peering.on_turns = self.maintenance.on_slots_changed
-        self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
+        self._requests.on_start_outcome = self.maintenance.forwarding_to(ejections.note)
         peering.zones = ejections.zones
         peering.on_verdicts = ejections.take
         active_rules.quotas = self._quota_account
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -81,11 +81,11 @@
         told = (job.value["metadata"].get("annotations") or {}).get(key)
         if told:
             notes[key] = told
-    if job.leased is not None:
+    if job.lease is not None:
         notes |= {
             names.LEASE_UNTIL: until,
-            names.SESSION: job.leased.session,
-            names.EPOCH: str(job.leased.epoch),
+            names.SESSION: job.lease.session,
+            names.EPOCH: str(job.lease.epoch),
         }
     labels = {
         **(meta.get("labels") or {}),
