--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -94,7 +94,7 @@
         for task in job.tasks:
             attempt = self._attempts.of(task.request) if task.request else None
             task.last_outcome = words
-            if task.state is State.ASKED:
+            if task.state is State.PENDING:
                 job.lease_lost = True
                 self._give_up_request(task, attempt, words, is_unsafe=is_unsafe)
             elif task.state is State.RETRYING:
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -110,7 +110,7 @@
 
     def _on_step(self, task: TaskRecord, before: State) -> None:
         if task.job.lease is not None and task.job.lease.previous_session:
-            if task.state in (State.ASKED, State.RETRYING):
+            if task.state in (State.PENDING, State.RETRYING):
                 self._pending[task.name] = task
             else:
                 self._pending.pop(task.name, None)
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -255,7 +255,7 @@
             return
         if state is State.RETRYING:
             self._runs.cancel_retry(task)
-        elif state is State.ASKED:
+        elif state is State.PENDING:
             self._requests.withdraw(task)
             if attempt is None:
                 return
--- a/wingbarrow/core/job_components.py
+++ b/wingbarrow/core/job_components.py
@@ -1,4 +1,4 @@
-"""The components of the core that hold and run Jobs, passed as one to those that lease, move or take over Jobs."""
+"""The components that store and run Jobs, bundled for those that lease, migrate or fail over Jobs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobComponents:
-    """One placer's."""
+    """The components of one placer, which are shared by reference."""
 
     base: Base
     store: JobStore
--- a/wingbarrow/core/job_status.py
+++ b/wingbarrow/core/job_status.py
@@ -1,4 +1,4 @@
-"""A Job's status as its owner reads it (batch/v1 JobStatus), computed from the book's counts."""
+"""The status of a Job that its owner reads (batch/v1 JobStatus), computed from the Job's counts of tasks by state."""
 
 from __future__ import annotations
 
@@ -9,26 +9,29 @@
 
 
 def update_job_status(job: JobRecord, wall_us: int) -> None:
-    """Bring `job.value["status"]` up to date; conditions are added once and stay."""
+    """Update `job.value["status"]` at the Unix time `wall_us`.
+
+    A condition is added once and kept; only those in `job.conditions` are replaced when they change.
+    """
     counts, status = job.counts, job.value.setdefault("status", {})
-    figures = {
+    counters = {
         "active": job.open_tasks,
         "ready": counts[State.PLACED] + counts[State.ADOPTED],
         "succeeded": counts[State.DONE],
         "failed": counts[State.REFUSED] + counts[State.FAILED] + counts[State.LOST],
     }
-    for name, figure in figures.items():
-        if figure or name in status:
-            status[name] = figure
-    for kind, (reason, words) in job.conditions.items():
-        held = next((each for each in status.get("conditions", ()) if each["type"] == kind), None)
-        if held is not None and (held["reason"], held["message"]) != (reason, words):
-            status["conditions"].remove(held)
-        _add(status, kind, reason, words, wall_us)
+    for name, count in counters.items():
+        if count or name in status:
+            status[name] = count
+    for kind, (reason, message) in job.conditions.items():
+        old = next((each for each in status.get("conditions", ()) if each["type"] == kind), None)
+        if old is not None and (old["reason"], old["message"]) != (reason, message):
+            status["conditions"].remove(old)
+        _add_condition(status, kind, reason, message, wall_us)
     if job.unanswered:
         return
     if job.adopted and not job.conditions:
-        _add(
+        _add_condition(
             status,
             "wingbarrow.io/Adopted",
             "FoundRunning",
@@ -36,7 +39,7 @@
             wall_us,
         )
     if counts[State.ADOPTED] and not job.adopted:
-        _add(
+        _add_condition(
             status,
             "wingbarrow.io/FoundRunning",
             "FoundRunning",
@@ -44,59 +47,64 @@
             wall_us,
         )
     failed = next((state for state in (State.FAILED, State.REFUSED) if state in job.causes), None)
-    # An adopted Job had its answer in a former life: what becomes of it later is a loss, never another answer.
-    if failed is not None and not job.adopted and not _has(status, "Placed"):
+    # An adopted Job was answered by an earlier incarnation: a task that ends badly now is lost, not answered again.
+    if failed is not None and not job.adopted and not _has_condition(status, "Placed"):
         reason = (
             ("LeaseLost" if job.lease_lost else "Failed") if failed is State.FAILED else "Refused"
         )
-        _add(status, "Failed", reason, _words(job, failed), wall_us)
+        _add_condition(status, "Failed", reason, _failure_message(job, failed), wall_us)
     elif not job.adopted:
-        _add(
+        _add_condition(
             status,
             "Placed",
             "AllPlaced",
             f"{job.request.count} of {job.request.count} tasks were placed",
             wall_us,
         )
+    # Where a Job's lease has ended, its additional conditions say what happened to it.
     if (
         job.open_tasks
-        or _has(status, "Failed")
+        or _has_condition(status, "Failed")
         or (job.lease is not None and not job.lease.session)
     ):
-        return  # of a Job whose lease was ended, its notes tell what became of it
+        return
     if counts[State.DONE] == job.request.count:
-        _add(status, "SuccessCriteriaMet", "CompletionsReached", "all tasks ended well", wall_us)
-        _add(status, "Complete", "CompletionsReached", "all tasks ended well", wall_us)
+        _add_condition(
+            status, "SuccessCriteriaMet", "CompletionsReached", "all tasks ended well", wall_us
+        )
+        _add_condition(status, "Complete", "CompletionsReached", "all tasks ended well", wall_us)
         status["completionTime"] = short_time(wall_us)
     elif failed is not None or State.LOST in job.causes:
-        _add(
+        _add_condition(
             status,
             "Failed",
             "Lost",
-            _words(job, State.LOST if State.LOST in job.causes else failed),
+            _failure_message(job, State.LOST if State.LOST in job.causes else failed),
             wall_us,
         )
 
 
-def _words(job: JobRecord, state: State | None) -> str:
+def _failure_message(job: JobRecord, state: State | None) -> str:
     if state is None:
         return ""
     total = job.request.count
-    told = (
+    summary = (
         f"{job.counts[state]} of {total} tasks {state.value}"
         if total > 1
         else f"the task was {state.value}"
     )
     cause = job.causes.get(state, "")
-    return f"{told}: {cause}" if cause else told
+    return f"{summary}: {cause}" if cause else summary
 
 
-def _has(status: dict[str, Any], kind: str) -> bool:
+def _has_condition(status: dict[str, Any], kind: str) -> bool:
     return any(each["type"] == kind for each in status.get("conditions", ()))
 
 
-def _add(status: dict[str, Any], kind: str, reason: str, message: str, wall_us: int) -> None:
-    if not _has(status, kind):
+def _add_condition(
+    status: dict[str, Any], kind: str, reason: str, message: str, wall_us: int
+) -> None:
+    if not _has_condition(status, kind):
         now = short_time(wall_us)
         status.setdefault("conditions", []).append(
             {
--- a/wingbarrow/core/job_store.py
+++ b/wingbarrow/core/job_store.py
@@ -1,4 +1,4 @@
-"""The store of accepted Jobs and their tasks: one state a task, one final answer; no I/O.
+"""The store of accepted Jobs and their tasks: each task has one state and one final answer. It does no I/O.
 
 A task's state changes only by `_TRANSITIONS`. A step that the table lacks is counted in `unexpected_transitions` and
 changes nothing, so that a late or duplicate answer has no effect.
@@ -15,19 +15,19 @@
 from wingbarrow.core.intake import JobRequest
 from wingbarrow.decide.admission import Admission
 
-MAX_TOMBSTONES = 65_536
+MAX_TOMBSTONES = 65_536  # uids
 
-Condition = tuple[str, str]  # reason and message of a condition of a Job's status
+Condition = tuple[str, str]  # reason and message of a condition in a Job's status
 StateListener = Callable[["TaskRecord", "State"], None]  # called with the state before the change
 
 
 class State(Enum):
     """State of a task. Values appear in counters and logs."""
 
-    ASKED = "asked"  # with the decision module; its owner awaits the final answer
+    PENDING = "asked"  # its request is with the decision module; its owner awaits the final answer
     PLACED = "placed"
-    RETRYING = "again"  # lost or migrated; waits for its next request
-    ADOPTED = "found"  # an orphan that this placer looks after, whatever its owner was answered
+    RETRYING = "again"  # lost or migrating; waits until it is requested again
+    ADOPTED = "found"  # found running and managed by this placer, whatever its owner was answered
     REFUSED = "refused"
     FAILED = "failed"
     DONE = "done"
@@ -51,15 +51,15 @@
 
 
 _TRANSITIONS: dict[tuple[State, Step], State] = {
-    (State.ASKED, Step.PLACE): State.PLACED,
-    (State.ASKED, Step.REFUSE): State.REFUSED,
-    (State.ASKED, Step.FAIL): State.FAILED,
-    (State.ASKED, Step.STOP): State.STOPPED,
+    (State.PENDING, Step.PLACE): State.PLACED,
+    (State.PENDING, Step.REFUSE): State.REFUSED,
+    (State.PENDING, Step.FAIL): State.FAILED,
+    (State.PENDING, Step.STOP): State.STOPPED,
     (State.PLACED, Step.DONE): State.DONE,
     (State.PLACED, Step.LOSE): State.LOST,
     (State.PLACED, Step.SCHEDULE_RETRY): State.RETRYING,
     (State.PLACED, Step.STOP): State.STOPPED,
-    (State.RETRYING, Step.RETRY): State.ASKED,
+    (State.RETRYING, Step.RETRY): State.PENDING,
     (State.RETRYING, Step.STOP): State.STOPPED,
     (State.FAILED, Step.ADOPT): State.ADOPTED,
     (State.LOST, Step.ADOPT): State.ADOPTED,
@@ -68,56 +68,54 @@
     (State.ADOPTED, Step.LOSE): State.LOST,
     (State.ADOPTED, Step.STOP): State.STOPPED,
     (State.ADOPTED, Step.SCHEDULE_RETRY): State.RETRYING,
-    (
-        State.STOPPED,
-        Step.TAKE_OVER,
-    ): State.ASKED,  # a run of another placer's Job; no answer is owed
-    (State.REFUSED, Step.SCHEDULE_RETRY): State.RETRYING,  # of such a run
+    # A task of a Job that failed over from another placer; no answer is owed for it.
+    (State.STOPPED, Step.TAKE_OVER): State.PENDING,
+    (State.REFUSED, Step.SCHEDULE_RETRY): State.RETRYING,
     (State.FAILED, Step.SCHEDULE_RETRY): State.RETRYING,
 }
-OPEN = (State.ASKED, State.PLACED, State.RETRYING, State.ADOPTED)
+OPEN = (State.PENDING, State.PLACED, State.RETRYING, State.ADOPTED)
 RUNNING = (State.PLACED, State.ADOPTED)
 
 
 @dataclass(slots=True, eq=False)
 class TaskRecord:
-    """One task of a Job; `request` is its open or placed request with the decision module, 0 without one."""
+    """One task of a Job. `request` numbers its open or placed request to the decision module (0: none)."""
 
     job: JobRecord
     index: int
-    state: State = State.ASKED
+    state: State = State.PENDING
     request: int = 0
     deadline_us: int = 0
-    resubmissions: int = 0  # requests made anew because the send gate held an offer back
-    attempts_made: int = 0  # attempts of the present request so far
-    answered: bool = False  # its owner has the first final answer
+    resubmissions: int = 0  # new requests because the send gate held an offer back
+    attempts_made: int = 0  # of the current request
+    answered: bool = False  # its owner was given the first final answer
     was_placed: bool = False  # it was placed at least once
-    may_have_run: bool = False  # an attempt was sent and is not proven unstarted
+    may_have_run: bool = False  # an attempt was sent, and may have started the task
     restarts_left: int = 0
     losses: int = 0
     machine: str = ""
-    answer_uncertain: bool = False  # of an earlier incarnation that may not have answered its owner
-    last_outcome: str = ""  # how the latest attempt ended, as shown to the owner
+    answer_uncertain: bool = False  # an earlier incarnation may not have answered its owner
+    last_outcome: str = ""  # how the latest attempt ended, in the text that its owner sees
 
     @property
     def name(self) -> str:
-        """The same whenever this task is asked for."""
+        """Name of the task, the same for each of its requests: "JOB-UID/INDEX"."""
         return f"{self.job.uid}/{self.index}"
 
 
 @dataclass(frozen=True, slots=True)
 class JobLease:
-    """Lease of a Job: the session that runs it, the epoch of its failover (0: none), its federation spec."""
+    """Lease of a Job: its federation spec, the session that runs it, and the epoch of its failover (0: none)."""
 
     spec: str
     session: str
     epoch: int = 0
-    previous_session: str = ""  # the session that it failed over from
+    previous_session: str = ""  # the session that it failed over from; "" if it did not
 
 
 @dataclass(slots=True, eq=False)
 class JobRecord:
-    """A Job and its tasks. `counts` of tasks by state is maintained by `JobStore.transition`."""
+    """A Job and its tasks. `JobStore.transition` maintains `counts`, the number of tasks by state."""
 
     key: str
     uid: str
@@ -130,8 +128,8 @@
     deleted: bool = False
     lease: JobLease | None = None
     lease_lost: bool = False  # answered as failed: no replica acknowledged a placement in time
-    causes: dict[State, str] = field(default_factory=dict)  # of the first task to reach a state
-    conditions: dict[str, Condition] = field(default_factory=dict)  # beside the usual ones, by type
+    causes: dict[State, str] = field(default_factory=dict)  # `last_outcome` of the first, by state
+    conditions: dict[str, Condition] = field(default_factory=dict)  # additional ones, by type
 
     @property
     def open_tasks(self) -> int:
@@ -142,8 +140,8 @@
 class JobStore:
     """All Jobs of one placer.
 
-    Open tasks are bounded by `admission`, ended Jobs by `max_ended_jobs`, deleted Jobs of earlier incarnations by
-    MAX_TOMBSTONES. Listeners run after each change, in the order in which they were added.
+    `admission` bounds open tasks, `max_ended_jobs` ended Jobs, and MAX_TOMBSTONES deleted Jobs of earlier
+    incarnations. Listeners are called after each change, in the order in which they were added.
     """
 
     def __init__(self, admission: Admission, max_ended_jobs: int) -> None:
@@ -161,30 +159,30 @@
         self.state_listeners: list[StateListener] = []
 
     def set_limits(self, max_ended_jobs: int, tasks_open: int, per_namespace: int) -> None:
-        """Replace the bounds; what was accepted before stays."""
+        """Replace the limits. Jobs that were accepted before stay, even beyond the new limits."""
         self._max_ended_jobs = max_ended_jobs
         self.admission.take_limits(tasks_open, per_namespace)
 
     def add(
-        self, key: str, uid: str, asked: JobRequest, value: dict[str, Any], adopted: bool = False
+        self, key: str, uid: str, request: JobRequest, value: dict[str, Any], adopted: bool = False
     ) -> JobRecord:
-        """Add a Job; the caller has checked `admission`. Tasks of an adopted Job begin as stopped."""
-        job = JobRecord(key, uid, asked, value, adopted=adopted)
-        start = State.STOPPED if adopted else State.ASKED
+        """Add a Job, for which the caller has checked `admission`. Tasks of an adopted Job start as `STOPPED`."""
+        job = JobRecord(key, uid, request, value, adopted=adopted)
+        start = State.STOPPED if adopted else State.PENDING
         job.tasks = [
-            TaskRecord(job, index, start, restarts_left=asked.restarts, answered=adopted)
-            for index in range(asked.count)
+            TaskRecord(job, index, start, restarts_left=request.restarts, answered=adopted)
+            for index in range(request.count)
         ]
-        job.counts[start] = asked.count
-        job.unanswered = 0 if adopted else asked.count
+        job.counts[start] = request.count
+        job.unanswered = 0 if adopted else request.count
         self.unanswered += job.unanswered
         self.jobs[key] = job
         if not adopted:
-            self.admission.add(asked.namespace, asked.count, asked.task_class.task_class.name)
+            self.admission.add(request.namespace, request.count, request.task_class.task_class.name)
         return job
 
     def open_request(self, task: TaskRecord, deadline_us: int) -> int:
-        """Give a task a new request number."""
+        """Give a task a new request number, and return it."""
         request = self._next_request
         self._next_request += 1
         task.request, task.deadline_us, task.attempts_made = request, deadline_us, 0
@@ -192,12 +190,12 @@
         return request
 
     def close_request(self, task: TaskRecord) -> None:
-        """Forget a task's request number."""
+        """End a task's request, so that later events for its number have no effect."""
         self.by_request.pop(task.request, None)
         task.request = 0
 
     def transition(self, task: TaskRecord, step: Step) -> bool:
-        """Apply a step. Returns False, and counts it, where the step is not allowed in the task's state."""
+        """Apply a step. Returns False, and counts the step, where the task's state does not allow it."""
         after = _TRANSITIONS.get((task.state, step))
         if after is None:
             self.unexpected_transitions[f"{step.value} while {task.state.value}"] += 1
@@ -207,8 +205,8 @@
         task.was_placed |= after is State.PLACED
         job.counts[before] -= 1
         job.counts[after] += 1
-        self.unanswered += (after is State.ASKED) - (before is State.ASKED)
-        if not task.answered and before is State.ASKED:
+        self.unanswered += (after is State.PENDING) - (before is State.PENDING)
+        if not task.answered and before is State.PENDING:
             task.answered = True
             job.unanswered -= 1
             self.answers[after] += 1
@@ -226,7 +224,7 @@
         return True
 
     def delete(self, job: JobRecord) -> None:
-        """Forget a Job; the uid of an adopted one is remembered, since pods of it may still be reported.
+        """Remove a Job. An adopted one leaves a tombstone, since machines may still report pods of it.
 
         Pods of this incarnation are recognized by their names and need no tombstone.
         """
@@ -246,7 +244,7 @@
         return uid in self._tombstones
 
     def expired_jobs(self) -> list[JobRecord]:
-        """Ended Jobs beyond the bound, oldest first."""
+        """The oldest ended Jobs, as many as must go until at most `max_ended_jobs` Jobs remain, with the open ones."""
         out: list[JobRecord] = []
         for key in self._ended:
             if len(self.jobs) - len(out) <= self._max_ended_jobs:
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -1,8 +1,8 @@
-"""JobLease Jobs in the core: what a replica must acknowledge before a Job is accepted, sent, or answered.
+"""Leased Jobs: what a replica must acknowledge before a Job is accepted, sent, or answered.
 
-The answer within the owner's patience does not depend on any of it: the placer that accepted a Job answers it by
-itself. Where an acknowledgement does not come in time, the answer is a failure with the reason `LeaseLost`, and what
-was started is stopped. Jobs that are not leased never wait here.
+The owner gets an answer within its patience in any case, since the placer that accepted a Job answers it by itself.
+Where no acknowledgement comes in time, the answer is a failure with the reason `LeaseLost`, and a task that was started
+is stopped. Jobs without a lease never wait here.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 from wingbarrow.kube.status import ApiError, Cause, invalid
 from wingbarrow.peers.replication import RecordReplication
 
-# A new Job waits so long for its replica, and no longer than half of its patience.
+# Bound of the wait for a replica of a new Job, which also ends after half of the Job's patience.
 MAX_REPLICATION_WAIT_US = 2_500_000
 MAX_AWAITING_REPLICA = 1024  # Jobs
-ANSWER_MARGIN_US = 20_000  # of the owner's patience, reserved for the answer itself
-# The backoff of a run that found no capacity: doubles, and is spread over its upper half.
+ANSWER_MARGIN_US = 20_000  # reserved from the owner's patience for the answer itself
+# Backoff of a run that found no capacity: it doubles with each loss, and is randomized over its upper half.
 MIN_RETRY_US = 500_000
 MAX_RETRY_US = 30_000_000
 MAX_RETRY_DOUBLINGS = 10
-UNKNOWN = names.PREFIX + "Unknown"  # condition of a Job that may have run, and is not tried again
+UNKNOWN = names.PREFIX + "Unknown"  # condition of a Job that may have started, and is not retried
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseCandidate:
-    """A new Job that is to be leased. `manifest` is its JSON, as a successor would submit it."""
+    """A new Job that needs a lease. `manifest` is its JSON, with which another placer submits it after a failover."""
 
     key: str
     uid: str
@@ -56,7 +56,7 @@
 
 
 class LeasedJobs:
-    """Owns the Jobs that this placer runs under its present session. `federation`: the specs in force."""
+    """Owns the Jobs that this placer runs under its current session. `federation` returns the specs in force."""
 
     def __init__(
         self,
@@ -75,8 +75,8 @@
         self.records = records
         self.federation = federation
         self.awaiting_replica: set[str] = set()  # keys of Jobs that are not accepted yet
-        self.jobs: dict[str, JobRecord] = {}  # by uid; not over
-        self._recorded_sends: set[str] = set()  # pods whose sending replicas have acknowledged
+        self.jobs: dict[str, JobRecord] = {}  # by uid; those that have not ended
+        self._recorded_sends: set[str] = set()  # pods that records name as about to be sent
         self._store.state_listeners.append(self._on_step)
         self._store.delete_listeners.append(self._on_delete)
         self._requests.may_answer_placed = self._confirm
@@ -86,24 +86,27 @@
 
     # -- admission
 
-    def spec_for(self, request: JobRequest, named: str) -> Spec | None:
-        """The federation spec of a new Job, None for none; ApiError 422 where it allows no region."""
+    def spec_for(self, request: JobRequest, spec_name: str) -> Spec | None:
+        """The federation spec of a new Job, None without one. `spec_name` is the one that the Job names, or "".
+
+        Raises ApiError 422 where there is no such spec, or where it allows no region or does not fit the Job's class.
+        """
         federation = self.federation()
         task_class = request.task_class.task_class
-        found = federation.spec_for(task_class.name, named)
-        if found is None:
-            if named:
-                raise _unfit_error(request, f"there is no federation {named[:80]!r}")
+        spec = federation.spec_for(task_class.name, spec_name)
+        if spec is None:
+            if spec_name:
+                raise _unfit_error(request, f"there is no federation {spec_name[:80]!r}")
             return None
-        if not allowed(found, federation):
-            raise _unfit_error(request, f"spec {found.name!r} allows no region")
-        why = unfit(found, task_class.effect.value, self._leases.lease_us)
+        if not allowed(spec, federation):
+            raise _unfit_error(request, f"spec {spec.name!r} allows no region")
+        why = unfit(spec, task_class.effect.value, self._leases.lease_us)
         if why:
-            raise _unfit_error(request, f"spec {found.name!r} {why}")
-        return found
+            raise _unfit_error(request, f"spec {spec.name!r} {why}")
+        return spec
 
     def leased_by_spec(self) -> tuple[tuple[str, float, float], ...]:
-        """The cores and GiB that are leased here by each spec, the largest first."""
+        """Name of each spec, with cores and GiB of its open tasks here; the largest first, MAX_LEASED_SPECS at most."""
         sums: dict[str, list[float]] = {}
         for job in self.jobs.values():
             if job.lease is not None:
@@ -115,17 +118,17 @@
         return tuple(rows[:MAX_LEASED_SPECS])
 
     def replicate(self, candidate: LeaseCandidate, due_us: int) -> JobLease:
-        """Replicate a new Job, and wait for an acknowledgement.
+        """Replicate a new Job that is due at `due_us`, and wait for an acknowledgement.
 
-        ApiError 503 where none comes in time; then no replica has the Job.
+        Raises ApiError 503 where none comes in time; then no replica keeps the Job.
         """
         base = self._base
         session = self._leases.session
         if session is None or not self._leases.may_send(session.text()):
-            raise self._unavailable("no lease", "this placer's lease does not hold now")
+            raise self._unavailable("no lease", "this placer holds no valid lease now")
         if len(self.awaiting_replica) >= MAX_AWAITING_REPLICA:
             raise self._unavailable(
-                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs wait for their keepers already"
+                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs already wait for a replica"
             )
         spec = candidate.spec
         request = candidate.request
@@ -137,38 +140,38 @@
         class_name = request.task_class.task_class.name
         self.awaiting_replica.add(candidate.key)
         self._store.admission.add(request.namespace, request.count, class_name)
-        good = False
+        is_replicated = False
         try:
             why = self.records.wait_for(
                 lambda on_settled: self.records.replicate(record, terms, deadline_us, on_settled),
                 deadline_us,
             )
-            good = not why and self._leases.may_send(session.text())
+            is_replicated = not why and self._leases.may_send(session.text())
         finally:
             self.awaiting_replica.discard(candidate.key)
             self._store.admission.remove(request.namespace, request.count, class_name)
-            if not good:
+            if not is_replicated:
                 self.records.remove(candidate.uid)
-        if not good:
+        if not is_replicated:
             raise self._unavailable(
-                "no keeper", why or "this placer's lease does not hold any more"
+                "no keeper", why or "this placer's lease expired during the wait"
             )
         return JobLease(spec.name, session.text())
 
     def accept(self, job: JobRecord, lease: JobLease) -> None:
-        """Accept a Job that is replicated."""
+        """Accept a Job that has been replicated."""
         job.lease = lease
         self.jobs[job.uid] = job
-        self.records.record_answer(job.uid, "")  # it is accepted from now on
+        self.records.record_answer(job.uid, "")  # accepted, not yet answered
 
     def release(self, job: JobRecord) -> None:
-        """Another placer runs it by a lease of its own."""
+        """Give up a Job's lease, since another placer runs the Job under a lease of its own."""
         job.lease = None
         self.jobs.pop(job.uid, None)
         self.records.remove(job.uid)
 
     def has_ended(self, session: str) -> bool:
-        """Whether the voters ended a session, as far as this placer has heard."""
+        """Whether this placer knows that the voters ended a session."""
         return any(each.text() == session for each in self._leases.lease.ended)
 
     def _new_record(self, candidate: LeaseCandidate) -> LeasedJobRecord:
@@ -213,11 +216,11 @@
     # -- before an attempt is sent
 
     def may_send(self, job: JobRecord) -> bool:
-        """Whether its first byte may be sent at this moment, by its lease."""
+        """Whether its lease allows the first byte of an attempt to be sent at this moment."""
         return job.lease is None or self._leases.may_send(job.lease.session)
 
     def before_send(self, attempt: Attempt) -> Ended | None:
-        """Have recorded what must be before a leased Job's attempt is sent, and wait; why it cannot be, or None."""
+        """Prepare a leased Job's attempt, and wait for what must be recorded first; None where it may be sent."""
         job = attempt.task.job
         link = attempt.link
         if job.lease is None:
@@ -226,9 +229,9 @@
         if not self.may_send(job):
             return self._not_sent("the lease has lapsed")
         if not self._leases.has_recent_clock(link) and not self._leases.read_clock(link):
-            # Danger: without its clock it cannot be given a lease, and would never stop the task by itself.
+            # Danger: without a reading of its clock, a machine cannot be given a lease, and would never stop the task.
             return Ended(
-                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
+                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "no reading of the machine's clock"
             )
         if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
@@ -239,14 +242,16 @@
             lambda on_settled: self.records.record_send(job.uid, known, deadline_us, on_settled),
             deadline_us,
         )
-        return self._not_sent(f"its keeper does not know of it: {why}") if why else None
+        return (
+            self._not_sent(f"no replica acknowledged that it is to be sent: {why}") if why else None
+        )
 
     def _not_sent(self, why: str) -> Ended:
         self._base.counts["held:no_lease"] += 1
         return Ended(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
 
     def expiry(self, attempt: Attempt) -> str:
-        """Until when an attempt may run, in its machine's clock; "" where it is not leased."""
+        """When an attempt's lease expires, as a time of its machine's clock; "" for a Job without a lease."""
         return self._leases.expiry(attempt.link) if attempt.task.job.lease is not None else ""
 
     def _on_attempt_began(self, attempt: Attempt) -> None:
@@ -254,12 +259,12 @@
             attempt.session = attempt.task.job.lease.session
             self._leases.on_attempt_began(attempt, attempt.session)
 
-    def _on_attempt_ended(self, attempt: Attempt, outcome: api.Outcome, words: str) -> None:
+    def _on_attempt_ended(self, attempt: Attempt, outcome: api.Outcome, message: str) -> None:
         if not attempt.session:
             return
         self._leases.on_attempt_ended(attempt, attempt.session)
-        if words.startswith("LeaseLapsed"):
-            # The machine may have restarted, and go by another clock.
+        if message.startswith("LeaseLapsed"):
+            # The machine may have restarted, and then has another clock.
             self._leases.forget_clock(attempt.link)
         is_recorded = attempt.key in self._recorded_sends
         self._recorded_sends.discard(attempt.key)
@@ -271,7 +276,7 @@
     # -- before an answer is given
 
     def _confirm(self, attempt: Attempt) -> bool:
-        """A machine runs it: False where a replica must acknowledge that first; the answer follows by itself."""
+        """Whether an attempt that a machine runs is answered at once. If not, a replica must acknowledge it first."""
         task = attempt.task
         if task.job.lease is None:
             return True
@@ -279,16 +284,16 @@
             return False
         known = KnownTask(task.index, "placed", attempt.link.name, attempt.key)
         if task.answered:
-            # Nobody is owed an answer: the run is not stopped for want of an acknowledgement.
+            # No owner awaits an answer, so a missing acknowledgement does not stop the run.
             self.records.record_placed(task.job.uid, known, task.deadline_us, _ignore)
             return True
         attempt.confirming = True
         deadline_us = max(self._base.hub.now_us(), task.deadline_us - ANSWER_MARGIN_US)
 
         def on_settled(why: str) -> None:
-            # Called by the task of the peers' host, which must not be delayed by what follows.
+            # The caller is the background task that handles peers' messages, which must not be blocked.
             self._base.spawn(
-                lambda: self._on_placement_settled(attempt, why), "answers a leased Job"
+                lambda: self._on_placement_settled(attempt, why), "answer a leased Job"
             )
 
         self.records.record_placed(task.job.uid, known, deadline_us, on_settled)
@@ -296,9 +301,9 @@
 
     def _on_placement_settled(self, attempt: Attempt, why: str) -> None:
         if not attempt.confirming or attempt.stage is not Stage.SENT:
-            return  # it has ended meanwhile, or its stop is under way
+            return  # it has ended meanwhile, or is being stopped
         if why:
-            self.fail_lease_lost(attempt, f"no keeper knows that it was placed: {why}")
+            self.fail_lease_lost(attempt, f"no replica acknowledged its placement: {why}")
             return
         attempt.confirming = False
         self._mark_placed(attempt)
@@ -312,16 +317,16 @@
                 self._requests.on_placed(attempt)
 
     def _on_patience_over(self, attempt: Attempt) -> bool:
-        """The owner's patience is over: True where a copy runs that no replica has acknowledged."""
+        """Fail a task at the end of its owner's patience; False where its copy does not await an acknowledgement."""
         if not attempt.confirming:
             return False
-        self.fail_lease_lost(attempt, "no keeper knew in time that it was placed")
+        self.fail_lease_lost(attempt, "no replica acknowledged its placement in time")
         return True
 
     def fail_lease_lost(self, attempt: Attempt, why: str) -> None:
-        """Answer `LeaseLost`, and stop the copy that was started, whatever its effect.
+        """Answer `LeaseLost`, and stop the copy that was started, whatever the effect of its class.
 
-        Danger: a copy that no replica knows would run beside the one that a successor starts.
+        Danger: a copy that no replica knows would run beside the one that is started after a failover.
         """
         task = attempt.task
         task.last_outcome = f"LeaseLost: {why}"[:300]
@@ -331,7 +336,7 @@
         self.stop(attempt)
 
     def stop(self, attempt: Attempt) -> None:
-        """Stop a copy that was sent, or runs, and whose request is over."""
+        """Stop a copy that was sent, or runs, and whose request has ended."""
         if attempt.confirming and self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._base.hub.now_us()
         attempt.confirming = False
@@ -347,15 +352,20 @@
                 settled=lambda: attempt.stage is Stage.ENDED,
             )
         elif attempt.scope is not None:
-            attempt.scope.cancel()  # nothing was sent: no call is owed
+            attempt.scope.cancel()  # nothing was sent, so that there is nothing to stop
 
-    def adopt(self, link: MachineLink, pod: str, task: TaskRecord, left_us: int | None) -> bool:
-        """Adopt a running copy that was found for an open request; False where its Job is not leased."""
+    def adopt(
+        self, link: MachineLink, pod: str, task: TaskRecord, remaining_us: int | None
+    ) -> bool:
+        """Adopt a running copy that was found for an open request; False for a Job without a lease.
+
+        `remaining_us` is the run time that it has left, None if unknown.
+        """
         if task.job.lease is None:
             return False
         now = self._base.hub.now_us()
         deadline_us = task.deadline_us
-        if task.state is State.ASKED:
+        if task.state is State.PENDING:
             self._requests.withdraw(task)
         else:
             self._runs.cancel_retry(task)
@@ -372,7 +382,7 @@
             deadline_us,
             Stage.SENT,
             found=True,
-            left_us=left_us,
+            left_us=remaining_us,
         )
         task.attempts_made = 1
         self._attempts.add(attempt)
@@ -402,12 +412,12 @@
                 self.records.record_task_ended(job.uid, task.index)
         elif task.state is State.RETRYING:
             self.records.record_not_running(job.uid, task.index)
-        if before is State.ASKED and not job.unanswered and job.open_tasks:
+        if before is State.PENDING and not job.unanswered and job.open_tasks:
             failed = job.counts[State.FAILED] or job.counts[State.REFUSED]
             self.records.record_answer(job.uid, "failed" if failed else "placed")
 
     def _retry_run(self, task: TaskRecord) -> bool:
-        """Whether a failed run is retried: one that was taken over, or was stopped as its lease lapsed."""
+        """Retry a run that failed over to this placer or stopped as its lease lapsed; False for any other."""
         job = task.job
         if job.lease is None:
             return False
@@ -416,10 +426,10 @@
         task_class = job.request.task_class.task_class
         may_have_started = task.state is State.FAILED and task.may_have_run
         if may_have_started and task_class.effect is api.Effect.UNSAFE:
-            # Danger: a second start.
+            # Danger: a retry could start it a second time.
             job.conditions[UNKNOWN] = (
                 "InDoubt",
-                f"it may have started, and is not tried again: {task.last_outcome}",
+                f"it may have started, and is not retried: {task.last_outcome}",
             )
             return False
         pause_us = min(MAX_RETRY_US, MIN_RETRY_US << min(task.losses, MAX_RETRY_DOUBLINGS))
@@ -434,12 +444,12 @@
 
 
 def _ignore(why: str) -> None:
-    """The wait of a change whose acknowledgement nobody awaits."""
+    """Callback for a record whose acknowledgement is not awaited."""
 
 
-def _unfit_error(request: JobRequest, words: str) -> ApiError:
+def _unfit_error(request: JobRequest, message: str) -> ApiError:
     return invalid(
         "Job",
         request.name,
-        [Cause(f"metadata.annotations[{names.FEDERATION}]", "FieldValueNotSupported", words)],
+        [Cause(f"metadata.annotations[{names.FEDERATION}]", "FieldValueNotSupported", message)],
     )
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -1,4 +1,4 @@
-"""This placer's report on its own region: capacity by its list, and recent demand with its rejected part."""
+"""This placer's load report of its own region: capacity by the machine list, recent demand and refusals."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from wingbarrow.decide.regions.reports import RegionReport
 from wingbarrow.interface import Phase
 
-DEMAND_WINDOW_US = 10_000_000
-REPORT_INTERVAL_US = 500_000  # between summaries of the list
+DEMAND_WINDOW_US = 10_000_000  # over which demand is summed
+REPORT_INTERVAL_US = 500_000  # between summaries of the machine list
 REJECTED_COUNTER_PREFIX = "turned_away"
 
 
@@ -26,14 +26,14 @@
         self._base = base
         self._jobs = jobs
         self._fleet = fleet
-        # Time, tasks and rejections in all until then, what of that was refused.
+        # Time, total of tasks answered or rejected until then, total of those refused or rejected.
         self._samples: deque[tuple[int, int, int]] = deque()
         self._last_report: RegionReport | None = None
         self._reported_us = -REPORT_INTERVAL_US
         self.leased_by_spec: Callable[[], tuple[tuple[str, float, float], ...]] = tuple
 
     def report(self, now_us: int) -> RegionReport | None:
-        """The report, at most half a second old; None without a region, machines, or a list of them."""
+        """The report, at most REPORT_INTERVAL_US old; None without a region, machines, or a list of them."""
         settings = self._base.settings
         if (
             not settings.region
@@ -48,7 +48,7 @@
         return self._last_report
 
     def _summarise(self, now_us: int) -> RegionReport:
-        """Where this placer holds a subset of the machines, its capacity is scaled up to the region's."""
+        """Build a report, where the capacity of a subset of the machines is scaled up to that of the region."""
         scheduler, sizes = self._base.settings.scheduler, self._base.sizes
         capacity = [0.0, 0.0]
         free = [0.0, 0.0]
@@ -81,7 +81,7 @@
         )
 
     def _recent_demand(self, now_us: int) -> tuple[int, int]:
-        """Tasks answered or rejected in the window, and those of them refused or rejected."""
+        """Numbers of tasks answered or rejected in DEMAND_WINDOW_US, and of those refused or rejected."""
         rejected = sum(
             count
             for name, count in self._base.counts.items()
--- a/wingbarrow/core/logs.py
+++ b/wingbarrow/core/logs.py
@@ -1,4 +1,4 @@
-"""JSON log lines by structlog, rationed: a flood of one kind is counted, not written."""
+"""JSON log lines by structlog, with a rate limit for each event."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Log:
-    """`log("offer-refused", machine=..., request=...)` writes a line unless its kind is over its ration."""
+    """`log("offer-refused", machine=..., request=...)` writes a JSON line, unless the event's rate limit drops it."""
 
     def __init__(self, now_us: Callable[[], int], sink: TextIO | None = None, **bound: Any) -> None:
         self._rate_limiter = LogRateLimiter(now_us)
@@ -27,7 +27,7 @@
         )
 
     def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
-        """Write one line."""
+        """Write one line, unless the rate limit drops it. Field `left_out` counts the lines that it dropped before."""
         left_out = self._rate_limiter.admit(event)
         if left_out is not None:
             if left_out:
--- a/wingbarrow/core/machine_fences.py
+++ b/wingbarrow/core/machine_fences.py
@@ -1,6 +1,6 @@
-"""Fences at this region's machines, for placers of other regions that take over Jobs.
+"""Fencing of Jobs at this region's machines, for placers of other regions that take over the Jobs.
 
-A fence has a machine reject a Job's tasks of epochs before the given one, and report what it runs of the Job.
+A fence makes a machine reject a Job's tasks of epochs before the given one, and report what it runs of the Job.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MachineFences:
-    """Answers machine queries, each by a task of its own."""
+    """Answers machine queries, each in a background task of its own."""
 
     def __init__(self, base: Base, machines: Machines, records: RecordReplication) -> None:
         self._base = base
@@ -23,7 +23,7 @@
         self._pending = 0
 
     def on_machine_query(self, ident: str, query: MachineQuery) -> None:
-        """Fence a Job at a machine, and report to `ident`; a query beyond the limit is dropped, and will be retried."""
+        """Fence a Job at a machine, and report to `ident`. A query beyond the limit is dropped; the sender retries."""
         if self._pending >= MAX_PENDING_QUERIES:
             self._base.counts["fences dropped"] += 1
             return
@@ -35,7 +35,7 @@
                 fenced = link.fence(query.uid, query.epoch) if link is not None else None
             finally:
                 self._pending -= 1
-            # Danger: a machine that does not remember all of its time cannot report what it does not run.
+            # Danger: a machine that does not remember all tasks since its start cannot report what it does not run.
             report = MachineReport(
                 query.number,
                 query.machine,
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -1,9 +1,9 @@
-"""This placer's lease at machines: readings of their clocks, until when leased tasks may run, and the renewals.
+"""Leases at machines: readings of the machines' clocks, expiry times of leased tasks, and renewals.
 
-Machines go by their own clocks. A machine's response carries its clock's reading `c`, and is received at `t` by this
-placer's clock. A lease that expires at `u` here expires at `c + (u - t)` there: the reading was taken before it was
-received, so that a late response only makes the lease shorter. One message renews all leased tasks of a machine, once
-in a third of the lease.
+A machine measures a lease by its own clock. Its response carries a reading `c` of its clock, and is received at `t` by
+this placer's clock. A lease that expires at `u` here expires at `c + (u - t)` there: the reading was taken before it
+was received, so that a late response only shortens the lease. One message renews all leased tasks of a machine, every
+third of the lease.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from wingbarrow.decide.sessions.session_lease import SessionLease
 
 RENEWALS_PER_LEASE = 3
-CHECKS_PER_RENEWAL = 4  # so often is a renewal that has failed retried before the next is due
+CHECKS_PER_RENEWAL = 4  # checks, and so retries of a failed renewal, per interval of renewals
 MAX_PENDING_RENEWALS = 64
-UNKNOWN_EXPIRY = "unknown:0"  # a time of no machine's clock: every machine rejects it
+UNKNOWN_EXPIRY = "unknown:0"  # belongs to no machine's clock, so that every machine rejects it
 
 
 @dataclass(frozen=True, slots=True)
 class MachineClock:
-    """A reading of a machine's clock, and when it was received by this placer's clock."""
+    """A reading of a machine's clock, its boot ID, and the time of receipt by this placer's clock."""
 
     boot: str
     reading_us: int
     received_us: int
 
-    def machine_time(self, here_us: int) -> str:
-        """The machine's time, as it reads it, that is no later than a time of this placer's clock."""
-        return f"{self.boot}:{max(0, self.reading_us + here_us - self.received_us)}"
+    def machine_time(self, placer_us: int) -> str:
+        """A time of the machine's clock, "BOOT:MICROSECONDS", no later than `placer_us` of this placer's clock."""
+        return f"{self.boot}:{max(0, self.reading_us + placer_us - self.received_us)}"
 
 
 class MachineLeases:
-    """Owns the readings of machines' clocks, and the numbers of leased attempts on each machine."""
+    """Owns the readings of machines' clocks, and the counts of leased attempts on each machine."""
 
     def __init__(self, base: Base, machines: Machines, lease: SessionLease, lease_us: int) -> None:
         self._base = base
@@ -47,49 +47,52 @@
         self.lease = lease
         self.lease_us = lease_us
         self._clocks: dict[MachineLink, MachineClock] = {}
-        self._attempts: dict[str, Counter[str]] = {}  # number by machine, by session
-        self._renewed: dict[str, tuple[int, int]] = {}  # by machine: the last expiry sent, and when
-        self._pending: set[str] = set()  # machines with a renewal under way
+        self._attempts: dict[str, Counter[str]] = {}  # by session: attempts by machine
+        self._renewed: dict[str, tuple[int, int]] = {}  # by machine: last expiry sent, sent when
+        self._pending: set[str] = set()  # machines with a renewal in progress
 
     @property
     def session(self) -> Session | None:
-        """The present session."""
+        """The current session; None without one."""
         return self.lease.session
 
     def may_send(self, session: str) -> bool:
-        """Whether a Job that was accepted under a session may have its next first byte sent at this moment."""
-        present = self.lease.session
+        """Whether an attempt's first byte may be sent at this moment, for a Job that was accepted under `session`."""
+        current = self.lease.session
         return (
-            present is not None
-            and present.text() == session
+            current is not None
+            and current.text() == session
             and self.lease.may_send(self._base.hub.now_us())
         )
 
     # -- clocks
 
     def has_recent_clock(self, link: MachineLink) -> bool:
-        """Whether its clock was read within the last lease. Danger: for so long may the two clocks drift apart."""
+        """Whether the clock was read within the last lease duration.
+
+        Danger: the two clocks drift apart from the reading on, so an older reading must not be used.
+        """
         clock = self._clocks.get(link)
         return clock is not None and self._base.hub.now_us() - clock.received_us <= self.lease_us
 
     def read_clock(self, link: MachineLink) -> bool:
-        """Read a machine's clock, and wait for its response; False where it has none."""
+        """Request a machine's clock, and wait for the response. False without a readable one."""
         return self.on_clock(link, link.read_clock())
 
     def on_clock(self, link: MachineLink, text: str) -> bool:
-        """Take a reading that was received just now; False for "" and what is no reading."""
-        boot, _, figure = text.rpartition(":")
-        if not boot or not figure.isdecimal():
+        """Store a reading, "BOOT:MICROSECONDS", that was received just now; False for a malformed or empty one."""
+        boot, _, reading = text.rpartition(":")
+        if not boot or not reading.isdecimal():
             return False
-        self._clocks[link] = MachineClock(boot, int(figure), self._base.hub.now_us())
+        self._clocks[link] = MachineClock(boot, int(reading), self._base.hub.now_us())
         return True
 
     def forget_clock(self, link: MachineLink) -> None:
-        """The machine may have restarted, and go by another clock."""
+        """Drop the reading of a machine that may have restarted, and then has another clock."""
         self._clocks.pop(link, None)
 
     def expiry(self, link: MachineLink) -> str:
-        """Until when a task that is sent to a machine now may run, in that machine's clock."""
+        """The time of a machine's clock until which a task that is sent to it now may run."""
         clock = self._clocks.get(link)
         return (
             clock.machine_time(self.lease.machine_lease_until_us)
@@ -100,11 +103,11 @@
     # -- renewals
 
     def on_attempt_began(self, attempt: Attempt, session: str) -> None:
-        """A leased attempt is under way."""
+        """Count a leased attempt that began."""
         self._attempts.setdefault(session, Counter())[attempt.link.name] += 1
 
     def on_attempt_ended(self, attempt: Attempt, session: str) -> None:
-        """An attempt that had begun is over."""
+        """Stop counting an attempt that ended."""
         attempts = self._attempts.get(session)
         if attempts is None:
             return
@@ -115,7 +118,7 @@
             del self._attempts[session]
 
     def run(self) -> None:
-        """Renew until cancelled."""
+        """Check for due renewals at intervals, until cancelled."""
         while True:
             self._base.hub.sleep(self.lease_us // (RENEWALS_PER_LEASE * CHECKS_PER_RENEWAL))
             self._renew_due()
@@ -144,7 +147,9 @@
             due_us = renewed_us + self.lease_us // RENEWALS_PER_LEASE
             if expiry_us < self.lease.machine_lease_until_us and now >= due_us:
                 self._pending.add(name)
-                self._base.spawn(partial(self._renew, link, session.text()), f"renews on {name}")
+                self._base.spawn(
+                    partial(self._renew, link, session.text()), f"renew leases on {name}"
+                )
 
     def _renew(self, link: MachineLink, session: str) -> None:
         try:
@@ -152,11 +157,11 @@
                 self._base.counts["leases:no clock"] += 1
                 return
             if self.lease.session is None or self.lease.session.text() != session:
-                return  # Danger: it has ended while the clock was read.
+                return  # Danger: the session ended while the clock was read, so nothing may be renewed for it.
             expiry_us = self.lease.machine_lease_until_us
             reading = link.renew_lease(session, self.expiry(link))
             if reading is None:
-                self.forget_clock(link)  # it has restarted: what ran there is gone
+                self.forget_clock(link)  # the machine restarted, and its tasks are gone
             elif self.on_clock(link, reading):
                 self._renewed[link.name] = expiry_us, self._base.hub.now_us()
                 self._base.counts["leases:renewed"] += 1
--- a/wingbarrow/core/machine_link.py
+++ b/wingbarrow/core/machine_link.py
@@ -1,4 +1,4 @@
-"""One machine as the placer reaches it: its connections, offers, stops, probes, and the news of its tasks."""
+"""A placer's connections to one machine: offers, stops, probes, leases, and the watch on its tasks."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 SECOND = 1_000_000
 PROBE_TIMEOUT_US = 2 * SECOND
-CALL_TIMEOUT_US = 3 * SECOND
-WATCH_DURATION_S = 600
-WATCH_SILENCE_TIMEOUT_US = 30 * SECOND
+CALL_TIMEOUT_US = 3 * SECOND  # of each call but offers and probes
+WATCH_DURATION_S = 600  # requested of the machine, which ends the watch then
+WATCH_SILENCE_TIMEOUT_US = 30 * SECOND  # a watch without a byte for so long has failed
 STOP_CONNECTIONS = 2
 
 
 class DeleteOutcome(Enum):
-    """What a machine says of a task that is to be stopped."""
+    """A machine's answer to the request to stop a task."""
 
     STOPPED = "stopped"
     NOT_FOUND = "was not there"
@@ -35,8 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceReply:
-    """What a machine told when a Job was fenced: its tasks that it holds or held since its start, for how long it has
-    been up by its clock, and whether it remembers all of that time."""
+    """A machine's answer to the fencing of a Job: the pods of it that it holds or held since its start, whether it
+    remembers all of the time since, and that time by its clock."""
 
     pods: list[str]
     is_complete: bool
@@ -44,7 +44,7 @@
 
 
 class MachineLink:
-    """Connections to one machine; `phase` and `launched_us` follow the list."""
+    """Connections to one machine. `phase` and `launched_us` are taken from the machine list."""
 
     def __init__(
         self,
@@ -62,24 +62,24 @@
         self.host, self.port = host, port
         self.phase = Phase.RUNNING
         self.launched_us = 0
-        self.retired = False  # it left the list and no task of ours is left on it
+        self.retired = False  # it left the list, and runs no task of this placer
         self._placer = placer
         limits = PoolLimits(connections=connections, waiting=1024, first_byte_us=3600 * SECOND)
         self._pool = Pool(hub, host, port, limits, f"wingbarrow/{placer}")
-        # Stops have a way of their own: they never take a connection that an offer waits for.
+        # Stops have connections of their own, so that they never take one that an offer waits for.
         self._stop_pool = Pool(
             hub, host, port, PoolLimits(connections=STOP_CONNECTIONS), f"wingbarrow/{placer}"
         )
         self._lease_pool = Pool(hub, host, port, PoolLimits(connections=1), f"wingbarrow/{placer}")
         self._watch_backoff = Backoff(seed, 200_000, 5 * SECOND)
         self._watch_scope: CancelScope | None = None
-        self.reachable = False  # the watch on its tasks runs
-        self.last_offer_us: int | None = None  # when the first byte of an offer last went out
+        self.reachable = False  # the watch on its tasks is open
+        self.last_offer_us: int | None = None  # when the first byte of the latest offer was sent
 
     def offer(
         self, namespace: str, body: Callable[[], bytes], until_us: int, may_send: Callable[[], bool]
     ) -> Ended | None:
-        """Offer a task; None where it runs. Every way to fail says whether the task can have started."""
+        """Offer a task; None where it runs. Each failure says whether the task can have started."""
         try:
             response = self._pool.request(
                 "POST",
@@ -94,7 +94,7 @@
         return read_offer(response)
 
     def delete(self, namespace: str, pod: str) -> DeleteOutcome | None:
-        """Ask once that a task be stopped; None without an answer that says it is gone."""
+        """Request once that a task be stopped; None without an answer that confirms that it is gone."""
         try:
             call(
                 self._stop_pool,
@@ -109,7 +109,10 @@
             return None
 
     def probe(self, size: tuple[float, float]) -> Report | None:
-        """The machine's own figures (kubelet's /stats/summary); None without a readable answer."""
+        """The machine's free cores and GiB by its own statistics (kubelet's /stats/summary).
+
+        `size` is all of its cores and GiB. None without a readable answer.
+        """
         try:
             value = call(
                 self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_TIMEOUT_US
@@ -122,16 +125,17 @@
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
-    # -- leases: a connection of their own, so that a renewal waits for no offer
+    # -- leases: on a connection of their own, so that no renewal waits for an offer
 
     def read_clock(self) -> str:
         """The machine's clock, "BOOT:MICROSECONDS"; "" without an answer."""
         return self._lease("GET", "/leases") or ""
 
     def renew_lease(self, session: str, until: str) -> str | None:
-        """Have its tasks of a session run until then, by its own clock; its clock, "" without an answer.
+        """Renew the lease of a session's tasks until a time of the machine's clock.
 
-        None where it goes by another clock by now.
+        Returns the machine's clock, "" without an answer, and None where the machine rejects the time, since it has
+        restarted and has another clock.
         """
         return self._lease("POST", "/leases", {"session": session, "until": until})
 
@@ -151,7 +155,7 @@
             return ""
 
     def fence(self, uid: str, epoch: int) -> FenceReply | None:
-        """Have it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
+        """Make it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
         try:
             value = call(
                 self._lease_pool,
@@ -170,9 +174,10 @@
             return None
 
     def set_closed(self, number: int, closed: bool) -> str:
-        """Have it refuse new work, or take it again, under a turn's number: shut, empty (and shut), or open.
+        """Close or open the machine for new tasks under a maintenance slot's number.
 
-        "" without a readable answer, and where it goes by a later number.
+        Returns "open", "shut", or "empty" (shut, and without tasks); "" without a readable answer, and where the
+        machine already has a later number.
         """
         try:
             value = call(
@@ -196,23 +201,24 @@
         on_event: Callable[[str, dict[str, Any]], None],
         log: Callable[..., None],
     ) -> None:
-        """List this placer's tasks on the machine, then watch them; again and again until retired.
+        """List this placer's tasks on the machine, then watch them; repeat both until the link is retired.
 
-        `listed` gets the pods and the time at which the list was asked for.
+        `on_list` is called with the pods and the time at which the list was requested, `on_event` with the type and the
+        object of each watch event.
         """
         with CancelScope(self.hub) as scope:
             self._watch_scope = scope
             self._follow(on_list, on_event, log)
 
     def disconnect(self) -> None:
-        """Reach the machine no more, though it is there: every connection is closed, that of the watch too."""
+        """Retire the link to a machine that still runs: close all connections, and end the watch."""
         self.retired, self.reachable = True, False
         if self._watch_scope is not None:
             self._watch_scope.cancel()
         self.close()
 
     def has_tasks(self) -> bool | None:
-        """Whether tasks of this placer wait or run there; None without a readable answer."""
+        """Whether tasks of this placer are pending or running there; None without a readable answer."""
         try:
             pods, _ = list_all(
                 self._pool,
@@ -256,7 +262,7 @@
                         on_event(kind, value)
             except (CallFailed, ApiError, ValueError) as error:
                 self.reachable = False
-                # Whatever broke it, a list of what runs is cheap and misses nothing.
+                # After any failure, list again: a list is cheap and misses nothing.
                 version = ""
                 log("machine-watch-broke", machine=self.name, why=str(error)[:200])
                 self.hub.sleep(self._watch_backoff.next_us())
@@ -271,7 +277,7 @@
         )
 
     def close(self) -> None:
-        """Let go of the idle connections."""
+        """Close the idle connections."""
         self._pool.close()
         self._stop_pool.close()
         self._lease_pool.close()
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance slots as the core carries them out: machines closed and asked, own tasks moved, the region observed.
+"""Carries out maintenance slots: closes machines and reads their replies, moves own tasks, and observes the region.
 
-Which machine is out is decided by the voters (`decide.maintenance.scheduler`); this component makes this placer's
-observations (`decide.maintenance.participant.LocalObservations`) and acts on what grants name.
+The voters decide which machines are under maintenance (`decide.maintenance.scheduler`). This component makes this
+placer's observations (`decide.maintenance.participant.LocalObservations`), and acts on the slots that grants name.
 """
 
 from __future__ import annotations
@@ -35,24 +35,22 @@
 
 SECOND = 1_000_000
 SCAN_INTERVAL_US = SECOND // 4
-CONTACT_INTERVAL_US = (
-    SECOND  # between calls to a machine by its contact, while the slot waits for it
-)
-OBSERVER_INTERVAL_US = 5 * SECOND  # between calls to a machine otherwise
-REPLY_VALID_US = 10 * SECOND
+CONTACT_INTERVAL_US = SECOND  # between a contact's calls to a machine that the slot waits for
+OBSERVER_INTERVAL_US = 5 * SECOND  # between other calls to a machine
+REPLY_VALID_US = 10 * SECOND  # a machine's reply is used for so long
 LOSS_REMEMBERED_US = 600 * SECOND  # a machine that left the list without a drain counts as lost
-UNREACHABLE_LOST_US = 10 * SECOND  # a listed machine that is not reached for so long counts as lost
-REQUESTS_INTERVAL_US = 2 * SECOND
-EJECTIONS_FOR_REQUEST = 3  # repeated ejections of a machine after which a slot is requested for it
-EJECTED_URGENCY = 6
-MAX_CALLS = 32  # to machines at once
+UNREACHABLE_LOST_US = 10 * SECOND  # a listed machine that is unreachable for so long counts as lost
+REQUESTS_INTERVAL_US = 2 * SECOND  # between computations of slot requests
+EJECTIONS_FOR_REQUEST = 3  # ejections of a machine after which a slot is requested for it
+EJECTED_URGENCY = 6  # of such a slot request
+MAX_CALLS = 32  # calls to machines in progress
 
-OutcomeListener = Callable[[str, api.Outcome | None], None]  # machine; None: the start succeeded
+OutcomeListener = Callable[[str, api.Outcome | None], None]  # machine, outcome (None: it started)
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMachines:
-    """The core's components that know this placer's machines and tasks."""
+    """The components of the core that hold this placer's machines and tasks."""
 
     fleet: Fleet
     machines: Machines
@@ -62,19 +60,19 @@
 
 
 @dataclass(slots=True)
-class _Dialogue:
-    """With one machine, about one slot."""
+class _MachineCalls:
+    """State of the calls to one machine about one slot."""
 
     reply: MachineReply = MachineReply.NONE
     replied_us: int = -REPLY_VALID_US
     called_us: int = -OBSERVER_INTERVAL_US
-    trial: TrialOutcome = TrialOutcome.NONE  # of starts since this placer tries the machine
+    trial: TrialOutcome = TrialOutcome.NONE  # of starts on the machine since its trial began
     is_calling: bool = False
 
 
 @dataclass(slots=True)
 class _ListedMachine:
-    """A machine of the list, when it was listed last, and since when it is not reached."""
+    """Place of a machine of the list, when it was last listed, and since when it is unreachable."""
 
     zone: str
     cell: str
@@ -83,9 +81,9 @@
 
 
 class MaintenanceSlots:
-    """Observations for `member`, and its effects on machines and tasks.
+    """Makes the observations of `member`, and carries out its slots on machines and tasks.
 
-    `agreement` gives the coordinator once there is one, `rules` the rule set in force.
+    `agreement` returns the coordinator once there is one, `rules` the rule set in force.
     """
 
     def __init__(
@@ -105,25 +103,25 @@
         self._member = member
         self._agreement = agreement
         self._rules = rules
-        self._dialogues: dict[int, _Dialogue] = {}
+        self._calls_by_slot: dict[int, _MachineCalls] = {}
         self._listed: dict[str, _ListedMachine] = {}
         self._closed: frozenset[str] = frozenset()
         self._requests: list[SlotRequest] = []
         self._requests_us = -REQUESTS_INTERVAL_US
         self._move_allowance = 0.0
         self._allowance_us = base.hub.now_us()
-        self._calls = 0
+        self._calls_in_progress = 0
         member.observe_by(self)
         local.drain_schedule.is_closed_by_slot = member.is_closed
 
     # Observations
 
     def is_listed(self, machine: str) -> bool:
-        """Whether the list has it; True where this placer cannot tell: without a list, and outside of its subset."""
+        """Whether the list has a machine; True where this placer cannot know: without a list, or outside its subset."""
         return machine in self._fleet.held or not self._fleet.is_off_list(machine)
 
     def place_of(self, machine: str) -> tuple[str, str] | None:
-        """Zone and cell by the list."""
+        """Zone and cell of a machine by the list; None for an unlisted machine."""
         entry = self._fleet.held.get(machine)
         if entry is None:
             return None
@@ -131,7 +129,7 @@
         return entry.listed.zone, str(labels.get(names.CELL, machine))
 
     def own_tasks_at(self, machine: str) -> int:
-        """Own tasks there or on their way, with pending stops; -1 until the machine has said what it runs."""
+        """Number of own attempts and pending stops at a machine; -1 until the machine has listed its pods."""
         entry = self._fleet.held.get(machine)
         if not self._fleet.ready or (entry is not None and self._fleet.is_closed_by_restart(entry)):
             return -1
@@ -141,19 +139,19 @@
         return len(self._attempts.on(link)) + self._stops.pending_on(link)
 
     def reply_for(self, number: int) -> MachineReply:
-        """The machine's last reply, for REPLY_VALID_US."""
-        dialogue = self._dialogues.get(number)
-        if dialogue is None or self._base.hub.now_us() - dialogue.replied_us >= REPLY_VALID_US:
+        """The last reply of a slot's machine, if it is younger than REPLY_VALID_US; else `MachineReply.NONE`."""
+        calls = self._calls_by_slot.get(number)
+        if calls is None or self._base.hub.now_us() - calls.replied_us >= REPLY_VALID_US:
             return MachineReply.NONE
-        return dialogue.reply
+        return calls.reply
 
     def trial_outcome(self, number: int) -> TrialOutcome:
-        """How starts went at a machine that this placer tries."""
-        dialogue = self._dialogues.get(number)
-        return dialogue.trial if dialogue is not None else TrialOutcome.NONE
+        """Outcome of starts on a machine in its trial at the end of a slot, of which this placer is the contact."""
+        calls = self._calls_by_slot.get(number)
+        return calls.trial if calls is not None else TrialOutcome.NONE
 
     def region_view(self) -> RegionView | None:
-        """The region as this placer's list has it; None before there is a list."""
+        """Machines by cell, lost machines, and the demand in machines, by this placer's list; None without a list."""
         if not self._fleet.ready:
             return None
         states = {each.name: each for each in self._drain_schedule.machine_states()}
@@ -173,21 +171,21 @@
         )
 
     def _demand_machines(self, states: Sequence[MachineState]) -> float:
-        """The demand in machines, each filled only as far as the calendar lets it be.
+        """The demand as a number of machines, each filled up to the share that the rules' maintenance plan allows.
 
-        An estimate by the larger share of cores and memory: a list may state more capacity than there is.
+        It is estimated by the larger share of cores and memory, since a list may state more capacity than there is.
         """
         rules = self._rules()
         fill = rules.plan.fill if rules is not None else 1.0
         shares = []
         for resource in (0, 1):
             size = sum(each.size[resource] for each in states)
-            asked = sum(each.requested[resource] for each in states)
-            shares.append(asked / (fill * size) if size else 0.0)
+            requested = sum(each.requested[resource] for each in states)
+            shares.append(requested / (fill * size) if size else 0.0)
         return max(0.0, *shares) * len(states)
 
     def slot_requests(self) -> Sequence[SlotRequest]:
-        """Requests of windows that are due, and of machines that were ejected repeatedly; made anew now and then."""
+        """Slot requests of due windows and for repeatedly ejected machines, computed every REQUESTS_INTERVAL_US."""
         now_us = self._base.hub.now_us()
         rules = self._rules()
         if rules is None or now_us - self._requests_us < REQUESTS_INTERVAL_US:
@@ -225,7 +223,7 @@
     # Outcomes of attempts
 
     def forwarding_to(self, listener: OutcomeListener) -> OutcomeListener:
-        """A listener for outcomes of attempts that notes them here and passes them on to another."""
+        """A listener that handles outcomes of attempts here, and then passes them on to `listener`."""
 
         def on_outcome(machine: str, outcome: api.Outcome | None) -> None:
             self.on_outcome(machine, outcome)
@@ -234,28 +232,28 @@
         return on_outcome
 
     def on_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
-        """An attempt ended at a machine, or runs there (None): it counts if this placer tries the machine."""
+        """Record the end of an attempt, or its start (None), if this placer is the contact of the machine's trial."""
         for slot in self._member.slots.values():
             if slot.machine != machine or slot.state != SlotState.BACK:
                 continue
             if slot.contact != self._member.me:
                 continue
-            dialogue = self._dialogues.setdefault(slot.number, _Dialogue())
+            calls = self._calls_by_slot.setdefault(slot.number, _MachineCalls())
             if outcome is None:
-                dialogue.trial = TrialOutcome.SUCCEEDED
-            elif outcome in FAULTS and dialogue.trial != TrialOutcome.SUCCEEDED:
-                dialogue.trial = TrialOutcome.FAILED
+                calls.trial = TrialOutcome.SUCCEEDED
+            elif outcome in FAULTS and calls.trial != TrialOutcome.SUCCEEDED:
+                calls.trial = TrialOutcome.FAILED
 
     # Effects
 
     def on_slots_changed(self) -> None:
-        """A grant named other slots: close and open machines at once."""
+        """Close and open machines at once after a grant changed the slots."""
         before = self._closed
         self._closed = self._member.closed_machines
         self._drain_schedule.refresh(before ^ self._closed)
         known = self._member.slots
-        self._dialogues = {
-            number: each for number, each in self._dialogues.items() if number in known
+        self._calls_by_slot = {
+            number: each for number, each in self._calls_by_slot.items() if number in known
         }
 
     def run(self) -> None:
@@ -276,7 +274,7 @@
         self._move_tasks(now_us)
 
     def _scan_list(self, now_us: int) -> None:
-        """Which machines belong here: one that the list drains is out by intent, one that left it counts as lost."""
+        """Update the region's machines: one that the list drains is no loss, one that left the list counts as lost."""
         for state in self._drain_schedule.machine_states():
             listed = self._listed.setdefault(
                 state.name, _ListedMachine(state.zone, state.cell, now_us)
@@ -289,51 +287,53 @@
                 listed.unreachable_since_us = None
             elif listed.unreachable_since_us is None:
                 listed.unreachable_since_us = now_us
-        forgotten = [
+        expired = [
             name
             for name, each in self._listed.items()
             if now_us - each.listed_us > LOSS_REMEMBERED_US
         ]
-        for name in forgotten:
+        for name in expired:
             del self._listed[name]
 
     def _call_machine(self, now_us: int, slot: KnownSlot) -> None:
-        """Give the machine the slot's number and take its reply: every placer may, and its contact has to."""
+        """Send a slot's state to its machine, and read the reply. Every placer may do so; the slot's contact has to."""
         link = self._machines.links.get(slot.machine)
         is_contact = slot.contact == self._member.me
-        dialogue = self._dialogues.setdefault(slot.number, _Dialogue())
-        if link is None or dialogue.is_calling or self._calls >= MAX_CALLS:
+        calls = self._calls_by_slot.setdefault(slot.number, _MachineCalls())
+        if link is None or calls.is_calling or self._calls_in_progress >= MAX_CALLS:
             return
         if slot.state == SlotState.BACK and not is_contact:
             return
-        is_urgent = is_contact and _awaits_reply(slot, dialogue)
+        is_urgent = is_contact and _awaits_reply(slot, calls)
         interval_us = CONTACT_INTERVAL_US if is_urgent else OBSERVER_INTERVAL_US
-        if now_us - dialogue.called_us < interval_us:
+        if now_us - calls.called_us < interval_us:
             return
-        dialogue.called_us = now_us
-        dialogue.is_calling = True
-        self._calls += 1
-        self._base.spawn(lambda: self._call(link, slot, dialogue), f"turn {slot.number}")
+        calls.called_us = now_us
+        calls.is_calling = True
+        self._calls_in_progress += 1
+        self._base.spawn(
+            lambda: self._call(link, slot, calls), f"call the machine of slot {slot.number}"
+        )
 
-    def _call(self, link: MachineLink, slot: KnownSlot, dialogue: _Dialogue) -> None:
+    def _call(self, link: MachineLink, slot: KnownSlot, calls: _MachineCalls) -> None:
         try:
             reply = link.set_closed(slot.number, slot.state != SlotState.BACK)
         finally:
-            self._calls -= 1
-            dialogue.is_calling = False
+            self._calls_in_progress -= 1
+            calls.is_calling = False
         if reply:
-            dialogue.reply = MachineReply(reply)
-            dialogue.replied_us = self._base.hub.now_us()
+            calls.reply = MachineReply(reply)
+            calls.replied_us = self._base.hub.now_us()
         else:
             self._base.counts["turns:no word"] += 1
 
     def _move_tasks(self, now_us: int) -> None:
-        """Move own tasks off closed machines, at this placer's share of the calendar's pace."""
+        """Migrate own tasks off closed machines, at this placer's share of the maintenance plan's rate."""
         rules = self._rules()
         agreement = self._agreement()
         if rules is None or agreement is None or agreement.rules_in_force(now_us) is None:
-            return  # Danger: what is stopped while this placer may act on no rules could not be started elsewhere
-        self._earn_moves(now_us, rules)
+            return  # Danger: a task stopped while this placer may act on no rules could not be started elsewhere.
+        self._refill_move_allowance(now_us, rules)
         if self._move_allowance < 1 or not self._closed:
             return
         running = self._drain_schedule.own_running()
@@ -343,16 +343,16 @@
             for task in running.get(slot.machine, []):
                 if task.movable and not task.offered and self._move_allowance >= 1:
                     self._move_allowance -= 1
-                    reason = f"turn {slot.number} takes its machine out"
+                    reason = f"maintenance slot {slot.number} closes its machine"
                     self._drain_schedule.move_task(task.request, reason)
 
-    def _earn_moves(self, now_us: int, rules: RuleSet) -> None:
-        """A token bucket: `plan.moves` every `plan.every_us` for all placers, at least one token deep."""
+    def _refill_move_allowance(self, now_us: int, rules: RuleSet) -> None:
+        """Refill the token bucket: `plan.moves` every `plan.every_us` for all placers; it holds at least one token."""
         share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
-        passed_us = max(0, now_us - self._allowance_us)
+        elapsed_us = max(0, now_us - self._allowance_us)
         self._allowance_us = now_us
-        earned = self._move_allowance + share * passed_us / rules.plan.every_us
-        self._move_allowance = min(max(1.0, share), earned)
+        allowance = self._move_allowance + share * elapsed_us / rules.plan.every_us
+        self._move_allowance = min(max(1.0, share), allowance)
 
 
 def _is_lost(now_us: int, listed: _ListedMachine, state: MachineState | None) -> bool:
@@ -362,8 +362,8 @@
     return since_us is not None and now_us - since_us >= UNREACHABLE_LOST_US
 
 
-def _awaits_reply(slot: KnownSlot, dialogue: _Dialogue) -> bool:
+def _awaits_reply(slot: KnownSlot, calls: _MachineCalls) -> bool:
     """Whether the slot's next state waits for the machine's reply."""
     if slot.state == SlotState.BACK:
-        return dialogue.reply != MachineReply.OPEN
+        return calls.reply != MachineReply.OPEN
     return slot.state in (SlotState.CLOSING, SlotState.EMPTY)
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -1,4 +1,4 @@
-"""Migration of running tasks to another region: stopped here first, then forwarded; kept here where nobody accepts."""
+"""Migration of running tasks to another region: stopped here first, then forwarded; run here again if none accepts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Migration:
-    """A task on its way: the spec by which it migrates, its target region, and the time of the decision."""
+    """A task that migrates: the spec that asks for it, the target region, and the time of the decision."""
 
     task: TaskRecord
     spec: str
@@ -31,7 +31,7 @@
 
 
 class Migrations:
-    """Starts migrations that `decide.federation.moving` finds due; owns those under way, by task name."""
+    """Starts migrations that `decide.federation.moving` finds due, and owns those in progress, by task name."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._leased_jobs = leased_jobs
         self._remote_regions = remote_regions
         self._migrating: dict[str, _Migration] = {}
-        self._scan_offset = 0  # in the list of leased Jobs, of the next scan
+        self._scan_offset = 0  # index in the list of leased Jobs at which the next scan starts
         requests.try_forward = self._try_forward
         jobs.state_listeners.append(self._on_state_change)
 
@@ -86,7 +86,7 @@
             self._start(task_by_request[move.number], move, now)
 
     def _movable_runs(self) -> list[tuple[TaskRecord, Run]]:
-        """Of the next Jobs in turn: tasks that run, are not migrating, and whose owner is certain of their answer."""
+        """Tasks of the next MAX_SCANNED Jobs that run, do not migrate yet, and whose owner was surely answered."""
         jobs = list(self._leased_jobs.jobs.values())
         begin = self._scan_offset % len(jobs)
         scanned = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
@@ -130,16 +130,16 @@
         self._runs.move(move.number)
 
     def _try_forward(self, task: TaskRecord) -> bool:
-        """A stopped task is requested again: forward it if it is migrating; whether that was done."""
+        """Forward a stopped task that is requested again, if it is migrating; whether it was forwarded."""
         migration = self._migrating.get(task.name)
-        if migration is None or task.state is not State.ASKED:
+        if migration is None or task.state is not State.PENDING:
             return False
         due_us = self._base.hub.now_us() + task.job.request.patience_us
         return self._remote_regions.forward_task(task, due_us, migration.region, migration.spec)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """Forget a migration that ended; release the lease of a Job that runs in another region entirely."""
-        is_placed_again = task.state is State.PLACED and before is State.ASKED
+        """Remove a migration that ended, and release the lease of a Job whose open tasks all run in another region."""
+        is_placed_again = task.state is State.PLACED and before is State.PENDING
         if task.name not in self._migrating or (task.state in OPEN and not is_placed_again):
             return
         del self._migrating[task.name]
@@ -155,7 +155,7 @@
 
 
 def _can_migrate(federation: Federation) -> bool:
-    """Whether any spec has a reason to move running tasks."""
+    """Whether any spec allows running tasks to migrate."""
     return any(
         each.back.when != "never"
         or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -105,7 +105,7 @@
             Offer(
                 attempt.decided_us,
                 attempt.deadline_us,
-                task.state is State.ASKED and task.request == attempt.request,
+                task.state is State.PENDING and task.request == attempt.request,
                 attempt.stage is Stage.WAITING
                 and not attempt.abandoned
                 and self._attempts.of(attempt.request) is attempt,
@@ -196,7 +196,7 @@
             and not task.may_have_run
             and task.job.lease is None
             and task.resubmissions < MAX_RESUBMISSIONS
-            and task.state is State.ASKED
+            and task.state is State.PENDING
             and task.request == attempt.request
             and self._base.hub.now_us() < task.deadline_us
         )
@@ -204,7 +204,7 @@
     def on_running(self, attempt: Attempt) -> None:
         """The machine reported that the attempt's task runs."""
         task, now = attempt.task, self._base.hub.now_us()
-        if task.request != attempt.request or task.state is not State.ASKED:
+        if task.request != attempt.request or task.state is not State.PENDING:
             # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -93,8 +93,8 @@
                 job.request.task_class.task_class.effect,
                 True,
                 not job.deleted,
-                state in (State.ASKED, State.RETRYING),
-                state is State.ASKED and self._attempts.of(task.request) is not None,
+                state in (State.PENDING, State.RETRYING),
+                state is State.PENDING and self._attempts.of(task.request) is not None,
                 state in (State.PLACED, State.ADOPTED),
                 state in (State.DONE, State.STOPPED) and not job.adopted,
             )
--- a/wingbarrow/core/placer_runtime.py
+++ b/wingbarrow/core/placer_runtime.py
@@ -1,4 +1,4 @@
-"""One placer's life, whatever front it serves: hub, counters, log, seeded chance, background tasks."""
+"""Runtime that a placer's components share, whatever its front: hub, counters, log, random numbers, nursery."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PlacerRuntime:
-    """What every component of a placer shares; it ends when something in it fails."""
+    """What every component of a placer shares. A component that cannot go on after a failure calls `shut_down`."""
 
     def __init__(self, hub: Hub, log: Callable[..., None], seed: int) -> None:
         self.hub = hub
@@ -21,15 +21,15 @@
         self._nursery: Nursery | None = None
 
     def attach_nursery(self, nursery: Nursery) -> None:
-        """Background tasks belong to this nursery from now on; without one they are not started."""
+        """Start background tasks in this nursery from now on. Without a nursery, `spawn` does nothing."""
         self._nursery = nursery
 
     def spawn(self, call: Callable[[], Any], name: str) -> None:
-        """Start a task that lives as long as the placer."""
+        """Start a background task, which is cancelled when the placer shuts down."""
         if self._nursery is not None and not self._nursery.scope.cancelled:
             self._nursery.spawn(call, name)
 
     def shut_down(self) -> None:
-        """End the placer: what failed must not go on."""
+        """Cancel all background tasks, and so end the placer: after a failure it must not go on."""
         if self._nursery is not None:
             self._nursery.cancel()
--- a/wingbarrow/core/pod_observer.py
+++ b/wingbarrow/core/pod_observer.py
@@ -1,4 +1,4 @@
-"""Pod lists and watch events of machines, read and passed to the component that owns the task concerned."""
+"""Reads pod lists and watch events of machines, and passes them to the component that owns the task."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class PodObserver:
-    """Follows machines' pods; `on_listed` is called with a machine's name once its list was received."""
+    """Watches the pods on machines. `on_listed` is called with a machine's name after each of its pod lists."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.last_usage_us: int | None = None  # when a task's resource usage was last reported
 
     def follow(self, link: MachineLink) -> None:
-        """List and watch one machine's pods until it is retired."""
+        """List and watch one machine's pods in a background task, until its link is retired."""
 
         def on_list(pods: list[dict[str, Any]], requested_us: int) -> None:
             seen = set()
@@ -61,7 +61,7 @@
                     and attempt.key not in seen
                     and attempt.placed_us < requested_us
                 ):
-                    self._runs.on_lost(attempt, "the machine no longer holds it")
+                    self._runs.on_lost(attempt, "the machine no longer lists its pod")
             self.on_listed(link.name)
 
         def on_event(kind: str, value: dict[str, Any]) -> None:
@@ -71,7 +71,7 @@
             if kind == "DELETED":
                 attempt = self._attempts.by_key.get(pod_status.name)
                 if attempt is not None and attempt.stage is Stage.PLACED:
-                    self._runs.on_lost(attempt, f"deleted on {link.name}")
+                    self._runs.on_lost(attempt, f"its pod was deleted on {link.name}")
             else:
                 self._on_pod_status(link, pod_status)
 
@@ -107,7 +107,7 @@
             self._runs.on_ended(attempt, retries.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
         elif pod_status.phase is Phase.FAILED:
             reason = pod_status.gave_up
-            # A machine that stopped it as its lease had lapsed is no fault: the next lease holder may start it again.
+            # A lapsed lease is no failure of the task: the next lease holder may start it again.
             end = attempt.stopping or (
                 retries.RunEnd.MOVED
                 if pod_status.reason == "LeaseLapsed"
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -97,7 +97,7 @@
     def reject_or_fail(self, request: int, step: Step) -> None:
         """Give the module's final answer, refused or failed; dropped where the request has been answered."""
         task = self._jobs.by_request.get(request)
-        if task is None or task.state is not State.ASKED:
+        if task is None or task.state is not State.PENDING:
             self._base.counts["answers_dropped"] += 1
             return
         attempt = self._attempts.of(request)
@@ -187,7 +187,7 @@
         closed = (
             placed
             or attempt.task.request != attempt.request
-            or attempt.task.state is not State.ASKED
+            or attempt.task.state is not State.PENDING
         )
         self._host.feed(
             api.AttemptEnded(
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -43,7 +43,7 @@
         )
 
     def _waits_long(self, now_us: int, request: int, task: TaskRecord) -> bool:
-        if task.request != request or task.state is not State.ASKED or self._has_attempt(request):
+        if task.request != request or task.state is not State.PENDING or self._has_attempt(request):
             return False
         patience_us = task.job.request.patience_us
         return is_long(patience_us - (task.deadline_us - now_us), patience_us)
