--- a/tests/core/subsetstage.py
+++ b/tests/core/subset_stage.py
@@ -28,20 +28,20 @@
         replicas: int,
         seed: int = 3,
         build: Build | None = None,
-        cuts: bool = False,
+        partitionable: bool = False,
         extra: str = "",
         widen: int = 0,
     ) -> None:
         super().__init__(machines, placers, seed, build)
         self.replicas, self.widen = replicas, widen
         self.proxies: dict[tuple[str, str], Proxy] = {}
-        self._cuts = cuts
+        self._partitionable = partitionable
         for slot in self.cluster.placers:
             slot.extra = extra
 
     def begin(self) -> None:
         """Machines, list source and placers, once each placer knows the others."""
-        if self._cuts:
+        if self._partitionable:
             self.proxies = {
                 (slot.name, other.name): Proxy(self.hub, other.port)
                 for slot in self.cluster.placers
@@ -53,18 +53,18 @@
             f"{LEAVE_S:g}s",
             f"{int(SETTLE_S * 1000)}ms",
             lambda slot, other: self.proxies[slot.name, other.name].port
-            if self._cuts
+            if self._partitionable
             else other.port,
             self.widen,
         )
         self.cluster.start()
         assert self.wait(
             lambda: all(
-                len(each.peering.membership.table.live_members()) == len(self.live()) - 1
-                for each in self.live()
+                len(each.peering.membership.table.live_members()) == len(self.live_placers()) - 1
+                for each in self.live_placers()
             )
         ), "they do not know each other"
-        assert self.wait(self.settled_subsets)
+        assert self.wait(self.has_expected_subsets)
 
     def wait(self, done: Callable[[], Any], seconds: float = 60) -> bool:
         end = self.hub.now_us() + int(seconds * S)
@@ -72,7 +72,7 @@
             self.hub.sleep(S // 20)
         return bool(done())
 
-    def live(self) -> list[Placer]:
+    def live_placers(self) -> list[Placer]:
         """The placers that run."""
         return [slot.service.placer for slot in self.cluster.placers if slot.service is not None]
 
@@ -86,11 +86,11 @@
         assert found is not None
         return found
 
-    def names(self) -> list[str]:
+    def running_machines(self) -> list[str]:
         """The machines that are up."""
         return [machine.name for machine in self.cluster.machines if machine.up]
 
-    def wanted(self, living: list[str]) -> dict[str, set[str]]:
+    def expected_subsets(self, living: list[str]) -> dict[str, set[str]]:
         """Each living placer's machines by the pure function."""
         subsets = self.placer(
             next(i for i, slot in enumerate(self.cluster.placers) if slot.service)
@@ -99,19 +99,19 @@
         return {
             name: {
                 machine
-                for machine in self.names()
+                for machine in self.running_machines()
                 if subsets.subsets.holds(name, machine, frozenset(living))
             }
             for name in living
         }
 
-    def settled_subsets(self) -> bool:
+    def has_expected_subsets(self) -> bool:
         """Whether each placer that runs reaches just what it is to hold while these live, and all of it."""
-        wanted = self.wanted([each.base.settings.name for each in self.live()])
+        wanted = self.expected_subsets([each.base.settings.name for each in self.live_placers()])
         return all(
             set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
             and all(link.reachable for link in each.machines.links.values())
-            for each in self.live()
+            for each in self.live_placers()
         )
 
     def submit_to(
@@ -146,7 +146,7 @@
         )
         return uid
 
-    def answer_of(self, slot: PlacerSlot, name: str, within_s: float = 12) -> str:
+    def wait_for_answer(self, slot: PlacerSlot, name: str, within_s: float = 12) -> str:
         """The first answer of a Job at a placer, which the recording keeps."""
         until = self.hub.now_us() + int(within_s * S)
         while True:
@@ -171,7 +171,7 @@
             assert self.hub.now_us() < until, f"no answer: {found}"
             self.hub.sleep(20_000)
 
-    def cut(self, one: list[PlacerSlot], other: list[PlacerSlot], on: bool) -> None:
+    def set_partitioned(self, one: list[PlacerSlot], other: list[PlacerSlot], on: bool) -> None:
         """Nothing passes between two groups of placers, or all does again."""
         for a in one:
             for b in other:
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -27,12 +27,12 @@
     return read_job(value, namespace, SETTINGS.classes, SETTINGS.limits, "abcde")
 
 
-def made(count: int = 1, most: int = 1000) -> tuple[JobStore, Any]:
+def store_with_job(count: int = 1, most: int = 1000) -> tuple[JobStore, Any]:
     value = copy.deepcopy(VALUE)
     value["spec"]["parallelism"] = count
     value["status"] = {}
-    book = JobStore(Admission(most, most), 10)
-    return book, book.add("default/job", "u1", read(value), value)
+    store = JobStore(Admission(most, most), 10)
+    return store, store.add("default/job", "u1", read(value), value)
 
 
 @settings(max_examples=200, deadline=None)
@@ -40,11 +40,11 @@
 def test_whatever_happens_each_task_has_one_answer_and_counts_agree(
     steps: list[tuple[int, Step]],
 ) -> None:
-    book, job = made(5)
+    store, job = store_with_job(5)
     answers: dict[int, list[State]] = {index: [] for index in range(5)}
     for index, step in steps:
         task = job.tasks[index]
-        before, taken = task.answered, book.transition(task, step)
+        before, taken = task.answered, store.transition(task, step)
         if task.answered and not before:
             assert taken
             answers[index].append(task.state)
@@ -52,41 +52,41 @@
     assert job.unanswered == sum(not task.answered for task in job.tasks)
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
-    assert book.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
+    assert store.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
     update_job_status(job, 1)
 
 
 def test_late_and_doubled_steps_are_counted_and_change_nothing() -> None:
-    book, job = made()
+    store, job = store_with_job()
     task = job.tasks[0]
-    assert book.transition(task, Step.REFUSE)
+    assert store.transition(task, Step.REFUSE)
     for step in (Step.PLACE, Step.REFUSE, Step.FAIL, Step.DONE):
-        assert not book.transition(task, step)
+        assert not store.transition(task, step)
     assert task.state is State.REFUSED
-    assert sum(book.unexpected_transitions.values()) == 4
+    assert sum(store.unexpected_transitions.values()) == 4
 
 
 def test_memory_of_ended_and_deleted_jobs_is_bounded() -> None:
-    book = JobStore(Admission(10_000, 10_000), 3)
+    store = JobStore(Admission(10_000, 10_000), 3)
     for number in range(6):
-        job = book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-        book.transition(job.tasks[0], Step.REFUSE)
-    assert [job.key for job in book.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
-    book.delete(job)
-    assert not book.was_deleted("u5"), "this life's pods are known by their names"
+        job = store.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
+        store.transition(job.tasks[0], Step.REFUSE)
+    assert [job.key for job in store.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
+    store.delete(job)
+    assert not store.was_deleted("u5"), "this life's pods are known by their names"
     for number in range(MAX_TOMBSTONES + 50):
         job.uid, job.adopted = f"t{number}", True
-        book.delete(job)
-    assert not book.was_deleted("t0")
-    assert not book.was_deleted("t49")
-    assert book.was_deleted("t50")
+        store.delete(job)
+    assert not store.was_deleted("t0")
+    assert not store.was_deleted("t49")
+    assert store.was_deleted("t50")
 
 
 def test_an_open_job_is_never_surplus() -> None:
-    book = JobStore(Admission(100, 100), 1)
+    store = JobStore(Admission(100, 100), 1)
     for number in range(5):
-        book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-    assert not book.expired_jobs()
+        store.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
+    assert not store.expired_jobs()
 
 
 @pytest.mark.parametrize(
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.core.subsetstage import LEAVE_S, SETTLE_S, SubsetStage
+from tests.core.subset_stage import LEAVE_S, SETTLE_S, SubsetStage
 from tests.stage import S
 from wingbarrow.core.subset import ALONE_US, CHECK_INTERVAL_US
 from wingbarrow.lab.node import node_value
@@ -13,18 +13,18 @@
 
     def script() -> None:
         stage.begin()
-        wanted = stage.wanted([slot.name for slot in stage.cluster.placers])
+        wanted = stage.expected_subsets([slot.name for slot in stage.cluster.placers])
         assert sum(len(each) for each in wanted.values()) == 24, "each machine is held by two"
         for turn in range(30):
             slot = stage.cluster.placers[turn % 5]
             stage.submit_to(slot, f"t{turn}", runs_s=3)
             stage.hub.sleep(S // 10)
         for turn in range(30):
-            assert stage.answer_of(stage.cluster.placers[turn % 5], f"t{turn}") == "placed"
+            assert stage.wait_for_answer(stage.cluster.placers[turn % 5], f"t{turn}") == "placed"
         sent = {(record.data["placer"], record.where) for record in stage.seen("offer")}
         assert sent
         assert all(machine in wanted[placer] for placer, machine in sent)
-        for each in stage.live():
+        for each in stage.live_placers():
             assert len(each.fleet.held) + each.fleet.reflector.left_out == 12
             assert each.has_complete_view(12)
             assert each.fleet.reflector.skipped_entries > 0
@@ -51,7 +51,7 @@
     def script() -> None:
         stage.begin()
         slots = stage.cluster.placers
-        before = stage.wanted([slot.name for slot in slots])
+        before = stage.expected_subsets([slot.name for slot in slots])
         killed_us = stage.hub.now_us()
         for slot in slots[:2]:
             slot.kill()
@@ -63,21 +63,21 @@
             + stage.subset(2)._spread_us
             + S
         )
-        assert stage.wait(stage.settled_subsets, stated_us / S), "later than is stated"
+        assert stage.wait(stage.has_expected_subsets, stated_us / S), "later than is stated"
         print("machines are all held again after", (stage.hub.now_us() - killed_us) / S, "s")
-        after = stage.wanted([slot.name for slot in slots[2:]])
+        after = stage.expected_subsets([slot.name for slot in slots[2:]])
         for slot in slots[2:]:
             assert before[slot.name] <= after[slot.name], "who stays lets nothing go"
             assert stage.placer(slots.index(slot)).fleet.reflector.refills <= 2
         for turn, slot in enumerate(slots[2:]):
             stage.submit_to(slot, f"t{turn}", runs_s=20)
-            assert stage.answer_of(slot, f"t{turn}") == "placed"
+            assert stage.wait_for_answer(slot, f"t{turn}") == "placed"
         for slot in slots[:2]:
             slot.start()
-        assert stage.wait(stage.settled_subsets, 90), "they are not back to what they held"
-        assert stage.wanted([slot.name for slot in slots]) == before
-        assert all(not each.subset.lingering for each in stage.live() if each.subset)
-        assert sum(each.base.counts["subset:released"] for each in stage.live()) > 0
+        assert stage.wait(stage.has_expected_subsets, 90), "they are not back to what they held"
+        assert stage.expected_subsets([slot.name for slot in slots]) == before
+        assert all(not each.subset.lingering for each in stage.live_placers() if each.subset)
+        assert sum(each.base.counts["subset:released"] for each in stage.live_placers()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -86,12 +86,12 @@
 
 def test_both_sides_of_a_cut_take_the_others_machines_and_let_go_when_it_heals() -> None:
     """Meanwhile machines that come back cold are held by both sides; together they stay within their offers."""
-    stage = SubsetStage(machines=4, placers=4, replicas=2, cuts=True)
+    stage = SubsetStage(machines=4, placers=4, replicas=2, partitionable=True)
 
     def script() -> None:
         stage.begin()
         slots = stage.cluster.placers
-        stage.cut(slots[:2], slots[2:], True)
+        stage.set_partitioned(slots[:2], slots[2:], True)
 
         def apart() -> bool:
             return all(
@@ -108,9 +108,9 @@
             stage.submit_to(slots[turn % 4], f"c{turn}", runs_s=1, service=f"s{turn % 7}")
             stage.hub.sleep(S // 50)
         for turn in range(160):
-            stage.answer_of(slots[turn % 4], f"c{turn}")
-        stage.cut(slots[:2], slots[2:], False)
-        assert stage.wait(stage.settled_subsets, 120), "not healed"
+            stage.wait_for_answer(slots[turn % 4], f"c{turn}")
+        stage.set_partitioned(slots[:2], slots[2:], False)
+        assert stage.wait(stage.has_expected_subsets, 120), "not healed"
 
     stage.play(script, start=False)
     audited = stage.audit()
@@ -122,25 +122,27 @@
 
 
 def test_a_placer_that_comes_and_goes_for_shorter_than_it_may_be_missing_moves_nothing() -> None:
-    stage = SubsetStage(machines=8, placers=4, replicas=2, cuts=True)
+    stage = SubsetStage(machines=8, placers=4, replicas=2, partitionable=True)
 
     def script() -> None:
         stage.begin()
         first, others = stage.cluster.placers[:1], stage.cluster.placers[1:]
-        before = [set(each.machines.links) for each in stage.live()]
+        before = [set(each.machines.links) for each in stage.live_placers()]
         suspected = 0
         for _ in range(12):
-            stage.cut(first, others, True)
+            stage.set_partitioned(first, others, True)
             stage.hub.sleep(4 * S)
-            stage.cut(first, others, False)
-            suspected += sum(each.peering.counts["peers:suspected"] for each in stage.live()[1:])
+            stage.set_partitioned(first, others, False)
+            suspected += sum(
+                each.peering.counts["peers:suspected"] for each in stage.live_placers()[1:]
+            )
             stage.hub.sleep(3 * S)
         assert suspected, "membership has seen nothing of it"
-        assert [set(each.machines.links) for each in stage.live()] == before
+        assert [set(each.machines.links) for each in stage.live_placers()] == before
         assert (
             sum(
                 each.base.counts["subset:changes"] + each.fleet.reflector.refills
-                for each in stage.live()
+                for each in stage.live_placers()
             )
             == 0
         )
@@ -156,7 +158,7 @@
         slots = stage.cluster.placers
         mine = set(stage.placer(0).machines.links)
         stage.submit_to(slots[0], "before", runs_s=60)
-        assert stage.answer_of(slots[0], "before") == "placed"
+        assert stage.wait_for_answer(slots[0], "before") == "placed"
         woken_us = stage.hub.now_us() + 25 * S
         slots[0].hold(25 * S)
         assert stage.wait(
@@ -169,15 +171,15 @@
         for turn in range(12):
             stage.submit_to(slots[1 + turn % 2], f"other{turn}", runs_s=30)
         for turn in range(12):
-            assert stage.answer_of(slots[1 + turn % 2], f"other{turn}") == "placed"
+            assert stage.wait_for_answer(slots[1 + turn % 2], f"other{turn}") == "placed"
         assert stage.hub.now_us() < woken_us
         stage.hub.sleep(woken_us - stage.hub.now_us())
         assert set(stage.placer(0).machines.links) == mine, "it woke with what it had"
         for turn in range(6):
             stage.submit_to(slots[0], f"after{turn}", runs_s=3)
         for turn in range(6):
-            stage.answer_of(slots[0], f"after{turn}")
-        assert stage.wait(stage.settled_subsets, 120)
+            stage.wait_for_answer(slots[0], f"after{turn}")
+        assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
@@ -194,14 +196,14 @@
         stage.cluster.source.start()
         stage.cluster.placers[0].start()
         stage.hub.sleep(S)
-        assert set(stage.placer(0).machines.links) < set(stage.names()), (
+        assert set(stage.placer(0).machines.links) < set(stage.running_machines()), (
             "at first it does not know that it is alone"
         )
         limit_s = ALONE_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
-        assert stage.wait(stage.settled_subsets, limit_s)
-        assert set(stage.placer(0).machines.links) == set(stage.names())
+        assert stage.wait(stage.has_expected_subsets, limit_s)
+        assert set(stage.placer(0).machines.links) == set(stage.running_machines())
         stage.submit_to(stage.cluster.placers[0], "t", runs_s=3)
-        assert stage.answer_of(stage.cluster.placers[0], "t") == "placed"
+        assert stage.wait_for_answer(stage.cluster.placers[0], "t") == "placed"
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -212,12 +214,12 @@
 
     def script() -> None:
         stage.begin()
-        wanted = stage.wanted([slot.name for slot in stage.cluster.placers])
+        wanted = stage.expected_subsets([slot.name for slot in stage.cluster.placers])
         slots = stage.cluster.placers
         assert sorted(len(each) for each in wanted.values()) == [0, 0, 0, 1]
         for slot in slots:
             stage.submit_to(slot, slot.name, runs_s=3, patience_s=2)
-        answers = [stage.answer_of(slot, slot.name) for slot in slots]
+        answers = [stage.wait_for_answer(slot, slot.name) for slot in slots]
         assert answers == ["placed" if wanted[slot.name] else "refused" for slot in slots]
 
     stage.play(script, start=False)
@@ -230,7 +232,7 @@
         whole.begin()
         assert all(
             len(each.machines.links) == 3 and not each.fleet.reflector.left_out
-            for each in whole.live()
+            for each in whole.live_placers()
         )
 
     whole.play(all_held, start=False)
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import replace
 
-from tests.core.subsetstage import SubsetStage
+from tests.core.subset_stage import SubsetStage
 from tests.stage import S
 from wingbarrow.core.placer import Placer
 from wingbarrow.core.slow_start import SlowStartShares
@@ -41,7 +41,7 @@
 
     def one(slot: PlacerSlot, job: str, service: str) -> None:
         stage.submit_to(slot, job, runs_s=1.0, service=service)
-        answers[stage.answer_of(slot, job)] += 1
+        answers[stage.wait_for_answer(slot, job)] += 1
 
     with Nursery(stage.hub) as nursery:
         for turn in range(tasks):
@@ -99,7 +99,7 @@
         stage.begin()
         for slot in stage.cluster.placers[1:]:
             slot.kill()
-        assert stage.wait(stage.settled_subsets, 60)
+        assert stage.wait(stage.has_expected_subsets, 60)
         fallen = zone_falls(stage)
         placer, subsets = stage.placer(0), stage.subset(0).subsets
         before = placer.base.counts["binds"]
@@ -140,7 +140,7 @@
         for other in stage.cluster.placers:
             if other is not slot:
                 other.kill()
-        assert stage.wait(stage.settled_subsets, 60)
+        assert stage.wait(stage.has_expected_subsets, 60)
         placer = stage.placer(index)
         cold = cold_shares(placer)
         cold._fleet_offers = (
@@ -177,7 +177,7 @@
 
     def script() -> None:
         stage.begin()
-        for each in stage.live():
+        for each in stage.live_placers():
             each.fleet.slow_start_guard = lambda entry, listed: listed
             told = each.host._scheduler
             each.host.feed(_generous(each))
@@ -190,7 +190,7 @@
             most <= subsets.cold_most(placer, machine, OFFERS)
             for (placer, machine), most in found.items()
         ), found
-        assert sum(each.base.counts["held:cold_share"] for each in stage.live()) > 0
+        assert sum(each.base.counts["held:cold_share"] for each in stage.live_placers()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.core.subsetstage import SubsetStage
+from tests.core.subset_stage import SubsetStage
 from tests.stage import S
 from wingbarrow.core.logs import silent
 from wingbarrow.core.nodes import NodeEntry
@@ -244,7 +244,8 @@
         stage.cluster.placers[2].kill()
         assert stage.wait(
             lambda: any(
-                each.subset is not None and each.subset._refills.going for each in stage.live()
+                each.subset is not None and each.subset._refills.going
+                for each in stage.live_placers()
             ),
             40,
         )
@@ -253,16 +254,18 @@
         else:
             serve_old(True)
             stage.hub.sleep(10 * S)
-            taken = {name for each in stage.live() for name in each.fleet.held}
+            taken = {name for each in stage.live_placers() for name in each.fleet.held}
             assert len(taken) < 8, "nothing is taken in from a list that goes back"
-            assert sum(each.base.counts["subset:relists failed"] for each in stage.live()) > 0
+            assert (
+                sum(each.base.counts["subset:relists failed"] for each in stage.live_placers()) > 0
+            )
         for turn in range(6):
             stage.submit_to(stage.cluster.placers[turn % 2], f"t{turn}", runs_s=2)
-            stage.answer_of(stage.cluster.placers[turn % 2], f"t{turn}")
+            stage.wait_for_answer(stage.cluster.placers[turn % 2], f"t{turn}")
         if not restored:
             serve_old(False)
-        assert stage.wait(stage.settled_subsets, 20)
-        assert all(not each.subset._refills.going for each in stage.live() if each.subset)
+        assert stage.wait(stage.has_expected_subsets, 20)
+        assert all(not each.subset._refills.going for each in stage.live_placers() if each.subset)
 
     stage.play(script, start=False)
     audited = stage.audit()
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.core.subsetstage import SETTLE_S, SubsetStage
+from tests.core.subset_stage import SETTLE_S, SubsetStage
 from tests.stage import S
 from wingbarrow.core import saved_list
 from wingbarrow.core.machine_link import MachineLink
@@ -28,7 +28,7 @@
     everybody = frozenset(slot.name for slot in slots)
     for slot in slots:
         for other in slots:
-            for machine in stage.names():
+            for machine in stage.running_machines():
                 if (
                     other is not slot
                     and subsets.holds(slot.name, machine, everybody - {other.name})
@@ -98,8 +98,8 @@
         assert link.phase is Phase.DRAINING
         assert machine in subset.lingering
         stage.submit_to(slot, "later", patience_s=2)
-        assert stage.answer_of(slot, "out") == "placed", "what is out goes on"
-        assert stage.answer_of(slot, "later") == "refused", "nothing new goes there"
+        assert stage.wait_for_answer(slot, "out") == "placed", "what is out goes on"
+        assert stage.wait_for_answer(slot, "later") == "refused", "nothing new goes there"
         other.start()
         stage.hub.sleep(LINGER_US + 2 * S)
         assert placer.machines.links[machine] is link
@@ -108,7 +108,7 @@
         if drains:
             assert placer.fleet.held[machine].listed.phase is Phase.DRAINING
             stage.cluster.set_drain(standin, False)
-        assert stage.wait(lambda: stage.settled_subsets(), 60), (
+        assert stage.wait(lambda: stage.has_expected_subsets(), 60), (
             "it is let go once its task has ended"
         )
         assert link.retired
@@ -134,7 +134,7 @@
         slot, machine, other, link = brought_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "first", runs_s=40)
-        assert stage.answer_of(slot, "first") == "placed"
+        assert stage.wait_for_answer(slot, "first") == "placed"
         subset = placer.subset
         assert subset is not None
         without = set(subset.living)
@@ -145,7 +145,7 @@
         assert phase_of(link) is Phase.RUNNING
         assert placer.machines.links[machine] is link
         stage.submit_to(slot, "second", runs_s=2)
-        assert stage.answer_of(slot, "second") == "placed"
+        assert stage.wait_for_answer(slot, "second") == "placed"
 
     stage.play(script, start=False)
     assert len(stage.seen("offer")) == 2
@@ -162,7 +162,7 @@
         slot, machine, other, link = brought_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=200)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         standin = next(each for each in stage.cluster.machines if each.name == machine)
         subset = placer.subset
         assert subset is not None
@@ -193,7 +193,7 @@
         stage.begin()
         slot, machine, other, link = brought_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         stage.hub.sleep(
             S + S // 10
         )  # the list is saved within a second where it names more machines
@@ -209,7 +209,7 @@
         )
         assert machine in placer.subset.lingering
         assert placer.machines.links[machine].phase is Phase.DRAINING
-        assert stage.wait(stage.settled_subsets, 120)
+        assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
     assert len(stage.seen("start")) == 1
@@ -243,7 +243,7 @@
         stage.begin()
         slot, machine, other, _ = brought_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         slot.kill()
         (Path(slot.state) / "machines.json").write_text("{")
         other.start()
@@ -255,7 +255,7 @@
         assert stage.wait(
             lambda: placer.subset is not None and placer.subset.lingering == [machine], 20
         )
-        assert stage.wait(stage.settled_subsets, 120)
+        assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
 
@@ -275,7 +275,7 @@
         assert placer.attempts.on(link)
         assert link.last_offer_us is None
         assert not subset._may_release(link, stage.hub.now_us()), "an attempt is out"
-        assert stage.answer_of(slot, "out") == "placed"
+        assert stage.wait_for_answer(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.last_offer_us
         assert offered_us is not None and not subset._may_release(
@@ -322,7 +322,7 @@
         slot, machine, other, link = brought_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=30)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         subset = placer.subset
         assert subset is not None
         placer.fleet.guards.pop()  # the other machines are open again
@@ -332,7 +332,7 @@
         assert machine in subset.lingering
         sights = placer.peer_hints.know()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
-        for each in stage.live():
+        for each in stage.live_placers():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
             assert each.peer_hints.take_sights(others * 4, 0, True), "taken for a stranger"
             assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._heard)
@@ -350,8 +350,8 @@
 
     def script() -> None:
         stage.begin()
-        for each in stage.live():
-            out = [name for name in stage.names() if name not in each.fleet.held]
+        for each in stage.live_placers():
+            out = [name for name in stage.running_machines() if name not in each.fleet.held]
             assert out
             assert not any(each.fleet.is_off_list(name) for name in out)
             gone = next(iter(each.fleet.held))
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from tests.core.subsetstage import SubsetStage
+from tests.core.subset_stage import SubsetStage
 from tests.core.test_subset_cold import OFFERS, burst, most_within
 from tests.stage import S
 from wingbarrow.core.placer import Placer
@@ -31,7 +31,7 @@
     """Two tasks for each machine of the placer's subset."""
     for number in range(2 * machines):
         stage.submit_to(slot, f"fills-{slot.name}-{number}", runs_s=runs_s)
-        assert stage.answer_of(slot, f"fills-{slot.name}-{number}") == "placed"
+        assert stage.wait_for_answer(slot, f"fills-{slot.name}-{number}") == "placed"
 
 
 def machine_of(placer: Placer, job: str) -> str:
@@ -54,7 +54,7 @@
         assert subset.extra == 0, "nothing waited so long"
         asked_us, refills = stage.hub.now_us(), placer.fleet.reflector.refills
         stage.submit_to(slot, "more")
-        assert stage.answer_of(slot, "more") == "placed"
+        assert stage.wait_for_answer(slot, "more") == "placed"
         taken_us = stage.hub.now_us() - asked_us
         print("placed after", taken_us / S, "s")
         assert taken_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDEN_SPREAD_US + S // 2
@@ -62,7 +62,9 @@
         assert machine not in held
         assert subset.holds(machine)
         assert subset.extra == 1
-        first_two = {name for name in stage.names() if slot.name in subset.subsets.order(name)[:2]}
+        first_two = {
+            name for name in stage.running_machines() if slot.name in subset.subsets.order(name)[:2]
+        }
         assert set(placer.fleet.held) == first_two, "one rank more"
         assert placer.fleet.reflector.refills == refills + 1
         told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
@@ -80,7 +82,7 @@
         slot, placer, held = begun(stage)
         fill(stage, slot, len(held))
         stage.submit_to(slot, "more")
-        assert stage.answer_of(slot, "more") == "refused"
+        assert stage.wait_for_answer(slot, "more") == "refused"
         assert set(placer.fleet.held) == held
         assert placer.fleet.reflector.refills == 0
         assert not placer.base.counts["subset:widened"]
@@ -105,14 +107,18 @@
             if subset.extra > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
-        assert [stage.answer_of(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
+        assert [stage.wait_for_answer(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
         assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
         assert not len(placer.waits)
         assert subset.extra == 2 == placer.base.counts["subset:widened"]
         assert steps_us[2] - steps_us[1] >= STEP_US - 10_000
         assert steps_us[1] - asked_us >= 2 * S
         assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
-        out = [name for name in stage.names() if slot.name not in subset.subsets.order(name)[:3]]
+        out = [
+            name
+            for name in stage.running_machines()
+            if slot.name not in subset.subsets.order(name)[:3]
+        ]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
 
     stage.play(script, start=False)
@@ -127,7 +133,7 @@
         subset = stage.subset(2)
         fill(stage, slot, len(held), runs_s=200)
         stage.submit_to(slot, "more", runs_s=90)
-        assert stage.answer_of(slot, "more") == "placed"
+        assert stage.wait_for_answer(slot, "more") == "placed"
         placed_us, machine = stage.hub.now_us(), machine_of(placer, "more")
         others, refills = set(placer.fleet.held) - held - {machine}, placer.fleet.reflector.refills
         assert others, "the further rank brought more than one machine"
@@ -141,14 +147,14 @@
         assert placer.fleet.reflector.refills == refills, "a step down reads no list"
         # It waits long again: the machine that is followed still is open at once.
         stage.submit_to(slot, "again", runs_s=1)
-        assert stage.answer_of(slot, "again") == "placed"
+        assert stage.wait_for_answer(slot, "again") == "placed"
         assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
         job = placer.job_store.jobs["default/more"]
         assert stage.wait(lambda: not job.open_tasks, 90) and job.tasks[0].state.value == "done", (
             "it was followed"
         )
-        assert stage.wait(stage.settled_subsets, 60), "all are let go in the end"
+        assert stage.wait(stage.has_expected_subsets, 60), "all are let go in the end"
         assert placer.base.counts["subset:narrowed"] == 2
 
     stage.play(script, start=False)
--- a/tests/wire/test_agreed_golden.py
+++ b/tests/wire/test_agreed_golden.py
@@ -7,7 +7,7 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.core.subsetstage import SubsetStage
+from tests.core.subset_stage import SubsetStage
 from tests.peers.regions import Regions
 from tests.peers.stage import RULES, Agreeing
 from tests.stage import JOBS, S, Stage
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -122,7 +122,7 @@
         self._host.feed(api.MachineList(form, tuple(listed)))
         self._restart_guard.list_received |= form is api.ListForm.FULL
         for link in new_links:
-            self._pod_observer.follow(link)
+            self._pod_observer.watch(link)
         for name in gone:
             self._retire(name)
         self.on_delivery_applied()
--- a/wingbarrow/core/machine_link.py
+++ b/wingbarrow/core/machine_link.py
@@ -195,7 +195,7 @@
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return ""
 
-    def follow(
+    def watch_tasks(
         self,
         on_list: Callable[[list[dict[str, Any]], int], None],
         on_event: Callable[[str, dict[str, Any]], None],
@@ -208,7 +208,7 @@
         """
         with CancelScope(self.hub) as scope:
             self._watch_scope = scope
-            self._follow(on_list, on_event, log)
+            self._list_and_watch(on_list, on_event, log)
 
     def disconnect(self) -> None:
         """Retire the link to a machine that still runs: close all connections, and end the watch."""
@@ -234,7 +234,7 @@
     def _selector(self) -> str:
         return f"labelSelector={quote(f'{names.PLACER}={self._placer}')}"
 
-    def _follow(
+    def _list_and_watch(
         self,
         on_list: Callable[[list[dict[str, Any]], int], None],
         on_event: Callable[[str, dict[str, Any]], None],
@@ -264,7 +264,7 @@
                 self.reachable = False
                 # After any failure, list again: a list is cheap and misses nothing.
                 version = ""
-                log("machine-watch-broke", machine=self.name, why=str(error)[:200])
+                log("machine-watch-failed", machine=self.name, why=str(error)[:200])
                 self.hub.sleep(self._watch_backoff.next_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -125,7 +125,11 @@
         )
         self._base.counts[f"moved to another region: {move.why}"] += 1
         self._base.log(
-            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
+            "region-migration-started",
+            job=task.job.key,
+            task=task.index,
+            region=move.region,
+            why=move.why,
         )
         self._runs.move(move.number)
 
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -188,7 +188,7 @@
         try:
             cores, memory = pod_resources(value)
         except ValueError as error:
-            self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._base.log("unreadable-pod", level="warning", machine=link.name, field=str(error))
             return None
         if settings is None:
             return None
--- a/wingbarrow/core/pod_observer.py
+++ b/wingbarrow/core/pod_observer.py
@@ -45,7 +45,7 @@
         self.on_listed: Callable[[str], None] = lambda name: None
         self.last_usage_us: int | None = None  # when a task's resource usage was last reported
 
-    def follow(self, link: MachineLink) -> None:
+    def watch(self, link: MachineLink) -> None:
         """List and watch one machine's pods in a background task, until its link is retired."""
 
         def on_list(pods: list[dict[str, Any]], requested_us: int) -> None:
@@ -76,7 +76,7 @@
                 self._on_pod_status(link, pod_status)
 
         self._base.spawn(
-            lambda: link.follow(on_list, on_event, self._base.log), f"follow {link.name}"
+            lambda: link.watch_tasks(on_list, on_event, self._base.log), f"watch {link.name}"
         )
 
     def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
@@ -84,7 +84,7 @@
             return read_pod(value)
         except ValueError as error:
             self._base.counts["bad_pods"] += 1
-            self._base.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._base.log("unreadable-pod", level="warning", machine=link.name, field=str(error))
             return None
 
     def _on_pod_status(self, link: MachineLink, pod_status: PodStatus) -> None:
