--- a/tests/core/subset_stage.py
+++ b/tests/core/subset_stage.py
@@ -19,7 +19,10 @@
 
 
 class SubsetStage(Stage):
-    """`cuts`: what placers say to each other goes through proxies, by (from, to)."""
+    """A `Stage` with subsets. With `partitionable`, placers talk to each other through `proxies`, by (from, to).
+
+    `replicas` placers hold each machine, and a busy placer widens its subset by up to `widen` ranks.
+    """
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
             slot.extra = extra
 
     def begin(self) -> None:
-        """Machines, list source and placers, once each placer knows the others."""
+        """Start machines, list source and placers, and wait until placers know each other and hold their subsets."""
         if self._partitionable:
             self.proxies = {
                 (slot.name, other.name): Proxy(self.hub, other.port)
@@ -63,7 +66,7 @@
                 len(each.peering.membership.table.live_members()) == len(self.live_placers()) - 1
                 for each in self.live_placers()
             )
-        ), "they do not know each other"
+        ), "placers do not know each other"
         assert self.wait(self.has_expected_subsets)
 
     def wait(self, done: Callable[[], Any], seconds: float = 60) -> bool:
@@ -73,7 +76,7 @@
         return bool(done())
 
     def live_placers(self) -> list[Placer]:
-        """The placers that run."""
+        """The running placers."""
         return [slot.service.placer for slot in self.cluster.placers if slot.service is not None]
 
     def placer(self, index: int) -> Placer:
@@ -87,11 +90,11 @@
         return found
 
     def running_machines(self) -> list[str]:
-        """The machines that are up."""
+        """Names of the running machines."""
         return [machine.name for machine in self.cluster.machines if machine.up]
 
-    def expected_subsets(self, living: list[str]) -> dict[str, set[str]]:
-        """Each living placer's machines by the pure function."""
+    def expected_subsets(self, live: list[str]) -> dict[str, set[str]]:
+        """The subset of each placer of `live`, computed from the rules as if these placers were the live ones."""
         subsets = self.placer(
             next(i for i, slot in enumerate(self.cluster.placers) if slot.service)
         ).subset
@@ -100,13 +103,13 @@
             name: {
                 machine
                 for machine in self.running_machines()
-                if subsets.subsets.holds(name, machine, frozenset(living))
+                if subsets.subsets.holds(name, machine, frozenset(live))
             }
-            for name in living
+            for name in live
         }
 
     def has_expected_subsets(self) -> bool:
-        """Whether each placer that runs reaches just what it is to hold while these live, and all of it."""
+        """Whether each running placer is connected to exactly its expected subset, and watches all of it."""
         wanted = self.expected_subsets([each.base.settings.name for each in self.live_placers()])
         return all(
             set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
@@ -123,16 +126,16 @@
         patience_s: float = 5,
         service: str = "",
     ) -> str:
-        """Submit to one placer; recorded as its owner would."""
+        """Submit a Job to one placer, record that it was accepted, and return its uid."""
         want = Want(0, name, task_class, service or name, 1.0, 1.0, int(runs_s * S))
-        sent = self.hub.now_us()
-        made = call(
+        sent_us = self.hub.now_us()
+        created = call(
             self.pool(slot.port),
             "POST",
             JOBS,
             names.encode(job_value(want, name, int(patience_s * S))),
         )
-        uid = str(made["metadata"]["uid"])
+        uid = str(created["metadata"]["uid"])
         self.cluster.record(
             "owner",
             "accepted",
@@ -142,12 +145,12 @@
             task=name,
             task_class=task_class,
             patience_us=int(patience_s * S),
-            sent_us=sent,
+            sent_us=sent_us,
         )
         return uid
 
     def wait_for_answer(self, slot: PlacerSlot, name: str, within_s: float = 12) -> str:
-        """The first answer of a Job at a placer, which the recording keeps."""
+        """Wait for the first answer of a Job at a placer, record it, and return "placed", "refused" or "failed"."""
         until = self.hub.now_us() + int(within_s * S)
         while True:
             value = call(self.pool(slot.port), "GET", f"{JOBS}/{name}")
@@ -171,12 +174,14 @@
             assert self.hub.now_us() < until, f"no answer: {found}"
             self.hub.sleep(20_000)
 
-    def set_partitioned(self, one: list[PlacerSlot], other: list[PlacerSlot], on: bool) -> None:
-        """Nothing passes between two groups of placers, or all does again."""
+    def set_partitioned(
+        self, one: list[PlacerSlot], other: list[PlacerSlot], partitioned: bool
+    ) -> None:
+        """Partition two groups of placers from each other, or heal the partition."""
         for a in one:
             for b in other:
                 for pair in ((a.name, b.name), (b.name, a.name)):
-                    if on:
+                    if partitioned:
                         self.proxies[pair].sever()
                     else:
                         self.proxies[pair].heal()
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -1,4 +1,4 @@
-"""The request book and intake: states by the table, one answer a task, every fault with its field."""
+"""The Job store and the parser of Jobs: state transitions, one answer per task, and errors that name their field."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
     return read_job(value, namespace, SETTINGS.classes, SETTINGS.limits, "abcde")
 
 
-def store_with_job(count: int = 1, most: int = 1000) -> tuple[JobStore, Any]:
+def store_with_job(count: int = 1, max_open: int = 1000) -> tuple[JobStore, Any]:
     value = copy.deepcopy(VALUE)
     value["spec"]["parallelism"] = count
     value["status"] = {}
-    store = JobStore(Admission(most, most), 10)
+    store = JobStore(Admission(max_open, max_open), 10)
     return store, store.add("default/job", "u1", read(value), value)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from(Step)), max_size=60))
-def test_whatever_happens_each_task_has_one_answer_and_counts_agree(
+def test_any_sequence_of_steps_gives_each_task_at_most_one_answer_and_correct_counts(
     steps: list[tuple[int, Step]],
 ) -> None:
     store, job = store_with_job(5)
     answers: dict[int, list[State]] = {index: [] for index in range(5)}
     for index, step in steps:
         task = job.tasks[index]
-        before, taken = task.answered, store.transition(task, step)
-        if task.answered and not before:
-            assert taken
+        was_answered, was_allowed = task.answered, store.transition(task, step)
+        if task.answered and not was_answered:
+            assert was_allowed
             answers[index].append(task.state)
     assert all(len(each) <= 1 for each in answers.values())
     assert job.unanswered == sum(not task.answered for task in job.tasks)
@@ -56,7 +56,7 @@
     update_job_status(job, 1)
 
 
-def test_late_and_doubled_steps_are_counted_and_change_nothing() -> None:
+def test_late_and_duplicate_steps_are_counted_and_change_nothing() -> None:
     store, job = store_with_job()
     task = job.tasks[0]
     assert store.transition(task, Step.REFUSE)
@@ -73,7 +73,7 @@
         store.transition(job.tasks[0], Step.REFUSE)
     assert [job.key for job in store.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
     store.delete(job)
-    assert not store.was_deleted("u5"), "this life's pods are known by their names"
+    assert not store.was_deleted("u5"), "pods of this incarnation are recognized by their names"
     for number in range(MAX_TOMBSTONES + 50):
         job.uid, job.adopted = f"t{number}", True
         store.delete(job)
@@ -82,7 +82,7 @@
     assert store.was_deleted("t50")
 
 
-def test_an_open_job_is_never_surplus() -> None:
+def test_an_open_job_never_expires() -> None:
     store = JobStore(Admission(100, 100), 1)
     for number in range(5):
         store.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
@@ -133,7 +133,9 @@
         (("spec",), None, "spec"),
     ],
 )
-def test_a_fault_names_its_field(path: tuple[Any, ...], bad: Any, field: str) -> None:
+def test_an_invalid_field_is_named_in_the_error(
+    path: tuple[Any, ...], bad: Any, field: str
+) -> None:
     value = copy.deepcopy(VALUE)
     part: Any = value
     for step in path[:-1]:
@@ -145,7 +147,7 @@
     assert any(field in cause.field for cause in caught.value.causes), caught.value.causes
 
 
-def test_several_faults_come_together() -> None:
+def test_several_invalid_fields_are_reported_together() -> None:
     value = copy.deepcopy(VALUE)
     value["metadata"]["name"] = "X"
     value["spec"]["parallelism"] = 0
@@ -159,15 +161,15 @@
     value = copy.deepcopy(VALUE)
     del value["metadata"]["name"]
     value["metadata"]["generateName"] = "label-"
-    asked = read(value)
-    assert asked.name == "label-abcde"
-    assert asked.count == 1
-    assert asked.memory == 2.0
-    assert asked.cores == 1.0
-    assert asked.service == "default/shop"
-    assert asked.patience_us == 5_000_000
+    request = read(value)
+    assert request.name == "label-abcde"
+    assert request.count == 1
+    assert request.memory == 2.0
+    assert request.cores == 1.0
+    assert request.service == "default/shop"
+    assert request.patience_us == 5_000_000
     value["metadata"]["labels"]["wingbarrow.io/class"] = "settlement"
-    assert read(value).restarts == 0, "what must not start twice has no restarts"
+    assert read(value).restarts == 0, "a class whose tasks must not start twice has no restarts"
 
 
 JSON = st.recursive(
@@ -180,7 +182,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 1 << 30), JSON)
-def test_no_value_at_any_place_brings_a_traceback(seed: int, noise: Any) -> None:
+def test_a_random_value_at_any_place_raises_only_api_errors(seed: int, noise: Any) -> None:
     rng, value = random.Random(seed), copy.deepcopy(VALUE)
     part: Any = value
     while True:
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of the machines on the whole path: who holds what as placers come, go, are cut off and stand still."""
+"""Subsets of the machines, end to end: which placer holds which as placers start, stop, are partitioned or stall."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 from wingbarrow.lab.node import node_value
 
 
-def test_each_placer_reaches_its_subset_alone_and_sends_nowhere_else() -> None:
+def test_each_placer_connects_and_sends_only_to_its_subset() -> None:
     stage = SubsetStage(machines=12, placers=5, replicas=2)
 
     def script() -> None:
         stage.begin()
         wanted = stage.expected_subsets([slot.name for slot in stage.cluster.placers])
-        assert sum(len(each) for each in wanted.values()) == 24, "each machine is held by two"
+        assert sum(len(each) for each in wanted.values()) == 24, (
+            "each machine is held by two placers"
+        )
         for turn in range(30):
             slot = stage.cluster.placers[turn % 5]
             stage.submit_to(slot, f"t{turn}", runs_s=3)
@@ -29,7 +31,7 @@
             assert each.has_complete_view(12)
             assert each.fleet.reflector.skipped_entries > 0
             assert not each.unexpected_transitions()
-        told = stage.pool().request("GET", "/metrics").body.decode()
+        metrics = stage.pool().request("GET", "/metrics").body.decode()
         placer = stage.placer(0)
         for name, value in (
             ("machines", len(placer.machines.links)),
@@ -38,14 +40,14 @@
             ("left_out", placer.fleet.reflector.left_out),
             ("passed_over", placer.fleet.reflector.skipped_entries),
         ):
-            assert f"\nwingbarrow_subset_{name} {float(value)}\n" in told, name
+            assert f"\nwingbarrow_subset_{name} {float(value)}\n" in metrics, name
 
     stage.play(script, start=False)
     assert stage.audit().clean
     assert stage.audit().placed == 30
 
 
-def test_a_third_of_the_placers_killed_at_once_and_back() -> None:
+def test_killing_and_restarting_a_third_of_the_placers_restores_their_subsets() -> None:
     stage = SubsetStage(machines=12, placers=6, replicas=2)
 
     def script() -> None:
@@ -56,25 +58,27 @@
         for slot in slots[:2]:
             slot.kill()
         rules = stage.placer(2).peering.membership.settings
-        stated_us = (
+        bound_us = (
             rules.detection_bound_us(6)
             + int((LEAVE_S + SETTLE_S) * S)
             + 2 * CHECK_INTERVAL_US
             + stage.subset(2)._spread_us
             + S
         )
-        assert stage.wait(stage.has_expected_subsets, stated_us / S), "later than is stated"
-        print("machines are all held again after", (stage.hub.now_us() - killed_us) / S, "s")
+        assert stage.wait(stage.has_expected_subsets, bound_us / S), "exceeds the documented bound"
+        print("all machines are held again after", (stage.hub.now_us() - killed_us) / S, "s")
         after = stage.expected_subsets([slot.name for slot in slots[2:]])
         for slot in slots[2:]:
-            assert before[slot.name] <= after[slot.name], "who stays lets nothing go"
+            assert before[slot.name] <= after[slot.name], "a remaining placer releases no machine"
             assert stage.placer(slots.index(slot)).fleet.reflector.refills <= 2
         for turn, slot in enumerate(slots[2:]):
             stage.submit_to(slot, f"t{turn}", runs_s=20)
             assert stage.wait_for_answer(slot, f"t{turn}") == "placed"
         for slot in slots[:2]:
             slot.start()
-        assert stage.wait(stage.has_expected_subsets, 90), "they are not back to what they held"
+        assert stage.wait(stage.has_expected_subsets, 90), (
+            "placers did not return to their former subsets"
+        )
         assert stage.expected_subsets([slot.name for slot in slots]) == before
         assert all(not each.subset.lingering for each in stage.live_placers() if each.subset)
         assert sum(each.base.counts["subset:released"] for each in stage.live_placers()) > 0
@@ -84,8 +88,8 @@
     assert stage.audit().placed == 4
 
 
-def test_both_sides_of_a_cut_take_the_others_machines_and_let_go_when_it_heals() -> None:
-    """Meanwhile machines that come back cold are held by both sides; together they stay within their offers."""
+def test_both_sides_of_a_partition_take_over_machines_and_release_them_after_it_heals() -> None:
+    """Both sides hold machines that return cold; together they stay within the machines' offer limits."""
     stage = SubsetStage(machines=4, placers=4, replicas=2, partitionable=True)
 
     def script() -> None:
@@ -93,14 +97,14 @@
         slots = stage.cluster.placers
         stage.set_partitioned(slots[:2], slots[2:], True)
 
-        def apart() -> bool:
+        def is_partitioned() -> bool:
             return all(
                 len(stage.subset(index).living) == 2
                 and len(stage.placer(index).machines.links) == 4
                 for index in range(4)
             )
 
-        assert stage.wait(apart, 60), "each side holds all machines"
+        assert stage.wait(is_partitioned, 60), "each side must hold all machines"
         for machine in stage.cluster.machines[:2]:
             stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, 2.0))
         stage.hub.sleep(4 * S)
@@ -110,7 +114,9 @@
         for turn in range(160):
             stage.wait_for_answer(slots[turn % 4], f"c{turn}")
         stage.set_partitioned(slots[:2], slots[2:], False)
-        assert stage.wait(stage.has_expected_subsets, 120), "not healed"
+        assert stage.wait(stage.has_expected_subsets, 120), (
+            "subsets did not recover after the partition"
+        )
 
     stage.play(script, start=False)
     audited = stage.audit()
@@ -121,7 +127,7 @@
     assert audited.accepted == 160
 
 
-def test_a_placer_that_comes_and_goes_for_shorter_than_it_may_be_missing_moves_nothing() -> None:
+def test_a_placer_that_is_unreachable_for_less_than_leave_after_moves_no_machine() -> None:
     stage = SubsetStage(machines=8, placers=4, replicas=2, partitionable=True)
 
     def script() -> None:
@@ -137,7 +143,7 @@
                 each.peering.counts["peers:suspected"] for each in stage.live_placers()[1:]
             )
             stage.hub.sleep(3 * S)
-        assert suspected, "membership has seen nothing of it"
+        assert suspected, "membership suspected nobody"
         assert [set(each.machines.links) for each in stage.live_placers()] == before
         assert (
             sum(
@@ -150,31 +156,33 @@
     stage.play(script, start=False)
 
 
-def test_a_placer_that_stood_still_goes_on_with_its_old_subset_and_breaks_no_rule() -> None:
+def test_a_stalled_placer_resumes_with_its_old_subset_and_breaks_no_rule() -> None:
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
         stage.begin()
         slots = stage.cluster.placers
-        mine = set(stage.placer(0).machines.links)
+        own_machines = set(stage.placer(0).machines.links)
         stage.submit_to(slots[0], "before", runs_s=60)
         assert stage.wait_for_answer(slots[0], "before") == "placed"
-        woken_us = stage.hub.now_us() + 25 * S
+        resumed_us = stage.hub.now_us() + 25 * S
         slots[0].hold(25 * S)
         assert stage.wait(
-            lambda: mine
+            lambda: own_machines
             <= set(stage.placer(1).machines.links) | set(stage.placer(2).machines.links),
             24,
         )
-        victim = next(machine for machine in stage.cluster.machines if machine.name in mine)
+        victim = next(machine for machine in stage.cluster.machines if machine.name in own_machines)
         stage.cluster.set_drain(victim, True)
         for turn in range(12):
             stage.submit_to(slots[1 + turn % 2], f"other{turn}", runs_s=30)
         for turn in range(12):
             assert stage.wait_for_answer(slots[1 + turn % 2], f"other{turn}") == "placed"
-        assert stage.hub.now_us() < woken_us
-        stage.hub.sleep(woken_us - stage.hub.now_us())
-        assert set(stage.placer(0).machines.links) == mine, "it woke with what it had"
+        assert stage.hub.now_us() < resumed_us
+        stage.hub.sleep(resumed_us - stage.hub.now_us())
+        assert set(stage.placer(0).machines.links) == own_machines, (
+            "it must resume with its old subset"
+        )
         for turn in range(6):
             stage.submit_to(slots[0], f"after{turn}", runs_s=3)
         for turn in range(6):
@@ -197,7 +205,7 @@
         stage.cluster.placers[0].start()
         stage.hub.sleep(S)
         assert set(stage.placer(0).machines.links) < set(stage.running_machines()), (
-            "at first it does not know that it is alone"
+            "at first it must not assume that it is alone"
         )
         limit_s = ALONE_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
         assert stage.wait(stage.has_expected_subsets, limit_s)
@@ -226,13 +234,13 @@
     assert stage.audit().clean
     assert stage.audit().refused == 3
 
-    whole = SubsetStage(machines=3, placers=2, replicas=2)
+    full = SubsetStage(machines=3, placers=2, replicas=2)
 
     def all_held() -> None:
-        whole.begin()
+        full.begin()
         assert all(
             len(each.machines.links) == 3 and not each.fleet.reflector.left_out
-            for each in whole.live_placers()
+            for each in full.live_placers()
         )
 
-    whole.play(all_held, start=False)
+    full.play(all_held, start=False)
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -12,7 +12,7 @@
 
 
 class AgreeingSubsets(Agreeing):
-    """Each machine is held by two of the members; the roster is theirs."""
+    """Two members hold each machine; the members form the roster."""
 
     def join(self) -> None:
         super().join()
@@ -23,23 +23,23 @@
             slot.start()
 
 
-def test_what_a_region_is_told_to_have_stands_for_all_its_machines() -> None:
-    """Within what a part of them tells of the others: all are alike here."""
+def test_capacity_reported_for_a_region_is_scaled_from_the_held_machines() -> None:
+    """The scaled report is exact here, since all machines are alike."""
     stage = Stage(machines=12, placers=1, build=Build())
 
     def script() -> None:
         slot = stage.cluster.placers[0]
         assert slot.service is not None
         placer = slot.service.placer
-        whole = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
+        full = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
         for name in list(placer.fleet.held)[:9]:
             placer.fleet.reflector.drop(name)
-        part = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
-        assert (placer.fleet.held_fraction, part.machines, part.cores, part.memory) == (
+        partial = LocalRegion(placer.base, placer.job_store, placer.fleet)._summarise(0)
+        assert (placer.fleet.held_fraction, partial.machines, partial.cores, partial.memory) == (
             0.25,
             12,
-            whole.cores,
-            whole.memory,
+            full.cores,
+            full.memory,
         )
         for name in list(placer.fleet.held):
             placer.fleet.reflector.drop(name)
@@ -77,7 +77,7 @@
         fewer = stage.changed(cold_shares=[["placer-0", 5]])
         status, _ = stage.ask(stage.leader(), "POST", {"ident": "x", "rules": fewer})
         assert status == 201 and stage.wait(lambda: stage.all_on("e3"), 20), (
-            "by way of what both allow"
+            "the new rules did not take effect by the transition rules"
         )
         for each in live:
             assert isinstance(each.offers.slow_start, SlowStartShares)
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -1,4 +1,4 @@
-"""Rule 4 where placers hold subsets: each stays within its share by rank, whoever else holds a cold machine."""
+"""Rule 4 with subsets: each placer stays within its share by rank, whichever others hold a cold machine too."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from wingbarrow.lab.machine import Machine
 from wingbarrow.transport import Nursery
 
-FALL = 2 * S
-OFFERS = 20
+OFFER_WINDOW_US = 2 * S  # over which a cold machine's offers are counted
+FLEET_OFFERS = 20  # of all placers to a cold machine in a window
 
 
 def cold_shares(placer: Placer) -> SlowStartShares:
@@ -24,19 +24,19 @@
     return found
 
 
-def zone_falls(stage: SubsetStage, back_s: float = 2.0) -> list[Machine]:
-    """All machines of one hall die at once and come back cold."""
-    fallen = [machine for machine in stage.cluster.machines if machine.build.zone == "hall-a"]
-    for machine in fallen:
+def crash_zone(stage: SubsetStage, back_s: float = 2.0) -> list[Machine]:
+    """Crash all machines of one zone at once, and wait until they are back, cold."""
+    crashed = [machine for machine in stage.cluster.machines if machine.build.zone == "hall-a"]
+    for machine in crashed:
         stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, back_s))
     stage.hub.sleep(int((back_s + 0.2) * S))
-    return fallen
+    return crashed
 
 
-def burst(
+def submit_burst(
     stage: SubsetStage, placers: list[int], tasks: int, name: str = "b", pace_s: float = 0.0
 ) -> dict[str, int]:
-    """Many tasks at placers in turn; the number of each answer."""
+    """Submit tasks to placers in turn, and count each answer."""
     answers: dict[str, int] = defaultdict(int)
 
     def one(slot: PlacerSlot, job: str, service: str) -> None:
@@ -51,8 +51,8 @@
     return answers
 
 
-def most_within(stage: SubsetStage, machines: list[Machine]) -> dict[tuple[str, str], int]:
-    """By placer and machine: the most offers that came within a window while the machine was cold."""
+def max_cold_offers(stage: SubsetStage, machines: list[Machine]) -> dict[tuple[str, str], int]:
+    """By placer and machine: the maximum number of offers in a window while the machine was cold."""
     cold_from = {
         record.where: record.at_us
         for record in stage.cluster.record.records
@@ -64,24 +64,24 @@
         if begun is not None and begun <= record.at_us < begun + 18 * S:
             at[record.data["placer"], record.where].append(record.at_us)
     return {
-        key: max(sum(each <= other < each + FALL for other in times) for each in times)
+        key: max(sum(each <= other < each + OFFER_WINDOW_US for other in times) for each in times)
         for key, times in at.items()
     }
 
 
-def test_a_zone_that_comes_back_cold_under_all_placers_is_not_pushed_over() -> None:
+def test_a_zone_that_returns_cold_is_not_overloaded_by_all_placers() -> None:
     stage = SubsetStage(machines=6, placers=4, replicas=2)
 
     def script() -> None:
         stage.begin()
-        fallen = zone_falls(stage)
-        answers = burst(stage, [0, 1, 2, 3], 160, pace_s=0.05)
+        crashed = crash_zone(stage)
+        answers = submit_burst(stage, [0, 1, 2, 3], 160, pace_s=0.05)
         print("answers", dict(answers))
         subsets = stage.subset(0).subsets
-        found = most_within(stage, fallen)
+        found = max_cold_offers(stage, crashed)
         assert found and all(
-            most <= subsets.cold_most(placer, machine, OFFERS)
-            for (placer, machine), most in found.items()
+            count <= subsets.cold_most(placer, machine, FLEET_OFFERS)
+            for (placer, machine), count in found.items()
         ), found
         assert answers["placed"] == 160
 
@@ -89,10 +89,8 @@
     assert stage.audit().clean, stage.audit().notes
 
 
-def test_more_placers_than_usual_on_a_cold_machine_stay_within_its_offers_and_nothing_spins() -> (
-    None
-):
-    """Three of four are killed one after the other: whoever is left has its share by rank, and no more."""
+def test_a_surviving_placer_stays_within_its_cold_share_and_does_not_repeat_decisions() -> None:
+    """Three of four placers are killed one after the other; the last one stays within its share by rank."""
     stage = SubsetStage(machines=3, placers=4, replicas=1)
 
     def script() -> None:
@@ -100,13 +98,14 @@
         for slot in stage.cluster.placers[1:]:
             slot.kill()
         assert stage.wait(stage.has_expected_subsets, 60)
-        fallen = zone_falls(stage)
+        crashed = crash_zone(stage)
         placer, subsets = stage.placer(0), stage.subset(0).subsets
         before = placer.base.counts["binds"]
-        answers = burst(stage, [0], 60, pace_s=0.05)
-        found = most_within(stage, fallen)
+        answers = submit_burst(stage, [0], 60, pace_s=0.05)
+        found = max_cold_offers(stage, crashed)
         shares = {
-            machine.name: subsets.cold_most("placer-0", machine.name, OFFERS) for machine in fallen
+            machine.name: subsets.cold_most("placer-0", machine.name, FLEET_OFFERS)
+            for machine in crashed
         }
         print(
             "shares",
@@ -116,12 +115,14 @@
             "held",
             placer.base.counts["held:cold_share"],
         )
-        assert min(shares.values()) < OFFERS // 2
-        assert all(most <= shares[machine] for (_, machine), most in found.items())
-        assert placer.base.counts["binds"] - before <= 60 * 2, "offers are chosen again and again"
+        assert min(shares.values()) < FLEET_OFFERS // 2
+        assert all(count <= shares[machine] for (_, machine), count in found.items())
+        assert placer.base.counts["binds"] - before <= 60 * 2, (
+            "the module repeats decisions for offers that are held back"
+        )
         stage.hub.sleep(18 * S)
         assert not cold_shares(placer)._closed
-        assert burst(stage, [0], 12, "warm")["placed"] == 12
+        assert submit_burst(stage, [0], 12, "warm")["placed"] == 12
 
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
@@ -143,18 +144,17 @@
         assert stage.wait(stage.has_expected_subsets, 60)
         placer = stage.placer(index)
         cold = cold_shares(placer)
-        cold._fleet_offers = (
-            lambda: 2.0
-        )  # two for the whole region: ranks beyond the second have none
+        # Two offers for the whole region: ranks beyond the second have no share.
+        cold._fleet_offers = lambda: 2.0
         assert subsets.cold_most(slot.name, machine.name, 2.0) == 0
         begun_us = stage.hub.now_us()
-        zone_falls(stage)
+        crash_zone(stage)
         assert set(cold._closed) == {machine.name}
         sights, _ = placer.peer_hints.know()
         assert {sight.machine: sight.phase for sight in sights}[machine.name] is Phase.RUNNING, (
-            "peers hear of no drain"
+            "peers must not learn of a drain"
         )
-        burst(stage, [index], 20)
+        submit_burst(stage, [index], 20)
         assert stage.wait(lambda: not cold._closed, 30)
         launched = next(
             record.at_us
@@ -171,24 +171,24 @@
     stage.play(script, start=False)
 
 
-def test_the_gate_alone_holds_what_the_module_would_send_beyond_the_share() -> None:
-    """Without the guard that has the module go elsewhere, and with a module that may send as much as it likes."""
+def test_the_send_gate_alone_holds_offers_beyond_the_share() -> None:
+    """The guard that keeps the module off the machine is removed, and the module's own limits are raised."""
     stage = SubsetStage(machines=2, placers=3, replicas=2)
 
     def script() -> None:
         stage.begin()
         for each in stage.live_placers():
             each.fleet.slow_start_guard = lambda entry, listed: listed
-            told = each.host._scheduler
-            each.host.feed(_generous(each))
-            assert told is each.host._scheduler
-        fallen = zone_falls(stage)
-        burst(stage, [0, 1, 2], 60)
+            scheduler = each.host._scheduler
+            each.host.feed(_unlimited_settings(each))
+            assert scheduler is each.host._scheduler
+        crashed = crash_zone(stage)
+        submit_burst(stage, [0, 1, 2], 60)
         subsets = stage.subset(0).subsets
-        found = most_within(stage, fallen)
+        found = max_cold_offers(stage, crashed)
         assert found and all(
-            most <= subsets.cold_most(placer, machine, OFFERS)
-            for (placer, machine), most in found.items()
+            count <= subsets.cold_most(placer, machine, FLEET_OFFERS)
+            for (placer, machine), count in found.items()
         ), found
         assert sum(each.base.counts["held:cold_share"] for each in stage.live_placers()) > 0
 
@@ -196,5 +196,5 @@
     assert stage.audit().clean, stage.audit().notes
 
 
-def _generous(placer: Placer) -> Settings:
+def _unlimited_settings(placer: Placer) -> Settings:
     return replace(placer.base.settings.scheduler, placers=1, index=0, fresh_offers=1000.0)
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from tests.core.subset_stage import SubsetStage
-from tests.core.test_subset_cold import OFFERS, burst, most_within
+from tests.core.test_subset_cold import FLEET_OFFERS, max_cold_offers, submit_burst
 from tests.stage import S
 from wingbarrow.core.placer import Placer
 from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDEN_SPREAD_US
@@ -175,14 +175,14 @@
         for machine in others:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.hub.sleep(S + S // 5)
-        answers = burst(stage, [INDEX], 30, pace_s=0.05)
+        answers = submit_burst(stage, [INDEX], 30, pace_s=0.05)
         assert subset.extra >= 1 and answers["placed"] > 0, answers
         shares = {
-            machine.name: subset.subsets.cold_most(slot.name, machine.name, OFFERS)
+            machine.name: subset.subsets.cold_most(slot.name, machine.name, FLEET_OFFERS)
             for machine in others
         }
         assert max(shares.values()) <= 2, "the ranks after the first share a quarter"
-        found = most_within(stage, others)
+        found = max_cold_offers(stage, others)
         print("shares", shares, "found", found, "answers", dict(answers))
         assert found and all(most <= shares[machine] for (_, machine), most in found.items()), found
         assert any(most == shares[machine] for (_, machine), most in found.items()), (
