--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -52,7 +52,11 @@
     assert job.unanswered == sum(not task.answered for task in job.tasks)
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
-    assert store.admission.open == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
+    assert (
+        store.admission.open_tasks
+        == sum(task.state in OPEN for task in job.tasks)
+        == job.open_tasks
+    )
     update_job_status(job, 1)
 
 
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -80,7 +80,7 @@
         subsets = stage.subset(0).subsets
         found = max_cold_offers(stage, crashed)
         assert found and all(
-            count <= subsets.cold_most(placer, machine, FLEET_OFFERS)
+            count <= subsets.max_cold_offers(placer, machine, FLEET_OFFERS)
             for (placer, machine), count in found.items()
         ), found
         assert answers["placed"] == 160
@@ -104,7 +104,7 @@
         answers = submit_burst(stage, [0], 60, pace_s=0.05)
         found = max_cold_offers(stage, crashed)
         shares = {
-            machine.name: subsets.cold_most("placer-0", machine.name, FLEET_OFFERS)
+            machine.name: subsets.max_cold_offers("placer-0", machine.name, FLEET_OFFERS)
             for machine in crashed
         }
         print(
@@ -135,7 +135,7 @@
         stage.begin()
         subsets = stage.subset(0).subsets
         machine = stage.cluster.machines[0]
-        order = subsets.order(machine.name)
+        order = subsets.ranking(machine.name)
         slot = next(each for each in stage.cluster.placers if each.name == order[-1])
         index = stage.cluster.placers.index(slot)
         for other in stage.cluster.placers:
@@ -146,7 +146,7 @@
         cold = cold_shares(placer)
         # Two offers for the whole region: ranks beyond the second have no share.
         cold._fleet_offers = lambda: 2.0
-        assert subsets.cold_most(slot.name, machine.name, 2.0) == 0
+        assert subsets.max_cold_offers(slot.name, machine.name, 2.0) == 0
         begun_us = stage.hub.now_us()
         crash_zone(stage)
         assert set(cold._closed) == {machine.name}
@@ -187,7 +187,7 @@
         subsets = stage.subset(0).subsets
         found = max_cold_offers(stage, crashed)
         assert found and all(
-            count <= subsets.cold_most(placer, machine, FLEET_OFFERS)
+            count <= subsets.max_cold_offers(placer, machine, FLEET_OFFERS)
             for (placer, machine), count in found.items()
         ), found
         assert sum(each.base.counts["held:cold_share"] for each in stage.live_placers()) > 0
--- a/wingbarrow/core/machine_link.py
+++ b/wingbarrow/core/machine_link.py
@@ -257,7 +257,7 @@
                 for kind, value in self._events(version):
                     version = str(value.get("metadata", {}).get("resourceVersion") or version)
                     self.reachable = True
-                    self._watch_backoff.clear()
+                    self._watch_backoff.reset()
                     if kind != "BOOKMARK":
                         on_event(kind, value)
             except (CallFailed, ApiError, ValueError) as error:
@@ -265,7 +265,7 @@
                 # After any failure, list again: a list is cheap and misses nothing.
                 version = ""
                 log("machine-watch-failed", machine=self.name, why=str(error)[:200])
-                self.hub.sleep(self._watch_backoff.next_us())
+                self.hub.sleep(self._watch_backoff.next_delay_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
         target = (
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -6,7 +6,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide.crowd import Crowd
+from wingbarrow.decide.connection_limits import ConnectionLimits
 from wingbarrow.decide.overload import OverloadControl, Rejected
 from wingbarrow.decide.retries import RunEnd
 from wingbarrow.relay import setup
@@ -32,7 +32,7 @@
         attempts: Attempts,
         links: Links,
         offers: Offers,
-        crowd: Crowd,
+        limits: ConnectionLimits,
         settings: api.Settings,
         max_retry_after_us: int,
         deadline_us: int,
@@ -44,7 +44,7 @@
             requests,
             attempts,
         )
-        self._links, self._offers, self._crowd = links, offers, crowd
+        self._links, self._offers, self._limits = links, offers, limits
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
         self._bounds = setup.Bounds.of(settings, deadline_us)
@@ -91,8 +91,8 @@
         )
         if isinstance(due_us, Rejected):
             self._reject(owner, message.task, Cause.BUSY, due_us.why.name.lower(), existing)
-        elif pending >= MAX_PENDING_TASKS or not self._crowd.may_open(
-            owner.guest, len(owner.tasks)
+        elif pending >= MAX_PENDING_TASKS or not self._limits.may_open_set_up(
+            owner.connection, len(owner.tasks)
         ):
             self._reject(owner, message.task, Cause.BUSY, "too many open", existing)
         else:
--- a/wingbarrow/relay/placer.py
+++ b/wingbarrow/relay/placer.py
@@ -7,8 +7,8 @@
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
 from wingbarrow.core.placer_runtime import PlacerRuntime
-from wingbarrow.decide.crowd import Crowd
-from wingbarrow.decide.descriptors import Table
+from wingbarrow.decide.connection_limits import ConnectionLimits
+from wingbarrow.decide.descriptor_budget import DescriptorBudget
 from wingbarrow.relay import journal
 from wingbarrow.relay.admission import Admission
 from wingbarrow.relay.configuration import BadConfiguration, Configuration, load_journal
@@ -45,14 +45,14 @@
         settings = configuration.settings
         runtime = self.runtime = PlacerRuntime(hub, log, configuration.seed)
         self._host = Host(runtime, settings)
-        table = self._table = Table(configuration.sockets)
+        budget = self._budget = DescriptorBudget(configuration.sockets)
         self._requests = RequestTable()
         self._attempts = Attempts()
-        self._links = Links(table, lambda: len(self.owners), configuration.conn_idle_us)
-        crowd = Crowd(table.owners_most)
+        self._links = Links(budget, lambda: len(self.owners), configuration.conn_idle_us)
+        limits = ConnectionLimits(budget.max_owners)
         self.owners = Owners(
             runtime,
-            crowd,
+            limits,
             self._on_owner_message,
             self._on_owner_disconnect,
             lambda: self._links.make_room(0),
@@ -75,7 +75,7 @@
             self._attempts,
             self._links,
             self._offers,
-            crowd,
+            limits,
             settings,
             configuration.max_retry_after_us,
             configuration.patience_us,
@@ -261,7 +261,7 @@
             "counts",
             owners=len(self.owners),
             machines=self._links.held,
-            descriptors_most=self._table.most,
+            descriptors_most=self._budget.total,
             running=len(self._attempts),
             pending=self._requests.pending,
             module_ms=self._host.module_ns // 1_000_000,
