--- a/tests/core/subset_stage.py
+++ b/tests/core/subset_stage.py
@@ -110,9 +110,9 @@
 
     def has_expected_subsets(self) -> bool:
         """Whether each running placer is connected to exactly its expected subset, and watches all of it."""
-        wanted = self.expected_subsets([each.base.settings.name for each in self.live_placers()])
+        wanted = self.expected_subsets([each.context.settings.name for each in self.live_placers()])
         return all(
-            set(each.machines.links) == wanted[each.base.settings.name] == set(each.fleet.held)
+            set(each.machines.links) == wanted[each.context.settings.name] == set(each.fleet.held)
             and all(link.reachable for link in each.machines.links.values())
             for each in self.live_placers()
         )
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -81,7 +81,7 @@
         )
         assert stage.expected_subsets([slot.name for slot in slots]) == before
         assert all(not each.subset.lingering for each in stage.live_placers() if each.subset)
-        assert sum(each.base.counts["subset:released"] for each in stage.live_placers()) > 0
+        assert sum(each.context.counts["subset:released"] for each in stage.live_placers()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -147,7 +147,7 @@
         assert [set(each.machines.links) for each in stage.live_placers()] == before
         assert (
             sum(
-                each.base.counts["subset:changes"] + each.fleet.reflector.refills
+                each.context.counts["subset:changes"] + each.fleet.reflector.refills
                 for each in stage.live_placers()
             )
             == 0
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -100,7 +100,7 @@
         assert stage.wait(stage.has_expected_subsets, 60)
         crashed = crash_zone(stage)
         placer, subsets = stage.placer(0), stage.subset(0).subsets
-        before = placer.base.counts["binds"]
+        before = placer.context.counts["binds"]
         answers = submit_burst(stage, [0], 60, pace_s=0.05)
         found = max_cold_offers(stage, crashed)
         shares = {
@@ -113,11 +113,11 @@
             "answers",
             dict(answers),
             "held",
-            placer.base.counts["held:cold_share"],
+            placer.context.counts["held:cold_share"],
         )
         assert min(shares.values()) < FLEET_OFFERS // 2
         assert all(count <= shares[machine] for (_, machine), count in found.items())
-        assert placer.base.counts["binds"] - before <= 60 * 2, (
+        assert placer.context.counts["binds"] - before <= 60 * 2, (
             "the module repeats decisions for offers that are held back"
         )
         stage.hub.sleep(18 * S)
@@ -190,11 +190,11 @@
             count <= subsets.max_cold_offers(placer, machine, FLEET_OFFERS)
             for (placer, machine), count in found.items()
         ), found
-        assert sum(each.base.counts["held:cold_share"] for each in stage.live_placers()) > 0
+        assert sum(each.context.counts["held:cold_share"] for each in stage.live_placers()) > 0
 
     stage.play(script, start=False)
     assert stage.audit().clean, stage.audit().notes
 
 
 def _unlimited_settings(placer: Placer) -> Settings:
-    return replace(placer.base.settings.scheduler, placers=1, index=0, fresh_offers=1000.0)
+    return replace(placer.context.settings.scheduler, placers=1, index=0, fresh_offers=1000.0)
--- a/tests/relay/test_owner_races.py
+++ b/tests/relay/test_owner_races.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, Client, Machine, S, Stage, over
+from tests.relay.stage import MS, Client, Machine, S, Stage, release_message
 from wingbarrow.relay.message import Cause, Kind, with_cause
 
 TASKS_OVER_LIMIT = 12_000  # more tasks than one placer tracks
@@ -16,7 +16,7 @@
 def releases(machine: Machine, task: int) -> int:
     """Number of RELEASE messages that a machine received for a task."""
     return sum(
-        each.message.kind == Kind.RELEASE and each.message.task == task for each in machine.heard
+        each.message.kind == Kind.RELEASE and each.message.task == task for each in machine.received
     )
 
 
@@ -50,7 +50,7 @@
         stage.sleep(3000)
         assert any(stream.open for stream in machine.streams), "no new connection came up"
         assert releases(machine, 1) >= 1
-        machine.tell(over(1, Cause.CANCELLED))
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(50)
         assert len(stage.placer._attempts) == 0
 
@@ -84,7 +84,7 @@
         move(stage)
         stage.owner.stream.abort()  # before the move was read
         stage.sleep(50)
-        machine.tell(over(1, Cause.CANCELLED))
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(8500)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert [each.kind for each in other.of(1)] == [Kind.MOVE]
@@ -117,7 +117,7 @@
         prove(stage.owner, 1)
         stage.owner.stream.close()
         stage.sleep(20)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(20)
         assert stage.placer.runtime.counts["releases_waited"] == 1
         fresh = stage.client()
@@ -140,13 +140,13 @@
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         prove(stage.owner, 1)
-        machine.tell(over(5))
+        machine.tell(release_message(5))
         stage.sleep(5)
         stage.owner.ask(5, figures=RUNNING_ON_FIGURES, patience_ms=0)
         began = stage.hub.now_us()
         stage.sleep(1000)
         assert [each.kind for each in stage.owner.of(5)] == [Kind.RELEASE]
-        assert stage.owner.heard[-1].at_us - began <= S
+        assert stage.owner.received[-1].at_us - began <= S
         assert stage.placer._requests.by_ident.get(5) is None
 
     Stage(1).run(play)
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -1,8 +1,8 @@
-"""Admission of Jobs, and what else clients ask of the core by whatever protocol: deletion, eviction, names.
+"""Admission, deletion and eviction of Jobs, independent of the client protocol.
 
-A Job is admitted after these checks, in this order: form, name, overload and deadline, limits of this placer, limits of
-the whole fleet (which may wait), federation spec, and for a leased Job a replica that holds its record (which may
-wait). Until the last has passed nothing of the Job is kept.
+A Job is admitted after these checks, in this order: manifest, name, overload and deadline, limits of this placer,
+limits of the whole fleet (which may wait), federation spec, and for a leased Job a replica that holds its record (which
+may wait). Nothing of the Job is kept until the last check has passed.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
-from wingbarrow.core.intake import JobRequest, job_value, read_job
+from wingbarrow.core.job_manifest import JobRequest, job_value, read_job
 from wingbarrow.core.job_store import OPEN, JobLease, JobStore, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeaseCandidate, LeasedJobs
 from wingbarrow.core.remote_regions import RemoteRegions
@@ -30,7 +30,7 @@
 
 
 def _named_spec(value: dict[str, Any]) -> str:
-    """The federation spec that a Job names, "" for none."""
+    """The federation spec that a Job names; "" if it names none."""
     return str((value["metadata"].get("annotations") or {}).get(names.FEDERATION, ""))
 
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         jobs: JobStore,
         attempts: Attempts,
         objects: ApiObjects,
@@ -51,7 +51,7 @@
         leased_jobs: LeasedJobs | None = None,
         remote_regions: RemoteRegions | None = None,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._attempts = attempts
         self._objects = objects
@@ -62,12 +62,15 @@
         self._active_rules = active_rules
         self._leased_jobs = leased_jobs
         self._remote_regions = remote_regions
-        self._overload = OverloadControl(base.settings.scheduler.tick_us)
+        self._overload = OverloadControl(context.settings.scheduler.tick_us)
 
     def check_overload(self, arrived_us: int) -> None:
         """Called for each Job before its body is read; raises ApiError 429 where the placer is overloaded."""
         rejected = self._overload.check_wait(
-            self._base.hub.now_us(), arrived_us, self._base.hub.lag_us(), self._jobs.unanswered
+            self._context.hub.now_us(),
+            arrived_us,
+            self._context.hub.lag_us(),
+            self._jobs.unanswered,
         )
         if rejected is not None:
             raise self._overload_error(rejected)
@@ -80,10 +83,9 @@
         dry_run: bool = False,
         arrived_us: int | None = None,
     ) -> dict[str, Any]:
-        """Admit a Job and return its value as clients see it; ApiError says why it is rejected, without a trace of it.
+        """Admit a Job and return it as published. ApiError gives the reason for a rejection, which leaves no trace.
 
-        The owner's patience runs from `arrived_us`, a time at which the request had not arrived yet; by default from
-        now.
+        The owner's patience starts at `arrived_us`, a time no later than the request's arrival; by default now.
         """
         return self._admit(value, namespace, dry_run, arrived_us, is_forwarded=False)
 
@@ -99,52 +101,52 @@
         arrived_us: int | None,
         is_forwarded: bool,
     ) -> dict[str, Any]:
-        base = self._base
-        self._active_rules.check_contact()
-        generated_suffix = f"{base.random.randrange(36**5):05x}"[-5:]
+        context = self._context
+        self._active_rules.check_rules_permitted()
+        generated_suffix = f"{context.random.randrange(36**5):05x}"[-5:]
         request = read_job(
-            value, namespace, base.settings.classes, base.settings.limits, generated_suffix
+            value, namespace, context.settings.classes, context.settings.limits, generated_suffix
         )
         key = f"{namespace}/{request.name}"
         self._check_name(key, request.name)
-        now = base.hub.now_us()
+        now = context.hub.now_us()
         due_us = self._due_us(request, now, now if arrived_us is None else arrived_us)
         self._check_limits(namespace, request.count)
         if not dry_run:
             self._check_fleet_limits(request, now, due_us)
-        if base.hub.now_us() > now:  # it waited for a quota: other Jobs may have been admitted
+        if context.hub.now_us() > now:  # waited for quota: other Jobs may have been admitted
             self._check_name(key, request.name)
             self._check_limits(namespace, request.count)
         spec = None
         if self._leased_jobs is not None:
             spec = self._leased_jobs.spec_for(request, _named_spec(value))
-        region = base.settings.region
+        region = context.settings.region
         if spec is not None and self._remote_regions is not None and not dry_run:
             region = self._remote_regions.route(request, spec, is_forwarded)
         uid = names.uid(
-            base.settings.name,
-            base.incarnation,
+            context.settings.name,
+            context.incarnation,
             key,
             self._objects.store.version,
-            base.random.random(),
+            context.random.random(),
         )
-        shown = job_value(value, request, uid, base.hub.clock.wall_us())
+        published = job_value(value, request, uid, context.hub.clock.wall_us())
         if dry_run:
-            return shown
-        is_local = region == base.settings.region
+            return published
+        is_local = region == context.settings.region
         lease = None
         if spec is not None and is_local:
-            lease = self._lease(key, uid, request, spec, shown, due_us)
-        job = self._jobs.add(key, uid, request, shown)
+            lease = self._lease(key, uid, request, spec, published, due_us)
+        job = self._jobs.add(key, uid, request, published)
         if lease is not None and self._leased_jobs is not None:
             self._leased_jobs.accept(job, lease)
-        self._objects.show_new(job)
+        self._objects.publish_new_job(job)
         if spec is not None and not is_local and self._remote_regions is not None:
             self._remote_regions.forward_job(job, due_us, region, spec.name)
-            return shown
+            return published
         for task in job.tasks:
             self._requests.submit(task, due_us)
-        return shown
+        return published
 
     # -- steps of admission; each raises ApiError where the Job is rejected
 
@@ -157,12 +159,12 @@
             )
 
     def _due_us(self, request: JobRequest, now_us: int, arrived_us: int) -> int:
-        """When the final answer is due."""
+        """The time at which the final answer is due."""
         due_us = self._overload.due_us(
             now_us,
             arrived_us,
             request.patience_us,
-            self._base.hub.lag_us(),
+            self._context.hub.lag_us(),
             self._jobs.unanswered,
             self._jobs.answers.total(),
         )
@@ -172,23 +174,23 @@
 
     def _overload_error(self, rejected: Rejected) -> ApiError:
         counter = "turned_away:" + rejected.why.name.lower()
-        self._base.counts[counter] += 1
-        if self._base.counts[counter] % 1000 == 1:
-            self._base.log(
-                "job-turned-away",
+        self._context.counts[counter] += 1
+        if self._context.counts[counter] % 1000 == 1:
+            self._context.log(
+                "job-rejected",
                 level="warning",
                 why=rejected.why.value,
-                so_far=self._base.counts[counter],
+                so_far=self._context.counts[counter],
             )
         return ApiError(429, rejected.why.value, retry_after_s=rejected.retry_after_s)
 
     def _check_limits(self, namespace: str, count: int) -> None:
-        """This placer's own limits on open tasks and pending stops."""
+        """Check this placer's own limits on open tasks and pending stops."""
         exceeded = self._jobs.admission.check(namespace, count, self._stops.pending)
         if exceeded is not None:
-            self._base.counts["turned_away"] += 1
-            self._base.log(
-                "job-turned-away", level="warning", what=exceeded.what, most=exceeded.limit
+            self._context.counts["turned_away"] += 1
+            self._context.log(
+                "job-rejected", level="warning", what=exceeded.what, most=exceeded.limit
             )
             raise ApiError(
                 429,
@@ -197,7 +199,7 @@
             )
 
     def _check_fleet_limits(self, request: JobRequest, now_us: int, due_us: int) -> None:
-        """Limits that placers agree on; waits for this placer's quota, up to a third of the time left."""
+        """Check the limits that placers agree on; waits for quota up to a third of the time that is left."""
         exceeded = self._active_rules.use_quota_or_wait(
             request.namespace,
             request.task_class.task_class.name,
@@ -206,13 +208,13 @@
         )
         if exceeded is None:
             return
-        self._base.counts["turned_away:limit"] += 1
-        # Random, so that clients rejected at one time do not retry at one time.
+        self._context.counts["turned_away:limit"] += 1
+        # Random, so that clients that are rejected together do not retry together.
         raise ApiError(
             429,
             f"limit {exceeded.key} of the whole fleet: {exceeded.most}"
             + (f" in {exceeded.window_us / 1e6:g} s" if exceeded.window_us else " at once"),
-            retry_after_s=self._base.random.randrange(1, 5),
+            retry_after_s=self._context.random.randrange(1, 5),
         )
 
     def _lease(
@@ -221,17 +223,17 @@
         uid: str,
         request: JobRequest,
         spec: Spec,
-        shown: dict[str, Any],
+        published: dict[str, Any],
         due_us: int,
     ) -> JobLease | None:
-        """Have replicas hold the record of a Job whose spec asks for failover; waits. None where it asks for none."""
+        """Replicate the record of a Job whose spec asks for failover, and wait for that. None if it asks for none."""
         if spec.failover is None or self._leased_jobs is None:
             return None
-        manifest = {name: part for name, part in shown.items() if name != "status"}
+        manifest = {name: part for name, part in published.items() if name != "status"}
         candidate = LeaseCandidate(key, uid, request, spec, names.encode(manifest).decode())
         return self._leased_jobs.replicate(candidate, due_us)
 
-    # -- what ends tasks
+    # -- deletion and eviction
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job, stop its tasks, and return its last value; ApiError 404 where there is none."""
@@ -242,7 +244,7 @@
         for task in job.tasks:
             self._withdraw(task)
         last = self._objects.jobs.delete(key)
-        self._base.counts["jobs_deleted"] += 1
+        self._context.counts["jobs_deleted"] += 1
         return last.value if last else job.value
 
     def _withdraw(self, task: TaskRecord) -> None:
@@ -260,11 +262,11 @@
             if attempt is None:
                 return
             attempt.abandoned = True
-            if attempt.confirming and self._leased_jobs is not None:
+            if attempt.awaiting_confirmation and self._leased_jobs is not None:
                 self._leased_jobs.stop(attempt)
             elif attempt.stage is Stage.SENT:
-                # Danger: the offer is in flight; without a stop the pod that it starts would run without an owner. One
-                # stop ends it on the machine, and the offer is answered by that.
+                # Danger: the offer is in flight; without a stop, the pod that it starts would run without an owner. One
+                # stop ends the pod on the machine, and that settles the offer.
                 attempt.stopping = retries.RunEnd.STOPPED
                 self._stops.request(
                     attempt.link,
@@ -291,10 +293,10 @@
         self._drain_schedule.move_task(attempt.request, "evicted through the API")
 
     def namespaces(self) -> list[str]:
-        """The namespaces of present Jobs, and `default`."""
+        """The namespaces of all stored Jobs, and `default`."""
         return sorted({"default", *(job.request.namespace for job in self._jobs.jobs.values())})
 
     def uid_of(self, key: str) -> str | None:
-        """The uid of the Job of that key, None without one."""
+        """The uid of the Job of that key; None if there is none."""
         job = self._jobs.jobs.get(key)
         return job.uid if job is not None else None
--- a/wingbarrow/core/local_region.py
+++ b/wingbarrow/core/local_region.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.decide.regions.reports import RegionReport
@@ -22,8 +22,8 @@
     `leased_by_spec` returns the capacity that is leased in this region: per federation spec its name, cores and GiB.
     """
 
-    def __init__(self, base: Base, jobs: JobStore, fleet: Fleet) -> None:
-        self._base = base
+    def __init__(self, context: CoreContext, jobs: JobStore, fleet: Fleet) -> None:
+        self._context = context
         self._jobs = jobs
         self._fleet = fleet
         # Time, total of tasks answered or rejected until then, total of those refused or rejected.
@@ -34,7 +34,7 @@
 
     def report(self, now_us: int) -> RegionReport | None:
         """The report, at most REPORT_INTERVAL_US old; None without a region, machines, or a list of them."""
-        settings = self._base.settings
+        settings = self._context.settings
         if (
             not settings.region
             or not settings.machines
@@ -49,7 +49,7 @@
 
     def _summarise(self, now_us: int) -> RegionReport:
         """Build a report, where the capacity of a subset of the machines is scaled up to that of the region."""
-        scheduler, sizes = self._base.settings.scheduler, self._base.sizes
+        scheduler, sizes = self._context.settings.scheduler, self._context.sizes
         capacity = [0.0, 0.0]
         free = [0.0, 0.0]
         machines = 0
@@ -68,7 +68,7 @@
         machines = round(machines / fraction)
         demanded, refused = self._recent_demand(now_us)
         return RegionReport(
-            self._base.settings.region,
+            self._context.settings.region,
             round(capacity[0], 3),
             round(capacity[1], 3),
             round(free[0], 3),
@@ -84,7 +84,7 @@
         """Numbers of tasks answered or rejected in DEMAND_WINDOW_US, and of those refused or rejected."""
         rejected = sum(
             count
-            for name, count in self._base.counts.items()
+            for name, count in self._context.counts.items()
             if name.startswith(REJECTED_COUNTER_PREFIX)
         )
         answers = self._jobs.answers
--- a/wingbarrow/core/machine_leases.py
+++ b/wingbarrow/core/machine_leases.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from wingbarrow.core.attempts import Attempt
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.decide.sessions.session import Session
@@ -41,8 +41,10 @@
 class MachineLeases:
     """Owns the readings of machines' clocks, and the counts of leased attempts on each machine."""
 
-    def __init__(self, base: Base, machines: Machines, lease: SessionLease, lease_us: int) -> None:
-        self._base = base
+    def __init__(
+        self, context: CoreContext, machines: Machines, lease: SessionLease, lease_us: int
+    ) -> None:
+        self._context = context
         self._machines = machines
         self.lease = lease
         self.lease_us = lease_us
@@ -62,7 +64,7 @@
         return (
             current is not None
             and current.text() == session
-            and self.lease.may_send(self._base.hub.now_us())
+            and self.lease.may_send(self._context.hub.now_us())
         )
 
     # -- clocks
@@ -73,7 +75,7 @@
         Danger: the two clocks drift apart from the reading on, so an older reading must not be used.
         """
         clock = self._clocks.get(link)
-        return clock is not None and self._base.hub.now_us() - clock.received_us <= self.lease_us
+        return clock is not None and self._context.hub.now_us() - clock.received_us <= self.lease_us
 
     def read_clock(self, link: MachineLink) -> bool:
         """Request a machine's clock, and wait for the response. False without a readable one."""
@@ -84,7 +86,7 @@
         boot, _, reading = text.rpartition(":")
         if not boot or not reading.isdecimal():
             return False
-        self._clocks[link] = MachineClock(boot, int(reading), self._base.hub.now_us())
+        self._clocks[link] = MachineClock(boot, int(reading), self._context.hub.now_us())
         return True
 
     def forget_clock(self, link: MachineLink) -> None:
@@ -120,11 +122,11 @@
     def run(self) -> None:
         """Check for due renewals at intervals, until cancelled."""
         while True:
-            self._base.hub.sleep(self.lease_us // (RENEWALS_PER_LEASE * CHECKS_PER_RENEWAL))
+            self._context.hub.sleep(self.lease_us // (RENEWALS_PER_LEASE * CHECKS_PER_RENEWAL))
             self._renew_due()
 
     def _renew_due(self) -> None:
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         session = self.lease.session
         self._clocks = {
             link: clock
@@ -147,14 +149,14 @@
             due_us = renewed_us + self.lease_us // RENEWALS_PER_LEASE
             if expiry_us < self.lease.machine_lease_until_us and now >= due_us:
                 self._pending.add(name)
-                self._base.spawn(
+                self._context.spawn(
                     partial(self._renew, link, session.text()), f"renew leases on {name}"
                 )
 
     def _renew(self, link: MachineLink, session: str) -> None:
         try:
             if not self.has_recent_clock(link) and not self.read_clock(link):
-                self._base.counts["leases:no clock"] += 1
+                self._context.counts["leases:no clock"] += 1
                 return
             if self.lease.session is None or self.lease.session.text() != session:
                 return  # Danger: the session ended while the clock was read, so nothing may be renewed for it.
@@ -163,9 +165,9 @@
             if reading is None:
                 self.forget_clock(link)  # the machine restarted, and its tasks are gone
             elif self.on_clock(link, reading):
-                self._renewed[link.name] = expiry_us, self._base.hub.now_us()
-                self._base.counts["leases:renewed"] += 1
+                self._renewed[link.name] = expiry_us, self._context.hub.now_us()
+                self._context.counts["leases:renewed"] += 1
                 return
-            self._base.counts["leases:not renewed"] += 1
+            self._context.counts["leases:not renewed"] += 1
         finally:
             self._pending.discard(link.name)
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -12,7 +12,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.machine_link import MachineLink
@@ -88,13 +88,13 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         local: LocalMachines,
         member: MaintenanceMember,
         agreement: Callable[[], Coordinator | None],
         rules: Callable[[], RuleSet | None],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = local.fleet
         self._machines = local.machines
         self._attempts = local.attempts
@@ -109,7 +109,7 @@
         self._requests: list[SlotRequest] = []
         self._requests_us = -REQUESTS_INTERVAL_US
         self._move_allowance = 0.0
-        self._allowance_us = base.hub.now_us()
+        self._allowance_us = context.hub.now_us()
         self._calls_in_progress = 0
         member.observe_by(self)
         local.drain_schedule.is_closed_by_slot = member.is_closed
@@ -141,7 +141,7 @@
     def reply_for(self, number: int) -> MachineReply:
         """The last reply of a slot's machine, if it is younger than REPLY_VALID_US; else `MachineReply.NONE`."""
         calls = self._calls_by_slot.get(number)
-        if calls is None or self._base.hub.now_us() - calls.replied_us >= REPLY_VALID_US:
+        if calls is None or self._context.hub.now_us() - calls.replied_us >= REPLY_VALID_US:
             return MachineReply.NONE
         return calls.reply
 
@@ -156,7 +156,7 @@
             return None
         states = {each.name: each for each in self._drain_schedule.machine_states()}
         cells = Counter((each.zone, each.cell) for each in self._listed.values())
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         agreement = self._agreement()
         ejected = agreement.ejections.ejected(now_us) if agreement is not None else frozenset()
         lost = [
@@ -186,12 +186,12 @@
 
     def slot_requests(self) -> Sequence[SlotRequest]:
         """Slot requests of due windows and for repeatedly ejected machines, computed every REQUESTS_INTERVAL_US."""
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         rules = self._rules()
         if rules is None or now_us - self._requests_us < REQUESTS_INTERVAL_US:
             return self._requests
         states = self._drain_schedule.machine_states()
-        wall_us = self._base.hub.clock.wall_us()
+        wall_us = self._context.hub.clock.wall_us()
         found = calendar_requests(rules, states, wall_us)
         found += self._ejection_requests(now_us, wall_us, states)
         self._requests = found
@@ -250,7 +250,7 @@
         """Close and open machines at once after a grant changed the slots."""
         before = self._closed
         self._closed = self._member.closed_machines
-        self._drain_schedule.refresh(before ^ self._closed)
+        self._drain_schedule.on_slots_changed(before ^ self._closed)
         known = self._member.slots
         self._calls_by_slot = {
             number: each for number, each in self._calls_by_slot.items() if number in known
@@ -260,10 +260,10 @@
         """Scan slots and machines until cancelled."""
         while True:
             self._scan()
-            self._base.hub.sleep(SCAN_INTERVAL_US)
+            self._context.hub.sleep(SCAN_INTERVAL_US)
 
     def _scan(self) -> None:
-        now_us = self._base.hub.now_us()
+        now_us = self._context.hub.now_us()
         if self._fleet.ready:
             self._scan_list(now_us)
         if self._closed != self._member.closed_machines:
@@ -311,7 +311,7 @@
         calls.called_us = now_us
         calls.is_calling = True
         self._calls_in_progress += 1
-        self._base.spawn(
+        self._context.spawn(
             lambda: self._call(link, slot, calls), f"call the machine of slot {slot.number}"
         )
 
@@ -323,9 +323,9 @@
             calls.is_calling = False
         if reply:
             calls.reply = MachineReply(reply)
-            calls.replied_us = self._base.hub.now_us()
+            calls.replied_us = self._context.hub.now_us()
         else:
-            self._base.counts["turns:no word"] += 1
+            self._context.counts["turns:no word"] += 1
 
     def _move_tasks(self, now_us: int) -> None:
         """Migrate own tasks off closed machines, at this placer's share of the maintenance plan's rate."""
@@ -348,7 +348,7 @@
 
     def _refill_move_allowance(self, now_us: int, rules: RuleSet) -> None:
         """Refill the token bucket: `plan.moves` every `plan.every_us` for all placers; it holds at least one token."""
-        share = rules.plan.moves / max(1, self._base.settings.scheduler.placers)
+        share = rules.plan.moves / max(1, self._context.settings.scheduler.placers)
         elapsed_us = max(0, now_us - self._allowance_us)
         self._allowance_us = now_us
         allowance = self._move_allowance + share * elapsed_us / rules.plan.every_us
--- a/wingbarrow/core/pod_observer.py
+++ b/wingbarrow/core/pod_observer.py
@@ -7,7 +7,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
 from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.offers import Offers
@@ -29,14 +29,14 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         attempts: Attempts,
         offers: Offers,
         runs: Runs,
         orphans: Orphans,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._attempts = attempts
         self._offers = offers
@@ -75,16 +75,18 @@
             else:
                 self._on_pod_status(link, pod_status)
 
-        self._base.spawn(
-            lambda: link.watch_tasks(on_list, on_event, self._base.log), f"watch {link.name}"
+        self._context.spawn(
+            lambda: link.watch_tasks(on_list, on_event, self._context.log), f"watch {link.name}"
         )
 
     def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
         try:
             return read_pod(value)
         except ValueError as error:
-            self._base.counts["bad_pods"] += 1
-            self._base.log("unreadable-pod", level="warning", machine=link.name, field=str(error))
+            self._context.counts["bad_pods"] += 1
+            self._context.log(
+                "unreadable-pod", level="warning", machine=link.name, field=str(error)
+            )
             return None
 
     def _on_pod_status(self, link: MachineLink, pod_status: PodStatus) -> None:
@@ -97,7 +99,7 @@
                 api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0)
             )
         if pod_status.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
-            self._base.counts["placed_by_news"] += 1
+            self._context.counts["placed_by_news"] += 1
             self._offers.on_running(attempt)
             if attempt.scope is not None:
                 attempt.scope.cancel()
@@ -121,12 +123,12 @@
 
     def _on_usage(self, attempt: Attempt, link: MachineLink, pod_status: PodStatus) -> None:
         usage = tuple(pod_status.use.get(key, -1.0) for key in _USAGE_KINDS)
-        if usage == attempt.use:
+        if usage == attempt.usage:
             return
-        attempt.use = usage
+        attempt.usage = usage
         for kind, level in zip(_USAGE_KINDS.values(), usage, strict=True):
             if level >= 0:
                 self._host.feed(
                     api.TaskNote(attempt.request, attempt.number, link.ident, kind, level)
                 )
-        self.last_usage_us = self._base.hub.now_us()
+        self.last_usage_us = self._context.hub.now_us()
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -12,7 +12,16 @@
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.relay.configuration import Address
-from wingbarrow.relay.entries import Entry, Event, News, Roster, ident, merge, parse, read
+from wingbarrow.relay.entries import (
+    Entry,
+    Event,
+    ListState,
+    ListUpdate,
+    machine_id,
+    merge,
+    parse,
+    read,
+)
 from wingbarrow.transport import CancelScope
 
 # Danger (rule 3): an event that a silent service withholds counts as delivered soon after the requested wait. A short
@@ -43,9 +52,9 @@
         address: Address,
         position: int,
         shift_us: int,
-        deliver: Callable[[News], None],
+        deliver: Callable[[ListUpdate], None],
         on_failure: Callable[[], None],
-        known: Sequence[News] = (),
+        known: Sequence[ListUpdate] = (),
     ) -> None:
         # Fixed for the life of the process, so that a machine's start time never changes.
         self._shift_us = shift_us
@@ -57,8 +66,8 @@
         self._gap_polls = 0  # consecutive polls after which events were still missing
         self._refetch_all = False  # the position regressed: the next poll asks for all events
         self._lagging_position: int | None = None  # highest number of a service known to lag
-        self._roster = Roster(known)
-        self._marks = OrderedDict((each.position, each.mark) for each in known)
+        self._list_state = ListState(known)
+        self._marks = OrderedDict((each.position, each.digest) for each in known)
         self._logged: deque[str] = deque(maxlen=MAX_LOGGED_TEXTS)
         self._scope: CancelScope | None = None
         self._pool: Pool | None = None
@@ -146,15 +155,15 @@
             self._deliver(each)
         return bool(news)
 
-    def _new_events(self, events: list[Event]) -> list[News]:
-        news: list[News] = []
+    def _new_events(self, events: list[Event]) -> list[ListUpdate]:
+        news: list[ListUpdate] = []
         top = 0
         for event in events:
             number = event.position
             if event.why:
                 self._report_bad_entry(event.why)
                 top = max(top, number)
-            elif number > self.position and (number not in self._applied_ahead or event.whole):
+            elif number > self.position and (number not in self._applied_ahead or event.full):
                 newer = {
                     name
                     for later, names in self._applied_ahead.items()
@@ -163,18 +172,18 @@
                 }
                 news.append(self._merge_event(event, newer))
                 self._applied_ahead[number] = tuple(entry.name for entry in news[-1].entries)
-                if event.whole:
+                if event.full:
                     self._advance_to(number)
                 while self.position + 1 in self._applied_ahead:
                     self._advance_to(self.position + 1)
         self._check_for_gap(max([top, *self._applied_ahead]))
         return news
 
-    def _merge_event(self, event: Event, newer: set[str]) -> News:
-        self._marks[event.position] = event.mark
+    def _merge_event(self, event: Event, newer: set[str]) -> ListUpdate:
+        self._marks[event.position] = event.digest
         if len(self._marks) > MAX_MARKS:
             self._marks.popitem(last=False)
-        return self._roster.take(event, self._report_bad_entry, newer)
+        return self._list_state.apply(event, self._report_bad_entry, newer)
 
     def _advance_to(self, number: int) -> None:
         """Set the position; missing events up to it are no longer expected."""
@@ -201,7 +210,9 @@
             self._runtime.log("journal-gap-skipped", level="error", after=self.position, before=top)
             self._advance_to(top)
 
-    def _on_position_regressed(self, tail: int, highest: int, events: list[Event]) -> list[News]:
+    def _on_position_regressed(
+        self, tail: int, highest: int, events: list[Event]
+    ) -> list[ListUpdate]:
         """Handle an answer that ends before our position: the service lags, or it has renumbered its events."""
         if highest == self._lagging_position:
             return []
@@ -213,7 +224,7 @@
         readable = [event for event in events if not event.why]
         # Danger (rule 3): applying a lagging list would mark draining machines as running.
         hashes_match = all(
-            self._marks.get(event.position, event.mark) == event.mark for event in readable
+            self._marks.get(event.position, event.digest) == event.digest for event in readable
         )
         if not readable or (hashes_match and readable[-1].position in self._marks):
             self._lagging_position = highest
@@ -239,4 +250,4 @@
         self._warn_once("bad-list-entry", why)
 
 
-__all__ = ["Entry", "Follower", "News", "ident", "read"]
+__all__ = ["Entry", "Follower", "ListUpdate", "machine_id", "read"]
