--- a/wingbarrow/core/machine_link.py
+++ b/wingbarrow/core/machine_link.py
@@ -244,15 +244,15 @@
         while not self.retired:
             try:
                 if not version:
-                    asked_us = self.hub.now_us()
+                    requested_us = self.hub.now_us()
                     pods, version = list_all(
                         self._pool,
                         "/api/v1/pods",
                         self._selector(),
                         500,
-                        asked_us + CALL_TIMEOUT_US,
+                        requested_us + CALL_TIMEOUT_US,
                     )
-                    on_list(pods, asked_us)
+                    on_list(pods, requested_us)
                     self.reachable = True
                 for kind, value in self._events(version):
                     version = str(value.get("metadata", {}).get("resourceVersion") or version)
