--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -17,12 +17,12 @@
         assert sum(len(each) for each in wanted.values()) == 24, (
             "each machine is held by two placers"
         )
-        for turn in range(30):
-            slot = stage.cluster.placers[turn % 5]
-            stage.submit_to(slot, f"t{turn}", runs_s=3)
+        for index in range(30):
+            slot = stage.cluster.placers[index % 5]
+            stage.submit_to(slot, f"t{index}", runs_s=3)
             stage.hub.sleep(S // 10)
-        for turn in range(30):
-            assert stage.wait_for_answer(stage.cluster.placers[turn % 5], f"t{turn}") == "placed"
+        for index in range(30):
+            assert stage.wait_for_answer(stage.cluster.placers[index % 5], f"t{index}") == "placed"
         sent = {(record.data["placer"], record.where) for record in stage.seen("offer")}
         assert sent
         assert all(machine in wanted[placer] for placer, machine in sent)
@@ -71,9 +71,9 @@
         for slot in slots[2:]:
             assert before[slot.name] <= after[slot.name], "a remaining placer releases no machine"
             assert stage.placer(slots.index(slot)).fleet.reflector.refills <= 2
-        for turn, slot in enumerate(slots[2:]):
-            stage.submit_to(slot, f"t{turn}", runs_s=20)
-            assert stage.wait_for_answer(slot, f"t{turn}") == "placed"
+        for index, slot in enumerate(slots[2:]):
+            stage.submit_to(slot, f"t{index}", runs_s=20)
+            assert stage.wait_for_answer(slot, f"t{index}") == "placed"
         for slot in slots[:2]:
             slot.start()
         assert stage.wait(stage.has_expected_subsets, 90), (
@@ -108,11 +108,11 @@
         for machine in stage.cluster.machines[:2]:
             stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, 2.0))
         stage.hub.sleep(4 * S)
-        for turn in range(160):
-            stage.submit_to(slots[turn % 4], f"c{turn}", runs_s=1, service=f"s{turn % 7}")
+        for index in range(160):
+            stage.submit_to(slots[index % 4], f"c{index}", runs_s=1, service=f"s{index % 7}")
             stage.hub.sleep(S // 50)
-        for turn in range(160):
-            stage.wait_for_answer(slots[turn % 4], f"c{turn}")
+        for index in range(160):
+            stage.wait_for_answer(slots[index % 4], f"c{index}")
         stage.set_partitioned(slots[:2], slots[2:], False)
         assert stage.wait(stage.has_expected_subsets, 120), (
             "subsets did not recover after the partition"
@@ -174,19 +174,19 @@
         )
         victim = next(machine for machine in stage.cluster.machines if machine.name in own_machines)
         stage.cluster.set_drain(victim, True)
-        for turn in range(12):
-            stage.submit_to(slots[1 + turn % 2], f"other{turn}", runs_s=30)
-        for turn in range(12):
-            assert stage.wait_for_answer(slots[1 + turn % 2], f"other{turn}") == "placed"
+        for index in range(12):
+            stage.submit_to(slots[1 + index % 2], f"other{index}", runs_s=30)
+        for index in range(12):
+            assert stage.wait_for_answer(slots[1 + index % 2], f"other{index}") == "placed"
         assert stage.hub.now_us() < resumed_us
         stage.hub.sleep(resumed_us - stage.hub.now_us())
         assert set(stage.placer(0).machines.links) == own_machines, (
             "it must resume with its old subset"
         )
-        for turn in range(6):
-            stage.submit_to(slots[0], f"after{turn}", runs_s=3)
-        for turn in range(6):
-            stage.wait_for_answer(slots[0], f"after{turn}")
+        for index in range(6):
+            stage.submit_to(slots[0], f"after{index}", runs_s=3)
+        for index in range(6):
+            stage.wait_for_answer(slots[0], f"after{index}")
         assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
--- a/tests/core/test_subset_agreed.py
+++ b/tests/core/test_subset_agreed.py
@@ -67,9 +67,9 @@
         for machine in stage.cluster.machines[:3]:
             stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, 2.0))
         stage.hub.sleep(3 * S)
-        for turn in range(60):
-            slot = stage.cluster.placers[turn % 5]
-            stage.post(slot.port, f"t{turn}")
+        for index in range(60):
+            slot = stage.cluster.placers[index % 5]
+            stage.post(slot.port, f"t{index}")
             stage.hub.sleep(S // 20)
         stage.hub.sleep(8 * S)
         placed = sum(each.context.counts["placed"] for each in live)
--- a/tests/core/test_subset_cold.py
+++ b/tests/core/test_subset_cold.py
@@ -24,19 +24,19 @@
     return found
 
 
-def crash_zone(stage: SubsetStage, back_s: float = 2.0) -> list[Machine]:
+def crash_zone(stage: SubsetStage, restart_s: float = 2.0) -> list[Machine]:
     """Crash all machines of one zone at once, and wait until they are back, cold."""
     crashed = [machine for machine in stage.cluster.machines if machine.build.zone == "hall-a"]
     for machine in crashed:
-        stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, back_s))
-    stage.hub.sleep(int((back_s + 0.2) * S))
+        stage.hub.spawn(lambda m=machine: stage.cluster.crash(m, restart_s))
+    stage.hub.sleep(int((restart_s + 0.2) * S))
     return crashed
 
 
 def submit_burst(
-    stage: SubsetStage, placers: list[int], tasks: int, name: str = "b", pace_s: float = 0.0
+    stage: SubsetStage, placers: list[int], tasks: int, name: str = "b", interval_s: float = 0.0
 ) -> dict[str, int]:
-    """Submit tasks to placers in turn, and count each answer."""
+    """Submit tasks to the placers by turns, and count each answer."""
     answers: dict[str, int] = defaultdict(int)
 
     def one(slot: PlacerSlot, job: str, service: str) -> None:
@@ -44,10 +44,12 @@
         answers[stage.wait_for_answer(slot, job)] += 1
 
     with Nursery(stage.hub) as nursery:
-        for turn in range(tasks):
-            slot = stage.cluster.placers[placers[turn % len(placers)]]
-            nursery.spawn(lambda slot=slot, turn=turn: one(slot, f"{name}{turn}", f"s{turn % 12}"))
-            stage.hub.sleep(int(pace_s * S))
+        for index in range(tasks):
+            slot = stage.cluster.placers[placers[index % len(placers)]]
+            nursery.spawn(
+                lambda slot=slot, index=index: one(slot, f"{name}{index}", f"s{index % 12}")
+            )
+            stage.hub.sleep(int(interval_s * S))
     return answers
 
 
@@ -75,7 +77,7 @@
     def script() -> None:
         stage.begin()
         crashed = crash_zone(stage)
-        answers = submit_burst(stage, [0, 1, 2, 3], 160, pace_s=0.05)
+        answers = submit_burst(stage, [0, 1, 2, 3], 160, interval_s=0.05)
         print("answers", dict(answers))
         subsets = stage.subset(0).subsets
         found = max_cold_offers(stage, crashed)
@@ -101,7 +103,7 @@
         crashed = crash_zone(stage)
         placer, subsets = stage.placer(0), stage.subset(0).subsets
         before = placer.context.counts["binds"]
-        answers = submit_burst(stage, [0], 60, pace_s=0.05)
+        answers = submit_burst(stage, [0], 60, interval_s=0.05)
         found = max_cold_offers(stage, crashed)
         shares = {
             machine.name: subsets.max_cold_offers("placer-0", machine.name, FLEET_OFFERS)
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -177,7 +177,7 @@
         for machine in others:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.hub.sleep(S + S // 5)
-        answers = submit_burst(stage, [INDEX], 30, pace_s=0.05)
+        answers = submit_burst(stage, [INDEX], 30, interval_s=0.05)
         assert subset.extra >= 1 and answers["placed"] > 0, answers
         shares = {
             machine.name: subset.subsets.max_cold_offers(slot.name, machine.name, FLEET_OFFERS)
