--- a/tests/decide/test_gate.py
+++ b/tests/decide/test_gate.py
@@ -1,4 +1,4 @@
-"""The send gate: each rule, and the budget of cold machines over any window."""
+"""The send gate: each rule, and the limit of offers to a cold machine within any window."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 OFFER = Offer(
     decided_us=10 * S,
     deadline_us=20 * S,
-    request_open=True,
-    attempt_out=True,
-    machine_runs=True,
+    request_is_open=True,
+    is_current_attempt=True,
+    machine_is_running=True,
     launched_us=0,
 )
 
@@ -29,12 +29,12 @@
     ("change", "now", "held"),
     [
         ({}, 11 * S, None),
-        ({"request_open": False}, 11 * S, HoldReason.ENDED),
+        ({"request_is_open": False}, 11 * S, HoldReason.ENDED),
         ({}, 20 * S, HoldReason.LATE),
         ({}, 20 * S - 1, None),
-        ({"attempt_out": False}, 11 * S, HoldReason.NOT_OUT),
-        ({"machine_runs": False}, 10 * S, HoldReason.DRAINING),
-        ({"leased": False}, 11 * S, HoldReason.NO_LEASE),
+        ({"is_current_attempt": False}, 11 * S, HoldReason.NOT_OUT),
+        ({"machine_is_running": False}, 10 * S, HoldReason.DRAINING),
+        ({"lease_is_valid": False}, 11 * S, HoldReason.NO_LEASE),
         ({"launched_us": 5 * S}, 10 * S + S // 4, None),
         ({"launched_us": 5 * S}, 10 * S + S // 4 + 1, HoldReason.STALE_COLD),
         ({"launched_us": 5 * S, "deadline_us": 90 * S}, 23 * S, None),
@@ -51,7 +51,7 @@
 
 
 def test_delayed_offers_to_a_cold_machine_stay_within_the_budget_of_any_window() -> None:
-    """What the module counts over 2.5 s and the gate lets wait 0.25 s stays in budget over any 2 s."""
+    """Offers that the module counts over 2.5 s and that wait up to 0.25 s stay within the budget of any 2 s."""
     rng, budget = random.Random(4), 5
     decided: list[int] = []
     sent: list[int] = []
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners' connections, bad clients and releases, judged by what crossed the sockets at the stand-ins."""
+"""Owners' connections, bad clients and releases, checked by the messages at the stand-ins' sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from wingbarrow.transport import Stream
 
 
-def test_an_owner_that_gives_up_or_closes_is_owed_nothing_and_the_machine_hears_of_it() -> None:
+def test_a_task_whose_owner_gives_up_or_closes_is_not_answered_and_its_machine_gets_a_release() -> (
+    None
+):
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         machine.on_set_up = lambda stream, message: None
@@ -28,14 +30,13 @@
     Stage(1).run(play)
 
 
-def test_an_owner_that_ends_a_standing_task_has_it_cut_and_gets_no_release() -> None:
+def test_a_task_that_its_owner_releases_is_stopped_and_its_owner_gets_no_release() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
         stage.sleep(50)
-        stage.client().stream.send(
-            with_cause(Kind.RELEASE, 1, Cause.CANCELLED)
-        )  # on any connection
+        # A release is accepted on any connection.
+        stage.client().stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(50)
         assert [e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE] == [1]
         machine.tell(over(1, Cause.CANCELLED))
@@ -45,24 +46,25 @@
     Stage(1).run(play)
 
 
-def test_a_task_that_a_machine_holds_already_wants_no_answer_and_is_released() -> None:
+def test_an_adopted_task_gets_no_answer_and_is_released_when_it_ends() -> None:
     def play(stage: Stage) -> None:
         figures = "cores:1;memory:1;service:s1;at:s-00000000"
         stage.owner.ask(5, figures=figures, patience_ms=0)
-        stage.owner.ask(5, figures=figures, patience_ms=0)  # it may name what is held already
+        stage.owner.ask(5, figures=figures, patience_ms=0)  # a repeated adoption is ignored
         stage.sleep(300)
         assert stage.owner.of(5) == []
         assert stage.machines[0].set_ups() == []
-        stage.machines[0].tell(over(5))  # a connection is there for its news
+        stage.machines[0].tell(over(5))  # the adoption opened a connection
         stage.sleep(50)
-        stage.client().ask(6, name="e" * 16)  # proves itself an owner: releases can go there
+        # A placed task makes the connection a proven owner's, which releases can go to.
+        stage.client().ask(6, name="e" * 16)
         stage.sleep(400)
         assert stage.placer.life.counts["run:done"] == 1
 
     Stage(1).run(play)
 
 
-def test_a_release_waits_until_an_owner_has_a_connection() -> None:
+def test_a_release_is_deferred_until_an_owner_is_connected() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         stage.owner.ask(1)
@@ -79,18 +81,18 @@
     Stage(1).run(play)
 
 
-def test_a_release_that_crosses_the_end_of_its_connection_goes_on_another() -> None:
+def test_a_release_lost_with_its_connection_is_resent_on_another() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         other = stage.client()
         other.ask(2, name="e" * 16)
         stage.sleep(100)
-        stage.owner.ask(1)  # the latest heard of: releases go here first
+        stage.owner.ask(1)  # the most recently active: releases go here first
         stage.sleep(50)
         machine.tell(over(1))
         machine.tell(over(2))
         stage.hub.checkpoint()
-        stage.owner.stream.abort()  # nothing was said to be heard
+        stage.owner.stream.abort()  # before any acknowledgement
         stage.sleep(100)
         assert [each.kind for each in other.of(1)] == [Kind.RELEASE]
         assert Kind.RELEASE in other.kinds(2)
@@ -115,16 +117,18 @@
         stage.sleep(2500)
         assert stage.owner.kinds(2) == [Kind.ANSWER]
         answers = [flood.kinds(task) for task in range(1000, 1400)]
-        assert all(each == [Kind.RELEASE] for each in answers), "each got one answer, none 'served'"
+        assert all(each == [Kind.RELEASE] for each in answers), (
+            "a set-up got no answer, several, or was placed"
+        )
         reached = {
             heard.message.task for machine in stage.machines for heard in machine.set_ups()
         } - {1, 2}
-        assert len(reached) <= 32, "what nobody knows reaches machines only as far as it must"
+        assert len(reached) <= 32, "an unproven client reached machines with more than 32 set-ups"
 
     Stage().run(play)
 
 
-def test_what_cannot_be_read_ends_that_connection_alone() -> None:
+def test_unreadable_data_ends_only_its_own_connection() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         for data in (
@@ -149,7 +153,7 @@
     Stage().run(play)
 
 
-def test_messages_that_want_no_answer_and_tasks_nowhere_are_no_reason_to_stay() -> None:
+def test_unanswered_messages_and_rejected_adoptions_do_not_keep_an_idle_connection() -> None:
     def play(stage: Stage) -> None:
         idle, lost = stage.client(), stage.client()
         began = stage.hub.now_us()
@@ -178,7 +182,7 @@
     Stage(1).run(play)
 
 
-def test_an_open_id_with_another_description_leaves_the_open_one_alone() -> None:
+def test_a_second_set_up_with_an_open_id_does_not_affect_the_open_task() -> None:
     def play(stage: Stage) -> None:
         (machine,) = stage.machines
         held: list[tuple[Stream, Message]] = []
@@ -194,9 +198,8 @@
         stage.sleep(20)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
         assert len(held) == 1
-        thief.stream.send(
-            with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP)
-        )  # takes back what it never had
+        # Withdraws a task that is another owner's.
+        thief.stream.send(with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP))
         stage.sleep(50)
         assert not any(each.message.kind == Kind.RELEASE for each in machine.heard)
         machine.tell(over(1))
@@ -206,7 +209,7 @@
     Stage(1).run(play)
 
 
-def test_more_connections_than_descriptors_allow_leave_usual_owners_in_place() -> None:
+def test_connections_beyond_the_descriptor_limit_do_not_displace_proven_owners() -> None:
     def play(stage: Stage) -> None:
         stage.owner.ask(1)
         stage.sleep(50)
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -1,4 +1,4 @@
-"""From owners' messages to the module: set-ups, what they take back, tests, tasks that stand already."""
+"""Handles owners' messages: admits or rejects set-ups, withdraws tasks, adopts running ones, answers tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
 from wingbarrow.core.stages import Stage
-from wingbarrow.decide.crowd import Crowd
+from wingbarrow.decide.connection_limits import ConnectionLimits
 from wingbarrow.decide.overload import OverloadControl, Rejected
 from wingbarrow.decide.retries import RunEnd
 from wingbarrow.relay import setup
@@ -17,12 +17,12 @@
 from wingbarrow.relay.tasks import RequestTable, State, Step, Task
 from wingbarrow.relay.trace import Trace
 
-OPEN_IN_ALL = 2048  # set-ups that may wait for their final answer
-MAX_HELD = 8192  # attempts at machines, beyond which no task is taken in as running already
+MAX_PENDING_TASKS = 2048  # set-ups without a final answer, over all connections
+MAX_ATTEMPTS = 8192  # no running task is adopted beyond this number of attempts
 
 
 class Admission:
-    """What owners ask; `ready` is what a test is answered."""
+    """Admission of set-ups; `ready` is the result that TEST messages are answered with."""
 
     def __init__(
         self,
@@ -32,69 +32,69 @@
         attempts: Attempts,
         links: Links,
         offers: Offers,
-        crowd: Crowd,
+        limits: ConnectionLimits,
         settings: api.Settings,
-        stay_away_most_us: int,
+        max_retry_after_us: int,
         deadline_us: int,
         trace: Trace,
     ) -> None:
         self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
-        self._links, self._offers, self._crowd = links, offers, crowd
+        self._links, self._offers, self._limits = links, offers, limits
         self._trace = trace
         self._classes = {each.name: each for each in settings.classes}
         self._bounds = setup.Bounds.of(settings, deadline_us)
-        self._door = OverloadControl(settings.tick_us)
-        self._stay_away = b"%d" % max(1, min(stay_away_most_us, 1_000_000) // 1000)
+        self._overload = OverloadControl(settings.tick_us)
+        self._retry_after_ms = b"%d" % max(1, min(max_retry_after_us, 1_000_000) // 1000)
         self.ready = False
         self.owners: Owners
 
-    def take(self, owner: Owner, message: Message, came_us: int) -> None:
-        """One message of an owner."""
+    def on_message(self, owner: Owner, message: Message, came_us: int) -> None:
+        """Handle a message; at `came_us` (hub's clock) it had certainly not arrived yet. Unknown kinds are ignored."""
         kind = message.kind
         if owner.retired and kind != Kind.RELEASE:
-            self._life.counts["crossed_a_close"] += (
-                1  # nothing can be answered there: its client asks elsewhere
-            )
+            # A retired connection cannot carry an answer; its client retries on another.
+            self._life.counts["crossed_a_close"] += 1
         elif kind == Kind.SET_UP:
             self._set_up(owner, message, came_us)
         elif kind == Kind.RELEASE:
-            self._released(owner, message)
+            self._on_release(owner, message)
         elif kind == Kind.TEST:
             owner.write(with_cause(Kind.TESTED, message.task, int(self.ready)))
-        # All else wants no answer and means nothing here.
 
     def _set_up(self, owner: Owner, message: Message, came_us: int) -> None:
-        held = self._requests.by_ident.get(message.task)
+        existing = self._requests.by_ident.get(message.task)
         try:
-            asked = setup.read(message, self._classes, self._bounds)
+            set_up = setup.read(message, self._classes, self._bounds)
         except setup.BadSetUp as error:
-            self._turn_away(owner, message.task, Cause.ERROR, f"bad: {error}", held)
+            self._reject(owner, message.task, Cause.ERROR, f"bad: {error}", existing)
             return
-        if asked.at is not None:
-            if held is None:
-                self._found(owner, asked, asked.at)
+        if set_up.running_on is not None:
+            if existing is None:
+                self._adopt(owner, set_up, set_up.running_on)
             return
-        if held is not None:
-            self._turn_away(owner, message.task, Cause.ERROR, "id in use", held)
+        if existing is not None:
+            self._reject(owner, message.task, Cause.ERROR, "id in use", existing)
             return
         now, lag, pending = self._life.hub.now_us(), self._life.hub.lag_us(), self._requests.pending
-        due = self._door.check_wait(now, came_us, lag, pending)
-        due_us = due or self._door.due_us(
-            now, came_us, asked.patience_us, lag, pending, self._requests.answered
+        rejection = self._overload.check_wait(now, came_us, lag, pending)
+        due_us = rejection or self._overload.due_us(
+            now, came_us, set_up.patience_us, lag, pending, self._requests.answered
         )
         if isinstance(due_us, Rejected):
-            self._turn_away(owner, message.task, Cause.BUSY, due_us.why.name.lower(), held)
-        elif pending >= OPEN_IN_ALL or not self._crowd.may_open(owner.guest, len(owner.tasks)):
-            self._turn_away(owner, message.task, Cause.BUSY, "too many open", held)
+            self._reject(owner, message.task, Cause.BUSY, due_us.why.name.lower(), existing)
+        elif pending >= MAX_PENDING_TASKS or not self._limits.may_open_set_up(
+            owner.connection, len(owner.tasks)
+        ):
+            self._reject(owner, message.task, Cause.BUSY, "too many open", existing)
         else:
             request = self._requests.next_request()
             task = Task(
                 request,
-                asked.ident,
-                asked.cls,
-                asked.arrival(request, due_us),
+                set_up.ident,
+                set_up.cls,
+                set_up.arrival(request, due_us),
                 owner,
-                asked.passed_on,
+                set_up.passed_on,
             )
             self._requests.add(task)
             owner.tasks[task.ident] = task
@@ -102,41 +102,50 @@
             self._trace(task.ident, "asked", owner=owner.number, effect=task.cls.effect.value)
             self._host.feed(task.arrival)
 
-    def _turn_away(self, owner: Owner, ident: int, cause: int, why: str, held: Task | None) -> None:
-        """A refusal or failure that leaves no trace."""
+    def _reject(
+        self, owner: Owner, ident: int, cause: int, why: str, existing: Task | None
+    ) -> None:
+        """Answer a set-up with a refusal or failure, without recording a task."""
         self._life.counts["turned_away:" + why.partition(":")[0]] += 1
         self._life.log("turned-away", why=why)
-        if held is not None and held.ident in owner.tasks:
-            # Danger: an answer under this id would end the open set-up in its owner's eyes.
+        if existing is not None and existing.ident in owner.tasks:
+            # Danger: the owner would take an answer with this id for the answer to its open set-up.
             self.owners.close(owner, "id twice")
             return
-        if held is not None:
-            owner.foreign.append(ident)
-        more = {int(Code.STAY_AWAY): self._stay_away} if cause == Cause.BUSY else None
-        owner.write(refusal(ident, cause, more))
+        if existing is not None:
+            owner.foreign_ids.append(ident)
+        parameters = {int(Code.STAY_AWAY): self._retry_after_ms} if cause == Cause.BUSY else None
+        owner.write(refusal(ident, cause, parameters))
 
-    def _found(self, owner: Owner, asked: setup.SetUp, at: str) -> None:
-        """A task that a machine holds already comes under this placer's care."""
+    def _adopt(self, owner: Owner, set_up: setup.SetUp, machine_name: str) -> None:
+        """Adopt a task that already runs on a machine: track it and release it when it ends."""
         request, now = self._requests.next_request(), self._life.hub.now_us()
-        link = self._links.by_name.get(at)
+        link = self._links.by_name.get(machine_name)
         self._life.counts["found" if link else "found_nowhere"] += 1
-        if link is None or link.closed or asked.ident in link.running:
-            self._life.log("found-nowhere", level="warning", machine=at)
+        if link is None or link.closed or set_up.ident in link.running:
+            self._life.log("adoption-rejected", level="warning", machine=machine_name)
             if link is None or link.closed:
-                owner.write(refusal(asked.ident, Cause.RESET))
+                owner.write(refusal(set_up.ident, Cause.RESET))
             return
-        if len(self._attempts) >= MAX_HELD:
-            # Danger: nobody else bounds them, and only its machine knows whether a task is there at all.
-            self._turn_away(owner, asked.ident, Cause.RESET, "too many held", None)
+        if len(self._attempts) >= MAX_ATTEMPTS:
+            # Danger: nothing else bounds adopted tasks, and only the machine knows whether such a task exists.
+            self._reject(owner, set_up.ident, Cause.RESET, "too many held", None)
             return
-        cause = self._offers.ended_early(link, asked.ident)
+        cause = self._offers.ended_early(link, set_up.ident)
         if cause is not None:
-            self._trace(asked.ident, "found ended", owner=owner.number, machine=at)
-            self.owners.proven(owner)
-            self.owners.release(asked.ident, cause)
+            self._trace(set_up.ident, "found ended", owner=owner.number, machine=machine_name)
+            self.owners.mark_proven(owner)
+            self.owners.release(set_up.ident, cause)
             return
         task = Task(
-            request, asked.ident, asked.cls, asked.arrival(request, now), None, {}, State.RUNNING, 1
+            request,
+            set_up.ident,
+            set_up.cls,
+            set_up.arrival(request, now),
+            None,
+            {},
+            State.RUNNING,
+            1,
         )
         self._requests.add(task)
         attempt = Attempt(
@@ -145,17 +154,17 @@
         self._attempts.add(attempt)
         link.strays.pop(task.ident, None)
         link.running[task.ident] = attempt
-        self.owners.proven(owner)
-        self._trace(task.ident, "found", owner=owner.number, machine=at)
+        self.owners.mark_proven(owner)
+        self._trace(task.ident, "found", owner=owner.number, machine=machine_name)
         self._host.feed(api.TaskFound(task.arrival, link.ident))
 
-    def _released(self, owner: Owner, message: Message) -> None:
+    def _on_release(self, owner: Owner, message: Message) -> None:
         task = self._requests.by_ident.get(message.task)
-        # Danger: who was turned away under another's id may take it back, and would end the other's task.
+        # Danger: a client rejected because another owner holds the id may withdraw it, which must not end that task.
         if (
             task is None
             or (task.state is State.ASKED and task.owner is not owner)
-            or task.ident in owner.foreign
+            or task.ident in owner.foreign_ids
         ):
             self._life.counts["releases_unknown"] += 1
             self._trace(message.task, "release unknown", owner=owner.number, cause=message.cause)
@@ -164,7 +173,7 @@
         self._withdraw(task, message.cause)
 
     def _withdraw(self, task: Task, cause: int) -> None:
-        attempt, stood = self._attempts.of(task.request), task.state is State.RUNNING
+        attempt, was_running = self._attempts.of(task.request), task.state is State.RUNNING
         owner = task.owner
         if not self._requests.step(task, Step.WITHDRAW):
             return
@@ -175,23 +184,23 @@
         self._host.feed(api.TaskWithdrawn(task.request))
         if attempt is None:
             return
-        if stood:
+        if was_running:
             self._offers.stop(attempt, RunEnd.STOPPED, cause)
         else:
             self._offers.abandon(attempt, api.Outcome.CANCELLED)
 
-    def left(self, owner: Owner) -> None:
-        """Its connection has ended: nobody waits for what was open on it."""
+    def on_disconnect(self, owner: Owner) -> None:
+        """Withdraw the open set-ups of a connection that has ended."""
         for task in list(owner.tasks.values()):
             self._trace(task.ident, "its connection ended", owner=owner.number)
             self._withdraw(task, Cause.GIVEN_UP)
 
     def refuse(self, request: int) -> None:
-        """The module's final answer: trying again is harmless."""
+        """Answer a request as refused: it had no effect, so a retry is safe."""
         self._answer(request, Step.REFUSE, Cause.BUSY)
 
     def fail(self, request: int) -> None:
-        """The module's final answer: no promise as to the effect."""
+        """Answer a request as failed: it may have had an effect."""
         self._answer(request, Step.FAIL, Cause.ERROR)
 
     def _answer(self, request: int, step: Step, cause: int) -> None:
@@ -202,7 +211,7 @@
             self._offers.answer(task, step, cause)
 
     def move(self, request: int) -> None:
-        """Stop a running task; its owner comes again."""
+        """Stop a running task and tell its owner to submit it again."""
         task, attempt = self._requests.by_request.get(request), self._attempts.of(request)
         if (
             task is None
@@ -213,5 +222,5 @@
             self._life.counts["moves_dropped"] += 1
             return
         self._life.counts["moves"] += 1
-        self.owners.told_to_move(task.ident)
+        self.owners.send_move(task.ident)
         self._offers.stop(attempt, RunEnd.MOVED)
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -108,7 +108,7 @@
         link = attempt.link
         if attempt.stage is not Stage.WAITING:
             return
-        line = None if link.liveness.doubtful else link.free_line()
+        line = None if link.liveness.is_suspect else link.free_line()
         if line is not None:
             self._send(attempt, line)
         else:
@@ -151,7 +151,7 @@
             self._life.counts["sends_behind_list"] += 1
             self._life.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.is_behind(self._life.hub.now_us()):
+        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
             # Danger: its owner may have gone or given up, unread here; the attempt begins once that is known.
             self._life.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
@@ -222,7 +222,7 @@
         if not placed and outcome not in UNRUN and attempt.task.earlier is None:
             attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
-            attempt.task.owner.guest.errors += 1
+            attempt.task.owner.connection.errors += 1
         self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
         closed = placed or attempt.task.state is not State.ASKED
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
@@ -306,7 +306,7 @@
             self._trace(task.ident, "answer passed on", owner=owner.number)
             if not owner.write(encode(Kind.ANSWER, task.ident, {Code.DESCRIPTION: description})):
                 return False
-            self._owners.proven(owner)
+            self._owners.mark_proven(owner)
         return True
 
     def _released(self, attempt: Attempt, message: Message) -> None:
--- a/wingbarrow/relay/tasks.py
+++ b/wingbarrow/relay/tasks.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
-from wingbarrow.decide.crowd import Guest
+from wingbarrow.decide.connection_limits import OwnerConnection
 from wingbarrow.decide.idempotency import EarlierAttempt
 
 
@@ -50,14 +50,14 @@
 class Asker(Protocol):
     """The connection that a set-up came on, as far as the task needs it."""
 
-    guest: Guest
+    connection: OwnerConnection
     number: int  # of the connection, for logs
     tasks: dict[int, Task]  # open set-ups, by id
 
     def write(self, data: bytes) -> bool:
         """Send; False where the connection is of no use any more."""
 
-    def is_behind(self, now_us: int) -> bool:
+    def has_stale_input(self, now_us: int) -> bool:
         """Whether something that came a while ago may not have been read: its owner may have gone."""
 
     def when_read(self, call: Callable[[], None]) -> None:
