--- a/tests/decide/test_connection_limits.py
+++ b/tests/decide/test_connection_limits.py
@@ -5,17 +5,17 @@
 from wingbarrow.decide.connection_limits import (
     FIRST_MESSAGE_TIMEOUT_US,
     IDLE_TIMEOUT_US,
+    ConnectionActivity,
     ConnectionLimits,
-    OwnerConnection,
 )
 
 
 def test_a_silent_connection_times_out_and_a_proven_one_much_later() -> None:
     limits = ConnectionLimits(4)
-    silent = OwnerConnection(0)
+    silent = ConnectionActivity(0)
     assert not limits.is_idle(FIRST_MESSAGE_TIMEOUT_US - 1, silent, 0)
     assert limits.is_idle(FIRST_MESSAGE_TIMEOUT_US, silent, 0)
-    proven_one = OwnerConnection(0, last_message_us=0, proven=True)
+    proven_one = ConnectionActivity(0, last_message_us=0, proven=True)
     assert not limits.is_idle(IDLE_TIMEOUT_US - 1, proven_one, 0)
     assert limits.is_idle(IDLE_TIMEOUT_US, proven_one, 0)
     assert not limits.is_idle(100 * IDLE_TIMEOUT_US, proven_one, 1)
@@ -23,11 +23,11 @@
 
 def test_unused_connections_are_closed_before_useful_ones() -> None:
     limits = ConnectionLimits(4)
-    open_set_up = OwnerConnection(0, last_message_us=1)
+    open_set_up = ConnectionActivity(0, last_message_us=1)
     proven_one, unproven, silent = (
-        OwnerConnection(0, last_message_us=2, proven=True),
-        OwnerConnection(0, last_message_us=9),
-        OwnerConnection(5),
+        ConnectionActivity(0, last_message_us=2, proven=True),
+        ConnectionActivity(0, last_message_us=9),
+        ConnectionActivity(5),
     )
     connections = [(open_set_up, 1), (proven_one, 0), (unproven, 0), (silent, 0)]
     for closed in (silent, unproven, proven_one, open_set_up):
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, Journal, Machine, S, Stage, over
+from tests.relay.stage import MS, Journal, Machine, S, Stage, release_message
 from tests.relay.test_list import (
     Fault,
     answer_with,
@@ -51,7 +51,7 @@
 def test_an_entry_is_parsed_completely() -> None:
     last, (news,) = journal.read(form(ENTRY, reset=True), 500, pytest.fail)
     (entry,) = news.entries
-    assert (last, news.position, news.whole, entry.name, str(entry.address)) == (
+    assert (last, news.position, news.full, entry.name, str(entry.address)) == (
         1,
         1,
         True,
@@ -59,7 +59,7 @@
         "10.1.0.9:3868",
     )
     assert entry.listed == api.ListedMachine(
-        journal.ident("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
+        journal.machine_id("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
     )
 
 
@@ -224,7 +224,7 @@
         stage.sleep(500)
         assert late.kinds(2) == [Kind.ANSWER]
         ((machine, _),) = stage.set_ups(1)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         news = stage.owner.of(1) + late.of(1)  # on any connection
         assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
@@ -250,7 +250,7 @@
         owner.ask(1, figures=f"cores:1;memory:1;service:s1;at:{machine.name}")
         owner.ask(9, name="7" * 16)
         stage.sleep(400)
-        machine.streams[-1].send(over(1))
+        machine.streams[-1].send(release_message(1))
         stage.sleep(50)
         assert owner.kinds(1) == [Kind.RELEASE]
         second.life.end()
--- a/wingbarrow/decide/connection_limits.py
+++ b/wingbarrow/decide/connection_limits.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class OwnerConnection:
+class ConnectionActivity:
     """What the limits need to know of one connection; times in microseconds."""
 
     connected_us: int
@@ -39,7 +39,7 @@
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
 
-    def may_open_set_up(self, connection: OwnerConnection, open_set_ups: int) -> bool:
+    def may_open_set_up(self, connection: ConnectionActivity, open_set_ups: int) -> bool:
         """Whether a connection with `open_set_ups` open set-ups may open one more.
 
         Danger: hundreds of concurrent set-ups that no machine can use would each cost machine time while regular owners
@@ -49,7 +49,7 @@
             return open_set_ups < MAX_OPEN_SET_UPS
         return open_set_ups < MAX_UNPROVEN_SET_UPS and connection.errors < MAX_UNPROVEN_ERRORS
 
-    def is_idle(self, now_us: int, connection: OwnerConnection, open_set_ups: int) -> bool:
+    def is_idle(self, now_us: int, connection: ConnectionActivity, open_set_ups: int) -> bool:
         """Whether a connection has sent no message for longer than its idle timeout."""
         if open_set_ups:
             return False
@@ -63,15 +63,15 @@
         )
 
     def connection_to_close(
-        self, connections: list[tuple[OwnerConnection, int]]
-    ) -> OwnerConnection | None:
+        self, connections: list[tuple[ConnectionActivity, int]]
+    ) -> ConnectionActivity | None:
         """The connection to close when there are too many, from pairs of connection and number of open set-ups.
 
         In this order: one that sent no message, an unproven one, a proven one, one with open set-ups; among equals the
         one whose latest message is oldest. None for an empty list.
         """
 
-        def order(each: tuple[OwnerConnection, int]) -> tuple[bool, bool, bool, float]:
+        def order(each: tuple[ConnectionActivity, int]) -> tuple[bool, bool, bool, float]:
             connection, open_set_ups = each
             return (
                 open_set_ups > 0,
