--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -1,4 +1,4 @@
-"""The request book and intake: states by the table, one answer a task, every fault with its field."""
+"""The Job store and the parser of Jobs: state transitions, one answer per task, and errors that name their field."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from wingbarrow.config import load_text
 from wingbarrow.core.job_manifest import read_job
+from wingbarrow.core.job_status import update_job_status
 from wingbarrow.core.job_store import MAX_TOMBSTONES, OPEN, JobStore, State, Step
-from wingbarrow.core.jobstatus import write_status
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
 from wingbarrow.lab.cluster import settings_text
@@ -27,68 +27,70 @@
     return read_job(value, namespace, SETTINGS.classes, SETTINGS.limits, "abcde")
 
 
-def made(count: int = 1, most: int = 1000) -> tuple[JobStore, Any]:
+def store_with_job(count: int = 1, max_open: int = 1000) -> tuple[JobStore, Any]:
     value = copy.deepcopy(VALUE)
     value["spec"]["parallelism"] = count
     value["status"] = {}
-    book = JobStore(Admission(most, most), 10)
-    return book, book.add("default/job", "u1", read(value), value)
+    store = JobStore(Admission(max_open, max_open), 10)
+    return store, store.add("default/job", "u1", read(value), value)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from(Step)), max_size=60))
-def test_whatever_happens_each_task_has_one_answer_and_counts_agree(
+def test_any_sequence_of_steps_gives_each_task_at_most_one_answer_and_correct_counts(
     steps: list[tuple[int, Step]],
 ) -> None:
-    book, job = made(5)
+    store, job = store_with_job(5)
     answers: dict[int, list[State]] = {index: [] for index in range(5)}
     for index, step in steps:
         task = job.tasks[index]
-        before, taken = task.answered, book.transition(task, step)
-        if task.answered and not before:
-            assert taken
+        was_answered, was_allowed = task.answered, store.transition(task, step)
+        if task.answered and not was_answered:
+            assert was_allowed
             answers[index].append(task.state)
     assert all(len(each) <= 1 for each in answers.values())
     assert job.unanswered == sum(not task.answered for task in job.tasks)
     for state in State:
         assert job.counts[state] == sum(task.state is state for task in job.tasks)
     assert (
-        book.admission.open_tasks == sum(task.state in OPEN for task in job.tasks) == job.open_tasks
+        store.admission.open_tasks
+        == sum(task.state in OPEN for task in job.tasks)
+        == job.open_tasks
     )
-    write_status(job, 1)
+    update_job_status(job, 1)
 
 
-def test_late_and_doubled_steps_are_counted_and_change_nothing() -> None:
-    book, job = made()
+def test_late_and_duplicate_steps_are_counted_and_change_nothing() -> None:
+    store, job = store_with_job()
     task = job.tasks[0]
-    assert book.transition(task, Step.REFUSE)
+    assert store.transition(task, Step.REFUSE)
     for step in (Step.PLACE, Step.REFUSE, Step.FAIL, Step.DONE):
-        assert not book.transition(task, step)
+        assert not store.transition(task, step)
     assert task.state is State.REFUSED
-    assert sum(book.unexpected_transitions.values()) == 4
+    assert sum(store.unexpected_transitions.values()) == 4
 
 
 def test_memory_of_ended_and_deleted_jobs_is_bounded() -> None:
-    book = JobStore(Admission(10_000, 10_000), 3)
+    store = JobStore(Admission(10_000, 10_000), 3)
     for number in range(6):
-        job = book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-        book.transition(job.tasks[0], Step.REFUSE)
-    assert [job.key for job in book.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
-    book.delete(job)
-    assert not book.was_deleted("u5"), "this life's pods are known by their names"
+        job = store.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
+        store.transition(job.tasks[0], Step.REFUSE)
+    assert [job.key for job in store.expired_jobs()] == ["default/j0", "default/j1", "default/j2"]
+    store.delete(job)
+    assert not store.was_deleted("u5"), "pods of this incarnation are recognized by their names"
     for number in range(MAX_TOMBSTONES + 50):
         job.uid, job.adopted = f"t{number}", True
-        book.delete(job)
-    assert not book.was_deleted("t0")
-    assert not book.was_deleted("t49")
-    assert book.was_deleted("t50")
+        store.delete(job)
+    assert not store.was_deleted("t0")
+    assert not store.was_deleted("t49")
+    assert store.was_deleted("t50")
 
 
-def test_an_open_job_is_never_surplus() -> None:
-    book = JobStore(Admission(100, 100), 1)
+def test_an_open_job_never_expires() -> None:
+    store = JobStore(Admission(100, 100), 1)
     for number in range(5):
-        book.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
-    assert not book.expired_jobs()
+        store.add(f"default/j{number}", f"u{number}", read(VALUE), copy.deepcopy(VALUE))
+    assert not store.expired_jobs()
 
 
 @pytest.mark.parametrize(
@@ -135,7 +137,9 @@
         (("spec",), None, "spec"),
     ],
 )
-def test_a_fault_names_its_field(path: tuple[Any, ...], bad: Any, field: str) -> None:
+def test_an_invalid_field_is_named_in_the_error(
+    path: tuple[Any, ...], bad: Any, field: str
+) -> None:
     value = copy.deepcopy(VALUE)
     part: Any = value
     for step in path[:-1]:
@@ -147,7 +151,7 @@
     assert any(field in cause.field for cause in caught.value.causes), caught.value.causes
 
 
-def test_several_faults_come_together() -> None:
+def test_several_invalid_fields_are_reported_together() -> None:
     value = copy.deepcopy(VALUE)
     value["metadata"]["name"] = "X"
     value["spec"]["parallelism"] = 0
@@ -161,15 +165,15 @@
     value = copy.deepcopy(VALUE)
     del value["metadata"]["name"]
     value["metadata"]["generateName"] = "label-"
-    asked = read(value)
-    assert asked.name == "label-abcde"
-    assert asked.count == 1
-    assert asked.memory == 2.0
-    assert asked.cores == 1.0
-    assert asked.service == "default/shop"
-    assert asked.patience_us == 5_000_000
+    request = read(value)
+    assert request.name == "label-abcde"
+    assert request.count == 1
+    assert request.memory == 2.0
+    assert request.cores == 1.0
+    assert request.service == "default/shop"
+    assert request.patience_us == 5_000_000
     value["metadata"]["labels"]["wingbarrow.io/class"] = "settlement"
-    assert read(value).restarts == 0, "what must not start twice has no restarts"
+    assert read(value).restarts == 0, "a class whose tasks must not start twice has no restarts"
 
 
 JSON = st.recursive(
@@ -182,7 +186,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 1 << 30), JSON)
-def test_no_value_at_any_place_brings_a_traceback(seed: int, noise: Any) -> None:
+def test_a_random_value_at_any_place_raises_only_api_errors(seed: int, noise: Any) -> None:
     rng, value = random.Random(seed), copy.deepcopy(VALUE)
     part: Any = value
     while True:
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -11,7 +11,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Ended, pod_text
@@ -66,7 +66,7 @@
 
     def bind(self, bind: api.Bind) -> None:
         """The module chose a machine for a task: begin an attempt."""
-        task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
+        task, link = self._jobs.by_request.get(bind.request), self._machines.by_ident(bind.machine)
         if task is None or link is None:
             # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
             self._context.counts["binds_dropped"] += 1
@@ -105,7 +105,7 @@
             Offer(
                 attempt.decided_us,
                 attempt.deadline_us,
-                task.state is State.ASKED and task.request == attempt.request,
+                task.state is State.PENDING and task.request == attempt.request,
                 attempt.stage is Stage.WAITING
                 and not attempt.abandoned
                 and self._attempts.of(attempt.request) is attempt,
@@ -118,7 +118,7 @@
                     link.name,
                     attempt.decided_us,
                 ),
-                task.job.leased is None
+                task.job.lease is None
                 or (self._leased_jobs is not None and self._leased_jobs.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
                 cold_share_left=self.slow_start is None or self.slow_start.has_share(link),
@@ -129,7 +129,7 @@
             attempt.hold_reason = held
             return False
         self._attempts.advance(attempt, Stage.SENT)
-        link.offered_us = now
+        link.last_offer_us = now
         if self.slow_start is not None:
             self.slow_start.on_sent(attempt)
         task.may_have_run = True
@@ -194,9 +194,9 @@
             attempt.hold_reason is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
-            and task.job.leased is None
+            and task.job.lease is None
             and task.resubmissions < MAX_RESUBMISSIONS
-            and task.state is State.ASKED
+            and task.state is State.PENDING
             and task.request == attempt.request
             and self._context.hub.now_us() < task.deadline_us
         )
@@ -204,7 +204,7 @@
     def on_running(self, attempt: Attempt) -> None:
         """The machine reported that the attempt's task runs."""
         task, now = attempt.task, self._context.hub.now_us()
-        if task.request != attempt.request or task.state is not State.ASKED:
+        if task.request != attempt.request or task.state is not State.PENDING:
             # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -30,10 +30,10 @@
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
 from wingbarrow.core.migrations import Migrations
-from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.outlier_ejection import OutlierEjections
+from wingbarrow.core.pod_observer import PodObserver
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -193,7 +193,7 @@
             self.active_rules,
             self.leased_jobs,
         )
-        observations = Observations(
+        pod_observer = PodObserver(
             self.context, self.host, self.attempts, self.offers, self._runs, self._orphans
         )
         self.fleet = Fleet(
@@ -203,10 +203,10 @@
             self.machines,
             self.attempts,
             self._runs,
-            observations,
+            pod_observer,
         )
         self.peer_hints = PeerHints(
-            self.context, self.host, self.fleet, self.machines, observations
+            self.context, self.host, self.fleet, self.machines, pod_observer
         )
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
@@ -262,7 +262,7 @@
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
         local_region = LocalRegion(self.context, self.job_store, self.fleet)
-        local_region.leased = leased_jobs.leased_by_spec
+        local_region.leased_by_spec = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
         return remote_regions
 
@@ -288,7 +288,7 @@
             active_rules.in_force,
         )
         peering.on_turns = self.maintenance.on_slots_changed
-        self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
+        self._requests.on_start_outcome = self.maintenance.forwarding_to(ejections.note)
         peering.zones = ejections.zones
         peering.on_verdicts = ejections.take
         active_rules.quotas = self._quota_account
@@ -340,7 +340,7 @@
         """Work until cancelled; raises the error where the core itself failed."""
         context = self.context
         with Nursery(context.hub) as nursery:
-            context.live_in(nursery)
+            context.attach_nursery(nursery)
             self._checkpoint.load()
             nursery.spawn(self.fleet.reflector.run, "reflector")
             nursery.spawn(self.fleet.run_restart_timeouts, "rebirth")
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/pod_observer.py
@@ -1,4 +1,4 @@
-"""Pod lists and watch events of machines, read and passed to the component that owns the task concerned."""
+"""Reads pod lists and watch events of machines, and passes them to the component that owns the task."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wingbarrow.core.attempts import Attempt, Attempts, Stage
 from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import Phase, PodStatus, read_pod
@@ -24,8 +24,8 @@
 }
 
 
-class Observations:
-    """Follows machines' pods; `on_listed` is called with a machine's name once its list was received."""
+class PodObserver:
+    """Watches the pods on machines. `on_listed` is called with a machine's name after each of its pod lists."""
 
     def __init__(
         self,
@@ -45,8 +45,8 @@
         self.on_listed: Callable[[str], None] = lambda name: None
         self.last_usage_us: int | None = None  # when a task's resource usage was last reported
 
-    def follow(self, link: MachineLink) -> None:
-        """List and watch one machine's pods until it is retired."""
+    def watch(self, link: MachineLink) -> None:
+        """List and watch one machine's pods in a background task, until its link is retired."""
 
         def on_list(pods: list[dict[str, Any]], requested_us: int) -> None:
             seen = set()
@@ -61,7 +61,7 @@
                     and attempt.key not in seen
                     and attempt.placed_us < requested_us
                 ):
-                    self._runs.on_lost(attempt, "the machine no longer holds it")
+                    self._runs.on_lost(attempt, "the machine no longer lists its pod")
             self.on_listed(link.name)
 
         def on_event(kind: str, value: dict[str, Any]) -> None:
@@ -71,12 +71,12 @@
             if kind == "DELETED":
                 attempt = self._attempts.by_key.get(pod_status.name)
                 if attempt is not None and attempt.stage is Stage.PLACED:
-                    self._runs.on_lost(attempt, f"deleted on {link.name}")
+                    self._runs.on_lost(attempt, f"its pod was deleted on {link.name}")
             else:
                 self._on_pod_status(link, pod_status)
 
         self._context.spawn(
-            lambda: link.follow(on_list, on_event, self._context.log), f"follow {link.name}"
+            lambda: link.watch_tasks(on_list, on_event, self._context.log), f"watch {link.name}"
         )
 
     def _read_pod(self, link: MachineLink, value: dict[str, Any]) -> PodStatus | None:
@@ -84,7 +84,9 @@
             return read_pod(value)
         except ValueError as error:
             self._context.counts["bad_pods"] += 1
-            self._context.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._context.log(
+                "unreadable-pod", level="warning", machine=link.name, field=str(error)
+            )
             return None
 
     def _on_pod_status(self, link: MachineLink, pod_status: PodStatus) -> None:
@@ -107,7 +109,7 @@
             self._runs.on_ended(attempt, retries.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
         elif pod_status.phase is Phase.FAILED:
             reason = pod_status.gave_up
-            # A machine that stopped it as its lease had lapsed is no fault: the next lease holder may start it again.
+            # A lapsed lease is no failure of the task: the next lease holder may start it again.
             end = attempt.stopping or (
                 retries.RunEnd.MOVED
                 if pod_status.reason == "LeaseLapsed"
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import AttemptRecord, AttemptTable
 from wingbarrow.decide.descriptor_budget import CloseCost, DescriptorBudget
 from wingbarrow.decide.liveness import HealthAction, Liveness
@@ -97,7 +97,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         name: str,
         address: Address,
         listed: ListedMachine,
@@ -113,13 +113,13 @@
         self.running: dict[int, Attempt] = {}
         # Task ids of abandoned offers that may still run.
         self.orphans: OrderedDict[int, None] = OrderedDict()
-        self.liveness = Liveness(life.hub.now_us())
-        self._life, self._events, self._links, self._dial_us = life, events, links, dial_us
+        self.liveness = Liveness(runtime.hub.now_us())
+        self._runtime, self._events, self._links, self._dial_us = runtime, events, links, dial_us
         self._dialing = 0
         # Whether a connection broke while tasks ran, and none has been established since.
         self._may_have_missed = False
         self._reconnect_after_us: int | None = None  # when to reconnect after an eviction
-        self._dial_ended = Signal(life.hub)
+        self._dial_ended = Signal(runtime.hub)
         self._redial_after_us = 0
         self._refusals = 0  # consecutive, while older connections were open
         # Causes by task id, to be sent on the next connection.
@@ -138,7 +138,7 @@
         """A connection without an open set-up that is not near its idle timeout."""
         # Danger: close to the idle timeout an offer may cross the machine's close; whether a task that must never start
         # twice has started is then unknown. Unsent data on the connection would delay the offer's first byte, too.
-        since_us = self._life.hub.now_us() - self._links.max_idle_us
+        since_us = self._runtime.hub.now_us() - self._links.max_idle_us
         return next(
             (
                 connection
@@ -174,10 +174,10 @@
 
     def connection_for_offer(self) -> Connection | None:
         """A new connection, else the least loaded one; None if none is established in time or it is suspect."""
-        if self.liveness.failed_recently(self._life.hub.now_us()) or (
+        if self.liveness.failed_recently(self._runtime.hub.now_us()) or (
             self.liveness.is_suspect and self._dialing
         ):
-            self._life.counts["doubted"] += 1
+            self._runtime.counts["doubted"] += 1
             return None
         connection = self.dial() if self.may_dial else None
         # Danger: without this wait, an offer made while the first dials are still pending would count its machine as
@@ -188,10 +188,10 @@
 
     def dial(self) -> Connection | None:
         """A new connection; None if it is refused, fails or times out, or if the descriptor budget is used up."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         if not self._links.make_room():
-            self._life.counts["dials_without_room"] += 1
-            self._life.log("descriptor-budget-exhausted", level="warning", machine=self.name)
+            self._runtime.counts["dials_without_room"] += 1
+            self._runtime.log("descriptor-budget-exhausted", level="warning", machine=self.name)
             self._redial_after_us = hub.now_us() + REDIAL_BACKOFF_US
             return None
         began, stream, why = hub.now_us(), None, "silent"
@@ -211,11 +211,11 @@
                 stream.close()
             return None
         if stream is None:
-            self._life.counts["dials_failed:" + why] += 1
+            self._runtime.counts["dials_failed:" + why] += 1
             if why in LOCAL_DIAL_ERRORS:
                 # Danger: if local errors counted against machines, a full descriptor table here would make all of them
                 # look dead.
-                self._life.log("local-dial-error", level="error", machine=self.name, why=why)
+                self._runtime.log("local-dial-error", level="error", machine=self.name, why=why)
             elif why != "ECONNREFUSED":
                 self.liveness.on_connect_timeout(hub.now_us(), began)
             elif not any(connection.stream.open for connection in self.connections):
@@ -238,7 +238,7 @@
         connection = Connection(self, stream, Outbox(hub, stream, MAX_UNSENT_BYTES), hub.now_us())
         self.connections.append(connection)
         self._links.connections[connection] = None
-        self._life.spawn(lambda: self._read_messages(connection), f"connection to {self.name}")
+        self._runtime.spawn(lambda: self._read_messages(connection), f"connection to {self.name}")
         while self._queued_releases and connection.stream.open:
             ident, cause = self._queued_releases.popitem(last=False)
             connection.write(with_cause(Kind.RELEASE, ident, cause))
@@ -252,14 +252,14 @@
         why = "end of stream"  # the part before a colon becomes a counter's name
         try:
             while data := connection.stream.receive():
-                self.liveness.on_data_received(self._life.hub.now_us())
+                self.liveness.on_data_received(self._runtime.hub.now_us())
                 connection.framer.feed(data)
                 while connection.stream.open and (message := connection.framer.next()) is not None:
                     self._events.on_message(self, connection, message)
         except BadMessage as error:
             why = f"unreadable: {error}"
-            self._life.counts["machines:unreadable"] += 1
-            self._life.log(
+            self._runtime.counts["machines:unreadable"] += 1
+            self._runtime.log(
                 "machine-protocol-error", level="warning", machine=self.name, why=str(error)
             )
         except PeerGone as error:
@@ -283,7 +283,7 @@
         if broke and self.running and not self.closed:
             # Danger: a release in transit on it is lost; the machine repeats it only on the next connection.
             self._may_have_missed = True
-            self._life.spawn(self._reconnect, f"reconnect to {self.name}")
+            self._runtime.spawn(self._reconnect, f"reconnect to {self.name}")
 
     def retire(self, connection: Connection) -> None:
         """Close an unused connection gracefully: data that the machine has already sent is still read."""
@@ -299,17 +299,17 @@
             else:
                 self._close(connection)
 
-        self._life.hub.call_at(self._life.hub.now_us() + CLOSE_TIMEOUT_US, close)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + CLOSE_TIMEOUT_US, close)
 
     def evict(self, connection: Connection) -> None:
         """Close a connection without open set-ups to free its descriptor; if tasks run, schedule a reconnect."""
-        self._life.counts["given_up:" + connection.close_cost.name.lower()] += 1
+        self._runtime.counts["given_up:" + connection.close_cost.name.lower()] += 1
         if connection in self.connections:
             self.connections.remove(connection)
         self._close(connection)
         if self.running and self._reconnect_after_us is None:
             # Danger: the machine repeats what it sent on the closed connection only on the next one.
-            self._reconnect_after_us = self._life.hub.now_us() + EVICTION_RECONNECT_DELAY_US
+            self._reconnect_after_us = self._runtime.hub.now_us() + EVICTION_RECONNECT_DELAY_US
 
     def _dial_to_verify(self) -> None:
         """Dial to verify that the machine is reachable and to fetch missed messages; retire the oldest idle connection.
@@ -327,7 +327,7 @@
 
     def _reconnect(self) -> None:
         """Dial if messages may have been missed or no connection is open, subject to the redial backoff."""
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         if (
             self._needs_reconnect(now)
             and not self._dialing
@@ -379,13 +379,13 @@
             if self._dialing < MAX_DIALS and (
                 not self.liveness.is_suspect or self._links.may_dial_suspect()
             ):
-                self._life.spawn(self._dial_to_verify, f"verify {self.name}")
+                self._runtime.spawn(self._dial_to_verify, f"verify {self.name}")
         elif verdict is HealthAction.FAIL_OFFERS:
             self._events.on_unresponsive(self)
         elif verdict is HealthAction.FAIL_TASKS:
             self._events.on_lost(self, may_return=True)
         if (self.running or self._queued_releases) and self._needs_reconnect(now_us):
-            self._life.spawn(self._reconnect, f"reconnect to {self.name}")
+            self._runtime.spawn(self._reconnect, f"reconnect to {self.name}")
         idle = [connection for connection in self.connections if not connection.open_attempts]
         for connection in idle:
             last = len(self.connections) == 1
