--- a/benchmarks/capacity/changes.py
+++ b/benchmarks/capacity/changes.py
@@ -157,7 +157,7 @@
     disk = member.raft.persistent
     yield Figure("voter", f"log held{where}", "entries", len(disk.log))
     yield Figure("voter", f"log held{where}", "B", sum(len(each.body) for each in disk.log))
-    yield Figure("voter", f"state in a snapshot{where}", "B", mailed(member.agreed.text()))
+    yield Figure("voter", f"state in a snapshot{where}", "B", mailed(member.rule_set_state.text()))
 
 
 def measure(sizes: Sequence[int]) -> Iterator[Point]:
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -146,14 +146,16 @@
     """What the voters' state takes: in a snapshot, whole, and what of it is the chapter of blocks."""
     member = found.members[found.leader() or found.voters[0]]
     assert member.raft is not None
-    member.agreed.chapters |= {name: each.snapshot() for name, each in member.subsystems.items()}
+    member.rule_set_state.chapters |= {
+        name: each.snapshot() for name, each in member.subsystems.items()
+    }
     disk = member.raft.persistent
     install = InstallSnapshot(
         disk.term,
         disk.last_log_index,
         disk.term,
         " ".join(disk.snapshot_voters),
-        member.agreed.text(),
+        member.rule_set_state.text(),
         1,
     )
     yield Figure("voter", "snapshot", "B", len(message.encode_message(install)))
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -157,7 +157,7 @@
     for name, disk in sorted(assembly.disks.items()):
         history.note("disk", name, leaves(disk))
     for name, member in sorted(assembly.members.items()):
-        history.note("agreed", name, member.agreed.text())
+        history.note("agreed", name, member.rule_set_state.text())
         for chapter in sorted(member.subsystems):
             history.note("chapter", name, chapter, member.subsystems[chapter].snapshot())
 
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -111,8 +111,8 @@
     assembly.run(assembly.now_us + 5 * SECOND)
     leader = assembly.leader()
     assert leader is not None
-    assert assembly.members[leader].agreed.version == 2
-    assert [each.number for each in assembly.members[leader].agreed.versions] == [1, 2]
+    assert assembly.members[leader].rule_set_state.version == 2
+    assert [each.number for each in assembly.members[leader].rule_set_state.versions] == [1, 2]
 
 
 def test_a_version_proposed_during_a_transition_replaces_its_target() -> None:
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -388,7 +388,7 @@
 
 def accepted(voter: Voter) -> tuple[int, str]:
     """The latest version, and the outcome of the proposal `after`."""
-    agreed = voter.agreement.agreed
+    agreed = voter.agreement.rule_set_state
     return agreed.version, agreed.outcomes.get("after", "not decided")
 
 
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -1,7 +1,7 @@
 """One placer's part in coordination: what joins the voters' log, the leader's side and the lease client.
 
 Every placer has a `LeaseClient`. A voter also has a `Raft`, whose committed entries make up the replicated state here:
-the rule set (`agreed`) and the subsystems. The `Leader` acts while this voter leads.
+the rule set (`rule_set_state`) and the subsystems. The `Leader` acts while this voter leads.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
     ) -> None:
         timing = settings.timing
         self.name = local.name
-        self.agreed = RuleSetState()
+        self.rule_set_state = RuleSetState()
         self.allocations = AllocationLedger(timing.grant_us)
         self.raft: Raft | None = None
         if local.name in settings.voters or persistent is not None:
@@ -212,7 +212,7 @@
         return self.lease_client.leader
 
     def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
-        """At the leader: propose an entry; the outcome of one with an `ident` will be in `agreed.outcomes`."""
+        """At the leader: propose an entry; the outcome of one with an `ident` will be in `rule_set_state.outcomes`."""
         if self.raft is None or not self.is_leader:
             return []
         _, effects = self.raft.propose(now_us, kind, json.dumps(value))
@@ -245,32 +245,38 @@
         return host_effects
 
     def _restore(self, snapshot: SnapshotRestored) -> None:
-        self.agreed = from_text(snapshot.state)
+        self.rule_set_state = from_text(snapshot.state)
         for name, subsystem in self.subsystems.items():
-            subsystem.restore(self.agreed.chapters.get(name, ""))
+            subsystem.restore(self.rule_set_state.chapters.get(name, ""))
 
     def _on_committed(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
         effects: list[Effect] = []
-        agreed = self.agreed
-        before = (agreed.revision, agreed.version, len(agreed.floors))
-        old_revision = agreed.revision
+        rule_set_state = self.rule_set_state
+        before = (rule_set_state.revision, rule_set_state.version, len(rule_set_state.floors))
+        old_revision = rule_set_state.revision
         has_changed = False
         for entry in committed.entries:
             has_changed = self._apply(entry) or has_changed
-        if agreed.revision != old_revision:
-            fields = {"edition": agreed.revision, "version": agreed.version}
+        if rule_set_state.revision != old_revision:
+            fields = {"edition": rule_set_state.revision, "version": rule_set_state.version}
             effects.append(Notify("edition", fields))
         if self.raft is not None and self.raft.log.should_compact:
             effects += self.apply_raft(now_us, self.raft.log.compact(self.snapshot()))
-        has_changed = has_changed or before != (agreed.revision, agreed.version, len(agreed.floors))
+        has_changed = has_changed or before != (
+            rule_set_state.revision,
+            rule_set_state.version,
+            len(rule_set_state.floors),
+        )
         if self.is_leader and has_changed:
             effects.append(self._timers.set(PROPOSAL_TIMER, now_us + 1))
         return effects
 
     def snapshot(self) -> str:
         """The replicated state, for `ReplicatedLog.compact`."""
-        self.agreed.chapters |= {name: each.snapshot() for name, each in self.subsystems.items()}
-        return self.agreed.text()
+        self.rule_set_state.chapters |= {
+            name: each.snapshot() for name, each in self.subsystems.items()
+        }
+        return self.rule_set_state.text()
 
     def _apply(self, entry: LogEntry) -> bool:
         """Apply an entry; whether it was for a subsystem, which took it."""
@@ -279,7 +285,7 @@
             return self._apply_to_subsystem(subsystem, kind, entry.body)
         if entry.kind in (NO_OP, VOTERS):
             return False
-        self.agreed.apply(entry.kind, entry.body)
+        self.rule_set_state.apply(entry.kind, entry.body)
         if entry.kind == RECOVERED:
             self.allocations.recovered()
             for name in self.subsystems:
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -70,7 +70,7 @@
 
     name: str
     raft: Raft | None
-    agreed: RuleSetState
+    rule_set_state: RuleSetState
     allocations: AllocationLedger
 
     @property
@@ -176,7 +176,7 @@
             self._last_outlier_scan_us = now_us
             self.outlier_detector.evaluate(now_us, self._zones())
         effects: list[Effect] = []
-        if batch and self._host.agreed.revision:
+        if batch and self._host.rule_set_state.revision:
             for each in batch:
                 self._take_reports(now_us, each)
             for each, quotas in zip(batch, self._quota_grants(now_us, batch), strict=True):
@@ -208,15 +208,15 @@
         self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> list[Effect]:
         """Grant a lease, unless there are too many holders."""
-        agreed = self._host.agreed
+        rule_set_state = self._host.rule_set_state
         leases = self._state.leases
         if not leases.has_room_for(waiting.sender, now_us):
             return []
         expires_us = lease_expiry_us(now_us, self._timing.grant_us)
-        lease = GrantedLease(agreed.revision, expires_us)
+        lease = GrantedLease(rule_set_state.revision, expires_us)
         leases.grant(waiting.sender, waiting.request.edition, lease)
-        if agreed.floors:
-            floor = agreed.floors[-1]
+        if rule_set_state.floors:
+            floor = rule_set_state.floors[-1]
             leases.grant_floor(floor.number, lease_expiry_us(now_us, floor.lasts_us))
         grant = self._grant(now_us, waiting, quotas)
         if waiting.sender == self._host.name:
@@ -229,15 +229,15 @@
         self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> LeaseGrant:
         """The message; rules that the requester has are left out."""
-        agreed = self._host.agreed
+        rule_set_state = self._host.rule_set_state
         request = waiting.request
-        floor = agreed.floors[-1] if agreed.floors else None
+        floor = rule_set_state.floors[-1] if rule_set_state.floors else None
         return LeaseGrant(
             request.number,
-            agreed.revision,
-            "" if request.edition == agreed.revision else agreed.rules,
+            rule_set_state.revision,
+            "" if request.edition == rule_set_state.revision else rule_set_state.rules,
             self._timing.grant_us,
-            agreed.version,
+            rule_set_state.version,
             floor.number if floor else 0,
             floor.rules if floor and request.floor != floor.number else "",
             floor.lasts_us if floor else 0,
@@ -252,7 +252,7 @@
 
     def _rules(self) -> RuleSet:
         """The rules in force, parsed once."""
-        text = self._host.agreed.rules
+        text = self._host.rule_set_state.rules
         parsed_text, rules = self._parsed_rules
         if rules is None or text != parsed_text:
             rules = parse_rule_set(text)
@@ -265,26 +265,28 @@
         """Propose what is due, of one kind at a time: a transition to the next revision, the end of a floor, or what
         subsystems want. Where nothing is due yet, or an entry is uncommitted, `PROPOSAL_TIMER` is set."""
         raft = self._host.raft
-        agreed = self._host.agreed
+        rule_set_state = self._host.rule_set_state
         if raft is None or not self._host.is_leader:
             return []
         is_all_committed = raft.log.commit_index == raft.persistent.last_log_index
         if not raft.log.has_committed_in_term or not is_all_committed:
             return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
         due_us: list[int] = []
-        if agreed.steps:
+        if rule_set_state.steps:
             transition_us = self._earlier_leases_expire_us()
             if now_us >= transition_us:
-                return self._host.propose(now_us, "step", StepEntry(agreed.revision).to_entry())
+                return self._host.propose(
+                    now_us, "step", StepEntry(rule_set_state.revision).to_entry()
+                )
             due_us.append(transition_us)
-        if len(agreed.floors) > 1:
+        if len(rule_set_state.floors) > 1:
             floors_expire_us = self._earlier_floors_expire_us()
             if now_us >= floors_expire_us:
-                latest = FloorsExpiredEntry(agreed.floors[-1].number).to_entry()
+                latest = FloorsExpiredEntry(rule_set_state.floors[-1].number).to_entry()
                 return self._host.propose(now_us, "floor-lapsed", latest)
             due_us.append(floors_expire_us)
         effects: list[Effect] = []
-        if agreed.revision:
+        if rule_set_state.revision:
             effects += self._propose_for_subsystems(now_us, due_us)
         if due_us:
             effects.append(self._timers.set(PROPOSAL_TIMER, min(due_us)))
@@ -306,7 +308,7 @@
         """When no placer can act on a revision before the one in force any more."""
         raft = self._host.raft
         assert raft is not None
-        revision = self._host.agreed.revision
+        revision = self._host.rule_set_state.revision
         return self._state.leases.earlier_expire_us(
             revision, raft.elected_at_us, self._timing.grant_us
         )
@@ -317,5 +319,5 @@
         assert raft is not None
         return max(
             self._state.leases.floor_expires_us(each.number, raft.elected_at_us, each.lasts_us)
-            for each in self._host.agreed.floors[:-1]
+            for each in self._host.rule_set_state.floors[:-1]
         )
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -124,7 +124,7 @@
         self._proposed += 1
         ident = ident or f"proposal {self._proposed}"
         member = self.members[leader]
-        base = member.agreed.version if base is None else base
+        base = member.rule_set_state.version if base is None else base
         self.act(
             leader,
             member.propose(
@@ -152,9 +152,9 @@
         """What became of a proposal, as a living voter knows; None where nothing is decided."""
         return next(
             (
-                each.agreed.outcomes[ident]
+                each.rule_set_state.outcomes[ident]
                 for each in self.members.values()
-                if each.raft is not None and ident in each.agreed.outcomes
+                if each.raft is not None and ident in each.rule_set_state.outcomes
             ),
             None,
         )
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -349,7 +349,7 @@
     def _found(self) -> None:
         """The first leader proposes what its own settings say, once."""
         agreement = self.agreement
-        if agreement is not None and agreement.is_leader and not agreement.agreed.version:
+        if agreement is not None and agreement.is_leader and not agreement.rule_set_state.version:
             try:
                 text = rules_of(self._settings).text()
             except SettingsError as error:
--- a/wingbarrow/peers/limits_api.py
+++ b/wingbarrow/peers/limits_api.py
@@ -53,9 +53,9 @@
                 for each in quotas.report(now)
             ],
         }
-        if agreement.is_leader and agreement.agreed.rules:
+        if agreement.is_leader and agreement.rule_set_state.rules:
             told["accounts"] = agreement.allocations.accounts(
-                now, parse_rule_set(agreement.agreed.rules).limits
+                now, parse_rule_set(agreement.rule_set_state.rules).limits
             )
         return Answer(200, names.encode(told))
 
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -113,9 +113,9 @@
     def latest(self) -> RuleSet | None:
         """At the leader: the rules of the latest version; None before there is one."""
         agreement = self._peering.agreement
-        if agreement is None or not agreement.agreed.latest:
+        if agreement is None or not agreement.rule_set_state.latest:
             return None
-        return parse_rule_set(agreement.agreed.latest)
+        return parse_rule_set(agreement.rule_set_state.latest)
 
     def change(self, edit: Callable[[RuleSet], RuleSet], why: str) -> dict[str, Any]:
         """At the leader: propose the latest rules as `edit` changes them, again where another version came first.
@@ -124,11 +124,11 @@
         ApiError 409 where it is not accepted, 503 where nothing is agreed on, 504 where it is not decided in time.
         """
         agreement = self._peering.agreement
-        if agreement is None or not agreement.agreed.revision:
+        if agreement is None or not agreement.rule_set_state.revision:
             raise ApiError(503, "nothing is agreed on yet", "ServiceUnavailable", retry_after_s=1)
         objection = ""
         for attempt in range(MAX_CHANGE_ATTEMPTS):
-            agreed = agreement.agreed
+            agreed = agreement.rule_set_state
             wanted = normalized(edit(parse_rule_set(agreed.latest))).text()
             if wanted == agreed.latest:
                 return self._accepted_change(agreed)
@@ -188,13 +188,13 @@
             "leader": agreement.leader,
             "label": acting.label if acting else "",
             "rules": json.loads(acting.rules) if acting else None,
-            "version": max(agreement.version, agreement.agreed.version),
+            "version": max(agreement.version, agreement.rule_set_state.version),
             "grantLeftUs": max(0, agreement.rules_lease.expires_us - now_us),
             "floorLeftUs": max(0, agreement.rules_lease.floor_expires_us - now_us),
         }
         if raft is not None and not raft.has_lost_state:
             state |= {"voters": list(raft.voters), "term": raft.persistent.term}
-            state |= self._agreed_state(agreement.agreed)
+            state |= self._agreed_state(agreement.rule_set_state)
         if agreement.is_leader:
             state["holders"] = [
                 {
@@ -231,7 +231,7 @@
     # -- POST rules
 
     def _propose(self, agreement: Coordinator, value: dict[str, Any]) -> Answer:
-        agreed = agreement.agreed
+        agreed = agreement.rule_set_state
         request = _ProposalRequest.from_body(value, agreed.version)
         rules = request.rules
         if request.keep_drains and agreed.revision:
@@ -265,7 +265,7 @@
     def _outcome_of(self, agreement: Coordinator, ident: str) -> str:
         """The objection by which a proposal was rejected, "" where it was accepted, once that is decided."""
         end_us = self._hub.now_us() + DECISION_TIMEOUT_US
-        while ident not in agreement.agreed.outcomes:
+        while ident not in agreement.rule_set_state.outcomes:
             if self._hub.now_us() >= end_us:
                 raise ApiError(
                     504,
@@ -273,7 +273,7 @@
                     "Timeout",
                 )
             self._hub.sleep(DECISION_POLL_US)
-        return agreement.agreed.outcomes[ident]
+        return agreement.rule_set_state.outcomes[ident]
 
     def _answer(self, agreement: Coordinator, objection: str, *, is_dry_run: bool) -> Answer:
         if objection:
@@ -283,9 +283,9 @@
             names.encode(
                 {
                     "kind": "Accepted",
-                    "version": agreement.agreed.version,
-                    "edition": agreement.agreed.revision,
-                    "steps": len(agreement.agreed.steps),
+                    "version": agreement.rule_set_state.version,
+                    "edition": agreement.rule_set_state.revision,
+                    "steps": len(agreement.rule_set_state.steps),
                     "dryRun": is_dry_run,
                 }
             ),
