--- a/tests/decide/coordination/test_granted_leases.py
+++ b/tests/decide/coordination/test_granted_leases.py
@@ -17,17 +17,17 @@
     return GrantedLeases()
 
 
-def earlier_expire_us(leases: GrantedLeases, revision: int) -> int:
-    return leases.earlier_expire_us(revision, ELECTED_US, LASTS_US)
+def earlier_leases_expire_us(leases: GrantedLeases, revision: int) -> int:
+    return leases.earlier_leases_expire_us(revision, ELECTED_US, LASTS_US)
 
 
 def test_a_new_leader_waits_for_leases_that_others_may_have_granted(leases: GrantedLeases) -> None:
-    assert earlier_expire_us(leases, 1) == lease_expiry_us(ELECTED_US, LASTS_US)
+    assert earlier_leases_expire_us(leases, 1) == lease_expiry_us(ELECTED_US, LASTS_US)
 
 
 def test_a_holder_of_an_earlier_revision_is_waited_for(leases: GrantedLeases) -> None:
     leases.grant("a", 0, GrantedLease(1, 9_000_000))
-    assert earlier_expire_us(leases, 2) == 9_000_000
+    assert earlier_leases_expire_us(leases, 2) == 9_000_000
 
 
 def test_a_later_grant_counts_only_once_its_holder_has_come_back_with_it(
@@ -35,9 +35,9 @@
 ) -> None:
     leases.grant("a", 0, GrantedLease(1, 9_000_000))
     leases.grant("a", 1, GrantedLease(2, 9_500_000))
-    assert earlier_expire_us(leases, 2) == 9_000_000, "the grant may never have reached it"
+    assert earlier_leases_expire_us(leases, 2) == 9_000_000, "the grant may never have reached it"
     leases.grant("a", 2, GrantedLease(2, 9_900_000))
-    assert earlier_expire_us(leases, 2) == lease_expiry_us(ELECTED_US, LASTS_US)
+    assert earlier_leases_expire_us(leases, 2) == lease_expiry_us(ELECTED_US, LASTS_US)
 
 
 def test_a_floor_is_held_until_its_last_lease_expires(leases: GrantedLeases) -> None:
@@ -50,6 +50,6 @@
 ) -> None:
     monkeypatch.setattr(granted_leases, "MAX_LEASE_HOLDERS", 1)
     leases.grant("a", 1, GrantedLease(1, 500))
-    assert leases.has_room_for("a", 499)
-    assert not leases.has_room_for("b", 499)
-    assert leases.has_room_for("b", 500)
+    assert leases.has_capacity_for("a", 499)
+    assert not leases.has_capacity_for("b", 499)
+    assert leases.has_capacity_for("b", 500)
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -135,11 +135,11 @@
     """Planted: a account takes answers to asks before its latest."""
 
     def on_grant(self, now_us: int, ident: str, grant: Any) -> Any:
-        self._number, number = grant.number, self._number
+        self._last_request_number, number = grant.number, self._last_request_number
         try:
             return super().on_grant(now_us, ident, grant)
         finally:
-            self._number = number
+            self._last_request_number = number
 
 
 class Stale(LeaseClient):
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -122,7 +122,7 @@
     patch.setattr(
         SessionSubsystem,
         "on_leadership_change",
-        lambda self, now_us, on: self._reset_leader(now_us - 10**9),
+        lambda self, now_us, is_leader: self._reset_leader(now_us - 10**9),
     )
     patch.setattr(SessionSubsystem, "_note_activity", lambda self, now_us: None)
 
--- a/wingbarrow/decide/consensus/progress.py
+++ b/wingbarrow/decide/consensus/progress.py
@@ -41,10 +41,10 @@
         for name in [name for name in self.progress if name not in followers]:
             del self.progress[name]
 
-    def responded_since(self, since_us: int) -> int:
+    def count_responded_since(self, since_us: int) -> int:
         """How many followers have answered after a time."""
         return sum(each.last_response_us > since_us for each in self.progress.values())
 
-    def answered(self, broadcast: int) -> int:
+    def count_acked(self, broadcast: int) -> int:
         """How many followers have answered a broadcast or a later one."""
         return sum(each.acked_round >= broadcast for each in self.progress.values())
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -87,7 +87,7 @@
         self._votes: set[str] = set()
         self._is_pre_vote = False
         self._has_yielded = False  # to another pre-candidate, since this one's last candidacy
-        self._leading = LeaderState()
+        self._leader_state = LeaderState()
         self._round = 0  # number of the latest broadcast; goes on over elections
         self._timers: set[str] = set()  # that are set and not yet due
         self._now_us = 0
@@ -145,7 +145,7 @@
         """
         if not self.is_leader:
             return []
-        self._leading.pending_reads.append(PendingRead(read_id, self._round + 1))
+        self._leader_state.pending_reads.append(PendingRead(read_id, self._round + 1))
         return [*self._broadcast(), *self._confirm_reads()]
 
     def on_storage_failure(self) -> None:
@@ -244,8 +244,8 @@
         if request.term > self.persistent.term and not has_leader:
             effects += self._step_down(now_us, request.term)
         persistent = self.persistent
-        is_free = persistent.vote in ("", candidate)
-        granted = is_eligible and request.term == persistent.term and is_free
+        can_vote = persistent.vote in ("", candidate)
+        granted = is_eligible and request.term == persistent.term and can_vote
         if granted and not persistent.vote:
             effects.append(self.log.vote_for(candidate))
         if granted:
@@ -297,7 +297,7 @@
         self.role = Role.LEADER
         self.leader = self.name
         self.elected_at_us = now_us
-        self._leading = LeaderState()
+        self._leader_state = LeaderState()
         self._track_followers(now_us)
         # Entries of earlier terms are committed only together with one of the leader's own (3.6.2).
         effects: Effects = [
@@ -322,7 +322,7 @@
             self.leader = ""
             effects.append(LeadershipChanged(False))
             effects.append(Notify("leads-no-longer", {"term": self.persistent.term}))
-        self._leading.pending_reads.clear()
+        self._leader_state.pending_reads.clear()
         effects.append(self._set_election_timer(now_us))
         return effects
 
@@ -332,7 +332,7 @@
         effects: Effects = [LeadershipChanged(False)] if was_leader else []
         self.role = Role.FOLLOWER
         self.leader = leader
-        self._leading.pending_reads.clear()
+        self._leader_state.pending_reads.clear()
         effects.append(Notify("follows", {"leader": leader, "term": self.persistent.term}))
         return effects
 
@@ -342,7 +342,7 @@
         if not self.is_leader:
             return []
         since_us = now_us - 2 * self._election_timeout_us
-        active = self._own_vote() + self._leading.responded_since(since_us)
+        active = self._own_vote_count() + self._leader_state.count_responded_since(since_us)
         if not self._is_majority(active):
             # Check-quorum (6.2). Danger: a leader that a majority hears no longer would go on answering as one.
             return self._step_down(now_us, self.persistent.term)
@@ -353,14 +353,17 @@
 
     def _track_followers(self, now_us: int) -> None:
         followers = [name for name in self.voters if name != self.name]
-        self._leading.track(followers, self.persistent.last_log_index + 1, now_us)
+        self._leader_state.track(followers, self.persistent.last_log_index + 1, now_us)
 
     def _broadcast(self) -> list[Send]:
         """Send each follower what it lacks, or a heartbeat."""
         self._round += 1
-        return [self._replicate(name, each) for name, each in self._leading.progress.items()]
+        return [
+            self._replication_message(name, each)
+            for name, each in self._leader_state.progress.items()
+        ]
 
-    def _replicate(self, follower: str, progress: Progress) -> Send:
+    def _replication_message(self, follower: str, progress: Progress) -> Send:
         """The entries after `next_index`; the snapshot where those were compacted away."""
         persistent = self.persistent
         prev_index = progress.next_index - 1
@@ -386,7 +389,7 @@
         return Send(follower, "", request)
 
     def _on_append_response(self, now_us: int, follower: str, response: AppendResponse) -> Effects:
-        progress = self._leading.progress.get(follower)
+        progress = self._leader_state.progress.get(follower)
         if not self.is_leader or progress is None or response.term != self.persistent.term:
             return []
         progress.last_response_us = now_us
@@ -395,14 +398,14 @@
         if not response.ok:
             # 3.5: go back until the logs agree; the response tells how far at once.
             progress.next_index = max(1, min(progress.next_index - 1, response.match + 1))
-            effects.append(self._replicate(follower, progress))
+            effects.append(self._replication_message(follower, progress))
             return effects
         old_match_index = progress.match_index
         progress.match_index = max(old_match_index, response.match)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         effects += self._advance_commit_index()
         if old_match_index < progress.match_index < self.persistent.last_log_index:
-            effects.append(self._replicate(follower, progress))
+            effects.append(self._replication_message(follower, progress))
         return effects
 
     def _advance_commit_index(self) -> Effects:
@@ -411,7 +414,7 @@
             (
                 self.persistent.last_log_index
                 if name == self.name
-                else self._leading.progress[name].match_index
+                else self._leader_state.progress[name].match_index
                 for name in self.voters
             ),
             reverse=True,
@@ -427,10 +430,10 @@
     def _confirm_reads(self) -> Effects:
         """Confirm pending reads, oldest first, as far as a majority has answered (6.4)."""
         effects: Effects = []
-        reads = self._leading.pending_reads
+        reads = self._leader_state.pending_reads
         while reads:
-            answered = self._own_vote() + self._leading.answered(reads[0].round)
-            if not self._is_majority(answered):
+            acked = self._own_vote_count() + self._leader_state.count_acked(reads[0].round)
+            if not self._is_majority(acked):
                 break
             effects.append(LeadershipConfirmed(reads.popleft().read_id))
         return effects
@@ -471,7 +474,7 @@
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.voters)
 
-    def _own_vote(self) -> int:
+    def _own_vote_count(self) -> int:
         """1 where this voter is in the configuration; a leader that was removed does not count itself (4.2.2)."""
         return 1 if self.name in self.voters else 0
 
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.consensus.messages import Message as RaftMessage
 from wingbarrow.decide.consensus.raft import TIMER_PREFIX, Raft
 from wingbarrow.decide.coordination.granted_leases import GrantedLease
-from wingbarrow.decide.coordination.leader import Leader, WaitingRequest
+from wingbarrow.decide.coordination.leader import Leader, PendingRequest
 from wingbarrow.decide.coordination.lease_client import LeaseClient
 from wingbarrow.decide.coordination.leases import RulesInForce, RulesLease
 from wingbarrow.decide.coordination.messages import (
@@ -95,7 +95,7 @@
     def on_message(self, now_us: int, sender: str, address: str, message: Message) -> list[Effect]:
         """A message of another placer; `address` is where an answer reaches it."""
         if isinstance(message, LeaseRequest):
-            return self._on_request(now_us, WaitingRequest(sender, address, message))
+            return self._on_request(now_us, PendingRequest(sender, address, message))
         if isinstance(message, LeaseGrant):
             return self.lease_client.on_grant(now_us, sender, message)
         if isinstance(message, NotLeader):
@@ -109,18 +109,18 @@
         if self.raft is None or sender not in (*self.raft.voters, *self._configured_voters):
             return []
         if isinstance(message, RelayedRequest):
-            request = WaitingRequest(message.ident, "", message.ask, relay=sender)
+            request = PendingRequest(message.ident, "", message.ask, relay=sender)
             return self.leadership.on_request(now_us, request)
         if isinstance(message, RelayedGrant):
             return [Send(message.ident, "", message.grant)]
         return self.apply_raft(now_us, self.raft.on_message(now_us, sender, message))
 
-    def _on_request(self, now_us: int, waiting: WaitingRequest) -> list[Effect]:
+    def _on_request(self, now_us: int, pending: PendingRequest) -> list[Effect]:
         """Answer a request, or forward it where its sender wants that and somebody else leads."""
         leader = self.raft.leader if self.raft is not None else ""
-        if waiting.request.forward and leader not in ("", self.name, waiting.sender):
-            return [Send(leader, "", RelayedRequest(waiting.sender, waiting.request))]
-        return self.leadership.on_request(now_us, waiting)
+        if pending.request.forward and leader not in ("", self.name, pending.sender):
+            return [Send(leader, "", RelayedRequest(pending.sender, pending.request))]
+        return self.leadership.on_request(now_us, pending)
 
     def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
         """This placer leads, and has granted its own request."""
@@ -132,7 +132,7 @@
             assert self.raft is not None
             raft_key = key.removeprefix(TIMER_PREFIX)
             return self.apply_raft(now_us, self.raft.on_timer(now_us, raft_key))
-        if not self._timers.take(key):
+        if not self._timers.consume(key):
             return []
         handlers = {
             REQUEST_TIMER: self._send_request,
@@ -146,7 +146,7 @@
         leader = self.name if self.is_leader else self.leader
         request, receiver, effects = self.lease_client.next_request(now_us, leader)
         if self.is_leader:
-            own = WaitingRequest(self.name, "", request)
+            own = PendingRequest(self.name, "", request)
             return [*self.leadership.on_request(now_us, own), *effects]
         if not receiver.name:
             return effects
--- a/wingbarrow/decide/coordination/granted_leases.py
+++ b/wingbarrow/decide/coordination/granted_leases.py
@@ -31,7 +31,7 @@
         # its last one, as the grant may never reach it.
         self._unacknowledged_us: dict[str, int] = {}
 
-    def has_room_for(self, holder: str, now_us: int) -> bool:
+    def has_capacity_for(self, holder: str, now_us: int) -> bool:
         """Whether a lease can be granted to this placer; expired ones are dropped where there are too many."""
         if holder in self.by_holder or len(self.by_holder) < MAX_LEASE_HOLDERS:
             return True
@@ -54,15 +54,15 @@
         """Enter that somebody may go by a floor until then."""
         self._floor_expiries_us[number] = expires_us
 
-    def floor_expires_us(self, number: int, elected_at_us: int, lasts_us: int) -> int:
+    def floor_expires_us(self, number: int, elected_at_us: int, duration_us: int) -> int:
         """When nobody can go by a floor any more, unless it is granted again."""
         granted_us = self._floor_expiries_us.get(number, 0)
-        return max(granted_us, lease_expiry_us(elected_at_us, lasts_us))
+        return max(granted_us, lease_expiry_us(elected_at_us, duration_us))
 
-    def earlier_expire_us(self, revision: int, elected_at_us: int, lasts_us: int) -> int:
+    def earlier_leases_expire_us(self, revision: int, elected_at_us: int, duration_us: int) -> int:
         """When nobody can act on a revision before this one any more."""
         earlier = [
             lease.expires_us for lease in self.by_holder.values() if lease.revision < revision
         ]
-        unknown_us = lease_expiry_us(elected_at_us, lasts_us)
+        unknown_us = lease_expiry_us(elected_at_us, duration_us)
         return max([unknown_us, *earlier, *self._unacknowledged_us.values()])
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -36,11 +36,11 @@
 from wingbarrow.decide.rulesets.versions import RuleSetState
 
 OUTLIER_SCAN_INTERVAL_US = 250_000
-MAX_WAITING_REQUESTS = 4096
+MAX_PENDING_REQUESTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingRequest:
+class PendingRequest:
     """A request that waits for leadership to be confirmed; `relay` is the voter that forwarded it, "" for none."""
 
     sender: str
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class LeaderState:
+class LeaderTermState:
     """What a leader knows beside the log; made anew as leadership changes."""
 
-    waiting: list[WaitingRequest] = field(default_factory=list)
-    batches: dict[int, list[WaitingRequest]] = field(default_factory=dict)  # by their read's id
+    pending: list[PendingRequest] = field(default_factory=list)
+    batches: dict[int, list[PendingRequest]] = field(default_factory=dict)  # by their read's id
     leases: GrantedLeases = field(default_factory=GrantedLeases)
     outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
 
@@ -107,7 +107,7 @@
         self._timers = timers
         self._subsystems = subsystems
         self._zones = zones
-        self._state = LeaderState()
+        self._state = LeaderTermState()
         self._read_id = 0  # of the latest batch
         self._last_outlier_scan_us = -OUTLIER_SCAN_INTERVAL_US
         self._parsed_rules: tuple[str, RuleSet | None] = ("", None)
@@ -124,7 +124,7 @@
 
     def on_leadership_change(self, now_us: int, *, is_leader: bool) -> list[Effect]:
         """This placer was elected, or leads no longer: nothing but the log is known."""
-        self._state = LeaderState()
+        self._state = LeaderTermState()
         raft = self._host.raft
         term = raft.persistent.term if raft is not None else 0
         self._host.allocations.on_leadership_change(now_us, is_leader, term)
@@ -136,19 +136,19 @@
 
     # -- Requests: they wait for a batch, and a batch for its leader to be confirmed
 
-    def on_request(self, now_us: int, waiting: WaitingRequest) -> list[Effect]:
+    def on_request(self, now_us: int, pending: PendingRequest) -> list[Effect]:
         """A placer's request, also this placer's own; a later one of the same sender replaces it while it waits."""
         if not self._host.is_leader:
-            if waiting.relay:
+            if pending.relay:
                 return []
-            redirect = NotLeader(waiting.request.number, self._host.leader)
-            return [Send(waiting.sender, waiting.address, redirect)]
-        queue = self._state.waiting
-        if len(queue) >= MAX_WAITING_REQUESTS:
+            redirect = NotLeader(pending.request.number, self._host.leader)
+            return [Send(pending.sender, pending.address, redirect)]
+        queue = self._state.pending
+        if len(queue) >= MAX_PENDING_REQUESTS:
             return []
         is_first = not queue
-        queue = [each for each in queue if each.sender != waiting.sender]
-        self._state.waiting = [*queue, waiting]
+        queue = [each for each in queue if each.sender != pending.sender]
+        self._state.pending = [*queue, pending]
         if not is_first:
             return []
         return [self._timers.set(BATCH_TIMER, now_us + self._timing.batch_us)]
@@ -156,8 +156,8 @@
     def confirm_batch(self, now_us: int) -> list[Effect]:
         """`BATCH_TIMER` is due: have leadership confirmed for all requests that wait."""
         raft = self._host.raft
-        batch = self._state.waiting
-        self._state.waiting = []
+        batch = self._state.pending
+        self._state.pending = []
         if not batch or raft is None or not self._host.is_leader:
             return []
         self._read_id += 1
@@ -178,59 +178,59 @@
         effects: list[Effect] = []
         if batch and self._host.rule_set_state.revision:
             for each in batch:
-                self._take_reports(now_us, each)
+                self._process_reports(now_us, each)
             for each, quotas in zip(batch, self._quota_grants(now_us, batch), strict=True):
-                effects += self._answer(now_us, each, quotas)
+                effects += self._grant_lease(now_us, each, quotas)
         effects += self.propose_next(now_us)
         return effects
 
-    def _take_reports(self, now_us: int, waiting: WaitingRequest) -> None:
-        request = waiting.request
+    def _process_reports(self, now_us: int, pending: PendingRequest) -> None:
+        request = pending.request
         self.outlier_detector.on_report(
             now_us,
-            waiting.sender,
+            pending.sender,
             request.region,
             HealthSummary(request.evidence, request.bad, request.tried),
         )
         for subsystem in self._subsystems:
             report = getattr(request, subsystem.name)
             if report is not None:
-                subsystem.on_report(now_us, waiting.requester, report)
+                subsystem.on_report(now_us, pending.requester, report)
 
     def _quota_grants(
-        self, now_us: int, batch: Sequence[WaitingRequest]
+        self, now_us: int, batch: Sequence[PendingRequest]
     ) -> list[tuple[QuotaGrant, ...]]:
         """What the senders of a batch may use of the fleet's limits: one answer for all, as one's gain is another's."""
         reports = [(each.requester, each.request.stated) for each in batch]
         return self._host.allocations.grants_for(now_us, reports, self._rules().limits)
 
-    def _answer(
-        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    def _grant_lease(
+        self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> list[Effect]:
         """Grant a lease, unless there are too many holders."""
         rule_set_state = self._host.rule_set_state
         leases = self._state.leases
-        if not leases.has_room_for(waiting.sender, now_us):
+        if not leases.has_capacity_for(pending.sender, now_us):
             return []
         expires_us = lease_expiry_us(now_us, self._timing.grant_us)
         lease = GrantedLease(rule_set_state.revision, expires_us)
-        leases.grant(waiting.sender, waiting.request.edition, lease)
+        leases.grant(pending.sender, pending.request.edition, lease)
         if rule_set_state.floors:
             floor = rule_set_state.floors[-1]
             leases.grant_floor(floor.number, lease_expiry_us(now_us, floor.lasts_us))
-        grant = self._grant(now_us, waiting, quotas)
-        if waiting.sender == self._host.name:
+        grant = self._grant_message(now_us, pending, quotas)
+        if pending.sender == self._host.name:
             return self._host.on_own_grant(now_us, grant)
-        if waiting.relay:
-            return [Send(waiting.relay, "", RelayedGrant(waiting.sender, grant))]
-        return [Send(waiting.sender, waiting.address, grant)]
+        if pending.relay:
+            return [Send(pending.relay, "", RelayedGrant(pending.sender, grant))]
+        return [Send(pending.sender, pending.address, grant)]
 
-    def _grant(
-        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    def _grant_message(
+        self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> LeaseGrant:
         """The message; rules that the requester has are left out."""
         rule_set_state = self._host.rule_set_state
-        request = waiting.request
+        request = pending.request
         floor = rule_set_state.floors[-1] if rule_set_state.floors else None
         return LeaseGrant(
             request.number,
@@ -244,7 +244,7 @@
             quotas,
             self.outlier_detector.active(now_us),
             **{
-                each.name: each.response_for(now_us, waiting.requester) for each in self._subsystems
+                each.name: each.response_for(now_us, pending.requester) for each in self._subsystems
             },
             reign=self._host.allocations.term,
             leader=self._host.name,
@@ -309,7 +309,7 @@
         raft = self._host.raft
         assert raft is not None
         revision = self._host.rule_set_state.revision
-        return self._state.leases.earlier_expire_us(
+        return self._state.leases.earlier_leases_expire_us(
             revision, raft.elected_at_us, self._timing.grant_us
         )
 
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Outstanding:
+class _OutstandingRequest:
     """A request without an answer yet."""
 
     sent_us: int
@@ -58,9 +58,9 @@
         self._timers = timers
         self._subsystems = subsystems
         self._random = random.Random(seed)
-        self._number = 0  # of the latest request
-        self._sent_us = -settings.timing.grant_us
-        self._outstanding: dict[int, _Outstanding] = {}  # by the request's number
+        self._last_request_number = 0  # of the latest request
+        self._last_sent_us = -settings.timing.grant_us
+        self._outstanding: dict[int, _OutstandingRequest] = {}  # by the request's number
         self._notified_rules: RulesInForce | None = None
         self._notified_ejections: frozenset[str] = frozenset()
         self._has_given_up_quota = False  # with the latest grant
@@ -85,9 +85,9 @@
             self.quotas.expire()
             effects.append(Notify("rights", {"shares": {}}))
         receiver = self.selector.choose(leader, is_unanswered=is_unanswered)
-        self._number += 1
-        self._sent_us = now_us
-        self._outstanding[self._number] = _Outstanding(now_us, receiver.forward)
+        self._last_request_number += 1
+        self._last_sent_us = now_us
+        self._outstanding[self._last_request_number] = _OutstandingRequest(now_us, receiver.forward)
         request = self._request(now_us, forward=receiver.forward)
         jitter_us = self._random.randrange(self._timing.retry_us // 2)
         retry_at_us = now_us + self._timing.retry_us + jitter_us
@@ -99,7 +99,7 @@
     def _request(self, now_us: int, *, forward: bool) -> LeaseRequest:
         health = self.health_observer.report(now_us, self.ejections.probed_here)
         return LeaseRequest(
-            self._number,
+            self._last_request_number,
             self.rules_lease.revision,
             self.rules_lease.floor,
             self.local.incarnation,
@@ -118,7 +118,7 @@
         """Somebody waits for quota: send the next request early, unless one is outstanding."""
         if self._outstanding:
             return []
-        at_us = max(now_us + 1, self._sent_us + MIN_REQUEST_INTERVAL_US)
+        at_us = max(now_us + 1, self._last_sent_us + MIN_REQUEST_INTERVAL_US)
         return [self._timers.set(REQUEST_TIMER, at_us)]
 
     # -- Answers
@@ -180,7 +180,7 @@
             self.quotas.expire()
         # Danger: what an earlier request reported may have been given back since; and the leader counts a share no
         # longer once the lease that it came with is over.
-        is_latest = grant.number == self._number
+        is_latest = grant.number == self._last_request_number
         if is_latest and now_us < requested_us + grant.lasts_us:
             self.quotas.on_grants(grant.rights)
         shares = self.quotas.shares
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -13,9 +13,9 @@
 from wingbarrow.decide.quotas.limits import drifted_us
 
 
-def lease_expiry_us(now_us: int, lasts_us: int) -> int:
+def lease_expiry_us(now_us: int, duration_us: int) -> int:
     """Until when the giver of a lease reckons with it; `now_us` is a time after its holder requested it."""
-    return now_us + drifted_us(lasts_us)
+    return now_us + drifted_us(duration_us)
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,23 +38,23 @@
     floor_rules: str = ""
     floor_expires_us: int = 0
 
-    def renew(self, requested_us: int, revision: int, rules: str, lasts_us: int) -> bool:
+    def renew(self, requested_us: int, revision: int, rules: str, duration_us: int) -> bool:
         """Renew, as requested at that time; False for a grant of a revision before the one held: it has no effect."""
         if revision < self.revision:
             # Danger: a late grant must not bring back rules whose time has passed.
             return False
         if revision > self.revision:
             self.revision, self.rules, self.expires_us = revision, rules, 0
-        self.expires_us = max(self.expires_us, requested_us + lasts_us)
+        self.expires_us = max(self.expires_us, requested_us + duration_us)
         return True
 
-    def renew_floor(self, requested_us: int, number: int, rules: str, lasts_us: int) -> None:
+    def renew_floor(self, requested_us: int, number: int, rules: str, duration_us: int) -> None:
         """Renew the lease of a floor; a grant of an earlier floor has no effect."""
         if number < self.floor:
             return
         if number > self.floor:
             self.floor, self.floor_rules, self.floor_expires_us = number, rules, 0
-        self.floor_expires_us = max(self.floor_expires_us, requested_us + lasts_us)
+        self.floor_expires_us = max(self.floor_expires_us, requested_us + duration_us)
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
         """What may be acted on at this moment; None for nothing."""
--- a/wingbarrow/decide/coordination/subsystem.py
+++ b/wingbarrow/decide/coordination/subsystem.py
@@ -54,8 +54,8 @@
     def restore(self, text: str) -> None:
         """Replace the state by that of a `snapshot`; "" stands for the initial state."""
 
-    def on_leadership_change(self, now_us: int, on: bool) -> None:
-        """This voter was elected (`on`), and knows only what the log says; or it leads no longer."""
+    def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
+        """This voter was elected (`is_leader`), and knows only what the log says; or it leads no longer."""
 
     def on_report(self, now_us: int, requester: Requester, report: ReportT_contra) -> None:
         """A placer's report, leadership confirmed since. Not called where the request has no such part."""
--- a/wingbarrow/decide/coordination/timers.py
+++ b/wingbarrow/decide/coordination/timers.py
@@ -21,7 +21,7 @@
         self._pending.add(key)
         return SetTimer(key, at_us)
 
-    def take(self, key: str) -> bool:
+    def consume(self, key: str) -> bool:
         """A timer is reported as due: whether it was set. It no longer is."""
         was_set = key in self._pending
         self._pending.discard(key)
--- a/wingbarrow/decide/coordination/voter_selection.py
+++ b/wingbarrow/decide/coordination/voter_selection.py
@@ -28,19 +28,19 @@
         self._name = name
         self._voters = voters
         self._unresponsive_leader = ""
-        self._last_receiver = ""  # of a request that was not to be forwarded
+        self._last_direct_receiver = ""  # of a request that was not to be forwarded
         self._relayed_grants = 0
         self._attempts = 0  # voters tried in turn, since a leader last answered itself
-        self._redirect = ""  # whom the last one asked named as leader
+        self._redirect_target = ""  # whom the last one asked named as leader
         self._redirects = 0
 
     def choose(self, leader: str, *, is_unanswered: bool) -> Receiver:
         """The next receiver: `leader` as far as is known; `is_unanswered`: an earlier request still has no answer."""
-        if not self._redirect:
+        if not self._redirect_target:
             self._redirects = 0
         receiver = self._select(leader, is_unanswered=is_unanswered)
-        self._last_receiver = "" if receiver.forward else receiver.name
-        self._redirect = ""
+        self._last_direct_receiver = "" if receiver.forward else receiver.name
+        self._redirect_target = ""
         return receiver
 
     def _select(self, leader: str, *, is_unanswered: bool) -> Receiver:
@@ -48,10 +48,10 @@
             return Receiver(leader, forward=False)
         if is_unanswered:
             # Another voter may know a later leader, or may reach this one.
-            self._unresponsive_leader = self._unresponsive_leader or self._last_receiver
+            self._unresponsive_leader = self._unresponsive_leader or self._last_direct_receiver
             self.relay = ""
-        elif self._redirect:
-            return Receiver(self._redirect, forward=False)
+        elif self._redirect_target:
+            return Receiver(self._redirect_target, forward=False)
         elif self.relay:
             return Receiver(self.relay, forward=True)
         if leader and leader != self._unresponsive_leader:
@@ -88,9 +88,9 @@
         """A request came to one that does not lead and names `leader`: whether to ask that one at once."""
         self.relay = ""  # it no longer knows the leader
         # Danger: two that name each other, each behind in its way, would be asked in turn without a pause.
-        is_known = leader in ("", self._name, self._redirect, self._unresponsive_leader)
+        is_known = leader in ("", self._name, self._redirect_target, self._unresponsive_leader)
         if is_known or self._redirects >= MAX_REDIRECTS:
             return False
-        self._redirect = leader
+        self._redirect_target = leader
         self._redirects += 1
         return True
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -93,9 +93,9 @@
         """Why slots that wait do not go on, by number, as of the last round."""
         return self._steps.blocked
 
-    def on_leadership_change(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
         """Begin anew: no report to an earlier leader counts."""
-        self.leads = on
+        self.leads = is_leader
         self._proof.on_leadership_change(now_us)
         self._reports.clear()
         self._watches.clear()
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -128,7 +128,7 @@
     def restore(self, text: str) -> None:
         """There is no replicated state."""
 
-    def on_leadership_change(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
         """Begin with nothing."""
         self._reset_leader(now_us)
 
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -132,7 +132,7 @@
 
     # -- reports and responses, at the leader
 
-    def on_leadership_change(self, now_us: int, on: bool) -> None:
+    def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
         """Begin or cease to lead.
 
         Danger: renewals by earlier leaders are not known, so every open session is counted from now.
