--- a/wingbarrow/decide/consensus/__init__.py
+++ b/wingbarrow/decide/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft among the voters: one replicated log of decisions (Ongaro 2014, with pre-vote and check-quorum)."""
+"""Raft consensus among the voters on one replicated log (Ongaro 2014, with pre-vote and check-quorum)."""
--- a/wingbarrow/decide/consensus/effects.py
+++ b/wingbarrow/decide/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What `Raft` asks of its host, in the order in which the host must do it: see `Raft`, "The host's duties"."""
+"""Effects that `Raft` returns to its host, which carries them out in order: see `Raft`, "The host's duties"."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesCommitted:
-    """Entries to apply to the state machine: each index comes once, in order, beginning with `first_index`."""
+    """Apply committed entries to the state machine; each index is delivered once, in order, from `first_index` on."""
 
     first_index: int
     entries: tuple[LogEntry, ...]
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRestored:
-    """Replace the state machine's state by that of a snapshot, which includes the entry `index`."""
+    """Replace the state machine's state by that of a snapshot, which covers all entries up to and including `index`."""
 
     index: int
     state: str
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipConfirmed:
-    """A majority has answered this leader since `confirm_leadership` was called with `read_id` (ReadIndex, 6.4)."""
+    """A majority has responded to this leader since `confirm_leadership` was called with `read_id` (ReadIndex, 6.4)."""
 
     read_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChanged:
-    """This voter was elected, or has stepped down."""
+    """This voter was elected leader, or has stepped down."""
 
     is_leader: bool
 
--- a/wingbarrow/decide/consensus/entries.py
+++ b/wingbarrow/decide/consensus/entries.py
@@ -1,16 +1,16 @@
-"""What the replicated log holds, and the snapshot that stands for its beginning (Ongaro 2014, figures 3.1 and 5.3)."""
+"""Entries of the replicated log, and the snapshot of its compacted prefix (Ongaro 2014, figures 3.1 and 5.3)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-VOTERS = "voters"  # kind of a configuration entry; its body names all voters, with spaces between
-NO_OP = ""  # kind of the entry with which a leader begins its term
+VOTERS = "voters"  # kind of a configuration entry; its body lists all voters, separated by spaces
+NO_OP = ""  # kind of the entry that a leader appends at the start of its term
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One entry: `kind` and `body` are the state machine's own, but for `VOTERS` and `NO_OP`."""
+    """One log entry; `kind` and `body` are defined by the state machine, except for `VOTERS` and `NO_OP`."""
 
     term: int
     kind: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State machine and configuration as of the entry `index` of term `term`; that entry is included."""
+    """State machine and configuration up to and including the entry `index`, which is of term `term`."""
 
     index: int
     term: int
@@ -28,5 +28,5 @@
 
 
 def voters_of(entry: LogEntry) -> tuple[str, ...]:
-    """The configuration that a `VOTERS` entry brings."""
+    """The configuration in the body of a `VOTERS` entry."""
     return tuple(entry.body.split())
--- a/wingbarrow/decide/consensus/log.py
+++ b/wingbarrow/decide/consensus/log.py
@@ -1,4 +1,7 @@
-"""A voter's persistent state (Ongaro 2014, figure 3.1): current term, vote, log, and the snapshot before the log."""
+"""A voter's persistent state (Ongaro 2014, figure 3.1): current term, vote, log, and the snapshot before the log.
+
+Indexes are those of the whole log, from 1 on; the first entry kept is the one after `snapshot_index`.
+"""
 
 from __future__ import annotations
 
@@ -7,17 +10,17 @@
 from wingbarrow.decide.consensus.entries import VOTERS, LogEntry, Snapshot, voters_of
 from wingbarrow.decide.effects import Persist
 
-MAX_APPEND_CHARS = 256 * 1024  # of the entries' bodies in one message
-RECOVERY_TERM_GAP = 1_000_000  # left for elections among voters that were lost
+MAX_APPEND_CHARS = 256 * 1024  # total length of the entry bodies in one message
+RECOVERY_TERM_GAP = 1_000_000  # terms skipped, as the lost voters may have held elections
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """Term and vote, the snapshot up to `snapshot_index`, and the log of all entries after it."""
+    """The term and vote, the snapshot up to `snapshot_index`, and all log entries after it."""
 
     snapshot_voters: tuple[str, ...]
     term: int = 0
-    vote: str = ""  # votedFor in `term`; "" for nobody
+    vote: str = ""  # votedFor in `term`; "" for none
     snapshot_index: int = 0
     snapshot_term: int = 0
     snapshot_state: str = ""
@@ -25,12 +28,12 @@
 
     @property
     def last_log_index(self) -> int:
-        """The index of the last entry; that of the snapshot where the log is empty."""
+        """The index of the last entry, or of the snapshot if the log is empty."""
         return self.snapshot_index + len(self.log)
 
     @property
     def last_log_term(self) -> int:
-        """The term of the last entry."""
+        """The term of the last entry, or of the snapshot if the log is empty."""
         return self.term_at(self.last_log_index) or 0
 
     @property
@@ -41,7 +44,7 @@
         )
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it was compacted away, or does not exist."""
+        """The term of an entry; None if it was compacted away or does not exist."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_log_index:
@@ -49,11 +52,11 @@
         return None
 
     def entries_from(self, first_index: int) -> tuple[LogEntry, ...]:
-        """All entries of the log from an index on."""
+        """All entries from `first_index` on."""
         return tuple(self.log[first_index - self.snapshot_index - 1 :])
 
     def next_entries(self, prev_index: int, max_entries: int) -> tuple[LogEntry, ...]:
-        """Entries after an index for one message: at least one, and no more than `MAX_APPEND_CHARS` with the others."""
+        """Entries after `prev_index` for one message: one if any, and more while they fit in `MAX_APPEND_CHARS`."""
         size = 0
         entries: list[LogEntry] = []
         offset = prev_index - self.snapshot_index
@@ -65,11 +68,11 @@
         return tuple(entries)
 
     def replace_from(self, first_index: int, entries: tuple[LogEntry, ...]) -> None:
-        """Put entries in place of all that the log holds from an index on."""
+        """Replace all entries from `first_index` on."""
         self.log = self.log[: first_index - self.snapshot_index - 1] + list(entries)
 
     def replace_snapshot(self, snapshot: Snapshot, log: list[LogEntry]) -> None:
-        """Take a snapshot in place of the one before, with the log that follows it."""
+        """Replace the snapshot, and the log by the entries that follow it."""
         self.snapshot_index = snapshot.index
         self.snapshot_term = snapshot.term
         self.snapshot_voters = snapshot.voters
@@ -77,7 +80,7 @@
         self.log = log
 
     def persist(self, update: Persist) -> None:
-        """Apply an update as a store does: for hosts that keep a voter's state in memory."""
+        """Apply an update as a store does, for hosts that keep a voter's state in memory."""
         self.term = update.term
         self.vote = update.vote
         if update.snapshot is not None:
@@ -86,29 +89,29 @@
             self.replace_from(update.first_index, update.entries)
 
     def latest_voters(self) -> tuple[str, ...]:
-        """The configuration in force: a voter uses the latest in its log, committed or not (4.1)."""
+        """The configuration in effect: the latest in the log, committed or not (4.1)."""
         for entry in reversed(self.log):
             if entry.kind == VOTERS:
                 return voters_of(entry)
         return self.snapshot_voters
 
     def voters_at(self, index: int) -> tuple[str, ...]:
-        """The configuration as of an entry of the log."""
+        """The configuration as of the entry `index`."""
         for entry in reversed(self.log[: index - self.snapshot_index]):
             if entry.kind == VOTERS:
                 return voters_of(entry)
         return self.snapshot_voters
 
     def has_configuration_after(self, index: int) -> bool:
-        """Whether the log changes the configuration after an index."""
+        """Whether the log contains a configuration entry after `index`."""
         return any(entry.kind == VOTERS for entry in self.log[index - self.snapshot_index :])
 
 
 def sole_voter_update(name: str, persistent: PersistentState, recovery_kind: str) -> Persist:
-    """The update that makes one voter the only one, for a majority that is lost for good.
+    """The update that makes `name` the only voter, for recovery after a majority was lost permanently.
 
-    Danger: entries that were not committed may become so, and entries that were committed without this voter are gone.
-    An entry of `recovery_kind` follows the configuration, so that the state machine can allow for what it cannot know.
+    Danger: uncommitted entries may become committed, and entries that were committed without this voter are lost. An
+    entry of `recovery_kind` follows the configuration entry, so that the state machine can account for missing entries.
     """
     term = persistent.term + RECOVERY_TERM_GAP
     entries = (LogEntry(term, VOTERS, name), LogEntry(term, recovery_kind, "{}"))
--- a/wingbarrow/decide/consensus/messages.py
+++ b/wingbarrow/decide/consensus/messages.py
@@ -1,6 +1,6 @@
-"""What voters send each other: the calls of the Raft paper as messages without a reply channel.
+"""Messages between voters: the RPCs of the Raft paper, with requests and responses as separate messages.
 
-The fields' names are those on the wire (`wingbarrow.peers.message`); the paper's stand beside them where they differ.
+Field names are those on the wire (`wingbarrow.peers.message`); comments give the paper's names where they differ.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """RequestVote (3.4); with `pre` a pre-vote (9.6), for the term that its sender would begin."""
+    """RequestVote (3.4); with `pre` a pre-vote request (9.6) for the term that its sender would start."""
 
     term: int
     last_index: int  # lastLogIndex
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """Answer to `VoteRequest`; `term` is the requested one where a pre-vote is granted."""
+    """Response to `VoteRequest`; `term` is the requested one if a pre-vote is granted, else the voter's current one."""
 
     term: int
     granted: bool
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """AppendEntries (3.5): entries after `prev_index`; without entries a heartbeat.
+    """AppendEntries (3.5): the entries after `prev_index`; a heartbeat if there are none.
 
-    `round` numbers the leader's broadcasts and is echoed: it tells which of them a follower has answered.
+    `round` is the number of the leader's broadcast; the response echoes it, so that the leader can match the two.
     """
 
     term: int
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendResponse:
-    """Answer to `AppendRequest` and `InstallSnapshot`.
+    """Response to `AppendRequest` and `InstallSnapshot`.
 
-    `match`: where `ok`, the last index up to which the logs agree; else the index to try next.
+    `match` is the last index up to which the logs match if `ok`, else the index to try next.
     """
 
     term: int
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """InstallSnapshot (chapter 5), in one piece, for a follower that lacks entries which were compacted away."""
+    """InstallSnapshot (chapter 5), unchunked, for a follower that lacks entries which the leader compacted away."""
 
     term: int
     index: int  # lastIncludedIndex
     last_term: int  # lastIncludedTerm
-    voters: str  # names with spaces between
+    voters: str  # names, separated by spaces
     state: str
     round: int
 
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -1,8 +1,8 @@
 """Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) without I/O; sections are cited by number.
 
-Beside elections and log replication (chapter 3): changes of one voter at a time (4.1), log compaction (5), confirmation
-of leadership for reads (ReadIndex, 6.4), pre-vote (9.6) and check-quorum (6.2). Guaranteed is what figure 3.2 lists,
-for a host that keeps to its duties, listed at `Raft`.
+Implements leader election and log replication (chapter 3), single-server membership changes (4.1), log compaction (5),
+linearizable reads (ReadIndex, 6.4), pre-vote (9.6) and check-quorum (6.2). The safety properties of figure 3.2 hold if
+the host fulfils its duties, which are listed at `Raft`.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 MAX_APPEND_ENTRIES = 32  # in one AppendRequest
 HEARTBEATS_PER_ELECTION_TIMEOUT = 5
 
-TIMER_PREFIX = "raft "  # of the keys that the host sees
+TIMER_PREFIX = "raft "  # of timer keys in the effects for the host
 ELECTION_TIMER = "election"
 HEARTBEAT_TIMER = "beat"
 VOTE_RETRY_TIMER = "again"
 
 
 class Role(Enum):
-    """A voter's state (figure 3.3); a pre-candidate counts as a candidate."""
+    """The state of a voter (figure 3.3); a pre-candidate is a candidate too."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -48,22 +48,22 @@
 
 
 class Raft:
-    """One voter. Every method but properties returns effects, which the host carries out before its next call.
+    """One voter. Methods return effects, which the host carries out before its next call.
 
     The host's duties, in order:
 
     1. Call `start` once, then `on_message` for each message of another voter and `on_timer` for each timer that is due
-       (without `TIMER_PREFIX`), with a monotonic clock.
-    2. Carry out the effects of each call in their order. A `Persist` is on disk before any later effect is begun; where
-       it fails, call `on_storage_failure` and drop the rest.
+       (with its key without `TIMER_PREFIX`). `now_us` is a monotonic clock in microseconds.
+    2. Carry out the effects of each call in order. A `Persist` is durable on disk before any later effect is started;
+       if it fails, call `on_storage_failure` and drop the remaining effects.
     3. Apply `EntriesCommitted` and `SnapshotRestored` to the state machine.
-    4. Answer a read at the leader only after `LeadershipConfirmed` for a `confirm_leadership` that came after the read
-       did, and only if `log.has_committed_in_term` (6.4).
-    5. Call `log.compact` with a snapshot of the state machine, which has applied all that was handed over, when
-       `log.should_compact` says so; carry out its effects likewise.
+    4. Serve a read at the leader only after the `LeadershipConfirmed` of a `confirm_leadership` call that was made
+       after the read arrived, and only if `log.has_committed_in_term` (6.4).
+    5. Once `log.should_compact` is true, call `log.compact` with a snapshot of the state machine, which includes all
+       committed entries that were delivered, and carry out its effects likewise.
 
-    `persistent` is what the host's store holds, and belongs to this voter from then on. It is None where the store was
-    lost: the voter then takes no part, for it may have cast a vote or acknowledged entries that it does not know of.
+    `persistent` is the state read from the host's store; this voter owns it from then on. It is None if the store was
+    lost: the voter then does not participate, as it may have cast a vote or acknowledged entries that it has lost.
     """
 
     def __init__(
@@ -78,41 +78,41 @@
         self.log = ReplicatedLog(persistent or PersistentState(()))
         self.persistent = self.log.persistent
         self.role = Role.FOLLOWER
-        self.leader = ""  # as far as is known; "" where nobody is
-        self.elected_at_us = 0  # when this voter became leader last
+        self.leader = ""  # the known leader; "" for none
+        self.elected_at_us = 0  # when this voter last became leader
         self._election_timeout_us = election_timeout_us
         self._heartbeat_us = election_timeout_us // HEARTBEATS_PER_ELECTION_TIMEOUT
         self._random = random.Random(seed)
         self._last_leader_contact_us = -election_timeout_us
         self._votes: set[str] = set()
         self._is_pre_vote = False
-        self._has_yielded = False  # to another pre-candidate, since this one's last candidacy
+        self._has_yielded = False  # to another pre-candidate, since this voter's last campaign
         self._leader_state = LeaderState()
-        self._round = 0  # number of the latest broadcast; goes on over elections
-        self._timers: set[str] = set()  # that are set and not yet due
+        self._round = 0  # number of the latest broadcast; never reset
+        self._timers: set[str] = set()  # keys of timers that are set and not yet due
         self._now_us = 0
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The configuration in force."""
+        """The configuration in effect."""
         return self.persistent.latest_voters()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads, as far as it knows: see `confirm_leadership`."""
+        """Whether this voter considers itself the leader; it may be deposed already (see `confirm_leadership`)."""
         return self.role is Role.LEADER
 
     def start(self, now_us: int) -> Effects:
-        """Begin as a follower, from what is on disk."""
+        """Start as a follower, from the persistent state."""
         restored = SnapshotRestored(self.persistent.snapshot_index, self.persistent.snapshot_state)
         return [restored, self._set_election_timer(now_us)]
 
-    # -- Requests of the host
+    # -- Host requests
 
     def propose(self, now_us: int, kind: str, body: str) -> tuple[int, Effects]:
-        """Append an entry: its index; -1 where this voter is not the leader.
+        """Append an entry and return its index; -1 if this voter is not the leader.
 
-        The entry is committed when it comes in `EntriesCommitted`; after a change of leader another may take its index.
+        The entry is committed once `EntriesCommitted` delivers it. After a leader change another entry may replace it.
         """
         self._now_us = now_us
         if not self.is_leader:
@@ -126,10 +126,10 @@
         return index, effects
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[int, Effects]:
-        """Add or remove one voter (4.1): the entry's index; -1 where that is refused.
+        """Add or remove one voter (4.1) and return the entry's index; -1 if the change is rejected.
 
-        Refused are changes of none or of several voters, a change while another is uncommitted, and, for the same
-        safety, any before an entry of this leader's term is committed.
+        A change is rejected if it adds and removes no voter or several, while another change is uncommitted, or before
+        an entry of the current term is committed; the last two are needed for safety.
         """
         is_one_change = len(set(self.voters) ^ set(voters)) == 1
         if not is_one_change or not voters or not self.log.has_committed_in_term:
@@ -139,9 +139,9 @@
         return self.propose(now_us, VOTERS, " ".join(voters))
 
     def confirm_leadership(self, now_us: int, read_id: int) -> Effects:
-        """Emit `LeadershipConfirmed(read_id)` once a majority has answered a broadcast of now or later (6.4).
+        """Emit `LeadershipConfirmed(read_id)` once a majority has responded to a broadcast sent now or later (6.4).
 
-        Nothing comes where this voter is no leader, or ceases to be one before.
+        Emits nothing if this voter is not the leader, or steps down before.
         """
         if not self.is_leader:
             return []
@@ -149,13 +149,13 @@
         return [*self._broadcast(), *self._confirm_reads()]
 
     def on_storage_failure(self) -> None:
-        """The host could not write a `Persist`: from now on this voter takes no part."""
+        """Handle a failed `Persist`: this voter no longer participates."""
         self.has_lost_state = True
 
     # -- Events
 
     def on_timer(self, now_us: int, key: str) -> Effects:
-        """A timer is due; one that was not set is ignored."""
+        """Handle a timer that is due; one that is not set is ignored."""
         if key not in self._timers:
             return []
         self._timers.remove(key)
@@ -168,15 +168,15 @@
         return self._campaign(now_us, pre_vote=True)
 
     def on_message(self, now_us: int, sender: str, message: Message) -> Effects:
-        """A message of another voter."""
+        """Handle a message of another voter."""
         self._now_us = now_us
         if self.has_lost_state:
-            # Danger: a second vote in one term, or a log that lacks what was acknowledged, could undo a decision.
+            # Danger: a second vote in one term, or a log without acknowledged entries, could lose a committed entry.
             return []
         if isinstance(message, VoteRequest):
             return self._on_vote_request(now_us, sender, message)
         effects: Effects = []
-        # A granted pre-vote names the term that its receiver would begin, which is nobody's yet.
+        # A granted pre-vote carries the term that the candidate would start, in which no election was held yet.
         is_pre_vote = isinstance(message, VoteResponse) and message.pre
         if message.term > self.persistent.term and not is_pre_vote:
             effects += self._step_down(now_us, message.term)
@@ -197,7 +197,7 @@
         return self._set_timer(ELECTION_TIMER, now_us + timeout_us)
 
     def _campaign(self, now_us: int, *, pre_vote: bool) -> Effects:
-        """Ask for votes; first for pre-votes, so that a voter that was cut off does not raise the term (9.6)."""
+        """Request votes; pre-votes first, so that a partitioned voter does not increment its term (9.6)."""
         effects: Effects = []
         self.role = Role.CANDIDATE
         self.leader = ""
@@ -212,11 +212,11 @@
         return effects
 
     def _campaign_term(self) -> int:
-        """The term that this candidate asks votes for; a pre-vote is for the term after its own."""
+        """The term for which this candidate requests votes; for pre-votes it is the next term."""
         return self.persistent.term + 1 if self._is_pre_vote else self.persistent.term
 
     def _request_votes(self, now_us: int) -> Effects:
-        """Ask all who have not granted their vote; repeated, as a request or its answer may be lost."""
+        """Send requests to voters that have not granted their vote; retried, as a request or response may be lost."""
         request = VoteRequest(
             self._campaign_term(),
             self.persistent.last_log_index,
@@ -229,8 +229,8 @@
         ]
 
     def _on_vote_request(self, now_us: int, candidate: str, request: VoteRequest) -> Effects:
-        # A voter that hears from a leader neither votes nor takes over the term, so that one that was cut off, or
-        # removed, deposes nobody when it comes back (4.2.3).
+        # A voter in contact with a leader neither votes nor adopts the term, so that a voter that was partitioned or
+        # removed cannot depose the leader when it returns (4.2.3).
         contact_us = now_us - self._last_leader_contact_us
         has_leader = self.is_leader or contact_us < self._election_timeout_us
         log_is_up_to_date = (request.last_term, request.last_index) >= (
@@ -259,8 +259,8 @@
         effects: Effects = []
         granted = is_eligible and request.term > self.persistent.term
         if granted and self._yields_to(candidate):
-            # Of two that campaign at once one gives way, else each may get half of the votes; and it does so once only,
-            # as the other may be unable to receive answers.
+            # One of two concurrent pre-candidates yields, as otherwise the votes may be split. It yields only once per
+            # campaign, as the other may be unable to receive responses.
             self._has_yielded = True
             self.role = Role.FOLLOWER
             wait_us = 2 * self._heartbeat_us + self._random.randrange(2 * self._heartbeat_us)
@@ -270,7 +270,7 @@
         return effects
 
     def _yields_to(self, candidate: str) -> bool:
-        """Whether to give way to a pre-candidate: a follower does, and of two pre-candidates the later by name."""
+        """Whether to yield to a pre-candidate: a follower does, and so does a pre-candidate with a larger name."""
         if self._has_yielded:
             return False
         return self.role is Role.FOLLOWER or (self._is_pre_vote and candidate < self.name)
@@ -299,7 +299,7 @@
         self.elected_at_us = now_us
         self._leader_state = LeaderState()
         self._track_followers(now_us)
-        # Entries of earlier terms are committed only together with one of the leader's own (3.6.2).
+        # Entries of earlier terms are committed only through an entry of the current term (3.6.2).
         effects: Effects = [
             self.log.append(NO_OP, ""),
             LeadershipChanged(True),
@@ -311,7 +311,7 @@
         return effects
 
     def _step_down(self, now_us: int, term: int) -> Effects:
-        """Become a follower without a known leader, in `term` where that is a later one."""
+        """Become a follower, in `term` if that is later; without a known leader if it is, or after leading."""
         was_leader = self.is_leader
         effects: Effects = []
         self.role = Role.FOLLOWER
@@ -327,7 +327,7 @@
         return effects
 
     def _follow(self, leader: str) -> Effects:
-        """Become a follower of the current term's leader."""
+        """Become a follower of the leader of the current term."""
         was_leader = self.is_leader
         effects: Effects = [LeadershipChanged(False)] if was_leader else []
         self.role = Role.FOLLOWER
@@ -336,7 +336,7 @@
         effects.append(Notify("follows", {"leader": leader, "term": self.persistent.term}))
         return effects
 
-    # -- The leader's part of log replication (3.5)
+    # -- Log replication at the leader (3.5)
 
     def _on_heartbeat_timer(self, now_us: int) -> Effects:
         if not self.is_leader:
@@ -344,7 +344,7 @@
         since_us = now_us - 2 * self._election_timeout_us
         active = self._own_vote_count() + self._leader_state.count_responded_since(since_us)
         if not self._is_majority(active):
-            # Check-quorum (6.2). Danger: a leader that a majority hears no longer would go on answering as one.
+            # Check-quorum (6.2). Danger: a leader without contact to a majority would continue to respond as leader.
             return self._step_down(now_us, self.persistent.term)
         return [
             *self._broadcast(),
@@ -356,7 +356,7 @@
         self._leader_state.track(followers, self.persistent.last_log_index + 1, now_us)
 
     def _broadcast(self) -> list[Send]:
-        """Send each follower what it lacks, or a heartbeat."""
+        """Send each follower the entries that it lacks, or a heartbeat."""
         self._round += 1
         return [
             self._replication_message(name, each)
@@ -364,7 +364,7 @@
         ]
 
     def _replication_message(self, follower: str, progress: Progress) -> Send:
-        """The entries after `next_index`; the snapshot where those were compacted away."""
+        """The message with the entries from `next_index` on; the snapshot if those were compacted away."""
         persistent = self.persistent
         prev_index = progress.next_index - 1
         prev_term = persistent.term_at(prev_index)
@@ -396,7 +396,7 @@
         progress.acked_round = max(progress.acked_round, response.round)
         effects = self._confirm_reads()
         if not response.ok:
-            # 3.5: go back until the logs agree; the response tells how far at once.
+            # Decrease next_index until the logs match (3.5); the response contains the next index to try.
             progress.next_index = max(1, min(progress.next_index - 1, response.match + 1))
             effects.append(self._replication_message(follower, progress))
             return effects
@@ -409,7 +409,7 @@
         return effects
 
     def _advance_commit_index(self) -> Effects:
-        """Commit what a majority holds, if it is of the current term (3.6.2)."""
+        """Commit up to the highest index stored by a majority, if its entry is of the current term (3.6.2)."""
         match_indexes = sorted(
             (
                 self.persistent.last_log_index
@@ -428,7 +428,7 @@
         return effects
 
     def _confirm_reads(self) -> Effects:
-        """Confirm pending reads, oldest first, as far as a majority has answered (6.4)."""
+        """Confirm the pending reads, oldest first, whose broadcast a majority has responded to (6.4)."""
         effects: Effects = []
         reads = self._leader_state.pending_reads
         while reads:
@@ -438,12 +438,12 @@
             effects.append(LeadershipConfirmed(reads.popleft().read_id))
         return effects
 
-    # -- The follower's part of log replication (3.5), and snapshots (5)
+    # -- Log replication (3.5) and snapshots (5) at a follower
 
     def _on_leader_message(
         self, now_us: int, leader: str, message: AppendRequest | InstallSnapshot
     ) -> Effects:
-        """A message of the current term's leader."""
+        """Handle a message of the leader of the current term."""
         effects: Effects = []
         if self.role is not Role.FOLLOWER or self.leader != leader:
             effects += self._follow(leader)
@@ -464,7 +464,7 @@
     def _append_response(
         self, leader: str, broadcast: int, *, ok: bool, match: int | None = None
     ) -> Send:
-        """Answer a leader; `match` is the last log index unless given."""
+        """The response to a leader; `match` is the last log index unless given."""
         if match is None:
             match = self.persistent.last_log_index
         return Send(leader, "", AppendResponse(self.persistent.term, ok, match, broadcast))
@@ -475,7 +475,7 @@
         return 2 * count > len(self.voters)
 
     def _own_vote_count(self) -> int:
-        """1 where this voter is in the configuration; a leader that was removed does not count itself (4.2.2)."""
+        """1 if this voter is in the configuration, else 0: a removed leader does not count itself (4.2.2)."""
         return 1 if self.name in self.voters else 0
 
     def _set_timer(self, key: str, at_us: int) -> SetTimer:
--- a/wingbarrow/decide/consensus/replicated_log.py
+++ b/wingbarrow/decide/consensus/replicated_log.py
@@ -1,6 +1,6 @@
-"""One voter's copy of the log: what a leader's messages do to it, what is committed, applied and compacted.
+"""One voter's copy of the replicated log: append, conflict resolution, commit and compaction.
 
-Every change of the persistent state goes through here and comes back as the `Persist` that makes it durable.
+Every change of the persistent state is made here and returns the `Persist` effect that makes it durable.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from wingbarrow.decide.consensus.messages import AppendRequest, InstallSnapshot
 from wingbarrow.decide.effects import Persist
 
-MAX_LOG_ENTRIES = 512  # that are applied, before the log should be compacted
+MAX_LOG_ENTRIES = 512  # applied entries beyond which the log should be compacted
 
 
 @dataclass(frozen=True, slots=True)
 class AppendResult:
-    """What became of an AppendEntries: `ok` and `match` as in `AppendResponse`."""
+    """The result of an AppendEntries; `ok` and `match` as in `AppendResponse`."""
 
     ok: bool
     match: int
@@ -26,7 +26,7 @@
 
 
 class ReplicatedLog:
-    """The log of one voter, in whichever role. What is committed is handed over at once, so it counts as applied."""
+    """The log of one voter in any role. Committed entries are delivered at once, so the commit index is lastApplied."""
 
     def __init__(self, persistent: PersistentState) -> None:
         self.persistent = persistent
@@ -39,23 +39,23 @@
 
     @property
     def has_uncommitted_configuration(self) -> bool:
-        """Whether a change of voters is not committed yet."""
+        """Whether a configuration change is not committed yet."""
         return self.persistent.has_configuration_after(self.commit_index)
 
     @property
     def should_compact(self) -> bool:
-        """Whether more than `MAX_LOG_ENTRIES` entries are applied."""
+        """Whether the log holds more than `MAX_LOG_ENTRIES` applied entries."""
         return self.commit_index - self.persistent.snapshot_index > MAX_LOG_ENTRIES
 
     # -- Term and vote
 
     def begin_term(self, term: int, vote: str) -> Persist:
-        """Enter a later term, with a vote in it ("" for none)."""
+        """Start a later term, with a vote in it ("" for none)."""
         self.persistent.term = term
         return self.vote_for(vote)
 
     def vote_for(self, candidate: str) -> Persist:
-        """Vote in the current term."""
+        """Record a vote in the current term."""
         self.persistent.vote = candidate
         return Persist(self.persistent.term, candidate, None, (), None)
 
@@ -70,10 +70,10 @@
         """At a follower: AppendEntries (3.5)."""
         persistent = self.persistent
         if request.prev_index < persistent.snapshot_index:
-            # What the snapshot includes is committed, so the logs agree up to its end.
-            known = persistent.snapshot_index - request.prev_index
+            # All entries in the snapshot are committed, so the logs match up to its end.
+            skipped = persistent.snapshot_index - request.prev_index
             request = replace(
-                request, prev_index=persistent.snapshot_index, entries=request.entries[known:]
+                request, prev_index=persistent.snapshot_index, entries=request.entries[skipped:]
             )
         elif persistent.term_at(request.prev_index) != request.prev_term:
             retry_index = min(persistent.last_log_index, request.prev_index - 1)
@@ -84,7 +84,7 @@
         return AppendResult(True, last_new_index, effects)
 
     def _append_new_entries(self, request: AppendRequest) -> Effects:
-        """Append what is not in the log, in place of entries that conflict with it: those were never committed."""
+        """Append entries that are not in the log yet, replacing conflicting entries, which were never committed."""
         for offset, entry in enumerate(request.entries):
             index = request.prev_index + offset + 1
             if self.persistent.term_at(index) != entry.term:
@@ -93,7 +93,7 @@
         return []
 
     def commit(self, index: int) -> Effects:
-        """Commit up to an index, and hand over the entries that are thereby committed; the index never goes back."""
+        """Advance the commit index and return the newly committed entries; the commit index never decreases."""
         if index <= self.commit_index:
             return []
         first_index = self.commit_index + 1
@@ -104,7 +104,7 @@
     # -- Snapshots (chapter 5)
 
     def compact(self, state: str) -> Effects:
-        """Replace the applied entries by a snapshot of the state machine."""
+        """Replace the applied entries by `state`, a snapshot of the state machine."""
         persistent = self.persistent
         index = self.commit_index
         if index <= persistent.snapshot_index:
@@ -115,7 +115,10 @@
         return [self._persist_snapshot()]
 
     def install_snapshot(self, message: InstallSnapshot) -> Effects:
-        """At a follower: take the leader's snapshot, unless all of it is committed here; entries after it are kept."""
+        """At a follower: install the leader's snapshot unless its last entry is committed here already.
+
+        Entries after the snapshot are kept if the log holds its last entry with the same term.
+        """
         if message.index <= self.commit_index:
             return []
         persistent = self.persistent
@@ -128,13 +131,13 @@
         return [self._persist_snapshot(), SnapshotRestored(message.index, message.state)]
 
     def _persist_from(self, first_index: int) -> Persist:
-        """Term, vote, and the log from an index on."""
+        """Persist the term, the vote and the log from `first_index` on."""
         persistent = self.persistent
         entries = persistent.entries_from(first_index)
         return Persist(persistent.term, persistent.vote, first_index, entries, None)
 
     def _persist_snapshot(self) -> Persist:
-        """Everything."""
+        """Persist the whole state, the snapshot included."""
         persistent = self.persistent
         return Persist(
             persistent.term,
--- a/wingbarrow/decide/membership/gossip.py
+++ b/wingbarrow/decide/membership/gossip.py
@@ -1,7 +1,7 @@
-"""Dissemination of member updates that ride on other messages (SWIM, section 4.1).
+"""Dissemination of member updates, piggybacked on other messages (SWIM, section 4.1).
 
-Each update is transmitted about `RETRANSMIT_MULTIPLIER * log2(n + 1)` times, the least transmitted first, so that
-updates about few members are not starved by updates about many.
+Each update is transmitted about `RETRANSMIT_MULTIPLIER * log2(n + 1)` times among `n` members. The least transmitted
+updates go first, so that a burst of updates does not starve the others.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class MemberKeyed(Protocol):
-    """An update; it replaces an earlier one about the same member."""
+    """An update about one member; it replaces earlier updates about the same member."""
 
     @property
     def ident(self) -> str:
-        """The name of the member that it is about."""
+        """The name of the member that the update describes."""
 
 
 UpdateT = TypeVar("UpdateT", bound=MemberKeyed)
@@ -35,7 +35,7 @@
 class GossipBuffer(Generic[UpdateT]):
     """Updates that are still to be disseminated, one for each member.
 
-    `peer_count` returns the number of other members, from which the number of transmissions follows.
+    `peer_count` returns the number of other members, which determines how often an update is transmitted.
     """
 
     def __init__(self, peer_count: Callable[[], int]) -> None:
@@ -46,7 +46,7 @@
         return len(self._buffered)
 
     def add(self, update: UpdateT) -> None:
-        """Disseminate `update` in place of an earlier one about its member.
+        """Disseminate `update`; it replaces an earlier update about the same member.
 
         A full buffer drops the update that was transmitted most often.
         """
@@ -58,14 +58,15 @@
             )
             del self._buffered[most_transmitted]
 
-    def next_updates(self, limit: int, first: str = "") -> tuple[UpdateT, ...]:
-        """At most `limit` updates for one message; each counts as transmitted.
+    def next_updates(self, limit: int, priority_ident: str = "") -> tuple[UpdateT, ...]:
+        """Return at most `limit` updates for one message and count each as transmitted.
 
-        The update about the member `first` goes before all others.
+        The update about the member `priority_ident` is returned first.
         """
         max_transmissions = RETRANSMIT_MULTIPLIER * ceil(log2(self._peer_count() + 2))
         order = sorted(
-            self._buffered, key=lambda ident: (ident != first, self._buffered[ident].transmissions)
+            self._buffered,
+            key=lambda ident: (ident != priority_ident, self._buffered[ident].transmissions),
         )[:limit]
         updates: list[UpdateT] = []
         for ident in order:
--- a/wingbarrow/decide/membership/member_table.py
+++ b/wingbarrow/decide/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one placer knows: the last update of each, suspicions in progress, updates to disseminate."""
+"""One placer's view of the other members: the latest update of each, suspicions, updates to disseminate."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wingbarrow.decide.membership.suspicion import Suspicion
 
 MAX_MEMBERS = 256
-MAX_DIRECT_CHECKS = 3  # of a suspect, after its suspicion's deadline and before it is declared dead
+MAX_DIRECT_CHECKS = 3  # of a suspect, between its suspicion's deadline and its death
 DEPARTED_RETENTION_US = 600_000_000
 
 DEPARTED = (MemberStatus.DEAD, MemberStatus.LEFT)
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another placer; times are microseconds of this placer's clock."""
+    """Another placer; times are in microseconds of the local monotonic clock."""
 
     update: MemberUpdate
     status_since_us: int
@@ -27,20 +27,21 @@
 
     @property
     def status(self) -> MemberStatus:
-        """Its status, by the last update that counts."""
+        """The status in the latest update."""
         return self.update.standing
 
     @property
     def has_departed(self) -> bool:
-        """Whether it was declared dead or left."""
+        """Whether the member was declared dead or left."""
         return self.update.standing in DEPARTED
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member's change of status; `event` names it in logs and the history.
+    """A change of a member's status.
 
-    It is a value of `MemberStatus`, "joined", "restarted" or "forgotten".
+    `event` is the name of the change in logs and the history: a value of `MemberStatus`, "joined", "restarted" or
+    "forgotten".
     """
 
     event: str
@@ -49,25 +50,25 @@
 
 
 class MemberTable:
-    """All other members; `new_suspicion` makes the suspicion of a member that is suspected from a given time on."""
+    """All other members; `new_suspicion` creates the suspicion that starts at a given time in microseconds."""
 
     def __init__(self, ident: str, new_suspicion: Callable[[int], Suspicion]) -> None:
         self.ident = ident
         self._new_suspicion = new_suspicion
         self.members: dict[str, Member] = {}
         self.gossip: GossipBuffer[MemberUpdate] = GossipBuffer(lambda: len(self.members))
-        self.rejected_joins = 0  # updates of unknown members that the full table did not take
+        self.rejected_joins = 0  # updates of unknown members, dropped because the table was full
 
     def live_members(self) -> list[Member]:
-        """Members that are alive or suspects."""
+        """Members that are alive or suspected."""
         return [each for each in self.members.values() if not each.has_departed]
 
     def dead_members(self) -> list[Member]:
-        """Members that were declared dead; those that left are not among them."""
+        """Members that were declared dead, without those that left."""
         return [each for each in self.members.values() if each.status is MemberStatus.DEAD]
 
     def apply(self, update: MemberUpdate, now_us: int) -> MemberChange | None:
-        """Apply an update about another member; returns the change of its status, if any."""
+        """Apply an update about another member; return the change of its status, if any."""
         member = self.members.get(update.ident)
         if member is None:
             return self._join(update, now_us)
@@ -110,7 +111,7 @@
             and update.by
             and member.suspicion.confirm(update.by)
         ):
-            # An independent confirmation shortens the suspicion at other placers too.
+            # Disseminate an independent confirmation, as it shortens the suspicion at other placers too.
             self.gossip.add(update)
 
     def _start_suspicion(self, member: Member, now_us: int) -> None:
@@ -118,7 +119,7 @@
         member.suspicion.confirm(member.update.by or "?")
 
     def suspect(self, ident: str, now_us: int) -> MemberChange | None:
-        """Suspect a member that did not acknowledge this placer's pings."""
+        """Mark a live member as suspected, as it did not acknowledge this placer's pings."""
         member = self.members.get(ident)
         if member is None or member.has_departed:
             return None
@@ -127,12 +128,12 @@
     def expire(
         self, now_us: int, check_interval_us: int
     ) -> tuple[list[MemberChange], list[MemberUpdate]]:
-        """Declare suspects dead whose suspicion ended, and forget members that departed long ago.
+        """Declare suspects dead after their deadline, and remove members `DEPARTED_RETENTION_US` after they departed.
 
-        Returns the changes, and the updates of suspects that are to be checked directly first. Danger: where many
-        messages are lost, a refutation may not have arrived at the deadline (at 170 placers with a fifth of all
-        messages lost, seven in ten were declared dead wrongly). So a suspect is checked `MAX_DIRECT_CHECKS` times,
-        every `check_interval_us`, before it is declared dead.
+        Returns the changes, and the updates of suspects that are to be checked directly first. Danger: under heavy
+        message loss a refutation may not have arrived by the deadline: with 170 placers and 20 % of messages lost,
+        seven in ten placers were wrongly declared dead. So a suspect is checked directly `MAX_DIRECT_CHECKS` times,
+        `check_interval_us` apart, before it is declared dead.
         """
         changes: list[MemberChange] = []
         to_check: list[MemberUpdate] = []
@@ -156,7 +157,7 @@
         return changes, to_check
 
     def next_deadline_us(self) -> int | None:
-        """When the next suspicion ends, or its member is to be checked directly again."""
+        """The earliest time at which a suspicion ends or a suspect is to be checked directly; None without suspects."""
         return min(
             (
                 max(each.suspicion.deadline_us, each.suspicion.next_check_us)
@@ -167,13 +168,13 @@
         )
 
     def extend_suspicions(self, by_us: int) -> None:
-        """Extend all suspicions after a stall of this placer: refutations may still wait in its sockets."""
+        """Extend all suspicions by the length of a local stall, as refutations may be unread in socket buffers."""
         for member in self.members.values():
             if member.suspicion is not None:
                 member.suspicion.start_us += by_us
 
     def _evict_departed(self) -> bool:
-        """Forget the member that departed first; False where none did."""
+        """Remove the member that departed first; return False if no member has departed."""
         departed = [each for each in self.members.values() if each.has_departed]
         if not departed:
             return False
--- a/wingbarrow/decide/membership/messages.py
+++ b/wingbarrow/decide/membership/messages.py
@@ -1,6 +1,6 @@
-"""Member updates and the messages of SWIM; `peers.message` holds the bounds of the wire.
+"""Member updates and SWIM messages; `peers.message` defines the size limits on the wire.
 
-Fields, and the values of `MemberStatus`, are wire names.
+Field names and the values of `MemberStatus` are wire names.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(Enum):
-    """Status of a member; ordered as `supersedes` compares them."""
+    """The status of a member, in ascending order of precedence (see `supersedes`)."""
 
     ALIVE = "alive"
     SUSPECT = "suspected"
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """The status of a member, as a placer disseminates it.
+    """The status of a member, as disseminated by gossip.
 
-    `incarnation` orders updates about one member; only the member itself raises it. `life` tells one run of a program
-    from the next. `standing` is its status, `by` the placer that suspects it or declared it dead.
+    `incarnation` orders updates about one member; only the member itself raises it. `life` identifies one run of the
+    member's process. `standing` is the member's status, `by` the placer that suspects it or declared it dead.
     """
 
     ident: str
@@ -34,9 +34,9 @@
     life: int
     by: str = ""
 
-    def with_status(self, standing: MemberStatus, by: str = "") -> MemberUpdate:
+    def with_status(self, status: MemberStatus, by: str = "") -> MemberUpdate:
         """The same update with another status."""
-        return replace(self, standing=standing, by=by)
+        return replace(self, standing=status, by=by)
 
 
 _PRECEDENCE = {
@@ -48,9 +48,9 @@
 
 
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
-    """Whether `update` replaces `current`, the last one of the same member (SWIM, section 4.2).
+    """Whether `update` replaces `current`, the latest update about the same member (SWIM, section 4.2).
 
-    Unlike in SWIM, a death does not outlast a higher incarnation: a restarted member has one.
+    Unlike in SWIM, a higher incarnation also overrides a death, so that a restarted member can rejoin under its name.
     """
     if update.incarnation != current.incarnation:
         return update.incarnation > current.incarnation
@@ -59,15 +59,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A ping; answered by an `Ack` of the same number."""
+    """A direct ping, answered by an `Ack` with the same number."""
 
     number: int
-    news: tuple[MemberUpdate, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()  # piggybacked updates, as in all messages
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks the receiver to ping `ident` (SWIM's ping-req): answered by an `Ack`, or a `Nack` after a time-out."""
+    """Asks the receiver to ping `ident` (SWIM's ping-req); answered by an `Ack`, or by a `Nack` after a timeout."""
 
     number: int
     ident: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """The indirect ping was not acknowledged in time; its sender works (Lifeguard)."""
+    """Reports that an indirect ping timed out; it also shows that its sender itself responds (Lifeguard)."""
 
     number: int
     news: tuple[MemberUpdate, ...] = ()
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """Anti-entropy: updates about a sample of all members; `ask` requests the same in return."""
+    """Anti-entropy: updates about a sample of all members; with `ask` the receiver responds with its own sample."""
 
     ask: bool
     news: tuple[MemberUpdate, ...] = ()
--- a/wingbarrow/decide/membership/swim.py
+++ b/wingbarrow/decide/membership/swim.py
@@ -1,15 +1,15 @@
 """Failure detection and membership by SWIM (Das 2002) with Lifeguard (Dadgar 2018), as a state machine without I/O.
 
-Each protocol period one other member is pinged, in a shuffled round. Where it does not acknowledge in time, other
-members are asked to ping it (ping-req). Where no acknowledgement comes by the end of the period, it is suspected; it is
-declared dead unless it refutes the suspicion in time. Member updates ride on these messages, so that a placer's cost
-does not grow with the number of members.
+In each protocol period one other member is pinged, in shuffled round-robin order. If it does not acknowledge in time,
+other members are asked to ping it (ping-req). If no acknowledgement arrives by the end of the period, it is suspected,
+and it is declared dead unless it refutes the suspicion in time. Member updates are piggybacked on these messages, so
+that the cost at each placer does not grow with the number of members.
 
-Beyond SWIM: a placer whose own timers run late lowers its local health, drops the ping in progress and extends all
-suspicions; deaths that gossip reports are checked directly first; an anti-entropy sync also reaches dead members, so
-that both sides of a partition find each other again. `docs/peers.md` gives the reasons and the time bounds.
+Extensions to SWIM: a placer whose own timers fire late raises its local health score, drops the probe in progress and
+extends all suspicions; deaths reported by gossip are checked directly first; anti-entropy syncs also go to dead
+members, so that both sides of a partition rejoin after it heals. `docs/peers.md` gives the reasons and the time bounds.
 
-Membership is advisory: no guarantee of the scheduler rests on it.
+Membership is advisory: no guarantee of the scheduler depends on it.
 """
 
 from __future__ import annotations
@@ -39,12 +39,11 @@
 
 MAX_SYNC_UPDATES = 32
 MAX_PIGGYBACKED_UPDATES = 24
-MAX_INDIRECT_PINGS = 64  # in progress for other members
+MAX_INDIRECT_PINGS = 64  # in progress on behalf of other members
 MAX_SEEDS_PER_SYNC = 4
-MAX_STALE_INCARNATIONS = (
-    8  # of an earlier run under the own name, before it counts as a name conflict
-)
-LEAVE_RECEIVERS = 3
+# Updates of an earlier run under the local name that are accepted before they count as a name conflict.
+MAX_STALE_INCARNATIONS = 8
+LEAVE_RECEIVERS = 3  # members that are notified when this placer leaves
 
 PERIOD_TIMER = "period"
 PING_TIMER = "ping"
@@ -55,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimSettings:
-    """Times in microseconds; defaults are those of the SWIM and Lifeguard papers, at a period of a second."""
+    """SWIM parameters; the defaults follow the SWIM and Lifeguard papers, with a protocol period of one second."""
 
     period_us: int = 1_000_000
-    probe_timeout_us: int = 350_000  # for the acknowledgement of a direct ping
-    indirect_probes: int = 3  # members that are asked for an indirect ping
+    probe_timeout_us: int = 350_000  # timeout of a direct ping
+    indirect_probes: int = 3  # members that are asked for an indirect ping of one target
     sync_interval_us: int = 5_000_000
-    alpha: float = 3.0  # shortest suspicion, in periods times log10(members)
-    beta: float = 4.0  # longest suspicion, as a multiple of the shortest
-    confirmations: int = 3  # that make a suspicion the shortest
+    alpha: float = 3.0  # minimum suspicion timeout, in periods times log10(members)
+    beta: float = 4.0  # maximum suspicion timeout, as a multiple of the minimum
+    confirmations: int = 3  # that reduce a suspicion timeout to the minimum
 
     def new_suspicion(self, now_us: int, members: int) -> Suspicion:
-        """A suspicion that starts now, among so many members."""
+        """Create a suspicion that starts now, in a group of `members`, this placer included."""
         shortest = min_suspicion_us(self.alpha, members, self.period_us)
         return Suspicion(
             start_us=now_us,
@@ -76,12 +75,12 @@
         )
 
     def detection_bound_us(self, members: int) -> int:
-        """Time within which a member that ended is dead to all live ones, where nothing else fails.
+        """Time in microseconds within which all live members see a crashed member as dead, absent other failures.
 
-        Some member pings it within ten periods: each other one does so once in `members - 1` periods on average, so
-        that the chance that none does is e**-10, and it never takes longer than two rounds. Added to that: the period
-        of that ping, the longest suspicion, the direct checks, and dissemination to all, twice log2. Periods count
-        twice, as a failed ping raises the local health multiplier.
+        Some member pings it within ten periods: each other member does so once in `members - 1` periods on average, so
+        that the probability that none does is e**-10, and it never takes more than two rounds of the probe order. To
+        this are added the period of that ping, the maximum suspicion timeout, the direct checks, and dissemination to
+        all members in `2 * log2` periods. Periods count twice, as a failed ping raises the local health multiplier.
         """
         others = max(1, members - 1)
         periods = min(2 * others - 1, 10) + 1 + 2 * ceil(log2(members + 1))
@@ -93,27 +92,27 @@
         )
 
     def healing_bound_us(self, members: int) -> int:
-        """Time within which all live members are alive to each other after the last partition has healed.
+        """Time in microseconds within which all live members see each other as alive after the last partition healed.
 
-        Each sync also reaches a dead member; five syncs may fail on the remains of the partition. Then an update is
-        disseminated, the suspicion refuted, and the refutation disseminated.
+        Each sync also goes to one dead member; five syncs may fail while effects of the partition remain. Then an
+        update is disseminated, the suspicion is refuted, and the refutation is disseminated.
         """
         return 6 * self.sync_interval_us + 8 * ceil(log2(members + 1)) * self.period_us
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """This placer, as other members know it."""
+    """This placer, as announced to other members; `run_id` identifies this run of its process."""
 
     ident: str
     address: str
     region: str
-    life: int
+    run_id: int  # `MemberUpdate.life`; also the initial incarnation, so it grows with each start
 
 
 @dataclass(frozen=True, slots=True)
 class Seed:
-    """A member of the settings; `ident` is "" where only its address is known."""
+    """A configured member to join through; `ident` is "" if only its address is known."""
 
     ident: str
     address: str
@@ -121,18 +120,18 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """The ping of the current period; helpers are the members that were asked for an indirect ping."""
+    """The probe of the current period; `helpers` counts the members that were asked for an indirect ping."""
 
     number: int
     ident: str
     is_acked: bool = False
     helpers: int = 0
-    helper_responses: int = 0  # by Ack or Nack
+    helper_responses: int = 0  # Acks and Nacks received from helpers
 
 
 @dataclass(frozen=True, slots=True)
 class _IndirectPing:
-    """A ping that `sender` asked for with its number."""
+    """A ping in progress on behalf of `sender`; `number` is that of its ping-req."""
 
     sender: str
     address: str
@@ -140,9 +139,9 @@
 
 
 class Membership:
-    """One placer's membership; the host calls `start`, `on_message`, `on_timer` and `leave`.
+    """One placer's view of the group. The host calls `start`, `on_message`, `on_timer` and `leave`.
 
-    Each returns effects that the host carries out in order.
+    Each of them returns effects, which the host carries out in order.
     """
 
     def __init__(
@@ -154,21 +153,21 @@
     ) -> None:
         self.local = local
         self.settings = settings
-        self.incarnation = local.life
+        self.incarnation = local.run_id
         self.local_health = LocalHealth()
         self.table = MemberTable(local.ident, self._new_suspicion)
-        self.name_conflicts = 0  # updates of another live placer under this one's name
-        self._foreign_updates = 0  # of another life under this one's name
+        self.name_conflicts = 0  # updates of another live placer with this placer's name
+        self._foreign_updates = 0  # updates of another process run with this placer's name
         self._seeds = seeds
         self._random = random.Random(seed)
-        self._round: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
         self._indirect_pings: dict[int, _IndirectPing] = {}
         self._last_number = 0
         self._deadlines_us: dict[str, int] = {}  # by timer key
         self._has_left = False
 
-    # -- called by the host
+    # -- Called by the host
 
     def start(self, now_us: int) -> list[Effect]:
         """Sync with the seeds, and start the protocol period and the anti-entropy timer."""
@@ -179,18 +178,18 @@
         ]
 
     def leave(self, now_us: int) -> list[Effect]:
-        """Leave: a few members are notified, and timers have no effect any more."""
+        """Leave the group: notify `LEAVE_RECEIVERS` members; timers have no effect afterwards."""
         self._has_left = True
         update = self.own_update().with_status(MemberStatus.LEFT, self.local.ident)
         return [
             _send_to(each, Sync(ask=False, news=(update,)))
-            for each in self._pick(self.table.live_members(), LEAVE_RECEIVERS)
+            for each in self._sample(self.table.live_members(), LEAVE_RECEIVERS)
         ]
 
     def on_message(
         self, now_us: int, ident: str, address: str, message: SwimMessage
     ) -> list[Effect]:
-        """Handle a message of the member `ident`, which states that it is reached at `address`."""
+        """Handle a message of the member `ident`, whose own address is `address`."""
         if ident == self.local.ident:
             return []
         effects: list[Effect] = []
@@ -210,7 +209,7 @@
         return effects
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """Handle a timer that is due; one that was cancelled or that a stall delayed may come late."""
+        """Handle a timer that fired: a cancelled one is ignored, and a late one counts as a local stall."""
         deadline_us = self._deadlines_us.pop(key, None)
         if deadline_us is None or self._has_left:
             return []
@@ -228,26 +227,26 @@
         return self._on_indirect_timeout(int(key.removeprefix(INDIRECT_TIMER_PREFIX)))
 
     def own_update(self) -> MemberUpdate:
-        """The update that states that this placer is alive."""
+        """The update that announces this placer as alive."""
         return MemberUpdate(
             self.local.ident,
             self.incarnation,
             MemberStatus.ALIVE,
             self.local.address,
             self.local.region,
-            self.local.life,
+            self.local.run_id,
         )
 
-    # -- member updates
+    # -- Member updates
 
     def _on_update(self, update: MemberUpdate, now_us: int) -> list[Effect]:
         if update.ident == self.local.ident:
             return self._on_own_update(update)
         checks: list[Effect] = []
         if update.standing is MemberStatus.DEAD and not self._confirms_death(update, now_us):
-            # Danger: a member that was partitioned off holds all others for dead, and after healing its updates would
-            # declare them dead here too. A member that is truly dead has been a suspect here for some time by then;
-            # any other is checked directly, and refutes.
+            # Danger: a member that was partitioned off considers all others dead, and after the partition heals its
+            # updates would declare them dead here too. A member that is really dead has been a suspect here for the
+            # minimum timeout; any other is checked directly and can refute the suspicion.
             update = update.with_status(MemberStatus.SUSPECT, self.local.ident)
             member = self.table.members.get(update.ident)
             if member is not None and member.status is MemberStatus.ALIVE:
@@ -257,7 +256,7 @@
         return [*effects, *checks, *self._update_suspicion_timer()]
 
     def _confirms_death(self, update: MemberUpdate, now_us: int) -> bool:
-        """Whether the member departed here, is unknown, or was a suspect for the shortest suspicion time-out."""
+        """Whether the member is unknown, has departed, or was suspected here for the minimum suspicion timeout."""
         member = self.table.members.get(update.ident)
         if member is None or member.has_departed:
             return True
@@ -265,16 +264,16 @@
         return suspicion is not None and now_us - suspicion.start_us >= suspicion.min_us
 
     def _on_own_update(self, update: MemberUpdate) -> list[Effect]:
-        is_this_life = update.life == self.local.life
+        is_same_run = update.life == self.local.run_id
         if update.incarnation < self.incarnation:
             return []
-        if is_this_life and update.standing is MemberStatus.ALIVE:
+        if is_same_run and update.standing is MemberStatus.ALIVE:
             return []
-        # Danger: an incarnation at or above the own one would override every later update of this life, as where the
-        # wall clock was set back between two lives.
+        # Danger: an incarnation at or above the local one would override all later updates of this run. That happens
+        # where the wall clock was set back between two runs.
         self.incarnation = update.incarnation + 1
         self.table.gossip.add(self.own_update())
-        if not is_this_life:
+        if not is_same_run:
             return [self._on_foreign_update(update)]
         self.local_health.record_failure()
         return [
@@ -289,9 +288,10 @@
         ]
 
     def _on_foreign_update(self, update: MemberUpdate) -> Notify:
-        """An update of another life under the own name: of an earlier run, or of another live placer.
+        """Handle an update under the local name from an earlier run of this placer, or from another live placer.
 
-        Another live placer raises its incarnation in return, so that such updates do not end.
+        Another live placer raises its incarnation in response, so that such updates continue: more than
+        `MAX_STALE_INCARNATIONS` of them are a name conflict.
         """
         self._foreign_updates += 1
         if self._foreign_updates <= MAX_STALE_INCARNATIONS:
@@ -300,9 +300,11 @@
         return Notify("twin", {"address": update.address})
 
     def _piggybacked(self, receiver: str) -> tuple[MemberUpdate, ...]:
-        """Updates that ride on a message; a receiver that is not alive here learns that first and can refute it."""
+        """Updates to piggyback on a message; a receiver that is not alive here gets its own status, to refute it."""
         member = self.table.members.get(receiver)
-        updates = self.table.gossip.next_updates(MAX_PIGGYBACKED_UPDATES - 2, first=receiver)
+        updates = self.table.gossip.next_updates(
+            MAX_PIGGYBACKED_UPDATES - 2, priority_ident=receiver
+        )
         if (
             member is not None
             and member.status is not MemberStatus.ALIVE
@@ -312,7 +314,7 @@
         return (self.own_update(), *updates)
 
     def _sync_updates(self, receiver: str) -> tuple[MemberUpdate, ...]:
-        """Updates for an anti-entropy sync: of both ends, and of a random sample of the other members."""
+        """Updates for an anti-entropy sync: about both ends, and about a random sample of the other members."""
         member = self.table.members.get(receiver)
         others = [
             each.update for each in self.table.members.values() if each.update.ident != receiver
@@ -320,7 +322,7 @@
         sample = self._random.sample(others, min(MAX_SYNC_UPDATES - 2, len(others)))
         return (self.own_update(), *([member.update] if member is not None else []), *sample)
 
-    # -- pings
+    # -- Probes
 
     def _start_period(self, now_us: int) -> list[Effect]:
         effects = self._end_probe(now_us)
@@ -338,12 +340,12 @@
         return effects
 
     def _end_probe(self, now_us: int) -> list[Effect]:
-        """Suspect the member whose ping of the last period was not acknowledged."""
+        """End the probe of the last period; suspect its target if it was not acknowledged."""
         probe = self._probe
         self._probe = None
         if probe is None or probe.is_acked:
             return []
-        # Lifeguard: a failed ping, and each helper that did not respond, count against this placer's own health.
+        # Lifeguard: a failed probe, and each helper that did not respond, raise the local health score.
         missing = max(0, probe.helpers - probe.helper_responses)
         self.local_health.record_failure(1 + missing)
         change = self.table.suspect(probe.ident, now_us)
@@ -351,14 +353,14 @@
         return [*effects, *self._update_suspicion_timer()]
 
     def _next_target(self) -> Member | None:
-        """The next live member of the shuffled round; a new round starts where it is used up."""
-        while self._round:
-            member = self.table.members.get(self._round.pop())
+        """The next live member in the shuffled probe order, which is reshuffled when it is exhausted."""
+        while self._probe_order:
+            member = self.table.members.get(self._probe_order.pop())
             if member is not None and not member.has_departed:
                 return member
-        self._round = [each.update.ident for each in self.table.live_members()]
-        self._random.shuffle(self._round)
-        return self.table.members[self._round.pop()] if self._round else None
+        self._probe_order = [each.update.ident for each in self.table.live_members()]
+        self._random.shuffle(self._probe_order)
+        return self.table.members[self._probe_order.pop()] if self._probe_order else None
 
     def _request_indirect_pings(self) -> list[Effect]:
         probe = self._probe
@@ -372,7 +374,7 @@
             for each in self.table.live_members()
             if each is not target and each.status is MemberStatus.ALIVE
         ]
-        helpers = self._pick(candidates, self.settings.indirect_probes)
+        helpers = self._sample(candidates, self.settings.indirect_probes)
         probe.helpers = len(helpers)
         return [
             _send_to(
@@ -414,7 +416,7 @@
             return []
         number = self._next_number()
         self._indirect_pings[number] = _IndirectPing(ident, address, request.number)
-        # Lifeguard: the nack has to arrive before the requester's own time-out.
+        # Lifeguard: the nack has to arrive before the probe of the requester times out.
         deadline_us = now_us + self.settings.probe_timeout_us * 4 // 5
         ping = Ping(number, self._piggybacked(request.ident))
         return [
@@ -430,22 +432,23 @@
         return [Send(indirect.sender, indirect.address, nack)]
 
     def _on_stall(self, late_us: int) -> None:
-        """A timer ran late: acknowledgements and refutations may lie unread in this placer's sockets."""
+        """Handle a late timer: acknowledgements and refutations may be unread in this placer's socket buffers."""
         self.local_health.record_failure(1 + min(3, late_us // self.settings.period_us))
         self._probe = None
         self.table.extend_suspicions(late_us)
 
-    # -- anti-entropy and suspicions
+    # -- Anti-entropy and suspicions
 
     def _start_sync(self, now_us: int) -> list[Effect]:
         effects: list[Effect] = [
             _send_to(each, Sync(ask=True, news=self._sync_updates(each.update.ident)))
-            for each in self._pick(self.table.live_members(), 1)
+            for each in self._sample(self.table.live_members(), 1)
         ]
-        # Both sides of a partition hold each other for dead and do not ping: without this, none learns that it healed.
+        # Members on both sides of a partition see each other as dead and do not ping each other: without a sync to a
+        # dead member, neither side would detect that the partition has healed.
         effects += [
             _send_to(each, Sync(ask=True, news=self._sync_updates(each.update.ident)))
-            for each in self._pick(self.table.dead_members(), 1)
+            for each in self._sample(self.table.dead_members(), 1)
         ]
         effects += self._expire_suspicions(now_us)
         effects += self._sync_with_seeds()
@@ -453,7 +456,7 @@
         return effects
 
     def _sync_with_seeds(self) -> list[Effect]:
-        """Sync with seeds that are not known as live members."""
+        """Send a sync to at most `MAX_SEEDS_PER_SYNC` seeds that are not known as live members."""
         live = self.table.live_members()
         known = {each.update.address for each in live}
         known |= {each.update.ident for each in live}
@@ -475,7 +478,7 @@
         return [*map(_notification, changes), *checks, *self._update_suspicion_timer()]
 
     def _update_suspicion_timer(self) -> list[Effect]:
-        """Set the timer where the next suspicion ends before it is due, or where it is not set."""
+        """Set the suspicion timer if it is not set, or if the next deadline is before its current time."""
         deadline_us = self.table.next_deadline_us()
         if deadline_us is None:
             return []
@@ -484,7 +487,7 @@
             return []
         return [self._set_timer(SUSPICION_TIMER, deadline_us)]
 
-    # -- helpers
+    # -- Helpers
 
     def _new_suspicion(self, now_us: int) -> Suspicion:
         return self.settings.new_suspicion(now_us, len(self.table.live_members()) + 1)
@@ -497,7 +500,7 @@
         self._deadlines_us[key] = at_us
         return SetTimer(key, at_us)
 
-    def _pick(self, members: list[Member], limit: int) -> list[Member]:
+    def _sample(self, members: list[Member], limit: int) -> list[Member]:
         return self._random.sample(members, min(limit, len(members)))
 
 
