--- a/wingbarrow/decide/coordination/__init__.py
+++ b/wingbarrow/decide/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""What joins the replicated log to its users: leases of the rule set, requests to the leader, sub-state machines."""
+"""Coordination on top of the replicated log: leases of the rule set, requests to the leader, subsystems."""
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -1,7 +1,7 @@
-"""One placer's part in coordination: what joins the voters' log, the leader's side and the lease client.
+"""Coordination at one placer: connects the voters' replicated log, the leader's side and the lease client.
 
-Every placer has a `LeaseClient`. A voter also has a `Raft`, whose committed entries make up the replicated state here:
-the rule set (`rule_set_state`) and the subsystems. The `Leader` acts while this voter leads.
+Every placer has a `LeaseClient`. A voter also has a `Raft`, whose committed entries determine the replicated state: the
+rule set (`rule_set_state`) and the subsystems. The `Leader` is active while this voter is the leader.
 """
 
 from __future__ import annotations
@@ -50,13 +50,14 @@
 
 
 class Coordinator:
-    """`persistent` is what this placer's store holds as a voter; None where it has none.
+    """One placer's coordinator; `persistent` is the state in its voter store, None if it has no store.
 
-    A placer is a voter if the settings name it or it has a store; named and without a store it votes no more (`Raft`).
-    The host calls `start`, then `on_message` and `on_timer`, and carries out the effects in their order.
+    A placer is a voter if the settings name it or if it has a store; if it is named but has no store it does not
+    participate in elections (see `Raft`). The host calls `start`, then `on_message` and `on_timer`, and carries out the
+    effects in order.
 
-    `rules_lease`, `version`, `quotas`, `health_observer`, `ejections`, `outlier_detector` and `lease_holders` are the
-    parts' own: pages and the placer read them here, so that they need not know which part holds what.
+    `rules_lease`, `version`, `quotas`, `health_observer`, `ejections`, `outlier_detector` and `lease_holders` belong to
+    the lease client and the leader; these properties give the REST API and the placer one place to read them.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
     # -- Events
 
     def start(self, now_us: int) -> list[Effect]:
-        """Begin, from what was stored."""
+        """Start from the persistent state."""
         effects: list[Effect] = []
         if self.raft is not None:
             effects += self.apply_raft(now_us, self.raft.start(now_us))
@@ -93,7 +94,7 @@
         return effects
 
     def on_message(self, now_us: int, sender: str, address: str, message: Message) -> list[Effect]:
-        """A message of another placer; `address` is where an answer reaches it."""
+        """Handle a message of another placer; responses are sent to `address`."""
         if isinstance(message, LeaseRequest):
             return self._on_request(now_us, PendingRequest(sender, address, message))
         if isinstance(message, LeaseGrant):
@@ -105,7 +106,7 @@
     def _on_voter_message(
         self, now_us: int, sender: str, message: RelayedRequest | RelayedGrant | RaftMessage
     ) -> list[Effect]:
-        """A message that only voters send to each other; ignored where either is none."""
+        """Handle a message between voters; ignored if this placer or the sender is not a voter."""
         if self.raft is None or sender not in (*self.raft.voters, *self._configured_voters):
             return []
         if isinstance(message, RelayedRequest):
@@ -116,18 +117,18 @@
         return self.apply_raft(now_us, self.raft.on_message(now_us, sender, message))
 
     def _on_request(self, now_us: int, pending: PendingRequest) -> list[Effect]:
-        """Answer a request, or forward it where its sender wants that and somebody else leads."""
+        """Handle a request, or forward it to the leader if its sender asks for that and another voter leads."""
         leader = self.raft.leader if self.raft is not None else ""
         if pending.request.forward and leader not in ("", self.name, pending.sender):
             return [Send(leader, "", RelayedRequest(pending.sender, pending.request))]
         return self.leadership.on_request(now_us, pending)
 
     def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
-        """This placer leads, and has granted its own request."""
+        """Handle a grant by this placer as leader to itself."""
         return self.lease_client.on_grant(now_us, self.name, grant)
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """A timer is due; one that was not set is ignored."""
+        """Handle a timer that is due; one that is not set is ignored."""
         if key.startswith(TIMER_PREFIX):
             assert self.raft is not None
             raft_key = key.removeprefix(TIMER_PREFIX)
@@ -153,73 +154,76 @@
         return [Send(receiver.name, "", request), *effects]
 
     def request_soon(self, now_us: int) -> list[Effect]:
-        """Somebody waits for quota, which others may hold."""
+        """Send the next lease request early, as a task waits for quota that other placers may hold."""
         return self.lease_client.request_soon(now_us)
 
-    # -- What this placer may do
+    # -- State of this placer
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
-        """What this placer may act on at this moment, None for nothing: ask right before each first byte."""
+        """The rules that this placer may act on now, None for none; call right before each first byte is sent."""
         return self.rules_lease.rules_in_force(now_us)
 
     @property
     def rules_lease(self) -> RulesLease:
-        """This placer's leases."""
+        """This placer's leases of the rule set and the floor."""
         return self.lease_client.rules_lease
 
     @property
     def version(self) -> int:
-        """The latest version of the rule set that this placer has heard of."""
+        """The latest version of the rule set that a grant has named."""
         return self.lease_client.version
 
     @property
     def quotas(self) -> QuotaAccount:
-        """This placer's shares of the fleet's limits."""
+        """This placer's shares of the fleet-wide limits."""
         return self.lease_client.quotas
 
     @property
     def health_observer(self) -> HealthObserver:
-        """What this placer sees of machines."""
+        """This placer's observations of machine health."""
         return self.lease_client.health_observer
 
     @property
     def ejections(self) -> ActiveEjections:
-        """The machines that are ejected for this placer."""
+        """The machines that this placer treats as ejected."""
         return self.lease_client.ejections
 
-    # -- What the leader knows
+    # -- State at the leader
 
     @property
     def outlier_detector(self) -> OutlierDetector:
-        """At the leader: health reports, and what follows from them."""
+        """At the leader: outlier detection from health reports."""
         return self.leadership.outlier_detector
 
     @property
     def lease_holders(self) -> dict[str, GrantedLease]:
-        """At the leader: who was granted a lease."""
+        """At the leader: the latest lease granted to each placer, by name."""
         return self.leadership.lease_holders
 
     @property
     def is_leader(self) -> bool:
-        """Whether this placer leads."""
+        """Whether this placer is the leader."""
         return self.raft is not None and self.raft.is_leader
 
     @property
     def leader(self) -> str:
-        """Who leads, as far as is known; "" where nobody is."""
+        """The known leader; "" for none."""
         if self.raft is not None and self.raft.leader:
             return self.raft.leader
         return self.lease_client.leader
 
     def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
-        """At the leader: propose an entry; the outcome of one with an `ident` will be in `rule_set_state.outcomes`."""
+        """At the leader: propose an entry; one with an `ident` reports its outcome in `rule_set_state.outcomes`.
+
+        Does nothing if this placer is not the leader.
+        """
         if self.raft is None or not self.is_leader:
             return []
         _, effects = self.raft.propose(now_us, kind, json.dumps(value))
         return self.apply_raft(now_us, effects)
 
     def change_voters(self, now_us: int, voters: tuple[str, ...]) -> tuple[bool, list[Effect]]:
-        """At the leader: add or remove one voter; whether that is possible now."""
+        """At the leader: add or remove one voter; return whether that was proposed (see `Raft.change_voters`)."""
         if self.raft is None:
             return False, []
         index, effects = self.raft.change_voters(now_us, voters)
@@ -228,7 +232,7 @@
     # -- The replicated state
 
     def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
-        """Apply what the voters' log hands over; the effects for the host, in their order."""
+        """Apply the effects of `Raft` to the replicated state; return those for the host, in order."""
         host_effects: list[Effect] = []
         for effect in effects:
             if isinstance(effect, SnapshotRestored):
@@ -272,14 +276,14 @@
         return effects
 
     def snapshot(self) -> str:
-        """The replicated state, for `ReplicatedLog.compact`."""
+        """The replicated state as text, for `ReplicatedLog.compact`."""
         self.rule_set_state.chapters |= {
             name: each.snapshot() for name, each in self.subsystems.items()
         }
         return self.rule_set_state.text()
 
     def _apply(self, entry: LogEntry) -> bool:
-        """Apply an entry; whether it was for a subsystem, which took it."""
+        """Apply an entry; return whether a subsystem applied it."""
         subsystem, _, kind = entry.kind.partition("/")
         if kind:
             return self._apply_to_subsystem(subsystem, kind, entry.body)
@@ -293,7 +297,7 @@
         return False
 
     def _apply_to_subsystem(self, name: str, kind: str, body: str) -> bool:
-        """Whether a subsystem took an entry: a voter passes over one that it cannot read, as all voters do."""
+        """Apply an entry to a subsystem; return whether it did. Like all voters, skip an entry that is not readable."""
         subsystem = self.subsystems.get(name)
         if subsystem is None:
             return False
--- a/wingbarrow/decide/coordination/granted_leases.py
+++ b/wingbarrow/decide/coordination/granted_leases.py
@@ -1,7 +1,7 @@
-"""A leader's account of the leases that it has granted: until when somebody may act on an earlier revision, or a floor.
+"""The leases that a leader has granted: until when a placer may act on an earlier revision or a floor.
 
-It is not replicated. A new leader, which knows of no leases, reckons with those that any leader before it may have
-granted until its own election. Times are by this leader's clock; `lease_expiry_us` allows for the holder's.
+They are not replicated. A new leader does not know them and assumes that earlier leaders granted leases until its own
+election. Times are in microseconds of the leader's clock; `lease_expiry_us` allows for clock drift at the holder.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
-    """What a placer may act on, and until when at the latest."""
+    """The revision that a placer may act on, and the latest time at which it may."""
 
     revision: int
     expires_us: int
 
 
 class GrantedLeases:
-    """Kept from election to election; a leader makes it anew."""
+    """The leases granted by one leader in one term."""
 
     def __init__(self) -> None:
         self.by_holder: dict[str, GrantedLease] = {}
-        self._floor_expiries_us: dict[int, int] = {}  # by the floor's number
-        # Placers that were granted a later revision, and have not come back with it: until when each may still act on
-        # its last one, as the grant may never reach it.
+        self._floor_expiries_us: dict[int, int] = {}  # by the number of the floor
+        # Until when a placer that was granted a later revision, but has not acknowledged it by a request yet, may still
+        # act on an earlier one: the grant may have been lost.
         self._unacknowledged_us: dict[str, int] = {}
 
     def has_capacity_for(self, holder: str, now_us: int) -> bool:
-        """Whether a lease can be granted to this placer; expired ones are dropped where there are too many."""
+        """Whether a lease can be granted to this placer; removes expired leases if there are `MAX_LEASE_HOLDERS`."""
         if holder in self.by_holder or len(self.by_holder) < MAX_LEASE_HOLDERS:
             return True
         self.by_holder = {
@@ -41,7 +41,7 @@
         return len(self.by_holder) < MAX_LEASE_HOLDERS
 
     def grant(self, holder: str, known_revision: int, lease: GrantedLease) -> None:
-        """Enter a lease for a placer that acts on `known_revision` now."""
+        """Record a lease for a placer whose request stated that it holds `known_revision`."""
         last = self.by_holder.get(holder)
         if known_revision >= lease.revision:
             self._unacknowledged_us.pop(holder, None)
@@ -51,16 +51,16 @@
         self.by_holder[holder] = lease
 
     def grant_floor(self, number: int, expires_us: int) -> None:
-        """Enter that somebody may go by a floor until then."""
+        """Record that a placer may act on a floor until `expires_us`."""
         self._floor_expiries_us[number] = expires_us
 
     def floor_expires_us(self, number: int, elected_at_us: int, duration_us: int) -> int:
-        """When nobody can go by a floor any more, unless it is granted again."""
+        """The time from which no placer can act on a floor, unless it is granted again."""
         granted_us = self._floor_expiries_us.get(number, 0)
         return max(granted_us, lease_expiry_us(elected_at_us, duration_us))
 
     def earlier_leases_expire_us(self, revision: int, elected_at_us: int, duration_us: int) -> int:
-        """When nobody can act on a revision before this one any more."""
+        """The time from which no placer can act on a revision before `revision`."""
         earlier = [
             lease.expires_us for lease in self.by_holder.values() if lease.revision < revision
         ]
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -1,9 +1,9 @@
-"""The leader's side of coordination: it answers lease requests, and proposes what is due.
+"""The leader's side of coordination: responds to lease requests and proposes log entries that are due.
 
-Guaranteed: a request is answered only after a majority of the voters has followed this leader since the request came,
-so that no deposed leader grants anything; and a transition between revisions is proposed only once no lease of an
-earlier revision can be in force, as `GrantedLeases` reckons. What a leader knows beside the log is its own, and ends
-with its term.
+Two guarantees hold. A request is granted only after a majority of the voters has confirmed leadership since the request
+arrived, so that a deposed leader grants nothing. A transition between revisions is proposed only once no lease of an
+earlier revision can be valid, according to `GrantedLeases`. State outside the log is not replicated and is discarded
+when leadership changes.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request that waits for leadership to be confirmed; `relay` is the voter that forwarded it, "" for none."""
+    """A request pending until leadership is confirmed; `relay` is the voter that forwarded it, "" for none."""
 
     sender: str
     address: str
@@ -50,23 +50,23 @@
 
     @property
     def requester(self) -> Requester:
-        """Its sender, as subsystems see it."""
+        """The sender in the form that subsystems use."""
         request = self.request
         return Requester(self.sender, request.life, request.up_us, request.number, request.reign)
 
 
 @dataclass(slots=True)
 class LeaderTermState:
-    """What a leader knows beside the log; made anew as leadership changes."""
+    """State of the leader outside the log; reinitialized when leadership changes."""
 
     pending: list[PendingRequest] = field(default_factory=list)
-    batches: dict[int, list[PendingRequest]] = field(default_factory=dict)  # by their read's id
+    batches: dict[int, list[PendingRequest]] = field(default_factory=dict)  # by read id
     leases: GrantedLeases = field(default_factory=GrantedLeases)
     outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
 
 
 class LeaderHost(Protocol):
-    """What a `Leader` needs of its `Coordinator`."""
+    """The interface of `Coordinator` that `Leader` uses."""
 
     name: str
     raft: Raft | None
@@ -75,24 +75,24 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this placer leads."""
+        """Whether this placer is the leader."""
 
     @property
     def leader(self) -> str:
-        """Who leads, as far as is known."""
+        """The known leader; "" for none."""
 
     def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
-        """Apply effects of the voters' log, and return those for the host."""
+        """Apply effects of `Raft`, and return those for the host."""
 
     def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
-        """Propose an entry."""
+        """Propose a log entry."""
 
     def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
-        """This placer's own request was granted."""
+        """Handle the grant of this placer's own request."""
 
 
 class Leader:
-    """One placer's part as the leader; while it does not lead, every request is redirected and nothing proposed."""
+    """The leader role of one placer; while it is not the leader, it redirects requests and proposes nothing."""
 
     def __init__(
         self,
@@ -114,16 +114,16 @@
 
     @property
     def outlier_detector(self) -> OutlierDetector:
-        """Health reports of this term, and what follows from them."""
+        """Outlier detection from the health reports of this term."""
         return self._state.outlier_detector
 
     @property
     def lease_holders(self) -> dict[str, GrantedLease]:
-        """Who was granted a lease in this term."""
+        """The latest lease granted to each placer in this term, by name."""
         return self._state.leases.by_holder
 
     def on_leadership_change(self, now_us: int, *, is_leader: bool) -> list[Effect]:
-        """This placer was elected, or leads no longer: nothing but the log is known."""
+        """Handle an election or step-down of this placer: discard all state outside the log."""
         self._state = LeaderTermState()
         raft = self._host.raft
         term = raft.persistent.term if raft is not None else 0
@@ -134,10 +134,10 @@
             return []
         return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
 
-    # -- Requests: they wait for a batch, and a batch for its leader to be confirmed
+    # -- Requests: collected into batches; leadership is confirmed once for each batch
 
     def on_request(self, now_us: int, pending: PendingRequest) -> list[Effect]:
-        """A placer's request, also this placer's own; a later one of the same sender replaces it while it waits."""
+        """Queue a request, also one of this placer; a later one of the same sender replaces one that is pending."""
         if not self._host.is_leader:
             if pending.relay:
                 return []
@@ -154,7 +154,7 @@
         return [self._timers.set(BATCH_TIMER, now_us + self._timing.batch_us)]
 
     def confirm_batch(self, now_us: int) -> list[Effect]:
-        """`BATCH_TIMER` is due: have leadership confirmed for all requests that wait."""
+        """Handle `BATCH_TIMER`: request confirmation of leadership for all pending requests."""
         raft = self._host.raft
         batch = self._state.pending
         self._state.pending = []
@@ -165,12 +165,12 @@
         return self._host.apply_raft(now_us, raft.confirm_leadership(now_us, self._read_id))
 
     def on_confirmed(self, now_us: int, read_id: int) -> list[Effect]:
-        """Leadership is confirmed since a batch was closed: take in its reports, then answer its requests."""
+        """Handle confirmed leadership for a batch: process its reports, then respond to its requests."""
         raft = self._host.raft
         batch = self._state.batches.pop(read_id, [])
         if raft is None or not raft.log.has_committed_in_term:
-            # Danger: until then entries of earlier leaders may be committed that are not applied here. The senders
-            # will ask again.
+            # Danger: until an entry of this term is committed, entries of earlier leaders may be committed that are
+            # not applied here. The senders will retry.
             return []
         if now_us - self._last_outlier_scan_us >= OUTLIER_SCAN_INTERVAL_US:
             self._last_outlier_scan_us = now_us
@@ -200,14 +200,14 @@
     def _quota_grants(
         self, now_us: int, batch: Sequence[PendingRequest]
     ) -> list[tuple[QuotaGrant, ...]]:
-        """What the senders of a batch may use of the fleet's limits: one answer for all, as one's gain is another's."""
+        """Quota grants for all requests of a batch, computed together as they share the fleet-wide limits."""
         reports = [(each.requester, each.request.stated) for each in batch]
         return self._host.allocations.grants_for(now_us, reports, self._rules().limits)
 
     def _grant_lease(
         self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> list[Effect]:
-        """Grant a lease, unless there are too many holders."""
+        """Grant a lease and send it, unless there are `MAX_LEASE_HOLDERS` other holders."""
         rule_set_state = self._host.rule_set_state
         leases = self._state.leases
         if not leases.has_capacity_for(pending.sender, now_us):
@@ -228,7 +228,7 @@
     def _grant_message(
         self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> LeaseGrant:
-        """The message; rules that the requester has are left out."""
+        """The grant message, without rules that the requester already holds."""
         rule_set_state = self._host.rule_set_state
         request = pending.request
         floor = rule_set_state.floors[-1] if rule_set_state.floors else None
@@ -251,7 +251,7 @@
         )
 
     def _rules(self) -> RuleSet:
-        """The rules in force, parsed once."""
+        """The rules in force, parsed once for each text."""
         text = self._host.rule_set_state.rules
         parsed_text, rules = self._parsed_rules
         if rules is None or text != parsed_text:
@@ -262,8 +262,10 @@
     # -- Proposals
 
     def propose_next(self, now_us: int) -> list[Effect]:
-        """Propose what is due, of one kind at a time: a transition to the next revision, the end of a floor, or what
-        subsystems want. Where nothing is due yet, or an entry is uncommitted, `PROPOSAL_TIMER` is set."""
+        """Propose one kind of due entry: the next transition, the expiry of floors, or entries of subsystems.
+
+        Sets `PROPOSAL_TIMER` if an entry is uncommitted, or if entries become due later.
+        """
         raft = self._host.raft
         rule_set_state = self._host.rule_set_state
         if raft is None or not self._host.is_leader:
@@ -293,7 +295,7 @@
         return effects
 
     def _propose_for_subsystems(self, now_us: int, due_us: list[int]) -> list[Effect]:
-        """Propose what subsystems want; `due_us` gets when each is to be called again."""
+        """Propose entries of subsystems; append to `due_us` the times at which to call them again."""
         effects: list[Effect] = []
         for subsystem in (self._host.allocations, *self._subsystems):
             proposals, next_us = subsystem.next_proposals(now_us, self._rules())
@@ -305,7 +307,7 @@
         return effects
 
     def _earlier_leases_expire_us(self) -> int:
-        """When no placer can act on a revision before the one in force any more."""
+        """The time from which no placer can act on a revision before the one in force."""
         raft = self._host.raft
         assert raft is not None
         revision = self._host.rule_set_state.revision
@@ -314,7 +316,7 @@
         )
 
     def _earlier_floors_expire_us(self) -> int:
-        """When no placer can go by a floor before the latest any more."""
+        """The time from which no placer can act on a floor before the latest."""
         raft = self._host.raft
         assert raft is not None
         return max(
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -1,7 +1,7 @@
-"""Every placer's side of coordination: it renews its lease of the rule set, and holds what comes with each grant.
+"""Coordination at every placer: renews the lease of the rule set and stores the contents of each grant.
 
-A grant brings the rules to act on, shares of the fleet's quotas, the machines that are ejected, and each subsystem's
-part. What it brings counts from when it was *requested*, by this placer's clock, so that no delay makes it last longer.
+A grant contains the rules to act on, shares of the fleet-wide quotas, the ejected machines, and a response for each
+subsystem. It is valid from the time of the *request* by this placer's clock, so that no delay extends it.
 """
 
 from __future__ import annotations
@@ -21,20 +21,22 @@
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 
-MIN_REQUEST_INTERVAL_US = 100_000  # where requests are sent because somebody waits for quota
-REQUESTS_PER_LEASE = 3  # so that two may be lost before a lease expires
+MIN_REQUEST_INTERVAL_US = (
+    100_000  # between requests that are sent early because work waits for quota
+)
+REQUESTS_PER_LEASE = 3  # so that a lease survives the loss of two requests
 
 
 @dataclass(frozen=True, slots=True)
 class _OutstandingRequest:
-    """A request without an answer yet."""
+    """A request that has no response yet."""
 
     sent_us: int
     is_forwarded: bool
 
 
 class LeaseClient:
-    """One placer's leases. The owner calls `next_request` as `REQUEST_TIMER` is due, and sends what it returns."""
+    """One placer's leases. Its owner calls `next_request` when `REQUEST_TIMER` is due, and sends the request."""
 
     def __init__(
         self,
@@ -49,8 +51,8 @@
         self.health_observer = HealthObserver()
         self.ejections = ActiveEjections()
         self.rules_lease = RulesLease()
-        self.version = 0  # the latest version of the rule set that a grant named
-        self.leader = ""  # by the latest answer; "" where that knew none
+        self.version = 0  # latest version of the rule set named by a grant
+        self.leader = ""  # named by the latest response; "" for none
         self.term = 0  # of the leader that gave the latest grant
         self.selector = VoterSelector(local.name, settings.voters)
         self.local = local
@@ -60,20 +62,20 @@
         self._random = random.Random(seed)
         self._last_request_number = 0  # of the latest request
         self._last_sent_us = -settings.timing.grant_us
-        self._outstanding: dict[int, _OutstandingRequest] = {}  # by the request's number
+        self._outstanding: dict[int, _OutstandingRequest] = {}  # by request number
         self._notified_rules: RulesInForce | None = None
         self._notified_ejections: frozenset[str] = frozenset()
-        self._has_given_up_quota = False  # with the latest grant
+        self._has_released_quota = False  # whether the latest grant reduced a share
 
     def start(self, now_us: int) -> list[Effect]:
-        """Begin."""
+        """Start, and set the timer of the first request."""
         self.started_us = now_us
         return [self._timers.set(REQUEST_TIMER, now_us + 1)]
 
     # -- Requests
 
     def next_request(self, now_us: int, leader: str) -> tuple[LeaseRequest, Receiver, list[Effect]]:
-        """The next request, whom to send it to, and what to do beside; `leader` as far as is known."""
+        """Return the next request, its receiver and other effects; `leader` is the known one, "" for none."""
         effects: list[Effect] = []
         is_unanswered = bool(self._outstanding)
         self._outstanding = {
@@ -115,16 +117,16 @@
         )
 
     def request_soon(self, now_us: int) -> list[Effect]:
-        """Somebody waits for quota: send the next request early, unless one is outstanding."""
+        """Send the next request early, as work waits for quota; no effect while a request is outstanding."""
         if self._outstanding:
             return []
         at_us = max(now_us + 1, self._last_sent_us + MIN_REQUEST_INTERVAL_US)
         return [self._timers.set(REQUEST_TIMER, at_us)]
 
-    # -- Answers
+    # -- Responses
 
     def on_not_leader(self, now_us: int, message: NotLeader) -> list[Effect]:
-        """The receiver of a request does not lead."""
+        """Handle the response that the receiver of a request is not the leader."""
         if self._outstanding.pop(message.number, None) is None:
             return []
         self.leader = message.leader
@@ -133,7 +135,7 @@
         return [self._timers.set(REQUEST_TIMER, now_us + 1)]
 
     def on_grant(self, now_us: int, sender: str, grant: LeaseGrant) -> list[Effect]:
-        """A request was granted. A duplicate, or one of a request that was given up, is ignored."""
+        """Handle a grant; one without an outstanding request, such as a duplicate, is ignored."""
         request = self._outstanding.pop(grant.number, None)
         if request is None:
             return []
@@ -155,19 +157,19 @@
         ]
 
     def _request_interval_us(self, now_us: int) -> int:
-        """How long after a grant to send the next request.
+        """The delay in microseconds from a grant to the next request.
 
-        Sooner where quota is short, as what others give back comes with grants; and where this placer gave some up, as
-        that is wanted elsewhere, and is free with its next request.
+        It is shorter if quota is short, as quota returned by others arrives with grants, and if this placer released
+        quota, which becomes available to others with its next request.
         """
-        if self.quotas.limits and (self.quotas.is_short(now_us) or self._has_given_up_quota):
+        if self.quotas.limits and (self.quotas.is_short(now_us) or self._has_released_quota):
             return self._timing.retry_us
         return self._timing.grant_us // REQUESTS_PER_LEASE
 
     def _renew_rules(self, now_us: int, requested_us: int, grant: LeaseGrant) -> list[Effect]:
         lease = self.rules_lease
         if not grant.edition or not (grant.rules or grant.edition == lease.revision):
-            return []  # nothing in force yet; or a revision whose rules are not known here
+            return []  # no rules in force yet, or a revision whose rules are not known here
         old_revision = lease.revision
         had_expired = now_us >= lease.expires_us
         rules = grant.rules or lease.rules
@@ -178,13 +180,13 @@
             self.quotas.on_limits(parse_rule_set(lease.rules).limits)
         if had_expired:
             self.quotas.expire()
-        # Danger: what an earlier request reported may have been given back since; and the leader counts a share no
-        # longer once the lease that it came with is over.
+        # Danger: quota reported by an earlier request may have been returned since, and the leader no longer counts a
+        # share once the lease granted with it has expired.
         is_latest = grant.number == self._last_request_number
         if is_latest and now_us < requested_us + grant.lasts_us:
             self.quotas.on_grants(grant.rights)
         shares = self.quotas.shares
-        self._has_given_up_quota = any(
+        self._has_released_quota = any(
             shares.get(key, 0) < share for key, share in old_shares.items()
         )
         if shares == old_shares:
@@ -197,16 +199,20 @@
             rules = grant.floor_rules or lease.floor_rules
             lease.renew_floor(requested_us, grant.floor, rules, grant.floor_us)
 
-    # -- Events
+    # -- Notifications
 
     def notify_rules(self, now_us: int) -> list[Effect]:
-        """Notify of the rules in force, if they changed; set the timer for the next expiry."""
+        """Notify the host of the rules in force if they changed, and set the timer of the next expiry."""
         effects: list[Effect] = []
         rules = self.rules_lease.rules_in_force(now_us)
         if rules != self._notified_rules:
             self._notified_rules = rules
-            shown = rules or RulesInForce("", 0, "")
-            fields = {"label": shown.label, "edition": shown.revision, "rules": shown.rules}
+            notified = rules or RulesInForce("", 0, "")
+            fields = {
+                "label": notified.label,
+                "edition": notified.revision,
+                "rules": notified.rules,
+            }
             effects.append(Notify("rules", fields))
         expiries_us = (self.rules_lease.expires_us, self.rules_lease.floor_expires_us)
         next_expiry_us = min((each for each in expiries_us if each > now_us), default=None)
@@ -215,7 +221,7 @@
         return effects
 
     def _notify_ejections(self, now_us: int) -> list[Effect]:
-        """Notify of the machines that are ejected, if they changed; ejections also end without a grant."""
+        """Notify the host of the ejected machines if they changed; an ejection may also end without a grant."""
         ejected = self.ejections.ejected(now_us)
         if ejected == self._notified_ejections:
             return []
--- a/wingbarrow/decide/coordination/leases.py
+++ b/wingbarrow/decide/coordination/leases.py
@@ -1,9 +1,9 @@
-"""The holder's side of leases of the rule set: until when a placer may act on which rules.
+"""Leases of the rule set at their holder: until when a placer may act on which rules.
 
-As in Chubby (Burrows 2006): a lease counts from when it was requested, by its holder's clock, and for its giver from
-when it was granted and longer by the drift that two clocks may have; so the holder's always ends first. A holder whose
-lease has expired goes on by the floor, rules that every version must allow, while the floor's own lease lasts; then it
-may act on nothing.
+As in Chubby (Burrows 2006), the holder counts a lease from its request by its own clock; the grantor counts it from the
+grant and adds the maximum drift between two clocks, so that a lease always expires at the holder first. A holder whose
+lease has expired continues with the floor, rules that every version must allow, while the lease of the floor lasts;
+after that it may not act at all.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 def lease_expiry_us(now_us: int, duration_us: int) -> int:
-    """Until when the giver of a lease reckons with it; `now_us` is a time after its holder requested it."""
+    """When a lease expires for its grantor, clock drift included; `now_us` is any time after it was requested."""
     return now_us + drifted_us(duration_us)
 
 
 @dataclass(frozen=True, slots=True)
 class RulesInForce:
-    """What a placer acts on; `rules` is a rule set's text."""
+    """The rules that a placer may act on; `rules` is the text of a rule set."""
 
-    label: str  # of each offer: `e7` for revision 7, `f2` for floor 2
+    label: str  # attached to each offer: `e7` for revision 7, `f2` for floor 2
     revision: int  # 0 for a floor
     rules: str
 
 
 @dataclass(slots=True)
 class RulesLease:
-    """One placer's leases; times by its own clock, expiries of 0 for none."""
+    """One placer's leases; times are in microseconds of its own clock, an expiry of 0 means no lease."""
 
     revision: int = 0
     rules: str = ""
@@ -39,9 +39,9 @@
     floor_expires_us: int = 0
 
     def renew(self, requested_us: int, revision: int, rules: str, duration_us: int) -> bool:
-        """Renew, as requested at that time; False for a grant of a revision before the one held: it has no effect."""
+        """Renew the lease from the time of its request; a grant of an earlier revision is ignored and returns False."""
         if revision < self.revision:
-            # Danger: a late grant must not bring back rules whose time has passed.
+            # Danger: a delayed grant must not reinstate superseded rules.
             return False
         if revision > self.revision:
             self.revision, self.rules, self.expires_us = revision, rules, 0
@@ -49,7 +49,7 @@
         return True
 
     def renew_floor(self, requested_us: int, number: int, rules: str, duration_us: int) -> None:
-        """Renew the lease of a floor; a grant of an earlier floor has no effect."""
+        """Renew the lease of a floor from the time of its request; a grant of an earlier floor is ignored."""
         if number < self.floor:
             return
         if number > self.floor:
@@ -57,7 +57,7 @@
         self.floor_expires_us = max(self.floor_expires_us, requested_us + duration_us)
 
     def rules_in_force(self, now_us: int) -> RulesInForce | None:
-        """What may be acted on at this moment; None for nothing."""
+        """The rules that may be acted on at `now_us`, those of the floor included; None for none."""
         if self.revision and now_us < self.expires_us:
             return RulesInForce(f"e{self.revision}", self.revision, self.rules)
         if self.floor and now_us < self.floor_expires_us:
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -1,7 +1,7 @@
-"""Messages of coordination: lease requests and what answers them; and the times that go with them.
+"""Messages of coordination: lease requests, their responses, and the related timing parameters.
 
-Fields have the names that they have on the wire (`wingbarrow.peers.message`), the field's terms stand beside them. Each
-subsystem has a field of its name in `LeaseRequest` (its report) and in `LeaseGrant` (its response).
+Field names are those on the wire (`wingbarrow.peers.message`); comments give the usual terms. Each subsystem has a
+field of its name in `LeaseRequest` (its report) and in `LeaseGrant` (its response).
 """
 
 from __future__ import annotations
@@ -20,49 +20,52 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A placer asks for its lease to be renewed. Rules that it holds already need not come with the grant."""
-
-    number: int  # of this request, by its sender
-    edition: int  # revision of the rule set that it holds; 0 for none
-    floor: int  # likewise
-    life: int = 0  # incarnation
-    up_us: int = 0  # since this incarnation began
-    stated: tuple[QuotaReport, ...] = ()  # what it holds, uses and demands of the fleet's limits
+    """Request to renew a placer's lease. It states which rules the placer holds, so that the grant can omit them."""
+
+    number: int  # sequence number of the request at its sender
+    edition: int  # revision of the rule set that the sender holds; 0 for none
+    floor: int  # number of the floor that the sender holds; 0 for none
+    life: int = 0  # incarnation of the sender
+    up_us: int = 0  # time since this incarnation started
+    stated: tuple[QuotaReport, ...] = ()  # quota held, used and demanded, by limit
     region: str = ""
-    evidence: tuple[HealthReport, ...] = ()  # on machines, of `tried` in all, `bad` of them bad
-    bad: int = 0
-    tried: int = 0
+    evidence: tuple[HealthReport, ...] = ()  # health reports on machines
+    bad: int = 0  # number of machines that the sender sees as outliers
+    tried: int = 0  # number of machines that the sender has observed
     sessions: SessionsReport | None = None
     turns: MaintenanceReport | None = None
     regions: RegionReport | None = None
-    reign: int = 0  # term of the leader whose grant it took last
-    forward: bool = False  # the leader does not answer: the receiver is to forward this to it
+    reign: int = 0  # term of the leader that gave the latest grant
+    forward: bool = False  # the receiver is to forward the request, as the leader does not respond to the sender
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The answer: act on revision `edition` for `lasts_us` from when you requested it. Rules that you hold are ""."""
+    """Grant of a lease: the requester may act on revision `edition` for `lasts_us` from its request on.
+
+    Rules that the requester holds already are "".
+    """
 
     number: int  # of the request
-    edition: int
+    edition: int  # revision of the rule set
     rules: str
     lasts_us: int
     version: int  # the latest version of the rule set
-    floor: int  # 0 for none
+    floor: int  # number of the floor; 0 for none
     floor_rules: str
-    floor_us: int  # how long the lease of the floor lasts, likewise from the request
-    rights: tuple[QuotaGrant, ...] = ()  # quotas, in place of what was reported
-    closed: tuple[Ejection, ...] = ()  # machines that are ejected
+    floor_us: int  # duration of the lease of the floor, also from the request on
+    rights: tuple[QuotaGrant, ...] = ()  # quota shares, which replace the reported ones
+    closed: tuple[Ejection, ...] = ()  # ejected machines
     sessions: SessionsResponse | None = None
     turns: MaintenanceResponse | None = None
     regions: tuple[RegionSummary, ...] | None = None
-    reign: int = 0  # term of the leader that grants
+    reign: int = 0  # term of the leader that grants the lease
     leader: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class NotLeader:
-    """The answer of one that does not lead; `leader` is "" where it knows none."""
+    """Response of a placer that is not the leader; `leader` is the leader that it knows, "" for none."""
 
     number: int  # of the request
     leader: str
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedRequest:
-    """Voter to leader: the request of the placer `ident`."""
+    """A request of the placer `ident`, forwarded by a voter to the leader."""
 
     ident: str
     ask: LeaseRequest
@@ -78,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedGrant:
-    """Leader to voter: the grant for the placer `ident`."""
+    """A grant for the placer `ident`, sent by the leader to the voter that forwarded the request."""
 
     ident: str
     grant: LeaseGrant
@@ -89,29 +92,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """The times of coordination, in microseconds; the same at all placers."""
+    """Timing parameters of coordination in microseconds; they must be the same at all placers."""
 
-    grant_us: int = 2_000_000  # how long a lease of the rule set lasts
-    # Short, so that the next leader answers before leases that the last one granted expire.
+    grant_us: int = 2_000_000  # duration of a lease of the rule set
+    # Minimum election timeout; short, so that a new leader responds before leases by its predecessor expire.
     election_us: int = 500_000
-    batch_us: int = (
-        20_000  # requests of that long are answered together, by one round of the voters
-    )
-    retry_us: int = 200_000  # after which a request without an answer is sent again
+    # Requests that arrive within this time are batched: one broadcast to the voters confirms leadership for all.
+    batch_us: int = 20_000
+    retry_us: int = 200_000  # time after which an unanswered request is retried
 
     def reacquire_us(self) -> int:
-        """Within what time a placer that is in touch with a majority of the voters holds a lease and its quotas again.
+        """Time within which a placer with contact to a majority of the voters regains a lease and its quotas.
 
-        A leader that nobody answers steps down after two election timeouts at most; another is elected within two, and
-        once more where votes are split. Then requests find it: at most four in turn, through a relay where the leader
-        itself does not answer, and the last request may have been sent right before.
+        A leader without responses steps down after at most two election timeouts. Another is elected within two, or
+        four if votes are split. Then at most four requests in sequence reach it, through a relay if the leader itself
+        does not respond; the first of them may follow up to one request interval later.
         """
         return 6 * self.election_us + 6 * self.retry_us + self.grant_us // 3
 
-    def overlap_us(self, turn_us: int) -> int:
-        """For how long after the first act under new rules somebody may act under those before ("the stated time").
+    def overlap_us(self, max_iteration_us: int) -> int:
+        """Maximum time for which a placer may act on the previous rules after the first act on new ones.
 
-        A lease of the old ones was requested before the new ones were committed, and lasts `grant_us` by its holder's
-        clock. A placer asks right before the first byte, which may then wait for `turn_us`, the hub's longest turn.
+        A lease of the previous rules was requested before the new ones were committed, and lasts `grant_us` by its
+        holder's clock. A placer checks the lease right before it sends the first byte, which may then be delayed by one
+        iteration of its event loop, `max_iteration_us` at most.
         """
-        return lease_expiry_us(0, self.grant_us) + turn_us
+        return lease_expiry_us(0, self.grant_us) + max_iteration_us
--- a/wingbarrow/decide/coordination/settings.py
+++ b/wingbarrow/decide/coordination/settings.py
@@ -1,4 +1,4 @@
-"""What a `Coordinator` is made from: the placer it belongs to, the settings that all placers share, its subsystems."""
+"""Parameters of a `Coordinator`: its placer, the settings shared by all placers, and its subsystems."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalPlacer:
-    """This placer: `incarnation` grows with each start; `zones` gives the zone of each machine of its list."""
+    """This placer; `incarnation` grows with each start, `zones` returns the zone of each known machine by name."""
 
     name: str
     incarnation: int = 0
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationSettings:
-    """The same at all placers: the voters that the settings name, and times."""
+    """Settings that must be the same at all placers: the names of the initial voters, and timing parameters."""
 
     voters: tuple[str, ...]
     timing: Timing = Timing()
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subsystems:
-    """What is coordinated beside the rule set and quotas: a voter's part (`replicated`) and every placer's."""
+    """Subsystems besides the rule set and quotas: `replicated` for voters, `members` for every placer."""
 
     replicated: tuple[AnyReplicatedSubsystem, ...] = ()
     members: tuple[AnyMemberSubsystem, ...] = ()
--- a/wingbarrow/decide/coordination/subsystem.py
+++ b/wingbarrow/decide/coordination/subsystem.py
@@ -1,10 +1,10 @@
-"""Sub-state machines of the voters' log: what each must offer at a voter, and at every placer.
+"""Interfaces of subsystems: state machines that share the replicated log, at voters and at every placer.
 
-The rule set is one part of the replicated state; sessions, quotas, maintenance slots and remote regions are others. A
-subsystem has a name, and three things are found by it: its log entries, of kind `NAME/KIND`; its part of a placer's
-`LeaseRequest`; its part of the `LeaseGrant` that answers. `Coordinator` and `Leader` know these names alone, and
-nothing of what the parts mean. A leader passes a report on, and answers it, only after a majority of the voters has
-followed it since the report came (ReadIndex, Ongaro 2014, 6.4).
+The rule set is one part of the replicated state; sessions, quotas, maintenance slots and remote regions are others. The
+name of a subsystem identifies its log entries, of kind `NAME/KIND`, its field of a placer's `LeaseRequest`, and its
+field of the `LeaseGrant` in response. `Coordinator` and `Leader` depend on these names only, not on the contents. A
+leader delivers a report to a subsystem, and responds to it, only after a majority of the voters has confirmed its
+leadership since the report arrived (ReadIndex, Ongaro 2014, 6.4).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-# What `json` reads and writes as an object: each subsystem knows the keys of its own entries.
+# A JSON object as read and written by `json`; each subsystem defines the keys of its own entries.
 JsonObject: TypeAlias = dict[str, Any]
 
 ReportT_contra = TypeVar("ReportT_contra", contravariant=True)
@@ -27,66 +27,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """An entry for the log: `kind` without the subsystem's name, `value` as it is written in JSON."""
+    """An entry to propose: `kind` without the subsystem's name, `value` as a JSON object."""
 
     kind: str
     value: JsonObject
 
 
 class ReplicatedSubsystem(Protocol[ReportT_contra, ResponseT_co]):
-    """A voter's part: replicated state, and at the leader what its members report and are answered.
+    """A subsystem at a voter: its replicated state and, at the leader, its reports and responses.
 
-    `Coordinator` calls `apply`, `snapshot` and `restore` at every voter; they must come to the same state everywhere,
-    so they may use neither a clock nor chance. `Leader` calls the other methods, at the leader alone.
+    `Coordinator` calls `apply`, `snapshot` and `restore` at every voter; they must be deterministic, without clocks or
+    random numbers, so that all voters reach the same state. `Leader` calls the other methods, at the leader only.
     """
 
     name: str
 
     def apply(self, kind: str, value: JsonObject) -> None:
-        """Apply one committed entry; the same entry may come twice, and then changes nothing the second time.
+        """Apply one committed entry; idempotent, as the same entry may be committed twice.
 
-        Raises ValueError, KeyError or TypeError where the entry cannot be read; the state is then unchanged.
+        Raises ValueError, KeyError or TypeError if the entry cannot be read; the state is then unchanged.
         """
 
     def snapshot(self) -> str:
-        """The whole replicated state as text; called when the log is compacted."""
+        """The complete replicated state as text; called when the log is compacted."""
 
     def restore(self, text: str) -> None:
-        """Replace the state by that of a `snapshot`; "" stands for the initial state."""
+        """Replace the state by that of a `snapshot`; "" is the initial state."""
 
     def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
-        """This voter was elected (`is_leader`), and knows only what the log says; or it leads no longer."""
+        """Handle a leadership change: drop all state that is not replicated. `is_leader`: this voter was elected."""
 
     def on_report(self, now_us: int, requester: Requester, report: ReportT_contra) -> None:
-        """A placer's report, leadership confirmed since. Not called where the request has no such part."""
+        """Handle a placer's report, after leadership was confirmed; not called for requests without a report."""
 
     def response_for(self, now_us: int, requester: Requester) -> ResponseT_co | None:
-        """This subsystem's part of the grant to a placer; None for nothing.
+        """This subsystem's field of the grant to a placer; None for no response.
 
-        Called for each request, with or without a report, once the whole batch's reports are in.
+        Called for each request, with or without a report, after all reports of the batch were handled.
         """
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """What to propose now, and when to be called again at the latest (None: after the next batch of requests).
+        """The entries to propose, and the time in microseconds by which to call again (None: after the next batch).
 
         Called after each batch of requests, and only while no entry is uncommitted.
         """
 
 
 class MemberSubsystem(Protocol[ReportT_co, ResponseT_contra]):
-    """Every placer's part, a voter's too. `LeaseClient` calls it: `report` with each request, then `on_response`."""
+    """A subsystem at every placer. `LeaseClient` calls `report` for each request, `on_response` for each grant."""
 
     name: str
 
     def report(self, now_us: int) -> ReportT_co | None:
-        """Its part of the next request; None for nothing."""
+        """This subsystem's field of the next request; None for no report."""
 
     def on_response(
         self, now_us: int, requested_us: int, response: ResponseT_contra | None
     ) -> list[Effect]:
-        """Its part of the grant that answers the request of `requested_us`; None where the leader has sent none."""
+        """Handle the field of a grant, requested at `requested_us`; None if the leader sent no response."""
 
 
-# Subsystems of a placer, of different types: which report and response go together is known by `name` alone.
+# Subsystems with different report and response types, which are matched by `name` only.
 AnyReplicatedSubsystem: TypeAlias = ReplicatedSubsystem[Any, Any]
 AnyMemberSubsystem: TypeAlias = MemberSubsystem[Any, Any]
--- a/wingbarrow/decide/coordination/voter_selection.py
+++ b/wingbarrow/decide/coordination/voter_selection.py
@@ -1,41 +1,48 @@
-"""Which voter a placer sends its next lease request to: the leader, one that knows it, or one that can reach it.
+"""Selects the voter for a placer's next lease request: the leader, a voter that knows it, or a relay to it.
 
-Where the leader does not answer, other voters are tried in turn and asked to forward the request: the link to the
-leader alone may be down, in one direction or both. Once one has brought an answer it stays the relay for a while.
+If the leader does not respond, other voters are tried in round-robin order and asked to forward the request, as only
+the link to the leader may be down, in one direction or both. A voter that forwarded a request successfully remains the
+relay for the next `MAX_RELAYED_GRANTS` grants.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_REDIRECTS = 2  # followed at once, one after the other; a further one waits for the next request
-MAX_RELAYED_GRANTS = 8  # by one relay in a row, before the leader itself is tried again
+MAX_REDIRECTS = 2  # followed without delay in a row; a further one waits for the next request
+MAX_RELAYED_GRANTS = 8  # in a row through a relay, before the leader is tried directly again
 
 
 @dataclass(frozen=True, slots=True)
 class Receiver:
-    """Whom to send a request to ("" for nobody), and whether it is to forward that to the leader."""
+    """The receiver of a request ("" for none), and whether it is to forward the request to the leader."""
 
     name: str
     forward: bool
 
 
 class VoterSelector:
-    """One placer's choice; `choose` is called for each request, the `on_...` methods for each answer."""
+    """One placer's selection of voters; call `choose` for each request, the `on_...` methods for each response."""
 
     def __init__(self, name: str, voters: tuple[str, ...]) -> None:
-        self.relay = ""  # the voter that forwards requests; "" while the leader itself is asked
+        self.relay = (
+            ""  # the voter that forwards requests; "" while they are sent to the leader directly
+        )
         self._name = name
         self._voters = voters
         self._unresponsive_leader = ""
-        self._last_direct_receiver = ""  # of a request that was not to be forwarded
+        self._last_direct_receiver = (
+            ""  # receiver of the last request, if it was not to be forwarded
+        )
         self._relayed_grants = 0
-        self._attempts = 0  # voters tried in turn, since a leader last answered itself
-        self._redirect_target = ""  # whom the last one asked named as leader
+        self._attempts = 0  # voters tried since a leader last responded directly
+        self._redirect_target = (
+            ""  # leader named by the last redirect, for the next request; "" for none
+        )
         self._redirects = 0
 
     def choose(self, leader: str, *, is_unanswered: bool) -> Receiver:
-        """The next receiver: `leader` as far as is known; `is_unanswered`: an earlier request still has no answer."""
+        """Select the next receiver; `leader`: the known one or ""; `is_unanswered`: a request has no response yet."""
         if not self._redirect_target:
             self._redirects = 0
         receiver = self._select(leader, is_unanswered=is_unanswered)
@@ -47,7 +54,7 @@
         if leader == self._name:
             return Receiver(leader, forward=False)
         if is_unanswered:
-            # Another voter may know a later leader, or may reach this one.
+            # Another voter may know a newer leader, or may be able to reach this one.
             self._unresponsive_leader = self._unresponsive_leader or self._last_direct_receiver
             self.relay = ""
         elif self._redirect_target:
@@ -59,7 +66,7 @@
         return self._next_voter(leader)
 
     def _next_voter(self, leader: str) -> Receiver:
-        """The voters in turn, but for one that did not answer; once all were tried, that one again."""
+        """The next voter in round-robin order; an unresponsive leader is skipped until all others were tried."""
         unresponsive = self._unresponsive_leader
         others = [name for name in self._voters if name not in (self._name, unresponsive)]
         if not others:
@@ -68,12 +75,12 @@
         self._attempts += 1
         position = self._attempts % len(others)
         if position == 0:
-            # Danger: it may be the only one that can be reached.
+            # Danger: the unresponsive leader may be the only voter that can be reached again.
             self._unresponsive_leader = ""
         return Receiver(others[position], forward=bool(unresponsive))
 
     def on_grant(self, sender: str, leader: str, *, was_forwarded: bool) -> None:
-        """A request was answered, by `leader`, through `sender`."""
+        """Handle a grant by `leader` that was received from `sender`."""
         if was_forwarded and self._relayed_grants < MAX_RELAYED_GRANTS:
             self.relay = sender
             self._relayed_grants += 1
@@ -85,9 +92,9 @@
         self._attempts = 0
 
     def on_redirect(self, leader: str) -> bool:
-        """A request came to one that does not lead and names `leader`: whether to ask that one at once."""
-        self.relay = ""  # it no longer knows the leader
-        # Danger: two that name each other, each behind in its way, would be asked in turn without a pause.
+        """Handle a redirect to `leader`; return whether to send the next request there at once."""
+        self.relay = ""  # the relay is no longer in contact with the leader
+        # Danger: two voters with stale views that name each other would be asked alternately without a delay.
         is_known = leader in ("", self._name, self._redirect_target, self._unresponsive_leader)
         if is_known or self._redirects >= MAX_REDIRECTS:
             return False
