--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -1,4 +1,4 @@
-"""Raft model-based: messages, timers, crashes and restarts in any order, against one list of committed entries."""
+"""Model-based test of Raft: messages, timers, crashes and restarts in any order, against one committed log."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 NAMES = ("v0", "v1", "v2", "v3")
 PICK = st.integers(0, 1 << 16)
-PLAY = settings(
+SETTINGS = settings(
     max_examples=120,
     stateful_step_count=50,
     deadline=None,
@@ -37,28 +37,28 @@
 
 
 class Voters(RuleBasedStateMachine):
-    """Three voters, and a fourth that may be added. Only rules deliver messages and let time pass."""
+    """Three voters, and a fourth that may be added. Only rules deliver messages and advance the clock."""
 
-    kind: type[Raft] = Raft
-    found: ClassVar[Counter[str]] = Counter()
+    raft_class: type[Raft] = Raft
+    event_counts: ClassVar[Counter[str]] = Counter()
 
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 0
-        self.mail: list[tuple[str, str, Any]] = []
+        self.in_flight: list[tuple[str, str, Any]] = []
         self.timers: dict[tuple[str, str], int] = {}
         self.disks = {name: PersistentState(NAMES[:3]) for name in NAMES}
         self.live: dict[str, Raft] = {}
         self.leaders: dict[int, str] = {}
-        self.decided: list[LogEntry] = []  # the reference
+        self.committed_log: list[LogEntry] = []  # the reference
         self.applied: dict[str, int] = {}
-        self.number = self.lives = 0
+        self.number = self.starts = 0
         for name in NAMES:
-            self.begin(name)
+            self.start_voter(name)
 
-    def begin(self, name: str) -> None:
-        self.lives += 1
-        self.live[name] = self.kind(name, copy.deepcopy(self.disks[name]), self.lives * 31)
+    def start_voter(self, name: str) -> None:
+        self.starts += 1
+        self.live[name] = self.raft_class(name, copy.deepcopy(self.disks[name]), self.starts * 31)
         self.applied[name] = self.disks[name].snapshot_index
         self.act(name, self.live[name].start(self.now_us))
 
@@ -69,77 +69,78 @@
             elif isinstance(effect, SetTimer):
                 self.timers[name, effect.key.removeprefix("raft ")] = effect.at_us
             elif isinstance(effect, Send):
-                self.mail.append((name, effect.ident, effect.message))
+                self.in_flight.append((name, effect.ident, effect.message))
             elif isinstance(effect, LeadershipChanged) and effect.is_leader:
-                self.elected(name)
+                self.on_elected(name)
             elif isinstance(effect, SnapshotRestored):
-                assert effect.index <= len(self.decided), (
-                    "a snapshot of what nobody was told is decided"
+                assert effect.index <= len(self.committed_log), (
+                    "a snapshot that includes uncommitted entries"
                 )
                 self.applied[name] = effect.index
             elif isinstance(effect, EntriesCommitted):
-                self.committed(name, effect)
+                self.on_committed(name, effect)
 
-    def elected(self, name: str) -> None:
+    def on_elected(self, name: str) -> None:
         disk = self.live[name].persistent
-        self.found["elected"] += 1
+        self.event_counts["elected"] += 1
         assert self.leaders.setdefault(disk.term, name) == name, f"two leaders in term {disk.term}"
-        for index, entry in enumerate(self.decided, 1):
+        for index, entry in enumerate(self.committed_log, 1):
             if index > disk.snapshot_index:
                 held = disk.log[index - disk.snapshot_index - 1 :][:1]
-                assert held == [entry], "a leader that lacks a decision"
+                assert held == [entry], "the new leader lacks a committed entry"
 
-    def committed(self, name: str, effect: EntriesCommitted) -> None:
-        assert effect.first_index == self.applied[name] + 1, "in order, and once"
+    def on_committed(self, name: str, effect: EntriesCommitted) -> None:
+        assert effect.first_index == self.applied[name] + 1, "entries are applied in order and once"
         for index, entry in enumerate(effect.entries, effect.first_index):
-            if index > len(self.decided):
-                assert index == len(self.decided) + 1
-                self.decided.append(entry)
-                self.found[entry.kind or "of its own term"] += 1
-            assert self.decided[index - 1] == entry, f"{name}: another decision at {index}"
+            if index > len(self.committed_log):
+                assert index == len(self.committed_log) + 1
+                self.committed_log.append(entry)
+                self.event_counts[entry.kind or "no-op"] += 1
+            assert self.committed_log[index - 1] == entry, (
+                f"{name}: another entry committed at {index}"
+            )
             self.applied[name] = index
 
-    def take(self, index: int, keep: bool) -> None:
-        if self.mail:
-            at = index % len(self.mail)
-            sender, receiver, message = self.mail[at] if keep else self.mail.pop(at)
+    def deliver_one(self, index: int, keep: bool) -> None:
+        if self.in_flight:
+            at = index % len(self.in_flight)
+            sender, receiver, message = self.in_flight[at] if keep else self.in_flight.pop(at)
             if receiver in self.live:
                 self.act(receiver, self.live[receiver].on_message(self.now_us, sender, message))
 
     @rule(picks=st.lists(PICK, min_size=1, max_size=8))
     def deliver(self, picks: list[int]) -> None:
         for pick in picks:
-            self.take(pick, False)
+            self.deliver_one(pick, False)
 
     @rule(count=st.integers(1, 12))
     def deliver_in_order(self, count: int) -> None:
         for _ in range(count):
-            self.take(0, False)
+            self.deliver_one(0, False)
 
     @rule(pick=PICK)
     def deliver_and_keep(self, pick: int) -> None:
-        self.take(pick, True)
+        self.deliver_one(pick, True)
 
     @rule(name=st.sampled_from(NAMES))
-    def lose_all_to(self, name: str) -> None:
-        self.mail = [each for each in self.mail if each[1] != name]
+    def lose_messages_to(self, name: str) -> None:
+        self.in_flight = [each for each in self.in_flight if each[1] != name]
 
     @rule(pick=PICK)
     def pass_time(self, pick: int) -> None:
         due = sorted((at, *key) for key, at in self.timers.items() if key[0] in self.live)
         if due:
-            at, name, key = due[
-                pick % min(3, len(due))
-            ]  # one that stands still lets others go first
+            # One of the next three timers: a voter that stalls is overtaken by others.
+            at, name, key = due[pick % min(3, len(due))]
             del self.timers[name, key]
             self.now_us = max(self.now_us, at)
             self.act(name, self.live[name].on_timer(self.now_us, key))
 
     @rule(count=st.integers(5, 60))
-    def go_on(self, count: int) -> None:
+    def execute_events(self, count: int) -> None:
         for _ in range(count):
-            if self.mail:
-                self.take(0, False)
+            if self.in_flight:
+                self.deliver_one(0, False)
             else:
                 self.pass_time(0)
 
@@ -149,23 +150,23 @@
         self.timers = {key: at for key, at in self.timers.items() if key[0] != name}
 
     @rule(name=st.sampled_from(NAMES))
-    def come_back(self, name: str) -> None:
+    def come_online(self, name: str) -> None:
         if name not in self.live:
-            self.begin(name)
+            self.start_voter(name)
 
     @rule(pick=PICK)
     def propose(self, pick: int) -> None:
-        leading = [raft for raft in self.live.values() if raft.is_leader]
-        if leading:  # also one that was deposed and does not know it
-            raft = leading[pick % len(leading)]
+        leaders = [raft for raft in self.live.values() if raft.is_leader]
+        if leaders:  # may include a deposed leader that has not noticed yet
+            raft = leaders[pick % len(leaders)]
             self.number += 1
             self.act(raft.name, raft.propose(self.now_us, "x", str(self.number))[1])
 
     @rule(pick=PICK)
     def change_voters(self, pick: int) -> None:
-        leading = [raft for raft in self.live.values() if raft.is_leader]
-        if leading:
-            raft, name = leading[pick % len(leading)], NAMES[pick % 4]
+        leaders = [raft for raft in self.live.values() if raft.is_leader]
+        if leaders:
+            raft, name = leaders[pick % len(leaders)], NAMES[pick % 4]
             voters = (
                 tuple(each for each in raft.voters if each != name)
                 if name in raft.voters
@@ -180,14 +181,14 @@
             self.act(name, self.live[name].log.compact(f"state up to {self.applied[name]}"))
 
     @invariant()
-    def what_is_on_disk_is_what_is_said(self) -> None:
+    def persisted_state_matches_memory(self) -> None:
         for name, raft in self.live.items():
-            disk, said = self.disks[name], raft.persistent
+            disk, in_memory = self.disks[name], raft.persistent
             assert (disk.term, disk.vote, disk.snapshot_index, disk.log) == (
-                said.term,
-                said.vote,
-                said.snapshot_index,
-                said.log,
+                in_memory.term,
+                in_memory.vote,
+                in_memory.snapshot_index,
+                in_memory.log,
             )
 
 
@@ -195,14 +196,14 @@
 
 
 def test_any_order_of_events_commits_one_log() -> None:
-    Voters.found = Counter()
-    run(Voters, settings=PLAY)
-    assert min(Voters.found[each] for each in ("elected", "x")) >= 20, Voters.found
-    assert Voters.found[VOTERS] >= 3, Voters.found
+    Voters.event_counts = Counter()
+    run(Voters, settings=SETTINGS)
+    assert min(Voters.event_counts[each] for each in ("elected", "x")) >= 20, Voters.event_counts
+    assert Voters.event_counts[VOTERS] >= 3, Voters.event_counts
 
 
 class VotesForAnybody(Raft):
-    """Planted: whose log is shorter may be elected."""
+    """Planted fault: a candidate with a shorter log may be elected."""
 
     def on_message(self, now_us: int, ident: str, message: Any) -> Effects:
         if isinstance(message, VoteRequest):
@@ -211,7 +212,7 @@
 
 
 class VotesTwice(Raft):
-    """Planted: a vote is forgotten as soon as it is given."""
+    """Planted fault: a vote is forgotten as soon as it is cast."""
 
     def on_message(self, now_us: int, ident: str, message: Any) -> Effects:
         if isinstance(message, VoteRequest):
@@ -220,7 +221,7 @@
 
 
 class DecidesAlone(Raft):
-    """Planted: what one other holds counts as decided, however many vote."""
+    """Planted fault: a leader uses the first voter alone as its configuration, so that one voter commits entries."""
 
     @property
     def voters(self) -> tuple[str, ...]:
@@ -229,36 +230,36 @@
 
 @pytest.mark.parametrize("planted", [VotesTwice, DecidesAlone])
 def test_a_planted_error_is_found(planted: type[Raft]) -> None:
-    machine = type(planted.__name__, (Voters,), {"kind": planted})
+    machine = type(planted.__name__, (Voters,), {"raft_class": planted})
     with pytest.raises(AssertionError):
-        run(machine, settings=settings(PLAY, phases=[Phase.generate], max_examples=3000))
+        run(machine, settings=settings(SETTINGS, phases=[Phase.generate], max_examples=3000))
 
 
-def lagging(kind: type[Raft]) -> None:
-    """A decision that one voter lacks; then the leader dies, and that one stands again and again."""
-    machine = type("Lagging", (Voters,), {"kind": kind})()
+def elect_lagging_voter(raft_class: type[Raft]) -> None:
+    """Commit an entry that one voter lacks, kill the leader, and let that voter campaign repeatedly."""
+    machine = type("Lagging", (Voters,), {"raft_class": raft_class})()
     while not any(raft.is_leader for raft in machine.live.values()):
-        machine.go_on(10)
-    machine.go_on(60)
+        machine.execute_events(10)
+    machine.execute_events(60)
     leader = next(name for name, raft in machine.live.items() if raft.is_leader)
-    lags = next(name for name in NAMES[:3] if name != leader)
-    before = len(machine.decided)
+    lagging_voter = next(name for name in NAMES[:3] if name != leader)
+    before = len(machine.committed_log)
     machine.propose(0)
-    while len(machine.decided) == before:
-        machine.mail = [each for each in machine.mail if lags not in each[:2]]
-        machine.take(0, False)
+    while len(machine.committed_log) == before:
+        machine.in_flight = [each for each in machine.in_flight if lagging_voter not in each[:2]]
+        machine.deliver_one(0, False)
     machine.kill(leader)
-    machine.mail = []
+    machine.in_flight = []
     for _ in range(20):
-        due = [key for (name, key) in machine.timers if name == lags]
+        due = [key for (name, key) in machine.timers if name == lagging_voter]
         machine.now_us += 2_000_000
         for key in due:
-            del machine.timers[lags, key]
-            machine.act(lags, machine.live[lags].on_timer(machine.now_us, key))
+            del machine.timers[lagging_voter, key]
+            machine.act(lagging_voter, machine.live[lagging_voter].on_timer(machine.now_us, key))
         machine.deliver_in_order(12)
 
 
 def test_a_voter_that_lacks_a_committed_entry_is_elected_only_by_a_planted_error() -> None:
-    lagging(Raft)
-    with pytest.raises(AssertionError, match="lacks a decision"):
-        lagging(VotesForAnybody)
+    elect_lagging_voter(Raft)
+    with pytest.raises(AssertionError, match="lacks a committed entry"):
+        elect_lagging_voter(VotesForAnybody)
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordination on a virtual clock: under any faults nobody acts on expired rules; and the judge that says so."""
+"""Coordination on a virtual clock: no placer acts on expired rules under any faults; and tests of the checker."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     assembly.propose(rules(4, most=2))
     assembly.run(assembly.now_us + 60 * SECOND)
     assert member.rules_in_force(assembly.clock_us("p004")) is None, (
-        "the floor's own grant is over: it refuses"
+        "the lease of the floor has expired too"
     )
     assembly.cut = lambda a, b: False
     assert assembly.run_until(lambda: assembly.all_on(rules(4, most=2)), 10 * SECOND)
@@ -94,7 +94,9 @@
     second = assembly.propose(barring)
     assembly.run(assembly.now_us + SECOND)
     assert second is not None
-    assert "lower the floor" in (assembly.outcome(second) or ""), "the first may still be held"
+    assert "lower the floor" in (assembly.outcome(second) or ""), (
+        "a placer may still hold a lease of floor 1"
+    )
     assembly.run(assembly.now_us + 20 * SECOND)
     assembly.propose(barring)
     assert assembly.run_until(lambda: assembly.all_on(barring), 10 * SECOND)
@@ -168,7 +170,7 @@
     assert len(assembly.uses) >= 2
 
 
-# -- parts
+# -- Single parts
 
 
 def test_a_lease_expires_for_its_holder_before_its_giver_whatever_the_clock_drift() -> None:
@@ -246,7 +248,7 @@
     assert allows(parse_rule_set(tight), parse_rule_set(loose))
     assert judge({1: Use(0, 100, loose), 2: Use(60, 200, tight)}, 9).longest_us == 40
     assert judge({1: Use(0, 100, tight), 2: Use(60, 200, loose)}, 9).longest_us == 0, (
-        "the new one allows it all"
+        "the later rules allow everything that the earlier ones allow"
     )
     assert (
         judge({1: Use(0, 100, loose), 2: Use(50, 300, tight), 3: Use(100, 300, loose)}, 9).past == 1
@@ -260,9 +262,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert not trial(3, 1)
-    monkeypatch.setattr(
-        Leader, "_earlier_leases_expire_us", lambda self: 0
-    )  # steps wait for nobody
+    # Planted fault: transitions do not wait for earlier leases to expire.
+    monkeypatch.setattr(Leader, "_earlier_leases_expire_us", lambda self: 0)
     seed = next(seed for seed in range(1, 30) if trial(3, seed))
     kept = shrink(3, seed)
     assert len(kept) <= len(steps(3, seed)) // 2, f"seed {seed}"
--- a/tests/decide/coordination/test_granted_leases.py
+++ b/tests/decide/coordination/test_granted_leases.py
@@ -1,4 +1,4 @@
-"""A leader's account of leases: when an earlier revision, or an earlier floor, can be in use no more."""
+"""Leases recorded by a leader: the time from which an earlier revision or floor can no longer be in use."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 ) -> None:
     leases.grant("a", 0, GrantedLease(1, 9_000_000))
     leases.grant("a", 1, GrantedLease(2, 9_500_000))
-    assert earlier_leases_expire_us(leases, 2) == 9_000_000, "the grant may never have reached it"
+    assert earlier_leases_expire_us(leases, 2) == 9_000_000, "the grant may have been lost"
     leases.grant("a", 2, GrantedLease(2, 9_900_000))
     assert earlier_leases_expire_us(leases, 2) == lease_expiry_us(ELECTED_US, LASTS_US)
 
--- a/tests/decide/coordination/test_voter_selection.py
+++ b/tests/decide/coordination/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""Whom a placer sends its lease requests to while leaders change and links fail."""
+"""The receivers of a placer's lease requests during leader changes and link failures."""
 
 from __future__ import annotations
 
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""Membership on the virtual clock: joins, deaths, cuts, one-way cuts, stalls, former lives; what it costs."""
+"""Membership on a virtual clock: joins, crashes, partitions, one-way cuts, stalls, restarts and message cost."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from wingbarrow.lab.fleet.swarm import SECOND, Swarm
 
 
-def settled(count: int, seed: int = 1, loss: float = 0.0) -> Swarm:
+def converged_swarm(count: int, seed: int = 1, loss: float = 0.0) -> Swarm:
     swarm = Swarm(count, seed, loss=loss)
-    assert swarm.run_until(swarm.whole, 120 * SECOND), "all know each other"
+    assert swarm.run_until(swarm.whole, 120 * SECOND), "all members see each other as alive"
     return swarm
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 16, 40])
 def test_all_that_start_know_each_other_by_three_seeds_alone(count: int) -> None:
-    settled(count)
+    converged_swarm(count)
 
 
 @pytest.mark.parametrize("count", [3, 5, 16])
@@ -32,17 +32,17 @@
 def test_one_that_is_killed_is_dead_to_all_within_the_stated_time_and_nobody_else_is(
     count: int, seed: int
 ) -> None:
-    swarm = settled(count, seed)
-    gone, begun = swarm.names[seed % count], swarm.now_us
-    swarm.kill(gone)
+    swarm = converged_swarm(count, seed)
+    killed, start_us = swarm.names[seed % count], swarm.now_us
+    swarm.kill(killed)
     assert swarm.run_until(
-        lambda: swarm.all_think(gone, MemberStatus.DEAD), swarm.rules.detection_bound_us(count)
+        lambda: swarm.all_think(killed, MemberStatus.DEAD), swarm.rules.detection_bound_us(count)
     )
-    assert {each.fields["member"] for each in swarm.deaths(begun)} == {gone}
+    assert {each.fields["member"] for each in swarm.deaths(start_us)} == {killed}
 
 
 def test_one_that_comes_back_is_alive_to_all_also_with_its_wall_clock_set_back_an_hour() -> None:
-    swarm = settled(5)
+    swarm = converged_swarm(5)
     for life in (3600 * SECOND, 5):
         swarm.kill("p003")
         assert swarm.run_until(
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_both_sides_of_a_long_cut_find_together_again_within_the_stated_time(seed: int) -> None:
-    swarm = settled(8, seed)
+    swarm = converged_swarm(8, seed)
     side = set(swarm.names[:3])
     swarm.cut = lambda a, b: (a in side) != (b in side)
     swarm.run(swarm.now_us + 90 * SECOND)
@@ -73,84 +73,89 @@
     )
     assert all(swarm.standing(a, b) is MemberStatus.ALIVE for a in side for b in side if a != b)
     swarm.cut = lambda a, b: False
-    healed = swarm.now_us
+    healed_us = swarm.now_us
     assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(8))
-    assert not swarm.deaths(healed + SECOND), "nobody is buried by what the other side had thought"
+    assert not swarm.deaths(healed_us + SECOND), (
+        "no live member is declared dead by outdated updates"
+    )
 
 
-@pytest.mark.parametrize("hears", [True, False])
-def test_one_way_cuts_to_one_other_are_bridged_by_helpers(hears: bool) -> None:
-    swarm = settled(5)
-    begun = swarm.now_us
+@pytest.mark.parametrize("is_outbound_cut", [True, False])
+def test_one_way_cuts_to_one_other_are_bridged_by_helpers(is_outbound_cut: bool) -> None:
+    swarm = converged_swarm(5)
+    start_us = swarm.now_us
     swarm.cut = (
         (lambda a, b: (a, b) == ("p001", "p002"))
-        if hears
+        if is_outbound_cut
         else (lambda a, b: (a, b) == ("p002", "p001"))
     )
-    swarm.run(begun + 120 * SECOND)
-    assert not swarm.deaths(begun)
+    swarm.run(start_us + 120 * SECOND)
+    assert not swarm.deaths(start_us)
     assert swarm.whole()
 
 
-def test_every_pair_cut_but_through_one() -> None:
-    swarm = settled(5)
-    begun = swarm.now_us
+def test_members_that_reach_each_other_through_one_member_only_stay_alive() -> None:
+    swarm = converged_swarm(5)
+    start_us = swarm.now_us
     swarm.cut = lambda a, b: "p000" not in (a, b)
-    swarm.run(begun + 120 * SECOND)
-    assert not swarm.deaths(begun), "each is reached by the one that all can talk to"
+    swarm.run(start_us + 120 * SECOND)
+    assert not swarm.deaths(start_us), "indirect pings through p000 reach each member"
 
 
-def test_one_that_can_send_and_not_hear_is_suspected_by_nobody_for_good_and_doubts_itself() -> None:
-    swarm = settled(5)
+def test_a_member_that_sends_but_receives_nothing_is_dead_to_others_and_unhealthy_to_itself() -> (
+    None
+):
+    swarm = converged_swarm(5)
     swarm.cut = lambda a, b: b == "p004"
     swarm.run(swarm.now_us + 60 * SECOND)
     assert swarm.members["p004"].local_health.score >= 4, (
-        "none of its probes is answered: it slows down"
+        "none of its probes is acknowledged, which raises its local health score"
     )
     assert all(swarm.standing(a, "p004") is MemberStatus.DEAD for a in swarm.names[:4]), (
-        "it answers nobody"
+        "it acknowledges no ping"
     )
     swarm.cut = lambda a, b: False
     assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(5))
 
 
 @pytest.mark.parametrize("seconds", [2, 5, 20, 60])
-def test_a_placer_that_stood_still_buries_nobody(seconds: int) -> None:
+def test_a_stalled_placer_declares_no_other_member_dead(seconds: int) -> None:
     for seed in range(1, 8):
-        swarm = settled(6, seed)
-        begun = swarm.now_us
+        swarm = converged_swarm(6, seed)
+        start_us = swarm.now_us
         swarm.stop("p002", seconds * SECOND)
-        swarm.run(begun + (seconds + 60) * SECOND)
-        told = [each for each in swarm.deaths(begun) if each.fields["member"] != "p002"]
-        assert not told, "it doubts itself first"
+        swarm.run(start_us + (seconds + 60) * SECOND)
+        others = [each for each in swarm.deaths(start_us) if each.fields["member"] != "p002"]
+        assert not others, "after a stall its suspicions are extended"
         assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(6))
 
 
-def test_a_fifth_of_all_messages_lost_buries_nobody() -> None:
+def test_no_member_is_declared_dead_while_a_fifth_of_all_messages_is_lost() -> None:
     for seed in range(1, 6):
-        swarm = settled(16, seed, loss=0.2)
-        begun = swarm.now_us
-        swarm.run(begun + 120 * SECOND)
-        assert not swarm.deaths(begun)
+        swarm = converged_swarm(16, seed, loss=0.2)
+        start_us = swarm.now_us
+        swarm.run(start_us + 120 * SECOND)
+        assert not swarm.deaths(start_us)
 
 
 def test_the_cost_of_each_does_not_grow_with_their_number() -> None:
     rates = {}
     for count in (5, 40, 170):
-        swarm = settled(count)
+        swarm = converged_swarm(count)
         swarm.sent.clear()
         swarm.run(swarm.now_us + 30 * SECOND)
         rates[count] = max(swarm.sent.values()) / 30
-    # A probe, an answer to each that came, two syncs in five seconds and their answers; by chance some send more.
+    # Per second: one ping and one ack per received ping; per five seconds: two syncs and responses. Random variation
+    # lets some members send more.
     assert rates[170] <= rates[5] * 2.5 and rates[170] < 8, rates
 
 
 def test_messages_are_bounded_whatever_there_is_to_tell() -> None:
-    swarm = settled(100)
+    swarm = converged_swarm(100)
     member = swarm.members["p000"]
     for name in swarm.names[1:]:
-        held = member.table.members[name].update
-        member.table.apply(held.with_status(MemberStatus.SUSPECT, "p001"), swarm.now_us)
+        latest = member.table.members[name].update
+        member.table.apply(latest.with_status(MemberStatus.SUSPECT, "p001"), swarm.now_us)
     sends = [
         each
         for each in member.on_message(swarm.now_us, "p001", "at p001", Ping(7))
@@ -166,19 +171,19 @@
     assert len(sends[0].message.news) <= MAX_SYNC_UPDATES
 
 
-def test_another_placer_under_ones_own_name_is_told() -> None:
+def test_another_placer_with_the_same_name_is_reported() -> None:
     member = Membership(LocalMember("a", "here", "", 10), (), 1)
     member.start(0)
-    told = []
-    for round_ in range(20):
-        word = MemberUpdate("a", member.incarnation, MemberStatus.ALIVE, "there", "", 99)
-        told += [
+    notifications = []
+    for now_us in range(20):
+        update = MemberUpdate("a", member.incarnation, MemberStatus.ALIVE, "there", "", 99)
+        notifications += [
             each.event
-            for each in member.on_message(round_, "b", "at b", Sync(False, (word,)))
+            for each in member.on_message(now_us, "b", "at b", Sync(False, (update,)))
             if hasattr(each, "event")
         ]
-    assert told[0] == "former-life"
-    assert told[-1] == "twin"
+    assert notifications[0] == "former-life"
+    assert notifications[-1] == "twin"
     assert member.name_conflicts
 
 
