--- a/tests/decide/consensus/test_raft.py
+++ b/tests/decide/consensus/test_raft.py
@@ -17,7 +17,7 @@
     SnapshotRestored,
 )
 from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.consensus.raft import TIMER_PREFIX, Raft
 from wingbarrow.decide.effects import Persist, Send, SetTimer
 
--- a/tests/decide/consensus/test_raft_machine.py
+++ b/tests/decide/consensus/test_raft_machine.py
@@ -20,8 +20,8 @@
     SnapshotRestored,
 )
 from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
-from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.messages import VoteRequest
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.consensus.raft import Raft
 from wingbarrow.decide.effects import Persist, Send, SetTimer
 
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -9,7 +9,7 @@
 import pytest
 
 from wingbarrow.decide.consensus.entries import LogEntry, Snapshot
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.effects import Persist
 from wingbarrow.store.voter_store import StoreError, VoterStore, create, open_existing
 
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -18,7 +18,7 @@
 from tests.wire import samples
 from tests.wire.samples import S
 from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
-from wingbarrow.decide.consensus.log import PersistentState, sole_voter_update
+from wingbarrow.decide.consensus.persistent_state import PersistentState, sole_voter_update
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
 from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
--- a/tests/stored/test_corpus.py
+++ b/tests/stored/test_corpus.py
@@ -13,7 +13,7 @@
 
 from tests.stored import scenario, state
 from tests.wire import samples
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.store.voter_store import VoterStore
 
 STORED = samples.DATA / "stored"
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -10,7 +10,7 @@
 from tests.stage import S, Stage
 from tests.stored import make, state
 from tests.wire import samples
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.http.watching import call
 from wingbarrow.lab.node import node_value
 from wingbarrow.store.voter_store import VoterStore
--- a/wingbarrow/decide/consensus/raft.py
+++ b/wingbarrow/decide/consensus/raft.py
@@ -17,7 +17,6 @@
     SnapshotRestored,
 )
 from wingbarrow.decide.consensus.entries import NO_OP, VOTERS
-from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.messages import (
     AppendRequest,
     AppendResponse,
@@ -26,6 +25,7 @@
     VoteRequest,
     VoteResponse,
 )
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.consensus.progress import LeaderState, PendingRead, Progress
 from wingbarrow.decide.consensus.replicated_log import ReplicatedLog
 from wingbarrow.decide.effects import Notify, Send, SetTimer
--- a/wingbarrow/decide/consensus/replicated_log.py
+++ b/wingbarrow/decide/consensus/replicated_log.py
@@ -9,8 +9,8 @@
 
 from wingbarrow.decide.consensus.effects import Effects, EntriesCommitted, SnapshotRestored
 from wingbarrow.decide.consensus.entries import LogEntry, Snapshot
-from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.messages import AppendRequest, InstallSnapshot
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.effects import Persist
 
 MAX_LOG_ENTRIES = 512  # applied entries beyond which the log should be compacted
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -16,8 +16,8 @@
     SnapshotRestored,
 )
 from wingbarrow.decide.consensus.entries import NO_OP, VOTERS, LogEntry
-from wingbarrow.decide.consensus.log import PersistentState
 from wingbarrow.decide.consensus.messages import Message as RaftMessage
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.consensus.raft import TIMER_PREFIX, Raft
 from wingbarrow.decide.coordination.granted_leases import GrantedLease
 from wingbarrow.decide.coordination.leader import Leader, PendingRequest
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.decide.consensus.log import PersistentState
+from wingbarrow.decide.consensus.persistent_state import PersistentState
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
--- a/wingbarrow/store/voter_store.py
+++ b/wingbarrow/store/voter_store.py
@@ -21,7 +21,7 @@
 import lmdb
 
 from wingbarrow.decide.consensus.entries import LogEntry, Snapshot
-from wingbarrow.decide.consensus.log import PersistentState, sole_voter_update
+from wingbarrow.decide.consensus.persistent_state import PersistentState, sole_voter_update
 from wingbarrow.decide.effects import Persist
 
 MAP_SIZE_BYTES = 256 << 20
