--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.relay.stage import MS, Journal, Machine, S, Stage, over
+from tests.relay.stage import MS, Journal, Machine, S, Stage, release_message
 from tests.relay.test_list import (
     Fault,
     answer_with,
@@ -51,7 +51,7 @@
 def test_an_entry_is_parsed_completely() -> None:
     last, (news,) = journal.read(form(ENTRY, reset=True), 500, pytest.fail)
     (entry,) = news.entries
-    assert (last, news.position, news.whole, entry.name, str(entry.address)) == (
+    assert (last, news.position, news.full, entry.name, str(entry.address)) == (
         1,
         1,
         True,
@@ -59,7 +59,7 @@
         "10.1.0.9:3868",
     )
     assert entry.listed == api.ListedMachine(
-        journal.ident("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
+        journal.machine_id("s-1"), "std", 2, "east", api.Phase.RUNNING, 1_000_500, 3.5, 7.0
     )
 
 
@@ -224,7 +224,7 @@
         stage.sleep(500)
         assert late.kinds(2) == [Kind.ANSWER]
         ((machine, _),) = stage.set_ups(1)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         news = stage.owner.of(1) + late.of(1)  # on any connection
         assert [each.kind for each in news] == [Kind.ANSWER, Kind.RELEASE]
@@ -250,10 +250,10 @@
         owner.ask(1, figures=f"cores:1;memory:1;service:s1;at:{machine.name}")
         owner.ask(9, name="7" * 16)
         stage.sleep(400)
-        machine.streams[-1].send(over(1))
+        machine.streams[-1].send(release_message(1))
         stage.sleep(50)
         assert owner.kinds(1) == [Kind.RELEASE]
-        second.life.end()
+        second.runtime.shut_down()
 
     Stage().run(play)
 
@@ -280,7 +280,7 @@
 
 def test_an_address_change_during_backoff_takes_effect_at_once() -> None:
     def play(stage: Stage) -> None:
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         stage.journal.troubles += [respond(b"", b"500 Broken")] * 50
         stage.journal.add(stage.machines[1].entry())
         # After seven failures the backoff is at least 250 ms.
@@ -325,7 +325,7 @@
         stage.sleep(50)
         assert [each.position for each in delivered] == [2, 3, 4]
         assert [phase(stage, each) for each in stage.machines] == [api.Phase.DRAINING] * 2
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -344,7 +344,7 @@
         stage.journal.troubles.append(before_follower_resumes(stage, end, now))
         wait_until(stage, lambda: bool(fresh.calls))
         assert fresh.calls[0][0] - moved[0] <= 2 * MS
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -371,7 +371,7 @@
         stage.sleep(20)
         assert phase(stage, stage.machines[0]) is api.Phase.DRAINING
         assert len(last.calls) <= 3
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -388,7 +388,7 @@
         stage.sleep(1500)
         assert phase(stage, first) is api.Phase.DRAINING
         assert tails(fresh)[-1] == 2
-        assert not stage.placer.life.counts["journal_failures"]
+        assert not stage.placer.runtime.counts["journal_failures"]
 
     Stage().run(play)
 
@@ -398,7 +398,7 @@
 
 def test_a_full_descriptor_table_delays_polls_by_half_a_second_at_most() -> None:
     def play(stage: Stage) -> None:
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         held: list[int] = []
 
@@ -482,7 +482,7 @@
             wait_until(stage, lambda: phase(stage, stage.machines[0]) is api.Phase.DRAINING)
             <= 500 * MS
         )
-        counts = stage.placer.life.counts
+        counts = stage.placer.runtime.counts
         assert counts["journal_failures"] + counts["journal_bad_entries"] >= 2
         assert stage.ended_us is None
 
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.relay.stage import MADE, S, Stage, over
+from tests.relay.stage import MACHINE_DESCRIPTION, S, Stage, release_message
 from wingbarrow.relay.message import Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.transport import Stream
 
@@ -20,7 +20,9 @@
         leaver.stream.close()
         stage.owner.stream.send(with_cause(Kind.RELEASE, 2, Cause.GIVEN_UP))
         stage.sleep(50)
-        assert sorted(e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE) == [
+        assert sorted(
+            e.message.task for e in machine.received if e.message.kind == Kind.RELEASE
+        ) == [
             1,
             2,
         ]
@@ -38,8 +40,8 @@
         # A release is accepted on any connection.
         stage.client().stream.send(with_cause(Kind.RELEASE, 1, Cause.CANCELLED))
         stage.sleep(50)
-        assert [e.message.task for e in machine.heard if e.message.kind == Kind.RELEASE] == [1]
-        machine.tell(over(1, Cause.CANCELLED))
+        assert [e.message.task for e in machine.received if e.message.kind == Kind.RELEASE] == [1]
+        machine.tell(release_message(1, Cause.CANCELLED))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
 
@@ -54,12 +56,12 @@
         stage.sleep(300)
         assert stage.owner.of(5) == []
         assert stage.machines[0].set_ups() == []
-        stage.machines[0].tell(over(5))  # the adoption opened a connection
+        stage.machines[0].tell(release_message(5))  # the adoption opened a connection
         stage.sleep(50)
         # A placed task makes the connection a proven owner's, which releases can go to.
         stage.client().ask(6, name="e" * 16)
         stage.sleep(400)
-        assert stage.placer.life.counts["run:done"] == 1
+        assert stage.placer.runtime.counts["run:done"] == 1
 
     Stage(1).run(play)
 
@@ -71,7 +73,7 @@
         stage.sleep(50)
         stage.owner.stream.close()
         stage.sleep(20)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(500)
         fresh = stage.client()
         fresh.ask(2, name="d" * 16)
@@ -89,8 +91,8 @@
         stage.sleep(100)
         stage.owner.ask(1)  # the most recently active: releases go here first
         stage.sleep(50)
-        machine.tell(over(1))
-        machine.tell(over(2))
+        machine.tell(release_message(1))
+        machine.tell(release_message(2))
         stage.hub.checkpoint()
         stage.owner.stream.abort()  # before any acknowledgement
         stage.sleep(100)
@@ -106,7 +108,7 @@
             machine.on_set_up = lambda stream, message: stream.send(
                 with_cause(Kind.RELEASE, message.task, Cause.ERROR)
                 if message.values[Code.NAME][:1] == b"f"
-                else encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE})
+                else encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION})
             )
         stage.owner.ask(1)
         stage.sleep(50)
@@ -201,8 +203,8 @@
         # Withdraws a task that is another owner's.
         thief.stream.send(with_cause(Kind.RELEASE, 1, Cause.GIVEN_UP))
         stage.sleep(50)
-        assert not any(each.message.kind == Kind.RELEASE for each in machine.heard)
-        machine.tell(over(1))
+        assert not any(each.message.kind == Kind.RELEASE for each in machine.received)
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
--- a/wingbarrow/core/life.py
+++ b/wingbarrow/core/placer_runtime.py
@@ -1,4 +1,4 @@
-"""One placer's life, whatever front it serves: hub, counters, log, seeded chance, background tasks."""
+"""Runtime that a placer's components share, whatever its front: hub, counters, log, random numbers, nursery."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from wingbarrow.transport import Hub, Nursery
 
 
-class Life:
-    """What every component of a placer shares; it ends when something in it fails."""
+class PlacerRuntime:
+    """What every component of a placer shares. A component that cannot go on after a failure calls `shut_down`."""
 
     def __init__(self, hub: Hub, log: Callable[..., None], seed: int) -> None:
         self.hub = hub
@@ -20,16 +20,16 @@
         self.random = random.Random(seed)
         self._nursery: Nursery | None = None
 
-    def live_in(self, nursery: Nursery) -> None:
-        """Background tasks belong to this nursery from now on; without one they are not started."""
+    def attach_nursery(self, nursery: Nursery) -> None:
+        """Start background tasks in this nursery from now on. Without a nursery, `spawn` does nothing."""
         self._nursery = nursery
 
     def spawn(self, call: Callable[[], Any], name: str) -> None:
-        """Start a task that lives as long as the placer."""
+        """Start a background task, which is cancelled when the placer shuts down."""
         if self._nursery is not None and not self._nursery.scope.cancelled:
             self._nursery.spawn(call, name)
 
-    def end(self) -> None:
-        """End the placer: what failed must not go on."""
+    def shut_down(self) -> None:
+        """Cancel all background tasks, and so end the placer: after a failure it must not go on."""
         if self._nursery is not None:
             self._nursery.cancel()
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -7,12 +7,21 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Sequence
 
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.http.client import CallFailed, Pool, PoolLimits
 from wingbarrow.http.message import Limits
 from wingbarrow.relay.configuration import Address
-from wingbarrow.relay.entries import Entry, Event, News, Roster, ident, merge, parse, read
+from wingbarrow.relay.entries import (
+    Entry,
+    Event,
+    ListState,
+    ListUpdate,
+    machine_id,
+    merge,
+    parse,
+    read,
+)
 from wingbarrow.transport import CancelScope
 
 # Danger (rule 3): an event that a silent service withholds counts as delivered soon after the requested wait. A short
@@ -39,17 +48,17 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         address: Address,
         position: int,
         shift_us: int,
-        deliver: Callable[[News], None],
+        deliver: Callable[[ListUpdate], None],
         on_failure: Callable[[], None],
-        known: Sequence[News] = (),
+        known: Sequence[ListUpdate] = (),
     ) -> None:
         # Fixed for the life of the process, so that a machine's start time never changes.
         self._shift_us = shift_us
-        self._life, self._address = life, address
+        self._runtime, self._address = runtime, address
         self._deliver, self._on_failure = deliver, on_failure
         self.position = position  # all events up to it were applied or skipped
         # Events applied beyond a gap, by number, with the names of their machines.
@@ -57,12 +66,12 @@
         self._gap_polls = 0  # consecutive polls after which events were still missing
         self._refetch_all = False  # the position regressed: the next poll asks for all events
         self._lagging_position: int | None = None  # highest number of a service known to lag
-        self._roster = Roster(known)
-        self._marks = OrderedDict((each.position, each.mark) for each in known)
+        self._list_state = ListState(known)
+        self._marks = OrderedDict((each.position, each.digest) for each in known)
         self._logged: deque[str] = deque(maxlen=MAX_LOGGED_TEXTS)
         self._scope: CancelScope | None = None
         self._pool: Pool | None = None
-        self._backoff = Backoff(random.Random(life.random.random()), 20_000, 500_000)
+        self._backoff = Backoff(random.Random(runtime.random.random()), 20_000, 500_000)
 
     def change_address(self, address: Address) -> None:
         """Poll another address from now on; a poll of the old one is cancelled."""
@@ -78,7 +87,7 @@
 
     def run(self) -> None:
         """Poll until cancelled."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         # Danger (rule 3): offers that are ready must not be sent before drains are read.
         hub.current().first = True
         while True:
@@ -97,12 +106,12 @@
 
     def _poll(self, pool: Pool, address: Address) -> bool:
         """Poll once and apply the answer; whether the next poll may follow without backoff."""
-        life, started_us = self._life, self._life.hub.now_us()
+        runtime, started_us = self._runtime, self._runtime.hub.now_us()
         tail = 0 if self._refetch_all or self._gap_polls == MAX_GAP_POLLS - 1 else self.position
         answer: tuple[int, list[Event]] | None = None
         why = ""
         # The scope ends before delivery, so that an address change never interrupts one.
-        with CancelScope(life.hub) as scope:
+        with CancelScope(runtime.hub) as scope:
             self._scope = scope
             try:
                 answer = self._request(pool, tail)
@@ -111,19 +120,19 @@
         if answer is None and scope.cancelled:
             return True  # cancelled by an address change: not a failure of the new service
         if answer is None:
-            life.counts["journal_failures"] += 1
-            life.log("journal-poll-failed", level="warning", address=str(address), why=why)
+            runtime.counts["journal_failures"] += 1
+            runtime.log("journal-poll-failed", level="warning", address=str(address), why=why)
             self._on_failure()
             return False
-        if self._apply(tail, *answer) or life.hub.now_us() - started_us >= MIN_POLL_US:
+        if self._apply(tail, *answer) or runtime.hub.now_us() - started_us >= MIN_POLL_US:
             self._backoff.reset()
             return True
-        life.counts["journal_early"] += 1
+        runtime.counts["journal_early"] += 1
         self._warn_once("journal-early", "empty answer before half of the requested wait")
         return False
 
     def _request(self, pool: Pool, tail: int) -> tuple[int, list[Event]]:
-        until_us = self._life.hub.now_us() + POLL_WAIT_MS * 1000 + POLL_GRACE_US
+        until_us = self._runtime.hub.now_us() + POLL_WAIT_MS * 1000 + POLL_GRACE_US
         response = pool.request(
             "GET", f"/journal?tail={tail}&max_wait={POLL_WAIT_MS}", until_us=until_us
         )
@@ -146,15 +155,15 @@
             self._deliver(each)
         return bool(news)
 
-    def _new_events(self, events: list[Event]) -> list[News]:
-        news: list[News] = []
+    def _new_events(self, events: list[Event]) -> list[ListUpdate]:
+        news: list[ListUpdate] = []
         top = 0
         for event in events:
             number = event.position
             if event.why:
                 self._report_bad_entry(event.why)
                 top = max(top, number)
-            elif number > self.position and (number not in self._applied_ahead or event.whole):
+            elif number > self.position and (number not in self._applied_ahead or event.full):
                 newer = {
                     name
                     for later, names in self._applied_ahead.items()
@@ -163,18 +172,18 @@
                 }
                 news.append(self._merge_event(event, newer))
                 self._applied_ahead[number] = tuple(entry.name for entry in news[-1].entries)
-                if event.whole:
+                if event.full:
                     self._advance_to(number)
                 while self.position + 1 in self._applied_ahead:
                     self._advance_to(self.position + 1)
         self._check_for_gap(max([top, *self._applied_ahead]))
         return news
 
-    def _merge_event(self, event: Event, newer: set[str]) -> News:
-        self._marks[event.position] = event.mark
+    def _merge_event(self, event: Event, newer: set[str]) -> ListUpdate:
+        self._marks[event.position] = event.digest
         if len(self._marks) > MAX_MARKS:
             self._marks.popitem(last=False)
-        return self._roster.take(event, self._report_bad_entry, newer)
+        return self._list_state.apply(event, self._report_bad_entry, newer)
 
     def _advance_to(self, number: int) -> None:
         """Set the position; missing events up to it are no longer expected."""
@@ -193,32 +202,34 @@
             return
         self._gap_polls += 1
         if self._gap_polls == 1:
-            self._life.counts["journal_gaps"] += 1
-            self._life.log("journal-gap", level="warning", after=self.position, before=top)
+            self._runtime.counts["journal_gaps"] += 1
+            self._runtime.log("journal-gap", level="warning", after=self.position, before=top)
         if self._gap_polls > MAX_GAP_POLLS - 1:
             self._gap_polls = 0
-            self._life.counts["journal_gaps_given_up"] += 1
-            self._life.log("journal-gap-skipped", level="error", after=self.position, before=top)
+            self._runtime.counts["journal_gaps_given_up"] += 1
+            self._runtime.log("journal-gap-skipped", level="error", after=self.position, before=top)
             self._advance_to(top)
 
-    def _on_position_regressed(self, tail: int, highest: int, events: list[Event]) -> list[News]:
+    def _on_position_regressed(
+        self, tail: int, highest: int, events: list[Event]
+    ) -> list[ListUpdate]:
         """Handle an answer that ends before our position: the service lags, or it has renumbered its events."""
         if highest == self._lagging_position:
             return []
         if tail > 0:
-            self._life.counts["journal_went_back"] += 1
+            self._runtime.counts["journal_went_back"] += 1
             self._warn_once("journal-went-back", f"highest event number is {highest}")
             self._refetch_all = True
             return []
         readable = [event for event in events if not event.why]
         # Danger (rule 3): applying a lagging list would mark draining machines as running.
         hashes_match = all(
-            self._marks.get(event.position, event.mark) == event.mark for event in readable
+            self._marks.get(event.position, event.digest) == event.digest for event in readable
         )
         if not readable or (hashes_match and readable[-1].position in self._marks):
             self._lagging_position = highest
             return []
-        self._life.log("journal-renumbered", level="warning", ours=self.position, theirs=highest)
+        self._runtime.log("journal-renumbered", level="warning", ours=self.position, theirs=highest)
         self._marks.clear()
         self._gap_polls = 0
         # Merged into one delivery: a machine that only a later event lists must not count as gone in between.
@@ -232,11 +243,11 @@
     def _warn_once(self, what: str, why: str) -> None:
         if f"{what} {why}" not in self._logged:
             self._logged.append(f"{what} {why}")
-            self._life.log(what, level="warning", why=why)
+            self._runtime.log(what, level="warning", why=why)
 
     def _report_bad_entry(self, why: str) -> None:
-        self._life.counts["journal_bad_entries"] += 1
+        self._runtime.counts["journal_bad_entries"] += 1
         self._warn_once("bad-list-entry", why)
 
 
-__all__ = ["Entry", "Follower", "News", "ident", "read"]
+__all__ = ["Entry", "Follower", "ListUpdate", "machine_id", "read"]
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -1,4 +1,4 @@
-"""From the module's Bind through the gate to the machine, and what machines say back to the module and owners."""
+"""Sends the decision module's Binds to machines as offers, and handles the machines' replies and failures."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.core.stages import Stage
 from wingbarrow.decide import orphans
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
 from wingbarrow.decide.retries import RunEnd
-from wingbarrow.relay.links import Attempt, Attempts, Line, Link, Links
+from wingbarrow.relay.links import Attempt, Attempts, Connection, Link, Links
 from wingbarrow.relay.message import BadMessage, Cause, Code, Kind, Message, encode, with_cause
 from wingbarrow.relay.outcomes import (
     AFTER_ANSWER,
     BEFORE_ANSWER,
     NOTES,
-    Unanswered,
+    EarlyRelease,
+    classify_early_release,
     reason_of,
-    unanswered,
 )
 from wingbarrow.relay.owners import Owners, refusal
 from wingbarrow.relay.probes import Probes
@@ -29,23 +29,21 @@
 from wingbarrow.relay.trace import Trace
 from wingbarrow.settings_parser import parse_report
 
-# After a start a machine may release a task before its owner has named it here.
-EARLY_US, MAX_EARLY = 8_500_000, 1024
-# What has stood and is over is told to its owner within 1 s of the machine's release ("The rules on sockets").
-TOLD_US = 800_000
-UNRUN = (
-    api.Outcome.REFUSED,
-    api.Outcome.UNREACHABLE,
-    api.Outcome.NOT_SENT,
-)  # what surely never ran
+# After a restart of the placer, a machine may release a task before its owner has reported it here.
+EARLY_RELEASE_TTL_US = 8_500_000
+MAX_EARLY_RELEASES = 1024
+# The owner of an ended task must be notified within 1 s of the machine's release ("The rules on sockets").
+END_NOTICE_DELAY_US = 800_000
+# Outcomes of attempts whose task certainly did not run.
+NEVER_RAN = (api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT)
 
 
 class Offers:
-    """Owns the gate that every set-up passes right before its first byte."""
+    """All offers to machines; each passes the send gate immediately before its first byte is written."""
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         host: Host,
         requests: RequestTable,
         attempts: Attempts,
@@ -55,27 +53,31 @@
         trace: Trace,
     ) -> None:
         self._trace = trace
-        self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
+        self._runtime, self._host, self._requests, self._attempts = (
+            runtime,
+            host,
+            requests,
+            attempts,
+        )
         self._links, self._owners = links, owners
         self._gate, self._slack_us = SendGate(settings.cold_us, settings.fall_us), settings.tick_us
-        self.probes = Probes(life, host, links)
-        self.list_behind: Callable[[int], bool] = (
-            lambda now_us: False
-        )  # whether news of machines may lie unread
-        # Releases of what nobody here knew, by machine and id: their cause, and until when they are remembered.
-        self._early: OrderedDict[tuple[int, int], tuple[int, int]] = OrderedDict()
+        self.probes = Probes(runtime, host, links)
+        # Whether updates of the machine list may have arrived and not been read.
+        self.list_has_stale_input: Callable[[int], bool] = lambda now_us: False
+        # Cause and expiry time of releases of unknown tasks, by machine and task id.
+        self._early_releases: OrderedDict[tuple[int, int], tuple[int, int]] = OrderedDict()
 
-    # -- what the module decides
+    # -- the decision module's actions
 
     def bind(self, bind: api.Bind) -> None:
-        """The module chose a machine: an attempt begins."""
+        """Start an attempt on the machine that the decision module chose."""
         task, link = self._requests.by_request.get(bind.request), self._links.of(bind.machine)
         number = task.binds if task else 0
         if task is None or link is None or link.closed:
-            self._life.counts["binds_dropped"] += 1
+            self._runtime.counts["binds_dropped"] += 1
             if task is not None:
                 task.binds += 1
-            # Out of reach, not just unsent: the module lets such a machine rest until the list tells more of it.
+            # UNREACHABLE rather than NOT_SENT: the module then avoids the machine until the list updates it.
             self._host.feed(
                 api.AttemptEnded(
                     bind.request,
@@ -96,119 +98,130 @@
             task,
             link,
             f"{task.ident:016x}/{number}",
-            self._life.hub.now_us(),
+            self._runtime.hub.now_us(),
             bind.give_up_us,
             launched_us=link.launched_us,
         )
         self._attempts.add(attempt)
-        self._life.counts["binds"] += 1
+        self._runtime.counts["binds"] += 1
         self._begin(attempt)
 
     def _begin(self, attempt: Attempt) -> None:
         link = attempt.link
         if attempt.stage is not Stage.WAITING:
             return
-        line = None if link.liveness.is_suspect else link.free_line()
-        if line is not None:
-            self._send(attempt, line)
+        connection = None if link.liveness.is_suspect else link.idle_connection()
+        if connection is not None:
+            self._send(attempt, connection)
         else:
-            self._life.spawn(lambda: self._dial_and_send(attempt), "offer")
+            self._runtime.spawn(lambda: self._dial_and_send(attempt), "offer")
 
     def _dial_and_send(self, attempt: Attempt) -> None:
         link = attempt.link
-        line = link.line_for_offer()
+        connection = link.connection_for_offer()
         if attempt.stage is not Stage.WAITING:
             return
-        if line is None:
-            self._over(attempt, api.Outcome.UNREACHABLE)
+        if connection is None:
+            self._end_attempt(attempt, api.Outcome.UNREACHABLE)
         else:
-            self._send(attempt, line)
+            self._send(attempt, connection)
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """Every set-up passes here right before its first byte; see decide.gate."""
-        task, link, now = attempt.task, attempt.link, self._life.hub.now_us()
-        held: HoldReason | None = self._gate.check(
+        """Whether the send gate admits the set-up; checked immediately before its first byte. See decide.gate."""
+        task, link, now = attempt.task, attempt.link, self._runtime.hub.now_us()
+        hold_reason: HoldReason | None = self._gate.check(
             now,
             Offer(
                 attempt.decided_us,
                 attempt.deadline_us,
-                task.state is State.ASKED,
+                task.state is State.PENDING,
                 attempt.stage is Stage.WAITING and self._attempts.of(attempt.request) is attempt,
                 link.phase is api.Phase.RUNNING and not link.closed,
                 link.launched_us,
-                may_repeat=may_repeat(now, task.cls, task.earlier, link.listed, self._slack_us),
+                may_repeat=may_repeat(
+                    now, task.cls, task.earlier_attempt, link.listed, self._slack_us
+                ),
                 chosen_launched_us=attempt.launched_us,
             ),
         )
-        if held is not None:
-            self._life.counts["held:" + held.name.lower()] += 1
-        return held is None
+        if hold_reason is not None:
+            self._runtime.counts["held:" + hold_reason.name.lower()] += 1
+        return hold_reason is None
 
-    def _send(self, attempt: Attempt, line: Line) -> None:
+    def _send(self, attempt: Attempt, connection: Connection) -> None:
         task, link = attempt.task, attempt.link
-        if self.list_behind(self._life.hub.now_us()):
-            # Danger (rule 3): a drain may lie unread; it is read before whatever is ready in the next turn.
-            self._life.counts["sends_behind_list"] += 1
-            self._life.spawn(lambda: self._begin(attempt), "offer")
+        if self.list_has_stale_input(self._runtime.hub.now_us()):
+            # Danger (rule 3): a drain may have arrived unread. The next turn of the event loop reads the list first.
+            self._runtime.counts["sends_behind_list"] += 1
+            self._runtime.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
-            # Danger: its owner may have gone or given up, unread here; the attempt begins once that is known.
-            self._life.counts["sends_behind"] += 1
+        if task.owner is not None and task.owner.has_stale_input(self._runtime.hub.now_us()):
+            # Danger: the owner's close or release may have arrived unread. The attempt starts once that data is read.
+            self._runtime.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
             return
         if not self._may_send(attempt):
-            self._over(attempt, api.Outcome.NOT_SENT)
+            self._end_attempt(attempt, api.Outcome.NOT_SENT)
             return
-        left_ms = max(1, (attempt.deadline_us - self._life.hub.now_us()) // 1000)
+        left_ms = max(1, (attempt.deadline_us - self._runtime.hub.now_us()) // 1000)
         values = {**task.passed_on, int(Code.PATIENCE): b"%d" % left_ms}
         self._attempts.advance(attempt, Stage.SENT)
-        link.strays.pop(task.ident, None)
-        line.out[task.ident] = attempt
-        line.used_us = self._life.hub.now_us()
-        self._trace(task.ident, "sent", attempt=attempt.number, machine=link.name, line=line.number)
-        if not line.write(encode(Kind.SET_UP, task.ident, values)):
-            # Not wholly written: it cannot have come whole to the machine.
-            line.out.pop(task.ident, None)
-            self._over(attempt, api.Outcome.UNREACHABLE)
+        link.orphans.pop(task.ident, None)
+        connection.open_attempts[task.ident] = attempt
+        connection.used_us = self._runtime.hub.now_us()
+        self._trace(
+            task.ident, "sent", attempt=attempt.number, machine=link.name, line=connection.number
+        )
+        if not connection.write(encode(Kind.SET_UP, task.ident, values)):
+            # Not written in full, so the machine cannot have received the whole message.
+            connection.open_attempts.pop(task.ident, None)
+            self._end_attempt(attempt, api.Outcome.UNREACHABLE)
 
     def abandon(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Nobody waits for its answer any longer: given up on the wire, and over."""
-        line = self._line_of(attempt)
+        """End an attempt whose answer is no longer awaited; if it was sent, send the machine a release."""
+        connection = self._connection_of(attempt)
         if attempt.stage is Stage.SENT:
-            self._may_run(attempt)
+            self._remember_orphan(attempt)
             data = with_cause(Kind.RELEASE, attempt.task.ident, Cause.GIVEN_UP)
-            if line is not None:
-                line.write(data)
+            if connection is not None:
+                connection.write(data)
         elif attempt.stage is Stage.WAITING:
             outcome = api.Outcome.NOT_SENT
-        self._over(attempt, outcome)
+        self._end_attempt(attempt, outcome)
 
-    def _may_run(self, attempt: Attempt) -> None:
-        """An offer that nobody waits for may run all the same: should it show up, do what `decide.orphans` says."""
-        if self._is_stopped(attempt):
-            attempt.link.remember_stray(attempt.task.ident)
+    def _remember_orphan(self, attempt: Attempt) -> None:
+        """Remember an abandoned offer's task, which may still run, where `decide.orphans` says to stop it."""
+        if self._must_stop_orphan(attempt):
+            attempt.link.remember_orphan(attempt.task.ident)
 
-    def _is_stopped(self, attempt: Attempt) -> bool:
-        sight = orphans.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
-        return orphans.action_for(sight) is orphans.OrphanAction.STOP
+    def _must_stop_orphan(self, attempt: Attempt) -> bool:
+        orphan = orphans.Orphan(attempt.task.cls.effect, True, True, False, False, False, False)
+        return orphans.action_for(orphan) is orphans.OrphanAction.STOP
 
-    def _line_of(self, attempt: Attempt) -> Line | None:
+    def _connection_of(self, attempt: Attempt) -> Connection | None:
         ident = attempt.task.ident
-        return next((line for line in attempt.link.lines if line.out.get(ident) is attempt), None)
+        return next(
+            (
+                connection
+                for connection in attempt.link.connections
+                if connection.open_attempts.get(ident) is attempt
+            ),
+            None,
+        )
 
-    def _over(
+    def _end_attempt(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
         reason: api.Reason = api.Reason.UNTOLD,
         report: api.Report | None = None,
     ) -> None:
-        """Tell the module that an attempt is over; the request too, unless its answer is still pending."""
-        placed, now = attempt.stage is Stage.PLACED, self._life.hub.now_us()
-        line = self._line_of(attempt)
-        if line is not None:
-            del line.out[attempt.task.ident]
-            line.used_us = now
+        """End an attempt and report it to the decision module; this closes the request unless its answer is pending."""
+        placed, now = attempt.stage is Stage.PLACED, self._runtime.hub.now_us()
+        connection = self._connection_of(attempt)
+        if connection is not None:
+            del connection.open_attempts[attempt.task.ident]
+            connection.used_us = now
         if not self._attempts.advance(attempt, Stage.ENDED):
             return
         self._trace(
@@ -219,12 +232,12 @@
             placed=placed,
         )
         attempt.link.running.pop(attempt.task.ident, None)
-        if not placed and outcome not in UNRUN and attempt.task.earlier is None:
-            attempt.task.earlier = EarlierAttempt(attempt.decided_us, attempt.link.listed)
+        if not placed and outcome not in NEVER_RAN and attempt.task.earlier_attempt is None:
+            attempt.task.earlier_attempt = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
-            attempt.task.owner.connection.errors += 1
-        self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
-        closed = placed or attempt.task.state is not State.ASKED
+            attempt.task.owner.activity.errors += 1
+        self._runtime.counts[("run:" if placed else "offer:") + outcome.value] += 1
+        closed = placed or attempt.task.state is not State.PENDING
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
         self._host.feed(
             api.AttemptEnded(
@@ -239,46 +252,46 @@
             )
         )
 
-    # -- what machines say
+    # -- messages from machines
 
-    def message(self, link: Link, line: Line, message: Message) -> None:
-        """A machine's message; what is not expected changes nothing."""
+    def on_message(self, link: Link, connection: Connection, message: Message) -> None:
+        """Handle a machine's message; an unexpected one changes nothing. Raises BadMessage if it is malformed."""
         kind, ident = message.kind, message.task
-        if self._trace.on and kind in (Kind.ANSWER, Kind.RELEASE):
+        if self._trace.enabled and kind in (Kind.ANSWER, Kind.RELEASE):
             self._trace(
                 ident,
                 "machine said",
                 kind=int(kind),
                 machine=link.name,
-                line=line.number,
+                line=connection.number,
                 cause=int.from_bytes(message.values.get(Code.CAUSE, b""), "big"),
                 codes=sorted(message.values),
             )
-        attempt = line.out.get(ident) or link.running.get(ident)
+        attempt = connection.open_attempts.get(ident) or link.running.get(ident)
         if kind == Kind.TESTED:
-            self.probes.answered(link, message)
+            self.probes.on_answer(link, message)
         elif attempt is None:
-            self._stray(link, message)
+            self._on_unknown_task(link, message)
         elif kind == Kind.ANSWER:
-            self._answered(attempt, line, message)
+            self._on_answer(attempt, connection, message)
         elif kind == Kind.RELEASE:
-            self._released(attempt, message)
+            self._on_release(attempt, message)
         elif kind == Kind.NOTE:
-            self._note(attempt, message)
+            self._on_note(attempt, message)
 
-    def _answered(self, attempt: Attempt, line: Line, message: Message) -> None:
+    def _on_answer(self, attempt: Attempt, connection: Connection, message: Message) -> None:
         if attempt.stage is not Stage.SENT:
-            self._life.counts["answers_doubled"] += 1
+            self._runtime.counts["answers_doubled"] += 1
             return
         description, task = message.values.get(Code.DESCRIPTION), attempt.task
         if description is None:
-            raise BadMessage("an answer without a description")
-        del line.out[task.ident]
-        line.used_us = self._life.hub.now_us()
+            raise BadMessage("the answer has no description parameter")
+        del connection.open_attempts[task.ident]
+        connection.used_us = self._runtime.hub.now_us()
         self._attempts.advance(attempt, Stage.PLACED)
-        attempt.placed_us = line.used_us
+        attempt.placed_us = connection.used_us
         attempt.link.running[task.ident] = attempt
-        reached = self._pass_on(attempt, description)
+        delivered = self._forward_answer(attempt, description)
         self._host.feed(
             api.TaskPlaced(
                 task.request,
@@ -287,16 +300,17 @@
                 attempt.placed_us - attempt.decided_us,
             )
         )
-        if not reached and self._requests.step(task, Step.WITHDRAW):
-            # Its owner's connection broke in this very turn: nobody was told that it stands, and nobody would end it.
-            self._life.counts["answers_unheard"] += 1
+        if not delivered and self._requests.step(task, Step.WITHDRAW):
+            # The owner's connection broke in the same turn: the owner does not know that the task runs and would never
+            # end it.
+            self._runtime.counts["answers_unheard"] += 1
             self._host.feed(api.TaskWithdrawn(task.request))
             self.stop(attempt, RunEnd.STOPPED, Cause.GIVEN_UP)
 
-    def _pass_on(self, attempt: Attempt, description: bytes) -> bool:
-        """The final answer: the machine's description goes to the owner in the turn in which it came.
+    def _forward_answer(self, attempt: Attempt, description: bytes) -> bool:
+        """Forward the machine's description to the owner, in the same turn of the event loop, as the final answer.
 
-        False where it cannot have come whole to its owner.
+        False if the owner cannot have received it in full.
         """
         task, owner = attempt.task, attempt.task.owner
         self._requests.step(task, Step.START)
@@ -309,46 +323,48 @@
             self._owners.mark_proven(owner)
         return True
 
-    def _released(self, attempt: Attempt, message: Message) -> None:
+    def _on_release(self, attempt: Attempt, message: Message) -> None:
         cause = message.cause
         reason = reason_of(message)
         report = parse_report(message.text(Code.REPORT) or "-", ";")
-        self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
+        self._runtime.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
-            self._ended(attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report)
+            self._end_run(
+                attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report
+            )
             return
-        task, meaning = attempt.task, unanswered(message)
-        if meaning is Unanswered.ENDED_WITH_ANSWER:
-            # It is the simulator's outcome "the task has ended", which closes the request.
-            if task.state is State.ASKED:
-                self._pass_on(attempt, message.values[Code.DESCRIPTION])
+        task, meaning = attempt.task, classify_early_release(message)
+        if meaning is EarlyRelease.ENDED_WITH_ANSWER:
+            # Corresponds to the simulator's outcome "the task has ended", which closes the request.
+            if task.state is State.PENDING:
+                self._forward_answer(attempt, message.values[Code.DESCRIPTION])
                 self._requests.step(task, Step.END)
                 self._owners.release(task.ident, cause)
-            self._over(attempt, api.Outcome.DONE, reason, report)
+            self._end_attempt(attempt, api.Outcome.DONE, reason, report)
             return
-        if meaning is Unanswered.CUT:
-            self._life.counts["answers_overtaken"] += 1
-            self._close(task, Step.FAIL, cause)
-        elif meaning is Unanswered.ENDED:
-            self._life.counts["answers_overtaken"] += 1
-            self._tell_end_in_time(task)
-        self._over(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
-
-    def _tell_end_in_time(self, task: Task) -> None:
-        """Another machine may say that the task has come to its end, until the owner has to be told of it."""
-
-        def due() -> None:
+        if meaning is EarlyRelease.STOPPED:
+            self._runtime.counts["answers_overtaken"] += 1
+            self._send_final_rejection(task, Step.FAIL, cause)
+        elif meaning is EarlyRelease.ENDED:
+            self._runtime.counts["answers_overtaken"] += 1
+            self._schedule_end_notice(task)
+        self._end_attempt(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
+
+    def _schedule_end_notice(self, task: Task) -> None:
+        """Notify the owner of the task's end in END_NOTICE_DELAY_US, unless another machine's reply comes first."""
+
+        def notify() -> None:
             attempt = self._attempts.of(task.request)
-            if task.state is not State.ASKED:
+            if task.state is not State.PENDING:
                 return
-            self._close(task, Step.FAIL, Cause.RESET)
+            self._send_final_rejection(task, Step.FAIL, Cause.RESET)
             self._host.feed(api.TaskWithdrawn(task.request))
             if attempt is not None:
                 self.abandon(attempt, api.Outcome.CANCELLED)
 
-        self._life.hub.call_at(self._life.hub.now_us() + TOLD_US, due)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + END_NOTICE_DELAY_US, notify)
 
-    def _ended(
+    def _end_run(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
@@ -356,15 +372,15 @@
         cause: int,
         report: api.Report | None = None,
     ) -> None:
-        """A task that stood is over: its owner is told, unless it ended it or was told to come again."""
+        """End a placed task; its owner is sent a release unless it stopped the task itself or has to resubmit it."""
         task = attempt.task
         if attempt.stopping is not None:
             outcome = api.Outcome.CANCELLED
         elif self._requests.step(task, Step.END):
             self._owners.release(task.ident, cause)
-        self._over(attempt, outcome, reason, report)
+        self._end_attempt(attempt, outcome, reason, report)
 
-    def _note(self, attempt: Attempt, message: Message) -> None:
+    def _on_note(self, attempt: Attempt, message: Message) -> None:
         kind = NOTES.get(message.text(Code.REMARK) or "")
         try:
             level = float(message.text(Code.LEVEL) or "0")
@@ -375,72 +391,75 @@
                 api.TaskNote(attempt.request, attempt.number, attempt.link.ident, kind, level)
             )
 
-    def _stray(self, link: Link, message: Message) -> None:
-        """News of what nobody here waits for: a safe task that was given up only takes room."""
+    def _on_unknown_task(self, link: Link, message: Message) -> None:
+        """Handle a message on a task without an attempt here: keep its release, stop an abandoned safe task."""
         ident = message.task
         if message.kind == Kind.RELEASE:
-            link.strays.pop(ident, None)
-            now = self._life.hub.now_us()
+            link.orphans.pop(ident, None)
+            now = self._runtime.hub.now_us()
             cause = (message.values.get(Code.CAUSE) or bytes((Cause.RESET,)))[0]
-            self._early[link.ident, ident] = cause, now + EARLY_US
-            while len(self._early) > MAX_EARLY or next(iter(self._early.values()))[1] <= now:
-                self._early.popitem(last=False)
-        elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.strays.pop(ident, False) is None:
-            self._life.counts["strays_stopped"] += 1
+            self._early_releases[link.ident, ident] = cause, now + EARLY_RELEASE_TTL_US
+            while (
+                len(self._early_releases) > MAX_EARLY_RELEASES
+                or next(iter(self._early_releases.values()))[1] <= now
+            ):
+                self._early_releases.popitem(last=False)
+        elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.orphans.pop(ident, False) is None:
+            self._runtime.counts["strays_stopped"] += 1
             link.release(ident, Cause.CANCELLED)
 
-    def ended_early(self, link: Link, ident: int) -> int | None:
-        """The cause with which a machine released a task before this placer heard of it; None where it did not."""
-        cause, until_us = self._early.pop((link.ident, ident), (0, 0))
-        return cause if self._life.hub.now_us() < until_us else None
+    def take_early_release(self, link: Link, ident: int) -> int | None:
+        """Remove and return the cause of a release that came before the task was known here; None if there is none."""
+        cause, until_us = self._early_releases.pop((link.ident, ident), (0, 0))
+        return cause if self._runtime.hub.now_us() < until_us else None
 
-    # -- what connections tell
+    # -- connection failures
 
-    def unanswered(self, attempt: Attempt, why: str) -> None:
-        """Its connection ended before its answer: it may have run."""
-        self._may_run(attempt)
-        self._life.counts["cut:" + why.partition(":")[0]] += 1
-        self._over(attempt, api.Outcome.BROKEN)
+    def on_unanswered(self, attempt: Attempt, why: str) -> None:
+        """The offer's connection ended before its answer, so the task may have run."""
+        self._remember_orphan(attempt)
+        self._runtime.counts["cut:" + why.partition(":")[0]] += 1
+        self._end_attempt(attempt, api.Outcome.BROKEN)
 
-    def cut(self, link: Link) -> None:
-        """Offers out there will not be answered; what stands may yet be heard of."""
-        self._life.log("machine-cut", level="warning", machine=link.name)
-        for line in list(link.lines):
-            link.drop(line, "no connection comes up")
+    def on_unresponsive(self, link: Link) -> None:
+        """End all open offers to the machine, which does not respond; placed tasks are kept."""
+        self._runtime.log("machine-unresponsive", level="warning", machine=link.name)
+        for connection in list(link.connections):
+            link.drop(connection, "no connection comes up")
 
-    def lost(self, link: Link, may_return: bool = False) -> None:
-        """What stood there is over; where the machine may come back, safe tasks are cut then."""
+    def on_lost(self, link: Link, may_return: bool = False) -> None:
+        """End all tasks on the machine; with `may_return`, queue stops for the safe ones in case it comes back."""
         if link.running:
-            self._life.log(
+            self._runtime.log(
                 "machine-lost", level="warning", machine=link.name, running=len(link.running)
             )
-        for line in list(link.lines):
-            link.drop(line, "lost")
+        for connection in list(link.connections):
+            link.drop(connection, "lost")
         for attempt in list(link.running.values()):
-            self._ended(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
-            if may_return and (attempt.stopping is not None or self._is_stopped(attempt)):
+            self._end_run(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
+            if may_return and (attempt.stopping is not None or self._must_stop_orphan(attempt)):
                 link.release(attempt.task.ident, Cause.CANCELLED)
 
-    def restarted(self, link: Link, launched_us: int) -> None:
-        """The machine has started anew: what stood there before is over."""
+    def on_restarted(self, link: Link, launched_us: int) -> None:
+        """The machine has restarted at `launched_us`: end all tasks placed there before."""
         for attempt in list(link.running.values()):
             if attempt.placed_us < launched_us:
-                self._ended(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
+                self._end_run(attempt, api.Outcome.BROKEN, api.Reason.UNTOLD, Cause.RESET)
 
     def stop(self, attempt: Attempt, end: RunEnd, cause: int = Cause.CANCELLED) -> None:
-        """Have a running task cut; its attempt is over once the machine says so."""
+        """Ask the machine to stop a placed task; its attempt ends with the machine's release."""
         attempt.stopping = end
         self._trace(attempt.task.ident, "stopped", machine=attempt.link.name, end=end.value)
         attempt.link.release(attempt.task.ident, cause)
 
     def answer(self, task: Task, step: Step, cause: int) -> None:
-        """The final answer to a set-up that does not stand, at once."""
+        """Send a negative final answer for a task that has not been placed, and abandon its attempt."""
         attempt = self._attempts.of(task.request)
-        if self._close(task, step, cause) and attempt is not None:
+        if self._send_final_rejection(task, step, cause) and attempt is not None:
             self.abandon(attempt, api.Outcome.TIMED_OUT)
 
-    def _close(self, task: Task, step: Step, cause: int) -> bool:
-        """Give the final answer to a set-up that does not stand; False where it has had one."""
+    def _send_final_rejection(self, task: Task, step: Step, cause: int) -> bool:
+        """Send a negative final answer for a task that has not been placed; False if it already has a final answer."""
         owner = task.owner
         if not self._requests.step(task, step):
             return False
@@ -448,6 +467,6 @@
         if owner is not None:
             owner.tasks.pop(task.ident, None)
             owner.write(refusal(task.ident, cause))
-        self._life.counts["answer:" + step.value] += 1
+        self._runtime.counts["answer:" + step.value] += 1
         self._trace(task.ident, "answer", step=step.value)
         return True
