--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -18,7 +18,7 @@
 from tests.wire import samples
 from tests.wire.samples import S
 from wingbarrow.decide.consensus.entries import VOTERS, LogEntry
-from wingbarrow.decide.consensus.log import PersistentState, sole_voter_update
+from wingbarrow.decide.consensus.persistent_state import PersistentState, sole_voter_update
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.coordination.messages import LeaseGrant, LeaseRequest
 from wingbarrow.decide.coordination.settings import CoordinationSettings, LocalPlacer, Subsystems
@@ -388,7 +388,7 @@
 
 def accepted(voter: Voter) -> tuple[int, str]:
     """The latest version, and the outcome of the proposal `after`."""
-    agreed = voter.agreement.agreed
+    agreed = voter.agreement.rule_set_state
     return agreed.version, agreed.outcomes.get("after", "not decided")
 
 
--- a/wingbarrow/decide/coordination/leader.py
+++ b/wingbarrow/decide/coordination/leader.py
@@ -1,9 +1,9 @@
-"""The leader's side of coordination: it answers lease requests, and proposes what is due.
+"""The leader's side of coordination: responds to lease requests and proposes log entries that are due.
 
-Guaranteed: a request is answered only after a majority of the voters has followed this leader since the request came,
-so that no deposed leader grants anything; and a transition between revisions is proposed only once no lease of an
-earlier revision can be in force, as `GrantedLeases` reckons. What a leader knows beside the log is its own, and ends
-with its term.
+Two guarantees hold. A request is granted only after a majority of the voters has confirmed leadership since the request
+arrived, so that a deposed leader grants nothing. A transition between revisions is proposed only once no lease of an
+earlier revision can be valid, according to `GrantedLeases`. State outside the log is not replicated and is discarded
+when leadership changes.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 from wingbarrow.decide.rulesets.versions import RuleSetState
 
 OUTLIER_SCAN_INTERVAL_US = 250_000
-MAX_WAITING_REQUESTS = 4096
+MAX_PENDING_REQUESTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingRequest:
-    """A request that waits for leadership to be confirmed; `relay` is the voter that forwarded it, "" for none."""
+class PendingRequest:
+    """A request pending until leadership is confirmed; `relay` is the voter that forwarded it, "" for none."""
 
     sender: str
     address: str
@@ -50,49 +50,49 @@
 
     @property
     def requester(self) -> Requester:
-        """Its sender, as subsystems see it."""
+        """The sender in the form that subsystems use."""
         request = self.request
         return Requester(self.sender, request.life, request.up_us, request.number, request.reign)
 
 
 @dataclass(slots=True)
-class LeaderState:
-    """What a leader knows beside the log; made anew as leadership changes."""
+class LeaderTermState:
+    """State of the leader outside the log; reinitialized when leadership changes."""
 
-    waiting: list[WaitingRequest] = field(default_factory=list)
-    batches: dict[int, list[WaitingRequest]] = field(default_factory=dict)  # by their read's id
+    pending: list[PendingRequest] = field(default_factory=list)
+    batches: dict[int, list[PendingRequest]] = field(default_factory=dict)  # by read id
     leases: GrantedLeases = field(default_factory=GrantedLeases)
     outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
 
 
 class LeaderHost(Protocol):
-    """What a `Leader` needs of its `Coordinator`."""
+    """The interface of `Coordinator` that `Leader` uses."""
 
     name: str
     raft: Raft | None
-    agreed: RuleSetState
+    rule_set_state: RuleSetState
     allocations: AllocationLedger
 
     @property
     def is_leader(self) -> bool:
-        """Whether this placer leads."""
+        """Whether this placer is the leader."""
 
     @property
     def leader(self) -> str:
-        """Who leads, as far as is known."""
+        """The known leader; "" for none."""
 
     def apply_raft(self, now_us: int, effects: Effects) -> list[Effect]:
-        """Apply effects of the voters' log, and return those for the host."""
+        """Apply effects of `Raft`, and return those for the host."""
 
     def propose(self, now_us: int, kind: str, value: JsonObject) -> list[Effect]:
-        """Propose an entry."""
+        """Propose a log entry."""
 
     def on_own_grant(self, now_us: int, grant: LeaseGrant) -> list[Effect]:
-        """This placer's own request was granted."""
+        """Handle the grant of this placer's own request."""
 
 
 class Leader:
-    """One placer's part as the leader; while it does not lead, every request is redirected and nothing proposed."""
+    """The leader role of one placer; while it is not the leader, it redirects requests and proposes nothing."""
 
     def __init__(
         self,
@@ -107,24 +107,24 @@
         self._timers = timers
         self._subsystems = subsystems
         self._zones = zones
-        self._state = LeaderState()
+        self._state = LeaderTermState()
         self._read_id = 0  # of the latest batch
         self._last_outlier_scan_us = -OUTLIER_SCAN_INTERVAL_US
         self._parsed_rules: tuple[str, RuleSet | None] = ("", None)
 
     @property
     def outlier_detector(self) -> OutlierDetector:
-        """Health reports of this term, and what follows from them."""
+        """Outlier detection from the health reports of this term."""
         return self._state.outlier_detector
 
     @property
     def lease_holders(self) -> dict[str, GrantedLease]:
-        """Who was granted a lease in this term."""
+        """The latest lease granted to each placer in this term, by name."""
         return self._state.leases.by_holder
 
     def on_leadership_change(self, now_us: int, *, is_leader: bool) -> list[Effect]:
-        """This placer was elected, or leads no longer: nothing but the log is known."""
-        self._state = LeaderState()
+        """Handle an election or step-down of this placer: discard all state outside the log."""
+        self._state = LeaderTermState()
         raft = self._host.raft
         term = raft.persistent.term if raft is not None else 0
         self._host.allocations.on_leadership_change(now_us, is_leader, term)
@@ -134,30 +134,30 @@
             return []
         return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
 
-    # -- Requests: they wait for a batch, and a batch for its leader to be confirmed
+    # -- Requests: collected into batches; leadership is confirmed once for each batch
 
-    def on_request(self, now_us: int, waiting: WaitingRequest) -> list[Effect]:
-        """A placer's request, also this placer's own; a later one of the same sender replaces it while it waits."""
+    def on_request(self, now_us: int, pending: PendingRequest) -> list[Effect]:
+        """Queue a request, also one of this placer; a later one of the same sender replaces one that is pending."""
         if not self._host.is_leader:
-            if waiting.relay:
+            if pending.relay:
                 return []
-            redirect = NotLeader(waiting.request.number, self._host.leader)
-            return [Send(waiting.sender, waiting.address, redirect)]
-        queue = self._state.waiting
-        if len(queue) >= MAX_WAITING_REQUESTS:
+            redirect = NotLeader(pending.request.number, self._host.leader)
+            return [Send(pending.sender, pending.address, redirect)]
+        queue = self._state.pending
+        if len(queue) >= MAX_PENDING_REQUESTS:
             return []
         is_first = not queue
-        queue = [each for each in queue if each.sender != waiting.sender]
-        self._state.waiting = [*queue, waiting]
+        queue = [each for each in queue if each.sender != pending.sender]
+        self._state.pending = [*queue, pending]
         if not is_first:
             return []
         return [self._timers.set(BATCH_TIMER, now_us + self._timing.batch_us)]
 
     def confirm_batch(self, now_us: int) -> list[Effect]:
-        """`BATCH_TIMER` is due: have leadership confirmed for all requests that wait."""
+        """Handle `BATCH_TIMER`: request confirmation of leadership for all pending requests."""
         raft = self._host.raft
-        batch = self._state.waiting
-        self._state.waiting = []
+        batch = self._state.pending
+        self._state.pending = []
         if not batch or raft is None or not self._host.is_leader:
             return []
         self._read_id += 1
@@ -165,94 +165,94 @@
         return self._host.apply_raft(now_us, raft.confirm_leadership(now_us, self._read_id))
 
     def on_confirmed(self, now_us: int, read_id: int) -> list[Effect]:
-        """Leadership is confirmed since a batch was closed: take in its reports, then answer its requests."""
+        """Handle confirmed leadership for a batch: process its reports, then respond to its requests."""
         raft = self._host.raft
         batch = self._state.batches.pop(read_id, [])
         if raft is None or not raft.log.has_committed_in_term:
-            # Danger: until then entries of earlier leaders may be committed that are not applied here. The senders
-            # will ask again.
+            # Danger: until an entry of this term is committed, entries of earlier leaders may be committed that are
+            # not applied here. The senders will retry.
             return []
         if now_us - self._last_outlier_scan_us >= OUTLIER_SCAN_INTERVAL_US:
             self._last_outlier_scan_us = now_us
             self.outlier_detector.evaluate(now_us, self._zones())
         effects: list[Effect] = []
-        if batch and self._host.agreed.revision:
+        if batch and self._host.rule_set_state.revision:
             for each in batch:
-                self._take_reports(now_us, each)
+                self._process_reports(now_us, each)
             for each, quotas in zip(batch, self._quota_grants(now_us, batch), strict=True):
-                effects += self._answer(now_us, each, quotas)
+                effects += self._grant_lease(now_us, each, quotas)
         effects += self.propose_next(now_us)
         return effects
 
-    def _take_reports(self, now_us: int, waiting: WaitingRequest) -> None:
-        request = waiting.request
+    def _process_reports(self, now_us: int, pending: PendingRequest) -> None:
+        request = pending.request
         self.outlier_detector.on_report(
             now_us,
-            waiting.sender,
+            pending.sender,
             request.region,
             HealthSummary(request.evidence, request.bad, request.tried),
         )
         for subsystem in self._subsystems:
             report = getattr(request, subsystem.name)
             if report is not None:
-                subsystem.on_report(now_us, waiting.requester, report)
+                subsystem.on_report(now_us, pending.requester, report)
 
     def _quota_grants(
-        self, now_us: int, batch: Sequence[WaitingRequest]
+        self, now_us: int, batch: Sequence[PendingRequest]
     ) -> list[tuple[QuotaGrant, ...]]:
-        """What the senders of a batch may use of the fleet's limits: one answer for all, as one's gain is another's."""
+        """Quota grants for all requests of a batch, computed together as they share the fleet-wide limits."""
         reports = [(each.requester, each.request.stated) for each in batch]
         return self._host.allocations.grants_for(now_us, reports, self._rules().limits)
 
-    def _answer(
-        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    def _grant_lease(
+        self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> list[Effect]:
-        """Grant a lease, unless there are too many holders."""
-        agreed = self._host.agreed
+        """Grant a lease and send it, unless there are `MAX_LEASE_HOLDERS` other holders."""
+        rule_set_state = self._host.rule_set_state
         leases = self._state.leases
-        if not leases.has_room_for(waiting.sender, now_us):
+        if not leases.has_capacity_for(pending.sender, now_us):
             return []
         expires_us = lease_expiry_us(now_us, self._timing.grant_us)
-        lease = GrantedLease(agreed.revision, expires_us)
-        leases.grant(waiting.sender, waiting.request.edition, lease)
-        if agreed.floors:
-            floor = agreed.floors[-1]
+        lease = GrantedLease(rule_set_state.revision, expires_us)
+        leases.grant(pending.sender, pending.request.edition, lease)
+        if rule_set_state.floors:
+            floor = rule_set_state.floors[-1]
             leases.grant_floor(floor.number, lease_expiry_us(now_us, floor.lasts_us))
-        grant = self._grant(now_us, waiting, quotas)
-        if waiting.sender == self._host.name:
+        grant = self._grant_message(now_us, pending, quotas)
+        if pending.sender == self._host.name:
             return self._host.on_own_grant(now_us, grant)
-        if waiting.relay:
-            return [Send(waiting.relay, "", RelayedGrant(waiting.sender, grant))]
-        return [Send(waiting.sender, waiting.address, grant)]
+        if pending.relay:
+            return [Send(pending.relay, "", RelayedGrant(pending.sender, grant))]
+        return [Send(pending.sender, pending.address, grant)]
 
-    def _grant(
-        self, now_us: int, waiting: WaitingRequest, quotas: tuple[QuotaGrant, ...]
+    def _grant_message(
+        self, now_us: int, pending: PendingRequest, quotas: tuple[QuotaGrant, ...]
     ) -> LeaseGrant:
-        """The message; rules that the requester has are left out."""
-        agreed = self._host.agreed
-        request = waiting.request
-        floor = agreed.floors[-1] if agreed.floors else None
+        """The grant message, without rules that the requester already holds."""
+        rule_set_state = self._host.rule_set_state
+        request = pending.request
+        floor = rule_set_state.floors[-1] if rule_set_state.floors else None
         return LeaseGrant(
             request.number,
-            agreed.revision,
-            "" if request.edition == agreed.revision else agreed.rules,
+            rule_set_state.revision,
+            "" if request.edition == rule_set_state.revision else rule_set_state.rules,
             self._timing.grant_us,
-            agreed.version,
+            rule_set_state.version,
             floor.number if floor else 0,
             floor.rules if floor and request.floor != floor.number else "",
             floor.lasts_us if floor else 0,
             quotas,
             self.outlier_detector.active(now_us),
             **{
-                each.name: each.response_for(now_us, waiting.requester) for each in self._subsystems
+                each.name: each.response_for(now_us, pending.requester) for each in self._subsystems
             },
             reign=self._host.allocations.term,
             leader=self._host.name,
         )
 
     def _rules(self) -> RuleSet:
-        """The rules in force, parsed once."""
-        text = self._host.agreed.rules
+        """The rules in force, parsed once for each text."""
+        text = self._host.rule_set_state.rules
         parsed_text, rules = self._parsed_rules
         if rules is None or text != parsed_text:
             rules = parse_rule_set(text)
@@ -262,36 +262,40 @@
     # -- Proposals
 
     def propose_next(self, now_us: int) -> list[Effect]:
-        """Propose what is due, of one kind at a time: a transition to the next revision, the end of a floor, or what
-        subsystems want. Where nothing is due yet, or an entry is uncommitted, `PROPOSAL_TIMER` is set."""
+        """Propose one kind of due entry: the next transition, the expiry of floors, or entries of subsystems.
+
+        Sets `PROPOSAL_TIMER` if an entry is uncommitted, or if entries become due later.
+        """
         raft = self._host.raft
-        agreed = self._host.agreed
+        rule_set_state = self._host.rule_set_state
         if raft is None or not self._host.is_leader:
             return []
         is_all_committed = raft.log.commit_index == raft.persistent.last_log_index
         if not raft.log.has_committed_in_term or not is_all_committed:
             return [self._timers.set(PROPOSAL_TIMER, now_us + self._timing.batch_us)]
         due_us: list[int] = []
-        if agreed.steps:
+        if rule_set_state.steps:
             transition_us = self._earlier_leases_expire_us()
             if now_us >= transition_us:
-                return self._host.propose(now_us, "step", StepEntry(agreed.revision).to_entry())
+                return self._host.propose(
+                    now_us, "step", StepEntry(rule_set_state.revision).to_entry()
+                )
             due_us.append(transition_us)
-        if len(agreed.floors) > 1:
+        if len(rule_set_state.floors) > 1:
             floors_expire_us = self._earlier_floors_expire_us()
             if now_us >= floors_expire_us:
-                latest = FloorsExpiredEntry(agreed.floors[-1].number).to_entry()
+                latest = FloorsExpiredEntry(rule_set_state.floors[-1].number).to_entry()
                 return self._host.propose(now_us, "floor-lapsed", latest)
             due_us.append(floors_expire_us)
         effects: list[Effect] = []
-        if agreed.revision:
+        if rule_set_state.revision:
             effects += self._propose_for_subsystems(now_us, due_us)
         if due_us:
             effects.append(self._timers.set(PROPOSAL_TIMER, min(due_us)))
         return effects
 
     def _propose_for_subsystems(self, now_us: int, due_us: list[int]) -> list[Effect]:
-        """Propose what subsystems want; `due_us` gets when each is to be called again."""
+        """Propose entries of subsystems; append to `due_us` the times at which to call them again."""
         effects: list[Effect] = []
         for subsystem in (self._host.allocations, *self._subsystems):
             proposals, next_us = subsystem.next_proposals(now_us, self._rules())
@@ -303,19 +307,19 @@
         return effects
 
     def _earlier_leases_expire_us(self) -> int:
-        """When no placer can act on a revision before the one in force any more."""
+        """The time from which no placer can act on a revision before the one in force."""
         raft = self._host.raft
         assert raft is not None
-        revision = self._host.agreed.revision
-        return self._state.leases.earlier_expire_us(
+        revision = self._host.rule_set_state.revision
+        return self._state.leases.earlier_leases_expire_us(
             revision, raft.elected_at_us, self._timing.grant_us
         )
 
     def _earlier_floors_expire_us(self) -> int:
-        """When no placer can go by a floor before the latest any more."""
+        """The time from which no placer can act on a floor before the latest."""
         raft = self._host.raft
         assert raft is not None
         return max(
             self._state.leases.floor_expires_us(each.number, raft.elected_at_us, each.lasts_us)
-            for each in self._host.agreed.floors[:-1]
+            for each in self._host.rule_set_state.floors[:-1]
         )
