--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -35,7 +35,11 @@
 from wingbarrow.transport.hub import READ
 
 MEMORY_PARTS = ("attempts", "book", "module", "core", "connections", "objects shown")
-_PART_BY_FILE = {"core/attempts": "attempts", "core/stages": "attempts", "core/job_store": "book"}
+_PART_BY_FILE = {
+    "core/attempts": "attempts",
+    "core/attempt_table": "attempts",
+    "core/job_store": "book",
+}
 _PART_BY_PACKAGE = {
     "core": "core",
     "http": "connections",
--- a/benchmarks/capacity/tasks.py
+++ b/benchmarks/capacity/tasks.py
@@ -11,9 +11,9 @@
 4. The decision module alone with as many tasks, in a fresh process.
 
 Where the memory lies is told by one more run at the smallest size under `tracemalloc`, by the file that asked for it:
-the attempts' table (`core/attempts`, `core/stages`), the book (`core/job_store`), the module, the rest of the core,
-connections (`http`, `transport`), and objects shown to clients (`kube`). Connections and the window of changes are
-bounded: they are a large part at few tasks. What each further task takes is the slope of the resident memory.
+the attempts' table (`core/attempts`, `core/attempt_table`), the book (`core/job_store`), the module, the rest of the
+core, connections (`http`, `transport`), and objects shown to clients (`kube`). Connections and the window of changes
+are bounded: they are a large part at few tasks. What each further task takes is the slope of the resident memory.
 
 What a machine's agent pays for its tasks is not measured: hollow machines are no agents.
 """
--- a/tests/capacity/test_machines.py
+++ b/tests/capacity/test_machines.py
@@ -183,7 +183,7 @@
 def test_memory_is_booked_by_file() -> None:
     part_by_file = {
         "placement": "module",
-        "core/stages": "attempts",
+        "core/attempt_table": "attempts",
         "core/job_store": "book",
         "core/host": "core",
         "http/client": "connections",
--- a/wingbarrow/core/stages.py
+++ b/wingbarrow/core/attempt_table.py
@@ -31,14 +31,14 @@
 }
 
 
-class Named(Protocol):
+class NamedMachine(Protocol):
     """A machine as attempts need it."""
 
     name: str
 
 
 TaskT = TypeVar("TaskT")
-LinkT = TypeVar("LinkT", bound=Named)
+LinkT = TypeVar("LinkT", bound=NamedMachine)
 AttemptT = TypeVar("AttemptT", bound="AttemptRecord[Any, Any]")
 
 
@@ -99,11 +99,11 @@
                 del self._by_request[attempt.request]
         return True
 
-    def on(self, link: Named) -> list[AttemptT]:
+    def on(self, link: NamedMachine) -> list[AttemptT]:
         """Those on one machine."""
-        return self.on_named(link.name)
+        return self.on_machine_named(link.name)
 
-    def on_named(self, machine: str) -> list[AttemptT]:
+    def on_machine_named(self, machine: str) -> list[AttemptT]:
         """Those on the machine of that name."""
         return list(self._on.get(machine, {}).values())
 
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -1,12 +1,12 @@
-"""Attempts of the REST front's tasks: pods on machines. Their stages are those of `core.stages`."""
+"""Attempts of the REST front's tasks: pods on machines. Their stages are those of `core.attempt_table`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from wingbarrow.core.attempt_table import AttemptRecord, AttemptTable, Stage
 from wingbarrow.core.job_store import TaskRecord
 from wingbarrow.core.link import MachineLink
-from wingbarrow.core.stages import AttemptRecord, AttemptTable, Stage
 from wingbarrow.decide.gate import HoldReason
 
 
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -81,7 +81,7 @@
         now = self._base.hub.now_us()
         if not self._is_cold(launched_us, now):
             return False
-        waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_named(name))
+        waiting = sum(each.stage is Stage.WAITING for each in self._attempts.on_machine_named(name))
         return self._remaining(now, name, launched_us) <= waiting
 
     def on_sent(self, attempt: Attempt) -> None:
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from wingbarrow import interface as api
+from wingbarrow.core.attempt_table import Stage
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
-from wingbarrow.core.stages import Stage
 from wingbarrow.decide.connection_limits import ConnectionLimits
 from wingbarrow.decide.overload import OverloadControl, Rejected
 from wingbarrow.decide.retries import RunEnd
--- a/wingbarrow/relay/links.py
+++ b/wingbarrow/relay/links.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from wingbarrow.core.attempt_table import AttemptRecord, AttemptTable
 from wingbarrow.core.life import Life
-from wingbarrow.core.stages import AttemptRecord, AttemptTable
 from wingbarrow.decide.descriptor_budget import CloseCost, DescriptorBudget
 from wingbarrow.decide.liveness import HealthAction, Liveness
 from wingbarrow.interface import ListedMachine, Phase
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from wingbarrow import interface as api
+from wingbarrow.core.attempt_table import Stage
 from wingbarrow.core.host import Host
 from wingbarrow.core.life import Life
-from wingbarrow.core.stages import Stage
 from wingbarrow.decide import orphans
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
