--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -17,7 +17,7 @@
 from wingbarrow.core.job_store import OPEN, JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machine_leases import MachineLeases
-from wingbarrow.core.pods import Ended
+from wingbarrow.core.pods import OfferFailure
 from wingbarrow.decide import retries
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
@@ -216,7 +216,7 @@
         """Whether its first byte may be sent at this moment, by its lease."""
         return job.leased is None or self._leases.may_send(job.leased.session)
 
-    def before_send(self, attempt: Attempt) -> Ended | None:
+    def before_send(self, attempt: Attempt) -> OfferFailure | None:
         """Have recorded what must be before a leased Job's attempt is sent, and wait; why it cannot be, or None."""
         job = attempt.task.job
         link = attempt.link
@@ -227,7 +227,7 @@
             return self._not_sent("the lease has lapsed")
         if not self._leases.has_recent_clock(link) and not self._leases.read_clock(link):
             # Danger: without its clock it cannot be given a lease, and would never stop the task by itself.
-            return Ended(
+            return OfferFailure(
                 api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
             )
         if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
@@ -241,9 +241,9 @@
         )
         return self._not_sent(f"its keeper does not know of it: {why}") if why else None
 
-    def _not_sent(self, why: str) -> Ended:
+    def _not_sent(self, why: str) -> OfferFailure:
         self._base.counts["held:no_lease"] += 1
-        return Ended(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
+        return OfferFailure(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
 
     def expiry(self, attempt: Attempt) -> str:
         """Until when an attempt may run, in its machine's clock; "" where it is not leased."""
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/link.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from wingbarrow.core.pods import Ended, read_failure, read_offer
+from wingbarrow.core.pods import OfferFailure, read_call_failure, read_offer_response
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.http.client import CallFailed, MaybeDone, NotSent, Pool, PoolLimits
 from wingbarrow.http.watching import call, list_all, watch
@@ -78,7 +78,7 @@
 
     def offer(
         self, namespace: str, body: Callable[[], bytes], until_us: int, may_send: Callable[[], bool]
-    ) -> Ended | None:
+    ) -> OfferFailure | None:
         """Offer a task; None where it runs. Every way to fail says whether the task can have started."""
         try:
             response = self._pool.request(
@@ -90,8 +90,8 @@
                 may_send,
             )
         except (NotSent, MaybeDone) as error:
-            return read_failure(error)
-        return read_offer(response)
+            return read_call_failure(error)
+        return read_offer_response(response)
 
     def delete(self, namespace: str, pod: str) -> DeleteOutcome | None:
         """Ask once that a task be stopped; None without an answer that says it is gone."""
--- a/wingbarrow/core/observations.py
+++ b/wingbarrow/core/observations.py
@@ -12,7 +12,7 @@
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
-from wingbarrow.core.pods import Phase, PodStatus, read_pod
+from wingbarrow.core.pods import PodPhase, PodStatus, read_pod
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide import retries
 
@@ -92,21 +92,24 @@
         if attempt is None:
             self._orphans.on_pod(link, pod_status)
             return
-        if pod_status.phase is Phase.PENDING and attempt.stage is Stage.SENT:
+        if pod_status.phase is PodPhase.PENDING and attempt.stage is Stage.SENT:
             self._host.feed(
                 api.TaskNote(attempt.request, attempt.number, link.ident, api.NoteKind.ARRIVED, 0.0)
             )
-        if pod_status.phase in (Phase.RUNNING, Phase.SUCCEEDED) and attempt.stage is Stage.SENT:
+        if (
+            pod_status.phase in (PodPhase.RUNNING, PodPhase.SUCCEEDED)
+            and attempt.stage is Stage.SENT
+        ):
             self._base.counts["placed_by_news"] += 1
             self._offers.on_running(attempt)
             if attempt.scope is not None:
                 attempt.scope.cancel()
         if attempt.stage is not Stage.PLACED:
             return
-        if pod_status.phase is Phase.SUCCEEDED:
+        if pod_status.phase is PodPhase.SUCCEEDED:
             self._runs.on_ended(attempt, retries.RunEnd.DONE, api.Reason.UNTOLD, "ended well")
-        elif pod_status.phase is Phase.FAILED:
-            reason = pod_status.gave_up
+        elif pod_status.phase is PodPhase.FAILED:
+            reason = pod_status.eviction_reason
             # A machine that stopped it as its lease had lapsed is no fault: the next lease holder may start it again.
             end = attempt.stopping or (
                 retries.RunEnd.MOVED
@@ -116,11 +119,11 @@
             self._runs.on_ended(
                 attempt, end, reason, f"{link.name}: {pod_status.reason or 'failed'}"
             )
-        elif pod_status.use:
+        elif pod_status.usage:
             self._on_usage(attempt, link, pod_status)
 
     def _on_usage(self, attempt: Attempt, link: MachineLink, pod_status: PodStatus) -> None:
-        usage = tuple(pod_status.use.get(key, -1.0) for key in _USAGE_KINDS)
+        usage = tuple(pod_status.usage.get(key, -1.0) for key in _USAGE_KINDS)
         if usage == attempt.use:
             return
         attempt.use = usage
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -14,7 +14,7 @@
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.orphans import Orphans
-from wingbarrow.core.pods import Ended, pod_text
+from wingbarrow.core.pods import OfferFailure, encode_pod
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide import retries
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
@@ -139,7 +139,7 @@
         task, link = attempt.task, attempt.link
 
         def body() -> bytes:
-            return pod_text(
+            return encode_pod(
                 task,
                 attempt.key,
                 self._base.settings.name,
@@ -149,7 +149,7 @@
                 self._leased_jobs.expiry(attempt) if self._leased_jobs is not None else "",
             )
 
-        ended: Ended | None = Ended(
+        ended: OfferFailure | None = OfferFailure(
             api.Outcome.CANCELLED, api.Reason.UNTOLD, "withdrawn by its owner"
         )
         with CancelScope(self._base.hub) as scope:
@@ -172,10 +172,10 @@
             and attempt.stage is Stage.WAITING
             and ended.outcome is api.Outcome.CANCELLED
         ):
-            ended = Ended(api.Outcome.NOT_SENT, ended.reason, ended.words)
+            ended = OfferFailure(api.Outcome.NOT_SENT, ended.reason, ended.details)
         elif ended is not None and attempt.stopping is retries.RunEnd.STOPPED:
             # Danger: the machine's answer to a stopped offer is no refusal; the module would back off from the machine.
-            ended = Ended(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
+            ended = OfferFailure(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
         if ended is None:
             self.on_running(attempt)
         elif self._may_resubmit(attempt):
@@ -218,8 +218,8 @@
             attempt.placed_us = now
             self._requests.on_placed(attempt)
 
-    def _on_failed(self, attempt: Attempt, ended: Ended) -> None:
-        attempt.task.last_outcome = f"{attempt.link.name}: {ended.words}"[:300]
+    def _on_failed(self, attempt: Attempt, ended: OfferFailure) -> None:
+        attempt.task.last_outcome = f"{attempt.link.name}: {ended.details}"[:300]
         self._base.counts[f"offer:{ended.outcome.value}"] += 1
         self._base.log(
             "offer-ended",
@@ -228,12 +228,12 @@
             attempt=attempt.number,
             machine=attempt.link.name,
             outcome=ended.outcome.value,
-            why=ended.words,
+            why=ended.details,
         )
         self._requests.on_attempt_ended(
             attempt,
             ended.outcome,
             ended.reason,
             self._base.hub.now_us() - attempt.decided_us,
-            ended.words,
+            ended.details,
         )
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.intake import JobRequest, job_value
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
 from wingbarrow.core.link import MachineLink
-from wingbarrow.core.pods import Phase, PodStatus, expected_left_us, pod_resources
+from wingbarrow.core.pods import PodPhase, PodStatus, expected_run_time_us, pod_resources
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
 from wingbarrow.core.stops import Stops
@@ -60,7 +60,7 @@
 
     def on_pod(self, link: MachineLink, pod_status: PodStatus) -> None:
         """A machine reported a pod that no open attempt accounts for."""
-        if pod_status.phase is not Phase.RUNNING or self.is_foreign(link, pod_status):
+        if pod_status.phase is not PodPhase.RUNNING or self.is_foreign(link, pod_status):
             return
         job = self._jobs.jobs.get(pod_status.job_key)
         if job is not None and job.uid == pod_status.job_uid and pod_status.index < len(job.tasks):
@@ -124,7 +124,9 @@
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
         """The orphan is what the open request waits for: the request ends as placed."""
-        left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
+        left = (
+            expected_run_time_us(pod_status.value) if pod_status else task.job.request.expected_us
+        )
         if self.place_leased(link, pod, task, left):
             return
         if task.state is State.RETRYING:
@@ -155,7 +157,9 @@
         self._attempts.add(attempt)
         self._requests.on_attempt_began(attempt)
         self._objects.mark(task.job)
-        left = expected_left_us(pod_status.value) if pod_status else task.job.request.expected_us
+        left = (
+            expected_run_time_us(pod_status.value) if pod_status else task.job.request.expected_us
+        )
         self._host.feed(api.TaskFound(self._requests.arrival(task, request, left), link.ident))
 
     def _adopt_job(self, link: MachineLink, pod_status: PodStatus) -> None:
@@ -202,7 +206,7 @@
             cores,
             memory,
             settings.patience_us,
-            expected_left_us(value),
+            expected_run_time_us(value),
             settings.restarts if safe else 0,
         )
 
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -34,15 +34,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class OfferFailure:
     """How an offer ended without the task placed."""
 
     outcome: api.Outcome
     reason: api.Reason
-    words: str
+    details: str
 
 
-class Phase(Enum):
+class PodPhase(Enum):
     """A pod's phase, as far as it matters here."""
 
     PENDING = "Pending"
@@ -51,7 +51,7 @@
     FAILED = "Failed"
 
 
-def pod_text(
+def encode_pod(
     task: TaskRecord,
     pod: str,
     placer: str,
@@ -114,7 +114,7 @@
     )
 
 
-def read_offer(response: Response) -> Ended | None:
+def read_offer_response(response: Response) -> OfferFailure | None:
     """What the answer to an offer means; None where the task runs."""
     if response.status in (200, 201):
         return None
@@ -125,14 +125,14 @@
     except ValueError:
         pass
     if reason in _NO_ROOM:
-        return Ended(api.Outcome.REFUSED, _NO_ROOM[reason], f"{reason}: {words}")
+        return OfferFailure(api.Outcome.REFUSED, _NO_ROOM[reason], f"{reason}: {words}")
     # An agent answers 4xx before it starts anything. A name that exists may be this very task's: in doubt.
     if 400 <= response.status < 500 and reason != "AlreadyExists" and response.status != 408:
-        return Ended(api.Outcome.REFUSED, api.Reason.UNTOLD, words)
-    return Ended(api.Outcome.ERROR, api.Reason.UNTOLD, words)
+        return OfferFailure(api.Outcome.REFUSED, api.Reason.UNTOLD, words)
+    return OfferFailure(api.Outcome.ERROR, api.Reason.UNTOLD, words)
 
 
-def read_failure(error: NotSent | MaybeDone) -> Ended:
+def read_call_failure(error: NotSent | MaybeDone) -> OfferFailure:
     """What a call without an answer means for rule 2: unrun only where no byte went out."""
     if isinstance(error, NotSent):
         outcome = (
@@ -144,7 +144,7 @@
         outcome = api.Outcome.TIMED_OUT
     else:
         outcome = api.Outcome.ERROR if error.why is Why.GARBAGE else api.Outcome.BROKEN
-    return Ended(outcome, api.Reason.UNTOLD, str(error))
+    return OfferFailure(outcome, api.Reason.UNTOLD, str(error))
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,16 +157,16 @@
     job_uid: str
     job_size: int
     index: int
-    phase: Phase
+    phase: PodPhase
     reason: str
-    use: dict[str, float]
+    usage: dict[str, float]
     value: dict[str, Any]
     started_us: int | None  # wall clock, to a second; None where it is not told
     session: str = ""  # whose lease it runs by
     epoch: int = 0
 
     @property
-    def gave_up(self) -> api.Reason:
+    def eviction_reason(self) -> api.Reason:
         """Why the machine gave the task up."""
         return _GIVEN_UP.get(self.reason, api.Reason.UNTOLD)
 
@@ -180,7 +180,7 @@
     if not isinstance(notes, dict):
         raise ValueError("metadata.annotations")
     try:
-        phase = Phase(status.get("phase"))
+        phase = PodPhase(status.get("phase"))
     except ValueError:
         raise ValueError("status.phase") from None
     try:
@@ -246,7 +246,7 @@
     return cores, memory / 2**30
 
 
-def expected_left_us(value: dict[str, Any]) -> int | None:
+def expected_run_time_us(value: dict[str, Any]) -> int | None:
     """The run time that a pod's annotations expect, None where they tell none."""
     notes = value.get("metadata", {}).get("annotations", {})
     try:
