--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -17,7 +17,7 @@
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.outlier_ejection import FAULTS
+from wingbarrow.core.outlier_ejection import FAULT_OUTCOMES
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.maintenance.calendar import calendar_requests
@@ -243,7 +243,7 @@
             dialogue = self._dialogues.setdefault(slot.number, _Dialogue())
             if outcome is None:
                 dialogue.trial = TrialOutcome.SUCCEEDED
-            elif outcome in FAULTS and dialogue.trial != TrialOutcome.SUCCEEDED:
+            elif outcome in FAULT_OUTCOMES and dialogue.trial != TrialOutcome.SUCCEEDED:
                 dialogue.trial = TrialOutcome.FAILED
 
     # Effects
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -12,26 +12,31 @@
 from wingbarrow.decide.coordination.coordinator import Coordinator
 
 # A refusal for want of room is no fault of a machine's, and what was not sent or given up here none either.
-FAULTS = (api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.UNREACHABLE, api.Outcome.BROKEN)
+FAULT_OUTCOMES = (
+    api.Outcome.ERROR,
+    api.Outcome.TIMED_OUT,
+    api.Outcome.UNREACHABLE,
+    api.Outcome.BROKEN,
+)
 
 
 class OutlierEjections:
-    """`agreement` gives the state machine that placers agree by, None where there is none."""
+    """`coordinator` gives the state machine that placers agree by, None where there is none."""
 
     def __init__(
-        self, base: Base, fleet: Fleet, agreement: Callable[[], Coordinator | None]
+        self, base: Base, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
     ) -> None:
-        self._base, self._fleet, self._agreement = base, fleet, agreement
+        self._base, self._fleet, self._coordinator = base, fleet, coordinator
         self._closed: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
 
-    def note(self, machine: str, outcome: api.Outcome | None) -> None:
+    def record_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
         """What an attempt came to at a machine; None: it runs."""
-        agreement = self._agreement()
-        if agreement is not None and (outcome is None or outcome in FAULTS):
-            agreement.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
+        coordinator = self._coordinator()
+        if coordinator is not None and (outcome is None or outcome in FAULT_OUTCOMES):
+            coordinator.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
 
-    def take(self, closed: frozenset[str]) -> None:
+    def on_verdicts(self, closed: frozenset[str]) -> None:
         """Verdicts close these machines from now on, and no others."""
         changed, self._closed = self._closed ^ closed, closed
         for name in sorted(changed):
@@ -50,14 +55,14 @@
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
         """Verdicts can only take from what the list says; one on a machine's former life says nothing of this one."""
-        agreement = self._agreement()
+        coordinator = self._coordinator()
         if (
             entry.name not in self._closed
             or listed.phase is not api.Phase.RUNNING
-            or agreement is None
+            or coordinator is None
         ):
             return listed
         now = self._base.hub.now_us()
-        if listed.launched_us > now - agreement.ejections.age_us(now, entry.name):
+        if listed.launched_us > now - coordinator.ejections.age_us(now, entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -251,7 +251,7 @@
             self.base, self.job_store, self.objects, self._requests, self.base.started_us
         )
         remote_regions.federation = self.active_rules.federation
-        remote_regions.region_news = peering.regions.news
+        remote_regions.region_reports = peering.regions.news
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
@@ -282,9 +282,9 @@
             active_rules.in_force,
         )
         peering.on_turns = self.maintenance.on_slots_changed
-        self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
+        self._requests.on_start_outcome = self.maintenance.observing(ejections.record_outcome)
         peering.zones = ejections.zones
-        peering.on_verdicts = ejections.take
+        peering.on_verdicts = ejections.on_verdicts
         active_rules.quotas = self._quota_account
 
     def _build_subset(self, settings: SubsetSettings) -> None:
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -42,8 +42,9 @@
 class RemoteRegions:
     """Forwards tasks to placers of other regions, and admits what these forward.
 
-    The placer sets `carry_out` (effects of the protocol, by mail), `region_news`, `targets` (members that are alive, of
-    the names given), `federation` and `admission` while it builds its components.
+    The placer sets these callbacks while it builds its components: `carry_out` sends the protocol's effects to peers,
+    `region_reports` gives the latest report of each region by name, `targets` the live members among the names given,
+    `federation` the federation rules in force. It also sets `admission`.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
-        self.region_news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
+        self.region_reports: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
         self.targets: Callable[[tuple[str, ...]], list[forwarding.Target]] = lambda names: []
         self.federation: Callable[[], Federation] = Federation
         self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
@@ -91,7 +92,7 @@
             spec,
             federation,
             Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
-            self.region_news(base.hub.now_us()),
+            self.region_reports(base.hub.now_us()),
             base.random.random(),
         )
         if not choice.region:
@@ -124,7 +125,7 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        news = self.region_news(self._base.hub.now_us()).get(region)
+        news = self.region_reports(self._base.hub.now_us()).get(region)
         targets = self.targets(news.placers if news is not None else ())
         self._base.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
