--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -4,7 +4,7 @@
 
 from tests.core.subsetstage import LEAVE_S, SETTLE_S, SubsetStage
 from tests.stage import S
-from wingbarrow.core.subset import ALONE_US, CHECK_INTERVAL_US
+from wingbarrow.core.subset import CHECK_INTERVAL_US, NO_MEMBERS_TIMEOUT_US
 from wingbarrow.lab.node import node_value
 
 
@@ -68,7 +68,7 @@
         after = stage.wanted([slot.name for slot in slots[2:]])
         for slot in slots[2:]:
             assert before[slot.name] <= after[slot.name], "who stays lets nothing go"
-            assert stage.placer(slots.index(slot)).fleet.reflector.refills <= 2
+            assert stage.placer(slots.index(slot)).fleet.reflector.supplementary_lists <= 2
         for turn, slot in enumerate(slots[2:]):
             stage.submit_to(slot, f"t{turn}", runs_s=20)
             assert stage.answer_of(slot, f"t{turn}") == "placed"
@@ -95,7 +95,7 @@
 
         def apart() -> bool:
             return all(
-                len(stage.subset(index).living) == 2
+                len(stage.subset(index).live_members) == 2
                 and len(stage.placer(index).machines.links) == 4
                 for index in range(4)
             )
@@ -139,7 +139,7 @@
         assert [set(each.machines.links) for each in stage.live()] == before
         assert (
             sum(
-                each.base.counts["subset:changes"] + each.fleet.reflector.refills
+                each.base.counts["subset:changes"] + each.fleet.reflector.supplementary_lists
                 for each in stage.live()
             )
             == 0
@@ -197,7 +197,9 @@
         assert set(stage.placer(0).machines.links) < set(stage.names()), (
             "at first it does not know that it is alone"
         )
-        limit_s = ALONE_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
+        limit_s = (
+            NO_MEMBERS_TIMEOUT_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
+        )
         assert stage.wait(stage.settled_subsets, limit_s)
         assert set(stage.placer(0).machines.links) == set(stage.names())
         stage.submit_to(stage.cluster.placers[0], "t", runs_s=3)
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -122,13 +122,13 @@
         assert listing.wait(lambda: listing.reflector.watches == 1)
         before = set(listing.reflector.held)
         listing.living -= {"p1", "p2", "p3"}
-        listing.reflector.refill()
+        listing.reflector.list_missing_machines()
         want = {f"m{number}" for number in range(50) if listing.wanted(f"m{number}")}
         assert before < want == set(listing.reflector.held)
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0)
         assert listing.reflector.watches == 1
         assert listing.reflector.left_out == 50 - len(want)
-        listing.reflector.refill()
+        listing.reflector.list_missing_machines()
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0), (
             "a second one brings nothing"
         )
@@ -163,13 +163,13 @@
         listing.living = frozenset({"p0"})
         serve_old(True)
         with pytest.raises(ValueError, match="goes back"):
-            listing.reflector.refill()
+            listing.reflector.list_missing_machines()
         listing.hub.sleep(5 * S)
         assert other not in listing.reflector.held
         serve_old(False)
         watches = listing.reflector.watches
         assert listing.wait(lambda: listing.reflector.watches > watches, 20)
-        listing.reflector.refill()
+        listing.reflector.list_missing_machines()
         assert listing.reflector.held[other].listed.phase is Phase.DRAINING
 
     listing.play(script)
@@ -192,7 +192,7 @@
         assert not listing.reflector._versions.accept_entry(
             other, int(entry["metadata"]["resourceVersion"])
         )
-        listing.reflector.refill()
+        listing.reflector.list_missing_machines()
         assert other not in listing.reflector.held
         assert len(listing.reflector.held) == 19
 
@@ -209,7 +209,7 @@
         assert len(listing.reflector.held) <= 8
         assert "list-too-long" not in listing.logged
         listing.living = frozenset({"p0"})
-        listing.reflector.refill()
+        listing.reflector.list_missing_machines()
         assert len(listing.reflector.held) == 8
         assert listing.logged.count("list-too-long") == 1
 
@@ -244,7 +244,8 @@
         stage.cluster.placers[2].kill()
         assert stage.wait(
             lambda: any(
-                each.subset is not None and each.subset._refills.going for each in stage.live()
+                each.subset is not None and each.subset._supplementary_lists.running
+                for each in stage.live()
             ),
             40,
         )
@@ -262,7 +263,9 @@
         if not restored:
             serve_old(False)
         assert stage.wait(stage.settled_subsets, 20)
-        assert all(not each.subset._refills.going for each in stage.live() if each.subset)
+        assert all(
+            not each.subset._supplementary_lists.running for each in stage.live() if each.subset
+        )
 
     stage.play(script, start=False)
     audited = stage.audit()
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -137,7 +137,7 @@
         assert stage.answer_of(slot, "first") == "placed"
         subset = placer.subset
         assert subset is not None
-        without = set(subset.living)
+        without = set(subset.live_members)
         members_say(stage, subset, without | {other.name})
         assert phase_of(link) is Phase.DRAINING
         members_say(stage, subset, without)
@@ -304,7 +304,7 @@
         assert subset is not None
         answers: list[bool | None] = [None, True, True, False]
         link.holds_any = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
-        members_say(stage, subset, set(subset.living) | {other.name})
+        members_say(stage, subset, set(subset.live_members) | {other.name})
         while answers:
             assert placer.machines.links.get(machine) is link, answers
             stage.hub.sleep(S // 10)
@@ -327,7 +327,7 @@
         assert subset is not None
         placer.fleet.guards.pop()  # the other machines are open again
         placer.fleet.reapply(list(placer.fleet.held.values()))
-        members_say(stage, subset, set(subset.living) | {other.name})
+        members_say(stage, subset, set(subset.live_members) | {other.name})
         assert phase_of(link) is Phase.DRAINING
         assert machine in subset.lingering
         sights = placer.peer_hints.know()[0]
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -8,7 +8,7 @@
 from tests.core.test_subset_cold import OFFERS, burst, most_within
 from tests.stage import S
 from wingbarrow.core.placer import Placer
-from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDEN_SPREAD_US
+from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDENING_LIST_SPREAD_US
 from wingbarrow.decide.subset_widening import CALM_PERIOD_US, MIN_STEP_INTERVAL_US
 from wingbarrow.interface import Phase
 from wingbarrow.lab.build import Build
@@ -46,27 +46,27 @@
     def script() -> None:
         slot, placer, held = begun(stage)
         subset = stage.subset(INDEX)
-        subset._refills._spread_us = (
+        subset._supplementary_lists._spread_us = (
             10 * S
         )  # as with a hundred placers: a list for itself must not wait so long
-        subset._refills.ask()
+        subset._supplementary_lists.request()
         fill(stage, slot, len(held))
-        assert subset.extra == 0, "nothing waited so long"
-        asked_us, refills = stage.hub.now_us(), placer.fleet.reflector.refills
+        assert subset.extra_ranks == 0, "nothing waited so long"
+        asked_us, lists_before = stage.hub.now_us(), placer.fleet.reflector.supplementary_lists
         stage.submit_to(slot, "more")
         assert stage.answer_of(slot, "more") == "placed"
         taken_us = stage.hub.now_us() - asked_us
         print("placed after", taken_us / S, "s")
-        assert taken_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDEN_SPREAD_US + S // 2
+        assert taken_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDENING_LIST_SPREAD_US + S // 2
         machine = machine_of(placer, "more")
         assert machine not in held
         assert subset.holds(machine)
-        assert subset.extra == 1
+        assert subset.extra_ranks == 1
         first_two = {
             name for name in stage.names() if slot.name in subset.subsets.ranking(name)[:2]
         }
         assert set(placer.fleet.held) == first_two, "one rank more"
-        assert placer.fleet.reflector.refills == refills + 1
+        assert placer.fleet.reflector.supplementary_lists == lists_before + 1
         told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
         assert "\nwingbarrow_subset_extra_ranks 1.0\n" in told
         assert 'subset:widened"} 1.0' in told
@@ -84,7 +84,7 @@
         stage.submit_to(slot, "more")
         assert stage.answer_of(slot, "more") == "refused"
         assert set(placer.fleet.held) == held
-        assert placer.fleet.reflector.refills == 0
+        assert placer.fleet.reflector.supplementary_lists == 0
         assert not placer.base.counts["subset:widened"]
 
     stage.play(script, start=False)
@@ -99,21 +99,23 @@
         for index, each in enumerate(stage.cluster.placers):
             fill(stage, each, len(stage.placer(index).fleet.held))
         subset, steps_us = stage.subset(INDEX), [0]
-        asked_us, refills = stage.hub.now_us(), placer.fleet.reflector.refills
+        asked_us, lists_before = stage.hub.now_us(), placer.fleet.reflector.supplementary_lists
         for name in ("a", "b", "c"):
             stage.submit_to(slot, name, patience_s=8)
         assert len(placer.waits) == 3, "what was placed before does not wait"
         while placer.job_store.unanswered:
-            if subset.extra > len(steps_us) - 1:
+            if subset.extra_ranks > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
         assert [stage.answer_of(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
         assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
         assert not len(placer.waits)
-        assert subset.extra == 2 == placer.base.counts["subset:widened"]
+        assert subset.extra_ranks == 2 == placer.base.counts["subset:widened"]
         assert steps_us[2] - steps_us[1] >= MIN_STEP_INTERVAL_US - 10_000
         assert steps_us[1] - asked_us >= 2 * S
-        assert placer.fleet.reflector.refills - refills == 2, "a list for each step"
+        assert placer.fleet.reflector.supplementary_lists - lists_before == 2, (
+            "a list for each step"
+        )
         out = [name for name in stage.names() if slot.name not in subset.subsets.ranking(name)[:3]]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
 
@@ -131,16 +133,21 @@
         stage.submit_to(slot, "more", runs_s=90)
         assert stage.answer_of(slot, "more") == "placed"
         placed_us, machine = stage.hub.now_us(), machine_of(placer, "more")
-        others, refills = set(placer.fleet.held) - held - {machine}, placer.fleet.reflector.refills
+        others, lists_before = (
+            set(placer.fleet.held) - held - {machine},
+            placer.fleet.reflector.supplementary_lists,
+        )
         assert others, "the further rank brought more than one machine"
-        assert stage.wait(lambda: subset.extra == 0, 40)
+        assert stage.wait(lambda: subset.extra_ranks == 0, 40)
         assert CALM_PERIOD_US - S <= stage.hub.now_us() - placed_us <= CALM_PERIOD_US + S
         link = placer.machines.links[machine]
         assert link.phase is Phase.DRAINING
         assert set(subset.lingering) == others | {machine}
         assert stage.wait(lambda: subset.lingering == [machine], (LINGER_US + 5 * S) / S)
         assert placer.base.counts["subset:narrowed"] == 1
-        assert placer.fleet.reflector.refills == refills, "a step down reads no list"
+        assert placer.fleet.reflector.supplementary_lists == lists_before, (
+            "a step down reads no list"
+        )
         # It waits long again: the machine that is followed still is open at once.
         stage.submit_to(slot, "again", runs_s=1)
         assert stage.answer_of(slot, "again") == "placed"
@@ -172,7 +179,7 @@
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.hub.sleep(S + S // 5)
         answers = burst(stage, [INDEX], 30, pace_s=0.05)
-        assert subset.extra >= 1 and answers["placed"] > 0, answers
+        assert subset.extra_ranks >= 1 and answers["placed"] > 0, answers
         shares = {
             machine.name: subset.subsets.max_cold_offers(slot.name, machine.name, OFFERS)
             for machine in others
--- a/tests/lab/test_subset_days.py
+++ b/tests/lab/test_subset_days.py
@@ -52,7 +52,7 @@
     assert not any(each.unexpected_transitions() for each in placers), "steps that the tables lack"
     told = {
         "changes": sum(each.base.counts["subset:changes"] for each in placers),
-        "refills": sum(each.fleet.reflector.refills for each in placers),
+        "refills": sum(each.fleet.reflector.supplementary_lists for each in placers),
         "released": sum(each.base.counts["subset:released"] for each in placers),
         "most held": max(len(each.machines.links) for each in placers),
     }
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -63,7 +63,7 @@
         self.is_wanted: Callable[[str], bool] = _accept_all
         self.skipped_entries = 0  # so far
         self.left_out = 0  # machines on the list that are not held
-        self.refills = 0
+        self.supplementary_lists = 0
         self.bad_entries = 0
         self.relists = 0
         self.watches = 0
@@ -136,7 +136,7 @@
         self._on_success()
         self._deliver(ListForm.FULL, list(entries.values()), gone)
 
-    def refill(self) -> None:
+    def list_missing_machines(self) -> None:
         """Add machines that are wanted and not held, by a further list while the watch goes on.
 
         Raises CallFailed, ApiError or ValueError where there is no list, or one older than what was read.
@@ -150,7 +150,7 @@
         # Danger (rule 3): the watch may have announced a drain that an older list does not contain yet.
         if self._versions.is_stale(int(version)):
             raise ValueError(f"the list goes back to version {version}")
-        self.refills += 1
+        self.supplementary_lists += 1
         added: list[NodeEntry] = []
         wanted = [value for value in items if self._is_wanted(value)]
         self.left_out = len(items) - len(wanted)
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -22,23 +22,27 @@
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.core.refills import Refills
 from wingbarrow.core.stops import Stops
+from wingbarrow.core.supplementary_lists import SupplementaryLists
 from wingbarrow.decide.membership_damping import DampedMembership
 from wingbarrow.decide.subset_widening import SubsetWidening
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 250_000
-ALONE_US = 5_000_000  # without any known member for so long, this placer counts as the only one
+NO_MEMBERS_TIMEOUT_US = (
+    5_000_000  # without any known member for so long, this placer counts as the only one
+)
 LINGER_US = 10_000_000  # after the last offer to a machine: an abandoned one may start so late
 RELEASE_RETRY_US = 2_000_000  # before a machine that could not be released is checked again
 RELEASE_CONFIRM_US = (
     1_000_000  # a machine that was stalled may accept offers a little after its answer
 )
 MAX_RELEASES = 16  # at one time
-REFILL_EACH_US = 100_000  # the placers' lists are spread over so long for each placer of the roster
-REFILL_SPREAD_US = 10_000_000  # and at most over this
-WIDEN_SPREAD_US = (
+LIST_SPREAD_PER_PLACER_US = (
+    100_000  # the placers' lists are spread over so long for each placer of the roster
+)
+MAX_LIST_SPREAD_US = 10_000_000  # and at most over this
+WIDENING_LIST_SPREAD_US = (
     200_000  # of a list for widening: other placers may be short of capacity at the same time
 )
 
@@ -68,22 +72,26 @@
         self._stops = stops
         self._members = members
         self._waits_long = waits_long
-        self._me = base.settings.name
+        self._name = base.settings.name
         self.subsets = Subsets(settings.rules)
-        self._spread_us = min(REFILL_SPREAD_US, REFILL_EACH_US * len(settings.rules.roster))
-        self._view = DampedMembership(
-            self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
+        self._spread_us = min(
+            MAX_LIST_SPREAD_US, LIST_SPREAD_PER_PLACER_US * len(settings.rules.roster)
+        )
+        self._membership = DampedMembership(
+            self._name, settings.rules.roster, settings.leave_after_us, settings.settle_us
         )
         self._max_extra = settings.widen
         self._widening = SubsetWidening(settings.widen)
-        self.extra = 0  # further ranks whose machines this placer holds while its tasks wait long
-        self._begun_us = base.hub.now_us()
-        self.living = self._view.live_members(self._begun_us)
+        self.extra_ranks = (
+            0  # further ranks whose machines this placer holds while its tasks wait long
+        )
+        self._started_us = base.hub.now_us()
+        self.live_members = self._membership.live_members(self._started_us)
         # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
         self._follows_all = False
-        self._refills = Refills(base, fleet.reflector, self._spread_us)
+        self._supplementary_lists = SupplementaryLists(base, fleet.reflector, self._spread_us)
         # Apart from those: a list for widening must not wait for the spread among all placers.
-        self._widening_lists = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
+        self._widening_lists = SupplementaryLists(base, fleet.reflector, WIDENING_LIST_SPREAD_US)
         self._releasing = 0
         # Lingering machines that could not be released: when to check again.
         self._retry_at_us: dict[str, int] = {}
@@ -94,7 +102,7 @@
 
     def holds(self, name: str) -> bool:
         """Whether a machine belongs to this placer's subset."""
-        return self.subsets.holds(self._me, name, self.living, self.extra)
+        return self.subsets.holds(self._name, name, self.live_members, self.extra_ranks)
 
     def is_followed(self, name: str) -> bool:
         """Whether a machine's entry is read: it belongs to the subset, or lingers."""
@@ -119,7 +127,7 @@
 
     def run(self) -> None:
         """Follow membership and release machines until cancelled."""
-        self._begun_us = self._base.hub.now_us()
+        self._started_us = self._base.hub.now_us()
         while True:
             now = self._base.hub.now_us()
             self._check_membership(now)
@@ -132,16 +140,16 @@
 
     def _check_membership(self, now_us: int) -> None:
         living, known = self._members()
-        if known or now_us - self._begun_us >= ALONE_US:
-            living |= {self._me}
-        self._view.on_members(now_us, living)
-        living = self._view.live_members(now_us)
-        if living != self.living:
+        if known or now_us - self._started_us >= NO_MEMBERS_TIMEOUT_US:
+            living |= {self._name}
+        self._membership.on_members(now_us, living)
+        living = self._membership.live_members(now_us)
+        if living != self.live_members:
             self._follow(living)
 
     def _follow(self, living: frozenset[str]) -> None:
-        before = self.living
-        moved = self._change(living, self.extra)
+        before = self.live_members
+        moved = self._change(living, self.extra_ranks)
         self._base.counts["subset:changes"] += 1
         self._base.log(
             "subset",
@@ -151,26 +159,26 @@
             left=sorted(before - living)[:20],
         )
         if before - living:
-            self._refills.ask()
+            self._supplementary_lists.request()
 
     def _check_waits(self, now_us: int) -> None:
-        before = self.extra
-        useful = len(self.living) - self.subsets.rules.replicas
+        before = self.extra_ranks
+        useful = len(self.live_members) - self.subsets.rules.replicas
         extra = self._widening.update(now_us, self._waits_long(now_us), useful)
         if extra == before:
             return
-        moved = self._change(self.living, extra)
+        moved = self._change(self.live_members, extra)
         self._base.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
         self._base.log("subset-width", extra=extra, moved=moved)
         if extra > before:
-            self._widening_lists.ask()
+            self._widening_lists.request()
 
     def _change(self, living: frozenset[str], extra: int) -> int:
         """Apply a new membership and width; the number of followed machines that enter or leave the subset."""
         held = self._fleet.held
         before = [name for name in held if self.holds(name)]
-        self.living = living
-        self.extra = extra
+        self.live_members = living
+        self.extra_ranks = extra
         changed = set(before) ^ {name for name in held if self.holds(name)}
         if changed:
             self._fleet.reapply([held[name] for name in held if name in changed])
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -330,7 +330,7 @@
         (
             "wingbarrow_subset_extra_ranks",
             "Ranks held beyond the replicas by now",
-            placer.subset.extra,
+            placer.subset.extra_ranks,
         ),
         (
             "wingbarrow_subset_left_out",
@@ -345,7 +345,7 @@
         (
             "wingbarrow_subset_relists",
             "Lists read for machines that came in, so far",
-            reflector.refills,
+            reflector.supplementary_lists,
         ),
     ]
 
