--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -282,7 +282,7 @@
             link, offered_us + LINGER_US - 1
         ), "its offer is just over"
         assert subset._may_release(link, offered_us + LINGER_US)
-        placer.stops.request(link, "default", "ghost", settled=lambda: False)
+        placer.stops.request(link, "default", "ghost", is_settled=lambda: False)
         assert not subset._may_release(link, offered_us + LINGER_US), "a stop is owed"
         link.reachable = False
         assert not subset._may_release(link, offered_us + 9 * LINGER_US), "it cannot tell"
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -270,7 +270,7 @@
                     attempt.link,
                     task.job.request.namespace,
                     attempt.key,
-                    settled=lambda: attempt.stage is Stage.ENDED,
+                    is_settled=lambda: attempt.stage is Stage.ENDED,
                 )
             elif attempt.scope is not None:
                 attempt.scope.cancel()  # nothing was sent: no stop is needed
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -307,7 +307,7 @@
         if self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._base.hub.now_us()
             if attempt.found:
-                self._requests.on_found(attempt)
+                self._requests.on_found_running(attempt)
             else:
                 self._requests.on_placed(attempt)
 
@@ -344,7 +344,7 @@
                 attempt.link,
                 attempt.task.job.request.namespace,
                 attempt.key,
-                settled=lambda: attempt.stage is Stage.ENDED,
+                is_settled=lambda: attempt.stage is Stage.ENDED,
             )
         elif attempt.scope is not None:
             attempt.scope.cancel()  # nothing was sent: no call is owed
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -160,7 +160,9 @@
         left = (
             expected_run_time_us(pod_status.value) if pod_status else task.job.request.expected_us
         )
-        self._host.feed(api.TaskFound(self._requests.arrival(task, request, left), link.ident))
+        self._host.feed(
+            api.TaskFound(self._requests.arrived_event(task, request, left), link.ident)
+        )
 
     def _adopt_job(self, link: MachineLink, pod_status: PodStatus) -> None:
         """A pod of an earlier incarnation: its Job is recreated from the pod."""
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -297,7 +297,7 @@
             self.attempts,
             self.stops,
             self._members,
-            self.waits.any_long,
+            self.waits.has_long_wait,
         )
         shares = SlowStartShares(
             self.base,
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -55,7 +55,7 @@
             due_us = self._base.hub.now_us() + job_request.patience_us
         request = self._jobs.open_request(task, due_us)
         self.waits.add(task)
-        self._host.feed(self.arrival(task, request, job_request.expected_us))
+        self._host.feed(self.arrived_event(task, request, job_request.expected_us))
 
     def resubmit(self, attempt: Attempt) -> None:
         """Request a task anew whose offer the gate held for a reason of its machine alone, as if never offered.
@@ -68,7 +68,7 @@
         self.on_attempt_ended(attempt, api.Outcome.NOT_SENT, api.Reason.UNTOLD, 0)
         self.submit(task, due_us)
 
-    def arrival(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
+    def arrived_event(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
         """The event by which the module learns of a task."""
         job_request = task.job.request
         return api.TaskArrived(
@@ -157,7 +157,7 @@
         waited = attempt.placed_us - attempt.decided_us
         self._host.feed(api.TaskPlaced(attempt.request, attempt.number, attempt.link.ident, waited))
 
-    def on_found(self, attempt: Attempt) -> None:
+    def on_found_running(self, attempt: Attempt) -> None:
         """As `on_placed`, for a task found running that the module has not sent."""
         task = attempt.task
         task.machine = attempt.link.name
@@ -165,7 +165,9 @@
         self._base.counts["placed"] += 1
         self._objects.mark(task.job)
         self._host.feed(
-            api.TaskFound(self.arrival(task, attempt.request, attempt.left_us), attempt.link.ident)
+            api.TaskFound(
+                self.arrived_event(task, attempt.request, attempt.left_us), attempt.link.ident
+            )
         )
 
     def on_attempt_ended(
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -147,6 +147,6 @@
             attempt.link,
             attempt.task.job.request.namespace,
             attempt.key,
-            wanted=lambda: attempt.stage is Stage.PLACED,
-            done=on_stopped,
+            is_wanted=lambda: attempt.stage is Stage.PLACED,
+            on_stopped=on_stopped,
         )
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -52,11 +52,11 @@
 
 
 class _MachineStops:
-    """Pending stops on one machine: `fresh` in order of request, `retries` a heap by due time."""
+    """Pending stops on one machine: `new` in order of request, `retries` a heap by due time."""
 
     def __init__(self, hub: Hub) -> None:
         self.pods: set[str] = set()
-        self.fresh: deque[_PendingStop] = deque()
+        self.new: deque[_PendingStop] = deque()
         self.retries: list[tuple[int, str, _PendingStop]] = []
         self.workers = 0
         self.arrived = Signal(hub)
@@ -85,9 +85,9 @@
         link: MachineLink,
         namespace: str,
         pod: str,
-        wanted: Callable[[], bool] = _always,
-        settled: Callable[[], bool] = _always,
-        done: Callable[[], None] = _nothing,
+        is_wanted: Callable[[], bool] = _always,
+        is_settled: Callable[[], bool] = _always,
+        on_stopped: Callable[[], None] = _nothing,
     ) -> None:
         """Have a pod stopped; a second request for the same pod changes nothing."""
         if pod in self._confirmed:
@@ -98,13 +98,13 @@
         if pod in machine.pods:
             return
         machine.pods.add(pod)
-        machine.fresh.append(
+        machine.new.append(
             _PendingStop(
                 pod,
                 namespace,
-                wanted,
-                settled,
-                done,
+                is_wanted,
+                is_settled,
+                on_stopped,
                 Backoff(self._seed, MIN_BACKOFF_US, MAX_BACKOFF_US),
             )
         )
@@ -126,12 +126,12 @@
         return len(machine.pods) if machine is not None else 0
 
     def _work(self, link: MachineLink, machine: _MachineStops) -> None:
-        while machine.fresh or machine.retries:
+        while machine.new or machine.retries:
             now = self._hub.now_us()
             if machine.retries and machine.retries[0][0] <= now:
                 stop = heapq.heappop(machine.retries)[2]
-            elif machine.fresh:
-                stop = machine.fresh.popleft()
+            elif machine.new:
+                stop = machine.new.popleft()
             else:
                 with self._hub.limit(machine.retries[0][0] - now):
                     machine.arrived.wait()
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -34,7 +34,7 @@
     def __len__(self) -> int:
         return sum(len(group) for group in self._groups.values())
 
-    def any_long(self, now_us: int) -> bool:
+    def has_long_wait(self, now_us: int) -> bool:
         """Whether a task without an attempt in flight has waited long: `decide.subset_widening.is_long_wait`."""
         return any(
             self._waits_long(now_us, request, task)
