--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -162,7 +162,7 @@
         assert len(out) >= 5
         listing.living = frozenset({"p0"})
         serve_old(True)
-        with pytest.raises(ValueError, match="goes back"):
+        with pytest.raises(ValueError, match="is stale"):
             listing.reflector.list_missing_machines()
         listing.hub.sleep(5 * S)
         assert other not in listing.reflector.held
--- a/wingbarrow/core/attempt_table.py
+++ b/wingbarrow/core/attempt_table.py
@@ -1,6 +1,6 @@
-"""The life of attempts, whatever front they serve: an offer waits for its connection, goes out, ends or runs.
+"""The table of attempts and their stages, for all fronts: an offer waits for a connection, is sent, is placed, or ends.
 
-An attempt's stage changes only by `_NEXT`; answers that come late or twice are counted and dropped.
+A stage changes only as `_TRANSITIONS` allows; late and duplicate responses are counted and dropped.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Stage(Enum):
-    """Where an attempt stands."""
+    """The stage of an attempt."""
 
     WAITING = "waiting for a connection"
     SENT = "sent"
@@ -23,7 +23,7 @@
     ENDED = "ended"
 
 
-_NEXT = {
+_TRANSITIONS = {
     Stage.WAITING: (Stage.SENT, Stage.PLACED, Stage.ENDED),
     Stage.SENT: (Stage.PLACED, Stage.ENDED),
     Stage.PLACED: (Stage.ENDED,),
@@ -32,7 +32,7 @@
 
 
 class NamedMachine(Protocol):
-    """A machine as attempts need it."""
+    """The part of a machine that the table uses."""
 
     name: str
 
@@ -46,7 +46,7 @@
 class AttemptRecord(Generic[TaskT, LinkT]):
     """One offer of one request to one machine; `number` counts a request's attempts from 0.
 
-    `key` names the attempt among all of one placer; times are microseconds of the hub's clock.
+    `key` identifies the attempt within one placer; times are microseconds of the hub's clock.
     """
 
     request: int
@@ -60,52 +60,52 @@
     placed_us: int = 0
     scope: CancelScope | None = None
     stopping: RunEnd | None = None  # why it is being stopped
-    abandoned: bool = False  # nobody waits for its answer any longer
-    launched_us: int | None = None  # the machine's last start as known when it was chosen
+    abandoned: bool = False  # the request no longer waits for its response
+    launched_us: int | None = None  # the machine's last start, as known when the machine was chosen
 
 
 class AttemptTable(Generic[AttemptT]):
-    """All attempts that are not over, by request, by key and by machine."""
+    """All attempts that have not ended, by request, by key and by machine."""
 
     def __init__(self) -> None:
         self._by_request: dict[int, AttemptT] = {}
         self.by_key: dict[str, AttemptT] = {}
-        self._on: dict[str, dict[str, AttemptT]] = {}
+        self._by_machine: dict[str, dict[str, AttemptT]] = {}
         self.unexpected_transitions: Counter[str] = Counter()
 
     def add(self, attempt: AttemptT) -> None:
-        """A new attempt; the module sends one at a time."""
+        """Add an attempt; a request has at most one at a time."""
         self._by_request[attempt.request] = attempt
         self.by_key[attempt.key] = attempt
-        self._on.setdefault(attempt.link.name, {})[attempt.key] = attempt
+        self._by_machine.setdefault(attempt.link.name, {})[attempt.key] = attempt
 
     def of(self, request: int) -> AttemptT | None:
-        """The attempt of a request that is not over."""
+        """The attempt of a request; None where it has none that has not ended."""
         return self._by_request.get(request)
 
     def advance(self, attempt: AttemptT, stage: Stage) -> bool:
-        """Change its stage; False, and counted, where it is past that."""
-        if stage not in _NEXT[attempt.stage]:
+        """Change the attempt's stage; returns False and counts the transition where it is not allowed."""
+        if stage not in _TRANSITIONS[attempt.stage]:
             self.unexpected_transitions[f"{stage.value} after {attempt.stage.value}"] += 1
             return False
         attempt.stage = stage
         if stage is Stage.ENDED:
             self.by_key.pop(attempt.key, None)
-            on = self._on.get(attempt.link.name, {})
-            on.pop(attempt.key, None)
-            if not on:
-                self._on.pop(attempt.link.name, None)
+            attempts = self._by_machine.get(attempt.link.name, {})
+            attempts.pop(attempt.key, None)
+            if not attempts:
+                self._by_machine.pop(attempt.link.name, None)
             if self._by_request.get(attempt.request) is attempt:
                 del self._by_request[attempt.request]
         return True
 
     def on(self, link: NamedMachine) -> list[AttemptT]:
-        """Those on one machine."""
+        """The attempts on one machine."""
         return self.on_machine_named(link.name)
 
     def on_machine_named(self, machine: str) -> list[AttemptT]:
-        """Those on the machine of that name."""
-        return list(self._on.get(machine, {}).values())
+        """The attempts on the machine of that name."""
+        return list(self._by_machine.get(machine, {}).values())
 
     def __len__(self) -> int:
         return len(self.by_key)
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -1,4 +1,4 @@
-"""Offers: from the module's Bind through the gate to the machine's answer."""
+"""Sends offers: from the decision module's Bind action through the send gate to the machine's response."""
 
 from __future__ import annotations
 
@@ -20,24 +20,27 @@
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.transport import CancelScope
 
-MAX_RESUBMISSIONS = 8  # of one task
+MAX_RESUBMISSIONS = 8  # per task
 
 
 class SlowStartLimit(Protocol):
-    """A placer's share of the offers to cold machines (`core.slow_start`)."""
+    """Limits this placer's offers to cold machines; implemented by `core.slow_start`."""
 
     def on_chosen(self, link: MachineLink) -> None:
-        """The module has bound a task to a machine; its offer waits from now on."""
+        """The decision module has bound a task to a machine; the offer is now waiting to be sent."""
 
     def has_share(self, link: MachineLink) -> bool:
-        """Whether one more offer may be sent to a machine now."""
+        """Whether one more offer may be sent to the machine now."""
 
     def on_sent(self, attempt: Attempt) -> None:
         """The first byte of an offer is about to be sent."""
 
 
 class Offers:
-    """Owns the gate that each offer passes before its first byte; `slow_start` is set where placers hold subsets."""
+    """Owns the gate that checks each offer before its first byte is sent.
+
+    `slow_start` is set only where placers hold subsets of the machines.
+    """
 
     def __init__(
         self,
@@ -65,10 +68,10 @@
         self.slow_start: SlowStartLimit | None = None
 
     def bind(self, bind: api.Bind) -> None:
-        """The module chose a machine for a task: begin an attempt."""
+        """Begin an attempt: the decision module chose a machine for a task."""
         task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
         if task is None or link is None:
-            # The module binds only open requests, and only to listed machines; otherwise the offer counts as not sent.
+            # The module binds only open requests to listed machines. Any other bind is reported to it as not sent.
             self._base.counts["binds_dropped"] += 1
             self._host.feed(
                 api.AttemptEnded(
@@ -98,7 +101,7 @@
         self._base.spawn(lambda: self._offer(attempt), "offer")
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """Every offer passes here right before its first byte; see decide.gate."""
+        """Whether the gate (`decide.gate`) lets an offer through; called immediately before its first byte is sent."""
         task, link, now = attempt.task, attempt.link, self._base.hub.now_us()
         held: HoldReason | None = self._gate.check(
             now,
@@ -149,16 +152,16 @@
                 self._leased_jobs.expiry(attempt) if self._leased_jobs is not None else "",
             )
 
-        ended: OfferFailure | None = OfferFailure(
+        failure: OfferFailure | None = OfferFailure(
             api.Outcome.CANCELLED, api.Reason.UNTOLD, "withdrawn by its owner"
         )
         with CancelScope(self._base.hub) as scope:
             attempt.scope = scope
-            ended = (
+            failure = (
                 self._leased_jobs.before_send(attempt) if self._leased_jobs is not None else None
             )
-            if ended is None:
-                ended = link.offer(
+            if failure is None:
+                failure = link.offer(
                     task.job.request.namespace,
                     body,
                     attempt.deadline_us,
@@ -166,28 +169,30 @@
                 )
         attempt.scope = None
         if attempt.stage is Stage.PLACED or attempt.stage is Stage.ENDED:
-            return  # the machine's watch event came before its answer
+            return  # the machine's watch event arrived before its response
         if (
-            ended is not None
+            failure is not None
             and attempt.stage is Stage.WAITING
-            and ended.outcome is api.Outcome.CANCELLED
+            and failure.outcome is api.Outcome.CANCELLED
         ):
-            ended = OfferFailure(api.Outcome.NOT_SENT, ended.reason, ended.details)
-        elif ended is not None and attempt.stopping is retries.RunEnd.STOPPED:
-            # Danger: the machine's answer to a stopped offer is no refusal; the module would back off from the machine.
-            ended = OfferFailure(api.Outcome.CANCELLED, ended.reason, "withdrawn by its owner")
-        if ended is None:
+            failure = OfferFailure(api.Outcome.NOT_SENT, failure.reason, failure.details)
+        elif failure is not None and attempt.stopping is retries.RunEnd.STOPPED:
+            # Danger: the response to an offer that was stopped is not a refusal. Reported as one, it would make the
+            # module back off from the machine.
+            failure = OfferFailure(api.Outcome.CANCELLED, failure.reason, "withdrawn by its owner")
+        if failure is None:
             self.on_running(attempt)
         elif self._may_resubmit(attempt):
             self._base.counts["asked_anew"] += 1
             self._requests.resubmit(attempt)
         else:
-            self._on_failed(attempt, ended)
+            self._on_failed(attempt, failure)
 
     def _may_resubmit(self, attempt: Attempt) -> bool:
-        """Whether the gate held an offer because others, chosen in the same module event, used up the share.
+        """Whether the gate held the offer only because others, bound in the same module event, used up the cold share.
 
-        Danger: a few of those would use up all attempts of a task that was never offered to any machine.
+        Danger: counted as attempts, a few such offers would use up all attempts of a task that was never offered to
+        any machine.
         """
         task = attempt.task
         return (
@@ -202,10 +207,10 @@
         )
 
     def on_running(self, attempt: Attempt) -> None:
-        """The machine reported that the attempt's task runs."""
+        """Handle the machine's report that the attempt's task is running."""
         task, now = attempt.task, self._base.hub.now_us()
         if task.request != attempt.request or task.state is not State.ASKED:
-            # The request was answered otherwise while the offer was in flight: what runs now is an orphan.
+            # The request got another final answer while the offer was in flight: the running pod is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
             )
@@ -218,22 +223,22 @@
             attempt.placed_us = now
             self._requests.on_placed(attempt)
 
-    def _on_failed(self, attempt: Attempt, ended: OfferFailure) -> None:
-        attempt.task.last_outcome = f"{attempt.link.name}: {ended.details}"[:300]
-        self._base.counts[f"offer:{ended.outcome.value}"] += 1
+    def _on_failed(self, attempt: Attempt, failure: OfferFailure) -> None:
+        attempt.task.last_outcome = f"{attempt.link.name}: {failure.details}"[:300]
+        self._base.counts[f"offer:{failure.outcome.value}"] += 1
         self._base.log(
             "offer-ended",
             level="debug",
             request=attempt.request,
             attempt=attempt.number,
             machine=attempt.link.name,
-            outcome=ended.outcome.value,
-            why=ended.details,
+            outcome=failure.outcome.value,
+            why=failure.details,
         )
         self._requests.on_attempt_ended(
             attempt,
-            ended.outcome,
-            ended.reason,
+            failure.outcome,
+            failure.reason,
             self._base.hub.now_us() - attempt.decided_us,
-            ended.details,
+            failure.details,
         )
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -1,7 +1,7 @@
-"""Orphaned pods: they run though no open attempt accounts for them. Adopted, taken as an answer, or stopped.
+"""Orphaned pods: running pods without an open attempt. Each is adopted, accepted as a placement, left alone or stopped.
 
-`decide.orphans` decides which; this carries it out. Orphans come of lost answers, of offers that were given up and
-accepted all the same, and of an earlier incarnation of this placer.
+`decide.orphans` chooses the action and this component carries it out. Orphans result from lost responses, from offers
+that were accepted after they had been given up, and from an earlier incarnation of this placer.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Orphans:
-    """Carries out what is decided on orphans; owns what is known of the earlier incarnation."""
+    """Carries out the actions on orphans; holds the last heartbeat of the earlier incarnation."""
 
     def __init__(
         self,
@@ -49,9 +49,9 @@
         self._requests = requests
         self._runs = runs
         self._stops = stops
-        # Whether a pod is another placer's, by a lease in force.
+        # Whether a pod belongs to another placer by a lease in force.
         self.is_foreign: Callable[[MachineLink, PodStatus], bool] = lambda link, pod_status: False
-        # Whether a leased Job's placement waits for a replica's acknowledgement, and is answered after it.
+        # Returns True where the placement belongs to a leased Job: it is answered once a replica has acknowledged it.
         self.place_leased: Callable[[MachineLink, str, TaskRecord, int | None], bool] = (
             lambda link, pod, task, left: False
         )
@@ -59,7 +59,7 @@
         self._last_heartbeat_us = saved_list.read_heartbeat(Path(state)) if state else None
 
     def on_pod(self, link: MachineLink, pod_status: PodStatus) -> None:
-        """A machine reported a pod that no open attempt accounts for."""
+        """Handle a machine's report of a pod that has no open attempt."""
         if pod_status.phase is not PodPhase.RUNNING or self.is_foreign(link, pod_status):
             return
         job = self._jobs.jobs.get(pod_status.job_key)
@@ -70,8 +70,8 @@
         elif pod_status.name.startswith(f"t{self._base.incarnation}-") or self._jobs.was_deleted(
             pod_status.job_uid
         ):
-            # Danger: a deleted Job would come back. A pod of this incarnation without a Job has no owner; for those of
-            # an earlier one the deleted Job's uid is remembered.
+            # Danger: adopting the pod would bring back a deleted Job. A pod of this incarnation whose Job is not known
+            # has no owner; for pods of an earlier incarnation, the uids of deleted Jobs are remembered.
             self._stop(link, pod_status.namespace, pod_status.name)
         else:
             self._adopt_job(link, pod_status)
@@ -84,10 +84,10 @@
         task: TaskRecord,
         pod_status: PodStatus | None,
     ) -> None:
-        """Carry out what `decide.orphans` says of an orphan whose task is known."""
+        """Carry out the action of `decide.orphans` on an orphan whose task is known."""
         job, state = task.job, task.state
         if job.leased is not None and not job.leased.session:
-            return  # Danger: its session has ended. Its machine stops it, or a stop is under way
+            return  # Danger: its session has ended. Its machine stops the pod, or a stop is already pending.
         action = orphans.action_for(
             orphans.Orphan(
                 job.request.task_class.task_class.effect,
@@ -123,7 +123,7 @@
     def _place_late(
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
-        """The orphan is what the open request waits for: the request ends as placed."""
+        """Answer the task's open request as placed, with the orphan as the placement."""
         left = (
             expected_run_time_us(pod_status.value) if pod_status else task.job.request.expected_us
         )
@@ -135,7 +135,7 @@
         else:
             self._requests.withdraw(task)
         self._jobs.transition(task, Step.PLACE)
-        self._hand_over(link, pod, task, pod_status)
+        self._feed_found(link, pod, task, pod_status)
 
     def _adopt(
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
@@ -144,12 +144,12 @@
             self._objects.record_event(
                 task.job, "Normal", "FoundRunning", f"task {task.index} runs on {link.name}"
             )
-            self._hand_over(link, pod, task, pod_status)
+            self._feed_found(link, pod, task, pod_status)
 
-    def _hand_over(
+    def _feed_found(
         self, link: MachineLink, pod: str, task: TaskRecord, pod_status: PodStatus | None
     ) -> None:
-        """Give a running task to the decision module as found; it counts as attempt 0."""
+        """Report a running task to the decision module as found; it counts as attempt 0."""
         now = self._base.hub.now_us()
         request = self._jobs.open_request(task, now)
         task.attempts_made, task.machine = 1, link.name
@@ -165,17 +165,17 @@
         )
 
     def _adopt_job(self, link: MachineLink, pod_status: PodStatus) -> None:
-        """A pod of an earlier incarnation: its Job is recreated from the pod."""
-        asked = self._recreate_request(link, pod_status)
-        if asked is None or pod_status.job_key in self._jobs.jobs:
+        """Recreate the Job of a pod of an earlier incarnation from the pod, and adopt its task."""
+        job_request = self._recreate_request(link, pod_status)
+        if job_request is None or pod_status.job_key in self._jobs.jobs:
             self._base.counts["not_adopted"] += 1
             self._base.log("not-adopted", level="error", machine=link.name, job=pod_status.job_key)
             return
         job = self._jobs.add(
             pod_status.job_key,
             pod_status.job_uid,
-            asked,
-            self._recreate_job(pod_status, asked),
+            job_request,
+            self._recreate_job(pod_status, job_request),
             adopted=True,
         )
         self._base.counts["jobs_adopted"] += 1
@@ -188,7 +188,10 @@
 
     def _recreate_request(self, link: MachineLink, pod_status: PodStatus) -> JobRequest | None:
         value = pod_status.value
-        labels, notes = value["metadata"].get("labels") or {}, value["metadata"]["annotations"]
+        labels, annotations = (
+            value["metadata"].get("labels") or {},
+            value["metadata"]["annotations"],
+        )
         settings = self._base.settings.classes.get(labels.get(names.CLASS, ""))
         namespace, _, name = pod_status.job_key.partition("/")
         try:
@@ -203,7 +206,7 @@
             namespace,
             name,
             settings,
-            notes.get(names.SERVICE, pod_status.job_key),
+            annotations.get(names.SERVICE, pod_status.job_key),
             pod_status.job_size,
             cores,
             memory,
@@ -212,23 +215,23 @@
             settings.restarts if safe else 0,
         )
 
-    def _recreate_job(self, pod_status: PodStatus, asked: JobRequest) -> dict[str, Any]:
-        value, notes = pod_status.value, pod_status.value["metadata"]["annotations"]
+    def _recreate_job(self, pod_status: PodStatus, job_request: JobRequest) -> dict[str, Any]:
+        value, annotations = pod_status.value, pod_status.value["metadata"]["annotations"]
         spec = {
             key: part for key, part in value["spec"].items() if key not in ("nodeName", "priority")
         }
         kept = {
             key: text
-            for key, text in notes.items()
+            for key, text in annotations.items()
             if key in (names.RUNS_FOR, names.EXPECTED, names.PATIENCE)
         }
-        labels = {names.CLASS: asked.task_class.task_class.name}
+        labels = {names.CLASS: job_request.task_class.task_class.name}
         return job_value(
             {
                 "metadata": {"labels": labels, "annotations": kept},
                 "spec": {"template": {"spec": spec}},
             },
-            asked,
+            job_request,
             pod_status.job_uid,
             self._base.hub.clock.wall_us(),
         )
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Verdicts on machines as the core goes by them: what starts came to is told, what verdicts close gets nothing."""
+"""Outlier ejection: reports the outcomes of starts, and sends no offers to machines that agreed verdicts eject."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.coordinator import Coordinator
 
-# A refusal for want of room is no fault of a machine's, and what was not sent or given up here none either.
+# A refusal for lack of capacity is no fault of the machine, nor is an offer that was not sent or was cancelled here.
 FAULT_OUTCOMES = (
     api.Outcome.ERROR,
     api.Outcome.TIMED_OUT,
@@ -21,7 +21,10 @@
 
 
 class OutlierEjections:
-    """`coordinator` gives the state machine that placers agree by, None where there is none."""
+    """Applies the ejection verdicts to the machine list.
+
+    `coordinator` returns the replicated state machine through which placers agree, None where there is none.
+    """
 
     def __init__(
         self, base: Base, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
@@ -31,13 +34,13 @@
         fleet.guards.append(self._guard)
 
     def record_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
-        """What an attempt came to at a machine; None: it runs."""
+        """Record the outcome of an attempt on a machine; None where its task runs."""
         coordinator = self._coordinator()
         if coordinator is not None and (outcome is None or outcome in FAULT_OUTCOMES):
             coordinator.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
 
     def on_verdicts(self, closed: frozenset[str]) -> None:
-        """Verdicts close these machines from now on, and no others."""
+        """Apply the verdicts in force: exactly these machines are ejected from now on."""
         changed, self._closed = self._closed ^ closed, closed
         for name in sorted(changed):
             self._base.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
@@ -46,7 +49,7 @@
         self._fleet.reapply([held[name] for name in sorted(changed) if name in held])
 
     def zones(self) -> Mapping[str, str]:
-        """The hall of each machine that the list has running."""
+        """The zone of each machine that the list has as running."""
         return {
             name: entry.listed.zone
             for name, entry in self._fleet.held.items()
@@ -54,7 +57,10 @@
         }
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """Verdicts can only take from what the list says; one on a machine's former life says nothing of this one."""
+        """Set an ejected machine to draining; a verdict never opens a machine that the list has closed.
+
+        A verdict that is older than the machine's last start does not apply.
+        """
         coordinator = self._coordinator()
         if (
             entry.name not in self._closed
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -1,4 +1,7 @@
-"""One placer: builds the components of the core and connects them; `docs/architecture.md` draws a task's way."""
+"""One placer: builds the components of the core and connects them.
+
+`docs/architecture.md` describes a task's path through them.
+"""
 
 from __future__ import annotations
 
@@ -89,8 +92,8 @@
 class Placer:
     """The core of the program; fronts call `admission` and read `objects`.
 
-    The order in which components are built is part of the behaviour: it is the order of their random draws from
-    `base.random`, of the fleet's guards and of the Job store's listeners.
+    The order in which components are built is part of the behaviour: it determines the order of their random draws
+    from `base.random`, of the fleet's guards and of the Job store's listeners.
     """
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
@@ -126,10 +129,10 @@
         self.learner = Learner(hub, settings, self.peer_hints, self.base.started_us, log)
         self._build_drains(settings, log)
 
-    # -- building
+    # -- construction
 
     def _build_core(self, settings: PlacerSettings) -> None:
-        """The module, and what a task passes on every placer."""
+        """The decision module, and the components that handle tasks on every placer."""
         base = self.base
         limits = settings.limits
         self.job_store = JobStore(
@@ -157,7 +160,7 @@
         )
 
     def _build_leases(self, settings: PlacerSettings, lease_us: int) -> None:
-        """Leased Jobs: machines told of this placer's session, records held by replicas."""
+        """Leased Jobs: machines hold leases of this placer's session, other placers replicas of the Job records."""
         self.leases = MachineLeases(self.base, self.machines, self.peering.lease, lease_us)
         records = RecordReplication(self.base.hub, settings, self.base.started_us, self.peering)
         self.leased_jobs = LeasedJobs(
@@ -177,7 +180,7 @@
         )
 
     def _build_machines(self) -> None:
-        """The machines: the list, offers, what machines report, and peers' hints on them."""
+        """Machines: their list, offers to them, their reports, and peers' hints about them."""
         self.offers = Offers(
             self.base,
             self.host,
@@ -204,7 +207,7 @@
         self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, observations)
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
-        """Leased Jobs of ended sessions, other placers' and this one's; fences of machines."""
+        """Failover of leased Jobs of ended sessions, of other placers and of this one; fencing of machines."""
         components = self._job_components()
         records = leased_jobs.records
         self.job_failover = JobFailover(components, self.fleet, leased_jobs)
@@ -214,7 +217,7 @@
         self._orphans.is_foreign = ended_jobs.is_stray
 
     def _build_admission(self) -> None:
-        """What fronts ask for; with leases also Jobs to and from other regions."""
+        """Admission of Jobs from fronts; with leases, also forwarding of Jobs to and from other regions."""
         remote_regions = None
         if self.leased_jobs is not None:
             remote_regions = self._build_remote_regions(self.leased_jobs)
@@ -245,7 +248,7 @@
             )
 
     def _build_remote_regions(self, leased_jobs: LeasedJobs) -> RemoteRegions:
-        """Forwarding between regions, and this region's own report to the others."""
+        """Forwarding of Jobs between regions, and this region's report to the other regions."""
         peering = self.peering
         remote_regions = RemoteRegions(
             self.base, self.job_store, self.objects, self._requests, self.base.started_us
@@ -261,7 +264,7 @@
         return remote_regions
 
     def _build_agreement(self) -> None:
-        """What placers agree on: rules, quotas, ejected machines and maintenance slots."""
+        """Agreement between placers on rules, quotas, ejected machines and maintenance slots."""
         peering, active_rules = self.peering, self.active_rules
         active_rules.recheck_machines = self.fleet.reapply_named
         self.fleet.guards.append(active_rules.guard)
@@ -288,7 +291,7 @@
         active_rules.quotas = self._quota_account
 
     def _build_subset(self, settings: SubsetSettings) -> None:
-        """The part of the region's machines that this placer holds, and its share of offers to cold ones."""
+        """The subset of the region's machines that this placer holds, and its share of the offers to cold machines."""
         self.subset = Subset(
             self.base,
             settings,
@@ -311,7 +314,7 @@
         self.fleet.on_contact = shares.on_contact
 
     def _build_drains(self, settings: PlacerSettings, log: Callable[..., None]) -> None:
-        """Calendar drains, by this placer's own calendar or by the rules that placers agree on."""
+        """Calendar drains, from this placer's own calendars or from the agreed rules."""
         self.drainer = Drainer(
             self.base.hub,
             settings.calendars,
@@ -328,10 +331,10 @@
             self.drainer.may_move = self._may_act
             self.drainer.on_closed = self._on_machines_closed
 
-    # -- running
+    # -- execution
 
     def run(self) -> None:
-        """Work until cancelled; raises the error where the core itself failed."""
+        """Run until cancelled; raises the error with which the decision module failed, if it did."""
         base = self.base
         with Nursery(base.hub) as nursery:
             base.live_in(nursery)
@@ -356,10 +359,10 @@
         if self.host.failed is not None:
             raise self.host.failed
 
-    # -- what components ask of the placer as a whole
+    # -- callbacks of components
 
     def _coordinator(self) -> Coordinator | None:
-        """The state machine by which placers agree; None where this placer takes no part, or not yet."""
+        """The replicated state machine of the agreement; None where this placer takes no part, or not yet."""
         return self.peering.agreement
 
     def _rules_in_force(self, now_us: int) -> RulesInForce | None:
@@ -367,7 +370,7 @@
         return agreement.rules_in_force(now_us) if agreement is not None else None
 
     def _may_act(self) -> bool:
-        """Whether this placer may act on agreed rules now."""
+        """Whether agreed rules are in force at this placer now."""
         return self._rules_in_force(self.base.hub.now_us()) is not None
 
     def _quota_account(self) -> QuotaAccount | None:
@@ -375,19 +378,19 @@
         return agreement.quotas if agreement is not None else None
 
     def _quota_in_use(self, key: str) -> int:
-        """Open tasks under a standing limit, for the report to the voters' leader."""
+        """Number of open tasks under a quota, for the report to the leader of the voters."""
         about, _, rest = key.partition("/")
         return self.job_store.admission.open_count(about, rest.rpartition("/")[0])
 
     def _quota_demand(self, key: str) -> int:
-        """What would be used beyond that. Of the cold budget: as much as waits, as the part of it is not known."""
+        """Demand beyond the use. For the cold budget: all waiting tasks, as it is unknown which ones need it."""
         return self.job_store.unanswered if key == "cold" else 0
 
     def _carry_out_forwarding(self, effects: list[Effect]) -> None:
         self.peering.act("handing", effects)
 
     def _members(self) -> tuple[frozenset[str], int]:
-        """The other placers that membership has alive, and the number of members ever known."""
+        """The other placers that are alive by membership, and the number of members ever known."""
         table = self.peering.membership.table
         return frozenset(each.update.ident for each in table.live_members()), len(table.members)
 
@@ -402,23 +405,23 @@
     def _on_machines_closed(self, machines: frozenset[str]) -> None:
         self.peering.history("closed", machines=sorted(machines))
 
-    # -- what fronts and operators ask
+    # -- queries and settings of fronts and operators
 
     @property
     def ready(self) -> bool:
-        """Whether a list of machines was received from the source."""
+        """Whether a machine list has been received from the list source."""
         return self.fleet.ready
 
     def has_complete_view(self, machines: int) -> bool:
-        """Whether the list names at least `machines` machines and each of them has listed its pods."""
+        """Whether the list contains at least `machines` machines and each of them has listed its pods."""
         return self.fleet.has_complete_view(machines)
 
     def unexpected_transitions(self) -> dict[str, int]:
-        """Transitions that the state tables lack, with their counts; empty unless there is a defect."""
+        """Counts of transitions that the state tables do not allow; empty unless there is a defect."""
         return dict(self.job_store.unexpected_transitions + self.attempts.unexpected_transitions)
 
     def apply_settings(self, fresh: PlacerSettings) -> None:
-        """Apply settings that were read again: patience, priorities, restarts, and limits of admission."""
+        """Apply reloaded settings: patience, priorities, restarts and admission limits."""
         self.base.settings = fresh
         self.drainer.reload()
         self.job_store.set_limits(
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -1,4 +1,4 @@
-"""Pods (v1 Pod): what an offer sends to a machine, and what a machine's answers and news mean."""
+"""Pods (v1 Pod): encodes the Pod of an offer; decodes a machine's responses to offers and its reports about pods."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wingbarrow.http.message import Response
 from wingbarrow.kube import names
 
-_NO_ROOM = {
+_REFUSAL_REASONS = {
     "OutOfcpu": api.Reason.NO_CORES,
     "OutOfmemory": api.Reason.NO_MEMORY,
     "TooManyRequests": api.Reason.OFFERS_WAIT,
@@ -25,7 +25,7 @@
     "LeaseLapsed": api.Reason.NOT_HERE,
     "Fenced": api.Reason.NOT_HERE,
 }
-_GIVEN_UP = {
+_EVICTION_REASONS = {
     "Evicted": api.Reason.EVICTED,
     "Preempting": api.Reason.PUSHED_OUT,
     "NodeShutdown": api.Reason.SENT_AWAY,
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfferFailure:
-    """How an offer ended without the task placed."""
+    """Why an offer did not place its task."""
 
     outcome: api.Outcome
     reason: api.Reason
@@ -43,7 +43,7 @@
 
 
 class PodPhase(Enum):
-    """A pod's phase, as far as it matters here."""
+    """The phases of a pod (v1 PodStatus.phase) that are accepted here."""
 
     PENDING = "Pending"
     RUNNING = "Running"
@@ -60,29 +60,30 @@
     rules: str = "",
     until: str = "",
 ) -> bytes:
-    """The Pod of one attempt; `within_us` tells the machine after how long nobody waits for its start.
+    """Encode the Pod of one attempt as JSON.
 
-    `until`: of a leased Job, until when it may run by the machine's clock.
+    `within_us`: the machine must not start it later than this, as the placer no longer waits for the start then.
+    `until`: for a leased Job, the end of its lease by the machine's clock.
     """
-    job, asked = task.job, task.job.request
+    job, job_request = task.job, task.job.request
     template = job.value["spec"]["template"]
     meta = template.get("metadata") or {}
-    notes = {
+    annotations = {
         **(meta.get("annotations") or {}),
         names.JOB: job.key,
         names.PREFIX + "job-uid": job.uid,
-        names.PREFIX + "job-size": str(asked.count),
+        names.PREFIX + "job-size": str(job_request.count),
         names.PREFIX + "index": str(task.index),
         names.TASK: task.name,
-        names.SERVICE: asked.service,
+        names.SERVICE: job_request.service,
         names.START_WITHIN: f"{max(0, within_us)}us",
     }
     for key in (names.RUNS_FOR, names.EXPECTED):
-        told = (job.value["metadata"].get("annotations") or {}).get(key)
-        if told:
-            notes[key] = told
+        value = (job.value["metadata"].get("annotations") or {}).get(key)
+        if value:
+            annotations[key] = value
     if job.leased is not None:
-        notes |= {
+        annotations |= {
             names.LEASE_UNTIL: until,
             names.SESSION: job.leased.session,
             names.EPOCH: str(job.leased.epoch),
@@ -90,8 +91,8 @@
     labels = {
         **(meta.get("labels") or {}),
         names.PLACER: placer,
-        names.CLASS: asked.task_class.task_class.name,
-        names.JOB_NAME: asked.name,
+        names.CLASS: job_request.task_class.task_class.name,
+        names.JOB_NAME: job_request.name,
     }
     if rules:
         labels[names.RULES] = rules
@@ -101,21 +102,21 @@
             "kind": "Pod",
             "metadata": {
                 "name": pod,
-                "namespace": asked.namespace,
+                "namespace": job_request.namespace,
                 "labels": labels,
-                "annotations": notes,
+                "annotations": annotations,
             },
             "spec": {
                 **template["spec"],
                 "nodeName": machine,
-                "priority": asked.task_class.priority,
+                "priority": job_request.task_class.priority,
             },
         }
     )
 
 
 def read_offer_response(response: Response) -> OfferFailure | None:
-    """What the answer to an offer means; None where the task runs."""
+    """Decode the response to an offer; None where the task is running."""
     if response.status in (200, 201):
         return None
     reason, words = "", f"status {response.status}"
@@ -124,16 +125,17 @@
         reason, words = str(status.get("reason", "")), str(status.get("message", words))[:200]
     except ValueError:
         pass
-    if reason in _NO_ROOM:
-        return OfferFailure(api.Outcome.REFUSED, _NO_ROOM[reason], f"{reason}: {words}")
-    # An agent answers 4xx before it starts anything. A name that exists may be this very task's: in doubt.
+    if reason in _REFUSAL_REASONS:
+        return OfferFailure(api.Outcome.REFUSED, _REFUSAL_REASONS[reason], f"{reason}: {words}")
+    # A machine's agent responds 4xx before it starts anything. But a pod name that already exists may be this task's
+    # own, and after 408 the start is uncertain too.
     if 400 <= response.status < 500 and reason != "AlreadyExists" and response.status != 408:
         return OfferFailure(api.Outcome.REFUSED, api.Reason.UNTOLD, words)
     return OfferFailure(api.Outcome.ERROR, api.Reason.UNTOLD, words)
 
 
 def read_call_failure(error: NotSent | MaybeDone) -> OfferFailure:
-    """What a call without an answer means for rule 2: unrun only where no byte went out."""
+    """Classify a call without a response for rule 2: the task certainly did not start only where no byte was sent."""
     if isinstance(error, NotSent):
         outcome = (
             api.Outcome.UNREACHABLE
@@ -149,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PodStatus:
-    """A pod as a machine tells of it."""
+    """A pod as reported by a machine."""
 
     name: str
     namespace: str
@@ -161,35 +163,51 @@
     reason: str
     usage: dict[str, float]
     value: dict[str, Any]
-    started_us: int | None  # wall clock, to a second; None where it is not told
-    session: str = ""  # whose lease it runs by
+    started_us: int | None  # wall clock, to the second; None where not reported
+    session: str = ""  # of the lease under which it runs
     epoch: int = 0
 
     @property
     def eviction_reason(self) -> api.Reason:
-        """Why the machine gave the task up."""
-        return _GIVEN_UP.get(self.reason, api.Reason.UNTOLD)
+        """Why the machine evicted the pod or failed it."""
+        return _EVICTION_REASONS.get(self.reason, api.Reason.UNTOLD)
 
 
 def read_pod(value: dict[str, Any]) -> PodStatus:
-    """ValueError names the field that is missing or wrong."""
+    """Decode a Pod. Raises ValueError, with the field that is missing or invalid."""
     meta, status = value.get("metadata"), value.get("status")
     if not isinstance(meta, dict) or not isinstance(status, dict):
-        raise ValueError("metadata or status")
-    notes = meta.get("annotations")
-    if not isinstance(notes, dict):
-        raise ValueError("metadata.annotations")
+        raise ValueError(
+            f"metadata, status: expected objects, got {type(meta).__name__} and {type(status).__name__}"
+        )
+    annotations = meta.get("annotations")
+    if not isinstance(annotations, dict):
+        raise ValueError(
+            f"metadata.annotations: expected an object, got {type(annotations).__name__}"
+        )
     try:
         phase = PodPhase(status.get("phase"))
     except ValueError:
-        raise ValueError("status.phase") from None
+        raise ValueError(
+            f"status.phase: expected one of {', '.join(each.value for each in PodPhase)},"
+            f" got {str(status.get('phase'))[:40]!r}"
+        ) from None
     try:
-        index, size = int(notes[names.PREFIX + "index"]), int(notes[names.PREFIX + "job-size"])
-        key, uid = str(notes[names.JOB]), str(notes[names.PREFIX + "job-uid"])
+        index, size = (
+            int(annotations[names.PREFIX + "index"]),
+            int(annotations[names.PREFIX + "job-size"]),
+        )
+        key, uid = str(annotations[names.JOB]), str(annotations[names.PREFIX + "job-uid"])
     except (KeyError, ValueError, TypeError):
-        raise ValueError("metadata.annotations") from None
+        raise ValueError(
+            f"metadata.annotations: expected {names.JOB}, {names.PREFIX}job-uid,"
+            f" and integers as {names.PREFIX}index and {names.PREFIX}job-size"
+        ) from None
     if not 0 <= index < size <= 100_000 or "/" not in key:
-        raise ValueError("metadata.annotations")
+        raise ValueError(
+            "metadata.annotations: expected 0 <= index < job-size <= 100000 and a Job NAMESPACE/NAME,"
+            f" got index {str(index)[:20]}, job-size {str(size)[:20]}, Job {key[:100]!r}"
+        )
     return PodStatus(
         str(meta.get("name", "")),
         str(meta.get("namespace", "")),
@@ -199,42 +217,42 @@
         index,
         phase,
         str(status.get("reason", "")),
-        _use(notes.get(names.USE)),
+        _read_usage(annotations.get(names.USE)),
         value,
-        _time(status.get("startTime")),
-        str(notes.get(names.SESSION, "")),
-        _epoch(notes.get(names.EPOCH)),
+        _read_time(status.get("startTime")),
+        str(annotations.get(names.SESSION, "")),
+        _read_epoch(annotations.get(names.EPOCH)),
     )
 
 
-def _epoch(text: object) -> int:
+def _read_epoch(text: object) -> int:
     return int(text) if isinstance(text, str) and text.isdecimal() and len(text) < 18 else 0
 
 
-def _time(text: object) -> int | None:
+def _read_time(text: object) -> int | None:
     try:
         return names.read_time(text) if isinstance(text, str) else None
     except ValueError:
         return None
 
 
-def _use(text: object) -> dict[str, float]:
-    """Figures of use, `cores=1.5;memory=2;served=0.9;machine=0.7`; what cannot be read counts as not told."""
+def _read_usage(text: object) -> dict[str, float]:
+    """Decode usage, `cores=1.5;memory=2;served=0.9;machine=0.7`; invalid values are omitted."""
     out: dict[str, float] = {}
     if isinstance(text, str):
         for pair in text[:200].split(";"):
             key, _, value = pair.partition("=")
             try:
-                figure = float(value)
+                number = float(value)
             except ValueError:
                 continue
-            if math.isfinite(figure):
-                out[key] = figure
+            if math.isfinite(number):
+                out[key] = number
     return out
 
 
 def pod_resources(value: dict[str, Any]) -> tuple[float, float]:
-    """Cores and memory (GiB) that a pod asks; ValueError where they cannot be read."""
+    """Cores and memory (GiB) that a pod requests. Raises ValueError where they are missing or invalid."""
     cores = memory = 0.0
     try:
         for container in value["spec"]["containers"]:
@@ -242,14 +260,16 @@
             cores += parse_size(str(requests.get("cpu", "0")))
             memory += parse_size(str(requests.get("memory", "0")))
     except (KeyError, TypeError, AttributeError):
-        raise ValueError("spec.containers") from None
+        raise ValueError(
+            "spec.containers: expected a list of containers with resources.requests"
+        ) from None
     return cores, memory / 2**30
 
 
 def expected_run_time_us(value: dict[str, Any]) -> int | None:
-    """The run time that a pod's annotations expect, None where they tell none."""
-    notes = value.get("metadata", {}).get("annotations", {})
+    """The expected run time by a pod's annotations; None where it is missing or invalid."""
+    annotations = value.get("metadata", {}).get("annotations", {})
     try:
-        return parse_duration(str(notes[names.EXPECTED]))
+        return parse_duration(str(annotations[names.EXPECTED]))
     except (KeyError, ValueError):
         return None
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -1,7 +1,7 @@
-"""The reflector: lists, then watches, the Nodes of the list source; resumes, relists or backs off when that fails.
+"""The reflector lists, then watches, the Nodes of the list source; after a failure it backs off and resumes or relists.
 
-Kubernetes API concepts, "Efficient detection of changes". Which versions are accepted is decided in
-`decide.list_versions`; how long to wait after a failure, in `decide.backoff`.
+It follows "Efficient detection of changes" of the Kubernetes API concepts. `decide.list_versions` decides which
+resource versions are accepted, `decide.backoff` the delay after a failure.
 """
 
 from __future__ import annotations
@@ -22,18 +22,17 @@
 
 SECOND = 1_000_000
 LIST_TIMEOUT_US = 10 * SECOND
-MAX_SILENCE_US = (
-    30 * SECOND
-)  # the source sends a bookmark at least this often while anything changes
-WATCH_S = 300
-PAGE = 500
-RANKING_BATCH = 100  # names between two checkpoints
+# The source sends a bookmark at least this often while anything changes.
+MAX_SILENCE_US = 30 * SECOND
+WATCH_TIMEOUT_S = 300
+LIST_PAGE_SIZE = 500
+RANKING_BATCH_SIZE = 100  # names ranked between two yields to other tasks
 
 
 class Reflector:
-    """Calls `deliver(form, entries, names that are gone)` for each list, watch batch and failure of the source.
+    """Calls `deliver(form, entries, deleted_names)` for each list, watch batch and failure of the source.
 
-    `is_wanted(name)` restricts what is held; other entries are skipped before they are decoded.
+    `is_wanted(name)` restricts the entries that are held; others are skipped before they are decoded.
     """
 
     def __init__(
@@ -61,10 +60,10 @@
         self._version = ""
         self._reported_failure = False
         self.is_wanted: Callable[[str], bool] = _accept_all
-        self.skipped_entries = 0  # so far
+        self.skipped_entries = 0  # total of list entries and watch events that were not wanted
         self.left_out = 0  # machines on the list that are not held
         self.supplementary_lists = 0
-        self.bad_entries = 0
+        self.invalid_entries = 0
         self.relists = 0
         self.watches = 0
         self.failures = 0
@@ -75,7 +74,8 @@
 
     def run(self) -> None:
         """List and watch until cancelled."""
-        # Danger (rule 3): after a stall, ready offers would be sent before the drains announced meanwhile are read.
+        # Danger (rule 3): after a stall, offers that are ready would be sent before the drains that were announced
+        # during the stall are read. This task therefore runs first.
         self._hub.current().first = True
         while True:
             try:
@@ -102,15 +102,19 @@
 
     def _list(self) -> None:
         items, version = list_all(
-            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_TIMEOUT_US
+            self._pool, "/api/v1/nodes", "", LIST_PAGE_SIZE, self._hub.now_us() + LIST_TIMEOUT_US
         )
         self._prepare_is_wanted(items)
         self.relists += 1
         if not version.isascii() or not version.isdigit():
-            raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
+            raise ValueError(
+                f"the Node list has no valid resourceVersion: expected digits, got {version[:40]!r}"
+            )
         decision = self._versions.check_list(int(version), self._hub.now_us())
         if decision is ListDecision.REJECT_STALE:
-            raise ValueError(f"the list goes back to version {version}; the newer one held is kept")
+            raise ValueError(
+                f"the Node list is stale: version {version} is older than the one held"
+            )
         if decision is ListDecision.ACCEPT_NEW_SOURCE:
             self._log("list-source-began-anew", level="warning", version=version)
             self.on_new_source()
@@ -124,7 +128,7 @@
                 if name in self.held:
                     entries[name] = self.held[name]
             else:
-                # An entry of an older version than the one held: the newer one is kept.
+                # Keep the held entry where the listed one has an older version.
                 newer = self._versions.accept_entry(entry.name, entry.version)
                 entries[entry.name] = entry if newer else self.held.get(entry.name, entry)
         if len(wanted) > self._max_machines:
@@ -137,28 +141,32 @@
         self._deliver(ListForm.FULL, list(entries.values()), gone)
 
     def list_missing_machines(self) -> None:
-        """Add machines that are wanted and not held, by a further list while the watch goes on.
+        """Add machines that are wanted but not held, by a supplementary list while the watch goes on.
 
-        Raises CallFailed, ApiError or ValueError where there is no list, or one older than what was read.
+        Raises CallFailed, ApiError or ValueError where the list fails or is older than what was already read.
         """
         items, version = list_all(
-            self._pool, "/api/v1/nodes", "", PAGE, self._hub.now_us() + LIST_TIMEOUT_US
+            self._pool, "/api/v1/nodes", "", LIST_PAGE_SIZE, self._hub.now_us() + LIST_TIMEOUT_US
         )
         self._prepare_is_wanted(items)
         if not version.isascii() or not version.isdigit():
-            raise ValueError(f"a list without a resourceVersion: {version[:40]!r}")
+            raise ValueError(
+                f"the Node list has no valid resourceVersion: expected digits, got {version[:40]!r}"
+            )
         # Danger (rule 3): the watch may have announced a drain that an older list does not contain yet.
         if self._versions.is_stale(int(version)):
-            raise ValueError(f"the list goes back to version {version}")
+            raise ValueError(
+                f"the Node list is stale: version {version} is older than one already read"
+            )
         self.supplementary_lists += 1
         added: list[NodeEntry] = []
         wanted = [value for value in items if self._is_wanted(value)]
         self.left_out = len(items) - len(wanted)
         for value in wanted:
             if _name(value) in self.held:
-                continue  # the watch keeps it current
+                continue  # the watch keeps this entry up to date
             entry = self._read(value)
-            # An entry that the watch has reported deleted meanwhile has a lower version here.
+            # Skip an entry whose deletion the watch has reported meanwhile: its version here is lower.
             if entry is None or not self._versions.accept_entry(entry.name, entry.version):
                 continue
             if len(self.held) >= self._max_machines:
@@ -172,24 +180,24 @@
             self._deliver(ListForm.CHANGES, added, [])
 
     def drop(self, name: str) -> None:
-        """Stop holding a machine; its further events are skipped unless it is wanted again."""
+        """Stop holding a machine; its further events are skipped until it is wanted again."""
         if self.held.pop(name, None) is not None:
             self.left_out += 1
 
     def _prepare_is_wanted(self, items: list[dict[str, Any]]) -> None:
-        """Call `is_wanted` for every name, yielding in between: the first call for a name is the expensive one.
+        """Call `is_wanted` for every name, and yield between batches: the first call for a name is expensive.
 
         Danger (rule 1): ranking 10,000 machines for 100 placers without a yield takes more than a second.
         """
         if self.is_wanted is _accept_all:
             return
-        for begin in range(0, len(items), RANKING_BATCH):
-            for value in items[begin : begin + RANKING_BATCH]:
+        for begin in range(0, len(items), RANKING_BATCH_SIZE):
+            for value in items[begin : begin + RANKING_BATCH_SIZE]:
                 self.is_wanted(_name(value))
             self._hub.checkpoint()
 
     def _is_wanted(self, value: dict[str, Any]) -> bool:
-        """Whether an entry is to be read; only its name is decoded for that. Counts those that are not."""
+        """Whether an entry is to be decoded, by its name alone; counts the entries that are skipped."""
         name = _name(value)
         if not name or self.is_wanted(name):
             return True
@@ -206,7 +214,7 @@
         try:
             return read_node(value, self._shift_us)
         except ValueError as error:
-            self.bad_entries += 1
+            self.invalid_entries += 1
             self._log(
                 "bad-list-entry",
                 level="warning",
@@ -221,7 +229,7 @@
         self.watches += 1
         target = (
             f"/api/v1/nodes?watch=true&resourceVersion={self._version}&allowWatchBookmarks=true"
-            f"&timeoutSeconds={WATCH_S}"
+            f"&timeoutSeconds={WATCH_TIMEOUT_S}"
         )
         until = self._hub.now_us() + LIST_TIMEOUT_US
         batches = watch_batches(self._pool, target, until, MAX_SILENCE_US)
@@ -233,13 +241,16 @@
             batches.close()  # type: ignore[attr-defined]
 
     def _on_batch(self, batch: list[tuple[str, dict[str, Any]]]) -> None:
-        """Apply events that arrived together as one delivery, since the module plans anew after each delivery."""
+        """Apply events that arrived together in one delivery, as the decision module replans after each delivery."""
         changed: dict[str, NodeEntry] = {}
         gone: dict[str, None] = {}
         for kind, value in batch:
             version = value.get("metadata", {}).get("resourceVersion")
             if not isinstance(version, str) or not version.isdigit():
-                raise ValueError("a watch event without a resourceVersion")
+                raise ValueError(
+                    "a watch event has no valid resourceVersion: expected digits,"
+                    f" got {str(version)[:40]!r}"
+                )
             if kind != "BOOKMARK":
                 self._on_event(kind, value, changed, gone)
             if int(version) > int(self._version):
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -1,8 +1,8 @@
-"""Jobs that their federation spec sends to another region, and Jobs that other regions' placers forwarded here.
+"""Forwards Jobs to other regions by their federation spec, and admits Jobs that other regions' placers forward here.
 
-The region is chosen in `decide.federation.route`, the protocol is `decide.regions.forwarding`; this component carries
-both out. A forwarded task has a record at both placers: the sender owes its client the answer; the receiver keeps a Job
-of its own, named after the forwarding ident, and reports its states back.
+`decide.federation.route` chooses the region and `decide.regions.forwarding` is the protocol; this component connects
+them with the Job store. Both placers keep a record of a forwarded task: the sender gives its client the final answer;
+the receiver keeps a Job of its own, named after the forwarding ident, and reports its state changes to the sender.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
-ANSWER_MARGIN_US = 100_000  # of the owner's patience, reserved for the answer's way back
-RECEIVER_MARGIN_US = (
-    250_000  # the receiver's patience is shorter by this: its answer crosses regions
-)
+# Reserved within the owner's patience for returning the final answer.
+ANSWER_MARGIN_US = 100_000
+# The receiver's patience is shorter by this, as its answer has to cross regions.
+RECEIVER_MARGIN_US = 250_000
 
 
 class ForwardedJobAdmission(Protocol):
-    """Admission as far as forwarded Jobs use it."""
+    """The part of Job admission that forwarded Jobs use."""
 
     def submit_forwarded(self, value: dict[str, Any], namespace: str) -> None:
-        """Admit a Job; ApiError where it is rejected."""
+        """Admit a Job. Raises ApiError where it is rejected."""
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job and stop its tasks."""
@@ -73,9 +73,9 @@
     # -- to other regions
 
     def route(self, request: JobRequest, spec: Spec, is_forwarded: bool) -> str:
-        """The region for a new Job; ApiError 503 with the reason where its spec leaves none now.
+        """Choose the region of a new Job. Raises ApiError 503 with the reason where its spec allows none now.
 
-        One that was forwarded here stays here, or is rejected: no Job is forwarded twice.
+        A Job that was forwarded here stays here or is rejected: no Job is forwarded twice.
         """
         base, federation = self._base, self.federation()
         here = base.settings.region
@@ -116,7 +116,7 @@
         return choice.region
 
     def forward_job(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
-        """Forward all tasks of a Job; those for which no target is known are rejected."""
+        """Forward all tasks of a Job; tasks for which no target is known are rejected."""
         for task in job.tasks:
             if not self.forward_task(task, due_us, region, spec):
                 task.last_outcome = f"no placer of region {region} is known"
@@ -142,7 +142,7 @@
         return True
 
     def is_forwarded(self, task: TaskRecord) -> bool:
-        """Whether a task was forwarded and has not ended."""
+        """Whether a task was forwarded to another region and has not ended."""
         return task.name in self._ident_by_task
 
     def is_from_other_region(self, key: str) -> bool:
@@ -150,7 +150,7 @@
         return key in self._ident_by_job
 
     def withdraw(self, task: TaskRecord) -> bool:
-        """Its owner deleted a task: have the other region stop it. False where it was not forwarded."""
+        """Have the other region stop a task that its owner deleted. False where it was not forwarded."""
         ident = self._ident_by_task.pop(task.name, None)
         if ident is None:
             return False
@@ -170,7 +170,7 @@
             self._jobs.transition(task, Step.PLACE)
             self._base.counts["placed_elsewhere"] += 1
         elif state in (forwarding.REJECTED, forwarding.FAILED) and task.answered:
-            # A migration that no receiver accepted: its owner has had the answer, so the task is requested here again.
+            # No receiver accepted this migration. The owner already has its answer: the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
@@ -191,7 +191,7 @@
     # -- from other regions
 
     def _receive(self, ident: str, manifest: str, left_us: int) -> None:
-        """Admit a forwarded Job; runs in a task of its own, as admission may wait for a replica."""
+        """Admit a forwarded Job. Runs in a task of its own, as admission may wait for a replica's acknowledgement."""
         assert self.admission is not None, "the placer sets it before anything runs"
         now = self._base.hub.now_us()
         try:
@@ -240,7 +240,7 @@
             self._ident_by_job.pop(key, None)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """A task changed its state: report to the sender of its Job, if it was forwarded here."""
+        """Report a task's new state to the sender of its Job, if the Job was forwarded here."""
         ident = self._ident_by_job.get(task.job.key)
         if ident is None or task.state is before:
             return
@@ -267,17 +267,17 @@
     # -- `peers.host.Machine`
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """A message of the forwarding protocol."""
+        """Handle a message of the forwarding protocol."""
         if isinstance(message, forwarding.ForwardStatus):
             return self._carry_out_here(self.sender.on_message(now_us, ident, address, message))
         return self._carry_out_here(self.receiver.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """One of the sender's timers."""
+        """Handle one of the sender's timers."""
         return self._carry_out_here(self.sender.on_timer(now_us, key))
 
     def _carry_out_here(self, effects: list[Effect]) -> list[Effect]:
-        """Handle notifications; return the other effects for the host."""
+        """Handle the notifications among the effects; return the other effects for the host."""
         out: list[Effect] = []
         for each in effects:
             if not isinstance(each, Notify):
@@ -288,7 +288,7 @@
                 fields = each.fields
                 self._base.spawn(
                     partial(self._receive, fields["ident"], fields["manifest"], fields["left_us"]),
-                    "takes a Job that was handed over",
+                    "admit a forwarded Job",
                 )
             else:
                 self._on_stop(each.fields["ident"])
@@ -296,7 +296,7 @@
 
 
 def _manifest(job: JobRecord) -> str:
-    """The Job of one task that the receiver is to submit."""
+    """Encode the Job of one task, for the receiver to submit."""
     meta = job.value["metadata"]
     metadata = {key: meta[key] for key in ("labels", "annotations") if key in meta}
     spec = {
--- a/wingbarrow/core/requests.py
+++ b/wingbarrow/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests: from a task's submission to the module until its one final answer, and the ends of its attempts."""
+"""Requests to the decision module: from a task's submission to its one final answer, and the ends of its attempts."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Requests:
     """Opens, answers and closes requests; gives each exactly one final answer.
 
-    The callbacks are set by the components that they belong to: slow start, maintenance, leased Jobs and migrations.
-    An outcome of None means that the task runs.
+    Slow start, maintenance, leased Jobs and migrations set the callbacks. An outcome of None means that the task is
+    running.
     """
 
     def __init__(
@@ -35,19 +35,19 @@
         self.on_attempt_answered: Callable[[Attempt, api.Outcome | None], None] = (
             lambda attempt, outcome: None
         )
-        # Of leased Jobs: whether `placed` may be answered at once; begin and end of an attempt; whether the final
-        # answer to a request with an attempt in flight is given by `LeasedJobs`.
+        # Callbacks of leased Jobs: whether `placed` may be answered at once; an attempt began; an attempt ended;
+        # whether `LeasedJobs` gives the final answer to a request with an attempt in flight.
         self.may_answer_placed: Callable[[Attempt], bool] = lambda attempt: True
         self.on_attempt_began: Callable[[Attempt], None] = lambda attempt: None
         self.on_leased_attempt_ended: Callable[[Attempt, api.Outcome, str], None] = (
             lambda attempt, outcome, details: None
         )
         self.is_answered_by_lease: Callable[[Attempt], bool] = lambda attempt: False
-        # Whether a task that migrates was forwarded to another region instead.
+        # Forwards a migrating task to another region; True where it did, and no request is to be opened here.
         self.try_forward: Callable[[TaskRecord], bool] = lambda task: False
 
     def submit(self, task: TaskRecord, due_us: int | None = None) -> None:
-        """Request a task; its final answer is due at `due_us`, by default after its Job's patience from now."""
+        """Open a task's request; its final answer is due at `due_us`, by default after its Job's patience from now."""
         if due_us is None and self.try_forward(task):
             return
         job_request = task.job.request
@@ -58,9 +58,9 @@
         self._host.feed(self.arrived_event(task, request, job_request.expected_us))
 
     def resubmit(self, attempt: Attempt) -> None:
-        """Request a task anew whose offer the gate held for a reason of its machine alone, as if never offered.
+        """Open a new request for a task whose offer the gate held only because of the machine's state.
 
-        Only for a task of which nothing was ever sent: the module forgets the attempt. The due time stays.
+        The due time is kept. Only for a task of which nothing was ever sent, as the module forgets the attempt.
         """
         task, due_us = attempt.task, attempt.task.deadline_us
         task.resubmissions += 1
@@ -69,7 +69,7 @@
         self.submit(task, due_us)
 
     def arrived_event(self, task: TaskRecord, request: int, left_us: int | None) -> api.TaskArrived:
-        """The event by which the module learns of a task."""
+        """The event that announces a task to the decision module; `left_us` is its expected remaining run time."""
         job_request = task.job.request
         return api.TaskArrived(
             request,
@@ -83,19 +83,19 @@
         )
 
     def close(self, task: TaskRecord) -> None:
-        """End a task's request: its timer, its wait, its entry in the store."""
+        """Close a task's request: cancel its timer, and remove it from the waits and the Job store."""
         self._host.cancel_timer(task.request)
         self.waits.remove(task, task.request)
         self._jobs.close_request(task)
 
     def withdraw(self, task: TaskRecord) -> None:
-        """End a request without an answer, and tell the module."""
+        """Close a request without an answer, and notify the decision module."""
         request = task.request
         self.close(task)
         self._host.feed(api.TaskWithdrawn(request))
 
     def reject_or_fail(self, request: int, step: Step) -> None:
-        """Give the module's final answer, refused or failed; dropped where the request has been answered."""
+        """Give the module's final answer, refused or failed; dropped where the request already has its answer."""
         task = self._jobs.by_request.get(request)
         if task is None or task.state is not State.ASKED:
             self._base.counts["answers_dropped"] += 1
@@ -106,7 +106,7 @@
         self._answer(task, step, attempt)
 
     def fail(self, task: TaskRecord) -> None:
-        """Give the final answer `failed` by the core's own decision, and tell the module."""
+        """Give the final answer `failed` by the core's own decision, and notify the decision module."""
         request, attempt = task.request, self._attempts.of(task.request)
         self._answer(task, Step.FAIL, attempt)
         self._host.feed(api.TaskWithdrawn(request))
@@ -137,7 +137,7 @@
         )
 
     def on_placed(self, attempt: Attempt) -> None:
-        """A machine runs the attempt's task: answer its request with `placed`."""
+        """Answer the request with `placed`: a machine is running the attempt's task."""
         task = attempt.task
         task.machine = attempt.link.name
         self.on_start_outcome(attempt.link.name, None)
@@ -158,7 +158,7 @@
         self._host.feed(api.TaskPlaced(attempt.request, attempt.number, attempt.link.ident, waited))
 
     def on_found_running(self, attempt: Attempt) -> None:
-        """As `on_placed`, for a task found running that the module has not sent."""
+        """Like `on_placed`, for a task that was found running without the module having bound it."""
         task = attempt.task
         task.machine = attempt.link.name
         self._jobs.transition(task, Step.PLACE)
@@ -178,7 +178,7 @@
         waited_us: int,
         details: str = "",
     ) -> None:
-        """Tell the module that an attempt ended, and with it its request, unless that still awaits its answer."""
+        """End an attempt and notify the module; its request is closed too, unless it still awaits its final answer."""
         placed = attempt.stage is Stage.PLACED
         if not self._attempts.advance(attempt, Stage.ENDED):
             return
--- a/wingbarrow/core/runs.py
+++ b/wingbarrow/core/runs.py
@@ -1,4 +1,4 @@
-"""Placed tasks: the end of their runs, retries on their owner's behalf, moves and stops."""
+"""Runs of placed tasks: how they end, retries on the owner's behalf, moves and stops."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     def on_ended(
         self, attempt: Attempt, end: retries.RunEnd, reason: api.Reason, details: str
     ) -> None:
-        """A placed task's run ended; `details` is shown to its owner."""
+        """Handle the end of a placed task's run; `details` is shown to its owner."""
         task, job = attempt.task, attempt.task.job
         if attempt.stage is not Stage.PLACED:
             return
         if attempt.stopping is retries.RunEnd.STOPPED:
-            # Its owner deleted it: how the run ended before the stop arrived makes no difference.
+            # Its owner deleted the task, so it does not matter how the run ended before the stop arrived.
             end = retries.RunEnd.STOPPED
         outcome = (
             api.Outcome.DONE
@@ -63,7 +63,7 @@
         )
 
     def on_lost(self, attempt: Attempt, details: str) -> None:
-        """A placed task is no longer on its machine, or its machine is gone."""
+        """Handle the loss of a placed task: it is no longer on its machine, or its machine is gone."""
         end = attempt.stopping or retries.RunEnd.LOST
         self.on_ended(attempt, end, api.Reason.UNTOLD, f"{details} ({attempt.link.name})")
 
@@ -73,8 +73,8 @@
             end, effect, task.restarts_left, task.losses, self._base.random
         )
         self._base.counts["run:" + end.value] += 1
-        # The owner of a task found running by this incarnation has had another answer: failed, or refused. A task of an
-        # earlier incarnation was placed and is retried, where it is certain that its owner was answered so.
+        # The owner of a task of this incarnation that was found running already has another answer, failed or refused.
+        # A task of an earlier incarnation is retried only where its owner was certainly answered `placed`.
         answered_otherwise = task.state is State.ADOPTED and (
             not task.job.adopted or task.answer_uncertain
         )
@@ -116,9 +116,9 @@
             timer.cancel()
 
     def move(self, request: int) -> None:
-        """Stop a placed task, which is then requested again (a migration within the region)."""
+        """Migrate a placed task within the region: stop it; it is then requested again."""
         attempt = self._attempts.of(request)
-        # Danger: a task that is not retried would be stopped by the move, and lost.
+        # Danger: a task that is not retried would be lost, as the move stops it.
         if (
             attempt is None
             or attempt.stage is not Stage.PLACED
@@ -131,7 +131,7 @@
         self.stop(attempt, retries.RunEnd.MOVED)
 
     def stop(self, attempt: Attempt, end: retries.RunEnd) -> None:
-        """Have a placed task stopped; its run ends with `end` once the machine confirms the stop."""
+        """Request the stop of a placed task; its run ends with `end` once the machine confirms the stop."""
         attempt.stopping = end
 
         def on_stopped() -> None:
--- a/wingbarrow/core/saved_list.py
+++ b/wingbarrow/core/saved_list.py
@@ -1,4 +1,7 @@
-"""The last usable machine list on disk, for a restart; replaced atomically (written beside it, synced, renamed)."""
+"""The last usable machine list on disk, read at a restart.
+
+The file is replaced atomically: a temporary file is written, synced and renamed.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +12,15 @@
 import msgspec
 import xxhash
 
-_FORM = 1
-_FILE = "machines.json"
+_FORMAT_VERSION = 1
+_LIST_FILE = "machines.json"
 _HEARTBEAT_FILE = "alive"
 _MAX_BYTES = 256 << 20
 _MAX_HEARTBEAT_CHARS = 40
 
 
 class SavedListError(ValueError):
-    """The saved list cannot be used."""
+    """The saved list is unreadable or invalid."""
 
     def __init__(self, path: Path, why: str) -> None:
         super().__init__(f"{path}: {why}")
@@ -26,7 +29,7 @@
 
 
 class _File(msgspec.Struct):
-    """Form of the file; `digest` is of the bytes of `nodes`."""
+    """Contents of the file; `form` is the format version, `digest` the xxh64 of the bytes of `nodes`."""
 
     form: int
     digest: str
@@ -34,18 +37,18 @@
 
 
 def save(folder: Path, nodes: list[dict[str, Any]]) -> None:
-    """Write the Node objects. Raises OSError."""
+    """Save the Node objects. Raises OSError."""
     raw = msgspec.json.encode(nodes)
     write_atomically(
-        folder / _FILE,
-        msgspec.json.encode(_File(_FORM, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))),
+        folder / _LIST_FILE,
+        msgspec.json.encode(_File(_FORMAT_VERSION, xxhash.xxh64_hexdigest(raw), msgspec.Raw(raw))),
     )
 
 
 def write_heartbeat(folder: Path, wall_us: int) -> None:
-    """Record that the placer worked at this time (microseconds since 1970). Raises OSError.
+    """Record that the placer was running at this time (microseconds since 1970). Raises OSError.
 
-    Not synced: a lost heartbeat only makes the next incarnation more careful.
+    Not synced: after the loss of a heartbeat, the next incarnation merely treats more adopted tasks as unanswered.
     """
     folder.mkdir(parents=True, exist_ok=True)
     temporary = folder / f"{_HEARTBEAT_FILE}.{os.getpid()}"
@@ -74,11 +77,11 @@
 
 
 def load(folder: Path) -> list[dict[str, Any]]:
-    """The Node objects last saved, none without a file. Raises SavedListError."""
-    path = folder / _FILE
+    """Load the Node objects last saved; an empty list without a file. Raises SavedListError."""
+    path = folder / _LIST_FILE
     try:
         if path.stat().st_size > _MAX_BYTES:
-            raise SavedListError(path, f"more than {_MAX_BYTES} bytes")
+            raise SavedListError(path, f"the file is larger than {_MAX_BYTES} bytes")
         data = path.read_bytes()
     except FileNotFoundError:
         return []
@@ -86,8 +89,11 @@
         raise SavedListError(path, error.strerror or "") from error
     try:
         file: _File = msgspec.json.decode(data, type=_File)
-        if file.form != _FORM or xxhash.xxh64_hexdigest(bytes(file.nodes)) != file.digest:
-            raise SavedListError(path, "its digest or form is wrong")
+        if file.form != _FORMAT_VERSION or xxhash.xxh64_hexdigest(bytes(file.nodes)) != file.digest:
+            raise SavedListError(
+                path,
+                f"expected format version {_FORMAT_VERSION} and a matching digest, got version {file.form}",
+            )
         nodes: list[dict[str, Any]] = msgspec.json.decode(file.nodes, type=list[dict[str, Any]])
     except SavedListError:
         raise
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -1,8 +1,8 @@
-"""This placer's share of the offers to cold machines, where placers hold subsets; checked at the gate (rule 4).
+"""Slow start (rule 4): this placer's share of offers to cold machines where placers hold subsets; the gate checks it.
 
-As soon as the offers in flight use up a machine's share, the machine is passed to the module, and to nobody else, as
-draining, until some of the share is free again. The module then chooses other machines, and few of a task's attempts
-are spent on offers that the gate would hold: only those chosen within the same module event.
+Once the offers in flight use up a machine's share, the machine is shown as draining to the decision module alone, until
+part of the share is free again. The module then chooses other machines, and a task spends few attempts on offers that
+the gate holds: only those that were chosen within the same module event.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 50_000
+# What an offer's outcome shows of its arrival at the machine; outcomes not listed show contact.
 ARRIVALS = {
     api.Outcome.NOT_SENT: Arrival.NEVER,
     api.Outcome.UNREACHABLE: Arrival.NEVER,
@@ -30,7 +31,10 @@
 
 
 class SlowStartShares:
-    """`fleet_offers`: offers of all placers together to one cold machine within the window, by the rules in force."""
+    """Keeps the account of this placer's offers to cold machines, and closes machines whose share is used up.
+
+    `fleet_offers()`: the offers of all placers together to one cold machine within the window, by the rules in force.
+    """
 
     def __init__(
         self,
@@ -47,15 +51,15 @@
         self._fleet_offers = fleet_offers
         rules = base.settings.scheduler
         self._cold_us = rules.cold_us
-        # A quarter longer, as in the module: offers take time to arrive.
+        # A quarter longer than the window, as in the decision module, because offers take time to arrive.
         self._account = SlowStartShare(rules.fall_us * 5 // 4)
-        # Machines passed to the module as draining because their share is used up; in order of closing.
+        # Machines shown to the module as draining because their share is used up, in order of closing.
         self._closed: dict[str, None] = {}
         self._reopening = False
         fleet.slow_start_guard = self._limit
 
     def has_share(self, link: MachineLink) -> bool:
-        """Whether one more offer may be sent to a machine now; True for any that is not cold."""
+        """Whether one more offer may be sent to a machine now; always True for a machine that is not cold."""
         now = self._base.hub.now_us()
         return (
             not self._is_cold(link.launched_us, now)
@@ -67,7 +71,7 @@
         return self._account.remaining(now_us, name, launched_us, share)
 
     def on_chosen(self, link: MachineLink) -> None:
-        """The module has bound a task to a machine; its offer waits from now on."""
+        """Close the machine if the offer that was just bound to it uses up its share."""
         entry = self._fleet.held.get(link.name)
         if (
             entry is not None
@@ -77,7 +81,7 @@
             self._fleet.reapply([entry])
 
     def _is_used_up(self, name: str, launched_us: int) -> bool:
-        """Whether waiting offers use up what remains of a cold machine's share."""
+        """Whether the offers that wait to be sent use up what remains of a cold machine's share."""
         now = self._base.hub.now_us()
         if not self._is_cold(launched_us, now):
             return False
@@ -85,7 +89,7 @@
         return self._remaining(now, name, launched_us) <= waiting
 
     def on_sent(self, attempt: Attempt) -> None:
-        """The gate let an offer out; its first byte is about to be sent."""
+        """Count an offer that has passed the gate; its first byte is about to be sent."""
         link, now = attempt.link, self._base.hub.now_us()
         if self._is_cold(link.launched_us, now):
             self._account.on_sent(
@@ -93,12 +97,12 @@
             )
 
     def on_attempt_answered(self, attempt: Attempt, outcome: api.Outcome | None) -> None:
-        """An offer ended with this outcome; None: its task runs."""
+        """Record the end of an offer; an outcome of None means that its task is running."""
         arrival = Arrival.CONTACT if outcome is None else ARRIVALS.get(outcome, Arrival.CONTACT)
         self._account.on_ended(self._base.hub.now_us(), attempt.link.name, attempt.key, arrival)
 
     def on_contact(self, name: str) -> None:
-        """A machine has answered a probe: offers to it that were given up before have arrived."""
+        """Record that a machine answered a probe: offers to it that were given up before have arrived."""
         self._account.on_ended(self._base.hub.now_us(), name, "", Arrival.CONTACT)
 
     def _is_cold(self, launched_us: int, now_us: int) -> bool:
@@ -117,7 +121,7 @@
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _reopen_machines(self) -> None:
-        """Pass machines with a free share to the module as they are listed, in one delivery each interval."""
+        """Show machines that have a free share again to the module as listed, in one delivery per interval."""
         try:
             while self._closed:
                 self._base.hub.sleep(CHECK_INTERVAL_US)
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -20,9 +20,8 @@
 from wingbarrow.transport import Hub, Signal
 
 MAX_CALLS_PER_MACHINE = 2
-MAX_CONFIRMED = (
-    4096  # pod names of confirmed stops, so that a late watch event causes no further call
-)
+# Pod names of confirmed stops to keep, so that a late watch event causes no further call.
+MAX_CONFIRMED = 4096
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 5_000_000
 
@@ -37,10 +36,11 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingStop:
-    """Stop of one pod.
+    """The pending stop of one pod.
 
-    `is_wanted` turns False when the pod has ended by itself. While `is_settled` is False the offer of the pod is still
-    under way, and "not found" proves nothing. `on_stopped` is called once the machine confirms that the pod is gone.
+    `is_wanted` turns False when the pod has ended by itself. While `is_settled` is False, the pod's offer is still in
+    flight, and the response "not found" proves nothing. `on_stopped` is called once the machine confirms that the pod
+    is gone.
     """
 
     pod: str
@@ -59,11 +59,11 @@
         self.new: deque[_PendingStop] = deque()
         self.retries: list[tuple[int, str, _PendingStop]] = []
         self.workers = 0
-        self.arrived = Signal(hub)
+        self.added = Signal(hub)
 
 
 class Stops:
-    """All pending stops of one placer; `spawn` starts a task that lives as long as the placer."""
+    """All pending stops of one placer; `spawn` starts a task that runs no longer than the placer."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         is_settled: Callable[[], bool] = _always,
         on_stopped: Callable[[], None] = _nothing,
     ) -> None:
-        """Have a pod stopped; a second request for the same pod changes nothing."""
+        """Request the stop of a pod; a second request for the same pod has no effect."""
         if pod in self._confirmed:
             return
         machine = self._machines.get(link)
@@ -108,7 +108,7 @@
                 Backoff(self._seed, MIN_BACKOFF_US, MAX_BACKOFF_US),
             )
         )
-        machine.arrived.notify()
+        machine.added.notify()
         self.pending += 1
         self._counts["stops_owed"] += 1
         if machine.workers < min(MAX_CALLS_PER_MACHINE, len(machine.pods)):
@@ -116,7 +116,7 @@
             self._spawn(lambda: self._work(link, machine), f"stops on {link.name}")
 
     def is_pending(self, link: MachineLink, pod: str) -> bool:
-        """Whether this pod's stop is not confirmed yet."""
+        """Whether the pod has a stop that is not confirmed yet."""
         machine = self._machines.get(link)
         return machine is not None and pod in machine.pods
 
@@ -134,7 +134,7 @@
                 stop = machine.new.popleft()
             else:
                 with self._hub.limit(machine.retries[0][0] - now):
-                    machine.arrived.wait()
+                    machine.added.wait()
                 continue
             if self._try(link, stop):
                 self.pending -= 1
@@ -156,18 +156,19 @@
         self._counts["stops_sent"] += 1
         gone = link.delete(stop.namespace, stop.pod)
         if gone is None:
-            # Danger: a stop that is forgotten leaves a task running; only a machine that is gone is let go.
+            # Danger: a dropped stop leaves a task running. It is dropped only where the machine is off the list and
+            # unreachable.
             return link.phase is Phase.GONE and not link.reachable
         if gone is DeleteOutcome.WAS_NOT_THERE and not stop.is_settled():
             return False
         self._counts["stops_done"] += 1
         if gone is DeleteOutcome.STOPPED:
-            # A pod that was not there is not remembered: its offer may still wait in a socket.
-            self._remember(stop.pod)
+            # A pod that was not found is not recorded as confirmed: its offer may still wait in a socket.
+            self._add_confirmed(stop.pod)
         stop.on_stopped()
         return True
 
-    def _remember(self, pod: str) -> None:
+    def _add_confirmed(self, pod: str) -> None:
         self._confirmed[pod] = None
         if len(self._confirmed) > MAX_CONFIRMED:
             del self._confirmed[next(iter(self._confirmed))]
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -1,12 +1,12 @@
 """This placer's subset of its region's machines: which machines it holds, when it adds and when it releases them.
 
-A machine that leaves the subset lingers: the module sees it as draining, so that no task is sent there, while its entry
-and its tasks are followed as before. Once it holds no task of this placer, and none can arrive any more, it is
-released. Machines that enter the subset are read by one further list, which each placer requests after a random delay,
-as all placers learn of a membership change at about the same time.
+A machine that leaves the subset lingers: it is shown to the decision module as draining, so that no task is sent there,
+while its entry and its tasks are watched as before. It is released once it holds no task of this placer and none can
+arrive any more. Machines that enter the subset are read by one supplementary list, which each placer requests after a
+random delay, because all placers learn of a membership change at about the same time.
 
-While tasks wait long, the subset is widened by `decide.subset_widening`: the machines of one more rank are read at
-once, by a list of this placer alone, and leave the subset later as others do.
+While tasks wait long, the subset is widened (`decide.subset_widening`): the machines of one more rank are read by a
+list of this placer alone, after a short delay, and leave the subset later like others.
 """
 
 from __future__ import annotations
@@ -29,29 +29,27 @@
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 250_000
-NO_MEMBERS_TIMEOUT_US = (
-    5_000_000  # without any known member for so long, this placer counts as the only one
-)
-LINGER_US = 10_000_000  # after the last offer to a machine: an abandoned one may start so late
-RELEASE_RETRY_US = 2_000_000  # before a machine that could not be released is checked again
-RELEASE_CONFIRM_US = (
-    1_000_000  # a machine that was stalled may accept offers a little after its answer
-)
-MAX_RELEASES = 16  # at one time
-LIST_SPREAD_PER_PLACER_US = (
-    100_000  # the placers' lists are spread over so long for each placer of the roster
-)
-MAX_LIST_SPREAD_US = 10_000_000  # and at most over this
-WIDENING_LIST_SPREAD_US = (
-    200_000  # of a list for widening: other placers may be short of capacity at the same time
-)
+# Without any known member for this long, this placer counts as the only one.
+NO_MEMBERS_TIMEOUT_US = 5_000_000
+# Since the last offer to a machine: an abandoned offer may start its task this late.
+LINGER_US = 10_000_000
+# Until a machine that could not be released is checked again.
+RELEASE_RETRY_US = 2_000_000
+# A machine that was stalled may still accept offers shortly after it responds.
+RELEASE_CONFIRM_US = 1_000_000
+MAX_RELEASES = 16  # concurrent
+# The placers' supplementary lists are spread over this time for each placer of the roster, up to the maximum.
+LIST_SPREAD_PER_PLACER_US = 100_000
+MAX_LIST_SPREAD_US = 10_000_000
+# Of a list for widening: other placers may be short of capacity at the same time.
+WIDENING_LIST_SPREAD_US = 200_000
 
 
 class Subset:
-    """Follows membership and waits; adds and releases machines accordingly.
+    """Adds and releases machines according to the membership and to how long tasks wait.
 
-    `members` gives the names of the placers alive by membership, and the number of members ever known;
-    `waits_long(now_us)` says whether a task has waited long for a machine.
+    `members()` returns the names of the live placers and the number of members ever known; `waits_long(now_us)` whether
+    a task has waited long for a machine.
     """
 
     def __init__(
@@ -87,15 +85,15 @@
         )
         self._started_us = base.hub.now_us()
         self.live_members = self._membership.live_members(self._started_us)
-        # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
-        self._follows_all = False
+        # Whether to watch every machine of the first list, as the machines of the earlier incarnation are not known.
+        self._watches_all = False
         self._supplementary_lists = SupplementaryLists(base, fleet.reflector, self._spread_us)
-        # Apart from those: a list for widening must not wait for the spread among all placers.
+        # Separate from the above, as a list for widening must not wait for the delay that spreads all placers' lists.
         self._widening_lists = SupplementaryLists(base, fleet.reflector, WIDENING_LIST_SPREAD_US)
         self._releasing = 0
-        # Lingering machines that could not be released: when to check again.
+        # When to check again lingering machines that could not be released.
         self._retry_at_us: dict[str, int] = {}
-        fleet.reflector.is_wanted = self.is_followed
+        fleet.reflector.is_wanted = self.is_watched
         fleet.guards.append(self._guard)
         fleet.closed_locally.append(lambda name: not self.holds(name))
         fleet.on_state_lost = self._on_state_lost
@@ -104,29 +102,29 @@
         """Whether a machine belongs to this placer's subset."""
         return self.subsets.holds(self._name, name, self.live_members, self.extra_ranks)
 
-    def is_followed(self, name: str) -> bool:
-        """Whether a machine's entry is read: it belongs to the subset, or lingers."""
-        return self._follows_all or name in self._machines.links or self.holds(name)
+    def is_watched(self, name: str) -> bool:
+        """Whether a machine is watched: it belongs to the subset, or lingers."""
+        return self._watches_all or name in self._machines.links or self.holds(name)
 
     @property
     def lingering(self) -> list[str]:
-        """Machines that are still followed though they have left the subset."""
+        """Machines that are still watched though they have left the subset."""
         return [name for name in self._machines.links if not self.holds(name)]
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """No new task goes to a machine outside the subset; drains by the list stay."""
+        """Set a machine outside the subset to draining, so that it gets no new task; drains by the list stay."""
         if listed.phase is not api.Phase.RUNNING or self.holds(entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _on_state_lost(self) -> None:
-        # Danger (rule 5): tasks of the earlier incarnation on machines outside the subset would not count.
-        self._follows_all = True
+        # Danger (rule 5): otherwise tasks of the earlier incarnation on machines outside the subset would not count.
+        self._watches_all = True
 
     # -- membership
 
     def run(self) -> None:
-        """Follow membership and release machines until cancelled."""
+        """Apply membership changes and release machines until cancelled."""
         self._started_us = self._base.hub.now_us()
         while True:
             now = self._base.hub.now_us()
@@ -135,30 +133,30 @@
                 self._check_waits(now)
             self._release_some(now)
             if self._fleet.reflector.relists:
-                self._follows_all = False
+                self._watches_all = False
             self._base.hub.sleep(CHECK_INTERVAL_US)
 
     def _check_membership(self, now_us: int) -> None:
-        living, known = self._members()
+        live, known = self._members()
         if known or now_us - self._started_us >= NO_MEMBERS_TIMEOUT_US:
-            living |= {self._name}
-        self._membership.on_members(now_us, living)
-        living = self._membership.live_members(now_us)
-        if living != self.live_members:
-            self._follow(living)
+            live |= {self._name}
+        self._membership.on_members(now_us, live)
+        live = self._membership.live_members(now_us)
+        if live != self.live_members:
+            self._on_membership_change(live)
 
-    def _follow(self, living: frozenset[str]) -> None:
+    def _on_membership_change(self, live: frozenset[str]) -> None:
         before = self.live_members
-        moved = self._change(living, self.extra_ranks)
+        moved = self._change(live, self.extra_ranks)
         self._base.counts["subset:changes"] += 1
         self._base.log(
             "subset",
-            living=len(living),
+            living=len(live),
             moved=moved,
-            joined=sorted(living - before)[:20],
-            left=sorted(before - living)[:20],
+            joined=sorted(live - before)[:20],
+            left=sorted(before - live)[:20],
         )
-        if before - living:
+        if before - live:
             self._supplementary_lists.request()
 
     def _check_waits(self, now_us: int) -> None:
@@ -173,11 +171,11 @@
         if extra > before:
             self._widening_lists.request()
 
-    def _change(self, living: frozenset[str], extra: int) -> int:
-        """Apply a new membership and width; the number of followed machines that enter or leave the subset."""
+    def _change(self, live: frozenset[str], extra: int) -> int:
+        """Apply a new membership and width; returns how many held machines enter or leave the subset."""
         held = self._fleet.held
         before = [name for name in held if self.holds(name)]
-        self.live_members = living
+        self.live_members = live
         self.extra_ranks = extra
         changed = set(before) ^ {name for name in held if self.holds(name)}
         if changed:
@@ -201,10 +199,10 @@
             elif self._retry_at_us.get(name, 0) <= now_us and self._may_release(link, now_us):
                 self._retry_at_us[name] = now_us + RELEASE_RETRY_US
                 self._releasing += 1
-                self._base.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
+                self._base.spawn(lambda link=link: self._release(link), f"release {name}")  # type: ignore[misc]
 
     def _is_lost(self, link: MachineLink) -> bool:
-        """Whether a machine known only from the saved list is off the source's list and unreachable."""
+        """Whether a machine known from the saved list is unlisted, unreachable, and has nothing pending."""
         return (
             self._fleet.reflector.relists > 0
             and not link.reachable
@@ -214,7 +212,7 @@
         )
 
     def _may_release(self, link: MachineLink, now_us: int) -> bool:
-        """Whether no task of this placer is known to be there, or can still arrive."""
+        """Whether no task of this placer is known on the machine, and none can still arrive."""
         return (
             link.phase is not api.Phase.GONE
             and link.reachable
@@ -225,7 +223,7 @@
 
     def _release(self, link: MachineLink) -> None:
         try:
-            # Danger: a task of an abandoned start or of an earlier incarnation would run on with no placer to stop it.
+            # Danger: a task of an abandoned offer or an earlier incarnation would run on without a placer to stop it.
             holds_any = link.holds_any()
             if holds_any is False:
                 self._base.hub.sleep(RELEASE_CONFIRM_US)
--- a/wingbarrow/core/supplementary_lists.py
+++ b/wingbarrow/core/supplementary_lists.py
@@ -1,4 +1,7 @@
-"""Lists read beside the watch, for machines that are wanted by now: one at a time, each after a random wait."""
+"""Supplementary lists: read while the watch goes on, for machines that have become wanted since the last list.
+
+One list is read at a time, each after a random delay.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,16 @@
 from wingbarrow.http.client import CallFailed
 from wingbarrow.kube.status import ApiError
 
-MIN_BACKOFF_US, MAX_BACKOFF_US = 200_000, 5_000_000
+MIN_BACKOFF_US = 200_000
+MAX_BACKOFF_US = 5_000_000
 
 
 class SupplementaryLists:
-    """`spread_us`: the longest wait before a list, for placers that hear of one cause at about the same time."""
+    """Reads supplementary lists with a reflector.
+
+    `spread_us`: upper bound of the random delay before a list, which spreads the lists of placers that respond to the
+    same event.
+    """
 
     def __init__(self, base: Base, reflector: Reflector, spread_us: int) -> None:
         self._base, self._reflector = base, reflector
@@ -20,7 +28,7 @@
         self.running = self._requested = False
 
     def request(self) -> None:
-        """What is wanted has grown: have a list read that is asked for after this."""
+        """Have a list read that is requested after this call, as more machines are wanted now."""
         self._requested = True
         if not self.running:
             self.running = True
@@ -33,7 +41,7 @@
             while self._requested:
                 self._requested, lists = False, self._reflector.relists
                 hub.sleep(int(self._base.random.random() * self._spread_us))
-                # A list that the reflector took in meanwhile has all that is wanted.
+                # A full list that the reflector has read meanwhile contains all wanted machines.
                 while self._reflector.relists == lists and not self._list_once():
                     hub.sleep(pause.next_delay_us())
         finally:
--- a/wingbarrow/core/waits.py
+++ b/wingbarrow/core/waits.py
@@ -1,7 +1,7 @@
-"""Tasks with an open request: whether one has waited long for a machine.
+"""Tasks with an open request, and whether any of them has waited long for a machine.
 
-They are grouped by patience, rounded to a power of two. Within a group the oldest request has used up the largest part
-of its patience, to a factor of two, so that checking the first few of each group is enough, however many wait.
+Requests are grouped by patience, rounded to a power of two. Within a group the oldest request has used up the largest
+part of its patience, to a factor of two, so checking the first few of each group is enough, however many wait.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from wingbarrow.core.job_store import State, TaskRecord
 from wingbarrow.decide.subset_widening import is_long_wait
 
-MAX_CHECKED_PER_GROUP = 64  # patience is bounded, and with it the number of groups
+MAX_CHECKED_PER_GROUP = 64  # patience is bounded, and so is the number of groups
 
 
 class Waits:
-    """Open requests by group; `has_attempt(request)` says whether an attempt of a request is in flight."""
+    """Open requests by group; `has_attempt(request)` returns whether a request has an attempt in flight."""
 
     def __init__(self, has_attempt: Callable[[int], bool]) -> None:
         self._has_attempt = has_attempt
-        # By the bit length of the patience: tasks by request, oldest first.
+        # Tasks by request, oldest first; by the bit length of their patience.
         self._groups: dict[int, dict[int, TaskRecord]] = {}
 
     def add(self, task: TaskRecord) -> None:
-        """A task's present request was opened."""
+        """Add the request that a task has just opened."""
         self._groups.setdefault(_group(task), {})[task.request] = task
 
     def remove(self, task: TaskRecord, request: int) -> None:
-        """A request was answered, withdrawn or closed."""
+        """Remove a request that was answered, withdrawn or closed."""
         self._groups.get(_group(task), {}).pop(request, None)
 
     def __len__(self) -> int:
         return sum(len(group) for group in self._groups.values())
 
     def has_long_wait(self, now_us: int) -> bool:
-        """Whether a task without an attempt in flight has waited long: `decide.subset_widening.is_long_wait`."""
+        """Whether a task without an attempt in flight has waited long (`decide.subset_widening.is_long_wait`)."""
         return any(
             self._waits_long(now_us, request, task)
             for group in self._groups.values()
