--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -205,7 +205,7 @@
             self._news.entries,
             self._news.seconds,
             placer.job_store.admission.open_tasks,
-            placer.base.counts["placed"],
+            placer.context.counts["placed"],
             self._sampler.take(),
         )
 
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.coordinator import Coordinator
@@ -27,9 +27,9 @@
     """
 
     def __init__(
-        self, base: Base, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
+        self, context: CoreContext, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
     ) -> None:
-        self._base, self._fleet, self._coordinator = base, fleet, coordinator
+        self._context, self._fleet, self._coordinator = context, fleet, coordinator
         self._closed: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
 
@@ -37,14 +37,14 @@
         """Record the outcome of an attempt on a machine; None where its task runs."""
         coordinator = self._coordinator()
         if coordinator is not None and (outcome is None or outcome in FAULT_OUTCOMES):
-            coordinator.health_observer.record(self._base.hub.now_us(), machine, outcome is None)
+            coordinator.health_observer.record(self._context.hub.now_us(), machine, outcome is None)
 
     def on_verdicts(self, closed: frozenset[str]) -> None:
         """Apply the verdicts in force: exactly these machines are ejected from now on."""
         changed, self._closed = self._closed ^ closed, closed
         for name in sorted(changed):
-            self._base.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
-            self._base.log("verdict", machine=name, closed=name in closed)
+            self._context.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
+            self._context.log("verdict", machine=name, closed=name in closed)
         held = self._fleet.held
         self._fleet.reapply([held[name] for name in sorted(changed) if name in held])
 
@@ -68,7 +68,7 @@
             or coordinator is None
         ):
             return listed
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         if listed.launched_us > now - coordinator.ejections.age_us(now, entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -12,8 +12,8 @@
 from typing import Any, Protocol
 
 from wingbarrow.core.api_objects import ApiObjects
-from wingbarrow.core.base import Base
-from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.context import CoreContext
+from wingbarrow.core.job_manifest import JobRequest
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
@@ -48,13 +48,18 @@
     """
 
     def __init__(
-        self, base: Base, jobs: JobStore, objects: ApiObjects, requests: Requests, incarnation: int
+        self,
+        context: CoreContext,
+        jobs: JobStore,
+        objects: ApiObjects,
+        requests: Requests,
+        incarnation: int,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._objects = objects
         self._requests = requests
-        self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
+        self.sender = forwarding.ForwardSender(context.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
         self.region_reports: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
@@ -77,8 +82,8 @@
 
         A Job that was forwarded here stays here or is rejected: no Job is forwarded twice.
         """
-        base, federation = self._base, self.federation()
-        here = base.settings.region
+        context, federation = self._context, self.federation()
+        here = context.settings.region
         if is_forwarded:
             if here not in allowed(spec, federation):
                 raise ApiError(
@@ -92,26 +97,26 @@
             spec,
             federation,
             Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
-            self.region_reports(base.hub.now_us()),
-            base.random.random(),
+            self.region_reports(context.hub.now_us()),
+            context.random.random(),
         )
         if not choice.region:
-            base.counts["turned_away:no region"] += 1
+            context.counts["turned_away:no region"] += 1
             raise ApiError(
                 503,
                 f"federation {spec.name!r} leaves no region now: {choice.reason}",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         if choice.region != here and not self.budget.try_take():
-            base.counts["handing:over the budget"] += 1
+            context.counts["handing:over the budget"] += 1
             if here in allowed(spec, federation):
                 return here
             raise ApiError(
                 503,
                 "too many Jobs are handed over to other regions now",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         return choice.region
 
@@ -125,14 +130,14 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        news = self.region_reports(self._base.hub.now_us()).get(region)
+        news = self.region_reports(self._context.hub.now_us()).get(region)
         targets = self.targets(news.placers if news is not None else ())
-        self._base.random.shuffle(targets)
+        self._context.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
             _manifest(job), spec, is_idempotent, due_us - ANSWER_MARGIN_US
         )
-        ident, effects = self.sender.begin(self._base.hub.now_us(), forwarded, targets)
+        ident, effects = self.sender.begin(self._context.hub.now_us(), forwarded, targets)
         if not ident:
             return False
         self._jobs.open_request(task, due_us)
@@ -156,7 +161,7 @@
             return False
         self._forwarded.pop(ident, None)
         self._jobs.close_request(task)
-        self.carry_out(self.sender.withdraw(self._base.hub.now_us(), ident))
+        self.carry_out(self.sender.withdraw(self._context.hub.now_us(), ident))
         return True
 
     def _on_forward_status(self, ident: str, state: str, machine: str, words: str) -> None:
@@ -168,13 +173,13 @@
             task.machine = machine
             self._jobs.close_request(task)
             self._jobs.transition(task, Step.PLACE)
-            self._base.counts["placed_elsewhere"] += 1
+            self._context.counts["placed_elsewhere"] += 1
         elif state in (forwarding.REJECTED, forwarding.FAILED) and task.answered:
             # No receiver accepted this migration. The owner already has its answer: the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
-            self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
+            self._requests.submit(task, self._context.hub.now_us() + task.job.request.patience_us)
             return
         elif state in (forwarding.REJECTED, forwarding.FAILED):
             self._requests.reject_or_fail(
@@ -185,7 +190,7 @@
         if state in forwarding.FINAL:
             del self._forwarded[ident]
             self._ident_by_task.pop(task.name, None)
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         self._objects.flush()
 
     # -- from other regions
@@ -193,7 +198,7 @@
     def _receive(self, ident: str, manifest: str, left_us: int) -> None:
         """Admit a forwarded Job. Runs in a task of its own, as admission may wait for a replica's acknowledgement."""
         assert self.admission is not None, "the placer sets it before anything runs"
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         try:
             value = names.decode(manifest)
             meta = value["metadata"]
@@ -229,7 +234,7 @@
         self.admission.delete_job(key)
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
+                self._context.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
             )
         )
 
@@ -257,10 +262,10 @@
             return
         if state in forwarding.FINAL:
             self._forget(ident)
-        where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
+        where = f"{self._context.settings.region}/{task.machine}" if task.machine else ""
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, state, where, task.last_outcome
+                self._context.hub.now_us(), ident, state, where, task.last_outcome
             )
         )
 
@@ -286,7 +291,7 @@
                 self._on_forward_status(**each.fields)
             elif each.event == "take":
                 fields = each.fields
-                self._base.spawn(
+                self._context.spawn(
                     partial(self._receive, fields["ident"], fields["manifest"], fields["left_us"]),
                     "admit a forwarded Job",
                 )
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -17,7 +17,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config.settings import SubsetSettings
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.link import MachineLink
 from wingbarrow.core.machines import Machines
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         settings: SubsetSettings,
         fleet: Fleet,
         machines: Machines,
@@ -63,14 +63,14 @@
         members: Callable[[], tuple[frozenset[str], int]],
         waits_long: Callable[[int], bool],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = fleet
         self._machines = machines
         self._attempts = attempts
         self._stops = stops
         self._members = members
         self._waits_long = waits_long
-        self._name = base.settings.name
+        self._name = context.settings.name
         self.subsets = Subsets(settings.rules)
         self._spread_us = min(
             MAX_LIST_SPREAD_US, LIST_SPREAD_PER_PLACER_US * len(settings.rules.roster)
@@ -83,13 +83,13 @@
         self.extra_ranks = (
             0  # further ranks whose machines this placer holds while its tasks wait long
         )
-        self._started_us = base.hub.now_us()
+        self._started_us = context.hub.now_us()
         self.live_members = self._membership.live_members(self._started_us)
         # Whether to watch every machine of the first list, as the machines of the earlier incarnation are not known.
         self._watches_all = False
-        self._supplementary_lists = SupplementaryLists(base, fleet.reflector, self._spread_us)
+        self._supplementary_lists = SupplementaryLists(context, fleet.reflector, self._spread_us)
         # Separate from the above, as a list for widening must not wait for the delay that spreads all placers' lists.
-        self._widening_lists = SupplementaryLists(base, fleet.reflector, WIDENING_LIST_SPREAD_US)
+        self._widening_lists = SupplementaryLists(context, fleet.reflector, WIDENING_LIST_SPREAD_US)
         self._releasing = 0
         # When to check again lingering machines that could not be released.
         self._retry_at_us: dict[str, int] = {}
@@ -125,16 +125,16 @@
 
     def run(self) -> None:
         """Apply membership changes and release machines until cancelled."""
-        self._started_us = self._base.hub.now_us()
+        self._started_us = self._context.hub.now_us()
         while True:
-            now = self._base.hub.now_us()
+            now = self._context.hub.now_us()
             self._check_membership(now)
             if self._max_extra:
                 self._check_waits(now)
             self._release_some(now)
             if self._fleet.reflector.relists:
                 self._watches_all = False
-            self._base.hub.sleep(CHECK_INTERVAL_US)
+            self._context.hub.sleep(CHECK_INTERVAL_US)
 
     def _check_membership(self, now_us: int) -> None:
         live, known = self._members()
@@ -148,8 +148,8 @@
     def _on_membership_change(self, live: frozenset[str]) -> None:
         before = self.live_members
         moved = self._change(live, self.extra_ranks)
-        self._base.counts["subset:changes"] += 1
-        self._base.log(
+        self._context.counts["subset:changes"] += 1
+        self._context.log(
             "subset",
             living=len(live),
             moved=moved,
@@ -166,8 +166,8 @@
         if extra == before:
             return
         moved = self._change(self.live_members, extra)
-        self._base.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
-        self._base.log("subset-width", extra=extra, moved=moved)
+        self._context.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
+        self._context.log("subset-width", extra=extra, moved=moved)
         if extra > before:
             self._widening_lists.request()
 
@@ -199,7 +199,7 @@
             elif self._retry_at_us.get(name, 0) <= now_us and self._may_release(link, now_us):
                 self._retry_at_us[name] = now_us + RELEASE_RETRY_US
                 self._releasing += 1
-                self._base.spawn(lambda link=link: self._release(link), f"release {name}")  # type: ignore[misc]
+                self._context.spawn(lambda link=link: self._release(link), f"release {name}")  # type: ignore[misc]
 
     def _is_lost(self, link: MachineLink) -> bool:
         """Whether a machine known from the saved list is unlisted, unreachable, and has nothing pending."""
@@ -226,7 +226,7 @@
             # Danger: a task of an abandoned offer or an earlier incarnation would run on without a placer to stop it.
             holds_any = link.holds_any()
             if holds_any is False:
-                self._base.hub.sleep(RELEASE_CONFIRM_US)
+                self._context.hub.sleep(RELEASE_CONFIRM_US)
         finally:
             self._releasing -= 1
         name = link.name
@@ -234,7 +234,7 @@
             holds_any is False
             and not self.holds(name)
             and self._machines.links.get(name) is link
-            and self._may_release(link, self._base.hub.now_us())
+            and self._may_release(link, self._context.hub.now_us())
         ):
-            self._base.counts["subset:released"] += 1
+            self._context.counts["subset:released"] += 1
             self._fleet.release(name)
--- a/wingbarrow/core/supplementary_lists.py
+++ b/wingbarrow/core/supplementary_lists.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.http.client import CallFailed
@@ -22,8 +22,8 @@
     same event.
     """
 
-    def __init__(self, base: Base, reflector: Reflector, spread_us: int) -> None:
-        self._base, self._reflector = base, reflector
+    def __init__(self, context: CoreContext, reflector: Reflector, spread_us: int) -> None:
+        self._context, self._reflector = context, reflector
         self._spread_us = spread_us
         self.running = self._requested = False
 
@@ -32,15 +32,15 @@
         self._requested = True
         if not self.running:
             self.running = True
-            self._base.spawn(self._run, "list missing machines")
+            self._context.spawn(self._run, "list missing machines")
 
     def _run(self) -> None:
-        hub = self._base.hub
-        pause = Backoff(self._base.random, MIN_BACKOFF_US, MAX_BACKOFF_US)
+        hub = self._context.hub
+        pause = Backoff(self._context.random, MIN_BACKOFF_US, MAX_BACKOFF_US)
         try:
             while self._requested:
                 self._requested, lists = False, self._reflector.relists
-                hub.sleep(int(self._base.random.random() * self._spread_us))
+                hub.sleep(int(self._context.random.random() * self._spread_us))
                 # A full list that the reflector has read meanwhile contains all wanted machines.
                 while self._reflector.relists == lists and not self._list_once():
                     hub.sleep(pause.next_delay_us())
@@ -51,7 +51,7 @@
         try:
             self._reflector.list_missing_machines()
         except (CallFailed, ApiError, ValueError) as error:
-            self._base.counts["subset:relists failed"] += 1
-            self._base.log("subset-relist-failed", level="warning", why=str(error)[:200])
+            self._context.counts["subset:relists failed"] += 1
+            self._context.log("subset-relist-failed", level="warning", why=str(error)[:200])
             return False
         return True
--- a/wingbarrow/relay/admission.py
+++ b/wingbarrow/relay/admission.py
@@ -83,7 +83,7 @@
         if isinstance(due_us, Rejected):
             self._reject(owner, message.task, Cause.BUSY, due_us.why.name.lower(), existing)
         elif pending >= MAX_PENDING_TASKS or not self._limits.may_open_set_up(
-            owner.connection, len(owner.tasks)
+            owner.activity, len(owner.tasks)
         ):
             self._reject(owner, message.task, Cause.BUSY, "too many open", existing)
         else:
@@ -131,7 +131,7 @@
             # Danger: nothing else bounds adopted tasks, and only the machine knows whether such a task exists.
             self._reject(owner, set_up.ident, Cause.RESET, "too many held", None)
             return
-        cause = self._offers.ended_early(link, set_up.ident)
+        cause = self._offers.take_early_release(link, set_up.ident)
         if cause is not None:
             self._trace(set_up.ident, "found ended", owner=owner.number, machine=machine_name)
             self.owners.mark_proven(owner)
@@ -152,7 +152,7 @@
             request, 0, task, link, f"{task.ident:016x}/0", now, now, Stage.PLACED, now
         )
         self._attempts.add(attempt)
-        link.strays.pop(task.ident, None)
+        link.orphans.pop(task.ident, None)
         link.running[task.ident] = attempt
         self.owners.mark_proven(owner)
         self._trace(task.ident, "found", owner=owner.number, machine=machine_name)
@@ -163,7 +163,7 @@
         # Danger: a client rejected because another owner holds the id may withdraw it, which must not end that task.
         if (
             task is None
-            or (task.state is State.ASKED and task.owner is not owner)
+            or (task.state is State.PENDING and task.owner is not owner)
             or task.ident in owner.foreign_ids
         ):
             self._life.counts["releases_unknown"] += 1
