--- a/tests/core/test_reflector.py
+++ b/tests/core/test_reflector.py
@@ -1,4 +1,4 @@
-"""What the reflector makes of a node at each reading."""
+"""The reflector decodes the same Node the same way each time."""
 
 from __future__ import annotations
 
@@ -27,21 +27,24 @@
 }
 
 
-class Jittering(VirtualClock):
-    """Two clocks that are never read at the same moment, as real ones are not."""
+class JitteringClock(VirtualClock):
+    """A virtual clock whose wall clock jitters, because two real clocks are never read at the same moment."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._chance = random.Random(7)
+        self._jitter = random.Random(7)
 
     def wall_us(self) -> int:
         """Microseconds since 1970, up to 42 us late."""
-        return super().wall_us() + self._chance.randrange(42)
+        return super().wall_us() + self._jitter.randrange(42)
 
 
 def test_a_start_is_the_same_time_at_each_reading() -> None:
-    """A later one would be another start: the module forgets what it knew, offers without an answer among it."""
-    hub = Hub(Jittering())
+    """Otherwise each reading would look like a new start of the machine.
+
+    The decision module would then discard what it knows of the machine, including offers that await a response.
+    """
+    hub = Hub(JitteringClock())
     context = CoreContext(hub, load_text(settings_text(0, 1, 1, 1)), silent)
     reflector = Reflector(
         hub,
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -1,4 +1,4 @@
-"""The reflector where only some machines are wanted: what it holds, passes over, and takes in as that changes."""
+"""The reflector where only some machines are wanted: the entries that it holds, skips, and adds later."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
     }
 
 
-class Listing:
-    """A list source and one reflector, without machines."""
+class ReflectorStage:
+    """A list source and one reflector; no machines run."""
 
-    def __init__(self, machines_most: int = 10_000) -> None:
+    def __init__(self, max_machines: int = 10_000) -> None:
         self.hub = Hub(VirtualClock())
         self.source = ListSource(self.hub, 1, Recorder(self.hub.now_us), lambda text: None)
         self.source.lag_us = 0
         self.subsets = Subsets(SubsetRules(PLACERS, 3))
-        self.living = frozenset(PLACERS)
+        self.live_placers = frozenset(PLACERS)
         self.delivered: list[tuple[ListForm, int, int]] = []
         self.logged: list[str] = []
         self.reflector = Reflector(
@@ -51,17 +51,17 @@
             self.source.port,
             "wingbarrow/p0",
             random.Random(1),
-            machines_most,
+            max_machines,
             0,
-            self._take,
+            self._on_delivery,
             self._log,
         )
         self.reflector.is_wanted = self.wanted
 
     def wanted(self, name: str) -> bool:
-        return self.subsets.holds("p0", name, self.living)
+        return self.subsets.holds("p0", name, self.live_placers)
 
-    def _take(self, form: ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
+    def _on_delivery(self, form: ListForm, entries: list[NodeEntry], gone: list[str]) -> None:
         self.delivered.append((form, len(entries), len(gone)))
 
     def _log(self, what: str, **fields: Any) -> None:
@@ -88,7 +88,7 @@
 def test_five_hundred_machines_that_join_within_a_second_are_held_only_where_they_are_wanted() -> (
     None
 ):
-    listing = Listing()
+    listing = ReflectorStage()
 
     def script() -> None:
         assert listing.wait(lambda: listing.reflector.watches == 1)
@@ -104,7 +104,7 @@
         assert reflector.relists == 1
         assert reflector.skipped_entries == 500 - len(want)
         assert sum(entries for _, entries, _ in listing.delivered) == len(want), (
-            "each is delivered once"
+            "each entry is delivered once"
         )
         for number in range(500):
             listing.source.show(f"m{number}", None)
@@ -113,15 +113,15 @@
     listing.play(script)
 
 
-def test_machines_that_come_in_are_taken_from_a_list_beside_the_watch_and_only_they() -> None:
-    listing = Listing()
+def test_machines_that_become_wanted_are_added_by_a_supplementary_list_and_no_others() -> None:
+    listing = ReflectorStage()
 
     def script() -> None:
         for number in range(50):
             listing.source.show(f"m{number}", node(f"m{number}"))
         assert listing.wait(lambda: listing.reflector.watches == 1)
         before = set(listing.reflector.held)
-        listing.living -= {"p1", "p2", "p3"}
+        listing.live_placers -= {"p1", "p2", "p3"}
         listing.reflector.list_missing_machines()
         want = {f"m{number}" for number in range(50) if listing.wanted(f"m{number}")}
         assert before < want == set(listing.reflector.held)
@@ -130,20 +130,20 @@
         assert listing.reflector.left_out == 50 - len(want)
         listing.reflector.list_missing_machines()
         assert listing.delivered[-1] == (ListForm.CHANGES, len(want) - len(before), 0), (
-            "a second one brings nothing"
+            "a second list adds nothing"
         )
         late = sorted(want - before)[0]
         listing.source.show(late, node(late, drains=True))
         assert listing.wait(lambda: listing.reflector.held[late].listed.phase is Phase.DRAINING), (
-            "the watch goes on"
+            "the watch is not interrupted"
         )
 
     listing.play(script)
 
 
-def test_a_list_from_before_a_drain_that_was_passed_over_is_not_believed() -> None:
-    """Rule 3: the drain was told to this placer while it did not hold the machine."""
-    listing = Listing()
+def test_a_list_older_than_a_skipped_drain_event_is_rejected() -> None:
+    """Rule 3: the drain was announced while this placer did not hold the machine."""
+    listing = ReflectorStage()
 
     def script() -> None:
         for number in range(20):
@@ -151,16 +151,15 @@
         assert listing.wait(lambda: listing.reflector.watches == 1)
         out = [f"m{number}" for number in range(20) if not listing.wanted(f"m{number}")]
         other = out[0]
-        for name in out[
-            1:5
-        ]:  # the picture is later than the list that was read, by news that was passed over too
+        # The old view is later than the list that was read, by events that were skipped.
+        for name in out[1:5]:
             listing.source.show(name, node(name, drains=True))
         serve_old = listing.source.keep_old()
-        passed = listing.reflector.skipped_entries + len(out[1:5])
+        skipped = listing.reflector.skipped_entries + len(out[1:5])
         listing.source.show(other, node(other, drains=True))
-        assert listing.wait(lambda: listing.reflector.skipped_entries > passed)
+        assert listing.wait(lambda: listing.reflector.skipped_entries > skipped)
         assert len(out) >= 5
-        listing.living = frozenset({"p0"})
+        listing.live_placers = frozenset({"p0"})
         serve_old(True)
         with pytest.raises(ValueError, match="is stale"):
             listing.reflector.list_missing_machines()
@@ -176,18 +175,18 @@
 
 
 def test_a_machine_deleted_while_the_list_is_read_does_not_come_back() -> None:
-    listing = Listing()
+    listing = ReflectorStage()
 
     def script() -> None:
         for number in range(20):
             listing.source.show(f"m{number}", node(f"m{number}"))
         assert listing.wait(lambda: listing.reflector.watches == 1)
         other = next(f"m{number}" for number in range(20) if not listing.wanted(f"m{number}"))
-        listing.living = frozenset({"p0"})
+        listing.live_placers = frozenset({"p0"})
         entry = listing.source._nodes.objects[other].value
         listing.source.show(other, None)
         assert listing.wait(lambda: (ListForm.CHANGES, 0, 1) in listing.delivered), (
-            "its end was read"
+            "its deletion was read"
         )
         assert not listing.reflector._versions.accept_entry(
             other, int(entry["metadata"]["resourceVersion"])
@@ -200,7 +199,7 @@
 
 
 def test_the_bound_on_machines_counts_those_that_are_held() -> None:
-    listing = Listing(machines_most=8)
+    listing = ReflectorStage(max_machines=8)
 
     def script() -> None:
         for number in range(20):
@@ -208,7 +207,7 @@
         assert listing.wait(lambda: listing.reflector.watches == 1)
         assert len(listing.reflector.held) <= 8
         assert "list-too-long" not in listing.logged
-        listing.living = frozenset({"p0"})
+        listing.live_placers = frozenset({"p0"})
         listing.reflector.list_missing_machines()
         assert len(listing.reflector.held) == 8
         assert listing.logged.count("list-too-long") == 1
@@ -216,8 +215,8 @@
     listing.play(script)
 
 
-def replaced(source: ListSource) -> None:
-    """Another source in its place, restored from a copy: later versions, and no window to resume a watch from."""
+def replace_source(source: ListSource) -> None:
+    """Replace the source by one restored from a backup: later versions, and no window to resume a watch from."""
     values = {name: stored.value for name, stored in source._nodes.objects.items()}
     source._store = Store(source._store.version + 1000, 4096)
     source._nodes = source._store.collection("nodes")
@@ -231,8 +230,8 @@
 
 
 @pytest.mark.parametrize("restored", [False, True])
-def test_the_source_is_replaced_while_machines_are_taken_in(restored: bool) -> None:
-    """By an older picture for a while, from which nothing is taken in; by one that was restored from a copy."""
+def test_the_source_is_replaced_while_machines_are_added(restored: bool) -> None:
+    """The source serves an older view for a while, from which no machine is added; or it is restored from a backup."""
     stage = SubsetStage(machines=8, placers=3, replicas=1)
 
     def script() -> None:
@@ -250,12 +249,12 @@
             40,
         )
         if restored:
-            replaced(stage.cluster.source)
+            replace_source(stage.cluster.source)
         else:
             serve_old(True)
             stage.hub.sleep(10 * S)
-            taken = {name for each in stage.live() for name in each.fleet.held}
-            assert len(taken) < 8, "nothing is taken in from a list that goes back"
+            held = {name for each in stage.live() for name in each.fleet.held}
+            assert len(held) < 8, "no machine is added from a stale list"
             assert sum(each.context.counts["subset:relists failed"] for each in stage.live()) > 0
         for turn in range(6):
             stage.submit_to(stage.cluster.placers[turn % 2], f"t{turn}", runs_s=2)
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -1,4 +1,4 @@
-"""A machine that leaves a placer's subset, or comes into it, while something of the placer's is there."""
+"""Machines that leave or enter a placer's subset while the placer has tasks, offers or stops there."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 SLOW = Build(start_us=2 * S, setup=1.0)
 
 
-def moving(stage: SubsetStage) -> tuple[PlacerSlot, str, PlacerSlot]:
-    """A placer, a machine that it holds only while another is dead, and that other."""
+def find_moving_machine(stage: SubsetStage) -> tuple[PlacerSlot, str, PlacerSlot]:
+    """A placer, a machine that it holds only while another placer is dead, and that other placer."""
     slots = stage.cluster.placers
     subsets = stage.subset(0).subsets
     everybody = frozenset(slot.name for slot in slots)
@@ -38,8 +38,8 @@
     raise AssertionError("no machine moves")
 
 
-def alone_there(stage: SubsetStage, slot: PlacerSlot, machine: str) -> None:
-    """Have a placer's module see that machine alone."""
+def show_only(stage: SubsetStage, slot: PlacerSlot, machine: str) -> None:
+    """Show only that machine as open to a placer's decision module."""
     placer = slot.service.placer if slot.service else None
     assert placer is not None
     placer.fleet.guards.append(
@@ -56,50 +56,53 @@
     return link.phase
 
 
-def members_say(stage: SubsetStage, subset: Subset, living: set[str]) -> None:
-    """Membership tells a placer this from now on; who is back is let in at once, as the last change has settled."""
+def set_members(stage: SubsetStage, subset: Subset, live: set[str]) -> None:
+    """Set what membership reports to a placer from now on.
+
+    The settle time of the last change is waited out first, so that a placer that is back counts at once.
+    """
     stage.hub.sleep(int(SETTLE_S * S))
-    subset._members = lambda: (frozenset(living), len(living))
+    subset._members = lambda: (frozenset(live), len(live))
     subset._check_membership(stage.hub.now_us())
 
 
-def brought_in(stage: SubsetStage) -> tuple[PlacerSlot, str, PlacerSlot, MachineLink]:
-    """The other placer is killed, and the machine comes to the first one, whose only one it is."""
-    slot, machine, other = moving(stage)
+def move_machine_in(stage: SubsetStage) -> tuple[PlacerSlot, str, PlacerSlot, MachineLink]:
+    """Kill the other placer, so that the machine enters the first placer's subset, as the only one open to it."""
+    slot, machine, other = find_moving_machine(stage)
     other.kill()
     assert slot.service is not None
     placer = slot.service.placer
     assert stage.wait(
         lambda: machine in placer.machines.links and placer.machines.links[machine].reachable, 60
     )
-    alone_there(stage, slot, machine)
+    show_only(stage, slot, machine)
     return slot, machine, other, placer.machines.links[machine]
 
 
 @pytest.mark.parametrize("drains", [False, True])
-def test_a_machine_that_leaves_with_an_attempt_out_is_followed_until_its_task_has_ended(
+def test_a_machine_that_leaves_with_an_attempt_in_flight_is_watched_until_its_task_has_ended(
     drains: bool,
 ) -> None:
-    """With a drain told in the same turn, too."""
+    """Also with a drain that is announced at the same time."""
     stage = SubsetStage(machines=6, placers=3, replicas=1, build=SLOW)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "out", "settlement", runs_s=20, patience_s=10)
         assert stage.wait(lambda: bool(stage.seen("offer")), 1)
-        standin = next(each for each in stage.cluster.machines if each.name == machine)
+        simulated = next(each for each in stage.cluster.machines if each.name == machine)
         subset = placer.subset
         assert subset is not None
-        members_say(stage, subset, {each.name for each in stage.cluster.placers})
+        set_members(stage, subset, {each.name for each in stage.cluster.placers})
         if drains:
-            stage.cluster.set_drain(standin, True)
+            stage.cluster.set_drain(simulated, True)
         assert link.phase is Phase.DRAINING
         assert machine in subset.lingering
         stage.submit_to(slot, "later", patience_s=2)
-        assert stage.answer_of(slot, "out") == "placed", "what is out goes on"
-        assert stage.answer_of(slot, "later") == "refused", "nothing new goes there"
+        assert stage.answer_of(slot, "out") == "placed", "an attempt in flight continues"
+        assert stage.answer_of(slot, "later") == "refused", "no new task is sent there"
         other.start()
         stage.hub.sleep(LINGER_US + 2 * S)
         assert placer.machines.links[machine] is link
@@ -107,9 +110,9 @@
         assert machine in placer.fleet.held
         if drains:
             assert placer.fleet.held[machine].listed.phase is Phase.DRAINING
-            stage.cluster.set_drain(standin, False)
+            stage.cluster.set_drain(simulated, False)
         assert stage.wait(lambda: stage.settled_subsets(), 60), (
-            "it is let go once its task has ended"
+            "it is released once its task has ended"
         )
         assert link.retired
         assert not link.reachable
@@ -124,23 +127,23 @@
     assert stage.audit().clean
 
 
-def test_a_machine_that_comes_back_in_while_it_lingers_is_sent_to_again_by_the_same_connections() -> (
+def test_a_lingering_machine_that_reenters_the_subset_is_used_again_over_the_same_connections() -> (
     None
 ):
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "first", runs_s=40)
         assert stage.answer_of(slot, "first") == "placed"
         subset = placer.subset
         assert subset is not None
         without = set(subset.live_members)
-        members_say(stage, subset, without | {other.name})
+        set_members(stage, subset, without | {other.name})
         assert phase_of(link) is Phase.DRAINING
-        members_say(stage, subset, without)
+        set_members(stage, subset, without)
         assert stage.wait(lambda: machine not in subset.lingering, 10)
         assert phase_of(link) is Phase.RUNNING
         assert placer.machines.links[machine] is link
@@ -152,51 +155,48 @@
     assert stage.audit().clean
 
 
-def test_a_machine_is_not_let_go_while_a_stop_is_owed_to_it_or_a_task_of_this_placers_runs_there() -> (
-    None
-):
+def test_a_machine_is_not_released_while_it_has_a_pending_stop_or_a_running_task() -> None:
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=200)
         assert stage.answer_of(slot, "t") == "placed"
-        standin = next(each for each in stage.cluster.machines if each.name == machine)
+        simulated = next(each for each in stage.cluster.machines if each.name == machine)
         subset = placer.subset
         assert subset is not None
         attempt = placer.attempts.on(link)[0]
         other.start()
         assert stage.wait(lambda: machine in subset.lingering, 60)
-        stage.cluster.hold_machine(standin, 20)
+        stage.cluster.hold_machine(simulated, 20)
         stage.hub.sleep(S // 10)
         placer.admission.delete_job("default/t")
         stage.hub.sleep(15 * S)
         assert placer.stops.pending_on(link) == 1 and subset.lingering == [machine], (
-            "the others are let go"
+            "the other machines are released"
         )
         assert stage.wait(lambda: not subset.lingering, 90)
         assert attempt.key not in {
-            pod.name for pod in standin.pods.values() if pod.phase == "Running"
+            pod.name for pod in simulated.pods.values() if pod.phase == "Running"
         }
 
     stage.play(script, start=False)
     assert len(stage.seen("end")) == 1
 
 
-def test_what_a_former_life_placed_outside_the_present_subset_is_found_and_counts() -> None:
-    """Rule 5: the next life knows of the machine by its saved list, and lets it go when the task has ended."""
+def test_tasks_of_an_earlier_incarnation_outside_the_present_subset_are_found_and_counted() -> None:
+    """Rule 5: the next incarnation knows the machine by its saved list, and releases it when the task has ended."""
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
         assert stage.answer_of(slot, "t") == "placed"
-        stage.hub.sleep(
-            S + S // 10
-        )  # the list is saved within a second where it names more machines
+        # The list is saved within a second where machines have been added to it.
+        stage.hub.sleep(S + S // 10)
         slot.kill()
         other.start()
         stage.hub.sleep(S)
@@ -205,7 +205,7 @@
         assert placer.subset is not None
         assert not placer.subset.holds(machine)
         assert stage.wait(lambda: "default/t" in placer.job_store.jobs, 10), (
-            "its Job is made anew from what runs"
+            "its Job is recreated from the running pod"
         )
         assert machine in placer.subset.lingering
         assert placer.machines.links[machine].phase is Phase.DRAINING
@@ -216,8 +216,8 @@
     assert len(stage.seen("end")) == 1
 
 
-def test_a_machine_that_came_in_is_on_the_saved_list_within_little_more_than_a_second() -> None:
-    """Whenever it comes: the list is saved every five seconds otherwise, and a life could end before."""
+def test_a_machine_that_was_added_is_on_the_saved_list_within_little_more_than_a_second() -> None:
+    """Otherwise the list is saved only every five seconds, and the placer could die before that."""
     stage = SubsetStage(machines=4, placers=2, replicas=2)
 
     def script() -> None:
@@ -241,7 +241,7 @@
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, _ = brought_in(stage)
+        slot, machine, other, _ = move_machine_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
         assert stage.answer_of(slot, "t") == "placed"
         slot.kill()
@@ -260,13 +260,13 @@
     stage.play(script, start=False)
 
 
-def test_nothing_that_is_out_or_owed_lets_a_machine_go_whatever_the_machine_says() -> None:
-    """An offer that waits for its connection is no task of the machine's yet, nor is a stop that it cannot confirm."""
+def test_a_machine_with_an_attempt_or_a_pending_stop_is_not_released_whatever_it_reports() -> None:
+    """The machine knows nothing of an offer that waits for its connection, nor of a stop that it cannot confirm yet."""
     stage = SubsetStage(machines=6, placers=3, replicas=1, build=SLOW)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         subset = placer.subset
         assert subset is not None
@@ -274,37 +274,39 @@
         stage.submit_to(slot, "out", runs_s=4)
         assert placer.attempts.on(link)
         assert link.offered_us is None
-        assert not subset._may_release(link, stage.hub.now_us()), "an attempt is out"
+        assert not subset._may_release(link, stage.hub.now_us()), "an attempt is in flight"
         assert stage.answer_of(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
         offered_us = link.offered_us
         assert offered_us is not None and not subset._may_release(
             link, offered_us + LINGER_US - 1
-        ), "its offer is just over"
+        ), "its offer has just ended"
         assert subset._may_release(link, offered_us + LINGER_US)
         placer.stops.request(link, "default", "ghost", is_settled=lambda: False)
-        assert not subset._may_release(link, offered_us + LINGER_US), "a stop is owed"
+        assert not subset._may_release(link, offered_us + LINGER_US), "a stop is pending"
         link.reachable = False
-        assert not subset._may_release(link, offered_us + 9 * LINGER_US), "it cannot tell"
+        assert not subset._may_release(link, offered_us + 9 * LINGER_US), (
+            "an unreachable machine cannot report its tasks"
+        )
 
     stage.play(script, start=False)
 
 
-def test_a_machine_is_asked_before_it_is_let_go_and_kept_while_it_holds_a_task_or_gives_no_answer() -> (
+def test_a_machine_is_queried_before_its_release_and_kept_while_it_holds_a_task_or_does_not_respond() -> (
     None
 ):
-    """A start that was given up may be on its way there still: as long as it has not begun, no watch tells of it."""
+    """An abandoned offer may still start its task; until then no watch event reports it."""
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         subset = placer.subset
         assert subset is not None
         answers: list[bool | None] = [None, True, True, False]
         link.holds_any = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
-        members_say(stage, subset, set(subset.live_members) | {other.name})
+        set_members(stage, subset, set(subset.live_members) | {other.name})
         while answers:
             assert placer.machines.links.get(machine) is link, answers
             stage.hub.sleep(S // 10)
@@ -313,13 +315,13 @@
     stage.play(script, start=False)
 
 
-def test_peers_hear_of_no_drain_where_a_machine_has_left_this_subset_alone() -> None:
-    """Nor do sights of machines that are left out here make their teller one of another cluster."""
+def test_no_drain_is_reported_to_peers_for_a_machine_that_has_only_left_this_subset() -> None:
+    """Nor is a peer that reports machines outside this subset taken for a member of another cluster."""
     stage = SubsetStage(machines=12, placers=6, replicas=1)
 
     def script() -> None:
         stage.begin()
-        slot, machine, other, link = brought_in(stage)
+        slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=30)
         assert stage.answer_of(slot, "t") == "placed"
@@ -327,25 +329,27 @@
         assert subset is not None
         placer.fleet.guards.pop()  # the other machines are open again
         placer.fleet.reapply(list(placer.fleet.held.values()))
-        members_say(stage, subset, set(subset.live_members) | {other.name})
+        set_members(stage, subset, set(subset.live_members) | {other.name})
         assert phase_of(link) is Phase.DRAINING
         assert machine in subset.lingering
         sights = placer.peer_hints.know()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
         for each in stage.live():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
-            assert each.peer_hints.take_sights(others * 4, 0, True), "taken for a stranger"
+            assert each.peer_hints.take_sights(others * 4, 0, True), (
+                "taken for a peer of another cluster"
+            )
             assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._heard)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
         assert machine not in {sight.machine for sight in placer.peer_hints.know()[0]}, (
-            "it is not told to be gone"
+            "it is not reported as gone"
         )
 
     stage.play(script, start=False)
 
 
-def test_a_machine_that_is_left_out_is_not_told_to_be_off_the_list() -> None:
-    """Maintenance slots end where those who agree on them say that a machine is gone."""
+def test_a_machine_outside_the_subset_is_not_reported_as_off_the_list() -> None:
+    """A maintenance slot ends once the agreeing placers report its machine as gone."""
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
@@ -360,7 +364,7 @@
     stage.play(script, start=False)
 
 
-def test_the_pure_function_of_the_stage_is_the_placers() -> None:
+def test_the_stage_and_all_placers_compute_the_same_subsets() -> None:
     stage = SubsetStage(machines=6, placers=3, replicas=1)
 
     def script() -> None:
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -1,4 +1,4 @@
-"""Where a placer's subset is full: it is widened while tasks wait, within its bounds, and shrinks again after calm."""
+"""A full subset is widened within its bounds while tasks wait, and narrowed again after a calm period."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import PlacerSlot
 
-TWO_TASKS = Build(booking_cores=2 / 24)  # a machine that takes in two tasks of a core
-INDEX = 1  # a placer that holds one machine of eight
+TWO_TASKS = Build(booking_cores=2 / 24)  # a machine with capacity for two tasks of one core
+INDEX = 1  # a placer that holds one of eight machines
 
 
-def begun(stage: SubsetStage, index: int = INDEX) -> tuple[PlacerSlot, Placer, set[str]]:
-    """A placer, its slot, and what it holds."""
+def start(stage: SubsetStage, index: int = INDEX) -> tuple[PlacerSlot, Placer, set[str]]:
+    """Start the stage; returns a placer's slot, the placer, and the names of the machines it holds."""
     stage.begin()
     slot, placer = stage.cluster.placers[index], stage.placer(index)
     held = set(placer.fleet.held)
@@ -28,7 +28,7 @@
 
 
 def fill(stage: SubsetStage, slot: PlacerSlot, machines: int, runs_s: float = 200) -> None:
-    """Two tasks for each machine of the placer's subset."""
+    """Place two tasks for each machine of the placer's subset."""
     for number in range(2 * machines):
         stage.submit_to(slot, f"fills-{slot.name}-{number}", runs_s=runs_s)
         assert stage.answer_of(slot, f"fills-{slot.name}-{number}") == "placed"
@@ -44,20 +44,19 @@
     stage = SubsetStage(machines=8, placers=4, replicas=1, build=TWO_TASKS, widen=2)
 
     def script() -> None:
-        slot, placer, held = begun(stage)
+        slot, placer, held = start(stage)
         subset = stage.subset(INDEX)
-        subset._supplementary_lists._spread_us = (
-            10 * S
-        )  # as with a hundred placers: a list for itself must not wait so long
+        # As with a hundred placers: a list for widening must not wait that long.
+        subset._supplementary_lists._spread_us = 10 * S
         subset._supplementary_lists.request()
         fill(stage, slot, len(held))
-        assert subset.extra_ranks == 0, "nothing waited so long"
+        assert subset.extra_ranks == 0, "no task has waited that long"
         asked_us, lists_before = stage.hub.now_us(), placer.fleet.reflector.supplementary_lists
         stage.submit_to(slot, "more")
         assert stage.answer_of(slot, "more") == "placed"
-        taken_us = stage.hub.now_us() - asked_us
-        print("placed after", taken_us / S, "s")
-        assert taken_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDENING_LIST_SPREAD_US + S // 2
+        elapsed_us = stage.hub.now_us() - asked_us
+        print("placed after", elapsed_us / S, "s")
+        assert elapsed_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDENING_LIST_SPREAD_US + S // 2
         machine = machine_of(placer, "more")
         assert machine not in held
         assert subset.holds(machine)
@@ -65,11 +64,11 @@
         first_two = {
             name for name in stage.names() if slot.name in subset.subsets.ranking(name)[:2]
         }
-        assert set(placer.fleet.held) == first_two, "one rank more"
+        assert set(placer.fleet.held) == first_two, "the machines of one more rank"
         assert placer.fleet.reflector.supplementary_lists == lists_before + 1
-        told = stage.pool(slot.port).request("GET", "/metrics").body.decode()
-        assert "\nwingbarrow_subset_extra_ranks 1.0\n" in told
-        assert 'subset:widened"} 1.0' in told
+        metrics = stage.pool(slot.port).request("GET", "/metrics").body.decode()
+        assert "\nwingbarrow_subset_extra_ranks 1.0\n" in metrics
+        assert 'subset:widened"} 1.0' in metrics
 
     stage.play(script, start=False)
     assert stage.audit().clean
@@ -79,7 +78,7 @@
     stage = SubsetStage(machines=8, placers=4, replicas=1, build=TWO_TASKS)
 
     def script() -> None:
-        slot, placer, held = begun(stage)
+        slot, placer, held = start(stage)
         fill(stage, slot, len(held))
         stage.submit_to(slot, "more")
         assert stage.answer_of(slot, "more") == "refused"
@@ -95,14 +94,14 @@
     stage = SubsetStage(machines=8, placers=4, replicas=1, build=TWO_TASKS, widen=2)
 
     def script() -> None:
-        slot, placer, held = begun(stage)
+        slot, placer, held = start(stage)
         for index, each in enumerate(stage.cluster.placers):
             fill(stage, each, len(stage.placer(index).fleet.held))
         subset, steps_us = stage.subset(INDEX), [0]
         asked_us, lists_before = stage.hub.now_us(), placer.fleet.reflector.supplementary_lists
         for name in ("a", "b", "c"):
             stage.submit_to(slot, name, patience_s=8)
-        assert len(placer.waits) == 3, "what was placed before does not wait"
+        assert len(placer.waits) == 3, "tasks placed before do not wait"
         while placer.job_store.unanswered:
             if subset.extra_ranks > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
@@ -114,7 +113,7 @@
         assert steps_us[2] - steps_us[1] >= MIN_STEP_INTERVAL_US - 10_000
         assert steps_us[1] - asked_us >= 2 * S
         assert placer.fleet.reflector.supplementary_lists - lists_before == 2, (
-            "a list for each step"
+            "one list for each step"
         )
         out = [name for name in stage.names() if slot.name not in subset.subsets.ranking(name)[:3]]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
@@ -123,11 +122,11 @@
     assert stage.audit().clean
 
 
-def test_after_calm_the_machines_are_let_go_and_a_task_there_is_followed_until_it_ends() -> None:
+def test_after_calm_the_machines_are_released_and_a_task_there_is_watched_until_it_ends() -> None:
     stage = SubsetStage(machines=8, placers=4, replicas=1, build=TWO_TASKS, widen=2)
 
     def script() -> None:
-        slot, placer, held = begun(stage, 2)
+        slot, placer, held = start(stage, 2)
         subset = stage.subset(2)
         fill(stage, slot, len(held), runs_s=200)
         stage.submit_to(slot, "more", runs_s=90)
@@ -137,7 +136,7 @@
             set(placer.fleet.held) - held - {machine},
             placer.fleet.reflector.supplementary_lists,
         )
-        assert others, "the further rank brought more than one machine"
+        assert others, "the additional rank contains more than one machine"
         assert stage.wait(lambda: subset.extra_ranks == 0, 40)
         assert CALM_PERIOD_US - S <= stage.hub.now_us() - placed_us <= CALM_PERIOD_US + S
         link = placer.machines.links[machine]
@@ -145,19 +144,17 @@
         assert set(subset.lingering) == others | {machine}
         assert stage.wait(lambda: subset.lingering == [machine], (LINGER_US + 5 * S) / S)
         assert placer.context.counts["subset:narrowed"] == 1
-        assert placer.fleet.reflector.supplementary_lists == lists_before, (
-            "a step down reads no list"
-        )
-        # It waits long again: the machine that is followed still is open at once.
+        assert placer.fleet.reflector.supplementary_lists == lists_before, "narrowing reads no list"
+        # A task waits long again: the machine that is still watched is opened at once.
         stage.submit_to(slot, "again", runs_s=1)
         assert stage.answer_of(slot, "again") == "placed"
         assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
         job = placer.job_store.jobs["default/more"]
         assert stage.wait(lambda: not job.open_tasks, 90) and job.tasks[0].state.value == "done", (
-            "it was followed"
+            "its machine was watched until it ended"
         )
-        assert stage.wait(stage.settled_subsets, 60), "all are let go in the end"
+        assert stage.wait(stage.settled_subsets, 60), "all are released in the end"
         assert placer.context.counts["subset:narrowed"] == 2
 
     stage.play(script, start=False)
@@ -168,7 +165,7 @@
     stage = SubsetStage(machines=8, placers=4, replicas=1, widen=2)
 
     def script() -> None:
-        slot, placer, held = begun(stage)
+        slot, placer, held = start(stage)
         subset = stage.subset(INDEX)
         for machine in stage.cluster.machines:
             if machine.name in held:
--- a/tests/core/test_waits.py
+++ b/tests/core/test_waits.py
@@ -1,4 +1,4 @@
-"""Whether a task waits long for a machine: which tasks count, and how many are checked."""
+"""Detection of tasks that wait long for a machine: which tasks count, and how many are checked."""
 
 from __future__ import annotations
 
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -227,7 +227,7 @@
         attempt.task.last_outcome = f"{attempt.link.name}: {failure.details}"[:300]
         self._context.counts[f"offer:{failure.outcome.value}"] += 1
         self._context.log(
-            "offer-ended",
+            "offer-failed",
             level="debug",
             request=attempt.request,
             attempt=attempt.number,
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -170,7 +170,7 @@
         if job_request is None or pod_status.job_key in self._jobs.jobs:
             self._context.counts["not_adopted"] += 1
             self._context.log(
-                "not-adopted", level="error", machine=link.name, job=pod_status.job_key
+                "pod-not-adopted", level="error", machine=link.name, job=pod_status.job_key
             )
             return
         job = self._jobs.add(
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -116,7 +116,7 @@
                 f"the Node list is stale: version {version} is older than the one held"
             )
         if decision is ListDecision.ACCEPT_NEW_SOURCE:
-            self._log("list-source-began-anew", level="warning", version=version)
+            self._log("list-source-replaced", level="warning", version=version)
             self.on_new_source()
         entries: dict[str, NodeEntry] = {}
         wanted = [value for value in items if self._is_wanted(value)]
--- a/wingbarrow/core/slow_start.py
+++ b/wingbarrow/core/slow_start.py
@@ -119,7 +119,7 @@
         self._closed[entry.name] = None
         if not self._reopening:
             self._reopening = True
-            self._context.spawn(self._reopen_machines, "cold shares")
+            self._context.spawn(self._reopen_machines, "slow start")
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _reopen_machines(self) -> None:
--- a/wingbarrow/core/supplementary_lists.py
+++ b/wingbarrow/core/supplementary_lists.py
@@ -52,6 +52,6 @@
             self._reflector.list_missing_machines()
         except (CallFailed, ApiError, ValueError) as error:
             self._context.counts["subset:relists failed"] += 1
-            self._context.log("subset-relist-failed", level="warning", why=str(error)[:200])
+            self._context.log("subset-list-failed", level="warning", why=str(error)[:200])
             return False
         return True
