--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -30,7 +30,7 @@
         self, context: CoreContext, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
     ) -> None:
         self._context, self._fleet, self._coordinator = context, fleet, coordinator
-        self._closed: frozenset[str] = frozenset()
+        self._ejected: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
 
     def record_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
@@ -41,7 +41,7 @@
 
     def on_verdicts(self, closed: frozenset[str]) -> None:
         """Apply the verdicts in force: exactly these machines are ejected from now on."""
-        changed, self._closed = self._closed ^ closed, closed
+        changed, self._ejected = self._ejected ^ closed, closed
         for name in sorted(changed):
             self._context.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
             self._context.log("verdict", machine=name, closed=name in closed)
@@ -63,7 +63,7 @@
         """
         coordinator = self._coordinator()
         if (
-            entry.name not in self._closed
+            entry.name not in self._ejected
             or listed.phase is not api.Phase.RUNNING
             or coordinator is None
         ):
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -130,8 +130,8 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        news = self.region_reports(self._context.hub.now_us()).get(region)
-        targets = self.targets(news.placers if news is not None else ())
+        report = self.region_reports(self._context.hub.now_us()).get(region)
+        targets = self.targets(report.placers if report is not None else ())
         self._context.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
--- a/wingbarrow/core/stops.py
+++ b/wingbarrow/core/stops.py
@@ -1,8 +1,8 @@
 """Pending stops of pods, by machine: each DELETE is retried with backoff until the machine confirms it.
 
 Stops are idempotent by pod name. They yield to offers and use at most MAX_CALLS_PER_MACHINE connections of a machine,
-so that cleaning up never delays waiting tasks. Pending stops count as open tasks in `decide.admission` and are
-thereby bounded.
+so that cleaning up never delays waiting tasks. Pending stops count as open tasks in `decide.admission`, which
+bounds their number.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     return True
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     pass
 
 
@@ -87,7 +87,7 @@
         pod: str,
         is_wanted: Callable[[], bool] = _always,
         is_settled: Callable[[], bool] = _always,
-        on_stopped: Callable[[], None] = _nothing,
+        on_stopped: Callable[[], None] = _no_op,
     ) -> None:
         """Request the stop of a pod; a second request for the same pod has no effect."""
         if pod in self._confirmed:
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -80,9 +80,8 @@
         )
         self._max_extra = settings.widen
         self._widening = SubsetWidening(settings.widen)
-        self.extra_ranks = (
-            0  # further ranks whose machines this placer holds while its tasks wait long
-        )
+        # Ranks beyond the replicas whose machines this placer holds while its tasks wait long.
+        self.extra_ranks = 0
         self._started_us = context.hub.now_us()
         self.live_members = self._membership.live_members(self._started_us)
         # Whether to watch every machine of the first list, as the machines of the earlier incarnation are not known.
@@ -147,7 +146,7 @@
 
     def _on_membership_change(self, live: frozenset[str]) -> None:
         before = self.live_members
-        moved = self._change(live, self.extra_ranks)
+        moved = self._apply(live, self.extra_ranks)
         self._context.counts["subset:changes"] += 1
         self._context.log(
             "subset",
@@ -165,13 +164,13 @@
         extra = self._widening.update(now_us, self._waits_long(now_us), useful)
         if extra == before:
             return
-        moved = self._change(self.live_members, extra)
+        moved = self._apply(self.live_members, extra)
         self._context.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
         self._context.log("subset-width", extra=extra, moved=moved)
         if extra > before:
             self._widening_lists.request()
 
-    def _change(self, live: frozenset[str], extra: int) -> int:
+    def _apply(self, live: frozenset[str], extra: int) -> int:
         """Apply a new membership and width; returns how many held machines enter or leave the subset."""
         held = self._fleet.held
         before = [name for name in held if self.holds(name)]
