--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.core.subsetstage import SubsetStage
+from tests.core.subset_stage import SubsetStage
 from tests.stage import S
 from wingbarrow.core.logs import silent
 from wingbarrow.core.nodes import NodeEntry
@@ -244,7 +244,7 @@
         assert stage.wait(
             lambda: any(
                 each.subset is not None and each.subset._supplementary_lists.running
-                for each in stage.live()
+                for each in stage.live_placers()
             ),
             40,
         )
@@ -253,17 +253,22 @@
         else:
             serve_old(True)
             stage.hub.sleep(10 * S)
-            held = {name for each in stage.live() for name in each.fleet.held}
+            held = {name for each in stage.live_placers() for name in each.fleet.held}
             assert len(held) < 8, "no machine is added from a stale list"
-            assert sum(each.context.counts["subset:relists failed"] for each in stage.live()) > 0
+            assert (
+                sum(each.context.counts["subset:relists failed"] for each in stage.live_placers())
+                > 0
+            )
         for turn in range(6):
             stage.submit_to(stage.cluster.placers[turn % 2], f"t{turn}", runs_s=2)
-            stage.answer_of(stage.cluster.placers[turn % 2], f"t{turn}")
+            stage.wait_for_answer(stage.cluster.placers[turn % 2], f"t{turn}")
         if not restored:
             serve_old(False)
-        assert stage.wait(stage.settled_subsets, 20)
+        assert stage.wait(stage.has_expected_subsets, 20)
         assert all(
-            not each.subset._supplementary_lists.running for each in stage.live() if each.subset
+            not each.subset._supplementary_lists.running
+            for each in stage.live_placers()
+            if each.subset
         )
 
     stage.play(script, start=False)
--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from tests.core.subsetstage import SETTLE_S, SubsetStage
+from tests.core.subset_stage import SETTLE_S, SubsetStage
 from tests.stage import S
 from wingbarrow.core import saved_list
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.subset import LINGER_US, Subset
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.interface import ListedMachine, Phase
@@ -28,7 +28,7 @@
     everybody = frozenset(slot.name for slot in slots)
     for slot in slots:
         for other in slots:
-            for machine in stage.names():
+            for machine in stage.running_machines():
                 if (
                     other is not slot
                     and subsets.holds(slot.name, machine, everybody - {other.name})
@@ -101,8 +101,8 @@
         assert link.phase is Phase.DRAINING
         assert machine in subset.lingering
         stage.submit_to(slot, "later", patience_s=2)
-        assert stage.answer_of(slot, "out") == "placed", "an attempt in flight continues"
-        assert stage.answer_of(slot, "later") == "refused", "no new task is sent there"
+        assert stage.wait_for_answer(slot, "out") == "placed", "an attempt in flight continues"
+        assert stage.wait_for_answer(slot, "later") == "refused", "no new task is sent there"
         other.start()
         stage.hub.sleep(LINGER_US + 2 * S)
         assert placer.machines.links[machine] is link
@@ -111,7 +111,7 @@
         if drains:
             assert placer.fleet.held[machine].listed.phase is Phase.DRAINING
             stage.cluster.set_drain(simulated, False)
-        assert stage.wait(lambda: stage.settled_subsets(), 60), (
+        assert stage.wait(lambda: stage.has_expected_subsets(), 60), (
             "it is released once its task has ended"
         )
         assert link.retired
@@ -137,7 +137,7 @@
         slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "first", runs_s=40)
-        assert stage.answer_of(slot, "first") == "placed"
+        assert stage.wait_for_answer(slot, "first") == "placed"
         subset = placer.subset
         assert subset is not None
         without = set(subset.live_members)
@@ -148,7 +148,7 @@
         assert phase_of(link) is Phase.RUNNING
         assert placer.machines.links[machine] is link
         stage.submit_to(slot, "second", runs_s=2)
-        assert stage.answer_of(slot, "second") == "placed"
+        assert stage.wait_for_answer(slot, "second") == "placed"
 
     stage.play(script, start=False)
     assert len(stage.seen("offer")) == 2
@@ -163,7 +163,7 @@
         slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=200)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         simulated = next(each for each in stage.cluster.machines if each.name == machine)
         subset = placer.subset
         assert subset is not None
@@ -194,7 +194,7 @@
         stage.begin()
         slot, machine, other, link = move_machine_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         # The list is saved within a second where machines have been added to it.
         stage.hub.sleep(S + S // 10)
         slot.kill()
@@ -209,7 +209,7 @@
         )
         assert machine in placer.subset.lingering
         assert placer.machines.links[machine].phase is Phase.DRAINING
-        assert stage.wait(stage.settled_subsets, 120)
+        assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
     assert len(stage.seen("start")) == 1
@@ -243,7 +243,7 @@
         stage.begin()
         slot, machine, other, _ = move_machine_in(stage)
         stage.submit_to(slot, "t", runs_s=60)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         slot.kill()
         (Path(slot.state) / "machines.json").write_text("{")
         other.start()
@@ -255,7 +255,7 @@
         assert stage.wait(
             lambda: placer.subset is not None and placer.subset.lingering == [machine], 20
         )
-        assert stage.wait(stage.settled_subsets, 120)
+        assert stage.wait(stage.has_expected_subsets, 120)
 
     stage.play(script, start=False)
 
@@ -273,11 +273,11 @@
         assert subset._may_release(link, stage.hub.now_us())
         stage.submit_to(slot, "out", runs_s=4)
         assert placer.attempts.on(link)
-        assert link.offered_us is None
+        assert link.last_offer_us is None
         assert not subset._may_release(link, stage.hub.now_us()), "an attempt is in flight"
-        assert stage.answer_of(slot, "out") == "placed"
+        assert stage.wait_for_answer(slot, "out") == "placed"
         assert stage.wait(lambda: not placer.attempts.on(link), 30)
-        offered_us = link.offered_us
+        offered_us = link.last_offer_us
         assert offered_us is not None and not subset._may_release(
             link, offered_us + LINGER_US - 1
         ), "its offer has just ended"
@@ -305,7 +305,7 @@
         subset = placer.subset
         assert subset is not None
         answers: list[bool | None] = [None, True, True, False]
-        link.holds_any = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
+        link.has_tasks = lambda: answers.pop(0) if answers else False  # type: ignore[method-assign]
         set_members(stage, subset, set(subset.live_members) | {other.name})
         while answers:
             assert placer.machines.links.get(machine) is link, answers
@@ -324,7 +324,7 @@
         slot, machine, other, link = move_machine_in(stage)
         placer = slot.service.placer  # type: ignore[union-attr]
         stage.submit_to(slot, "t", runs_s=30)
-        assert stage.answer_of(slot, "t") == "placed"
+        assert stage.wait_for_answer(slot, "t") == "placed"
         subset = placer.subset
         assert subset is not None
         placer.fleet.guards.pop()  # the other machines are open again
@@ -334,7 +334,7 @@
         assert machine in subset.lingering
         sights = placer.peer_hints.know()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
-        for each in stage.live():
+        for each in stage.live_placers():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
             assert each.peer_hints.take_sights(others * 4, 0, True), (
                 "taken for a peer of another cluster"
@@ -354,8 +354,8 @@
 
     def script() -> None:
         stage.begin()
-        for each in stage.live():
-            out = [name for name in stage.names() if name not in each.fleet.held]
+        for each in stage.live_placers():
+            out = [name for name in stage.running_machines() if name not in each.fleet.held]
             assert out
             assert not any(each.fleet.is_off_list(name) for name in out)
             gone = next(iter(each.fleet.held))
--- a/tests/core/test_subset_widening.py
+++ b/tests/core/test_subset_widening.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from tests.core.subsetstage import SubsetStage
-from tests.core.test_subset_cold import OFFERS, burst, most_within
+from tests.core.subset_stage import SubsetStage
+from tests.core.test_subset_cold import FLEET_OFFERS, max_cold_offers, submit_burst
 from tests.stage import S
 from wingbarrow.core.placer import Placer
 from wingbarrow.core.subset import CHECK_INTERVAL_US, LINGER_US, WIDENING_LIST_SPREAD_US
@@ -31,7 +31,7 @@
     """Place two tasks for each machine of the placer's subset."""
     for number in range(2 * machines):
         stage.submit_to(slot, f"fills-{slot.name}-{number}", runs_s=runs_s)
-        assert stage.answer_of(slot, f"fills-{slot.name}-{number}") == "placed"
+        assert stage.wait_for_answer(slot, f"fills-{slot.name}-{number}") == "placed"
 
 
 def machine_of(placer: Placer, job: str) -> str:
@@ -53,7 +53,7 @@
         assert subset.extra_ranks == 0, "no task has waited that long"
         asked_us, lists_before = stage.hub.now_us(), placer.fleet.reflector.supplementary_lists
         stage.submit_to(slot, "more")
-        assert stage.answer_of(slot, "more") == "placed"
+        assert stage.wait_for_answer(slot, "more") == "placed"
         elapsed_us = stage.hub.now_us() - asked_us
         print("placed after", elapsed_us / S, "s")
         assert elapsed_us <= 5 * S // 4 + CHECK_INTERVAL_US + WIDENING_LIST_SPREAD_US + S // 2
@@ -62,7 +62,9 @@
         assert subset.holds(machine)
         assert subset.extra_ranks == 1
         first_two = {
-            name for name in stage.names() if slot.name in subset.subsets.ranking(name)[:2]
+            name
+            for name in stage.running_machines()
+            if slot.name in subset.subsets.ranking(name)[:2]
         }
         assert set(placer.fleet.held) == first_two, "the machines of one more rank"
         assert placer.fleet.reflector.supplementary_lists == lists_before + 1
@@ -81,7 +83,7 @@
         slot, placer, held = start(stage)
         fill(stage, slot, len(held))
         stage.submit_to(slot, "more")
-        assert stage.answer_of(slot, "more") == "refused"
+        assert stage.wait_for_answer(slot, "more") == "refused"
         assert set(placer.fleet.held) == held
         assert placer.fleet.reflector.supplementary_lists == 0
         assert not placer.context.counts["subset:widened"]
@@ -106,7 +108,7 @@
             if subset.extra_ranks > len(steps_us) - 1:
                 steps_us.append(stage.hub.now_us())
             stage.hub.sleep(10_000)
-        assert [stage.answer_of(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
+        assert [stage.wait_for_answer(slot, name) for name in ("a", "b", "c")] == ["refused"] * 3
         assert stage.hub.now_us() - asked_us <= 8 * S + S // 2
         assert not len(placer.waits)
         assert subset.extra_ranks == 2 == placer.context.counts["subset:widened"]
@@ -115,7 +117,11 @@
         assert placer.fleet.reflector.supplementary_lists - lists_before == 2, (
             "one list for each step"
         )
-        out = [name for name in stage.names() if slot.name not in subset.subsets.ranking(name)[:3]]
+        out = [
+            name
+            for name in stage.running_machines()
+            if slot.name not in subset.subsets.ranking(name)[:3]
+        ]
         assert out and not set(out) & set(placer.fleet.held), "machines of later ranks stay out"
 
     stage.play(script, start=False)
@@ -130,7 +136,7 @@
         subset = stage.subset(2)
         fill(stage, slot, len(held), runs_s=200)
         stage.submit_to(slot, "more", runs_s=90)
-        assert stage.answer_of(slot, "more") == "placed"
+        assert stage.wait_for_answer(slot, "more") == "placed"
         placed_us, machine = stage.hub.now_us(), machine_of(placer, "more")
         others, lists_before = (
             set(placer.fleet.held) - held - {machine},
@@ -147,14 +153,14 @@
         assert placer.fleet.reflector.supplementary_lists == lists_before, "narrowing reads no list"
         # A task waits long again: the machine that is still watched is opened at once.
         stage.submit_to(slot, "again", runs_s=1)
-        assert stage.answer_of(slot, "again") == "placed"
+        assert stage.wait_for_answer(slot, "again") == "placed"
         assert machine_of(placer, "again") not in held
         assert placer.machines.links[machine] is link
         job = placer.job_store.jobs["default/more"]
         assert stage.wait(lambda: not job.open_tasks, 90) and job.tasks[0].state.value == "done", (
             "its machine was watched until it ended"
         )
-        assert stage.wait(stage.settled_subsets, 60), "all are released in the end"
+        assert stage.wait(stage.has_expected_subsets, 60), "all are released in the end"
         assert placer.context.counts["subset:narrowed"] == 2
 
     stage.play(script, start=False)
@@ -175,14 +181,14 @@
         for machine in others:
             stage.hub.spawn(lambda machine=machine: stage.cluster.crash(machine, 1.0))
         stage.hub.sleep(S + S // 5)
-        answers = burst(stage, [INDEX], 30, pace_s=0.05)
+        answers = submit_burst(stage, [INDEX], 30, pace_s=0.05)
         assert subset.extra_ranks >= 1 and answers["placed"] > 0, answers
         shares = {
-            machine.name: subset.subsets.max_cold_offers(slot.name, machine.name, OFFERS)
+            machine.name: subset.subsets.max_cold_offers(slot.name, machine.name, FLEET_OFFERS)
             for machine in others
         }
         assert max(shares.values()) <= 2, "the ranks after the first share a quarter"
-        found = most_within(stage, others)
+        found = max_cold_offers(stage, others)
         print("shares", shares, "found", found, "answers", dict(answers))
         assert found and all(most <= shares[machine] for (_, machine), most in found.items()), found
         assert any(most == shares[machine] for (_, machine), most in found.items()), (
--- a/wingbarrow/core/attempts.py
+++ b/wingbarrow/core/attempts.py
@@ -6,7 +6,7 @@
 
 from wingbarrow.core.attempt_table import AttemptRecord, AttemptTable, Stage
 from wingbarrow.core.job_store import TaskRecord
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.decide.gate import HoldReason
 
 
--- a/wingbarrow/core/context.py
+++ b/wingbarrow/core/context.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from wingbarrow.config import PlacerSettings
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.kube import names
 from wingbarrow.transport import Hub
 
 
-class CoreContext(Life):
+class CoreContext(PlacerRuntime):
     """Shared context of one placer; `settings` are replaced when the settings file is reloaded."""
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
--- a/wingbarrow/core/machine_fences.py
+++ b/wingbarrow/core/machine_fences.py
@@ -1,6 +1,6 @@
-"""Fences at this region's machines, for placers of other regions that take over Jobs.
+"""Fencing of Jobs at this region's machines, for placers of other regions that take over the Jobs.
 
-A fence has a machine reject a Job's tasks of epochs before the given one, and report what it runs of the Job.
+A fence makes a machine reject a Job's tasks of epochs before the given one, and report what it runs of the Job.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MachineFences:
-    """Answers machine queries, each by a task of its own."""
+    """Answers machine queries, each in a background task of its own."""
 
     def __init__(
         self, context: CoreContext, machines: Machines, records: RecordReplication
@@ -25,7 +25,7 @@
         self._pending = 0
 
     def on_machine_query(self, ident: str, query: MachineQuery) -> None:
-        """Fence a Job at a machine, and report to `ident`; a query beyond the limit is dropped, and will be retried."""
+        """Fence a Job at a machine, and report to `ident`. A query beyond the limit is dropped; the sender retries."""
         if self._pending >= MAX_PENDING_QUERIES:
             self._context.counts["fences dropped"] += 1
             return
@@ -37,14 +37,14 @@
                 fenced = link.fence(query.uid, query.epoch) if link is not None else None
             finally:
                 self._pending -= 1
-            # Danger: a machine that does not remember all of its time cannot report what it does not run.
+            # Danger: a machine that does not remember all tasks since its start cannot report what it does not run.
             report = MachineReport(
                 query.number,
                 query.machine,
                 query.uid,
                 fenced is not None,
-                fenced is not None and bool(fenced.holds),
-                fenced.up_us if fenced is not None and fenced.sure else 0,
+                fenced is not None and bool(fenced.pods),
+                fenced.uptime_us if fenced is not None and fenced.is_complete else 0,
             )
             self._records.send_machine_report(ident, report)
 
--- a/wingbarrow/core/offers.py
+++ b/wingbarrow/core/offers.py
@@ -11,7 +11,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_store import JobStore, State
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.pods import OfferFailure, encode_pod
@@ -69,7 +69,7 @@
 
     def bind(self, bind: api.Bind) -> None:
         """Begin an attempt: the decision module chose a machine for a task."""
-        task, link = self._jobs.by_request.get(bind.request), self._machines.of(bind.machine)
+        task, link = self._jobs.by_request.get(bind.request), self._machines.by_ident(bind.machine)
         if task is None or link is None:
             # The module binds only open requests to listed machines. Any other bind is reported to it as not sent.
             self._context.counts["binds_dropped"] += 1
@@ -108,7 +108,7 @@
             Offer(
                 attempt.decided_us,
                 attempt.deadline_us,
-                task.state is State.ASKED and task.request == attempt.request,
+                task.state is State.PENDING and task.request == attempt.request,
                 attempt.stage is Stage.WAITING
                 and not attempt.abandoned
                 and self._attempts.of(attempt.request) is attempt,
@@ -121,7 +121,7 @@
                     link.name,
                     attempt.decided_us,
                 ),
-                task.job.leased is None
+                task.job.lease is None
                 or (self._leased_jobs is not None and self._leased_jobs.may_send(task.job)),
                 chosen_launched_us=attempt.launched_us,
                 cold_share_left=self.slow_start is None or self.slow_start.has_share(link),
@@ -132,7 +132,7 @@
             attempt.hold_reason = held
             return False
         self._attempts.advance(attempt, Stage.SENT)
-        link.offered_us = now
+        link.last_offer_us = now
         if self.slow_start is not None:
             self.slow_start.on_sent(attempt)
         task.may_have_run = True
@@ -199,9 +199,9 @@
             attempt.hold_reason is HoldReason.COLD_SHARE
             and attempt.stage is Stage.WAITING
             and not task.may_have_run
-            and task.job.leased is None
+            and task.job.lease is None
             and task.resubmissions < MAX_RESUBMISSIONS
-            and task.state is State.ASKED
+            and task.state is State.PENDING
             and task.request == attempt.request
             and self._context.hub.now_us() < task.deadline_us
         )
@@ -209,7 +209,7 @@
     def on_running(self, attempt: Attempt) -> None:
         """Handle the machine's report that the attempt's task is running."""
         task, now = attempt.task, self._context.hub.now_us()
-        if task.request != attempt.request or task.state is not State.ASKED:
+        if task.request != attempt.request or task.state is not State.PENDING:
             # The request got another final answer while the offer was in flight: the running pod is an orphan.
             self._requests.on_attempt_ended(
                 attempt, api.Outcome.TIMED_OUT, api.Reason.UNTOLD, now - attempt.decided_us
--- a/wingbarrow/core/orphans.py
+++ b/wingbarrow/core/orphans.py
@@ -18,7 +18,7 @@
 from wingbarrow.core.host import Host
 from wingbarrow.core.job_manifest import JobRequest, job_value
 from wingbarrow.core.job_store import JobStore, State, Step, TaskRecord
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import PodPhase, PodStatus, expected_run_time_us, pod_resources
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -86,15 +86,15 @@
     ) -> None:
         """Carry out the action of `decide.orphans` on an orphan whose task is known."""
         job, state = task.job, task.state
-        if job.leased is not None and not job.leased.session:
+        if job.lease is not None and not job.lease.session:
             return  # Danger: its session has ended. Its machine stops the pod, or a stop is already pending.
         action = orphans.action_for(
             orphans.Orphan(
                 job.request.task_class.task_class.effect,
                 True,
                 not job.deleted,
-                state in (State.ASKED, State.RETRYING),
-                state is State.ASKED and self._attempts.of(task.request) is not None,
+                state in (State.PENDING, State.RETRYING),
+                state is State.PENDING and self._attempts.of(task.request) is not None,
                 state in (State.PLACED, State.ADOPTED),
                 state in (State.DONE, State.STOPPED) and not job.adopted,
             )
@@ -199,7 +199,9 @@
         try:
             cores, memory = pod_resources(value)
         except ValueError as error:
-            self._context.log("bad-pod", level="warning", machine=link.name, field=str(error))
+            self._context.log(
+                "unreadable-pod", level="warning", machine=link.name, field=str(error)
+            )
             return None
         if settings is None:
             return None
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -82,11 +82,11 @@
         value = (job.value["metadata"].get("annotations") or {}).get(key)
         if value:
             annotations[key] = value
-    if job.leased is not None:
+    if job.lease is not None:
         annotations |= {
             names.LEASE_UNTIL: until,
-            names.SESSION: job.leased.session,
-            names.EPOCH: str(job.leased.epoch),
+            names.SESSION: job.lease.session,
+            names.EPOCH: str(job.lease.epoch),
         }
     labels = {
         **(meta.get("labels") or {}),
--- a/wingbarrow/relay/probes.py
+++ b/wingbarrow/relay/probes.py
@@ -4,7 +4,7 @@
 
 from wingbarrow import interface as api
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.relay.links import Link, Links
 from wingbarrow.relay.message import Code, Kind, Message, with_cause
 from wingbarrow.settings_parser import parse_report
@@ -16,8 +16,8 @@
 class Probes:
     """Open probes; each ends within PROBE_TIMEOUT_US and feeds the module exactly one `Probed` event."""
 
-    def __init__(self, life: Life, host: Host, links: Links) -> None:
-        self._life, self._host, self._links = life, host, links
+    def __init__(self, runtime: PlacerRuntime, host: Host, links: Links) -> None:
+        self._runtime, self._host, self._links = runtime, host, links
         self._pending: dict[int, Link] = {}  # by test id
         self._sent = 0
 
@@ -27,8 +27,8 @@
         if link is None or link.closed:
             self._host.feed(api.Probed(machine, api.Outcome.UNREACHABLE, None))
             return
-        self._life.counts["probes"] += 1
-        self._life.spawn(lambda: self._send_and_wait(link), "probe")
+        self._runtime.counts["probes"] += 1
+        self._runtime.spawn(lambda: self._send_and_wait(link), "probe")
 
     def _send_and_wait(self, link: Link) -> None:
         connection = (
@@ -40,7 +40,7 @@
             self._host.feed(api.Probed(link.ident, api.Outcome.UNREACHABLE, None))
             return
         self._pending[ident] = link
-        self._life.hub.sleep(PROBE_TIMEOUT_US)
+        self._runtime.hub.sleep(PROBE_TIMEOUT_US)
         if self._pending.pop(ident, None) is not None:
             self._host.feed(api.Probed(link.ident, api.Outcome.TIMED_OUT, None))
 
