--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -4,7 +4,7 @@
 
 from tests.core.subset_stage import LEAVE_S, SETTLE_S, SubsetStage
 from tests.stage import S
-from wingbarrow.core.subset import ALONE_US, CHECK_INTERVAL_US
+from wingbarrow.core.subset import CHECK_INTERVAL_US, NO_MEMBERS_TIMEOUT_US
 from wingbarrow.lab.node import node_value
 
 
@@ -70,7 +70,7 @@
         after = stage.expected_subsets([slot.name for slot in slots[2:]])
         for slot in slots[2:]:
             assert before[slot.name] <= after[slot.name], "a remaining placer releases no machine"
-            assert stage.placer(slots.index(slot)).fleet.reflector.refills <= 2
+            assert stage.placer(slots.index(slot)).fleet.reflector.supplementary_lists <= 2
         for index, slot in enumerate(slots[2:]):
             stage.submit_to(slot, f"t{index}", runs_s=20)
             assert stage.wait_for_answer(slot, f"t{index}") == "placed"
@@ -99,7 +99,7 @@
 
         def is_partitioned() -> bool:
             return all(
-                len(stage.subset(index).living) == 2
+                len(stage.subset(index).live_members) == 2
                 and len(stage.placer(index).machines.links) == 4
                 for index in range(4)
             )
@@ -147,7 +147,7 @@
         assert [set(each.machines.links) for each in stage.live_placers()] == before
         assert (
             sum(
-                each.context.counts["subset:changes"] + each.fleet.reflector.refills
+                each.context.counts["subset:changes"] + each.fleet.reflector.supplementary_lists
                 for each in stage.live_placers()
             )
             == 0
@@ -207,7 +207,9 @@
         assert set(stage.placer(0).machines.links) < set(stage.running_machines()), (
             "at first it must not assume that it is alone"
         )
-        limit_s = ALONE_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
+        limit_s = (
+            NO_MEMBERS_TIMEOUT_US / S + LEAVE_S + SETTLE_S + stage.subset(0)._spread_us / S + 1
+        )
         assert stage.wait(stage.has_expected_subsets, limit_s)
         assert set(stage.placer(0).machines.links) == set(stage.running_machines())
         stage.submit_to(stage.cluster.placers[0], "t", runs_s=3)
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -17,7 +17,7 @@
 from wingbarrow.core.job_store import OPEN, JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.machine_link import MachineLink
-from wingbarrow.core.pods import Ended
+from wingbarrow.core.pods import OfferFailure
 from wingbarrow.decide import retries
 from wingbarrow.decide.federation.faults import unfit
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
@@ -219,7 +219,7 @@
         """Whether its lease allows the first byte of an attempt to be sent at this moment."""
         return job.lease is None or self._leases.may_send(job.lease.session)
 
-    def before_send(self, attempt: Attempt) -> Ended | None:
+    def before_send(self, attempt: Attempt) -> OfferFailure | None:
         """Prepare a leased Job's attempt, and wait for what must be recorded first; None where it may be sent."""
         job = attempt.task.job
         link = attempt.link
@@ -230,7 +230,7 @@
             return self._not_sent("the lease has lapsed")
         if not self._leases.has_recent_clock(link) and not self._leases.read_clock(link):
             # Danger: without a reading of its clock, a machine cannot be given a lease, and would never stop the task.
-            return Ended(
+            return OfferFailure(
                 api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "no reading of the machine's clock"
             )
         if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
@@ -246,9 +246,9 @@
             self._not_sent(f"no replica acknowledged that it is to be sent: {why}") if why else None
         )
 
-    def _not_sent(self, why: str) -> Ended:
+    def _not_sent(self, why: str) -> OfferFailure:
         self._context.counts["held:no_lease"] += 1
-        return Ended(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
+        return OfferFailure(api.Outcome.NOT_SENT, api.Reason.UNTOLD, why)
 
     def expiry(self, attempt: Attempt) -> str:
         """When an attempt's lease expires, as a time of its machine's clock; "" for a Job without a lease."""
@@ -312,7 +312,7 @@
         if self._attempts.advance(attempt, Stage.PLACED):
             attempt.placed_us = self._context.hub.now_us()
             if attempt.adopted:
-                self._requests.on_found(attempt)
+                self._requests.on_found_running(attempt)
             else:
                 self._requests.on_placed(attempt)
 
@@ -349,7 +349,7 @@
                 attempt.link,
                 attempt.task.job.request.namespace,
                 attempt.key,
-                settled=lambda: attempt.stage is Stage.ENDED,
+                is_settled=lambda: attempt.stage is Stage.ENDED,
             )
         elif attempt.scope is not None:
             attempt.scope.cancel()  # nothing was sent, so that there is nothing to stop
