--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -194,7 +194,7 @@
     right = (
         "`wingbarrow/core/host.py`, `wingbarrow/core/`, `wingbarrow/core/host.py:Host`, `wingbarrow/interface_*.py`, "
         "`wingbarrow/core/host.py:Host.feed`, `wingbarrow/core/host.py:Host.failed`, "
-        "`wingbarrow/core/job_store.py:State.ASKED`, `wingbarrow/core/job_store.py:MAX_TOMBSTONES`"
+        "`wingbarrow/core/job_store.py:State.PENDING`, `wingbarrow/core/job_store.py:MAX_TOMBSTONES`"
     )
     assert code_faults(right) == []
 
