--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -125,10 +125,10 @@
         context = self._context
         session = self._leases.session
         if session is None or not self._leases.may_send(session.text()):
-            raise self._unavailable("no lease", "this placer holds no valid lease now")
+            raise self._unavailable("no lease", "this placer's lease does not hold now")
         if len(self.awaiting_replica) >= MAX_AWAITING_REPLICA:
             raise self._unavailable(
-                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs already wait for a replica"
+                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs wait for their keepers already"
             )
         spec = candidate.spec
         request = candidate.request
@@ -154,7 +154,7 @@
                 self.records.remove(candidate.uid)
         if not is_replicated:
             raise self._unavailable(
-                "no keeper", why or "this placer's lease expired during the wait"
+                "no keeper", why or "this placer's lease does not hold any more"
             )
         return JobLease(spec.name, session.text())
 
@@ -231,7 +231,7 @@
         if not self._leases.has_recent_clock(link) and not self._leases.read_clock(link):
             # Danger: without a reading of its clock, a machine cannot be given a lease, and would never stop the task.
             return OfferFailure(
-                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "no reading of the machine's clock"
+                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
             )
         if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
@@ -243,7 +243,7 @@
             deadline_us,
         )
         return (
-            self._not_sent(f"no replica acknowledged that it is to be sent: {why}") if why else None
+            self._not_sent(f"its keeper does not know of it: {why}") if why else None
         )
 
     def _not_sent(self, why: str) -> OfferFailure:
@@ -303,7 +303,7 @@
         if not attempt.awaiting_confirmation or attempt.stage is not Stage.SENT:
             return  # it has ended meanwhile, or is being stopped
         if why:
-            self.fail_lease_lost(attempt, f"no replica acknowledged its placement: {why}")
+            self.fail_lease_lost(attempt, f"no keeper knows that it was placed: {why}")
             return
         attempt.awaiting_confirmation = False
         self._mark_placed(attempt)
@@ -320,7 +320,7 @@
         """Fail a task at the end of its owner's patience; False where its copy does not await an acknowledgement."""
         if not attempt.awaiting_confirmation:
             return False
-        self.fail_lease_lost(attempt, "no replica acknowledged its placement in time")
+        self.fail_lease_lost(attempt, "no keeper knew in time that it was placed")
         return True
 
     def fail_lease_lost(self, attempt: Attempt, why: str) -> None:
@@ -429,7 +429,7 @@
             # Danger: a retry could start it a second time.
             job.conditions[UNKNOWN] = (
                 "InDoubt",
-                f"it may have started, and is not retried: {task.last_outcome}",
+                f"it may have started, and is not tried again: {task.last_outcome}",
             )
             return False
         pause_us = min(MAX_RETRY_US, MIN_RETRY_US << min(task.losses, MAX_RETRY_DOUBLINGS))
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -343,7 +343,7 @@
             for task in running.get(slot.machine, []):
                 if task.movable and not task.offered and self._move_allowance >= 1:
                     self._move_allowance -= 1
-                    reason = f"maintenance slot {slot.number} closes its machine"
+                    reason = f"turn {slot.number} takes its machine out"
                     self._drain_schedule.move_task(task.request, reason)
 
     def _refill_move_allowance(self, now_us: int, rules: RuleSet) -> None:
--- a/wingbarrow/core/pod_observer.py
+++ b/wingbarrow/core/pod_observer.py
@@ -61,7 +61,7 @@
                     and attempt.key not in seen
                     and attempt.placed_us < requested_us
                 ):
-                    self._runs.on_lost(attempt, "the machine no longer lists its pod")
+                    self._runs.on_lost(attempt, "the machine no longer holds it")
             self.on_listed(link.name)
 
         def on_event(kind: str, value: dict[str, Any]) -> None:
@@ -71,7 +71,7 @@
             if kind == "DELETED":
                 attempt = self._attempts.by_key.get(pod_status.name)
                 if attempt is not None and attempt.stage is Stage.PLACED:
-                    self._runs.on_lost(attempt, f"its pod was deleted on {link.name}")
+                    self._runs.on_lost(attempt, f"deleted on {link.name}")
             else:
                 self._on_pod_status(link, pod_status)
 
