--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -242,9 +242,7 @@
             lambda on_settled: self.records.record_send(job.uid, known, deadline_us, on_settled),
             deadline_us,
         )
-        return (
-            self._not_sent(f"its keeper does not know of it: {why}") if why else None
-        )
+        return self._not_sent(f"its keeper does not know of it: {why}") if why else None
 
     def _not_sent(self, why: str) -> OfferFailure:
         self._context.counts["held:no_lease"] += 1
