--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -55,10 +55,10 @@
     assembly.cut = lambda a, b: "p004" in (a, b)
     assembly.run(assembly.now_us + 4 * SECOND)
     member = assembly.members["p004"]
-    acting = member.rules_in_force(assembly.clock_us("p004"))
-    assert acting is not None
-    assert acting.label == "f1"
-    assert parse_rule_set(acting.rules) == FLOOR
+    rules_in_force = member.rules_in_force(assembly.clock_us("p004"))
+    assert rules_in_force is not None
+    assert rules_in_force.label == "f1"
+    assert parse_rule_set(rules_in_force.rules) == FLOOR
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + 10 * SECOND)
     assembly.propose(rules(4, most=2))
@@ -84,22 +84,22 @@
     assembly = founded()
     assembly.lower_floor(FLOOR, 30 * SECOND, "floor 1")
     assembly.run(assembly.now_us + 3 * SECOND)
-    barring = rules(barred=("n1", "n2", "n3"))
-    first = assembly.propose(barring)
+    barring_rules = rules(barred=("n1", "n2", "n3"))
+    first = assembly.propose(barring_rules)
     assembly.run(assembly.now_us + SECOND)
     assert first is not None
     assert "lower the floor" in (assembly.outcome(first) or "")
     assembly.lower_floor(replace(FLOOR, barred=("n1", "n2", "n3")), 30 * SECOND, "floor 2")
     assembly.run(assembly.now_us + 20 * SECOND)
-    second = assembly.propose(barring)
+    second = assembly.propose(barring_rules)
     assembly.run(assembly.now_us + SECOND)
     assert second is not None
     assert "lower the floor" in (assembly.outcome(second) or ""), (
         "a placer may still hold a lease of floor 1"
     )
     assembly.run(assembly.now_us + 20 * SECOND)
-    assembly.propose(barring)
-    assert assembly.run_until(lambda: assembly.all_on(barring), 10 * SECOND)
+    assembly.propose(barring_rules)
+    assert assembly.run_until(lambda: assembly.all_on(barring_rules), 10 * SECOND)
 
 
 def test_of_two_concurrent_proposals_one_wins_and_a_repeated_one_is_applied_once() -> None:
@@ -177,8 +177,8 @@
     for rate in (-5e-4, 0.0, 5e-4):
         holder = RulesLease()
         holder.renew(1_000_000, 1, "x", 2_000_000)
-        lasts_truly = (holder.expires_us - 1_000_000) / (1 + rate)
-        assert lasts_truly <= (lease_expiry_us(0, 2_000_000)) / (1 + 5e-4)
+        true_duration_us = (holder.expires_us - 1_000_000) / (1 + rate)
+        assert true_duration_us <= (lease_expiry_us(0, 2_000_000)) / (1 + 5e-4)
         assert MAX_CLOCK_DRIFT >= 2 * 5e-4
 
 
--- a/tests/decide/coordination/test_granted_leases.py
+++ b/tests/decide/coordination/test_granted_leases.py
@@ -9,7 +9,7 @@
 from wingbarrow.decide.coordination.leases import lease_expiry_us
 
 ELECTED_US = 1_000
-LASTS_US = 2_000_000
+DURATION_US = 2_000_000
 
 
 @pytest.fixture
@@ -18,11 +18,11 @@
 
 
 def earlier_leases_expire_us(leases: GrantedLeases, revision: int) -> int:
-    return leases.earlier_leases_expire_us(revision, ELECTED_US, LASTS_US)
+    return leases.earlier_leases_expire_us(revision, ELECTED_US, DURATION_US)
 
 
 def test_a_new_leader_waits_for_leases_that_others_may_have_granted(leases: GrantedLeases) -> None:
-    assert earlier_leases_expire_us(leases, 1) == lease_expiry_us(ELECTED_US, LASTS_US)
+    assert earlier_leases_expire_us(leases, 1) == lease_expiry_us(ELECTED_US, DURATION_US)
 
 
 def test_a_holder_of_an_earlier_revision_is_waited_for(leases: GrantedLeases) -> None:
@@ -37,12 +37,12 @@
     leases.grant("a", 1, GrantedLease(2, 9_500_000))
     assert earlier_leases_expire_us(leases, 2) == 9_000_000, "the grant may have been lost"
     leases.grant("a", 2, GrantedLease(2, 9_900_000))
-    assert earlier_leases_expire_us(leases, 2) == lease_expiry_us(ELECTED_US, LASTS_US)
+    assert earlier_leases_expire_us(leases, 2) == lease_expiry_us(ELECTED_US, DURATION_US)
 
 
 def test_a_floor_is_held_until_its_last_lease_expires(leases: GrantedLeases) -> None:
     leases.grant_floor(1, 9_000_000)
-    assert leases.floor_expires_us(1, ELECTED_US, LASTS_US) == 9_000_000
+    assert leases.floor_expires_us(1, ELECTED_US, DURATION_US) == 9_000_000
 
 
 def test_too_many_holders_are_refused_until_leases_expire(
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -256,7 +256,7 @@
     def _on_committed(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
         effects: list[Effect] = []
         rule_set_state = self.rule_set_state
-        before = (rule_set_state.revision, rule_set_state.version, len(rule_set_state.floors))
+        state_before = (rule_set_state.revision, rule_set_state.version, len(rule_set_state.floors))
         old_revision = rule_set_state.revision
         has_changed = False
         for entry in committed.entries:
@@ -266,7 +266,7 @@
             effects.append(Notify("edition", fields))
         if self.raft is not None and self.raft.log.should_compact:
             effects += self.apply_raft(now_us, self.raft.log.compact(self.snapshot()))
-        has_changed = has_changed or before != (
+        has_changed = has_changed or state_before != (
             rule_set_state.revision,
             rule_set_state.version,
             len(rule_set_state.floors),
--- a/wingbarrow/decide/coordination/granted_leases.py
+++ b/wingbarrow/decide/coordination/granted_leases.py
@@ -29,7 +29,7 @@
         self._floor_expiries_us: dict[int, int] = {}  # by the number of the floor
         # Until when a placer that was granted a later revision, but has not acknowledged it by a request yet, may still
         # act on an earlier one: the grant may have been lost.
-        self._unacknowledged_us: dict[str, int] = {}
+        self._unacknowledged_until_us: dict[str, int] = {}
 
     def has_capacity_for(self, holder: str, now_us: int) -> bool:
         """Whether a lease can be granted to this placer; removes expired leases if there are `MAX_LEASE_HOLDERS`."""
@@ -44,10 +44,10 @@
         """Record a lease for a placer whose request stated that it holds `known_revision`."""
         last = self.by_holder.get(holder)
         if known_revision >= lease.revision:
-            self._unacknowledged_us.pop(holder, None)
+            self._unacknowledged_until_us.pop(holder, None)
         elif last is not None and last.revision < lease.revision:
-            expires_us = max(self._unacknowledged_us.get(holder, 0), last.expires_us)
-            self._unacknowledged_us[holder] = expires_us
+            expires_us = max(self._unacknowledged_until_us.get(holder, 0), last.expires_us)
+            self._unacknowledged_until_us[holder] = expires_us
         self.by_holder[holder] = lease
 
     def grant_floor(self, number: int, expires_us: int) -> None:
@@ -65,4 +65,4 @@
             lease.expires_us for lease in self.by_holder.values() if lease.revision < revision
         ]
         unknown_us = lease_expiry_us(elected_at_us, duration_us)
-        return max([unknown_us, *earlier, *self._unacknowledged_us.values()])
+        return max([unknown_us, *earlier, *self._unacknowledged_until_us.values()])
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -21,9 +21,7 @@
 from wingbarrow.decide.quotas.escrow import QuotaAccount
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 
-MIN_REQUEST_INTERVAL_US = (
-    100_000  # between requests that are sent early because work waits for quota
-)
+MIN_REQUEST_INTERVAL_US = 100_000  # between requests sent early because work waits for quota
 REQUESTS_PER_LEASE = 3  # so that a lease survives the loss of two requests
 
 
--- a/wingbarrow/decide/coordination/messages.py
+++ b/wingbarrow/decide/coordination/messages.py
@@ -111,7 +111,7 @@
         return 6 * self.election_us + 6 * self.retry_us + self.grant_us // 3
 
     def overlap_us(self, max_iteration_us: int) -> int:
-        """Maximum time for which a placer may act on the previous rules after the first act on new ones.
+        """Maximum time for which some placer may act on the previous rules after another first acts on the new ones.
 
         A lease of the previous rules was requested before the new ones were committed, and lasts `grant_us` by its
         holder's clock. A placer checks the lease right before it sends the first byte, which may then be delayed by one
--- a/wingbarrow/decide/coordination/voter_selection.py
+++ b/wingbarrow/decide/coordination/voter_selection.py
@@ -2,7 +2,7 @@
 
 If the leader does not respond, other voters are tried in round-robin order and asked to forward the request, as only
 the link to the leader may be down, in one direction or both. A voter that forwarded a request successfully remains the
-relay for the next `MAX_RELAYED_GRANTS` grants.
+relay for at most `MAX_RELAYED_GRANTS` grants in a row.
 """
 
 from __future__ import annotations
@@ -25,20 +25,17 @@
     """One placer's selection of voters; call `choose` for each request, the `on_...` methods for each response."""
 
     def __init__(self, name: str, voters: tuple[str, ...]) -> None:
-        self.relay = (
-            ""  # the voter that forwards requests; "" while they are sent to the leader directly
-        )
+        # The voter that forwards requests; "" while they are sent to the leader directly.
+        self.relay = ""
         self._name = name
         self._voters = voters
         self._unresponsive_leader = ""
-        self._last_direct_receiver = (
-            ""  # receiver of the last request, if it was not to be forwarded
-        )
+        # Receiver of the last request, if it was not to be forwarded.
+        self._last_direct_receiver = ""
         self._relayed_grants = 0
         self._attempts = 0  # voters tried since a leader last responded directly
-        self._redirect_target = (
-            ""  # leader named by the last redirect, for the next request; "" for none
-        )
+        # Leader named by the last redirect, for the next request; "" for none.
+        self._redirect_target = ""
         self._redirects = 0
 
     def choose(self, leader: str, *, is_unanswered: bool) -> Receiver:
--- a/wingbarrow/decide/membership/member_table.py
+++ b/wingbarrow/decide/membership/member_table.py
@@ -132,7 +132,7 @@
 
         Returns the changes, and the updates of suspects that are to be checked directly first. Danger: under heavy
         message loss a refutation may not have arrived by the deadline: with 170 placers and 20 % of messages lost,
-        seven in ten placers were wrongly declared dead. So a suspect is checked directly `MAX_DIRECT_CHECKS` times,
+        seven in ten were wrongly declared dead. So a suspect is checked directly `MAX_DIRECT_CHECKS` times,
         `check_interval_us` apart, before it is declared dead.
         """
         changes: list[MemberChange] = []
--- a/wingbarrow/decide/membership/swim.py
+++ b/wingbarrow/decide/membership/swim.py
@@ -107,7 +107,8 @@
     ident: str
     address: str
     region: str
-    run_id: int  # `MemberUpdate.life`; also the initial incarnation, so it grows with each start
+    # `MemberUpdate.life`; also the initial incarnation, so it should grow with each start.
+    run_id: int
 
 
 @dataclass(frozen=True, slots=True)
