--- a/benchmarks/federation_choice.py
+++ b/benchmarks/federation_choice.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.federation_choice --seeds 10
 
-This one (`decide.federation.route`), a fixed order (the nearest region that has room by the news), and least load (of
-all that are allowed). Simulated regions of 1,000 cores; news is as old as it is between placers (up to 1.4 s); work
-that finds no room where it was sent waits for its patience there, and is refused. No way has a budget of hand-overs.
+This one (`decide.federation.region_choice`), a fixed order (the nearest region that has room by the news), and least
+load (of all that are allowed). Simulated regions of 1,000 cores; news is as old as it is between placers (up to 1.4 s);
+work that finds no room where it was sent waits for its patience there, and is refused. No way has a budget of
+hand-overs.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.form import normal
-from wingbarrow.decide.federation.route import RegionNews, Wanted, choose
+from wingbarrow.decide.federation.encoding import normal
+from wingbarrow.decide.federation.region_choice import RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed
 
 REGIONS = ("north", "south", "east")
--- a/tests/decide/federation/made.py
+++ b/tests/decide/federation/strategies.py
@@ -4,7 +4,7 @@
 
 from hypothesis import strategies as st
 
-from wingbarrow.decide.federation import form
+from wingbarrow.decide.federation import encoding
 from wingbarrow.decide.federation import spec as s
 
 REGIONS, SETS, NAMES, CLASSES = (
@@ -50,7 +50,7 @@
 
 def _named(parts: tuple[dict[str, s.Spec], dict[str, s.DataSet], dict[str, str]]) -> s.Federation:
     specs, sets, uses = parts
-    return form.normal(
+    return encoding.normal(
         s.Federation(
             tuple(
                 s.Spec(name, *(getattr(each, part) for part in s.Spec.__slots__[1:]))
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decide.federation.made import FEDERATIONS, allowed_acts
-from wingbarrow.decide.federation import compare, form
+from tests.decide.federation.strategies import FEDERATIONS, allowed_acts
+from wingbarrow.decide.federation import compare, encoding
 from wingbarrow.decide.federation import spec as s
 from wingbarrow.decide.rulesets.comparison import allows, intersection, keeps_floor
 from wingbarrow.decide.rulesets.parsing import (
@@ -63,10 +63,10 @@
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
 def test_a_text_reads_back_and_says_all(a: s.Federation, b: s.Federation) -> None:
-    text = form.write(a)
-    assert form.read(text) == a
-    assert form.write(form.read(text)) == text
-    assert (text == form.write(b)) == (a == b) == (not compare.differences(a, b))
+    text = encoding.write(a)
+    assert encoding.read(text) == a
+    assert encoding.write(encoding.read(text)) == text
+    assert (text == encoding.write(b)) == (a == b) == (not compare.differences(a, b))
     assert not set(text) & set('"\\')
     assert text.isascii()
 
@@ -209,7 +209,7 @@
             )
             for name in ("d1", "d2")
         )
-        out.append(form.normal(s.Federation((spec,), sets, (("web", "orders"),))))
+        out.append(encoding.normal(s.Federation((spec,), sets, (("web", "orders"),))))
     return out
 
 
@@ -229,9 +229,9 @@
         ("R north;S a 0,0 - - - n/0/1 c 60 90 r;", "spec a"),
         ("D a;", "no federation"),
         ("R north;S a 0 - - l/1s/-/0/0/1/0/0 n/0/1 c 60 90 r;", "spec a"),
-        ("x" * (form.MAX_FEDERATION + 1), "the most"),
+        ("x" * (encoding.MAX_FEDERATION + 1), "the most"),
     ],
 )
 def test_texts_that_are_none_are_refused_with_words(text: str, words: str) -> None:
-    with pytest.raises(form.BadFederation, match=words):
-        form.read(text)
+    with pytest.raises(encoding.BadFederation, match=words):
+        encoding.read(text)
--- a/tests/decide/federation/test_room.py
+++ b/tests/decide/federation/test_failover_capacity.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.federation import room
+from wingbarrow.decide.federation import failover_capacity
 from wingbarrow.decide.federation import spec as s
 
 OVER = s.Failover(("lost",), 30_000_000)
@@ -32,8 +32,10 @@
 def test_as_much_as_can_be_had_finds_room(
     needs: list[tuple[int, list[tuple[str, int]]]], free: dict[str, int]
 ) -> None:
-    loads = [room.Load(str(at), need, tuple(most)) for at, (need, most) in enumerate(needs)]
-    dealt = room.deal(loads, free)
+    loads = [
+        failover_capacity.Load(str(at), need, tuple(most)) for at, (need, most) in enumerate(needs)
+    ]
+    dealt = failover_capacity.deal(loads, free)
     for load in loads:
         assert sum(amount for (name, _), amount in dealt.items() if name == load.name) <= load.need
         assert all(dealt.get((load.name, place), 0) <= most for place, most in load.most)
@@ -61,7 +63,7 @@
 
 def test_each_region_holds_back_for_the_worst_single_loss() -> None:
     rooms = {"north": (50.0, 200.0), "south": (40.0, 200.0), "east": (40.0, 40.0)}
-    held = room.held_back(
+    held = failover_capacity.held_back(
         s.Federation((MAIL, ORDERS)),
         rooms,
         {
@@ -75,33 +77,33 @@
 
 
 def test_what_has_no_room_is_told() -> None:
-    held = room.held_back(
+    held = failover_capacity.held_back(
         s.Federation((ORDERS,)),
         {"north": (50.0, 200.0), "south": (20.0, 200.0)},
         {("orders", "north"): (30.0, 60.0)},
     )
     assert held.room["south"] == (20.0, 60.0)
-    assert held.short == (room.Short("orders", "north", 10.0, 0.0),)
+    assert held.short == (failover_capacity.Short("orders", "north", 10.0, 0.0),)
 
 
 def test_a_share_of_room_and_what_a_spec_says_of_itself() -> None:
     spec = s.Spec(
         "orders", ("north", "south"), failover=s.Failover(("lost",), 1, room=50, cores=30, mib=2048)
     )
-    held = room.held_back(
+    held = failover_capacity.held_back(
         s.Federation((spec,)), {"north": (50.0, 200.0), "south": (40.0, 200.0)}, {}
     )
     assert held.room == {"north": (0.0, 0.0), "south": (20.0, 2.0)}
-    assert held.short == (room.Short("orders", "north", 10.0, 0.0),)
+    assert held.short == (failover_capacity.Short("orders", "north", 10.0, 0.0),)
 
 
 def test_nothing_is_held_for_what_does_not_fail_over_or_may_not_be_there() -> None:
     stays = s.Spec("orders", ("north", "south"))
     near = s.Spec("mail", ("north", "south"), data=(s.Need("stock", "required"),), failover=OVER)
-    held = room.held_back(
+    held = failover_capacity.held_back(
         s.Federation((near, stays), (s.DataSet("stock", (("north", 0),)),)),
         {"north": (50.0, 200.0), "south": (40.0, 200.0)},
         {("orders", "north"): (30.0, 60.0), ("mail", "north"): (5.0, 5.0)},
     )
     assert held.room["south"] == (0.0, 0.0)
-    assert held.short == (room.Short("mail", "north", 5.0, 5.0),)
+    assert held.short == (failover_capacity.Short("mail", "north", 5.0, 5.0),)
--- a/tests/decide/federation/test_route.py
+++ b/tests/decide/federation/test_region_choice.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.decide.federation.made import FEDERATIONS, REGIONS
-from wingbarrow.decide.federation import route as ro
+from tests.decide.federation.strategies import FEDERATIONS, REGIONS
+from wingbarrow.decide.federation import region_choice as ro
 from wingbarrow.decide.federation import spec as s
 
 SPEC = s.Spec(
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -18,7 +18,7 @@
     word,
 )
 from wingbarrow.decide.federation.check import Known, Path, check
-from wingbarrow.decide.federation.form import normal
+from wingbarrow.decide.federation.encoding import normal
 from wingbarrow.decide.federation.spec import (
     CLASS,
     CUTS,
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -12,7 +12,7 @@
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.federation.moving import Move, Run, moves
+from wingbarrow.decide.federation.migration import Move, Run, moves
 from wingbarrow.decide.federation.spec import Federation
 
 SCAN_INTERVAL_US = 1_000_000
@@ -31,7 +31,7 @@
 
 
 class Migrations:
-    """Starts migrations that `decide.federation.moving` finds due; owns those under way, by task name."""
+    """Starts migrations that `decide.federation.migration` finds due; owns those under way, by task name."""
 
     def __init__(
         self,
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -1,8 +1,8 @@
 """Jobs that their federation spec sends to another region, and Jobs that other regions' placers forwarded here.
 
-The region is chosen in `decide.federation.route`, the protocol is `decide.regions.forwarding`; this component carries
-both out. A forwarded task has a record at both placers: the sender owes its client the answer; the receiver keeps a Job
-of its own, named after the forwarding ident, and reports its states back.
+The region is chosen in `decide.federation.region_choice`, the protocol is `decide.regions.forwarding`; this component
+carries both out. A forwarded task has a record at both placers: the sender owes its client the answer; the receiver
+keeps a Job of its own, named after the forwarding ident, and reports its states back.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
+from wingbarrow.decide.federation.region_choice import Choice, RegionNews, Wanted, choose
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.kube import names
--- a/wingbarrow/decide/federation/check.py
+++ b/wingbarrow/decide/federation/check.py
@@ -5,7 +5,16 @@
 
 from __future__ import annotations
 
-from wingbarrow.decide.federation.checkspec import SpecFaults
+from wingbarrow.decide.federation.check_interactions import circles, rooms
+from wingbarrow.decide.federation.check_spec import SpecFaults
+from wingbarrow.decide.federation.encoding import (
+    MAX_AFTER_US,
+    MAX_FEDERATION,
+    MAX_USES,
+    NAME,
+    NAME_WORDS,
+    write,
+)
 from wingbarrow.decide.federation.faults import (
     Fault,
     Known,
@@ -16,14 +25,6 @@
     seconds,
     unfit,
 )
-from wingbarrow.decide.federation.form import (
-    MAX_AFTER_US,
-    MAX_FEDERATION,
-    MAX_USES,
-    NAME,
-    NAME_WORDS,
-    write,
-)
 from wingbarrow.decide.federation.spec import (
     MAX_DATASETS,
     MAX_REGIONS,
@@ -31,7 +32,6 @@
     DataSet,
     Federation,
 )
-from wingbarrow.decide.federation.together import circles, rooms
 
 __all__ = ["Fault", "Known", "Path", "check", "unfit"]
 
--- a/wingbarrow/decide/federation/together.py
+++ b/wingbarrow/decide/federation/check_interactions.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Mapping
 
+from wingbarrow.decide.federation.failover_capacity import Load, deal, homes
 from wingbarrow.decide.federation.faults import Fault, Known
-from wingbarrow.decide.federation.room import Load, deal, homes
 from wingbarrow.decide.federation.spec import Failover, Federation, allowed
 
 
--- a/wingbarrow/decide/federation/checkspec.py
+++ b/wingbarrow/decide/federation/check_spec.py
@@ -4,6 +4,8 @@
 
 from collections import Counter
 
+from wingbarrow.decide.federation.encoding import MAX_AFTER_US, MAX_CORES, MAX_MIB
+from wingbarrow.decide.federation.failover_capacity import homes
 from wingbarrow.decide.federation.faults import (
     Fault,
     Known,
@@ -13,8 +15,6 @@
     region_faults,
     seconds,
 )
-from wingbarrow.decide.federation.form import MAX_AFTER_US, MAX_CORES, MAX_MIB
-from wingbarrow.decide.federation.room import homes
 from wingbarrow.decide.federation.spec import MAX_NEEDS, Failover, Federation, Need, Spec, allowed
 
 SECOND = 1_000_000
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -8,7 +8,7 @@
 
 from dataclasses import fields, replace
 
-from wingbarrow.decide.federation.form import normal
+from wingbarrow.decide.federation.encoding import normal
 from wingbarrow.decide.federation.spec import (
     BOTH,
     CUTS,
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.form import NAME, NAME_WORDS
+from wingbarrow.decide.federation.encoding import NAME, NAME_WORDS
 from wingbarrow.decide.federation.spec import CLASS, Spec
 
 Path = tuple[str | int, ...]
--- a/wingbarrow/decide/federation/moving.py
+++ b/wingbarrow/decide/federation/migration.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from wingbarrow.decide.federation.route import RegionNews, Wanted, choose, due
+from wingbarrow.decide.federation.region_choice import RegionNews, Wanted, choose, due
 from wingbarrow.decide.federation.spec import Federation
 
 
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -15,8 +15,8 @@
 
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import Effect
-from wingbarrow.decide.federation.room import held_back
-from wingbarrow.decide.federation.route import RegionNews
+from wingbarrow.decide.federation.failover_capacity import held_back
+from wingbarrow.decide.federation.region_choice import RegionNews
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass, fields, replace
 from typing import Any
 
-from wingbarrow.decide.federation import form
+from wingbarrow.decide.federation import encoding
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.quotas.limits import FleetLimit, normalized_limits
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
@@ -67,7 +67,7 @@
         Digests are computed over it, and members compare it: its bytes are fixed.
         """
         value = asdict(replace(self, federation=NO_FEDERATION))
-        value["federation"] = form.write(self.federation)
+        value["federation"] = encoding.write(self.federation)
         for name in OPTIONAL_FIELDS:
             if getattr(self, name) == _DEFAULTS[name]:
                 del value[name]
@@ -112,7 +112,7 @@
         windows=tuple(sorted(rules.windows, key=lambda each: (each.name, repr(each)))),
         cancelled=tuple(sorted(set(rules.cancelled))),
         limits=normalized_limits(rules.limits),
-        federation=form.normal(rules.federation),
+        federation=encoding.normal(rules.federation),
     )
 
 
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -15,7 +15,7 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.federation.form import MAX_FEDERATION
+from wingbarrow.decide.federation.encoding import MAX_FEDERATION
 from wingbarrow.decide.rulesets.comparison import contradict, intersection, keeps_floor
 from wingbarrow.decide.rulesets.entries import (
     FloorEntry,
