--- a/benchmarks/federation_choice.py
+++ b/benchmarks/federation_choice.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from wingbarrow.decide.federation.encoding import normal
-from wingbarrow.decide.federation.region_choice import RegionNews, Wanted, choose
+from wingbarrow.decide.federation.region_choice import RegionRequest, RegionStatus, choose_region
 from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed
 
 REGIONS = ("north", "south", "east")
@@ -63,33 +63,36 @@
     return normal(Federation(tuple(out), tuple(sets)))
 
 
-News = dict[str, RegionNews]
-Way = Callable[[Spec, Federation, Wanted, News, random.Random], str]
+News = dict[str, RegionStatus]
+Way = Callable[[Spec, Federation, RegionRequest, News, random.Random], str]
 
 
-def ours(spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random) -> str:
+def ours(
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
+) -> str:
     """The module's."""
-    return choose(spec, federation, wanted, news, rng.random()).region
+    return choose_region(spec, federation, wanted, news, rng.random()).region
 
 
 def in_order(
-    spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The first that has room, by its data and then by preference; the first of all where none has."""
     near = [region for region in allowed(spec, federation) if not news[region].lost]
     near.sort(
         key=lambda region: (
             not _near(spec, federation, region),
-            spec.order(wanted.here).index(region),
+            spec.order(wanted.origin).index(region),
         )
     )
     return next(
-        (region for region in near if news[region].cores >= wanted.cores), near[0] if near else ""
+        (region for region in near if news[region].free_cores >= wanted.cores),
+        near[0] if near else "",
     )
 
 
 def least(
-    spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The least loaded."""
     able = [region for region in allowed(spec, federation) if not news[region].lost]
@@ -158,7 +161,7 @@
                     (
                         now_s,
                         {
-                            region: RegionNews(
+                            region: RegionStatus(
                                 region,
                                 0,
                                 (CORES - free[region] + asked[region]) / CORES,
@@ -196,7 +199,9 @@
                 news = next(
                     (each for at, each in reversed(told) if at <= now_s - LAG_S), told[0][1]
                 )
-                where = self.way(spec, federation, Wanted(cores, 1.0, "safe", here), news, chances)
+                where = self.way(
+                    spec, federation, RegionRequest(cores, 1.0, "safe", here), news, chances
+                )
                 late = now_s >= WARM_S
                 counts.came += late
                 if not where:
--- a/tests/decide/federation/test_region_choice.py
+++ b/tests/decide/federation/test_region_choice.py
@@ -19,30 +19,34 @@
     failover=s.Failover(("lost", "refusing"), 30_000_000, refusing_us=20_000_000),
 )
 ALONE = s.Federation((SPEC,))
-NEW = ro.Wanted(2.0, 4.0, "safe", "north")
+NEW = ro.RegionRequest(2.0, 4.0, "safe", "north")
 
 
-def news(**more: float) -> dict[str, ro.RegionNews]:
+def news(**more: float) -> dict[str, ro.RegionStatus]:
     """Each region at a load, well and young."""
     return {
-        region: ro.RegionNews(
+        region: ro.RegionStatus(
             region, 700_000, more.get(region, 0.1), 100.0, 400.0, stable_us=1 << 40
         )
         for region in REGIONS
     }
 
 
-def told(region: str, known: dict[str, ro.RegionNews], **more: object) -> dict[str, ro.RegionNews]:
+def told(
+    region: str, known: dict[str, ro.RegionStatus], **more: object
+) -> dict[str, ro.RegionStatus]:
     return {**known, region: replace(known[region], **more)}  # type: ignore[arg-type]
 
 
 def share(
-    known: dict[str, ro.RegionNews], spec: s.Spec = SPEC, wanted: ro.Wanted = NEW
+    known: dict[str, ro.RegionStatus], spec: s.Spec = SPEC, wanted: ro.RegionRequest = NEW
 ) -> dict[str, float]:
     """How often each region is chosen, over a thousand draws."""
     out: dict[str, float] = {}
     for step in range(1000):
-        region = ro.choose(spec, s.Federation((spec,)), wanted, known, (step + 0.5) / 1000).region
+        region = ro.choose_region(
+            spec, s.Federation((spec,)), wanted, known, (step + 0.5) / 1000
+        ).region
         out[region] = out.get(region, 0) + 1 / 1000
     return {region: round(part, 3) for region, part in out.items()}
 
@@ -60,34 +64,43 @@
 
 
 def test_where_it_does_not_fit_it_goes_where_it_does() -> None:
-    known = told("north", news(north=0.99, south=0.8, east=0.9), cores=1.0)
+    known = told("north", news(north=0.99, south=0.8, east=0.9), free_cores=1.0)
     assert share(known) == {"south": 1.0}
-    full = {region: replace(each, cores=1.0) for region, each in known.items()}
+    full = {region: replace(each, free_cores=1.0) for region, each in known.items()}
     assert share(full) == {"north": 1.0}, "its own door says the rest"
-    choice = ro.choose(SPEC, ALONE, replace(NEW, here="west"), full, 0.5)
+    choice = ro.choose_region(SPEC, ALONE, replace(NEW, origin="west"), full, 0.5)
     assert choice.region == ""
     assert choice.reason == (
         "of north, south, east none will do (north: no room; south: no room; east: no room)"
     )
-    held = told("north", news(), held_cores=99.0)
+    held = told("north", news(), reserved_cores=99.0)
     assert share(held) == {"south": 1.0}, "room that is held back is none for new work"
 
 
 def test_regions_that_are_lost_closed_refusing_or_unknown() -> None:
-    for more in ({"lost": True}, {"closed": True}, {"refusing_us": 1}, {"age_us": ro.KNOWN_US + 1}):
+    for more in (
+        {"lost": True},
+        {"closed": True},
+        {"refusing_us": 1},
+        {"age_us": ro.MAX_STATUS_AGE_US + 1},
+    ):
         assert (
-            ro.choose(
-                SPEC, ALONE, replace(NEW, here="west"), told("north", news(), **more), 0.0
+            ro.choose_region(
+                SPEC, ALONE, replace(NEW, origin="west"), told("north", news(), **more), 0.0
             ).region
             == "south"
         )
-    assert ro.choose(SPEC, ALONE, NEW, {}, 0.0).region == "north", "who stands in it knows it"
+    assert ro.choose_region(SPEC, ALONE, NEW, {}, 0.0).region == "north", (
+        "who stands in it knows it"
+    )
     only = replace(SPEC, regions=("south",))
-    refused = ro.choose(only, s.Federation((only,)), NEW, told("south", news(), closed=True), 0.0)
-    assert refused == ro.Choice("", "of south none will do (south: closed for work)")
+    refused = ro.choose_region(
+        only, s.Federation((only,)), NEW, told("south", news(), closed=True), 0.0
+    )
+    assert refused == ro.RegionChoice("", "of south none will do (south: closed for work)")
     nowhere = replace(SPEC, regions=())
     assert (
-        ro.choose(nowhere, s.Federation((nowhere,)), NEW, news(), 0.0).reason
+        ro.choose_region(nowhere, s.Federation((nowhere,)), NEW, news(), 0.0).reason
         == "spec 'orders' allows no region"
     )
 
@@ -97,24 +110,27 @@
     federation = s.Federation(
         (spec,), (s.DataSet("stock", (("south", 0), ("east", 4_000_000)), ()),)
     )
-    assert ro.choose(spec, federation, NEW, news(north=0.0), 0.99).region == "south"
-    behind = told("south", news(), behind=(("stock", 5_000_001),))
-    assert ro.choose(spec, federation, NEW, behind, 0.99).region == "east"
-    both = told("east", behind, behind=(("stock", 6_000_000),))
-    assert ro.choose(spec, federation, NEW, both, 0.99).reason == (
+    assert ro.choose_region(spec, federation, NEW, news(north=0.0), 0.99).region == "south"
+    behind = told("south", news(), data_lag_us=(("stock", 5_000_001),))
+    assert ro.choose_region(spec, federation, NEW, behind, 0.99).region == "east"
+    both = told("east", behind, data_lag_us=(("stock", 6_000_000),))
+    assert ro.choose_region(spec, federation, NEW, both, 0.99).reason == (
         "of south, east none will do (south: its copy of 'stock' is 5 s behind; "
         "east: its copy of 'stock' is 6 s behind)"
     )
-    lost = ro.Wanted(2.0, 4.0, "safe", "south", "failover")
-    assert ro.choose(spec, federation, lost, told("south", news(), lost=True), 0.0).region == "east"
+    lost = ro.RegionRequest(2.0, 4.0, "safe", "south", "failover")
     assert (
-        ro.choose(
-            spec, federation, lost, told("east", news(), behind=(("stock", 6_000_000),)), 0.0
+        ro.choose_region(spec, federation, lost, told("south", news(), lost=True), 0.0).region
+        == "east"
+    )
+    assert (
+        ro.choose_region(
+            spec, federation, lost, told("east", news(), data_lag_us=(("stock", 6_000_000),)), 0.0
         ).region
         == ""
     )
     resident = replace(federation, datasets=(replace(federation.datasets[0], stays=("south",)),))
-    assert ro.choose(spec, resident, lost, news(), 0.0).region == "", (
+    assert ro.choose_region(spec, resident, lost, news(), 0.0).region == "", (
         "residency holds under failover too"
     )
 
@@ -124,9 +140,10 @@
     federation = s.Federation(
         (spec,), (s.DataSet("stock", (("east", 0),)), s.DataSet("logs", (("south", 0),)))
     )
-    assert ro.choose(spec, federation, NEW, news(), 0.99).region == "east"
+    assert ro.choose_region(spec, federation, NEW, news(), 0.99).region == "east"
     assert (
-        ro.choose(spec, federation, NEW, told("east", news(), closed=True), 0.99).region == "south"
+        ro.choose_region(spec, federation, NEW, told("east", news(), closed=True), 0.99).region
+        == "south"
     )
 
 
@@ -134,7 +151,9 @@
     spec = replace(SPEC, ranked=False)
     for here in REGIONS:
         assert (
-            ro.choose(spec, s.Federation((spec,)), replace(NEW, here=here), news(), 0.5).region
+            ro.choose_region(
+                spec, s.Federation((spec,)), replace(NEW, origin=here), news(), 0.5
+            ).region
             == here
         )
 
@@ -143,65 +162,73 @@
     over = replace(SPEC.failover or s.Failover((), 0), to=("east", "south"), room=50)
     spec = replace(SPEC, failover=over)
     federation = s.Federation((spec,))
-    lost = ro.Wanted(10.0, 1.0, "safe", "north", "failover")
+    lost = ro.RegionRequest(10.0, 1.0, "safe", "north", "failover")
     known = told("north", news(east=0.95), lost=True)
-    assert ro.choose(spec, federation, lost, known, 0.0).region == "east", (
+    assert ro.choose_region(spec, federation, lost, known, 0.0).region == "east", (
         "thresholds are for new work"
     )
-    held = told("east", known, held_cores=100.0)
-    assert ro.choose(spec, federation, lost, held, 0.0).region == "east", (
+    held = told("east", known, reserved_cores=100.0)
+    assert ro.choose_region(spec, federation, lost, held, 0.0).region == "east", (
         "what is held back is for this"
     )
-    took = replace(lost, taken=(("east", 41.0, 1.0),))
-    after = told("east", known, cores=59.0)
-    assert ro.choose(spec, federation, took, after, 0.0).region == "south", (
+    took = replace(lost, failover_usage=(("east", 41.0, 1.0),))
+    after = told("east", known, free_cores=59.0)
+    assert ro.choose_region(spec, federation, took, after, 0.0).region == "south", (
         "41 of 100 and 10 more are above its share"
     )
-    none = ro.choose(spec, federation, took, told("south", after, closed=True), 0.0)
+    none = ro.choose_region(spec, federation, took, told("south", after, closed=True), 0.0)
     assert none.reason == (
         "of north, south, east none will do (south: closed for work; "
         "east: no room within 50% of what it has free)"
     )
     unled = replace(spec, failover=None)
     assert (
-        ro.choose(unled, s.Federation((unled,)), lost, known, 0.0).reason
+        ro.choose_region(unled, s.Federation((unled,)), lost, known, 0.0).reason
         == "spec 'orders' has no failover"
     )
 
 
 def test_when_a_failover_is_due() -> None:
-    assert ro.due(SPEC, "lost", 30_000_000)
-    assert not ro.due(SPEC, "lost", 29_999_999)
-    assert ro.due(SPEC, "refusing", 50_000_000)
-    assert not ro.due(SPEC, "refusing", 49_999_999)
-    assert not ro.due(SPEC, "closed", 1 << 40)
-    assert not ro.due(replace(SPEC, failover=None), "lost", 1 << 40)
+    assert ro.failover_due(SPEC, "lost", 30_000_000)
+    assert not ro.failover_due(SPEC, "lost", 29_999_999)
+    assert ro.failover_due(SPEC, "refusing", 50_000_000)
+    assert not ro.failover_due(SPEC, "refusing", 49_999_999)
+    assert not ro.failover_due(SPEC, "closed", 1 << 40)
+    assert not ro.failover_due(replace(SPEC, failover=None), "lost", 1 << 40)
 
 
 def test_return_to_a_region_that_is_well_for_long_enough_and_has_room() -> None:
     spec = replace(SPEC, back=s.Back("stable", 600_000_000))
     federation = s.Federation((spec,))
-    away = ro.Wanted(2.0, 4.0, "safe", "east", "back")
-    assert ro.choose(spec, federation, away, news(), 0.0).region == "north"
+    away = ro.RegionRequest(2.0, 4.0, "safe", "east", "back")
+    assert ro.choose_region(spec, federation, away, news(), 0.0).region == "north"
     young = told("north", news(), stable_us=599_999_999)
-    assert ro.choose(spec, federation, away, young, 0.0).region == "south"
+    assert ro.choose_region(spec, federation, away, young, 0.0).region == "south"
     busy = told("south", young, load=0.6)
-    assert ro.choose(spec, federation, away, busy, 0.0) == ro.Choice(
+    assert ro.choose_region(spec, federation, away, busy, 0.0) == ro.RegionChoice(
         "east",
         ("of north, south, east none will do (north: well for 600 s only; south: at 60 of 100)"),
     )
-    assert ro.choose(spec, federation, replace(away, effect="unsafe"), news(), 0.0).region == "east"
-    assert ro.choose(SPEC, ALONE, away, news(), 0.0) == ro.Choice("east", "it never returns")
-    assert ro.choose(spec, federation, replace(away, here="north"), news(), 0.0).region == "north"
+    assert (
+        ro.choose_region(spec, federation, replace(away, effect="unsafe"), news(), 0.0).region
+        == "east"
+    )
+    assert ro.choose_region(SPEC, ALONE, away, news(), 0.0) == ro.RegionChoice(
+        "east", "it never returns"
+    )
+    assert (
+        ro.choose_region(spec, federation, replace(away, origin="north"), news(), 0.0).region
+        == "north"
+    )
 
 
 LOADS = st.sampled_from([0.0, 0.55, 0.7, 0.85, 1.2])
 NEWS = st.dictionaries(
     st.sampled_from(REGIONS),
     st.builds(
-        ro.RegionNews,
+        ro.RegionStatus,
         st.just(""),
-        st.sampled_from([0, ro.KNOWN_US + 1]),
+        st.sampled_from([0, ro.MAX_STATUS_AGE_US + 1]),
         LOADS,
         st.sampled_from([0.0, 2.0, 50.0]),
         st.just(50.0),
@@ -223,7 +250,7 @@
 )
 def test_nothing_is_chosen_that_is_not_allowed(
     federation: s.Federation,
-    known: dict[str, ro.RegionNews],
+    known: dict[str, ro.RegionStatus],
     here: str,
     why: str,
     draw: float,
@@ -231,13 +258,15 @@
 ) -> None:
     known = {region: replace(each, region=region) for region, each in known.items()}
     for spec in federation.specs:
-        choice = ro.choose(spec, federation, ro.Wanted(2.0, 2.0, effect, here, why), known, draw)
+        choice = ro.choose_region(
+            spec, federation, ro.RegionRequest(2.0, 2.0, effect, here, why), known, draw
+        )
         assert choice.region or choice.reason
         if choice.region == here and why == "back":
             continue
         if choice.region:
             assert choice.region in s.allowed(spec, federation)
-            assert choice.region == here or known[choice.region].age_us <= ro.KNOWN_US
+            assert choice.region == here or known[choice.region].age_us <= ro.MAX_STATUS_AGE_US
             assert choice.region == here or not known[choice.region].lost
             assert not (why == "failover" and choice.region == here)
 
@@ -246,7 +275,7 @@
     def play() -> list[str]:
         rng = random.Random(41)
         return [
-            ro.choose(
+            ro.choose_region(
                 SPEC, ALONE, NEW, news(north=rng.random(), south=rng.random()), rng.random()
             ).region
             for _ in range(1000)
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -80,7 +80,7 @@
             runs,
             federation,
             self._base.settings.region,
-            self._remote_regions.region_news(now),
+            self._remote_regions.region_statuses(now),
             Counter(each.spec for each in self._migrating.values()),
         ):
             self._start(task_by_request[move.number], move, now)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -251,7 +251,7 @@
             self.base, self.job_store, self.objects, self._requests, self.base.started_us
         )
         remote_regions.federation = self.active_rules.federation
-        remote_regions.region_news = peering.regions.news
+        remote_regions.region_statuses = peering.regions.statuses
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -17,7 +17,12 @@
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.federation.region_choice import Choice, RegionNews, Wanted, choose
+from wingbarrow.decide.federation.region_choice import (
+    RegionChoice,
+    RegionRequest,
+    RegionStatus,
+    choose_region,
+)
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.kube import names
@@ -42,8 +47,8 @@
 class RemoteRegions:
     """Forwards tasks to placers of other regions, and admits what these forward.
 
-    The placer sets `carry_out` (effects of the protocol, by mail), `region_news`, `targets` (members that are alive, of
-    the names given), `federation` and `admission` while it builds its components.
+    The placer sets `carry_out` (effects of the protocol, by mail), `region_statuses`, `targets` (members that are
+    alive, of the names given), `federation` and `admission` while it builds its components.
     """
 
     def __init__(
@@ -56,7 +61,7 @@
         self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
-        self.region_news: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
+        self.region_statuses: Callable[[int], Mapping[str, RegionStatus]] = lambda now_us: {}
         self.targets: Callable[[tuple[str, ...]], list[forwarding.Target]] = lambda names: []
         self.federation: Callable[[], Federation] = Federation
         self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
@@ -87,11 +92,13 @@
                 )
             return here
         self.budget.on_first_attempt()
-        choice: Choice = choose(
+        choice: RegionChoice = choose_region(
             spec,
             federation,
-            Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
-            self.region_news(base.hub.now_us()),
+            RegionRequest(
+                request.cores, request.memory, request.task_class.task_class.effect.value, here
+            ),
+            self.region_statuses(base.hub.now_us()),
             base.random.random(),
         )
         if not choice.region:
@@ -124,8 +131,8 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        news = self.region_news(self._base.hub.now_us()).get(region)
-        targets = self.targets(news.placers if news is not None else ())
+        status = self.region_statuses(self._base.hub.now_us()).get(region)
+        targets = self.targets(status.placers if status is not None else ())
         self._base.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
--- a/wingbarrow/decide/federation/migration.py
+++ b/wingbarrow/decide/federation/migration.py
@@ -10,7 +10,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from wingbarrow.decide.federation.region_choice import RegionNews, Wanted, choose, due
+from wingbarrow.decide.federation.region_choice import (
+    RegionRequest,
+    RegionStatus,
+    choose_region,
+    failover_due,
+)
 from wingbarrow.decide.federation.spec import Federation
 
 
@@ -39,7 +44,7 @@
     runs: Iterable[Run],
     federation: Federation,
     here: str,
-    news: Mapping[str, RegionNews],
+    news: Mapping[str, RegionStatus],
     under_way: Mapping[str, int],
 ) -> list[Move]:
     """What goes now; `under_way` counts by spec those that were told to go and do not stand elsewhere yet.
@@ -58,17 +63,17 @@
         if (
             own is not None
             and own.closed
-            and due(spec, "closed", spec.failover.after_us if spec.failover else 0)
+            and failover_due(spec, "closed", spec.failover.after_us if spec.failover else 0)
         ):
             why = "closed"  # closing is planned: it has been told, and waits for nothing
-        elif own is not None and due(spec, "refusing", own.refusing_us):
+        elif own is not None and failover_due(spec, "refusing", own.refusing_us):
             why = "refusing"
         elif spec.back.when == "never":
             continue
-        wanted = Wanted(
+        wanted = RegionRequest(
             run.cores, run.memory, run.effect, here, "back" if why == "back" else "failover"
         )
-        region = choose(spec, federation, wanted, left, 1.0).region
+        region = choose_region(spec, federation, wanted, left, 1.0).region
         if not region or region == here:
             continue
         if run.afar and (why != "back" or region != spec.order(here)[0]):
@@ -77,6 +82,8 @@
         on_way[spec.name] += 1
         there = left[region]
         left[region] = replace(
-            there, cores=there.cores - run.cores, memory=there.memory - run.memory
+            there,
+            free_cores=there.free_cores - run.cores,
+            free_memory=there.free_memory - run.memory,
         )
     return out
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -16,7 +16,7 @@
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import Effect
 from wingbarrow.decide.federation.failover_capacity import held_back
-from wingbarrow.decide.federation.region_choice import RegionNews
+from wingbarrow.decide.federation.region_choice import RegionStatus
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
@@ -288,7 +288,7 @@
             self._at_us = requested_us
         return []
 
-    def news(self, now_us: int) -> dict[str, RegionNews]:
+    def statuses(self, now_us: int) -> dict[str, RegionStatus]:
         """Return what is known by region and not too old; a region that is absent is not known."""
         since_us = now_us - self._at_us
         known = {}
@@ -296,18 +296,18 @@
             age_us = each.age_us + since_us
             if age_us <= MAX_AGE_US or (each.lost and since_us <= MAX_AGE_US):
                 # That a region is lost is as old as the summary; its last report may be much older.
-                known[each.region] = RegionNews(
+                known[each.region] = RegionStatus(
                     region=each.region,
                     age_us=min(age_us, since_us) if each.lost else age_us,
                     load=each.load,
-                    cores=each.cores,
-                    memory=each.memory,
+                    free_cores=each.cores,
+                    free_memory=each.memory,
                     lost=each.lost,
                     closed=each.closed,
                     refusing_us=each.refusing_us,
                     stable_us=each.stable_us,
                     placers=each.placers,
-                    held_cores=each.held_cores,
-                    held_memory=each.held_memory,
+                    reserved_cores=each.held_cores,
+                    reserved_memory=each.held_memory,
                 )
         return known
