--- a/benchmarks/federation_choice.py
+++ b/benchmarks/federation_choice.py
@@ -20,7 +20,7 @@
 
 from wingbarrow.decide.federation.encoding import normal
 from wingbarrow.decide.federation.region_choice import RegionRequest, RegionStatus, choose_region
-from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed
+from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed_regions
 
 REGIONS = ("north", "south", "east")
 CORES, LIFE_S, PATIENCE_S, AGAIN_S, NEWS_S, LAG_S = 1000.0, 20.0, 1.0, 0.25, 0.7, 0.7
@@ -78,11 +78,11 @@
     spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The first that has room, by its data and then by preference; the first of all where none has."""
-    near = [region for region in allowed(spec, federation) if not news[region].lost]
+    near = [region for region in allowed_regions(spec, federation) if not news[region].lost]
     near.sort(
         key=lambda region: (
             not _near(spec, federation, region),
-            spec.order(wanted.origin).index(region),
+            spec.preference_order(wanted.origin).index(region),
         )
     )
     return next(
@@ -95,7 +95,7 @@
     spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The least loaded."""
-    able = [region for region in allowed(spec, federation) if not news[region].lost]
+    able = [region for region in allowed_regions(spec, federation) if not news[region].lost]
     return min(able, key=lambda region: news[region].load, default="")
 
 
@@ -104,7 +104,8 @@
 
 def _near(spec: Spec, federation: Federation, region: str) -> bool:
     return all(
-        dict(federation.sets[each.dataset].copies).get(region, each.behind_us + 1) <= each.behind_us
+        dict(federation.datasets_by_name[each.dataset].copies).get(region, each.behind_us + 1)
+        <= each.behind_us
         for each in spec.data
     )
 
--- a/tests/decide/federation/strategies.py
+++ b/tests/decide/federation/strategies.py
@@ -16,14 +16,18 @@
 _SOME = st.lists(st.sampled_from(REGIONS), unique=True, max_size=3).map(tuple)
 _NEEDS = st.lists(
     st.builds(
-        s.Need, st.sampled_from(SETS), st.sampled_from(s.NEAR), st.integers(0, 1), st.integers(0, 2)
+        s.Need,
+        st.sampled_from(SETS),
+        st.sampled_from(s.LOCALITIES),
+        st.integers(0, 1),
+        st.integers(0, 2),
     ),
     unique_by=lambda each: each.dataset,
     max_size=2,
 ).map(tuple)
 _FAILOVERS = st.builds(
     s.Failover,
-    st.lists(st.sampled_from(s.ON), unique=True, max_size=3).map(tuple),
+    st.lists(st.sampled_from(s.FAILOVER_CAUSES), unique=True, max_size=3).map(tuple),
     st.integers(10, 11),
     _SOME,
     st.sampled_from([50, 100]),
@@ -32,7 +36,7 @@
     st.integers(0, 1),
     st.integers(0, 1),
 )
-_BACKS = st.builds(s.Back, st.sampled_from(s.RETURNS), st.integers(0, 2), st.integers(1, 2))
+_BACKS = st.builds(s.Back, st.sampled_from(s.RETURN_MODES), st.integers(0, 2), st.integers(1, 2))
 _SPECS = st.builds(
     s.Spec,
     st.just(""),
@@ -41,7 +45,7 @@
     _NEEDS,
     st.none() | _FAILOVERS,
     _BACKS,
-    st.sampled_from(s.CUTS),
+    st.sampled_from(s.PARTITION_ACTIONS),
     st.sampled_from([50, 60]),
     st.sampled_from([80, 90]),
     st.booleans(),
@@ -108,11 +112,11 @@
                         for home in REGIONS:
                             out |= {
                                 (*who, "goes over on", on, "after", after, home, region)
-                                for region in spec.targets(home)
+                                for region in spec.failover_targets(home)
                                 if region in can
                             }
             if spec.back.when != "never":
-                for when in s.RETURNS[1 : s.RETURNS.index(spec.back.when) + 1]:
+                for when in s.RETURN_MODES[1 : s.RETURN_MODES.index(spec.back.when) + 1]:
                     out |= {
                         (*who, "returns", when, stable, pace)
                         for stable in range(spec.back.stable_us, 4)
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -145,9 +145,9 @@
     step = compare.meet(a, other)
     between = step.spec_for("web")
     assert between is not None
-    assert between.name == s.BOTH + "web"
+    assert between.name == s.INTERSECTION_PREFIX + "web"
     assert between.regions == ()
-    named = step.spec_for("pay", s.BOTH + "web")
+    named = step.spec_for("pay", s.INTERSECTION_PREFIX + "web")
     assert named is not None and named.regions == (), (
         "a Job that names what stands between versions is refused"
     )
@@ -190,7 +190,7 @@
     for _ in range(400):
         regions = tuple(rng.sample(("north", "south", "east"), rng.randint(1, 3)))
         needs = tuple(
-            s.Need(name, rng.choice(s.NEAR)) for name in ("d1", "d2") if rng.random() < 0.3
+            s.Need(name, rng.choice(s.LOCALITIES)) for name in ("d1", "d2") if rng.random() < 0.3
         )
         spec = s.Spec(
             "orders",
@@ -198,8 +198,8 @@
             (),
             needs,
             rng.choice([None, over, replace(over, on=("lost",), after_us=11)]),
-            s.Back(rng.choice(s.RETURNS)),
-            rng.choice(s.CUTS),
+            s.Back(rng.choice(s.RETURN_MODES)),
+            rng.choice(s.PARTITION_ACTIONS),
         )
         sets = tuple(
             s.DataSet(
--- a/tests/decide/federation/test_region_choice.py
+++ b/tests/decide/federation/test_region_choice.py
@@ -265,7 +265,7 @@
         if choice.region == here and why == "back":
             continue
         if choice.region:
-            assert choice.region in s.allowed(spec, federation)
+            assert choice.region in s.allowed_regions(spec, federation)
             assert choice.region == here or known[choice.region].age_us <= ro.MAX_STATUS_AGE_US
             assert choice.region == here or not known[choice.region].lost
             assert not (why == "failover" and choice.region == here)
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -104,7 +104,7 @@
             ("north", "south"),
             ("east",),
             failover=over,
-            on_cut=s.CUTS[turn % 2],
+            on_cut=s.PARTITION_ACTIONS[turn % 2],
         )
         for at in range(256)
     )
@@ -211,7 +211,7 @@
 
 
 def _small(turn: int) -> RuleSet:
-    spec = s.Spec("orders", ("north", "south"), on_cut=s.CUTS[turn % 2])
+    spec = s.Spec("orders", ("north", "south"), on_cut=s.PARTITION_ACTIONS[turn % 2])
     return normalized(
         RuleSet(
             (ClassRules("web", "safe", "none", 0),),
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -20,12 +20,12 @@
 from wingbarrow.decide.federation.check import Known, Path, check
 from wingbarrow.decide.federation.encoding import normal
 from wingbarrow.decide.federation.spec import (
-    CLASS,
-    CUTS,
-    MAX_COPIES,
-    NEAR,
-    ON,
-    RETURNS,
+    CLASS_SPEC_PREFIX,
+    FAILOVER_CAUSES,
+    LOCALITIES,
+    MAX_REPLICAS,
+    PARTITION_ACTIONS,
+    RETURN_MODES,
     Back,
     DataSet,
     Failover,
@@ -49,7 +49,7 @@
             "reads": Shape(
                 (text,),
                 {
-                    "near": (word(*NEAR), "wanted"),
+                    "near": (word(*LOCALITIES), "wanted"),
                     "much": (read_size, 0.0),
                     "behind": (read_duration, 0),
                 },
@@ -61,17 +61,18 @@
                     "after": (read_duration, NEEDED),
                     "refusing": (read_duration, 0),
                     "room": (number(1, 100, True), 100),
-                    "copies": (number(1, MAX_COPIES, True), 1),
+                    "copies": (number(1, MAX_REPLICAS, True), 1),
                     "cores": (_CORES, 0),
                     "memory": (read_size, 0.0),
                 },
                 {"to": _REGIONS},
-                rest=word(*ON),
+                rest=word(*FAILOVER_CAUSES),
             ),
             "back": Shape(
-                (word(*RETURNS),), {"after": (read_duration, 0), "pace": (number(1, 1000, True), 1)}
+                (word(*RETURN_MODES),),
+                {"after": (read_duration, 0), "pace": (number(1, 1000, True), 1)},
             ),
-            "cut": Shape((word(*CUTS),)),
+            "cut": Shape((word(*PARTITION_ACTIONS),)),
             "over": Shape(
                 (), {"lower": (number(0, 100, True), 60), "upper": (number(1, 100, True), 90)}
             ),
@@ -96,7 +97,7 @@
         problems.append(
             (node.line, "class: federation= and failover= at once; a spec says its own failover")
         )
-    return str(named) or (CLASS + str(node.args[0]) if failover else "")
+    return str(named) or (CLASS_SPEC_PREFIX + str(node.args[0]) if failover else "")
 
 
 def read_federation(
@@ -118,11 +119,11 @@
     problems += [
         (
             node.line,
-            f"federation: {node.args[0]!r}: {CLASS!r} begins the names of specs that classes have by "
+            f"federation: {node.args[0]!r}: {CLASS_SPEC_PREFIX!r} begins the names of specs that classes have by "
             "failover=#true",
         )
         for node in nodes
-        if node.args[0].startswith(CLASS)
+        if node.args[0].startswith(CLASS_SPEC_PREFIX)
     ]
     datasets = tuple(
         _dataset(node, ("dataset", at), lines)
@@ -139,7 +140,7 @@
             lines["federation", len(specs)] = node.line
             specs.append(
                 Spec(
-                    CLASS + node.args[0],
+                    CLASS_SPEC_PREFIX + node.args[0],
                     regions,
                     ranked=False,
                     failover=Failover(("lost",), _LEASES_AFTER * lease_us),
--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.job_store import JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import UNKNOWN, LeasedJobs
 from wingbarrow.core.machine_fences import MachineFences
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.failover import StartOrder
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
@@ -59,7 +59,7 @@
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None:
             return ReplicationTerms((), 1)
-        return ReplicationTerms(allowed(spec, federation), spec.failover.copies)
+        return ReplicationTerms(allowed_regions(spec, federation), spec.failover.copies)
 
     def _may_start(self, record: LeasedJobRecord, free: tuple[float, float]) -> bool:
         """Whether its spec, as it is now, has it run here after its region's loss, within its part of `free`."""
@@ -68,7 +68,9 @@
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None or "lost" not in spec.failover.on:
             return False
-        if here not in spec.targets(record.region) or here not in allowed(spec, federation):
+        if here not in spec.failover_targets(record.region) or here not in allowed_regions(
+            spec, federation
+        ):
             return False
         part = spec.failover.room / PERCENT
         free_cores, free_memory = free
@@ -294,7 +296,7 @@
 
 def _spec_of(record: LeasedJobRecord, federation: Federation) -> Spec | None:
     """A record's spec as it is now; one whose name is gone is found by the Job's annotation and class."""
-    found = federation.named.get(record.spec)
+    found = federation.specs_by_name.get(record.spec)
     if found is not None:
         return found
     try:
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -20,7 +20,7 @@
 from wingbarrow.core.pods import Ended
 from wingbarrow.decide import retries
 from wingbarrow.decide.federation.faults import unfit
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.regions.reports import MAX_LEASED_SPECS
 from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.leased_job_record import (
@@ -95,7 +95,7 @@
             if named:
                 raise _unfit_error(request, f"there is no federation {named[:80]!r}")
             return None
-        if not allowed(found, federation):
+        if not allowed_regions(found, federation):
             raise _unfit_error(request, f"spec {found.name!r} allows no region")
         why = unfit(found, task_class.effect.value, self._leases.lease_us)
         if why:
@@ -133,7 +133,7 @@
         record = self._new_record(candidate)
         now = base.hub.now_us()
         deadline_us = min(now + MAX_REPLICATION_WAIT_US, now + max(0, due_us - now) // 2)
-        terms = ReplicationTerms(allowed(spec, self.federation()), spec.failover.copies)
+        terms = ReplicationTerms(allowed_regions(spec, self.federation()), spec.failover.copies)
         class_name = request.task_class.task_class.name
         self.awaiting_replica.add(candidate.key)
         self._store.admission.add(request.namespace, request.count, class_name)
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -23,7 +23,7 @@
     RegionStatus,
     choose_region,
 )
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
@@ -84,7 +84,7 @@
         base, federation = self._base, self.federation()
         here = base.settings.region
         if is_forwarded:
-            if here not in allowed(spec, federation):
+            if here not in allowed_regions(spec, federation):
                 raise ApiError(
                     503,
                     f"federation {spec.name!r} does not allow region {here}",
@@ -111,7 +111,7 @@
             )
         if choice.region != here and not self.budget.try_take():
             base.counts["handing:over the budget"] += 1
-            if here in allowed(spec, federation):
+            if here in allowed_regions(spec, federation):
                 return here
             raise ApiError(
                 503,
--- a/wingbarrow/decide/federation/check.py
+++ b/wingbarrow/decide/federation/check.py
@@ -117,7 +117,7 @@
     for task_class, name in federation.uses:
         path: Path = ("class", task_class)
         out += name_faults(path, "class", task_class)
-        spec = federation.named.get(name)
+        spec = federation.specs_by_name.get(name)
         if spec is None:
             out.append(Fault(path, f"class: no such federation: {name[:60]!r}{near(name, names)}"))
             continue
--- a/wingbarrow/decide/federation/check_interactions.py
+++ b/wingbarrow/decide/federation/check_interactions.py
@@ -6,7 +6,7 @@
 
 from wingbarrow.decide.federation.failover_capacity import Load, deal, homes
 from wingbarrow.decide.federation.faults import Fault, Known
-from wingbarrow.decide.federation.spec import Failover, Federation, allowed
+from wingbarrow.decide.federation.spec import Failover, Federation, allowed_regions
 
 
 def circles(federation: Federation) -> list[Fault]:
@@ -16,7 +16,9 @@
         if spec.ranked and spec.failover is not None and "refusing" in spec.failover.on:
             for home in homes(spec, federation):
                 for region in [
-                    each for each in spec.targets(home) if each in allowed(spec, federation)
+                    each
+                    for each in spec.failover_targets(home)
+                    if each in allowed_regions(spec, federation)
                 ][:1]:
                     ways.setdefault(home, []).append((region, at))
     out = []
@@ -73,7 +75,7 @@
     )
     out: dict[int, Fault] = {}
     home = {spec.name: homes(spec, federation) for spec in federation.specs}
-    can = {spec.name: frozenset(allowed(spec, federation)) for spec in federation.specs}
+    can = {spec.name: frozenset(allowed_regions(spec, federation)) for spec in federation.specs}
     for unit, need, has in parts:
         free = dict(has)
         for spec in federation.specs:
@@ -93,7 +95,7 @@
                 over = spec.failover
                 if over is None or not need(over) or lost not in home[spec.name]:
                     continue
-                targets = [each for each in spec.targets(lost) if each in can[spec.name]]
+                targets = [each for each in spec.failover_targets(lost) if each in can[spec.name]]
                 if not free.keys() >= set(targets):
                     continue  # a region of which nothing is said may have all the room there is
                 names[spec.name] = at
--- a/wingbarrow/decide/federation/check_spec.py
+++ b/wingbarrow/decide/federation/check_spec.py
@@ -15,7 +15,14 @@
     region_faults,
     seconds,
 )
-from wingbarrow.decide.federation.spec import MAX_NEEDS, Failover, Federation, Need, Spec, allowed
+from wingbarrow.decide.federation.spec import (
+    MAX_DATASETS_PER_SPEC,
+    Failover,
+    Federation,
+    Need,
+    Spec,
+    allowed_regions,
+)
 
 SECOND = 1_000_000
 
@@ -25,7 +32,7 @@
 
     def __init__(self, path: Path, spec: Spec, federation: Federation, known: Known) -> None:
         self.path, self.spec, self.federation = path, spec, federation
-        self.sets, self.known = federation.sets, known
+        self.datasets_by_name, self.known = federation.datasets_by_name, known
         self.out: list[Fault] = []
 
     def bad(self, part: str, words: str, *more: int | str, other: Path = ()) -> None:
@@ -79,10 +86,10 @@
     def _data(self) -> bool:
         """Whether what it reads is known, so that regions can be weighed by it."""
         spec, good = self.spec, True
-        if len(spec.data) > MAX_NEEDS:
-            self.bad("reads", f"more than {MAX_NEEDS} data sets", MAX_NEEDS)
+        if len(spec.data) > MAX_DATASETS_PER_SPEC:
+            self.bad("reads", f"more than {MAX_DATASETS_PER_SPEC} data sets", MAX_DATASETS_PER_SPEC)
         for at, need in enumerate(spec.data):
-            dataset = self.sets.get(need.dataset)
+            dataset = self.datasets_by_name.get(need.dataset)
             if need.dataset in (each.dataset for each in spec.data[:at]):
                 self.bad("reads", f"data set {need.dataset!r} is read twice", at)
             if need.mib > MAX_MIB or need.behind_us > MAX_AFTER_US:
@@ -92,7 +99,7 @@
             if dataset is None:
                 self.bad(
                     "reads",
-                    f"no such data set: {need.dataset[:60]!r}{near(need.dataset, self.sets)}",
+                    f"no such data set: {need.dataset[:60]!r}{near(need.dataset, self.datasets_by_name)}",
                     at,
                 )
                 good = False
@@ -115,13 +122,13 @@
                     f"required data {need.dataset!r} is nowhere where the spec allows ({why})",
                     at,
                 )
-        if good and not allowed(spec, self.federation) and not self.out and spec.regions:
+        if good and not allowed_regions(spec, self.federation) and not self.out and spec.regions:
             self.bad("reads", "no region has all the data that is required", 0)
         return good
 
     def _lacks(self, need: Need, region: str) -> str:
         """Why a region does not do for required data; "" where it does."""
-        behind_us = dict(self.sets[need.dataset].copies).get(region)
+        behind_us = dict(self.datasets_by_name[need.dataset].copies).get(region)
         if behind_us is None:
             return "no copy"
         if behind_us > need.behind_us:
@@ -151,9 +158,9 @@
             self._target(region, over)
         if not data or self.out:
             return
-        can = allowed(spec, self.federation)
+        can = allowed_regions(spec, self.federation)
         for home in homes(spec, self.federation):
-            if not set(spec.targets(home)) & set(can):
+            if not set(spec.failover_targets(home)) & set(can):
                 self.bad(
                     "failover",
                     f"from {home!r} there is nowhere to go: allowed are {', '.join(can)}",
@@ -179,7 +186,7 @@
             )
             return
         for need in spec.data:
-            dataset = self.sets.get(need.dataset)
+            dataset = self.datasets_by_name.get(need.dataset)
             if dataset is not None and dataset.stays and region not in dataset.stays:
                 self.bad(
                     "failover",
@@ -195,7 +202,11 @@
             self.bad("failover", f"to {region!r}, which is {how}", "to", other=(*self.path, part))
             return
         for need in spec.data:
-            if need.dataset in self.sets and need.near == "required" and self._lacks(need, region):
+            if (
+                need.dataset in self.datasets_by_name
+                and need.near == "required"
+                and self._lacks(need, region)
+            ):
                 self.bad(
                     "failover",
                     f"to {region!r}, where required data {need.dataset!r} is not: "
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -10,10 +10,10 @@
 
 from wingbarrow.decide.federation.encoding import normal
 from wingbarrow.decide.federation.spec import (
-    BOTH,
-    CUTS,
-    ON,
-    RETURNS,
+    FAILOVER_CAUSES,
+    INTERSECTION_PREFIX,
+    PARTITION_ACTIONS,
+    RETURN_MODES,
     Back,
     DataSet,
     Failover,
@@ -57,7 +57,7 @@
         )
         and _failover_within(a, b)
         and _back_within(a.back, b.back)
-        and CUTS.index(a.on_cut) <= CUTS.index(b.on_cut)
+        and PARTITION_ACTIONS.index(a.on_cut) <= PARTITION_ACTIONS.index(b.on_cut)
     )
 
 
@@ -83,7 +83,7 @@
 
 def _back_within(a: Back, b: Back) -> bool:
     return a.when == "never" or (
-        RETURNS.index(a.when) <= RETURNS.index(b.when)
+        RETURN_MODES.index(a.when) <= RETURN_MODES.index(b.when)
         and a.stable_us >= b.stable_us
         and a.pace <= b.pace
     )
@@ -104,7 +104,9 @@
         tuple(needs.values()),
         _failover_meet(a, b),
         _back_meet(a.back, b.back),
-        CUTS[min(CUTS.index(a.on_cut), CUTS.index(b.on_cut))],
+        PARTITION_ACTIONS[
+            min(PARTITION_ACTIONS.index(a.on_cut), PARTITION_ACTIONS.index(b.on_cut))
+        ],
         min(a.lower, b.lower),
         min(a.upper, b.upper),
         ranked=bool(ranked),
@@ -132,7 +134,7 @@
         held = one or other
         return None if held is None else Failover((), 0, copies=held.copies)
     copies = max(one.copies, other.copies)
-    on = tuple(each for each in ON if each in one.on and each in other.on)
+    on = tuple(each for each in FAILOVER_CAUSES if each in one.on and each in other.on)
     targets = _targets(a) & _targets(b)
     if not on or not targets:
         return Failover((), 0, copies=copies)
@@ -151,7 +153,7 @@
 
 
 def _back_meet(a: Back, b: Back) -> Back:
-    when = RETURNS[min(RETURNS.index(a.when), RETURNS.index(b.when))]
+    when = RETURN_MODES[min(RETURN_MODES.index(a.when), RETURN_MODES.index(b.when))]
     return (
         Back(when, max(a.stable_us, b.stable_us), min(a.pace, b.pace))
         if when != "never"
@@ -193,19 +195,23 @@
 
 
 def _nameable(federation: Federation) -> dict[str, Spec]:
-    return {each.name: each for each in federation.specs if not each.name.startswith(BOTH)}
+    return {
+        each.name: each
+        for each in federation.specs
+        if not each.name.startswith(INTERSECTION_PREFIX)
+    }
 
 
 def within(a: Federation, b: Federation) -> bool:
     """Whether whatever `a` allows, `b` allows too: to Jobs that name a spec, and to those of each class."""
-    theirs, sets = _nameable(b), b.sets
+    theirs, datasets = _nameable(b), b.datasets_by_name
     for name, spec in _nameable(a).items():
         if not spec_within(spec, theirs.get(name, Spec(name, ()))):
             return False
     for dataset in a.datasets:
-        if dataset.name not in sets or not dataset_within(dataset, sets[dataset.name]):
+        if dataset.name not in datasets or not dataset_within(dataset, datasets[dataset.name]):
             return False
-    for task_class in a.used.keys() | b.used.keys():
+    for task_class in a.spec_names_by_class.keys() | b.spec_names_by_class.keys():
         mine, other = a.spec_for(task_class), b.spec_for(task_class)
         if mine is None or not (_stays(mine) if other is None else spec_within(mine, other)):
             return False
@@ -223,12 +229,18 @@
     specs = {
         name: spec_meet(mine[name], theirs[name], name) for name in mine.keys() & theirs.keys()
     }
-    datasets = (dataset_meet(each, b.sets[each.name]) for each in a.datasets if each.name in b.sets)
+    datasets = (
+        dataset_meet(each, b.datasets_by_name[each.name])
+        for each in a.datasets
+        if each.name in b.datasets_by_name
+    )
     uses: dict[str, str] = {}
-    for task_class in a.used.keys() | b.used.keys():
-        names = {each.used.get(task_class, "") for each in (a, b)}
-        uses[task_class] = next(iter(names)) if len(names) == 1 else BOTH + task_class
-        if uses[task_class].startswith(BOTH):
+    for task_class in a.spec_names_by_class.keys() | b.spec_names_by_class.keys():
+        names = {each.spec_names_by_class.get(task_class, "") for each in (a, b)}
+        uses[task_class] = (
+            next(iter(names)) if len(names) == 1 else INTERSECTION_PREFIX + task_class
+        )
+        if uses[task_class].startswith(INTERSECTION_PREFIX):
             specs[uses[task_class]] = _class_meet(
                 a.spec_for(task_class), b.spec_for(task_class), uses[task_class]
             )
@@ -273,7 +285,7 @@
                     for each in fields(before)
                     if getattr(before, each.name) != getattr(after, each.name)
                 ]
-    mine, theirs = a.used, b.used
+    mine, theirs = a.spec_names_by_class, b.spec_names_by_class
     return out + [
         f"class {each} goes by: {mine.get(each, 'no spec')} -> {theirs.get(each, 'no spec')}"
         for each in sorted(mine.keys() | theirs.keys())
--- a/wingbarrow/decide/federation/encoding.py
+++ b/wingbarrow/decide/federation/encoding.py
@@ -15,14 +15,14 @@
 from functools import lru_cache
 
 from wingbarrow.decide.federation.spec import (
-    CUTS,
-    MAX_COPIES,
+    FAILOVER_CAUSES,
     MAX_DATASETS,
-    MAX_NEEDS,
+    MAX_DATASETS_PER_SPEC,
     MAX_REGIONS,
+    MAX_REPLICAS,
     MAX_SPECS,
-    ON,
-    RETURNS,
+    PARTITION_ACTIONS,
+    RETURN_MODES,
     Back,
     DataSet,
     Failover,
@@ -77,7 +77,7 @@
 def _normal_spec(spec: Spec) -> Spec:
     failover, back = spec.failover, spec.back
     if failover is not None:
-        on = tuple(each for each in ON if each in failover.on)
+        on = tuple(each for each in FAILOVER_CAUSES if each in failover.on)
         refusing_us = failover.refusing_us if "refusing" in on else 0
         if not on:
             failover = Failover((), 0, copies=failover.copies)
@@ -254,7 +254,7 @@
     if way != "-":
         on, after, to, room, refusing, copies, cores, mib = way.split("/")
         failover = Failover(
-            () if on == "-" else tuple(_letter(each, ON) for each in on),
+            () if on == "-" else tuple(_letter(each, FAILOVER_CAUSES) for each in on),
             _read_time(after),
             some(to),
             _read_number(room),
@@ -281,8 +281,8 @@
         some(forbidden),
         tuple(needs),
         failover,
-        Back(_letter(when, RETURNS), _read_time(stable), _read_number(pace)),
-        _letter(cut, CUTS),
+        Back(_letter(when, RETURN_MODES), _read_time(stable), _read_number(pace)),
+        _letter(cut, PARTITION_ACTIONS),
         _read_number(lower),
         _read_number(upper),
         _letter(ranked, ("ranked", "unranked")) == "ranked",
@@ -314,7 +314,7 @@
         good = (
             _once(spec.regions)
             and _once(tuple(each.dataset for each in spec.data))
-            and len(spec.data) <= 2 * MAX_NEEDS
+            and len(spec.data) <= 2 * MAX_DATASETS_PER_SPEC
             and 0 <= spec.lower < spec.upper <= 100
             and all(
                 0 <= each.mib <= MAX_MIB and 0 <= each.behind_us <= MAX_AFTER_US
@@ -330,7 +330,7 @@
                 and 0 <= over.after_us <= MAX_AFTER_US
                 and 1 <= over.room <= 100
                 and 0 <= over.refusing_us <= MAX_AFTER_US
-                and 1 <= over.copies <= MAX_COPIES
+                and 1 <= over.copies <= MAX_REPLICAS
                 and 0 <= over.cores <= MAX_CORES
                 and 0 <= over.mib <= MAX_MIB
             )
--- a/wingbarrow/decide/federation/failover_capacity.py
+++ b/wingbarrow/decide/federation/failover_capacity.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
 
 def homes(spec: Spec, federation: Federation) -> tuple[str, ...]:
     """Where its work may be asked for to begin with: the region that it prefers, or any."""
-    can = allowed(spec, federation)
+    can = allowed_regions(spec, federation)
     return can if not spec.ranked else can[:1]
 
 
@@ -160,14 +160,17 @@
             }
             loads = []
             for spec, cores, memory in needs:
-                can, room = allowed(spec, federation), spec.failover.room if spec.failover else 0
+                can, room = (
+                    allowed_regions(spec, federation),
+                    spec.failover.room if spec.failover else 0,
+                )
                 loads.append(
                     Load(
                         spec.name,
                         int((cores, memory)[kind] * 1024),
                         tuple(
                             (region, free[region] * room // 100)
-                            for region in spec.targets(lost)
+                            for region in spec.failover_targets(lost)
                             if region in can and region in free
                         ),
                     )
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from wingbarrow.decide.federation.encoding import NAME, NAME_WORDS
-from wingbarrow.decide.federation.spec import CLASS, Spec
+from wingbarrow.decide.federation.spec import CLASS_SPEC_PREFIX, Spec
 
 Path = tuple[str | int, ...]
 SECOND = 1_000_000
@@ -82,7 +82,11 @@
     """Whether a name can be written as placers agree on it; those with a colon are made here."""
     good = NAME.fullmatch(name) and (
         ":" not in name
-        or (what == "federation" and name.startswith(CLASS) and ":" not in name[len(CLASS) :])
+        or (
+            what == "federation"
+            and name.startswith(CLASS_SPEC_PREFIX)
+            and ":" not in name[len(CLASS_SPEC_PREFIX) :]
+        )
     )
     return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_WORDS} are wanted")]
 
--- a/wingbarrow/decide/federation/migration.py
+++ b/wingbarrow/decide/federation/migration.py
@@ -56,7 +56,7 @@
     left = dict(news)
     own = news.get(here)
     for run in runs:
-        spec = federation.named.get(run.spec)
+        spec = federation.specs_by_name.get(run.spec)
         if spec is None or run.effect != "safe" or on_way[spec.name] >= spec.back.pace:
             continue
         why = "back"
@@ -76,7 +76,7 @@
         region = choose_region(spec, federation, wanted, left, 1.0).region
         if not region or region == here:
             continue
-        if run.afar and (why != "back" or region != spec.order(here)[0]):
+        if run.afar and (why != "back" or region != spec.preference_order(here)[0]):
             continue  # Danger: each hand-over leaves one that answers for it; only a way home ends that chain
         out.append(Move(run.number, region, why))
         on_way[spec.name] += 1
--- a/wingbarrow/decide/federation/region_choice.py
+++ b/wingbarrow/decide/federation/region_choice.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 
 MAX_STATUS_AGE_US = 15_000_000  # news older than this counts as not known
 MAX_REASON_CHARS = 400
@@ -104,7 +104,9 @@
     def choice(self, draw: float) -> RegionChoice:
         """Where it goes."""
         why = self._wanted.purpose
-        able = [region for region in allowed(self._spec, self._federation) if self._able(region)]
+        able = [
+            region for region in allowed_regions(self._spec, self._federation) if self._able(region)
+        ]
         if why == "failover":
             return self._over(able)
         able.sort(key=self._distance)
@@ -136,7 +138,7 @@
 
     def _behind_us(self, region: str, dataset: str) -> int | None:
         """How far behind a copy is: as stated, or further where that is told; None where there is none."""
-        held = self._federation.sets.get(dataset)
+        held = self._federation.datasets_by_name.get(dataset)
         stated = dict(held.copies).get(region) if held is not None else None
         if stated is None:
             return None
@@ -150,7 +152,7 @@
             behind_us = self._behind_us(region, need.dataset)
             if need.near == "wanted" and (behind_us is None or behind_us > need.behind_us):
                 missing += max(1, need.mib)
-        return missing, self._spec.order(self._wanted.origin).index(region)
+        return missing, self._spec.preference_order(self._wanted.origin).index(region)
 
     def _load(self, region: str) -> float:
         """In parts of 100; 100 and more where there is no room for this beside what is held back."""
@@ -199,7 +201,7 @@
         if over is None or not over.on:
             return RegionChoice("", f"spec {spec.name!r} has no failover")
         taken = {region: (cores, memory) for region, cores, memory in self._wanted.failover_usage}
-        for region in spec.targets(self._wanted.origin):
+        for region in spec.failover_targets(self._wanted.origin):
             if region not in able or self._refuses(region):
                 continue
             news, (cores, memory) = self._news[region], taken.get(region, (0.0, 0.0))
@@ -243,7 +245,7 @@
 
     def _reason(self) -> str:
         spec = self._spec
-        can = allowed(spec, self._federation)
+        can = allowed_regions(spec, self._federation)
         if not can:
             return f"spec {spec.name!r} allows no region" + (
                 f" by its data: {', '.join(need.dataset for need in spec.data)}"
--- a/wingbarrow/decide/federation/spec.py
+++ b/wingbarrow/decide/federation/spec.py
@@ -11,13 +11,14 @@
 from functools import cached_property
 
 MAX_SPECS, MAX_DATASETS, MAX_REGIONS = 256, 1024, 64
-MAX_NEEDS, MAX_COPIES = 16, 3  # data sets that a spec reads; keepers
-ON = ("lost", "refusing", "closed")  # what a failover may follow
-RETURNS = ("never", "idle", "stable")  # from what moves least
-CUTS = ("stop", "carry-on")
-NEAR = ("wanted", "required")
-CLASS = "class:"  # begins the name of the spec that a class has by `failover` alone
-BOTH = "both:"  # begins the name of a spec that stands for a class between two versions; no Job may name one
+MAX_DATASETS_PER_SPEC, MAX_REPLICAS = 16, 3  # data sets that a spec reads; keepers
+FAILOVER_CAUSES = ("lost", "refusing", "closed")  # what a failover may follow
+RETURN_MODES = ("never", "idle", "stable")  # from what moves least
+PARTITION_ACTIONS = ("stop", "carry-on")
+LOCALITIES = ("wanted", "required")
+CLASS_SPEC_PREFIX = "class:"  # begins the name of the spec that a class has by `failover` alone
+# Begins the name of a spec that stands for a class between two versions; no Job may name one.
+INTERSECTION_PREFIX = "both:"
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -70,18 +71,18 @@
     upper: int = 90
     ranked: bool = True  # otherwise all regions are equal, and where it is asked for comes first
 
-    def order(self, here: str) -> tuple[str, ...]:
+    def preference_order(self, here: str) -> tuple[str, ...]:
         """Its regions for work that is asked for in one, the preferred first."""
         if self.ranked or here not in self.regions:
             return self.regions
         return (here, *(each for each in self.regions if each != here))
 
-    def targets(self, here: str) -> tuple[str, ...]:
+    def failover_targets(self, here: str) -> tuple[str, ...]:
         """Where its work goes from a region that is lost, in order; empty where nothing follows."""
         if self.failover is None or not self.failover.on:
             return ()
         if not self.failover.to:
-            return tuple(each for each in self.order(here) if each != here)
+            return tuple(each for each in self.preference_order(here) if each != here)
         return tuple(each for each in self.failover.to if each in self.regions and each != here)
 
 
@@ -110,25 +111,27 @@
         return self._hash
 
     @cached_property
-    def named(self) -> Mapping[str, Spec]:
+    def specs_by_name(self) -> Mapping[str, Spec]:
         """Specs by name."""
         return {each.name: each for each in reversed(self.specs)}
 
     @cached_property
-    def sets(self) -> Mapping[str, DataSet]:
+    def datasets_by_name(self) -> Mapping[str, DataSet]:
         """Data sets by name."""
         return {each.name: each for each in reversed(self.datasets)}
 
     @cached_property
-    def used(self) -> Mapping[str, str]:
+    def spec_names_by_class(self) -> Mapping[str, str]:
         """Names of specs by class."""
         return dict(self.uses)
 
-    def spec(self, name: str) -> Spec | None:
+    def find_spec(self, name: str) -> Spec | None:
         """One by its name; a name that stood for a class between two versions is what the class has now."""
-        found = self.named.get(name)
+        found = self.specs_by_name.get(name)
         return (
-            self.spec_for(name[len(BOTH) :]) if found is None and name.startswith(BOTH) else found
+            self.spec_for(name[len(INTERSECTION_PREFIX) :])
+            if found is None and name.startswith(INTERSECTION_PREFIX)
+            else found
         )
 
     def spec_for(self, task_class: str, named: str = "") -> Spec | None:
@@ -136,21 +139,21 @@
 
         One that is named and not there allows nothing.
         """
-        name = named or self.used.get(task_class, "")
+        name = named or self.spec_names_by_class.get(task_class, "")
         if not name:
             return None
-        found = None if named.startswith(BOTH) else self.named.get(name)
+        found = None if named.startswith(INTERSECTION_PREFIX) else self.specs_by_name.get(name)
         return found or Spec(name, ())
 
 
-def allowed(spec: Spec, federation: Federation) -> tuple[str, ...]:
+def allowed_regions(spec: Spec, federation: Federation) -> tuple[str, ...]:
     """The regions where a spec's work may ever run: what it names, within the residency of the data that it reads.
 
     A data set that is not there is one of which nobody knows where it may go: nowhere.
     """
     out = tuple(each for each in spec.regions if each not in spec.forbidden)
     for need in spec.data:
-        dataset = federation.sets.get(need.dataset)
+        dataset = federation.datasets_by_name.get(need.dataset)
         if dataset is None:
             return ()
         if dataset.stays:
--- a/wingbarrow/decide/rulesets/parsing.py
+++ b/wingbarrow/decide/rulesets/parsing.py
@@ -179,7 +179,7 @@
 def _federation_faults(rules: RuleSet) -> Iterator[str]:
     effects = {each.name: each.effect for each in rules.classes}
     for task_class, name in rules.federation.uses:
-        spec = rules.federation.named.get(name)
+        spec = rules.federation.specs_by_name.get(name)
         reason = unfit(spec, effects.get(task_class, ""), 0) if spec is not None else ""
         if reason:
             yield f"{task_class}: federation {name} {reason}"
