--- a/benchmarks/federation_choice.py
+++ b/benchmarks/federation_choice.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.encoding import normal
+from wingbarrow.decide.federation.encoding import normalized
 from wingbarrow.decide.federation.region_choice import RegionRequest, RegionStatus, choose_region
 from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed_regions
 
@@ -60,7 +60,7 @@
                 data=(Need(f"{home}-two", "wanted", 4096, 120_000_000),),
             ),
         ]
-    return normal(Federation(tuple(out), tuple(sets)))
+    return normalized(Federation(tuple(out), tuple(sets)))
 
 
 News = dict[str, RegionStatus]
--- a/tests/decide/federation/strategies.py
+++ b/tests/decide/federation/strategies.py
@@ -54,7 +54,7 @@
 
 def _named(parts: tuple[dict[str, s.Spec], dict[str, s.DataSet], dict[str, str]]) -> s.Federation:
     specs, sets, uses = parts
-    return encoding.normal(
+    return encoding.normalized(
         s.Federation(
             tuple(
                 s.Spec(name, *(getattr(each, part) for part in s.Spec.__slots__[1:]))
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -35,12 +35,12 @@
 def test_the_meet_allows_no_run_and_no_move_that_either_forbids(
     a: s.Federation, b: s.Federation
 ) -> None:
-    met = compare.meet(a, b)
+    met = compare.intersection(a, b)
     assert allowed_acts(met) <= allowed_acts(a) & allowed_acts(b)
     assert compare.within(met, a)
     assert compare.within(met, b)
-    assert compare.meet(b, a) == met
-    assert compare.meet(met, a) == met or compare.within(compare.meet(met, a), met)
+    assert compare.intersection(b, a) == met
+    assert compare.intersection(met, a) == met or compare.within(compare.intersection(met, a), met)
 
 
 @given(FEDERATIONS, FEDERATIONS, FEDERATIONS)
@@ -48,7 +48,7 @@
     a: s.Federation, b: s.Federation, c: s.Federation
 ) -> None:
     assert compare.within(a, a)
-    met = compare.meet(a, b)
+    met = compare.intersection(a, b)
     if compare.within(a, b):
         assert allowed_acts(a) <= allowed_acts(b)
         assert compare.within(a, met), "nothing is lost where one is within the other"
@@ -63,10 +63,10 @@
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
 def test_a_text_reads_back_and_says_all(a: s.Federation, b: s.Federation) -> None:
-    text = encoding.write(a)
-    assert encoding.read(text) == a
-    assert encoding.write(encoding.read(text)) == text
-    assert (text == encoding.write(b)) == (a == b) == (not compare.differences(a, b))
+    text = encoding.encode(a)
+    assert encoding.decode(text) == a
+    assert encoding.encode(encoding.decode(text)) == text
+    assert (text == encoding.encode(b)) == (a == b) == (not compare.differences(a, b))
     assert not set(text) & set('"\\')
     assert text.isascii()
 
@@ -127,7 +127,7 @@
 def test_rule_sets_have_it_as_a_part(a: s.Federation, b: s.Federation) -> None:
     one, other = _rules(a), _rules(b)
     assert parse_rule_set(one.text()) == one
-    assert parse_rule_set(intersection(one, other).text()).federation == compare.meet(a, b)
+    assert parse_rule_set(intersection(one, other).text()).federation == compare.intersection(a, b)
     assert allows(one, other) == compare.within(a, b)
     assert keeps_floor(one, other), "no floor speaks of it"
     rest, federation = split_federation(one)
@@ -136,13 +136,13 @@
 
 def test_where_two_versions_leave_no_region_jobs_are_refused_and_nobody_can_name_the_step() -> None:
     a, b = (s.Federation((each,), (), (("web", "orders"),)) for each in (_NORTH, _SOUTH))
-    met = compare.meet(a, b)
+    met = compare.intersection(a, b)
     found = met.spec_for("web")
     assert found is not None
     assert found.regions == ()
     assert met.spec_for("pay") is None
     other = replace(b, specs=(replace(_SOUTH, name="mail"),), uses=(("web", "mail"),))
-    step = compare.meet(a, other)
+    step = compare.intersection(a, other)
     between = step.spec_for("web")
     assert between is not None
     assert between.name == s.INTERSECTION_PREFIX + "web"
@@ -158,26 +158,28 @@
 
 def _keeps(part: str) -> Callable[[s.Spec, s.Spec, str], s.Spec]:
     """A wrong meet: one part as the first has it."""
-    right = compare.spec_meet
+    right = compare.spec_intersection
     return lambda a, b, name: replace(right(a, b, name), **{part: getattr(a, part)})
 
 
 @pytest.mark.parametrize("part", ["regions", "data", "failover", "back", "on_cut"])
 def test_a_meet_that_leaves_out_a_part_is_found(part: str, monkeypatch: pytest.MonkeyPatch) -> None:
     found = _sample()
-    monkeypatch.setattr(compare, "spec_meet", _keeps(part))
+    monkeypatch.setattr(compare, "spec_intersection", _keeps(part))
     assert any(
-        not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
+        not allowed_acts(compare.intersection(a, b)) <= allowed_acts(a) & allowed_acts(b)
         for a, b in zip(found, found[1:], strict=False)
     )
 
 
 def test_a_residency_that_is_lost_in_the_meet_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = compare.dataset_meet
-    monkeypatch.setattr(compare, "dataset_meet", lambda a, b: replace(right(a, b) or a, stays=()))
+    right = compare.dataset_intersection
+    monkeypatch.setattr(
+        compare, "dataset_intersection", lambda a, b: replace(right(a, b) or a, stays=())
+    )
     found = _sample()
     assert any(
-        not allowed_acts(compare.meet(a, b)) <= allowed_acts(a) & allowed_acts(b)
+        not allowed_acts(compare.intersection(a, b)) <= allowed_acts(a) & allowed_acts(b)
         for a, b in zip(found, found[1:], strict=False)
     )
 
@@ -209,7 +211,7 @@
             )
             for name in ("d1", "d2")
         )
-        out.append(encoding.normal(s.Federation((spec,), sets, (("web", "orders"),))))
+        out.append(encoding.normalized(s.Federation((spec,), sets, (("web", "orders"),))))
     return out
 
 
@@ -229,9 +231,9 @@
         ("R north;S a 0,0 - - - n/0/1 c 60 90 r;", "spec a"),
         ("D a;", "no federation"),
         ("R north;S a 0 - - l/1s/-/0/0/1/0/0 n/0/1 c 60 90 r;", "spec a"),
-        ("x" * (encoding.MAX_FEDERATION + 1), "the most"),
+        ("x" * (encoding.MAX_FEDERATION_CHARS + 1), "the most"),
     ],
 )
 def test_texts_that_are_none_are_refused_with_words(text: str, words: str) -> None:
-    with pytest.raises(encoding.BadFederation, match=words):
-        encoding.read(text)
+    with pytest.raises(encoding.FederationError, match=words):
+        encoding.decode(text)
--- a/tests/decide/federation/test_failover_capacity.py
+++ b/tests/decide/federation/test_failover_capacity.py
@@ -33,24 +33,27 @@
     needs: list[tuple[int, list[tuple[str, int]]]], free: dict[str, int]
 ) -> None:
     loads = [
-        failover_capacity.Load(str(at), need, tuple(most)) for at, (need, most) in enumerate(needs)
+        failover_capacity.Demand(str(at), need, tuple(most))
+        for at, (need, most) in enumerate(needs)
     ]
-    dealt = failover_capacity.deal(loads, free)
+    dealt = failover_capacity.allocate(loads, free)
     for load in loads:
-        assert sum(amount for (name, _), amount in dealt.items() if name == load.name) <= load.need
-        assert all(dealt.get((load.name, place), 0) <= most for place, most in load.most)
+        assert (
+            sum(amount for (name, _), amount in dealt.items() if name == load.name) <= load.amount
+        )
+        assert all(dealt.get((load.name, place), 0) <= most for place, most in load.max_by_region)
     for place, has in free.items():
         assert sum(amount for (_, where), amount in dealt.items() if where == place) <= has
     # The most that can be had is the least over all ways to part loads and places (max-flow, min-cut).
     names = [load.name for load in loads]
     least = min(
-        sum(load.need for load in loads if load.name not in cut)
+        sum(load.amount for load in loads if load.name not in cut)
         + sum(free[place] for place in free if place in places)
         + sum(
             min(most, free.get(place, 0))
             for load in loads
             if load.name in cut
-            for place, most in load.most
+            for place, most in load.max_by_region
             if place not in places
         )
         for size in range(len(names) + 1)
@@ -63,7 +66,7 @@
 
 def test_each_region_holds_back_for_the_worst_single_loss() -> None:
     rooms = {"north": (50.0, 200.0), "south": (40.0, 200.0), "east": (40.0, 40.0)}
-    held = failover_capacity.held_back(
+    held = failover_capacity.reserve_capacity(
         s.Federation((MAIL, ORDERS)),
         rooms,
         {
@@ -72,38 +75,38 @@
             ("mail", "south"): (20.0, 20.0),
         },
     )
-    assert held.room == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)}
-    assert not held.short
+    assert held.reserved == {"north": (20.0, 20.0), "south": (40.0, 90.0), "east": (20.0, 0.0)}
+    assert not held.shortfalls
 
 
 def test_what_has_no_room_is_told() -> None:
-    held = failover_capacity.held_back(
+    held = failover_capacity.reserve_capacity(
         s.Federation((ORDERS,)),
         {"north": (50.0, 200.0), "south": (20.0, 200.0)},
         {("orders", "north"): (30.0, 60.0)},
     )
-    assert held.room["south"] == (20.0, 60.0)
-    assert held.short == (failover_capacity.Short("orders", "north", 10.0, 0.0),)
+    assert held.reserved["south"] == (20.0, 60.0)
+    assert held.shortfalls == (failover_capacity.Shortfall("orders", "north", 10.0, 0.0),)
 
 
 def test_a_share_of_room_and_what_a_spec_says_of_itself() -> None:
     spec = s.Spec(
         "orders", ("north", "south"), failover=s.Failover(("lost",), 1, room=50, cores=30, mib=2048)
     )
-    held = failover_capacity.held_back(
+    held = failover_capacity.reserve_capacity(
         s.Federation((spec,)), {"north": (50.0, 200.0), "south": (40.0, 200.0)}, {}
     )
-    assert held.room == {"north": (0.0, 0.0), "south": (20.0, 2.0)}
-    assert held.short == (failover_capacity.Short("orders", "north", 10.0, 0.0),)
+    assert held.reserved == {"north": (0.0, 0.0), "south": (20.0, 2.0)}
+    assert held.shortfalls == (failover_capacity.Shortfall("orders", "north", 10.0, 0.0),)
 
 
 def test_nothing_is_held_for_what_does_not_fail_over_or_may_not_be_there() -> None:
     stays = s.Spec("orders", ("north", "south"))
     near = s.Spec("mail", ("north", "south"), data=(s.Need("stock", "required"),), failover=OVER)
-    held = failover_capacity.held_back(
+    held = failover_capacity.reserve_capacity(
         s.Federation((near, stays), (s.DataSet("stock", (("north", 0),)),)),
         {"north": (50.0, 200.0), "south": (40.0, 200.0)},
         {("orders", "north"): (30.0, 60.0), ("mail", "north"): (5.0, 5.0)},
     )
-    assert held.room["south"] == (0.0, 0.0)
-    assert held.short == (failover_capacity.Short("mail", "north", 5.0, 5.0),)
+    assert held.reserved["south"] == (0.0, 0.0)
+    assert held.shortfalls == (failover_capacity.Shortfall("mail", "north", 5.0, 5.0),)
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -74,11 +74,11 @@
     )
     text = rules.text()
     assert parse_rule_set(text) == rules
-    assert len(encoding.write(rules.federation)) < encoding.MAX_FEDERATION * 3 // 4
+    assert len(encoding.encode(rules.federation)) < encoding.MAX_FEDERATION_CHARS * 3 // 4
 
 
 def test_a_text_too_long_is_refused() -> None:
-    federation = encoding.normal(
+    federation = encoding.normalized(
         s.Federation(
             (), tuple(s.DataSet(f"{'d' * 110}-{at}", (("north", 0),)) for at in range(1024))
         )
@@ -118,7 +118,7 @@
             (),
             250,
             barred,
-            federation=encoding.normal(s.Federation(specs, sets)),
+            federation=encoding.normalized(s.Federation(specs, sets)),
         )
     )
 
@@ -129,7 +129,7 @@
         rules = _large(turn)
         rest, federation = split_federation(rules)
         assert len(json.dumps(rest)) > MAX_ESCAPED_CHARS * 0.8
-        assert len(federation) > encoding.MAX_FEDERATION * 0.85
+        assert len(federation) > encoding.MAX_FEDERATION_CHARS * 0.85
         agreed.apply(
             "propose",
             json.dumps(
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -17,8 +17,8 @@
     text,
     word,
 )
-from wingbarrow.decide.federation.check import Known, Path, check
-from wingbarrow.decide.federation.encoding import normal
+from wingbarrow.decide.federation.check import Path, ValidationContext, check
+from wingbarrow.decide.federation.encoding import normalized
 from wingbarrow.decide.federation.spec import (
     CLASS_SPEC_PREFIX,
     FAILOVER_CAUSES,
@@ -148,7 +148,7 @@
             )
     uses = tuple((name, each.federation) for name, each in classes.items() if each.federation)
     federation = Federation(tuple(specs), datasets, uses)
-    known = Known(
+    known = ValidationContext(
         regions,
         places,
         lease_us,
@@ -165,10 +165,11 @@
         problems.append(
             (
                 _line(fault.path, lines),
-                fault.words + (f" (see line {_line(fault.other, lines)})" if fault.other else ""),
+                fault.message
+                + (f" (see line {_line(fault.related_path, lines)})" if fault.related_path else ""),
             )
         )
-    return normal(federation)
+    return normalized(federation)
 
 
 def _line(path: Path, lines: Mapping[Path, int]) -> int:
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.machine_leases import MachineLeases
 from wingbarrow.core.pods import Ended
 from wingbarrow.decide import retries
-from wingbarrow.decide.federation.faults import unfit
+from wingbarrow.decide.federation.faults import effect_conflict
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.regions.reports import MAX_LEASED_SPECS
 from wingbarrow.decide.replication.records import ReplicationTerms
@@ -97,7 +97,7 @@
             return None
         if not allowed_regions(found, federation):
             raise _unfit_error(request, f"spec {found.name!r} allows no region")
-        why = unfit(found, task_class.effect.value, self._leases.lease_us)
+        why = effect_conflict(found, task_class.effect.value, self._leases.lease_us)
         if why:
             raise _unfit_error(request, f"spec {found.name!r} {why}")
         return found
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -12,7 +12,7 @@
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.federation.migration import Move, Run, moves
+from wingbarrow.decide.federation.migration import Migration, MovableTask, due_migrations
 from wingbarrow.decide.federation.spec import Federation
 
 SCAN_INTERVAL_US = 1_000_000
@@ -72,26 +72,26 @@
         if not self._leased_jobs.jobs or not _can_migrate(federation):
             return
         task_by_request: dict[int, TaskRecord] = {}
-        runs: list[Run] = []
+        runs: list[MovableTask] = []
         for task, run in self._movable_runs():
-            task_by_request[run.number] = task
+            task_by_request[run.request] = task
             runs.append(run)
-        for move in moves(
+        for move in due_migrations(
             runs,
             federation,
             self._base.settings.region,
             self._remote_regions.region_statuses(now),
             Counter(each.spec for each in self._migrating.values()),
         ):
-            self._start(task_by_request[move.number], move, now)
+            self._start(task_by_request[move.request], move, now)
 
-    def _movable_runs(self) -> list[tuple[TaskRecord, Run]]:
+    def _movable_runs(self) -> list[tuple[TaskRecord, MovableTask]]:
         """Of the next Jobs in turn: tasks that run, are not migrating, and whose owner is certain of their answer."""
         jobs = list(self._leased_jobs.jobs.values())
         begin = self._scan_offset % len(jobs)
         scanned = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
         self._scan_offset = begin + len(scanned)
-        movable: list[tuple[TaskRecord, Run]] = []
+        movable: list[tuple[TaskRecord, MovableTask]] = []
         for job in scanned:
             if job.leased is None:
                 continue
@@ -99,7 +99,7 @@
             movable += [
                 (
                     task,
-                    Run(
+                    MovableTask(
                         task.request,
                         job.leased.spec,
                         job.request.cores,
@@ -115,19 +115,19 @@
             ]
         return movable
 
-    def _start(self, task: TaskRecord, move: Move, now_us: int) -> None:
-        attempt = self._attempts.of(move.number)
+    def _start(self, task: TaskRecord, move: Migration, now_us: int) -> None:
+        attempt = self._attempts.of(move.request)
         if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
             return
         leased = task.job.leased
         self._migrating[task.name] = _Migration(
             task, leased.spec if leased is not None else "", move.region, now_us
         )
-        self._base.counts[f"moved to another region: {move.why}"] += 1
+        self._base.counts[f"moved to another region: {move.cause}"] += 1
         self._base.log(
-            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
+            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.cause
         )
-        self._runs.move(move.number)
+        self._runs.move(move.request)
 
     def _try_forward(self, task: TaskRecord) -> bool:
         """A stopped task is requested again: forward it if it is migrating; whether that was done."""
--- a/wingbarrow/decide/federation/check_interactions.py
+++ b/wingbarrow/decide/federation/check_interactions.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable, Mapping
 
-from wingbarrow.decide.federation.failover_capacity import Load, deal, homes
-from wingbarrow.decide.federation.faults import Fault, Known
+from wingbarrow.decide.federation.failover_capacity import Demand, allocate, home_regions
+from wingbarrow.decide.federation.faults import Fault, ValidationContext
 from wingbarrow.decide.federation.spec import Failover, Federation, allowed_regions
 
 
-def circles(federation: Federation) -> list[Fault]:
+def failover_cycles(federation: Federation) -> list[Fault]:
     """Specs that go over on refusing, each to where the next one comes from: what one moves makes the next one move."""
     ways: dict[str, list[tuple[str, int]]] = {}
     for at, spec in enumerate(federation.specs):
         if spec.ranked and spec.failover is not None and "refusing" in spec.failover.on:
-            for home in homes(spec, federation):
+            for home in home_regions(spec, federation):
                 for region in [
                     each
                     for each in spec.failover_targets(home)
@@ -63,18 +63,18 @@
     return out[::-1]
 
 
-def rooms(federation: Federation, known: Known) -> list[Fault]:
+def capacity_faults(federation: Federation, known: ValidationContext) -> list[Fault]:
     """What must find room when a region is lost, and finds none by what is said of rooms."""
     parts: tuple[tuple[str, Callable[[Failover], int], dict[str, int]], ...] = (
         (
             "cores",
             lambda over: over.cores,
-            {region: int(cores) for region, cores, _ in known.rooms},
+            {region: int(cores) for region, cores, _ in known.capacities},
         ),
-        ("MiB", lambda over: over.mib, {region: mib for region, _, mib in known.rooms}),
+        ("MiB", lambda over: over.mib, {region: mib for region, _, mib in known.capacities}),
     )
     out: dict[int, Fault] = {}
-    home = {spec.name: homes(spec, federation) for spec in federation.specs}
+    home = {spec.name: home_regions(spec, federation) for spec in federation.specs}
     can = {spec.name: frozenset(allowed_regions(spec, federation)) for spec in federation.specs}
     for unit, need, has in parts:
         free = dict(has)
@@ -101,21 +101,21 @@
                 names[spec.name] = at
                 part = parts_of[over.room]
                 loads.append(
-                    Load(spec.name, need(over), tuple((each, part[each]) for each in targets))
+                    Demand(spec.name, need(over), tuple((each, part[each]) for each in targets))
                 )
-            dealt = deal(
+            dealt = allocate(
                 loads, {region: max(0, amount) for region, amount in free.items() if region != lost}
             )
             for load in loads:
                 found = sum(amount for (name, _), amount in dealt.items() if name == load.name)
-                if found < load.need:
-                    where = ", ".join(f"{region} {most}" for region, most in load.most)
+                if found < load.amount:
+                    where = ", ".join(f"{region} {most}" for region, most in load.max_by_region)
                     out.setdefault(
                         names[load.name],
                         Fault(
                             ("federation", names[load.name], "failover"),
-                            f"failover: room that does not exist: without {lost!r} {load.need} {unit} must find room, "
-                            f"and {found} {unit} are there (at most {where})",
+                            f"failover: room that does not exist: without {lost!r} {load.amount} {unit} must "
+                            f"find room, and {found} {unit} are there (at most {where})",
                         ),
                     )
     return list(out.values())
--- a/wingbarrow/decide/federation/check_spec.py
+++ b/wingbarrow/decide/federation/check_spec.py
@@ -4,16 +4,16 @@
 
 from collections import Counter
 
-from wingbarrow.decide.federation.encoding import MAX_AFTER_US, MAX_CORES, MAX_MIB
-from wingbarrow.decide.federation.failover_capacity import homes
+from wingbarrow.decide.federation.encoding import MAX_CORES, MAX_DURATION_US, MAX_MIB
+from wingbarrow.decide.federation.failover_capacity import home_regions
 from wingbarrow.decide.federation.faults import (
     Fault,
-    Known,
     Path,
+    ValidationContext,
+    format_seconds,
     name_faults,
-    near,
+    name_suggestion,
     region_faults,
-    seconds,
 )
 from wingbarrow.decide.federation.spec import (
     MAX_DATASETS_PER_SPEC,
@@ -30,7 +30,9 @@
 class SpecFaults:
     """One spec's faults by itself, beside the data sets and what is known."""
 
-    def __init__(self, path: Path, spec: Spec, federation: Federation, known: Known) -> None:
+    def __init__(
+        self, path: Path, spec: Spec, federation: Federation, known: ValidationContext
+    ) -> None:
         self.path, self.spec, self.federation = path, spec, federation
         self.datasets_by_name, self.known = federation.datasets_by_name, known
         self.out: list[Fault] = []
@@ -92,14 +94,16 @@
             dataset = self.datasets_by_name.get(need.dataset)
             if need.dataset in (each.dataset for each in spec.data[:at]):
                 self.bad("reads", f"data set {need.dataset!r} is read twice", at)
-            if need.mib > MAX_MIB or need.behind_us > MAX_AFTER_US:
+            if need.mib > MAX_MIB or need.behind_us > MAX_DURATION_US:
                 self.bad(
-                    "reads", f"at most {MAX_MIB >> 30} Pi, and {seconds(MAX_AFTER_US)} behind", at
+                    "reads",
+                    f"at most {MAX_MIB >> 30} Pi, and {format_seconds(MAX_DURATION_US)} behind",
+                    at,
                 )
             if dataset is None:
                 self.bad(
                     "reads",
-                    f"no such data set: {need.dataset[:60]!r}{near(need.dataset, self.datasets_by_name)}",
+                    f"no such data set: {need.dataset[:60]!r}{name_suggestion(need.dataset, self.datasets_by_name)}",
                     at,
                 )
                 good = False
@@ -132,7 +136,7 @@
         if behind_us is None:
             return "no copy"
         if behind_us > need.behind_us:
-            return f"{seconds(behind_us)} behind, {seconds(need.behind_us)} at most"
+            return f"{format_seconds(behind_us)} behind, {format_seconds(need.behind_us)} at most"
         return ""
 
     def _failover(self, over: Failover, data: bool) -> None:
@@ -140,11 +144,11 @@
         if over.after_us < known.lease_us:
             self.bad(
                 "failover",
-                f"after {seconds(over.after_us)} is shorter than the lease of "
-                f"{seconds(known.lease_us)}: what is lost may still be running by right",
+                f"after {format_seconds(over.after_us)} is shorter than the lease of "
+                f"{format_seconds(known.lease_us)}: what is lost may still be running by right",
             )
-        if max(over.after_us, over.refusing_us) > MAX_AFTER_US:
-            self.bad("failover", f"{seconds(MAX_AFTER_US)} at most")
+        if max(over.after_us, over.refusing_us) > MAX_DURATION_US:
+            self.bad("failover", f"{format_seconds(MAX_DURATION_US)} at most")
         if len(set(over.on)) < len(over.on):
             self.bad("failover", "one thing is named twice")
         if "refusing" in over.on and over.refusing_us < SECOND:
@@ -159,7 +163,7 @@
         if not data or self.out:
             return
         can = allowed_regions(spec, self.federation)
-        for home in homes(spec, self.federation):
+        for home in home_regions(spec, self.federation):
             if not set(spec.failover_targets(home)) & set(can):
                 self.bad(
                     "failover",
@@ -167,7 +171,7 @@
                     "to",
                 )
                 return
-        there = Counter(known.places.values())
+        there = Counter(known.region_by_placer.values())
         for region in can:
             keepers = sum(there[each] for each in can if each != region)
             if keepers < over.copies:
@@ -225,11 +229,11 @@
         if back.when == "stable" and back.stable_us < max(self.known.lease_us, 1):
             self.bad(
                 "back",
-                f'"stable" after {seconds(back.stable_us)} is shorter than the lease of '
-                f"{seconds(self.known.lease_us)}: a region that flaps would have its work to and fro",
+                f'"stable" after {format_seconds(back.stable_us)} is shorter than the lease of '
+                f"{format_seconds(self.known.lease_us)}: a region that flaps would have its work to and fro",
             )
-        if back.stable_us > MAX_AFTER_US:
-            self.bad("back", f"{seconds(MAX_AFTER_US)} at most")
+        if back.stable_us > MAX_DURATION_US:
+            self.bad("back", f"{format_seconds(MAX_DURATION_US)} at most")
         to = spec.failover.to if spec.failover is not None else ()
         rank = {region: at for at, region in enumerate(spec.regions)}
         for at, region in enumerate(to):
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -8,7 +8,7 @@
 
 from dataclasses import fields, replace
 
-from wingbarrow.decide.federation.encoding import normal
+from wingbarrow.decide.federation.encoding import normalized
 from wingbarrow.decide.federation.spec import (
     FAILOVER_CAUSES,
     INTERSECTION_PREFIX,
@@ -23,7 +23,7 @@
 )
 
 
-def named_regions(spec: Spec) -> frozenset[str]:
+def selected_regions(spec: Spec) -> frozenset[str]:
     """Where a spec allows work, whatever its data say."""
     return frozenset(spec.regions) - frozenset(spec.forbidden)
 
@@ -31,9 +31,9 @@
 def _targets(spec: Spec) -> frozenset[str]:
     over = spec.failover
     return (
-        named_regions(spec) & frozenset(over.to)
+        selected_regions(spec) & frozenset(over.to)
         if over is not None and over.to
-        else named_regions(spec)
+        else selected_regions(spec)
     )
 
 
@@ -47,11 +47,11 @@
 
 def spec_within(a: Spec, b: Spec) -> bool:
     """Whether whatever `a` allows, `b` allows too."""
-    if not named_regions(a):
+    if not selected_regions(a):
         return True
     needs = {each.dataset: each for each in a.data}
     return (
-        named_regions(a) <= named_regions(b)
+        selected_regions(a) <= selected_regions(b)
         and all(
             each.dataset in needs and _need_within(needs[each.dataset], each) for each in b.data
         )
@@ -89,9 +89,9 @@
     )
 
 
-def spec_meet(a: Spec, b: Spec, name: str) -> Spec:
+def spec_intersection(a: Spec, b: Spec, name: str) -> Spec:
     """What both allow, under a name; preferences half way between both."""
-    both = named_regions(a) & named_regions(b)
+    both = selected_regions(a) & selected_regions(b)
     needs: dict[str, Need] = {}
     for each in (*a.data, *b.data):
         other = needs.get(each.dataset, each)
@@ -172,7 +172,7 @@
     )
 
 
-def dataset_meet(a: DataSet, b: DataSet) -> DataSet | None:
+def dataset_intersection(a: DataSet, b: DataSet) -> DataSet | None:
     """Copies that both know of, as far behind as either says, and where both let it go; None where that is nowhere."""
     held = dict(b.copies)
     stays = (
@@ -220,17 +220,18 @@
 
 def _stays(spec: Spec) -> bool:
     """Whether work that goes by a spec moves no more than work without any, which runs anywhere and never moves."""
-    return not named_regions(spec) or (spec.back.when == "never" and not _follows(spec))
+    return not selected_regions(spec) or (spec.back.when == "never" and not _follows(spec))
 
 
-def meet(a: Federation, b: Federation) -> Federation:
+def intersection(a: Federation, b: Federation) -> Federation:
     """What both allow. A class whose spec is another in each goes by what both specs allow, under a name of its own."""
     mine, theirs = _nameable(a), _nameable(b)
     specs = {
-        name: spec_meet(mine[name], theirs[name], name) for name in mine.keys() & theirs.keys()
+        name: spec_intersection(mine[name], theirs[name], name)
+        for name in mine.keys() & theirs.keys()
     }
     datasets = (
-        dataset_meet(each, b.datasets_by_name[each.name])
+        dataset_intersection(each, b.datasets_by_name[each.name])
         for each in a.datasets
         if each.name in b.datasets_by_name
     )
@@ -244,7 +245,7 @@
             specs[uses[task_class]] = _class_meet(
                 a.spec_for(task_class), b.spec_for(task_class), uses[task_class]
             )
-    return normal(
+    return normalized(
         Federation(
             tuple(specs.values()),
             tuple(each for each in datasets if each is not None),
@@ -255,7 +256,7 @@
 
 def _class_meet(a: Spec | None, b: Spec | None, name: str) -> Spec:
     if a is not None and b is not None:
-        return spec_meet(a, b, name)
+        return spec_intersection(a, b, name)
     one = a or b or Spec(name, ())
     return replace(
         one,
--- a/wingbarrow/decide/federation/encoding.py
+++ b/wingbarrow/decide/federation/encoding.py
@@ -31,11 +31,11 @@
     Spec,
 )
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,126}")
-NAME_WORDS = "1 to 127 letters, digits, '.', '_' or '-', beginning with a letter or digit"
-MAX_FEDERATION = 112 * 1024  # characters of one text
-MAX_USES = 256
-MAX_AFTER_US = 7 * 86_400_000_000
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,126}")
+NAME_RULE = "1 to 127 letters, digits, '.', '_' or '-', beginning with a letter or digit"
+MAX_FEDERATION_CHARS = 112 * 1024  # characters of one text
+MAX_CLASSES_WITH_SPEC = 256
+MAX_DURATION_US = 7 * 86_400_000_000
 MAX_MIB = 1 << 40
 MAX_CORES = 10_000_000
 _UNITS = (("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1))
@@ -46,12 +46,12 @@
 _TIME = re.compile(r"(0|[1-9]\d{0,17})(h|ms|us|m|s)")
 
 
-class BadFederation(ValueError):
+class FederationError(ValueError):
     """A text that is no federation, or one out of bounds."""
 
 
 @lru_cache(maxsize=_KEPT)
-def normal(federation: Federation) -> Federation:
+def normalized(federation: Federation) -> Federation:
     """The one form of the same federation: all in order, figures without a meaning left out."""
     made = Federation(
         tuple(sorted(_normal_spec(each) for each in federation.specs)),
@@ -111,7 +111,7 @@
 
 
 @lru_cache(maxsize=_KEPT)
-def write(federation: Federation) -> str:
+def encode(federation: Federation) -> str:
     """The text of a federation in its normal form; "" for an empty one."""
     regions = sorted(
         {
@@ -177,29 +177,29 @@
         return 0
     match = _TIME.fullmatch(text)
     if match is None:
-        raise BadFederation(f"no time: {text[:20]}")
+        raise FederationError(f"no time: {text[:20]}")
     return int(match[1]) * dict(_UNITS)[match[2]]
 
 
 def _read_number(text: str) -> int:
     if not (text.isascii() and text.isdecimal() and len(text) <= 18):
-        raise BadFederation(f"no number: {text[:20]}")
+        raise FederationError(f"no number: {text[:20]}")
     return int(text)
 
 
 def _letter(letter: str, words: tuple[str, ...]) -> str:
     found = [word for word in words if word[0] == letter]
     if not found:
-        raise BadFederation(f"none of {', '.join(words)}: {letter[:20]}")
+        raise FederationError(f"none of {', '.join(words)}: {letter[:20]}")
     return found[0]
 
 
 @lru_cache(maxsize=_KEPT)
-def read(text: str) -> Federation:
+def decode(text: str) -> Federation:
     """A federation from its text; BadFederation says what is wrong. What it names need not be there."""
-    if len(text) > MAX_FEDERATION:
-        raise BadFederation(
-            f"{len(text)} characters of specs and data sets; {MAX_FEDERATION} are the most"
+    if len(text) > MAX_FEDERATION_CHARS:
+        raise FederationError(
+            f"{len(text)} characters of specs and data sets; {MAX_FEDERATION_CHARS} are the most"
         )
     regions: list[str] = []
     specs: list[Spec] = []
@@ -211,7 +211,7 @@
 
     try:
         if text and not text.endswith(";"):
-            raise BadFederation("cut off")
+            raise FederationError("cut off")
         for entry in text.split(";")[:-1]:
             kind, *parts = entry.split(" ")
             if kind == "R":
@@ -236,15 +236,15 @@
                 task_class, name = parts
                 uses.append((task_class, name))
             else:
-                raise BadFederation(f"an entry of kind {kind[:20]}")
-    except BadFederation:
+                raise FederationError(f"an entry of kind {kind[:20]}")
+    except FederationError:
         raise
     except (ValueError, IndexError) as error:
-        raise BadFederation(f"no federation: {str(error)[:80]}") from None
-    made = normal(Federation(tuple(specs), tuple(datasets), tuple(uses)))
-    problems = bounds(made)
+        raise FederationError(f"no federation: {str(error)[:80]}") from None
+    made = normalized(Federation(tuple(specs), tuple(datasets), tuple(uses)))
+    problems = bounds_violations(made)
     if problems:
-        raise BadFederation("; ".join(problems))
+        raise FederationError("; ".join(problems))
     return made
 
 
@@ -290,7 +290,7 @@
 
 
 @lru_cache(maxsize=_KEPT)
-def bounds(federation: Federation) -> tuple[str, ...]:
+def bounds_violations(federation: Federation) -> tuple[str, ...]:
     """Names and figures out of bounds, in words: what no version, nor what two of them both allow, may have."""
     out: list[str] = []
 
@@ -298,9 +298,12 @@
         if not good:
             out.append(words)
 
-    want(len(federation.specs) <= MAX_SPECS + MAX_USES, f"more than {MAX_SPECS} specs")
+    want(len(federation.specs) <= MAX_SPECS + MAX_CLASSES_WITH_SPEC, f"more than {MAX_SPECS} specs")
     want(len(federation.datasets) <= MAX_DATASETS, f"more than {MAX_DATASETS} data sets")
-    want(len(federation.uses) <= MAX_USES, f"more than {MAX_USES} classes with a spec")
+    want(
+        len(federation.uses) <= MAX_CLASSES_WITH_SPEC,
+        f"more than {MAX_CLASSES_WITH_SPEC} classes with a spec",
+    )
     names = {
         *(each.name for each in federation.specs),
         *(each.name for each in federation.datasets),
@@ -317,19 +320,19 @@
             and len(spec.data) <= 2 * MAX_DATASETS_PER_SPEC
             and 0 <= spec.lower < spec.upper <= 100
             and all(
-                0 <= each.mib <= MAX_MIB and 0 <= each.behind_us <= MAX_AFTER_US
+                0 <= each.mib <= MAX_MIB and 0 <= each.behind_us <= MAX_DURATION_US
                 for each in spec.data
             )
-            and 0 <= spec.back.stable_us <= MAX_AFTER_US
+            and 0 <= spec.back.stable_us <= MAX_DURATION_US
             and 1 <= spec.back.pace <= 1000
         )
         if over is not None:
             good = (
                 good
                 and _once(over.to)
-                and 0 <= over.after_us <= MAX_AFTER_US
+                and 0 <= over.after_us <= MAX_DURATION_US
                 and 1 <= over.room <= 100
-                and 0 <= over.refusing_us <= MAX_AFTER_US
+                and 0 <= over.refusing_us <= MAX_DURATION_US
                 and 1 <= over.copies <= MAX_REPLICAS
                 and 0 <= over.cores <= MAX_CORES
                 and 0 <= over.mib <= MAX_MIB
@@ -339,12 +342,12 @@
         regions |= {*(region for region, _ in dataset.copies), *dataset.stays}
         want(
             _once(tuple(region for region, _ in dataset.copies))
-            and all(0 <= behind <= MAX_AFTER_US for _, behind in dataset.copies),
+            and all(0 <= behind <= MAX_DURATION_US for _, behind in dataset.copies),
             f"data set {dataset.name[:60]}: a region twice, or a figure out of its bounds",
         )
     want(len(regions) <= 2 * MAX_REGIONS, f"more than {MAX_REGIONS} regions")
-    bad = sorted(name for name in names | regions if not NAME.fullmatch(name))
-    want(not bad, f"{bad[0][:60] if bad else ''!r}: a name of {NAME_WORDS} is wanted")
+    bad = sorted(name for name in names | regions if not NAME_PATTERN.fullmatch(name))
+    want(not bad, f"{bad[0][:60] if bad else ''!r}: a name of {NAME_RULE} is wanted")
     want(_once(tuple(each.name for each in federation.specs)), "a spec is named twice")
     want(_once(tuple(each.name for each in federation.datasets)), "a data set is named twice")
     want(_once(tuple(task_class for task_class, _ in federation.uses)), "a class has two specs")
--- a/wingbarrow/decide/federation/failover_capacity.py
+++ b/wingbarrow/decide/federation/failover_capacity.py
@@ -16,57 +16,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class Demand:
     """What must find room: so much, in any of some places, each with the most that it may take there."""
 
     name: str
-    need: int
-    most: tuple[tuple[str, int], ...]  # by place, in order
+    amount: int
+    max_by_region: tuple[tuple[str, int], ...]  # by place, in order
 
 
 @dataclass(frozen=True, slots=True)
-class Short:
+class Shortfall:
     """Room that cannot be had: of a spec, when a region is lost. Cores, and memory in GiB."""
 
     spec: str
-    lost: str
+    lost_region: str
     cores: float
     memory: float
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class Reservations:
     """What each region holds back, in cores and GiB, and what finds no room anywhere."""
 
-    room: dict[str, tuple[float, float]]
-    short: tuple[Short, ...] = ()
+    reserved: dict[str, tuple[float, float]]
+    shortfalls: tuple[Shortfall, ...] = ()
 
 
-def deal(loads: Sequence[Load], free: Mapping[str, int]) -> dict[tuple[str, str], int]:
+def allocate(loads: Sequence[Demand], free: Mapping[str, int]) -> dict[tuple[str, str], int]:
     """How much of each load goes where, (load, place) -> amount; as much as can be had of all, the first ones first."""
     taken = dict.fromkeys(free, 0)
-    flow = {(load.name, load.most[0][0]): load.need for load in loads if load.need and load.most}
+    flow = {
+        (load.name, load.max_by_region[0][0]): load.amount
+        for load in loads
+        if load.amount and load.max_by_region
+    }
     for (_, place), amount in flow.items():
         taken[place] = taken.get(place, 0) + amount
-    if all(not load.need or (load.most and load.need <= load.most[0][1]) for load in loads) and all(
-        taken[place] <= free.get(place, 0) for place in taken
-    ):
+    if all(
+        not load.amount or (load.max_by_region and load.amount <= load.max_by_region[0][1])
+        for load in loads
+    ) and all(taken[place] <= free.get(place, 0) for place in taken):
         return flow  # each in its first place, as mostly
     flow, taken = {}, dict.fromkeys(free, 0)
     most = {
         (load.name, place): amount
         for load in loads
-        for place, amount in load.most
+        for place, amount in load.max_by_region
         if free.get(place, 0) > 0
     }
     at: dict[str, list[str]] = {place: [] for place in free}  # loads that may be there
     places = {
-        load.name: [place for place, _ in load.most if (load.name, place) in most] for load in loads
+        load.name: [place for place, _ in load.max_by_region if (load.name, place) in most]
+        for load in loads
     }
     for load in loads:
         for place in places[load.name]:
             at[place].append(load.name)
-        left = load.need
+        left = load.amount
         while left > 0:
             path = _path(load.name, places, at, flow, most, free, taken)
             if path is None:
@@ -124,24 +130,24 @@
     return None
 
 
-def homes(spec: Spec, federation: Federation) -> tuple[str, ...]:
+def home_regions(spec: Spec, federation: Federation) -> tuple[str, ...]:
     """Where its work may be asked for to begin with: the region that it prefers, or any."""
     can = allowed_regions(spec, federation)
     return can if not spec.ranked else can[:1]
 
 
-def held_back(
+def reserve_capacity(
     federation: Federation,
     rooms: Mapping[str, tuple[float, float]],
     leased: Mapping[tuple[str, str], tuple[float, float]],
-) -> Held:
+) -> Reservations:
     """What each region holds back for the others' loss.
 
     `rooms`: what each region has that its own work does not take, cores and GiB; `leased`: what of each spec stands in
     each region, (spec, region) -> the same. A spec that says how much must find room counts as no less at home.
     """
     held: dict[str, tuple[float, float]] = {region: (0.0, 0.0) for region in rooms}
-    short: list[Short] = []
+    short: list[Shortfall] = []
     for lost in sorted({*rooms, *(region for _, region in leased)}):
         needs: list[tuple[Spec, float, float]] = []
         for spec in federation.specs:
@@ -149,7 +155,7 @@
             if over is None or not over.on:
                 continue
             cores, memory = leased.get((spec.name, lost), (0.0, 0.0))
-            if spec.ranked and homes(spec, federation) == (lost,):
+            if spec.ranked and home_regions(spec, federation) == (lost,):
                 cores, memory = max(cores, float(over.cores)), max(memory, over.mib / 1024)
             if cores > 0 or memory > 0:
                 needs.append((spec, cores, memory))
@@ -165,7 +171,7 @@
                     spec.failover.room if spec.failover else 0,
                 )
                 loads.append(
-                    Load(
+                    Demand(
                         spec.name,
                         int((cores, memory)[kind] * 1024),
                         tuple(
@@ -175,7 +181,7 @@
                         ),
                     )
                 )
-            parts.append((loads, deal(loads, free)))
+            parts.append((loads, allocate(loads, free)))
         for region in held:
             cores, memory = (
                 sum(amount for (_, place), amount in dealt.items() if place == region) / 1024
@@ -185,12 +191,12 @@
         for index, (spec, _, _) in enumerate(needs):
             left = [
                 (
-                    loads[index].need
+                    loads[index].amount
                     - sum(amount for (name, _), amount in dealt.items() if name == spec.name)
                 )
                 / 1024
                 for loads, dealt in parts
             ]
             if max(left) > 0:
-                short.append(Short(spec.name, lost, *left))
-    return Held(held, tuple(short))
+                short.append(Shortfall(spec.name, lost, *left))
+    return Reservations(held, tuple(short))
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -10,33 +10,33 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.encoding import NAME, NAME_WORDS
+from wingbarrow.decide.federation.encoding import NAME_PATTERN, NAME_RULE
 from wingbarrow.decide.federation.spec import CLASS_SPEC_PREFIX, Spec
 
 Path = tuple[str | int, ...]
 SECOND = 1_000_000
-TURN_US = SECOND  # the longest turn of a hub that is reckoned with
-DRIFT = 0.002  # two clocks, each 500 ppm off, differ by a little more than 1,000 ppm
+MAX_HUB_TURN_US = SECOND  # the longest turn of a hub that is reckoned with
+MAX_RELATIVE_DRIFT = 0.002  # two clocks, each 500 ppm off, differ by a little more than 1,000 ppm
 
 
-def proof_us(lease_us: int) -> int:
+def lease_expiry_us(lease_us: int) -> int:
     """How long after its last renewal nothing rests on a lease any more, by any clock: drift and a turn later."""
-    return int(lease_us * (1 + DRIFT)) + 1 + TURN_US
+    return int(lease_us * (1 + MAX_RELATIVE_DRIFT)) + 1 + MAX_HUB_TURN_US
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class ValidationContext:
     """What is known beside the specs: regions that have machines, each placer's, the lease, classes' effects.
 
     `rooms`: (region, cores, MiB) that each surely has, where that is said. `bare`: regions without machines.
     """
 
     regions: tuple[str, ...] = ()
-    places: Mapping[str, str] = field(default_factory=dict)
+    region_by_placer: Mapping[str, str] = field(default_factory=dict)
     lease_us: int = 0
-    effects: Mapping[str, str] = field(default_factory=dict)
-    rooms: tuple[tuple[str, float, int], ...] = ()
-    bare: tuple[str, ...] = ()
+    effect_by_class: Mapping[str, str] = field(default_factory=dict)
+    capacities: tuple[tuple[str, float, int], ...] = ()
+    regions_without_machines: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,11 +44,11 @@
     """Where, and what is wrong; `other` is the place of what it does not go with."""
 
     path: Path
-    words: str
-    other: Path = ()
+    message: str
+    related_path: Path = ()
 
 
-def unfit(spec: Spec, effect: str, lease_us: int) -> str:
+def effect_conflict(spec: Spec, effect: str, lease_us: int) -> str:
     """Why work of an effect cannot go by a spec; "" where it can."""
     over = spec.failover
     if effect != "unsafe":
@@ -57,22 +57,22 @@
         return (
             'fails over on "refusing", a suspicion: what must not start twice moves on proof alone'
         )
-    if over is not None and over.on and over.after_us < proof_us(lease_us):
+    if over is not None and over.on and over.after_us < lease_expiry_us(lease_us):
         return (
-            f"fails over after {seconds(over.after_us)}, before it is proved that the lease is over: "
-            f"{seconds(proof_us(lease_us))} at the least"
+            f"fails over after {format_seconds(over.after_us)}, before it is proved that the lease is over: "
+            f"{format_seconds(lease_expiry_us(lease_us))} at the least"
         )
     if spec.back.when == "stable":
         return "returns by moving what runs, and what must not start twice is never moved"
     return ""
 
 
-def seconds(time_us: int) -> str:
+def format_seconds(time_us: int) -> str:
     """A time in words."""
     return f"{time_us / SECOND:g} s"
 
 
-def near(name: str, known: Iterable[str]) -> str:
+def name_suggestion(name: str, known: Iterable[str]) -> str:
     """A hint at the nearest of some names; "" where none is near."""
     found = difflib.get_close_matches(name, list(known), 1)
     return f"; did you mean {found[0]!r}?" if found else ""
@@ -80,7 +80,7 @@
 
 def name_faults(path: Path, what: str, name: str) -> list[Fault]:
     """Whether a name can be written as placers agree on it; those with a colon are made here."""
-    good = NAME.fullmatch(name) and (
+    good = NAME_PATTERN.fullmatch(name) and (
         ":" not in name
         or (
             what == "federation"
@@ -88,20 +88,22 @@
             and ":" not in name[len(CLASS_SPEC_PREFIX) :]
         )
     )
-    return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_WORDS} are wanted")]
+    return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_RULE} are wanted")]
 
 
-def region_faults(path: Path, what: str, names: tuple[str, ...], known: Known) -> list[Fault]:
+def region_faults(
+    path: Path, what: str, names: tuple[str, ...], known: ValidationContext
+) -> list[Fault]:
     """Regions that nobody knows, or that are named twice."""
     out = []
     for at, name in enumerate(names):
-        if name in known.bare:
+        if name in known.regions_without_machines:
             out.append(Fault(path, f"{what}: region {name!r} has no machines"))
         elif name not in known.regions:
             out.append(
                 Fault(
                     path,
-                    f"{what}: no such region in `agree`: {name[:60]!r}{near(name, known.regions)}",
+                    f"{what}: no such region in `agree`: {name[:60]!r}{name_suggestion(name, known.regions)}",
                 )
             )
         if name in names[:at]:
--- a/wingbarrow/decide/federation/migration.py
+++ b/wingbarrow/decide/federation/migration.py
@@ -20,38 +20,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class MovableTask:
     """One that stands here, longest first in a list: its number with the caller, its spec's name, what it takes."""
 
-    number: int
+    request: int
     spec: str
     cores: float
     memory: float
     effect: str
-    afar: bool = False  # it was handed over to here
+    is_forwarded: bool = False  # it was handed over to here
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class Migration:
     """One that is to go, where to, and why: back, closed, refusing."""
 
-    number: int
+    request: int
     region: str
-    why: str
+    cause: str
 
 
-def moves(
-    runs: Iterable[Run],
+def due_migrations(
+    runs: Iterable[MovableTask],
     federation: Federation,
     here: str,
     news: Mapping[str, RegionStatus],
     under_way: Mapping[str, int],
-) -> list[Move]:
+) -> list[Migration]:
     """What goes now; `under_way` counts by spec those that were told to go and do not stand elsewhere yet.
 
     Room that a move will take counts as taken for the next one: news is older than that.
     """
-    out: list[Move] = []
+    out: list[Migration] = []
     on_way = Counter(under_way)
     left = dict(news)
     own = news.get(here)
@@ -76,9 +76,9 @@
         region = choose_region(spec, federation, wanted, left, 1.0).region
         if not region or region == here:
             continue
-        if run.afar and (why != "back" or region != spec.preference_order(here)[0]):
+        if run.is_forwarded and (why != "back" or region != spec.preference_order(here)[0]):
             continue  # Danger: each hand-over leaves one that answers for it; only a way home ends that chain
-        out.append(Move(run.number, region, why))
+        out.append(Migration(run.request, region, why))
         on_way[spec.name] += 1
         there = left[region]
         left[region] = replace(
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -15,7 +15,7 @@
 
 from wingbarrow.decide.coordination.subsystem import Proposal
 from wingbarrow.decide.effects import Effect
-from wingbarrow.decide.federation.failover_capacity import held_back
+from wingbarrow.decide.federation.failover_capacity import reserve_capacity
 from wingbarrow.decide.federation.region_choice import RegionStatus
 from wingbarrow.decide.federation.spec import Federation
 from wingbarrow.decide.quotas.escrow import Requester
@@ -195,7 +195,7 @@
                 leased[spec, region] = used_cores + cores, used_memory + memory
         self._reserves = {}
         if self._federation.specs:
-            self._reserves = held_back(self._federation, free, leased).room
+            self._reserves = reserve_capacity(self._federation, free, leased).reserved
         return self._reserves
 
     def reserved_machines(self, now_us: int, region: str) -> float:
--- a/wingbarrow/decide/rulesets/comparison.py
+++ b/wingbarrow/decide/rulesets/comparison.py
@@ -188,5 +188,5 @@
     "cancelled": _FEWER_NAMES_ALLOW_LESS,
     "plan": _FieldOrder(plan_allows, plan_intersection),
     "limits": _FieldOrder(limits_allow, limits_intersection),
-    "federation": _FieldOrder(compare.within, compare.meet),
+    "federation": _FieldOrder(compare.within, compare.intersection),
 }
--- a/wingbarrow/decide/rulesets/parsing.py
+++ b/wingbarrow/decide/rulesets/parsing.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from wingbarrow.decide.federation import encoding
-from wingbarrow.decide.federation.faults import unfit
+from wingbarrow.decide.federation.faults import effect_conflict
 from wingbarrow.decide.quotas.limits import FleetLimit, check_limits
 from wingbarrow.decide.rulesets.agreed_drains import (
     AskedDrain,
@@ -47,9 +47,10 @@
 
 def parse_rule_set(text: str) -> RuleSet:
     """The rule set of a canonical or other JSON text, in its canonical form; raises RuleSetError."""
-    if len(text) > MAX_TEXT_CHARS + encoding.MAX_FEDERATION:
+    if len(text) > MAX_TEXT_CHARS + encoding.MAX_FEDERATION_CHARS:
         raise RuleSetError(
-            f"{len(text)} characters; {MAX_TEXT_CHARS}, and {encoding.MAX_FEDERATION} of a federation, are the most"
+            f"{len(text)} characters; {MAX_TEXT_CHARS}, and {encoding.MAX_FEDERATION_CHARS} of a federation, "
+            "are the most"
         )
     try:
         rules = normalized(RuleSet(**_read_fields(text)))
@@ -68,7 +69,7 @@
     names = {each.name for each in fields(RuleSet)}
     if not isinstance(value, dict) or set(value) | set(OPTIONAL_FIELDS) != names:
         raise RuleSetError("not the fields of a rule set")
-    value["federation"] = encoding.read(value.get("federation", ""))
+    value["federation"] = encoding.decode(value.get("federation", ""))
     value |= {
         "classes": tuple(ClassRules(**each) for each in value["classes"]),
         "cold_shares": tuple((name, share) for name, share in value["cold_shares"]),
@@ -88,7 +89,7 @@
 
 def split_federation(rules: RuleSet) -> tuple[str, str]:
     """The text without the federation, and the federation's."""
-    return replace(rules, federation=NO_FEDERATION).text(), encoding.write(rules.federation)
+    return replace(rules, federation=NO_FEDERATION).text(), encoding.encode(rules.federation)
 
 
 def join_federation(rest: str, federation: str) -> str:
@@ -107,9 +108,9 @@
             f"{len(rest)} characters without the federation; {MAX_TEXT_CHARS} are the most, "
             f"and {MAX_ESCAPED_CHARS} with what mail puts before quotation marks"
         )
-    if len(federation) > encoding.MAX_FEDERATION:
+    if len(federation) > encoding.MAX_FEDERATION_CHARS:
         faults.append(
-            f"{len(federation)} characters of specs and data sets; {encoding.MAX_FEDERATION} are the most"
+            f"{len(federation)} characters of specs and data sets; {encoding.MAX_FEDERATION_CHARS} are the most"
         )
     return faults
 
@@ -122,7 +123,7 @@
         *_federation_faults(rules),
         *check_drains(rules.windows, rules.asked, rules.cancelled, rules.plan),
         *check_limits(rules.limits),
-        *encoding.bounds(rules.federation),
+        *encoding.bounds_violations(rules.federation),
     ]
 
 
@@ -180,6 +181,6 @@
     effects = {each.name: each.effect for each in rules.classes}
     for task_class, name in rules.federation.uses:
         spec = rules.federation.specs_by_name.get(name)
-        reason = unfit(spec, effects.get(task_class, ""), 0) if spec is not None else ""
+        reason = effect_conflict(spec, effects.get(task_class, ""), 0) if spec is not None else ""
         if reason:
             yield f"{task_class}: federation {name} {reason}"
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -67,7 +67,7 @@
         Digests are computed over it, and members compare it: its bytes are fixed.
         """
         value = asdict(replace(self, federation=NO_FEDERATION))
-        value["federation"] = encoding.write(self.federation)
+        value["federation"] = encoding.encode(self.federation)
         for name in OPTIONAL_FIELDS:
             if getattr(self, name) == _DEFAULTS[name]:
                 del value[name]
@@ -112,7 +112,7 @@
         windows=tuple(sorted(rules.windows, key=lambda each: (each.name, repr(each)))),
         cancelled=tuple(sorted(set(rules.cancelled))),
         limits=normalized_limits(rules.limits),
-        federation=encoding.normal(rules.federation),
+        federation=encoding.normalized(rules.federation),
     )
 
 
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -15,7 +15,7 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from wingbarrow.decide.federation.encoding import MAX_FEDERATION
+from wingbarrow.decide.federation.encoding import MAX_FEDERATION_CHARS
 from wingbarrow.decide.rulesets.comparison import contradict, intersection, keeps_floor
 from wingbarrow.decide.rulesets.entries import (
     FloorEntry,
@@ -43,7 +43,8 @@
 # floors, federations (each once, whoever names it), outcomes; what is left is for the replicated subsystems.
 MAX_VERSIONS = 64  # kept; older ones are known by number alone
 MAX_VERSIONS_CHARS = 160 * 1024
-MAX_FEDERATIONS_CHARS = 3 * MAX_FEDERATION + 64 * 1024  # of three revisions, and earlier versions
+# Of three revisions, and earlier versions.
+MAX_FEDERATIONS_CHARS = 3 * MAX_FEDERATION_CHARS + 64 * 1024
 MAX_FLOORS = 4  # that may be in use at a time
 MAX_FLOORS_CHARS = 96 * 1024
 MAX_OUTCOMES = 256  # of proposals, for those that are sent again
