--- a/wingbarrow/decide/federation/check_interactions.py
+++ b/wingbarrow/decide/federation/check_interactions.py
@@ -1,4 +1,4 @@
-"""Faults of several specs together: circles in which each moves the next, and room that does not exist; no I/O."""
+"""Validation of specs against each other: cyclic failovers and missing failover capacity; no I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 
 
 def failover_cycles(federation: Federation) -> list[Fault]:
-    """Specs that go over on refusing, each to where the next one comes from: what one moves makes the next one move."""
-    ways: dict[str, list[tuple[str, int]]] = {}
+    """Return a fault for each cycle of specs that fail over on "refusing", each to the home region of the next one.
+
+    In such a cycle the tasks that one spec moves overload the next region, and so trigger the next failover.
+    """
+    edges: dict[str, list[tuple[str, int]]] = {}
     for at, spec in enumerate(federation.specs):
         if spec.ranked and spec.failover is not None and "refusing" in spec.failover.on:
             for home in home_regions(spec, federation):
@@ -20,52 +23,57 @@
                     for each in spec.failover_targets(home)
                     if each in allowed_regions(spec, federation)
                 ][:1]:
-                    ways.setdefault(home, []).append((region, at))
+                    edges.setdefault(home, []).append((region, at))
     out = []
-    for start in sorted(ways):
-        found = _way_back(start, ways)
-        if found and start == min(region for region, _ in found):
-            names = [federation.specs[at].name for _, at in found]
-            told = " -> ".join(
+    for start in sorted(edges):
+        cycle = _shortest_cycle(start, edges)
+        if cycle and start == min(region for region, _ in cycle):
+            names = [federation.specs[at].name for _, at in cycle]
+            path = " -> ".join(
                 [
                     start,
-                    *(f"{region} ({name})" for (region, _), name in zip(found, names, strict=True)),
+                    *(f"{region} ({name})" for (region, _), name in zip(cycle, names, strict=True)),
                 ]
             )
-            last = max(at for _, at in found)
+            last = max(at for _, at in cycle)
             out.append(
                 Fault(
                     ("federation", last, "failover"),
                     'failover: orders in a circle, on "refusing": '
-                    f"{told}: what one moves makes the next one move",
+                    f"{path}: each failover triggers the next one",
                 )
             )
     return out
 
 
-def _way_back(start: str, ways: Mapping[str, list[tuple[str, int]]]) -> list[tuple[str, int]]:
-    """The shortest way from a region to itself, (region, spec) by step; empty where there is none."""
-    came: dict[str, tuple[str, int]] = {}
+def _shortest_cycle(
+    start: str, edges: Mapping[str, list[tuple[str, int]]]
+) -> list[tuple[str, int]]:
+    """Return the shortest cycle through a region (breadth-first), (region, index of the spec) by step; [] for none."""
+    predecessors: dict[str, tuple[str, int]] = {}
     queue = [start]
     for region in queue:
-        for other, at in ways.get(region, ()):
-            if other not in came:
-                came[other] = (region, at)
+        for other, at in edges.get(region, ()):
+            if other not in predecessors:
+                predecessors[other] = (region, at)
                 queue.append(other)
-    if start not in came:
+    if start not in predecessors:
         return []
     out: list[tuple[str, int]] = []
     region = start
     while not out or region != start:
-        before, at = came[region]
+        before, at = predecessors[region]
         out.append((region, at))
         region = before
     return out[::-1]
 
 
 def capacity_faults(federation: Federation, known: ValidationContext) -> list[Fault]:
-    """What must find room when a region is lost, and finds none by what is said of rooms."""
-    parts: tuple[tuple[str, Callable[[Failover], int], dict[str, int]], ...] = (
+    """Return a fault for each spec whose minimum capacity does not fit the other regions when its home region is lost.
+
+    The capacity of regions is that of the `room` nodes. Cores and memory are checked apart.
+    """
+    resources: tuple[tuple[str, Callable[[Failover], int], dict[str, int]], ...] = (
         (
             "cores",
             lambda over: over.cores,
@@ -74,14 +82,14 @@
         ("MiB", lambda over: over.mib, {region: mib for region, _, mib in known.capacities}),
     )
     out: dict[int, Fault] = {}
-    home = {spec.name: home_regions(spec, federation) for spec in federation.specs}
-    can = {spec.name: frozenset(allowed_regions(spec, federation)) for spec in federation.specs}
-    for unit, need, has in parts:
-        free = dict(has)
+    homes = {spec.name: home_regions(spec, federation) for spec in federation.specs}
+    allowed = {spec.name: frozenset(allowed_regions(spec, federation)) for spec in federation.specs}
+    for unit, amount_of, capacity in resources:
+        free = dict(capacity)
         for spec in federation.specs:
-            if spec.failover is not None and spec.ranked and home[spec.name][0] in free:
-                free[home[spec.name][0]] -= need(spec.failover)
-        parts_of = {
+            if spec.failover is not None and spec.ranked and homes[spec.name][0] in free:
+                free[homes[spec.name][0]] -= amount_of(spec.failover)
+        usable_by_share = {
             spec.failover.room: {
                 region: max(0, amount) * spec.failover.room // 100
                 for region, amount in free.items()
@@ -90,31 +98,38 @@
             if spec.failover is not None
         }
         for lost in known.regions:
-            loads, names = [], {}
+            demands, index_by_name = [], {}
             for at, spec in enumerate(federation.specs):
                 over = spec.failover
-                if over is None or not need(over) or lost not in home[spec.name]:
+                if over is None or not amount_of(over) or lost not in homes[spec.name]:
                     continue
-                targets = [each for each in spec.failover_targets(lost) if each in can[spec.name]]
+                targets = [
+                    each for each in spec.failover_targets(lost) if each in allowed[spec.name]
+                ]
                 if not free.keys() >= set(targets):
-                    continue  # a region of which nothing is said may have all the room there is
-                names[spec.name] = at
-                part = parts_of[over.room]
-                loads.append(
-                    Demand(spec.name, need(over), tuple((each, part[each]) for each in targets))
+                    continue  # a region without a stated capacity may have enough
+                index_by_name[spec.name] = at
+                usable = usable_by_share[over.room]
+                demands.append(
+                    Demand(
+                        spec.name, amount_of(over), tuple((each, usable[each]) for each in targets)
+                    )
                 )
-            dealt = allocate(
-                loads, {region: max(0, amount) for region, amount in free.items() if region != lost}
+            allocation = allocate(
+                demands,
+                {region: max(0, amount) for region, amount in free.items() if region != lost},
             )
-            for load in loads:
-                found = sum(amount for (name, _), amount in dealt.items() if name == load.name)
-                if found < load.amount:
-                    where = ", ".join(f"{region} {most}" for region, most in load.max_by_region)
+            for demand in demands:
+                found = sum(
+                    amount for (name, _), amount in allocation.items() if name == demand.name
+                )
+                if found < demand.amount:
+                    where = ", ".join(f"{region} {limit}" for region, limit in demand.max_by_region)
                     out.setdefault(
-                        names[load.name],
+                        index_by_name[demand.name],
                         Fault(
-                            ("federation", names[load.name], "failover"),
-                            f"failover: room that does not exist: without {lost!r} {load.amount} {unit} must "
+                            ("federation", index_by_name[demand.name], "failover"),
+                            f"failover: room that does not exist: without {lost!r} {demand.amount} {unit} must "
                             f"find room, and {found} {unit} are there (at most {where})",
                         ),
                     )
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -1,7 +1,8 @@
-"""How two federations compare: whether whatever one allows the other allows too, what both allow, what differs; no I/O.
+"""Comparison of two federations: whether one allows all that the other allows, their intersection, their differences.
 
-What is compared is what may *run* or *move*: regions, data that must be near, residency, failovers, returns, what a cut
-does. The order of regions, thresholds and room asked for say what is better, not what may be; any two of them get on.
+Compared is what may *run* or *move*: regions, required data, residency, failovers, returns, the action on a network
+partition. The order of regions, the thresholds and the capacity to reserve are preferences and restrict nothing, so any
+two of them are compatible. No I/O.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def selected_regions(spec: Spec) -> frozenset[str]:
-    """Where a spec allows work, whatever its data say."""
+    """Return the regions that a spec allows, regardless of its data."""
     return frozenset(spec.regions) - frozenset(spec.forbidden)
 
 
@@ -37,8 +38,8 @@
     )
 
 
-def _follows(spec: Spec) -> bool:
-    """Whether work may go over at all."""
+def _can_fail_over(spec: Spec) -> bool:
+    """Whether the spec's tasks may fail over at all."""
     return spec.failover is not None and bool(spec.failover.on) and bool(_targets(spec))
 
 
@@ -46,7 +47,7 @@
 
 
 def spec_within(a: Spec, b: Spec) -> bool:
-    """Whether whatever `a` allows, `b` allows too."""
+    """Whether `b` allows all that `a` allows."""
     if not selected_regions(a):
         return True
     needs = {each.dataset: each for each in a.data}
@@ -68,11 +69,12 @@
 def _failover_within(a: Spec, b: Spec) -> bool:
     one, other = a.failover, b.failover
     if one is None or other is None:
-        # Without a lease work goes on behind a cut, which leased work may not; leased with nothing to follow is less.
-        return other is None and not _follows(a)
+        # Tasks without a lease run on during a network partition, leased ones may not. So a spec that is leased but
+        # never fails over allows less than one without a lease.
+        return other is None and not _can_fail_over(a)
     if one.copies < other.copies:
         return False
-    return not _follows(a) or (
+    return not _can_fail_over(a) or (
         set(one.on) <= set(other.on)
         and one.after_us >= other.after_us
         and one.room <= other.room
@@ -90,20 +92,22 @@
 
 
 def spec_intersection(a: Spec, b: Spec, name: str) -> Spec:
-    """What both allow, under a name; preferences half way between both."""
-    both = selected_regions(a) & selected_regions(b)
+    """Return a spec of this name that allows what both allow; its order of preference merges both orders."""
+    regions = selected_regions(a) & selected_regions(b)
     needs: dict[str, Need] = {}
     for each in (*a.data, *b.data):
         other = needs.get(each.dataset, each)
-        needs[each.dataset] = _need_meet(each, other)
+        needs[each.dataset] = _need_intersection(each, other)
     ranked = [each for each in (a, b) if each.ranked]
     return Spec(
         name,
-        _between([each.regions for each in ranked], both) if ranked else tuple(sorted(both)),
+        _merged_order([each.regions for each in ranked], regions)
+        if ranked
+        else tuple(sorted(regions)),
         tuple(sorted({*a.forbidden, *b.forbidden})),
         tuple(needs.values()),
-        _failover_meet(a, b),
-        _back_meet(a.back, b.back),
+        _failover_intersection(a, b),
+        _back_intersection(a.back, b.back),
         PARTITION_ACTIONS[
             min(PARTITION_ACTIONS.index(a.on_cut), PARTITION_ACTIONS.index(b.on_cut))
         ],
@@ -113,12 +117,12 @@
     )
 
 
-def _between(orders: list[tuple[str, ...]], names: frozenset[str]) -> tuple[str, ...]:
-    """Names by the sum of their places in some orders; the same whichever order comes first."""
+def _merged_order(orders: list[tuple[str, ...]], names: frozenset[str]) -> tuple[str, ...]:
+    """Return the names by the sum of their ranks in all orders, then by name; independent of the sequence of orders."""
     return tuple(sorted(names, key=lambda name: (sum(each.index(name) for each in orders), name)))
 
 
-def _need_meet(a: Need, b: Need) -> Need:
+def _need_intersection(a: Need, b: Need) -> Need:
     required = [each for each in (a, b) if each.near == "required"]
     return Need(
         a.dataset,
@@ -128,22 +132,22 @@
     )
 
 
-def _failover_meet(a: Spec, b: Spec) -> Failover | None:
+def _failover_intersection(a: Spec, b: Spec) -> Failover | None:
     one, other = a.failover, b.failover
     if one is None or other is None:
-        held = one or other
-        return None if held is None else Failover((), 0, copies=held.copies)
+        leased = one or other
+        return None if leased is None else Failover((), 0, copies=leased.copies)
     copies = max(one.copies, other.copies)
     on = tuple(each for each in FAILOVER_CAUSES if each in one.on and each in other.on)
     targets = _targets(a) & _targets(b)
     if not on or not targets:
         return Failover((), 0, copies=copies)
-    told = [each.to for each in (one, other) if each.to]
+    orders = [each.to for each in (one, other) if each.to]
     refusing = [each.refusing_us for each in (one, other) if "refusing" in each.on]
     return Failover(
         on,
         max(one.after_us, other.after_us),
-        _between(told, targets) if told else (),
+        _merged_order(orders, targets) if orders else (),
         min(one.room, other.room),
         max(refusing, default=0),
         copies,
@@ -152,7 +156,7 @@
     )
 
 
-def _back_meet(a: Back, b: Back) -> Back:
+def _back_intersection(a: Back, b: Back) -> Back:
     when = RETURN_MODES[min(RETURN_MODES.index(a.when), RETURN_MODES.index(b.when))]
     return (
         Back(when, max(a.stable_us, b.stable_us), min(a.pace, b.pace))
@@ -165,36 +169,41 @@
 
 
 def dataset_within(a: DataSet, b: DataSet) -> bool:
-    """Whether work may be near `a`, and `a` be taken, only where that holds of `b`."""
-    held = dict(b.copies)
-    return all(region in held and behind_us >= held[region] for region, behind_us in a.copies) and (
-        not b.stays or (bool(a.stays) and set(a.stays) <= set(b.stays))
-    )
+    """Whether `b` has at least the copies of `a`, none of them further behind, and may be held wherever `a` may."""
+    copies_of_b = dict(b.copies)
+    return all(
+        region in copies_of_b and behind_us >= copies_of_b[region] for region, behind_us in a.copies
+    ) and (not b.stays or (bool(a.stays) and set(a.stays) <= set(b.stays)))
 
 
 def dataset_intersection(a: DataSet, b: DataSet) -> DataSet | None:
-    """Copies that both know of, as far behind as either says, and where both let it go; None where that is nowhere."""
-    held = dict(b.copies)
+    """Return the copies that both have, with the larger lag, in the residency of both.
+
+    None where the two residencies have no region in common.
+    """
+    copies_of_b = dict(b.copies)
     stays = (
         tuple(sorted(set(a.stays) & set(b.stays))) if a.stays and b.stays else a.stays or b.stays
     )
     if a.stays and b.stays and not stays:
-        return None  # what reads it is refused; an empty `stays` would let it go anywhere
+        # Specs that read an unknown data set allow no region; an empty `stays` would allow all regions instead.
+        return None
     return DataSet(
         a.name,
         tuple(
-            (region, max(behind_us, held[region]))
+            (region, max(behind_us, copies_of_b[region]))
             for region, behind_us in a.copies
-            if region in held
+            if region in copies_of_b
         ),
         stays,
     )
 
 
-# -- the whole
+# -- whole federations
 
 
 def _nameable(federation: Federation) -> dict[str, Spec]:
+    """Return the specs that a Job may name, by name."""
     return {
         each.name: each
         for each in federation.specs
@@ -203,7 +212,7 @@
 
 
 def within(a: Federation, b: Federation) -> bool:
-    """Whether whatever `a` allows, `b` allows too: to Jobs that name a spec, and to those of each class."""
+    """Whether `b` allows all that `a` allows: to Jobs that name a spec, and to Jobs of each class."""
     theirs, datasets = _nameable(b), b.datasets_by_name
     for name, spec in _nameable(a).items():
         if not spec_within(spec, theirs.get(name, Spec(name, ()))):
@@ -213,18 +222,21 @@
             return False
     for task_class in a.spec_names_by_class.keys() | b.spec_names_by_class.keys():
         mine, other = a.spec_for(task_class), b.spec_for(task_class)
-        if mine is None or not (_stays(mine) if other is None else spec_within(mine, other)):
+        if mine is None or not (_never_moves(mine) if other is None else spec_within(mine, other)):
             return False
     return True
 
 
-def _stays(spec: Spec) -> bool:
-    """Whether work that goes by a spec moves no more than work without any, which runs anywhere and never moves."""
-    return not selected_regions(spec) or (spec.back.when == "never" and not _follows(spec))
+def _never_moves(spec: Spec) -> bool:
+    """Whether the spec's tasks never move. Tasks without a spec run anywhere and never move, so they allow no less."""
+    return not selected_regions(spec) or (spec.back.when == "never" and not _can_fail_over(spec))
 
 
 def intersection(a: Federation, b: Federation) -> Federation:
-    """What both allow. A class whose spec is another in each goes by what both specs allow, under a name of its own."""
+    """Return the federation that allows what both allow.
+
+    A class with a different spec in each gets the intersection of the two, named INTERSECTION_PREFIX and the class.
+    """
     mine, theirs = _nameable(a), _nameable(b)
     specs = {
         name: spec_intersection(mine[name], theirs[name], name)
@@ -242,7 +254,7 @@
             next(iter(names)) if len(names) == 1 else INTERSECTION_PREFIX + task_class
         )
         if uses[task_class].startswith(INTERSECTION_PREFIX):
-            specs[uses[task_class]] = _class_meet(
+            specs[uses[task_class]] = _class_intersection(
                 a.spec_for(task_class), b.spec_for(task_class), uses[task_class]
             )
     return normalized(
@@ -254,7 +266,7 @@
     )
 
 
-def _class_meet(a: Spec | None, b: Spec | None, name: str) -> Spec:
+def _class_intersection(a: Spec | None, b: Spec | None, name: str) -> Spec:
     if a is not None and b is not None:
         return spec_intersection(a, b, name)
     one = a or b or Spec(name, ())
@@ -267,9 +279,9 @@
 
 
 def differences(a: Federation, b: Federation) -> list[str]:
-    """What is another in `b`, in words, a line each."""
+    """Describe what differs in `b` from `a`, in one line for each difference."""
     out: list[str] = []
-    for what, one, other in (
+    for kind, one, other in (
         ("federation spec", a.specs, b.specs),
         ("data set", a.datasets, b.datasets),
     ):
@@ -278,17 +290,17 @@
         for name in sorted(old.keys() | new.keys()):
             before, after = old.get(name), new.get(name)
             if before is None or after is None:
-                out.append(f"{what} {name}: {'new' if before is None else 'gone'}")
+                out.append(f"{kind} {name}: {'new' if before is None else 'removed'}")
             else:
                 out += [
-                    f"{what} {name}, {each.name.removesuffix('_us')}: {getattr(before, each.name)} -> "
+                    f"{kind} {name}, {each.name.removesuffix('_us')}: {getattr(before, each.name)} -> "
                     f"{getattr(after, each.name)}"
                     for each in fields(before)
                     if getattr(before, each.name) != getattr(after, each.name)
                 ]
     mine, theirs = a.spec_names_by_class, b.spec_names_by_class
     return out + [
-        f"class {each} goes by: {mine.get(each, 'no spec')} -> {theirs.get(each, 'no spec')}"
+        f"class {each} uses spec: {mine.get(each, 'none')} -> {theirs.get(each, 'none')}"
         for each in sorted(mine.keys() | theirs.keys())
         if mine.get(each) != theirs.get(each)
     ]
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -1,7 +1,7 @@
-"""Faults of a federation: their places, what is known beside the specs, and what several checks ask; no I/O.
+"""Faults of a federation and where they are, the settings they are checked against, and shared checks; no I/O.
 
-A place is a path such as ("federation", 2, "reads", 0): the node's kind, its number in the file, the part. What reads
-files maps paths to lines; where a part has no line of its own, the path's beginning has.
+A fault's path is such as ("federation", 2, "reads", 0): the kind of node, its index in the file, the part of it. The
+settings parser maps paths to lines; a part without a line of its own gets that of the longest prefix of its path.
 """
 
 from __future__ import annotations
@@ -15,20 +15,23 @@
 
 Path = tuple[str | int, ...]
 SECOND = 1_000_000
-MAX_HUB_TURN_US = SECOND  # the longest turn of a hub that is reckoned with
-MAX_RELATIVE_DRIFT = 0.002  # two clocks, each 500 ppm off, differ by a little more than 1,000 ppm
+MAX_HUB_TURN_US = SECOND  # upper bound of one turn of the event loop
+# Between two clocks: each may be off by 500 ppm, so that they differ by a little more than 1,000 ppm.
+MAX_RELATIVE_DRIFT = 0.002
 
 
 def lease_expiry_us(lease_us: int) -> int:
-    """How long after its last renewal nothing rests on a lease any more, by any clock: drift and a turn later."""
+    """Return how long after its last renewal a lease has expired by every clock: with drift and one turn of the hub."""
     return int(lease_us * (1 + MAX_RELATIVE_DRIFT)) + 1 + MAX_HUB_TURN_US
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationContext:
-    """What is known beside the specs: regions that have machines, each placer's, the lease, classes' effects.
+    """The settings that specs are checked against.
 
-    `rooms`: (region, cores, MiB) that each surely has, where that is said. `bare`: regions without machines.
+    regions: those that have machines.
+    capacities: (region, cores, MiB), the capacity that a region is stated to have.
+    regions_without_machines: known, but not usable in a spec.
     """
 
     regions: tuple[str, ...] = ()
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Where, and what is wrong; `other` is the place of what it does not go with."""
+    """Path of a faulty node and what is wrong; `related_path` is that of the node it conflicts with, () for none."""
 
     path: Path
     message: str
@@ -49,7 +52,7 @@
 
 
 def effect_conflict(spec: Spec, effect: str, lease_us: int) -> str:
-    """Why work of an effect cannot go by a spec; "" where it can."""
+    """Return why tasks of a class with this effect cannot use a spec; "" where they can."""
     over = spec.failover
     if effect != "unsafe":
         return ""
@@ -68,18 +71,18 @@
 
 
 def format_seconds(time_us: int) -> str:
-    """A time in words."""
+    """Format a duration in seconds."""
     return f"{time_us / SECOND:g} s"
 
 
 def name_suggestion(name: str, known: Iterable[str]) -> str:
-    """A hint at the nearest of some names; "" where none is near."""
+    """Return a "did you mean" hint with the closest known name; "" where none is close."""
     found = difflib.get_close_matches(name, list(known), 1)
     return f"; did you mean {found[0]!r}?" if found else ""
 
 
 def name_faults(path: Path, what: str, name: str) -> list[Fault]:
-    """Whether a name can be written as placers agree on it; those with a colon are made here."""
+    """Return a fault if a name cannot be encoded. Colons are reserved for specs with CLASS_SPEC_PREFIX."""
     good = NAME_PATTERN.fullmatch(name) and (
         ":" not in name
         or (
@@ -88,13 +91,13 @@
             and ":" not in name[len(CLASS_SPEC_PREFIX) :]
         )
     )
-    return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_RULE} are wanted")]
+    return [] if good else [Fault(path, f"{what} {name[:60]!r}: expected {NAME_RULE}")]
 
 
 def region_faults(
     path: Path, what: str, names: tuple[str, ...], known: ValidationContext
 ) -> list[Fault]:
-    """Regions that nobody knows, or that are named twice."""
+    """Return a fault for each region that is unknown, has no machines or is named twice."""
     out = []
     for at, name in enumerate(names):
         if name in known.regions_without_machines:
--- a/wingbarrow/decide/federation/spec.py
+++ b/wingbarrow/decide/federation/spec.py
@@ -1,7 +1,7 @@
-"""A federation spec's types: where work may run, near which data, where it goes when a region is lost, when it returns.
+"""Types of federation specs: allowed regions, data locality, failover to other regions, and return to preferred ones.
 
-Part of what placers agree on (`decide.rulesets.ruleset`): names in order, times in microseconds, shares in parts of
-100.
+A federation is a part of the rule set that placers agree on (`decide.rulesets.ruleset`). Names are kept in order, times
+are in microseconds, shares in percent.
 """
 
 from __future__ import annotations
@@ -10,53 +10,59 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-MAX_SPECS, MAX_DATASETS, MAX_REGIONS = 256, 1024, 64
-MAX_DATASETS_PER_SPEC, MAX_REPLICAS = 16, 3  # data sets that a spec reads; keepers
-FAILOVER_CAUSES = ("lost", "refusing", "closed")  # what a failover may follow
-RETURN_MODES = ("never", "idle", "stable")  # from what moves least
-PARTITION_ACTIONS = ("stop", "carry-on")
-LOCALITIES = ("wanted", "required")
-CLASS_SPEC_PREFIX = "class:"  # begins the name of the spec that a class has by `failover` alone
-# Begins the name of a spec that stands for a class between two versions; no Job may name one.
+MAX_SPECS = 256
+MAX_DATASETS = 1024
+MAX_REGIONS = 64
+MAX_DATASETS_PER_SPEC = 16  # data sets that one spec reads
+MAX_REPLICAS = 3  # of the record of a leased Job
+FAILOVER_CAUSES = ("lost", "refusing", "closed")  # states of a region that may trigger a failover
+RETURN_MODES = ("never", "idle", "stable")  # ordered from the one that moves the least
+PARTITION_ACTIONS = ("stop", "carry-on")  # of a placer that is cut off; the stricter one first
+LOCALITIES = ("wanted", "required")  # of data: preferred, or a condition
+CLASS_SPEC_PREFIX = "class:"  # of the implicit spec of a class that only sets `failover`
+# Of the spec that a class has while two versions with different specs for it are in force; no Job may name one.
 INTERSECTION_PREFIX = "both:"
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Need:
-    """Data that the work reads."""
+    """A data set that the tasks read."""
 
     dataset: str
-    near: str = "wanted"
-    mib: int = 0  # how much of it a run reads
-    behind_us: int = 0  # how far behind a copy may be; 0: not at all
+    near: str = "wanted"  # one of LOCALITIES
+    mib: int = 0  # amount that one task reads
+    behind_us: int = 0  # maximum replication lag of a usable copy; 0: fully up to date
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Failover:
-    """When, after how long, to where. A spec that has one is *leased*; with an empty `on` no more than that."""
+    """Causes, delay and target regions of a failover.
 
-    on: tuple[str, ...]
-    after_us: int
-    to: tuple[str, ...] = ()  # in this order; empty: as the spec prefers
-    room: int = 100  # of what the target has free, at most
-    refusing_us: int = 0  # how long a region must have refused
-    copies: int = 1  # keepers
-    cores: int = 0  # of its work that must find room elsewhere, at least
-    mib: int = 0
+    Jobs of a spec with a failover are leased. With an empty `on` they are leased but never fail over.
+    """
+
+    on: tuple[str, ...]  # of FAILOVER_CAUSES
+    after_us: int  # delay from the cause to the failover
+    to: tuple[str, ...] = ()  # targets in order; empty: the spec's order of preference
+    room: int = 100  # maximum share of a target's free capacity, in percent
+    refusing_us: int = 0  # how long a region must have rejected tasks
+    copies: int = 1  # replicas of each Job's record
+    cores: int = 0  # minimum capacity to reserve for the spec's tasks in other regions
+    mib: int = 0  # the same of memory
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Back:
-    """When work goes back to a region that it prefers."""
+    """When tasks return to a region that their spec prefers."""
 
-    when: str = "never"
-    stable_us: int = 0
-    pace: int = 1  # moved at a time
+    when: str = "never"  # one of RETURN_MODES
+    stable_us: int = 0  # how long the region must have been stable
+    pace: int = 1  # maximum number of tasks that are being moved at once
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Spec:
-    """One spec. Regions by preference; a region that is not among them is not allowed."""
+    """A placement policy over regions. `regions` lists the allowed ones by preference; no other region is allowed."""
 
     name: str
     regions: tuple[str, ...]
@@ -64,21 +70,20 @@
     data: tuple[Need, ...] = ()
     failover: Failover | None = None
     back: Back = Back()
-    on_cut: str = "carry-on"
-    lower: int = (
-        60  # of a region's load: below it work stays, above `upper` it goes over where it can
-    )
+    on_cut: str = "carry-on"  # one of PARTITION_ACTIONS
+    # Load of a region in percent: below `lower` tasks stay, above `upper` they go to another region with capacity.
+    lower: int = 60
     upper: int = 90
-    ranked: bool = True  # otherwise all regions are equal, and where it is asked for comes first
+    ranked: bool = True  # False: all regions are equal, and the region of the request comes first
 
     def preference_order(self, here: str) -> tuple[str, ...]:
-        """Its regions for work that is asked for in one, the preferred first."""
+        """Return the regions in order of preference, for a request made in region `here`."""
         if self.ranked or here not in self.regions:
             return self.regions
         return (here, *(each for each in self.regions if each != here))
 
     def failover_targets(self, here: str) -> tuple[str, ...]:
-        """Where its work goes from a region that is lost, in order; empty where nothing follows."""
+        """Return the failover targets of tasks in region `here`, in order; empty without a failover."""
         if self.failover is None or not self.failover.on:
             return ()
         if not self.failover.to:
@@ -88,20 +93,20 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class DataSet:
-    """Where copies stand, and how far behind each is; `stays`: the regions that it never leaves (empty: any)."""
+    """A data set: the regions that hold copies of it, and its residency."""
 
     name: str
-    copies: tuple[tuple[str, int], ...]
-    stays: tuple[str, ...] = ()
+    copies: tuple[tuple[str, int], ...]  # (region, replication lag in us)
+    stays: tuple[str, ...] = ()  # data residency: the only regions that may hold it; empty: any
 
 
 @dataclass(frozen=True)
 class Federation:
-    """All of it. `uses`: the spec of each class that names one, (class, spec)."""
+    """All specs and data sets, and which class uses which spec. Hashable; the hash is cached."""
 
     specs: tuple[Spec, ...] = ()
     datasets: tuple[DataSet, ...] = ()
-    uses: tuple[tuple[str, str], ...] = ()
+    uses: tuple[tuple[str, str], ...] = ()  # (class, name of its spec)
 
     @cached_property
     def _hash(self) -> int:
@@ -112,21 +117,24 @@
 
     @cached_property
     def specs_by_name(self) -> Mapping[str, Spec]:
-        """Specs by name."""
+        """Specs by name; of several with one name the first."""
         return {each.name: each for each in reversed(self.specs)}
 
     @cached_property
     def datasets_by_name(self) -> Mapping[str, DataSet]:
-        """Data sets by name."""
+        """Data sets by name; of several with one name the first."""
         return {each.name: each for each in reversed(self.datasets)}
 
     @cached_property
     def spec_names_by_class(self) -> Mapping[str, str]:
-        """Names of specs by class."""
+        """Names of specs by class; classes without a spec are absent."""
         return dict(self.uses)
 
     def find_spec(self, name: str) -> Spec | None:
-        """One by its name; a name that stood for a class between two versions is what the class has now."""
+        """Return a spec by name, None if it is unknown.
+
+        A name with INTERSECTION_PREFIX that is gone resolves to the spec that its class has now.
+        """
         found = self.specs_by_name.get(name)
         return (
             self.spec_for(name[len(INTERSECTION_PREFIX) :])
@@ -135,9 +143,9 @@
         )
 
     def spec_for(self, task_class: str, named: str = "") -> Spec | None:
-        """What a Job goes by: the spec that it names, else that of its class; None where neither names one.
+        """Return the spec of a Job: the one that it names, else that of its class; None where neither names one.
 
-        One that is named and not there allows nothing.
+        A name that is unknown, or that begins with INTERSECTION_PREFIX, gives a spec that allows no region.
         """
         name = named or self.spec_names_by_class.get(task_class, "")
         if not name:
@@ -147,9 +155,11 @@
 
 
 def allowed_regions(spec: Spec, federation: Federation) -> tuple[str, ...]:
-    """The regions where a spec's work may ever run: what it names, within the residency of the data that it reads.
+    """Return the regions where a spec's tasks may run, by the spec's own order.
 
-    A data set that is not there is one of which nobody knows where it may go: nowhere.
+    These are the spec's regions that are not forbidden, that hold to the residency of all data that it reads, and that
+    have a recent enough copy of the required data. With an unknown data set the result is empty, since its residency
+    is not known either.
     """
     out = tuple(each for each in spec.regions if each not in spec.forbidden)
     for need in spec.data:
