--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -290,7 +290,7 @@
         for name in sorted(old.keys() | new.keys()):
             before, after = old.get(name), new.get(name)
             if before is None or after is None:
-                out.append(f"{kind} {name}: {'new' if before is None else 'removed'}")
+                out.append(f"{kind} {name}: {'new' if before is None else 'gone'}")
             else:
                 out += [
                     f"{kind} {name}, {each.name.removesuffix('_us')}: {getattr(before, each.name)} -> "
--- a/wingbarrow/decide/federation/failover_capacity.py
+++ b/wingbarrow/decide/federation/failover_capacity.py
@@ -1,9 +1,9 @@
-"""Room that regions hold back for each other's loss: who would go where, and what finds none; no I/O.
+"""Capacity that regions reserve for the loss of another region, and shortfalls of it; no I/O.
 
-One region's loss at a time. Cores and memory are reckoned apart, each as a flow from specs to the regions that they may
-go to: a spec takes of a region's free room at most its own share, all together no more than there is. Specs come in the
-order of their names, each to its targets in order, and those before give way where they have another place: what is
-called short is short however it is dealt out.
+Losses are considered one region at a time, cores and memory apart. Each is a maximum-flow problem from specs to the
+regions that they may fail over to: a spec may use at most its share of a region's free capacity, and all specs together
+no more than there is. Specs are allocated by name, each to its targets in order, along augmenting paths that move
+earlier allocations to other targets. So a shortfall exists under every possible allocation.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What must find room: so much, in any of some places, each with the most that it may take there."""
+    """An amount of one resource that must be allocated to some regions, with a limit in each."""
 
     name: str
     amount: int
-    max_by_region: tuple[tuple[str, int], ...]  # by place, in order
+    max_by_region: tuple[tuple[str, int], ...]  # (region, limit), in order of preference
 
 
 @dataclass(frozen=True, slots=True)
 class Shortfall:
-    """Room that cannot be had: of a spec, when a region is lost. Cores, and memory in GiB."""
+    """Capacity that a spec lacks when a region is lost: cores, and memory in GiB."""
 
     spec: str
     lost_region: str
@@ -36,52 +36,59 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservations:
-    """What each region holds back, in cores and GiB, and what finds no room anywhere."""
+    """The capacity that each region reserves, (cores, GiB), and what cannot be reserved anywhere."""
 
     reserved: dict[str, tuple[float, float]]
     shortfalls: tuple[Shortfall, ...] = ()
 
 
-def allocate(loads: Sequence[Demand], free: Mapping[str, int]) -> dict[tuple[str, str], int]:
-    """How much of each load goes where, (load, place) -> amount; as much as can be had of all, the first ones first."""
+def allocate(demands: Sequence[Demand], free: Mapping[str, int]) -> dict[tuple[str, str], int]:
+    """Allocate as much of all demands as possible (maximum flow), the first ones first.
+
+    Returns the amount by (name of the demand, region).
+    """
     taken = dict.fromkeys(free, 0)
     flow = {
-        (load.name, load.max_by_region[0][0]): load.amount
-        for load in loads
-        if load.amount and load.max_by_region
+        (demand.name, demand.max_by_region[0][0]): demand.amount
+        for demand in demands
+        if demand.amount and demand.max_by_region
     }
-    for (_, place), amount in flow.items():
-        taken[place] = taken.get(place, 0) + amount
+    for (_, region), amount in flow.items():
+        taken[region] = taken.get(region, 0) + amount
     if all(
-        not load.amount or (load.max_by_region and load.amount <= load.max_by_region[0][1])
-        for load in loads
-    ) and all(taken[place] <= free.get(place, 0) for place in taken):
-        return flow  # each in its first place, as mostly
+        not demand.amount or (demand.max_by_region and demand.amount <= demand.max_by_region[0][1])
+        for demand in demands
+    ) and all(taken[region] <= free.get(region, 0) for region in taken):
+        return flow  # the usual case: each demand fits its first region
     flow, taken = {}, dict.fromkeys(free, 0)
-    most = {
-        (load.name, place): amount
-        for load in loads
-        for place, amount in load.max_by_region
-        if free.get(place, 0) > 0
+    limits = {
+        (demand.name, region): amount
+        for demand in demands
+        for region, amount in demand.max_by_region
+        if free.get(region, 0) > 0
     }
-    at: dict[str, list[str]] = {place: [] for place in free}  # loads that may be there
-    places = {
-        load.name: [place for place, _ in load.max_by_region if (load.name, place) in most]
-        for load in loads
+    names_by_region: dict[str, list[str]] = {region: [] for region in free}
+    regions_by_name = {
+        demand.name: [
+            region for region, _ in demand.max_by_region if (demand.name, region) in limits
+        ]
+        for demand in demands
     }
-    for load in loads:
-        for place in places[load.name]:
-            at[place].append(load.name)
-        left = load.amount
+    for demand in demands:
+        for region in regions_by_name[demand.name]:
+            names_by_region[region].append(demand.name)
+        left = demand.amount
         while left > 0:
-            path = _path(load.name, places, at, flow, most, free, taken)
+            path = _augmenting_path(
+                demand.name, regions_by_name, names_by_region, flow, limits, free, taken
+            )
             if path is None:
                 break
             amount = min(left, free[path[-1]] - taken[path[-1]])
             for index in range(0, len(path) - 1, 2):
                 amount = min(
                     amount,
-                    most[path[index], path[index + 1]]
+                    limits[path[index], path[index + 1]]
                     - flow.get((path[index], path[index + 1]), 0),
                 )
             for index in range(1, len(path) - 1, 2):
@@ -97,58 +104,64 @@
     return {pair: amount for pair, amount in flow.items() if amount}
 
 
-def _path(
+def _augmenting_path(
     name: str,
-    places: Mapping[str, list[str]],
-    at: Mapping[str, list[str]],
+    regions_by_name: Mapping[str, list[str]],
+    names_by_region: Mapping[str, list[str]],
     flow: Mapping[tuple[str, str], int],
-    most: Mapping[tuple[str, str], int],
+    limits: Mapping[tuple[str, str], int],
     free: Mapping[str, int],
     taken: Mapping[str, int],
 ) -> list[str] | None:
-    """The shortest way from a load to a place with room, by way of loads that would move: load, place, load, ..."""
-    came: dict[str, str] = {}  # by place, the load before it; by load, the place before it
+    """Return the shortest augmenting path from a demand to a region with free capacity: demand, region, demand, ...
+
+    Each demand after the first one would move a part of its allocation from the region before it to the one after it.
+    None where there is no path.
+    """
+    # By region the demand before it; by "\0" and the name of a demand the region before that.
+    predecessors: dict[str, str] = {}
     queue, seen = deque([name]), {name}
     while queue:
-        load = queue.popleft()
-        for place in places[load]:
-            if place in came or flow.get((load, place), 0) >= most[load, place]:
+        demand = queue.popleft()
+        for region in regions_by_name[demand]:
+            if region in predecessors or flow.get((demand, region), 0) >= limits[demand, region]:
                 continue
-            came[place] = load
-            if taken[place] < free[place]:
-                out = [place]
+            predecessors[region] = demand
+            if taken[region] < free[region]:
+                out = [region]
                 while True:
-                    out.append(came[out[-1]])
+                    out.append(predecessors[out[-1]])
                     if out[-1] == name:
                         return out[::-1]
-                    out.append(came["\0" + out[-1]])
-            for other in at[place]:
-                if other not in seen and flow.get((other, place), 0) > 0:
+                    out.append(predecessors["\0" + out[-1]])
+            for other in names_by_region[region]:
+                if other not in seen and flow.get((other, region), 0) > 0:
                     seen.add(other)
-                    came["\0" + other] = place
+                    predecessors["\0" + other] = region
                     queue.append(other)
     return None
 
 
 def home_regions(spec: Spec, federation: Federation) -> tuple[str, ...]:
-    """Where its work may be asked for to begin with: the region that it prefers, or any."""
-    can = allowed_regions(spec, federation)
-    return can if not spec.ranked else can[:1]
+    """Return the regions where a spec's tasks are placed initially: the preferred one, or all if they are unranked."""
+    allowed = allowed_regions(spec, federation)
+    return allowed if not spec.ranked else allowed[:1]
 
 
 def reserve_capacity(
     federation: Federation,
-    rooms: Mapping[str, tuple[float, float]],
+    free_by_region: Mapping[str, tuple[float, float]],
     leased: Mapping[tuple[str, str], tuple[float, float]],
 ) -> Reservations:
-    """What each region holds back for the others' loss.
+    """Compute what each region reserves: the most that the loss of any other region would take there.
 
-    `rooms`: what each region has that its own work does not take, cores and GiB; `leased`: what of each spec stands in
-    each region, (spec, region) -> the same. A spec that says how much must find room counts as no less at home.
+    free_by_region: capacity that a region's own tasks do not use, (cores, GiB).
+    leased: what leased tasks use, (spec, region) -> (cores, GiB). In its home region, a spec counts with at least the
+    minimum capacity of its failover.
     """
-    held: dict[str, tuple[float, float]] = {region: (0.0, 0.0) for region in rooms}
-    short: list[Shortfall] = []
-    for lost in sorted({*rooms, *(region for _, region in leased)}):
+    reserved: dict[str, tuple[float, float]] = {region: (0.0, 0.0) for region in free_by_region}
+    shortfalls: list[Shortfall] = []
+    for lost in sorted({*free_by_region, *(region for _, region in leased)}):
         needs: list[tuple[Spec, float, float]] = []
         for spec in federation.specs:
             over = spec.failover
@@ -159,44 +172,46 @@
                 cores, memory = max(cores, float(over.cores)), max(memory, over.mib / 1024)
             if cores > 0 or memory > 0:
                 needs.append((spec, cores, memory))
-        parts = []
-        for kind in (0, 1):
+        by_resource = []
+        for resource in (0, 1):  # cores, memory
             free = {
-                region: int(room[kind] * 1024) for region, room in rooms.items() if region != lost
+                region: int(amounts[resource] * 1024)
+                for region, amounts in free_by_region.items()
+                if region != lost
             }
-            loads = []
+            demands = []
             for spec, cores, memory in needs:
-                can, room = (
+                allowed, share = (
                     allowed_regions(spec, federation),
                     spec.failover.room if spec.failover else 0,
                 )
-                loads.append(
+                demands.append(
                     Demand(
                         spec.name,
-                        int((cores, memory)[kind] * 1024),
+                        int((cores, memory)[resource] * 1024),
                         tuple(
-                            (region, free[region] * room // 100)
+                            (region, free[region] * share // 100)
                             for region in spec.failover_targets(lost)
-                            if region in can and region in free
+                            if region in allowed and region in free
                         ),
                     )
                 )
-            parts.append((loads, allocate(loads, free)))
-        for region in held:
+            by_resource.append((demands, allocate(demands, free)))
+        for region in reserved:
             cores, memory = (
-                sum(amount for (_, place), amount in dealt.items() if place == region) / 1024
-                for _, dealt in parts
+                sum(amount for (_, target), amount in allocation.items() if target == region) / 1024
+                for _, allocation in by_resource
             )
-            held[region] = max(held[region][0], cores), max(held[region][1], memory)
+            reserved[region] = max(reserved[region][0], cores), max(reserved[region][1], memory)
         for index, (spec, _, _) in enumerate(needs):
-            left = [
+            missing = [
                 (
-                    loads[index].amount
-                    - sum(amount for (name, _), amount in dealt.items() if name == spec.name)
+                    demands[index].amount
+                    - sum(amount for (name, _), amount in allocation.items() if name == spec.name)
                 )
                 / 1024
-                for loads, dealt in parts
+                for demands, allocation in by_resource
             ]
-            if max(left) > 0:
-                short.append(Shortfall(spec.name, lost, *left))
-    return Reservations(held, tuple(short))
+            if max(missing) > 0:
+                shortfalls.append(Shortfall(spec.name, lost, *missing))
+    return Reservations(reserved, tuple(shortfalls))
--- a/wingbarrow/decide/federation/migration.py
+++ b/wingbarrow/decide/federation/migration.py
@@ -1,7 +1,7 @@
-"""Which runs are moved to another region now: back to one that their spec prefers, or away from one that must give way.
+"""The running tasks to move to another region now: back to a preferred one, or out of one that is closed or rejecting.
 
-Only what may start twice is moved: it is stopped here first, and its spec's `pace` bounds how many are on their way at
-a time. What must not start twice, and what is keyed, ends where it runs. No I/O.
+Only tasks of safe classes, which may start twice, are moved. Each is stopped here first, and the `pace` of its spec
+limits how many are being moved at once. Tasks of keyed and unsafe classes run to their end where they are. No I/O.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MovableTask:
-    """One that stands here, longest first in a list: its number with the caller, its spec's name, what it takes."""
+    """A task that runs in this region, given longest running first: its request, spec, cores, GiB and effect."""
 
     request: int
     spec: str
     cores: float
     memory: float
     effect: str
-    is_forwarded: bool = False  # it was handed over to here
+    is_forwarded: bool = False  # to this region, by a placer of another one
 
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """One that is to go, where to, and why: back, closed, refusing."""
+    """A task to move, its target region, and the cause: back, closed or refusing."""
 
     request: int
     region: str
@@ -41,49 +41,51 @@
 
 
 def due_migrations(
-    runs: Iterable[MovableTask],
+    tasks: Iterable[MovableTask],
     federation: Federation,
     here: str,
-    news: Mapping[str, RegionStatus],
+    statuses: Mapping[str, RegionStatus],
     under_way: Mapping[str, int],
 ) -> list[Migration]:
-    """What goes now; `under_way` counts by spec those that were told to go and do not stand elsewhere yet.
+    """Return the tasks to move from region `here` now; `under_way` counts by spec those being moved already.
 
-    Room that a move will take counts as taken for the next one: news is older than that.
+    Capacity that one migration will use counts as used for the next ones, since the statuses are older than both.
     """
     out: list[Migration] = []
-    on_way = Counter(under_way)
-    left = dict(news)
-    own = news.get(here)
-    for run in runs:
-        spec = federation.specs_by_name.get(run.spec)
-        if spec is None or run.effect != "safe" or on_way[spec.name] >= spec.back.pace:
+    moving = Counter(under_way)
+    updated = dict(statuses)
+    own = statuses.get(here)
+    for task in tasks:
+        spec = federation.specs_by_name.get(task.spec)
+        if spec is None or task.effect != "safe" or moving[spec.name] >= spec.back.pace:
             continue
-        why = "back"
+        cause = "back"
         if (
             own is not None
             and own.closed
             and failover_due(spec, "closed", spec.failover.after_us if spec.failover else 0)
         ):
-            why = "closed"  # closing is planned: it has been told, and waits for nothing
+            cause = "closed"  # a planned closing was announced, so the delay of the failover does not apply
         elif own is not None and failover_due(spec, "refusing", own.refusing_us):
-            why = "refusing"
+            cause = "refusing"
         elif spec.back.when == "never":
             continue
-        wanted = RegionRequest(
-            run.cores, run.memory, run.effect, here, "back" if why == "back" else "failover"
+        request = RegionRequest(
+            task.cores, task.memory, task.effect, here, "back" if cause == "back" else "failover"
         )
-        region = choose_region(spec, federation, wanted, left, 1.0).region
+        region = choose_region(spec, federation, request, updated, 1.0).region
         if not region or region == here:
             continue
-        if run.is_forwarded and (why != "back" or region != spec.preference_order(here)[0]):
-            continue  # Danger: each hand-over leaves one that answers for it; only a way home ends that chain
-        out.append(Migration(run.request, region, why))
-        on_way[spec.name] += 1
-        there = left[region]
-        left[region] = replace(
-            there,
-            free_cores=there.free_cores - run.cores,
-            free_memory=there.free_memory - run.memory,
+        # Danger: each forwarding leaves a placer that must answer for the task, so a forwarded task may only return to
+        # its preferred region, which ends the chain.
+        if task.is_forwarded and (cause != "back" or region != spec.preference_order(here)[0]):
+            continue
+        out.append(Migration(task.request, region, cause))
+        moving[spec.name] += 1
+        target = updated[region]
+        updated[region] = replace(
+            target,
+            free_cores=target.free_cores - task.cores,
+            free_memory=target.free_memory - task.memory,
         )
     return out
