--- a/tests/decide/federation/strategies.py
+++ b/tests/decide/federation/strategies.py
@@ -1,4 +1,4 @@
-"""Federations made by hypothesis, and what they allow told plainly, one question at a time."""
+"""Hypothesis strategies for federations, and a plain model of what a federation allows."""
 
 from __future__ import annotations
 
@@ -7,17 +7,15 @@
 from wingbarrow.decide.federation import encoding
 from wingbarrow.decide.federation import spec as s
 
-REGIONS, SETS, NAMES, CLASSES = (
-    ("north", "south", "east"),
-    ("d1", "d2"),
-    ("orders", "mail"),
-    ("web", "pay"),
-)
-_SOME = st.lists(st.sampled_from(REGIONS), unique=True, max_size=3).map(tuple)
+REGIONS = ("north", "south", "east")
+DATASETS = ("d1", "d2")
+NAMES = ("orders", "mail")
+CLASSES = ("web", "pay")
+_REGION_LISTS = st.lists(st.sampled_from(REGIONS), unique=True, max_size=3).map(tuple)
 _NEEDS = st.lists(
     st.builds(
         s.Need,
-        st.sampled_from(SETS),
+        st.sampled_from(DATASETS),
         st.sampled_from(s.LOCALITIES),
         st.integers(0, 1),
         st.integers(0, 2),
@@ -29,7 +27,7 @@
     s.Failover,
     st.lists(st.sampled_from(s.FAILOVER_CAUSES), unique=True, max_size=3).map(tuple),
     st.integers(10, 11),
-    _SOME,
+    _REGION_LISTS,
     st.sampled_from([50, 100]),
     st.integers(0, 2),
     st.integers(1, 2),
@@ -40,8 +38,8 @@
 _SPECS = st.builds(
     s.Spec,
     st.just(""),
-    _SOME,
-    _SOME,
+    _REGION_LISTS,
+    _REGION_LISTS,
     _NEEDS,
     st.none() | _FAILOVERS,
     _BACKS,
@@ -72,53 +70,54 @@
     st.dictionaries(st.sampled_from(REGIONS), st.integers(0, 2)).map(
         lambda found: tuple(found.items())
     ),
-    _SOME,
+    _REGION_LISTS,
 )
 FEDERATIONS = st.tuples(
     st.dictionaries(st.sampled_from(NAMES), _SPECS),
-    st.dictionaries(st.sampled_from(SETS), _DATASETS),
+    st.dictionaries(st.sampled_from(DATASETS), _DATASETS),
     st.dictionaries(st.sampled_from(CLASSES), st.sampled_from(NAMES)),
 ).map(_named)
 
 
-# A leased run does nothing that one without a lease may not do; the other way round it may not go on for ever.
-_UNLEASED = (("runs without a lease",), *(("runs with keepers", copies) for copies in range(1, 4)))
+# A leased task does nothing that one without a lease may not do. The converse does not hold: a leased task stops when
+# its lease expires.
+_UNLEASED = (("runs without a lease",), *(("runs with replicas", copies) for copies in range(1, 4)))
 
 
 def allowed_acts(federation: s.Federation) -> set[tuple[object, ...]]:
-    """Everything that Jobs of each class, by each name or none, may come to, as plain facts."""
+    """Return all that may happen to Jobs of each class, for each spec that they may name or none, as tuples."""
     out: set[tuple[object, ...]] = set()
     for task_class in CLASSES:
         for named in ("", *NAMES, *(each.name for each in federation.specs)):
             spec = federation.spec_for(task_class, named)
-            who = (task_class, named)
+            job = (task_class, named)
             if spec is None:
-                out |= {(*who, "runs", region) for region in REGIONS}
-                out |= {(*who, *each) for each in (*_UNLEASED, ("goes on behind a cut",))}
+                out |= {(*job, "runs", region) for region in REGIONS}
+                out |= {(*job, *each) for each in (*_UNLEASED, ("runs on during a partition",))}
                 continue
-            can = [region for region in REGIONS if _may_run(spec, federation, region)]
-            out |= {(*who, "runs", region) for region in can}
-            if not can:
+            allowed = [region for region in REGIONS if _may_run(spec, federation, region)]
+            out |= {(*job, "runs", region) for region in allowed}
+            if not allowed:
                 continue
             if spec.on_cut == "carry-on":
-                out.add((*who, "goes on behind a cut"))
+                out.add((*job, "runs on during a partition"))
             over = spec.failover
             if over is None:
-                out |= {(*who, *each) for each in _UNLEASED}
+                out |= {(*job, *each) for each in _UNLEASED}
             else:
-                out |= {(*who, "runs with keepers", copies) for copies in range(over.copies, 4)}
+                out |= {(*job, "runs with replicas", copies) for copies in range(over.copies, 4)}
                 for on in over.on:
                     for after in range(over.after_us, 13):
                         for home in REGIONS:
                             out |= {
-                                (*who, "goes over on", on, "after", after, home, region)
+                                (*job, "fails over on", on, "after", after, home, region)
                                 for region in spec.failover_targets(home)
-                                if region in can
+                                if region in allowed
                             }
             if spec.back.when != "never":
                 for when in s.RETURN_MODES[1 : s.RETURN_MODES.index(spec.back.when) + 1]:
                     out |= {
-                        (*who, "returns", when, stable, pace)
+                        (*job, "returns", when, stable, pace)
                         for stable in range(spec.back.stable_us, 4)
                         for pace in range(1, spec.back.pace + 1)
                     }
--- a/wingbarrow/decide/federation/region_choice.py
+++ b/wingbarrow/decide/federation/region_choice.py
@@ -1,8 +1,8 @@
-"""The choice of a region: a spec and what is known of regions -> a region, or a refusal with its reason.
+"""The choice of a region for a task, from its spec and the status of the regions; a refusal has a reason.
 
-Within what the spec allows the nearer region is kept: the one where the wanted data are, then the preferred one. Work
-goes over early, with a chance that rises linearly from none at the spec's `lower` load of the nearer region to all at
-its `upper`, and only to a region that is itself below `lower`: two that are both busy pass nothing to each other.
+Among the allowed regions the nearest one is chosen: the one with the wanted data, then the preferred one. Tasks spill
+over before it is full, with a probability that rises linearly from 0 at the spec's `lower` load of the nearest region
+to 1 at its `upper`, and only to a region that is itself below `lower`, so that two busy regions never exchange tasks.
 """
 
 from __future__ import annotations
@@ -12,36 +12,38 @@
 
 from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 
-MAX_STATUS_AGE_US = 15_000_000  # news older than this counts as not known
+MAX_STATUS_AGE_US = 15_000_000  # an older status counts as unknown
 MAX_REASON_CHARS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class RegionStatus:
-    """What is known of a region, and how old that is. Room is what nobody has asked for."""
+    """What is known of a region, and how old that is. Free capacity is what no task uses or has been requested for."""
 
     region: str
     age_us: int
-    load: float  # asked for, of all there is: 0 to 1 and above
+    load: float  # requested share of the total capacity; may exceed 1
     free_cores: float
     free_memory: float
     lost: bool = False
-    closed: bool = False  # for work
-    refusing_us: int = 0  # for how long it has turned work away
-    stable_us: int = 0  # for how long it has been well
+    closed: bool = False  # admits no new tasks
+    refusing_us: int = 0  # for how long it has been rejecting tasks; 0: it is not
+    stable_us: int = 0  # for how long its placers have reported without a gap
     placers: tuple[str, ...] = ()
-    reserved_cores: float = 0.0  # of its room, what it holds back for the loss of others
+    reserved_cores: float = 0.0  # of the free cores, for the loss of other regions
     reserved_memory: float = 0.0
     data_lag_us: tuple[
         tuple[str, int], ...
-    ] = ()  # how far its copies of data sets are behind now, where it is told
+    ] = ()  # (data set, present lag of its copy), where reported
 
 
 @dataclass(frozen=True, slots=True)
 class RegionRequest:
-    """What is to run: `why` is new, failover or back; `here` where it is asked for, was, or is now.
+    """A task that needs a region.
 
-    `taken`: what this spec's failover has put into regions already, (region, cores, GiB), for its share of room.
+    purpose: new, failover or back (return to a preferred region).
+    origin: the region of the request, the lost region, or the present region, by purpose.
+    failover_usage: what failovers of this spec use in regions already, (region, cores, GiB); its share covers that too.
     """
 
     cores: float
@@ -54,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionChoice:
-    """A region, or "" and why none."""
+    """The chosen region, or "" and the reason why there is none."""
 
     region: str
     reason: str = ""
 
 
 def failover_due(spec: Spec, on: str, lasted_us: int) -> bool:
-    """Whether a failover on something follows by now, which has lasted for so long."""
+    """Whether a spec's failover is due on a cause that has lasted this long."""
     over = spec.failover
     if over is None or on not in over.on:
         return False
@@ -71,61 +73,63 @@
 def choose_region(
     spec: Spec,
     federation: Federation,
-    wanted: RegionRequest,
-    news: Mapping[str, RegionStatus],
+    request: RegionRequest,
+    statuses: Mapping[str, RegionStatus],
     draw: float,
 ) -> RegionChoice:
-    """Where it goes; `draw` is from 0 to 1, the caller's chance.
+    """Choose a region; `draw` is a random number from 0 to 1, which decides on spilling over.
 
-    A region of which nothing is known, or nothing young enough, is chosen only by who stands in it. What goes back
-    stays where it is ("here") unless a region that it prefers is well; the reason then says why it stays.
+    A region without a recent status is chosen only if it is the origin. A task that may return stays in its origin
+    unless a preferred region is stable and has capacity; the reason then says why it stays.
     """
-    return _Choosing(spec, federation, wanted, news).choice(draw)
+    return _RegionChooser(spec, federation, request, statuses).choice(draw)
 
 
-class _Choosing:
-    """One choice."""
+class _RegionChooser:
+    """Chooses a region for one request; `_why_not` collects why regions were not chosen."""
 
     def __init__(
         self,
         spec: Spec,
         federation: Federation,
-        wanted: RegionRequest,
-        news: Mapping[str, RegionStatus],
+        request: RegionRequest,
+        statuses: Mapping[str, RegionStatus],
     ) -> None:
-        self._spec, self._federation, self._wanted = spec, federation, wanted
-        self._news = {
+        self._spec, self._federation, self._request = spec, federation, request
+        self._statuses = {
             region: each
-            for region, each in news.items()
+            for region, each in statuses.items()
             if each.age_us <= MAX_STATUS_AGE_US or each.lost
         }
         self._why_not: dict[str, str] = {}
 
     def choice(self, draw: float) -> RegionChoice:
-        """Where it goes."""
-        why = self._wanted.purpose
-        able = [
-            region for region in allowed_regions(self._spec, self._federation) if self._able(region)
+        """Return the choice."""
+        purpose = self._request.purpose
+        candidates = [
+            region
+            for region in allowed_regions(self._spec, self._federation)
+            if self._is_usable(region)
         ]
-        if why == "failover":
-            return self._over(able)
-        able.sort(key=self._distance)
-        return self._back(able) if why == "back" else self._new(able, draw)
-
-    # -- what a region is good for
-
-    def _able(self, region: str) -> bool:
-        """Whether work may be there now; else why not is kept."""
-        news, here = self._news.get(region), region == self._wanted.origin
-        if news is None:
-            if not here or self._wanted.purpose == "failover":
-                self._why_not[region] = "nothing is known of it"
+        if purpose == "failover":
+            return self._failover(candidates)
+        candidates.sort(key=self._distance)
+        return self._return(candidates) if purpose == "back" else self._initial(candidates, draw)
+
+    # -- properties of one region
+
+    def _is_usable(self, region: str) -> bool:
+        """Whether the task may run there now; otherwise the reason is recorded."""
+        status, is_origin = self._statuses.get(region), region == self._request.origin
+        if status is None:
+            if not is_origin or self._request.purpose == "failover":
+                self._why_not[region] = "no recent status"
                 return False
-        elif news.lost and not (here and self._wanted.purpose == "new"):
+        elif status.lost and not (is_origin and self._request.purpose == "new"):
             self._why_not[region] = "lost"
             return False
-        elif news.closed:
-            self._why_not[region] = "closed for work"
+        elif status.closed:
+            self._why_not[region] = "closed"
             return False
         for need in self._spec.data:
             behind_us = self._behind_us(region, need.dataset)
@@ -137,124 +141,129 @@
         return True
 
     def _behind_us(self, region: str, dataset: str) -> int | None:
-        """How far behind a copy is: as stated, or further where that is told; None where there is none."""
-        held = self._federation.datasets_by_name.get(dataset)
-        stated = dict(held.copies).get(region) if held is not None else None
+        """Return the lag of a copy: the larger of the stated and the reported one; None where there is no copy."""
+        known = self._federation.datasets_by_name.get(dataset)
+        stated = dict(known.copies).get(region) if known is not None else None
         if stated is None:
             return None
-        news = self._news.get(region)
-        return max(stated, dict(news.data_lag_us).get(dataset, 0)) if news is not None else stated
+        status = self._statuses.get(region)
+        return (
+            max(stated, dict(status.data_lag_us).get(dataset, 0)) if status is not None else stated
+        )
 
     def _distance(self, region: str) -> tuple[int, int]:
-        """How far it is: MiB of wanted data that are not there, then its place in the order."""
+        """Return a region's distance: MiB of wanted data that are not there, then its rank in the preference order."""
         missing = 0
         for need in self._spec.data:
             behind_us = self._behind_us(region, need.dataset)
             if need.near == "wanted" and (behind_us is None or behind_us > need.behind_us):
                 missing += max(1, need.mib)
-        return missing, self._spec.preference_order(self._wanted.origin).index(region)
+        return missing, self._spec.preference_order(self._request.origin).index(region)
 
     def _load(self, region: str) -> float:
-        """In parts of 100; 100 and more where there is no room for this beside what is held back."""
-        news = self._news.get(region)
-        if news is None:
-            return 0.0  # where the caller stands: its own door knows better
+        """Return a region's load in percent; at least 100 if the task does not fit into its unreserved capacity."""
+        status = self._statuses.get(region)
+        if status is None:
+            return 0.0  # only the origin, where admission checks the capacity itself
         if (
-            self._wanted.cores > news.free_cores - news.reserved_cores
-            or self._wanted.memory > news.free_memory - news.reserved_memory
+            self._request.cores > status.free_cores - status.reserved_cores
+            or self._request.memory > status.free_memory - status.reserved_memory
         ):
-            self._why_not[region] = "no room"
-            return max(100.0, news.load * 100)
-        return news.load * 100
-
-    def _refuses(self, region: str) -> bool:
-        news = self._news.get(region)
-        if news is not None and news.refusing_us > 0:
-            self._why_not[region] = f"it has turned work away for {news.refusing_us / 1e6:g} s"
+            self._why_not[region] = "no free capacity"
+            return max(100.0, status.load * 100)
+        return status.load * 100
+
+    def _rejects(self, region: str) -> bool:
+        status = self._statuses.get(region)
+        if status is not None and status.refusing_us > 0:
+            self._why_not[region] = f"rejecting tasks for {status.refusing_us / 1e6:g} s"
             return True
         return False
 
-    # -- the three questions
+    # -- the three purposes
 
-    def _new(self, able: list[str], draw: float) -> RegionChoice:
-        spec, here = self._spec, self._wanted.origin
-        open_ones = [region for region in able if not self._refuses(region)]
-        loads = {region: self._load(region) for region in open_ones}
-        if open_ones:
-            nearest = open_ones[0]
-            chance = (loads[nearest] - spec.lower) / (spec.upper - spec.lower)
-            if draw >= chance:
+    def _initial(self, candidates: list[str], draw: float) -> RegionChoice:
+        spec, origin = self._spec, self._request.origin
+        accepting = [region for region in candidates if not self._rejects(region)]
+        loads = {region: self._load(region) for region in accepting}
+        if accepting:
+            nearest = accepting[0]
+            spill_probability = (loads[nearest] - spec.lower) / (spec.upper - spec.lower)
+            if draw >= spill_probability:
                 return RegionChoice(nearest)
-            others = [region for region in open_ones[1:] if loads[region] < spec.lower]
+            others = [region for region in accepting[1:] if loads[region] < spec.lower]
             if others:
-                return RegionChoice(others[0], f"{nearest} is at {loads[nearest]:.0f} of 100")
-            # Nobody has room to spare: it stays, and where it does not fit, it goes where it does.
-            fitting = [region for region in open_ones if loads[region] < 100]
+                return RegionChoice(others[0], f"{nearest} has a load of {loads[nearest]:.0f}%")
+            # No region is below its lower threshold: take the nearest one with enough capacity.
+            fitting = [region for region in accepting if loads[region] < 100]
             if fitting:
                 return RegionChoice(fitting[0])
-        if here in able:
-            return RegionChoice(here)  # its own door, and its owner's patience, say the rest
+        if origin in candidates:
+            return RegionChoice(origin)  # its admission and the owner's patience decide
         return RegionChoice("", self._reason())
 
-    def _over(self, able: list[str]) -> RegionChoice:
+    def _failover(self, candidates: list[str]) -> RegionChoice:
         spec, over = self._spec, self._spec.failover
         if over is None or not over.on:
             return RegionChoice("", f"spec {spec.name!r} has no failover")
-        taken = {region: (cores, memory) for region, cores, memory in self._wanted.failover_usage}
-        for region in spec.failover_targets(self._wanted.origin):
-            if region not in able or self._refuses(region):
+        usage = {region: (cores, memory) for region, cores, memory in self._request.failover_usage}
+        for region in spec.failover_targets(self._request.origin):
+            if region not in candidates or self._rejects(region):
                 continue
-            news, (cores, memory) = self._news[region], taken.get(region, (0.0, 0.0))
-            # Of what is free its failover takes its share at most, what it has taken already included.
+            status, (cores, memory) = self._statuses[region], usage.get(region, (0.0, 0.0))
+            # The share applies to the free capacity plus what this spec's failovers use there already.
             if (
-                self._wanted.cores <= news.free_cores
-                and self._wanted.memory <= news.free_memory
-                and (cores + self._wanted.cores) * 100 <= (news.free_cores + cores) * over.room
-                and (memory + self._wanted.memory) * 100 <= (news.free_memory + memory) * over.room
+                self._request.cores <= status.free_cores
+                and self._request.memory <= status.free_memory
+                and (cores + self._request.cores) * 100 <= (status.free_cores + cores) * over.room
+                and (memory + self._request.memory) * 100
+                <= (status.free_memory + memory) * over.room
             ):
                 return RegionChoice(region)
-            self._why_not[region] = f"no room within {over.room}% of what it has free"
+            self._why_not[region] = f"does not fit {over.room}% of its free capacity"
         return RegionChoice("", self._reason())
 
-    def _back(self, able: list[str]) -> RegionChoice:
-        spec, here = self._spec, self._wanted.origin
-        if spec.back.when == "never" or here not in spec.regions:
+    def _return(self, candidates: list[str]) -> RegionChoice:
+        spec, origin = self._spec, self._request.origin
+        if spec.back.when == "never" or origin not in spec.regions:
             return RegionChoice(
-                here,
-                "it never returns" if spec.back.when == "never" else "the spec does not know of it",
+                origin,
+                "the spec never returns tasks"
+                if spec.back.when == "never"
+                else "the spec does not list this region",
             )
-        if spec.back.when == "stable" and self._wanted.effect == "unsafe":
-            return RegionChoice(here, "what must not start twice is not moved")
-        now = self._distance(here)
-        for region in able:
-            news = self._news.get(region)
+        if spec.back.when == "stable" and self._request.effect == "unsafe":
+            return RegionChoice(origin, "tasks of an unsafe class are not moved")
+        distance = self._distance(origin)
+        for region in candidates:
+            status = self._statuses.get(region)
             if (
-                region == here
-                or news is None
-                or self._distance(region) >= now
-                or self._refuses(region)
+                region == origin
+                or status is None
+                or self._distance(region) >= distance
+                or self._rejects(region)
             ):
                 continue
-            if news.stable_us < spec.back.stable_us:
-                self._why_not[region] = f"well for {news.stable_us / 1e6:g} s only"
+            if status.stable_us < spec.back.stable_us:
+                self._why_not[region] = f"stable for only {status.stable_us / 1e6:g} s"
             elif self._load(region) >= spec.lower:
-                self._why_not.setdefault(region, f"at {news.load * 100:.0f} of 100")
+                self._why_not.setdefault(region, f"load of {status.load * 100:.0f}%")
             else:
                 return RegionChoice(region)
-        return RegionChoice(here, self._reason())
+        return RegionChoice(origin, self._reason())
 
     def _reason(self) -> str:
         spec = self._spec
-        can = allowed_regions(spec, self._federation)
-        if not can:
+        allowed = allowed_regions(spec, self._federation)
+        if not allowed:
             return f"spec {spec.name!r} allows no region" + (
-                f" by its data: {', '.join(need.dataset for need in spec.data)}"
+                f" with its data: {', '.join(need.dataset for need in spec.data)}"
                 if spec.regions
                 else ""
             )
-        told = [
+        reasons = [
             f"{region}: {self._why_not.get(region, 'not a target')}"
-            for region in can
-            if region != self._wanted.origin or self._wanted.purpose == "new"
+            for region in allowed
+            if region != self._request.origin or self._request.purpose == "new"
         ]
-        return f"of {', '.join(can)} none will do ({'; '.join(told)})"[:MAX_REASON_CHARS]
+        return f"none of {', '.join(allowed)} can be used ({'; '.join(reasons)})"[:MAX_REASON_CHARS]
