--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -1,4 +1,4 @@
-"""Federation specs in files: what is wrong is told with its line and reason, and nothing else; good ones load."""
+"""Federation specs in settings files: each fault is reported with its line and reason, no other; valid files load."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 @pytest.mark.parametrize("path", BAD, ids=lambda path: path.stem)
 def test_each_fault_has_its_line_and_reason(path: Path) -> None:
-    """A file begins with its faults, `// LINE: words`."""
+    """Each file begins with its expected faults, as `// LINE: text`."""
     wanted = re.findall(r"^// (\d+): (.+)$", path.read_text(), re.M)
     with pytest.raises(SettingsError) as caught:
         load_file(path)
     assert [line for line, _ in caught.value.problems] == [int(line) for line, _ in wanted], (
         caught.value
     )
-    for (_, told), (_, words) in zip(caught.value.problems, wanted, strict=True):
-        assert words in told
+    for (_, reported), (_, expected) in zip(caught.value.problems, wanted, strict=True):
+        assert expected in reported
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
@@ -38,9 +38,9 @@
 
 def test_the_command_says_file_line_and_what_is_wrong() -> None:
     path = FILES / "bad" / "residency-against-failover.kdl"
-    told = CliRunner().invoke(main, ["check", str(path)])
-    assert told.exit_code == 2
-    assert f"{path}:16: failover: to 'east', and 'patients'" in told.output
+    result = CliRunner().invoke(main, ["check", str(path)])
+    assert result.exit_code == 2
+    assert f"{path}:16: failover: to 'east', and 'patients'" in result.output
     assert CliRunner().invoke(main, ["check", str(GOOD[0])]).exit_code == 0
 
 
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -1,4 +1,4 @@
-"""Federations compare by what may run or move: an order with a meet that allows nothing that either forbids."""
+"""Comparison of federations by what may run or move: `within` is a partial order, with an intersection."""
 
 from __future__ import annotations
 
@@ -32,37 +32,39 @@
 
 
 @given(FEDERATIONS, FEDERATIONS)
-def test_the_meet_allows_no_run_and_no_move_that_either_forbids(
+def test_the_intersection_allows_no_run_and_no_move_that_either_forbids(
     a: s.Federation, b: s.Federation
 ) -> None:
-    met = compare.intersection(a, b)
-    assert allowed_acts(met) <= allowed_acts(a) & allowed_acts(b)
-    assert compare.within(met, a)
-    assert compare.within(met, b)
-    assert compare.intersection(b, a) == met
-    assert compare.intersection(met, a) == met or compare.within(compare.intersection(met, a), met)
+    common = compare.intersection(a, b)
+    assert allowed_acts(common) <= allowed_acts(a) & allowed_acts(b)
+    assert compare.within(common, a)
+    assert compare.within(common, b)
+    assert compare.intersection(b, a) == common
+    assert compare.intersection(common, a) == common or compare.within(
+        compare.intersection(common, a), common
+    )
 
 
 @given(FEDERATIONS, FEDERATIONS, FEDERATIONS)
-def test_it_is_an_order_and_the_meet_is_the_most_that_both_allow(
+def test_within_is_an_order_and_the_intersection_is_the_greatest_lower_bound(
     a: s.Federation, b: s.Federation, c: s.Federation
 ) -> None:
     assert compare.within(a, a)
-    met = compare.intersection(a, b)
+    common = compare.intersection(a, b)
     if compare.within(a, b):
         assert allowed_acts(a) <= allowed_acts(b)
-        assert compare.within(a, met), "nothing is lost where one is within the other"
+        assert compare.within(a, common), "the intersection with a wider federation loses nothing"
         if compare.within(b, c):
             assert compare.within(a, c)
         if compare.within(b, a):
             assert allowed_acts(a) == allowed_acts(b)
     if compare.within(c, a) and compare.within(c, b):
-        assert compare.within(c, met)
+        assert compare.within(c, common)
 
 
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
-def test_a_text_reads_back_and_says_all(a: s.Federation, b: s.Federation) -> None:
+def test_the_encoding_round_trips_and_is_complete(a: s.Federation, b: s.Federation) -> None:
     text = encoding.encode(a)
     assert encoding.decode(text) == a
     assert encoding.encode(encoding.decode(text)) == text
@@ -87,16 +89,16 @@
 
 
 @given(FEDERATIONS, FEDERATIONS, st.sampled_from(EFFECTS), st.sampled_from(EFFECTS))
-def test_between_two_that_keep_never_twice_work_so_does_the_meet(
+def test_the_intersection_of_two_valid_rule_sets_is_valid(
     a: s.Federation, b: s.Federation, one: str, other: str
 ) -> None:
-    both = [_rules(_slow(a), one), _rules(_slow(b), other)]
+    both = [_rules(_with_long_delays(a), one), _rules(_with_long_delays(b), other)]
     if not any(check(each) for each in both):
         assert not check(intersection(*both))
 
 
-def _slow(federation: s.Federation) -> s.Federation:
-    """With times after which a lease is proved to be over."""
+def _with_long_delays(federation: s.Federation) -> s.Federation:
+    """Lengthen the delays of failovers so that leases have expired by then."""
     return replace(
         federation,
         specs=tuple(
@@ -110,7 +112,7 @@
     )
 
 
-def test_a_proposal_by_which_never_twice_work_goes_over_on_a_suspicion_is_refused() -> None:
+def test_a_proposal_with_failover_on_refusing_for_an_unsafe_class_is_rejected() -> None:
     over = s.Failover(("refusing",), 30_000_000, refusing_us=20_000_000)
     federation = s.Federation(
         (s.Spec("orders", ("north", "south"), failover=over),), (), (("pay", "orders"),)
@@ -124,23 +126,23 @@
 
 @given(FEDERATIONS, FEDERATIONS)
 @settings(max_examples=50)
-def test_rule_sets_have_it_as_a_part(a: s.Federation, b: s.Federation) -> None:
+def test_rule_sets_include_their_federation(a: s.Federation, b: s.Federation) -> None:
     one, other = _rules(a), _rules(b)
     assert parse_rule_set(one.text()) == one
     assert parse_rule_set(intersection(one, other).text()).federation == compare.intersection(a, b)
     assert allows(one, other) == compare.within(a, b)
-    assert keeps_floor(one, other), "no floor speaks of it"
+    assert keeps_floor(one, other), "no floor has a federation"
     rest, federation = split_federation(one)
     assert join_federation(rest, federation) == one.text()
 
 
-def test_where_two_versions_leave_no_region_jobs_are_refused_and_nobody_can_name_the_step() -> None:
+def test_an_intersection_without_regions_rejects_jobs_and_cannot_be_named() -> None:
     a, b = (s.Federation((each,), (), (("web", "orders"),)) for each in (_NORTH, _SOUTH))
-    met = compare.intersection(a, b)
-    found = met.spec_for("web")
+    common = compare.intersection(a, b)
+    found = common.spec_for("web")
     assert found is not None
     assert found.regions == ()
-    assert met.spec_for("pay") is None
+    assert common.spec_for("pay") is None
     other = replace(b, specs=(replace(_SOUTH, name="mail"),), uses=(("web", "mail"),))
     step = compare.intersection(a, other)
     between = step.spec_for("web")
@@ -149,30 +151,34 @@
     assert between.regions == ()
     named = step.spec_for("pay", s.INTERSECTION_PREFIX + "web")
     assert named is not None and named.regions == (), (
-        "a Job that names what stands between versions is refused"
+        "a Job that names an intersection spec is rejected"
     )
-    unnamed = met.spec_for("web", "nobody")
+    unnamed = common.spec_for("web", "nobody")
     assert unnamed is not None
     assert unnamed.regions == ()
 
 
-def _keeps(part: str) -> Callable[[s.Spec, s.Spec, str], s.Spec]:
-    """A wrong meet: one part as the first has it."""
+def _ignoring_second(part: str) -> Callable[[s.Spec, s.Spec, str], s.Spec]:
+    """Return a faulty intersection that takes one part from the first spec alone."""
     right = compare.spec_intersection
     return lambda a, b, name: replace(right(a, b, name), **{part: getattr(a, part)})
 
 
 @pytest.mark.parametrize("part", ["regions", "data", "failover", "back", "on_cut"])
-def test_a_meet_that_leaves_out_a_part_is_found(part: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_intersection_that_ignores_a_part_is_detected(
+    part: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     found = _sample()
-    monkeypatch.setattr(compare, "spec_intersection", _keeps(part))
+    monkeypatch.setattr(compare, "spec_intersection", _ignoring_second(part))
     assert any(
         not allowed_acts(compare.intersection(a, b)) <= allowed_acts(a) & allowed_acts(b)
         for a, b in zip(found, found[1:], strict=False)
     )
 
 
-def test_a_residency_that_is_lost_in_the_meet_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_intersection_that_ignores_residency_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     right = compare.dataset_intersection
     monkeypatch.setattr(
         compare, "dataset_intersection", lambda a, b: replace(right(a, b) or a, stays=())
@@ -185,7 +191,7 @@
 
 
 def _sample() -> list[s.Federation]:
-    """Plain federations that differ in one way each, and some at random (seed 41)."""
+    """Return 400 random federations of one spec and two data sets (seed 41)."""
     rng = random.Random(41)
     over = s.Failover(("lost", "refusing"), 10, refusing_us=1)
     out = []
@@ -234,6 +240,6 @@
         ("x" * (encoding.MAX_FEDERATION_CHARS + 1), "the most"),
     ],
 )
-def test_texts_that_are_none_are_refused_with_words(text: str, words: str) -> None:
+def test_invalid_texts_are_rejected_with_a_reason(text: str, words: str) -> None:
     with pytest.raises(encoding.FederationError, match=words):
         encoding.decode(text)
--- a/tests/decide/federation/test_region_choice.py
+++ b/tests/decide/federation/test_region_choice.py
@@ -53,7 +53,7 @@
     return {region: round(part, 3) for region, part in out.items()}
 
 
-def test_the_nearer_region_is_kept_and_work_goes_over_with_a_chance_that_rises_linearly() -> None:
+def test_the_nearest_region_is_kept_and_the_spillover_probability_rises_linearly() -> None:
     assert choice_shares(statuses(north=0.59)) == {"north": 1.0}, (
         "nothing spills over below the lower threshold"
     )
@@ -67,7 +67,7 @@
     )
 
 
-def test_where_it_does_not_fit_it_goes_where_it_does() -> None:
+def test_a_task_goes_to_a_region_where_it_fits() -> None:
     known = with_status("north", statuses(north=0.99, south=0.8, east=0.9), free_cores=1.0)
     assert choice_shares(known) == {"south": 1.0}
     full = {region: replace(each, free_cores=1.0) for region, each in known.items()}
@@ -167,7 +167,7 @@
     )
 
 
-def test_where_all_are_equal_it_stays_where_it_is_asked_for() -> None:
+def test_unranked_regions_keep_a_task_in_its_origin() -> None:
     spec = replace(SPEC, ranked=False)
     for here in REGIONS:
         assert (
@@ -178,7 +178,7 @@
         )
 
 
-def test_failover_goes_to_its_targets_within_its_share_of_their_room() -> None:
+def test_failover_goes_to_its_targets_within_its_share_of_their_free_capacity() -> None:
     over = replace(SPEC.failover or s.Failover((), 0), to=("east", "south"), room=50)
     spec = replace(SPEC, failover=over)
     federation = s.Federation((spec,))
@@ -221,7 +221,7 @@
     assert not region_choice.failover_due(replace(SPEC, failover=None), "lost", 1 << 40)
 
 
-def test_return_to_a_region_that_is_well_for_long_enough_and_has_room() -> None:
+def test_return_to_a_region_that_is_stable_for_long_enough_and_has_capacity() -> None:
     spec = replace(SPEC, back=s.Back("stable", 600_000_000))
     federation = s.Federation((spec,))
     away = region_choice.RegionRequest(2.0, 4.0, "safe", "east", "back")
--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -1,4 +1,4 @@
-"""The most that specs and data sets may be goes into a version, and all that is kept of versions into one mail."""
+"""Size limits: the maximum of specs and data sets fits a version, and a snapshot of all versions fits one message."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 PLACES = ("eu-north-1", "eu-south-1", "us-east-1", "us-west-2", "ap-south-1", "ap-east-1")
 
 
-def whole_file(after_s: int = 30) -> str:
-    """256 specs and 1,024 data sets of plausible size, as a file says them."""
+def largest_settings(after_s: int = 30) -> str:
+    """Return settings with 256 specs and 1,024 data sets of a realistic size."""
     out = [
         'placer "a" region="eu-north-1"',
         'list-source "10.0.0.5" port=8001',
@@ -66,8 +66,8 @@
     return "\n".join(out)
 
 
-def test_the_most_specs_and_data_sets_are_checked_and_agreed_on() -> None:
-    rules = rules_of(load_text(whole_file()))
+def test_the_maximum_of_specs_and_data_sets_is_accepted() -> None:
+    rules = rules_of(load_text(largest_settings()))
     assert (len(rules.federation.specs), len(rules.federation.datasets)) == (
         s.MAX_SPECS,
         s.MAX_DATASETS,
@@ -93,7 +93,7 @@
 
 
 def _large(turn: int, names: int = 4000) -> RuleSet:
-    """As long a rule set as there may be; two of them contradict each other."""
+    """Return a rule set of nearly the maximum length; two consecutive turns need an intersection step."""
     over = s.Failover(("lost",), 30_000_000 + turn, copies=1 + turn % 2)
     sets = tuple(
         s.DataSet(f"data-{'x' * 38}-{at:04}", (("north", 0), ("south", turn))) for at in range(1024)
@@ -123,7 +123,7 @@
     )
 
 
-def test_a_snapshot_with_all_that_is_kept_fits_one_mail() -> None:
+def test_a_snapshot_with_all_that_is_kept_fits_one_message() -> None:
     agreed = RuleSetState()
     for turn in range(6):
         rules = _large(turn)
@@ -143,7 +143,7 @@
             ),
         )
         assert agreed.outcomes[f"{turn}" * 100] == "", agreed.outcomes
-    assert len(agreed.steps) == 2, "they contradict each other"
+    assert len(agreed.steps) == 2, "conflicting versions need an intersection step"
     for number in range(4):
         agreed.apply(
             "floor", json.dumps({"ident": f"f{number}", "rules": _large(0).text(), "lasts_us": 1})
@@ -165,17 +165,17 @@
             ),
         )
     state = agreed.text()
-    letter = encode_message(
+    message = encode_message(
         consensus.InstallSnapshot(1 << 40, 1 << 40, 1 << 40, "a b c", state, 1 << 40)
     )
-    assert len(encode_envelope("main", "a" * 253, "b" * 300, [letter])) < MAX_SNAPSHOT_CHARS
+    assert len(encode_envelope("main", "a" * 253, "b" * 300, [message])) < MAX_SNAPSHOT_CHARS
     assert MAX_SNAPSHOT_CHARS + MAX_SUBSYSTEMS_CHARS < MAX_ENVELOPE_BYTES - 4096
-    back = from_text(state)
-    assert back == agreed
-    assert back.text() == state
+    restored = from_text(state)
+    assert restored == agreed
+    assert restored.text() == state
 
 
-def test_versions_keep_their_federation_while_there_is_room() -> None:
+def test_versions_keep_their_federation_within_the_size_limit() -> None:
     agreed = RuleSetState()
     for turn in range(7):
         agreed.apply(
@@ -207,7 +207,7 @@
             ),
         )
     assert agreed.text_of(agreed.versions[-1]) == agreed.latest == _large(11, 0).text()
-    assert agreed.text_of(agreed.versions[0]) is None, "the oldest give way first"
+    assert agreed.text_of(agreed.versions[0]) is None, "the oldest are dropped first"
 
 
 def _small(turn: int) -> RuleSet:
@@ -226,7 +226,7 @@
     )
 
 
-def test_a_step_that_cannot_be_said_is_refused() -> None:
+def test_a_step_that_exceeds_the_bounds_is_rejected() -> None:
     def rules(part: str) -> RuleSet:
         needs = tuple(s.Need(f"{part}{at}") for at in range(20))
         spec = s.Spec("orders", ("north", "south"), data=needs)
@@ -256,7 +256,7 @@
     assert agreed.version == 1
 
 
-def test_a_snapshot_of_before_there_were_federations_is_read() -> None:
+def test_a_snapshot_without_federations_is_read() -> None:
     rules = _small(0)
     text = split_federation(rules)[0]
     old = {
