--- a/wingbarrow/decide/federation/__init__.py
+++ b/wingbarrow/decide/federation/__init__.py
@@ -1,3 +1,6 @@
-"""Where work may run: federation specs, their faults, and the choice of a region. No I/O; knows nothing of peers."""
+"""Placement policies over regions: specs, their validation, encoding and comparison, and the choice of a region.
+
+No I/O, and no dependency on the peer protocol.
+"""
 
 from __future__ import annotations
--- a/wingbarrow/decide/federation/check_spec.py
+++ b/wingbarrow/decide/federation/check_spec.py
@@ -159,11 +159,11 @@
         if len(set(over.on)) < len(over.on):
             self.add("failover", "one thing is named twice")
         if "refusing" in over.on and over.refusing_us < SECOND:
-            self.add("failover", 'on "refusing": for how long, refusing="1s" or more?')
+            self.add("failover", 'on "refusing": for how long? refusing= of 1s or more is required')
         if over.refusing_us and "refusing" not in over.on:
             self.add("failover", 'refusing= is said, and it does not follow on "refusing"')
         if over.cores > MAX_CORES or over.mib > MAX_MIB:
-            self.add("failover", f"at most {MAX_CORES} cores and {MAX_MIB >> 30} Pi")
+            self.add("failover", f"at most {MAX_CORES} cores and {MAX_MIB >> 30} Pi of memory")
         self._check_order("failover", over.to, "to")
         for region in dict.fromkeys(over.to):
             self._check_target(region, over)
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -15,7 +15,7 @@
 
 Path = tuple[str | int, ...]
 SECOND = 1_000_000
-MAX_HUB_TURN_US = SECOND  # upper bound of one turn of the event loop
+MAX_HUB_TURN_US = SECOND  # allowance for the longest turn of the event loop
 # Between two clocks: each may be off by 500 ppm, so that they differ by a little more than 1,000 ppm.
 MAX_RELATIVE_DRIFT = 0.002
 
--- a/wingbarrow/decide/federation/region_choice.py
+++ b/wingbarrow/decide/federation/region_choice.py
@@ -24,7 +24,7 @@
     age_us: int
     load: float  # requested share of the total capacity; may exceed 1
     free_cores: float
-    free_memory: float
+    free_memory: float  # GiB
     lost: bool = False
     closed: bool = False  # admits no new tasks
     refusing_us: int = 0  # for how long it has been rejecting tasks; 0: it is not
@@ -32,9 +32,8 @@
     placers: tuple[str, ...] = ()
     reserved_cores: float = 0.0  # of the free cores, for the loss of other regions
     reserved_memory: float = 0.0
-    data_lag_us: tuple[
-        tuple[str, int], ...
-    ] = ()  # (data set, present lag of its copy), where reported
+    # Present lag of the region's copies, (data set, lag), where reported.
+    data_lag_us: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
