--- a/tests/relay/test_page.py
+++ b/tests/relay/test_page.py
@@ -11,7 +11,16 @@
 
 import pytest
 
-from tests.relay.stage import MADE, MS, SETTINGS, Client, Journal, S, Stage, over
+from tests.relay.stage import (
+    MACHINE_DESCRIPTION,
+    MS,
+    SETTINGS,
+    Client,
+    Journal,
+    S,
+    Stage,
+    release_message,
+)
 from wingbarrow.relay import links
 from wingbarrow.relay.configuration import Address
 from wingbarrow.relay.message import Code, Kind, Message, encode
@@ -20,7 +29,7 @@
 
 
 def send_answer(stream: Stream, message: Message) -> None:
-    stream.send_now(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MADE}))
+    stream.send_now(encode(Kind.ANSWER, message.task, {Code.DESCRIPTION: MACHINE_DESCRIPTION}))
 
 
 def answer_after(stage: Stage, ms: int) -> Callable[[Stream, Message], None]:
@@ -126,14 +135,14 @@
         for task in range(1, 5):
             stage.owner.ask(task, name=f"{task:016x}")
         stage.sleep(12)
-        machine.tell(over(4))  # its second answer arrives after its release
+        machine.tell(release_message(4))  # its second answer arrives after its release
         stage.sleep(100)
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == stage.owner.kinds(4) == [Kind.ANSWER, Kind.RELEASE]
         assert stage.owner.kinds(2) == stage.owner.kinds(3) == [Kind.ANSWER]
         assert not ends
-        assert not [each for each in machine.heard if each.message.kind == Kind.RELEASE], (
+        assert not [each for each in machine.received if each.message.kind == Kind.RELEASE], (
             "a task was stopped"
         )
 
@@ -180,7 +189,7 @@
                 stream.abort()
             stage.sleep(3000)
         assert stage.owner.kinds(1) == [Kind.ANSWER]
-        machine.tell(over(1))
+        machine.tell(release_message(1))
         stage.sleep(50)
         assert stage.owner.kinds(1) == [Kind.ANSWER, Kind.RELEASE]
 
@@ -241,7 +250,7 @@
         assert stage.hub.now_us() - began <= 100 * MS
         assert calls[0] <= 400 * 500
         assert placer._links.held == 0
-        placer.life.end()
+        placer.runtime.shut_down()
 
     Stage(1).run(play)
 
@@ -346,7 +355,7 @@
 def test_an_unusable_replaced_file_keeps_the_old_address(tmp_path: Path) -> None:
     def play(stage: Stage) -> None:
         lines: list[str] = []
-        stage.placer.life.log = lambda event, **more: lines.append(event)
+        stage.placer.runtime.log = lambda event, **more: lines.append(event)
         for index, value in enumerate(invalid_files()):
             path = tmp_path / f"{index}.json"
             path.write_bytes(
--- a/wingbarrow/core/fleet.py
+++ b/wingbarrow/core/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: list entries pass the guards, then go to the module, to API objects and to the machines' connections."""
+"""The fleet: list entries pass the guards, then go to the module, the API objects and the machine connections."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from wingbarrow import interface as api
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.host import Host
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry, read_node
-from wingbarrow.core.observations import Observations
+from wingbarrow.core.pod_observer import PodObserver
 from wingbarrow.core.reflector import Reflector
 from wingbarrow.core.runs import Runs
 from wingbarrow.decide.restarts import RestartGuard
 
-REOPEN_US = 50_000
-MAX_PROBES = 32
+REOPEN_DELAY_US = 50_000  # machines that open within it are passed to the module together
+MAX_OPEN_PROBES = 32
 Guard = Callable[[NodeEntry, api.ListedMachine], api.ListedMachine]
 
 
@@ -36,35 +36,35 @@
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         host: Host,
         objects: ApiObjects,
         machines: Machines,
         attempts: Attempts,
         runs: Runs,
-        observations: Observations,
+        pod_observer: PodObserver,
     ) -> None:
-        self._base = base
+        self._context = context
         self._host = host
         self._objects = objects
         self._machines = machines
         self._attempts = attempts
         self._runs = runs
-        self._observations = observations
-        self._restart_guard = RestartGuard(base.settings.scheduler.classes)
+        self._pod_observer = pod_observer
+        self._restart_guard = RestartGuard(context.settings.scheduler.classes)
         self._reopening = False
-        self._probes_out = 0
-        settings = base.settings
+        self._open_probes = 0
+        settings = context.settings
         self.reflector = Reflector(
-            base.hub,
+            context.hub,
             settings.source_host,
             settings.source_port,
             f"wingbarrow/{settings.name}",
-            random.Random(base.random.random()),
+            random.Random(context.random.random()),
             settings.limits.machines,
-            base.shift_us,
+            context.shift_us,
             self.apply,
-            base.log,
+            context.log,
         )
         self.ready = False  # whether a list was received from the source
         self.guards: list[Guard] = []
@@ -76,9 +76,9 @@
         self.is_drained: Callable[[str], bool] = lambda name: False  # by the drain calendar
         # The checkpoint of the earlier incarnation cannot be read.
         self.on_state_lost: Callable[[], None] = lambda: None
-        # Predicates on machine names: closed to this placer alone.
+        # Predicates on machine names: whether a machine is closed to this placer alone.
         self.closed_locally: list[Callable[[str], bool]] = []
-        observations.on_listed = self._on_pods_listed
+        pod_observer.on_listed = self._on_pods_listed
 
     @property
     def held(self) -> dict[str, NodeEntry]:
@@ -100,12 +100,12 @@
             return
         if form is not api.ListForm.SAVED:
             self.ready = True
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         for entry in entries:
             self._restart_guard.on_machine_listed(entry.name, entry.listed, now)
-        # Every entry passes here, and so the guards (rules 3 and 5).
-        narrowed = {entry.name: self._narrow(entry) for entry in entries}
-        listed = [self.slow_start_guard(entry, narrowed[entry.name]) for entry in entries]
+        # Every entry passes the guards here (rules 3 and 5).
+        restricted = {entry.name: self._restrict(entry) for entry in entries}
+        listed = [self.slow_start_guard(entry, restricted[entry.name]) for entry in entries]
         for name in gone:
             last_entry = self._on_gone(name)
             if form is api.ListForm.CHANGES and last_entry is not None:
@@ -113,34 +113,32 @@
         new_links: list[MachineLink] = []
         for entry in entries:
             link = self._link(entry, new_links)
-            link.phase, link.launched_us = (
-                narrowed[entry.name].phase,
-                narrowed[entry.name].launched_us,
-            )
+            link.phase = restricted[entry.name].phase
+            link.launched_us = restricted[entry.name].launched_us
             self.on_machine_listed(entry.name)
-            self._objects.show_node_if_changed(entry, self.is_drained(entry.name))
+            self._objects.publish_node_if_changed(entry, self.is_drained(entry.name))
         self._host.feed(api.MachineList(form, tuple(listed)))
         self._restart_guard.list_received |= form is api.ListForm.FULL
         for link in new_links:
-            self._observations.follow(link)
+            self._pod_observer.watch(link)
         for name in gone:
             self._retire(name)
         self.on_delivery_applied()
 
     def reapply(self, entries: Iterable[NodeEntry]) -> None:
-        """Pass entries through the guards anew; their free capacity is not current and counts as unknown."""
+        """Pass entries through the guards again; their free capacity is not current and counts as unknown."""
         self.apply(api.ListForm.CHANGES, [without_free_capacity(entry) for entry in entries], [])
 
     def reapply_named(self, names: Container[str]) -> None:
         """As `reapply`, for the machines of these names that are held."""
         self.reapply([entry for name, entry in self.held.items() if name in names])
 
-    def _narrow(self, entry: NodeEntry) -> api.ListedMachine:
+    def _restrict(self, entry: NodeEntry) -> api.ListedMachine:
         listed = entry.listed
         for guard in self.guards:
             listed = guard(entry, listed)
         if listed.phase is api.Phase.RUNNING and self._restart_guard.is_closed(entry.listed):
-            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not count.
+            # Danger (rule 5): tasks of the earlier incarnation that are not known yet would not be counted.
             listed = replace(listed, phase=api.Phase.DRAINING)
         return listed
 
@@ -149,9 +147,9 @@
         return self._remove_node(name)
 
     def _remove_node(self, name: str) -> api.ListedMachine | None:
-        """Withdraw a machine's Node and mark its link gone; its last entry for the module, None without a link."""
+        """Withdraw a machine's Node and mark its link as gone. Its last entry for the module; None without a link."""
         link = self._machines.links.get(name)
-        stored = self._objects.drop_node(name)
+        stored = self._objects.withdraw_node(name)
         if link is None:
             return None
         link.phase = api.Phase.GONE
@@ -159,7 +157,7 @@
             return api.ListedMachine(
                 link.ident, "", 0, "", api.Phase.GONE, link.launched_us, 0.0, 0.0
             )
-        entry = read_node(stored.value, self._base.shift_us).listed
+        entry = read_node(stored.value, self._context.shift_us).listed
         return replace(entry, phase=api.Phase.GONE, launched_us=link.launched_us)
 
     def release(self, name: str) -> None:
@@ -171,12 +169,12 @@
         entry = self._remove_node(name)
         link = self._machines.links.get(name)
         if link is not None:
-            link.release()
+            link.disconnect()
             self._machines.remove(link)
         if entry is not None:
             self._host.feed(api.MachineList(api.ListForm.CHANGES, (entry,)))
 
-    # -- after a start
+    # -- after a restart
 
     def is_closed_by_restart(self, entry: NodeEntry) -> bool:
         """Whether a machine is closed only because this placer has restarted."""
@@ -200,13 +198,13 @@
     def run_restart_timeouts(self) -> None:
         """Expire the wait for machines that cannot be reached after a restart; returns once none is waited for."""
         while not self._restart_guard.is_over:
-            if self._restart_guard.expire(self._base.hub.now_us()):
+            if self._restart_guard.expire(self._context.hub.now_us()):
                 self._reopen()
             if not self._restart_guard.is_over:
-                self._base.hub.sleep(REOPEN_US)
+                self._context.hub.sleep(REOPEN_DELAY_US)
 
     def _on_pods_listed(self, name: str) -> None:
-        """A machine has listed its pods of this placer."""
+        """Open a machine that has listed its pods of this placer."""
         if self._restart_guard.on_pods_listed(name):
             self._reopen()
 
@@ -229,7 +227,7 @@
                 ]
             )
 
-        self._base.hub.call_at(self._base.hub.now_us() + REOPEN_US, on_due)
+        self._context.hub.call_at(self._context.hub.now_us() + REOPEN_DELAY_US, on_due)
 
     def has_complete_view(self, machines: int) -> bool:
         """Whether the list names at least `machines` machines and each of them has listed its pods."""
@@ -242,30 +240,32 @@
     # -- connections
 
     def _link(self, entry: NodeEntry, new_links: list[MachineLink]) -> MachineLink:
-        link, offered_us = self._machines.links.get(entry.name), None
+        link = self._machines.links.get(entry.name)
+        offered_us = None
         if link is not None and (link.host, link.port) != (entry.host, entry.port):
-            # The machine has another address: the former one is no longer reached.
+            # The machine has another address: close the connections to the former one.
             link.retired = True
             link.close()
-            offered_us, link = link.offered_us, None
+            offered_us = link.last_offer_us
+            link = None
         if link is None:
-            settings = self._base.settings
+            settings = self._context.settings
             link = MachineLink(
-                self._base.hub,
+                self._context.hub,
                 entry.name,
                 entry.host,
                 entry.port,
                 settings.name,
                 settings.limits.per_machine,
-                random.Random(self._base.random.random()),
+                random.Random(self._context.random.random()),
             )
-            link.offered_us = offered_us
+            link.last_offer_us = offered_us
             self._machines.add(link)
             new_links.append(link)
         return link
 
     def _retire(self, name: str) -> None:
-        """A machine left the list: once it cannot be reached, or after 10 minutes, its tasks are lost."""
+        """Declare the tasks of a machine that left the list lost, once it is unreachable or after 10 minutes."""
         link = self._machines.links.get(name)
         if link is None:
             return
@@ -276,7 +276,7 @@
                     return
                 if not self._attempts.on(link) or not link.reachable:
                     break
-                self._base.hub.sleep(1_000_000)
+                self._context.hub.sleep(1_000_000)
             if link.phase is not api.Phase.GONE:
                 return
             for attempt in self._attempts.on(link):
@@ -286,37 +286,37 @@
                 link.close()
                 self._machines.remove(link)
 
-        self._base.spawn(wait, "retire")
+        self._context.spawn(wait, "retire")
 
     def size_of(self, entry: NodeEntry | None) -> tuple[float, float]:
-        """Cores and memory of a machine by its kind."""
-        return self._base.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
+        """Cores and memory of a machine by its kind; (1.0, 1.0) if the kind is unknown."""
+        return self._context.sizes.get(entry.listed.kind if entry else "", (1.0, 1.0))
 
     def probe(self, machine: int) -> None:
-        """Request a machine's load report; dropped while too many probes are out."""
-        link = self._machines.of(machine)
-        if link is None or self._probes_out >= MAX_PROBES:
-            self._base.counts["probes_dropped"] += 1
+        """Request a machine's load report; dropped, and counted, while MAX_OPEN_PROBES are open."""
+        link = self._machines.by_ident(machine)
+        if link is None or self._open_probes >= MAX_OPEN_PROBES:
+            self._context.counts["probes_dropped"] += 1
             return
         size = self.size_of(self.held.get(link.name))
-        self._base.counts["probes"] += 1
-        self._probes_out += 1
+        self._context.counts["probes"] += 1
+        self._open_probes += 1
 
         def probe() -> None:
             try:
                 report = link.probe(size)
             finally:
-                self._probes_out -= 1
+                self._open_probes -= 1
             if report is not None:
                 self.on_contact(link.name)
             outcome = api.Outcome.DONE if report else api.Outcome.TIMED_OUT
             self._host.feed(api.Probed(machine, outcome, report))
 
-        self._base.spawn(probe, "probe")
+        self._context.spawn(probe, "probe")
 
 
 def without_free_capacity(entry: NodeEntry) -> NodeEntry:
-    """The entry with unknown free capacity, as its figures are of unknown age."""
+    """The entry with unknown free capacity, because the age of its figures is unknown."""
     return replace(entry, listed=replace(entry.listed, free_cores=math.nan, free_memory=math.nan))
 
 
--- a/wingbarrow/core/job_components.py
+++ b/wingbarrow/core/job_components.py
@@ -1,4 +1,4 @@
-"""The components of the core that hold and run Jobs, passed as one to those that lease, move or take over Jobs."""
+"""The components that store and run Jobs, bundled for those that lease, migrate or fail over Jobs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.job_store import JobStore
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobComponents:
-    """One placer's."""
+    """The components of one placer, which are shared by reference."""
 
-    base: Base
+    context: CoreContext
     store: JobStore
     attempts: Attempts
     objects: ApiObjects
--- a/wingbarrow/core/link.py
+++ b/wingbarrow/core/machine_link.py
@@ -1,4 +1,4 @@
-"""One machine as the placer reaches it: its connections, offers, stops, probes, and the news of its tasks."""
+"""A placer's connections to one machine: offers, stops, probes, leases, and the watch on its tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from wingbarrow.core.pods import Ended, read_failure, read_offer
+from wingbarrow.core.pods import OfferFailure, read_call_failure, read_offer_response
 from wingbarrow.decide.backoff import Backoff
 from wingbarrow.http.client import CallFailed, MaybeDone, NotSent, Pool, PoolLimits
 from wingbarrow.http.watching import call, list_all, watch
@@ -19,32 +19,32 @@
 from wingbarrow.transport import CancelScope, Hub
 
 SECOND = 1_000_000
-PROBE_US = 2 * SECOND
-CALL_US = 3 * SECOND
-WATCH_S = 600
-SILENCE_US = 30 * SECOND
+PROBE_TIMEOUT_US = 2 * SECOND
+CALL_TIMEOUT_US = 3 * SECOND  # of each call but offers and probes
+WATCH_DURATION_S = 600  # requested of the machine, which ends the watch then
+WATCH_SILENCE_TIMEOUT_US = 30 * SECOND  # a watch without a byte for so long has failed
 STOP_CONNECTIONS = 2
 
 
 class DeleteOutcome(Enum):
-    """What a machine says of a task that is to be stopped."""
+    """A machine's answer to the request to stop a task."""
 
     STOPPED = "stopped"
-    WAS_NOT_THERE = "was not there"
+    NOT_FOUND = "was not there"
 
 
 @dataclass(frozen=True, slots=True)
 class FenceReply:
-    """What a machine told when a Job was fenced: its tasks that it holds or held since its start, for how long it has
-    been up by its clock, and whether it remembers all of that time."""
+    """A machine's answer to the fencing of a Job: the pods of it that it holds or held since its start, whether it
+    remembers all of the time since, and that time by its clock."""
 
-    holds: list[str]
-    sure: bool
-    up_us: int
+    pods: list[str]
+    is_complete: bool
+    uptime_us: int
 
 
 class MachineLink:
-    """Connections to one machine; `phase` and `launched_us` follow the list."""
+    """Connections to one machine. `phase` and `launched_us` are taken from the machine list."""
 
     def __init__(
         self,
@@ -62,24 +62,24 @@
         self.host, self.port = host, port
         self.phase = Phase.RUNNING
         self.launched_us = 0
-        self.retired = False  # it left the list and no task of ours is left on it
+        self.retired = False  # it left the list, and runs no task of this placer
         self._placer = placer
         limits = PoolLimits(connections=connections, waiting=1024, first_byte_us=3600 * SECOND)
         self._pool = Pool(hub, host, port, limits, f"wingbarrow/{placer}")
-        # Stops have a way of their own: they never take a connection that an offer waits for.
+        # Stops have connections of their own, so that they never take one that an offer waits for.
         self._stop_pool = Pool(
             hub, host, port, PoolLimits(connections=STOP_CONNECTIONS), f"wingbarrow/{placer}"
         )
         self._lease_pool = Pool(hub, host, port, PoolLimits(connections=1), f"wingbarrow/{placer}")
-        self._pause = Backoff(seed, 200_000, 5 * SECOND)
-        self._following: CancelScope | None = None
-        self.reachable = False  # the watch on its tasks runs
-        self.offered_us: int | None = None  # when the first byte of an offer last went out
+        self._watch_backoff = Backoff(seed, 200_000, 5 * SECOND)
+        self._watch_scope: CancelScope | None = None
+        self.reachable = False  # the watch on its tasks is open
+        self.last_offer_us: int | None = None  # when the first byte of the latest offer was sent
 
     def offer(
         self, namespace: str, body: Callable[[], bytes], until_us: int, may_send: Callable[[], bool]
-    ) -> Ended | None:
-        """Offer a task; None where it runs. Every way to fail says whether the task can have started."""
+    ) -> OfferFailure | None:
+        """Offer a task; None where it runs. Each failure says whether the task can have started."""
         try:
             response = self._pool.request(
                 "POST",
@@ -90,28 +90,33 @@
                 may_send,
             )
         except (NotSent, MaybeDone) as error:
-            return read_failure(error)
-        return read_offer(response)
+            return read_call_failure(error)
+        return read_offer_response(response)
 
     def delete(self, namespace: str, pod: str) -> DeleteOutcome | None:
-        """Ask once that a task be stopped; None without an answer that says it is gone."""
+        """Request once that a task be stopped; None without an answer that confirms that it is gone."""
         try:
             call(
                 self._stop_pool,
                 "DELETE",
                 f"/api/v1/namespaces/{quote(namespace)}/pods/{quote(pod)}",
-                until_us=self.hub.now_us() + CALL_US,
+                until_us=self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return DeleteOutcome.STOPPED
         except ApiError as error:
-            return DeleteOutcome.WAS_NOT_THERE if error.code == 404 else None
+            return DeleteOutcome.NOT_FOUND if error.code == 404 else None
         except CallFailed:
             return None
 
     def probe(self, size: tuple[float, float]) -> Report | None:
-        """The machine's own figures (kubelet's /stats/summary); None without a readable answer."""
+        """The machine's free cores and GiB by its own statistics (kubelet's /stats/summary).
+
+        `size` is all of its cores and GiB. None without a readable answer.
+        """
         try:
-            value = call(self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_US)
+            value = call(
+                self._pool, "GET", "/stats/summary", until_us=self.hub.now_us() + PROBE_TIMEOUT_US
+            )
             node = value["node"]
             return Report(
                 size[0] - float(node["cpu"]["usageNanoCores"]) / 1e9,
@@ -120,27 +125,28 @@
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
-    # -- leases: a connection of their own, so that a renewal waits for no offer
+    # -- leases: on a connection of their own, so that no renewal waits for an offer
 
-    def clock(self) -> str:
+    def read_clock(self) -> str:
         """The machine's clock, "BOOT:MICROSECONDS"; "" without an answer."""
         return self._lease("GET", "/leases") or ""
 
-    def renew(self, session: str, until: str) -> str | None:
-        """Have its tasks of a session run until then, by its own clock; its clock, "" without an answer.
+    def renew_lease(self, session: str, until: str) -> str | None:
+        """Renew the lease of a session's tasks until a time of the machine's clock.
 
-        None where it goes by another clock by now.
+        Returns the machine's clock, "" without an answer, and None where the machine rejects the time, since it has
+        restarted and has another clock.
         """
         return self._lease("POST", "/leases", {"session": session, "until": until})
 
-    def _lease(self, method: str, path: str, said: dict[str, Any] | None = None) -> str | None:
+    def _lease(self, method: str, path: str, body: dict[str, Any] | None = None) -> str | None:
         try:
             value = call(
                 self._lease_pool,
                 method,
                 path,
-                names.encode(said) if said is not None else None,
-                self.hub.now_us() + CALL_US,
+                names.encode(body) if body is not None else None,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return str(value.get("clock", ""))
         except ApiError as error:
@@ -149,34 +155,37 @@
             return ""
 
     def fence(self, uid: str, epoch: int) -> FenceReply | None:
-        """Have it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
+        """Make it refuse a Job's tasks of epochs before this one, from now on; None without a readable answer."""
         try:
             value = call(
                 self._lease_pool,
                 "POST",
                 "/fence",
                 names.encode({"uid": uid, "epoch": epoch}),
-                self.hub.now_us() + CALL_US,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
-            boot, _, up_us = str(value["clock"]).rpartition(":")
+            boot, _, uptime_us = str(value["clock"]).rpartition(":")
             return FenceReply(
-                [str(each) for each in value["holds"]], bool(value.get("sure", False)), int(up_us)
+                [str(each) for each in value["holds"]],
+                bool(value.get("sure", False)),
+                int(uptime_us),
             )
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return None
 
-    def turn(self, number: int, shut: bool) -> str:
-        """Have it refuse new work, or take it again, under a turn's number: shut, empty (and shut), or open.
+    def set_closed(self, number: int, closed: bool) -> str:
+        """Close or open the machine for new tasks under a maintenance slot's number.
 
-        "" without a readable answer, and where it goes by a later number.
+        Returns "open", "shut", or "empty" (shut, and without tasks); "" without a readable answer, and where the
+        machine already has a later number.
         """
         try:
             value = call(
                 self._lease_pool,
                 "POST",
                 "/turn",
-                names.encode({"number": number, "shut": shut}),
-                self.hub.now_us() + CALL_US,
+                names.encode({"number": number, "shut": closed}),
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             if value["number"] != number:
                 return ""
@@ -186,32 +195,37 @@
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
             return ""
 
-    def follow(
+    def watch_tasks(
         self,
-        listed: Callable[[list[dict[str, Any]], int], None],
-        event: Callable[[str, dict[str, Any]], None],
+        on_list: Callable[[list[dict[str, Any]], int], None],
+        on_event: Callable[[str, dict[str, Any]], None],
         log: Callable[..., None],
     ) -> None:
-        """List this placer's tasks on the machine, then watch them; again and again until retired.
+        """List this placer's tasks on the machine, then watch them; repeat both until the link is retired.
 
-        `listed` gets the pods and the time at which the list was asked for.
+        `on_list` is called with the pods and the time at which the list was requested, `on_event` with the type and the
+        object of each watch event.
         """
         with CancelScope(self.hub) as scope:
-            self._following = scope
-            self._follow(listed, event, log)
+            self._watch_scope = scope
+            self._list_and_watch(on_list, on_event, log)
 
-    def release(self) -> None:
-        """Reach the machine no more, though it is there: every connection is closed, that of the watch too."""
+    def disconnect(self) -> None:
+        """Retire the link to a machine that still runs: close all connections, and end the watch."""
         self.retired, self.reachable = True, False
-        if self._following is not None:
-            self._following.cancel()
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
         self.close()
 
-    def holds_any(self) -> bool | None:
-        """Whether tasks of this placer wait or run there; None without a readable answer."""
+    def has_tasks(self) -> bool | None:
+        """Whether tasks of this placer are pending or running there; None without a readable answer."""
         try:
             pods, _ = list_all(
-                self._pool, "/api/v1/pods", self._selector(), 500, self.hub.now_us() + CALL_US
+                self._pool,
+                "/api/v1/pods",
+                self._selector(),
+                500,
+                self.hub.now_us() + CALL_TIMEOUT_US,
             )
             return any(pod["status"]["phase"] in ("Pending", "Running") for pod in pods)
         except (CallFailed, ApiError, KeyError, TypeError, ValueError):
@@ -220,44 +234,50 @@
     def _selector(self) -> str:
         return f"labelSelector={quote(f'{names.PLACER}={self._placer}')}"
 
-    def _follow(
+    def _list_and_watch(
         self,
-        listed: Callable[[list[dict[str, Any]], int], None],
-        event: Callable[[str, dict[str, Any]], None],
+        on_list: Callable[[list[dict[str, Any]], int], None],
+        on_event: Callable[[str, dict[str, Any]], None],
         log: Callable[..., None],
     ) -> None:
         version = ""
         while not self.retired:
             try:
                 if not version:
-                    asked_us = self.hub.now_us()
+                    requested_us = self.hub.now_us()
                     pods, version = list_all(
-                        self._pool, "/api/v1/pods", self._selector(), 500, asked_us + CALL_US
+                        self._pool,
+                        "/api/v1/pods",
+                        self._selector(),
+                        500,
+                        requested_us + CALL_TIMEOUT_US,
                     )
-                    listed(pods, asked_us)
+                    on_list(pods, requested_us)
                     self.reachable = True
                 for kind, value in self._events(version):
                     version = str(value.get("metadata", {}).get("resourceVersion") or version)
                     self.reachable = True
-                    self._pause.reset()
+                    self._watch_backoff.reset()
                     if kind != "BOOKMARK":
-                        event(kind, value)
+                        on_event(kind, value)
             except (CallFailed, ApiError, ValueError) as error:
                 self.reachable = False
-                # Whatever broke it, a list of what runs is cheap and misses nothing.
+                # After any failure, list again: a list is cheap and misses nothing.
                 version = ""
-                log("machine-watch-broke", machine=self.name, why=str(error)[:200])
-                self.hub.sleep(self._pause.next_delay_us())
+                log("machine-watch-failed", machine=self.name, why=str(error)[:200])
+                self.hub.sleep(self._watch_backoff.next_delay_us())
 
     def _events(self, version: str) -> Iterator[tuple[str, dict[str, Any]]]:
         target = (
             f"/api/v1/pods?watch=true&{self._selector()}&resourceVersion={version}"
-            f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_S}"
+            f"&allowWatchBookmarks=true&timeoutSeconds={WATCH_DURATION_S}"
+        )
+        return watch(
+            self._pool, target, self.hub.now_us() + CALL_TIMEOUT_US, WATCH_SILENCE_TIMEOUT_US
         )
-        return watch(self._pool, target, self.hub.now_us() + CALL_US, SILENCE_US)
 
     def close(self) -> None:
-        """Let go of the idle connections."""
+        """Close the idle connections."""
         self._pool.close()
         self._stop_pool.close()
         self._lease_pool.close()
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -1,4 +1,4 @@
-"""Migration of running tasks to another region: stopped here first, then forwarded; kept here where nobody accepts."""
+"""Migration of running tasks to another region: stopped here first, then forwarded; run here again if none accepts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.core.attempts import Attempts, Stage
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.job_store import OPEN, JobStore, State, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
 from wingbarrow.core.remote_regions import RemoteRegions
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Migration:
-    """A task on its way: the spec by which it migrates, its target region, and the time of the decision."""
+    """A task that migrates: the spec that asks for it, the target region, and the time of the decision."""
 
     task: TaskRecord
     spec: str
@@ -31,11 +31,11 @@
 
 
 class Migrations:
-    """Starts migrations that `decide.federation.migration` finds due; owns those under way, by task name."""
+    """Starts migrations that `decide.federation.migration` finds due, and owns those in progress, by task name."""
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         jobs: JobStore,
         attempts: Attempts,
         requests: Requests,
@@ -43,26 +43,26 @@
         leased_jobs: LeasedJobs,
         remote_regions: RemoteRegions,
     ) -> None:
-        self._base = base
+        self._context = context
         self._attempts = attempts
         self._requests = requests
         self._runs = runs
         self._leased_jobs = leased_jobs
         self._remote_regions = remote_regions
         self._migrating: dict[str, _Migration] = {}
-        self._scan_offset = 0  # in the list of leased Jobs, of the next scan
+        self._scan_offset = 0  # index in the list of leased Jobs at which the next scan starts
         requests.try_forward = self._try_forward
         jobs.state_listeners.append(self._on_state_change)
 
     def run(self) -> None:
         """Scan at intervals until cancelled."""
         while True:
-            self._base.hub.sleep(SCAN_INTERVAL_US)
+            self._context.hub.sleep(SCAN_INTERVAL_US)
             self.start_due()
 
     def start_due(self) -> None:
         """Scan the next leased Jobs, and start the migrations that are due."""
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         federation = self._leased_jobs.federation()
         self._migrating = {
             name: each
@@ -79,21 +79,21 @@
         for move in due_migrations(
             runs,
             federation,
-            self._base.settings.region,
+            self._context.settings.region,
             self._remote_regions.region_statuses(now),
             Counter(each.spec for each in self._migrating.values()),
         ):
             self._start(task_by_request[move.request], move, now)
 
     def _movable_runs(self) -> list[tuple[TaskRecord, MovableTask]]:
-        """Of the next Jobs in turn: tasks that run, are not migrating, and whose owner is certain of their answer."""
+        """Tasks of the next MAX_SCANNED Jobs that run, do not migrate yet, and whose owner was surely answered."""
         jobs = list(self._leased_jobs.jobs.values())
         begin = self._scan_offset % len(jobs)
         scanned = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
         self._scan_offset = begin + len(scanned)
         movable: list[tuple[TaskRecord, MovableTask]] = []
         for job in scanned:
-            if job.leased is None:
+            if job.lease is None:
                 continue
             is_from_other_region = self._remote_regions.is_from_other_region(job.key)
             movable += [
@@ -101,7 +101,7 @@
                     task,
                     MovableTask(
                         task.request,
-                        job.leased.spec,
+                        job.lease.spec,
                         job.request.cores,
                         job.request.memory,
                         job.request.task_class.task_class.effect.value,
@@ -119,27 +119,31 @@
         attempt = self._attempts.of(move.request)
         if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
             return
-        leased = task.job.leased
+        lease = task.job.lease
         self._migrating[task.name] = _Migration(
-            task, leased.spec if leased is not None else "", move.region, now_us
+            task, lease.spec if lease is not None else "", move.region, now_us
         )
-        self._base.counts[f"moved to another region: {move.cause}"] += 1
-        self._base.log(
-            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.cause
+        self._context.counts[f"moved to another region: {move.cause}"] += 1
+        self._context.log(
+            "region-migration-started",
+            job=task.job.key,
+            task=task.index,
+            region=move.region,
+            why=move.cause,
         )
         self._runs.move(move.request)
 
     def _try_forward(self, task: TaskRecord) -> bool:
-        """A stopped task is requested again: forward it if it is migrating; whether that was done."""
+        """Forward a stopped task that is requested again, if it is migrating; whether it was forwarded."""
         migration = self._migrating.get(task.name)
-        if migration is None or task.state is not State.ASKED:
+        if migration is None or task.state is not State.PENDING:
             return False
-        due_us = self._base.hub.now_us() + task.job.request.patience_us
+        due_us = self._context.hub.now_us() + task.job.request.patience_us
         return self._remote_regions.forward_task(task, due_us, migration.region, migration.spec)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """Forget a migration that ended; release the lease of a Job that runs in another region entirely."""
-        is_placed_again = task.state is State.PLACED and before is State.ASKED
+        """Remove a migration that ended, and release the lease of a Job whose open tasks all run in another region."""
+        is_placed_again = task.state is State.PLACED and before is State.PENDING
         if task.name not in self._migrating or (task.state in OPEN and not is_placed_again):
             return
         del self._migrating[task.name]
@@ -155,7 +159,7 @@
 
 
 def _can_migrate(federation: Federation) -> bool:
-    """Whether any spec has a reason to move running tasks."""
+    """Whether any spec allows running tasks to migrate."""
     return any(
         each.back.when != "never"
         or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -1,4 +1,7 @@
-"""One placer: builds the components of the core and connects them; `docs/architecture.md` draws a task's way."""
+"""One placer: builds the components of the core and connects them.
+
+`docs/architecture.md` describes a task's path through them.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
 from wingbarrow.core.checkpoint import Checkpoint
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.drain_schedule import DrainSchedule
 from wingbarrow.core.drainer import Drainer
 from wingbarrow.core.ended_session import EndedSessionJobs
@@ -30,10 +33,10 @@
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.maintenance import LocalMachines, MaintenanceSlots
 from wingbarrow.core.migrations import Migrations
-from wingbarrow.core.observations import Observations
 from wingbarrow.core.offers import Offers
 from wingbarrow.core.orphans import Orphans
 from wingbarrow.core.outlier_ejection import OutlierEjections
+from wingbarrow.core.pod_observer import PodObserver
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
@@ -56,7 +59,7 @@
 
 
 class _ModuleActions:
-    """Carries out the module's actions (`core.host.Hands`), each by the component that owns it."""
+    """Carries out the module's actions (`core.host.ActionHandler`), each by the component that owns it."""
 
     def __init__(
         self, offers: Offers, requests: Requests, runs: Runs, fleet: Fleet, objects: ApiObjects
@@ -89,18 +92,18 @@
 class Placer:
     """The core of the program; fronts call `admission` and read `objects`.
 
-    The order in which components are built is part of the behaviour: it is the order of their random draws from
-    `base.random`, of the fleet's guards and of the Job store's listeners.
+    The order in which components are built is part of the behaviour: it determines the order of their random draws
+    from `context.random`, of the fleet's guards and of the Job store's listeners.
     """
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
-        self.base = Base(hub, settings, log)
+        self.context = CoreContext(hub, settings, log)
         self._class_kinds = tuple(
             each.task_class.kind for each in settings.classes.values() if each.task_class.kind
         )
         self._build_core(settings)
-        self.active_rules = ActiveRules(self.base, self.host)
-        self.peering = Peering(hub, settings, self.base.started_us, log)
+        self.active_rules = ActiveRules(self.context, self.host)
+        self.peering = Peering(hub, settings, self.context.started_us, log)
         self.leases: MachineLeases | None = None
         self.leased_jobs: LeasedJobs | None = None
         if settings.agree is not None and settings.region:
@@ -110,43 +113,45 @@
         if self.leased_jobs is not None:
             self._build_failover(self.leased_jobs)
         self._drain_schedule = DrainSchedule(
-            self.base, self.host, self.fleet, self.attempts, self._runs, self.objects
+            self.context, self.host, self.fleet, self.attempts, self._runs, self.objects
         )
         self._build_admission()
-        self.host.hands = _ModuleActions(
+        self.host.action_handler = _ModuleActions(
             self.offers, self._requests, self._runs, self.fleet, self.objects
         )
-        self._checkpoint = Checkpoint(self.base, self.fleet)
+        self._checkpoint = Checkpoint(self.context, self.fleet)
         self.maintenance: MaintenanceSlots | None = None
         if settings.agree is not None:
             self._build_agreement()
         self.subset: Subset | None = None
         if settings.subset is not None:
             self._build_subset(settings.subset)
-        self.learner = Learner(hub, settings, self.peer_hints, self.base.started_us, log)
+        self.learner = Learner(hub, settings, self.peer_hints, self.context.started_us, log)
         self._build_drains(settings, log)
 
-    # -- building
+    # -- construction
 
     def _build_core(self, settings: PlacerSettings) -> None:
-        """The module, and what a task passes on every placer."""
-        base = self.base
+        """The decision module, and the components that handle tasks on every placer."""
+        context = self.context
         limits = settings.limits
         self.job_store = JobStore(
             Admission(limits.tasks_open, limits.tasks_per_namespace), limits.jobs_kept
         )
         self.attempts = Attempts()
         self.machines = Machines()
-        self.host = Host(base, module_settings(settings))
-        self.objects = ApiObjects(base, self.job_store)
-        self._requests = Requests(base, self.host, self.job_store, self.attempts, self.objects)
+        self.host = Host(context, module_settings(settings))
+        self.objects = ApiObjects(context, self.job_store)
+        self._requests = Requests(context, self.host, self.job_store, self.attempts, self.objects)
         self.waits = self._requests.waits
-        self.stops = Stops(base.hub, random.Random(base.random.random()), base.spawn, base.counts)
+        self.stops = Stops(
+            context.hub, random.Random(context.random.random()), context.spawn, context.counts
+        )
         self._runs = Runs(
-            base, self.job_store, self.attempts, self.objects, self._requests, self.stops
+            context, self.job_store, self.attempts, self.objects, self._requests, self.stops
         )
         self._orphans = Orphans(
-            base,
+            context,
             self.host,
             self.job_store,
             self.attempts,
@@ -157,9 +162,11 @@
         )
 
     def _build_leases(self, settings: PlacerSettings, lease_us: int) -> None:
-        """Leased Jobs: machines told of this placer's session, records held by replicas."""
-        self.leases = MachineLeases(self.base, self.machines, self.peering.lease, lease_us)
-        records = RecordReplication(self.base.hub, settings, self.base.started_us, self.peering)
+        """Leased Jobs: machines hold leases of this placer's session, other placers replicas of the Job records."""
+        self.leases = MachineLeases(self.context, self.machines, self.peering.lease, lease_us)
+        records = RecordReplication(
+            self.context.hub, settings, self.context.started_us, self.peering
+        )
         self.leased_jobs = LeasedJobs(
             self._job_components(), self.leases, records, self.active_rules.federation
         )
@@ -167,7 +174,7 @@
 
     def _job_components(self) -> JobComponents:
         return JobComponents(
-            self.base,
+            self.context,
             self.job_store,
             self.attempts,
             self.objects,
@@ -177,9 +184,9 @@
         )
 
     def _build_machines(self) -> None:
-        """The machines: the list, offers, what machines report, and peers' hints on them."""
+        """Machines: their list, offers to them, their reports, and peers' hints about them."""
         self.offers = Offers(
-            self.base,
+            self.context,
             self.host,
             self.job_store,
             self.attempts,
@@ -189,37 +196,39 @@
             self.active_rules,
             self.leased_jobs,
         )
-        observations = Observations(
-            self.base, self.host, self.attempts, self.offers, self._runs, self._orphans
+        pod_observer = PodObserver(
+            self.context, self.host, self.attempts, self.offers, self._runs, self._orphans
         )
         self.fleet = Fleet(
-            self.base,
+            self.context,
             self.host,
             self.objects,
             self.machines,
             self.attempts,
             self._runs,
-            observations,
+            pod_observer,
+        )
+        self.peer_hints = PeerHints(
+            self.context, self.host, self.fleet, self.machines, pod_observer
         )
-        self.peer_hints = PeerHints(self.base, self.host, self.fleet, self.machines, observations)
 
     def _build_failover(self, leased_jobs: LeasedJobs) -> None:
-        """Leased Jobs of ended sessions, other placers' and this one's; fences of machines."""
+        """Failover of leased Jobs of ended sessions, of other placers and of this one; fencing of machines."""
         components = self._job_components()
         records = leased_jobs.records
         self.job_failover = JobFailover(components, self.fleet, leased_jobs)
         ended_jobs = EndedSessionJobs(components, leased_jobs)
-        fences = MachineFences(self.base, self.machines, records)
+        fences = MachineFences(self.context, self.machines, records)
         records.connect(FailoverListener(self.job_failover, ended_jobs, fences))
-        self._orphans.is_foreign = ended_jobs.is_stray
+        self._orphans.is_foreign = ended_jobs.is_leased_orphan
 
     def _build_admission(self) -> None:
-        """What fronts ask for; with leases also Jobs to and from other regions."""
+        """Admission of Jobs from fronts; with leases, also forwarding of Jobs to and from other regions."""
         remote_regions = None
         if self.leased_jobs is not None:
             remote_regions = self._build_remote_regions(self.leased_jobs)
         self.admission = JobAdmission(
-            self.base,
+            self.context,
             self.job_store,
             self.attempts,
             self.objects,
@@ -235,7 +244,7 @@
         if remote_regions is not None and self.leased_jobs is not None:
             remote_regions.admission = self.admission
             self.migrations = Migrations(
-                self.base,
+                self.context,
                 self.job_store,
                 self.attempts,
                 self._requests,
@@ -245,35 +254,35 @@
             )
 
     def _build_remote_regions(self, leased_jobs: LeasedJobs) -> RemoteRegions:
-        """Forwarding between regions, and this region's own report to the others."""
+        """Forwarding of Jobs between regions, and this region's report to the other regions."""
         peering = self.peering
         remote_regions = RemoteRegions(
-            self.base, self.job_store, self.objects, self._requests, self.base.started_us
+            self.context, self.job_store, self.objects, self._requests, self.context.started_us
         )
         remote_regions.federation = self.active_rules.federation
         remote_regions.region_statuses = peering.regions.statuses
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
-        local_region = LocalRegion(self.base, self.job_store, self.fleet)
-        local_region.leased = leased_jobs.leased_by_spec
+        local_region = LocalRegion(self.context, self.job_store, self.fleet)
+        local_region.leased_by_spec = leased_jobs.leased_by_spec
         peering.regions.read_own = local_region.report
         return remote_regions
 
     def _build_agreement(self) -> None:
-        """What placers agree on: rules, quotas, ejected machines and maintenance slots."""
+        """Agreement between placers on rules, quotas, ejected machines and maintenance slots."""
         peering, active_rules = self.peering, self.active_rules
         active_rules.recheck_machines = self.fleet.reapply_named
         self.fleet.guards.append(active_rules.guard)
-        active_rules.acting = self._rules_in_force
+        active_rules.permitted_rules = self._rules_in_force
         peering.on_rules = active_rules.on_rules
         peering.on_rights = active_rules.on_quotas
-        active_rules.hurry = peering.hurry
+        active_rules.request_quota_soon = peering.hurry
         peering.uses = self._quota_in_use
         peering.demand = self._quota_demand
-        ejections = OutlierEjections(self.base, self.fleet, self._coordinator)
+        ejections = OutlierEjections(self.context, self.fleet, self._coordinator)
         self.maintenance = MaintenanceSlots(
-            self.base,
+            self.context,
             LocalMachines(
                 self.fleet, self.machines, self.attempts, self.stops, self._drain_schedule
             ),
@@ -282,25 +291,25 @@
             active_rules.in_force,
         )
         peering.on_turns = self.maintenance.on_slots_changed
-        self._requests.on_start_outcome = self.maintenance.observing(ejections.note)
+        self._requests.on_start_outcome = self.maintenance.forwarding_to(ejections.record_outcome)
         peering.zones = ejections.zones
-        peering.on_verdicts = ejections.take
+        peering.on_verdicts = ejections.on_verdicts
         active_rules.quotas = self._quota_account
 
     def _build_subset(self, settings: SubsetSettings) -> None:
-        """The part of the region's machines that this placer holds, and its share of offers to cold ones."""
+        """The subset of the region's machines that this placer holds, and its share of the offers to cold machines."""
         self.subset = Subset(
-            self.base,
+            self.context,
             settings,
             self.fleet,
             self.machines,
             self.attempts,
             self.stops,
             self._members,
-            self.waits.any_long,
+            self.waits.has_long_wait,
         )
         shares = SlowStartShares(
-            self.base,
+            self.context,
             self.fleet,
             self.attempts,
             self.subset.subsets,
@@ -311,9 +320,9 @@
         self.fleet.on_contact = shares.on_contact
 
     def _build_drains(self, settings: PlacerSettings, log: Callable[..., None]) -> None:
-        """Calendar drains, by this placer's own calendar or by the rules that placers agree on."""
+        """Calendar drains, from this placer's own calendars or from the agreed rules."""
         self.drainer = Drainer(
-            self.base.hub,
+            self.context.hub,
             settings.calendars,
             self._class_kinds,
             settings.scheduler.placers,
@@ -323,23 +332,23 @@
             is_agreed=settings.agree is not None,
         )
         if settings.agree is not None:
-            self.active_rules.on_drains = self._on_agreed_drains
+            self.active_rules.on_agreed_drains = self._on_agreed_drains
             self.active_rules.is_drained = self._is_drained_by_agreement
             self.drainer.may_move = self._may_act
             self.drainer.on_closed = self._on_machines_closed
 
-    # -- running
+    # -- execution
 
     def run(self) -> None:
-        """Work until cancelled; raises the error where the core itself failed."""
-        base = self.base
-        with Nursery(base.hub) as nursery:
-            base.live_in(nursery)
+        """Run until cancelled; raises the error with which the decision module failed, if it did."""
+        context = self.context
+        with Nursery(context.hub) as nursery:
+            context.attach_nursery(nursery)
             self._checkpoint.load()
             nursery.spawn(self.fleet.reflector.run, "reflector")
             nursery.spawn(self.fleet.run_restart_timeouts, "rebirth")
             nursery.spawn(self.learner.run, "learner")
-            if base.settings.calendars or self.drainer.is_agreed:
+            if context.settings.calendars or self.drainer.is_agreed:
                 nursery.spawn(self.drainer.run, "drainer")
             nursery.spawn(self.peering.run, "peers")
             if self.subset is not None:
@@ -351,15 +360,15 @@
             if self.leases is not None and self.leased_jobs is not None:
                 nursery.spawn(self.leases.run, "leases")
                 nursery.spawn(self.leased_jobs.records.run, "custody")
-            if base.settings.state:
+            if context.settings.state:
                 nursery.spawn(self._checkpoint.run, "saving")
         if self.host.failed is not None:
             raise self.host.failed
 
-    # -- what components ask of the placer as a whole
+    # -- callbacks of components
 
     def _coordinator(self) -> Coordinator | None:
-        """The state machine by which placers agree; None where this placer takes no part, or not yet."""
+        """The replicated state machine of the agreement; None where this placer takes no part, or not yet."""
         return self.peering.agreement
 
     def _rules_in_force(self, now_us: int) -> RulesInForce | None:
@@ -367,27 +376,27 @@
         return agreement.rules_in_force(now_us) if agreement is not None else None
 
     def _may_act(self) -> bool:
-        """Whether this placer may act on agreed rules now."""
-        return self._rules_in_force(self.base.hub.now_us()) is not None
+        """Whether agreed rules are in force at this placer now."""
+        return self._rules_in_force(self.context.hub.now_us()) is not None
 
     def _quota_account(self) -> QuotaAccount | None:
         agreement = self.peering.agreement
         return agreement.quotas if agreement is not None else None
 
     def _quota_in_use(self, key: str) -> int:
-        """Open tasks under a standing limit, for the report to the voters' leader."""
+        """Number of open tasks under a quota, for the report to the leader of the voters."""
         about, _, rest = key.partition("/")
         return self.job_store.admission.open_count(about, rest.rpartition("/")[0])
 
     def _quota_demand(self, key: str) -> int:
-        """What would be used beyond that. Of the cold budget: as much as waits, as the part of it is not known."""
+        """Demand beyond the use. For the cold budget: all waiting tasks, as it is unknown which ones need it."""
         return self.job_store.unanswered if key == "cold" else 0
 
     def _carry_out_forwarding(self, effects: list[Effect]) -> None:
         self.peering.act("handing", effects)
 
     def _members(self) -> tuple[frozenset[str], int]:
-        """The other placers that membership has alive, and the number of members ever known."""
+        """The other placers that are alive by membership, and the number of members ever known."""
         table = self.peering.membership.table
         return frozenset(each.update.ident for each in table.live_members()), len(table.members)
 
@@ -402,24 +411,24 @@
     def _on_machines_closed(self, machines: frozenset[str]) -> None:
         self.peering.history("closed", machines=sorted(machines))
 
-    # -- what fronts and operators ask
+    # -- queries and settings of fronts and operators
 
     @property
     def ready(self) -> bool:
-        """Whether a list of machines was received from the source."""
+        """Whether a machine list has been received from the list source."""
         return self.fleet.ready
 
     def has_complete_view(self, machines: int) -> bool:
-        """Whether the list names at least `machines` machines and each of them has listed its pods."""
+        """Whether the list contains at least `machines` machines and each of them has listed its pods."""
         return self.fleet.has_complete_view(machines)
 
     def unexpected_transitions(self) -> dict[str, int]:
-        """Transitions that the state tables lack, with their counts; empty unless there is a defect."""
+        """Counts of transitions that the state tables do not allow; empty unless there is a defect."""
         return dict(self.job_store.unexpected_transitions + self.attempts.unexpected_transitions)
 
     def apply_settings(self, fresh: PlacerSettings) -> None:
-        """Apply settings that were read again: patience, priorities, restarts, and limits of admission."""
-        self.base.settings = fresh
+        """Apply reloaded settings: patience, priorities, restarts and admission limits."""
+        self.context.settings = fresh
         self.drainer.reload()
         self.job_store.set_limits(
             fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -1,8 +1,9 @@
-"""Jobs that their federation spec sends to another region, and Jobs that other regions' placers forwarded here.
+"""Forwards Jobs to other regions by their federation spec, and admits Jobs that other regions' placers forward here.
 
-The region is chosen in `decide.federation.region_choice`, the protocol is `decide.regions.forwarding`; this component
-carries both out. A forwarded task has a record at both placers: the sender owes its client the answer; the receiver
-keeps a Job of its own, named after the forwarding ident, and reports its states back.
+`decide.federation.region_choice` chooses the region and `decide.regions.forwarding` is the protocol; this component
+connects them with the Job store. Both placers keep a record of a forwarded task: the sender gives its client the final
+answer; the receiver keeps a Job of its own, named after the forwarding ident, and reports its state changes to the
+sender.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from typing import Any, Protocol
 
 from wingbarrow.core.api_objects import ApiObjects
-from wingbarrow.core.base import Base
-from wingbarrow.core.intake import JobRequest
+from wingbarrow.core.context import CoreContext
+from wingbarrow.core.job_manifest import JobRequest
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
@@ -28,17 +29,17 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 
-ANSWER_MARGIN_US = 100_000  # of the owner's patience, reserved for the answer's way back
-RECEIVER_MARGIN_US = (
-    250_000  # the receiver's patience is shorter by this: its answer crosses regions
-)
+# Reserved within the owner's patience for returning the final answer.
+ANSWER_MARGIN_US = 100_000
+# The receiver's patience is shorter by this, as its answer has to cross regions.
+RECEIVER_MARGIN_US = 250_000
 
 
 class ForwardedJobAdmission(Protocol):
-    """Admission as far as forwarded Jobs use it."""
+    """The part of Job admission that forwarded Jobs use."""
 
     def submit_forwarded(self, value: dict[str, Any], namespace: str) -> None:
-        """Admit a Job; ApiError where it is rejected."""
+        """Admit a Job. Raises ApiError where it is rejected."""
 
     def delete_job(self, key: str) -> dict[str, Any]:
         """Delete a Job and stop its tasks."""
@@ -47,18 +48,24 @@
 class RemoteRegions:
     """Forwards tasks to placers of other regions, and admits what these forward.
 
-    The placer sets `carry_out` (effects of the protocol, by mail), `region_statuses`, `targets` (members that are
-    alive, of the names given), `federation` and `admission` while it builds its components.
+    The placer sets these callbacks while it builds its components: `carry_out` sends the protocol's effects to peers,
+    `region_statuses` gives the status of each region by name, `targets` the live members among the names given,
+    `federation` the federation rules in force. It also sets `admission`.
     """
 
     def __init__(
-        self, base: Base, jobs: JobStore, objects: ApiObjects, requests: Requests, incarnation: int
+        self,
+        context: CoreContext,
+        jobs: JobStore,
+        objects: ApiObjects,
+        requests: Requests,
+        incarnation: int,
     ) -> None:
-        self._base = base
+        self._context = context
         self._jobs = jobs
         self._objects = objects
         self._requests = requests
-        self.sender = forwarding.ForwardSender(base.settings.name, incarnation)
+        self.sender = forwarding.ForwardSender(context.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
         self.region_statuses: Callable[[int], Mapping[str, RegionStatus]] = lambda now_us: {}
@@ -77,12 +84,12 @@
     # -- to other regions
 
     def route(self, request: JobRequest, spec: Spec, is_forwarded: bool) -> str:
-        """The region for a new Job; ApiError 503 with the reason where its spec leaves none now.
+        """Choose the region of a new Job. Raises ApiError 503 with the reason where its spec allows none now.
 
-        One that was forwarded here stays here, or is rejected: no Job is forwarded twice.
+        A Job that was forwarded here stays here or is rejected: no Job is forwarded twice.
         """
-        base, federation = self._base, self.federation()
-        here = base.settings.region
+        context, federation = self._context, self.federation()
+        here = context.settings.region
         if is_forwarded:
             if here not in allowed_regions(spec, federation):
                 raise ApiError(
@@ -98,31 +105,31 @@
             RegionRequest(
                 request.cores, request.memory, request.task_class.task_class.effect.value, here
             ),
-            self.region_statuses(base.hub.now_us()),
-            base.random.random(),
+            self.region_statuses(context.hub.now_us()),
+            context.random.random(),
         )
         if not choice.region:
-            base.counts["turned_away:no region"] += 1
+            context.counts["turned_away:no region"] += 1
             raise ApiError(
                 503,
                 f"federation {spec.name!r} leaves no region now: {choice.reason}",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         if choice.region != here and not self.budget.try_take():
-            base.counts["handing:over the budget"] += 1
+            context.counts["handing:over the budget"] += 1
             if here in allowed_regions(spec, federation):
                 return here
             raise ApiError(
                 503,
                 "too many Jobs are handed over to other regions now",
                 "ServiceUnavailable",
-                retry_after_s=base.random.randrange(1, 5),
+                retry_after_s=context.random.randrange(1, 5),
             )
         return choice.region
 
     def forward_job(self, job: JobRecord, due_us: int, region: str, spec: str) -> None:
-        """Forward all tasks of a Job; those for which no target is known are rejected."""
+        """Forward all tasks of a Job; tasks for which no target is known are rejected."""
         for task in job.tasks:
             if not self.forward_task(task, due_us, region, spec):
                 task.last_outcome = f"no placer of region {region} is known"
@@ -131,14 +138,14 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        status = self.region_statuses(self._base.hub.now_us()).get(region)
+        status = self.region_statuses(self._context.hub.now_us()).get(region)
         targets = self.targets(status.placers if status is not None else ())
-        self._base.random.shuffle(targets)
+        self._context.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
             _manifest(job), spec, is_idempotent, due_us - ANSWER_MARGIN_US
         )
-        ident, effects = self.sender.begin(self._base.hub.now_us(), forwarded, targets)
+        ident, effects = self.sender.begin(self._context.hub.now_us(), forwarded, targets)
         if not ident:
             return False
         self._jobs.open_request(task, due_us)
@@ -148,7 +155,7 @@
         return True
 
     def is_forwarded(self, task: TaskRecord) -> bool:
-        """Whether a task was forwarded and has not ended."""
+        """Whether a task was forwarded to another region and has not ended."""
         return task.name in self._ident_by_task
 
     def is_from_other_region(self, key: str) -> bool:
@@ -156,13 +163,13 @@
         return key in self._ident_by_job
 
     def withdraw(self, task: TaskRecord) -> bool:
-        """Its owner deleted a task: have the other region stop it. False where it was not forwarded."""
+        """Have the other region stop a task that its owner deleted. False where it was not forwarded."""
         ident = self._ident_by_task.pop(task.name, None)
         if ident is None:
             return False
         self._forwarded.pop(ident, None)
         self._jobs.close_request(task)
-        self.carry_out(self.sender.withdraw(self._base.hub.now_us(), ident))
+        self.carry_out(self.sender.withdraw(self._context.hub.now_us(), ident))
         return True
 
     def _on_forward_status(self, ident: str, state: str, machine: str, words: str) -> None:
@@ -174,13 +181,13 @@
             task.machine = machine
             self._jobs.close_request(task)
             self._jobs.transition(task, Step.PLACE)
-            self._base.counts["placed_elsewhere"] += 1
+            self._context.counts["placed_elsewhere"] += 1
         elif state in (forwarding.REJECTED, forwarding.FAILED) and task.answered:
-            # A migration that no receiver accepted: its owner has had the answer, so the task is requested here again.
+            # No receiver accepted this migration. The owner already has its answer: the task is requested here again.
             del self._forwarded[ident]
             del self._ident_by_task[task.name]
             self._jobs.close_request(task)
-            self._requests.submit(task, self._base.hub.now_us() + task.job.request.patience_us)
+            self._requests.submit(task, self._context.hub.now_us() + task.job.request.patience_us)
             return
         elif state in (forwarding.REJECTED, forwarding.FAILED):
             self._requests.reject_or_fail(
@@ -191,15 +198,15 @@
         if state in forwarding.FINAL:
             del self._forwarded[ident]
             self._ident_by_task.pop(task.name, None)
-        self._objects.mark(task.job)
+        self._objects.mark_changed(task.job)
         self._objects.flush()
 
     # -- from other regions
 
     def _receive(self, ident: str, manifest: str, left_us: int) -> None:
-        """Admit a forwarded Job; runs in a task of its own, as admission may wait for a replica."""
+        """Admit a forwarded Job. Runs in a task of its own, as admission may wait for a replica's acknowledgement."""
         assert self.admission is not None, "the placer sets it before anything runs"
-        now = self._base.hub.now_us()
+        now = self._context.hub.now_us()
         try:
             value = names.decode(manifest)
             meta = value["metadata"]
@@ -235,7 +242,7 @@
         self.admission.delete_job(key)
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
+                self._context.hub.now_us(), ident, forwarding.FAILED, "", "stopped"
             )
         )
 
@@ -246,7 +253,7 @@
             self._ident_by_job.pop(key, None)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """A task changed its state: report to the sender of its Job, if it was forwarded here."""
+        """Report a task's new state to the sender of its Job, if the Job was forwarded here."""
         ident = self._ident_by_job.get(task.job.key)
         if ident is None or task.state is before:
             return
@@ -263,27 +270,27 @@
             return
         if state in forwarding.FINAL:
             self._forget(ident)
-        where = f"{self._base.settings.region}/{task.machine}" if task.machine else ""
+        where = f"{self._context.settings.region}/{task.machine}" if task.machine else ""
         self.carry_out(
             self.receiver.report_status(
-                self._base.hub.now_us(), ident, state, where, task.last_outcome
+                self._context.hub.now_us(), ident, state, where, task.last_outcome
             )
         )
 
     # -- `peers.host.Machine`
 
     def on_message(self, now_us: int, ident: str, address: str, message: Any) -> list[Effect]:
-        """A message of the forwarding protocol."""
+        """Handle a message of the forwarding protocol."""
         if isinstance(message, forwarding.ForwardStatus):
             return self._carry_out_here(self.sender.on_message(now_us, ident, address, message))
         return self._carry_out_here(self.receiver.on_message(now_us, ident, address, message))
 
     def on_timer(self, now_us: int, key: str) -> list[Effect]:
-        """One of the sender's timers."""
+        """Handle one of the sender's timers."""
         return self._carry_out_here(self.sender.on_timer(now_us, key))
 
     def _carry_out_here(self, effects: list[Effect]) -> list[Effect]:
-        """Handle notifications; return the other effects for the host."""
+        """Handle the notifications among the effects; return the other effects for the host."""
         out: list[Effect] = []
         for each in effects:
             if not isinstance(each, Notify):
@@ -292,9 +299,9 @@
                 self._on_forward_status(**each.fields)
             elif each.event == "take":
                 fields = each.fields
-                self._base.spawn(
+                self._context.spawn(
                     partial(self._receive, fields["ident"], fields["manifest"], fields["left_us"]),
-                    "takes a Job that was handed over",
+                    "admit a forwarded Job",
                 )
             else:
                 self._on_stop(each.fields["ident"])
@@ -302,7 +309,7 @@
 
 
 def _manifest(job: JobRecord) -> str:
-    """The Job of one task that the receiver is to submit."""
+    """Encode the Job of one task, for the receiver to submit."""
     meta = job.value["metadata"]
     metadata = {key: meta[key] for key in ("labels", "annotations") if key in meta}
     spec = {
--- a/wingbarrow/core/subset.py
+++ b/wingbarrow/core/subset.py
@@ -1,12 +1,12 @@
 """This placer's subset of its region's machines: which machines it holds, when it adds and when it releases them.
 
-A machine that leaves the subset lingers: the module sees it as draining, so that no task is sent there, while its entry
-and its tasks are followed as before. Once it holds no task of this placer, and none can arrive any more, it is
-released. Machines that enter the subset are read by one further list, which each placer requests after a random delay,
-as all placers learn of a membership change at about the same time.
+A machine that leaves the subset lingers: it is shown to the decision module as draining, so that no task is sent there,
+while its entry and its tasks are watched as before. It is released once it holds no task of this placer and none can
+arrive any more. Machines that enter the subset are read by one supplementary list, which each placer requests after a
+random delay, because all placers learn of a membership change at about the same time.
 
-While tasks wait long, the subset is widened by `decide.subset_widening`: the machines of one more rank are read at
-once, by a list of this placer alone, and leave the subset later as others do.
+While tasks wait long, the subset is widened (`decide.subset_widening`): the machines of one more rank are read by a
+list of this placer alone, after a short delay, and leave the subset later like others.
 """
 
 from __future__ import annotations
@@ -17,42 +17,44 @@
 from wingbarrow import interface as api
 from wingbarrow.config.settings import SubsetSettings
 from wingbarrow.core.attempts import Attempts
-from wingbarrow.core.base import Base
+from wingbarrow.core.context import CoreContext
 from wingbarrow.core.fleet import Fleet
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
 from wingbarrow.core.nodes import NodeEntry
-from wingbarrow.core.refills import Refills
 from wingbarrow.core.stops import Stops
+from wingbarrow.core.supplementary_lists import SupplementaryLists
 from wingbarrow.decide.membership_damping import DampedMembership
 from wingbarrow.decide.subset_widening import SubsetWidening
 from wingbarrow.decide.subsets import Subsets
 
 CHECK_INTERVAL_US = 250_000
-ALONE_US = 5_000_000  # without any known member for so long, this placer counts as the only one
-LINGER_US = 10_000_000  # after the last offer to a machine: an abandoned one may start so late
-RELEASE_RETRY_US = 2_000_000  # before a machine that could not be released is checked again
-RELEASE_CONFIRM_US = (
-    1_000_000  # a machine that was stalled may accept offers a little after its answer
-)
-MAX_RELEASES = 16  # at one time
-REFILL_EACH_US = 100_000  # the placers' lists are spread over so long for each placer of the roster
-REFILL_SPREAD_US = 10_000_000  # and at most over this
-WIDEN_SPREAD_US = (
-    200_000  # of a list for widening: other placers may be short of capacity at the same time
-)
+# Without any known member for this long, this placer counts as the only one.
+NO_MEMBERS_TIMEOUT_US = 5_000_000
+# Since the last offer to a machine: an abandoned offer may start its task this late.
+LINGER_US = 10_000_000
+# Until a machine that could not be released is checked again.
+RELEASE_RETRY_US = 2_000_000
+# A machine that was stalled may still accept offers shortly after it responds.
+RELEASE_CONFIRM_US = 1_000_000
+MAX_RELEASES = 16  # concurrent
+# The placers' supplementary lists are spread over this time for each placer of the roster, up to the maximum.
+LIST_SPREAD_PER_PLACER_US = 100_000
+MAX_LIST_SPREAD_US = 10_000_000
+# Of a list for widening: other placers may be short of capacity at the same time.
+WIDENING_LIST_SPREAD_US = 200_000
 
 
 class Subset:
-    """Follows membership and waits; adds and releases machines accordingly.
+    """Adds and releases machines according to the membership and to how long tasks wait.
 
-    `members` gives the names of the placers alive by membership, and the number of members ever known;
-    `waits_long(now_us)` says whether a task has waited long for a machine.
+    `members()` returns the names of the live placers and the number of members ever known; `waits_long(now_us)` whether
+    a task has waited long for a machine.
     """
 
     def __init__(
         self,
-        base: Base,
+        context: CoreContext,
         settings: SubsetSettings,
         fleet: Fleet,
         machines: Machines,
@@ -61,116 +63,119 @@
         members: Callable[[], tuple[frozenset[str], int]],
         waits_long: Callable[[int], bool],
     ) -> None:
-        self._base = base
+        self._context = context
         self._fleet = fleet
         self._machines = machines
         self._attempts = attempts
         self._stops = stops
         self._members = members
         self._waits_long = waits_long
-        self._me = base.settings.name
+        self._name = context.settings.name
         self.subsets = Subsets(settings.rules)
-        self._spread_us = min(REFILL_SPREAD_US, REFILL_EACH_US * len(settings.rules.roster))
-        self._view = DampedMembership(
-            self._me, settings.rules.roster, settings.leave_after_us, settings.settle_us
+        self._spread_us = min(
+            MAX_LIST_SPREAD_US, LIST_SPREAD_PER_PLACER_US * len(settings.rules.roster)
+        )
+        self._membership = DampedMembership(
+            self._name, settings.rules.roster, settings.leave_after_us, settings.settle_us
         )
         self._max_extra = settings.widen
         self._widening = SubsetWidening(settings.widen)
-        self.extra = 0  # further ranks whose machines this placer holds while its tasks wait long
-        self._begun_us = base.hub.now_us()
-        self.living = self._view.live_members(self._begun_us)
-        # Follow every machine of the first list, as the machines of the earlier incarnation are not known.
-        self._follows_all = False
-        self._refills = Refills(base, fleet.reflector, self._spread_us)
-        # Apart from those: a list for widening must not wait for the spread among all placers.
-        self._widening_lists = Refills(base, fleet.reflector, WIDEN_SPREAD_US)
+        # Ranks beyond the replicas whose machines this placer holds while its tasks wait long.
+        self.extra_ranks = 0
+        self._started_us = context.hub.now_us()
+        self.live_members = self._membership.live_members(self._started_us)
+        # Whether to watch every machine of the first list, as the machines of the earlier incarnation are not known.
+        self._watches_all = False
+        self._supplementary_lists = SupplementaryLists(context, fleet.reflector, self._spread_us)
+        # Separate from the above, as a list for widening must not wait for the delay that spreads all placers' lists.
+        self._widening_lists = SupplementaryLists(context, fleet.reflector, WIDENING_LIST_SPREAD_US)
         self._releasing = 0
-        # Lingering machines that could not be released: when to check again.
+        # When to check again lingering machines that could not be released.
         self._retry_at_us: dict[str, int] = {}
-        fleet.reflector.is_wanted = self.is_followed
+        fleet.reflector.is_wanted = self.is_watched
         fleet.guards.append(self._guard)
         fleet.closed_locally.append(lambda name: not self.holds(name))
         fleet.on_state_lost = self._on_state_lost
 
     def holds(self, name: str) -> bool:
         """Whether a machine belongs to this placer's subset."""
-        return self.subsets.holds(self._me, name, self.living, self.extra)
+        return self.subsets.holds(self._name, name, self.live_members, self.extra_ranks)
 
-    def is_followed(self, name: str) -> bool:
-        """Whether a machine's entry is read: it belongs to the subset, or lingers."""
-        return self._follows_all or name in self._machines.links or self.holds(name)
+    def is_watched(self, name: str) -> bool:
+        """Whether a machine is watched: it belongs to the subset, or lingers."""
+        return self._watches_all or name in self._machines.links or self.holds(name)
 
     @property
     def lingering(self) -> list[str]:
-        """Machines that are still followed though they have left the subset."""
+        """Machines that are still watched though they have left the subset."""
         return [name for name in self._machines.links if not self.holds(name)]
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """No new task goes to a machine outside the subset; drains by the list stay."""
+        """Set a machine outside the subset to draining, so that it gets no new task; drains by the list stay."""
         if listed.phase is not api.Phase.RUNNING or self.holds(entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
 
     def _on_state_lost(self) -> None:
-        # Danger (rule 5): tasks of the earlier incarnation on machines outside the subset would not count.
-        self._follows_all = True
+        # Danger (rule 5): otherwise tasks of the earlier incarnation on machines outside the subset would not count.
+        self._watches_all = True
 
     # -- membership
 
     def run(self) -> None:
-        """Follow membership and release machines until cancelled."""
-        self._begun_us = self._base.hub.now_us()
+        """Apply membership changes and release machines until cancelled."""
+        self._started_us = self._context.hub.now_us()
         while True:
-            now = self._base.hub.now_us()
+            now = self._context.hub.now_us()
             self._check_membership(now)
             if self._max_extra:
                 self._check_waits(now)
             self._release_some(now)
             if self._fleet.reflector.relists:
-                self._follows_all = False
-            self._base.hub.sleep(CHECK_INTERVAL_US)
+                self._watches_all = False
+            self._context.hub.sleep(CHECK_INTERVAL_US)
 
     def _check_membership(self, now_us: int) -> None:
-        living, known = self._members()
-        if known or now_us - self._begun_us >= ALONE_US:
-            living |= {self._me}
-        self._view.on_members(now_us, living)
-        living = self._view.live_members(now_us)
-        if living != self.living:
-            self._follow(living)
-
-    def _follow(self, living: frozenset[str]) -> None:
-        before = self.living
-        moved = self._change(living, self.extra)
-        self._base.counts["subset:changes"] += 1
-        self._base.log(
+        live, known = self._members()
+        if known or now_us - self._started_us >= NO_MEMBERS_TIMEOUT_US:
+            live |= {self._name}
+        self._membership.on_members(now_us, live)
+        live = self._membership.live_members(now_us)
+        if live != self.live_members:
+            self._on_membership_change(live)
+
+    def _on_membership_change(self, live: frozenset[str]) -> None:
+        before = self.live_members
+        moved = self._apply(live, self.extra_ranks)
+        self._context.counts["subset:changes"] += 1
+        self._context.log(
             "subset",
-            living=len(living),
+            living=len(live),
             moved=moved,
-            joined=sorted(living - before)[:20],
-            left=sorted(before - living)[:20],
+            joined=sorted(live - before)[:20],
+            left=sorted(before - live)[:20],
         )
-        if before - living:
-            self._refills.ask()
+        if before - live:
+            self._supplementary_lists.request()
 
     def _check_waits(self, now_us: int) -> None:
-        before = self.extra
-        useful = len(self.living) - self.subsets.rules.replicas
+        before = self.extra_ranks
+        useful = len(self.live_members) - self.subsets.rules.replicas
         extra = self._widening.update(now_us, self._waits_long(now_us), useful)
         if extra == before:
             return
-        moved = self._change(self.living, extra)
-        self._base.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
-        self._base.log("subset-width", extra=extra, moved=moved)
+        moved = self._apply(self.live_members, extra)
+        self._context.counts["subset:widened" if extra > before else "subset:narrowed"] += 1
+        self._context.log("subset-width", extra=extra, moved=moved)
         if extra > before:
-            self._widening_lists.ask()
+            self._widening_lists.request()
 
-    def _change(self, living: frozenset[str], extra: int) -> int:
-        """Apply a new membership and width; the number of followed machines that enter or leave the subset."""
+    def _apply(self, live: frozenset[str], extra: int) -> int:
+        """Apply a new membership and width; returns how many held machines enter or leave the subset."""
         held = self._fleet.held
         before = [name for name in held if self.holds(name)]
-        self.living = living
-        self.extra = extra
+        self.live_members = live
+        self.extra_ranks = extra
         changed = set(before) ^ {name for name in held if self.holds(name)}
         if changed:
             self._fleet.reapply([held[name] for name in held if name in changed])
@@ -193,10 +198,10 @@
             elif self._retry_at_us.get(name, 0) <= now_us and self._may_release(link, now_us):
                 self._retry_at_us[name] = now_us + RELEASE_RETRY_US
                 self._releasing += 1
-                self._base.spawn(lambda link=link: self._release(link), f"lets go of {name}")  # type: ignore[misc]
+                self._context.spawn(lambda link=link: self._release(link), f"release {name}")  # type: ignore[misc]
 
     def _is_lost(self, link: MachineLink) -> bool:
-        """Whether a machine known only from the saved list is off the source's list and unreachable."""
+        """Whether a machine known from the saved list is unlisted, unreachable, and has nothing pending."""
         return (
             self._fleet.reflector.relists > 0
             and not link.reachable
@@ -206,29 +211,29 @@
         )
 
     def _may_release(self, link: MachineLink, now_us: int) -> bool:
-        """Whether no task of this placer is known to be there, or can still arrive."""
+        """Whether no task of this placer is known on the machine, and none can still arrive."""
         return (
             link.phase is not api.Phase.GONE
             and link.reachable
             and not self._attempts.on(link)
             and not self._stops.pending_on(link)
-            and (link.offered_us is None or now_us - link.offered_us >= LINGER_US)
+            and (link.last_offer_us is None or now_us - link.last_offer_us >= LINGER_US)
         )
 
     def _release(self, link: MachineLink) -> None:
         try:
-            # Danger: a task of an abandoned start or of an earlier incarnation would run on with no placer to stop it.
-            holds_any = link.holds_any()
-            if holds_any is False:
-                self._base.hub.sleep(RELEASE_CONFIRM_US)
+            # Danger: a task of an abandoned offer or an earlier incarnation would run on without a placer to stop it.
+            has_tasks = link.has_tasks()
+            if has_tasks is False:
+                self._context.hub.sleep(RELEASE_CONFIRM_US)
         finally:
             self._releasing -= 1
         name = link.name
         if (
-            holds_any is False
+            has_tasks is False
             and not self.holds(name)
             and self._machines.links.get(name) is link
-            and self._may_release(link, self._base.hub.now_us())
+            and self._may_release(link, self._context.hub.now_us())
         ):
-            self._base.counts["subset:released"] += 1
+            self._context.counts["subset:released"] += 1
             self._fleet.release(name)
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from wingbarrow.core.life import Life
-from wingbarrow.decide.connection_limits import ConnectionLimits, OwnerConnection
+from wingbarrow.core.placer_runtime import PlacerRuntime
+from wingbarrow.decide.connection_limits import ConnectionActivity, ConnectionLimits
 from wingbarrow.relay.message import BadMessage, Cause, Framer, Kind, Message, encode, with_cause
-from wingbarrow.relay.tasks import Asker, Task
+from wingbarrow.relay.tasks import OwnerConnection, Task
 from wingbarrow.relay.trace import Trace
 from wingbarrow.transport import Listener, Outbox, PeerGone, Stream
 
@@ -33,7 +33,7 @@
 
     __slots__ = (
         "_read_callbacks",
-        "connection",
+        "activity",
         "foreign_ids",
         "framer",
         "number",
@@ -44,9 +44,9 @@
     )
 
     def __init__(
-        self, stream: Stream, outbox: Outbox, connection: OwnerConnection, number: int
+        self, stream: Stream, outbox: Outbox, activity: ConnectionActivity, number: int
     ) -> None:
-        self.stream, self.outbox, self.connection, self.number = stream, outbox, connection, number
+        self.stream, self.outbox, self.activity, self.number = stream, outbox, activity, number
         self.framer = Framer()
         self.tasks: dict[int, Task] = {}  # open set-ups, by id
         # Ids this client sent a set-up for while another owner had them open.
@@ -57,7 +57,7 @@
 
     def write(self, data: bytes) -> bool:
         """Queue `data` for sending; False if the connection is closed, retired, or its buffer is full."""
-        self.connection.was_written_to = True
+        self.activity.was_written_to = True
         return self.stream.open and not self.retired and self.outbox.write(data) == len(data)
 
     def has_stale_input(self, now_us: int) -> bool:
@@ -90,14 +90,14 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         limits: ConnectionLimits,
         on_message: Callable[[Owner, Message, int], None],
         on_disconnect: Callable[[Owner], None],
         free_descriptor: Callable[[], bool],
         trace: Trace,
     ) -> None:
-        self._life, self._limits, self._trace = life, limits, trace
+        self._runtime, self._limits, self._trace = runtime, limits, trace
         self._on_message, self._on_disconnect = on_message, on_disconnect
         self._accepted = 0  # connections so far
         self._free_descriptor = free_descriptor
@@ -115,12 +115,12 @@
         listener.serve(self._serve, MAX_ACCEPTS_PER_TURN)
 
     def _serve(self, stream: Stream) -> None:
-        hub = self._life.hub
+        hub = self._runtime.hub
         self._accepted += 1
         owner = Owner(
             stream,
             Outbox(hub, stream, MAX_UNSENT_BYTES),
-            OwnerConnection(hub.now_us()),
+            ConnectionActivity(hub.now_us()),
             self._accepted,
         )
         self._owners[owner] = None
@@ -138,7 +138,7 @@
                     if message is None:
                         break
                     now = hub.now_us()
-                    owner.connection.last_message_us = now
+                    owner.activity.last_message_us = now
                     self._owners.move_to_end(owner)
                     if message.kind == Kind.RELEASE_HEARD:
                         self._unacknowledged.pop(message.task, None)
@@ -148,8 +148,8 @@
                     if messages_read % MAX_MESSAGES_PER_TURN == 0:
                         hub.checkpoint()
         except BadMessage as error:
-            self._life.counts["owners:unreadable"] += 1
-            self._life.log("owner-protocol-error", level="warning", why=str(error))
+            self._runtime.counts["owners:unreadable"] += 1
+            self._runtime.log("owner-protocol-error", level="warning", why=str(error))
         except PeerGone:
             pass
         finally:
@@ -164,8 +164,8 @@
         owner.stream.close()
 
     def _log_closed(self, why: str) -> None:
-        self._life.counts["owners:" + why] += 1
-        self._life.log("owner-connection-closed", why=why)
+        self._runtime.counts["owners:" + why] += 1
+        self._runtime.log("owner-connection-closed", why=why)
 
     def retire(self, owner: Owner, why: str) -> None:
         """Half-close a connection without open set-ups: its client reads end of stream, and its input is still read.
@@ -176,7 +176,7 @@
         self._log_closed(why)
         owner.retired = True
         owner.stream.end_writing()
-        self._life.hub.call_at(self._life.hub.now_us() + RETIRE_US, owner.stream.close)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + RETIRE_US, owner.stream.close)
 
     def retire_all(self) -> None:
         """Retire all connections whose output has been sent, at the end of the placer."""
@@ -187,11 +187,11 @@
     def _make_room(self) -> None:
         if len(self._owners) <= self._limits.max_connections and self._free_descriptor():
             return
-        connections = {owner.connection: owner for owner in self._owners if owner.stream.open}
+        connections = {owner.activity: owner for owner in self._owners if owner.stream.open}
         fallback: Owner | None = None
         for _ in range(MAX_CLOSE_CANDIDATES):
             chosen = self._limits.connection_to_close(
-                [(each.connection, len(each.tasks)) for each in connections.values()]
+                [(each.activity, len(each.tasks)) for each in connections.values()]
             )
             if chosen is None:
                 break
@@ -206,7 +206,7 @@
 
     def sweep(self) -> None:
         """Retire idle connections and send pending releases, periodically until cancelled."""
-        hub = self._life.hub
+        hub = self._runtime.hub
         while True:
             hub.sleep(SWEEP_INTERVAL_US)
             now = hub.now_us()
@@ -214,11 +214,11 @@
                 if (
                     owner.stream.open
                     and not owner.retired
-                    and self._limits.is_idle(now, owner.connection, len(owner.tasks))
+                    and self._limits.is_idle(now, owner.activity, len(owner.tasks))
                     and owner.stream.is_quiet()
                     and not owner.framer.ready
                 ):
-                    self.retire(owner, "idle" if owner.connection.proven else "silent")
+                    self.retire(owner, "idle" if owner.activity.proven else "silent")
             self._send_pending()
 
     def release(self, ident: int, cause: int) -> None:
@@ -231,15 +231,15 @@
 
     def _resend_unacknowledged(self, closed: Owner) -> None:
         """Resend releases that `closed` did not acknowledge on another connection; owners ignore duplicates."""
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         while self._unacknowledged and next(iter(self._unacknowledged.values()))[0] <= now:
             self._unacknowledged.popitem(last=False)
-        if closed.connection.proven:
+        if closed.activity.proven:
             for ident in [
                 ident for ident, (_, owner, _) in self._unacknowledged.items() if owner is closed
             ]:
                 until_us, _, data = self._unacknowledged.pop(ident)
-                self._life.counts["releases_again"] += 1
+                self._runtime.counts["releases_again"] += 1
                 self._trace(ident, "release again", gone=closed.number)
                 if not self.send_to_any(data, until_us):
                     self._defer(data)
@@ -252,9 +252,9 @@
         if len(self._pending) >= MAX_PENDING_RELEASES:
             _, lost = self._pending.popleft()
             self._trace(int.from_bytes(lost[3:11], "big"), "release dropped")
-            self._life.counts["releases_dropped"] += 1
-        self._pending.append((self._life.hub.now_us() + RELEASE_TTL_US, data))
-        self._life.counts["releases_waited"] += 1
+            self._runtime.counts["releases_dropped"] += 1
+        self._pending.append((self._runtime.hub.now_us() + RELEASE_TTL_US, data))
+        self._runtime.counts["releases_waited"] += 1
         self._trace(int.from_bytes(data[3:11], "big"), "release pending")
 
     def send_to_any(self, data: bytes, until_us: int | None = None) -> bool:
@@ -266,7 +266,7 @@
         candidates = [
             each
             for each in reversed(self._owners)
-            if each.connection.proven and each.stream.open and not each.retired
+            if each.activity.proven and each.stream.open and not each.retired
         ]
         candidates.sort(key=lambda each: not each.tasks)
         owner = next((each for each in candidates if each.write(data)), None)
@@ -275,7 +275,7 @@
         ident = int.from_bytes(data[3:11], "big")
         self._trace(ident, "release told", owner=owner.number)
         self._unacknowledged[ident] = (
-            until_us or self._life.hub.now_us() + ACK_TIMEOUT_US,
+            until_us or self._runtime.hub.now_us() + ACK_TIMEOUT_US,
             owner,
             data,
         )
@@ -283,14 +283,14 @@
             self._unacknowledged.popitem(last=False)
         return True
 
-    def mark_proven(self, owner: Asker) -> None:
+    def mark_proven(self, owner: OwnerConnection) -> None:
         """Mark a connection as an owner's, as a task of it was answered; pending releases may go there."""
-        if not owner.connection.proven:
-            owner.connection.proven = True
+        if not owner.activity.proven:
+            owner.activity.proven = True
             self._send_pending()
 
     def _send_pending(self) -> None:
-        now = self._life.hub.now_us()
+        now = self._runtime.hub.now_us()
         for _ in range(len(self._pending)):
             until_us, data = self._pending.popleft()
             if now >= until_us:
