--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -260,7 +260,7 @@
             self.context, self.job_store, self.objects, self._requests, self.context.started_us
         )
         remote_regions.federation = self.active_rules.federation
-        remote_regions.region_reports = peering.regions.news
+        remote_regions.region_statuses = peering.regions.statuses
         remote_regions.targets = peering.targets
         remote_regions.carry_out = self._carry_out_forwarding
         peering.host("handing", remote_regions, FORWARDING_MESSAGES)
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -1,8 +1,9 @@
 """Forwards Jobs to other regions by their federation spec, and admits Jobs that other regions' placers forward here.
 
-`decide.federation.route` chooses the region and `decide.regions.forwarding` is the protocol; this component connects
-them with the Job store. Both placers keep a record of a forwarded task: the sender gives its client the final answer;
-the receiver keeps a Job of its own, named after the forwarding ident, and reports its state changes to the sender.
+`decide.federation.region_choice` chooses the region and `decide.regions.forwarding` is the protocol; this component
+connects them with the Job store. Both placers keep a record of a forwarded task: the sender gives its client the final
+answer; the receiver keeps a Job of its own, named after the forwarding ident, and reports its state changes to the
+sender.
 """
 
 from __future__ import annotations
@@ -17,8 +18,13 @@
 from wingbarrow.core.job_store import JobRecord, JobStore, State, Step, TaskRecord
 from wingbarrow.core.requests import Requests
 from wingbarrow.decide.effects import Effect, Notify
-from wingbarrow.decide.federation.route import Choice, RegionNews, Wanted, choose
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.region_choice import (
+    RegionChoice,
+    RegionRequest,
+    RegionStatus,
+    choose_region,
+)
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.regions import forwarding
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
@@ -43,7 +49,7 @@
     """Forwards tasks to placers of other regions, and admits what these forward.
 
     The placer sets these callbacks while it builds its components: `carry_out` sends the protocol's effects to peers,
-    `region_reports` gives the latest report of each region by name, `targets` the live members among the names given,
+    `region_statuses` gives the status of each region by name, `targets` the live members among the names given,
     `federation` the federation rules in force. It also sets `admission`.
     """
 
@@ -62,7 +68,7 @@
         self.sender = forwarding.ForwardSender(context.settings.name, incarnation)
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
-        self.region_reports: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
+        self.region_statuses: Callable[[int], Mapping[str, RegionStatus]] = lambda now_us: {}
         self.targets: Callable[[tuple[str, ...]], list[forwarding.Target]] = lambda names: []
         self.federation: Callable[[], Federation] = Federation
         self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
@@ -85,7 +91,7 @@
         context, federation = self._context, self.federation()
         here = context.settings.region
         if is_forwarded:
-            if here not in allowed(spec, federation):
+            if here not in allowed_regions(spec, federation):
                 raise ApiError(
                     503,
                     f"federation {spec.name!r} does not allow region {here}",
@@ -93,11 +99,13 @@
                 )
             return here
         self.budget.on_first_attempt()
-        choice: Choice = choose(
+        choice: RegionChoice = choose_region(
             spec,
             federation,
-            Wanted(request.cores, request.memory, request.task_class.task_class.effect.value, here),
-            self.region_reports(context.hub.now_us()),
+            RegionRequest(
+                request.cores, request.memory, request.task_class.task_class.effect.value, here
+            ),
+            self.region_statuses(context.hub.now_us()),
             context.random.random(),
         )
         if not choice.region:
@@ -110,7 +118,7 @@
             )
         if choice.region != here and not self.budget.try_take():
             context.counts["handing:over the budget"] += 1
-            if here in allowed(spec, federation):
+            if here in allowed_regions(spec, federation):
                 return here
             raise ApiError(
                 503,
@@ -130,8 +138,8 @@
     def forward_task(self, task: TaskRecord, due_us: int, region: str, spec: str) -> bool:
         """Forward one task; False where no placer of that region is known to be alive."""
         job = task.job
-        report = self.region_reports(self._context.hub.now_us()).get(region)
-        targets = self.targets(report.placers if report is not None else ())
+        status = self.region_statuses(self._context.hub.now_us()).get(region)
+        targets = self.targets(status.placers if status is not None else ())
         self._context.random.shuffle(targets)
         is_idempotent = job.request.task_class.task_class.effect.value == "safe"
         forwarded = forwarding.ForwardedJob(
--- a/wingbarrow/decide/federation/faults.py
+++ b/wingbarrow/decide/federation/faults.py
@@ -1,7 +1,7 @@
-"""Faults of a federation: their places, what is known beside the specs, and what several checks ask; no I/O.
+"""Faults of a federation and where they are, the settings they are checked against, and shared checks; no I/O.
 
-A place is a path such as ("federation", 2, "reads", 0): the node's kind, its number in the file, the part. What reads
-files maps paths to lines; where a part has no line of its own, the path's beginning has.
+A fault's path is such as ("federation", 2, "reads", 0): the kind of node, its index in the file, the part of it. The
+settings parser maps paths to lines; a part without a line of its own gets that of the longest prefix of its path.
 """
 
 from __future__ import annotations
@@ -10,46 +10,49 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.form import NAME, NAME_WORDS
-from wingbarrow.decide.federation.spec import CLASS, Spec
+from wingbarrow.decide.federation.encoding import NAME_PATTERN, NAME_RULE
+from wingbarrow.decide.federation.spec import CLASS_SPEC_PREFIX, Spec
 
 Path = tuple[str | int, ...]
 SECOND = 1_000_000
-TURN_US = SECOND  # the longest turn of a hub that is reckoned with
-DRIFT = 0.002  # two clocks, each 500 ppm off, differ by a little more than 1,000 ppm
+MAX_HUB_TURN_US = SECOND  # allowance for the longest turn of the event loop
+# Between two clocks: each may be off by 500 ppm, so that they differ by a little more than 1,000 ppm.
+MAX_RELATIVE_DRIFT = 0.002
 
 
-def proof_us(lease_us: int) -> int:
-    """How long after its last renewal nothing rests on a lease any more, by any clock: drift and a turn later."""
-    return int(lease_us * (1 + DRIFT)) + 1 + TURN_US
+def lease_expiry_us(lease_us: int) -> int:
+    """Return how long after its last renewal a lease has expired by every clock: with drift and one turn of the hub."""
+    return int(lease_us * (1 + MAX_RELATIVE_DRIFT)) + 1 + MAX_HUB_TURN_US
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What is known beside the specs: regions that have machines, each placer's, the lease, classes' effects.
+class ValidationContext:
+    """The settings that specs are checked against.
 
-    `rooms`: (region, cores, MiB) that each surely has, where that is said. `bare`: regions without machines.
+    regions: those that have machines.
+    capacities: (region, cores, MiB), the capacity that a region is stated to have.
+    regions_without_machines: known, but not usable in a spec.
     """
 
     regions: tuple[str, ...] = ()
-    places: Mapping[str, str] = field(default_factory=dict)
+    region_by_placer: Mapping[str, str] = field(default_factory=dict)
     lease_us: int = 0
-    effects: Mapping[str, str] = field(default_factory=dict)
-    rooms: tuple[tuple[str, float, int], ...] = ()
-    bare: tuple[str, ...] = ()
+    effect_by_class: Mapping[str, str] = field(default_factory=dict)
+    capacities: tuple[tuple[str, float, int], ...] = ()
+    regions_without_machines: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Where, and what is wrong; `other` is the place of what it does not go with."""
+    """Path of a faulty node and what is wrong; `related_path` is that of the node it conflicts with, () for none."""
 
     path: Path
-    words: str
-    other: Path = ()
+    message: str
+    related_path: Path = ()
 
 
-def unfit(spec: Spec, effect: str, lease_us: int) -> str:
-    """Why work of an effect cannot go by a spec; "" where it can."""
+def effect_conflict(spec: Spec, effect: str, lease_us: int) -> str:
+    """Return why tasks of a class with this effect cannot use a spec; "" where they can."""
     over = spec.failover
     if effect != "unsafe":
         return ""
@@ -57,47 +60,53 @@
         return (
             'fails over on "refusing", a suspicion: what must not start twice moves on proof alone'
         )
-    if over is not None and over.on and over.after_us < proof_us(lease_us):
+    if over is not None and over.on and over.after_us < lease_expiry_us(lease_us):
         return (
-            f"fails over after {seconds(over.after_us)}, before it is proved that the lease is over: "
-            f"{seconds(proof_us(lease_us))} at the least"
+            f"fails over after {format_seconds(over.after_us)}, before it is proved that the lease is over: "
+            f"{format_seconds(lease_expiry_us(lease_us))} at the least"
         )
     if spec.back.when == "stable":
         return "returns by moving what runs, and what must not start twice is never moved"
     return ""
 
 
-def seconds(time_us: int) -> str:
-    """A time in words."""
+def format_seconds(time_us: int) -> str:
+    """Format a duration in seconds."""
     return f"{time_us / SECOND:g} s"
 
 
-def near(name: str, known: Iterable[str]) -> str:
-    """A hint at the nearest of some names; "" where none is near."""
+def name_suggestion(name: str, known: Iterable[str]) -> str:
+    """Return a "did you mean" hint with the closest known name; "" where none is close."""
     found = difflib.get_close_matches(name, list(known), 1)
     return f"; did you mean {found[0]!r}?" if found else ""
 
 
 def name_faults(path: Path, what: str, name: str) -> list[Fault]:
-    """Whether a name can be written as placers agree on it; those with a colon are made here."""
-    good = NAME.fullmatch(name) and (
+    """Return a fault if a name cannot be encoded. Colons are reserved for specs with CLASS_SPEC_PREFIX."""
+    good = NAME_PATTERN.fullmatch(name) and (
         ":" not in name
-        or (what == "federation" and name.startswith(CLASS) and ":" not in name[len(CLASS) :])
+        or (
+            what == "federation"
+            and name.startswith(CLASS_SPEC_PREFIX)
+            and ":" not in name[len(CLASS_SPEC_PREFIX) :]
+        )
     )
-    return [] if good else [Fault(path, f"{what} {name[:60]!r}: {NAME_WORDS} are wanted")]
+    return [] if good else [Fault(path, f"{what} {name[:60]!r}: expected {NAME_RULE}")]
 
 
-def region_faults(path: Path, what: str, names: tuple[str, ...], known: Known) -> list[Fault]:
-    """Regions that nobody knows, or that are named twice."""
+def region_faults(
+    path: Path, what: str, names: tuple[str, ...], known: ValidationContext
+) -> list[Fault]:
+    """Return a fault for each region that is unknown, has no machines or is named twice."""
     out = []
     for at, name in enumerate(names):
-        if name in known.bare:
+        if name in known.regions_without_machines:
             out.append(Fault(path, f"{what}: region {name!r} has no machines"))
         elif name not in known.regions:
             out.append(
                 Fault(
                     path,
-                    f"{what}: no such region in `agree`: {name[:60]!r}{near(name, known.regions)}",
+                    f"{what}: no such region in `agree`: {name[:60]!r}{name_suggestion(name, known.regions)}",
                 )
             )
         if name in names[:at]:
