--- a/benchmarks/federation_choice.py
+++ b/benchmarks/federation_choice.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.federation_choice --seeds 10
 
-This one (`decide.federation.route`), a fixed order (the nearest region that has room by the news), and least load (of
-all that are allowed). Simulated regions of 1,000 cores; news is as old as it is between placers (up to 1.4 s); work
-that finds no room where it was sent waits for its patience there, and is refused. No way has a budget of hand-overs.
+This one (`decide.federation.region_choice`), a fixed order (the nearest region that has room by the news), and least
+load (of all that are allowed). Simulated regions of 1,000 cores; news is as old as it is between placers (up to 1.4 s);
+work that finds no room where it was sent waits for its patience there, and is refused. No way has a budget of
+hand-overs.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wingbarrow.decide.federation.form import normal
-from wingbarrow.decide.federation.route import RegionNews, Wanted, choose
-from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed
+from wingbarrow.decide.federation.encoding import normalized
+from wingbarrow.decide.federation.region_choice import RegionRequest, RegionStatus, choose_region
+from wingbarrow.decide.federation.spec import DataSet, Federation, Need, Spec, allowed_regions
 
 REGIONS = ("north", "south", "east")
 CORES, LIFE_S, PATIENCE_S, AGAIN_S, NEWS_S, LAG_S = 1000.0, 20.0, 1.0, 0.25, 0.7, 0.7
@@ -59,39 +60,42 @@
                 data=(Need(f"{home}-two", "wanted", 4096, 120_000_000),),
             ),
         ]
-    return normal(Federation(tuple(out), tuple(sets)))
+    return normalized(Federation(tuple(out), tuple(sets)))
 
 
-News = dict[str, RegionNews]
-Way = Callable[[Spec, Federation, Wanted, News, random.Random], str]
+News = dict[str, RegionStatus]
+Way = Callable[[Spec, Federation, RegionRequest, News, random.Random], str]
 
 
-def ours(spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random) -> str:
+def ours(
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
+) -> str:
     """The module's."""
-    return choose(spec, federation, wanted, news, rng.random()).region
+    return choose_region(spec, federation, wanted, news, rng.random()).region
 
 
 def in_order(
-    spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The first that has room, by its data and then by preference; the first of all where none has."""
-    near = [region for region in allowed(spec, federation) if not news[region].lost]
+    near = [region for region in allowed_regions(spec, federation) if not news[region].lost]
     near.sort(
         key=lambda region: (
             not _near(spec, federation, region),
-            spec.order(wanted.here).index(region),
+            spec.preference_order(wanted.origin).index(region),
         )
     )
     return next(
-        (region for region in near if news[region].cores >= wanted.cores), near[0] if near else ""
+        (region for region in near if news[region].free_cores >= wanted.cores),
+        near[0] if near else "",
     )
 
 
 def least(
-    spec: Spec, federation: Federation, wanted: Wanted, news: News, rng: random.Random
+    spec: Spec, federation: Federation, wanted: RegionRequest, news: News, rng: random.Random
 ) -> str:
     """The least loaded."""
-    able = [region for region in allowed(spec, federation) if not news[region].lost]
+    able = [region for region in allowed_regions(spec, federation) if not news[region].lost]
     return min(able, key=lambda region: news[region].load, default="")
 
 
@@ -100,7 +104,8 @@
 
 def _near(spec: Spec, federation: Federation, region: str) -> bool:
     return all(
-        dict(federation.sets[each.dataset].copies).get(region, each.behind_us + 1) <= each.behind_us
+        dict(federation.datasets_by_name[each.dataset].copies).get(region, each.behind_us + 1)
+        <= each.behind_us
         for each in spec.data
     )
 
@@ -157,7 +162,7 @@
                     (
                         now_s,
                         {
-                            region: RegionNews(
+                            region: RegionStatus(
                                 region,
                                 0,
                                 (CORES - free[region] + asked[region]) / CORES,
@@ -195,7 +200,9 @@
                 news = next(
                     (each for at, each in reversed(told) if at <= now_s - LAG_S), told[0][1]
                 )
-                where = self.way(spec, federation, Wanted(cores, 1.0, "safe", here), news, chances)
+                where = self.way(
+                    spec, federation, RegionRequest(cores, 1.0, "safe", here), news, chances
+                )
                 late = now_s >= WARM_S
                 counts.came += late
                 if not where:
--- a/wingbarrow/core/ended_session.py
+++ b/wingbarrow/core/ended_session.py
@@ -14,7 +14,7 @@
 from wingbarrow.core.job_components import JobComponents
 from wingbarrow.core.job_store import RUNNING, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import LeasedJobs
-from wingbarrow.core.link import MachineLink
+from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import PodStatus
 from wingbarrow.decide.sessions.recovery import OwnJob
 from wingbarrow.decide.sessions.session import Session
@@ -62,7 +62,7 @@
         primary = self._replicator.primary
         for job in self._leased_jobs.jobs.values():
             replicated = primary.jobs.get(job.uid) or primary.former_jobs.get(job.uid)
-            if job.leased is not None and job.leased.session == text and replicated is not None:
+            if job.lease is not None and job.lease.session == text and replicated is not None:
                 runs = any(task.state in RUNNING for task in job.tasks)
                 given_up[job.uid] = GivenUpJob(OwnJob(replicated.record, runs), job)
         while len(self._given_up) > MAX_REMEMBERED_SESSIONS:
@@ -88,13 +88,13 @@
         """Send no more offers of a Job, and stop its copies unless it must not start twice."""
         is_unsafe = job.request.task_class.task_class.effect is api.Effect.UNSAFE
         self._leased_jobs.jobs.pop(job.uid, None)
-        if job.leased is not None:
-            job.leased = replace(job.leased, session="")
+        if job.lease is not None:
+            job.lease = replace(job.lease, session="")
         job.conditions[condition] = reason, message
         for task in job.tasks:
             attempt = self._attempts.of(task.request) if task.request else None
             task.last_outcome = message
-            if task.state is State.ASKED:
+            if task.state is State.PENDING:
                 job.lease_lost = True
                 self._give_up_request(task, attempt, message, is_unsafe=is_unsafe)
             elif task.state is State.RETRYING:
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from wingbarrow import interface as api
-from wingbarrow.core.life import Life
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.scheduler import Scheduler
 from wingbarrow.transport import Timer
 
@@ -41,9 +41,9 @@
 class Host:
     """The decision module with its event queue and its timers."""
 
-    def __init__(self, life: Life, settings: api.Settings) -> None:
-        self._life = life
-        self._scheduler = Scheduler(settings, life.random.randrange(1 << 48))
+    def __init__(self, runtime: PlacerRuntime, settings: api.Settings) -> None:
+        self._runtime = runtime
+        self._scheduler = Scheduler(settings, runtime.random.randrange(1 << 48))
         self._queue: deque[api.Event] = deque()
         self._timers: dict[str, Timer] = {}
         self._is_handling = False
@@ -65,15 +65,15 @@
             while self._queue:
                 next_event = self._queue.popleft()
                 started_ns = time.perf_counter_ns()
-                actions = self._scheduler.handle(self._life.hub.now_us(), next_event)
+                actions = self._scheduler.handle(self._runtime.hub.now_us(), next_event)
                 self.module_ns += time.perf_counter_ns() - started_ns
                 for action in actions:
                     self._carry_out(action, action_handler)
         except Exception as error:
             # A core that failed halfway through an event must not place any more tasks: the whole placer ends.
             self.failed = error
-            self._life.log("core-failed", level="error", why=f"{type(error).__name__}: {error}")
-            self._life.end()
+            self._runtime.log("core-failed", level="error", why=f"{type(error).__name__}: {error}")
+            self._runtime.shut_down()
             raise
         finally:
             self._is_handling = False
@@ -95,9 +95,9 @@
                 action_handler.probe(machine)
             case api.WatchList():
                 # The list is watched for the placer's whole lifetime, so that there is nothing more to do.
-                self._life.counts["watch_list"] += 1
+                self._runtime.counts["watch_list"] += 1
             case api.Log(text):
-                self._life.log("module", text=text)
+                self._runtime.log("module", text=text)
 
     def _set_timer(self, at_us: int, name: str) -> None:
         def on_due() -> None:
@@ -105,7 +105,7 @@
             self.feed(api.TimerDue(name))
 
         # A request's own timer gives the final answer that its owner is owed: it runs before other timers that are due.
-        timer = self._life.hub.call_at(at_us, on_due, owed=name.isdecimal())
+        timer = self._runtime.hub.call_at(at_us, on_due, owed=name.isdecimal())
         if name.isdecimal():
             self._timers[name] = timer
 
@@ -117,4 +117,4 @@
 
     def knowledge(self) -> api.Knowledge:
         """The module's knowledge of machines."""
-        return self._scheduler.knowledge(self._life.hub.now_us())
+        return self._scheduler.knowledge(self._runtime.hub.now_us())
--- a/wingbarrow/core/job_admission.py
+++ b/wingbarrow/core/job_admission.py
@@ -257,7 +257,7 @@
             return
         if state is State.RETRYING:
             self._runs.cancel_retry(task)
-        elif state is State.ASKED:
+        elif state is State.PENDING:
             self._requests.withdraw(task)
             if attempt is None:
                 return
@@ -272,7 +272,7 @@
                     attempt.link,
                     task.job.request.namespace,
                     attempt.key,
-                    settled=lambda: attempt.stage is Stage.ENDED,
+                    is_settled=lambda: attempt.stage is Stage.ENDED,
                 )
             elif attempt.scope is not None:
                 attempt.scope.cancel()  # nothing was sent: no stop is needed
--- a/wingbarrow/core/migrations.py
+++ b/wingbarrow/core/migrations.py
@@ -1,4 +1,4 @@
-"""Migration of running tasks to another region: stopped here first, then forwarded; kept here where nobody accepts."""
+"""Migration of running tasks to another region: stopped here first, then forwarded; run here again if none accepts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wingbarrow.core.remote_regions import RemoteRegions
 from wingbarrow.core.requests import Requests
 from wingbarrow.core.runs import Runs
-from wingbarrow.decide.federation.moving import Move, Run, moves
+from wingbarrow.decide.federation.migration import Migration, MovableTask, due_migrations
 from wingbarrow.decide.federation.spec import Federation
 
 SCAN_INTERVAL_US = 1_000_000
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Migration:
-    """A task on its way: the spec by which it migrates, its target region, and the time of the decision."""
+    """A task that migrates: the spec that asks for it, the target region, and the time of the decision."""
 
     task: TaskRecord
     spec: str
@@ -31,7 +31,7 @@
 
 
 class Migrations:
-    """Starts migrations that `decide.federation.moving` finds due; owns those under way, by task name."""
+    """Starts migrations that `decide.federation.migration` finds due, and owns those in progress, by task name."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._leased_jobs = leased_jobs
         self._remote_regions = remote_regions
         self._migrating: dict[str, _Migration] = {}
-        self._scan_offset = 0  # in the list of leased Jobs, of the next scan
+        self._scan_offset = 0  # index in the list of leased Jobs at which the next scan starts
         requests.try_forward = self._try_forward
         jobs.state_listeners.append(self._on_state_change)
 
@@ -72,36 +72,36 @@
         if not self._leased_jobs.jobs or not _can_migrate(federation):
             return
         task_by_request: dict[int, TaskRecord] = {}
-        runs: list[Run] = []
+        runs: list[MovableTask] = []
         for task, run in self._movable_runs():
-            task_by_request[run.number] = task
+            task_by_request[run.request] = task
             runs.append(run)
-        for move in moves(
+        for move in due_migrations(
             runs,
             federation,
             self._context.settings.region,
-            self._remote_regions.region_news(now),
+            self._remote_regions.region_statuses(now),
             Counter(each.spec for each in self._migrating.values()),
         ):
-            self._start(task_by_request[move.number], move, now)
+            self._start(task_by_request[move.request], move, now)
 
-    def _movable_runs(self) -> list[tuple[TaskRecord, Run]]:
-        """Of the next Jobs in turn: tasks that run, are not migrating, and whose owner is certain of their answer."""
+    def _movable_runs(self) -> list[tuple[TaskRecord, MovableTask]]:
+        """Tasks of the next MAX_SCANNED Jobs that run, do not migrate yet, and whose owner was surely answered."""
         jobs = list(self._leased_jobs.jobs.values())
         begin = self._scan_offset % len(jobs)
         scanned = (jobs[begin:] + jobs[:begin])[:MAX_SCANNED]
         self._scan_offset = begin + len(scanned)
-        movable: list[tuple[TaskRecord, Run]] = []
+        movable: list[tuple[TaskRecord, MovableTask]] = []
         for job in scanned:
-            if job.leased is None:
+            if job.lease is None:
                 continue
             is_from_other_region = self._remote_regions.is_from_other_region(job.key)
             movable += [
                 (
                     task,
-                    Run(
+                    MovableTask(
                         task.request,
-                        job.leased.spec,
+                        job.lease.spec,
                         job.request.cores,
                         job.request.memory,
                         job.request.task_class.task_class.effect.value,
@@ -115,31 +115,35 @@
             ]
         return movable
 
-    def _start(self, task: TaskRecord, move: Move, now_us: int) -> None:
-        attempt = self._attempts.of(move.number)
+    def _start(self, task: TaskRecord, move: Migration, now_us: int) -> None:
+        attempt = self._attempts.of(move.request)
         if attempt is None or attempt.stage is not Stage.PLACED or attempt.stopping is not None:
             return
-        leased = task.job.leased
+        lease = task.job.lease
         self._migrating[task.name] = _Migration(
-            task, leased.spec if leased is not None else "", move.region, now_us
+            task, lease.spec if lease is not None else "", move.region, now_us
         )
-        self._context.counts[f"moved to another region: {move.why}"] += 1
+        self._context.counts[f"moved to another region: {move.cause}"] += 1
         self._context.log(
-            "moves-region", job=task.job.key, task=task.index, region=move.region, why=move.why
+            "region-migration-started",
+            job=task.job.key,
+            task=task.index,
+            region=move.region,
+            why=move.cause,
         )
-        self._runs.move(move.number)
+        self._runs.move(move.request)
 
     def _try_forward(self, task: TaskRecord) -> bool:
-        """A stopped task is requested again: forward it if it is migrating; whether that was done."""
+        """Forward a stopped task that is requested again, if it is migrating; whether it was forwarded."""
         migration = self._migrating.get(task.name)
-        if migration is None or task.state is not State.ASKED:
+        if migration is None or task.state is not State.PENDING:
             return False
         due_us = self._context.hub.now_us() + task.job.request.patience_us
         return self._remote_regions.forward_task(task, due_us, migration.region, migration.spec)
 
     def _on_state_change(self, task: TaskRecord, before: State) -> None:
-        """Forget a migration that ended; release the lease of a Job that runs in another region entirely."""
-        is_placed_again = task.state is State.PLACED and before is State.ASKED
+        """Remove a migration that ended, and release the lease of a Job whose open tasks all run in another region."""
+        is_placed_again = task.state is State.PLACED and before is State.PENDING
         if task.name not in self._migrating or (task.state in OPEN and not is_placed_again):
             return
         del self._migrating[task.name]
@@ -155,7 +159,7 @@
 
 
 def _can_migrate(federation: Federation) -> bool:
-    """Whether any spec has a reason to move running tasks."""
+    """Whether any spec allows running tasks to migrate."""
     return any(
         each.back.when != "never"
         or (each.failover is not None and ({"closed", "refusing"} & set(each.failover.on)))
--- a/wingbarrow/core/outlier_ejection.py
+++ b/wingbarrow/core/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Verdicts on machines as the core goes by them: what starts came to is told, what verdicts close gets nothing."""
+"""Outlier ejection: reports the outcomes of starts, and sends no offers to machines that agreed verdicts eject."""
 
 from __future__ import annotations
 
@@ -11,29 +11,37 @@
 from wingbarrow.core.nodes import NodeEntry
 from wingbarrow.decide.coordination.coordinator import Coordinator
 
-# A refusal for want of room is no fault of a machine's, and what was not sent or given up here none either.
-FAULTS = (api.Outcome.ERROR, api.Outcome.TIMED_OUT, api.Outcome.UNREACHABLE, api.Outcome.BROKEN)
+# A refusal for lack of capacity is no fault of the machine, nor is an offer that was not sent or was cancelled here.
+FAULT_OUTCOMES = (
+    api.Outcome.ERROR,
+    api.Outcome.TIMED_OUT,
+    api.Outcome.UNREACHABLE,
+    api.Outcome.BROKEN,
+)
 
 
 class OutlierEjections:
-    """`agreement` gives the state machine that placers agree by, None where there is none."""
+    """Applies the ejection verdicts to the machine list.
+
+    `coordinator` returns the replicated state machine through which placers agree, None where there is none.
+    """
 
     def __init__(
-        self, context: CoreContext, fleet: Fleet, agreement: Callable[[], Coordinator | None]
+        self, context: CoreContext, fleet: Fleet, coordinator: Callable[[], Coordinator | None]
     ) -> None:
-        self._context, self._fleet, self._agreement = context, fleet, agreement
-        self._closed: frozenset[str] = frozenset()
+        self._context, self._fleet, self._coordinator = context, fleet, coordinator
+        self._ejected: frozenset[str] = frozenset()
         fleet.guards.append(self._guard)
 
-    def note(self, machine: str, outcome: api.Outcome | None) -> None:
-        """What an attempt came to at a machine; None: it runs."""
-        agreement = self._agreement()
-        if agreement is not None and (outcome is None or outcome in FAULTS):
-            agreement.health_observer.record(self._context.hub.now_us(), machine, outcome is None)
+    def record_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
+        """Record the outcome of an attempt on a machine; None where its task runs."""
+        coordinator = self._coordinator()
+        if coordinator is not None and (outcome is None or outcome in FAULT_OUTCOMES):
+            coordinator.health_observer.record(self._context.hub.now_us(), machine, outcome is None)
 
-    def take(self, closed: frozenset[str]) -> None:
-        """Verdicts close these machines from now on, and no others."""
-        changed, self._closed = self._closed ^ closed, closed
+    def on_verdicts(self, closed: frozenset[str]) -> None:
+        """Apply the verdicts in force: exactly these machines are ejected from now on."""
+        changed, self._ejected = self._ejected ^ closed, closed
         for name in sorted(changed):
             self._context.counts["verdicts:closed" if name in closed else "verdicts:opened"] += 1
             self._context.log("verdict", machine=name, closed=name in closed)
@@ -41,7 +49,7 @@
         self._fleet.reapply([held[name] for name in sorted(changed) if name in held])
 
     def zones(self) -> Mapping[str, str]:
-        """The hall of each machine that the list has running."""
+        """The zone of each machine that the list has as running."""
         return {
             name: entry.listed.zone
             for name, entry in self._fleet.held.items()
@@ -49,15 +57,18 @@
         }
 
     def _guard(self, entry: NodeEntry, listed: api.ListedMachine) -> api.ListedMachine:
-        """Verdicts can only take from what the list says; one on a machine's former life says nothing of this one."""
-        agreement = self._agreement()
+        """Set an ejected machine to draining; a verdict never opens a machine that the list has closed.
+
+        A verdict that is older than the machine's last start does not apply.
+        """
+        coordinator = self._coordinator()
         if (
-            entry.name not in self._closed
+            entry.name not in self._ejected
             or listed.phase is not api.Phase.RUNNING
-            or agreement is None
+            or coordinator is None
         ):
             return listed
         now = self._context.hub.now_us()
-        if listed.launched_us > now - agreement.ejections.age_us(now, entry.name):
+        if listed.launched_us > now - coordinator.ejections.age_us(now, entry.name):
             return listed
         return replace(listed, phase=api.Phase.DRAINING)
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -371,7 +371,7 @@
     def _propose_initial_rules(self) -> None:
         """As the first leader, propose the rule set of the own settings, if none has been accepted yet."""
         agreement = self.agreement
-        if agreement is not None and agreement.is_leader and not agreement.agreed.version:
+        if agreement is not None and agreement.is_leader and not agreement.rule_set_state.version:
             try:
                 text = requested_rule_set(self._settings).text()
             except SettingsError as error:
--- a/wingbarrow/relay/offers.py
+++ b/wingbarrow/relay/offers.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from wingbarrow import interface as api
+from wingbarrow.core.attempt_table import Stage
 from wingbarrow.core.host import Host
-from wingbarrow.core.life import Life
-from wingbarrow.core.stages import Stage
+from wingbarrow.core.placer_runtime import PlacerRuntime
 from wingbarrow.decide import orphans
 from wingbarrow.decide.gate import HoldReason, Offer, SendGate
 from wingbarrow.decide.idempotency import EarlierAttempt, may_repeat
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        life: Life,
+        runtime: PlacerRuntime,
         host: Host,
         requests: RequestTable,
         attempts: Attempts,
@@ -53,10 +53,15 @@
         trace: Trace,
     ) -> None:
         self._trace = trace
-        self._life, self._host, self._requests, self._attempts = life, host, requests, attempts
+        self._runtime, self._host, self._requests, self._attempts = (
+            runtime,
+            host,
+            requests,
+            attempts,
+        )
         self._links, self._owners = links, owners
         self._gate, self._slack_us = SendGate(settings.cold_us, settings.fall_us), settings.tick_us
-        self.probes = Probes(life, host, links)
+        self.probes = Probes(runtime, host, links)
         # Whether updates of the machine list may have arrived and not been read.
         self.list_has_stale_input: Callable[[int], bool] = lambda now_us: False
         # Cause and expiry time of releases of unknown tasks, by machine and task id.
@@ -69,7 +74,7 @@
         task, link = self._requests.by_request.get(bind.request), self._links.of(bind.machine)
         number = task.binds if task else 0
         if task is None or link is None or link.closed:
-            self._life.counts["binds_dropped"] += 1
+            self._runtime.counts["binds_dropped"] += 1
             if task is not None:
                 task.binds += 1
             # UNREACHABLE rather than NOT_SENT: the module then avoids the machine until the list updates it.
@@ -93,12 +98,12 @@
             task,
             link,
             f"{task.ident:016x}/{number}",
-            self._life.hub.now_us(),
+            self._runtime.hub.now_us(),
             bind.give_up_us,
             launched_us=link.launched_us,
         )
         self._attempts.add(attempt)
-        self._life.counts["binds"] += 1
+        self._runtime.counts["binds"] += 1
         self._begin(attempt)
 
     def _begin(self, attempt: Attempt) -> None:
@@ -109,7 +114,7 @@
         if connection is not None:
             self._send(attempt, connection)
         else:
-            self._life.spawn(lambda: self._dial_and_send(attempt), "offer")
+            self._runtime.spawn(lambda: self._dial_and_send(attempt), "offer")
 
     def _dial_and_send(self, attempt: Attempt) -> None:
         link = attempt.link
@@ -123,7 +128,7 @@
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Whether the send gate admits the set-up; checked immediately before its first byte. See decide.gate."""
-        task, link, now = attempt.task, attempt.link, self._life.hub.now_us()
+        task, link, now = attempt.task, attempt.link, self._runtime.hub.now_us()
         hold_reason: HoldReason | None = self._gate.check(
             now,
             Offer(
@@ -140,30 +145,30 @@
             ),
         )
         if hold_reason is not None:
-            self._life.counts["held:" + hold_reason.name.lower()] += 1
+            self._runtime.counts["held:" + hold_reason.name.lower()] += 1
         return hold_reason is None
 
     def _send(self, attempt: Attempt, connection: Connection) -> None:
         task, link = attempt.task, attempt.link
-        if self.list_has_stale_input(self._life.hub.now_us()):
+        if self.list_has_stale_input(self._runtime.hub.now_us()):
             # Danger (rule 3): a drain may have arrived unread. The next turn of the event loop reads the list first.
-            self._life.counts["sends_behind_list"] += 1
-            self._life.spawn(lambda: self._begin(attempt), "offer")
+            self._runtime.counts["sends_behind_list"] += 1
+            self._runtime.spawn(lambda: self._begin(attempt), "offer")
             return
-        if task.owner is not None and task.owner.has_stale_input(self._life.hub.now_us()):
+        if task.owner is not None and task.owner.has_stale_input(self._runtime.hub.now_us()):
             # Danger: the owner's close or release may have arrived unread. The attempt starts once that data is read.
-            self._life.counts["sends_behind"] += 1
+            self._runtime.counts["sends_behind"] += 1
             task.owner.when_read(lambda: self._begin(attempt))
             return
         if not self._may_send(attempt):
             self._end_attempt(attempt, api.Outcome.NOT_SENT)
             return
-        left_ms = max(1, (attempt.deadline_us - self._life.hub.now_us()) // 1000)
+        left_ms = max(1, (attempt.deadline_us - self._runtime.hub.now_us()) // 1000)
         values = {**task.passed_on, int(Code.PATIENCE): b"%d" % left_ms}
         self._attempts.advance(attempt, Stage.SENT)
         link.orphans.pop(task.ident, None)
         connection.open_attempts[task.ident] = attempt
-        connection.used_us = self._life.hub.now_us()
+        connection.used_us = self._runtime.hub.now_us()
         self._trace(
             task.ident, "sent", attempt=attempt.number, machine=link.name, line=connection.number
         )
@@ -212,7 +217,7 @@
         report: api.Report | None = None,
     ) -> None:
         """End an attempt and report it to the decision module; this closes the request unless its answer is pending."""
-        placed, now = attempt.stage is Stage.PLACED, self._life.hub.now_us()
+        placed, now = attempt.stage is Stage.PLACED, self._runtime.hub.now_us()
         connection = self._connection_of(attempt)
         if connection is not None:
             del connection.open_attempts[attempt.task.ident]
@@ -231,7 +236,7 @@
             attempt.task.earlier_attempt = EarlierAttempt(attempt.decided_us, attempt.link.listed)
         if outcome is api.Outcome.ERROR and attempt.task.owner is not None:
             attempt.task.owner.activity.errors += 1
-        self._life.counts[("run:" if placed else "offer:") + outcome.value] += 1
+        self._runtime.counts[("run:" if placed else "offer:") + outcome.value] += 1
         closed = placed or attempt.task.state is not State.PENDING
         waited_us = now - (attempt.placed_us if placed else attempt.decided_us)
         self._host.feed(
@@ -276,13 +281,13 @@
 
     def _on_answer(self, attempt: Attempt, connection: Connection, message: Message) -> None:
         if attempt.stage is not Stage.SENT:
-            self._life.counts["answers_doubled"] += 1
+            self._runtime.counts["answers_doubled"] += 1
             return
         description, task = message.values.get(Code.DESCRIPTION), attempt.task
         if description is None:
             raise BadMessage("the answer has no description parameter")
         del connection.open_attempts[task.ident]
-        connection.used_us = self._life.hub.now_us()
+        connection.used_us = self._runtime.hub.now_us()
         self._attempts.advance(attempt, Stage.PLACED)
         attempt.placed_us = connection.used_us
         attempt.link.running[task.ident] = attempt
@@ -298,7 +303,7 @@
         if not delivered and self._requests.step(task, Step.WITHDRAW):
             # The owner's connection broke in the same turn: the owner does not know that the task runs and would never
             # end it.
-            self._life.counts["answers_unheard"] += 1
+            self._runtime.counts["answers_unheard"] += 1
             self._host.feed(api.TaskWithdrawn(task.request))
             self.stop(attempt, RunEnd.STOPPED, Cause.GIVEN_UP)
 
@@ -322,7 +327,7 @@
         cause = message.cause
         reason = reason_of(message)
         report = parse_report(message.text(Code.REPORT) or "-", ";")
-        self._life.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
+        self._runtime.counts[f"release:{attempt.stage.name.lower()}:{cause}"] += 1
         if attempt.stage is Stage.PLACED:
             self._end_run(
                 attempt, AFTER_ANSWER.get(cause, api.Outcome.BROKEN), reason, cause, report
@@ -338,10 +343,10 @@
             self._end_attempt(attempt, api.Outcome.DONE, reason, report)
             return
         if meaning is EarlyRelease.STOPPED:
-            self._life.counts["answers_overtaken"] += 1
+            self._runtime.counts["answers_overtaken"] += 1
             self._send_final_rejection(task, Step.FAIL, cause)
         elif meaning is EarlyRelease.ENDED:
-            self._life.counts["answers_overtaken"] += 1
+            self._runtime.counts["answers_overtaken"] += 1
             self._schedule_end_notice(task)
         self._end_attempt(attempt, BEFORE_ANSWER.get(cause, api.Outcome.BROKEN), reason, report)
 
@@ -357,7 +362,7 @@
             if attempt is not None:
                 self.abandon(attempt, api.Outcome.CANCELLED)
 
-        self._life.hub.call_at(self._life.hub.now_us() + END_NOTICE_DELAY_US, notify)
+        self._runtime.hub.call_at(self._runtime.hub.now_us() + END_NOTICE_DELAY_US, notify)
 
     def _end_run(
         self,
@@ -391,7 +396,7 @@
         ident = message.task
         if message.kind == Kind.RELEASE:
             link.orphans.pop(ident, None)
-            now = self._life.hub.now_us()
+            now = self._runtime.hub.now_us()
             cause = (message.values.get(Code.CAUSE) or bytes((Cause.RESET,)))[0]
             self._early_releases[link.ident, ident] = cause, now + EARLY_RELEASE_TTL_US
             while (
@@ -400,32 +405,32 @@
             ):
                 self._early_releases.popitem(last=False)
         elif message.kind in (Kind.ANSWER, Kind.NOTE) and link.orphans.pop(ident, False) is None:
-            self._life.counts["strays_stopped"] += 1
+            self._runtime.counts["strays_stopped"] += 1
             link.release(ident, Cause.CANCELLED)
 
     def take_early_release(self, link: Link, ident: int) -> int | None:
         """Remove and return the cause of a release that came before the task was known here; None if there is none."""
         cause, until_us = self._early_releases.pop((link.ident, ident), (0, 0))
-        return cause if self._life.hub.now_us() < until_us else None
+        return cause if self._runtime.hub.now_us() < until_us else None
 
     # -- connection failures
 
     def on_unanswered(self, attempt: Attempt, why: str) -> None:
         """The offer's connection ended before its answer, so the task may have run."""
         self._remember_orphan(attempt)
-        self._life.counts["cut:" + why.partition(":")[0]] += 1
+        self._runtime.counts["cut:" + why.partition(":")[0]] += 1
         self._end_attempt(attempt, api.Outcome.BROKEN)
 
     def on_unresponsive(self, link: Link) -> None:
         """End all open offers to the machine, which does not respond; placed tasks are kept."""
-        self._life.log("machine-unresponsive", level="warning", machine=link.name)
+        self._runtime.log("machine-unresponsive", level="warning", machine=link.name)
         for connection in list(link.connections):
             link.drop(connection, "no connection comes up")
 
     def on_lost(self, link: Link, may_return: bool = False) -> None:
         """End all tasks on the machine; with `may_return`, queue stops for the safe ones in case it comes back."""
         if link.running:
-            self._life.log(
+            self._runtime.log(
                 "machine-lost", level="warning", machine=link.name, running=len(link.running)
             )
         for connection in list(link.connections):
@@ -462,6 +467,6 @@
         if owner is not None:
             owner.tasks.pop(task.ident, None)
             owner.write(refusal(task.ident, cause))
-        self._life.counts["answer:" + step.value] += 1
+        self._runtime.counts["answer:" + step.value] += 1
         self._trace(task.ident, "answer", step=step.value)
         return True
