--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -75,20 +75,20 @@
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         other = next(slot for slot in stage.cluster.placers if slot is not stage.leader())
-        wanted = {"machine": "node-2", "lasts": "10m"}
-        status, answer = stage.ask(other, "POST", wanted, DRAINS)
+        request = {"machine": "node-2", "lasts": "10m"}
+        status, answer = stage.ask(other, "POST", request, DRAINS)
         assert (status, answer["name"]) == (307, stage.leader().name)
-        status, answer = stage.ask(stage.leader(), "POST", wanted, DRAINS)
+        status, answer = stage.ask(stage.leader(), "POST", request, DRAINS)
         assert status == 201
         assert answer["version"] == 2
         assert answer["floors"] == []
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
-        again = stage.ask(stage.leader(), "POST", wanted, DRAINS)
-        assert (again[0], again[1]["key"]) == (200, answer["key"]), (
+        repeated = stage.ask(stage.leader(), "POST", request, DRAINS)
+        assert (repeated[0], repeated[1]["key"]) == (200, answer["key"]), (
             "a repeated request is accepted once, as its first answer may be lost"
         )
         assert stage.ask(stage.leader())[1]["version"] == 2
-        assert stage.ask(stage.leader(), "POST", {**wanted, "machine": "none"}, DRAINS)[0] == 409
+        assert stage.ask(stage.leader(), "POST", {**request, "machine": "none"}, DRAINS)[0] == 409
         since = stage.hub.now_us()
         stage.work(4, "drained")
         assert not stage.sent("node-2", since)
@@ -300,8 +300,8 @@
         assert left.service is not None
         # Both seeds are down: the two discover each other through placers that still probe dead members.
         assert stage.wait(lambda: taken_in.name in left.service.placer.peering.members, 40)
-        wanted = {"voters": [left.name, taken_in.name]}
-        assert stage.ask(stage.leader(), "POST", wanted, f"{RULES}/voters")[0] == 202
+        request = {"voters": [left.name, taken_in.name]}
+        assert stage.ask(stage.leader(), "POST", request, f"{RULES}/voters")[0] == 202
         assert stage.propose("c", barred=["node-1"])[0] == 201
         assert stage.wait(lambda: stage.all_on("e1004"), 20)
         assert stage.ask(taken_in)[1]["voters"] == [left.name, taken_in.name]
--- a/tests/peers/test_ejections_path.py
+++ b/tests/peers/test_ejections_path.py
@@ -34,7 +34,7 @@
 def starts_on_bad_machine(placers: int, agree: bool, seed: int = 3) -> int:
     """The number of offers that one bad machine of eight gets in 12 s."""
     stage = EjectionStage(machines=8, placers=placers, seed=seed)
-    begun: list[int] = []
+    start_us: list[int] = []
 
     def script() -> None:
         if agree:
@@ -42,11 +42,11 @@
             assert stage.wait(lambda: stage.all_on("e1"))
         stage.hub.sleep(2 * S)
         stage.cluster.machines[3].faulty = True
-        begun.append(stage.hub.now_us())
+        start_us.append(stage.hub.now_us())
         stage.work(12, "w")
 
     stage.play(script)
-    return len(stage.offers("node-3", begun[0]))
+    return len(stage.offers("node-3", start_us[0]))
 
 
 def test_two_reporters_eject_a_bad_machine_one_placer_probes_it_and_successes_reinstate_it() -> (
@@ -59,7 +59,7 @@
         assert stage.wait(lambda: stage.all_on("e1"))
         bad = stage.cluster.machines[3]
         bad.faulty = True
-        begun = stage.hub.now_us()
+        start_us = stage.hub.now_us()
         stage.work(5, "a")
         slots = stage.cluster.placers
         assert sum(stage.is_closed(slot, "node-3") for slot in slots) >= 4
@@ -78,7 +78,9 @@
         bad.faulty = False
         stage.work(10, "c")
         assert not any(stage.is_closed(slot, "node-3") for slot in slots)
-        assert len(set(stage.offers("node-3", begun))) >= 4, "the reinstated machine is used again"
+        assert len(set(stage.offers("node-3", start_us))) >= 4, (
+            "the reinstated machine is used again"
+        )
 
     stage.play(script)
 
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -94,10 +94,10 @@
             lambda: None,
         )
         self.pages += 1
-        spoiled = self.spoil(self.pages, page)
-        if spoiled is None:
+        sent_page = self.spoil(self.pages, page)
+        if sent_page is None:
             self.stage.hub.sleep(600 * S)
-        return Answer(200, spoiled or b"")
+        return Answer(200, sent_page or b"")
 
 
 def restarted(stage: Stage, *peers: int) -> Any:
@@ -233,13 +233,13 @@
                 *([observation(f"node-{i % 4}")] * 1 for i in range(2 * MACHINES_PER_PAGE + 8))
             )
         )
-        begun = stage.hub.now_us()
+        start_us = stage.hub.now_us()
         placer = restarted(stage, stuck.server.port)
         stage.submit("at-once")
         assert "Placed" in stage.settled("at-once", 2)
         while placer.learner.state == "asking":
             stage.hub.sleep(S // 10)
-        assert stage.hub.now_us() - begun <= 4 * S
+        assert stage.hub.now_us() - start_us <= 4 * S
         assert placer.learner.state == ("cold" if stall_at == 1 else "learned")
         assert known_warm(placer) >= (set() if stall_at == 1 else {"default/heard"})
 
@@ -270,17 +270,17 @@
 
 
 def test_repeated_or_reordered_pages_end_the_transfer() -> None:
-    for again in (1, 3):
+    for repeated in (1, 3):
         stage = Stage(machines=4)
 
-        def script(again: int = again, stage: Stage = stage) -> None:
+        def script(repeated: int = repeated, stage: Stage = stage) -> None:
             kept: dict[int, bytes] = {}
 
             def spoil(number: int, page: bytes) -> bytes:
                 kept[number] = page
                 return (
-                    kept[again]
-                    if number == 2 and again in kept
+                    kept[repeated]
+                    if number == 2 and repeated in kept
                     else (page.replace(b'"first":200', b'"first":400') if number == 2 else page)
                 )
 
@@ -322,10 +322,10 @@
 
 
 def test_a_constant_clock_offset_is_harmless_and_a_clock_jump_is_not_trusted() -> None:
-    for jump, believed in ((0, True), (1800 * S, False)):
+    for jump, is_trusted in ((0, True), (1800 * S, False)):
         stage = Stage(machines=4)
 
-        def script(jump: int = jump, believed: bool = believed, stage: Stage = stage) -> None:
+        def script(jump: int = jump, is_trusted: bool = is_trusted, stage: Stage = stage) -> None:
             def spoil(number: int, page: bytes) -> bytes:
                 peer.clock_us += jump if number == 1 else 0
                 return page
@@ -337,7 +337,7 @@
             peer.clock_us = 3600 * S
             placer = restarted(stage, peer.server.port)
             stage.hub.sleep(3 * S)
-            assert (known_warm(placer) == {"default/heard"}) is believed
+            assert (known_warm(placer) == {"default/heard"}) is is_trusted
 
         stage.play(script)
 
@@ -443,7 +443,7 @@
         teacher.extra = ALLOW
         teacher.start()
         stage.hub.sleep(S)
-        front = teacher.service.rest.instances  # type: ignore[union-attr]
+        instances = teacher.service.rest.instances  # type: ignore[union-attr]
         answers: list[int] = []
 
         def ask() -> None:
@@ -461,10 +461,10 @@
             stage.hub.sleep(S)
             stage.submit("meanwhile")
             assert "Placed" in stage.settled("meanwhile", 2)
-            assert front.active_transfers == 4
+            assert instances.active_transfers == 4
         assert sorted(answers) == [200] * 4 + [429] * 6
         stage.hub.sleep(2 * S)
-        assert front.active_transfers == 0
+        assert instances.active_transfers == 0
 
     stage.play(script)
 
--- a/tests/peers/test_peering.py
+++ b/tests/peers/test_peering.py
@@ -88,9 +88,13 @@
         stage.join()
         assert stage.wait(stage.all_see_all_alive, 20)
         pool = stage.pool()
-        liar = MemberUpdate("placer-1", 1 << 61, MemberStatus.DEAD, "127.0.0.1:9", "", 1, "liar")
-        stranger = encode_envelope("other", "x", "y:1", [encode_message(Sync(True, (liar,)))])
-        for body in (b"", b"{}", b"\x00" * 300_000, stranger):
+        false_update = MemberUpdate(
+            "placer-1", 1 << 61, MemberStatus.DEAD, "127.0.0.1:9", "", 1, "liar"
+        )
+        foreign_envelope = encode_envelope(
+            "other", "x", "y:1", [encode_message(Sync(True, (false_update,)))]
+        )
+        for body in (b"", b"{}", b"\x00" * 300_000, foreign_envelope):
             assert pool.request("POST", PATH, body).status in (413, 422)
         assert stage.all_see_all_alive()
         stage.hub.sleep(20 * S)
@@ -109,15 +113,17 @@
         assert stage.wait(stage.all_see_all_alive, 20)
         service = stage.cluster.placers[0].service
         assert service is not None
-        words = tuple(
+        updates = tuple(
             MemberUpdate(f"x{number}", 5, MemberStatus.ALIVE, address, "", 5)
             for number, address in enumerate(
                 ("192.0.2.1:80", "example.org:80", "127.0.0.1:0", "nonsense")
             )
         )
         pool = Pool(stage.hub, "127.0.0.1", stage.cluster.placers[0].port)
-        mail = encode_envelope("main", "x9", "127.0.0.1:1", [encode_message(Sync(False, words))])
-        assert pool.request("POST", PATH, mail).status == 200
+        envelope = encode_envelope(
+            "main", "x9", "127.0.0.1:1", [encode_message(Sync(False, updates))]
+        )
+        assert pool.request("POST", PATH, envelope).status == 200
         stage.hub.sleep(10 * S)
         peering = service.placer.peering
         assert peering.counts["peers:addresses refused"] >= 2
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -87,8 +87,8 @@
         assert len(held) == 5
         assert {each["status"]["state"] for each in held.values()} == {"open"}
         assert held[session.text()]["spec"]["leaseDurationSeconds"] == 4
-        keeper = next(each for each in held.values() if each["status"].get("keepsFor"))
-        assert keeper["status"]["keepsFor"] == {session.text(): {"jobs": 7, "afterUs": 5 * S}}
+        holder_item = next(each for each in held.values() if each["status"].get("keepsFor"))
+        assert holder_item["status"]["keepsFor"] == {session.text(): {"jobs": 7, "afterUs": 5 * S}}
         assert list(stage.items(lost)) == [session.text()], "only its own session"
         lost.hold(ended_within_us(LEASE_US, 5 * S) + 5 * S)
         assert stage.wait(lambda: bool(ended), 30)
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -44,8 +44,8 @@
         log(
             "rules-voter-without-store",
             level="error",
-            what="`wingbarrow rules init` makes a new voter's; "
-            "one that lost it is left out and taken in anew (`wingbarrow rules voters`)",
+            what="`wingbarrow rules init` creates the store of a new voter; "
+            "a voter that lost its store must be removed and added again (`wingbarrow rules voters`)",
         )
     return store, persistent
 
--- a/wingbarrow/peers/learner.py
+++ b/wingbarrow/peers/learner.py
@@ -125,15 +125,15 @@
         announcements: list[Announcement] = []
 
         def ask(peer: PeerAddress) -> None:
-            begun = self._hub.now_us()
+            start_us = self._hub.now_us()
             try:
                 response = self._pool(peer).request(
-                    "GET", f"{API_ROOT}/instance", until_us=begun + ANNOUNCE_TIMEOUT_US
+                    "GET", f"{API_ROOT}/instance", until_us=start_us + ANNOUNCE_TIMEOUT_US
                 )
                 if response.status != 200:
                     raise KnowledgePageError(f"status {response.status}")
                 announcement, _ = decode_instance(
-                    response.body, str(peer), self._hub.now_us() - begun
+                    response.body, str(peer), self._hub.now_us() - start_us
                 )
             except (CallFailed, KnowledgePageError) as error:
                 self.counts["no_announcement"] += 1
@@ -154,8 +154,8 @@
         clock = ClockCheck()
         max_machines = self._settings.limits.machines
         while True:
-            begun = self._hub.now_us()
-            if begun >= end_us:
+            start_us = self._hub.now_us()
+            if start_us >= end_us:
                 self.counts["stalled"] += 1
                 return False
             query = f"?limit={MACHINES_PER_PAGE}" + (f"&continue={quote(token)}" if token else "")
@@ -178,7 +178,7 @@
                     "peer-page-invalid", level="warning", peer=str(peer), why=str(error)[:200]
                 )
                 return False
-            if not self._apply_page(page, clock, begun):
+            if not self._apply_page(page, clock, start_us):
                 return False
             snapshot, expected = page.snapshot, page.first + len(page.observations)
             if not page.next:
--- a/wingbarrow/peers/message.py
+++ b/wingbarrow/peers/message.py
@@ -2,7 +2,7 @@
 
 An envelope is a JSON object of form, cluster, sender, its address, and messages (`letters` on the wire). A message has a
 kind and a body, which is the kind's dataclass. A message of an unknown kind is skipped and counted, since a later
-version may know more kinds. A message of a known kind that cannot be decoded or is over a bound rejects the whole
+version may know more kinds. A message of a known kind that cannot be decoded or exceeds a bound rejects the whole
 envelope: its sender does not speak this protocol.
 """
 
--- a/wingbarrow/peers/message_bounds.py
+++ b/wingbarrow/peers/message_bounds.py
@@ -285,8 +285,8 @@
             for spec, cores, memory in report.leased
         )
         and all(
-            0 <= figure < 1e12
-            for figure in (report.cores, report.memory, report.free_cores, report.free_memory)
+            0 <= value < 1e12
+            for value in (report.cores, report.memory, report.free_cores, report.free_memory)
         )
     )
 
@@ -297,8 +297,8 @@
         and len(summary.placers) <= MAX_REGIONS
         and _are_in_range(summary.age_us, summary.refusing_us, summary.stable_us)
         and all(
-            -1e12 < figure < 1e12
-            for figure in (
+            -1e12 < value < 1e12
+            for value in (
                 summary.load,
                 summary.cores,
                 summary.memory,
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -107,14 +107,16 @@
 class RecordReplication:
     """Replicates records for the core, and passes events to the listener that `connect` sets."""
 
-    def __init__(self, hub: Hub, settings: PlacerSettings, life: int, peering: Peering) -> None:
+    def __init__(
+        self, hub: Hub, settings: PlacerSettings, incarnation: int, peering: Peering
+    ) -> None:
         self._hub = hub
         self._peering = peering
         self._listener: ReplicationListener | None = None
         self.replicator = Replicator(
-            Session(settings.name, life, 0),
+            Session(settings.name, incarnation, 0),
             settings.region,
-            settings.seed * 31 + life,
+            settings.seed * 31 + incarnation,
             self._terms_of,
             ReplicatorSettings(pace=FAILOVER_PACE),
         )
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -58,9 +58,9 @@
     )
 
 
-def with_current_drains(wanted: RuleSet, in_force: RuleSet) -> RuleSet:
+def with_current_drains(proposed: RuleSet, in_force: RuleSet) -> RuleSet:
     """A rule set with the requested and cancelled drains of the one in force: settings files contain neither."""
-    return replace(wanted, asked=in_force.asked, cancelled=in_force.cancelled)
+    return replace(proposed, asked=in_force.asked, cancelled=in_force.cancelled)
 
 
 def agreed_scheduler_settings(
--- a/wingbarrow/peers/rulesets_api.py
+++ b/wingbarrow/peers/rulesets_api.py
@@ -130,16 +130,16 @@
         objection = ""
         for attempt in range(MAX_CHANGE_ATTEMPTS):
             agreed = agreement.rule_set_state
-            wanted = normalized(edit(parse_rule_set(agreed.latest))).text()
-            if wanted == agreed.latest:
+            proposed = normalized(edit(parse_rule_set(agreed.latest))).text()
+            if proposed == agreed.latest:
                 return self._accepted_change(agreed)
-            objection = agreed.objection(agreed.version, wanted)
+            objection = agreed.objection(agreed.version, proposed)
             if objection:
                 break
             proposal = ProposalEntry(
                 ident=f"{agreement.name}-{self._hub.now_us()}-{attempt}",
                 base=agreed.version,
-                rules=wanted,
+                rules=proposed,
                 by=agreement.name,
                 why=why[:MAX_REASON_CHARS],
             )
@@ -302,13 +302,13 @@
     # -- POST rules/voters
 
     def _change_voters(self, value: dict[str, Any]) -> Answer:
-        wanted = value.get("voters")
-        if not isinstance(wanted, list) or not all(
-            isinstance(each, str) and each for each in wanted
+        proposed = value.get("voters")
+        if not isinstance(proposed, list) or not all(
+            isinstance(each, str) and each for each in proposed
         ):
             raise ApiError(422, "voters: a list of names is wanted", "Invalid")
-        if not self._peering.change_voters(tuple(dict.fromkeys(wanted))):
+        if not self._peering.change_voters(tuple(dict.fromkeys(proposed))):
             raise ApiError(
                 409, "one voter at a time, and not before the last change is decided", "Conflict"
             )
-        return Answer(202, names.encode({"kind": "Voters", "voters": wanted}))
+        return Answer(202, names.encode({"kind": "Voters", "voters": proposed}))
