--- a/tests/decide/federation/test_region_choice.py
+++ b/tests/decide/federation/test_region_choice.py
@@ -75,8 +75,7 @@
     choice = region_choice.choose_region(SPEC, ALONE, replace(NEW, origin="west"), full, 0.5)
     assert choice.region == ""
     assert choice.reason == (
-        "none of north, south, east can be used "
-        "(north: no free capacity; south: no free capacity; east: no free capacity)"
+        "of north, south, east none will do (north: no room; south: no room; east: no room)"
     )
     held = with_status("north", statuses(), reserved_cores=99.0)
     assert choice_shares(held) == {"south": 1.0}, "new tasks do not use reserved capacity"
@@ -106,7 +105,9 @@
     refused = region_choice.choose_region(
         only, s.Federation((only,)), NEW, with_status("south", statuses(), closed=True), 0.0
     )
-    assert refused == region_choice.RegionChoice("", "none of south can be used (south: closed)")
+    assert refused == region_choice.RegionChoice(
+        "", "of south none will do (south: closed for work)"
+    )
     nowhere = replace(SPEC, regions=())
     assert (
         region_choice.choose_region(nowhere, s.Federation((nowhere,)), NEW, statuses(), 0.0).reason
@@ -127,7 +128,7 @@
     assert region_choice.choose_region(spec, federation, NEW, behind, 0.99).region == "east"
     both = with_status("east", behind, data_lag_us=(("stock", 6_000_000),))
     assert region_choice.choose_region(spec, federation, NEW, both, 0.99).reason == (
-        "none of south, east can be used (south: its copy of 'stock' is 5 s behind; "
+        "of south, east none will do (south: its copy of 'stock' is 5 s behind; "
         "east: its copy of 'stock' is 6 s behind)"
     )
     lost = region_choice.RegionRequest(2.0, 4.0, "safe", "south", "failover")
@@ -200,8 +201,8 @@
         spec, federation, took, with_status("south", after, closed=True), 0.0
     )
     assert none.reason == (
-        "none of north, south, east can be used (south: closed; "
-        "east: does not fit 50% of its free capacity)"
+        "of north, south, east none will do (south: closed for work; "
+        "east: no room within 50% of what it has free)"
     )
     without_failover = replace(spec, failover=None)
     assert (
@@ -233,7 +234,7 @@
         spec, federation, away, busy, 0.0
     ) == region_choice.RegionChoice(
         "east",
-        "none of north, south, east can be used (north: stable for only 600 s; south: load of 60%)",
+        "of north, south, east none will do (north: well for 600 s only; south: at 60 of 100)",
     )
     assert (
         region_choice.choose_region(
@@ -243,7 +244,7 @@
     )
     assert region_choice.choose_region(
         SPEC, ALONE, away, statuses(), 0.0
-    ) == region_choice.RegionChoice("east", "the spec never returns tasks")
+    ) == region_choice.RegionChoice("east", "it never returns")
     assert (
         region_choice.choose_region(
             spec, federation, replace(away, origin="north"), statuses(), 0.0
--- a/wingbarrow/decide/federation/compare.py
+++ b/wingbarrow/decide/federation/compare.py
@@ -300,7 +300,7 @@
                 ]
     mine, theirs = a.spec_names_by_class, b.spec_names_by_class
     return out + [
-        f"class {each} uses spec: {mine.get(each, 'none')} -> {theirs.get(each, 'none')}"
+        f"class {each} goes by: {mine.get(each, 'no spec')} -> {theirs.get(each, 'no spec')}"
         for each in sorted(mine.keys() | theirs.keys())
         if mine.get(each) != theirs.get(each)
     ]
--- a/wingbarrow/decide/federation/region_choice.py
+++ b/wingbarrow/decide/federation/region_choice.py
@@ -122,13 +122,13 @@
         status, is_origin = self._statuses.get(region), region == self._request.origin
         if status is None:
             if not is_origin or self._request.purpose == "failover":
-                self._why_not[region] = "no recent status"
+                self._why_not[region] = "nothing is known of it"
                 return False
         elif status.lost and not (is_origin and self._request.purpose == "new"):
             self._why_not[region] = "lost"
             return False
         elif status.closed:
-            self._why_not[region] = "closed"
+            self._why_not[region] = "closed for work"
             return False
         for need in self._spec.data:
             behind_us = self._behind_us(region, need.dataset)
@@ -168,14 +168,14 @@
             self._request.cores > status.free_cores - status.reserved_cores
             or self._request.memory > status.free_memory - status.reserved_memory
         ):
-            self._why_not[region] = "no free capacity"
+            self._why_not[region] = "no room"
             return max(100.0, status.load * 100)
         return status.load * 100
 
     def _rejects(self, region: str) -> bool:
         status = self._statuses.get(region)
         if status is not None and status.refusing_us > 0:
-            self._why_not[region] = f"rejecting tasks for {status.refusing_us / 1e6:g} s"
+            self._why_not[region] = f"it has turned work away for {status.refusing_us / 1e6:g} s"
             return True
         return False
 
@@ -192,7 +192,7 @@
                 return RegionChoice(nearest)
             others = [region for region in accepting[1:] if loads[region] < spec.lower]
             if others:
-                return RegionChoice(others[0], f"{nearest} has a load of {loads[nearest]:.0f}%")
+                return RegionChoice(others[0], f"{nearest} is at {loads[nearest]:.0f} of 100")
             # No region is below its lower threshold: take the nearest one with enough capacity.
             fitting = [region for region in accepting if loads[region] < 100]
             if fitting:
@@ -219,7 +219,7 @@
                 <= (status.free_memory + memory) * over.room
             ):
                 return RegionChoice(region)
-            self._why_not[region] = f"does not fit {over.room}% of its free capacity"
+            self._why_not[region] = f"no room within {over.room}% of what it has free"
         return RegionChoice("", self._reason())
 
     def _return(self, candidates: list[str]) -> RegionChoice:
@@ -227,12 +227,10 @@
         if spec.back.when == "never" or origin not in spec.regions:
             return RegionChoice(
                 origin,
-                "the spec never returns tasks"
-                if spec.back.when == "never"
-                else "the spec does not list this region",
+                "it never returns" if spec.back.when == "never" else "the spec does not know of it",
             )
         if spec.back.when == "stable" and self._request.effect == "unsafe":
-            return RegionChoice(origin, "tasks of an unsafe class are not moved")
+            return RegionChoice(origin, "what must not start twice is not moved")
         distance = self._distance(origin)
         for region in candidates:
             status = self._statuses.get(region)
@@ -244,9 +242,9 @@
             ):
                 continue
             if status.stable_us < spec.back.stable_us:
-                self._why_not[region] = f"stable for only {status.stable_us / 1e6:g} s"
+                self._why_not[region] = f"well for {status.stable_us / 1e6:g} s only"
             elif self._load(region) >= spec.lower:
-                self._why_not.setdefault(region, f"load of {status.load * 100:.0f}%")
+                self._why_not.setdefault(region, f"at {status.load * 100:.0f} of 100")
             else:
                 return RegionChoice(region)
         return RegionChoice(origin, self._reason())
@@ -256,7 +254,7 @@
         allowed = allowed_regions(spec, self._federation)
         if not allowed:
             return f"spec {spec.name!r} allows no region" + (
-                f" with its data: {', '.join(need.dataset for need in spec.data)}"
+                f" by its data: {', '.join(need.dataset for need in spec.data)}"
                 if spec.regions
                 else ""
             )
@@ -265,4 +263,4 @@
             for region in allowed
             if region != self._request.origin or self._request.purpose == "new"
         ]
-        return f"none of {', '.join(allowed)} can be used ({'; '.join(reasons)})"[:MAX_REASON_CHARS]
+        return f"of {', '.join(allowed)} none will do ({'; '.join(reasons)})"[:MAX_REASON_CHARS]
