--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -17,7 +17,7 @@
 from wingbarrow.core.fleet import Fleet
 from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.machines import Machines
-from wingbarrow.core.outlier_ejection import FAULTS
+from wingbarrow.core.outlier_ejection import FAULT_OUTCOMES
 from wingbarrow.core.stops import Stops
 from wingbarrow.decide.coordination.coordinator import Coordinator
 from wingbarrow.decide.maintenance.calendar import calendar_requests
@@ -241,7 +241,7 @@
             calls = self._calls_by_slot.setdefault(slot.number, _MachineCalls())
             if outcome is None:
                 calls.trial = TrialOutcome.SUCCEEDED
-            elif outcome in FAULTS and calls.trial != TrialOutcome.SUCCEEDED:
+            elif outcome in FAULT_OUTCOMES and calls.trial != TrialOutcome.SUCCEEDED:
                 calls.trial = TrialOutcome.FAILED
 
     # Effects
