--- a/wingbarrow/core/failover.py
+++ b/wingbarrow/core/failover.py
@@ -19,7 +19,7 @@
 from wingbarrow.core.job_store import JobLease, JobRecord, State, Step, TaskRecord
 from wingbarrow.core.leased_jobs import UNKNOWN, LeasedJobs
 from wingbarrow.core.machine_fences import MachineFences
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.failover import StartOrder
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
@@ -59,7 +59,7 @@
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None:
             return ReplicationTerms((), 1)
-        return ReplicationTerms(allowed(spec, federation), spec.failover.copies)
+        return ReplicationTerms(allowed_regions(spec, federation), spec.failover.copies)
 
     def _may_start(self, record: LeasedJobRecord, free: tuple[float, float]) -> bool:
         """Whether a Job's present spec lets it run here after its region is lost, within the spec's part of `free`."""
@@ -68,7 +68,9 @@
         spec = _spec_of(record, federation)
         if spec is None or spec.failover is None or "lost" not in spec.failover.on:
             return False
-        if here not in spec.targets(record.region) or here not in allowed(spec, federation):
+        if here not in spec.failover_targets(record.region) or here not in allowed_regions(
+            spec, federation
+        ):
             return False
         part = spec.failover.room / PERCENT
         free_cores, free_memory = free
@@ -296,7 +298,7 @@
 
 def _spec_of(record: LeasedJobRecord, federation: Federation) -> Spec | None:
     """The present spec of a record. If none has its name any longer, the one for the Job's annotation and class."""
-    spec = federation.named.get(record.spec)
+    spec = federation.specs_by_name.get(record.spec)
     if spec is not None:
         return spec
     try:
