--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -34,7 +34,7 @@
     ForwardReceiver,
     ForwardSender,
     ForwardStatus,
-    Target,
+    ForwardTarget,
 )
 from wingbarrow.decide.subset_widening import SubsetWidening, is_long_wait
 from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
@@ -308,7 +308,7 @@
         world.start(name)
     for turn in range(40):
         giver = f"g{rng.randrange(2)}"
-        targets = [Target(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
+        targets = [ForwardTarget(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
         ident, effects = world.members[giver].giving.begin(
             world.now_us,
             ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S),
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -28,7 +28,7 @@
     ForwardRequest,
     ForwardSender,
     ForwardStatus,
-    Target,
+    ForwardTarget,
 )
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
@@ -101,13 +101,15 @@
         )
 
     def hand(self, giver: str) -> None:
-        targets = [Target(name, self.lives[name]) for name in self.names if name.startswith("t")]
+        targets = [
+            ForwardTarget(name, self.lives[name]) for name in self.names if name.startswith("t")
+        ]
         self.random.shuffle(targets)
-        is_repeatable = self.random.random() < 0.5
-        job = ForwardedJob("{}", "spec", is_repeatable, self.now_us + 5 * SECOND)
+        is_idempotent = self.random.random() < 0.5
+        job = ForwardedJob("{}", "spec", is_idempotent, self.now_us + 5 * SECOND)
         ident, effects = self.members[giver].giving.begin(self.now_us, job, targets)
         self.outcomes[ident] = []
-        self.repeatable[ident] = is_repeatable
+        self.repeatable[ident] = is_idempotent
         self.act(giver, effects)
 
 
@@ -169,7 +171,7 @@
     real = ForwardSender._on_stranger
 
     def forward_anew(sender: ForwardSender, now_us: int, ident: str, sent: Any) -> list[Effect]:
-        sent.job = replace(sent.job, is_repeatable=True)
+        sent.job = replace(sent.job, is_idempotent=True)
         return real(sender, now_us, ident, sent)
 
     monkeypatch.setattr(ForwardSender, "_on_stranger", forward_anew)
@@ -208,17 +210,19 @@
 
 def test_the_budget_is_a_share_of_first_attempts() -> None:
     budget = ForwardBudget(0.2, 3.0)
-    assert [budget.try_take() for _ in range(5)] == [True, True, True, False, False]
+    assert [budget.try_acquire() for _ in range(5)] == [True, True, True, False, False]
     for _ in range(100):
         budget.on_first_attempt()
-    assert [budget.try_take() for _ in range(4)] == [True, True, True, False], (
+    assert [budget.try_acquire() for _ in range(4)] == [True, True, True, False], (
         "what is not used does not pile up"
     )
 
 
 def test_an_unanswered_request_fails_in_time_and_is_cancelled() -> None:
     giving = ForwardSender("g", 1)
-    ident, effects = giving.begin(0, ForwardedJob("{}", "s", False, SECOND), [Target("t", 1)])
+    ident, effects = giving.begin(
+        0, ForwardedJob("{}", "s", False, SECOND), [ForwardTarget("t", 1)]
+    )
     now = 0
     told: list[tuple[int, str]] = []
     while now < 3 * SECOND:
--- a/wingbarrow/core/remote_regions.py
+++ b/wingbarrow/core/remote_regions.py
@@ -63,7 +63,7 @@
         self.receiver = forwarding.ForwardReceiver(incarnation)
         self.budget = forwarding.ForwardBudget()
         self.region_reports: Callable[[int], Mapping[str, RegionNews]] = lambda now_us: {}
-        self.targets: Callable[[tuple[str, ...]], list[forwarding.Target]] = lambda names: []
+        self.targets: Callable[[tuple[str, ...]], list[forwarding.ForwardTarget]] = lambda names: []
         self.federation: Callable[[], Federation] = Federation
         self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
         self.admission: ForwardedJobAdmission | None = None
@@ -108,7 +108,7 @@
                 "ServiceUnavailable",
                 retry_after_s=context.random.randrange(1, 5),
             )
-        if choice.region != here and not self.budget.try_take():
+        if choice.region != here and not self.budget.try_acquire():
             context.counts["handing:over the budget"] += 1
             if here in allowed(spec, federation):
                 return here
@@ -161,7 +161,7 @@
             return False
         self._forwarded.pop(ident, None)
         self._jobs.close_request(task)
-        self.carry_out(self.sender.withdraw(self._context.hub.now_us(), ident))
+        self.carry_out(self.sender.cancel(self._context.hub.now_us(), ident))
         return True
 
     def _on_forward_status(self, ident: str, state: str, machine: str, words: str) -> None:
--- a/wingbarrow/decide/regions/forwarding.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -104,7 +104,7 @@
         """Count a Job that arrived for the first time."""
         self._left = min(self._burst, self._left + self._share)
 
-    def try_take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Whether one more may be forwarded, which then counts."""
         if self._left < 1.0:
             return False
@@ -113,25 +113,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class ForwardTarget:
     """A placer of the chosen region, in the incarnation that membership knows."""
 
     name: str
-    life: int
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedJob:
     """What is forwarded.
 
-    is_repeatable: a second start does no harm.
-    due_us: when the sender answers without it: its owner's patience, less what the answer needs.
+    is_idempotent: a second start does no harm.
+    deadline_us: when the sender answers without it: its owner's patience, less what the answer needs.
     """
 
     manifest: str
     spec: str
-    is_repeatable: bool
-    due_us: int
+    is_idempotent: bool
+    deadline_us: int
 
 
 @dataclass(slots=True)
@@ -145,7 +145,7 @@
     """
 
     job: ForwardedJob
-    targets: list[Target]
+    targets: list[ForwardTarget]
     state: str = ""
     sent_us: int = 0
     may_run: bool = False
@@ -155,8 +155,8 @@
 class ForwardSender:
     """The sender's side. Notifies `handed` (ident, state, machine, words), once for each change."""
 
-    def __init__(self, me: str, life: int) -> None:
-        self._prefix = f"{me}/{life}"
+    def __init__(self, me: str, incarnation: int) -> None:
+        self._prefix = f"{me}/{incarnation}"
         self._number = 0
         self._open: dict[str, _Sent] = {}
         self.counts: Counter[str] = Counter()
@@ -165,7 +165,7 @@
         return len(self._open)
 
     def begin(
-        self, now_us: int, job: ForwardedJob, targets: list[Target]
+        self, now_us: int, job: ForwardedJob, targets: list[ForwardTarget]
     ) -> tuple[str, list[Effect]]:
         """Forward a Job to the first of some placers that accepts it.
 
@@ -175,7 +175,7 @@
             not targets
             or len(self._open) >= MAX_OPEN
             or len(job.manifest) > MAX_MANIFEST_CHARS
-            or now_us >= job.due_us
+            or now_us >= job.deadline_us
         ):
             self.counts["handing:not begun"] += 1
             return "", []
@@ -185,7 +185,7 @@
         self.counts["handing:begun"] += 1
         return ident, self._send(now_us, ident)
 
-    def withdraw(self, now_us: int, ident: str) -> list[Effect]:
+    def cancel(self, now_us: int, ident: str) -> list[Effect]:
         """Cancel a Job that its owner does not want any more, or that was answered without the receiver."""
         sent = self._open.get(ident)
         if sent is None or sent.cancel_until_us is not None:
@@ -234,7 +234,7 @@
             del self._open[key]
             self.counts["handing:stops never heard"] += 1
             return []
-        is_overdue = sent.state in UNPLACED and now_us >= sent.job.due_us
+        is_overdue = sent.state in UNPLACED and now_us >= sent.job.deadline_us
         if sent.cancel_until_us is None and is_overdue:
             return self._give_up(now_us, key, sent)
         return self._send(now_us, key)
@@ -255,21 +255,21 @@
         sent.sent_us = now_us
         is_cancelled = sent.cancel_until_us is not None
         next_us = now_us + (RETRY_US if sent.state == "" or is_cancelled else POLL_US)
-        if now_us < job.due_us and sent.state in UNPLACED:
-            next_us = min(next_us, job.due_us)
+        if now_us < job.deadline_us and sent.state in UNPLACED:
+            next_us = min(next_us, job.deadline_us)
         message: Message
         if is_cancelled:
-            message = ForwardCancel(ident, target.life)
+            message = ForwardCancel(ident, target.incarnation)
         else:
-            left_us = max(0, job.due_us - now_us)
-            message = ForwardRequest(ident, target.life, 1, job.spec, left_us, job.manifest)
+            left_us = max(0, job.deadline_us - now_us)
+            message = ForwardRequest(ident, target.incarnation, 1, job.spec, left_us, job.manifest)
         return [Send(target.name, "", message), SetTimer(ident, next_us)]
 
     def _try_next(self, now_us: int, ident: str, sent: _Sent, words: str) -> list[Effect]:
         """Ask the next target: the first one has started nothing, and never will."""
         sent.targets.pop(0)
         sent.state = ""
-        if sent.targets and now_us < sent.job.due_us:
+        if sent.targets and now_us < sent.job.deadline_us:
             return self._send(now_us, ident)
         del self._open[ident]
         return [_handed(ident, FAILED if sent.may_run else REJECTED, words=words)]
@@ -279,7 +279,7 @@
         if sent.cancel_until_us is not None:
             del self._open[ident]  # so will be its session
             return []
-        if sent.state in UNPLACED and sent.job.is_repeatable:
+        if sent.state in UNPLACED and sent.job.is_idempotent:
             self.counts["handing:given anew"] += 1
             sent.may_run = True
             return self._try_next(now_us, ident, sent, "the placer that had it is gone")
@@ -329,7 +329,7 @@
 class ForwardReceiver:
     """The receiver's side. Notifies `take` (ident, spec, manifest, left_us) once for each ident, and `stop` (ident)."""
 
-    life: int
+    incarnation: int
     counts: Counter[str] = field(default_factory=Counter)
     _open: dict[str, _Received] = field(default_factory=dict)
     _finished: dict[str, ForwardStatus] = field(default_factory=dict)
@@ -340,7 +340,7 @@
         self, now_us: int, ident: str, address: str, message: ForwardRequest | ForwardCancel
     ) -> list[Effect]:
         """A sender forwards a Job, or cancels it."""
-        if message.life != self.life:
+        if message.life != self.incarnation:
             return [Send(ident, address, ForwardStatus(message.ident, REJECTED, stranger=True))]
         if _Ident.parse(message.ident).sender != ident:
             return []  # idents carry their sender's name: nobody else speaks for it
--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.membership import messages as membership_messages
 from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
-from wingbarrow.decide.regions.forwarding import Target
+from wingbarrow.decide.regions.forwarding import ForwardTarget
 from wingbarrow.decide.regions.reports import RegionMember
 from wingbarrow.decide.rulesets.entries import ProposalEntry
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
@@ -188,12 +188,12 @@
         if self.agreement is not None:
             self.act("rules", self.agreement.request_soon(self._hub.now_us()))
 
-    def targets(self, names: Iterable[str]) -> list[Target]:
+    def targets(self, names: Iterable[str]) -> list[ForwardTarget]:
         """Those of some other placers that live, in the life in which they are known."""
         living = {
             each.update.ident: each.update.life for each in self.membership.table.live_members()
         }
-        return [Target(name, living[name]) for name in names if name in living]
+        return [ForwardTarget(name, living[name]) for name in names if name in living]
 
     # -- mail
 
