--- a/tests/decide/regions/test_reports.py
+++ b/tests/decide/regions/test_reports.py
@@ -4,7 +4,7 @@
 
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.regions.reports import (
-    MAX_AGE_US,
+    MAX_SUMMARY_AGE_US,
     RegionMember,
     RegionReport,
     RegionSubsystem,
@@ -72,8 +72,8 @@
         9 * S, 7 * S, regions.response_for(2 * S, Requester("p", 1, 1, 1))
     )  # by a clock of its own
     assert side.news(9 * S)["north"].age_us == 3 * S, "1 s there, 2 s since it asked"
-    assert "north" in side.news(7 * S + MAX_AGE_US - S)
-    assert "north" not in side.news(7 * S + MAX_AGE_US)
+    assert "north" in side.news(7 * S + MAX_SUMMARY_AGE_US - S)
+    assert "north" not in side.news(7 * S + MAX_SUMMARY_AGE_US)
     assert side.report(0) == said("south")
     side.on_response(10 * S, 10 * S, None)
     assert "north" in side.news(10 * S), "a leader that tells nothing takes nothing back"
@@ -84,4 +84,4 @@
     side = RegionMember(lambda now: None)
     side.on_response(100 * S, 100 * S, regions.response_for(100 * S, Requester("p", 1, 1, 1)))
     assert side.news(101 * S)["south"].lost
-    assert not side.news(100 * S + MAX_AGE_US + 1)
+    assert not side.news(100 * S + MAX_SUMMARY_AGE_US + 1)
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -58,7 +58,9 @@
 
     def keep(self, keeper: str, session: Session | None, after_us: int = AFTER) -> None:
         assert session is not None
-        self.leases[keeper].report_jobs(held_records=lambda: (HeldRecords(session, 3, after_us),))
+        self.leases[keeper].set_report_sources(
+            held_records=lambda: (HeldRecords(session, 3, after_us),)
+        )
 
     def ask(
         self,
--- a/tests/peers/test_sessions_path.py
+++ b/tests/peers/test_sessions_path.py
@@ -71,7 +71,9 @@
         lost = stage.cluster.placers[4]
         session = stage.peering(4).lease.session
         assert session is not None
-        stage.peering(3).lease.report_jobs(held_records=lambda: (HeldRecords(session, 7, 5 * S),))
+        stage.peering(3).lease.set_report_sources(
+            held_records=lambda: (HeldRecords(session, 7, 5 * S),)
+        )
         for index in (3, 4):
             stage.peering(index).on_ended = lambda each, index=index: ended.append((index, each))
             stage.peering(index).on_session = lambda session, may, epoch, index=index: told.append(
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -1,10 +1,11 @@
 """Load reports of regions: how loaded each is, its free capacity, whether it rejects Jobs, since when it is stable.
 
-Each placer reports, with its lease requests, what its own region's list has; the leader summarises by region and
-responds with grants. Nothing of it is in the log: a leader begins with nothing, and has a report of every region in
-touch within one request's interval. How old a summary may be at a placer in touch: one request's interval there and one
-here (`fresh_within_us`). At a placer that is cut off it ages, and is not used past `MAX_AGE_US`. A choice that rests on
-an old summary sends work where it is rejected, and costs time; no safety rule rests on it.
+Each placer reports the state of its own region, from its machine list, with its lease requests. The leader aggregates
+the reports by region and returns the summaries with its grants. The reports are not replicated: a new leader starts
+with none, and has one from every connected region within one request interval. At a connected placer a summary is at
+most two request intervals old, one of the reporting placer and one of its own (`summary_age_bound_us`). At a
+disconnected placer it ages, and is not used beyond `MAX_SUMMARY_AGE_US`. An outdated summary sends work to a region
+that rejects it, which costs time; no safety rule depends on it.
 """
 
 from __future__ import annotations
@@ -21,20 +22,22 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-MAX_AGE_US = 15_000_000  # of a summary that is used
+MAX_SUMMARY_AGE_US = 15_000_000  # older summaries are not used
 MAX_REGIONS = 64
 MAX_PLACERS = 4096
 MAX_PLACERS_PER_SUMMARY = 64
 MAX_LEASED_SPECS = 256  # in one report
-RESERVE_INTERVAL_US = 500_000  # the reserve is computed no more often
-REJECTING_SHARE = 0.5  # of the Jobs that arrived lately: from then on a region counts as rejecting
-NO_RESERVE = (0.0, 0.0)
+RESERVE_INTERVAL_US = 500_000  # shortest time between two computations of the reserves
+REJECTING_SHARE = (
+    0.5  # share of rejected Jobs, among recent arrivals, from which a region counts as rejecting
+)
+NO_RESERVE = (0.0, 0.0)  # cores, GiB
 
 
-def fresh_within_us(grant_us: int, retry_us: int) -> int:
-    """Return how old a summary is at most at a placer in touch: 2 (grant / 3 + retry).
+def summary_age_bound_us(grant_us: int, retry_us: int) -> int:
+    """Return the maximum age of a summary at a connected placer: 2 (grant / 3 + retry).
 
-    A report is as old as the other placer's last request, a summary as this one's last grant.
+    A report is as old as the reporting placer's last request, and a summary as the receiving placer's last grant.
     """
     return 2 * (grant_us // 3 + retry_us)
 
@@ -44,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionReport:
-    """What a placer's list has of its own region. Cores; memory in GiB.
+    """The state of a placer's own region, from its machine list. Memory in GiB.
 
-    cores, memory: of all machines that run.
-    free_cores, free_memory: requested by nobody.
-    came, refused: Jobs that arrived lately, and those of them that were rejected.
-    leased: by spec, cores and memory that this placer's leased Jobs use here; at most MAX_LEASED_SPECS.
+    cores, memory: total of all running machines.
+    free_cores, free_memory: not requested by any task.
+    came, refused: Jobs that arrived recently, and how many of these were rejected.
+    leased: spec, cores and memory that this placer's leased Jobs use in this region; at most MAX_LEASED_SPECS.
     """
 
     region: str
@@ -66,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionSummary:
-    """One region, as of the response. Ages and durations in microseconds.
+    """One region at the time of the response. Ages and durations in microseconds, memory in GiB.
 
-    cores, memory: free.
-    held_cores, held_memory: of what is free, the reserve for the loss of other regions.
+    cores, memory: free capacity.
+    held_cores, held_memory: part of the free capacity that is reserved for the failover of other regions.
     """
 
     region: str
@@ -98,8 +101,8 @@
 class RegionSubsystem:
     """The leader's side, a subsystem without log entries.
 
-    lost_us: how long after its last report a placer, and with its last placer a region, counts as lost.
-    named: the regions of the settings, which are lost until a placer of theirs reports.
+    lost_us: time since its last report after which a placer counts as lost; a region is lost with its last placer.
+    named: regions of the settings; each counts as lost once none of its placers has reported for `lost_us`.
     """
 
     name = "regions"
@@ -119,21 +122,21 @@
         self._rejecting_since_us: dict[str, int] = {}
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """There are no entries."""
+        """Do nothing: this subsystem has no log entries."""
 
     def snapshot(self) -> str:
-        """Return "": nothing is replicated."""
+        """Return "": this subsystem has no replicated state."""
         return ""
 
     def restore(self, text: str) -> None:
-        """There is no replicated state."""
+        """Do nothing: this subsystem has no replicated state."""
 
     def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
-        """Begin with nothing."""
+        """Drop all reports: a leader starts without any."""
         self._reset_leader(now_us)
 
     def on_report(self, now_us: int, requester: Requester, report: RegionReport) -> None:
-        """Replace the requester's last report."""
+        """Replace the requester's previous report; reports beyond MAX_PLACERS placers are dropped."""
         if len(self._reports) >= MAX_PLACERS and requester.ident not in self._reports:
             return
         region = report.region
@@ -163,7 +166,7 @@
         return now_us - received.at_us <= self._lost_us
 
     def response_for(self, now_us: int, requester: Requester) -> tuple[RegionSummary, ...]:
-        """Return the summaries of all regions, by name."""
+        """Return the summaries of all regions, sorted by region name."""
         reserves = self._current_reserves(now_us)
         summaries = []
         for region, reports in self._by_region().items():
@@ -179,7 +182,7 @@
         return dict(sorted(by_region.items())[:MAX_REGIONS])
 
     def _current_reserves(self, now_us: int) -> dict[str, tuple[float, float]]:
-        """Return the cores and GiB that each region in touch reserves for the loss of another."""
+        """Return, by region with recent reports, the cores and GiB reserved for the failover of other regions."""
         if now_us - self._reserves_us < RESERVE_INTERVAL_US:
             return self._reserves
         self._reserves_us = now_us
@@ -199,7 +202,7 @@
         return self._reserves
 
     def reserved_machines(self, now_us: int, region: str) -> float:
-        """Return a region's reserve as a number of its machines."""
+        """Return a region's reserve in units of its average machine."""
         reserved_cores, reserved_memory = self._current_reserves(now_us).get(region, NO_RESERVE)
         newest = max(
             (each for each in self._reports.values() if each.report.region == region),
@@ -218,7 +221,7 @@
         recent = {name: each for name, each in reports.items() if self._is_recent(now_us, each)}
         if not recent:
             return self._summary_without_reports(now_us, region)
-        # All placers of a region read one list; the one that reported last has read it last.
+        # All placers of a region read the same machine list, so the latest report has the latest state.
         newest = max(recent.values(), key=lambda each: each.at_us)
         return RegionSummary(
             region=region,
@@ -234,7 +237,7 @@
         )
 
     def _summary_without_reports(self, now_us: int, region: str) -> RegionSummary:
-        # Danger: a leader that has just been elected has no reports, which proves nothing.
+        # Danger: a newly elected leader has no reports yet, which does not prove that the region is lost.
         age_us = now_us - self._leading_since_us
         return RegionSummary(
             region=region,
@@ -250,13 +253,13 @@
         )
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """Take in the federation specs in force; nothing is proposed."""
+        """Adopt the federation specs of the rule set; nothing is proposed."""
         self._federation = rules.federation
         return [], None
 
 
 def _load(report: RegionReport) -> float:
-    """Return the used share of the scarcer resource, 1 where there is none."""
+    """Return the used share (0 to 1) of the scarcer resource; 1 if the region has no capacity."""
     resources = ((report.free_cores, report.cores), (report.free_memory, report.memory))
     shares = (1 - free / total for free, total in resources if total > 0)
     return round(max(shares, default=1.0), 4)
@@ -266,7 +269,7 @@
 
 
 class RegionMember:
-    """A placer's side. `read_own` returns what its list has of its own region, None while it has no list."""
+    """A placer's side. `read_own` returns the report on its own region at a time, None without a machine list."""
 
     name = "regions"
 
@@ -276,13 +279,16 @@
         self._at_us = 0
 
     def report(self, now_us: int) -> RegionReport | None:
-        """Return the report for the next request."""
+        """Return the report for the next lease request."""
         return self.read_own(now_us)
 
     def on_response(
         self, now_us: int, requested_us: int, response: tuple[RegionSummary, ...] | None
     ) -> list[Effect]:
-        """Replace the summaries; ages count from the request, so that a slow response makes none younger."""
+        """Replace the summaries.
+
+        Their ages count from the request, so that a delayed response does not make them appear younger.
+        """
         if response:
             self._summaries = tuple(response)
             self._at_us = requested_us
@@ -294,7 +300,7 @@
         known = {}
         for each in self._summaries:
             age_us = each.age_us + since_us
-            if age_us <= MAX_AGE_US or (each.lost and since_us <= MAX_AGE_US):
+            if age_us <= MAX_SUMMARY_AGE_US or (each.lost and since_us <= MAX_SUMMARY_AGE_US):
                 # That a region is lost is as old as the summary; its last report may be much older.
                 known[each.region] = RegionNews(
                     region=each.region,
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -34,7 +34,7 @@
     decide,
     key_window,
     window_until_us,
-    worst_known,
+    worst_case_state,
 )
 from wingbarrow.decide.sessions.session import Session
 
@@ -149,7 +149,7 @@
         tasks = {each.index: each for each in case.record.tasks}
         for known in record.tasks:
             aged = replace(known, age_us=known.age_us + waited_us)
-            tasks[known.index] = worst_known(known_task(case.record, known.index), aged)
+            tasks[known.index] = worst_case_state(known_task(case.record, known.index), aged)
         case.record = replace(
             case.record,
             tasks=tuple(tasks[index] for index in sorted(tasks)),
--- a/wingbarrow/decide/sessions/failover_pace.py
+++ b/wingbarrow/decide/sessions/failover_pace.py
@@ -17,7 +17,7 @@
     max_claims: int = 64
     claim_interval_us: int = 5_000
 
-    def within_us(self, jobs: int) -> int:
+    def duration_us(self, jobs: int) -> int:
         """Return how long so many Jobs take where there is capacity for them."""
         start_intervals = 1 + -(-jobs // self.max_starts)
         claim_intervals = 1 + jobs // self.max_claims
@@ -55,4 +55,4 @@
     ended_us = times.election_us + max(lease_us, times.after_us) + round_us
     claimed_us = ended_us + 3 * times.request_interval_us + MAX_CLAIM_WAIT_US
     answer_us = 2 * (times.max_turn_us + times.one_way_us)
-    return claimed_us + pace.within_us(jobs) + answer_us
+    return claimed_us + pace.duration_us(jobs) + answer_us
--- a/wingbarrow/decide/sessions/lease_times.py
+++ b/wingbarrow/decide/sessions/lease_times.py
@@ -15,7 +15,7 @@
 
 LEASE_US = 10_000_000  # by default
 HOLDER_LEASE_SHARE = 0.8
-UNREPLICATED_LEASES = 6
+UNREPLICATED_WAIT_LEASES = 6
 CHECKS_PER_LEASE = 8  # how often, at least, the leader checks all sessions during one lease
 MAX_TURN_US = 10_000  # longest turn of the hub
 
@@ -35,7 +35,7 @@
 
 def unreplicated_wait_us(lease_us: int) -> int:
     """Return 6 drifted(L): how long after its last renewal a session without live replica holder stays open."""
-    return UNREPLICATED_LEASES * drifted_us(lease_us)
+    return UNREPLICATED_WAIT_LEASES * drifted_us(lease_us)
 
 
 def one_way_renewal_us(lease_us: int) -> int:
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -226,7 +226,7 @@
     return MachineAnswer.RESTARTED
 
 
-def worst_known(mine: KnownTask, theirs: KnownTask) -> KnownTask:
+def worst_case_state(mine: KnownTask, theirs: KnownTask) -> KnownTask:
     """Return the more advanced of what two replica holders know of a task, of one phase the older: the worst case."""
     my_phase = TASK_PHASES.index(mine.phase)
     their_phase = TASK_PHASES.index(theirs.phase)
--- a/wingbarrow/decide/sessions/session_lease.py
+++ b/wingbarrow/decide/sessions/session_lease.py
@@ -51,7 +51,7 @@
         self._holder_lease_until_us = 0
         self._responded_us = 0
 
-    def report_jobs(
+    def set_report_sources(
         self,
         *,
         count_leased: Callable[[], int] = int,
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -118,7 +118,7 @@
         """An agreement with sessions; what a life kept for others is gone with it."""
         lease, self.kept[name] = SessionLease(name, self.region(name)), {}
         self.leases[name] = lease
-        lease.report_jobs(
+        lease.set_report_sources(
             count_leased=lambda: 1,
             held_records=lambda: tuple(
                 HeldRecords(session, 1, self.after_us) for session in sorted(self.kept[name])
--- a/wingbarrow/peers/replication.py
+++ b/wingbarrow/peers/replication.py
@@ -126,7 +126,7 @@
         self._listener = listener
         peering = self._peering
         peering.host(NAME, self, MESSAGE_TYPES)
-        peering.lease.report_jobs(
+        peering.lease.set_report_sources(
             count_leased=lambda: len(self.replicator.primary.jobs),
             held_records=self.replicator.replica.summary,
         )
