--- a/wingbarrow/decide/sessions/__init__.py
+++ b/wingbarrow/decide/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions of placers that hold leased Jobs: expiry, fencing epochs, failover and reissue."""
+"""Sessions of placers that hold leased Jobs: leases and their expiry, fencing epochs, failover and reissue."""
--- a/wingbarrow/decide/sessions/failover.py
+++ b/wingbarrow/decide/sessions/failover.py
@@ -1,15 +1,16 @@
-"""Failover of one ended session's Jobs at one of its successors.
+"""Failover of the Jobs of one ended session at one of its successors.
 
-Each Job goes through the states of `FailoverState`:
+State transitions of a Job (`FailoverState`):
 
-    CLAIMING -> any below but STARTED     once its other replica holders have answered, or cannot change the decision
-    QUERYING, WAITING, UNKNOWN -> any     as machines answer, a key's window ends, an operator confirms
-    READY -> STARTED                      when the core takes it (`start`)
+    CLAIMING -> any below but STARTED     once its other replica holders have responded, or cannot change the decision
+    QUERYING, WAITING, UNKNOWN -> any     when machines respond, a key's window ends, or an operator confirms
+    READY -> STARTED                      when the core starts it (`start`)
 
-A Job is first held under this placer's own session, at the epoch of the failover, with replica holders of its own. So a
-successor that is lost meanwhile is succeeded like any holder, and all of this is built again from records. Danger: what
-must not repeat freely is started only once everybody else who may have its record has confirmed that it is held here,
-and has sent what more it knew. A safe Job waits for that no longer than `MAX_CLAIM_WAIT_US`.
+The successor first holds a Job under its own session, at the epoch of the failover, with replica holders of its own. If
+the successor is lost during the failover, its own successor therefore rebuilds this state from the replicated records.
+Danger: a Job that must not repeat freely is started only after every other placer that may have its record has
+confirmed that it is held here, and has sent any later state that it knew. A safe Job waits for that no longer than
+`MAX_CLAIM_WAIT_US`.
 """
 
 from __future__ import annotations
@@ -38,35 +39,36 @@
 )
 from wingbarrow.decide.sessions.session import Session
 
-MAX_CLAIM_WAIT_US = 2_000_000  # for a safe Job's other replica holders
+MAX_CLAIM_WAIT_US = 2_000_000  # longest wait of a safe Job for its other replica holders
 
 
 class FailoverState(Enum):
-    """Where one Job's failover stands; values as they are notified and sent to a returning holder."""
+    """State of one Job's failover; the values are notified, and sent to a returning holder."""
 
-    CLAIMING = "claiming"  # its other replica holders have not all answered yet
-    QUERYING = "asked"  # a machine has to answer first
-    WAITING = "waiting"  # for the end of a key's window
-    READY = "ready"  # to be started by the core
+    CLAIMING = "claiming"  # not all of its other replica holders have responded
+    QUERYING = "asked"  # a machine has to respond first
+    WAITING = "waiting"  # waits for the end of a key's window
+    READY = "ready"  # may be started by the core
     STARTED = "run"
-    UNKNOWN = "unknown"  # whether it had its effect cannot be proven: left to an operator
-    NOTHING = "nothing"  # it was over
+    UNKNOWN = "unknown"  # it cannot be proven whether the Job had its effect: left to an operator
+    NOTHING = "nothing"  # all of its tasks had ended: nothing is started
 
 
 FINAL_STATES = (FailoverState.READY, FailoverState.STARTED, FailoverState.NOTHING)
-# A decision that nothing more can be learned for.
+# Decisions that no response of another replica holder can change.
 SETTLED_DECISIONS = {ReissueDecision.UNKNOWN, ReissueDecision.NOTHING}
 ENDING_DECISIONS = (ReissueDecision.RUN, ReissueDecision.UNKNOWN, ReissueDecision.NOTHING)
 
 
 @dataclass(slots=True)
 class FailoverCase:
-    """One Job.
+    """The failover of one Job.
 
-    window_until_us: of a keyed one, the end of its key's window.
-    claimed: whether all that may have its record have confirmed that it is held here.
-    start_indexes: the tasks that are to be started.
-    notified: decisions with their tasks, as last notified.
+    added_us: when the Job was added.
+    window_until_us: end of the key's window of a keyed Job.
+    claimed: whether all other placers that may have its record have confirmed that it is held here.
+    start_indexes: indexes of the tasks to be started.
+    notified: decisions as last notified, with the indexes of their tasks.
     """
 
     record: LeasedJobRecord
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """What the core is to start: these tasks of a Job, at its epoch; the manifest is in the record."""
+    """Order to the core to start these tasks of a Job at its epoch; the manifest is in the record."""
 
     record: LeasedJobRecord
     epoch: int
@@ -89,10 +91,10 @@
 
 
 class SessionFailover:
-    """All Jobs of one ended session that this placer succeeds to.
+    """The failover of all Jobs of one ended session for which this placer is the successor.
 
-    cases: by uid. ready: uids in state READY, in order. Each handler returns effects, among them a `reissue`
-    notification for each decision that is new.
+    cases: by uid. ready: uids in state READY, in the order in which they became ready. Each handler returns effects,
+    with a `reissue` notification for each new decision.
     """
 
     table: ClassVar[tuple[ReissueRow, ...]] = REISSUE_TABLE
@@ -104,18 +106,18 @@
         self.cases: dict[str, FailoverCase] = {}
         self.ready: dict[str, None] = {}
         self.queries = MachineQueries(epoch)
-        self._due: list[tuple[int, str]] = []  # heap of time and uid
+        self._deadlines: list[tuple[int, str]] = []  # heap of time and uid
         self._timer_us: int | None = None
 
     def add(self, now_us: int, claims: Collection[JobClaim]) -> list[Effect]:
-        """Add Jobs; the host holds each at once, and calls `on_claimed` when that is confirmed."""
+        """Add Jobs; the caller replicates each at once, and calls `on_claimed` when that is confirmed."""
         for claim in claims:
             record = claim.record
             case = FailoverCase(record, claim.epoch, now_us, window_until_us(record, now_us))
             self.cases[record.uid] = case
             self._query_machines(now_us, case)
             for at_us in (case.window_until_us, now_us + MAX_CLAIM_WAIT_US):
-                heapq.heappush(self._due, (at_us, record.uid))
+                heapq.heappush(self._deadlines, (at_us, record.uid))
         return self._advance(now_us, [each.record.uid for each in claims])
 
     def _query_machines(self, now_us: int, case: FailoverCase) -> None:
@@ -129,7 +131,7 @@
     # -- events
 
     def on_claimed(self, now_us: int, uid: str) -> list[Effect]:
-        """All that may have a record of this Job have confirmed that it is held here."""
+        """Every other placer that may have a record of this Job has confirmed that it is held here."""
         case = self.cases.get(uid)
         if case is None or case.claimed:
             return []
@@ -137,14 +139,14 @@
         return self._advance(now_us, (uid,))
 
     def on_replica_record(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
-        """Merge what another replica holder knew.
+        """Merge the record of another replica holder.
 
-        Danger: this placer's own record may date from before an attempt was sent.
+        Danger: this placer's own record may be older than an attempt that was sent.
         """
         case = self.cases.get(record.uid)
         if case is None or case.claimed or record.epoch >= case.epoch:
             return []
-        # It was requested after this case was added, so its ages count from then at the latest.
+        # The record was requested after this case was added, so its ages have grown by at most this much since.
         waited_us = now_us - case.added_us
         tasks = {each.index: each for each in case.record.tasks}
         for known in record.tasks:
@@ -160,13 +162,13 @@
         return self._advance(now_us, ())
 
     def remove(self, uid: str) -> None:
-        """Drop a Job that another placer holds at a later epoch, or that was deleted."""
+        """Remove a Job that another placer holds at a later epoch, or that was deleted."""
         self.cases.pop(uid, None)
         self.ready.pop(uid, None)
         self.queries.forget(uid)
 
     def on_operator_confirmation(self, now_us: int, uid: str) -> list[Effect]:
-        """An operator confirms that no task of an unknown Job ever ran."""
+        """An operator confirms that no task of a Job in state UNKNOWN ever ran."""
         case = self.cases.get(uid)
         if case is None or case.state is not FailoverState.UNKNOWN:
             return []
@@ -175,24 +177,24 @@
         return self._advance(now_us, (uid,))
 
     def on_placers(self, now_us: int, placers: Iterable[str]) -> list[Effect]:
-        """The live placers of the lost region are these."""
+        """Replace the list of live placers of the lost region."""
         return self._advance(now_us, sorted(self.queries.set_placers(tuple(sorted(placers)))))
 
     def on_machine_report(self, now_us: int, message: MachineReport) -> list[Effect]:
-        """A machine answered; the report may be late or a duplicate."""
+        """Handle a machine's report; it may be late or a duplicate."""
         uid = self.queries.on_machine_report(now_us, message)
         return self._advance(now_us, (uid,) if uid else ())
 
     def on_timer(self, now_us: int) -> list[Effect]:
-        """A timeout, or the end of a wait, is due."""
+        """Handle query timeouts and ends of waits that are due."""
         self._timer_us = None
         uids = self.queries.on_timer(now_us)
-        while self._due and self._due[0][0] <= now_us:
-            uids.add(heapq.heappop(self._due)[1])
+        while self._deadlines and self._deadlines[0][0] <= now_us:
+            uids.add(heapq.heappop(self._deadlines)[1])
         return self._advance(now_us, sorted(uids))
 
     def start(self, uid: str) -> StartOrder:
-        """Give a ready Job to the core."""
+        """Mark a ready Job as started; return the order for the core."""
         del self.ready[uid]
         case = self.cases[uid]
         case.state = FailoverState.STARTED
@@ -201,7 +203,7 @@
     # -- decisions
 
     def _decide(self, now_us: int, case: FailoverCase) -> dict[int, ReissueRow]:
-        """Return, by task, the row that holds now."""
+        """Return the matching row of the reissue table by task index."""
         record = case.record
         window = key_window(record, now_us, case.window_until_us)
         rows = {}
@@ -212,7 +214,7 @@
         return rows
 
     def _advance(self, now_us: int, uids: Iterable[str]) -> list[Effect]:
-        """Decide on these Jobs anew, send queries that are due, and set the timer."""
+        """Re-evaluate these Jobs, send queries that are due, and set the timer."""
         effects: list[Effect] = []
         for uid in uids:
             case = self.cases.get(uid)
@@ -226,13 +228,16 @@
 
     @staticmethod
     def _may_act(now_us: int, case: FailoverCase, rows: dict[int, ReissueRow]) -> bool:
-        """Whether no answer of another replica holder has to be waited for."""
+        """Whether a decision may take effect without further responses from other replica holders."""
         if case.claimed or {row.decision for row in rows.values()} <= SETTLED_DECISIONS:
             return True
         return case.record.effect == "safe" and now_us >= case.added_us + MAX_CLAIM_WAIT_US
 
     def _set_timer(self, now_us: int) -> list[Effect]:
-        deadlines = [self.queries.next_deadline_us(), self._due[0][0] if self._due else None]
+        deadlines = [
+            self.queries.next_deadline_us(),
+            self._deadlines[0][0] if self._deadlines else None,
+        ]
         due_us = min((each for each in deadlines if each is not None), default=None)
         if due_us is None or (self._timer_us is not None and due_us >= self._timer_us):
             return []
@@ -240,7 +245,7 @@
         return [SetTimer(self.timer, self._timer_us)]
 
     def _apply(self, case: FailoverCase, rows: dict[int, ReissueRow]) -> list[Effect]:
-        """Set the Job's state by the decisions on its tasks, and notify those that are new."""
+        """Set the Job's state from the decisions on its tasks, and notify new decisions."""
         decisions = {row.decision for row in rows.values()}
         if ReissueDecision.QUERY in decisions:
             case.state = FailoverState.QUERYING
@@ -287,5 +292,5 @@
 
 
 def start_order_key(case: FailoverCase) -> tuple[int, int, str]:
-    """Return the sort key by which Jobs are started: priority, then how long the owner has waited, then name."""
+    """Return the sort key for the order of starts: highest priority, then longest wait of the owner, then name."""
     return -case.record.priority, case.added_us - case.record.born_age_us, case.record.key
--- a/wingbarrow/decide/sessions/failover_pace.py
+++ b/wingbarrow/decide/sessions/failover_pace.py
@@ -1,4 +1,4 @@
-"""How fast the Jobs of a lost region reach a successor, and the bound on when the last safe one is started again."""
+"""Rate limits of a failover, and the bound on the time until the last safe Job of a lost region is started again."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverPace:
-    """Bounds on how many Jobs are claimed by a successor, and started by its core, in one interval each."""
+    """Maximum number of Jobs that a successor claims, and that its core starts, each per interval."""
 
     max_starts: int = 32
     start_interval_us: int = 100_000
@@ -18,7 +18,7 @@
     claim_interval_us: int = 5_000
 
     def duration_us(self, jobs: int) -> int:
-        """Return how long so many Jobs take where there is capacity for them."""
+        """Return how long claiming and starting this many Jobs takes, given capacity for them."""
         start_intervals = 1 + -(-jobs // self.max_starts)
         claim_intervals = 1 + jobs // self.max_claims
         return self.start_interval_us * start_intervals + self.claim_interval_us * claim_intervals
@@ -26,12 +26,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FailoverTimes:
-    """What the bound rests on, in microseconds.
+    """Times that the bound depends on, in microseconds.
 
-    after_us: of the spec.
-    request_interval_us: between a placer's requests for a lease.
-    election_us: of a new leader, where the present one is lost with the region.
-    one_way_us: latency between regions.
+    max_turn_us: longest turn of the event loop.
+    after_us: `after` of the federation spec.
+    request_interval_us: interval of a placer's lease requests.
+    election_us: time to elect a new leader, if the current one is lost with the region.
+    one_way_us: one-way latency between regions.
     """
 
     lease_us: int
@@ -43,12 +44,18 @@
 
 
 def reissue_within_us(times: FailoverTimes, jobs: int, pace: FailoverPace) -> int:
-    """Return the bound from a region's loss until the last of its safe Jobs is started elsewhere, given capacity.
+    """Return the bound on the time from a region's loss until the last of its safe Jobs is started, given capacity.
 
-    The last grant may have been given at the loss: the voters count it (a new leader, once elected, from then on), or
-    wait for `after`. The end is decided with a round. Each successor reports, and learns of the end, with a request,
-    one of which may be lost: three. A safe Job waits for its other replica holders for at most `MAX_CLAIM_WAIT_US`.
-    Then comes the pace at the successor with the most Jobs, `jobs`, and one message with its answer.
+    It is the sum of:
+
+    - the election, and the voters' lease or `after`, whichever is longer: the last grant may date from the moment of
+      the loss, and a new leader counts from its election;
+    - one round of the voters to decide the end;
+    - three request intervals: a successor reports its replicas with one request and learns of the end with another,
+      and one request may be lost;
+    - `MAX_CLAIM_WAIT_US`, the longest wait of a safe Job for its other replica holders;
+    - the rate limits at the successor with the most Jobs, `jobs`;
+    - one message with its response.
     """
     lease_us = voter_lease_us(times.lease_us, times.max_turn_us)
     round_us = 2 * times.one_way_us + times.max_turn_us
--- a/wingbarrow/decide/sessions/lease_times.py
+++ b/wingbarrow/decide/sessions/lease_times.py
@@ -1,10 +1,11 @@
-"""Durations of a session's lease and of what its end waits for, in microseconds.
+"""Durations of a session's lease L, and of the waits before its end, in microseconds.
 
-Three leases end in this order, all counted from the request that renewed them, each by its own clock:
+Three leases expire in this order. Those of holder and machine count from the request that renewed them, the voters'
+lease from the grant, each by the local clock:
 
-    holder   0.8 L                 no first byte of a leased Job is sent after it (`holder_lease_us`)
-    machine  L                     a machine ends what runs under the session
-    voters   1.002 L + 1 + turn    counted from the answer; the session may be ended after it (`voter_lease_us`)
+    holder   0.8 L                 after it the holder sends no first byte of a leased Job (`holder_lease_us`)
+    machine  L                     at its expiry the machine ends the tasks of the session
+    voters   1.002 L + 1 + turn    after it the voters may end the session (`voter_lease_us`)
 
 `drifted_us` is the bound on the drift between two clocks (1.002 t + 1).
 """
@@ -13,35 +14,38 @@
 
 from wingbarrow.decide.quotas.limits import drifted_us
 
-LEASE_US = 10_000_000  # by default
-HOLDER_LEASE_SHARE = 0.8
-UNREPLICATED_WAIT_LEASES = 6
-CHECKS_PER_LEASE = 8  # how often, at least, the leader checks all sessions during one lease
-MAX_TURN_US = 10_000  # longest turn of the hub
+LEASE_US = 10_000_000  # default
+HOLDER_LEASE_SHARE = 0.8  # of the lease
+UNREPLICATED_WAIT_LEASES = (
+    6  # wait, in leases, before a session without live replica holder is ended
+)
+CHECKS_PER_LEASE = 8  # minimum number of checks of all sessions by the leader during one lease
+MAX_TURN_US = 10_000  # longest turn of the event loop
 
 
 def holder_lease_us(lease_us: int) -> int:
-    """Return 0.8 L: for how long after its request a holder may send a leased Job's first byte."""
+    """Return 0.8 L: how long after its request a holder may send the first byte of a leased Job."""
     return int(lease_us * HOLDER_LEASE_SHARE)
 
 
 def voter_lease_us(lease_us: int, max_turn_us: int) -> int:
-    """Return drifted(L) + turn: for how long after its grant the voters count a session as held.
+    """Return drifted(L) + turn: how long after its grant the voters count a session as held.
 
-    The holder counts from its request, which it sent before that grant.
+    The holder's lease expires earlier: it counts from the request, which was sent before the grant.
     """
     return drifted_us(lease_us) + max_turn_us
 
 
 def unreplicated_wait_us(lease_us: int) -> int:
-    """Return 6 drifted(L): how long after its last renewal a session without live replica holder stays open."""
+    """Return 6 drifted(L): how long a session without live replica holder stays open after its last renewal."""
     return UNREPLICATED_WAIT_LEASES * drifted_us(lease_us)
 
 
 def one_way_renewal_us(lease_us: int) -> int:
-    """Return 0.8 L + L / 2: how long requests renew the session of a placer after the last grant that reached it.
+    """Return 0.8 L + L / 2: how long requests renew a placer's session after the last grant that it received.
 
-    Such a placer is cut off in one direction: the leader receives its requests, and it receives no grant.
+    This is for a partition in one direction, in which the leader receives the placer's requests but the placer receives
+    no grants.
     """
     return holder_lease_us(lease_us) + lease_us // 2
 
@@ -49,14 +53,14 @@
 def ended_within_us(
     lease_us: int, after_us: int | None, max_turn_us: int = MAX_TURN_US, round_us: int = 250_000
 ) -> int:
-    """Return within what time a lost session's end is decided.
+    """Return the bound on the time until the end of a lost session is decided.
 
-    max(voter lease, drifted(after)) + L / 8 + round, or 6 drifted(L) in place of the maximum where `after_us` is None.
-    It counts from the session's last renewal, or from the election of a later leader that a majority has followed since
-    and that has not paused for longer than a check's interval. After a cut that lets only requests through, the last
-    renewal comes up to `one_way_renewal_us` after the last grant that arrived.
+    The bound is max(voter lease, drifted(after)) + L / 8 + round, with 6 drifted(L) in place of the maximum if
+    `after_us` is None. It counts from the session's last renewal, or from the election of a later leader that has kept
+    a majority since and has not paused for longer than a check interval. If a partition lets only requests through, the
+    last renewal is up to `one_way_renewal_us` later than the last grant that arrived.
 
-    after_us: least `after` that live replica holders report; None where there is no live replica holder.
+    after_us: smallest `after` that live replica holders report; None without a live replica holder.
     round_us: duration of a decision among the voters.
     """
     waits = (
--- a/wingbarrow/decide/sessions/leased_job_record.py
+++ b/wingbarrow/decide/sessions/leased_job_record.py
@@ -1,6 +1,6 @@
-"""The record of a leased Job, as its primary and its replica holders have it. Field names are wire names.
+"""The record of a leased Job, as its primary and its replica holders store it. Field names are wire names.
 
-Durations and ages in microseconds: no clock crosses placers.
+Times are sent as durations and ages, in microseconds, because placers share no clock.
 """
 
 from __future__ import annotations
@@ -12,23 +12,22 @@
 RECORD_FORMAT = 1
 MAX_RECORD_BYTES = 16 * 1024  # manifest included
 MAX_REPLICAS = 2
-EFFECTS = (
-    "unsafe",
-    "keyed",
-    "safe",
-)  # of a class: never to be started twice; once a window; repeatable
-OFFERED = "offered"  # value of `answered` before the owner's 201: it may yet be rejected
+# Effects of a class: must never start twice; at most once per key and window; may repeat.
+EFFECTS = ("unsafe", "keyed", "safe")
+OFFERED = (
+    "offered"  # value of `answered` before the owner is sent its 201: the Job may still be rejected
+)
 TASK_PHASES = ("none", "about", "doubt", "placed", "over")  # from least to most advanced
 
 
 @dataclass(frozen=True, slots=True)
 class KnownTask:
-    """What a replica holder knows of one task.
+    """State of one task as a replica holder knows it.
 
-    phase: `none` before any attempt, `about` before an attempt's first byte, `placed`, `over`; `doubt` where the Job
-        was reissued, or its holder may have gone on with other replica holders.
+    phase: `none` before any attempt, `about` before an attempt's first byte, `placed`, `over`; `doubt` if the Job was
+        reissued, or if its holder may have continued with other replica holders.
     attempt: name of the pod.
-    age_us: since the phase began, when this was sent.
+    age_us: time since the phase began, when this was sent.
     """
 
     index: int
@@ -40,21 +39,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasedJobRecord:
-    """One leased Job. A later `(epoch, version)` replaces an earlier one, whoever sends it.
+    """One leased Job. A record with a later `(epoch, version)` replaces an earlier one, whichever placer sends it.
 
+    form: format version, RECORD_FORMAT.
     key: namespace/name.
-    session: under which it is held.
+    session: the session under which the Job is held.
     epoch: fencing token: 0 at its first placer, else the epoch under which it was reissued.
-    version: counts changes within an epoch.
-    region: where it runs, with the machines that its tasks name.
+    version: number of changes within an epoch.
+    region: region in which it runs, and in which the machines of its tasks are.
     spec: name of its federation spec.
-    group: of a keyed class, within which a key holds: machine, cell, zone, all.
+    group: scope of a keyed class within which a key is unique: machine, cell, zone, all.
     manifest: JSON of the Job.
-    keepers: its replica holders, by rendezvous rank.
-    answered: to its owner: OFFERED before the 201, then "", placed, refused or failed.
-    born_age_us: since it was accepted, when this was sent.
+    keepers: its replica holders, in order of rendezvous rank.
+    answered: status sent to the owner: OFFERED before the 201, then "", placed, refused or failed.
+    born_age_us: time since it was accepted, when this was sent.
     others: placers that may have an older record, and have not yet confirmed that they dropped it.
-    moves: how often the replica holders changed in this epoch; at 0 only `keepers` and `others` ever had the record.
+    moves: number of changes of the replica holders in this epoch; at 0 only `keepers` and `others` ever had the record.
     """
 
     form: int
--- a/wingbarrow/decide/sessions/machine_queries.py
+++ b/wingbarrow/decide/sessions/machine_queries.py
@@ -1,8 +1,8 @@
-"""Queries to the machines of a lost region, sent through placers there: what they have of a Job's tasks.
+"""Queries to the machines of a lost region, sent through placers of that region: which tasks of a Job they hold.
 
-At most MAX_OUTSTANDING queries are outstanding. One that is not answered is sent again, through another placer; a
-machine counts as unreachable after UNREACHABLE_AFTER attempts, and while no placer of its region is there. It is then
-queried at longer intervals, for as long as the task matters.
+At most MAX_OUTSTANDING queries are outstanding. A query without a response is sent again, through another placer. A
+machine counts as unreachable after UNREACHABLE_AFTER attempts, and while its region has no live placer. It is then
+queried at longer intervals, as long as its response can change the decision on the task.
 """
 
 from __future__ import annotations
@@ -20,17 +20,20 @@
 UNREACHABLE_AFTER = 3  # attempts
 MAX_OUTSTANDING = 64
 MAX_REMEMBERED_NUMBERS = 16 * MAX_OUTSTANDING
-NUMBERS_PER_EPOCH = (
-    1 << 24
-)  # each epoch has its own numbers: late messages of another failover mean nothing
+# Each epoch has its own range of query numbers, so that late messages of another failover match no query.
+NUMBERS_PER_EPOCH = 1 << 24
 
 
 @dataclass(slots=True)
 class TaskQuery:
-    """The query for one task, whose attempt was sent after `since_us`, if it was.
+    """The query for one task.
 
+    since_us: the task's attempt, if any, was sent after this time.
     answer: final unless a machine later reports that it holds the task.
-    is_dropped: the Job does not matter any more.
+    number: number of the latest message.
+    attempts: number of messages sent.
+    due_us: when the latest message times out, or when the next one is sent.
+    is_dropped: the Job has left the failover: reports are ignored.
     """
 
     uid: str
@@ -47,20 +50,20 @@
 
 
 class MachineQueries:
-    """All queries of one failover."""
+    """All queries of one failover. `placers`: live placers of the region. `queries`: by uid and task index."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.placers: tuple[str, ...] = ()
         self.queries: dict[str, dict[int, TaskQuery]] = {}
-        self._number = epoch * NUMBERS_PER_EPOCH
-        self._numbers: dict[int, TaskQuery] = {}  # of the latest messages, answered or not
+        self._last_number = epoch * NUMBERS_PER_EPOCH
+        self._query_by_number: dict[int, TaskQuery] = {}  # by number, the latest messages
         self._queue: deque[TaskQuery] = deque()
-        self._due: list[tuple[int, str, int]] = []  # heap of time, uid and index
+        self._deadlines: list[tuple[int, str, int]] = []  # heap of time, uid and index
         self._outstanding = 0
 
     def answer(self, uid: str, index: int) -> MachineAnswer:
-        """Return what is known of a task from its machine."""
+        """Return the machine's answer on a task, as far as it is known."""
         query = self.queries.get(uid, {}).get(index)
         if query is None:
             return MachineAnswer.UNASKED
@@ -73,7 +76,10 @@
         return MachineAnswer.UNASKED
 
     def add(self, uid: str, index: int, machine: str, since_us: int) -> None:
-        """Query a task's machine from now on."""
+        """Query a task's machine until it answers.
+
+        This replaces an earlier query for the task if that is to another machine, or has a later `since_us`.
+        """
         former = self.queries.setdefault(uid, {}).get(index)
         if former is None or former.machine != machine or since_us < former.since_us:
             if former is not None:
@@ -83,19 +89,19 @@
             self._enqueue(query)
 
     def set_answer(self, uid: str, index: int, answer: MachineAnswer) -> None:
-        """Record an answer that did not come from the machine."""
+        """Set an answer that does not come from the machine, such as an operator's."""
         query = self.queries.setdefault(uid, {}).setdefault(index, TaskQuery(uid, index, "", 0))
         self._end_attempt(query)
         query.answer = answer
 
     def forget(self, uid: str) -> None:
-        """Drop the queries for a Job."""
+        """Remove the queries for a Job."""
         for query in self.queries.pop(uid, {}).values():
             self._end_attempt(query)
             query.is_dropped = True
 
     def set_placers(self, placers: tuple[str, ...]) -> set[str]:
-        """Replace the live placers of the region; return the uids whose answers may have changed."""
+        """Replace the list of live placers of the region; return the uids whose answers may have changed."""
         new = set(placers) - set(self.placers)
         changed = bool(placers) != bool(self.placers)
         self.placers = placers
@@ -111,8 +117,8 @@
         return {query.uid for query in unanswered} if changed else set()
 
     def on_machine_report(self, now_us: int, message: MachineReport) -> str:
-        """Take in a report, which may be late or a duplicate; return its uid, "" where it changes nothing."""
-        query = self._numbers.get(message.number)
+        """Handle a report, which may be late or a duplicate; return its uid, "" if no answer may have changed."""
+        query = self._query_by_number.get(message.number)
         if query is None or query.is_dropped:
             return ""
         if (message.uid, message.machine) != (query.uid, query.machine):
@@ -130,10 +136,10 @@
         return query.uid
 
     def on_timer(self, now_us: int) -> set[str]:
-        """Take in timeouts; return the uids whose answers may have changed."""
+        """Handle due timeouts and retries; return the uids whose answers may have changed."""
         changed = set()
-        while self._due and self._due[0][0] <= now_us:
-            _, uid, index = heapq.heappop(self._due)
+        while self._deadlines and self._deadlines[0][0] <= now_us:
+            _, uid, index = heapq.heappop(self._deadlines)
             query = self.queries.get(uid, {}).get(index)
             if query is None or query.answer is not None:
                 continue
@@ -147,7 +153,7 @@
         return changed
 
     def next_requests(self, now_us: int) -> list[Effect]:
-        """Return the messages that are to be sent now."""
+        """Return the queries to be sent now."""
         effects: list[Effect] = []
         while self._queue and self._outstanding < MAX_OUTSTANDING and self.placers:
             query = self._queue.popleft()
@@ -157,8 +163,8 @@
         return effects
 
     def next_deadline_us(self) -> int | None:
-        """Return when to call `on_timer`."""
-        return self._due[0][0] if self._due else None
+        """Return when to call `on_timer`, None if no query has a deadline."""
+        return self._deadlines[0][0] if self._deadlines else None
 
     # -- attempts
 
@@ -166,11 +172,11 @@
         return self.queries.get(query.uid, {}).get(query.index) is query
 
     def _begin_attempt(self, now_us: int, query: TaskQuery) -> Send:
-        self._number += 1
-        self._numbers[self._number] = query
-        if len(self._numbers) > MAX_REMEMBERED_NUMBERS:
-            del self._numbers[next(iter(self._numbers))]
-        query.number = self._number
+        self._last_number += 1
+        self._query_by_number[self._last_number] = query
+        if len(self._query_by_number) > MAX_REMEMBERED_NUMBERS:
+            del self._query_by_number[next(iter(self._query_by_number))]
+        query.number = self._last_number
         query.attempts += 1
         query.is_outstanding = True
         self._outstanding += 1
@@ -197,11 +203,14 @@
 
     def _set_deadline(self, query: TaskQuery, due_us: int) -> None:
         query.due_us = due_us
-        heapq.heappush(self._due, (due_us, query.uid, query.index))
+        heapq.heappush(self._deadlines, (due_us, query.uid, query.index))
 
 
 def _may_replace(known: MachineAnswer | None, answer: MachineAnswer) -> bool:
-    """Danger: once a machine took the task, no later answer withdraws that."""
+    """Whether an answer may replace the known one.
+
+    Danger: after a machine reported that it holds the task, no later answer may replace that.
+    """
     if known is None:
         return True
     return answer is MachineAnswer.HOLDS and known in (
--- a/wingbarrow/decide/sessions/messages.py
+++ b/wingbarrow/decide/sessions/messages.py
@@ -1,7 +1,8 @@
 """Messages about sessions and leased Jobs between placers. Field names are wire names.
 
-`SessionsReport` and `SessionsResponse` are parts of a request for a lease and of its grant. The others are sent at most
-once, and again, under a new number, until answered. Durations and ages in microseconds.
+`SessionsReport` and `SessionsResponse` are parts of a lease request and of its grant. Any other message is sent at most
+once under one number; a request without a response is sent again under a new number. Durations and ages in
+microseconds.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRecords:
-    """How many Jobs of another placer's session a replica holder has, and the least `after` among their specs."""
+    """Number of Jobs of another placer's session that a replica holder has, and the smallest `after` of their specs."""
 
     session: Session
     jobs: int
@@ -31,11 +32,11 @@
 class SessionsReport:
     """A placer's report with a lease request.
 
-    serial: of its present session, 0 before its first; the incarnation is the request's.
-    leased: Jobs under that session.
-    keeping: replicas for other sessions, at most MAX_HELD_SESSIONS.
-    heard: latest epoch that it knows.
-    deaf: no grant has arrived for so long that it may send nothing.
+    serial: serial of its latest session, 0 before the first; the incarnation is that of the request.
+    leased: number of Jobs under that session.
+    keeping: replicas held for other sessions, at most MAX_HELD_SESSIONS.
+    heard: epoch up to which it knows all ends.
+    deaf: no grant has arrived for so long that its holder lease has expired.
     """
 
     region: str
@@ -50,10 +51,10 @@
 class SessionsResponse:
     """The leader's response, with a grant.
 
-    open: whether this renews the session `(life, serial)` of the requester, for `lease_us` from its request.
-    epoch: up to which the requester knows every end with this response.
-    ended: the ends that changed after the reported epoch, in that order, at most MAX_ENDED_PER_RESPONSE.
-    life: of the session: the process's incarnation, or a later one where a wall clock was set back.
+    open: whether this renews the requester's session `(life, serial)`, for `lease_us` from its request.
+    epoch: epoch up to which the requester knows all ends with this response.
+    ended: the ends that changed after the reported epoch, in order of change, at most MAX_ENDED_PER_RESPONSE.
+    life: incarnation of the session: the process's, or a later one if the wall clock was set back.
     """
 
     open: bool
@@ -69,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicateRequest:
-    """Store these records in place of earlier ones, and drop those of the uids in `gone`.
+    """Request to store these records in place of earlier ones, and to drop those of the uids in `gone`.
 
-    `life` and `serial` are of the receiver's session as the sender knows it. A receiver in another session rejects the
-    request: it has lost or doubts its records, and a late message must not pass for a new one.
+    `life` and `serial` identify the receiver's session as the sender knows it. A receiver in another session rejects
+    the request: it has lost its records or cannot rely on them, and a delayed message must not be taken for a new one.
     """
 
     number: int
@@ -85,12 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicateResponse:
-    """Whether all of a request is stored, and if not, why.
-
-    over: the sender's session has ended.
-    life, serial: of the responding placer's session.
-    taken: uid, epoch and holder of Jobs in the request that another placer holds at a later epoch: not stored.
-    later: records that the responding placer had of reissued Jobs, without manifests: the new holder may know less.
+    """Response to a `ReplicateRequest`.
+
+    good: whether all of the request is stored; otherwise `why` has the reason.
+    over: the requester's session has ended.
+    life, serial: identify the responding placer's session.
+    taken: uid, epoch and holder of Jobs in the request that another placer holds at a later epoch; not stored.
+    later: the responding placer's records of reissued Jobs, without manifests; they may have later states than the new
+        holder's.
     """
 
     number: int
@@ -109,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolveRequest:
-    """A returning holder asks a successor or a replica holder for the outcome of Jobs of an ended session."""
+    """Request of a returning holder to a successor or replica holder: the outcome of Jobs of an ended session."""
 
     number: int
     session: Session
@@ -118,7 +121,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolveResponse:
-    """For each Job its uid, epoch and outcome: a value of `FailoverState` or `ReissueDecision`, or not known here."""
+    """Response with uid, epoch and outcome of each Job.
+
+    The outcome is a value of `FailoverState` or `ReissueDecision`, or `UNKNOWN_HERE` of `replication.replica`.
+    """
 
     number: int
     session: Session
@@ -127,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineQuery:
-    """Ask a placer in a machine's region to fence a Job there at `epoch`, and to report whether it holds the Job."""
+    """Request to a placer in a machine's region: fence a Job there at `epoch`, report whether the machine holds it."""
 
     number: int
     machine: str
@@ -137,7 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineReport:
-    """The machine's answer. reached: whether it answered. boot_age_us: how long the machine has been up."""
+    """Response to a `MachineQuery`.
+
+    reached: whether the machine responded.
+    holds: whether it holds the Job.
+    boot_age_us: how long the machine has been up.
+    """
 
     number: int
     machine: str
--- a/wingbarrow/decide/sessions/recovery.py
+++ b/wingbarrow/decide/sessions/recovery.py
@@ -1,9 +1,10 @@
-"""Recovery of a holder that returns after its session was ended: the outcome of its Jobs, by their successors' answers.
+"""Recovery of a holder that returns after its session was ended: its successors report the outcome of its Jobs.
 
-It holds none of them any more. Each Job is resolved by the table of recovery (`reissue.resolve_copies`): the own copy
-is stopped where the successor has started its own, except of what must not start twice. A Job that no successor knows
-within `SUCCESSOR_SEARCH_US` was lost with its replica holders, or never had any: it is notified with `by` empty, and
-reissued by this placer itself, in doubt, as a replica holder that has not answered yet may have it.
+The returning holder no longer holds any of these Jobs. Each Job is resolved by the recovery table
+(`reissue.resolve_copies`): its own copy is stopped if the successor has started one, except for a Job that must not
+start twice. A Job that no successor knows within `SUCCESSOR_SEARCH_US` was lost with its replica holders, or never had
+any. It is notified with `by` empty, and this placer reissues it in phase `doubt`, because a replica holder that has not
+responded yet may have it.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
 )
 from wingbarrow.decide.sessions.session import EndedSession, Session
 
-RESOLVE_RETRY_US = 1_000_000  # between requests to a successor that has not answered
-SUCCESSOR_SEARCH_US = 10_000_000
-MAX_REMEMBERED_NUMBERS = 1024  # of requests
+RESOLVE_RETRY_US = 1_000_000  # interval of requests to a successor that has not responded
+SUCCESSOR_SEARCH_US = 10_000_000  # time to find a successor that knows a Job
+MAX_REMEMBERED_NUMBERS = 1024  # outstanding requests whose responses are still accepted
 
 
 @dataclass(frozen=True, slots=True)
 class OwnJob:
-    """A Job as the returning holder has it."""
+    """A Job as the returning holder has it, and whether its own copy runs."""
 
     record: LeasedJobRecord
     is_running: bool
 
 
 class SessionRecovery:
-    """Recovery from the end of one session of this placer. `jobs`: by uid, those that are not resolved yet."""
+    """Recovery from the end of one session of this placer. `jobs`: by uid, the Jobs that are not resolved yet."""
 
     def __init__(self, me: str, session: Session, jobs: Mapping[str, OwnJob]) -> None:
         self.me = me
         self.session = session
         self.timer = f"recovery/{session.text()}"
         self.jobs = dict(jobs)
-        self._unanswered: dict[str, set[str]] = {}  # by successor, uids
-        self._numbers: dict[int, str] = {}  # by request, its successor
-        self._number = 0
+        self._pending_uids: dict[str, set[str]] = {}  # uids by successor
+        self._successor_by_number: dict[int, str] = {}  # by request number, the successor
+        self._last_number = 0
         self._epoch = 0
         self._search_until_us: int | None = None
 
@@ -55,22 +56,22 @@
         return not self.jobs
 
     def on_session_ended(self, now_us: int, ended: EndedSession) -> list[Effect]:
-        """The session has ended, or has more successors."""
-        # A successor whose session has ended since may be live, and know who has what it had.
+        """Handle the end of the session, or a change of its successors."""
+        # Successors whose own session has ended are included: they may be live, and know who holds their Jobs now.
         names = {name for batch in ended.batches for name in batch} - {self.me}
         self._epoch = ended.epoch
         self._search_until_us = self._search_until_us or now_us + SUCCESSOR_SEARCH_US
-        for name in sorted(names - self._unanswered.keys()):
-            self._unanswered[name] = set(self.jobs)
+        for name in sorted(names - self._pending_uids.keys()):
+            self._pending_uids[name] = set(self.jobs)
         return self.on_timer(now_us)
 
     def on_timer(self, now_us: int) -> list[Effect]:
-        """Send requests for what is not answered; end the search for successors when its time is over."""
+        """Request unresolved Jobs again; end the search for successors after `SUCCESSOR_SEARCH_US`."""
         effects: list[Effect] = [
-            self._request(name, uids) for name, uids in sorted(self._unanswered.items()) if uids
+            self._request(name, uids) for name, uids in sorted(self._pending_uids.items()) if uids
         ]
-        while len(self._numbers) > MAX_REMEMBERED_NUMBERS:
-            del self._numbers[next(iter(self._numbers))]
+        while len(self._successor_by_number) > MAX_REMEMBERED_NUMBERS:
+            del self._successor_by_number[next(iter(self._successor_by_number))]
         if self._search_until_us is not None and now_us >= self._search_until_us:
             effects += self._end_search()
         if self.jobs:
@@ -78,22 +79,25 @@
         return effects
 
     def _request(self, successor: str, uids: set[str]) -> Send:
-        self._number += 1
-        self._numbers[self._number] = successor
+        self._last_number += 1
+        self._successor_by_number[self._last_number] = successor
         requested = tuple(sorted(uids))[:MAX_RESOLVE_UIDS]
-        return Send(successor, "", ResolveRequest(self._number, self.session, requested))
+        return Send(successor, "", ResolveRequest(self._last_number, self.session, requested))
 
     def on_resolve_response(
         self, now_us: int, ident: str, message: ResolveResponse
     ) -> list[Effect]:
-        """A successor answered."""
-        if self._numbers.pop(message.number, "") != ident or message.session != self.session:
+        """Handle a successor's response."""
+        if (
+            self._successor_by_number.pop(message.number, "") != ident
+            or message.session != self.session
+        ):
             return []
         effects: list[Effect] = []
         for uid, epoch, outcome in message.fates:
-            self._unanswered.get(ident, set()).discard(uid)
+            self._pending_uids.get(ident, set()).discard(uid)
             own = self.jobs.get(uid)
-            # Whoever has it at an earlier epoch, or at this one, is no successor of it.
+            # A placer that has the Job at the same or an earlier epoch is not its successor.
             if own is None or outcome == UNKNOWN_HERE or epoch <= own.record.epoch:
                 continue
             resolution = resolve_copies(
@@ -111,16 +115,16 @@
                 "why": resolution.why,
             }
             effects.append(Notify("settled", fields))
-            self._close(uid)
+            self._mark_resolved(uid)
         return effects
 
-    def _close(self, uid: str) -> None:
+    def _mark_resolved(self, uid: str) -> None:
         self.jobs.pop(uid, None)
-        for uids in self._unanswered.values():
+        for uids in self._pending_uids.values():
             uids.discard(uid)
 
     def _end_search(self) -> list[Effect]:
-        """Resolve the Jobs that no successor knows."""
+        """Resolve the Jobs that no successor knows: RUN for safe ones, UNKNOWN for the others."""
         effects: list[Effect] = []
         for uid, own in list(self.jobs.items()):
             mine = ReissueDecision.RUN if own.record.effect == "safe" else ReissueDecision.UNKNOWN
@@ -135,5 +139,5 @@
                 "own": own,
             }
             effects.append(Notify("settled", fields))
-            self._close(uid)
+            self._mark_resolved(uid)
         return effects
--- a/wingbarrow/decide/sessions/reissue.py
+++ b/wingbarrow/decide/sessions/reissue.py
@@ -1,11 +1,11 @@
-"""Whether a task of a Job whose holder's session has ended is started again; and which of two copies of a Job goes on.
+"""Decides whether a task of a Job is started again after its holder's session has ended, and which of two copies stays.
 
-Both questions are answered by a table, each row with the danger that it guards against, or the proof that it rests on.
-`docs/reissue.md` shows both tables. A row of the first is found by the class's effect, what this replica holder knows
-of the task, what its machine answers, and the window of its key.
+Each decision is looked up in a table. Each row has the danger that it guards against, or the proof that it relies on.
+`docs/reissue.md` shows both tables. The key of the reissue table is the effect of the class, the phase of the task as
+this replica holder knows it, the answer of the task's machine, and the window of the Job's key.
 
-The voters ended the holder's session before anything is asked here, so that its lease and the machines' lease have
-expired by every clock: no earlier copy of a leased task runs any more where machines observe their lease.
+These decisions are made only after the voters have ended the holder's session, when its lease and the machines' lease
+have expired by every clock: no earlier copy of a leased task still runs on a machine that observes its lease.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ReissueDecision(Enum):
-    """The decision on one task or copy; values as they are notified and sent."""
+    """The decision on one task or copy; the values are notified and sent."""
 
     RUN = "run"
     WAIT = "waiting"
@@ -36,27 +36,27 @@
 
 
 class MachineAnswer(StrEnum):
-    """What the machine of a task's latest attempt answered."""
+    """Answer of the machine of a task's latest attempt."""
 
     UNASKED = "unasked"
     UNREACHABLE = "unreachable"
-    HOLDS = "holds"  # it took the task
-    CLEAR = "clear"  # it never had it, and has been up since before the attempt could be sent
-    RESTARTED = "restarted"  # it does not have it, and has restarted since
+    HOLDS = "holds"  # it accepted the task
+    CLEAR = "clear"  # it never had the task, and has been up since before the attempt could be sent
+    RESTARTED = "restarted"  # it does not have the task, but has restarted since the attempt may have been sent
     OPERATOR = "operator"  # an operator confirms that the task never ran
 
 
 class KeyWindow(StrEnum):
-    """Where the window of a key stands."""
+    """State of a key's window."""
 
     RUNNING = "running"
     PAST = "past"
-    UNKNOWN = "unknown"  # nobody here knows since when it runs
+    UNKNOWN = "unknown"  # its start is not known here
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReissueRow:
-    """The first row that matches holds; an empty column matches all."""
+    """A row of the reissue table. The first matching row applies; an empty column matches any value."""
 
     effects: tuple[str, ...] = ()
     phases: tuple[str, ...] = ()
@@ -181,18 +181,20 @@
     window: str,
     table: tuple[ReissueRow, ...] = REISSUE_TABLE,
 ) -> ReissueRow:
-    """Return the first row that matches; ValueError where none does."""
+    """Return the first matching row; raise ValueError if there is none."""
     for row in table:
         if row.matches(effect, phase, answer, window):
             return row
-    raise ValueError(f"no row for {effect}, {phase}, {answer}, {window}")
+    raise ValueError(
+        f"reissue table has no row for effect {effect!r}, phase {phase!r}, answer {answer!r}, window {window!r}"
+    )
 
 
 def window_until_us(record: LeasedJobRecord, ended_us: int) -> int:
-    """Return until when a keyed Job waits, given when this placer learned of the end of its holder's session.
+    """Return the end of a keyed Job's wait, from the time when this placer learned that its holder's session has ended.
 
-    The holder's last attempt was sent before. A key that holds everywhere, or a Job that another successor may have
-    started, waits for its whole window by any clock; a narrower group ends within the lost region.
+    The holder's last attempt was sent before that time. A key with the group `all`, or a Job that another successor may
+    have started, waits for its whole window by any clock. A narrower group lies within the lost region: no wait.
     """
     if record.effect != "keyed" or not (record.group == "all" or _is_doubted(record)):
         return ended_us
@@ -200,7 +202,7 @@
 
 
 def key_window(record: LeasedJobRecord, now_us: int, until_us: int) -> KeyWindow:
-    """Return where the window of a Job's key stands, given the time from `window_until_us`."""
+    """Return the state of the window of a Job's key, given the result of `window_until_us`."""
     if record.effect == "keyed" and record.group == "all" and _is_doubted(record):
         return KeyWindow.UNKNOWN
     return KeyWindow.RUNNING if now_us < until_us else KeyWindow.PAST
@@ -211,9 +213,9 @@
 
 
 def machine_answer(report: MachineReport | None, age_us: int) -> MachineAnswer:
-    """Return what a machine's report means for an attempt that was sent `age_us` ago at the earliest.
+    """Return the answer that a machine's report implies for an attempt that was sent at most `age_us` ago.
 
-    Danger: that it never had the task counts only where it has been up for all of that time, by any clock.
+    Danger: a report that it does not hold the task counts only if it has been up for all of that time, by any clock.
     """
     if report is None:
         return MachineAnswer.UNASKED
@@ -227,7 +229,7 @@
 
 
 def worst_case_state(mine: KnownTask, theirs: KnownTask) -> KnownTask:
-    """Return the more advanced of what two replica holders know of a task, of one phase the older: the worst case."""
+    """Return the worst case of two replica holders' states of a task: the more advanced phase, then the greater age."""
     my_phase = TASK_PHASES.index(mine.phase)
     their_phase = TASK_PHASES.index(theirs.phase)
     if their_phase != my_phase:
@@ -235,12 +237,12 @@
     return theirs if theirs.age_us > mine.age_us else mine
 
 
-# -- two copies of one Job, after a holder has returned
+# -- two copies of one Job after a holder has returned
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecoveryRow:
-    """What each of two holders does with its copy: the one of the earlier epoch, and the one of the later."""
+    """A row of the recovery table: decisions for the copies of the earlier and the later epoch."""
 
     effects: tuple[str, ...]
     earlier_runs: bool
@@ -304,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCopy:
-    """One side's copy of a Job: its epoch and holder, and whether a run of it is there."""
+    """One holder's copy of a Job, with its epoch and whether it runs there."""
 
     epoch: int
     holder: str
@@ -313,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """The decisions on both copies, and why."""
+    """The decisions on both copies, and the reason."""
 
     mine: ReissueDecision
     theirs: ReissueDecision
@@ -326,9 +328,9 @@
     theirs: RunCopy,
     table: tuple[RecoveryRow, ...] = RECOVERY_TABLE,
 ) -> Resolution:
-    """Decide on two copies of a Job: the greater epoch is the later one, at one epoch the lesser holder's name is.
+    """Decide on two copies of a Job. The later one has the greater epoch, or at equal epochs the lesser holder's name.
 
-    Both holders come to the same decisions. ValueError where no row matches.
+    Both holders reach the same decisions. Raises ValueError if no row matches.
     """
     if (mine.epoch, mine.holder) == (theirs.epoch, theirs.holder):
         keep = ReissueDecision.RUN if mine.is_running else ReissueDecision.WAIT
@@ -344,15 +346,18 @@
             if mine_is_later:
                 return Resolution(row.later, row.earlier, row.why)
             return Resolution(row.earlier, row.later, row.why)
-    raise ValueError(f"no row for {effect}")
+    raise ValueError(
+        f"recovery table has no row for effect {effect!r}, earlier runs: {earlier.is_running}, "
+        f"later runs: {later.is_running}"
+    )
 
 
 def _descending(name: str) -> tuple[int, ...]:
-    """Return a key by which lesser names sort later; a name sorts before its own prefixes."""
+    """Return a sort key that reverses the order of names."""
     return (*(-ord(each) for each in name), 1)
 
 
-# -- for docs/reissue.md
+# -- tables of docs/reissue.md
 
 REISSUE_COLUMNS = (
     "effect",
@@ -366,7 +371,7 @@
 
 
 def reissue_rows() -> list[tuple[str, ...]]:
-    """Return the table of reissue as text, in the order of REISSUE_COLUMNS."""
+    """Return the rows of the reissue table as text, in the order of REISSUE_COLUMNS."""
     return [
         (
             *(
@@ -381,7 +386,7 @@
 
 
 def recovery_rows() -> list[tuple[str, ...]]:
-    """Return the table of recovery as text, in the order of RECOVERY_COLUMNS."""
+    """Return the rows of the recovery table as text, in the order of RECOVERY_COLUMNS."""
     return [
         (
             ", ".join(row.effects),
@@ -396,7 +401,7 @@
 
 
 def markdown() -> str:
-    """Return both tables as the page shows them."""
+    """Return both tables in Markdown, as in docs/reissue.md."""
     first = _markdown_table(REISSUE_COLUMNS, reissue_rows())
     second = _markdown_table(RECOVERY_COLUMNS, recovery_rows())
     return f"{first}\n\n{second}\n"
--- a/wingbarrow/decide/sessions/session.py
+++ b/wingbarrow/decide/sessions/session.py
@@ -1,7 +1,7 @@
-"""Identity of a placer's session, the end of one, and who succeeds to its Jobs.
+"""Identity of a placer's session, the end of a session, and the successors that get its Jobs.
 
-A *session* (Chubby's term, Burrows 2006) is a placer's lease on all of its leased Jobs at once. Each incarnation of a
-placer has one, and a new one (`serial`) after the voters have ended one of an incarnation that goes on.
+A *session* (Chubby's term, Burrows 2006) is one lease of a placer for all of its leased Jobs. Each incarnation of a
+placer has one session at a time, and opens another with the next `serial` after the voters have ended it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Session:
-    """Identity of a session; ordered by placer, then by age, as incarnations (`life`) and serials grow."""
+    """Identity of a session. `life` is the placer's incarnation. Sessions of a placer sort from oldest to newest."""
 
     placer: str
     life: int
@@ -23,21 +23,22 @@
 
 
 def parse_session(text: str) -> Session:
-    """Read what `Session.text` gives; ValueError for anything else."""
+    """Parse the form of `Session.text`; raise ValueError for anything else."""
     placer, life, serial = text.rsplit("/", 2)
     if not placer or not life.isdecimal() or not serial.isdecimal():
-        raise ValueError(f"no session: {text[:80]!r}")
+        raise ValueError(f"session is not in the form PLACER/LIFE/SERIAL: {text[:80]!r}")
     return Session(placer, int(life), int(serial))
 
 
 @dataclass(frozen=True, slots=True)
 class EndedSession:
-    """A session that the voters have ended, and the placers that succeed it.
+    """A session that the voters have ended, and its successors.
 
-    `epoch` is the fencing token: it counts ends and changes of successors over all sessions. `changed` is the epoch of
-    the latest change of this end; a successor acts under the one with which it learned that it succeeds. Successors
-    that hold replicas are named in `batches`, in the order in which they joined; `gone` are those whose own session has
-    ended since.
+    epoch: fencing token of the end; it counts ends and changes of successors over all sessions.
+    changed: epoch of the latest change of this end. A successor acts under the value with which it learned that it is
+        the successor.
+    batches: the successors, which hold replicas, in the order in which they joined.
+    gone: successors whose own session has ended since.
     """
 
     epoch: int
@@ -49,9 +50,9 @@
 
 
 def successor_of(ended: EndedSession, replica_holders: tuple[str, ...]) -> str:
-    """Return the successor for a Job, given its replica holders by rendezvous rank; "" while there is none.
+    """Return the successor for a Job, given its replica holders in order of rendezvous rank; "" if there is none.
 
-    It is the first replica holder in the earliest batch that has one which is not gone: the same at every placer.
+    It is the first replica holder in the earliest batch that has one which is not gone. All placers compute the same.
     """
     for batch in ended.batches:
         for name in replica_holders:
--- a/wingbarrow/decide/sessions/session_lease.py
+++ b/wingbarrow/decide/sessions/session_lease.py
@@ -1,6 +1,6 @@
-"""The holder's side of sessions: when it may send leased Jobs' first bytes, and the ends that it knows. No I/O.
+"""The holder's side of sessions: when it may send the first byte of a leased Job, and known ends of sessions. No I/O.
 
-Times by the placer's own clock; see `lease_times` for the order in which the leases of holder, machines and voters end.
+Times are by the placer's own clock. `lease_times` has the order in which holder, machine and voter leases expire.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 class SessionLease:
-    """One placer's lease. A placer without a region has no session.
+    """One placer's session lease. A placer without a region has no session.
 
-    session: the present one; None before the first, and between an end and the next.
-    serial: of the latest session of this incarnation, the present one or one that has ended.
+    session: the current session; None before the first, and between an end and the next session.
+    serial: serial of the latest session of this incarnation, current or ended.
     is_open: whether it may send, as last notified.
-    requested_us: when the request was sent that renewed it last.
-    machine_lease_until_us: when machines are to end what runs under the session.
-    known_epoch: up to which all ends are known.
-    ended: the latest MAX_ENDED_SESSIONS ends.
+    requested_us: when the request of the latest renewal was sent.
+    machine_lease_until_us: when machines are to end the tasks of the session.
+    known_epoch: epoch up to which all ends are known.
+    ended: the MAX_ENDED_SESSIONS ends that changed last.
     """
 
     name = "sessions"
@@ -46,8 +46,8 @@
         self.known_epoch = 0
         self.ended: dict[Session, EndedSession] = {}
         self.counts: Counter[str] = Counter()
-        self._count_leased: Callable[[], int] = int
-        self._held_records: Callable[[], tuple[HeldRecords, ...]] = tuple
+        self._leased_count_source: Callable[[], int] = int
+        self._held_records_source: Callable[[], tuple[HeldRecords, ...]] = tuple
         self._holder_lease_until_us = 0
         self._responded_us = 0
 
@@ -57,26 +57,26 @@
         count_leased: Callable[[], int] = int,
         held_records: Callable[[], tuple[HeldRecords, ...]] = tuple,
     ) -> None:
-        """Have reports state how many Jobs are leased under this session, and the replicas held for other sessions."""
-        self._count_leased = count_leased
-        self._held_records = held_records
+        """Set the functions that give reports the number of leased Jobs, and the replicas held for other sessions."""
+        self._leased_count_source = count_leased
+        self._held_records_source = held_records
 
     def may_send(self, now_us: int) -> bool:
-        """Whether a leased Job's first byte may leave at this moment. A floor of the rule set never replaces this."""
+        """Whether the first byte of a leased Job may be sent now. The floor of a rule set never replaces this."""
         return self.session is not None and now_us < self._holder_lease_until_us
 
     def report(self, now_us: int) -> SessionsReport | None:
-        """Return the report for the next request; None without a region."""
+        """Return the report for the next lease request; None without a region."""
         if not self.region:
             return None
-        held = self._held_records()
+        held = self._held_records_source()
         if len(held) > MAX_HELD_SESSIONS:
             self.counts["sessions: kept for more than can be said"] += 1
         silent_us = now_us - self._responded_us
         return SessionsReport(
             self.region,
             self.serial,
-            self._count_leased(),
+            self._leased_count_source(),
             held[:MAX_HELD_SESSIONS],
             self.known_epoch,
             deaf=self.session is not None and silent_us >= holder_lease_us(self.lease_us),
@@ -85,7 +85,7 @@
     def on_response(
         self, now_us: int, requested_us: int, response: SessionsResponse | None
     ) -> list[Effect]:
-        """Apply the leader's response: ends first, then a renewal, or the beginning of a new session."""
+        """Apply the leader's response: first the ends, then a renewal or the start of a new session."""
         if response is None:
             return []
         self._responded_us = now_us
@@ -95,9 +95,9 @@
                 effects += self._on_ended(ended)
         self.known_epoch = max(self.known_epoch, response.epoch)
         session = Session(self.me, response.life, response.serial)
-        if response.open and self._may_begin(session):
+        if response.open and self._may_use(session):
             if self.session is not None and session != self.session:
-                # Nobody remembers the end of this one. It is over all the same, and its successors are not known.
+                # The leader no longer has the end of the previous session; it has ended, with unknown successors.
                 end = EndedSession(
                     response.epoch, self.session, self.region, changed=response.epoch
                 )
@@ -105,8 +105,8 @@
             self._renew(session, requested_us, response.lease_us)
         return [*effects, *self.check_expiry(now_us)]
 
-    def _may_begin(self, session: Session) -> bool:
-        """Whether a session is the present one or a later one, and has not ended."""
+    def _may_use(self, session: Session) -> bool:
+        """Whether a session is the current one or a later one, and has not ended."""
         return session not in self.ended and (self.session is None or session >= self.session)
 
     def _renew(self, session: Session, requested_us: int, lease_us: int) -> None:
@@ -118,13 +118,15 @@
         self.machine_lease_until_us = self.requested_us + lease_us
 
     def _on_ended(self, ended: EndedSession) -> list[Effect]:
-        self.ended.pop(ended.session, None)  # so that the latest change is the last in order
+        self.ended.pop(
+            ended.session, None
+        )  # re-inserted, so that the latest change is last in order
         self.ended[ended.session] = ended
         while len(self.ended) > MAX_ENDED_SESSIONS:
             del self.ended[next(iter(self.ended))]
         effects: list[Effect] = []
         if ended.session == self.session:
-            # Danger: a successor may act from here on, whatever this lease's own time would still allow.
+            # Danger: a successor may act from now on, even if this lease has not expired yet.
             self.session = None
             self._holder_lease_until_us = 0
             self.machine_lease_until_us = 0
@@ -140,7 +142,7 @@
         return [*effects, Notify("session-ended", end)]
 
     def check_expiry(self, now_us: int) -> list[Effect]:
-        """Notify where the lease was opened, or expired, since the last notification."""
+        """Notify if the lease was opened, or has expired, since the last notification."""
         if self.session is None:
             return []
         return self._notify_change(self.session, is_open=self.may_send(now_us))
--- a/wingbarrow/decide/sessions/session_log.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -1,8 +1,8 @@
-"""The voters' replicated state of sessions: which are open, which have ended, and who succeeds. Deterministic; no I/O.
+"""The voters' replicated state of sessions: open and ended sessions, and successors. Deterministic; no I/O.
 
-A session is opened by an entry before it is used, and never again once it has ended: `latest` has each placer's latest
-one. Each change that placers learn of takes the next `epoch`, so that a placer that knows all up to one epoch can be
-sent exactly what it has missed, and a later successor acts under a higher fencing token.
+A session is opened by a log entry before it is used, and is not opened again after it has ended: `latest` has the
+latest session of each placer. Each change that is sent to placers has the next `epoch`. So a placer that knows all
+changes up to an epoch can be sent exactly those that it has missed, and a later successor has a greater fencing token.
 """
 
 from __future__ import annotations
@@ -15,19 +15,21 @@
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
 
 MAX_OPEN_SESSIONS = 1024
-MAX_OPEN_SESSIONS_PER_PLACER = 8  # its present one, and earlier ones whose lease is not over
-MAX_LATEST_SESSIONS = 2048  # placers whose latest session is remembered
-MAX_ENDED_SESSIONS = 256  # the ones that changed longest ago are dropped first
-MAX_ENDED_CHARS = 96 * 1024  # names of all their successors: a snapshot is sent in one message
+MAX_OPEN_SESSIONS_PER_PLACER = 8  # the current one, and earlier ones whose lease has not expired
+MAX_LATEST_SESSIONS = 2048  # placers whose latest session is kept
+MAX_ENDED_SESSIONS = 256  # the ends that changed least recently are dropped first
+MAX_ENDED_CHARS = (
+    96 * 1024
+)  # bound on all successor names, because a snapshot is sent in one message
 MAX_SUCCESSORS_PER_BATCH = 64
 MAX_BATCHES_PER_END = 32
 
-# -- entries, by the kind that the log has
+# -- log entries; `kind` is the kind in the log
 
 
 @dataclass(frozen=True, slots=True)
 class SessionOpened:
-    """A session begins. `process` is the incarnation that asked for it; the session's own may be later."""
+    """A session is opened. `process` is the incarnation that requested it; that of the session may be later."""
 
     kind: ClassVar[str] = "opened"
 
@@ -47,13 +49,13 @@
 
     @classmethod
     def parse(cls, session: Session, value: dict[str, Any]) -> SessionOpened:
-        """Read what `value` gave; see `parse_entry`."""
+        """Read the JSON object of `value`; for errors see `parse_entry`."""
         return cls(session, int(value["process"]), str(value["region"]), int(value["lease_us"]))
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnded:
-    """A session ends, with the sessions of its first successors."""
+    """A session has ended. `successors`: sessions of its first batch of successors."""
 
     kind: ClassVar[str] = "ended"
 
@@ -66,13 +68,13 @@
 
     @classmethod
     def parse(cls, session: Session, value: dict[str, Any]) -> SessionEnded:
-        """Read what `value` gave; see `parse_entry`."""
+        """Read the JSON object of `value`; for errors see `parse_entry`."""
         return cls(session, _parse_successors(value))
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorsJoined:
-    """Replica holders that were not live, or not known, when a session ended become its successors."""
+    """Replica holders that were not live, or not known, when a session ended join as its successors."""
 
     kind: ClassVar[str] = "succeed"
 
@@ -85,7 +87,7 @@
 
     @classmethod
     def parse(cls, session: Session, value: dict[str, Any]) -> SuccessorsJoined:
-        """Read what `value` gave; see `parse_entry`."""
+        """Read the JSON object of `value`; for errors see `parse_entry`."""
         return cls(session, _parse_successors(value))
 
 
@@ -104,12 +106,12 @@
 
 
 def limited_successors(successors: Iterable[Session]) -> tuple[Session, ...]:
-    """Return as many as one batch may have, in their order."""
+    """Return the first MAX_SUCCESSORS_PER_BATCH successors, sorted."""
     return tuple(sorted(successors)[:MAX_SUCCESSORS_PER_BATCH])
 
 
 def parse_entry(kind: str, value: dict[str, Any]) -> SessionEntry | None:
-    """Read an entry; None for a kind that is not known. ValueError, KeyError or TypeError where it cannot be read."""
+    """Read an entry; return None for an unknown kind. Raises ValueError, KeyError or TypeError if it is malformed."""
     session = parse_session(str(value["session"]))
     entry_type = ENTRY_TYPES.get(kind)
     return entry_type.parse(session, value) if entry_type is not None else None
@@ -120,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenSession:
-    """One open session. Its lease stays as it was opened with, whatever a later leader's settings say."""
+    """One open session. Its lease duration is fixed when it is opened, even if a later leader has other settings."""
 
     region: str
     lease_us: int
@@ -128,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatestSession:
-    """A placer's latest session, and the incarnation of the process that has it."""
+    """A placer's latest session, and the incarnation of the process that requested it."""
 
     process: int
     session: Session
@@ -136,7 +138,7 @@
 
 @dataclass(slots=True)
 class SessionLog:
-    """The replicated state. `joined_by`: for each end, by successor, the session under which it joined."""
+    """The replicated state. `joined_by`: for each ended session, by successor, the session under which it joined."""
 
     epoch: int = 0
     open: dict[Session, OpenSession] = field(default_factory=dict)
@@ -145,7 +147,7 @@
     joined_by: dict[Session, dict[str, Session]] = field(default_factory=dict)
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Apply one entry; ValueError, KeyError or TypeError where it cannot be read: then nothing changed."""
+        """Apply one entry. Raises ValueError, KeyError or TypeError, without any change, if it is malformed."""
         match parse_entry(kind, value):
             case SessionOpened() as entry:
                 self._open(entry)
@@ -155,7 +157,7 @@
                 self._join(session, successors)
 
     def can_open(self, placer: str) -> bool:
-        """Whether the bounds allow another session of a placer."""
+        """Whether the limits allow another session of a placer."""
         return (
             len(self.open) < MAX_OPEN_SESSIONS
             and self.open_count(placer) < MAX_OPEN_SESSIONS_PER_PLACER
@@ -166,7 +168,7 @@
         return sum(each.placer == placer for each in self.open)
 
     def can_join(self, session: Session, successor: Session) -> bool:
-        """Whether a replica holder's session is no successor of an ended session yet, or is one that was gone."""
+        """Whether a replica holder's session may join as successor: it is not one yet, or its earlier session ended."""
         joined = self.joined_by[session].get(successor.placer)
         if joined is None:
             return True
@@ -175,27 +177,27 @@
     def _open(self, entry: SessionOpened) -> None:
         session = entry.session
         latest = self.latest.get(session.placer)
-        # Danger: an end is final. What is not later than the latest is open already, or has ended.
+        # Danger: an end is final. A session that is not later than the latest is already open, or has ended.
         if latest is not None and session <= latest.session:
             return
         if session in self.open or not self.can_open(session.placer):
             return
         if entry.lease_us <= 0:
-            raise ValueError("a lease of no length")
+            raise ValueError(f"lease_us of a session must be positive: {entry.lease_us}")
         self.open[session] = OpenSession(entry.region, entry.lease_us)
-        self.latest.pop(session.placer, None)  # so that the newest is the last in order
+        self.latest.pop(session.placer, None)  # re-inserted, so that the newest is last in order
         self.latest[session.placer] = LatestSession(entry.process, session)
         if len(self.latest) > MAX_LATEST_SESSIONS:
-            # A placer that is dropped here continues after the serial that it reports: nothing is opened twice.
+            # A placer that is dropped here gets a serial after the one that it reports: no session is opened twice.
             present = {each.placer for each in self.open}
             del self.latest[next(name for name in self.latest if name not in present)]
 
     def _end(self, session: Session, successors: tuple[Session, ...]) -> None:
-        terms = self.open.pop(session, None)
-        if terms is None:
+        opened = self.open.pop(session, None)
+        if opened is None:
             return
         self.epoch += 1
-        self.ended[session] = EndedSession(self.epoch, session, terms.region, changed=self.epoch)
+        self.ended[session] = EndedSession(self.epoch, session, opened.region, changed=self.epoch)
         self.joined_by[session] = {}
         self._mark_gone(session)
         if successors:
@@ -203,7 +205,7 @@
         self._prune_ended()
 
     def _mark_gone(self, session: Session) -> None:
-        """The session of a successor has ended: it is none any more where it joined under that session."""
+        """Mark the placer of an ended session as gone where it joined as successor under that session."""
         for other, joined_by in self.joined_by.items():
             if joined_by.get(session.placer) == session:
                 ended = self.ended[other]
@@ -220,7 +222,7 @@
         }
         if not new or len(ended.batches) >= MAX_BATCHES_PER_END:
             return
-        # One that was gone is named in the new batch alone: Jobs that others got meanwhile stay theirs.
+        # A successor that was gone moves to the new batch, so that Jobs that others have taken over since stay there.
         batches = [tuple(name for name in batch if name not in new) for batch in ended.batches]
         self.epoch += 1
         self.ended[session] = replace(
@@ -247,7 +249,7 @@
             del self.joined_by[oldest]
 
     def text(self) -> str:
-        """Return all of it as JSON, for a snapshot."""
+        """Return the whole state as JSON, for a snapshot."""
         state = {
             "epoch": self.epoch,
             "open": [
@@ -271,7 +273,7 @@
 
 
 def parse_session_log(text: str) -> SessionLog:
-    """Read what `SessionLog.text` gives; "" is the state at the beginning."""
+    """Read the JSON of `SessionLog.text`; "" is the empty initial state."""
     log = SessionLog()
     if not text:
         return log
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -1,20 +1,20 @@
-"""The voters' side of sessions: when a placer's session is renewed, ended, and who succeeds it. No I/O.
+"""The voters' side of sessions: renewal and end of a placer's session, and its successors. No I/O.
 
-The subsystem `sessions` of the voters' log (`session_log`), with what the present leader counts. It follows Chubby's
-sessions and sequencers (Burrows 2006), except that nothing renews a session between elections: a new leader counts
-every open session from its own election. An end rests on these rules:
+This is the subsystem `sessions` of the voters' log (`session_log`), with the state that only the current leader has. It
+follows Chubby's sessions and sequencers (Burrows 2006), except that sessions are not renewed during an election: a new
+leader counts every open session from its own election. A session ends by these rules:
 
 - A session is renewed only by a grant, which a majority confirmed after its request, and for no longer than the leader
-  counts (`voter_lease_us`). A session whose end is proposed is not renewed any more.
-- A leader proposes an end when the voters' lease is over, the least `after` that replica holders report has passed
-  since the last renewal (or the election), and replica holders had a lease's time to report to this leader.
-- Without a live replica holder it waits for `unreplicated_wait_us` instead and names no successor. Replica holders that
-  report later join as successors in later batches.
-- A placer that reports but receives no grant (a cut in one direction) is renewed for half a lease only
-  (`one_way_renewal_us`): it can do nothing.
-- A later incarnation of a name proves that the earlier one is over: its session ends without waiting for `after`.
-- A holder that returns before its end keeps its session. One that returns later gets a new one, only together with all
-  ends that it does not know.
+  counts (`voter_lease_us`). It is not renewed after its end is proposed.
+- A leader proposes an end when the voters' lease has expired, the smallest `after` that replica holders report has
+  passed since the last renewal (or the election), and replica holders had one lease duration to report to this leader.
+- Without a live replica holder the leader waits for `unreplicated_wait_us` instead, and the end has no successor.
+  Replica holders that report later join as successors in later batches.
+- A placer that reports but receives no grants (a partition in one direction) is renewed for half a lease only
+  (`one_way_renewal_us`), as it cannot act.
+- A later incarnation of a name proves that the earlier one has ended: its session ends without waiting for `after`.
+- A holder that returns before its session ends keeps the session. One that returns later gets a new session, together
+  with all ends that it does not know.
 """
 
 from __future__ import annotations
@@ -51,13 +51,13 @@
     parse_session_log,
 )
 
-MAX_PROPOSALS = 64  # at a time
-MAX_ENDED_CHARS_PER_RESPONSE = 128 * 1024  # of names
+MAX_PROPOSALS = 64  # in one round
+MAX_ENDED_CHARS_PER_RESPONSE = 128 * 1024  # bound on the successor names
 
 
 @dataclass(slots=True)
 class ReplicaHolders:
-    """Live placers that hold replicas for one session: their own sessions, and the least `after` that they report."""
+    """Live placers that hold replicas for one session: their own sessions, and the smallest `after` they report."""
 
     after_us: int
     sessions: list[Session]
@@ -74,11 +74,11 @@
 
 @dataclass(slots=True)
 class LeaderState:
-    """What a leader knows beside the log; it begins empty. Times by the leader's clock.
+    """State of a leader that is not in the log; empty at its election. Times are by the leader's clock.
 
-    counting_since_us: its election, or the end of its latest pause: no session counts as renewed before.
-    active_us: when it last did anything.
-    next_check_us: when all sessions are checked next.
+    counting_since_us: its election, or the end of its latest pause; renewals count from this time at the earliest.
+    active_us: when it last handled a report or made proposals.
+    next_check_us: time of the next check of all sessions.
     renewed_us: by session, its latest renewal.
     ending: sessions whose end is proposed.
     requested: by placer, the session to be opened for it.
@@ -99,7 +99,7 @@
 
 
 class SessionSubsystem:
-    """The voters' side. `lease_us` is the lease of sessions that are opened from now on."""
+    """The voters' side. `lease_us` is the lease duration of sessions that this leader opens."""
 
     name = "sessions"
 
@@ -111,7 +111,7 @@
         self._reset_leader(0)
 
     def _reset_leader(self, now_us: int) -> None:
-        """Drop all that is not in the log."""
+        """Reset the state that is not in the log."""
         self.leader = LeaderState(now_us, now_us, now_us)
 
     # -- the log
@@ -123,29 +123,29 @@
         self.leader.ending &= self.log.open.keys()
 
     def snapshot(self) -> str:
-        """Return all of the replicated state."""
+        """Return the whole replicated state."""
         return self.log.text()
 
     def restore(self, text: str) -> None:
-        """Replace the replicated state by what `snapshot` gave."""
+        """Replace the replicated state with that of a snapshot."""
         self.log = parse_session_log(text)
 
     # -- reports and responses, at the leader
 
     def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
-        """Begin or cease to lead.
+        """Reset the leader's state when this voter becomes leader, or stops being it.
 
-        Danger: renewals by earlier leaders are not known, so every open session is counted from now.
+        Danger: renewals by earlier leaders are not known, so the lease of every open session counts from now.
         """
         self._reset_leader(now_us)
 
     def on_report(self, now_us: int, requester: Requester, report: SessionsReport) -> None:
-        """Renew the session of a placer whose request a majority confirmed, or have one opened for it."""
+        """Renew the session of a placer whose request a majority confirmed, or request a new session for it."""
         self._note_activity(now_us)
         renewed: Session | None = None
         latest = self.log.latest.get(requester.ident)
         if latest is None:
-            # Not known, or dropped: the session that it reports is over, and is not opened again.
+            # The placer is unknown, or was dropped: the session that it reports has ended, and is not opened again.
             self._request(
                 requester, Session(requester.ident, requester.life, report.serial + 1), report
             )
@@ -161,14 +161,15 @@
         elif latest.process < requester.life or (
             report.serial == 0 and self._is_expired(now_us, latest.session)
         ):
-            # A later incarnation; or, where a wall clock was set back, a process that never had a session while the
-            # known one is silent. Danger: an earlier process that wakes up has had one, and renews and opens nothing.
+            # A later incarnation; or, after a wall clock was set back, a process that never had a session while the
+            # lease of the known session has expired. Danger: an earlier process that resumes has had a session: it
+            # neither renews nor opens one.
             life = max(requester.life, latest.session.life + 1)
             self._request(requester, Session(requester.ident, life, 1), report)
         self.leader.confirmed[requester.ident] = ConfirmedReport(requester, report, renewed)
 
     def response_for(self, now_us: int, requester: Requester) -> SessionsResponse | None:
-        """Return the response to the requester's report of this round; None where it has made none."""
+        """Return the response to the requester's report of this round; None if it made none."""
         confirmed = self.leader.confirmed.get(requester.ident)
         if confirmed is None or confirmed.requester != requester:
             return None
@@ -178,18 +179,18 @@
         if latest is None or latest.process != requester.life:
             return SessionsResponse(False, report.serial, self.lease_us, epoch, ended)
         session = latest.session
-        terms = self.log.open.get(session)
-        # Danger: a holder with a new session that does not know all ends would go on with Jobs that others hold now.
+        opened = self.log.open.get(session)
+        # Danger: a holder that got a new session without knowing all ends would continue Jobs that others hold now.
         is_open = (
-            terms is not None
+            opened is not None
             and confirmed.renewed == session
             and (report.serial == session.serial or epoch >= self.log.epoch)
         )
-        lease_us = self.lease_us if terms is None else terms.lease_us
+        lease_us = self.lease_us if opened is None else opened.lease_us
         return SessionsResponse(is_open, session.serial, lease_us, epoch, ended, session.life)
 
     def _note_activity(self, now_us: int) -> None:
-        """Count from now after a pause: reports that came meanwhile are unread, and every placer seems silent."""
+        """Restart the leases after a pause of this process: unread reports make every placer appear silent."""
         leader = self.leader
         if self.log.open and now_us - leader.active_us > 2 * self.lease_us // CHECKS_PER_LEASE:
             leader.counting_since_us = now_us
@@ -197,13 +198,16 @@
         leader.active_us = now_us
 
     def _may_renew(self, now_us: int, session: Session, report: SessionsReport) -> bool:
-        """Danger: an end that is proposed is decided sooner or later; a renewal would run on beyond it."""
+        """Whether a session may be renewed.
+
+        Danger: a proposed end will be decided; a renewal of that session would outlast it.
+        """
         return session not in self.leader.ending and self._receives_grants(now_us, session, report)
 
     def _receives_grants(self, now_us: int, session: Session, report: SessionsReport) -> bool:
-        """Whether the placer receives grants, or lately did.
+        """Whether the placer receives grants, or did until less than half a lease ago.
 
-        Danger: renewing one that only sends would keep its Jobs from everybody for good.
+        Danger: renewing a placer that only sends would block its Jobs from failover forever.
         """
         if not report.deaf:
             self.leader.no_grant_since_us.pop(session, None)
@@ -219,7 +223,7 @@
         self.leader.reports[session.placer] = report
 
     def _request(self, requester: Requester, session: Session, report: SessionsReport) -> None:
-        """Have a session opened with the next proposals."""
+        """Open a session with the next proposals, if the limits allow it."""
         if self.log.can_open(requester.ident):
             self.leader.requested[requester.ident] = SessionOpened(
                 session, requester.life, report.region, self.lease_us
@@ -228,7 +232,7 @@
             self.counts["sessions: no room for another"] += 1
 
     def _changes_after(self, epoch: int) -> tuple[tuple[EndedSession, ...], int]:
-        """Return the ends that changed after an epoch, as many as fit, and up to which epoch these are all."""
+        """Return the ends that changed after an epoch, as many as fit, and the epoch up to which they are complete."""
         if epoch >= self.log.epoch:
             return (), self.log.epoch
         missed = sorted(
@@ -245,15 +249,15 @@
         complete = len(fitting) == len(missed)
         return tuple(fitting), self.log.epoch if complete else fitting[-1].changed
 
-    # -- leases as this leader counts them
+    # -- leases, as counted by this leader
 
     def _renewed_us(self, session: Session) -> int:
-        """Return from when an open session's lease counts."""
+        """Return the time from which an open session's lease counts."""
         since_us = self.leader.counting_since_us
         return max(self.leader.renewed_us.get(session, since_us), since_us)
 
     def lease_until_us(self, session: Session) -> int:
-        """Return when the voters' lease of an open session is over."""
+        """Return when the voters' lease of an open session expires."""
         lease_us = voter_lease_us(self.log.open[session].lease_us, self.max_turn_us)
         return self._renewed_us(session) + lease_us
 
@@ -261,7 +265,7 @@
         return session not in self.log.open or now_us >= self.lease_until_us(session)
 
     def is_live(self, now_us: int, session: Session) -> bool:
-        """Whether this leader renewed an open session so lately that its holder may send."""
+        """Whether this leader renewed an open session so recently that its holder may send."""
         renewed_us = self.leader.renewed_us.get(session)
         if renewed_us is None or session in self.leader.ending:
             return False
@@ -288,14 +292,14 @@
         return latest.session if self.is_live(now_us, latest.session) else None
 
     def earliest_end_us(self, session: Session, holders: ReplicaHolders | None) -> int:
-        """Return when an open session may end, unless it is renewed."""
+        """Return the earliest time at which an open session may end, unless it is renewed."""
         lease_us = self.log.open[session].lease_us
         due_us = max(
             self.lease_until_us(session), self.leader.counting_since_us + drifted_us(lease_us)
         )
         latest = self.log.latest.get(session.placer)
         if latest is not None and latest.session != session:
-            return due_us  # the placer has a later session: nobody returns to this one
+            return due_us  # the placer has a later session and cannot return to this one
         wait_us = (
             unreplicated_wait_us(lease_us) if holders is None else drifted_us(holders.after_us)
         )
@@ -304,7 +308,7 @@
     # -- proposals
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """Return what is to be decided, and when to ask again; see `ReplicatedSubsystem.next_proposals`."""
+        """Return the proposals, and when to call this again; see `ReplicatedSubsystem.next_proposals`."""
         leader = self.leader
         self._note_activity(now_us)
         leader.confirmed = {}
@@ -312,14 +316,16 @@
         for entry in list(leader.requested.values())[:MAX_PROPOSALS]:
             latest = self.log.latest.get(entry.session.placer)
             if latest is None or entry.session > latest.session:
-                leader.renewed_us[entry.session] = now_us  # counted from before it can be granted
+                leader.renewed_us[entry.session] = (
+                    now_us  # the lease counts from before its first grant
+                )
                 entries.append(entry)
         leader.requested = {}
         proposals = [Proposal(entry.kind, entry.value()) for entry in entries]
         return proposals, leader.next_check_us if self.log.open or proposals else None
 
     def _check(self, now_us: int) -> list[SessionEntry]:
-        """Check all sessions: return ends that are due, and replica holders that join as successors."""
+        """Check all sessions; return the ends that are due, and the replica holders that join as successors."""
         holders = self.replica_holders(now_us)
         entries = self._ends_due(now_us, holders)
         for session, found in holders.items():
@@ -346,7 +352,7 @@
         return entries
 
     def _prune(self) -> None:
-        """Drop what concerns sessions that are not open any more."""
+        """Drop the state of sessions that are not open any more."""
         leader = self.leader
         opened = self.log.open
         leader.renewed_us = {each: at for each, at in leader.renewed_us.items() if each in opened}
