--- a/tests/decide/sessions/test_failover.py
+++ b/tests/decide/sessions/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover of a session: machine queries, waits, order and pace; simulations judged, errors planted."""
+"""Failover of a session: machine queries, waits, order and rate of starts; simulations, also with injected errors."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
 
 S = 1_000_000
-GONE = Session("a", 1, 0)
+ENDED_SESSION = Session("a", 1, 0)
 
 
 BASE = LeasedJobRecord(
     form=1,
     uid="u",
     key="shop/u",
-    session=GONE,
+    session=ENDED_SESSION,
     epoch=0,
     version=3,
     region="north",
@@ -83,13 +83,13 @@
     ]
 
 
-ABOUT = KnownTask(0, "about", "m", "p", 10 * S)
+ABOUT_TO_SEND = KnownTask(0, "about", "m", "p", 10 * S)
 
 
 def claimed_failover(
-    known: KnownTask | None = ABOUT, effect: str = "unsafe"
+    known: KnownTask | None = ABOUT_TO_SEND, effect: str = "unsafe"
 ) -> tuple[SessionFailover, list[Effect]]:
-    failover = SessionFailover(GONE, 7)
+    failover = SessionFailover(ENDED_SESSION, 7)
     out = failover.on_placers(0, ("n1", "n2"))
     out += failover.add(0, [claim(job("u", effect, known))])
     return failover, out + failover.on_claimed(S, "u")
@@ -100,13 +100,13 @@
     assert verdicts(first) == ["asked"]
     sent = {each.ident for each in first if isinstance(each, Send)}
     number = machine_queries(first)[0].number
-    told: list[str] = []
+    later_verdicts: list[str] = []
     for tries in range(1, UNREACHABLE_AFTER + 1):
         out = failover.on_timer(S + tries * ANSWER_TIMEOUT_US)
         sent |= {each.ident for each in out if isinstance(each, Send)}
-        told += verdicts(out)
+        later_verdicts += verdicts(out)
     assert sent == {"n1", "n2"}
-    assert told == ["unknown"]
+    assert later_verdicts == ["unknown"]
     late = MachineReport(number, "m", "u", True, False, 3600 * S)
     assert verdicts(failover.on_machine_report(20 * S, late)) == ["run"]
     assert list(failover.ready) == ["u"]
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("says", "verdict"),
+    ("report", "verdict"),
     [
         (MachineReport(0, "m", "u", True, True, 3600 * S), "unknown"),
         (MachineReport(0, "m", "u", True, False, 5 * S), "unknown"),
@@ -124,30 +124,30 @@
     ],
 )
 def test_only_a_machine_that_never_had_the_task_clears_an_attempt(
-    says: MachineReport, verdict: str
+    report: MachineReport, verdict: str
 ) -> None:
     failover, first = claimed_failover()
     number = machine_queries(first)[0].number
-    assert not failover.on_machine_report(2 * S, replace(says, number=number, machine="other"))
-    assert not failover.on_machine_report(2 * S, replace(says, number=number + 1))
-    assert verdicts(failover.on_machine_report(2 * S, replace(says, number=number))) == [verdict]
+    assert not failover.on_machine_report(2 * S, replace(report, number=number, machine="other"))
+    assert not failover.on_machine_report(2 * S, replace(report, number=number + 1))
+    assert verdicts(failover.on_machine_report(2 * S, replace(report, number=number))) == [verdict]
     if verdict == "unknown":
         assert verdicts(failover.on_operator_confirmation(3 * S, "u")) == ["run"]
         assert not failover.on_operator_confirmation(4 * S, "u")
 
 
 def test_what_another_replica_holder_knows_counts_before_anything_starts() -> None:
-    failover = SessionFailover(GONE, 7)
+    failover = SessionFailover(ENDED_SESSION, 7)
     failover.add(0, [claim(job("u", known=None))])
     assert not failover.ready
-    failover.on_replica_record(S, job("u", known=replace(ABOUT, phase="placed")))
+    failover.on_replica_record(S, job("u", known=replace(ABOUT_TO_SEND, phase="placed")))
     assert verdicts(failover.on_claimed(S, "u")) == ["unknown"]
     assert not failover.ready
 
 
 def test_without_a_placer_of_the_lost_region_an_attempt_is_unknown_until_one_returns() -> None:
-    failover = SessionFailover(GONE, 7)
-    assert verdicts(failover.add(0, [claim(job("u", known=ABOUT))])) == ["unknown"]
+    failover = SessionFailover(ENDED_SESSION, 7)
+    assert verdicts(failover.add(0, [claim(job("u", known=ABOUT_TO_SEND))])) == ["unknown"]
     failover.on_claimed(S, "u")
     back = failover.on_placers(UNREACHABLE_RETRY_US, ("n1",))
     assert verdicts(back) == ["asked"]
@@ -161,16 +161,16 @@
     assert verdicts(first) == ["waiting"]
     assert not verdicts(failover.on_timer(3 * S))
     assert verdicts(failover.on_timer(4 * S)) == ["run"]
-    failover = SessionFailover(GONE, 7)
+    failover = SessionFailover(ENDED_SESSION, 7)
     assert not verdicts(failover.add(0, [claim(job("u", "safe"))]))
     assert verdicts(failover.on_timer(MAX_CLAIM_WAIT_US)) == ["run"]
 
 
 def test_queries_outstanding_are_bounded() -> None:
-    failover = SessionFailover(GONE, 7)
+    failover = SessionFailover(ENDED_SESSION, 7)
     failover.on_placers(0, ("n1",))
     out = failover.add(
-        0, [claim(job(f"u{index}", known=ABOUT)) for index in range(3 * MAX_OUTSTANDING)]
+        0, [claim(job(f"u{index}", known=ABOUT_TO_SEND)) for index in range(3 * MAX_OUTSTANDING)]
     )
     out += [
         effect
@@ -199,17 +199,17 @@
     ]
     jobs.append(replace(job("wide", "safe"), priority=9, count=5))
     rng.shuffle(jobs)
-    replicator._take_over(0, GONE, 7, [claim(each) for each in jobs])
-    replicator.on_timer(MAX_CLAIM_WAIT_US, f"failover/{GONE.text()}")
-    got: list[str] = []
+    replicator._take_over(0, ENDED_SESSION, 7, [claim(each) for each in jobs])
+    replicator.on_timer(MAX_CLAIM_WAIT_US, f"failover/{ENDED_SESSION.text()}")
+    started: list[str] = []
     now = MAX_CLAIM_WAIT_US
-    while len(got) < 6:
+    while len(started) < 6:
         starts, _ = replicator.next_starts(now, 4.0, 4.0)
         assert len(starts) <= 2
         assert not replicator.next_starts(now, 4.0, 4.0)[0]
-        got += [each.record.uid for each in starts]
+        started += [each.record.uid for each in starts]
         now += S
-    assert got == ["u5", "u2", "u4", "u1", "u3", "u0"]
+    assert started == ["u5", "u2", "u4", "u1", "u3", "u0"]
     assert not replicator.next_starts(now, 4.0, 4.0)[0]
     assert not replicator.next_starts(now, 9.0, 9.0, lambda record: False)[0]
     assert [each.record.uid for each in replicator.next_starts(now, 9.0, 9.0)[0]] == ["wide"]
@@ -239,13 +239,13 @@
     assert verdict.starts > 5
 
 
-class Careless(Custodians):
-    """Planted: what must not start twice leaves without its keepers' word."""
+class UnacknowledgedSends(Custodians):
+    """Injected error: a Job that must not start twice is sent before its replica holders have acknowledged it."""
 
     careless = True
 
 
-def wrong(index: int) -> tuple[ReissueRow, ...]:
+def table_with_wrong_row(index: int) -> tuple[ReissueRow, ...]:
     return (
         *REISSUE_TABLE[:index],
         replace(REISSUE_TABLE[index], decision=ReissueDecision.RUN),
@@ -257,7 +257,7 @@
     assert any(
         "never twice" in breach
         for seed in range(12)
-        for breach in judged(trouble(seed, world=Careless(seed))).breaches
+        for breach in judged(trouble(seed, world=UnacknowledgedSends(seed))).breaches
     )
 
 
@@ -273,7 +273,7 @@
 def test_planted_wrong_rows_are_found_by_simulation(
     row: int, kind: str, seeds: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(SessionFailover, "table", wrong(row))
+    monkeypatch.setattr(SessionFailover, "table", table_with_wrong_row(row))
     assert any(
         kind in breach
         for seed in seeds
--- a/tests/decide/sessions/test_reissue.py
+++ b/tests/decide/sessions/test_reissue.py
@@ -1,4 +1,4 @@
-"""Reissue and recovery: both tables against independent statements."""
+"""Reissue and recovery: both tables compared with independent implementations."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def expected_decision(effect: str, phase: str, answer: str, window: str) -> str:
-    """An independent statement of the table."""
+    """An independent implementation of the reissue table."""
     if phase == "over":
         return "nothing"
     if effect == "safe" or answer == "operator":
@@ -63,12 +63,12 @@
 
 def test_each_row_is_needed_and_each_wrong_decision_is_found() -> None:
     for index, row in enumerate(REISSUE_TABLE):
-        for verdict in ReissueDecision:
-            if verdict is not row.decision:
+        for decision in ReissueDecision:
+            if decision is not row.decision:
                 assert deviations(
                     (
                         *REISSUE_TABLE[:index],
-                        replace(row, decision=verdict),
+                        replace(row, decision=decision),
                         *REISSUE_TABLE[index + 1 :],
                     )
                 )
@@ -76,16 +76,16 @@
 
 @given(st.integers(0, 10**9), st.integers(0, 10**9), st.integers(0, 10**8), st.booleans())
 def test_only_a_machine_that_was_up_all_of_the_time_clears_an_attempt(
-    boot_us: int, left_us: int, late_us: int, holds: bool
+    boot_at_us: int, sent_us: int, delay_us: int, holds: bool
 ) -> None:
-    told_us = max(boot_us, left_us)
-    says = MachineReport(1, "m", "u", True, holds, told_us - boot_us)
-    word = machine_answer(says, told_us + late_us - left_us)
-    if word == "clear":
-        assert boot_us < left_us
+    reported_us = max(boot_at_us, sent_us)
+    report = MachineReport(1, "m", "u", True, holds, reported_us - boot_at_us)
+    answer = machine_answer(report, reported_us + delay_us - sent_us)
+    if answer == "clear":
+        assert boot_at_us < sent_us
         assert not holds
-    assert (word == "holds") is holds
-    assert machine_answer(replace(says, reached=False), 0) == "unreachable"
+    assert (answer == "holds") is holds
+    assert machine_answer(replace(report, reached=False), 0) == "unreachable"
     assert machine_answer(None, 0) == "unasked"
 
 
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: opened, renewed and ended over cuts, pauses, incarnations and leaders; none is opened twice."""
+"""Sessions: opened, renewed and ended over partitions, pauses, incarnations and leaders; none is opened twice."""
 
 from __future__ import annotations
 
@@ -34,142 +34,151 @@
 from wingbarrow.lab.fleet.swarm import SECOND
 
 LEASE = 10 * SECOND
-RECKONED = voter_lease_us(LEASE, MAX_TURN_US)
+VOTER_LEASE = voter_lease_us(LEASE, MAX_TURN_US)
 AFTER = 15 * SECOND
 RULES: RuleSet = rules()
 
 
-class Voters:
-    """A leader alone, with placers that report to it directly; what it proposes is decided at once."""
+class LeaderWithPlacers:
+    """A single leader with placers that report to it directly; its proposals are decided at once.
+
+    undecided: None, or the proposals that wait for a decision.
+    """
 
     def __init__(self) -> None:
         self.now, self.sessions = 0, SessionSubsystem(LEASE)
         self.sessions.on_leadership_change(0, True)
         self.leases: dict[str, SessionLease] = {}
         self.lives: dict[str, int] = {}
-        self.told: list[tuple[str, Notify]] = []
+        self.notifications: list[tuple[str, Notify]] = []
         self.undecided: list[Proposal] | None = None
 
     def join(self, name: str, life: int = 1) -> SessionLease:
         self.leases[name], self.lives[name] = SessionLease(name, f"of {name}"), life
-        self.ask(name)
-        self.ask(name)
+        self.request(name)
+        self.request(name)
         return self.leases[name]
 
-    def keep(self, keeper: str, session: Session | None, after_us: int = AFTER) -> None:
+    def hold_replicas(self, holder: str, session: Session | None, after_us: int = AFTER) -> None:
         assert session is not None
-        self.leases[keeper].set_report_sources(
+        self.leases[holder].set_report_sources(
             held_records=lambda: (HeldRecords(session, 3, after_us),)
         )
 
-    def ask(
+    def request(
         self,
         name: str,
-        lose: bool = False,
+        drop_response: bool = False,
         lease: SessionLease | None = None,
         life: int | None = None,
     ) -> None:
         lease = lease or self.leases[name]
-        asker = Requester(name, self.lives[name] if life is None else life, 1, self.now)
+        requester = Requester(name, self.lives[name] if life is None else life, 1, self.now)
         report = lease.report(self.now)
         assert report is not None
-        self.sessions.on_report(self.now, asker, report)
-        told = self.sessions.response_for(self.now, asker)
-        if not lose:
-            self.tell(name, lease.on_response(self.now, self.now, told))
+        self.sessions.on_report(self.now, requester, report)
+        response = self.sessions.response_for(self.now, requester)
+        if not drop_response:
+            self.record_notifications(name, lease.on_response(self.now, self.now, response))
         self.decide()
 
-    def tell(self, name: str, effects: list[Effect]) -> None:
-        self.told += [(name, each) for each in effects if isinstance(each, Notify)]
+    def record_notifications(self, name: str, effects: list[Effect]) -> None:
+        self.notifications += [(name, each) for each in effects if isinstance(each, Notify)]
 
     def decide(self) -> None:
         if self.undecided is not None:
-            if not self.undecided:  # nothing more is asked for while something is being decided
+            if not self.undecided:  # no further proposals before these are decided
                 self.undecided += self.sessions.next_proposals(self.now, RULES)[0]
             return
         for each in self.sessions.next_proposals(self.now, RULES)[0]:
             self.sessions.apply(each.kind, each.value)
 
-    def wait(
-        self, for_us: int, *names: str, step_us: int = SECOND // 2, lose: tuple[str, ...] = ()
+    def advance(
+        self,
+        for_us: int,
+        *names: str,
+        step_us: int = SECOND // 2,
+        drop_responses_to: tuple[str, ...] = (),
     ) -> None:
         end = self.now + for_us
         while self.now < end:
             self.now = min(end, self.now + step_us)
             for name in names:
-                self.ask(name, name in lose)
+                self.request(name, name in drop_responses_to)
             self.decide()
 
-    def over(self, session: Session | None) -> bool:
+    def has_ended(self, session: Session | None) -> bool:
         assert session is not None
         return session in self.sessions.log.ended
 
 
 def test_leases_expire_in_order_and_the_end_waits_for_after_and_names_replica_holders() -> None:
-    voters = Voters()
-    lost, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", lost.session)
+    cluster = LeaderWithPlacers()
+    lost, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", lost.session)
     assert lost.session == Session("a", 1, 1)
-    assert lost.may_send(voters.now)
+    assert lost.may_send(cluster.now)
     assert lost.machine_lease_until_us == LEASE
-    session, last = lost.session, voters.now
-    voters.wait(holder_lease_us(LEASE), "b")
-    assert not lost.may_send(voters.now)
-    assert lost.may_send(voters.now - 1)
-    voters.wait(last + AFTER - voters.now, "b")
-    assert not voters.over(session)
-    voters.wait(last + ended_within_us(LEASE, AFTER) - voters.now, "b")
-    ended = voters.sessions.log.ended[session]
+    session, renewed_us = lost.session, cluster.now
+    cluster.advance(holder_lease_us(LEASE), "b")
+    assert not lost.may_send(cluster.now)
+    assert lost.may_send(cluster.now - 1)
+    cluster.advance(renewed_us + AFTER - cluster.now, "b")
+    assert not cluster.has_ended(session)
+    cluster.advance(renewed_us + ended_within_us(LEASE, AFTER) - cluster.now, "b")
+    ended = cluster.sessions.log.ended[session]
     assert (ended.epoch, ended.batches, ended.region) == (1, (("b",),), "of a")
-    assert voters.leases["b"].ended[session].batches[0] == ("b",)
+    assert cluster.leases["b"].ended[session].batches[0] == ("b",)
     assert successor_of(ended, ("c", "b")) == "b"
 
 
 def test_after_shorter_than_the_lease_does_not_shorten_the_voters_lease() -> None:
-    voters = Voters()
-    lost, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", lost.session, 1)
-    voters.wait(RECKONED - 1, "b")
-    assert not voters.over(Session("a", 1, 1))
-    voters.wait(LEASE // 8 + SECOND, "b")
-    assert voters.over(Session("a", 1, 1))
+    cluster = LeaderWithPlacers()
+    lost, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", lost.session, 1)
+    cluster.advance(VOTER_LEASE - 1, "b")
+    assert not cluster.has_ended(Session("a", 1, 1))
+    cluster.advance(LEASE // 8 + SECOND, "b")
+    assert cluster.has_ended(Session("a", 1, 1))
 
 
 def test_without_a_replica_holder_it_ends_later_and_a_late_one_joins_as_successor() -> None:
-    voters = Voters()
-    lost, late = voters.join("a"), voters.join("b")
+    cluster = LeaderWithPlacers()
+    lost, late = cluster.join("a"), cluster.join("b")
     session = lost.session
     assert session is not None
-    voters.wait(unreplicated_wait_us(LEASE) - 1, "b")
-    assert not voters.over(session)
-    voters.wait(LEASE // 8 + SECOND, "b")
-    assert voters.sessions.log.ended[session].batches == ()
-    voters.keep("b", session)
-    voters.wait(2 * SECOND, "b")
+    cluster.advance(unreplicated_wait_us(LEASE) - 1, "b")
+    assert not cluster.has_ended(session)
+    cluster.advance(LEASE // 8 + SECOND, "b")
+    assert cluster.sessions.log.ended[session].batches == ()
+    cluster.hold_replicas("b", session)
+    cluster.advance(2 * SECOND, "b")
     assert late.ended[session].batches == (("b",),)
     assert late.ended[session].changed == 2
 
 
 def test_a_holder_that_returns_before_its_end_keeps_its_session_and_later_gets_a_new_one() -> None:
-    voters = Voters()
-    lost, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", lost.session)
+    cluster = LeaderWithPlacers()
+    lost, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", lost.session)
     first = lost.session
-    voters.wait(AFTER - SECOND, "b")
-    voters.ask("a")
+    cluster.advance(AFTER - SECOND, "b")
+    cluster.request("a")
     assert lost.session == first
-    assert lost.may_send(voters.now)
-    voters.wait(AFTER + 5 * SECOND, "b")
-    assert voters.over(first) and lost.session == first, "it does not know yet"
-    voters.told.clear()
-    voters.ask("a")
+    assert lost.may_send(cluster.now)
+    cluster.advance(AFTER + 5 * SECOND, "b")
+    assert cluster.has_ended(first) and lost.session == first, "it does not know of the end yet"
+    cluster.notifications.clear()
+    cluster.request("a")
     assert lost.session is None
-    assert not lost.may_send(voters.now)
-    voters.ask("a")
+    assert not lost.may_send(cluster.now)
+    cluster.request("a")
     assert lost.session == Session("a", 1, 2)
-    assert lost.may_send(voters.now)
-    # Its first session lapsed in silence, so that the last that was told of it was that it is open.
-    assert [(each.event, each.fields.get("open")) for name, each in voters.told if name == "a"] == [
+    assert lost.may_send(cluster.now)
+    # The expiry of its first lease was not checked, so that its latest notification was that the session is open.
+    assert [
+        (each.event, each.fields.get("open")) for name, each in cluster.notifications if name == "a"
+    ] == [
         ("session", False),
         ("session-ended", None),
         ("session", True),
@@ -177,170 +186,172 @@
 
 
 def test_a_session_whose_end_is_proposed_is_not_renewed() -> None:
-    voters = Voters()
-    lost, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", lost.session)
-    voters.undecided = []
-    voters.wait(AFTER + 2 * SECOND, "b")
-    assert [each.kind for each in voters.undecided] == ["ended"]
-    assert not voters.over(lost.session)
-    voters.ask("a")
-    assert not lost.may_send(voters.now)
-    voters.sessions.apply(voters.undecided[0].kind, voters.undecided[0].value)
-    voters.ask("a")
+    cluster = LeaderWithPlacers()
+    lost, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", lost.session)
+    cluster.undecided = []
+    cluster.advance(AFTER + 2 * SECOND, "b")
+    assert [each.kind for each in cluster.undecided] == ["ended"]
+    assert not cluster.has_ended(lost.session)
+    cluster.request("a")
+    assert not lost.may_send(cluster.now)
+    cluster.sessions.apply(cluster.undecided[0].kind, cluster.undecided[0].value)
+    cluster.request("a")
     assert lost.session is None
 
 
 def test_a_later_incarnation_ends_the_earlier_session_without_after() -> None:
-    voters = Voters()
-    old = voters.join("a")
-    voters.wait(5 * SECOND, "a")
-    voters.lives["a"], twin = 2, SessionLease("a", "of a")
-    voters.ask("a", lease=twin)
-    voters.ask("a", lease=twin)
-    assert twin.session == Session("a", 2, 1)
-    assert twin.may_send(voters.now)
-    begun = voters.now
-    while voters.now < begun + RECKONED:
-        voters.now += SECOND // 2
-        voters.ask("a", lease=twin)
-        voters.ask("a", lease=old, life=1)
-    voters.wait(2 * SECOND)
-    assert voters.over(Session("a", 1, 1))
-    assert not old.may_send(voters.now)
-    assert twin.may_send(voters.now)
-    voters.ask("a", lease=old, life=1)
-    voters.wait(SECOND)
-    voters.ask("a", lease=old, life=1)
-    assert old.session is None
-    assert list(voters.sessions.log.open) == [Session("a", 2, 1)]
+    cluster = LeaderWithPlacers()
+    earlier_lease = cluster.join("a")
+    cluster.advance(5 * SECOND, "a")
+    cluster.lives["a"], later_lease = 2, SessionLease("a", "of a")
+    cluster.request("a", lease=later_lease)
+    cluster.request("a", lease=later_lease)
+    assert later_lease.session == Session("a", 2, 1)
+    assert later_lease.may_send(cluster.now)
+    start_us = cluster.now
+    while cluster.now < start_us + VOTER_LEASE:
+        cluster.now += SECOND // 2
+        cluster.request("a", lease=later_lease)
+        cluster.request("a", lease=earlier_lease, life=1)
+    cluster.advance(2 * SECOND)
+    assert cluster.has_ended(Session("a", 1, 1))
+    assert not earlier_lease.may_send(cluster.now)
+    assert later_lease.may_send(cluster.now)
+    cluster.request("a", lease=earlier_lease, life=1)
+    cluster.advance(SECOND)
+    cluster.request("a", lease=earlier_lease, life=1)
+    assert earlier_lease.session is None
+    assert list(cluster.sessions.log.open) == [Session("a", 2, 1)]
 
 
 def test_an_incarnation_with_a_wall_clock_set_back_waits_until_the_earlier_session_expires() -> (
     None
 ):
-    voters = Voters()
-    voters.join("a", life=9_000)
-    voters.lives["a"], later = 5_000, SessionLease("a", "of a")
-    voters.leases["a"] = later
-    voters.wait(RECKONED - SECOND, "a")
+    cluster = LeaderWithPlacers()
+    cluster.join("a", life=9_000)
+    cluster.lives["a"], later = 5_000, SessionLease("a", "of a")
+    cluster.leases["a"] = later
+    cluster.advance(VOTER_LEASE - SECOND, "a")
     assert later.session is None
-    voters.wait(3 * SECOND, "a")
+    cluster.advance(3 * SECOND, "a")
     assert later.session == Session("a", 9_001, 1)
-    assert later.may_send(voters.now)
+    assert later.may_send(cluster.now)
 
 
 def test_a_placer_that_receives_no_grants_loses_its_session_unless_they_arrive_again() -> None:
-    voters = Voters()
-    deaf, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", deaf.session)
-    session, last = deaf.session, voters.now
-    voters.wait(one_way_renewal_us(LEASE) + AFTER - SECOND, "a", "b", lose=("a",))
-    assert not voters.over(session)
-    voters.wait(
-        last + one_way_renewal_us(LEASE) + ended_within_us(LEASE, AFTER) - voters.now,
+    cluster = LeaderWithPlacers()
+    cut_off, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", cut_off.session)
+    session, renewed_us = cut_off.session, cluster.now
+    cluster.advance(one_way_renewal_us(LEASE) + AFTER - SECOND, "a", "b", drop_responses_to=("a",))
+    assert not cluster.has_ended(session)
+    cluster.advance(
+        renewed_us + one_way_renewal_us(LEASE) + ended_within_us(LEASE, AFTER) - cluster.now,
         "a",
         "b",
-        lose=("a",),
+        drop_responses_to=("a",),
     )
-    assert voters.over(session)
-    voters = Voters()
-    deaf = voters.join("a")
-    voters.wait(3 * LEASE, "a", lose=("a",))
-    voters.wait(SECOND, "a")
-    assert deaf.session == Session("a", 1, 1)
-    assert deaf.may_send(voters.now)
+    assert cluster.has_ended(session)
+    cluster = LeaderWithPlacers()
+    cut_off = cluster.join("a")
+    cluster.advance(3 * LEASE, "a", drop_responses_to=("a",))
+    cluster.advance(SECOND, "a")
+    assert cut_off.session == Session("a", 1, 1)
+    assert cut_off.may_send(cluster.now)
 
 
 def test_a_new_leader_counts_every_open_session_from_its_election() -> None:
-    voters = Voters()
-    lost, _ = voters.join("a"), voters.join("b")
-    voters.keep("b", lost.session, 1)
-    voters.wait(RECKONED - 1, "b")
-    voters.sessions.on_leadership_change(voters.now, True)
-    begun = voters.now
-    voters.wait(RECKONED - 1, "b")
-    assert not voters.over(lost.session)
-    assert voters.now == begun + RECKONED - 1
-    voters.wait(LEASE // 8 + SECOND, "b")
-    assert voters.over(lost.session)
+    cluster = LeaderWithPlacers()
+    lost, _ = cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", lost.session, 1)
+    cluster.advance(VOTER_LEASE - 1, "b")
+    cluster.sessions.on_leadership_change(cluster.now, True)
+    start_us = cluster.now
+    cluster.advance(VOTER_LEASE - 1, "b")
+    assert not cluster.has_ended(lost.session)
+    assert cluster.now == start_us + VOTER_LEASE - 1
+    cluster.advance(LEASE // 8 + SECOND, "b")
+    assert cluster.has_ended(lost.session)
 
 
 def test_a_leader_after_a_pause_ends_no_session() -> None:
-    voters = Voters()
-    voters.join("a"), voters.join("b")
-    voters.keep("b", voters.leases["a"].session, 1)
-    voters.now += 20 * LEASE
-    voters.decide()
-    assert not voters.sessions.log.ended
-    voters.wait(LEASE, "a", "b")
-    assert not voters.sessions.log.ended
-    assert voters.leases["a"].session == Session("a", 1, 1)
+    cluster = LeaderWithPlacers()
+    cluster.join("a"), cluster.join("b")
+    cluster.hold_replicas("b", cluster.leases["a"].session, 1)
+    cluster.now += 20 * LEASE
+    cluster.decide()
+    assert not cluster.sessions.log.ended
+    cluster.advance(LEASE, "a", "b")
+    assert not cluster.sessions.log.ended
+    assert cluster.leases["a"].session == Session("a", 1, 1)
 
 
 def test_lost_successors_are_gone_and_may_join_again_in_a_later_batch() -> None:
-    voters = Voters()
+    cluster = LeaderWithPlacers()
     for name in "abcd":
-        voters.join(name)
-    session = voters.leases["a"].session
+        cluster.join(name)
+    session = cluster.leases["a"].session
     assert session is not None
-    voters.keep("b", session)
-    voters.keep("c", session)
-    voters.wait(AFTER + 2 * SECOND, "b", "c", "d")
-    assert successor_of(voters.sessions.log.ended[session], ("b", "c")) == "b"
-    voters.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "c", "d")
-    ended = voters.sessions.log.ended[session]
+    cluster.hold_replicas("b", session)
+    cluster.hold_replicas("c", session)
+    cluster.advance(AFTER + 2 * SECOND, "b", "c", "d")
+    assert successor_of(cluster.sessions.log.ended[session], ("b", "c")) == "b"
+    cluster.advance(unreplicated_wait_us(LEASE) + 2 * SECOND, "c", "d")
+    ended = cluster.sessions.log.ended[session]
     assert (ended.gone, successor_of(ended, ("b", "c")), successor_of(ended, ("b",))) == (
         ("b",),
         "c",
         "",
     )
-    assert ended.changed > ended.epoch and voters.leases["c"].ended[session] == ended, (
-        "who takes over acts under more"
+    assert ended.changed > ended.epoch and cluster.leases["c"].ended[session] == ended, (
+        "a later successor acts under a greater epoch"
     )
-    voters.wait(2 * SECOND, "b", "c", "d")  # back, under a new session, and still a keeper
-    again = voters.sessions.log.ended[session]
-    assert again.batches == (("c",), ("b",))
-    assert not again.gone
-    assert successor_of(again, ("b", "c")) == "c"
-    voters.wait(unreplicated_wait_us(LEASE) + 2 * SECOND, "b", "d")  # the second one is lost, too
-    assert successor_of(voters.sessions.log.ended[session], ("b", "c")) == "b"
+    cluster.advance(
+        2 * SECOND, "b", "c", "d"
+    )  # b returns with a new session, and still holds replicas
+    rejoined = cluster.sessions.log.ended[session]
+    assert rejoined.batches == (("c",), ("b",))
+    assert not rejoined.gone
+    assert successor_of(rejoined, ("b", "c")) == "c"
+    cluster.advance(unreplicated_wait_us(LEASE) + 2 * SECOND, "b", "d")  # c is lost, too
+    assert successor_of(cluster.sessions.log.ended[session], ("b", "c")) == "b"
 
 
 def test_a_new_session_waits_until_its_holder_knows_all_ends() -> None:
-    voters = Voters()
+    cluster = LeaderWithPlacers()
     for number in range(MAX_ENDED_PER_RESPONSE + 10):
-        _over(voters.sessions.log, Session(f"x{number:03d}", 1, 1))
+        _open_and_end(cluster.sessions.log, Session(f"x{number:03d}", 1, 1))
     late = SessionLease("a", "r")
-    voters.leases["a"], voters.lives["a"] = late, 1
-    voters.ask("a")
+    cluster.leases["a"], cluster.lives["a"] = late, 1
+    cluster.request("a")
     assert late.known_epoch == MAX_ENDED_PER_RESPONSE
     assert late.session is None
-    voters.ask("a")
+    cluster.request("a")
     assert late.known_epoch == MAX_ENDED_PER_RESPONSE + 10 == len(late.ended)
     assert late.session is not None
 
 
 def test_a_session_whose_end_was_dropped_is_not_reopened() -> None:
-    voters = Voters()
-    lost = voters.join("a")
+    cluster = LeaderWithPlacers()
+    lost = cluster.join("a")
     session = lost.session
     assert session is not None
-    voters.sessions.apply("ended", {"session": session.text(), "successors": []})
+    cluster.sessions.apply("ended", {"session": session.text(), "successors": []})
     for number in range(MAX_ENDED_SESSIONS):
-        _over(voters.sessions.log, Session(f"x{number:03d}", 1, 1))
-    assert len(voters.sessions.log.ended) == MAX_ENDED_SESSIONS
-    assert session not in voters.sessions.log.ended
+        _open_and_end(cluster.sessions.log, Session(f"x{number:03d}", 1, 1))
+    assert len(cluster.sessions.log.ended) == MAX_ENDED_SESSIONS
+    assert session not in cluster.sessions.log.ended
     for _ in range(8):
-        voters.ask("a")
+        cluster.request("a")
     assert lost.session == Session("a", 1, 2)
-    assert lost.may_send(voters.now)
+    assert lost.may_send(cluster.now)
     assert [
-        each.fields["session"] for _, each in voters.told if each.event == "session-ended"
+        each.fields["session"] for _, each in cluster.notifications if each.event == "session-ended"
     ].count(session.text()) == 1
 
 
-def _over(log: SessionLog, session: Session) -> None:
+def _open_and_end(log: SessionLog, session: Session) -> None:
     log.apply("opened", {"session": session.text(), "process": 1, "region": "r", "lease_us": LEASE})
     log.apply("ended", {"session": session.text(), "successors": []})
 
@@ -350,25 +361,25 @@
 
 def test_no_session_is_opened_twice_and_the_state_is_read_back() -> None:
     rng = random.Random(5)
-    log, seen = SessionLog(), set[Session]()
+    log, ended_sessions = SessionLog(), set[Session]()
     for _ in range(3_000):
-        one, other = (
+        session, successor = (
             Session(rng.choice("abcde"), rng.randrange(1, 9), rng.randrange(1, 9)) for _ in range(2)
         )
         before, kind = log.epoch, rng.choice(("opened", "ended", "succeed"))
         log.apply(
             kind,
             {
-                "session": one.text(),
-                "process": one.life,
+                "session": session.text(),
+                "process": session.life,
                 "region": "r",
                 "lease_us": LEASE,
-                "successors": [other.text()],
+                "successors": [successor.text()],
             },
         )
-        assert not log.open.keys() & seen
+        assert not log.open.keys() & ended_sessions
         assert log.epoch >= before
-        seen |= log.ended.keys()
+        ended_sessions |= log.ended.keys()
         assert max(log.open_count(name) for name in "abcde") <= MAX_OPEN_SESSIONS_PER_PLACER
         for ended in log.ended.values():
             joined = [name for batch in ended.batches for name in batch]
@@ -381,10 +392,10 @@
 
 def test_kept_ends_are_bounded_by_count_and_by_length() -> None:
     log = SessionLog()
-    keepers = [Session("k" * 240 + f"{number:03d}", 1, 1) for number in range(64)]
-    for keeper in keepers:
+    holders = [Session("k" * 240 + f"{number:03d}", 1, 1) for number in range(64)]
+    for holder in holders:
         log.apply(
-            "opened", {"session": keeper.text(), "process": 1, "region": "r", "lease_us": LEASE}
+            "opened", {"session": holder.text(), "process": 1, "region": "r", "lease_us": LEASE}
         )
     for number in range(20):
         lost = Session(f"x{number}", 1, 1)
@@ -392,7 +403,7 @@
             "opened", {"session": lost.text(), "process": 1, "region": "r", "lease_us": LEASE}
         )
         log.apply(
-            "ended", {"session": lost.text(), "successors": [each.text() for each in keepers]}
+            "ended", {"session": lost.text(), "successors": [each.text() for each in holders]}
         )
     assert 1 < len(log.ended) < 20
     assert len(log.text()) < 2 * MAX_ENDED_CHARS
@@ -421,14 +432,14 @@
 
 
 def test_incarnations_in_quick_succession_wait_for_a_free_session_and_are_counted() -> None:
-    voters = Voters()
+    cluster = LeaderWithPlacers()
     for life in range(1, 4 * MAX_OPEN_SESSIONS_PER_PLACER):
-        voters.join("a", life)
-    assert voters.sessions.log.open_count("a") == MAX_OPEN_SESSIONS_PER_PLACER
-    assert voters.sessions.counts["sessions: no room for another"]
-    voters.wait(RECKONED + 3 * SECOND, "a")
-    assert voters.leases["a"].may_send(voters.now)
-    assert voters.sessions.log.open_count("a") == 1
+        cluster.join("a", life)
+    assert cluster.sessions.log.open_count("a") == MAX_OPEN_SESSIONS_PER_PLACER
+    assert cluster.sessions.counts["sessions: no room for another"]
+    cluster.advance(VOTER_LEASE + 3 * SECOND, "a")
+    assert cluster.leases["a"].may_send(cluster.now)
+    assert cluster.sessions.log.open_count("a") == 1
 
 
 def test_a_placer_without_a_region_has_no_session() -> None:
