--- a/wingbarrow/decide/regions/__init__.py
+++ b/wingbarrow/decide/regions/__init__.py
@@ -1,1 +1,1 @@
-"""What regions tell each other: load reports, and Jobs that are forwarded to another region."""
+"""Communication between regions: load reports, and forwarding of Jobs to another region."""
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -101,15 +101,15 @@
 class RegionSubsystem:
     """The leader's side, a subsystem without log entries.
 
-    lost_us: time since its last report after which a placer counts as lost; a region is lost with its last placer.
-    named: regions of the settings; each counts as lost once none of its placers has reported for `lost_us`.
+    lost_after_us: time without a report after which a placer counts as lost, and a region with its last placer.
+    configured_regions: regions of the settings; they also count as lost if none of their placers has ever reported.
     """
 
     name = "regions"
 
-    def __init__(self, lost_us: int, named: tuple[str, ...] = ()) -> None:
-        self._lost_us = lost_us
-        self._named = named
+    def __init__(self, lost_after_us: int, configured_regions: tuple[str, ...] = ()) -> None:
+        self._lost_after_us = lost_after_us
+        self._configured_regions = configured_regions
         self._federation = Federation()
         self._reserves: dict[str, tuple[float, float]] = {}
         self._reserves_us = -RESERVE_INTERVAL_US
@@ -118,7 +118,7 @@
     def _reset_leader(self, now_us: int) -> None:
         self._leading_since_us = now_us
         self._reports: dict[str, _ReceivedReport] = {}  # by placer
-        self._stable_since_us: dict[str, int] = {}  # by region: reports without a gap
+        self._stable_since_us: dict[str, int] = {}  # by region: start of reports without a gap
         self._rejecting_since_us: dict[str, int] = {}
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
@@ -144,7 +144,7 @@
             (each.at_us for each in self._reports.values() if each.report.region == region),
             default=None,
         )
-        if last_us is None or now_us - last_us > self._lost_us:
+        if last_us is None or now_us - last_us > self._lost_after_us:
             self._stable_since_us[region] = now_us
         self._reports[requester.ident] = _ReceivedReport(now_us, report)
         self._update_rejecting(now_us, region)
@@ -163,7 +163,7 @@
             self._rejecting_since_us.pop(region, None)
 
     def _is_recent(self, now_us: int, received: _ReceivedReport) -> bool:
-        return now_us - received.at_us <= self._lost_us
+        return now_us - received.at_us <= self._lost_after_us
 
     def response_for(self, now_us: int, requester: Requester) -> tuple[RegionSummary, ...]:
         """Return the summaries of all regions, sorted by region name."""
@@ -176,7 +176,9 @@
         return tuple(summaries)
 
     def _by_region(self) -> dict[str, dict[str, _ReceivedReport]]:
-        by_region: dict[str, dict[str, _ReceivedReport]] = {name: {} for name in self._named}
+        by_region: dict[str, dict[str, _ReceivedReport]] = {
+            name: {} for name in self._configured_regions
+        }
         for name, received in self._reports.items():
             by_region.setdefault(received.report.region, {})[name] = received
         return dict(sorted(by_region.items())[:MAX_REGIONS])
@@ -245,7 +247,7 @@
             load=0.0,
             cores=0.0,
             memory=0.0,
-            lost=age_us > self._lost_us,
+            lost=age_us > self._lost_after_us,
             closed=False,
             refusing_us=0,
             stable_us=0,
