--- a/tests/decide/regions/test_reports.py
+++ b/tests/decide/regions/test_reports.py
@@ -72,17 +72,21 @@
     member = RegionMember(lambda now: region_report("south"))
     # The placer's clock differs from the leader's.
     member.on_response(9 * S, 7 * S, regions.response_for(2 * S, Requester("p", 1, 1, 1)))
-    assert member.news(9 * S)["north"].age_us == 3 * S, "1 s at the leader, 2 s since the request"
-    assert "north" in member.news(7 * S + MAX_SUMMARY_AGE_US - S)
-    assert "north" not in member.news(7 * S + MAX_SUMMARY_AGE_US)
+    assert member.statuses(9 * S)["north"].age_us == 3 * S, (
+        "1 s at the leader, 2 s since the request"
+    )
+    assert "north" in member.statuses(7 * S + MAX_SUMMARY_AGE_US - S)
+    assert "north" not in member.statuses(7 * S + MAX_SUMMARY_AGE_US)
     assert member.report(0) == region_report("south")
     member.on_response(10 * S, 10 * S, None)
-    assert "north" in member.news(10 * S), "a response without summaries keeps the previous ones"
+    assert "north" in member.statuses(10 * S), (
+        "a response without summaries keeps the previous ones"
+    )
 
 
 def test_a_lost_region_is_known_as_lost_while_the_summary_is_recent() -> None:
     regions = leader()
     member = RegionMember(lambda now: None)
     member.on_response(100 * S, 100 * S, regions.response_for(100 * S, Requester("p", 1, 1, 1)))
-    assert member.news(101 * S)["south"].lost
-    assert not member.news(100 * S + MAX_SUMMARY_AGE_US + 1)
+    assert member.statuses(101 * S)["south"].lost
+    assert not member.statuses(100 * S + MAX_SUMMARY_AGE_US + 1)
--- a/wingbarrow/core/leased_jobs.py
+++ b/wingbarrow/core/leased_jobs.py
@@ -19,8 +19,8 @@
 from wingbarrow.core.machine_link import MachineLink
 from wingbarrow.core.pods import OfferFailure
 from wingbarrow.decide import retries
-from wingbarrow.decide.federation.faults import unfit
-from wingbarrow.decide.federation.spec import Federation, Spec, allowed
+from wingbarrow.decide.federation.faults import effect_conflict
+from wingbarrow.decide.federation.spec import Federation, Spec, allowed_regions
 from wingbarrow.decide.regions.reports import MAX_LEASED_SPECS
 from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.leased_job_record import (
@@ -98,9 +98,9 @@
             if spec_name:
                 raise _unfit_error(request, f"there is no federation {spec_name[:80]!r}")
             return None
-        if not allowed(spec, federation):
+        if not allowed_regions(spec, federation):
             raise _unfit_error(request, f"spec {spec.name!r} allows no region")
-        why = unfit(spec, task_class.effect.value, self._leases.lease_us)
+        why = effect_conflict(spec, task_class.effect.value, self._leases.lease_us)
         if why:
             raise _unfit_error(request, f"spec {spec.name!r} {why}")
         return spec
@@ -125,10 +125,10 @@
         context = self._context
         session = self._leases.session
         if session is None or not self._leases.may_send(session.text()):
-            raise self._unavailable("no lease", "this placer holds no valid lease now")
+            raise self._unavailable("no lease", "this placer's lease does not hold now")
         if len(self.awaiting_replica) >= MAX_AWAITING_REPLICA:
             raise self._unavailable(
-                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs already wait for a replica"
+                "keepers behind", f"{MAX_AWAITING_REPLICA} Jobs wait for their keepers already"
             )
         spec = candidate.spec
         request = candidate.request
@@ -136,7 +136,7 @@
         record = self._new_record(candidate)
         now = context.hub.now_us()
         deadline_us = min(now + MAX_REPLICATION_WAIT_US, now + max(0, due_us - now) // 2)
-        terms = ReplicationTerms(allowed(spec, self.federation()), spec.failover.copies)
+        terms = ReplicationTerms(allowed_regions(spec, self.federation()), spec.failover.copies)
         class_name = request.task_class.task_class.name
         self.awaiting_replica.add(candidate.key)
         self._store.admission.add(request.namespace, request.count, class_name)
@@ -154,7 +154,7 @@
                 self.records.remove(candidate.uid)
         if not is_replicated:
             raise self._unavailable(
-                "no keeper", why or "this placer's lease expired during the wait"
+                "no keeper", why or "this placer's lease does not hold any more"
             )
         return JobLease(spec.name, session.text())
 
@@ -231,7 +231,7 @@
         if not self._leases.has_recent_clock(link) and not self._leases.read_clock(link):
             # Danger: without a reading of its clock, a machine cannot be given a lease, and would never stop the task.
             return OfferFailure(
-                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "no reading of the machine's clock"
+                api.Outcome.UNREACHABLE, api.Reason.UNTOLD, "the machine does not tell its clock"
             )
         if job.request.task_class.task_class.effect is not api.Effect.UNSAFE:
             return None
@@ -242,9 +242,7 @@
             lambda on_settled: self.records.record_send(job.uid, known, deadline_us, on_settled),
             deadline_us,
         )
-        return (
-            self._not_sent(f"no replica acknowledged that it is to be sent: {why}") if why else None
-        )
+        return self._not_sent(f"its keeper does not know of it: {why}") if why else None
 
     def _not_sent(self, why: str) -> OfferFailure:
         self._context.counts["held:no_lease"] += 1
@@ -303,7 +301,7 @@
         if not attempt.awaiting_confirmation or attempt.stage is not Stage.SENT:
             return  # it has ended meanwhile, or is being stopped
         if why:
-            self.fail_lease_lost(attempt, f"no replica acknowledged its placement: {why}")
+            self.fail_lease_lost(attempt, f"no keeper knows that it was placed: {why}")
             return
         attempt.awaiting_confirmation = False
         self._mark_placed(attempt)
@@ -320,7 +318,7 @@
         """Fail a task at the end of its owner's patience; False where its copy does not await an acknowledgement."""
         if not attempt.awaiting_confirmation:
             return False
-        self.fail_lease_lost(attempt, "no replica acknowledged its placement in time")
+        self.fail_lease_lost(attempt, "no keeper knew in time that it was placed")
         return True
 
     def fail_lease_lost(self, attempt: Attempt, why: str) -> None:
@@ -429,7 +427,7 @@
             # Danger: a retry could start it a second time.
             job.conditions[UNKNOWN] = (
                 "InDoubt",
-                f"it may have started, and is not retried: {task.last_outcome}",
+                f"it may have started, and is not tried again: {task.last_outcome}",
             )
             return False
         pause_us = min(MAX_RETRY_US, MIN_RETRY_US << min(task.losses, MAX_RETRY_DOUBLINGS))
