--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -307,9 +307,8 @@
     assert ended.changed > ended.epoch and cluster.leases["c"].ended[session] == ended, (
         "a later successor acts under a greater epoch"
     )
-    cluster.advance(
-        2 * SECOND, "b", "c", "d"
-    )  # b returns with a new session, and still holds replicas
+    # b returns with a new session, and still holds replicas.
+    cluster.advance(2 * SECOND, "b", "c", "d")
     rejoined = cluster.sessions.log.ended[session]
     assert rejoined.batches == (("c",), ("b",))
     assert not rejoined.gone
--- a/wingbarrow/decide/regions/forwarding.py
+++ b/wingbarrow/decide/regions/forwarding.py
@@ -3,8 +3,8 @@
 The placer that accepted a Job responds to its owner itself, before the owner's deadline. A forwarded Job has an ident
 and is addressed to one incarnation of one placer:
 
-- The request is sent again, with the same ident, to that incarnation until it responds. Requests are idempotent: each
-  copy gets the same response.
+- The request is sent again, with the same ident, to that incarnation until it responds. A duplicate starts nothing: the
+  receiver responds with the state that the Job has there.
 - The Job is sent to another placer only after a rejection, which states that no task of it was or will be started.
 - A later incarnation of the receiver responds with `stranger` set. Danger: it cannot know what the earlier incarnation
   did, so the Job may run. It is sent to another placer only where a second start does no harm.
@@ -23,9 +23,7 @@
 
 MAX_HOPS = 1
 RETRY_US = 300_000  # interval at which an unanswered message is sent again
-POLL_US = (
-    8 * RETRY_US
-)  # interval of status polls for an accepted Job; the receiver also pushes changes
+POLL_US = 8 * RETRY_US  # interval of status polls for an accepted Job, besides pushed changes
 MAX_OPEN = 2048  # forwarded Jobs in progress, at each of sender and receiver
 MAX_FINISHED = 8192  # finished Jobs whose final status the receiver keeps
 CANCEL_US = 60_000_000  # for how long an unconfirmed cancel is sent again
@@ -43,7 +41,7 @@
 LOST = "lost"
 RAN = (DONE, LOST)  # final states of a Job that was placed
 FINAL = (REJECTED, FAILED, *RAN)
-UNPLACED = ("", ACCEPTED)  # states at the sender: "" before any response
+UNPLACED = ("", ACCEPTED)  # before a placement, as the sender knows it; "" before any response
 
 
 # -- messages; field names are wire names
@@ -96,7 +94,7 @@
 
 
 class ForwardBudget:
-    """Token bucket: limits forwarded Jobs to a share of first attempts, so that full regions forward in no cycles."""
+    """Token bucket: limits forwarding to a share of first attempts, so that full regions do not forward in cycles."""
 
     def __init__(self, share: float = BUDGET_SHARE, burst: float = BUDGET_BURST) -> None:
         self._share = share
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -28,9 +28,7 @@
 MAX_PLACERS_PER_SUMMARY = 64
 MAX_LEASED_SPECS = 256  # in one report
 RESERVE_INTERVAL_US = 500_000  # shortest time between two computations of the reserves
-REJECTING_SHARE = (
-    0.5  # share of rejected Jobs, among recent arrivals, from which a region counts as rejecting
-)
+REJECTING_SHARE = 0.5  # rejected share of recent arrivals from which a region counts as rejecting
 NO_RESERVE = (0.0, 0.0)  # cores, GiB
 
 
--- a/wingbarrow/decide/sessions/failover_pace.py
+++ b/wingbarrow/decide/sessions/failover_pace.py
@@ -44,9 +44,9 @@
 
 
 def reissue_within_us(times: FailoverTimes, jobs: int, pace: FailoverPace) -> int:
-    """Return the bound on the time from a region's loss until the last of its safe Jobs is started, given capacity.
+    """Return the bound on the time from a region's loss until the last of its safe Jobs is started elsewhere.
 
-    It is the sum of:
+    It applies if there is capacity for these Jobs, and is the sum of:
 
     - the election, and the voters' lease or `after`, whichever is longer: the last grant may date from the moment of
       the loss, and a new leader counts from its election;
--- a/wingbarrow/decide/sessions/lease_times.py
+++ b/wingbarrow/decide/sessions/lease_times.py
@@ -16,9 +16,8 @@
 
 LEASE_US = 10_000_000  # default
 HOLDER_LEASE_SHARE = 0.8  # of the lease
-UNREPLICATED_WAIT_LEASES = (
-    6  # wait, in leases, before a session without live replica holder is ended
-)
+# Wait, in leases, before a session without live replica holder is ended.
+UNREPLICATED_WAIT_LEASES = 6
 CHECKS_PER_LEASE = 8  # minimum number of checks of all sessions by the leader during one lease
 MAX_TURN_US = 10_000  # longest turn of the event loop
 
--- a/wingbarrow/decide/sessions/leased_job_record.py
+++ b/wingbarrow/decide/sessions/leased_job_record.py
@@ -14,9 +14,8 @@
 MAX_REPLICAS = 2
 # Effects of a class: must never start twice; at most once per key and window; may repeat.
 EFFECTS = ("unsafe", "keyed", "safe")
-OFFERED = (
-    "offered"  # value of `answered` before the owner is sent its 201: the Job may still be rejected
-)
+# Value of `answered` before the owner is sent its 201: the Job may still be rejected.
+OFFERED = "offered"
 TASK_PHASES = ("none", "about", "doubt", "placed", "over")  # from least to most advanced
 
 
@@ -50,7 +49,7 @@
     spec: name of its federation spec.
     group: scope of a keyed class within which a key is unique: machine, cell, zone, all.
     manifest: JSON of the Job.
-    keepers: its replica holders, in order of rendezvous rank.
+    keepers: names of its replica holders, in order of rendezvous rank.
     answered: status sent to the owner: OFFERED before the 201, then "", placed, refused or failed.
     born_age_us: time since it was accepted, when this was sent.
     others: placers that may have an older record, and have not yet confirmed that they dropped it.
--- a/wingbarrow/decide/sessions/session_lease.py
+++ b/wingbarrow/decide/sessions/session_lease.py
@@ -118,9 +118,8 @@
         self.machine_lease_until_us = self.requested_us + lease_us
 
     def _on_ended(self, ended: EndedSession) -> list[Effect]:
-        self.ended.pop(
-            ended.session, None
-        )  # re-inserted, so that the latest change is last in order
+        # Re-inserted, so that the latest change is last in order.
+        self.ended.pop(ended.session, None)
         self.ended[ended.session] = ended
         while len(self.ended) > MAX_ENDED_SESSIONS:
             del self.ended[next(iter(self.ended))]
--- a/wingbarrow/decide/sessions/session_log.py
+++ b/wingbarrow/decide/sessions/session_log.py
@@ -18,9 +18,7 @@
 MAX_OPEN_SESSIONS_PER_PLACER = 8  # the current one, and earlier ones whose lease has not expired
 MAX_LATEST_SESSIONS = 2048  # placers whose latest session is kept
 MAX_ENDED_SESSIONS = 256  # the ends that changed least recently are dropped first
-MAX_ENDED_CHARS = (
-    96 * 1024
-)  # bound on all successor names, because a snapshot is sent in one message
+MAX_ENDED_CHARS = 96 * 1024  # of all successor names: a snapshot is sent in one message
 MAX_SUCCESSORS_PER_BATCH = 64
 MAX_BATCHES_PER_END = 32
 
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -13,8 +13,8 @@
 - A placer that reports but receives no grants (a partition in one direction) is renewed for half a lease only
   (`one_way_renewal_us`), as it cannot act.
 - A later incarnation of a name proves that the earlier one has ended: its session ends without waiting for `after`.
-- A holder that returns before its session ends keeps the session. One that returns later gets a new session, together
-  with all ends that it does not know.
+- A holder that returns before its session ends keeps the session. One that returns later gets a new session, and only
+  together with all ends that it does not know.
 """
 
 from __future__ import annotations
@@ -205,7 +205,7 @@
         return session not in self.leader.ending and self._receives_grants(now_us, session, report)
 
     def _receives_grants(self, now_us: int, session: Session, report: SessionsReport) -> bool:
-        """Whether the placer receives grants, or did until less than half a lease ago.
+        """Whether the placer receives grants, or has reported for less than half a lease that it does not.
 
         Danger: renewing a placer that only sends would block its Jobs from failover forever.
         """
@@ -316,9 +316,8 @@
         for entry in list(leader.requested.values())[:MAX_PROPOSALS]:
             latest = self.log.latest.get(entry.session.placer)
             if latest is None or entry.session > latest.session:
-                leader.renewed_us[entry.session] = (
-                    now_us  # the lease counts from before its first grant
-                )
+                # The lease counts from a time before its first grant.
+                leader.renewed_us[entry.session] = now_us
                 entries.append(entry)
         leader.requested = {}
         proposals = [Proposal(entry.kind, entry.value()) for entry in entries]
