--- a/tests/transport/test_hub.py
+++ b/tests/transport/test_hub.py
@@ -126,7 +126,7 @@
 
 def test_a_failure_that_nobody_waits_for_is_told_and_the_hub_goes_on(hub: Hub) -> None:
     told: list[str] = []
-    hub.complain = lambda name, error: told.append(f"{name}: {type(error).__name__}")
+    hub.on_task_error = lambda name, error: told.append(f"{name}: {type(error).__name__}")
 
     def main() -> int:
         hub.spawn(lambda: 1 // 0, "loose")
--- a/wingbarrow/cli/lab.py
+++ b/wingbarrow/cli/lab.py
@@ -56,7 +56,7 @@
         sys.exit(2)
     hub = Hub()
     log = Log(hub.now_us)
-    hub.complain = lambda task, error: log(
+    hub.on_task_error = lambda task, error: log(
         "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
     )
 
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -62,7 +62,7 @@
     settings = settings_or_exit(file)
     hub = Hub()
     log = Log(hub.now_us)
-    hub.complain = lambda task, error: log(
+    hub.on_task_error = lambda task, error: log(
         "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
     )
 
--- a/wingbarrow/lab/days.py
+++ b/wingbarrow/lab/days.py
@@ -96,7 +96,7 @@
     if what.only is not None:
         troubles = [troubles[index] for index in what.only if index < len(troubles)]
     hub = Hub(VirtualClock())
-    hub.complain = lambda task, error: log(
+    hub.on_task_error = lambda task, error: log(
         "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
     )
     cluster = Cluster(hub, max(4, round(day.machines * scale)), placers, seed, log)
--- a/wingbarrow/relay/__main__.py
+++ b/wingbarrow/relay/__main__.py
@@ -36,7 +36,7 @@
     )
     gc.collect()
     gc.freeze()  # loaded objects are permanent, so later collections skip them
-    hub.complain = lambda name, error: log(
+    hub.on_task_error = lambda name, error: log(
         "task-failed", level="error", task=name, why=f"{type(error).__name__}: {error}"
     )
 
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -67,7 +67,7 @@
         # ends of all sockets are in this process, so nothing else can make a descriptor ready.
         self.touched = True
         self._stopped = False
-        self.complain: Callable[[str, BaseException], None] = _raise_later
+        self.on_task_error: Callable[[str, BaseException], None] = _raise_later
 
     def now_us(self) -> int:
         """The clock's monotonic microseconds."""
@@ -109,7 +109,7 @@
         domain: Domain | None = None,
         scopes: list[CancelScope] | None = None,
     ) -> Task:
-        """Start a task that nobody waits for; its failure goes to `complain`, unless a nursery takes it."""
+        """Start a task that nobody waits for; its failure goes to `on_task_error`, unless a nursery takes it."""
         parent = self._tasks.get(getcurrent())
         if domain is None:
             domain = parent.domain if parent is not None else self._calling
@@ -132,7 +132,7 @@
                 for each in task.on_end:
                     each(task)
                 if task.error is not None and not task.on_end:
-                    self.complain(task.name, task.error)
+                    self.on_task_error(task.name, task.error)
 
         task.glet = greenlet(body, self._loop)
         task.scopes = [*(scopes or []), task.own]
