--- a/tests/transport/test_hub.py
+++ b/tests/transport/test_hub.py
@@ -277,7 +277,7 @@
         signal = Signal(hub)
 
         def writer() -> None:
-            hub.current().first = True
+            hub.current().urgent = True
             signal.wait()
             order.append("writer")
 
@@ -292,7 +292,7 @@
         for number in range(6):
             hub.spawn(lambda number=number: work(number))
         hub.call_at(clock.now + 5_000, lambda: order.append("other timer"))
-        hub.call_at(clock.now + 5_500, lambda: order.append("owed"), owed=True)
+        hub.call_at(clock.now + 5_500, lambda: order.append("owed"), urgent=True)
         while len(order) < 9:
             hub.checkpoint()
 
--- a/wingbarrow/core/host.py
+++ b/wingbarrow/core/host.py
@@ -105,7 +105,7 @@
             self.feed(api.TimerDue(name))
 
         # A request's own timer gives the final answer that its owner is owed: it runs before other timers that are due.
-        timer = self._runtime.hub.call_at(at_us, on_due, owed=name.isdecimal())
+        timer = self._runtime.hub.call_at(at_us, on_due, urgent=name.isdecimal())
         if name.isdecimal():
             self._timers[name] = timer
 
--- a/wingbarrow/core/reflector.py
+++ b/wingbarrow/core/reflector.py
@@ -76,7 +76,7 @@
         """List and watch until cancelled."""
         # Danger (rule 3): after a stall, offers that are ready would be sent before the drains that were announced
         # during the stall are read. This task therefore runs first.
-        self._hub.current().first = True
+        self._hub.current().urgent = True
         while True:
             try:
                 if not self._version:
--- a/wingbarrow/http/listwatch.py
+++ b/wingbarrow/http/listwatch.py
@@ -201,7 +201,7 @@
 
         def stream(writer: ChunkWriter) -> None:
             self.watchers += 1
-            self._hub.current().first = True  # it hands on what is owed
+            self._hub.current().urgent = True  # it hands on what is owed
             try:
                 if first:
                     self._write(writer, b"".join(first), agent)
@@ -211,7 +211,7 @@
                 self.fell_behind += 1
                 self._write(writer, event_line(b"ERROR", encode(error.status())), agent)
             finally:
-                self._hub.current().first = False
+                self._hub.current().urgent = False
                 self.watchers -= 1
 
         return Answer(200, stream=stream)
--- a/wingbarrow/relay/journal.py
+++ b/wingbarrow/relay/journal.py
@@ -89,7 +89,7 @@
         """Poll until cancelled."""
         hub = self._runtime.hub
         # Danger (rule 3): offers that are ready must not be sent before drains are read.
-        hub.current().first = True
+        hub.current().urgent = True
         while True:
             address = self._address
             limits = PoolLimits(
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -49,9 +49,11 @@
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or RealClock()
         self._ready: deque[tuple[Task, BaseException | None]] = deque()
-        self._first: deque[tuple[Task, BaseException | None]] = deque()
+        self._urgent: deque[tuple[Task, BaseException | None]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._owed: list[tuple[int, int, Timer]] = []  # timers that run before all else that is due
+        self._urgent_timers: list[
+            tuple[int, int, Timer]
+        ] = []  # timers that run before all else that is due
         self._sequence = 0
         self._dead_timers = 0
         self._poll = select.poll()
@@ -148,8 +150,8 @@
         domain = task.domain
         if domain is not None and domain.held_until_us > self.clock.now_us():
             domain.backlog.append((task, error))
-        elif task.first and not self.clock.virtual:
-            self._first.append((task, error))
+        elif task.urgent and not self.clock.virtual:
+            self._urgent.append((task, error))
         else:
             self._ready.append((task, error))
 
@@ -186,12 +188,12 @@
     # -- time
 
     def _at(
-        self, at_us: int, call: Callable[[], None], domain: Domain | None, owed: bool = False
+        self, at_us: int, call: Callable[[], None], domain: Domain | None, urgent: bool = False
     ) -> Timer:
         def guarded() -> None:
             if domain is not None and (domain.dead or domain.held_until_us > self.clock.now_us()):
                 if not domain.dead:
-                    domain.calls.append((owed, call))
+                    domain.calls.append((urgent, call))
                 return
             self._calling = domain
             try:
@@ -201,16 +203,18 @@
 
         timer = Timer(self, at_us, guarded if domain is not None else call)
         self._sequence += 1
-        heapq.heappush(self._owed if owed else self._timers, (at_us, self._sequence, timer))
+        heapq.heappush(
+            self._urgent_timers if urgent else self._timers, (at_us, self._sequence, timer)
+        )
         return timer
 
-    def call_at(self, at_us: int, call: Callable[[], None], owed: bool = False) -> Timer:
+    def call_at(self, at_us: int, call: Callable[[], None], urgent: bool = False) -> Timer:
         """Run a short call in the hub at a time; it must not block.
 
         One that is `owed` runs before all else that is due, however much waits after a stall.
         """
         parent = self._tasks.get(getcurrent())
-        return self._at(at_us, call, parent.domain if parent else self._calling, owed)
+        return self._at(at_us, call, parent.domain if parent else self._calling, urgent)
 
     def sleep(self, for_us: int) -> None:
         """Block for so many microseconds."""
@@ -307,11 +311,11 @@
         timeout = self._due()
         if self._stopped:
             return
-        self._look(0 if self._ready or self._first else timeout)
+        self._look(0 if self._ready or self._urgent else timeout)
 
     def _run_first(self) -> None:
-        while self._first and not self._stopped:
-            self._switch(*self._first.popleft())
+        while self._urgent and not self._stopped:
+            self._switch(*self._urgent.popleft())
 
     def _switch(self, task: Task, error: BaseException | None) -> None:
         if task.glet.dead:
@@ -326,17 +330,21 @@
     def _due(self) -> int | None:
         """Run what is due, what is owed first; microseconds until the next timer, None without one."""
         if self._dead_timers > _COMPACT_AT and self._dead_timers * 2 > len(self._timers) + len(
-            self._owed
+            self._urgent_timers
         ):
-            for heap in (self._timers, self._owed):
+            for heap in (self._timers, self._urgent_timers):
                 heap[:] = [each for each in heap if each[2].call is not None]
                 heapq.heapify(heap)
             self._dead_timers = 0
         now = self.clock.now_us()
-        after_owed = self._run_due(self._owed, now)
+        after_urgent = self._run_due(self._urgent_timers, now)
         after = self._run_due(self._timers, now)
         return (
-            after_owed if after is None else after if after_owed is None else min(after, after_owed)
+            after_urgent
+            if after is None
+            else after
+            if after_urgent is None
+            else min(after, after_urgent)
         )
 
     def _run_due(self, heap: list[tuple[int, int, Timer]], now: int) -> int | None:
--- a/wingbarrow/transport/scopes.py
+++ b/wingbarrow/transport/scopes.py
@@ -80,7 +80,6 @@
         "domain",
         "done",
         "error",
-        "first",
         "glet",
         "hub",
         "name",
@@ -88,6 +87,7 @@
         "own",
         "scopes",
         "silent_us",
+        "urgent",
     )
 
     def __init__(
@@ -99,7 +99,7 @@
         self.scopes: list[CancelScope] = []
         self.own = CancelScope(hub)
         self.domain = domain
-        self.first = (
+        self.urgent = (
             False  # runs before others that are ready: it hands on what is owed, and costs little
         )
         self.silent_us = 0  # when its descriptor was last seen to have nothing
