--- a/tests/transport/test_hub.py
+++ b/tests/transport/test_hub.py
@@ -314,7 +314,7 @@
                 stream = listener.accept()
                 for _ in range(2):
                     stream.receive()
-                    seen.append((stream.silent_us, hub.now_us()))
+                    seen.append((stream.last_empty_us, hub.now_us()))
 
             hub.spawn(serve, "serve", domain)
             client = connect(hub, "127.0.0.1", listener.port)
--- a/wingbarrow/http/server.py
+++ b/wingbarrow/http/server.py
@@ -93,7 +93,7 @@
     def _more(self) -> bool:
         data = self.stream.receive()
         if data:
-            self._fed_us = self.stream.silent_us
+            self._fed_us = self.stream.last_empty_us
             self.parser.feed(data)
         else:
             self.parser.feed_end()
--- a/wingbarrow/relay/owners.py
+++ b/wingbarrow/relay/owners.py
@@ -65,7 +65,7 @@
         if not self.stream.open:
             return True  # closed here: the reader withdraws its open set-ups when it next runs
         return self.stream.has_unread(now_us, MAX_UNREAD_US) or (
-            self.framer.ready and now_us - self.stream.silent_us > MAX_UNREAD_US
+            self.framer.ready and now_us - self.stream.last_empty_us > MAX_UNREAD_US
         )
 
     def when_read(self, call: Callable[[], None]) -> None:
@@ -143,7 +143,7 @@
                     if message.kind == Kind.RELEASE_HEARD:
                         self._unacknowledged.pop(message.task, None)
                         self._trace(message.task, "release heard", owner=owner.number)
-                    self._on_message(owner, message, min(now, stream.silent_us))
+                    self._on_message(owner, message, min(now, stream.last_empty_us))
                     messages_read += 1
                     if messages_read % MAX_MESSAGES_PER_TURN == 0:
                         hub.checkpoint()
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -64,7 +64,7 @@
         self.switches = 0
         self.polls = 0
         self.lag = Lag()
-        self._looked_us = self.clock.now_us()  # when the latest poll began
+        self._last_poll_us = self.clock.now_us()  # when the latest poll began
         # Something was written, read, opened or closed here since a poll last found nothing. Under a virtual clock all
         # ends of all sockets are in this process, so nothing else can make a descriptor ready.
         self.touched = True
@@ -255,9 +255,9 @@
                 del waiters[what]
                 self._register(fd)
 
-        task.silent_us = 0
+        task.last_empty_us = 0
         self.block(undo)
-        return task.silent_us
+        return task.last_empty_us
 
     def _register(self, fd: int) -> None:
         waiters = self._waiting.get(fd)
@@ -273,9 +273,9 @@
         poll.register(fd, what)
         return bool(poll.poll(0))
 
-    def heard_out_us(self, fd: int) -> int | None:
+    def last_poll_us(self, fd: int) -> int | None:
         """When the latest poll began that found nothing to read, where a reader waits; None where none does."""
-        return self._looked_us if READ in self._waiting.get(fd, ()) else None
+        return self._last_poll_us if READ in self._waiting.get(fd, ()) else None
 
     def forget(self, fd: int) -> None:
         """A descriptor is about to be closed: wake whoever waits for it."""
@@ -373,7 +373,7 @@
                 return
             self.touched = False
             self.clock.jump(self.clock.now_us() + timeout_us)
-            self._looked_us = self.clock.now_us()  # the world stood still over the jump
+            self._last_poll_us = self.clock.now_us()  # the world stood still over the jump
             return
         if self.clock.virtual and timeout_us == 0 and not self.touched:
             return
@@ -383,8 +383,8 @@
         self.polls += 1
         # Rounded up to milliseconds: waking before a timer is due would spin.
         wait = _LONGEST_MS if timeout_us is None else min(_LONGEST_MS, -(-timeout_us // 1000))
-        silent_us, self._looked_us = self._looked_us, self.clock.now_us()
-        self.lag.note(self._looked_us, self._looked_us - silent_us - _LONGEST_MS * 1000)
+        last_empty_us, self._last_poll_us = self._last_poll_us, self.clock.now_us()
+        self.lag.note(self._last_poll_us, self._last_poll_us - last_empty_us - _LONGEST_MS * 1000)
         try:
             events = self._poll.poll(wait)
         except OSError as error:
@@ -400,9 +400,11 @@
                     task = waiters.pop(what)
                     # A process that stands still polls nothing: it last saw nothing before it was held.
                     domain = task.domain
-                    held = domain is not None and domain.held_until_us > self._looked_us
-                    task.silent_us = (
-                        min(silent_us, domain.held_from_us) if domain and held else silent_us
+                    held = domain is not None and domain.held_until_us > self._last_poll_us
+                    task.last_empty_us = (
+                        min(last_empty_us, domain.held_from_us)
+                        if domain and held
+                        else last_empty_us
                     )
                     self.wake(task)
             self._register(fd)
--- a/wingbarrow/transport/net.py
+++ b/wingbarrow/transport/net.py
@@ -53,13 +53,13 @@
 class Stream(_Endpoint):
     """A connected TCP socket."""
 
-    __slots__ = ("bytes_in", "bytes_out", "silent_us")
+    __slots__ = ("bytes_in", "bytes_out", "last_empty_us")
 
-    def __init__(self, hub: Hub, sock: socket.socket, silent_us: int | None = None) -> None:
+    def __init__(self, hub: Hub, sock: socket.socket, last_empty_us: int | None = None) -> None:
         super().__init__(hub, sock)
         self.bytes_in = self.bytes_out = 0
         # The latest moment at which it is certain that what is read next had not come; see docs/promptness.md.
-        self.silent_us = hub.now_us() if silent_us is None else silent_us
+        self.last_empty_us = hub.now_us() if last_empty_us is None else last_empty_us
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -72,8 +72,8 @@
             except OSError as error:
                 if error.errno not in _AGAIN:
                     raise PeerGone(errno.errorcode.get(error.errno or 0, "?")) from None
-                self.silent_us = tried_us
-                self.silent_us = max(tried_us, self.hub.wait(self._fd, READ))
+                self.last_empty_us = tried_us
+                self.last_empty_us = max(tried_us, self.hub.wait(self._fd, READ))
             else:
                 self.hub.touched = True
                 self.bytes_in += len(data)
@@ -139,9 +139,9 @@
 
         The system is asked only where neither the reader nor a poll has looked so lately.
         """
-        looked_us = self.hub.heard_out_us(self._fd)
+        polled_us = self.hub.last_poll_us(self._fd)
         return (
-            now_us - (self.silent_us if looked_us is None else looked_us) > most_us
+            now_us - (self.last_empty_us if polled_us is None else polled_us) > most_us
             and not self.is_quiet()
         )
 
@@ -175,7 +175,7 @@
         self._told_full = False
         self.host, self.port = sock.getsockname()[:2]
         self.times_full = 0
-        self._silent_us = hub.now_us()
+        self._last_empty_us = hub.now_us()
 
     def accept(self) -> Stream:
         """The next connection; a full descriptor table is waited out and told once."""
@@ -193,7 +193,7 @@
                         )
                     self.hub.sleep(_FULL_PAUSE_US)
                 elif error.errno in _AGAIN:
-                    self._silent_us = max(tried_us, self.hub.wait(self._fd, READ))
+                    self._last_empty_us = max(tried_us, self.hub.wait(self._fd, READ))
                 elif error.errno not in (errno.ECONNABORTED, errno.EPROTO):
                     raise
             else:
@@ -201,7 +201,7 @@
                     self._told_full = False
                     self._say("accepting again")
                 self.hub.touched = True
-                return Stream(self.hub, sock, self._silent_us)
+                return Stream(self.hub, sock, self._last_empty_us)
         raise PeerGone("closed here")
 
     def serve(self, handle: Callable[[Stream], None], most: int = _ACCEPT_BURST) -> None:
--- a/wingbarrow/transport/scopes.py
+++ b/wingbarrow/transport/scopes.py
@@ -82,11 +82,11 @@
         "error",
         "glet",
         "hub",
+        "last_empty_us",
         "name",
         "on_end",
         "own",
         "scopes",
-        "silent_us",
         "urgent",
     )
 
@@ -102,7 +102,7 @@
         self.urgent = (
             False  # runs before others that are ready: it hands on what is owed, and costs little
         )
-        self.silent_us = 0  # when its descriptor was last seen to have nothing
+        self.last_empty_us = 0  # when its descriptor was last seen to have nothing
         self.done = False
         self.error: BaseException | None = None
         self.blocked: Callable[[], None] | None = None  # how to take back what it waits for
