--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -80,7 +80,7 @@
 
     def script() -> None:
         placer = stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.objects.store.window_most = 8
+        placer.objects.store.max_window = 8
         proxy = Proxy(stage.hub, stage.cluster.placers[0].port)
         stage.submit("pay", "settlement", runs_s=30, patience_s=10)
         results: list[Any] = []
--- a/tests/test_many_clients.py
+++ b/tests/test_many_clients.py
@@ -78,7 +78,7 @@
 
     def script() -> None:
         hub, placer = stage.hub, stage.cluster.placers[0].service.placer  # type: ignore[union-attr]
-        placer.objects.store.window_most = 32
+        placer.objects.store.max_window = 32
         slow = connect(hub, "127.0.0.1", stage.cluster.placers[0].port)
         slow.send(f"GET {JOBS}?watch=true HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         hub.sleep(S // 10)
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -433,4 +433,4 @@
         self.job_store.set_limits(
             fresh.limits.jobs_kept, fresh.limits.tasks_open, fresh.limits.tasks_per_namespace
         )
-        self.objects.store.window_most = fresh.limits.window
+        self.objects.store.max_window = fresh.limits.window
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -207,13 +207,13 @@
         return True
 
     def _create(self, request: Request, namespace: str, query: Query) -> Answer:
-        self._placer.admission.check_overload(request.came_us)
+        self._placer.admission.check_overload(request.earliest_arrival_us)
         value = self._body(request)
         made = self._placer.admission.submit(
             value,
             namespace,
             dry_run=self._dry_run(query.get("dryRun")),
-            arrived_us=request.came_us,
+            arrived_us=request.earliest_arrival_us,
         )
         return Answer(201, names.encode(made))
 
--- a/wingbarrow/http/listwatch.py
+++ b/wingbarrow/http/listwatch.py
@@ -68,7 +68,7 @@
         collection: Collection,
         kind: str,
         api_version: str,
-        watchers_most: int,
+        max_watchers: int,
         seed: int = 0,
     ) -> None:
         self._hub = hub
@@ -77,11 +77,11 @@
         self._kind, self._api_version = kind, api_version
         self._changed = Signal(hub)
         collection.changed.append(self._changed.notify)
-        self._most = watchers_most
+        self._most = max_watchers
         self._random = random.Random(seed)
         self.watchers = 0
         self.fell_behind = 0
-        self.on_line: Callable[[str, bytes], None] | None = (
+        self.on_write: Callable[[str, bytes], None] | None = (
             None  # a stand-in records what it tells, to whom
         )
         # A stand-in's faults: it may write a part itself, wait, or raise PeerGone.
@@ -251,8 +251,8 @@
         if self.before_write is not None:
             self.before_write(agent, writer, data)
         writer.write(data)
-        if self.on_line is not None:
-            self.on_line(agent, data)
+        if self.on_write is not None:
+            self.on_write(agent, data)
 
     def _bookmark(self, version: int, initial_end: bool) -> bytes:
         meta: dict[str, Any] = {"resourceVersion": str(version), "creationTimestamp": None}
--- a/wingbarrow/http/message.py
+++ b/wingbarrow/http/message.py
@@ -36,7 +36,8 @@
     expects_continue: bool = False
     body: bytes = b""
     connection: Any = None  # the server's connection that it came on
-    came_us: int = 0  # its first byte was not there yet at this time of the hub's clock; 0 where that is not known
+    # Lower bound of the time at which its first byte arrived, on the hub's clock; 0 if unknown.
+    earliest_arrival_us: int = 0
 
     def get(self, name: str) -> str | None:
         """The first value of a field, by lower-case name."""
--- a/wingbarrow/http/server.py
+++ b/wingbarrow/http/server.py
@@ -146,7 +146,7 @@
 
     def answer(self, request: Request) -> bool:
         request.connection = self
-        request.came_us = self._begun_us
+        request.earliest_arrival_us = self._begun_us
         answer = self.server.handle(request)
         self.server.requests += 1
         head_only, keep = request.method == "HEAD", request.keep_alive and self.server.listening
--- a/wingbarrow/kube/store.py
+++ b/wingbarrow/kube/store.py
@@ -99,7 +99,7 @@
 
     def _note(self, change: Change) -> None:
         self.window.append(change)
-        if len(self.window) > self._store.window_most:
+        if len(self.window) > self._store.max_window:
             self.floor = self.window.popleft().version
             self.first += 1
         for call in self.changed:
@@ -178,9 +178,9 @@
     client that outlived a restart hears 410 and lists again.
     """
 
-    def __init__(self, first_version: int, window_most: int) -> None:
+    def __init__(self, first_version: int, max_window: int) -> None:
         self.version = first_version
-        self.window_most = window_most
+        self.max_window = max_window
         self.collections: dict[str, Collection] = {}
 
     def advance(self) -> int:
--- a/wingbarrow/lab/source.py
+++ b/wingbarrow/lab/source.py
@@ -44,7 +44,7 @@
 
     def _make_view(self, store: Store) -> ListWatch:
         view = ListWatch(self.hub, store, store.collection("nodes"), "Node", "v1", 1024)
-        view.on_line = self._told
+        view.on_write = self._told
         view.before_write = self._maybe_cut
         return view
 
