--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wingbarrow.http.client import MaybeDone, NotSent, Pool, PoolLimits, Why
+from wingbarrow.http.client import FailureReason, MaybeDone, NotSent, Pool, PoolLimits
 from wingbarrow.http.message import Limits, Request
 from wingbarrow.http.server import Answer, ChunkWriter, Server, ServerLimits
 from wingbarrow.transport import Hub, Nursery, PeerGone, Stream, VirtualClock, connect, listen
@@ -175,17 +175,17 @@
 
 def failing(
     behave: Callable[[Hub, Stream], None], limits: PoolLimits = PoolLimits()
-) -> tuple[type, Why]:
-    def script(hub: Hub) -> tuple[type, Why]:
+) -> tuple[type, FailureReason]:
+    def script(hub: Hub) -> tuple[type, FailureReason]:
         listener = listen(hub, "127.0.0.1", 0, print)
         hub.spawn(lambda: listener.serve(lambda stream: behave(hub, stream)))
         with pytest.raises((NotSent, MaybeDone)) as caught:
             Pool(hub, "127.0.0.1", listener.port, limits).request(
                 "POST", "/", b"x", until_us=hub.now_us() + 5 * S
             )
-        return caught.type, caught.value.why
+        return caught.type, caught.value.reason
 
-    found: tuple[type, Why] = play(script)
+    found: tuple[type, FailureReason] = play(script)
     return found
 
 
@@ -227,17 +227,17 @@
 @pytest.mark.parametrize(
     ("behave", "why"),
     [
-        (reset_at_once, Why.RESET_BEFORE),
-        (end_at_once, Why.RESET_BEFORE),
-        (half, Why.RESET_AFTER),
-        (half_body, Why.RESET_AFTER),
-        (silent, Why.SILENT),
-        (silent_body, Why.SILENT),
-        (garbage, Why.GARBAGE),
+        (reset_at_once, FailureReason.RESET_BEFORE),
+        (end_at_once, FailureReason.RESET_BEFORE),
+        (half, FailureReason.RESET_AFTER),
+        (half_body, FailureReason.RESET_AFTER),
+        (silent, FailureReason.SILENT),
+        (silent_body, FailureReason.SILENT),
+        (garbage, FailureReason.GARBAGE),
     ],
 )
 def test_what_may_have_run_is_never_called_unsent(
-    behave: Callable[[Hub, Stream], None], why: Why
+    behave: Callable[[Hub, Stream], None], why: FailureReason
 ) -> None:
     assert failing(behave) == (MaybeDone, why)
 
@@ -249,13 +249,13 @@
         listener.close()
         with pytest.raises(NotSent) as caught:
             Pool(hub, "127.0.0.1", port).request("POST", "/", b"x")
-        assert caught.value.why is Why.REFUSED
+        assert caught.value.reason is FailureReason.REFUSED
         served: list[bytes] = []
         server = started(hub, lambda request: served.append(request.body) or Answer(200))
         pool = Pool(hub, "127.0.0.1", server.port)
         with pytest.raises(NotSent) as caught:
             pool.request("POST", "/", b"x", may_send=lambda: False)
-        assert caught.value.why is Why.WITHDRAWN
+        assert caught.value.reason is FailureReason.WITHDRAWN
         hub.sleep(S)
         assert not served
 
@@ -272,13 +272,13 @@
             return Answer(200)
 
         pool = Pool(hub, "127.0.0.1", started(hub, slow).port, PoolLimits(connections=2, waiting=1))
-        failed: list[Why] = []
+        failed: list[FailureReason] = []
 
         def ask(target: str) -> None:
             try:
                 pool.request("GET", target, until_us=hub.now_us() + S * 3 // 2)
             except (NotSent, MaybeDone) as error:
-                failed.append(error.why)
+                failed.append(error.reason)
 
         with Nursery(hub) as nursery:
             for name in "abcd":
--- a/wingbarrow/core/pods.py
+++ b/wingbarrow/core/pods.py
@@ -10,7 +10,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config.settings import parse_duration, parse_size
 from wingbarrow.core.job_store import TaskRecord
-from wingbarrow.http.client import MaybeDone, NotSent, Why
+from wingbarrow.http.client import FailureReason, MaybeDone, NotSent
 from wingbarrow.http.message import Response
 from wingbarrow.kube import names
 
@@ -139,13 +139,13 @@
     if isinstance(error, NotSent):
         outcome = (
             api.Outcome.UNREACHABLE
-            if error.why in (Why.REFUSED, Why.NO_CONNECT)
+            if error.reason in (FailureReason.REFUSED, FailureReason.NO_CONNECT)
             else api.Outcome.NOT_SENT
         )
-    elif error.why is Why.SILENT:
+    elif error.reason is FailureReason.SILENT:
         outcome = api.Outcome.TIMED_OUT
     else:
-        outcome = api.Outcome.ERROR if error.why is Why.GARBAGE else api.Outcome.BROKEN
+        outcome = api.Outcome.ERROR if error.reason is FailureReason.GARBAGE else api.Outcome.BROKEN
     return OfferFailure(outcome, api.Reason.UNTOLD, str(error))
 
 
--- a/wingbarrow/http/client.py
+++ b/wingbarrow/http/client.py
@@ -19,7 +19,7 @@
 SECOND = 1_000_000
 
 
-class Why(Enum):
+class FailureReason(Enum):
     """How a call failed."""
 
     REFUSED = "connection refused"
@@ -35,9 +35,9 @@
 class CallFailed(Exception):
     """A call has no answer."""
 
-    def __init__(self, why: Why, detail: str = "") -> None:
-        super().__init__(f"{why.value}{': ' + detail if detail else ''}")
-        self.why = why
+    def __init__(self, reason: FailureReason, detail: str = "") -> None:
+        super().__init__(f"{reason.value}{': ' + detail if detail else ''}")
+        self.reason = reason
 
 
 class NotSent(CallFailed):
@@ -115,9 +115,9 @@
                     for part in self._body(line):
                         parts.append(part)
             except (PeerGone, BadMessage) as error:
-                raise MaybeDone(Why.RESET_AFTER, str(error)) from None
+                raise MaybeDone(FailureReason.RESET_AFTER, str(error)) from None
             if scope.caught:
-                raise MaybeDone(Why.SILENT)
+                raise MaybeDone(FailureReason.SILENT)
             response.body = b"".join(parts)
             kept = response.keep_alive
             return response
@@ -161,12 +161,12 @@
                 ) as scope:
                     part = next(body, None)
                 if scope.caught:
-                    raise MaybeDone(Why.SILENT)
+                    raise MaybeDone(FailureReason.SILENT)
                 if part is None:
                     return
                 yield part
         except (PeerGone, BadMessage) as error:
-            raise MaybeDone(Why.RESET_AFTER, str(error)) from None
+            raise MaybeDone(FailureReason.RESET_AFTER, str(error)) from None
         finally:
             self._give(line, False)
 
@@ -196,10 +196,10 @@
         with self._until(until_us) as scope:
             line = self._free()
         if line is None:
-            raise NotSent(Why.NO_TURN)
+            raise NotSent(FailureReason.NO_TURN)
         if scope.caught or (may_send is not None and not may_send()):
             self._give(line, not scope.caught)
-            raise NotSent(Why.WITHDRAWN)
+            raise NotSent(FailureReason.WITHDRAWN)
         return line
 
     def _free(self) -> _Line:
@@ -216,7 +216,7 @@
             if self._open < self.limits.connections:
                 return self._connect()
             if self._waiting >= self.limits.waiting:
-                raise NotSent(Why.NO_TURN)
+                raise NotSent(FailureReason.NO_TURN)
             self._waiting += 1
             try:
                 self._freed.wait()
@@ -230,10 +230,10 @@
             with self.hub.limit(self.limits.connect_us) as scope:
                 stream = connect(self.hub, self.host, self.port)
             if stream is None or scope.caught:
-                raise NotSent(Why.NO_CONNECT)
+                raise NotSent(FailureReason.NO_CONNECT)
             return _Line(stream, self.limits.message)
         except PeerGone as error:
-            raise NotSent(Why.REFUSED, str(error)) from None
+            raise NotSent(FailureReason.REFUSED, str(error)) from None
         finally:
             if stream is None:
                 self._open -= 1
@@ -263,8 +263,8 @@
                 line.stream.send(data)
             except PeerGone as error:
                 if error.sent == 0:
-                    raise NotSent(Why.REFUSED, str(error)) from None
-                raise MaybeDone(Why.RESET_BEFORE, str(error)) from None
+                    raise NotSent(FailureReason.REFUSED, str(error)) from None
+                raise MaybeDone(FailureReason.RESET_BEFORE, str(error)) from None
             line.parser.no_body = method == "HEAD"
             try:
                 while answer is None:
@@ -274,19 +274,22 @@
                         got_any = got_any or bool(part)
                         if not part:
                             raise MaybeDone(
-                                Why.RESET_AFTER if got_any else Why.RESET_BEFORE, "end of stream"
+                                FailureReason.RESET_AFTER
+                                if got_any
+                                else FailureReason.RESET_BEFORE,
+                                "end of stream",
                             )
                         line.parser.feed(part)
                     elif isinstance(event, Response) and event.status >= 200:
                         answer = event
             except PeerGone as error:
                 raise MaybeDone(
-                    Why.RESET_AFTER if got_any else Why.RESET_BEFORE, str(error)
+                    FailureReason.RESET_AFTER if got_any else FailureReason.RESET_BEFORE, str(error)
                 ) from None
             except BadMessage as error:
-                raise MaybeDone(Why.GARBAGE, str(error)) from None
+                raise MaybeDone(FailureReason.GARBAGE, str(error)) from None
         if answer is None or scope.caught:
-            raise MaybeDone(Why.SILENT)
+            raise MaybeDone(FailureReason.SILENT)
         return answer
 
     def _body(self, line: _Line) -> Iterator[bytes]:
@@ -304,4 +307,4 @@
                 return
 
 
-__all__ = ["CallFailed", "Cancelled", "MaybeDone", "NotSent", "Pool", "PoolLimits", "Why"]
+__all__ = ["CallFailed", "Cancelled", "FailureReason", "MaybeDone", "NotSent", "Pool", "PoolLimits"]
--- a/wingbarrow/http/watching.py
+++ b/wingbarrow/http/watching.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from wingbarrow.http.client import MaybeDone, Pool, Why
+from wingbarrow.http.client import FailureReason, MaybeDone, Pool
 from wingbarrow.http.message import Response
 from wingbarrow.kube.names import decode
 from wingbarrow.kube.status import ApiError
@@ -124,4 +124,4 @@
     finally:
         parts.close()  # type: ignore[attr-defined]
     if rest:
-        raise MaybeDone(Why.RESET_AFTER, "the watch ended inside an event")
+        raise MaybeDone(FailureReason.RESET_AFTER, "the watch ended inside an event")
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -129,7 +129,9 @@
             )
             return error.code == 422
         except CallFailed as error:
-            self._record("owner", "submit-failed", placer=placer.name, job=name, why=error.why.name)
+            self._record(
+                "owner", "submit-failed", placer=placer.name, job=name, why=error.reason.name
+            )
             # In doubt: what must not start twice is not handed to another placer.
             unsent = type(error).__name__ == "NotSent"
             del self._asked[index][name]
--- a/wingbarrow/peers/outbox.py
+++ b/wingbarrow/peers/outbox.py
@@ -141,7 +141,7 @@
             else:
                 self._counts[f"peers:status {response.status}"] += 1
         except CallFailed as error:
-            self._counts["peers:calls failed, " + error.why.name.lower()] += 1
+            self._counts["peers:calls failed, " + error.reason.name.lower()] += 1
         except MessageError:
             self._counts["peers:bad answers"] += 1
 
