--- a/benchmarks/capacity/placer.py
+++ b/benchmarks/capacity/placer.py
@@ -111,8 +111,8 @@
         """Count from now on, by wrapping the stream's methods."""
         total, receive, send, send_now = self, Stream.receive, Stream.send, Stream.send_now
 
-        def counted_receive(self: Stream, most: int = 65536) -> bytes:
-            data = receive(self, most)
+        def counted_receive(self: Stream, max_bytes: int = 65536) -> bytes:
+            data = receive(self, max_bytes)
             total.received += len(data)
             return data
 
--- a/tests/decide/test_overload.py
+++ b/tests/decide/test_overload.py
@@ -92,4 +92,4 @@
     assert lag.recent_us(4 * S) == 60_000
     assert lag.recent_us(100 * S) == 0
     assert lag.worst_us == 400_000
-    assert lag.times == 2
+    assert lag.late_count == 2
--- a/tests/relay/test_journal.py
+++ b/tests/relay/test_journal.py
@@ -266,7 +266,7 @@
         with pytest.raises(PeerGone):
             answer(request)
         for _ in range(1000):
-            if task.blocked is None:
+            if task.undo_wait is None:
                 call()
                 raise PeerGone("answered")
             stage.hub.checkpoint()
--- a/tests/transport/test_net.py
+++ b/tests/transport/test_net.py
@@ -96,7 +96,7 @@
             hub, "127.0.0.1", listener.port
         )  # takes the last descriptor; none is left to accept it
         hub.sleep(S)
-        assert listener.times_full >= 5
+        assert listener.descriptor_exhaustions >= 5
         assert len(told) == 1
         assert "Too many open files" in told[0]
         second.send(b"still served")
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -293,7 +293,7 @@
                 "How late the process has lately run; fades by half a second by second",
                 placer.context.hub.lag_us() / 1e6,
             ),
-            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.context.hub.lag.times),
+            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.context.hub.lag.late_count),
             (
                 "wingbarrow_lag_worst_seconds",
                 "The longest lag of this process",
--- a/wingbarrow/transport/channel.py
+++ b/wingbarrow/transport/channel.py
@@ -42,8 +42,8 @@
 class Channel(Generic[T]):
     """A queue of at most `most` items; `put` blocks when full, `offer` raises `Full`."""
 
-    def __init__(self, hub: Hub, most: int) -> None:
-        self._most = most
+    def __init__(self, hub: Hub, capacity: int) -> None:
+        self._capacity = capacity
         self._items: deque[T] = deque()
         self._changed = Signal(hub)
         self.closed = False
@@ -55,14 +55,14 @@
         """Add without waiting; raises Full or Closed."""
         if self.closed:
             raise Closed
-        if len(self._items) >= self._most:
+        if len(self._items) >= self._capacity:
             raise Full
         self._items.append(item)
         self._changed.notify()
 
     def put(self, item: T) -> None:
         """Add, waiting for room; raises Closed."""
-        while len(self._items) >= self._most and not self.closed:
+        while len(self._items) >= self._capacity and not self.closed:
             self._changed.wait()
         self.offer(item)
 
--- a/wingbarrow/transport/domain.py
+++ b/wingbarrow/transport/domain.py
@@ -26,11 +26,11 @@
         self.held_from_us = self.held_until_us = 0
         self.lag = Lag()
         self.dead = False
-        self.backlog: deque[tuple[Task, BaseException | None]] = deque()
-        self.calls: deque[tuple[bool, Callable[[], None]]] = deque()
+        self.deferred_tasks: deque[tuple[Task, BaseException | None]] = deque()
+        self.deferred_calls: deque[tuple[bool, Callable[[], None]]] = deque()
         # In order of coming: a set's order hangs on addresses, and a kill would differ from run to run.
         self.tasks: dict[Task, None] = {}
-        self.closers: dict[Any, None] = {}
+        self.endpoints: dict[Any, None] = {}
 
     def hold(self, for_us: int) -> None:
         """Stop the domain for that long from now on."""
@@ -43,22 +43,25 @@
         if self.hub.now_us() >= self.held_until_us:
             self.lag.note(self.hub.now_us(), self.hub.now_us() - self.held_from_us)
             # What is owed first, whatever else came due meanwhile.
-            calls, self.calls = sorted(self.calls, key=lambda each: not each[0]), deque()
-            for _, call in calls:
+            deferred_calls, self.deferred_calls = (
+                sorted(self.deferred_calls, key=lambda each: not each[0]),
+                deque(),
+            )
+            for _, call in deferred_calls:
                 if not self.dead:
                     call()
-            self.hub._ready.extend(self.backlog)
-            self.backlog.clear()
+            self.hub._ready.extend(self.deferred_tasks)
+            self.deferred_tasks.clear()
 
     def kill(self) -> None:
         """End every task at once and reset the domain's sockets; nothing is said to anybody."""
         self.dead, self.held_until_us = True, 0
         self.hub._ready.extend(
-            self.backlog
+            self.deferred_tasks
         )  # they meet their cancelled scope at the next blocking call
-        self.backlog.clear()
-        self.calls.clear()
-        for closer in list(self.closers):
-            closer.abort()
+        self.deferred_tasks.clear()
+        self.deferred_calls.clear()
+        for endpoint in list(self.endpoints):
+            endpoint.abort()
         for task in list(self.tasks):
             task.cancel()
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -21,9 +21,9 @@
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
 # Of one poll: what comes is known to have come after the poll before the one that found it, so this bounds by how
 # much too early an arrival is dated.
-_LONGEST_MS = 25
-_TURN_US = 10_000  # of ready tasks run before timers, writers and the poll get their turn again
-_COMPACT_AT = 512  # cancelled timers that may lie in the heap before it is rebuilt
+_MAX_POLL_MS = 25
+_MAX_TURN_US = 10_000  # of ready tasks run before timers, writers and the poll get their turn again
+_COMPACT_THRESHOLD = 512  # cancelled timers that may lie in the heap before it is rebuilt
 
 
 class Timer:
@@ -49,7 +49,7 @@
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or RealClock()
         self._ready: deque[tuple[Task, BaseException | None]] = deque()
-        self._urgent: deque[tuple[Task, BaseException | None]] = deque()
+        self._urgent_tasks: deque[tuple[Task, BaseException | None]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
         self._urgent_timers: list[
             tuple[int, int, Timer]
@@ -60,16 +60,16 @@
         self._waiting: dict[int, dict[int, Task]] = {}  # by descriptor, by READ or WRITE
         self._loop = greenlet(self._run)
         self._tasks: dict[greenlet, Task] = {}
-        self._calling: Domain | None = None  # whose timer runs in the hub now
+        self._timer_domain: Domain | None = None  # whose timer runs in the hub now
         self.switches = 0
         self.polls = 0
         self.lag = Lag()
         self._last_poll_us = self.clock.now_us()  # when the latest poll began
         # Something was written, read, opened or closed here since a poll last found nothing. Under a virtual clock all
         # ends of all sockets are in this process, so nothing else can make a descriptor ready.
-        self.touched = True
+        self.socket_activity = True
         self._stopped = False
-        self.on_task_error: Callable[[str, BaseException], None] = _raise_later
+        self.on_task_error: Callable[[str, BaseException], None] = _raise
 
     def now_us(self) -> int:
         """The clock's monotonic microseconds."""
@@ -82,7 +82,7 @@
     def lag_us(self) -> int:
         """How late this process has lately been with what was due, in microseconds; see `transport.lag`."""
         task = self._tasks.get(getcurrent())
-        domain = task.domain if task is not None else self._calling
+        domain = task.domain if task is not None else self._timer_domain
         now = self.clock.now_us()
         return max(self.lag.recent_us(now), domain.lag.recent_us(now) if domain is not None else 0)
 
@@ -114,7 +114,7 @@
         """Start a task that nobody waits for; its failure goes to `on_task_error`, unless a nursery takes it."""
         parent = self._tasks.get(getcurrent())
         if domain is None:
-            domain = parent.domain if parent is not None else self._calling
+            domain = parent.domain if parent is not None else self._timer_domain
         task = Task(self, None, domain, name)
 
         def body() -> None:
@@ -137,7 +137,7 @@
                     self.on_task_error(task.name, task.error)
 
         task.glet = greenlet(body, self._loop)
-        task.scopes = [*(scopes or []), task.own]
+        task.scopes = [*(scopes or []), task.own_scope]
         for scope in task.scopes:
             scope._tasks[task] = None
         self._tasks[task.glet] = task
@@ -149,9 +149,9 @@
     def _wake(self, task: Task, error: BaseException | None) -> None:
         domain = task.domain
         if domain is not None and domain.held_until_us > self.clock.now_us():
-            domain.backlog.append((task, error))
+            domain.deferred_tasks.append((task, error))
         elif task.urgent and not self.clock.virtual:
-            self._urgent.append((task, error))
+            self._urgent_tasks.append((task, error))
         else:
             self._ready.append((task, error))
 
@@ -162,27 +162,27 @@
             if scope.cancelled:
                 undo()
                 raise Cancelled(scope)
-        task.blocked = undo
+        task.undo_wait = undo
         self._loop.switch()
 
     def wake(self, task: Task) -> None:
         """Let a task that is in `block` go on; a second wake is ignored."""
-        if task.blocked is not None:
-            task.blocked = None
+        if task.undo_wait is not None:
+            task.undo_wait = None
             self._wake(task, None)
 
     def checkpoint(self) -> None:
         """Let others run; raises when cancelled."""
         task = self.current()
         entry: tuple[Task, BaseException | None] = (task, None)
-        task.blocked = _nothing
+        task.undo_wait = _no_undo
         self._ready.append(entry)
         for scope in task.scopes:
             if scope.cancelled:
                 self._ready.pop()
-                task.blocked = None
+                task.undo_wait = None
                 raise Cancelled(scope)
-        task.blocked = None
+        task.undo_wait = None
         self._loop.switch()
 
     # -- time
@@ -193,13 +193,13 @@
         def guarded() -> None:
             if domain is not None and (domain.dead or domain.held_until_us > self.clock.now_us()):
                 if not domain.dead:
-                    domain.calls.append((urgent, call))
+                    domain.deferred_calls.append((urgent, call))
                 return
-            self._calling = domain
+            self._timer_domain = domain
             try:
                 call()
             finally:
-                self._calling = None
+                self._timer_domain = None
 
         timer = Timer(self, at_us, guarded if domain is not None else call)
         self._sequence += 1
@@ -214,7 +214,7 @@
         One that is `owed` runs before all else that is due, however much waits after a stall.
         """
         parent = self._tasks.get(getcurrent())
-        return self._at(at_us, call, parent.domain if parent else self._calling, urgent)
+        return self._at(at_us, call, parent.domain if parent else self._timer_domain, urgent)
 
     def sleep(self, for_us: int) -> None:
         """Block for so many microseconds."""
@@ -289,14 +289,14 @@
 
     def _run(self) -> None:
         while not self._stopped:
-            self._turn()
+            self._run_turn()
         self._loop = greenlet(self._run)
 
-    def _turn(self) -> None:
+    def _run_turn(self) -> None:
         begun = self.clock.now_us()
-        end = None if self.clock.virtual else begun + _TURN_US
+        end = None if self.clock.virtual else begun + _MAX_TURN_US
         for _ in range(len(self._ready)):
-            self._run_first()
+            self._run_urgent()
             if self._stopped:
                 return
             self._switch(*self._ready.popleft())
@@ -305,17 +305,17 @@
             # Danger (rule 1): a long queue of new work would keep due answers and their writers waiting.
             if end is not None and self.clock.now_us() >= end:
                 break
-        self._run_first()
+        self._run_urgent()
         if self._stopped:
             return
-        timeout = self._due()
+        timeout = self._run_timers()
         if self._stopped:
             return
-        self._look(0 if self._ready or self._urgent else timeout)
+        self._poll_or_jump(0 if self._ready or self._urgent_tasks else timeout)
 
-    def _run_first(self) -> None:
-        while self._urgent and not self._stopped:
-            self._switch(*self._urgent.popleft())
+    def _run_urgent(self) -> None:
+        while self._urgent_tasks and not self._stopped:
+            self._switch(*self._urgent_tasks.popleft())
 
     def _switch(self, task: Task, error: BaseException | None) -> None:
         if task.glet.dead:
@@ -327,11 +327,11 @@
         else:
             task.glet.throw(error)
 
-    def _due(self) -> int | None:
+    def _run_timers(self) -> int | None:
         """Run what is due, what is owed first; microseconds until the next timer, None without one."""
-        if self._dead_timers > _COMPACT_AT and self._dead_timers * 2 > len(self._timers) + len(
-            self._urgent_timers
-        ):
+        if self._dead_timers > _COMPACT_THRESHOLD and self._dead_timers * 2 > len(
+            self._timers
+        ) + len(self._urgent_timers):
             for heap in (self._timers, self._urgent_timers):
                 heap[:] = [each for each in heap if each[2].call is not None]
                 heapq.heapify(heap)
@@ -348,7 +348,7 @@
         )
 
     def _run_due(self, heap: list[tuple[int, int, Timer]], now: int) -> int | None:
-        end = now + _TURN_US
+        end = now + _MAX_TURN_US
         while heap:
             at_us, _, timer = heap[0]
             if timer.call is None:
@@ -366,25 +366,25 @@
                 return at_us - now
         return None
 
-    def _look(self, timeout_us: int | None) -> None:
+    def _poll_or_jump(self, timeout_us: int | None) -> None:
         if self.clock.virtual and timeout_us:
             # Loopback bytes are in the peer's buffer when send returns; a second look covers a late softirq.
-            if self.touched and (self._polled(0) or self._polled(0)):
+            if self.socket_activity and (self._poll_once(0) or self._poll_once(0)):
                 return
-            self.touched = False
+            self.socket_activity = False
             self.clock.jump(self.clock.now_us() + timeout_us)
             self._last_poll_us = self.clock.now_us()  # the world stood still over the jump
             return
-        if self.clock.virtual and timeout_us == 0 and not self.touched:
+        if self.clock.virtual and timeout_us == 0 and not self.socket_activity:
             return
-        self._polled(timeout_us)
+        self._poll_once(timeout_us)
 
-    def _polled(self, timeout_us: int | None) -> bool:
+    def _poll_once(self, timeout_us: int | None) -> bool:
         self.polls += 1
         # Rounded up to milliseconds: waking before a timer is due would spin.
-        wait = _LONGEST_MS if timeout_us is None else min(_LONGEST_MS, -(-timeout_us // 1000))
+        wait = _MAX_POLL_MS if timeout_us is None else min(_MAX_POLL_MS, -(-timeout_us // 1000))
         last_empty_us, self._last_poll_us = self._last_poll_us, self.clock.now_us()
-        self.lag.note(self._last_poll_us, self._last_poll_us - last_empty_us - _LONGEST_MS * 1000)
+        self.lag.note(self._last_poll_us, self._last_poll_us - last_empty_us - _MAX_POLL_MS * 1000)
         try:
             events = self._poll.poll(wait)
         except OSError as error:
@@ -418,9 +418,9 @@
         return reading, writing
 
 
-def _nothing() -> None:
+def _no_undo() -> None:
     """There is nothing to take back."""
 
 
-def _raise_later(name: str, error: BaseException) -> None:
+def _raise(name: str, error: BaseException) -> None:
     raise error
--- a/wingbarrow/transport/net.py
+++ b/wingbarrow/transport/net.py
@@ -11,17 +11,17 @@
 from wingbarrow.transport.hub import READ, WRITE, Hub
 from wingbarrow.transport.scopes import Cancelled
 
-_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
-_FULL_TABLE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-_ACCEPT_BURST = 64  # accepted before others get a turn
-_FULL_PAUSE_US = 100_000
+_WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+_DESCRIPTOR_TABLE_FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_MAX_ACCEPT_BURST = 64  # accepted before others get a turn
+_ACCEPT_RETRY_US = 100_000
 
 
 class PeerGone(Exception):
     """The connection is broken; `sent` tells how many bytes of the failing write had gone out."""
 
-    def __init__(self, why: str, sent: int = 0) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, sent: int = 0) -> None:
+        super().__init__(reason)
         self.sent = sent
 
 
@@ -37,17 +37,17 @@
         self.open = True
         self._domain = hub.current().domain
         if self._domain is not None:
-            self._domain.closers[self] = None
+            self._domain.endpoints[self] = None
 
     def close(self) -> None:
         """Close; whoever waits on it hears PeerGone."""
         if self.open:
             self.open = False
-            self.hub.touched = True
+            self.hub.socket_activity = True
             self.hub.forget(self._fd)
             self._socket.close()
             if self._domain is not None:
-                self._domain.closers.pop(self, None)
+                self._domain.endpoints.pop(self, None)
 
 
 class Stream(_Endpoint):
@@ -63,19 +63,19 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def receive(self, most: int = 65536) -> bytes:
+    def receive(self, max_bytes: int = 65536) -> bytes:
         """Some bytes, b"" at the peer's end of stream; raises PeerGone when reset."""
         while self.open:
             tried_us = self.hub.now_us()
             try:
-                data = self._socket.recv(most)
+                data = self._socket.recv(max_bytes)
             except OSError as error:
-                if error.errno not in _AGAIN:
+                if error.errno not in _WOULD_BLOCK:
                     raise PeerGone(errno.errorcode.get(error.errno or 0, "?")) from None
                 self.last_empty_us = tried_us
                 self.last_empty_us = max(tried_us, self.hub.wait(self._fd, READ))
             else:
-                self.hub.touched = True
+                self.hub.socket_activity = True
                 self.bytes_in += len(data)
                 return data
         raise PeerGone("closed here")
@@ -89,11 +89,11 @@
             try:
                 count = self._socket.send(view[sent:])
             except OSError as error:
-                if error.errno not in _AGAIN:
+                if error.errno not in _WOULD_BLOCK:
                     raise PeerGone(errno.errorcode.get(error.errno or 0, "?"), sent) from None
                 self.hub.wait(self._fd, WRITE)
             else:
-                self.hub.touched = True
+                self.hub.socket_activity = True
                 sent += count
                 self.bytes_out += count
 
@@ -104,10 +104,10 @@
         try:
             count = self._socket.send(data)
         except OSError as error:
-            if error.errno in _AGAIN:
+            if error.errno in _WOULD_BLOCK:
                 return 0
             raise PeerGone(errno.errorcode.get(error.errno or 0, "?")) from None
-        self.hub.touched = True
+        self.hub.socket_activity = True
         self.bytes_out += count
         return count
 
@@ -131,24 +131,24 @@
         try:
             self._socket.recv(1, socket.MSG_PEEK)
         except OSError as error:
-            return error.errno in _AGAIN
+            return error.errno in _WOULD_BLOCK
         return False
 
-    def has_unread(self, now_us: int, most_us: int) -> bool:
+    def has_unread(self, now_us: int, max_age_us: int) -> bool:
         """Whether something may lie unread that came more than `most_us` ago, an end or a reset among it.
 
         The system is asked only where neither the reader nor a poll has looked so lately.
         """
-        polled_us = self.hub.last_poll_us(self._fd)
+        last_poll_us = self.hub.last_poll_us(self._fd)
         return (
-            now_us - (self.last_empty_us if polled_us is None else polled_us) > most_us
+            now_us - (self.last_empty_us if last_poll_us is None else last_poll_us) > max_age_us
             and not self.is_quiet()
         )
 
     def end_writing(self) -> None:
         """Half-close: the peer reads an end of stream."""
         if self.open:
-            self.hub.touched = True
+            self.hub.socket_activity = True
             try:
                 self._socket.shutdown(socket.SHUT_WR)
             except OSError:
@@ -169,12 +169,12 @@
 class Listener(_Endpoint):
     """A listening socket; `serve` hands each connection to a task of its own."""
 
-    def __init__(self, hub: Hub, sock: socket.socket, say: Callable[[str], None]) -> None:
+    def __init__(self, hub: Hub, sock: socket.socket, log: Callable[[str], None]) -> None:
         super().__init__(hub, sock)
-        self._say = say
-        self._told_full = False
+        self._log = log
+        self._logged_full = False
         self.host, self.port = sock.getsockname()[:2]
-        self.times_full = 0
+        self.descriptor_exhaustions = 0
         self._last_empty_us = hub.now_us()
 
     def accept(self) -> Stream:
@@ -184,27 +184,27 @@
             try:
                 sock, _ = self._socket.accept()
             except OSError as error:
-                if error.errno in _FULL_TABLE:
-                    self.times_full += 1
-                    if not self._told_full:
-                        self._told_full = True
-                        self._say(
+                if error.errno in _DESCRIPTOR_TABLE_FULL:
+                    self.descriptor_exhaustions += 1
+                    if not self._logged_full:
+                        self._logged_full = True
+                        self._log(
                             f"cannot accept: {os.strerror(error.errno or 0)}; serving those connected"
                         )
-                    self.hub.sleep(_FULL_PAUSE_US)
-                elif error.errno in _AGAIN:
+                    self.hub.sleep(_ACCEPT_RETRY_US)
+                elif error.errno in _WOULD_BLOCK:
                     self._last_empty_us = max(tried_us, self.hub.wait(self._fd, READ))
                 elif error.errno not in (errno.ECONNABORTED, errno.EPROTO):
                     raise
             else:
-                if self._told_full:
-                    self._told_full = False
-                    self._say("accepting again")
-                self.hub.touched = True
+                if self._logged_full:
+                    self._logged_full = False
+                    self._log("accepting again")
+                self.hub.socket_activity = True
                 return Stream(self.hub, sock, self._last_empty_us)
         raise PeerGone("closed here")
 
-    def serve(self, handle: Callable[[Stream], None], most: int = _ACCEPT_BURST) -> None:
+    def serve(self, handle: Callable[[Stream], None], max_burst: int = _MAX_ACCEPT_BURST) -> None:
         """Accept until cancelled or closed; a connection's own failure never reaches the others.
 
         `most`: connections accepted in one go, before those that came first have their turn.
@@ -215,12 +215,12 @@
                 stream = self.accept()
             except PeerGone:
                 return
-            self.hub.spawn(lambda stream=stream: self._one(handle, stream), name="connection")  # type: ignore[misc]
+            self.hub.spawn(lambda stream=stream: self._handle(handle, stream), name="connection")  # type: ignore[misc]
             burst += 1
-            if burst % most == 0:
+            if burst % max_burst == 0:
                 self.hub.checkpoint()
 
-    def _one(self, handle: Callable[[Stream], None], stream: Stream) -> None:
+    def _handle(self, handle: Callable[[Stream], None], stream: Stream) -> None:
         try:
             handle(stream)
         except PeerGone:
@@ -228,7 +228,7 @@
         except Cancelled:
             raise
         except Exception as error:
-            self._say(f"a connection failed: {type(error).__name__}: {error}")
+            self._log(f"a connection failed: {type(error).__name__}: {error}")
         finally:
             stream.close()
 
@@ -238,7 +238,7 @@
 
 
 def listen(
-    hub: Hub, host: str, port: int, say: Callable[[str], None], backlog: int = 1024
+    hub: Hub, host: str, port: int, log: Callable[[str], None], backlog: int = 1024
 ) -> Listener:
     """A listener; port 0 lets the system choose."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
@@ -250,7 +250,7 @@
     except OSError:
         sock.close()
         raise
-    return Listener(hub, sock, say)
+    return Listener(hub, sock, log)
 
 
 def connect(hub: Hub, host: str, port: int) -> Stream:
@@ -260,7 +260,7 @@
     except OSError as error:
         raise PeerGone(errno.errorcode.get(error.errno or 0, "?")) from None
     sock.setblocking(False)
-    hub.touched = True
+    hub.socket_activity = True
     try:
         code = sock.connect_ex((host, port))
         if code == errno.EINPROGRESS:
--- a/wingbarrow/transport/nursery.py
+++ b/wingbarrow/transport/nursery.py
@@ -61,7 +61,7 @@
                 if cancelled is not None or error is not None:
                     self._join_quietly()
                 else:
-                    self.hub.block(_nothing)
+                    self.hub.block(_no_undo)
             except Cancelled as signal:
                 cancelled = signal
                 self.scope.cancel()
@@ -79,10 +79,10 @@
         task = self.hub.current()
         kept, task.scopes = task.scopes, []
         try:
-            self.hub.block(_nothing)
+            self.hub.block(_no_undo)
         finally:
             task.scopes = kept
 
 
-def _nothing() -> None:
+def _no_undo() -> None:
     """There is nothing to take back."""
--- a/wingbarrow/transport/scopes.py
+++ b/wingbarrow/transport/scopes.py
@@ -76,7 +76,6 @@
     """A greenlet with its scopes; `done` and `error` tell how it ended."""
 
     __slots__ = (
-        "blocked",
         "domain",
         "done",
         "error",
@@ -85,8 +84,9 @@
         "last_empty_us",
         "name",
         "on_end",
-        "own",
+        "own_scope",
         "scopes",
+        "undo_wait",
         "urgent",
     )
 
@@ -97,7 +97,7 @@
         self.name = name
         self.glet: greenlet = greenlet(call, hub._loop) if call else getcurrent()
         self.scopes: list[CancelScope] = []
-        self.own = CancelScope(hub)
+        self.own_scope = CancelScope(hub)
         self.domain = domain
         self.urgent = (
             False  # runs before others that are ready: it hands on what is owed, and costs little
@@ -105,16 +105,16 @@
         self.last_empty_us = 0  # when its descriptor was last seen to have nothing
         self.done = False
         self.error: BaseException | None = None
-        self.blocked: Callable[[], None] | None = None  # how to take back what it waits for
+        self.undo_wait: Callable[[], None] | None = None  # how to take back what it waits for
         self.on_end: list[Callable[[Task], None]] = []
 
     def cancel(self) -> None:
         """Cancel the whole task."""
-        self.own.cancel()
+        self.own_scope.cancel()
 
     def _interrupt(self) -> None:
         scope = next((each for each in self.scopes if each.cancelled), None)
-        if scope is not None and self.blocked is not None:
-            undo, self.blocked = self.blocked, None
+        if scope is not None and self.undo_wait is not None:
+            undo, self.undo_wait = self.undo_wait, None
             undo()
             self.hub._wake(self, Cancelled(scope))
--- a/wingbarrow/transport/signals.py
+++ b/wingbarrow/transport/signals.py
@@ -9,18 +9,18 @@
 from wingbarrow.transport.hub import READ, Hub
 
 
-def on_signals(hub: Hub, wanted: dict[int, Callable[[], None]]) -> Callable[[], None]:
+def on_signals(hub: Hub, handlers: dict[int, Callable[[], None]]) -> Callable[[], None]:
     """A call, to run as a task, that runs `wanted` in the hub when a signal comes."""
     reading, writing = hub.wake_pipe()
     signal.set_wakeup_fd(writing, warn_on_full_buffer=False)
-    for number in wanted:
+    for number in handlers:
         signal.signal(number, lambda *_: None)
 
     def listen() -> None:
         while True:
             hub.wait(reading, READ)
             for number in os.read(reading, 64):
-                if number in wanted:
-                    wanted[number]()
+                if number in handlers:
+                    handlers[number]()
 
     return listen
