--- a/tests/transport/test_hub.py
+++ b/tests/transport/test_hub.py
@@ -45,7 +45,7 @@
     assert hub.now_us() == max(times)
 
 
-def test_cancelled_timers_are_forgotten_and_do_not_pile_up(hub: Hub) -> None:
+def test_cancelled_timers_are_removed_from_the_heap(hub: Hub) -> None:
     def main() -> None:
         for _ in range(20_000):
             hub.call_at(hub.now_us() + 3600 * S, lambda: pytest.fail("cancelled")).cancel()
@@ -124,9 +124,9 @@
     assert steps == ["cleaned", "left"]
 
 
-def test_a_failure_that_nobody_waits_for_is_told_and_the_hub_goes_on(hub: Hub) -> None:
-    told: list[str] = []
-    hub.on_task_error = lambda name, error: told.append(f"{name}: {type(error).__name__}")
+def test_an_error_of_a_background_task_is_reported_and_the_hub_goes_on(hub: Hub) -> None:
+    errors: list[str] = []
+    hub.on_task_error = lambda name, error: errors.append(f"{name}: {type(error).__name__}")
 
     def main() -> int:
         hub.spawn(lambda: 1 // 0, "loose")
@@ -134,10 +134,10 @@
         return 7
 
     assert hub.run(main) == 7
-    assert told == ["loose: ZeroDivisionError"]
+    assert errors == ["loose: ZeroDivisionError"]
 
 
-def test_a_held_domain_runs_nothing_and_then_all(hub: Hub) -> None:
+def test_a_suspended_domain_runs_nothing_and_then_catches_up(hub: Hub) -> None:
     ran: list[tuple[str, int]] = []
 
     def main() -> None:
@@ -252,7 +252,7 @@
 
 
 class StepClock:
-    """A clock that is no virtual one and moves only when a test says so."""
+    """A clock that counts as real but advances only when a test sets it."""
 
     virtual = False
 
@@ -266,10 +266,10 @@
         return self.now
 
     def jump(self, to_us: int) -> None:
-        """Time passes by itself."""
+        """Do nothing, as for a real clock."""
 
 
-def test_what_is_owed_and_who_hands_it_on_go_before_a_long_queue_of_new_work() -> None:
+def test_urgent_timers_and_tasks_run_before_a_long_queue_of_new_work() -> None:
     clock, order = StepClock(), list[str]()
     hub = Hub(clock)
 
@@ -292,17 +292,17 @@
         for number in range(6):
             hub.spawn(lambda number=number: work(number))
         hub.call_at(clock.now + 5_000, lambda: order.append("other timer"))
-        hub.call_at(clock.now + 5_500, lambda: order.append("owed"), urgent=True)
+        hub.call_at(clock.now + 5_500, lambda: order.append("urgent timer"), urgent=True)
         while len(order) < 9:
             hub.checkpoint()
 
     hub.run(main)
     assert order[:3] == ["work 0", "writer", "work 1"]
-    assert order.index("owed") < order.index("other timer") < order.index("work 2"), order
+    assert order.index("urgent timer") < order.index("other timer") < order.index("work 2"), order
 
 
-def test_a_poll_tells_since_when_a_descriptor_was_silent() -> None:
-    """What is read had not come when the poll before the one that found it began, nor before a hold of its reader."""
+def test_last_empty_us_is_the_latest_time_without_input() -> None:
+    """Input is dated from the start of the poll before the one that found it, or from its reader's suspension."""
     for hold_us in (0, 400_000):
         hub = Hub(VirtualClock())
 
--- a/tests/transport/test_net.py
+++ b/tests/transport/test_net.py
@@ -1,4 +1,4 @@
-"""Sockets on the hub: resets, half-closed peers, slow readers, a full descriptor table."""
+"""Sockets on the hub: resets, half-closed connections, slow readers, descriptor exhaustion."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert hub.run(main) == b"HALF"
 
 
-def test_a_refused_connection_and_a_reset_one_are_told_apart_from_an_end(hub: Hub) -> None:
+def test_refused_and_reset_connections_differ_from_an_end_of_stream(hub: Hub) -> None:
     def main() -> None:
         listener = listen(hub, "127.0.0.1", 0, print)
         hub.spawn(lambda: listener.serve(lambda stream: stream.abort()))
@@ -50,7 +50,7 @@
     hub.run(main)
 
 
-def test_a_reader_that_takes_nothing_blocks_its_writer_alone(hub: Hub) -> None:
+def test_a_stalled_reader_blocks_only_its_writer(hub: Hub) -> None:
     def main() -> None:
         def flood(stream):  # type: ignore[no-untyped-def]
             with hub.limit(S) as scope:
@@ -72,12 +72,12 @@
     hub.run(main)
 
 
-def test_a_full_descriptor_table_stops_accepting_and_is_told_once(hub: Hub) -> None:
+def test_a_full_descriptor_table_stops_accepting_and_is_logged_once(hub: Hub) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    told: list[str] = []
+    logged: list[str] = []
 
     def main() -> None:
-        listener = listen(hub, "127.0.0.1", 0, told.append)
+        listener = listen(hub, "127.0.0.1", 0, logged.append)
         hub.spawn(lambda: listener.serve(lambda stream: stream.send(stream.receive())))
         first = connect(hub, "127.0.0.1", listener.port)
         second = connect(hub, "127.0.0.1", listener.port)
@@ -92,13 +92,12 @@
         except OSError:
             pass
         os.close(filler.pop())
-        third = connect(
-            hub, "127.0.0.1", listener.port
-        )  # takes the last descriptor; none is left to accept it
+        # The client takes the last descriptor, so none is left to accept its connection.
+        third = connect(hub, "127.0.0.1", listener.port)
         hub.sleep(S)
         assert listener.descriptor_exhaustions >= 5
-        assert len(told) == 1
-        assert "Too many open files" in told[0]
+        assert len(logged) == 1
+        assert "Too many open files" in logged[0]
         second.send(b"still served")
         assert second.receive() == b"still served"
         third.send(b"waited")
@@ -106,8 +105,8 @@
             os.close(fd)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         assert third.receive() == b"waited"
-        assert told[-1] == "accepting again"
-        assert len(told) == 2
+        assert logged[-1] == "accepting again"
+        assert len(logged) == 2
         first.close()
 
     try:
--- a/wingbarrow/transport/__init__.py
+++ b/wingbarrow/transport/__init__.py
@@ -1,6 +1,6 @@
 """Greenlets over `select.poll`: one hub with timers, cancel scopes, sockets and channels; no threads.
 
-All code takes time from the hub's clock, real or virtual; domains can be held still or killed, as a process can.
+All code reads time from the hub's clock, real or virtual. A domain can be suspended or killed like a process.
 """
 
 from wingbarrow.transport.channel import Channel, Closed, Full, Signal
--- a/wingbarrow/transport/channel.py
+++ b/wingbarrow/transport/channel.py
@@ -1,4 +1,4 @@
-"""Bounded channels between tasks, and a signal that wakes all who wait."""
+"""Bounded channels between tasks, and a signal that wakes every waiting task."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class Full(Exception):
-    """The channel holds as much as it may."""
+    """The channel holds as many items as its capacity allows."""
 
 
 class Signal:
-    """Wakes every task that waits for it; it keeps no state."""
+    """Wakes the tasks that wait for it at the time of `notify`; a `notify` without waiters is lost."""
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
         self._tasks: dict[Task, None] = {}
 
     def notify(self) -> None:
-        """Wake all who wait now."""
+        """Wake every task that waits now."""
         tasks, self._tasks = self._tasks, {}
         for task in tasks:
             self._hub.wake(task)
@@ -40,7 +40,7 @@
 
 
 class Channel(Generic[T]):
-    """A queue of at most `most` items; `put` blocks when full, `offer` raises `Full`."""
+    """A FIFO queue of at most `capacity` items; `put` blocks when it is full, `offer` raises `Full`."""
 
     def __init__(self, hub: Hub, capacity: int) -> None:
         self._capacity = capacity
@@ -52,7 +52,7 @@
         return len(self._items)
 
     def offer(self, item: T) -> None:
-        """Add without waiting; raises Full or Closed."""
+        """Append an item without waiting; raises Full or Closed."""
         if self.closed:
             raise Closed
         if len(self._items) >= self._capacity:
@@ -61,13 +61,13 @@
         self._changed.notify()
 
     def put(self, item: T) -> None:
-        """Add, waiting for room; raises Closed."""
+        """Append an item, blocking while the channel is full; raises Closed."""
         while len(self._items) >= self._capacity and not self.closed:
             self._changed.wait()
         self.offer(item)
 
     def get(self) -> T:
-        """Take the oldest, waiting for one; raises Closed once closed and empty."""
+        """Remove and return the oldest item, blocking while empty; raises Closed once closed and empty."""
         while not self._items:
             if self.closed:
                 raise Closed
@@ -77,6 +77,6 @@
         return item
 
     def close(self) -> None:
-        """No more items; those in it can still be taken."""
+        """Refuse further items; those in the channel can still be taken."""
         self.closed = True
         self._changed.notify()
--- a/wingbarrow/transport/clock.py
+++ b/wingbarrow/transport/clock.py
@@ -1,4 +1,4 @@
-"""The hub's one clock: real time, or a virtual one that jumps to the next timer when nothing is ready."""
+"""The hub's clock: real time, or virtual time that jumps to the next timer when nothing is ready."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class Clock(Protocol):
-    """Monotonic microseconds for decisions and timers, wall microseconds for what people read."""
+    """Monotonic microseconds for decisions and timers, wall-clock microseconds for display and timestamps."""
 
     virtual: bool
 
     def now_us(self) -> int:
-        """Microseconds that never go backwards; the origin has no meaning."""
+        """Monotonic microseconds since an arbitrary origin."""
 
     def wall_us(self) -> int:
         """Microseconds since 1970 in UTC."""
 
     def jump(self, to_us: int) -> None:
-        """Move a virtual clock forward to a monotonic time; a real one ignores it."""
+        """Advance a virtual clock to a monotonic time; a real clock ignores the call."""
 
 
 class RealClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     virtual = False
 
@@ -35,11 +35,11 @@
         return time.time_ns() // 1000
 
     def jump(self, to_us: int) -> None:
-        """Nothing: real time passes by itself."""
+        """Do nothing: real time cannot be advanced."""
 
 
 class VirtualClock:
-    """Time that stands still while there is work and jumps to the next timer when there is none."""
+    """Time that stops while tasks are ready, and jumps to the next timer when none is."""
 
     virtual = True
 
@@ -48,13 +48,13 @@
         self._wall = wall_us - start_us
 
     def now_us(self) -> int:
-        """Microseconds since an origin without meaning."""
+        """Virtual monotonic microseconds, `start_us` at first."""
         return self._now
 
     def wall_us(self) -> int:
-        """Microseconds since 1970, from a fixed start."""
+        """Virtual microseconds since 1970 in UTC, counted from the fixed `wall_us` of the constructor."""
         return self._wall + self._now
 
     def jump(self, to_us: int) -> None:
-        """Move forward, never backwards."""
+        """Advance to a monotonic time; an earlier one is ignored."""
         self._now = max(self._now, to_us)
--- a/wingbarrow/transport/domain.py
+++ b/wingbarrow/transport/domain.py
@@ -1,4 +1,4 @@
-"""Domains: tasks that share one fate, as an operating system process would give it."""
+"""Domains: groups of tasks that are suspended or killed together, like the threads of a process."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Domain:
-    """Tasks that share one fate, as an operating system process would give it: held still, or killed.
+    """Tasks, timers and sockets that are suspended or killed together, like those of a process.
 
-    `hold_until` keeps every task of the domain from running, as a stopped process; what was ready runs when
-    the time has come. `kill` ends all tasks and resets their sockets.
+    `hold` suspends every task and timer of the domain for a time, as SIGSTOP suspends a process; those that
+    become ready meanwhile run when it ends. `kill` cancels all tasks and resets their sockets.
     """
 
     def __init__(self, hub: Hub, name: str) -> None:
@@ -28,21 +28,22 @@
         self.dead = False
         self.deferred_tasks: deque[tuple[Task, BaseException | None]] = deque()
         self.deferred_calls: deque[tuple[bool, Callable[[], None]]] = deque()
-        # In order of coming: a set's order hangs on addresses, and a kill would differ from run to run.
+        # Dicts keep insertion order. A set's order depends on memory addresses, so that `kill` would not be
+        # reproducible from run to run.
         self.tasks: dict[Task, None] = {}
         self.endpoints: dict[Any, None] = {}
 
     def hold(self, for_us: int) -> None:
-        """Stop the domain for that long from now on."""
+        """Suspend the domain for `for_us` microseconds from now; a longer suspension in effect stays."""
         if self.held_until_us <= self.hub.now_us():
             self.held_from_us = self.hub.now_us()
         self.held_until_us = max(self.held_until_us, self.hub.now_us() + for_us)
-        self.hub._at(self.held_until_us, self._thaw, None)
+        self.hub._at(self.held_until_us, self._resume, None)
 
-    def _thaw(self) -> None:
+    def _resume(self) -> None:
         if self.hub.now_us() >= self.held_until_us:
             self.lag.note(self.hub.now_us(), self.hub.now_us() - self.held_from_us)
-            # What is owed first, whatever else came due meanwhile.
+            # Urgent calls run before all others that came due during the suspension.
             deferred_calls, self.deferred_calls = (
                 sorted(self.deferred_calls, key=lambda each: not each[0]),
                 deque(),
@@ -54,11 +55,10 @@
             self.deferred_tasks.clear()
 
     def kill(self) -> None:
-        """End every task at once and reset the domain's sockets; nothing is said to anybody."""
+        """Cancel every task and reset the domain's sockets, without notifying anyone."""
         self.dead, self.held_until_us = True, 0
-        self.hub._ready.extend(
-            self.deferred_tasks
-        )  # they meet their cancelled scope at the next blocking call
+        # Tasks deferred by a suspension run, and raise Cancelled at their next blocking call.
+        self.hub._ready.extend(self.deferred_tasks)
         self.deferred_tasks.clear()
         self.deferred_calls.clear()
         for endpoint in list(self.endpoints):
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -19,15 +19,17 @@
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
-# Of one poll: what comes is known to have come after the poll before the one that found it, so this bounds by how
-# much too early an arrival is dated.
+# Longest wait of one poll. Input is known only to have arrived after the start of the poll before the one that found
+# it, so this bounds by how much its arrival time is underestimated.
 _MAX_POLL_MS = 25
-_MAX_TURN_US = 10_000  # of ready tasks run before timers, writers and the poll get their turn again
-_COMPACT_THRESHOLD = 512  # cancelled timers that may lie in the heap before it is rebuilt
+_MAX_TURN_US = (
+    10_000  # ready tasks run for at most so long before timers, urgent tasks and the poll
+)
+_COMPACT_THRESHOLD = 512  # cancelled timers in the heaps above which these may be rebuilt
 
 
 class Timer:
-    """A call at a time; `cancel` costs a flag, the heap forgets it later."""
+    """A call scheduled at `at_us`; `cancel` only sets a flag, and the heap drops the entry later."""
 
     __slots__ = ("at_us", "call", "hub")
 
@@ -37,36 +39,35 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Forget the call; harmless once it has run."""
+        """Cancel the call; does nothing once it has run."""
         if self.call is not None:
             self.call = None
             self.hub._dead_timers += 1
 
 
 class Hub:
-    """The scheduler of tasks; one for a thread, made where the program starts."""
+    """The task scheduler; one per thread, created at program start."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or RealClock()
         self._ready: deque[tuple[Task, BaseException | None]] = deque()
         self._urgent_tasks: deque[tuple[Task, BaseException | None]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._urgent_timers: list[
-            tuple[int, int, Timer]
-        ] = []  # timers that run before all else that is due
+        # Timers that run before all others that are due.
+        self._urgent_timers: list[tuple[int, int, Timer]] = []
         self._sequence = 0
         self._dead_timers = 0
         self._poll = select.poll()
-        self._waiting: dict[int, dict[int, Task]] = {}  # by descriptor, by READ or WRITE
+        self._waiting: dict[int, dict[int, Task]] = {}  # by descriptor, then by READ or WRITE
         self._loop = greenlet(self._run)
         self._tasks: dict[greenlet, Task] = {}
-        self._timer_domain: Domain | None = None  # whose timer runs in the hub now
+        self._timer_domain: Domain | None = None  # the domain of the timer that runs now
         self.switches = 0
         self.polls = 0
         self.lag = Lag()
         self._last_poll_us = self.clock.now_us()  # when the latest poll began
-        # Something was written, read, opened or closed here since a poll last found nothing. Under a virtual clock all
-        # ends of all sockets are in this process, so nothing else can make a descriptor ready.
+        # Whether a socket was written, read, opened or closed since a poll last found nothing. Under a virtual clock
+        # both ends of every socket are in this process, so nothing else can make a descriptor ready.
         self.socket_activity = True
         self._stopped = False
         self.on_task_error: Callable[[str, BaseException], None] = _raise
@@ -80,7 +81,7 @@
         return self._tasks[getcurrent()]
 
     def lag_us(self) -> int:
-        """How late this process has lately been with what was due, in microseconds; see `transport.lag`."""
+        """The recent lag of this process in microseconds; see `transport.lag`."""
         task = self._tasks.get(getcurrent())
         domain = task.domain if task is not None else self._timer_domain
         now = self.clock.now_us()
@@ -89,7 +90,7 @@
     # -- tasks
 
     def run(self, call: Callable[[], Any]) -> Any:
-        """Run `call` as the main task until it returns; its result, or its exception."""
+        """Run `call` as the main task until it returns; returns its result or raises its exception."""
         result: list[Any] = []
         task = self.spawn(lambda: result.append(call()), name="main")
         main = getcurrent()
@@ -111,7 +112,7 @@
         domain: Domain | None = None,
         scopes: list[CancelScope] | None = None,
     ) -> Task:
-        """Start a task that nobody waits for; its failure goes to `on_task_error`, unless a nursery takes it."""
+        """Start a background task; its exception goes to `on_task_error`, unless it has an `on_end` callback."""
         parent = self._tasks.get(getcurrent())
         if domain is None:
             domain = parent.domain if parent is not None else self._timer_domain
@@ -156,7 +157,7 @@
             self._ready.append((task, error))
 
     def block(self, undo: Callable[[], None]) -> None:
-        """Sleep until `wake`; `undo` takes back what was waited for when a scope is cancelled."""
+        """Block until `wake`; `undo` withdraws the wait when a scope is cancelled, which raises Cancelled."""
         task = self.current()
         for scope in task.scopes:
             if scope.cancelled:
@@ -166,13 +167,13 @@
         self._loop.switch()
 
     def wake(self, task: Task) -> None:
-        """Let a task that is in `block` go on; a second wake is ignored."""
+        """Make a task that is in `block` ready; does nothing for one that is not."""
         if task.undo_wait is not None:
             task.undo_wait = None
             self._wake(task, None)
 
     def checkpoint(self) -> None:
-        """Let others run; raises when cancelled."""
+        """Let other ready tasks run; raises Cancelled when a scope is cancelled."""
         task = self.current()
         entry: tuple[Task, BaseException | None] = (task, None)
         task.undo_wait = _no_undo
@@ -209,15 +210,15 @@
         return timer
 
     def call_at(self, at_us: int, call: Callable[[], None], urgent: bool = False) -> Timer:
-        """Run a short call in the hub at a time; it must not block.
+        """Schedule a short call in the hub at a time of its clock; the call must not block.
 
-        One that is `owed` runs before all else that is due, however much waits after a stall.
+        An `urgent` one runs before all other due timers, however many of them wait after a stall.
         """
         parent = self._tasks.get(getcurrent())
         return self._at(at_us, call, parent.domain if parent else self._timer_domain, urgent)
 
     def sleep(self, for_us: int) -> None:
-        """Block for so many microseconds."""
+        """Block for `for_us` microseconds."""
         task = self.current()
         timer = self.call_at(self.now_us() + for_us, lambda: self.wake(task))
         self.block(timer.cancel)
@@ -227,7 +228,7 @@
         self.sleep(max(0, at_us - self.now_us()))
 
     def limit(self, for_us: int) -> CancelScope:
-        """A scope that ends so many microseconds from now."""
+        """A scope that is cancelled `for_us` microseconds from now."""
         return CancelScope(self, self.now_us() + for_us)
 
     # -- descriptors
@@ -235,8 +236,8 @@
     def wait(self, fd: int, what: int) -> int:
         """Block until the descriptor can be read (READ) or written (WRITE), or is broken.
 
-        Gives back the latest moment at which it is certain that it was not: when the poll before the one that
-        found it began.
+        Returns the latest time at which it was certainly not ready: the start of the poll before the one that
+        found it ready. Raises RuntimeError if another task already waits for the same.
         """
         task = self.current()
         for scope in task.scopes:
@@ -245,7 +246,7 @@
         waiters = self._waiting.setdefault(fd, {})
         if what in waiters:
             raise RuntimeError(
-                f"two tasks wait for one descriptor: {waiters[what].name}, {task.name}"
+                f"two tasks wait for descriptor {fd}: {waiters[what].name!r} and {task.name!r}"
             )
         waiters[what] = task
         self._register(fd)
@@ -274,11 +275,11 @@
         return bool(poll.poll(0))
 
     def last_poll_us(self, fd: int) -> int | None:
-        """When the latest poll began that found nothing to read, where a reader waits; None where none does."""
+        """Start of the latest poll that found nothing to read, if a reader waits for the descriptor; else None."""
         return self._last_poll_us if READ in self._waiting.get(fd, ()) else None
 
     def forget(self, fd: int) -> None:
-        """A descriptor is about to be closed: wake whoever waits for it."""
+        """Wake the tasks that wait for a descriptor and unregister it, before it is closed."""
         for task in list(self._waiting.get(fd, {}).values()):
             self.wake(task)
         if fd in self._waiting:
@@ -302,7 +303,7 @@
             self._switch(*self._ready.popleft())
             if self._stopped:
                 return
-            # Danger (rule 1): a long queue of new work would keep due answers and their writers waiting.
+            # Danger (rule 1): a long queue of new work would delay due answers and the tasks that write them.
             if end is not None and self.clock.now_us() >= end:
                 break
         self._run_urgent()
@@ -328,7 +329,7 @@
             task.glet.throw(error)
 
     def _run_timers(self) -> int | None:
-        """Run what is due, what is owed first; microseconds until the next timer, None without one."""
+        """Run the due timers, urgent ones first; returns microseconds until the next timer, None without one."""
         if self._dead_timers > _COMPACT_THRESHOLD and self._dead_timers * 2 > len(
             self._timers
         ) + len(self._urgent_timers):
@@ -359,7 +360,7 @@
                 call, timer.call = timer.call, None
                 self.lag.note(now, now - at_us)
                 call()
-                # What is owed runs to its end; of the rest, a turn's worth.
+                # Urgent timers all run; others stop after one turn's time.
                 if heap is self._timers and not self.clock.virtual and self.clock.now_us() >= end:
                     return 0
             else:
@@ -368,12 +369,12 @@
 
     def _poll_or_jump(self, timeout_us: int | None) -> None:
         if self.clock.virtual and timeout_us:
-            # Loopback bytes are in the peer's buffer when send returns; a second look covers a late softirq.
+            # Loopback bytes are in the peer's buffer when send returns; a second poll covers a delayed softirq.
             if self.socket_activity and (self._poll_once(0) or self._poll_once(0)):
                 return
             self.socket_activity = False
             self.clock.jump(self.clock.now_us() + timeout_us)
-            self._last_poll_us = self.clock.now_us()  # the world stood still over the jump
+            self._last_poll_us = self.clock.now_us()  # nothing can arrive during the jump
             return
         if self.clock.virtual and timeout_us == 0 and not self.socket_activity:
             return
@@ -381,7 +382,7 @@
 
     def _poll_once(self, timeout_us: int | None) -> bool:
         self.polls += 1
-        # Rounded up to milliseconds: waking before a timer is due would spin.
+        # Rounded up to milliseconds: waking before a timer is due would busy-wait.
         wait = _MAX_POLL_MS if timeout_us is None else min(_MAX_POLL_MS, -(-timeout_us // 1000))
         last_empty_us, self._last_poll_us = self._last_poll_us, self.clock.now_us()
         self.lag.note(self._last_poll_us, self._last_poll_us - last_empty_us - _MAX_POLL_MS * 1000)
@@ -398,7 +399,7 @@
             for what in list(waiters):
                 if mask & (what | _BROKEN):
                     task = waiters.pop(what)
-                    # A process that stands still polls nothing: it last saw nothing before it was held.
+                    # A suspended process does not poll: it last saw the descriptor empty before its suspension.
                     domain = task.domain
                     held = domain is not None and domain.held_until_us > self._last_poll_us
                     task.last_empty_us = (
@@ -419,7 +420,7 @@
 
 
 def _no_undo() -> None:
-    """There is nothing to take back."""
+    """Undo nothing: no wait is registered."""
 
 
 def _raise(name: str, error: BaseException) -> None:
--- a/wingbarrow/transport/lag.py
+++ b/wingbarrow/transport/lag.py
@@ -1,17 +1,17 @@
-"""How late a process is: the delay of what was due, as a peak that fades.
+"""Event loop lag: how late due timers and polls run, as a peak that decays exponentially.
 
-A stall shows in the first turn after it, a load that is too much shows in every turn; both make answers late, so
-both count alike. The peak halves every second.
+A stall shows in the first turn after it, overload shows in every turn. Both delay answers, so both count
+alike. The peak halves every second.
 """
 
 from __future__ import annotations
 
 HALF_LIFE_US = 1_000_000
-COUNTED_LAG_US = 50_000  # a lag from here on is counted
+COUNTED_LAG_US = 50_000  # lags at or above it are counted in `late_count`
 
 
 class Lag:
-    """Times in microseconds of the hub's clock."""
+    """The lag of one hub or domain; all times are microseconds of the hub's clock."""
 
     __slots__ = ("_at_us", "_peak_us", "late_count", "worst_us")
 
@@ -21,7 +21,7 @@
         self.late_count = 0  # lags of 50 ms or more
 
     def note(self, now_us: int, late_us: int) -> None:
-        """Something ran so late; small or negative figures cost next to nothing."""
+        """Record that something ran `late_us` after it was due; below 1 ms, or negative, is ignored."""
         if late_us < 1_000:
             return
         if late_us >= COUNTED_LAG_US:
@@ -32,7 +32,7 @@
             self._peak_us, self._at_us = late_us, now_us
 
     def recent_us(self, now_us: int) -> int:
-        """The peak as it has faded by now."""
+        """The peak, decayed by the time since it was recorded; 0 after 20 half-lives."""
         if not self._peak_us:
             return 0
         half_lives = (now_us - self._at_us) / HALF_LIFE_US
--- a/wingbarrow/transport/net.py
+++ b/wingbarrow/transport/net.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP on the hub: streams, a listener that survives bursts and a full descriptor table."""
+"""Non-blocking TCP on the hub: streams, and a listener that survives bursts and descriptor exhaustion."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 _WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 _DESCRIPTOR_TABLE_FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-_MAX_ACCEPT_BURST = 64  # accepted before others get a turn
+_MAX_ACCEPT_BURST = 64  # connections accepted before other tasks run
 _ACCEPT_RETRY_US = 100_000
 
 
 class PeerGone(Exception):
-    """The connection is broken; `sent` tells how many bytes of the failing write had gone out."""
+    """The connection is broken; `sent` is how many bytes of the failing write were accepted by the system."""
 
     def __init__(self, reason: str, sent: int = 0) -> None:
         super().__init__(reason)
@@ -26,7 +26,7 @@
 
 
 class _Endpoint:
-    """A socket that belongs to the domain it was made in, and ends with it."""
+    """A socket that belongs to the domain of the task that created it, and is reset when the domain is killed."""
 
     __slots__ = ("_domain", "_fd", "_socket", "hub", "open")
 
@@ -40,7 +40,7 @@
             self._domain.endpoints[self] = None
 
     def close(self) -> None:
-        """Close; whoever waits on it hears PeerGone."""
+        """Close the socket; a task that waits for it raises PeerGone."""
         if self.open:
             self.open = False
             self.hub.socket_activity = True
@@ -58,13 +58,13 @@
     def __init__(self, hub: Hub, sock: socket.socket, last_empty_us: int | None = None) -> None:
         super().__init__(hub, sock)
         self.bytes_in = self.bytes_out = 0
-        # The latest moment at which it is certain that what is read next had not come; see docs/promptness.md.
+        # The latest time at which the bytes read next had certainly not arrived; see docs/promptness.md.
         self.last_empty_us = hub.now_us() if last_empty_us is None else last_empty_us
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def receive(self, max_bytes: int = 65536) -> bytes:
-        """Some bytes, b"" at the peer's end of stream; raises PeerGone when reset."""
+        """Read up to `max_bytes`, blocking until some arrive; b"" at end of stream; raises PeerGone when reset."""
         while self.open:
             tried_us = self.hub.now_us()
             try:
@@ -81,7 +81,7 @@
         raise PeerGone("closed here")
 
     def send(self, data: bytes) -> None:
-        """Write all; raises PeerGone with the count that had gone out."""
+        """Write all of `data`, blocking as needed; raises PeerGone with the count of bytes sent."""
         view, sent = memoryview(data), 0
         while sent < len(view):
             if not self.open:
@@ -98,7 +98,7 @@
                 self.bytes_out += count
 
     def send_now(self, data: bytes) -> int:
-        """Write what fits without waiting; how many bytes that was. Raises PeerGone where none can go any more."""
+        """Write what fits without blocking and return its byte count; raises PeerGone when the connection is broken."""
         if not self.open:
             raise PeerGone("closed here")
         try:
@@ -113,19 +113,19 @@
 
     @property
     def peer(self) -> str:
-        """The peer's address, empty once it is gone."""
+        """The peer's address; empty once the connection is broken."""
         try:
             return str(self._socket.getpeername()[0])
         except OSError:
             return ""
 
     def wait_input(self) -> None:
-        """Block until there is something to read: bytes, an end of stream or a reset. Nothing is taken."""
+        """Block until bytes, an end of stream or a reset can be read; reads nothing."""
         if self.open:
             self.hub.wait(self._fd, READ)
 
     def is_quiet(self) -> bool:
-        """Whether an idle connection is still whole: no byte and no end of stream has come."""
+        """Whether the connection is open and has nothing to read: no bytes, no end of stream, no reset."""
         if not self.open:
             return False
         try:
@@ -135,9 +135,9 @@
         return False
 
     def has_unread(self, now_us: int, max_age_us: int) -> bool:
-        """Whether something may lie unread that came more than `most_us` ago, an end or a reset among it.
+        """Whether bytes, an end of stream or a reset may have been unread for more than `max_age_us`.
 
-        The system is asked only where neither the reader nor a poll has looked so lately.
+        Makes a system call only if neither the reader nor a poll found the socket empty within `max_age_us`.
         """
         last_poll_us = self.hub.last_poll_us(self._fd)
         return (
@@ -146,7 +146,7 @@
         )
 
     def end_writing(self) -> None:
-        """Half-close: the peer reads an end of stream."""
+        """Shut down the sending side; the peer reads an end of stream."""
         if self.open:
             self.hub.socket_activity = True
             try:
@@ -155,7 +155,7 @@
                 self.abort()
 
     def abort(self) -> None:
-        """Reset the connection: what was not sent is dropped."""
+        """Reset the connection; unsent bytes are discarded."""
         if self.open:
             try:
                 self._socket.setsockopt(
@@ -167,7 +167,7 @@
 
 
 class Listener(_Endpoint):
-    """A listening socket; `serve` hands each connection to a task of its own."""
+    """A listening socket; `serve` runs a task for each connection."""
 
     def __init__(self, hub: Hub, sock: socket.socket, log: Callable[[str], None]) -> None:
         super().__init__(hub, sock)
@@ -178,7 +178,7 @@
         self._last_empty_us = hub.now_us()
 
     def accept(self) -> Stream:
-        """The next connection; a full descriptor table is waited out and told once."""
+        """Accept the next connection; when descriptors run out, retry every 100 ms and log it once."""
         while self.open:
             tried_us = self.hub.now_us()
             try:
@@ -189,7 +189,7 @@
                     if not self._logged_full:
                         self._logged_full = True
                         self._log(
-                            f"cannot accept: {os.strerror(error.errno or 0)}; serving those connected"
+                            f"cannot accept connections: {os.strerror(error.errno or 0)}; still serving open ones"
                         )
                     self.hub.sleep(_ACCEPT_RETRY_US)
                 elif error.errno in _WOULD_BLOCK:
@@ -205,9 +205,9 @@
         raise PeerGone("closed here")
 
     def serve(self, handle: Callable[[Stream], None], max_burst: int = _MAX_ACCEPT_BURST) -> None:
-        """Accept until cancelled or closed; a connection's own failure never reaches the others.
+        """Accept until cancelled or closed; a failure of one connection does not affect the others.
 
-        `most`: connections accepted in one go, before those that came first have their turn.
+        `max_burst`: how many connections are accepted in a row before the tasks of the accepted ones run.
         """
         burst = 0
         while self.open:
@@ -228,19 +228,19 @@
         except Cancelled:
             raise
         except Exception as error:
-            self._log(f"a connection failed: {type(error).__name__}: {error}")
+            self._log(f"the handler of a connection failed: {type(error).__name__}: {error}")
         finally:
             stream.close()
 
     def abort(self) -> None:
-        """The same as close: what waits in the backlog is reset."""
+        """Close the listener; the system resets connections in its backlog."""
         self.close()
 
 
 def listen(
     hub: Hub, host: str, port: int, log: Callable[[str], None], backlog: int = 1024
 ) -> Listener:
-    """A listener; port 0 lets the system choose."""
+    """Bind and listen; port 0 lets the system choose one. Raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
@@ -254,7 +254,7 @@
 
 
 def connect(hub: Hub, host: str, port: int) -> Stream:
-    """Connect to an address (no names are looked up); raises PeerGone when refused."""
+    """Connect to an IP address, without name resolution; raises PeerGone when that fails."""
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
@@ -267,8 +267,8 @@
             try:
                 hub.wait(sock.fileno(), WRITE)
             except Cancelled:
-                # Danger: after a stall, time runs out before a poll has seen that it came up. Where the whole task
-                # was cancelled, its next wait tells it again.
+                # Danger: after a stall, the deadline can expire before a poll has seen that the connection was
+                # established. Such a connection is used; if the whole task was cancelled, its next wait raises again.
                 if not hub.is_ready(sock.fileno(), WRITE):
                     raise
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/wingbarrow/transport/nursery.py
+++ b/wingbarrow/transport/nursery.py
@@ -1,4 +1,4 @@
-"""Nurseries: tasks that end together; one that fails cancels the rest, and its failure is raised on exit."""
+"""Nurseries (structured concurrency as in trio): child tasks that do not outlive their block."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Nursery:
-    """Tasks that end together: leaving the block waits for all; the first failure cancels the rest."""
+    """Leaving the block waits for all children; the first failure cancels the rest and is raised on exit."""
 
     def __init__(self, hub: Hub) -> None:
         self.hub = hub
@@ -75,7 +75,7 @@
         return swallowed
 
     def _join_quietly(self) -> None:
-        """Wait for children that are being cancelled, without hearing of the cancellation again."""
+        """Wait for cancelled children with the scopes detached, so that the wait itself is not cancelled."""
         task = self.hub.current()
         kept, task.scopes = task.scopes, []
         try:
@@ -85,4 +85,4 @@
 
 
 def _no_undo() -> None:
-    """There is nothing to take back."""
+    """Undo nothing: no wait is registered."""
--- a/wingbarrow/transport/outbox.py
+++ b/wingbarrow/transport/outbox.py
@@ -1,4 +1,4 @@
-"""Writing without waiting: bytes leave a stream in order, what does not fit at once follows, up to a bound."""
+"""A bounded send buffer for one stream: writes never block, and bytes leave in order."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class Outbox:
-    """One stream's way out; `write` may be called from the hub's timers, as it never blocks.
+    """Sends at once what the socket takes and buffers the rest; `write` never blocks, so timers may call it.
 
-    A peer that reads so slowly that more than `most` bytes wait is cut off.
+    A connection whose peer reads so slowly that more than `max_bytes` would be buffered is reset.
     """
 
     __slots__ = ("_hub", "_max_bytes", "_stream", "_unsent", "overrun")
@@ -19,15 +19,15 @@
         self._stream = stream
         self._max_bytes = max_bytes
         self._unsent = bytearray()
-        self.overrun = False  # whether it was cut off for reading too slowly
+        self.overrun = False  # whether the connection was reset because its peer reads too slowly
 
     @property
     def waiting(self) -> int:
-        """Bytes that have not left yet."""
+        """Bytes in the buffer."""
         return len(self._unsent)
 
     def write(self, data: bytes) -> int:
-        """Take bytes to send; how many had left when the stream broke, or all of them where it did not."""
+        """Send or buffer `data`; returns its length, or the bytes sent before the stream broke (0 on overrun)."""
         if self._unsent:
             if len(self._unsent) + len(data) > self._max_bytes:
                 self.overrun = True
@@ -38,7 +38,7 @@
         try:
             sent = self._stream.send_now(data)
         except PeerGone as error:
-            # Reading tells its owner of the end; what came in before it can still be read.
+            # The reading task sees the break itself, after it has read what arrived before.
             return error.sent
         if sent < len(data):
             self._unsent += data[sent:]
--- a/wingbarrow/transport/scopes.py
+++ b/wingbarrow/transport/scopes.py
@@ -17,9 +17,9 @@
 
 
 class Cancelled(BaseException):
-    """Thrown into a task whose scope was cancelled; only that scope's exit may swallow it.
+    """Raised in a task whose scope was cancelled; only that scope's exit may swallow it.
 
-    A signal, not an error: `except Exception` must not swallow it.
+    It derives from BaseException so that `except Exception` does not catch it.
     """
 
     def __init__(self, scope: CancelScope) -> None:
@@ -28,7 +28,7 @@
 
 
 class CancelScope:
-    """A `with` block that can be cancelled, by hand or by its deadline (microseconds on the hub's clock)."""
+    """A `with` block that can be cancelled, by `cancel` or by its deadline (microseconds on the hub's clock)."""
 
     __slots__ = ("_tasks", "_timer", "cancelled", "caught", "deadline_us", "hub")
 
@@ -36,12 +36,12 @@
         self.hub = hub
         self.deadline_us = deadline_us
         self.cancelled = False
-        self.caught = False  # whether the scope was left by its own cancellation
+        self.caught = False  # whether the scope was left through its own cancellation
         self._timer: Timer | None = None
         self._tasks: dict[Task, None] = {}
 
     def cancel(self) -> None:
-        """Have every blocking call inside raise `Cancelled`."""
+        """Make every blocking call inside the scope raise `Cancelled`."""
         if not self.cancelled:
             self.cancelled = True
             for task in list(self._tasks):
@@ -73,7 +73,7 @@
 
 
 class Task:
-    """A greenlet with its scopes; `done` and `error` tell how it ended."""
+    """A greenlet with its scopes; `done` is whether it has ended, `error` the exception that ended it."""
 
     __slots__ = (
         "domain",
@@ -99,17 +99,16 @@
         self.scopes: list[CancelScope] = []
         self.own_scope = CancelScope(hub)
         self.domain = domain
-        self.urgent = (
-            False  # runs before others that are ready: it hands on what is owed, and costs little
-        )
-        self.last_empty_us = 0  # when its descriptor was last seen to have nothing
+        # Runs before other ready tasks: for cheap tasks that pass on answers which are due.
+        self.urgent = False
+        self.last_empty_us = 0  # start of the latest poll that found its descriptor not ready
         self.done = False
         self.error: BaseException | None = None
-        self.undo_wait: Callable[[], None] | None = None  # how to take back what it waits for
+        self.undo_wait: Callable[[], None] | None = None  # withdraws its wait; None unless blocked
         self.on_end: list[Callable[[Task], None]] = []
 
     def cancel(self) -> None:
-        """Cancel the whole task."""
+        """Cancel the whole task through its own scope."""
         self.own_scope.cancel()
 
     def _interrupt(self) -> None:
--- a/wingbarrow/transport/signals.py
+++ b/wingbarrow/transport/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the operating system, heard in the hub."""
+"""Handling of operating system signals in the hub."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def on_signals(hub: Hub, handlers: dict[int, Callable[[], None]]) -> Callable[[], None]:
-    """A call, to run as a task, that runs `wanted` in the hub when a signal comes."""
+    """Install handlers by signal number; returns the task body that calls them when a signal arrives."""
     reading, writing = hub.wake_pipe()
     signal.set_wakeup_fd(writing, warn_on_full_buffer=False)
     for number in handlers:
