--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -1,4 +1,4 @@
-"""Server and client pool together: order, limits, slow peers, and what each way to fail means."""
+"""Server and connection pool together: order, limits, slow peers, and the error for each failure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 S = 1_000_000
 
 
-def play(script: Callable[[Hub], Any]) -> Any:
+def run(script: Callable[[Hub], Any]) -> Any:
     hub = Hub(VirtualClock())
     return hub.run(lambda: script(hub))
 
@@ -26,7 +26,7 @@
     )
 
 
-def started(hub: Hub, handler: Callable[[Request], Answer] = echo, **limits: Any) -> Server:
+def start_server(hub: Hub, handler: Callable[[Request], Answer] = echo, **limits: Any) -> Server:
     server = Server(hub, "127.0.0.1", 0, handler, lambda _: None, ServerLimits(**limits))
     hub.spawn(server.serve)
     return server
@@ -41,7 +41,7 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     def script(hub: Hub) -> bytes:
-        stream = connect(hub, "127.0.0.1", started(hub).port)
+        stream = connect(hub, "127.0.0.1", start_server(hub).port)
         stream.send(
             b"".join(
                 b"GET /%d HTTP/1.1\r\nHost: a\r\n%b\r\n" % (i, b"Connection: close\r\n" * (i == 9))
@@ -50,15 +50,15 @@
         )
         return read_all(stream)
 
-    answers = play(script)
+    answers = run(script)
     assert [answers.index(b"GET /%d " % i) for i in range(10)] == sorted(
         answers.index(b"GET /%d " % i) for i in range(10)
     )
 
 
-def test_continue_is_said_only_to_who_waits_for_it() -> None:
+def test_100_continue_is_sent_only_to_clients_that_wait_for_it() -> None:
     def script(hub: Hub) -> bytes:
-        stream = connect(hub, "127.0.0.1", started(hub).port)
+        stream = connect(hub, "127.0.0.1", start_server(hub).port)
         stream.send(
             b"PUT /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
         )
@@ -72,35 +72,35 @@
         )
         return read_all(stream)
 
-    assert b"100 Continue" not in play(script)
+    assert b"100 Continue" not in run(script)
 
 
-def test_head_has_the_length_and_no_body() -> None:
+def test_head_returns_the_content_length_without_a_body() -> None:
     def script(hub: Hub) -> None:
-        pool = Pool(hub, "127.0.0.1", started(hub).port)
+        pool = Pool(hub, "127.0.0.1", start_server(hub).port)
         for _ in range(3):
             response = pool.request("HEAD", "/abc")
             assert response.body == b""
             assert response.get("content-length") == "10"
         assert pool.request("GET", "/abc").body == b"GET /abc "
 
-    play(script)
+    run(script)
 
 
-def test_a_bad_request_gets_its_status_and_the_end() -> None:
+def test_a_bad_request_is_answered_and_the_connection_closed() -> None:
     def script(hub: Hub) -> bytes:
-        stream = connect(hub, "127.0.0.1", started(hub).port)
+        stream = connect(hub, "127.0.0.1", start_server(hub).port)
         stream.send(b"GET / HTTP/1.1\r\nHost: a\r\nX : b\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n")
         return read_all(stream)
 
-    answer = play(script)
+    answer = run(script)
     assert answer.startswith(b"HTTP/1.1 400 ")
     assert answer.count(b"HTTP/1.1") == 1
 
 
-def test_a_client_of_a_byte_a_second_is_ended_and_others_are_served() -> None:
+def test_a_slow_client_times_out_while_others_are_served() -> None:
     def script(hub: Hub) -> None:
-        server = started(hub)
+        server = start_server(hub)
 
         def slow() -> None:
             stream = connect(hub, "127.0.0.1", server.port)
@@ -121,16 +121,16 @@
                 hub.sleep(S)
         assert answers[0].startswith(b"HTTP/1.1 408 ") or answers[0] == b"gone"
 
-    play(script)
+    run(script)
 
 
-def test_a_reader_that_takes_nothing_is_dropped_after_its_time() -> None:
+def test_a_client_that_does_not_read_is_disconnected_after_write_us() -> None:
     def script(hub: Hub) -> None:
         def flood(writer: ChunkWriter) -> None:
             while True:
                 writer.write(b"x" * 65536)
 
-        server = started(hub, lambda _: Answer(200, stream=flood), write_us=2 * S)
+        server = start_server(hub, lambda _: Answer(200, stream=flood), write_us=2 * S)
         stream = connect(hub, "127.0.0.1", server.port)
         stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         hub.sleep(5 * S)
@@ -138,12 +138,12 @@
         assert server.connections == 0
         stream.close()
 
-    play(script)
+    run(script)
 
 
-def test_too_many_connections_are_turned_away_with_a_time_to_come_back() -> None:
+def test_excess_connections_get_503_with_retry_after() -> None:
     def script(hub: Hub) -> None:
-        server = started(hub, connections=2)
+        server = start_server(hub, connections=2)
         held = [connect(hub, "127.0.0.1", server.port) for _ in range(2)]
         hub.sleep(1)
         third = connect(hub, "127.0.0.1", server.port)
@@ -153,24 +153,24 @@
         held[0].send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         assert held[0].receive().startswith(b"HTTP/1.1 200 ")
 
-    play(script)
+    run(script)
 
 
-def test_a_failing_handler_answers_500_and_is_told_once() -> None:
-    told: list[str] = []
+def test_a_failing_handler_answers_500_and_is_logged_once() -> None:
+    logged: list[str] = []
 
     def broken(request: Request) -> Answer:
         raise RuntimeError("within")
 
     def script(hub: Hub) -> None:
-        server = Server(hub, "127.0.0.1", 0, broken, told.append)
+        server = Server(hub, "127.0.0.1", 0, broken, logged.append)
         hub.spawn(server.serve)
         pool = Pool(hub, "127.0.0.1", server.port)
         assert [pool.request("GET", "/").status for _ in range(3)] == [500] * 3
 
-    play(script)
-    assert len(told) == 1
-    assert "RuntimeError" in told[0]
+    run(script)
+    assert len(logged) == 1
+    assert "RuntimeError" in logged[0]
 
 
 def failing(
@@ -185,7 +185,7 @@
             )
         return caught.type, caught.value.reason
 
-    found: tuple[type, FailureReason] = play(script)
+    found: tuple[type, FailureReason] = run(script)
     return found
 
 
@@ -236,13 +236,13 @@
         (garbage, FailureReason.GARBAGE),
     ],
 )
-def test_what_may_have_run_is_never_called_unsent(
+def test_requests_that_may_have_run_raise_maybe_done(
     behave: Callable[[Hub, Stream], None], why: FailureReason
 ) -> None:
     assert failing(behave) == (MaybeDone, why)
 
 
-def test_what_never_left_is_called_unsent() -> None:
+def test_requests_that_were_not_sent_raise_not_sent() -> None:
     def script(hub: Hub) -> None:
         listener = listen(hub, "127.0.0.1", 0, print)
         port = listener.port
@@ -251,7 +251,7 @@
             Pool(hub, "127.0.0.1", port).request("POST", "/", b"x")
         assert caught.value.reason is FailureReason.REFUSED
         served: list[bytes] = []
-        server = started(hub, lambda request: served.append(request.body) or Answer(200))
+        server = start_server(hub, lambda request: served.append(request.body) or Answer(200))
         pool = Pool(hub, "127.0.0.1", server.port)
         with pytest.raises(NotSent) as caught:
             pool.request("POST", "/", b"x", may_send=lambda: False)
@@ -259,10 +259,10 @@
         hub.sleep(S)
         assert not served
 
-    play(script)
+    run(script)
 
 
-def test_the_pool_is_bounded_and_who_waits_too_long_was_never_sent() -> None:
+def test_the_pool_is_bounded_and_waiters_that_time_out_were_never_sent() -> None:
     def script(hub: Hub) -> None:
         seen: list[str] = []
 
@@ -271,7 +271,9 @@
             hub.sleep(2 * S)
             return Answer(200)
 
-        pool = Pool(hub, "127.0.0.1", started(hub, slow).port, PoolLimits(connections=2, waiting=1))
+        pool = Pool(
+            hub, "127.0.0.1", start_server(hub, slow).port, PoolLimits(connections=2, waiting=1)
+        )
         failed: list[FailureReason] = []
 
         def ask(target: str) -> None:
@@ -291,25 +293,25 @@
             "SILENT",
         ]
 
-    play(script)
+    run(script)
 
 
 def test_a_connection_that_closed_while_idle_is_not_used_again() -> None:
     def script(hub: Hub) -> None:
-        server = started(hub, idle_us=S)
+        server = start_server(hub, idle_us=S)
         pool = Pool(hub, "127.0.0.1", server.port)
         for _ in range(3):
             assert pool.request("POST", "/", b"x").status == 200
             hub.sleep(3 * S)
 
-    play(script)
+    run(script)
 
 
 def test_bodies_over_the_limit_are_refused_before_they_are_read() -> None:
     def script(hub: Hub) -> None:
-        server = started(hub, message=Limits(body=1000))
+        server = start_server(hub, message=Limits(body=1000))
         pool = Pool(hub, "127.0.0.1", server.port)
         assert pool.request("POST", "/", b"x" * 1000).status == 200
         assert pool.request("POST", "/", b"x" * 1001).status == 413
 
-    play(script)
+    run(script)
--- a/tests/http/test_wire.py
+++ b/tests/http/test_wire.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 parser: the same bytes cut anywhere, what is refused and how."""
+"""The HTTP/1.1 parser: independence of how bytes are split, and the errors for invalid messages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def events(parts: list[bytes], requests: bool = True, limits: Limits = Limits()) -> list[object]:
-    """All events of some parts, neighbouring data joined; a refusal as (status, words)."""
+    """All events of some parts, adjacent data joined; a BadMessage as (status, text)."""
     parser = Parser(requests, limits)
     out: list[object] = []
     try:
@@ -35,7 +35,7 @@
     return out
 
 
-def cut(data: bytes, rng: random.Random) -> list[bytes]:
+def split(data: bytes, rng: random.Random) -> list[bytes]:
     marks = sorted(rng.sample(range(len(data) + 1), min(len(data), rng.randrange(12))))
     return [data[a:b] for a, b in zip([0, *marks], [*marks, len(data)], strict=True)]
 
@@ -62,20 +62,18 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.sampled_from(PIECES), min_size=1, max_size=4), st.randoms(use_true_random=False))
-def test_the_same_bytes_cut_anywhere_give_the_same_events(
+def test_events_do_not_depend_on_how_bytes_are_split(
     pieces: list[bytes], rng: random.Random
 ) -> None:
     data = b"".join(pieces)
-    assert events(cut(data, rng)) == events([data])
+    assert events(split(data, rng)) == events([data])
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.randoms(use_true_random=False))
-def test_any_bytes_at_all_are_refused_or_read_but_never_crash(
-    noise: bytes, rng: random.Random
-) -> None:
+def test_arbitrary_bytes_never_crash_the_parser(noise: bytes, rng: random.Random) -> None:
     data = HEAD + noise
-    assert events(cut(data, rng)) == events([data])
+    assert events(split(data, rng)) == events([data])
     events([data], requests=False)
 
 
@@ -111,7 +109,9 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\nfffff0\r\n", 413),
     ],
 )
-def test_what_breaks_the_protocol_is_refused_with_its_status(message: bytes, status: int) -> None:
+def test_protocol_violations_raise_bad_message_with_their_status(
+    message: bytes, status: int
+) -> None:
     last = events([message])[-1]
     assert isinstance(last, tuple)
     assert last[0] == status
@@ -146,7 +146,7 @@
         max_size=5,
     ),
 )
-def test_what_is_written_is_read_back(body: bytes, fields: list[tuple[str, str]]) -> None:
+def test_written_requests_parse_back(body: bytes, fields: list[tuple[str, str]]) -> None:
     read: list[Event | object] = events([write_request("PUT", "/a?b=c", "h", fields, body)])
     head = read[0]
     assert isinstance(head, Request)
--- a/tests/kube/test_store.py
+++ b/tests/kube/test_store.py
@@ -1,4 +1,4 @@
-"""The store: versions, the window, pages of one moment, selectors."""
+"""The store: versions, the window of changes, pages of one version, selectors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return {"metadata": {"name": name, "namespace": "d", "labels": labels}}
 
 
-def test_versions_grow_and_a_position_gives_what_came_after() -> None:
+def test_versions_grow_and_a_position_gives_later_changes() -> None:
     store = Store(100, 10)
     things = store.collection("things")
     first = things.put("d/a", thing("a"))
@@ -41,7 +41,7 @@
     assert lines[-1]["object"]["metadata"]["resourceVersion"] == "103"
 
 
-def test_past_the_window_is_410() -> None:
+def test_versions_past_the_window_are_410() -> None:
     store = Store(100, 4)
     things = store.collection("things")
     for turn in range(10):
@@ -68,7 +68,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 30), st.integers(1, 7))
-def test_pages_show_one_moment_whatever_changes_between(seed: int, limit: int) -> None:
+def test_pages_show_one_version_despite_changes_in_between(seed: int, limit: int) -> None:
     rng = random.Random(seed)
     store = Store(0, 1000)
     things = store.collection("things")
@@ -94,7 +94,7 @@
     assert seen == expected
 
 
-def test_a_page_of_a_moment_that_left_the_window_is_410_and_a_bad_token_400() -> None:
+def test_a_page_of_a_version_past_the_window_is_410_and_a_bad_token_400() -> None:
     store = Store(0, 3)
     things = store.collection("things")
     for name in "abcd":
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -49,7 +49,7 @@
 
     def __init__(self, hub: Hub, host: str, port: int) -> None:
         self._hub = hub
-        self._pool = Pool(hub, host, port, agent="wingbarrow-cli")
+        self._pool = Pool(hub, host, port, user_agent="wingbarrow-cli")
 
     def _until(self) -> int:
         return self._hub.now_us() + 10 * SECOND
--- a/wingbarrow/http/client.py
+++ b/wingbarrow/http/client.py
@@ -1,7 +1,7 @@
-"""A client pool for one address: bounded connections, every wait bounded, and for each way to fail its meaning.
+"""A connection pool for one address, with bounded connections and a timeout on every wait.
 
-What matters to the caller is whether the peer may have acted: `NotSent` is raised only where no byte of the
-request left this process; everything else that fails is `MaybeDone`.
+Errors tell whether the peer may have acted on the request: `NotSent` is raised only if no byte of it left this
+process; every other failure is `MaybeDone`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FailureReason(Enum):
-    """How a call failed."""
+    """Why a call failed. Names are counted and reported; values are error texts."""
 
     REFUSED = "connection refused"
     NO_CONNECT = "no connection in time"
@@ -33,7 +33,7 @@
 
 
 class CallFailed(Exception):
-    """A call has no answer."""
+    """A call got no complete answer; `reason` is the cause."""
 
     def __init__(self, reason: FailureReason, detail: str = "") -> None:
         super().__init__(f"{reason.value}{': ' + detail if detail else ''}")
@@ -60,17 +60,17 @@
     message: Limits = Limits(body=64 << 20)
 
 
-class _Line:
-    """One connection and its parser."""
+class _Connection:
+    """A connection of the pool, and its parser."""
 
     def __init__(self, stream: Stream, limits: Limits) -> None:
         self.stream = stream
         self.parser = Parser(False, limits)
-        self.since_us = 0
+        self.idle_since_us = 0
 
 
 class Pool:
-    """Connections to one address; `request` is a whole exchange, `stream` one whose answer goes on."""
+    """Connections to one address; `request` returns a whole answer, `stream` one whose body is read as it arrives."""
 
     def __init__(
         self,
@@ -78,16 +78,16 @@
         host: str,
         port: int,
         limits: PoolLimits = PoolLimits(),
-        agent: str = "wingbarrow",
+        user_agent: str = "wingbarrow",
     ) -> None:
         self.hub = hub
         self.host, self.port = host, port
         self.limits = limits
-        self._agent = agent
-        self._idle: deque[_Line] = deque()
+        self._user_agent = user_agent
+        self._idle: deque[_Connection] = deque()
         self._open = 0
         self._waiting = 0
-        self._asking: dict[_Line, None] = {}  # whose answer is being read whole
+        self._in_progress: dict[_Connection, None] = {}  # in use by `request`
         self._freed = Signal(hub)
 
     def request(
@@ -99,20 +99,20 @@
         until_us: int | None = None,
         may_send: Callable[[], bool] | None = None,
     ) -> Response:
-        """Exchange a request for its whole answer by `until_us`.
+        """Send a request and return its whole answer by `until_us` (hub's clock); raises NotSent or MaybeDone.
 
-        `may_send` is asked once more when a connection is at hand, right before the first byte goes out; a
-        body that is a call is made then.
+        `may_send` is called when a connection has been acquired, right before the first byte is sent; False
+        raises NotSent. A callable `body` is called at that time too.
         """
-        line = self._take(until_us, may_send)
-        self._asking[line] = None
+        connection = self._acquire(until_us, may_send)
+        self._in_progress[connection] = None
         kept = False
         try:
-            response = self._exchange(line, method, target, body, fields, until_us)
+            response = self._exchange(connection, method, target, body, fields, until_us)
             parts: list[bytes] = []
             try:
-                with self._until(until_us) as scope:
-                    for part in self._body(line):
+                with self._deadline_scope(until_us) as scope:
+                    for part in self._body(connection):
                         parts.append(part)
             except (PeerGone, BadMessage) as error:
                 raise MaybeDone(FailureReason.RESET_AFTER, str(error)) from None
@@ -122,13 +122,15 @@
             kept = response.keep_alive
             return response
         finally:
-            del self._asking[line]
-            self._give(line, kept)
+            del self._in_progress[connection]
+            self._release(connection, kept)
 
-    def has_unread(self, now_us: int, most_us: int) -> bool:
-        """Whether part of an answer that `request` waits for may lie unread that came more than `most_us` ago."""
+    def has_unread(self, now_us: int, max_age_us: int) -> bool:
+        """Whether input for a running `request` may have been unread for more than `max_age_us`."""
         return any(
-            line.stream.has_unread(now_us, most_us) for line in self._asking if line.stream.open
+            connection.stream.has_unread(now_us, max_age_us)
+            for connection in self._in_progress
+            if connection.stream.open
         )
 
     def stream(
@@ -139,24 +141,25 @@
         until_us: int | None = None,
         silence_us: int | None = None,
     ) -> tuple[Response, Iterator[bytes]]:
-        """Start an exchange whose body is read as it comes; the iterator raises MaybeDone when it breaks.
+        """Send a request whose answer's body is read as it arrives; the iterator raises MaybeDone when it breaks.
 
-        `silence_us` ends it when no byte has come for so long. Closing the iterator closes the connection.
+        `until_us` bounds the wait for the head of the answer; `silence_us` ends the body when nothing arrives
+        for so long. Closing the iterator closes the connection. Raises NotSent or MaybeDone.
         """
-        line = self._take(until_us, None)
+        connection = self._acquire(until_us, None)
         try:
-            response = self._exchange(line, method, target, None, fields, until_us)
+            response = self._exchange(connection, method, target, None, fields, until_us)
         except BaseException:
-            self._give(line, False)
+            self._release(connection, False)
             raise
-        return response, self._parts(line, silence_us)
+        return response, self._stream_body(connection, silence_us)
 
-    def _parts(self, line: _Line, silence_us: int | None) -> Iterator[bytes]:
+    def _stream_body(self, connection: _Connection, silence_us: int | None) -> Iterator[bytes]:
         try:
-            body = self._body(line)
+            body = self._body(connection)
             while True:
                 part = None
-                with self._until(
+                with self._deadline_scope(
                     None if silence_us is None else self.hub.now_us() + silence_us
                 ) as scope:
                     part = next(body, None)
@@ -168,51 +171,51 @@
         except (PeerGone, BadMessage) as error:
             raise MaybeDone(FailureReason.RESET_AFTER, str(error)) from None
         finally:
-            self._give(line, False)
+            self._release(connection, False)
 
     def close(self) -> None:
         """Close the idle connections."""
         while self._idle:
-            self._drop(self._idle.popleft())
+            self._discard(self._idle.popleft())
 
-    def _until(self, until_us: int | None) -> CancelScope:
+    def _deadline_scope(self, until_us: int | None) -> CancelScope:
         return CancelScope(self.hub, until_us)
 
-    def _drop(self, line: _Line) -> None:
-        line.stream.close()
+    def _discard(self, connection: _Connection) -> None:
+        connection.stream.close()
         self._open -= 1
         self._freed.notify()
 
-    def _give(self, line: _Line, keep: bool) -> None:
-        if keep and line.stream.open and line.parser.idle:
-            line.since_us = self.hub.now_us()
-            self._idle.append(line)
+    def _release(self, connection: _Connection, keep: bool) -> None:
+        if keep and connection.stream.open and connection.parser.idle:
+            connection.idle_since_us = self.hub.now_us()
+            self._idle.append(connection)
             self._freed.notify()
         else:
-            self._drop(line)
+            self._discard(connection)
 
-    def _take(self, until_us: int | None, may_send: Callable[[], bool] | None) -> _Line:
-        line: _Line | None = None
-        with self._until(until_us) as scope:
-            line = self._free()
-        if line is None:
+    def _acquire(self, until_us: int | None, may_send: Callable[[], bool] | None) -> _Connection:
+        connection: _Connection | None = None
+        with self._deadline_scope(until_us) as scope:
+            connection = self._find_free()
+        if connection is None:
             raise NotSent(FailureReason.NO_TURN)
         if scope.caught or (may_send is not None and not may_send()):
-            self._give(line, not scope.caught)
+            self._release(connection, not scope.caught)
             raise NotSent(FailureReason.WITHDRAWN)
-        return line
+        return connection
 
-    def _free(self) -> _Line:
+    def _find_free(self) -> _Connection:
         while True:
             while self._idle:
-                line = self._idle.pop()
-                # A peer that closed in the meantime is found here, where nothing has been sent yet.
+                connection = self._idle.pop()
+                # A connection that the peer has closed is detected here, before anything is sent.
                 if (
-                    self.hub.now_us() - line.since_us <= self.limits.idle_us
-                    and line.stream.is_quiet()
+                    self.hub.now_us() - connection.idle_since_us <= self.limits.idle_us
+                    and connection.stream.is_quiet()
                 ):
-                    return line
-                self._drop(line)
+                    return connection
+                self._discard(connection)
             if self._open < self.limits.connections:
                 return self._connect()
             if self._waiting >= self.limits.waiting:
@@ -223,7 +226,7 @@
             finally:
                 self._waiting -= 1
 
-    def _connect(self) -> _Line:
+    def _connect(self) -> _Connection:
         self._open += 1
         stream: Stream | None = None
         try:
@@ -231,7 +234,7 @@
                 stream = connect(self.hub, self.host, self.port)
             if stream is None or scope.caught:
                 raise NotSent(FailureReason.NO_CONNECT)
-            return _Line(stream, self.limits.message)
+            return _Connection(stream, self.limits.message)
         except PeerGone as error:
             raise NotSent(FailureReason.REFUSED, str(error)) from None
         finally:
@@ -241,7 +244,7 @@
 
     def _exchange(
         self,
-        line: _Line,
+        connection: _Connection,
         method: str,
         target: str,
         body: bytes | Callable[[], bytes] | None,
@@ -252,39 +255,40 @@
             method,
             target,
             f"{self.host}:{self.port}",
-            [("User-Agent", self._agent), *(fields or [])],
+            [("User-Agent", self._user_agent), *(fields or [])],
             body() if callable(body) else body,
         )
         answer: Response | None = None
-        got_any = False
+        received_any = False
         limit = self.hub.now_us() + self.limits.first_byte_us
-        with self._until(limit if until_us is None else min(limit, until_us)) as scope:
+        with self._deadline_scope(limit if until_us is None else min(limit, until_us)) as scope:
             try:
-                line.stream.send(data)
+                connection.stream.send(data)
             except PeerGone as error:
                 if error.sent == 0:
                     raise NotSent(FailureReason.REFUSED, str(error)) from None
                 raise MaybeDone(FailureReason.RESET_BEFORE, str(error)) from None
-            line.parser.no_body = method == "HEAD"
+            connection.parser.no_body = method == "HEAD"
             try:
                 while answer is None:
-                    event = line.parser.next()
+                    event = connection.parser.next()
                     if event is None:
-                        part = line.stream.receive()
-                        got_any = got_any or bool(part)
+                        part = connection.stream.receive()
+                        received_any = received_any or bool(part)
                         if not part:
                             raise MaybeDone(
                                 FailureReason.RESET_AFTER
-                                if got_any
+                                if received_any
                                 else FailureReason.RESET_BEFORE,
                                 "end of stream",
                             )
-                        line.parser.feed(part)
+                        connection.parser.feed(part)
                     elif isinstance(event, Response) and event.status >= 200:
                         answer = event
             except PeerGone as error:
                 raise MaybeDone(
-                    FailureReason.RESET_AFTER if got_any else FailureReason.RESET_BEFORE, str(error)
+                    FailureReason.RESET_AFTER if received_any else FailureReason.RESET_BEFORE,
+                    str(error),
                 ) from None
             except BadMessage as error:
                 raise MaybeDone(FailureReason.GARBAGE, str(error)) from None
@@ -292,15 +296,15 @@
             raise MaybeDone(FailureReason.SILENT)
         return answer
 
-    def _body(self, line: _Line) -> Iterator[bytes]:
+    def _body(self, connection: _Connection) -> Iterator[bytes]:
         while True:
-            event = line.parser.next()
+            event = connection.parser.next()
             if event is None:
-                part = line.stream.receive()
+                part = connection.stream.receive()
                 if part:
-                    line.parser.feed(part)
+                    connection.parser.feed(part)
                 else:
-                    line.parser.feed_end()
+                    connection.parser.feed_end()
             elif isinstance(event, Data):
                 yield event.data
             elif isinstance(event, End):
--- a/wingbarrow/http/listwatch.py
+++ b/wingbarrow/http/listwatch.py
@@ -1,4 +1,4 @@
-"""Get, list and watch of a store's collections over HTTP (Kubernetes API concepts); used by fronts and stand-ins."""
+"""Get, list and watch of a store's collections over HTTP (Kubernetes API concepts); for fronts and simulated peers."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from wingbarrow.transport import Hub, PeerGone, Signal
 
 SECOND = 1_000_000
-_BATCH = 256  # changes written at once
-_LOOK_US = 5 * SECOND  # an idle watcher looks this often whether its reader is still there
+_MAX_BATCH = 256  # changes per write to a watcher
+_IDLE_CHECK_US = 5 * SECOND  # how often an idle watch checks that its client is still connected
 _TRUE = ("1", "true", "True", "")
 
 
 class Query:
-    """The query of a request; ApiError 400 for values that cannot be read."""
+    """The query parameters of a request; raises ApiError 400 for invalid ones."""
 
     def __init__(self, text: str) -> None:
         try:
@@ -39,7 +39,7 @@
             raise ApiError(400, f"the query cannot be read: {error}") from None
 
     def get(self, name: str) -> str | None:
-        """The last value of a parameter."""
+        """The last value of a parameter; None if it is not given."""
         values = self._values.get(name)
         return values[-1] if values else None
 
@@ -48,18 +48,18 @@
         value = self.get(name)
         return value is not None and value in _TRUE
 
-    def whole(self, name: str, most: int) -> int | None:
-        """A number of 0 to `most`; larger ones count as `most`."""
+    def integer(self, name: str, maximum: int) -> int | None:
+        """An integer of 0 to `maximum`; larger ones become `maximum`; None if not given; raises ApiError 400."""
         value = self.get(name)
         if value is None or value == "":
             return None
         if not value.isascii() or not value.isdigit() or len(value) > 18:
             raise ApiError(400, f"{name}: not a whole number: {value[:40]!r}")
-        return min(int(value), most)
+        return min(int(value), maximum)
 
 
 class ListWatch:
-    """Serves one collection as a resource; `kind` is the object's kind, `version` its apiVersion."""
+    """Serves one collection as a resource; `kind` and `api_version` are those of its objects."""
 
     def __init__(
         self,
@@ -77,41 +77,44 @@
         self._kind, self._api_version = kind, api_version
         self._changed = Signal(hub)
         collection.changed.append(self._changed.notify)
-        self._most = max_watchers
+        self._max_watchers = max_watchers
         self._random = random.Random(seed)
         self.watchers = 0
         self.fell_behind = 0
-        self.on_write: Callable[[str, bytes], None] | None = (
-            None  # a stand-in records what it tells, to whom
-        )
-        # A stand-in's faults: it may write a part itself, wait, or raise PeerGone.
+        # Called after each write to a watcher, with its user agent: simulated peers record what they sent.
+        self.on_write: Callable[[str, bytes], None] | None = None
+        # Called before each write; simulated peers inject faults here: it may write a part, wait, or raise PeerGone.
         self.before_write: Callable[[str, ChunkWriter, bytes], None] | None = None
 
     def get(self, key: str) -> Answer:
-        """One object; 404 where it is not there."""
+        """One object; raises ApiError 404 where there is none."""
         stored = self._collection.objects.get(key)
         if stored is None:
             raise not_found(self._kind, key.rpartition("/")[2])
         return Answer(200, stored.raw)
 
     def list_or_watch(self, query: Query, prefix: str, agent: str = "") -> Answer:
-        """The list, or with `watch` the stream of changes; `prefix` is `namespace/` or empty."""
+        """The list, or with `watch` the stream of changes; `prefix` is `namespace/` or empty. Raises ApiError."""
         match = matcher(
             selectors.labels(query.get("labelSelector") or ""),
             selectors.fields(query.get("fieldSelector") or "", self._fields()),
         )
         if query.get("watch") is not None and query.flag("watch"):
             return self._watch(query, prefix, match, agent)
-        limit, token = query.whole("limit", 1 << 31) or 0, query.get("continue")
+        limit, token = query.integer("limit", 1 << 31) or 0, query.get("continue")
         exact = parse_version(query.get("resourceVersion"))
-        how = query.get("resourceVersionMatch")
-        if how not in (None, "", "Exact", "NotOlderThan"):
-            raise ApiError(400, f"resourceVersionMatch: unknown: {how[:40]!r}" if how else "")
-        if how and not exact and how == "Exact":
+        match_rule = query.get("resourceVersionMatch")
+        if match_rule not in (None, "", "Exact", "NotOlderThan"):
+            raise ApiError(
+                400, f"resourceVersionMatch: unknown: {match_rule[:40]!r}" if match_rule else ""
+            )
+        if match_rule and not exact and match_rule == "Exact":
             raise ApiError(400, "resourceVersionMatch Exact needs a resourceVersion above 0")
         if exact is not None and exact > self._store.version:
             raise _too_large(exact, self._store.version)
-        page = self._collection.page(prefix, match, limit, token, exact if how == "Exact" else None)
+        page = self._collection.page(
+            prefix, match, limit, token, exact if match_rule == "Exact" else None
+        )
         return Answer(200, self._list(page))
 
     def _fields(self) -> frozenset[str]:
@@ -142,13 +145,13 @@
     def _watch(
         self, query: Query, prefix: str, match: Callable[[Stored], bool], agent: str
     ) -> Answer:
-        if self.watchers >= self._most:
-            raise ApiError(429, f"more than {self._most} watches", retry_after_s=1)
+        if self.watchers >= self._max_watchers:
+            raise ApiError(429, f"more than {self._max_watchers} watches", retry_after_s=1)
         version = parse_version(query.get("resourceVersion"))
         asked = query.get("sendInitialEvents")
-        marks = query.flag("allowWatchBookmarks")
-        how = query.get("resourceVersionMatch")
-        if asked is not None and how != "NotOlderThan":
+        bookmarks = query.flag("allowWatchBookmarks")
+        match_rule = query.get("resourceVersionMatch")
+        if asked is not None and match_rule != "NotOlderThan":
             raise invalid(
                 "ListOptions",
                 "",
@@ -160,7 +163,7 @@
                     )
                 ],
             )
-        if asked is None and how:
+        if asked is None and match_rule:
             raise invalid(
                 "ListOptions",
                 "",
@@ -172,7 +175,7 @@
                     )
                 ],
             )
-        if asked is not None and query.flag("sendInitialEvents") and not marks:
+        if asked is not None and query.flag("sendInitialEvents") and not bookmarks:
             raise invalid(
                 "ListOptions",
                 "",
@@ -187,7 +190,7 @@
         if version is not None and version > self._store.version:
             raise _too_large(version, self._store.version)
         initial = query.flag("sendInitialEvents") if asked is not None else not version
-        seconds = query.whole("timeoutSeconds", 86_400) or self._random.randint(1800, 3600)
+        seconds = query.integer("timeoutSeconds", 86_400) or self._random.randint(1800, 3600)
         position = (
             self._collection.end if initial or not version else self._collection.position(version)
         )
@@ -201,12 +204,12 @@
 
         def stream(writer: ChunkWriter) -> None:
             self.watchers += 1
-            self._hub.current().urgent = True  # it hands on what is owed
+            self._hub.current().urgent = True  # it is cheap, and delivers answers that are due
             try:
                 if first:
                     self._write(writer, b"".join(first), agent)
                 first.clear()
-                self._follow(writer, prefix, match, position, until_us, marks, agent)
+                self._follow(writer, prefix, match, position, until_us, bookmarks, agent)
             except ApiError as error:
                 self.fell_behind += 1
                 self._write(writer, event_line(b"ERROR", encode(error.status())), agent)
@@ -223,12 +226,15 @@
         match: Callable[[Stored], bool],
         position: int,
         until_us: int,
-        marks: bool,
+        bookmarks: bool,
         agent: str,
     ) -> None:
-        marked, mark_us = self._store.version, self._hub.now_us() + 2 * _LOOK_US
+        bookmark_version, bookmark_due_us = (
+            self._store.version,
+            self._hub.now_us() + 2 * _IDLE_CHECK_US,
+        )
         while True:
-            changes = self._collection.changes(position, _BATCH)
+            changes = self._collection.changes(position, _MAX_BATCH)
             if changes:
                 position += len(changes)
                 data = b"".join(watch_lines(changes, prefix, match))
@@ -238,13 +244,13 @@
             now = self._hub.now_us()
             if now >= until_us or writer.gone:
                 return
-            if marks and now >= mark_us:
-                mark_us = now + 2 * _LOOK_US
-                if self._store.version != marked:
-                    marked = self._store.version
-                    self._write(writer, self._bookmark(marked, False), agent)
+            if bookmarks and now >= bookmark_due_us:
+                bookmark_due_us = now + 2 * _IDLE_CHECK_US
+                if self._store.version != bookmark_version:
+                    bookmark_version = self._store.version
+                    self._write(writer, self._bookmark(bookmark_version, False), agent)
                     continue
-            with self._hub.limit(min(_LOOK_US, until_us - now)):
+            with self._hub.limit(min(_IDLE_CHECK_US, until_us - now)):
                 self._changed.wait()
 
     def _write(self, writer: ChunkWriter, data: bytes, agent: str) -> None:
@@ -275,7 +281,7 @@
 
 
 def error_answer(error: ApiError) -> Answer:
-    """The Status of an ApiError as an answer."""
+    """The HTTP answer for an ApiError: its Status, with Retry-After where it has one."""
     fields = [] if error.retry_after_s is None else [("Retry-After", str(error.retry_after_s))]
     return Answer(error.code, encode(error.status()), fields)
 
--- a/wingbarrow/http/message.py
+++ b/wingbarrow/http/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as values: heads, pieces of bodies, bounds, and what is wrong with one (RFC 9110, RFC 9112)."""
+"""HTTP/1.1 messages as values: heads, parts of bodies, limits, and the error for invalid ones (RFC 9110, 9112)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BadMessage(Exception):
-    """The peer broke the protocol; `status` is what a server answers before it closes."""
+    """The peer violated the protocol; `status` is the server's answer before it closes the connection."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on one message, in bytes and fields."""
+    """Bounds on one message: `fields` is a count, the others are bytes."""
 
     line: int = 8192
     head: int = 32768
@@ -35,7 +35,7 @@
     keep_alive: bool = True
     expects_continue: bool = False
     body: bytes = b""
-    connection: Any = None  # the server's connection that it came on
+    connection: Any = None  # the server's connection that received it
     # Lower bound of the time at which its first byte arrived, on the hub's clock; 0 if unknown.
     earliest_arrival_us: int = 0
 
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """The head of a response."""
+    """The head of a response; field names are lower case, in order of arrival."""
 
     status: int
     fields: list[tuple[str, str]] = field(default_factory=list)
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Data:
-    """Some bytes of the body."""
+    """A part of the body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The message is complete."""
+    """The end of a message."""
 
 
 END = End()
--- a/wingbarrow/http/parse.py
+++ b/wingbarrow/http/parse.py
@@ -1,4 +1,4 @@
-"""Reading HTTP/1.1 (RFC 9112): a parser without I/O, for servers and clients, strict where leniency is a danger."""
+"""An HTTP/1.1 parser without I/O (RFC 9112), for servers and clients; strict wherever leniency is a security risk."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 _STATUS_LINE = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: ([^\x00-\x08\x0a-\x1f\x7f]*))?\r\n")
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
 _DIGITS = re.compile(rb"[0-9]{1,15}")
-_SPECIAL = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
-_NAMES: dict[bytes, str] = {}
-_MAX_NAMES = 512
-_MAX_LINE_BYTES = 1024  # of a chunk size with its extensions
+_FRAMING_FIELDS = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
+_FIELD_NAMES: dict[bytes, str] = {}
+_MAX_FIELD_NAMES = 512
+_MAX_LINE_BYTES = (
+    1024  # of a line of the chunked coding: a chunk size with its extensions, or a trailer field
+)
 
 
 class _State(Enum):
@@ -25,7 +27,7 @@
     LENGTH = auto()  # a body of known length
     CHUNK_SIZE = auto()
     CHUNK_DATA = auto()
-    CHUNK_END = auto()  # the CRLF behind a chunk
+    CHUNK_END = auto()  # the CRLF after a chunk
     TRAILERS = auto()
     UNTIL_CLOSE = auto()
     MESSAGE_END = auto()
@@ -33,10 +35,10 @@
 
 
 class Parser:
-    """One direction of a connection; `requests` chooses which heads it reads.
+    """Parses one direction of a connection: requests if `requests`, else responses.
 
-    `feed` takes bytes, `next` gives the next event or None when more bytes are needed, `feed_end` tells of the
-    end of stream. BadMessage leaves the parser broken: every later call raises it again.
+    `feed` adds bytes and `feed_end` the end of stream; `next` returns the next event, or None when it needs more
+    bytes. After a BadMessage, every later `next` raises it again.
     """
 
     def __init__(self, requests: bool, limits: Limits = Limits()) -> None:
@@ -44,33 +46,33 @@
         self._limits = limits
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._left = 0
-        self._taken = 0  # bytes of this message's body so far
+        self._remaining = 0
+        self._body_bytes = 0  # of this message so far, trailers included
         self._ended = False
-        self._searched = 0
+        self._scanned_bytes = 0
         self._error: BadMessage | None = None
         self.no_body = False  # the next response answers HEAD (RFC 9112, 6.3)
 
     @property
     def idle(self) -> bool:
-        """Between messages, with nothing received of the next."""
+        """Whether the parser is between messages and has no byte of the next one."""
         return self._state is _State.HEAD and not self._buffer
 
     @property
     def buffered(self) -> int:
-        """Bytes fed and not yet given out."""
+        """The number of bytes fed and not yet consumed by events."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; the caller stops reading while `next` has events to give."""
+        """Add bytes. The caller bounds the buffer: it should not read more while `next` returns events."""
         self._buffer += data
 
     def feed_end(self) -> None:
-        """The peer has ended its stream."""
+        """Add the end of the stream."""
         self._ended = True
 
     def next(self) -> Event | None:
-        """The next event, or None until more is fed."""
+        """The next event, or None if it needs more bytes; raises BadMessage."""
         if self._error is not None:
             raise self._error
         try:
@@ -92,21 +94,21 @@
             if state is _State.LENGTH or state is _State.CHUNK_DATA:
                 if not buffer:
                     return None
-                part = bytes(buffer[: self._left])
-                del buffer[: self._left]
-                self._left -= len(part)
-                if not self._left:
+                part = bytes(buffer[: self._remaining])
+                del buffer[: self._remaining]
+                self._remaining -= len(part)
+                if not self._remaining:
                     self._state = _State.MESSAGE_END if state is _State.LENGTH else _State.CHUNK_END
                 return Data(part)
             if state is _State.MESSAGE_END:
                 self._state = _State.HEAD
-                self._taken = self._searched = 0
+                self._body_bytes = self._scanned_bytes = 0
                 return END
             if state is _State.UNTIL_CLOSE:
                 if buffer:
                     part = bytes(buffer)
                     buffer.clear()
-                    self._count(len(part))
+                    self._count_body(len(part))
                     return Data(part)
                 if not self._ended:
                     return None
@@ -127,19 +129,19 @@
                 match = _CHUNK_SIZE.fullmatch(line)
                 if match is None:
                     raise BadMessage(400, "a bad chunk size")
-                self._left = int(match[1], 16)
-                self._count(self._left)
-                self._state = _State.CHUNK_DATA if self._left else _State.TRAILERS
-            else:  # TRAILERS: read and dropped (RFC 9110, 6.5)
+                self._remaining = int(match[1], 16)
+                self._count_body(self._remaining)
+                self._state = _State.CHUNK_DATA if self._remaining else _State.TRAILERS
+            else:  # TRAILERS: validated and discarded (RFC 9110, 6.5)
                 line = self._line()
                 if line is None:
                     return None
-                self._taken += len(line)
+                self._body_bytes += len(line)
                 if not line:
                     self._state = _State.MESSAGE_END
                 elif not _FIELD.fullmatch(line + b"\r\n"):
                     raise BadMessage(400, "a bad trailer field")
-                elif self._taken > self._limits.body + self._limits.head:
+                elif self._body_bytes > self._limits.body + self._limits.head:
                     raise BadMessage(431, "too many trailers")
 
     def _line(self) -> bytes | None:
@@ -154,19 +156,19 @@
         del self._buffer[: end + 1]
         return line
 
-    def _count(self, more: int) -> None:
-        self._taken += more
-        if self._taken > self._limits.body:
+    def _count_body(self, more: int) -> None:
+        self._body_bytes += more
+        if self._body_bytes > self._limits.body:
             raise BadMessage(413, f"a body of more than {self._limits.body} bytes")
 
     def _head(self) -> Event | None:
         buffer, limits = self._buffer, self._limits
         while buffer.startswith(b"\r\n"):  # empty lines before a message (RFC 9112, 2.2)
             del buffer[:2]
-            self._searched = 0
-        end = buffer.find(b"\r\n\r\n", max(0, self._searched - 3), limits.head)
+            self._scanned_bytes = 0
+        end = buffer.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3), limits.head)
         if end < 0:
-            self._searched = len(buffer)
+            self._scanned_bytes = len(buffer)
             if len(buffer) > limits.line and buffer.find(b"\r\n", 0, limits.line + 2) < 0:
                 raise BadMessage(414 if self._requests else 400, "the first line is too long")
             if len(buffer) >= limits.head:
@@ -174,7 +176,7 @@
             return None
         head = bytes(buffer[: end + 2])
         del buffer[: end + 4]
-        self._searched = 0
+        self._scanned_bytes = 0
         match = (_REQUEST_LINE if self._requests else _STATUS_LINE).match(head)
         first = head.find(b"\r\n")
         if first > limits.line:
@@ -182,30 +184,30 @@
         if match is None:
             raise BadMessage(400, "the first line is unreadable")
         fields: list[tuple[str, str]] = []
-        special: list[tuple[str, str]] = []  # those that decide on framing and connection
-        at, names = match.end(), _NAMES
-        for found in _FIELD.finditer(head, at):
+        framing: list[tuple[str, str]] = []  # fields that determine framing and persistence
+        position, known_names = match.end(), _FIELD_NAMES
+        for found in _FIELD.finditer(head, position):
             begin, end = found.span()
-            if begin != at:
+            if begin != position:
                 break
-            at = end
+            position = end
             raw, value = found.groups()
-            name = names.get(raw) or _name(raw)
+            name = known_names.get(raw) or _field_name(raw)
             entry = name, value.decode("latin-1")
             fields.append(entry)
-            if name in _SPECIAL:
-                special.append(entry)
+            if name in _FRAMING_FIELDS:
+                framing.append(entry)
         if len(fields) > limits.fields:
             raise BadMessage(431, f"more than {limits.fields} fields")
-        if at != len(head):
-            line = head[at : head.find(b"\r\n", at)]
-            raise BadMessage(400, _why_bad(line))
+        if position != len(head):
+            line = head[position : head.find(b"\r\n", position)]
+            raise BadMessage(400, _describe_bad_field(line))
         if self._requests:
-            return self._request(match, fields, special)
-        return self._response(match, fields, special)
+            return self._request(match, fields, framing)
+        return self._response(match, fields, framing)
 
     def _framing(self, fields: list[tuple[str, str]]) -> tuple[int | None, bool, bool, str]:
-        """Content-Length, whether chunked, whether any coding is named, and the Connection options."""
+        """Content-Length, whether the body is chunked, whether any transfer coding is given, Connection options."""
         length: int | None = None
         chunked = coded = False
         connection = ""
@@ -234,20 +236,20 @@
         return length, chunked, coded, connection
 
     def _request(
-        self, match: re.Match[bytes], fields: list[tuple[str, str]], special: list[tuple[str, str]]
+        self, match: re.Match[bytes], fields: list[tuple[str, str]], framing: list[tuple[str, str]]
     ) -> Request:
         if match[3] != b"1":
             raise BadMessage(505, "not HTTP/1.x")
         minor = int(match[4])
-        hosts = sum([name == "host" for name, _ in special])
+        hosts = sum([name == "host" for name, _ in framing])
         if hosts > 1 or (not hosts and minor >= 1):
             raise BadMessage(400, "exactly one Host field is needed")
-        length, chunked, coded, connection = self._framing(special)
+        length, chunked, coded, connection = self._framing(framing)
         if coded and minor == 0:
             raise BadMessage(400, "Transfer-Encoding in HTTP/1.0")
-        keep = _keeps(connection, minor)
+        keep = _is_persistent(connection, minor)
         expects = False
-        for name, value in special:
+        for name, value in framing:
             if name == "expect" and minor >= 1:
                 if value.lower() != "100-continue":
                     raise BadMessage(417, "an unknown expectation")
@@ -263,13 +265,13 @@
         )
 
     def _response(
-        self, match: re.Match[bytes], fields: list[tuple[str, str]], special: list[tuple[str, str]]
+        self, match: re.Match[bytes], fields: list[tuple[str, str]], framing: list[tuple[str, str]]
     ) -> Response:
         if match[1] != b"1":
             raise BadMessage(505, "not HTTP/1.x")
         status, minor = int(match[3]), int(match[2])
-        length, chunked, _, connection = self._framing(special)
-        keep = _keeps(connection, minor)
+        length, chunked, _, connection = self._framing(framing)
+        keep = _is_persistent(connection, minor)
         if status < 200 or status in (204, 304) or self.no_body:
             self._state = _State.MESSAGE_END
         elif length is None and not chunked:
@@ -282,29 +284,29 @@
         if chunked:
             self._state = _State.CHUNK_SIZE
         elif length:
-            self._left = length
-            self._count(length)
+            self._remaining = length
+            self._count_body(length)
             self._state = _State.LENGTH
         else:
             self._state = _State.MESSAGE_END
 
 
-def _keeps(connection: str, minor: int) -> bool:
+def _is_persistent(connection: str, minor: int) -> bool:
     if not connection:
         return minor >= 1
     options = [part.strip() for part in connection.split(",")]
     return "close" not in options and (minor >= 1 or "keep-alive" in options)
 
 
-def _name(raw: bytes) -> str:
-    """A field's name in lower case; those met before are kept, up to a bound."""
+def _field_name(raw: bytes) -> str:
+    """A field's name in lower case; names are cached, up to 512 of at most 64 bytes."""
     name = raw.decode("ascii").lower()
-    if len(_NAMES) < _MAX_NAMES and len(raw) <= 64:
-        _NAMES[raw] = name
+    if len(_FIELD_NAMES) < _MAX_FIELD_NAMES and len(raw) <= 64:
+        _FIELD_NAMES[raw] = name
     return name
 
 
-def _why_bad(line: bytes) -> str:
+def _describe_bad_field(line: bytes) -> str:
     if line[:1] in (b" ", b"\t"):
         return "obsolete line folding"
     if b"\r" in line or b"\n" in line:
--- a/wingbarrow/http/server.py
+++ b/wingbarrow/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: one task a connection, answers in order, every wait bounded."""
+"""An HTTP/1.1 server: one task per connection, answers in order of requests, a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a handler gives back: a whole body, or a `stream` that is called with a chunk writer."""
+    """A handler's answer: a whole body, or a `stream` callback that writes the body in chunks."""
 
     status: int
     body: bytes = b""
@@ -33,22 +33,24 @@
     message: Limits = Limits()
     head_us: int = 10 * SECOND  # from the first byte of a request to the end of its body
     idle_us: int = 60 * SECOND
-    write_us: int = 10 * SECOND  # a reader that takes nothing for so long is dropped
+    write_us: int = (
+        10 * SECOND
+    )  # of one write; a client that does not read it within this time is disconnected
 
 
 class ChunkWriter:
-    """Writes the chunks of one streamed answer."""
+    """Writes the body of a streamed answer in chunks."""
 
     def __init__(self, connection: _Connection) -> None:
         self._connection = connection
 
     def write(self, data: bytes) -> None:
-        """One chunk; raises PeerGone when the reader is gone or takes nothing for too long."""
+        """Write a chunk; raises PeerGone when the client has closed or does not read it within `write_us`."""
         self._connection.send(write_chunk(data))
 
     @property
     def gone(self) -> bool:
-        """Whether the reader has closed."""
+        """Whether the client has closed the connection."""
         return self._connection.reader_gone()
 
 
@@ -59,11 +61,13 @@
         self.server = server
         self.stream = stream
         self.parser = Parser(True, server.limits.message)
-        self._fed_us = 0  # the latest bytes fed had not come at this time
-        self._begun_us = 0  # nor had the first byte of the request that is being read
+        self._last_empty_us = 0  # lower bound of the arrival time of the latest bytes fed
+        self._request_arrival_us = (
+            0  # lower bound of the arrival time of the current request's first byte
+        )
 
     def send(self, data: bytes) -> None:
-        """Write, or drop the connection of a reader that takes nothing for too long."""
+        """Write all; resets the connection and raises PeerGone when that takes longer than `write_us`."""
         with self.server.hub.limit(self.server.limits.write_us) as scope:
             self.stream.send(data)
         if scope.caught:
@@ -72,34 +76,34 @@
             raise PeerGone("the reader takes nothing")
 
     def reader_gone(self) -> bool:
-        """Whether the client has closed, as far as its bytes tell."""
+        """Whether the connection is closed, or has unread input (taken for an end of stream) and the parser none."""
         return not self.stream.open or (not self.parser.buffered and not self.stream.is_quiet())
 
     def read(self) -> Request | None:
-        """The next whole request; None when the connection is over."""
+        """The next whole request; None when the connection has ended or is idle too long; raises BadMessage."""
         limits, hub = self.server.limits, self.server.hub
         if self.parser.idle:
             with hub.limit(limits.idle_us) as scope:
-                if not self._more():
+                if not self._receive():
                     return None
             if scope.caught:
                 return None
-        # What is left in the parser came with the latest bytes: the request before ended among them.
-        self._begun_us = self._fed_us
+        # Bytes already in the parser came with the latest read, which also held the end of the previous request.
+        self._request_arrival_us = self._last_empty_us
         with hub.limit(limits.head_us) as scope:
-            return self._whole()
+            return self._read_request()
         raise BadMessage(408, "the request took too long")
 
-    def _more(self) -> bool:
+    def _receive(self) -> bool:
         data = self.stream.receive()
         if data:
-            self._fed_us = self.stream.last_empty_us
+            self._last_empty_us = self.stream.last_empty_us
             self.parser.feed(data)
         else:
             self.parser.feed_end()
         return bool(data)
 
-    def _whole(self) -> Request | None:
+    def _read_request(self) -> Request | None:
         request: Request | None = None
         parts: list[bytes] = []
         while True:
@@ -113,7 +117,7 @@
                 ):
                     self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
                     request.expects_continue = False
-                if not self._more() and self.parser.idle:
+                if not self._receive() and self.parser.idle:
                     return None
             elif isinstance(event, Request):
                 request = event
@@ -137,7 +141,7 @@
                 return
 
     def _linger(self) -> None:
-        """Let the peer read the answer before its unread bytes would reset the connection."""
+        """Read and discard input for at most a second: closing with unread input would reset the answer in flight."""
         self.stream.end_writing()
         with self.server.hub.limit(SECOND):
             for _ in range(64):
@@ -146,7 +150,7 @@
 
     def answer(self, request: Request) -> bool:
         request.connection = self
-        request.earliest_arrival_us = self._begun_us
+        request.earliest_arrival_us = self._request_arrival_us
         answer = self.server.handle(request)
         self.server.requests += 1
         head_only, keep = request.method == "HEAD", request.keep_alive and self.server.listening
@@ -171,7 +175,7 @@
 
 
 class Server:
-    """Serves one listener with `handler`; a failing handler answers 500 and is told to `say`."""
+    """Serves one listener with `handler`; an exception of the handler is answered with 500 and logged."""
 
     def __init__(
         self,
@@ -179,34 +183,34 @@
         host: str,
         port: int,
         handler: Callable[[Request], Answer],
-        say: Callable[[str], None],
+        log: Callable[[str], None],
         limits: ServerLimits = ServerLimits(),
         refuse: Callable[[int, str], Answer] | None = None,
     ) -> None:
         self.hub = hub
         self.limits = limits
         self._handler = handler
-        self._say = say
-        self.refuse = refuse or _plain
-        self.listener: Listener = listen(hub, host, port, say)
+        self._log = log
+        self.refuse = refuse or _plain_text_answer
+        self.listener: Listener = listen(hub, host, port, log)
         self.port: int = self.listener.port
         self.listening = True
         self.connections = 0
         self.requests = self.bad_messages = self.slow_readers = self.turned_away = 0
-        self._told: deque[str] = deque(maxlen=32)
-        self._left = Signal(hub)
+        self._logged: deque[str] = deque(maxlen=32)
+        self._connection_closed = Signal(hub)
 
     def handle(self, request: Request) -> Answer:
-        """The handler's answer, whatever it does."""
+        """The handler's answer, or 500 if it raises; each different error text is logged once."""
         try:
             return self._handler(request)
         except PeerGone:
             raise
         except Exception as error:
             text = f"{request.method} {request.target.partition('?')[0]}: {type(error).__name__}: {error}"
-            if text not in self._told:
-                self._told.append(text)
-                self._say(f"a handler failed: {text}")
+            if text not in self._logged:
+                self._logged.append(text)
+                self._log(f"a request handler failed: {text}")
             return self.refuse(500, "internal error")
 
     def serve(self) -> None:
@@ -228,10 +232,10 @@
             self.connections -= 1
 
     def close(self) -> None:
-        """Stop accepting; open connections end with their present answer."""
+        """Stop accepting; open connections close after their current answer."""
         self.listening = False
         self.listener.close()
 
 
-def _plain(status: int, why: str) -> Answer:
+def _plain_text_answer(status: int, why: str) -> Answer:
     return Answer(status, why.encode(), content_type="text/plain")
--- a/wingbarrow/http/watching.py
+++ b/wingbarrow/http/watching.py
@@ -1,4 +1,4 @@
-"""The client's side of list and watch: whole lists in pages, and watch events line by line."""
+"""The client side of list and watch: lists read page by page, watch events line by line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_answer(response: Response) -> dict[str, Any]:
-    """The object of a good answer; ApiError for a Status or anything that is no object."""
+    """The JSON object of a successful answer; raises ApiError for an error Status or an invalid body."""
     try:
         value = decode(response.body)
     except ValueError as error:
@@ -30,9 +30,9 @@
 
 def as_error(status: dict[str, Any], code: int = 500) -> ApiError:
     """An ApiError from a Status object."""
-    told = status.get("code")
+    code_in_body = status.get("code")
     return ApiError(
-        told if isinstance(told, int) else code,
+        code_in_body if isinstance(code_in_body, int) else code,
         str(status.get("message", ""))[:500],
         str(status.get("reason", ""))[:100],
     )
@@ -41,7 +41,7 @@
 def call(
     pool: Pool, method: str, target: str, body: bytes | None = None, until_us: int | None = None
 ) -> dict[str, Any]:
-    """One exchange of JSON objects; CallFailed or ApiError."""
+    """Exchange JSON objects in one request; raises CallFailed or ApiError."""
     fields = [("Accept", "application/json")]
     if body is not None:
         fields.append(("Content-Type", "application/json"))
@@ -51,7 +51,7 @@
 def list_all(
     pool: Pool, path: str, query: str, limit: int, until_us: int
 ) -> tuple[list[dict[str, Any]], str]:
-    """All items, page by page, and the list's resourceVersion; ApiError, CallFailed or ValueError."""
+    """All items, page by page, and the list's resourceVersion; raises ApiError, CallFailed or ValueError."""
     items: list[dict[str, Any]] = []
     token = ""
     for _ in range(_MAX_PAGES):
@@ -72,7 +72,7 @@
 def watch(
     pool: Pool, target: str, until_us: int | None = None, silence_us: int | None = None
 ) -> Iterator[tuple[str, dict[str, Any]]]:
-    """The events of one watch as (type, object), one by one; see `watch_batches`."""
+    """The events of one watch as (type, object), singly; see `watch_batches`."""
     batches = watch_batches(pool, target, until_us, silence_us)
     try:
         for batch in batches:
@@ -84,10 +84,10 @@
 def watch_batches(
     pool: Pool, target: str, until_us: int | None = None, silence_us: int | None = None
 ) -> Iterator[list[tuple[str, dict[str, Any]]]]:
-    """The events of one watch as lists of (type, object), each list what came in one piece.
+    """The events of one watch as lists of (type, object), one list per part of the body received.
 
-    ApiError for an ERROR event or a refused watch, MaybeDone when the stream breaks, ValueError for garbage.
-    `until_us` bounds the wait for the head of the answer.
+    Raises ApiError for an ERROR event or a refused watch, MaybeDone when the stream breaks, ValueError for an
+    invalid event. `until_us` bounds the wait for the head of the answer, `silence_us` each wait for input.
     """
     response, parts = pool.stream(
         "GET", target, [("Accept", "application/json")], until_us, silence_us
--- a/wingbarrow/http/write.py
+++ b/wingbarrow/http/write.py
@@ -1,4 +1,4 @@
-"""Writing HTTP/1.1 (RFC 9112): requests, responses, chunks; bytes, no I/O."""
+"""Serializes HTTP/1.1 requests, responses and chunks to bytes (RFC 9112); no I/O."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def write_request(
     method: str, target: str, host: str, fields: list[tuple[str, str]], body: bytes | None
 ) -> bytes:
-    """A whole request."""
+    """A whole request; Content-Length is added when `body` is not None."""
     lines = [
         f"{method} {target} HTTP/1.1",
         f"Host: {host}",
@@ -53,7 +53,7 @@
     keep_alive: bool,
     head_only: bool = False,
 ) -> bytes:
-    """A whole response, or with body None the head of a chunked one."""
+    """A whole response, or with `body` None the head of a chunked one; `head_only` omits the body."""
     lines = [
         f"HTTP/1.1 {status} {PHRASES.get(status, '')}",
         *(f"{name}: {value}" for name, value in fields),
@@ -69,7 +69,7 @@
 
 
 def write_chunk(data: bytes) -> bytes:
-    """One chunk (RFC 9112, 7.1); empty data would end the body, so it gives nothing."""
+    """One chunk (RFC 9112, 7.1); b"" for empty data, since an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
--- a/wingbarrow/kube/status.py
+++ b/wingbarrow/kube/status.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """One thing wrong: the field's path, a reason of the conventions, and words."""
+    """One cause of an error: the field's path, a reason as in the API conventions, and a text for people."""
 
     field: str
     reason: str
@@ -34,7 +34,7 @@
 
 @dataclass
 class ApiError(Exception):
-    """A failure that a client is told as a Status; `retry_after_s` goes into Retry-After."""
+    """A failure that is returned to the client as a Status; `retry_after_s` is sent as Retry-After."""
 
     code: int
     message: str
@@ -76,7 +76,7 @@
 
 
 def invalid(kind: str, name: str, causes: list[Cause]) -> ApiError:
-    """422 for an object whose fields are wrong."""
+    """422 for an object with invalid fields."""
     words = ", ".join(f"{each.field}: {each.message}" for each in causes[:5])
     return ApiError(
         422, f'{kind} "{name}" is invalid: {words}', "Invalid", causes, name=name, kind=kind
@@ -84,10 +84,10 @@
 
 
 def not_found(kind: str, name: str) -> ApiError:
-    """404 for an object that is not there."""
+    """404 for an object that does not exist."""
     return ApiError(404, f'{kind} "{name}" not found', "NotFound", name=name, kind=kind)
 
 
 def expired(message: str) -> ApiError:
-    """410 for a version past the kept window."""
+    """410 for a resourceVersion older than the window of changes."""
     return ApiError(410, message, "Expired")
--- a/wingbarrow/kube/store.py
+++ b/wingbarrow/kube/store.py
@@ -1,7 +1,7 @@
-"""Objects with resourceVersions and one bounded window of events for all watchers; no I/O.
+"""Objects with resourceVersions, and one bounded window of changes that all watchers share; no I/O.
 
-Kubernetes API concepts, "Efficient detection of changes". Each object is encoded once, when it changes; a
-watcher is a position in the window and costs nothing else here.
+See Kubernetes API concepts, "Efficient detection of changes". Each object is encoded once, when it changes. A
+watcher is only a position in the window; the store keeps no state for it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from wingbarrow.kube.selectors import Test
+from wingbarrow.kube.selectors import Predicate
 from wingbarrow.kube.status import ApiError, expired
 
 _encode = msgspec.json.Encoder().encode
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Stored:
-    """An object as it was at one version."""
+    """An object as of one version."""
 
-    key: str  # namespace/name, or the name alone
+    key: str  # "namespace/name", or the name alone
     version: int
     value: dict[str, Any]
     raw: bytes
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Change:
-    """An entry of the window; `now` is None after a deletion, `before` None at an addition."""
+    """An entry of the window; `now` is None for a deletion, `before` for an addition."""
 
     version: int
     key: str
     now: Stored | None
     before: Stored | None
-    last: Stored  # what a DELETED event shows
+    last: Stored  # the object in a DELETED event
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Part of a list: objects as of one version; `more` continues it."""
+    """Part of a list as of one version; `more` is the continue token, None on the last page."""
 
     version: int
     items: list[Stored]
@@ -56,7 +56,7 @@
 
 
 class Collection:
-    """The objects of one resource and the window of their changes."""
+    """The objects of one resource and the window of their changes; `select` extracts the selectable fields."""
 
     def __init__(self, store: Store, select: Callable[[dict[str, Any]], Mapping[str, str]]) -> None:
         self._store = store
@@ -64,27 +64,27 @@
         self.objects: dict[str, Stored] = {}
         self.window: deque[Change] = deque()
         self.first = 0  # position of the window's first change
-        self.floor = store.version  # changes after this version are all in the window
+        self.floor = store.version  # the window has all changes after this version
         self.changed: list[Callable[[], None]] = []
 
     @property
     def end(self) -> int:
-        """The position behind the window's last change."""
+        """The position after the window's last change."""
         return self.first + len(self.window)
 
     def put(self, key: str, value: dict[str, Any]) -> Stored:
-        """Add or replace; gives the value its resourceVersion."""
+        """Add or replace an object; sets the resourceVersion in `value`."""
         version = self._store.advance()
         value["metadata"]["resourceVersion"] = str(version)
         labels = value["metadata"].get("labels") or {}
         stored = Stored(key, version, value, _encode(value), dict(labels), self._select(value))
         before = self.objects.get(key)
         self.objects[key] = stored
-        self._note(Change(version, key, stored, before, stored))
+        self._append(Change(version, key, stored, before, stored))
         return stored
 
     def delete(self, key: str) -> Stored | None:
-        """Remove; what was removed, at the version of its removal."""
+        """Remove an object and return it with the version of its removal; None if there is none."""
         before = self.objects.pop(key, None)
         if before is None:
             return None
@@ -94,10 +94,10 @@
             "metadata": {**before.value["metadata"], "resourceVersion": str(version)},
         }
         last = Stored(key, version, value, _encode(value), before.labels, before.fields)
-        self._note(Change(version, key, None, before, last))
+        self._append(Change(version, key, None, before, last))
         return last
 
-    def _note(self, change: Change) -> None:
+    def _append(self, change: Change) -> None:
         self.window.append(change)
         if len(self.window) > self._store.max_window:
             self.floor = self.window.popleft().version
@@ -106,20 +106,20 @@
             call()
 
     def position(self, version: int) -> int:
-        """The position of the first change after a version; ApiError 410 where the window no longer tells."""
+        """The position of the first change after a version; raises ApiError 410 if that left the window."""
         if version < self.floor:
             raise expired(f"too old resource version: {version} ({self.floor})")
-        at = len(self.window)
-        while at and self.window[at - 1].version > version:
-            at -= 1
-        return self.first + at
+        index = len(self.window)
+        while index and self.window[index - 1].version > version:
+            index -= 1
+        return self.first + index
 
-    def changes(self, position: int, most: int) -> list[Change]:
-        """Up to `most` changes from a position on; ApiError 410 where they have left the window."""
+    def changes(self, position: int, limit: int) -> list[Change]:
+        """Up to `limit` changes from a position on; raises ApiError 410 if they have left the window."""
         if position < self.first:
             raise expired("this watch fell behind the kept window of changes; list again")
-        window, at = self.window, position - self.first
-        return [window[i] for i in range(at, min(len(window), at + most))]
+        window, index = self.window, position - self.first
+        return [window[i] for i in range(index, min(len(window), index + limit))]
 
     def page(
         self,
@@ -129,7 +129,10 @@
         token: str | None,
         exact: int | None,
     ) -> Page:
-        """Objects whose key starts with `prefix`, in order of keys, as of one version for all pages."""
+        """Objects whose key starts with `prefix`, sorted by key; all pages of a list show one version.
+
+        Raises ApiError 400 for an invalid token, 410 for a version past the window, 504 for one not reached yet.
+        """
         version, after = self._store.version, ""
         if token:
             try:
@@ -174,8 +177,8 @@
 class Store:
     """Collections under one counter of versions.
 
-    `first_version` has to be above every version of an earlier life (the start's wall clock does), so that a
-    client that outlived a restart hears 410 and lists again.
+    `first_version` must exceed every version of an earlier incarnation (the wall clock at the start does), so that
+    clients which outlive a restart get 410 and list again. `max_window` is the window's length in changes.
     """
 
     def __init__(self, first_version: int, max_window: int) -> None:
@@ -184,14 +187,14 @@
         self.collections: dict[str, Collection] = {}
 
     def advance(self) -> int:
-        """The next version."""
+        """Increment the version and return it."""
         self.version += 1
         return self.version
 
     def collection(
         self, name: str, select: Callable[[dict[str, Any]], Mapping[str, str]] | None = None
     ) -> Collection:
-        """The collection of that name, made at the first call."""
+        """The collection of a name, created at the first call."""
         if name not in self.collections:
             self.collections[name] = Collection(self, select or _metadata)
         return self.collections[name]
@@ -206,7 +209,7 @@
 
 
 def parse_version(text: str | None) -> int | None:
-    """A resourceVersion; None where it is unset; ApiError 400 where it is no version of this service."""
+    """Parse a resourceVersion; None if unset; raises ApiError 400 if it is not a decimal of at most 19 digits."""
     if text is None or text == "":
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 19:
@@ -214,8 +217,8 @@
     return int(text)
 
 
-def matcher(label: Test | None, field: Test | None) -> Callable[[Stored], bool]:
-    """One test of stored objects from both kinds of selector."""
+def matcher(label: Predicate | None, field: Predicate | None) -> Callable[[Stored], bool]:
+    """One predicate on stored objects from both kinds of selector; None matches everything."""
     return lambda stored: (label is None or label(stored.labels)) and (
         field is None or field(stored.fields)
     )
@@ -224,9 +227,9 @@
 def watch_lines(
     changes: list[Change], prefix: str, match: Callable[[Stored], bool]
 ) -> Iterator[bytes]:
-    """The watch events that a client with this prefix and match sees of some changes, a line each.
+    """The watch events of some changes for a client with this prefix and predicate, one line each.
 
-    An object that stops matching is seen as DELETED, one that starts as ADDED.
+    An object that stops matching is reported as DELETED, one that starts matching as ADDED.
     """
     for change in changes:
         if not change.key.startswith(prefix):
@@ -239,5 +242,5 @@
 
 
 def event_line(kind: bytes, raw: bytes) -> bytes:
-    """One watch event."""
+    """One watch event as a line of JSON; `raw` is the encoded object."""
     return b'{"type":"%b","object":%b}\n' % (kind, raw)
