--- a/wingbarrow/http/listwatch.py
+++ b/wingbarrow/http/listwatch.py
@@ -1,4 +1,4 @@
-"""Get, list and watch of a store's collections over HTTP (Kubernetes API concepts); for fronts and simulated peers."""
+"""Get, list and watch of a store's collections over HTTP (Kubernetes API concepts); for fronts and simulations."""
 
 from __future__ import annotations
 
@@ -81,9 +81,9 @@
         self._random = random.Random(seed)
         self.watchers = 0
         self.fell_behind = 0
-        # Called after each write to a watcher, with its user agent: simulated peers record what they sent.
+        # Called after each write to a watcher, with its user agent: simulated sources record what they sent.
         self.on_write: Callable[[str, bytes], None] | None = None
-        # Called before each write; simulated peers inject faults here: it may write a part, wait, or raise PeerGone.
+        # Called before each write; simulated sources inject faults: it may write a part, wait, or raise PeerGone.
         self.before_write: Callable[[str, ChunkWriter, bytes], None] | None = None
 
     def get(self, key: str) -> Answer:
--- a/wingbarrow/http/watching.py
+++ b/wingbarrow/http/watching.py
@@ -61,12 +61,12 @@
         value = call(pool, "GET", f"{path}?{'&'.join(parts)}", until_us=until_us)
         meta, page = value.get("metadata"), value.get("items")
         if not isinstance(meta, dict) or not isinstance(page, list):
-            raise ValueError("a list without metadata or items")
+            raise ValueError(f"the list at {path[:100]} has no metadata object or no items array")
         items += [item for item in page if isinstance(item, dict)]
         token = str(meta.get("continue") or "")
         if not token:
             return items, str(meta.get("resourceVersion") or "")
-    raise ValueError(f"a list of more than {_MAX_PAGES} pages")
+    raise ValueError(f"the list at {path[:100]} has more than {_MAX_PAGES} pages")
 
 
 def watch(
@@ -107,13 +107,13 @@
             lines = (rest + part).split(b"\n")
             rest = lines.pop()
             if len(rest) > _MAX_LINE_BYTES:
-                raise ValueError("a watch event of more than 8 MiB")
+                raise ValueError(f"a watch event is longer than {_MAX_LINE_BYTES} bytes")
             batch: list[tuple[str, dict[str, Any]]] = []
             for line in lines:
                 value = decode(line)
                 kind, item = value.get("type"), value.get("object")
                 if not isinstance(kind, str) or not isinstance(item, dict):
-                    raise ValueError("a watch event without type or object")
+                    raise ValueError("a watch event needs a string `type` and an object `object`")
                 if kind == "ERROR":
                     if batch:
                         yield batch
--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -22,9 +22,8 @@
 # Longest wait of one poll. Input is known only to have arrived after the start of the poll before the one that found
 # it, so this bounds by how much its arrival time is underestimated.
 _MAX_POLL_MS = 25
-_MAX_TURN_US = (
-    10_000  # ready tasks run for at most so long before timers, urgent tasks and the poll
-)
+# How long ready tasks run before timers, urgent tasks and the poll get a turn.
+_MAX_TURN_US = 10_000
 _COMPACT_THRESHOLD = 512  # cancelled timers in the heaps above which these may be rebuilt
 
 
