--- a/benchmarks/drain_plan.py
+++ b/benchmarks/drain_plan.py
@@ -10,13 +10,20 @@
 from datetime import datetime
 
 from wingbarrow.decide.maintenance.drain_plan import MachineState, PlanOutcome, PlanRules, plan
-from wingbarrow.decide.maintenance.windows import SECOND, Selector, Series, expand_all, to_us, zone
+from wingbarrow.decide.maintenance.windows import (
+    SECOND,
+    Selector,
+    Series,
+    expand_all,
+    time_zone,
+    to_wall_us,
+)
 
 HOUR = 3600 * SECOND
 
 
 def measure(count: int, runs: int) -> dict[str, object]:
-    tz = zone("Europe/Helsinki")
+    tz = time_zone("Europe/Helsinki")
     series = Series(
         "weekly",
         datetime(2026, 1, 4, 2, 0, tzinfo=tz),
@@ -25,7 +32,7 @@
         "FREQ=WEEKLY;BYDAY=SU",
         selectors=(Selector(name="*"),),
     )
-    begin = to_us(datetime(2026, 1, 1, tzinfo=tz))
+    begin = to_wall_us(datetime(2026, 1, 1, tzinfo=tz))
     fleet = [
         MachineState(
             f"n{i}", f"r{i // 3}", "a" if i < count // 2 else "b", "small", {}, (24, 48), (10, 20)
--- a/tests/decide/maintenance/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -36,7 +36,7 @@
     Selector,
     Series,
     UnsafePolicy,
-    zone,
+    time_zone,
 )
 
 S, H = SECOND, 3600 * SECOND
@@ -70,7 +70,7 @@
 ) -> Occurrence:
     series = Series(
         title,
-        datetime(2026, 1, 1, tzinfo=zone("UTC")),
+        datetime(2026, 1, 1, tzinfo=time_zone("UTC")),
         duration,
         each or duration,
         selectors=(Selector(**(selector or {"name": "*"})),),  # type: ignore[arg-type]
--- a/tests/decide/maintenance/test_windows.py
+++ b/tests/decide/maintenance/test_windows.py
@@ -17,12 +17,12 @@
     UnsafePolicy,
     check_rule,
     expand,
-    to_us,
-    zone,
+    time_zone,
+    to_wall_us,
 )
 
 H = 3600 * SECOND
-HELSINKI = zone("Europe/Helsinki")
+HELSINKI = time_zone("Europe/Helsinki")
 
 
 def series(start: datetime, rule: str = "", duration: int = 2 * H, **more: object) -> Series:
@@ -30,7 +30,7 @@
 
 
 def us(year: int, month: int, day: int, hour: int = 0, minute: int = 0) -> int:
-    return to_us(datetime(year, month, day, hour, minute, tzinfo=zone("UTC")))
+    return to_wall_us(datetime(year, month, day, hour, minute, tzinfo=time_zone("UTC")))
 
 
 def test_a_weekly_window_keeps_its_local_hour_over_both_changes() -> None:
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -36,8 +36,8 @@
     Series,
     UnsafePolicy,
     check_rule,
-    to_us,
-    zone,
+    time_zone,
+    to_wall_us,
 )
 
 _MAX_FILE_BYTES = 4 << 20
@@ -191,8 +191,8 @@
         try:
             tz = node.props["zone"] or default_zone
             begin, end = (
-                to_us(_local(node.props["start"], tz)),
-                to_us(_local(node.props["end"], tz)),
+                to_wall_us(_local(node.props["start"], tz)),
+                to_wall_us(_local(node.props["end"], tz)),
             )
             if end <= begin:
                 raise ValueError("it ends before it starts")
@@ -242,7 +242,7 @@
         at = datetime.fromisoformat(value)
     except ValueError:
         raise ValueError(f"not a date or time such as 2026-12-06T02:00: {value[:40]!r}") from None
-    return at if at.tzinfo else at.replace(tzinfo=zone(zone_name))
+    return at if at.tzinfo else at.replace(tzinfo=time_zone(zone_name))
 
 
 def _day_or_time(value: str, zone_name: str) -> datetime | date:
@@ -372,7 +372,7 @@
 def _timed(value: datetime | date) -> datetime:
     if not isinstance(value, datetime):
         value = datetime(value.year, value.month, value.day)
-    return value if value.tzinfo else value.replace(tzinfo=zone("UTC"))
+    return value if value.tzinfo else value.replace(tzinfo=time_zone("UTC"))
 
 
 def _dates(value: Any) -> list[Any]:
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -35,7 +35,7 @@
     TrackedDrain,
     failed_zones,
 )
-from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_us
+from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_wall_us
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
 from wingbarrow.transport import Hub
 
@@ -253,7 +253,7 @@
         self._planned_us = now_us
         self._planned_for = running
         self._requested = [
-            each for each in self._requested if to_us(each.start) + each.duration_us > now_us
+            each for each in self._requested if to_wall_us(each.start) + each.duration_us > now_us
         ]
         occurrences = expand_all(
             [*self._requested, *self.calendar.series], now_us - LOOKBACK_US, now_us + HORIZON_US
--- a/wingbarrow/decide/maintenance/windows.py
+++ b/wingbarrow/decide/maintenance/windows.py
@@ -87,7 +87,7 @@
         return f"{self.series.name}@{self.start_us // SECOND}"
 
 
-def zone(name: str) -> ZoneInfo:
+def time_zone(name: str) -> ZoneInfo:
     """A time zone by its name in the IANA database; ValueError for one that is unknown."""
     try:
         return ZoneInfo(name)
@@ -95,7 +95,7 @@
         raise ValueError(f"unknown time zone: {name[:60]!r}") from None
 
 
-def to_us(local: datetime) -> int:
+def to_wall_us(local: datetime) -> int:
     """Wall microseconds of a local time with its zone."""
     # Through UTC and back: a skipped local time comes out moved forward by the gap.
     settled = local.astimezone(UTC)
@@ -121,7 +121,7 @@
     for local in _local_starts(series, from_us, until_us):
         if _is_excepted(local, series.exceptions, tz):
             continue
-        start_us = to_us(local.replace(tzinfo=tz))
+        start_us = to_wall_us(local.replace(tzinfo=tz))
         end_us = start_us + series.duration_us
         if start_us < until_us and end_us > from_us:
             found[start_us] = Occurrence(series, start_us, end_us)
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -18,8 +18,8 @@
     Series,
     UnsafePolicy,
     check_rule,
-    to_us,
-    zone,
+    time_zone,
+    to_wall_us,
 )
 
 SECOND = 1_000_000
@@ -210,7 +210,7 @@
     """The window of a canonical form; ValueError, TypeError or OverflowError where it cannot be."""
     start = datetime.fromisoformat(window.start)
     if window.zone:
-        start = start.replace(tzinfo=zone(window.zone))
+        start = start.replace(tzinfo=time_zone(window.zone))
     if start.tzinfo is None:
         raise ValueError("a start without zone or offset")
     if not 0 < window.each_us <= window.lasts_us <= MAX_LENGTH_US:
@@ -226,7 +226,7 @@
     selectors = tuple(_selector(*each) for each in window.machines)
     if not selectors or not -MAX_PRECEDENCE <= window.precedence <= MAX_PRECEDENCE:
         raise ValueError("machines, and a precedence of -1000 to 1000, are wanted")
-    to_us(start)
+    to_wall_us(start)
     return Series(
         window.name,
         start,
