--- a/tests/decide/maintenance/test_queue_model.py
+++ b/tests/decide/maintenance/test_queue_model.py
@@ -116,10 +116,10 @@
 
     @rule()
     def another_voter(self) -> None:
-        text = self.queue.text()
+        text = self.queue.snapshot()
         self.queue = SlotQueue()
         self.queue.restore(text)
-        assert self.queue.text() == text
+        assert self.queue.snapshot() == text
 
     @invariant()
     def same_states(self) -> None:
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -261,10 +261,10 @@
             request(f"{index}".rjust(253, "m"), ident=f"{index}".rjust(320, "i"), **names),
         )
     assert len(long.live()) == MAX_LIVE_SLOTS
-    assert len(long.text()) < MAX_LIVE_SLOTS * 1400 + 256 * 400
+    assert len(long.snapshot()) < MAX_LIVE_SLOTS * 1400 + 256 * 400
     restored = SlotQueue()
-    restored.restore(long.text())
-    assert restored.text() == long.text()
+    restored.restore(long.snapshot())
+    assert restored.snapshot() == long.snapshot()
 
 
 @pytest.mark.parametrize(
@@ -289,7 +289,7 @@
 def test_unreadable_entries_change_nothing() -> None:
     queue = SlotQueue()
     apply_entry(queue, "ask", request("m"))
-    text = queue.text()
+    text = queue.snapshot()
     for kind, value in (
         ("close", {"number": "x", "at_us": 1}),
         ("close", {"number": 1}),
@@ -300,7 +300,7 @@
         with pytest.raises((ValueError, KeyError, TypeError)):
             apply_entry(queue, kind, value)
     apply_entry(queue, "out", {"number": 1, "at_us": 1})
-    assert queue.text() == text
+    assert queue.snapshot() == text
 
 
 def test_a_renewal_counts_once_a_majority_has_followed_since_and_only_while_out() -> None:
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -415,7 +415,12 @@
         ],
         "blocks": (blocks.serial, blocks.is_in_doubt, blocks.incarnations, blocks.allocations),
         "sessions": sessions.log,
-        "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.slots),
+        "turns": (
+            turns.queue.last_number,
+            turns.queue.version,
+            turns.queue.outcomes,
+            turns.queue.slots,
+        ),
     }
 
 
@@ -496,7 +501,7 @@
                 13_270_000,
                 state="given-back",
                 tasks=0,
-                given=True,
+                is_given_back=True,
                 note="its window was taken back",
             ),
             4: _turn(4, _VERDICT, 13_020_000, 19_270_000, out_us=WALL_US + 18_020_000),
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -535,16 +535,16 @@
         why="calendar",
         urgency=9,
         latest_us=8,
-        asked_us=2,
+        requested_us=2,
         lasts_us=3,
         worker="worker-1",
-        state=SlotState.BACK,
+        state=SlotState.RETURNED,
         tasks=4,
         since_us=5,
         ident="w@1/node-7",
         unsafe="give-up",
         ends_us=6,
-        given=True,
+        is_given_back=True,
         note="ä",
         from_us=7,
         out_us=9,
@@ -563,8 +563,8 @@
 
 def _queue() -> SlotQueue:
     made = SlotQueue()
-    made.slots, made.last, made.version, made.clock_us = dict(TURNS), 8, 12, 99
-    made.outcomes, made.windowed = {"x": (1, ""), "y": (0, "no")}, {"00ff": 77}
+    made.slots, made.last_number, made.version, made.clock_us = dict(TURNS), 8, 12, 99
+    made.outcomes, made.calendar_deadlines_us = {"x": (1, ""), "y": (0, "no")}, {"00ff": 77}
     return made
 
 
@@ -574,7 +574,7 @@
         "agreed": AGREED.text(),
         "sessions": SESSIONS.text(),
         "blocks": _blocks().snapshot(),
-        "turns": _queue().text(),
+        "turns": _queue().snapshot(),
     }
 
 
@@ -594,9 +594,9 @@
             _of(held, "serial is_in_doubt incarnations allocations"),
             blocks.snapshot(),
         )
-    queue, whole = SlotQueue(), "slots last version clock_us outcomes windowed"
+    queue, whole = SlotQueue(), "slots last_number version clock_us outcomes calendar_deadlines_us"
     queue.restore(text)
-    return _of(queue, whole), _of(_queue(), whole), queue.text()
+    return _of(queue, whole), _of(_queue(), whole), queue.snapshot()
 
 
 def _of(value: Any, names: str) -> list[Any]:
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -234,7 +234,7 @@
     def on_outcome(self, machine: str, outcome: api.Outcome | None) -> None:
         """Record the end of an attempt, or its start (None), if this placer is the contact of the machine's trial."""
         for slot in self._member.slots.values():
-            if slot.machine != machine or slot.state != SlotState.BACK:
+            if slot.machine != machine or slot.state != SlotState.RETURNED:
                 continue
             if slot.contact != self._member.me:
                 continue
@@ -269,7 +269,7 @@
         if self._closed != self._member.closed_machines:
             self.on_slots_changed()
         for slot in list(self._member.slots.values()):
-            if slot.state != SlotState.ASKED:
+            if slot.state != SlotState.REQUESTED:
                 self._call_machine(now_us, slot)
         self._move_tasks(now_us)
 
@@ -302,7 +302,7 @@
         calls = self._calls_by_slot.setdefault(slot.number, _MachineCalls())
         if link is None or calls.is_calling or self._calls_in_progress >= MAX_CALLS:
             return
-        if slot.state == SlotState.BACK and not is_contact:
+        if slot.state == SlotState.RETURNED and not is_contact:
             return
         is_urgent = is_contact and _awaits_reply(slot, calls)
         interval_us = CONTACT_INTERVAL_US if is_urgent else OBSERVER_INTERVAL_US
@@ -317,7 +317,7 @@
 
     def _call(self, link: MachineLink, slot: KnownSlot, calls: _MachineCalls) -> None:
         try:
-            reply = link.set_closed(slot.number, slot.state != SlotState.BACK)
+            reply = link.set_closed(slot.number, slot.state != SlotState.RETURNED)
         finally:
             self._calls_in_progress -= 1
             calls.is_calling = False
@@ -364,6 +364,6 @@
 
 def _awaits_reply(slot: KnownSlot, calls: _MachineCalls) -> bool:
     """Whether the slot's next state waits for the machine's reply."""
-    if slot.state == SlotState.BACK:
+    if slot.state == SlotState.RETURNED:
         return calls.reply != MachineReply.OPEN
     return slot.state in (SlotState.CLOSING, SlotState.EMPTY)
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -176,14 +176,14 @@
         tasks = self._observations.own_tasks_at(slot.machine)
         if not self._observations.is_listed(slot.machine):
             found.unlisted.append(slot.number)
-        if slot.state == SlotState.ASKED:
+        if slot.state == SlotState.REQUESTED:
             place = self._observations.place_of(slot.machine)
             found.tasks.append((slot.number, max(0, tasks)))
             if place is not None:
                 found.places.append((slot.number, *place))
             return
         reply = self._observations.reply_for(slot.number)
-        if slot.state == SlotState.BACK:
+        if slot.state == SlotState.RETURNED:
             if reply == MachineReply.OPEN:
                 self._confirm_opened(slot, found)
             return
@@ -237,19 +237,19 @@
         return list(_changes(before, self.slots))
 
     def _closes(self, slot: KnownSlot) -> bool:
-        if slot.state == SlotState.ASKED:
+        if slot.state == SlotState.REQUESTED:
             return False
-        return slot.state != SlotState.BACK or slot.contact != self.me
+        return slot.state != SlotState.RETURNED or slot.contact != self.me
 
 
 def _changes(before: Mapping[int, KnownSlot], after: Mapping[int, KnownSlot]) -> Iterator[Notify]:
     for number, slot in after.items():
         held = before.get(number)
         is_new = held is None or (held.state, held.is_silent) != (slot.state, slot.is_silent)
-        if is_new and slot.state != SlotState.ASKED:
+        if is_new and slot.state != SlotState.REQUESTED:
             yield _notice(slot, "silent" if slot.is_silent else slot.state)
     for number, held in before.items():
-        if number not in after and held.state != SlotState.ASKED:
+        if number not in after and held.state != SlotState.REQUESTED:
             yield _notice(held, "over")
 
 
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -80,7 +80,7 @@
 
     def snapshot(self) -> str:
         """The queue's text."""
-        return self.queue.text()
+        return self.queue.snapshot()
 
     def restore(self, text: str) -> None:
         """Replace the queue's state by that of a snapshot."""
@@ -123,7 +123,7 @@
         requested = [
             each
             for each in self.queue.slots.values()
-            if each.state == SlotState.ASKED and each.region in ("", region)
+            if each.state == SlotState.REQUESTED and each.region in ("", region)
         ]
         rows = [
             (each.number, each.machine, each.state.value, self.contact(now_us, each))
@@ -232,7 +232,7 @@
             watch = self._watches.watch(current.now_us, slot.number)
             assert watch is not None
             self._watch_listing(current.now_us, slot, watch)
-            if slot.state == SlotState.ASKED:
+            if slot.state == SlotState.REQUESTED:
                 count = self._steps.counted(current.now_us, slot, watch)
                 counted += [count] if count is not None else []
             entry = self._steps.next_transition(current, slot, watch)
@@ -244,7 +244,7 @@
 
     def _watch_listing(self, now_us: int, slot: Slot, watch: SlotWatch) -> None:
         """Since when no list of its region, or of any if that is unknown yet, has a slot's machine."""
-        is_nowhere = not slot.region and slot.state == SlotState.ASKED
+        is_nowhere = not slot.region and slot.state == SlotState.REQUESTED
         if not is_nowhere and not self._reports.is_unlisted(now_us, slot.region, slot.number):
             watch.unlisted_since_us = None
         elif watch.unlisted_since_us is None:
@@ -276,13 +276,13 @@
                 yield SlotClosing(number=slot.number, at_us=current.wall_us)
                 continue
             self._steps.blocked[slot.number] = reason or "others close first"
-            is_impatient = current.wall_us - slot.asked_us >= self.timing.patience_us
+            is_impatient = current.wall_us - slot.requested_us >= self.timing.patience_us
             if is_impatient and not budgets.refusal(slot, with_slots=False):
                 budgets.take(slot)
 
     def _keep_blocked(self) -> None:
         """Drop the reasons of all but those whose state gives them outside of the queue's order."""
-        kept = (SlotState.ASKED, SlotState.EMPTY)
+        kept = (SlotState.REQUESTED, SlotState.EMPTY)
         slots = self.queue.slots
         self._steps.blocked = {
             number: reason
--- a/wingbarrow/decide/maintenance/slots.py
+++ b/wingbarrow/decide/maintenance/slots.py
@@ -51,17 +51,17 @@
 class SlotState(StrEnum):
     """The states of a slot; values are the words of the wire, of the log and of the REST API."""
 
-    ASKED = "asked"
+    REQUESTED = "asked"
     QUEUED = "queued"
     CLOSING = "closing"
     EMPTY = "empty"
     OUT = "out"
-    BACK = "back"
+    RETURNED = "back"
     DONE = "done"
     GIVEN_BACK = "given-back"
 
 
-ACTIVE_STATES = (SlotState.CLOSING, SlotState.EMPTY, SlotState.OUT, SlotState.BACK)
+ACTIVE_STATES = (SlotState.CLOSING, SlotState.EMPTY, SlotState.OUT, SlotState.RETURNED)
 ENDED_STATES = (SlotState.DONE, SlotState.GIVEN_BACK)
 
 # The state that a transition leads to, by the state before; in any other state it changes nothing.
@@ -69,14 +69,14 @@
     SlotClosing: {SlotState.QUEUED: SlotState.CLOSING},
     MachineEmptied: {SlotState.CLOSING: SlotState.EMPTY},
     MachineOut: {SlotState.EMPTY: SlotState.OUT},
-    MachineReturned: {SlotState.OUT: SlotState.BACK},
-    SlotDone: {SlotState.BACK: SlotState.DONE},
+    MachineReturned: {SlotState.OUT: SlotState.RETURNED},
+    SlotDone: {SlotState.RETURNED: SlotState.DONE},
     SlotGivenBack: {
-        SlotState.ASKED: SlotState.GIVEN_BACK,
+        SlotState.REQUESTED: SlotState.GIVEN_BACK,
         SlotState.QUEUED: SlotState.GIVEN_BACK,
-        SlotState.CLOSING: SlotState.BACK,
-        SlotState.EMPTY: SlotState.BACK,
-        SlotState.OUT: SlotState.BACK,
+        SlotState.CLOSING: SlotState.RETURNED,
+        SlotState.EMPTY: SlotState.RETURNED,
+        SlotState.OUT: SlotState.RETURNED,
     },
 }
 
@@ -96,16 +96,16 @@
     why: str  # calendar, operator, verdict
     urgency: int  # 0 to 9, the greater the sooner
     latest_us: int  # the work should have begun by then; 0: no deadline
-    asked_us: int
+    requested_us: int
     lasts_us: int
     worker: str  # the maintenance operator, which holds the slot by a lease; "": none
-    state: SlotState = SlotState.ASKED
+    state: SlotState = SlotState.REQUESTED
     tasks: int = 0  # to be moved, as placers counted before it was queued
     since_us: int = 0  # when its state began
     ident: str = ""  # of the request: one that is sent again is not taken twice
     unsafe: str = "wait"  # for tasks that must not start twice, as with calendar windows
     ends_us: int = 0  # the end of a window that may be shortened
-    given: bool = False  # it was given back, and ends as given-back
+    is_given_back: bool = False  # it was given back, and ends as given-back
     note: str = ""  # why it is in its state, for operators
     from_us: int = 0  # the machine is not given out before
     out_us: int = 0  # when the machine was given out; 0: it was not
@@ -126,9 +126,9 @@
     A slot counts as one more urgent for each AGING_PERIOD_US that began since its request. The order of two slots never
     changes as time passes, and a request that is MAX_URGENCY + 1 periods later ranks behind whatever its urgency is.
     """
-    level = slot.asked_us // AGING_PERIOD_US - slot.urgency
+    level = slot.requested_us // AGING_PERIOD_US - slot.urgency
     deadline = slot.latest_us or NO_DEADLINE
-    return level, deadline, slot.asked_us, slot.tasks, slot.machine, slot.number
+    return level, deadline, slot.requested_us, slot.tasks, slot.machine, slot.number
 
 
 class SlotQueue:
@@ -136,11 +136,12 @@
 
     def __init__(self) -> None:
         self.slots: dict[int, Slot] = {}  # live ones, and the latest ended ones
-        self.last = 0
+        self.last_number = 0
         self.version = 0  # grows with each entry that changed something
         self.clock_us = 0  # the latest time of any entry
         self.outcomes: dict[str, tuple[int, str]] = {}  # by ident: the number, or 0 and why not
-        self.windowed: dict[str, int] = {}  # digests of the calendar's requests: their latest time
+        # The latest time of each calendar request, by the digest of its ident.
+        self.calendar_deadlines_us: dict[str, int] = {}
 
     def live(self) -> list[Slot]:
         """Slots that have not ended, by number."""
@@ -173,7 +174,7 @@
             return f"{held.machine} has turn {held.number} already ({held.state})"
         if len(self.live()) >= MAX_LIVE_SLOTS:
             return f"{MAX_LIVE_SLOTS} turns are asked for and not over: more are not taken"
-        if request.is_calendar and len(self.windowed) >= MAX_CALENDAR_REQUESTS:
+        if request.is_calendar and len(self.calendar_deadlines_us) >= MAX_CALENDAR_REQUESTS:
             return (
                 f"{MAX_CALENDAR_REQUESTS} turns of windows that are not over are remembered: "
                 "more are not taken"
@@ -182,7 +183,7 @@
 
     def is_known(self, ident: str) -> bool:
         """Whether a request of that ident was taken or refused before."""
-        return ident in self.outcomes or _digest(ident) in self.windowed
+        return ident in self.outcomes or _digest(ident) in self.calendar_deadlines_us
 
     def apply(self, entry: Entry) -> None:
         """Apply a decided entry; one that does not fit the state changes nothing."""
@@ -204,21 +205,23 @@
     def _on_requested(self, request: SlotRequested, at_us: int) -> bool:
         if self.is_known(request.ident):
             return False  # sent again: it has its outcome
-        self.windowed = {digest: until for digest, until in self.windowed.items() if until > at_us}
+        self.calendar_deadlines_us = {
+            digest: until for digest, until in self.calendar_deadlines_us.items() if until > at_us
+        }
         refusal = self.refusal(request)
         if not request.is_calendar:
-            self._remember_outcome(request.ident, 0 if refusal else self.last + 1, refusal)
+            self._remember_outcome(request.ident, 0 if refusal else self.last_number + 1, refusal)
         if not refusal and request.terms is not None:
             if request.is_calendar:
-                self.windowed[_digest(request.ident)] = request.terms.latest_us
+                self.calendar_deadlines_us[_digest(request.ident)] = request.terms.latest_us
             self._add(request.ident, request.terms, at_us)
         return True
 
     def _add(self, ident: str, terms: SlotTerms, at_us: int) -> None:
         window = terms.window or WindowTerms()
-        self.last += 1
-        self.slots[self.last] = Slot(
-            number=self.last,
+        self.last_number += 1
+        self.slots[self.last_number] = Slot(
+            number=self.last_number,
             machine=terms.machine,
             region=terms.region,
             zone=terms.zone,
@@ -226,7 +229,7 @@
             why=terms.why,
             urgency=terms.urgency,
             latest_us=terms.latest_us,
-            asked_us=at_us,
+            requested_us=at_us,
             lasts_us=terms.lasts_us,
             worker=terms.worker,
             since_us=at_us,
@@ -246,7 +249,7 @@
 
     def _queue_one(self, counted: CountedSlot, at_us: int) -> bool:
         slot = self.slots.get(counted.number)
-        if slot is None or slot.state != SlotState.ASKED:
+        if slot is None or slot.state != SlotState.REQUESTED:
             return False
         slot = replace(slot, state=SlotState.QUEUED, tasks=counted.tasks, since_us=at_us)
         if counted.place is not None:
@@ -263,26 +266,26 @@
         if isinstance(entry, SlotClosing) and len(self.active()) >= MAX_ACTIVE_SLOTS:
             return False  # Danger: a placer takes a machine that its grant has no room for as open
         note = entry.note or slot.note
-        if isinstance(entry, SlotDone) and slot.given:
+        if isinstance(entry, SlotDone) and slot.is_given_back:
             state = SlotState.GIVEN_BACK
             note = slot.note or note  # why it was given back, not how its machine came back
         self.slots[entry.number] = replace(
             slot,
             state=state,
             since_us=at_us,
-            given=slot.given or isinstance(entry, SlotGivenBack),
+            is_given_back=slot.is_given_back or isinstance(entry, SlotGivenBack),
             note=note,
             out_us=at_us if state == SlotState.OUT else slot.out_us,
         )
         if state in ENDED_STATES:
             self._forget_ended()
         if entry.retry_ident:
-            self.windowed.pop(_digest(entry.retry_ident), None)
+            self.calendar_deadlines_us.pop(_digest(entry.retry_ident), None)
         return True
 
     def _on_recovered(self) -> bool:
         # Danger: of what was decided last some may be lost, and machines know its numbers.
-        self.last += RECOVERY_NUMBER_GAP
+        self.last_number += RECOVERY_NUMBER_GAP
         self.version += RECOVERY_NUMBER_GAP
         return True
 
@@ -295,29 +298,29 @@
         for _, number in ended[: max(0, len(ended) - MAX_ENDED_SLOTS)]:
             del self.slots[number]
 
-    def text(self) -> str:
+    def snapshot(self) -> str:
         """The whole state as JSON, for snapshots: under 1.4 KB a slot, so that it fits one message."""
         return json.dumps(
             {
-                "last": self.last,
+                "last": self.last_number,
                 "version": self.version,
                 "clock_us": self.clock_us,
                 "outcomes": self.outcomes,
-                "windowed": self.windowed,
+                "windowed": self.calendar_deadlines_us,
                 "turns": [astuple(each) for each in self.slots.values()],
             },
             separators=(",", ":"),
         )
 
     def restore(self, text: str) -> None:
-        """Replace the state by what `text` returned; "" is the initial state."""
+        """Replace the state by what `snapshot` returned; "" is the initial state."""
         value = json.loads(text) if text else {}
         restored = (Slot(*each) for each in value.get("turns", ()))
         self.slots = {each.number: replace(each, state=SlotState(each.state)) for each in restored}
-        self.last = value.get("last", 0)
+        self.last_number = value.get("last", 0)
         self.version = value.get("version", 0)
         self.clock_us = value.get("clock_us", 0)
-        self.windowed = dict(value.get("windowed", {}))
+        self.calendar_deadlines_us = dict(value.get("windowed", {}))
         self.outcomes = {
             ident: (number, refusal)
             for ident, (number, refusal) in value.get("outcomes", {}).items()
--- a/wingbarrow/decide/maintenance/steps.py
+++ b/wingbarrow/decide/maintenance/steps.py
@@ -73,7 +73,7 @@
             watch.unlisted_since_us is not None
             and current.now_us >= watch.unlisted_since_us + self._timing.gone_us
         )
-        if slot.state == SlotState.BACK:
+        if slot.state == SlotState.RETURNED:
             return self._of_returned(current, slot, watch, is_unlisted=is_unlisted)
         if is_unlisted and slot.state != SlotState.OUT:
             return _transition(SlotGivenBack, current, slot, "no list has such a machine")
@@ -100,7 +100,7 @@
 
     def _calendar_refusal(self, current: Round, slot: Slot) -> str:
         if current.wall_us >= slot.latest_us > 0:
-            if slot.state in (SlotState.ASKED, SlotState.QUEUED):
+            if slot.state in (SlotState.REQUESTED, SlotState.QUEUED):
                 return "its time passed before it began"
             if slot.unsafe == "give-up":
                 return "tasks that must not start twice still run"
--- a/wingbarrow/lab/fleet/workjudge.py
+++ b/wingbarrow/lab/fleet/workjudge.py
@@ -37,9 +37,9 @@
 def level(turn: Slot) -> tuple[int, int, int, int, str]:
     """The order, as the docs state it."""
     return (
-        turn.asked_us // AGE_US - turn.urgency,
+        turn.requested_us // AGE_US - turn.urgency,
         turn.latest_us or 1 << 62,
-        turn.asked_us,
+        turn.requested_us,
         turn.tasks,
         turn.machine,
     )
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -40,8 +40,8 @@
 FULL_RETRY_S = 60  # Retry-After while the queue is full
 GIVE_BACK = "give-back"
 ACTIONS = ("renew", "out-done", "back", GIVE_BACK)
-RETURNED_STATES = (SlotState.BACK, SlotState.DONE, SlotState.GIVEN_BACK)
-BLOCKABLE_STATES = (SlotState.ASKED, SlotState.QUEUED, SlotState.EMPTY)
+RETURNED_STATES = (SlotState.RETURNED, SlotState.DONE, SlotState.GIVEN_BACK)
+BLOCKABLE_STATES = (SlotState.REQUESTED, SlotState.QUEUED, SlotState.EMPTY)
 SLOT_FIELDS = (
     "number",
     "machine",
@@ -104,7 +104,7 @@
             "state": slot.state.value,
             "kind": "Turn",
             "apiVersion": API_VERSION,
-            "askedUs": slot.asked_us,
+            "askedUs": slot.requested_us,
             "latestUs": slot.latest_us,
             "lastsUs": slot.lasts_us,
             "sinceUs": slot.since_us,
@@ -195,12 +195,12 @@
     def _return_machine(self, slot: Slot, body: dict[str, Any]) -> Answer:
         if slot.state == SlotState.OUT:
             return self._transition(MachineReturned, slot, body)
-        if slot.state in (SlotState.BACK, SlotState.DONE):
+        if slot.state in (SlotState.RETURNED, SlotState.DONE):
             return self._answer(slot)  # the answer to an earlier request may have been lost
         raise ApiError(409, f"turn {slot.number} is {slot.state}, not out", "Conflict")
 
     def _give_back(self, slot: Slot, body: dict[str, Any]) -> Answer:
-        if slot.given:
+        if slot.is_given_back:
             return self._answer(slot)
         if slot.state in RETURNED_STATES:
             raise ApiError(409, f"turn {slot.number} is {slot.state} already", "Conflict")
