--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -131,7 +131,7 @@
 def without_machine_reply(self: EmptinessProof, now_us: int, number: int) -> bool:
     return now_us >= self.leading_since_us + self.timing.lapse_us() and all(
         (report := self.reports.last_report(name)) is not None and number in report.clear
-        for name in self.may_act(now_us)
+        for name in self.grant_holders(now_us)
     )
 
 
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -315,17 +315,17 @@
     leader.run(0.5)
     assert leader.scheduler.renewed_us(1) == renewed_at
     leader.run(TIMING.lease_us / SECOND - 2)
-    assert not [*leader.scheduler.silent(leader.now_us)]
+    assert not [*leader.scheduler.lapsed_operator_slots(leader.now_us)]
     leader.run(4)
-    assert [*leader.scheduler.silent(leader.now_us)] == [1] and leader.states() == {"a-1": "out"}, (
-        "it stays shut, and is told"
-    )
+    assert [*leader.scheduler.lapsed_operator_slots(leader.now_us)] == [1] and leader.states() == {
+        "a-1": "out"
+    }, "it stays shut, and is told"
     leader.scheduler.apply("give-back", {"number": 1, "at_us": WALL_US})
     leader.scheduler.renew(leader.now_us, 1)
     leader.run(1)
     assert leader.scheduler.renewed_us(1) == 0
     leader.reports["r"] = MaintenanceReport(region="r", open=(1,))
-    leader.run(TIMING.try_us / SECOND + 1)
+    leader.run(TIMING.trial_us / SECOND + 1)
     assert leader.states() == {"a-1": "given-back"}
 
 
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -41,7 +41,7 @@
 ME = "a"
 WALL_US = 1_780_000_000 * S
 LEASE_US = 4 * S
-TIMES = MaintenanceTiming(try_us=2 * S)
+TIMES = MaintenanceTiming(trial_us=2 * S)
 RULES = replace(samples.RULES, asked=(), cancelled=())
 # Against the first rules: one more try, one machine fewer. Neither allows the other; two steps lead there.
 OTHER = replace(RULES, attempts_most=5, barred=("node-7", "node-8"))
--- a/wingbarrow/core/maintenance.py
+++ b/wingbarrow/core/maintenance.py
@@ -111,7 +111,7 @@
         self._move_allowance = 0.0
         self._allowance_us = context.hub.now_us()
         self._calls_in_progress = 0
-        member.observe_by(self)
+        member.set_observations(self)
         local.drain_schedule.is_closed_by_slot = member.is_closed
 
     # Observations
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -61,7 +61,7 @@
             self._count(region, view)
         for slot in slots:
             if slot.region in views:
-                self.take(slot)
+                self.reserve(slot)
 
     def _count(self, region: str, view: RegionView) -> None:
         for zone, cell, machines in view.cells:
@@ -71,7 +71,7 @@
             self._lost_machines.add((region, machine))
             self._lost.update(places_of(region, zone, cell))
 
-    def take(self, slot: Slot) -> None:
+    def reserve(self, slot: Slot) -> None:
         """Count a slot's machine as out by it; one that is lost counts once."""
         is_lost = (slot.region, slot.machine) in self._lost_machines
         for place in places_of(slot.region, slot.zone, slot.cell):
@@ -85,12 +85,12 @@
         allowed = (each.max_out(total) for each in self._budgets.get(scope, ()))
         return min(allowed, default=total)
 
-    def refusal(self, slot: Slot, *, with_slots: bool = True, is_taken: bool = False) -> str:
+    def refusal(self, slot: Slot, *, with_slots: bool = True, is_reserved: bool = False) -> str:
         """Why a slot's machine cannot be out beside those that are, in words for operators; "" if it can.
 
-        `with_slots`: count those that are out by slots. `is_taken`: the machine counts as out already.
+        `with_slots`: count those that are out by slots. `is_reserved`: the machine counts as out already.
         """
-        is_counted = is_taken or (slot.region, slot.machine) in self._lost_machines
+        is_counted = is_reserved or (slot.region, slot.machine) in self._lost_machines
         more = 0 if is_counted else 1
         for place in places_of(slot.region, slot.zone, slot.cell):
             out = self._lost[place] + (self._by_slots[place] if with_slots else 0)
--- a/wingbarrow/decide/maintenance/drain_plan.py
+++ b/wingbarrow/decide/maintenance/drain_plan.py
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How many machines may be out at once in each place of a scope; with `share`, as a part of those there are."""
+    """How many machines may be out at once in each place of a scope; with `is_share`, as a part of those there are."""
 
     scope: Scope
-    max_unavailable: float | None = None  # a count, or with `share` a part of 1
+    max_unavailable: float | None = None  # a count, or with `is_share` a part of 1
     min_available: float | None = None
-    share: bool = False
+    is_share: bool = False
 
     def max_out(self, total: int) -> int:
         """How many of `total` may be out; shares round up, of both forms, as a PodDisruptionBudget's do."""
@@ -45,7 +45,7 @@
         return max(0, total - self._count(self.min_available or 0, total))
 
     def _count(self, limit: float, total: int) -> int:
-        return math.ceil(limit * total) if self.share else int(limit)
+        return math.ceil(limit * total) if self.is_share else int(limit)
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/maintenance/emptiness.py
+++ b/wingbarrow/decide/maintenance/emptiness.py
@@ -29,7 +29,7 @@
         """A placer may act from now on until its grant has lapsed."""
         self._grant_ends_us[placer] = now_us + self.timing.lapse_us()
 
-    def may_act(self, now_us: int) -> list[str]:
+    def grant_holders(self, now_us: int) -> list[str]:
         """Placers that may act by a grant of this leader."""
         return [name for name, until_us in self._grant_ends_us.items() if now_us < until_us]
 
@@ -43,7 +43,7 @@
         if now_us < self.leading_since_us + lapse_us:
             # Danger: a placer that was not heard from yet may act by a grant of an earlier leader.
             return "grants of an earlier leader may not have lapsed"
-        for name in self.may_act(now_us):
+        for name in self.grant_holders(now_us):
             report = self.reports.last_report(name)
             if report is None or number not in report.clear:
                 return f"placer {name} has not confirmed"
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -139,7 +139,7 @@
         self._next_request = 0
         self._closed: frozenset[str] = frozenset()
 
-    def observe_by(self, observations: LocalObservations) -> None:
+    def set_observations(self, observations: LocalObservations) -> None:
         """Report by these from now on: a placer joins its peers before it has machines."""
         self._observations = observations
 
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -1,8 +1,8 @@
 """The leader's part of maintenance: a replicated subsystem that proposes each slot's next entry.
 
-Whatever it goes by beside the log is its own and learned anew after an election: what placers reported
-(`reports`), until when each may act (`emptiness`), and who holds a slot (`watches`). A machine is given out only with
-the proof that it is empty, and only if the budgets have room for it, whatever else was lost meanwhile.
+Its state outside the log is volatile and is rebuilt after each election: the reports of placers (`reports`), until
+when each placer may act (`emptiness`), and the leases of maintenance operators (`slot_tracker`). A machine is given out
+only with the proof that it is empty, and only if the budgets allow it, counting every machine lost in the meantime.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
     SlotRequest,
 )
 from wingbarrow.decide.maintenance.reports import PlacerReports, rendezvous_weight
+from wingbarrow.decide.maintenance.slot_tracker import SlotTracker, TrackedSlot
 from wingbarrow.decide.maintenance.slots import Slot, SlotQueue, SlotState
 from wingbarrow.decide.maintenance.steps import Round, StepRules, failed_zones_note
 from wingbarrow.decide.maintenance.timing import SECOND, MaintenanceTiming
-from wingbarrow.decide.maintenance.watches import SlotWatch, SlotWatches
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
@@ -62,11 +62,11 @@
         self.timing = timing
         self.queue = SlotQueue()
         self.reserved_machines: Callable[[int, str], float] = _no_reserve  # by time and region
-        self.leads = False
+        self.is_leader = False
         self._wall_us = wall_us
-        self._reports = PlacerReports(timing.view_us)
+        self._reports = PlacerReports(timing.report_max_age_us)
         self._proof = EmptinessProof(self._reports, timing)
-        self._watches = SlotWatches(self.queue, timing)
+        self._tracker = SlotTracker(self.queue, timing)
         self._steps = StepRules(self._reports, self._proof, timing)
         self._requests: dict[str, tuple[str, SlotRequest]] = {}  # by ident: region, request
         self._contacts: dict[int, tuple[int, str]] = {}  # by slot: as of when, who
@@ -95,10 +95,10 @@
 
     def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
         """Begin anew: no report to an earlier leader counts."""
-        self.leads = is_leader
+        self.is_leader = is_leader
         self._proof.on_leadership_change(now_us)
         self._reports.clear()
-        self._watches.clear()
+        self._tracker.clear()
         self._requests = {}
         self._contacts = {}
         self._steps.blocked = {}
@@ -112,7 +112,7 @@
             if len(self._requests) < MAX_PROPOSALS and not self.queue.is_known(each.ident):
                 self._requests[each.ident] = (report.region, each)
         if sender.ident == self.me:
-            self._watches.confirm_renewals(report.at_us)
+            self._tracker.confirm_renewals(report.at_us)
 
     def response_for(self, now_us: int, requester: Requester) -> MaintenanceResponse:
         """The response that goes with a grant: its holder may act from now on until the grant has lapsed."""
@@ -136,7 +136,7 @@
         return MaintenanceResponse(
             version=self.queue.version,
             turns=tuple(rows),
-            silent=tuple(self.silent(now_us)),
+            silent=tuple(self.lapsed_operator_slots(now_us)),
             tell=self._region_reporter(now_us, region) == requester.ident,
         )
 
@@ -164,17 +164,17 @@
 
     def renew(self, now_us: int, number: int) -> None:
         """A slot's operator renews its lease; it holds it once `renewed_us` is no earlier than now."""
-        self._watches.renew(now_us, number)
+        self._tracker.renew(now_us, number)
 
     def renewed_us(self, number: int) -> int:
         """When the operator's latest confirmed renewal was made; 0 for none."""
-        return self._watches.renewed_us(number)
+        return self._tracker.renewed_us(number)
 
-    def silent(self, now_us: int) -> Iterator[int]:
+    def lapsed_operator_slots(self, now_us: int) -> Iterator[int]:
         """Slots whose machine is out and whose operator let its lease lapse."""
-        return self._watches.silent(now_us)
+        return self._tracker.lapsed_operator_slots(now_us)
 
-    def unproved(self, now_us: int, slot: Slot) -> str:
+    def missing_proof(self, now_us: int, slot: Slot) -> str:
         """What is missing for the proof that a slot's machine is empty, in words; "" if it is complete."""
         return self._proof.missing(now_us, slot.number)
 
@@ -203,7 +203,7 @@
         return proposals, now_us + ROUND_INTERVAL_US
 
     def _forget_unknown(self) -> None:
-        self._watches.forget_unknown()
+        self._tracker.forget_unknown()
         for number in self._contacts.keys() - self.queue.slots.keys():
             del self._contacts[number]
 
@@ -229,56 +229,56 @@
         entries: list[Entry] = []
         counted: list[CountedSlot] = []
         for slot in sorted(self.queue.live(), key=lambda each: each.number):
-            watch = self._watches.watch(current.now_us, slot.number)
-            assert watch is not None
-            self._watch_listing(current.now_us, slot, watch)
+            tracked = self._tracker.tracked(current.now_us, slot.number)
+            assert tracked is not None
+            self._track_listing(current.now_us, slot, tracked)
             if slot.state == SlotState.REQUESTED:
-                count = self._steps.counted(current.now_us, slot, watch)
+                count = self._steps.counted(current.now_us, slot, tracked)
                 counted += [count] if count is not None else []
-            entry = self._steps.next_transition(current, slot, watch)
+            entry = self._steps.next_transition(current, slot, tracked)
             if entry is not None:
                 entries.append(entry)
         if counted:
             entries.append(SlotsQueued(at_us=current.wall_us, slots=tuple(counted)))
         return entries
 
-    def _watch_listing(self, now_us: int, slot: Slot, watch: SlotWatch) -> None:
+    def _track_listing(self, now_us: int, slot: Slot, tracked: TrackedSlot) -> None:
         """Since when no list of its region, or of any if that is unknown yet, has a slot's machine."""
         is_nowhere = not slot.region and slot.state == SlotState.REQUESTED
         if not is_nowhere and not self._reports.is_unlisted(now_us, slot.region, slot.number):
-            watch.unlisted_since_us = None
-        elif watch.unlisted_since_us is None:
-            watch.unlisted_since_us = now_us
+            tracked.unlisted_since_us = None
+        elif tracked.unlisted_since_us is None:
+            tracked.unlisted_since_us = now_us
 
     def _closing(self, current: Round) -> Iterator[SlotClosing]:
         """The slots that close now, in the queue's order.
 
-        One that cannot close holds up nobody; but one that waited longer than `patience_us`, and could close if no slot
-        were active, keeps its capacity from those behind it.
+        A slot that cannot close does not block those behind it, unless it has waited longer than `reserve_after_us` and
+        could close if no slot were active: then its capacity stays reserved.
         """
         self._keep_blocked()
         in_reach = self._reports.views_in_reach(current.now_us)
         budgets = current.budgets
         closed = 0
         for slot in self.queue.queued():
-            watch = self._watches.watch(current.now_us, slot.number)
+            tracked = self._tracker.tracked(current.now_us, slot.number)
             if slot.region not in in_reach:
                 self._steps.blocked[slot.number] = f"region {slot.region!r} is out of reach"
                 continue
-            if watch is not None and watch.unlisted_since_us is not None:
+            if tracked is not None and tracked.unlisted_since_us is not None:
                 self._steps.blocked[slot.number] = "no list has its machine now"
                 continue
             failed = budgets.failed_zones(slot, current.rules.plan.failed_share)
             reason = failed_zones_note(failed) or budgets.refusal(slot)
             if not reason and closed < MAX_PROPOSALS:
                 closed += 1
-                budgets.take(slot)
+                budgets.reserve(slot)
                 yield SlotClosing(number=slot.number, at_us=current.wall_us)
                 continue
             self._steps.blocked[slot.number] = reason or "others close first"
-            is_impatient = current.wall_us - slot.requested_us >= self.timing.patience_us
+            is_impatient = current.wall_us - slot.requested_us >= self.timing.reserve_after_us
             if is_impatient and not budgets.refusal(slot, with_slots=False):
-                budgets.take(slot)
+                budgets.reserve(slot)
 
     def _keep_blocked(self) -> None:
         """Drop the reasons of all but those whose state gives them outside of the queue's order."""
--- a/wingbarrow/decide/maintenance/watches.py
+++ b/wingbarrow/decide/maintenance/slot_tracker.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class SlotWatch:
+class TrackedSlot:
     """What this leader knows of one slot."""
 
     since_us: int  # since when it is in its state, as far as this leader knows
@@ -27,62 +27,62 @@
     pending_renewals_us: list[int] = field(default_factory=list)  # not confirmed yet
 
 
-class SlotWatches:
+class SlotTracker:
     """One watch for each live slot, made when it is first looked at in its state."""
 
     def __init__(self, queue: SlotQueue, timing: MaintenanceTiming) -> None:
         self._queue = queue
         self._timing = timing
-        self._watches: dict[int, SlotWatch] = {}
+        self._tracked: dict[int, TrackedSlot] = {}
 
     def clear(self) -> None:
         """Forget all."""
-        self._watches = {}
+        self._tracked = {}
 
     def forget_unknown(self) -> None:
         """Forget the slots that the queue has forgotten."""
-        for number in self._watches.keys() - self._queue.slots.keys():
-            del self._watches[number]
+        for number in self._tracked.keys() - self._queue.slots.keys():
+            del self._tracked[number]
 
-    def watch(self, now_us: int, number: int) -> SlotWatch | None:
-        """The watch of a slot in its present state; None if it is not live."""
+    def tracked(self, now_us: int, number: int) -> TrackedSlot | None:
+        """What is tracked of a slot in its present state; None if it is not live."""
         slot = self._queue.slots.get(number)
         if slot is None or slot.state in ENDED_STATES:
-            self._watches.pop(number, None)
+            self._tracked.pop(number, None)
             return None
-        held = self._watches.get(number)
+        held = self._tracked.get(number)
         if held is None or held.state != slot.state:
-            held = SlotWatch(now_us, slot.state)
-            self._watches[number] = held
+            held = TrackedSlot(now_us, slot.state)
+            self._tracked[number] = held
         return held
 
     def renew(self, now_us: int, number: int) -> None:
         """Its operator renews its lease of a slot; confirmed once `renewed_us` is no earlier than now."""
-        watch = self.watch(now_us, number)
-        if watch is not None and len(watch.pending_renewals_us) < MAX_PENDING_RENEWALS:
-            watch.pending_renewals_us.append(now_us)
+        tracked = self.tracked(now_us, number)
+        if tracked is not None and len(tracked.pending_renewals_us) < MAX_PENDING_RENEWALS:
+            tracked.pending_renewals_us.append(now_us)
 
     def confirm_renewals(self, until_us: int) -> None:
         """A majority has followed this leader at a time: renewals made until then count."""
-        for number, watch in self._watches.items():
+        for number, tracked in self._tracked.items():
             slot = self._queue.slots.get(number)
-            for renewal_us in watch.pending_renewals_us:
+            for renewal_us in tracked.pending_renewals_us:
                 if renewal_us <= until_us and slot is not None and slot.state == SlotState.OUT:
-                    watch.renewed_us = max(watch.renewed_us, renewal_us)
-            watch.pending_renewals_us = [
-                each for each in watch.pending_renewals_us if each > until_us
+                    tracked.renewed_us = max(tracked.renewed_us, renewal_us)
+            tracked.pending_renewals_us = [
+                each for each in tracked.pending_renewals_us if each > until_us
             ]
 
     def renewed_us(self, number: int) -> int:
         """When the operator's latest confirmed renewal was made; 0 for none."""
-        return self._watches[number].renewed_us if number in self._watches else 0
+        return self._tracked[number].renewed_us if number in self._tracked else 0
 
-    def silent(self, now_us: int) -> Iterator[int]:
+    def lapsed_operator_slots(self, now_us: int) -> Iterator[int]:
         """Slots whose machine is out and whose operator let its lease lapse, as far as this leader knows."""
         lapse_us = drifted_us(self._timing.lease_us)
         for slot in self._queue.slots.values():
-            watch = self.watch(now_us, slot.number) if slot.state == SlotState.OUT else None
-            if watch is None or not (slot.worker or not slot.lasts_us):
+            tracked = self.tracked(now_us, slot.number) if slot.state == SlotState.OUT else None
+            if tracked is None or not (slot.worker or not slot.lasts_us):
                 continue
-            if now_us >= max(watch.since_us, watch.renewed_us) + lapse_us:
+            if now_us >= max(tracked.since_us, tracked.renewed_us) + lapse_us:
                 yield slot.number
--- a/wingbarrow/decide/maintenance/steps.py
+++ b/wingbarrow/decide/maintenance/steps.py
@@ -17,9 +17,9 @@
     SlotTransition,
 )
 from wingbarrow.decide.maintenance.reports import PlacerReports
+from wingbarrow.decide.maintenance.slot_tracker import TrackedSlot
 from wingbarrow.decide.maintenance.slots import NO_DEADLINE, Slot, SlotState, short_ident
 from wingbarrow.decide.maintenance.timing import MaintenanceTiming
-from wingbarrow.decide.maintenance.watches import SlotWatch
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 NOT_YET = "its time has not come yet"
@@ -49,7 +49,7 @@
         self._timing = timing
         self.blocked: dict[int, str] = {}
 
-    def counted(self, now_us: int, slot: Slot, watch: SlotWatch) -> CountedSlot | None:
+    def counted(self, now_us: int, slot: Slot, tracked: TrackedSlot) -> CountedSlot | None:
         """A requested slot as it is queued: once all placers of its region have counted, or had the time to."""
         region, place = slot.region, None
         if not region:
@@ -59,22 +59,22 @@
                 return None
             region = place[0]
         counts = self._reports.task_counts(now_us, region, slot.number)
-        is_waiting = now_us < watch.since_us + self._timing.count_us
+        is_waiting = now_us < tracked.since_us + self._timing.count_timeout_us
         if is_waiting and (not counts or None in counts):
             return None
         tasks = sum(each for each in counts if each is not None)
         return CountedSlot(slot.number, tasks, place)
 
     def next_transition(
-        self, current: Round, slot: Slot, watch: SlotWatch
+        self, current: Round, slot: Slot, tracked: TrackedSlot
     ) -> SlotTransition | None:
         """The transition that is due; None if the slot stays in its state, or is to be queued or closed."""
         is_unlisted = (
-            watch.unlisted_since_us is not None
-            and current.now_us >= watch.unlisted_since_us + self._timing.gone_us
+            tracked.unlisted_since_us is not None
+            and current.now_us >= tracked.unlisted_since_us + self._timing.unlisted_us
         )
         if slot.state == SlotState.RETURNED:
-            return self._of_returned(current, slot, watch, is_unlisted=is_unlisted)
+            return self._of_returned(current, slot, tracked, is_unlisted=is_unlisted)
         if is_unlisted and slot.state != SlotState.OUT:
             return _transition(SlotGivenBack, current, slot, "no list has such a machine")
         step = self._of_calendar(current, slot) if slot.why == CALENDAR else None
@@ -124,7 +124,7 @@
             return None
         reason = NOT_YET
         if current.wall_us >= slot.from_us:
-            reason = current.budgets.refusal(slot, is_taken=True)
+            reason = current.budgets.refusal(slot, is_reserved=True)
         self.blocked[slot.number] = reason
         return None if reason else _transition(MachineOut, current, slot)
 
@@ -138,7 +138,7 @@
         return _transition(MachineReturned, current, slot, "its time is over")
 
     def _of_returned(
-        self, current: Round, slot: Slot, watch: SlotWatch, *, is_unlisted: bool
+        self, current: Round, slot: Slot, tracked: TrackedSlot, *, is_unlisted: bool
     ) -> SlotTransition | None:
         number = slot.number
         reports = list(self._reports.recent(current.now_us))
@@ -151,7 +151,7 @@
         if not slot.out_us:
             return _transition(SlotDone, current, slot)  # closed in vain: nothing was done to it
         has_failed_start = any(number in each.bad for each in reports)
-        if has_failed_start or current.now_us < watch.since_us + self._timing.try_us:
+        if has_failed_start or current.now_us < tracked.since_us + self._timing.trial_us:
             return None
         return _transition(SlotDone, current, slot, "nothing was there to try it with")
 
--- a/wingbarrow/decide/maintenance/timing.py
+++ b/wingbarrow/decide/maintenance/timing.py
@@ -12,15 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceTiming:
-    """In microseconds. `grant_us` is the coordinator's; the rest is measured by the leader's own clock."""
+    """All in microseconds. `grant_us` is the coordinator's; the leader measures the rest by its own clock."""
 
     grant_us: int = 2 * SECOND
-    view_us: int = 6 * SECOND  # a placer or a region's view that is older is out of reach
-    count_us: int = 3 * SECOND  # after that a slot is queued without the counts that are missing
-    lease_us: int = 30 * SECOND  # of a maintenance operator
-    try_us: int = 30 * SECOND  # a returned machine that got nothing to start is trusted after that
-    gone_us: int = 600 * SECOND  # the slot of a machine that no list has ends after that
-    patience_us: int = 10 * AGING_PERIOD_US  # a slot that waited longer reserves its capacity
+    # A placer whose last report, or a region whose last view, is older counts as out of reach.
+    report_max_age_us: int = 6 * SECOND
+    # After this time a requested slot is queued even if task counts are still missing.
+    count_timeout_us: int = 3 * SECOND
+    # Lease of a maintenance operator on its slot.
+    lease_us: int = 30 * SECOND
+    # After this time a returned machine that received no task to start is trusted again.
+    trial_us: int = 30 * SECOND
+    # After this time the slot of a machine that is on no list ends.
+    unlisted_us: int = 600 * SECOND
+    # A queued slot that has waited longer reserves its capacity ahead of those behind it.
+    reserve_after_us: int = 10 * AGING_PERIOD_US
 
     def lapse_us(self) -> int:
         """The longest time after a grant for which its holder may act, by the leader's clock."""
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -119,7 +119,7 @@
                 Scope(scope),
                 max_unavailable=amount if kind.startswith("max") else None,
                 min_available=amount if kind.startswith("min") else None,
-                share=kind.endswith("share"),
+                is_share=kind.endswith("share"),
             )
             for scope, kind, amount in self.budgets
         )
@@ -150,7 +150,7 @@
 
 
 def _budget_of(budget: Budget) -> tuple[str, str, float]:
-    suffix = "-share" if budget.share else ""
+    suffix = "-share" if budget.is_share else ""
     if budget.max_unavailable is not None:
         return budget.scope.value, f"max{suffix}", float(budget.max_unavailable)
     return budget.scope.value, f"min{suffix}", float(budget.min_available or 0)
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -74,7 +74,7 @@
         if leader is None:
             return
         chapter, now = shop.chapters[leader], shop.clock_us(leader)
-        silent = [*chapter.silent(now)]
+        silent = [*chapter.lapsed_operator_slots(now)]
         waiting = [
             each.number for each in chapter.queue.live() if each.state in ("queued", "closing")
         ]
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -166,11 +166,11 @@
             lambda now: WALL_US + (drift.true_us(now) if drift is not None else now),
             MaintenanceTiming(
                 SECOND,
-                view_us=3 * SECOND,
-                count_us=SECOND,
+                report_max_age_us=3 * SECOND,
+                count_timeout_us=SECOND,
                 lease_us=WORKER_LEASE_US,
-                try_us=3 * SECOND,
-                gone_us=20 * SECOND,
+                trial_us=3 * SECOND,
+                unlisted_us=20 * SECOND,
             ),
         )
         side = self.sides[name] = MaintenanceMember(name, region, eyes)
@@ -409,7 +409,7 @@
                 return
             turn = chapter.queue.slots.get(self._number)
             if (
-                chapter.leads
+                chapter.is_leader
                 and turn is not None
                 and turn.state == "out"
                 and (chapter.renewed_us(self._number) >= at_leader)
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -57,7 +57,9 @@
     grant_us = MaintenanceTiming().grant_us
     if settings.agree is not None:
         grant_us = settings.agree.grant_us
-    timing = MaintenanceTiming(grant_us, view_us=3 * grant_us, count_us=grant_us * 3 // 2)
+    timing = MaintenanceTiming(
+        grant_us, report_max_age_us=3 * grant_us, count_timeout_us=grant_us * 3 // 2
+    )
     scheduler = MaintenanceScheduler(settings.name, wall_us, timing)
     member = MaintenanceMember(settings.name, settings.region, NoObservations())
     return scheduler, member
--- a/wingbarrow/peers/maintenance_api.py
+++ b/wingbarrow/peers/maintenance_api.py
@@ -114,9 +114,9 @@
         if reason and slot.state in BLOCKABLE_STATES:
             value["blocked"] = reason
         if slot.state == SlotState.CLOSING:
-            value["unproved"] = scheduler.unproved(now_us, slot)
+            value["unproved"] = scheduler.missing_proof(now_us, slot)
         if slot.state == SlotState.OUT:
-            value["silent"] = slot.number in list(scheduler.silent(now_us))
+            value["silent"] = slot.number in list(scheduler.lapsed_operator_slots(now_us))
             renewed_us = scheduler.renewed_us(slot.number)
             value["renewedAgeUs"] = now_us - renewed_us if renewed_us else None
         return value
@@ -219,7 +219,7 @@
         if slot.state != SlotState.OUT or not slot.worker or worker == slot.worker:
             return False
         return slot.number not in list(
-            self._peering.maintenance_scheduler.silent(self._hub.now_us())
+            self._peering.maintenance_scheduler.lapsed_operator_slots(self._hub.now_us())
         )
 
     def _transition(
