--- a/tests/decide/maintenance/test_drains.py
+++ b/tests/decide/maintenance/test_drains.py
@@ -1,4 +1,4 @@
-"""Plans of calendar drains and their progress: budgets, capacity, failed zones, clocks set back."""
+"""Calendar drains, their plan and their progress: budgets, capacity, failed zones, a wall clock set back."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     time_zone,
 )
 
-S, H = SECOND, 3600 * SECOND
-START = 100 * H
+HOUR = 3600 * SECOND
+START = 100 * HOUR
 
 
 def machine(number: int, **more: object) -> MachineState:
@@ -63,7 +63,7 @@
 def window(
     title: str,
     start: int = START,
-    duration: int = 2 * H,
+    duration: int = 2 * HOUR,
     each: int = 0,
     precedence: int = 0,
     **selector: str,
@@ -84,11 +84,11 @@
 
 
 def test_the_machines_of_a_cell_are_planned_one_after_another() -> None:
-    found = plan([window("w", each=H // 2, cell="r0")], FLEET, ONE_PER_RACK)
+    found = plan([window("w", each=HOUR // 2, cell="r0")], FLEET, ONE_PER_RACK)
     assert [(drain.machine, drain.start_us - START) for drain in found] == [
         ("n000", 0),
-        ("n001", H // 2),
-        ("n002", H),
+        ("n001", HOUR // 2),
+        ("n002", HOUR),
     ]
 
 
@@ -96,12 +96,12 @@
     rules = PlanRules((Budget(Scope.CELL, 2),))
     first, second = window("low", cell="r0"), window("high", precedence=5, name="n000")
     found = plan(sorted([first, second], key=lambda o: -o.series.precedence), FLEET, rules)
-    fates = {(drain.window, drain.machine): drain for drain in found}
-    assert fates["high", "n000"].outcome is PlanOutcome.PLANNED
-    assert "high" in fates["low", "n000"].reason
-    assert fates["low", "n001"].outcome is PlanOutcome.PLANNED
-    assert fates["low", "n002"].outcome is PlanOutcome.REFUSED
-    assert "2 machine(s)" in fates["low", "n002"].reason
+    by_window = {(drain.window, drain.machine): drain for drain in found}
+    assert by_window["high", "n000"].outcome is PlanOutcome.PLANNED
+    assert "high" in by_window["low", "n000"].reason
+    assert by_window["low", "n001"].outcome is PlanOutcome.PLANNED
+    assert by_window["low", "n002"].outcome is PlanOutcome.REFUSED
+    assert "2 machine(s)" in by_window["low", "n002"].reason
 
 
 def test_three_windows_that_fit_the_budget_singly_are_not_planned_together() -> None:
@@ -138,9 +138,9 @@
 
 
 def test_nothing_starts_in_a_blackout() -> None:
-    rules = PlanRules((), blackouts=(Blackout("christmas", START - H, START + H),))
+    rules = PlanRules((), blackouts=(Blackout("christmas", START - HOUR, START + HOUR),))
     found = plan(
-        [window("w", name="n001"), window("later", start=START + H, name="n002")], FLEET, rules
+        [window("w", name="n001"), window("later", start=START + HOUR, name="n002")], FLEET, rules
     )
     assert "christmas" in found[0].reason
     assert found[1].outcome is PlanOutcome.PLANNED
@@ -182,8 +182,8 @@
 )
 def test_every_plan_keeps_its_budgets_and_the_same_input_gives_the_same_plan(
     spec: list[tuple[int, int, int, dict[str, str]]],
-    cell: int,
-    whole: int,
+    cell_limit: int,
+    fleet_limit: int,
     requested: float,
     lost: set[int],
 ) -> None:
@@ -191,14 +191,14 @@
         replace(each, requested=(requested, requested), running=number not in lost)
         for number, each in enumerate(FLEET)
     ]
-    rules = PlanRules((Budget(Scope.CELL, cell), Budget(Scope.ALL, whole)))
+    rules = PlanRules((Budget(Scope.CELL, cell_limit), Budget(Scope.ALL, fleet_limit)))
     occurrences = sorted(
         (
             window(
                 f"w{i}",
-                START + at * H // 4,
-                duration * H // 4,
-                min(each, duration) * H // 4,
+                START + at * HOUR // 4,
+                duration * HOUR // 4,
+                min(each, duration) * HOUR // 4,
                 0,
                 **where,
             )
@@ -208,15 +208,17 @@
     )
     found = plan(occurrences, fleet, rules)
     assert found == plan(occurrences, list(reversed(fleet)), rules)
-    going = planned(found)
+    planned_drains = planned(found)
     running = {each.name: each for each in fleet if each.running}
-    for moment in {drain.start_us for drain in going}:
-        out = [drain.machine for drain in going if drain.start_us <= moment < drain.end_us]
-        assert len(out) == len(set(out)) <= whole
-        assert all(count <= cell for count in Counter(running[name].cell for name in out).values())
+    for moment in {drain.start_us for drain in planned_drains}:
+        out = [drain.machine for drain in planned_drains if drain.start_us <= moment < drain.end_us]
+        assert len(out) == len(set(out)) <= fleet_limit
+        assert all(
+            count <= cell_limit for count in Counter(running[name].cell for name in out).values()
+        )
         left = sum(each.size[0] for each in running.values()) - 10.0 * len(out)
         assert not out or sum(each.requested[0] for each in running.values()) <= 0.9 * left + 1e-6
-    for drain in going:
+    for drain in planned_drains:
         assert drain.machine in running
         occurrence = next(
             each
@@ -227,66 +229,66 @@
     assert all(drain.reason for drain in found if drain.outcome is PlanOutcome.REFUSED)
 
 
-# -- doing
+# -- progress of drains
 
 
-DRAIN = Drain("w", "w@1", "n001", PlanOutcome.PLANNED, START, START + H)
+DRAIN = Drain("w", "w@1", "n001", PlanOutcome.PLANNED, START, START + HOUR)
 ZONES = {"n001": "a", "n002": "b"}
 NONE: frozenset[str] = frozenset()
 
 
-def drains(
+def make_tracker(
     unsafe: UnsafePolicy = UnsafePolicy.WAIT, placers: int = 1, **policy: object
 ) -> DrainTracker:
-    held = DrainTracker(replace(DrainPolicy(), **policy), placers)  # type: ignore[arg-type]
-    held.on_plan([(DRAIN, unsafe)], START - 10 * H)
-    return held
+    tracker = DrainTracker(replace(DrainPolicy(), **policy), placers)  # type: ignore[arg-type]
+    tracker.on_plan([(DRAIN, unsafe)], START - 10 * HOUR)
+    return tracker
 
 
-def phase(held: DrainTracker) -> Phase:
-    return held.tracked[DRAIN.key].phase
+def phase(tracker: DrainTracker) -> Phase:
+    return tracker.tracked[DRAIN.key].phase
 
 
 def step(
-    held: DrainTracker,
+    tracker: DrainTracker,
     now: int,
     tasks: list[RunningTask] | None = None,
     failed: frozenset[str] = NONE,
     has_capacity: bool = True,
 ) -> DrainStep:
-    return held.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": has_capacity})
+    return tracker.step(now, {"n001": tasks or []}, ZONES, failed, {"n001": has_capacity})
 
 
 def test_a_drain_closes_for_long_tasks_then_for_all_then_is_out_then_done() -> None:
-    held = drains()
-    far = step(held, START - 2 * H)
+    tracker = make_tracker()
+    far = step(tracker, START - 2 * HOUR)
     assert far.closing == {"n001": START}
     assert not far.closed
-    assert step(held, START - 61 * S).closing == {"n001": START}
-    near = step(held, START - 60 * S)
+    assert step(tracker, START - 61 * SECOND).closing == {"n001": START}
+    near = step(tracker, START - 60 * SECOND)
     assert near.closed == {"n001"}
     assert not near.closing
-    assert step(held, START - 59 * S).changed[0].phase is Phase.OUT
-    assert step(held, START + H - 1).closed == {"n001"}
-    over = step(held, START + H)
+    assert step(tracker, START - 59 * SECOND).changed[0].phase is Phase.OUT
+    assert step(tracker, START + HOUR - 1).closed == {"n001"}
+    over = step(tracker, START + HOUR)
     assert not over.closed
     assert over.changed[0].phase is Phase.DONE
 
 
 def test_only_movable_tasks_that_would_outlive_the_start_are_moved_at_the_pace() -> None:
-    held = drains(moves=2, every_us=S)
+    tracker = make_tracker(moves=2, every_us=SECOND)
     tasks = [
-        RunningTask(1, True, START + H),
+        RunningTask(1, True, START + HOUR),
         RunningTask(2, False, None),
-        RunningTask(3, True, START - 30 * S),
+        RunningTask(3, True, START - 30 * SECOND),
         RunningTask(4, True, None),
-        RunningTask(5, True, START + 2 * H),
+        RunningTask(5, True, START + 2 * HOUR),
     ]
-    step(held, START - 61 * S, tasks)
+    step(tracker, START - 61 * SECOND, tasks)
     moved: list[int] = []
     for second in range(-60, -50):
         left = [task for task in tasks if task.request not in moved]
-        taken = step(held, START + second * S, left)
+        taken = step(tracker, START + second * SECOND, left)
         assert len(taken.moves) <= 2
         moved += taken.moves
     assert sorted(moved) == [1, 4, 5]
@@ -296,10 +298,10 @@
 def test_placers_share_the_pace_without_doubling_it() -> None:
     moved = 0
     for _ in range(4):
-        held = drains(placers=4, moves=4)
+        tracker = make_tracker(placers=4, moves=4)
         tasks = [RunningTask(number, True, None) for number in range(100)]
         for tick in range(21):
-            taken = step(held, START - 60 * S + tick * S // 2, tasks)
+            taken = step(tracker, START - 60 * SECOND + tick * SECOND // 2, tasks)
             moved += len(taken.moves)
             tasks = [task for task in tasks if task.request not in taken.moves]
     assert moved <= 4 * 10 + 4
@@ -316,90 +318,96 @@
 def test_tasks_that_must_not_start_twice_end_by_themselves_as_the_window_says(
     policy: UnsafePolicy, outcome: Phase
 ) -> None:
-    held = drains(policy)
-    batch = [RunningTask(9, False, START + H // 2)]
+    tracker = make_tracker(policy)
+    batch = [RunningTask(9, False, START + HOUR // 2)]
     for second in range(-60, 600, 10):
-        assert not step(held, START + second * S, batch).moves
-    step(held, START + H // 2, [])
-    assert phase(held) is outcome
+        assert not step(tracker, START + second * SECOND, batch).moves
+    step(tracker, START + HOUR // 2, [])
+    assert phase(tracker) is outcome
     if outcome is Phase.OUT:
-        end = held.tracked[DRAIN.key].drain.end_us
-        assert end == START + H if policy is UnsafePolicy.SHORTEN else end > START + H + 9 * 60 * S
+        end = tracker.tracked[DRAIN.key].drain.end_us
+        assert (
+            end == START + HOUR
+            if policy is UnsafePolicy.SHORTEN
+            else end > START + HOUR + 9 * 60 * SECOND
+        )
 
 
 def test_a_failed_zone_stops_drains_elsewhere_and_gives_up_those_begun() -> None:
-    held = drains()
-    assert not step(held, START - 60 * S, failed=frozenset("b")).closed
-    assert "b has failed" in held.tracked[DRAIN.key].reason
-    assert step(held, START - 50 * S).closed
-    back = drains(take_back=True)
+    tracker = make_tracker()
+    assert not step(tracker, START - 60 * SECOND, failed=frozenset("b")).closed
+    assert "b has failed" in tracker.tracked[DRAIN.key].reason
+    assert step(tracker, START - 50 * SECOND).closed
+    back = make_tracker(take_back=True)
     task = [RunningTask(1, True, None)]
-    step(back, START - 60 * S, task)
-    assert not step(back, START - 50 * S, task, frozenset("b")).closed
+    step(back, START - 60 * SECOND, task)
+    assert not step(back, START - 50 * SECOND, task, frozenset("b")).closed
     assert phase(back) is Phase.GIVEN_UP
-    lenient = drains(take_back=False)
-    step(lenient, START - 60 * S, task)
-    assert step(lenient, START - 50 * S, task, frozenset("b")).closed
-    own = drains()
-    step(own, START - 60 * S, task)
-    assert step(own, START - 50 * S, task, frozenset("a")).closed, (
-        "its own hall's failure takes nothing back"
+    lenient = make_tracker(take_back=False)
+    step(lenient, START - 60 * SECOND, task)
+    assert step(lenient, START - 50 * SECOND, task, frozenset("b")).closed
+    own = make_tracker()
+    step(own, START - 60 * SECOND, task)
+    assert step(own, START - 50 * SECOND, task, frozenset("a")).closed, (
+        "the failure of its own zone does not end a drain"
     )
 
 
 def test_without_capacity_elsewhere_a_drain_waits_and_moves_nothing() -> None:
-    held = drains()
-    assert not step(held, START - 60 * S, [RunningTask(1, True, None)], has_capacity=False).closed
-    taken = step(held, START, [RunningTask(1, True, None)], has_capacity=False)
+    tracker = make_tracker()
+    assert not step(
+        tracker, START - 60 * SECOND, [RunningTask(1, True, None)], has_capacity=False
+    ).closed
+    taken = step(tracker, START, [RunningTask(1, True, None)], has_capacity=False)
     assert taken.closed
     assert not taken.moves
-    step(held, START + H, [RunningTask(1, True, None)], has_capacity=False)
-    assert phase(held) is Phase.GIVEN_UP
-    assert "still run" in held.tracked[DRAIN.key].reason
+    step(tracker, START + HOUR, [RunningTask(1, True, None)], has_capacity=False)
+    assert phase(tracker) is Phase.GIVEN_UP
+    assert "still run" in tracker.tracked[DRAIN.key].reason
 
 
 def test_a_clock_set_back_undoes_nothing_and_a_restart_restores_the_phase() -> None:
-    held = drains()
+    tracker = make_tracker()
     task = [RunningTask(1, False, None)]
-    step(held, START - 60 * S, task)
+    step(tracker, START - 60 * SECOND, task)
     restarted = DrainTracker(DrainPolicy(), 1)
-    restarted.restore(held.tracked.values())
-    restarted.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * H)
-    assert step(restarted, START - 2 * H, task).closed
+    restarted.restore(tracker.tracked.values())
+    restarted.on_plan([(DRAIN, UnsafePolicy.WAIT)], START - 2 * HOUR)
+    assert step(restarted, START - 2 * HOUR, task).closed
     assert phase(restarted) is Phase.CLOSED
-    step(restarted, START - 2 * H, [])
+    step(restarted, START - 2 * HOUR, [])
     assert phase(restarted) is Phase.OUT
 
 
 def test_a_cancelled_drain_is_not_planned_anew() -> None:
-    held = drains()
-    step(held, START - 60 * S, [RunningTask(1, True, None)])
-    assert held.cancel(DRAIN.key, START)
-    assert not held.cancel(DRAIN.key, START)
-    assert not held.cancel("none", START)
-    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START)
-    assert phase(held) is Phase.GIVEN_UP
-    assert not step(held, START).closed
+    tracker = make_tracker()
+    step(tracker, START - 60 * SECOND, [RunningTask(1, True, None)])
+    assert tracker.cancel(DRAIN.key, START)
+    assert not tracker.cancel(DRAIN.key, START)
+    assert not tracker.cancel("none", START)
+    tracker.on_plan([(DRAIN, UnsafePolicy.WAIT)], START)
+    assert phase(tracker) is Phase.GIVEN_UP
+    assert not step(tracker, START).closed
 
 
 def test_a_pending_offer_keeps_a_machine_from_counting_as_empty() -> None:
-    held = drains()
-    step(held, START - 60 * S, [RunningTask(1, True, None, True)])
-    assert not step(held, START - 50 * S, [RunningTask(1, True, None, True)]).moves
-    assert phase(held) is Phase.CLOSED
-    step(held, START - 40 * S, [])
-    assert phase(held) is Phase.OUT
-    assert step(held, START - 30 * S, [RunningTask(1, True, None)]).moves == (1,), (
-        "a late answer's task is moved too"
+    tracker = make_tracker()
+    step(tracker, START - 60 * SECOND, [RunningTask(1, True, None, True)])
+    assert not step(tracker, START - 50 * SECOND, [RunningTask(1, True, None, True)]).moves
+    assert phase(tracker) is Phase.CLOSED
+    step(tracker, START - 40 * SECOND, [])
+    assert phase(tracker) is Phase.OUT
+    assert step(tracker, START - 30 * SECOND, [RunningTask(1, True, None)]).moves == (1,), (
+        "a task that a late answer adds is moved too"
     )
 
 
 def test_a_window_in_the_past_never_begins() -> None:
-    held = DrainTracker(DrainPolicy(), 1)
-    held.on_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * H)
-    assert not held.tracked
-    late = drains()
-    step(late, START + 2 * H)
+    tracker = DrainTracker(DrainPolicy(), 1)
+    tracker.on_plan([(DRAIN, UnsafePolicy.WAIT)], START + 2 * HOUR)
+    assert not tracker.tracked
+    late = make_tracker()
+    step(late, START + 2 * HOUR)
     assert phase(late) is Phase.GIVEN_UP
 
 
@@ -413,19 +421,21 @@
 def test_phases_only_go_forward_whatever_the_clock_does(
     moments: list[tuple[int, int, bool, bool]],
 ) -> None:
-    held = drains()
+    tracker = make_tracker()
     order = [Phase.PLANNED, Phase.CLOSED, Phase.OUT, Phase.DONE]
     last = Phase.PLANNED
     for second, tasks, failed, has_capacity in moments:
         taken = step(
-            held,
-            START + second * S,
+            tracker,
+            START + second * SECOND,
             [RunningTask(n, n == 0, None) for n in range(tasks)],
             frozenset("b") if failed else NONE,
             has_capacity,
         )
-        assert all(request == 0 for request in taken.moves), "only what may start twice is moved"
-        now = phase(held)
+        assert all(request == 0 for request in taken.moves), (
+            "only tasks that may start twice are moved"
+        )
+        now = phase(tracker)
         assert last not in ENDED_PHASES or now is last
         assert now is Phase.GIVEN_UP or order.index(now) >= order.index(last)
         last = now
--- a/tests/decide/maintenance/test_entries.py
+++ b/tests/decide/maintenance/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the log about maintenance slots: their stored JSON text, and what cannot be read."""
+"""Log entries about maintenance slots: their stored JSON text, and values that cannot be read."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     decode_entry,
 )
 
-OPERATORS_REQUEST = (
+OPERATOR_REQUEST = (
     '{"ident": "op-1", "machine": "node-4", "region": "", "zone": "", "cell": "", '
     '"why": "operator", "urgency": 5, "latest_us": 0, "lasts_us": 60, "worker": "w", "at_us": 7}'
 )
-CALENDARS_REQUEST = (
+CALENDAR_REQUEST = (
     '{"ident": "w@1/node-1", "machine": "node-1", "region": "north", "zone": "a", "cell": "b", '
     '"why": "calendar", "urgency": 4, "latest_us": 9, "lasts_us": 60, "unsafe": "shorten", '
     '"ends_us": 8, "from_us": 3, "worker": "", "at_us": 7}'
 )
 STORED = [
-    ("ask", OPERATORS_REQUEST),
-    ("ask", CALENDARS_REQUEST),
+    ("ask", OPERATOR_REQUEST),
+    ("ask", CALENDAR_REQUEST),
     ("queue", '{"turns": [[1, 2], [3, 0, "north", "a", "b"]], "at_us": 7}'),
     ("close", '{"number": 1, "at_us": 7}'),
     ("empty", '{"number": 1, "at_us": 7, "note": "", "again": ""}'),
@@ -89,7 +89,7 @@
 
 
 def test_an_invalid_request_is_read_with_its_problem_and_cannot_be_encoded() -> None:
-    value = json.loads(OPERATORS_REQUEST) | {"urgency": 10}
+    value = json.loads(OPERATOR_REQUEST) | {"urgency": 10}
     request = decode_entry("ask", value)
     assert isinstance(request, SlotRequested)
     assert request.terms is None
--- a/tests/decide/maintenance/test_queue_model.py
+++ b/tests/decide/maintenance/test_queue_model.py
@@ -1,4 +1,4 @@
-"""The slot queue against a plain model: entries in any order, snapshots, and which slots may close next."""
+"""Model-based test of the slot queue: entries in any order, snapshots, and which slots may close next."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """The model: a list of plain requests, and the latest time."""
+    """The model: a list of slots as plain dictionaries, and the latest time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.queue = SlotQueue()
-        self.plain: list[dict[str, Any]] = []
+        self.model: list[dict[str, Any]] = []
         self.clock = 0
         self.requests = 0
 
@@ -70,11 +70,11 @@
         now = self.advance(at * AGING_PERIOD_US // 2)
         if not any(
             each["machine"] == machine and each["state"] not in ("done", "given-back")
-            for each in self.plain
+            for each in self.model
         ):
-            self.plain.append(
+            self.model.append(
                 {
-                    "number": len(self.plain) + 1,
+                    "number": len(self.model) + 1,
                     "machine": machine,
                     "urgency": urgency,
                     "tasks": 0,
@@ -85,19 +85,19 @@
                 }
             )
 
-    @precondition(lambda self: self.plain)
+    @precondition(lambda self: self.model)
     @rule(data=st.data(), tasks=st.integers(0, 3), at=st.integers(0, 20))
     def count(self, data: st.DataObject, tasks: int, at: int) -> None:
-        chosen = data.draw(st.sampled_from(self.plain))
+        chosen = data.draw(st.sampled_from(self.model))
         self.apply("queue", at * SECOND, turns=[[chosen["number"], tasks], [999, 1]])
         if chosen["state"] == "asked":
             chosen["state"], chosen["tasks"] = "queued", tasks
             self.advance(at * SECOND)
 
-    @precondition(lambda self: self.plain)
+    @precondition(lambda self: self.model)
     @rule(data=st.data(), kind=st.sampled_from([*STEPS, "give-back"]), at=st.integers(0, 20))
     def step(self, data: st.DataObject, kind: str, at: int) -> None:
-        chosen = data.draw(st.sampled_from(self.plain))
+        chosen = data.draw(st.sampled_from(self.model))
         self.apply(kind, at * SECOND, number=chosen["number"])
         if kind == "give-back" and chosen["state"] in (
             "asked",
@@ -124,22 +124,22 @@
     @invariant()
     def same_states(self) -> None:
         assert {each.number: (each.machine, each.state) for each in self.queue.slots.values()} == {
-            each["number"]: (each["machine"], each["state"]) for each in self.plain
+            each["number"]: (each["machine"], each["state"]) for each in self.model
         }
 
     @invariant()
     def same_order(self) -> None:
-        waiting = [each for each in self.plain if each["state"] == "queued"]
+        waiting = [each for each in self.model if each["state"] == "queued"]
         waiting.sort(key=lambda each: each["number"])
-        for figure in ("machine", "tasks", "asked"):
-            waiting.sort(key=lambda each: each[figure])
+        for key in ("machine", "tasks", "asked"):
+            waiting.sort(key=lambda each: each[key])
         waiting.sort(key=lambda each: each["latest"] or 10**20)
         waiting.sort(key=lambda each: each["asked"] // AGING_PERIOD_US - each["urgency"])
         assert [each.number for each in self.queue.queued()] == [each["number"] for each in waiting]
 
     @invariant()
     def same_budgets(self) -> None:
-        """Whoever has room by the queue's account has it by a plain count, and the other way round."""
+        """A slot fits the budgets exactly if it fits by a plain count of the machines that are out."""
         view = RegionView(
             tuple(("z", cell, count) for cell, count in CELLS.items()), (("a0", "z", "a"),)
         )
@@ -150,7 +150,7 @@
         )
         out = {
             each["machine"]
-            for each in self.plain
+            for each in self.model
             if each["state"] in ("closing", "empty", "out", "back")
         } | {"a0"}
         for slot in self.queue.queued():
--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance on the virtual clock: hard cases, generated runs, and a judge that finds planted errors."""
+"""Simulated maintenance on a virtual clock: fault scenarios, generated runs, and checks of the judge itself."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 def wait(shop: Workshop, number: int, *states: str, seconds: int = 30) -> Slot:
     assert shop.run_until(
-        lambda: (turn := shop.turn(number)) is not None and turn.state in states,
+        lambda: (slot := shop.turn(number)) is not None and slot.state in states,
         seconds * SECOND,
         SECOND // 20,
     ), shop.turn(number)
-    turn = shop.turn(number)
-    assert turn is not None
-    return turn
+    slot = shop.turn(number)
+    assert slot is not None
+    return slot
 
 
 def request_slot(shop: Workshop, machine: str, **more: Any) -> None:
@@ -69,9 +69,9 @@
     request_slot(shop, "r0-m2")
     wait(shop, 1, "closing")
     shop.run(shop.now_us + 5 * SECOND)
-    turn = shop.turn(1)
-    assert turn is not None and turn.state == "closing", (
-        "all in reach are clear; the machine is not empty"
+    slot = shop.turn(1)
+    assert slot is not None and slot.state == "closing", (
+        "all placers in reach have confirmed; the machine is not empty"
     )
     wait(shop, 1, "out")
     assert not bench.tasks
@@ -124,7 +124,7 @@
     assert verdict.clean and verdict.done > 3 and verdict.works > 10, verdict
     assert shop.run_until(
         lambda: not shop.chapters[shop.leader() or ""].queue.live(), 120 * SECOND
-    ), "all end"
+    ), "all slots end"
     assert judged(shop).clean
 
 
@@ -135,7 +135,7 @@
     )
 
 
-def no_losses(real: Callable[..., None]) -> Callable[..., None]:
+def without_lost_machines(real: Callable[..., None]) -> Callable[..., None]:
     def made(self: BudgetUse, budgets: Any, views: dict[str, RegionView], *rest: Any) -> None:
         real(
             self, budgets, {region: replace(view, lost=()) for region, view in views.items()}, *rest
@@ -151,7 +151,7 @@
     if planted == "busy":
         monkeypatch.setattr(EmptinessProof, "is_complete", without_machine_reply)
     elif planted == "over":
-        monkeypatch.setattr(BudgetUse, "__init__", no_losses(BudgetUse.__init__))
+        monkeypatch.setattr(BudgetUse, "__init__", without_lost_machines(BudgetUse.__init__))
     else:
         real = SlotQueue.queued
         monkeypatch.setattr(SlotQueue, "queued", lambda self: real(self)[::-1])
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -1,4 +1,4 @@
-"""Maintenance slots: the scheduler of a single leader, the bounds of the queue, windows as requests."""
+"""Maintenance slots: the scheduler of a single leader, the bounds of the queue, requests from windows."""
 
 from __future__ import annotations
 
@@ -52,17 +52,20 @@
 
 
 class SoloLeader:
-    """A leader by itself: one placer for each region reports, and what it proposes is decided at once."""
+    """A single leader: one placer of each region sends reports, and proposals are decided at once."""
 
     def __init__(
         self, cells: dict[str, int], budgets: tuple[tuple[str, str, float], ...], *regions: str
     ) -> None:
-        self.now_us, self.number, self.cells = 100 * SECOND, 0, cells
+        self.now_us = 100 * SECOND
+        self.number = 0  # of the last lease request
+        self.cells = cells
         self.scheduler = MaintenanceScheduler("of-r", lambda now: WALL_US + now)
         self.rules = replace(rules(), plan=DrainPlan(budgets=budgets))
         self.reports = {region: MaintenanceReport(region=region) for region in (regions or ("r",))}
         self.lost: dict[str, tuple[tuple[str, str, str], ...]] = {}
-        self.used, self.is_silent = 0.0, False  # is_silent: machines do not reply
+        self.used = 0.0
+        self.is_silent = False  # machines do not reply
         self.view: RegionView | None = None
         self.scheduler.on_leadership_change(self.now_us, True)
         self.run(3)
@@ -125,7 +128,7 @@
     leader.scheduler.apply("back", {"number": 2, "at_us": WALL_US})
     leader.run(5)
     assert leader.states() == {"a-1": "queued", "a-2": "back"}, (
-        "one that is not tried yet counts as out"
+        "a returned machine that was not tried yet counts as out"
     )
     leader.reports["r"] = MaintenanceReport(region="r", tried=(2,))
     leader.run(5)
@@ -142,7 +145,9 @@
     assert leader.states() == {"a-1": "out", "a-2": "queued"}
     leader.lost["r"] = (("a-1", "z", "a"),)
     leader.run(5)
-    assert leader.states() == {"a-1": "out", "a-2": "out"}, "one that is out and lost counts once"
+    assert leader.states() == {"a-1": "out", "a-2": "out"}, (
+        "a machine that is both out and lost counts once"
+    )
 
 
 def test_an_empty_machine_waits_while_a_loss_spends_the_budget() -> None:
@@ -178,7 +183,7 @@
     leader.used, leader.scheduler.reserved_machines = 3.5, lambda now, region: 2.0
     leader.request_slots("a-1", "a-2", "b-1", "b-2")
     leader.run(5)
-    assert len(leader.machines_in("out")) == 2, "8 machines, 3.5 worth of work, 2 held back"
+    assert len(leader.machines_in("out")) == 2, "8 machines, a demand of 3.5, a reserve of 2"
     assert any(
         "2 of them for another region's loss" in each for each in leader.scheduler.blocked.values()
     )
@@ -309,9 +314,7 @@
     leader.run(5)
     renewed_at = leader.now_us
     leader.scheduler.renew(renewed_at, 1)
-    assert leader.scheduler.renewed_us(1) < renewed_at, (
-        "a deposed leader would hear no confirmed ask of its own"
-    )
+    assert leader.scheduler.renewed_us(1) < renewed_at, "a deposed leader would get no confirmation"
     leader.run(0.5)
     assert leader.scheduler.renewed_us(1) == renewed_at
     leader.run(TIMING.lease_us / SECOND - 2)
@@ -319,7 +322,7 @@
     leader.run(4)
     assert [*leader.scheduler.lapsed_operator_slots(leader.now_us)] == [1] and leader.states() == {
         "a-1": "out"
-    }, "it stays shut, and is told"
+    }, "the machine stays closed, and the lapse is reported"
     leader.scheduler.apply("give-back", {"number": 1, "at_us": WALL_US})
     leader.scheduler.renew(leader.now_us, 1)
     leader.run(1)
@@ -348,7 +351,7 @@
     member.on_response(0, 0, scheduler.response_for(0, Requester("p", 1, 0, 2)))
     assert member.report(0).clear == (2,)
     assert not member.on_response(0, 0, first) and member.report(0).clear == (2,), (
-        "a grant that was late changes nothing"
+        "a late grant changes nothing"
     )
 
 
@@ -392,7 +395,7 @@
         return [each.machine for each in calendar_requests(of, machines, at(text))]
 
     assert machines_at("2027-01-01T01:58:59") == []
-    assert machines_at("2027-01-01T01:59:30") == ["m0", "m1"], "m2 does not run, m3 is not meant"
+    assert machines_at("2027-01-01T01:59:30") == ["m0", "m1"], "m2 does not run, m3 is not selected"
     assert machines_at("2027-01-01T02:39:00") == ["m0", "m1"]
     assert machines_at("2027-01-01T02:40:00") == []
     one = calendar_requests(of, machines, at("2027-01-01T02:00:00"))[0]
@@ -400,11 +403,11 @@
     assert one.from_us == at("2027-01-01T02:00:00")
     assert one.latest_us == at("2027-01-01T02:40:00")
     assert machines_at("2027-01-01T02:00:00", replace(of, cancelled=(one.ident,))) == ["m1"]
-    black = replace(
+    with_blackout = replace(
         of,
         plan=DrainPlan(blackouts=(("no", at("2027-01-01T01:00:00"), at("2027-01-01T02:00:01")),)),
     )
-    assert machines_at("2027-01-01T02:00:00", black) == []
+    assert machines_at("2027-01-01T02:00:00", with_blackout) == []
 
 
 def test_a_calendar_slot_ends_by_its_duration_and_with_its_window() -> None:
@@ -432,7 +435,7 @@
     assert leader.states() == {"a-1": "out", "a-2": "out", "a-3": "out", "a-4": "given-back"}
     leader.rules = replace(leader.rules, cancelled=("patch@0/a-2",))
     leader.run(1)
-    assert leader.states()["a-2"] == "back", "opened again, and tried first"
+    assert leader.states()["a-2"] == "back", "reopened, and tried before it is done"
     leader.run(8)
     assert leader.states()["a-1"] == "back"
     assert leader.scheduler.queue.slots[1].note == "its time is over"
--- a/tests/decide/maintenance/test_windows.py
+++ b/tests/decide/maintenance/test_windows.py
@@ -1,4 +1,4 @@
-"""Windows in time: recurrence, exceptions, daylight saving, midnight, odd input."""
+"""Maintenance windows: recurrence, exceptions, daylight saving time, midnight, invalid input."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     to_wall_us,
 )
 
-H = 3600 * SECOND
+HOUR = 3600 * SECOND
 HELSINKI = time_zone("Europe/Helsinki")
 
 
-def series(start: datetime, rule: str = "", duration: int = 2 * H, **more: object) -> Series:
+def series(start: datetime, rule: str = "", duration: int = 2 * HOUR, **more: object) -> Series:
     return Series("w", start, duration, duration, rule, selectors=(Selector(name="*"),), **more)  # type: ignore[arg-type]
 
 
@@ -42,18 +42,18 @@
         us(2026, 3, 29, 2),
     ]
     assert found[-1].start_us == us(2026, 11, 8, 3)
-    assert {each.end_us - each.start_us for each in found} == {2 * H}
+    assert {each.end_us - each.start_us for each in found} == {2 * HOUR}
 
 
 def test_a_skipped_local_start_moves_forward_and_a_repeated_one_is_the_first() -> None:
-    skipped = series(datetime(2026, 3, 29, 3, 30, tzinfo=HELSINKI))  # 03:00 to 04:00 is not there
+    skipped = series(datetime(2026, 3, 29, 3, 30, tzinfo=HELSINKI))  # 03:00 to 04:00 is skipped
     assert expand(skipped, us(2026, 3, 28), us(2026, 3, 30))[0].start_us == us(2026, 3, 29, 1, 30)
     twice = series(datetime(2026, 10, 25, 3, 30, tzinfo=HELSINKI))
     assert expand(twice, us(2026, 10, 24), us(2026, 10, 26))[0].start_us == us(2026, 10, 25, 0, 30)
 
 
 def test_a_window_over_midnight_and_one_that_began_before_the_span_are_found() -> None:
-    late = series(datetime(2026, 5, 1, 23, 0, tzinfo=HELSINKI), "FREQ=DAILY", duration=5 * H)
+    late = series(datetime(2026, 5, 1, 23, 0, tzinfo=HELSINKI), "FREQ=DAILY", duration=5 * HOUR)
     found = expand(late, us(2026, 5, 2, 0), us(2026, 5, 2, 12))
     assert [each.start_us for each in found] == [us(2026, 5, 1, 20)]
 
@@ -73,7 +73,7 @@
 
 
 def test_an_endless_series_is_bounded_and_one_without_duration_has_no_occurrence() -> None:
-    hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", duration=H)
+    hourly = series(datetime(2020, 1, 1, tzinfo=HELSINKI), "FREQ=HOURLY", duration=HOUR)
     assert (
         MAX_OCCURRENCES - 4
         <= len(expand(hourly, us(2026, 1, 1), us(2030, 1, 1)))
@@ -114,7 +114,7 @@
 def test_every_part_of_a_calendar_is_read() -> None:
     read = read_kdl(CALENDAR, "c.kdl", Calendar())
     (kernel,) = read.series
-    assert kernel.each_us == H // 2
+    assert kernel.each_us == HOUR // 2
     assert kernel.unsafe is UnsafePolicy.GIVE_UP
     assert len(kernel.selectors) == 2
     assert [budget.max_out(20) for budget in read.rules.budgets] == [1, 5]
@@ -166,7 +166,7 @@
 
 def test_icalendar_events_that_name_machines_are_windows() -> None:
     (patch,) = read_ics(ICS.replace("\n", "\r\n"), "c.ics")
-    assert (patch.name, patch.duration_us, patch.each_us) == ("patch-1", 2 * H, H // 2)
+    assert (patch.name, patch.duration_us, patch.each_us) == ("patch-1", 2 * HOUR, HOUR // 2)
     found = expand(patch, us(2026, 10, 1), us(2026, 12, 1))
     assert [each.start_us for each in found] == [us(2026, 10, 17, 23), us(2026, 11, 1, 0)]
 
--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -19,7 +19,7 @@
 from wingbarrow.config.load import SettingsError
 from wingbarrow.core.saved_list import write_atomically
 from wingbarrow.decide.maintenance.drain_plan import (
-    ROUNDING,
+    FLOAT_TOLERANCE,
     Drain,
     MachineState,
     PlanOutcome,
@@ -294,7 +294,7 @@
             if machine.name not in drained:
                 own = [fill * machine.size[i] - machine.requested[i] for i in (0, 1)]
             has_capacity[machine.name] = all(
-                free[i] - own[i] >= machine.requested[i] - ROUNDING for i in (0, 1)
+                free[i] - own[i] >= machine.requested[i] - FLOAT_TOLERANCE for i in (0, 1)
             )
         return has_capacity
 
--- a/wingbarrow/decide/maintenance/budgets.py
+++ b/wingbarrow/decide/maintenance/budgets.py
@@ -1,9 +1,9 @@
-"""How many machines may be out at once: disruption budgets by cell, zone, region and fleet; no I/O.
+"""Disruption budgets: how many machines of a cell, zone, region or the fleet may be out at once; no I/O.
 
-In the terms of Kubernetes' PodDisruptionBudget (`drain_plan.Budget`), for machines. A machine counts as out once its
-slot has closed it, and as long as it is lost, ejected as an outlier or drained by the list: what spends a budget does
-not matter. Which machines belong to a place is what its region's reporter said; a region whose reporter is not heard of
-is out of reach, and neither its machines nor those of them that are out are counted.
+Budgets follow Kubernetes' PodDisruptionBudget (`drain_plan.Budget`), applied to machines. A machine counts as out from
+when its slot closes it, and for as long as it is lost, ejected as an outlier or drained by the machine list; all causes
+spend the same budget. The machines of each place are those in the last view of the region's reporter. A region without
+a recent view is out of reach: neither its machines nor the ones of them that are out are counted.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from wingbarrow.decide.maintenance.slots import Slot
 
 Place = tuple[Scope, str]
-ROUNDING = 1e-9  # what sums of shares of machines may be off by
+FLOAT_TOLERANCE = 1e-9  # rounding error allowed in sums of shares of machines
 
 
 def places_of(region: str, zone: str, cell: str) -> tuple[Place, ...]:
-    """The places in which a machine counts, the smallest first."""
+    """Return the places whose budgets count a machine, the smallest first."""
     return (
         (Scope.CELL, f"{region}/{zone}/{cell}"),
         (Scope.ZONE, f"{region}/{zone}"),
@@ -35,9 +35,10 @@
 
 
 class BudgetUse:
-    """Budgets and what is spent of them at one moment.
+    """Budgets and their use at one point in time.
 
-    `views`: of the regions in reach. `reserved_machines`: what a region keeps free for the loss of another.
+    `views`: the regions in reach. `reserved_machines`: capacity, in machines, that a region keeps free in case another
+    region is lost.
     """
 
     def __init__(
@@ -50,8 +51,8 @@
         self._views = views
         self._reserved_machines = reserved_machines
         self._totals = Counter[Place]()
-        self._lost = Counter[Place]()  # out without a slot
-        self._by_slots = Counter[Place]()  # out by a slot
+        self._lost = Counter[Place]()  # out for a cause other than a slot
+        self._by_slots = Counter[Place]()  # out because of a slot
         self._lost_machines: set[tuple[str, str]] = set()
         self._failed_zones: list[str] | None = None
         self._budgets: dict[Scope, list[Budget]] = {}
@@ -72,23 +73,23 @@
             self._lost.update(places_of(region, zone, cell))
 
     def reserve(self, slot: Slot) -> None:
-        """Count a slot's machine as out by it; one that is lost counts once."""
+        """Count a slot's machine as out; a machine that is also lost counts once."""
         is_lost = (slot.region, slot.machine) in self._lost_machines
         for place in places_of(slot.region, slot.zone, slot.cell):
             self._by_slots[place] += 1
             self._lost[place] -= is_lost
 
     def max_out(self, place: Place) -> int:
-        """How many machines of a place may be out."""
+        """Return how many machines of a place may be out at once."""
         scope, _ = place
         total = self._totals[place]
         allowed = (each.max_out(total) for each in self._budgets.get(scope, ()))
         return min(allowed, default=total)
 
     def refusal(self, slot: Slot, *, with_slots: bool = True, is_reserved: bool = False) -> str:
-        """Why a slot's machine cannot be out beside those that are, in words for operators; "" if it can.
+        """Return why a slot's machine may not be out in addition to the others, as text for operators; "" if it may.
 
-        `with_slots`: count those that are out by slots. `is_reserved`: the machine counts as out already.
+        `with_slots`: count machines that are out because of slots. `is_reserved`: `reserve` already counts this one.
         """
         is_counted = is_reserved or (slot.region, slot.machine) in self._lost_machines
         more = 0 if is_counted else 1
@@ -105,7 +106,7 @@
         return self._capacity_refusal(slot.region, more, with_slots=with_slots)
 
     def failed_zones(self, slot: Slot, failed_share: float) -> list[str]:
-        """Zones of its region, other than its own, of which at least a share is out without a slot."""
+        """Return the other zones of the slot's region of which at least a share is out without a slot."""
         if self._failed_zones is None:
             self._failed_zones = sorted(
                 name
@@ -119,15 +120,15 @@
         return [each for each in self._failed_zones if each != own and each.startswith(region)]
 
     def _capacity_refusal(self, region: str, more: int, *, with_slots: bool) -> str:
-        """Why the demand and the reserve would not fit on the machines that stay."""
+        """Return why demand and reserve would not fit on the remaining machines; "" if they fit."""
         place = (Scope.REGION, region)
         by_slots = self._by_slots[place] if with_slots else 0
         staying = self._totals[place] - self._lost[place] - by_slots - more
         reserved = self._reserved_machines(region)
         demand = self._views[region].used + reserved
-        if staying + ROUNDING >= demand:
+        if staying + FLOAT_TOLERANCE >= demand:
             return ""
         return (
-            f"{staying} machine(s) of region {region!r} would stay; {math.ceil(demand - ROUNDING)} are wanted, "
+            f"{staying} machine(s) of region {region!r} would stay; {math.ceil(demand - FLOAT_TOLERANCE)} are wanted, "
             f"{reserved:g} of them for another region's loss"
         )
--- a/wingbarrow/decide/maintenance/calendar.py
+++ b/wingbarrow/decide/maintenance/calendar.py
@@ -1,8 +1,8 @@
-"""Windows of the calendar as requests for maintenance slots, planned once for a region; no I/O.
+"""Requests for maintenance slots from the windows of the calendar, for one region; no I/O.
 
-A pure function of the windows on which placers agree, a region's machines and the wall clock. All machines of a window
-are requested as its lead begins; the queue then takes them one after another as the budgets allow. The latest time of a
-request is the window's end less the work on one machine.
+The requests are a pure function of the windows that placers agree on, the region's machines and the wall clock. All
+machines of a window are requested when its lead time begins; the queue then takes them one after another as the budgets
+allow. The latest time of a request is the window's end minus the work on one machine.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from wingbarrow.decide.rulesets.agreed_drains import series_of
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-MAX_CALENDAR_WANTED = 4096
-DEFAULT_URGENCY = 4  # of a window of precedence 0
+MAX_DUE_REQUESTS = 4096
+DEFAULT_URGENCY = 4  # for a window of precedence 0
 PRECEDENCE_PER_URGENCY = 100
 
 
 def urgency_of(precedence: int) -> int:
-    """A window's precedence as urgency: one more, or less, for each hundred that it began, below MAX_URGENCY."""
+    """Map a precedence to an urgency: one step per hundred, rounded away from zero; from 0 to MAX_URGENCY - 1."""
     rounded_up = -(-abs(precedence) // PRECEDENCE_PER_URGENCY)
     step = rounded_up if precedence > 0 else -rounded_up
     return max(0, min(MAX_URGENCY - 1, DEFAULT_URGENCY + step))
@@ -34,9 +34,9 @@
     rules: RuleSet,
     machines: Sequence[MachineState],
     wall_us: int,
-    max_requests: int = MAX_CALENDAR_WANTED,
+    max_requests: int = MAX_DUE_REQUESTS,
 ) -> list[SlotRequest]:
-    """Requests that windows make at a wall time, by window and machine's name, without those that were cancelled."""
+    """Return the requests due at a wall time, by window and machine name, without the cancelled ones."""
     return list(islice(_requests(rules, machines, wall_us), max_requests))
 
 
@@ -69,7 +69,7 @@
 
 
 def _latest_us(occurrence: Occurrence, lead_us: int) -> int:
-    """When work on a machine has to have begun; work that fills its window may begin a little later."""
+    """Latest start of work on a machine; work as long as its window gets a grace period after the window's start."""
     series = occurrence.series
     grace_us = min(lead_us, series.duration_us // 2)
     return max(occurrence.end_us - series.each_us, occurrence.start_us + grace_us)
--- a/wingbarrow/decide/maintenance/drain_plan.py
+++ b/wingbarrow/decide/maintenance/drain_plan.py
@@ -1,9 +1,9 @@
-"""The plan of calendar drains: which machine is out when, so that budgets hold and the rest has capacity; no I/O.
+"""Plans calendar drains: when each machine is out, within budgets and with enough capacity left; no I/O.
 
-A plan is a function of its input alone. Occurrences are taken in order of their start, then precedence; within one,
-machines by name. Each machine gets the first slot of its window in which every budget holds, counting whatever else is
-out then; one that gets none is refused with the reason. Budgets have the terms of Kubernetes' PodDisruptionBudget
-(minAvailable, maxUnavailable).
+A plan is a pure function of its input. Occurrences are planned by start, then precedence; the machines of one
+occurrence by name. Each machine gets the first slot of its window in which every budget holds, counting all other
+machines that are out then; a machine without such a slot is refused with the reason. Budgets use the terms of
+Kubernetes' PodDisruptionBudget (minAvailable, maxUnavailable).
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 
 from wingbarrow.decide.maintenance.windows import Blackout, Occurrence, Series
 
-KIND = "kind"  # marks the place of all machines of a kind
-ROUNDING = 1e-9  # what sums of sizes may be off by
+MACHINE_KIND = "kind"  # in a Place: all machines of one kind, instead of a scope
+FLOAT_TOLERANCE = 1e-9  # rounding error allowed in sums of sizes
 
 
 class Scope(Enum):
-    """What a budget counts over."""
+    """The set of machines that a budget applies to."""
 
     CELL = "cell"
     ZONE = "zone"
-    REGION = "region"  # where placers agree: for maintenance slots only
+    REGION = "region"  # for maintenance slots only, which placers agree on
     ALL = "all"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How many machines may be out at once in each place of a scope; with `is_share`, as a part of those there are."""
+    """How many machines of each place of a scope may be out at once: a count, or with `is_share` a share of them."""
 
     scope: Scope
-    max_unavailable: float | None = None  # a count, or with `is_share` a part of 1
+    max_unavailable: float | None = None  # a count, or with `is_share` a share from 0 to 1
     min_available: float | None = None
     is_share: bool = False
 
     def max_out(self, total: int) -> int:
-        """How many of `total` may be out; shares round up, of both forms, as a PodDisruptionBudget's do."""
+        """Return how many of `total` may be out; shares of both forms round up, as in a PodDisruptionBudget."""
         if self.max_unavailable is not None:
             return self._count(self.max_unavailable, total)
         return max(0, total - self._count(self.min_available or 0, total))
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineState:
-    """A machine as the planner sees it; size and requested are (cores, memory)."""
+    """The planner's input about a machine; `size` and `requested` are (cores, memory)."""
 
     name: str
     cell: str
@@ -64,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRules:
-    """What a plan must keep; `fill`: the share of the machines that stay which may be requested."""
+    """The constraints of a plan; `fill`: the share of the remaining machines' capacity that may be requested."""
 
     budgets: tuple[Budget, ...] = (Budget(Scope.CELL, 1), Budget(Scope.ZONE, 0.25, None, True))
     blackouts: tuple[Blackout, ...] = ()
     fill: float = 0.9
-    kinds_needed: tuple[str, ...] = ()  # kinds that some class needs: never all out at once
+    kinds_needed: tuple[str, ...] = ()  # kinds that a class requires: one machine of each stays
 
 
 class PlanOutcome(Enum):
-    """Whether a machine has a slot in a window."""
+    """Whether a machine got a slot in a window."""
 
     PLANNED = "planned"
     REFUSED = "refused"
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A machine's part in an occurrence; wall microseconds."""
+    """The drain of one machine in one occurrence; times in wall clock microseconds."""
 
     window: str
     occurrence: str
@@ -93,16 +93,16 @@
 
     @property
     def key(self) -> str:
-        """The same in every plan."""
+        """Identifies the drain; the same in every plan."""
         return f"{self.occurrence}/{self.machine}"
 
 
-Place = tuple[Scope | str, str]  # a scope's place, or a kind of machines
+Place = tuple[Scope | str, str]  # (scope, name), or (MACHINE_KIND, kind)
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A machine with the places in which it counts, and the budgets of those that have one."""
+    """A machine with the places that count it, and the limits of those places that have a budget."""
 
     machine: MachineState
     places: tuple[Place, ...]
@@ -110,8 +110,8 @@
 
 
 @dataclass(slots=True)
-class _Span:
-    """A machine that is out of service, and by which window."""
+class _Outage:
+    """The time that a machine is out of service, and the window that caused it."""
 
     start_us: int
     end_us: int
@@ -120,24 +120,24 @@
 
 
 class _Grid:
-    """The slots of one occurrence: what is out in each, by place and by size.
+    """The slots of one occurrence: how many machines, and how much capacity, are out in each.
 
-    Spans of earlier occurrences that overlap a slot count in it as a whole.
+    An outage of an earlier occurrence counts in full in every slot that it overlaps.
     """
 
-    def __init__(self, occurrence: Occurrence, earlier: Sequence[_Span]) -> None:
+    def __init__(self, occurrence: Occurrence, earlier: Sequence[_Outage]) -> None:
         series = occurrence.series
         self.slot_us = min(series.each_us or series.duration_us, series.duration_us)
         self.start_us = occurrence.start_us
         self.slots = int(series.duration_us // self.slot_us)
-        self.spans: list[_Span] = []  # of this occurrence
+        self.outages: list[_Outage] = []  # of this occurrence
         self._out: dict[Place, list[int]] = {}
         self._out_size = [[0.0, 0.0] for _ in range(self.slots)]
-        for span in earlier:
-            first = max(0, (span.start_us - self.start_us) // self.slot_us)
-            last = min(self.slots - 1, (span.end_us - 1 - self.start_us) // self.slot_us)
+        for outage in earlier:
+            first = max(0, (outage.start_us - self.start_us) // self.slot_us)
+            last = min(self.slots - 1, (outage.end_us - 1 - self.start_us) // self.slot_us)
             for slot in range(first, last + 1):
-                self._count(span.candidate, slot)
+                self._count(outage.candidate, slot)
 
     def _count(self, candidate: _Candidate, slot: int) -> None:
         cores, memory = candidate.machine.size
@@ -152,7 +152,7 @@
             out[slot] += 1
 
     def exhausted(self, candidate: _Candidate, slot: int) -> tuple[Place, int] | None:
-        """The first of a machine's places whose budget is spent in the slot, with that budget."""
+        """Return the first of a machine's places whose budget is exhausted in the slot, with its limit; else None."""
         for place, limit in candidate.limits:
             out = self._out.get(place)
             if (out[slot] if out else 0) >= limit:
@@ -160,34 +160,34 @@
         return None
 
     def fits(self, machine: MachineState, slot: int, spare: tuple[float, float]) -> bool:
-        """Whether the slot's machines and this one may be out by size."""
+        """Whether the spare capacity covers this machine in addition to those already out in the slot."""
         cores, memory = self._out_size[slot]
         return (
-            cores + machine.size[0] <= spare[0] + ROUNDING
-            and memory + machine.size[1] <= spare[1] + ROUNDING
+            cores + machine.size[0] <= spare[0] + FLOAT_TOLERANCE
+            and memory + machine.size[1] <= spare[1] + FLOAT_TOLERANCE
         )
 
-    def take(self, candidate: _Candidate, slot: int, window: str) -> _Span:
-        """Put a machine into a slot."""
+    def take(self, candidate: _Candidate, slot: int, window: str) -> _Outage:
+        """Assign a slot to a machine."""
         self._count(candidate, slot)
         begin_us = self.start_us + slot * self.slot_us
-        span = _Span(begin_us, begin_us + self.slot_us, candidate, window)
-        self.spans.append(span)
-        return span
+        outage = _Outage(begin_us, begin_us + self.slot_us, candidate, window)
+        self.outages.append(outage)
+        return outage
 
 
 def plan(
     occurrences: Sequence[Occurrence], machines: Sequence[MachineState], rules: PlanRules
 ) -> list[Drain]:
-    """The drains of all occurrences, in order; each machine planned, or refused with the reason."""
+    """Return the drains of all occurrences, in order; each machine is planned, or refused with the reason."""
     fleet = sorted((each for each in machines if each.running), key=lambda each: each.name)
     candidates = _candidates(fleet, rules)
     spare = _spare(fleet, rules.fill)
     selected: dict[int, list[_Candidate]] = {}
-    active: list[_Span] = []
+    active: list[_Outage] = []
     drains: list[Drain] = []
     for occurrence in occurrences:
-        active = [span for span in active if span.end_us > occurrence.start_us]
+        active = [outage for outage in active if outage.end_us > occurrence.start_us]
         grid = _Grid(occurrence, active)
         series = occurrence.series
         if id(series) not in selected:
@@ -198,13 +198,13 @@
             spare,
             blackout=_blackout(occurrence, rules.blackouts),
             busy={
-                span.candidate.machine.name: span
-                for span in active
-                if span.start_us < occurrence.end_us
+                outage.candidate.machine.name: outage
+                for outage in active
+                if outage.start_us < occurrence.end_us
             },
         )
         drains += [planner.drain(each) for each in selected[id(series)]]
-        active += grid.spans
+        active += grid.outages
     return drains
 
 
@@ -222,7 +222,7 @@
 
 
 def _spare(fleet: Sequence[MachineState], fill: float) -> tuple[float, float]:
-    """Cores and memory that may be out before what is requested no longer fits on the rest."""
+    """Return the cores and memory that may be out while the rest still fits what is requested."""
     size = [sum(machine.size[i] for machine in fleet) for i in (0, 1)]
     requested = [sum(machine.requested[i] for machine in fleet) for i in (0, 1)]
     return size[0] - requested[0] / fill, size[1] - requested[1] / fill
@@ -245,7 +245,7 @@
         (Scope.CELL, f"{machine.zone}/{machine.cell}"),
         (Scope.ZONE, machine.zone),
         (Scope.ALL, ""),
-        (KIND, machine.kind),
+        (MACHINE_KIND, machine.kind),
     )
 
 
@@ -253,7 +253,7 @@
     limits: dict[Place, int] = {}
     for place, total in totals.items():
         scope, name = place
-        if scope == KIND:
+        if scope == MACHINE_KIND:
             if name in rules.kinds_needed:
                 limits[place] = total - 1
             continue
@@ -269,7 +269,7 @@
 
 
 class _OccurrencePlanner:
-    """Plans the machines of one occurrence, one after another. `busy`: what earlier ones have out, by machine."""
+    """Plans the machines of one occurrence, one after another. `busy`: outages of earlier occurrences, by machine."""
 
     def __init__(
         self,
@@ -278,7 +278,7 @@
         spare: tuple[float, float],
         *,
         blackout: Blackout | None,
-        busy: Mapping[str, _Span],
+        busy: Mapping[str, _Outage],
     ) -> None:
         self._occurrence = occurrence
         self._ident = occurrence.ident
@@ -288,7 +288,7 @@
         self._busy = busy
 
     def drain(self, candidate: _Candidate) -> Drain:
-        """A machine's drain in the first slot that it fits, or refused with the reason."""
+        """Return a machine's drain in the first slot that it fits, or its refusal with the reason."""
         name = candidate.machine.name
         if self._blackout is not None:
             return self._refused(
@@ -302,7 +302,7 @@
             exhausted = self._grid.exhausted(candidate, slot)
             if exhausted is not None:
                 is_last = slot == self._grid.slots - 1
-                reason = _budget_words(*exhausted) if is_last else reason
+                reason = _budget_reason(*exhausted) if is_last else reason
             elif not self._grid.fits(candidate.machine, slot, self._spare):
                 reason = "what is asked for would not fit on the machines that stay"
             else:
@@ -311,14 +311,14 @@
 
     def _planned(self, candidate: _Candidate, slot: int) -> Drain:
         window = self._occurrence.series.name
-        span = self._grid.take(candidate, slot, window)
+        outage = self._grid.take(candidate, slot, window)
         return Drain(
             window=window,
             occurrence=self._ident,
             machine=candidate.machine.name,
             outcome=PlanOutcome.PLANNED,
-            start_us=span.start_us,
-            end_us=span.end_us,
+            start_us=outage.start_us,
+            end_us=outage.end_us,
         )
 
     def _refused(self, machine: str, reason: str) -> Drain:
@@ -333,9 +333,9 @@
         )
 
 
-def _budget_words(place: Place, limit: int) -> str:
+def _budget_reason(place: Place, limit: int) -> str:
     scope, name = place
-    if scope == KIND:
+    if scope == MACHINE_KIND:
         return f"the last machine of kind {name!r}, which a class needs"
     where = f"{scope.value} {name!r}" if isinstance(scope, Scope) and name else "the fleet"
     return f"{limit} machine(s) of {where} may be out at once"
--- a/wingbarrow/decide/maintenance/entries.py
+++ b/wingbarrow/decide/maintenance/entries.py
@@ -1,7 +1,8 @@
 """Entries of the replicated log about maintenance slots: one type for each kind, and their JSON form.
 
-Kinds and keys are those that logs on disk and snapshots hold. `decode_entry` reads what any version proposed: it takes
-numbers as `int` does and cuts texts to their bounds, and what it cannot read is a `MaintenanceEntryError`.
+Kinds and keys are the ones stored in logs on disk and in snapshots. `decode_entry` reads entries proposed by any
+version: it converts numbers by `int` and truncates texts to their bounds, and raises `MaintenanceEntryError` for an
+entry that it cannot read.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 MAX_NOTE_CHARACTERS = 160
 MAX_URGENCY = 9
 MAX_DURATION_US = 31 * 86_400_000_000
-MAX_TIME_US = 1 << 53  # the greatest integer that JSON readers agree on
-REASONS = ("calendar", "operator", "verdict")
+MAX_TIME_US = 1 << 53  # greatest integer that all JSON readers represent exactly
+REQUEST_REASONS = ("calendar", "operator", "verdict")
 CALENDAR = "calendar"
 UNSAFE_POLICIES = ("wait", "shorten", "give-up")
 PLACE_LABELS = 3  # region, zone, cell
 
 
 class MaintenanceEntryError(ValueError):
-    """An entry that cannot be read. `kind` is its kind as it stands in the log."""
+    """An entry that cannot be read. `kind`: its kind as stored in the log."""
 
     def __init__(self, kind: str, problem: str) -> None:
         super().__init__(f"entry {kind[:40]!r} of maintenance: {problem}")
@@ -33,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowTerms:
-    """What a request of the calendar or of outlier ejection adds to an operator's."""
+    """The additional terms of a request by the calendar or by outlier ejection."""
 
-    unsafe: str = "wait"  # for tasks that must not start twice: wait, shorten, give-up
-    ends_us: int = 0  # the window's end, if the slot ends with it; 0: it does not
-    from_us: int = 0  # the machine is not given out before
+    unsafe: str = "wait"  # policy for tasks that must not start twice: wait, shorten, give-up
+    ends_us: int = 0  # the window's end, if the slot ends with it; 0 otherwise
+    from_us: int = 0  # earliest time at which the machine is given out
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotTerms:
-    """A valid request. Times by the wall clock, durations in microseconds."""
+    """The terms of a valid request. Times are of the wall clock; times and durations are in microseconds."""
 
     machine: str
     region: str
@@ -53,29 +54,29 @@
     latest_us: int
     lasts_us: int
     worker: str
-    window: WindowTerms | None = None  # None where the entry has no such keys
+    window: WindowTerms | None = None  # None if the entry does not have these keys
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """Base of all entries. `at_us`: the proposing leader's wall clock."""
+    """Base of all entries. `at_us`: the wall clock of the leader that proposed the entry, in microseconds."""
 
     kind: ClassVar[str]
     at_us: int = 0
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> Self:
-        """Read the entry's JSON form; ValueError, KeyError or TypeError if that is impossible."""
+        """Decode the entry's JSON form; raise ValueError, KeyError or TypeError if it is invalid."""
         raise NotImplementedError
 
     def to_json(self) -> dict[str, Any]:
-        """The entry's JSON form, its keys in the order in which they are stored."""
+        """Return the entry's JSON form, with its keys in their stored order."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotRequested(Entry):
-    """A request to take a machine out. An invalid one has a `problem` and no `terms`: its refusal is remembered."""
+    """A request to take a machine out. An invalid one has a `problem` and no `terms`; its refusal is recorded."""
 
     kind: ClassVar[str] = "ask"
     ident: str
@@ -85,7 +86,7 @@
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> Self:
-        """Read a request, valid or not; KeyError without an ident, a reason or a time."""
+        """Decode a request, valid or not; raise KeyError if it has no ident, reason or time."""
         problem = request_problem(value)
         return cls(
             at_us=_time(value["at_us"]),
@@ -96,7 +97,7 @@
         )
 
     def to_json(self) -> dict[str, Any]:
-        """The JSON form of a valid request."""
+        """Return the JSON form of a valid request; raise MaintenanceEntryError for an invalid one."""
         terms = self.terms
         if terms is None:
             raise MaintenanceEntryError(self.kind, self.problem)
@@ -125,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedSlot:
-    """A requested slot with the tasks at its machine, and its machine's place if the request did not state it."""
+    """A requested slot with the number of tasks at its machine, and the machine's place if the request had none."""
 
     number: int
     tasks: int
@@ -134,33 +135,33 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotsQueued(Entry):
-    """Requested slots whose tasks are counted: they wait in the queue from now on."""
+    """Requested slots whose tasks have been counted: from now on they wait in the queue."""
 
     kind: ClassVar[str] = "queue"
     slots: tuple[CountedSlot, ...]
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> Self:
-        """Read all slots, or raise."""
+        """Decode all slots, or raise as `Entry.from_json` does."""
         return cls(at_us=_time(value["at_us"]), slots=tuple(_counted(value["turns"])))
 
     def to_json(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Return the JSON form."""
         rows = [(each.number, each.tasks, *(each.place or ())) for each in self.slots]
         return {"turns": rows, "at_us": self.at_us}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotTransition(Entry):
-    """Base of entries that take one slot to its next state; keys that are None are not in the JSON form."""
+    """Base of entries that move one slot to its next state; fields that are None have no key in the JSON form."""
 
     number: int
-    note: str | None = None  # why, for operators
-    retry_ident: str | None = None  # a request of the calendar that may be made anew; "": none
+    note: str | None = None  # the reason, for operators
+    retry_ident: str | None = None  # the calendar request that may be made again; "": none
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> Self:
-        """Read a transition."""
+        """Decode a transition."""
         has_note = "note" in value
         has_retry = "again" in value
         return cls(
@@ -171,7 +172,7 @@
         )
 
     def to_json(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Return the JSON form."""
         value: dict[str, Any] = {"number": self.number, "at_us": self.at_us}
         if self.note is not None:
             value["note"] = self.note
@@ -181,13 +182,13 @@
 
 
 class SlotClosing(SlotTransition):
-    """The first in the queue that fits the budgets: placers keep off its machine from now on."""
+    """The slot is the first in the queue that fits the budgets: from now on placers send no task to its machine."""
 
     kind: ClassVar[str] = "close"
 
 
 class MachineEmptied(SlotTransition):
-    """It is proved that the machine holds nothing and that nothing can come."""
+    """It is proved that the machine runs no task and cannot receive one."""
 
     kind: ClassVar[str] = "empty"
 
@@ -199,36 +200,36 @@
 
 
 class MachineReturned(SlotTransition):
-    """The work is done, or its time is over: the machine is opened and tried."""
+    """Maintenance is finished or its time is up: the machine is reopened, and tried with a first task."""
 
     kind: ClassVar[str] = "back"
 
 
 class SlotDone(SlotTransition):
-    """The machine takes work again: the slot is over."""
+    """The machine accepts tasks again: the slot has ended."""
 
     kind: ClassVar[str] = "done"
 
 
 class SlotGivenBack(SlotTransition):
-    """The slot is taken back: it is over at once, or once its machine has been opened and tried."""
+    """The slot is withdrawn: it ends at once, or after its machine has been reopened and tried."""
 
     kind: ClassVar[str] = "give-back"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VotersRecovered(Entry):
-    """Voters were recovered from an older state: the latest decisions may be lost. Applied by the coordinator."""
+    """Voters were recovered from an older state, so the latest decisions may be lost. Applied by the coordinator."""
 
     kind: ClassVar[str] = "recovered"
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> Self:
-        """Read one; without a time it does not move the queue's clock."""
+        """Decode the entry; without a time it does not advance the queue's clock."""
         return cls(at_us=_time(value.get("at_us", 0)))
 
     def to_json(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Return the JSON form."""
         return {"at_us": self.at_us} if self.at_us else {}
 
 
@@ -249,7 +250,7 @@
 
 
 def decode_entry(kind: str, value: Mapping[str, Any]) -> Entry:
-    """Read an entry of the log; MaintenanceEntryError if its kind or its value cannot be read."""
+    """Decode an entry of the log; raise MaintenanceEntryError if its kind is unknown or its value is invalid."""
     entry_type = ENTRY_TYPES.get(kind)
     if entry_type is None:
         raise MaintenanceEntryError(kind, "unknown kind")
@@ -262,7 +263,7 @@
 
 
 def request_problem(value: Mapping[str, Any]) -> str:
-    """Why the JSON form of a request is invalid, in words for its sender; "" for a valid one."""
+    """Return why the JSON form of a request is invalid, as text for its sender; "" for a valid one."""
     if not _is_text(value, "machine", MAX_MACHINE_CHARACTERS):
         return f"machine: a name of at most {MAX_MACHINE_CHARACTERS} characters is wanted"
     labels = ("region", "zone", "cell", "worker")
@@ -270,12 +271,15 @@
         return f"region, zone, cell, worker: names of at most {MAX_LABEL_CHARACTERS} characters are wanted"
     if not _is_text(value, "ident", MAX_IDENT_CHARACTERS):
         return f"ident: a name of the request's own, of at most {MAX_IDENT_CHARACTERS} characters, is wanted"
-    if value.get("why") not in REASONS or value.get("unsafe", "wait") not in UNSAFE_POLICIES:
-        return f"why: one of {', '.join(REASONS)} is wanted, unsafe: one of {', '.join(UNSAFE_POLICIES)}"
-    return _figures_problem(value)
+    if (
+        value.get("why") not in REQUEST_REASONS
+        or value.get("unsafe", "wait") not in UNSAFE_POLICIES
+    ):
+        return f"why: one of {', '.join(REQUEST_REASONS)} is wanted, unsafe: one of {', '.join(UNSAFE_POLICIES)}"
+    return _numbers_problem(value)
 
 
-def _figures_problem(value: Mapping[str, Any]) -> str:
+def _numbers_problem(value: Mapping[str, Any]) -> str:
     if not _is_count(value.get("urgency"), MAX_URGENCY):
         return f"urgency: 0 to {MAX_URGENCY} is wanted"
     if not _is_count(value.get("lasts_us"), MAX_DURATION_US):
@@ -294,8 +298,8 @@
     return isinstance(text, str) and (may_be_empty or bool(text)) and len(text) <= max_characters
 
 
-def _is_count(value: object, greatest: int) -> bool:
-    return type(value) is int and 0 <= value <= greatest
+def _is_count(value: object, maximum: int) -> bool:
+    return type(value) is int and 0 <= value <= maximum
 
 
 def _terms(value: Mapping[str, Any]) -> SlotTerms:
--- a/wingbarrow/decide/maintenance/messages.py
+++ b/wingbarrow/decide/maintenance/messages.py
@@ -1,6 +1,7 @@
-"""What placers and the leader tell each other about maintenance, with each lease request and grant.
+"""Maintenance messages between placers and the leader, sent with each lease request and grant.
 
-Field names are those on the wire (`docs/glossary.md`); where one is older than the code, its comment says what it is.
+Field names are the names on the wire (`docs/glossary.md`); the comment of a field explains a name that the code no
+longer uses.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A request before the queue has numbered it: what a region's calendar or its outlier ejections ask for."""
+    """A request for a slot, by a region's calendar or its outlier ejection, before the queue has given it a number."""
 
     ident: str
     machine: str
@@ -31,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionView:
-    """One region's machines as a placer of it lists them, for the disruption budgets.
+    """The machines of a region as listed by one of its placers, for the disruption budgets.
 
-    `cells`: (zone, cell, machines that belong there). `lost`: (machine, zone, cell) of those that do not run, are
-    lost, were ejected as outliers or are drained by the list. `used`: the demand in machines, counting each machine
-    only up to the share of it that may be filled.
+    `cells`: (zone, cell, number of machines). `lost`: (machine, zone, cell) of the machines that do not run, are lost,
+    were ejected as outliers or are drained by the machine list. `used`: the demand as a number of machines, where a
+    machine provides only the share of its capacity that may be filled.
     """
 
     cells: tuple[tuple[str, str, int], ...]
@@ -45,29 +46,27 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceReport:
-    """A placer's part of a lease request: what it confirms of slots, by their numbers, and what machines answered."""
-
-    clear: tuple[int, ...] = ()  # closed slots at whose machine it has no task, nor one on its way
-    empty: tuple[
-        int, ...
-    ] = ()  # slots whose machine refuses new work under this number and is empty
-    tried: tuple[int, ...] = ()  # returned slots on whose machine it started a task successfully
-    bad: tuple[int, ...] = ()  # returned slots whose machine failed a start
+    """The part of a placer's lease request: what it and its machines confirm about slots, by slot number."""
+
+    clear: tuple[int, ...] = ()  # closed slots: it has no task at the machine or on its way there
+    empty: tuple[int, ...] = ()  # slots whose machine refuses new work by number and is empty
+    tried: tuple[int, ...] = ()  # returned slots: it started a task on the machine successfully
+    bad: tuple[int, ...] = ()  # returned slots: a task failed to start on the machine
     open: tuple[int, ...] = ()  # returned slots whose machine accepts work again
-    gone: tuple[int, ...] = ()  # slots whose machine is not on its list
+    gone: tuple[int, ...] = ()  # slots whose machine is not on its machine list
     tasks: tuple[tuple[int, int], ...] = ()  # (requested slot, own tasks at its machine)
-    places: tuple[tuple[int, str, str], ...] = ()  # (requested slot, zone, cell) if its list has it
+    places: tuple[tuple[int, str, str], ...] = ()  # (requested slot, zone, cell) of listed machines
     region: str = ""
-    at_us: int = 0  # when it was made, by the reporter's clock
-    view: RegionView | None = None  # from the region's reporter only, as are requests
+    at_us: int = 0  # when the report was made, by the reporter's clock
+    view: RegionView | None = None  # sent by the region's reporter only, like `wants`
     wants: tuple[SlotRequest, ...] = ()  # requests of the calendar and of outlier ejection
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceResponse:
-    """The leader's part of a lease grant: all slots whose machine is closed, and some that wait to be counted."""
+    """The part of a lease grant: all slots whose machine is closed, and some whose tasks are still to be counted."""
 
     version: int  # of the slot queue
     turns: tuple[tuple[int, str, str, str], ...] = ()  # (number, machine, state, contact placer)
-    silent: tuple[int, ...] = ()  # slots whose maintenance operator let its lease lapse
+    silent: tuple[int, ...] = ()  # slots whose maintenance operator's lease has lapsed
     tell: bool = False  # whether the receiver reports its region's view and requests
--- a/wingbarrow/decide/maintenance/participant.py
+++ b/wingbarrow/decide/maintenance/participant.py
@@ -1,8 +1,8 @@
-"""A placer's part of maintenance: which machines are closed to it, and what it reports of them and of its region.
+"""A placer's side of maintenance: which machines are closed to it, and its reports on them and on its region.
 
-A machine is closed to a placer from when a grant names its slot, which is before that grant lets the placer act, until
-a grant names it no more; once it is returned, to all but its contact. Late grants change nothing: the queue's version
-only grows.
+A machine is closed to a placer from the grant that first names its slot, which takes effect before that grant lets the
+placer act, until a grant no longer names the slot. A returned machine is closed to all placers but its contact. A late
+grant is ignored, because the queue's version only grows.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 
 class MachineReply(StrEnum):
-    """What a machine answered last under a slot's number."""
+    """The last reply of a machine to a request with a slot's number."""
 
     NONE = ""
-    CLOSED = "shut"  # it refuses new work, and has tasks
-    EMPTY = "empty"  # it refuses new work, and has none
+    CLOSED = "shut"  # it refuses new work and still runs tasks
+    EMPTY = "empty"  # it refuses new work and runs no task
     OPEN = "open"
 
 
 class TrialOutcome(StrEnum):
-    """How starts went at a returned machine that this placer tries."""
+    """The outcome of task starts on a returned machine that this placer tries."""
 
     NONE = ""
     SUCCEEDED = "well"
@@ -43,76 +43,76 @@
 
 
 class LocalObservations(Protocol):
-    """What a placer knows of the machines of its region."""
+    """A placer's knowledge of the machines of its region."""
 
     def is_listed(self, machine: str) -> bool:
-        """Whether its list has the machine; True also while it has no list."""
+        """Whether the machine list contains the machine; True also as long as there is no list."""
 
     def place_of(self, machine: str) -> tuple[str, str] | None:
-        """Zone and cell by its list; None if it does not have the machine."""
+        """Return zone and cell by the machine list; None if the list does not contain the machine."""
 
     def own_tasks_at(self, machine: str) -> int:
-        """Own tasks there or on their way: placed, offered or to be stopped; -1 while that is not known."""
+        """Return the number of own tasks placed, offered or to be stopped there; -1 as long as it is unknown."""
 
     def reply_for(self, number: int) -> MachineReply:
-        """The machine's last reply under a slot's number, as long as it counts."""
+        """Return the machine's last reply for a slot, as long as it is valid."""
 
     def trial_outcome(self, number: int) -> TrialOutcome:
-        """How starts went at the machine of a slot that is tried."""
+        """Return the outcome of task starts on the machine of a slot that is tried."""
 
     def region_view(self) -> RegionView | None:
-        """The region as its list has it; None without a list."""
+        """Return the region by the machine list; None without a list."""
 
     def slot_requests(self) -> Sequence[SlotRequest]:
-        """Requests that the calendar and outlier ejection make now."""
+        """Return the requests that the calendar and outlier ejection make now."""
 
 
 class NoObservations:
-    """Observations of a placer without machines."""
+    """The observations of a placer without machines."""
 
     def is_listed(self, machine: str) -> bool:
-        """No machine is."""
+        """No machine is listed."""
         return False
 
     def place_of(self, machine: str) -> tuple[str, str] | None:
-        """No machine has one."""
+        """No machine has a place."""
         return None
 
     def own_tasks_at(self, machine: str) -> int:
-        """None."""
+        """There are no tasks."""
         return 0
 
     def reply_for(self, number: int) -> MachineReply:
-        """None."""
+        """There is no reply."""
         return MachineReply.NONE
 
     def trial_outcome(self, number: int) -> TrialOutcome:
-        """None."""
+        """There is no trial."""
         return TrialOutcome.NONE
 
     def region_view(self) -> RegionView | None:
-        """None."""
+        """There is no view."""
         return None
 
     def slot_requests(self) -> Sequence[SlotRequest]:
-        """None."""
+        """There are no requests."""
         return ()
 
 
 @dataclass(frozen=True, slots=True)
 class KnownSlot:
-    """A slot as the last grant named it. A state that this version does not know closes the machine."""
+    """A slot as in the last grant. A state unknown to this version closes the machine."""
 
     number: int
     machine: str
     state: str  # a value of SlotState, from the wire
-    contact: str  # the placer that speaks with its machine, and tries it once it is returned
-    is_silent: bool = False  # its maintenance operator let its lease lapse
+    contact: str  # the placer that calls its machine, and tries it once it is returned
+    has_lapsed_operator: bool = False  # the lease of its maintenance operator has lapsed
 
 
 @dataclass(slots=True)
 class _Confirmations:
-    """Numbers of slots, by what is reported of them."""
+    """Slot numbers, by the field of the report that lists them."""
 
     clear: list[int] = field(default_factory=list)
     empty: list[int] = field(default_factory=list)
@@ -125,7 +125,7 @@
 
 
 class MaintenanceMember:
-    """The member's side of the subsystem `turns`. `region`: this placer's."""
+    """The member's side of the replicated subsystem `turns`. `region`: the region of this placer."""
 
     name = "turns"
 
@@ -140,11 +140,11 @@
         self._closed: frozenset[str] = frozenset()
 
     def set_observations(self, observations: LocalObservations) -> None:
-        """Report by these from now on: a placer joins its peers before it has machines."""
+        """Replace the source of reports; a placer joins its peers before it has machines."""
         self._observations = observations
 
     def is_closed(self, machine: str) -> bool:
-        """Whether a slot closes a machine to this placer."""
+        """Whether a slot closes the machine to this placer."""
         return machine in self._closed
 
     @property
@@ -153,7 +153,7 @@
         return self._closed
 
     def report(self, now_us: int) -> MaintenanceReport:
-        """What is confirmed as of now."""
+        """Return what this placer confirms now."""
         found = _Confirmations()
         for slot in self.slots.values():
             self._confirm(slot, found)
@@ -169,7 +169,7 @@
             region=self.region,
             at_us=now_us,
             view=self._region_view(),
-            wants=self._some_requests(),
+            wants=self._request_batch(),
         )
 
     def _confirm(self, slot: KnownSlot, found: _Confirmations) -> None:
@@ -207,11 +207,11 @@
         if view is None:
             return None
         if len(view.cells) > MAX_REPORTED_CELLS or len(view.lost) > MAX_REPORTED_LOSSES:
-            return None  # the region counts as out of reach, and none of its machines is given out
+            return None  # the region then counts as out of reach: none of its machines is given out
         return view
 
-    def _some_requests(self) -> tuple[SlotRequest, ...]:
-        """As many as a report may have, going round: the leader passes over those that it has."""
+    def _request_batch(self) -> tuple[SlotRequest, ...]:
+        """Return as many requests as a report holds, in rotation; the leader skips the ones that it knows."""
         found = list(self._observations.slot_requests()) if self.is_region_reporter else []
         if len(found) <= MAX_REPORTED_REQUESTS:
             return tuple(found)
@@ -222,9 +222,9 @@
     def on_response(
         self, now_us: int, asked_us: int, response: MaintenanceResponse | None
     ) -> list[Effect]:
-        """Take the slots that a grant names in place of those known; notify of each change of state."""
+        """Replace the known slots by those of a grant; return a notification for each change of state."""
         if response is None or response.version < self._version:
-            return []  # Danger: a late grant would open a machine that a slot has closed since
+            return []  # Danger: a late grant would open a machine that a later slot has closed
         self._version = response.version
         self.is_region_reporter = response.tell
         before = self.slots
@@ -234,7 +234,7 @@
             for number, machine, state, contact in response.turns
         }
         self._closed = frozenset(each.machine for each in self.slots.values() if self._closes(each))
-        return list(_changes(before, self.slots))
+        return list(_state_notifications(before, self.slots))
 
     def _closes(self, slot: KnownSlot) -> bool:
         if slot.state == SlotState.REQUESTED:
@@ -242,16 +242,21 @@
         return slot.state != SlotState.RETURNED or slot.contact != self.me
 
 
-def _changes(before: Mapping[int, KnownSlot], after: Mapping[int, KnownSlot]) -> Iterator[Notify]:
+def _state_notifications(
+    before: Mapping[int, KnownSlot], after: Mapping[int, KnownSlot]
+) -> Iterator[Notify]:
     for number, slot in after.items():
         held = before.get(number)
-        is_new = held is None or (held.state, held.is_silent) != (slot.state, slot.is_silent)
+        is_new = held is None or (held.state, held.has_lapsed_operator) != (
+            slot.state,
+            slot.has_lapsed_operator,
+        )
         if is_new and slot.state != SlotState.REQUESTED:
-            yield _notice(slot, "silent" if slot.is_silent else slot.state)
+            yield _notification(slot, "silent" if slot.has_lapsed_operator else slot.state)
     for number, held in before.items():
         if number not in after and held.state != SlotState.REQUESTED:
-            yield _notice(held, "over")
+            yield _notification(held, "over")
 
 
-def _notice(slot: KnownSlot, state: str) -> Notify:
+def _notification(slot: KnownSlot, state: str) -> Notify:
     return Notify("turn", {"number": slot.number, "machine": slot.machine, "state": state})
--- a/wingbarrow/decide/maintenance/reports.py
+++ b/wingbarrow/decide/maintenance/reports.py
@@ -1,4 +1,4 @@
-"""What the leader has heard from placers about maintenance: each placer's last report, each region's last view."""
+"""The leader's store of maintenance reports: the last report of each placer, the last view of each region."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacerReport:
-    """A placer's last report. `life` and `sequence` order those of one placer."""
+    """A placer's last report. `incarnation` and `sequence` order the reports of one placer."""
 
-    life: int
+    incarnation: int
     sequence: int
     received_us: int
     report: MaintenanceReport
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedView:
-    """A region's last view."""
+    """The last view of a region, and the placer that reported it."""
 
     received_us: int
     reporter: str
@@ -32,7 +32,7 @@
 
 
 class PlacerReports:
-    """Reports that this leader has received. `max_age_us`: older ones show nobody to be in reach."""
+    """Reports received by this leader. `max_age_us`: the sender of an older report counts as out of reach."""
 
     def __init__(self, max_age_us: int) -> None:
         self._max_age_us = max_age_us
@@ -40,14 +40,14 @@
         self._views: dict[str, ReportedView] = {}
 
     def clear(self) -> None:
-        """Forget all."""
+        """Discard all reports."""
         self._reports = {}
         self._views = {}
 
     def record(self, now_us: int, sender: Requester, report: MaintenanceReport) -> bool:
-        """Replace the sender's last report; False for a late or duplicate one, and past MAX_PLACERS."""
+        """Replace the sender's last report; False for a late or duplicate one, or beyond MAX_PLACERS senders."""
         last = self._reports.get(sender.ident)
-        if last is not None and (sender.life, sender.number) <= (last.life, last.sequence):
+        if last is not None and (sender.life, sender.number) <= (last.incarnation, last.sequence):
             return False
         if last is None and len(self._reports) >= MAX_PLACERS:
             return False
@@ -57,28 +57,32 @@
         return True
 
     def last_report(self, placer: str) -> MaintenanceReport | None:
-        """A placer's last report, however old."""
+        """Return a placer's last report, however old it is; None without one."""
         held = self._reports.get(placer)
         return held.report if held is not None else None
 
-    def since(self, now_us: int, max_age_us: int) -> Iterator[tuple[str, MaintenanceReport]]:
-        """Placers with their reports that are younger than an age."""
+    def received_within(
+        self, now_us: int, max_age_us: int
+    ) -> Iterator[tuple[str, MaintenanceReport]]:
+        """Yield the placers whose last report is younger than an age, with that report."""
         for name, each in self._reports.items():
             if now_us - each.received_us < max_age_us:
                 yield name, each.report
 
     def recent(self, now_us: int) -> Iterator[MaintenanceReport]:
-        """Reports of the placers in reach."""
-        return (report for _, report in self.since(now_us, self._max_age_us))
+        """Return the reports of the placers in reach."""
+        return (report for _, report in self.received_within(now_us, self._max_age_us))
 
     def placers_in_reach(self, now_us: int, region: str) -> list[str]:
-        """Placers of a region that are in reach."""
+        """Return the placers of a region that are in reach."""
         return [
-            name for name, report in self.since(now_us, self._max_age_us) if report.region == region
+            name
+            for name, report in self.received_within(now_us, self._max_age_us)
+            if report.region == region
         ]
 
     def views_in_reach(self, now_us: int) -> Mapping[str, RegionView]:
-        """Views of the regions in reach."""
+        """Return the views of the regions in reach."""
         return {
             region: each.view
             for region, each in self._views.items()
@@ -86,7 +90,7 @@
         }
 
     def is_unlisted(self, now_us: int, region: str, number: int) -> bool:
-        """Whether the region's reporter, being in reach, says that its list does not have a slot's machine."""
+        """Whether the region's reporter is in reach and reports that its list does not contain a slot's machine."""
         held = self._views.get(region)
         if held is None or now_us - held.received_us >= self._max_age_us:
             return False
@@ -94,7 +98,7 @@
         return report is not None and number in report.gone
 
     def task_counts(self, now_us: int, region: str, number: int) -> list[int | None]:
-        """Tasks at a slot's machine as each placer of the region in reach counts its own; None: not counted yet."""
+        """Return the counts of own tasks at a slot's machine of a region's placers in reach; None: not counted yet."""
         counts: list[int | None] = []
         for name in self.placers_in_reach(now_us, region):
             report = self._reports[name].report
@@ -102,7 +106,7 @@
         return counts
 
     def place_of(self, now_us: int, number: int) -> tuple[str, str, str] | None:
-        """Region, zone and cell of a slot's machine by the first list that has it."""
+        """Return region, zone and cell of a slot's machine by the first list that contains it; None without one."""
         for report in self.recent(now_us):
             for listed, zone, cell in report.places:
                 if listed == number:
@@ -111,5 +115,5 @@
 
 
 def rendezvous_weight(subject: str, placer: str) -> bytes:
-    """Rendezvous hashing (Thaler and Ravishankar 1998): the placer of the greatest weight is chosen for a subject."""
+    """Rendezvous hashing (Thaler and Ravishankar 1998): a subject is assigned to the placer of the greatest weight."""
     return hashlib.blake2b(f"{subject}/{placer}".encode(), digest_size=8).digest()
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's part of maintenance: a replicated subsystem that proposes each slot's next entry.
+"""The leader's side of maintenance: a replicated subsystem that proposes the next entry of each slot.
 
 Its state outside the log is volatile and is rebuilt after each election: the reports of placers (`reports`), until
 when each placer may act (`emptiness`), and the leases of maintenance operators (`slot_tracker`). A machine is given out
@@ -33,13 +33,17 @@
 from wingbarrow.decide.maintenance.reports import PlacerReports, rendezvous_weight
 from wingbarrow.decide.maintenance.slot_tracker import SlotTracker, TrackedSlot
 from wingbarrow.decide.maintenance.slots import Slot, SlotQueue, SlotState
-from wingbarrow.decide.maintenance.steps import Round, StepRules, failed_zones_note
 from wingbarrow.decide.maintenance.timing import SECOND, MaintenanceTiming
+from wingbarrow.decide.maintenance.transitions import (
+    SchedulingRound,
+    TransitionRules,
+    failed_zones_note,
+)
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
-MAX_REQUESTED_PER_GRANT = 64  # requested slots that a grant names, beside all active ones
-MAX_PROPOSALS = 16  # entries of one round
+MAX_REQUESTED_PER_GRANT = 64  # requested slots in a grant, in addition to all active ones
+MAX_PROPOSALS = 16  # entries proposed in one round
 ROUND_INTERVAL_US = SECOND // 4
 
 
@@ -48,7 +52,7 @@
 
 
 class MaintenanceScheduler:
-    """The subsystem `turns` of the replicated state. `wall_us` gives the wall clock at a time of the host's clock."""
+    """The replicated subsystem `turns`. `wall_us` converts a time of the host's clock to wall clock time."""
 
     name = "turns"
 
@@ -67,45 +71,45 @@
         self._reports = PlacerReports(timing.report_max_age_us)
         self._proof = EmptinessProof(self._reports, timing)
         self._tracker = SlotTracker(self.queue, timing)
-        self._steps = StepRules(self._reports, self._proof, timing)
+        self._transitions = TransitionRules(self._reports, self._proof, timing)
         self._requests: dict[str, tuple[str, SlotRequest]] = {}  # by ident: region, request
-        self._contacts: dict[int, tuple[int, str]] = {}  # by slot: as of when, who
+        self._contacts: dict[int, tuple[int, str]] = {}  # by slot number: when chosen, placer
         self._last_round_us = -ROUND_INTERVAL_US
 
-    # The voters' side
+    # Used by every voter
 
     def apply(self, kind: str, value: dict[str, Any]) -> None:
-        """Apply a decided entry; MaintenanceEntryError if it cannot be read, and then nothing changed."""
+        """Apply a decided entry; raise MaintenanceEntryError, without any change, if it cannot be read."""
         self.queue.apply(decode_entry(kind, value))
 
     def snapshot(self) -> str:
-        """The queue's text."""
+        """Return the queue's snapshot."""
         return self.queue.snapshot()
 
     def restore(self, text: str) -> None:
         """Replace the queue's state by that of a snapshot."""
         self.queue.restore(text)
 
-    # The leader's side
+    # Used by the leader
 
     @property
     def blocked(self) -> Mapping[int, str]:
-        """Why slots that wait do not go on, by number, as of the last round."""
-        return self._steps.blocked
+        """Why slots do not advance, by slot number, as of the last round."""
+        return self._transitions.blocked
 
     def on_leadership_change(self, now_us: int, is_leader: bool) -> None:
-        """Begin anew: no report to an earlier leader counts."""
+        """Reset all state outside the log: reports to an earlier leader are not valid."""
         self.is_leader = is_leader
         self._proof.on_leadership_change(now_us)
         self._reports.clear()
         self._tracker.clear()
         self._requests = {}
         self._contacts = {}
-        self._steps.blocked = {}
+        self._transitions.blocked = {}
         self._last_round_us = now_us - ROUND_INTERVAL_US
 
     def on_report(self, now_us: int, sender: Requester, report: MaintenanceReport | None) -> None:
-        """Take a placer's report in place of its last one; late and duplicate ones are dropped."""
+        """Replace a placer's last report; late and duplicate reports are dropped."""
         if report is None or not self._reports.record(now_us, sender, report):
             return
         for each in report.wants:
@@ -115,7 +119,7 @@
             self._tracker.confirm_renewals(report.at_us)
 
     def response_for(self, now_us: int, requester: Requester) -> MaintenanceResponse:
-        """The response that goes with a grant: its holder may act from now on until the grant has lapsed."""
+        """Return the response sent with a grant; the requester may act from now until the grant has lapsed."""
         self._proof.on_grant(now_us, requester.ident)
         report = self._reports.last_report(requester.ident)
         region = report.region if report is not None else ""
@@ -141,51 +145,54 @@
         )
 
     def contact(self, now_us: int, slot: Slot) -> str:
-        """The placer that speaks with a slot's machine and tries it: one of its region; "" if none is in reach."""
+        """Return the placer of the region that calls a slot's machine and tries it; "" if none is in reach."""
         chosen_us, held = self._contacts.get(slot.number, (now_us - ROUND_INTERVAL_US, ""))
         if now_us - chosen_us < ROUND_INTERVAL_US:
             return held
-        able = []
+        candidates = []
         for placer in self._reports.placers_in_reach(now_us, slot.region):
             report = self._reports.last_report(placer)
             if report is not None and slot.number not in report.gone:
-                able.append(placer)
+                candidates.append(placer)
         subject = f"{slot.number}/{slot.machine}"
-        chosen = max(able, key=lambda placer: rendezvous_weight(subject, placer), default="")
+        chosen = max(candidates, key=lambda placer: rendezvous_weight(subject, placer), default="")
         self._contacts[slot.number] = (now_us, chosen)
         return chosen
 
     def _region_reporter(self, now_us: int, region: str) -> str:
-        """The placer that reports a region's view and requests: this one, if it is of the region."""
-        able = self._reports.placers_in_reach(now_us, region)
-        if self.me in able:
+        """Return the placer that reports a region's view and requests: this one if it is in the region."""
+        candidates = self._reports.placers_in_reach(now_us, region)
+        if self.me in candidates:
             return self.me
-        return max(able, key=lambda placer: rendezvous_weight(region, placer), default="")
+        return max(candidates, key=lambda placer: rendezvous_weight(region, placer), default="")
 
     def renew(self, now_us: int, number: int) -> None:
-        """A slot's operator renews its lease; it holds it once `renewed_us` is no earlier than now."""
+        """Renew the lease of a slot's operator; the renewal holds once `renewed_us` is at or after `now_us`."""
         self._tracker.renew(now_us, number)
 
     def renewed_us(self, number: int) -> int:
-        """When the operator's latest confirmed renewal was made; 0 for none."""
+        """Return when the operator's latest confirmed renewal was made; 0 for none."""
         return self._tracker.renewed_us(number)
 
     def lapsed_operator_slots(self, now_us: int) -> Iterator[int]:
-        """Slots whose machine is out and whose operator let its lease lapse."""
+        """Yield the numbers of slots whose machine is out and whose operator's lease has lapsed."""
         return self._tracker.lapsed_operator_slots(now_us)
 
     def missing_proof(self, now_us: int, slot: Slot) -> str:
-        """What is missing for the proof that a slot's machine is empty, in words; "" if it is complete."""
+        """Return what the emptiness proof of a slot is missing, as text for operators; "" if it is complete."""
         return self._proof.missing(now_us, slot.number)
 
     def state_counts(self) -> Mapping[str, int]:
-        """How many slots are in each state."""
+        """Return the number of slots in each state."""
         return Counter(each.state.value for each in self.queue.slots.values())
 
     # Proposals
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """Requests that were reported, each slot's next entry, and then, if there are none, which slots close."""
+        """Return entries and the time of the next round, None if there is no slot and no request.
+
+        Entries are those of reported requests and due transitions or, if there are none, of the slots that close.
+        """
         if not self._requests and not self.queue.live():
             return [], None
         next_round_us = self._last_round_us + ROUND_INTERVAL_US
@@ -194,11 +201,12 @@
         self._last_round_us = now_us
         self._forget_unknown()
         wall_us = max(0, self._wall_us(now_us))
-        entries: list[Entry] = list(self._requested(wall_us))
-        current = Round(now_us, wall_us, rules, self._budget_use(now_us, rules))
+        entries: list[Entry] = list(self._request_entries(wall_us))
+        current = SchedulingRound(now_us, wall_us, rules, self._budget_use(now_us, rules))
         entries += self._due_entries(current)
-        if not entries:  # which slots close depends on all other entries: they are decided first
-            entries += self._closing(current)
+        # Which slots close depends on all other entries, so those are decided first.
+        if not entries:
+            entries += self._closing_entries(current)
         proposals = [Proposal(each.kind, each.to_json()) for each in entries[:MAX_PROPOSALS]]
         return proposals, now_us + ROUND_INTERVAL_US
 
@@ -215,8 +223,8 @@
             lambda region: self.reserved_machines(now_us, region),
         )
 
-    def _requested(self, wall_us: int) -> list[SlotRequested]:
-        """Entries of the requests that were reported since the last round and can be taken."""
+    def _request_entries(self, wall_us: int) -> list[SlotRequested]:
+        """Return entries for the requests reported since the last round that can be accepted."""
         found = []
         for region, request in self._requests.values():
             entry = _requested_entry(region, request, wall_us)
@@ -225,48 +233,48 @@
         self._requests = {}
         return found
 
-    def _due_entries(self, current: Round) -> list[Entry]:
+    def _due_entries(self, current: SchedulingRound) -> list[Entry]:
         entries: list[Entry] = []
-        counted: list[CountedSlot] = []
+        counted_slots: list[CountedSlot] = []
         for slot in sorted(self.queue.live(), key=lambda each: each.number):
             tracked = self._tracker.tracked(current.now_us, slot.number)
             assert tracked is not None
             self._track_listing(current.now_us, slot, tracked)
             if slot.state == SlotState.REQUESTED:
-                count = self._steps.counted(current.now_us, slot, tracked)
-                counted += [count] if count is not None else []
-            entry = self._steps.next_transition(current, slot, tracked)
+                count = self._transitions.counted_slot(current.now_us, slot, tracked)
+                counted_slots += [count] if count is not None else []
+            entry = self._transitions.next_transition(current, slot, tracked)
             if entry is not None:
                 entries.append(entry)
-        if counted:
-            entries.append(SlotsQueued(at_us=current.wall_us, slots=tuple(counted)))
+        if counted_slots:
+            entries.append(SlotsQueued(at_us=current.wall_us, slots=tuple(counted_slots)))
         return entries
 
     def _track_listing(self, now_us: int, slot: Slot, tracked: TrackedSlot) -> None:
-        """Since when no list of its region, or of any if that is unknown yet, has a slot's machine."""
-        is_nowhere = not slot.region and slot.state == SlotState.REQUESTED
-        if not is_nowhere and not self._reports.is_unlisted(now_us, slot.region, slot.number):
+        """Record since when no list of the slot's region (of any, while that is unknown) contains its machine."""
+        is_unknown = not slot.region and slot.state == SlotState.REQUESTED
+        if not is_unknown and not self._reports.is_unlisted(now_us, slot.region, slot.number):
             tracked.unlisted_since_us = None
         elif tracked.unlisted_since_us is None:
             tracked.unlisted_since_us = now_us
 
-    def _closing(self, current: Round) -> Iterator[SlotClosing]:
-        """The slots that close now, in the queue's order.
+    def _closing_entries(self, current: SchedulingRound) -> Iterator[SlotClosing]:
+        """Yield entries for the slots that close now, in the queue's order.
 
         A slot that cannot close does not block those behind it, unless it has waited longer than `reserve_after_us` and
         could close if no slot were active: then its capacity stays reserved.
         """
-        self._keep_blocked()
+        self._prune_blocked()
         in_reach = self._reports.views_in_reach(current.now_us)
         budgets = current.budgets
         closed = 0
         for slot in self.queue.queued():
             tracked = self._tracker.tracked(current.now_us, slot.number)
             if slot.region not in in_reach:
-                self._steps.blocked[slot.number] = f"region {slot.region!r} is out of reach"
+                self._transitions.blocked[slot.number] = f"region {slot.region!r} is out of reach"
                 continue
             if tracked is not None and tracked.unlisted_since_us is not None:
-                self._steps.blocked[slot.number] = "no list has its machine now"
+                self._transitions.blocked[slot.number] = "no list has its machine now"
                 continue
             failed = budgets.failed_zones(slot, current.rules.plan.failed_share)
             reason = failed_zones_note(failed) or budgets.refusal(slot)
@@ -275,24 +283,24 @@
                 budgets.reserve(slot)
                 yield SlotClosing(number=slot.number, at_us=current.wall_us)
                 continue
-            self._steps.blocked[slot.number] = reason or "others close first"
-            is_impatient = current.wall_us - slot.requested_us >= self.timing.reserve_after_us
-            if is_impatient and not budgets.refusal(slot, with_slots=False):
+            self._transitions.blocked[slot.number] = reason or "others close first"
+            has_waited_long = current.wall_us - slot.requested_us >= self.timing.reserve_after_us
+            if has_waited_long and not budgets.refusal(slot, with_slots=False):
                 budgets.reserve(slot)
 
-    def _keep_blocked(self) -> None:
-        """Drop the reasons of all but those whose state gives them outside of the queue's order."""
+    def _prune_blocked(self) -> None:
+        """Drop the reasons of all slots except those in states whose reasons do not depend on the queue's order."""
         kept = (SlotState.REQUESTED, SlotState.EMPTY)
         slots = self.queue.slots
-        self._steps.blocked = {
+        self._transitions.blocked = {
             number: reason
-            for number, reason in self._steps.blocked.items()
+            for number, reason in self._transitions.blocked.items()
             if number in slots and slots[number].state in kept
         }
 
 
 def _requested_entry(region: str, request: SlotRequest, wall_us: int) -> SlotRequested:
-    """The entry of a request that a region's reporter made, checked as an operator's is."""
+    """Return the entry of a request by a region's reporter, checked like an operator's request."""
     unchecked = SlotRequested(
         ident=request.ident,
         is_calendar=request.why == CALENDAR,
--- a/wingbarrow/decide/maintenance/slot_tracker.py
+++ b/wingbarrow/decide/maintenance/slot_tracker.py
@@ -1,7 +1,8 @@
-"""What the leader knows of live slots beside the log: since when each is in its state, and its operator's lease.
+"""The leader's volatile state of live slots: when each entered its state, and the lease of its operator.
 
-Known anew by each leader. A renewal counts only once a majority has followed the leader since it was made (ReadIndex,
-Raft section 6.4): a deposed leader would let an operator go on working on a machine that was taken back.
+It is not in the log, and each leader rebuilds it. A renewal counts only once a majority has followed the leader after
+it was made (ReadIndex, Raft section 6.4): otherwise a deposed leader would let an operator go on working on a machine
+whose slot has been given back.
 """
 
 from __future__ import annotations
@@ -13,22 +14,22 @@
 from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.decide.quotas.limits import drifted_us
 
-MAX_PENDING_RENEWALS = 16  # of one slot
+MAX_PENDING_RENEWALS = 16  # for one slot
 
 
 @dataclass(slots=True)
 class TrackedSlot:
-    """What this leader knows of one slot."""
+    """The volatile state of one slot."""
 
-    since_us: int  # since when it is in its state, as far as this leader knows
+    since_us: int  # when this leader first saw the slot in `state`
     state: SlotState
-    unlisted_since_us: int | None = None  # since when no list has its machine
-    renewed_us: int = 0  # the latest confirmed renewal; 0: none
+    unlisted_since_us: int | None = None  # since when no list contains its machine
+    renewed_us: int = 0  # when the latest confirmed renewal was made; 0: none
     pending_renewals_us: list[int] = field(default_factory=list)  # not confirmed yet
 
 
 class SlotTracker:
-    """One watch for each live slot, made when it is first looked at in its state."""
+    """Tracks the live slots; an entry is created when a slot is first seen in its current state."""
 
     def __init__(self, queue: SlotQueue, timing: MaintenanceTiming) -> None:
         self._queue = queue
@@ -36,16 +37,16 @@
         self._tracked: dict[int, TrackedSlot] = {}
 
     def clear(self) -> None:
-        """Forget all."""
+        """Discard all entries."""
         self._tracked = {}
 
     def forget_unknown(self) -> None:
-        """Forget the slots that the queue has forgotten."""
+        """Discard the slots that the queue no longer has."""
         for number in self._tracked.keys() - self._queue.slots.keys():
             del self._tracked[number]
 
     def tracked(self, now_us: int, number: int) -> TrackedSlot | None:
-        """What is tracked of a slot in its present state; None if it is not live."""
+        """Return the volatile state of a slot in its current state; None if it is not live."""
         slot = self._queue.slots.get(number)
         if slot is None or slot.state in ENDED_STATES:
             self._tracked.pop(number, None)
@@ -57,13 +58,13 @@
         return held
 
     def renew(self, now_us: int, number: int) -> None:
-        """Its operator renews its lease of a slot; confirmed once `renewed_us` is no earlier than now."""
+        """Renew the lease of a slot's operator; it is confirmed once `renewed_us` is at or after `now_us`."""
         tracked = self.tracked(now_us, number)
         if tracked is not None and len(tracked.pending_renewals_us) < MAX_PENDING_RENEWALS:
             tracked.pending_renewals_us.append(now_us)
 
     def confirm_renewals(self, until_us: int) -> None:
-        """A majority has followed this leader at a time: renewals made until then count."""
+        """Confirm renewals made until a time at which a majority followed this leader."""
         for number, tracked in self._tracked.items():
             slot = self._queue.slots.get(number)
             for renewal_us in tracked.pending_renewals_us:
@@ -74,11 +75,11 @@
             ]
 
     def renewed_us(self, number: int) -> int:
-        """When the operator's latest confirmed renewal was made; 0 for none."""
+        """Return when the operator's latest confirmed renewal was made; 0 for none."""
         return self._tracked[number].renewed_us if number in self._tracked else 0
 
     def lapsed_operator_slots(self, now_us: int) -> Iterator[int]:
-        """Slots whose machine is out and whose operator let its lease lapse, as far as this leader knows."""
+        """Yield slots whose machine is out and whose operator's lease has lapsed, as far as this leader knows."""
         lapse_us = drifted_us(self._timing.lease_us)
         for slot in self._queue.slots.values():
             tracked = self.tracked(now_us, slot.number) if slot.state == SlotState.OUT else None
--- a/wingbarrow/decide/maintenance/slots.py
+++ b/wingbarrow/decide/maintenance/slots.py
@@ -1,12 +1,12 @@
-"""The queue of maintenance slots as the voters' log makes it: which machine is taken out, and in which order.
+"""The queue of maintenance slots, replicated by the voters' log: which machine is taken out, and in which order.
 
     asked -> queued -> closing -> empty -> out -> back -> done
     asked, queued -> given-back;  closing, empty, out -> back -> given-back
 
-A replicated state machine (Raft, section 5.3): every voter applies the same entries (`entries`) and comes to the same
-state. All that the order depends on is in entries; their times are the wall clock of the leader that proposed them, and
-never run backwards here. When a transition may be proposed is decided by the leader (`scheduler`), not here: `back`
-precedes the end wherever the machine may have been closed, as somebody has to open it and try it.
+A replicated state machine (Raft, section 5.3): every voter applies the same entries (`entries`) and reaches the same
+state. The order depends only on entries; their times are of the wall clock of the leader that proposed them, and the
+queue's own clock never goes back. The leader (`scheduler`) decides when to propose a transition, not this module. State
+`back` precedes the end wherever the machine may have been closed, because the machine has to be reopened and tried.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 )
 
 MAX_LIVE_SLOTS = 512
-MAX_ACTIVE_SLOTS = 128  # of those: all of them are in every grant
-MAX_ENDED_SLOTS = 64  # ended ones that are remembered
-MAX_CALENDAR_REQUESTS = 4096  # of the calendar, remembered until their latest time
-MAX_OUTCOMES = 256  # requests whose outcome is remembered, for those that are sent again
-RECOVERY_NUMBER_GAP = 10_000  # numbers that voters who were lost may have given
-AGING_PERIOD_US = 600_000_000  # a slot counts as one more urgent for each of these that it waits
+MAX_ACTIVE_SLOTS = 128  # of the live ones; every grant contains all of them
+MAX_ENDED_SLOTS = 64  # ended slots that are kept
+MAX_CALENDAR_REQUESTS = 4096  # requests of the calendar; each is kept until its latest time
+MAX_OUTCOMES = 256  # outcomes kept for requests that are sent again
+RECOVERY_NUMBER_GAP = 10_000  # numbers skipped, as lost voters may have assigned them
+AGING_PERIOD_US = 600_000_000  # a waiting slot gains one step of urgency in each period
 NO_DEADLINE = 1 << 62
 DIGEST_BYTES = 16
 IDENT_PREFIX_CHARACTERS = MAX_IDENT_CHARACTERS - 2 * DIGEST_BYTES - 1
 
 
 class SlotState(StrEnum):
-    """The states of a slot; values are the words of the wire, of the log and of the REST API."""
+    """The states of a slot; the values are used on the wire, in the log and in the REST API."""
 
     REQUESTED = "asked"
     QUEUED = "queued"
@@ -64,7 +64,7 @@
 ACTIVE_STATES = (SlotState.CLOSING, SlotState.EMPTY, SlotState.OUT, SlotState.RETURNED)
 ENDED_STATES = (SlotState.DONE, SlotState.GIVEN_BACK)
 
-# The state that a transition leads to, by the state before; in any other state it changes nothing.
+# The new state by entry type and current state; in a state that is not listed, the entry has no effect.
 TRANSITIONS: Mapping[type[Entry], Mapping[SlotState, SlotState]] = {
     SlotClosing: {SlotState.QUEUED: SlotState.CLOSING},
     MachineEmptied: {SlotState.CLOSING: SlotState.EMPTY},
@@ -83,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """One request to take a machine out, and how far it is. Snapshots hold the fields in this order.
+    """A request to take a machine out, and its progress. Snapshots hold the fields in this order.
 
-    Times by the wall clock, in microseconds; `number` is the fencing token at the machine.
+    Times are of the wall clock, in microseconds. `number` is the fencing token that the machine checks.
     """
 
     number: int
@@ -94,25 +94,25 @@
     zone: str
     cell: str
     why: str  # calendar, operator, verdict
-    urgency: int  # 0 to 9, the greater the sooner
-    latest_us: int  # the work should have begun by then; 0: no deadline
+    urgency: int  # 0 to 9; greater is sooner
+    latest_us: int  # latest start of the work; 0: no deadline
     requested_us: int
     lasts_us: int
-    worker: str  # the maintenance operator, which holds the slot by a lease; "": none
+    worker: str  # the maintenance operator, which holds a lease on the slot; "": none
     state: SlotState = SlotState.REQUESTED
-    tasks: int = 0  # to be moved, as placers counted before it was queued
+    tasks: int = 0  # to be moved, as counted by placers before the slot was queued
     since_us: int = 0  # when its state began
-    ident: str = ""  # of the request: one that is sent again is not taken twice
-    unsafe: str = "wait"  # for tasks that must not start twice, as with calendar windows
-    ends_us: int = 0  # the end of a window that may be shortened
-    is_given_back: bool = False  # it was given back, and ends as given-back
-    note: str = ""  # why it is in its state, for operators
-    from_us: int = 0  # the machine is not given out before
-    out_us: int = 0  # when the machine was given out; 0: it was not
+    ident: str = ""  # of the request: deduplicates requests that are sent again
+    unsafe: str = "wait"  # policy for tasks that must not start twice; see `UnsafePolicy`
+    ends_us: int = 0  # the window's end, if the slot ends with it; 0 otherwise
+    is_given_back: bool = False  # it was given back, so it ends in state given-back
+    note: str = ""  # the reason for its state, for operators
+    from_us: int = 0  # earliest time at which the machine is given out
+    out_us: int = 0  # when the machine was given out; 0: never
 
 
 def short_ident(key: str) -> str:
-    """The ident of a calendar's request from the key of its drain (WINDOW@START/MACHINE); a long machine is hashed."""
+    """Return the ident of a calendar request for a drain's key (WINDOW@START/MACHINE); a long machine is hashed."""
     if len(key) <= MAX_IDENT_CHARACTERS:
         return key
     window, _, machine = key.rpartition("/")
@@ -121,10 +121,11 @@
 
 
 def queue_rank(slot: Slot) -> tuple[int, int, int, int, str, int]:
-    """The sort key of the queue: age and urgency, deadline, time of request, tasks, machine, number.
+    """Return the sort key of the queue: age and urgency, deadline, time of request, tasks, machine, number.
 
-    A slot counts as one more urgent for each AGING_PERIOD_US that began since its request. The order of two slots never
-    changes as time passes, and a request that is MAX_URGENCY + 1 periods later ranks behind whatever its urgency is.
+    A slot gains one step of urgency with each AGING_PERIOD_US that begins after its request. The order of two slots
+    therefore never changes as time passes, and a request made MAX_URGENCY + 1 periods after another ranks behind it,
+    whatever its urgency.
     """
     level = slot.requested_us // AGING_PERIOD_US - slot.urgency
     deadline = slot.latest_us or NO_DEADLINE
@@ -132,32 +133,33 @@
 
 
 class SlotQueue:
-    """The replicated state: slots by number, the last number given, and the outcomes of requests."""
+    """The replicated state: slots by number, the last number assigned, and the outcomes of requests."""
 
     def __init__(self) -> None:
-        self.slots: dict[int, Slot] = {}  # live ones, and the latest ended ones
+        self.slots: dict[int, Slot] = {}  # live slots and the latest ended ones
         self.last_number = 0
-        self.version = 0  # grows with each entry that changed something
+        self.version = 0  # incremented by each entry that changes the state
         self.clock_us = 0  # the latest time of any entry
-        self.outcomes: dict[str, tuple[int, str]] = {}  # by ident: the number, or 0 and why not
+        # Outcomes of requests, by ident: (number, ""), or (0, reason of the refusal).
+        self.outcomes: dict[str, tuple[int, str]] = {}
         # The latest time of each calendar request, by the digest of its ident.
         self.calendar_deadlines_us: dict[str, int] = {}
 
     def live(self) -> list[Slot]:
-        """Slots that have not ended, by number."""
+        """Return the slots that have not ended, in the order of their numbers."""
         return [each for each in self.slots.values() if each.state not in ENDED_STATES]
 
     def active(self) -> list[Slot]:
-        """Slots whose machine is closed; the budgets count them, and every grant names them."""
+        """Return the slots whose machine is closed; budgets count them, and every grant contains them."""
         return [each for each in self.slots.values() if each.state in ACTIVE_STATES]
 
     def queued(self) -> list[Slot]:
-        """Slots that wait for the budgets, in the queue's order."""
+        """Return the slots that wait for the budgets, in the queue's order."""
         waiting = (each for each in self.slots.values() if each.state == SlotState.QUEUED)
         return sorted(waiting, key=queue_rank)
 
     def live_slot_of(self, machine: str) -> Slot | None:
-        """A machine's live slot; there is one at most."""
+        """Return a machine's live slot; there is at most one."""
         found = (
             each
             for each in self.slots.values()
@@ -166,7 +168,7 @@
         return next(found, None)
 
     def refusal(self, request: SlotRequested) -> str:
-        """Why a request cannot be taken now, in words for its sender; "" if it can."""
+        """Return why a request is refused now, as text for its sender; "" if it is accepted."""
         if request.terms is None:
             return request.problem
         held = self.live_slot_of(request.terms.machine)
@@ -182,11 +184,11 @@
         return ""
 
     def is_known(self, ident: str) -> bool:
-        """Whether a request of that ident was taken or refused before."""
+        """Whether a request with this ident was accepted or refused before."""
         return ident in self.outcomes or _digest(ident) in self.calendar_deadlines_us
 
     def apply(self, entry: Entry) -> None:
-        """Apply a decided entry; one that does not fit the state changes nothing."""
+        """Apply a decided entry; an entry that is not valid in the current state has no effect."""
         at_us = max(self.clock_us, entry.at_us)
         changed = False
         match entry:
@@ -204,7 +206,7 @@
 
     def _on_requested(self, request: SlotRequested, at_us: int) -> bool:
         if self.is_known(request.ident):
-            return False  # sent again: it has its outcome
+            return False  # a duplicate: its outcome is recorded
         self.calendar_deadlines_us = {
             digest: until for digest, until in self.calendar_deadlines_us.items() if until > at_us
         }
@@ -264,11 +266,11 @@
         if slot is None or state is None:
             return False
         if isinstance(entry, SlotClosing) and len(self.active()) >= MAX_ACTIVE_SLOTS:
-            return False  # Danger: a placer takes a machine that its grant has no room for as open
+            return False  # Danger: placers treat a machine as open if its slot does not fit in their grant
         note = entry.note or slot.note
         if isinstance(entry, SlotDone) and slot.is_given_back:
             state = SlotState.GIVEN_BACK
-            note = slot.note or note  # why it was given back, not how its machine came back
+            note = slot.note or note  # keeps the reason for giving it back
         self.slots[entry.number] = replace(
             slot,
             state=state,
@@ -284,7 +286,7 @@
         return True
 
     def _on_recovered(self) -> bool:
-        # Danger: of what was decided last some may be lost, and machines know its numbers.
+        # Danger: recent decisions may be lost, while machines have already seen their numbers.
         self.last_number += RECOVERY_NUMBER_GAP
         self.version += RECOVERY_NUMBER_GAP
         return True
@@ -299,7 +301,7 @@
             del self.slots[number]
 
     def snapshot(self) -> str:
-        """The whole state as JSON, for snapshots: under 1.4 KB a slot, so that it fits one message."""
+        """Return the whole state as JSON: less than 1.4 KB per slot, so that it fits in one message."""
         return json.dumps(
             {
                 "last": self.last_number,
@@ -313,7 +315,7 @@
         )
 
     def restore(self, text: str) -> None:
-        """Replace the state by what `snapshot` returned; "" is the initial state."""
+        """Replace the state by a snapshot; "" stands for the initial state."""
         value = json.loads(text) if text else {}
         restored = (Slot(*each) for each in value.get("turns", ()))
         self.slots = {each.number: replace(each, state=SlotState(each.state)) for each in restored}
--- a/wingbarrow/decide/maintenance/steps.py
+++ b/wingbarrow/decide/maintenance/transitions.py
@@ -1,4 +1,4 @@
-"""The next entry of one live slot, if any is due: the leader's rules for each state, without effects but `blocked`."""
+"""The leader's rules for the transition due for a live slot, by its state; their only side effect is on `blocked`."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Round:
-    """One look at all slots: the time by both clocks, the rules in force, and the budgets as they stand."""
+class SchedulingRound:
+    """One scheduling round over all slots: the time by both clocks, the rules in force, and the use of the budgets."""
 
     now_us: int
     wall_us: int
@@ -35,8 +35,8 @@
     budgets: BudgetUse
 
 
-class StepRules:
-    """Which entry is due for a slot. `blocked` is the scheduler's: why a slot does not go on, by number."""
+class TransitionRules:
+    """Decides which entry is due for a slot. `blocked`: why slots do not advance, by number; owned by the scheduler."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._timing = timing
         self.blocked: dict[int, str] = {}
 
-    def counted(self, now_us: int, slot: Slot, tracked: TrackedSlot) -> CountedSlot | None:
-        """A requested slot as it is queued: once all placers of its region have counted, or had the time to."""
+    def counted_slot(self, now_us: int, slot: Slot, tracked: TrackedSlot) -> CountedSlot | None:
+        """Return a requested slot to queue, once its region's placers have counted tasks or the timeout has passed."""
         region, place = slot.region, None
         if not region:
             self.blocked[slot.number] = "no list that is heard of has such a machine"
@@ -66,29 +66,29 @@
         return CountedSlot(slot.number, tasks, place)
 
     def next_transition(
-        self, current: Round, slot: Slot, tracked: TrackedSlot
+        self, current: SchedulingRound, slot: Slot, tracked: TrackedSlot
     ) -> SlotTransition | None:
-        """The transition that is due; None if the slot stays in its state, or is to be queued or closed."""
+        """Return the transition that is due; None if there is none, or if the slot is to be queued or closed."""
         is_unlisted = (
             tracked.unlisted_since_us is not None
             and current.now_us >= tracked.unlisted_since_us + self._timing.unlisted_us
         )
         if slot.state == SlotState.RETURNED:
-            return self._of_returned(current, slot, tracked, is_unlisted=is_unlisted)
+            return self._returned_transition(current, slot, tracked, is_unlisted=is_unlisted)
         if is_unlisted and slot.state != SlotState.OUT:
             return _transition(SlotGivenBack, current, slot, "no list has such a machine")
-        step = self._of_calendar(current, slot) if slot.why == CALENDAR else None
+        step = self._calendar_transition(current, slot) if slot.why == CALENDAR else None
         if step is not None:
             return step
         rule = {
-            SlotState.CLOSING: self._of_closing,
-            SlotState.EMPTY: self._of_empty,
-            SlotState.OUT: self._of_out,
+            SlotState.CLOSING: self._closing_transition,
+            SlotState.EMPTY: self._empty_transition,
+            SlotState.OUT: self._out_transition,
         }.get(slot.state)
         return rule(current, slot) if rule is not None else None
 
-    def _of_calendar(self, current: Round, slot: Slot) -> SlotTransition | None:
-        """Whether a window's slot is given back: its window was cancelled, is over, or a zone has failed."""
+    def _calendar_transition(self, current: SchedulingRound, slot: Slot) -> SlotTransition | None:
+        """Give back a calendar slot whose window was cancelled or is over, or if another zone has failed."""
         if _is_cancelled(current.rules, slot):
             return _transition(
                 SlotGivenBack, current, slot, "its window was taken back", retry_ident=slot.ident
@@ -98,7 +98,7 @@
         reason = self._calendar_refusal(current, slot)
         return _transition(SlotGivenBack, current, slot, reason) if reason else None
 
-    def _calendar_refusal(self, current: Round, slot: Slot) -> str:
+    def _calendar_refusal(self, current: SchedulingRound, slot: Slot) -> str:
         if current.wall_us >= slot.latest_us > 0:
             if slot.state in (SlotState.REQUESTED, SlotState.QUEUED):
                 return "its time passed before it began"
@@ -108,16 +108,16 @@
             return "its window is over"
         plan = current.rules.plan
         if plan.take_back and slot.state == SlotState.CLOSING:
-            # Danger: the zones that are left carry everything.
+            # Danger: the remaining zones carry the whole load.
             return failed_zones_note(current.budgets.failed_zones(slot, plan.failed_share))
         return ""
 
-    def _of_closing(self, current: Round, slot: Slot) -> SlotTransition | None:
+    def _closing_transition(self, current: SchedulingRound, slot: Slot) -> SlotTransition | None:
         if not self._proof.is_complete(current.now_us, slot.number):
             return None
         return _transition(MachineEmptied, current, slot)
 
-    def _of_empty(self, current: Round, slot: Slot) -> SlotTransition | None:
+    def _empty_transition(self, current: SchedulingRound, slot: Slot) -> SlotTransition | None:
         if not self._proof.is_complete(current.now_us, slot.number):
             return None
         if slot.region not in self._reports.views_in_reach(current.now_us):
@@ -128,8 +128,8 @@
         self.blocked[slot.number] = reason
         return None if reason else _transition(MachineOut, current, slot)
 
-    def _of_out(self, current: Round, slot: Slot) -> SlotTransition | None:
-        """A machine without an operator comes back by itself; one without a duration waits for somebody."""
+    def _out_transition(self, current: SchedulingRound, slot: Slot) -> SlotTransition | None:
+        """Return a machine after the slot's duration; one with an operator or without a duration has to be returned."""
         if slot.worker or not slot.lasts_us:
             return None
         ends_us = min(slot.since_us + slot.lasts_us, slot.ends_us or NO_DEADLINE)
@@ -137,8 +137,8 @@
             return None
         return _transition(MachineReturned, current, slot, "its time is over")
 
-    def _of_returned(
-        self, current: Round, slot: Slot, tracked: TrackedSlot, *, is_unlisted: bool
+    def _returned_transition(
+        self, current: SchedulingRound, slot: Slot, tracked: TrackedSlot, *, is_unlisted: bool
     ) -> SlotTransition | None:
         number = slot.number
         reports = list(self._reports.recent(current.now_us))
@@ -149,7 +149,8 @@
         if not any(number in each.open for each in reports):
             return None
         if not slot.out_us:
-            return _transition(SlotDone, current, slot)  # closed in vain: nothing was done to it
+            # The machine was closed but never given out, so it need not be tried.
+            return _transition(SlotDone, current, slot)
         has_failed_start = any(number in each.bad for each in reports)
         if has_failed_start or current.now_us < tracked.since_us + self._timing.trial_us:
             return None
@@ -157,7 +158,7 @@
 
 
 def failed_zones_note(zones: list[str]) -> str:
-    """Why slots wait or are given back while zones have failed; "" if none has."""
+    """Return the reason to hold or give back slots while zones have failed; "" if none has."""
     return f"{', '.join(zones)} has failed" if zones else ""
 
 
@@ -170,7 +171,7 @@
 
 def _transition(
     entry_type: type[SlotTransition],
-    current: Round,
+    current: SchedulingRound,
     slot: Slot,
     note: str = "",
     retry_ident: str = "",
--- a/wingbarrow/decide/maintenance/windows.py
+++ b/wingbarrow/decide/maintenance/windows.py
@@ -1,8 +1,8 @@
-"""Maintenance windows: series that recur by RFC 5545, expanded to occurrences in wall time; no I/O.
+"""Maintenance windows: series that recur by RFC 5545, expanded to occurrences in wall clock time; no I/O.
 
-Local times belong to a named time zone. A local time that a change to daylight saving skips is moved forward by the
-gap; one that occurs twice means its first occurrence. A window's duration is elapsed time, whether it spans a change or
-not.
+Local times belong to a named time zone. A local time skipped by a change to daylight saving time is moved forward by
+the gap; one that occurs twice means its first occurrence. A window's duration is elapsed time, also across a change of
+the offset.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from dateutil.rrule import HOURLY, rrulestr
 
 SECOND = 1_000_000
-MAX_OCCURRENCES = 2_000  # of one series within one span
-MARGIN = timedelta(hours=2)  # more than any change to daylight saving
+MAX_OCCURRENCES = 2_000  # of one series in one expansion
+DST_MARGIN = timedelta(hours=2)  # longer than any change of a daylight saving offset
 
 
 class UnsafePolicy(Enum):
-    """What a window does about tasks that must not start twice and still run when it would begin."""
+    """A window's policy for tasks that must not start twice and still run at its start."""
 
-    WAIT = "wait"  # the machine stays closed, the work on it begins when they have ended
-    SHORTEN = "shorten"  # the same, but the window still ends when it was to end
-    GIVE_UP = "give-up"  # the machine is opened again and this occurrence is over for it
+    WAIT = "wait"  # the machine stays closed; the work begins when these tasks have ended
+    SHORTEN = "shorten"  # like wait, but the window keeps its planned end
+    GIVE_UP = "give-up"  # the machine is reopened and skips this occurrence
 
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Selects machines: every part that is given has to match; at least one is given."""
+    """Selects machines: every given criterion has to match; at least one is given."""
 
     name: str = ""
     cell: str = ""
@@ -39,7 +39,7 @@
     label: tuple[str, str] | None = None
 
     def matches(self, name: str, cell: str, zone: str, labels: Mapping[str, str]) -> bool:
-        """Whether a machine is selected."""
+        """Whether the selector matches a machine; name "*" matches every machine."""
         return (
             (not self.name or self.name in ("*", name))
             and (not self.cell or self.cell == cell)
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """A window as written: its first start (local), duration, recurrence and machines. Times in microseconds."""
+    """A window as configured: first start (local), duration, recurrence and machines. Durations in microseconds."""
 
     name: str
-    start: datetime  # with its zone
+    start: datetime  # with its time zone
     duration_us: int
-    each_us: int  # that one machine is out; the window holds as many one after another as fit
-    rule: str = ""  # an RRULE's value, empty for a single one
+    each_us: int  # time that one machine is out; machines follow one another within the window
+    rule: str = ""  # the value of an RRULE; empty for a single occurrence
     exceptions: tuple[datetime | date, ...] = ()
     extra: tuple[datetime, ...] = ()
     selectors: tuple[Selector, ...] = ()
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Blackout:
-    """A span, in wall microseconds, in which no window may start."""
+    """A period, in wall clock microseconds, in which no window may start."""
 
     name: str
     start_us: int
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Occurrence:
-    """One occurrence of a series, in wall microseconds."""
+    """One occurrence of a series, in wall clock microseconds."""
 
     series: Series
     start_us: int
@@ -83,12 +83,12 @@
 
     @property
     def ident(self) -> str:
-        """The same whenever it is expanded."""
+        """Identifies the occurrence; the same in every expansion."""
         return f"{self.series.name}@{self.start_us // SECOND}"
 
 
 def time_zone(name: str) -> ZoneInfo:
-    """A time zone by its name in the IANA database; ValueError for one that is unknown."""
+    """Return a time zone by its name in the IANA database; raise ValueError for an unknown name."""
     try:
         return ZoneInfo(name)
     except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -96,14 +96,14 @@
 
 
 def to_wall_us(local: datetime) -> int:
-    """Wall microseconds of a local time with its zone."""
-    # Through UTC and back: a skipped local time comes out moved forward by the gap.
-    settled = local.astimezone(UTC)
-    return int(settled.timestamp() * SECOND)
+    """Convert a local time with its time zone to wall clock microseconds since the epoch."""
+    # The conversion to UTC moves a skipped local time forward by the gap.
+    utc = local.astimezone(UTC)
+    return int(utc.timestamp() * SECOND)
 
 
 def check_rule(rule: str, start: datetime) -> None:
-    """ValueError where a recurrence rule cannot be read or repeats more often than hourly."""
+    """Raise ValueError if a recurrence rule cannot be read or repeats more often than hourly."""
     try:
         parsed = rrulestr(rule, dtstart=start.replace(tzinfo=None), ignoretz=True)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
@@ -113,13 +113,13 @@
 
 
 def expand(series: Series, from_us: int, until_us: int) -> list[Occurrence]:
-    """Occurrences of a series that overlap a span, in order; at most MAX_OCCURRENCES."""
+    """Return the occurrences of a series that overlap a period, in order; at most MAX_OCCURRENCES."""
     if series.duration_us <= 0 or until_us <= from_us:
         return []
     tz = series.start.tzinfo
     found: dict[int, Occurrence] = {}
     for local in _local_starts(series, from_us, until_us):
-        if _is_excepted(local, series.exceptions, tz):
+        if _is_excluded(local, series.exceptions, tz):
             continue
         start_us = to_wall_us(local.replace(tzinfo=tz))
         end_us = start_us + series.duration_us
@@ -129,7 +129,7 @@
 
 
 def _local_starts(series: Series, from_us: int, until_us: int) -> list[datetime]:
-    """Local starts that may overlap a span, not sorted; MARGIN allows for changes to daylight saving."""
+    """Return local starts that may overlap a period, unsorted; DST_MARGIN allows for daylight saving changes."""
     tz = series.start.tzinfo
     begin = series.start.replace(tzinfo=None)
     starts = [begin]
@@ -138,13 +138,13 @@
         earliest = datetime.fromtimestamp(from_us / SECOND, tz).replace(tzinfo=None)
         latest = datetime.fromtimestamp(until_us / SECOND, tz).replace(tzinfo=None)
         rule = rrulestr(series.rule, dtstart=begin, ignoretz=True)
-        following = rule.xafter(earliest - duration - MARGIN, inc=True)
-        in_span = takewhile(lambda start: start <= latest + MARGIN, following)
+        following = rule.xafter(earliest - duration - DST_MARGIN, inc=True)
+        in_span = takewhile(lambda start: start <= latest + DST_MARGIN, following)
         starts = list(islice(in_span, MAX_OCCURRENCES))
     return starts + [each.astimezone(tz).replace(tzinfo=None) for each in series.extra]
 
 
-def _is_excepted(at: datetime, exceptions: Iterable[datetime | date], tz: object) -> bool:
+def _is_excluded(at: datetime, exceptions: Iterable[datetime | date], tz: object) -> bool:
     for each in exceptions:
         if isinstance(each, datetime):
             local = each.astimezone(tz).replace(tzinfo=None) if each.tzinfo else each  # type: ignore[arg-type]
@@ -156,7 +156,7 @@
 
 
 def expand_all(every: Iterable[Series], from_us: int, until_us: int) -> list[Occurrence]:
-    """Occurrences of all series, by start, then precedence, then name."""
+    """Return the occurrences of all series, by start, then descending precedence, then name."""
     found = [occurrence for series in every for occurrence in expand(series, from_us, until_us)]
     return sorted(
         found, key=lambda each: (each.start_us, -each.series.precedence, each.series.name)
