--- a/wingbarrow/decide/replication/orphans.py
+++ b/wingbarrow/decide/replication/orphans.py
@@ -10,7 +10,7 @@
 from wingbarrow.decide.sessions.session import Session
 
 CHECK_INTERVAL_US = 3_000_000
-TIMEOUT_US = 30_000_000  # after it, any replica takes over what no successor does
+NO_SUCCESSOR_TIMEOUT_US = 30_000_000  # after it, any replica takes over what no successor does
 MAX_PENDING_REQUESTS = 1024
 ORPHAN_TIMER = "watch"
 
@@ -95,8 +95,8 @@
         return Send(name, "", request)
 
     def _take_over_overdue(self, now_us: int, session: Session, uids: list[str]) -> list[Effect]:
-        """Take over Jobs without any successor, `TIMEOUT_US` after their session's end was received."""
-        if now_us < self._ended_us.get(session, now_us) + TIMEOUT_US:
+        """Take over Jobs without any successor, `NO_SUCCESSOR_TIMEOUT_US` after their session's end was received."""
+        if now_us < self._ended_us.get(session, now_us) + NO_SUCCESSOR_TIMEOUT_US:
             return []
         orphans = Notify("orphans", {"session": session.text(), "jobs": len(uids)})
         return [orphans, *self._take_over(now_us, uids)]
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -207,7 +207,7 @@
         for link in self.replicas.on_membership(alive):
             self._assignments.exclude(now_us, link)
         for name, link in self.replicas.links.items():
-            if name in alive and alive[name][1] > link.life:
+            if name in alive and alive[name][1] > link.incarnation:
                 self._assignments.on_replica_session(now_us, link, alive[name][1], 0)
         return self._next_effects(now_us)
 
@@ -237,7 +237,7 @@
             for job in self.jobs.values():
                 if link.name in job.must_acknowledge and epoch > job.record.epoch:
                     job.must_acknowledge.discard(link.name)
-            if (link.life, link.serial) <= (session.life, session.serial):
+            if (link.incarnation, link.serial) <= (session.life, session.serial):
                 self._assignments.on_replica_session(now_us, link, session.life, session.serial + 1)
                 if link.name not in self.replicas.regions:
                     self._assignments.exclude(now_us, link)
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -327,8 +327,8 @@
         """Whether this placer takes a Job over. One in doubt is left to a replica that knows more, if there is one."""
         if uid in self.taken_over or entry.in_doubt:
             return False
-        me = self.session.placer
-        return successor_of(ended, (*entry.record.keepers, me)) == me
+        placer_name = self.session.placer
+        return successor_of(ended, (*entry.record.keepers, placer_name)) == placer_name
 
     def take_over(self, now_us: int, uid: str) -> JobClaim | None:
         """Take over a Job of an ended session whose successor does not know it, or that has none."""
@@ -340,24 +340,24 @@
 
     def _take_over(self, now_us: int, uid: str, ended: EndedSession) -> JobClaim:
         entry = self.entries[uid]
-        me = self.session.placer
+        placer_name = self.session.placer
         record = entry.record_at(now_us)
         names = {*record.keepers, *record.others}
         if record.moves:
             names |= {name for batch in ended.batches for name in batch}
-        gone = set(ended.gone) - {me}
+        gone = set(ended.gone) - {placer_name}
         # Danger: a successor that is gone may have started it after it asked those whom it knew of, not this placer.
         # Or it was never accepted, for want of this very answer, and its owner submitted it elsewhere.
         if (
             entry.in_doubt
             or (record.moves > 0 and bool(gone))
-            or me in ended.gone
+            or placer_name in ended.gone
             or record.answered == OFFERED
         ):
             record = with_tasks_in_doubt(record)
         self.taken_over[uid] = ended.epoch, WAITING
         self._summary = None
-        return JobClaim(record, ended.epoch, tuple(sorted(names - gone - {me})))
+        return JobClaim(record, ended.epoch, tuple(sorted(names - gone - {placer_name})))
 
     def awaiting_successors(self) -> dict[str, list[str]]:
         """The uids of Jobs of ended sessions that another placer is to take over, by its name ("": none is known).
--- a/wingbarrow/decide/replication/replica_assignments.py
+++ b/wingbarrow/decide/replication/replica_assignments.py
@@ -120,9 +120,11 @@
         for name in (*job.replicas, *waiting):
             self.replicas.link(name).enqueue_update(now_us, uid)
 
-    def on_replica_session(self, now_us: int, link: ReplicaLink, life: int, serial: int) -> None:
+    def on_replica_session(
+        self, now_us: int, link: ReplicaLink, incarnation: int, serial: int
+    ) -> None:
         """A replica has a new session: it has lost this primary's records, or has them in doubt."""
-        link.life = life
+        link.incarnation = incarnation
         link.serial = serial
         link.cancel_pending()
         for uid, job in self.jobs.items():
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -29,22 +29,24 @@
 
 
 class ReplicaLink:
-    """Queues by uid, in order: `pending_updates` (records to send) and `pending_removals` (records to remove).
+    """What is queued for, pending at and assigned to one replica.
 
-    `record_sizes` are the sizes, by uid, of the records that are assigned to this replica. `life` and `serial` are
-    those of the replica's session as last received. Retries follow an exponential backoff.
+    `pending_updates` and `pending_removals` are queues of uids, in the order of sending: records to store and records
+    to remove. `record_sizes` has the size in bytes, by uid, of each record that is assigned to this replica.
+    `incarnation` and `serial` are those of the replica's session as last received. Retries follow an exponential
+    backoff.
     """
 
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         random_source: random.Random,
         limits: ReplicationLimits,
         next_number: Callable[[], int],
     ) -> None:
         self.name = name
-        self.life = life
+        self.incarnation = incarnation
         self.serial = 0
         self.pending_updates: dict[str, None] = {}
         self.pending_removals: dict[str, None] = {}
@@ -118,7 +120,7 @@
         for uid in removals:
             del self.pending_removals[uid]
         request = ReplicateRequest(
-            self._next_number(), session, tuple(records), removals, self.life, self.serial
+            self._next_number(), session, tuple(records), removals, self.incarnation, self.serial
         )
         self._backoff.reset()
         self.pending = PendingRequest(request, now_us, now_us + self._backoff.next_delay_us())
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -22,8 +22,8 @@
     A reassignment is a pair of a Job's uid and the replica to be replaced ("" where the Job has none yet).
     """
 
-    def __init__(self, me: str, region: str, seed: int, limits: ReplicationLimits) -> None:
-        self.me = me
+    def __init__(self, placer_name: str, region: str, seed: int, limits: ReplicationLimits) -> None:
+        self.placer_name = placer_name
         self.region = region
         self.limits = limits
         self.links: dict[str, ReplicaLink] = {}
@@ -47,13 +47,13 @@
             self.links[name] = self._new_link(name, 0)
         return self.links[name]
 
-    def _new_link(self, name: str, life: int) -> ReplicaLink:
-        return ReplicaLink(name, life, self._random, self.limits, self._next_number)
+    def _new_link(self, name: str, incarnation: int) -> ReplicaLink:
+        return ReplicaLink(name, incarnation, self._random, self.limits, self._next_number)
 
     def on_membership(self, alive: Mapping[str, tuple[str, int]]) -> list[ReplicaLink]:
         """Take the region and life of each placer that is alive; return the links to placers that are not."""
         names_by_region: dict[str, list[str]] = {}
-        for name in sorted(alive.keys() - {self.me}):
+        for name in sorted(alive.keys() - {self.placer_name}):
             names_by_region.setdefault(alive[name][0], []).append(name)
         self._placers_by_region = {
             region: tuple(names) for region, names in names_by_region.items()
@@ -64,7 +64,7 @@
                 link.record_sizes or link.pending_updates or link.pending_removals or link.pending
             ):
                 del self.links[name]
-        for name in sorted(alive.keys() - self.links.keys() - {self.me}):
+        for name in sorted(alive.keys() - self.links.keys() - {self.placer_name}):
             self.links[name] = self._new_link(name, alive[name][1])
         return [link for name, link in self.links.items() if name not in alive]
 
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -77,7 +77,7 @@
         terms_of: Callable[[LeasedJobRecord], ReplicationTerms] = _no_terms,
         settings: ReplicatorSettings = DEFAULT_SETTINGS,
     ) -> None:
-        self.me = session.placer
+        self.placer_name = session.placer
         self.region = region
         self.pace = settings.pace
         self.primary = Primary(session, region, seed, settings.limits, self._is_started)
@@ -117,7 +117,7 @@
         out = self.process(
             now_us, self.primary.on_session_ended(now_us, ended.session, ended.epoch)
         )
-        if ended.session.placer == self.me:
+        if ended.session.placer == self.placer_name:
             recovery = self._recovery(now_us, ended.session, running)
             if recovery is not None:
                 out += self.process(now_us, recovery.on_session_ended(now_us, ended))
@@ -137,7 +137,7 @@
                 uid: OwnJob(job.record_at(now_us), uid in running)
                 for uid, job in former_jobs.items()
             }
-            recovery = SessionRecovery(self.me, session, jobs)
+            recovery = SessionRecovery(self.placer_name, session, jobs)
             self.recoveries[session] = recovery
         return recovery
 
@@ -431,7 +431,7 @@
         record = own.record
         if record.uid in self.primary.jobs:
             return []
-        others = {*record.keepers, *record.others} - {self.me}
+        others = {*record.keepers, *record.others} - {self.placer_name}
         claim = JobClaim(with_tasks_in_doubt(record), epoch, tuple(sorted(others)))
         self.replica.taken_over[record.uid] = epoch, ReissueDecision.WAIT.value
         return self._take_over(now_us, record.session, epoch, [claim])
