--- a/wingbarrow/decide/replication/__init__.py
+++ b/wingbarrow/decide/replication/__init__.py
@@ -1,5 +1,5 @@
-"""Primary and backup replication of the records of leased Jobs, and failover by whoever has a replica.
+"""Primary-backup replication of the records of leased Jobs, and failover of ended sessions to placers with replicas.
 
-`primary` decides what must be acknowledged before an effect may leave; `replica` stores other placers' records;
-`replicator` joins both with the failover of ended sessions. No module here does I/O: each call returns effects.
+`primary` decides which acknowledgements an effect has to await; `replica` stores other placers' records; `replicator`
+combines both with the failover of ended sessions. No module here does I/O: each call returns effects.
 """
--- a/wingbarrow/decide/replication/orphans.py
+++ b/wingbarrow/decide/replication/orphans.py
@@ -1,4 +1,8 @@
-"""Stored Jobs of ended sessions that another placer is to take over: does it, and who does if nobody knows them."""
+"""Orphaned Jobs: records of ended sessions that are stored here, and whose Jobs another placer is to take over.
+
+That placer, the successor, is queried at intervals. Jobs that it does not know are taken over here, and so are Jobs
+that have had no successor for `NO_SUCCESSOR_TIMEOUT_US`.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +14,15 @@
 from wingbarrow.decide.sessions.session import Session
 
 CHECK_INTERVAL_US = 3_000_000
-NO_SUCCESSOR_TIMEOUT_US = 30_000_000  # after it, any replica takes over what no successor does
-MAX_PENDING_REQUESTS = 1024
+NO_SUCCESSOR_TIMEOUT_US = 30_000_000  # after a session's end, any replica takes its Jobs over
+MAX_PENDING_REQUESTS = 1024  # the oldest ones beyond it are discarded
 ORPHAN_TIMER = "watch"
 
 
 class OrphanedJobs:
-    """Asks successors whether they know the Jobs that `replica` stores of ended sessions.
+    """Queries successors about the Jobs of ended sessions whose records `replica` stores.
 
-    `take_over` takes Jobs over here, by time and uids, and returns the effects.
+    `take_over(now_us, uids)` takes Jobs over here, and returns the effects.
     """
 
     def __init__(
@@ -27,17 +31,17 @@
         self._replica = replica
         self._take_over = take_over
         self._check_us: int | None = None
-        self._ended_us: dict[Session, int] = {}  # when the end of a session was received
+        self._ended_us: dict[Session, int] = {}  # when each end was received
         self._pending_requests: dict[int, str] = {}  # placer by number
         self._last_number = 0
 
     def on_session_ended(self, now_us: int, session: Session) -> None:
-        """The voters ended a session."""
+        """Note when the end of a session by the voters was received, if its records are stored here."""
         if session in self._replica.session_ends:
             self._ended_us.setdefault(session, now_us)
 
     def prune(self) -> None:
-        """Forget the ends of sessions of which nothing is stored."""
+        """Discard the ends of sessions without stored records."""
         self._ended_us = {
             session: ended_us
             for session, ended_us in self._ended_us.items()
@@ -45,30 +49,36 @@
         }
 
     def on_timer(self, now_us: int) -> list[Effect]:
-        """Ask the successors; to be called at `ORPHAN_TIMER`."""
+        """Query the successors; the host calls this at `ORPHAN_TIMER`."""
         self._check_us = None
         return self.check(now_us, resolve=True)
 
     def check(self, now_us: int, *, resolve: bool) -> list[Effect]:
-        """Set the timer while Jobs await successors; `resolve`: ask these, and take over what has none in time."""
+        """Set the timer while Jobs are to be taken over by their successors.
+
+        With `resolve`, also query those successors, and take over the Jobs that have had none for too long.
+        """
         out: list[Effect] = []
-        awaiting = self._replica.awaiting_successors()
+        uids_by_successor = self._replica.awaiting_successors()
         if resolve:
-            for name, uids in sorted(awaiting.items()):
-                for session, session_uids in self._by_session(uids).items():
+            for name, uids in sorted(uids_by_successor.items()):
+                for session, session_uids in self._group_by_session(uids).items():
                     if name:
                         out.append(self._request(name, session, session_uids))
                     else:
                         out += self._take_over_overdue(now_us, session, session_uids)
         while len(self._pending_requests) > MAX_PENDING_REQUESTS:
             del self._pending_requests[next(iter(self._pending_requests))]
-        if awaiting and self._check_us is None:
+        if uids_by_successor and self._check_us is None:
             self._check_us = now_us + CHECK_INTERVAL_US
             out.append(SetTimer(ORPHAN_TIMER, self._check_us))
         return out
 
     def on_response(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
-        """A successor answered with the outcomes of Jobs: discard those it knows, take over those it does not."""
+        """Handle a successor's outcomes of Jobs; a response to any but a pending request is ignored.
+
+        Jobs that it does not know are taken over. The entry of a Job in doubt that it knows is discarded.
+        """
         if self._pending_requests.pop(message.number, "") != ident:
             return []
         out: list[Effect] = []
@@ -82,11 +92,11 @@
                 out += self._take_over(now_us, [uid])
         return out
 
-    def _by_session(self, uids: list[str]) -> dict[Session, list[str]]:
-        by_session: dict[Session, list[str]] = {}
+    def _group_by_session(self, uids: list[str]) -> dict[Session, list[str]]:
+        uids_by_session: dict[Session, list[str]] = {}
         for uid in uids:
-            by_session.setdefault(self._replica.entries[uid].record.session, []).append(uid)
-        return by_session
+            uids_by_session.setdefault(self._replica.entries[uid].record.session, []).append(uid)
+        return uids_by_session
 
     def _request(self, name: str, session: Session, uids: list[str]) -> Send:
         self._last_number += 1
@@ -95,7 +105,7 @@
         return Send(name, "", request)
 
     def _take_over_overdue(self, now_us: int, session: Session, uids: list[str]) -> list[Effect]:
-        """Take over Jobs without any successor, `NO_SUCCESSOR_TIMEOUT_US` after their session's end was received."""
+        """Take over Jobs without a successor, `NO_SUCCESSOR_TIMEOUT_US` after their session's end was received."""
         if now_us < self._ended_us.get(session, now_us) + NO_SUCCESSOR_TIMEOUT_US:
             return []
         orphans = Notify("orphans", {"session": session.text(), "jobs": len(uids)})
--- a/wingbarrow/decide/replication/primary.py
+++ b/wingbarrow/decide/replication/primary.py
@@ -1,12 +1,14 @@
-"""The primary's side of replication: which record must be acknowledged by whom before an effect may leave.
-
-A leased Job's record is sent to its replicas, placers of other regions that its spec allows, and again after each
-change. A change has a token; `Notify("kept")` settles each token once, at its deadline at the latest, and as good only
-by what replicas have acknowledged. Most tokens require one acknowledgement. That of an attempt which must not start
-twice, recorded before it is sent, requires one from *every* placer that may have the record. Danger: a replica that was
-replaced as too slow, and received nothing since, would conclude that nothing was sent, and start the Job a second
-time. So a former replica of such a Job has to confirm the removal of the record, or the voters have to end its
-session, before anything more of the Job is sent.
+"""The primary's side of replication: which replicas have to acknowledge a record before an effect may be performed.
+
+A leased Job's record is sent to its replicas, which are placers of other regions that its spec allows, and is sent
+again after each change. Each change has a token. `Notify("kept")` settles each token exactly once, at its deadline at
+the latest, and as `good` only if replicas have acknowledged the change. Most tokens require one acknowledgement. An
+attempt that must not start twice is recorded before it is sent, and its token requires the acknowledgement of *every*
+placer that may have the record.
+
+Danger: a replica that was replaced as too slow has received no later record. As a successor, it would conclude that no
+attempt was sent, and start the Job a second time. Before any further attempt of such a Job is sent, each former replica
+therefore has to confirm that it removed the record, or the voters have to end its session.
 """
 
 from __future__ import annotations
@@ -50,18 +52,18 @@
     return False
 
 
-def _size_refusal(size_bytes: int) -> str:
-    """Why a record cannot be replicated for its size; "" where it can."""
+def _size_refusal_reason(size_bytes: int) -> str:
+    """Return why a record is too large to be replicated; "" if it is not."""
     if size_bytes <= MAX_RECORD_BYTES:
         return ""
     return f"record of {size_bytes} bytes, at most {MAX_RECORD_BYTES}"
 
 
 class Primary:
-    """The records of one placer's own Jobs, under its present session.
+    """Replicates the records of one placer's own Jobs, under its present session.
 
     The host calls `on_message` and, at `PRIMARY_TIMER`, `on_timer`, and performs the returned effects in order.
-    `is_started` says whether a Job that was taken over from an ended session has been started here.
+    `is_started(uid)` returns whether a Job that was taken over from an ended session has been started here.
     """
 
     def __init__(
@@ -75,9 +77,9 @@
         self.session = session
         self.region = region
         self.limits = limits
-        self.former_jobs: dict[str, ReplicatedJob] = {}  # of `former_session`
+        self.former_jobs: dict[str, ReplicatedJob] = {}  # by uid, those of `former_session`
         self.former_session = session
-        self.session_ended = False  # then there are no Jobs until `begin_session`
+        self.session_ended = False  # there are no Jobs while it is set
         self.replicas = ReplicaSet(session.placer, region, seed, limits)
         self._assignments = ReplicaAssignments(self.replicas)
         self._is_started = is_started
@@ -89,20 +91,20 @@
         """The Jobs of the present session, by uid."""
         return self._assignments.jobs
 
-    # -- changes by the core; each returns its token and the effects
+    # -- changes by the core: each returns a token and effects
 
     def replicate(
         self, now_us: int, record: LeasedJobRecord, terms: ReplicationTerms, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """Replicate a new Job; the token fails at once where no replica has capacity.
+        """Replicate a new Job. The token fails at once if no available replica has capacity.
 
-        Where the token fails, the caller has to `remove` the Job.
+        If the token fails, the caller has to `remove` the Job.
         """
         token = self._pending.next_token()
         size_bytes = record_size_bytes(record)
-        why = self._refusal(record.uid, size_bytes)
-        if why:
-            return token, [token_settled(token, why)]
+        reason = self._refusal_reason(record.uid, size_bytes)
+        if reason:
+            return token, [token_settled(token, reason)]
         chosen = self.replicas.choose(now_us, record.uid, terms, size_bytes)
         if not chosen:
             available = self.replicas.choose(now_us, record.uid, terms, 0)
@@ -119,15 +121,16 @@
         deadline_us: int,
         former_replicas: Collection[str],
     ) -> tuple[int, list[Effect]]:
-        """Replicate a Job of an ended session; without any replica until there is one.
+        """Replicate a Job of an ended session; if no replica is available, the Job has none until one is found.
 
-        `former_replicas` may have an older record. Unless the Job is safe, the token requires all of them.
+        `former_replicas` are placers that may have an older record. Unless the Job is safe, the token requires the
+        acknowledgements of all of them.
         """
         token = self._pending.next_token()
         size_bytes = record_size_bytes(record)
-        why = self._refusal(record.uid, size_bytes)
-        if why:
-            return token, [token_settled(token, why)]
+        reason = self._refusal_reason(record.uid, size_bytes)
+        if reason:
+            return token, [token_settled(token, reason)]
         chosen = self.replicas.choose(now_us, record.uid, terms, size_bytes)
         job = self._new_job(now_us, record, terms, chosen, size_bytes)
         job.must_acknowledge = set(former_replicas) - {self.session.placer}
@@ -139,31 +142,31 @@
     def record_send(
         self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """An attempt is about to be sent, and must not be before the token is good."""
+        """Record that an attempt is about to be sent; it must not be sent before the token is settled as good."""
         return self._record_task(now_us, uid, replace(known, phase="about"), deadline_us)
 
     def record_placed(
         self, now_us: int, uid: str, known: KnownTask, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """A machine runs a task; the answer `placed` must not be given before the token is good."""
+        """Record that a machine runs a task; `placed` must not be answered before the token is settled as good."""
         return self._record_task(now_us, uid, replace(known, phase="placed"), deadline_us)
 
     def record_not_running(
         self, now_us: int, uid: str, index: int, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """An attempt does not run, as is proven: its machine rejected it, or never received it and never will."""
+        """Record that an attempt provably does not run: its machine rejected it, or can never receive it."""
         return self._record_task(now_us, uid, KnownTask(index, "none"), deadline_us)
 
     def record_task_ended(
         self, now_us: int, uid: str, index: int, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """A task is over, and is never to be started again."""
+        """Record that a task has ended, and must never be started again."""
         return self._record_task(now_us, uid, KnownTask(index, "over"), deadline_us)
 
     def record_answer(
         self, now_us: int, uid: str, answer: str, deadline_us: int
     ) -> tuple[int, list[Effect]]:
-        """The answer that the Job's owner was given."""
+        """Record the answer that the Job's owner was given."""
         job = self.jobs.get(uid)
         if job is None:
             return self._not_replicated()
@@ -172,7 +175,7 @@
     def await_acknowledgement(
         self, now_us: int, uid: str, deadline_us: int, *, requires_all: bool
     ) -> tuple[int, list[Effect]]:
-        """A new token for a Job's record as it is."""
+        """Return a new token for the acknowledgement of a Job's record as it is now."""
         job = self.jobs.get(uid)
         if job is None:
             return self._not_replicated()
@@ -181,7 +184,7 @@
         return token, [*self._pending.settle_acknowledged(job), *self._next_effects(now_us)]
 
     def remove(self, now_us: int, uid: str) -> list[Effect]:
-        """Have the replicas remove a Job's record, and fail its tokens."""
+        """Have the replicas remove a Job's record, and fail the Job's pending tokens."""
         self.former_jobs.pop(uid, None)
         job = self.jobs.pop(uid, None)
         if job is None:
@@ -191,19 +194,19 @@
         return out + self._next_effects(now_us)
 
     def update_tasks(self, now_us: int, uid: str, tasks: tuple[KnownTask, ...]) -> list[Effect]:
-        """Replace the tasks of a Job that was taken over, after another replica knew more of them."""
+        """Replace the tasks of a Job that was taken over, after another replica reported later states of them."""
         job = self.jobs.get(uid)
         if job is None or job.record.tasks == tasks:
             return []
         job.record = replace(job.record, tasks=tasks, version=job.record.version + 1)
-        job.since_us |= {each.index: now_us - each.age_us for each in tasks}
+        job.phase_since_us |= {each.index: now_us - each.age_us for each in tasks}
         self._assignments.enqueue_update(now_us, job)
         return self._next_effects(now_us)
 
     # -- membership, specs and sessions
 
     def on_membership(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
-        """Take the region and life, by name, of each placer that is alive; exclude the replicas that are not."""
+        """Update the placers that are alive: region and incarnation, by name. Replicas that are not get excluded."""
         for link in self.replicas.on_membership(alive):
             self._assignments.exclude(now_us, link)
         for name, link in self.replicas.links.items():
@@ -214,7 +217,7 @@
     def on_specs_changed(
         self, now_us: int, terms_of: Callable[[LeasedJobRecord], ReplicationTerms]
     ) -> list[Effect]:
-        """Replace the replicas in regions that a Job's spec no longer allows."""
+        """Update the Jobs' terms by `terms_of`, and replace replicas in regions that they no longer allow."""
         for uid, job in self.jobs.items():
             job.terms = terms_of(job.record)
             for name in job.replicas:
@@ -223,10 +226,11 @@
         return self._next_effects(now_us)
 
     def on_session_ended(self, now_us: int, session: Session, epoch: int) -> list[Effect]:
-        """The voters ended a session; to be called in the order of epochs.
+        """Handle the end of a session by the voters; the host calls this in the order of epochs.
 
-        Records that were stored under it no longer count. Danger: a placer that has to acknowledge a Job that was taken
-        over may have stored the record under a later session; only an end after the Job's own epoch releases it.
+        Records that a replica stored under the ended session no longer count as acknowledged. Danger: a placer that
+        has to acknowledge a Job that was taken over may have stored the record under a later session. Only an end at a
+        later epoch than the Job's own waives that acknowledgement.
         """
         if session.placer == self.session.placer:
             is_own = session >= self.session and not self.session_ended
@@ -242,8 +246,8 @@
                 if link.name not in self.replicas.regions:
                     self._assignments.exclude(now_us, link)
                 else:
-                    # Danger: it may have left before membership shows it: an attempt that needs its acknowledgement
-                    # would wait in vain.
+                    # Danger: the placer may have left before the membership shows it. An attempt that requires its
+                    # acknowledgement would then wait until its deadline.
                     link.excluded_until_us = max(
                         link.excluded_until_us, now_us + self.limits.exclusion_us
                     )
@@ -251,7 +255,7 @@
         return out + self._next_effects(now_us)
 
     def begin_session(self, now_us: int, session: Session) -> list[Effect]:
-        """This placer has a new session, without any Job."""
+        """Begin a new session of this placer, without any Job."""
         out = [] if self.session_ended else self._end_session()
         self.session = session
         self.session_ended = False
@@ -260,7 +264,7 @@
     # -- messages and time
 
     def on_message(self, now_us: int, ident: str, message: ReplicateResponse) -> list[Effect]:
-        """A replica answered; answers to other than its pending request are ignored."""
+        """Handle a replica's response; a response to any but its pending request is ignored."""
         link = self.replicas.links.get(ident)
         if (
             self.session_ended
@@ -290,7 +294,7 @@
         return out + self._next_effects(now_us)
 
     def on_timer(self, now_us: int, key: str = PRIMARY_TIMER) -> list[Effect]:
-        """Expire tokens, exclude silent replicas, reassign, and send what is due."""
+        """Expire tokens, exclude silent replicas, reassign Jobs, and send the requests that are due."""
         self._timer_us = None
         out: list[Effect] = []
         out += self._pending.expire(now_us, self.jobs)
@@ -308,7 +312,7 @@
     # -- the end of the session
 
     def _settle_acknowledged(self) -> list[Effect]:
-        """After a replica was released from all its records."""
+        """Settle tokens that no longer require a replica whose session has ended."""
         return [
             effect
             for job in self.jobs.values()
@@ -328,18 +332,18 @@
 
     # -- records
 
-    def _refusal(self, uid: str, size_bytes: int) -> str:
-        """Why a Job cannot be replicated under this session; "" where it can."""
+    def _refusal_reason(self, uid: str, size_bytes: int) -> str:
+        """Return why a Job cannot be replicated under this session; "" if it can."""
         if self.session_ended:
             return SESSION_OVER
         if uid in self.jobs:
             return ALREADY_REPLICATED
-        return _size_refusal(size_bytes)
+        return _size_refusal_reason(size_bytes)
 
     def _not_replicated(self) -> tuple[int, list[Effect]]:
         token = self._pending.next_token()
-        why = SESSION_OVER if self.session_ended else NOT_REPLICATED
-        return token, [token_settled(token, why)]
+        reason = SESSION_OVER if self.session_ended else NOT_REPLICATED
+        return token, [token_settled(token, reason)]
 
     def _new_job(
         self,
@@ -352,7 +356,7 @@
         return ReplicatedJob(
             replace(record, session=self.session, keepers=chosen, others=(), moves=0),
             born_us=now_us - record.born_age_us,
-            since_us={each.index: now_us - each.age_us for each in record.tasks},
+            phase_since_us={each.index: now_us - each.age_us for each in record.tasks},
             terms=terms,
             size_bytes=size_bytes,
             replicas=list(chosen),
@@ -381,15 +385,16 @@
         deadline_us: int,
         known: KnownTask | None = None,
     ) -> tuple[int, list[Effect]]:
-        """Replace a Job's record, `known` being its changed task, and send it to all replicas."""
+        """Replace a Job's record and send it to all replicas; `known` is the changed task, None if no task changed."""
         token = self._pending.next_token()
-        why = _size_refusal(record_size_bytes(record))
-        if why:
-            return token, [token_settled(token, why)]
+        reason = _size_refusal_reason(record_size_bytes(record))
+        if reason:
+            return token, [token_settled(token, reason)]
         requires_all = False
         if known is not None:
-            job.since_us[known.index] = now_us - known.age_us
-            # Danger: one replica is enough for a Job that may repeat; of any other all that may start it must know.
+            job.phase_since_us[known.index] = now_us - known.age_us
+            # Danger: one acknowledgement is enough for a Job that may run twice. For any other Job, every placer that
+            # could start it has to know of the attempt.
             requires_all = known.phase == "about" and record.effect != "safe"
         job.record = replace(record, version=record.version + 1)
         self._pending.add(job, token, deadline_us, requires_all)
@@ -405,7 +410,7 @@
         message: ReplicateResponse,
         request: ReplicateRequest,
     ) -> list[Effect]:
-        """A replica stored a request, but for the records that another primary has by a later one."""
+        """Handle the storage of a request by a replica, which rejects the records of Jobs that have another primary."""
         out: list[Effect] = [Notify("later", {"record": each}) for each in message.later]
         for uid, epoch, primary in message.taken:
             out += self._on_rejected(now_us, link, uid, epoch, primary)
@@ -425,12 +430,13 @@
     def _on_rejected(
         self, now_us: int, link: ReplicaLink, uid: str, epoch: int, primary: str
     ) -> list[Effect]:
-        """A replica has a Job of another primary, at this epoch: give the Job up, unless it was started here."""
+        """Give up a Job that a replica rejected as another primary's, unless it was started here and has precedence."""
         job = self.jobs.get(uid)
         if job is None:
             return []
-        # Danger: of two primaries at one epoch each may be rejected by the other's replicas, and both give up. One that
-        # has started the Job yields only to a later epoch, or to the placer itself where that has the lesser name.
+        # Danger: two primaries at the same epoch may each be rejected by the other's replicas, and both would give the
+        # Job up. A primary that has started the Job therefore yields only to a later epoch, or to a rejection by the
+        # other primary itself if that has the lesser name.
         has_precedence = primary != link.name or self.session.placer < primary
         if epoch <= job.record.epoch and has_precedence and self._is_started(uid):
             job.disputed_by.add(link.name)
@@ -440,7 +446,7 @@
         return [*out, Notify("taken", {"uid": uid, "by": primary}), *self.remove(now_us, uid)]
 
     def _on_removed(self, link: ReplicaLink, uids: tuple[str, ...]) -> list[Effect]:
-        """A placer removed these records."""
+        """Handle a placer's confirmation that it removed these records."""
         jobs = [self.jobs[uid] for uid in uids if uid in self.jobs]
         for job in jobs:
             if job.record.uid not in link.pending_updates and link.name not in job.replicas:
@@ -451,7 +457,7 @@
     # -- requests
 
     def _next_effects(self, now_us: int) -> list[Effect]:
-        """The requests that are due, and the timer for the next deadline."""
+        """Return the requests that are due, and the timer for the next deadline."""
         out: list[Effect] = []
         deadlines: list[int] = []
         expiry_us = self._pending.next_deadline()
--- a/wingbarrow/decide/replication/replica.py
+++ b/wingbarrow/decide/replication/replica.py
@@ -1,13 +1,13 @@
 """The replica's side of replication: other placers' records, stored in order and within limits, and their failover.
 
-A request is stored whole, or refused whole for want of capacity. A record is replaced by a later one: of a later epoch,
-or of the same epoch and a later version. Of two primaries that took a Job over at the same epoch, the one with the
-lesser name has precedence. Ages become times of this placer's clock: a late message makes events look later than they
-were, which only makes a successor wait longer.
-
-Danger: a message of before this placer's own session ended must not pass for a new one, so that a request for another
-session than the present one is refused; and the records stored until then are *in doubt*, as their primary may go on
-without this placer.
+A request is stored as a whole, or refused as a whole if capacity is missing. A record is replaced only by a later one:
+of a later epoch, or of the same epoch and a later version. If two primaries took a Job over at the same epoch, the one
+with the lesser name has precedence. Ages are converted to times of this placer's clock on receipt. A delayed message
+makes events appear later than they were, which only makes a successor wait longer.
+
+Danger: a message that was sent before this placer's own session ended must not be taken for a new one. A request to any
+session but the present one is therefore refused. Records that were stored under an earlier session are *in doubt*, as
+their primary may have gone on without this placer.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 MAX_PRIMARIES = 4096
 UNKNOWN_HERE = "not known here"
-WAITING = "waiting"  # the outcome of a Job that was taken over, until one is decided
+WAITING = "waiting"  # the outcome of a Job that was taken over, until its reissue is decided
 RUNNING = "run"
 UNLIMITED = 1 << 30
 
@@ -53,7 +53,8 @@
 class ReplicaEntry:
     """One stored record.
 
-    `superseded` is the entry that it replaced at the same epoch, which is restored if this one is removed.
+    `superseded` is the entry of another primary that it replaced at the same epoch; it is restored if this one is
+    removed. `in_doubt`: the primary may have changed the record since, without this placer.
     """
 
     record: LeasedJobRecord
@@ -63,15 +64,15 @@
     superseded: ReplicaEntry | None = None
 
     def record_at(self, now_us: int) -> LeasedJobRecord:
-        """The record with the ages of now."""
+        """Return the record with its ages as of now."""
         return with_ages_advanced(self.record, now_us - self.received_us)
 
 
 @dataclass(slots=True)
 class JobClaim:
-    """A Job that this placer takes over, and the other placers that may have its record (`possible_replicas`).
+    """A Job that this placer takes over; `possible_replicas` are the other placers that may have its record.
 
-    A task is in doubt where more may be true of it than is recorded, and remains so at later successors.
+    A task of the record is in doubt if its state may be later than recorded. It remains in doubt at later successors.
     """
 
     record: LeasedJobRecord
@@ -80,13 +81,13 @@
 
 
 class Replica:
-    """The records that one placer stores for others, under its present session."""
+    """Stores records for other placers, under this placer's present session."""
 
     def __init__(self, session: Session, limits: ReplicationLimits = ReplicationLimits()) -> None:
         self.session = session
         self.limits = limits
         self.entries: dict[str, ReplicaEntry] = {}
-        self.uids_by_session: dict[Session, dict[str, None]] = {}  # of primaries
+        self.uids_by_session: dict[Session, dict[str, None]] = {}  # by the primary's session
         self.taken_over: dict[str, tuple[int, str]] = {}  # epoch and outcome, by uid
         self.session_ends: dict[Session, EndedSession] = {}  # of sessions with entries
         self.last_ended: dict[str, Session] = {}  # by placer
@@ -98,7 +99,10 @@
     # -- requests of primaries
 
     def on_request(self, now_us: int, ident: str, request: ReplicateRequest) -> list[Effect]:
-        """Store a request's records, or refuse them, and answer; older requests than the last get no answer."""
+        """Store a request's records, or refuse them, and respond.
+
+        A repeated request gets the same response again. A request older than the last one gets none.
+        """
         last = self._last_responses.get(ident)
         if last is not None and last[0] == request.session and request.number <= last[1]:
             return [Send(ident, "", last[2])] if request.number == last[1] else []
@@ -109,9 +113,9 @@
             life=self.session.life,
             serial=self.session.serial,
         )
-        why = self._malformed(ident, request)
-        if why:
-            return [Send(ident, "", replace(response, why=why))]
+        reason = self._validation_error(ident, request)
+        if reason:
+            return [Send(ident, "", replace(response, why=reason))]
         if self._has_ended(request.session) or (last is not None and request.session < last[0]):
             refusal = replace(response, why="this session has ended", over=True)
             return [Send(ident, "", refusal)]
@@ -124,9 +128,9 @@
         )
         rejected = {uid for uid, _, _ in taken}
         records = [each for each in request.records if each.uid not in rejected]
-        why = self._capacity_refusal(ident, records)
-        if why:
-            return [Send(ident, "", replace(response, why=why))]
+        reason = self._capacity_refusal_reason(ident, records)
+        if reason:
+            return [Send(ident, "", replace(response, why=reason))]
         out: list[Effect] = []
         later: list[LeasedJobRecord] = []
         for record in records:
@@ -137,8 +141,8 @@
         self._last_responses[ident] = request.session, request.number, response
         return [*out, Send(ident, "", response)]
 
-    def _malformed(self, ident: str, request: ReplicateRequest) -> str:
-        """Why a request is refused whatever is stored; "" where it is well formed."""
+    def _validation_error(self, ident: str, request: ReplicateRequest) -> str:
+        """Return why a request is refused regardless of the stored records; "" if it is valid."""
         if request.session.placer != ident:
             return "not the sender's session"
         if ident not in self._last_responses and len(self._last_responses) >= MAX_PRIMARIES:
@@ -159,8 +163,8 @@
         last = self.last_ended.get(session.placer)
         return last is not None and session <= last
 
-    def _capacity_refusal(self, primary: str, new: Iterable[LeasedJobRecord]) -> str:
-        """Why these records of a primary cannot be stored, by number or size; "" where they can."""
+    def _capacity_refusal_reason(self, primary: str, new: Iterable[LeasedJobRecord]) -> str:
+        """Return which limit on number or size keeps these records of a primary from being stored; "" if none does."""
         records = sum(
             len(uids) for session, uids in self.uids_by_session.items() if session.placer == primary
         )
@@ -188,14 +192,14 @@
     # -- precedence
 
     def _has_precedence(self, record: LeasedJobRecord) -> bool:
-        """Whether a received record replaces what this placer has of the Job."""
+        """Return whether a received record replaces what this placer has of the Job."""
         has_lesser_name = record.session.placer < self.session.placer
         own = self.taken_over.get(record.uid)
         if own is not None:
             epoch, outcome = own
             if record.epoch <= epoch:
-                # Danger: what was started here goes on; the other has not started, as it has no acknowledgement of
-                # this placer.
+                # Danger: a Job that was started here keeps running here. The other primary has not started it, as that
+                # requires an acknowledgement by this placer.
                 return record.epoch == epoch and has_lesser_name and outcome != RUNNING
         entry = self.entries.get(record.uid)
         if entry is None:
@@ -206,7 +210,7 @@
         return record.epoch == known.epoch and record.session.placer < known.session.placer
 
     def _known_primary(self, uid: str) -> tuple[int, str]:
-        """A Job's epoch and primary, as far as this placer knows."""
+        """Return a Job's epoch and primary, as far as this placer knows them."""
         if uid in self.taken_over:
             return self.taken_over[uid][0], self.session.placer
         record = self.entries[uid].record
@@ -217,12 +221,12 @@
     def _store(
         self, now_us: int, record: LeasedJobRecord, later: list[LeasedJobRecord]
     ) -> list[Effect]:
-        """Store a record; add to `later` what its primary may not know of a Job that is not safe."""
+        """Store a record. Append the previous primary's record to `later`, unless the Job is safe."""
         out: list[Effect] = []
         previous = self.entries.get(record.uid)
         entry = ReplicaEntry(record, now_us, record_size_bytes(record))
         if record.uid in self.taken_over:
-            out.append(self._superseded(record))
+            out.append(self._give_up(record))
         if previous is not None and previous.record.session == record.session:
             if version_order(previous.record) > version_order(record):
                 return out
@@ -236,8 +240,8 @@
         self._add(entry)
         return out
 
-    def _superseded(self, record: LeasedJobRecord) -> Notify:
-        """A Job that was taken over here belongs to another primary."""
+    def _give_up(self, record: LeasedJobRecord) -> Notify:
+        """Give up a Job that was taken over here, as it has another primary."""
         _, outcome = self.taken_over.pop(record.uid)
         fields = {
             "uid": record.uid,
@@ -249,7 +253,7 @@
         return Notify("superseded", fields)
 
     def _remove(self, session: Session, uid: str) -> None:
-        """The primary of this session removed a Job."""
+        """Remove the record that the primary of this session has stored here."""
         entry = self.entries.get(uid)
         if entry is None:
             return
@@ -283,22 +287,26 @@
         self._summary = None
 
     def record_at(self, now_us: int, uid: str) -> LeasedJobRecord | None:
-        """The stored record of a Job, with the ages of now."""
+        """Return the stored record of a Job, with its ages as of now."""
         entry = self.entries.get(uid)
         return entry.record_at(now_us) if entry is not None else None
 
     # -- ends of sessions
 
     def summary(self) -> tuple[HeldRecords, ...]:
-        """What is stored of each session, the most Jobs first, without those that this placer has taken over."""
+        """Return, for each primary's session, the number of stored Jobs and their least `after_us`.
+
+        Jobs that were taken over here are not counted. The at most `MAX_HELD_SESSIONS` sessions with the most Jobs are
+        returned, in that order.
+        """
         if self._summary is None:
             out = []
             for session, uids in self.uids_by_session.items():
-                afters = [
+                delays_us = [
                     self.entries[uid].record.after_us for uid in uids if uid not in self.taken_over
                 ]
-                if afters:
-                    out.append(HeldRecords(session, len(afters), min(afters)))
+                if delays_us:
+                    out.append(HeldRecords(session, len(delays_us), min(delays_us)))
             out.sort(key=lambda each: (-each.jobs, each.session))
             self._summary = tuple(out[:MAX_HELD_SESSIONS])
         return self._summary
@@ -306,9 +314,10 @@
     def on_session_ended(
         self, now_us: int, ended: EndedSession, limit: int = UNLIMITED
     ) -> list[JobClaim]:
-        """A session is over, or has more successors than before: the Jobs that this placer takes over, each once.
+        """Handle the end of a session, or new successors of it: return the Jobs that this placer takes over, each once.
 
-        The first `limit` of them, by priority and age: to be called again while it returns so many.
+        At most `limit` Jobs are returned, by priority, then the oldest first. The caller repeats the call as long as
+        `limit` Jobs are returned.
         """
         if not self._has_ended(ended.session):
             self.last_ended[ended.session.placer] = ended.session
@@ -324,14 +333,17 @@
         return [self._take_over(now_us, uid, ended) for _, _, uid in nsmallest(limit, candidates)]
 
     def _is_successor(self, ended: EndedSession, uid: str, entry: ReplicaEntry) -> bool:
-        """Whether this placer takes a Job over. One in doubt is left to a replica that knows more, if there is one."""
+        """Return whether this placer takes a Job over; a Job in doubt is left to a replica that is not in doubt."""
         if uid in self.taken_over or entry.in_doubt:
             return False
         placer_name = self.session.placer
         return successor_of(ended, (*entry.record.keepers, placer_name)) == placer_name
 
     def take_over(self, now_us: int, uid: str) -> JobClaim | None:
-        """Take over a Job of an ended session whose successor does not know it, or that has none."""
+        """Take over a Job of an ended session that has no successor, or whose successor does not know the Job.
+
+        Returns None for any other Job, and for one that has been taken over already.
+        """
         entry = self.entries.get(uid)
         ended = self.session_ends.get(entry.record.session) if entry is not None else None
         if ended is None or uid in self.taken_over:
@@ -346,8 +358,9 @@
         if record.moves:
             names |= {name for batch in ended.batches for name in batch}
         gone = set(ended.gone) - {placer_name}
-        # Danger: a successor that is gone may have started it after it asked those whom it knew of, not this placer.
-        # Or it was never accepted, for want of this very answer, and its owner submitted it elsewhere.
+        # Danger: a successor that is gone may have started the Job after it queried only the replicas that it knew of,
+        # not this placer. Or the Job was never accepted, as this placer's acknowledgement was missing, and its owner
+        # submitted it elsewhere.
         if (
             entry.in_doubt
             or (record.moves > 0 and bool(gone))
@@ -360,9 +373,10 @@
         return JobClaim(record, ended.epoch, tuple(sorted(names - gone - {placer_name})))
 
     def awaiting_successors(self) -> dict[str, list[str]]:
-        """The uids of Jobs of ended sessions that another placer is to take over, by its name ("": none is known).
+        """Return the uids of Jobs of ended sessions that another placer is to take over, by that successor's name.
 
-        A Job that is in doubt here stands under all successors.
+        Jobs without a known successor are listed under "". A Job that is in doubt here is listed under "" and under
+        all successors of its session.
         """
         out: dict[str, list[str]] = {}
         for ended in self.session_ends.values():
@@ -380,7 +394,7 @@
         return out
 
     def on_known_elsewhere(self, uid: str) -> None:
-        """A successor knows a Job that is in doubt here: its entry is no longer needed."""
+        """Discard the entry of a Job that is in doubt here, as a successor knows the Job."""
         entry = self.entries.get(uid)
         if (
             entry is not None
@@ -391,9 +405,10 @@
             self._discard(uid)
 
     def on_own_session_ended(self, session: Session, own_jobs: Collection[str]) -> None:
-        """This placer's session was ended, and it has a new one: primaries may have gone on without it.
+        """Begin a new session after the end of this placer's own; entries become in doubt, except those of safe Jobs.
 
-        Of what it had taken over, `own_jobs` go to its own successors, by their records.
+        `own_jobs` are the uids of the Jobs that this placer had replicated itself. Of those that it had taken over,
+        the entries are discarded: these Jobs go to this placer's own successors, by the records that those have.
         """
         self.session = session
         for uid in set(own_jobs) & self.taken_over.keys():
@@ -406,13 +421,13 @@
     # -- outcomes
 
     def set_outcome(self, uid: str, outcome: str) -> None:
-        """Note the outcome of a Job that was taken over here."""
+        """Set the outcome of a Job that was taken over here; any other Job is ignored."""
         if uid in self.taken_over:
             epoch, _ = self.taken_over[uid]
             self.taken_over[uid] = epoch, outcome
 
     def release(self, uid: str) -> None:
-        """A Job that was taken over here is over, or another primary's: discard its entry."""
+        """Discard the entry of a Job that was taken over here, as the Job has ended or has another primary."""
         if (
             self.taken_over.pop(uid, None) is not None
             and uid in self.entries
@@ -423,7 +438,7 @@
     def on_resolve(
         self, ident: str, request: ResolveRequest, own_jobs: Mapping[str, tuple[int, str]]
     ) -> list[Effect]:
-        """Answer a former primary, or another replica, with the outcomes of Jobs of an ended session.
+        """Respond to a former primary, or to another replica, with the outcomes of Jobs of an ended session.
 
         `own_jobs`: epoch and outcome, by uid, of the Jobs of which this placer itself is primary.
         """
@@ -435,7 +450,7 @@
     def _outcome(
         self, uid: str, request: ResolveRequest, own_jobs: Mapping[str, tuple[int, str]]
     ) -> tuple[int, str]:
-        """The epoch and outcome of one Job."""
+        """Return the epoch and outcome of one Job; the outcome is `UNKNOWN_HERE` if this placer does not have it."""
         if uid in self.taken_over:
             return self.taken_over[uid]
         if uid in own_jobs:
@@ -447,5 +462,5 @@
 
 
 def count_unreplicated(leased: int, summaries: Iterable[HeldRecords]) -> int:
-    """How many of a lost session's `leased` Jobs have no replica, by the summaries of all replicas."""
+    """Return how many of a lost session's `leased` Jobs have no replica, given the summaries of all replicas."""
     return max(0, leased - sum(each.jobs for each in summaries))
--- a/wingbarrow/decide/replication/replica_assignments.py
+++ b/wingbarrow/decide/replication/replica_assignments.py
@@ -1,4 +1,4 @@
-"""Which placers have the records of a primary's Jobs: replicas, their replacement, and former replicas."""
+"""Assignment of a primary's Jobs to replicas, replacement of replicas, and removal of records at former ones."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class ReplicaAssignments:
-    """The Jobs of one session by uid, and what is queued for the links of `replicas` on their behalf."""
+    """The Jobs of one session, by uid; queues the changes of their records at the links of `replicas`."""
 
     def __init__(self, replicas: ReplicaSet) -> None:
         self.replicas = replicas
         self.jobs: dict[str, ReplicatedJob] = {}
 
     def clear(self) -> dict[str, ReplicatedJob]:
-        """Forget all Jobs, and all that is queued; return the Jobs."""
+        """Discard all Jobs and all queued changes; return the Jobs."""
         jobs = self.jobs
         self.jobs = {}
         self.replicas.clear()
         return jobs
 
     def begin(self, now_us: int, job: ReplicatedJob) -> None:
-        """Send a new Job's record to its replicas, and to those that may have an older one."""
+        """Queue a new Job's record for its replicas, and for the placers that may have an older one."""
         uid = job.record.uid
         self.jobs[uid] = job
         for name in (*job.replicas, *sorted(job.former_replicas)):
@@ -36,12 +36,12 @@
             self.replicas.defer_reassignment(now_us, uid, "")
 
     def enqueue_update(self, now_us: int, job: ReplicatedJob) -> None:
-        """Send a changed record to the Job's replicas."""
+        """Queue a changed record for the Job's replicas."""
         for name in job.replicas:
             self.replicas.links[name].enqueue_update(now_us, job.record.uid)
 
     def remove(self, now_us: int, job: ReplicatedJob) -> None:
-        """Have all placers that may have a Job's record remove it."""
+        """Queue the removal of a Job's record for all placers that may have it."""
         uid = job.record.uid
         for name in (*job.replicas, *sorted(job.former_replicas)):
             link = self.replicas.link(name)
@@ -49,12 +49,12 @@
             link.enqueue_removal(now_us, uid)
 
     def needs_record(self, uid: str, name: str) -> bool:
-        """Whether a placer is to have a Job's record: as its replica, or to acknowledge it once."""
+        """Return whether a placer has to receive a Job's record: as its replica, or to acknowledge it once."""
         job = self.jobs.get(uid)
         return job is not None and (name in job.replicas or name in job.must_acknowledge)
 
     def requeue(self, now_us: int, link: ReplicaLink, request: ReplicateRequest) -> None:
-        """Queue the content of a request that was not stored."""
+        """Queue the content of a request again, as it was not stored."""
         for record in request.records:
             if self.needs_record(record.uid, link.name):
                 link.enqueue_update(now_us, record.uid)
@@ -63,18 +63,21 @@
                 link.enqueue_removal(now_us, uid)
 
     def release_former_replicas(self, now_us: int, job: ReplicatedJob) -> None:
-        """Have former replicas remove the record, once a present one has stored it without them."""
+        """Have former replicas remove the record, once a present one has stored the version that replaced them."""
         if any(job.has_acknowledged(name, job.reassigned_version) for name in job.replicas):
             for name in sorted(job.former_replicas):
                 if name not in job.must_acknowledge:
                     self.replicas.link(name).enqueue_removal(now_us, job.record.uid)
 
     def exclude(self, now_us: int, link: ReplicaLink) -> None:
-        """Reassign a replica's Jobs, first those with pending acknowledgements."""
+        """Exclude a replica, and schedule the reassignment of its Jobs: first those with pending acknowledgements."""
         self.replicas.exclude(now_us, link, lambda uid: bool(self.jobs[uid].pending))
 
     def reassign(self, now_us: int, uid: str, name: str) -> None:
-        """Replace one replica of a Job by another; where there is none, it stays, and counts as the only one."""
+        """Replace one replica of a Job, if it is no longer usable; "" stands for the missing one of a Job without any.
+
+        If no replacement is available, the replica stays, and the search is repeated later.
+        """
         job = self.jobs.get(uid)
         if job is None:
             return
@@ -107,7 +110,7 @@
         self._on_reassigned(now_us, job)
 
     def _on_reassigned(self, now_us: int, job: ReplicatedJob) -> None:
-        """Send the record with its new replicas to all that need it."""
+        """Send the record, which names the new replicas, to all placers that need it."""
         uid = job.record.uid
         job.record = replace(
             job.record,
@@ -123,7 +126,7 @@
     def on_replica_session(
         self, now_us: int, link: ReplicaLink, incarnation: int, serial: int
     ) -> None:
-        """A replica has a new session: it has lost this primary's records, or has them in doubt."""
+        """Handle a replica's new session, under which it has lost this primary's records, or has them in doubt."""
         link.incarnation = incarnation
         link.serial = serial
         link.cancel_pending()
--- a/wingbarrow/decide/replication/replica_link.py
+++ b/wingbarrow/decide/replication/replica_link.py
@@ -1,4 +1,4 @@
-"""The link from a primary to one replica: queued changes, and one request at a time, retried until answered."""
+"""The link from a primary to one replica: queued changes, and one pending request, retried until the response."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """The request that is not answered yet; the ages in its records are those of `sent_us`."""
+    """A request without a response yet; the ages in its records are as of `sent_us`."""
 
     request: ReplicateRequest
     sent_us: int
@@ -60,7 +60,7 @@
         self._backoff = Backoff(random_source, limits.min_retry_us, limits.max_retry_us)
 
     def enqueue_update(self, now_us: int, uid: str) -> None:
-        """Send a Job's record with the next request; the record is read when that leaves."""
+        """Send a Job's record with the next request; the record is read when that request is sent."""
         self.pending_updates.pop(uid, None)
         self.pending_removals.pop(uid, None)
         self.pending_updates[uid] = None
@@ -83,25 +83,25 @@
         self.record_sizes[uid] = size_bytes
 
     def unassign(self, uid: str) -> None:
-        """Undo `assign`; nothing happens where the Job is not assigned."""
+        """Undo `assign`; a Job that is not assigned is ignored."""
         self.total_bytes -= self.record_sizes.pop(uid, 0)
 
     def has_capacity(self, size_bytes: int) -> bool:
-        """Whether one more record of this size may be assigned."""
+        """Return whether one more record of this size may be assigned."""
         return (
             len(self.record_sizes) < self._limits.max_records_per_peer
             and self.total_bytes + size_bytes <= self._limits.max_bytes_per_peer
         )
 
     def cancel_pending(self) -> None:
-        """Forget the pending request: a later response to it is ignored."""
+        """Discard the pending request; a later response to it is ignored."""
         self.pending = None
         self._backoff.reset()
 
     def due_request(
         self, now_us: int, session: Session, read_record: ReadRecord
     ) -> ReplicateRequest | None:
-        """The next request, or the pending one once more, where that is due."""
+        """Return the retry of the pending request, or the next request, if it is due; else None."""
         pending = self.pending
         if pending is not None:
             return self._retry(now_us, pending) if pending.retry_us <= now_us else None
@@ -115,7 +115,7 @@
     def _next_request(
         self, now_us: int, session: Session, records: list[LeasedJobRecord]
     ) -> ReplicateRequest:
-        """A new pending request: these records, and as many removals as fit."""
+        """Return a new pending request of these records, and of up to `max_request_records` removals."""
         removals = tuple(self.pending_removals)[: self._limits.max_request_records]
         for uid in removals:
             del self.pending_removals[uid]
@@ -127,7 +127,7 @@
         return request
 
     def _retry(self, now_us: int, pending: PendingRequest) -> ReplicateRequest:
-        """The pending request with the ages of now."""
+        """Return the pending request with its ages as of now."""
         elapsed_us = now_us - pending.sent_us
         pending.retry_us = now_us + self._backoff.next_delay_us()
         request = pending.request
@@ -135,7 +135,7 @@
         return replace(request, records=records)
 
     def _collect_updates(self, now_us: int, read_record: ReadRecord) -> list[LeasedJobRecord]:
-        """Take records off `pending_updates` for the next request: at least one, then as many as its limits allow."""
+        """Take records off `pending_updates` for the next request: one, and as many more as the limits allow."""
         records: list[LeasedJobRecord] = []
         size_bytes = 0
         for uid in self.pending_updates:
@@ -152,7 +152,7 @@
         return records
 
     def clear(self) -> None:
-        """Forget all records, queues and the pending request."""
+        """Discard all assignments, queues and the pending request."""
         self.cancel_pending()
         self.pending_updates.clear()
         self.pending_removals.clear()
@@ -161,7 +161,7 @@
         self.next_request_us = None
 
     def deadlines(self, now_us: int, response_timeout_us: int) -> list[int]:
-        """When the primary must look at this link again; empty where nothing is to be done."""
+        """Return when a retry, the response timeout or the next request of this link is due; empty if none is."""
         if self.pending is not None:
             timeout_us = self.pending.sent_us + response_timeout_us
             if self.excluded_until_us <= now_us < timeout_us:
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -1,4 +1,4 @@
-"""A primary's replicas: which placers are available, which are excluded as silent or full, what is reassigned."""
+"""A primary's replicas: available placers, placers that are excluded as silent or full, and queued reassignments."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class ReplicaSet:
-    """The links by name, and the queues of reassignments.
+    """The links to placers, by name, and the queues of reassignments.
 
-    A reassignment is a pair of a Job's uid and the replica to be replaced ("" where the Job has none yet).
+    A reassignment is a pair of a Job's uid and the name of the replica to be replaced ("" if the Job has none yet).
     """
 
     def __init__(self, placer_name: str, region: str, seed: int, limits: ReplicationLimits) -> None:
@@ -27,22 +27,26 @@
         self.region = region
         self.limits = limits
         self.links: dict[str, ReplicaLink] = {}
-        self.regions: dict[str, str] = {}  # of each placer that is alive
+        self.regions: dict[str, str] = {}  # by name, of the placers that are alive
         self.reassign_us: int | None = None  # when the next batch is due
         self._placers_by_region: dict[str, tuple[str, ...]] = {}
         self._random = random.Random(seed)
         self._last_number = 0
-        self._urgent: dict[tuple[str, str], None] = {}  # an acknowledgement is awaited
+        self._urgent: dict[tuple[str, str], None] = {}  # acknowledgements are pending
         self._scheduled: dict[tuple[str, str], None] = {}
         self._deferred: dict[tuple[str, str], None] = {}  # no other replica was available
 
     def _next_number(self) -> int:
-        """Danger: a link made anew must not number its requests from the start, or they are taken for old ones."""
+        """Return a request number that no link has used.
+
+        Danger: a link that is created again must not number its requests from the start, or the replica takes them for
+        old ones.
+        """
         self._last_number += 1
         return self._last_number
 
     def link(self, name: str) -> ReplicaLink:
-        """The link to a placer, made where there is none."""
+        """Return the link to a placer; it is created if there is none."""
         if name not in self.links:
             self.links[name] = self._new_link(name, 0)
         return self.links[name]
@@ -51,7 +55,7 @@
         return ReplicaLink(name, incarnation, self._random, self.limits, self._next_number)
 
     def on_membership(self, alive: Mapping[str, tuple[str, int]]) -> list[ReplicaLink]:
-        """Take the region and life of each placer that is alive; return the links to placers that are not."""
+        """Update the placers that are alive (region and incarnation, by name); return the links to all others."""
         names_by_region: dict[str, list[str]] = {}
         for name in sorted(alive.keys() - {self.placer_name}):
             names_by_region.setdefault(alive[name][0], []).append(name)
@@ -76,9 +80,9 @@
         size_bytes: int,
         excluded: Collection[str] = (),
     ) -> tuple[str, ...]:
-        """Replicas with capacity for a Job's record.
+        """Return replicas for a Job that have capacity for `size_bytes` more; empty if there is none.
 
-        Excluded placers that answer again are chosen only where there is no other.
+        An excluded placer that has answered since is chosen only if there is no other.
         """
         full = {name for name, link in self.links.items() if not link.has_capacity(size_bytes)}
         slow = {name for name, link in self.links.items() if link.excluded_until_us > now_us}
@@ -92,7 +96,7 @@
     # -- reassignment
 
     def exclude(self, now_us: int, link: ReplicaLink, is_urgent: Callable[[str], bool]) -> None:
-        """Choose a replica for no new Job, and schedule the reassignment of its Jobs, urgent ones first."""
+        """Assign no new Job to a replica for `exclusion_us`, and reassign its Jobs, those that `is_urgent` first."""
         link.excluded_until_us = now_us + self.limits.exclusion_us
         for uid in link.record_sizes:
             self.schedule_reassignment(now_us, uid, link.name, urgent=is_urgent(uid))
@@ -100,19 +104,19 @@
     def schedule_reassignment(
         self, now_us: int, uid: str, name: str, *, urgent: bool = False
     ) -> None:
-        """Replace one replica of a Job with the next batch."""
+        """Replace one replica of a Job in the next batch; `urgent` reassignments come first."""
         (self._urgent if urgent else self._scheduled)[uid, name] = None
         if self.reassign_us is None:
             self.reassign_us = now_us
 
     def defer_reassignment(self, now_us: int, uid: str, name: str) -> None:
-        """No replacement is available now: try again after `SEARCH_INTERVAL_US`."""
+        """Retry a reassignment after `SEARCH_INTERVAL_US`, as no replacement is available now."""
         self._deferred[uid, name] = None
         if self.reassign_us is None:
             self.reassign_us = now_us + SEARCH_INTERVAL_US
 
     def due_reassignments(self, now_us: int) -> list[tuple[str, str]]:
-        """The batch that is due, urgent ones first; empty before its time."""
+        """Take the batch of reassignments that is due, urgent ones first; empty before it is due."""
         if self.reassign_us is None or self.reassign_us > now_us:
             return []
         if not self._urgent and not self._scheduled:
@@ -132,14 +136,14 @@
         return batch
 
     def is_usable(self, now_us: int, name: str, allowed_regions: Collection[str]) -> bool:
-        """Whether a placer may be a replica: alive, in an allowed region, and not excluded."""
+        """Return whether a placer may be a replica: alive, in an allowed region, and not excluded."""
         link = self.links.get(name)
         if link is None or link.excluded_until_us > now_us:
             return False
         return self.regions.get(name) in allowed_regions
 
     def clear(self) -> None:
-        """Forget all records and reassignments."""
+        """Discard all assignments, queued changes and reassignments."""
         self.reassign_us = None
         for queue in (self._urgent, self._scheduled, self._deferred):
             queue.clear()
--- a/wingbarrow/decide/replication/replicated_job.py
+++ b/wingbarrow/decide/replication/replicated_job.py
@@ -1,4 +1,4 @@
-"""A replicated Job as its primary knows it, and the acknowledgements that are pending for its changes."""
+"""A replicated Job at its primary, and the pending acknowledgements of its changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wingbarrow.decide.replication.records import ReplicationTerms
 from wingbarrow.decide.sessions.leased_job_record import KnownTask, LeasedJobRecord
 
-# Reasons for which a token fails, beside those with figures.
+# Reasons for which a token fails. Reasons that contain sizes or names are composed where they occur.
 SESSION_OVER = "session over"
 NOT_REPLICATED = "not held"
 ALREADY_REPLICATED = "held already"
@@ -18,12 +18,15 @@
 NO_CAPACITY = "no room at any keeper"
 REMOVED = "dropped"
 TAKEN_OVER = "taken"
-MAX_NAMED_REPLICAS = 4  # in the reason of a token that has expired
+MAX_NAMED_REPLICAS = 4  # in the reason of an expired token
 
 
 @dataclass(slots=True)
 class PendingAcknowledgement:
-    """A change that awaits acknowledgement: by one replica, or by every placer that may have the record."""
+    """A change that has to be acknowledged: by one replica, or by every placer that may have the record.
+
+    `version` is the least version of the record whose acknowledgement counts.
+    """
 
     token: int
     version: int
@@ -35,13 +38,14 @@
 class ReplicatedJob:
     """One Job of this primary.
 
-    `former_replicas` may still have its record, or an older one, and are to remove it. `must_acknowledge` are those of
-    them that have to receive this primary's record first.
+    `former_replicas` may still have its record, or an older one, and are to remove it. `must_acknowledge` are the
+    placers that may have a former primary's record, and have to store this primary's record first. `disputed_by` are
+    the replicas that have the Job's record of another primary, at the same epoch.
     """
 
     record: LeasedJobRecord
     born_us: int
-    since_us: dict[int, int]  # by task: when its phase began
+    phase_since_us: dict[int, int]  # by task index: when its phase began
     terms: ReplicationTerms
     size_bytes: int
     replicas: list[str]
@@ -49,23 +53,24 @@
     must_acknowledge: set[str] = field(default_factory=set)
     acknowledged: dict[str, int] = field(default_factory=dict)  # by replica: the latest version
     has_no_replica: bool = False
-    disputed_by: set[str] = field(default_factory=set)  # have it of another primary, same epoch
-    reassigned_version: int = 0  # of the last change of its replicas
+    disputed_by: set[str] = field(default_factory=set)
+    reassigned_version: int = 0  # the version that its replicas last changed with
     pending: list[PendingAcknowledgement] = field(default_factory=list)
 
     def record_with_task(self, known: KnownTask, region: str) -> LeasedJobRecord:
-        """Its record with one task replaced; `region` becomes the record's where the task is sent or placed."""
+        """Return the record with one task replaced; its region becomes `region` if the task is sent or placed."""
         tasks = [each for each in self.record.tasks if each.index != known.index]
         if known.phase != "none":
             tasks.append(known)
         tasks.sort(key=lambda each: each.index)
-        where = region if known.phase in ("about", "placed") else self.record.region
-        return replace(self.record, tasks=tuple(tasks), region=where)
+        task_region = region if known.phase in ("about", "placed") else self.record.region
+        return replace(self.record, tasks=tuple(tasks), region=task_region)
 
     def record_at(self, now_us: int) -> LeasedJobRecord:
-        """Its record with the ages of now."""
+        """Return the record with its ages as of now, and with the former replicas in `others`."""
         tasks = tuple(
-            replace(each, age_us=now_us - self.since_us[each.index]) for each in self.record.tasks
+            replace(each, age_us=now_us - self.phase_since_us[each.index])
+            for each in self.record.tasks
         )
         return replace(
             self.record,
@@ -75,23 +80,23 @@
         )
 
     def has_acknowledged(self, name: str, version: int) -> bool:
-        """Whether a replica has acknowledged a version of the record, or a later one."""
+        """Return whether a replica has acknowledged this version of the record, or a later one."""
         return self.acknowledged.get(name, -1) >= version
 
     def is_acknowledged(self, pending: PendingAcknowledgement) -> bool:
-        """Whether enough replicas have acknowledged a change."""
-        answers = [
+        """Return whether enough replicas have acknowledged a change."""
+        acknowledgements = [
             self.has_acknowledged(name, pending.version)
             for name in (*self.replicas, *self.former_replicas)
         ]
         if pending.requires_all:
-            return all(answers)
-        return any(answers) or self.has_no_replica
+            return all(acknowledgements)
+        return any(acknowledgements) or self.has_no_replica
 
 
-def token_settled(token: int, why: str = "") -> Notify:
-    """The event that settles a token: acknowledged, or failed for the reason `why`."""
-    return Notify("kept", {"token": token, "good": not why, "why": why})
+def token_settled(token: int, reason: str = "") -> Notify:
+    """Return the event that settles a token: as acknowledged, or as failed if there is a `reason`."""
+    return Notify("kept", {"token": token, "good": not reason, "why": reason})
 
 
 class PendingAcknowledgements:
@@ -102,12 +107,12 @@
         self._deadlines: list[tuple[int, int, str]] = []  # heap of deadline, token, uid
 
     def next_token(self) -> int:
-        """A token that was never issued."""
+        """Return a token that has not been issued before."""
         self._last_token += 1
         return self._last_token
 
     def add(self, job: ReplicatedJob, token: int, deadline_us: int, requires_all: bool) -> None:
-        """Await the acknowledgement of the Job's record as it is now."""
+        """Add a token for the acknowledgement of the Job's record as it is now."""
         job.pending.append(
             PendingAcknowledgement(token, job.record.version, deadline_us, requires_all)
         )
@@ -122,14 +127,14 @@
                 out.append(token_settled(pending.token))
         return out
 
-    def fail(self, job: ReplicatedJob, why: str) -> list[Effect]:
+    def fail(self, job: ReplicatedJob, reason: str) -> list[Effect]:
         """Settle all of a Job's tokens as failed."""
-        out: list[Effect] = [token_settled(each.token, why) for each in job.pending]
+        out: list[Effect] = [token_settled(each.token, reason) for each in job.pending]
         job.pending.clear()
         return out
 
     def expire(self, now_us: int, jobs: Mapping[str, ReplicatedJob]) -> list[Effect]:
-        """Settle as failed the tokens whose deadline has passed, with the silent replicas as the reason."""
+        """Settle as failed the tokens whose deadline has passed; the reason names replicas that did not acknowledge."""
         out: list[Effect] = []
         while self._deadlines and self._deadlines[0][0] <= now_us:
             _, token, uid = heapq.heappop(self._deadlines)
@@ -147,9 +152,9 @@
         return out
 
     def next_deadline(self) -> int | None:
-        """When the next token expires."""
+        """Return when the next token expires; None if there is none."""
         return self._deadlines[0][0] if self._deadlines else None
 
     def clear(self) -> None:
-        """Forget all deadlines."""
+        """Discard all deadlines."""
         self._deadlines.clear()
--- a/wingbarrow/decide/replication/replicator.py
+++ b/wingbarrow/decide/replication/replicator.py
@@ -1,13 +1,22 @@
-"""One placer's whole part in replication: primary, replica, and successor of sessions that have ended.
-
-Joins `Primary` and `Replica` with the failover of other placers' sessions and the recovery of this placer's own. Calls
-of `replicate`, `record_send`, `record_placed`, `record_not_running`, `record_task_ended` and `record_answer` go to
-`primary` itself, and their effects through `process`; all else is called here, as it concerns more than one part.
-
-Events for the host, each a `Notify`: `kept` (a token is settled), `session-over`, `reissue` (a decision on tasks of a
-Job that was taken over), `startable` (call `next_starts`), `stop` (another placer is primary of a Job by a later epoch;
-`fate` says whether it was started here), `ask-machine` (a machine of this region is to be fenced and asked, its answer
-sent back as `MachineReport`), `settled` (the outcome of a Job of this placer's ended session), `orphans`.
+"""All of one placer's replication: as primary, as replica, and as successor of ended sessions.
+
+Combines `Primary` and `Replica` with the failover of other placers' sessions and the recovery of this placer's own. The
+host calls `replicate`, `record_send`, `record_placed`, `record_not_running`, `record_task_ended` and `record_answer` of
+`primary` directly, and passes their effects through `process`. All other calls concern more than one part and are
+methods of `Replicator`.
+
+Events for the host, each a `Notify`:
+
+- `kept`: a token is settled.
+- `session-over`: this placer's session has ended.
+- `reissue`: a decision on tasks of a Job that was taken over.
+- `startable`: Jobs are ready; call `next_starts`.
+- `stop`: another placer is primary of a Job, by a later epoch or by precedence; `fate` tells whether it was started
+  here.
+- `ask-machine`: a machine of this region is to be fenced and queried, and its answer sent back as `MachineReport`.
+- `settled`: the outcome of a Job of this placer's ended session.
+- `orphans`: Jobs of an ended session have had no successor for too long, and are taken over here.
+- `keeper-refused`: a replica refused a request of the primary.
 """
 
 from __future__ import annotations
@@ -43,7 +52,7 @@
 from wingbarrow.decide.sessions.reissue import ReissueDecision
 from wingbarrow.decide.sessions.session import EndedSession, Session
 
-CLAIM_TIMEOUT_US = 10_000_000  # until a claim's token is renewed
+CLAIM_TIMEOUT_US = 10_000_000  # deadline of a claim's token, after which a new one is awaited
 TAKEOVER_TIMER = "taking"
 
 
@@ -58,23 +67,26 @@
 DEFAULT_SETTINGS = ReplicatorSettings()
 
 
-def _no_terms(record: LeasedJobRecord) -> ReplicationTerms:
+def _no_replica_terms(record: LeasedJobRecord) -> ReplicationTerms:
     return ReplicationTerms((), 1)
 
 
-def _any(record: LeasedJobRecord) -> bool:
+def _always_may_start(record: LeasedJobRecord) -> bool:
     return True
 
 
 class Replicator:
-    """One placer's primary, replica and failovers. `terms_of`: what a Job's spec asks for now."""
+    """One placer's primary, replica, failovers and recoveries.
+
+    `terms_of(record)` returns what a Job's spec requires at the time of the call.
+    """
 
     def __init__(
         self,
         session: Session,
         region: str,
         seed: int,
-        terms_of: Callable[[LeasedJobRecord], ReplicationTerms] = _no_terms,
+        terms_of: Callable[[LeasedJobRecord], ReplicationTerms] = _no_replica_terms,
         settings: ReplicatorSettings = DEFAULT_SETTINGS,
     ) -> None:
         self.placer_name = session.placer
@@ -85,22 +97,22 @@
         self.failovers: dict[Session, SessionFailover] = {}
         self.recoveries: dict[Session, SessionRecovery] = {}
         self._terms_of = terms_of
-        self._members: dict[str, tuple[str, int]] = {}  # region and life by name
-        self._claims: dict[int, str] = {}  # uid by token: Jobs that are being taken over
+        self._members: dict[str, tuple[str, int]] = {}  # region and incarnation by name
+        self._uids_by_claim_token: dict[int, str] = {}  # of Jobs that are taken over
         self._failover_by_uid: dict[str, SessionFailover] = {}
-        self._starts = StartQueue(settings.pace, self._failover_by_uid.get)
-        self._unfinished_ends: dict[Session, EndedSession] = {}  # more is to be taken over
-        self._orphans = OrphanedJobs(self.replica, self._take_over_each)
+        self._start_queue = StartQueue(settings.pace, self._failover_by_uid.get)
+        self._partly_taken_over: dict[Session, EndedSession] = {}  # more Jobs remain
+        self._orphans = OrphanedJobs(self.replica, self._take_over_orphans)
 
     def _is_started(self, uid: str) -> bool:
-        """Whether a Job that was taken over has been started here."""
+        """Return whether a Job that was taken over has been started here."""
         _, outcome = self.replica.taken_over.get(uid, (0, ""))
         return outcome == ReissueDecision.RUN.value
 
     # -- membership and sessions
 
     def on_membership(self, now_us: int, alive: Mapping[str, tuple[str, int]]) -> list[Effect]:
-        """Take the region and life, by name, of each placer that is alive."""
+        """Update the placers that are alive: region and incarnation, by name."""
         self._members = dict(alive)
         out = self.process(now_us, self.primary.on_membership(now_us, alive))
         for failover in self.failovers.values():
@@ -110,15 +122,15 @@
     def on_session_ended(
         self, now_us: int, ended: EndedSession, running: Collection[str] = ()
     ) -> list[Effect]:
-        """The voters ended a session, or it has more successors; to be called in the order of epochs.
+        """Handle the end of a session, or new successors of it; the host calls this in the order of epochs.
 
-        `running`: if it was this placer's, the uids of Jobs that still run on its machines.
+        `running`: the uids of Jobs that still run on this placer's machines, if the session was its own.
         """
         out = self.process(
             now_us, self.primary.on_session_ended(now_us, ended.session, ended.epoch)
         )
         if ended.session.placer == self.placer_name:
-            recovery = self._recovery(now_us, ended.session, running)
+            recovery = self._recovery_of(now_us, ended.session, running)
             if recovery is not None:
                 out += self.process(now_us, recovery.on_session_ended(now_us, ended))
             return out
@@ -126,10 +138,10 @@
         self._orphans.on_session_ended(now_us, ended.session)
         return out + self._orphans.check(now_us, resolve=False)
 
-    def _recovery(
+    def _recovery_of(
         self, now_us: int, session: Session, running: Collection[str]
     ) -> SessionRecovery | None:
-        """The recovery of one of this placer's ended sessions; begun where it had Jobs."""
+        """Return the recovery of one of this placer's ended sessions; it is created if the session had Jobs."""
         recovery = self.recoveries.get(session)
         former_jobs = self.primary.former_jobs
         if recovery is None and self.primary.former_session == session and former_jobs:
@@ -142,36 +154,36 @@
         return recovery
 
     def _take_over_batch(self, now_us: int, ended: EndedSession) -> list[Effect]:
-        """Take over as many Jobs of an ended session as the pace allows; the rest follow by timer."""
+        """Take over as many Jobs of an ended session as the pace allows, and set the timer for the next batch."""
         claims = self.replica.on_session_ended(now_us, ended, self.pace.max_claims)
         if len(claims) < self.pace.max_claims:
-            self._unfinished_ends.pop(ended.session, None)
+            self._partly_taken_over.pop(ended.session, None)
         else:
-            self._unfinished_ends[ended.session] = ended
+            self._partly_taken_over[ended.session] = ended
         out = self._take_over(now_us, ended.session, ended.epoch, claims)
-        if self._unfinished_ends:
+        if self._partly_taken_over:
             out.append(SetTimer(TAKEOVER_TIMER, now_us + self.pace.claim_interval_us))
         return out
 
     def _take_over_next_batch(self, now_us: int) -> list[Effect]:
-        ended = next(iter(self._unfinished_ends.values()), None)
+        ended = next(iter(self._partly_taken_over.values()), None)
         return self._take_over_batch(now_us, ended) if ended is not None else []
 
     def begin_session(self, now_us: int, session: Session) -> list[Effect]:
-        """This placer's session was ended, and it has a new one: without Jobs, and without failovers."""
+        """Begin a new session of this placer after the end of its own, without Jobs and without failovers."""
         out = self.process(now_us, self.primary.begin_session(now_us, session))
         self.replica.on_own_session_ended(session, self.primary.former_jobs)
         self.failovers.clear()
-        self._unfinished_ends.clear()
+        self._partly_taken_over.clear()
         self._failover_by_uid.clear()
-        self._claims.clear()
-        self._starts.clear()
+        self._uids_by_claim_token.clear()
+        self._start_queue.clear()
         return out
 
     # -- calls of the host
 
     def remove(self, now_us: int, uid: str) -> list[Effect]:
-        """A Job is over, deleted, or was never accepted: no replica needs its record."""
+        """Remove a Job that has ended, was deleted, or was never accepted: no replica needs its record."""
         if uid in self._failover_by_uid:
             self._failover_by_uid.pop(uid).remove(uid)
             self.replica.release(uid)
@@ -179,7 +191,7 @@
         return self.process(now_us, self.primary.remove(now_us, uid))
 
     def confirm_never_ran(self, now_us: int, uid: str) -> list[Effect]:
-        """An operator confirms that a Job with the decision `unknown` never ran."""
+        """Handle an operator's confirmation that a Job with the decision `unknown` never ran."""
         failover = self._failover_by_uid.get(uid)
         return (
             self.process(now_us, failover.on_operator_confirmation(now_us, uid))
@@ -188,17 +200,17 @@
         )
 
     def failover_record(self, uid: str) -> LeasedJobRecord | None:
-        """The record of a Job that is being taken over."""
+        """Return the record of a Job that is being taken over; None for any other."""
         failover = self._failover_by_uid.get(uid)
         return failover.cases[uid].record if failover is not None else None
 
     def failover_outcome(self, uid: str) -> str:
-        """The outcome of a Job that is being taken over; "" of any other."""
+        """Return the outcome of a Job that is being taken over; "" for any other."""
         failover = self._failover_by_uid.get(uid)
         return failover.cases[uid].state.value if failover is not None else ""
 
     def unknown_jobs(self) -> list[LeasedJobRecord]:
-        """Jobs of which nobody can prove that they did not run, and unsafe ones of sessions in recovery."""
+        """Return the Jobs that cannot be proved not to have run, and unsafe Jobs of sessions in recovery."""
         recovering = [
             own.record
             for recovery in self.recoveries.values()
@@ -217,13 +229,13 @@
         now_us: int,
         cores: float,
         memory: float,
-        may_start: Callable[[LeasedJobRecord], bool] = _any,
+        may_start: Callable[[LeasedJobRecord], bool] = _always_may_start,
     ) -> tuple[list[StartOrder], list[Effect]]:
-        """The Jobs to be started now, in order, within this capacity (cores, GiB) and the pace of failover.
+        """Return the Jobs to be started now, in order, within this capacity (cores, GiB) and the pace of failover.
 
-        `may_start`: whether a Job's spec allows it here, now.
+        `may_start(record)` returns whether a Job's spec allows it to start here, now.
         """
-        starts, effects = self._starts.take(now_us, cores, memory, may_start)
+        starts, effects = self._start_queue.take(now_us, cores, memory, may_start)
         for start in starts:
             self.replica.set_outcome(start.record.uid, ReissueDecision.RUN.value)
         return starts, effects
@@ -272,7 +284,7 @@
         if key == PRIMARY_TIMER:
             return self.process(now_us, self.primary.on_timer(now_us))
         if key == STARTABLE_TIMER:
-            return self._starts.on_timer()
+            return self._start_queue.on_timer()
         if key == TAKEOVER_TIMER:
             return self._take_over_next_batch(now_us)
         if key == ORPHAN_TIMER:
@@ -291,10 +303,10 @@
             for effect in self.process(now_us, part.on_timer(now_us))
         ]
 
-    # -- events between the parts
+    # -- events between primary, replica and failovers
 
     def process(self, now_us: int, effects: list[Effect]) -> list[Effect]:
-        """Handle the events that the parts have for each other; return the effects for the host, in order."""
+        """Handle the events between primary, replica and failovers; return the effects for the host, in order."""
         out: list[Effect] = []
         for effect in effects:
             if isinstance(effect, Notify):
@@ -307,8 +319,8 @@
         fields = event.fields
         out: list[Effect] = [event]
         match event.event:
-            case "kept" if fields["token"] in self._claims:
-                uid = self._claims.pop(fields["token"])
+            case "kept" if fields["token"] in self._uids_by_claim_token:
+                uid = self._uids_by_claim_token.pop(fields["token"])
                 out = self._on_claim_settled(now_us, uid, fields["why"])
             case "later":
                 out = self._on_later_record(now_us, fields["record"])
@@ -322,12 +334,12 @@
                 out += self._on_reissue_decided(now_us, event)
         return out
 
-    def _on_claim_settled(self, now_us: int, uid: str, why: str) -> list[Effect]:
-        """The replication of a Job that is being taken over was acknowledged, or failed: then it is awaited anew."""
+    def _on_claim_settled(self, now_us: int, uid: str, reason: str) -> list[Effect]:
+        """Handle the settled token of a Job that is being taken over; after a failure, await a new token."""
         failover = self._failover_by_uid.get(uid)
-        if failover is None or why in (TAKEN_OVER, REMOVED, SESSION_OVER):
+        if failover is None or reason in (TAKEN_OVER, REMOVED, SESSION_OVER):
             return []
-        if not why:
+        if not reason:
             return self.process(now_us, failover.on_claimed(now_us, uid))
         token, effects = self.primary.await_acknowledgement(
             now_us,
@@ -336,11 +348,11 @@
             requires_all=failover.cases[uid].record.effect != "safe",
         )
         if uid in self.primary.jobs:
-            self._claims[token] = uid
+            self._uids_by_claim_token[token] = uid
         return self.process(now_us, effects)
 
     def _on_later_record(self, now_us: int, record: LeasedJobRecord) -> list[Effect]:
-        """A replica had another record of a Job that is being taken over: merge its tasks, and replicate them."""
+        """Merge the tasks of another replica's record of a Job that is being taken over, and replicate them."""
         uid = record.uid
         failover = self._failover_by_uid.get(uid)
         if failover is None:
@@ -351,7 +363,7 @@
         return out
 
     def _on_superseded(self, now_us: int, uid: str, primary: str) -> list[Effect]:
-        """Another placer is primary of a Job by a later epoch, or by precedence."""
+        """Give up a Job of which another placer is primary, by a later epoch or by precedence."""
         failover = self._failover_by_uid.pop(uid, None)
         outcome = ReissueDecision.RUN.value
         if failover is not None and uid in failover.cases:
@@ -363,26 +375,27 @@
         return [*out, Notify("stop", {"uid": uid, "fate": outcome, "by": primary})]
 
     def _on_reissue_decided(self, now_us: int, event: Notify) -> list[Effect]:
-        """Note a decision on a Job, and queue the Job if it is ready to be started."""
+        """Record the decision on a Job's reissue, and queue the Job if it is ready to be started."""
         uid = event.fields["uid"]
         decision = event.fields["verdict"]
         self.replica.set_outcome(uid, decision)
         failover = self._failover_by_uid[uid]
         if decision != ReissueDecision.RUN.value or uid not in failover.ready:
             return []
-        return self._starts.push(now_us, failover.cases[uid])
+        return self._start_queue.push(now_us, failover.cases[uid])
 
     # -- failover
 
     def _queriers(self, failover: SessionFailover) -> list[str]:
-        """The placers that can ask the machines of a failover's Jobs."""
+        """Return the placers that can query the machines of a failover's Jobs: those of the machines' regions."""
         regions = {case.record.region for case in failover.cases.values()}
         return [name for name, (region, _) in self._members.items() if region in regions]
 
-    def _claim_from(self, claim: JobClaim) -> tuple[str, ...]:
-        """Who has to acknowledge that a Job is taken over.
+    def _required_acknowledgers(self, claim: JobClaim) -> tuple[str, ...]:
+        """Return the placers that have to acknowledge that a Job is taken over.
 
-        Danger: a placer whose session has ended for good never answers; one that is alive, or a successor, has to.
+        Danger: a placer whose session has ended, and that has not come back, never answers. One that is alive, or a
+        successor, has to acknowledge.
         """
         ended = self.replica.session_ends.get(claim.record.session)
         successors = (
@@ -397,7 +410,7 @@
     def _take_over(
         self, now_us: int, session: Session, epoch: int, claims: list[JobClaim]
     ) -> list[Effect]:
-        """Begin the failover of these Jobs, and replicate them under this placer's session."""
+        """Begin the failover of the claimed Jobs, and replicate them under this placer's session."""
         if not claims:
             return []
         failover = self.failovers.get(session)
@@ -415,19 +428,19 @@
                 replace(record, epoch=claim.epoch, version=record.version + 1),
                 terms,
                 now_us + CLAIM_TIMEOUT_US,
-                self._claim_from(claim),
+                self._required_acknowledgers(claim),
             )
-            self._claims[token] = record.uid
+            self._uids_by_claim_token[token] = record.uid
             out += self.process(now_us, effects)
         return out
 
     def _prune(self) -> None:
-        """Forget failovers without Jobs, and ends of sessions without entries."""
+        """Discard failovers without Jobs, and ends of sessions without stored records."""
         self.failovers = {session: each for session, each in self.failovers.items() if each.cases}
         self._orphans.prune()
 
     def _restart_own(self, now_us: int, own: OwnJob, epoch: int) -> list[Effect]:
-        """No successor knows a Job of this placer's ended session: this placer takes it over itself."""
+        """Take over a Job of this placer's own ended session, as no successor knows it."""
         record = own.record
         if record.uid in self.primary.jobs:
             return []
@@ -436,7 +449,7 @@
         self.replica.taken_over[record.uid] = epoch, ReissueDecision.WAIT.value
         return self._take_over(now_us, record.session, epoch, [claim])
 
-    def _take_over_each(self, now_us: int, uids: list[str]) -> list[Effect]:
+    def _take_over_orphans(self, now_us: int, uids: list[str]) -> list[Effect]:
         out: list[Effect] = []
         for uid in uids:
             claim = self.replica.take_over(now_us, uid)
@@ -445,7 +458,7 @@
         return out
 
     def _own_jobs(self, request: ResolveRequest) -> dict[str, tuple[int, str]]:
-        """Of the requested Jobs, those of which this placer is primary, or was in a session in recovery."""
+        """Return epoch and outcome, by uid, of the requested Jobs of this placer, or of its sessions in recovery."""
         out = {}
         for uid in request.uids:
             job = self.primary.jobs.get(uid)
@@ -460,7 +473,7 @@
     def _on_resolve_response(
         self, now_us: int, ident: str, message: ResolveResponse
     ) -> list[Effect]:
-        """Handle a successor's outcomes of Jobs: of this placer's own ended session, or of stored records."""
+        """Handle a successor's outcomes of Jobs: those of this placer's own ended session, or of stored records."""
         recovery = self.recoveries.get(message.session)
         if recovery is not None:
             out = self.process(now_us, recovery.on_resolve_response(now_us, ident, message))
--- a/wingbarrow/decide/replication/start_queue.py
+++ b/wingbarrow/decide/replication/start_queue.py
@@ -1,4 +1,4 @@
-"""The Jobs that were taken over and are ready to be started, handed out in order, at the pace of failover."""
+"""A priority queue of the Jobs that were taken over and are ready to be started, emptied at the pace of failover."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from wingbarrow.decide.sessions.failover_pace import FailoverPace
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 
-RETRY_US = 1_000_000  # after the host started nothing of what is ready
-MAX_POSTPONED_PER_START = 8  # of Jobs that are ready but find no capacity
+RETRY_US = 1_000_000  # after none of the ready Jobs could be started
+MAX_POSTPONED_PER_START = 8  # ready Jobs passed over for lack of capacity, per start of a batch
 STARTABLE_TIMER = "startable"
 
 
 class StartQueue:
-    """A queue by `start_order_key`. `failover_of`: the failover that a Job is part of, by uid."""
+    """Orders Jobs by `start_order_key`. `failover_of(uid)` returns the failover that a Job belongs to, if any."""
 
     def __init__(
         self, pace: FailoverPace, failover_of: Callable[[str], SessionFailover | None]
     ) -> None:
         self._pace = pace
         self._failover_of = failover_of
-        self._entries: list[tuple[int, int, str, str]] = []  # heap by rank, then uid
+        self._entries: list[tuple[int, int, str, str]] = []  # heap of order key and uid
         self._next_start_us = 0
         self._timer_us: int | None = None
 
     def push(self, now_us: int, case: FailoverCase) -> list[Effect]:
-        """Add a Job that is ready; one that was taken back meanwhile is skipped by `take`."""
+        """Add a Job that is ready; `take` skips it if it is no longer ready by then."""
         heapq.heappush(self._entries, (*start_order_key(case), case.record.uid))
         return self._schedule(now_us)
 
@@ -44,7 +44,7 @@
         memory: float,
         may_start: Callable[[LeasedJobRecord], bool],
     ) -> tuple[list[StartOrder], list[Effect]]:
-        """The Jobs to be started now, within this capacity (cores, GiB) and the pace; the others stay queued."""
+        """Return the Jobs to be started now, within this capacity (cores, GiB) and the pace; all others stay queued."""
         starts: list[StartOrder] = []
         postponed: list[tuple[int, int, str, str]] = []
         max_postponed = MAX_POSTPONED_PER_START * self._pace.max_starts
@@ -75,7 +75,7 @@
         return starts, self._schedule(now_us, 0 if starts else RETRY_US)
 
     def _schedule(self, now_us: int, after_us: int = 0) -> list[Effect]:
-        """Have the host call `take` when the pace allows more."""
+        """Set the timer for when the pace allows more starts, at the earliest after `after_us`."""
         if not self._entries or self._timer_us is not None:
             return []
         earliest_us = now_us + max(after_us, self._pace.start_interval_us // 4)
@@ -83,10 +83,10 @@
         return [SetTimer(STARTABLE_TIMER, self._timer_us)]
 
     def on_timer(self) -> list[Effect]:
-        """Tell the host that Jobs are ready; to be called at `STARTABLE_TIMER`."""
+        """Notify the host that Jobs are ready; called at `STARTABLE_TIMER`."""
         self._timer_us = None
         return [Notify("startable", {"jobs": len(self._entries)})] if self._entries else []
 
     def clear(self) -> None:
-        """Forget all Jobs."""
+        """Discard all Jobs."""
         self._entries.clear()
