--- a/tests/decide/replication/arrangement.py
+++ b/tests/decide/replication/helpers.py
@@ -1,4 +1,4 @@
-"""A primary in one region, and replicas in others, for the tests of replication."""
+"""Builders of a primary and its replicas in other regions, and a message exchange between them without delay."""
 
 from __future__ import annotations
 
@@ -71,14 +71,17 @@
 def exchange(
     primary: Primary, replicas: dict[str, Replica], now_us: int, silent: str = ""
 ) -> list[Effect]:
-    """Deliver all messages at once, but to and from the silent replicas; the events of the primary."""
+    """Call the primary's timer and deliver all messages without delay; return the primary's events.
+
+    `silent` has the one-letter names of the replicas whose messages are dropped.
+    """
     events: list[Effect] = []
     queue = primary.on_timer(now_us)
-    for effect in queue:  # grows by the answers while it is read
+    for effect in queue:  # the primary's reactions are appended during the loop
         if isinstance(effect, Notify):
             events.append(effect)
         elif isinstance(effect, Send) and effect.ident in replicas and effect.ident not in silent:
-            for answer in replicas[effect.ident].on_request(now_us, "a", effect.message):
-                if isinstance(answer, Send):
-                    queue += primary.on_message(now_us, effect.ident, answer.message)
+            for response in replicas[effect.ident].on_request(now_us, "a", effect.message):
+                if isinstance(response, Send):
+                    queue += primary.on_message(now_us, effect.ident, response.message)
     return events
--- a/tests/decide/replication/test_primary.py
+++ b/tests/decide/replication/test_primary.py
@@ -1,4 +1,4 @@
-"""The primary: what is acknowledged has a replica that is alive, and nothing is sent that a replica does not know."""
+"""The primary: choice and replacement of replicas, settlement of tokens, and the acknowledgements that they require."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.decide.replication.arrangement import (
+from tests.decide.replication.helpers import (
     ALLOWED,
     REGIONS,
     SESSION,
@@ -110,17 +110,19 @@
         exchange(primary, replicas, now)
     reassigned = [uid for uid, job in primary.jobs.items() if job.replicas == ["b"]]
     tokens = {uid: primary.record_answer(60_000, uid, "placed", 10 * S)[0] for uid in primary.jobs}
-    good: dict[int, int] = {}
+    settled_us: dict[int, int] = {}
     for now in range(60_000, 3 * S, 5_000):
-        good |= {
+        settled_us |= {
             token: now
             for token, (is_good, _) in settled(exchange(primary, replicas, now, "b")).items()
             if is_good
         }
     assert len(reassigned) > 50
-    assert all(good[tokens[uid]] < 60_000 + 20_000 for uid in primary.jobs if uid not in reassigned)
     assert all(
-        good[tokens[uid]] < 60_000 + limits.reassigned_within_us(len(reassigned)) + 50_000
+        settled_us[tokens[uid]] < 60_000 + 20_000 for uid in primary.jobs if uid not in reassigned
+    )
+    assert all(
+        settled_us[tokens[uid]] < 60_000 + limits.reassigned_within_us(len(reassigned)) + 50_000
         for uid in reassigned
     )
     assert all("b" not in job.replicas for job in primary.jobs.values())
--- a/tests/decide/replication/test_replica.py
+++ b/tests/decide/replication/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica: requests are stored whole or refused whole, and one placer takes a Job over."""
+"""The replica: a request is stored or refused as a whole, and exactly one placer takes a Job over."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.decide.replication.arrangement import (
+from tests.decide.replication.helpers import (
     SESSION,
     S,
     new_record,
@@ -34,12 +34,12 @@
         number: int, *uids: str, session: Session = SESSION, sender: str = "a", **more: Any
     ) -> ReplicateResponse:
         records = tuple(new_record(uid, session=session) for uid in uids)
-        (answer,) = replica.on_request(
+        (response,) = replica.on_request(
             0, sender, ReplicateRequest(number, session, records, life=1, **more)
         )
-        assert isinstance(answer, Send)
-        assert isinstance(answer.message, ReplicateResponse)
-        return answer.message
+        assert isinstance(response, Send)
+        assert isinstance(response.message, ReplicateResponse)
+        return response.message
 
     assert send(1, "u", "v").good
     assert replica.summary() == (HeldRecords(SESSION, 2, 5 * S),)
@@ -51,13 +51,13 @@
     assert set(replica.entries) == {"v", "w"}
     assert not replica.on_request(
         0, "a", ReplicateRequest(2, SESSION, (new_record("u"),), life=1)
-    ), "a late request is neither answered nor stored"
+    ), "an older request is neither answered nor stored"
     assert not send(4, "w", sender="b").good
     assert not send(4, "w", serial=1).good
     assert (
         send(5, "w", session=Session("a", 2, 0)).taken == (("w", 0, "a"),) or "w" in replica.entries
     )
-    assert send(6, "v").over, "a life before"
+    assert send(6, "v").over, "a request of an earlier incarnation"
 
 
 def test_only_the_successor_takes_over_and_its_own_end_leaves_doubt() -> None:
@@ -80,11 +80,11 @@
     late = replicas["b"].take_over(S, "u")
     assert late is not None
     assert known_task(late.record, 0).phase == "doubt"
-    (answer,) = replicas["c"].on_resolve(
+    (response,) = replicas["c"].on_resolve(
         "b", ResolveRequest(1, SESSION, ("u", "x")), {"x": (4, "run")}
     )
-    assert isinstance(answer, Send)
-    assert answer.message.fates == (
+    assert isinstance(response, Send)
+    assert response.message.fates == (
         ("u", 1, "waiting"),
         ("x", 4, "run"),
     )
@@ -101,9 +101,9 @@
     replica.set_outcome("u", "run" if is_started else "asked")
     rival = Session("b", 1, 0)
     rival_job = replace(new_record("u", session=rival), epoch=2, version=2)
-    *events, answer = replica.on_request(0, "b", ReplicateRequest(1, rival, (rival_job,), life=1))
-    assert isinstance(answer, Send)
-    assert (not answer.message.taken) is is_stored
+    *events, response = replica.on_request(0, "b", ReplicateRequest(1, rival, (rival_job,), life=1))
+    assert isinstance(response, Send)
+    assert (not response.message.taken) is is_stored
     assert [each.event for each in events if isinstance(each, Notify)] == (
         ["superseded"] if is_stored else []
     )
--- a/tests/decide/replication/test_replication_model.py
+++ b/tests/decide/replication/test_replication_model.py
@@ -1,4 +1,4 @@
-"""A primary and its replicas under generated faults: a hypothesis state machine, and errors planted in it."""
+"""A Hypothesis state machine of a primary and its replicas under generated faults, which has to detect planted bugs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tests.decide.replication.arrangement import (
+from tests.decide.replication.helpers import (
     ALLOWED,
     REGIONS,
     S,
@@ -31,7 +31,10 @@
 
 
 class ReplicationModel(RuleBasedStateMachine):
-    """A primary and four replicas; messages are lost, late, doubled; replicas restart, or have their session ended."""
+    """A primary and four replicas.
+
+    Messages are lost, delayed and duplicated; replicas restart, or have their session ended.
+    """
 
     pending_type: type[PendingAcknowledgements] = PendingAcknowledgements
 
@@ -42,24 +45,22 @@
         self.primary = new_primary()
         self.primary._pending = self.pending_type()
         self.replicas = new_replicas()
-        self.lives = dict.fromkeys(REGIONS, 1)
+        self.incarnations = dict.fromkeys(REGIONS, 1)
         self.messages: list[tuple[str, str, Any]] = []
         self.pending: dict[int, tuple[str, int, bool]] = {}
-        self.acknowledged: dict[str, int] = {}  # versions that were acknowledged, of each Job
-        self.lost: dict[
-            str, int
-        ] = {}  # the latest version that died with the only replica that had it
+        self.acknowledged: dict[str, int] = {}  # by uid, the latest acknowledged version
+        # By uid, the latest version that was lost with the only replica that had it.
+        self.lost_versions: dict[str, int] = {}
         self.epoch = 0
-        self.job_count = 0
+        self.last_job_number = 0
 
     def perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self.messages.append(("a", effect.ident, effect.message))
             elif isinstance(effect, Notify) and effect.event == "kept":
-                uid, version, requires_all = self.pending.pop(
-                    effect.fields["token"]
-                )  # KeyError: settled twice
+                # A KeyError means that a token was settled twice.
+                uid, version, requires_all = self.pending.pop(effect.fields["token"])
                 if effect.fields["good"]:
                     self.on_settled(uid, version, requires_all)
 
@@ -73,17 +74,17 @@
     def on_settled(self, uid: str, version: int, requires_all: bool) -> None:
         if uid not in self.primary.jobs:
             return
-        if not self.replicas_with(uid, version) and self.lost.get(uid, 0) < version:
-            self.violations["nobody has it"] += 1
+        if not self.replicas_with(uid, version) and self.lost_versions.get(uid, 0) < version:
+            self.violations["settled as good without a replica"] += 1
         if requires_all:
-            older = [
+            stale_replicas = [
                 name
                 for name, each in self.replicas.items()
                 if uid in each.entries
                 and not each.entries[uid].in_doubt
                 and each.entries[uid].record.version < version
             ]
-            self.violations["one believes that nothing left"] += bool(older)
+            self.violations["send acknowledged despite a stale replica"] += bool(stale_replicas)
         self.acknowledged[uid] = max(version, self.acknowledged.get(uid, 0))
 
     def track(self, change: tuple[int, list[Effect]], uid: str, requires_all: bool = False) -> None:
@@ -98,8 +99,8 @@
         wait=st.integers(1, 40),
     )
     def replicate(self, effect: str, copies: int, wait: int) -> None:
-        self.job_count += 1
-        uid = f"{effect}{self.job_count}"
+        self.last_job_number += 1
+        uid = f"{effect}{self.last_job_number}"
         self.track(
             self.primary.replicate(
                 self.now_us,
@@ -118,17 +119,18 @@
     )
     def change(self, which: int, what: str, wait: int) -> None:
         uid = sorted(self.primary.jobs)[which % len(self.primary.jobs)]
-        until, known = self.now_us + wait * S // 10, KnownTask(0, what, "m", "p")
+        deadline_us = self.now_us + wait * S // 10
+        known_task = KnownTask(0, what, "m", "p")
         if what == "about":
             self.track(
-                self.primary.record_send(self.now_us, uid, known, until),
+                self.primary.record_send(self.now_us, uid, known_task, deadline_us),
                 uid,
                 uid.startswith("unsafe"),
             )
         elif what == "placed":
-            self.track(self.primary.record_placed(self.now_us, uid, known, until), uid)
+            self.track(self.primary.record_placed(self.now_us, uid, known_task, deadline_us), uid)
         elif what == "answered":
-            self.track(self.primary.record_answer(self.now_us, uid, "placed", until), uid)
+            self.track(self.primary.record_answer(self.now_us, uid, "placed", deadline_us), uid)
         else:
             self.acknowledged.pop(uid, None)
             self.perform(self.primary.remove(self.now_us, uid))
@@ -166,20 +168,22 @@
         if name in self.replicas:
             for uid, entry in self.replicas[name].entries.items():
                 if self.replicas_with(uid, entry.record.version) == {name}:
-                    self.lost[uid] = max(entry.record.version, self.lost.get(uid, 0))
+                    self.lost_versions[uid] = max(
+                        entry.record.version, self.lost_versions.get(uid, 0)
+                    )
             del self.replicas[name]
             self.update_membership()
 
     @rule(name=st.sampled_from("bcde"))
     def restart_replica(self, name: str) -> None:
         if name not in self.replicas:
-            self.lives[name] += 1
-            self.replicas[name] = Replica(Session(name, self.lives[name], 0))
+            self.incarnations[name] += 1
+            self.replicas[name] = Replica(Session(name, self.incarnations[name], 0))
             self.update_membership()
 
     @rule(name=st.sampled_from("bcde"), first=st.booleans())
     def end_session(self, name: str, first: bool) -> None:
-        """The voters end a replica's session: it hears of that before the primary, or after."""
+        """The voters end a replica's session; with `first`, the replica learns of it before the primary."""
         if name not in self.replicas:
             return
         self.epoch += 1
@@ -194,7 +198,8 @@
     def update_membership(self) -> None:
         self.perform(
             self.primary.on_membership(
-                self.now_us, {name: (REGIONS[name], self.lives[name]) for name in self.replicas}
+                self.now_us,
+                {name: (REGIONS[name], self.incarnations[name]) for name in self.replicas},
             )
         )
 
@@ -204,9 +209,9 @@
             if (
                 uid in self.primary.jobs
                 and not self.replicas_with(uid, version)
-                and self.lost.get(uid, 0) < version
+                and self.lost_versions.get(uid, 0) < version
             ):
-                self.violations["acknowledged and nowhere"] += 1
+                self.violations["acknowledged version is not stored"] += 1
 
     @invariant()
     def no_violation(self) -> None:
@@ -222,9 +227,8 @@
     suppress_health_check=list(HealthCheck),
 )
 
-PLANTED_SETTINGS = settings(
-    SETTINGS, max_examples=400, phases=[Phase.generate]
-)  # a planted error need not be shrunk
+# Without the shrinking phase, as a planted bug only has to be found.
+PLANTED_SETTINGS = settings(SETTINGS, max_examples=400, phases=[Phase.generate])
 
 
 def test_acknowledged_versions_are_stored_under_generated_faults() -> None:
@@ -232,14 +236,14 @@
 
 
 class OneAcknowledgementIsEnough(PendingAcknowledgements):
-    """Planted: an attempt that must not start twice is sent after one acknowledgement."""
+    """Planted bug: an attempt that must not start twice is sent after a single acknowledgement."""
 
     def add(self, job: ReplicatedJob, token: int, deadline_us: int, requires_all: bool) -> None:
         super().add(job, token, deadline_us, False)
 
 
 class PreviousVersionIsEnough(PendingAcknowledgements):
-    """Planted: a change counts as acknowledged once the version before is."""
+    """Planted bug: a change counts as acknowledged when only the previous version is."""
 
     def settle_acknowledged(self, job: ReplicatedJob) -> list[Effect]:
         for pending in job.pending:
