--- a/tests/stored/make.py
+++ b/tests/stored/make.py
@@ -1,7 +1,7 @@
-"""How the files of `tests/data/wire` and `tests/data/stored` were written: `python -m tests.stored.make FOLDER`.
+"""Writes the files of `tests/data/wire` and `tests/data/stored` anew: `python -m tests.stored.make FOLDER`.
 
-It writes a tree for comparison, never over the one that is kept: those files stay as they are. What a whole cluster
-left (`cluster`, `placer`) has ports and times of that run, and comes out anew each time; all else is the same bytes.
+The new tree is for comparison, and must not replace the files there, which never change. The files of a running cluster
+(`cluster`, `placer`) contain ports and times of that run, and differ each time; all others are the same byte for byte.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     (folder / "peers" / "knowledge-change.json").write_bytes(samples.write_change())
     for name, value in samples.INSTANCES.items():
         (folder / "peers" / name).write_bytes(samples.write_announced(value))
-    for entry in reversed(scenario.entries(scenario.life()[0])):
+    for entry in reversed(scenario.entries(scenario.run_history()[0])):
         name = entry.kind.replace("/", ".") or "empty"
         (folder / "entries" / f"{name}.json").write_text(entry.body)
     for name, rules in samples.RULE_SETS.items():
@@ -43,7 +43,7 @@
 
 
 def write_stored(folder: Path, scratch: Path) -> None:
-    persisted = scenario.life()[0]
+    persisted = scenario.run_history()[0]
     scenario.write_store(folder / "votes", persisted, scratch / "votes")
     disk = scenario.disk_of(persisted)
     (folder / "texts").mkdir()
@@ -60,7 +60,7 @@
 
 
 def write_placer(folder: Path) -> None:
-    """What one placer left in the middle of a drain; machines' ports are not those of anybody."""
+    """Write the state folder of a placer that was killed during a drain; machines get port 1, which none has."""
     folder.mkdir(parents=True)
     (folder / "windows.kdl").write_text(WINDOW)
     stage = Stage(machines=2)
@@ -76,14 +76,14 @@
         for each in nodes:
             each["status"]["daemonEndpoints"]["kubeletEndpoint"]["Port"] = 1
         saved_list.save(folder, nodes)
-        for name in (state.ALIVE, state.DRAINS):
+        for name in (state.HEARTBEAT_FILE, state.DRAINS_FILE):
             shutil.copy(Path(slot.state) / name, folder / name)
 
     stage.play(script)
 
 
 def write_cluster(folder: Path, scratch: Path) -> None:
-    """What three voters left after two versions of rules."""
+    """Write the stores of three voters after two versions of the rules."""
     stage = Agreeing(machines=2, placers=3)
     stage.limits = LIMITS
 
@@ -97,9 +97,8 @@
         for slot in stage.cluster.placers:
             slot.kill()
         for slot in stage.cluster.placers:
-            copied = (
-                scratch / slot.name
-            )  # the killed one's environment is still open in this process
+            # Copied first, as the killed placer's LMDB environment is still open in this process.
+            copied = scratch / slot.name
             shutil.copytree(Path(slot.state) / "rules", copied)
             scenario.compact(copied, folder / slot.name / "rules")
 
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -1,7 +1,8 @@
-"""One voter's life in which every kind of entry is decided: what its store holds then is kept in `tests/data/stored`.
+"""A history of one voter that commits every kind of log entry; `tests/data/stored` has the store that it left.
 
-The voter is `Agreement` itself, with all chapters, on a clock of this module; three placers ask it, one of them falls
-silent, machines are taken out in turns. All is deterministic: the same program decides the same entries.
+The voter is a `Coordinator` with all replicated subsystems, on a clock of this module. Four placers renew their leases
+with it; one of them stops, and machines go through maintenance slots. The history is deterministic: the same program
+commits the same entries.
 """
 
 from __future__ import annotations
@@ -41,15 +42,16 @@
 ME = "a"
 WALL_US = 1_780_000_000 * S
 LEASE_US = 4 * S
-TIMES = MaintenanceTiming(try_us=2 * S)
+TIMING = MaintenanceTiming(try_us=2 * S)
 RULES = replace(samples.RULES, asked=(), cancelled=())
-# Against the first rules: one more try, one machine fewer. Neither allows the other; two steps lead there.
+# One more attempt and one machine fewer than `RULES`: neither rule set permits what the other does, so that the
+# transition takes two steps.
 OTHER = replace(RULES, attempts_most=5, barred=("node-7", "node-8"))
 FLOOR = replace(
     RULES, barred=("node-7", "node-8"), asked=(), limits=(), federation=type(RULES.federation)()
 )
-# When a placer's asks hold what it wants: before the snapshot and after it.
-WANTS = {
+# Requests for maintenance slots, by the time of the lease request with them: before the snapshot, and after it.
+SLOT_REQUESTS = {
     2 * S: (
         SlotRequest(
             "w@1/node-1", "node-1", "hall-a", "rack-0", "calendar", 3, 1_780_000_600 * S, 3 * S
@@ -67,7 +69,7 @@
         ),
     ),
 }
-OPERATORS = {
+OPERATOR_REQUEST = {
     "ident": "op-1",
     "machine": "node-4",
     "region": "",
@@ -82,32 +84,32 @@
 }
 
 
-def turns_said(
-    queue: SlotQueue, at_us: int, wants: tuple[SlotRequest, ...] = ()
+def maintenance_report(
+    queue: SlotQueue, at_us: int, slot_requests: tuple[SlotRequest, ...] = ()
 ) -> MaintenanceReport:
-    """What a placer says whose machines do all that is asked of them at once."""
-    by = {
+    """Return the report of a placer whose machines perform each step of their slots at once."""
+    numbers = {
         state: tuple(each.number for each in queue.slots.values() if each.state == state)
         for state in ("asked", "closing", "empty", "back")
     }
-    shut = by["closing"] + by["empty"]
+    closed = numbers["closing"] + numbers["empty"]
     return MaintenanceReport(
-        clear=shut,
-        empty=shut,
-        tried=by["back"],
-        tasks=tuple((number, 2) for number in by["asked"]),
-        places=tuple((number, "hall-a", "rack-2") for number in by["asked"]),
+        clear=closed,
+        empty=closed,
+        tried=numbers["back"],
+        tasks=tuple((number, 2) for number in numbers["asked"]),
+        places=tuple((number, "hall-a", "rack-2") for number in numbers["asked"]),
         region="north",
         at_us=at_us,
         view=RegionView(
             (("hall-a", "rack-0", 8), ("hall-a", "rack-1", 8), ("hall-a", "rack-2", 8)), (), 1.0
         ),
-        wants=wants,
+        wants=slot_requests,
     )
 
 
-class OwnTurns:
-    """The voter's own part of its asks."""
+class OwnMaintenance:
+    """The maintenance part of the voter's own lease requests."""
 
     name = "turns"
 
@@ -115,38 +117,38 @@
         self._queue = queue
 
     def report(self, now_us: int) -> MaintenanceReport:
-        return turns_said(self._queue, now_us)
+        return maintenance_report(self._queue, now_us)
 
-    def on_response(self, now_us: int, asked_us: int, told: Any) -> list[Any]:
+    def on_response(self, now_us: int, requested_us: int, response: Any) -> list[Any]:
         return []
 
 
 @dataclass
 class Placer:
-    """One that asks twice a second until it falls silent."""
+    """A placer that sends a lease request twice a second, from `start_us` until `stop_us`."""
 
     name: str
     region: str
-    silent_us: int = 1 << 62
-    keeps: tuple[str, int] = ("", 0)  # for whom, from when on
-    from_us: int = 0
-    wants: bool = False
-    number: int = 0
-    edition: int = 0
+    stop_us: int = 1 << 62
+    replica_of: tuple[str, int] = ("", 0)  # the primary, and since when it stores its records
+    start_us: int = 0
+    requests_slots: bool = False
+    last_number: int = 0
+    revision: int = 0
     floor: int = 0
-    reign: int = 0
+    grant_term: int = 0
     session: Session | None = None
-    heard: int = 0
-    told: list[LeaseGrant] = field(default_factory=list)
+    sessions_epoch: int = 0
+    grants: list[LeaseGrant] = field(default_factory=list)
 
-    def ask(
+    def lease_request(
         self, now_us: int, queue: SlotQueue, sessions: dict[str, Session | None]
     ) -> LeaseRequest:
-        self.number += 1
-        kept = sessions.get(self.keeps[0]) if now_us >= self.keeps[1] else None
+        self.last_number += 1
+        primary_session = sessions.get(self.replica_of[0]) if now_us >= self.replica_of[1] else None
         return LeaseRequest(
-            self.number,
-            self.edition,
+            self.last_number,
+            self.revision,
             self.floor,
             7,
             now_us,
@@ -156,31 +158,35 @@
                 self.region,
                 self.session.serial if self.session is not None else 0,
                 2,
-                (HeldRecords(kept, 2, 3 * S),) if kept is not None else (),
-                self.heard,
+                (HeldRecords(primary_session, 2, 3 * S),) if primary_session is not None else (),
+                self.sessions_epoch,
             ),
-            turns=self._turns(now_us, queue),
+            turns=self._maintenance_report(now_us, queue),
             regions=RegionReport(self.region, 96.0, 192.0, 48.0, 96.0, machines=24),
-            reign=self.reign,
+            reign=self.grant_term,
         )
 
-    def _turns(self, now_us: int, queue: SlotQueue) -> MaintenanceReport:
-        said = turns_said(queue, now_us, WANTS.get(now_us, ()) if self.wants else ())
+    def _maintenance_report(self, now_us: int, queue: SlotQueue) -> MaintenanceReport:
+        report = maintenance_report(
+            queue, now_us, SLOT_REQUESTS.get(now_us, ()) if self.requests_slots else ()
+        )
         if self.region == "north":
-            return said
-        return MaintenanceReport(clear=said.clear, region=self.region, at_us=now_us)
-
-    def take(self, grant: LeaseGrant) -> None:
-        self.told.append(grant)
-        self.edition, self.reign, self.floor = grant.edition, grant.reign, grant.floor
+            return report
+        return MaintenanceReport(clear=report.clear, region=self.region, at_us=now_us)
+
+    def on_grant(self, grant: LeaseGrant) -> None:
+        self.grants.append(grant)
+        self.revision = grant.edition
+        self.grant_term = grant.reign
+        self.floor = grant.floor
         if grant.sessions is not None:
-            self.heard = grant.sessions.epoch
+            self.sessions_epoch = grant.sessions.epoch
             if grant.sessions.open:
                 self.session = Session(self.name, grant.sessions.life, grant.sessions.serial)
 
 
 class Voter:
-    """The voter and its host: timers, what it has put on disk, what it sent."""
+    """A voter with its host: timers, persisted effects and sent messages."""
 
     def __init__(self, disk: PersistentState, now_us: int = S) -> None:
         self.now_us = now_us
@@ -188,20 +194,20 @@
         self.sent: list[Send] = []
         self._timers: dict[str, int] = {}
         self.sessions = SessionSubsystem(LEASE_US)
-        self.turns = MaintenanceScheduler(ME, lambda now_us: WALL_US + now_us, TIMES)
-        self.agreement = Coordinator(
+        self.maintenance = MaintenanceScheduler(ME, lambda now_us: WALL_US + now_us, TIMING)
+        self.coordinator = Coordinator(
             LocalPlacer(ME, incarnation=7),
             CoordinationSettings((ME,)),
             disk,
             5,
             Subsystems(
-                (self.sessions, RegionSubsystem(LEASE_US), self.turns),
-                (OwnTurns(self.turns.queue),),
+                (self.sessions, RegionSubsystem(LEASE_US), self.maintenance),
+                (OwnMaintenance(self.maintenance.queue),),
             ),
         )
-        self._do(self.agreement.start(self.now_us))
+        self._perform(self.coordinator.start(self.now_us))
 
-    def _do(self, effects: list[Any]) -> None:
+    def _perform(self, effects: list[Any]) -> None:
         for each in effects:
             if isinstance(each, SetTimer):
                 self._timers[each.key] = each.at_us
@@ -217,13 +223,13 @@
                 self.now_us = until_us
                 return
             self.now_us = max(self.now_us, self._timers.pop(key))
-            self._do(self.agreement.on_timer(self.now_us, key))
+            self._perform(self.coordinator.on_timer(self.now_us, key))
 
-    def hear(self, name: str, message: Any) -> None:
-        self._do(self.agreement.on_message(self.now_us, name, f"{name}:1", message))
+    def receive(self, name: str, message: Any) -> None:
+        self._perform(self.coordinator.on_message(self.now_us, name, f"{name}:1", message))
 
     def propose(self, kind: str, value: dict[str, Any]) -> None:
-        self._do(self.agreement.propose(self.now_us, kind, value))
+        self._perform(self.coordinator.propose(self.now_us, kind, value))
 
     def propose_rules(self, ident: str, rules: Any, base: int) -> None:
         text = samples.rules_text(rules)
@@ -236,68 +242,75 @@
         )
 
     def propose_same_voters(self) -> None:
-        raft = self.agreement.raft
+        raft = self.coordinator.raft
         assert raft is not None
-        self._do(self.agreement.apply_raft(self.now_us, raft.propose(self.now_us, VOTERS, ME)[1]))
+        self._perform(
+            self.coordinator.apply_raft(self.now_us, raft.propose(self.now_us, VOTERS, ME)[1])
+        )
 
-    def fold(self) -> None:
-        """Put a snapshot on disk, as once the log is long."""
-        raft = self.agreement.raft
+    def compact_log(self) -> None:
+        """Persist a snapshot, as a voter does when its log has become long."""
+        raft = self.coordinator.raft
         assert raft is not None
-        effects = raft.log.compact(self.agreement.snapshot())
-        self._do(self.agreement.apply_raft(self.now_us, effects))
+        effects = raft.log.compact(self.coordinator.snapshot())
+        self._perform(self.coordinator.apply_raft(self.now_us, effects))
 
 
 def restarted(voter: Voter) -> Voter:
-    """Another life of the voter, from what the first put on disk."""
-    made = Voter(disk_of(voter.persisted), voter.now_us)
-    made.persisted[:0] = voter.persisted
-    return made
+    """Return the next incarnation of the voter, which starts from the persisted state of the first."""
+    second = Voter(disk_of(voter.persisted), voter.now_us)
+    second.persisted[:0] = voter.persisted
+    return second
 
 
-def life() -> tuple[list[Persist], list[Placer]]:
-    """All that the voter put on disk, and its placers with the grants that came to them."""
+def run_history() -> tuple[list[Persist], list[Placer]]:
+    """Run the history; return all persisted effects of the voter, and the placers with their grants."""
     voter = Voter(PersistentState((ME,)))
     placers = [
-        Placer("p", "north", silent_us=8 * S),
-        Placer("q", "south", keeps=("p", 0)),
-        Placer("r", "north", keeps=("p", 18 * S), wants=True),
-        Placer("s", "south", from_us=15 * S),
+        Placer("p", "north", stop_us=8 * S),
+        Placer("q", "south", replica_of=("p", 0)),
+        Placer("r", "north", replica_of=("p", 18 * S), requests_slots=True),
+        Placer("s", "south", start_us=15 * S),
     ]
+    # By time, in half seconds.
     script: dict[int, Callable[[], None]] = {
         4: lambda: voter.propose_rules("first", RULES, 0),
         8: lambda: voter.propose_floor("floor-1", 3 * S),
         10: voter.propose_same_voters,
-        12: voter.fold,
+        12: voter.compact_log,
         14: lambda: voter.propose_rules("second", OTHER, 1),
         16: lambda: voter.propose_floor("floor-2", 2 * S),
-        28: lambda: voter.propose("turns/ask", dict(OPERATORS)),
+        28: lambda: voter.propose("turns/ask", dict(OPERATOR_REQUEST)),
         48: lambda: voter.propose(
             "turns/back", {"number": 5, "at_us": WALL_US + 24 * S, "note": "ä"}
         ),
         60: lambda: voter.propose_rules("refused", OTHER, 1),
     }
-    for half in range(2, 64):
-        voter.run(half * S // 2)
-        script.get(half, lambda: None)()
-        if half == 56:
+    for half_s in range(2, 64):
+        voter.run(half_s * S // 2)
+        script.get(half_s, lambda: None)()
+        if half_s == 56:
             voter = restarted(voter)
         for each in placers:
-            if each.from_us <= voter.now_us < each.silent_us:
-                held = {other.name: other.session for other in placers}
-                voter.hear(each.name, each.ask(voter.now_us, voter.turns.queue, held))
-        voter.run(half * S // 2 + S // 8)
+            if each.start_us <= voter.now_us < each.stop_us:
+                sessions = {other.name: other.session for other in placers}
+                voter.receive(
+                    each.name,
+                    each.lease_request(voter.now_us, voter.maintenance.queue, sessions),
+                )
+        voter.run(half_s * S // 2 + S // 8)
         for sent in voter.sent:
             if isinstance(sent.message, LeaseGrant):
-                next(each for each in placers if each.name == sent.ident).take(sent.message)
+                next(each for each in placers if each.name == sent.ident).on_grant(sent.message)
         voter.sent.clear()
-    raft = voter.agreement.raft
+    raft = voter.coordinator.raft
     assert raft is not None
     voter.persisted.append(sole_voter_update(ME, raft.persistent, RECOVERED))
     return voter.persisted, placers
 
 
 def disk_of(persisted: list[Persist]) -> PersistentState:
+    """Return the persistent state that these effects lead to."""
     disk = PersistentState((ME,))
     for each in persisted:
         disk.persist(each)
@@ -305,7 +318,7 @@
 
 
 def entries(persisted: list[Persist]) -> list[LogEntry]:
-    """All entries ever decided."""
+    """Return all entries that were ever committed, also those that a snapshot has replaced since."""
     disk, out = PersistentState((ME,)), dict[int, LogEntry]()
     for each in persisted:
         disk.persist(each)
@@ -316,12 +329,12 @@
 # -- replaying
 
 
-class State:
-    """The replicated state of a snapshot, with entries applied to it as a voter does."""
+class ReplicatedState:
+    """The replicated state of a snapshot, to which entries are applied as a voter applies them."""
 
     def __init__(self, text: str) -> None:
-        self.agreed = from_text(text)
-        self.chapters: dict[str, Any] = {
+        self.rule_set_state = from_text(text)
+        self.subsystems: dict[str, Any] = {
             each.name: each
             for each in (
                 AllocationLedger(2 * S),
@@ -330,22 +343,23 @@
                 MaintenanceScheduler(ME, lambda now_us: 0),
             )
         }
-        for name, chapter in self.chapters.items():
-            chapter.restore(self.agreed.chapters.get(name, ""))
+        for name, subsystem in self.subsystems.items():
+            subsystem.restore(self.rule_set_state.chapters.get(name, ""))
 
     def apply(self, entry: LogEntry) -> None:
         name, _, kind = entry.kind.partition("/")
         if kind:
-            self.chapters[name].apply(kind, json.loads(entry.body))
+            self.subsystems[name].apply(kind, json.loads(entry.body))
         elif entry.kind not in ("", VOTERS):
-            self.agreed.apply(entry.kind, entry.body)
+            self.rule_set_state.apply(entry.kind, entry.body)
             if entry.kind == RECOVERED:
-                self.chapters["blocks"].recovered()
-                self.chapters["turns"].apply(RECOVERED, {})
+                self.subsystems["blocks"].recovered()
+                self.subsystems["turns"].apply(RECOVERED, {})
 
     def texts(self) -> dict[str, str]:
-        return {"agreed": self.agreed.text()} | {
-            name: each.snapshot() for name, each in self.chapters.items()
+        """Return the snapshot texts of the rule sets (`agreed`) and of each subsystem, by name."""
+        return {"agreed": self.rule_set_state.text()} | {
+            name: each.snapshot() for name, each in self.subsystems.items()
         }
 
     @property
@@ -353,9 +367,9 @@
         return blake2b(json.dumps(self.texts()).encode(), digest_size=16).hexdigest()
 
 
-def replayed(disk: PersistentState) -> Iterator[tuple[str, State]]:
-    """The snapshot's state, then the state after each entry of the log, with the entry's kind."""
-    state = State(disk.snapshot_state)
+def replayed(disk: PersistentState) -> Iterator[tuple[str, ReplicatedState]]:
+    """Yield the snapshot's state, then the state after each entry of the log, each with the entry's kind."""
+    state = ReplicatedState(disk.snapshot_state)
     yield "snapshot", state
     for entry in disk.log:
         state.apply(entry)
@@ -363,7 +377,7 @@
 
 
 def write_store(folder: Path, persisted: list[Persist], scratch: Path) -> None:
-    """A store of all that was put on disk, copied without free pages."""
+    """Write a store of all persisted effects, copied without free pages."""
     create(scratch, (ME,))
     store = VoterStore(scratch)
     for each in persisted:
@@ -382,30 +396,30 @@
 # -- for the tests
 
 
-def leads(voter: Voter) -> bool:
-    return voter.agreement.is_leader
+def is_leader(voter: Voter) -> bool:
+    return voter.coordinator.is_leader
 
 
-def accepted(voter: Voter) -> tuple[int, str]:
-    """The latest version, and the outcome of the proposal `after`."""
-    agreed = voter.agreement.rule_set_state
+def latest_version_and_outcome(voter: Voter) -> tuple[int, str]:
+    """Return the latest version of the rule set, and the outcome of the proposal `after`."""
+    agreed = voter.coordinator.rule_set_state
     return agreed.version, agreed.outcomes.get("after", "not decided")
 
 
-def text_again(name: str, text: str) -> str:
-    """The text of what a text restores."""
+def restored_text(name: str, text: str) -> str:
+    """Restore a subsystem's state from its snapshot text, and return the text of its snapshot."""
     if name == "agreed":
         return from_text(text).text()
-    chapter = State("").chapters[name]
-    chapter.restore(text)
-    made: str = chapter.snapshot()
-    return made
+    subsystem = ReplicatedState("").subsystems[name]
+    subsystem.restore(text)
+    snapshot: str = subsystem.snapshot()
+    return snapshot
 
 
-def values(state: State) -> dict[str, Any]:
-    """Some of the state, as values of the program's own types."""
-    blocks, sessions, turns = (state.chapters[name] for name in ("blocks", "sessions", "turns"))
-    agreed = state.agreed
+def values(state: ReplicatedState) -> dict[str, Any]:
+    """Return a part of the state, as values of the program's own types."""
+    blocks, sessions, turns = (state.subsystems[name] for name in ("blocks", "sessions", "turns"))
+    agreed = state.rule_set_state
     return {
         "agreed": (agreed.revision, agreed.version, agreed.steps, agreed.outcomes),
         "rules": samples.read_rules(agreed.rules),
@@ -427,40 +441,41 @@
 )
 
 
-def _parts(a: int, others: int) -> LimitAllocations:
+def _allocations(a: int, others: int) -> LimitAllocations:
     sizes = {"a": a, "p": 0, "q": others, "r": others}
     return LimitAllocations({name: Allocation(size, size) for name, size in sizes.items()})
 
 
-def _turn(number: int, wanted: SlotRequest, asked_us: int, since_us: int, **more: Any) -> Slot:
-    told: dict[str, Any] = {"state": "done", "tasks": 4, "note": "its time is over"}
+def _slot(number: int, request: SlotRequest, asked_us: int, since_us: int, **more: Any) -> Slot:
+    fields: dict[str, Any] = {"state": "done", "tasks": 4, "note": "its time is over"}
     return Slot(
         number,
-        wanted.machine,
+        request.machine,
         "north",
-        wanted.zone,
-        wanted.cell,
-        wanted.why,
-        wanted.urgency,
-        wanted.latest_us,
+        request.zone,
+        request.cell,
+        request.why,
+        request.urgency,
+        request.latest_us,
         WALL_US + asked_us,
-        wanted.lasts_us,
+        request.lasts_us,
         since_us=WALL_US + since_us,
-        ident=wanted.ident,
-        from_us=wanted.from_us,
-        **{"worker": "", **told, **more},
+        ident=request.ident,
+        from_us=request.from_us,
+        **{"worker": "", **fields, **more},
     )
 
 
-_FIRST, (_AGAIN, _GONE, _VERDICT) = WANTS[2 * S][0], WANTS[13 * S]
-_OPERATORS = SlotRequest("op-1", "node-4", "hall-a", "rack-2", "operator", 5, 0, 0)
-_REFUSED = "version 2 has been accepted since; yours is based on 1: see `rules diff`"
+_FIRST_REQUEST = SLOT_REQUESTS[2 * S][0]
+_REPEATED_REQUEST, _WITHDRAWN_REQUEST, _VERDICT_REQUEST = SLOT_REQUESTS[13 * S]
+_OPERATOR_SLOT_REQUEST = SlotRequest("op-1", "node-4", "hall-a", "rack-2", "operator", 5, 0, 0)
+_REFUSAL = "version 2 has been accepted since; yours is based on 1: see `rules diff`"
 VALUES: dict[str, Any] = {
     "agreed": (
         1003,
         2,
         [],
-        {"first": "", "floor-1": "", "second": "", "floor-2": "", "refused": _REFUSED},
+        {"first": "", "floor-1": "", "second": "", "floor-2": "", "refused": _REFUSAL},
     ),
     "rules": OTHER,
     "versions": [(1, 0, "a", "ä"), (2, 1, "a", "ä")],
@@ -470,9 +485,9 @@
         True,
         {"p": 7, "q": 7, "r": 7, "a": 7},
         {
-            "class/web/rate": _parts(3, 12),
-            "cold": _parts(2, 9),
-            "namespace/default/standing": _parts(2, 9),
+            "class/web/rate": _allocations(3, 12),
+            "cold": _allocations(2, 9),
+            "namespace/default/standing": _allocations(2, 9),
         },
     ),
     "sessions": SessionLog(
@@ -487,11 +502,11 @@
         10_030,
         {"v/node-3": (4, ""), "op-1": (5, "")},
         {
-            1: _turn(1, _FIRST, 2_020_000, 7_560_000, tasks=6, out_us=WALL_US + 4_290_000),
-            2: _turn(2, _AGAIN, 13_020_000, 18_020_000, out_us=WALL_US + 14_770_000),
-            3: _turn(
+            1: _slot(1, _FIRST_REQUEST, 2_020_000, 7_560_000, tasks=6, out_us=WALL_US + 4_290_000),
+            2: _slot(2, _REPEATED_REQUEST, 13_020_000, 18_020_000, out_us=WALL_US + 14_770_000),
+            3: _slot(
                 3,
-                _GONE,
+                _WITHDRAWN_REQUEST,
                 13_020_000,
                 13_270_000,
                 state="given-back",
@@ -499,10 +514,10 @@
                 given=True,
                 note="its window was taken back",
             ),
-            4: _turn(4, _VERDICT, 13_020_000, 19_270_000, out_us=WALL_US + 18_020_000),
-            5: _turn(
+            4: _slot(4, _VERDICT_REQUEST, 13_020_000, 19_270_000, out_us=WALL_US + 18_020_000),
+            5: _slot(
                 5,
-                _OPERATORS,
+                _OPERATOR_SLOT_REQUEST,
                 14_000_000,
                 24_020_000,
                 worker="worker-1",
--- a/tests/stored/state.py
+++ b/tests/stored/state.py
@@ -1,6 +1,6 @@
-"""What a placer keeps in its folder beside a voter's store: samples of it, and how each file is written and read.
+"""Samples of the files in a placer's state folder other than a voter's store, and functions to write and read them.
 
-As `tests.wire.samples`: a rename in the program touches this module, never the data files.
+Like `tests.wire.samples`, this module follows renames in the program; the data files never change.
 """
 
 from __future__ import annotations
@@ -24,9 +24,11 @@
 
 S = 1_000_000
 WALL_US = 1_780_000_000 * S
-ALIVE_US = WALL_US + 12 * S
-SHIFT_US = -WALL_US  # from the wall to the module's clock
-MACHINES, ALIVE, DRAINS = "machines.json", "alive", "drains.json"
+HEARTBEAT_US = WALL_US + 12 * S
+SHIFT_US = -WALL_US  # from the wall clock to the clock of the decision module
+MACHINES_FILE = "machines.json"
+HEARTBEAT_FILE = "alive"
+DRAINS_FILE = "drains.json"
 
 
 def _node(name: str, **parts: Any) -> dict[str, Any]:
@@ -102,7 +104,7 @@
 ]
 
 
-def _held(phase: Phase, unsafe: UnsafePolicy, *more: Any) -> TrackedDrain:
+def _tracked_drain(phase: Phase, unsafe: UnsafePolicy, *more: Any) -> TrackedDrain:
     machine = f"node-{phase.value.replace(' ', '-')}"
     drain = Drain(
         "w", "w@1780000010", machine, PlanOutcome.PLANNED, WALL_US + 10 * S, WALL_US + 70 * S
@@ -110,17 +112,21 @@
     return TrackedDrain(drain, phase, unsafe, *more)
 
 
-HELD = [
-    _held(Phase.CLOSED, UnsafePolicy.WAIT, WALL_US),
-    _held(Phase.OUT, UnsafePolicy.SHORTEN, WALL_US + S, 3, True, "late ä"),
-    _held(Phase.DONE, UnsafePolicy.GIVE_UP, WALL_US + 2 * S, 1),
-    _held(Phase.GIVEN_UP, UnsafePolicy.WAIT, WALL_US, 0, False, "cancelled by the operator"),
+SAVED_DRAINS = [
+    _tracked_drain(Phase.CLOSED, UnsafePolicy.WAIT, WALL_US),
+    _tracked_drain(Phase.OUT, UnsafePolicy.SHORTEN, WALL_US + S, 3, True, "late ä"),
+    _tracked_drain(Phase.DONE, UnsafePolicy.GIVE_UP, WALL_US + 2 * S, 1),
+    _tracked_drain(
+        Phase.GIVEN_UP, UnsafePolicy.WAIT, WALL_US, 0, False, "cancelled by the operator"
+    ),
 ]
-PLANNED = _held(Phase.PLANNED, UnsafePolicy.WAIT, WALL_US)  # not begun: it is not kept
+PLANNED = _tracked_drain(
+    Phase.PLANNED, UnsafePolicy.WAIT, WALL_US
+)  # not begun, so that it is not saved
 
 
 class NoMachines:
-    """The host of drains that are saved and read, and never acted on."""
+    """A host of the drainer whose drains are saved and read, and never performed."""
 
     def machine_states(self) -> list[MachineState]:
         return []
@@ -151,7 +157,7 @@
 
 
 def write_alive(folder: Path) -> None:
-    saved_list.write_heartbeat(folder, ALIVE_US)
+    saved_list.write_heartbeat(folder, HEARTBEAT_US)
 
 
 def read_alive(folder: Path) -> int | None:
@@ -160,7 +166,7 @@
 
 def write_drains(folder: Path) -> None:
     drainer = _drainer(folder)
-    drainer.drains.tracked = {each.drain.key: each for each in (*HELD, PLANNED)}
+    drainer.drains.tracked = {each.drain.key: each for each in (*SAVED_DRAINS, PLANNED)}
     drainer._save()
 
 
--- a/tests/stored/test_corpus.py
+++ b/tests/stored/test_corpus.py
@@ -1,4 +1,4 @@
-"""What the program of commit ff53260 left on disk is read as the same values, and goes on from there.
+"""Files that commit ff53260 wrote to disk are read as the same values, and a voter continues from them.
 
 The files under `tests/data/stored` never change; see the README there.
 """
@@ -31,15 +31,15 @@
     assert found == listed
 
 
-def opened(folder: Path) -> VoterStore:
-    """A copy of the voter's store."""
+def open_copy(folder: Path) -> VoterStore:
+    """Copy the voter's store to the folder, as opening a store writes to it, and open the copy."""
     shutil.copytree(STORED / "votes", folder / "votes")
     return VoterStore(folder / "votes")
 
 
 @pytest.fixture
 def disk(tmp_path: Path) -> PersistentState:
-    store = opened(tmp_path)
+    store = open_copy(tmp_path)
     try:
         return store.load()
     finally:
@@ -47,7 +47,7 @@
 
 
 def test_a_voters_store_holds_what_the_voter_put_on_disk(disk: PersistentState) -> None:
-    assert disk == scenario.disk_of(scenario.life()[0])
+    assert disk == scenario.disk_of(scenario.run_history()[0])
     assert (
         disk.snapshot_voters,
         disk.term,
@@ -77,38 +77,38 @@
 
 def test_each_stored_entry_makes_the_same_state_of_the_one_before(disk: PersistentState) -> None:
     wanted = (STORED / "digests.txt").read_text().splitlines()
-    found = [f"{kind or 'empty'} {held.digest}" for kind, held in scenario.replayed(disk)]
+    found = [f"{kind or 'empty'} {each.digest}" for kind, each in scenario.replayed(disk)]
     assert found == wanted
 
 
 def test_the_replayed_state_has_the_values_of_the_voters_life(disk: PersistentState) -> None:
-    *_, (_, held) = scenario.replayed(disk)
+    *_, (_, last_state) = scenario.replayed(disk)
     wanted = {each.stem: each.read_text() for each in (STORED / "texts").iterdir()}
-    assert held.texts() == wanted
-    assert scenario.values(held) == scenario.VALUES
+    assert last_state.texts() == wanted
+    assert scenario.values(last_state) == scenario.VALUES
 
 
 @pytest.mark.parametrize("name", ["agreed", "blocks", "sessions", "turns", "regions"])
-def test_a_chapter_restored_from_its_text_has_that_text(name: str) -> None:
+def test_a_subsystem_restored_from_its_snapshot_text_has_that_text(name: str) -> None:
     text = (STORED / "texts" / f"{name}.txt").read_text()
-    assert scenario.text_again(name, text) == text
+    assert scenario.restored_text(name, text) == text
 
 
 def test_a_voter_goes_on_with_its_store(tmp_path: Path) -> None:
-    store = opened(tmp_path)
+    store = open_copy(tmp_path)
     before = store.load()
     voter = scenario.Voter(store.load(), 100 * samples.S)
     voter.run(110 * samples.S)
-    assert scenario.leads(voter)
+    assert scenario.is_leader(voter)
     voter.propose_rules("after", scenario.RULES, 2)
     voter.run(112 * samples.S)
-    assert scenario.accepted(voter) == (3, "")
+    assert scenario.latest_version_and_outcome(voter) == (3, "")
     for each in voter.persisted:
         store.persist(each)
     store.close()
-    again = VoterStore(tmp_path / "votes")
-    after = again.load()
-    again.close()
+    reopened = VoterStore(tmp_path / "votes")
+    after = reopened.load()
+    reopened.close()
     assert after.term > before.term
     assert after.vote == scenario.ME
     assert after.log[: len(before.log)] == before.log
@@ -119,25 +119,25 @@
     assert [each.kind for each in after.log[len(before.log) :]][:2] == ["", "propose"]
 
 
-# -- the folder of a placer
+# -- files in a placer's state folder
 
 
 def test_the_saved_list_is_read_as_its_entries() -> None:
-    # Figures of room of a saved list are not told: nan is no equal of itself, their text is.
+    # A saved list has no free capacity, which is read as NaN. NaN does not equal itself, but its text does.
     assert list(map(repr, state.read_machines(STORED / "state"))) == list(map(repr, state.ENTRIES))
 
 
-def test_the_stamp_is_read_as_its_time() -> None:
-    assert state.read_alive(STORED / "state") == state.ALIVE_US
+def test_the_saved_heartbeat_is_read_as_its_time() -> None:
+    assert state.read_alive(STORED / "state") == state.HEARTBEAT_US
 
 
 def test_saved_drains_are_read_as_they_stood() -> None:
-    assert state.read_drains(STORED / "state") == state.HELD
+    assert state.read_drains(STORED / "state") == state.SAVED_DRAINS
 
 
 def test_a_placers_files_are_written_byte_for_byte(tmp_path: Path) -> None:
     for write in (state.write_machines, state.write_alive, state.write_drains):
         write(tmp_path)
     files = {each.name: each.read_bytes() for each in (STORED / "state").iterdir()}
-    assert set(files) == {state.MACHINES, state.ALIVE, state.DRAINS}
+    assert set(files) == {state.MACHINES_FILE, state.HEARTBEAT_FILE, state.DRAINS_FILE}
     assert {each.name: each.read_bytes() for each in tmp_path.iterdir()} == files
--- a/tests/stored/test_going_on.py
+++ b/tests/stored/test_going_on.py
@@ -1,4 +1,4 @@
-"""Placers that start on folders which the program of commit ff53260 left go on with what is there."""
+"""Placers that start with the state folders of commit ff53260 continue from the state there."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 STORED = samples.DATA / "stored"
 
 
-def later(stage: Stage, seconds: int) -> None:
-    """Set the wall clock to after what is stored was written."""
+def advance_wall_clock(stage: Stage, seconds: int) -> None:
+    """Advance the wall clock, to a time after the stored files were written."""
     clock = stage.hub.clock
     assert isinstance(clock, VirtualClock)
     clock._wall += seconds * S
@@ -38,26 +38,26 @@
         slot = stage.cluster.placers[0]
         slot.kill()
         stage.cluster.source.set_down(True)
-        later(stage, 40)
-        for name in (state.MACHINES, state.ALIVE, state.DRAINS):
+        advance_wall_clock(stage, 40)
+        for name in (state.MACHINES_FILE, state.HEARTBEAT_FILE, state.DRAINS_FILE):
             shutil.copy(STORED / "placer" / name, Path(slot.state) / name)
         slot.extra = f'\ncalendar "{STORED / "placer" / "windows.kdl"}"\n'
         slot.start()
         assert slot.service is not None
         placer = slot.service.placer
         stage.hub.sleep(S // 10)
-        shown = call(stage.pool(), "GET", "/api/v1/nodes")["items"]
-        assert {each["metadata"]["name"]: port_of(each) for each in shown} == {
+        nodes = call(stage.pool(), "GET", "/api/v1/nodes")["items"]
+        assert {each["metadata"]["name"]: port_of(each) for each in nodes} == {
             "node-0": 1,
             "node-1": 1,
         }
-        found = placer.drainer.describe()
-        assert [(each["key"], each["phase"]) for each in found] == [
+        drains = placer.drainer.describe()
+        assert [(each["key"], each["phase"]) for each in drains] == [
             ("patch@1780000015/node-0", "out")
         ]
         saved = placer.drainer.drains.tracked["patch@1780000015/node-0"]
-        assert saved.since_us == 1_780_000_011_500_000, "its saved state, not one begun anew"
-        begun = stage.hub.now_us()
+        assert saved.since_us == 1_780_000_011_500_000, "the saved drain, not a new one"
+        source_up_us = stage.hub.now_us()
         stage.cluster.source.set_down(False)
         for machine in stage.cluster.machines:
             stage.cluster.source.show(machine.name, node_value(machine))
@@ -68,7 +68,7 @@
         for number in range(6):
             stage.submit(f"t{number}", service=f"s{number}", runs_s=1)
             assert "Placed" in stage.settled(f"t{number}")
-        sent = {each.where for each in stage.seen("offer") if each.at_us > begun}
+        sent = {each.where for each in stage.seen("offer") if each.at_us > source_up_us}
         assert sent == {"node-1"}
 
     stage.play(script)
@@ -85,31 +85,31 @@
             shutil.rmtree(slot.state)
             shutil.copytree(STORED / "cluster" / slot.name, slot.state)
         before = {
-            slot.name: stored(STORED / "cluster" / slot.name, slot.name)
+            slot.name: load_copy(STORED / "cluster" / slot.name, slot.name)
             for slot in stage.cluster.placers
         }
-        later(stage, 3600)
+        advance_wall_clock(stage, 3600)
         for slot in stage.cluster.placers:
             slot.start()
         assert stage.wait(lambda: stage.all_on("e2"), 30)
-        told = stage.ask(stage.leader())[1]
-        assert [each["number"] for each in told["versions"]] == [1, 2]
-        assert told["versions"][-1]["rules"]["barred"] == ["node-1"]
+        body = stage.ask(stage.leader())[1]
+        assert [each["number"] for each in body["versions"]] == [1, 2]
+        assert body["versions"][-1]["rules"]["barred"] == ["node-1"]
         value = {"ident": "y", "rules": stage.changed(barred=["node-1", "node-5"])}
-        status, told = stage.ask(stage.leader(), "POST", value)
-        assert (status, told["version"]) == (201, 3)
+        status, body = stage.ask(stage.leader(), "POST", value)
+        assert (status, body["version"]) == (201, 3)
         assert stage.wait(lambda: stage.all_on("e3"), 30)
         stage.submit("t", runs_s=1)
         assert "Placed" in stage.settled("t")
         assert {each.where for each in stage.seen("offer")} == {"node-0"}
         for slot in stage.cluster.placers:
             slot.kill()
-            after = stored(Path(slot.state), slot.name)
+            after = load_copy(Path(slot.state), slot.name)
             assert after.term > before[slot.name].term
             assert after.log[: len(before[slot.name].log)] == before[slot.name].log
             assert after.snapshot_index == before[slot.name].snapshot_index
 
-    def stored(folder: Path, name: str) -> PersistentState:
+    def load_copy(folder: Path, name: str) -> PersistentState:
         scratch = Path(stage.cluster.placers[0].state).parent / f"copy-{folder.parent.name}-{name}"
         shutil.copytree(folder / "rules", scratch)
         store = VoterStore(scratch)
--- a/tests/wire/test_peers_golden.py
+++ b/tests/wire/test_peers_golden.py
@@ -70,7 +70,7 @@
 def decided() -> dict[str, str]:
     """The first body of each kind that a voter's life comes to."""
     out: dict[str, str] = {}
-    for entry in scenario.entries(scenario.life()[0]):
+    for entry in scenario.entries(scenario.run_history()[0]):
         out.setdefault(entry.kind, entry.body)
     return out
 
