--- a/wingbarrow/decide/replication/orphans.py
+++ b/wingbarrow/decide/replication/orphans.py
@@ -1,7 +1,7 @@
 """Orphaned Jobs: records of ended sessions that are stored here, and whose Jobs another placer is to take over.
 
-That placer, the successor, is queried at intervals. Jobs that it does not know are taken over here, and so are Jobs
-that have had no successor for `NO_SUCCESSOR_TIMEOUT_US`.
+That placer, the successor, is queried at intervals. Jobs that it does not know are taken over here. So are, after
+`NO_SUCCESSOR_TIMEOUT_US`, Jobs without a successor and Jobs that are in doubt here.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from wingbarrow.decide.sessions.session import Session
 
 CHECK_INTERVAL_US = 3_000_000
-NO_SUCCESSOR_TIMEOUT_US = 30_000_000  # after a session's end, any replica takes its Jobs over
+NO_SUCCESSOR_TIMEOUT_US = 30_000_000  # after a session's end, until any replica may take over
 MAX_PENDING_REQUESTS = 1024  # the oldest ones beyond it are discarded
 ORPHAN_TIMER = "watch"
 
@@ -56,7 +56,7 @@
     def check(self, now_us: int, *, resolve: bool) -> list[Effect]:
         """Set the timer while Jobs are to be taken over by their successors.
 
-        With `resolve`, also query those successors, and take over the Jobs that have had none for too long.
+        With `resolve`, also query those successors, and take over the Jobs that are overdue.
         """
         out: list[Effect] = []
         uids_by_successor = self._replica.awaiting_successors()
@@ -77,7 +77,8 @@
     def on_response(self, now_us: int, ident: str, message: ResolveResponse) -> list[Effect]:
         """Handle a successor's outcomes of Jobs; a response to any but a pending request is ignored.
 
-        Jobs that it does not know are taken over. The entry of a Job in doubt that it knows is discarded.
+        A Job that it does not know is taken over, unless it is in doubt here. A Job in doubt that it knows is
+        discarded.
         """
         if self._pending_requests.pop(message.number, "") != ident:
             return []
@@ -105,7 +106,10 @@
         return Send(name, "", request)
 
     def _take_over_overdue(self, now_us: int, session: Session, uids: list[str]) -> list[Effect]:
-        """Take over Jobs without a successor, `NO_SUCCESSOR_TIMEOUT_US` after their session's end was received."""
+        """Take over Jobs that are in doubt or without a successor, once the timeout after their session's end is over.
+
+        The timeout runs from the receipt of the end at this placer.
+        """
         if now_us < self._ended_us.get(session, now_us) + NO_SUCCESSOR_TIMEOUT_US:
             return []
         orphans = Notify("orphans", {"session": session.text(), "jobs": len(uids)})
--- a/wingbarrow/decide/replication/replica_assignments.py
+++ b/wingbarrow/decide/replication/replica_assignments.py
@@ -74,9 +74,10 @@
         self.replicas.exclude(now_us, link, lambda uid: bool(self.jobs[uid].pending))
 
     def reassign(self, now_us: int, uid: str, name: str) -> None:
-        """Replace one replica of a Job, if it is no longer usable; "" stands for the missing one of a Job without any.
+        """Replace a replica of a Job if it is no longer usable; with "" as name, find one for a Job that has none.
 
-        If no replacement is available, the replica stays, and the search is repeated later.
+        A replica that disputes the Job is sent the record again instead. If no replacement is available, the present
+        replica stays the one that has to acknowledge, and the search is repeated later.
         """
         job = self.jobs.get(uid)
         if job is None:
--- a/wingbarrow/decide/replication/replica_set.py
+++ b/wingbarrow/decide/replication/replica_set.py
@@ -96,7 +96,7 @@
     # -- reassignment
 
     def exclude(self, now_us: int, link: ReplicaLink, is_urgent: Callable[[str], bool]) -> None:
-        """Assign no new Job to a replica for `exclusion_us`, and reassign its Jobs, those that `is_urgent` first."""
+        """Assign no new Job to a replica for `exclusion_us`, and schedule to reassign its Jobs, urgent ones first."""
         link.excluded_until_us = now_us + self.limits.exclusion_us
         for uid in link.record_sizes:
             self.schedule_reassignment(now_us, uid, link.name, urgent=is_urgent(uid))
--- a/wingbarrow/decide/replication/start_queue.py
+++ b/wingbarrow/decide/replication/start_queue.py
@@ -16,7 +16,7 @@
 from wingbarrow.decide.sessions.leased_job_record import LeasedJobRecord
 
 RETRY_US = 1_000_000  # after none of the ready Jobs could be started
-MAX_POSTPONED_PER_START = 8  # ready Jobs passed over for lack of capacity, per start of a batch
+MAX_POSTPONED_PER_START = 8  # ready Jobs that a batch may pass over, as a multiple of its starts
 STARTABLE_TIMER = "startable"
 
 
