--- a/tests/core/test_subset_moves.py
+++ b/tests/core/test_subset_moves.py
@@ -332,16 +332,16 @@
         set_members(stage, subset, set(subset.live_members) | {other.name})
         assert phase_of(link) is Phase.DRAINING
         assert machine in subset.lingering
-        sights = placer.peer_hints.know()[0]
+        sights = placer.peer_hints.knowledge()[0]
         assert {sight.phase for sight in sights} == {Phase.RUNNING}
         for each in stage.live_placers():
             others = [sight for sight in sights if sight.machine not in each.fleet.held]
-            assert each.peer_hints.take_sights(others * 4, 0, True), (
+            assert each.peer_hints.on_observations(others * 4, 0, True), (
                 "taken for a peer of another cluster"
             )
-            assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._heard)
+            assert all(each.fleet.reflector.is_wanted(name) for name in each.peer_hints._pending)
         assert stage.wait(lambda: machine not in placer.machines.links, 60)
-        assert machine not in {sight.machine for sight in placer.peer_hints.know()[0]}, (
+        assert machine not in {sight.machine for sight in placer.peer_hints.knowledge()[0]}, (
             "it is not reported as gone"
         )
 
--- a/tests/peers/test_verdicts_path.py
+++ b/tests/peers/test_ejections_path.py
@@ -1,16 +1,16 @@
-"""Verdicts on the whole path, on a virtual clock: one bad machine costs the fleet little, and is tried by one alone."""
+"""Agreed ejections end to end on a virtual clock: a bad machine wastes few starts, and only one placer probes it."""
 
 from __future__ import annotations
 
-from tests.peers.stage import Agreeing
+from tests.peers.stage import AgreementStage
 from tests.stage import S, Stage
 from wingbarrow.lab.cluster import PlacerSlot
 
 VERDICTS = "/apis/wingbarrow.io/v1/verdicts"
 
 
-class Judged(Agreeing):
-    """Placers with work, and machines that may fail every start."""
+class EjectionStage(AgreementStage):
+    """Placers with work, and machines that can be made to fail every start."""
 
     def work(self, seconds: float, tag: str) -> None:
         for number in range(int(seconds * 25)):
@@ -19,7 +19,7 @@
                 self.post(slot.port, f"{tag}-{number}")
             self.hub.sleep(S // 25)
 
-    def closed(self, slot: PlacerSlot, machine: str) -> bool:
+    def is_closed(self, slot: PlacerSlot, machine: str) -> bool:
         assert slot.service is not None
         return bool(slot.service.placer.machines.links[machine].phase.value == "draining")
 
@@ -31,9 +31,9 @@
         ]
 
 
-def wasted(placers: int, agree: bool, seed: int = 3) -> int:
-    """Starts that one bad machine in eight costs in 12 s."""
-    stage = Judged(machines=8, placers=placers, seed=seed)
+def starts_on_bad_machine(placers: int, agree: bool, seed: int = 3) -> int:
+    """The number of offers that one bad machine of eight gets in 12 s."""
+    stage = EjectionStage(machines=8, placers=placers, seed=seed)
     begun: list[int] = []
 
     def script() -> None:
@@ -49,10 +49,10 @@
     return len(stage.offers("node-3", begun[0]))
 
 
-def test_two_witnesses_close_a_bad_machine_to_all_one_tries_it_and_good_experience_opens_it() -> (
+def test_two_reporters_eject_a_bad_machine_one_placer_probes_it_and_successes_reinstate_it() -> (
     None
 ):
-    stage = Judged(machines=8, placers=5)
+    stage = EjectionStage(machines=8, placers=5)
 
     def script() -> None:
         stage.join()
@@ -62,33 +62,33 @@
         begun = stage.hub.now_us()
         stage.work(5, "a")
         slots = stage.cluster.placers
-        assert sum(stage.closed(slot, "node-3") for slot in slots) >= 4
-        told = stage.ask(stage.leader(), path=VERDICTS)[1]
-        (verdict,) = told["items"]
+        assert sum(stage.is_closed(slot, "node-3") for slot in slots) >= 4
+        answer = stage.ask(stage.leader(), path=VERDICTS)[1]
+        (verdict,) = answer["items"]
         assert verdict["machine"] == "node-3"
         assert len(verdict["by"]) >= 2
         assert not verdict["ended"]
-        assert any("node-3" in each["evidence"] for each in told["witnesses"])
+        assert any("node-3" in each["evidence"] for each in answer["witnesses"])
         assert stage.ask(slots[4], path=VERDICTS)[1]["closed"] in ([], ["node-3"])
         since = stage.hub.now_us()
         stage.work(3, "b")
-        assert len(set(stage.offers("node-3", since))) <= 1, "one placer tries it for all"
+        assert len(set(stage.offers("node-3", since))) <= 1, (
+            "at most one placer probes the ejected machine"
+        )
         bad.faulty = False
         stage.work(10, "c")
-        assert not any(stage.closed(slot, "node-3") for slot in slots)
-        assert len(set(stage.offers("node-3", begun))) >= 4, "and it is used again"
+        assert not any(stage.is_closed(slot, "node-3") for slot in slots)
+        assert len(set(stage.offers("node-3", begun))) >= 4, "the reinstated machine is used again"
 
     stage.play(script)
 
 
-def test_a_bad_machine_costs_a_fleet_that_agrees_less_than_one_whose_placers_find_out_alone() -> (
-    None
-):
-    assert wasted(8, True) * 2 < wasted(8, False)
+def test_a_bad_machine_wastes_fewer_starts_with_agreed_ejections_than_without() -> None:
+    assert starts_on_bad_machine(8, True) * 2 < starts_on_bad_machine(8, False)
 
 
-def test_one_liar_closes_nothing() -> None:
-    stage = Judged(machines=8, placers=5)
+def test_false_reports_of_one_placer_eject_nothing() -> None:
+    stage = EjectionStage(machines=8, placers=5)
 
     def script() -> None:
         stage.join()
@@ -102,11 +102,11 @@
                     stage.hub.now_us(), machine.name, False
                 )
             stage.hub.sleep(S // 4)
-        told = stage.ask(stage.leader(), path=VERDICTS)[1]
-        assert not told["items"]
-        assert any(each["bad"] == 8 for each in told["witnesses"])
+        answer = stage.ask(stage.leader(), path=VERDICTS)[1]
+        assert not answer["items"]
+        assert any(each["bad"] == 8 for each in answer["witnesses"])
         assert not any(
-            stage.closed(slot, machine.name)
+            stage.is_closed(slot, machine.name)
             for slot in stage.cluster.placers
             for machine in stage.cluster.machines
         )
@@ -114,7 +114,7 @@
     stage.play(script)
 
 
-def test_a_placer_that_agrees_with_nobody_gives_no_verdicts() -> None:
+def test_placer_without_agreement_has_no_verdicts_resource() -> None:
     stage = Stage(machines=2)
 
     def script() -> int:
--- a/tests/peers/test_store.py
+++ b/tests/peers/test_store.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A store that was created, and is not open."""
+    """The folder of a created store that is not open."""
     create(tmp_path / "rules", VOTERS)
     return tmp_path / "rules"
 
@@ -38,7 +38,7 @@
 
 
 def generated_update(rng: random.Random, expected: PersistentState) -> Persist:
-    """New entries, a new term, or a snapshot; `expected` is changed likewise, without `PersistentState.persist`."""
+    """Generate entries, a term or a snapshot; also applied to `expected`, without `PersistentState.persist`."""
     choice = rng.random()
     term, vote = expected.term, expected.vote
     if choice < 0.5:
@@ -106,7 +106,7 @@
         assert store.load() == before
 
 
-def test_a_second_process_is_refused_by_a_named_operation(folder: Path) -> None:
+def test_opening_an_open_store_fails_with_the_operation_in_the_error(folder: Path) -> None:
     with VoterStore(folder), pytest.raises(StoreError, match="another process") as caught:
         VoterStore(folder)
     assert (caught.value.folder, caught.value.operation) == (folder, "open")
--- a/wingbarrow/peers/peer_hints.py
+++ b/wingbarrow/peers/peer_hints.py
@@ -1,4 +1,4 @@
-"""What other instances know of machines: told to them, and taken in from them; never requests, never tasks."""
+"""Peer hints: the knowledge of machines that instances exchange. Requests and tasks are never exchanged."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from wingbarrow.config import PlacerSettings
 from wingbarrow.decide import learning
 from wingbarrow.decide.learning import MachineObservation
-from wingbarrow.peers.knowledge_pages import Page, Shares
+from wingbarrow.peers.knowledge_pages import Page, UsageRatios
 from wingbarrow.transport import Hub
 
-GONE_KEPT = 1024
+MAX_GONE_MACHINES = 1024  # machines removed from the list that peers are still informed of
 
 
 class Entry(Protocol):
@@ -29,11 +29,11 @@
 
     @property
     def listed(self) -> api.ListedMachine:
-        """As the module has it."""
+        """The listed machine in the form of the decision module's interface."""
 
 
 class Reflector(Protocol):
-    """The list, as far as hearsay goes."""
+    """The part of the machine list that peer hints use."""
 
     last_contact_us: int | None
     on_new_source: Callable[[], None]
@@ -44,11 +44,11 @@
 
     @property
     def version(self) -> int:
-        """Of the list."""
+        """The list's version."""
 
 
 class Fleet(Protocol):
-    """The placer's machines; `guards` narrow what the module is told, the calls hear of what comes and goes."""
+    """The placer's machines; `guards` restrict what the decision module is told, the `on_` attributes are callbacks."""
 
     guards: list[Any]
     on_gone: Callable[[str], None]
@@ -62,44 +62,44 @@
 
     @property
     def reopening(self) -> bool:
-        """Whether closed machines are being opened right now."""
+        """Whether closed machines are being reopened now."""
 
     def is_closed_locally(self, entry: Any) -> bool:
-        """Whether a machine is closed to this placer for reasons of its own, such as its start."""
+        """Whether a machine is closed for a reason of this placer alone, such as the placer's start."""
 
     def size_of(self, entry: Any) -> tuple[float, float]:
-        """Cores and memory."""
+        """Cores and memory of a machine."""
 
     def reapply(self, entries: Iterable[Any]) -> None:
-        """Have entries pass the guards anew."""
+        """Pass entries through the guards again."""
 
 
 class Links(Protocol):
-    """The machines that are reached, by name."""
+    """The connected machines."""
 
     @property
     def links(self) -> Mapping[str, Any]:
-        """Each has `launched_us` and `phase`."""
+        """Links by machine name; each has `launched_us` and `phase`."""
 
 
 class Module(Protocol):
     """The host of the decision module."""
 
     def feed(self, event: api.Event) -> None:
-        """Tell it of an event."""
+        """Pass it an event."""
 
     def knowledge(self) -> api.Knowledge:
         """What it knows of machines."""
 
 
 class UseObserver(Protocol):
-    """When a task last told of its use."""
+    """The time of the last report on a task's resource use; None without any."""
 
     last_usage_us: int | None
 
 
 class PlacerContext(Protocol):
-    """The placer's life."""
+    """The placer's shared context."""
 
     hub: Hub
     settings: PlacerSettings
@@ -108,7 +108,7 @@
 
 
 class PeerHints:
-    """Owns what was heard and is not applied yet, and which machines are distrusted for it."""
+    """Holds observations of peers until they can be applied, and the machines that are distrusted due to them."""
 
     def __init__(
         self,
@@ -116,20 +116,19 @@
         host: Module,
         fleet: Fleet,
         machines: Links,
-        sightings: UseObserver,
+        use_observer: UseObserver,
     ) -> None:
         self._context, self._host, self._fleet, self._machines = context, host, fleet, machines
-        self._sightings = sightings
+        self._use_observer = use_observer
         self._begun_us = context.hub.now_us()
         self._distrust = learning.Distrust(context.settings.limits.machines)
-        self._gone_versions: dict[
-            str, int
-        ] = {}  # machines that left the list, for peers to hear of
-        self._heard: dict[
-            str, tuple[MachineObservation, int, bool]
-        ] = {}  # not applied yet: sight, when it was true, clock good
-        self._average = (0.5, 0.5)  # asked over size, as peers last told it
-        self._shares_taken = False
+        # List version at the removal of machines from the list, which is reported to peers.
+        self._gone_versions: dict[str, int] = {}
+        # Not applied yet, by machine: observation, time to which its ages refer, whether its clock is good.
+        self._pending: dict[str, tuple[MachineObservation, int, bool]] = {}
+        # Requested share of cores and of memory, averaged over the observations of peers.
+        self._average = (0.5, 0.5)
+        self._has_usage_ratios = False
         fleet.guards.append(self._guard)
         fleet.on_gone, fleet.on_machine_listed, fleet.on_delivery_applied = (
             self._note_gone,
@@ -138,12 +137,12 @@
         )
         fleet.reflector.on_new_source = self._distrust.on_new_source
 
-    # -- told to others
+    # -- knowledge for peers
 
     def announce(self) -> learning.Announcement:
-        """What this instance says of itself to others."""
+        """This instance's announcement."""
         reflector, now = self._fleet.reflector, self._context.hub.now_us()
-        heard, settings = reflector.last_contact_us, self._context.settings
+        last_contact_us, settings = reflector.last_contact_us, self._context.settings
         return learning.Announcement(
             "",
             settings.name,
@@ -151,27 +150,27 @@
             settings.region,
             settings.cluster,
             now - self._begun_us,
-            None if heard is None else now - heard,
+            None if last_contact_us is None else now - last_contact_us,
             len(reflector.held),
             0,
         )
 
-    def know(self) -> tuple[list[MachineObservation], Shares]:
-        """What this instance knows of machines, for a hand-over."""
+    def knowledge(self) -> tuple[list[MachineObservation], UsageRatios]:
+        """This instance's observations of machines and its usage ratios, for a transfer to peers."""
         now, known = self._context.hub.now_us(), self._host.knowledge()
         by_ident = {each.machine: each for each in known.machines}
-        sights: list[MachineObservation] = []
+        observations: list[MachineObservation] = []
         for name, entry in self._fleet.held.items():
             link, each = self._machines.links.get(name), by_ident.get(entry.listed.machine)
             if link is None or each is None:
                 continue
             launched = now - link.launched_us if link.launched_us > 0 else None
-            # What is closed for this placer's own reasons is no drain that others should hear of.
+            # A machine that is closed only for this placer's own reasons does not drain: peers get its listed phase.
             phase = entry.listed.phase if self._fleet.is_closed_locally(entry) else link.phase
             if self._context.settings.agree is not None:
-                # What placers agree on reaches each of them by its rules; here it would outlive its being taken back.
+                # Agreed drains reach each placer by the rules; an observed drain would outlive its cancellation.
                 phase = self._guard(entry, entry.listed).phase
-            sights.append(
+            observations.append(
                 MachineObservation(
                     name,
                     max(entry.version, self._distrust.version(name)),
@@ -186,109 +185,118 @@
                 )
             )
         for name, version in self._gone_versions.items():
-            sights.append(
+            observations.append(
                 MachineObservation(
                     name, version, api.Phase.GONE, None, None, None, None, None, {}, {}
                 )
             )
-        use_us = self._sightings.last_usage_us
-        return sights, Shares(known.ratio, known.notes, None if use_us is None else now - use_us)
+        use_us = self._use_observer.last_usage_us
+        return observations, UsageRatios(
+            known.ratio, known.notes, None if use_us is None else now - use_us
+        )
 
     def _note_gone(self, name: str) -> None:
         self._gone_versions[name] = self._fleet.reflector.version
-        if len(self._gone_versions) > GONE_KEPT:
+        if len(self._gone_versions) > MAX_GONE_MACHINES:
             del self._gone_versions[next(iter(self._gone_versions))]
 
     def _note_listed(self, name: str) -> None:
         self._gone_versions.pop(name, None)
 
-    # -- taken in
+    # -- knowledge from peers
 
-    def take_sights(
-        self, sights: list[MachineObservation], more_age_us: int, clock_good: bool
+    def on_observations(
+        self, observations: list[MachineObservation], more_age_us: int, clock_good: bool
     ) -> bool:
-        """Take in a page of a peer's sights; False, and none is kept, where they are of another cluster."""
+        """Handle the observations of a page; False if they belong to another cluster, and then none is kept.
+
+        `more_age_us` is added to all ages; without `clock_good`, ages are not trusted.
+        """
         held = self._fleet.held
-        # What is left out here, where placers hold subsets, says nothing of whose cluster it is.
-        sights = [sight for sight in sights if self._fleet.reflector.is_wanted(sight.machine)]
+        # With subsets, machines outside this placer's subset must not count as unknown in the check of the cluster.
+        observations = [
+            observation
+            for observation in observations
+            if self._fleet.reflector.is_wanted(observation.machine)
+        ]
         if learning.is_other_cluster(
-            sights, {name: entry.listed.machine for name, entry in held.items()}
+            observations, {name: entry.listed.machine for name, entry in held.items()}
         ):
             return False
         now, changed = self._context.hub.now_us(), []
-        for sight in sights:
-            entry = held.get(sight.machine)
-            # A sight of a drain counts whatever the peer's clock does: versions order it, not ages.
+        for observation in observations:
+            entry = held.get(observation.machine)
+            # An observed drain counts even if the peer's clock is broken: it is ordered by versions, not by ages.
             if (
-                self._distrust.on_observation(sight, entry.version if entry else None, now)
+                self._distrust.on_observation(observation, entry.version if entry else None, now)
                 and entry is not None
             ):
                 changed.append(entry)
             if (
-                len(self._heard) < self._context.settings.limits.machines
-                or sight.machine in self._heard
+                len(self._pending) < self._context.settings.limits.machines
+                or observation.machine in self._pending
             ):
-                self._heard[sight.machine] = sight, now - more_age_us, clock_good
+                self._pending[observation.machine] = observation, now - more_age_us, clock_good
         if changed:
             self._fleet.reapply(changed)
         else:
             self._apply()
         return True
 
-    def take_shares(self, page: Page, more_age_us: int, clock_good: bool) -> None:
-        """Take in a peer's learned shares of use, once: later pages of the same peer repeat them."""
-        if self._shares_taken:
+    def on_usage_ratios(self, page: Page, more_age_us: int, clock_good: bool) -> None:
+        """Handle a peer's usage ratios, once: later pages of the same peer repeat them."""
+        if self._has_usage_ratios:
             return
-        shares = page.shares
-        age = None if shares.age_us is None else shares.age_us + more_age_us
-        weighed = [
-            learning.learned_ratio(ratio, notes, age, clock_good)
-            for ratio, notes in zip(shares.ratio, shares.notes, strict=True)
+        usage = page.usage
+        age_us = None if usage.age_us is None else usage.age_us + more_age_us
+        learned = [
+            learning.learned_ratio(ratio, notes, age_us, clock_good)
+            for ratio, notes in zip(usage.ratio, usage.notes, strict=True)
         ]
-        if any(notes > 0 for _, notes in weighed):
-            self._shares_taken = True
+        if any(notes > 0 for _, notes in learned):
+            self._has_usage_ratios = True
             self._host.feed(
-                api.Learned((), (weighed[0][0], weighed[1][0]), (weighed[0][1], weighed[1][1]))
+                api.Learned((), (learned[0][0], learned[1][0]), (learned[0][1], learned[1][1]))
             )
 
     def _guard(self, entry: Entry, listed: api.ListedMachine) -> api.ListedMachine:
-        """A machine that a peer saw draining is not trusted before a newer list says that it runs (rule 3)."""
+        """Do not trust a machine that a peer saw draining until a newer list version shows it running (rule 3)."""
         return self._distrust.narrow(entry.name, entry.version, listed)
 
     def _apply(self) -> None:
-        """Give the module what was heard of machines that our list has by now, and that it may send to."""
-        if not self._heard or self._fleet.reopening:
+        """Feed the module with pending observations of machines that are listed, connected and not closed locally."""
+        if not self._pending or self._fleet.reopening:
             return
         now, held = self._context.hub.now_us(), self._fleet.held
         groups: dict[tuple[int, bool], list[MachineObservation]] = {}
         for name in [
             name
-            for name in self._heard
+            for name in self._pending
             if name in held
             and name in self._machines.links
             and not self._fleet.is_closed_locally(held[name])
         ]:
-            sight, at_us, good = self._heard.pop(name)
-            groups.setdefault((at_us, good), []).append(sight)
-        for (at_us, good), sights in groups.items():
-            here = [sight.machine for sight in sights]
-            sizes = {name: self._fleet.size_of(held[name]) for name in here}
-            self._average = learning.fleet_average(sights, sizes, self._average)
-            weighed = learning.learned_machines(
-                sights,
+            observation, at_us, good = self._pending.pop(name)
+            groups.setdefault((at_us, good), []).append(observation)
+        for (at_us, good), observations in groups.items():
+            names = [observation.machine for observation in observations]
+            sizes = {name: self._fleet.size_of(held[name]) for name in names}
+            self._average = learning.fleet_average(observations, sizes, self._average)
+            learned = learning.learned_machines(
+                observations,
                 now - at_us,
                 sizes,
-                {name: held[name].version for name in here},
-                {name: held[name].listed.machine for name in here},
+                {name: held[name].version for name in names},
+                {name: held[name].listed.machine for name in names},
                 good,
                 self._average,
             )
-            self._context.counts["machines_learned"] += len(weighed)
-            if weighed:
-                self._host.feed(api.Learned(tuple(weighed), (0.0, 0.0), (0.0, 0.0)))
+            self._context.counts["machines_learned"] += len(learned)
+            if learned:
+                self._host.feed(api.Learned(tuple(learned), (0.0, 0.0), (0.0, 0.0)))
         for name in [
             name
-            for name, (_, at_us, _) in self._heard.items()
+            for name, (_, at_us, _) in self._pending.items()
             if now - at_us > learning.MAX_USEFUL_AGE_US
         ]:
-            del self._heard[name]
+            del self._pending[name]
