--- a/wingbarrow/peers/host.py
+++ b/wingbarrow/peers/host.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.membership import messages as membership_messages
 from wingbarrow.decide.membership.member_table import Member
 from wingbarrow.decide.membership.swim import LocalMember, Membership, Seed, SwimSettings
-from wingbarrow.decide.regions.forwarding import Target
+from wingbarrow.decide.regions.forwarding import ForwardTarget
 from wingbarrow.decide.regions.reports import RegionMember
 from wingbarrow.decide.rulesets.entries import ProposalEntry
 from wingbarrow.decide.sessions.session import EndedSession, Session, parse_session
@@ -202,12 +202,12 @@
         if self.agreement is not None:
             self.perform("rules", self.agreement.request_soon(self._hub.now_us()))
 
-    def targets(self, names: Iterable[str]) -> list[Target]:
+    def targets(self, names: Iterable[str]) -> list[ForwardTarget]:
         """The live placers among `names`, each with its known incarnation."""
         incarnations = {
             each.update.ident: each.update.life for each in self.membership.table.live_members()
         }
-        return [Target(name, incarnations[name]) for name in names if name in incarnations]
+        return [ForwardTarget(name, incarnations[name]) for name in names if name in incarnations]
 
     # -- messages
 
