--- a/wingbarrow/decide/maintenance/drain_progress.py
+++ b/wingbarrow/decide/maintenance/drain_progress.py
@@ -257,7 +257,7 @@
         return closing, frozenset(closed)
 
     def _refill_move_tokens(self, now_us: int) -> None:
-        """Refill a token bucket at this placer's share of the move rate; it holds at least one token."""
+        """Refill a token bucket at this placer's share of the move rate; its capacity is at least one token."""
         passed_us = 0 if self._last_us is None else max(0, now_us - self._last_us)
         self._last_us = now_us
         share = self._policy.moves / self._placers
--- a/wingbarrow/decide/maintenance/entries.py
+++ b/wingbarrow/decide/maintenance/entries.py
@@ -28,7 +28,7 @@
     """An entry that cannot be read. `kind`: its kind as stored in the log."""
 
     def __init__(self, kind: str, problem: str) -> None:
-        super().__init__(f"entry {kind[:40]!r} of maintenance: {problem}")
+        super().__init__(f"maintenance entry {kind[:40]!r}: {problem}")
         self.kind = kind
 
 
@@ -255,7 +255,7 @@
     if entry_type is None:
         raise MaintenanceEntryError(kind, "unknown kind")
     if not isinstance(value, Mapping):
-        raise MaintenanceEntryError(kind, "no JSON object")
+        raise MaintenanceEntryError(kind, f"expected a JSON object, got {type(value).__name__}")
     try:
         return entry_type.from_json(value)
     except (ValueError, KeyError, TypeError) as error:
@@ -336,5 +336,7 @@
 
 def _time(value: object) -> int:
     if type(value) is not int or not 0 <= value < MAX_TIME_US:
-        raise ValueError("a time is wanted")
+        raise ValueError(
+            f"at_us: expected 0 to {MAX_TIME_US - 1} microseconds, got {str(value)[:40]!r}"
+        )
     return value
