--- a/wingbarrow/core/drainer.py
+++ b/wingbarrow/core/drainer.py
@@ -19,7 +19,7 @@
 from wingbarrow.config.load import SettingsError
 from wingbarrow.core.saved_list import write_atomically
 from wingbarrow.decide.maintenance.drain_plan import (
-    ROUNDING,
+    FLOAT_TOLERANCE,
     Drain,
     MachineState,
     PlanOutcome,
@@ -35,7 +35,7 @@
     TrackedDrain,
     failed_zones,
 )
-from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_us
+from wingbarrow.decide.maintenance.windows import Series, UnsafePolicy, expand_all, to_wall_us
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain
 from wingbarrow.transport import Hub
 
@@ -253,7 +253,7 @@
         self._planned_us = now_us
         self._planned_for = running
         self._requested = [
-            each for each in self._requested if to_us(each.start) + each.duration_us > now_us
+            each for each in self._requested if to_wall_us(each.start) + each.duration_us > now_us
         ]
         occurrences = expand_all(
             [*self._requested, *self.calendar.series], now_us - LOOKBACK_US, now_us + HORIZON_US
@@ -294,7 +294,7 @@
             if machine.name not in drained:
                 own = [fill * machine.size[i] - machine.requested[i] for i in (0, 1)]
             has_capacity[machine.name] = all(
-                free[i] - own[i] >= machine.requested[i] - ROUNDING for i in (0, 1)
+                free[i] - own[i] >= machine.requested[i] - FLOAT_TOLERANCE for i in (0, 1)
             )
         return has_capacity
 
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -18,8 +18,8 @@
     Series,
     UnsafePolicy,
     check_rule,
-    to_us,
-    zone,
+    time_zone,
+    to_wall_us,
 )
 
 SECOND = 1_000_000
@@ -119,7 +119,7 @@
                 Scope(scope),
                 max_unavailable=amount if kind.startswith("max") else None,
                 min_available=amount if kind.startswith("min") else None,
-                share=kind.endswith("share"),
+                is_share=kind.endswith("share"),
             )
             for scope, kind, amount in self.budgets
         )
@@ -150,7 +150,7 @@
 
 
 def _budget_of(budget: Budget) -> tuple[str, str, float]:
-    suffix = "-share" if budget.share else ""
+    suffix = "-share" if budget.is_share else ""
     if budget.max_unavailable is not None:
         return budget.scope.value, f"max{suffix}", float(budget.max_unavailable)
     return budget.scope.value, f"min{suffix}", float(budget.min_available or 0)
@@ -210,7 +210,7 @@
     """The window of a canonical form; ValueError, TypeError or OverflowError where it cannot be."""
     start = datetime.fromisoformat(window.start)
     if window.zone:
-        start = start.replace(tzinfo=zone(window.zone))
+        start = start.replace(tzinfo=time_zone(window.zone))
     if start.tzinfo is None:
         raise ValueError("a start without zone or offset")
     if not 0 < window.each_us <= window.lasts_us <= MAX_LENGTH_US:
@@ -226,7 +226,7 @@
     selectors = tuple(_selector(*each) for each in window.machines)
     if not selectors or not -MAX_PRECEDENCE <= window.precedence <= MAX_PRECEDENCE:
         raise ValueError("machines, and a precedence of -1000 to 1000, are wanted")
-    to_us(start)
+    to_wall_us(start)
     return Series(
         window.name,
         start,
