--- a/wingbarrow/http/parse.py
+++ b/wingbarrow/http/parse.py
@@ -17,9 +17,8 @@
 _FRAMING_FIELDS = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
 _FIELD_NAMES: dict[bytes, str] = {}
 _MAX_FIELD_NAMES = 512
-_MAX_LINE_BYTES = (
-    1024  # of a line of the chunked coding: a chunk size with its extensions, or a trailer field
-)
+# Of a line of the chunked coding: a chunk size with its extensions, or a trailer field.
+_MAX_LINE_BYTES = 1024
 
 
 class _State(Enum):
--- a/wingbarrow/http/server.py
+++ b/wingbarrow/http/server.py
@@ -33,9 +33,7 @@
     message: Limits = Limits()
     head_us: int = 10 * SECOND  # from the first byte of a request to the end of its body
     idle_us: int = 60 * SECOND
-    write_us: int = (
-        10 * SECOND
-    )  # of one write; a client that does not read it within this time is disconnected
+    write_us: int = 10 * SECOND  # for one write; a client that reads too slowly is disconnected
 
 
 class ChunkWriter:
@@ -61,10 +59,9 @@
         self.server = server
         self.stream = stream
         self.parser = Parser(True, server.limits.message)
-        self._last_empty_us = 0  # lower bound of the arrival time of the latest bytes fed
-        self._request_arrival_us = (
-            0  # lower bound of the arrival time of the current request's first byte
-        )
+        # Lower bounds of the arrival times of the latest bytes fed, and of the current request's first byte.
+        self._last_empty_us = 0
+        self._request_arrival_us = 0
 
     def send(self, data: bytes) -> None:
         """Write all; resets the connection and raises PeerGone when that takes longer than `write_us`."""
@@ -201,7 +198,7 @@
         self._connection_closed = Signal(hub)
 
     def handle(self, request: Request) -> Answer:
-        """The handler's answer, or 500 if it raises; each different error text is logged once."""
+        """The handler's answer, or 500 if it raises; an error text is not logged again while among the last 32."""
         try:
             return self._handler(request)
         except PeerGone:
