--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -41,7 +41,7 @@
 CLASS = "gang"
 CLASS_TEXT = f'class "{CLASS}" effect="safe" patience="20s" worth=1.0 priority=0 {{\n    served calm=0.8 fade=0.2\n}}\n'
 MACHINES = 24  # where all fit
-MACHINE = Build(kind="large", cores=48.0, memory=96.0, slots=6, line=64)
+MACHINE = Build(kind="large", cores=48.0, memory=96.0, slots=6, queue_length=64)
 MACHINE_MIB = 96 * 1024
 SHARE_MOST = 8  # tasks that fill a machine, where not all fit
 PATIENCE_US, RUNS_US = 20 * SECOND, 120 * SECOND
--- a/benchmarks/placements.py
+++ b/benchmarks/placements.py
@@ -56,7 +56,7 @@
                 start_us=1_000,
                 setup=2.0,
                 slots=8,
-                line=256,
+                queue_length=256,
                 tick_us=30 * SECOND,
             )
             every.append(Machine(hub, f"node-{index}", build, index, record, print))
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -449,7 +449,7 @@
             stage.hub.spawn(lambda number=number, port=port: stage.post(port, f"c{number}"))
             stage.hub.sleep(50_000)
         stage.hub.sleep(8 * S)
-        assert not any(machine.fallen for machine in stage.cluster.machines)
+        assert not any(machine.crashed_by_load for machine in stage.cluster.machines)
 
     stage.play(script)
     assert stage.audit().clean, stage.audit().notes
--- a/tests/peers/test_leases_path.py
+++ b/tests/peers/test_leases_path.py
@@ -15,7 +15,7 @@
 def test_leased_job_runs_while_it_is_renewed_and_its_machine_stops_it_at_expiry() -> None:
     stage = Regions()
     for index, machine in enumerate(stage.cluster.machines):
-        machine.ppm = (500, -500)[index // 3]
+        machine.clock_drift_ppm = (500, -500)[index // 3]
 
     def script() -> None:
         stage.join()
--- a/tests/test_stalled_cold_machine.py
+++ b/tests/test_stalled_cold_machine.py
@@ -80,7 +80,7 @@
             stage.hub.spawn(lambda turn=turn, port=port: stage.post(port, f"j{turn}"))
             stage.hub.sleep(100_000)
         stage.hub.sleep(4 * S)
-        assert not machine.fallen
+        assert not machine.crashed_by_load
 
     stage.play(script)
     found = stage.audit()
--- a/wingbarrow/lab/build.py
+++ b/wingbarrow/lab/build.py
@@ -1,4 +1,4 @@
-"""How a stand-in machine is made and behaves, and a task on it."""
+"""The parameters of a simulated machine, and a task on it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """How a machine is made and behaves; times in microseconds, memory in GiB."""
+    """Capacity and behaviour of a machine; times in microseconds, memory in GiB."""
 
     kind: str = "small"
     cores: float = 24.0
@@ -25,25 +25,28 @@
     booking_cores: float = 1.5
     booking_memory: float = 1.0
     admit_us: int = 8_000
-    line: int = 24  # offers that may wait
-    slots: int = 4  # starts at a time
-    start_us: int = 60_000  # of a program that the machine holds; `setup` times that otherwise
+    queue_length: int = 24  # offers and probes that may wait for admission
+    slots: int = 4  # tasks that may be starting at a time
+    start_us: int = (
+        60_000  # start of a task whose program is cached; others take `setup` times this
+    )
     setup: float = 6.0
-    kept: int = 8  # programs kept after their last task
-    cold_from: float = 0.25
-    cold_us: int = 18 * SECOND
-    fall_us: int = 2 * SECOND
-    fresh_offers: int = 20
-    fall_multiple: float = 2.0
-    pushes_out: bool = True
+    cached_programs: int = 8  # programs kept cached after their last task
+    cold_from: float = 0.25  # fraction of the full start rate right after a cold launch
+    cold_us: int = 18 * SECOND  # until the full start rate is reached
+    fall_us: int = 2 * SECOND  # window over which offers to a cold machine are counted
+    fresh_offers: int = 20  # offers within the window that any cold machine survives
+    fall_multiple: float = 2.0  # offers that it survives, as a multiple of its present start rate
+    preempts: bool = True
     drain: str = "paced"  # none, paced, at-once
     tick_us: int = 3 * SECOND
 
 
 class Pod:
-    """A task on a machine."""
+    """A task on a machine, parsed from its Pod object; `use` is the (cores, memory) fraction of its requests."""
 
     __slots__ = (
+        "answered",
         "cores",
         "ended_us",
         "epoch",
@@ -61,7 +64,6 @@
         "task",
         "task_class",
         "timer",
-        "told",
         "uid",
         "use_cores",
         "use_memory",
@@ -90,7 +92,7 @@
         self.phase = "Pending"
         self.started_us = self.ended_us = 0
         self.verdict: ApiError | None = None
-        self.timer: Timer | None = None  # of its end
-        self.gone = False  # whoever offered it has closed
-        self.told = False  # its offer is answered, or cannot be any more
+        self.timer: Timer | None = None  # fires at its end
+        self.gone = False  # the client that offered it has closed its connection
+        self.answered = False  # its offer is answered, or its connection closed
         self.use_cores, self.use_memory = use[0] * self.cores, use[1] * self.memory
--- a/wingbarrow/lab/cluster.py
+++ b/wingbarrow/lab/cluster.py
@@ -281,7 +281,7 @@
             self.source.show(machine.name, None)
             return
         self.hub.sleep(int(back_s * SECOND))
-        if not machine.fallen and not machine.up and machine.name not in self._gone:
+        if not machine.crashed_by_load and not machine.up and machine.name not in self._gone:
             machine.launch(cold=True)
             self.source.show(machine.name, node_value(machine))
 
--- a/wingbarrow/lab/learn.py
+++ b/wingbarrow/lab/learn.py
@@ -61,7 +61,7 @@
     """Machines of a size that the load fills, small ones where there are many; a cold program misses the aim."""
     if machines <= 100:
         return replace(SMALL, start_us=120_000, setup=9.0)
-    return Build(cores=4.0, memory=4.0, slots=2, kept=4, start_us=120_000, setup=9.0)
+    return Build(cores=4.0, memory=4.0, slots=2, cached_programs=4, start_us=120_000, setup=9.0)
 
 
 def mix(machines: int) -> Mix:
--- a/wingbarrow/lab/machine.py
+++ b/wingbarrow/lab/machine.py
@@ -1,4 +1,4 @@
-"""A stand-in machine in the kubelet's terms: it admits, queues, starts, runs, evicts, pushes out, drains, dies."""
+"""A simulated machine with the kubelet's behaviour: it admits, queues, starts, runs, evicts, preempts, drains, dies."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from wingbarrow.lab.warmth import Warmth
 from wingbarrow.transport import Channel, Closed, Domain, Full, Hub, PeerGone, Signal
 
-KEEP_ENDED_US = 20 * SECOND
+ENDED_POD_RETENTION_US = 20 * SECOND
 
 
 class Guard(Protocol):
-    """Something beside room that a machine goes by when it is asked to take a task; made anew at each start."""
+    """A check other than capacity that can refuse a task; created anew at each launch of its machine."""
 
     def answer(self, method: str, path: str, request: Request) -> Answer | None:
-        """The answer to a call that is about it; None for any other."""
+        """The answer to a call that this guard serves; None for any other call."""
 
     def refusal(self, pod: Pod) -> ApiError | None:
-        """Why a task may not start, asked when it is admitted and once more before it starts."""
+        """Why a task may not start, or None; called at its admission and again before its start."""
 
 
 class Machine:
-    """One machine; its sockets and tasks live in a domain that can be held still or killed."""
+    """One machine; its sockets and tasks belong to a domain that can be suspended or killed."""
 
     def __init__(
         self,
@@ -48,37 +48,40 @@
         build: Build,
         seed: int,
         record: Recorder,
-        say: Callable[[str], None],
+        log: Callable[[str], None],
     ) -> None:
-        self.hub, self.name, self.build, self._record, self._say = hub, name, build, record, say
+        self.hub, self.name, self.build, self._record, self._log = hub, name, build, record, log
         self._random = random.Random(seed)
         self._boot_seed = random.Random(f"{name}/{seed}")
         self.faults = FaultPlan(seed + 1)
         self.hold = PortHold()
         self.port = self.hold.port
         self.launched_us = 0
-        self.up = self.fallen = self.draining = False
-        self.slowness = 1.0
-        self.use_factor: dict[str, float] = {}  # by class or service: tasks use so much more
+        self.up = self.crashed_by_load = self.draining = False
+        self.slowness = 1.0  # factor on the time of each admission and start
+        # By class or service: factor on the resources that its tasks use.
+        self.use_factor: dict[str, float] = {}
         self.domain = Domain(hub, name)
         self.pods: dict[str, Pod] = {}
         self.changed: Callable[[Machine], None] = lambda _: None
         self.offers_seen = 0
-        self.faulty = False  # fails every start
-        self.ppm = 0  # its clock goes so many parts in a million fast
+        self.faulty = False  # refuses every offer with 500
+        self.clock_drift_ppm = 0  # parts in a million by which its clock runs fast
         self.boots = 0
-        self.more_guards: list[Callable[[Machine], Guard]] = []  # made at each launch
+        self.guard_factories: list[Callable[[Machine], Guard]] = []  # called at each launch
         self.turns = TurnGuard(
-            lambda: any(pod.phase in ("Pending", "Running") for pod in self.present()), name, record
+            lambda: any(pod.phase in ("Pending", "Running") for pod in self.held_pods()),
+            name,
+            record,
         )
 
-    # -- life
+    # -- launch, death and drain
 
     def launch(self, cold: bool) -> None:
-        """Come up, on the same port as before; a cold one starts at a part of its pace."""
+        """Start up on the same port as before; a cold machine begins at a fraction of its full start rate."""
         now = self.hub.now_us()
         self.domain = Domain(self.hub, self.name)
-        self.pods, self._programs = {}, deque[str](maxlen=self.build.kept)
+        self.pods, self._cached_programs = {}, deque[str](maxlen=self.build.cached_programs)
         self._store = Store(self.hub.clock.wall_us(), 512)
         self._collection = self._store.collection("pods")
         self._pods_view = ListWatch(self.hub, self._store, self._collection, "Pod", "v1", 256)
@@ -88,23 +91,25 @@
         self.up, self.draining = True, False
         self._starting = 0
         self._waiting: deque[Pod] = deque()
-        self._in_line: dict[str, Pod] = {}
-        self._line: Channel[tuple[Pod | None, Signal]] = Channel(self.hub, self.build.line)
+        self._queued_offers: dict[str, Pod] = {}
+        self._admission_queue: Channel[tuple[Pod | None, Signal]] = Channel(
+            self.hub, self.build.queue_length
+        )
         self.boots += 1
         self.leases = LeaseGuard(
             self.hub,
             self.name,
             f"{self.boots}-{self._boot_seed.getrandbits(48):x}",
-            self.ppm,
+            self.clock_drift_ppm,
             self.domain,
             self._record,
-            self.present,
-            self._lapsed,
+            self.held_pods,
+            self._end_lapsed,
         )
         self.guards: list[Guard] = [
             self.leases,
             self.turns,
-            *(make(self) for make in self.more_guards),
+            *(make(self) for make in self.guard_factories),
         ]
         self._offering = Offering(
             self.hub,
@@ -115,9 +120,9 @@
             self.domain,
             self._changed,
             self._decide,
-            self.leases.told,
+            self.leases.record_fields,
         )
-        self._offering.came = self._came
+        self._offering.on_offer = self._offer_received
         self._record(self.name, "launch", cold=cold, zone=self.build.zone, cell=self.build.cell)
         ready = Signal(self.hub)
 
@@ -127,62 +132,64 @@
                 "127.0.0.1",
                 self.port,
                 self._handle,
-                self._say,
+                self._log,
                 ServerLimits(connections=512),
             )
             self.port = self._server.port
             self.hub.spawn(self._server.serve, f"{self.name} serves")
             self.hub.spawn(self._admit, f"{self.name} admits")
-            self.hub.spawn(self._live, f"{self.name} lives")
+            self.hub.spawn(self._housekeep, f"{self.name} lives")
             ready.notify()
 
         self.hub.spawn(begin, f"{self.name} begins", self.domain)
         ready.wait()
 
     def die(self) -> None:
-        """Vanish at once: connections reset, tasks lost."""
+        """Stop abruptly: connections are reset and tasks are lost."""
         if not self.up:
             return
         self.up = False
         self._record(self.name, "die")
         for pod in list(self.pods.values()):
             if pod.phase == "Running":
-                self._record(self.name, "end", pod=pod.name, why="died", **self.leases.told(pod))
+                self._record(
+                    self.name, "end", pod=pod.name, why="died", **self.leases.record_fields(pod)
+                )
             if pod.timer is not None:
                 pod.timer.cancel()
         self.pods = {}
         self.domain.kill()
 
     def begin_drain(self) -> None:
-        """Accept nothing more; send tasks away as the build says."""
+        """Refuse new tasks, and end the running ones as `build.drain` says."""
         if self.draining or not self.up:
             return
         self.draining = True
         if self.build.drain != "none":
-            self.hub.spawn(self._send_away, f"{self.name} drains", self.domain)
+            self.hub.spawn(self._end_all_tasks, f"{self.name} drains", self.domain)
 
-    def _send_away(self) -> None:
+    def _end_all_tasks(self) -> None:
         for pod in list(self.pods.values()):
             if pod.phase in ("Running", "Pending"):
                 self._end(pod, "Failed", "NodeShutdown")
                 if self.build.drain == "paced":
                     self.hub.sleep(400_000)
 
-    def present(self) -> list[Pod]:
-        """Tasks that it holds, and those that it looks at."""
-        return [*self.pods.values(), *self._in_line.values()]
+    def held_pods(self) -> list[Pod]:
+        """Accepted tasks that are still kept, and tasks in the admission queue."""
+        return [*self.pods.values(), *self._queued_offers.values()]
 
     @property
-    def asked(self) -> tuple[float, float]:
-        """Cores and memory asked by accepted tasks."""
+    def requested(self) -> tuple[float, float]:
+        """Cores and memory (GiB) requested by accepted tasks."""
         live = [pod for pod in self.pods.values() if pod.phase in ("Pending", "Running")]
         return sum(pod.cores for pod in live), sum(pod.memory for pod in live)
 
     def used(self) -> tuple[float, float]:
-        """Cores and memory in use now."""
+        """Cores and memory (GiB) in use now."""
         return used(self.pods.values(), self.hub.now_us(), self.use_factor)
 
-    # -- what is asked over the socket
+    # -- HTTP requests
 
     def _handle(self, request: Request) -> Answer:
         path, _, query = request.target.partition("?")
@@ -216,16 +223,18 @@
 
     def _delete(self, name: str) -> Answer:
         pod = self.pods.pop(name, None)
-        if pod is None and name in self._in_line:
-            # Deleted before it was looked at: it is turned away when its turn comes.
-            self._in_line[name].verdict = ApiError(409, "given up before its start", "Terminated")
+        if pod is None and name in self._queued_offers:
+            # Deleted before its admission: it is refused when the queue reaches it.
+            self._queued_offers[name].verdict = ApiError(
+                409, "given up before its start", "Terminated"
+            )
             return Answer(
                 200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
             )
         if pod is None:
             raise ApiError(404, f'pods "{name}" not found')
         if pod.phase in ("Pending", "Running"):
-            self._end(pod, "Failed", "Terminated", told=False)
+            self._end(pod, "Failed", "Terminated", publish=False)
         self._collection.delete(f"{pod.namespace}/{pod.name}")
         return Answer(
             200, names.encode({"kind": "Status", "apiVersion": "v1", "status": "Success"})
@@ -237,7 +246,7 @@
             self.name, "probe", placer=(request.get("user-agent") or "").rpartition("/")[2]
         )
         try:
-            self._line.offer((None, done))
+            self._admission_queue.offer((None, done))
         except Full:
             raise ApiError(429, "the line is full") from None
         done.wait()
@@ -259,16 +268,16 @@
             ),
         )
 
-    def _came(self) -> None:
+    def _offer_received(self) -> None:
         self.offers_seen += 1
-        self._count_cold()
+        self._crash_if_overloaded()
 
-    def _count_cold(self) -> None:
-        """Fall over under more offers than a cold machine bears (rule 4's own terms)."""
+    def _crash_if_overloaded(self) -> None:
+        """Die where a cold machine gets more offers than it can take (as rule 4 defines it)."""
         now = self.hub.now_us()
-        offers = self._warmth.offer(now)
+        offers = self._warmth.count_offer(now)
         if offers is not None:
-            self.fallen = True
+            self.crashed_by_load = True
             self._record(self.name, "fell", offers=offers)
             self.hub.call_at(now, self.die)
 
@@ -279,22 +288,22 @@
             return ApiError(409, f'pods "{pod.name}" already exists', "AlreadyExists")
         done = Signal(self.hub)
         try:
-            self._line.offer((pod, done))
+            self._admission_queue.offer((pod, done))
         except Full:
             return ApiError(429, "too many offers wait", "TooManyRequests")
-        self._in_line[pod.name] = pod
+        self._queued_offers[pod.name] = pod
         try:
             done.wait()
         finally:
-            del self._in_line[pod.name]
+            del self._queued_offers[pod.name]
         if pod.verdict is None and self.hub.now_us() >= until:
             pod.verdict = ApiError(
                 409, "nobody waits for this start any longer", "DeadlineExceeded"
             )
         if pod.verdict is None:
-            pod.verdict = self._guarded(pod)  # time may have passed since it was looked at
+            pod.verdict = self._guard_refusal(pod)  # time may have passed since its admission
         if pod.verdict is None:
-            self.leases.began(pod)
+            self.leases.record_accepted(pod)
             self._accept(pod)
         while pod.verdict is None and pod.phase == "Pending" and not pod.gone:
             self._changed.wait()
@@ -305,10 +314,10 @@
     # -- inside
 
     def _admit(self) -> None:
-        """The line: one offer or probe at a time."""
+        """Serve the admission queue: one offer or probe at a time."""
         while True:
             try:
-                pod, done = self._line.get()
+                pod, done = self._admission_queue.get()
             except Closed:
                 return
             self.hub.sleep(
@@ -324,39 +333,39 @@
             return ApiError(500, "the machine cannot start it", "InternalError")
         if self.draining:
             return ApiError(409, "the machine is shutting down", "NodeShutdown")
-        refused = self._guarded(pod)
+        refused = self._guard_refusal(pod)
         if refused is not None:
             return refused
         for which, reason in ((0, "OutOfcpu"), (1, "OutOfmemory")):
-            room = (build.booking_cores * build.cores, build.booking_memory * build.memory)[
+            free = (build.booking_cores * build.cores, build.booking_memory * build.memory)[
                 which
-            ] - self.asked[which]
-            ask = (pod.cores, pod.memory)[which]
-            if ask > room + 1e-9 and not self._push_out(pod, which, ask - room):
-                return ApiError(409, f"asked {ask:g}, free {room:g}", reason)
+            ] - self.requested[which]
+            wanted = (pod.cores, pod.memory)[which]
+            if wanted > free + 1e-9 and not self._preempt(pod, which, wanted - free):
+                return ApiError(409, f"asked {wanted:g}, free {free:g}", reason)
         return None
 
-    def _guarded(self, pod: Pod) -> ApiError | None:
+    def _guard_refusal(self, pod: Pod) -> ApiError | None:
         return next(
             (refused for guard in self.guards if (refused := guard.refusal(pod)) is not None), None
         )
 
-    def _lapsed(self, pod: Pod) -> None:
-        """A lease was not renewed: its task ends here, whoever still believes in it."""
-        if pod.name in self._in_line:
+    def _end_lapsed(self, pod: Pod) -> None:
+        """Refuse or end a task whose lease was not renewed, whether or not a placer still counts it as running."""
+        if pod.name in self._queued_offers:
             pod.verdict = pod.verdict or ApiError(409, "its lease has passed", LAPSED)
         else:
             self._end(pod, "Failed", LAPSED)
 
-    def _push_out(self, pod: Pod, which: int, missing: float) -> bool:
-        chosen = victims(self.pods.values(), pod, which, missing) if self.build.pushes_out else None
+    def _preempt(self, pod: Pod, which: int, missing: float) -> bool:
+        chosen = victims(self.pods.values(), pod, which, missing) if self.build.preempts else None
         for each in chosen or ():
             self._end(each, "Failed", "Preempting")
         return chosen is not None
 
     def _accept(self, pod: Pod) -> None:
         self.pods[pod.name] = pod
-        self._show(pod)
+        self._publish(pod)
         self._waiting.append(pod)
         self._next_start()
 
@@ -369,13 +378,17 @@
 
     def _start(self, pod: Pod) -> None:
         try:
-            held = pod.service in self._programs or any(
+            warm = pod.service in self._cached_programs or any(
                 each.service == pod.service and each.phase == "Running"
                 for each in self.pods.values()
             )
-            work = self.build.start_us * (1.0 if held else self.build.setup) * self.slowness
+            work = self.build.start_us * (1.0 if warm else self.build.setup) * self.slowness
             self.hub.sleep(
-                int(work / self._warmth.pace(self.hub.now_us()) * self._random.uniform(0.8, 1.2))
+                int(
+                    work
+                    / self._warmth.start_rate_fraction(self.hub.now_us())
+                    * self._random.uniform(0.8, 1.2)
+                )
             )
         finally:
             self._starting -= 1
@@ -387,24 +400,24 @@
                 pod=pod.name,
                 task=pod.task,
                 task_class=pod.task_class,
-                warm=held,
-                **self.leases.told(pod),
+                warm=warm,
+                **self.leases.record_fields(pod),
             )
-            self._show(pod)
+            self._publish(pod)
             self._changed.notify()
             pod.timer = self.hub._at(
-                pod.started_us + pod.runs_us, lambda: self._over(pod), self.domain
+                pod.started_us + pod.runs_us, lambda: self._complete(pod), self.domain
             )
         self._next_start()
 
-    def _over(self, pod: Pod) -> None:
+    def _complete(self, pod: Pod) -> None:
         if pod.phase == "Running":
             self._end(pod, "Succeeded", "")
 
-    def _end(self, pod: Pod, phase: str, reason: str, told: bool = True) -> None:
+    def _end(self, pod: Pod, phase: str, reason: str, publish: bool = True) -> None:
         running = pod.phase == "Running"
         if pod.timer is not None:
-            pod.timer.cancel()  # a long one would keep the pod in memory until its time
+            pod.timer.cancel()  # a long timer would keep the pod in memory until it fires
             pod.timer = None
         pod.phase, pod.ended_us = phase, self.hub.now_us()
         if running:
@@ -413,17 +426,17 @@
                 "end",
                 pod=pod.name,
                 why="lease" if reason == LAPSED else reason or "done",
-                **self.leases.told(pod),
+                **self.leases.record_fields(pod),
             )
-            self._programs.append(pod.service)
+            self._cached_programs.append(pod.service)
         else:
             pod.verdict = ApiError(409, "given up before its start", reason or "Terminated")
         pod.value["status"] = {"phase": phase, "reason": reason}
-        if told:
-            self._show(pod)
+        if publish:
+            self._publish(pod)
         self._changed.notify()
 
-    def _show(self, pod: Pod) -> None:
+    def _publish(self, pod: Pod) -> None:
         status = {"phase": pod.phase, "hostIP": "127.0.0.1"}
         if pod.started_us:
             clock = self.hub.clock
@@ -437,8 +450,8 @@
         self._collection.put(f"{pod.namespace}/{pod.name}", pod.value)
         self.changed(self)
 
-    def _live(self) -> None:
-        """Tell of use, evict when memory runs out, forget what ended."""
+    def _housekeep(self) -> None:
+        """Every tick: evict while memory is overcommitted, publish usage, delete tasks that ended long ago."""
         while True:
             self.hub.sleep(int(self.build.tick_us * self._random.uniform(0.8, 1.2)))
             now, build = self.hub.now_us(), self.build
@@ -461,7 +474,7 @@
                         f"cores={use[0]:.2f};memory={use[1]:.2f};served={served:.2f};"
                         f"machine={memory / build.memory:.2f}"
                     )
-                    self._show(pod)
-                elif pod.ended_us and now - pod.ended_us > KEEP_ENDED_US:
+                    self._publish(pod)
+                elif pod.ended_us and now - pod.ended_us > ENDED_POD_RETENTION_US:
                     del self.pods[pod.name]
                     self._collection.delete(f"{pod.namespace}/{pod.name}")
--- a/wingbarrow/lab/node.py
+++ b/wingbarrow/lab/node.py
@@ -11,10 +11,10 @@
 def node_value(machine: Machine) -> dict[str, Any]:
     """The Node object by which the list source tells of a machine."""
     build = machine.build
-    asked = machine.asked
+    requested = machine.requested
     notes = {
-        names.FREE_CORES: f"{build.cores - asked[0]:.2f}",
-        names.FREE_MEMORY: f"{build.memory - asked[1]:.2f}",
+        names.FREE_CORES: f"{build.cores - requested[0]:.2f}",
+        names.FREE_MEMORY: f"{build.memory - requested[1]:.2f}",
     }
     if machine.launched_us:
         clock = machine.hub.clock
--- a/wingbarrow/lab/offering.py
+++ b/wingbarrow/lab/offering.py
@@ -1,4 +1,4 @@
-"""Offers as a stand-in machine takes them over the socket: recorded, treated with a planned fault, answered once."""
+"""Handles the offers that a simulated machine receives: records each, injects a planned fault, answers once."""
 
 from __future__ import annotations
 
@@ -17,13 +17,16 @@
 from wingbarrow.lab.record import Recorder
 from wingbarrow.transport import Domain, Hub, PeerGone, Signal
 
-LOOK_US = (
-    1_000_000  # an offer that is left unanswered looks this often whether its client is still there
-)
+# How often an offer that is deliberately left unanswered checks whether its client has closed.
+CLIENT_CHECK_INTERVAL_US = 1_000_000
 
 
 class Offering:
-    """One life of a machine's front for offers; `decide` admits a task or says why not, `changed` is news of one."""
+    """Serves offers for one launch of a machine.
+
+    `decide` admits a task (None) or returns why it is refused; `changed` is notified when any task changes;
+    `lease_fields` gives the fields of a record that describe a task's lease.
+    """
 
     def __init__(
         self,
@@ -35,7 +38,7 @@
         domain: Domain,
         changed: Signal,
         decide: Callable[[Pod, dict[str, Any]], ApiError | None],
-        told: Callable[[Pod], Mapping[str, Any]],
+        lease_fields: Callable[[Pod], Mapping[str, Any]],
     ) -> None:
         self._hub, self._name, self._random, self._record, self._faults = (
             hub,
@@ -44,11 +47,12 @@
             record,
             faults,
         )
-        self._domain, self._changed, self._decide, self._told = domain, changed, decide, told
-        self.came: Callable[[], None] = lambda: None  # an offer crossed the socket
+        self._domain, self._changed, self._decide = domain, changed, decide
+        self._lease_fields = lease_fields
+        self.on_offer: Callable[[], None] = lambda: None  # called for each offer received
 
     def offer(self, request: Request) -> Answer:
-        """Admission as the kubelet does it; the answer comes when the task runs, or is refused."""
+        """Admit a task as the kubelet does; answers when the task runs or is refused."""
         value = names.decode(request.body)
         pod = Pod(value, (self._random.uniform(0.4, 0.9), self._random.uniform(0.6, 0.95)))
         placer = (request.get("user-agent") or "").rpartition("/")[2]
@@ -63,37 +67,37 @@
             service=pod.service,
             late=gone,
             rules=value["metadata"].get("labels", {}).get(names.RULES, ""),
-            **self._told(pod),
+            **self._lease_fields(pod),
         )
-        self.came()
+        self.on_offer()
         watcher = self._hub.spawn(
-            lambda: self._notice_gone(request, pod), f"{self._name} looks", self._domain
+            lambda: self._watch_client(request, pod), f"{self._name} looks", self._domain
         )
         try:
-            return self._treat(pod, request, value)
+            return self._process(pod, request, value)
         finally:
             watcher.cancel()
 
-    def _notice_gone(self, request: Request, pod: Pod) -> None:
-        """Know at once when whoever made an offer has closed: from then on it is not out any more."""
+    def _watch_client(self, request: Request, pod: Pod) -> None:
+        """Mark the offer as closed as soon as its client closes: from then on it is no longer open."""
         request.connection.stream.wait_input()
         if request.connection.reader_gone():
             pod.gone = True
-            self._closed(pod, "nobody waits")
+            self._record_closed(pod, "nobody waits")
             self._changed.notify()
 
-    def _closed(self, pod: Pod, why: str) -> None:
-        if not pod.told:
-            pod.told = True
+    def _record_closed(self, pod: Pod, why: str) -> None:
+        if not pod.answered:
+            pod.answered = True
             self._record(self._name, "closed", pod=pod.name, why=why)
 
-    def _treat(self, pod: Pod, request: Request, value: dict[str, Any]) -> Answer:
+    def _process(self, pod: Pod, request: Request, value: dict[str, Any]) -> Answer:
         rule = self._faults.draw(self._hub.now_us(), pod.task_class)
         fault = rule.fault if rule else None
         if fault is Fault.RESET_BEFORE:
             self._close(request, pod, "reset")
         if fault is Fault.SILENT_BEFORE:
-            self._wait_gone(request, pod)
+            self._wait_for_close(request, pod)
         if fault is Fault.REFUSE:
             return self._answer(pod, ApiError(403, "not here", "Forbidden"))
         verdict = self._decide(pod, value)
@@ -102,7 +106,7 @@
         if verdict is None and fault is Fault.RESET_AFTER:
             self._close(request, pod, "reset")
         if verdict is None and fault is Fault.SILENT_AFTER:
-            self._wait_gone(request, pod)
+            self._wait_for_close(request, pod)
         if verdict is None and fault in (Fault.HALF, Fault.GARBAGE):
             data = write_response(
                 201, [("Content-Type", "application/json")], names.encode(pod.value), True
@@ -114,24 +118,24 @@
         return self._answer(pod, verdict)
 
     def _answer(self, pod: Pod, verdict: ApiError | None) -> Answer:
-        told, pod.told = pod.told, True
+        answered, pod.answered = pod.answered, True
         if verdict is not None:
-            if not told:
+            if not answered:
                 self._record(
                     self._name, "answer", pod=pod.name, status=verdict.code, reason=verdict.reason
                 )
             return error_answer(verdict)
-        if not told:
+        if not answered:
             self._record(self._name, "answer", pod=pod.name, status=201, reason="")
         return Answer(201, names.encode(pod.value))
 
     def _close(self, request: Request, pod: Pod, why: str) -> None:
-        self._closed(pod, why)
+        self._record_closed(pod, why)
         request.connection.stream.abort()
         raise PeerGone(why)
 
-    def _wait_gone(self, request: Request, pod: Pod) -> None:
+    def _wait_for_close(self, request: Request, pod: Pod) -> None:
         while not pod.gone and not request.connection.reader_gone():
-            with self._hub.limit(LOOK_US):
+            with self._hub.limit(CLIENT_CHECK_INTERVAL_US):
                 self._changed.wait()
         self._close(request, pod, "nobody waits")
--- a/wingbarrow/lab/turnguard.py
+++ b/wingbarrow/lab/turnguard.py
@@ -1,7 +1,9 @@
-"""A stand-in machine's side of turns: `POST /turn` {"number": N, "shut": bool} -> {"number", "shut", "empty"}.
+"""A simulated machine's side of maintenance turns.
 
-It keeps what it was told over a new start, as an agent does on its disk. Under a number that it was opened by it is
-shut no more: a word that was late must not close a machine whose turn is over. Lower numbers change nothing.
+`POST /turn` {"number": N, "shut": bool} -> {"number", "shut", "empty"}.
+
+The state survives a relaunch, as an agent's state on disk does. Once a turn's number has opened the machine, the same
+number cannot shut it again: a delayed request must not shut a machine whose turn is over. Lower numbers are ignored.
 """
 
 from __future__ import annotations
@@ -18,22 +20,25 @@
 
 
 class TurnGuard:
-    """`holds`: whether anything is pending or running; `record`, where what is told is written down as `where`'s."""
+    """Refuses tasks during a maintenance turn.
+
+    `is_busy` returns whether any task is pending or running; state changes are written to `record`, under `where`.
+    """
 
     def __init__(
-        self, holds: Callable[[], bool], where: str = "", record: Recorder | None = None
+        self, is_busy: Callable[[], bool], where: str = "", record: Recorder | None = None
     ) -> None:
-        self._holds, self._where, self._record = holds, where, record
+        self._is_busy, self._where, self._record = is_busy, where, record
         self.number = 0
         self.shut = False
-        self._told: dict[str, Any] = {}
+        self._last_recorded: dict[str, Any] = {}
 
     def refuses(self) -> bool:
         """Whether new work is refused (409 NodeShutdown)."""
         return self.shut
 
     def handle(self, body: dict[str, Any]) -> dict[str, Any]:
-        """The answer; ValueError for a body that is none."""
+        """Apply a request and return the state; ValueError for an invalid body."""
         number, shut = body.get("number"), body.get("shut")
         if type(number) is not int or not 0 < number < 1 << 53 or type(shut) is not bool:
             raise ValueError("number and shut are wanted")
@@ -41,16 +46,16 @@
             self.number, self.shut = number, shut
         elif number == self.number and not shut:
             self.shut = False
-        told = {"number": self.number, "shut": self.shut, "empty": not self._holds()}
-        if self._record is not None and told != self._told:
-            self._record(self._where, "turn", **told)
-        self._told = told
-        return dict(told)
+        state = {"number": self.number, "shut": self.shut, "empty": not self._is_busy()}
+        if self._record is not None and state != self._last_recorded:
+            self._record(self._where, "turn", **state)
+        self._last_recorded = state
+        return dict(state)
 
-    # -- as one of a machine's guards
+    # -- the Guard protocol
 
     def answer(self, method: str, path: str, request: Request) -> Answer | None:
-        """None for what is not about turns."""
+        """Serve `POST /turn`; None for any other call."""
         if (method, path) != ("POST", "/turn"):
             return None
         try:
@@ -59,7 +64,7 @@
             raise ApiError(400, str(error), "BadRequest") from None
 
     def refusal(self, pod: Pod) -> ApiError | None:
-        """Why a task may not start; one that was pending when the machine was shut is refused too."""
+        """Why a task may not start, or None; a task that was pending when the machine was shut is refused too."""
         return (
             ApiError(409, f"turn {self.number} takes the machine out", "NodeShutdown")
             if self.shut
