--- a/benchmarks/placements.py
+++ b/benchmarks/placements.py
@@ -28,7 +28,7 @@
 from wingbarrow.http.client import Pool
 from wingbarrow.kube import names
 from wingbarrow.lab.build import Build
-from wingbarrow.lab.cluster import place, settings_text
+from wingbarrow.lab.cluster import settings_text, zone_and_cell
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.record import Recorder
@@ -48,7 +48,7 @@
         source.lag_us = 0
         every = []
         for index in range(count):
-            hall, rack = place(index, count)
+            hall, rack = zone_and_cell(index, count)
             build = Build(
                 zone=hall,
                 cell=rack,
--- a/tests/core/test_drains_path.py
+++ b/tests/core/test_drains_path.py
@@ -419,7 +419,7 @@
         stage.hub.sleep(14 * S)
         assert placer.drainer.describe()[0]["phase"] == "planned"
         for machine in stage.cluster.machines[3:]:
-            stage.cluster._gone.discard(machine.name)
+            stage.cluster._removed.discard(machine.name)
             machine.launch(cold=True)
             stage.cluster.source.show(machine.name, node_value(machine))
         stage.hub.sleep(3 * S)
--- a/tests/core/test_subset_list.py
+++ b/tests/core/test_subset_list.py
@@ -76,7 +76,7 @@
             self.source.domain.kill()
 
         self.hub.run(main)
-        self.source.hold.close()
+        self.source.port_reservation.close()
 
     def wait(self, done: Callable[[], bool], seconds: float = 10) -> bool:
         end = self.hub.now_us() + int(seconds * S)
@@ -154,7 +154,7 @@
         # The old view is later than the list that was read, by events that were skipped.
         for name in out[1:5]:
             listing.source.show(name, node(name, drains=True))
-        serve_old = listing.source.keep_old()
+        serve_old = listing.source.take_snapshot()
         skipped = listing.reflector.skipped_entries + len(out[1:5])
         listing.source.show(other, node(other, drains=True))
         assert listing.wait(lambda: listing.reflector.skipped_entries > skipped)
@@ -236,7 +236,7 @@
 
     def script() -> None:
         stage.begin()
-        serve_old = stage.cluster.source.keep_old()
+        serve_old = stage.cluster.source.take_snapshot()
         for machine in stage.cluster.machines[:2]:
             stage.cluster.set_drain(machine, True)
         stage.hub.sleep(S)
--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -41,7 +41,7 @@
         self.sources = [
             self.cluster.source,
             *(
-                ListSource(self.hub, 7 + at, self.cluster.record, self.cluster._say)
+                ListSource(self.hub, 7 + at, self.cluster.record, self.cluster._log_text)
                 for at in (1, 2)
             ),
         ]
--- a/wingbarrow/lab/__init__.py
+++ b/wingbarrow/lab/__init__.py
@@ -1,4 +1,5 @@
-"""The laboratory: stand-ins for machines and list source, owners, faults, days, and the auditor.
+"""The laboratory: simulated machines, list source and owners, faults, days, and the auditor.
 
-`cluster.Cluster` is all of it in one process; `days.play` a day, `hunt` many; `audit` judges what crossed the sockets.
+`cluster.Cluster` runs a whole cluster in one process; `days.play` runs a day, `hunt` many of them; `audit` checks the
+recording taken at the sockets.
 """
--- a/wingbarrow/lab/cluster.py
+++ b/wingbarrow/lab/cluster.py
@@ -1,4 +1,4 @@
-"""A whole cluster on loopback in one process: list source, machines, placers; each in a domain of its own."""
+"""A whole cluster on loopback in one process: list source, machines and placers, each in its own domain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from wingbarrow.lab.load import PlacerAddress
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
-from wingbarrow.lab.ports import PortHold
+from wingbarrow.lab.ports import PortReservation
 from wingbarrow.lab.record import Recorder
 from wingbarrow.lab.source import ListSource
 from wingbarrow.transport import Domain, Hub, Signal
@@ -49,7 +49,7 @@
 def settings_text(
     index: int, of: int, seed: int, source: int, port: int = 0, state: str = ""
 ) -> str:
-    """The default settings of the laboratory's placers."""
+    """The default settings (KDL) of one of `of` placers; `source` and `port` are ports on 127.0.0.1."""
     return SETTINGS.format(
         index=index,
         of=of,
@@ -60,22 +60,22 @@
     )
 
 
-def place(index: int, count: int) -> tuple[str, str]:
-    """Hall and rack of a machine: two halls, racks of three."""
-    hall = "hall-a" if index < (count + 1) // 2 else "hall-b"
-    return hall, f"rack-{index // 3}"
+def zone_and_cell(index: int, count: int) -> tuple[str, str]:
+    """Zone (one of two halls) and cell (racks of three machines) of a machine."""
+    zone = "hall-a" if index < (count + 1) // 2 else "hall-b"
+    return zone, f"rack-{index // 3}"
 
 
 class PlacerSlot:
-    """One placer's place: it can be started, held, killed and started again on the same port."""
+    """A placer that can be started, held, killed and started again on the same port."""
 
     def __init__(self, cluster: Cluster, index: int, of: int, seed: int, state: str) -> None:
         self.cluster, self.index, self.of, self.seed, self.state = cluster, index, of, seed, state
         self.name = f"placer-{index}"
-        self.hold_port = PortHold()
-        self.port = self.hold_port.port
-        self.source_port = 0  # another way to the list source, where set
-        self.extra = ""  # more settings, in KDL
+        self.port_reservation = PortReservation()
+        self.port = self.port_reservation.port
+        self.source_port = 0  # port of a proxy to the list source; 0 for a direct connection
+        self.extra = ""  # further settings, in KDL
         self.region = ""
         self.domain = Domain(cluster.hub, self.name)
         self.service: Service | None = None
@@ -105,13 +105,13 @@
         ready.wait()
 
     def kill(self) -> None:
-        """End the placer at once, as a killed process."""
+        """Stop the placer abruptly, like a killed process."""
         self.cluster.record(self.name, "killed")
         self.domain.kill()
         self.service = None
 
     def hold(self, for_us: int) -> None:
-        """Stop the placer for a while, as a process that gets no processor."""
+        """Suspend the placer for `for_us`, like a process that gets no CPU time."""
         self.cluster.record(self.name, "hold", for_us=for_us)
         self.domain.hold(for_us)
 
@@ -133,17 +133,17 @@
         self.hub, self.log, self.seed = hub, log, seed
         self.random = random.Random(seed)
         self.record = record or Recorder(hub.now_us)
-        self._named = f"node-{region[0]}-" if region else "node-"
-        self.source = ListSource(hub, seed + 1, self.record, self._say)
+        self._name_prefix = f"node-{region[0]}-" if region else "node-"
+        self.source = ListSource(hub, seed + 1, self.record, self._log_text)
         self.machines: list[Machine] = []
         self._folder = tempfile.TemporaryDirectory(prefix="wingbarrow-lab-")
-        self._dirty: dict[str, Machine] = {}
-        self._gone: set[str] = set()
-        self._made = 0
+        self._changed_machines: dict[str, Machine] = {}
+        self._removed: set[str] = set()
+        self._created = 0
         for index in range(machines):
-            hall, rack = place(index, machines)
+            zone, rack = zone_and_cell(index, machines)
             build = builds(index) if builds else (LARGE if index % 4 == 3 else SMALL)
-            self._add(replace(build, zone=f"{region}-{hall}" if region else hall, cell=rack))
+            self._add(replace(build, zone=f"{region}-{zone}" if region else zone, cell=rack))
         self.placers = [
             PlacerSlot(
                 self, index, placers, seed + index, str(Path(self._folder.name) / f"p{index}")
@@ -151,47 +151,47 @@
             for index in range(placers)
         ]
 
-    def _say(self, text: str) -> None:
+    def _log_text(self, text: str) -> None:
         self.log("stand-in", text=text)
 
     def _add(self, build: Build) -> Machine:
         machine = Machine(
             self.hub,
-            f"{self._named}{self._made}",
+            f"{self._name_prefix}{self._created}",
             build,
-            self.seed * 1000 + self._made,
+            self.seed * 1000 + self._created,
             self.record,
-            self._say,
+            self._log_text,
         )
         machine.changed = self._changed
-        self._made += 1
+        self._created += 1
         self.machines.append(machine)
         return machine
 
     def _changed(self, machine: Machine) -> None:
-        self._dirty[machine.name] = machine
+        self._changed_machines[machine.name] = machine
 
     def start(self) -> None:
-        """Bring everything up."""
+        """Start the machines, the list source and the placers."""
         for machine in self.machines:
             machine.launch(cold=False)
         self.source.start()
         for machine in self.machines:
             self.source.show(machine.name, node_value(machine))
-        self.hub.spawn(self._tell_room, "tells room")
+        self.hub.spawn(self._publish_nodes, "publishes nodes")
         for slot in self.placers:
             slot.start()
 
-    def _tell_room(self) -> None:
+    def _publish_nodes(self) -> None:
         while True:
             self.hub.sleep(SECOND)
-            dirty, self._dirty = self._dirty, {}
-            for machine in dirty.values():
-                if machine.up and machine.name not in self._gone:
+            changed, self._changed_machines = self._changed_machines, {}
+            for machine in changed.values():
+                if machine.up and machine.name not in self._removed:
                     self.source.show(machine.name, node_value(machine))
 
     def ready(self) -> bool:
-        """Whether every placer has the whole list, and every machine has taken its watch."""
+        """Whether every placer has the complete list and a watch on every machine."""
         machines = len(self.machines)
         return all(
             slot.service is not None and slot.service.placer.has_complete_view(machines)
@@ -199,7 +199,7 @@
         )
 
     def addresses(self) -> list[PlacerAddress]:
-        """Where the placers listen."""
+        """Addresses of the placers."""
         return [PlacerAddress(slot.name, slot.port) for slot in self.placers]
 
     def hold_subsets(
@@ -210,7 +210,10 @@
         port: Callable[[PlacerSlot, PlacerSlot], int] = lambda slot, other: other.port,
         widen: int = 0,
     ) -> None:
-        """Have each placer hold a subset of the machines from its next start on; `port`: where one finds another."""
+        """Have each placer hold a subset of the machines from its next start on.
+
+        `port` returns the port at which the first slot reaches the second.
+        """
         roster = " ".join(f'"{slot.name}"' for slot in self.placers)
         for slot in self.placers:
             peers = "".join(
@@ -226,7 +229,7 @@
     # -- troubles
 
     def at(self, seconds: float, call: Callable[[], Any]) -> None:
-        """Do something at a time from now, in a task of its own."""
+        """Run `call` after `seconds`, in its own task."""
         at_us = self.hub.now_us() + int(seconds * SECOND)
 
         def due() -> None:
@@ -235,87 +238,87 @@
         self.hub._at(at_us, due, None)
 
     def dark(self, for_us: int) -> None:
-        """List source and machines go down at once, and come back, the machines cold."""
+        """Stop the list source and all machines for `for_us`; the machines come back cold."""
         self.source.set_down(True)
-        fell = [machine for machine in self.machines if machine.up]
-        for machine in fell:
+        stopped = [machine for machine in self.machines if machine.up]
+        for machine in stopped:
             machine.die()
         self.hub.sleep(for_us)
         self.source.set_down(False)
-        for machine in fell:
+        for machine in stopped:
             machine.launch(cold=True)
             self.source.show(machine.name, node_value(machine))
 
     def drain(self, machine: Machine, then_gone_s: float | None = 6.0) -> None:
-        """The list says that a machine drains, it sends its tasks away, and goes."""
-        if machine.name in self._gone:
+        """Drain a machine: the list shows it, its tasks end, and after `then_gone_s` (None: never) it is removed."""
+        if machine.name in self._removed:
             return
         machine.begin_drain()
         self.source.show(machine.name, node_value(machine))
         if then_gone_s is not None:
             self.hub.sleep(int(then_gone_s * SECOND))
             machine.die()
-            self._gone.add(machine.name)
+            self._removed.add(machine.name)
             self.source.show(machine.name, None)
 
     def set_drain(self, machine: Machine, on: bool) -> None:
-        """The list says that a machine drains, or takes it back; its tasks stay."""
-        if not machine.up or machine.name in self._gone:
+        """Show a machine as draining in the list, or no longer; its tasks keep running."""
+        if not machine.up or machine.name in self._removed:
             return
         machine.draining = on
         self.source.show(machine.name, node_value(machine))
 
     def hold_source(self, for_us: int) -> None:
-        """The list source stands still and goes on."""
+        """Suspend the list source for `for_us`."""
         self.record("list-source", "hold", for_us=for_us)
         self.source.domain.hold(for_us)
 
     def crash(self, machine: Machine, back_s: float | None) -> None:
-        """A machine that is up dies at once; it comes back cold after a while, or never."""
+        """Kill a machine that is up; it comes back cold after `back_s` seconds, or never (None)."""
         if not machine.up:
             return
         machine.die()
         if back_s is None:
-            self._gone.add(machine.name)
+            self._removed.add(machine.name)
             self.hub.sleep(4 * SECOND)
             self.source.show(machine.name, None)
             return
         self.hub.sleep(int(back_s * SECOND))
-        if not machine.crashed_by_load and not machine.up and machine.name not in self._gone:
+        if not machine.crashed_by_load and not machine.up and machine.name not in self._removed:
             machine.launch(cold=True)
             self.source.show(machine.name, node_value(machine))
 
     def replace(self, machine: Machine) -> None:
-        """A deploy's step: a cold successor comes up, the old one drains and goes."""
-        fresh = self._add(machine.build)
-        fresh.launch(cold=True)
-        self.source.show(fresh.name, node_value(fresh))
+        """One step of a rolling replacement: a cold successor starts, the old machine drains and is removed."""
+        successor = self._add(machine.build)
+        successor.launch(cold=True)
+        self.source.show(successor.name, node_value(successor))
         self.drain(machine, 4.0)
 
     def hold_machine(self, machine: Machine, for_s: float) -> None:
-        """A machine stands still and goes on."""
+        """Suspend a machine that is up for `for_s` seconds."""
         if not machine.up:
             return
         self.record(machine.name, "hold", for_us=int(for_s * SECOND))
         machine.domain.hold(int(for_s * SECOND))
 
     def restart_placer(self, slot: PlacerSlot, after_s: float) -> None:
-        """Kill a placer; it is back after a while with nothing but its saved list."""
+        """Kill a placer and start it after `after_s` seconds with nothing but its saved list."""
         if slot.service is None:
-            return  # it is down already
+            return  # already down
         slot.kill()
         self.hub.sleep(int(after_s * SECOND))
         slot.start()
 
     def live(self) -> list[Machine]:
-        """Machines that are up and do not drain."""
+        """Machines that are up and not draining."""
         return [machine for machine in self.machines if machine.up and not machine.draining]
 
     def close(self) -> None:
-        """Let go of the temporary folder and the ports."""
+        """Delete the temporary folder and release the ports."""
         self._folder.cleanup()
-        self.source.hold.close()
+        self.source.port_reservation.close()
         for machine in self.machines:
-            machine.hold.close()
+            machine.port_reservation.close()
         for slot in self.placers:
-            slot.hold_port.close()
+            slot.port_reservation.close()
--- a/wingbarrow/lab/days.py
+++ b/wingbarrow/lab/days.py
@@ -1,6 +1,6 @@
-"""Scripted days: troubles on the whole path, on a compressed clock, audited at the sockets.
+"""Scripted days: troubles injected into a whole cluster on a virtual clock, audited at the sockets.
 
-Every kind of trouble that the bench knows has a day here, and `bad-day` puts many into one.
+Each kind of trouble that the benchmarks have occurs in a day here; `bad-day` combines many.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Day:
-    """A day: what it is, its size and load, and the script that sets its troubles."""
+    """A day: its description, size and workload, and the script that schedules its troubles."""
 
     about: str
     script: Script
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True)
 class Play:
-    """One run of a day: what of it differs from the day as it is written.
+    """One run of a day, with the parameters that differ from the day's definition.
 
-    `only` keeps these troubles of a generated day; `seconds` and `placers` stand for the day's own; `subsets` has each
-    placer hold a part of the machines.
+    `scale` multiplies machines and load; `only` keeps the troubles of a generated day with these indexes; `seconds` and
+    `placers` replace the day's own; `subsets` has each placer hold a subset of the machines.
     """
 
     name: str
@@ -51,23 +51,23 @@
     placers: int | None = None
     seconds: float | None = None
     only: tuple[int, ...] | None = None
-    subsets: int | None = None  # each machine is held by so many placers; None: by all
+    subsets: int | None = None  # number of placers that hold each machine; None: all
 
     @property
     def command(self) -> str:
-        """What plays it again."""
-        more = [
+        """The command line that repeats this run."""
+        options = [
             f" --placers {self.placers}" if self.placers else "",
             f" --seconds {self.seconds:g}" if self.seconds else "",
             f" --only {','.join(map(str, self.only))}" if self.only is not None else "",
             f" --subsets {self.subsets}" if self.subsets else "",
         ]
-        return f"wingbarrow lab day {self.name} --seed {self.seed} --scale {self.scale:g}{''.join(more)}"
+        return f"wingbarrow lab day {self.name} --seed {self.seed} --scale {self.scale:g}{''.join(options)}"
 
 
 @dataclass
 class Outcome:
-    """What came of a day."""
+    """The result of a day."""
 
     audit: Audit
     cluster: Cluster
@@ -84,12 +84,12 @@
     report: Path | None = None,
     scale: float = 1.0,
 ) -> Outcome:
-    """Play a day as it is written; `scale` stretches its size."""
+    """Run a day as defined; `scale` multiplies machines and load, `report` is a folder for the recording."""
     return play(Play(name, seed, scale), log, report)
 
 
 def play(what: Play, log: Callable[..., None] = silent, report: Path | None = None) -> Outcome:
-    """Play a day on a virtual clock."""
+    """Run a day on a virtual clock and audit it; with `report` the recording is written to that folder."""
     day, seed, scale = DAYS[what.name], what.seed, what.scale
     seconds, placers = what.seconds or day.seconds, what.placers or day.placers
     troubles = generate(seed, day.seconds) if day.generated else []
@@ -102,7 +102,7 @@
     cluster = Cluster(hub, max(4, round(day.machines * scale)), placers, seed, log)
     if what.subsets:
         cluster.hold_subsets(what.subsets)
-    begun = time.perf_counter()
+    started = time.perf_counter()
 
     def main() -> Owners:
         start_us = hub.now_us()
@@ -125,7 +125,7 @@
         result,
         cluster,
         owners,
-        time.perf_counter() - begun,
+        time.perf_counter() - started,
         (hub.now_us() - 1_000_000_000) / 1e6,
         troubles,
     )
@@ -154,19 +154,19 @@
 
 
 def _deploy(cluster: Cluster, owners: Owners) -> None:
-    for turn, machine in enumerate(list(cluster.machines)):
-        cluster.at(8 + turn * 2.2, lambda m=machine: cluster.replace(m))  # type: ignore[misc]
+    for index, machine in enumerate(list(cluster.machines)):
+        cluster.at(8 + index * 2.2, lambda m=machine: cluster.replace(m))  # type: ignore[misc]
 
 
 def _drain_some(cluster: Cluster, owners: Owners) -> None:
-    for turn, machine in enumerate(cluster.random.sample(cluster.live(), 3)):
-        cluster.at(9 + turn * 5, lambda m=machine: cluster.drain(m))  # type: ignore[misc]
+    for index, machine in enumerate(cluster.random.sample(cluster.live(), 3)):
+        cluster.at(9 + index * 5, lambda m=machine: cluster.drain(m))  # type: ignore[misc]
 
 
 def _pauses(cluster: Cluster, owners: Owners) -> None:
-    for turn in range(6):
+    for index in range(6):
         machine = cluster.random.choice(cluster.live())
-        cluster.at(6 + turn * 4, lambda m=machine: cluster.hold_machine(m, 3.0))  # type: ignore[misc]
+        cluster.at(6 + index * 4, lambda m=machine: cluster.hold_machine(m, 3.0))  # type: ignore[misc]
 
 
 def _throttle(cluster: Cluster, owners: Owners) -> None:
@@ -204,13 +204,13 @@
 
 
 def _list_back(cluster: Cluster, owners: Owners) -> None:
-    """The list goes backwards: after drains were told, an older picture is served for a while."""
-    pictures: list[Callable[[bool], None]] = []
-    cluster.at(8, lambda: pictures.append(cluster.source.keep_old()))
-    for turn, machine in enumerate(cluster.random.sample(cluster.live(), 3)):
-        cluster.at(10 + turn, lambda m=machine: cluster.drain(m, 20.0))  # type: ignore[misc]
-    cluster.at(15, lambda: pictures[0](True))
-    cluster.at(25, lambda: pictures[0](False))
+    """The list goes backwards: after drains were published, an older snapshot is served for ten seconds."""
+    snapshots: list[Callable[[bool], None]] = []
+    cluster.at(8, lambda: snapshots.append(cluster.source.take_snapshot()))
+    for index, machine in enumerate(cluster.random.sample(cluster.live(), 3)):
+        cluster.at(10 + index, lambda m=machine: cluster.drain(m, 20.0))  # type: ignore[misc]
+    cluster.at(15, lambda: snapshots[0](True))
+    cluster.at(25, lambda: snapshots[0](False))
 
 
 def _placer_crash(cluster: Cluster, owners: Owners) -> None:
@@ -219,49 +219,49 @@
 
 
 def _placer_roll(cluster: Cluster, owners: Owners) -> None:
-    for turn, slot in enumerate(cluster.placers):
-        cluster.at(8 + turn * 7, lambda s=slot: cluster.restart_placer(s, 3.0))  # type: ignore[misc]
+    for index, slot in enumerate(cluster.placers):
+        cluster.at(8 + index * 7, lambda s=slot: cluster.restart_placer(s, 3.0))  # type: ignore[misc]
 
 
 def _placer_stall(cluster: Cluster, owners: Owners) -> None:
-    for turn in range(8):
-        slot = cluster.placers[turn % len(cluster.placers)]
-        cluster.at(5 + turn * 4, lambda s=slot: s.hold(1_000_000))  # type: ignore[misc]
+    for index in range(8):
+        slot = cluster.placers[index % len(cluster.placers)]
+        cluster.at(5 + index * 4, lambda s=slot: s.hold(1_000_000))  # type: ignore[misc]
 
 
-def _tail(cluster: Cluster, owners: Owners) -> None:
-    def heavier(factors: dict[str, float]) -> None:
+def _overuse_of_share(cluster: Cluster, owners: Owners) -> None:
+    def set_use_factors(factors: dict[str, float]) -> None:
         for machine in cluster.machines:
             machine.use_factor = factors
 
-    cluster.at(10, lambda: heavier({f"web-{i}": 2.4 for i in range(0, 40, 6)}))
-    cluster.at(30, lambda: heavier({}))
+    cluster.at(10, lambda: set_use_factors({f"web-{i}": 2.4 for i in range(0, 40, 6)}))
+    cluster.at(30, lambda: set_use_factors({}))
 
 
-def _hot(cluster: Cluster, owners: Owners) -> None:
-    def heavier(factors: dict[str, float]) -> None:
+def _overuse_of_services(cluster: Cluster, owners: Owners) -> None:
+    def set_use_factors(factors: dict[str, float]) -> None:
         for machine in cluster.machines:
             machine.use_factor = factors
 
-    cluster.at(10, lambda: heavier({"web-0": 2.5, "web-1": 2.5, "web-2": 2.5}))
-    cluster.at(28, lambda: heavier({}))
+    cluster.at(10, lambda: set_use_factors({"web-0": 2.5, "web-1": 2.5, "web-2": 2.5}))
+    cluster.at(28, lambda: set_use_factors({}))
 
 
-def _again_at_once(wants: list[Want], seed: int) -> list[Want]:
-    """Owners stop a share of their services and ask for all their tasks again within two seconds."""
+def _resubmit_services(wants: list[Want], seed: int) -> list[Want]:
+    """Owners stop half of the `web` services and resubmit all of their tasks within two seconds."""
     now = 15 * SECOND
-    lost = [
+    stopped = [
         want
         for want in wants
         if want.at_us < now < want.at_us + want.runs_us
         and want.task_class == "web"
         and int(want.service.partition("-")[2]) % 2 == 0
     ]
-    more = [
-        replace(want, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(lost)))
-        for i, want in enumerate(lost)
+    resubmitted = [
+        replace(want, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(stopped)))
+        for i, want in enumerate(stopped)
     ]
-    return sorted([*wants, *more], key=lambda want: want.at_us)
+    return sorted([*wants, *resubmitted], key=lambda want: want.at_us)
 
 
 def _lost_answers(cluster: Cluster, owners: Owners) -> None:
@@ -276,9 +276,9 @@
             Fault.SILENT_BEFORE,
             Fault.DELAY,
         )
-        for turn in range(2):
+        for number in range(2):
             machine.faults.rules.append(
-                FaultRule(faults[(index + turn) % len(faults)], 0.12, now, now + 36 * SECOND)
+                FaultRule(faults[(index + number) % len(faults)], 0.12, now, now + 36 * SECOND)
             )
 
 
@@ -287,8 +287,8 @@
     owners.cut_watch_at_us = [cluster.hub.now_us() + s * SECOND for s in range(4, 36, 2)]
 
 
-def _bad(cluster: Cluster, owners: Owners) -> None:
-    """Lost answers all day; drains, a crash and its cold return, a late list, stalls, a placer killed, cut watches."""
+def _many_troubles(cluster: Cluster, owners: Owners) -> None:
+    """Lost answers all day; drains, crashes with cold returns, a late list, holds, a killed placer, cut watches."""
     _lost_answers(cluster, owners)
     cluster.source.cut_share = 0.05
     owners.cut_watch_at_us = [cluster.hub.now_us() + s * SECOND for s in range(5, 50, 5)]
@@ -309,13 +309,13 @@
 
 _BURST = Mix(burst=((10.0, 16.0, 2.4),))
 DAYS: dict[str, Day] = {
-    "bad-day": Day("many troubles in one day", _bad, seconds=50.0),
+    "bad-day": Day("many troubles in one day", _many_troubles, seconds=50.0),
     "quiet": Day("nothing goes wrong", _quiet),
     "burst": Day("demand jumps to 2.4 times the usual for six seconds", _quiet, mix=_BURST),
-    "hot_key": Day("all tasks of some services use all they may", _hot),
-    "heavy_tail": Day("a share of one class uses far more than it asked", _tail),
+    "hot_key": Day("all tasks of some services use all they may", _overuse_of_services),
+    "heavy_tail": Day("a share of one class uses far more than it asked", _overuse_of_share),
     "reconnect": Day(
-        "owners ask again for whole services within two seconds", _quiet, wants=_again_at_once
+        "owners ask again for whole services within two seconds", _quiet, wants=_resubmit_services
     ),
     "crash": Day("a quarter of the machines die at once and come back cold", _crash),
     "shrink": Day("a fifth of the machines are gone for good", _shrink),
@@ -334,7 +334,9 @@
     "balancer_crash": Day("a placer is killed and comes back with its saved list", _placer_crash),
     "balancer_roll": Day("all placers are restarted in turn", _placer_roll),
     "crowded": Day(
-        "far more is wanted than fits, and tasks use more than they ask", _hot, mix=Mix(rate=26.0)
+        "far more is wanted than fits, and tasks use more than they ask",
+        _overuse_of_services,
+        mix=Mix(rate=26.0),
     ),
     "balancer_stall": Day("placers stand still for a second, again and again", _placer_stall),
     "lost_answers": Day(
@@ -351,25 +353,25 @@
 
 
 def summary(outcome: Outcome) -> dict[str, Any]:
-    """Figures of a day beside the audit, for people."""
+    """Figures of a day that complement the audit: run times and the latency from acceptance to placement."""
     records = outcome.cluster.record.records
     first = {r.data["uid"]: r.at_us for r in records if r.what == "accepted"}
-    waits: list[int] = []
+    delays: list[int] = []
     for record in records:
         if (
             record.where == "owner"
             and record.what == "answer"
             and record.data["answer"] == "placed"
         ):
-            begun = first.pop(record.data["uid"], None)
-            if begun is not None:
-                waits.append(record.at_us - begun)
-    waits.sort()
+            started = first.pop(record.data["uid"], None)
+            if started is not None:
+                delays.append(record.at_us - started)
+    delays.sort()
     return {
         "kind": "day",
         "virtual_s": round(outcome.virtual_s, 1),
         "real_s": round(outcome.real_s, 1),
         "records": len(records),
-        "placed_ms_p50": waits[len(waits) // 2] / 1000 if waits else None,
-        "placed_ms_p99": waits[len(waits) * 99 // 100] / 1000 if waits else None,
+        "placed_ms_p50": delays[len(delays) // 2] / 1000 if delays else None,
+        "placed_ms_p99": delays[len(delays) * 99 // 100] / 1000 if delays else None,
     }
--- a/wingbarrow/lab/faults.py
+++ b/wingbarrow/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in brings about at its socket or in its behaviour, drawn from a seed."""
+"""Faults that a simulated machine injects into its answers to offers, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one offer."""
+    """A fault of one offer; the value describes it, and "effect" is that the task starts."""
 
     RESET_BEFORE = "reset before the effect"
     RESET_AFTER = "reset after the effect"
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRule:
-    """A fault for a share of the offers of some classes (none named: all), in a span of time."""
+    """Injects a fault into a share of the offers of some classes (empty: of all) from `from_us` to before `until_us`.
+
+    `share` is a probability from 0 to 1; `delay_us` applies to `Fault.DELAY` alone.
+    """
 
     fault: Fault
     share: float
@@ -33,14 +36,14 @@
 
 
 class FaultPlan:
-    """The rules of one stand-in; the first that hits is drawn."""
+    """The fault rules of one machine, tried in order."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
         self.rules: list[FaultRule] = []
 
     def draw(self, now_us: int, task_class: str) -> FaultRule | None:
-        """The fault of the next offer, if any."""
+        """The first rule that applies to the next offer and is drawn by its share; None if there is none."""
         for rule in self.rules:
             if (
                 rule.from_us <= now_us < rule.until_us
--- a/wingbarrow/lab/figures.py
+++ b/wingbarrow/lab/figures.py
@@ -1,4 +1,4 @@
-"""What experiments share: figures over seeds, and rows and summary as files."""
+"""Shared by the experiments: statistics over seeds, and rows and summary as files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def over_seeds(values: Sequence[float]) -> dict[str, float]:
-    """Mean, least and most."""
+    """Mean, minimum and maximum."""
     return {
         "mean": round(statistics.mean(values), 4),
         "least": round(min(values), 4),
@@ -20,7 +20,7 @@
 
 
 def write_rows(rows: Iterable[Any], summary: Any, folder: Path) -> None:
-    """Rows (dataclasses) and summary into a folder."""
+    """Write rows (dataclasses) and summary as JSON files into `folder`."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "rows.json").write_text(json.dumps([asdict(row) for row in rows]))
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
--- a/wingbarrow/lab/learn.py
+++ b/wingbarrow/lab/learn.py
@@ -1,6 +1,7 @@
-"""The learning experiment: a new placer's first minute, started cold, with a running peer's word, or a stale one's.
+"""The learning experiment: the first minute of a new placer that starts cold, or learns from a current or stale peer.
 
-Three placers: a peer, one that carries load all the time, and the new one. Judged at the sockets of the machines.
+There are three placers: a peer, one that carries load all the time, and the new one. Figures are taken at the sockets
+of the machines.
 """
 
 from __future__ import annotations
@@ -23,22 +24,21 @@
 from wingbarrow.lab.wants import Mix, draw
 from wingbarrow.transport import Hub, VirtualClock
 
-ARMS = (
-    "cold",
-    "learned",
-    "cold-late",
-    "stale",
-)  # the last two start later, while the peer carries no load
-LATE = ("cold-late", "stale")
+# In the last two arms the new placer starts later, after a time without load on the peer.
+ARMS = ("cold", "learned", "cold-late", "stale")
+LATE_ARMS = ("cold-late", "stale")
 PEER, STEADY, NEW = 0, 1, 2
-WARM_UP_S, STALE_S, MEASURE_S = 25, 120, 60
-AIM_US = 700_000
-ALLOW = '\nallow-peer "127.0.0.0/8"\n'
+WARM_UP_S = 25  # load before the new placer starts, or before the idle time
+# In the late arms: time during which the peer gets no load and is cut off from the list source.
+IDLE_S = 120
+MEASURE_S = 60
+START_TARGET_US = 700_000  # target from submission to start
+ALLOW_LOOPBACK_PEERS = '\nallow-peer "127.0.0.0/8"\n'
 
 
 @dataclass(frozen=True)
 class FirstMinute:
-    """What crossed the sockets for the new placer within its first minute."""
+    """Figures of the new placer's first minute, taken at the sockets."""
 
     arm: str
     machines: int
@@ -53,29 +53,29 @@
     accepted: int
     to_draining: int
     clean: bool
-    by_window: list[tuple[int, int]]  # accepted and in time, each 5 s
-    steady_by_window: list[tuple[int, int]]  # the same of the placer that ran all the time
+    by_window: list[tuple[int, int]]  # (accepted, in time) for each 5 s
+    steady_by_window: list[tuple[int, int]]  # the same for the placer that ran all the time
 
 
 def build(machines: int) -> Build:
-    """Machines of a size that the load fills, small ones where there are many; a cold program misses the aim."""
+    """Machines sized so that the load fills them, small if there are many; an uncached start misses the target."""
     if machines <= 100:
         return replace(SMALL, start_us=120_000, setup=9.0)
     return Build(cores=4.0, memory=4.0, slots=2, cached_programs=4, start_us=120_000, setup=9.0)
 
 
 def mix(machines: int) -> Mix:
-    """A load that asks for some four fifths of the memory."""
+    """A workload that requests about four fifths of the memory."""
     if machines <= 100:
         return Mix(rate=1.5 * machines, services=4 * machines, settlement=0.01)
     return Mix(rate=0.13 * machines, services=machines // 2, settlement=0.0)
 
 
 def first_minute(arm: str, machines: int, seed: int, drains: bool = True) -> FirstMinute:
-    """One run."""
+    """Run one arm with one seed; `drains` lets two machines drain as the new placer starts."""
     hub = Hub(VirtualClock())
     cluster = Cluster(hub, machines, 3, seed, silent, lambda _: build(machines))
-    mine: dict[str, int] = {}
+    times: dict[str, int] = {}
 
     def main() -> int:
         cluster.start()
@@ -83,35 +83,36 @@
         proxy = Proxy(hub, cluster.source.port)
         for slot in (peer, new):
             slot.kill()
-        peer.source_port, peer.extra = proxy.port, ALLOW
+        peer.source_port, peer.extra = proxy.port, ALLOW_LOOPBACK_PEERS
         hub.sleep(SECOND // 10)
         peer.start()
         owners = Owners(hub, cluster.addresses(), seed + 7, cluster.record)
         owners.skip = {NEW}
         hub.sleep(SECOND)
-        waits = WARM_UP_S + (STALE_S if arm in LATE else 0)
-        wants = draw(mix(machines), waits + MEASURE_S, seed + 3)
+        wait_s = WARM_UP_S + (IDLE_S if arm in LATE_ARMS else 0)
+        wants = draw(mix(machines), wait_s + MEASURE_S, seed + 3)
 
         def script() -> None:
             hub.sleep(WARM_UP_S * SECOND)
-            if arm in LATE:
+            if arm in LATE_ARMS:
                 owners.skip = {NEW, PEER}
                 proxy.sever()
-                hub.sleep(STALE_S * SECOND)
-            if drains:  # two machines drain as the new placer starts: the peer hears it, the list may not say it yet
+                hub.sleep(IDLE_S * SECOND)
+            # Two machines drain as the new placer starts: the peer knows it already, the list may not show it yet.
+            if drains:
                 for machine in cluster.live()[:2]:
                     hub.spawn(lambda machine=machine: cluster.drain(machine, 20.0))  # type: ignore[misc]
                 hub.sleep(SECOND * 7 // 10)
             if arm in ("learned", "stale"):
-                new.extra = ALLOW + f'peer "127.0.0.1" port={peer.port}\n'
+                new.extra = ALLOW_LOOPBACK_PEERS + f'peer "127.0.0.1" port={peer.port}\n'
             new.state = ""
             new.start()
-            mine["begun"] = hub.now_us()
-            owners.skip = {PEER} if arm in LATE else set()
+            times["begun"] = hub.now_us()
+            owners.skip = {PEER} if arm in LATE_ARMS else set()
 
         hub.spawn(script, "script")
-        owners.run(wants, hub.now_us() + (waits + MEASURE_S + 15) * SECOND)
-        return mine["begun"]
+        owners.run(wants, hub.now_us() + (wait_s + MEASURE_S + 15) * SECOND)
+        return times["begun"]
 
     begun = hub.run(main)
     found = audit(cluster.record.records, cluster.placers[STEADY].settings)
@@ -158,7 +159,7 @@
             counts["probes"] += data["placer"] == new
         elif record.what == "start" and data["pod"] in owner_of:
             placer, sent = accepted.get(uid_of[data["pod"]], ("", 0))
-            in_time = placer != "" and now - sent <= AIM_US
+            in_time = placer != "" and now - sent <= START_TARGET_US
             if in_time and placer in windows:
                 windows[placer][min(len(windows[placer]) - 1, (sent - begun) // (5 * SECOND))][
                     1
@@ -193,7 +194,7 @@
 def experiment(
     machines: int, seeds: int, processes: int, arms: tuple[str, ...] = ARMS
 ) -> list[FirstMinute]:
-    """Some arms over all seeds."""
+    """Run the given arms with seeds 1 to `seeds`."""
     jobs = [(arm, machines, seed) for seed in range(1, seeds + 1) for arm in arms]
     if processes <= 1:
         return [_one(job) for job in jobs]
@@ -202,28 +203,28 @@
 
 
 def summary(rows: list[FirstMinute]) -> list[dict[str, Any]]:
-    """By arm: the mean over seeds, and the least and most, of what a first minute is judged by."""
+    """By arm: mean, minimum and maximum over the seeds of the figures that judge a first minute."""
     out = []
     for arm in [arm for arm in ARMS if any(row.arm == arm for row in rows)]:
-        mine = [row for row in rows if row.arm == arm]
+        group = [row for row in rows if row.arm == arm]
         figures: dict[str, Any] = {
             "arm": arm,
-            "seeds": len(mine),
-            "clean": all(row.clean for row in mine),
-            "to_draining": sum(row.to_draining for row in mine),
+            "seeds": len(group),
+            "clean": all(row.clean for row in group),
+            "to_draining": sum(row.to_draining for row in group),
         }
         for name, values in (
-            ("refused_offers_share", [row.refused_offers / max(1, row.offers) for row in mine]),
-            ("refused_tasks", [float(row.refused_tasks) for row in mine]),
-            ("probes", [float(row.probes) for row in mine]),
-            ("warm_share", [row.warm_starts / max(1, row.starts) for row in mine]),
-            ("in_time_share", [row.in_time / max(1, row.accepted) for row in mine]),
+            ("refused_offers_share", [row.refused_offers / max(1, row.offers) for row in group]),
+            ("refused_tasks", [float(row.refused_tasks) for row in group]),
+            ("probes", [float(row.probes) for row in group]),
+            ("warm_share", [row.warm_starts / max(1, row.starts) for row in group]),
+            ("in_time_share", [row.in_time / max(1, row.accepted) for row in group]),
             (
                 "in_time_first_10s",
                 [
                     sum(b for _, b in row.by_window[:2])
                     / max(1, sum(a for a, _ in row.by_window[:2]))
-                    for row in mine
+                    for row in group
                 ],
             ),
         ):
@@ -233,7 +234,7 @@
 
 
 def write(rows: list[FirstMinute], folder: Path) -> None:
-    """Rows, summary and a plot into a folder."""
+    """Write rows, summary and a plot into `folder`."""
     write_rows(rows, summary(rows), folder)
     import matplotlib
 
@@ -263,7 +264,7 @@
     axes.set(
         xlabel="seconds since the new instance started",
         ylim=(0, 1.02),
-        ylabel=f"tasks started within {AIM_US // 1000} ms",
+        ylabel=f"tasks started within {START_TARGET_US // 1000} ms",
         title=f"First minute at {rows[0].machines} machines, {len({row.seed for row in rows})} seeds "
         "(simulated servers)",
     )
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -1,4 +1,4 @@
-"""Owners: they submit Jobs to placers over REST, watch for answers, and ask again as real owners do."""
+"""Owners: they submit Jobs to placers finished REST, watch for answers, and resubmit refused Jobs as real owners do."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 
 __all__ = ["PATIENCE_US", "Mix", "Owners", "PlacerAddress", "Want", "draw", "job_value"]
 
-AGAIN_US = 1_500_000
-TRIES = 4
-MAX_REASON_CHARS = 200  # characters of a refusal's words that are recorded
+RESUBMIT_DELAY_US = 1_500_000  # least delay before a task is resubmitted
+MAX_SUBMISSIONS = 4  # of one task, the first included
+MAX_REASON_CHARS = 200  # length at which a recorded refusal is cut
 
 
 @dataclass(slots=True)
-class _Asked:
+class _Submission:
     want: Want
     name: str
-    tries: int
+    attempt: int
     answered: bool = False
-    until_us: int = 0  # once it was accepted
-    early: dict[str, Any] | None = None  # what a watch told of it before that
+    until_us: int = 0  # end of the owner's patience; 0 until its acceptance was read
+    # The Job as a watch returned it before its acceptance was read.
+    early: dict[str, Any] | None = None
 
 
 @dataclass(slots=True)
 class PlacerAddress:
-    """Where a placer's front listens."""
+    """The port on 127.0.0.1 at which a placer's front listens."""
 
     name: str
     port: int
 
 
 class Owners:
-    """All owners of a day; each placer is watched by one of them."""
+    """All owners of a day; one watch for each placer reads the answers to all of them."""
 
     def __init__(self, hub: Hub, placers: list[PlacerAddress], seed: int, record: Recorder) -> None:
         self.hub = hub
@@ -59,7 +60,7 @@
             )
             for each in placers
         ]
-        self._asked: list[dict[str, _Asked]] = [{} for _ in placers]
+        self._submissions: list[dict[str, _Submission]] = [{} for _ in placers]
         self.waiting: deque[Want] = deque()
         self.submitted = self.open = 0
         self.domain = Domain(hub, "owners")
@@ -67,14 +68,15 @@
         self.watch_cuts = 0
         self.relists = 0
         self.cut_watch_at_us: list[int] = []
-        self.delete_share = 0.0  # of accepted Jobs that their owners delete within four seconds
+        # Share of accepted Jobs that their owners delete within four seconds.
+        self.delete_share = 0.0
         self._deletes = random.Random(seed + 1)
         self._surges = 0
-        self.skip: set[int] = set()  # placers that nobody asks for now
+        self.skip: set[int] = set()  # indexes of placers to which nothing is submitted for now
         self.on_answer: Callable[[str, str], None] = lambda _job, _answer: None
 
     def run(self, wants: list[Want], until_us: int) -> None:
-        """Submit every want in its time; return when all is answered, or at the time given."""
+        """Submit every task at its time; returns when all are answered, at the latest at `until_us`."""
         begin = self.hub.now_us()
         with Nursery(self.hub) as nursery:
             self._nursery = nursery
@@ -82,31 +84,31 @@
                 nursery.spawn(lambda index=index: self._watch(index), "owner watches")  # type: ignore[misc]
             for want in wants:
                 self.hub.sleep_until(begin + want.at_us)
-                nursery.spawn(lambda want=want: self._ask(want, 0), "owner asks")  # type: ignore[misc]
+                nursery.spawn(lambda want=want: self._submit_task(want, 0), "owner asks")  # type: ignore[misc]
             while self.open and self.hub.now_us() < until_us:
                 self.hub.sleep(SECOND // 4)
             nursery.cancel()
 
-    def _ask(self, want: Want, tries: int) -> None:
+    def _submit_task(self, want: Want, attempt: int) -> None:
         self.open += 1
         try:
             for _ in range(3):
                 index = self._random.choice(
                     [i for i in range(len(self._placers)) if i not in self.skip]
                 )
-                if self._submit(index, want, tries):
+                if self._submit(index, want, attempt):
                     return
                 self.hub.sleep(200_000 + self._random.randrange(200_000))
         finally:
             self.open -= 1
 
-    def _submit(self, index: int, want: Want, tries: int) -> bool:
-        """True where no other placer may be asked: it was accepted, or may have been."""
+    def _submit(self, index: int, want: Want, attempt: int) -> bool:
+        """Submit a task to one placer; False if it was certainly not accepted, so that another placer may be tried."""
         placer, patience = self._placers[index], PATIENCE_US[want.task_class]
         self.submitted += 1
-        name = f"{want.ident}-{tries}-{self.submitted}"
-        asked = _Asked(want, name, tries)
-        self._asked[index][name] = asked
+        name = f"{want.ident}-{attempt}-{self.submitted}"
+        submission = _Submission(want, name, attempt)
+        self._submissions[index][name] = submission
         body = names.encode(job_value(want, name, patience))
         sent_us = self.hub.now_us()
         try:
@@ -118,7 +120,7 @@
                 sent_us + 2 * SECOND,
             )
         except ApiError as error:
-            del self._asked[index][name]
+            del self._submissions[index][name]
             self._record(
                 "owner",
                 "turned-away",
@@ -130,11 +132,11 @@
             return error.code == 422
         except CallFailed as error:
             self._record("owner", "submit-failed", placer=placer.name, job=name, why=error.why.name)
-            # In doubt: what must not start twice is not handed to another placer.
+            # The placer may have accepted it: a task that must not start twice is not submitted to another placer.
             unsent = type(error).__name__ == "NotSent"
-            del self._asked[index][name]
+            del self._submissions[index][name]
             return not unsent and want.task_class == "settlement"
-        asked.until_us = sent_us + patience
+        submission.until_us = sent_us + patience
         self.open += 1
         self._record(
             "owner",
@@ -148,15 +150,15 @@
             sent_us=sent_us,
             federation=want.federation,
         )
-        self._see(index, asked.early or value)
-        self._spawn(lambda: self._give_up(index, asked))
+        self._process_status(index, submission.early or value)
+        self._spawn(lambda: self._give_up(index, submission))
         if self.delete_share and self._deletes.random() < self.delete_share:
             uid, after = value["metadata"]["uid"], int(self._deletes.expovariate(2.0) * SECOND)
             self._spawn(lambda: self._delete(index, name, uid, min(after, 4 * SECOND)))
         return True
 
     def _delete(self, index: int, name: str, uid: str, after_us: int) -> None:
-        """An owner wants its Job no longer; it asks until it is told so, or the Job is not there."""
+        """Delete a Job after a delay; retries until it is confirmed or the Job does not exist, at most 20 times."""
         self.hub.sleep(after_us)
         for _ in range(20):
             try:
@@ -176,45 +178,45 @@
                 self._record(
                     "owner", "deleted", placer=self._placers[index].name, job=name, uid=uid
                 )
-                asked = self._asked[index].pop(name, None)
-                if asked is not None and not asked.answered:
-                    asked.answered = True
+                submission = self._submissions[index].pop(name, None)
+                if submission is not None and not submission.answered:
+                    submission.answered = True
                     self.open -= 1
                 return
             self.hub.sleep(300_000)
 
     def surge(self, count: int, over_s: float, seed: int) -> None:
-        """Ask for so many more tasks within a while, half of them of four services."""
+        """Submit about `count` more tasks within `over_s` seconds, half of the `web` tasks for four services."""
         self._surges += 1
         rng = random.Random(seed)
         for want in draw(
             Mix(rate=count / max(0.1, over_s), services=60), over_s, seed, f"s{self._surges}-"
         ):
-            few = rng.random() < 0.5 and want.task_class == "web"
-            want = replace(want, service=f"web-{rng.randrange(4)}") if few else want
+            concentrated = rng.random() < 0.5 and want.task_class == "web"
+            want = replace(want, service=f"web-{rng.randrange(4)}") if concentrated else want
             self._spawn_at(self.hub.now_us() + want.at_us, want)
 
     def _spawn_at(self, at_us: int, want: Want) -> None:
         def later() -> None:
             self.hub.sleep_until(at_us)
-            self._ask(want, 0)
+            self._submit_task(want, 0)
 
         self._spawn(later)
 
-    def _spawn(self, what: Callable[[], None]) -> None:
+    def _spawn(self, task: Callable[[], None]) -> None:
         if self._nursery is not None and not self._nursery.scope.cancelled:
-            self._nursery.spawn(what, "owner")
+            self._nursery.spawn(task, "owner")
 
-    def _give_up(self, index: int, asked: _Asked) -> None:
-        """The owner's patience, and a little: who hears nothing by then stops waiting."""
-        self.hub.sleep_until(asked.until_us + SECOND)
-        if not asked.answered:
-            asked.answered = True
+    def _give_up(self, index: int, submission: _Submission) -> None:
+        """Stop waiting for an answer one second after the end of the owner's patience; resubmit where that is safe."""
+        self.hub.sleep_until(submission.until_us + SECOND)
+        if not submission.answered:
+            submission.answered = True
             self.open -= 1
-            self._record("owner", "gave-up", placer=self._placers[index].name, job=asked.name)
-            self._asked[index].pop(asked.name, None)
-            if asked.want.task_class != "settlement":
-                self._again(asked)
+            self._record("owner", "gave-up", placer=self._placers[index].name, job=submission.name)
+            self._submissions[index].pop(submission.name, None)
+            if submission.want.task_class != "settlement":
+                self._resubmit_later(submission)
 
     def _watch(self, index: int) -> None:
         pool, version = self._pools[index], ""
@@ -225,12 +227,12 @@
                     self.relists += 1
                     items, version = list_all(pool, path, "", 500, self.hub.now_us() + 5 * SECOND)
                     for item in items:
-                        self._see(index, item)
+                        self._process_status(index, item)
                 target = f"{path}?watch=true&resourceVersion={version}&allowWatchBookmarks=true"
                 for kind, value in watch(pool, target, self.hub.now_us() + 5 * SECOND):
                     version = value["metadata"]["resourceVersion"]
                     if kind in ("ADDED", "MODIFIED"):
-                        self._see(index, value)
+                        self._process_status(index, value)
                     if self.cut_watch_at_us and self.hub.now_us() >= self.cut_watch_at_us[0]:
                         self.cut_watch_at_us.pop(0)
                         self.watch_cuts += 1
@@ -242,12 +244,12 @@
                     version = ""
                 self.hub.sleep(200_000)
 
-    def _see(self, index: int, value: dict[str, Any]) -> None:
-        """What one watch event, or answer, says of a Job."""
+    def _process_status(self, index: int, value: dict[str, Any]) -> None:
+        """Process a Job's status from a watch event, a list or the answer to its submission."""
         name = value["metadata"]["name"]
-        asked = self._asked[index].get(name)
-        if asked is not None and not asked.until_us:
-            asked.early = value
+        submission = self._submissions[index].get(name)
+        if submission is not None and not submission.until_us:
+            submission.early = value
             return
         status = value.get("status", {})
         conditions = {each["type"]: each for each in status.get("conditions", [])}
@@ -268,25 +270,25 @@
             answer=answer,
             failed=failed,
         )
-        if asked is None:
+        if submission is None:
             return
-        over = "Complete" in conditions or failed
-        if not asked.answered:
-            asked.answered = True
+        finished = "Complete" in conditions or failed
+        if not submission.answered:
+            submission.answered = True
             self.open -= 1
             self.on_answer(name, answer)
             if answer == "refused" or (
-                answer == "failed" and asked.want.task_class != "settlement"
+                answer == "failed" and submission.want.task_class != "settlement"
             ):
-                self._again(asked)
-        if over:
-            del self._asked[index][name]
+                self._resubmit_later(submission)
+        if finished:
+            del self._submissions[index][name]
 
-    def _again(self, asked: _Asked) -> None:
-        if asked.tries + 1 < TRIES:
+    def _resubmit_later(self, submission: _Submission) -> None:
+        if submission.attempt + 1 < MAX_SUBMISSIONS:
 
             def later() -> None:
-                self.hub.sleep(AGAIN_US + self._random.randrange(SECOND))
-                self._ask(asked.want, asked.tries + 1)
+                self.hub.sleep(RESUBMIT_DELAY_US + self._random.randrange(SECOND))
+                self._submit_task(submission.want, submission.attempt + 1)
 
             self._spawn(later)
--- a/wingbarrow/lab/machine.py
+++ b/wingbarrow/lab/machine.py
@@ -18,7 +18,7 @@
 from wingbarrow.lab.faults import FaultPlan
 from wingbarrow.lab.leaseguard import LAPSED, LeaseGuard
 from wingbarrow.lab.offering import Offering
-from wingbarrow.lab.ports import PortHold
+from wingbarrow.lab.ports import PortReservation
 from wingbarrow.lab.record import Recorder
 from wingbarrow.lab.turnguard import TurnGuard
 from wingbarrow.lab.use import use_of, used, victims
@@ -54,8 +54,8 @@
         self._random = random.Random(seed)
         self._boot_seed = random.Random(f"{name}/{seed}")
         self.faults = FaultPlan(seed + 1)
-        self.hold = PortHold()
-        self.port = self.hold.port
+        self.port_reservation = PortReservation()
+        self.port = self.port_reservation.port
         self.launched_us = 0
         self.up = self.crashed_by_load = self.draining = False
         self.slowness = 1.0  # factor on the time of each admission and start
--- a/wingbarrow/lab/node.py
+++ b/wingbarrow/lab/node.py
@@ -1,4 +1,4 @@
-"""The Node object by which the list source tells of a stand-in machine."""
+"""The Node object that the list source publishes for a simulated machine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def node_value(machine: Machine) -> dict[str, Any]:
-    """The Node object by which the list source tells of a machine."""
+    """The Node object that the list source publishes for a machine."""
     build = machine.build
     requested = machine.requested
     notes = {
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -1,4 +1,4 @@
-"""A day on which every machine is patched: by the calendar, by draining at once, and a day without windows."""
+"""The patching experiment: every machine is patched on one day, drained by the calendar or at once, or none is."""
 
 from __future__ import annotations
 
@@ -23,33 +23,36 @@
 from wingbarrow.transport import Hub, VirtualClock
 
 ARMS = ("none", "calendar", "at-once")
-LEAD_S, EACH_S, SECONDS, MACHINES = 10, 12, 125, 12
-AIM_US = 700_000
+LEAD_S = 10  # from the start of a drain to its maintenance slot
+WINDOW_SLOT_S = 12  # maintenance slot of one machine
+DAY_S = 125  # during which tasks arrive
+MACHINES = 12
+START_TARGET_US = 700_000  # target from submission to start
 
 
 @dataclass(frozen=True)
 class PatchDay:
-    """What crossed the sockets on one day."""
+    """Figures of one day, taken at the sockets."""
 
     arm: str
     seed: int
     wanted: int
     in_time: int
-    run_share: float  # seconds that tasks ran over seconds wanted
+    run_share: float  # time that tasks ran divided by the time requested
     moved: int
-    lost: int  # tasks that a machine sent away, or that died with it
-    cold_starts: int  # on a machine that had come back
+    lost: int  # tasks that a machine ended for its shutdown, or that died with it
+    cold_starts: int  # starts without a cached program, on a relaunched machine
     patched: int
     settlement_moves: int
     clean: bool
 
 
 def patch_day(arm: str, seed: int) -> PatchDay:
-    """One day: racks of three machines, two of all machines out at a time and no two of a rack."""
+    """Run one day: at most two machines are out at a time, and at most one of each rack of three."""
     hub = Hub(VirtualClock())
     cluster = Cluster(hub, MACHINES, 2, seed, silent)
     mix = Mix(rate=0.55 * MACHINES, life_s=(4.0, 40.0), settlement=0.01)
-    wants = draw(mix, SECONDS, seed + 3)
+    wants = draw(mix, DAY_S, seed + 3)
 
     def main() -> None:
         cluster.start()
@@ -57,7 +60,7 @@
         stamp = datetime.fromtimestamp(start_us / SECOND, UTC).isoformat()
         path = Path(cluster._folder.name) / "windows.kdl"
         path.write_text(
-            f'window "patch" start="{stamp}" lasts="{6 * EACH_S}s" each="{EACH_S}s" {{ '
+            f'window "patch" start="{stamp}" lasts="{6 * WINDOW_SLOT_S}s" each="{WINDOW_SLOT_S}s" {{ '
             f'machines name="*"; }}\nlead "{LEAD_S}s"\npace moves=8 every="1s"\n'
             'budget by="cell" max-unavailable=1\nbudget by="all" max-unavailable=2\n'
         )
@@ -90,8 +93,8 @@
                         lambda drain=drain, machine=machine: _patch(cluster, machine, drain, arm)  # type: ignore[misc]
                     )
         owners = Owners(hub, cluster.addresses(), seed + 5, cluster.record)
-        owners.run(wants, hub.now_us() + (SECONDS + 60) * SECOND)
-        hub.sleep(45 * SECOND)  # what was started last runs to its end
+        owners.run(wants, hub.now_us() + (DAY_S + 60) * SECOND)
+        hub.sleep(45 * SECOND)  # lets the tasks started last run to their end
 
     hub.run(main)
     found = audit(cluster.record.records, cluster.placers[0].settings)
@@ -100,7 +103,7 @@
 
 
 def _patch(cluster: Cluster, machine: Machine, drain: Drain, arm: str) -> None:
-    """The operator's part: the machine goes down at the start of its turn and is back, cold, at the end."""
+    """The operator's part: stop the machine at the start of its slot and relaunch it cold before the end."""
     clock = cluster.hub.clock
     cluster.hub.sleep(drain.start_us - clock.wall_us())
     if arm == "at-once":
@@ -121,7 +124,7 @@
     running: dict[str, tuple[str, int, str]] = {}
     ran: dict[str, int] = {}
     began: dict[str, int] = {}
-    back: set[str] = set()
+    relaunched: set[str] = set()
     counts = {"moved": 0, "lost": 0, "cold": 0, "patched": 0, "settlement_moves": 0}
     last = records[-1].at_us
     for record in records:
@@ -131,7 +134,7 @@
         elif record.what == "start":
             running[data["pod"]] = data["task"], now, data["task_class"]
             began.setdefault(data["task"], now)
-            counts["cold"] += record.where in back and not data["warm"]
+            counts["cold"] += record.where in relaunched and not data["warm"]
         elif record.what == "end" and data["pod"] in running:
             task, since, task_class = running.pop(data["pod"])
             ran[task] = ran.get(task, 0) + now - since
@@ -139,14 +142,14 @@
             counts["settlement_moves"] += data["why"] == "Terminated" and task_class == "settlement"
             counts["lost"] += data["why"] in ("NodeShutdown", "died")
         elif record.what == "patched":
-            back.add(record.where)
+            relaunched.add(record.where)
             counts["patched"] += 1
     for task, since, _ in running.values():
         ran[task] = ran.get(task, 0) + last - since
     wanted = sum(want.runs_us for want in wants)
-    share = sum(min(want.runs_us, ran.get(want.ident, 0)) for want in wants) / wanted
+    run_share = sum(min(want.runs_us, ran.get(want.ident, 0)) for want in wants) / wanted
     in_time = sum(
-        want.ident in began and began[want.ident] - accepted.get(want.ident, 0) <= AIM_US
+        want.ident in began and began[want.ident] - accepted.get(want.ident, 0) <= START_TARGET_US
         for want in wants
     )
     return PatchDay(
@@ -154,7 +157,7 @@
         seed,
         len(wants),
         in_time,
-        share,
+        run_share,
         counts["moved"],
         counts["lost"],
         counts["cold"],
@@ -169,7 +172,7 @@
 
 
 def experiment(seeds: int, processes: int) -> list[PatchDay]:
-    """All arms over all seeds."""
+    """Run all arms with seeds 1 to `seeds`."""
     with Pool(processes) as pool:
         return pool.map(
             _one, [(arm, seed) for seed in range(1, seeds + 1) for arm in ARMS], chunksize=1
@@ -177,7 +180,7 @@
 
 
 def summary(rows: list[PatchDay]) -> list[dict[str, Any]]:
-    """By arm: means over seeds with the least and the most."""
+    """By arm: mean, minimum and maximum over the seeds."""
     out = []
     for arm in ARMS:
         mine = [row for row in rows if row.arm == arm]
@@ -201,5 +204,5 @@
 
 
 def write(rows: list[PatchDay], folder: Path) -> None:
-    """Rows and summary into a folder."""
+    """Write rows and summary into `folder`."""
     write_rows(rows, summary(rows), folder)
--- a/wingbarrow/lab/ports.py
+++ b/wingbarrow/lab/ports.py
@@ -1,14 +1,14 @@
-"""Ports that stay a stand-in's own while it is down, so that it can come back on them."""
+"""Reserved ports, so that a simulated server that is down can listen on the same port again."""
 
 from __future__ import annotations
 
 import socket
 
 
-class PortHold:
-    """A loopback port that the system chose, kept by a socket that is bound and never listens.
+class PortReservation:
+    """A loopback port chosen by the system, reserved by a socket that is bound and never listens.
 
-    Without it, any connection's own end may be given the port while its stand-in is down.
+    Without it, the system may assign the port to any outgoing connection while its server is down.
     """
 
     def __init__(self) -> None:
@@ -18,5 +18,5 @@
         self.port: int = self._socket.getsockname()[1]
 
     def close(self) -> None:
-        """Give the port back."""
+        """Release the port."""
         self._socket.close()
--- a/wingbarrow/lab/record.py
+++ b/wingbarrow/lab/record.py
@@ -1,4 +1,4 @@
-"""The recording taken at the stand-ins' sockets; the auditor reads this and the settings, nothing else."""
+"""The recording taken at the simulated servers' sockets; the auditor reads only this and the settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What crossed a socket, or happened to a stand-in: time (microseconds), where, what, and its figures."""
+    """Something that crossed a socket or happened to a simulated server: time (microseconds), where, kind, fields."""
 
     at_us: int
     where: str
@@ -20,36 +20,36 @@
 
 
 class Recorder:
-    """Keeps records in order; `most` bounds them, and `full` tells that some were lost."""
+    """Keeps up to `max_records` records in order; `full` is set once one was dropped."""
 
-    def __init__(self, now_us: Callable[[], int], most: int = 5_000_000) -> None:
+    def __init__(self, now_us: Callable[[], int], max_records: int = 5_000_000) -> None:
         self._now_us = now_us
-        self._most = most
+        self._max_records = max_records
         self.records: list[Record] = []
         self.full = False
 
     def __call__(self, where: str, what: str, **data: Any) -> None:
-        """Add a record of now."""
-        if len(self.records) >= self._most:
+        """Add a record with the present time."""
+        if len(self.records) >= self._max_records:
             self.full = True
             return
         self.records.append(Record(self._now_us(), where, what, data))
 
     @staticmethod
     def read(path: Path) -> list[Record]:
-        """What `write` wrote."""
+        """Read a file that `write` wrote."""
         with open(path, encoding="utf-8") as file:
             return [
                 Record(value.pop("at_us"), value.pop("where"), value.pop("what"), value)
                 for value in map(json.loads, file)
             ]
 
-    def limit(self, most: int) -> None:
-        """Keep at most so many from now on."""
-        self._most = most
+    def limit(self, max_records: int) -> None:
+        """Change the maximum number of records."""
+        self._max_records = max_records
 
     def write(self, path: Path) -> None:
-        """One JSON object a line."""
+        """Write the records as one JSON object per line."""
         with open(path, "w", encoding="utf-8") as file:
             for each in self.records:
                 line = {"at_us": each.at_us, "where": each.where, "what": each.what, **each.data}
--- a/wingbarrow/lab/source.py
+++ b/wingbarrow/lab/source.py
@@ -1,4 +1,4 @@
-"""A stand-in for the source of the machine list: list and watch on v1 Nodes, late or broken as told."""
+"""A simulated list source: list and watch on v1 Nodes, with configurable lag and faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.kube.store import Store
-from wingbarrow.lab.ports import PortHold
+from wingbarrow.lab.ports import PortReservation
 from wingbarrow.lab.record import Recorder
 from wingbarrow.transport import Domain, Hub, PeerGone, Signal
 
@@ -21,35 +21,35 @@
 
 
 class ListSource:
-    """Holds Nodes; `lag_us` passes before a change shows, `down` turns every call away."""
+    """Holds the Nodes; a change is visible after `lag_us`, and while `down` no connection is accepted."""
 
     def __init__(
-        self, hub: Hub, seed: int, record: Recorder, say: Callable[[str], None], window: int = 4096
+        self, hub: Hub, seed: int, record: Recorder, log: Callable[[str], None], window: int = 4096
     ) -> None:
         self.hub = hub
-        self._record, self._say = record, say
+        self._record, self._log = record, log
         self._random = random.Random(seed)
         self.lag_us = 500_000
         self.down = False
-        self.cut_share = 0.0  # of watch writes that are cut in the middle of a line
+        self.cut_share = 0.0  # share of watch writes that are cut in the middle of a line
         self.domain = Domain(hub, "list-source")
         self._window = window
         self._store = Store(1000, window)
         self._nodes = self._store.collection("nodes")
         self._view = self._make_view(self._store)
-        self._old: ListWatch | None = None
-        self.hold = PortHold()
-        self.port = self.hold.port
+        self._served_snapshot: ListWatch | None = None
+        self.port_reservation = PortReservation()
+        self.port = self.port_reservation.port
         self.cuts = 0
 
     def _make_view(self, store: Store) -> ListWatch:
         view = ListWatch(self.hub, store, store.collection("nodes"), "Node", "v1", 1024)
-        view.on_line = self._told
+        view.on_line = self._record_lines
         view.before_write = self._maybe_cut
         return view
 
     def start(self) -> None:
-        """Listen; again on the same port after a kill."""
+        """Listen on the reserved port; also after its domain was killed."""
         ready = Signal(self.hub)
 
         def begin() -> None:
@@ -58,7 +58,7 @@
                 "127.0.0.1",
                 self.port,
                 self._handle,
-                self._say,
+                self._log,
                 ServerLimits(connections=1024),
             )
             self.port = server.port
@@ -70,14 +70,14 @@
         ready.wait()
 
     def show(self, name: str, value: dict[str, Any] | None) -> None:
-        """A machine changed (None: it is gone); shown after the lag, in order."""
+        """Publish a machine's Node (None: it is removed) after the lag; changes stay in order."""
 
         def apply() -> None:
             if value is None:
                 self._nodes.delete(name)
                 return
-            held = self._nodes.objects.get(name)
-            if held is None or _plain(held.value) != _plain(value):
+            stored = self._nodes.objects.get(name)
+            if stored is None or _without_version(stored.value) != _without_version(value):
                 self._nodes.put(name, value)
 
         if self.lag_us:
@@ -86,7 +86,7 @@
             apply()
 
     def set_down(self, down: bool) -> None:
-        """Out of reach: every connection is reset and none is taken."""
+        """Take the source down (connections are reset and refused) or bring it back."""
         if down and not self.down:
             self.down = True
             self.domain.kill()
@@ -94,8 +94,8 @@
             self.down = False
             self.start()
 
-    def keep_old(self) -> Callable[[bool], None]:
-        """Take a picture of the list; the call given back serves it (True) in place of the present one."""
+    def take_snapshot(self) -> Callable[[bool], None]:
+        """Take a snapshot of the list; the returned function makes the source serve it (True) or the present list."""
         objects = {key: stored.value for key, stored in self._nodes.objects.items()}
         store = Store(self._store.version - len(objects) - 1, self._window)
         collection = store.collection("nodes")
@@ -103,21 +103,23 @@
             collection.put(key, {**value, "metadata": dict(value["metadata"])})
         view = self._make_view(store)
 
-        def use(old: bool) -> None:
-            self._old = view if old else None
+        def serve_snapshot(old: bool) -> None:
+            self._served_snapshot = view if old else None
             self.domain.kill()
             self.start()
 
-        return use
+        return serve_snapshot
 
     def _handle(self, request: Request) -> Answer:
         path, _, query = request.target.partition("?")
         try:
             if path == "/api/v1/nodes" and request.method == "GET":
                 agent = (request.get("user-agent") or "").rpartition("/")[2]
-                answer = (self._old or self._view).list_or_watch(Query(query), "", agent)
+                answer = (self._served_snapshot or self._view).list_or_watch(
+                    Query(query), "", agent
+                )
                 if answer.stream is None:
-                    self._told_list(agent, answer.body)
+                    self._record_list(agent, answer.body)
                 return answer
             raise ApiError(404, "the server could not find the requested resource")
         except ApiError as error:
@@ -131,18 +133,18 @@
             writer._connection.stream.abort()
             raise PeerGone("cut")
 
-    def _told_list(self, agent: str, body: bytes) -> None:
+    def _record_list(self, agent: str, body: bytes) -> None:
         for value in names.decode(body).get("items", []):
-            self._tell(agent, "MODIFIED", value)
+            self._record_notification(agent, "MODIFIED", value)
 
-    def _told(self, agent: str, data: bytes) -> None:
+    def _record_lines(self, agent: str, data: bytes) -> None:
         for line in data.splitlines():
             event = names.decode(line)
             if event["type"] in ("ADDED", "MODIFIED", "DELETED"):
-                self._tell(agent, event["type"], event["object"])
+                self._record_notification(agent, event["type"], event["object"])
 
-    def _tell(self, agent: str, kind: str, value: dict[str, Any]) -> None:
-        """Record what the bytes just written told whom of a machine."""
+    def _record_notification(self, agent: str, kind: str, value: dict[str, Any]) -> None:
+        """Record which phase of a machine the bytes just written report to which placer."""
         meta = value["metadata"]
         phase = (
             "gone"
@@ -161,6 +163,6 @@
         )
 
 
-def _plain(value: dict[str, Any]) -> dict[str, Any]:
+def _without_version(value: dict[str, Any]) -> dict[str, Any]:
     meta = {key: part for key, part in value["metadata"].items() if key != "resourceVersion"}
     return {**value, "metadata": meta}
--- a/wingbarrow/lab/troubles.py
+++ b/wingbarrow/lab/troubles.py
@@ -1,7 +1,7 @@
-"""Generated days: which troubles, when, how long and on whom, all from a seed.
+"""Generated days: the kinds of troubles, their times, durations and targets, all drawn from a seed.
 
-Scripted days hold what someone thought of; these hold combinations that nobody did. A day is a list of `Trouble`s; any
-part of the list makes a day of its own, so that a breach can be shrunk to the troubles that it needs.
+Scripted days cover the combinations that were thought of; generated ones cover others. A day is a list of `Trouble`s;
+any part of the list is a valid day, so that a breach can be reduced to the troubles that it needs.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """`kind` names what happens; `part` says to how many machines, `size` how hard, `seed` to whom."""
+    """A disturbance: `part` is the share of machines affected, `size` its strength (0 to 1); `seed` picks targets."""
 
     kind: str
     at_s: float
@@ -32,7 +32,7 @@
 
 
 def generate(seed: int, seconds: float) -> list[Trouble]:
-    """Two to nine troubles over a day of so many seconds."""
+    """Two to nine troubles, sorted by time, over a day of `seconds`."""
     rng = random.Random(f"troubles/{seed}")
     out = [
         Trouble(
@@ -46,7 +46,7 @@
         for _ in range(rng.randint(2, 9))
     ]
     if rng.random() < 0.4:
-        # Troubles like company: some begin together.
+        # Lets the troubles of some days begin together, so that they overlap.
         at = out[0].at_s
         out = [
             out[0],
@@ -59,57 +59,62 @@
 
 
 def arrange(troubles: list[Trouble], cluster: Cluster, owners: Owners) -> None:
-    """Have every trouble happen in its time from now on."""
+    """Schedule every trouble, at its time counted from now."""
     for trouble in troubles:
         cluster.at(trouble.at_s, lambda t=trouble: KINDS[t.kind](t, cluster, owners))  # type: ignore[misc]
 
 
-def _some(trouble: Trouble, cluster: Cluster) -> list[Machine]:
+def _pick_machines(trouble: Trouble, cluster: Cluster) -> list[Machine]:
     live = cluster.live()
     count = min(len(live) - 1, max(1, round(trouble.part * len(cluster.machines))))
     return random.Random(trouble.seed).sample(live, count) if count > 0 else []
 
 
-def _each(
-    machines: list[Machine], cluster: Cluster, what: Callable[[Machine], None], over_s: float = 0.0
+def _run_staggered(
+    machines: list[Machine],
+    cluster: Cluster,
+    action: Callable[[Machine], None],
+    over_s: float = 0.0,
 ) -> None:
     for turn, machine in enumerate(machines):
-        cluster.at(over_s * turn / len(machines), lambda m=machine: what(m))  # type: ignore[misc]
+        cluster.at(over_s * turn / len(machines), lambda m=machine: action(m))  # type: ignore[misc]
 
 
 def _crash(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(_some(trouble, cluster), cluster, lambda m: cluster.crash(m, 1 + trouble.for_s))
+    _run_staggered(
+        _pick_machines(trouble, cluster), cluster, lambda m: cluster.crash(m, 1 + trouble.for_s)
+    )
 
 
 def _crash_again(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Machines that come back cold die again while they warm up."""
+    """Machines that came back cold die again while they warm up."""
 
     def twice(machine: Machine) -> None:
         cluster.crash(machine, 0.5 + trouble.for_s / 4)
         cluster.hub.sleep(int(2 * SECOND * (1 + trouble.size)))
         cluster.crash(machine, 1.0)
 
-    _each(_some(trouble, cluster), cluster, twice)
+    _run_staggered(_pick_machines(trouble, cluster), cluster, twice)
 
 
 def _gone(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(
-        _some(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
+    _run_staggered(
+        _pick_machines(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
         cluster,
         lambda m: cluster.crash(m, None),
     )
 
 
 def _hall(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Half the machines of one hall vanish at once."""
-    hall = "hall-a" if trouble.size < 0.5 else "hall-b"
-    mine = [machine for machine in cluster.live() if machine.build.zone == hall]
-    _each(mine[::2], cluster, lambda m: cluster.crash(m, 1 + trouble.for_s))
+    """Half the machines of one zone crash at once."""
+    zone = "hall-a" if trouble.size < 0.5 else "hall-b"
+    members = [machine for machine in cluster.live() if machine.build.zone == zone]
+    _run_staggered(members[::2], cluster, lambda m: cluster.crash(m, 1 + trouble.for_s))
 
 
 def _drain(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(
-        _some(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
+    _run_staggered(
+        _pick_machines(trouble, cluster)[: max(1, len(cluster.machines) // 4)],
         cluster,
         lambda m: cluster.drain(m, 2 + trouble.for_s),
         trouble.for_s,
@@ -117,7 +122,7 @@
 
 
 def _undrain(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Machines drain and take it back, again and again."""
+    """Machines start and cancel a drain repeatedly."""
 
     def flap(machine: Machine) -> None:
         for _ in range(1 + int(trouble.size * 5)):
@@ -126,16 +131,18 @@
             cluster.set_drain(machine, False)
             cluster.hub.sleep(int(trouble.for_s * SECOND / 6))
 
-    _each(_some(trouble, cluster), cluster, flap)
+    _run_staggered(_pick_machines(trouble, cluster), cluster, flap)
 
 
 def _replace(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(_some(trouble, cluster), cluster, cluster.replace, trouble.for_s)
+    _run_staggered(_pick_machines(trouble, cluster), cluster, cluster.replace, trouble.for_s)
 
 
 def _hold_machines(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    _each(
-        _some(trouble, cluster), cluster, lambda m: cluster.hold_machine(m, min(6.0, trouble.for_s))
+    _run_staggered(
+        _pick_machines(trouble, cluster),
+        cluster,
+        lambda m: cluster.hold_machine(m, min(6.0, trouble.for_s)),
     )
 
 
@@ -145,13 +152,13 @@
 
 
 def _hold_placers(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """One placer after the other stands still."""
+    """The placers are held one after another."""
     for turn, slot in enumerate(cluster.placers):
         cluster.at(turn * (0.5 + trouble.size), lambda s=slot: s.hold(SECOND))  # type: ignore[misc]
 
 
 def _hold_all(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """The list source and all placers stand still together."""
+    """The list source and all placers are held at the same time."""
     for_us = int((0.3 + 2 * trouble.size) * SECOND)
     cluster.hold_source(for_us)
     for slot in cluster.placers:
@@ -177,17 +184,17 @@
 
 
 def _list_back(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    use = cluster.source.keep_old()
+    serve_snapshot = cluster.source.take_snapshot()
     cluster.hub.sleep(int(trouble.for_s * SECOND / 2))
     if cluster.source.down:
         return
-    use(True)
+    serve_snapshot(True)
     cluster.hub.sleep(int(trouble.for_s * SECOND / 2))
-    use(False)
+    serve_snapshot(False)
 
 
 def _slow(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    machines = _some(trouble, cluster)
+    machines = _pick_machines(trouble, cluster)
     for machine in machines:
         machine.slowness = 2 + 8 * trouble.size
     cluster.hub.sleep(int(trouble.for_s * SECOND))
@@ -196,10 +203,10 @@
 
 
 def _faults(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Answers are lost, cut, garbled or late, before or after the effect; for one class, or for all."""
+    """Answers are lost, truncated, garbled or late, before or after the effect; for one class or for all."""
     rng, now = random.Random(trouble.seed), cluster.hub.now_us()
     until = now + int(trouble.for_s * SECOND)
-    for machine in _some(trouble, cluster):
+    for machine in _pick_machines(trouble, cluster):
         for _ in range(2):
             classes = rng.choice(((), ("web",), ("settlement",)))
             machine.faults.rules.append(
@@ -232,14 +239,14 @@
 
 
 def _owners_delete(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Owners delete their Jobs, some at once, some while they run."""
+    """Owners delete a share of their Jobs, some at once, some while they run."""
     owners.delete_share = 0.1 + 0.6 * trouble.size
     cluster.hub.sleep(int(trouble.for_s * SECOND))
     owners.delete_share = 0.0
 
 
 def _surge(trouble: Trouble, cluster: Cluster, owners: Owners) -> None:
-    """Far more is asked for, and for a few services more than their spread leaves room for."""
+    """Demand rises far above the usual; for a few services, above what their spread limit admits."""
     owners.surge(
         int(len(cluster.machines) * (2 + 10 * trouble.size)), trouble.for_s / 3, trouble.seed
     )
--- a/wingbarrow/lab/wants.py
+++ b/wingbarrow/lab/wants.py
@@ -1,4 +1,4 @@
-"""What owners want: arrivals drawn from a seed, and the Job that each submits."""
+"""The workload: task arrivals drawn from a seed, and the Job that an owner submits for each."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """A task that somebody wants, from a time on for so long; memory in GiB."""
+    """A task to submit at `at_us` that runs for `runs_us`; memory in GiB."""
 
     at_us: int
     ident: str
@@ -28,26 +28,26 @@
     cores: float
     memory: float
     runs_us: int
-    federation: str = ""  # the spec that its Job names
+    federation: str = ""  # the federation spec that its Job names; empty for none
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """What load is made of."""
+    """Parameters of the workload."""
 
-    rate: float = 14.0  # tasks a second
+    rate: float = 14.0  # tasks per second
     services: int = 40
-    settlement: float = 0.02  # share of it
-    classes: tuple[tuple[str, float], ...] = ()  # in place of `web`: so much of it each
-    federation: tuple[str, float] = ("", 0.0)  # a spec that so much of `web` names
-    life_s: tuple[float, float] = (4.0, 16.0)
-    burst: tuple[
-        tuple[float, float, float], ...
-    ] = ()  # from, until (seconds), times the usual rate
+    settlement: float = 0.02  # share of `settlement` tasks
+    # (class, share of the `web` tasks that it replaces).
+    classes: tuple[tuple[str, float], ...] = ()
+    federation: tuple[str, float] = ("", 0.0)  # (spec, share of the `web` tasks that name it)
+    life_s: tuple[float, float] = (4.0, 16.0)  # range of run times of `web` tasks, seconds
+    # (begin, end, factor on `rate`); seconds since the start of the day.
+    burst: tuple[tuple[float, float, float], ...] = ()
 
 
 def draw(mix: Mix, seconds: float, seed: int, prefix: str = "w") -> list[Want]:
-    """Arrivals of a day, a function of the seed alone."""
+    """Poisson arrivals of a day of `seconds`; the same arguments give the same tasks."""
     rng, at = random.Random(seed), 0.0
     out: list[Want] = []
     while True:
@@ -61,9 +61,11 @@
         else:
             task_class, cores, memory = "web", *rng.choice(((0.5, 1.0), (1.0, 2.0), (2.0, 3.0)))
             runs = rng.uniform(*mix.life_s)
-            task_class = _other(mix, rng)
+            task_class = _pick_class(mix, rng)
         service = f"{task_class}-{min(rng.randrange(mix.services), rng.randrange(mix.services))}"
-        named = mix.federation[1] and task_class == "web" and rng.random() < mix.federation[1]
+        names_federation = (
+            mix.federation[1] and task_class == "web" and rng.random() < mix.federation[1]
+        )
         out.append(
             Want(
                 int(at * SECOND),
@@ -73,13 +75,13 @@
                 cores,
                 memory,
                 int(runs * SECOND),
-                mix.federation[0] if named else "",
+                mix.federation[0] if names_federation else "",
             )
         )
 
 
-def _other(mix: Mix, rng: random.Random) -> str:
-    """`web`, or a class that takes some of its place; draws nothing where there is none."""
+def _pick_class(mix: Mix, rng: random.Random) -> str:
+    """`web`, or one of the classes that replace a share of it; draws no random number if there are none."""
     drawn = rng.random() if mix.classes else 1.0
     for name, share in mix.classes:
         if drawn < share:
@@ -89,8 +91,8 @@
 
 
 def job_value(want: Want, name: str, patience_us: int) -> dict[str, Any]:
-    """The Job that an owner submits."""
-    named = {names.FEDERATION: want.federation} if want.federation else {}
+    """The Job object that an owner submits for a task; `want.ident` is its `lab/task` annotation."""
+    names_federation = {names.FEDERATION: want.federation} if want.federation else {}
     return {
         "apiVersion": "batch/v1",
         "kind": "Job",
@@ -101,7 +103,7 @@
                 names.PATIENCE: f"{patience_us // 1000}ms",
                 names.EXPECTED: f"{want.runs_us // 1000}ms",
                 names.RUNS_FOR: f"{want.runs_us // 1000}ms",
-                **named,
+                **names_federation,
             },
         },
         "spec": {
