--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -42,7 +42,7 @@
 ME = "a"
 WALL_US = 1_780_000_000 * S
 LEASE_US = 4 * S
-TIMING = MaintenanceTiming(try_us=2 * S)
+TIMING = MaintenanceTiming(trial_us=2 * S)
 RULES = replace(samples.RULES, asked=(), cancelled=())
 # One more attempt and one machine fewer than `RULES`: neither rule set permits what the other does, so that the
 # transition takes two steps.
@@ -429,7 +429,12 @@
         ],
         "blocks": (blocks.serial, blocks.is_in_doubt, blocks.incarnations, blocks.allocations),
         "sessions": sessions.log,
-        "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.slots),
+        "turns": (
+            turns.queue.last_number,
+            turns.queue.version,
+            turns.queue.outcomes,
+            turns.queue.slots,
+        ),
     }
 
 
@@ -511,7 +516,7 @@
                 13_270_000,
                 state="given-back",
                 tasks=0,
-                given=True,
+                is_given_back=True,
                 note="its window was taken back",
             ),
             4: _slot(4, _VERDICT_REQUEST, 13_020_000, 19_270_000, out_us=WALL_US + 18_020_000),
