--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -32,7 +32,7 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.limits import raise_descriptors
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Hub, VirtualClock
 
 DEFAULT_SIZES = (1, 8, 64, 512)
@@ -123,7 +123,7 @@
 
     def submit(self, name: str, tasks: int, memory_mib: int = 1024) -> JobRecord:
         """A gang, through the placer's front."""
-        want = Want(0, name, CLASS, name, 1.0, memory_mib / 1024, RUNS_US)
+        want = TaskSpec(0, name, CLASS, name, 1.0, memory_mib / 1024, RUNS_US)
         value = job_value(want, name, PATIENCE_US)
         value["spec"]["parallelism"] = tasks
         uid = call(Pool(self.hub, "127.0.0.1", self.slot.port), "POST", JOBS, names.encode(value))[
--- a/benchmarks/capacity/jobs.py
+++ b/benchmarks/capacity/jobs.py
@@ -18,7 +18,7 @@
 from wingbarrow.http.watching import call
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Hub
 
 SECOND = 1_000_000
@@ -44,7 +44,7 @@
     while placed < tasks:
         count = min(parallelism, tasks - placed)
         name = f"fill-{number}"
-        want = Want(0, name, "web", f"s{number % SERVICES}", 0.1, 0.1, RUNS_US)
+        want = TaskSpec(0, name, "web", f"s{number % SERVICES}", 0.1, 0.1, RUNS_US)
         value = job_value(want, name, PATIENCE_US)
         value["spec"]["parallelism"] = count
         _submit(hub, pool, value)
--- a/benchmarks/capacity/load.py
+++ b/benchmarks/capacity/load.py
@@ -22,7 +22,7 @@
 from wingbarrow.http.watching import call, watch
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Hub, Nursery
 
 SECOND = 1_000_000
@@ -74,7 +74,7 @@
             while hub.now_us() < end:
                 number += 1
                 name = f"{prefix}-{turn}-{number}"
-                want = Want(
+                want = TaskSpec(
                     0, name, "web", f"s{rng.randrange(services)}", 0.1, 0.1, int(1.5 * SECOND)
                 )
                 begun[name] = hub.now_us()
@@ -120,7 +120,7 @@
         nonlocal turned_away
         pool, number = Pool(hub, "127.0.0.1", port), 0
         while number < services:
-            want = Want(0, f"new-{number}", "web", f"s{number}", 0.1, 0.1, int(1.5 * SECOND))
+            want = TaskSpec(0, f"new-{number}", "web", f"s{number}", 0.1, 0.1, int(1.5 * SECOND))
             try:
                 call(pool, "POST", JOBS, names.encode(job_value(want, want.ident, PATIENCE_US)))
                 number += 1
--- a/tests/core/subset_stage.py
+++ b/tests/core/subset_stage.py
@@ -13,7 +13,7 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.fleet.link import Proxy
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 
 LEAVE_S, SETTLE_S = 3.0, 0.5
 
@@ -127,7 +127,7 @@
         service: str = "",
     ) -> str:
         """Submit a Job to one placer, record that it was accepted, and return its uid."""
-        want = Want(0, name, task_class, service or name, 1.0, 1.0, int(runs_s * S))
+        want = TaskSpec(0, name, task_class, service or name, 1.0, 1.0, int(runs_s * S))
         sent_us = self.hub.now_us()
         created = call(
             self.pool(slot.port),
--- a/tests/core/test_job_store.py
+++ b/tests/core/test_job_store.py
@@ -17,10 +17,10 @@
 from wingbarrow.decide.admission import Admission
 from wingbarrow.kube.status import ApiError
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 
 SETTINGS = load_text(settings_text(0, 1, 1, 1))
-VALUE = job_value(Want(0, "w", "web", "shop", 1.0, 2.0, 5_000_000), "job", 5_000_000)
+VALUE = job_value(TaskSpec(0, "w", "web", "shop", 1.0, 2.0, 5_000_000), "job", 5_000_000)
 
 
 def read(value: dict[str, Any], namespace: str = "default") -> Any:
--- a/tests/core/test_promptness.py
+++ b/tests/core/test_promptness.py
@@ -13,14 +13,14 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.node import node_value
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Nursery, Stream, connect
 
 BIG = Build(cores=64.0, memory=128.0)
 
 
 def job_request(name: str, patience_s: float, cores: float = 1.0) -> bytes:
-    value = job_value(Want(0, name, "web", name, cores, 1.0, 5 * S), name, int(patience_s * S))
+    value = job_value(TaskSpec(0, name, "web", name, cores, 1.0, 5 * S), name, int(patience_s * S))
     body = names.encode(value)
     return (
         b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
--- a/tests/lab/direct.py
+++ b/tests/lab/direct.py
@@ -1,4 +1,7 @@
-"""Arrivals given straight to the module, with machines that take what fits: what the program is compared with."""
+"""Arrivals given directly to the scheduler module, with machines that accept what fits.
+
+The whole program is compared with its result.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +11,24 @@
 from wingbarrow import interface as api
 from wingbarrow.kube.names import ident
 from wingbarrow.lab.machine import Machine
-from wingbarrow.lab.wants import PATIENCE_US, Want
+from wingbarrow.lab.workload import PATIENCE_US, TaskSpec
 from wingbarrow.scheduler import Scheduler
 
 START_US, S = 120_000, 1_000_000
 
 
 def place_directly(
-    scheduler: Scheduler, machines: list[Machine], wants: list[Want]
+    scheduler: Scheduler, machines: list[Machine], specs: list[TaskSpec]
 ) -> tuple[int, int]:
-    """How many wants are placed, and how many refused, without any program around the module."""
+    """Numbers of tasks placed and refused by the module alone, without the program around it."""
     builds = {ident(machine.name): machine.build for machine in machines}
-    room = {
+    free_capacity = {
         key: [build.cores * build.booking_cores, build.memory * build.booking_memory]
         for key, build in builds.items()
     }
     order, placed, refused = itertools.count(), 0, 0
     events: list[tuple[int, int, api.Event]] = []
-    by_request = dict(enumerate(wants))
+    by_request = dict(enumerate(specs))
     attempts: dict[int, int] = {}
     ended: set[int] = set()
 
@@ -41,28 +44,29 @@
                 build.zone,
                 api.Phase.RUNNING,
                 0,
-                room[key][0] - build.cores * (build.booking_cores - 1),
-                room[key][1] - build.memory * (build.booking_memory - 1),
+                free_capacity[key][0] - build.cores * (build.booking_cores - 1),
+                free_capacity[key][1] - build.memory * (build.booking_memory - 1),
             )
             for key, build in builds.items()
         )
 
     at(0, api.MachineList(api.ListForm.SAVED, ()))
     for second in range(1, 100):
-        at(second * S, api.MachineList(api.ListForm.FULL, ()))  # filled in when its time has come
-    for request, want in by_request.items():
-        now = 2 * S + want.at_us
+        # The content of the list is filled in when it is processed.
+        at(second * S, api.MachineList(api.ListForm.FULL, ()))
+    for request, spec in by_request.items():
+        now = 2 * S + spec.at_us
         at(
             now,
             api.TaskArrived(
                 request,
-                want.task_class,
-                want.service,
-                want.ident,
-                want.cores,
-                want.memory,
-                now + PATIENCE_US[want.task_class],
-                want.runs_us,
+                spec.task_class,
+                spec.service,
+                spec.ident,
+                spec.cores,
+                spec.memory,
+                now + PATIENCE_US[spec.task_class],
+                spec.runs_us,
             ),
         )
     while events:
@@ -73,16 +77,15 @@
             assert event.request not in ended, "placed after its answer"
             placed += 1
         if isinstance(event, api.AttemptEnded) and event.closed:
-            want = by_request[event.request]
-            room[event.machine][0] += want.cores
-            room[event.machine][1] += want.memory
+            spec = by_request[event.request]
+            free_capacity[event.machine][0] += spec.cores
+            free_capacity[event.machine][1] += spec.memory
         for action in scheduler.handle(now, event):
             if isinstance(action, api.Bind):
                 number = attempts[action.request] = attempts.get(action.request, -1) + 1
-                want, free = by_request[action.request], room[action.machine]
-                if (
-                    now + START_US >= action.give_up_us
-                ):  # it could only start after its owner's patience
+                spec, free = by_request[action.request], free_capacity[action.machine]
+                # It could only start after its owner's patience.
+                if now + START_US >= action.give_up_us:
                     at(
                         action.give_up_us,
                         api.AttemptEnded(
@@ -96,17 +99,17 @@
                             None,
                         ),
                     )
-                    room[action.machine][0] -= want.cores
-                    room[action.machine][1] -= want.memory
-                elif want.cores <= free[0] and want.memory <= free[1]:
-                    free[0] -= want.cores
-                    free[1] -= want.memory
+                    free_capacity[action.machine][0] -= spec.cores
+                    free_capacity[action.machine][1] -= spec.memory
+                elif spec.cores <= free[0] and spec.memory <= free[1]:
+                    free[0] -= spec.cores
+                    free[1] -= spec.memory
                     at(
                         now + START_US,
                         api.TaskPlaced(action.request, number, action.machine, START_US),
                     )
                     at(
-                        now + START_US + want.runs_us,
+                        now + START_US + spec.runs_us,
                         api.AttemptEnded(
                             action.request,
                             number,
@@ -119,7 +122,7 @@
                         ),
                     )
                 else:
-                    why = api.Reason.NO_CORES if want.cores > free[0] else api.Reason.NO_MEMORY
+                    why = api.Reason.NO_CORES if spec.cores > free[0] else api.Reason.NO_MEMORY
                     at(
                         now + 8_000,
                         api.AttemptEnded(
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,4 +1,4 @@
-"""The auditor finds each kind of breach when one is planted, and nothing in a clean recording."""
+"""The auditor finds each kind of breach that is planted, and none in a clean recording."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Tape:
-    """Writes a recording by hand."""
+    """Builds a recording; times are in seconds."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -1,4 +1,4 @@
-"""Scripted days on the whole path: each kind of trouble, audited at the sockets."""
+"""Scripted days on a whole cluster: each kind of trouble, audited at the sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.days import DAYS, Day, Play, play, run_day
 from wingbarrow.lab.troubles import generate
-from wingbarrow.lab.wants import Mix, draw
+from wingbarrow.lab.workload import Mix, draw
 from wingbarrow.scheduler import Scheduler
 
 SEED = 11
@@ -22,22 +22,22 @@
 
 
 def _played(name: str) -> tuple[Audit, bool]:
-    """A day's audit, and whether a state table met a step that it lacks."""
+    """A day's audit, and whether a transition occurred that its state table lacks."""
     outcome = run_day(name, SEED)
-    odd = any(
+    unexpected = any(
         slot.service.placer.job_store.unexpected_transitions
         + slot.service.placer.attempts.unexpected_transitions
         for slot in outcome.cluster.placers
         if slot.service
     )
-    return outcome.audit, odd
+    return outcome.audit, unexpected
 
 
 @pytest.fixture(scope="module")
 def played() -> dict[str, AsyncResult[tuple[Audit, bool]]]:
-    """All days, each in a process of its own kind: they share nothing but the machine.
+    """Runs every day in a pool of four processes.
 
-    All are over; one that raised does so where its result is asked for, and fails no other.
+    All have ended on return; an exception is raised where a result is read, so that it fails no other day.
     """
     with multiprocessing.get_context("fork").Pool(4) as pool:
         results = {name: pool.apply_async(_played, (name,)) for name in SCRIPTED}
@@ -51,13 +51,13 @@
     name: str, played: dict[str, AsyncResult[tuple[Audit, bool]]]
 ) -> None:
     print("seed", SEED)
-    found, odd = played[name].get()
+    found, unexpected = played[name].get()
     assert found.clean, found.notes
     ended = found.placed + found.refused + found.failed + found.left_to_owners
     assert found.accepted >= 300
     assert found.accepted == ended
     assert found.placed >= 0.9 * found.accepted
-    assert not odd, "steps that the tables lack"
+    assert not unexpected, "steps that the tables lack"
 
 
 def _generated(seed: int) -> Audit:
@@ -94,7 +94,7 @@
 
 
 def test_a_quiet_day_answers_as_the_module_alone_does() -> None:
-    """The same arrivals given straight to the module: the program refuses and places as many, within noise."""
+    """With the same arrivals, the program places and refuses as many tasks as the module alone, within 3 %."""
     day = Day("", lambda cluster, owners: None, placers=1, seconds=30.0, mix=Mix(rate=24.0))
     DAYS["alone"] = day
     try:
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -1,4 +1,7 @@
-"""Each kind of breach, planted into the recording of a whole day, is found; `PLANT_SCALE=10` does it at that size."""
+"""Each kind of breach, planted into the recording of a whole day, is found.
+
+The environment variable `PLANT_SCALE` sets the scale of the day (10, for example).
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class Recording:
-    """A day's records with more put in at their times."""
+    """A day's records, to which further records are added at their times."""
 
     def __init__(self, day: Outcome) -> None:
         self.records = list(day.cluster.record.records)
--- a/tests/lab/test_subset_days.py
+++ b/tests/lab/test_subset_days.py
@@ -19,9 +19,9 @@
 
 
 def _placers_lost(cluster: Cluster, owners: Owners) -> None:
-    """Two of five placers are killed at once, machines of one hall fall meanwhile and come back cold, drains are told.
+    """Two of five placers are killed at once; meanwhile machines of one zone crash and come back cold, and one drains.
 
-    The two are back when the others hold their machines.
+    The two placers are back only after the others have taken over their machines.
     """
 
     def lose(index: int) -> None:
@@ -29,8 +29,8 @@
 
     cluster.at(8, lambda: lose(0))
     cluster.at(8, lambda: lose(1))
-    fallen = [machine for machine in cluster.machines if machine.build.zone == "hall-a"][::2]
-    for machine in fallen:
+    crashed = [machine for machine in cluster.machines if machine.build.zone == "hall-a"][::2]
+    for machine in crashed:
         cluster.at(17, lambda m=machine: cluster.crash(m, 3.0))
     cluster.at(21, lambda: cluster.drain(cluster.machines[-1]))
     cluster.at(24, lambda: cluster.placers[2].hold(10_000_000))
@@ -50,20 +50,20 @@
     outcome = play(Play("subsets", SEED, placers=5, subsets=2))
     placers = [slot.service.placer for slot in outcome.cluster.placers if slot.service]
     assert not any(each.unexpected_transitions() for each in placers), "steps that the tables lack"
-    told = {
+    counts = {
         "changes": sum(each.context.counts["subset:changes"] for each in placers),
         "refills": sum(each.fleet.reflector.supplementary_lists for each in placers),
         "released": sum(each.context.counts["subset:released"] for each in placers),
         "most held": max(len(each.machines.links) for each in placers),
     }
-    return outcome.audit, told
+    return outcome.audit, counts
 
 
 @pytest.fixture(scope="module")
 def played() -> dict[str, AsyncResult[tuple[Audit, dict[str, int]]]]:
-    """Each day in a process of its own.
+    """Runs every day in a pool of two processes.
 
-    All are over; one that raised does so where its result is asked for, and fails no other.
+    All have ended on return; an exception is raised where a result is read, so that it fails no other day.
     """
     with multiprocessing.get_context("fork").Pool(2) as pool:
         results = {name: pool.apply_async(_play, (name,)) for name in PLAYED}
@@ -76,19 +76,19 @@
 def test_a_day_with_subsets_keeps_the_rules(
     name: str, played: dict[str, AsyncResult[tuple[Audit, dict[str, int]]]]
 ) -> None:
-    found, told = played[name].get()
-    print("seed", SEED, told)
+    found, counts = played[name].get()
+    print("seed", SEED, counts)
     assert found.clean, found.notes
     ended = found.placed + found.refused + found.failed + found.left_to_owners
     assert found.accepted >= 300
     assert found.accepted == ended
     assert found.placed >= 0.9 * found.accepted
     if name == "lost":
-        assert told["changes"] and told["refills"] and told["released"], told
+        assert counts["changes"] and counts["refills"] and counts["released"], counts
 
 
 def test_the_command_plays_a_day_with_subsets_and_refuses_more_than_there_are_placers() -> None:
-    told = CliRunner().invoke(main, ["lab", "day", "quiet", "--subsets", "4", "--placers", "3"])
-    assert told.exit_code == 2
-    assert "more than there are placers" in told.output
+    result = CliRunner().invoke(main, ["lab", "day", "quiet", "--subsets", "4", "--placers", "3"])
+    assert result.exit_code == 2
+    assert "more than there are placers" in result.output
     assert Play("quiet", placers=3, subsets=2).command.endswith("--placers 3 --subsets 2")
--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -11,7 +11,7 @@
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import PlacerSlot
 from wingbarrow.lab.fleet.link import Network
-from wingbarrow.lab.load import Want, job_value
+from wingbarrow.lab.load import TaskSpec, job_value
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.source import ListSource
@@ -117,7 +117,9 @@
     ) -> tuple[int, dict[str, Any]]:
         """Submit a Job to a placer; returns the status and the body with the Retry-After header."""
         value = job_value(
-            Want(0, name, task_class, name, 1.0, 1.0, int(runs_s * S)), name, int(patience_s * S)
+            TaskSpec(0, name, task_class, name, 1.0, 1.0, int(runs_s * S)),
+            name,
+            int(patience_s * S),
         )
         if spec:
             value["metadata"].setdefault("annotations", {})[names.FEDERATION] = spec
--- a/tests/peers/test_limits_path.py
+++ b/tests/peers/test_limits_path.py
@@ -11,7 +11,7 @@
 from wingbarrow.config import SettingsError, load_text
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import PlacerSlot, settings_text
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 
 LIMITS = "/apis/wingbarrow.io/v1/limits"
 
@@ -26,7 +26,7 @@
 
     def submit_to(self, slot: PlacerSlot, name: str, runs_s: float = 60, service: str = "") -> bool:
         """Submit a Job to a placer; returns whether it was accepted."""
-        want = Want(0, name, "web", service or name, 0.25, 0.25, int(runs_s * S))
+        want = TaskSpec(0, name, "web", service or name, 0.25, 0.25, int(runs_s * S))
         response = self.pool(slot.port).request(
             "POST",
             "/apis/batch/v1/namespaces/default/jobs",
--- a/tests/peers/test_rules_path.py
+++ b/tests/peers/test_rules_path.py
@@ -11,7 +11,7 @@
 from wingbarrow.config import SettingsError, load_text
 from wingbarrow.kube import names
 from wingbarrow.lab.cluster import settings_text
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.peers.ruleset_settings import agreed_scheduler_settings, requested_rule_set
 
 
@@ -102,7 +102,7 @@
         assert stage.wait(lambda: stage.all_on("e1"))
         held = stage.cluster.placers[4]
         for number in range(10):
-            want = Want(0, f"h{number}", "web", f"h{number}", 0.5, 0.5, 5 * S)
+            want = TaskSpec(0, f"h{number}", "web", f"h{number}", 0.5, 0.5, 5 * S)
             stage.hub.spawn(
                 lambda want=want: stage.pool(held.port).request(
                     "POST",
@@ -144,7 +144,7 @@
             slot.kill()
         stage.hub.sleep(4 * S)
         alone = stage.cluster.placers[4]
-        want = Want(0, "alone", "web", "alone", 0.5, 0.5, 5 * S)
+        want = TaskSpec(0, "alone", "web", "alone", 0.5, 0.5, 5 * S)
         body = names.encode(job_value(want, "alone", 5 * S))
         response = stage.pool(alone.port).request(
             "POST", "/apis/batch/v1/namespaces/default/jobs", body
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -14,7 +14,7 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.record import Record
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Hub, VirtualClock
 
 S = 1_000_000
@@ -79,7 +79,7 @@
         memory: float = 1.0,
         **spec: Any,
     ) -> dict[str, Any]:
-        want = Want(0, name, task_class, service or name, cores, memory, int(runs_s * S))
+        want = TaskSpec(0, name, task_class, service or name, cores, memory, int(runs_s * S))
         value = job_value(want, name, int(patience_s * S))
         value["spec"] |= spec
         sent = self.hub.now_us()
@@ -102,7 +102,7 @@
 
     def post(self, port: int, name: str) -> None:
         """Submit a Job to a placer by its port and ignore its answer; nothing is recorded."""
-        want = Want(0, name, "web", name, 0.25, 0.25, 5 * S)
+        want = TaskSpec(0, name, "web", name, 0.25, 0.25, 5 * S)
         try:
             call(self.pool(port), "POST", JOBS, names.encode(job_value(want, name, 5 * S)))
         except ApiError:
--- a/wingbarrow/lab/days.py
+++ b/wingbarrow/lab/days.py
@@ -17,7 +17,7 @@
 from wingbarrow.lab.faults import Fault, FaultRule
 from wingbarrow.lab.load import Owners
 from wingbarrow.lab.troubles import Trouble, arrange, generate
-from wingbarrow.lab.wants import Mix, Want, draw
+from wingbarrow.lab.workload import Mix, TaskSpec, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 Script = Callable[[Cluster, Owners], None]
@@ -33,7 +33,8 @@
     placers: int = 3
     seconds: float = 40.0
     mix: Mix = Mix()
-    wants: Callable[[list[Want], int], list[Want]] | None = None
+    # (drawn arrivals, seed) to the arrivals of the day.
+    transform: Callable[[list[TaskSpec], int], list[TaskSpec]] | None = None
     generated: bool = False
 
 
@@ -111,10 +112,10 @@
         hub.sleep(2 * SECOND)
         day.script(cluster, owners)
         arrange(troubles, cluster, owners)
-        wants = draw(replace(day.mix, rate=day.mix.rate * scale), seconds, seed + 5)
-        if day.wants is not None:
-            wants = day.wants(wants, seed)
-        owners.run(wants, start_us + int((seconds + 60) * SECOND))
+        specs = draw(replace(day.mix, rate=day.mix.rate * scale), seconds, seed + 5)
+        if day.transform is not None:
+            specs = day.transform(specs, seed)
+        owners.run(specs, start_us + int((seconds + 60) * SECOND))
         hub.sleep(12 * SECOND if troubles else 2 * SECOND)
         return owners
 
@@ -247,21 +248,21 @@
     cluster.at(28, lambda: set_use_factors({}))
 
 
-def _resubmit_services(wants: list[Want], seed: int) -> list[Want]:
+def _resubmit_services(specs: list[TaskSpec], seed: int) -> list[TaskSpec]:
     """Owners stop half of the `web` services and resubmit all of their tasks within two seconds."""
     now = 15 * SECOND
     stopped = [
-        want
-        for want in wants
-        if want.at_us < now < want.at_us + want.runs_us
-        and want.task_class == "web"
-        and int(want.service.partition("-")[2]) % 2 == 0
+        spec
+        for spec in specs
+        if spec.at_us < now < spec.at_us + spec.runs_us
+        and spec.task_class == "web"
+        and int(spec.service.partition("-")[2]) % 2 == 0
     ]
     resubmitted = [
-        replace(want, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(stopped)))
-        for i, want in enumerate(stopped)
+        replace(spec, ident=f"r{i}", at_us=now + (i * 2 * SECOND) // max(1, len(stopped)))
+        for i, spec in enumerate(stopped)
     ]
-    return sorted([*wants, *resubmitted], key=lambda want: want.at_us)
+    return sorted([*specs, *resubmitted], key=lambda spec: spec.at_us)
 
 
 def _lost_answers(cluster: Cluster, owners: Owners) -> None:
@@ -315,7 +316,9 @@
     "hot_key": Day("all tasks of some services use all they may", _overuse_of_services),
     "heavy_tail": Day("a share of one class uses far more than it asked", _overuse_of_share),
     "reconnect": Day(
-        "owners ask again for whole services within two seconds", _quiet, wants=_resubmit_services
+        "owners ask again for whole services within two seconds",
+        _quiet,
+        transform=_resubmit_services,
     ),
     "crash": Day("a quarter of the machines die at once and come back cold", _crash),
     "shrink": Day("a fifth of the machines are gone for good", _shrink),
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -18,7 +18,7 @@
 from wingbarrow.lab.fleet.script import Fault
 from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.lab.load import Owners, PlacerAddress
-from wingbarrow.lab.wants import Mix, Want, draw
+from wingbarrow.lab.workload import Mix, TaskSpec, draw
 from wingbarrow.transport import Hub, Nursery
 
 __all__ = ["Rig", "Size"]
@@ -80,7 +80,7 @@
         hub.sleep(SECOND)
         places.event("over", lag_worst_us=hub.lag.worst_us)
 
-    def _owners(self) -> list[tuple[Owners, list[Want]]]:
+    def _owners(self) -> list[tuple[Owners, list[TaskSpec]]]:
         """Those of each region ask its own placers; without regions all ask all."""
         places, size, out = self.places, self.places.size, []
         for at, (region, names) in enumerate(places.layout.regions.items() or [("", places.names)]):
--- a/wingbarrow/lab/learn.py
+++ b/wingbarrow/lab/learn.py
@@ -21,7 +21,7 @@
 from wingbarrow.lab.fleet.link import Proxy
 from wingbarrow.lab.load import Owners
 from wingbarrow.lab.record import Record
-from wingbarrow.lab.wants import Mix, draw
+from wingbarrow.lab.workload import Mix, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 # In the last two arms the new placer starts later, after a time without load on the peer.
@@ -90,7 +90,7 @@
         owners.skip = {NEW}
         hub.sleep(SECOND)
         wait_s = WARM_UP_S + (IDLE_S if arm in LATE_ARMS else 0)
-        wants = draw(mix(machines), wait_s + MEASURE_S, seed + 3)
+        specs = draw(mix(machines), wait_s + MEASURE_S, seed + 3)
 
         def script() -> None:
             hub.sleep(WARM_UP_S * SECOND)
@@ -111,7 +111,7 @@
             owners.skip = {PEER} if arm in LATE_ARMS else set()
 
         hub.spawn(script, "script")
-        owners.run(wants, hub.now_us() + (wait_s + MEASURE_S + 15) * SECOND)
+        owners.run(specs, hub.now_us() + (wait_s + MEASURE_S + 15) * SECOND)
         return times["begun"]
 
     begun = hub.run(main)
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -13,10 +13,10 @@
 from wingbarrow.kube import names
 from wingbarrow.kube.status import ApiError
 from wingbarrow.lab.record import Recorder
-from wingbarrow.lab.wants import PATIENCE_US, SECOND, Mix, Want, draw, job_value
+from wingbarrow.lab.workload import PATIENCE_US, SECOND, Mix, TaskSpec, draw, job_value
 from wingbarrow.transport import Domain, Hub, Nursery
 
-__all__ = ["PATIENCE_US", "Mix", "Owners", "PlacerAddress", "Want", "draw", "job_value"]
+__all__ = ["PATIENCE_US", "Mix", "Owners", "PlacerAddress", "TaskSpec", "draw", "job_value"]
 
 RESUBMIT_DELAY_US = 1_500_000  # least delay before a task is resubmitted
 MAX_SUBMISSIONS = 4  # of one task, the first included
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class _Submission:
-    want: Want
+    spec: TaskSpec
     name: str
     attempt: int
     answered: bool = False
@@ -61,7 +61,7 @@
             for each in placers
         ]
         self._submissions: list[dict[str, _Submission]] = [{} for _ in placers]
-        self.waiting: deque[Want] = deque()
+        self.waiting: deque[TaskSpec] = deque()
         self.submitted = self.open = 0
         self.domain = Domain(hub, "owners")
         self._nursery: Nursery | None = None
@@ -75,41 +75,41 @@
         self.skip: set[int] = set()  # indexes of placers to which nothing is submitted for now
         self.on_answer: Callable[[str, str], None] = lambda _job, _answer: None
 
-    def run(self, wants: list[Want], until_us: int) -> None:
+    def run(self, specs: list[TaskSpec], until_us: int) -> None:
         """Submit every task at its time; returns when all are answered, at the latest at `until_us`."""
         begin = self.hub.now_us()
         with Nursery(self.hub) as nursery:
             self._nursery = nursery
             for index in range(len(self._placers)):
                 nursery.spawn(lambda index=index: self._watch(index), "owner watches")  # type: ignore[misc]
-            for want in wants:
-                self.hub.sleep_until(begin + want.at_us)
-                nursery.spawn(lambda want=want: self._submit_task(want, 0), "owner asks")  # type: ignore[misc]
+            for spec in specs:
+                self.hub.sleep_until(begin + spec.at_us)
+                nursery.spawn(lambda spec=spec: self._submit_task(spec, 0), "owner asks")  # type: ignore[misc]
             while self.open and self.hub.now_us() < until_us:
                 self.hub.sleep(SECOND // 4)
             nursery.cancel()
 
-    def _submit_task(self, want: Want, attempt: int) -> None:
+    def _submit_task(self, spec: TaskSpec, attempt: int) -> None:
         self.open += 1
         try:
             for _ in range(3):
                 index = self._random.choice(
                     [i for i in range(len(self._placers)) if i not in self.skip]
                 )
-                if self._submit(index, want, attempt):
+                if self._submit(index, spec, attempt):
                     return
                 self.hub.sleep(200_000 + self._random.randrange(200_000))
         finally:
             self.open -= 1
 
-    def _submit(self, index: int, want: Want, attempt: int) -> bool:
+    def _submit(self, index: int, spec: TaskSpec, attempt: int) -> bool:
         """Submit a task to one placer; False if it was certainly not accepted, so that another placer may be tried."""
-        placer, patience = self._placers[index], PATIENCE_US[want.task_class]
+        placer, patience = self._placers[index], PATIENCE_US[spec.task_class]
         self.submitted += 1
-        name = f"{want.ident}-{attempt}-{self.submitted}"
-        submission = _Submission(want, name, attempt)
+        name = f"{spec.ident}-{attempt}-{self.submitted}"
+        submission = _Submission(spec, name, attempt)
         self._submissions[index][name] = submission
-        body = names.encode(job_value(want, name, patience))
+        body = names.encode(job_value(spec, name, patience))
         sent_us = self.hub.now_us()
         try:
             value = call(
@@ -135,7 +135,7 @@
             # The placer may have accepted it: a task that must not start twice is not submitted to another placer.
             unsent = type(error).__name__ == "NotSent"
             del self._submissions[index][name]
-            return not unsent and want.task_class == "settlement"
+            return not unsent and spec.task_class == "settlement"
         submission.until_us = sent_us + patience
         self.open += 1
         self._record(
@@ -144,11 +144,11 @@
             placer=placer.name,
             job=name,
             uid=value["metadata"]["uid"],
-            task=want.ident,
-            task_class=want.task_class,
+            task=spec.ident,
+            task_class=spec.task_class,
             patience_us=patience,
             sent_us=sent_us,
-            federation=want.federation,
+            federation=spec.federation,
         )
         self._process_status(index, submission.early or value)
         self._spawn(lambda: self._give_up(index, submission))
@@ -189,17 +189,17 @@
         """Submit about `count` more tasks within `over_s` seconds, half of the `web` tasks for four services."""
         self._surges += 1
         rng = random.Random(seed)
-        for want in draw(
+        for spec in draw(
             Mix(rate=count / max(0.1, over_s), services=60), over_s, seed, f"s{self._surges}-"
         ):
-            concentrated = rng.random() < 0.5 and want.task_class == "web"
-            want = replace(want, service=f"web-{rng.randrange(4)}") if concentrated else want
-            self._spawn_at(self.hub.now_us() + want.at_us, want)
+            concentrated = rng.random() < 0.5 and spec.task_class == "web"
+            spec = replace(spec, service=f"web-{rng.randrange(4)}") if concentrated else spec
+            self._spawn_at(self.hub.now_us() + spec.at_us, spec)
 
-    def _spawn_at(self, at_us: int, want: Want) -> None:
+    def _spawn_at(self, at_us: int, spec: TaskSpec) -> None:
         def later() -> None:
             self.hub.sleep_until(at_us)
-            self._submit_task(want, 0)
+            self._submit_task(spec, 0)
 
         self._spawn(later)
 
@@ -215,7 +215,7 @@
             self.open -= 1
             self._record("owner", "gave-up", placer=self._placers[index].name, job=submission.name)
             self._submissions[index].pop(submission.name, None)
-            if submission.want.task_class != "settlement":
+            if submission.spec.task_class != "settlement":
                 self._resubmit_later(submission)
 
     def _watch(self, index: int) -> None:
@@ -278,7 +278,7 @@
             self.open -= 1
             self.on_answer(name, answer)
             if answer == "refused" or (
-                answer == "failed" and submission.want.task_class != "settlement"
+                answer == "failed" and submission.spec.task_class != "settlement"
             ):
                 self._resubmit_later(submission)
         if finished:
@@ -289,6 +289,6 @@
 
             def later() -> None:
                 self.hub.sleep(RESUBMIT_DELAY_US + self._random.randrange(SECOND))
-                self._submit_task(submission.want, submission.attempt + 1)
+                self._submit_task(submission.spec, submission.attempt + 1)
 
             self._spawn(later)
--- a/wingbarrow/lab/patching.py
+++ b/wingbarrow/lab/patching.py
@@ -19,7 +19,7 @@
 from wingbarrow.lab.machine import Machine
 from wingbarrow.lab.node import node_value
 from wingbarrow.lab.record import Record
-from wingbarrow.lab.wants import Mix, Want, draw
+from wingbarrow.lab.workload import Mix, TaskSpec, draw
 from wingbarrow.transport import Hub, VirtualClock
 
 ARMS = ("none", "calendar", "at-once")
@@ -52,7 +52,7 @@
     hub = Hub(VirtualClock())
     cluster = Cluster(hub, MACHINES, 2, seed, silent)
     mix = Mix(rate=0.55 * MACHINES, life_s=(4.0, 40.0), settlement=0.01)
-    wants = draw(mix, DAY_S, seed + 3)
+    specs = draw(mix, DAY_S, seed + 3)
 
     def main() -> None:
         cluster.start()
@@ -93,13 +93,13 @@
                         lambda drain=drain, machine=machine: _patch(cluster, machine, drain, arm)  # type: ignore[misc]
                     )
         owners = Owners(hub, cluster.addresses(), seed + 5, cluster.record)
-        owners.run(wants, hub.now_us() + (DAY_S + 60) * SECOND)
+        owners.run(specs, hub.now_us() + (DAY_S + 60) * SECOND)
         hub.sleep(45 * SECOND)  # lets the tasks started last run to their end
 
     hub.run(main)
     found = audit(cluster.record.records, cluster.placers[0].settings)
     cluster.close()
-    return _figures(arm, seed, wants, cluster.record.records, found.clean)
+    return _figures(arm, seed, specs, cluster.record.records, found.clean)
 
 
 def _patch(cluster: Cluster, machine: Machine, drain: Drain, arm: str) -> None:
@@ -118,7 +118,7 @@
 
 
 def _figures(
-    arm: str, seed: int, wants: list[Want], records: list[Record], clean: bool
+    arm: str, seed: int, specs: list[TaskSpec], records: list[Record], clean: bool
 ) -> PatchDay:
     accepted: dict[str, int] = {}
     running: dict[str, tuple[str, int, str]] = {}
@@ -146,16 +146,16 @@
             counts["patched"] += 1
     for task, since, _ in running.values():
         ran[task] = ran.get(task, 0) + last - since
-    wanted = sum(want.runs_us for want in wants)
-    run_share = sum(min(want.runs_us, ran.get(want.ident, 0)) for want in wants) / wanted
+    wanted = sum(spec.runs_us for spec in specs)
+    run_share = sum(min(spec.runs_us, ran.get(spec.ident, 0)) for spec in specs) / wanted
     in_time = sum(
-        want.ident in began and began[want.ident] - accepted.get(want.ident, 0) <= START_TARGET_US
-        for want in wants
+        spec.ident in began and began[spec.ident] - accepted.get(spec.ident, 0) <= START_TARGET_US
+        for spec in specs
     )
     return PatchDay(
         arm,
         seed,
-        len(wants),
+        len(specs),
         in_time,
         run_share,
         counts["moved"],
--- a/wingbarrow/lab/wants.py
+++ b/wingbarrow/lab/workload.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class TaskSpec:
     """A task to submit at `at_us` that runs for `runs_us`; memory in GiB."""
 
     at_us: int
@@ -46,10 +46,10 @@
     burst: tuple[tuple[float, float, float], ...] = ()
 
 
-def draw(mix: Mix, seconds: float, seed: int, prefix: str = "w") -> list[Want]:
+def draw(mix: Mix, seconds: float, seed: int, prefix: str = "w") -> list[TaskSpec]:
     """Poisson arrivals of a day of `seconds`; the same arguments give the same tasks."""
     rng, at = random.Random(seed), 0.0
-    out: list[Want] = []
+    out: list[TaskSpec] = []
     while True:
         factor = max((times for begin, end, times in mix.burst if begin <= at < end), default=1.0)
         at += rng.expovariate(mix.rate * factor)
@@ -67,7 +67,7 @@
             mix.federation[1] and task_class == "web" and rng.random() < mix.federation[1]
         )
         out.append(
-            Want(
+            TaskSpec(
                 int(at * SECOND),
                 f"{prefix}{len(out)}",
                 task_class,
@@ -90,25 +90,25 @@
     return "web"
 
 
-def job_value(want: Want, name: str, patience_us: int) -> dict[str, Any]:
-    """The Job object that an owner submits for a task; `want.ident` is its `lab/task` annotation."""
-    names_federation = {names.FEDERATION: want.federation} if want.federation else {}
+def job_value(spec: TaskSpec, name: str, patience_us: int) -> dict[str, Any]:
+    """The Job object that an owner submits for a task; `spec.ident` is its `lab/task` annotation."""
+    federation_note = {names.FEDERATION: spec.federation} if spec.federation else {}
     return {
         "apiVersion": "batch/v1",
         "kind": "Job",
         "metadata": {
             "name": name,
-            "labels": {names.CLASS: want.task_class, names.SERVICE: want.service},
+            "labels": {names.CLASS: spec.task_class, names.SERVICE: spec.service},
             "annotations": {
                 names.PATIENCE: f"{patience_us // 1000}ms",
-                names.EXPECTED: f"{want.runs_us // 1000}ms",
-                names.RUNS_FOR: f"{want.runs_us // 1000}ms",
-                **names_federation,
+                names.EXPECTED: f"{spec.runs_us // 1000}ms",
+                names.RUNS_FOR: f"{spec.runs_us // 1000}ms",
+                **federation_note,
             },
         },
         "spec": {
             "template": {
-                "metadata": {"annotations": {"lab/task": want.ident}},
+                "metadata": {"annotations": {"lab/task": spec.ident}},
                 "spec": {
                     "restartPolicy": "Never",
                     "containers": [
@@ -117,8 +117,8 @@
                             "image": "stand-in",
                             "resources": {
                                 "requests": {
-                                    "cpu": f"{want.cores * 1000:.0f}m",
-                                    "memory": f"{want.memory * 1024:.0f}Mi",
+                                    "cpu": f"{spec.cores * 1000:.0f}m",
+                                    "memory": f"{spec.memory * 1024:.0f}Mi",
                                 }
                             },
                         }
