--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -15,7 +15,7 @@
 SETTINGS = load_text(settings_text(0, 2, 1, 1))
 
 
-class Tape:
+class RecordingBuilder:
     """Builds a recording; times are in seconds."""
 
     def __init__(self) -> None:
@@ -92,16 +92,16 @@
         return audit(sorted(self.records, key=lambda record: record.at_us), SETTINGS)
 
 
-def clean() -> Tape:
-    tape = Tape()
-    tape.accept(1, "u")
-    tape.offer(1.1, "x-1-0")
-    tape.add(1.2, "n0", "answer", pod="x-1-0", status=409, reason="OutOfcpu")
-    tape.offer(1.3, "x-1-1", "n1")
-    tape.runs(1.5, "x-1-1", "n1")
-    tape.answer(1.6, "u", "placed")
-    tape.add(9, "n1", "end", pod="x-1-1", why="done")
-    return tape
+def clean() -> RecordingBuilder:
+    recording = RecordingBuilder()
+    recording.accept(1, "u")
+    recording.offer(1.1, "x-1-0")
+    recording.add(1.2, "n0", "answer", pod="x-1-0", status=409, reason="OutOfcpu")
+    recording.offer(1.3, "x-1-1", "n1")
+    recording.runs(1.5, "x-1-1", "n1")
+    recording.answer(1.6, "u", "placed")
+    recording.add(9, "n1", "end", pod="x-1-1", why="done")
+    return recording
 
 
 def test_a_clean_recording_is_clean() -> None:
@@ -115,55 +115,55 @@
     )
 
 
-def unanswered(tape: Tape) -> None:
-    tape.accept(2, "v")
+def unanswered(recording: RecordingBuilder) -> None:
+    recording.accept(2, "v")
 
 
-def test_what_is_not_due_when_the_recording_ends_is_no_breach() -> None:
-    tape = clean()
-    tape.accept(5, "v")
-    found = tape.audit()
+def test_an_answer_not_due_when_the_recording_ends_is_no_breach() -> None:
+    recording = clean()
+    recording.accept(5, "v")
+    found = recording.audit()
     assert found.clean
     assert found.open_at_end == 1
 
 
-def late_answer(tape: Tape) -> None:
-    tape.accept(2, "v")
-    tape.answer(7.1, "v", "refused")
+def late_answer(recording: RecordingBuilder) -> None:
+    recording.accept(2, "v")
+    recording.answer(7.1, "v", "refused")
 
 
-def two_answers(tape: Tape) -> None:
-    tape.answer(3, "u", "refused")
+def two_answers(recording: RecordingBuilder) -> None:
+    recording.answer(3, "u", "refused")
 
 
-def second_start(tape: Tape) -> None:
+def second_start(recording: RecordingBuilder) -> None:
     for turn, machine in enumerate(("n0", "n1")):
-        tape.offer(2 + turn, f"x-{turn + 5}-0", machine, "pay", "settlement", service="t")
-        tape.runs(2.5 + turn, f"x-{turn + 5}-0", machine, "pay", "settlement")
+        recording.offer(2 + turn, f"x-{turn + 5}-0", machine, "pay", "settlement", service="t")
+        recording.runs(2.5 + turn, f"x-{turn + 5}-0", machine, "pay", "settlement")
 
 
-def two_out(tape: Tape) -> None:
-    tape.offer(2, "x-7-0", "n0", "w", service="t")
-    tape.offer(2.1, "x-7-1", "n2", "w", service="t")
+def two_out(recording: RecordingBuilder) -> None:
+    recording.offer(2, "x-7-0", "n0", "w", service="t")
+    recording.offer(2.1, "x-7-1", "n2", "w", service="t")
 
 
-def draining(tape: Tape) -> None:
-    tape.told(2, "n2", "draining")
-    tape.offer(2.26, "x-8-0", "n2", "w", service="t")
+def draining(recording: RecordingBuilder) -> None:
+    recording.told(2, "n2", "draining")
+    recording.offer(2.26, "x-8-0", "n2", "w", service="t")
 
 
-def gone(tape: Tape) -> None:
-    tape.told(2, "n2", "gone")
-    tape.offer(3, "x-8-0", "n2", "w", service="t")
+def gone(recording: RecordingBuilder) -> None:
+    recording.told(2, "n2", "gone")
+    recording.offer(3, "x-8-0", "n2", "w", service="t")
 
 
-def cold(tape: Tape) -> None:
-    tape.add(2, "n2", "launch", cold=True, zone="a", cell="r1")
+def cold(recording: RecordingBuilder) -> None:
+    recording.add(2, "n2", "launch", cold=True, zone="a", cell="r1")
     for placer in ("p0", "p1"):
-        tape.told(2.1, "n2", "running", placer, "now")
+        recording.told(2.1, "n2", "running", placer, "now")
     for turn in range(21):
         placer = f"p{turn % 2}"
-        tape.offer(
+        recording.offer(
             3 + turn * 0.09,
             f"{placer}-{turn}-0",
             "n2",
@@ -171,58 +171,60 @@
             service=f"t{turn}",
             placer=placer,
         )
-        tape.runs(3.01 + turn * 0.09, f"{placer}-{turn}-0", "n2", f"w{turn}")
+        recording.runs(3.01 + turn * 0.09, f"{placer}-{turn}-0", "n2", f"w{turn}")
 
 
-def crowd(tape: Tape) -> None:
+def crowd(recording: RecordingBuilder) -> None:
     for turn in range(4):
-        tape.offer(2 + turn, f"x-{20 + turn}-0", f"n{turn % 2}", f"w{turn}", service="t")
-        tape.runs(2.1 + turn, f"x-{20 + turn}-0", f"n{turn % 2}", f"w{turn}")
+        recording.offer(2 + turn, f"x-{20 + turn}-0", f"n{turn % 2}", f"w{turn}", service="t")
+        recording.runs(2.1 + turn, f"x-{20 + turn}-0", f"n{turn % 2}", f"w{turn}")
 
 
-def after_end(tape: Tape) -> None:
-    tape.accept(2, "v")
-    tape.answer(3, "v", "refused")
-    tape.offer(3.1, "x-30-0", "n2", "v", service="t")
+def after_end(recording: RecordingBuilder) -> None:
+    recording.accept(2, "v")
+    recording.answer(3, "v", "refused")
+    recording.offer(3.1, "x-30-0", "n2", "v", service="t")
 
 
-def past_patience(tape: Tape) -> None:
-    tape.accept(2, "v", placer="p1")
-    tape.add(8, "p1", "killed")
-    tape.offer(7.5, "x-31-0", "n2", "v", service="t", placer="p1")
+def past_patience(recording: RecordingBuilder) -> None:
+    recording.accept(2, "v", placer="p1")
+    recording.add(8, "p1", "killed")
+    recording.offer(7.5, "x-31-0", "n2", "v", service="t", placer="p1")
 
 
-def deleted_runs_on(tape: Tape) -> None:
-    tape.accept(10, "gone")
-    tape.offer(10.1, "x-50-0", "n2", "gone", service="t")
-    tape.runs(10.2, "x-50-0", "n2", "gone")
-    tape.answer(10.3, "gone", "placed")
-    tape.add(11, "owner", "deleted", uid="gone", job="gone", placer="p0")
-    tape.add(21.5, "n0", "probe", placer="p0")
+def deleted_runs_on(recording: RecordingBuilder) -> None:
+    recording.accept(10, "gone")
+    recording.offer(10.1, "x-50-0", "n2", "gone", service="t")
+    recording.runs(10.2, "x-50-0", "n2", "gone")
+    recording.answer(10.3, "gone", "placed")
+    recording.add(11, "owner", "deleted", uid="gone", job="gone", placer="p0")
+    recording.add(21.5, "n0", "probe", placer="p0")
 
 
-def sent_though_deleted(tape: Tape) -> None:
-    tape.accept(10, "gone")
-    tape.add(11, "owner", "deleted", uid="gone", job="gone", placer="p0")
-    tape.offer(11.1, "x-51-0", "n2", "gone", service="t")
-    tape.add(11.2, "n2", "answer", pod="x-51-0", status=409, reason="OutOfcpu")
+def sent_though_deleted(recording: RecordingBuilder) -> None:
+    recording.accept(10, "gone")
+    recording.add(11, "owner", "deleted", uid="gone", job="gone", placer="p0")
+    recording.offer(11.1, "x-51-0", "n2", "gone", service="t")
+    recording.add(11.2, "n2", "answer", pod="x-51-0", status=409, reason="OutOfcpu")
 
 
-def crowd_over_a_restart(tape: Tape) -> None:
+def crowd_over_a_restart(recording: RecordingBuilder) -> None:
     for turn in range(3):
-        tape.offer(10 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
-        tape.runs(10.1 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}")
-    tape.add(14, "p0", "killed")
-    tape.offer(15, "y-1-0", "n1", "w9", service="t")
+        recording.offer(10 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
+        recording.runs(10.1 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}")
+    recording.add(14, "p0", "killed")
+    recording.offer(15, "y-1-0", "n1", "w9", service="t")
 
 
-def crowd_of_an_offer_that_its_killed_placer_never_heard_of(tape: Tape) -> None:
+def crowd_of_an_offer_that_its_killed_placer_never_heard_of(recording: RecordingBuilder) -> None:
     for turn in range(3):
-        tape.offer(10 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
-    tape.add(13, "p0", "killed")
+        recording.offer(10 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
+    recording.add(13, "p0", "killed")
     for turn in range(3):
-        tape.add(13.5, "n0", "start", pod=f"x-{20 + turn}-0", task=f"w{turn}", task_class="web")
-    tape.offer(15, "y-1-0", "n1", "w9", service="t")
+        recording.add(
+            13.5, "n0", "start", pod=f"x-{20 + turn}-0", task=f"w{turn}", task_class="web"
+        )
+    recording.offer(15, "y-1-0", "n1", "w9", service="t")
 
 
 @pytest.mark.parametrize(
@@ -246,76 +248,78 @@
     ],
 )
 def test_each_planted_breach_is_found_and_no_other(plant: Any, breach: str) -> None:
-    tape = clean()
-    plant(tape)
-    found = tape.audit()
+    recording = clean()
+    plant(recording)
+    found = recording.audit()
     assert not found.clean
     assert getattr(found, breach) == 1
     assert [name for name in BREACHES if getattr(found, name)] == [breach]
 
 
-def test_what_keeps_a_rule_just_so_is_no_breach() -> None:
-    tape = clean()
-    tape.told(2, "n2", "draining")
-    tape.offer(2.25, "x-8-0", "n2", "w", service="t")
-    tape.add(2.26, "n2", "answer", pod="x-8-0", status=409, reason="NodeShutdown")
-    tape.accept(2, "v")
-    tape.answer(7.008, "v", "refused")
+def test_offers_and_answers_exactly_at_a_limit_are_no_breach() -> None:
+    recording = clean()
+    recording.told(2, "n2", "draining")
+    recording.offer(2.25, "x-8-0", "n2", "w", service="t")
+    recording.add(2.26, "n2", "answer", pod="x-8-0", status=409, reason="NodeShutdown")
+    recording.accept(2, "v")
+    recording.answer(7.008, "v", "refused")
     for turn in range(3):
-        tape.offer(3 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="z")
-        tape.runs(3.1 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}")
-    tape.add(6, "n0", "end", pod="x-20-0", why="done")
-    tape.offer(6.1, "x-40-0", "n1", "w9", service="z")
-    tape.add(6.2, "n1", "closed", pod="x-40-0", why="reset")
-    tape.offer(6.3, "x-40-1", "n1", "w9", service="z")
-    assert tape.audit().clean
-
-
-def test_a_stall_over_the_deadline_is_told_apart_from_a_late_answer() -> None:
-    tape = clean()
-    tape.add(4, "p0", "hold", for_us=S)
-    tape.accept(1, "v", patience=3.5)
-    tape.answer(5, "v", "failed")
-    found = tape.audit()
+        recording.offer(3 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}", service="z")
+        recording.runs(3.1 + turn, f"x-{20 + turn}-0", "n0", f"w{turn}")
+    recording.add(6, "n0", "end", pod="x-20-0", why="done")
+    recording.offer(6.1, "x-40-0", "n1", "w9", service="z")
+    recording.add(6.2, "n1", "closed", pod="x-40-0", why="reset")
+    recording.offer(6.3, "x-40-1", "n1", "w9", service="z")
+    assert recording.audit().clean
+
+
+def test_a_hold_over_the_deadline_is_counted_apart_from_a_late_answer() -> None:
+    recording = clean()
+    recording.add(4, "p0", "hold", for_us=S)
+    recording.accept(1, "v", patience=3.5)
+    recording.answer(5, "v", "failed")
+    found = recording.audit()
     assert found.clean
     assert found.late_by_stall == 1
-    tape.records = [record for record in tape.records if record.what != "hold"]
-    assert tape.audit().late_answers == 1
+    recording.records = [record for record in recording.records if record.what != "hold"]
+    assert recording.audit().late_answers == 1
 
 
-def test_what_a_killed_placer_owed_is_its_owners() -> None:
-    tape = clean()
-    tape.accept(2, "v")
-    tape.add(3, "p0", "killed")
-    found = tape.audit()
+def test_jobs_open_when_their_placer_is_killed_are_left_to_their_owners() -> None:
+    recording = clean()
+    recording.accept(2, "v")
+    recording.add(3, "p0", "killed")
+    found = recording.audit()
     assert found.clean
     assert found.left_to_owners == 1
 
 
 def test_a_task_that_ends_before_its_offer_is_answered_no_longer_counts() -> None:
-    tape = clean()
-    tape.add(10, "n0", "hold", for_us=2 * S)
+    recording = clean()
+    recording.add(10, "n0", "hold", for_us=2 * S)
     for turn in range(3):
-        tape.offer(10.1, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
-        tape.add(10.2, "n0", "start", pod=f"x-{20 + turn}-0", task=f"w{turn}", task_class="web")
-        tape.add(12, "n0", "end", pod=f"x-{20 + turn}-0", why="done")
-        tape.add(12.01, "n0", "answer", pod=f"x-{20 + turn}-0", status=201, reason="")
-    tape.offer(13, "x-60-0", "n1", "w9", service="t")
-    assert tape.audit().clean
+        recording.offer(10.1, f"x-{20 + turn}-0", "n0", f"w{turn}", service="t")
+        recording.add(
+            10.2, "n0", "start", pod=f"x-{20 + turn}-0", task=f"w{turn}", task_class="web"
+        )
+        recording.add(12, "n0", "end", pod=f"x-{20 + turn}-0", why="done")
+        recording.add(12.01, "n0", "answer", pod=f"x-{20 + turn}-0", status=201, reason="")
+    recording.offer(13, "x-60-0", "n1", "w9", service="t")
+    assert recording.audit().clean
 
 
-def test_a_former_lifes_task_on_a_machine_that_stood_still_could_not_be_known() -> None:
-    tape = clean()
-    crowd_over_a_restart(tape)
-    tape.add(13.5, "n0", "hold", for_us=4 * S)
-    assert tape.audit().clean
+def test_a_task_of_a_killed_placer_process_on_a_held_machine_is_no_spread_overrun() -> None:
+    recording = clean()
+    crowd_over_a_restart(recording)
+    recording.add(13.5, "n0", "hold", for_us=4 * S)
+    assert recording.audit().clean
 
 
 def test_a_deleted_job_owes_no_answer() -> None:
-    tape = clean()
-    tape.accept(2, "v")
-    tape.add(3, "owner", "deleted", uid="v", job="v", placer="p0")
-    found = tape.audit()
+    recording = clean()
+    recording.accept(2, "v")
+    recording.add(3, "owner", "deleted", uid="v", job="v", placer="p0")
+    found = recording.audit()
     assert found.clean
     assert found.deleted_unanswered == 1
     assert found.left_to_owners == 0
--- a/tests/lab/test_days.py
+++ b/tests/lab/test_days.py
@@ -74,7 +74,7 @@
             assert found.accepted >= 200
 
 
-def test_a_generated_day_is_its_seeds_and_any_part_of_it_can_be_played() -> None:
+def test_a_generated_day_depends_on_its_seed_alone_and_any_part_of_it_can_be_run() -> None:
     troubles = generate(37, 40.0)
     assert troubles == generate(37, 40.0) != generate(38, 40.0)
     outcome = play(Play("generated", 37, 0.4, placers=2, seconds=6, only=(1, 3)))
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -50,13 +50,13 @@
         self.put(at, more.pop("where", like.where), "offer", **{**like.data, "pod": pod, **more})
 
 
-def late(tape: Recording) -> None:
-    accepted = tape.first("accepted", task_class="web")
+def late(recording: Recording) -> None:
+    accepted = recording.first("accepted", task_class="web")
     uid = accepted.data["uid"]
-    tape.records = [
-        r for r in tape.records if not (r.what == "answer" and r.data.get("uid") == uid)
+    recording.records = [
+        r for r in recording.records if not (r.what == "answer" and r.data.get("uid") == uid)
     ]
-    tape.put(
+    recording.put(
         accepted.at_us + 6 * S,
         "owner",
         "answer",
@@ -68,31 +68,31 @@
     )
 
 
-def unanswered(tape: Recording) -> None:
-    uid = tape.first("accepted", task_class="web").data["uid"]
-    tape.records = [
-        r for r in tape.records if not (r.what == "answer" and r.data.get("uid") == uid)
+def unanswered(recording: Recording) -> None:
+    uid = recording.first("accepted", task_class="web").data["uid"]
+    recording.records = [
+        r for r in recording.records if not (r.what == "answer" and r.data.get("uid") == uid)
     ]
 
 
-def second_answer(tape: Recording) -> None:
+def second_answer(recording: Recording) -> None:
     given = next(
         r
-        for r in tape.records
+        for r in recording.records
         if r.where == "owner" and r.what == "answer" and r.data["answer"] == "placed"
     )
-    tape.put(tape.end, "owner", "answer", **{**given.data, "answer": "failed"})
+    recording.put(recording.end, "owner", "answer", **{**given.data, "answer": "failed"})
 
 
-def second_start(tape: Recording) -> None:
-    start = tape.first("start", task_class="settlement")
-    tape.put(tape.end, start.where, "start", **{**start.data, "pod": "again"})
+def second_start(recording: Recording) -> None:
+    start = recording.first("start", task_class="settlement")
+    recording.put(recording.end, start.where, "start", **{**start.data, "pod": "again"})
 
 
-def draining(tape: Recording) -> None:
-    told = tape.first("told", phase="draining")
-    like = next(offer for offer in tape.offers if offer.data["placer"] == told.data["placer"])
-    tape.offer(
+def draining(recording: Recording) -> None:
+    told = recording.first("told", phase="draining")
+    like = next(offer for offer in recording.offers if offer.data["placer"] == told.data["placer"])
+    recording.offer(
         told.at_us + 300_000,
         like,
         "planted-1-0",
@@ -102,16 +102,16 @@
     )
 
 
-def cold(tape: Recording) -> None:
-    launch = tape.first("launch", cold=True)
+def cold(recording: Recording) -> None:
+    launch = recording.first("launch", cold=True)
     told = next(
         r
-        for r in tape.records
+        for r in recording.records
         if r.what == "told" and r.data["machine"] == launch.where and r.data["launched"]
     )
-    like = next(offer for offer in tape.offers if offer.data["placer"] == told.data["placer"])
+    like = next(offer for offer in recording.offers if offer.data["placer"] == told.data["placer"])
     for turn in range(25):
-        tape.offer(
+        recording.offer(
             told.at_us + S + turn * 1000,
             like,
             f"planted-{turn}-0",
@@ -121,28 +121,38 @@
         )
 
 
-def crowd(tape: Recording) -> None:
-    like = next(offer for offer in tape.offers if offer.data["task_class"] == "web")
+def crowd(recording: Recording) -> None:
+    like = next(offer for offer in recording.offers if offer.data["task_class"] == "web")
     for turn in range(4):
-        tape.offer(like.at_us + turn, like, f"planted-{turn}-0", uid="nobody", service="planted")
+        recording.offer(
+            like.at_us + turn, like, f"planted-{turn}-0", uid="nobody", service="planted"
+        )
 
 
-def after_end(tape: Recording) -> None:
-    accepted = tape.first("accepted", task_class="web")
-    like = next(offer for offer in tape.offers if offer.data["uid"] == accepted.data["uid"])
-    tape.put(accepted.at_us + 1, "owner", "deleted", uid=accepted.data["uid"], job="x", placer="x")
-    tape.offer(accepted.at_us + 2 * S, like, "planted-1-0", service="planted")
+def after_end(recording: Recording) -> None:
+    accepted = recording.first("accepted", task_class="web")
+    like = next(offer for offer in recording.offers if offer.data["uid"] == accepted.data["uid"])
+    recording.put(
+        accepted.at_us + 1, "owner", "deleted", uid=accepted.data["uid"], job="x", placer="x"
+    )
+    recording.offer(accepted.at_us + 2 * S, like, "planted-1-0", service="planted")
 
 
-def runs_on(tape: Recording) -> None:
+def runs_on(recording: Recording) -> None:
     start = next(
-        r for r in reversed(tape.records) if r.what == "start" and r.at_us < tape.end - 20 * S
+        r
+        for r in reversed(recording.records)
+        if r.what == "start" and r.at_us < recording.end - 20 * S
     )
-    offer = next(o for o in tape.offers if o.data["pod"] == start.data["pod"])
-    tape.records = [
-        r for r in tape.records if not (r.what == "end" and r.data.get("pod") == start.data["pod"])
+    offer = next(o for o in recording.offers if o.data["pod"] == start.data["pod"])
+    recording.records = [
+        r
+        for r in recording.records
+        if not (r.what == "end" and r.data.get("pod") == start.data["pod"])
     ]
-    tape.put(tape.end - 15 * S, "owner", "deleted", uid=offer.data["uid"], job="x", placer="x")
+    recording.put(
+        recording.end - 15 * S, "owner", "deleted", uid=offer.data["uid"], job="x", placer="x"
+    )
 
 
 def test_the_day_itself_is_clean(day: Outcome) -> None:
@@ -167,9 +177,9 @@
 def test_a_breach_planted_into_a_whole_day_is_found(
     day: Outcome, plant: Callable[[Recording], None], breach: str
 ) -> None:
-    tape = Recording(day)
-    plant(tape)
-    found = audit(tape.sorted(), day.cluster.placers[0].settings)
+    recording = Recording(day)
+    plant(recording)
+    found = audit(recording.sorted(), day.cluster.placers[0].settings)
     assert getattr(found, breach) >= 1, (
         breach,
         [name for name in BREACHES if getattr(found, name)],
--- a/wingbarrow/lab/machine.py
+++ b/wingbarrow/lab/machine.py
@@ -138,7 +138,7 @@
             self.port = self._server.port
             self.hub.spawn(self._server.serve, f"{self.name} serves")
             self.hub.spawn(self._admit, f"{self.name} admits")
-            self.hub.spawn(self._housekeep, f"{self.name} lives")
+            self.hub.spawn(self._housekeep, f"{self.name} housekeeping")
             ready.notify()
 
         self.hub.spawn(begin, f"{self.name} begins", self.domain)
--- a/wingbarrow/lab/offering.py
+++ b/wingbarrow/lab/offering.py
@@ -71,7 +71,7 @@
         )
         self.on_offer()
         watcher = self._hub.spawn(
-            lambda: self._watch_client(request, pod), f"{self._name} looks", self._domain
+            lambda: self._watch_client(request, pod), f"{self._name} watches a client", self._domain
         )
         try:
             return self._process(pod, request, value)
