--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -131,7 +131,9 @@
             )
             return error.code == 422
         except CallFailed as error:
-            self._record("owner", "submit-failed", placer=placer.name, job=name, why=error.why.name)
+            self._record(
+                "owner", "submit-failed", placer=placer.name, job=name, why=error.reason.name
+            )
             # The placer may have accepted it: a task that must not start twice is not submitted to another placer.
             unsent = type(error).__name__ == "NotSent"
             del self._submissions[index][name]
