--- a/wingbarrow/lab/audit.py
+++ b/wingbarrow/lab/audit.py
@@ -70,7 +70,7 @@
             self.notes.append(f"{at_us}: {name}: {detail}")
 
     def line(self) -> dict[str, Any]:
-        """The audit as the JSON object that ends a recording's report, without the notes."""
+        """The audit as a JSON object of kind `audit`, without the notes."""
         return {
             "kind": "audit",
             **{key: value for key, value in vars(self).items() if key != "notes"},
--- a/wingbarrow/lab/load.py
+++ b/wingbarrow/lab/load.py
@@ -103,7 +103,10 @@
             self.open -= 1
 
     def _submit(self, index: int, spec: TaskSpec, attempt: int) -> bool:
-        """Submit a task to one placer; False if it was certainly not accepted, so that another placer may be tried."""
+        """Submit a task to one placer; False if another placer may be tried.
+
+        True if it was accepted, is invalid (422), or may have been accepted and must not start twice.
+        """
         placer, patience = self._placers[index], PATIENCE_US[spec.task_class]
         self.submitted += 1
         name = f"{spec.ident}-{attempt}-{self.submitted}"
@@ -134,7 +137,8 @@
             self._record(
                 "owner", "submit-failed", placer=placer.name, job=name, why=error.reason.name
             )
-            # The placer may have accepted it: a task that must not start twice is not submitted to another placer.
+            # Unless nothing was sent, the placer may have accepted it: a task that must not start twice is then not
+            # submitted to another placer.
             unsent = type(error).__name__ == "NotSent"
             del self._submissions[index][name]
             return not unsent and spec.task_class == "settlement"
