--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -32,7 +32,7 @@
 from wingbarrow.lab.build import Build
 from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.limits import raise_descriptors
-from wingbarrow.lab.wants import Want, job_value
+from wingbarrow.lab.workload import TaskSpec, job_value
 from wingbarrow.transport import Hub, VirtualClock
 
 DEFAULT_SIZES = (1, 8, 64, 512)
@@ -41,7 +41,7 @@
 CLASS = "gang"
 CLASS_TEXT = f'class "{CLASS}" effect="safe" patience="20s" worth=1.0 priority=0 {{\n    served calm=0.8 fade=0.2\n}}\n'
 MACHINES = 24  # where all fit
-MACHINE = Build(kind="large", cores=48.0, memory=96.0, slots=6, line=64)
+MACHINE = Build(kind="large", cores=48.0, memory=96.0, slots=6, queue_length=64)
 MACHINE_MIB = 96 * 1024
 SHARE_MOST = 8  # tasks that fill a machine, where not all fit
 PATIENCE_US, RUNS_US = 20 * SECOND, 120 * SECOND
@@ -123,7 +123,7 @@
 
     def submit(self, name: str, tasks: int, memory_mib: int = 1024) -> JobRecord:
         """A gang, through the placer's front."""
-        want = Want(0, name, CLASS, name, 1.0, memory_mib / 1024, RUNS_US)
+        want = TaskSpec(0, name, CLASS, name, 1.0, memory_mib / 1024, RUNS_US)
         value = job_value(want, name, PATIENCE_US)
         value["spec"]["parallelism"] = tasks
         uid = call(Pool(self.hub, "127.0.0.1", self.slot.port), "POST", JOBS, names.encode(value))[
