--- a/wingbarrow/lab/fleet/judge.py
+++ b/wingbarrow/lab/fleet/judge.py
@@ -41,7 +41,7 @@
 
 from wingbarrow.config import load_file
 from wingbarrow.lab.audit import audit
-from wingbarrow.lab.fleet.judging.burials import judge_burials, judge_end
+from wingbarrow.lab.fleet.judging.dead_members import judge_dead_members, judge_end
 from wingbarrow.lab.fleet.judging.leases import judge_leases
 from wingbarrow.lab.fleet.judging.limits import judge_closures, judge_limits
 from wingbarrow.lab.fleet.judging.refusals import judge_refusals
@@ -55,7 +55,7 @@
     judge_limits,
     judge_refusals,
     judge_closures,
-    judge_burials,
+    judge_dead_members,
     judge_end,
     judge_leases,
     judge_turns,
--- a/wingbarrow/lab/fleet/judging/__init__.py
+++ b/wingbarrow/lab/fleet/judging/__init__.py
@@ -1,3 +1,3 @@
-"""What the judge of a run looks at, a file a concern; `run` reads what a play left, `verdict` is what comes out."""
+"""Checks that judge a run, one module a concern; `run` reads the run's files, `verdict` holds the result."""
 
 from __future__ import annotations
--- a/wingbarrow/lab/fleet/judging/burials.py
+++ b/wingbarrow/lab/fleet/judging/dead_members.py
@@ -10,27 +10,31 @@
 ALIVE = ("joined", "alive", "restarted")
 
 
-def judge_burials(run: Run, out: Verdict) -> None:
+def judge_dead_members(run: Run, out: Verdict) -> None:
     """Burials without cause, and deaths told late."""
-    window = run.rules.detection_bound_us(len(run.names))
+    window = run.swim.detection_bound_us(len(run.names))
     out.detect_stated_ms = window // 1000
     told: dict[tuple[str, str], list[int]] = defaultdict(list)
-    for teller, each in run.lines("member-dead"):
+    for teller, each in run.history_entries("member-dead"):
         at, member = each["at_us"], each["member"]
         told[teller, member].append(at)
         out.burials += 1
-        if not any(trouble.meets(at - window, at, teller, member) for trouble in run.troubles):
+        if not any(
+            trouble.overlaps(at - window, at, teller, member) for trouble in run.disturbances
+        ):
             out.breach(
                 "unfounded_burials",
                 f"{at}: {teller} buried {member}, of neither of which anything was wrong",
             )
     for name in run.names:
-        for life in run.up[name]:
+        for lifetime in run.lifetimes[name]:
             down = next(
                 (
                     each
-                    for each in run.troubles
-                    if each.who == name and not each.other and each.begin_us == life.end_us
+                    for each in run.disturbances
+                    if each.placer == name
+                    and not each.other_placer
+                    and each.begin_us == lifetime.end_us
                 ),
                 None,
             )
@@ -43,33 +47,33 @@
             for teller in run.names:
                 if teller != name:
                     since = [at for at in told[teller, name] if at >= down.begin_us]
-                    _judge_late(run, out, window, down, teller, since)
+                    _judge_detection_time(run, out, window, down, teller, since)
 
 
-def _judge_late(
+def _judge_detection_time(
     run: Run, out: Verdict, window: int, down: Span, teller: str, told: list[int]
 ) -> None:
     took = min(told) - down.begin_us if told else NEVER
     if took != NEVER and took <= window:
         out.detect_longest_ms = max(out.detect_longest_ms or 0, took // 1000)
     elif not any(
-        each.meets(down.begin_us, down.begin_us + window)
-        for each in run.troubles
+        each.overlaps(down.begin_us, down.begin_us + window)
+        for each in run.disturbances
         if each is not down
     ):
         out.breach(
             "late_burials",
-            f"{down.begin_us}: {teller} did not tell within the stated time that {down.who} is dead",
+            f"{down.begin_us}: {teller} did not tell within the stated time that {down.placer} is dead",
         )
 
 
 def judge_end(run: Run, out: Verdict) -> None:
     """Whether all that run hold each other for alive, and ended well."""
-    out.heal_stated_ms = run.rules.healing_bound_us(len(run.names)) // 1000
-    quiet = max((each.end_us for each in run.troubles if each.end_us != NEVER), default=0)
-    for teller in run.running():
-        thought = _standings(run, teller)
-        for member in run.running():
+    out.heal_stated_ms = run.swim.healing_bound_us(len(run.names)) // 1000
+    quiet = max((each.end_us for each in run.disturbances if each.end_us != NEVER), default=0)
+    for teller in run.running_at_end():
+        thought = _member_states(run, teller)
+        for member in run.running_at_end():
             standing, since = thought.get(member, ("never heard of", 0))
             if member == teller:
                 continue
@@ -86,7 +90,7 @@
         out.breach("ended_badly", "the run was not played to its end")
 
 
-def _standings(run: Run, teller: str) -> dict[str, tuple[str, int]]:
+def _member_states(run: Run, teller: str) -> dict[str, tuple[str, int]]:
     """What one thought of all others last, and since when."""
     out: dict[str, tuple[str, int]] = {}
     for each in run.histories[teller]:
--- a/wingbarrow/lab/fleet/judging/jobs.py
+++ b/wingbarrow/lab/fleet/judging/jobs.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Begun:
+class TaskRun:
     """A start at a machine; `until_us`: the lease's end as the machine last told of it, 0 for none."""
 
     at_us: int
@@ -20,9 +20,9 @@
     task_class: str
     session: str
     epoch: int
-    until_us: int
+    lease_until_us: int
     end_us: int = NEVER
-    why: str = ""  # of its end
+    end_reason: str = ""  # of its end
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     spec: str
     at_us: int
     answers: list[tuple[int, str, str]] = field(default_factory=list)
-    begun: list[Begun] = field(default_factory=list)
+    task_runs: list[TaskRun] = field(default_factory=list)
     offers: list[Record] = field(default_factory=list)
 
 
@@ -45,11 +45,11 @@
 
     def __init__(self, run: Run) -> None:
         self.jobs: dict[str, Job] = {}
-        self.begun: list[Begun] = []
+        self.task_runs: list[TaskRun] = []
         self.refused: dict[str, str] = {}  # by pod: the reason of a machine's refusal
         self._tasks: dict[str, list[Job]] = {}
-        self._first: dict[str, int] = {}  # by session: when it was seen first
-        running: dict[tuple[str, str], Begun] = {}
+        self._first_seen: dict[str, int] = {}  # by session: when it was seen first
+        running: dict[tuple[str, str], TaskRun] = {}
         for each in run.records:
             data = each.data
             if each.what == "accepted":
@@ -71,9 +71,9 @@
             elif each.what == "answer" and data["status"] != 201:
                 self.refused[data["pod"]] = data["reason"]
             elif each.what == "offer":
-                self._first.setdefault(data.get("session", ""), each.at_us)
+                self._first_seen.setdefault(data.get("session", ""), each.at_us)
             elif each.what == "start":
-                one = Begun(
+                task_run = TaskRun(
                     each.at_us,
                     each.where,
                     data["pod"],
@@ -84,26 +84,26 @@
                     data.get("epoch", 0),
                     data.get("until_us", 0),
                 )
-                self._first.setdefault(one.session, each.at_us)
-                running[each.where, one.pod] = one
-                self.begun.append(one)
+                self._first_seen.setdefault(task_run.session, each.at_us)
+                running[each.where, task_run.pod] = task_run
+                self.task_runs.append(task_run)
             elif (
                 each.what == "end"
                 and (found := running.pop((each.where, data["pod"]), None)) is not None
             ):
-                found.end_us, found.why = each.at_us, data["why"]
-                found.until_us = max(found.until_us, data.get("until_us", 0))
-        for one in self.begun:
-            job_of = self.of(one.uid, one.task)
-            if job_of is not None:
-                job_of.begun.append(one)
+                found.end_us, found.end_reason = each.at_us, data["why"]
+                found.lease_until_us = max(found.lease_until_us, data.get("until_us", 0))
+        for task_run in self.task_runs:
+            owner_job = self.job_of(task_run.uid, task_run.task)
+            if owner_job is not None:
+                owner_job.task_runs.append(task_run)
         for each in run.records:
             if each.what == "offer" and not each.data["late"]:
-                offered = self.of(_uid(each.data), each.data["task"])
+                offered = self.job_of(_uid(each.data), each.data["task"])
                 if offered is not None:
                     offered.offers.append(each)
 
-    def of(self, uid: str, task: str) -> Job | None:
+    def job_of(self, uid: str, task: str) -> Job | None:
         """Whose a start is; None where that is not certain."""
         job = self.jobs.get(uid)
         if job is None:
@@ -111,9 +111,9 @@
             return some[0] if len(some) == 1 else None
         return job
 
-    def seen_us(self, session: str) -> int:
+    def first_seen_us(self, session: str) -> int:
         """When a session was seen first at a machine."""
-        return self._first.get(session, 0)
+        return self._first_seen.get(session, 0)
 
 
 def _uid(data: dict[str, object]) -> str:
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -6,10 +6,10 @@
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.sessions.lease_times import holder_lease_us
 from wingbarrow.interface import Effect, Place
-from wingbarrow.lab.fleet.judging.formulas import reissued_after_us
-from wingbarrow.lab.fleet.judging.jobs import Begun, Job, Jobs
+from wingbarrow.lab.fleet.judging.connectivity import MajorityContact, Reachability
+from wingbarrow.lab.fleet.judging.formulas import min_reissue_delay_us
+from wingbarrow.lab.fleet.judging.jobs import Job, Jobs, TaskRun
 from wingbarrow.lab.fleet.judging.losses import judge_losses
-from wingbarrow.lab.fleet.judging.reach import Reach, Touch
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 
@@ -18,26 +18,30 @@
     """All lines that are about Jobs and regions."""
     if not run.regions:
         return
-    settings, jobs, reach = load_file(run.folder / f"{run.names[0]}.kdl"), Jobs(run), Reach(run)
+    settings, jobs, reach = (
+        load_file(run.folder / f"{run.names[0]}.kdl"),
+        Jobs(run),
+        Reachability(run),
+    )
     out.regions = sum(
         any(place[0] == region for place in run.machines.values()) for region in run.regions
     )
     out.leased = sum(
         run.specs.get(job.spec, {}).get("after_us", 0) > 0 for job in jobs.jobs.values()
     )
-    out.reissued = len({(one.uid, one.epoch) for one in jobs.begun if one.epoch})
+    out.reissued = len({(one.uid, one.epoch) for one in jobs.task_runs if one.epoch})
     _judge_starts(run, out, settings, jobs)
     _judge_regions(run, out, jobs)
     _judge_answers(out, jobs)
-    Past(run, out, jobs, reach).judge()
-    _judge_early(run, out, jobs)
+    LeaseOverruns(run, out, jobs, reach).judge()
+    _judge_early_reissues(run, out, jobs)
     judge_losses(run, out, settings, jobs, reach)
 
 
 def _judge_starts(run: Run, out: Verdict, settings: PlacerSettings, jobs: Jobs) -> None:
     """A never-twice task once over all regions; a keyed one not again within its window and group."""
-    seen: dict[str, Begun] = {}
-    for one in jobs.begun:
+    seen: dict[str, TaskRun] = {}
+    for one in jobs.task_runs:
         known = settings.classes.get(one.task_class)
         effect = known.task_class.effect if known else Effect.SAFE
         if effect is Effect.UNSAFE and one.task in seen:
@@ -51,12 +55,12 @@
         known = settings.classes.get(job.task_class)
         if known is None or known.task_class.effect is not Effect.KEYED:
             continue
-        for at, later in enumerate(job.begun):
+        for at, later in enumerate(job.task_runs):
             if any(
                 one.epoch < later.epoch
                 and later.at_us - one.at_us < known.task_class.window_us - run.slack_us
-                and _together(run, known.task_class.group, one, later)
-                for one in job.begun[:at]
+                and _same_group(run, known.task_class.group, one, later)
+                for one in job.task_runs[:at]
             ):
                 out.breach(
                     "double_starts",
@@ -64,7 +68,7 @@
                 )
 
 
-def _together(run: Run, group: Place, one: Begun, other: Begun) -> bool:
+def _same_group(run: Run, group: Place, one: TaskRun, other: TaskRun) -> bool:
     """Whether two machines are of one group, in which a key counts."""
     length = {Place.ALL: 0, Place.ZONE: 2, Place.CELL: 3}.get(group)
     if length is None:
@@ -77,7 +81,7 @@
 def _judge_regions(run: Run, out: Verdict, jobs: Jobs) -> None:
     for job in jobs.jobs.values():
         spec = run.specs.get(job.spec)
-        for one in job.begun if spec else ():
+        for one in job.task_runs if spec else ():
             region = run.machines.get(one.machine, [""])[0]
             if spec and region not in spec["regions"]:
                 out.breach(
@@ -97,14 +101,14 @@
             )
 
 
-class Past:
+class LeaseOverruns:
     """Sends and runs past their lease: by what machines told, and by when a session could be renewed at all.
 
     A session cannot be renewed while its holder hears of no leader with a majority, or is stopped; nor once its
     process has ended.
     """
 
-    def __init__(self, run: Run, out: Verdict, jobs: Jobs, reach: Reach) -> None:
+    def __init__(self, run: Run, out: Verdict, jobs: Jobs, reach: Reachability) -> None:
         self._run, self._out, self._jobs, self._reach = run, out, jobs, reach
 
     def judge(self) -> None:
@@ -115,52 +119,59 @@
             if each.what == "offer" and data.get("session") and not data["late"]:
                 told = data.get("until_us", 0)
                 if (told and each.at_us > told + run.slack_us) or any(
-                    begin + right < each.at_us < end for begin, end in self._gaps(data["session"])
+                    begin + right < each.at_us < end
+                    for begin, end in self._unrenewable_spans(data["session"])
                 ):
                     self._out.breach(
                         "past_lease",
                         f"{each.at_us}: {data['placer']} sent {data['pod']} past its lease",
                     )
         last = max([run.end_us, *(each.at_us for each in run.records)])
-        for one in self._jobs.begun:
+        for one in self._jobs.task_runs:
             end = min(one.end_us, last)
-            if one.session and self._outlived(one, end):
+            if one.session and self._outlived_lease(one, end):
                 self._out.breach(
                     "past_lease", f"{end}: {one.pod} ran on {one.machine} past its lease"
                 )
 
-    def _outlived(self, one: Begun, end_us: int) -> bool:
+    def _outlived_lease(self, one: TaskRun, end_us: int) -> bool:
         most = self._run.lease_us + self._run.slack_us
-        if one.end_us != NEVER and one.until_us and one.end_us > one.until_us + self._run.slack_us:
+        if (
+            one.end_us != NEVER
+            and one.lease_until_us
+            and one.end_us > one.lease_until_us + self._run.slack_us
+        ):
             return True
         return any(
             max(one.at_us, begin + most) < min(end_us, end)
-            for begin, end in self._gaps(one.session)
+            for begin, end in self._unrenewable_spans(one.session)
         )
 
-    def _gaps(self, session: str) -> list[tuple[int, int]]:
+    def _unrenewable_spans(self, session: str) -> list[tuple[int, int]]:
         placer = session.rsplit("/", 2)[0]
-        life = self._run.life(placer, self._jobs.seen_us(session))
-        if life is None:
+        lifetime = self._run.lifetime_at(placer, self._jobs.first_seen_us(session))
+        if lifetime is None:
             return []
-        return [(begin, end) for begin, end in self._reach.gaps(placer) if begin < life.end_us] + [
-            (life.end_us, NEVER)
-        ]
+        return [
+            (begin, end)
+            for begin, end in self._reach.unreachable_spans(placer)
+            if begin < lifetime.end_us
+        ] + [(lifetime.end_us, NEVER)]
 
 
-def _judge_early(run: Run, out: Verdict, jobs: Jobs) -> None:
+def _judge_early_reissues(run: Run, out: Verdict, jobs: Jobs) -> None:
     """A start under a later epoch while a machine still holds the former one's lease, or before it can have ended."""
-    touch, grants = Touch(run), Timing().reacquire_us()
+    touch, grants = MajorityContact(run), Timing().reacquire_us()
     ended: dict[str, int] = {}
-    for _, each in run.lines("session-ended"):
+    for _, each in run.history_entries("session-ended"):
         ended.setdefault(each["session"], each["at_us"])
     afters = [each["after_us"] for each in run.specs.values() if each["after_us"]]
     for job in jobs.jobs.values():
-        for later in job.begun:
+        for later in job.task_runs:
             held = max(
                 (
                     until
-                    for at, epoch, until, _ in _copies(job)
+                    for at, epoch, until, _ in _lease_copies(job)
                     if epoch < later.epoch and at <= later.at_us
                 ),
                 default=0,
@@ -173,21 +184,23 @@
                 )
                 continue
             for session in {
-                session for _, epoch, _, session in _copies(job) if session and epoch < later.epoch
+                session
+                for _, epoch, _, session in _lease_copies(job)
+                if session and epoch < later.epoch
             }:
                 holder, until = (
                     session.rsplit("/", 2)[0],
                     min(later.at_us, ended.get(session, NEVER)),
                 )
-                life = run.life(holder, jobs.seen_us(session))
-                if life is None:
+                lifetime = run.lifetime_at(holder, jobs.first_seen_us(session))
+                if lifetime is None:
                     continue
-                # A later life proves that this one is over: its session ends without `after`.
-                anew = run.life(holder, until) != life
-                least = reissued_after_us(
+                # A later lifetime proves that this one is over: its session ends without `after`.
+                anew = run.lifetime_at(holder, until) != lifetime
+                least = min_reissue_delay_us(
                     run.lease_us, 0 if anew else min(afters, default=0), Timing()
                 )
-                well = touch.last(holder, min(until, life.end_us), life.begin_us, grants)
+                well = touch.latest(holder, min(until, lifetime.end_us), lifetime.begin_us, grants)
                 if well is not None and later.at_us < well + least - run.slack_us:
                     out.breach(
                         "early_reissues",
@@ -197,7 +210,7 @@
                     break
 
 
-def _copies(job: Job) -> list[tuple[int, int, int, str]]:
+def _lease_copies(job: Job) -> list[tuple[int, int, int, str]]:
     """What machines told of a Job's offers and runs: (when, epoch, leased until, session)."""
     return [
         *(
@@ -209,5 +222,5 @@
             )
             for each in job.offers
         ),
-        *((one.at_us, one.epoch, one.until_us, one.session) for one in job.begun),
+        *((one.at_us, one.epoch, one.lease_until_us, one.session) for one in job.task_runs),
     ]
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -11,7 +11,7 @@
 
 def judge_limits(run: Run, out: Verdict) -> None:
     """Whether one was passed at the sockets, or more is held at the end than there is."""
-    limits = loosest(run.texts.values())
+    limits = loosest(run.rule_sets.values())
     last = {
         name: [
             each["shares"]
@@ -23,7 +23,7 @@
     shares = {
         name: found[-1]
         for name, found in last.items()
-        if found and run.up[name][-1].end_us == NEVER
+        if found and run.lifetimes[name][-1].end_us == NEVER
     }
     for words in (*over(limits, run.records), *unaccounted(limits, shares)):
         out.breach("limit_overs", words)
@@ -42,7 +42,7 @@
         + run.slack_us
     )
     first: dict[str, int] = {}  # when a verdict that still holds was heard of first
-    for name, each in run.lines("verdicts"):
+    for name, each in run.history_entries("verdicts"):
         at = each["at_us"]
         for machine in each["machines"]:
             out.closures += 1
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -13,45 +13,47 @@
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.lab.fleet.holding import loosest
-from wingbarrow.lab.fleet.judging.reach import Touch
+from wingbarrow.lab.fleet.judging.connectivity import MajorityContact
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 from wingbarrow.lab.record import Record
 
-USED = 0.6  # of a limit: under that nobody is turned away
+MIN_USED_SHARE = 0.6  # of a limit: under that nobody is turned away
 _LIMIT = re.compile(r"limit (\S+) of the whole fleet")
 _NO_RULES = "may act on no rules"
 
 
-class Stood:
+class QuotaUse:
     """What stood at the stand-ins at a time, of a class or of all."""
 
     def __init__(self, records: list[Record]) -> None:
         self._records = records
         self._spans: dict[str, list[tuple[int, int]]] = {}
-        self._taken: dict[str, list[int]] = {}
+        self._accept_times: dict[str, list[int]] = {}
 
     def at(self, limit: FleetLimit, at_us: int, slack_us: int) -> int:
         """So much of a limit was in use, at any time of the slack before."""
         wanted = limit.name if limit.about == "class" else ""
         if limit.kind == "rate":
-            taken = self._accepted(wanted)
+            taken = self._accepted_at(wanted)
             return bisect_right(taken, at_us) - bisect_left(
                 taken, at_us - limit.window_us - slack_us
             )
-        return sum(begin <= at_us and at_us - slack_us <= end for begin, end in self._open(wanted))
+        return sum(
+            begin <= at_us and at_us - slack_us <= end for begin, end in self._in_use_spans(wanted)
+        )
 
-    def _accepted(self, task_class: str) -> list[int]:
-        if task_class not in self._taken:
-            self._taken[task_class] = sorted(
+    def _accepted_at(self, task_class: str) -> list[int]:
+        if task_class not in self._accept_times:
+            self._accept_times[task_class] = sorted(
                 each.at_us
                 for each in self._records
                 if each.what == "submit-failed"
                 or (each.what == "accepted" and task_class in ("", each.data["task_class"]))
             )
-        return self._taken[task_class]
+        return self._accept_times[task_class]
 
-    def _open(self, task_class: str) -> list[tuple[int, int]]:
+    def _in_use_spans(self, task_class: str) -> list[tuple[int, int]]:
         if task_class in self._spans:
             return self._spans[task_class]
         out: list[tuple[int, int]] = []
@@ -82,7 +84,11 @@
     out.starved = len(run.starved)
     out.needless_stated_ms = Timing().reacquire_us() // 1000
     stated_us = Timing().reacquire_us() + run.slack_us
-    limits, touch, stood = loosest(run.texts.values()), Touch(run), Stood(run.records)
+    limits, touch, stood = (
+        loosest(run.rule_sets.values()),
+        MajorityContact(run),
+        QuotaUse(run.records),
+    )
     for each in run.records:
         if each.what != "turned-away" or each.at_us > (run.end_us or NEVER):
             continue
@@ -91,7 +97,7 @@
         if found and each.data["code"] == 429 and found[1] in limits:
             limit = limits[found[1]]
             used = stood.at(limit, at, run.slack_us)
-            if used < USED * limit.most and touch.since(placer, at - stated_us, at):
+            if used < MIN_USED_SHARE * limit.most and touch.throughout(placer, at - stated_us, at):
                 out.breach(
                     "needless_refusals",
                     f"{at}: {placer} turned away by {limit.key}, {used} of {limit.most} were in use",
@@ -99,7 +105,7 @@
         elif (
             each.data["code"] == 503
             and _NO_RULES in why
-            and touch.since(placer, at - stated_us, at)
+            and touch.throughout(placer, at - stated_us, at)
         ):
             out.breach(
                 "needless_refusals",
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -8,7 +8,7 @@
 from wingbarrow.decide.rulesets.comparison import allows, keeps_floor
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.lab.fleet.judging.formulas import TURN_US
+from wingbarrow.lab.fleet.judging.formulas import MAX_HUB_TURN_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 from wingbarrow.lab.record import Record
@@ -16,31 +16,31 @@
 
 def judge_rules(run: Run, out: Verdict) -> None:
     """Judge each offer by the rules that it was made under."""
-    Sends(run, out).judge()
-    _judge_last(run, out)
+    OfferChecks(run, out).judge()
+    _judge_final_rules(run, out)
 
 
-def edition_of(label: str) -> int:
+def edition_number(label: str) -> int:
     """The number of an edition's label; 0 for a floor's, or none."""
     return int(label[1:]) if label.startswith("e") and label[1:].isdecimal() else 0
 
 
-class Sends:
+class OfferChecks:
     """All offers of a run, and from when to when each edition was in use."""
 
     def __init__(self, run: Run, out: Verdict) -> None:
         self._run, self._out = run, out
-        self._sends = [
+        self._offers = [
             each for each in run.records if each.what == "offer" and not each.data["late"]
         ]
         self._first: dict[int, int] = {}
         self._last: dict[int, int] = {}
-        for each in self._sends:
-            edition = edition_of(each.data["rules"])
+        for each in self._offers:
+            edition = edition_number(each.data["rules"])
             if edition:
                 self._first.setdefault(edition, each.at_us)
                 self._last[edition] = each.at_us
-        self._stated_us = Timing().overlap_us(TURN_US) + run.slack_us
+        self._stated_us = Timing().overlap_us(MAX_HUB_TURN_US) + run.slack_us
 
     def judge(self) -> None:
         """Judge them."""
@@ -48,10 +48,10 @@
         out.versions = sum(each["what"] == "accepted" for each in run.events)
         out.editions, out.stated_ms = len(self._first), self._stated_us // 1000
         self._judge_labels()
-        for each in self._sends:
-            rules = run.texts.get(each.data["rules"])
+        for each in self._offers:
+            rules = run.rule_sets.get(each.data["rules"])
             if rules is None:
-                self._contradicts(each, "under rules that no history knows")
+                self._report_contradiction(each, "under rules that no history knows")
                 continue
             closed = {
                 *rules.barred,
@@ -65,11 +65,11 @@
                     f"{each.at_us}: {each.data['placer']} to {each.where} against "
                     f"{each.data['rules']}",
                 )
-            if edition_of(each.data["rules"]):
-                self._judge_send(each, rules)
+            if edition_number(each.data["rules"]):
+                self._judge_edition_offer(each, rules)
             else:
                 out.sends_on_floor += 1
-                self._judge_floor(each, rules)
+                self._judge_floor_offer(each, rules)
 
     def _judge_labels(self) -> None:
         first: dict[str, str] = {}
@@ -85,25 +85,25 @@
                         "contradictions", f"{name} knows other rules as {each['label']}"
                     )
 
-    def _contradicts(self, send: Record, words: str) -> None:
+    def _report_contradiction(self, send: Record, words: str) -> None:
         self._out.breach(
             "contradictions",
             f"{send.at_us}: {send.data['placer']} sent {send.data['pod']} under "
             f"{send.data['rules'] or 'no label'}: {words}",
         )
 
-    def _judge_send(self, send: Record, rules: RuleSet) -> None:
-        edition = edition_of(send.data["rules"])
+    def _judge_edition_offer(self, send: Record, rules: RuleSet) -> None:
+        edition = edition_number(send.data["rules"])
         later = [
             number
             for number, at in self._first.items()
             if number >= edition + 2 and at < send.at_us
         ]
         if later:
-            self._contradicts(send, f"e{max(later)} was in use")
+            self._report_contradiction(send, f"e{max(later)} was in use")
             return
         following, since = (
-            self._run.texts.get(f"e{edition + 1}"),
+            self._run.rule_sets.get(f"e{edition + 1}"),
             self._first.get(edition + 1, NEVER),
         )
         if following is not None and since < send.at_us and not allows(rules, following):
@@ -112,30 +112,32 @@
                 self._out.longest_contradiction_ms, took // 1000
             )
             if took > self._stated_us:
-                self._contradicts(send, f"{took // 1000} ms after e{edition + 1} was in use")
+                self._report_contradiction(
+                    send, f"{took // 1000} ms after e{edition + 1} was in use"
+                )
 
-    def _judge_floor(self, send: Record, rules: RuleSet) -> None:
+    def _judge_floor_offer(self, send: Record, rules: RuleSet) -> None:
         for edition, since in self._first.items():
-            known = self._run.texts.get(f"e{edition}")
+            known = self._run.rule_sets.get(f"e{edition}")
             if (
                 since <= send.at_us <= self._last[edition]
                 and known is not None
                 and not keeps_floor(rules, known)
             ):
-                self._contradicts(send, f"e{edition}, in use, forbids some of it")
+                self._report_contradiction(send, f"e{edition}, in use, forbids some of it")
 
 
-def _judge_last(run: Run, out: Verdict) -> None:
+def _judge_final_rules(run: Run, out: Verdict) -> None:
     accepted = [each["rules"] for each in run.events if each["what"] == "accepted"]
     drained, unsure = _drained(run)
-    for name in run.running() if accepted else ():
+    for name in run.running_at_end() if accepted else ():
         told = [
             each["label"]
             for each in run.histories[name]
             if each["what"] == "rules" and each["at_us"] <= run.end_us
         ]
         # Drains that the rig had asked for stay through a proposal, which does not speak of them.
-        last = run.texts.get(told[-1]) if told else None
+        last = run.rule_sets.get(told[-1]) if told else None
         if last is None or replace(last, asked=(), cancelled=()) != parse_rule_set(accepted[-1]):
             out.breach(
                 "not_on_last",
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from wingbarrow.decide.maintenance.drain_plan import PlanRules, Scope
-from wingbarrow.lab.fleet.judging.formulas import KNOWN_US
+from wingbarrow.lab.fleet.judging.formulas import MACHINE_STATE_DELAY_US
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 
-AGE_US = 600_000_000  # what has waited for so long counts as one more urgent
-TAKEN = ("closing", "empty", "out", "back")
+URGENCY_AGE_US = 600_000_000  # what has waited for so long counts as one more urgent
+CLOSED_STATES = ("closing", "empty", "out", "back")
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
         if each["what"] == "turn-asked" and isinstance(each["number"], int)
     }
     out.turns = len(turns)
-    for _, each in run.lines("turn"):
+    for _, each in run.history_entries("turn"):
         turn = turns.setdefault(each["number"], Turn(each["number"], each["machine"], 0, NEVER, 0))
         turn.entered.setdefault("back" if each["state"] == "over" else each["state"], each["at_us"])
     for record in run.records:
@@ -69,7 +69,7 @@
             for each in turns
             if each.since_us("out") <= at < each.since_us("back", "done")
         }
-        gone |= _lost(run, at)
+        gone |= _lost_machines(run, at)
         for budget in PlanRules().budgets:
             length = {Scope.CELL: 3, Scope.ZONE: 2}.get(budget.scope)
             if length is None:
@@ -86,7 +86,7 @@
                 break
 
 
-def _lost(run: Run, at_us: int) -> set[str]:
+def _lost_machines(run: Run, at_us: int) -> set[str]:
     """Machines that were down at a time and for long before it."""
     down: dict[str, int] = {}
     for each in run.records:
@@ -96,7 +96,7 @@
             down[each.where] = each.at_us
         elif each.what == "launch":
             down.pop(each.where, None)
-    return {name for name, since in down.items() if since <= at_us - KNOWN_US}
+    return {name for name, since in down.items() if since <= at_us - MACHINE_STATE_DELAY_US}
 
 
 def _judge_order(run: Run, out: Verdict, turns: list[Turn]) -> None:
@@ -106,7 +106,7 @@
     region.
     """
     for later in turns:
-        at = later.since_us(*TAKEN)
+        at = later.since_us(*CLOSED_STATES)
         for other in turns if at != NEVER and later.asked_us != NEVER else ():
             if (
                 other is later
@@ -115,13 +115,13 @@
             ):
                 continue
             waited = (
-                other.asked_us <= at - KNOWN_US
-                and other.since_us(*TAKEN, "given-back") > at + KNOWN_US
+                other.asked_us <= at - MACHINE_STATE_DELAY_US
+                and other.since_us(*CLOSED_STATES, "given-back") > at + MACHINE_STATE_DELAY_US
             )
             if (
                 waited
-                and _level(other) < _level(later)
-                and not any(_shaken(run, each.machine, at) for each in (other, later))
+                and _queue_rank(other) < _queue_rank(later)
+                and not any(_recently_disturbed(run, each.machine, at) for each in (other, later))
             ):
                 out.breach(
                     "turn_disorder",
@@ -130,20 +130,23 @@
                 )
 
 
-def _level(turn: Turn) -> int:
+def _queue_rank(turn: Turn) -> int:
     """The first part of the settled order: urgency, one more for each period of waiting."""
-    return turn.wall_us // AGE_US - turn.urgency
+    return turn.wall_us // URGENCY_AGE_US - turn.urgency
 
 
-def _shaken(run: Run, machine: str, at_us: int) -> bool:
+def _recently_disturbed(run: Run, machine: str, at_us: int) -> bool:
     """Whether a machine, or a placer of its region, was away lately."""
     names = run.regions.get(run.machines[machine][0], run.names)
     return any(
         each.where == machine
         and each.what in ("die", "launch")
-        and at_us - 2 * KNOWN_US <= each.at_us <= at_us
+        and at_us - 2 * MACHINE_STATE_DELAY_US <= each.at_us <= at_us
         for each in run.records
-    ) or any(each.meets(at_us - 2 * KNOWN_US, at_us, *names) for each in run.troubles)
+    ) or any(
+        each.overlaps(at_us - 2 * MACHINE_STATE_DELAY_US, at_us, *names)
+        for each in run.disturbances
+    )
 
 
 def _judge_work(run: Run, out: Verdict) -> None:
--- a/wingbarrow/lab/fleet/judging/verdict.py
+++ b/wingbarrow/lab/fleet/judging/verdict.py
@@ -1,4 +1,4 @@
-"""What a run came to."""
+"""The verdict on a run: counts of breaches, and the measured and stated times."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Verdict:
-    """What a run came to; times in milliseconds, None where nothing of the kind happened."""
+    """The verdict on a run; times in milliseconds, None where nothing of the kind was measured."""
 
     placers: int
     sends: int = 0
@@ -43,8 +43,8 @@
     unfounded_burials: int = 0
     late_burials: int = 0
     not_healed: int = 0
-    versions: int = 0  # accepted while it was played
-    editions: int = 0  # in use
+    versions: int = 0  # of the rules, accepted during the run
+    editions: int = 0  # of the rules, in use
     contradictions: int = 0
     longest_contradiction_ms: int = 0
     stated_ms: int = 0
@@ -53,19 +53,21 @@
     turned_away: int = 0  # by a limit of the whole fleet
     needless_refusals: int = 0
     needless_stated_ms: int = 0
-    starved: int = 0  # half seconds in which a process got no processor for a fifth: no refusal is needless then
-    closures: int = 0  # of a machine to a placer, by a verdict
+    starved: int = (
+        0  # half seconds with no processor for a fifth of them, in which no refusal is needless
+    )
+    closures: int = 0  # by outlier verdicts, one for each machine and placer
     unfounded_closures: int = 0
     not_on_last: int = 0
     sends_on_floor: int = 0
-    ended_badly: int = 0  # processes that ended by themselves, or not with status 0 when asked to
+    ended_badly: int = 0  # processes that ended unasked, or with a status other than 0
     detect_stated_ms: int = 0
     detect_longest_ms: int | None = None
     heal_stated_ms: int = 0
     heal_longest_ms: int | None = None
     slack_ms: int = 0
-    regions: int = 0  # with machines; all that follows is about them
-    leased: int = 0  # Jobs accepted
+    regions: int = 0  # with machines; the fields below are about regions
+    leased: int = 0  # Jobs accepted with a lease
     reissued: int = 0  # Jobs started again by a successor
     double_starts: int = 0
     past_lease: int = 0
@@ -76,7 +78,9 @@
     turn_overs: int = 0
     worked_on_busy: int = 0
     turn_disorder: int = 0
-    double_answers: int = 0  # by two placers; with the audit's, by one
+    double_answers: int = (
+        0  # by two placers; `line` adds those by one placer, which the audit counts
+    )
     stated_reissue_ms: int = 0
     longest_reissue_ms: int = 0
     audit: Audit = field(default_factory=Audit)
@@ -84,22 +88,22 @@
 
     @property
     def broken(self) -> list[str]:
-        """Names of the lines that are not 0, beside the audit's."""
+        """Names of the breach counts that are not 0, without the audit's."""
         return [name for name in BREACHES if getattr(self, name)]
 
     @property
     def clean(self) -> bool:
-        """Whether nothing was broken."""
+        """Whether neither this verdict nor the audit counted a breach."""
         return self.audit.clean and not self.broken
 
-    def breach(self, name: str, words: str) -> None:
-        """Count one of a kind, and note it while there is room."""
+    def breach(self, name: str, note: str) -> None:
+        """Counts one breach and notes it, up to `MAX_NOTES` notes."""
         setattr(self, name, getattr(self, name) + 1)
         if len(self.notes) < MAX_NOTES:
-            self.notes.append(words)
+            self.notes.append(note)
 
     def line(self) -> dict[str, Any]:
-        """The last line of a run."""
+        """The JSON object that ends the output of a run, with the audit's counts."""
         own = {key: value for key, value in vars(self).items() if key not in ("audit", "notes")}
         audit = {key: value for key, value in self.audit.line().items() if key != "kind"}
         return {
