--- a/wingbarrow/lab/fleet/judge.py
+++ b/wingbarrow/lab/fleet/judge.py
@@ -1,37 +1,40 @@
-"""The judge of a fleet's run: from the rig's events, the recording at the stand-ins and the processes' histories.
+"""Judges a run of a fleet, from the rig's events, the stand-ins' recording and the processes' histories.
 
-It asks no process anything and shares no code with what it judges, but for the formulas of the stated times. What it
-holds the fleet to, beside the audit's five rules (each concern a file of `judging`):
+The judge queries no process, and shares no code with the processes that it judges except the formulas of the stated
+times. Besides the audit's five rules it counts the following breaches; each concern is a module of `judging`:
 
-- **unfounded burial**: a placer told that another is dead, though neither was stopped or down, and no link of either
-  had a fault, at any time of the stated detection time before;
-- **late burial**: a placer was killed and stayed down for longer than the stated detection time, while no other fault
-  was on, and another that ran all the while did not tell so within that time;
-- **contradiction**: an offer under an edition of the rules after one two further on was in use, or for longer than the
-  stated time after the next one that forbids some of it was in use; under rules that another placer knows otherwise by
-  the same label; under a floor that allows what an edition in use forbids; or under no label;
-- **forbidden send**: to a machine that the offer's own rules bar or have drained, or of a class that they lack;
+- **unfounded burial**: a placer declared another dead, although neither was stopped or down, nor had a link of either a
+  fault, at any time within the stated detection time before;
+- **late burial**: a placer was killed and stayed down for longer than the stated detection time, there was no other
+  fault in that time, and another placer that ran throughout did not declare it dead within that time;
+- **contradiction**: an offer under an edition of the rules after the edition two numbers later was in use; or later
+  than the stated time after the next edition was in use, if that forbids something that the offer's edition allows; or
+  under rules that another placer has differently under the same label; or under a floor that allows what an edition in
+  use forbids; or under no label;
+- **forbidden send**: an offer to a machine that its own rules bar or have drained, or of a class that they lack;
 - **limit over**: more tasks ran at once, or were accepted within the window, than a limit of the whole fleet allows, or
-  more rights are held at the end than there are;
-- **needless refusal**: turned away by a limit of the fleet that was used to less than 0.6, or for want of rules, by a
-  placer that had been in touch with a majority of the voters for longer than the stated time;
-- **unfounded closure**: a verdict closed a machine though fewer placers than its terms want had a start fail there;
-- **not on the last**: a placer that runs at the end acts on other rules than those accepted last, or has other machines
-  drained than were asked for and not taken back;
-- **not healed**: a stated time after the last fault, one that runs does not hold another that runs for alive.
+  more rights are held at the end than exist;
+- **needless refusal**: a refusal for a limit of the fleet that was used to less than 0.6, or for lack of rules, by a
+  placer that had been in contact with a majority of the voters for longer than the stated time;
+- **unfounded closure**: an outlier verdict closed a machine although fewer placers than its settings require had a
+  failed start there;
+- **not on the last**: a placer that runs at the end acts on rules other than those accepted last, or has drained other
+  machines than those whose drain was requested and not cancelled;
+- **not healed**: a stated time after the last fault, a running placer does not consider another running one alive.
 
 Over regions:
 
-- **double start**: of a task that must not start twice, anywhere; of a keyed one by a successor, within its window and
-  group;
-- **past lease**: an offer or a run past what its machine was told, or past what its session can have been renewed for:
-  not since its holder last heard a leader with a majority, or ran (by more than the slack);
-- **early reissue**: a start under a later epoch while a machine still holds the lease of the one before, or sooner than
-  the voters' reckoning allows after its holder was surely in touch;
-- **lost run**: leased safe work of a region that was lost, with all others well, that did not run again in time;
-- **forbidden region**: a run where its spec does not allow it;
-- **turn over**, **worked on busy**, **turn disorder**: a machine out beyond a budget, worked on with a task on it, or
-  closed before one of its cell that stood earlier;
+- **double start**: a second start of an unsafe task in any region, or of a keyed task by a successor within its window
+  and group;
+- **past lease**: an offer or a run after the end of the lease that its machine recorded, or after the time until
+  which its session can have been renewed: its holder has since not run, or not been in contact with a leader that has
+  a majority (by more than the slack);
+- **early reissue**: a start under a later epoch while a machine still holds the lease of an earlier one, or sooner after
+  its holder was certainly in contact than the voters can have ended the session;
+- **lost run**: leased safe work of a lost region that did not run again in time, with all other regions undisturbed;
+- **forbidden region**: a run in a region that its spec does not allow;
+- **turn over**, **worked on busy**, **turn disorder**: a machine out beyond a budget, worked on while it had a task, or
+  closed before one of its cell that was earlier in the queue;
 - **double answer**: final answers of two placers for one Job.
 """
 
@@ -63,7 +66,10 @@
 
 
 def judge(folder: Path) -> Verdict:
-    """Judge a run by what it left."""
+    """Judge a run by the files in its directory.
+
+    Counts breaches in the verdict instead of raising them.
+    """
     run = Run(folder)
     out = Verdict(
         len(run.names),
--- a/wingbarrow/lab/fleet/judging/connectivity.py
+++ b/wingbarrow/lab/fleet/judging/connectivity.py
@@ -1,7 +1,7 @@
-"""Who could hear whom when, by the rig's own events: cuts, isolations, stops, kills.
+"""Which placers could exchange messages when, from the rig's own events: cuts, isolations, stops, kills.
 
-`Touch` errs on one side and `Reach` on the other: whoever was in touch surely had a majority, whoever was out of reach
-surely had none. In between, on slow or lossy links, nothing is said.
+The two classes err on opposite sides: a placer in `MajorityContact` certainly reached a majority of the voters, one
+that `Reachability` lists as unreachable certainly did not. Between the two, as on slow or lossy links, neither decides.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class MajorityContact:
-    """From when to when each placer was in touch with a majority of the voters."""
+    """The times at which a placer was certainly in contact with a majority of the voters."""
 
     def __init__(self, run: Run) -> None:
         self._run = run
@@ -32,17 +32,20 @@
         for each in (*run.stops, *run.starved):
             self._absent[each.placer].append((each.begin_us, each.end_us))
 
-    def throughout(self, who: str, begin_us: int, end_us: int) -> bool:
-        """Whether it was in touch with one majority all the time between."""
-        others = [name for name in self._run.voters if name != who]
-        wanted = len(self._run.voters) // 2 + 1 - (who in self._run.voters)
+    def throughout(self, placer: str, begin_us: int, end_us: int) -> bool:
+        """Whether a placer was in contact with one and the same majority for a whole period, bounds included."""
+        others = [name for name in self._run.voters if name != placer]
+        needed = len(self._run.voters) // 2 + 1 - (placer in self._run.voters)
         return any(
-            self._all_connected((who, *some), begin_us, end_us)
-            for some in combinations(others, wanted)
+            self._all_connected((placer, *voters), begin_us, end_us)
+            for voters in combinations(others, needed)
         )
 
-    def latest(self, who: str, until_us: int, since_us: int, for_us: int) -> int | None:
-        """The latest time up to one at which it had been in touch for so long, and after `since_us`; None: never."""
+    def latest(self, placer: str, until_us: int, since_us: int, for_us: int) -> int | None:
+        """The latest time up to `until_us` before which a placer was in contact with a majority for `for_us`.
+
+        Contact before `since_us` does not count. None if there is no such time.
+        """
         ends = {
             until_us,
             *(
@@ -52,7 +55,7 @@
             ),
         }
         for at in sorted((at for at in ends if since_us + for_us <= at <= until_us), reverse=True):
-            if self.throughout(who, at - for_us, at - 1):
+            if self.throughout(placer, at - for_us, at - 1):
                 return at
         return None
 
@@ -69,8 +72,10 @@
 
 
 class Reachability:
-    """At which times a placer could be granted anything: by a voter that hears a majority and, itself or by way of
-    another voter, the placer; each both ways.
+    """The times at which a placer could not be sent any grant.
+
+    A grant needs a running voter that exchanges messages in both directions with a majority of the voters, and with the
+    placer directly or through one other voter.
     """
 
     def __init__(self, run: Run) -> None:
@@ -88,28 +93,31 @@
         self._edges = sorted(edges)
         self._spans_by_placer: dict[str, list[tuple[int, int]]] = {}
 
-    def unreachable_spans(self, who: str) -> list[tuple[int, int]]:
-        """Times at which it could be granted nothing."""
-        if who not in self._spans_by_placer:
+    def unreachable_spans(self, placer: str) -> list[tuple[int, int]]:
+        """Periods in which a placer could get no grant: (begin, end) in microseconds, in order, disjoint."""
+        if placer not in self._spans_by_placer:
             out: list[tuple[int, int]] = []
             for begin, end in zip(self._edges, [*self._edges[1:], NEVER], strict=True):
-                if self._can_be_granted(who, begin):
+                if self._can_be_granted(placer, begin):
                     continue
                 if out and out[-1][1] == begin:
                     out[-1] = out[-1][0], end
                 else:
                     out.append((begin, end))
-            self._spans_by_placer[who] = out
-        return self._spans_by_placer[who]
-
-    def _can_be_granted(self, who: str, at_us: int) -> bool:
-        here = [name for name in self._run.voters if self._is_running(name, at_us)]
-        wanted = len(self._run.voters) // 2 + 1
-        near = {voter for voter in here if self._linked(who, voter, at_us)}
-        return self._is_running(who, at_us) and any(
-            sum(self._linked(leader, other, at_us) for other in here) >= wanted
-            and (leader in near or any(self._linked(voter, leader, at_us) for voter in near))
-            for leader in here
+            self._spans_by_placer[placer] = out
+        return self._spans_by_placer[placer]
+
+    def _can_be_granted(self, placer: str, at_us: int) -> bool:
+        running_voters = [name for name in self._run.voters if self._is_running(name, at_us)]
+        needed = len(self._run.voters) // 2 + 1
+        linked_voters = {voter for voter in running_voters if self._is_linked(placer, voter, at_us)}
+        return self._is_running(placer, at_us) and any(
+            sum(self._is_linked(leader, other, at_us) for other in running_voters) >= needed
+            and (
+                leader in linked_voters
+                or any(self._is_linked(voter, leader, at_us) for voter in linked_voters)
+            )
+            for leader in running_voters
         )
 
     def _is_running(self, name: str, at_us: int) -> bool:
@@ -119,7 +127,7 @@
             each.placer == name and each.begin_us <= at_us < each.end_us for each in self._run.stops
         )
 
-    def _linked(self, one: str, other: str, at_us: int) -> bool:
+    def _is_linked(self, one: str, other: str, at_us: int) -> bool:
         return one == other or not any(
             each.begin_us <= at_us < each.end_us
             and {each.placer, each.other_placer} == {one, other}
--- a/wingbarrow/lab/fleet/judging/formulas.py
+++ b/wingbarrow/lab/fleet/judging/formulas.py
@@ -1,4 +1,4 @@
-"""Stated times, as formulas with their figures: all that the judge shares with what it judges. Microseconds."""
+"""Formulas of the stated times, in microseconds: the only code that the judge shares with the processes it judges."""
 
 from __future__ import annotations
 
@@ -6,42 +6,39 @@
 from wingbarrow.decide.quotas.limits import drifted_us
 from wingbarrow.decide.sessions.lease_times import voter_lease_us
 
-MAX_HUB_TURN_US = 10_000  # the hub's longest turn, between the gate and the write
-SESSION_CHECKS_PER_LEASE = 8  # in a lease: how often a leader looks at sessions at least
-MAX_CLAIM_WAIT_US = (
-    2_000_000  # a successor waits so long at most for what else is known of a safe Job
-)
-STARTS_PER_BATCH, BATCH_INTERVAL_US = 32, 100_000  # of Jobs taken over, in one go
-VOTE_ROUND_US = 250_000  # a decision among the voters
-START_ALLOWANCE_US = 5_000_000  # of the patience in which each is offered to machines and starts
-MACHINE_STATE_DELAY_US = (
-    15_000_000  # until a leader knows that a machine is lost, or is there again
-)
+MAX_HUB_TURN_US = 10_000  # longest turn of the hub, between the send gate and the write
+SESSION_CHECKS_PER_LEASE = 8  # a leader checks sessions at least this often in each lease
+MAX_CLAIM_WAIT_US = 2_000_000  # a successor's longest wait for other records of a safe Job
+STARTS_PER_BATCH = 32  # Jobs taken over that a successor starts together
+BATCH_INTERVAL_US = 100_000
+VOTE_ROUND_US = 250_000  # time for one decision of the voters
+START_ALLOWANCE_US = 5_000_000  # part of a task's patience for offers to machines and the start
+MACHINE_STATE_DELAY_US = 15_000_000  # until a leader knows that a machine is lost or is back
 
 
 def max_reissue_delay_us(lease_us: int, after_us: int, jobs: int, times: Timing) -> int:
-    """From a region's loss until the last of so many safe runs of it stands elsewhere, where there is room.
+    """Longest time from a region's loss until the last of its `jobs` safe Jobs runs elsewhere, given capacity.
 
-    A leader is elected where it went with the region; by it the session lapses (`voter_lease_us`, or `after_us`), which
-    it sees at one of its looks and has decided in one round; each successor hears with its next grant, claims, and
-    gives its Jobs to the core in order, which has them started.
+    The sum of: the election of a leader, if the former one was lost with the region; the expiry of the session
+    (`voter_lease_us` or `after_us`, whichever is longer), the leader's next check of sessions and one decision of the
+    voters; each successor's next grant; its claim; the batches in which it starts the Jobs; and the start itself.
     """
-    ended = (
+    session_end_us = (
         max(voter_lease_us(lease_us, MAX_HUB_TURN_US), drifted_us(after_us))
         + lease_us // SESSION_CHECKS_PER_LEASE
         + VOTE_ROUND_US
     )
-    paced = BATCH_INTERVAL_US * (1 + (jobs + STARTS_PER_BATCH - 1) // STARTS_PER_BATCH)
+    batches_us = BATCH_INTERVAL_US * (1 + (jobs + STARTS_PER_BATCH - 1) // STARTS_PER_BATCH)
     return (
         times.reacquire_us()
-        + ended
+        + session_end_us
         + 2 * times.grant_us // 3
         + MAX_CLAIM_WAIT_US
-        + paced
+        + batches_us
         + START_ALLOWANCE_US
     )
 
 
 def min_reissue_delay_us(lease_us: int, after_us: int, times: Timing) -> int:
-    """No sooner than this after a session's holder was surely renewed: the last grant before is at most a grant old."""
+    """Shortest time from a holder's last certain contact until a reissue: its last grant is at most a grant older."""
     return max(voter_lease_us(lease_us, MAX_HUB_TURN_US), after_us) - drifted_us(times.grant_us)
--- a/wingbarrow/lab/fleet/judging/jobs.py
+++ b/wingbarrow/lab/fleet/judging/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as owners and machines saw them: accepted by whom, answered how, and each start with its lease and end."""
+"""Jobs as owners and machines recorded them: acceptance, answers, offers, and each run with its lease and end."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 @dataclass(slots=True)
 class TaskRun:
-    """A start at a machine; `until_us`: the lease's end as the machine last told of it, 0 for none."""
+    """A run of a task on a machine.
+
+    `lease_until_us`: end of the lease as the machine last recorded it, 0 without a lease. `end_us`: `NEVER` while it
+    runs.
+    """
 
     at_us: int
     machine: str
@@ -22,12 +26,15 @@
     epoch: int
     lease_until_us: int
     end_us: int = NEVER
-    end_reason: str = ""  # of its end
+    end_reason: str = ""
 
 
 @dataclass(slots=True)
 class Job:
-    """Accepted by a placer. `spec`: the federation spec that it goes by; `answers`: (when, by whom, what)."""
+    """A Job that a placer accepted.
+
+    `spec`: name of its federation spec, "" if it has none. `answers`: (time, placer, answer).
+    """
 
     uid: str
     task: str
@@ -41,14 +48,18 @@
 
 
 class Jobs:
-    """All of a run. What another region runs of a Job that was handed over is found by its owner's task."""
+    """All Jobs of a run, by uid.
+
+    A task run whose record lacks the uid of an accepted Job, as after a handover to another region, is matched by its
+    task's name.
+    """
 
     def __init__(self, run: Run) -> None:
-        self.jobs: dict[str, Job] = {}
+        self.by_uid: dict[str, Job] = {}
         self.task_runs: list[TaskRun] = []
-        self.refused: dict[str, str] = {}  # by pod: the reason of a machine's refusal
-        self._tasks: dict[str, list[Job]] = {}
-        self._first_seen: dict[str, int] = {}  # by session: when it was seen first
+        self.refused: dict[str, str] = {}  # reason of the machine's refusal, by pod
+        self._jobs_by_task: dict[str, list[Job]] = {}
+        self._first_seen: dict[str, int] = {}  # time, by session
         running: dict[tuple[str, str], TaskRun] = {}
         for each in run.records:
             data = each.data
@@ -61,11 +72,11 @@
                     data.get("federation") or run.class_specs.get(data["task_class"], ""),
                     each.at_us,
                 )
-                self.jobs[job.uid] = job
-                self._tasks.setdefault(job.task, []).append(job)
+                self.by_uid[job.uid] = job
+                self._jobs_by_task.setdefault(job.task, []).append(job)
             elif each.what == "answer" and each.where == "owner":
-                if data["uid"] in self.jobs:
-                    self.jobs[data["uid"]].answers.append(
+                if data["uid"] in self.by_uid:
+                    self.by_uid[data["uid"]].answers.append(
                         (each.at_us, data["placer"], data["answer"])
                     )
             elif each.what == "answer" and data["status"] != 201:
@@ -94,25 +105,25 @@
                 found.end_us, found.end_reason = each.at_us, data["why"]
                 found.lease_until_us = max(found.lease_until_us, data.get("until_us", 0))
         for task_run in self.task_runs:
-            owner_job = self.job_of(task_run.uid, task_run.task)
+            owner_job = self.find_job(task_run.uid, task_run.task)
             if owner_job is not None:
                 owner_job.task_runs.append(task_run)
         for each in run.records:
             if each.what == "offer" and not each.data["late"]:
-                offered = self.job_of(_uid(each.data), each.data["task"])
+                offered = self.find_job(_uid(each.data), each.data["task"])
                 if offered is not None:
                     offered.offers.append(each)
 
-    def job_of(self, uid: str, task: str) -> Job | None:
-        """Whose a start is; None where that is not certain."""
-        job = self.jobs.get(uid)
+    def find_job(self, uid: str, task: str) -> Job | None:
+        """The Job with a uid, or else the only Job with a task's name; None where there is no such Job or several."""
+        job = self.by_uid.get(uid)
         if job is None:
-            some = self._tasks.get(task, [])
-            return some[0] if len(some) == 1 else None
+            candidates = self._jobs_by_task.get(task, [])
+            return candidates[0] if len(candidates) == 1 else None
         return job
 
     def first_seen_us(self, session: str) -> int:
-        """When a session was seen first at a machine."""
+        """When a session first appeared in an offer or a start at a machine; 0 if it never did."""
         return self._first_seen.get(session, 0)
 
 
--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -1,4 +1,4 @@
-"""Leased work over all regions: starts, sends and runs past their lease, reissues, and where what ran."""
+"""Judges leased work over all regions: repeated starts, offers and runs past their lease, reissues, and regions."""
 
 from __future__ import annotations
 
@@ -15,52 +15,52 @@
 
 
 def judge_leases(run: Run, out: Verdict) -> None:
-    """All lines that are about Jobs and regions."""
+    """Judge all breaches that concern Jobs and regions; without regions none."""
     if not run.regions:
         return
-    settings, jobs, reach = (
-        load_file(run.folder / f"{run.names[0]}.kdl"),
-        Jobs(run),
-        Reachability(run),
-    )
+    settings = load_file(run.folder / f"{run.names[0]}.kdl")
+    jobs = Jobs(run)
+    reachability = Reachability(run)
     out.regions = sum(
         any(place[0] == region for place in run.machines.values()) for region in run.regions
     )
     out.leased = sum(
-        run.specs.get(job.spec, {}).get("after_us", 0) > 0 for job in jobs.jobs.values()
+        run.specs.get(job.spec, {}).get("after_us", 0) > 0 for job in jobs.by_uid.values()
+    )
+    out.reissued = len(
+        {(task_run.uid, task_run.epoch) for task_run in jobs.task_runs if task_run.epoch}
     )
-    out.reissued = len({(one.uid, one.epoch) for one in jobs.task_runs if one.epoch})
     _judge_starts(run, out, settings, jobs)
     _judge_regions(run, out, jobs)
     _judge_answers(out, jobs)
-    LeaseOverruns(run, out, jobs, reach).judge()
+    LeaseOverruns(run, out, jobs, reachability).judge()
     _judge_early_reissues(run, out, jobs)
-    judge_losses(run, out, settings, jobs, reach)
+    judge_losses(run, out, settings, jobs, reachability)
 
 
 def _judge_starts(run: Run, out: Verdict, settings: PlacerSettings, jobs: Jobs) -> None:
-    """A never-twice task once over all regions; a keyed one not again within its window and group."""
+    """Checks that an unsafe task starts once over all regions, and a keyed one once within its window and group."""
     seen: dict[str, TaskRun] = {}
-    for one in jobs.task_runs:
-        known = settings.classes.get(one.task_class)
+    for task_run in jobs.task_runs:
+        known = settings.classes.get(task_run.task_class)
         effect = known.task_class.effect if known else Effect.SAFE
-        if effect is Effect.UNSAFE and one.task in seen:
+        if effect is Effect.UNSAFE and task_run.task in seen:
             out.breach(
                 "double_starts",
-                f"{one.at_us}: {one.task} on {one.machine}, and at {seen[one.task].at_us} on "
-                f"{seen[one.task].machine}",
+                f"{task_run.at_us}: {task_run.task} on {task_run.machine}, and at {seen[task_run.task].at_us} on "
+                f"{seen[task_run.task].machine}",
             )
-        seen.setdefault(one.task, one)
-    for job in jobs.jobs.values():
+        seen.setdefault(task_run.task, task_run)
+    for job in jobs.by_uid.values():
         known = settings.classes.get(job.task_class)
         if known is None or known.task_class.effect is not Effect.KEYED:
             continue
         for at, later in enumerate(job.task_runs):
             if any(
-                one.epoch < later.epoch
-                and later.at_us - one.at_us < known.task_class.window_us - run.slack_us
-                and _same_group(run, known.task_class.group, one, later)
-                for one in job.task_runs[:at]
+                task_run.epoch < later.epoch
+                and later.at_us - task_run.at_us < known.task_class.window_us - run.slack_us
+                and _same_group(run, known.task_class.group, task_run, later)
+                for task_run in job.task_runs[:at]
             ):
                 out.breach(
                     "double_starts",
@@ -68,31 +68,32 @@
                 )
 
 
-def _same_group(run: Run, group: Place, one: TaskRun, other: TaskRun) -> bool:
-    """Whether two machines are of one group, in which a key counts."""
+def _same_group(run: Run, group: Place, task_run: TaskRun, other: TaskRun) -> bool:
+    """Whether the machines of two runs belong to one group, within which a task's key is unique."""
     length = {Place.ALL: 0, Place.ZONE: 2, Place.CELL: 3}.get(group)
     if length is None:
-        return one.machine == other.machine
+        return task_run.machine == other.machine
     return (
-        run.machines.get(one.machine, [])[:length] == run.machines.get(other.machine, [])[:length]
+        run.machines.get(task_run.machine, [])[:length]
+        == run.machines.get(other.machine, [])[:length]
     )
 
 
 def _judge_regions(run: Run, out: Verdict, jobs: Jobs) -> None:
-    for job in jobs.jobs.values():
+    for job in jobs.by_uid.values():
         spec = run.specs.get(job.spec)
-        for one in job.task_runs if spec else ():
-            region = run.machines.get(one.machine, [""])[0]
+        for task_run in job.task_runs if spec else ():
+            region = run.machines.get(task_run.machine, [""])[0]
             if spec and region not in spec["regions"]:
                 out.breach(
                     "forbidden_regions",
-                    f"{one.at_us}: {job.task} of spec {job.spec} on {one.machine}",
+                    f"{task_run.at_us}: {job.task} of spec {job.spec} on {task_run.machine}",
                 )
 
 
 def _judge_answers(out: Verdict, jobs: Jobs) -> None:
-    """Two placers that answer for one Job; one that answers twice is the audit's."""
-    for job in jobs.jobs.values():
+    """Checks that only one placer answers for a Job; the audit counts repeated answers of one placer."""
+    for job in jobs.by_uid.values():
         for placer in sorted({by for _, by, _ in job.answers} - {job.placer}):
             out.breach(
                 "double_answers",
@@ -102,24 +103,24 @@
 
 
 class LeaseOverruns:
-    """Sends and runs past their lease: by what machines told, and by when a session could be renewed at all.
+    """Finds offers and runs past their lease, by the machines' records and by when their session could be renewed.
 
-    A session cannot be renewed while its holder hears of no leader with a majority, or is stopped; nor once its
-    process has ended.
+    A session cannot be renewed while its holder cannot reach a leader with a majority, while its process is
+    stopped, or after that has ended.
     """
 
-    def __init__(self, run: Run, out: Verdict, jobs: Jobs, reach: Reachability) -> None:
-        self._run, self._out, self._jobs, self._reach = run, out, jobs, reach
+    def __init__(self, run: Run, out: Verdict, jobs: Jobs, reachability: Reachability) -> None:
+        self._run, self._out, self._jobs, self._reachability = run, out, jobs, reachability
 
     def judge(self) -> None:
-        """Judge them."""
-        run, right = self._run, holder_lease_us(self._run.lease_us) + self._run.slack_us
+        """Judge all offers and runs under a session."""
+        run, holder_us = self._run, holder_lease_us(self._run.lease_us) + self._run.slack_us
         for each in run.records:
             data = each.data
             if each.what == "offer" and data.get("session") and not data["late"]:
-                told = data.get("until_us", 0)
-                if (told and each.at_us > told + run.slack_us) or any(
-                    begin + right < each.at_us < end
+                lease_until = data.get("until_us", 0)
+                if (lease_until and each.at_us > lease_until + run.slack_us) or any(
+                    begin + holder_us < each.at_us < end
                     for begin, end in self._unrenewable_spans(data["session"])
                 ):
                     self._out.breach(
@@ -127,24 +128,24 @@
                         f"{each.at_us}: {data['placer']} sent {data['pod']} past its lease",
                     )
         last = max([run.end_us, *(each.at_us for each in run.records)])
-        for one in self._jobs.task_runs:
-            end = min(one.end_us, last)
-            if one.session and self._outlived_lease(one, end):
+        for task_run in self._jobs.task_runs:
+            end = min(task_run.end_us, last)
+            if task_run.session and self._outlived_lease(task_run, end):
                 self._out.breach(
-                    "past_lease", f"{end}: {one.pod} ran on {one.machine} past its lease"
+                    "past_lease", f"{end}: {task_run.pod} ran on {task_run.machine} past its lease"
                 )
 
-    def _outlived_lease(self, one: TaskRun, end_us: int) -> bool:
-        most = self._run.lease_us + self._run.slack_us
+    def _outlived_lease(self, task_run: TaskRun, end_us: int) -> bool:
+        longest = self._run.lease_us + self._run.slack_us
         if (
-            one.end_us != NEVER
-            and one.lease_until_us
-            and one.end_us > one.lease_until_us + self._run.slack_us
+            task_run.end_us != NEVER
+            and task_run.lease_until_us
+            and task_run.end_us > task_run.lease_until_us + self._run.slack_us
         ):
             return True
         return any(
-            max(one.at_us, begin + most) < min(end_us, end)
-            for begin, end in self._unrenewable_spans(one.session)
+            max(task_run.at_us, begin + longest) < min(end_us, end)
+            for begin, end in self._unrenewable_spans(task_run.session)
         )
 
     def _unrenewable_spans(self, session: str) -> list[tuple[int, int]]:
@@ -154,19 +155,19 @@
             return []
         return [
             (begin, end)
-            for begin, end in self._reach.unreachable_spans(placer)
+            for begin, end in self._reachability.unreachable_spans(placer)
             if begin < lifetime.end_us
         ] + [(lifetime.end_us, NEVER)]
 
 
 def _judge_early_reissues(run: Run, out: Verdict, jobs: Jobs) -> None:
-    """A start under a later epoch while a machine still holds the former one's lease, or before it can have ended."""
-    touch, grants = MajorityContact(run), Timing().reacquire_us()
+    """Finds starts under a later epoch while a machine holds a former lease, or before its session can have ended."""
+    contact, reacquire_us = MajorityContact(run), Timing().reacquire_us()
     ended: dict[str, int] = {}
     for _, each in run.history_entries("session-ended"):
         ended.setdefault(each["session"], each["at_us"])
     afters = [each["after_us"] for each in run.specs.values() if each["after_us"]]
-    for job in jobs.jobs.values():
+    for job in jobs.by_uid.values():
         for later in job.task_runs:
             held = max(
                 (
@@ -179,8 +180,8 @@
             if later.at_us < held - run.slack_us:
                 out.breach(
                     "early_reissues",
-                    f"{later.at_us}: {job.task} on {later.machine}, leased until {held} to "
-                    "one before",
+                    f"{later.at_us}: {job.task} on {later.machine}, leased until {held} "
+                    "under an earlier epoch",
                 )
                 continue
             for session in {
@@ -195,23 +196,26 @@
                 lifetime = run.lifetime_at(holder, jobs.first_seen_us(session))
                 if lifetime is None:
                     continue
-                # A later lifetime proves that this one is over: its session ends without `after`.
-                anew = run.lifetime_at(holder, until) != lifetime
-                least = min_reissue_delay_us(
-                    run.lease_us, 0 if anew else min(afters, default=0), Timing()
+                # A later lifetime of the holder proves that its former process has ended: the session then ends without
+                # waiting for `after`.
+                restarted = run.lifetime_at(holder, until) != lifetime
+                least_us = min_reissue_delay_us(
+                    run.lease_us, 0 if restarted else min(afters, default=0), Timing()
+                )
+                contact_us = contact.latest(
+                    holder, min(until, lifetime.end_us), lifetime.begin_us, reacquire_us
                 )
-                well = touch.latest(holder, min(until, lifetime.end_us), lifetime.begin_us, grants)
-                if well is not None and later.at_us < well + least - run.slack_us:
+                if contact_us is not None and later.at_us < contact_us + least_us - run.slack_us:
                     out.breach(
                         "early_reissues",
                         f"{later.at_us}: {job.task} on {later.machine}, though {holder} was "
-                        f"in touch until {well}",
+                        f"in contact until {contact_us}",
                     )
                     break
 
 
 def _lease_copies(job: Job) -> list[tuple[int, int, int, str]]:
-    """What machines told of a Job's offers and runs: (when, epoch, leased until, session)."""
+    """The leases in the machines' records of a Job's offers and runs: (time, epoch, lease end, session)."""
     return [
         *(
             (
@@ -222,5 +226,8 @@
             )
             for each in job.offers
         ),
-        *((one.at_us, one.epoch, one.lease_until_us, one.session) for one in job.task_runs),
+        *(
+            (task_run.at_us, task_run.epoch, task_run.lease_until_us, task_run.session)
+            for task_run in job.task_runs
+        ),
     ]
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -1,4 +1,4 @@
-"""Limits of the whole fleet, and verdicts that closed machines."""
+"""Judges limits of the whole fleet, and outlier verdicts that closed machines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def judge_limits(run: Run, out: Verdict) -> None:
-    """Whether one was passed at the sockets, or more is held at the end than there is."""
+    """Judge whether the records exceed a limit, and whether more rights are held at the end than exist."""
     limits = loosest(run.rule_sets.values())
     last = {
         name: [
@@ -25,38 +25,38 @@
         for name, found in last.items()
         if found and run.lifetimes[name][-1].end_us == NEVER
     }
-    for words in (*over(limits, run.records), *unaccounted(limits, shares)):
-        out.breach("limit_overs", words)
+    for note in (*over(limits, run.records), *unaccounted(limits, shares)):
+        out.breach("limit_overs", note)
     out.turned_away = sum(
         each.what == "turned-away" and each.data["code"] == 429 for each in run.records
     )
 
 
 def judge_closures(run: Run, out: Verdict) -> None:
-    """Whether machines failed at as many placers as a verdict wants."""
-    terms = OutlierSettings()
+    """Judge whether a closed machine had start failures at as many placers as a verdict requires."""
+    settings = OutlierSettings()
     window = (
-        terms.window_us
+        settings.window_us
         + 2 * Timing().grant_us
-        + (terms.base_ejection_us << terms.max_doublings)
+        + (settings.base_ejection_us << settings.max_doublings)
         + run.slack_us
     )
-    first: dict[str, int] = {}  # when a verdict that still holds was heard of first
+    first_seen: dict[str, int] = {}  # by machine: first entry of the current verdict
     for name, each in run.history_entries("verdicts"):
         at = each["at_us"]
         for machine in each["machines"]:
             out.closures += 1
-            if at - first.get(machine, -NEVER) <= window - terms.window_us:
-                continue  # one that came to others before, or again after its prober's turn
-            first[machine] = at
+            if at - first_seen.get(machine, -NEVER) <= window - settings.window_us:
+                continue  # the same verdict: another placer's entry, or one renewed after a probe
+            first_seen[machine] = at
             if unfounded(
                 machine,
                 at,
-                terms.window_us + 2 * Timing().grant_us + run.slack_us,
-                terms.min_reporters,
+                settings.window_us + 2 * Timing().grant_us + run.slack_us,
+                settings.min_reporters,
                 run.records,
             ):
                 out.breach(
                     "unfounded_closures",
-                    f"{at}: {name} leaves {machine} alone, which hardly anybody saw fail",
+                    f"{at}: {name} closed {machine}, which failed at too few placers",
                 )
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -1,8 +1,9 @@
-"""Needless refusals: turned away though the fleet had room, or by a placer that could have had rules.
+"""Judges needless refusals: of Jobs within a limit of the fleet, or by a placer that could have had rules.
 
-Whether a placer was in touch is read from the rig's own events, never from the program's word: from when a majority of
-the voters ran and heard each other and the placer, both ways, without a fault on any of these links. What stood is
-read at the stand-ins: tasks that ran and Jobs that waited for their answer, or Jobs accepted within the window.
+Whether a placer was in contact is derived from the rig's own events, never from what the placer reports: a majority of
+the voters ran, and neither their links to each other nor those to the placer had a fault in either direction. The use
+of a limit is derived from the stand-ins' records: running tasks and Jobs that wait for their answer, or, for a rate,
+Jobs accepted within the window.
 """
 
 from __future__ import annotations
@@ -18,32 +19,33 @@
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 from wingbarrow.lab.record import Record
 
-MIN_USED_SHARE = 0.6  # of a limit: under that nobody is turned away
+MIN_USED_SHARE = 0.6  # a refusal for a limit that was used to a lower share is needless
 _LIMIT = re.compile(r"limit (\S+) of the whole fleet")
-_NO_RULES = "may act on no rules"
+_NO_RULES = "may act on no rules"  # part of the refusal's text
 
 
-class QuotaUse:
-    """What stood at the stand-ins at a time, of a class or of all."""
+class LimitUse:
+    """How much of a limit was in use at a time, by the stand-ins' records, for one class or for all."""
 
     def __init__(self, records: list[Record]) -> None:
         self._records = records
         self._spans: dict[str, list[tuple[int, int]]] = {}
         self._accept_times: dict[str, list[int]] = {}
 
-    def at(self, limit: FleetLimit, at_us: int, slack_us: int) -> int:
-        """So much of a limit was in use, at any time of the slack before."""
-        wanted = limit.name if limit.about == "class" else ""
+    def used(self, limit: FleetLimit, at_us: int, slack_us: int) -> int:
+        """The amount of a limit in use at a time, or at any time within `slack_us` before it."""
+        task_class = limit.name if limit.about == "class" else ""
         if limit.kind == "rate":
-            taken = self._accepted_at(wanted)
-            return bisect_right(taken, at_us) - bisect_left(
-                taken, at_us - limit.window_us - slack_us
+            times = self._accept_times_of(task_class)
+            return bisect_right(times, at_us) - bisect_left(
+                times, at_us - limit.window_us - slack_us
             )
         return sum(
-            begin <= at_us and at_us - slack_us <= end for begin, end in self._in_use_spans(wanted)
+            begin <= at_us and at_us - slack_us <= end
+            for begin, end in self._in_use_spans(task_class)
         )
 
-    def _accepted_at(self, task_class: str) -> list[int]:
+    def _accept_times_of(self, task_class: str) -> list[int]:
         if task_class not in self._accept_times:
             self._accept_times[task_class] = sorted(
                 each.at_us
@@ -57,38 +59,36 @@
         if task_class in self._spans:
             return self._spans[task_class]
         out: list[tuple[int, int]] = []
-        runs: dict[tuple[str, str], int] = {}
-        waits: dict[str, tuple[int, int]] = {}
+        running: dict[tuple[str, str], int] = {}
+        waiting: dict[str, tuple[int, int]] = {}
         for each in self._records:
             if each.what == "start" and task_class in ("", each.data["task_class"]):
-                runs[each.where, each.data["pod"]] = each.at_us
-            elif each.what == "end" and (each.where, each.data["pod"]) in runs:
-                out.append((runs.pop((each.where, each.data["pod"])), each.at_us))
+                running[each.where, each.data["pod"]] = each.at_us
+            elif each.what == "end" and (each.where, each.data["pod"]) in running:
+                out.append((running.pop((each.where, each.data["pod"])), each.at_us))
             elif each.what == "accepted" and task_class in ("", each.data["task_class"]):
-                waits[each.data["uid"]] = (
+                waiting[each.data["uid"]] = (
                     each.data["sent_us"],
                     each.data["sent_us"] + each.data["patience_us"],
                 )
-            elif each.what == "answer" and each.where == "owner" and each.data["uid"] in waits:
-                out.append((waits.pop(each.data["uid"])[0], each.at_us))
+            elif each.what == "answer" and each.where == "owner" and each.data["uid"] in waiting:
+                out.append((waiting.pop(each.data["uid"])[0], each.at_us))
         self._spans[task_class] = [
             *out,
-            *waits.values(),
-            *((begin, NEVER) for begin in runs.values()),
+            *waiting.values(),
+            *((begin, NEVER) for begin in running.values()),
         ]
         return self._spans[task_class]
 
 
 def judge_refusals(run: Run, out: Verdict) -> None:
-    """Count them."""
+    """Count the needless refusals."""
     out.starved = len(run.starved)
     out.needless_stated_ms = Timing().reacquire_us() // 1000
     stated_us = Timing().reacquire_us() + run.slack_us
-    limits, touch, stood = (
-        loosest(run.rule_sets.values()),
-        MajorityContact(run),
-        QuotaUse(run.records),
-    )
+    limits = loosest(run.rule_sets.values())
+    contact = MajorityContact(run)
+    limit_use = LimitUse(run.records)
     for each in run.records:
         if each.what != "turned-away" or each.at_us > (run.end_us or NEVER):
             continue
@@ -96,8 +96,10 @@
         found = _LIMIT.search(why)
         if found and each.data["code"] == 429 and found[1] in limits:
             limit = limits[found[1]]
-            used = stood.at(limit, at, run.slack_us)
-            if used < MIN_USED_SHARE * limit.most and touch.throughout(placer, at - stated_us, at):
+            used = limit_use.used(limit, at, run.slack_us)
+            if used < MIN_USED_SHARE * limit.most and contact.throughout(
+                placer, at - stated_us, at
+            ):
                 out.breach(
                     "needless_refusals",
                     f"{at}: {placer} turned away by {limit.key}, {used} of {limit.most} were in use",
@@ -105,9 +107,9 @@
         elif (
             each.data["code"] == 503
             and _NO_RULES in why
-            and touch.throughout(placer, at - stated_us, at)
+            and contact.throughout(placer, at - stated_us, at)
         ):
             out.breach(
                 "needless_refusals",
-                f"{at}: {placer} acted on no rules though in touch with a majority",
+                f"{at}: {placer} had no rules though in contact with a majority",
             )
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -1,4 +1,4 @@
-"""Which rules were acted on when: contradictions, forbidden sends, and who is not on the last ones."""
+"""Judges which rules placers acted on: contradictions, forbidden sends, and placers without the last rules."""
 
 from __future__ import annotations
 
@@ -15,48 +15,46 @@
 
 
 def judge_rules(run: Run, out: Verdict) -> None:
-    """Judge each offer by the rules that it was made under."""
+    """Judge each offer by the rules that it was made under, and the rules of each placer at the end."""
     OfferChecks(run, out).judge()
     _judge_final_rules(run, out)
 
 
 def edition_number(label: str) -> int:
-    """The number of an edition's label; 0 for a floor's, or none."""
+    """The number in an edition's label; 0 for a floor's label or none."""
     return int(label[1:]) if label.startswith("e") and label[1:].isdecimal() else 0
 
 
 class OfferChecks:
-    """All offers of a run, and from when to when each edition was in use."""
+    """Judges all offers of a run that are not marked late, with the first and last use of each edition."""
 
     def __init__(self, run: Run, out: Verdict) -> None:
         self._run, self._out = run, out
         self._offers = [
             each for each in run.records if each.what == "offer" and not each.data["late"]
         ]
-        self._first: dict[int, int] = {}
-        self._last: dict[int, int] = {}
+        self._first_use: dict[int, int] = {}
+        self._last_use: dict[int, int] = {}
         for each in self._offers:
             edition = edition_number(each.data["rules"])
             if edition:
-                self._first.setdefault(edition, each.at_us)
-                self._last[edition] = each.at_us
+                self._first_use.setdefault(edition, each.at_us)
+                self._last_use[edition] = each.at_us
         self._stated_us = Timing().overlap_us(MAX_HUB_TURN_US) + run.slack_us
 
     def judge(self) -> None:
-        """Judge them."""
+        """Judge the offers."""
         run, out = self._run, self._out
         out.versions = sum(each["what"] == "accepted" for each in run.events)
-        out.editions, out.stated_ms = len(self._first), self._stated_us // 1000
+        out.editions, out.stated_ms = len(self._first_use), self._stated_us // 1000
         self._judge_labels()
         for each in self._offers:
             rules = run.rule_sets.get(each.data["rules"])
             if rules is None:
                 self._report_contradiction(each, "under rules that no history knows")
                 continue
-            closed = {
-                *rules.barred,
-                *(drain.machine for drain in rules.asked),
-            }  # the rig's drains outlast its runs
+            # The rig's drains last beyond the end of its runs, so none of them has expired.
+            closed = {*rules.barred, *(drain.machine for drain in rules.asked)}
             if each.where in closed or all(
                 known.name != each.data["task_class"] for known in rules.classes
             ):
@@ -82,68 +80,66 @@
                 )
                 if known and known != each["rules"]:
                     self._out.breach(
-                        "contradictions", f"{name} knows other rules as {each['label']}"
+                        "contradictions", f"{name} has other rules under label {each['label']}"
                     )
 
-    def _report_contradiction(self, send: Record, words: str) -> None:
+    def _report_contradiction(self, offer: Record, reason: str) -> None:
         self._out.breach(
             "contradictions",
-            f"{send.at_us}: {send.data['placer']} sent {send.data['pod']} under "
-            f"{send.data['rules'] or 'no label'}: {words}",
+            f"{offer.at_us}: {offer.data['placer']} sent {offer.data['pod']} under "
+            f"{offer.data['rules'] or 'no label'}: {reason}",
         )
 
-    def _judge_edition_offer(self, send: Record, rules: RuleSet) -> None:
-        edition = edition_number(send.data["rules"])
+    def _judge_edition_offer(self, offer: Record, rules: RuleSet) -> None:
+        edition = edition_number(offer.data["rules"])
         later = [
             number
-            for number, at in self._first.items()
-            if number >= edition + 2 and at < send.at_us
+            for number, at in self._first_use.items()
+            if number >= edition + 2 and at < offer.at_us
         ]
         if later:
-            self._report_contradiction(send, f"e{max(later)} was in use")
+            self._report_contradiction(offer, f"e{max(later)} was in use")
             return
-        following, since = (
-            self._run.rule_sets.get(f"e{edition + 1}"),
-            self._first.get(edition + 1, NEVER),
-        )
-        if following is not None and since < send.at_us and not allows(rules, following):
-            took = send.at_us - since
+        following = self._run.rule_sets.get(f"e{edition + 1}")
+        since = self._first_use.get(edition + 1, NEVER)
+        if following is not None and since < offer.at_us and not allows(rules, following):
+            overlap_us = offer.at_us - since
             self._out.longest_contradiction_ms = max(
-                self._out.longest_contradiction_ms, took // 1000
+                self._out.longest_contradiction_ms, overlap_us // 1000
             )
-            if took > self._stated_us:
+            if overlap_us > self._stated_us:
                 self._report_contradiction(
-                    send, f"{took // 1000} ms after e{edition + 1} was in use"
+                    offer, f"{overlap_us // 1000} ms after e{edition + 1} was in use"
                 )
 
-    def _judge_floor_offer(self, send: Record, rules: RuleSet) -> None:
-        for edition, since in self._first.items():
+    def _judge_floor_offer(self, offer: Record, rules: RuleSet) -> None:
+        for edition, since in self._first_use.items():
             known = self._run.rule_sets.get(f"e{edition}")
             if (
-                since <= send.at_us <= self._last[edition]
+                since <= offer.at_us <= self._last_use[edition]
                 and known is not None
                 and not keeps_floor(rules, known)
             ):
-                self._report_contradiction(send, f"e{edition}, in use, forbids some of it")
+                self._report_contradiction(offer, f"e{edition}, in use, forbids some of it")
 
 
 def _judge_final_rules(run: Run, out: Verdict) -> None:
     accepted = [each["rules"] for each in run.events if each["what"] == "accepted"]
-    drained, unsure = _drained(run)
+    drained, unanswered = _drained(run)
     for name in run.running_at_end() if accepted else ():
-        told = [
+        labels = [
             each["label"]
             for each in run.histories[name]
             if each["what"] == "rules" and each["at_us"] <= run.end_us
         ]
-        # Drains that the rig had asked for stay through a proposal, which does not speak of them.
-        last = run.rule_sets.get(told[-1]) if told else None
+        # A proposal does not list the drains that the rig requested, and leaves them in place.
+        last = run.rule_sets.get(labels[-1]) if labels else None
         if last is None or replace(last, asked=(), cancelled=()) != parse_rule_set(accepted[-1]):
             out.breach(
                 "not_on_last",
-                f"at the end {name} acts on {told[-1] if told else 'nothing'}, not on the last rules",
+                f"at the end {name} acts on {labels[-1] if labels else 'nothing'}, not on the last rules",
             )
-        elif {each.machine for each in last.asked} - unsure != drained - unsure:
+        elif {each.machine for each in last.asked} - unanswered != drained - unanswered:
             out.breach(
                 "not_on_last",
                 f"at the end {name} has other machines drained than {', '.join(sorted(drained))}",
@@ -151,15 +147,15 @@
 
 
 def _drained(run: Run) -> tuple[set[str], set[str]]:
-    """Machines whose drain stands at the end by what the rig was answered; those of which it was not told."""
+    """Machines that are drained at the end by the answers that the rig got, and those for which it got no answer."""
     drained: set[str] = set()
-    unsure: set[str] = set()
+    unanswered: set[str] = set()
     for each in run.events:
         if each["what"] == "drain":
             if each["told"] is None:
-                unsure.add(each["machine"])
+                unanswered.add(each["machine"])
             elif each["told"].get("kind") == "Drain":
                 drained.add(each["machine"])
             elif each["back"] and each["told"].get("status") == "Success":
                 drained.discard(each["machine"])
-    return drained, unsure
+    return drained, unanswered
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -1,4 +1,4 @@
-"""Turns: machines out at once against budgets, work on machines with tasks, and the settled order."""
+"""Judges maintenance turns: machines out at once against budgets, work on machines with tasks, and the order."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
 
-URGENCY_AGE_US = 600_000_000  # what has waited for so long counts as one more urgent
+URGENCY_AGE_US = 600_000_000  # each such period of waiting counts as one more level of urgency
 CLOSED_STATES = ("closing", "empty", "out", "back")
 
 
 @dataclass(slots=True)
 class Turn:
-    """One that was asked for: when it entered each state first, by any history."""
+    """A requested turn. `entered`: for each state the first time in any history."""
 
     number: int
     machine: str
     urgency: int
     asked_us: int
-    wall_us: int  # as the queue has it
+    wall_us: int  # time of the request by the queue's clock
     entered: dict[str, int] = field(default_factory=dict)
 
     def since_us(self, *states: str) -> int:
-        """When it entered one of some first."""
+        """The earliest time at which it entered one of the states; `NEVER` if it did not."""
         return min(
             (self.entered[state] for state in states if state in self.entered), default=NEVER
         )
 
 
 def judge_turns(run: Run, out: Verdict) -> None:
-    """All lines that are about turns."""
+    """Judge all breaches that concern turns; without machines in the run's description none."""
     if not run.machines:
         return
     turns = {
@@ -59,35 +59,36 @@
 
 
 def _judge_budgets(run: Run, out: Verdict, turns: list[Turn]) -> None:
-    """At each `out`: with machines that were lost for so long that any leader knew."""
+    """Checks budgets whenever a machine goes out; machines lost for so long that any leader knows count as out."""
     for turn in turns:
         at = turn.since_us("out")
         if at == NEVER:
             continue
-        gone = {
+        machines_out = {
             each.machine
             for each in turns
             if each.since_us("out") <= at < each.since_us("back", "done")
         }
-        gone |= _lost_machines(run, at)
+        machines_out |= _lost_machines(run, at)
         for budget in PlanRules().budgets:
             length = {Scope.CELL: 3, Scope.ZONE: 2}.get(budget.scope)
             if length is None:
                 continue
             place = run.machines[turn.machine][:length]
             inside = [name for name, each in run.machines.items() if each[:length] == place]
-            away, most = sum(name in gone for name in inside), budget.max_out(len(inside))
-            if away > most:
+            out_count = sum(name in machines_out for name in inside)
+            max_out = budget.max_out(len(inside))
+            if out_count > max_out:
                 out.breach(
                     "turn_overs",
-                    f"{at}: turn {turn.number} took {turn.machine} out, {away} of "
-                    f"{'/'.join(place)} are; {most} may be",
+                    f"{at}: turn {turn.number} took {turn.machine} out, {out_count} of "
+                    f"{'/'.join(place)} are out, {max_out} may be",
                 )
                 break
 
 
 def _lost_machines(run: Run, at_us: int) -> set[str]:
-    """Machines that were down at a time and for long before it."""
+    """Machines that had been down for at least `MACHINE_STATE_DELAY_US` at a time."""
     down: dict[str, int] = {}
     for each in run.records:
         if each.at_us > at_us:
@@ -100,10 +101,10 @@
 
 
 def _judge_order(run: Run, out: Verdict, turns: list[Turn]) -> None:
-    """Of two in one cell, which all budgets treat alike, the one that stands earlier is closed first.
+    """Checks that of two turns in one cell, which all budgets treat alike, the one earlier in the queue closes first.
 
-    Both have to be in the queue for so long that whoever leads knows how things stand; none of the two lost, nor their
-    region.
+    Judged only if both have waited for so long that any leader knows the machines' states, and neither the machines nor
+    the placers of their region were disturbed lately.
     """
     for later in turns:
         at = later.since_us(*CLOSED_STATES)
@@ -111,7 +112,7 @@
             if (
                 other is later
                 or run.machines[other.machine] != run.machines[later.machine]
-                or other.machine == (later.machine)
+                or other.machine == later.machine
             ):
                 continue
             waited = (
@@ -131,12 +132,15 @@
 
 
 def _queue_rank(turn: Turn) -> int:
-    """The first part of the settled order: urgency, one more for each period of waiting."""
+    """The first part of the queue's sort key: the urgency, plus one for each full `URGENCY_AGE_US` of waiting.
+
+    A lower value is served first.
+    """
     return turn.wall_us // URGENCY_AGE_US - turn.urgency
 
 
 def _recently_disturbed(run: Run, machine: str, at_us: int) -> bool:
-    """Whether a machine, or a placer of its region, was away lately."""
+    """Whether a machine, or a placer of its region, was down or had a fault lately."""
     names = run.regions.get(run.machines[machine][0], run.names)
     return any(
         each.where == machine
@@ -150,7 +154,7 @@
 
 
 def _judge_work(run: Run, out: Verdict) -> None:
-    """Work on a machine with a task on it: as its worker saw it, or by the machine's own starts and ends."""
+    """Finds work on a machine with a task, by its worker's report or by the machine's own starts and ends."""
     running: dict[str, set[str]] = {}
     worked: dict[str, int] = {}
     for each in run.records:
@@ -170,10 +174,10 @@
             worked.pop(where, None)
         elif each.what == "work-begin":
             worked[where] = data["turn"]
-            there = max(int(data["tasks"]), len(running.get(where, ())))
-            if there:
+            task_count = max(int(data["tasks"]), len(running.get(where, ())))
+            if task_count:
                 out.breach(
                     "worked_on_busy",
-                    f"{each.at_us}: {where} was worked on in turn {data['turn']} with {there} "
+                    f"{each.at_us}: {where} was worked on in turn {data['turn']} with {task_count} "
                     "task(s) on it",
                 )
--- a/wingbarrow/lab/fleet/judging/verdict.py
+++ b/wingbarrow/lab/fleet/judging/verdict.py
@@ -56,7 +56,7 @@
     starved: int = (
         0  # half seconds with no processor for a fifth of them, in which no refusal is needless
     )
-    closures: int = 0  # by outlier verdicts, one for each machine and placer
+    closures: int = 0  # by outlier verdicts, counted for each machine and placer
     unfounded_closures: int = 0
     not_on_last: int = 0
     sends_on_floor: int = 0
