--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""The rig's links and scripts."""
+"""The rig's links with faults, its fault scripts, and its layout of placers over regions."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class Echo:
-    """A server that says again what it hears, and keeps all of it."""
+    """A server that echoes the data that it receives, and keeps all of it in `received`."""
 
     def __init__(self, hub: Hub) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.listener = listen(hub, "127.0.0.1", 0, print)
         hub.spawn(lambda: self.listener.serve(self._serve))
 
     def _serve(self, stream: Stream) -> None:
         while data := stream.receive():
-            self.heard.append(data)
+            self.received.append(data)
             stream.send(data)
 
 
-def played(script: Callable[[Hub, Echo, Proxy], None]) -> None:
+def run_scenario(script: Callable[[Hub, Echo, Proxy], None]) -> None:
     hub = Hub(VirtualClock())
 
     def main() -> None:
@@ -50,67 +50,69 @@
     hub.run(main)
 
 
-def asked(hub: Hub, port: int, within_us: int = S) -> bytes | None:
-    """One word sent; what comes back in time, None where nothing does."""
-    stream, got = connect(hub, "127.0.0.1", port), None
+def send_word(hub: Hub, port: int, within_us: int = S) -> bytes | None:
+    """Sends a word; returns the response, `b"reset"` if the peer is gone, None if none arrives in time."""
+    stream, response = connect(hub, "127.0.0.1", port), None
     try:
         stream.send(b"word")
         with hub.limit(within_us):
-            got = stream.receive()
+            response = stream.receive()
     except PeerGone:
-        got = b"reset"
+        response = b"reset"
     stream.close()
-    return got
+    return response
 
 
 def test_a_whole_link_passes_all_and_a_cut_one_holds_it_without_a_word() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
         proxy.forth.cut = True
-        assert asked(hub, proxy.port) is None
-        assert echo.heard == [b"word"]
+        assert send_word(hub, proxy.port) is None
+        assert echo.received == [b"word"]
         proxy.forth.cut, proxy.back.cut = False, True
-        assert asked(hub, proxy.port) is None
-        assert len(echo.heard) == 2, "one way is cut: it was heard, its answer was not"
+        assert send_word(hub, proxy.port) is None
+        assert len(echo.received) == 2, (
+            "only the way back is cut: the server received the word, its response was lost"
+        )
         proxy.heal()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
 
-    played(script)
+    run_scenario(script)
 
 
 def test_a_link_is_late_slow_resets_and_delivers_twice() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2
         proxy.forth.delay_us, proxy.back.bytes_per_s, begun = 0, 8, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
         proxy.heal()
         proxy.forth.twice_share = 1.0
-        count = len(echo.heard)
-        assert asked(hub, proxy.port) == b"word"
+        count = len(echo.received)
+        assert send_word(hub, proxy.port) == b"word"
         hub.sleep(S)
-        assert len(echo.heard) == count + 2
+        assert len(echo.received) == count + 2
         assert proxy.doubles == 1
         proxy.heal()
         proxy.back.reset_share = 1.0
-        assert asked(hub, proxy.port) == b"reset"
+        assert send_word(hub, proxy.port) == b"reset"
 
-    played(script)
+    run_scenario(script)
 
 
 def test_a_far_link_is_late_both_ways_and_a_fault_adds_to_it() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         proxy.far_us, begun = S // 50, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
         assert S // 25 <= hub.now_us() - begun < S // 20
         proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2 + S // 25
         proxy.heal()
-        assert proxy.far_us, "what is far stays so"
+        assert proxy.far_us, "healing keeps the distance of a link"
 
-    played(script)
+    run_scenario(script)
 
 
 def test_a_fault_from_one_to_the_other_takes_its_requests_and_its_answers() -> None:
@@ -214,7 +216,7 @@
     assert {"cut-region", "slow-region", "kill-region", "work", "cut", "propose"} <= kinds
 
 
-# -- who is where
+# -- layout
 
 
 @pytest.mark.parametrize(
@@ -259,7 +261,7 @@
             assert fault.who != fault.other
             if fault.kind in ("stop", "kill"):
                 assert fault.at_us >= spans.get(fault.who, 0), (
-                    "a process suffers one thing at a time"
+                    "a process has only one fault at a time"
                 )
                 spans[fault.who] = fault.end_us
     assert {fault.kind for seed in range(1, 60) for fault in generate(seed, NAMES, 60)} == {
@@ -289,7 +291,7 @@
         hub.spawn(lambda: suffering.suffer(Fault("cut-region", 0, "south", lasts_us=10 * S)))
         hub.spawn(lambda: suffering.suffer(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
         hub.sleep(5 * S)
-        assert places.network.links["placer-0", "placer-1"].forth.cut, "south is cut off still"
+        assert places.network.links["placer-0", "placer-1"].forth.cut, "south is still cut off"
         assert not places.network.links["placer-0", "placer-2"].forth.cut
         hub.sleep(6 * S)
         assert all(way.whole for way in places.network.ways("placer-0", "placer-1"))
--- a/wingbarrow/lab/fleet/judge.py
+++ b/wingbarrow/lab/fleet/judge.py
@@ -29,8 +29,8 @@
 - **past lease**: an offer or a run after the end of the lease that its machine recorded, or after the time until
   which its session can have been renewed: its holder has since not run, or not been in contact with a leader that has
   a majority (by more than the slack);
-- **early reissue**: a start under a later epoch while a machine still holds the lease of an earlier one, or sooner after
-  its holder was certainly in contact than the voters can have ended the session;
+- **early reissue**: a start under a later epoch while a machine still holds the lease of an earlier one, or sooner
+  after its holder was certainly in contact than the voters can have ended the session;
 - **lost run**: leased safe work of a lost region that did not run again in time, with all other regions undisturbed;
 - **forbidden region**: a run in a region that its spec does not allow;
 - **turn over**, **worked on busy**, **turn disorder**: a machine out beyond a budget, worked on while it had a task, or
