--- a/wingbarrow/transport/hub.py
+++ b/wingbarrow/transport/hub.py
@@ -19,15 +19,16 @@
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 _BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
-# Of one poll: what comes is known to have come after the poll before the one that found it, so this bounds by how
-# much too early an arrival is dated.
-_LONGEST_MS = 25
-_TURN_US = 10_000  # of ready tasks run before timers, writers and the poll get their turn again
-_COMPACT_AT = 512  # cancelled timers that may lie in the heap before it is rebuilt
+# Longest wait of one poll. Input is known only to have arrived after the start of the poll before the one that found
+# it, so this bounds by how much its arrival time is underestimated.
+_MAX_POLL_MS = 25
+# How long ready tasks run before timers, urgent tasks and the poll get a turn.
+_MAX_TURN_US = 10_000
+_COMPACT_THRESHOLD = 512  # cancelled timers in the heaps above which these may be rebuilt
 
 
 class Timer:
-    """A call at a time; `cancel` costs a flag, the heap forgets it later."""
+    """A call scheduled at `at_us`; `cancel` only sets a flag, and the heap drops the entry later."""
 
     __slots__ = ("at_us", "call", "hub")
 
@@ -37,37 +38,38 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Forget the call; harmless once it has run."""
+        """Cancel the call; does nothing once it has run."""
         if self.call is not None:
             self.call = None
             self.hub._dead_timers += 1
 
 
 class Hub:
-    """The scheduler of tasks; one for a thread, made where the program starts."""
+    """The task scheduler; one per thread, created at program start."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or RealClock()
         self._ready: deque[tuple[Task, BaseException | None]] = deque()
-        self._first: deque[tuple[Task, BaseException | None]] = deque()
+        self._urgent_tasks: deque[tuple[Task, BaseException | None]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._owed: list[tuple[int, int, Timer]] = []  # timers that run before all else that is due
+        # Timers that run before all others that are due.
+        self._urgent_timers: list[tuple[int, int, Timer]] = []
         self._sequence = 0
         self._dead_timers = 0
         self._poll = select.poll()
-        self._waiting: dict[int, dict[int, Task]] = {}  # by descriptor, by READ or WRITE
+        self._waiting: dict[int, dict[int, Task]] = {}  # by descriptor, then by READ or WRITE
         self._loop = greenlet(self._run)
         self._tasks: dict[greenlet, Task] = {}
-        self._calling: Domain | None = None  # whose timer runs in the hub now
+        self._timer_domain: Domain | None = None  # the domain of the timer that runs now
         self.switches = 0
         self.polls = 0
         self.lag = Lag()
-        self._looked_us = self.clock.now_us()  # when the latest poll began
-        # Something was written, read, opened or closed here since a poll last found nothing. Under a virtual clock all
-        # ends of all sockets are in this process, so nothing else can make a descriptor ready.
-        self.touched = True
+        self._last_poll_us = self.clock.now_us()  # when the latest poll began
+        # Whether a socket was written, read, opened or closed since a poll last found nothing. Under a virtual clock
+        # both ends of every socket are in this process, so nothing else can make a descriptor ready.
+        self.socket_activity = True
         self._stopped = False
-        self.complain: Callable[[str, BaseException], None] = _raise_later
+        self.on_task_error: Callable[[str, BaseException], None] = _raise
 
     def now_us(self) -> int:
         """The clock's monotonic microseconds."""
@@ -78,16 +80,16 @@
         return self._tasks[getcurrent()]
 
     def lag_us(self) -> int:
-        """How late this process has lately been with what was due, in microseconds; see `transport.lag`."""
+        """The recent lag of this process in microseconds; see `transport.lag`."""
         task = self._tasks.get(getcurrent())
-        domain = task.domain if task is not None else self._calling
+        domain = task.domain if task is not None else self._timer_domain
         now = self.clock.now_us()
         return max(self.lag.recent_us(now), domain.lag.recent_us(now) if domain is not None else 0)
 
     # -- tasks
 
     def run(self, call: Callable[[], Any]) -> Any:
-        """Run `call` as the main task until it returns; its result, or its exception."""
+        """Run `call` as the main task until it returns; returns its result or raises its exception."""
         result: list[Any] = []
         task = self.spawn(lambda: result.append(call()), name="main")
         main = getcurrent()
@@ -109,10 +111,10 @@
         domain: Domain | None = None,
         scopes: list[CancelScope] | None = None,
     ) -> Task:
-        """Start a task that nobody waits for; its failure goes to `complain`, unless a nursery takes it."""
+        """Start a background task; its exception goes to `on_task_error`, unless it has an `on_end` callback."""
         parent = self._tasks.get(getcurrent())
         if domain is None:
-            domain = parent.domain if parent is not None else self._calling
+            domain = parent.domain if parent is not None else self._timer_domain
         task = Task(self, None, domain, name)
 
         def body() -> None:
@@ -132,10 +134,10 @@
                 for each in task.on_end:
                     each(task)
                 if task.error is not None and not task.on_end:
-                    self.complain(task.name, task.error)
+                    self.on_task_error(task.name, task.error)
 
         task.glet = greenlet(body, self._loop)
-        task.scopes = [*(scopes or []), task.own]
+        task.scopes = [*(scopes or []), task.own_scope]
         for scope in task.scopes:
             scope._tasks[task] = None
         self._tasks[task.glet] = task
@@ -147,73 +149,75 @@
     def _wake(self, task: Task, error: BaseException | None) -> None:
         domain = task.domain
         if domain is not None and domain.held_until_us > self.clock.now_us():
-            domain.backlog.append((task, error))
-        elif task.first and not self.clock.virtual:
-            self._first.append((task, error))
+            domain.deferred_tasks.append((task, error))
+        elif task.urgent and not self.clock.virtual:
+            self._urgent_tasks.append((task, error))
         else:
             self._ready.append((task, error))
 
     def block(self, undo: Callable[[], None]) -> None:
-        """Sleep until `wake`; `undo` takes back what was waited for when a scope is cancelled."""
+        """Block until `wake`; `undo` withdraws the wait when a scope is cancelled, which raises Cancelled."""
         task = self.current()
         for scope in task.scopes:
             if scope.cancelled:
                 undo()
                 raise Cancelled(scope)
-        task.blocked = undo
+        task.undo_wait = undo
         self._loop.switch()
 
     def wake(self, task: Task) -> None:
-        """Let a task that is in `block` go on; a second wake is ignored."""
-        if task.blocked is not None:
-            task.blocked = None
+        """Make a task that is in `block` ready; does nothing for one that is not."""
+        if task.undo_wait is not None:
+            task.undo_wait = None
             self._wake(task, None)
 
     def checkpoint(self) -> None:
-        """Let others run; raises when cancelled."""
+        """Let other ready tasks run; raises Cancelled when a scope is cancelled."""
         task = self.current()
         entry: tuple[Task, BaseException | None] = (task, None)
-        task.blocked = _nothing
+        task.undo_wait = _no_undo
         self._ready.append(entry)
         for scope in task.scopes:
             if scope.cancelled:
                 self._ready.pop()
-                task.blocked = None
+                task.undo_wait = None
                 raise Cancelled(scope)
-        task.blocked = None
+        task.undo_wait = None
         self._loop.switch()
 
     # -- time
 
     def _at(
-        self, at_us: int, call: Callable[[], None], domain: Domain | None, owed: bool = False
+        self, at_us: int, call: Callable[[], None], domain: Domain | None, urgent: bool = False
     ) -> Timer:
         def guarded() -> None:
             if domain is not None and (domain.dead or domain.held_until_us > self.clock.now_us()):
                 if not domain.dead:
-                    domain.calls.append((owed, call))
+                    domain.deferred_calls.append((urgent, call))
                 return
-            self._calling = domain
+            self._timer_domain = domain
             try:
                 call()
             finally:
-                self._calling = None
+                self._timer_domain = None
 
         timer = Timer(self, at_us, guarded if domain is not None else call)
         self._sequence += 1
-        heapq.heappush(self._owed if owed else self._timers, (at_us, self._sequence, timer))
+        heapq.heappush(
+            self._urgent_timers if urgent else self._timers, (at_us, self._sequence, timer)
+        )
         return timer
 
-    def call_at(self, at_us: int, call: Callable[[], None], owed: bool = False) -> Timer:
-        """Run a short call in the hub at a time; it must not block.
+    def call_at(self, at_us: int, call: Callable[[], None], urgent: bool = False) -> Timer:
+        """Schedule a short call in the hub at a time of its clock; the call must not block.
 
-        One that is `owed` runs before all else that is due, however much waits after a stall.
+        An `urgent` one runs before all other due timers, however many of them wait after a stall.
         """
         parent = self._tasks.get(getcurrent())
-        return self._at(at_us, call, parent.domain if parent else self._calling, owed)
+        return self._at(at_us, call, parent.domain if parent else self._timer_domain, urgent)
 
     def sleep(self, for_us: int) -> None:
-        """Block for so many microseconds."""
+        """Block for `for_us` microseconds."""
         task = self.current()
         timer = self.call_at(self.now_us() + for_us, lambda: self.wake(task))
         self.block(timer.cancel)
@@ -223,7 +227,7 @@
         self.sleep(max(0, at_us - self.now_us()))
 
     def limit(self, for_us: int) -> CancelScope:
-        """A scope that ends so many microseconds from now."""
+        """A scope that is cancelled `for_us` microseconds from now."""
         return CancelScope(self, self.now_us() + for_us)
 
     # -- descriptors
@@ -231,8 +235,8 @@
     def wait(self, fd: int, what: int) -> int:
         """Block until the descriptor can be read (READ) or written (WRITE), or is broken.
 
-        Gives back the latest moment at which it is certain that it was not: when the poll before the one that
-        found it began.
+        Returns the latest time at which it was certainly not ready: the start of the poll before the one that
+        found it ready. Raises RuntimeError if another task already waits for the same.
         """
         task = self.current()
         for scope in task.scopes:
@@ -241,7 +245,7 @@
         waiters = self._waiting.setdefault(fd, {})
         if what in waiters:
             raise RuntimeError(
-                f"two tasks wait for one descriptor: {waiters[what].name}, {task.name}"
+                f"two tasks wait for descriptor {fd}: {waiters[what].name!r} and {task.name!r}"
             )
         waiters[what] = task
         self._register(fd)
@@ -251,9 +255,9 @@
                 del waiters[what]
                 self._register(fd)
 
-        task.silent_us = 0
+        task.last_empty_us = 0
         self.block(undo)
-        return task.silent_us
+        return task.last_empty_us
 
     def _register(self, fd: int) -> None:
         waiters = self._waiting.get(fd)
@@ -269,12 +273,12 @@
         poll.register(fd, what)
         return bool(poll.poll(0))
 
-    def heard_out_us(self, fd: int) -> int | None:
-        """When the latest poll began that found nothing to read, where a reader waits; None where none does."""
-        return self._looked_us if READ in self._waiting.get(fd, ()) else None
+    def last_poll_us(self, fd: int) -> int | None:
+        """Start of the latest poll that found nothing to read, if a reader waits for the descriptor; else None."""
+        return self._last_poll_us if READ in self._waiting.get(fd, ()) else None
 
     def forget(self, fd: int) -> None:
-        """A descriptor is about to be closed: wake whoever waits for it."""
+        """Wake the tasks that wait for a descriptor and unregister it, before it is closed."""
         for task in list(self._waiting.get(fd, {}).values()):
             self.wake(task)
         if fd in self._waiting:
@@ -285,33 +289,33 @@
 
     def _run(self) -> None:
         while not self._stopped:
-            self._turn()
+            self._run_turn()
         self._loop = greenlet(self._run)
 
-    def _turn(self) -> None:
+    def _run_turn(self) -> None:
         begun = self.clock.now_us()
-        end = None if self.clock.virtual else begun + _TURN_US
+        end = None if self.clock.virtual else begun + _MAX_TURN_US
         for _ in range(len(self._ready)):
-            self._run_first()
+            self._run_urgent()
             if self._stopped:
                 return
             self._switch(*self._ready.popleft())
             if self._stopped:
                 return
-            # Danger (rule 1): a long queue of new work would keep due answers and their writers waiting.
+            # Danger (rule 1): a long queue of new work would delay due answers and the tasks that write them.
             if end is not None and self.clock.now_us() >= end:
                 break
-        self._run_first()
+        self._run_urgent()
         if self._stopped:
             return
-        timeout = self._due()
+        timeout = self._run_timers()
         if self._stopped:
             return
-        self._look(0 if self._ready or self._first else timeout)
+        self._poll_or_jump(0 if self._ready or self._urgent_tasks else timeout)
 
-    def _run_first(self) -> None:
-        while self._first and not self._stopped:
-            self._switch(*self._first.popleft())
+    def _run_urgent(self) -> None:
+        while self._urgent_tasks and not self._stopped:
+            self._switch(*self._urgent_tasks.popleft())
 
     def _switch(self, task: Task, error: BaseException | None) -> None:
         if task.glet.dead:
@@ -323,24 +327,28 @@
         else:
             task.glet.throw(error)
 
-    def _due(self) -> int | None:
-        """Run what is due, what is owed first; microseconds until the next timer, None without one."""
-        if self._dead_timers > _COMPACT_AT and self._dead_timers * 2 > len(self._timers) + len(
-            self._owed
-        ):
-            for heap in (self._timers, self._owed):
+    def _run_timers(self) -> int | None:
+        """Run the due timers, urgent ones first; returns microseconds until the next timer, None without one."""
+        if self._dead_timers > _COMPACT_THRESHOLD and self._dead_timers * 2 > len(
+            self._timers
+        ) + len(self._urgent_timers):
+            for heap in (self._timers, self._urgent_timers):
                 heap[:] = [each for each in heap if each[2].call is not None]
                 heapq.heapify(heap)
             self._dead_timers = 0
         now = self.clock.now_us()
-        after_owed = self._run_due(self._owed, now)
+        after_urgent = self._run_due(self._urgent_timers, now)
         after = self._run_due(self._timers, now)
         return (
-            after_owed if after is None else after if after_owed is None else min(after, after_owed)
+            after_urgent
+            if after is None
+            else after
+            if after_urgent is None
+            else min(after, after_urgent)
         )
 
     def _run_due(self, heap: list[tuple[int, int, Timer]], now: int) -> int | None:
-        end = now + _TURN_US
+        end = now + _MAX_TURN_US
         while heap:
             at_us, _, timer = heap[0]
             if timer.call is None:
@@ -351,32 +359,32 @@
                 call, timer.call = timer.call, None
                 self.lag.note(now, now - at_us)
                 call()
-                # What is owed runs to its end; of the rest, a turn's worth.
+                # Urgent timers all run; others stop after one turn's time.
                 if heap is self._timers and not self.clock.virtual and self.clock.now_us() >= end:
                     return 0
             else:
                 return at_us - now
         return None
 
-    def _look(self, timeout_us: int | None) -> None:
+    def _poll_or_jump(self, timeout_us: int | None) -> None:
         if self.clock.virtual and timeout_us:
-            # Loopback bytes are in the peer's buffer when send returns; a second look covers a late softirq.
-            if self.touched and (self._polled(0) or self._polled(0)):
+            # Loopback bytes are in the peer's buffer when send returns; a second poll covers a delayed softirq.
+            if self.socket_activity and (self._poll_once(0) or self._poll_once(0)):
                 return
-            self.touched = False
+            self.socket_activity = False
             self.clock.jump(self.clock.now_us() + timeout_us)
-            self._looked_us = self.clock.now_us()  # the world stood still over the jump
+            self._last_poll_us = self.clock.now_us()  # nothing can arrive during the jump
             return
-        if self.clock.virtual and timeout_us == 0 and not self.touched:
+        if self.clock.virtual and timeout_us == 0 and not self.socket_activity:
             return
-        self._polled(timeout_us)
+        self._poll_once(timeout_us)
 
-    def _polled(self, timeout_us: int | None) -> bool:
+    def _poll_once(self, timeout_us: int | None) -> bool:
         self.polls += 1
-        # Rounded up to milliseconds: waking before a timer is due would spin.
-        wait = _LONGEST_MS if timeout_us is None else min(_LONGEST_MS, -(-timeout_us // 1000))
-        silent_us, self._looked_us = self._looked_us, self.clock.now_us()
-        self.lag.note(self._looked_us, self._looked_us - silent_us - _LONGEST_MS * 1000)
+        # Rounded up to milliseconds: waking before a timer is due would busy-wait.
+        wait = _MAX_POLL_MS if timeout_us is None else min(_MAX_POLL_MS, -(-timeout_us // 1000))
+        last_empty_us, self._last_poll_us = self._last_poll_us, self.clock.now_us()
+        self.lag.note(self._last_poll_us, self._last_poll_us - last_empty_us - _MAX_POLL_MS * 1000)
         try:
             events = self._poll.poll(wait)
         except OSError as error:
@@ -390,11 +398,13 @@
             for what in list(waiters):
                 if mask & (what | _BROKEN):
                     task = waiters.pop(what)
-                    # A process that stands still polls nothing: it last saw nothing before it was held.
+                    # A suspended process does not poll: it last saw the descriptor empty before its suspension.
                     domain = task.domain
-                    held = domain is not None and domain.held_until_us > self._looked_us
-                    task.silent_us = (
-                        min(silent_us, domain.held_from_us) if domain and held else silent_us
+                    held = domain is not None and domain.held_until_us > self._last_poll_us
+                    task.last_empty_us = (
+                        min(last_empty_us, domain.held_from_us)
+                        if domain and held
+                        else last_empty_us
                     )
                     self.wake(task)
             self._register(fd)
@@ -408,9 +418,9 @@
         return reading, writing
 
 
-def _nothing() -> None:
-    """There is nothing to take back."""
+def _no_undo() -> None:
+    """Undo nothing: no wait is registered."""
 
 
-def _raise_later(name: str, error: BaseException) -> None:
+def _raise(name: str, error: BaseException) -> None:
     raise error
