--- a/wingbarrow/lab/fleet/judging/leases.py
+++ b/wingbarrow/lab/fleet/judging/leases.py
@@ -105,8 +105,8 @@
 class LeaseOverruns:
     """Finds offers and runs past their lease, by the machines' records and by when their session could be renewed.
 
-    A session cannot be renewed while its holder cannot reach a leader with a majority, while its process is
-    stopped, or after that has ended.
+    A session cannot be renewed while its holder cannot reach a leader with a majority, or while its process is
+    stopped or has ended.
     """
 
     def __init__(self, run: Run, out: Verdict, jobs: Jobs, reachability: Reachability) -> None:
@@ -136,7 +136,7 @@
                 )
 
     def _outlived_lease(self, task_run: TaskRun, end_us: int) -> bool:
-        longest = self._run.lease_us + self._run.slack_us
+        max_lease_us = self._run.lease_us + self._run.slack_us
         if (
             task_run.end_us != NEVER
             and task_run.lease_until_us
@@ -144,7 +144,7 @@
         ):
             return True
         return any(
-            max(task_run.at_us, begin + longest) < min(end_us, end)
+            max(task_run.at_us, begin + max_lease_us) < min(end_us, end)
             for begin, end in self._unrenewable_spans(task_run.session)
         )
 
@@ -189,10 +189,8 @@
                 for _, epoch, _, session in _lease_copies(job)
                 if session and epoch < later.epoch
             }:
-                holder, until = (
-                    session.rsplit("/", 2)[0],
-                    min(later.at_us, ended.get(session, NEVER)),
-                )
+                holder = session.rsplit("/", 2)[0]
+                until = min(later.at_us, ended.get(session, NEVER))
                 lifetime = run.lifetime_at(holder, jobs.first_seen_us(session))
                 if lifetime is None:
                     continue
--- a/wingbarrow/lab/fleet/judging/losses.py
+++ b/wingbarrow/lab/fleet/judging/losses.py
@@ -37,7 +37,7 @@
         if len(run.regions) < 2 or not any(place[0] == region for place in run.machines.values()):
             continue
         for begin, end in intersect_spans([reachability.unreachable_spans(name) for name in names]):
-            jobs_held = [
+            region_jobs = [
                 job
                 for job in leased
                 if run.region_of(job.placer) == region
@@ -45,7 +45,7 @@
                 and _ran_only_in(run, job, region)
             ]
             within_us = (
-                max_reissue_delay_us(run.lease_us, after_us, len(jobs_held), Timing())
+                max_reissue_delay_us(run.lease_us, after_us, len(region_jobs), Timing())
                 + run.slack_us
             )
             stated_us = max(stated_us, within_us)
@@ -54,7 +54,7 @@
                 and min(end, run.end_us) >= begin + within_us
                 and _others_undisturbed(run, reachability, region, begin, begin + within_us)
             ):
-                for job in jobs_held:
+                for job in region_jobs:
                     _judge_reissue(out, jobs, job, begin, within_us)
     out.stated_reissue_ms = stated_us // 1000
 
--- a/wingbarrow/lab/fleet/judging/turns.py
+++ b/wingbarrow/lab/fleet/judging/turns.py
@@ -115,12 +115,12 @@
                 or other.machine == later.machine
             ):
                 continue
-            waited = (
+            both_waited = (
                 other.asked_us <= at - MACHINE_STATE_DELAY_US
                 and other.since_us(*CLOSED_STATES, "given-back") > at + MACHINE_STATE_DELAY_US
             )
             if (
-                waited
+                both_waited
                 and _queue_rank(other) < _queue_rank(later)
                 and not any(_recently_disturbed(run, each.machine, at) for each in (other, later))
             ):
@@ -132,9 +132,9 @@
 
 
 def _queue_rank(turn: Turn) -> int:
-    """The first part of the queue's sort key: the urgency, plus one for each full `URGENCY_AGE_US` of waiting.
+    """The first part of the queue's sort key; a lower value is served first.
 
-    A lower value is served first.
+    Each level of urgency counts like a request made one `URGENCY_AGE_US` earlier.
     """
     return turn.wall_us // URGENCY_AGE_US - turn.urgency
 
