--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -10,7 +10,7 @@
 from functools import cache
 
 from benchmarks.capacity.target import figures
-from wingbarrow.config.agreeing import _VOTERS
+from wingbarrow.config.agreement import _VOTERS
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.machine_link import STOP_CONNECTIONS
 from wingbarrow.decide.coordination.messages import Timing
@@ -108,7 +108,7 @@
             "voters",
             max(_VOTERS),
             "voters",
-            "wingbarrow/config/agreeing.py",
+            "wingbarrow/config/agreement.py",
             AGREEMENT,
         ),
         Bound(
--- a/tests/config/test_subsetting.py
+++ b/tests/config/test_subset_settings.py
@@ -9,7 +9,7 @@
 
 from wingbarrow.cli.main import main
 from wingbarrow.config import SettingsError, load_text
-from wingbarrow.config.subsetting import module_settings
+from wingbarrow.config.subset_settings import module_settings
 from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import Subsets
 from wingbarrow.lab.cluster import settings_text
--- a/wingbarrow/config/agreeing.py
+++ b/wingbarrow/config/agreement.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from wingbarrow.config.schema import Node, Shape, flag, number, read_duration, text
 from wingbarrow.config.settings import Agree
-from wingbarrow.config.shapes import Node, Shape, flag, number, read_duration, text
 from wingbarrow.decide.quotas.limits import STRANDED_US, FleetLimit, check_limits
 
 _VOTERS, _GRANTS, _LEASES = (1, 3, 5, 7), (200_000, 4_000_000), (1_000_000, 300_000_000)
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -14,9 +14,8 @@
 import ckdl
 import icalendar
 
-from wingbarrow.config.lines import NodeLines
-from wingbarrow.config.settings import parse_duration
-from wingbarrow.config.shapes import (
+from wingbarrow.config.node_lines import NodeLines
+from wingbarrow.config.schema import (
     NEEDED,
     Node,
     Reader,
@@ -28,6 +27,7 @@
     text,
     word,
 )
+from wingbarrow.config.settings import parse_duration
 from wingbarrow.decide.maintenance.drain_plan import Budget, PlanRules, Scope
 from wingbarrow.decide.maintenance.drain_progress import DrainPolicy
 from wingbarrow.decide.maintenance.windows import (
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -5,8 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from wingbarrow.config.settings import Agree, ClassSettings
-from wingbarrow.config.shapes import (
+from wingbarrow.config.schema import (
     NEEDED,
     Node,
     Shape,
@@ -17,6 +16,7 @@
     text,
     word,
 )
+from wingbarrow.config.settings import Agree, ClassSettings
 from wingbarrow.decide.federation.check import Path, ValidationContext, check
 from wingbarrow.decide.federation.encoding import normalized
 from wingbarrow.decide.federation.spec import (
--- a/wingbarrow/config/load.py
+++ b/wingbarrow/config/load.py
@@ -9,10 +9,9 @@
 from netaddr import IPSet
 
 from wingbarrow import interface as api
-from wingbarrow.config import agreeing, federation, subsetting
-from wingbarrow.config.lines import NodeLines
-from wingbarrow.config.settings import ClassSettings, Limits, PeerAddress, PlacerSettings
-from wingbarrow.config.shapes import (
+from wingbarrow.config import agreement, federation, subset_settings
+from wingbarrow.config.node_lines import NodeLines
+from wingbarrow.config.schema import (
     NEEDED,
     Node,
     Reader,
@@ -28,6 +27,7 @@
     text,
     word,
 )
+from wingbarrow.config.settings import ClassSettings, Limits, PeerAddress, PlacerSettings
 
 __all__ = ["SettingsError", "load_file", "load_text"]
 _MAX_FILE_BYTES = 1 << 20
@@ -60,8 +60,8 @@
         "state": Shape((text,)),
         "history": Shape((text,)),
         "bar": Shape((text,), many=True),
-        "agree": agreeing.SHAPE,
-        "subset": subsetting.SHAPE,
+        "agree": agreement.SHAPE,
+        "subset": subset_settings.SHAPE,
         "class": Shape(
             (text,),
             {
@@ -224,7 +224,7 @@
         if not problems:
             problems.append((1, str(error)))
         return None
-    agree = agreeing.read_agree(top, problems)
+    agree = agreement.read_agree(top, problems)
     return PlacerSettings(
         name=placer.args[0],
         seed=placer.props["seed"],
@@ -245,7 +245,7 @@
         ),
         agree=agree,
         machines=placer.props["machines"],
-        subset=subsetting.read_subset(top, agree, classes, limits, problems),
+        subset=subset_settings.read_subset(top, agree, classes, limits, problems),
         federation=federation.read_federation(top, classes, agree, problems),
         barred=tuple(node.args[0] for node in top.children.get("bar", [])),
         history=top.children["history"][0].args[0] if "history" in top.children else None,
--- a/wingbarrow/config/subsetting.py
+++ b/wingbarrow/config/subset_settings.py
@@ -19,8 +19,8 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
+from wingbarrow.config.schema import NEEDED, Node, Shape, number, read_duration, text
 from wingbarrow.config.settings import Agree, ClassSettings, Limits, PlacerSettings, SubsetSettings
-from wingbarrow.config.shapes import NEEDED, Node, Shape, number, read_duration, text
 from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import MAX_ROSTER, SubsetRules, Subsets, subset_size
 
--- a/wingbarrow/core/placer.py
+++ b/wingbarrow/core/placer.py
@@ -11,7 +11,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config import PlacerSettings
 from wingbarrow.config.settings import SubsetSettings
-from wingbarrow.config.subsetting import module_settings
+from wingbarrow.config.subset_settings import module_settings
 from wingbarrow.core.active_rules import ActiveRules
 from wingbarrow.core.api_objects import ApiObjects
 from wingbarrow.core.attempts import Attempts
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -7,7 +7,7 @@
 from wingbarrow import interface as api
 from wingbarrow.config.calendar import Calendar, load_calendar
 from wingbarrow.config.settings import PlacerSettings
-from wingbarrow.config.subsetting import module_settings
+from wingbarrow.config.subset_settings import module_settings
 from wingbarrow.decide.rulesets.agreed_drains import plan_of, series_of, window_of
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
