--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -10,7 +10,7 @@
 from functools import cache
 
 from benchmarks.capacity.target import figures
-from wingbarrow.config.agreement import _VOTERS
+from wingbarrow.config.agreement import VOTER_COUNTS
 from wingbarrow.config.settings import Limits
 from wingbarrow.core.machine_link import STOP_CONNECTIONS
 from wingbarrow.decide.coordination.messages import Timing
@@ -106,7 +106,7 @@
         Bound(
             "voters_most",
             "voters",
-            max(_VOTERS),
+            max(VOTER_COUNTS),
             "voters",
             "wingbarrow/config/agreement.py",
             AGREEMENT,
--- a/wingbarrow/config/agreement.py
+++ b/wingbarrow/config/agreement.py
@@ -3,11 +3,15 @@
 from __future__ import annotations
 
 from wingbarrow.config.schema import Node, Shape, flag, number, read_duration, text
-from wingbarrow.config.settings import Agree
+from wingbarrow.config.settings import AgreementSettings
 from wingbarrow.decide.quotas.limits import STRANDED_US, FleetLimit, check_limits
 
-_VOTERS, _GRANTS, _LEASES = (1, 3, 5, 7), (200_000, 4_000_000), (1_000_000, 300_000_000)
-GRANTS_A_LEASE = 3  # at least: one that is renewed with each grant outlives two that were missed
+VOTER_COUNTS = (1, 3, 5, 7)
+_GRANT_BOUNDS_US = (200_000, 4_000_000)
+_LEASE_BOUNDS_US = (1_000_000, 300_000_000)
+MIN_GRANTS_PER_LEASE = (
+    3  # at least: one that is renewed with each grant outlives two that were missed
+)
 _NAMED = Shape((text,), {"region": (text, ""), "machines": (flag, True)}, many=True)
 SHAPE = Shape(
     (),
@@ -28,7 +32,7 @@
 )
 
 
-def read_agree(top: Node, problems: list[tuple[int, str]]) -> Agree | None:
+def read_agree(top: Node, problems: list[tuple[int, str]]) -> AgreementSettings | None:
     """The terms that a whole document says; None where it has no such node. What is wrong goes to `problems`."""
     node, placer = top.one("agree"), top.children["placer"][0]
     if node is None:
@@ -45,8 +49,8 @@
     def bad(words: str, line: int = at) -> None:
         problems.append((line, f"agree: {words}"))
 
-    if len(voters) not in _VOTERS or len(set(voters)) != len(voters):
-        bad(f"{', '.join(map(str, _VOTERS))} different voters are wanted, not {len(voters)}")
+    if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
+        bad(f"{', '.join(map(str, VOTER_COUNTS))} different voters are wanted, not {len(voters)}")
     if name not in members:
         bad(f"{name!r} is neither a voter nor a member")
     if name in voters and "state" not in top.children:
@@ -54,24 +58,28 @@
     if name not in voters and not placer.props["machines"]:
         bad(f"{name!r} has no machines and no vote", placer.line)
     grant_us, lease_us = node.props["grant"], node.props["lease"]
-    if not _GRANTS[0] <= grant_us <= _GRANTS[1]:
+    if not _GRANT_BOUNDS_US[0] <= grant_us <= _GRANT_BOUNDS_US[1]:
         bad("a grant lasts 200ms to 4s")
-    if not _LEASES[0] <= lease_us <= _LEASES[1]:
+    if not _LEASE_BOUNDS_US[0] <= lease_us <= _LEASE_BOUNDS_US[1]:
         bad("a lease lasts 1s to 5m")
-    elif lease_us < GRANTS_A_LEASE * grant_us:
+    elif lease_us < MIN_GRANTS_PER_LEASE * grant_us:
         bad(
-            f"a lease of {lease_us / 1e6:g} s is shorter than {GRANTS_A_LEASE} grants of {grant_us / 1e6:g} s"
+            f"a lease of {lease_us / 1e6:g} s is shorter than {MIN_GRANTS_PER_LEASE} grants of {grant_us / 1e6:g} s"
         )
     regions = _regions(node, placer, voters, problems)
     named = [*node.children.get("voter", []), *node.children.get("member", [])]
-    bare = tuple(sorted({each.args[0] for each in named if not each.props["machines"]}))
+    members_without_machines = tuple(
+        sorted({each.args[0] for each in named if not each.props["machines"]})
+    )
     for each in named:
         if each.args[0] == name and each.props["machines"] != placer.props["machines"]:
             bad(f"{name!r} has machines by one node, and none by the other", each.line)
-    sharing = tuple(each for each in members if each not in bare)
+    sharing = tuple(each for each in members if each not in members_without_machines)
     limits = tuple(_limit(each, sharing, top, problems) for each in node.children.get("limit", []))
     problems += [(node.line, words) for words in check_limits(limits)]
-    return Agree(voters, members, grant_us, limits, lease_us, regions, bare)
+    return AgreementSettings(
+        voters, members, grant_us, limits, lease_us, regions, members_without_machines
+    )
 
 
 def _regions(
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -16,7 +16,7 @@
     text,
     word,
 )
-from wingbarrow.config.settings import Agree, ClassSettings
+from wingbarrow.config.settings import AgreementSettings, ClassSettings
 from wingbarrow.decide.federation.check import Path, ValidationContext, check
 from wingbarrow.decide.federation.encoding import normalized
 from wingbarrow.decide.federation.spec import (
@@ -103,12 +103,12 @@
 def read_federation(
     top: Node,
     classes: Mapping[str, ClassSettings],
-    agree: Agree | None,
+    agree: AgreementSettings | None,
     problems: list[tuple[int, str]],
 ) -> Federation:
     """All specs and data sets of a document, checked whole; what is wrong goes to `problems`."""
     places = (
-        {who: region for who, region in agree.regions if who not in agree.bare}
+        {who: region for who, region in agree.regions if who not in agree.members_without_machines}
         if agree is not None
         else {}
     )
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agree:
+class AgreementSettings:
     """On what terms placers agree on rules; `members` share the cold budget, `voters` among them decide."""
 
     voters: tuple[str, ...]
@@ -102,7 +102,9 @@
     limits: tuple[FleetLimit, ...] = ()  # of the whole fleet, shared by `members`
     lease_us: int = 10_000_000
     regions: tuple[tuple[str, str], ...] = ()  # (name, region) of those that say one
-    bare: tuple[str, ...] = ()  # members without machines: they vote, and share in nothing
+    members_without_machines: tuple[
+        str, ...
+    ] = ()  # members without machines: they vote, and share in nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +139,7 @@
     peers_allowed: IPSet = field(
         default_factory=IPSet
     )  # who may ask, and be asked, besides the peers
-    agree: Agree | None = None
+    agree: AgreementSettings | None = None
     barred: tuple[str, ...] = ()  # machines that get nothing
     history: str | None = None  # file of what this placer did, for judges
     machines: bool = (
--- a/wingbarrow/config/subset_settings.py
+++ b/wingbarrow/config/subset_settings.py
@@ -20,7 +20,13 @@
 
 from wingbarrow import interface as api
 from wingbarrow.config.schema import NEEDED, Node, Shape, number, read_duration, text
-from wingbarrow.config.settings import Agree, ClassSettings, Limits, PlacerSettings, SubsetSettings
+from wingbarrow.config.settings import (
+    AgreementSettings,
+    ClassSettings,
+    Limits,
+    PlacerSettings,
+    SubsetSettings,
+)
 from wingbarrow.decide.membership_damping import LEAVE_AFTER_US, SETTLE_US
 from wingbarrow.decide.subsets import MAX_ROSTER, SubsetRules, Subsets, subset_size
 
@@ -48,7 +54,7 @@
 
 def read_subset(
     top: Node,
-    agree: Agree | None,
+    agree: AgreementSettings | None,
     classes: dict[str, ClassSettings],
     limits: Limits,
     problems: list[tuple[int, str]],
@@ -164,14 +170,16 @@
     )
 
 
-def _members(placer: Node, agree: Agree | None) -> tuple[str, ...]:
+def _members(placer: Node, agree: AgreementSettings | None) -> tuple[str, ...]:
     """Those that hold machines of this placer's region by `agree`."""
     if agree is None:
         return ()
     regions = dict(agree.regions)
     here = regions.get(placer.args[0], "")
     return tuple(
-        each for each in agree.members if each not in agree.bare and regions.get(each, "") == here
+        each
+        for each in agree.members
+        if each not in agree.members_without_machines and regions.get(each, "") == here
     )
 
 
--- a/wingbarrow/peers/coordinator_setup.py
+++ b/wingbarrow/peers/coordinator_setup.py
@@ -69,7 +69,9 @@
     """The replicated subsystems, which are the same at all voters. `counts` counts requests that sessions reject."""
     agree = settings.agree
     assert agree is not None
-    regions_of_placers = {region for name, region in agree.regions if name not in agree.bare}
+    regions_of_placers = {
+        region for name, region in agree.regions if name not in agree.members_without_machines
+    }
     sessions = SessionSubsystem(agree.lease_us)
     sessions.counts = counts
     regions = RegionSubsystem(agree.lease_us, tuple(sorted(regions_of_placers)))
--- a/wingbarrow/peers/ruleset_settings.py
+++ b/wingbarrow/peers/ruleset_settings.py
@@ -21,7 +21,7 @@
     members = (
         (settings.name,)
         if agree is None
-        else tuple(each for each in agree.members if each not in agree.bare)
+        else tuple(each for each in agree.members if each not in agree.members_without_machines)
     )
     classes = tuple(
         ClassRules(
