--- a/tests/config/test_federation_files.py
+++ b/tests/config/test_federation_files.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("path", BAD, ids=lambda path: path.stem)
 def test_each_fault_has_its_line_and_reason(path: Path) -> None:
-    """Each file begins with its expected faults, as `// LINE: text`."""
+    """Each file begins with its expected errors, as `// LINE: text`."""
     wanted = re.findall(r"^// (\d+): (.+)$", path.read_text(), re.M)
     with pytest.raises(SettingsError) as caught:
         load_file(path)
@@ -36,7 +36,7 @@
     assert parse_rule_set(rules.text()) == rules
 
 
-def test_the_command_says_file_line_and_what_is_wrong() -> None:
+def test_the_command_reports_file_line_and_error() -> None:
     path = FILES / "bad" / "residency-against-failover.kdl"
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 2
@@ -44,6 +44,6 @@
     assert CliRunner().invoke(main, ["check", str(GOOD[0])]).exit_code == 0
 
 
-def test_there_are_enough_of_both() -> None:
+def test_there_are_enough_bad_and_good_files() -> None:
     assert len(BAD) >= 40
     assert len(GOOD) >= 20
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""Settings files: every error at once with its line, near misses, nothing half taken."""
+"""Settings files: every error is reported at once with its line, similar names are suggested, and errors reject all."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return caught.value.problems
 
 
-def test_a_good_file_is_read_whole() -> None:
+def test_a_valid_file_is_read() -> None:
     read = load_text(GOOD)
     web, settlement = read.scheduler.classes
     assert (read.name, read.scheduler.index, read.scheduler.placers, read.port) == (
@@ -65,7 +65,7 @@
     assert "did you mean 'tasks-open'" in words[12][0]
 
 
-def test_figures_that_contradict_each_other_are_found() -> None:
+def test_contradicting_values_are_reported() -> None:
     text = """placer "p" index=3 of=2
 list-source "a" port=1
 class "s" effect="keyed" patience="1s" kind="smal"
@@ -86,20 +86,20 @@
         ("}", 1),
     ],
 )
-def test_what_is_no_kdl_names_a_line(text: str, line: int) -> None:
+def test_invalid_kdl_is_reported_with_a_line(text: str, line: int) -> None:
     assert problems(text)[0][0] == line
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.text(alphabet='ab"{};\\/-*#=1 \n', max_size=60), st.integers(0, len(GOOD)))
-def test_no_text_brings_a_traceback(noise: str, at: int) -> None:
+def test_any_text_raises_only_settings_errors(noise: str, at: int) -> None:
     try:
         load_text(GOOD[:at] + noise + GOOD[at:])
     except SettingsError as error:
         assert all(line >= 1 and text for line, text in error.problems)
 
 
-def test_files_that_cannot_be_read_are_told(tmp_path: Path) -> None:
+def test_unreadable_files_are_reported(tmp_path: Path) -> None:
     (tmp_path / "bytes.kdl").write_bytes(b"placer\n\xff\xfe")
     (tmp_path / "big.kdl").write_bytes(b"//" + b"x" * (2 << 20))
     for name, line in (("none.kdl", 1), ("bytes.kdl", 2), ("big.kdl", 1)):
--- a/tests/config/test_subset_settings.py
+++ b/tests/config/test_subset_settings.py
@@ -1,4 +1,4 @@
-"""The `subset` node: what loads, what is refused with its line and reason, and what the module is then told."""
+"""The `subset` node: valid nodes, errors with line and reason, and the resulting settings of the decision module."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     return caught.value.problems
 
 
-def test_without_the_node_there_are_no_subsets_and_the_module_hears_what_it_always_did() -> None:
+def test_without_the_node_there_are_no_subsets_and_the_module_settings_are_unchanged() -> None:
     settings = load_text(text(""))
     assert settings.subset is None
     assert module_settings(settings) is settings.scheduler
 
 
-def test_a_whole_node_is_read() -> None:
+def test_all_parts_of_a_node_are_read() -> None:
     settings = load_text(
         text(
             f'subset replicas=3 spare=0.5 machines=100 {{ roster {NAMED}; leave-after "7s"; '
@@ -63,7 +63,9 @@
     assert wide.subset is not None
     assert wide.subset.widen == 2
     told = module_settings(wide)
-    assert (told.placers, told.fresh_offers) == (3, 15.0), "cold offers are dealt as without"
+    assert (told.placers, told.fresh_offers) == (3, 15.0), (
+        "the shares of cold offers do not depend on widen="
+    )
 
 
 @pytest.mark.parametrize(
@@ -120,7 +122,7 @@
         (f"subset replicas=2 {{ rooster {NAMED} }}", "did you mean 'roster'?"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_line(subset: str, words: str) -> None:
+def test_each_error_is_reported_with_its_line(subset: str, words: str) -> None:
     whole = text(subset)
     line = next(at for at, each in enumerate(whole.splitlines(), 1) if each.startswith("subset"))
     problems = refused(whole)
@@ -128,16 +130,16 @@
     assert all(at in (line, line + 1) for at, told in problems), problems
 
 
-def test_the_line_is_that_of_the_child_where_it_is_the_childs_fault() -> None:
+def test_an_error_of_a_child_node_has_the_line_of_the_child() -> None:
     whole = text('subset replicas=1 {\n    roster "placer-1"\n    settle "9m"\n}')
     line = next(at for at, each in enumerate(whole.splitlines(), 1) if each.startswith("subset"))
     assert [at for at, _ in refused(whole)] == [line + 1, line + 2]
 
 
-def test_subsets_without_a_way_to_learn_who_lives_or_without_a_state_folder_are_refused() -> None:
+def test_subsets_without_allowed_peers_or_without_a_state_folder_are_refused() -> None:
     subset = f"subset replicas=2 {{ roster {NAMED} }}"
     [(_, told)] = refused(text(subset, more=""))
-    assert "nobody could tell who lives" in told
+    assert "to learn which placers are live" in told
     [(_, told)] = refused(text(subset, state=""))
     assert "a state folder is wanted" in told
     alone = load_text(text('subset replicas=1 { roster "placer-0" }', more="", state=""))
@@ -148,11 +150,11 @@
     whole = text(f"subset replicas=2 {{ roster {NAMED} }}", ALLOWED + 'calendar "windows.ics"\n')
     [(line, told)] = refused(whole)
     assert whole.splitlines()[line - 1].startswith("calendar")
-    assert "by the whole list" in told
+    assert "on the whole list" in told
 
 
 def test_a_subset_too_small_for_the_largest_job_of_a_class_is_refused() -> None:
-    """`web` is spread by cell, 3 in each: 40 machines in 20 cells give one placer of five about 12 cells by two."""
+    """`web` is spread by cell, 3 in each: of 40 machines in 20 cells, one of five placers holds about 12 cells."""
     subset = f"subset replicas=2 machines=40 cells=20 {{ roster {NAMED} }}"
     load_text(text(subset, ALLOWED + "limits { tasks-per-job 36; }\n"))
     [(_, told)] = refused(text(subset, ALLOWED + "limits { tasks-per-job 40; }\n"))
@@ -181,7 +183,7 @@
 """
 
 
-def test_without_a_roster_the_agreeing_members_of_the_own_region_are_it() -> None:
+def test_the_default_roster_is_the_members_with_machines_in_the_own_region() -> None:
     whole = text(
         "subset replicas=2",
         ALLOWED
@@ -200,8 +202,8 @@
     )
 
 
-def test_the_module_deals_what_the_first_ranks_have_among_the_replicas() -> None:
-    """Its own share never falls short of the deal, and all shares of the roster stay within the offers."""
+def test_the_module_divides_the_offers_of_the_first_ranks_among_the_replicas() -> None:
+    """A placer's share is at least what the module gives it, and all shares of the roster stay within the offers."""
     for index, name in enumerate(ROSTER):
         settings = load_text(text(f"subset replicas=3 {{ roster {NAMED} }}", index=index))
         told = module_settings(settings)
@@ -209,7 +211,7 @@
         assert settings.subset is not None
         assert (told.placers, told.index, told.fresh_offers) == (3, index % 3, 15.0)
         assert settings.scheduler.placers == 5, (
-            "what placers share beside that, such as moves, they share as before"
+            "other budgets, such as that of moves, are still shared by all placers"
         )
         subsets = Subsets(settings.subset.rules)
         assert [subsets.max_cold_offers(each, "m", 20) for each in subsets.ranking("m")] == [
@@ -221,7 +223,7 @@
         ]
 
 
-def test_under_agreed_rules_the_budget_of_all_members_is_dealt_by_rank() -> None:
+def test_under_agreed_rules_the_budget_of_all_members_is_divided_by_rank() -> None:
     members = AGREE.replace('region="north"', "").replace('region="south"', "")
     settings = load_text(
         text(f"subset replicas=3 {{ roster {' '.join(NAMED.split()[:4])} }}", ALLOWED + members)
@@ -231,5 +233,5 @@
     assert (told.placers, told.fresh_offers) == (3, 15.0)
     held = agreed_scheduler_settings(settings, rules.text(), 2)
     assert (held.placers, held.fresh_offers) == (3, 6.0), (
-        "a part that is held: two offers at this placer"
+        "with an allocation of two offers at this placer"
     )
--- a/wingbarrow/config/__init__.py
+++ b/wingbarrow/config/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of a placer in KDL: read whole, every error at once with its line, near misses suggested.
+"""Settings of a placer in KDL: every error is reported at once with its line, and similar names are suggested.
 
-`load_file` gives `PlacerSettings`, `calendar.load_calendar` maintenance windows; a file is taken whole or not at all.
+`load_file` returns `PlacerSettings`, `calendar.load_calendar` maintenance windows; a file with any error is rejected.
 """
 
 from wingbarrow.config.load import SettingsError, load_file, load_text
--- a/wingbarrow/config/agreement.py
+++ b/wingbarrow/config/agreement.py
@@ -1,44 +1,45 @@
-"""The `agree` node: who decides on rules and who acts on them, grants and leases, regions, limits of the fleet."""
+"""The `agree` node: voters and members of the agreement on rules, grants and leases, regions, fleet-wide limits."""
 
 from __future__ import annotations
 
-from wingbarrow.config.schema import Node, Shape, flag, number, read_duration, text
+from wingbarrow.config.schema import Node, NodeSchema, flag, number, read_duration, text
 from wingbarrow.config.settings import AgreementSettings
 from wingbarrow.decide.quotas.limits import STRANDED_US, FleetLimit, check_limits
 
 VOTER_COUNTS = (1, 3, 5, 7)
 _GRANT_BOUNDS_US = (200_000, 4_000_000)
 _LEASE_BOUNDS_US = (1_000_000, 300_000_000)
-MIN_GRANTS_PER_LEASE = (
-    3  # at least: one that is renewed with each grant outlives two that were missed
-)
-_NAMED = Shape((text,), {"region": (text, ""), "machines": (flag, True)}, many=True)
-SHAPE = Shape(
+MIN_GRANTS_PER_LEASE = 3  # a lease is renewed with each grant, so it outlives two missed grants
+_NAMED = NodeSchema((text,), {"region": (text, ""), "machines": (flag, True)}, is_repeatable=True)
+SCHEMA = NodeSchema(
     (),
     {"grant": (read_duration, 2_000_000), "lease": (read_duration, 10_000_000)},
     {
         "voter": _NAMED,
         "member": _NAMED,
-        "limit": Shape(
+        "limit": NodeSchema(
             (text,),
             {
                 "most": (number(1, 10_000_000, True), None),
                 "per": (read_duration, 0),
                 "stranded": (read_duration, STRANDED_US),
             },
-            many=True,
+            is_repeatable=True,
         ),
     },
 )
 
 
 def read_agree(top: Node, problems: list[tuple[int, str]]) -> AgreementSettings | None:
-    """The terms that a whole document says; None where it has no such node. What is wrong goes to `problems`."""
-    node, placer = top.one("agree"), top.children["placer"][0]
+    """The settings of the `agree` node of a document; None without that node. Appends errors to `problems`."""
+    node, placer = top.first("agree"), top.children["placer"][0]
     if node is None:
         if not placer.props["machines"]:
             problems.append(
-                (placer.line, "placer: without machines it can only vote, and there is no `agree`")
+                (
+                    placer.line,
+                    "placer: a placer without machines can only vote, but there is no `agree` node",
+                )
             )
         return None
     name = placer.args[0]
@@ -46,24 +47,26 @@
     at = node.line
     members = tuple(sorted({*voters, *(each.args[0] for each in node.children.get("member", []))}))
 
-    def bad(words: str, line: int = at) -> None:
+    def report_problem(words: str, line: int = at) -> None:
         problems.append((line, f"agree: {words}"))
 
     if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
-        bad(f"{', '.join(map(str, VOTER_COUNTS))} different voters are wanted, not {len(voters)}")
+        report_problem(
+            f"{', '.join(map(str, VOTER_COUNTS))} different voters are wanted, not {len(voters)}"
+        )
     if name not in members:
-        bad(f"{name!r} is neither a voter nor a member")
+        report_problem(f"{name!r} is neither a voter nor a member")
     if name in voters and "state" not in top.children:
-        bad("a voter needs a state folder")
+        report_problem("a voter needs a state folder")
     if name not in voters and not placer.props["machines"]:
-        bad(f"{name!r} has no machines and no vote", placer.line)
+        report_problem(f"{name!r} has no machines and no vote", placer.line)
     grant_us, lease_us = node.props["grant"], node.props["lease"]
     if not _GRANT_BOUNDS_US[0] <= grant_us <= _GRANT_BOUNDS_US[1]:
-        bad("a grant lasts 200ms to 4s")
+        report_problem("a grant lasts 200ms to 4s")
     if not _LEASE_BOUNDS_US[0] <= lease_us <= _LEASE_BOUNDS_US[1]:
-        bad("a lease lasts 1s to 5m")
+        report_problem("a lease lasts 1s to 5m")
     elif lease_us < MIN_GRANTS_PER_LEASE * grant_us:
-        bad(
+        report_problem(
             f"a lease of {lease_us / 1e6:g} s is shorter than {MIN_GRANTS_PER_LEASE} grants of {grant_us / 1e6:g} s"
         )
     regions = _regions(node, placer, voters, problems)
@@ -73,7 +76,7 @@
     )
     for each in named:
         if each.args[0] == name and each.props["machines"] != placer.props["machines"]:
-            bad(f"{name!r} has machines by one node, and none by the other", each.line)
+            report_problem(f"{name!r} has machines by one node, and none by the other", each.line)
     sharing = tuple(each for each in members if each not in members_without_machines)
     limits = tuple(_limit(each, sharing, top, problems) for each in node.children.get("limit", []))
     problems += [(node.line, words) for words in check_limits(limits)]
@@ -85,7 +88,10 @@
 def _regions(
     node: Node, placer: Node, voters: tuple[str, ...], problems: list[tuple[int, str]]
 ) -> tuple[tuple[str, str], ...]:
-    """Each one's region, in the order of the file; () where none is named."""
+    """(placer, region) of each voter and member, in the order of the file; () if no region is set.
+
+    Reports contradicting or missing regions, and a region whose loss would leave no majority of voters.
+    """
     regions: dict[str, str] = {}
     lines: dict[str, int] = {}
     for each in (*node.children.get("voter", []), *node.children.get("member", [])):
@@ -94,7 +100,7 @@
             problems.append(
                 (
                     each.line,
-                    f"agree: {who!r} stands in {regions[who]!r} already, in line {lines[who]}",
+                    f"agree: {who!r} already has region {regions[who]!r}, set in line {lines[who]}",
                 )
             )
         regions[who] = regions.get(who) or region
@@ -117,8 +123,8 @@
                 (
                     node.line,
                     f"agree: the loss of region {region!r} takes {inside} of {len(voters)} voters, "
-                    f"and the {left} left are no majority: voters stand in three regions, or in two and a "
-                    "third place without machines",
+                    f"and the {left} left are no majority: place voters in three regions, or in two and a "
+                    "third region without machines",
                 )
             )
     return tuple((who, region) for who, region in regions.items() if region)
@@ -127,12 +133,20 @@
 def _limit(
     node: Node, members: tuple[str, ...], top: Node, problems: list[tuple[int, str]]
 ) -> FleetLimit:
-    """`limit "namespace/shop" most=100`, `limit "class/web" most=50 per="10s"`, `limit "cold"`: the cold budget."""
+    """One fleet limit: `limit "namespace/shop" most=100`, `limit "class/web" most=50 per="10s"`, `limit "cold"`.
+
+    The last one takes the cold budget from the `cold` node.
+    """
     about, _, name = node.args[0].partition("/")
     most, per = node.props["most"], node.props["per"]
     if about == "cold":
         if most is not None or per:
-            problems.append((node.line, "limit: that of cold machines is said by `cold`"))
+            problems.append(
+                (
+                    node.line,
+                    "limit: the limit of cold machines is said by `cold`, without most= and per= here",
+                )
+            )
         most, per = (
             int(top.get("cold", "offers", 20)),
             top.get("cold", "window", 2_000_000) * 5 // 4,
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -1,6 +1,6 @@
-"""The calendar of maintenance: windows in KDL beside the settings, and from iCalendar files (RFC 5545).
+"""The maintenance calendar: windows from KDL files and from iCalendar files (RFC 5545).
 
-A file is read whole: any problem refuses all of it, every problem named with its line (or its event's UID).
+A file with any error is rejected as a whole; every error is reported with its line (and its event's UID).
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 from wingbarrow.config.node_lines import NodeLines
 from wingbarrow.config.schema import (
-    NEEDED,
+    REQUIRED,
     Node,
+    NodeSchema,
     Reader,
     SettingsError,
-    Shape,
     flag,
     number,
+    one_of,
     read_duration,
     text,
-    word,
 )
 from wingbarrow.config.settings import parse_duration
 from wingbarrow.decide.maintenance.drain_plan import Budget, PlanRules, Scope
@@ -42,21 +42,21 @@
 
 _MAX_FILE_BYTES = 4 << 20
 _MAX_SERIES = 10_000
-_MAX_DURATION = 31 * 86_400 * 1_000_000
+_MAX_WINDOW_US = 31 * 86_400 * 1_000_000
 _MACHINES = "X-WINGBARROW-MACHINES"
 
 
 @dataclass(frozen=True, slots=True)
 class Calendar:
-    """Windows, what a plan must keep, and how drains are done."""
+    """Maintenance windows, constraints of a drain plan, and how drains are carried out."""
 
     series: tuple[Series, ...] = ()
     rules: PlanRules = field(default_factory=PlanRules)
     policy: DrainPolicy = field(default_factory=DrainPolicy)
 
 
-def _share(value: Any) -> tuple[float, bool]:
-    """A number, or a percentage in words; (figure, whether it is a share)."""
+def _read_count_or_share(value: Any) -> tuple[float, bool]:
+    """(value, whether it is a share) of a whole number up to 1,000,000, or of a percentage, as 0.25 for "25%"."""
     if (
         isinstance(value, str)
         and value.endswith("%")
@@ -69,54 +69,61 @@
     raise ValueError(f'a whole number or a percentage such as "25%" is wanted, not {value!r}')
 
 
-_MACHINES_SHAPE = Shape(
-    (), {part: (text, "") for part in ("name", "cell", "zone", "label")}, many=True
+_MACHINES_SCHEMA = NodeSchema(
+    (), {part: (text, "") for part in ("name", "cell", "zone", "label")}, is_repeatable=True
 )
-_SCHEMA = Shape(
+_SCHEMA = NodeSchema(
     children={
-        "calendar": Shape((), {"zone": (text, "UTC")}),
-        "window": Shape(
+        "calendar": NodeSchema((), {"zone": (text, "UTC")}),
+        "window": NodeSchema(
             (text,),
             {
-                "start": (text, NEEDED),
-                "lasts": (read_duration, NEEDED),
+                "start": (text, REQUIRED),
+                "lasts": (read_duration, REQUIRED),
                 "each": (read_duration, 0),
                 "repeats": (text, ""),
                 "zone": (text, ""),
                 "precedence": (number(-1000, 1000, True), 0),
-                "unsafe": (word("wait", "shorten", "give-up"), "wait"),
+                "unsafe": (one_of("wait", "shorten", "give-up"), "wait"),
             },
             {
-                "machines": _MACHINES_SHAPE,
-                "except": Shape((text,), many=True),
-                "also": Shape((text,), many=True),
+                "machines": _MACHINES_SCHEMA,
+                "except": NodeSchema((text,), is_repeatable=True),
+                "also": NodeSchema((text,), is_repeatable=True),
             },
-            many=True,
+            is_repeatable=True,
         ),
-        "blackout": Shape(
-            (text,), {"start": (text, NEEDED), "end": (text, NEEDED), "zone": (text, "")}, many=True
+        "blackout": NodeSchema(
+            (text,),
+            {"start": (text, REQUIRED), "end": (text, REQUIRED), "zone": (text, "")},
+            is_repeatable=True,
         ),
-        "budget": Shape(
+        "budget": NodeSchema(
             (),
             {
-                "by": (word("cell", "zone", "region", "all"), NEEDED),
-                "max-unavailable": (_share, None),
-                "min-available": (_share, None),
+                "by": (one_of("cell", "zone", "region", "all"), REQUIRED),
+                "max-unavailable": (_read_count_or_share, None),
+                "min-available": (_read_count_or_share, None),
             },
-            many=True,
+            is_repeatable=True,
         ),
-        "fill": Shape((number(0.05, 1.0),)),
-        "lead": Shape((read_duration,)),
-        "pace": Shape(
+        "fill": NodeSchema((number(0.05, 1.0),)),
+        "lead": NodeSchema((read_duration,)),
+        "pace": NodeSchema(
             (), {"moves": (number(1, 10_000, True), 4), "every": (read_duration, 1_000_000)}
         ),
-        "hall-failure": Shape((), {"share": (number(0.01, 1.0), 0.5), "take-back": (flag, True)}),
+        "hall-failure": NodeSchema(
+            (), {"share": (number(0.01, 1.0), 0.5), "take-back": (flag, True)}
+        ),
     }
 )
 
 
 def load_calendar(paths: Iterable[str | Path], kinds_needed: tuple[str, ...] = ()) -> Calendar:
-    """One calendar from all files (.ics by that ending, else KDL); SettingsError for the first file at fault."""
+    """One calendar from all files (iCalendar by the suffix .ics, else KDL).
+
+    Raises SettingsError for the first file with errors.
+    """
     out = Calendar(rules=PlanRules(kinds_needed=kinds_needed))
     for path in paths:
         raw = _read(Path(path))
@@ -130,7 +137,7 @@
             raise SettingsError(
                 str(path),
                 [
-                    (_line_of(raw, name), f"window {name!r} stands in an earlier file too")
+                    (_line_of(raw, name), f"window {name!r} is also defined in an earlier file")
                     for name in twice
                 ],
             )
@@ -140,7 +147,7 @@
 
 
 def _line_of(raw: str, name: str) -> int:
-    """The first line that has a window's name."""
+    """The 1-based number of the first line that contains a window's name; 1 if none does."""
     return next((number for number, line in enumerate(raw.splitlines(), 1) if name in line), 1)
 
 
@@ -160,7 +167,10 @@
 
 
 def read_kdl(raw: str, name: str, base: Calendar) -> Calendar:
-    """A KDL calendar's windows and rules, added to `base`."""
+    """`base` extended by the windows and rules of a KDL calendar.
+
+    Raises SettingsError with every error of the text.
+    """
     try:
         document = ckdl.parse(raw)
     except (ckdl.ParseError, ValueError) as error:
@@ -191,11 +201,11 @@
         try:
             tz = node.props["zone"] or default_zone
             begin, end = (
-                to_us(_local(node.props["start"], tz)),
-                to_us(_local(node.props["end"], tz)),
+                to_us(_parse_time(node.props["start"], tz)),
+                to_us(_parse_time(node.props["end"], tz)),
             )
             if end <= begin:
-                raise ValueError("it ends before it starts")
+                raise ValueError("end must be after start")
             blackouts.append(Blackout(node.args[0], begin, end))
         except ValueError as error:
             problems.append((node.line, f"blackout {node.args[0]!r}: {error}"))
@@ -204,7 +214,7 @@
         most, least = node.props["max-unavailable"], node.props["min-available"]
         if (most is None) == (least is None):
             problems.append(
-                (node.line, "budget: one of max-unavailable and min-available is wanted")
+                (node.line, "budget: exactly one of max-unavailable and min-available is wanted")
             )
             continue
         figure, share = most if most is not None else least
@@ -218,7 +228,7 @@
         )
     if problems:
         raise SettingsError(name, problems)
-    fill, lead, rules, policy = top.one("fill"), top.one("lead"), base.rules, base.policy
+    fill, lead, rules, policy = top.first("fill"), top.first("lead"), base.rules, base.policy
     return Calendar(
         (*base.series, *series),
         PlanRules(
@@ -237,7 +247,7 @@
     )
 
 
-def _local(value: str, zone_name: str) -> datetime:
+def _parse_time(value: str, zone_name: str) -> datetime:
     try:
         at = datetime.fromisoformat(value)
     except ValueError:
@@ -245,18 +255,18 @@
     return at if at.tzinfo else at.replace(tzinfo=zone(zone_name))
 
 
-def _day_or_time(value: str, zone_name: str) -> datetime | date:
+def _parse_date_or_time(value: str, zone_name: str) -> datetime | date:
     if len(value) == 10:
         try:
             return date.fromisoformat(value)
         except ValueError:
             raise ValueError(f"not a date: {value!r}") from None
-    return _local(value, zone_name)
+    return _parse_time(value, zone_name)
 
 
 def _window(node: Node, zone_name: str) -> Series:
     props = node.props
-    start = _local(props["start"], zone_name)
+    start = _parse_time(props["start"], zone_name)
     lasts, each = props["lasts"], props["each"]
     _check_length(lasts, each)
     if props["repeats"]:
@@ -278,15 +288,17 @@
         if selectors[-1] == Selector():
             raise ValueError("machines: name=, cell=, zone= or label= is wanted")
     if not selectors:
-        raise ValueError("no machines are named")
+        raise ValueError("at least one `machines` node is wanted")
     return Series(
         node.args[0],
         start,
         lasts,
         each or lasts,
         props["repeats"],
-        tuple(_day_or_time(each.args[0], zone_name) for each in node.children.get("except", [])),
-        tuple(_local(each.args[0], zone_name) for each in node.children.get("also", [])),
+        tuple(
+            _parse_date_or_time(each.args[0], zone_name) for each in node.children.get("except", [])
+        ),
+        tuple(_parse_time(each.args[0], zone_name) for each in node.children.get("also", [])),
         tuple(selectors),
         props["precedence"],
         UnsafePolicy(props["unsafe"]),
@@ -295,17 +307,18 @@
 
 def _check_length(lasts_us: int, each_us: int) -> None:
     if lasts_us <= 0:
-        raise ValueError("a window of no length")
-    if lasts_us > _MAX_DURATION:
-        raise ValueError("a window of more than 31 days")
+        raise ValueError("the window has no positive length")
+    if lasts_us > _MAX_WINDOW_US:
+        raise ValueError("the window is longer than 31 days")
     if each_us > lasts_us:
-        raise ValueError("each machine's turn is longer than the window")
+        raise ValueError("the time for each machine is longer than the window")
 
 
 def read_ics(raw: str, name: str) -> list[Series]:
-    """The VEVENTs of an iCalendar file that name machines (X-WINGBARROW-MACHINES:zone=hall-a;cell=rack-1).
+    """Windows from the VEVENTs of an iCalendar file that name machines (X-WINGBARROW-MACHINES:zone=hall-a;cell=rack-1).
 
-    Other events are not windows and are passed over. X-WINGBARROW-EACH, -PRECEDENCE and -UNSAFE are optional.
+    Other events are ignored. X-WINGBARROW-EACH, -PRECEDENCE and -UNSAFE are optional. Raises SettingsError with every
+    error of the file.
     """
     try:
         calendar = icalendar.Calendar.from_ical(raw)
@@ -317,23 +330,23 @@
     for event in events:
         if _MACHINES not in event:
             continue
-        ident = str(event.get("UID", ""))[:100]
-        line = raw.count("\n", 0, max(0, raw.find(ident))) + 1 if ident else 1
+        uid = str(event.get("UID", ""))[:100]
+        line = raw.count("\n", 0, max(0, raw.find(uid))) + 1 if uid else 1
         try:
-            series.append(_event(event, ident))
+            series.append(_event(event, uid))
         except (ValueError, KeyError, AttributeError, TypeError) as error:
-            problems.append((line, f"event {ident!r}: {str(error)[:150] or type(error).__name__}"))
+            problems.append((line, f"event {uid!r}: {str(error)[:150] or type(error).__name__}"))
     if problems:
         raise SettingsError(name, problems)
     return series
 
 
-def _event(event: Any, ident: str) -> Series:
-    if not ident:
-        raise ValueError("no UID")
-    start = _timed(event["DTSTART"].dt)
+def _event(event: Any, uid: str) -> Series:
+    if not uid:
+        raise ValueError("the event has no UID")
+    start = _to_datetime(event["DTSTART"].dt)
     if "DTEND" in event:
-        lasts = int((_timed(event["DTEND"].dt) - start).total_seconds() * 1_000_000)
+        lasts = int((_to_datetime(event["DTEND"].dt) - start).total_seconds() * 1_000_000)
     elif "DURATION" in event:
         lasts = int(event["DURATION"].dt.total_seconds() * 1_000_000)
     else:
@@ -356,20 +369,20 @@
             f"{_MACHINES}: name=, cell= or zone= is wanted, not {str(event[_MACHINES])[:60]!r}"
         )
     return Series(
-        ident,
+        uid,
         start,
         lasts,
         each,
         rule,
         tuple(_dates(event.get("EXDATE"))),
-        tuple(_timed(each) for each in _dates(event.get("RDATE"))),
+        tuple(_to_datetime(each) for each in _dates(event.get("RDATE"))),
         (Selector(fields.get("name", ""), fields.get("cell", ""), fields.get("zone", "")),),
         int(str(event.get("X-WINGBARROW-PRECEDENCE", "0"))),
         UnsafePolicy(str(event.get("X-WINGBARROW-UNSAFE", "wait")).lower()),
     )
 
 
-def _timed(value: datetime | date) -> datetime:
+def _to_datetime(value: datetime | date) -> datetime:
     if not isinstance(value, datetime):
         value = datetime(value.year, value.month, value.day)
     return value if value.tzinfo else value.replace(tzinfo=zone("UTC"))
--- a/wingbarrow/config/federation.py
+++ b/wingbarrow/config/federation.py
@@ -1,4 +1,4 @@
-"""The `federation`, `dataset` and `room` nodes: specs, data sets and what regions have; faults go to their lines."""
+"""The `federation`, `dataset` and `room` nodes: federation specs, data sets, and the capacity of regions."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from typing import Any
 
 from wingbarrow.config.schema import (
-    NEEDED,
+    REQUIRED,
     Node,
-    Shape,
+    NodeSchema,
     flag,
     number,
+    one_of,
     read_duration,
     read_size,
     text,
-    word,
 )
 from wingbarrow.config.settings import AgreementSettings, ClassSettings
 from wingbarrow.decide.federation.check import Path, ValidationContext, check
@@ -34,31 +34,32 @@
     Spec,
 )
 
-_LEASES_AFTER = 2  # after so many a class's own spec takes a region for lost
+# By the generated spec of a class with failover=#true, a region counts as lost after this many lease times.
+_LEASES_UNTIL_LOST = 2
 _MIB = 2**20
 _CORES = number(0, 1e7)
-_REGIONS = Shape(rest=text)
-SHAPES = {
-    "federation": Shape(
+_REGIONS = NodeSchema(further_arg=text)
+SCHEMAS = {
+    "federation": NodeSchema(
         (text,),
         {},
         {
             "prefer": _REGIONS,
             "allow": _REGIONS,
             "forbid": _REGIONS,
-            "reads": Shape(
+            "reads": NodeSchema(
                 (text,),
                 {
-                    "near": (word(*LOCALITIES), "wanted"),
+                    "near": (one_of(*LOCALITIES), "wanted"),
                     "much": (read_size, 0.0),
                     "behind": (read_duration, 0),
                 },
-                many=True,
+                is_repeatable=True,
             ),
-            "failover": Shape(
+            "failover": NodeSchema(
                 (),
                 {
-                    "after": (read_duration, NEEDED),
+                    "after": (read_duration, REQUIRED),
                     "refusing": (read_duration, 0),
                     "room": (number(1, 100, True), 100),
                     "copies": (number(1, MAX_REPLICAS, True), 1),
@@ -66,36 +67,44 @@
                     "memory": (read_size, 0.0),
                 },
                 {"to": _REGIONS},
-                rest=word(*FAILOVER_CAUSES),
+                further_arg=one_of(*FAILOVER_CAUSES),
             ),
-            "back": Shape(
-                (word(*RETURN_MODES),),
+            "back": NodeSchema(
+                (one_of(*RETURN_MODES),),
                 {"after": (read_duration, 0), "pace": (number(1, 1000, True), 1)},
             ),
-            "cut": Shape((word(*PARTITION_ACTIONS),)),
-            "over": Shape(
+            "cut": NodeSchema((one_of(*PARTITION_ACTIONS),)),
+            "over": NodeSchema(
                 (), {"lower": (number(0, 100, True), 60), "upper": (number(1, 100, True), 90)}
             ),
         },
-        many=True,
+        is_repeatable=True,
     ),
-    "dataset": Shape(
+    "dataset": NodeSchema(
         (text,),
         {},
-        {"copy": Shape((text,), {"behind": (read_duration, 0)}, many=True), "stays": _REGIONS},
-        many=True,
+        {
+            "copy": NodeSchema((text,), {"behind": (read_duration, 0)}, is_repeatable=True),
+            "stays": _REGIONS,
+        },
+        is_repeatable=True,
+    ),
+    "room": NodeSchema(
+        (text,), {"cores": (_CORES, REQUIRED), "memory": (read_size, REQUIRED)}, is_repeatable=True
     ),
-    "room": Shape((text,), {"cores": (_CORES, NEEDED), "memory": (read_size, NEEDED)}, many=True),
 }
 CLASS_PROPS: dict[str, tuple[Any, Any]] = {"federation": (text, ""), "failover": (flag, False)}
 
 
 def class_spec(node: Node, problems: list[tuple[int, str]]) -> str:
-    """The name of the spec that a class goes by; "" where it names none."""
+    """The name of the federation spec that applies to a class; "" if there is none."""
     named, failover = node.props["federation"], node.props["failover"]
     if named and failover:
         problems.append(
-            (node.line, "class: federation= and failover= at once; a spec says its own failover")
+            (
+                node.line,
+                "class: federation= and failover= at once, but a spec sets its own failover",
+            )
         )
     return str(named) or (CLASS_SPEC_PREFIX + str(node.args[0]) if failover else "")
 
@@ -106,7 +115,7 @@
     agree: AgreementSettings | None,
     problems: list[tuple[int, str]],
 ) -> Federation:
-    """All specs and data sets of a document, checked whole; what is wrong goes to `problems`."""
+    """All specs and data sets of a document, checked together. Appends errors to `problems`."""
     places = (
         {who: region for who, region in agree.regions if who not in agree.members_without_machines}
         if agree is not None
@@ -143,7 +152,7 @@
                     CLASS_SPEC_PREFIX + node.args[0],
                     regions,
                     ranked=False,
-                    failover=Failover(("lost",), _LEASES_AFTER * lease_us),
+                    failover=Failover(("lost",), _LEASES_UNTIL_LOST * lease_us),
                 )
             )
     uses = tuple((name, each.federation) for name, each in classes.items() if each.federation)
@@ -173,7 +182,7 @@
 
 
 def _line(path: Path, lines: Mapping[Path, int]) -> int:
-    """Of a place, or of what it is a part of."""
+    """The line of a path, or of its nearest known ancestor; 1 if there is none."""
     while path and path not in lines:
         path = path[:-1]
     return lines.get(path, 1)
@@ -181,7 +190,7 @@
 
 def _spec(node: Node, regions: tuple[str, ...], path: Path, lines: dict[Path, int]) -> Spec:
     def names(what: str) -> tuple[str, ...]:
-        child = node.one(what)
+        child = node.first(what)
         return tuple(child.args) if child is not None else ()
 
     lines[path] = node.line
@@ -194,7 +203,7 @@
     allow = names("allow")
     if not prefer and not allow:
         allow = tuple(each for each in regions if each not in forbidden)
-    back, cut = node.one("back"), node.one("cut")
+    back, cut = node.first("back"), node.first("cut")
     return Spec(
         node.args[0],
         prefer + allow,
@@ -208,7 +217,7 @@
             )
             for each in needs
         ),
-        _failover(node.one("failover"), path, lines),
+        _failover(node.first("failover"), path, lines),
         Back(back.args[0], back.props["after"], back.props["pace"]) if back else Back(),
         cut.args[0] if cut else "carry-on",
         node.get("over", "lower", 60),
@@ -220,7 +229,7 @@
 def _failover(node: Node | None, path: Path, lines: dict[Path, int]) -> Failover | None:
     if node is None:
         return None
-    to, props = node.one("to"), node.props
+    to, props = node.first("to"), node.props
     if to is not None:
         lines[*path, "failover", "to"] = to.line
     return Failover(
@@ -240,7 +249,7 @@
     copies = node.children.get("copy", [])
     for at, child in enumerate(copies):
         lines[*path, "copy", at] = child.line
-    stays = node.one("stays")
+    stays = node.first("stays")
     if stays is not None:
         lines[*path, "stays"] = stays.line
     return DataSet(
--- a/wingbarrow/config/load.py
+++ b/wingbarrow/config/load.py
@@ -1,4 +1,4 @@
-"""KDL text to settings: a small schema walked over the parsed document, collecting every error."""
+"""Converts KDL text to settings: checks the parsed document against a schema and collects every error."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from wingbarrow.config import agreement, federation, subset_settings
 from wingbarrow.config.node_lines import NodeLines
 from wingbarrow.config.schema import (
-    NEEDED,
+    REQUIRED,
     Node,
+    NodeSchema,
     Reader,
     SettingsError,
-    Shape,
     address,
     flag,
-    near,
     network,
     number,
+    one_of,
     read_duration,
     read_size,
+    suggestion,
     text,
-    word,
 )
 from wingbarrow.config.settings import ClassSettings, Limits, PeerAddress, PlacerSettings
 
 __all__ = ["SettingsError", "load_file", "load_text"]
 _MAX_FILE_BYTES = 1 << 20
 _MAX_PEERS = 64
-_PLACES = ("none", "machine", "cell", "zone")
-_WHOLE = number(1, 10_000_000, True)
-_LIMITS = {each.name.replace("_", "-").removesuffix("-us"): each for each in fields(Limits)}
-_SCHEMA = Shape(
+_SPREAD_LEVELS = ("none", "machine", "cell", "zone")
+_COUNT = number(1, 10_000_000, True)
+_LIMIT_FIELDS = {each.name.replace("_", "-").removesuffix("-us"): each for each in fields(Limits)}
+_SCHEMA = NodeSchema(
     children={
-        "placer": Shape(
+        "placer": NodeSchema(
             (text,),
             {
                 "index": (number(0, 10_000, True), 0),
@@ -48,27 +48,27 @@
                 "machines": (flag, True),
             },
         ),
-        "peer": Shape(
+        "peer": NodeSchema(
             (address,),
-            {"port": (number(1, 65535, True), NEEDED), "name": (text, ""), "seed": (flag, True)},
-            many=True,
+            {"port": (number(1, 65535, True), REQUIRED), "name": (text, ""), "seed": (flag, True)},
+            is_repeatable=True,
         ),
-        "allow-peer": Shape((network,), many=True),
-        "calendar": Shape((text,), many=True),
-        "listen": Shape((text,), {"port": (number(0, 65535, True), 0)}),
-        "list-source": Shape((text,), {"port": (number(1, 65535, True), NEEDED)}),
-        "state": Shape((text,)),
-        "history": Shape((text,)),
-        "bar": Shape((text,), many=True),
-        "agree": agreement.SHAPE,
-        "subset": subset_settings.SHAPE,
-        "class": Shape(
+        "allow-peer": NodeSchema((network,), is_repeatable=True),
+        "calendar": NodeSchema((text,), is_repeatable=True),
+        "listen": NodeSchema((text,), {"port": (number(0, 65535, True), 0)}),
+        "list-source": NodeSchema((text,), {"port": (number(1, 65535, True), REQUIRED)}),
+        "state": NodeSchema((text,)),
+        "history": NodeSchema((text,)),
+        "bar": NodeSchema((text,), is_repeatable=True),
+        "agree": agreement.SCHEMA,
+        "subset": subset_settings.SCHEMA,
+        "class": NodeSchema(
             (text,),
             {
-                "effect": (word("safe", "keyed", "unsafe"), NEEDED),
-                "group": (word("machine", "cell", "zone", "all"), "all"),
+                "effect": (one_of("safe", "keyed", "unsafe"), REQUIRED),
+                "group": (one_of("machine", "cell", "zone", "all"), "all"),
                 "window": (read_duration, 0),
-                "patience": (read_duration, NEEDED),
+                "patience": (read_duration, REQUIRED),
                 "worth": (number(0, 1e6), 1.0),
                 "priority": (number(0, 3, True), 0),
                 "restarts": (number(0, 1000, True), 6),
@@ -76,22 +76,26 @@
                 **federation.CLASS_PROPS,
             },
             {
-                "spread": Shape((), {"by": (word(*_PLACES), NEEDED), "most": (_WHOLE, NEEDED)}),
-                "served": Shape((), {"calm": (number(0, 10), 0.8), "fade": (number(0, 10), 0.2)}),
+                "spread": NodeSchema(
+                    (), {"by": (one_of(*_SPREAD_LEVELS), REQUIRED), "most": (_COUNT, REQUIRED)}
+                ),
+                "served": NodeSchema(
+                    (), {"calm": (number(0, 10), 0.8), "fade": (number(0, 10), 0.2)}
+                ),
             },
-            many=True,
+            is_repeatable=True,
         ),
-        **federation.SHAPES,
-        "kind": Shape(
+        **federation.SCHEMAS,
+        "kind": NodeSchema(
             (text,),
-            {"cores": (number(0.01, 1e6), NEEDED), "memory": (read_size, NEEDED)},
-            many=True,
+            {"cores": (number(0.01, 1e6), REQUIRED), "memory": (read_size, REQUIRED)},
+            is_repeatable=True,
         ),
-        "booking": Shape(
+        "booking": NodeSchema(
             (), {"cores": (number(0.01, 100), 1.0), "memory": (number(0.01, 100), 1.0)}
         ),
-        "attempts": Shape((), {"most": (number(1, 100, True), 4)}),
-        "cold": Shape(
+        "attempts": NodeSchema((), {"most": (number(1, 100, True), 4)}),
+        "cold": NodeSchema(
             (),
             {
                 "lasts": (read_duration, 18_000_000),
@@ -99,16 +103,18 @@
                 "window": (read_duration, 2_000_000),
             },
         ),
-        "drain": Shape((), {"grace": (read_duration, 250_000)}),
-        "tick": Shape((read_duration,)),
-        "reports": Shape((word("on-probes", "none"),), {"room-in-list": (flag, True)}),
-        "prices": Shape((), {"fleet": (number(0, 100), 0.0), "probe": (number(0, 100), 0.003)}),
-        "limits": Shape(
+        "drain": NodeSchema((), {"grace": (read_duration, 250_000)}),
+        "tick": NodeSchema((read_duration,)),
+        "reports": NodeSchema((one_of("on-probes", "none"),), {"room-in-list": (flag, True)}),
+        "prices": NodeSchema(
+            (), {"fleet": (number(0, 100), 0.0), "probe": (number(0, 100), 0.003)}
+        ),
+        "limits": NodeSchema(
             (),
             {},
             {
-                name: Shape((read_duration if each.name.endswith("_us") else _WHOLE,))
-                for name, each in _LIMITS.items()
+                name: NodeSchema((read_duration if each.name.endswith("_us") else _COUNT,))
+                for name, each in _LIMIT_FIELDS.items()
             },
         ),
     }
@@ -116,7 +122,7 @@
 
 
 def load_file(path: str | Path) -> PlacerSettings:
-    """Settings from a file; SettingsError for what cannot be read or used."""
+    """Settings from a file. Raises SettingsError if it cannot be read, or with every error in it."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -132,7 +138,7 @@
 
 
 def load_text(text: str, name: str = "settings") -> PlacerSettings:
-    """Settings from KDL text; SettingsError names every problem with its line."""
+    """Settings from KDL text. Raises SettingsError with every error and its line; `name` is the file to report."""
     lines = NodeLines(text)
     try:
         document = ckdl.parse(text)
@@ -158,8 +164,8 @@
 
 
 def _broken_line(text: str, lines: NodeLines) -> int:
-    """The line of the first top-level node that does not parse by itself."""
-    for line, start, end in lines.tops:
+    """The line of the first top-level node that does not parse by itself; the last line if all of them do."""
+    for line, start, end in lines.top_level_nodes:
         try:
             ckdl.parse(text[start:end])
         except (ckdl.ParseError, ValueError):
@@ -169,18 +175,21 @@
 
 def _build(top: Node, problems: list[tuple[int, str]]) -> PlacerSettings | None:
     placer = top.children["placer"][0]
-    listen, source = top.one("listen"), top.one("list-source")
+    listen, source = top.first("listen"), top.first("list-source")
     kinds = {node.args[0]: node for node in top.children["kind"]}
-    _twice(top.children["kind"], "kind", problems)
-    _twice(top.children["class"], "class", problems)
+    _check_unique(top.children["kind"], "kind", problems)
+    _check_unique(top.children["class"], "class", problems)
     if placer.props["index"] >= placer.props["of"]:
         problems.append(
-            (placer.line, f"placer: index {placer.props['index']} of {placer.props['of']}")
+            (
+                placer.line,
+                f"placer: index {placer.props['index']} is not below of={placer.props['of']}",
+            )
         )
     classes = {node.args[0]: _class(node, kinds, problems) for node in top.children["class"]}
     limits = Limits(
         **{
-            _LIMITS[key].name: nodes[0].args[0]
+            _LIMIT_FIELDS[key].name: nodes[0].args[0]
             for node in top.children.get("limits", [])
             for key, nodes in node.children.items()
         }
@@ -191,8 +200,8 @@
         )
     for node in top.children["class"]:
         if node.props["patience"] > limits.patience_us:
-            problems.append((node.line, "class: patience is above the limit for patience"))
-    reports, state, tick = top.one("reports"), top.one("state"), top.one("tick")
+            problems.append((node.line, "class: patience exceeds the limit for patience"))
+    reports, state, tick = top.first("reports"), top.first("state"), top.first("tick")
     try:
         scheduler = api.Settings(
             placers=placer.props["of"],
@@ -254,7 +263,7 @@
     )
 
 
-def _twice(nodes: list[Node], what: str, problems: list[tuple[int, str]]) -> None:
+def _check_unique(nodes: list[Node], what: str, problems: list[tuple[int, str]]) -> None:
     seen: dict[str, int] = {}
     for node in nodes:
         name = node.args[0]
@@ -264,7 +273,7 @@
 
 
 def _class(node: Node, kinds: dict[str, Node], problems: list[tuple[int, str]]) -> ClassSettings:
-    props, spread, served = node.props, node.one("spread"), node.one("served")
+    props, spread, served = node.props, node.first("spread"), node.first("served")
     effect = api.Effect(props["effect"])
     if effect is api.Effect.KEYED and props["window"] <= 0:
         problems.append(
@@ -272,10 +281,10 @@
         )
     if props["kind"] is not None and props["kind"] not in kinds:
         problems.append(
-            (node.line, f"class: no such kind: {props['kind']!r}{near(props['kind'], kinds)}")
+            (node.line, f"class: no such kind: {props['kind']!r}{suggestion(props['kind'], kinds)}")
         )
     if props["patience"] < 100_000:
-        problems.append((node.line, "class: a patience of less than 100ms cannot be kept"))
+        problems.append((node.line, "class: patience is less than 100ms"))
     by = spread.props["by"] if spread else "none"
     task_class = api.TaskClass(
         name=node.args[0],
--- a/wingbarrow/config/schema.py
+++ b/wingbarrow/config/schema.py
@@ -1,4 +1,7 @@
-"""What a settings file may hold: readers of values, shapes of nodes, and a walk that collects every problem's line."""
+"""Schema of a settings file: value readers, node schemas, and a reader that reports every error with its line.
+
+A value reader returns the typed value, or raises ValueError with what it expected and what it got.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class SettingsError(Exception):
-    """A file of settings that cannot be used; `problems` are (line, what is wrong), in order of lines."""
+    """A settings file is invalid; `problems` has (line, what is wrong) in order of lines."""
 
     def __init__(self, name: str, problems: list[tuple[int, str]]) -> None:
         self.name = name
@@ -22,14 +25,14 @@
 
 
 def text(value: Any) -> str:
-    """A name."""
+    """Reads a name of 1 to 253 characters."""
     if not isinstance(value, str) or not value or len(value) > 253:
         raise ValueError(f"a name of 1 to 253 characters is wanted, not {value!r}")
     return value
 
 
 def number(low: float, high: float, whole: bool = False) -> Callable[[Any], Any]:
-    """A number within bounds."""
+    """A reader of numbers from `low` to `high`, both included."""
 
     def read(value: Any) -> Any:
         if isinstance(value, bool) or not isinstance(value, int if whole else (int, float)):
@@ -42,28 +45,28 @@
 
 
 def flag(value: Any) -> bool:
-    """True or false."""
+    """Reads a boolean."""
     if not isinstance(value, bool):
         raise ValueError(f"true or false is wanted, not {value!r}")
     return value
 
 
 def read_duration(value: Any) -> int:
-    """Microseconds from a duration in words."""
+    """Reads a duration such as "5s" as microseconds."""
     if not isinstance(value, str):
         raise ValueError(f'a duration such as "5s" is wanted, not {value!r}')
     return parse_duration(value)
 
 
 def read_size(value: Any) -> float:
-    """Bytes from a size in words."""
+    """Reads a size such as "48Gi" as bytes."""
     if isinstance(value, str):
         return parse_size(value)
     raise ValueError(f'a size such as "48Gi" is wanted, not {value!r}')
 
 
 def address(value: Any) -> str:
-    """An IP address."""
+    """Reads an IP address."""
     try:
         return str(IPAddress(value if isinstance(value, str) else ""))
     except (AddrFormatError, ValueError):
@@ -71,20 +74,20 @@
 
 
 def network(value: Any) -> IPNetwork:
-    """A network of them."""
+    """Reads an IP network such as "10.0.0.0/8"."""
     try:
         return IPNetwork(value if isinstance(value, str) else "")
     except (AddrFormatError, ValueError):
         raise ValueError(f'a network such as "10.0.0.0/8" is wanted, not {value!r}') from None
 
 
-def word(*words: str) -> Callable[[Any], str]:
-    """One of some words."""
+def one_of(*words: str) -> Callable[[Any], str]:
+    """A reader that accepts only the given words."""
 
     def read(value: Any) -> str:
         if value not in words:
             raise ValueError(
-                f"one of {', '.join(words)} is wanted, not {value!r}{near(str(value), words)}"
+                f"one of {', '.join(words)} is wanted, not {value!r}{suggestion(str(value), words)}"
             )
         return str(value)
 
@@ -92,107 +95,108 @@
 
 
 @dataclass(frozen=True)
-class Shape:
-    """What a node may hold: positional arguments, properties (name to reader and default), children.
+class NodeSchema:
+    """Schema of a node: readers of positional arguments, properties (name to reader and default), children.
 
-    `rest` reads any further arguments, of which there is at least one.
+    `further_arg` reads all further arguments, of which there must be at least one. `is_repeatable` allows several
+    nodes of the same name.
     """
 
     args: tuple[Callable[[Any], Any], ...] = ()
     props: dict[str, tuple[Callable[[Any], Any], Any]] | None = None
-    children: dict[str, Shape] | None = None
-    many: bool = False
-    rest: Callable[[Any], Any] | None = None
+    children: dict[str, NodeSchema] | None = None
+    is_repeatable: bool = False
+    further_arg: Callable[[Any], Any] | None = None
 
 
-NEEDED = object()
+REQUIRED = object()  # default of a property that must be given
 
 
 @dataclass
 class Node:
-    """A node as read: its line, values and children by name."""
+    """A node with its values as read: line, arguments, properties, and children by name."""
 
     line: int
     args: list[Any]
     props: dict[str, Any]
     children: dict[str, list[Node]]
 
-    def one(self, name: str) -> Node | None:
-        """The first child of that name."""
+    def first(self, name: str) -> Node | None:
+        """The first child of that name; None without one."""
         found = self.children.get(name)
         return found[0] if found else None
 
     def get(self, name: str, prop: str, default: Any) -> Any:
-        """A property of the first child of that name."""
-        node = self.one(name)
+        """A property of the first child of that name; `default` without the child or the property."""
+        node = self.first(name)
         return default if node is None else node.props.get(prop, default)
 
 
 class Reader:
-    """Walks a parsed document by a shape, collecting every problem with its line."""
+    """Reads a parsed document by a schema and collects every error with its line."""
 
     def __init__(self, lines: list[int]) -> None:
         self._lines = iter(lines)
         self.problems: list[tuple[int, str]] = []
 
-    def children(self, nodes: list[Any], shape: Shape, where: str) -> dict[str, list[Node]]:
-        """Read the nodes that a shape allows; what it does not goes to `problems`."""
-        known = shape.children or {}
+    def children(self, nodes: list[Any], schema: NodeSchema, where: str) -> dict[str, list[Node]]:
+        """Read the nodes that a schema allows; others are reported in `problems`."""
+        known = schema.children or {}
         found: dict[str, list[Node]] = {}
         for node in nodes:
             line = next(self._lines, 1)
             if node.name not in known:
                 self.problems.append(
-                    (line, f"unknown node {node.name!r}{where}{near(node.name, known)}")
+                    (line, f"unknown node {node.name!r}{where}{suggestion(node.name, known)}")
                 )
-                self._pass_over(node)
+                self._skip_lines(node)
                 continue
             entry = self._node(node, known[node.name], line)
-            if node.name in found and not known[node.name].many:
+            if node.name in found and not known[node.name].is_repeatable:
                 first = found[node.name][0].line
                 self.problems.append((line, f"{node.name!r} was given before, in line {first}"))
             found.setdefault(node.name, []).append(entry)
         return found
 
-    def _pass_over(self, node: Any) -> None:
+    def _skip_lines(self, node: Any) -> None:
         for child in node.children:
             next(self._lines, 1)
-            self._pass_over(child)
+            self._skip_lines(child)
 
-    def _node(self, node: Any, shape: Shape, line: int) -> Node:
-        def bad(text: str) -> None:
+    def _node(self, node: Any, schema: NodeSchema, line: int) -> Node:
+        def report_problem(text: str) -> None:
             self.problems.append((line, f"{node.name}: {text}"))
 
         args: list[Any] = []
-        readers = list(shape.args)
-        if shape.rest is not None:
-            readers += [shape.rest] * max(1, len(node.args) - len(readers))
+        readers = list(schema.args)
+        if schema.further_arg is not None:
+            readers += [schema.further_arg] * max(1, len(node.args) - len(readers))
         if len(node.args) != len(readers):
-            bad(
-                f"{len(readers)} value(s) {'or more ' if shape.rest else ''}are wanted, not {len(node.args)}"
+            report_problem(
+                f"{len(readers)} value(s) {'or more ' if schema.further_arg else ''}are wanted, not {len(node.args)}"
             )
         for value, read in zip(node.args, readers, strict=False):
             try:
                 args.append(read(value))
             except ValueError as error:
-                bad(str(error))
-        known = shape.props or {}
-        props = {name: default for name, (_, default) in known.items() if default is not NEEDED}
+                report_problem(str(error))
+        known = schema.props or {}
+        props = {name: default for name, (_, default) in known.items() if default is not REQUIRED}
         for name, (_, default) in known.items():
-            if default is NEEDED and name not in node.properties:
-                bad(f"{name}= is missing")
+            if default is REQUIRED and name not in node.properties:
+                report_problem(f"{name}= is missing")
         for name, value in node.properties.items():
             if name not in known:
-                bad(f"unknown property {name!r}{near(name, known)}")
+                report_problem(f"unknown property {name!r}{suggestion(name, known)}")
                 continue
             try:
                 props[name] = known[name][0](value)
             except ValueError as error:
-                bad(f"{name}: {error}")
-        return Node(line, args, props, self.children(node.children, shape, f" in {node.name!r}"))
+                report_problem(f"{name}: {error}")
+        return Node(line, args, props, self.children(node.children, schema, f" in {node.name!r}"))
 
 
-def near(name: str, known: Iterable[str]) -> str:
-    """A hint at the nearest of some names; "" where none is near."""
+def suggestion(name: str, known: Iterable[str]) -> str:
+    """A hint at the most similar of the known names; "" if none is similar."""
     found = difflib.get_close_matches(name, list(known), 1)
     return f"; did you mean {found[0]!r}?" if found else ""
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -1,4 +1,4 @@
-"""A placer's settings as typed values. Times are microseconds, memory is GiB, cores are cores."""
+"""A placer's settings as typed values. Times are in microseconds, memory is in GiB."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def parse_duration(text: str) -> int:
-    """Microseconds from "700ms", "5s", "1m30s"; ValueError says what is wrong."""
+    """Microseconds from a duration such as "700ms", "5s" or "1m30s"; ValueError if it is invalid or over ten years."""
     parts = _DURATION.findall(text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
         raise ValueError(f"not a duration such as 700ms or 1m30s: {text[:40]!r}")
@@ -42,7 +42,10 @@
 
 
 def parse_size(text: str) -> float:
-    """A quantity (Kubernetes' resource.Quantity, without exponents): "500m", "2Gi"; ValueError otherwise."""
+    """The value of a quantity such as "500m" or "2Gi"; ValueError if it is invalid.
+
+    Quantities are those of Kubernetes' resource.Quantity, without exponents.
+    """
     match = _SIZE.fullmatch(text)
     if match is None:
         raise ValueError(f"not a quantity such as 500m or 2Gi: {text[:40]!r}")
@@ -51,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """A class of tasks: what the module is told, the owner's usual patience, and the priority on machines."""
+    """A class of tasks: the decision module's settings, default patience of owners, and priority on machines."""
 
     task_class: api.TaskClass
     patience_us: int
     priority: int
-    restarts: int  # how often a task that was lost or sent away is asked for again
-    federation: str = ""  # the spec by which its Jobs go, where they name none
+    restarts: int  # how often a task that was lost or evicted is placed again
+    federation: str = ""  # the federation spec of its Jobs that name none
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one placer."""
+    """Limits of one placer; a field without its suffix `_us` is a key of the `limits` node."""
 
     tasks_open: int = 20_000
     tasks_per_namespace: int = 20_000
@@ -79,14 +82,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Another instance's front."""
+    """Address of another instance's front."""
 
     host: str
     port: int
-    name: str = (
-        ""  # where told, this is how that instance is reached, whatever address it gives itself
-    )
-    seed: bool = True  # asked at a start; otherwise only a way to an instance that others tell of
+    # If set, the instance of this name is reached at this address, whatever address it reports itself.
+    name: str = ""
+    # Whether it is contacted at the start; otherwise only once other instances have reported it.
+    seed: bool = True
 
     def __str__(self) -> str:
         return f"{self.host}:{self.port}"
@@ -94,32 +97,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AgreementSettings:
-    """On what terms placers agree on rules; `members` share the cold budget, `voters` among them decide."""
+    """Terms of the agreement on rules: `members` share the cold budget, and the `voters` among them decide."""
 
     voters: tuple[str, ...]
     members: tuple[str, ...]
     grant_us: int = 2_000_000
-    limits: tuple[FleetLimit, ...] = ()  # of the whole fleet, shared by `members`
+    limits: tuple[FleetLimit, ...] = ()  # fleet-wide, shared by `members`
     lease_us: int = 10_000_000
-    regions: tuple[tuple[str, str], ...] = ()  # (name, region) of those that say one
-    members_without_machines: tuple[
-        str, ...
-    ] = ()  # members without machines: they vote, and share in nothing
+    regions: tuple[tuple[str, str], ...] = ()  # (placer, region) of the members with a region
+    members_without_machines: tuple[str, ...] = ()  # they vote, and get no share of the budgets
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """That each placer holds some of its region's machines alone, and how it follows who lives."""
+    """Settings with which each placer holds only a subset of its region's machines, and of the damping of membership.
+
+    `leave_after_us` and `settle_us`: see `decide.membership_damping`.
+    """
 
     rules: SubsetRules
     leave_after_us: int = LEAVE_AFTER_US
     settle_us: int = SETTLE_US
-    widen: int = 0  # further ranks whose machines a placer may hold for a while; 0: none
+    widen: int = 0  # further ranks whose machines a placer may hold temporarily
 
 
 @dataclass(frozen=True, slots=True)
 class PlacerSettings:
-    """Everything that `serve` needs; `scheduler` is what the decision module is told."""
+    """All settings of `serve`; `scheduler` has those of the decision module."""
 
     name: str
     seed: int
@@ -136,14 +140,12 @@
     cluster: str = "main"
     peers: tuple[PeerAddress, ...] = ()
     calendars: tuple[str, ...] = ()  # files of maintenance windows
-    peers_allowed: IPSet = field(
-        default_factory=IPSet
-    )  # who may ask, and be asked, besides the peers
+    # Addresses of instances that may send requests, and to which requests may be sent, besides the peers.
+    peers_allowed: IPSet = field(default_factory=IPSet)
     agree: AgreementSettings | None = None
-    barred: tuple[str, ...] = ()  # machines that get nothing
-    history: str | None = None  # file of what this placer did, for judges
-    machines: bool = (
-        True  # whether it has any; without, it votes and no more, and asks no list source
-    )
+    barred: tuple[str, ...] = ()  # machines on which nothing is placed
+    history: str | None = None  # file to which this placer records its actions, for audits
+    # Whether it has machines; without them it only votes, and reads no list source.
+    machines: bool = True
     federation: Federation = Federation()
     subset: SubsetSettings | None = None  # None: every placer holds every machine
--- a/wingbarrow/config/subset_settings.py
+++ b/wingbarrow/config/subset_settings.py
@@ -1,4 +1,4 @@
-"""The `subset` node: that each placer of a region holds only some of its machines.
+"""The `subset` node, by which each placer of a region holds only some of the region's machines.
 
     subset replicas=3 widen=2 machines=1200 cells=60 {
         roster "placer-0" "placer-1" "placer-2" "placer-3" "placer-4"
@@ -6,12 +6,12 @@
         settle "1s"
     }
 
-`replicas`: placers that hold each machine while all live. `spare`: the part of a cold machine's offers kept for others
-than those (0 to 1). `widen`: further ranks (0 to 8) whose machines a placer holds for a while where tasks of its own
-wait long. `machines` and `cells`: the region's size; where they are told, subsets too small are refused.
-`roster`: every placer that may ever hold machines of this region, the same in the files of all; without it, the members
-by `agree` that stand in this placer's region and have machines. `leave-after` and `settle`: see
-`decide.membership_damping`.
+`replicas`: number of placers that hold each machine while all placers are live. `spare`: the share (0 to 1) of a cold
+machine's offers that is reserved for placers other than these. `widen`: number of further ranks (0 to 8) whose machines
+a placer holds temporarily while its own tasks wait long. `machines` and `cells`: size of the region; if set, subsets
+that are too small are rejected. `roster`: every placer that may ever hold machines of this region, the same in the
+files of all placers; by default the members of `agree` in this placer's region that have machines. `leave-after` and
+`settle`: see `decide.membership_damping`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from dataclasses import replace
 
 from wingbarrow import interface as api
-from wingbarrow.config.schema import NEEDED, Node, Shape, number, read_duration, text
+from wingbarrow.config.schema import REQUIRED, Node, NodeSchema, number, read_duration, text
 from wingbarrow.config.settings import (
     AgreementSettings,
     ClassSettings,
@@ -31,23 +31,23 @@
 from wingbarrow.decide.subsets import MAX_ROSTER, SubsetRules, Subsets, subset_size
 
 MAX_WIDEN = 8
-MIN_MACHINES = (
-    8  # of an expected subset: with fewer, one in which most are full or rest is no rarity
-)
-_LEAVE_US, _SETTLE_US = (1_000_000, 600_000_000), (100_000, 60_000_000)
-SHAPE = Shape(
+# Of a subset of the expected size: with fewer machines, subsets in which most are full or resting are not rare.
+MIN_MACHINES = 8
+_LEAVE_BOUNDS_US = (1_000_000, 600_000_000)
+_SETTLE_BOUNDS_US = (100_000, 60_000_000)
+SCHEMA = NodeSchema(
     (),
     {
-        "replicas": (number(1, MAX_ROSTER, True), NEEDED),
+        "replicas": (number(1, MAX_ROSTER, True), REQUIRED),
         "spare": (number(0, 1), 0.25),
         "widen": (number(0, MAX_WIDEN, True), 0),
         "machines": (number(1, 10_000_000, True), None),
         "cells": (number(1, 10_000_000, True), None),
     },
     {
-        "roster": Shape(rest=text),
-        "leave-after": Shape((read_duration,)),
-        "settle": Shape((read_duration,)),
+        "roster": NodeSchema(further_arg=text),
+        "leave-after": NodeSchema((read_duration,)),
+        "settle": NodeSchema((read_duration,)),
     },
 )
 
@@ -59,21 +59,24 @@
     limits: Limits,
     problems: list[tuple[int, str]],
 ) -> SubsetSettings | None:
-    """What a whole document says of subsets; None where it has no such node. What is wrong goes to `problems`."""
-    node = top.one("subset")
+    """The settings of the `subset` node of a document; None without that node or with errors in it.
+
+    Appends errors to `problems`.
+    """
+    node = top.first("subset")
     if node is None:
         return None
     found: list[tuple[int, str]] = []
-    placer, named = top.children["placer"][0], node.one("roster")
-    roster = tuple(named.args) if named is not None else _members(placer, agree)
+    placer, named = top.children["placer"][0], node.first("roster")
+    roster = tuple(named.args) if named is not None else _region_members(placer, agree)
     leave_us, settle_us = (
-        _time(node, "leave-after", LEAVE_AFTER_US),
-        _time(node, "settle", SETTLE_US),
+        _duration_us(node, "leave-after", LEAVE_AFTER_US),
+        _duration_us(node, "settle", SETTLE_US),
     )
     line = named.line if named is not None else node.line
     if not roster:
         found.append(
-            (line, "a roster is wanted: no member by `agree` has machines in this placer's region")
+            (line, "a roster is wanted: no member of `agree` has machines in this placer's region")
         )
     for name in sorted({name for name in roster if roster.count(name) > 1}):
         found.append((line, f"{name!r} is named twice in the roster"))
@@ -102,38 +105,38 @@
         found.append(
             (
                 node.line,
-                "nobody could tell who lives: `allow-peer` for the roster's addresses is wanted",
+                "`allow-peer` for the roster's addresses is wanted, to learn which placers are live",
             )
         )
     if len(roster) > 1 and "state" not in top.children:
-        # Danger (rule 5): tasks of a former life may run on machines that the next life would not hold.
+        # Danger (rule 5): after a restart, tasks started before it may run on machines that are no longer held.
         found.append(
             (
                 node.line,
-                "a state folder is wanted: by it alone a next life knows what this one held",
+                "a state folder is wanted, to know after a restart which machines were held before",
             )
         )
     if "calendar" in top.children:
         found.append(
             (
                 top.children["calendar"][0].line,
-                "drains by a calendar are planned by the whole list, and no placer has it",
+                "drains of a calendar are planned on the whole list of machines, which no placer holds",
             )
         )
-    for what, time_us, (least, most) in (
-        ("leave-after", leave_us, _LEAVE_US),
-        ("settle", settle_us, _SETTLE_US),
+    for what, time_us, (low, high) in (
+        ("leave-after", leave_us, _LEAVE_BOUNDS_US),
+        ("settle", settle_us, _SETTLE_BOUNDS_US),
     ):
-        if not least <= time_us <= most:
-            child = node.one(what)
+        if not low <= time_us <= high:
+            child = node.first(what)
             found.append(
                 (
                     child.line if child else node.line,
-                    f"{what}: {least / 1e6:g} s to {most / 1e6:g} s, not {time_us / 1e6:g} s",
+                    f"{what}: {low / 1e6:g} s to {high / 1e6:g} s, not {time_us / 1e6:g} s",
                 )
             )
     if not found:
-        found += [(node.line, words) for words in _too_small(node, roster, top, classes, limits)]
+        found += [(node.line, words) for words in _check_size(node, roster, top, classes, limits)]
     problems += [(at, f"subset: {words}") for at, words in found]
     if found:
         return None
@@ -148,30 +151,31 @@
 def module_settings(
     settings: PlacerSettings, scheduler: api.Settings | None = None
 ) -> api.Settings:
-    """What the decision module is told, `scheduler` or the settings' own: with subsets, its deal among the holders.
+    """Settings of the decision module: `scheduler`, by default those of `settings`, with shares among the holders.
 
-    Only a first bound (rule 4): the module deals what the first ranks have of a cold machine's offers to as many
-    placers as there are replicas; what each may send is asked at the gate, by `Subsets.max_cold_offers`.
+    Without subsets they are returned unchanged. With subsets the module's share is only a first bound (rule 4): the
+    offers that the first ranks have for a cold machine, divided among as many placers as there are replicas.
+    `Subsets.max_cold_offers` limits what each placer may send, and is checked before an offer is sent.
     """
-    told = scheduler or settings.scheduler
+    base = scheduler or settings.scheduler
     if settings.subset is None:
-        return told
+        return base
     rules = settings.subset.rules
     subsets, replicas = Subsets(rules), rules.replicas
     offers = sum(
-        subsets.max_cold_offers(name, "", told.fresh_offers)
+        subsets.max_cold_offers(name, "", base.fresh_offers)
         for name in subsets.ranking("")[:replicas]
     )
     return replace(
-        told,
+        base,
         placers=replicas,
         index=sorted(rules.roster).index(settings.name) % replicas,
         fresh_offers=float(offers),
     )
 
 
-def _members(placer: Node, agree: AgreementSettings | None) -> tuple[str, ...]:
-    """Those that hold machines of this placer's region by `agree`."""
+def _region_members(placer: Node, agree: AgreementSettings | None) -> tuple[str, ...]:
+    """The members of `agree` in this placer's region that have machines."""
     if agree is None:
         return ()
     regions = dict(agree.regions)
@@ -183,26 +187,26 @@
     )
 
 
-def _time(node: Node, name: str, default_us: int) -> int:
-    child = node.one(name)
+def _duration_us(node: Node, name: str, default_us: int) -> int:
+    child = node.first(name)
     return int(child.args[0]) if child is not None else default_us
 
 
-def _too_small(
+def _check_size(
     node: Node,
     roster: tuple[str, ...],
     top: Node,
     classes: dict[str, ClassSettings],
     limits: Limits,
 ) -> list[str]:
-    """What a subset of the expected size is too small for; nothing where the region's size is not told."""
+    """Errors of a subset of the expected size that is too small; none if the size of the region is not set."""
     machines, cells, replicas = node.props["machines"], node.props["cells"], node.props["replicas"]
     if machines is None:
         return ["cells= without machines="] if cells is not None else []
     if cells is not None and cells > machines:
         return [f"{cells} cells, but {machines} machines"]
     if replicas == len(roster):
-        return []  # everybody holds every machine
+        return []  # every placer holds every machine
     size = subset_size(machines, len(roster), replicas)
     out = []
     if size < MIN_MACHINES:
