--- a/wingbarrow/fronts/__init__.py
+++ b/wingbarrow/fronts/__init__.py
@@ -1,4 +1,4 @@
-"""Fronts translate between a client protocol and the core; they decide nothing.
+"""Fronts translate between a client protocol and the core; they make no decisions.
 
-`rest.RestFront` is the Kubernetes API's conventions, `instances` what placers ask of each other, `serve` the process.
+`rest.RestFront` serves the REST API by the conventions of Kubernetes, `serve` assembles the placer process.
 """
--- a/wingbarrow/fronts/discovery.py
+++ b/wingbarrow/fronts/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery documents (Kubernetes API concepts, "API groups", "Discovery API")."""
+"""Discovery documents (see "Discovery API" and "API groups" in the Kubernetes API concepts)."""
 
 from __future__ import annotations
 
--- a/wingbarrow/fronts/drains.py
+++ b/wingbarrow/fronts/drains.py
@@ -1,7 +1,7 @@
-"""Drains over REST: list; POST {"machine", "lasts"} drains from now on; DELETE takes one back.
+"""Drains over REST: GET lists them, POST {"machine", "lasts"} starts one now, DELETE cancels one.
 
-Where placers agree on rules, the leader has both decided as a version of them, so that every placer knows of it;
-the others answer 307 with its address.
+Where placers agree on rules, the leader proposes both changes as a new version of the rules, so that they reach every
+placer. The other placers answer 307 with the leader's address.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         self._hub, self._drainer, self._rules = hub, drainer, rules
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Answer one request; raises ApiError if it is rejected."""
         if request.method == "GET" and not parts:
             return Answer(
                 200,
@@ -40,51 +40,51 @@
             )
         if request.method != ("DELETE" if parts else "POST"):
             raise ApiError(405, "DELETE is allowed here" if parts else "GET, POST are allowed here")
-        away = self._rules.redirect(request) if self._drainer.is_agreed else None
-        if away is not None:
-            return away
-        return self._cancel("/".join(parts)) if parts else self._ask(request)
+        redirect = self._rules.redirect(request) if self._drainer.is_agreed else None
+        if redirect is not None:
+            return redirect
+        return self._cancel("/".join(parts)) if parts else self._create(request)
 
-    def _ask(self, request: Request) -> Answer:
-        machine, lasts = self._wanted(request)
+    def _create(self, request: Request) -> Answer:
+        machine, lasts = self._read_request(request)
         if not self._drainer.is_agreed:
             drain = self._drainer.drain_now(machine, lasts)
-            told = {}
+            outcome = {}
         else:
-            # Danger: the answer to the first ask may be lost, and a second drain would outlast the first one's end.
-            held = self._standing(self._rules.latest(), machine)
+            # Danger: a client whose response was lost retries, and a second drain would end later than the first.
+            held = self._requested_drain(self._rules.latest(), machine)
             if held is not None:
                 return Answer(
                     200, names.encode({"kind": "Drain", "apiVersion": API, "key": held.key})
                 )
             asked, drain = self._drainer.plan_drain(machine, lasts)
             if drain.outcome is PlanOutcome.PLANNED:
-                told = self._rules.change(
-                    lambda rules: self._with(rules, asked), f"drain {machine}"
+                outcome = self._rules.change(
+                    lambda rules: self._with_request(rules, asked), f"drain {machine}"
                 )
         if drain.outcome is PlanOutcome.REFUSED:
             raise ApiError(409, f"{machine}: {drain.reason}", "Conflict")
         return Answer(
-            201, names.encode({"kind": "Drain", "apiVersion": API, "key": drain.key, **told})
+            201, names.encode({"kind": "Drain", "apiVersion": API, "key": drain.key, **outcome})
         )
 
-    def _standing(self, rules: RuleSet | None, machine: str) -> AskedDrain | None:
-        """A drain of a machine that is asked for already."""
+    def _requested_drain(self, rules: RuleSet | None, machine: str) -> AskedDrain | None:
+        """The unexpired request for a drain of a machine in the rules; None without one."""
         return (
-            next((each for each in self._fresh(rules).asked if each.machine == machine), None)
+            next((each for each in self._unexpired(rules).asked if each.machine == machine), None)
             if rules
             else None
         )
 
-    def _with(self, rules: RuleSet, asked: AskedDrain) -> RuleSet:
-        rules = self._fresh(rules)
+    def _with_request(self, rules: RuleSet, asked: AskedDrain) -> RuleSet:
+        rules = self._unexpired(rules)
         return (
             rules
-            if self._standing(rules, asked.machine)
+            if self._requested_drain(rules, asked.machine)
             else replace(rules, asked=(*rules.asked, asked))
         )
 
-    def _wanted(self, request: Request) -> tuple[str, int]:
+    def _read_request(self, request: Request) -> tuple[str, int]:
         try:
             value = names.decode(request.body)
         except ValueError as error:
@@ -108,30 +108,36 @@
             ) from None
 
     def _cancel(self, key: str) -> Answer:
-        told = {}
+        outcome = {}
         if not self._drainer.is_agreed:
             if not self._drainer.cancel(key):
                 raise not_found("drains", key)
         else:
             if key not in self._drainer.drains.tracked:
                 raise not_found("drains", key)
-            told = self._rules.change(
-                lambda rules: self._fresh(_without(rules, key)), f"take back {key}"
+            outcome = self._rules.change(
+                lambda rules: self._unexpired(_without(rules, key)), f"take back {key}"
             )
         return Answer(
             200,
             names.encode(
-                {"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success", **told}
+                {
+                    "kind": "Status",
+                    "apiVersion": "v1",
+                    "metadata": {},
+                    "status": "Success",
+                    **outcome,
+                }
             ),
         )
 
-    def _fresh(self, rules: RuleSet) -> RuleSet:
+    def _unexpired(self, rules: RuleSet) -> RuleSet:
         asked, cancelled = without_expired(rules.asked, rules.cancelled, self._hub.clock.wall_us())
         return replace(rules, asked=asked, cancelled=cancelled)
 
 
 def _without(rules: RuleSet, key: str) -> RuleSet:
-    """Rules under which a drain is taken back: it is asked for no more, or one of the calendar is left out."""
+    """The rules without a drain: without its request, or, for a drain of the calendar, with its key as cancelled."""
     window = key.partition("@")[0]
     kept = tuple(each for each in rules.asked if each.window != window)
     if len(kept) < len(rules.asked):
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -1,4 +1,4 @@
-"""The REST front: Jobs (batch/v1), Nodes and Events (v1) by the Kubernetes API's conventions."""
+"""The REST front: Jobs (batch/v1), Nodes and Events (v1) by the conventions of the Kubernetes API, and metrics."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RestFront:
-    """Routes requests to the core and the store's list and watch."""
+    """Routes requests to the core, to the list and watch of the store, and to the placers' own resources."""
 
     def __init__(self, hub: Hub, placer: Placer, log: Callable[..., None]) -> None:
         self._placer = placer
@@ -54,9 +54,9 @@
             placer.context.settings.host,
             placer.context.settings.port,
             self.handle,
-            self._say,
+            self._log_warning,
             ServerLimits(connections=limits.connections, message=Limits(body=limits.body)),
-            self._refuse,
+            self._rejection,
         )
         self.port = self.server.port
         self.instances = InstancesApi(
@@ -70,36 +70,36 @@
         self.rules = RuleSetsApi(hub, placer.peering)
         self.limits = LimitsApi(hub, placer.peering)
         self.leases = LeasesApi(hub, placer.peering)
-        self.turns = MaintenanceApi(hub, placer.peering, self.rules)
+        self.maintenance = MaintenanceApi(hub, placer.peering, self.rules)
         self.drains = DrainsFront(hub, placer.drainer, self.rules)
         self.unknown = UnknownFront(placer)
         placer.peering.address = f"{placer.context.settings.host}:{self.port}"
         self._registry = CollectorRegistry()
         self._registry.register(self)
-        self.statuses: dict[int, int] = {}
+        self.responses_by_status: dict[int, int] = {}
 
-    def _say(self, text: str) -> None:
+    def _log_warning(self, text: str) -> None:
         self._log("front", level="warning", text=text)
 
-    def _refuse(self, status: int, why: str) -> Answer:
+    def _rejection(self, status: int, why: str) -> Answer:
         return error_answer(
             ApiError(status, why, retry_after_s=1 if status in (429, 503) else None)
         )
 
     def handle(self, request: Request) -> Answer:
-        """Answer one request; ApiErrors become Status objects."""
+        """Answer one request; an ApiError is answered as a Status object."""
         try:
             answer = self._route(request)
         except ApiError as error:
             answer = error_answer(error)
-        self.statuses[answer.status] = self.statuses.get(answer.status, 0) + 1
+        self.responses_by_status[answer.status] = self.responses_by_status.get(answer.status, 0) + 1
         return answer
 
     def _route(self, request: Request) -> Answer:
         raw, _, query_text = request.target.partition("?")
         path = raw.rstrip("/") or "/"
         if path in DOCUMENTS:
-            self._allow(request, "GET", "HEAD")
+            self._require_method(request, "GET", "HEAD")
             return Answer(200, names.encode(DOCUMENTS[path]))
         if path in ("/healthz", "/livez"):
             return Answer(200, b"ok", content_type="text/plain")
@@ -120,7 +120,7 @@
         if parts[:4] == ["apis", "wingbarrow.io", "v1", "drains"]:
             return self.drains.handle(request, parts[4:])
         if parts[:4] == ["apis", "wingbarrow.io", "v1", "turns"]:
-            return self.turns.handle(request, parts[4:])
+            return self.maintenance.handle(request, parts[4:])
         if parts[:4] == ["apis", "wingbarrow.io", "v1", "rules"]:
             return self.rules.handle(request, parts[4:])
         if parts[:4] == ["apis", "wingbarrow.io", "v1", "unknown"]:
@@ -144,7 +144,7 @@
                 namespace, parts = parts[1], parts[2:]
         name = parts[0] if parts else ""
         if name == "pods" and len(parts) == 3 and parts[2] == "eviction" and namespace:
-            self._allow(request, "POST")
+            self._require_method(request, "POST")
             self._placer.admission.evict(parts[1])
             return Answer(
                 201,
@@ -159,17 +159,19 @@
         if len(parts) == 2:
             if name != "nodes" and not namespace:
                 raise ApiError(404, "the server could not find the requested resource", "NotFound")
-            self._allow(request, "GET", "HEAD", *(("DELETE",) if name == "jobs" else ()))
+            self._require_method(request, "GET", "HEAD", *(("DELETE",) if name == "jobs" else ()))
             if request.method == "DELETE":
                 return self._delete(request, prefix + parts[1], query)
             return resource.get(prefix + parts[1])
         if request.method == "POST" and name == "jobs" and namespace:
             return self._create(request, namespace, query)
-        self._allow(request, "GET", "HEAD", *(("POST",) if name == "jobs" and namespace else ()))
+        self._require_method(
+            request, "GET", "HEAD", *(("POST",) if name == "jobs" and namespace else ())
+        )
         return resource.list_or_watch(query, prefix, request.get("user-agent") or "")
 
     def _namespaces(self, parts: list[str]) -> Answer:
-        """Namespaces exist by being named; those of present Jobs are listed, and `default`."""
+        """Every namespace exists; `default` and those of the current Jobs are listed."""
         if parts:
             return Answer(200, names.encode(_namespace(parts[0])))
         found = self._placer.admission.namespaces()
@@ -185,11 +187,11 @@
             ),
         )
 
-    def _allow(self, request: Request, *methods: str) -> None:
+    def _require_method(self, request: Request, *methods: str) -> None:
         if request.method not in methods:
             raise ApiError(405, f"{request.method} is not supported here; {', '.join(methods)} are")
 
-    def _body(self, request: Request) -> dict[str, object]:
+    def _read_body(self, request: Request) -> dict[str, object]:
         kind = (request.get("content-type") or "application/json").partition(";")[0].strip().lower()
         if kind != "application/json":
             raise ApiError(415, f"the body's type is {kind[:80]}; application/json is wanted")
@@ -198,32 +200,32 @@
         except ValueError as error:
             raise ApiError(400, f"the body is no JSON object: {error}", "BadRequest") from None
 
-    def _dry_run(self, told: object) -> bool:
-        values = [told] if isinstance(told, str) else told
+    def _is_dry_run(self, value: object) -> bool:
+        values = [value] if isinstance(value, str) else value
         if values in (None, [], [""]):
             return False
         if values != ["All"]:
-            raise ApiError(422, f'dryRun: only "All" is known, not {str(told)[:80]}', "Invalid")
+            raise ApiError(422, f'dryRun: only "All" is known, not {str(value)[:80]}', "Invalid")
         return True
 
     def _create(self, request: Request, namespace: str, query: Query) -> Answer:
         self._placer.admission.check_overload(request.came_us)
-        value = self._body(request)
+        value = self._read_body(request)
         made = self._placer.admission.submit(
             value,
             namespace,
-            dry_run=self._dry_run(query.get("dryRun")),
+            dry_run=self._is_dry_run(query.get("dryRun")),
             arrived_us=request.came_us,
         )
         return Answer(201, names.encode(made))
 
     def _delete(self, request: Request, key: str, query: Query) -> Answer:
-        options = self._body(request) if request.body else {}
-        told = options.get("dryRun")
+        options = self._read_body(request) if request.body else {}
+        dry_run_option = options.get("dryRun")
         uid, wanted = self._placer.admission.uid_of(key), options.get("preconditions")
         if uid is not None and isinstance(wanted, dict) and wanted.get("uid") not in (None, uid):
             raise ApiError(409, f"the UID in the precondition is not that of {key}", "Conflict")
-        if self._dry_run(query.get("dryRun")) or self._dry_run(told):
+        if self._is_dry_run(query.get("dryRun")) or self._is_dry_run(dry_run_option):
             return self.resources["jobs"].get(key)
         value = self._placer.admission.delete_job(key)
         return Answer(
@@ -245,7 +247,7 @@
         )
 
     def collect(self):  # type: ignore[no-untyped-def]
-        """Figures for Prometheus, read when asked for."""
+        """Metrics for Prometheus, read at each scrape."""
         placer = self._placer
         events = CounterMetricFamily(
             "wingbarrow_happenings", "What the placer did and met", labels=["what"]
@@ -269,7 +271,7 @@
         requests = CounterMetricFamily(
             "wingbarrow_http_responses", "Responses by status", labels=["status"]
         )
-        for status, count in self.statuses.items():
+        for status, count in self.responses_by_status.items():
             requests.add_metric([str(status)], count)
         yield requests
         for name, help_text, value in (
@@ -300,7 +302,7 @@
                 placer.context.hub.lag.worst_us / 1e6,
             ),
             ("wingbarrow_machines", "Machines on the list", len(placer.fleet.reflector.held)),
-            *_subset_figures(placer),
+            *_subset_metrics(placer),
             ("wingbarrow_connections", "Client connections", self.server.connections),
             (
                 "wingbarrow_watchers",
@@ -311,8 +313,8 @@
             yield GaugeMetricFamily(name, help_text, value)
 
 
-def _subset_figures(placer: Placer) -> list[tuple[str, str, float]]:
-    """Of a placer that holds some of its region's machines alone; nothing for one that holds all."""
+def _subset_metrics(placer: Placer) -> list[tuple[str, str, float]]:
+    """(name, help, value) of the metrics of a placer with a subset; none if it holds all machines of its region."""
     if placer.subset is None:
         return []
     lingering, reflector = len(placer.subset.lingering), placer.fleet.reflector
--- a/wingbarrow/fronts/serve.py
+++ b/wingbarrow/fronts/serve.py
@@ -1,4 +1,4 @@
-"""One placer process: settings in, core and fronts started, signals heard."""
+"""Assembles a placer process from its settings: the core and the fronts, and reloads of the settings file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Service:
-    """A placer with its fronts, on a hub; `run` goes on until cancelled."""
+    """A placer with its fronts on a hub."""
 
     def __init__(self, hub: Hub, settings: PlacerSettings, log: Callable[..., None]) -> None:
         self.hub = hub
@@ -21,7 +21,7 @@
         self.url = f"http://{settings.host}:{self.rest.port}"
 
     def run(self) -> None:
-        """Serve."""
+        """Serve until cancelled."""
         with Nursery(self.hub) as nursery:
             nursery.spawn(self.rest.server.serve, "front")
             self.placer.run()
@@ -31,9 +31,9 @@
 def reload_file(
     path: Path, running: PlacerSettings, log: Callable[..., None]
 ) -> PlacerSettings | None:
-    """The file's settings for a running placer; None, and told, where they cannot be taken."""
+    """The settings of a file for a running placer; None, with the errors in the log, if they cannot be applied."""
     try:
-        fresh = load_file(path)
+        loaded = load_file(path)
     except SettingsError as error:
         for line, text in error.problems[:20]:
             log("settings-refused", level="error", file=str(path), line=line, why=text)
@@ -48,12 +48,12 @@
         "state",
         "subset",
     ):
-        if getattr(fresh, name) != getattr(running, name):
+        if getattr(loaded, name) != getattr(running, name):
             log(
                 "settings-refused",
                 level="error",
                 file=str(path),
-                why=f"{name} changes only with a restart",
+                why=f"{name} cannot change without a restart",
             )
             return None
-    return fresh
+    return loaded
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -1,7 +1,7 @@
-"""Jobs kept as unknown: GET /apis/wingbarrow.io/v1/unknown lists those that this placer is to decide on.
+"""Jobs in state unknown: GET /apis/wingbarrow.io/v1/unknown lists those for which this placer is responsible.
 
-They must not start twice, their placer's session has ended, and nobody can prove that they never ran. POST
-/unknown/NAMESPACE/NAME {"ran": false} is the operator's word that one never did: it is started. {"ran": true}: it did.
+Such a Job must not start twice, its placer's session has ended, and no placer can prove that it never ran. By POST
+/unknown/NAMESPACE/NAME an operator states whether it ran: after {"ran": false} it is started, after {"ran": true} removed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
         self._placer = placer
 
     def handle(self, request: Request, parts: list[str]) -> Answer:
-        """Answer one request; ApiError for what is refused."""
+        """Answer one request; raises ApiError if it is rejected."""
         failover = self._placer.job_failover
         if failover is None:
             raise ApiError(
