--- a/tests/config/test_subset_settings.py
+++ b/tests/config/test_subset_settings.py
@@ -62,8 +62,8 @@
     wide = load_text(text(f"subset replicas=3 widen=2 {{ roster {NAMED} }}"))
     assert wide.subset is not None
     assert wide.subset.widen == 2
-    told = module_settings(wide)
-    assert (told.placers, told.fresh_offers) == (3, 15.0), (
+    scheduler = module_settings(wide)
+    assert (scheduler.placers, scheduler.fresh_offers) == (3, 15.0), (
         "the shares of cold offers do not depend on widen="
     )
 
@@ -126,8 +126,8 @@
     whole = text(subset)
     line = next(at for at, each in enumerate(whole.splitlines(), 1) if each.startswith("subset"))
     problems = refused(whole)
-    assert any(words in told for _, told in problems), problems
-    assert all(at in (line, line + 1) for at, told in problems), problems
+    assert any(words in error for _, error in problems), problems
+    assert all(at in (line, line + 1) for at, error in problems), problems
 
 
 def test_an_error_of_a_child_node_has_the_line_of_the_child() -> None:
@@ -138,29 +138,29 @@
 
 def test_subsets_without_allowed_peers_or_without_a_state_folder_are_refused() -> None:
     subset = f"subset replicas=2 {{ roster {NAMED} }}"
-    [(_, told)] = refused(text(subset, more=""))
-    assert "to learn which placers are live" in told
-    [(_, told)] = refused(text(subset, state=""))
-    assert "a state folder is wanted" in told
+    [(_, error)] = refused(text(subset, more=""))
+    assert "to learn which placers are live" in error
+    [(_, error)] = refused(text(subset, state=""))
+    assert "a state folder is wanted" in error
     alone = load_text(text('subset replicas=1 { roster "placer-0" }', more="", state=""))
     assert alone.subset is not None
 
 
 def test_a_calendar_is_refused_beside_subsets_at_its_line() -> None:
     whole = text(f"subset replicas=2 {{ roster {NAMED} }}", ALLOWED + 'calendar "windows.ics"\n')
-    [(line, told)] = refused(whole)
+    [(line, error)] = refused(whole)
     assert whole.splitlines()[line - 1].startswith("calendar")
-    assert "on the whole list" in told
+    assert "on the whole list" in error
 
 
 def test_a_subset_too_small_for_the_largest_job_of_a_class_is_refused() -> None:
     """`web` is spread by cell, 3 in each: of 40 machines in 20 cells, one of five placers holds about 12 cells."""
     subset = f"subset replicas=2 machines=40 cells=20 {{ roster {NAMED} }}"
     load_text(text(subset, ALLOWED + "limits { tasks-per-job 36; }\n"))
-    [(_, told)] = refused(text(subset, ALLOWED + "limits { tasks-per-job 40; }\n"))
+    [(_, error)] = refused(text(subset, ALLOWED + "limits { tasks-per-job 40; }\n"))
     assert (
         "class 'web' allows 3 of a service on each of about 12 cells, and a Job may have 40 tasks"
-        in told
+        in error
     )
     load_text(text(subset))  # no largest Job is stated
 
@@ -169,9 +169,9 @@
     path = tmp_path / "placer.kdl"
     path.write_text(text(f"subset replicas=6 {{ roster {NAMED} }}"))
     line = len(path.read_text().splitlines())
-    told = CliRunner().invoke(main, ["check", str(path)])
-    assert told.exit_code == 2
-    assert f"{path}:{line}: subset: 6 replicas" in told.output
+    result = CliRunner().invoke(main, ["check", str(path)])
+    assert result.exit_code == 2
+    assert f"{path}:{line}: subset: 6 replicas" in result.output
 
 
 AGREE = """agree {
@@ -206,10 +206,10 @@
     """A placer's share is at least what the module gives it, and all shares of the roster stay within the offers."""
     for index, name in enumerate(ROSTER):
         settings = load_text(text(f"subset replicas=3 {{ roster {NAMED} }}", index=index))
-        told = module_settings(settings)
+        scheduler = module_settings(settings)
         assert settings.name == name
         assert settings.subset is not None
-        assert (told.placers, told.index, told.fresh_offers) == (3, index % 3, 15.0)
+        assert (scheduler.placers, scheduler.index, scheduler.fresh_offers) == (3, index % 3, 15.0)
         assert settings.scheduler.placers == 5, (
             "other budgets, such as that of moves, are still shared by all placers"
         )
@@ -229,8 +229,8 @@
         text(f"subset replicas=3 {{ roster {' '.join(NAMED.split()[:4])} }}", ALLOWED + members)
     )
     rules = requested_rule_set(settings)
-    told = agreed_scheduler_settings(settings, rules.text())
-    assert (told.placers, told.fresh_offers) == (3, 15.0)
+    scheduler = agreed_scheduler_settings(settings, rules.text())
+    assert (scheduler.placers, scheduler.fresh_offers) == (3, 15.0)
     held = agreed_scheduler_settings(settings, rules.text(), 2)
     assert (held.placers, held.fresh_offers) == (3, 6.0), (
         "with an allocation of two offers at this placer"
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The program from outside: an unmodified kubernetes client, the command line, signals."""
+"""The program as its users see it: an unmodified kubernetes client, the command line, signals."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Lab:
-    """`wingbarrow lab up` in a process of its own."""
+    """`wingbarrow lab up` in a separate process."""
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
@@ -112,9 +112,8 @@
         each.metadata.name
         for each in batch.list_job_for_all_namespaces(label_selector="of=test").items
     ] == ["first"]
-    deleted = batch.delete_namespaced_job(
-        "first", "default"
-    )  # some versions of the client give a plain dict
+    # Some versions of the client return a plain dict.
+    deleted = batch.delete_namespaced_job("first", "default")
     assert (deleted if isinstance(deleted, dict) else deleted.to_dict())["status"] == "Success"
     with pytest.raises(ApiException) as caught:
         batch.read_namespaced_job("first", "default")
@@ -142,11 +141,11 @@
     ):
         with pytest.raises(ApiException) as caught:
             batch.create_namespaced_job("pages", bad)
-        told = json.loads(caught.value.body)
+        body = json.loads(caught.value.body)
         assert caught.value.status == status
-        assert told["kind"] == "Status"
-        assert told["code"] == status
-        assert status != 422 or told["details"]["causes"][0]["field"]
+        assert body["kind"] == "Status"
+        assert body["code"] == status
+        assert status != 422 or body["details"]["causes"][0]["field"]
     dry = batch.create_namespaced_job("pages", job("dry"), dry_run="All")
     assert dry.metadata.name == "dry"
     with pytest.raises(ApiException):
@@ -193,7 +192,7 @@
     return CliRunner().invoke(main, list(words), **options)
 
 
-def test_the_commands_for_a_person(lab: Lab, tmp_path: Path) -> None:
+def test_submit_get_and_watch_commands(lab: Lab, tmp_path: Path) -> None:
     file = tmp_path / "job.json"
     file.write_text(json.dumps(k8s.ApiClient().sanitize_for_serialization(job("by-hand"))))
     url = ["--url", lab.url]
@@ -212,7 +211,7 @@
     assert run("get", "jobs", "--url", "http://127.0.0.1:1").exit_code == 1
 
 
-def test_drains_are_planned_asked_for_seen_and_cancelled(lab: Lab, tmp_path: Path) -> None:
+def test_drains_are_planned_requested_listed_and_cancelled(lab: Lab, tmp_path: Path) -> None:
     url, file = ["--url", lab.url], tmp_path / "windows.kdl"
     file.write_text(
         'window "w" start="2026-12-06T02:00" lasts="2h" each="30m" { machines zone="hall-a"; }\n'
@@ -272,7 +271,7 @@
     assert run("lab", "day", "no-such").exit_code == 2
 
 
-def test_serve_reloads_good_settings_keeps_on_with_bad_ones_and_ends_cleanly(
+def test_serve_reloads_valid_settings_ignores_invalid_ones_and_exits_cleanly(
     tmp_path: Path,
 ) -> None:
     file = tmp_path / "placer.kdl"
@@ -283,14 +282,14 @@
     )
     assert process.stdout is not None
     assert process.stderr is not None
-    told: list[str] = []
-    reader = threading.Thread(target=lambda: told.extend(process.stderr or ()))
+    log_lines: list[str] = []
+    reader = threading.Thread(target=lambda: log_lines.extend(process.stderr or ()))
     reader.start()
 
     def wait_for(word: str) -> None:
         until = time.monotonic() + 60
-        while not any(word in line for line in told):
-            assert time.monotonic() < until, told
+        while not any(word in line for line in log_lines):
+            assert time.monotonic() < until, log_lines
             time.sleep(0.01)
 
     url = json.loads(process.stdout.readline())["url"]
@@ -309,10 +308,10 @@
     process.send_signal(signal.SIGINT)
     assert process.wait(10) == 0
     reader.join()
-    assert not any("Traceback" in line for line in told)
+    assert not any("Traceback" in line for line in log_lines)
 
 
-def test_lab_up_says_ready_once_every_placer_has_the_whole_list() -> None:
+def test_lab_up_reports_ready_once_every_placer_has_the_whole_list() -> None:
     process = subprocess.Popen(
         [*WINGBARROW, "lab", "up", "--nodes", "9", "--placers", "2"],
         stdout=subprocess.PIPE,
@@ -323,10 +322,10 @@
     placers = []
     try:
         for line in process.stdout:
-            told = json.loads(line)
-            if told["kind"] == "placer":
-                placers.append(told["url"])
-            if told["kind"] == "ready":
+            event = json.loads(line)
+            if event["kind"] == "placer":
+                placers.append(event["url"])
+            if event["kind"] == "ready":
                 break
         for url in placers:
             nodes = k8s.CoreV1Api(k8s.ApiClient(k8s.Configuration(host=url))).list_node().items
@@ -336,7 +335,7 @@
         assert process.wait(10) == 0
 
 
-def test_lab_up_says_how_many_descriptors_it_needs_and_what_the_limit_is() -> None:
+def test_lab_up_reports_how_many_descriptors_it_needs_and_the_limit() -> None:
     words = "import resource as r; r.setrlimit(r.RLIMIT_NOFILE, (900, 900)); "
     done = subprocess.run(
         [sys.executable, "-c", words + WINGBARROW[2], "lab", "up", "--nodes", "5000"],
--- a/tests/test_rules_command.py
+++ b/tests/test_rules_command.py
@@ -1,6 +1,6 @@
-"""`wingbarrow rules` against a placer that is a process of its own, and its only voter.
+"""`wingbarrow rules` against a placer in a separate process, which is the only voter.
 
-Each test has a placer of its own: what one does to the rules, and how it ends, is nothing to the others.
+Each test has its own placer, as tests change the rules and stop the placer.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def run(*arguments: str) -> tuple[int, str]:
-    """A command in a process of its own: its exit code, and its output with the errors after it."""
+    """Run a command in a separate process; returns its exit code, and standard output followed by standard error."""
     done = subprocess.run(
         [*WINGBARROW, "rules", *arguments], capture_output=True, text=True, timeout=60
     )
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True)
 class Voter:
-    """The placer, and the file that configures it."""
+    """The placer under test, and its settings file."""
 
     url: str
     file: Path
 
     def ask(self, *arguments: str) -> tuple[int, str]:
-        """A command on this placer, run here: its exit code and output."""
+        """Run a command on this placer in this process; returns its exit code and output."""
         done = CliRunner().invoke(main, ["rules", *arguments, "--url", self.url])
         return done.exit_code, done.output
 
@@ -54,7 +54,7 @@
         return state
 
     def write(self, file: Path, *changes: tuple[str, str], more: str = "") -> str:
-        """The placer's settings with changes, each of which must find what it changes, in a new file."""
+        """Write the placer's settings with replacements, each of which must match, to a new file; returns its path."""
         text = self.file.read_text()
         for old, new in changes:
             assert old in text
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def voter(tmp_path: Path) -> Iterator[Voter]:
-    """A placer that has just begun and acts on its first edition."""
+    """A placer that has just started and acts on its first edition."""
     file = tmp_path / "placer.kdl"
     file.write_text(settings_text(0, 1, 1, 1, 0, str(tmp_path / "placer-state")) + AGREE)
     assert run("init", str(file)) == (0, "placer-0 may vote\n")
@@ -92,7 +92,7 @@
         process.stdout.close()
 
 
-def test_a_store_is_made_once(tmp_path: Path) -> None:
+def test_a_store_is_created_once(tmp_path: Path) -> None:
     file = tmp_path / "placer.kdl"
     file.write_text(settings_text(0, 1, 1, 1, 0, str(tmp_path / "state")) + AGREE)
     assert run("init", str(file)) == (0, "placer-0 may vote\n")
@@ -101,7 +101,7 @@
     assert "already" in words
 
 
-def test_a_change_is_tried_proposed_seen_and_taken_back(voter: Voter, tmp_path: Path) -> None:
+def test_a_change_is_checked_proposed_listed_and_rolled_back(voter: Voter, tmp_path: Path) -> None:
     changed = voter.write(tmp_path / "new.kdl", ("most=3", "most=2"), more='bar "node-1"\n')
     code, words = voter.ask("propose", changed, "--dry-run")
     assert code == 0
@@ -128,11 +128,11 @@
 
 
 def job_without_a_machine(name: str) -> dict[str, Any]:
-    """A Job that nobody can place, as there is no machine; its owner waits for 1 s.
+    """A Job that cannot be placed, as there is no machine; its patience is 1 s.
 
-    Not for less: the door turns away what has under two ticks (40 ms) of patience left after a reserve of an eighth,
-    and dates an arrival by the poll before the one that found it, up to 50 ms too early (`docs/promptness.md`). Of
-    100 ms that left nothing for a process that waits 15 ms for a processor.
+    A shorter patience makes the test flaky: admission rejects Jobs with less than two ticks (40 ms) of patience left
+    after a reserve of an eighth, and dates an arrival by the poll before the one that found it, up to 50 ms early
+    (`docs/promptness.md`). A patience of 100 ms left nothing for a process that waits 15 ms for a processor.
     """
     requests = {"cpu": "1", "memory": "1Gi"}
     container = {"name": "c", "resources": {"requests": requests}}
@@ -143,7 +143,7 @@
 
 
 def post(url: str, job: dict[str, Any]) -> None:
-    """Create a Job as clients of the API do: one that is turned away comes again when it is told to."""
+    """Create a Job; after a response 429 retry after the time in Retry-After, as clients of the API do."""
     request = urllib.request.Request(
         f"{url}/apis/batch/v1/namespaces/default/jobs",
         json.dumps(job).encode(),
@@ -161,7 +161,9 @@
             return
 
 
-def test_a_change_after_which_answers_get_worse_is_taken_back(voter: Voter, tmp_path: Path) -> None:
+def test_a_change_after_which_answers_get_worse_is_rolled_back(
+    voter: Voter, tmp_path: Path
+) -> None:
     changed = voter.write(tmp_path / "watched.kdl", ("attempts most=4", "attempts most=3"))
     begun = voter.state()
     before = json.dumps(begun["rules"], sort_keys=True)
@@ -183,7 +185,9 @@
     assert after["version"] == begun["version"] + 2
 
 
-def test_a_floor_is_taken_and_what_forbids_it_refused(voter: Voter, tmp_path: Path) -> None:
+def test_a_floor_is_accepted_and_rules_that_forbid_it_are_rejected(
+    voter: Voter, tmp_path: Path
+) -> None:
     least = voter.write(tmp_path / "least.kdl", ("most=3", "most=1"), ("offers=20", "offers=0"))
     code, words = voter.ask("floor", least, "--lasts", "1h")
     assert code == 0, words
@@ -194,7 +198,7 @@
     assert voter.ask("floor", least, "--lasts", "soon")[0] == 2
 
 
-def test_a_file_that_is_no_voters_makes_no_store(tmp_path: Path) -> None:
+def test_no_store_is_created_for_a_placer_that_is_no_voter(tmp_path: Path) -> None:
     file = tmp_path / "x.kdl"
     file.write_text(settings_text(0, 1, 1, 1))
     code, words = run("init", str(file))
@@ -202,7 +206,7 @@
     assert "no voter" in words
 
 
-def test_to_recover_says_what_it_risks_and_does_nothing_unasked_or_while_the_placer_runs(
+def test_recover_prints_the_risks_and_changes_nothing_without_yes_or_while_the_placer_runs(
     voter: Voter, tmp_path: Path
 ) -> None:
     code, words = run("recover", str(voter.file), "--yes")
--- a/wingbarrow/cli/__init__.py
+++ b/wingbarrow/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: click sub-commands, nothing else.
+"""The command line, built with click.
 
-`main.main` is the program's entry; `client`, `drains` and `lab` hold the sub-commands' bodies.
+`main.main` is the entry point; `client` calls a placer; each other module holds a group of sub-commands.
 """
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -1,4 +1,4 @@
-"""What a person at a terminal asks of a placer."""
+"""Client of a placer's REST API for the sub-commands of the command line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from wingbarrow.kube.status import ApiError
 from wingbarrow.transport import Hub
 
-SECOND = 1_000_000
+US_PER_SECOND = 1_000_000
 _PATHS = {"jobs": "/apis/batch/v1", "nodes": "/api/v1", "events": "/api/v1"}
 
 
@@ -31,55 +31,57 @@
 )
 
 
-def need_plots() -> None:
-    """Stop with a word where matplotlib is not installed, before any work is done."""
+def require_matplotlib() -> None:
+    """Raise ClickException if matplotlib is not installed; called before any work is done."""
     if importlib.util.find_spec("matplotlib") is None:
         raise click.ClickException("plots need matplotlib: pip install 'wingbarrow[plots]'")
 
 
 class CommandFailed(Exception):
-    """One line for the person."""
+    """A call failed; the message is one line for the user."""
 
 
-LEADERS_MOST = 5  # hops from one placer that does not lead to the next
+MAX_LEADER_HOPS = 5  # redirects followed from a placer that is not the leader
 
 
 class Client:
-    """Calls on one placer."""
+    """Calls one placer. All methods raise CommandFailed if a call fails, unless they say otherwise."""
 
     def __init__(self, hub: Hub, host: str, port: int) -> None:
         self._hub = hub
         self._pool = Pool(hub, host, port, agent="wingbarrow-cli")
 
-    def _until(self) -> int:
-        return self._hub.now_us() + 10 * SECOND
+    def _deadline_us(self) -> int:
+        return self._hub.now_us() + 10 * US_PER_SECOND
 
     def _path(self, kind: str, namespace: str) -> str:
         scope = f"/namespaces/{quote(namespace)}" if namespace and kind != "nodes" else ""
         return f"{_PATHS[kind]}{scope}/{kind}"
 
     def submit(self, raw: bytes, namespace: str, dry_run: bool) -> dict[str, Any]:
-        """Post a Job as it was read."""
+        """Create a Job from JSON text; returns the created Job."""
         target = self._path("jobs", namespace) + ("?dryRun=All" if dry_run else "")
         try:
-            return call(self._pool, "POST", target, raw, self._until())
+            return call(self._pool, "POST", target, raw, self._deadline_us())
         except (ApiError, CallFailed) as error:
             raise CommandFailed(str(error)) from None
 
     def exchange(
         self, method: str, path: str, value: dict[str, Any] | None = None
     ) -> dict[str, Any]:
-        """One call on the project's own resources."""
+        """One call below /apis/wingbarrow.io/v1; returns the decoded response."""
         body = None if value is None else json.dumps(value).encode()
         try:
-            return call(self._pool, method, f"/apis/wingbarrow.io/v1/{path}", body, self._until())
+            return call(
+                self._pool, method, f"/apis/wingbarrow.io/v1/{path}", body, self._deadline_us()
+            )
         except (ApiError, CallFailed) as error:
             raise CommandFailed(str(error)) from None
 
     def answers(self) -> AnswerCounts:
-        """Final answers that this placer has given, and those that placed nothing."""
+        """Counts of the placer's final answers, and of those that placed nothing, from its metrics."""
         try:
-            response = self._pool.request("GET", "/metrics", until_us=self._until())
+            response = self._pool.request("GET", "/metrics", until_us=self._deadline_us())
             families = list(text_string_to_metric_families(response.body.decode()))
         except (CallFailed, ValueError) as error:
             raise CommandFailed(str(error)) from None
@@ -94,29 +96,29 @@
             sum(found.values()), sum(count for answer, count in found.items() if answer != "placed")
         )
 
-    def others(self) -> list[Client]:
-        """Clients of the placers that this one knows and holds for alive; none where it does not tell."""
+    def live_peers(self) -> list[Client]:
+        """Clients of the placers that this one reports as alive; none if it does not report its members."""
         try:
             members = self.exchange("GET", "members").get("items", [])
         except CommandFailed:
-            return []  # it tells its members to `allow-peer` addresses alone
+            return []  # members are reported only to `allow-peer` addresses
         found = [
             str(each.get("address", "")).rpartition(":")
             for each in members
             if each.get("standing") == "alive"
         ]
-        return [self.elsewhere(host, int(port)) for host, _, port in found if port.isdecimal()]
+        return [self.client_at(host, int(port)) for host, _, port in found if port.isdecimal()]
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
-        self._hub.sleep(int(seconds * SECOND))
+        """Wait for a number of seconds."""
+        self._hub.sleep(int(seconds * US_PER_SECOND))
 
     def at_leader(
         self, path: str, value: dict[str, Any] | None, method: str = "POST"
     ) -> dict[str, Any]:
-        """A call to whoever leads the voters: this placer, or the one that it names."""
+        """A call to the leader of the voters, found by following redirects from this placer."""
         answer = self.exchange(method, path, value)
-        for _ in range(LEADERS_MOST):
+        for _ in range(MAX_LEADER_HOPS):
             if answer.get("kind") != "Leader":
                 return answer
             host, _, port = str(answer.get("address", "")).rpartition(":")
@@ -126,19 +128,19 @@
         raise CommandFailed("no leader found: the voters are electing one; try again")
 
     def leader(self) -> Client:
-        """A client of the voters' leader, as this placer names it; CommandFailed where it names none."""
-        told = self.exchange("POST", "rules", {})
-        host, _, port = str(told.get("address", "")).rpartition(":")
-        if told.get("kind") != "Leader" or not port.isdecimal():
+        """A client of the leader that this placer reports; CommandFailed if it reports none."""
+        answer = self.exchange("POST", "rules", {})
+        host, _, port = str(answer.get("address", "")).rpartition(":")
+        if answer.get("kind") != "Leader" or not port.isdecimal():
             raise CommandFailed("no leader found: the voters are electing one; try again")
-        return self.elsewhere(host, int(port))
+        return self.client_at(host, int(port))
 
-    def elsewhere(self, host: str, port: int) -> Client:
+    def client_at(self, host: str, port: int) -> Client:
         """A client of another placer."""
         return Client(self._hub, host, port)
 
     def wait_for_answer(self, job: dict[str, Any]) -> tuple[str, str]:
-        """Watch one Job until its answer is there."""
+        """Watch one Job until it has an answer: (answer, message), with "deleted" if it is deleted before."""
         meta = job["metadata"]
         selector = quote(f"metadata.name={meta['name']}")
         version = ""
@@ -148,7 +150,7 @@
                 + (f"&resourceVersion={version}" if version else "")
             )
             try:
-                for kind, value in watch(self._pool, target, self._until()):
+                for kind, value in watch(self._pool, target, self._deadline_us()):
                     version = value["metadata"]["resourceVersion"]
                     if kind == "DELETED":
                         return "deleted", ""
@@ -168,7 +170,7 @@
     def get(
         self, kind: str, name: str | None, namespace: str, selector: str, as_json: bool
     ) -> Iterator[str]:
-        """Lines about objects."""
+        """One line for each object: JSON, or a description."""
         try:
             if name:
                 found = [
@@ -176,13 +178,13 @@
                         self._pool,
                         "GET",
                         f"{self._path(kind, namespace or 'default')}/{quote(name)}",
-                        until_us=self._until(),
+                        until_us=self._deadline_us(),
                     )
                 ]
             else:
                 query = f"labelSelector={quote(selector)}" if selector else ""
                 found, _ = list_all(
-                    self._pool, self._path(kind, namespace), query, 500, self._until()
+                    self._pool, self._path(kind, namespace), query, 500, self._deadline_us()
                 )
         except (ApiError, CallFailed, ValueError) as error:
             raise CommandFailed(str(error)) from None
@@ -198,17 +200,20 @@
         as_json: bool,
         show: Callable[[str], Any],
     ) -> None:
-        """Show events until the time is over; resume where a connection breaks, list again after 410."""
-        end = None if seconds is None else self._hub.now_us() + seconds * SECOND
+        """Pass a line for each event to `show` for `seconds`, or without end if None.
+
+        Resumes the watch after a broken connection, and starts over with a list after 410 (Gone).
+        """
+        end = None if seconds is None else self._hub.now_us() + seconds * US_PER_SECOND
         version = ""
         while end is None or self._hub.now_us() < end:
-            left = 600 if end is None else max(1, (end - self._hub.now_us()) // SECOND)
+            left = 600 if end is None else max(1, (end - self._hub.now_us()) // US_PER_SECOND)
             query = f"watch=true&allowWatchBookmarks=true&timeoutSeconds={left}"
             query += f"&labelSelector={quote(selector)}" if selector else ""
             query += f"&resourceVersion={version}" if version else ""
             try:
                 for event, value in watch(
-                    self._pool, f"{self._path(kind, namespace)}?{query}", self._until()
+                    self._pool, f"{self._path(kind, namespace)}?{query}", self._deadline_us()
                 ):
                     version = value["metadata"]["resourceVersion"]
                     if event != "BOOKMARK":
@@ -222,32 +227,32 @@
                     raise CommandFailed(str(error)) from None
                 version = ""
             except (CallFailed, ValueError) as error:
-                show(f"broken: {error}; going on")
-                self._hub.sleep(SECOND)
+                show(f"watch interrupted: {error}; retrying")
+                self._hub.sleep(US_PER_SECOND)
 
 
 class FleetAnswers:
-    """Counts of answers of all placers that were known at the beginning; of one out of reach, those heard last."""
+    """Total counts of answers of all placers known at the start; for an unreachable one, its last known counts."""
 
     def __init__(self, first: Client) -> None:
-        self._clients = [first, *first.others()]
+        self._clients = [first, *first.live_peers()]
         self._last: dict[int, AnswerCounts] = {}
 
     def count(self) -> AnswerCounts:
-        """All together, as of now; CommandFailed where none can be asked."""
+        """The current totals; CommandFailed if no placer has ever been reached."""
         failed: CommandFailed | None = None
         for number, client in enumerate(self._clients):
             try:
-                told = client.answers()
+                counts = client.answers()
             except CommandFailed as error:
                 failed = error
                 continue
             before = self._last.get(number, AnswerCounts(0, 0))
-            # One that began anew counts from nothing: its former answers stay in the sum.
+            # A restarted placer counts from zero again; its earlier answers stay in the sum.
             self._last[number] = (
-                told
-                if told.answers >= before.answers
-                else AnswerCounts(before.answers + told.answers, before.bad + told.bad)
+                counts
+                if counts.answers >= before.answers
+                else AnswerCounts(before.answers + counts.answers, before.bad + counts.bad)
             )
         if not self._last and failed is not None:
             raise failed
@@ -258,12 +263,12 @@
 
     @property
     def placers(self) -> int:
-        """How many are asked."""
+        """The number of placers that are counted."""
         return len(self._clients)
 
 
 def with_client(url: str, call: Callable[[Client], Any]) -> Any:
-    """Run `call` with a client of a placer; exit 1 with one line where it fails."""
+    """Run `call` with a client of a placer; exits with 1 and one line of error if it fails."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
         raise click.BadParameter(f"not an http:// address: {url}")
@@ -278,7 +283,7 @@
 
 
 def describe(kind: str, value: dict[str, Any]) -> str:
-    """One line about an object."""
+    """One line that describes an object of a kind ("jobs", "nodes" or "events")."""
     meta = value.get("metadata", {})
     name = f"{meta['namespace']}/{meta['name']}" if meta.get("namespace") else str(meta.get("name"))
     if kind == "jobs":
--- a/wingbarrow/cli/drains.py
+++ b/wingbarrow/cli/drains.py
@@ -1,4 +1,4 @@
-"""`wingbarrow drains`: what the calendar will do, does, and is to do now."""
+"""`wingbarrow drains`: plans the drains of calendars, and lists, starts and cancels drains."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import click
 
-from wingbarrow.cli.client import URL, Client, need_plots, with_client
+from wingbarrow.cli.client import URL, Client, require_matplotlib, with_client
 from wingbarrow.config import SettingsError, parse_size
 from wingbarrow.config.calendar import load_calendar
 from wingbarrow.core.nodes import read_node
@@ -19,7 +19,7 @@
 from wingbarrow.decide.maintenance.windows import expand_all
 from wingbarrow.kube import names
 
-SECOND = 1_000_000
+US_PER_SECOND = 1_000_000
 
 
 @click.group()
@@ -27,11 +27,11 @@
     """Planned drains."""
 
 
-def _when(wall_us: int) -> str:
-    return datetime.fromtimestamp(wall_us / SECOND, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
+def _utc(wall_us: int) -> str:
+    return datetime.fromtimestamp(wall_us / US_PER_SECOND, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
-def _states(nodes: list[dict[str, Any]]) -> list[MachineState]:
+def _machine_states(nodes: list[dict[str, Any]]) -> list[MachineState]:
     out = []
     for value in nodes:
         entry = read_node(value, 0)
@@ -69,10 +69,12 @@
 ) -> None:
     """Show what would happen, before it does: calendars on the machines that a placer sees now."""
     if plot is not None:
-        need_plots()
+        require_matplotlib()
     try:
         calendar = load_calendar(calendars)
-        start = names.read_time(begin) if begin else int(datetime.now(UTC).timestamp() * SECOND)
+        start = (
+            names.read_time(begin) if begin else int(datetime.now(UTC).timestamp() * US_PER_SECOND)
+        )
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
@@ -82,15 +84,17 @@
         url, lambda client: [json.loads(line) for line in client.get("nodes", None, "", "", True)]
     )
     try:
-        states = _states(nodes)
+        states = _machine_states(nodes)
     except ValueError as error:
         raise click.ClickException(f"a Node of {url} cannot be read: {error}") from None
     found = plan(
-        expand_all(calendar.series, start, start + days * 86_400 * SECOND), states, calendar.rules
+        expand_all(calendar.series, start, start + days * 86_400 * US_PER_SECOND),
+        states,
+        calendar.rules,
     )
     for drain in found:
         click.echo(
-            f"{drain.machine:<20}{drain.outcome.value:<9}{_when(drain.start_us)} to {_when(drain.end_us)}  "
+            f"{drain.machine:<20}{drain.outcome.value:<9}{_utc(drain.start_us)} to {_utc(drain.end_us)}  "
             f"{drain.window}{'  ' + drain.reason if drain.reason else ''}"
         )
     if plot is not None:
@@ -98,7 +102,7 @@
 
 
 def timeline(found: list[Drain], path: Path) -> None:
-    """A bar for each machine and drain; refused ones hollow."""
+    """Plot a bar for each drain on its machine's row, hollow if refused, to a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -107,8 +111,8 @@
     machines = sorted({drain.machine for drain in found}, reverse=True)
     figure, axes = pyplot.subplots(figsize=(10, 1.5 + 0.22 * len(machines)))
     for drain in found:
-        begin = datetime.fromtimestamp(drain.start_us / SECOND, UTC)
-        end = datetime.fromtimestamp(drain.end_us / SECOND, UTC)
+        begin = datetime.fromtimestamp(drain.start_us / US_PER_SECOND, UTC)
+        end = datetime.fromtimestamp(drain.end_us / US_PER_SECOND, UTC)
         axes.barh(
             machines.index(drain.machine),
             dates.date2num(end) - dates.date2num(begin),
@@ -133,7 +137,7 @@
     def call(client: Client) -> None:
         for each in client.exchange("GET", "drains")["items"]:
             click.echo(
-                f"{each['key']:<44}{each['phase']:<10}{_when(each['startUs'])} to {_when(each['endUs'])}  "
+                f"{each['key']:<44}{each['phase']:<10}{_utc(each['startUs'])} to {_utc(each['endUs'])}  "
                 f"moved {each['moved']}{'  late' if each['late'] else ''}  {each['reason']}"
             )
 
@@ -145,16 +149,18 @@
 @URL
 def cancel(key: str, url: str) -> None:
     """Take a drain back; the machine is opened again. Where placers agree on rules, at all of them."""
-    told = with_client(url, lambda client: client.at_leader(f"drains/{quote(key)}", None, "DELETE"))
+    answer = with_client(
+        url, lambda client: client.at_leader(f"drains/{quote(key)}", None, "DELETE")
+    )
     click.echo(f"{key} cancelled")
-    _unheard(told)
+    _warn_of_floors(answer)
 
 
-def _unheard(told: dict[str, Any]) -> None:
-    """Danger, said to whoever asked: who goes by a floor hears of it later."""
-    for each in told.get("floors", []):
+def _warn_of_floors(answer: dict[str, Any]) -> None:
+    """Danger: a placer that is cut off and acts on a floor learns of the change later; warn the user of it."""
+    for each in answer.get("floors", []):
         click.echo(
-            f"a placer that is cut off may not hear of it for up to {each['lastsUs'] / SECOND:g} s "
+            f"a placer that is cut off may not hear of it for up to {each['lastsUs'] / US_PER_SECOND:g} s "
             f"(floor {each['number']})",
             err=True,
         )
@@ -170,4 +176,4 @@
         url, lambda client: client.at_leader("drains", {"machine": machine, "lasts": lasts})
     )
     click.echo(made["key"])
-    _unheard(made)
+    _warn_of_floors(made)
--- a/wingbarrow/cli/fleet.py
+++ b/wingbarrow/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`wingbarrow fleet`: what holds for all placers together."""
+"""`wingbarrow fleet`: fleet-wide limits and verdicts, as the leader has them."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     """What holds for all placers together."""
 
 
-def _leaders(client: Client, what: str, mark: str) -> dict[str, Any]:
-    """As the leader has it, which `mark` tells, whichever placer was asked."""
-    told = client.exchange("GET", what)
-    if mark in told:
-        return told
+def _read_from_leader(client: Client, what: str, leader_key: str) -> dict[str, Any]:
+    """A resource as the leader has it, whichever placer is asked: only the leader's answer has `leader_key`."""
+    answer = client.exchange("GET", what)
+    if leader_key in answer:
+        return answer
     return client.leader().exchange("GET", what)
 
 
@@ -30,13 +30,13 @@
     """Who holds how much of each limit, what of it is used and wanted, and how old that news is."""
 
     def call(client: Client) -> None:
-        told = _leaders(client, "limits", "accounts")
+        answer = _read_from_leader(client, "limits", "accounts")
         if as_json:
-            click.echo(json.dumps(told))
+            click.echo(json.dumps(answer))
             return
-        if not told.get("accounts"):
+        if not answer.get("accounts"):
             click.echo("the rules have no limits of the whole fleet")
-        for each in told.get("accounts", []):
+        for each in answer.get("accounts", []):
             click.echo(
                 f"{each['limit']}: {each['most']} in all, {each['free']} with nobody, "
                 f"{each['owed']} owed by former lives"
@@ -59,11 +59,11 @@
     """Machines that verdicts close for the whole fleet, and those that were found bad and left open."""
 
     def call(client: Client) -> None:
-        told = _leaders(client, "verdicts", "items")
+        answer = _read_from_leader(client, "verdicts", "items")
         if as_json:
-            click.echo(json.dumps(told))
+            click.echo(json.dumps(answer))
             return
-        items = [each for each in told["items"] if machine in (None, each["machine"])]
+        items = [each for each in answer["items"] if machine in (None, each["machine"])]
         for each in items:
             state = (
                 f"ended: {each['ended']}"
@@ -75,10 +75,10 @@
             click.echo(
                 f"{each['machine']}: {each['ageUs'] / 1e6:.1f} s old, by {', '.join(each['by'])}; {state}"
             )
-        spared = {name: why for name, why in told["spared"].items() if machine in (None, name)}
+        spared = {name: why for name, why in answer["spared"].items() if machine in (None, name)}
         for name, why in spared.items():
             click.echo(f"{name}: left open: {why}")
-        for each in told["witnesses"]:
+        for each in answer["witnesses"]:
             if machine is not None and machine in each["evidence"]:
                 failed, tried = each["evidence"][machine]
                 where = f" of {each['region']}" if each["region"] else ""
--- a/wingbarrow/cli/lab.py
+++ b/wingbarrow/cli/lab.py
@@ -1,4 +1,4 @@
-"""`wingbarrow lab`: a cluster of stand-ins to try things on, and scripted days."""
+"""`wingbarrow lab`: a local cluster with simulated machines, scripted days and experiments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import click
 
-from wingbarrow.cli.client import need_plots
+from wingbarrow.cli.client import require_matplotlib
 from wingbarrow.cli.labfleet import fleet
 from wingbarrow.core.logs import Log, silent
 from wingbarrow.lab.cluster import Cluster
@@ -104,7 +104,7 @@
 )
 def learn(machines: int, seeds: int, processes: int, arms: tuple[str, ...], out: Path) -> None:
     """A new placer's first minute: cold, with a running peer's knowledge, and with a stale one's."""
-    need_plots()
+    require_matplotlib()
     rows = experiment(machines, seeds, processes, arms)
     write(rows, out)
     for line in summary(rows):
@@ -203,7 +203,7 @@
     out: Path,
 ) -> None:
     """Play many days at many sizes and tell each breach by its shortest reproduction; exit 1 where one is found."""
-    need_plots()
+    require_matplotlib()
     names = sorted(DAYS) if days == "all" else days.split(",")
     for name in names:
         if name not in DAYS:
@@ -220,7 +220,7 @@
     ):
         raise click.BadParameter("--scales lie between 0.4 and 200, --placers between 0 and 64")
     wanted = plays(names, range(first_seed, first_seed + seeds), sizes, counts)
-    begun, broke = time.monotonic(), 0
+    started_s, broke = time.monotonic(), 0
 
     def progress(done: int, found: Found) -> None:
         nonlocal broke
@@ -228,7 +228,7 @@
         if not found.clean:
             click.echo(f"{found.what.command}: {found.breaches or found.error}", err=True)
         if done % 20 == 0 or done == len(wanted):
-            left = (time.monotonic() - begun) / done * (len(wanted) - done)
+            left = (time.monotonic() - started_s) / done * (len(wanted) - done)
             click.echo(
                 f"{done} of {len(wanted)} plays, {broke} not clean, some {left:.0f} s left",
                 err=True,
--- a/wingbarrow/cli/labfleet.py
+++ b/wingbarrow/cli/labfleet.py
@@ -1,4 +1,4 @@
-"""`wingbarrow lab fleet`: real placers as processes, with faults between them."""
+"""`wingbarrow lab fleet`: runs placers as processes, injects faults between them, and judges the run."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 )
 @click.option(
     "--judge",
-    "again",
+    "judged_run",
     type=click.Path(path_type=Path, exists=True),
     help="Judge what a run left; play none.",
 )
@@ -87,11 +87,11 @@
     seconds: float,
     rate: float,
     out: Path | None,
-    again: Path | None,
+    judged_run: Path | None,
 ) -> None:
     """Real placers as processes, with faults between them; the last line is the judge's verdict, exit 1 if broken."""
-    if again is not None:
-        verdict = judge(again)
+    if judged_run is not None:
+        verdict = judge(judged_run)
     else:
         if out is not None and (out / "fleet.json").exists():
             raise click.BadParameter(f"--out: {out} holds a run already; --judge judges it")
@@ -103,7 +103,7 @@
             placers, machines, seconds, seed, rate, regions or 0, leases, lease, after, subsets or 0
         )
         try:
-            verdict = _play(size, _faults(size, script), out)
+            verdict = _run_fleet(size, _faults(size, script), out)
         except (BadScript, TimeoutError, NotStarted) as error:
             words = (
                 str(error)
@@ -127,7 +127,7 @@
     return generate(size.seed, layout.names, size.seconds)
 
 
-def _play(size: Size, faults: list[Fault], out: Path | None) -> Verdict:
+def _run_fleet(size: Size, faults: list[Fault], out: Path | None) -> Verdict:
     raise_descriptors(size.machines, size.placers * 4)
     with tempfile.TemporaryDirectory(prefix="wingbarrow-fleet-") as folder:
         hub = Hub()
--- a/wingbarrow/cli/main.py
+++ b/wingbarrow/cli/main.py
@@ -1,4 +1,4 @@
-"""`wingbarrow`: serve, check, submit, get, watch, and the laboratory."""
+"""`wingbarrow`: the entry point, with the sub-commands serve, check, submit, get and watch."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def settings_or_exit(path: Path):  # type: ignore[no-untyped-def]
-    """Settings of a file; exit 2 with FILE:LINE: what is wrong."""
+    """Settings of a file, whose calendars load too; exits with 2 and lines of `FILE:LINE: what is wrong` otherwise."""
     try:
         settings = load_file(path)
         load_calendar(settings.calendars)
@@ -71,26 +71,30 @@
         with Nursery(hub) as nursery:
 
             def reload() -> None:
-                fresh = reload_file(file, service.placer.context.settings, log)
-                if fresh is not None:
-                    service.placer.apply_settings(fresh)
+                loaded = reload_file(file, service.placer.context.settings, log)
+                if loaded is not None:
+                    service.placer.apply_settings(loaded)
                     log("settings-taken", file=str(file))
 
-            def end() -> None:
+            def shut_down() -> None:
                 service.placer.peering.leave()
                 nursery.cancel()
 
-            def ask_to_end() -> None:
-                nursery.spawn(end, "end")
+            def request_shutdown() -> None:
+                nursery.spawn(shut_down, "end")
 
             nursery.spawn(
                 on_signals(
                     hub,
-                    {signal.SIGINT: ask_to_end, signal.SIGTERM: ask_to_end, signal.SIGHUP: reload},
+                    {
+                        signal.SIGINT: request_shutdown,
+                        signal.SIGTERM: request_shutdown,
+                        signal.SIGHUP: reload,
+                    },
                 ),
                 "signals",
             )
-            # Danger: who reads this may send a signal at once, which would end a process that hears none yet.
+            # Danger: a reader of this line may send a signal at once, which kills a process without signal handlers.
             click.echo(json.dumps({"kind": "placer", "name": settings.name, "url": service.url}))
             sys.stdout.flush()
             service.run()
--- a/wingbarrow/cli/rules.py
+++ b/wingbarrow/cli/rules.py
@@ -24,7 +24,7 @@
 from wingbarrow.store.voter_store import StoreError, become_sole_voter, create
 from wingbarrow.store.voter_store import load as load_store
 
-SECOND = 1_000_000
+US_PER_SECOND = 1_000_000
 RECOVERY_RISKS = (
     "risked: what was decided without this voter is gone, and what was proposed and not decided may come to be;",
     "risked: placers go by rules of the voters that are lost until their grants, and floors, have lapsed;",
@@ -49,7 +49,7 @@
 def _rules_of(path: Path) -> RuleSet:
     try:
         return requested_rule_set(_settings(path))
-    except SettingsError as error:  # one of its calendars
+    except SettingsError as error:  # in one of the calendars that the file names
         click.echo(str(error), err=True)
         sys.exit(2)
 
@@ -59,7 +59,7 @@
 
 
 def _voter_state(client: Client) -> dict[str, Any]:
-    """The state of a voter: this placer, or the leader that it names."""
+    """The state of a voter: of this placer, or of the leader that it reports."""
     state = _state(client)
     if "versions" in state:
         return state
@@ -172,7 +172,9 @@
         if dry_run:
             return 0
         at = fleet.count()
-        analysis = CanaryAnalysis(at.since(counts_at_start), at, bound, int(watch_s * SECOND))
+        analysis = CanaryAnalysis(
+            at.since(counts_at_start), at, bound, int(watch_s * US_PER_SECOND)
+        )
         return _watch(client, fleet, analysis, watch_s, version)
 
     sys.exit(with_client(url, call))
@@ -190,13 +192,13 @@
 def _watch(
     client: Client, fleet: FleetAnswers, analysis: CanaryAnalysis, watch_s: float, version: int
 ) -> int:
-    """Keep the change, or go back to `version`: the exit code, 0 or 3."""
+    """Keep the change, or roll back to `version`; returns the exit code, 0 or 3."""
     elapsed_s = 0.0
     step_s = min(1.0, watch_s / 5)
     while True:
         client.sleep(step_s)
         elapsed_s += step_s
-        advice = analysis.judge(int(elapsed_s * SECOND), fleet.count())
+        advice = analysis.judge(int(elapsed_s * US_PER_SECOND), fleet.count())
         if advice is CanaryAdvice.KEEP:
             click.echo(
                 f"kept: of {analysis.after.answers} answers of {fleet.placers} placer(s) {analysis.after.share:.1%} "
--- a/wingbarrow/cli/turns.py
+++ b/wingbarrow/cli/turns.py
@@ -1,4 +1,4 @@
-"""`wingbarrow turns`: machines taken out for work, one after another, in an order that placers agree on."""
+"""`wingbarrow turns`: machines taken out for maintenance, one after another, in an order that placers agree on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from wingbarrow.cli.client import URL, Client, with_client
 
-SECOND = 1_000_000
+US_PER_SECOND = 1_000_000
 
 
 @click.group()
@@ -18,7 +18,7 @@
     """Machines taken out for work, in an order that placers agree on."""
 
 
-def _line(turn: dict[str, Any]) -> str:
+def _describe(turn: dict[str, Any]) -> str:
     notes = [
         turn["note"],
         turn.get("blocked", ""),
@@ -32,8 +32,8 @@
     ).rstrip()
 
 
-def _say(path: str, url: str, value: dict[str, Any]) -> None:
-    click.echo(_line(with_client(url, lambda client: client.at_leader(path, value))))
+def _post_and_print(path: str, url: str, value: dict[str, Any]) -> None:
+    click.echo(_describe(with_client(url, lambda client: client.at_leader(path, value))))
 
 
 @turns.command()
@@ -68,8 +68,8 @@
     machine: str, urgency: int, latest: str, lasts: str, why: str, worker: str, url: str
 ) -> None:
     """Ask for a machine to be taken out."""
-    ident = f"cli-{machine[:200]}-{os.getpid()}-{time.time_ns()}"  # the same request sent again is taken once
-    _say(
+    ident = f"cli-{machine[:200]}-{os.getpid()}-{time.time_ns()}"  # makes retries of the request idempotent
+    _post_and_print(
         "turns",
         url,
         {
@@ -91,7 +91,7 @@
 
     def call(client: Client) -> None:
         for each in client.at_leader("turns", None, "GET")["items"]:
-            click.echo(_line(each))
+            click.echo(_describe(each))
 
     with_client(url, call)
 
@@ -102,7 +102,7 @@
 @URL
 def renew(number: int, worker: str | None, url: str) -> None:
     """Say that its worker is there. Only while this tells `out` may the machine be worked on."""
-    _say(f"turns/{number}/renew", url, {"worker": worker} if worker else {})
+    _post_and_print(f"turns/{number}/renew", url, {"worker": worker} if worker else {})
 
 
 @turns.command()
@@ -111,7 +111,7 @@
 @URL
 def back(number: int, worker: str | None, url: str) -> None:
     """The work is done: the machine is opened, and tried by one placer first."""
-    _say(f"turns/{number}/back", url, {"worker": worker} if worker else {})
+    _post_and_print(f"turns/{number}/back", url, {"worker": worker} if worker else {})
 
 
 @turns.command("give-back")
@@ -126,7 +126,7 @@
 @URL
 def give_back(number: int, worker: str | None, note: str, force: bool, url: str) -> None:
     """Take a turn back: its machine is not worked on, or not any more."""
-    _say(
+    _post_and_print(
         f"turns/{number}/give-back",
         url,
         {"note": note, "force": force} | ({"worker": worker} if worker else {}),
--- a/wingbarrow/fronts/unknown.py
+++ b/wingbarrow/fronts/unknown.py
@@ -1,7 +1,7 @@
 """Jobs in state unknown: GET /apis/wingbarrow.io/v1/unknown lists those for which this placer is responsible.
 
 Such a Job must not start twice, its placer's session has ended, and no placer can prove that it never ran. By POST
-/unknown/NAMESPACE/NAME an operator states whether it ran: after {"ran": false} it is started, after {"ran": true} removed.
+/unknown/NAMESPACE/NAME an operator states whether it ran: {"ran": false} has it started, {"ran": true} removed.
 """
 
 from __future__ import annotations
