--- a/wingbarrow/cli/lab.py
+++ b/wingbarrow/cli/lab.py
@@ -60,7 +60,7 @@
         "task-failed", level="error", task=task, why=f"{type(error).__name__}: {error}"
     )
 
-    def say(kind: str, **fields: object) -> None:
+    def print_event(kind: str, **fields: object) -> None:
         click.echo(json.dumps({"kind": kind, **fields}))
         sys.stdout.flush()
 
@@ -76,14 +76,14 @@
                     "signals",
                 )
                 cluster.start()
-                say("list-source", url=f"http://127.0.0.1:{cluster.source.port}")
+                print_event("list-source", url=f"http://127.0.0.1:{cluster.source.port}")
                 for machine in cluster.machines:
-                    say("node", name=machine.name, url=f"http://127.0.0.1:{machine.port}")
+                    print_event("node", name=machine.name, url=f"http://127.0.0.1:{machine.port}")
                 for slot in cluster.placers:
-                    say("placer", name=slot.name, url=f"http://127.0.0.1:{slot.port}")
+                    print_event("placer", name=slot.name, url=f"http://127.0.0.1:{slot.port}")
                 while not cluster.ready():
                     hub.sleep(20_000)
-                say("ready")
+                print_event("ready")
                 while True:
                     hub.sleep(3_600_000_000)
         finally:
@@ -209,10 +209,8 @@
         if name not in DAYS:
             raise click.BadParameter(f"no such day: {name}; `wingbarrow lab day --list` names them")
     try:
-        sizes, counts = (
-            [float(part) for part in scales.split(",")],
-            [int(part) for part in placers.split(",")],
-        )
+        sizes = [float(part) for part in scales.split(",")]
+        counts = [int(part) for part in placers.split(",")]
     except ValueError as error:
         raise click.BadParameter(f"--scales, --placers: {error}") from None
     if any(not 0.4 <= size <= 200 for size in sizes) or any(
@@ -220,17 +218,17 @@
     ):
         raise click.BadParameter("--scales lie between 0.4 and 200, --placers between 0 and 64")
     wanted = plays(names, range(first_seed, first_seed + seeds), sizes, counts)
-    started_s, broke = time.monotonic(), 0
+    started_s, unclean_plays = time.monotonic(), 0
 
     def progress(done: int, found: Found) -> None:
-        nonlocal broke
-        broke += not found.clean
+        nonlocal unclean_plays
+        unclean_plays += not found.clean
         if not found.clean:
             click.echo(f"{found.what.command}: {found.breaches or found.error}", err=True)
         if done % 20 == 0 or done == len(wanted):
             left = (time.monotonic() - started_s) / done * (len(wanted) - done)
             click.echo(
-                f"{done} of {len(wanted)} plays, {broke} not clean, some {left:.0f} s left",
+                f"{done} of {len(wanted)} plays, {unclean_plays} not clean, some {left:.0f} s left",
                 err=True,
             )
 
--- a/wingbarrow/config/agreement.py
+++ b/wingbarrow/config/agreement.py
@@ -10,13 +10,15 @@
 _GRANT_BOUNDS_US = (200_000, 4_000_000)
 _LEASE_BOUNDS_US = (1_000_000, 300_000_000)
 MIN_GRANTS_PER_LEASE = 3  # a lease is renewed with each grant, so it outlives two missed grants
-_NAMED = NodeSchema((text,), {"region": (text, ""), "machines": (flag, True)}, is_repeatable=True)
+_MEMBER_SCHEMA = NodeSchema(
+    (text,), {"region": (text, ""), "machines": (flag, True)}, is_repeatable=True
+)
 SCHEMA = NodeSchema(
     (),
     {"grant": (read_duration, 2_000_000), "lease": (read_duration, 10_000_000)},
     {
-        "voter": _NAMED,
-        "member": _NAMED,
+        "voter": _MEMBER_SCHEMA,
+        "member": _MEMBER_SCHEMA,
         "limit": NodeSchema(
             (text,),
             {
@@ -95,21 +97,21 @@
     regions: dict[str, str] = {}
     lines: dict[str, int] = {}
     for each in (*node.children.get("voter", []), *node.children.get("member", [])):
-        who, region = each.args[0], each.props["region"]
-        if regions.get(who) and region and regions[who] != region:
+        member, region = each.args[0], each.props["region"]
+        if regions.get(member) and region and regions[member] != region:
             problems.append(
                 (
                     each.line,
-                    f"agree: {who!r} already has region {regions[who]!r}, set in line {lines[who]}",
+                    f"agree: {member!r} already has region {regions[member]!r}, set in line {lines[member]}",
                 )
             )
-        regions[who] = regions.get(who) or region
-        lines.setdefault(who, each.line)
+        regions[member] = regions.get(member) or region
+        lines.setdefault(member, each.line)
     if not any(regions.values()):
         return ()
-    for who, region in regions.items():
+    for member, region in regions.items():
         if not region:
-            problems.append((lines[who], f"agree: {who!r} has no region, others have"))
+            problems.append((lines[member], f"agree: {member!r} has no region, others have"))
     name, mine = placer.args[0], placer.props["region"]
     if regions.get(name) and mine != regions[name]:
         problems.append(
@@ -127,7 +129,7 @@
                     "third region without machines",
                 )
             )
-    return tuple((who, region) for who, region in regions.items() if region)
+    return tuple((member, region) for member, region in regions.items() if region)
 
 
 def _limit(
@@ -144,13 +146,11 @@
             problems.append(
                 (
                     node.line,
-                    "limit: the limit of cold machines is said by `cold`, without most= and per= here",
+                    "limit: the limit of cold machines is said by `cold`; most= and per= are not allowed",
                 )
             )
-        most, per = (
-            int(top.get("cold", "offers", 20)),
-            top.get("cold", "window", 2_000_000) * 5 // 4,
-        )
+        most = int(top.get("cold", "offers", 20))
+        per = top.get("cold", "window", 2_000_000) * 5 // 4
     elif most is None:
         problems.append((node.line, f"limit {node.args[0]!r}: most= is wanted"))
     return FleetLimit(
--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -200,10 +200,8 @@
     for node in top.children.get("blackout", []):
         try:
             tz = node.props["zone"] or default_zone
-            begin, end = (
-                to_us(_parse_time(node.props["start"], tz)),
-                to_us(_parse_time(node.props["end"], tz)),
-            )
+            begin = to_us(_parse_time(node.props["start"], tz))
+            end = to_us(_parse_time(node.props["end"], tz))
             if end <= begin:
                 raise ValueError("end must be after start")
             blackouts.append(Blackout(node.args[0], begin, end))
--- a/wingbarrow/config/load.py
+++ b/wingbarrow/config/load.py
@@ -34,6 +34,7 @@
 _MAX_PEERS = 64
 _SPREAD_LEVELS = ("none", "machine", "cell", "zone")
 _COUNT = number(1, 10_000_000, True)
+# Keys of the `limits` node, and the fields that they set.
 _LIMIT_FIELDS = {each.name.replace("_", "-").removesuffix("-us"): each for each in fields(Limits)}
 _SCHEMA = NodeSchema(
     children={
--- a/wingbarrow/config/settings.py
+++ b/wingbarrow/config/settings.py
@@ -118,7 +118,7 @@
     rules: SubsetRules
     leave_after_us: int = LEAVE_AFTER_US
     settle_us: int = SETTLE_US
-    widen: int = 0  # further ranks whose machines a placer may hold temporarily
+    widen: int = 0  # further ranks whose machines a placer may hold temporarily; 0 for none
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/config/subset_settings.py
+++ b/wingbarrow/config/subset_settings.py
@@ -69,10 +69,8 @@
     found: list[tuple[int, str]] = []
     placer, named = top.children["placer"][0], node.first("roster")
     roster = tuple(named.args) if named is not None else _region_members(placer, agree)
-    leave_us, settle_us = (
-        _duration_us(node, "leave-after", LEAVE_AFTER_US),
-        _duration_us(node, "settle", SETTLE_US),
-    )
+    leave_us = _duration_us(node, "leave-after", LEAVE_AFTER_US)
+    settle_us = _duration_us(node, "settle", SETTLE_US)
     line = named.line if named is not None else node.line
     if not roster:
         found.append(
--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -33,11 +33,9 @@
     def __init__(self, hub: Hub, placer: Placer, log: Callable[..., None]) -> None:
         self._placer = placer
         self._log = log
-        limits, store, seed = (
-            placer.context.settings.limits,
-            placer.objects.store,
-            placer.context.settings.seed,
-        )
+        limits = placer.context.settings.limits
+        store = placer.objects.store
+        seed = placer.context.settings.seed
         self.resources = {
             "jobs": ListWatch(
                 hub, store, placer.objects.jobs, "Job", "batch/v1", limits.watchers, seed
