--- a/wingbarrow/config/calendar.py
+++ b/wingbarrow/config/calendar.py
@@ -36,8 +36,8 @@
     Series,
     UnsafePolicy,
     check_rule,
-    to_us,
-    zone,
+    time_zone,
+    to_wall_us,
 )
 
 _MAX_FILE_BYTES = 4 << 20
@@ -200,8 +200,8 @@
     for node in top.children.get("blackout", []):
         try:
             tz = node.props["zone"] or default_zone
-            begin = to_us(_parse_time(node.props["start"], tz))
-            end = to_us(_parse_time(node.props["end"], tz))
+            begin = to_wall_us(_parse_time(node.props["start"], tz))
+            end = to_wall_us(_parse_time(node.props["end"], tz))
             if end <= begin:
                 raise ValueError("end must be after start")
             blackouts.append(Blackout(node.args[0], begin, end))
@@ -250,7 +250,7 @@
         at = datetime.fromisoformat(value)
     except ValueError:
         raise ValueError(f"not a date or time such as 2026-12-06T02:00: {value[:40]!r}") from None
-    return at if at.tzinfo else at.replace(tzinfo=zone(zone_name))
+    return at if at.tzinfo else at.replace(tzinfo=time_zone(zone_name))
 
 
 def _parse_date_or_time(value: str, zone_name: str) -> datetime | date:
@@ -383,7 +383,7 @@
 def _to_datetime(value: datetime | date) -> datetime:
     if not isinstance(value, datetime):
         value = datetime(value.year, value.month, value.day)
-    return value if value.tzinfo else value.replace(tzinfo=zone("UTC"))
+    return value if value.tzinfo else value.replace(tzinfo=time_zone("UTC"))
 
 
 def _dates(value: Any) -> list[Any]:
