--- a/wingbarrow/fronts/rest.py
+++ b/wingbarrow/fronts/rest.py
@@ -207,13 +207,13 @@
         return True
 
     def _create(self, request: Request, namespace: str, query: Query) -> Answer:
-        self._placer.admission.check_overload(request.came_us)
+        self._placer.admission.check_overload(request.earliest_arrival_us)
         value = self._read_body(request)
         made = self._placer.admission.submit(
             value,
             namespace,
             dry_run=self._is_dry_run(query.get("dryRun")),
-            arrived_us=request.came_us,
+            arrived_us=request.earliest_arrival_us,
         )
         return Answer(201, names.encode(made))
 
@@ -293,7 +293,7 @@
                 "How late the process has lately run; fades by half a second by second",
                 placer.context.hub.lag_us() / 1e6,
             ),
-            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.context.hub.lag.times),
+            ("wingbarrow_lags", "Lags of 50 ms or more so far", placer.context.hub.lag.late_count),
             (
                 "wingbarrow_lag_worst_seconds",
                 "The longest lag of this process",
