--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -91,7 +91,14 @@
         return super().grants_for(
             now_us,
             [
-                (replace(requester, life=1, number=requester.life * 10**6 + requester.number), said)
+                (
+                    replace(
+                        requester,
+                        incarnation=1,
+                        sequence=requester.incarnation * 10**6 + requester.sequence,
+                    ),
+                    said,
+                )
                 for requester, said in asks
             ],
             limits,
@@ -104,7 +111,7 @@
     def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
         return super().grants_for(
             now_us,
-            [(replace(requester, reign=self.term), said) for requester, said in asks],
+            [(replace(requester, term=self.term), said) for requester, said in asks],
             limits,
         )
 
--- a/wingbarrow/decide/maintenance/reports.py
+++ b/wingbarrow/decide/maintenance/reports.py
@@ -46,14 +46,16 @@
 
     def record(self, now_us: int, sender: Requester, report: MaintenanceReport) -> bool:
         """Replace the sender's last report; False for a late or duplicate one, and past MAX_PLACERS."""
-        last = self._reports.get(sender.ident)
-        if last is not None and (sender.life, sender.number) <= (last.life, last.sequence):
+        last = self._reports.get(sender.placer)
+        if last is not None and (sender.incarnation, sender.sequence) <= (last.life, last.sequence):
             return False
         if last is None and len(self._reports) >= MAX_PLACERS:
             return False
-        self._reports[sender.ident] = PlacerReport(sender.life, sender.number, now_us, report)
+        self._reports[sender.placer] = PlacerReport(
+            sender.incarnation, sender.sequence, now_us, report
+        )
         if report.view is not None:
-            self._views[report.region] = ReportedView(now_us, sender.ident, report.view)
+            self._views[report.region] = ReportedView(now_us, sender.placer, report.view)
         return True
 
     def last_report(self, placer: str) -> MaintenanceReport | None:
--- a/wingbarrow/decide/maintenance/scheduler.py
+++ b/wingbarrow/decide/maintenance/scheduler.py
@@ -111,13 +111,13 @@
         for each in report.wants:
             if len(self._requests) < MAX_PROPOSALS and not self.queue.is_known(each.ident):
                 self._requests[each.ident] = (report.region, each)
-        if sender.ident == self.me:
+        if sender.placer == self.me:
             self._watches.confirm_renewals(report.at_us)
 
     def response_for(self, now_us: int, requester: Requester) -> MaintenanceResponse:
         """The response that goes with a grant: its holder may act from now on until the grant has lapsed."""
-        self._proof.on_grant(now_us, requester.ident)
-        report = self._reports.last_report(requester.ident)
+        self._proof.on_grant(now_us, requester.placer)
+        report = self._reports.last_report(requester.placer)
         region = report.region if report is not None else ""
         active = sorted(self.queue.active(), key=lambda each: each.number)
         requested = [
@@ -137,7 +137,7 @@
             version=self.queue.version,
             turns=tuple(rows),
             silent=tuple(self.silent(now_us)),
-            tell=self._region_reporter(now_us, region) == requester.ident,
+            tell=self._region_reporter(now_us, region) == requester.placer,
         )
 
     def contact(self, now_us: int, slot: Slot) -> str:
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -207,7 +207,7 @@
             uses = uses_by_limit.setdefault(limit.key, {})
             decided = self.allocations.get(limit.key, LimitAllocations())
             for index, (requester, _) in enumerate(requests):
-                name = requester.ident
+                name = requester.placer
                 if is_current[index] and (name in limit.among or name in decided.by_holder):
                     uses[name] = _use_of(limit, reports[index].get(limit.key))
             for index, share in self._shares(now_us, requests, is_current, limit, decided):
@@ -217,7 +217,7 @@
     def _on_contact(self, now_us: int, requester: Requester, lag_us: int) -> bool:
         """Take note of a request; whether its reports count: it is neither late nor duplicate."""
         contacts = self._leader.contacts
-        name, incarnation = requester.ident, requester.life
+        name, incarnation = requester.placer, requester.incarnation
         expires_us = lease_expiry_us(now_us, self._lease_us)
         last = contacts.get(name)
         known = max(
@@ -230,7 +230,7 @@
             )
         if last is not None and last.incarnation == incarnation:
             last.expires_us = expires_us  # Danger: the response to a duplicate brings a lease too
-            if requester.number <= last.sequence:
+            if requester.sequence <= last.sequence:
                 return False
         else:
             if last is not None:
@@ -239,11 +239,11 @@
                 uses.pop(name, None)
         contacts[name] = _Contact(
             incarnation=incarnation,
-            sequence=requester.number,
-            up_us=requester.up_us,
+            sequence=requester.sequence,
+            up_us=requester.uptime_us,
             received_us=now_us,
             expires_us=expires_us,
-            is_of_this_term=requester.reign == self._leader.term,
+            is_of_this_term=requester.term == self._leader.term,
         )
         return True
 
@@ -267,12 +267,12 @@
             else None
         )
         for index, (requester, _) in enumerate(requests):
-            name = requester.ident
+            name = requester.placer
             use = uses.get(name)
             if not is_current[index] or use is None:
                 continue
             size = decided.of(name).size
-            if self.incarnations.get(name) != requester.life or self.is_in_doubt:
+            if self.incarnations.get(name) != requester.incarnation or self.is_in_doubt:
                 size = 0  # Danger: the size is a former incarnation's, or moves were lost
             use.granted = min(size, limit.most if planned is None else planned.of(name).size)
             yield index, use.granted
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """Sender of a lease request: its name, incarnation and the age of that, and the request's sequence number.
+    """Sender of a lease request: its name, incarnation and uptime, and the sequence number of the request.
 
-    `reign`: the term of the leader whose grant it took last; 0 for none in this incarnation.
+    `term`: the term of the leader whose grant the sender accepted last; 0 for none in this incarnation.
     """
 
-    ident: str
-    life: int
-    up_us: int
-    number: int
-    reign: int = 0
+    placer: str
+    incarnation: int
+    uptime_us: int
+    sequence: int
+    term: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -134,7 +134,7 @@
 
     def on_report(self, now_us: int, requester: Requester, report: RegionReport) -> None:
         """Replace the requester's last report."""
-        if len(self._reports) >= MAX_PLACERS and requester.ident not in self._reports:
+        if len(self._reports) >= MAX_PLACERS and requester.placer not in self._reports:
             return
         region = report.region
         last_us = max(
@@ -143,7 +143,7 @@
         )
         if last_us is None or now_us - last_us > self._lost_us:
             self._stable_since_us[region] = now_us
-        self._reports[requester.ident] = _ReceivedReport(now_us, report)
+        self._reports[requester.placer] = _ReceivedReport(now_us, report)
         self._update_rejecting(now_us, region)
 
     def _update_rejecting(self, now_us: int, region: str) -> None:
--- a/wingbarrow/decide/sessions/session_subsystem.py
+++ b/wingbarrow/decide/sessions/session_subsystem.py
@@ -143,39 +143,41 @@
         """Renew the session of a placer whose request a majority confirmed, or have one opened for it."""
         self._note_activity(now_us)
         renewed: Session | None = None
-        latest = self.log.latest.get(requester.ident)
+        latest = self.log.latest.get(requester.placer)
         if latest is None:
             # Not known, or dropped: the session that it reports is over, and is not opened again.
             self._request(
-                requester, Session(requester.ident, requester.life, report.serial + 1), report
+                requester,
+                Session(requester.placer, requester.incarnation, report.serial + 1),
+                report,
             )
-        elif latest.process == requester.life:
+        elif latest.process == requester.incarnation:
             if latest.session not in self.log.open:
                 serial = max(latest.session.serial, report.serial) + 1
                 self._request(
-                    requester, Session(requester.ident, latest.session.life, serial), report
+                    requester, Session(requester.placer, latest.session.life, serial), report
                 )
             elif self._may_renew(now_us, latest.session, report):
                 self._renew(now_us, latest.session, report)
                 renewed = latest.session
-        elif latest.process < requester.life or (
+        elif latest.process < requester.incarnation or (
             report.serial == 0 and self._is_expired(now_us, latest.session)
         ):
             # A later incarnation; or, where a wall clock was set back, a process that never had a session while the
             # known one is silent. Danger: an earlier process that wakes up has had one, and renews and opens nothing.
-            life = max(requester.life, latest.session.life + 1)
-            self._request(requester, Session(requester.ident, life, 1), report)
-        self.leader.confirmed[requester.ident] = ConfirmedReport(requester, report, renewed)
+            life = max(requester.incarnation, latest.session.life + 1)
+            self._request(requester, Session(requester.placer, life, 1), report)
+        self.leader.confirmed[requester.placer] = ConfirmedReport(requester, report, renewed)
 
     def response_for(self, now_us: int, requester: Requester) -> SessionsResponse | None:
         """Return the response to the requester's report of this round; None where it has made none."""
-        confirmed = self.leader.confirmed.get(requester.ident)
+        confirmed = self.leader.confirmed.get(requester.placer)
         if confirmed is None or confirmed.requester != requester:
             return None
         report = confirmed.report
         ended, epoch = self._changes_after(report.heard)
-        latest = self.log.latest.get(requester.ident)
-        if latest is None or latest.process != requester.life:
+        latest = self.log.latest.get(requester.placer)
+        if latest is None or latest.process != requester.incarnation:
             return SessionsResponse(False, report.serial, self.lease_us, epoch, ended)
         session = latest.session
         terms = self.log.open.get(session)
@@ -220,9 +222,9 @@
 
     def _request(self, requester: Requester, session: Session, report: SessionsReport) -> None:
         """Have a session opened with the next proposals."""
-        if self.log.can_open(requester.ident):
-            self.leader.requested[requester.ident] = SessionOpened(
-                session, requester.life, report.region, self.lease_us
+        if self.log.can_open(requester.placer):
+            self.leader.requested[requester.placer] = SessionOpened(
+                session, requester.incarnation, report.region, self.lease_us
             )
         else:
             self.counts["sessions: no room for another"] += 1
