--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -146,7 +146,7 @@
     """What the voters' state takes: in a snapshot, whole, and what of it is the chapter of blocks."""
     member = found.members[found.leader() or found.voters[0]]
     assert member.raft is not None
-    member.rule_set_state.chapters |= {
+    member.rule_set_state.subsystem_snapshots |= {
         name: each.snapshot() for name, each in member.subsystems.items()
     }
     disk = member.raft.persistent
--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -331,7 +331,7 @@
             )
         }
         for name, chapter in self.chapters.items():
-            chapter.restore(self.agreed.chapters.get(name, ""))
+            chapter.restore(self.agreed.subsystem_snapshots.get(name, ""))
 
     def apply(self, entry: LogEntry) -> None:
         name, _, kind = entry.kind.partition("/")
--- a/wingbarrow/decide/coordination/coordinator.py
+++ b/wingbarrow/decide/coordination/coordinator.py
@@ -251,7 +251,7 @@
     def _restore(self, snapshot: SnapshotRestored) -> None:
         self.rule_set_state = from_text(snapshot.state)
         for name, subsystem in self.subsystems.items():
-            subsystem.restore(self.rule_set_state.chapters.get(name, ""))
+            subsystem.restore(self.rule_set_state.subsystem_snapshots.get(name, ""))
 
     def _on_committed(self, now_us: int, committed: EntriesCommitted) -> list[Effect]:
         effects: list[Effect] = []
@@ -277,7 +277,7 @@
 
     def snapshot(self) -> str:
         """The replicated state as text, for `ReplicatedLog.compact`."""
-        self.rule_set_state.chapters |= {
+        self.rule_set_state.subsystem_snapshots |= {
             name: each.snapshot() for name, each in self.subsystems.items()
         }
         return self.rule_set_state.text()
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -107,7 +107,7 @@
     versions: list[Version] = field(default_factory=list)
     floors: list[Floor] = field(default_factory=list)  # latest last; earlier may be in use
     outcomes: dict[str, str] = field(default_factory=dict)  # by proposal: "" or the objection
-    chapters: dict[str, str] = field(default_factory=dict)  # subsystems' texts as of a snapshot
+    subsystem_snapshots: dict[str, str] = field(default_factory=dict)  # by subsystem
     federations: dict[str, str] = field(default_factory=dict)  # of versions, by digest, latest last
 
     def apply(self, kind: str, body: str) -> None:
@@ -331,7 +331,7 @@
             "versions": [_with_rules_as_object(asdict(each)) for each in self.versions],
             "floors": [_with_rules_as_object(asdict(each)) for each in self.floors],
             "outcomes": self.outcomes,
-            "chapters": self.chapters,
+            "chapters": self.subsystem_snapshots,
             "federations": federations,
             "kept": list(self.federations),
         }
@@ -379,6 +379,6 @@
         ],
         floors=[Floor(**{**each, "rules": _rules_text(each["rules"])}) for each in value["floors"]],
         outcomes=dict(value["outcomes"]),
-        chapters=dict(value.get("chapters", {})),
+        subsystem_snapshots=dict(value.get("chapters", {})),
         federations={digest: federations[digest] for digest in value.get("kept", ())},
     )
