--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -413,7 +413,12 @@
         "floors": [
             (each.number, samples.read_rules(each.rules), each.lasts_us) for each in agreed.floors
         ],
-        "blocks": (blocks.serial, blocks.is_in_doubt, blocks.incarnations, blocks.allocations),
+        "blocks": (
+            blocks.serial,
+            blocks.may_have_lost_moves,
+            blocks.incarnations,
+            blocks.allocations,
+        ),
         "sessions": sessions.log,
         "turns": (turns.queue.last, turns.queue.version, turns.queue.outcomes, turns.queue.slots),
     }
--- a/tests/wire/samples.py
+++ b/tests/wire/samples.py
@@ -555,7 +555,7 @@
 def _blocks() -> AllocationLedger:
     made = AllocationLedger(2 * S)
     made.serial = 9
-    made.is_in_doubt = True
+    made.may_have_lost_moves = True
     made.incarnations = {"q": 7, "p": 8}
     made.allocations = dict(BLOCKS)
     return made
@@ -590,8 +590,8 @@
         blocks, held = AllocationLedger(2 * S), _blocks()
         blocks.restore(text)
         return (
-            _of(blocks, "serial is_in_doubt incarnations allocations"),
-            _of(held, "serial is_in_doubt incarnations allocations"),
+            _of(blocks, "serial may_have_lost_moves incarnations allocations"),
+            _of(held, "serial may_have_lost_moves incarnations allocations"),
             blocks.snapshot(),
         )
     queue, whole = SlotQueue(), "slots last version clock_us outcomes windowed"
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -94,7 +94,7 @@
     def __init__(self, lease_us: int) -> None:
         self._lease_us = lease_us
         self.serial = 0
-        self.is_in_doubt = False  # rule 6
+        self.may_have_lost_moves = False  # rule 6
         self.incarnations: dict[str, int] = {}
         self.allocations: dict[str, LimitAllocations] = {}  # by the limit's key
         self._leader = _LeaderState()
@@ -125,7 +125,7 @@
     def _apply_move(self, move: MoveEntry) -> None:
         self.serial += 1
         self.incarnations = dict(move.incarnations)
-        self.is_in_doubt = self.is_in_doubt and not move.is_reset
+        self.may_have_lost_moves = self.may_have_lost_moves and not move.is_reset
         kept = {} if move.is_reset else self.allocations
         self.allocations = {
             key: each
@@ -136,14 +136,14 @@
     def recovered(self) -> None:
         """One voter went on alone: entries may be lost."""
         self.serial += SERIALS_SKIPPED_AT_RECOVERY
-        self.is_in_doubt = True
+        self.may_have_lost_moves = True
 
     def snapshot(self) -> str:
         """All of the replicated state, in the words of its JSON form."""
         return json.dumps(
             {
                 "serial": self.serial,
-                "doubt": self.is_in_doubt,
+                "doubt": self.may_have_lost_moves,
                 "lives": self.incarnations,
                 "blocks": {key: each.to_json() for key, each in self.allocations.items()},
             },
@@ -155,13 +155,13 @@
         """Take the state of a snapshot; an empty text is the state at the beginning."""
         if not text:
             self.serial = 0
-            self.is_in_doubt = False
+            self.may_have_lost_moves = False
             self.incarnations = {}
             self.allocations = {}
             return
         value = json.loads(text)
         self.serial = int(value["serial"])
-        self.is_in_doubt = bool(value["doubt"])
+        self.may_have_lost_moves = bool(value["doubt"])
         self.incarnations = dict(value["lives"])
         self.allocations = {
             key: LimitAllocations.from_json(each) for key, each in value["blocks"].items()
@@ -272,7 +272,7 @@
             if not is_current[index] or use is None:
                 continue
             size = decided.of(name).size
-            if self.incarnations.get(name) != requester.incarnation or self.is_in_doubt:
+            if self.incarnations.get(name) != requester.incarnation or self.may_have_lost_moves:
                 size = 0  # Danger: the size is a former incarnation's, or moves were lost
             use.granted = min(size, limit.most if planned is None else planned.of(name).size)
             yield index, use.granted
@@ -284,7 +284,7 @@
         next_move_us = self._leader.moved_us + MOVE_INTERVAL_US
         if now_us < next_move_us:
             return [], next_move_us
-        if self.is_in_doubt:
+        if self.may_have_lost_moves:
             return self._reset(now_us, rules)
         holders = self._holders(rules)
         restarted = {name: each for name, each in self._restarted().items() if name in holders}
