--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -13,7 +13,7 @@
 from tests.decide.federation.strategies import FEDERATIONS, allowed_acts
 from wingbarrow.decide.federation import compare, encoding
 from wingbarrow.decide.federation import spec as s
-from wingbarrow.decide.rulesets.comparison import allows, intersection, keeps_floor
+from wingbarrow.decide.rulesets.comparison import allows, allows_floor, intersection
 from wingbarrow.decide.rulesets.parsing import (
     check,
     join_federation,
@@ -131,7 +131,7 @@
     assert parse_rule_set(one.text()) == one
     assert parse_rule_set(intersection(one, other).text()).federation == compare.intersection(a, b)
     assert allows(one, other) == compare.within(a, b)
-    assert keeps_floor(one, other), "no floor has a federation"
+    assert allows_floor(one, other), "no floor has a federation"
     rest, federation = split_federation(one)
     assert join_federation(rest, federation) == one.text()
 
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -216,10 +216,10 @@
         placer = self.placers[name]
         account = placer.holding.quotas
         if self.now_us < placer.until_us and account.limits:
-            if account.has_room(self.now_us, STANDING.key, count):
+            if account.has_capacity(self.now_us, STANDING.key, count):
                 placer.standing += count
                 self.found["standing"] += count
-            if account.has_room(self.now_us, RATE.key, count):
+            if account.has_capacity(self.now_us, RATE.key, count):
                 account.record_use(self.now_us, RATE.key, count)
                 self.starts += [self.now_us] * count
                 self.found["starts"] += count
--- a/wingbarrow/core/active_rules.py
+++ b/wingbarrow/core/active_rules.py
@@ -164,7 +164,7 @@
             # Danger: on a floor, this placer's shares have expired and others may hold them by now.
             return limits[0]
         for limit in limits:
-            if not quotas.has_room(now_us, limit.key, count, is_retry=is_retry):
+            if not quotas.has_capacity(now_us, limit.key, count, is_retry=is_retry):
                 return limit
         for limit in limits:
             quotas.record_use(now_us, limit.key, count)
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -162,7 +162,7 @@
             if each.key in self.limits:
                 self.shares[each.key] = max(0, each.share)
 
-    def has_room(self, now_us: int, key: str, count: int, *, is_retry: bool = False) -> bool:
+    def has_capacity(self, now_us: int, key: str, count: int, *, is_retry: bool = False) -> bool:
         """Whether `count` more are within the share; the caller holds a lease.
 
         What is not counts as demand, once: not again for a retry.
--- a/wingbarrow/decide/rulesets/comparison.py
+++ b/wingbarrow/decide/rulesets/comparison.py
@@ -32,7 +32,7 @@
     return all(field.allows(getattr(a, name), getattr(b, name)) for name, field in _FIELDS.items())
 
 
-def keeps_floor(floor: RuleSet, rules: RuleSet) -> bool:
+def allows_floor(floor: RuleSet, rules: RuleSet) -> bool:
     """Whether rules allow all that a floor allows.
 
     No floor speaks of drains, limits or federations: a placer that is cut off hears of drains later, and its quotas
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from wingbarrow.decide.federation.encoding import MAX_FEDERATION_CHARS
-from wingbarrow.decide.rulesets.comparison import contradict, intersection, keeps_floor
+from wingbarrow.decide.rulesets.comparison import allows_floor, contradict, intersection
 from wingbarrow.decide.rulesets.entries import (
     FloorEntry,
     FloorsExpiredEntry,
@@ -159,7 +159,7 @@
 
     def _floors_objection(self, rules: RuleSet) -> str:
         for floor in self.floors:
-            if not keeps_floor(parse_rule_set(floor.rules), rules):
+            if not allows_floor(parse_rule_set(floor.rules), rules):
                 return f"it forbids what floor {floor.number} allows: lower the floor first"
         return ""
 
@@ -290,7 +290,7 @@
 
     def _floor_rules_objection(self, floor: RuleSet) -> str:
         for text in (self.rules, *self.steps):
-            if not keeps_floor(floor, parse_rule_set(text)):
+            if not allows_floor(floor, parse_rule_set(text)):
                 return "it allows what the rules in force, or still to come, forbid"
         return ""
 
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -92,7 +92,7 @@
         self.wanted += 1
         if acting is None or not acting.revision or not member.quotas.limits:
             return
-        allowed = [member.quotas.has_room(local, key, 1) for key in (STANDING, RATE)]
+        allowed = [member.quotas.has_capacity(local, key, 1) for key in (STANDING, RATE)]
         if all(allowed):
             member.quotas.record_use(local, RATE, 1)
             self.tasks[name].append(self.now_us + self.load.randrange(*LIFE_US))
--- a/wingbarrow/lab/fleet/judging/rules.py
+++ b/wingbarrow/lab/fleet/judging/rules.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from wingbarrow.decide.coordination.messages import Timing
-from wingbarrow.decide.rulesets.comparison import allows, keeps_floor
+from wingbarrow.decide.rulesets.comparison import allows, allows_floor
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.judging.formulas import TURN_US
@@ -120,7 +120,7 @@
             if (
                 since <= send.at_us <= self._last[edition]
                 and known is not None
-                and not keeps_floor(rules, known)
+                and not allows_floor(rules, known)
             ):
                 self._contradicts(send, f"e{edition}, in use, forbids some of it")
 
