--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -18,7 +18,7 @@
 from wingbarrow.decide.membership.member_table import MAX_MEMBERS
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.decide.quotas.allocations import MAX_ALLOCATIONS
-from wingbarrow.decide.quotas.limits import MAX_LIMITS, STRANDED_US, FleetLimit
+from wingbarrow.decide.quotas.limits import DEFAULT_STRANDED_US, MAX_LIMITS, FleetLimit
 from wingbarrow.decide.replication.records import (
     MIN_BYTES_PER_TASK,
     RECORD_BASE_BYTES,
@@ -53,7 +53,7 @@
 def _limit_text(placers: int) -> int:
     """Characters of one limit in the text of a rule set, where so many placers share it."""
     names = tuple(f"placer-{index}" for index in range(placers))
-    limit = FleetLimit("namespace", "team-000", "standing", 1_000, 0, STRANDED_US, names)
+    limit = FleetLimit("namespace", "team-000", "standing", 1_000, 0, DEFAULT_STRANDED_US, names)
     return len(json.dumps(asdict(limit), separators=(",", ":")))
 
 
@@ -178,7 +178,7 @@
         Bound(
             "stranded_s",
             "what a dead placer held counts as in use for",
-            STRANDED_US / SECOND,
+            DEFAULT_STRANDED_US / SECOND,
             "s",
             "wingbarrow/decide/quotas/limits.py",
             LIMITS,
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -102,7 +102,7 @@
 
 def refusal(rule: RuleSet) -> str:
     """Why today's bounds refuse a rule set; "" where they do not."""
-    return "; ".join(parsing.check(rule) + parsing.length_faults(rule))
+    return "; ".join(parsing.check_rule_set(rule) + parsing.length_faults(rule))
 
 
 def fleet(teams: int, placers: int, seed: int) -> Iterator[Figure]:
--- a/tests/decide/federation/test_compare.py
+++ b/tests/decide/federation/test_compare.py
@@ -15,7 +15,7 @@
 from wingbarrow.decide.federation import spec as s
 from wingbarrow.decide.rulesets.comparison import allows, allows_floor, intersection
 from wingbarrow.decide.rulesets.parsing import (
-    check,
+    check_rule_set,
     join_federation,
     parse_rule_set,
     split_federation,
@@ -93,8 +93,8 @@
     a: s.Federation, b: s.Federation, one: str, other: str
 ) -> None:
     both = [_rules(_with_long_delays(a), one), _rules(_with_long_delays(b), other)]
-    if not any(check(each) for each in both):
-        assert not check(intersection(*both))
+    if not any(check_rule_set(each) for each in both):
+        assert not check_rule_set(intersection(*both))
 
 
 def _with_long_delays(federation: s.Federation) -> s.Federation:
--- a/tests/decide/rulesets/test_canary.py
+++ b/tests/decide/rulesets/test_canary.py
@@ -24,7 +24,7 @@
     )
     count = AnswerCounts(5000, 100)
     for number in range(answers):
-        count = AnswerCounts(count.answers + 1, count.bad + (rng.random() < after))
+        count = AnswerCounts(count.answers + 1, count.unplaced + (rng.random() < after))
         advice = trial.judge(number, count)
         if advice is not CanaryAdvice.WAIT:
             return advice, number
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.rulesets.agreed_drains import SECOND, AskedDrain, DrainPlan, WindowRules
+from wingbarrow.decide.rulesets.agreed_drains import SECOND_US, AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.comparison import allows, contradict, intersection
 from wingbarrow.decide.rulesets.diff import differences
-from wingbarrow.decide.rulesets.parsing import check, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import check_rule_set, parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import (
     EFFECTS,
     ClassRules,
@@ -35,8 +35,8 @@
         st.sampled_from(["nightly", "patch"]),
         st.just("2026-12-06T02:00:00"),
         st.just("Europe/Helsinki"),
-        st.sampled_from([60 * SECOND, 90 * SECOND]),
-        st.just(30 * SECOND),
+        st.sampled_from([60 * SECOND_US, 90 * SECOND_US]),
+        st.just(30 * SECOND_US),
         st.sampled_from(["", "FREQ=DAILY"]),
         st.just(("2026-12-08",)),
         st.just(()),
@@ -54,9 +54,9 @@
     ),
     st.sets(st.just(("feast", 1, 2))).map(tuple),
     st.sampled_from([0.5, 0.9]),
-    st.just(60 * SECOND),
+    st.just(60 * SECOND_US),
     st.integers(1, 2),
-    st.just(SECOND),
+    st.just(SECOND_US),
     st.just(0.5),
     st.booleans(),
 )
@@ -76,7 +76,7 @@
         st.builds(
             AskedDrain,
             st.sampled_from(["n1", "n2"]),
-            st.just(1_800_000_000 * SECOND),
+            st.just(1_800_000_000 * SECOND_US),
             st.sampled_from([1, 2]),
         )
     ).map(tuple),
@@ -130,7 +130,7 @@
 @given(SETS)
 def test_text_round_trip(a: RuleSet) -> None:
     assert parse_rule_set(a.text()) == a
-    assert not check(a)
+    assert not check_rule_set(a)
 
 
 def test_cold_shares_spreads_and_barred_machines_compare() -> None:
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -247,13 +247,13 @@
             self._last[number] = (
                 told
                 if told.answers >= before.answers
-                else AnswerCounts(before.answers + told.answers, before.bad + told.bad)
+                else AnswerCounts(before.answers + told.answers, before.unplaced + told.unplaced)
             )
         if not self._last and failed is not None:
             raise failed
         return AnswerCounts(
             sum(each.answers for each in self._last.values()),
-            sum(each.bad for each in self._last.values()),
+            sum(each.unplaced for each in self._last.values()),
         )
 
     @property
--- a/wingbarrow/config/agreeing.py
+++ b/wingbarrow/config/agreeing.py
@@ -4,7 +4,7 @@
 
 from wingbarrow.config.settings import Agree
 from wingbarrow.config.shapes import Node, Shape, flag, number, read_duration, text
-from wingbarrow.decide.quotas.limits import STRANDED_US, FleetLimit, check_limits
+from wingbarrow.decide.quotas.limits import DEFAULT_STRANDED_US, FleetLimit, check_limits
 
 _VOTERS, _GRANTS, _LEASES = (1, 3, 5, 7), (200_000, 4_000_000), (1_000_000, 300_000_000)
 GRANTS_A_LEASE = 3  # at least: one that is renewed with each grant outlives two that were missed
@@ -20,7 +20,7 @@
             {
                 "most": (number(1, 10_000_000, True), None),
                 "per": (read_duration, 0),
-                "stranded": (read_duration, STRANDED_US),
+                "stranded": (read_duration, DEFAULT_STRANDED_US),
             },
             many=True,
         ),
--- a/wingbarrow/decide/outliers/health.py
+++ b/wingbarrow/decide/outliers/health.py
@@ -6,17 +6,17 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 MAX_REPORTS_PER_REQUEST = 32
 MAX_OUTCOMES_PER_MACHINE = 64
-STALL_US = 2 * SECOND
+STALL_US = 2 * SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
 class OutlierSettings:
     """When a machine is ejected, and for how long; times in microseconds, ratios parts of 1."""
 
-    window_us: int = 10 * SECOND  # older outcomes and reports do not count
+    window_us: int = 10 * SECOND_US  # older outcomes and reports do not count
     min_failures: int = 3  # by all reporters together
     failure_ratio: float = 0.5  # of one reporter's attempts at the machine
     min_reporters: int = 2
@@ -25,10 +25,10 @@
     )
     max_fleet_ratio: float = 0.2  # ejected at once (panic threshold)
     max_zone_ratio: float = 0.34  # likewise, of each zone
-    base_ejection_us: int = 10 * SECOND
+    base_ejection_us: int = 10 * SECOND_US
     max_doublings: int = 4  # of the base time, one for each ejection before
-    probe_after_us: int = 3 * SECOND  # from then on one placer may try the machine
-    forget_after_us: int = 120 * SECOND  # since the last ejection, for its doublings
+    probe_after_us: int = 3 * SECOND_US  # from then on one placer may try the machine
+    forget_after_us: int = 120 * SECOND_US  # since the last ejection, for its doublings
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -22,8 +22,8 @@
     zone,
 )
 
-SECOND = 1_000_000
-DAY_US = 86_400 * SECOND
+SECOND_US = 1_000_000
+DAY_US = 86_400 * SECOND_US
 MAX_LENGTH_US = 31 * DAY_US  # of a window and of a drain
 MAX_WINDOWS = 128
 MAX_REQUESTED = 128
@@ -75,16 +75,16 @@
     @property
     def window(self) -> str:
         """The name of its window."""
-        return f"{REQUESTED_PREFIX}{self.machine}-{self.start_us // SECOND}"
+        return f"{REQUESTED_PREFIX}{self.machine}-{self.start_us // SECOND_US}"
 
     @property
     def key(self) -> str:
         """The key of the drain, by which it is cancelled."""
-        return f"{self.window}@{self.start_us // SECOND}/{self.machine}"
+        return f"{self.window}@{self.start_us // SECOND_US}/{self.machine}"
 
     def series(self) -> Series:
         """Its window, which takes precedence over the calendar's."""
-        start = datetime.fromtimestamp(self.start_us // SECOND, UTC)
+        start = datetime.fromtimestamp(self.start_us // SECOND_US, UTC)
         return Series(
             self.window,
             start,
@@ -106,9 +106,9 @@
     )
     blackouts: tuple[tuple[str, int, int], ...] = ()
     fill: float = 0.9
-    lead_us: int = 60 * SECOND
+    lead_us: int = 60 * SECOND_US
     moves: int = 4
-    every_us: int = SECOND
+    every_us: int = SECOND_US
     failed_share: float = 0.5
     take_back: bool = True
 
@@ -322,7 +322,7 @@
         and type(drain.lasts_us) is int
         and 0 < drain.lasts_us <= MAX_LENGTH_US
         and 0 <= drain.start_us < MAX_EXACT_INT
-        and drain.start_us % SECOND == 0
+        and drain.start_us % SECOND_US == 0
     )
 
 
@@ -374,4 +374,4 @@
 
 def _may_be_due(key: str, wall_us: int) -> bool:
     start_s = key.partition("@")[2].partition("/")[0]
-    return not start_s.isdecimal() or int(start_s) * SECOND + CANCELLED_KEPT_US > wall_us
+    return not start_s.isdecimal() or int(start_s) * SECOND_US + CANCELLED_KEPT_US > wall_us
--- a/wingbarrow/decide/rulesets/canary.py
+++ b/wingbarrow/decide/rulesets/canary.py
@@ -28,18 +28,18 @@
     """Cumulative counts of answers: all, and those that did not place."""
 
     answers: int
-    bad: int
+    unplaced: int
 
     def since(self, other: AnswerCounts) -> AnswerCounts:
         """What came after another count; a placer that restarted in between counts from nothing."""
-        if self.answers < other.answers or self.bad < other.bad:
+        if self.answers < other.answers or self.unplaced < other.unplaced:
             return self
-        return AnswerCounts(self.answers - other.answers, self.bad - other.bad)
+        return AnswerCounts(self.answers - other.answers, self.unplaced - other.unplaced)
 
     @property
     def share(self) -> float:
         """The share of bad answers."""
-        return self.bad / self.answers if self.answers else 0.0
+        return self.unplaced / self.answers if self.answers else 0.0
 
 
 class CanaryAnalysis:
--- a/wingbarrow/decide/rulesets/diff.py
+++ b/wingbarrow/decide/rulesets/diff.py
@@ -11,7 +11,7 @@
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 Shares = tuple[tuple[str, int], ...]
 
 
@@ -78,7 +78,7 @@
 
 
 def _drain(drain: AskedDrain) -> str:
-    return f"{drain.machine} for {drain.lasts_us // SECOND} s"
+    return f"{drain.machine} for {drain.lasts_us // SECOND_US} s"
 
 
 def _cancelled(before: tuple[str, ...], after: tuple[str, ...]) -> Iterator[str]:
@@ -113,10 +113,10 @@
 def _limit(limit: FleetLimit | None) -> str:
     if limit is None:
         return "none"
-    window = f" in {limit.window_us / SECOND:g} s" if limit.window_us else ""
+    window = f" in {limit.window_us / SECOND_US:g} s" if limit.window_us else ""
     return (
         f"{limit.most}{window} among {len(limit.among)}, "
-        f"stranded for {limit.stranded_us / SECOND:g} s"
+        f"stranded for {limit.stranded_us / SECOND_US:g} s"
     )
 
 
--- a/wingbarrow/decide/rulesets/parsing.py
+++ b/wingbarrow/decide/rulesets/parsing.py
@@ -58,7 +58,7 @@
         raise
     except (ValueError, TypeError, KeyError, RecursionError) as error:
         raise RuleSetError(f"no rule set: {str(error)[:MAX_REASON_CHARS]}") from error
-    faults = check(rules) + length_faults(rules)
+    faults = check_rule_set(rules) + length_faults(rules)
     if faults:
         raise RuleSetError(*faults)
     return rules
@@ -115,7 +115,7 @@
     return faults
 
 
-def check(rules: RuleSet) -> list[str]:
+def check_rule_set(rules: RuleSet) -> list[str]:
     """Faults of a rule set by itself, one sentence each; empty where it can be used."""
     return [
         *_class_faults(rules),
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -25,7 +25,7 @@
 )
 from wingbarrow.decide.rulesets.parsing import (
     MAX_ESCAPED_CHARS,
-    check,
+    check_rule_set,
     join_federation,
     length_faults,
     parse_rule_set,
@@ -187,7 +187,7 @@
         if not contradict(in_force, rules):
             return ""
         between = intersection(in_force, rules)
-        faults = length_faults(between) + check(between)
+        faults = length_faults(between) + check_rule_set(between)
         if not faults:
             return ""
         return f"what both allow cannot be said, go in smaller steps: {'; '.join(faults)}"
