--- a/wingbarrow/decide/outliers/detector.py
+++ b/wingbarrow/decide/outliers/detector.py
@@ -1,7 +1,7 @@
-"""The leader's outlier detection over all placers' health reports, with a panic threshold.
+"""The leader's outlier detection over the health reports of all placers, with a panic threshold.
 
-As outlier ejection in load balancers (a bound on how much is ejected, times that double and end by themselves), but
-over many observers: several reporters are required, and one that finds too many machines faulty does not count.
+As outlier ejection in load balancers (a bound on the ejected part, ejection times that double and expire), but with
+many observers: several reporters are required, and a reporter that finds too many machines faulty does not count.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     is_outlier,
 )
 
-MIN_REPORTING_REGIONS = 2  # where placers of more than one region report
+MIN_REPORTING_REGIONS = 2  # if placers of more than one region report
 
 
 @dataclass(slots=True)
@@ -35,27 +35,27 @@
 
 @dataclass(slots=True)
 class EjectionRecord:
-    """An ejection, in force until it has an `end_reason`; then it is kept for its doublings."""
+    """An ejection, in force until `end_reason` is set; afterwards it is kept to double the time of the next one."""
 
     start_us: int
     until_us: int
     doublings: int
     reporters: tuple[str, ...]
     end_reason: str = ""
-    prober: str = ""  # the placer that tries the machine for all, as of the last evaluation
+    prober: str = ""  # the placer that probes the machine, as of the last evaluation
 
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """The leader's reports and ejections; a new leader begins without any, and receives all reports within a second."""
+    """The leader's reports and ejections; a new leader starts with none, and has all reports within a second."""
 
     settings: OutlierSettings = OutlierSettings()
     reporters: dict[str, Reporter] = field(default_factory=dict)
     ejections: dict[str, EjectionRecord] = field(default_factory=dict)
-    not_ejected: dict[str, str] = field(default_factory=dict)  # outliers, with the reason
+    not_ejected: dict[str, str] = field(default_factory=dict)  # reason by outlier
 
     def on_report(self, now_us: int, placer: str, region: str, summary: HealthSummary) -> None:
-        """Replace a placer's reports."""
+        """Replace the reports of a placer."""
         reports = summary.reports[:MAX_REPORTS_PER_REQUEST]
         self.reporters[placer] = Reporter(
             now_us,
@@ -66,7 +66,7 @@
         )
 
     def evaluate(self, now_us: int, zones: Mapping[str, str]) -> None:
-        """End ejections that are over, and eject outliers; `zones` has each machine of the endpoint list."""
+        """End expired ejections and eject outliers; `zones` has the zone of each machine in the endpoint list."""
         self.reporters = {
             name: each
             for name, each in self.reporters.items()
@@ -87,7 +87,7 @@
                 self._eject(now_us, machine, names)
 
     def active(self, now_us: int) -> tuple[Ejection, ...]:
-        """Ejections in force, for a grant."""
+        """The ejections in force, at most `MAX_EJECTIONS_PER_GRANT`, to send in a grant."""
         active = [
             Ejection(machine, each.until_us - now_us, now_us - each.start_us, each.prober)
             for machine, each in sorted(self.ejections.items())
@@ -106,7 +106,7 @@
         return reporters
 
     def _is_faulty(self, reporter: Reporter) -> bool:
-        """Whether the fault is likely at the reporter: it finds too many of its machines to be outliers."""
+        """Whether the reporter itself is likely at fault, as too many of its machines are outliers to it."""
         allowed = self.settings.faulty_reporter_ratio * reporter.tried
         return reporter.outliers > 1 and reporter.outliers > allowed
 
@@ -137,7 +137,7 @@
         return report.tried > report.failed and not is_outlier(report, self.settings)
 
     def _reason_against(self, machine: str, names: list[str], zones: Mapping[str, str]) -> str:
-        """Why an outlier to these reporters is not ejected; "" where it is. The texts go out in the API."""
+        """Why an outlier to these reporters is not ejected; "" if it is. The API shows the texts."""
         settings = self.settings
         if len(names) < settings.min_reporters:
             return f"{len(names)} witness(es), {settings.min_reporters} are wanted"
@@ -151,7 +151,7 @@
         return self._panic_reason(zones[machine], zones)
 
     def _panic_reason(self, zone: str, zones: Mapping[str, str]) -> str:
-        """Why one more machine of a zone would pass the panic threshold of fleet or zone; "" where it would not."""
+        """Why one more ejection in a zone would exceed the panic threshold of fleet or zone; "" if it would not."""
         settings = self.settings
         ejected = [each for each in self.ejections if self._is_ejected(each)]
         if len(ejected) + 1 > settings.max_fleet_ratio * len(zones):
@@ -174,7 +174,7 @@
         self.ejections[machine] = EjectionRecord(now_us, until_us, doublings, tuple(names))
 
     def _prober(self, now_us: int, machine: str, record: EjectionRecord) -> str:
-        """The placer that tries a machine for all, by rendezvous hashing; "" before `probe_after_us`."""
+        """The placer that probes an ejected machine, by rendezvous hashing; "" before `probe_after_us`."""
         if now_us < record.start_us + self.settings.probe_after_us:
             return ""
         candidates = [name for name, each in self.reporters.items() if not self._is_faulty(each)]
--- a/wingbarrow/decide/outliers/ejections.py
+++ b/wingbarrow/decide/outliers/ejections.py
@@ -1,4 +1,4 @@
-"""Ejections as the leader sends them with a grant, and as a placer applies them until they end by its own clock."""
+"""Ejections: as the leader sends them in a grant, and as a placer applies them until they end by its own clock."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     machine: str
     left_us: int
     age_us: int
-    prober: str  # "" until one is chosen
+    prober: str  # "" before one is chosen
 
 
 class ActiveEjections:
-    """The ejections that one placer applies; they only take from what the endpoint list allows."""
+    """The ejections that one placer applies; they only exclude machines of the endpoint list, and never add any."""
 
     def __init__(self) -> None:
         self._until_us: dict[str, int] = {}
         self._since_us: dict[str, int] = {}
-        self.probed_here: frozenset[str] = frozenset()  # machines that this placer may try
+        self.probed_here: frozenset[str] = frozenset()  # ejected machines that this placer probes
 
     def apply(self, now_us: int, placer: str, ejections: Iterable[Ejection]) -> None:
-        """Replace all ejections by those of a grant; `placer` is this placer's name."""
+        """Replace all ejections by those in a grant; `placer` is the name of this placer."""
         ejections = list(ejections)
         self._until_us = {each.machine: now_us + each.left_us for each in ejections}
         self._since_us = {each.machine: now_us - each.age_us for each in ejections}
         self.probed_here = frozenset(each.machine for each in ejections if each.prober == placer)
 
     def ejected(self, now_us: int) -> frozenset[str]:
-        """Machines that get no tasks from this placer."""
+        """The machines that get no tasks from this placer."""
         return frozenset(
             machine
             for machine, until_us in self._until_us.items()
@@ -46,7 +46,7 @@
     def repeatedly_ejected(
         self, now_us: int, doublings: int, settings: OutlierSettings = OutlierSettings()
     ) -> list[str]:
-        """Machines whose ejection has been doubled at least so often."""
+        """The machines whose ejection time has been doubled at least `doublings` times."""
         shortest_us = settings.base_ejection_us << doublings
         return sorted(
             machine
@@ -55,5 +55,5 @@
         )
 
     def age_us(self, now_us: int, machine: str) -> int:
-        """Age of an ejection; it does not hold for a machine that was launched since."""
+        """Age of an ejection, 0 for none; an ejection does not apply to a machine that was launched after it began."""
         return now_us - self._since_us.get(machine, now_us)
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -1,33 +1,38 @@
-"""Allocations of the fleet's limits: replicated state, and the leader's account of who may hold what; no I/O.
+"""Replicated allocations of fleet-wide limits, and the leader's account of what each holder may have in use; no I/O.
 
-Escrow (O'Neil 1986) with quota leases. An allocation has a *size*, which any leader lets its holder use, and a
-*reserved* amount, which the holder may still hold or have in use (`entries`). An *outstanding* allocation is what a
-former incarnation of a placer may have left in use. All of it is in the voters' log, so that a change of leader loses
-nothing: a placer out of touch counts as what is reserved for it, and has its own again with the first response.
+Escrow (O'Neil 1986) with quota leases. An allocation has a *size*, the amount that any leader lets its holder use, and
+a *reserved* amount, the most that its holder may still hold or have in use (`entries`). An *outstanding* allocation is
+the amount that a former incarnation of a placer may have left in use. All of this state is in the voters' log, so that
+a change of leader loses nothing: a placer that is out of contact counts with its reserved amount, and the first
+response that it receives afterwards grants its allocation again.
 
-Guarantee: what is in use never exceeds a limit, whatever is lost, duplicated, late, stopped or killed. docs/quotas.md
-gives the argument. The rules that it rests on, each marked below where it is kept:
+Guarantee: the amount in use never exceeds a limit, whatever messages are lost, duplicated or late, and whichever
+processes stop or are killed. docs/quotas.md gives the argument. It rests on these rules, which the code below cites by
+number:
 
 1. A leader grants to an incarnation at most the size decided for that very incarnation, and only after a majority has
-   confirmed it since the request came, with all earlier decisions applied. `escrow.QuotaAccount` takes only the
-   response to its latest request, within that request's lease.
-2. All that is reserved and outstanding is at most the limit. A move between holders takes two entries: the first lowers
-   a size, the second, once that is proven, takes the reserved amount down and raises the other size.
-3. A reserved amount is reclaimed by one of two proofs. By report: a request of the same incarnation that names this
-   leader's term. It was sent after this leader was elected, so that no earlier leader can respond to it or to a later
-   one, and earlier responses are void: what it reports and what it is granted is all that its sender holds. By time:
-   the drifted lease after this leader's last response to it, or its election, no lease of it lasts, and after the
-   limit's lag on top (`stranded`, or the window of a rate) nothing of it is in use.
-4. A new incarnation proves that the one before has ended. What was reserved becomes outstanding, and is reclaimed once
-   the new incarnation is as old as the lag, or this leader has known of the end for so long. An incarnation with a
-   lower number, as after a wall clock was set back, counts only once nothing of the known one can be in use.
-5. Each entry names the serial of the state that it was computed on, and changes nothing in another one.
-6. Where voters were lost and one went on alone, moves may be lost: nobody is granted anything until every lease and lag
-   is over; then all begins anew.
-
-A limit that is lowered, or is new, below what is in use: the excess is taken off all sizes, so that nobody uses more
-until enough has ended. A limit that the rule set lacks keeps its allocations until nothing of it can be in use.
-Times in microseconds, by this voter's clock.
+   confirmed the leader since the request arrived, with all earlier entries applied. `escrow.QuotaAccount` accepts only
+   the response to its latest request, within the lease of that request.
+2. The sum of all reserved and outstanding amounts is at most the limit. Moving an amount between holders takes two
+   entries: the first lowers one size; the second, once that is proven, lowers the reserved amount and raises the other
+   size.
+3. A reserved amount is reclaimed on either of two proofs. By report: a request of the same incarnation that names this
+   leader's term. It was sent after this leader was elected, so no earlier leader can respond to it or to a later one,
+   and earlier responses are void: what it reports and what it is granted is all that its sender holds. By time: when
+   a lease, lengthened for clock drift, has passed since this leader's last response to the placer, or since its
+   election, no lease of the placer is valid; when the limit's lag (`stranded`, or the window of a rate) has passed as
+   well, nothing of the allocation is in use.
+4. A new incarnation proves that the one before has ended. The reserved amount becomes outstanding, and is reclaimed
+   when the new incarnation is as old as the lag, or when this leader has known of the end for that long. An incarnation
+   with a lower number, as after a wall clock was set back, is accepted only when nothing of the known one can be in
+   use.
+5. Each entry names the serial of the state that it was computed on, and has no effect on any other state.
+6. After voters were lost and one of them recovered alone, decided moves may be lost: nothing is granted until every
+   lease and lag has passed; then all allocations begin at zero.
+
+Where a limit is lowered or added below the amount in use, the excess is taken off all sizes, so that nobody uses more
+until enough has been released. A limit that the rule set lacks keeps its allocations until nothing of it can be in use.
+Times are in microseconds, by this voter's clock.
 """
 
 from __future__ import annotations
@@ -53,10 +58,10 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 
 MOVE = "move"  # the only kind of entry
-MOVE_INTERVAL_US = 100_000  # between entries: at most ten a second, each for all limits and holders
-MAX_ALLOCATIONS = 8192  # in all, so that a snapshot fits into a message: about 50 bytes each
-MAX_OUTSTANDING_PER_LIMIT = 1024  # beyond it a new incarnation waits until one is reclaimed
-SERIALS_SKIPPED_AT_RECOVERY = 1_000_000  # more than any entries that may have been lost
+MOVE_INTERVAL_US = 100_000  # at most ten entries a second, each for all limits and holders
+MAX_ALLOCATIONS = 8192  # of all limits: about 50 bytes each, so that a snapshot fits into a message
+MAX_OUTSTANDING_PER_LIMIT = 1024  # at this number a new incarnation waits until one is reclaimed
+SERIALS_SKIPPED_AT_RECOVERY = 1_000_000  # more than the entries that a recovery may lose
 
 
 @dataclass(slots=True)
@@ -65,29 +70,32 @@
 
     incarnation: int
     sequence: int
-    up_us: int
+    uptime_us: int
     received_us: int
-    expires_us: int  # when the latest lease granted to it has expired, at the latest
-    is_of_this_term: bool  # it proves what its sender holds: rule 3
+    expires_us: int  # by then the latest lease granted to it has expired
+    is_of_this_term: bool  # if so, it proves what its sender holds (rule 3)
 
 
 @dataclass(slots=True)
 class _LeaderState:
-    """What a leader has learned since its election; begun anew by each."""
+    """What a leader has learned since its election; each leader starts with an empty one."""
 
-    term: int = 0  # no other leader has it; 0 where this voter does not lead
+    term: int = 0  # unique to this leader; 0 while this voter does not lead
     elected_us: int = 0
-    moved_us: int = 0  # when the last entry was proposed
+    last_proposed_us: int = 0
     contacts: dict[str, _Contact] = field(default_factory=dict)
-    uses: dict[str, dict[str, HolderUse]] = field(default_factory=dict)  # by limit, by holder
+    uses: dict[str, dict[str, HolderUse]] = field(default_factory=dict)  # by limit key, by holder
+    # When this leader first knew of an outstanding allocation: by limit key, holder, incarnation.
     outstanding_since_us: dict[tuple[str, str, int], int] = field(default_factory=dict)
-    ended_us: dict[tuple[str, int], int] = field(default_factory=dict)  # by holder, incarnation
-    unlisted_since_us: dict[str, int] = field(default_factory=dict)  # limits the rule set lacks
-    rejected_allocations: int = 0  # beyond MAX_ALLOCATIONS
+    # By when an incarnation has ended: by holder, incarnation.
+    ended_us: dict[tuple[str, int], int] = field(default_factory=dict)
+    # Limits with allocations that the rule set lacks: by limit key.
+    absent_limits_since_us: dict[str, int] = field(default_factory=dict)
+    rejected_allocations: int = 0  # because of MAX_ALLOCATIONS
 
 
 class AllocationLedger:
-    """The replicated subsystem `blocks`: allocations of all limits, and the leader's account of them."""
+    """The replicated subsystem `blocks`: the allocations of all limits, and the leader's account of their use."""
 
     name = "blocks"
 
@@ -101,12 +109,12 @@
 
     @property
     def term(self) -> int:
-        """The term in which this voter leads; 0 where it does not."""
+        """The term in which this voter leads; 0 while it does not."""
         return self._leader.term
 
     @property
     def rejected_allocations(self) -> int:
-        """How often, in this term, a new holder got nothing because of `MAX_ALLOCATIONS`."""
+        """How often in this term `MAX_ALLOCATIONS` kept a new holder from an allocation."""
         return self._leader.rejected_allocations
 
     # -- replicated
@@ -114,11 +122,11 @@
     def apply(self, kind: str, value: dict[str, Any]) -> None:
         """Apply a decided entry.
 
-        Raises ValueError (QuotaEntryError), KeyError, TypeError or AttributeError for one that cannot be read, and
-        changes nothing then.
+        Raises ValueError (QuotaEntryError), KeyError, TypeError or AttributeError for an entry that cannot be decoded,
+        which then changes nothing.
         """
         if kind != MOVE:
-            raise QuotaEntryError(f"no such entry: {kind}")
+            raise QuotaEntryError(f"unknown kind of quota entry: expected {MOVE!r}, got {kind!r}")
         if value["base"] == self.serial:  # rule 5
             self._apply_move(MoveEntry.from_entry(value))
 
@@ -134,12 +142,12 @@
         }
 
     def recovered(self) -> None:
-        """One voter went on alone: entries may be lost."""
+        """Record that one voter recovered alone, so that decided entries may be lost."""
         self.serial += SERIALS_SKIPPED_AT_RECOVERY
         self.may_have_lost_moves = True
 
     def snapshot(self) -> str:
-        """All of the replicated state, in the words of its JSON form."""
+        """The replicated state as JSON text."""
         return json.dumps(
             {
                 "serial": self.serial,
@@ -152,7 +160,7 @@
         )
 
     def restore(self, text: str) -> None:
-        """Take the state of a snapshot; an empty text is the state at the beginning."""
+        """Replace the state by that of a snapshot; an empty text stands for the initial state."""
         if not text:
             self.serial = 0
             self.may_have_lost_moves = False
@@ -167,21 +175,21 @@
             key: LimitAllocations.from_json(each) for key, each in value["blocks"].items()
         }
 
-    # -- the leader's
+    # -- the leader's account
 
     def on_leadership_change(self, now_us: int, is_leader: bool, term: int = 0) -> None:
-        """Forget what an earlier leadership learned; `term` is this leader's, which no other has."""
+        """Discard what was learned in an earlier term; `term` is that of this leader and unique to it."""
         self._leader = _LeaderState(
             term=term if is_leader else 0,
             elected_us=now_us,
-            moved_us=now_us - MOVE_INTERVAL_US,
+            last_proposed_us=now_us - MOVE_INTERVAL_US,
         )
 
     def on_report(self, now_us: int, requester: Requester, report: Any) -> None:
-        """Nothing: `grants_for` takes the reports of all that ask together."""
+        """Do nothing: `grants_for` processes the reports of all requesters together."""
 
     def response_for(self, now_us: int, requester: Requester) -> Any:
-        """Nothing: quota grants have their own field in a lease grant."""
+        """Return None: quota grants have a field of their own in a lease grant."""
 
     def grants_for(
         self,
@@ -189,9 +197,9 @@
         requests: Sequence[tuple[Requester, Iterable[QuotaReport]]],
         limits: Iterable[FleetLimit],
     ) -> list[tuple[QuotaGrant, ...]]:
-        """What each requester may use from now on, in the order of `requests`.
+        """The quota grants of each requester, in the order of `requests`.
 
-        A majority has confirmed this leader since the requests came (rule 1).
+        The caller ensures that a majority has confirmed this leader since the requests arrived (rule 1).
         """
         limits = tuple(limits)
         grants = [list[QuotaGrant]() for _ in requests]
@@ -215,7 +223,7 @@
         return [tuple(each) for each in grants]
 
     def _on_contact(self, now_us: int, requester: Requester, lag_us: int) -> bool:
-        """Take note of a request; whether its reports count: it is neither late nor duplicate."""
+        """Record a request; return whether its reports count, which those of a late or duplicate one do not."""
         contacts = self._leader.contacts
         name, incarnation = requester.placer, requester.incarnation
         expires_us = lease_expiry_us(now_us, self._lease_us)
@@ -225,11 +233,10 @@
             last.incarnation if last is not None else incarnation,
         )
         if incarnation < known and now_us < self._lease_end_us(name) + lag_us:
-            return (
-                False  # rule 4: a former one, or one after a wall clock was set back, which waits
-            )
+            # Rule 4: a former incarnation, or one after a wall clock was set back, which has to wait.
+            return False
         if last is not None and last.incarnation == incarnation:
-            last.expires_us = expires_us  # Danger: the response to a duplicate brings a lease too
+            last.expires_us = expires_us  # Danger: the response to a duplicate grants a lease too
             if requester.sequence <= last.sequence:
                 return False
         else:
@@ -240,7 +247,7 @@
         contacts[name] = _Contact(
             incarnation=incarnation,
             sequence=requester.sequence,
-            up_us=requester.uptime_us,
+            uptime_us=requester.uptime_us,
             received_us=now_us,
             expires_us=expires_us,
             is_of_this_term=requester.term == self._leader.term,
@@ -255,12 +262,12 @@
         limit: FleetLimit,
         decided: LimitAllocations,
     ) -> Iterator[tuple[int, int]]:
-        """Shares of one limit to grant, each with the index of its request."""
+        """Yield the share of one limit to grant to each current request, with the index of that request."""
         uses = self._leader.uses[limit.key]
         unreserved_use = sum(
             max(0, use.in_use - decided.of(name).reserved) for name, use in uses.items()
         )
-        # In use beyond the limit, which was lowered or is new: all are held to the plan at once.
+        # The limit was lowered or is new, and more is in use: no grant exceeds the plan, though it is not decided yet.
         planned = (
             self._plan(now_us, limit, decided, self._restarted())
             if decided.total + unreserved_use > limit.most
@@ -273,15 +280,15 @@
                 continue
             size = decided.of(name).size
             if self.incarnations.get(name) != requester.incarnation or self.may_have_lost_moves:
-                size = 0  # Danger: the size is a former incarnation's, or moves were lost
+                size = 0  # Danger: the size is that of a former incarnation, or moves were lost
             use.granted = min(size, limit.most if planned is None else planned.of(name).size)
             yield index, use.granted
 
     # -- moves
 
     def next_proposals(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int | None]:
-        """One entry for all that is to move, and when to ask again; see `ReplicatedSubsystem`."""
-        next_move_us = self._leader.moved_us + MOVE_INTERVAL_US
+        """One entry with all moves, or none, and when to call again; see `ReplicatedSubsystem`."""
+        next_move_us = self._leader.last_proposed_us + MOVE_INTERVAL_US
         if now_us < next_move_us:
             return [], next_move_us
         if self.may_have_lost_moves:
@@ -289,7 +296,7 @@
         holders = self._holders(rules)
         restarted = {name: each for name, each in self._restarted().items() if name in holders}
         changed = self._changed(now_us, rules, restarted)
-        dropped = self._on_unlisted(now_us, rules, restarted, changed)
+        dropped = self._unlisted_changes(now_us, rules, restarted, changed)
         incarnations = {name: each for name, each in self.incarnations.items() if name in holders}
         incarnations |= restarted
         if not changed and not dropped and incarnations == self.incarnations:
@@ -297,11 +304,11 @@
         return self._proposed(now_us, MoveEntry(self.serial, incarnations, changed, dropped))
 
     def _proposed(self, now_us: int, move: MoveEntry) -> tuple[list[Proposal], int]:
-        self._leader.moved_us = now_us
+        self._leader.last_proposed_us = now_us
         return [Proposal(MOVE, move.to_entry())], now_us + MOVE_INTERVAL_US
 
     def _reset(self, now_us: int, rules: RuleSet) -> tuple[list[Proposal], int]:
-        """Begin anew once all that was granted before a recovery is over (rule 6)."""
+        """Propose empty allocations once every lease and lag from before a recovery has passed (rule 6)."""
         lags_us = [each.lag_us for each in rules.limits] or [drifted_us(HOUR_US)]
         over_us = self._lease_end_us("") + max(lags_us)
         if now_us < over_us:
@@ -309,7 +316,7 @@
         return self._proposed(now_us, MoveEntry(self.serial, {}, {}, [], is_reset=True))
 
     def _holders(self, rules: RuleSet) -> set[str]:
-        """Names that a limit or an allocation speaks of."""
+        """Names of all placers that a limit or an allocation names."""
         holders = {name for limit in rules.limits for name in limit.among}
         for each in self.allocations.values():
             holders.update(each.by_holder)
@@ -319,49 +326,49 @@
     def _changed(
         self, now_us: int, rules: RuleSet, restarted: dict[str, int]
     ) -> dict[str, LimitAllocations]:
-        """New allocations of the limits in which something changes, within MAX_ALLOCATIONS."""
+        """New allocations, within MAX_ALLOCATIONS, of the limits whose allocations change."""
         changed: dict[str, LimitAllocations] = {}
-        left = MAX_ALLOCATIONS - sum(len(each.by_holder) for each in self.allocations.values())
+        remaining = MAX_ALLOCATIONS - sum(len(each.by_holder) for each in self.allocations.values())
         for limit in rules.limits:
             decided = self.allocations.get(limit.key, LimitAllocations())
             planned = self._plan(now_us, limit, decided, restarted)
             new = [name for name in planned.by_holder if name not in decided.by_holder]
-            for name in new[max(0, left) :]:
+            for name in new[max(0, remaining) :]:
                 del planned.by_holder[name]
                 self._leader.rejected_allocations += 1
-            left -= min(max(0, left), len(new))
+            remaining -= min(max(0, remaining), len(new))
             if planned != decided:
                 changed[limit.key] = planned
         return changed
 
     def _restarted(self) -> dict[str, int]:
-        """Incarnations in touch that are not the decided ones, by name."""
+        """Incarnations of placers in contact that differ from the decided ones, by name."""
         return {
             name: each.incarnation
             for name, each in self._leader.contacts.items()
             if each.incarnation != self.incarnations.get(name)
         }
 
-    def _on_unlisted(
+    def _unlisted_changes(
         self,
         now_us: int,
         rules: RuleSet,
         restarted: dict[str, int],
         changed: dict[str, LimitAllocations],
     ) -> list[str]:
-        """Limits that the rule set lacks: those to drop, as nothing of them can be in use, whatever their lag was.
+        """Keys of limits to drop: the rule set lacks them, and nothing of them can be in use, whatever their lag was.
 
-        Adds to `changed` those others of which a restarted placer held a part.
+        Adds to `changed` the other limits that the rule set lacks and of which a restarted placer held an allocation.
         """
         listed = {each.key for each in rules.limits}
-        since_us = self._leader.unlisted_since_us
-        since_us = self._leader.unlisted_since_us = {
+        since_us = self._leader.absent_limits_since_us
+        since_us = self._leader.absent_limits_since_us = {
             key: since_us.get(key, now_us) for key in self.allocations if key not in listed
         }
         dropped = [
             key
-            for key, each_us in since_us.items()
-            if now_us >= lease_expiry_us(each_us, self._lease_us) + drifted_us(HOUR_US)
+            for key, absent_since_us in since_us.items()
+            if now_us >= lease_expiry_us(absent_since_us, self._lease_us) + drifted_us(HOUR_US)
         ]
         for key in since_us.keys() - set(dropped):
             decided = self.allocations[key]
@@ -369,7 +376,7 @@
             if ended:
                 outstanding = [
                     *decided.outstanding,
-                    *(self._ended(decided, each) for each in ended),
+                    *(self._outstanding_of(decided, each) for each in ended),
                 ]
                 changed[key] = LimitAllocations(
                     {name: each for name, each in decided.by_holder.items() if name not in ended},
@@ -377,14 +384,14 @@
                 )
         return dropped
 
-    def _ended(self, decided: LimitAllocations, name: str) -> OutstandingAllocation:
-        """What the decided incarnation of a restarted placer may have left in use."""
+    def _outstanding_of(self, decided: LimitAllocations, name: str) -> OutstandingAllocation:
+        """The amount that the decided incarnation of a restarted placer may have left in use."""
         return OutstandingAllocation(
             name, self.incarnations.get(name, 0), decided.by_holder[name].reserved
         )
 
     def _lease_end_us(self, name: str) -> int:
-        """When no lease that this or an earlier leader granted to the decided incarnation can last."""
+        """When every lease that this or an earlier leader granted to the decided incarnation has expired."""
         last = self._leader.contacts.get(name)
         if last is not None and last.incarnation == self.incarnations.get(name):
             return last.expires_us
@@ -393,13 +400,13 @@
     def _plan(
         self, now_us: int, limit: FleetLimit, decided: LimitAllocations, restarted: dict[str, int]
     ) -> LimitAllocations:
-        """The allocations of one limit as they are to be next."""
+        """The allocations of one limit to propose next."""
         return next_allocations(self._view(now_us, limit, decided, restarted), decided)
 
     def _view(
         self, now_us: int, limit: FleetLimit, decided: LimitAllocations, restarted: dict[str, int]
     ) -> LimitView:
-        """Allocations as far as they are proven (rules 3 and 4), and reports of holders in touch."""
+        """Allocations as far as they are proven (rules 3 and 4), and reports of holders in contact."""
         outstanding = [
             each for each in decided.outstanding if not self._is_reclaimed(now_us, limit, each)
         ]
@@ -413,7 +420,7 @@
             if name in restarted and name in decided.by_holder:
                 if len(outstanding) >= MAX_OUTSTANDING_PER_LIMIT:
                     continue
-                outstanding.append(self._ended(decided, name))
+                outstanding.append(self._outstanding_of(decided, name))
                 size = reserved = 0
             use = all_uses.get(name)
             last = self._leader.contacts.get(name)
@@ -435,22 +442,22 @@
     def _is_reclaimed(
         self, now_us: int, limit: FleetLimit, outstanding: OutstandingAllocation
     ) -> bool:
-        """Whether nothing of what a former incarnation held can be in use any more (rule 4)."""
+        """Whether nothing that a former incarnation held can still be in use (rule 4)."""
         name, incarnation, _ = outstanding
         since_us = self._leader.outstanding_since_us.setdefault(
             (limit.key, name, incarnation), self._leader.ended_us.get((name, incarnation), now_us)
         )
         last = self._leader.contacts.get(name)
         if last is not None and last.incarnation > incarnation:
-            age_us = last.up_us + now_us - last.received_us
+            age_us = last.uptime_us + now_us - last.received_us
             if age_us >= limit.lag_us:
-                return True  # that incarnation has lasted for so long, and the other ended before
+                return True  # the former incarnation ended before this one started, a lag ago
         return now_us >= since_us + limit.lag_us
 
     # -- reports for operators
 
     def accounts(self, now_us: int, limits: Iterable[FleetLimit]) -> list[dict[str, object]]:
-        """Each limit with who holds what and the age of that news, as the API and the command line show it."""
+        """Each limit with its holders, their use and the age of their reports, as the API and the CLI show it."""
         accounts: list[dict[str, object]] = []
         for limit in limits:
             decided = self.allocations.get(limit.key, LimitAllocations())
@@ -485,7 +492,7 @@
 
 
 def _use_of(limit: FleetLimit, report: QuotaReport | None) -> HolderUse:
-    """A report within its bounds; one that lacks the limit reports no use."""
+    """A holder's use from its report, clamped to valid values; a missing report means no use."""
     if report is None:
         return HolderUse(0, 0, 0)
     return HolderUse(
--- a/wingbarrow/decide/quotas/limits.py
+++ b/wingbarrow/decide/quotas/limits.py
@@ -1,14 +1,14 @@
-"""Limits that hold for the whole fleet, as a rule set states them: what is limited, to how much, among whom; no I/O.
+"""Fleet-wide limits, as a rule set has them: what is limited, to which amount, and which placers share it; no I/O.
 
-A `standing` limit bounds what is in use at once (open tasks of a namespace, or of a class); a `rate` limit bounds what
-is used within a window (new tasks of a namespace or a class; offers to each cold machine). Times in microseconds.
+A `standing` limit bounds the amount in use at once (open tasks of a namespace or a class); a `rate` limit bounds the
+uses within a window (new tasks of a namespace or a class; offers to each cold machine). Times are in microseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-MAX_CLOCK_DRIFT = 0.002  # two clocks, each 500 ppm off, differ by a little more than 1,000 ppm
+MAX_CLOCK_DRIFT = 0.002  # a ratio; two clocks, each 500 ppm off, differ by just over 1,000 ppm
 MAX_LIMITS = 64
 MAX_HOLDERS_PER_LIMIT = 4096
 MAX_AMOUNT = 1_000_000
@@ -16,43 +16,43 @@
 MAX_KEY_CHARS_SHOWN = 80
 DEFAULT_STRANDED_US = 60_000_000
 HOUR_US = 3_600_000_000
-SUBJECTS = ("namespace", "class", "cold")
-KINDS = ("standing", "rate")
+LIMIT_SUBJECTS = ("namespace", "class", "cold")
+LIMIT_KINDS = ("standing", "rate")
 
 
 def drifted_us(time_us: int) -> int:
-    """The shortest time by one clock that is at least `time_us` by any other within the drift bound."""
+    """The shortest time by one clock that is at least `time_us` by any other clock within MAX_CLOCK_DRIFT of it."""
     return int(time_us * (1 + MAX_CLOCK_DRIFT)) + 1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class FleetLimit:
-    """One limit: `most` is shared by the placers of `among`; others have none of it.
+    """One limit: the placers in `among` share the amount `most`; other placers have no part of it.
 
-    Field names and their order are the wire form of a rule set.
+    The names of the fields and their order are the wire form in a rule set.
     """
 
     about: str
     name: str  # of the namespace or class; "" for cold machines
     kind: str
     most: int
-    window_us: int  # of a rate; 0 of a standing one
-    stranded_us: int  # how long what a placer held counts as in use after its lease has expired
+    window_us: int  # of a rate limit; 0 for a standing limit
+    stranded_us: int  # how long a placer's use counts as in use after its lease has expired
     among: tuple[str, ...]
 
     @property
     def key(self) -> str:
-        """Name of the limit, unique within a rule set."""
+        """The name of the limit, unique within a rule set."""
         return "cold" if self.about == "cold" else f"{self.about}/{self.name}/{self.kind}"
 
     @property
     def lag_us(self) -> int:
-        """How long what was allocated may count after it was given back or has expired, by any clock."""
+        """How long an allocation may count as in use after it was released or has expired, by any clock."""
         return drifted_us(self.window_us if self.kind == "rate" else self.stranded_us)
 
 
 def check_limits(limits: tuple[FleetLimit, ...]) -> list[str]:
-    """Faults of a rule set's limits, one sentence each; empty where there are none."""
+    """Faults in the limits of a rule set, one sentence each; empty if there are none."""
     faults: list[str] = []
     if len(limits) > MAX_LIMITS:
         faults.append(f"more than {MAX_LIMITS} limits")
@@ -69,8 +69,8 @@
 def _has_valid_subject(limit: FleetLimit) -> bool:
     is_of_cold_machines = limit.about == "cold"
     return (
-        limit.about in SUBJECTS
-        and limit.kind in KINDS
+        limit.about in LIMIT_SUBJECTS
+        and limit.kind in LIMIT_KINDS
         and isinstance(limit.name, str)
         and len(limit.name) <= MAX_NAME_CHARS
         and bool(limit.name) == (not is_of_cold_machines)
@@ -79,7 +79,7 @@
 
 
 def _has_valid_amounts(limit: FleetLimit) -> bool:
-    # A bool is an int too, and is refused here.
+    # A bool is an int too, and is not accepted here.
     if any(type(value) is not int for value in (limit.most, limit.window_us, limit.stranded_us)):
         return False
     has_valid_window = (
@@ -95,12 +95,15 @@
 
 
 def normalized_limits(limits: tuple[FleetLimit, ...]) -> tuple[FleetLimit, ...]:
-    """The canonical form: limits in order, holders in order and without duplicates."""
+    """The canonical form: limits sorted, holders sorted and without duplicates."""
     return tuple(sorted(replace(each, among=tuple(sorted(set(each.among)))) for each in limits))
 
 
 def limits_allow(narrow: tuple[FleetLimit, ...], wide: tuple[FleetLimit, ...]) -> bool:
-    """Whether `wide` allows all that `narrow` allows: each limit of `wide` is in `narrow`, no looser, for no others."""
+    """Whether `wide` allows all that `narrow` allows.
+
+    Each limit of `wide` must be in `narrow`, with bounds at least as strict and no further holders.
+    """
     narrow_by_key = {each.key: each for each in narrow}
     return all(
         each.key in narrow_by_key and _is_within(narrow_by_key[each.key], each) for each in wide
@@ -119,7 +122,7 @@
 def limits_intersection(
     a: tuple[FleetLimit, ...], b: tuple[FleetLimit, ...]
 ) -> tuple[FleetLimit, ...]:
-    """What both allow; a limit whose versions have no holder in common allows nothing to anybody."""
+    """Limits that allow what both allow; where two versions of a limit share no holder, it allows nothing."""
     a_by_key = {each.key: each for each in a}
     b_by_key = {each.key: each for each in b}
     shared = a_by_key.keys() & b_by_key.keys()
--- a/wingbarrow/decide/rulesets/__init__.py
+++ b/wingbarrow/decide/rulesets/__init__.py
@@ -1,1 +1,1 @@
-"""Rule sets with versions: comparison, transitions between two of them, floors, canary analysis."""
+"""Versioned rule sets: comparison, transitions between versions, floors, canary analysis."""
--- a/wingbarrow/decide/rulesets/agreed_drains.py
+++ b/wingbarrow/decide/rulesets/agreed_drains.py
@@ -1,7 +1,7 @@
-"""Drains as far as placers agree on them: maintenance windows, requested drains, cancelled drains; no I/O.
+"""The parts of a rule set that concern drains: maintenance windows, requested and cancelled drains, the plan; no I/O.
 
-They are parts of a rule set, and compare by what may be sent to machines: one more window, or drain, allows less. Times
-in microseconds; those of requested drains and of blackouts by the wall clock, as the windows' own.
+They compare by what may be sent to machines: one more window or drain allows less. Times are in microseconds; requested
+drains, blackouts and windows are on the wall clock.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 SECOND_US = 1_000_000
 DAY_US = 86_400 * SECOND_US
-MAX_LENGTH_US = 31 * DAY_US  # of a window and of a drain
+MAX_LENGTH_US = 31 * DAY_US  # of a window or a drain
 MAX_WINDOWS = 128
 MAX_REQUESTED = 128
 MAX_CANCELLED = 512
-MAX_DATES = 64  # of each kind, and machines, in a window
+MAX_DATES = 64  # exceptions, extra dates and machines of a window: so many of each
 MAX_NAME_CHARS = 253
 MAX_KEY_CHARS = 600
 MAX_NAME_CHARS_SHOWN = 60
@@ -40,11 +40,11 @@
 MIN_FILL = 0.05
 MIN_FAILED_SHARE = 0.01
 MAX_PRECEDENCE = 1000
-MAX_EXACT_INT = 1 << 53  # in a JSON number
+MAX_EXACT_INT = 1 << 53  # integers below are exact as JSON numbers
 DATE_CHARS = len("2026-12-31")
-REQUESTED_PREFIX = "now-"  # of a requested drain's window
+REQUESTED_PREFIX = "now-"  # of the window name of a requested drain
 BUDGET_KINDS = ("max", "max-share", "min", "min-share")
-CANCELLED_KEPT_US = 40 * DAY_US  # the drain is over by then, whatever its window's length
+CANCELLED_KEPT_US = 40 * DAY_US  # the drain has ended by then: MAX_LENGTH_US is shorter
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     """A window in the canonical form: `maintenance.windows.Series` as text. Field names are those of the JSON form."""
 
     name: str
-    start: str  # local to `zone`; with its offset where that is ""
+    start: str  # ISO 8601, local to `zone`; with an offset if `zone` is ""
     zone: str
     lasts_us: int
     each_us: int
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class AskedDrain:
-    """A drain that an operator requested, from a whole second on."""
+    """A drain that an operator requested; it starts at a whole second."""
 
     machine: str
     start_us: int
@@ -74,16 +74,16 @@
 
     @property
     def window(self) -> str:
-        """The name of its window."""
+        """The name of the window that stands for the drain."""
         return f"{REQUESTED_PREFIX}{self.machine}-{self.start_us // SECOND_US}"
 
     @property
     def key(self) -> str:
-        """The key of the drain, by which it is cancelled."""
+        """The key by which the drain is cancelled."""
         return f"{self.window}@{self.start_us // SECOND_US}/{self.machine}"
 
     def series(self) -> Series:
-        """Its window, which takes precedence over the calendar's."""
+        """The window that stands for the drain; it takes precedence over those of the calendar."""
         start = datetime.fromtimestamp(self.start_us // SECOND_US, UTC)
         return Series(
             self.window,
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """How drains are planned and carried out: `drain_plan.PlanRules` and `drain_progress.DrainPolicy` in one form."""
+    """How drains are planned and carried out: the canonical form of a `PlanRules` and a `DrainPolicy` together."""
 
     budgets: tuple[tuple[str, str, float], ...] = (
         ("cell", "max", 1.0),
@@ -113,7 +113,7 @@
     take_back: bool = True
 
     def rules(self, kinds_needed: tuple[str, ...]) -> PlanRules:
-        """The planner's rules; `kinds_needed`: the machine kinds that some class of the placer needs."""
+        """The rules for the planner; `kinds_needed` are the machine kinds that some class of the placer needs."""
         budgets = tuple(
             Budget(
                 Scope(scope),
@@ -134,7 +134,7 @@
 
 
 def plan_of(rules: PlanRules, policy: DrainPolicy) -> DrainPlan:
-    """The canonical form of a calendar's rules and policy."""
+    """The canonical form of the rules and the policy of a calendar."""
     return DrainPlan(
         budgets=tuple(sorted({_budget_of(each) for each in rules.budgets})),
         blackouts=tuple(
@@ -207,7 +207,7 @@
 
 
 def series_of(window: WindowRules) -> Series:
-    """The window of a canonical form; ValueError, TypeError or OverflowError where it cannot be."""
+    """The window of a canonical form; raises ValueError, TypeError or OverflowError for an invalid one."""
     start = datetime.fromisoformat(window.start)
     if window.zone:
         start = start.replace(tzinfo=zone(window.zone))
@@ -257,7 +257,7 @@
 
 
 def read_window(value: dict[str, Any]) -> WindowRules:
-    """From a JSON object; ValueError, TypeError or KeyError where it is none."""
+    """Decode a window from a JSON object; raises ValueError, TypeError or KeyError for an invalid one."""
     value = dict(value)
     for name in ("exceptions", "extra"):
         value[name] = tuple(value[name])
@@ -266,7 +266,7 @@
 
 
 def read_plan(value: dict[str, Any]) -> DrainPlan:
-    """From a JSON object; ValueError, TypeError or KeyError where it is none."""
+    """Decode a plan from a JSON object; raises ValueError, TypeError or KeyError for an invalid one."""
     value = dict(value)
     for name in ("budgets", "blackouts"):
         value[name] = tuple(tuple(each) for each in value[name])
@@ -279,7 +279,7 @@
     cancelled: tuple[str, ...],
     plan: DrainPlan,
 ) -> list[str]:
-    """Faults of a rule set's drains, one sentence each; empty where there are none."""
+    """Faults in the drains of a rule set, one sentence each; empty if there are none."""
     faults: list[str] = []
     if (
         len(windows) > MAX_WINDOWS
@@ -303,7 +303,7 @@
 
 
 def _window_fault(window: WindowRules) -> str:
-    """What is wrong with a window; "" where nothing is."""
+    """What is wrong with a window; "" if it is valid."""
     prefix = f"window {str(window.name)[:MAX_NAME_CHARS_SHOWN]}: "
     if not window.name or window.name.startswith(REQUESTED_PREFIX):
         return f"{prefix}a name that does not begin with now- is wanted"
@@ -365,7 +365,7 @@
     cancelled: tuple[str, ...],
     wall_us: int,
 ) -> tuple[tuple[AskedDrain, ...], tuple[str, ...]]:
-    """Requested drains that are not over, and cancellations of drains that may not be."""
+    """The requested drains that have not ended, and the cancellations of drains that may not have ended."""
     return (
         tuple(each for each in requested if each.start_us + each.lasts_us > wall_us),
         tuple(key for key in cancelled if _may_be_due(key, wall_us)),
--- a/wingbarrow/decide/rulesets/comparison.py
+++ b/wingbarrow/decide/rulesets/comparison.py
@@ -1,9 +1,9 @@
-"""Which of two rule sets allows more, field by field, and what both allow; no I/O.
+"""Comparison of rule sets field by field: which of two allows more, and what both allow; no I/O.
 
-`allows(a, b)` is a partial order. Where it holds neither way the two contradict each other, and the fleet goes from one
-to the other by way of their `intersection`, as in online schema change (F1, Rae et al. 2013): at most two neighbouring
-revisions are in use at a time. A floor is a rule set that every version must allow: what a placer that is cut off from
-the voters goes on by.
+`allows(a, b)` is a partial order. If it holds in neither direction, the two rule sets contradict each other, and the
+fleet changes from one to the other by way of their `intersection`, as in online schema change (F1, Rae et al. 2013): at
+most two neighbouring revisions are in use at a time. A floor is a rule set that every version must allow; a placer that
+is cut off from the voters acts on it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 def allows_floor(floor: RuleSet, rules: RuleSet) -> bool:
     """Whether rules allow all that a floor allows.
 
-    No floor speaks of drains, limits or federations: a placer that is cut off hears of drains later, and its quotas
+    A floor does not cover drains, limits or federations: a placer that is cut off receives drains later, and its quotas
     expire with its lease.
     """
     return all(
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FieldOrder:
-    """How a field compares: whether the second value allows all that the first does, and what both allow."""
+    """The order of a field: whether the second value allows all that the first allows, and what both allow."""
 
     allows: Callable[[Any, Any], bool]
     intersection: Callable[[Any, Any], Any]
@@ -124,7 +124,7 @@
         bounded = b if a.spread_by == "none" else a
         return ClassRules(a.name, effect, bounded.spread_by, bounded.spread_most)
     if a.spread_by != b.spread_by:
-        return None  # the module takes one of them: nothing of the class starts during the step
+        return None  # a class has one spread domain only: no task of it starts during the step
     return ClassRules(a.name, effect, a.spread_by, min(a.spread_most, b.spread_most))
 
 
@@ -146,22 +146,22 @@
 # -- windows
 
 
-def _unnamed(window: WindowRules) -> WindowRules:
-    """What a window closes, whatever it is called."""
+def _without_name(window: WindowRules) -> WindowRules:
+    """The window without its name, to compare windows by effect."""
     return replace(window, name="")
 
 
 def _windows_allow(a: tuple[WindowRules, ...], b: tuple[WindowRules, ...]) -> bool:
-    return {_unnamed(each) for each in a} >= {_unnamed(each) for each in b}
+    return {_without_name(each) for each in a} >= {_without_name(each) for each in b}
 
 
 def _windows_intersection(
     a: tuple[WindowRules, ...], b: tuple[WindowRules, ...]
 ) -> tuple[WindowRules, ...]:
-    """All windows of both, equal ones once; of two with one name, one gets another name for the step."""
+    """All windows of both, equal ones once; if two share a name, one is renamed for the step."""
     name_of: dict[WindowRules, str] = {}
     for each in sorted((*a, *b), key=lambda each: each.name):
-        name_of.setdefault(_unnamed(each), each.name)
+        name_of.setdefault(_without_name(each), each.name)
     by_name: dict[str, WindowRules] = {}
     for unnamed, original in sorted(name_of.items(), key=lambda pair: (pair[1], repr(pair[0]))):
         name = original
@@ -179,7 +179,7 @@
     "classes": _FieldOrder(_classes_allow, _classes_intersection),
     "attempts_most": _SMALLER_ALLOWS_LESS,
     "cold_us": _LARGER_ALLOWS_LESS,  # a machine counts as cold for longer
-    "cold_window_us": _LARGER_ALLOWS_LESS,  # the same offers within a longer time
+    "cold_window_us": _LARGER_ALLOWS_LESS,  # the same number of offers within a longer time
     "cold_shares": _FieldOrder(_shares_allow, _shares_intersection),
     "drain_grace_us": _SMALLER_ALLOWS_LESS,
     "barred": _MORE_NAMES_ALLOW_LESS,
--- a/wingbarrow/decide/rulesets/diff.py
+++ b/wingbarrow/decide/rulesets/diff.py
@@ -1,4 +1,4 @@
-"""The differences between two rule sets, one sentence each, for operators; no I/O."""
+"""Differences between two rule sets as lines of text for operators; no I/O."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def differences(a: RuleSet, b: RuleSet) -> list[str]:
-    """What is different in `b`, by the order of fields."""
+    """One line for each difference of `b` from `a`, in the order of fields."""
     lines: list[str] = []
     for field in fields(RuleSet):
         before, after = getattr(a, field.name), getattr(b, field.name)
         if before == after:
             continue
-        describe = _DESCRIBED.get(field.name)
+        describe = _DESCRIBERS.get(field.name)
         if describe is None:
             lines.append(f"{_spaced(field.name)}: {before} -> {after}")
         else:
@@ -70,7 +70,9 @@
             yield f"window {name}: changed"
 
 
-def _requested(before: tuple[AskedDrain, ...], after: tuple[AskedDrain, ...]) -> Iterator[str]:
+def _requested_drains(
+    before: tuple[AskedDrain, ...], after: tuple[AskedDrain, ...]
+) -> Iterator[str]:
     for each in sorted(set(after) - set(before)):
         yield f"drain asked for: {_drain(each)}"
     for each in sorted(set(before) - set(after)):
@@ -81,7 +83,7 @@
     return f"{drain.machine} for {drain.lasts_us // SECOND_US} s"
 
 
-def _cancelled(before: tuple[str, ...], after: tuple[str, ...]) -> Iterator[str]:
+def _cancelled_drains(before: tuple[str, ...], after: tuple[str, ...]) -> Iterator[str]:
     for key in sorted(set(after) - set(before)):
         yield f"drain taken back: {key}"
     for key in sorted(set(before) - set(after)):
@@ -120,13 +122,13 @@
     )
 
 
-_DESCRIBED: dict[str, Callable[[Any, Any], Iterator[str] | list[str]]] = {
+_DESCRIBERS: dict[str, Callable[[Any, Any], Iterator[str] | list[str]]] = {
     "classes": _classes,
     "cold_shares": _cold_shares,
     "barred": _barred,
     "windows": _windows,
-    "asked": _requested,
-    "cancelled": _cancelled,
+    "asked": _requested_drains,
+    "cancelled": _cancelled_drains,
     "plan": _plan,
     "limits": _limits,
     "federation": compare.differences,
--- a/wingbarrow/decide/rulesets/entries.py
+++ b/wingbarrow/decide/rulesets/entries.py
@@ -1,7 +1,7 @@
 """Entries of the voters' log that change the agreed rule sets, with their JSON forms; no I/O.
 
-`to_entry` gives what the log keeps; `from_entry` reads it and raises ValueError, KeyError or TypeError where it cannot.
-Bounds on texts are those of `versions`, where an entry is applied: a log keeps what was proposed.
+`to_entry` encodes an entry as stored in the log; `from_entry` decodes it, and raises ValueError, KeyError or TypeError
+for an invalid one. `versions` bounds the lengths of texts when it applies an entry: the log keeps them as proposed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     why: str
 
     def to_entry(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Encode as the JSON form."""
         return {
             "ident": self.ident,
             "base": self.base,
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_entry(cls, value: Mapping[str, Any]) -> Self:
-        """Read the JSON form."""
+        """Decode the JSON form."""
         return cls(
             ident=str(value["ident"]),
             rules=str(value["rules"]),
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FloorEntry:
-    """A proposed floor, and for how long a placer may go on by it; `ident` is its idempotency key."""
+    """A proposed floor, and for how long a placer may act on it; `ident` is its idempotency key."""
 
     ident: str
     rules: str
@@ -54,7 +54,7 @@
     lasts_us: int
 
     def to_entry(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Encode as the JSON form."""
         return {
             "ident": self.ident,
             "rules": self.rules,
@@ -65,7 +65,7 @@
 
     @classmethod
     def from_entry(cls, value: Mapping[str, Any]) -> Self:
-        """Read the JSON form."""
+        """Decode the JSON form."""
         return cls(
             ident=str(value["ident"]),
             rules=str(value["rules"]),
@@ -77,31 +77,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StepEntry:
-    """The next step of a transition, from the revision that was in force when it was proposed."""
+    """The next step of a transition, from the revision in force when the step was proposed."""
 
     from_revision: int
 
     def to_entry(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Encode as the JSON form."""
         return {"from": self.from_revision}
 
     @classmethod
     def from_entry(cls, value: Mapping[str, Any]) -> Self:
-        """Read the JSON form."""
+        """Decode the JSON form."""
         return cls(value["from"])
 
 
 @dataclass(frozen=True, slots=True)
 class FloorsExpiredEntry:
-    """No placer goes on by a floor before the one with this number any more."""
+    """No placer acts any more on a floor before the one with this number."""
 
     number: int
 
     def to_entry(self) -> dict[str, Any]:
-        """The JSON form."""
+        """Encode as the JSON form."""
         return {"number": self.number}
 
     @classmethod
     def from_entry(cls, value: Mapping[str, Any]) -> Self:
-        """Read the JSON form."""
+        """Decode the JSON form."""
         return cls(value["number"])
--- a/wingbarrow/decide/rulesets/parsing.py
+++ b/wingbarrow/decide/rulesets/parsing.py
@@ -1,6 +1,6 @@
-"""Rule sets from their JSON text, checked: bounds that keep a snapshot within one message, and faults in words; no I/O.
+"""Parses rule sets from JSON text and checks them, also against the bounds that keep a snapshot in one message; no I/O.
 
-Under a rule set without a fault a placer can keep the five rules of docs/architecture.md.
+Under a rule set without faults a placer can keep the five rules of docs/architecture.md.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 MAX_ATTEMPTS = 100
 MAX_COLD_US = 86_400_000_000
 HOUR_US = 3_600_000_000
-# Characters without the federation's, so that a snapshot with all that is kept fits one message.
+# Of the text without the federation, so that a full snapshot fits into one message.
 MAX_TEXT_CHARS = 32 * 1024
-MAX_ESCAPED_CHARS = MAX_TEXT_CHARS * 3 // 2  # of the same within a message: quotes are escaped
+MAX_ESCAPED_CHARS = MAX_TEXT_CHARS * 3 // 2  # of the same text in a message, with escaped quotes
 MAX_REASON_CHARS = 120
 
 
 def parse_rule_set(text: str) -> RuleSet:
-    """The rule set of a canonical or other JSON text, in its canonical form; raises RuleSetError."""
+    """The rule set of a JSON text, canonical or not, in its canonical form; raises RuleSetError for an invalid one."""
     if len(text) > MAX_TEXT_CHARS + encoding.MAX_FEDERATION_CHARS:
         raise RuleSetError(
             f"{len(text)} characters; {MAX_TEXT_CHARS}, and {encoding.MAX_FEDERATION_CHARS} of a federation, "
@@ -88,19 +88,19 @@
 
 
 def split_federation(rules: RuleSet) -> tuple[str, str]:
-    """The text without the federation, and the federation's."""
+    """The text of the rule set without its federation, and the text of the federation."""
     return replace(rules, federation=NO_FEDERATION).text(), encoding.encode(rules.federation)
 
 
 def join_federation(rest: str, federation: str) -> str:
-    """The text that `split_federation` split, as canonical as its parts."""
+    """Inverse of `split_federation`; the text is canonical if both parts are."""
     if not federation:
         return rest
     return canonical_json({**json.loads(rest), "federation": federation})
 
 
 def length_faults(rules: RuleSet) -> list[str]:
-    """What of a rule set's text is longer than is kept and sent, one sentence each."""
+    """Parts of a rule set's text that are too long to store and send, one sentence each."""
     rest, federation = split_federation(rules)
     faults = []
     if len(rest) > MAX_TEXT_CHARS or len(json.dumps(rest)) > MAX_ESCAPED_CHARS:
@@ -116,7 +116,7 @@
 
 
 def check_rule_set(rules: RuleSet) -> list[str]:
-    """Faults of a rule set by itself, one sentence each; empty where it can be used."""
+    """Faults of a rule set by itself, one sentence each; empty if it can be used."""
     return [
         *_class_faults(rules),
         *_scheduling_faults(rules),
@@ -127,7 +127,7 @@
     ]
 
 
-def _is_whole(value: object, low: int, high: int) -> bool:
+def _is_int_between(value: object, low: int, high: int) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
 
 
@@ -147,29 +147,29 @@
             yield f"{each.name}: effect is one of {', '.join(EFFECTS)}"
         if each.spread_by not in SPREAD_DOMAINS:
             yield f"{each.name}: spread by what?"
-        if not _is_whole(each.spread_most, 0 if each.spread_by == "none" else 1, MAX_SPREAD):
+        if not _is_int_between(each.spread_most, 0 if each.spread_by == "none" else 1, MAX_SPREAD):
             yield f"{each.name}: spread most"
 
 
 def _scheduling_faults(rules: RuleSet) -> Iterator[str]:
-    if not _is_whole(rules.attempts_most, 1, MAX_ATTEMPTS):
+    if not _is_int_between(rules.attempts_most, 1, MAX_ATTEMPTS):
         yield f"attempts: 1 to {MAX_ATTEMPTS} are wanted"
     yield from _cold_faults(rules)
-    if not _is_whole(rules.drain_grace_us, 0, HOUR_US):
+    if not _is_int_between(rules.drain_grace_us, 0, HOUR_US):
         yield "drain: a grace of at most an hour is wanted"
     if not all(_is_name(machine) for machine in rules.barred):
         yield "barred: a machine without a name"
 
 
 def _cold_faults(rules: RuleSet) -> Iterator[str]:
-    if not _is_whole(rules.cold_us, 0, MAX_COLD_US):
+    if not _is_int_between(rules.cold_us, 0, MAX_COLD_US):
         yield "cold: lasts at most a day"
-    if not _is_whole(rules.cold_window_us, 1, HOUR_US):
+    if not _is_int_between(rules.cold_window_us, 1, HOUR_US):
         yield "cold: a window of at most an hour is wanted"
     if len(rules.cold_shares) > MAX_NAMES or len(rules.barred) > MAX_NAMES:
         yield f"more than {MAX_NAMES} names"
     if not all(
-        _is_name(placer) and _is_whole(share, 0, MAX_COLD_SHARE)
+        _is_name(placer) and _is_int_between(share, 0, MAX_COLD_SHARE)
         for placer, share in rules.cold_shares
     ):
         yield "cold: a share of whom?"
--- a/wingbarrow/decide/rulesets/ruleset.py
+++ b/wingbarrow/decide/rulesets/ruleset.py
@@ -1,6 +1,6 @@
 """A rule set: what all placers of a region must agree on, its canonical text and digest; no I/O.
 
-`parsing` reads and checks the text, `comparison` tells which of two rule sets allows more.
+`parsing` parses and checks the text; `comparison` finds which of two rule sets allows more.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from wingbarrow.decide.quotas.limits import FleetLimit, normalized_limits
 from wingbarrow.decide.rulesets.agreed_drains import AskedDrain, DrainPlan, WindowRules
 
-EFFECTS = ("unsafe", "keyed", "safe")  # from the one that forbids most
+EFFECTS = ("unsafe", "keyed", "safe")  # the strictest first
 SPREAD_DOMAINS = ("none", "machine", "cell", "zone")
 OPTIONAL_FIELDS = ("windows", "asked", "cancelled", "plan", "limits", "federation")
 NO_DRAIN_PLAN = DrainPlan()
@@ -23,7 +23,7 @@
 
 
 class RuleSetError(ValueError):
-    """A rule set that cannot be used. `faults`: what is wrong with it, one sentence each."""
+    """An invalid rule set; `faults` has one sentence for each fault."""
 
     def __init__(self, *faults: str) -> None:
         super().__init__("; ".join(faults))
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRules:
-    """A class of tasks, as far as placers must agree on it."""
+    """The properties of a task class that placers must agree on."""
 
     name: str
     effect: str  # of EFFECTS
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleSet:
-    """The rules of one version. Times in microseconds. Field names are those of the JSON form.
+    """The rules of one version. Times are in microseconds. Field names are those of the JSON form.
 
-    `cold_shares`: offers to one cold machine within the window, by placer; who is not named has none.
+    `cold_shares`: offers to one cold machine within the window, by placer; a placer that is not listed has none.
     """
 
     classes: tuple[ClassRules, ...]
@@ -53,18 +53,18 @@
     cold_window_us: int
     cold_shares: tuple[tuple[str, int], ...]
     drain_grace_us: int
-    barred: tuple[str, ...]  # machines that get nothing
+    barred: tuple[str, ...]  # machines that get no tasks
     windows: tuple[WindowRules, ...] = ()
     asked: tuple[AskedDrain, ...] = ()
-    cancelled: tuple[str, ...] = ()  # keys of drains that were taken back
+    cancelled: tuple[str, ...] = ()  # keys of cancelled drains
     plan: DrainPlan = NO_DRAIN_PLAN
-    limits: tuple[FleetLimit, ...] = ()  # of the whole fleet
+    limits: tuple[FleetLimit, ...] = ()  # fleet-wide
     federation: Federation = NO_FEDERATION
 
     def text(self) -> str:
-        """The canonical JSON text, equal for equal rule sets; optional fields with their default are left out.
+        """The canonical JSON text, equal for equal rule sets; optional fields with their default value are omitted.
 
-        Digests are computed over it, and members compare it: its bytes are fixed.
+        Digests are computed over it, and members compare it, so its bytes must not change.
         """
         value = asdict(replace(self, federation=NO_FEDERATION))
         value["federation"] = encoding.encode(self.federation)
@@ -79,7 +79,7 @@
         return digest_of(self.text())
 
     def cold_share(self, placer: str) -> int:
-        """Offers to one cold machine within the window that one placer may make."""
+        """How many offers to one cold machine a placer may make within the window."""
         return dict(self.cold_shares).get(placer, 0)
 
 
@@ -89,7 +89,7 @@
 
 
 def canonical_json(value: Any) -> str:
-    """The one text of a JSON value."""
+    """The canonical text of a JSON value: sorted keys, no whitespace."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"))
 
 
@@ -99,7 +99,7 @@
 
 
 def normalized(rules: RuleSet) -> RuleSet:
-    """The canonical form: names in order, empty shares and figures without a meaning left out."""
+    """The canonical form: sorted by name, without shares of 0 and without a spread bound where it has no effect."""
     classes = (
         each if each.spread_by != "none" else replace(each, spread_most=0) for each in rules.classes
     )
@@ -117,7 +117,7 @@
 
 
 def equal_shares(offers: int, placers: tuple[str, ...]) -> tuple[tuple[str, int], ...]:
-    """A cold budget in equal whole shares that sum to it; what is left over goes to the first by name."""
+    """Divide a cold budget into equal whole shares that sum to it; the first names get one more for the remainder."""
     share, remainder = divmod(offers, max(1, len(placers)))
     return tuple(
         (name, share + (index < remainder))
--- a/wingbarrow/decide/rulesets/versions.py
+++ b/wingbarrow/decide/rulesets/versions.py
@@ -1,10 +1,10 @@
-"""The agreed rule sets as the voters' log makes them: versions, the revision in force, transitions and floors; no I/O.
+"""Replicated state of the agreed rule sets: versions, the revision in force, transitions and floors; no I/O.
 
-Deterministic: the same entries in the same order make the same state at every voter. A *version* is an accepted
-proposal; a *revision* is a rule set in force, numbered one by one. A version that contradicts the one before takes two
-revisions, by way of their intersection, as in online schema change (F1, Rae et al. 2013): at most two neighbouring ones
-are in use. Leases tell which revision placers may act on; the next one begins by a `step` entry, once the leader knows
-that leases of earlier ones have expired.
+Deterministic: the same log entries in the same order give the same state at every voter. A *version* is an accepted
+proposal; a *revision* is a rule set in force, numbered consecutively. A version that contradicts the one before takes
+two revisions, the first of them the intersection of both, as in online schema change (F1, Rae et al. 2013): at most two
+neighbouring revisions are in use. A lease names the revision that its placer may act on. A `step` entry puts the next
+revision into force, once the leader knows that the leases of earlier ones have expired.
 
 The JSON form of the state and the messages call a revision `edition`.
 """
@@ -39,15 +39,15 @@
     digest_of,
 )
 
-# A snapshot goes in one message of 1 MiB. Counted as escaped there: the rule set in force and two steps, versions,
-# floors, federations (each once, whoever names it), outcomes; what is left is for the replicated subsystems.
-MAX_VERSIONS = 64  # kept; older ones are known by number alone
+# A snapshot is sent in one message of 1 MiB. Lengths are of escaped text: the rule set in force and two steps,
+# versions, floors, federations (each only once), outcomes. The rest of the message is for the replicated subsystems.
+MAX_VERSIONS = 64  # of older ones only the number is known
 MAX_VERSIONS_CHARS = 160 * 1024
-# Of three revisions, and earlier versions.
+# The federations of three revisions, and of earlier versions.
 MAX_FEDERATIONS_CHARS = 3 * MAX_FEDERATION_CHARS + 64 * 1024
 MAX_FLOORS = 4  # that may be in use at a time
 MAX_FLOORS_CHARS = 96 * 1024
-MAX_OUTCOMES = 256  # of proposals, for those that are sent again
+MAX_OUTCOMES = 256  # of proposals, to answer a retry
 MAX_OUTCOME_CHARS = 200
 MAX_OUTCOMES_CHARS = MAX_OUTCOMES * (MAX_OUTCOME_CHARS + 120)
 MAX_SNAPSHOT_CHARS = (
@@ -57,14 +57,13 @@
     + MAX_FLOORS_CHARS
     + MAX_OUTCOMES_CHARS
 )
-MAX_SUBSYSTEMS_CHARS = (
-    128 * 1024
-)  # all subsystems together, as escaped; their own bounds stay below
+# Of the escaped snapshots of all subsystems together; their own bounds are lower.
+MAX_SUBSYSTEMS_CHARS = 128 * 1024
 MAX_AUTHOR_CHARS = 253
 MAX_REASON_CHARS = 500
-RECORD_CHARS = 200  # of a version or a floor beside its texts
-RECOVERED = "recovered"  # kind of the entry by which one voter went on alone
-REVISIONS_SKIPPED_AT_RECOVERY = 1000  # for those that lost voters may have decided
+RECORD_OVERHEAD_CHARS = 200  # of a version or a floor, in addition to its texts
+RECOVERED = "recovered"  # kind of the entry by which one voter recovers alone
+REVISIONS_SKIPPED_AT_RECOVERY = 1000  # those that lost voters may have decided
 DAY_US = 86_400_000_000
 
 
@@ -78,18 +77,18 @@
     by: str
     why: str
     digest: str
-    federation: str = ""  # the digest of its text
+    federation: str = ""  # digest of the federation's text; "" for none
 
     @property
     def snapshot_chars(self) -> int:
-        """Its size in a snapshot, as escaped."""
+        """Escaped length of the version in a snapshot."""
         texts = len(json.dumps(self.rules)) + len(json.dumps(json.dumps(self.by + self.why)))
-        return texts + RECORD_CHARS
+        return texts + RECORD_OVERHEAD_CHARS
 
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """Rules that every version allows, and for how long a placer may go on by them when cut off from the voters."""
+    """Rules that every version allows, and for how long a placer that is cut off from the voters may act on them."""
 
     number: int
     rules: str
@@ -98,20 +97,20 @@
 
 @dataclass(slots=True)
 class RuleSetState:
-    """The replicated state. Texts of rule sets are canonical ones."""
+    """The replicated state. All texts of rule sets are canonical."""
 
-    revision: int = 0  # in force; 0: nothing is agreed on yet
+    revision: int = 0  # in force; 0 before the first version
     rules: str = ""  # of that revision
-    version: int = 0  # the latest accepted one, which the steps lead to
-    steps: list[str] = field(default_factory=list)  # rules of the revisions still to come
+    version: int = 0  # the latest accepted one, where the steps end
+    steps: list[str] = field(default_factory=list)  # rules of the revisions that follow
     versions: list[Version] = field(default_factory=list)
-    floors: list[Floor] = field(default_factory=list)  # latest last; earlier may be in use
-    outcomes: dict[str, str] = field(default_factory=dict)  # by proposal: "" or the objection
+    floors: list[Floor] = field(default_factory=list)  # latest last; earlier ones may be in use
+    outcomes: dict[str, str] = field(default_factory=dict)  # by proposal: objection, "" for none
     subsystem_snapshots: dict[str, str] = field(default_factory=dict)  # by subsystem
-    federations: dict[str, str] = field(default_factory=dict)  # of versions, by digest, latest last
+    federations: dict[str, str] = field(default_factory=dict)  # texts by digest, latest last
 
     def apply(self, kind: str, body: str) -> None:
-        """Apply a decided entry; one that cannot be read changes nothing (it was checked before it was proposed)."""
+        """Apply a decided entry; an invalid one changes nothing (entries are checked before they are proposed)."""
         try:
             value = json.loads(body) if body else {}
             if kind == "propose":
@@ -129,11 +128,11 @@
 
     @property
     def latest(self) -> str:
-        """The rules of the latest version; "" before there is one."""
+        """The rules of the latest version; "" before the first one."""
         return self.steps[-1] if self.steps else self.rules
 
     def text_of(self, version: Version) -> str | None:
-        """The text of a version's rules; None where its federation is no longer kept."""
+        """The text of a version's rules; None if its federation has been dropped."""
         if not version.federation:
             return version.rules
         federation = self.federations.get(version.federation)
@@ -142,7 +141,7 @@
     # -- proposals
 
     def objection(self, base: int, text: str) -> str:
-        """Why a version cannot be accepted now; "" where it can."""
+        """Why a version cannot be accepted now; "" if it can."""
         try:
             rules = parse_rule_set(text)
         except RuleSetError as error:
@@ -164,7 +163,7 @@
         return ""
 
     def _spread_objection(self, rules: RuleSet) -> str:
-        """Tasks that run are counted by the domains that their class was spread by: these cannot change."""
+        """Why no class may change its spread domain now, by which running tasks are counted; "" if none would."""
         if not self.revision:
             return ""
         spread_by = {
@@ -182,7 +181,7 @@
         return f"what a class is spread by cannot change while placers run: {', '.join(changed)}"
 
     def _transition_objection(self, rules: RuleSet) -> str:
-        """Why the fleet cannot go to these rules by way of the intersection; "" where it can."""
+        """Why no transition by way of the intersection leads to these rules; "" if one does."""
         in_force = parse_rule_set(self.rules) if self.revision else rules
         if not contradict(in_force, rules):
             return ""
@@ -194,7 +193,7 @@
 
     def _apply_proposal(self, proposal: ProposalEntry) -> None:
         if proposal.ident in self.outcomes:
-            return  # sent again: it has its outcome
+            return  # a retry: its outcome is recorded
         objection = self.objection(proposal.base, proposal.rules)
         self._record_outcome(proposal.ident, objection)
         if objection:
@@ -215,13 +214,13 @@
             )
         )
         if federation:
-            self.federations.pop(federation_digest, None)  # the latest last
+            self.federations.pop(federation_digest, None)  # moves it to the end
             self.federations[federation_digest] = federation
         self._begin_transition(rules)
         self._drop_oldest()
 
     def _begin_transition(self, rules: RuleSet) -> None:
-        """Go to a version from the revision in force, in place of any steps that were still to come."""
+        """Begin the transition from the revision in force to a version; it replaces all pending steps."""
         if not self.revision:
             self.revision = 1
             self.rules = rules.text()
@@ -232,7 +231,7 @@
             self.steps.insert(0, intersection(in_force, rules).text())
 
     def _drop_oldest(self) -> None:
-        """Drop versions, and federations that only they have, beyond what fits a snapshot."""
+        """Drop the oldest versions, and federations that only they use, beyond the bounds of a snapshot."""
         self.versions = self.versions[-MAX_VERSIONS:]
         while sum(each.snapshot_chars for each in self.versions) > MAX_VERSIONS_CHARS:
             del self.versions[0]
@@ -266,7 +265,7 @@
     # -- floors
 
     def floor_objection(self, text: str, lasts_us: int) -> str:
-        """Why a floor cannot be accepted now; "" where it can."""
+        """Why a floor cannot be accepted now; "" if it can."""
         try:
             floor = parse_rule_set(text)
         except RuleSetError as error:
@@ -281,7 +280,7 @@
 
     def _floor_size_objection(self, floor: RuleSet) -> str:
         texts = [*(each.rules for each in self.floors), _floor_text(floor)]
-        if sum(len(json.dumps(each)) + RECORD_CHARS for each in texts) <= MAX_FLOORS_CHARS:
+        if sum(len(json.dumps(each)) + RECORD_OVERHEAD_CHARS for each in texts) <= MAX_FLOORS_CHARS:
             return ""
         return (
             f"more than {MAX_FLOORS_CHARS} characters of floors that may still be out: "
@@ -311,9 +310,9 @@
     # -- snapshots
 
     def text(self) -> str:
-        """All of the state as JSON.
+        """The state as JSON text.
 
-        Rules are in it as objects, so that fewer quotes are escaped in a message; each federation is in it once.
+        Rules are JSON objects in it, so that fewer quotes are escaped in a message; each federation occurs once.
         """
         federations = dict(self.federations)
         revisions = []
@@ -347,17 +346,17 @@
 
 
 def _floor_text(rules: RuleSet) -> str:
-    """The text of a floor, which has no federation: a placer that goes by it keeps to the one that it knew."""
+    """The text of a floor, which has no federation: a placer that acts on it keeps the federation that it has."""
     return replace(rules, federation=NO_FEDERATION).text()
 
 
 def _rules_text(value: Any) -> str:
-    """The text of a snapshot's rules; snapshots of before 2026-12 have texts already."""
+    """The canonical text of rules in a snapshot; snapshots from before 2026-12 have texts, later ones JSON objects."""
     return value if isinstance(value, str) else canonical_json(value)
 
 
 def from_text(text: str) -> RuleSetState:
-    """The state of a snapshot's text; an empty one is the state at the beginning."""
+    """Decode a snapshot's text; an empty text stands for the initial state."""
     if not text:
         return RuleSetState()
     value = json.loads(text)
