--- a/tests/decide/outliers/test_detector.py
+++ b/tests/decide/outliers/test_detector.py
@@ -1,4 +1,4 @@
-"""Outlier detection at the leader: whose reports count, how many are required, panic thresholds, ends of ejections."""
+"""Outlier detection at the leader: which reports count, how many it takes, panic thresholds, ends of ejections."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     reporters: int = 2,
     region: str = "",
 ) -> None:
-    """Each reporter, of a region of its own unless given, saw three of three starts fail at these machines."""
+    """Each reporter, in its own region unless one is given, reports three failures of three at these machines."""
     reports = tuple(HealthReport(each, failed=3, tried=3) for each in machines)
     summary = HealthSummary(reports, len(machines), 10 + len(machines))
     for number in range(reporters):
@@ -84,7 +84,7 @@
         report_failures(detector, now, "m1")
         assert ejected(detector, now) == {"m1"}
         start = now
-        detector.reporters.clear()  # no placer tries it any more
+        detector.reporters.clear()  # no reporter is left to probe it
         while ejected(detector, now):
             now += S // 2
         durations_s.append((now - start) // S)
--- a/tests/decide/outliers/test_ejections.py
+++ b/tests/decide/outliers/test_ejections.py
@@ -1,4 +1,4 @@
-"""Ejections at a placer: they end by its own clock."""
+"""Ejections at a placer end by its own clock."""
 
 from __future__ import annotations
 
--- a/tests/decide/outliers/test_health.py
+++ b/tests/decide/outliers/test_health.py
@@ -1,4 +1,4 @@
-"""One placer's outcomes by machine: the window, and what a stall does to them."""
+"""Outcomes of one placer by machine: expiry from the window, and clearing after a stall."""
 
 from __future__ import annotations
 
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -1,4 +1,4 @@
-"""Three placers and two voters that lead in turn, on one clock, with a log of moves: a state machine of quotas."""
+"""A state machine of quotas: three placers, two voters that lead alternately, a log of moves, one shared clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 from wingbarrow.lab.fleet.schedules import rules
 
 S = 1_000_000
-LEASE, WINDOW, STRANDED, LIMIT = 2 * S, 3 * S, 5 * S, 6
+LEASE = 2 * S
+WINDOW = 3 * S
+STRANDED = 5 * S
+LIMIT = 6
 NAMES = ("a", "b", "c")
 STANDING = FleetLimit("namespace", "shop", "standing", LIMIT, 0, STRANDED, NAMES)
 RATE = FleetLimit("class", "web", "rate", LIMIT, WINDOW, STRANDED, NAMES)
@@ -36,69 +39,66 @@
 
 @dataclass
 class Placer:
-    """One incarnation of a placer: its lease client, and what is in use of its quota."""
+    """One incarnation of a placer: its lease client, the amount in use of its quota, and its demand."""
 
-    holding: LeaseClient
+    lease_client: LeaseClient
     standing: int = 0
     wants: int = 0
 
     @property
     def until_us(self) -> int:
-        return self.holding.rules_lease.expires_us
+        return self.lease_client.rules_lease.expires_us
 
 
 @dataclass(frozen=True)
 class Message:
-    """A request on its way to one leader, or a grant on its way back."""
+    """A request in transit to a leader, or with its grant in transit back."""
 
     name: str
-    life: int
+    incarnation: int
     leader: int
-    ask: LeaseRequest
+    request: LeaseRequest
     grant: LeaseGrant | None = None
 
 
 class Fleet(RuleBasedStateMachine):
-    """Messages are delivered, lost, duplicated and late at will; a proposed entry is decided or lost."""
+    """Messages are delivered, lost, duplicated and delayed arbitrarily; a proposed entry is decided or lost."""
 
     ledgers: type[AllocationLedger] = AllocationLedger
     clients: type[LeaseClient] = LeaseClient
-    found: ClassVar[Counter[str]] = Counter()
+    event_counts: ClassVar[Counter[str]] = Counter()
 
     def __init__(self) -> None:
         super().__init__()
-        self.now_us, self.lives, self.edition, self.most, self.reign, self.leader = (
-            100 * S,
-            0,
-            1,
-            LIMIT,
-            0,
-            0,
-        )
+        self.now_us = 100 * S
+        self.last_incarnation = 0
+        self.revision = 1
+        self.most = LIMIT  # of both limits
+        self.term = 0
+        self.leader = 0  # index in `voters`
         self.voters = [self.ledgers(LEASE), self.ledgers(LEASE)]
         self.proposed: list[Proposal] = []
         self.placers: dict[str, Placer] = {}
-        self.mail: list[Message] = []
-        self.orphans: list[
-            tuple[int, int]
-        ] = []  # tasks of placers that were killed: until when they run, how many
+        self.messages: list[Message] = []
+        # Tasks of killed placers: until when they run, and how many.
+        self.orphans: list[tuple[int, int]] = []
         self.starts: list[int] = []
         for name in NAMES:
             self.start_placer(name)
         self.elect(0, True)
 
     def start_placer(self, name: str) -> None:
-        self.lives += 1
-        holding = self.clients(
-            LocalPlacer(name, self.lives),
+        self.last_incarnation += 1
+        lease_client = self.clients(
+            LocalPlacer(name, self.last_incarnation),
             CoordinationSettings(("v",), Timing(LEASE)),
-            self.lives,
+            self.last_incarnation,
             Timers(),
         )
-        holding.start(self.now_us)
-        placer = self.placers[name] = Placer(holding)
-        holding.quotas.in_use = lambda key: placer.standing
-        holding.quotas.demand = lambda key: placer.wants
+        lease_client.start(self.now_us)
+        placer = self.placers[name] = Placer(lease_client)
+        lease_client.quotas.in_use = lambda key: placer.standing
+        lease_client.quotas.demand = lambda key: placer.wants
 
     @property
     def ledger(self) -> AllocationLedger:
@@ -110,58 +110,67 @@
         self.orphans = [each for each in self.orphans if each[0] > self.now_us]
         self.starts = [at for at in self.starts if at > self.now_us - WINDOW]
 
-    # -- mail
+    # -- messages
 
     @rule(name=st.sampled_from(NAMES), wants=st.integers(0, 20))
     def ask(self, name: str, wants: int) -> None:
         placer = self.placers[name]
         placer.wants = wants
-        ask, _, _ = placer.holding.next_request(self.now_us, "v")
-        self.mail.append(Message(name, placer.holding.local.incarnation, self.leader, ask))
+        request, _, _ = placer.lease_client.next_request(self.now_us, "v")
+        self.messages.append(
+            Message(name, placer.lease_client.local.incarnation, self.leader, request)
+        )
 
     @rule(pick=st.integers(0, 99), keep=st.booleans())
     def deliver(self, pick: int, keep: bool) -> None:
-        if self.mail:
-            at = pick % len(self.mail)
-            message = self.mail[at] if keep else self.mail.pop(at)
+        if self.messages:
+            at = pick % len(self.messages)
+            message = self.messages[at] if keep else self.messages.pop(at)
             self.deliver_grant(message) if message.grant is not None else self.deliver_request(
                 message
             )
 
     def deliver_request(self, message: Message) -> None:
-        """Only the leader of the day answers: a majority confirms it first."""
+        """Only the current leader responds, as a majority confirms it first."""
         if message.leader != self.leader:
             return
-        ask = message.ask
-        requester = Requester(message.name, ask.life, ask.up_us, ask.number, ask.reign)
-        wanted = limited(self.most)
-        rights = self.ledger.grants_for(self.now_us, [(requester, ask.stated)], wanted.limits)[0]
+        request = message.request
+        requester = Requester(
+            message.name, request.life, request.up_us, request.number, request.reign
+        )
+        rule_set = limited(self.most)
+        grants = self.ledger.grants_for(
+            self.now_us, [(requester, request.stated)], rule_set.limits
+        )[0]
         grant = LeaseGrant(
-            ask.number,
-            self.edition,
-            "" if ask.edition == self.edition else wanted.text(),
+            request.number,
+            self.revision,
+            "" if request.edition == self.revision else rule_set.text(),
             LEASE,
             1,
             0,
             "",
             0,
-            rights,
-            reign=self.reign,
+            grants,
+            reign=self.term,
         )
-        self.mail.append(replace(message, grant=grant))
+        self.messages.append(replace(message, grant=grant))
 
     def deliver_grant(self, message: Message) -> None:
         placer = self.placers[message.name]
-        if placer.holding.local.incarnation == message.life and message.grant is not None:
-            placer.holding.on_grant(self.now_us, "v", message.grant)
-            self.found["given"] += sum(placer.holding.quotas.shares.values())
+        if (
+            placer.lease_client.local.incarnation == message.incarnation
+            and message.grant is not None
+        ):
+            placer.lease_client.on_grant(self.now_us, "v", message.grant)
+            self.event_counts["given"] += sum(placer.lease_client.quotas.shares.values())
 
     def get(self, name: str, wants: int, moves: bool = True, to_placer: bool = True) -> None:
-        """An ask and its answer without trouble; and what is due is decided."""
+        """A request and its response without a fault; then a due entry is proposed and decided."""
         self.ask(name, wants)
-        self.deliver_request(self.mail.pop())
-        if to_placer and self.mail:
-            self.deliver_grant(self.mail.pop())
+        self.deliver_request(self.messages.pop())
+        if to_placer and self.messages:
+            self.deliver_grant(self.messages.pop())
         if moves:
             self.now_us += MOVE_INTERVAL_US
             self.move()
@@ -184,45 +193,45 @@
         for each in self.proposed:
             for voter in self.voters:
                 voter.apply(each.kind, each.value)
-            self.found["moves"] += 1
+            self.event_counts["moves"] += 1
         self.proposed = []
 
     @rule(rarely=st.integers(0, 3), same=st.booleans(), lost=st.booleans())
     def may_change_leader(self, rarely: int, same: bool, lost: bool) -> None:
         if not rarely:
             self.elect(self.leader if same else 1 - self.leader, lost)
-            self.found["leaders"] += 1
+            self.event_counts["leaders"] += 1
 
     def elect(self, leader: int, lost: bool) -> None:
         self.ledger.on_leadership_change(self.now_us, False)
         if lost:
             self.proposed = []
         self.decide()
-        self.leader, self.reign = leader, self.reign + 1
+        self.leader, self.term = leader, self.term + 1
         text = self.ledger.snapshot()
         self.ledger.restore(text)
         assert self.ledger.snapshot() == text == self.voters[1 - leader].snapshot()
-        self.ledger.on_leadership_change(self.now_us, True, self.reign)
+        self.ledger.on_leadership_change(self.now_us, True, self.term)
 
     @rule(rarely=st.integers(0, 5), most=st.sampled_from((3, LIMIT)))
     def may_change(self, rarely: int, most: int) -> None:
         if not rarely:
-            self.edition, self.most = self.edition + 1, most
+            self.revision, self.most = self.revision + 1, most
 
     # -- tasks
 
     @rule(name=st.sampled_from(NAMES), count=st.integers(1, 6))
     def start(self, name: str, count: int) -> None:
         placer = self.placers[name]
-        account = placer.holding.quotas
+        account = placer.lease_client.quotas
         if self.now_us < placer.until_us and account.limits:
             if account.has_capacity(self.now_us, STANDING.key, count):
                 placer.standing += count
-                self.found["standing"] += count
+                self.event_counts["standing"] += count
             if account.has_capacity(self.now_us, RATE.key, count):
                 account.record_use(self.now_us, RATE.key, count)
                 self.starts += [self.now_us] * count
-                self.found["starts"] += count
+                self.event_counts["starts"] += count
 
     @rule(name=st.sampled_from(NAMES), count=st.integers(1, 6))
     def end(self, name: str, count: int) -> None:
@@ -239,15 +248,15 @@
             self.die(name)
 
     def die(self, name: str) -> None:
-        """What it ran goes on for as long as tasks of this limit may."""
+        """Kill a placer; its tasks run on for as long as the limit's `stranded` time permits."""
         if self.placers[name].standing:
             self.orphans.append((self.now_us + STRANDED - 1, self.placers[name].standing))
-        self.found["deaths"] += 1
+        self.event_counts["deaths"] += 1
         self.start_placer(name)
 
     @invariant()
     def limits_hold(self) -> None:
-        # One that is out of touch keeps what it runs, which counts for `stranded` alone.
+        # A placer out of contact keeps its running tasks, but they count only for the `stranded` time.
         lost = [
             each
             for each in self.placers.values()
@@ -267,14 +276,14 @@
 
 
 def holds_all(fleet: Fleet) -> None:
-    """`a` holds the whole."""
+    """`a` holds the whole limit."""
     for name, wants in (("a", 6), ("b", 0), ("c", 0)) * 8:
         fleet.get(name, wants)
     fleet.get("a", 6)
 
 
 def uses_all(fleet: Fleet) -> None:
-    """`a` uses it too."""
+    """`a` holds the whole limit, and uses all of it."""
     holds_all(fleet)
     fleet.start("a", 6)
     assert fleet.placers["a"].standing == 6, fleet.ledger.allocations
@@ -288,4 +297,4 @@
     fleet.limits_hold()
 
 
-Story = Callable[[Any], None]
+Scenario = Callable[[Any], None]
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -1,4 +1,4 @@
-"""Allocations in the log: moves computed on another state, limits that change, recovery, bounds."""
+"""Allocations in the log: moves computed on another state, changed limits, recovery, bounds."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def share(fleet: Fleet, name: str) -> int:
-    return fleet.placers[name].holding.quotas.shares.get(STANDING.key, 0)
+    return fleet.placers[name].lease_client.quotas.shares.get(STANDING.key, 0)
 
 
 def test_new_leader_grants_each_placer_its_allocation_with_the_first_response() -> None:
@@ -45,7 +45,7 @@
     fleet.elect(1, True)
     for name in ("a", "b"):
         fleet.get(name, 2, moves=False)
-        assert share(fleet, name) == held[name], "one that is down holds nobody up"
+        assert share(fleet, name) == held[name], "a placer that is down must not delay the others"
 
 
 def test_allocation_of_a_silent_placer_is_reclaimed_only_after_lease_and_lag() -> None:
@@ -124,7 +124,7 @@
         for name, wants in (("b", 6), ("a", 0), ("c", 0)):
             fleet.get(name, wants)
             assert sum(share(fleet, each) for each in NAMES) <= max(3, share(fleet, "a") + 1)
-    assert share(fleet, "b") == 1, "one is left of three"
+    assert share(fleet, "b") == 1, "`a` still uses two of three"
 
 
 def test_unlisted_limit_keeps_its_allocations_while_any_can_be_in_use() -> None:
@@ -194,17 +194,17 @@
     fleet = Fleet()
     uses_all(fleet)
     fleet.get("a", 0)
-    told = fleet.ledger.accounts(fleet.now_us, limited(LIMIT).limits)
-    assert [each["limit"] for each in told] == [RATE.key, STANDING.key]
-    assert told[1]["free"] == 0
-    assert {each["placer"]: each["uses"] for each in told[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
+    accounts = fleet.ledger.accounts(fleet.now_us, limited(LIMIT).limits)
+    assert [each["limit"] for each in accounts] == [RATE.key, STANDING.key]
+    assert accounts[1]["free"] == 0
+    assert {each["placer"]: each["uses"] for each in accounts[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
 
 
-# -- on the virtual clock: who is in touch with a majority misses no grant
+# -- on the virtual clock: a placer in contact with a majority misses no grant
 
 
 def test_leader_change_rarely_costs_a_lease() -> None:
-    looks = missed = 0
+    attempts = missed = 0
     for seed in range(1, 13):
         assembly = founded(5, 3, seed=seed)
         assembly.run(assembly.now_us + 3 * SECOND)
@@ -213,11 +213,13 @@
         assembly.kill(leader)
         assembly.refused = assembly.acts = 0
         assembly.run(assembly.now_us + Timing().reacquire_us())
-        looks, missed = looks + assembly.acts + assembly.refused, missed + assembly.refused
+        attempts, missed = attempts + assembly.acts + assembly.refused, missed + assembly.refused
         assembly.refused = 0
         assembly.run(assembly.now_us + 3 * SECOND)
-        assert assembly.refused == 0, f"seed {seed}: within the stated time all act again"
-    assert missed <= 0.02 * looks, f"{missed} of {looks}"
+        assert assembly.refused == 0, (
+            f"seed {seed}: a placer has no lease after the reacquisition time"
+        )
+    assert missed <= 0.02 * attempts, f"{missed} of {attempts}"
 
 
 @pytest.mark.parametrize("one_way", [False, True])
@@ -238,7 +240,7 @@
     assembly.cut = lambda a, b: False
     assembly.run(assembly.now_us + 15 * SECOND)
     assert assembly.members[member].lease_client.selector.relay == "", (
-        "the leader itself is asked again"
+        "requests do not go to the leader directly again"
     )
 
 
--- a/tests/decide/quotas/test_entries.py
+++ b/tests/decide/quotas/test_entries.py
@@ -1,4 +1,4 @@
-"""The JSON form of the entry that moves allocations, and what cannot be read."""
+"""The JSON form of the entry that moves allocations, and rejection of invalid entries."""
 
 from __future__ import annotations
 
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -1,4 +1,4 @@
-"""Quotas in escrow: fair shares, and limits that hold whatever is lost, duplicated, late, stopped or restarted."""
+"""Quotas in escrow: fair shares, and limits that hold under lost, duplicated and late messages, stops and restarts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     STANDING,
     STRANDED,
     Fleet,
-    Story,
+    Scenario,
     holds_all,
     then_b_uses_its_share,
     uses_all,
@@ -37,7 +37,9 @@
     assert sum(parts.values()) >= min(total, sum(wants.values()))
     for name, part in parts.items():
         if part < wants[name]:
-            assert all(other <= part + 1 or other <= wants[who] for who, other in parts.items())
+            assert all(
+                other <= part + 1 or other <= wants[holder] for holder, other in parts.items()
+            )
 
 
 def test_unbounded_demand_leaves_to_others_their_fair_share() -> None:
@@ -56,38 +58,38 @@
 
 
 def test_limits_hold_under_any_schedule() -> None:
-    Fleet.found = Counter()
+    Fleet.event_counts = Counter()
     run(Fleet, settings=SETTINGS)
     assert (
         min(
-            Fleet.found[each]
+            Fleet.event_counts[each]
             for each in ("given", "standing", "starts", "deaths", "leaders", "moves")
         )
         >= 20
-    ), Fleet.found
+    ), Fleet.event_counts
 
 
-# -- errors, each with the story that shows it
+# -- planted errors, each with the scenario that exposes it
 
 
 class NoLag(AllocationLedger):
-    """Planted: what has expired is free at once."""
+    """Planted: an expired allocation is reclaimed before its lag has passed."""
 
     def _lease_end_us(self, name: str) -> int:
         return super()._lease_end_us(name) - STRANDED
 
 
 class NoOutstanding(AllocationLedger):
-    """Planted: what a former incarnation had is reclaimed at once."""
+    """Planted: the allocation of a former incarnation is reclaimed at once."""
 
     def _is_reclaimed(self, *_: Any) -> bool:
         return True
 
 
 class OneIncarnation(AllocationLedger):
-    """Planted: a new incarnation is taken for the one before."""
+    """Planted: a new incarnation is mistaken for the one before."""
 
-    def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
+    def grants_for(self, now_us: int, requests: Any, limits: Any) -> Any:
         return super().grants_for(
             now_us,
             [
@@ -97,27 +99,27 @@
                         incarnation=1,
                         sequence=requester.incarnation * 10**6 + requester.sequence,
                     ),
-                    said,
+                    reports,
                 )
-                for requester, said in asks
+                for requester, reports in requests
             ],
             limits,
         )
 
 
 class AnyTerm(AllocationLedger):
-    """Planted: a request that was sent to an earlier leader proves what its sender holds."""
+    """Planted: a request that was sent to an earlier leader counts as proof of what its sender holds."""
 
-    def grants_for(self, now_us: int, asks: Any, limits: Any) -> Any:
+    def grants_for(self, now_us: int, requests: Any, limits: Any) -> Any:
         return super().grants_for(
             now_us,
-            [(replace(requester, term=self.term), said) for requester, said in asks],
+            [(replace(requester, term=self.term), reports) for requester, reports in requests],
             limits,
         )
 
 
 class AtOnce(AllocationLedger):
-    """Planted: a size that is lowered counts as lowered without any proof."""
+    """Planted: the reserved amount is lowered together with the size, without proof."""
 
     def _plan(self, *args: Any) -> Any:
         for each in self._leader.contacts.values():
@@ -130,7 +132,7 @@
 
 
 class Forgetful(AllocationLedger):
-    """Planted: a new leader knows nothing of allocations."""
+    """Planted: a new leader starts without the decided allocations."""
 
     def on_leadership_change(self, now_us: int, is_leader: bool, term: int = 0) -> None:
         super().on_leadership_change(now_us, is_leader, term)
@@ -139,7 +141,7 @@
 
 
 class AnyAnswer(LeaseClient):
-    """Planted: a account takes answers to asks before its latest."""
+    """Planted: an account accepts responses to requests before its latest."""
 
     def on_grant(self, now_us: int, ident: str, grant: Any) -> Any:
         self._last_request_number, number = grant.number, self._last_request_number
@@ -178,13 +180,13 @@
 
 
 def late_report(fleet: Fleet) -> None:
-    """`a` states little to a first leader, and gets more of a second before the first, elected again, hears of it."""
+    """Two reports of little use by `a` reach a re-elected leader late, after another leader has granted `a` more."""
     for name in NAMES * 3:
         fleet.get(name, 1)
     fleet.ask("a", 0)
     fleet.ask("a", 0)
-    late = fleet.mail[-2:]
-    fleet.mail.clear()
+    late = fleet.messages[-2:]
+    fleet.messages.clear()
     fleet.elect(1, True)
     for name, wants in (("a", 6), ("b", 0), ("c", 0)) * 8:
         fleet.get(name, wants)
@@ -197,7 +199,7 @@
 
 
 def demanded_elsewhere(fleet: Fleet) -> None:
-    """`a` may use all, and does so only after `b` has asked for its part."""
+    """`a` holds the whole limit, and uses it only after `b` has demanded a share."""
     holds_all(fleet)
     for _ in range(3):
         fleet.get("b", 6)
@@ -211,19 +213,19 @@
 
 
 def late_answer(fleet: Fleet) -> None:
-    """`a` is given much, asks again before it hears of that, and gives it back by that ask."""
+    """`a` requests again before a large grant arrives; the later request releases the share, then the grant arrives."""
     for name, wants in (("b", 6), ("a", 0), ("c", 0)) * 8:
         fleet.get(name, wants)
     for _ in range(4):
         fleet.get("b", 0)
         fleet.get("b", 0)
         fleet.get("a", 6, to_placer=False)
-    late = fleet.mail[-1]
+    late = fleet.messages[-1]
     for _ in range(3):
         fleet.get("b", 6)
         fleet.get("a", 0, to_placer=False)
     fleet.get("b", 6)
-    fleet.start("b", fleet.placers["b"].holding.quotas.shares[STANDING.key])
+    fleet.start("b", fleet.placers["b"].lease_client.quotas.shares[STANDING.key])
     fleet.deliver_grant(late)
     fleet.start("a", 4)
 
@@ -237,15 +239,15 @@
         fleet.get("b", 6)
     fleet.start("b", 4)
     fleet.ask("a", 6)
-    fleet.deliver_request(fleet.mail.pop())
-    early = fleet.mail.pop()
+    fleet.deliver_request(fleet.messages.pop())
+    early = fleet.messages.pop()
     fleet.ask("a", 6)
     fleet.deliver_grant(early)
     fleet.start("a", 6)
 
 
 @pytest.mark.parametrize(
-    ("planted", "story"),
+    ("planted", "scenario"),
     [
         (NoLag, silent),
         (NoOutstanding, restarted),
@@ -257,9 +259,9 @@
         (Stale, expired),
     ],
 )
-def test_planted_error_exceeds_a_limit(planted: Any, story: Story) -> None:
+def test_planted_error_exceeds_a_limit(planted: Any, scenario: Scenario) -> None:
     def play(fleet: Fleet) -> None:
-        story(fleet)
+        scenario(fleet)
         then_b_uses_its_share(fleet)
 
     play(Fleet())
--- a/tests/decide/quotas/test_escrow_model.py
+++ b/tests/decide/quotas/test_escrow_model.py
@@ -1,4 +1,4 @@
-"""The model of grants, steps and floors, explored whole; errors that are planted in it are found."""
+"""Exhaustive exploration of the model of grants, steps and floors, which also finds planted errors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_contradicting_versions_are_never_in_use_together() -> None:
-    """With two placers: the leader waits for each of them, so that a third one only makes it wait longer."""
+    """Two placers suffice: the leader waits for each of them, so a third one only makes it wait longer."""
     found = explore(Plan(2))
     print(f"{found.states} states")
     assert found.way == ()
--- a/tests/decide/rulesets/test_entries.py
+++ b/tests/decide/rulesets/test_entries.py
@@ -1,4 +1,4 @@
-"""The JSON forms of entries that change the agreed rule sets."""
+"""JSON forms of the log entries that change the agreed rule sets."""
 
 from __future__ import annotations
 
--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -1,4 +1,4 @@
-"""How rule sets compare: an order with a meet, field by field; what is wrong with one is said in words."""
+"""Rule sets: their partial order and intersection, the differences between two, and the faults of invalid ones."""
 
 from __future__ import annotations
 
@@ -104,13 +104,13 @@
 
 @given(SETS, SETS)
 def test_intersection_allows_only_what_both_allow(a: RuleSet, b: RuleSet) -> None:
-    met = intersection(a, b)
-    assert allows(met, a)
-    assert allows(met, b)
-    assert intersection(b, a) == met
+    common = intersection(a, b)
+    assert allows(common, a)
+    assert allows(common, b)
+    assert intersection(b, a) == common
     if allows(a, b):
-        assert allows(met, a), "nothing is added"
-        assert allows(a, met), "nothing is lost where one is within the other"
+        assert allows(common, a), "the intersection must not allow more"
+        assert allows(a, common), "if `b` allows all of `a`, the intersection must too"
 
 
 @given(SETS, SETS, SETS)
@@ -150,9 +150,9 @@
 
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
 def test_equal_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
-    cut = dict(equal_shares(offers, tuple(names)))
-    assert sum(cut.values()) == offers
-    assert max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
+    shares = dict(equal_shares(offers, tuple(names)))
+    assert sum(shares.values()) == offers
+    assert max(shares.values(), default=0) - min(shares.values(), default=0) <= 1
 
 
 @pytest.mark.parametrize(
