--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -43,7 +43,7 @@
 
     lease_client: LeaseClient
     standing: int = 0
-    wants: int = 0
+    demand: int = 0
 
     @property
     def until_us(self) -> int:
@@ -98,7 +98,7 @@
         lease_client.start(self.now_us)
         placer = self.placers[name] = Placer(lease_client)
         lease_client.quotas.in_use = lambda key: placer.standing
-        lease_client.quotas.demand = lambda key: placer.wants
+        lease_client.quotas.demand = lambda key: placer.demand
 
     @property
     def ledger(self) -> AllocationLedger:
@@ -115,7 +115,7 @@
     @rule(name=st.sampled_from(NAMES), wants=st.integers(0, 20))
     def ask(self, name: str, wants: int) -> None:
         placer = self.placers[name]
-        placer.wants = wants
+        placer.demand = wants
         request, _, _ = placer.lease_client.next_request(self.now_us, "v")
         self.messages.append(
             Message(name, placer.lease_client.local.incarnation, self.leader, request)
@@ -265,7 +265,9 @@
         running = sum(each.standing for each in self.placers.values()) + sum(
             count for _, count in self.orphans
         )
-        assert running - sum(each.standing for each in lost) <= LIMIT, f"{running} stand"
+        assert running - sum(each.standing for each in lost) <= LIMIT, (
+            f"{running} in use exceed the standing limit"
+        )
         assert sum(at > self.now_us - WINDOW for at in self.starts) <= LIMIT, (
             f"{len(self.starts)} within the window"
         )
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -266,5 +266,5 @@
 
     play(Fleet())
     where = "ledgers" if issubclass(planted, AllocationLedger) else "clients"
-    with pytest.raises(AssertionError, match="stand"):
+    with pytest.raises(AssertionError, match="exceed the standing limit"):
         play(type(planted.__name__, (Fleet,), {where: planted})())
