--- a/tests/decide/federation/test_size.py
+++ b/tests/decide/federation/test_size.py
@@ -20,7 +20,7 @@
     from_text,
 )
 from wingbarrow.peers.message import MAX_ENVELOPE_BYTES, encode_envelope, encode_message
-from wingbarrow.peers.ruleset_settings import rules_of
+from wingbarrow.peers.ruleset_settings import requested_rule_set
 
 PLACES = ("eu-north-1", "eu-south-1", "us-east-1", "us-west-2", "ap-south-1", "ap-east-1")
 
@@ -67,7 +67,7 @@
 
 
 def test_the_maximum_of_specs_and_data_sets_is_accepted() -> None:
-    rules = rules_of(load_text(largest_settings()))
+    rules = requested_rule_set(load_text(largest_settings()))
     assert (len(rules.federation.specs), len(rules.federation.datasets)) == (
         s.MAX_SPECS,
         s.MAX_DATASETS,
--- a/tests/peers/test_drains_agreed.py
+++ b/tests/peers/test_drains_agreed.py
@@ -1,4 +1,4 @@
-"""Windows and drains on which placers agree, and hard changes of rules, on a virtual clock, judged at the sockets."""
+"""Agreed windows, drains and changes of rules under load, on a virtual clock, checked at the sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers.stage import RULES, Agreeing
+from tests.peers.stage import RULES, AgreementStage
 from tests.stage import S
 from wingbarrow.decide.rulesets.versions import RECOVERED
 from wingbarrow.lab.cluster import PlacerSlot
@@ -18,8 +18,8 @@
 DRAINS = "/apis/wingbarrow.io/v1/drains"
 
 
-class Draining(Agreeing):
-    """With work at all placers."""
+class DrainStage(AgreementStage):
+    """A fleet with work at all placers."""
 
     def phase(self, slot: PlacerSlot, machine: str) -> str:
         assert slot.service is not None
@@ -63,34 +63,36 @@
         }
 
     def propose(self, ident: str, **changes: Any) -> tuple[int, dict[str, Any]]:
-        return self.ask(self.leader(), "POST", {"ident": ident, "rules": self.changed(**changes)})
+        return self.ask(
+            self.leader(), "POST", {"ident": ident, "rules": self.latest_rules(**changes)}
+        )
 
 
 def test_drain_requested_at_one_placer_is_agreed_by_all_and_cancelled_at_another() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
         other = next(slot for slot in stage.cluster.placers if slot is not stage.leader())
-        wanted = {"machine": "node-2", "lasts": "10m"}
-        status, told = stage.ask(other, "POST", wanted, DRAINS)
-        assert (status, told["name"]) == (307, stage.leader().name)
-        status, told = stage.ask(stage.leader(), "POST", wanted, DRAINS)
+        request = {"machine": "node-2", "lasts": "10m"}
+        status, answer = stage.ask(other, "POST", request, DRAINS)
+        assert (status, answer["name"]) == (307, stage.leader().name)
+        status, answer = stage.ask(stage.leader(), "POST", request, DRAINS)
         assert status == 201
-        assert told["version"] == 2
-        assert told["floors"] == []
+        assert answer["version"] == 2
+        assert answer["floors"] == []
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
-        again = stage.ask(stage.leader(), "POST", wanted, DRAINS)
-        assert (again[0], again[1]["key"]) == (200, told["key"]), (
-            "its answer may be lost: it is taken once"
+        repeated = stage.ask(stage.leader(), "POST", request, DRAINS)
+        assert (repeated[0], repeated[1]["key"]) == (200, answer["key"]), (
+            "a repeated request is accepted once, as its first answer may be lost"
         )
         assert stage.ask(stage.leader())[1]["version"] == 2
-        assert stage.ask(stage.leader(), "POST", {**wanted, "machine": "none"}, DRAINS)[0] == 409
+        assert stage.ask(stage.leader(), "POST", {**request, "machine": "none"}, DRAINS)[0] == 409
         since = stage.hub.now_us()
         stage.work(4, "drained")
         assert not stage.sent("node-2", since)
-        # One that comes back without what it had saved closes it before anything is sent.
+        # A placer that restarts without its saved drains must close the machine before it sends an offer.
         back = stage.cluster.placers[4]
         back.kill()
         stage.hub.sleep(S)
@@ -99,7 +101,7 @@
         stage.work(4, "back")
         assert stage.phase(back, "node-2") == "draining"
         assert not stage.sent("node-2", since)
-        # A proposal from a file says nothing of drains that were asked for; a change by hand keeps them too.
+        # A proposal from a file contains no requested drains; they must be kept nevertheless.
         assert stage.propose("bars", barred=["node-0"])[0] == 201
         stage.hub.sleep(4 * S)
         assert stage.everywhere("node-2", "draining")
@@ -115,7 +117,7 @@
 
 
 def test_window_removed_at_the_last_second_and_added_again_applies_to_all() -> None:
-    stage = Draining(machines=4, placers=3)
+    stage = DrainStage(machines=4, placers=3)
 
     def script() -> None:
         stage.join()
@@ -131,7 +133,7 @@
         assert stage.wait(lambda: stage.everywhere("node-1", "running"), 5)
         stage.hub.sleep(20 * S)
         assert stage.everywhere("node-1", "running"), (
-            "one that planned it later than it was taken back leaves it too"
+            "a placer that plans the drain after its cancellation must not apply it"
         )
         assert stage.propose("again", cancelled=[])[0] == 201
         assert stage.wait(lambda: stage.everywhere("node-1", "draining"), 5)
@@ -142,7 +144,7 @@
 
 
 def test_placer_without_rules_moves_no_tasks() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
@@ -156,10 +158,10 @@
         assert stage.wait(lambda: stage.phase(alone, "node-1") == "draining", 15)
         for slot in stage.cluster.placers[:3]:
             slot.kill()
-        assert stage.wait(lambda: stage.label(alone) == "", 10)
+        assert stage.wait(lambda: stage.rules_label(alone) == "", 10)
         moved = alone.service.placer.context.counts["drain_moves"]
         stage.hub.sleep(15 * S)
-        assert stage.label(alone) == ""
+        assert stage.rules_label(alone) == ""
         assert alone.service.placer.context.counts["drain_moves"] == moved
         assert stage.phase(alone, "node-1") == "draining"
 
@@ -167,35 +169,35 @@
 
 
 def test_drain_under_a_floor_is_accepted_with_the_floors_time() -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        floor = {**stage.changed(), "cold_shares": [], "attempts_most": 2}
+        floor = {**stage.latest_rules(), "cold_shares": [], "attempts_most": 2}
         assert (
             stage.ask(stage.leader(), "POST", {"ident": "f", "rules": floor, "lastsUs": 60 * S})[0]
             == 201
         )
         stage.hub.sleep(2 * S)
-        status, told = stage.ask(
+        status, answer = stage.ask(
             stage.leader(), "POST", {"machine": "node-2", "lasts": "10m"}, DRAINS
         )
         assert status == 201
-        assert told["floors"] == [{"number": 1, "lastsUs": 60 * S}]
+        assert answer["floors"] == [{"number": 1, "lastsUs": 60 * S}]
         assert stage.wait(lambda: stage.everywhere("node-2", "draining"), 5)
         for slot in stage.cluster.placers[:3]:
             slot.kill()
         stage.hub.sleep(4 * S)
         alone = stage.cluster.placers[4]
-        assert stage.label(alone) == "f1"
-        assert stage.phase(alone, "node-2") == "draining", "known before, it goes on"
+        assert stage.rules_label(alone) == "f1"
+        assert stage.phase(alone, "node-2") == "draining", "a drain known before the loss continues"
 
     stage.play(script)
 
 
 def test_spread_is_lowered_while_services_run_at_more() -> None:
-    stage = Draining(machines=3, placers=3)
+    stage = DrainStage(machines=3, placers=3)
 
     def script() -> None:
         stage.join()
@@ -203,11 +205,11 @@
         for number in range(6):
             stage.submit(f"stands-{number}", service="one", runs_s=60, patience_s=5)
         stage.hub.sleep(2 * S)
-        stood = len(stage.seen("offer"))
-        assert stood >= 3
+        offers = len(stage.seen("offer"))
+        assert offers >= 3
         classes = [
             {**each, "spread_most": 2} if each["name"] == "web" else each
-            for each in stage.changed()["classes"]
+            for each in stage.latest_rules()["classes"]
         ]
         assert stage.propose("t", classes=classes)[0] == 201
         assert stage.wait(lambda: stage.all_on("e2"), 5)
@@ -216,30 +218,30 @@
             stage.submit(f"more-{number}", service="one", runs_s=60, patience_s=2)
         stage.hub.sleep(4 * S)
         assert not [each for each in stage.seen("offer") if each.at_us > since], (
-            "no cell has room under the new most"
+            "no cell has capacity under the new limit"
         )
-        standing = [
+        running = [
             each
             for each in stage.jobs()
             if each["metadata"]["name"].startswith("stands") and each["status"].get("ready")
         ]
-        assert len(standing) == 6, "what stands is not stopped"
+        assert len(running) == 6, "running tasks are not stopped"
 
     stage.play(script)
 
 
 def test_placer_joins_the_cold_budget_while_a_zone_warms_up() -> None:
-    stage = Draining(machines=4, placers=4)
+    stage = DrainStage(machines=4, placers=4)
     offers: list[int] = []
     since: list[int] = []
 
     def script() -> None:
         stage.join()
         assert stage.wait(lambda: stage.all_on("e1"))
-        offers.append(sum(share for _, share in stage.changed()["cold_shares"]))
+        offers.append(sum(share for _, share in stage.latest_rules()["cold_shares"]))
         three = [[f"placer-{index}", offers[0] // 3] for index in range(3)]
         assert stage.propose("three", cold_shares=three)[0] == 201
-        assert stage.wait(lambda: stage.all_on("e3"), 8), "by what both allow"
+        assert stage.wait(lambda: stage.all_on("e3"), 8), "after the step that both rule sets allow"
         hall = [machine for machine in stage.cluster.machines if machine.build.zone == "hall-a"]
         for machine in hall:
             machine.die()
@@ -266,7 +268,7 @@
 
 
 def test_fleet_goes_on_without_a_lost_majority_of_voters(tmp_path: Path) -> None:
-    stage = Draining(machines=4, placers=5)
+    stage = DrainStage(machines=4, placers=5)
     files: dict[str, Path] = {}
 
     def script() -> None:
@@ -286,9 +288,9 @@
         before = load(folder)
         assert (
             become_sole_voter(folder, left.name, RECOVERED).last_log_index == before.last_log_index
-        ), "to look changes nothing"
+        ), "loading a store does not change it"
         left.start()
-        assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules that it knew"
+        assert stage.wait(lambda: stage.all_on("e1002"), 20), "with the rules of its store"
         create(Path(stage.cluster.placers[3].state) / "rules", (left.name,))
         files["new"] = Path(stage.cluster.placers[3].state)
         taken_in = stage.cluster.placers[3]
@@ -296,17 +298,17 @@
         stage.hub.sleep(S)
         taken_in.start()
         assert left.service is not None
-        # Both seeds are down: the two find each other by those that asked who was thought dead.
+        # Both seeds are down: the two discover each other through placers that still probe dead members.
         assert stage.wait(lambda: taken_in.name in left.service.placer.peering.members, 40)
-        wanted = {"voters": [left.name, taken_in.name]}
-        assert stage.ask(stage.leader(), "POST", wanted, f"{RULES}/voters")[0] == 202
+        request = {"voters": [left.name, taken_in.name]}
+        assert stage.ask(stage.leader(), "POST", request, f"{RULES}/voters")[0] == 202
         assert stage.propose("c", barred=["node-1"])[0] == 201
         assert stage.wait(lambda: stage.all_on("e1004"), 20)
         assert stage.ask(taken_in)[1]["voters"] == [left.name, taken_in.name]
-        # One of the lost comes back with its store after all: it hears of a later term and decides nothing.
+        # A lost voter returns with its store: it receives a later term and must not decide anything.
         stage.cluster.placers[0].start()
         stage.hub.sleep(8 * S)
-        assert stage.label(stage.cluster.placers[0]) == "e1004"
+        assert stage.rules_label(stage.cluster.placers[0]) == "e1004"
         assert stage.leader() in (
             left,
             taken_in,
--- a/wingbarrow/peers/knowledge_pages.py
+++ b/wingbarrow/peers/knowledge_pages.py
@@ -1,6 +1,7 @@
-"""Knowledge of machines on the wire: pages with a digest, read with bounds; ages cross it, never times.
+"""Wire format of the knowledge of machines: pages with a digest, decoded with bounds on their content.
 
-Both sides are here: `Snapshots` cuts what a running instance knows into pages, `read_page` takes one apart.
+`Snapshots` divides the knowledge of a running instance into pages, `decode_page` decodes one. Pages contain ages and
+never absolute times, as the clocks of instances may differ.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 from wingbarrow.decide.learning import Announcement, MachineObservation
 from wingbarrow.interface import Phase
 
-FORM = 1
-PAGE = 200  # machines
-SNAPSHOTS = 4
-KEEP_US = 30_000_000
-SHARE_US = 1_000_000  # a snapshot this young serves further askers
-SERVICES_MOST = 64  # programs told of for one machine
+FORMAT_VERSION = 1
+MACHINES_PER_PAGE = 200
+MAX_SNAPSHOTS = 4
+SNAPSHOT_TTL_US = 30_000_000
+SNAPSHOT_REUSE_US = 1_000_000  # a younger snapshot also serves new readers
+MAX_SERVICES_PER_MACHINE = 64  # warm programs that a page contains for one machine
 
 
 class KnowledgePageError(ValueError):
-    """A page that cannot be used; what is wrong in words."""
+    """An invalid page or announcement; the text has the reason."""
 
 
 class WireObservation(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A machine in a page: name, version, phase, ages and figures."""
+    """A machine in a page, encoded as an array: the fields of `MachineObservation` in their order."""
 
     machine: str
     version: int
@@ -43,7 +44,7 @@
 
 
 class WireInstance(msgspec.Struct, rename="camel"):
-    """What an instance says of itself."""
+    """An instance's announcement."""
 
     ident: str
     incarnation: int
@@ -56,7 +57,7 @@
 
 
 class WirePage(msgspec.Struct, rename="camel"):
-    """A page; `digest` is over the bytes of `machines`."""
+    """A page; `digest` is the xxHash64 of the bytes of `machines`, in hexadecimal."""
 
     form: int
     snapshot: str
@@ -75,14 +76,16 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_sights: msgspec.json.Decoder[list[WireObservation]] = msgspec.json.Decoder(list[WireObservation])
-_page: msgspec.json.Decoder[WirePage] = msgspec.json.Decoder(WirePage)
-_instance: msgspec.json.Decoder[WireInstance] = msgspec.json.Decoder(WireInstance)
+_observations_decoder: msgspec.json.Decoder[list[WireObservation]] = msgspec.json.Decoder(
+    list[WireObservation]
+)
+_page_decoder: msgspec.json.Decoder[WirePage] = msgspec.json.Decoder(WirePage)
+_instance_decoder: msgspec.json.Decoder[WireInstance] = msgspec.json.Decoder(WireInstance)
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
-    """Learned shares of use, the notes behind them, and the age of the last note."""
+class UsageRatios:
+    """Ratios of used to requested resources (cores, memory), their sample counts, and the age of the last sample."""
 
     ratio: tuple[float, float]
     notes: tuple[float, float]
@@ -93,14 +96,14 @@
 class _Snapshot:
     ident: str
     taken_us: int
-    shares: Shares
-    parts: list[tuple[bytes, str, int]]  # bytes, digest, machines before it
+    usage: UsageRatios
+    parts: list[tuple[bytes, str, int]]  # encoded machines, digest, index of the first machine
     total: int
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A page as read: sights whose ages are as of `snapshot_age_us` before it was sent."""
+    """A decoded page; ages in its observations refer to its snapshot, taken `snapshot_age_us` before it was sent."""
 
     snapshot: str
     first: int
@@ -108,54 +111,59 @@
     next: str
     snapshot_age_us: int
     clock_us: int
-    shares: Shares
-    sights: list[MachineObservation]
+    usage: UsageRatios
+    observations: list[MachineObservation]
 
 
-def to_wire(sight: MachineObservation) -> WireObservation:
-    """For a page; of programs the longest trusted are told of."""
-    warm = dict(sorted(sight.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[:SERVICES_MOST])
+def to_wire(observation: MachineObservation) -> WireObservation:
+    """Convert an observation for a page; of warm programs, those that stay warm the longest are included."""
+    warm = dict(
+        sorted(observation.warm_us.items(), key=lambda pair: (-pair[1], pair[0]))[
+            :MAX_SERVICES_PER_MACHINE
+        ]
+    )
     return WireObservation(
-        sight.machine,
-        sight.version,
-        sight.phase.value,
-        sight.launched_age_us,
-        sight.asked,
-        sight.asked_age_us,
-        sight.beyond,
-        sight.measured_age_us,
+        observation.machine,
+        observation.version,
+        observation.phase.value,
+        observation.launched_age_us,
+        observation.asked,
+        observation.asked_age_us,
+        observation.beyond,
+        observation.measured_age_us,
         warm,
-        dict(sight.rests_us),
+        dict(observation.rests_us),
     )
 
 
-def encode_part(sights: Iterable[MachineObservation]) -> tuple[bytes, str]:
-    """The bytes of a page's machines, and their digest."""
-    raw = _encode([to_wire(sight) for sight in sights])
+def encode_part(observations: Iterable[MachineObservation]) -> tuple[bytes, str]:
+    """The encoded machines of a page, and their digest."""
+    raw = _encode([to_wire(observation) for observation in observations])
     return raw, xxhash.xxh64_hexdigest(raw)
 
 
 class Snapshots:
-    """A bounded number of moments of one instance's knowledge, each cut into pages once."""
+    """A bounded number of snapshots of one instance's knowledge, each divided into pages once."""
 
     def __init__(self, incarnation: int) -> None:
         self._held: OrderedDict[str, _Snapshot] = OrderedDict()
         self._count = 0
-        self._life = f"{incarnation:x}"
+        self._incarnation = f"{incarnation:x}"
 
     def page(
         self,
         token: str,
         now_us: int,
-        take: Callable[[], tuple[list[MachineObservation], Shares]],
-        turn: Callable[[], None],
+        read_knowledge: Callable[[], tuple[list[MachineObservation], UsageRatios]],
+        checkpoint: Callable[[], None],
     ) -> bytes:
-        """The page of a token, the first one of a fresh or young snapshot without; KeyError past its time.
+        """The encoded page of a continue token; without a token, the first page of a new or recent snapshot.
 
-        `turn` is called between parts: cutting many machines into pages must not hold up placing.
+        `read_knowledge` is called for a new snapshot. `checkpoint` is called between pages: encoding many machines must
+        not delay placing. Raises KeyError for an invalid token and for an expired snapshot.
         """
         for ident in [
-            each.ident for each in self._held.values() if now_us - each.taken_us > KEEP_US
+            each.ident for each in self._held.values() if now_us - each.taken_us > SNAPSHOT_TTL_US
         ]:
             del self._held[ident]
         if token:
@@ -164,66 +172,75 @@
             if not 0 <= index < len(snapshot.parts):
                 raise KeyError(token)
         else:
-            snapshot, index = self._young(now_us) or self._cut(now_us, *take(), turn), 0
+            snapshot, index = (
+                self._recent(now_us) or self._create(now_us, *read_knowledge(), checkpoint),
+                0,
+            )
         raw, digest, first = snapshot.parts[index]
-        more = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
+        next_token = f"{snapshot.ident}.{index + 1}" if index + 1 < len(snapshot.parts) else ""
         return _encode(
             WirePage(
-                FORM,
+                FORMAT_VERSION,
                 snapshot.ident,
                 first,
                 snapshot.total,
-                more,
+                next_token,
                 now_us - snapshot.taken_us,
                 now_us,
                 digest,
-                snapshot.shares.ratio,
-                snapshot.shares.notes,
-                snapshot.shares.age_us,
+                snapshot.usage.ratio,
+                snapshot.usage.notes,
+                snapshot.usage.age_us,
                 msgspec.Raw(raw),
             )
         )
 
-    def _young(self, now_us: int) -> _Snapshot | None:
+    def _recent(self, now_us: int) -> _Snapshot | None:
         newest = next(reversed(self._held.values()), None)
-        return newest if newest is not None and now_us - newest.taken_us < SHARE_US else None
+        return (
+            newest if newest is not None and now_us - newest.taken_us < SNAPSHOT_REUSE_US else None
+        )
 
-    def _cut(
+    def _create(
         self,
         now_us: int,
-        sights: list[MachineObservation],
-        shares: Shares,
-        turn: Callable[[], None],
+        observations: list[MachineObservation],
+        usage: UsageRatios,
+        checkpoint: Callable[[], None],
     ) -> _Snapshot:
         self._count += 1
         parts: list[tuple[bytes, str, int]] = []
-        for first in range(0, max(1, len(sights)), PAGE):
-            parts.append((*encode_part(sights[first : first + PAGE]), first))
-            turn()
-        snapshot = _Snapshot(f"{self._life}-{self._count}", now_us, shares, parts, len(sights))
+        for first in range(0, max(1, len(observations)), MACHINES_PER_PAGE):
+            parts.append((*encode_part(observations[first : first + MACHINES_PER_PAGE]), first))
+            checkpoint()
+        snapshot = _Snapshot(
+            f"{self._incarnation}-{self._count}", now_us, usage, parts, len(observations)
+        )
         self._held[snapshot.ident] = snapshot
-        while len(self._held) > SNAPSHOTS:
+        while len(self._held) > MAX_SNAPSHOTS:
             self._held.popitem(last=False)
         return snapshot
 
 
-def changes_line(sights: list[MachineObservation], shares: Shares, now_us: int) -> bytes:
-    """One line of the watch: what changed, as a page of its own."""
-    raw, digest = encode_part(sights)
+def encode_changes(
+    observations: list[MachineObservation], usage: UsageRatios, now_us: int
+) -> bytes:
+    """One line of the watch: the changed machines as a page of their own."""
+    raw, digest = encode_part(observations)
     return (
         _encode(
             WirePage(
-                FORM,
+                FORMAT_VERSION,
                 "",
                 0,
-                len(sights),
+                len(observations),
                 "",
                 0,
                 now_us,
                 digest,
-                shares.ratio,
-                shares.notes,
-                shares.age_us,
+                usage.ratio,
+                usage.notes,
+                usage.age_us,
                 msgspec.Raw(raw),
             )
         )
@@ -231,26 +248,32 @@
     )
 
 
-def read_page(raw: bytes, machines_most: int) -> Page:
-    """Take a page apart; BadPage says what is wrong with it, and then nothing of it counts."""
+def decode_page(raw: bytes, max_machines: int) -> Page:
+    """Decode a page of at most `max_machines` in total; raises KnowledgePageError if any part of it is invalid."""
     try:
-        page = _page.decode(raw)
+        page = _page_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise KnowledgePageError(f"no page: {str(error)[:120]}") from None
-    if page.kind != "KnowledgePage" or page.form != FORM or page.api_version != "wingbarrow.io/v1":
+        raise KnowledgePageError(f"invalid page: {str(error)[:120]}") from None
+    if (
+        page.kind != "KnowledgePage"
+        or page.form != FORMAT_VERSION
+        or page.api_version != "wingbarrow.io/v1"
+    ):
         raise KnowledgePageError(
-            f"another form: {page.kind[:40]} {page.api_version[:40]} {page.form}"
+            f"unsupported kind, API version or format: {page.kind[:40]} {page.api_version[:40]} {page.form}"
         )
     body = bytes(page.machines)
     if xxhash.xxh64_hexdigest(body) != page.digest:
-        raise KnowledgePageError("the digest is wrong")
-    if not 0 <= page.total <= machines_most or not 0 <= page.first <= page.total:
-        raise KnowledgePageError(f"{page.total} machines, {machines_most} are the most")
+        raise KnowledgePageError("the digest does not match the machines")
+    if not 0 <= page.total <= max_machines or not 0 <= page.first <= page.total:
+        raise KnowledgePageError(
+            f"page at {page.first} of {page.total} machines; at most {max_machines} are accepted"
+        )
     if page.snapshot_age_us < 0:
-        raise KnowledgePageError(f"an age of {page.snapshot_age_us}")
+        raise KnowledgePageError(f"negative snapshot age: {page.snapshot_age_us} us")
     try:
-        wire = _sights.decode(body)
-        sights = [
+        wire = _observations_decoder.decode(body)
+        observations = [
             MachineObservation(
                 each.machine,
                 each.version,
@@ -266,9 +289,14 @@
             for each in wire
         ]
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        raise KnowledgePageError(f"unreadable machines: {str(error)[:120]}") from None
-    if len(sights) > max(PAGE, page.total) or page.first + len(sights) > page.total:
-        raise KnowledgePageError("more machines than the page says")
+        raise KnowledgePageError(f"invalid machines: {str(error)[:120]}") from None
+    if (
+        len(observations) > max(MACHINES_PER_PAGE, page.total)
+        or page.first + len(observations) > page.total
+    ):
+        raise KnowledgePageError(
+            f"{len(observations)} machines at {page.first}, more than the page's total of {page.total} allows"
+        )
     return Page(
         page.snapshot[:100],
         page.first,
@@ -276,13 +304,13 @@
         page.next[:200],
         page.snapshot_age_us,
         page.clock_us,
-        Shares(page.ratio, page.notes, page.ratio_age_us),
-        sights,
+        UsageRatios(page.ratio, page.notes, page.ratio_age_us),
+        observations,
     )
 
 
-def write_instance(announcement: Announcement, address: str) -> bytes:
-    """What an instance says of itself."""
+def encode_instance(announcement: Announcement, address: str) -> bytes:
+    """Encode an announcement with the address of the instance's front."""
     return _encode(
         WireInstance(
             announcement.ident,
@@ -297,27 +325,32 @@
     )
 
 
-def read_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
-    """An announcement and the address it names; BadPage where it cannot be used."""
+def decode_instance(raw: bytes, peer: str, rtt_us: int) -> tuple[Announcement, str]:
+    """Decode an announcement and its address; raises KnowledgePageError if it is invalid.
+
+    `peer` is the address that was asked, `rtt_us` the duration of the request.
+    """
     try:
-        told = _instance.decode(raw)
+        announced = _instance_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise KnowledgePageError(f"no announcement: {str(error)[:120]}") from None
+        raise KnowledgePageError(f"invalid announcement: {str(error)[:120]}") from None
     if (
-        not 0 < len(told.ident) <= 253
-        or len(told.region) > 253
-        or len(told.cluster) > 253
-        or len(told.address) > 300
+        not 0 < len(announced.ident) <= 253
+        or len(announced.region) > 253
+        or len(announced.cluster) > 253
+        or len(announced.address) > 300
     ):
-        raise KnowledgePageError("a name that is empty or too long")
+        raise KnowledgePageError(
+            "announcement: ident is empty, or ident, region, cluster or address is too long"
+        )
     return Announcement(
         peer,
-        told.ident,
-        told.incarnation,
-        told.region,
-        told.cluster,
-        told.uptime_us,
-        told.list_age_us,
-        told.machines,
+        announced.ident,
+        announced.incarnation,
+        announced.region,
+        announced.cluster,
+        announced.uptime_us,
+        announced.list_age_us,
+        announced.machines,
         rtt_us,
-    ), told.address
+    ), announced.address
