--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -31,7 +31,7 @@
 RATE = FleetLimit("class", "web", "rate", LIMIT, WINDOW, STRANDED, NAMES)
 
 
-def limited(most: int) -> RuleSet:
+def rule_set_with_limits(most: int) -> RuleSet:
     return normalized(
         replace(rules(3), limits=(replace(STANDING, most=most), replace(RATE, most=most)))
     )
@@ -138,7 +138,7 @@
         requester = Requester(
             message.name, request.life, request.up_us, request.number, request.reign
         )
-        rule_set = limited(self.most)
+        rule_set = rule_set_with_limits(self.most)
         grants = self.ledger.grants_for(
             self.now_us, [(requester, request.stated)], rule_set.limits
         )[0]
@@ -165,7 +165,9 @@
             placer.lease_client.on_grant(self.now_us, "v", message.grant)
             self.event_counts["given"] += sum(placer.lease_client.quotas.shares.values())
 
-    def get(self, name: str, wants: int, moves: bool = True, to_placer: bool = True) -> None:
+    def renew_lease(
+        self, name: str, wants: int, moves: bool = True, to_placer: bool = True
+    ) -> None:
         """A request and its response without a fault; then a due entry is proposed and decided."""
         self.ask(name, wants)
         self.deliver_request(self.messages.pop())
@@ -178,15 +180,17 @@
 
     @rule(name=st.sampled_from(NAMES), wants=st.integers(0, 6))
     def call(self, name: str, wants: int) -> None:
-        self.get(name, wants)
-        self.get(name, wants)
+        self.renew_lease(name, wants)
+        self.renew_lease(name, wants)
 
     # -- the log
 
     @rule()
     def move(self) -> None:
         if not self.proposed:
-            self.proposed, _ = self.ledger.next_proposals(self.now_us, limited(self.most))
+            self.proposed, _ = self.ledger.next_proposals(
+                self.now_us, rule_set_with_limits(self.most)
+            )
 
     @rule()
     def decide(self) -> None:
@@ -239,15 +243,15 @@
 
     @rule(name=st.sampled_from(NAMES), wants=st.integers(1, 6), count=st.integers(1, 6))
     def work(self, name: str, wants: int, count: int) -> None:
-        self.get(name, wants)
+        self.renew_lease(name, wants)
         self.start(name, count)
 
     @rule(name=st.sampled_from(NAMES), rarely=st.integers(0, 3))
     def may_die(self, name: str, rarely: int) -> None:
         if not rarely:
-            self.die(name)
+            self.kill(name)
 
-    def die(self, name: str) -> None:
+    def kill(self, name: str) -> None:
         """Kill a placer; its tasks run on for as long as the limit's `stranded` time permits."""
         if self.placers[name].standing:
             self.orphans.append((self.now_us + STRANDED - 1, self.placers[name].standing))
@@ -280,8 +284,8 @@
 def holds_all(fleet: Fleet) -> None:
     """`a` holds the whole limit."""
     for name, wants in (("a", 6), ("b", 0), ("c", 0)) * 8:
-        fleet.get(name, wants)
-    fleet.get("a", 6)
+        fleet.renew_lease(name, wants)
+    fleet.renew_lease("a", 6)
 
 
 def uses_all(fleet: Fleet) -> None:
@@ -293,7 +297,7 @@
 
 def then_b_uses_its_share(fleet: Fleet) -> None:
     for _ in range(4):
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
         fleet.start("b", 1)
         fleet.start("b", 1)
     fleet.limits_hold()
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -17,7 +17,7 @@
     STRANDED,
     Fleet,
     S,
-    limited,
+    rule_set_with_limits,
     uses_all,
 )
 from wingbarrow.decide.coordination.messages import Timing
@@ -38,25 +38,25 @@
 def test_new_leader_grants_each_placer_its_allocation_with_the_first_response() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     held = {name: share(fleet, name) for name in NAMES}
     assert held == {"a": 2, "b": 2, "c": 2}
     fleet.now_us += 3 * S
     fleet.elect(1, True)
     for name in ("a", "b"):
-        fleet.get(name, 2, moves=False)
+        fleet.renew_lease(name, 2, moves=False)
         assert share(fleet, name) == held[name], "a placer that is down must not delay the others"
 
 
 def test_allocation_of_a_silent_placer_is_reclaimed_only_after_lease_and_lag() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     fleet.elect(1, True)
     begun = fleet.now_us
     while share(fleet, "a") <= 2:
-        fleet.get("a", 6)
-        fleet.get("b", 2)
+        fleet.renew_lease("a", 6)
+        fleet.renew_lease("b", 2)
         assert share(fleet, "a") <= 2 or fleet.now_us >= begun + LEASE + STRANDED
         assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
 
@@ -64,20 +64,20 @@
 def test_demand_moves_allocations_within_two_requests_of_each() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     for _ in range(3):
-        fleet.get("a", 0)
-        fleet.get("b", 6)
-        fleet.get("c", 0)
+        fleet.renew_lease("a", 0)
+        fleet.renew_lease("b", 6)
+        fleet.renew_lease("c", 0)
     assert share(fleet, "b") >= 4
 
 
 def test_move_computed_on_another_state_changes_nothing() -> None:
     fleet = Fleet()
-    fleet.get("a", 2, moves=False)
+    fleet.renew_lease("a", 2, moves=False)
     ledger = fleet.voters[1]
     first, second = (
-        fleet.ledger.next_proposals(fleet.now_us + later, limited(LIMIT))[0][0]
+        fleet.ledger.next_proposals(fleet.now_us + later, rule_set_with_limits(LIMIT))[0][0]
         for later in (S, 2 * S)
     )
     ledger.apply(first.kind, json.loads(json.dumps(first.value)))
@@ -117,12 +117,12 @@
     fleet.may_change(0, 3)
     for _ in range(4):
         for name, wants in (("b", 6), ("a", 0), ("c", 6)):
-            fleet.get(name, wants)
+            fleet.renew_lease(name, wants)
             assert share(fleet, "b") == share(fleet, "c") == 0
     fleet.end("a", 4)
     for _ in range(6):
         for name, wants in (("b", 6), ("a", 0), ("c", 0)):
-            fleet.get(name, wants)
+            fleet.renew_lease(name, wants)
             assert sum(share(fleet, each) for each in NAMES) <= max(3, share(fleet, "a") + 1)
     assert share(fleet, "b") == 1, "`a` still uses two of three"
 
@@ -153,7 +153,7 @@
     fleet.elect(1, True)
     begun = fleet.now_us
     while not share(fleet, "b"):
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
         fleet.now_us += S // 4
         assert not share(fleet, "b") or fleet.now_us >= begun + LEASE + STRANDED
         assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
@@ -167,7 +167,7 @@
     assert ledger.grants_for(at, [(requester, ())], [STANDING]) == [()]
     at += LEASE + STRANDED + S // 10
     ledger.grants_for(at, [(requester, ())], [STANDING])
-    assert ledger.next_proposals(at, limited(LIMIT))[0][0].value["lives"]["a"] == 0
+    assert ledger.next_proposals(at, rule_set_with_limits(LIMIT))[0][0].value["lives"]["a"] == 0
 
 
 def test_allocations_beyond_the_bound_are_rejected_and_counted(
@@ -193,8 +193,8 @@
 def test_accounts_show_free_amount_and_use_by_holder() -> None:
     fleet = Fleet()
     uses_all(fleet)
-    fleet.get("a", 0)
-    accounts = fleet.ledger.accounts(fleet.now_us, limited(LIMIT).limits)
+    fleet.renew_lease("a", 0)
+    accounts = fleet.ledger.accounts(fleet.now_us, rule_set_with_limits(LIMIT).limits)
     assert [each["limit"] for each in accounts] == [RATE.key, STANDING.key]
     assert accounts[1]["free"] == 0
     assert {each["placer"]: each["uses"] for each in accounts[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
--- a/tests/decide/quotas/test_escrow.py
+++ b/tests/decide/quotas/test_escrow.py
@@ -167,42 +167,42 @@
 
 def restarted(fleet: Fleet) -> None:
     uses_all(fleet)
-    fleet.die("a")
-    fleet.get("a", 0)
+    fleet.kill("a")
+    fleet.renew_lease("a", 0)
 
 
 def restarted_and_works(fleet: Fleet) -> None:
     uses_all(fleet)
-    fleet.die("a")
+    fleet.kill("a")
     for _ in range(3):
-        fleet.get("a", 6)
+        fleet.renew_lease("a", 6)
     fleet.start("a", 6)
 
 
 def late_report(fleet: Fleet) -> None:
     """Two reports of little use by `a` reach a re-elected leader late, after another leader has granted `a` more."""
     for name in NAMES * 3:
-        fleet.get(name, 1)
+        fleet.renew_lease(name, 1)
     fleet.ask("a", 0)
     fleet.ask("a", 0)
     late = fleet.messages[-2:]
     fleet.messages.clear()
     fleet.elect(1, True)
     for name, wants in (("a", 6), ("b", 0), ("c", 0)) * 8:
-        fleet.get(name, wants)
+        fleet.renew_lease(name, wants)
     fleet.elect(0, True)
     fleet.start("a", 6)
-    fleet.get("b", 6)
+    fleet.renew_lease("b", 6)
     for message in late:
         fleet.deliver_request(message)
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
 
 
 def demanded_elsewhere(fleet: Fleet) -> None:
     """`a` holds the whole limit, and uses it only after `b` has demanded a share."""
     holds_all(fleet)
     for _ in range(3):
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
     fleet.start("b", 3)
     fleet.start("a", 6)
 
@@ -215,16 +215,16 @@
 def late_answer(fleet: Fleet) -> None:
     """`a` requests again before a large grant arrives; the later request releases the share, then the grant arrives."""
     for name, wants in (("b", 6), ("a", 0), ("c", 0)) * 8:
-        fleet.get(name, wants)
+        fleet.renew_lease(name, wants)
     for _ in range(4):
-        fleet.get("b", 0)
-        fleet.get("b", 0)
-        fleet.get("a", 6, to_placer=False)
+        fleet.renew_lease("b", 0)
+        fleet.renew_lease("b", 0)
+        fleet.renew_lease("a", 6, to_placer=False)
     late = fleet.messages[-1]
     for _ in range(3):
-        fleet.get("b", 6)
-        fleet.get("a", 0, to_placer=False)
-    fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
+        fleet.renew_lease("a", 0, to_placer=False)
+    fleet.renew_lease("b", 6)
     fleet.start("b", fleet.placers["b"].lease_client.quotas.shares[STANDING.key])
     fleet.deliver_grant(late)
     fleet.start("a", 4)
@@ -236,7 +236,7 @@
     for _ in range(6):
         fleet.pass_time(1500)
     for _ in range(4):
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
     fleet.start("b", 4)
     fleet.ask("a", 6)
     fleet.deliver_request(fleet.messages.pop())
--- a/wingbarrow/decide/coordination/lease_client.py
+++ b/wingbarrow/decide/coordination/lease_client.py
@@ -160,7 +160,9 @@
         It is shorter if quota is short, as quota returned by others arrives with grants, and if this placer released
         quota, which becomes available to others with its next request.
         """
-        if self.quotas.limits and (self.quotas.is_short(now_us) or self._has_released_quota):
+        if self.quotas.limits and (
+            self.quotas.has_unmet_demand(now_us) or self._has_released_quota
+        ):
             return self._timing.retry_us
         return self._timing.grant_us // REQUESTS_PER_LEASE
 
--- a/wingbarrow/decide/quotas/allocations.py
+++ b/wingbarrow/decide/quotas/allocations.py
@@ -87,7 +87,7 @@
     uses: dict[str, dict[str, HolderUse]] = field(default_factory=dict)  # by limit key, by holder
     # When this leader first knew of an outstanding allocation: by limit key, holder, incarnation.
     outstanding_since_us: dict[tuple[str, str, int], int] = field(default_factory=dict)
-    # By when an incarnation has ended: by holder, incarnation.
+    # When an incarnation had ended at the latest: by holder, incarnation.
     ended_us: dict[tuple[str, int], int] = field(default_factory=dict)
     # Limits with allocations that the rule set lacks: by limit key.
     absent_limits_since_us: dict[str, int] = field(default_factory=dict)
@@ -223,7 +223,7 @@
         return [tuple(each) for each in grants]
 
     def _on_contact(self, now_us: int, requester: Requester, lag_us: int) -> bool:
-        """Record a request; return whether its reports count, which those of a late or duplicate one do not."""
+        """Record a request; return False for a late or duplicate one, whose reports do not count."""
         contacts = self._leader.contacts
         name, incarnation = requester.placer, requester.incarnation
         expires_us = lease_expiry_us(now_us, self._lease_us)
--- a/wingbarrow/decide/quotas/escrow.py
+++ b/wingbarrow/decide/quotas/escrow.py
@@ -146,7 +146,7 @@
         }
         return tuple(reports)
 
-    def is_short(self, now_us: int) -> bool:
+    def has_unmet_demand(self, now_us: int) -> bool:
         """Whether demand exceeds the share of some limit."""
         return any(each.wants > each.share for each in self.report(now_us))
 
