--- a/tests/stored/scenario.py
+++ b/tests/stored/scenario.py
@@ -344,7 +344,7 @@
             )
         }
         for name, subsystem in self.subsystems.items():
-            subsystem.restore(self.rule_set_state.chapters.get(name, ""))
+            subsystem.restore(self.rule_set_state.subsystem_snapshots.get(name, ""))
 
     def apply(self, entry: LogEntry) -> None:
         name, _, kind = entry.kind.partition("/")
@@ -427,7 +427,12 @@
         "floors": [
             (each.number, samples.read_rules(each.rules), each.lasts_us) for each in agreed.floors
         ],
-        "blocks": (blocks.serial, blocks.is_in_doubt, blocks.incarnations, blocks.allocations),
+        "blocks": (
+            blocks.serial,
+            blocks.may_have_lost_moves,
+            blocks.incarnations,
+            blocks.allocations,
+        ),
         "sessions": sessions.log,
         "turns": (
             turns.queue.last_number,
--- a/wingbarrow/cli/client.py
+++ b/wingbarrow/cli/client.py
@@ -252,13 +252,15 @@
             self._last[number] = (
                 counts
                 if counts.answers >= before.answers
-                else AnswerCounts(before.answers + counts.answers, before.bad + counts.bad)
+                else AnswerCounts(
+                    before.answers + counts.answers, before.unplaced + counts.unplaced
+                )
             )
         if not self._last and failed is not None:
             raise failed
         return AnswerCounts(
             sum(each.answers for each in self._last.values()),
-            sum(each.bad for each in self._last.values()),
+            sum(each.unplaced for each in self._last.values()),
         )
 
     @property
