--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -11,11 +11,11 @@
 from wingbarrow.core.logs import silent
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.fleet.commands import Commands
+from wingbarrow.lab.fleet.fault_injection import FaultInjector
 from wingbarrow.lab.fleet.layout import THIRD, WITNESS, Layout, Size
 from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.lab.fleet.places import Places
 from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
-from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.transport import Hub, PeerGone, Stream, VirtualClock, connect, listen
 
 S = 1_000_000
@@ -285,9 +285,9 @@
     def main() -> None:
         places = Places(hub, Size(3, 3, regions=3), tmp_path, silent)
         places.open([])
-        suffering = Suffering(places, Commands(places))
-        hub.spawn(lambda: suffering.suffer(Fault("cut-region", 0, "south", lasts_us=10 * S)))
-        hub.spawn(lambda: suffering.suffer(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
+        injector = FaultInjector(places, Commands(places))
+        hub.spawn(lambda: injector.inject(Fault("cut-region", 0, "south", lasts_us=10 * S)))
+        hub.spawn(lambda: injector.inject(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
         hub.sleep(5 * S)
         assert places.network.links["placer-0", "placer-1"].forth.cut, "south is cut off still"
         assert not places.network.links["placer-0", "placer-2"].forth.cut
--- a/wingbarrow/lab/fleet/suffering.py
+++ b/wingbarrow/lab/fleet/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults brought about: on links, processes and machines, each for its time; a method a kind."""
+"""Injection of faults into links, processes, machines and regions. One method per kind of fault."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from wingbarrow.transport import Nursery
 
 
-class Suffering:
-    """Brings faults about, and writes down when each began and ended."""
+class FaultInjector:
+    """Injects faults of a script and records when each began and ended."""
 
     def __init__(self, places: Places, commands: Commands) -> None:
         self._places, self._commands, self._hub = places, commands, places.hub
         self._worker = Worker(places, commands)
-        self._on: Counter[tuple[str, str, str]] = Counter()  # faults of one kind, by direction
+        # Faults now active, by sender, receiver and the link property that they change.
+        self._active: Counter[tuple[str, str, str]] = Counter()
 
-    def suffer(self, fault: Fault) -> None:
-        """One fault, now; returns when it is over."""
+    def inject(self, fault: Fault) -> None:
+        """Injects one fault now. Returns once the fault has ended."""
         fields = {
             "kind": fault.kind,
             "who": fault.who,
@@ -36,46 +37,51 @@
 
     # -- links
 
-    def _between(
+    def _impair_links(
         self,
         fault: Fault,
         pairs: list[tuple[str, str]],
         on: dict[str, object],
         off: dict[str, object],
     ) -> None:
-        """A fault that another one of its kind overlaps is taken back with the last of them."""
+        """Sets link properties `on` for the fault's duration, then sets `off`.
+
+        Where faults of one kind overlap on a link, `off` is set when the last of them ends.
+        """
         network, kind = self._places.network, next(iter(on))
         for sender, receiver in pairs:
-            self._on[sender, receiver, kind] += 1
+            self._active[sender, receiver, kind] += 1
             network.set(sender, receiver, **on)
         self._hub.sleep(fault.lasts_us)
         for sender, receiver in pairs:
-            self._on[sender, receiver, kind] -= 1
-            if not self._on[sender, receiver, kind]:
+            self._active[sender, receiver, kind] -= 1
+            if not self._active[sender, receiver, kind]:
                 network.set(sender, receiver, **off)
 
     def _pairs(self, fault: Fault) -> list[tuple[str, str]]:
-        one = [(fault.who, fault.other)]
-        return [*one, (fault.other, fault.who)] if fault.both else one
+        forward = [(fault.who, fault.other)]
+        return [*forward, (fault.other, fault.who)] if fault.both else forward
 
     def _cut(self, fault: Fault) -> None:
-        self._between(fault, self._pairs(fault), {"cut": True}, {"cut": False})
+        self._impair_links(fault, self._pairs(fault), {"cut": True}, {"cut": False})
 
     def _late(self, fault: Fault) -> None:
-        self._between(fault, self._pairs(fault), {"delay_us": int(fault.amount)}, {"delay_us": 0})
+        self._impair_links(
+            fault, self._pairs(fault), {"delay_us": int(fault.amount)}, {"delay_us": 0}
+        )
 
     def _slow(self, fault: Fault) -> None:
-        self._between(
+        self._impair_links(
             fault, self._pairs(fault), {"bytes_per_s": int(fault.amount)}, {"bytes_per_s": 0}
         )
 
     def _lossy(self, fault: Fault) -> None:
-        self._between(
+        self._impair_links(
             fault, self._pairs(fault), {"reset_share": fault.amount}, {"reset_share": 0.0}
         )
 
     def _twice(self, fault: Fault) -> None:
-        self._between(
+        self._impair_links(
             fault, self._pairs(fault), {"twice_share": fault.amount}, {"twice_share": 0.0}
         )
 
@@ -90,11 +96,11 @@
     def _isolate(self, fault: Fault) -> None:
         others = [name for name in self._places.names if name != fault.who]
         pairs = [(fault.who, other) for other in others] + [(other, fault.who) for other in others]
-        self._between(fault, pairs, {"cut": True}, {"cut": False})
+        self._impair_links(fault, pairs, {"cut": True}, {"cut": False})
 
     def _deafen(self, fault: Fault) -> None:
-        """It can send and not hear."""
-        self._between(
+        """Cuts all links towards one placer: it can send but not receive."""
+        self._impair_links(
             fault,
             [(other, fault.who) for other in self._places.names if other != fault.who],
             {"cut": True},
@@ -120,7 +126,7 @@
     def _kill(self, fault: Fault) -> None:
         slot = self._places.slot(fault.who)
         if slot.process is None or slot.starting:
-            return  # on a busy machine a start may last into the next fault
+            return  # on a busy machine a start may take until the next fault
         self._places.kill(slot)
         if not fault.state:
             self._places.forget(slot)
@@ -129,8 +135,8 @@
 
     # -- regions
 
-    def _across(self, fault: Fault) -> list[tuple[str, str]]:
-        """Each link from a region to another, or all others; the other way too where the fault is on both."""
+    def _region_pairs(self, fault: Fault) -> list[tuple[str, str]]:
+        """Links from the fault's region to its other region (or to all others); both directions if `fault.both`."""
         regions = self._places.layout.places
         others = (
             [fault.other] if fault.other else [region for region in regions if region != fault.who]
@@ -139,13 +145,15 @@
         return pairs + [(b, a) for a, b in pairs] * fault.both
 
     def _cut_region(self, fault: Fault) -> None:
-        self._between(fault, self._across(fault), {"cut": True}, {"cut": False})
+        self._impair_links(fault, self._region_pairs(fault), {"cut": True}, {"cut": False})
 
     def _slow_region(self, fault: Fault) -> None:
-        self._between(fault, self._across(fault), {"delay_us": int(fault.amount)}, {"delay_us": 0})
+        self._impair_links(
+            fault, self._region_pairs(fault), {"delay_us": int(fault.amount)}, {"delay_us": 0}
+        )
 
     def _kill_region(self, fault: Fault) -> None:
-        """All its placers at once, and its list source and machines where that is wanted."""
+        """Kills all placers of a region at once, and its list source and machines if the fault has `machines` set."""
         places = self._places
         slots = [places.slot(name) for name in places.layout.places[fault.who]]
         slots = [slot for slot in slots if slot.process is not None and not slot.starting]
@@ -164,17 +172,17 @@
                 nursery.spawn(lambda slot=slot: places.start(slot), "starts")  # type: ignore[misc]
 
     def _faulty(self, fault: Fault) -> None:
-        """A machine, by number, fails every start."""
+        """Makes one machine, given by its number in `amount`, fail every start of a task."""
         machines = self._places.machines
         machine = machines[int(fault.amount) % len(machines)]
         machine.faulty = True
         self._hub.sleep(fault.lasts_us)
         machine.faulty = False
 
-    # -- an operator's commands
+    # -- operator commands
 
     def _propose(self, fault: Fault) -> None:
-        """Ask a placer to change the rules; whoever leads is asked in the end, as a command would do it."""
+        """Asks a placer to change the rules. It reaches the leader in the end, as an operator's command does."""
         self._commands.propose(int(fault.amount), self._places.slot(fault.who))
 
     def _drain(self, fault: Fault) -> None:
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -12,11 +12,11 @@
 
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.lab.fleet.commands import Commands
+from wingbarrow.lab.fleet.fault_injection import FaultInjector
 from wingbarrow.lab.fleet.layout import Size
 from wingbarrow.lab.fleet.places import START_US, Places
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
-from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.lab.load import Owners, PlacerAddress
 from wingbarrow.lab.wants import Mix, Want, draw
 from wingbarrow.transport import Hub, Nursery
@@ -35,7 +35,7 @@
         self._hub, self._faults = hub, faults
         self.places = Places(hub, size, folder, log)
         self.commands = Commands(self.places)
-        self._suffering = Suffering(self.places, self.commands)
+        self._fault_injector = FaultInjector(self.places, self.commands)
         self.progress: Callable[[str], None] = lambda text: None
 
     def run(self) -> None:
@@ -106,4 +106,4 @@
     def _suffer(self, fault: Fault, begun: int) -> None:
         self._hub.sleep_until(begun + fault.at_us)
         self.progress(f"{fault.kind} {fault.who} {fault.other} for {fault.lasts_us / SECOND:.1f} s")
-        self._suffering.suffer(fault)
+        self._fault_injector.inject(fault)
