--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -234,7 +234,7 @@
         history.note("verdict", len(verdict.breaches), *leaves(verdict)[len(verdict.breaches) :])
         history.note("lost", custodyplay.lost_runs(world), custodyplay.forgotten(world))
         history.note(
-            "accepted", list(world.accepted), leaves(world.reissued), sorted(world.extinct)
+            "accepted", list(world.accepted), leaves(world.reissued), sorted(world.unrecoverable)
         )
         for begin in world.begins:
             history.note("begin", leaves(begin))
--- a/tests/decide/sessions/test_failover.py
+++ b/tests/decide/sessions/test_failover.py
@@ -31,8 +31,8 @@
     ReissueRow,
 )
 from wingbarrow.decide.sessions.session import Session
-from wingbarrow.lab.fleet.custodians import Custodians, stated_us
 from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
+from wingbarrow.lab.fleet.replica_simulation import ReplicaSimulation, reissue_bound_us
 
 S = 1_000_000
 ENDED_SESSION = Session("a", 1, 0)
@@ -225,7 +225,7 @@
     assert not lost_runs(world)
     assert not forgotten(world)
     assert verdict.reissued > 3
-    assert 0 < verdict.longest_us <= stated_us(60)
+    assert 0 < verdict.longest_us <= reissue_bound_us(60)
 
 
 @pytest.mark.parametrize("seed", range(14))
@@ -239,10 +239,10 @@
     assert verdict.starts > 5
 
 
-class UnacknowledgedSends(Custodians):
+class UnacknowledgedSends(ReplicaSimulation):
     """Injected error: a Job that must not start twice is sent before its replica holders have acknowledged it."""
 
-    careless = True
+    sends_before_ack = True
 
 
 def table_with_wrong_row(index: int) -> tuple[ReissueRow, ...]:
--- a/wingbarrow/lab/fleet/custodyplay.py
+++ b/wingbarrow/lab/fleet/custodyplay.py
@@ -8,8 +8,12 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.lab.fleet.custodians import WINDOW_US, Custodians, stated_us
 from wingbarrow.lab.fleet.leasehold import Begin
+from wingbarrow.lab.fleet.replica_simulation import (
+    KEY_WINDOW_US,
+    ReplicaSimulation,
+    reissue_bound_us,
+)
 from wingbarrow.lab.fleet.swarm import SECOND
 
 EFFECTS = ("safe", "safe", "keyed", "unsafe")
@@ -27,7 +31,7 @@
     unknown: int
 
 
-def judged(world: Custodians) -> Verdict:
+def judged(world: ReplicaSimulation) -> Verdict:
     """All that must never be, and how long what had to come took."""
     breaches: list[str] = []
     starts: dict[tuple[str, int], list[Begin]] = {}
@@ -44,7 +48,7 @@
             breaches += [
                 f"a key twice in its window: {one}, {other}"
                 for one, other in zip(every, every[1:], strict=False)
-                if one.epoch != other.epoch and other.at_us - one.at_us < WINDOW_US
+                if one.epoch != other.epoch and other.at_us - one.at_us < KEY_WINDOW_US
             ]
     longest = 0
     for at_us, uid, _, _ in world.reissued:
@@ -62,21 +66,21 @@
     )
 
 
-def lost_runs(world: Custodians) -> list[str]:
+def lost_runs(world: ReplicaSimulation) -> list[str]:
     """Accepted safe Jobs that stand nowhere now, though somebody who knows of them was there all the time."""
     running = world.running()
     return sorted(
         uid
         for uid in world.accepted
-        if uid.startswith("safe") and uid not in running | world.extinct
+        if uid.startswith("safe") and uid not in running | world.unrecoverable
     )
 
 
-def forgotten(world: Custodians) -> list[str]:
+def forgotten(world: ReplicaSimulation) -> list[str]:
     """Accepted Jobs of other effects that did not start, and that nobody has or tells as unknown, likewise."""
     known = {uid for core in world.members.values() for uid in core.knows()}
     begun = {begin.uid for begin in world.begins}
-    return sorted(uid for uid in world.accepted if uid not in begun | known | world.extinct)
+    return sorted(uid for uid in world.accepted if uid not in begun | known | world.unrecoverable)
 
 
 def loss_of_a_region(
@@ -85,34 +89,34 @@
     loss: float = 0.0,
     machines: bool = True,
     copies: int = 1,
-    world: Custodians | None = None,
-) -> Custodians:
+    world: ReplicaSimulation | None = None,
+) -> ReplicaSimulation:
     """Jobs at all placers, then a whole region is killed; time passes until all has to be well again."""
-    world = world or Custodians(seed, copies=copies, loss=loss)
+    world = world or ReplicaSimulation(seed, copies=copies, loss=loss)
     world.run(2 * SECOND)
     rng = random.Random(f"jobs/{seed}")
     for index in range(jobs):
         world.run(world.now_us + rng.randrange(100_000))
-        world.job(rng.choice(world.names), EFFECTS[index % len(EFFECTS)])
+        world.submit_job(rng.choice(world.names), EFFECTS[index % len(EFFECTS)])
     region = rng.choice(sorted(set(world.regions.values())))
-    world.lose(region, machines)
-    world.run(world.now_us + stated_us(jobs))
+    world.kill_region(region, machines)
+    world.run(world.now_us + reissue_bound_us(jobs))
     return world
 
 
 def trouble(
-    seed: int, moments: int = 25, copies: int = 2, world: Custodians | None = None
-) -> Custodians:
+    seed: int, moments: int = 25, copies: int = 2, world: ReplicaSimulation | None = None
+) -> ReplicaSimulation:
     """Loss of regions and returns, kills, stops, cuts, one-way cuts, lost and doubled mail, machines' restarts; then
     all heals."""
-    world = world or Custodians(seed, copies=copies)
+    world = world or ReplicaSimulation(seed, copies=copies)
     rng = random.Random(f"trouble/{seed}")
     world.twice = 0.1
     regions = sorted(set(world.regions.values()))
     world.run(2 * SECOND)
     for _ in range(moments):
         for _ in range(rng.randrange(6)):
-            world.job(rng.choice(world.names), rng.choice(EFFECTS))
+            world.submit_job(rng.choice(world.names), rng.choice(EFFECTS))
             world.run(world.now_us + rng.randrange(300_000))
         what, some, where = rng.random(), rng.choice(world.names), rng.choice(regions)
         if what < 0.15:
@@ -140,17 +144,17 @@
         elif what < 0.75 and some in world.members:
             world.kill(some)
         elif what < 0.82:
-            world.lose(where, rng.random() < 0.5)
+            world.kill_region(where, rng.random() < 0.5)
         elif what < 0.88:
             machine = world.machines[f"m-{some}"]
             if machine.up:
                 machine.restart(world.now_us)
         else:
             for region in regions:
-                world.back(region)
+                world.restart_region(region)
         world.run(world.now_us + rng.randrange(6 * SECOND))
     world.cut, world.loss = (lambda a, b: False), 0.0
     for region in regions:
-        world.back(region)
-    world.run(world.now_us + 3 * stated_us(500))
+        world.restart_region(region)
+    world.run(world.now_us + 3 * reissue_bound_us(500))
     return world
