--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -17,7 +17,7 @@
 from wingbarrow.lab.fleet.assembly import ACT_US
 from wingbarrow.lab.fleet.schedules import STATED_US, Broken, fine, founded, generated, rules
 from wingbarrow.lab.fleet.schedules import voters_of as voters
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def schedule(asked: tuple[int, int]) -> dict[str, Any]:
--- a/benchmarks/capacity/changes.py
+++ b/benchmarks/capacity/changes.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.results import Point
 from benchmarks.capacity.teams import mailed
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 DEFAULT_SIZES = (100, 1_000, 5_000, 14_000)
 PLACERS, PLACERS_LARGE, LARGE_FROM = 16, 64, 1_000
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -19,7 +19,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules, voters_of
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 SETTLE_US, FORCE_MOST_US, QUIET_US = 60 * SECOND, 60 * SECOND, 4 * SECOND
 STRANDED_US, WINDOW_US, COLD_WINDOW_US = 40 * SECOND, 5 * SECOND, 2 * SECOND
@@ -61,7 +61,7 @@
 
     def local(self, name: str) -> LocalPlacer:
         """Its account of limits needs its incarnation."""
-        return LocalPlacer(name, self.lives[name])
+        return LocalPlacer(name, self.incarnations[name])
 
     def make(self, name: str, now_us: int) -> Coordinator:
         """One that uses limits, with the leader's account of them timed by itself."""
@@ -87,9 +87,9 @@
     def came_into_force(self, wanted: set[str], since_us: int) -> dict[str, int]:
         """By placer when it first acted on one of these rule sets' texts, from a time on."""
         found: dict[str, int] = {}
-        for each in self.told:
-            if each.what == "rules" and each.at_us >= since_us and each.fields["rules"] in wanted:
-                found.setdefault(each.who, each.at_us)
+        for each in self.notifications:
+            if each.event == "rules" and each.at_us >= since_us and each.fields["rules"] in wanted:
+                found.setdefault(each.placer, each.at_us)
         return found
 
     def change(self, rules: RuleSet) -> list[float]:
--- a/benchmarks/capacity/metered.py
+++ b/benchmarks/capacity/metered.py
@@ -28,7 +28,7 @@
 from wingbarrow.decide.effects import Persist, Send
 from wingbarrow.decide.membership.messages import Ack, Nack, Sync
 from wingbarrow.http.server import ServerLimits
-from wingbarrow.lab.fleet.swarm import SECOND, MachineT, Virtual
+from wingbarrow.lab.fleet.simulation import SECOND, Simulation, StateMachineT
 from wingbarrow.peers.message import MessageError, decode_envelope, encode_envelope, encode_message
 from wingbarrow.peers.outbox import MAX_ADDRESSES, MAX_MESSAGE_BYTES
 
@@ -156,12 +156,12 @@
             gc.enable()
 
 
-class Metered(Virtual[MachineT]):
+class Metered(Simulation[StateMachineT]):
     """Comes before a class of placers; `meter` is to be there before their constructor runs."""
 
     meter: Meter
 
-    def make(self, name: str, now_us: int) -> MachineT:
+    def make(self, name: str, now_us: int) -> StateMachineT:
         """The machine of a new life, its calls timed."""
         made = super().make(name, now_us)
         for method in ("on_message", "on_timer", "propose"):
--- a/benchmarks/capacity/placers.py
+++ b/benchmarks/capacity/placers.py
@@ -23,7 +23,7 @@
 from wingbarrow.decide.membership.messages import MemberStatus
 from wingbarrow.decide.membership.swim import Membership
 from wingbarrow.decide.rulesets.parsing import length_faults
-from wingbarrow.lab.fleet.swarm import SECOND, Swarm
+from wingbarrow.lab.fleet.simulation import SECOND, MembershipSimulation
 
 DEFAULT_SIZES = (5, 16, 64, 170, 256, 300)
 SPAN_S, SHORT_SPAN_S = 10, 5
@@ -32,7 +32,7 @@
 PLACERS_TRIED_MOST = 1 << 13
 
 
-class Members(Metered[Membership], Swarm):
+class Members(Metered[Membership], MembershipSimulation):
     """Memberships, metered."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -90,7 +90,7 @@
     gone, begun = swarm.names[seed % len(swarm.names)], swarm.now_us
     swarm.kill(gone)
     most = 2 * swarm.rules.detection_bound_us(len(swarm.names))
-    if not swarm.run_until(lambda: swarm.all_think(gone, MemberStatus.DEAD), most):
+    if not swarm.run_until(lambda: swarm.all_see(gone, MemberStatus.DEAD), most):
         raise RuntimeError(f"{len(swarm.names)} placers, seed {seed}: a death is not found")
     times = [
         (each.at_us - begun) / SECOND
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -42,7 +42,7 @@
 from wingbarrow.decide.rulesets import parsing
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.decide.rulesets.versions import MAX_SUBSYSTEMS_CHARS
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.peers import message, message_bounds
 from wingbarrow.peers.outbox import MAX_MESSAGE_BYTES
 
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -39,7 +39,7 @@
 from wingbarrow.decide.subset_widening import SubsetWidening, is_long_wait
 from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
 from wingbarrow.lab.days import Play, play
-from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
+from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, simulation, workplay
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.record import Recorder
 from wingbarrow.peers.message import encode_message
@@ -121,7 +121,7 @@
 @contextmanager
 def observed(history: History) -> Iterator[None]:
     """Note each step of each virtual clock, and each record taken at a stand-in's sockets."""
-    act = swarm.Virtual.act
+    act = simulation.Simulation.act
 
     def noted(self: Any, name: str, effects: Iterable[Effect]) -> None:
         asked = list(effects)
@@ -135,7 +135,7 @@
         history.note(self.records[-1].at_us, where, history.word("record", what), leaves(data))
 
     with (
-        patch.object(swarm.Virtual, "act", noted),
+        patch.object(simulation.Simulation, "act", noted),
         patch.object(Recorder, "__call__", recorded),
     ):
         yield
@@ -164,9 +164,9 @@
 
 def membership(history: History, seed: int) -> None:
     """Nine placers find each other; stops, kills, returns, cuts and loss."""
-    fleet, rng = swarm.Swarm(9, seed), random.Random(f"membership/{seed}")
-    fleet.run_until(fleet.whole, 60 * S)
-    fleet.twice = 0.1
+    fleet, rng = simulation.MembershipSimulation(9, seed), random.Random(f"membership/{seed}")
+    fleet.run_until(fleet.all_alive, 60 * S)
+    fleet.duplication = 0.1
     for _ in range(14):
         what, some = rng.random(), rng.choice(fleet.names)
         side, one_way = set(rng.sample(fleet.names, rng.randrange(1, 9))), rng.random() < 0.4
@@ -188,7 +188,7 @@
         fleet.start(name)
     fleet.run(fleet.now_us + 20 * S)
     for who in fleet.names:
-        held = (fleet.standing(who, of) for of in fleet.names)
+        held = (fleet.member_status(who, of) for of in fleet.names)
         history.note("table", who, [each.value if each is not None else None for each in held])
 
 
@@ -268,22 +268,22 @@
         return self.giving.on_timer(now_us, key)
 
 
-class Handing(swarm.Virtual[Both]):
+class Handing(simulation.Simulation[Both]):
     """Two placers hand over to two others, which place or refuse at random."""
 
     def make(self, name: str, now_us: int) -> Both:
-        return Both(name, self.lives[name])
+        return Both(name, self.incarnations[name])
 
     def act(self, name: str, effects: Iterable[Effect]) -> None:
         asked = list(effects)
         super().act(name, asked)
         for each in asked:
             if not isinstance(each, Send | SetTimer | Persist) and each.event == "take":
-                later = partial(self._decide, name, self.lives[name], each.fields["ident"])
+                later = partial(self._decide, name, self.incarnations[name], each.fields["ident"])
                 self.at(self.now_us + self.random.randrange(S), later)
 
     def _decide(self, name: str, life: int, ident: str) -> None:
-        if name not in self.members or self.lives[name] != life:
+        if name not in self.members or self.incarnations[name] != life:
             return
         taking, refused = self.members[name].taking, self.random.random() < 0.3
         self.act(
@@ -294,7 +294,7 @@
             self.at(self.now_us + 2 * S, lambda: self._over(name, life, ident))
 
     def _over(self, name: str, life: int, ident: str) -> None:
-        if name in self.members and self.lives[name] == life:
+        if name in self.members and self.incarnations[name] == life:
             self.act(name, self.members[name].taking.report_status(self.now_us, ident, "done"))
 
 
@@ -303,12 +303,14 @@
     world = Handing(
         ["g0", "g1", "t0", "t1"], seed, 0.2, lambda rng: rng.choice((1, 50, 400, 2000)) * 1000
     )
-    world.twice, rng = 0.2, random.Random(f"handovers/{seed}")
+    world.duplication, rng = 0.2, random.Random(f"handovers/{seed}")
     for name in world.names:
         world.start(name)
     for turn in range(40):
         giver = f"g{rng.randrange(2)}"
-        targets = [ForwardTarget(name, world.lives[name]) for name in rng.sample(["t0", "t1"], 2)]
+        targets = [
+            ForwardTarget(name, world.incarnations[name]) for name in rng.sample(["t0", "t1"], 2)
+        ]
         ident, effects = world.members[giver].giving.begin(
             world.now_us,
             ForwardedJob("{}", "spec", rng.random() < 0.5, world.now_us + 5 * S),
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 import sys
 
 from wingbarrow.lab.fleet.holders import LIFE_US, Holders, Reach, limited, trouble
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def sizes(count: int) -> tuple[list[float], int, int]:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -10,25 +10,25 @@
 import statistics
 
 from wingbarrow.decide.membership.messages import MemberStatus
-from wingbarrow.lab.fleet.swarm import SECOND, Swarm
+from wingbarrow.lab.fleet.simulation import SECOND, MembershipSimulation
 
 QUIET_S = 60
 
 
-def settled(count: int, seed: int) -> Swarm:
-    swarm = Swarm(count, seed)
-    if not swarm.run_until(swarm.whole, 300 * SECOND, SECOND):
+def settled(count: int, seed: int) -> MembershipSimulation:
+    swarm = MembershipSimulation(count, seed)
+    if not swarm.run_until(swarm.all_alive, 300 * SECOND, SECOND):
         raise SystemExit(f"{count} placers, seed {seed}: they do not find each other")
     return swarm
 
 
-def wrong(swarm: Swarm, since_us: int, excused: set[str]) -> tuple[int, int]:
+def wrong(swarm: MembershipSimulation, since_us: int, excused: set[str]) -> tuple[int, int]:
     """Members wrongly suspected, and wrongly buried, since a time: counted once for each member."""
     found = {
         what: {
             each.fields["member"]
-            for each in swarm.told
-            if each.what == what and each.at_us >= since_us
+            for each in swarm.notifications
+            if each.event == what and each.at_us >= since_us
         }
         for what in ("suspected", "dead")
     }
@@ -48,7 +48,7 @@
     gone, begun = swarm.names[seed % count], swarm.now_us
     swarm.kill(gone)
     if not swarm.run_until(
-        lambda: swarm.all_think(gone, MemberStatus.DEAD), 2 * swarm.rules.detection_bound_us(count)
+        lambda: swarm.all_see(gone, MemberStatus.DEAD), 2 * swarm.rules.detection_bound_us(count)
     ):
         raise SystemExit(f"{count} placers, seed {seed}: a death is not found")
     times = [
@@ -80,7 +80,7 @@
     asked = parser.parse_args()
     for count in asked.sizes:
         rows = [one(count, seed) for seed in range(1, asked.seeds + 1)]
-        rules = Swarm(2, 1).rules
+        rules = MembershipSimulation(2, 1).rules
         figures = {
             key: {
                 "median": round(statistics.median(row[key] for row in rows), 2),
--- a/tests/capacity/test_placers.py
+++ b/tests/capacity/test_placers.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.metered import Meter, held_bytes
 from wingbarrow.decide.membership import member_table as table
 from wingbarrow.decide.quotas import limits
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def values(figures: list[Figure]) -> dict[tuple[str, str], float]:
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -26,7 +26,7 @@
     steps,
     trial,
 )
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 @pytest.mark.parametrize(("count", "voters"), [(1, 1), (3, 3), (5, 3), (16, 5), (64, 7)])
--- a/tests/decide/maintenance/test_queue_model.py
+++ b/tests/decide/maintenance/test_queue_model.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.maintenance.entries import decode_entry
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import AGING_PERIOD_US, SlotQueue
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 CELLS = {"a": 3, "b": 3}
 MACHINES = [f"{cell}{index}" for cell in CELLS for index in range(3)]
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -13,12 +13,12 @@
     Membership,
     SwimSettings,
 )
-from wingbarrow.lab.fleet.swarm import SECOND, Swarm
+from wingbarrow.lab.fleet.simulation import SECOND, MembershipSimulation
 
 
-def converged_swarm(count: int, seed: int = 1, loss: float = 0.0) -> Swarm:
-    swarm = Swarm(count, seed, loss=loss)
-    assert swarm.run_until(swarm.whole, 120 * SECOND), "all members see each other as alive"
+def converged_swarm(count: int, seed: int = 1, loss: float = 0.0) -> MembershipSimulation:
+    swarm = MembershipSimulation(count, seed, loss=loss)
+    assert swarm.run_until(swarm.all_alive, 120 * SECOND), "all members see each other as alive"
     return swarm
 
 
@@ -36,7 +36,7 @@
     killed, start_us = swarm.names[seed % count], swarm.now_us
     swarm.kill(killed)
     assert swarm.run_until(
-        lambda: swarm.all_think(killed, MemberStatus.DEAD), swarm.rules.detection_bound_us(count)
+        lambda: swarm.all_see(killed, MemberStatus.DEAD), swarm.rules.detection_bound_us(count)
     )
     assert {each.fields["member"] for each in swarm.deaths(start_us)} == {killed}
 
@@ -46,11 +46,11 @@
     for life in (3600 * SECOND, 5):
         swarm.kill("p003")
         assert swarm.run_until(
-            lambda: swarm.all_think("p003", MemberStatus.DEAD), swarm.rules.detection_bound_us(5)
+            lambda: swarm.all_see("p003", MemberStatus.DEAD), swarm.rules.detection_bound_us(5)
         )
-        swarm.life = life
+        swarm.next_incarnation = life
         swarm.start("p003")
-        assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(5))
+        assert swarm.run_until(swarm.all_alive, swarm.rules.healing_bound_us(5))
     assert swarm.members["p003"].incarnation > 3600 * SECOND
     assert not swarm.members["p003"].name_conflicts
     assert [swarm.members[each].table.members["p003"].restarts for each in ("p000", "p001")] == [
@@ -66,15 +66,17 @@
     swarm.cut = lambda a, b: (a in side) != (b in side)
     swarm.run(swarm.now_us + 90 * SECOND)
     assert all(
-        swarm.standing(a, b) is MemberStatus.DEAD
+        swarm.member_status(a, b) is MemberStatus.DEAD
         for a in side
         for b in swarm.names
         if b not in side
     )
-    assert all(swarm.standing(a, b) is MemberStatus.ALIVE for a in side for b in side if a != b)
+    assert all(
+        swarm.member_status(a, b) is MemberStatus.ALIVE for a in side for b in side if a != b
+    )
     swarm.cut = lambda a, b: False
     healed_us = swarm.now_us
-    assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(8))
+    assert swarm.run_until(swarm.all_alive, swarm.rules.healing_bound_us(8))
     assert not swarm.deaths(healed_us + SECOND), (
         "no live member is declared dead by outdated updates"
     )
@@ -91,7 +93,7 @@
     )
     swarm.run(start_us + 120 * SECOND)
     assert not swarm.deaths(start_us)
-    assert swarm.whole()
+    assert swarm.all_alive()
 
 
 def test_members_that_reach_each_other_through_one_member_only_stay_alive() -> None:
@@ -111,11 +113,11 @@
     assert swarm.members["p004"].local_health.score >= 4, (
         "none of its probes is acknowledged, which raises its local health score"
     )
-    assert all(swarm.standing(a, "p004") is MemberStatus.DEAD for a in swarm.names[:4]), (
+    assert all(swarm.member_status(a, "p004") is MemberStatus.DEAD for a in swarm.names[:4]), (
         "it acknowledges no ping"
     )
     swarm.cut = lambda a, b: False
-    assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(5))
+    assert swarm.run_until(swarm.all_alive, swarm.rules.healing_bound_us(5))
 
 
 @pytest.mark.parametrize("seconds", [2, 5, 20, 60])
@@ -127,7 +129,7 @@
         swarm.run(start_us + (seconds + 60) * SECOND)
         others = [each for each in swarm.deaths(start_us) if each.fields["member"] != "p002"]
         assert not others, "after a stall its suspicions are extended"
-        assert swarm.run_until(swarm.whole, swarm.rules.healing_bound_us(6))
+        assert swarm.run_until(swarm.all_alive, swarm.rules.healing_bound_us(6))
 
 
 def test_no_member_is_declared_dead_while_a_fifth_of_all_messages_is_lost() -> None:
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -28,7 +28,7 @@
 from wingbarrow.decide.quotas.limits import HOUR_US
 from wingbarrow.decide.rulesets.ruleset import normalized
 from wingbarrow.lab.fleet.schedules import founded, rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def share(fleet: Fleet, name: str) -> int:
--- a/tests/decide/regions/test_forwarding.py
+++ b/tests/decide/regions/test_forwarding.py
@@ -30,7 +30,7 @@
     ForwardStatus,
     ForwardTarget,
 )
-from wingbarrow.lab.fleet.swarm import SECOND, Virtual
+from wingbarrow.lab.fleet.simulation import SECOND, Simulation
 
 
 class ForwardingPlacer:
@@ -52,7 +52,7 @@
         return self.sender.on_timer(now_us, key)
 
 
-class ForwardingSimulation(Virtual[ForwardingPlacer]):
+class ForwardingSimulation(Simulation[ForwardingPlacer]):
     """Three placers forward to three others, which accept each Job, then place or reject it after a random time."""
 
     def __init__(self, seed: int, loss: float) -> None:
@@ -66,12 +66,12 @@
             loss,
             lambda rng: rng.choice((1, 50, 400, 2000)) * 1000,
         )
-        self.twice = 0.2
+        self.duplication = 0.2
         for name in self.names:
             self.start(name)
 
     def make(self, name: str, now_us: int) -> ForwardingPlacer:
-        return ForwardingPlacer(self, name, self.lives[name])
+        return ForwardingPlacer(self, name, self.incarnations[name])
 
     def act(self, name: str, effects: Any) -> None:
         effects = list(effects)
@@ -80,11 +80,13 @@
             if isinstance(each, Notify) and each.event == "handed":
                 self.outcomes[each.fields["ident"]].append(each.fields["state"])
             elif isinstance(each, Notify) and each.event == "take":
-                later = partial(self.place_or_reject, name, self.lives[name], each.fields["ident"])
+                later = partial(
+                    self.place_or_reject, name, self.incarnations[name], each.fields["ident"]
+                )
                 self.at(self.now_us + self.random.randrange(SECOND), later)
 
     def place_or_reject(self, name: str, life: int, ident: str) -> None:
-        if name not in self.members or self.lives[name] != life:
+        if name not in self.members or self.incarnations[name] != life:
             return
         receiver = self.members[name].receiver
         if self.random.random() < 0.3:
@@ -96,13 +98,15 @@
         self.at(
             self.now_us + 2 * SECOND,
             lambda: self.act(name, receiver.report_status(self.now_us, ident, DONE))
-            if name in self.members and self.lives[name] == life
+            if name in self.members and self.incarnations[name] == life
             else None,
         )
 
     def forward_job(self, sender: str) -> None:
         targets = [
-            ForwardTarget(name, self.lives[name]) for name in self.names if name.startswith("t")
+            ForwardTarget(name, self.incarnations[name])
+            for name in self.names
+            if name.startswith("t")
         ]
         self.random.shuffle(targets)
         is_idempotent = self.random.random() < 0.5
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -31,7 +31,7 @@
 )
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 LEASE = 10 * SECOND
 VOTER_LEASE = voter_lease_us(LEASE, MAX_TURN_US)
--- a/tests/lab/test_holders.py
+++ b/tests/lab/test_holders.py
@@ -7,7 +7,7 @@
 from wingbarrow.decide.coordination import coordinator as agreement
 from wingbarrow.decide.quotas.allocations import AllocationLedger
 from wingbarrow.lab.fleet.holders import STRANDED_US, Holders, limited, trouble
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 MOST, RATE = 30, 36
 
--- a/tests/lab/test_leaseholders.py
+++ b/tests/lab/test_leaseholders.py
@@ -11,7 +11,7 @@
 from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.decide.sessions.session_subsystem import ReplicaHolders, SessionSubsystem
 from wingbarrow.lab.fleet.leaseholders import Leaseholders, played
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def founded(count: int = 6, voters: int = 3, seed: int = 4) -> Leaseholders:
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.rulesets.comparison import allows
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
+from wingbarrow.lab.fleet.simulation import SECOND, ClockDrift, Simulation
 
 ACT_US = 10_000
 
@@ -51,7 +51,7 @@
     return Contradictions(acts, past, longest)
 
 
-class Assembly(Virtual[Coordinator]):
+class Assembly(Simulation[Coordinator]):
     """`count` placers, the first `voters` of them vote; clocks drift by up to 500 ppm and begin anywhere."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self.disks = {name: PersistentState(self.voters) for name in self.voters}
         rng = random.Random(f"clocks/{seed}")
         self.drifts = {
-            name: Drift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
+            name: ClockDrift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
             for name in self.names
         }
         self.uses: dict[int, Use] = {}
--- a/wingbarrow/lab/fleet/custodyplay.py
+++ b/wingbarrow/lab/fleet/custodyplay.py
@@ -14,7 +14,7 @@
     ReplicaSimulation,
     reissue_bound_us,
 )
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 EFFECTS = ("safe", "safe", "keyed", "unsafe")
 
@@ -111,7 +111,7 @@
     all heals."""
     world = world or ReplicaSimulation(seed, copies=copies)
     rng = random.Random(f"trouble/{seed}")
-    world.twice = 0.1
+    world.duplication = 0.1
     regions = sorted(set(world.regions.values()))
     world.run(2 * SECOND)
     for _ in range(moments):
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 TURN_US = 20_000
 STRANDED_US, WINDOW_US = 10 * SECOND, 5 * SECOND
@@ -53,7 +53,7 @@
 
     def local(self, name: str) -> LocalPlacer:
         """Its account of limits needs its incarnation."""
-        return LocalPlacer(name, self.lives[name])
+        return LocalPlacer(name, self.incarnations[name])
 
     def make(self, name: str, now_us: int) -> Coordinator:
         """An agreement that counts its placer's tasks."""
@@ -113,7 +113,7 @@
 
     def __init__(self, holders: Holders, seed: int) -> None:
         self._of, self._load = holders, random.Random(f"reach/{seed}")
-        self._lives = dict(holders.lives)
+        self._lives = dict(holders.incarnations)
         self.tasks: dict[str, list[int]] = {
             name: list(ends) for name, ends in holders.tasks.items()
         }
@@ -126,10 +126,10 @@
         self._debts = [each for each in self._debts if each[0] > now]
         for name in of.names:
             if self.tasks.get(name) and (
-                name not in of.members or of.lives[name] != self._lives[name]
+                name not in of.members or of.incarnations[name] != self._lives[name]
             ):
                 self._debts.append((now + STRANDED_US, self.tasks.pop(name)))
-            self._lives[name] = of.lives[name]
+            self._lives[name] = of.incarnations[name]
             self.tasks[name] = [end for end in self.tasks.get(name, ()) if end > now]
         counts = sum(map(len, self.tasks.values())) + sum(len(ends) for _, ends in self._debts)
         for name in of.names:
@@ -161,7 +161,7 @@
 def trouble(holders: Holders, seed: int, moments: int = 20) -> Iterator[None]:
     """Cuts, one-way cuts, loss, doubled mail, stops, kills and returns, one after the other; then all heals."""
     rng = random.Random(f"trouble/{seed}")
-    holders.twice = 0.1
+    holders.duplication = 0.1
     for _ in range(moments):
         holders.run(holders.now_us + rng.randrange(4 * SECOND))
         what, some = rng.random(), rng.choice(holders.names)
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -21,7 +21,7 @@
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 TURN_US = 50_000  # between looks at all placers
 HOLD_US = 10_000  # the longest that a byte may wait between the gate and the socket
@@ -129,7 +129,7 @@
             self._cores[name] = chapters[0]
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
         return Coordinator(
-            LocalPlacer(name, self.lives[name]),
+            LocalPlacer(name, self.incarnations[name]),
             CoordinationSettings(self.voters, self.times),
             disk,
             self.random.randrange(1 << 30),
@@ -176,7 +176,7 @@
                 f"{self.now_us}: {session.text()} ended, though it sends until {life.sent_us} and runs "
                 f"until {life.runs_us}"
             )
-        present = self.lives[session.placer] == session.life
+        present = self.incarnations[session.placer] == session.life
         if present and life.asked_us and self.now_us < life.asked_us + self.after_us:
             self.faults.append(f"{self.now_us}: {session.text()} ended sooner than after `after`")
 
@@ -277,7 +277,7 @@
             superseded = log.latest[name].session != session
             heard = (
                 name in self.members
-                and self.lives[name] == log.latest[name].process
+                and self.incarnations[name] == log.latest[name].process
                 and self.reaches(name, leader)
                 and not superseded
             )
@@ -310,7 +310,7 @@
 def trouble(holders: Leaseholders, seed: int, moments: int = 20) -> Iterator[str]:
     """Regions cut off, one way, from each other, flapping; placers and regions killed, stopped, back; all heals."""
     rng = random.Random(f"leases/{seed}")
-    holders.twice = 0.1
+    holders.duplication = 0.1
     span = 2 * (holders.lease_us + holders.after_us)
     for _ in range(moments):
         some, region = rng.choice(holders.names), rng.choice(holders.regions)
--- a/wingbarrow/lab/fleet/replica_simulation.py
+++ b/wingbarrow/lab/fleet/replica_simulation.py
@@ -22,7 +22,7 @@
 from wingbarrow.decide.sessions.messages import MachineReport
 from wingbarrow.decide.sessions.session import EndedSession, Session
 from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
-from wingbarrow.lab.fleet.swarm import SECOND, Virtual
+from wingbarrow.lab.fleet.simulation import SECOND, Simulation
 
 LEASE_US = 4 * SECOND
 REISSUE_AFTER_US = 6 * SECOND  # a session ends at the earliest this long after its last renewal
@@ -281,7 +281,7 @@
         return out
 
 
-class ReplicaSimulation(Virtual[SimulatedPlacer]):
+class ReplicaSimulation(Simulation[SimulatedPlacer]):
     """Simulates `each` placers and as many machines in each region, with `copies` replicas of a Job's record."""
 
     # Fault that tests inject: tasks of unsafe Jobs are sent before replica holders acknowledged the send.
@@ -322,7 +322,7 @@
 
     def make(self, name: str, now_us: int) -> SimulatedPlacer:
         """Creates an incarnation of a placer without any state."""
-        return self.placer_type(self, name, self.regions[name], self.lives[name])
+        return self.placer_type(self, name, self.regions[name], self.incarnations[name])
 
     def kill(self, name: str) -> None:
         """Kills a placer. Jobs of which no other placer has a record are counted as unrecoverable."""
@@ -362,7 +362,7 @@
                     continue
             else:
                 self._unreachable_since.pop((name, other), None)
-            out[other] = self.regions[other], self.lives[other]
+            out[other] = self.regions[other], self.incarnations[other]
         return out
 
     def pick_machine(self, region: str) -> Standin | None:
@@ -385,7 +385,7 @@
         begin = Begin(
             0, held.record.uid, index, held.epoch, placer.session, placer.region, machine.name
         )
-        until, name, life = placer.lease_until_us, placer.name, self.lives[placer.name]
+        until, name, life = placer.lease_until_us, placer.name, self.incarnations[placer.name]
 
         def arrive() -> None:
             if not machine.up:
@@ -406,7 +406,11 @@
             self.at(self.now_us + self.random.randrange(MAX_MESSAGE_DELAY_US), lambda: back(why))
 
         def back(why: str) -> None:
-            if name in self.members and self.lives[name] == life and name not in self.stopped:
+            if (
+                name in self.members
+                and self.incarnations[name] == life
+                and name not in self.stopped
+            ):
                 self.act(
                     name, self.members[name].on_answer(self.clock_us(name), begin.uid, index, why)
                 )
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -9,7 +9,7 @@
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 STATED_US = Timing().overlap_us(ACT_US)
 
@@ -137,7 +137,7 @@
 def played(count: int, voters: int, seed: int, wanted: tuple[Step, ...]) -> Iterator[Assembly]:
     """A schedule, step by step; then all heals, and all have to come to the last version."""
     assembly = founded(count, voters, seed)
-    assembly.twice = 0.1
+    assembly.duplication = 0.1
     for step in wanted:
         assembly.run(assembly.now_us + step.wait_us)
         _take(assembly, step)
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -8,7 +8,7 @@
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.schedules import FLOOR, rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.lab.fleet.workjudge import Judge, Verdict
 from wingbarrow.lab.fleet.workshop import WORKER_LEASE_US, Workshop
 
@@ -123,4 +123,4 @@
             lambda: None if name in shop.members else shop.start(name),
         )
     elif what < 0.95:
-        shop.twice = rng.choice((0.0, 0.2))
+        shop.duplication = rng.choice((0.0, 0.2))
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -21,7 +21,7 @@
 from wingbarrow.decide.maintenance.slots import Slot
 from wingbarrow.decide.maintenance.timing import MaintenanceTiming
 from wingbarrow.lab.fleet.assembly import Assembly
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
 
 STEP_US = 50_000
@@ -175,7 +175,7 @@
         )
         side = self.sides[name] = MaintenanceMember(name, region, eyes)
         return Coordinator(
-            LocalPlacer(name, self.lives[name], region),
+            LocalPlacer(name, self.incarnations[name], region),
             CoordinationSettings(self.voters, self.times),
             disk,
             self.random.randrange(1 << 30),
@@ -365,7 +365,9 @@
 
     def tells(self, what: str) -> list[Notify]:
         """What placers told, by kind."""
-        return [Notify(each.what, each.fields) for each in self.told if each.what == what]
+        return [
+            Notify(each.event, each.fields) for each in self.notifications if each.event == what
+        ]
 
 
 class Worker:
@@ -401,11 +403,11 @@
     def _renew(self, leader: str) -> None:
         """As the front does it: good once the leader knows that a majority followed it after it was asked."""
         shop, chapter, asked = self._shop, self._shop.chapters[leader], self._shop.now_us
-        at_leader, life = shop.clock_us(leader), shop.lives[leader]
+        at_leader, life = shop.clock_us(leader), shop.incarnations[leader]
         chapter.renew(at_leader, self._number)
 
         def look(tries: int) -> None:
-            if leader not in shop.members or shop.lives[leader] != life:
+            if leader not in shop.members or shop.incarnations[leader] != life:
                 return
             turn = chapter.queue.slots.get(self._number)
             if (
