--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -244,8 +244,8 @@
     """Maintenance slots: requests, workers, lost machines."""
     world, verdict = workplay.play(seed, workplay.Size(regions=1 + seed % 2, seconds=30))
     history.note("verdict", leaves(verdict))
-    history.note("lost", leaves(world.lost_at))
-    for each in (*world.entries, *world.works):
+    history.note("lost", leaves(world.outages))
+    for each in (*world.changes, *world.work_samples):
         history.note("work", leaves(each))
     note_states(history, world)
 
--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -13,119 +13,129 @@
 from wingbarrow.decide.maintenance.emptiness import EmptinessProof
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import Slot, SlotQueue
+from wingbarrow.lab.fleet.maintenance_simulation import WALL_US, MaintenanceSimulation
 from wingbarrow.lab.fleet.schedules import FLOOR
 from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
-from wingbarrow.lab.fleet.workshop import WALL_US, Workshop
 
 
-def wait(shop: Workshop, number: int, *states: str, seconds: int = 30) -> Slot:
-    assert shop.run_until(
-        lambda: (slot := shop.turn(number)) is not None and slot.state in states,
+def wait(simulation: MaintenanceSimulation, number: int, *states: str, seconds: int = 30) -> Slot:
+    assert simulation.run_until(
+        lambda: (slot := simulation.slot(number)) is not None and slot.state in states,
         seconds * SECOND,
         SECOND // 20,
-    ), shop.turn(number)
-    slot = shop.turn(number)
+    ), simulation.slot(number)
+    slot = simulation.slot(number)
     assert slot is not None
     return slot
 
 
-def request_slot(shop: Workshop, machine: str, **more: Any) -> None:
-    leader, bench = shop.leader(), shop.benches[machine]
+def request_slot(simulation: MaintenanceSimulation, name: str, **more: Any) -> None:
+    leader, machine = simulation.leader(), simulation.machines_by_name[name]
     assert leader is not None
-    shop.decide(leader, "ask", request(machine, bench.region, bench.cell, zone=bench.zone, **more))
+    simulation.propose_entry(
+        leader, "ask", request(name, machine.region, machine.cell, zone=machine.zone, **more)
+    )
 
 
 def test_after_a_leader_lost_between_empty_and_out_the_next_proves_emptiness_anew() -> None:
-    shop = opened(Size(), 3)
-    request_slot(shop, "r0-m1", from_us=WALL_US + shop.now_us + 8 * SECOND)
-    wait(shop, 1, "empty")
-    old = shop.leader()
+    simulation = opened(Size(), 3)
+    request_slot(simulation, "r0-m1", from_us=WALL_US + simulation.now_us + 8 * SECOND)
+    wait(simulation, 1, "empty")
+    old = simulation.leader()
     assert old is not None
-    shop.kill(old)
-    shop.benches["r0-m1"].tasks[10**9] = "somebody", shop.now_us + 15 * SECOND
-    shop.run(shop.now_us + 12 * SECOND)
-    assert wait(shop, 1, "empty").state == "empty"
-    assert shop.leader() not in (None, old)
-    wait(shop, 1, "out")
-    assert not shop.benches["r0-m1"].tasks
-    shop.work(1, SECOND)
-    wait(shop, 1, "done")
-    assert judged(shop).clean
+    simulation.kill(old)
+    simulation.machines_by_name["r0-m1"].tasks[10**9] = "somebody", simulation.now_us + 15 * SECOND
+    simulation.run(simulation.now_us + 12 * SECOND)
+    assert wait(simulation, 1, "empty").state == "empty"
+    assert simulation.leader() not in (None, old)
+    wait(simulation, 1, "out")
+    assert not simulation.machines_by_name["r0-m1"].tasks
+    simulation.start_operator(1, SECOND)
+    wait(simulation, 1, "done")
+    assert judged(simulation).clean
 
 
 def test_tasks_of_a_placer_cut_off_on_a_floor_keep_the_machine_from_going_out() -> None:
-    shop = opened(Size(), 5)
-    shop.lower_floor(FLOOR, 60 * SECOND, "floor")
-    shop.run(shop.now_us + 3 * SECOND)
-    shop.cut = lambda a, b: "p004" in (a, b)
-    shop.run(shop.now_us + 3 * SECOND)
-    acting = shop.members["p004"].rules_in_force(shop.clock_us("p004"))
+    simulation = opened(Size(), 5)
+    simulation.lower_floor(FLOOR, 60 * SECOND, "floor")
+    simulation.run(simulation.now_us + 3 * SECOND)
+    simulation.cut = lambda a, b: "p004" in (a, b)
+    simulation.run(simulation.now_us + 3 * SECOND)
+    acting = simulation.members["p004"].rules_in_force(simulation.clock_us("p004"))
     assert acting is not None
     assert not acting.revision
-    bench = shop.benches["r0-m2"]
+    machine = simulation.machines_by_name["r0-m2"]
     for number in range(10**9, 10**9 + 5):
-        bench.tasks[number] = "p004", shop.now_us + 10 * SECOND
-    request_slot(shop, "r0-m2")
-    wait(shop, 1, "closing")
-    shop.run(shop.now_us + 5 * SECOND)
-    slot = shop.turn(1)
+        machine.tasks[number] = "p004", simulation.now_us + 10 * SECOND
+    request_slot(simulation, "r0-m2")
+    wait(simulation, 1, "closing")
+    simulation.run(simulation.now_us + 5 * SECOND)
+    slot = simulation.slot(1)
     assert slot is not None and slot.state == "closing", (
         "all placers in reach have confirmed; the machine is not empty"
     )
-    wait(shop, 1, "out")
-    assert not bench.tasks
-    assert not shop.sides["p004"].is_closed("r0-m2")
-    shop.work(1, 3 * SECOND)
-    wait(shop, 1, "back")
-    assert judged(shop).clean
+    wait(simulation, 1, "out")
+    assert not machine.tasks
+    assert not simulation.participants["p004"].is_closed("r0-m2")
+    simulation.start_operator(1, 3 * SECOND)
+    wait(simulation, 1, "back")
+    assert judged(simulation).clean
 
 
 def test_a_silent_operator_is_reported_and_stops_work_once_its_slot_was_given_back() -> None:
-    shop = opened(Size(), 6)
-    request_slot(shop, "r0-m1")
-    wait(shop, 1, "out")
-    shop.work(1, 3 * SECOND, silent=True)
-    assert shop.run_until(
-        lambda: any(each.fields["state"] == "silent" for each in shop.tells("turn")), 20 * SECOND
+    simulation = opened(Size(), 6)
+    request_slot(simulation, "r0-m1")
+    wait(simulation, 1, "out")
+    simulation.start_operator(1, 3 * SECOND, silent=True)
+    assert simulation.run_until(
+        lambda: any(
+            each.fields["state"] == "silent" for each in simulation.notifications_of("turn")
+        ),
+        20 * SECOND,
     )
-    assert shop.benches["r0-m1"].guard.refuses()
-    request_slot(shop, "r0-m5")
-    wait(shop, 2, "out")
-    leader = shop.leader()
+    assert simulation.machines_by_name["r0-m1"].guard.refuses()
+    request_slot(simulation, "r0-m5")
+    wait(simulation, 2, "out")
+    leader = simulation.leader()
     assert leader is not None
-    shop.decide(leader, "give-back", {"number": 1, "note": "nobody there"})
-    works = len(shop.works)
-    assert wait(shop, 1, "given-back").note == "nobody there"
-    shop.run(shop.now_us + 10 * SECOND)
-    assert len(shop.works) == works > 0
-    assert judged(shop).clean
+    simulation.propose_entry(leader, "give-back", {"number": 1, "note": "nobody there"})
+    works = len(simulation.work_samples)
+    assert wait(simulation, 1, "given-back").note == "nobody there"
+    simulation.run(simulation.now_us + 10 * SECOND)
+    assert len(simulation.work_samples) == works > 0
+    assert judged(simulation).clean
 
 
 def test_one_placer_tries_a_returned_machine_first() -> None:
-    shop = opened(Size(), 8)
-    request_slot(shop, "r0-m3")
-    wait(shop, 1, "out")
-    shop.work(1, SECOND)
-    wait(shop, 1, "back")
-    shop.run(shop.now_us + SECOND // 5)
-    open_to = [name for name, side in shop.sides.items() if not side.is_closed("r0-m3")]
+    simulation = opened(Size(), 8)
+    request_slot(simulation, "r0-m3")
+    wait(simulation, 1, "out")
+    simulation.start_operator(1, SECOND)
+    wait(simulation, 1, "back")
+    simulation.run(simulation.now_us + SECOND // 5)
+    open_to = [
+        name
+        for name, participant in simulation.participants.items()
+        if not participant.is_closed("r0-m3")
+    ]
     assert len(open_to) <= 1
-    wait(shop, 1, "done")
-    assert shop.run_until(
-        lambda: not any(each.is_closed("r0-m3") for each in shop.sides.values()), 5 * SECOND
+    wait(simulation, 1, "done")
+    assert simulation.run_until(
+        lambda: not any(each.is_closed("r0-m3") for each in simulation.participants.values()),
+        5 * SECOND,
     )
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", [Size(seconds=30), Size(9, 5, 3, 4, 30)])
 def test_generated_faults_violate_no_guarantee(size: Size, seed: int) -> None:
-    shop, verdict = play(seed, size)
+    simulation, verdict = play(seed, size)
     assert verdict.clean and verdict.done > 3 and verdict.works > 10, verdict
-    assert shop.run_until(
-        lambda: not shop.chapters[shop.leader() or ""].queue.live(), 120 * SECOND
+    assert simulation.run_until(
+        lambda: not simulation.schedulers[simulation.leader() or ""].queue.live(), 120 * SECOND
     ), "all slots end"
-    assert judged(shop).clean
+    assert judged(simulation).clean
 
 
 def without_machine_reply(self: EmptinessProof, now_us: int, number: int) -> bool:
--- a/wingbarrow/lab/fleet/workjudge.py
+++ b/wingbarrow/lab/fleet/workjudge.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.maintenance.slots import Slot
-from wingbarrow.lab.fleet.workshop import Entry, Work
+from wingbarrow.lab.fleet.maintenance_simulation import SlotChange, WorkSample
 
 OUT = ("closing", "empty", "out", "back")
 ORDER = ("asked", "queued", "closing", "empty", "out", "back", "done")
@@ -86,13 +86,13 @@
             machine for at, machine, _ in self._lost if at_us - 2 * self._known_us <= at <= at_us
         }
 
-    def judge(self, entries: Iterable[Entry], works: Iterable[Work]) -> Verdict:
+    def judge(self, entries: Iterable[SlotChange], works: Iterable[WorkSample]) -> Verdict:
         """The verdict over all."""
         turns: dict[int, Slot] = {}
         over = disorder = jumps = 0
         for entry in entries:
             before = dict(turns)
-            for turn in entry.turns:
+            for turn in entry.slots:
                 jumps += not _follows(before.get(turn.number), turn)
                 turns[turn.number] = turn
             live = [
@@ -101,12 +101,12 @@
             jumps += len(live) - len(set(live))
             began = [
                 each
-                for each in entry.turns
+                for each in entry.slots
                 if _enters(before.get(each.number), each, ("closing", "out"))
             ]
             over += sum(self._over(entry.at_us, each, turns) for each in began)
             closed = [
-                each for each in entry.turns if _enters(before.get(each.number), each, ("closing",))
+                each for each in entry.slots if _enters(before.get(each.number), each, ("closing",))
             ]
             disorder += sum(
                 self._passed_over(entry.at_us, each, closed, before, turns)
@@ -118,7 +118,7 @@
             len(turns),
             sum(each.state == "done" for each in turns.values()),
             len(works),
-            sum(each.holds > 0 for each in works),
+            sum(each.tasks > 0 for each in works),
             sum(each.state != "out" for each in works),
             over,
             disorder,
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -7,10 +7,10 @@
 
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.lab.fleet.maintenance_simulation import WORKER_LEASE_US, MaintenanceSimulation
 from wingbarrow.lab.fleet.schedules import FLOOR, rules
 from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.lab.fleet.workjudge import Judge, Verdict
-from wingbarrow.lab.fleet.workshop import WORKER_LEASE_US, Workshop
 
 MOST_CELL, MOST_ALL = 1, 3
 KNOWN_US = 5 * SECOND  # a loss is known by then to whoever leads and hears the region's teller
@@ -33,9 +33,9 @@
     return replace(rules(), plan=plan)
 
 
-def opened(size: Size, seed: int, loss: float = 0.0) -> Workshop:
+def opened(size: Size, seed: int, loss: float = 0.0) -> MaintenanceSimulation:
     """A workshop whose placers act on their first rules."""
-    shop = Workshop(size.placers, size.voters, seed, size.regions, size.machines, loss)
+    shop = MaintenanceSimulation(size.placers, size.voters, seed, size.regions, size.machines, loss)
     if not shop.run_until(lambda: shop.leader() is not None, 20 * SECOND):
         raise AssertionError("nobody leads")
     shop.propose(budgeted())
@@ -44,13 +44,18 @@
     return shop
 
 
-def judged(shop: Workshop) -> Verdict:
+def judged(shop: MaintenanceSimulation) -> Verdict:
     """The verdict over all so far."""
-    cells = {each.name: f"{each.region}/{each.zone}/{each.cell}" for each in shop.benches.values()}
-    return Judge(MOST_CELL, MOST_ALL, cells, shop.lost_at, KNOWN_US).judge(shop.entries, shop.works)
+    cells = {
+        each.name: f"{each.region}/{each.zone}/{each.cell}"
+        for each in shop.machines_by_name.values()
+    }
+    return Judge(MOST_CELL, MOST_ALL, cells, shop.outages, KNOWN_US).judge(
+        shop.changes, shop.work_samples
+    )
 
 
-def play(seed: int, size: Size = Size()) -> tuple[Workshop, Verdict]:
+def play(seed: int, size: Size = Size()) -> tuple[MaintenanceSimulation, Verdict]:
     """One play from a seed: the workshop at its end, and the verdict."""
     shop, rng = (
         opened(size, seed, loss=random.Random(f"loss/{seed}").choice((0.0, 0.02, 0.1))),
@@ -61,10 +66,12 @@
     workers: set[int] = set()
 
     def workers_come() -> None:
-        for turn in list(shop._turns_seen.values()):
+        for turn in list(shop._slots.values()):
             if turn.state == "out" and turn.number not in workers:
                 workers.add(turn.number)
-                shop.work(turn.number, SECOND + rng.randrange(3 * SECOND), rng.random() < 0.2)
+                shop.start_operator(
+                    turn.number, SECOND + rng.randrange(3 * SECOND), rng.random() < 0.2
+                )
         give_back()
         shop.at(shop.now_us + SECOND // 2, workers_come)
 
@@ -73,15 +80,15 @@
         leader = shop.leader()
         if leader is None:
             return
-        chapter, now = shop.chapters[leader], shop.clock_us(leader)
+        chapter, now = shop.schedulers[leader], shop.clock_us(leader)
         silent = [*chapter.lapsed_operator_slots(now)]
         waiting = [
             each.number for each in chapter.queue.live() if each.state in ("queued", "closing")
         ]
         if silent and rng.random() < 0.3:
-            shop.decide(leader, "give-back", {"number": rng.choice(silent)})
+            shop.propose_entry(leader, "give-back", {"number": rng.choice(silent)})
         elif waiting and rng.random() < 0.03:
-            shop.decide(leader, "give-back", {"number": rng.choice(waiting)})
+            shop.propose_entry(leader, "give-back", {"number": rng.choice(waiting)})
 
     shop.at(shop.now_us, workers_come)
     end = shop.now_us + size.seconds * SECOND
@@ -96,16 +103,18 @@
     return shop, judged(shop)
 
 
-def _happens(shop: Workshop, rng: random.Random) -> None:
+def _happens(shop: MaintenanceSimulation, rng: random.Random) -> None:
     what, name = rng.random(), rng.choice(shop.names)
     if what < 0.4:
         several = rng.random() < 0.3
-        for machine in list(shop.benches) if several else [rng.choice(list(shop.benches))]:
-            shop.ask(
+        for machine in (
+            list(shop.machines_by_name) if several else [rng.choice(list(shop.machines_by_name))]
+        ):
+            shop.request_slot(
                 machine, rng.randrange(10), rng.choice(("w", "")), rng.randrange(SECOND, 4 * SECOND)
             )
     elif what < 0.5:
-        shop.lose(rng.choice(list(shop.benches)), rng.randrange(8 * SECOND))
+        shop.fail_machine(rng.choice(list(shop.machines_by_name)), rng.randrange(8 * SECOND))
     elif what < 0.6:
         side = set(rng.sample(shop.names, rng.randrange(1, len(shop.names))))
         one_way = rng.random() < 0.4
