--- a/tests/core/test_hard_cases.py
+++ b/tests/core/test_hard_cases.py
@@ -57,15 +57,15 @@
             nursery.spawn(lambda: results.append(follow(stage, proxy, stage.hub.now_us() + 20 * S)))
             stage.hub.sleep(S)
             stage.submit("pay", "settlement", runs_s=6, patience_s=10)
-            proxy.cut_after = cut
+            proxy.reset_after_bytes = cut
             for number in range(6):
                 stage.submit(f"web-{number}", runs_s=3)
                 stage.hub.sleep(S // 2)
-                if proxy.cut_after is None:
-                    proxy.cut_after = cut
+                if proxy.reset_after_bytes is None:
+                    proxy.reset_after_bytes = cut
         seen, lists_read = results[0]
         versions = [version for _, _, version in seen]
-        assert proxy.cuts >= 3
+        assert proxy.byte_limit_resets >= 3
         assert lists_read == 1
         assert versions == sorted(set(versions)), "an event came twice or out of order"
         window = stage.cluster.placers[0].service.placer.objects.jobs.window  # type: ignore[union-attr]
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""The rig's links and scripts."""
+"""Links with injected faults, fault scripts, and the layout of placers and regions."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class Echo:
-    """A server that says again what it hears, and keeps all of it."""
+    """A server that sends back what it receives and keeps a copy."""
 
     def __init__(self, hub: Hub) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.listener = listen(hub, "127.0.0.1", 0, print)
         hub.spawn(lambda: self.listener.serve(self._serve))
 
     def _serve(self, stream: Stream) -> None:
         while data := stream.receive():
-            self.heard.append(data)
+            self.received.append(data)
             stream.send(data)
 
 
-def played(script: Callable[[Hub, Echo, Proxy], None]) -> None:
+def run_with_proxy(script: Callable[[Hub, Echo, Proxy], None]) -> None:
     hub = Hub(VirtualClock())
 
     def main() -> None:
@@ -50,8 +50,8 @@
     hub.run(main)
 
 
-def asked(hub: Hub, port: int, within_us: int = S) -> bytes | None:
-    """One word sent; what comes back in time, None where nothing does."""
+def send_word(hub: Hub, port: int, within_us: int = S) -> bytes | None:
+    """Sends one word; returns the answer, or None if none arrives in time."""
     stream, got = connect(hub, "127.0.0.1", port), None
     try:
         stream.send(b"word")
@@ -65,52 +65,54 @@
 
 def test_a_whole_link_passes_all_and_a_cut_one_holds_it_without_a_word() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        assert asked(hub, proxy.port) == b"word"
-        proxy.forth.cut = True
-        assert asked(hub, proxy.port) is None
-        assert echo.heard == [b"word"]
-        proxy.forth.cut, proxy.back.cut = False, True
-        assert asked(hub, proxy.port) is None
-        assert len(echo.heard) == 2, "one way is cut: it was heard, its answer was not"
+        assert send_word(hub, proxy.port) == b"word"
+        proxy.forward.cut = True
+        assert send_word(hub, proxy.port) is None
+        assert echo.received == [b"word"]
+        proxy.forward.cut, proxy.backward.cut = False, True
+        assert send_word(hub, proxy.port) is None
+        assert len(echo.received) == 2, (
+            "only the answers' direction is cut: the word was received, its answer was not"
+        )
         proxy.heal()
-        assert asked(hub, proxy.port) == b"word"
+        assert send_word(hub, proxy.port) == b"word"
 
-    played(script)
+    run_with_proxy(script)
 
 
 def test_a_link_is_late_slow_resets_and_delivers_twice() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        proxy.forward.delay_us, begun = S // 2, hub.now_us()
+        assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2
-        proxy.forth.delay_us, proxy.back.bytes_per_s, begun = 0, 8, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        proxy.forward.delay_us, proxy.backward.bytes_per_s, begun = 0, 8, hub.now_us()
+        assert send_word(hub, proxy.port) == b"word"
         proxy.heal()
-        proxy.forth.twice_share = 1.0
-        count = len(echo.heard)
-        assert asked(hub, proxy.port) == b"word"
+        proxy.forward.duplicate_share = 1.0
+        count = len(echo.received)
+        assert send_word(hub, proxy.port) == b"word"
         hub.sleep(S)
-        assert len(echo.heard) == count + 2
-        assert proxy.doubles == 1
+        assert len(echo.received) == count + 2
+        assert proxy.duplicates == 1
         proxy.heal()
-        proxy.back.reset_share = 1.0
-        assert asked(hub, proxy.port) == b"reset"
+        proxy.backward.reset_share = 1.0
+        assert send_word(hub, proxy.port) == b"reset"
 
-    played(script)
+    run_with_proxy(script)
 
 
 def test_a_far_link_is_late_both_ways_and_a_fault_adds_to_it() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        proxy.far_us, begun = S // 50, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        proxy.base_delay_us, begun = S // 50, hub.now_us()
+        assert send_word(hub, proxy.port) == b"word"
         assert S // 25 <= hub.now_us() - begun < S // 20
-        proxy.forth.delay_us, begun = S // 2, hub.now_us()
-        assert asked(hub, proxy.port) == b"word"
+        proxy.forward.delay_us, begun = S // 2, hub.now_us()
+        assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2 + S // 25
         proxy.heal()
-        assert proxy.far_us, "what is far stays so"
+        assert proxy.base_delay_us, "healing keeps the base delay"
 
-    played(script)
+    run_with_proxy(script)
 
 
 def test_a_fault_from_one_to_the_other_takes_its_requests_and_its_answers() -> None:
@@ -119,12 +121,12 @@
     def main() -> None:
         network = Network(hub, NAMES, 1)
         network.set("placer-0", "placer-1", cut=True)
-        assert network.links["placer-0", "placer-1"].forth.cut
-        assert network.links["placer-1", "placer-0"].back.cut
-        assert not network.links["placer-0", "placer-1"].back.cut
-        assert not network.links["placer-1", "placer-0"].forth.cut
-        assert all(way.whole for way in network.ways("placer-0", "placer-2"))
-        network.moved("placer-1", 7)
+        assert network.links["placer-0", "placer-1"].forward.cut
+        assert network.links["placer-1", "placer-0"].backward.cut
+        assert not network.links["placer-0", "placer-1"].backward.cut
+        assert not network.links["placer-1", "placer-0"].forward.cut
+        assert all(each.is_healthy for each in network.directions("placer-0", "placer-2"))
+        network.set_port("placer-1", 7)
         assert {key for key, link in network.links.items() if link.to == 7} == {
             ("placer-0", "placer-1"),
             ("placer-2", "placer-1"),
@@ -214,7 +216,7 @@
     assert {"cut-region", "slow-region", "kill-region", "work", "cut", "propose"} <= kinds
 
 
-# -- who is where
+# -- layout
 
 
 @pytest.mark.parametrize(
@@ -259,7 +261,7 @@
             assert fault.who != fault.other
             if fault.kind in ("stop", "kill"):
                 assert fault.at_us >= spans.get(fault.who, 0), (
-                    "a process suffers one thing at a time"
+                    "stops and kills of one process do not overlap"
                 )
                 spans[fault.who] = fault.end_us
     assert {fault.kind for seed in range(1, 60) for fault in generate(seed, NAMES, 60)} == {
@@ -289,10 +291,12 @@
         hub.spawn(lambda: injector.inject(Fault("cut-region", 0, "south", lasts_us=10 * S)))
         hub.spawn(lambda: injector.inject(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
         hub.sleep(5 * S)
-        assert places.network.links["placer-0", "placer-1"].forth.cut, "south is cut off still"
-        assert not places.network.links["placer-0", "placer-2"].forth.cut
+        assert places.network.links["placer-0", "placer-1"].forward.cut, (
+            "the cut of south is still active"
+        )
+        assert not places.network.links["placer-0", "placer-2"].forward.cut
         hub.sleep(6 * S)
-        assert all(way.whole for way in places.network.ways("placer-0", "placer-1"))
+        assert all(each.is_healthy for each in places.network.directions("placer-0", "placer-1"))
         places.close()
 
     hub.run(main)
--- a/tests/peers/regions.py
+++ b/tests/peers/regions.py
@@ -73,7 +73,7 @@
         )
         for slot in slots:
             slot.kill()
-            self.network.moved(slot.name, slot.port)
+            self.network.set_port(slot.name, slot.port)
             slot.region, slot.source_port = NAMES[slot.index % 3], self.sources[slot.index % 3].port
             slot.extra = (
                 '\nallow-peer "127.0.0.0/8"\n'
--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -257,7 +257,7 @@
 
         def answer(request: Request) -> Answer:
             if "knowledge" in request.target:
-                proxy.cut_after = cut
+                proxy.reset_after_bytes = cut
             return original(request)
 
         peer.server._handler = answer
--- a/wingbarrow/lab/fleet/fault_injection.py
+++ b/wingbarrow/lab/fleet/fault_injection.py
@@ -82,7 +82,7 @@
 
     def _twice(self, fault: Fault) -> None:
         self._impair_links(
-            fault, self._pairs(fault), {"twice_share": fault.amount}, {"twice_share": 0.0}
+            fault, self._pairs(fault), {"duplicate_share": fault.amount}, {"duplicate_share": 0.0}
         )
 
     def _reset(self, fault: Fault) -> None:
--- a/wingbarrow/lab/fleet/link.py
+++ b/wingbarrow/lab/fleet/link.py
@@ -1,7 +1,8 @@
-"""TCP links with faults: a proxy between two programs, each of its directions cut, late, slow, lossy or doubled.
+"""TCP links with injected faults: a proxy between two programs whose directions can be cut, delayed, slowed, reset or
+duplicated.
 
-A direction that is cut holds its bytes, as a network that drops packets does: nobody hears of it, connections stay
-open, and new ones come up (the proxy's own system accepts them) and say nothing.
+A direction that is cut holds its bytes, like a network that drops packets: neither end is notified and connections stay
+open. New connections are accepted by the operating system of the proxy and carry no bytes.
 """
 
 from __future__ import annotations
@@ -12,35 +13,38 @@
 
 from wingbarrow.transport import Hub, Listener, Nursery, PeerGone, Signal, Stream, connect, listen
 
-TRICKLE = 64  # bytes in one go on a slow direction
-MAX_DOUBLES = 16  # second copies on their way at a time
+SLOW_CHUNK_BYTES = 64  # written at a time on a slowed direction
+MAX_PENDING_DUPLICATES = 16
 
 
 @dataclass(slots=True)
-class Way:
-    """The faults of one direction; shares are drawn for each piece of bytes that passes."""
+class LinkDirection:
+    """Faults of one direction of a link. Shares (0 to 1) are probabilities for each chunk that passes."""
 
     cut: bool = False
     delay_us: int = 0
-    bytes_per_s: int = 0  # 0: as fast as it goes
+    bytes_per_s: int = 0  # 0: not limited
     reset_share: float = 0.0
-    twice_share: float = (
-        0.0  # of what clients send: sent again on a connection of its own, the answer thrown away
-    )
+    # Share of the clients' chunks that are sent again on a new connection, whose answer is discarded.
+    duplicate_share: float = 0.0
 
     @property
-    def whole(self) -> bool:
-        """Whether nothing is wrong with it."""
+    def is_healthy(self) -> bool:
+        """Whether no fault is set."""
         return not (
-            self.cut or self.delay_us or self.bytes_per_s or self.reset_share or self.twice_share
+            self.cut
+            or self.delay_us
+            or self.bytes_per_s
+            or self.reset_share
+            or self.duplicate_share
         )
 
 
 class Proxy:
-    """Listens on a port of its own and passes bytes to one address.
+    """TCP proxy that listens on its own port and forwards to one port on 127.0.0.1.
 
-    `forth` is the direction of those who connect, `back` that of the answers; `cut_after` resets a connection once so
-    many bytes have come back through it; `severed` refuses everything.
+    `forward` is the direction from clients to the server, `backward` that of the answers. `reset_after_bytes` resets a
+    connection once that many bytes came back. While `severed` is set, all connections are refused.
     """
 
     def __init__(
@@ -50,53 +54,53 @@
         self.to = port
         self._listener: Listener = listen(hub, "127.0.0.1", 0, say)
         self.port: int = self._listener.port
-        self.forth, self.back = Way(), Way()
-        self.cut_after: int | None = None
-        self.cuts = self.connections = self.resets = self.doubles = 0
+        self.forward, self.backward = LinkDirection(), LinkDirection()
+        self.reset_after_bytes: int | None = None
+        self.byte_limit_resets = self.connections = self.resets = self.duplicates = 0
         self.severed = False
-        self.far_us = 0  # that bytes are on their way in either direction, without any fault
+        self.base_delay_us = 0  # delay of each direction without faults
         self._random = random.Random(seed)
         self._changed = Signal(hub)
         self._open: dict[Stream, None] = {}
-        self._doubling = 0
-        hub.spawn(lambda: self._listener.serve(self._pass), "proxy")
+        self._pending_duplicates = 0
+        hub.spawn(lambda: self._listener.serve(self._forward), "proxy")
 
     @property
     def stalled(self) -> bool:
-        """Whether nothing passes either way."""
-        return self.forth.cut and self.back.cut
+        """Whether both directions are cut."""
+        return self.forward.cut and self.backward.cut
 
     @stalled.setter
     def stalled(self, on: bool) -> None:
-        self.forth.cut = self.back.cut = on
+        self.forward.cut = self.backward.cut = on
         self._changed.notify()
 
-    def change(self) -> None:
-        """What waits looks at its direction again; to be called after a fault was taken back."""
+    def notify_changed(self) -> None:
+        """Wakes connections that wait on a cut direction. To be called after a fault was removed."""
         self._changed.notify()
 
     def sever(self) -> None:
-        """Reset all that is open; refuse what comes until `heal`."""
+        """Resets all open connections and refuses new ones until `heal`."""
         self.severed = True
         self.reset()
 
     def reset(self) -> None:
-        """Reset all that is open."""
+        """Resets all open connections."""
         for stream in list(self._open):
             stream.abort()
 
     def heal(self) -> None:
-        """Pass connections, and bytes that were held, again."""
+        """Removes all faults: accepts connections and passes held bytes again."""
         self.severed = False
-        self.forth, self.back = Way(), Way()
+        self.forward, self.backward = LinkDirection(), LinkDirection()
         self._changed.notify()
 
     def close(self) -> None:
-        """End all."""
+        """Closes the listener and resets all open connections."""
         self._listener.close()
         self.reset()
 
-    def _pass(self, client: Stream) -> None:
+    def _forward(self, client: Stream) -> None:
         self.connections += 1
         if self.severed:
             client.abort()
@@ -116,54 +120,61 @@
                 self._open.pop(stream, None)
                 stream.close()
 
-    def _copy(self, source: Stream, sink: Stream, back: bool) -> None:
+    def _copy(self, source: Stream, sink: Stream, is_backward: bool) -> None:
         try:
             while True:
                 data = source.receive()
-                way = self.back if back else self.forth
-                if way.delay_us or self.far_us:
-                    self.hub.sleep(way.delay_us + self.far_us)
-                while (self.back if back else self.forth).cut:
+                direction = self.backward if is_backward else self.forward
+                if direction.delay_us or self.base_delay_us:
+                    self.hub.sleep(direction.delay_us + self.base_delay_us)
+                while (self.backward if is_backward else self.forward).cut:
                     self._changed.wait()
-                if way.reset_share and self._random.random() < way.reset_share:
+                if direction.reset_share and self._random.random() < direction.reset_share:
                     self.resets += 1
-                    raise PeerGone("reset here")
-                if back and self.cut_after is not None:
-                    if len(data) >= self.cut_after:
-                        sink.send(data[: self.cut_after])
-                        self.cut_after = None
-                        self.cuts += 1
-                        raise PeerGone("cut here")
-                    self.cut_after -= len(data)
+                    raise PeerGone("connection reset by an injected fault")
+                if is_backward and self.reset_after_bytes is not None:
+                    if len(data) >= self.reset_after_bytes:
+                        sink.send(data[: self.reset_after_bytes])
+                        self.reset_after_bytes = None
+                        self.byte_limit_resets += 1
+                        raise PeerGone("connection reset after a set number of bytes")
+                    self.reset_after_bytes -= len(data)
                 if not data:
                     sink.end_writing()
                     return
-                if not back and way.twice_share and self._random.random() < way.twice_share:
-                    self._double(data)
-                self._send(sink, data, way)
+                if (
+                    not is_backward
+                    and direction.duplicate_share
+                    and self._random.random() < direction.duplicate_share
+                ):
+                    self._send_duplicate(data)
+                self._send(sink, data, direction)
         except PeerGone:
             source.abort()
             sink.abort()
 
-    def _send(self, sink: Stream, data: bytes, way: Way) -> None:
-        if not way.bytes_per_s:
+    def _send(self, sink: Stream, data: bytes, direction: LinkDirection) -> None:
+        if not direction.bytes_per_s:
             sink.send(data)
             return
-        for start in range(0, len(data), TRICKLE):
-            piece = data[start : start + TRICKLE]
+        for start in range(0, len(data), SLOW_CHUNK_BYTES):
+            piece = data[start : start + SLOW_CHUNK_BYTES]
             sink.send(piece)
-            if way.whole:
-                continue  # it was healed meanwhile
-            self.hub.sleep(len(piece) * 1_000_000 // max(1, way.bytes_per_s))
+            if direction.is_healthy:
+                continue  # the fault was removed in the meantime
+            self.hub.sleep(len(piece) * 1_000_000 // max(1, direction.bytes_per_s))
 
-    def _double(self, data: bytes) -> None:
-        """The same bytes again, as a network that delivers twice; whole requests only make sense to the receiver."""
-        if self._doubling >= MAX_DOUBLES:
+    def _send_duplicate(self, data: bytes) -> None:
+        """Sends the same bytes again on a new connection, like a network that delivers twice.
+
+        The receiver can use the copy only if it is a whole request.
+        """
+        if self._pending_duplicates >= MAX_PENDING_DUPLICATES:
             return
-        self._doubling += 1
-        self.doubles += 1
+        self._pending_duplicates += 1
+        self.duplicates += 1
 
-        def again() -> None:
+        def send_copy() -> None:
             try:
                 stream = connect(self.hub, "127.0.0.1", self.to)
                 try:
@@ -175,15 +186,15 @@
             except PeerGone:
                 pass
             finally:
-                self._doubling -= 1
+                self._pending_duplicates -= 1
 
-        self.hub.spawn(again, "second copy")
+        self.hub.spawn(send_copy, "second copy")
 
 
 class Network:
-    """A link from each of some programs to each other; a fault between two is set in one direction or both.
+    """One link between each ordered pair of programs.
 
-    `ports` are where they listen; a program that comes back on another port is told by `moved`.
+    Links forward to port 1 until `set_port` is called; it is called again after a restart on another port.
     """
 
     def __init__(
@@ -197,30 +208,30 @@
             if a != b
         }
 
-    def moved(self, name: str, port: int) -> None:
-        """A program listens there from now on."""
+    def set_port(self, name: str, port: int) -> None:
+        """Sets the port on which a program listens from now on."""
         for (_, to), link in self.links.items():
             if to == name:
                 link.to = port
 
-    def ways(self, sender: str, receiver: str) -> tuple[Way, Way]:
-        """All that carries bytes from one to the other: its requests, and its answers to the other's requests."""
-        return self.links[sender, receiver].forth, self.links[receiver, sender].back
+    def directions(self, sender: str, receiver: str) -> tuple[LinkDirection, LinkDirection]:
+        """Both directions from sender to receiver: its requests, and its answers to the receiver's requests."""
+        return self.links[sender, receiver].forward, self.links[receiver, sender].backward
 
     def set(self, sender: str, receiver: str, **faults: object) -> None:
-        """Faults of one direction, by the names of `Way`."""
-        for way in self.ways(sender, receiver):
+        """Sets faults of the direction from sender to receiver, by the field names of `LinkDirection`."""
+        for direction in self.directions(sender, receiver):
             for name, value in faults.items():
-                setattr(way, name, value)
+                setattr(direction, name, value)
         for key in ((sender, receiver), (receiver, sender)):
-            self.links[key].change()
+            self.links[key].notify_changed()
 
     def reset(self, one: str, other: str) -> None:
-        """Reset every connection between two."""
+        """Resets all connections between two programs."""
         for key in ((one, other), (other, one)):
             self.links[key].reset()
 
     def close(self) -> None:
-        """End all."""
+        """Closes all links."""
         for link in self.links.values():
             link.close()
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -70,7 +70,7 @@
         }
         self.network = Network(hub, self.names, seed)
         for (one, other), link in self.network.links.items():
-            link.far_us = FAR_US if layout.far(one, other) else 0
+            link.base_delay_us = FAR_US if layout.far(one, other) else 0
         self.slots = [
             Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)
         ]
@@ -138,7 +138,7 @@
         port = int(process.line("placer", START_US)["url"].rpartition(":")[2])
         slot.starting = False
         slot.front.to = port
-        self.network.moved(slot.name, port)
+        self.network.set_port(slot.name, port)
         self.event("started", who=slot.name, life=slot.lives, pid=process.pid)
 
     def kill(self, slot: Slot) -> None:
@@ -159,7 +159,7 @@
         assert process is not None
         process.end(signal.SIGKILL)
         slot.front.to = 1
-        self.network.moved(slot.name, 1)
+        self.network.set_port(slot.name, 1)
 
     def forget(self, slot: Slot) -> None:
         """What it saved is gone; a voter's store stays: without it, it would be none (`raft.Raft.empty`)."""
