--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -15,7 +15,7 @@
 from wingbarrow.lab.fleet.layout import THIRD, WITNESS, Layout, Size
 from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.lab.fleet.places import Places
-from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
+from wingbarrow.lab.fleet.script import Fault, ScriptError, generate, generate_regions, read_script
 from wingbarrow.transport import Hub, PeerGone, Stream, VirtualClock, connect, listen
 
 S = 1_000_000
@@ -176,7 +176,7 @@
 ) -> None:
     path = tmp_path / "x.kdl"
     path.write_text(text)
-    with pytest.raises(BadScript, match=words):
+    with pytest.raises(ScriptError, match=words):
         read_script(path, NAMES, REGIONS)
 
 
@@ -192,7 +192,7 @@
         Fault("work", 3 * S, "placer-1", "", 6 * S, True, 203),
         Fault("kill-region", 9 * S, "south", "", 20 * S, state=False, machines=True),
     ]
-    with pytest.raises(BadScript, match="is wanted"):
+    with pytest.raises(ScriptError, match="is wanted"):
         read_script(path, NAMES)
 
 
--- a/wingbarrow/cli/labfleet.py
+++ b/wingbarrow/cli/labfleet.py
@@ -15,7 +15,7 @@
 from wingbarrow.lab.fleet.layout import REGIONS, Layout, Size
 from wingbarrow.lab.fleet.process import NotStarted
 from wingbarrow.lab.fleet.rig import Rig
-from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
+from wingbarrow.lab.fleet.script import Fault, ScriptError, generate, generate_regions, read_script
 from wingbarrow.lab.limits import raise_descriptors
 from wingbarrow.transport import Hub
 
@@ -104,10 +104,10 @@
         )
         try:
             verdict = _play(size, _faults(size, script), out)
-        except (BadScript, TimeoutError, NotStarted) as error:
+        except (ScriptError, TimeoutError, NotStarted) as error:
             words = (
                 str(error)
-                if isinstance(error, BadScript)
+                if isinstance(error, ScriptError)
                 else (f"the fleet did not start: {error}; logs: {out or 'see --out'}")
             )
             click.echo(words, err=True)
--- a/wingbarrow/lab/fleet/script.py
+++ b/wingbarrow/lab/fleet/script.py
@@ -1,4 +1,4 @@
-"""A fleet's script: what happens to links and processes, when and for how long; from KDL or from a seed.
+"""Fault scripts: which faults affect links, processes and machines, when and for how long. Read from KDL or generated.
 
     cut "3s" from="placer-0" to="placer-1" lasts="5s" both=true
     isolate "3s" "placer-2" lasts="6s"
@@ -14,14 +14,18 @@
     kill-region "9s" "north" lasts="20s" state=false machines=true
     work "9s" "placer-1" lasts="6s" amount=203 state=true
 
-`propose` has a placer asked to change the rules, to variant `amount` of them; `drain` to drain a machine, by number,
-or to take that back where it is asked for; `faulty` has a machine, by number, fail every start (no placer concerned).
-With regions: `cut-region` cuts one off from all others, or one other; `slow-region` makes its links to others late;
-`kill-region` kills its placers (and machines), back with or without state; `work` has a worker ask for a machine (by
-the last two digits of `amount`, the hundreds are the urgency), work on it for so long once it is out, and give it back;
-with `state=false` it says nothing while it works.
+`propose` asks a placer to change the rules to variant `amount`; `drain` asks it to drain the machine with number
+`amount`, or to cancel the drain if there is one; `faulty` makes the machine with number `amount` fail every start (the
+placer's name is not used).
 
-`late`, `slow`, `lossy` and `twice` take what `cut` takes, and `amount`: a time in words, bytes a second, a share.
+With regions: `cut-region` cuts a region off from all others, or from the one in `to`; `slow-region` delays its links to
+others by `amount`; `kill-region` kills its placers (with `machines=true` its machines too), which restart with or
+without their state. `work` has an operator request a maintenance slot for a machine (the last two digits of `amount`;
+the hundreds are the urgency), work on it for `lasts` once it is out, and return it; with `state=false` the operator
+does not renew the slot while it works.
+
+`late`, `slow`, `lossy` and `twice` take the arguments of `cut`, and `amount`: a duration, bytes per second, or a share
+of 0 to 1 (of `lossy` and `twice`).
 """
 
 from __future__ import annotations
@@ -36,20 +40,23 @@
 from wingbarrow.config import parse_duration
 
 SECOND = 1_000_000
-BETWEEN = ("cut", "late", "slow", "lossy", "twice", "reset")
-TO_ONE = ("isolate", "deafen", "stop", "kill", "propose", "drain", "faulty")
+LINK_FAULTS = ("cut", "late", "slow", "lossy", "twice", "reset")
+PLACER_FAULTS = ("isolate", "deafen", "stop", "kill", "propose", "drain", "faulty")
 WORK = "work"
-ON_REGIONS = ("cut-region", "slow-region", "kill-region")
+REGION_FAULTS = ("cut-region", "slow-region", "kill-region")
 MAX_FAULTS = 10_000
 
 
-class BadScript(ValueError):
-    """A script that cannot be used."""
+class ScriptError(ValueError):
+    """A fault script that cannot be read or is not valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault; times in microseconds from the begin of the load. `who` is its sender, or the only one concerned."""
+    """One fault; times in microseconds from the start of the load.
+
+    `who` is the sending placer of a link, or the only placer or region concerned; `other` is the other end of the link.
+    """
 
     kind: str
     at_us: int
@@ -58,48 +65,48 @@
     lasts_us: int = 0
     both: bool = True
     amount: float = 0.0  # microseconds, bytes a second, or a share
-    state: bool = True  # a killed placer comes back with its state
-    machines: bool = False  # a killed region's go down too
+    state: bool = True  # whether a killed placer restarts with its state; of `work`, whether the operator renews
+    machines: bool = False  # whether machines of a killed region go down too
 
     @property
     def end_us(self) -> int:
-        """When it is taken back."""
+        """Time at which the fault ends."""
         return self.at_us + self.lasts_us
 
     def touches(self, name: str) -> bool:
-        """Whether a placer, or a link of it, is concerned."""
+        """Whether the fault concerns a placer or one of its links."""
         return name in (self.who, self.other)
 
 
 def read_script(path: Path, names: list[str], regions: tuple[str, ...] = ()) -> list[Fault]:
-    """The faults of a file; BadScript says what is wrong and where."""
+    """Reads the faults of a file, sorted by time. Raises ScriptError with the cause and its place."""
     try:
         nodes = ckdl.parse(path.read_text(encoding="utf-8")).nodes
     except (OSError, UnicodeDecodeError, ckdl.ParseError, ValueError) as error:
-        raise BadScript(f"{path}: {error}") from None
+        raise ScriptError(f"{path}: {error}") from None
     if len(nodes) > MAX_FAULTS:
-        raise BadScript(f"{path}: {len(nodes)} faults; {MAX_FAULTS} are the most")
+        raise ScriptError(f"{path}: {len(nodes)} faults; {MAX_FAULTS} are the most")
     out: list[Fault] = []
     for number, node in enumerate(nodes, 1):
         try:
             out.append(_read(node, names, regions))
         except (ValueError, TypeError, KeyError) as error:
-            raise BadScript(f"{path}: fault {number} ({node.name}): {error}") from None
+            raise ScriptError(f"{path}: fault {number} ({node.name}): {error}") from None
     return sorted(out, key=lambda fault: fault.at_us)
 
 
 def _read(node: Any, names: list[str], regions: tuple[str, ...]) -> Fault:
     props, kind = dict(node.properties), node.name
-    known = (*BETWEEN, *TO_ONE, *((WORK, *ON_REGIONS) if regions else ()))
+    known = (*LINK_FAULTS, *PLACER_FAULTS, *((WORK, *REGION_FAULTS) if regions else ()))
     if kind not in known:
         raise ValueError(f"one of {', '.join(known)} is wanted")
-    args, on_region = [str(each) for each in node.args], kind in ON_REGIONS
-    if len(args) != (1 if kind in BETWEEN else 2):
-        what = "" if kind in BETWEEN else ", and a region" if on_region else ", and a placer"
+    args, on_region = [str(each) for each in node.args], kind in REGION_FAULTS
+    if len(args) != (1 if kind in LINK_FAULTS else 2):
+        what = "" if kind in LINK_FAULTS else ", and a region" if on_region else ", and a placer"
         raise ValueError("a time is wanted" + what)
     who, other = (
         (str(props.pop("from")), str(props.pop("to")))
-        if kind in BETWEEN
+        if kind in LINK_FAULTS
         else (args[1], str(props.pop("to", "")) if on_region else "")
     )
     for name in filter(None, (who, other)):
@@ -128,16 +135,16 @@
 
 
 def generate(seed: int, names: list[str], seconds: float) -> list[Fault]:
-    """Faults of a play, a function of seed, names and length; the last fifth of it is left to heal."""
+    """Generates the faults of a run; depends on the arguments alone. Leaves the last fifth for recovery."""
     rng = random.Random(f"fleet/{seed}")
     out: list[Fault] = []
     for _ in range(max(2, int(seconds / 6))):
         at, lasts = rng.uniform(0.05, 0.7) * seconds, min(rng.uniform(0.5, 9), seconds * 0.2)
-        kind = rng.choice((*BETWEEN, *TO_ONE, "cut", "stop", "kill"))
+        kind = rng.choice((*LINK_FAULTS, *PLACER_FAULTS, "cut", "stop", "kill"))
         who = rng.choice(names)
         other = (
             rng.choice([name for name in names if name != who])
-            if len(names) > 1 and kind in BETWEEN
+            if len(names) > 1 and kind in LINK_FAULTS
             else ""
         )
         amount = {
@@ -158,7 +165,7 @@
                 rng.random() < 0.7,
             )
         )
-    # Rules change all along, while links are cut and processes stopped.
+    # Rules also change while links are cut and processes are stopped.
     for turn in range(max(2, int(seconds / 8))):
         at = (0.05 + 0.7 * turn / max(2, int(seconds / 8)) + rng.uniform(0, 0.05)) * seconds
         out.append(
@@ -179,7 +186,7 @@
                 )
             )
     if rng.random() < 0.4 and len(names) > 2:
-        # A part of the fleet is cut off from the rest.
+        # A network partition separates a third of the placers from the others.
         side = rng.sample(names, max(1, len(names) // 3))
         at, lasts = rng.uniform(0.1, 0.5) * seconds, seconds * 0.25
         out += [
@@ -188,12 +195,14 @@
             for b in names
             if b not in side
         ]
-    return _apart(sorted(out, key=lambda fault: fault.at_us))
+    return _without_overlaps(sorted(out, key=lambda fault: fault.at_us))
 
 
 def generate_regions(seed: int, places: dict[str, list[str]], seconds: float) -> list[Fault]:
-    """Faults of a play with regions (placers of each): what happens to whole regions, one after the other, beside less
-    of all else; and work on machines all along."""
+    """Generates the faults of a run with regions; `places` has the placers of each region.
+
+    Faults of whole regions follow one after the other, with fewer of all other faults and work on machines throughout.
+    """
     rng, names = (
         random.Random(f"regions/{seed}"),
         [name for some in places.values() for name in some],
@@ -220,7 +229,7 @@
         )
         at += lasts + rng.uniform(0.15, 0.4) * min(seconds, 75)
     killed = [each for each in out if each.kind == "kill-region"]
-    # While a whole region is down nothing else is killed or stopped: who keeps its Jobs is to be there.
+    # While a whole region is down no other placer is killed or stopped: replicas of its Jobs stay available.
     out = [
         each
         for each in out
@@ -246,11 +255,11 @@
                 state=rng.random() < 0.9,
             )
         )
-    return _apart(sorted(out, key=lambda fault: fault.at_us))
+    return _without_overlaps(sorted(out, key=lambda fault: fault.at_us))
 
 
-def _apart(faults: list[Fault]) -> list[Fault]:
-    """One thing at a time happens to each process; what comes while it is stopped or down is moved behind it."""
+def _without_overlaps(faults: list[Fault]) -> list[Fault]:
+    """Moves a stop or kill of a process behind an earlier one that has not ended, so that they do not overlap."""
     free: dict[str, int] = {}
     out: list[Fault] = []
     for fault in faults:
