--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""Links with injected faults, fault scripts, and the layout of placers and regions."""
+"""The rig's links with faults, its fault scripts, and its layout of placers over regions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Echo:
-    """A server that sends back what it receives and keeps a copy."""
+    """A server that echoes the data that it receives, and keeps all of it in `received`."""
 
     def __init__(self, hub: Hub) -> None:
         self.received: list[bytes] = []
@@ -40,7 +40,7 @@
             stream.send(data)
 
 
-def run_with_proxy(script: Callable[[Hub, Echo, Proxy], None]) -> None:
+def run_scenario(script: Callable[[Hub, Echo, Proxy], None]) -> None:
     hub = Hub(VirtualClock())
 
     def main() -> None:
@@ -51,16 +51,16 @@
 
 
 def send_word(hub: Hub, port: int, within_us: int = S) -> bytes | None:
-    """Sends one word; returns the answer, or None if none arrives in time."""
-    stream, got = connect(hub, "127.0.0.1", port), None
+    """Sends a word; returns the response, `b"reset"` if the peer is gone, None if none arrives in time."""
+    stream, response = connect(hub, "127.0.0.1", port), None
     try:
         stream.send(b"word")
         with hub.limit(within_us):
-            got = stream.receive()
+            response = stream.receive()
     except PeerGone:
-        got = b"reset"
+        response = b"reset"
     stream.close()
-    return got
+    return response
 
 
 def test_a_whole_link_passes_all_and_a_cut_one_holds_it_without_a_word() -> None:
@@ -72,12 +72,12 @@
         proxy.forward.cut, proxy.backward.cut = False, True
         assert send_word(hub, proxy.port) is None
         assert len(echo.received) == 2, (
-            "only the answers' direction is cut: the word was received, its answer was not"
+            "only the way back is cut: the server received the word, its response was lost"
         )
         proxy.heal()
         assert send_word(hub, proxy.port) == b"word"
 
-    run_with_proxy(script)
+    run_scenario(script)
 
 
 def test_a_link_is_late_slow_resets_and_delivers_twice() -> None:
@@ -98,7 +98,7 @@
         proxy.backward.reset_share = 1.0
         assert send_word(hub, proxy.port) == b"reset"
 
-    run_with_proxy(script)
+    run_scenario(script)
 
 
 def test_a_far_link_is_late_both_ways_and_a_fault_adds_to_it() -> None:
@@ -110,9 +110,9 @@
         assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2 + S // 25
         proxy.heal()
-        assert proxy.base_delay_us, "healing keeps the base delay"
+        assert proxy.base_delay_us, "healing keeps the distance of a link"
 
-    run_with_proxy(script)
+    run_scenario(script)
 
 
 def test_a_fault_from_one_to_the_other_takes_its_requests_and_its_answers() -> None:
@@ -125,7 +125,7 @@
         assert network.links["placer-1", "placer-0"].backward.cut
         assert not network.links["placer-0", "placer-1"].backward.cut
         assert not network.links["placer-1", "placer-0"].forward.cut
-        assert all(each.is_healthy for each in network.directions("placer-0", "placer-2"))
+        assert all(way.is_healthy for way in network.directions("placer-0", "placer-2"))
         network.set_port("placer-1", 7)
         assert {key for key, link in network.links.items() if link.to == 7} == {
             ("placer-0", "placer-1"),
@@ -261,7 +261,7 @@
             assert fault.who != fault.other
             if fault.kind in ("stop", "kill"):
                 assert fault.at_us >= spans.get(fault.who, 0), (
-                    "stops and kills of one process do not overlap"
+                    "a process has only one fault at a time"
                 )
                 spans[fault.who] = fault.end_us
     assert {fault.kind for seed in range(1, 60) for fault in generate(seed, NAMES, 60)} == {
@@ -291,12 +291,10 @@
         hub.spawn(lambda: injector.inject(Fault("cut-region", 0, "south", lasts_us=10 * S)))
         hub.spawn(lambda: injector.inject(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
         hub.sleep(5 * S)
-        assert places.network.links["placer-0", "placer-1"].forward.cut, (
-            "the cut of south is still active"
-        )
+        assert places.network.links["placer-0", "placer-1"].forward.cut, "south is still cut off"
         assert not places.network.links["placer-0", "placer-2"].forward.cut
         hub.sleep(6 * S)
-        assert all(each.is_healthy for each in places.network.directions("placer-0", "placer-1"))
+        assert all(way.is_healthy for way in places.network.directions("placer-0", "placer-1"))
         places.close()
 
     hub.run(main)
