--- a/wingbarrow/lab/fleet/fault_injection.py
+++ b/wingbarrow/lab/fleet/fault_injection.py
@@ -6,10 +6,10 @@
 from collections import Counter
 
 from wingbarrow.lab.fleet.commands import Commands
+from wingbarrow.lab.fleet.maintenance_operator import MaintenanceOperator
 from wingbarrow.lab.fleet.places import Places
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
-from wingbarrow.lab.fleet.worker import Worker
 from wingbarrow.transport import Nursery
 
 
@@ -18,7 +18,7 @@
 
     def __init__(self, places: Places, commands: Commands) -> None:
         self._places, self._commands, self._hub = places, commands, places.hub
-        self._worker = Worker(places, commands)
+        self._operator = MaintenanceOperator(places, commands)
         # Faults now active, by sender, receiver and the link property that they change.
         self._active: Counter[tuple[str, str, str]] = Counter()
 
@@ -189,4 +189,4 @@
         self._commands.drain(fault)
 
     def _work(self, fault: Fault) -> None:
-        self._worker.work(fault)
+        self._operator.work(fault)
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -61,7 +61,7 @@
         until = begun + int(size.seconds * SECOND) + 60 * SECOND
         with Nursery(hub) as nursery:
             for fault in self._faults:
-                nursery.spawn(lambda fault=fault: self._suffer(fault, begun), "fault")  # type: ignore[misc]
+                nursery.spawn(lambda fault=fault: self._inject(fault, begun), "fault")  # type: ignore[misc]
             for owners, wants in self._owners():
                 nursery.spawn(
                     lambda owners=owners, wants=wants: owners.run(wants, until),  # type: ignore[misc]
@@ -103,7 +103,7 @@
             )
         return out
 
-    def _suffer(self, fault: Fault, begun: int) -> None:
+    def _inject(self, fault: Fault, begun: int) -> None:
         self._hub.sleep_until(begun + fault.at_us)
         self.progress(f"{fault.kind} {fault.who} {fault.other} for {fault.lasts_us / SECOND:.1f} s")
         self._fault_injector.inject(fault)
