--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -1,6 +1,6 @@
-"""What the rig asks of placers over REST: questions, for waiting only, and an operator's commands.
+"""REST requests of the rig to placers: queries, used only to wait for a state, and an operator's commands.
 
-The judge never hears the answers to questions; what commands came to is written down as events.
+Answers to queries are not recorded, so the judge does not see them. Outcomes of commands are recorded as events.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from wingbarrow.lab.fleet.script import Fault
 from wingbarrow.peers.ruleset_settings import requested_rule_set
 
-TRIES = 20
-API = "/apis/wingbarrow.io/v1"
+MAX_TRIES = 20
+API_PATH = "/apis/wingbarrow.io/v1"
 
 
 class Commands:
-    """`variant` makes the rules of a number: settings' text, and who shares the cold budget."""
+    """`variant` maps a number to a variant of the rules: settings text, and placers that share the cold budget."""
 
     def __init__(self, places: Places) -> None:
         self._places, self._hub = places, places.hub
-        self._drains: dict[str, str] = {}  # asked for, by machine: the key
-        self.variant: Callable[[int], tuple[str, list[str]]] = self.drawn
+        self._drains: dict[str, str] = {}  # machine -> key of its requested drain
+        self.variant: Callable[[int], tuple[str, list[str]]] = self.random_variant
 
-    # -- questions
+    # -- queries
 
     def get(self, slot: Slot, target: str) -> dict[str, Any] | None:
-        """What a placer answers; None for nothing, or an error."""
+        """Answer of a placer to a GET; None on an error or without an answer."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             return call(pool, "GET", target, None, self._hub.now_us() + 2 * SECOND)
@@ -47,33 +47,33 @@
             pool.close()
 
     def all_listed(self) -> bool:
-        """Whether every placer has the list of all machines that it holds."""
+        """Whether every placer lists all machines that it holds."""
         layout = self._places.layout
         for slot in self._places.placers:
             names = [each.name for each in self._places.clusters[layout.region(slot.name)].machines]
-            told = self.get(slot, "/api/v1/nodes")
-            if told is None or len(told["items"]) < layout.held(slot.name, names):
+            answer = self.get(slot, "/api/v1/nodes")
+            if answer is None or len(answer["items"]) < layout.held(slot.name, names):
                 return False
         return True
 
-    def agreed(self) -> bool:
-        """Whether all placers that run act on the same version, with no step to come."""
+    def all_agree(self) -> bool:
+        """Whether all running placers act on the same version of the rules, with no step left to apply."""
         labels = set()
         for slot in self._places.running():
-            told = self.get(slot, f"{API}/rules")
-            if told is None or not str(told["label"]).startswith("e") or told.get("steps"):
+            answer = self.get(slot, f"{API_PATH}/rules")
+            if answer is None or not str(answer["label"]).startswith("e") or answer.get("steps"):
                 return False
-            labels.add((told["label"], told["version"]))
+            labels.add((answer["label"], answer["version"]))
         return len(labels) == 1
 
-    def whole(self) -> bool:
-        """Whether all placers that run say that all others are alive."""
+    def all_alive(self) -> bool:
+        """Whether all running placers report all others as alive."""
         running = self._places.running()
         for slot in running:
-            told = self.get(slot, f"{API}/members")
+            answer = self.get(slot, f"{API_PATH}/members")
             alive = (
-                {each["ident"] for each in told["items"] if each["standing"] == "alive"}
-                if told
+                {each["ident"] for each in answer["items"] if each["standing"] == "alive"}
+                if answer
                 else set()
             )
             if not {other.name for other in running if other is not slot} <= alive:
@@ -81,7 +81,7 @@
         return True
 
     def wait_until(self, done: Callable[[], bool], within_us: int, what: str) -> None:
-        """TimeoutError where something does not hold in its time."""
+        """Waits for a condition. Raises TimeoutError if it does not hold within `within_us`."""
         end = self._hub.now_us() + within_us
         while not done():
             if self._hub.now_us() >= end:
@@ -90,8 +90,8 @@
 
     # -- commands
 
-    def drawn(self, number: int) -> tuple[str, list[str]]:
-        """Settings with rules unlike those at the beginning, and who shares the cold budget, by a number."""
+    def random_variant(self, number: int) -> tuple[str, list[str]]:
+        """Random variant of the initial settings and the placers that share the cold budget, with `number` as seed."""
         places = self._places
         rng, text = random.Random(number), places.settings(places.slots[0])
         text = (
@@ -108,27 +108,27 @@
         return text + barred, sharers
 
     def propose(self, number: int, slot: Slot) -> bool:
-        """Propose a variant; whether it was accepted."""
+        """Proposes a variant of the rules; returns whether it was accepted."""
         text, sharers = self.variant(number)
-        wanted = requested_rule_set(load_text(text))
-        offers = sum(share for _, share in wanted.cold_shares)
-        wanted = normalized(replace(wanted, cold_shares=equal_shares(offers, tuple(sharers))))
+        rules = requested_rule_set(load_text(text))
+        offers = sum(share for _, share in rules.cold_shares)
+        rules = normalized(replace(rules, cold_shares=equal_shares(offers, tuple(sharers))))
         body = {
             "ident": f"rig-{number}-{self._hub.now_us()}",
-            "rules": json.loads(wanted.text()),
+            "rules": json.loads(rules.text()),
             "by": "the rig",
             "keepDrains": True,
         }
-        told = self.at_leader(slot, "POST", "rules", body)
-        if told is None:
+        answer = self.at_leader(slot, "POST", "rules", body)
+        if answer is None:
             self._places.event("not-decided", variant=number)
-        elif told.get("kind") == "Accepted":
-            self._places.event("accepted", version=told["version"], rules=wanted.text())
+        elif answer.get("kind") == "Accepted":
+            self._places.event("accepted", version=answer["version"], rules=rules.text())
             return True
         return False
 
     def propose_last(self) -> None:
-        """What all are to act on in the end."""
+        """Proposes the variant that all placers act on at the end; tries further ones until one is accepted."""
         slots = self._places.slots
         for number in range(1, 20):
             if self.propose(
@@ -137,36 +137,41 @@
                 return
 
     def drain(self, fault: Fault) -> None:
-        """Ask a placer to drain a machine for longer than any run, or to take that back."""
+        """Asks a placer to drain a machine for longer than any run, or to cancel its drain."""
         machines, slot = self._places.machines, self._places.slot(fault.who)
         name = machines[int(fault.amount) % len(machines)].name
         key = self._drains.pop(name, None)
         if key is not None:
-            told = self.at_leader(slot, "DELETE", f"drains/{quote(key)}", None)
+            answer = self.at_leader(slot, "DELETE", f"drains/{quote(key)}", None)
         else:
-            told = self.at_leader(slot, "POST", "drains", {"machine": name, "lasts": "6h"})
-        if told is not None and told.get("kind") == "Drain":
-            self._drains[name] = told["key"]
-        self._places.event("drain", machine=name, back=key is not None, told=told)
+            answer = self.at_leader(slot, "POST", "drains", {"machine": name, "lasts": "6h"})
+        if answer is not None and answer.get("kind") == "Drain":
+            self._drains[name] = answer["key"]
+        self._places.event("drain", machine=name, back=key is not None, told=answer)
 
     def at_leader(
-        self, slot: Slot, method: str, path: str, body: dict[str, Any] | None, tries: int = TRIES
+        self,
+        slot: Slot,
+        method: str,
+        path: str,
+        body: dict[str, Any] | None,
+        tries: int = MAX_TRIES,
     ) -> dict[str, Any] | None:
-        """What whoever leads answers in the end, asked by way of other placers; None where nothing was decided."""
+        """Sends a request to the leader, found through other placers. Returns its answer; None if undecided."""
         places = self._places
         for _ in range(tries):
-            told = self.call(slot, method, path, body)
+            answer = self.call(slot, method, path, body)
             if (
-                told is not None
-                and told.get("kind") == "Leader"
-                and told.get("name") in places.names
+                answer is not None
+                and answer.get("kind") == "Leader"
+                and answer.get("name") in places.names
             ):
-                slot = places.slot(str(told["name"]))
+                slot = places.slot(str(answer["name"]))
                 continue
-            if told is not None and told.get("code", 200) in (200, 201, 404, 409):
-                if told.get("code") == 409:
-                    places.event("objected", words=told["message"])
-                return told
+            if answer is not None and answer.get("code", 200) in (200, 201, 404, 409):
+                if answer.get("code") == 409:
+                    places.event("objected", words=answer["message"])
+                return answer
             self._hub.sleep(SECOND // 2)
             slot = places.slots[(slot.index + 1) % len(places.slots)]
         return None
@@ -174,13 +179,13 @@
     def call(
         self, slot: Slot, method: str, path: str, body: dict[str, Any] | None
     ) -> dict[str, Any] | None:
-        """An answer, whatever its status; None where none came."""
+        """Answer of a placer, whatever its status; None if none arrived."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             raw = b"" if body is None else json.dumps(body).encode()
             response = pool.request(
                 method,
-                f"{API}/{path}",
+                f"{API_PATH}/{path}",
                 raw,
                 [("Content-Type", "application/json")],
                 self._hub.now_us() + 8 * SECOND,
--- a/wingbarrow/lab/fleet/maintenance_operator.py
+++ b/wingbarrow/lab/fleet/maintenance_operator.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from wingbarrow.lab.fleet.commands import TRIES, Commands
+from wingbarrow.lab.fleet.commands import MAX_TRIES, Commands
 from wingbarrow.lab.fleet.places import Places, Slot
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
@@ -99,7 +99,7 @@
         self._places.record(machine.name, "work-end", turn=number, tasks=_tasks(machine))
         self._places.event("turn-worked", number=number, told=self._post(number, "back"))
 
-    def _post(self, number: int, action: str, tries: int = TRIES) -> dict[str, Any] | None:
+    def _post(self, number: int, action: str, tries: int = MAX_TRIES) -> dict[str, Any] | None:
         running = self._rotated_running()
         body = {"worker": OPERATOR_NAME}
         return (
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -46,8 +46,8 @@
             places.start_all()
             self.progress("all processes listen")
             commands.wait_until(commands.all_listed, START_US, "every placer has the whole list")
-            commands.wait_until(commands.whole, START_US, "every placer knows all others")
-            commands.wait_until(commands.agreed, START_US, "every placer acts on agreed rules")
+            commands.wait_until(commands.all_alive, START_US, "every placer knows all others")
+            commands.wait_until(commands.all_agree, START_US, "every placer acts on agreed rules")
             self.progress("all placers have their list, know each other and act on agreed rules")
             self._play()
         finally:
@@ -75,7 +75,7 @@
         hub.sleep(TAIL_US // 4)
         # The judge holds the fleet to its stated time: the rig waits that long at most, and less where all is well.
         end = hub.now_us() + SwimSettings().healing_bound_us(len(places.names))
-        while not (commands.whole() and commands.agreed()) and hub.now_us() < end:
+        while not (commands.all_alive() and commands.all_agree()) and hub.now_us() < end:
             hub.sleep(SECOND // 5)
         hub.sleep(SECOND)
         places.event("over", lag_worst_us=hub.lag.worst_us)
