--- a/wingbarrow/lab/fleet/fault_injection.py
+++ b/wingbarrow/lab/fleet/fault_injection.py
@@ -129,7 +129,7 @@
             return  # on a busy machine a start may take until the next fault
         self._places.kill(slot)
         if not fault.state:
-            self._places.forget(slot)
+            self._places.delete_state(slot)
         self._hub.sleep(fault.lasts_us)
         self._places.start(slot)
 
@@ -158,17 +158,17 @@
         slots = [places.slot(name) for name in places.layout.places[fault.who]]
         slots = [slot for slot in slots if slot.process is not None and not slot.starting]
         for slot in slots:
-            places.strike(slot)
+            places.send_kill(slot)
         with Nursery(self._hub) as nursery:
             for slot in slots:
-                nursery.spawn(lambda slot=slot: places.bury(slot), "buries")  # type: ignore[misc]
+                nursery.spawn(lambda slot=slot: places.reap(slot), "reap")  # type: ignore[misc]
             if fault.machines and fault.who in places.clusters:
                 nursery.spawn(lambda: places.clusters[fault.who].dark(fault.lasts_us), "region")
             self._hub.sleep(fault.lasts_us)
         with Nursery(self._hub) as nursery:
             for slot in slots:
                 if not fault.state:
-                    places.forget(slot)
+                    places.delete_state(slot)
                 nursery.spawn(lambda slot=slot: places.start(slot), "starts")  # type: ignore[misc]
 
     def _faulty(self, fault: Fault) -> None:
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -1,8 +1,8 @@
-"""The places of a fleet: a process for each placer, the links between them, the stand-ins, and what is written down.
+"""Processes of a fleet run: one for each placer, the links between them, the simulated clusters, and the records.
 
-A run leaves a directory: `fleet.json` (what was asked for), `events.jsonl` (what the rig did to links and processes,
-and when), `recording.jsonl` (what crossed the stand-ins' sockets), `placer-N.history.jsonl` (each process's own record,
-by the same clock), settings and logs. `judge` reads these and nothing else.
+A run leaves a directory: `fleet.json` (the run's parameters), `events.jsonl` (faults and changes of processes, with
+their times), `recording.jsonl` (the traffic of the simulated clusters), `placer-N.history.jsonl` (each process's own
+record, by the same clock), settings and logs. `judge` reads these files and nothing else.
 """
 
 from __future__ import annotations
@@ -25,26 +25,24 @@
 from wingbarrow.transport import Hub, Nursery
 
 START_US = 60 * SECOND
-SEEDS = 3  # placers that all others name as peers
-LEAVE_US = 20 * SECOND
-STARVED_US, STARVED = (
-    SECOND // 2,
-    0.2,
-)  # looked at so often; waited for a processor for such a share of it
+SEED_COUNT = 3  # placers that all others name as seed peers
+TERMINATION_TIMEOUT_US = 20 * SECOND
+STARVATION_INTERVAL_US = SECOND // 2  # between two checks of the time that processes wait for a CPU
+STARVATION_SHARE = 0.2  # of the interval; a process that waits longer is recorded as starved
 
 
 class Slot:
-    """One placer's place: its process, if it runs, and the link by which owners reach it."""
+    """Slot of one placer: its process, if it runs, and the link through which owners reach it."""
 
     def __init__(self, name: str, index: int, front: Proxy) -> None:
         self.name, self.index, self.front = name, index, front
         self.process: Process | None = None
-        self.lives = 0
+        self.incarnation = 0
         self.stopped = self.starting = False
 
 
 class Places:
-    """All of them; to be started and ended once."""
+    """Processes, links and clusters of one run. Started and ended once."""
 
     def __init__(self, hub: Hub, size: Size, folder: Path, log: Callable[..., None]) -> None:
         self.hub, self.size, self.folder, self._log = hub, size, folder, log
@@ -55,12 +53,12 @@
         self._events = (folder / "events.jsonl").open("w", encoding="utf-8")
 
     def event(self, what: str, **fields: Any) -> None:
-        """Write down what the rig did, now."""
+        """Records an event of the rig with the current time."""
         self._events.write(json.dumps({"at_us": self.hub.now_us(), "what": what, **fields}) + "\n")
         self._events.flush()
 
     def open(self, faults: list[Fault]) -> None:
-        """Make stand-ins and links; nothing runs yet."""
+        """Creates simulated clusters and links and writes the run's parameters; starts no process."""
         hub, layout, seed = self.hub, self.layout, self.size.seed
         self.clusters = {
             region: Cluster(
@@ -96,15 +94,15 @@
 
     @property
     def machines(self) -> list[Machine]:
-        """All of them, in order of regions."""
+        """All machines, in order of regions."""
         return [machine for cluster in self.clusters.values() for machine in cluster.machines]
 
     def cluster(self, name: str) -> Cluster | None:
-        """List source and machines of a placer; None for one without any."""
+        """List source and machines of a placer's region; None if it has none."""
         return self.clusters.get(self.layout.region(name))
 
     def start_all(self) -> None:
-        """Bring everything up; returns when all processes listen."""
+        """Starts clusters and placers. Returns once all processes listen."""
         for cluster in self.clusters.values():
             cluster.start()
         for name in self.voters:
@@ -114,24 +112,24 @@
                 nursery.spawn(lambda slot=slot: self.start(slot), "starts")  # type: ignore[misc]
 
     def slot(self, name: str) -> Slot:
-        """A placer's place."""
+        """Slot of a placer."""
         return self.slots[self.names.index(name)]
 
     @property
     def placers(self) -> list[Slot]:
-        """Those with machines, whom owners ask."""
+        """Slots of placers with machines, to which owners send requests."""
         return [slot for slot in self.slots if slot.name != WITNESS]
 
     def running(self) -> list[Slot]:
-        """Those whose process runs and is not stopped."""
+        """Slots whose process runs and is not stopped."""
         return [slot for slot in self.slots if slot.process is not None and not slot.stopped]
 
     def start(self, slot: Slot) -> None:
-        """Start a placer's process; returns when it listens."""
+        """Starts a placer's process. Returns once it listens."""
         path = self.folder / f"{slot.name}.kdl"
         path.write_text(self.settings(slot))
-        slot.lives += 1
-        self.event("starting", who=slot.name, life=slot.lives)
+        slot.incarnation += 1
+        self.event("starting", who=slot.name, life=slot.incarnation)
         log, checkout = self.folder / f"{slot.name}.log", self.size.checkout(slot.index)
         process = Process(self.hub, ["serve", str(path)], log, checkout)
         slot.process, slot.starting = process, True
@@ -139,39 +137,39 @@
         slot.starting = False
         slot.front.to = port
         self.network.set_port(slot.name, port)
-        self.event("started", who=slot.name, life=slot.lives, pid=process.pid)
+        self.event("started", who=slot.name, life=slot.incarnation, pid=process.pid)
 
     def kill(self, slot: Slot) -> None:
-        """Kill a placer's process."""
-        self.strike(slot)
-        self.bury(slot)
+        """Kills a placer's process and waits for its end."""
+        self.send_kill(slot)
+        self.reap(slot)
 
-    def strike(self, slot: Slot) -> None:
-        """It is killed when this returns, and not yet looked after."""
+    def send_kill(self, slot: Slot) -> None:
+        """Sends SIGKILL to a placer's process and records it, without waiting for the end."""
         assert slot.process is not None
         slot.process.send(signal.SIGKILL)
         self.record(slot.name, "killed")
-        self.event("killed", who=slot.name, life=slot.lives)
+        self.event("killed", who=slot.name, life=slot.incarnation)
 
-    def bury(self, slot: Slot) -> None:
-        """Wait for one that was struck."""
+    def reap(self, slot: Slot) -> None:
+        """Waits for the end of a killed process and disconnects its links."""
         process, slot.process = slot.process, None
         assert process is not None
         process.end(signal.SIGKILL)
         slot.front.to = 1
         self.network.set_port(slot.name, 1)
 
-    def forget(self, slot: Slot) -> None:
-        """What it saved is gone; a voter's store stays: without it, it would be none (`raft.Raft.empty`)."""
+    def delete_state(self, slot: Slot) -> None:
+        """Deletes a placer's saved state, except a voter's store, without which it is no voter (`raft.Raft.empty`)."""
         for file in (self.folder / f"{slot.name}.state").glob("*"):
             if file.is_file():
                 file.unlink()
 
     def settings(self, slot: Slot) -> str:
-        """The file of a placer."""
-        seeds = [name for name in self.names[:SEEDS] if name != slot.name]
+        """Text of a placer's settings file."""
+        seeds = [name for name in self.names[:SEED_COUNT] if name != slot.name]
         others = [name for name in self.names if name != slot.name]
-        # All links are named, so that whatever address a placer gives itself, it is reached through its link.
+        # All links are named as peers: a placer is reached through its link, whatever address it advertises.
         peers = "".join(
             f'peer "127.0.0.1" port={self.network.links[slot.name, name].port} name="{name}"'
             f"{'' if name in seeds else ' seed=false'}\n"
@@ -179,10 +177,10 @@
         )
         state = self.folder / f"{slot.name}.state"
         state.mkdir(exist_ok=True)
-        mates, cluster = self.layout.mates(slot.name), self.cluster(slot.name)
+        region_peers, cluster = self.layout.mates(slot.name), self.cluster(slot.name)
         text = settings_text(
-            mates.index(slot.name) if slot.name in mates else 0,
-            len(mates),
+            region_peers.index(slot.name) if slot.name in region_peers else 0,
+            len(region_peers),
             self.size.seed + slot.index,
             cluster.source.port if cluster else 1,
             0,
@@ -194,20 +192,20 @@
             f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}'
         )
 
-    def watch(self) -> None:
-        """Write down, for good, when a process was ready to run and the machine gave it no processor."""
+    def watch_starvation(self) -> None:
+        """Records, as long as the run lasts, when a process was ready to run but got no CPU time from the machine."""
         before: dict[int, int] = {}
         while True:
-            self.hub.sleep(STARVED_US)
+            self.hub.sleep(STARVATION_INTERVAL_US)
             for slot in self.running():
                 assert slot.process is not None
                 waited, pid = slot.process.waited_us(), slot.process.pid
-                if waited - before.get(pid, waited) > STARVED_US * STARVED:
-                    self.event("starved", who=slot.name, for_us=STARVED_US)
+                if waited - before.get(pid, waited) > STARVATION_INTERVAL_US * STARVATION_SHARE:
+                    self.event("starved", who=slot.name, for_us=STARVATION_INTERVAL_US)
                 before[pid] = waited
 
     def close(self) -> None:
-        """Ask all processes to end, wait, and write the recording."""
+        """Terminates all processes, waits for their end, and writes the recording."""
         for slot in self.slots:
             if slot.process is not None:
                 self.event("ending", who=slot.name, use_s=slot.process.use_s())
@@ -218,7 +216,7 @@
                         lambda slot=slot: self.event(  # type: ignore[misc]
                             "ended",
                             who=slot.name,
-                            status=slot.process.end(signal.SIGTERM, LEAVE_US),
+                            status=slot.process.end(signal.SIGTERM, TERMINATION_TIMEOUT_US),
                         ),
                         "ends",
                     )
--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -57,7 +57,7 @@
         hub, places, commands, size = self._hub, self.places, self.commands, self.places.size
         places.event("begin")
         begun = hub.now_us()
-        hub.spawn(places.watch, "watches processes")
+        hub.spawn(places.watch_starvation, "watches processes")
         until = begun + int(size.seconds * SECOND) + 60 * SECOND
         with Nursery(hub) as nursery:
             for fault in self._faults:
