--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -12,11 +12,11 @@
 
 from wingbarrow.decide.membership.swim import SwimSettings
 from wingbarrow.lab.fleet.commands import Commands
+from wingbarrow.lab.fleet.fault_injection import FaultInjector
 from wingbarrow.lab.fleet.layout import Size
 from wingbarrow.lab.fleet.places import START_US, Places
 from wingbarrow.lab.fleet.process import SECOND
 from wingbarrow.lab.fleet.script import Fault
-from wingbarrow.lab.fleet.suffering import Suffering
 from wingbarrow.lab.load import Owners, PlacerAddress
 from wingbarrow.lab.workload import Mix, TaskSpec, draw
 from wingbarrow.transport import Hub, Nursery
@@ -35,7 +35,7 @@
         self._hub, self._faults = hub, faults
         self.places = Places(hub, size, folder, log)
         self.commands = Commands(self.places)
-        self._suffering = Suffering(self.places, self.commands)
+        self._fault_injector = FaultInjector(self.places, self.commands)
         self.progress: Callable[[str], None] = lambda text: None
 
     def run(self) -> None:
@@ -46,8 +46,8 @@
             places.start_all()
             self.progress("all processes listen")
             commands.wait_until(commands.all_listed, START_US, "every placer has the whole list")
-            commands.wait_until(commands.whole, START_US, "every placer knows all others")
-            commands.wait_until(commands.agreed, START_US, "every placer acts on agreed rules")
+            commands.wait_until(commands.all_alive, START_US, "every placer knows all others")
+            commands.wait_until(commands.all_agree, START_US, "every placer acts on agreed rules")
             self.progress("all placers have their list, know each other and act on agreed rules")
             self._play()
         finally:
@@ -57,11 +57,11 @@
         hub, places, commands, size = self._hub, self.places, self.commands, self.places.size
         places.event("begin")
         begun = hub.now_us()
-        hub.spawn(places.watch, "watches processes")
+        hub.spawn(places.watch_starvation, "watches processes")
         until = begun + int(size.seconds * SECOND) + 60 * SECOND
         with Nursery(hub) as nursery:
             for fault in self._faults:
-                nursery.spawn(lambda fault=fault: self._suffer(fault, begun), "fault")  # type: ignore[misc]
+                nursery.spawn(lambda fault=fault: self._inject(fault, begun), "fault")  # type: ignore[misc]
             for owners, wants in self._owners():
                 nursery.spawn(
                     lambda owners=owners, wants=wants: owners.run(wants, until),  # type: ignore[misc]
@@ -75,7 +75,7 @@
         hub.sleep(TAIL_US // 4)
         # The judge holds the fleet to its stated time: the rig waits that long at most, and less where all is well.
         end = hub.now_us() + SwimSettings().healing_bound_us(len(places.names))
-        while not (commands.whole() and commands.agreed()) and hub.now_us() < end:
+        while not (commands.all_alive() and commands.all_agree()) and hub.now_us() < end:
             hub.sleep(SECOND // 5)
         hub.sleep(SECOND)
         places.event("over", lag_worst_us=hub.lag.worst_us)
@@ -103,7 +103,7 @@
             )
         return out
 
-    def _suffer(self, fault: Fault, begun: int) -> None:
+    def _inject(self, fault: Fault, begun: int) -> None:
         self._hub.sleep_until(begun + fault.at_us)
         self.progress(f"{fault.kind} {fault.who} {fault.other} for {fault.lasts_us / SECOND:.1f} s")
-        self._suffering.suffer(fault)
+        self._fault_injector.inject(fault)
