--- a/tests/peers/test_learning_path.py
+++ b/tests/peers/test_learning_path.py
@@ -390,7 +390,9 @@
         if seen_after_list:
             assert placer.machines.links["node-0"].phase is Phase.DRAINING
             stage.cluster.source._store.version += 10
-            machine.build = machine.build.__class__(**{**_fields(machine.build), "cached_programs": 9})
+            machine.build = machine.build.__class__(
+                **{**_fields(machine.build), "cached_programs": 9}
+            )
             value = node_value(machine)
             value["metadata"]["labels"]["fresh"] = "yes"
             stage.cluster.source.show("node-0", value)
