--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -64,7 +64,9 @@
         change = Fault("propose", int(seconds * 0.4 * SECOND), "placer-1", amount=1.0)
         rig = Rig(hub, Size(placers, 6 * placers, seconds, seed, rate), [change], folder, silent)
         rig.commands.variant = (
-            lambda number: contradicting(rig) if number == 1 else rig.commands.drawn(number)
+            lambda number: contradicting(rig)
+            if number == 1
+            else rig.commands.random_variant(number)
         )
         hub.run(rig.run)
         verdict = judge(folder)
--- a/tests/lab/test_two_versions.py
+++ b/tests/lab/test_two_versions.py
@@ -1,4 +1,4 @@
-"""Placers that run the program of another checkout, in one play with those of this one."""
+"""Placers that run the program of another checkout, in one run with placers of this one."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from wingbarrow.lab.fleet.process import SECOND, Process
 from wingbarrow.transport import Hub
 
-# It says who it is, as a placer does, and stays until it is ended.
+# Prints a start-up message as a placer does, then waits for a signal.
 PROGRAM = """
 import json, os, signal, sys
 
-told = {"kind": "placer", "url": "http://127.0.0.1:9", "program": __file__}
-print(json.dumps(told | {"arguments": sys.argv[1:], "path": os.environ["PYTHONPATH"]}), flush=True)
+message = {"kind": "placer", "url": "http://127.0.0.1:9", "program": __file__}
+print(json.dumps(message | {"arguments": sys.argv[1:], "path": os.environ["PYTHONPATH"]}), flush=True)
 signal.pause()
 """
 
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """A tree with a program that is not this one."""
+    """A source tree whose program differs from this one."""
     tree = tmp_path / "checkout"
     (tree / "wingbarrow").mkdir(parents=True)
     (tree / "wingbarrow" / "__init__.py").write_text("")
@@ -40,12 +40,12 @@
     def play() -> None:
         process = Process(hub, ["serve", "some.kdl"], None, checkout)
         try:
-            told = process.line("placer", 20 * SECOND)
+            message = process.wait_for_message("placer", 20 * SECOND)
         finally:
-            process.end()
-        assert Path(told["program"]) == checkout / "wingbarrow" / "__main__.py"
-        assert told["arguments"] == ["serve", "some.kdl"]
-        assert told["path"] == str(checkout)
+            process.terminate()
+        assert Path(message["program"]) == checkout / "wingbarrow" / "__main__.py"
+        assert message["arguments"] == ["serve", "some.kdl"]
+        assert message["path"] == str(checkout)
 
     hub.run(play)
 
@@ -73,9 +73,9 @@
         finally:
             places.close()
         assert process is not None
-        assert process.ended is not None
-        assert Path(process.told[0]["program"]).is_relative_to(checkout)
-        assert process.told[0]["arguments"] == ["serve", str(places.folder / "placer-0.kdl")]
+        assert process.exit_status is not None
+        assert Path(process.messages[0]["program"]).is_relative_to(checkout)
+        assert process.messages[0]["arguments"] == ["serve", str(places.folder / "placer-0.kdl")]
 
     hub.run(play)
 
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -1,6 +1,6 @@
-"""What the rig asks of placers over REST: questions, for waiting only, and an operator's commands.
+"""Requests of the rig to placers over REST: queries, used only to wait, and an operator's commands.
 
-The judge never hears the answers to questions; what commands came to is written down as events.
+The judge never sees the answers to queries; the outcomes of commands are recorded as events.
 """
 
 from __future__ import annotations
@@ -22,22 +22,25 @@
 from wingbarrow.lab.fleet.script import Fault
 from wingbarrow.peers.ruleset_settings import requested_rule_set
 
-TRIES = 20
+MAX_ATTEMPTS = 20
 API = "/apis/wingbarrow.io/v1"
 
 
 class Commands:
-    """`variant` makes the rules of a number: settings' text, and who shares the cold budget."""
+    """Queries and commands to the placers of one run.
+
+    `variant` maps a number to a variant of the rules: the settings' text, and the placers that share the cold budget.
+    """
 
     def __init__(self, places: Places) -> None:
         self._places, self._hub = places, places.hub
-        self._drains: dict[str, str] = {}  # asked for, by machine: the key
-        self.variant: Callable[[int], tuple[str, list[str]]] = self.drawn
+        self._drains: dict[str, str] = {}  # machine name to the key of its requested drain
+        self.variant: Callable[[int], tuple[str, list[str]]] = self.random_variant
 
-    # -- questions
+    # -- queries
 
     def get(self, slot: Slot, target: str) -> dict[str, Any] | None:
-        """What a placer answers; None for nothing, or an error."""
+        """The answer of a placer to a GET; None if none came, or an error status."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             return call(pool, "GET", target, None, self._hub.now_us() + 2 * SECOND)
@@ -47,33 +50,33 @@
             pool.close()
 
     def all_listed(self) -> bool:
-        """Whether every placer has the list of all machines that it holds."""
+        """Whether every placer has listed all machines of its subset."""
         layout = self._places.layout
         for slot in self._places.placers:
             names = [each.name for each in self._places.clusters[layout.region(slot.name)].machines]
-            told = self.get(slot, "/api/v1/nodes")
-            if told is None or len(told["items"]) < layout.held(slot.name, names):
+            answer = self.get(slot, "/api/v1/nodes")
+            if answer is None or len(answer["items"]) < layout.held(slot.name, names):
                 return False
         return True
 
-    def agreed(self) -> bool:
-        """Whether all placers that run act on the same version, with no step to come."""
+    def rules_agreed(self) -> bool:
+        """Whether all running placers act on the same version of the rules, and no step of a change is pending."""
         labels = set()
         for slot in self._places.running():
-            told = self.get(slot, f"{API}/rules")
-            if told is None or not str(told["label"]).startswith("e") or told.get("steps"):
+            answer = self.get(slot, f"{API}/rules")
+            if answer is None or not str(answer["label"]).startswith("e") or answer.get("steps"):
                 return False
-            labels.add((told["label"], told["version"]))
+            labels.add((answer["label"], answer["version"]))
         return len(labels) == 1
 
-    def whole(self) -> bool:
-        """Whether all placers that run say that all others are alive."""
+    def members_alive(self) -> bool:
+        """Whether every running placer lists all other running ones as alive."""
         running = self._places.running()
         for slot in running:
-            told = self.get(slot, f"{API}/members")
+            answer = self.get(slot, f"{API}/members")
             alive = (
-                {each["ident"] for each in told["items"] if each["standing"] == "alive"}
-                if told
+                {each["ident"] for each in answer["items"] if each["standing"] == "alive"}
+                if answer
                 else set()
             )
             if not {other.name for other in running if other is not slot} <= alive:
@@ -81,17 +84,19 @@
         return True
 
     def wait_until(self, done: Callable[[], bool], within_us: int, what: str) -> None:
-        """TimeoutError where something does not hold in its time."""
-        end = self._hub.now_us() + within_us
+        """Poll a condition until it holds; raises TimeoutError if it does not within `within_us`."""
+        deadline_us = self._hub.now_us() + within_us
         while not done():
-            if self._hub.now_us() >= end:
-                raise TimeoutError(f"{what}: not within {within_us / SECOND:g} s")
+            if self._hub.now_us() >= deadline_us:
+                raise TimeoutError(
+                    f"condition did not hold within {within_us / SECOND:g} s: {what}"
+                )
             self._hub.sleep(SECOND // 5)
 
     # -- commands
 
-    def drawn(self, number: int) -> tuple[str, list[str]]:
-        """Settings with rules unlike those at the beginning, and who shares the cold budget, by a number."""
+    def random_variant(self, number: int) -> tuple[str, list[str]]:
+        """Random settings with rules other than the initial ones, and the placers that share the cold budget."""
         places = self._places
         rng, text = random.Random(number), places.settings(places.slots[0])
         text = (
@@ -99,36 +104,36 @@
             .replace("offers=20", f"offers={rng.randrange(4, 21)}")
             .replace("attempts most=4", f"attempts most={rng.randrange(2, 5)}")
         )
-        barred = "".join(
+        bars = "".join(
             f'bar "{machine.name}"\n' for machine in places.machines if rng.random() < 0.15
         )
         names = places.layout.names
         sharers = rng.sample(names, rng.randrange(1, len(names) + 1))
         text = text.replace("upper=90", f"upper={rng.randrange(70, 96)}")
-        return text + barred, sharers
+        return text + bars, sharers
 
     def propose(self, number: int, slot: Slot) -> bool:
-        """Propose a variant; whether it was accepted."""
+        """Propose a variant of the rules; returns whether it was accepted."""
         text, sharers = self.variant(number)
-        wanted = requested_rule_set(load_text(text))
-        offers = sum(share for _, share in wanted.cold_shares)
-        wanted = normalized(replace(wanted, cold_shares=equal_shares(offers, tuple(sharers))))
+        rule_set = requested_rule_set(load_text(text))
+        offers = sum(share for _, share in rule_set.cold_shares)
+        rule_set = normalized(replace(rule_set, cold_shares=equal_shares(offers, tuple(sharers))))
         body = {
             "ident": f"rig-{number}-{self._hub.now_us()}",
-            "rules": json.loads(wanted.text()),
+            "rules": json.loads(rule_set.text()),
             "by": "the rig",
             "keepDrains": True,
         }
-        told = self.at_leader(slot, "POST", "rules", body)
-        if told is None:
+        answer = self.at_leader(slot, "POST", "rules", body)
+        if answer is None:
             self._places.event("not-decided", variant=number)
-        elif told.get("kind") == "Accepted":
-            self._places.event("accepted", version=told["version"], rules=wanted.text())
+        elif answer.get("kind") == "Accepted":
+            self._places.event("accepted", version=answer["version"], rules=rule_set.text())
             return True
         return False
 
     def propose_last(self) -> None:
-        """What all are to act on in the end."""
+        """Propose the final rules, on which all placers must act at the end; tries variants until one is accepted."""
         slots = self._places.slots
         for number in range(1, 20):
             if self.propose(
@@ -137,36 +142,45 @@
                 return
 
     def drain(self, fault: Fault) -> None:
-        """Ask a placer to drain a machine for longer than any run, or to take that back."""
+        """Request a drain of a machine for longer than any run, or cancel the one that was requested before."""
         machines, slot = self._places.machines, self._places.slot(fault.who)
         name = machines[int(fault.amount) % len(machines)].name
         key = self._drains.pop(name, None)
         if key is not None:
-            told = self.at_leader(slot, "DELETE", f"drains/{quote(key)}", None)
+            answer = self.at_leader(slot, "DELETE", f"drains/{quote(key)}", None)
         else:
-            told = self.at_leader(slot, "POST", "drains", {"machine": name, "lasts": "6h"})
-        if told is not None and told.get("kind") == "Drain":
-            self._drains[name] = told["key"]
-        self._places.event("drain", machine=name, back=key is not None, told=told)
+            answer = self.at_leader(slot, "POST", "drains", {"machine": name, "lasts": "6h"})
+        if answer is not None and answer.get("kind") == "Drain":
+            self._drains[name] = answer["key"]
+        self._places.event("drain", machine=name, back=key is not None, told=answer)
 
     def at_leader(
-        self, slot: Slot, method: str, path: str, body: dict[str, Any] | None, tries: int = TRIES
+        self,
+        slot: Slot,
+        method: str,
+        path: str,
+        body: dict[str, Any] | None,
+        attempts: int = MAX_ATTEMPTS,
     ) -> dict[str, Any] | None:
-        """What whoever leads answers in the end, asked by way of other placers; None where nothing was decided."""
+        """The leader's answer to a request, found through other placers; None if nothing was decided.
+
+        A placer that is not the leader may name it; the request then goes there. On any other failure the next placer
+        is tried after half a second.
+        """
         places = self._places
-        for _ in range(tries):
-            told = self.call(slot, method, path, body)
+        for _ in range(attempts):
+            answer = self.call(slot, method, path, body)
             if (
-                told is not None
-                and told.get("kind") == "Leader"
-                and told.get("name") in places.names
+                answer is not None
+                and answer.get("kind") == "Leader"
+                and answer.get("name") in places.names
             ):
-                slot = places.slot(str(told["name"]))
+                slot = places.slot(str(answer["name"]))
                 continue
-            if told is not None and told.get("code", 200) in (200, 201, 404, 409):
-                if told.get("code") == 409:
-                    places.event("objected", words=told["message"])
-                return told
+            if answer is not None and answer.get("code", 200) in (200, 201, 404, 409):
+                if answer.get("code") == 409:
+                    places.event("objected", words=answer["message"])
+                return answer
             self._hub.sleep(SECOND // 2)
             slot = places.slots[(slot.index + 1) % len(places.slots)]
         return None
@@ -174,7 +188,7 @@
     def call(
         self, slot: Slot, method: str, path: str, body: dict[str, Any] | None
     ) -> dict[str, Any] | None:
-        """An answer, whatever its status; None where none came."""
+        """The JSON answer to a request, whatever its status; None if none came."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             raw = b"" if body is None else json.dumps(body).encode()
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -1,8 +1,9 @@
-"""The places of a fleet: a process for each placer, the links between them, the stand-ins, and what is written down.
+"""The parts of a fleet: one process per placer, the links between placers, simulated machines, and the run's files.
 
-A run leaves a directory: `fleet.json` (what was asked for), `events.jsonl` (what the rig did to links and processes,
-and when), `recording.jsonl` (what crossed the stand-ins' sockets), `placer-N.history.jsonl` (each process's own record,
-by the same clock), settings and logs. `judge` reads these and nothing else.
+A run leaves a directory with `fleet.json` (the parameters of the run), `events.jsonl` (what the rig did to links and
+processes, and when), `recording.jsonl` (the traffic of the simulated machines and list sources),
+`placer-N.history.jsonl` (the history that each process wrote, by the same clock), settings and logs. `judge` reads
+these files and nothing else.
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 from wingbarrow.store.voter_store import create
 from wingbarrow.transport import Hub, Nursery
 
-START_US = 60 * SECOND
-SEEDS = 3  # placers that all others name as peers
-LEAVE_US = 20 * SECOND
-STARVED_US, STARVED = (
-    SECOND // 2,
-    0.2,
-)  # looked at so often; waited for a processor for such a share of it
+START_TIMEOUT_US = 60 * SECOND
+SEEDS = 3  # placers that all others have as seed peers
+SHUTDOWN_TIMEOUT_US = 20 * SECOND
+CPU_WAIT_INTERVAL_US = SECOND // 2
+MAX_CPU_WAIT_SHARE = (
+    0.2  # of an interval; a process that waited longer for a CPU is recorded as starved
+)
 
 
 class Slot:
-    """One placer's place: its process, if it runs, and the link by which owners reach it."""
+    """One placer of the run: its process, if any, and the proxy through which owners reach it."""
 
     def __init__(self, name: str, index: int, front: Proxy) -> None:
         self.name, self.index, self.front = name, index, front
         self.process: Process | None = None
-        self.lives = 0
+        self.incarnation = 0
         self.stopped = self.starting = False
 
 
 class Places:
-    """All of them; to be started and ended once."""
+    """All placers, machines and links of one run; can be started and closed once."""
 
     def __init__(self, hub: Hub, size: Size, folder: Path, log: Callable[..., None]) -> None:
         self.hub, self.size, self.folder, self._log = hub, size, folder, log
@@ -55,12 +56,12 @@
         self._events = (folder / "events.jsonl").open("w", encoding="utf-8")
 
     def event(self, what: str, **fields: Any) -> None:
-        """Write down what the rig did, now."""
+        """Append an event to `events.jsonl`, stamped with the current time."""
         self._events.write(json.dumps({"at_us": self.hub.now_us(), "what": what, **fields}) + "\n")
         self._events.flush()
 
     def open(self, faults: list[Fault]) -> None:
-        """Make stand-ins and links; nothing runs yet."""
+        """Create simulated clusters and links, and write `fleet.json`; starts no process."""
         hub, layout, seed = self.hub, self.layout, self.size.seed
         self.clusters = {
             region: Cluster(
@@ -96,15 +97,15 @@
 
     @property
     def machines(self) -> list[Machine]:
-        """All of them, in order of regions."""
+        """All machines, in order of regions."""
         return [machine for cluster in self.clusters.values() for machine in cluster.machines]
 
     def cluster(self, name: str) -> Cluster | None:
-        """List source and machines of a placer; None for one without any."""
+        """The cluster (list source and machines) of a placer; None for a placer without machines."""
         return self.clusters.get(self.layout.region(name))
 
     def start_all(self) -> None:
-        """Bring everything up; returns when all processes listen."""
+        """Start clusters and placers; returns when all processes listen."""
         for cluster in self.clusters.values():
             cluster.start()
         for name in self.voters:
@@ -114,64 +115,64 @@
                 nursery.spawn(lambda slot=slot: self.start(slot), "starts")  # type: ignore[misc]
 
     def slot(self, name: str) -> Slot:
-        """A placer's place."""
+        """The slot of a placer, by name."""
         return self.slots[self.names.index(name)]
 
     @property
     def placers(self) -> list[Slot]:
-        """Those with machines, whom owners ask."""
+        """Slots of the placers that have machines; owners submit to these."""
         return [slot for slot in self.slots if slot.name != WITNESS]
 
     def running(self) -> list[Slot]:
-        """Those whose process runs and is not stopped."""
+        """Slots whose process runs and is not stopped by a signal."""
         return [slot for slot in self.slots if slot.process is not None and not slot.stopped]
 
     def start(self, slot: Slot) -> None:
-        """Start a placer's process; returns when it listens."""
+        """Start a placer's process; returns when it listens. Raises NotStarted."""
         path = self.folder / f"{slot.name}.kdl"
         path.write_text(self.settings(slot))
-        slot.lives += 1
-        self.event("starting", who=slot.name, life=slot.lives)
+        slot.incarnation += 1
+        self.event("starting", who=slot.name, life=slot.incarnation)
         log, checkout = self.folder / f"{slot.name}.log", self.size.checkout(slot.index)
         process = Process(self.hub, ["serve", str(path)], log, checkout)
         slot.process, slot.starting = process, True
-        port = int(process.line("placer", START_US)["url"].rpartition(":")[2])
+        port = int(process.wait_for_message("placer", START_TIMEOUT_US)["url"].rpartition(":")[2])
         slot.starting = False
         slot.front.to = port
         self.network.moved(slot.name, port)
-        self.event("started", who=slot.name, life=slot.lives, pid=process.pid)
+        self.event("started", who=slot.name, life=slot.incarnation, pid=process.pid)
 
     def kill(self, slot: Slot) -> None:
-        """Kill a placer's process."""
-        self.strike(slot)
-        self.bury(slot)
+        """Kill a placer's process and wait for its exit."""
+        self.send_kill(slot)
+        self.reap(slot)
 
-    def strike(self, slot: Slot) -> None:
-        """It is killed when this returns, and not yet looked after."""
+    def send_kill(self, slot: Slot) -> None:
+        """Send SIGKILL to a placer without waiting for its exit; `reap` must follow."""
         assert slot.process is not None
-        slot.process.send(signal.SIGKILL)
+        slot.process.send_signal(signal.SIGKILL)
         self.record(slot.name, "killed")
-        self.event("killed", who=slot.name, life=slot.lives)
+        self.event("killed", who=slot.name, life=slot.incarnation)
 
-    def bury(self, slot: Slot) -> None:
-        """Wait for one that was struck."""
+    def reap(self, slot: Slot) -> None:
+        """Wait for a killed process to exit and disconnect its links."""
         process, slot.process = slot.process, None
         assert process is not None
-        process.end(signal.SIGKILL)
+        process.terminate(signal.SIGKILL)
         slot.front.to = 1
         self.network.moved(slot.name, 1)
 
-    def forget(self, slot: Slot) -> None:
-        """What it saved is gone; a voter's store stays: without it, it would be none (`raft.Raft.empty`)."""
+    def delete_state(self, slot: Slot) -> None:
+        """Delete the saved files of a placer. A voter's store stays, as a placer without one is no voter."""
         for file in (self.folder / f"{slot.name}.state").glob("*"):
             if file.is_file():
                 file.unlink()
 
     def settings(self, slot: Slot) -> str:
-        """The file of a placer."""
+        """The text of a placer's settings file."""
         seeds = [name for name in self.names[:SEEDS] if name != slot.name]
         others = [name for name in self.names if name != slot.name]
-        # All links are named, so that whatever address a placer gives itself, it is reached through its link.
+        # Every peer is listed with its link's port: placers connect through links, whatever address a peer advertises.
         peers = "".join(
             f'peer "127.0.0.1" port={self.network.links[slot.name, name].port} name="{name}"'
             f"{'' if name in seeds else ' seed=false'}\n"
@@ -194,23 +195,26 @@
             f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}'
         )
 
-    def watch(self) -> None:
-        """Write down, for good, when a process was ready to run and the machine gave it no processor."""
-        before: dict[int, int] = {}
+    def watch_cpu_waits(self) -> None:
+        """Record an event whenever a runnable process waited too long for a CPU; never returns."""
+        previous_us: dict[int, int] = {}
         while True:
-            self.hub.sleep(STARVED_US)
+            self.hub.sleep(CPU_WAIT_INTERVAL_US)
             for slot in self.running():
                 assert slot.process is not None
-                waited, pid = slot.process.waited_us(), slot.process.pid
-                if waited - before.get(pid, waited) > STARVED_US * STARVED:
-                    self.event("starved", who=slot.name, for_us=STARVED_US)
-                before[pid] = waited
+                wait_us, pid = slot.process.run_queue_wait_us(), slot.process.pid
+                if (
+                    wait_us - previous_us.get(pid, wait_us)
+                    > CPU_WAIT_INTERVAL_US * MAX_CPU_WAIT_SHARE
+                ):
+                    self.event("starved", who=slot.name, for_us=CPU_WAIT_INTERVAL_US)
+                previous_us[pid] = wait_us
 
     def close(self) -> None:
-        """Ask all processes to end, wait, and write the recording."""
+        """Terminate all processes, wait for them, write the recording, and close links and clusters."""
         for slot in self.slots:
             if slot.process is not None:
-                self.event("ending", who=slot.name, use_s=slot.process.use_s())
+                self.event("ending", who=slot.name, use_s=slot.process.cpu_seconds())
         with Nursery(self.hub) as nursery:
             for slot in self.slots:
                 if slot.process is not None:
@@ -218,7 +222,7 @@
                         lambda slot=slot: self.event(  # type: ignore[misc]
                             "ended",
                             who=slot.name,
-                            status=slot.process.end(signal.SIGTERM, LEAVE_US),
+                            status=slot.process.terminate(signal.SIGTERM, SHUTDOWN_TIMEOUT_US),
                         ),
                         "ends",
                     )
--- a/wingbarrow/lab/fleet/process.py
+++ b/wingbarrow/lab/fleet/process.py
@@ -1,4 +1,4 @@
-"""Processes of the program, started, stopped, killed and awaited by the hub; each with its log in a file."""
+"""Child processes that run this program: started, signalled and awaited on the hub, each with a log file."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 
 class NotStarted(Exception):
-    """A process ended, or said nothing, before it was ready."""
+    """A process exited, or did not print the expected message in time, before it was ready."""
 
 
 class Process:
-    """One run of the program; `told` holds what it said on standard output, a JSON object a line.
+    """One child process that runs the program; `messages` holds the JSON objects read from its standard output.
 
-    `checkout` is another tree whose program runs in place of this one's, with all that it starts itself.
+    Each object is one line of output. With `checkout`, the process and its own children run the program of that
+    other source tree. Standard error is appended to the file `log`, or discarded without one.
     """
 
     def __init__(
@@ -48,28 +49,28 @@
         assert self._process.stdout is not None
         self._fd = self._process.stdout.fileno()
         fcntl.fcntl(self._fd, fcntl.F_SETFL, fcntl.fcntl(self._fd, fcntl.F_GETFL) | os.O_NONBLOCK)
-        self._rest = b""
-        self.told: list[dict[str, Any]] = []
+        self._partial_line = b""
+        self.messages: list[dict[str, Any]] = []
 
     @property
     def pid(self) -> int:
-        """Its id."""
+        """The process id."""
         return self._process.pid
 
     @property
-    def ended(self) -> int | None:
-        """Its exit status, negative for a signal; None while it runs."""
+    def exit_status(self) -> int | None:
+        """The exit status, negative for a signal; None while the process runs."""
         return self._process.poll()
 
-    def line(self, kind: str, within_us: int) -> dict[str, Any]:
-        """Wait for a line of a kind; NotStarted where none comes."""
+    def wait_for_message(self, kind: str, within_us: int) -> dict[str, Any]:
+        """Return the first message of a kind; raises NotStarted if the process exits or the time runs out first."""
         with self._hub.limit(within_us):
             while True:
-                found = next((each for each in self.told if each.get("kind") == kind), None)
+                found = next((each for each in self.messages if each.get("kind") == kind), None)
                 if found is not None:
                     return found
                 self._read()
-        raise NotStarted(f"{kind}: not heard of within {within_us / SECOND:g} s")
+        raise NotStarted(f"process printed no {kind!r} message within {within_us / SECOND:g} s")
 
     def _read(self) -> None:
         try:
@@ -78,22 +79,27 @@
             self._hub.wait(self._fd, READ)
             return
         if not data:
-            raise NotStarted(f"ended with status {self._process.wait()}")
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        self.told += [json.loads(line) for line in lines if line.startswith(b"{")]
+            raise NotStarted(
+                f"process exited with status {self._process.wait()} before it was ready"
+            )
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        self.messages += [json.loads(line) for line in lines if line.startswith(b"{")]
 
-    def send(self, number: int) -> None:
-        """Send it a signal, unless it has ended."""
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the process; does nothing once it has exited."""
         if self._process.poll() is None:
             self._process.send_signal(number)
 
-    def end(self, number: int = signal.SIGTERM, within_us: int = 20 * SECOND) -> int:
-        """End it and wait; killed where it does not end in its time. Its exit status."""
-        self.send(signal.SIGCONT)
-        self.send(number)
-        end = self._hub.now_us() + within_us
+    def terminate(self, number: int = signal.SIGTERM, within_us: int = 20 * SECOND) -> int:
+        """Send a signal, wait for the exit and return the exit status; kills the process after `within_us`.
+
+        The process is continued first, as a stopped one would not act on the signal.
+        """
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(number)
+        deadline_us = self._hub.now_us() + within_us
         while self._process.poll() is None:
-            if self._hub.now_us() >= end:
+            if self._hub.now_us() >= deadline_us:
                 self._process.kill()
             self._hub.sleep(10_000)
         self._hub.forget(self._fd)
@@ -101,16 +107,16 @@
             self._process.stdout.close()
         return self._process.returncode
 
-    def use_s(self) -> float:
-        """Processor seconds so far; 0 once it has ended."""
+    def cpu_seconds(self) -> float:
+        """CPU time used so far, user and system, in seconds; 0 once the process has exited."""
         try:
             fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
             return 0.0
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def waited_us(self) -> int:
-        """For how long it was ready to run and got no processor, so far; 0 where the system does not tell."""
+    def run_queue_wait_us(self) -> int:
+        """Time so far in which the process was runnable without a CPU; 0 where the system does not report it."""
         try:
             return int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1]) // 1000
         except (OSError, ValueError, IndexError):
--- a/wingbarrow/lab/fleet/suffering.py
+++ b/wingbarrow/lab/fleet/suffering.py
@@ -110,10 +110,10 @@
             return
         self._places.record(slot.name, "hold", for_us=fault.lasts_us)
         slot.stopped = True
-        process.send(signal.SIGSTOP)
+        process.send_signal(signal.SIGSTOP)
         self._places.event("stopped", who=slot.name)
         self._hub.sleep(fault.lasts_us)
-        process.send(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         slot.stopped = False
         self._places.event("continued", who=slot.name)
 
@@ -123,7 +123,7 @@
             return  # on a busy machine a start may last into the next fault
         self._places.kill(slot)
         if not fault.state:
-            self._places.forget(slot)
+            self._places.delete_state(slot)
         self._hub.sleep(fault.lasts_us)
         self._places.start(slot)
 
@@ -150,17 +150,17 @@
         slots = [places.slot(name) for name in places.layout.places[fault.who]]
         slots = [slot for slot in slots if slot.process is not None and not slot.starting]
         for slot in slots:
-            places.strike(slot)
+            places.send_kill(slot)
         with Nursery(self._hub) as nursery:
             for slot in slots:
-                nursery.spawn(lambda slot=slot: places.bury(slot), "buries")  # type: ignore[misc]
+                nursery.spawn(lambda slot=slot: places.reap(slot), "buries")  # type: ignore[misc]
             if fault.machines and fault.who in places.clusters:
                 nursery.spawn(lambda: places.clusters[fault.who].dark(fault.lasts_us), "region")
             self._hub.sleep(fault.lasts_us)
         with Nursery(self._hub) as nursery:
             for slot in slots:
                 if not fault.state:
-                    places.forget(slot)
+                    places.delete_state(slot)
                 nursery.spawn(lambda slot=slot: places.start(slot), "starts")  # type: ignore[misc]
 
     def _faulty(self, fault: Fault) -> None:
