--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from wingbarrow.lab.fleet.assembly import ACT_US
+from wingbarrow.lab.fleet.assembly import ACT_INTERVAL_US
 from wingbarrow.lab.fleet.schedules import STATED_US, Broken, fine, founded, generated, rules
 from wingbarrow.lab.fleet.schedules import voters_of as voters
 from wingbarrow.lab.fleet.swarm import SECOND
@@ -59,7 +59,7 @@
     assembly.propose(wanted)
     times: dict[str, float] = {}
     while len(times) < count - len(side) and assembly.now_us < begun + 60 * SECOND:
-        assembly.run(assembly.now_us + ACT_US)
+        assembly.run(assembly.now_us + ACT_INTERVAL_US)
         for name, member in assembly.members.items():
             acting = member.rules_in_force(assembly.clock_us(name))
             if name not in times and acting is not None and acting.rules == wanted.text():
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,4 @@
-"""The rig of many processes: a play, and its judge with every kind of breach planted."""
+"""A run of a fleet of processes, and the judge of such runs with every kind of violation planted."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """What one short play with five processes left: rules change while links and processes fail."""
+    """The directory of one short run with five processes: rules change while links and processes fail."""
     folder = tmp_path_factory.mktemp("fleet") / "run"
     faults = [
         Fault("propose", S // 2, "placer-1", amount=11.0),
@@ -50,7 +50,7 @@
     assert verdict.versions >= 5
     assert verdict.editions >= 3
     assert verdict.longest_contradiction_ms <= verdict.stated_ms
-    # With a leader killed and limits held in parts few are taken; enough to be judged by.
+    # Few Jobs are accepted, as a leader is killed and limits are split among placers; these are enough to judge.
     assert verdict.sends == verdict.audit.offers >= 10
     assert verdict.audit.placed >= 10
     assert verdict.audit.accepted == sum(
@@ -61,7 +61,9 @@
             verdict.audit.left_to_owners,
         )
     )
-    assert judge(fleet).line() == verdict.line(), "it can be judged again"
+    assert judge(fleet).line() == verdict.line(), (
+        "judging the same run again gives the same verdict"
+    )
     kinds = {
         each["what"]
         for each in map(json.loads, (fleet / "placer-1.history.jsonl").read_text().splitlines())
@@ -80,7 +82,7 @@
         )
     ]
     assert len(closed) >= 4, (
-        "asked of one, known to all that were in touch before the rules changed again"
+        "a drain requested at one placer reached all connected ones before the next change of rules"
     )
 
 
@@ -101,7 +103,7 @@
     )
 
 
-def told(at_us: int, what: str, member: str) -> dict[str, Any]:
+def member_event(at_us: int, what: str, member: str) -> dict[str, Any]:
     return {
         "at_us": at_us,
         "what": f"member-{what}",
@@ -118,7 +120,11 @@
     later = over + judge(copy).detect_stated_ms * 1000
     write(
         history,
-        [*lines(history), told(later, "dead", "placer-2"), told(later + 1, "alive", "placer-2")],
+        [
+            *lines(history),
+            member_event(later, "dead", "placer-2"),
+            member_event(later + 1, "alive", "placer-2"),
+        ],
     )
     found = judge(copy)
     assert (found.unfounded_burials, found.burials) == (1, judge(copy).burials)
@@ -127,11 +133,11 @@
         history,
         [
             *lines(history),
-            told(over - S, "dead", "placer-2"),
-            told(over - S + 1, "alive", "placer-2"),
+            member_event(over - S, "dead", "placer-2"),
+            member_event(over - S + 1, "alive", "placer-2"),
         ],
     )
-    assert judge(copy).unfounded_burials == 1, "one that has its cause in a cut of late is none"
+    assert judge(copy).unfounded_burials == 1, "a death that a recent cut explains is not unfounded"
 
 
 def test_a_planted_death_that_nobody_tells_of_is_found(copy: Path) -> None:
@@ -154,7 +160,7 @@
             history,
             [
                 *[each for each in lines(history) if each["what"] != "member-left"],
-                told(at_us, "dead", "placer-2"),
+                member_event(at_us, "dead", "placer-2"),
             ],
         )
     verdict = judge(copy)
@@ -165,12 +171,12 @@
 def test_a_planted_member_that_stays_dead_is_found(copy: Path) -> None:
     over = next(each["at_us"] for each in lines(copy / "events.jsonl") if each["what"] == "over")
     history = copy / "placer-0.history.jsonl"
-    write(history, [*lines(history), told(over, "dead", "placer-1")])
+    write(history, [*lines(history), member_event(over, "dead", "placer-1")])
     verdict = judge(copy)
     assert verdict.not_healed == 1
     assert not verdict.clean
     write(history, [each for each in lines(history) if each.get("member") != "placer-1"])
-    assert judge(copy).not_healed == 1, "never heard of is no better"
+    assert judge(copy).not_healed == 1, "a member that was never seen counts as not healed too"
 
 
 def test_a_planted_bad_end_and_a_run_cut_short_are_found(copy: Path) -> None:
@@ -203,13 +209,13 @@
 
 
 def offers(copy: Path) -> list[dict[str, Any]]:
-    """Offers of the recording under editions, in order."""
+    """Offers in the recording that were sent under an edition, in order."""
     found = lines(copy / "recording.jsonl")
     return [each for each in found if each["what"] == "offer" and each["rules"].startswith("e")]
 
 
 def plant(copy: Path, like: dict[str, Any], **changes: Any) -> None:
-    """One more offer in the recording, as a copy of another."""
+    """Add an offer to the recording: a copy of another one with some fields changed."""
     path = copy / "recording.jsonl"
     number = len(lines(path))
     write(path, [*lines(path), {**like, "pod": f"planted-{number}-0", "late": False, **changes}])
@@ -291,9 +297,11 @@
 
 def test_planted_rules_that_two_know_otherwise_are_found(copy: Path) -> None:
     history = copy / "placer-2.history.jsonl"
-    told_rules = next(each for each in lines(history) if each["what"] == "rules" and each["label"])
-    other = json.dumps({**json.loads(told_rules["rules"]), "attempts_most": 99})
-    write(history, [*lines(history), {**told_rules, "rules": other}])
+    recorded_rules = next(
+        each for each in lines(history) if each["what"] == "rules" and each["label"]
+    )
+    other = json.dumps({**json.loads(recorded_rules["rules"]), "attempts_most": 99})
+    write(history, [*lines(history), {**recorded_rules, "rules": other}])
     assert judge(copy).contradictions >= 1
 
 
@@ -307,7 +315,9 @@
     rules = json.loads(last["rules"])
     assert [each["machine"] for each in rules["asked"]] == [drained]
     last["rules"] = json.dumps({key: value for key, value in rules.items() if key != "asked"})
-    for name in FLEET:  # by all, under that label: not a matter of who knows what
+    for (
+        name
+    ) in FLEET:  # in every history, so that placers do not contradict each other on this label
         write(
             copy / f"{name}.history.jsonl",
             [
@@ -358,12 +368,14 @@
 def test_a_planted_floor_that_allows_too_much_is_found(copy: Path) -> None:
     like = offers(copy)[len(offers(copy)) // 2]
     history = copy / "placer-1.history.jsonl"
-    told_rules = next(each for each in lines(history) if each["what"] == "rules" and each["label"])
-    loose = json.dumps({**json.loads(told_rules["rules"]), "attempts_most": 99, "barred": []})
-    write(history, [*lines(history), {**told_rules, "label": "f1", "rules": loose}])
+    recorded_rules = next(
+        each for each in lines(history) if each["what"] == "rules" and each["label"]
+    )
+    loose = json.dumps({**json.loads(recorded_rules["rules"]), "attempts_most": 99, "barred": []})
+    write(history, [*lines(history), {**recorded_rules, "label": "f1", "rules": loose}])
     plant(copy, like, rules="f1")
     verdict = judge(copy)
-    # Once for each edition that was in use in that very moment: two, where the rules were about to change.
+    # One for each edition in use at that time: two if the rules were just changing.
     assert verdict.contradictions in (1, 2)
     assert verdict.sends_on_floor == 1
 
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -244,7 +244,7 @@
 def test_settings_of_every_placer_can_be_used(regions: int, lease_s: float, after_s: float) -> None:
     layout = Layout(Size(max(6, regions), 10, regions=regions, lease_s=lease_s, after_s=after_s))
     for index, name in enumerate(layout.all):
-        text = layout.text(name, settings_text(index, 7, 1, 1, 0, "/x")) + layout.agree()
+        text = layout.text(name, settings_text(index, 7, 1, 1, 0, "/x")) + layout.agreement_text()
         settings = load_text(text)
         assert (settings.name, settings.region) == (name, layout.region(name))
         assert {each.name for each in settings.federation.specs} == set(layout.specs())
--- a/tests/lab/test_regions_processes.py
+++ b/tests/lab/test_regions_processes.py
@@ -1,4 +1,4 @@
-"""Three regions as processes, under load: one cut off and healed, one killed and back, three turns meanwhile."""
+"""Three regions of placer processes under load: one is cut off and heals, one is killed and restarted; three turns."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     verdict = judge(tmp_path / "run")
     assert verdict.clean, verdict.notes
     assert (verdict.regions, verdict.kills, verdict.turns) == (3, 2, 3)
-    # Enough to be judged by: leased work in every region, some of it started again by successors.
+    # Enough to judge: leased tasks in every region, some of them reissued by other placers.
     assert verdict.audit.placed >= 60
     assert verdict.leased >= 40
     assert verdict.reissued >= 1
@@ -43,7 +43,7 @@
         if line["what"] == "session-ended"
     ]
     assert {line["region"] for line in ended} == {"north", "south"}, (
-        "by the voters' log, both regions' sessions"
+        "the voters' log ended the sessions of both regions"
     )
     worked = [
         line["where"]
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/assembly.py
@@ -1,4 +1,4 @@
-"""Agreements by the hundred on a virtual clock: all act all the time, and a judge looks at who acted on what when."""
+"""Simulates hundreds of coordinators on a virtual clock, with a judge of which rules each placer acted on, and when."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
 
-ACT_US = 10_000
+ACT_INTERVAL_US = 10_000
 
 
 @dataclass(slots=True)
 class Use:
-    """When an edition was acted on, first and last, by anybody; in true time."""
+    """The first and last time at which any placer acted on an edition, in true time, and the edition's rules."""
 
     first_us: int
     last_us: int
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Contradictions:
-    """What a judge of acts found; times in microseconds."""
+    """Contradictions that the judge found among all acts; times in microseconds."""
 
     acts: int
-    past: int  # acts on an edition after one two further on was in use: never allowed
-    longest_us: int  # of an edition's use after the next one, that forbids some of it, was in use
+    past: int  # editions still in use after one two or more editions later was: never allowed
+    longest_us: int  # longest use of an edition after a next one that forbids some of it was in use
 
 
 def judge(uses: dict[int, Use], acts: int) -> Contradictions:
-    """From when each edition was in use."""
+    """Find contradictions from the times at which each edition was in use."""
     past = longest = 0
     for edition, use in uses.items():
         later = [each for number, each in uses.items() if number >= edition + 2]
@@ -52,7 +52,10 @@
 
 
 class Assembly(Virtual[Coordinator]):
-    """`count` placers, the first `voters` of them vote; clocks drift by up to 500 ppm and begin anywhere."""
+    """`count` simulated coordinators; the first `voters` vote. Clocks drift by up to 500 ppm, from random starts.
+
+    Every placer acts on its rules in force every `ACT_INTERVAL_US`.
+    """
 
     def __init__(
         self, count: int, voters: int, seed: int, times: Timing = Timing(), loss: float = 0.0
@@ -74,18 +77,18 @@
         self.at(0, self._act_all)
 
     def make(self, name: str, now_us: int) -> Coordinator:
-        """An agreement, from what is on its disk."""
+        """A coordinator, started from the state on its simulated disk."""
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
         settings = CoordinationSettings(self.voters, self.times)
         seed = self.random.randrange(1 << 30)
         return Coordinator(self.local(name), settings, disk, seed)
 
     def local(self, name: str) -> LocalPlacer:
-        """What a placer says of itself."""
+        """The description that a placer gives of itself to others."""
         return LocalPlacer(name)
 
     def persisted(self, name: str, what: Persist) -> None:
-        """As the store does it."""
+        """Apply an update to the placer's simulated disk, as the store does."""
         self.disks[name].persist(what)
 
     def _act_all(self) -> None:
@@ -103,12 +106,12 @@
             use = self.uses.setdefault(acting.revision, Use(self.now_us, self.now_us, acting.rules))
             assert use.rules == acting.rules, f"edition {acting.revision} has two rule sets"
             use.last_us = self.now_us
-        self.at(self.now_us + ACT_US, self._act_all)
+        self.at(self.now_us + ACT_INTERVAL_US, self._act_all)
 
-    # -- questions and requests
+    # -- queries and requests
 
     def leader(self) -> str | None:
-        """Who leads, by the highest term."""
+        """The running leader of the highest term; None without one."""
         found = [
             name
             for name, each in self.members.items()
@@ -117,7 +120,7 @@
         return max(found, key=lambda name: self.members[name].raft.persistent.term, default=None)  # type: ignore[union-attr]
 
     def propose(self, rules: RuleSet, base: int | None = None, ident: str = "") -> str | None:
-        """Have the leader propose: the proposal's name; None where nobody leads."""
+        """Have the leader propose rules; returns the proposal's id, or None without a leader."""
         leader = self.leader()
         if leader is None:
             return None
@@ -136,7 +139,7 @@
         return ident
 
     def lower_floor(self, rules: RuleSet, lasts_us: int, ident: str) -> None:
-        """Have the leader propose a floor."""
+        """Have the leader propose a floor, if there is a leader."""
         leader = self.leader()
         if leader is not None:
             self.act(
@@ -149,7 +152,7 @@
             )
 
     def outcome(self, ident: str) -> str | None:
-        """What became of a proposal, as a living voter knows; None where nothing is decided."""
+        """The outcome of a proposal as any running voter knows it; None if it is undecided."""
         return next(
             (
                 each.rule_set_state.outcomes[ident]
@@ -160,7 +163,7 @@
         )
 
     def all_on(self, rules: RuleSet) -> bool:
-        """Whether every placer acts on these rules, by an edition."""
+        """Whether every placer acts on these rules under an edition (not a floor)."""
         return all(
             (acting := each.rules_in_force(self.clock_us(name))) is not None
             and acting.revision > 0
@@ -169,5 +172,5 @@
         )
 
     def judged(self) -> Contradictions:
-        """The verdict over all acts so far."""
+        """The contradictions among all acts so far."""
         return judge(self.uses, self.acts)
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -55,7 +55,7 @@
         for slot in self._places.placers:
             names = [each.name for each in self._places.clusters[layout.region(slot.name)].machines]
             answer = self.get(slot, "/api/v1/nodes")
-            if answer is None or len(answer["items"]) < layout.held(slot.name, names):
+            if answer is None or len(answer["items"]) < layout.held_machines(slot.name, names):
                 return False
         return True
 
--- a/wingbarrow/lab/fleet/custodyplay.py
+++ b/wingbarrow/lab/fleet/custodyplay.py
@@ -1,6 +1,7 @@
-"""Plays of custody and reissue, from a seed: faults on regions, placers and mail, and the judge of what came of them.
+"""Random scenarios of Job replication and reissue: faults of regions, placers and messages, and a judge of the outcome.
 
-The judge reads what machines recorded and what owners were told, and where the voters' stub ended sessions.
+The judge reads the starts that machines recorded, the answers that owners got, and the sessions that the simulated
+voters ended.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What was seen: breaches in words; figures; the longest from a region's loss to a safe run elsewhere."""
+    """Violations as texts, counts, and the longest time from the loss of a region to a reissue of its safe Jobs."""
 
     breaches: tuple[str, ...]
     longest_us: int
@@ -28,29 +29,29 @@
 
 
 def judged(world: Custodians) -> Verdict:
-    """All that must never be, and how long what had to come took."""
+    """Find violations of the guarantees for each effect, and measure the longest delay of a reissue."""
     breaches: list[str] = []
     starts: dict[tuple[str, int], list[Begin]] = {}
     ended = {end.epoch: session for session, end in world.voters.ended.items()}
     for begin in world.begins:
         starts.setdefault((begin.uid, begin.index), []).append(begin)
         if begin.epoch and begin.epoch not in ended:
-            breaches.append(f"reissued without an end: {begin}")
-    for (uid, index), every in starts.items():
+            breaches.append(f"reissued although no session ended: {begin}")
+    for (uid, index), begins in starts.items():
         effect = uid.partition("-")[0]
-        if effect == "unsafe" and len(every) > 1:
-            breaches.append(f"never twice, {len(every)} times: {uid}/{index}: {every}")
+        if effect == "unsafe" and len(begins) > 1:
+            breaches.append(f"never twice, {len(begins)} times: {uid}/{index}: {begins}")
         if effect == "keyed":
             breaches += [
                 f"a key twice in its window: {one}, {other}"
-                for one, other in zip(every, every[1:], strict=False)
+                for one, other in zip(begins, begins[1:], strict=False)
                 if one.epoch != other.epoch and other.at_us - one.at_us < WINDOW_US
             ]
     longest = 0
     for at_us, uid, _, _ in world.reissued:
-        taken_us, _, name = world.accepted.get(uid, (0, None, ""))
+        accepted_us, _, name = world.accepted.get(uid, (0, None, ""))
         lost_us = world.lost.get(world.regions.get(name, ""), 0)
-        if uid.startswith("safe") and taken_us <= lost_us <= at_us:
+        if uid.startswith("safe") and accepted_us <= lost_us <= at_us:
             longest = max(longest, at_us - lost_us)
     return Verdict(
         tuple(breaches),
@@ -63,7 +64,7 @@
 
 
 def lost_runs(world: Custodians) -> list[str]:
-    """Accepted safe Jobs that stand nowhere now, though somebody who knows of them was there all the time."""
+    """Accepted safe Jobs that run nowhere, although some running placer has known of them at all times."""
     running = world.running()
     return sorted(
         uid
@@ -73,7 +74,10 @@
 
 
 def forgotten(world: Custodians) -> list[str]:
-    """Accepted Jobs of other effects that did not start, and that nobody has or tells as unknown, likewise."""
+    """Accepted Jobs that never started and that no placer holds or lists as unknown.
+
+    Excludes Jobs whose last placer that knew of them was killed.
+    """
     known = {uid for core in world.members.values() for uid in core.knows()}
     begun = {begin.uid for begin in world.begins}
     return sorted(uid for uid in world.accepted if uid not in begun | known | world.extinct)
@@ -87,7 +91,7 @@
     copies: int = 1,
     world: Custodians | None = None,
 ) -> Custodians:
-    """Jobs at all placers, then a whole region is killed; time passes until all has to be well again."""
+    """Submit Jobs to all placers, kill a whole region, and run until all its Jobs must have been reissued."""
     world = world or Custodians(seed, copies=copies, loss=loss)
     world.run(2 * SECOND)
     rng = random.Random(f"jobs/{seed}")
@@ -103,8 +107,11 @@
 def trouble(
     seed: int, moments: int = 25, copies: int = 2, world: Custodians | None = None
 ) -> Custodians:
-    """Loss of regions and returns, kills, stops, cuts, one-way cuts, lost and doubled mail, machines' restarts; then
-    all heals."""
+    """Inject random faults, then heal them all and run until every Job must be settled.
+
+    Faults: regions lost and back, placers killed and stopped, cuts (some one-way), lost and duplicated messages, and
+    restarts of machines.
+    """
     world = world or Custodians(seed, copies=copies)
     rng = random.Random(f"trouble/{seed}")
     world.twice = 0.1
@@ -114,35 +121,35 @@
         for _ in range(rng.randrange(6)):
             world.job(rng.choice(world.names), rng.choice(EFFECTS))
             world.run(world.now_us + rng.randrange(300_000))
-        what, some, where = rng.random(), rng.choice(world.names), rng.choice(regions)
-        if what < 0.15:
-            side, one = (
-                {name for name in world.names if world.regions[name] == where},
+        draw, placer, faulty_region = rng.random(), rng.choice(world.names), rng.choice(regions)
+        if draw < 0.15:
+            side, one_way = (
+                {name for name in world.names if world.regions[name] == faulty_region},
                 rng.random() < 0.4,
             )
-            world.cut = lambda a, b, side=side, one=one: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side)
+            world.cut = lambda a, b, side=side, one_way=one_way: (  # type: ignore[misc]
+                (a in side and b not in side) or (not one_way and b in side and a not in side)
             )
-        elif what < 0.25:
-            side, one = (
+        elif draw < 0.25:
+            side, one_way = (
                 set(rng.sample(world.names, rng.randrange(1, len(world.names)))),
                 rng.random() < 0.4,
             )
-            world.cut = lambda a, b, side=side, one=one: (  # type: ignore[misc]
-                (a in side and b not in side) or (not one and b in side and a not in side)
+            world.cut = lambda a, b, side=side, one_way=one_way: (  # type: ignore[misc]
+                (a in side and b not in side) or (not one_way and b in side and a not in side)
             )
-        elif what < 0.4:
+        elif draw < 0.4:
             world.cut = lambda a, b: False
-        elif what < 0.5:
+        elif draw < 0.5:
             world.loss = rng.choice((0.0, 0.1, 0.3))
-        elif what < 0.65 and some in world.members and some not in world.stopped:
-            world.stop(some, rng.randrange(20 * SECOND))
-        elif what < 0.75 and some in world.members:
-            world.kill(some)
-        elif what < 0.82:
-            world.lose(where, rng.random() < 0.5)
-        elif what < 0.88:
-            machine = world.machines[f"m-{some}"]
+        elif draw < 0.65 and placer in world.members and placer not in world.stopped:
+            world.stop(placer, rng.randrange(20 * SECOND))
+        elif draw < 0.75 and placer in world.members:
+            world.kill(placer)
+        elif draw < 0.82:
+            world.lose(faulty_region, rng.random() < 0.5)
+        elif draw < 0.88:
+            machine = world.machines[f"m-{placer}"]
             if machine.up:
                 machine.restart(world.now_us)
         else:
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from wingbarrow.lab.cluster import Cluster, settings_text
-from wingbarrow.lab.fleet.layout import FAR_US, WITNESS, Layout, Size
+from wingbarrow.lab.fleet.layout import REGION_DELAY_US, WITNESS, Layout, Size
 from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.lab.fleet.process import SECOND, Process
 from wingbarrow.lab.fleet.script import Fault
@@ -71,7 +71,7 @@
         }
         self.network = Network(hub, self.names, seed)
         for (one, other), link in self.network.links.items():
-            link.far_us = FAR_US if layout.far(one, other) else 0
+            link.far_us = REGION_DELAY_US if layout.crosses_regions(one, other) else 0
         self.slots = [
             Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)
         ]
@@ -192,7 +192,7 @@
         return (
             self.layout.text(slot.name, text)
             + f'allow-peer "127.0.0.0/8"\nhistory "{self.folder}/{slot.name}'
-            f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}'
+            f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agreement_text()}'
         )
 
     def watch_cpu_waits(self) -> None:
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -8,10 +8,10 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
-from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
+from wingbarrow.lab.fleet.assembly import ACT_INTERVAL_US, Assembly
 from wingbarrow.lab.fleet.swarm import SECOND
 
-STATED_US = Timing().overlap_us(ACT_US)
+STATED_US = Timing().overlap_us(ACT_INTERVAL_US)
 
 
 class Broken(AssertionError):
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -1,4 +1,4 @@
-"""Generated plays of turns on the virtual clock: requests, workers, lost machines, cuts, stops, kills; judged."""
+"""Random maintenance scenarios on a virtual clock: requests, workers, lost machines, cuts, stops and kills; judged."""
 
 from __future__ import annotations
 
@@ -12,46 +12,51 @@
 from wingbarrow.lab.fleet.workjudge import Judge, Verdict
 from wingbarrow.lab.fleet.workshop import WORKER_LEASE_US, Workshop
 
-MOST_CELL, MOST_ALL = 1, 3
-KNOWN_US = 5 * SECOND  # a loss is known by then to whoever leads and hears the region's teller
+MAX_OUT_PER_CELL = 1
+MAX_OUT = 3  # of all machines
+LOSS_REPORT_US = 5 * SECOND  # until a leader in touch with the region's reporter knows of a loss
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Of a play."""
+    """Size of a scenario."""
 
     placers: int = 5
     voters: int = 3
     regions: int = 1
-    machines: int = 8  # of each region
+    machines: int = 8  # in each region
     seconds: int = 60
 
 
 def budgeted() -> RuleSet:
-    """Rules under which one machine of each cell may be out, and three of all."""
-    plan = DrainPlan(budgets=(("all", "max", float(MOST_ALL)), ("cell", "max", float(MOST_CELL))))
+    """Rules that let at most one machine of each cell, and three in all, be out."""
+    plan = DrainPlan(
+        budgets=(("all", "max", float(MAX_OUT)), ("cell", "max", float(MAX_OUT_PER_CELL)))
+    )
     return replace(rules(), plan=plan)
 
 
 def opened(size: Size, seed: int, loss: float = 0.0) -> Workshop:
-    """A workshop whose placers act on their first rules."""
+    """A workshop whose placers all act on the first rules; raises AssertionError if they do not within 20 s each."""
     shop = Workshop(size.placers, size.voters, seed, size.regions, size.machines, loss)
     if not shop.run_until(lambda: shop.leader() is not None, 20 * SECOND):
-        raise AssertionError("nobody leads")
+        raise AssertionError("no leader elected within 20 s")
     shop.propose(budgeted())
     if not shop.run_until(lambda: shop.all_on(budgeted()), 20 * SECOND):
-        raise AssertionError("not all act on the first rules")
+        raise AssertionError("not all placers act on the first rules within 20 s")
     return shop
 
 
 def judged(shop: Workshop) -> Verdict:
-    """The verdict over all so far."""
+    """The verdict on all that the workshop recorded so far."""
     cells = {each.name: f"{each.region}/{each.zone}/{each.cell}" for each in shop.benches.values()}
-    return Judge(MOST_CELL, MOST_ALL, cells, shop.lost_at, KNOWN_US).judge(shop.entries, shop.works)
+    return Judge(MAX_OUT_PER_CELL, MAX_OUT, cells, shop.lost_at, LOSS_REPORT_US).judge(
+        shop.entries, shop.works
+    )
 
 
 def play(seed: int, size: Size = Size()) -> tuple[Workshop, Verdict]:
-    """One play from a seed: the workshop at its end, and the verdict."""
+    """Run one scenario from a seed; returns the workshop at its end, and the verdict."""
     shop, rng = (
         opened(size, seed, loss=random.Random(f"loss/{seed}").choice((0.0, 0.02, 0.1))),
         random.Random(seed),
@@ -60,16 +65,16 @@
         shop.lower_floor(FLOOR, 30 * SECOND, "floor")
     workers: set[int] = set()
 
-    def workers_come() -> None:
+    def start_workers() -> None:
         for turn in list(shop._turns_seen.values()):
             if turn.state == "out" and turn.number not in workers:
                 workers.add(turn.number)
                 shop.work(turn.number, SECOND + rng.randrange(3 * SECOND), rng.random() < 0.2)
-        give_back()
-        shop.at(shop.now_us + SECOND // 2, workers_come)
+        give_back_turns()
+        shop.at(shop.now_us + SECOND // 2, start_workers)
 
-    def give_back() -> None:
-        """The operator takes back what is silent, and now and then what waits."""
+    def give_back_turns() -> None:
+        """An operator gives back turns of silent workers, and sometimes turns that still wait."""
         leader = shop.leader()
         if leader is None:
             return
@@ -83,11 +88,11 @@
         elif waiting and rng.random() < 0.03:
             shop.decide(leader, "give-back", {"number": rng.choice(waiting)})
 
-    shop.at(shop.now_us, workers_come)
+    shop.at(shop.now_us, start_workers)
     end = shop.now_us + size.seconds * SECOND
     while shop.now_us < end:
         shop.run(min(end, shop.now_us + rng.randrange(2 * SECOND)))
-        _happens(shop, rng)
+        _random_event(shop, rng)
     shop.cut = lambda a, b: False
     for name in shop.names:
         if name not in shop.members:
@@ -96,31 +101,31 @@
     return shop, judged(shop)
 
 
-def _happens(shop: Workshop, rng: random.Random) -> None:
-    what, name = rng.random(), rng.choice(shop.names)
-    if what < 0.4:
+def _random_event(shop: Workshop, rng: random.Random) -> None:
+    draw, name = rng.random(), rng.choice(shop.names)
+    if draw < 0.4:
         several = rng.random() < 0.3
         for machine in list(shop.benches) if several else [rng.choice(list(shop.benches))]:
             shop.ask(
                 machine, rng.randrange(10), rng.choice(("w", "")), rng.randrange(SECOND, 4 * SECOND)
             )
-    elif what < 0.5:
+    elif draw < 0.5:
         shop.lose(rng.choice(list(shop.benches)), rng.randrange(8 * SECOND))
-    elif what < 0.6:
+    elif draw < 0.6:
         side = set(rng.sample(shop.names, rng.randrange(1, len(shop.names))))
         one_way = rng.random() < 0.4
         shop.cut = lambda a, b: (a in side and b not in side) or (
             not one_way and b in side and a not in side
         )
-    elif what < 0.75:
+    elif draw < 0.75:
         shop.cut = lambda a, b: False
-    elif what < 0.85 and name in shop.members and name not in shop.stopped:
+    elif draw < 0.85 and name in shop.members and name not in shop.stopped:
         shop.stop(name, rng.randrange(4 * SECOND))
-    elif what < 0.92 and name in shop.members and name not in shop.stopped:
+    elif draw < 0.92 and name in shop.members and name not in shop.stopped:
         shop.kill(name)
         shop.at(
             shop.now_us + rng.randrange(5 * SECOND),
             lambda: None if name in shop.members else shop.start(name),
         )
-    elif what < 0.95:
+    elif draw < 0.95:
         shop.twice = rng.choice((0.0, 0.2))
