--- a/tests/decide/rulesets/test_ruleset.py
+++ b/tests/decide/rulesets/test_ruleset.py
@@ -1,4 +1,4 @@
-"""How rule sets compare: an order with a meet, field by field; what is wrong with one is said in words."""
+"""Rule sets: their partial order and intersection, the differences between two, and the faults of invalid ones."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wingbarrow.decide.rulesets.agreed_drains import SECOND, AskedDrain, DrainPlan, WindowRules
+from wingbarrow.decide.rulesets.agreed_drains import SECOND_US, AskedDrain, DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.comparison import allows, contradict, intersection
 from wingbarrow.decide.rulesets.diff import differences
-from wingbarrow.decide.rulesets.parsing import check, parse_rule_set
+from wingbarrow.decide.rulesets.parsing import check_rule_set, parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import (
     EFFECTS,
     ClassRules,
@@ -35,8 +35,8 @@
         st.sampled_from(["nightly", "patch"]),
         st.just("2026-12-06T02:00:00"),
         st.just("Europe/Helsinki"),
-        st.sampled_from([60 * SECOND, 90 * SECOND]),
-        st.just(30 * SECOND),
+        st.sampled_from([60 * SECOND_US, 90 * SECOND_US]),
+        st.just(30 * SECOND_US),
         st.sampled_from(["", "FREQ=DAILY"]),
         st.just(("2026-12-08",)),
         st.just(()),
@@ -54,9 +54,9 @@
     ),
     st.sets(st.just(("feast", 1, 2))).map(tuple),
     st.sampled_from([0.5, 0.9]),
-    st.just(60 * SECOND),
+    st.just(60 * SECOND_US),
     st.integers(1, 2),
-    st.just(SECOND),
+    st.just(SECOND_US),
     st.just(0.5),
     st.booleans(),
 )
@@ -76,7 +76,7 @@
         st.builds(
             AskedDrain,
             st.sampled_from(["n1", "n2"]),
-            st.just(1_800_000_000 * SECOND),
+            st.just(1_800_000_000 * SECOND_US),
             st.sampled_from([1, 2]),
         )
     ).map(tuple),
@@ -104,13 +104,13 @@
 
 @given(SETS, SETS)
 def test_intersection_allows_only_what_both_allow(a: RuleSet, b: RuleSet) -> None:
-    met = intersection(a, b)
-    assert allows(met, a)
-    assert allows(met, b)
-    assert intersection(b, a) == met
+    common = intersection(a, b)
+    assert allows(common, a)
+    assert allows(common, b)
+    assert intersection(b, a) == common
     if allows(a, b):
-        assert allows(met, a), "nothing is added"
-        assert allows(a, met), "nothing is lost where one is within the other"
+        assert allows(common, a), "the intersection must not allow more"
+        assert allows(a, common), "if `b` allows all of `a`, the intersection must too"
 
 
 @given(SETS, SETS, SETS)
@@ -130,7 +130,7 @@
 @given(SETS)
 def test_text_round_trip(a: RuleSet) -> None:
     assert parse_rule_set(a.text()) == a
-    assert not check(a)
+    assert not check_rule_set(a)
 
 
 def test_cold_shares_spreads_and_barred_machines_compare() -> None:
@@ -150,9 +150,9 @@
 
 @given(st.integers(0, 100), st.sets(st.sampled_from("abcdefgh"), min_size=1))
 def test_equal_shares_sum_to_the_budget(offers: int, names: set[str]) -> None:
-    cut = dict(equal_shares(offers, tuple(names)))
-    assert sum(cut.values()) == offers
-    assert max(cut.values(), default=0) - min(cut.values(), default=0) <= 1
+    shares = dict(equal_shares(offers, tuple(names)))
+    assert sum(shares.values()) == offers
+    assert max(shares.values(), default=0) - min(shares.values(), default=0) <= 1
 
 
 @pytest.mark.parametrize(
