--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from wingbarrow.lab.fleet.assembly import ACT_INTERVAL_US
+from wingbarrow.lab.fleet.coordination_simulation import ACT_INTERVAL_US
 from wingbarrow.lab.fleet.schedules import STATED_US, Broken, fine, founded, generated, rules
 from wingbarrow.lab.fleet.schedules import voters_of as voters
 from wingbarrow.lab.fleet.swarm import SECOND
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -17,7 +17,7 @@
 from wingbarrow.decide.effects import Persist
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.fleet.schedules import rules, voters_of
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -51,7 +51,7 @@
     return normalized(replace(rules(count, most, offers), limits=limits))
 
 
-class Agreements(Metered[Coordinator], Assembly):
+class Agreements(Metered[Coordinator], CoordinationSimulation):
     """`count` placers that agree on rules; each voter's disk is a copy in memory."""
 
     def __init__(self, count: int, seed: int) -> None:
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -39,8 +39,15 @@
 from wingbarrow.decide.subset_widening import SubsetWidening, is_long_wait
 from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
 from wingbarrow.lab.days import Play, play
-from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet import (
+    holders,
+    leaseholders,
+    maintenance_scenarios,
+    replica_scenarios,
+    schedules,
+    swarm,
+)
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.record import Recorder
 from wingbarrow.peers.message import encode_message
 
@@ -148,7 +155,7 @@
     )
 
 
-def note_states(history: History, assembly: Assembly) -> None:
+def note_states(history: History, assembly: CoordinationSimulation) -> None:
     """The replicated state of each voter, what it has on disk, and the judge's figures."""
     history.note("end", assembly.now_us, leaves(assembly.judged()), assembly.refused)
     history.note(
@@ -229,10 +236,13 @@
 
 def replication(history: History, seed: int) -> None:
     """Job records kept in other regions, loss of a region, reissue."""
-    for world in (custodyplay.trouble(seed, 12), custodyplay.loss_of_a_region(seed, 40, 0.05)):
-        verdict = custodyplay.judged(world)
+    for world in (
+        replica_scenarios.trouble(seed, 12),
+        replica_scenarios.loss_of_a_region(seed, 40, 0.05),
+    ):
+        verdict = replica_scenarios.judged(world)
         history.note("verdict", len(verdict.breaches), *leaves(verdict)[len(verdict.breaches) :])
-        history.note("lost", custodyplay.lost_runs(world), custodyplay.forgotten(world))
+        history.note("lost", replica_scenarios.lost_runs(world), replica_scenarios.forgotten(world))
         history.note(
             "accepted", list(world.accepted), leaves(world.reissued), sorted(world.extinct)
         )
@@ -242,7 +252,9 @@
 
 def maintenance(history: History, seed: int) -> None:
     """Maintenance slots: requests, workers, lost machines."""
-    world, verdict = workplay.play(seed, workplay.Size(regions=1 + seed % 2, seconds=30))
+    world, verdict = maintenance_scenarios.play(
+        seed, maintenance_scenarios.Size(regions=1 + seed % 2, seconds=30)
+    )
     history.note("verdict", leaves(verdict))
     history.note("lost", leaves(world.lost_at))
     for each in (*world.entries, *world.works):
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -15,7 +15,7 @@
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import ClassRules, normalized
 from wingbarrow.decide.rulesets.versions import RuleSetState, from_text
-from wingbarrow.lab.fleet.assembly import Use, judge
+from wingbarrow.lab.fleet.coordination_simulation import Use, judge
 from wingbarrow.lab.fleet.schedules import (
     FLOOR,
     fine,
--- a/tests/decide/sessions/test_failover.py
+++ b/tests/decide/sessions/test_failover.py
@@ -32,7 +32,13 @@
 )
 from wingbarrow.decide.sessions.session import Session
 from wingbarrow.lab.fleet.custodians import Custodians, stated_us
-from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
+from wingbarrow.lab.fleet.replica_scenarios import (
+    forgotten,
+    judged,
+    loss_of_a_region,
+    lost_runs,
+    trouble,
+)
 
 S = 1_000_000
 ENDED_SESSION = Session("a", 1, 0)
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -224,14 +224,16 @@
 )
 def test_no_region_has_a_majority_of_the_voters(placers: int, regions: int) -> None:
     layout = Layout(Size(placers, 3 * regions, regions=regions))
-    assert sorted(name for some in layout.places.values() for name in some) == sorted(layout.all)
+    assert sorted(name for some in layout.locations.values() for name in some) == sorted(
+        layout.all_names
+    )
     assert len(layout.voters) in (3, 5)
-    assert set(layout.voters) <= set(layout.all)
+    assert set(layout.voters) <= set(layout.all_names)
     assert all(
         2 * sum(voter in names for voter in layout.voters) < len(layout.voters)
-        for names in layout.places.values()
+        for names in layout.locations.values()
     )
-    assert (layout.places.get(THIRD) == [WITNESS]) == (regions == 2)
+    assert (layout.locations.get(THIRD) == [WITNESS]) == (regions == 2)
     sizes = [len(names) for names in layout.regions.values()]
     assert len(sizes) == regions
     assert max(sizes) - min(sizes) <= 1
@@ -243,7 +245,7 @@
 )
 def test_settings_of_every_placer_can_be_used(regions: int, lease_s: float, after_s: float) -> None:
     layout = Layout(Size(max(6, regions), 10, regions=regions, lease_s=lease_s, after_s=after_s))
-    for index, name in enumerate(layout.all):
+    for index, name in enumerate(layout.all_names):
         text = layout.text(name, settings_text(index, 7, 1, 1, 0, "/x")) + layout.agreement_text()
         settings = load_text(text)
         assert (settings.name, settings.region) == (name, layout.region(name))
--- a/wingbarrow/lab/fleet/assembly.py
+++ b/wingbarrow/lab/fleet/coordination_simulation.py
@@ -51,7 +51,7 @@
     return Contradictions(acts, past, longest)
 
 
-class Assembly(Virtual[Coordinator]):
+class CoordinationSimulation(Virtual[Coordinator]):
     """`count` simulated coordinators; the first `voters` vote. Clocks drift by up to 500 ppm, from random starts.
 
     Every placer acts on its rules in force every `ACT_INTERVAL_US`.
--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -1,7 +1,8 @@
 """Placers of several regions with leased Jobs, on a virtual clock: custody, loss of regions, reissue.
 
 Each placer is a custodian and a small core: it takes Jobs, sends them to its region's machines by the order that
-custody asks for, renews their leases, and starts what it takes over. `custodyplay` judges what machines and owners saw.
+custody asks for, renews their leases, and starts what it takes over.
+`replica_scenarios` judges what machines and owners saw.
 """
 
 from __future__ import annotations
--- a/wingbarrow/lab/fleet/holders.py
+++ b/wingbarrow/lab/fleet/holders.py
@@ -11,7 +11,7 @@
 from wingbarrow.decide.coordination.settings import LocalPlacer
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -35,7 +35,7 @@
     )
 
 
-class Holders(Assembly):
+class Holders(CoordinationSimulation):
     """`demand` is in tasks a second for each placer; `most` and `rate` are the limits."""
 
     def __init__(
--- a/wingbarrow/lab/fleet/layout.py
+++ b/wingbarrow/lab/fleet/layout.py
@@ -53,7 +53,7 @@
 class Layout:
     """Regions of placers and machines, and the settings that follow from them.
 
-    `regions` maps each region with machines to its placers ({} without regions); `places` also has the witness's.
+    `regions` maps each region with machines to its placers ({} without regions); `locations` also has the witness's.
     """
 
     def __init__(self, size: Size) -> None:
@@ -65,15 +65,15 @@
         }
         witness = size.regions == 2
         self.voters = self.names[: size.voters - witness] + [WITNESS] * witness
-        self.all = self.names + [WITNESS] * witness
-        self.places = {**self.regions, **({THIRD: [WITNESS]} if witness else {})}
-        self._region = {name: region for region, names in self.places.items() for name in names}
+        self.all_names = self.names + [WITNESS] * witness
+        self.locations = {**self.regions, **({THIRD: [WITNESS]} if witness else {})}
+        self._region = {name: region for region, names in self.locations.items() for name in names}
 
     def region(self, name: str) -> str:
         """The region of a placer; "" without regions."""
         return self._region.get(name, "")
 
-    def mates(self, name: str) -> list[str]:
+    def region_placers(self, name: str) -> list[str]:
         """The placers of its region, itself included; without regions, all placers."""
         return self.regions.get(self.region(name), self.names)
 
@@ -164,7 +164,7 @@
         """The settings node that gives a placer a subset of its region's machines; "" if it holds all of them."""
         if not self.size.subsets or name == WITNESS:
             return ""
-        roster = " ".join(f'"{each}"' for each in self.mates(name))
+        roster = " ".join(f'"{each}"' for each in self.region_placers(name))
         return (
             f'subset replicas={self.size.subsets} {{\n    roster {roster}\n    leave-after "2s"\n'
             '    settle "500ms"\n}\n'
@@ -172,11 +172,11 @@
 
     def held_machines(self, name: str, machines: list[str]) -> int:
         """The number of its region's machines that a placer holds while all placers are alive."""
-        mates = frozenset(self.mates(name))
+        placers = frozenset(self.region_placers(name))
         if not self.size.subsets:
             return len(machines)
-        subsets = Subsets(SubsetRules(tuple(mates), self.size.subsets))
-        return sum(subsets.holds(name, machine, mates) for machine in machines)
+        subsets = Subsets(SubsetRules(tuple(placers), self.size.subsets))
+        return sum(subsets.holds(name, machine, placers) for machine in machines)
 
     def agreement_text(self) -> str:
         """The `agree` node of the settings: voters, members and limits."""
@@ -200,7 +200,11 @@
             [
                 f'agree lease="{int(size.lease_s * 1000)}ms" {{\n' if leases else "agree {\n",
                 *[participant("voter", name) for name in self.voters],
-                *[participant("member", name) for name in self.all if name not in self.voters],
+                *[
+                    participant("member", name)
+                    for name in self.all_names
+                    if name not in self.voters
+                ],
                 limits,
                 "}\n",
             ]
--- a/wingbarrow/lab/fleet/leaseholders.py
+++ b/wingbarrow/lab/fleet/leaseholders.py
@@ -19,7 +19,7 @@
 from wingbarrow.decide.sessions.session import Session, parse_session
 from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.fleet.schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -77,7 +77,7 @@
     kept: bool
 
 
-class Leaseholders(Assembly):
+class Leaseholders(CoordinationSimulation):
     """`count` placers in `regions` regions, dealt out evenly; the first voters are of all regions."""
 
     def __init__(
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -51,7 +51,7 @@
         self.hub, self.size, self.folder, self._log = hub, size, folder, log
         folder.mkdir(parents=True, exist_ok=True)
         self.layout = Layout(size)
-        self.names, self.voters = self.layout.all, self.layout.voters
+        self.names, self.voters = self.layout.all_names, self.layout.voters
         self.record = Recorder(hub.now_us)
         self._events = (folder / "events.jsonl").open("w", encoding="utf-8")
 
@@ -81,7 +81,7 @@
                     "size": asdict(self.size),
                     "names": self.names,
                     "voters": self.voters,
-                    "regions": layout.places,
+                    "regions": layout.locations,
                     "machines": {
                         machine.name: [region, machine.build.zone, machine.build.cell]
                         for region, cluster in self.clusters.items()
@@ -180,10 +180,10 @@
         )
         state = self.folder / f"{slot.name}.state"
         state.mkdir(exist_ok=True)
-        mates, cluster = self.layout.mates(slot.name), self.cluster(slot.name)
+        region_placers, cluster = self.layout.region_placers(slot.name), self.cluster(slot.name)
         text = settings_text(
-            mates.index(slot.name) if slot.name in mates else 0,
-            len(mates),
+            region_placers.index(slot.name) if slot.name in region_placers else 0,
+            len(region_placers),
             self.size.seed + slot.index,
             cluster.source.port if cluster else 1,
             0,
--- a/wingbarrow/lab/fleet/schedules.py
+++ b/wingbarrow/lab/fleet/schedules.py
@@ -8,7 +8,7 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
-from wingbarrow.lab.fleet.assembly import ACT_INTERVAL_US, Assembly
+from wingbarrow.lab.fleet.coordination_simulation import ACT_INTERVAL_US, CoordinationSimulation
 from wingbarrow.lab.fleet.swarm import SECOND
 
 STATED_US = Timing().overlap_us(ACT_INTERVAL_US)
@@ -41,9 +41,11 @@
 )
 
 
-def founded(count: int = 5, voters: int = 3, seed: int = 1, loss: float = 0.0) -> Assembly:
+def founded(
+    count: int = 5, voters: int = 3, seed: int = 1, loss: float = 0.0
+) -> CoordinationSimulation:
     """Placers that act on their first rules."""
-    assembly = Assembly(count, voters, seed, loss=loss)
+    assembly = CoordinationSimulation(count, voters, seed, loss=loss)
     _want(assembly.run_until(lambda: assembly.leader() is not None, 20 * SECOND), "one leads")
     assembly.propose(rules())
     _want(
@@ -58,7 +60,7 @@
         raise Broken(words)
 
 
-def fine(assembly: Assembly) -> None:
+def fine(assembly: CoordinationSimulation) -> None:
     """Broken where anybody acted on rules whose time had passed."""
     verdict = assembly.judged()
     _want(bool(verdict.acts) and not verdict.past and verdict.longest_us <= STATED_US, str(verdict))
@@ -109,7 +111,7 @@
     return tuple(out)
 
 
-def _take(assembly: Assembly, step: Step) -> None:
+def _take(assembly: CoordinationSimulation, step: Step) -> None:
     """Have it happen, where it can."""
     able = [
         name for name in step.names if name in assembly.members and name not in assembly.stopped
@@ -134,7 +136,9 @@
         assembly.propose(rules(of, most, offers))
 
 
-def played(count: int, voters: int, seed: int, wanted: tuple[Step, ...]) -> Iterator[Assembly]:
+def played(
+    count: int, voters: int, seed: int, wanted: tuple[Step, ...]
+) -> Iterator[CoordinationSimulation]:
     """A schedule, step by step; then all heals, and all have to come to the last version."""
     assembly = founded(count, voters, seed)
     assembly.twice = 0.1
@@ -161,7 +165,7 @@
     yield assembly
 
 
-def generated(count: int, voters: int, seed: int) -> Iterator[Assembly]:
+def generated(count: int, voters: int, seed: int) -> Iterator[CoordinationSimulation]:
     """The schedule of a size and seed, played."""
     yield from played(count, voters, seed, steps(count, seed))
 
--- a/wingbarrow/lab/fleet/suffering.py
+++ b/wingbarrow/lab/fleet/suffering.py
@@ -131,7 +131,7 @@
 
     def _across(self, fault: Fault) -> list[tuple[str, str]]:
         """Each link from a region to another, or all others; the other way too where the fault is on both."""
-        regions = self._places.layout.places
+        regions = self._places.layout.locations
         others = (
             [fault.other] if fault.other else [region for region in regions if region != fault.who]
         )
@@ -147,7 +147,7 @@
     def _kill_region(self, fault: Fault) -> None:
         """All its placers at once, and its list source and machines where that is wanted."""
         places = self._places
-        slots = [places.slot(name) for name in places.layout.places[fault.who]]
+        slots = [places.slot(name) for name in places.layout.locations[fault.who]]
         slots = [slot for slot in slots if slot.process is not None and not slot.starting]
         for slot in slots:
             places.send_kill(slot)
--- a/wingbarrow/lab/fleet/workshop.py
+++ b/wingbarrow/lab/fleet/workshop.py
@@ -1,7 +1,7 @@
 """Turns played on the virtual clock: placers with work, machines that refuse, workers that come, stay away and return.
 
 Placers that go by a floor send to machines that are closed, as they know no better. What workers do and what machines
-hold is written down in true time; `workjudge` looks at it, and at what the voters decided.
+hold is written down in true time; `maintenance_judge` looks at it, and at what the voters decided.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
 from wingbarrow.decide.maintenance.slots import Slot
 from wingbarrow.decide.maintenance.timing import MaintenanceTiming
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
 
@@ -111,7 +111,7 @@
         return self.wanted
 
 
-class Workshop(Assembly):
+class Workshop(CoordinationSimulation):
     """`count` placers dealt out over regions, `machines` for each region in cells of four and zones of eight."""
 
     def __init__(
