--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -11,11 +11,11 @@
 from wingbarrow.core.logs import silent
 from wingbarrow.lab.cluster import settings_text
 from wingbarrow.lab.fleet.commands import Commands
+from wingbarrow.lab.fleet.fault_injection import FaultInjector
 from wingbarrow.lab.fleet.layout import THIRD, WITNESS, Layout, Size
 from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.lab.fleet.places import Places
-from wingbarrow.lab.fleet.script import BadScript, Fault, generate, generate_regions, read_script
-from wingbarrow.lab.fleet.suffering import Suffering
+from wingbarrow.lab.fleet.script import Fault, ScriptError, generate, generate_regions, read_script
 from wingbarrow.transport import Hub, PeerGone, Stream, VirtualClock, connect, listen
 
 S = 1_000_000
@@ -66,10 +66,10 @@
 def test_a_whole_link_passes_all_and_a_cut_one_holds_it_without_a_word() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
         assert send_word(hub, proxy.port) == b"word"
-        proxy.forth.cut = True
+        proxy.forward.cut = True
         assert send_word(hub, proxy.port) is None
         assert echo.received == [b"word"]
-        proxy.forth.cut, proxy.back.cut = False, True
+        proxy.forward.cut, proxy.backward.cut = False, True
         assert send_word(hub, proxy.port) is None
         assert len(echo.received) == 2, (
             "only the way back is cut: the server received the word, its response was lost"
@@ -82,20 +82,20 @@
 
 def test_a_link_is_late_slow_resets_and_delivers_twice() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        proxy.forth.delay_us, begun = S // 2, hub.now_us()
+        proxy.forward.delay_us, begun = S // 2, hub.now_us()
         assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2
-        proxy.forth.delay_us, proxy.back.bytes_per_s, begun = 0, 8, hub.now_us()
+        proxy.forward.delay_us, proxy.backward.bytes_per_s, begun = 0, 8, hub.now_us()
         assert send_word(hub, proxy.port) == b"word"
         proxy.heal()
-        proxy.forth.twice_share = 1.0
+        proxy.forward.duplicate_share = 1.0
         count = len(echo.received)
         assert send_word(hub, proxy.port) == b"word"
         hub.sleep(S)
         assert len(echo.received) == count + 2
-        assert proxy.doubles == 1
+        assert proxy.duplicates == 1
         proxy.heal()
-        proxy.back.reset_share = 1.0
+        proxy.backward.reset_share = 1.0
         assert send_word(hub, proxy.port) == b"reset"
 
     run_scenario(script)
@@ -103,14 +103,14 @@
 
 def test_a_far_link_is_late_both_ways_and_a_fault_adds_to_it() -> None:
     def script(hub: Hub, echo: Echo, proxy: Proxy) -> None:
-        proxy.far_us, begun = S // 50, hub.now_us()
+        proxy.base_delay_us, begun = S // 50, hub.now_us()
         assert send_word(hub, proxy.port) == b"word"
         assert S // 25 <= hub.now_us() - begun < S // 20
-        proxy.forth.delay_us, begun = S // 2, hub.now_us()
+        proxy.forward.delay_us, begun = S // 2, hub.now_us()
         assert send_word(hub, proxy.port) == b"word"
         assert hub.now_us() - begun >= S // 2 + S // 25
         proxy.heal()
-        assert proxy.far_us, "healing keeps the distance of a link"
+        assert proxy.base_delay_us, "healing keeps the distance of a link"
 
     run_scenario(script)
 
@@ -121,12 +121,12 @@
     def main() -> None:
         network = Network(hub, NAMES, 1)
         network.set("placer-0", "placer-1", cut=True)
-        assert network.links["placer-0", "placer-1"].forth.cut
-        assert network.links["placer-1", "placer-0"].back.cut
-        assert not network.links["placer-0", "placer-1"].back.cut
-        assert not network.links["placer-1", "placer-0"].forth.cut
-        assert all(way.whole for way in network.ways("placer-0", "placer-2"))
-        network.moved("placer-1", 7)
+        assert network.links["placer-0", "placer-1"].forward.cut
+        assert network.links["placer-1", "placer-0"].backward.cut
+        assert not network.links["placer-0", "placer-1"].backward.cut
+        assert not network.links["placer-1", "placer-0"].forward.cut
+        assert all(way.is_healthy for way in network.directions("placer-0", "placer-2"))
+        network.set_port("placer-1", 7)
         assert {key for key, link in network.links.items() if link.to == 7} == {
             ("placer-0", "placer-1"),
             ("placer-2", "placer-1"),
@@ -176,7 +176,7 @@
 ) -> None:
     path = tmp_path / "x.kdl"
     path.write_text(text)
-    with pytest.raises(BadScript, match=words):
+    with pytest.raises(ScriptError, match=words):
         read_script(path, NAMES, REGIONS)
 
 
@@ -192,7 +192,7 @@
         Fault("work", 3 * S, "placer-1", "", 6 * S, True, 203),
         Fault("kill-region", 9 * S, "south", "", 20 * S, state=False, machines=True),
     ]
-    with pytest.raises(BadScript, match="is wanted"):
+    with pytest.raises(ScriptError, match="is wanted"):
         read_script(path, NAMES)
 
 
@@ -289,14 +289,14 @@
     def main() -> None:
         places = Places(hub, Size(3, 3, regions=3), tmp_path, silent)
         places.open([])
-        suffering = Suffering(places, Commands(places))
-        hub.spawn(lambda: suffering.suffer(Fault("cut-region", 0, "south", lasts_us=10 * S)))
-        hub.spawn(lambda: suffering.suffer(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
+        injector = FaultInjector(places, Commands(places))
+        hub.spawn(lambda: injector.inject(Fault("cut-region", 0, "south", lasts_us=10 * S)))
+        hub.spawn(lambda: injector.inject(Fault("isolate", 0, "placer-0", lasts_us=2 * S)))
         hub.sleep(5 * S)
-        assert places.network.links["placer-0", "placer-1"].forth.cut, "south is still cut off"
-        assert not places.network.links["placer-0", "placer-2"].forth.cut
+        assert places.network.links["placer-0", "placer-1"].forward.cut, "south is still cut off"
+        assert not places.network.links["placer-0", "placer-2"].forward.cut
         hub.sleep(6 * S)
-        assert all(way.whole for way in places.network.ways("placer-0", "placer-1"))
+        assert all(way.is_healthy for way in places.network.directions("placer-0", "placer-1"))
         places.close()
 
     hub.run(main)
--- a/wingbarrow/lab/fleet/commands.py
+++ b/wingbarrow/lab/fleet/commands.py
@@ -1,6 +1,6 @@
-"""Requests of the rig to placers over REST: queries, used only to wait, and an operator's commands.
+"""REST requests of the rig to placers: queries, used only to wait for a state, and an operator's commands.
 
-The judge never sees the answers to queries; the outcomes of commands are recorded as events.
+Answers to queries are not recorded, so the judge does not see them. Outcomes of commands are recorded as events.
 """
 
 from __future__ import annotations
@@ -22,25 +22,22 @@
 from wingbarrow.lab.fleet.script import Fault
 from wingbarrow.peers.ruleset_settings import requested_rule_set
 
-MAX_ATTEMPTS = 20
-API = "/apis/wingbarrow.io/v1"
+MAX_TRIES = 20
+API_PATH = "/apis/wingbarrow.io/v1"
 
 
 class Commands:
-    """Queries and commands to the placers of one run.
-
-    `variant` maps a number to a variant of the rules: the settings' text, and the placers that share the cold budget.
-    """
+    """`variant` maps a number to a variant of the rules: settings text, and placers that share the cold budget."""
 
     def __init__(self, places: Places) -> None:
         self._places, self._hub = places, places.hub
-        self._drains: dict[str, str] = {}  # machine name to the key of its requested drain
+        self._drains: dict[str, str] = {}  # machine -> key of its requested drain
         self.variant: Callable[[int], tuple[str, list[str]]] = self.random_variant
 
     # -- queries
 
     def get(self, slot: Slot, target: str) -> dict[str, Any] | None:
-        """The answer of a placer to a GET; None if none came, or an error status."""
+        """Answer of a placer to a GET; None on an error or without an answer."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             return call(pool, "GET", target, None, self._hub.now_us() + 2 * SECOND)
@@ -50,7 +47,7 @@
             pool.close()
 
     def all_listed(self) -> bool:
-        """Whether every placer has listed all machines of its subset."""
+        """Whether every placer lists all machines that it holds."""
         layout = self._places.layout
         for slot in self._places.placers:
             names = [each.name for each in self._places.clusters[layout.region(slot.name)].machines]
@@ -59,21 +56,21 @@
                 return False
         return True
 
-    def rules_agreed(self) -> bool:
-        """Whether all running placers act on the same version of the rules, and no step of a change is pending."""
+    def all_agree(self) -> bool:
+        """Whether all running placers act on the same version of the rules, with no step left to apply."""
         labels = set()
         for slot in self._places.running():
-            answer = self.get(slot, f"{API}/rules")
+            answer = self.get(slot, f"{API_PATH}/rules")
             if answer is None or not str(answer["label"]).startswith("e") or answer.get("steps"):
                 return False
             labels.add((answer["label"], answer["version"]))
         return len(labels) == 1
 
-    def members_alive(self) -> bool:
-        """Whether every running placer lists all other running ones as alive."""
+    def all_alive(self) -> bool:
+        """Whether all running placers report all others as alive."""
         running = self._places.running()
         for slot in running:
-            answer = self.get(slot, f"{API}/members")
+            answer = self.get(slot, f"{API_PATH}/members")
             alive = (
                 {each["ident"] for each in answer["items"] if each["standing"] == "alive"}
                 if answer
@@ -84,19 +81,17 @@
         return True
 
     def wait_until(self, done: Callable[[], bool], within_us: int, what: str) -> None:
-        """Poll a condition until it holds; raises TimeoutError if it does not within `within_us`."""
-        deadline_us = self._hub.now_us() + within_us
+        """Waits for a condition. Raises TimeoutError if it does not hold within `within_us`."""
+        end = self._hub.now_us() + within_us
         while not done():
-            if self._hub.now_us() >= deadline_us:
-                raise TimeoutError(
-                    f"condition did not hold within {within_us / SECOND:g} s: {what}"
-                )
+            if self._hub.now_us() >= end:
+                raise TimeoutError(f"{what}: not within {within_us / SECOND:g} s")
             self._hub.sleep(SECOND // 5)
 
     # -- commands
 
     def random_variant(self, number: int) -> tuple[str, list[str]]:
-        """Random settings with rules other than the initial ones, and the placers that share the cold budget."""
+        """Random variant of the initial settings and the placers that share the cold budget, with `number` as seed."""
         places = self._places
         rng, text = random.Random(number), places.settings(places.slots[0])
         text = (
@@ -104,23 +99,23 @@
             .replace("offers=20", f"offers={rng.randrange(4, 21)}")
             .replace("attempts most=4", f"attempts most={rng.randrange(2, 5)}")
         )
-        bars = "".join(
+        barred = "".join(
             f'bar "{machine.name}"\n' for machine in places.machines if rng.random() < 0.15
         )
         names = places.layout.names
         sharers = rng.sample(names, rng.randrange(1, len(names) + 1))
         text = text.replace("upper=90", f"upper={rng.randrange(70, 96)}")
-        return text + bars, sharers
+        return text + barred, sharers
 
     def propose(self, number: int, slot: Slot) -> bool:
-        """Propose a variant of the rules; returns whether it was accepted."""
+        """Proposes a variant of the rules; returns whether it was accepted."""
         text, sharers = self.variant(number)
-        rule_set = requested_rule_set(load_text(text))
-        offers = sum(share for _, share in rule_set.cold_shares)
-        rule_set = normalized(replace(rule_set, cold_shares=equal_shares(offers, tuple(sharers))))
+        rules = requested_rule_set(load_text(text))
+        offers = sum(share for _, share in rules.cold_shares)
+        rules = normalized(replace(rules, cold_shares=equal_shares(offers, tuple(sharers))))
         body = {
             "ident": f"rig-{number}-{self._hub.now_us()}",
-            "rules": json.loads(rule_set.text()),
+            "rules": json.loads(rules.text()),
             "by": "the rig",
             "keepDrains": True,
         }
@@ -128,12 +123,12 @@
         if answer is None:
             self._places.event("not-decided", variant=number)
         elif answer.get("kind") == "Accepted":
-            self._places.event("accepted", version=answer["version"], rules=rule_set.text())
+            self._places.event("accepted", version=answer["version"], rules=rules.text())
             return True
         return False
 
     def propose_last(self) -> None:
-        """Propose the final rules, on which all placers must act at the end; tries variants until one is accepted."""
+        """Proposes the variant that all placers act on at the end; tries further ones until one is accepted."""
         slots = self._places.slots
         for number in range(1, 20):
             if self.propose(
@@ -142,7 +137,7 @@
                 return
 
     def drain(self, fault: Fault) -> None:
-        """Request a drain of a machine for longer than any run, or cancel the one that was requested before."""
+        """Asks a placer to drain a machine for longer than any run, or to cancel its drain."""
         machines, slot = self._places.machines, self._places.slot(fault.who)
         name = machines[int(fault.amount) % len(machines)].name
         key = self._drains.pop(name, None)
@@ -160,15 +155,11 @@
         method: str,
         path: str,
         body: dict[str, Any] | None,
-        attempts: int = MAX_ATTEMPTS,
+        tries: int = MAX_TRIES,
     ) -> dict[str, Any] | None:
-        """The leader's answer to a request, found through other placers; None if nothing was decided.
-
-        A placer that is not the leader may name it; the request then goes there. On any other failure the next placer
-        is tried after half a second.
-        """
+        """Sends a request to the leader, found through other placers. Returns its answer; None if undecided."""
         places = self._places
-        for _ in range(attempts):
+        for _ in range(tries):
             answer = self.call(slot, method, path, body)
             if (
                 answer is not None
@@ -188,13 +179,13 @@
     def call(
         self, slot: Slot, method: str, path: str, body: dict[str, Any] | None
     ) -> dict[str, Any] | None:
-        """The JSON answer to a request, whatever its status; None if none came."""
+        """Answer of a placer, whatever its status; None if none arrived."""
         pool = Pool(self._hub, "127.0.0.1", slot.front.port, PoolLimits(connections=1), "rig")
         try:
             raw = b"" if body is None else json.dumps(body).encode()
             response = pool.request(
                 method,
-                f"{API}/{path}",
+                f"{API_PATH}/{path}",
                 raw,
                 [("Content-Type", "application/json")],
                 self._hub.now_us() + 8 * SECOND,
--- a/wingbarrow/lab/fleet/coordination_simulation.py
+++ b/wingbarrow/lab/fleet/coordination_simulation.py
@@ -14,7 +14,7 @@
 from wingbarrow.decide.rulesets.comparison import allows
 from wingbarrow.decide.rulesets.parsing import parse_rule_set
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.lab.fleet.swarm import SECOND, Drift, Virtual
+from wingbarrow.lab.fleet.simulation import SECOND, ClockDrift, Simulation
 
 ACT_INTERVAL_US = 10_000
 
@@ -51,7 +51,7 @@
     return Contradictions(acts, past, longest)
 
 
-class CoordinationSimulation(Virtual[Coordinator]):
+class CoordinationSimulation(Simulation[Coordinator]):
     """`count` simulated coordinators; the first `voters` vote. Clocks drift by up to 500 ppm, from random starts.
 
     Every placer acts on its rules in force every `ACT_INTERVAL_US`.
@@ -66,7 +66,7 @@
         self.disks = {name: PersistentState(self.voters) for name in self.voters}
         rng = random.Random(f"clocks/{seed}")
         self.drifts = {
-            name: Drift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
+            name: ClockDrift(rng.uniform(-5e-4, 5e-4), rng.randrange(10_000 * SECOND))
             for name in self.names
         }
         self.uses: dict[int, Use] = {}
--- a/wingbarrow/lab/fleet/maintenance_judge.py
+++ b/wingbarrow/lab/fleet/maintenance_judge.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.decide.maintenance.slots import Slot
-from wingbarrow.lab.fleet.workshop import Entry, Work
+from wingbarrow.lab.fleet.maintenance_simulation import SlotChange, WorkSample
 
 CLOSED_STATES = ("closing", "empty", "out", "back")
 STATE_ORDER = ("asked", "queued", "closing", "empty", "out", "back", "done")
@@ -91,13 +91,13 @@
             if at_us - 2 * self._loss_report_us <= at <= at_us
         }
 
-    def judge(self, entries: Iterable[Entry], works: Iterable[Work]) -> Verdict:
+    def judge(self, entries: Iterable[SlotChange], works: Iterable[WorkSample]) -> Verdict:
         """Judge all decided entries, in order, and all samples of work."""
         turns: dict[int, Slot] = {}
         over = disorder = jumps = 0
         for entry in entries:
             before = dict(turns)
-            for turn in entry.turns:
+            for turn in entry.slots:
                 jumps += not _is_valid_transition(before.get(turn.number), turn)
                 turns[turn.number] = turn
             live = [
@@ -106,13 +106,13 @@
             jumps += len(live) - len(set(live))
             began = [
                 each
-                for each in entry.turns
+                for each in entry.slots
                 if _enters_state(before.get(each.number), each, ("closing", "out"))
             ]
             over += sum(self._over(entry.at_us, each, turns) for each in began)
             closed = [
                 each
-                for each in entry.turns
+                for each in entry.slots
                 if _enters_state(before.get(each.number), each, ("closing",))
             ]
             disorder += sum(
@@ -125,7 +125,7 @@
             len(turns),
             sum(each.state == "done" for each in turns.values()),
             len(works),
-            sum(each.holds > 0 for each in works),
+            sum(each.tasks > 0 for each in works),
             sum(each.state != "out" for each in works),
             over,
             disorder,
--- a/wingbarrow/lab/fleet/maintenance_scenarios.py
+++ b/wingbarrow/lab/fleet/maintenance_scenarios.py
@@ -8,9 +8,9 @@
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.maintenance_judge import Judge, Verdict
+from wingbarrow.lab.fleet.maintenance_simulation import WORKER_LEASE_US, MaintenanceSimulation
 from wingbarrow.lab.fleet.schedules import FLOOR, rules
-from wingbarrow.lab.fleet.swarm import SECOND
-from wingbarrow.lab.fleet.workshop import WORKER_LEASE_US, Workshop
+from wingbarrow.lab.fleet.simulation import SECOND
 
 MAX_OUT_PER_CELL = 1
 MAX_OUT = 3  # of all machines
@@ -36,9 +36,9 @@
     return replace(rules(), plan=plan)
 
 
-def opened(size: Size, seed: int, loss: float = 0.0) -> Workshop:
-    """A workshop whose placers all act on the first rules; raises AssertionError if they do not within 20 s each."""
-    shop = Workshop(size.placers, size.voters, seed, size.regions, size.machines, loss)
+def opened(size: Size, seed: int, loss: float = 0.0) -> MaintenanceSimulation:
+    """A simulation whose placers all act on the first rules; raises AssertionError if they do not within 20 s each."""
+    shop = MaintenanceSimulation(size.placers, size.voters, seed, size.regions, size.machines, loss)
     if not shop.run_until(lambda: shop.leader() is not None, 20 * SECOND):
         raise AssertionError("no leader elected within 20 s")
     shop.propose(budgeted())
@@ -47,16 +47,19 @@
     return shop
 
 
-def judged(shop: Workshop) -> Verdict:
-    """The verdict on all that the workshop recorded so far."""
-    cells = {each.name: f"{each.region}/{each.zone}/{each.cell}" for each in shop.benches.values()}
-    return Judge(MAX_OUT_PER_CELL, MAX_OUT, cells, shop.lost_at, LOSS_REPORT_US).judge(
-        shop.entries, shop.works
+def judged(shop: MaintenanceSimulation) -> Verdict:
+    """The verdict on all that the simulation recorded so far."""
+    cells = {
+        each.name: f"{each.region}/{each.zone}/{each.cell}"
+        for each in shop.machines_by_name.values()
+    }
+    return Judge(MAX_OUT_PER_CELL, MAX_OUT, cells, shop.outages, LOSS_REPORT_US).judge(
+        shop.changes, shop.work_samples
     )
 
 
-def play(seed: int, size: Size = Size()) -> tuple[Workshop, Verdict]:
-    """Run one scenario from a seed; returns the workshop at its end, and the verdict."""
+def play(seed: int, size: Size = Size()) -> tuple[MaintenanceSimulation, Verdict]:
+    """Run one scenario from a seed; returns the simulation at its end, and the verdict."""
     shop, rng = (
         opened(size, seed, loss=random.Random(f"loss/{seed}").choice((0.0, 0.02, 0.1))),
         random.Random(seed),
@@ -66,10 +69,12 @@
     workers: set[int] = set()
 
     def start_workers() -> None:
-        for turn in list(shop._turns_seen.values()):
+        for turn in list(shop._slots.values()):
             if turn.state == "out" and turn.number not in workers:
                 workers.add(turn.number)
-                shop.work(turn.number, SECOND + rng.randrange(3 * SECOND), rng.random() < 0.2)
+                shop.start_operator(
+                    turn.number, SECOND + rng.randrange(3 * SECOND), rng.random() < 0.2
+                )
         give_back_turns()
         shop.at(shop.now_us + SECOND // 2, start_workers)
 
@@ -78,15 +83,15 @@
         leader = shop.leader()
         if leader is None:
             return
-        chapter, now = shop.chapters[leader], shop.clock_us(leader)
+        chapter, now = shop.schedulers[leader], shop.clock_us(leader)
         silent = [*chapter.lapsed_operator_slots(now)]
         waiting = [
             each.number for each in chapter.queue.live() if each.state in ("queued", "closing")
         ]
         if silent and rng.random() < 0.3:
-            shop.decide(leader, "give-back", {"number": rng.choice(silent)})
+            shop.propose_entry(leader, "give-back", {"number": rng.choice(silent)})
         elif waiting and rng.random() < 0.03:
-            shop.decide(leader, "give-back", {"number": rng.choice(waiting)})
+            shop.propose_entry(leader, "give-back", {"number": rng.choice(waiting)})
 
     shop.at(shop.now_us, start_workers)
     end = shop.now_us + size.seconds * SECOND
@@ -101,16 +106,18 @@
     return shop, judged(shop)
 
 
-def _random_event(shop: Workshop, rng: random.Random) -> None:
+def _random_event(shop: MaintenanceSimulation, rng: random.Random) -> None:
     draw, name = rng.random(), rng.choice(shop.names)
     if draw < 0.4:
         several = rng.random() < 0.3
-        for machine in list(shop.benches) if several else [rng.choice(list(shop.benches))]:
-            shop.ask(
+        for machine in (
+            list(shop.machines_by_name) if several else [rng.choice(list(shop.machines_by_name))]
+        ):
+            shop.request_slot(
                 machine, rng.randrange(10), rng.choice(("w", "")), rng.randrange(SECOND, 4 * SECOND)
             )
     elif draw < 0.5:
-        shop.lose(rng.choice(list(shop.benches)), rng.randrange(8 * SECOND))
+        shop.fail_machine(rng.choice(list(shop.machines_by_name)), rng.randrange(8 * SECOND))
     elif draw < 0.6:
         side = set(rng.sample(shop.names, rng.randrange(1, len(shop.names))))
         one_way = rng.random() < 0.4
@@ -128,4 +135,4 @@
             lambda: None if name in shop.members else shop.start(name),
         )
     elif draw < 0.95:
-        shop.twice = rng.choice((0.0, 0.2))
+        shop.duplication = rng.choice((0.0, 0.2))
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -1,9 +1,8 @@
-"""The parts of a fleet: one process per placer, the links between placers, simulated machines, and the run's files.
+"""Processes of a fleet run: one for each placer, the links between them, the simulated clusters, and the records.
 
-A run leaves a directory with `fleet.json` (the parameters of the run), `events.jsonl` (what the rig did to links and
-processes, and when), `recording.jsonl` (the traffic of the simulated machines and list sources),
-`placer-N.history.jsonl` (the history that each process wrote, by the same clock), settings and logs. `judge` reads
-these files and nothing else.
+A run leaves a directory: `fleet.json` (the run's parameters), `events.jsonl` (faults and changes of processes, with
+their times), `recording.jsonl` (the traffic of the simulated clusters), `placer-N.history.jsonl` (each process's own
+record, by the same clock), settings and logs. `judge` reads these files and nothing else.
 """
 
 from __future__ import annotations
@@ -25,17 +24,15 @@
 from wingbarrow.store.voter_store import create
 from wingbarrow.transport import Hub, Nursery
 
-START_TIMEOUT_US = 60 * SECOND
-SEEDS = 3  # placers that all others have as seed peers
-SHUTDOWN_TIMEOUT_US = 20 * SECOND
-CPU_WAIT_INTERVAL_US = SECOND // 2
-MAX_CPU_WAIT_SHARE = (
-    0.2  # of an interval; a process that waited longer for a CPU is recorded as starved
-)
+START_US = 60 * SECOND
+SEED_COUNT = 3  # placers that all others name as seed peers
+TERMINATION_TIMEOUT_US = 20 * SECOND
+STARVATION_INTERVAL_US = SECOND // 2  # between two checks of the time that processes wait for a CPU
+STARVATION_SHARE = 0.2  # of the interval; a process that waits longer is recorded as starved
 
 
 class Slot:
-    """One placer of the run: its process, if any, and the proxy through which owners reach it."""
+    """Slot of one placer: its process, if it runs, and the link through which owners reach it."""
 
     def __init__(self, name: str, index: int, front: Proxy) -> None:
         self.name, self.index, self.front = name, index, front
@@ -45,7 +42,7 @@
 
 
 class Places:
-    """All placers, machines and links of one run; can be started and closed once."""
+    """Processes, links and clusters of one run. Started and ended once."""
 
     def __init__(self, hub: Hub, size: Size, folder: Path, log: Callable[..., None]) -> None:
         self.hub, self.size, self.folder, self._log = hub, size, folder, log
@@ -56,12 +53,12 @@
         self._events = (folder / "events.jsonl").open("w", encoding="utf-8")
 
     def event(self, what: str, **fields: Any) -> None:
-        """Append an event to `events.jsonl`, stamped with the current time."""
+        """Records an event of the rig with the current time."""
         self._events.write(json.dumps({"at_us": self.hub.now_us(), "what": what, **fields}) + "\n")
         self._events.flush()
 
     def open(self, faults: list[Fault]) -> None:
-        """Create simulated clusters and links, and write `fleet.json`; starts no process."""
+        """Creates simulated clusters and links and writes the run's parameters; starts no process."""
         hub, layout, seed = self.hub, self.layout, self.size.seed
         self.clusters = {
             region: Cluster(
@@ -71,7 +68,7 @@
         }
         self.network = Network(hub, self.names, seed)
         for (one, other), link in self.network.links.items():
-            link.far_us = REGION_DELAY_US if layout.crosses_regions(one, other) else 0
+            link.base_delay_us = REGION_DELAY_US if layout.crosses_regions(one, other) else 0
         self.slots = [
             Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)
         ]
@@ -101,11 +98,11 @@
         return [machine for cluster in self.clusters.values() for machine in cluster.machines]
 
     def cluster(self, name: str) -> Cluster | None:
-        """The cluster (list source and machines) of a placer; None for a placer without machines."""
+        """List source and machines of a placer's region; None if it has none."""
         return self.clusters.get(self.layout.region(name))
 
     def start_all(self) -> None:
-        """Start clusters and placers; returns when all processes listen."""
+        """Starts clusters and placers. Returns once all processes listen."""
         for cluster in self.clusters.values():
             cluster.start()
         for name in self.voters:
@@ -115,20 +112,20 @@
                 nursery.spawn(lambda slot=slot: self.start(slot), "starts")  # type: ignore[misc]
 
     def slot(self, name: str) -> Slot:
-        """The slot of a placer, by name."""
+        """Slot of a placer."""
         return self.slots[self.names.index(name)]
 
     @property
     def placers(self) -> list[Slot]:
-        """Slots of the placers that have machines; owners submit to these."""
+        """Slots of placers with machines, to which owners send requests."""
         return [slot for slot in self.slots if slot.name != WITNESS]
 
     def running(self) -> list[Slot]:
-        """Slots whose process runs and is not stopped by a signal."""
+        """Slots whose process runs and is not stopped."""
         return [slot for slot in self.slots if slot.process is not None and not slot.stopped]
 
     def start(self, slot: Slot) -> None:
-        """Start a placer's process; returns when it listens. Raises NotStarted."""
+        """Starts a placer's process. Returns once it listens."""
         path = self.folder / f"{slot.name}.kdl"
         path.write_text(self.settings(slot))
         slot.incarnation += 1
@@ -136,43 +133,43 @@
         log, checkout = self.folder / f"{slot.name}.log", self.size.checkout(slot.index)
         process = Process(self.hub, ["serve", str(path)], log, checkout)
         slot.process, slot.starting = process, True
-        port = int(process.wait_for_message("placer", START_TIMEOUT_US)["url"].rpartition(":")[2])
+        port = int(process.wait_for_message("placer", START_US)["url"].rpartition(":")[2])
         slot.starting = False
         slot.front.to = port
-        self.network.moved(slot.name, port)
+        self.network.set_port(slot.name, port)
         self.event("started", who=slot.name, life=slot.incarnation, pid=process.pid)
 
     def kill(self, slot: Slot) -> None:
-        """Kill a placer's process and wait for its exit."""
+        """Kills a placer's process and waits for its end."""
         self.send_kill(slot)
         self.reap(slot)
 
     def send_kill(self, slot: Slot) -> None:
-        """Send SIGKILL to a placer without waiting for its exit; `reap` must follow."""
+        """Sends SIGKILL to a placer's process and records it, without waiting for the end."""
         assert slot.process is not None
         slot.process.send_signal(signal.SIGKILL)
         self.record(slot.name, "killed")
         self.event("killed", who=slot.name, life=slot.incarnation)
 
     def reap(self, slot: Slot) -> None:
-        """Wait for a killed process to exit and disconnect its links."""
+        """Waits for the end of a killed process and disconnects its links."""
         process, slot.process = slot.process, None
         assert process is not None
         process.terminate(signal.SIGKILL)
         slot.front.to = 1
-        self.network.moved(slot.name, 1)
+        self.network.set_port(slot.name, 1)
 
     def delete_state(self, slot: Slot) -> None:
-        """Delete the saved files of a placer. A voter's store stays, as a placer without one is no voter."""
+        """Deletes a placer's saved state, except a voter's store, without which it is no voter (`raft.Raft.empty`)."""
         for file in (self.folder / f"{slot.name}.state").glob("*"):
             if file.is_file():
                 file.unlink()
 
     def settings(self, slot: Slot) -> str:
-        """The text of a placer's settings file."""
-        seeds = [name for name in self.names[:SEEDS] if name != slot.name]
+        """Text of a placer's settings file."""
+        seeds = [name for name in self.names[:SEED_COUNT] if name != slot.name]
         others = [name for name in self.names if name != slot.name]
-        # Every peer is listed with its link's port: placers connect through links, whatever address a peer advertises.
+        # All links are named as peers: a placer is reached through its link, whatever address it advertises.
         peers = "".join(
             f'peer "127.0.0.1" port={self.network.links[slot.name, name].port} name="{name}"'
             f"{'' if name in seeds else ' seed=false'}\n"
@@ -180,10 +177,10 @@
         )
         state = self.folder / f"{slot.name}.state"
         state.mkdir(exist_ok=True)
-        region_placers, cluster = self.layout.region_placers(slot.name), self.cluster(slot.name)
+        region_peers, cluster = self.layout.region_placers(slot.name), self.cluster(slot.name)
         text = settings_text(
-            region_placers.index(slot.name) if slot.name in region_placers else 0,
-            len(region_placers),
+            region_peers.index(slot.name) if slot.name in region_peers else 0,
+            len(region_peers),
             self.size.seed + slot.index,
             cluster.source.port if cluster else 1,
             0,
@@ -195,23 +192,20 @@
             f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agreement_text()}'
         )
 
-    def watch_cpu_waits(self) -> None:
-        """Record an event whenever a runnable process waited too long for a CPU; never returns."""
-        previous_us: dict[int, int] = {}
+    def watch_starvation(self) -> None:
+        """Records, as long as the run lasts, when a process was ready to run but got no CPU time from the machine."""
+        before: dict[int, int] = {}
         while True:
-            self.hub.sleep(CPU_WAIT_INTERVAL_US)
+            self.hub.sleep(STARVATION_INTERVAL_US)
             for slot in self.running():
                 assert slot.process is not None
-                wait_us, pid = slot.process.run_queue_wait_us(), slot.process.pid
-                if (
-                    wait_us - previous_us.get(pid, wait_us)
-                    > CPU_WAIT_INTERVAL_US * MAX_CPU_WAIT_SHARE
-                ):
-                    self.event("starved", who=slot.name, for_us=CPU_WAIT_INTERVAL_US)
-                previous_us[pid] = wait_us
+                waited, pid = slot.process.run_queue_wait_us(), slot.process.pid
+                if waited - before.get(pid, waited) > STARVATION_INTERVAL_US * STARVATION_SHARE:
+                    self.event("starved", who=slot.name, for_us=STARVATION_INTERVAL_US)
+                before[pid] = waited
 
     def close(self) -> None:
-        """Terminate all processes, wait for them, write the recording, and close links and clusters."""
+        """Terminates all processes, waits for their end, and writes the recording."""
         for slot in self.slots:
             if slot.process is not None:
                 self.event("ending", who=slot.name, use_s=slot.process.cpu_seconds())
@@ -222,7 +216,7 @@
                         lambda slot=slot: self.event(  # type: ignore[misc]
                             "ended",
                             who=slot.name,
-                            status=slot.process.terminate(signal.SIGTERM, SHUTDOWN_TIMEOUT_US),
+                            status=slot.process.terminate(signal.SIGTERM, TERMINATION_TIMEOUT_US),
                         ),
                         "ends",
                     )
--- a/wingbarrow/lab/fleet/replica_scenarios.py
+++ b/wingbarrow/lab/fleet/replica_scenarios.py
@@ -9,9 +9,13 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.lab.fleet.custodians import WINDOW_US, Custodians, stated_us
 from wingbarrow.lab.fleet.leasehold import Begin
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.replica_simulation import (
+    KEY_WINDOW_US,
+    ReplicaSimulation,
+    reissue_bound_us,
+)
+from wingbarrow.lab.fleet.simulation import SECOND
 
 EFFECTS = ("safe", "safe", "keyed", "unsafe")
 
@@ -28,7 +32,7 @@
     unknown: int
 
 
-def judged(world: Custodians) -> Verdict:
+def judged(world: ReplicaSimulation) -> Verdict:
     """Find violations of the guarantees for each effect, and measure the longest delay of a reissue."""
     breaches: list[str] = []
     starts: dict[tuple[str, int], list[Begin]] = {}
@@ -45,7 +49,7 @@
             breaches += [
                 f"a key twice in its window: {one}, {other}"
                 for one, other in zip(begins, begins[1:], strict=False)
-                if one.epoch != other.epoch and other.at_us - one.at_us < WINDOW_US
+                if one.epoch != other.epoch and other.at_us - one.at_us < KEY_WINDOW_US
             ]
     longest = 0
     for at_us, uid, _, _ in world.reissued:
@@ -63,24 +67,24 @@
     )
 
 
-def lost_runs(world: Custodians) -> list[str]:
+def lost_runs(world: ReplicaSimulation) -> list[str]:
     """Accepted safe Jobs that run nowhere, although some running placer has known of them at all times."""
     running = world.running()
     return sorted(
         uid
         for uid in world.accepted
-        if uid.startswith("safe") and uid not in running | world.extinct
+        if uid.startswith("safe") and uid not in running | world.unrecoverable
     )
 
 
-def forgotten(world: Custodians) -> list[str]:
+def forgotten(world: ReplicaSimulation) -> list[str]:
     """Accepted Jobs that never started and that no placer holds or lists as unknown.
 
     Excludes Jobs whose last placer that knew of them was killed.
     """
     known = {uid for core in world.members.values() for uid in core.knows()}
     begun = {begin.uid for begin in world.begins}
-    return sorted(uid for uid in world.accepted if uid not in begun | known | world.extinct)
+    return sorted(uid for uid in world.accepted if uid not in begun | known | world.unrecoverable)
 
 
 def loss_of_a_region(
@@ -89,37 +93,37 @@
     loss: float = 0.0,
     machines: bool = True,
     copies: int = 1,
-    world: Custodians | None = None,
-) -> Custodians:
+    world: ReplicaSimulation | None = None,
+) -> ReplicaSimulation:
     """Submit Jobs to all placers, kill a whole region, and run until all its Jobs must have been reissued."""
-    world = world or Custodians(seed, copies=copies, loss=loss)
+    world = world or ReplicaSimulation(seed, copies=copies, loss=loss)
     world.run(2 * SECOND)
     rng = random.Random(f"jobs/{seed}")
     for index in range(jobs):
         world.run(world.now_us + rng.randrange(100_000))
-        world.job(rng.choice(world.names), EFFECTS[index % len(EFFECTS)])
+        world.submit_job(rng.choice(world.names), EFFECTS[index % len(EFFECTS)])
     region = rng.choice(sorted(set(world.regions.values())))
-    world.lose(region, machines)
-    world.run(world.now_us + stated_us(jobs))
+    world.kill_region(region, machines)
+    world.run(world.now_us + reissue_bound_us(jobs))
     return world
 
 
 def trouble(
-    seed: int, moments: int = 25, copies: int = 2, world: Custodians | None = None
-) -> Custodians:
+    seed: int, moments: int = 25, copies: int = 2, world: ReplicaSimulation | None = None
+) -> ReplicaSimulation:
     """Inject random faults, then heal them all and run until every Job must be settled.
 
     Faults: regions lost and back, placers killed and stopped, cuts (some one-way), lost and duplicated messages, and
     restarts of machines.
     """
-    world = world or Custodians(seed, copies=copies)
+    world = world or ReplicaSimulation(seed, copies=copies)
     rng = random.Random(f"trouble/{seed}")
-    world.twice = 0.1
+    world.duplication = 0.1
     regions = sorted(set(world.regions.values()))
     world.run(2 * SECOND)
     for _ in range(moments):
         for _ in range(rng.randrange(6)):
-            world.job(rng.choice(world.names), rng.choice(EFFECTS))
+            world.submit_job(rng.choice(world.names), rng.choice(EFFECTS))
             world.run(world.now_us + rng.randrange(300_000))
         draw, placer, faulty_region = rng.random(), rng.choice(world.names), rng.choice(regions)
         if draw < 0.15:
@@ -147,17 +151,17 @@
         elif draw < 0.75 and placer in world.members:
             world.kill(placer)
         elif draw < 0.82:
-            world.lose(faulty_region, rng.random() < 0.5)
+            world.kill_region(faulty_region, rng.random() < 0.5)
         elif draw < 0.88:
             machine = world.machines[f"m-{placer}"]
             if machine.up:
                 machine.restart(world.now_us)
         else:
             for region in regions:
-                world.back(region)
+                world.restart_region(region)
         world.run(world.now_us + rng.randrange(6 * SECOND))
     world.cut, world.loss = (lambda a, b: False), 0.0
     for region in regions:
-        world.back(region)
-    world.run(world.now_us + 3 * stated_us(500))
+        world.restart_region(region)
+    world.run(world.now_us + 3 * reissue_bound_us(500))
     return world
