--- a/wingbarrow/lab/fleet/rig.py
+++ b/wingbarrow/lab/fleet/rig.py
@@ -1,7 +1,7 @@
-"""The rig of many processes: real `serve` processes, stand-ins in this one, and faulty links between each two placers.
+"""Runs a fleet of real `serve` processes against simulated machines, with fault injection on links between placers.
 
-One play: everything comes up, owners submit their load while faults happen, all heals, and what was recorded is
-written (`places`), for the judge to read.
+In one run everything starts, owners submit their load while faults are injected, all faults heal, and the recordings
+are written (see `places`) for the judge to read.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 __all__ = ["Rig", "Size"]
 
-TAIL_US = 12 * SECOND  # of load after the last fault, for what was owed to be answered
+TAIL_US = 12 * SECOND  # after the last fault, so that outstanding requests can be answered
 
 
 class Rig:
-    """One play; `run` returns when it is over and everything is written."""
+    """One run of a fleet; `run` returns when it is over and all files are written."""
 
     def __init__(
         self, hub: Hub, size: Size, faults: list[Fault], folder: Path, log: Callable[..., None]
@@ -39,51 +39,55 @@
         self.progress: Callable[[str], None] = lambda text: None
 
     def run(self) -> None:
-        """Play."""
+        """Start the fleet, inject faults under load, write the recordings. Raises TimeoutError or NotStarted."""
         places, commands = self.places, self.commands
         places.open(self._faults)
         try:
             places.start_all()
             self.progress("all processes listen")
-            commands.wait_until(commands.all_listed, START_US, "every placer has the whole list")
-            commands.wait_until(commands.all_alive, START_US, "every placer knows all others")
+            commands.wait_until(commands.all_listed, START_US, "every placer lists its machines")
+            commands.wait_until(commands.all_alive, START_US, "every placer sees all others alive")
             commands.wait_until(commands.all_agree, START_US, "every placer acts on agreed rules")
-            self.progress("all placers have their list, know each other and act on agreed rules")
-            self._play()
+            self.progress(
+                "all placers list their machines, see each other alive and act on agreed rules"
+            )
+            self._run_load_and_faults()
         finally:
             places.close()
 
-    def _play(self) -> None:
+    def _run_load_and_faults(self) -> None:
         hub, places, commands, size = self._hub, self.places, self.commands, self.places.size
         places.event("begin")
-        begun = hub.now_us()
+        begin_us = hub.now_us()
         hub.spawn(places.watch_starvation, "watches processes")
-        until = begun + int(size.seconds * SECOND) + 60 * SECOND
+        until = begin_us + int(size.seconds * SECOND) + 60 * SECOND
         with Nursery(hub) as nursery:
             for fault in self._faults:
-                nursery.spawn(lambda fault=fault: self._inject(fault, begun), "fault")  # type: ignore[misc]
+                nursery.spawn(lambda fault=fault: self._inject(fault, begin_us), "fault")  # type: ignore[misc]
             for owners, wants in self._owners():
                 nursery.spawn(
                     lambda owners=owners, wants=wants: owners.run(wants, until),  # type: ignore[misc]
                     "owners",
                 )
-        hub.sleep_until(begun + int(size.seconds * SECOND))
+        hub.sleep_until(begin_us + int(size.seconds * SECOND))
         places.event("quiet")
         hub.sleep(SECOND)
         commands.propose_last()
         self.progress("the last fault is over")
         hub.sleep(TAIL_US // 4)
-        # The judge holds the fleet to its stated time: the rig waits that long at most, and less where all is well.
-        end = hub.now_us() + SwimSettings().healing_bound_us(len(places.names))
-        while not (commands.all_alive() and commands.all_agree()) and hub.now_us() < end:
+        # The judge checks that the fleet heals within this bound: the rig waits no longer, and less once all is healed.
+        deadline_us = hub.now_us() + SwimSettings().healing_bound_us(len(places.names))
+        while not (commands.all_alive() and commands.all_agree()) and hub.now_us() < deadline_us:
             hub.sleep(SECOND // 5)
         hub.sleep(SECOND)
         places.event("over", lag_worst_us=hub.lag.worst_us)
 
     def _owners(self) -> list[tuple[Owners, list[TaskSpec]]]:
-        """Those of each region ask its own placers; without regions all ask all."""
+        """Owners with their tasks: those of a region submit to its own placers; without regions, to all placers."""
         places, size, out = self.places, self.places.size, []
-        for at, (region, names) in enumerate(places.layout.regions.items() or [("", places.names)]):
+        for index, (region, names) in enumerate(
+            places.layout.regions.items() or [("", places.names)]
+        ):
             addresses = [PlacerAddress(name, places.slot(name).front.port) for name in names]
             mix = Mix(rate=size.rate)
             if region:
@@ -97,13 +101,13 @@
                 )
             out.append(
                 (
-                    Owners(self._hub, addresses, size.seed + 77 + 31 * at, places.record),
-                    draw(mix, size.seconds, size.seed + 5 + 31 * at, region[:1] or "w"),
+                    Owners(self._hub, addresses, size.seed + 77 + 31 * index, places.record),
+                    draw(mix, size.seconds, size.seed + 5 + 31 * index, region[:1] or "w"),
                 )
             )
         return out
 
-    def _inject(self, fault: Fault, begun: int) -> None:
-        self._hub.sleep_until(begun + fault.at_us)
+    def _inject(self, fault: Fault, begin_us: int) -> None:
+        self._hub.sleep_until(begin_us + fault.at_us)
         self.progress(f"{fault.kind} {fault.who} {fault.other} for {fault.lasts_us / SECOND:.1f} s")
         self._fault_injector.inject(fault)
