--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -13,10 +13,10 @@
 from wingbarrow.decide.maintenance.emptiness import EmptinessProof
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import Slot, SlotQueue
+from wingbarrow.lab.fleet.maintenance_scenarios import Size, judged, opened, play
 from wingbarrow.lab.fleet.maintenance_simulation import WALL_US, MaintenanceSimulation
 from wingbarrow.lab.fleet.schedules import FLOOR
 from wingbarrow.lab.fleet.simulation import SECOND
-from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
 
 
 def wait(simulation: MaintenanceSimulation, number: int, *states: str, seconds: int = 30) -> Slot:
--- a/tests/decide/sessions/test_failover.py
+++ b/tests/decide/sessions/test_failover.py
@@ -31,7 +31,13 @@
     ReissueRow,
 )
 from wingbarrow.decide.sessions.session import Session
-from wingbarrow.lab.fleet.custodyplay import forgotten, judged, loss_of_a_region, lost_runs, trouble
+from wingbarrow.lab.fleet.replica_scenarios import (
+    forgotten,
+    judged,
+    loss_of_a_region,
+    lost_runs,
+    trouble,
+)
 from wingbarrow.lab.fleet.replica_simulation import ReplicaSimulation, reissue_bound_us
 
 S = 1_000_000
--- a/wingbarrow/lab/fleet/fault_injection.py
+++ b/wingbarrow/lab/fleet/fault_injection.py
@@ -116,10 +116,10 @@
             return
         self._places.record(slot.name, "hold", for_us=fault.lasts_us)
         slot.stopped = True
-        process.send(signal.SIGSTOP)
+        process.send_signal(signal.SIGSTOP)
         self._places.event("stopped", who=slot.name)
         self._hub.sleep(fault.lasts_us)
-        process.send(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         slot.stopped = False
         self._places.event("continued", who=slot.name)
 
@@ -137,7 +137,7 @@
 
     def _region_pairs(self, fault: Fault) -> list[tuple[str, str]]:
         """Links from the fault's region to its other region (or to all others); both directions if `fault.both`."""
-        regions = self._places.layout.places
+        regions = self._places.layout.locations
         others = (
             [fault.other] if fault.other else [region for region in regions if region != fault.who]
         )
@@ -155,7 +155,7 @@
     def _kill_region(self, fault: Fault) -> None:
         """Kills all placers of a region at once, and its list source and machines if the fault has `machines` set."""
         places = self._places
-        slots = [places.slot(name) for name in places.layout.places[fault.who]]
+        slots = [places.slot(name) for name in places.layout.locations[fault.who]]
         slots = [slot for slot in slots if slot.process is not None and not slot.starting]
         for slot in slots:
             places.send_kill(slot)
--- a/wingbarrow/lab/fleet/maintenance_simulation.py
+++ b/wingbarrow/lab/fleet/maintenance_simulation.py
@@ -2,7 +2,7 @@
 or out, and operators work on machines, fall silent and return.
 
 Placers that act on a floor rule set also send to closing machines, as they do not know the slots. The operators' work
-and the tasks on machines are recorded in true time; `workjudge` checks them against the decided slots.
+and the tasks on machines are recorded in true time; `maintenance_judge` checks them against the decided slots.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from wingbarrow.decide.maintenance.scheduler import MaintenanceScheduler
 from wingbarrow.decide.maintenance.slots import Slot
 from wingbarrow.decide.maintenance.timing import MaintenanceTiming
-from wingbarrow.lab.fleet.assembly import Assembly
+from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
 from wingbarrow.lab.fleet.simulation import SECOND
 from wingbarrow.lab.turnguard import TurnGuard
 
@@ -120,7 +120,7 @@
         return self.requests
 
 
-class MaintenanceSimulation(Assembly):
+class MaintenanceSimulation(CoordinationSimulation):
     """`count` placers, assigned to regions round-robin.
 
     Each region has `machines` machines in cells of four and zones of eight. If `floor_sends` is set, placers on
--- a/wingbarrow/lab/fleet/places.py
+++ b/wingbarrow/lab/fleet/places.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from wingbarrow.lab.cluster import Cluster, settings_text
-from wingbarrow.lab.fleet.layout import FAR_US, WITNESS, Layout, Size
+from wingbarrow.lab.fleet.layout import REGION_DELAY_US, WITNESS, Layout, Size
 from wingbarrow.lab.fleet.link import Network, Proxy
 from wingbarrow.lab.fleet.process import SECOND, Process
 from wingbarrow.lab.fleet.script import Fault
@@ -48,7 +48,7 @@
         self.hub, self.size, self.folder, self._log = hub, size, folder, log
         folder.mkdir(parents=True, exist_ok=True)
         self.layout = Layout(size)
-        self.names, self.voters = self.layout.all, self.layout.voters
+        self.names, self.voters = self.layout.all_names, self.layout.voters
         self.record = Recorder(hub.now_us)
         self._events = (folder / "events.jsonl").open("w", encoding="utf-8")
 
@@ -68,7 +68,7 @@
         }
         self.network = Network(hub, self.names, seed)
         for (one, other), link in self.network.links.items():
-            link.base_delay_us = FAR_US if layout.far(one, other) else 0
+            link.base_delay_us = REGION_DELAY_US if layout.crosses_regions(one, other) else 0
         self.slots = [
             Slot(name, index, Proxy(hub, 1, seed=index)) for index, name in enumerate(self.names)
         ]
@@ -78,7 +78,7 @@
                     "size": asdict(self.size),
                     "names": self.names,
                     "voters": self.voters,
-                    "regions": layout.places,
+                    "regions": layout.locations,
                     "machines": {
                         machine.name: [region, machine.build.zone, machine.build.cell]
                         for region, cluster in self.clusters.items()
@@ -133,7 +133,7 @@
         log, checkout = self.folder / f"{slot.name}.log", self.size.checkout(slot.index)
         process = Process(self.hub, ["serve", str(path)], log, checkout)
         slot.process, slot.starting = process, True
-        port = int(process.line("placer", START_US)["url"].rpartition(":")[2])
+        port = int(process.wait_for_message("placer", START_US)["url"].rpartition(":")[2])
         slot.starting = False
         slot.front.to = port
         self.network.set_port(slot.name, port)
@@ -147,7 +147,7 @@
     def send_kill(self, slot: Slot) -> None:
         """Sends SIGKILL to a placer's process and records it, without waiting for the end."""
         assert slot.process is not None
-        slot.process.send(signal.SIGKILL)
+        slot.process.send_signal(signal.SIGKILL)
         self.record(slot.name, "killed")
         self.event("killed", who=slot.name, life=slot.incarnation)
 
@@ -155,7 +155,7 @@
         """Waits for the end of a killed process and disconnects its links."""
         process, slot.process = slot.process, None
         assert process is not None
-        process.end(signal.SIGKILL)
+        process.terminate(signal.SIGKILL)
         slot.front.to = 1
         self.network.set_port(slot.name, 1)
 
@@ -177,7 +177,7 @@
         )
         state = self.folder / f"{slot.name}.state"
         state.mkdir(exist_ok=True)
-        region_peers, cluster = self.layout.mates(slot.name), self.cluster(slot.name)
+        region_peers, cluster = self.layout.region_placers(slot.name), self.cluster(slot.name)
         text = settings_text(
             region_peers.index(slot.name) if slot.name in region_peers else 0,
             len(region_peers),
@@ -189,7 +189,7 @@
         return (
             self.layout.text(slot.name, text)
             + f'allow-peer "127.0.0.0/8"\nhistory "{self.folder}/{slot.name}'
-            f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agree()}'
+            f'.history.jsonl"\n{peers}{self.layout.subset(slot.name)}{self.layout.agreement_text()}'
         )
 
     def watch_starvation(self) -> None:
@@ -199,7 +199,7 @@
             self.hub.sleep(STARVATION_INTERVAL_US)
             for slot in self.running():
                 assert slot.process is not None
-                waited, pid = slot.process.waited_us(), slot.process.pid
+                waited, pid = slot.process.run_queue_wait_us(), slot.process.pid
                 if waited - before.get(pid, waited) > STARVATION_INTERVAL_US * STARVATION_SHARE:
                     self.event("starved", who=slot.name, for_us=STARVATION_INTERVAL_US)
                 before[pid] = waited
@@ -208,7 +208,7 @@
         """Terminates all processes, waits for their end, and writes the recording."""
         for slot in self.slots:
             if slot.process is not None:
-                self.event("ending", who=slot.name, use_s=slot.process.use_s())
+                self.event("ending", who=slot.name, use_s=slot.process.cpu_seconds())
         with Nursery(self.hub) as nursery:
             for slot in self.slots:
                 if slot.process is not None:
@@ -216,7 +216,7 @@
                         lambda slot=slot: self.event(  # type: ignore[misc]
                             "ended",
                             who=slot.name,
-                            status=slot.process.end(signal.SIGTERM, TERMINATION_TIMEOUT_US),
+                            status=slot.process.terminate(signal.SIGTERM, TERMINATION_TIMEOUT_US),
                         ),
                         "ends",
                     )
--- a/wingbarrow/lab/fleet/replica_simulation.py
+++ b/wingbarrow/lab/fleet/replica_simulation.py
@@ -2,7 +2,7 @@
 
 Each placer accepts Jobs, replicates their records, sends tasks to machines of its region in the order that replication
 requires, renews leases, and starts Jobs that it takes over from ended sessions.
-`custodyplay` checks the starts that machines recorded and the Jobs that placers know of.
+`replica_scenarios` checks the starts that machines recorded and the Jobs that placers know of.
 """
 
 from __future__ import annotations
