--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -39,7 +39,14 @@
 from wingbarrow.decide.subset_widening import SubsetWidening, is_long_wait
 from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
 from wingbarrow.lab.days import Play, play
-from wingbarrow.lab.fleet import custodyplay, holders, leaseholders, schedules, swarm, workplay
+from wingbarrow.lab.fleet import (
+    custodyplay,
+    leaseholders,
+    quota_simulation,
+    schedules,
+    swarm,
+    workplay,
+)
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.record import Recorder
 from wingbarrow.peers.message import encode_message
@@ -207,14 +214,21 @@
 def quotas(history: History, seed: int) -> None:
     """Limits of the whole fleet with skewed demand, under trouble."""
     demand, most, rate = [2.0, 2.0, 2.0, 2.0, 12.0], 60, 80
-    world = holders.Holders(5, 3, seed, demand, most, rate)
-    wanted = holders.limited(world.names, most, rate)
+    world = quota_simulation.QuotaSimulation(5, 3, seed, demand, most, rate)
+    wanted = quota_simulation.rules_with_limits(world.names, most, rate)
     world.run_until(lambda: world.leader() is not None, 20 * S)
     world.propose(wanted)
     world.run_until(lambda: world.all_on(wanted), 20 * S)
-    reach = holders.Reach(world, seed)
-    for _ in holders.trouble(world, seed, 12):
-        history.note("moment", world.wanted, world.started, world.over, world.filled, reach.filled)
+    reach = quota_simulation.CentralCounter(world, seed)
+    for _ in quota_simulation.inject_faults(world, seed, 12):
+        history.note(
+            "moment",
+            world.requested,
+            world.started,
+            world.violations,
+            world.task_steps,
+            reach.task_steps,
+        )
     note_states(history, world)
 
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -4,7 +4,7 @@
 
 One placer in five has ten times the demand of the others; all together want half more than the limit allows. Beside it
 equal parts (each may use its own alone) and one counter for all, without faults, as the bound. Calm, and under trouble;
-`reachable` is what a counter that costs nothing would carry through the same trouble (`holders.Reach`).
+`reachable` is what a counter that costs nothing would carry under the same faults (`quota_simulation.CentralCounter`).
 """
 
 from __future__ import annotations
@@ -15,14 +15,20 @@
 import statistics
 import sys
 
-from wingbarrow.lab.fleet.holders import LIFE_US, Holders, Reach, limited, trouble
+from wingbarrow.lab.fleet.quota_simulation import (
+    TASK_DURATION_RANGE_US,
+    CentralCounter,
+    QuotaSimulation,
+    inject_faults,
+    rules_with_limits,
+)
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
 def sizes(count: int) -> tuple[list[float], int, int]:
     """Demand of each placer in tasks a second, and the limits: of tasks at once, and of new ones in 5 s."""
     most = 20 * count
-    mean_s = sum(LIFE_US) / 2 / SECOND
+    mean_s = sum(TASK_DURATION_RANGE_US) / 2 / SECOND
     weights = [
         10.0 if index % 5 == 4 or (count < 5 and index == 0) else 1.0 for index in range(count)
     ]
@@ -32,7 +38,7 @@
 
 def bound(demand: list[float], most: int, parts: bool) -> float:
     """Share of the limit in use without faults: Erlang's loss system, for equal parts one for each placer."""
-    mean_s = sum(LIFE_US) / 2 / SECOND
+    mean_s = sum(TASK_DURATION_RANGE_US) / 2 / SECOND
 
     def carried(load: float, servers: int) -> float:
         blocked = 1.0
@@ -48,29 +54,32 @@
 def play(asked: tuple[int, int, bool]) -> dict[str, float]:
     count, seed, troubled = asked
     demand, most, rate = sizes(count)
-    holders = Holders(
+    simulation = QuotaSimulation(
         count, 7 if count >= 40 else 5 if count >= 10 else 3, seed, demand, most, rate
     )
-    wanted = limited(holders.names, most, rate)
-    holders.run_until(lambda: holders.leader() is not None, 20 * SECOND)
-    holders.propose(wanted)
-    holders.run_until(lambda: holders.all_on(wanted), 20 * SECOND)
-    holders.run(holders.now_us + 20 * SECOND)
-    holders.clear()
-    holders.sent.clear()
-    begun = holders.now_us
-    reach = Reach(holders, seed)
+    wanted = rules_with_limits(simulation.names, most, rate)
+    simulation.run_until(lambda: simulation.leader() is not None, 20 * SECOND)
+    simulation.propose(wanted)
+    simulation.run_until(lambda: simulation.all_on(wanted), 20 * SECOND)
+    simulation.run(simulation.now_us + 20 * SECOND)
+    simulation.reset_counts()
+    simulation.sent.clear()
+    begun = simulation.now_us
+    reach = CentralCounter(simulation, seed)
     if troubled:
-        for _ in trouble(holders, seed):
+        for _ in inject_faults(simulation, seed):
             pass
     else:
-        holders.run(begun + 40 * SECOND)
+        simulation.run(begun + 40 * SECOND)
     return {
-        "used": holders.filled / holders.turns / most,
-        "over": holders.over,
-        "reachable": reach.filled / reach.turns / most,
-        "messages_a_second": sum(holders.sent.values()) / (holders.now_us - begun) * SECOND / count,
-        "messages_most": max(holders.sent.values()) / (holders.now_us - begun) * SECOND,
+        "used": simulation.task_steps / simulation.steps / most,
+        "over": simulation.violations,
+        "reachable": reach.task_steps / reach.steps / most,
+        "messages_a_second": sum(simulation.sent.values())
+        / (simulation.now_us - begun)
+        * SECOND
+        / count,
+        "messages_most": max(simulation.sent.values()) / (simulation.now_us - begun) * SECOND,
     }
 
 
