--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -4,14 +4,19 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.outliers.health import OutlierSettings
-from wingbarrow.lab.fleet.holding import loosest, over, unaccounted, unfounded
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
+from wingbarrow.lab.fleet.quota_checks import (
+    is_unfounded_closure,
+    limit_violations,
+    loosest_limits,
+    overallocated_limits,
+)
 
 
 def judge_limits(run: Run, out: Verdict) -> None:
     """Whether one was passed at the sockets, or more is held at the end than there is."""
-    limits = loosest(run.texts.values())
+    limits = loosest_limits(run.texts.values())
     last = {
         name: [
             each["shares"]
@@ -25,7 +30,7 @@
         for name, found in last.items()
         if found and run.up[name][-1].end_us == NEVER
     }
-    for words in (*over(limits, run.records), *unaccounted(limits, shares)):
+    for words in (*limit_violations(limits, run.records), *overallocated_limits(limits, shares)):
         out.breach("limit_overs", words)
     out.turned_away = sum(
         each.what == "turned-away" and each.data["code"] == 429 for each in run.records
@@ -49,7 +54,7 @@
             if at - first.get(machine, -NEVER) <= window - terms.window_us:
                 continue  # one that came to others before, or again after its prober's turn
             first[machine] = at
-            if unfounded(
+            if is_unfounded_closure(
                 machine,
                 at,
                 terms.window_us + 2 * Timing().grant_us + run.slack_us,
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -12,10 +12,10 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.lab.fleet.holding import loosest
 from wingbarrow.lab.fleet.judging.reach import Touch
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
+from wingbarrow.lab.fleet.quota_checks import loosest_limits
 from wingbarrow.lab.record import Record
 
 USED = 0.6  # of a limit: under that nobody is turned away
@@ -82,7 +82,7 @@
     out.starved = len(run.starved)
     out.needless_stated_ms = Timing().reacquire_us() // 1000
     stated_us = Timing().reacquire_us() + run.slack_us
-    limits, touch, stood = loosest(run.texts.values()), Touch(run), Stood(run.records)
+    limits, touch, stood = loosest_limits(run.texts.values()), Touch(run), Stood(run.records)
     for each in run.records:
         if each.what != "turned-away" or each.at_us > (run.end_us or NEVER):
             continue
