--- a/wingbarrow/lab/fleet/custodians.py
+++ b/wingbarrow/lab/fleet/custodians.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.sessions.leased_job_record import RECORD_FORMAT, KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import MachineReport
 from wingbarrow.decide.sessions.session import EndedSession, Session
-from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
+from wingbarrow.lab.fleet.simulated_machines import SessionVoters, SimulatedMachine, TaskStart
 from wingbarrow.lab.fleet.swarm import SECOND, Virtual
 
 LEASE_US, AFTER_US, TURN_US = 4 * SECOND, 6 * SECOND, SECOND // 10
@@ -114,7 +114,7 @@
         world = self.world
         if not world.majority(self.name):
             return out
-        session, news, self.heard = world.voters.ask(
+        session, news, self.heard = world.voters.renew_session(
             now_us, self.session, len(self.jobs), self.replicator.replica.summary(), self.heard
         )
         for ended in news:
@@ -282,11 +282,12 @@
         super().__init__(list(self.regions), seed, loss, lambda rng: FAR_US + rng.randrange(FAR_US))
         self.allowed, self.copies = regions, copies
         self.bounds = ReplicationLimits()
-        self.voters = Voters(RECKONED_US, AFTER_US)
+        self.voters = SessionVoters(RECKONED_US, AFTER_US)
         self.machines = {
-            f"m-{name}": Standin(f"m-{name}", region) for name, region in self.regions.items()
+            f"m-{name}": SimulatedMachine(f"m-{name}", region)
+            for name, region in self.regions.items()
         }
-        self.begins: list[Begin] = []
+        self.begins: list[TaskStart] = []
         self.accepted: dict[str, tuple[int, LeasedJobRecord, str]] = {}
         self.reissued: list[tuple[int, str, int, str]] = []
         self.counts: Counter[str] = Counter()
@@ -333,7 +334,7 @@
             out[other] = self.regions[other], self.lives[other]
         return out
 
-    def machine_of(self, region: str) -> Standin | None:
+    def machine_of(self, region: str) -> SimulatedMachine | None:
         """One that is up."""
         able = [each for each in self.machines.values() if each.region == region and each.up]
         return self.random.choice(able) if able else None
@@ -348,9 +349,9 @@
                     lambda machine=machine: machine.renew(self.now_us, session, until),  # type: ignore[misc]
                 )
 
-    def offer(self, core: Core, held: Held, index: int, machine: Standin) -> None:
+    def offer(self, core: Core, held: Held, index: int, machine: SimulatedMachine) -> None:
         """A send to a machine, and its answer; either may be late or lost."""
-        begin = Begin(
+        begin = TaskStart(
             0, held.record.uid, index, held.epoch, core.session, core.region, machine.name
         )
         until, name, life = core.until_us, core.name, self.lives[core.name]
@@ -358,7 +359,7 @@
         def arrive() -> None:
             if not machine.up:
                 return
-            here = Begin(
+            here = TaskStart(
                 self.now_us,
                 begin.uid,
                 index,
@@ -368,7 +369,7 @@
                 machine.name,
             )
             known = (begin.uid, index) in machine.runs
-            why = machine.take(self.now_us, here, until)
+            why = machine.start_task(self.now_us, here, until)
             if not why and not known:
                 self.begins.append(here)
             self.at(self.now_us + self.random.randrange(TURN_US), lambda: back(why))
@@ -402,7 +403,7 @@
     def stands(self, machine: str, uid: str, index: int) -> bool:
         """Whether a task stands at a machine."""
         held = self.machines[machine]
-        held.tidy(self.now_us)
+        held.stop_expired(self.now_us)
         return held.up and (uid, index) in held.runs
 
     def stop_runs(self, uid: str, region: str) -> None:
@@ -469,7 +470,7 @@
         """Jobs that stand on a machine now."""
         out = set()
         for machine in self.machines.values():
-            machine.tidy(self.now_us)
+            machine.stop_expired(self.now_us)
             out |= {uid for uid, _ in machine.runs} if machine.up else set()
         return out
 
--- a/wingbarrow/lab/fleet/custodyplay.py
+++ b/wingbarrow/lab/fleet/custodyplay.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from wingbarrow.lab.fleet.custodians import WINDOW_US, Custodians, stated_us
-from wingbarrow.lab.fleet.leasehold import Begin
+from wingbarrow.lab.fleet.simulated_machines import TaskStart
 from wingbarrow.lab.fleet.swarm import SECOND
 
 EFFECTS = ("safe", "safe", "keyed", "unsafe")
@@ -30,7 +30,7 @@
 def judged(world: Custodians) -> Verdict:
     """All that must never be, and how long what had to come took."""
     breaches: list[str] = []
-    starts: dict[tuple[str, int], list[Begin]] = {}
+    starts: dict[tuple[str, int], list[TaskStart]] = {}
     ended = {end.epoch: session for session, end in world.voters.ended.items()}
     for begin in world.begins:
         starts.setdefault((begin.uid, begin.index), []).append(begin)
