--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -41,9 +41,9 @@
 from wingbarrow.lab.days import Play, play
 from wingbarrow.lab.fleet import (
     custodyplay,
-    leaseholders,
     quota_simulation,
     schedules,
+    session_simulation,
     swarm,
     workplay,
 )
@@ -234,8 +234,10 @@
 
 def sessions(history: History, seed: int) -> None:
     """Session leases over three regions; regions cut off, lost and back. Either time bounds an end in some seeds."""
-    world = leaseholders.played(6, 3, seed, 10, after_us=2 * S if seed % 2 else 6 * S)
-    history.note("sessions", world.sends, world.ends, world.with_successor, len(world.faults))
+    world = session_simulation.run_simulation(6, 3, seed, 10, after_us=2 * S if seed % 2 else 6 * S)
+    history.note(
+        "sessions", world.sends, world.ends, world.ends_with_successor, len(world.violations)
+    )
     for session, life in sorted(world.histories.items()):
         history.note("session", leaves(session), leaves(life))
     note_states(history, world)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -14,8 +14,8 @@
 import multiprocessing
 import time
 
-from wingbarrow.lab.fleet.leaseholders import played
 from wingbarrow.lab.fleet.leasemodel import ERRORS, LeasePlan, explore_leases
+from wingbarrow.lab.fleet.session_simulation import run_simulation
 
 
 def model(lease: int) -> None:
@@ -54,14 +54,14 @@
 def play(asked: tuple[int, int]) -> dict[str, object]:
     """One play."""
     count, seed = asked
-    held = played(count, voters_of(count), seed)
+    simulation = run_simulation(count, voters_of(count), seed)
     return {
         "seed": seed,
-        "seconds": held.now_us // 1_000_000,
-        "sends": held.sends,
-        "ends": held.ends,
-        "succeeded": held.with_successor,
-        "faults": held.faults[:3],
+        "seconds": simulation.now_us // 1_000_000,
+        "sends": simulation.sends,
+        "ends": simulation.ends,
+        "succeeded": simulation.ends_with_successor,
+        "faults": simulation.violations[:3],
     }
 
 
