--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -14,7 +14,7 @@
 import multiprocessing
 import time
 
-from wingbarrow.lab.fleet.leasemodel import ERRORS, LeasePlan, explore_leases
+from wingbarrow.lab.fleet.lease_model import ERRORS, LeasePlan, explore_leases
 from wingbarrow.lab.fleet.session_simulation import run_simulation
 
 
--- a/tests/lab/test_leasemodel.py
+++ b/tests/lab/test_lease_model.py
@@ -1,10 +1,10 @@
-"""The model of leases, explored whole with a lease of two ticks; longer ones by `benchmarks.leases --model`."""
+"""Exhaustive exploration of the lease model with a lease of two ticks; `benchmarks.leases --model` has longer ones."""
 
 from __future__ import annotations
 
 import pytest
 
-from wingbarrow.lab.fleet.leasemodel import ERRORS, LeasePlan, explore_leases
+from wingbarrow.lab.fleet.lease_model import ERRORS, LeasePlan, explore_leases
 
 
 def test_no_way_leads_to_two_copies_or_to_a_send_after_the_end() -> None:
