--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -27,7 +27,7 @@
             {
                 "lease": lease,
                 "states": found.states,
-                "way": found.way,
+                "way": found.trace,
                 "seconds": round(time.perf_counter() - begun, 1),
             }
         ),
@@ -39,7 +39,7 @@
                 {
                     "lease": lease,
                     "planted": planted,
-                    "steps": len(explore_leases(LeasePlan(2, lease, planted)).way),
+                    "steps": len(explore_leases(LeasePlan(2, lease, planted)).trace),
                 }
             ),
             flush=True,
--- a/tests/lab/test_allocation_model.py
+++ b/tests/lab/test_allocation_model.py
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(("limit", "states"), [(1, 6_000), (2, 40_000)])
 def test_no_way_leads_past_the_whole(limit: int, states: int) -> None:
     explored = explore_allocations(AllocationPlan(placers=1, limit=limit))
-    assert not explored.way
+    assert not explored.trace
     assert explored.states > states
 
 
@@ -18,4 +18,4 @@
     "planted", ["no_lag", "no_debt", "one_life", "any_word", "at_once", "forgetful", "any_answer"]
 )
 def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
-    assert explore_allocations(AllocationPlan(placers=1, **{planted: True})).way
+    assert explore_allocations(AllocationPlan(placers=1, **{planted: True})).trace
--- a/tests/lab/test_lease_model.py
+++ b/tests/lab/test_lease_model.py
@@ -10,10 +10,10 @@
 def test_no_way_leads_to_two_copies_or_to_a_send_after_the_end() -> None:
     explored = explore_leases(LeasePlan(lease=2))
     print(f"{explored.states} states")
-    assert not explored.way
+    assert not explored.trace
     assert explored.states > 10_000
 
 
 @pytest.mark.parametrize("planted", ERRORS)
 def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
-    assert explore_leases(LeasePlan(lease=2, planted=planted)).way
+    assert explore_leases(LeasePlan(lease=2, planted=planted)).trace
--- a/tests/lab/test_slot_model.py
+++ b/tests/lab/test_slot_model.py
@@ -9,7 +9,7 @@
 
 def test_no_way_leads_to_work_on_a_machine_that_is_not_empty_or_not_given() -> None:
     explored = explore_slots(SlotPlan(placers=1))
-    assert not explored.way
+    assert not explored.trace
     assert explored.states > 3000
 
 
@@ -27,4 +27,4 @@
     ],
 )
 def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
-    assert explore_slots(SlotPlan(placers=1, **{planted: True})).way
+    assert explore_slots(SlotPlan(placers=1, **{planted: True})).trace
--- a/wingbarrow/lab/fleet/allocation_model.py
+++ b/wingbarrow/lab/fleet/allocation_model.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from wingbarrow.lab.fleet.model import Explored, search
+from wingbarrow.lab.fleet.grant_model import Exploration, search
 
 # All in ticks.
 HOLDER_LEASE = 1
@@ -285,7 +285,7 @@
     )
 
 
-def explore_allocations(plan: AllocationPlan, max_states: int = 10_000_000) -> Explored:
+def explore_allocations(plan: AllocationPlan, max_states: int = 10_000_000) -> Exploration:
     """Explore every state reachable from a fleet that holds nothing; raises MemoryError above `max_states` states."""
     start = _State((_Placer(),) * plan.placers)
     return search(
--- a/wingbarrow/lab/fleet/lease_model.py
+++ b/wingbarrow/lab/fleet/lease_model.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from wingbarrow.lab.fleet.model import Explored, search
+from wingbarrow.lab.fleet.grant_model import Exploration, search
 
 # Phases of the session's end.
 OPEN = 0
@@ -283,7 +283,7 @@
         yield from _send_steps(state, plan, index)
 
 
-def explore_leases(plan: LeasePlan, max_states: int = 10_000_000) -> Explored:
+def explore_leases(plan: LeasePlan, max_states: int = 10_000_000) -> Exploration:
     """Explore every state reachable from an open session that holds nothing.
 
     Raises MemoryError above `max_states` states, ValueError for an unknown planted error.
--- a/wingbarrow/lab/fleet/slot_model.py
+++ b/wingbarrow/lab/fleet/slot_model.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from wingbarrow.lab.fleet.model import Explored, search
+from wingbarrow.lab.fleet.grant_model import Exploration, search
 
 MACHINES = 2
 # Added to the target of a task sent by the floor, or by a grant that has lapsed since.
@@ -341,7 +341,7 @@
     return swapped if other < one else min(state, swapped, key=repr)
 
 
-def explore_slots(plan: SlotPlan, max_states: int = 20_000_000) -> Explored:
+def explore_slots(plan: SlotPlan, max_states: int = 20_000_000) -> Exploration:
     """Explore every state reachable from a fleet without slots; raises MemoryError above `max_states` states."""
     return search(
         _State((_Placer(),) * plan.placers),
