--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -15,19 +15,26 @@
 from typing import Any
 
 from wingbarrow.lab.fleet.assembly import ACT_US
-from wingbarrow.lab.fleet.schedules import STATED_US, Broken, fine, founded, generated, rules
-from wingbarrow.lab.fleet.schedules import voters_of as voters
+from wingbarrow.lab.fleet.fault_schedules import (
+    MAX_OVERLAP_US,
+    InvariantError,
+    bootstrapped_assembly,
+    check_invariants,
+    rules,
+    run_generated_schedule,
+)
+from wingbarrow.lab.fleet.fault_schedules import voter_count as voters
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
 def schedule(asked: tuple[int, int]) -> dict[str, Any]:
     count, seed = asked
-    broken, moments = "", generated(count, voters(count), seed)
+    broken, moments = "", run_generated_schedule(count, voters(count), seed)
     assembly = next(moments)
     try:
         for assembly in moments:
-            fine(assembly)
-    except Broken as error:
+            check_invariants(assembly)
+    except InvariantError as error:
         broken = f"{count} placers, seed {seed}: {error}"
     verdict = assembly.judged()
     return {
@@ -43,7 +50,7 @@
 def change(asked: tuple[int, int, bool]) -> dict[str, float]:
     """One contradicting change: from the proposal until each placer acts on it, and what it costs all the while."""
     count, seed, cut = asked
-    assembly = founded(count, voters(count), seed)
+    assembly = bootstrapped_assembly(count, voters(count), seed)
     assembly.sent.clear()
     begun = assembly.now_us
     assembly.run(begun + 10 * SECOND)
@@ -97,7 +104,7 @@
                     "schedules": len(rows),
                     "broken": broken,
                     "past": sum(row["past"] for row in rows),
-                    "stated_ms": STATED_US / 1000,
+                    "stated_ms": MAX_OVERLAP_US / 1000,
                     "longest_ms": max(row["longest_ms"] for row in rows),
                     "acts": sum(row["acts"] for row in rows),
                     "on_floor": sum(row["on_floor"] for row in rows),
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -18,7 +18,7 @@
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
-from wingbarrow.lab.fleet.schedules import rules, voters_of
+from wingbarrow.lab.fleet.fault_schedules import rules, voter_count
 from wingbarrow.lab.fleet.swarm import SECOND
 
 SETTLE_US, FORCE_MOST_US, QUIET_US = 60 * SECOND, 60 * SECOND, 4 * SECOND
@@ -57,7 +57,7 @@
     def __init__(self, count: int, seed: int) -> None:
         self.meter = Meter()
         self.short = False  # whether each wants more of each limit than there is
-        super().__init__(count, voters_of(count), seed)
+        super().__init__(count, voter_count(count), seed)
 
     def local(self, name: str) -> LocalPlacer:
         """Its account of limits needs its incarnation."""
--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -41,8 +41,8 @@
 from wingbarrow.lab.days import Play, play
 from wingbarrow.lab.fleet import (
     custodyplay,
+    fault_schedules,
     quota_simulation,
-    schedules,
     session_simulation,
     swarm,
     workplay,
@@ -203,9 +203,9 @@
     """A generated schedule of agreement on rules among five placers, three of which vote."""
     assembly = None
     try:
-        for assembly in schedules.generated(5, 3, seed):
+        for assembly in fault_schedules.run_generated_schedule(5, 3, seed):
             history.note("moment", assembly.now_us, leaves(assembly.judged()))
-    except schedules.Broken:
+    except fault_schedules.InvariantError:
         history.note("broken")
     if assembly is not None:
         note_states(history, assembly)
--- a/tests/decide/coordination/test_coordinator.py
+++ b/tests/decide/coordination/test_coordinator.py
@@ -16,15 +16,15 @@
 from wingbarrow.decide.rulesets.ruleset import ClassRules, normalized
 from wingbarrow.decide.rulesets.versions import RuleSetState, from_text
 from wingbarrow.lab.fleet.assembly import Use, judge
-from wingbarrow.lab.fleet.schedules import (
+from wingbarrow.lab.fleet.fault_schedules import (
     FLOOR,
-    fine,
-    founded,
-    generated,
+    bootstrapped_assembly,
+    check_invariants,
+    generate_steps,
     rules,
-    shrink,
-    steps,
-    trial,
+    run_generated_schedule,
+    run_trial,
+    shrink_schedule,
 )
 from wingbarrow.lab.fleet.swarm import SECOND
 
@@ -33,7 +33,7 @@
 def test_all_act_on_a_contradicting_version_after_a_transition_without_a_gap_in_service(
     count: int, voters: int
 ) -> None:
-    assembly = founded(count, voters)
+    assembly = bootstrapped_assembly(count, voters)
     assembly.refused = 0
     assert contradict(rules(3), rules(4))
     assembly.propose(rules(4))
@@ -44,11 +44,11 @@
         rules(4).text(),
     ]
     assert assembly.refused == 0, "no gap in service"
-    fine(assembly)
+    check_invariants(assembly)
 
 
 def test_a_partitioned_placer_goes_on_by_the_floor_until_that_expires_too() -> None:
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     assembly.lower_floor(FLOOR, 60 * SECOND, "floor")
     assembly.run(assembly.now_us + 3 * SECOND)
     assert assembly.outcome("floor") == ""
@@ -61,18 +61,18 @@
     assert parse_rule_set(rules_in_force.rules) == FLOOR
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + 10 * SECOND)
-    assembly.propose(rules(4, most=2))
+    assembly.propose(rules(4, max_per_rack=2))
     assembly.run(assembly.now_us + 60 * SECOND)
     assert member.rules_in_force(assembly.clock_us("p004")) is None, (
         "the lease of the floor has expired too"
     )
     assembly.cut = lambda a, b: False
-    assert assembly.run_until(lambda: assembly.all_on(rules(4, most=2)), 10 * SECOND)
-    fine(assembly)
+    assert assembly.run_until(lambda: assembly.all_on(rules(4, max_per_rack=2)), 10 * SECOND)
+    check_invariants(assembly)
 
 
 def test_a_partitioned_placer_without_a_floor_may_act_on_nothing() -> None:
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     assembly.cut = lambda a, b: "p004" in (a, b)
     assembly.run(assembly.now_us + 4 * SECOND)
     assert assembly.members["p004"].rules_in_force(assembly.clock_us("p004")) is None
@@ -81,7 +81,7 @@
 def test_a_proposal_that_forbids_what_a_floor_allows_is_refused_until_the_floor_has_expired() -> (
     None
 ):
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     assembly.lower_floor(FLOOR, 30 * SECOND, "floor 1")
     assembly.run(assembly.now_us + 3 * SECOND)
     barring_rules = rules(barred=("n1", "n2", "n3"))
@@ -103,13 +103,13 @@
 
 
 def test_of_two_concurrent_proposals_one_wins_and_a_repeated_one_is_applied_once() -> None:
-    assembly = founded()
-    assembly.propose(rules(most=2), base=1, ident="one")
-    assembly.propose(rules(most=1), base=1, ident="other")
+    assembly = bootstrapped_assembly()
+    assembly.propose(rules(max_per_rack=2), base=1, ident="one")
+    assembly.propose(rules(max_per_rack=1), base=1, ident="other")
     assembly.run(assembly.now_us + SECOND)
     assert assembly.outcome("one") == ""
     assert "version 2 has been accepted since" in (assembly.outcome("other") or "")
-    assembly.propose(rules(most=2), base=1, ident="one")
+    assembly.propose(rules(max_per_rack=2), base=1, ident="one")
     assembly.run(assembly.now_us + 5 * SECOND)
     leader = assembly.leader()
     assert leader is not None
@@ -118,37 +118,37 @@
 
 
 def test_a_version_proposed_during_a_transition_replaces_its_target() -> None:
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + SECOND // 2)
     assembly.propose(rules(2, offers=30))
     assert assembly.run_until(lambda: assembly.all_on(rules(2, offers=30)), 20 * SECOND)
     assert rules(4).text() not in {use.rules for use in assembly.uses.values()}
-    fine(assembly)
+    check_invariants(assembly)
 
 
 def test_a_leader_partitioned_with_a_third_of_the_fleet_catches_up_after_three_versions() -> None:
-    assembly = founded(9, 5, seed=4)
+    assembly = bootstrapped_assembly(9, 5, seed=4)
     old = assembly.leader()
     assert old is not None
     side = {old, "p007", "p008"}
     assembly.cut = lambda a, b: (a in side) != (b in side)
     assembly.run(assembly.now_us + 6 * SECOND)
     for most in (2, 1, 3):
-        assembly.propose(rules(4, most=most))
+        assembly.propose(rules(4, max_per_rack=most))
         assembly.run(assembly.now_us + 12 * SECOND)
     for name in side:
         assert assembly.members[name].rules_in_force(assembly.clock_us(name)) is None
     assembly.cut = lambda a, b: False
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
-    fine(assembly)
+    check_invariants(assembly)
 
 
 @pytest.mark.parametrize("seconds", [1, 3, 10])
 def test_a_placer_paused_for_longer_than_its_lease_acts_on_nothing_when_it_resumes(
     seconds: int,
 ) -> None:
-    assembly = founded(5, 3, seed=2)
+    assembly = bootstrapped_assembly(5, 3, seed=2)
     assembly.stop("p004", seconds * SECOND)
     assembly.propose(rules(4))
     assembly.run(assembly.now_us + seconds * SECOND - 1)
@@ -157,7 +157,7 @@
             assembly.members["p004"].rules_lease.rules_in_force(assembly.clock_us("p004")) is None
         )
     assert assembly.run_until(lambda: assembly.all_on(rules(4)), 10 * SECOND)
-    fine(assembly)
+    check_invariants(assembly)
 
 
 @pytest.mark.parametrize(("count", "voters"), [(3, 3), (5, 3), (16, 5)])
@@ -165,8 +165,8 @@
 def test_generated_faults_never_leave_expired_rules_in_use(
     count: int, voters: int, seed: int
 ) -> None:
-    for assembly in generated(count, voters, seed):
-        fine(assembly)
+    for assembly in run_generated_schedule(count, voters, seed):
+        check_invariants(assembly)
     assert len(assembly.uses) >= 2
 
 
@@ -193,7 +193,7 @@
 
 
 def test_answers_to_requests_that_are_not_outstanding_are_ignored() -> None:
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     member = assembly.members["p004"]
     before = member.rules_lease.expires_us
     for number in (0, 10_000_000):
@@ -208,7 +208,7 @@
 
 
 def test_a_voter_that_does_not_lead_redirects_requests() -> None:
-    assembly = founded()
+    assembly = bootstrapped_assembly()
     leader = assembly.leader()
     other = next(name for name in assembly.voters if name != leader)
     effects = assembly.members[other].on_message(1, "x", "at x", LeaseRequest(1, 0, 0))
@@ -244,7 +244,7 @@
 
 
 def test_the_judge_finds_planted_acts_on_expired_rules() -> None:
-    tight, loose = rules(most=1).text(), rules(most=3).text()
+    tight, loose = rules(max_per_rack=1).text(), rules(max_per_rack=3).text()
     assert allows(parse_rule_set(tight), parse_rule_set(loose))
     assert judge({1: Use(0, 100, loose), 2: Use(60, 200, tight)}, 9).longest_us == 40
     assert judge({1: Use(0, 100, tight), 2: Use(60, 200, loose)}, 9).longest_us == 0, (
@@ -261,10 +261,10 @@
 def test_a_planted_error_is_found_by_a_generated_schedule_and_shrunk(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert not trial(3, 1)
+    assert not run_trial(3, 1)
     # Planted fault: transitions do not wait for earlier leases to expire.
     monkeypatch.setattr(Leader, "_earlier_leases_expire_us", lambda self: 0)
-    seed = next(seed for seed in range(1, 30) if trial(3, seed))
-    kept = shrink(3, seed)
-    assert len(kept) <= len(steps(3, seed)) // 2, f"seed {seed}"
-    assert trial(3, seed, kept), f"seed {seed}"
+    seed = next(seed for seed in range(1, 30) if run_trial(3, seed))
+    kept = shrink_schedule(3, seed)
+    assert len(kept) <= len(generate_steps(3, seed)) // 2, f"seed {seed}"
+    assert run_trial(3, seed, kept), f"seed {seed}"
--- a/tests/decide/maintenance/test_simulated_maintenance.py
+++ b/tests/decide/maintenance/test_simulated_maintenance.py
@@ -13,7 +13,7 @@
 from wingbarrow.decide.maintenance.emptiness import EmptinessProof
 from wingbarrow.decide.maintenance.messages import RegionView
 from wingbarrow.decide.maintenance.slots import Slot, SlotQueue
-from wingbarrow.lab.fleet.schedules import FLOOR
+from wingbarrow.lab.fleet.fault_schedules import FLOOR
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workplay import Size, judged, opened, play
 from wingbarrow.lab.fleet.workshop import WALL_US, Workshop
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -19,7 +19,7 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.lab.fleet.schedules import rules
+from wingbarrow.lab.fleet.fault_schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workshop import WALL_US
 
--- a/tests/decide/quotas/escrow_fleet.py
+++ b/tests/decide/quotas/escrow_fleet.py
@@ -19,7 +19,7 @@
 from wingbarrow.decide.quotas.escrow import Requester
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
-from wingbarrow.lab.fleet.schedules import rules
+from wingbarrow.lab.fleet.fault_schedules import rules
 
 S = 1_000_000
 LEASE, WINDOW, STRANDED, LIMIT = 2 * S, 3 * S, 5 * S, 6
--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -27,7 +27,7 @@
 from wingbarrow.decide.quotas.escrow import QuotaReport, Requester
 from wingbarrow.decide.quotas.limits import HOUR_US
 from wingbarrow.decide.rulesets.ruleset import normalized
-from wingbarrow.lab.fleet.schedules import founded, rules
+from wingbarrow.lab.fleet.fault_schedules import bootstrapped_assembly, rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
 
@@ -206,7 +206,7 @@
 def test_leader_change_rarely_costs_a_lease() -> None:
     looks = missed = 0
     for seed in range(1, 13):
-        assembly = founded(5, 3, seed=seed)
+        assembly = bootstrapped_assembly(5, 3, seed=seed)
         assembly.run(assembly.now_us + 3 * SECOND)
         leader = assembly.leader()
         assert leader is not None
@@ -224,7 +224,7 @@
 def test_placer_that_reaches_the_leader_through_another_voter_keeps_its_lease(
     one_way: bool,
 ) -> None:
-    assembly = founded(5, 3, seed=3)
+    assembly = bootstrapped_assembly(5, 3, seed=3)
     leader = assembly.leader()
     member = "p004"
     assembly.cut = lambda a, b: (a, b) == (leader, member) or (
@@ -270,7 +270,7 @@
 
 def test_another_voter_relays_when_the_relaying_one_loses_the_leader() -> None:
     for seed in (2, 10, 13):
-        assembly = founded(5, 3, seed=seed)
+        assembly = bootstrapped_assembly(5, 3, seed=seed)
         leader = assembly.leader()
         others = [name for name in assembly.voters if name != leader]
         assert leader is not None
--- a/tests/decide/sessions/test_sessions.py
+++ b/tests/decide/sessions/test_sessions.py
@@ -30,7 +30,7 @@
     parse_session_log,
 )
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
-from wingbarrow.lab.fleet.schedules import rules
+from wingbarrow.lab.fleet.fault_schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
 LEASE = 10 * SECOND
--- a/wingbarrow/cli/lab.py
+++ b/wingbarrow/cli/lab.py
@@ -17,8 +17,7 @@
 from wingbarrow.lab.cluster import Cluster
 from wingbarrow.lab.days import DAYS, Play, play
 from wingbarrow.lab.days import summary as day_summary
-from wingbarrow.lab.fleet.schedules import shrink as shrink_schedule
-from wingbarrow.lab.fleet.schedules import steps, trial
+from wingbarrow.lab.fleet.fault_schedules import generate_steps, run_trial, shrink_schedule
 from wingbarrow.lab.hunt import Found, plays, shrink
 from wingbarrow.lab.hunt import hunt as run_hunt
 from wingbarrow.lab.hunt import table as hunt_table
@@ -149,10 +148,10 @@
             "--placers lie between 2 and 170; --only goes with one size and one seed"
         )
     if kept is not None and not all(
-        0 <= index < len(steps(counts[0], first_seed)) for index in kept
+        0 <= index < len(generate_steps(counts[0], first_seed)) for index in kept
     ):
         raise click.BadParameter(
-            f"--only: the schedule has {len(steps(counts[0], first_seed))} steps"
+            f"--only: the schedule has {len(generate_steps(counts[0], first_seed))} steps"
         )
     wanted = [
         (count, seed, kept) for count in counts for seed in range(first_seed, first_seed + seeds)
@@ -160,7 +159,9 @@
     with get_context("fork").Pool(jobs) as pool:
         broken = [
             (count, seed, words)
-            for (count, seed, _), words in zip(wanted, pool.starmap(trial, wanted, 1), strict=True)
+            for (count, seed, _), words in zip(
+                wanted, pool.starmap(run_trial, wanted, 1), strict=True
+            )
             if words
         ]
     for count, seed, words in broken:
--- a/wingbarrow/lab/fleet/quota_simulation.py
+++ b/wingbarrow/lab/fleet/quota_simulation.py
@@ -15,7 +15,7 @@
 from wingbarrow.decide.quotas.limits import FleetLimit
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
-from wingbarrow.lab.fleet.schedules import rules
+from wingbarrow.lab.fleet.fault_schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
 STEP_US = 20_000
--- a/wingbarrow/lab/fleet/session_simulation.py
+++ b/wingbarrow/lab/fleet/session_simulation.py
@@ -20,7 +20,7 @@
 from wingbarrow.decide.sessions.session_lease import SessionLease
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.assembly import Assembly
-from wingbarrow.lab.fleet.schedules import rules
+from wingbarrow.lab.fleet.fault_schedules import rules
 from wingbarrow.lab.fleet.swarm import SECOND
 
 STEP_US = 50_000  # interval of the checks of all placers
--- a/wingbarrow/lab/fleet/workplay.py
+++ b/wingbarrow/lab/fleet/workplay.py
@@ -7,7 +7,7 @@
 
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.ruleset import RuleSet
-from wingbarrow.lab.fleet.schedules import FLOOR, rules
+from wingbarrow.lab.fleet.fault_schedules import FLOOR, rules
 from wingbarrow.lab.fleet.swarm import SECOND
 from wingbarrow.lab.fleet.workjudge import Judge, Verdict
 from wingbarrow.lab.fleet.workshop import WORKER_LEASE_US, Workshop
