--- a/tests/decide/quotas/test_allocations.py
+++ b/tests/decide/quotas/test_allocations.py
@@ -1,4 +1,4 @@
-"""Allocations in the log: moves computed on another state, limits that change, recovery, bounds."""
+"""Allocations in the log: moves computed on another state, changed limits, recovery, bounds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     STRANDED,
     Fleet,
     S,
-    limited,
+    rule_set_with_limits,
     uses_all,
 )
 from wingbarrow.decide.coordination.messages import Timing
@@ -32,31 +32,31 @@
 
 
 def share(fleet: Fleet, name: str) -> int:
-    return fleet.placers[name].holding.quotas.shares.get(STANDING.key, 0)
+    return fleet.placers[name].lease_client.quotas.shares.get(STANDING.key, 0)
 
 
 def test_new_leader_grants_each_placer_its_allocation_with_the_first_response() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     held = {name: share(fleet, name) for name in NAMES}
     assert held == {"a": 2, "b": 2, "c": 2}
     fleet.now_us += 3 * S
     fleet.elect(1, True)
     for name in ("a", "b"):
-        fleet.get(name, 2, moves=False)
-        assert share(fleet, name) == held[name], "one that is down holds nobody up"
+        fleet.renew_lease(name, 2, moves=False)
+        assert share(fleet, name) == held[name], "a placer that is down must not delay the others"
 
 
 def test_allocation_of_a_silent_placer_is_reclaimed_only_after_lease_and_lag() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     fleet.elect(1, True)
     begun = fleet.now_us
     while share(fleet, "a") <= 2:
-        fleet.get("a", 6)
-        fleet.get("b", 2)
+        fleet.renew_lease("a", 6)
+        fleet.renew_lease("b", 2)
         assert share(fleet, "a") <= 2 or fleet.now_us >= begun + LEASE + STRANDED
         assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
 
@@ -64,20 +64,20 @@
 def test_demand_moves_allocations_within_two_requests_of_each() -> None:
     fleet = Fleet()
     for name in NAMES * 3:
-        fleet.get(name, 2)
+        fleet.renew_lease(name, 2)
     for _ in range(3):
-        fleet.get("a", 0)
-        fleet.get("b", 6)
-        fleet.get("c", 0)
+        fleet.renew_lease("a", 0)
+        fleet.renew_lease("b", 6)
+        fleet.renew_lease("c", 0)
     assert share(fleet, "b") >= 4
 
 
 def test_move_computed_on_another_state_changes_nothing() -> None:
     fleet = Fleet()
-    fleet.get("a", 2, moves=False)
+    fleet.renew_lease("a", 2, moves=False)
     ledger = fleet.voters[1]
     first, second = (
-        fleet.ledger.next_proposals(fleet.now_us + later, limited(LIMIT))[0][0]
+        fleet.ledger.next_proposals(fleet.now_us + later, rule_set_with_limits(LIMIT))[0][0]
         for later in (S, 2 * S)
     )
     ledger.apply(first.kind, json.loads(json.dumps(first.value)))
@@ -117,14 +117,14 @@
     fleet.may_change(0, 3)
     for _ in range(4):
         for name, wants in (("b", 6), ("a", 0), ("c", 6)):
-            fleet.get(name, wants)
+            fleet.renew_lease(name, wants)
             assert share(fleet, "b") == share(fleet, "c") == 0
     fleet.end("a", 4)
     for _ in range(6):
         for name, wants in (("b", 6), ("a", 0), ("c", 0)):
-            fleet.get(name, wants)
+            fleet.renew_lease(name, wants)
             assert sum(share(fleet, each) for each in NAMES) <= max(3, share(fleet, "a") + 1)
-    assert share(fleet, "b") == 1, "one is left of three"
+    assert share(fleet, "b") == 1, "`a` still uses two of three"
 
 
 def test_unlisted_limit_keeps_its_allocations_while_any_can_be_in_use() -> None:
@@ -153,7 +153,7 @@
     fleet.elect(1, True)
     begun = fleet.now_us
     while not share(fleet, "b"):
-        fleet.get("b", 6)
+        fleet.renew_lease("b", 6)
         fleet.now_us += S // 4
         assert not share(fleet, "b") or fleet.now_us >= begun + LEASE + STRANDED
         assert fleet.now_us < begun + 2 * (LEASE + STRANDED)
@@ -167,7 +167,7 @@
     assert ledger.grants_for(at, [(requester, ())], [STANDING]) == [()]
     at += LEASE + STRANDED + S // 10
     ledger.grants_for(at, [(requester, ())], [STANDING])
-    assert ledger.next_proposals(at, limited(LIMIT))[0][0].value["lives"]["a"] == 0
+    assert ledger.next_proposals(at, rule_set_with_limits(LIMIT))[0][0].value["lives"]["a"] == 0
 
 
 def test_allocations_beyond_the_bound_are_rejected_and_counted(
@@ -193,18 +193,18 @@
 def test_accounts_show_free_amount_and_use_by_holder() -> None:
     fleet = Fleet()
     uses_all(fleet)
-    fleet.get("a", 0)
-    told = fleet.ledger.accounts(fleet.now_us, limited(LIMIT).limits)
-    assert [each["limit"] for each in told] == [RATE.key, STANDING.key]
-    assert told[1]["free"] == 0
-    assert {each["placer"]: each["uses"] for each in told[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
+    fleet.renew_lease("a", 0)
+    accounts = fleet.ledger.accounts(fleet.now_us, rule_set_with_limits(LIMIT).limits)
+    assert [each["limit"] for each in accounts] == [RATE.key, STANDING.key]
+    assert accounts[1]["free"] == 0
+    assert {each["placer"]: each["uses"] for each in accounts[1]["held"]}["a"] == 6  # type: ignore[attr-defined]
 
 
-# -- on the virtual clock: who is in touch with a majority misses no grant
+# -- on the virtual clock: a placer in contact with a majority misses no grant
 
 
 def test_leader_change_rarely_costs_a_lease() -> None:
-    looks = missed = 0
+    attempts = missed = 0
     for seed in range(1, 13):
         assembly = bootstrapped_assembly(5, 3, seed=seed)
         assembly.run(assembly.now_us + 3 * SECOND)
@@ -213,11 +213,13 @@
         assembly.kill(leader)
         assembly.refused = assembly.acts = 0
         assembly.run(assembly.now_us + Timing().reacquire_us())
-        looks, missed = looks + assembly.acts + assembly.refused, missed + assembly.refused
+        attempts, missed = attempts + assembly.acts + assembly.refused, missed + assembly.refused
         assembly.refused = 0
         assembly.run(assembly.now_us + 3 * SECOND)
-        assert assembly.refused == 0, f"seed {seed}: within the stated time all act again"
-    assert missed <= 0.02 * looks, f"{missed} of {looks}"
+        assert assembly.refused == 0, (
+            f"seed {seed}: a placer has no lease after the reacquisition time"
+        )
+    assert missed <= 0.02 * attempts, f"{missed} of {attempts}"
 
 
 @pytest.mark.parametrize("one_way", [False, True])
@@ -238,7 +240,7 @@
     assembly.cut = lambda a, b: False
     assembly.run(assembly.now_us + 15 * SECOND)
     assert assembly.members[member].lease_client.selector.relay == "", (
-        "the leader itself is asked again"
+        "requests do not go to the leader directly again"
     )
 
 
--- a/wingbarrow/config/agreement.py
+++ b/wingbarrow/config/agreement.py
@@ -4,7 +4,7 @@
 
 from wingbarrow.config.schema import Node, NodeSchema, flag, number, read_duration, text
 from wingbarrow.config.settings import AgreementSettings
-from wingbarrow.decide.quotas.limits import STRANDED_US, FleetLimit, check_limits
+from wingbarrow.decide.quotas.limits import DEFAULT_STRANDED_US, FleetLimit, check_limits
 
 VOTER_COUNTS = (1, 3, 5, 7)
 _GRANT_BOUNDS_US = (200_000, 4_000_000)
@@ -24,7 +24,7 @@
             {
                 "most": (number(1, 10_000_000, True), None),
                 "per": (read_duration, 0),
-                "stranded": (read_duration, STRANDED_US),
+                "stranded": (read_duration, DEFAULT_STRANDED_US),
             },
             is_repeatable=True,
         ),
--- a/wingbarrow/decide/regions/reports.py
+++ b/wingbarrow/decide/regions/reports.py
@@ -135,7 +135,7 @@
 
     def on_report(self, now_us: int, requester: Requester, report: RegionReport) -> None:
         """Replace the requester's previous report; reports beyond MAX_PLACERS placers are dropped."""
-        if len(self._reports) >= MAX_PLACERS and requester.ident not in self._reports:
+        if len(self._reports) >= MAX_PLACERS and requester.placer not in self._reports:
             return
         region = report.region
         last_us = max(
@@ -144,7 +144,7 @@
         )
         if last_us is None or now_us - last_us > self._lost_after_us:
             self._stable_since_us[region] = now_us
-        self._reports[requester.ident] = _ReceivedReport(now_us, report)
+        self._reports[requester.placer] = _ReceivedReport(now_us, report)
         self._update_rejecting(now_us, region)
 
     def _update_rejecting(self, now_us: int, region: str) -> None:
--- a/wingbarrow/lab/fleet/quota_simulation.py
+++ b/wingbarrow/lab/fleet/quota_simulation.py
@@ -107,7 +107,7 @@
         self.requested += 1
         if acting is None or not acting.revision or not member.quotas.limits:
             return
-        allowed = [member.quotas.has_room(local, key, 1) for key in (STANDING_KEY, RATE_KEY)]
+        allowed = [member.quotas.has_capacity(local, key, 1) for key in (STANDING_KEY, RATE_KEY)]
         if all(allowed):
             member.quotas.record_use(local, RATE_KEY, 1)
             self.tasks[name].append(
