--- a/tests/lab/test_allocation_model.py
+++ b/tests/lab/test_allocation_model.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(("limit", "states"), [(1, 6_000), (2, 40_000)])
-def test_no_way_leads_past_the_whole(limit: int, states: int) -> None:
+def test_no_reachable_state_exceeds_the_limit(limit: int, states: int) -> None:
     explored = explore_allocations(AllocationPlan(placers=1, limit=limit))
     assert not explored.trace
     assert explored.states > states
@@ -17,5 +17,5 @@
 @pytest.mark.parametrize(
     "planted", ["no_lag", "no_debt", "one_life", "any_word", "at_once", "forgetful", "any_answer"]
 )
-def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
+def test_a_planted_error_is_found_with_a_shortest_trace(planted: str) -> None:
     assert explore_allocations(AllocationPlan(placers=1, **{planted: True})).trace
--- a/tests/lab/test_lease_model.py
+++ b/tests/lab/test_lease_model.py
@@ -7,7 +7,7 @@
 from wingbarrow.lab.fleet.lease_model import ERRORS, LeasePlan, explore_leases
 
 
-def test_no_way_leads_to_two_copies_or_to_a_send_after_the_end() -> None:
+def test_no_reachable_state_has_two_copies_or_a_send_after_the_end() -> None:
     explored = explore_leases(LeasePlan(lease=2))
     print(f"{explored.states} states")
     assert not explored.trace
@@ -15,5 +15,5 @@
 
 
 @pytest.mark.parametrize("planted", ERRORS)
-def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
+def test_a_planted_error_is_found_with_a_shortest_trace(planted: str) -> None:
     assert explore_leases(LeasePlan(lease=2, planted=planted)).trace
--- a/tests/lab/test_quota_simulation.py
+++ b/tests/lab/test_quota_simulation.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (3, 2), (5, 3), (5, 4), (5, 5)])
-def test_nobody_passes_the_whole_under_generated_trouble_and_most_of_it_is_used_after(
+def test_generated_faults_exceed_no_limit_and_most_of_it_is_used_afterwards(
     count: int, seed: int
 ) -> None:
     simulation = run_simulation(count, seed)
@@ -44,7 +44,9 @@
     ), f"seed {seed}"
 
 
-def test_a_planted_account_that_forgets_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_ledger_that_reuses_allocations_too_early_is_found(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class ShortLeaseLedger(AllocationLedger):
         # Reuses an allocation before the tasks that a killed placer left behind have ended.
         def _lease_end_us(self, name: str) -> int:
--- a/tests/lab/test_slot_model.py
+++ b/tests/lab/test_slot_model.py
@@ -7,7 +7,7 @@
 from wingbarrow.lab.fleet.slot_model import SlotPlan, explore_slots
 
 
-def test_no_way_leads_to_work_on_a_machine_that_is_not_empty_or_not_given() -> None:
+def test_no_reachable_state_has_work_on_a_machine_that_is_not_empty_or_not_granted() -> None:
     explored = explore_slots(SlotPlan(placers=1))
     assert not explored.trace
     assert explored.states > 3000
@@ -26,5 +26,5 @@
         "floor_free",
     ],
 )
-def test_a_planted_error_is_found_by_its_shortest_way(planted: str) -> None:
+def test_a_planted_error_is_found_with_a_shortest_trace(planted: str) -> None:
     assert explore_slots(SlotPlan(placers=1, **{planted: True})).trace
