--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -24,7 +24,7 @@
     run_generated_schedule,
 )
 from wingbarrow.lab.fleet.fault_schedules import voter_count as voters
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def schedule(asked: tuple[int, int]) -> dict[str, Any]:
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -22,7 +22,7 @@
     inject_faults,
     rules_with_limits,
 )
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 
 def sizes(count: int) -> tuple[list[float], int, int]:
--- a/tests/decide/maintenance/test_slots.py
+++ b/tests/decide/maintenance/test_slots.py
@@ -20,8 +20,8 @@
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan, WindowRules
 from wingbarrow.decide.rulesets.ruleset import RuleSet
 from wingbarrow.lab.fleet.fault_schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
-from wingbarrow.lab.fleet.workshop import WALL_US
+from wingbarrow.lab.fleet.maintenance_simulation import WALL_US
+from wingbarrow.lab.fleet.simulation import SECOND
 
 TIMING = MaintenanceTiming()
 
--- a/tests/lab/test_quota_simulation.py
+++ b/tests/lab/test_quota_simulation.py
@@ -12,7 +12,7 @@
     inject_faults,
     rules_with_limits,
 )
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 MAX_STANDING, MAX_RATE = 30, 36
 
--- a/wingbarrow/lab/fleet/fault_schedules.py
+++ b/wingbarrow/lab/fleet/fault_schedules.py
@@ -12,7 +12,7 @@
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.rulesets.ruleset import ClassRules, RuleSet, equal_shares, normalized
 from wingbarrow.lab.fleet.assembly import ACT_US, Assembly
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 MAX_OVERLAP_US = Timing().overlap_us(ACT_US)
 
@@ -158,7 +158,7 @@
 ) -> Iterator[Assembly]:
     """Run a schedule and yield after each step; then heal all and require that all reach a last version."""
     assembly = bootstrapped_assembly(count, voters, seed)
-    assembly.twice = 0.1
+    assembly.duplication = 0.1
     for step in schedule:
         assembly.run(assembly.now_us + step.wait_us)
         _apply(assembly, step)
--- a/wingbarrow/lab/fleet/quota_simulation.py
+++ b/wingbarrow/lab/fleet/quota_simulation.py
@@ -16,7 +16,7 @@
 from wingbarrow.decide.rulesets.ruleset import RuleSet, normalized
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.fault_schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 STEP_US = 20_000
 STRANDED_US = 10 * SECOND  # how long allocations of a killed placer still count
@@ -68,7 +68,7 @@
 
     def local(self, name: str) -> LocalPlacer:
         """The placer with its incarnation, which the quota ledger needs."""
-        return LocalPlacer(name, self.lives[name])
+        return LocalPlacer(name, self.incarnations[name])
 
     def make(self, name: str, now_us: int) -> Coordinator:
         """Create a coordinator whose quota ledger counts the tasks of this placer."""
@@ -130,7 +130,7 @@
 
     def __init__(self, simulation: QuotaSimulation, seed: int) -> None:
         self._simulation, self._random = simulation, random.Random(f"reach/{seed}")
-        self._incarnations = dict(simulation.lives)
+        self._incarnations = dict(simulation.incarnations)
         self.tasks: dict[str, list[int]] = {
             name: list(ends) for name, ends in simulation.tasks.items()
         }
@@ -143,10 +143,11 @@
         self._unexpired = [each for each in self._unexpired if each[0] > now]
         for name in simulation.names:
             if self.tasks.get(name) and (
-                name not in simulation.members or simulation.lives[name] != self._incarnations[name]
+                name not in simulation.members
+                or simulation.incarnations[name] != self._incarnations[name]
             ):
                 self._unexpired.append((now + STRANDED_US, self.tasks.pop(name)))
-            self._incarnations[name] = simulation.lives[name]
+            self._incarnations[name] = simulation.incarnations[name]
             self.tasks[name] = [end for end in self.tasks.get(name, ()) if end > now]
         counts = sum(map(len, self.tasks.values())) + sum(len(ends) for _, ends in self._unexpired)
         for name in simulation.names:
@@ -182,7 +183,7 @@
     Yields after each of the `fault_count` faults and once after 30 s without faults.
     """
     rng = random.Random(f"trouble/{seed}")
-    simulation.twice = 0.1
+    simulation.duplication = 0.1
     for _ in range(fault_count):
         simulation.run(simulation.now_us + rng.randrange(4 * SECOND))
         fault, target = rng.random(), rng.choice(simulation.names)
--- a/wingbarrow/lab/fleet/session_simulation.py
+++ b/wingbarrow/lab/fleet/session_simulation.py
@@ -21,7 +21,7 @@
 from wingbarrow.decide.sessions.session_subsystem import SessionSubsystem
 from wingbarrow.lab.fleet.assembly import Assembly
 from wingbarrow.lab.fleet.fault_schedules import rules
-from wingbarrow.lab.fleet.swarm import SECOND
+from wingbarrow.lab.fleet.simulation import SECOND
 
 STEP_US = 50_000  # interval of the checks of all placers
 MAX_SEND_HOLD_US = 10_000  # longest delay of a byte between the lease check and the socket
@@ -135,7 +135,7 @@
             self._subsystems[name] = subsystems[0]
         disk = copy.deepcopy(self.disks[name]) if name in self.disks else None
         return Coordinator(
-            LocalPlacer(name, self.lives[name]),
+            LocalPlacer(name, self.incarnations[name]),
             CoordinationSettings(self.voters, self.times),
             disk,
             self.random.randrange(1 << 30),
@@ -182,7 +182,7 @@
                 f"{self.now_us}: {session.text()} ended, but it may send until {history.sent_us} and "
                 f"its tasks may run until {history.machine_until_us}"
             )
-        present = self.lives[session.placer] == session.life
+        present = self.incarnations[session.placer] == session.life
         if present and history.requested_us and self.now_us < history.requested_us + self.after_us:
             self.violations.append(
                 f"{self.now_us}: {session.text()} ended sooner than `after_us` after its last renewal"
@@ -295,7 +295,7 @@
             superseded = log.latest[name].session != session
             renewable = (
                 name in self.members
-                and self.lives[name] == log.latest[name].process
+                and self.incarnations[name] == log.latest[name].process
                 and self.reaches_leader(name, leader)
                 and not superseded
             )
@@ -333,7 +333,7 @@
     Yields the kind of each of the `fault_count` faults, then "healed" once all is checked.
     """
     rng = random.Random(f"leases/{seed}")
-    simulation.twice = 0.1
+    simulation.duplication = 0.1
     span = 2 * (simulation.lease_us + simulation.after_us)
     for _ in range(fault_count):
         target, region = rng.choice(simulation.names), rng.choice(simulation.regions)
