--- a/benchmarks/histories/driver.py
+++ b/benchmarks/histories/driver.py
@@ -40,11 +40,11 @@
 from wingbarrow.decide.subsets import SubsetRules, Subsets, expected_max_subset, placers_needed
 from wingbarrow.lab.days import Play, play
 from wingbarrow.lab.fleet import (
-    holders,
-    leaseholders,
+    fault_schedules,
     maintenance_scenarios,
+    quota_simulation,
     replica_scenarios,
-    schedules,
+    session_simulation,
     simulation,
 )
 from wingbarrow.lab.fleet.coordination_simulation import CoordinationSimulation
@@ -203,9 +203,9 @@
     """A generated schedule of agreement on rules among five placers, three of which vote."""
     assembly = None
     try:
-        for assembly in schedules.generated(5, 3, seed):
+        for assembly in fault_schedules.run_generated_schedule(5, 3, seed):
             history.note("moment", assembly.now_us, leaves(assembly.judged()))
-    except schedules.Broken:
+    except fault_schedules.InvariantError:
         history.note("broken")
     if assembly is not None:
         note_states(history, assembly)
@@ -214,21 +214,30 @@
 def quotas(history: History, seed: int) -> None:
     """Limits of the whole fleet with skewed demand, under trouble."""
     demand, most, rate = [2.0, 2.0, 2.0, 2.0, 12.0], 60, 80
-    world = holders.Holders(5, 3, seed, demand, most, rate)
-    wanted = holders.limited(world.names, most, rate)
+    world = quota_simulation.QuotaSimulation(5, 3, seed, demand, most, rate)
+    wanted = quota_simulation.rules_with_limits(world.names, most, rate)
     world.run_until(lambda: world.leader() is not None, 20 * S)
     world.propose(wanted)
     world.run_until(lambda: world.all_on(wanted), 20 * S)
-    reach = holders.Reach(world, seed)
-    for _ in holders.trouble(world, seed, 12):
-        history.note("moment", world.wanted, world.started, world.over, world.filled, reach.filled)
+    reach = quota_simulation.CentralCounter(world, seed)
+    for _ in quota_simulation.inject_faults(world, seed, 12):
+        history.note(
+            "moment",
+            world.requested,
+            world.started,
+            world.violations,
+            world.task_steps,
+            reach.task_steps,
+        )
     note_states(history, world)
 
 
 def sessions(history: History, seed: int) -> None:
     """Session leases over three regions; regions cut off, lost and back. Either time bounds an end in some seeds."""
-    world = leaseholders.played(6, 3, seed, 10, after_us=2 * S if seed % 2 else 6 * S)
-    history.note("sessions", world.sends, world.ends, world.with_successor, len(world.faults))
+    world = session_simulation.run_simulation(6, 3, seed, 10, after_us=2 * S if seed % 2 else 6 * S)
+    history.note(
+        "sessions", world.sends, world.ends, world.ends_with_successor, len(world.violations)
+    )
     for session, life in sorted(world.histories.items()):
         history.note("session", leaves(session), leaves(life))
     note_states(history, world)
--- a/wingbarrow/lab/fleet/judging/limits.py
+++ b/wingbarrow/lab/fleet/judging/limits.py
@@ -4,14 +4,19 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.outliers.health import OutlierSettings
-from wingbarrow.lab.fleet.holding import loosest, over, unaccounted, unfounded
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
+from wingbarrow.lab.fleet.quota_checks import (
+    is_unfounded_closure,
+    limit_violations,
+    loosest_limits,
+    overallocated_limits,
+)
 
 
 def judge_limits(run: Run, out: Verdict) -> None:
     """Judge whether the records exceed a limit, and whether more rights are held at the end than exist."""
-    limits = loosest(run.rule_sets.values())
+    limits = loosest_limits(run.rule_sets.values())
     last = {
         name: [
             each["shares"]
@@ -25,7 +30,7 @@
         for name, found in last.items()
         if found and run.lifetimes[name][-1].end_us == NEVER
     }
-    for note in (*over(limits, run.records), *unaccounted(limits, shares)):
+    for note in (*limit_violations(limits, run.records), *overallocated_limits(limits, shares)):
         out.breach("limit_overs", note)
     out.turned_away = sum(
         each.what == "turned-away" and each.data["code"] == 429 for each in run.records
@@ -49,7 +54,7 @@
             if at - first_seen.get(machine, -NEVER) <= window - settings.window_us:
                 continue  # the same verdict: another placer's entry, or one renewed after a probe
             first_seen[machine] = at
-            if unfounded(
+            if is_unfounded_closure(
                 machine,
                 at,
                 settings.window_us + 2 * Timing().grant_us + run.slack_us,
--- a/wingbarrow/lab/fleet/judging/refusals.py
+++ b/wingbarrow/lab/fleet/judging/refusals.py
@@ -13,10 +13,10 @@
 
 from wingbarrow.decide.coordination.messages import Timing
 from wingbarrow.decide.quotas.limits import FleetLimit
-from wingbarrow.lab.fleet.holding import loosest
 from wingbarrow.lab.fleet.judging.connectivity import MajorityContact
 from wingbarrow.lab.fleet.judging.run import NEVER, Run
 from wingbarrow.lab.fleet.judging.verdict import Verdict
+from wingbarrow.lab.fleet.quota_checks import loosest_limits
 from wingbarrow.lab.record import Record
 
 MIN_USED_SHARE = 0.6  # a refusal for a limit that was used to a lower share is needless
@@ -86,7 +86,7 @@
     out.starved = len(run.starved)
     out.needless_stated_ms = Timing().reacquire_us() // 1000
     stated_us = Timing().reacquire_us() + run.slack_us
-    limits = loosest(run.rule_sets.values())
+    limits = loosest_limits(run.rule_sets.values())
     contact = MajorityContact(run)
     limit_use = LimitUse(run.records)
     for each in run.records:
--- a/wingbarrow/lab/fleet/maintenance_scenarios.py
+++ b/wingbarrow/lab/fleet/maintenance_scenarios.py
@@ -7,9 +7,9 @@
 
 from wingbarrow.decide.rulesets.agreed_drains import DrainPlan
 from wingbarrow.decide.rulesets.ruleset import RuleSet
+from wingbarrow.lab.fleet.fault_schedules import FLOOR, rules
 from wingbarrow.lab.fleet.maintenance_judge import Judge, Verdict
 from wingbarrow.lab.fleet.maintenance_simulation import WORKER_LEASE_US, MaintenanceSimulation
-from wingbarrow.lab.fleet.schedules import FLOOR, rules
 from wingbarrow.lab.fleet.simulation import SECOND
 
 MAX_OUT_PER_CELL = 1
--- a/wingbarrow/lab/fleet/replica_scenarios.py
+++ b/wingbarrow/lab/fleet/replica_scenarios.py
@@ -9,12 +9,12 @@
 import random
 from dataclasses import dataclass
 
-from wingbarrow.lab.fleet.leasehold import Begin
 from wingbarrow.lab.fleet.replica_simulation import (
     KEY_WINDOW_US,
     ReplicaSimulation,
     reissue_bound_us,
 )
+from wingbarrow.lab.fleet.simulated_machines import TaskStart
 from wingbarrow.lab.fleet.simulation import SECOND
 
 EFFECTS = ("safe", "safe", "keyed", "unsafe")
@@ -35,7 +35,7 @@
 def judged(world: ReplicaSimulation) -> Verdict:
     """Find violations of the guarantees for each effect, and measure the longest delay of a reissue."""
     breaches: list[str] = []
-    starts: dict[tuple[str, int], list[Begin]] = {}
+    starts: dict[tuple[str, int], list[TaskStart]] = {}
     ended = {end.epoch: session for session, end in world.voters.ended.items()}
     for begin in world.begins:
         starts.setdefault((begin.uid, begin.index), []).append(begin)
--- a/wingbarrow/lab/fleet/replica_simulation.py
+++ b/wingbarrow/lab/fleet/replica_simulation.py
@@ -21,7 +21,7 @@
 from wingbarrow.decide.sessions.leased_job_record import RECORD_FORMAT, KnownTask, LeasedJobRecord
 from wingbarrow.decide.sessions.messages import MachineReport
 from wingbarrow.decide.sessions.session import EndedSession, Session
-from wingbarrow.lab.fleet.leasehold import Begin, Standin, Voters
+from wingbarrow.lab.fleet.simulated_machines import SessionVoters, SimulatedMachine, TaskStart
 from wingbarrow.lab.fleet.simulation import SECOND, Simulation
 
 LEASE_US = 4 * SECOND
@@ -122,7 +122,7 @@
         world = self.world
         if not world.reaches_majority(self.name):
             return out
-        session, changed_ends, self.seen_changes = world.voters.ask(
+        session, changed_ends, self.seen_changes = world.voters.renew_session(
             now_us,
             self.session,
             len(self.jobs),
@@ -305,11 +305,12 @@
         )
         self.allowed, self.copies = regions, copies
         self.bounds = ReplicationLimits()
-        self.voters = Voters(VOTER_LEASE_US, REISSUE_AFTER_US)
+        self.voters = SessionVoters(VOTER_LEASE_US, REISSUE_AFTER_US)
         self.machines = {
-            f"m-{name}": Standin(f"m-{name}", region) for name, region in self.regions.items()
+            f"m-{name}": SimulatedMachine(f"m-{name}", region)
+            for name, region in self.regions.items()
         }
-        self.begins: list[Begin] = []
+        self.begins: list[TaskStart] = []
         self.accepted: dict[str, tuple[int, LeasedJobRecord, str]] = {}
         self.reissued: list[tuple[int, str, int, str]] = []
         self.counts: Counter[str] = Counter()
@@ -365,7 +366,7 @@
             out[other] = self.regions[other], self.incarnations[other]
         return out
 
-    def pick_machine(self, region: str) -> Standin | None:
+    def pick_machine(self, region: str) -> SimulatedMachine | None:
         """Draws a machine of a region that is up; None if there is none."""
         available = [each for each in self.machines.values() if each.region == region and each.up]
         return self.random.choice(available) if available else None
@@ -380,9 +381,11 @@
                     lambda machine=machine: machine.renew(self.now_us, session, until),  # type: ignore[misc]
                 )
 
-    def offer(self, placer: SimulatedPlacer, held: HeldJob, index: int, machine: Standin) -> None:
+    def offer(
+        self, placer: SimulatedPlacer, held: HeldJob, index: int, machine: SimulatedMachine
+    ) -> None:
         """Sends a task to a machine, and its answer back. Either may be late or lost."""
-        begin = Begin(
+        begin = TaskStart(
             0, held.record.uid, index, held.epoch, placer.session, placer.region, machine.name
         )
         until, name, life = placer.lease_until_us, placer.name, self.incarnations[placer.name]
@@ -390,7 +393,7 @@
         def arrive() -> None:
             if not machine.up:
                 return
-            here = Begin(
+            here = TaskStart(
                 self.now_us,
                 begin.uid,
                 index,
@@ -400,7 +403,7 @@
                 machine.name,
             )
             known = (begin.uid, index) in machine.runs
-            why = machine.take(self.now_us, here, until)
+            why = machine.start_task(self.now_us, here, until)
             if not why and not known:
                 self.begins.append(here)
             self.at(self.now_us + self.random.randrange(MAX_MESSAGE_DELAY_US), lambda: back(why))
@@ -440,7 +443,7 @@
     def runs_on(self, machine: str, uid: str, index: int) -> bool:
         """Whether a task runs on a machine."""
         held = self.machines[machine]
-        held.tidy(self.now_us)
+        held.stop_expired(self.now_us)
         return held.up and (uid, index) in held.runs
 
     def stop_runs(self, uid: str, region: str) -> None:
@@ -507,7 +510,7 @@
         """Uids of Jobs that have a task running now."""
         out = set()
         for machine in self.machines.values():
-            machine.tidy(self.now_us)
+            machine.stop_expired(self.now_us)
             out |= {uid for uid, _ in machine.runs} if machine.up else set()
         return out
 
