--- a/wingbarrow/placement.py
+++ b/wingbarrow/placement.py
@@ -135,8 +135,8 @@
         """Whether the five rules, the class's machine kind and planned closings allow an attempt now."""
         settings, now_us = self._fleet.settings, self._fleet.now_us
         task_class, listed = task.task_class, machine.listed
-        # Rule 3. Danger: a task bound to a draining or removed machine is stopped at once, without the
-        # grace period.
+        # Rule 3. Danger: a task bound to a draining or removed machine. Binding ends at once, not only when
+        # the grace period has passed.
         if machine.unavailable or task_class.kind not in (None, listed.kind):
             return False
         # Danger: a planned closing would cut off a long task; short ones still end before it.
